--- /dev/null
+++ b/internal/agree/golden_test.go
@@ -0,0 +1,151 @@
+package agree
+
+import (
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"dunetide/internal/link"
+)
+
+// updateGolden writes the golden files anew. They are what running nodes send and what disks hold: they change only
+// with a new format, never with a change of the code.
+var updateGolden = flag.Bool("update-golden", false, "write testdata/golden from this code")
+
+// golden compares the encoding of a value with the bytes of a file, decodes those bytes and encodes the result again.
+func golden(t *testing.T, name string, encode func() []byte, again func(b []byte) []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name+".hex")
+	if *updateGolden {
+		if err := os.WriteFile(path, []byte(hex.EncodeToString(encode())+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	if got := encode(); !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: encoded as %x, want %x", name, got, want)
+	}
+	if got := again(want); !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: read and encoded again as %x, want %x", name, got, want)
+	}
+}
+
+// goldenState has a distinct value in each field.
+func goldenState() State {
+	return State{
+		Slot: 0x0102030405060708,
+		Voters: []Voter{
+			{ID: 0x1112131415161718, Name: "machine-1", Addr: "10.0.0.1:7101"},
+			{ID: 0x2122232425262728, Name: "machine-2", Addr: "10.0.0.2:7102"},
+			{ID: 0x3132333435363738, Name: "machine-3", Addr: "10.0.0.3:7103"},
+		},
+		Value: []byte("the value\x00\xff"),
+		marks: []mark{{0x4142434445464748, 0x5152535455565758}, {0x6162636465666768, 0x7172737475767778}},
+	}
+}
+
+// TestGoldenState reads a state, as it stands within messages, saved payloads and the keeper's files.
+func TestGoldenState(t *testing.T) {
+	encode := func(s State) []byte {
+		w := &link.Writer{}
+		s.Append(w)
+		return w.B
+	}
+	golden(t, "state", func() []byte { return encode(goldenState()) }, func(b []byte) []byte {
+		r := &link.Reader{B: b}
+		s := ReadState(r)
+		if r.Err != nil || len(r.B) != 0 || !reflect.DeepEqual(s, goldenState()) {
+			t.Errorf("read as %+v, %v, %d bytes left", s, r.Err, len(r.B))
+		}
+		return encode(s)
+	})
+}
+
+// TestGoldenMessages reads each kind of message between registers.
+func TestGoldenMessages(t *testing.T) {
+	names := map[kind]string{query: "query", told: "told", prepare: "prepare", promise: "promise", accept: "accept",
+		accepted: "accepted", reject: "reject", decided: "decided", have: "have"}
+	for k, name := range names {
+		m := message{kind: k, id: 0x8182838485868788, slot: 0x9192939495969798,
+			ballot: ballot{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, other: ballot{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}}
+		if k == accept || k == decided || k == promise {
+			m.state = goldenState()
+		}
+		goldenMessage(t, "message-"+name, m)
+	}
+	goldenMessage(t, "message-promise-nothing-accepted", message{kind: promise, id: 0x8182838485868788, slot: 0x9192939495969798,
+		ballot: ballot{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}})
+}
+
+func goldenMessage(t *testing.T, file string, m message) {
+	t.Helper()
+	const register = "config"
+	golden(t, file, func() []byte { return m.encode(register) }, func(b []byte) []byte {
+		name, got, err := decode(b)
+		if err != nil || name != register || !reflect.DeepEqual(got, m) {
+			t.Errorf("%s: read as %q, %+v, %v", file, name, got, err)
+		}
+		if name, ok := Name(b); !ok || name != register {
+			t.Errorf("%s: for register %q, %v", file, name, ok)
+		}
+		return got.encode(name)
+	})
+}
+
+// TestGoldenPayloads reads each kind of payload that Save stores, as a node does at its start.
+func TestGoldenPayloads(t *testing.T) {
+	low, high := ballot{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, ballot{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}
+	next := goldenState()
+	next.Slot++
+	next.Value = []byte("the next value")
+	load := func(t *testing.T, saved ...[]byte) *Register {
+		t.Helper()
+		r, err := New(Options{Name: "config", ID: goldenState().Voters[0].ID, Proposer: 1, Send: func(Voter, []byte) {}}, saved)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return r
+	}
+	start := decidedPayload(goldenState())
+	golden(t, "saved-decided", func() []byte { return decidedPayload(goldenState()) }, func(b []byte) []byte {
+		r := load(t, b)
+		if s, known := r.State(); !known || !reflect.DeepEqual(s, goldenState()) {
+			t.Errorf("decided: %+v, %v", s, known)
+		}
+		return r.Snapshot()[0]
+	})
+	golden(t, "saved-accepted", func() []byte { return acceptedPayload(low, next) }, func(b []byte) []byte {
+		r := load(t, start, b)
+		if r.accepted != low || r.promised != low || !reflect.DeepEqual(r.proposal, next) {
+			t.Errorf("accepted: %v, promised %v, %+v", r.accepted, r.promised, r.proposal)
+		}
+		return r.Snapshot()[1]
+	})
+	golden(t, "saved-promise", func() []byte { return promisePayload(next.Slot, high) }, func(b []byte) []byte {
+		r := load(t, start, b)
+		if r.accepted != (ballot{}) || r.promised != high {
+			t.Errorf("promise: accepted %v, promised %v", r.accepted, r.promised)
+		}
+		return r.Snapshot()[1]
+	})
+	golden(t, "saved-chosen", func() []byte { return chosenPayload(next.Slot, low) }, func(b []byte) []byte {
+		accepted := load(t, start, acceptedPayload(low, next))
+		short := accepted.decidedRecord(next)
+		r := load(t, start, acceptedPayload(low, next), b)
+		if s, known := r.State(); !known || !reflect.DeepEqual(s, next) {
+			t.Errorf("chosen: %+v, %v", s, known)
+		}
+		return short
+	})
+}
--- a/internal/agree/steps_test.go
+++ b/internal/agree/steps_test.go
@@ -88,7 +88,7 @@
 }
 
 func TestSteps(t *testing.T) {
-	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
+	datadriven.Walk(t, "testdata/steps", func(t *testing.T, path string) {
 		tb := &table{}
 		node := func(name string) int {
 			i := slices.IndexFunc(tb.nodes, func(n *tableNode) bool { return n.voter.Name == name })
