--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -322,3 +322,34 @@
 		}
 	}
 }
+
+// Two files that say other things of a run and of a version: the report names both, with all that each says.
+func TestGoldenReportOfDifferences(t *testing.T) {
+	other := goldenRun
+	other.Item, other.Repeatable, other.After = false, true, ""
+	files := []file{}
+	for i, c := range []struct {
+		run  Run
+		text []byte
+		end  Outcome
+	}{{goldenRun, goldenText, Answered}, {other, append(slices.Clone(goldenText), ' '), Left}} {
+		d := disktest.New()
+		l, err := record.Open(d, "f", func([]byte, int64) error { return nil })
+		must(t, err)
+		var last sum
+		for _, e := range [][]byte{startEntry(uint64(i+1), 1), documentEntry(goldenVersion, c.text), begunEntry(goldenKey, c.run),
+			endedEntry(goldenKey, goldenEnd, c.end)} {
+			var b []byte
+			b, last = chained(last, e)
+			_, err := l.Append(b)
+			must(t, err)
+		}
+		must(t, l.Close())
+		files = append(files, file{fmt.Sprint("store-", i+1), d.File("f")})
+	}
+	var b bytes.Buffer
+	must(t, check(files, Options{}).WriteProblems(&b))
+	if want := golden(t, "report-differences.txt", b.Bytes); !bytes.Equal(b.Bytes(), want) {
+		t.Errorf("%s", b.String())
+	}
+}
