--- /dev/null
+++ b/internal/keeper/golden_test.go
@@ -0,0 +1,575 @@
+package keeper
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/hashicorp/go-hclog"
+
+	"dunetide/internal/agree"
+	"dunetide/internal/certify"
+	"dunetide/internal/control"
+	"dunetide/internal/journal/disktest"
+	"dunetide/internal/link"
+	"dunetide/internal/registry"
+	"dunetide/internal/settings"
+	"dunetide/internal/view"
+)
+
+// updateGolden writes the golden files anew. It is only for the sources whose bytes the files pin, and never set in CI.
+var updateGolden = flag.Bool("update", false, "write testdata/golden anew, from the sources that it is to pin")
+
+// golden compares bytes with a golden file.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s:\ngot  %x\nwant %x\nas text, got\n%s\nwant\n%s", name, got, want, got, want)
+	}
+}
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// Values of the golden files: each field has a value of its own.
+var (
+	goldenSelf  = control.Node{Name: "k1", Role: control.RoleKeeper, Zone: "za", Addr: "127.0.0.1:11", Control: "127.0.0.1:12", ID: 0x1111111111111111, Life: 0x1212121212121212}
+	goldenPeer  = control.Node{Name: "k2", Role: control.RoleKeeper, Zone: "zb", Addr: "127.0.0.1:21", Control: "127.0.0.1:22", ID: 0x2121212121212121, Life: 0x2222222222222222}
+	goldenProxy = control.Node{Name: "p3", Role: control.RoleProxy, Zone: "zc", Addr: "127.0.0.1:31", Control: "127.0.0.1:32", ID: 0x3131313131313131, Life: 0x3232323232323232}
+	goldenStore = control.Node{Name: "s4", Role: control.RoleStore, Zone: "zd", Addr: "127.0.0.1:41", ID: 0x4141414141414141, Life: 0x4242424242424242}
+
+	goldenVoters = []agree.Voter{{ID: 0x1111111111111111, Name: "k1", Addr: "127.0.0.1:11"}, {ID: 0x2121212121212121, Name: "k2", Addr: "127.0.0.1:21"},
+		{ID: 0x5151515151515151, Name: "k5", Addr: "127.0.0.1:51"}}
+
+	goldenEntry = registry.Entry{Endpoint: view.Endpoint{ID: "e-6", Service: "svc-7", Address: "10.0.0.8:9", Zone: "z-10", Version: "v-11", Capacity: 12,
+		State: view.Draining, ColdLeftMs: 13, Models: []view.Model{{Name: "m-14", Version: 15}, {Name: "m-16", Version: 17}}, CallCount: 18},
+		Alive: 19, Silent: true, Age: 20 * time.Millisecond}
+
+	goldenTable = &view.Table{Number: 61, Parts: []view.Part{{Epoch: 62, Primary: 63, Copies: []uint64{63, 64}, Joining: []uint64{65}, Leaving: []uint64{66, 64}},
+		{Epoch: 67, Primary: 64, Copies: []uint64{64, 63}, Joining: []uint64{65}, Leaving: []uint64{66, 68}}},
+		Stores: map[uint64]view.Store{63: {ID: 63, Name: "s63", Addr: "a63", Zone: "z63"}, 64: {ID: 64, Name: "s64", Addr: "a64", Zone: "z64"}, 65: {ID: 65, Name: "s65", Addr: "a65", Zone: "z65"},
+			66: {ID: 66, Name: "s66", Addr: "a66", Zone: "z66"}},
+		Retiring: map[uint64]bool{64: true, 66: true}, Stopping: map[uint64]bool{65: true}}
+)
+
+func goldenDocument() *document {
+	v := &document{version: 71, raw: []byte(`{"version":71}`)}
+	for i := range 3 {
+		var t taken
+		t.version = uint64(69 + i)
+		for j := range t.digest {
+			t.digest[j] = byte(0x70 + 0x20*i + j)
+		}
+		v.past = append(v.past, t)
+	}
+	return v
+}
+
+// goldenState is a decided state, also of the fields that only internal/agree reads.
+func goldenState(t *testing.T, slot uint64, value []byte) agree.State {
+	t.Helper()
+	w := link.Writer{}
+	agree.State{Slot: slot, Voters: goldenVoters, Value: value}.Append(&w)
+	w.B = w.B[:len(w.B)-4] // the count of marks
+	w.U32(2)
+	for _, n := range []uint64{81, 82, 83, 84} {
+		w.U64(n)
+	}
+	r := link.Reader{B: w.B}
+	s := agree.ReadState(&r)
+	if r.Err != nil || len(r.B) > 0 {
+		t.Fatal(r.Err, len(r.B))
+	}
+	return s
+}
+
+// goldenKeeper does not run, and has a peer that is connected over a link to the sink.
+func goldenKeeper(t *testing.T) (k *Keeper, far *sink) {
+	t.Helper()
+	k = still(t, goldenSelf.Name)
+	k.self, k.agree.id = goldenSelf, goldenSelf.ID
+	conns, far := wires(t, 1)
+	p := &peer{node: goldenPeer, conn: conns[0]}
+	k.peers[goldenPeer.Name] = p
+	k.conns[conns[0]] = &peerLink{peer: p, life: goldenPeer.Life, dialled: true}
+	k.connectionsChanged()
+	confirmContact(t, k)
+	k.contactUntil.Store(int64(k.contact.Until()))
+	return k, far
+}
+
+// received gives the next message that the far end of a golden keeper's link gets, as its kind and its body.
+func received(t *testing.T, far *sink) (*link.Message, []byte) {
+	t.Helper()
+	m := get(t, far.messages, "message")
+	return m, append([]byte{byte(m.Kind)}, m.Body...)
+}
+
+// decoded reads all of a message.
+func decoded[T any](t *testing.T, body []byte, read func(r *link.Reader) T) T {
+	t.Helper()
+	r := link.Reader{B: body}
+	v := read(&r)
+	if r.Err != nil || len(r.B) > 0 {
+		t.Errorf("%v, %d bytes are left", r.Err, len(r.B))
+	}
+	return v
+}
+
+func same(t *testing.T, got, want any) {
+	t.Helper()
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got  %+v\nwant %+v", got, want)
+	}
+}
+
+// TestGoldenMessagesToPeers: what a keeper sends to other keepers is as the golden files have it, and they read it so.
+func TestGoldenMessagesToPeers(t *testing.T) {
+	k, far := goldenKeeper(t)
+	next := func(name string) (*link.Message, []byte) {
+		t.Helper()
+		m, b := received(t, far)
+		golden(t, name, b)
+		return m, readGolden(t, name)[1:]
+	}
+
+	k.tellEntries([]registry.Entry{goldenEntry}, &waiter{})
+	m, body := next("entries")
+	entries := decoded(t, body, func(r *link.Reader) (list []registry.Entry) {
+		for range r.Count(16) {
+			e, err := registry.ReadEntry(r)
+			if err != nil {
+				t.Error(err)
+			}
+			list = append(list, e)
+		}
+		return list
+	})
+	same(t, entries, []registry.Entry{goldenEntry})
+	m.Reply(nil)
+
+	k.attached[nil] = &attachedProcess{node: goldenProxy}
+	k.tellAttached()
+	_, body = next("attached")
+	same(t, decoded(t, body, control.ReadNodes), []control.Node{goldenProxy})
+	delete(k.attached, nil)
+
+	k.leaving = true
+	k.agree.mu.Lock()
+	k.agree.known = goldenVoters
+	for i, name := range registerNames {
+		k.agree.stored[name] = uint64(91 + i)
+	}
+	k.agree.mu.Unlock()
+	k.sendReports()
+	_, body = next("report")
+	report := control.KeeperReport{InContact: true, Leaving: true, Slots: []uint64{91, 92, 93}, Heard: []uint64{goldenSelf.ID, goldenPeer.ID}}
+	same(t, decoded(t, body, control.ReadKeeperReport), report)
+
+	since := time.Hour
+	heard := goldenEntry.Endpoint
+	heard.State = view.Ready
+	k.table.Beat(since, heard)
+	k.sendHeard(k.life.Add(since + 1234*time.Millisecond))
+	_, body = next("heard")
+	signs := decoded(t, body, func(r *link.Reader) (list []registry.Heard) {
+		for range r.Count(9) {
+			h, err := registry.ReadHeard(r)
+			if err != nil {
+				t.Error(err)
+			}
+			list = append(list, h)
+		}
+		sums := k.table.Digests()
+		for i := range sums {
+			if sum := r.U64(); sum != sums[i] {
+				t.Errorf("digest %d is %x, not %x", i, sum, sums[i])
+			}
+		}
+		return list
+	})
+	same(t, signs, []registry.Heard{{ID: heard.ID, Alive: heard.CallCount, Age: 1234 * time.Millisecond}})
+	_, _ = received(t, far) // a report goes with each
+
+	k.spread(configRegister, goldenState(t, 85, []byte("value-86")))
+	_, body = next("learn")
+	state := decoded(t, body, func(r *link.Reader) agree.State {
+		if name := r.String(); name != configRegister {
+			t.Errorf("register %q", name)
+		}
+		return agree.ReadState(r)
+	})
+	same(t, state, goldenState(t, 85, []byte("value-86")))
+
+	k.agree.send(tableRegister, agree.Voter{ID: goldenPeer.ID, Name: goldenPeer.Name, Addr: goldenPeer.Addr}, []byte("message-87"))
+	_, body = next("agree")
+	decoded(t, body, func(r *link.Reader) any {
+		same(t, []any{r.String(), r.U64(), r.String(), r.String(), string(r.Bytes())}, []any{tableRegister, goldenSelf.ID, goldenSelf.Name, goldenSelf.Addr, "message-87"})
+		return nil
+	})
+
+	k.requestGrants(time.Now(), dutyAssign, k.assigner.lease, 1, map[uint64]bool{goldenPeer.ID: true})
+	m, body = next("lease-request")
+	lease := func(r *link.Reader) []any { return []any{r.String(), r.String(), r.Bool()} }
+	same(t, decoded(t, body, lease), []any{"assign", goldenSelf.Name, false})
+	m.Reply([]byte{0})
+	k.releaseGrants(dutyVoters)
+	m, body = next("lease-release")
+	same(t, decoded(t, body, lease), []any{"voters", goldenSelf.Name, true})
+	m.Reply([]byte{0})
+
+	sums := k.table.Digests()
+	sums[3]++
+	other := link.Writer{}
+	other.U32(0)
+	for _, sum := range sums {
+		other.U64(sum)
+	}
+	conn := k.peers[goldenPeer.Name].conn
+	for range differsTwice {
+		k.receiveHeard(time.Now(), &link.Message{Conn: conn, Kind: control.Heard, Body: other.B})
+	}
+	next("missing")
+
+	trouble := control.Trouble{Node: goldenStore, Reason: "reason-88"}
+	k.troubleReported(time.Now(), &link.Message{Conn: conn, Kind: control.ProcessTrouble, Body: trouble.Encode()})
+	_, body = next("process-trouble")
+	trouble.Relayed = true
+	read, err := control.ReadTrouble(body)
+	same(t, []any{read, err}, []any{trouble, error(nil)})
+}
+
+// TestGoldenPush: what a keeper pushes to an attached process is as the golden file has it, and processes read it so.
+func TestGoldenPush(t *testing.T) {
+	k, _ := goldenKeeper(t)
+	conns, far := wires(t, 1)
+	k.config = &document{version: 101, raw: []byte(`{"version":101}`)}
+	k.certificates = &document{version: 102, raw: []byte(`{"version":102}`)}
+	k.parts, k.senders, k.keepersChange, k.pushedListening = goldenTable, 103, 104, true
+	entry := goldenEntry
+	entry.Silent, entry.ColdLeftMs = false, 0
+	k.table.Merge(0, []registry.Entry{entry})
+	p := &attachedProcess{node: goldenProxy, conn: conns[0], endpoints: true, pushed: 104}
+	u, change := k.update(p, k.life, true)
+	k.push(p, pushMessage{u.Encode(), change}, true)
+	_, b := received(t, far)
+	golden(t, "push", b)
+	got, err := control.ReadUpdate(readGolden(t, "push")[1:])
+	if err != nil {
+		t.Fatal(err)
+	}
+	same(t, got, &control.Update{Number: 105, Whole: true, InContact: true, Listed: true, Senders: 103, Config: k.config.raw, Version: 101, Table: goldenTable,
+		Entries: []registry.Entry{entry}, Keepers: []control.Node{goldenSelf, goldenPeer}, CertificatesVersion: 102, Certificates: k.certificates.raw})
+	same(t, got.Encode(), readGolden(t, "push")[1:])
+}
+
+// calledKeeper answers calls over links as a keeper does that runs.
+type calledKeeper struct{ k *Keeper }
+
+func (c calledKeeper) Message(m *link.Message) { c.k.message(m) }
+func (c calledKeeper) Closed(*link.Conn)       {}
+
+// TestGoldenCallsOverLinks: the calls that a keeper makes when it dials, and the answers to those that it takes, are as the
+// golden files have them.
+func TestGoldenCallsOverLinks(t *testing.T) {
+	k, _ := goldenKeeper(t)
+	far := &sink{make(chan *link.Message, 10)}
+	addr, served := serveLinks(t, far), serveLinks(t, calledKeeper{k})
+
+	dialled := make(chan struct{})
+	go func() { k.dial(addr); close(dialled) }()
+	m := get(t, far.messages, "hello")
+	golden(t, "hello", append([]byte{byte(m.Kind)}, m.Body...))
+	decoded(t, readGolden(t, "hello")[1:], func(r *link.Reader) any {
+		same(t, []any{control.ReadNode(r), r.Bool()}, []any{goldenSelf, false})
+		return nil
+	})
+	m.Fail("enough")
+	<-dialled
+	for len(k.commands) > 0 {
+		(<-k.commands)()
+	}
+
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
+	conn, err := link.Dial(ctx, served, far, link.DefaultOptions)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	call := func(name string, kind link.Kind, body []byte) []byte {
+		t.Helper()
+		b, err := conn.Call(ctx, kind, body)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		golden(t, name, b)
+		return readGolden(t, name)
+	}
+	w := link.Writer{}
+	goldenProxy.Append(&w)
+	w.Bool(true)
+	decoded(t, call("hello-reply", control.Hello, w.B), func(r *link.Reader) any {
+		same(t, []any{control.ReadNode(r), r.Bool(), r.Bool()}, []any{goldenSelf, true, true})
+		return nil
+	})
+	same(t, call("in-contact-reply", control.InContact, nil), []byte{1})
+	same(t, call("lease-reply", control.Lease, leaseBody(dutyAssign, "nobody", false)), []byte{0})
+	same(t, call("lease-release-reply", control.Lease, leaseBody(dutyAssign, "nobody", true)), []byte{})
+	same(t, call("process-trouble-reply", control.ProcessTrouble, (&control.Trouble{Node: goldenStore, Reason: "r", Relayed: true}).Encode()), []byte{})
+	same(t, call("entries-reply", control.Entries, []byte{0, 0, 0, 0}), []byte{})
+}
+
+// serveLinks serves links on a loopback address until the test ends, and returns the address.
+func serveLinks(t *testing.T, h link.Handler) string {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	go func() { _ = link.Serve(l, h, link.DefaultOptions) }() // it ends with the listener
+	return l.Addr().String()
+}
+
+// TestGoldenRecords: the records of keeper.log and the values of the registers are as the golden files have them.
+func TestGoldenRecords(t *testing.T) {
+	k := still(t, goldenSelf.Name)
+	a := k.agree
+	a.id = goldenSelf.ID
+	golden(t, "record-identity", a.identity())
+	golden(t, "record-register", registerRecord(certificatesRegister, []byte("payload-111")))
+	golden(t, "record-first-voters", firstVoters(goldenVoters))
+	replayed := &agreement{saved: map[string][][]byte{}}
+	for _, name := range []string{"record-identity", "record-register", "record-first-voters"} {
+		if err := replayed.replay(readGolden(t, name)); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	same(t, replayed, &agreement{id: goldenSelf.ID, saved: map[string][][]byte{certificatesRegister: {[]byte("payload-111")}}, first: goldenVoters})
+
+	golden(t, "value-document", goldenDocument().encode())
+	v, err := readDocument(readGolden(t, "value-document"))
+	same(t, []any{v, err}, []any{goldenDocument(), error(nil)})
+	same(t, v.encode(), readGolden(t, "value-document"))
+
+	w := link.Writer{}
+	control.AppendTable(&w, goldenTable)
+	golden(t, "value-table", w.B)
+	table, err := tableOf(agree.State{Value: readGolden(t, "value-table")})
+	same(t, []any{table, err}, []any{goldenTable, error(nil)})
+}
+
+// TestGoldenLog: a keeper takes up the golden file of a log, with its identity, its voters and what the registers hold.
+func TestGoldenLog(t *testing.T) {
+	const file = "keeper.log"
+	if *updateGolden {
+		r := newRig(t, 1)
+		r.startAll()
+		r.untilCode(200, func() answer { return r.put(0, 7, 0, "golden") })
+		r.untilCode(200, func() answer { return r.put(0, 9, 7, "golden") })
+		r.untilCode(200, func() answer { return r.certify(0, "0", goldenCertificates(t, 5)) })
+		r.terminate(0)
+		golden(t, file, r.disks[0].File(logName))
+	}
+	disk := disktest.New()
+	disk.Put(logName, readGolden(t, file))
+	if err := disk.Sync(); err != nil {
+		t.Fatal(err)
+	}
+	k, err := New(Options{Settings: &settings.Settings{NodeName: "k1", IP: "127.0.0.1", InternalFirst: 1, BeatEveryMs: 1200, Control: "127.0.0.1:2"},
+		Folder: disk, Log: hclog.NewNullLogger()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	fmt.Fprintf(&text, "identity %x\n", k.agree.id)
+	for _, name := range registerNames {
+		state, known := k.agree.state(name)
+		fmt.Fprintf(&text, "register %s: known %v, slot %d\n", name, known, state.Slot)
+		for _, voter := range state.Voters {
+			fmt.Fprintf(&text, "  voter %x %s %s\n", voter.ID, voter.Name, voter.Addr)
+		}
+		if name != tableRegister {
+			v, err := readDocument(state.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&text, "  version %d %s\n", v.version, v.raw)
+			for _, past := range v.past {
+				fmt.Fprintf(&text, "  taken %d %x\n", past.version, past.digest)
+			}
+		}
+	}
+	golden(t, "keeper.log.txt", []byte(text.String()))
+	if !bytes.HasPrefix(disk.File(logName), readGolden(t, file)) {
+		t.Error("the log was changed by being read")
+	}
+}
+
+func goldenCertificates(t *testing.T, version uint64) []byte {
+	t.Helper()
+	at := func(hour int) time.Time { return time.Date(2026, 12, 1, hour, 2, 3, 0, time.UTC) }
+	b, err := json.Marshal(certify.Document{Version: version, Routes: []certify.Route{{Name: "route-1", Regime: "regime-2"}},
+		Certificates: []certify.Certificate{{Endpoint: "e-3", Regime: "regime-2", NotBefore: at(4), NotAfter: at(5), By: "by-6"}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// TestGoldenStatus: the status that operators are shown is as the golden file has it.
+func TestGoldenStatus(t *testing.T) {
+	k, _ := goldenKeeper(t)
+	k.config, k.certificates, k.parts, k.senders = &document{version: 121}, &document{version: 122}, &view.Table{Number: 123}, 124
+	k.agree.mu.Lock()
+	k.agree.known = goldenVoters
+	k.agree.unsaved = fmt.Errorf("disk trouble 125")
+	for _, name := range registerNames {
+		k.agree.states[name] = agree.State{Voters: goldenVoters}
+	}
+	k.agree.mu.Unlock()
+	now := k.since(time.Now())
+	if ask, _, round := k.assigner.lease.Step(now, 1); ask {
+		k.assigner.lease.Granted(now, round, "x")
+	}
+	k.attached[nil] = &attachedProcess{node: goldenProxy, pushed: 130, acked: 3, marks: []mark{{number: 2, version: 126, certificates: 128}}}
+	k.table.Merge(now, []registry.Entry{{Endpoint: goldenEntry.Endpoint, Alive: 19}})
+	k.troubles.take(time.Now(), control.Trouble{Node: goldenStore, Reason: "reason-129"})
+	for _, known := range k.troubles {
+		known.began = known.began.Add(-131 * time.Second)
+	}
+	golden(t, "status.json", k.statusJSON())
+	var read status
+	if err := json.Unmarshal(readGolden(t, "status.json"), &read); err != nil {
+		t.Fatal(err)
+	}
+	same(t, read, status{Node: "k1", Voter: true, InContact: true, Version: 121, Certificates: 122, Table: 123, Senders: 124, Duty: true,
+		Voters: []string{"k1", "k2", "k5"}, Keepers: []string{"k1", "k2"}, Attached: []attachedStatus{{"p3", "proxy", "zc", 126, 128, 127}},
+		Services: map[string]int{"svc-7": 1}, Disk: "disk trouble 125", Troubled: []troubleStatus{{"s4", "store", "zd", "reason-129", 131}}})
+	again, err := json.MarshalIndent(read, "", "  ")
+	same(t, []any{string(again) + "\n", err}, []any{string(readGolden(t, "status.json")), error(nil)})
+}
+
+// TestGoldenHTTP: the answers of a keeper's HTTP calls are as the golden file has them: status, headers that clients heed, body.
+func TestGoldenHTTP(t *testing.T) {
+	r := newRig(t, 1)
+	r.startAll()
+	k := r.running[0].k
+	ask(k, func() bool { k.leaving = true; k.assigner.lease.Stop(); return true }) // nobody else changes the table
+	r.untilCode(200, func() answer { return r.put(0, 7, 0, "golden") })
+	r.untilCode(404, func() answer { return r.call(0, "POST", "/retire/nobody", "", []byte(`{"over_s":10}`)) })
+	table := make(chan error, 1)
+	k.changeTable(func(*view.Table) (*view.Table, error) { return goldenTable, nil }, func(err error) { table <- err })
+	if err := get(t, table, "table"); err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	handler := k.handler()
+	call := func(method, path, match, body string) {
+		t.Helper()
+		var out *httptest.ResponseRecorder
+		until(t, path, func() bool { // on a busy machine a majority may be late, and each call may be repeated
+			request := httptest.NewRequest(method, path, strings.NewReader(body))
+			request.Header.Set("If-Match", match)
+			out = httptest.NewRecorder()
+			handler.ServeHTTP(out, request)
+			return out.Code != http.StatusServiceUnavailable
+		})
+		got := strings.ReplaceAll(strings.TrimSpace(out.Body.String()), r.ip(0), "IP")
+		got = strings.ReplaceAll(got, fmt.Sprint(":", r.control), ":CONTROL")
+		fmt.Fprintf(&text, "%s %s If-Match %q %s\n%d %q Retry-After %q\n%s\n\n", method, path, match, body, out.Code,
+			out.Header().Get("Content-Type"), out.Header().Get("Retry-After"), got)
+	}
+	config := string(configBody(9, "golden"))
+	call("PUT", "/config", "", config)
+	call("PUT", "/config", "7", "{")
+	call("PUT", "/config", "6", config)
+	call("PUT", "/config", "7", config)
+	call("PUT", "/config", "7", config) // sent again
+	call("PUT", "/config", "9", string(configBody(8, "golden")))
+	call("GET", "/config", "", "")
+	call("GET", "/certificates", "", "")
+	call("PUT", "/certificates", "0", string(goldenCertificates(t, 5)))
+	call("GET", "/certificates", "", "")
+	call("PUT", "/certificates", "5", "{}")
+	beat := func(state, zone string) string {
+		return fmt.Sprintf(`{"service":"svc-1","address":"10.0.0.2:3","zone":%q,"version":"v-4","capacity":5,"state":%q,"cold_left_ms":6,"call_count":7,"models":[{"name":"m-8","version":9}]}`, zone, state)
+	}
+	call("PUT", "/instances/e-1", "", beat("ready", "z"))
+	call("PUT", "/instances/e-1", "", beat("draining", "other"))
+	call("PUT", "/instances/e-1", "", beat("unknown", "z"))
+	call("PUT", "/instances/e-1", "", "[]")
+	call("PUT", "/instances/e-1", "", "{\"state\":\"ready\"}")
+	call("DELETE", "/instances/e-1", "", "")
+	call("POST", "/retire/nobody", "", `{"over_s":10}`)
+	call("GET", "/retire/nobody", "", "")
+	call("GET", "/retire/s64", "", "")
+	call("GET", "/retire/s66", "", "")
+	call("PATCH", "/config", "", "")
+	call("GET", "/nothing", "", "")
+	call("GET", "/retire/s64/x", "", "")
+	golden(t, "http.txt", []byte(text.String()))
+
+	out := httptest.NewRecorder()
+	refuse(out, http.StatusServiceUnavailable, "why-1")
+	acknowledge(out, "10.0.0.2:3")
+	golden(t, "http-503.txt", fmt.Appendf(nil, "%d %v\n%s\n", out.Code, out.Header(), out.Body))
+	b, err := json.Marshal(putAnswer{Version: 1, InForce: true, WithinMs: 2})
+	same(t, []any{string(b), err}, []any{`{"version":1,"in_force":true,"within_ms":2}`, error(nil)})
+}
+
+// TestGoldenMetrics: the names of a keeper's metrics are as the golden file has them.
+func TestGoldenMetrics(t *testing.T) {
+	k := still(t, "k1")
+	w := &statusWriter{httptest.NewRecorder(), http.StatusTeapot}
+	k.answered(call{method: http.MethodGet, path: "/golden/"}, "name", w, time.Now())
+	var all bytes.Buffer
+	metrics.WritePrometheus(&all, false)
+	var names []string
+	for line := range strings.Lines(all.String()) {
+		name, _, _ := strings.Cut(line, " ")
+		ours := strings.HasPrefix(name, "dunetide_keeper_") && !strings.Contains(name, "{")
+		for _, invariant := range []string{"document_versions_rise_with_slots", "reads_are_not_older_than_known", "acknowledged_ends_are_known_to_a_majority", "acknowledgements_are_given_in_contact"} {
+			ours = ours || strings.Contains(name, fmt.Sprintf("%q", invariant))
+		}
+		if line == "" || !ours && !strings.Contains(line, "golden") {
+			continue
+		}
+		if strings.Contains(line, "golden") {
+			name, _, _ = strings.Cut(line, "} ")
+			name += "}"
+		}
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	golden(t, "metrics.txt", []byte(strings.Join(slices.Compact(names), "\n")+"\n"))
+}
