--- /dev/null
+++ b/internal/control/golden_test.go
@@ -0,0 +1,299 @@
+package control
+
+import (
+	"bytes"
+	"context"
+	"flag"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"dunetide/internal/link"
+	"dunetide/internal/registry"
+	"dunetide/internal/view"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/golden anew; never to make a failing test pass")
+
+// checkGolden compares encoded bytes with those of a golden file, which it returns. With -update it writes the file first.
+func checkGolden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name+".bin")
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("%s: encoded as\n%x\nthe golden file has\n%x", name, encoded, want)
+	}
+	return want
+}
+
+// goldenMessage is a message with a value in each of its fields.
+type goldenMessage struct {
+	name   string
+	value  any
+	encode func(value any) []byte
+	decode func(body []byte) (any, error)
+}
+
+// message binds the two directions of one type of message.
+func message[T any](name string, value T, encode func(T) []byte, decode func([]byte) (T, error)) goldenMessage {
+	return goldenMessage{
+		name:   name,
+		value:  value,
+		encode: func(v any) []byte { return encode(v.(T)) },
+		decode: func(body []byte) (any, error) { return decode(body) },
+	}
+}
+
+// appended is the encoding of what appends itself to a message, and its decoding.
+func appended[T any](write func(T, *link.Writer), read func(*link.Reader) T) (func(T) []byte, func([]byte) (T, error)) {
+	encode := func(v T) []byte {
+		var w link.Writer
+		write(v, &w)
+		return w.B
+	}
+	decode := func(body []byte) (T, error) {
+		r := link.Reader{B: body}
+		v := read(&r)
+		if r.Err == nil && len(r.B) > 0 {
+			r.Err = io.ErrUnexpectedEOF
+		}
+		return v, r.Err
+	}
+	return encode, decode
+}
+
+func goldenNode(name string, offset uint64) Node {
+	return Node{
+		Name:    name,
+		Role:    RoleStore,
+		Zone:    "zone-of-" + name,
+		Addr:    name + ":7001",
+		Control: name + ":7002",
+		ID:      0x0a00 + offset,
+		Life:    0x0b00 + offset,
+	}
+}
+
+func goldenTable() *view.Table {
+	return &view.Table{
+		Number: 31,
+		Parts: []view.Part{
+			{Epoch: 32, Primary: 41, Copies: []uint64{41, 42}, Joining: []uint64{43}, Leaving: []uint64{42, 44}},
+			{Epoch: 33, Primary: 42, Copies: []uint64{42}},
+		},
+		Stores: map[uint64]view.Store{
+			41: {ID: 41, Name: "s1", Addr: "s1:1", Zone: "north"},
+			42: {ID: 42, Name: "s2", Addr: "s2:2", Zone: "south"},
+			43: {ID: 43, Name: "s3", Addr: "s3:3", Zone: "east"},
+			44: {ID: 44, Name: "s4", Addr: "s4:4", Zone: "west"},
+		},
+		Retiring: map[uint64]bool{42: true, 44: true},
+		Stopping: map[uint64]bool{43: true, 44: true},
+	}
+}
+
+func goldenUpdate() *Update {
+	return &Update{
+		Number:    11,
+		Whole:     true,
+		InContact: true,
+		Listed:    true,
+		Senders:   12,
+		Config:    []byte(`{"version":13}`),
+		Version:   13,
+		Table:     goldenTable(),
+		Entries: []registry.Entry{
+			{
+				Endpoint: view.Endpoint{
+					ID: "i-1", Service: "quotes", Address: "10.0.0.1:80", Zone: "north", Version: "v2", Capacity: 14, State: view.Draining,
+					ColdLeftMs: 15, Models: []view.Model{{Name: "m", Version: 16}, {Name: "n", Version: 17}}, CallCount: 18,
+				},
+				Alive: 19, Silent: true, Age: 20 * time.Millisecond,
+			},
+		},
+		Keepers:             []Node{goldenNode("k1", 1), goldenNode("k2", 2)},
+		CertificatesVersion: 21,
+		Certificates:        []byte(`{"version":21}`),
+	}
+}
+
+func goldenMessages() []goldenMessage {
+	encodeNode, decodeNode := appended(Node.Append, ReadNode)
+	encodeNodes, decodeNodes := appended(func(nodes []Node, w *link.Writer) { AppendNodes(w, nodes) }, ReadNodes)
+	encodeTable, decodeTable := appended(func(table *view.Table, w *link.Writer) { AppendTable(w, table) }, ReadTable)
+	encodeReport, decodeReport := appended(KeeperReport.Append, ReadKeeperReport)
+	encodeTrouble := func(trouble Trouble) []byte { return trouble.Encode() }
+	return []goldenMessage{
+		message("node", goldenNode("p1", 1), encodeNode, decodeNode),
+		message("nodes", []Node{goldenNode("p1", 1), goldenNode("p2", 2)}, encodeNodes, decodeNodes),
+		message("table", goldenTable(), encodeTable, decodeTable),
+		message("update", goldenUpdate(), (*Update).Encode, ReadUpdate),
+		message("update_number_only", &Update{Number: 22, InContact: true}, (*Update).Encode, ReadUpdate),
+		message("keeper_report", KeeperReport{InContact: true, Slots: []uint64{51, 52}, Heard: []uint64{53, 54, 55}}, encodeReport, decodeReport),
+		message("keeper_report_leaving", KeeperReport{Leaving: true, Slots: []uint64{56}}, encodeReport, decodeReport),
+		message("part_joined", PartJoined{Part: 61, Epoch: 62}, PartJoined.Encode, ReadPartJoined),
+		message("store_stopping", StoreStopping{Store: 71, Stopping: true}, StoreStopping.Encode, ReadStoreStopping),
+		message("trouble", Trouble{Node: goldenNode("p3", 3), Reason: "the disk is full", Relayed: true}, encodeTrouble, ReadTrouble),
+	}
+}
+
+// The bytes of each message stay, as processes of two versions run in one tier while one is rolled out.
+func TestGoldenMessages(t *testing.T) {
+	for _, m := range goldenMessages() {
+		t.Run(m.name, func(t *testing.T) {
+			body := checkGolden(t, m.name, m.encode(m.value))
+			got, err := m.decode(body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got, m.value) {
+				t.Errorf("read as\n%+v\nwant\n%+v", got, m.value)
+			}
+			if again := m.encode(got); !bytes.Equal(again, body) {
+				t.Errorf("what was read is encoded as\n%x\nit was\n%x", again, body)
+			}
+			if _, err := m.decode(body[:len(body)-1]); err == nil {
+				t.Error("a message that was cut off is read")
+			}
+		})
+	}
+}
+
+func TestGoldenRenumberedUpdate(t *testing.T) {
+	body := goldenUpdate().Encode()
+	Renumber(body, 0x0102030405060708)
+	checkGolden(t, "update_renumbered", body)
+}
+
+// The numbers of the kinds of messages stay.
+func TestGoldenKinds(t *testing.T) {
+	kinds := map[link.Kind]link.Kind{
+		Hello: 1, Push: 2, Ack: 3, Agree: 4, Entries: 5, Heard: 6, Attached: 7, Learn: 8, Joined: 9, Lease: 10, Status: 11, Missing: 12,
+		Confirm: 13, InForce: 14, Report: 15, Stopping: 20, InContact: 21, ProcessTrouble: 22,
+	}
+	if len(kinds) != 18 {
+		t.Fatalf("%d kinds", len(kinds))
+	}
+	for got, want := range kinds {
+		if got != want {
+			t.Errorf("kind %d is %d", want, got)
+		}
+	}
+	if RoleProxy != "proxy" || RoleKeeper != "keeper" || RoleStore != "store" {
+		t.Error("the roles have other names")
+	}
+}
+
+// readFrame reads one frame with so long a body as a peer would that knows nothing of this program.
+func readFrame(t *testing.T, raw net.Conn, bodySize int) []byte {
+	t.Helper()
+	frame := make([]byte, 9+bodySize)
+	if err := raw.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadFull(raw, frame); err != nil {
+		t.Fatal(err)
+	}
+	return frame
+}
+
+// What goes over a new link: the question whether the keeper is in contact, the greeting and its answer, a push, what
+// acknowledges it, and the question whether the certificates are the newest.
+func TestGoldenConversation(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	self := goldenNode("p1", 1)
+	self.Role = RoleProxy
+	c := NewClient(ClientOptions{Self: self, Endpoints: true, Holder: &view.Holder{}, ConfirmEvery: time.Hour, Log: hclog.NewNullLogger()})
+	attached := make(chan *attachment, 1)
+	go func() { attached <- c.attach(t.Context(), listener.Addr().String(), true) }()
+	raw, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer raw.Close()
+	write := func(name string, frame []byte) {
+		t.Helper()
+		if _, err := raw.Write(checkGolden(t, name, frame)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	nodeSize := 5*4 + len(self.Name) + len(self.Role) + len(self.Zone) + len(self.Addr) + len(self.Control) + 2*8
+
+	checkGolden(t, "frame_in_contact_call", readFrame(t, raw, 0))
+	write("frame_in_contact_reply", []byte{0, 0, 0, 6, 250, 0, 0, 0, 1, 1})
+	checkGolden(t, "frame_hello_call", readFrame(t, raw, nodeSize+1))
+	keeper := goldenNode("k1", 2)
+	keeper.Role = RoleKeeper
+	var w link.Writer
+	keeper.Append(&w)
+	w.Bool(true)
+	w.Bool(true)
+	write("frame_hello_reply", append([]byte{0, 0, 0, byte(5 + len(w.B)), 250, 0, 0, 0, 2}, w.B...))
+	var a *attachment
+	select {
+	case a = <-attached:
+	case <-time.After(patience):
+	}
+	if a == nil || a.node != keeper {
+		t.Fatalf("attached as %+v", a)
+	}
+	defer a.conn.Close()
+
+	push := Update{Number: 0x0c01, InContact: true, Whole: true, Listed: true, Senders: 3, CertificatesVersion: 3, Certificates: text(t, 3)}
+	body := push.Encode()
+	write("frame_push", append([]byte{0, 0, 0, byte(5 + len(body)), 2, 0, 0, 0, 0}, body...))
+	checkGolden(t, "frame_ack", readFrame(t, raw, 8))
+
+	ctx, cancel := context.WithCancel(t.Context())
+	confirming := make(chan struct{})
+	go func() { defer close(confirming); c.confirm(ctx) }()
+	defer func() { cancel(); <-confirming }()
+	checkGolden(t, "frame_confirm_call", readFrame(t, raw, 0))
+	write("frame_confirm_reply", []byte{0, 0, 0, 5, 250, 0, 0, 0, 3})
+	await(t, "confirmed", func() bool { return !c.Confirmed().IsZero() })
+}
+
+// What a process sends that can't do its work.
+func TestGoldenTroubleCall(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	trouble := Trouble{Node: goldenNode("p3", 3), Reason: "the disk is full"}
+	reported := make(chan error, 1)
+	go func() { reported <- ReportTrouble(t.Context(), listener.Addr().String(), trouble) }()
+	raw, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer raw.Close()
+	checkGolden(t, "frame_trouble_call", readFrame(t, raw, len(trouble.Encode())))
+	if _, err := raw.Write([]byte{0, 0, 0, 5, 250, 0, 0, 0, 1}); err != nil {
+		t.Fatal(err)
+	}
+	if err := <-reported; err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/link/golden_test.go
@@ -0,0 +1,180 @@
+package link
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"flag"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/golden anew; never to make a failing test pass")
+
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name+".bin") }
+
+// readGolden returns the bytes of a golden file.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// checkGolden compares encoded bytes with those of a golden file, which it returns. With -update it writes the file first.
+func checkGolden(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(goldenPath(name), encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want := readGolden(t, name)
+	if !bytes.Equal(encoded, want) {
+		t.Errorf("%s: encoded as\n%x\nthe golden file has\n%x", name, encoded, want)
+	}
+	return want
+}
+
+// readFrames reads so many bytes as a peer would that knows nothing of this package.
+func readFrames(t *testing.T, raw net.Conn, size int) []byte {
+	t.Helper()
+	frames := make([]byte, size)
+	if _, err := io.ReadFull(raw, frames); err != nil {
+		t.Fatal(err)
+	}
+	return frames
+}
+
+// The bytes of each kind of frame stay, as processes of two versions run in one tier while one is rolled out.
+func TestGoldenFrames(t *testing.T) {
+	t.Run("one-way message", func(t *testing.T) {
+		raw, nc := net.Pipe()
+		c := start(nc, newSide(), steady)
+		defer c.Close()
+		if err := c.Send(7, []byte("notice")); err != nil {
+			t.Fatal(err)
+		}
+		written := checkGolden(t, "frame_message", readFrames(t, raw, 15))
+		got := receive(t, written)
+		if got.Kind != 7 || string(got.Body) != "notice" || got.Wants() {
+			t.Errorf("read as %+v", got)
+		}
+	})
+	t.Run("calls", func(t *testing.T) {
+		raw, nc := net.Pipe()
+		c := start(nc, newSide(), steady)
+		defer c.Close()
+		c.Go(8, []byte("first"))
+		c.Go(9, nil)
+		written := checkGolden(t, "frame_call", readFrames(t, raw, 14+9))
+		got := receive(t, written[:14])
+		if got.Kind != 8 || string(got.Body) != "first" || got.call != 1 || !got.Wants() {
+			t.Errorf("read as %+v", got)
+		}
+		got = receive(t, written[14:])
+		if got.Kind != 9 || got.Body != nil || got.call != 2 {
+			t.Errorf("read as %+v", got)
+		}
+	})
+	t.Run("probe", func(t *testing.T) {
+		raw, nc := net.Pipe()
+		c := start(nc, newSide(), Options{Probe: time.Millisecond, Silence: time.Hour})
+		defer c.Close()
+		checkGolden(t, "frame_probe", readFrames(t, raw, 9))
+	})
+}
+
+// The bytes of a reply and of a refusal stay, and end the calls that they answer.
+func TestGoldenReplies(t *testing.T) {
+	raw, nc := net.Pipe()
+	s := newSide()
+	callee := start(nc, s, steady)
+	defer callee.Close()
+	if _, err := raw.Write(readGolden(t, "frame_call")); err != nil {
+		t.Fatal(err)
+	}
+	firstCall, secondCall := get(t, s.messages, "the first call"), get(t, s.messages, "the second call")
+	firstCall.Reply([]byte("an answer"))
+	reply := checkGolden(t, "frame_reply", readFrames(t, raw, 9+9))
+	secondCall.Fail("no: %d of %d", 3, 4)
+	refusal := checkGolden(t, "frame_error", readFrames(t, raw, 9+10))
+
+	raw, nc = net.Pipe()
+	caller := start(nc, newSide(), steady)
+	defer caller.Close()
+	firstReply, secondReply := caller.Go(8, nil), caller.Go(9, nil)
+	readFrames(t, raw, 2*9)
+	if _, err := raw.Write(append(refusal, reply...)); err != nil {
+		t.Fatal(err)
+	}
+	if r := get(t, firstReply, "the reply"); r.Err != nil || string(r.Body) != "an answer" {
+		t.Errorf("%+v", r)
+	}
+	var remote RemoteError
+	if r := get(t, secondReply, "the refusal"); !errors.As(r.Err, &remote) || remote != "no: 3 of 4" {
+		t.Errorf("%+v", r)
+	}
+}
+
+// receive returns the message that a link reads out of a frame.
+func receive(t *testing.T, frame []byte) *Message {
+	t.Helper()
+	raw, nc := net.Pipe()
+	s := newSide()
+	c := start(nc, s, steady)
+	defer c.Close()
+	if _, err := raw.Write(frame); err != nil {
+		t.Fatal(err)
+	}
+	return get(t, s.messages, "the message")
+}
+
+// The encoding of each kind of field stays, which all messages between processes are made of.
+func TestGoldenFields(t *testing.T) {
+	var w Writer
+	w.U8(0xfe)
+	w.U32(0x01020304)
+	w.U64(0x1112131415161718)
+	w.Int(-2)
+	w.Bool(true)
+	w.Bool(false)
+	w.String("zwölf")
+	w.Bytes([]byte{9, 8, 7})
+	w.U32(2)
+	w.U64(21)
+	w.U64(22)
+	r := Reader{B: checkGolden(t, "fields", w.B)}
+	got := []any{r.U8(), r.U32(), r.U64(), r.Int(), r.Bool(), r.Bool(), r.String(), r.Bytes(), r.Count(8), r.U64(), r.U64()}
+	want := []any{uint8(0xfe), uint32(0x01020304), uint64(0x1112131415161718), -2, true, false, "zwölf", []byte{9, 8, 7}, 2, uint64(21), uint64(22)}
+	if r.Err != nil || len(r.B) != 0 || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %v, %v, %d bytes are left", got, r.Err, len(r.B))
+	}
+}
+
+// Numbers that both sides must agree on.
+func TestGoldenLimits(t *testing.T) {
+	if kindReply != 250 || kindError != 251 || kindProbe != 252 || maxFrame != 16<<20 || head != 9 {
+		t.Error("a peer of another version would end the link")
+	}
+	if DefaultOptions.Probe != 400*time.Millisecond || DefaultOptions.Silence != 1300*time.Millisecond {
+		t.Errorf("%+v: a peer of another version may count as dead", DefaultOptions)
+	}
+	c := start(first(net.Pipe()), newSide(), steady)
+	defer c.Close()
+	if _, err := c.Call(context.Background(), 1, make([]byte, 16<<20-8)); err == nil || errors.Is(err, ErrClosed) {
+		t.Errorf("a message longer than a peer reads is sent: %v", err)
+	}
+}
+
+func first(a, _ net.Conn) net.Conn { return a }
--- /dev/null
+++ b/internal/observe/golden_test.go
@@ -0,0 +1,113 @@
+package observe_test
+
+import (
+	"bytes"
+	"flag"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	_ "dunetide/internal/batch"
+	"dunetide/internal/forward"
+	_ "dunetide/internal/keeper"
+	"dunetide/internal/view"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/golden anew; never to make a failing test pass")
+
+// checkGoldenLines compares sorted lines with those of a golden file. With -update it writes the file first.
+func checkGoldenLines(t *testing.T, name string, lines []string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	slices.Sort(lines)
+	text := strings.Join(slices.Compact(lines), "\n") + "\n"
+	if *updateGolden {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text != string(want) {
+		t.Errorf("%s has\n%s\nthe program has\n%s", path, want, text)
+	}
+}
+
+// The series that each role exposes from its start on stay, with their labels and the values of these.
+func TestGoldenSeries(t *testing.T) {
+	forward.New(forward.Options{Holder: &view.Holder{}}).Observe()
+	var text bytes.Buffer
+	metrics.WritePrometheus(&text, false)
+	var series []string
+	for line := range strings.Lines(text.String()) {
+		if at := strings.LastIndexByte(line, ' '); at > 0 && strings.HasPrefix(line, "dunetide_") {
+			series = append(series, line[:at])
+		}
+	}
+	checkGoldenLines(t, "series.txt", series)
+}
+
+// The names of all metrics stay, also of those that appear with the first call that they count.
+func TestGoldenNamesInTheSources(t *testing.T) {
+	root := moduleRoot(t)
+	metricName := regexp.MustCompile(`^dunetide_(proxy|keeper|store|invariant)_[a-z_]+$`)
+	var names []string
+	for _, folder := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+			if err != nil {
+				return err
+			}
+			ast.Inspect(file, func(node ast.Node) bool {
+				if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+					if value, err := strconv.Unquote(literal.Value); err == nil && metricName.MatchString(value) {
+						names = append(names, value)
+					}
+				}
+				return true
+			})
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	checkGoldenLines(t, "names.txt", names)
+}
+
+// moduleRoot is the folder of go.mod.
+func moduleRoot(t *testing.T) string {
+	t.Helper()
+	folder, err := os.Getwd()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for {
+		if _, err := os.Stat(filepath.Join(folder, "go.mod")); err == nil {
+			return folder
+		}
+		parent := filepath.Dir(folder)
+		if parent == folder {
+			t.Fatal("no go.mod above the test")
+		}
+		folder = parent
+	}
+}
