--- a/cmd/dunetide/keepers_test.go
+++ b/cmd/dunetide/keepers_test.go
@@ -58,8 +58,9 @@
 	return filepath.Join(relayedDir, "dunetide"), buildRelayed(relayedDir)
 })
 
-// TestMain removes what relayedProgram has built.
+// TestMain removes what relayedProgram has built. The test binary can also run as the command itself.
 func TestMain(m *testing.M) {
+	runAsCommand()
 	code := m.Run()
 	if relayedDir != "" {
 		_ = os.RemoveAll(relayedDir)
