--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/binary"
+	"encoding/json"
 	"flag"
 	"fmt"
 	"os"
@@ -353,3 +354,20 @@
 		t.Errorf("%s", b.String())
 	}
 }
+
+// A row in the JSON of the lab's reports.
+func TestGoldenRow(t *testing.T) {
+	row := Row{Regime: "solvency", Night: "2026-06-01", Runs: 11, Requests: 12, Items: 13, Whole: 14, Again: 15, Endpoints: 16,
+		Outcomes: [outcomes]int{21, 22, 23, 24, 25, 26, 27}}
+	written, err := json.Marshal(row)
+	must(t, err)
+	b := golden(t, "row.json", func() []byte { return written })
+	if !bytes.Equal(written, b) {
+		t.Errorf("%s", written)
+	}
+	var got Row
+	must(t, json.Unmarshal(b, &got))
+	if got != row {
+		t.Errorf("%+v", got)
+	}
+}
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -13,14 +13,15 @@
 
 // Row sums the runs of a regime in a night, which lasts from noon to noon (UTC) and is named by the day it begins on.
 type Row struct {
-	Regime, Night string
-	Runs          int
-	Requests      int // ids of interactive requests
-	Items         int // ids of batch items
-	Whole         int // ids with a run that was answered whole
-	Again         int // ids, repeatable ones, with more than one run answered whole
-	Endpoints     int
-	Outcomes      [outcomes]int
+	Regime    string        `json:"Regime"`
+	Night     string        `json:"Night"`
+	Runs      int           `json:"Runs"`
+	Requests  int           `json:"Requests"` // ids of interactive requests
+	Items     int           `json:"Items"`    // ids of batch items
+	Whole     int           `json:"Whole"`    // ids with a run that was answered whole
+	Again     int           `json:"Again"`    // ids, repeatable ones, with more than one run answered whole
+	Endpoints int           `json:"Endpoints"`
+	Outcomes  [outcomes]int `json:"Outcomes"`
 }
 
 func night(at time.Time) string { return at.UTC().Add(-12 * time.Hour).Format(time.DateOnly) }
