--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,140 @@
+package fleet
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"dunetide/internal/journal"
+	"dunetide/internal/lab/golden"
+)
+
+// goldenCBOR tests the encoding of what goes over links and in gossip.
+func goldenCBOR[T any](t *testing.T, name string) {
+	t.Helper()
+	golden.Codec(t, name, func(v T) ([]byte, error) { return encoding.Marshal(v) },
+		func(text []byte, v *T) error { return decoding.Unmarshal(text, v) })
+}
+
+// Bytes of every message between nodes, written by an earlier version, mean the same and are written again.
+func TestGoldenMessages(t *testing.T) {
+	goldenCBOR[hello](t, "hello.cbor")
+	goldenCBOR[welcome](t, "welcome.cbor")
+	goldenCBOR[frame](t, "frame.cbor")
+	goldenCBOR[meta](t, "gossip-meta.cbor")
+	goldenCBOR[words](t, "gossip-records.cbor")
+	golden.JSON[Status](t, "status.json")
+	golden.JSON[File](t, "fleet-file.json")
+}
+
+const goldenKey = 0x1122334455667788
+
+func TestGoldenPacket(t *testing.T) {
+	payload := []byte("a datagram's payload")
+	golden.Compare(t, "packet", sealPacket(goldenKey, payload))
+	got, err := openPacket(goldenKey, golden.Read(t, "packet"))
+	if err != nil || !bytes.Equal(got, payload) {
+		t.Errorf("read %q, %v", got, err)
+	}
+}
+
+// The stream of a link: the greeting of the side that dialled, its hello, and two frames.
+func TestGoldenLinkStream(t *testing.T) {
+	here, there := net.Pipe()
+	var sent bytes.Buffer
+	answered := make(chan error, 1)
+	go func() {
+		tee := &teeConn{Conn: there, in: &sent}
+		purpose, err := greeted(tee, goldenKey)
+		if err == nil && purpose != forLink {
+			t.Errorf("purpose %d", purpose)
+		}
+		if err == nil {
+			c := &framed{Conn: tee, key: goldenKey}
+			err = receiveGolden(t, c)
+		}
+		answered <- err
+	}()
+	if err := greet(here, goldenKey, forLink); err != nil {
+		t.Fatal(err)
+	}
+	c := &framed{Conn: here, key: goldenKey}
+	for _, v := range []any{golden.Filled[hello](), golden.Filled[frame](), frame{Type: frameAck, ID: 3}} {
+		if err := c.send(v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := <-answered; err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "link-stream", sent.Bytes())
+
+	// What an earlier version has sent is understood.
+	tee := &replayConn{Reader: bytes.NewReader(golden.Read(t, "link-stream"))}
+	purpose, err := greeted(tee, goldenKey)
+	if err != nil || purpose != forLink {
+		t.Fatalf("purpose %d, %v", purpose, err)
+	}
+	golden.Compare(t, "link-greeting-answer", tee.out.Bytes())
+	if err := receiveGolden(t, &framed{Conn: tee, key: goldenKey}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// receiveGolden reads the messages of the golden stream.
+func receiveGolden(t *testing.T, c *framed) error {
+	var h hello
+	var one, two frame
+	for _, v := range []any{&h, &one, &two} {
+		if err := c.receive(v, maxFrame); err != nil {
+			return err
+		}
+	}
+	if !reflect.DeepEqual(h, golden.Filled[hello]()) || !reflect.DeepEqual(one, golden.Filled[frame]()) || two.Type != frameAck || two.ID != 3 {
+		t.Errorf("read %+v, %+v, %+v", h, one, two)
+	}
+	return nil
+}
+
+// teeConn keeps what is read from a connection.
+type teeConn struct {
+	net.Conn
+	in *bytes.Buffer
+}
+
+func (c *teeConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.in.Write(b[:n])
+	return n, err
+}
+
+// replayConn reads bytes that were recorded, and keeps what is written.
+type replayConn struct {
+	net.Conn
+	io.Reader
+	out bytes.Buffer
+}
+
+func (c *replayConn) Read(b []byte) (int, error)  { return c.Reader.Read(b) }
+func (c *replayConn) Write(b []byte) (int, error) { return c.out.Write(b) }
+
+func TestGoldenIdentityFile(t *testing.T) {
+	want := golden.Filled[identity]()
+	dir := t.TempDir()
+	if err := want.save(journal.Dir(dir)); err != nil {
+		t.Fatal(err)
+	}
+	written, err := os.ReadFile(filepath.Join(dir, identityName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "fleet-node", written)
+	read, spoilt, err := loadIdentity(journal.Dir(golden.Dir), want.Fleet, want.Name)
+	if err != nil || spoilt != nil || read != want {
+		t.Errorf("read %+v, %v, %v, want %+v", read, spoilt, err, want)
+	}
+}
--- a/internal/journal/damage_test.go
+++ b/internal/journal/damage_test.go
@@ -16,8 +16,8 @@
 	"dunetide/policy"
 )
 
-// golden is the script that the version in service wrote testdata/v1 with.
-func golden(t *testing.T, j *Journal) {
+// goldenScript is the script that the version in service wrote testdata/v1 with.
+func goldenScript(t *testing.T, j *Journal) {
 	at := time.UnixMicro(1764600000123456)
 	msg := func(i, size int) *Message {
 		m := &Message{ID: fmt.Sprint("id", i), Key: fmt.Sprint("k", i), Class: i % 2, Dest: i, Deadline: at.Add(24 * time.Hour), Body: make([]byte, size)}
@@ -70,7 +70,7 @@
 func TestOffChangesNothingOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, MinDisk)
-	golden(t, j)
+	goldenScript(t, j)
 	must(t, j.Sync())
 	must(t, j.Close())
 	got, want := readFolder(t, dir), readFolder(t, filepath.Join("testdata", "v1"))
--- /dev/null
+++ b/internal/lab/golden/golden.go
@@ -0,0 +1,197 @@
+// Package golden compares what a program puts on the wire or on disk with bytes that an earlier version wrote.
+//
+// It is for tests only. A golden file lies in testdata/golden of the package under test and is never rewritten: it shows
+// that a later version still reads what the earlier one wrote, and writes the same bytes. Tests of the packages that own
+// the formats call it; docs/lab.md names it.
+package golden
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+)
+
+// write makes golden files that are missing. Files that exist are never written, so a format cannot be changed by mistake.
+var write = flag.Bool("write-missing-golden", false, "write golden files that are missing; not for CI")
+
+// Dir is where the golden files of a package lie.
+const Dir = "testdata/golden"
+
+// Read returns the content of a golden file.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(Dir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// Missing reports whether a golden file or folder is to be made now: it is missing, and the flag asks for it.
+func Missing(name string) bool {
+	_, err := os.Stat(filepath.Join(Dir, name))
+	return os.IsNotExist(err) && *write
+}
+
+// Compare fails the test if bytes differ from those of a golden file.
+func Compare(t testing.TB, name string, got []byte) {
+	t.Helper()
+	if path := filepath.Join(Dir, name); Missing(name) {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := Read(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: wrote\n%q\nthe golden file has\n%q", name, got, want)
+	}
+}
+
+// Codec tests the encoding of one type by two golden files: one of a value in which each field differs from zero and from
+// the other fields (Filled), and one of the zero value, which shows what is left out. The first must decode to that value,
+// and both must be encoded to the same bytes again after they have been decoded.
+func Codec[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte, *T) error) {
+	t.Helper()
+	t.Run(name, func(t *testing.T) {
+		filled := Filled[T]()
+		var zero T
+		for file, value := range map[string]T{name: filled, name + ".zero": zero} {
+			text, err := encode(value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			Compare(t, file, text)
+			var read T
+			if err := decode(Read(t, file), &read); err != nil {
+				t.Fatalf("%s: %v", file, err)
+			}
+			if file == name && !reflect.DeepEqual(read, filled) {
+				t.Errorf("%s: read\n%+v\nwant\n%+v", file, read, filled)
+			}
+			again, err := encode(read)
+			if err != nil {
+				t.Fatal(err)
+			}
+			Compare(t, file, again)
+		}
+	})
+}
+
+// JSON tests the JSON encoding of a type by Codec, indented as the consoles show it.
+func JSON[T any](t *testing.T, name string) {
+	t.Helper()
+	Codec(t, name, func(v T) ([]byte, error) { return json.MarshalIndent(v, "", "  ") },
+		func(text []byte, v *T) error { return json.Unmarshal(text, v) })
+}
+
+// Filled returns a value in which each exported field has a value that differs from zero and, as a rule, from all others.
+// The values follow from the names on the wire and not from those of the fields or their order, so a field may be renamed
+// or moved while its tag stays.
+func Filled[T any]() T {
+	var v T
+	fill(reflect.ValueOf(&v).Elem(), "")
+	return v
+}
+
+var (
+	timeType = reflect.TypeFor[time.Time]()
+	rawType  = reflect.TypeFor[json.RawMessage]()
+	addrType = reflect.TypeFor[netip.AddrPort]()
+)
+
+// sum returns a number that follows from a path of names.
+func sum(path string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(path)) // a hash never fails
+	return h.Sum64()
+}
+
+// fill sets a value. Its path is that of the names on the wire from the outermost value on.
+func fill(v reflect.Value, path string) {
+	n := sum(path)
+	switch v.Type() {
+	case timeType:
+		v.Set(reflect.ValueOf(time.UnixMicro(1764600000000000 + int64(n%1000000007)).UTC()))
+		return
+	case rawType:
+		v.Set(reflect.ValueOf(json.RawMessage(fmt.Sprintf("%d", n%1000000))))
+		return
+	case addrType:
+		v.Set(reflect.ValueOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n), byte(n >> 8), 7}), uint16(1+n%60000))))
+		return
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int8, reflect.Uint8:
+		setInt(v, 1+n%100)
+	case reflect.Int16, reflect.Uint16:
+		setInt(v, 1+n%30000)
+	case reflect.Int, reflect.Int32, reflect.Uint32, reflect.Uint:
+		setInt(v, 1+n%1000000007)
+	case reflect.Int64, reflect.Uint64:
+		setInt(v, 1+n%1000000000039)
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(n%4096) + 0.25)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text-%04x", n%65536))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), path)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		fallthrough
+	case reflect.Array:
+		for i := range v.Len() {
+			fill(v.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(key, path+".key")
+		fill(value, path+".value")
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			field := v.Type().Field(i)
+			switch {
+			case field.Anonymous:
+				fill(v.Field(i), path)
+			case field.IsExported():
+				fill(v.Field(i), path+"."+wireName(field))
+			}
+		}
+	default:
+		panic(fmt.Sprintf("golden: no value for a %s at %s", v.Type(), path)) // a test's type that needs a case here
+	}
+}
+
+// setInt sets a signed or unsigned integer.
+func setInt(v reflect.Value, n uint64) {
+	if v.CanInt() {
+		v.SetInt(int64(n))
+	} else {
+		v.SetUint(n)
+	}
+}
+
+// wireName returns the name of a field on the wire: that of its tag, or its own where it has none.
+func wireName(field reflect.StructField) string {
+	for _, key := range []string{"cbor", "json"} {
+		if name, _, _ := strings.Cut(field.Tag.Get(key), ","); name != "" {
+			return name
+		}
+	}
+	return field.Name
+}
--- /dev/null
+++ b/internal/lease/golden_test.go
@@ -0,0 +1,101 @@
+package lease
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"dunetide/internal/journal"
+	"dunetide/internal/lab/golden"
+)
+
+// goldenCBOR tests the encoding of a message between nodes, or of a part of a file.
+func goldenCBOR[T any](t *testing.T, name string) {
+	t.Helper()
+	golden.Codec(t, name, func(v T) ([]byte, error) { return encoding.Marshal(v) },
+		func(text []byte, v *T) error { return decoding.Unmarshal(text, v) })
+}
+
+// Bytes of every message, record and snapshot, written by an earlier version, mean the same and are written again.
+func TestGoldenMessagesAndSnapshots(t *testing.T) {
+	goldenCBOR[ask](t, "ask.cbor")
+	goldenCBOR[answer](t, "answer.cbor")
+	goldenCBOR[message](t, "message.cbor")
+	goldenCBOR[command](t, "command.cbor")
+	goldenCBOR[record](t, "record.cbor")
+	goldenCBOR[bookState](t, "snapshot.cbor")
+	golden.JSON[Status](t, "status.json")
+}
+
+// goldenRecords are the records of the voter's file in testdata/golden.
+func goldenRecords() []record {
+	first := golden.Filled[record]()
+	first.Place = 1
+	return []record{first, {Place: 2, Hard: []byte{8, 3}, Entries: [][]byte{{1, 2}, {3}}}, {Place: 3, Seen: map[uint64]life{7: {8, 9}}}}
+}
+
+func TestGoldenVoterLog(t *testing.T) {
+	const name = "lease-log"
+	var text []byte
+	for _, rec := range goldenRecords() {
+		payload, err := encoding.Marshal(rec)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text = append(text, frame(payload)...)
+	}
+	golden.Compare(t, name, text)
+	d := disk{folder: journal.Dir(golden.Dir)}
+	all, err := d.load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenRecords(); !reflect.DeepEqual(all, want) {
+		t.Errorf("read %+v, want %+v", all, want)
+	}
+	// What the program writes itself is the same.
+	folder := t.TempDir()
+	w := disk{folder: journal.Dir(folder)}
+	if err := w.renew(all[0]); err != nil {
+		t.Fatal(err)
+	}
+	for _, rec := range all[1:] {
+		if err := w.append(rec); err != nil {
+			t.Fatal(err)
+		}
+	}
+	w.close()
+	written, err := os.ReadFile(filepath.Join(folder, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, name, written)
+}
+
+func TestGoldenFence(t *testing.T) {
+	const name = "fence"
+	dir := t.TempDir()
+	f, err := OpenFence(journal.Dir(dir), name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]uint64{"renewals": 17, "reports": 1 << 31}
+	for _, lease := range []string{"renewals", "reports"} {
+		if err := f.Pass(lease, want[lease]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	written, err := os.ReadFile(filepath.Join(dir, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, name, written)
+	read, err := OpenFence(journal.Dir(golden.Dir), name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read.seen, want) {
+		t.Errorf("read %v, want %v", read.seen, want)
+	}
+}
