--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -42,17 +42,17 @@
 
 // Share is a member's part of the node, in parts of Whole.
 type Share struct {
-	Member ID
-	Parts  int
+	Member ID  `json:"Member"`
+	Parts  int `json:"Parts"`
 	// Had is what it had last, less what others were given of it since.
-	Had int `json:",omitempty"`
+	Had int `json:"Had,omitempty"`
 }
 
 // View is what a coordinator says of the group. It is sorted by member.
 type View struct {
-	Version int
-	Epoch   uint64
-	Shares  []Share
+	Version int     `json:"Version"`
+	Epoch   uint64  `json:"Epoch"`
+	Shares  []Share `json:"Shares"`
 }
 
 // Parts is what a view gives a member.
@@ -66,20 +66,20 @@
 
 // Lease lets a member use its share until a moment of the machine's own clock.
 type Lease struct {
-	Version int
-	Epoch   uint64
-	Member  ID
-	Parts   int
-	Members int // that the shares are meant for
-	Kept    int // of Parts, what this member had and nobody else has had since
-	Until   time.Duration
+	Version int           `json:"Version"`
+	Epoch   uint64        `json:"Epoch"`
+	Member  ID            `json:"Member"`
+	Parts   int           `json:"Parts"`
+	Members int           `json:"Members"` // that the shares are meant for
+	Kept    int           `json:"Kept"`    // of Parts, what this member had and nobody else has had since
+	Until   time.Duration `json:"Until"`
 }
 
 // Hello is what a member tells the coordinator: that it is there, and what it last heard.
 type Hello struct {
-	Version int
-	Member  ID
-	Epoch   uint64
+	Version int    `json:"Version"`
+	Member  ID     `json:"Member"`
+	Epoch   uint64 `json:"Epoch"`
 }
 
 // Member is one process's own side: the lease that it has.
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -321,10 +321,10 @@
 
 // reply is what a coordinator says to a hello.
 type reply struct {
-	Version int
-	Lease   Lease
-	Body    json.RawMessage `json:",omitempty"`
-	Refused string
+	Version int             `json:"Version"`
+	Lease   Lease           `json:"Lease"`
+	Body    json.RawMessage `json:"Body,omitempty"`
+	Refused string          `json:"Refused"`
 }
 
 // serve answers the other members, a bounded number at a time.
--- a/internal/group/news.go
+++ b/internal/group/news.go
@@ -28,11 +28,11 @@
 
 // Message is what members tell and ask each other.
 type Message struct {
-	From ID
-	Kind string
-	Key  string        // of two of one kind that wait, the newer one replaces the older
-	At   time.Duration // by the machine's own clock, when it was seen
-	Body json.RawMessage
+	From ID              `json:"From"`
+	Kind string          `json:"Kind"`
+	Key  string          `json:"Key"` // of two of one kind that wait, the newer one replaces the older
+	At   time.Duration   `json:"At"`  // by the machine's own clock, when it was seen
+	Body json.RawMessage `json:"Body"`
 }
 
 // ErrUnanswered says that a member has not answered a question.
@@ -207,11 +207,11 @@
 
 // request is what one member sends another: one of these.
 type request struct {
-	Version int
-	Hello   *Hello   `json:",omitempty"`
-	Tell    *Message `json:",omitempty"`
-	Ask     *Message `json:",omitempty"`
-	File    string   `json:",omitempty"`
+	Version int      `json:"Version"`
+	Hello   *Hello   `json:"Hello,omitempty"`
+	Tell    *Message `json:"Tell,omitempty"`
+	Ask     *Message `json:"Ask,omitempty"`
+	File    string   `json:"File,omitempty"`
 }
 
 func (g *Group) dial(ctx context.Context, to ID) (*net.UnixConn, error) {
--- a/internal/journal/begin.go
+++ b/internal/journal/begin.go
@@ -123,7 +123,7 @@
 		"owed", r.Owed, "in doubt", len(r.Doubt), "set aside", len(r.SetAside), "checkpoint", r.Checkpoint, "took", r.Took)
 }
 
-// AttemptOut is an attempt that has no outcome yet.
+// AttemptOut is an attempt that has no outcome yet. It goes to the next process of the node as gob, by these names.
 type AttemptOut struct {
 	Message  policy.MessageID
 	Endpoint string
--- a/internal/node/cohort_news.go
+++ b/internal/node/cohort_news.go
@@ -21,29 +21,35 @@
 
 // toldWait, verdictTold and so on are the bodies of these.
 type (
-	waitNews    struct{ Until time.Duration } // by the machine's clock
-	verdictNews struct{ News policy.News }
-	orderAsk    struct {
-		Host string
-		Out  bool
+	waitNews struct {
+		Until time.Duration `json:"Until"` // by the machine's clock
+	}
+	verdictNews struct {
+		News policy.News `json:"News"`
+	}
+	orderAsk struct {
+		Host string `json:"Host"`
+		Out  bool   `json:"Out"`
 	}
 	orderAnswer struct {
-		Status int
-		Text   string
+		Status int    `json:"Status"`
+		Text   string `json:"Text"`
+	}
+	yesNo struct {
+		Yes bool `json:"Yes"`
 	}
-	yesNo struct{ Yes bool }
 	// memberState is what a member that joins has to know.
 	memberState struct {
-		Starting bool // this one knows nothing yet itself
-		ListAt   time.Duration
-		Revision int64 // of the list; -1 where none is known yet
-		Members  []member
-		Orders   []string
-		Waits    []waitState
+		Starting bool          `json:"Starting"` // this one knows nothing yet itself
+		ListAt   time.Duration `json:"ListAt"`
+		Revision int64         `json:"Revision"` // of the list; -1 where none is known yet
+		Members  []member      `json:"Members"`
+		Orders   []string      `json:"Orders"`
+		Waits    []waitState   `json:"Waits"`
 	}
 	waitState struct {
-		Endpoint string
-		Until    time.Duration
+		Endpoint string        `json:"Endpoint"`
+		Until    time.Duration `json:"Until"`
 	}
 )
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -60,32 +60,38 @@
 
 // configFile is the form of the configuration file.
 type configFile struct {
-	Name      string
-	Listen    string
-	Console   string
-	Discovery string
-	Seed      string
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Console   string `json:"console"`
+	Discovery string `json:"discovery"`
+	Seed      string `json:"seed"`
 	Limits    struct {
-		Cores    float64
-		MemoryMB int `json:"memory_mb"`
-		Sockets  int
+		Cores    float64 `json:"cores"`
+		MemoryMB int     `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
 		DiskMB   float64 `json:"disk_mb"`
-	}
-	PeerListen string   `json:"peer_listen"`
-	Peers      []string `json:"peers"`
-	PeersAll   string   `json:"peers_all"`
-	Known      list
-	Settings   json.RawMessage
+	} `json:"limits"`
+	PeerListen string          `json:"peer_listen"`
+	Peers      []string        `json:"peers"`
+	PeersAll   string          `json:"peers_all"`
+	Known      list            `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
 }
 
 // settingNames is the part of the settings that only a real node needs.
 type settingNames struct {
-	Me             int
-	Classes        []struct{ Name string }
-	MachineTypes   []string
-	FailureDomains []string
-	PolicyLimits   struct{ IdleCloseUs int64 }
-	Obligations    struct{ AskEveryUs int64 }
+	Me      int `json:"Me"`
+	Classes []struct {
+		Name string `json:"Name"`
+	} `json:"Classes"`
+	MachineTypes   []string `json:"MachineTypes"`
+	FailureDomains []string `json:"FailureDomains"`
+	PolicyLimits   struct {
+		IdleCloseUs int64 `json:"IdleCloseUs"`
+	} `json:"PolicyLimits"`
+	Obligations struct {
+		AskEveryUs int64 `json:"AskEveryUs"`
+	} `json:"Obligations"`
 }
 
 // LoadConfig reads the file that PROXY_CONFIG names. The other variables of the
--- a/internal/node/console.go
+++ b/internal/node/console.go
@@ -215,7 +215,9 @@
 	if c.fleet == nil {
 		return http.StatusNotFound, errNoFleet.Error()
 	}
-	var o struct{ Name string }
+	var o struct {
+		Name string `json:"name"`
+	}
 	err := readOrder(body, &o)
 	if err == nil && o.Name == "" {
 		err = errors.New(`the order names no "name"`)
@@ -238,13 +240,13 @@
 		return http.StatusNotFound, errNoLeases.Error()
 	}
 	var o struct {
-		Voters  []string
-		Fleet   string
-		Log     string
-		GivesUp string `json:"gives_up"`
-		Name    string
-		LengthS float64 `json:"length_s"`
-		Token   uint64
+		Voters  []string `json:"voters"`
+		Fleet   string   `json:"fleet"`
+		Log     string   `json:"log"`
+		GivesUp string   `json:"gives_up"`
+		Name    string   `json:"name"`
+		LengthS float64  `json:"length_s"`
+		Token   uint64   `json:"token"`
 	}
 	if err := readOrder(body, &o); err != nil {
 		return http.StatusBadRequest, err.Error()
@@ -290,7 +292,9 @@
 
 // orderedHost reads the endpoint that an order names.
 func orderedHost(body io.Reader) (string, error) {
-	var o struct{ Host string }
+	var o struct {
+		Host string `json:"host"`
+	}
 	if err := readOrder(body, &o); err != nil {
 		return "", err
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -94,6 +94,10 @@
 	}
 }
 
+// The types from here to answer go from one process of a node to its successor as gob, which carries the names of the types
+// and of their fields: those of journal.AttemptOut, policy.Memory and upstream.Learnt too. They must stay as they are, because
+// the two processes may be of different versions (testdata/golden/handover-*.gob).
+
 // snapshot is what the journal does not hold of what the old process knows.
 type snapshot struct {
 	At        time.Time     // by the wall clock, for both read the same
--- a/internal/upstream/stats.go
+++ b/internal/upstream/stats.go
@@ -61,7 +61,7 @@
 }
 
 // Learnt is what one process tells the next of an endpoint's connections. That with no
-// name is what all endpoints show of idle ones.
+// name is what all endpoints show of idle ones. It goes to that process as gob, by these names.
 type Learnt struct {
 	Name   string
 	Addr   string
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,35 +12,47 @@
 // config is the part of the settings that the module acts on. Other keys are
 // disregarded.
 type config struct {
-	NInstances *int
+	NInstances *int `json:"NInstances"`
 	Classes    []struct {
-		AimUs, DeadlineUs, WindowUs int64
-		Group, Idempotency          string
-		Sequential                  bool
-		Worth, LateWorth            float64
-	}
-	MachineTypes []string
+		AimUs       int64   `json:"AimUs"`
+		DeadlineUs  int64   `json:"DeadlineUs"`
+		WindowUs    int64   `json:"WindowUs"`
+		Group       string  `json:"Group"`
+		Idempotency string  `json:"Idempotency"`
+		Sequential  bool    `json:"Sequential"`
+		Worth       float64 `json:"Worth"`
+		LateWorth   float64 `json:"LateWorth"`
+	} `json:"Classes"`
+	MachineTypes []string `json:"MachineTypes"`
 	Extra        struct {
-		BundleMax   []int
-		RoutesApart []bool
-		FeeByZone   []float64
-		Late        string
-		MaxCalls    int
-	}
+		BundleMax   []int     `json:"BundleMax"`
+		RoutesApart []bool    `json:"RoutesApart"`
+		FeeByZone   []float64 `json:"FeeByZone"`
+		Late        string    `json:"Late"`
+		MaxCalls    int       `json:"MaxCalls"`
+	} `json:"Extra"`
 	PolicyLimits struct {
-		MaxAttempts, MaxOpen int
-		MaxRetryAfterUs      int64
-		ConnectTimeoutUs     int64
-		RetryAfter, MayTell  bool
-	}
+		MaxAttempts      int   `json:"MaxAttempts"`
+		MaxOpen          int   `json:"MaxOpen"`
+		MaxRetryAfterUs  int64 `json:"MaxRetryAfterUs"`
+		ConnectTimeoutUs int64 `json:"ConnectTimeoutUs"`
+		RetryAfter       bool  `json:"RetryAfter"`
+		MayTell          bool  `json:"MayTell"`
+	} `json:"PolicyLimits"`
 	Obligations struct {
-		DrainGraceUs, WarmUpUs, FallUs, TurnGapUs int64
-		ColdFrom, FallMultiple                    float64
-	}
-	Report       struct{ Fields []string }
-	TickUs       int64
-	WeightSource string
-	Discovery    string
+		DrainGraceUs int64   `json:"DrainGraceUs"`
+		WarmUpUs     int64   `json:"WarmUpUs"`
+		FallUs       int64   `json:"FallUs"`
+		TurnGapUs    int64   `json:"TurnGapUs"`
+		ColdFrom     float64 `json:"ColdFrom"`
+		FallMultiple float64 `json:"FallMultiple"`
+	} `json:"Obligations"`
+	Report struct {
+		Fields []string `json:"Fields"`
+	} `json:"Report"`
+	TickUs       int64  `json:"TickUs"`
+	WeightSource string `json:"WeightSource"`
+	Discovery    string `json:"Discovery"`
 }
 
 func us(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
--- a/policy/api.go
+++ b/policy/api.go
@@ -252,6 +252,8 @@
 type Inherited struct{ Memory Memory }
 
 // Memory is all that a sender knows beside its messages, the list and orders.
+//
+// It and the types below go to another process of the node as gob, which carries the names of types and fields: these stay.
 type Memory struct {
 	Started     Time
 	Usual, Pace float64
