--- a/cmd/wingmount/bench_test.go
+++ b/cmd/deliverynode/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 // BenchmarkHandIn hands messages in to a real node, by one client and by several. It
--- a/cmd/wingmount/build_test.go
+++ b/cmd/deliverynode/build_test.go
@@ -21,7 +21,7 @@
 	for _, m := range regexp.MustCompile(`(?m)^(\w+) = "(.*)"`).FindAllStringSubmatch(string(text), -1) {
 		keys[m[1]] = m[2]
 	}
-	if run := keys["run"]; run != "exec bin/wingmount" {
+	if run := keys["run"]; run != "exec bin/deliverynode" {
 		t.Errorf("run is %q, want the node by exec", run)
 	}
 	out := t.TempDir() + "/"
@@ -30,7 +30,7 @@
 	if said, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v\n%s", keys["build"], err, said)
 	}
-	f, err := elf.Open(out + "wingmount")
+	f, err := elf.Open(out + "deliverynode")
 	must(t, err)
 	defer f.Close()
 	libraries, err := f.ImportedLibraries()
--- a/cmd/wingmount/copies_test.go
+++ b/cmd/deliverynode/copies_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/replica"
 	"dunetide/internal/lab/faults"
-	"dunetide/internal/replica"
 )
 
 // copiesPatience is the time of the messages here: none runs out of it, also on a busy machine.
@@ -228,7 +228,7 @@
 		_ = p.wait(t)
 		n.flags = was
 		lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
-		if last := lines[len(lines)-1]; p.cmd.ProcessState.ExitCode() != 1 || !strings.HasPrefix(last, "wingmount: ") || !strings.Contains(last, c.wants) {
+		if last := lines[len(lines)-1]; p.cmd.ProcessState.ExitCode() != 1 || !strings.HasPrefix(last, "deliverynode: ") || !strings.Contains(last, c.wants) {
 			t.Errorf("%s: %s", c.name, p.log.String())
 		}
 	}
--- a/cmd/wingmount/fleet_test.go
+++ b/cmd/deliverynode/fleet_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 	"dunetide/internal/lab/faults"
 )
 
@@ -275,7 +275,7 @@
 		err := n.wait(t)
 		lines := strings.Split(strings.TrimSpace(n.log.String()), "\n")
 		last := lines[len(lines)-1]
-		if n.cmd.ProcessState.ExitCode() != 1 || !strings.HasPrefix(last, "wingmount: ") || !strings.Contains(last, c.wants) {
+		if n.cmd.ProcessState.ExitCode() != 1 || !strings.HasPrefix(last, "deliverynode: ") || !strings.Contains(last, c.wants) {
 			t.Errorf("%s: %v, %s", c.name, err, n.log.String())
 		}
 		if strings.Contains(n.log.String(), "msg=ready") {
--- a/cmd/wingmount/lease_test.go
+++ b/cmd/deliverynode/lease_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/lease"
 )
 
 // newLeases makes a fleet of n nodes with leases, of which the first so many vote.
--- a/cmd/wingmount/recovery_test.go
+++ b/cmd/deliverynode/recovery_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/node"
+	"dunetide/internal/deliverynode/node"
 )
 
 // chargeSettings have a class that may not be repeated and one that may.
@@ -175,7 +175,7 @@
 func runCheck(t *testing.T, dir string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "check", dir)
-	cmd.Env = append(os.Environ(), "WINGMOUNT_TEST_NODE=1")
+	cmd.Env = append(os.Environ(), "DELIVERYNODE_TEST_NODE=1")
 	out, _ := cmd.CombinedOutput() // its exit status tells
 	return string(out), cmd.ProcessState.ExitCode()
 }
--- a/cmd/wingmount/upgrade_test.go
+++ b/cmd/deliverynode/upgrade_test.go
@@ -216,7 +216,7 @@
 			u := newUpgrades(t)
 			u.flags = flags
 			u.hang("out")
-			old, console := u.begin("WINGMOUNT_TEST_LAST_STEP=" + step)
+			old, console := u.begin("DELIVERYNODE_TEST_LAST_STEP=" + step)
 			u.ready(old, console)
 			if status, _ := u.hand(u.keep(), "out"); status != http.StatusAccepted {
 				t.Fatalf("answered %d", status)
@@ -266,7 +266,7 @@
 				t.Fatalf("answered %d", status)
 			}
 			u.eventually("the call", func() bool { return u.calls["out"] == 1 })
-			failed, _ := u.begin("WINGMOUNT_TEST_LAST_STEP=" + step)
+			failed, _ := u.begin("DELIVERYNODE_TEST_LAST_STEP=" + step)
 			if err := failed.wait(t); err == nil {
 				t.Fatal("the new process was not killed")
 			}
--- a/cmd/winglab/compare.go
+++ b/cmd/dunetide-lab/compare.go
@@ -84,7 +84,7 @@
 		return "", fmt.Errorf("%q is no revision of this repository", rev)
 	}
 	tree := filepath.Join(dir, "tree-"+strings.TrimSpace(string(hash))[:12])
-	program = tree + "-wingmount"
+	program = tree + "-deliverynode"
 	if _, err := os.Stat(program); err == nil {
 		return program, nil
 	}
@@ -96,7 +96,7 @@
 			err = errors.Join(err, fmt.Errorf("removing the work tree of %s: %w\n%s", rev, e, out))
 		}
 	}()
-	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/wingmount")
+	build := exec.CommandContext(ctx, "go", "build", "-o", program, nodePackage(tree))
 	build.Dir = tree
 	if out, err := build.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("building %s: %w\n%s", rev, err, out)
@@ -104,11 +104,19 @@
 	return program, nil
 }
 
+// nodePackage is the delivery node's main package in a work tree. Revisions before the program was renamed have it as cmd/wingmount.
+func nodePackage(tree string) string {
+	if _, err := os.Stat(filepath.Join(tree, "cmd", "deliverynode")); err != nil {
+		return "./cmd/wingmount"
+	}
+	return "./cmd/deliverynode"
+}
+
 // Run plays the pairs, A first in every second one, so that what drifts strikes both.
 func (c *compareCommand) Run(ctx context.Context) error {
 	dir := c.Out
 	if dir == "" {
-		tmp, err := os.MkdirTemp("", "winglab-compare-")
+		tmp, err := os.MkdirTemp("", "dunetide-lab-compare-")
 		if err != nil {
 			return err
 		}
--- a/cmd/winglab/hollow.go
+++ b/cmd/dunetide-lab/hollow.go
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(len(sizes))*(c.Length+time.Duration(c.Changes)*c.Every+hollowMost))
 	defer cancel()
-	work, err := os.MkdirTemp("", "winglab-hollow-")
+	work, err := os.MkdirTemp("", "dunetide-lab-hollow-")
 	if err != nil {
 		return err
 	}
--- a/cmd/winglab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -32,7 +32,7 @@
 
 // Run plays plans of troubles that overlap.
 func (c *soakCommand) Run(ctx context.Context) error {
-	work, err := os.MkdirTemp("", "winglab-soak-")
+	work, err := os.MkdirTemp("", "dunetide-lab-soak-")
 	if err != nil {
 		return err
 	}
--- a/cmd/winglab/tier.go
+++ b/cmd/dunetide-lab/tier.go
@@ -28,7 +28,7 @@
 
 // prepare builds the program, if none is given, and makes the folder of a play. What stop removes is not to be kept.
 func prepare(ctx context.Context, program, out string) (built, dir string, stop func(), err error) {
-	work, err := os.MkdirTemp("", "winglab-tier-")
+	work, err := os.MkdirTemp("", "dunetide-lab-tier-")
 	if err != nil {
 		return "", "", nil, err
 	}
--- a/cmd/dunetide/audit.go
+++ b/cmd/dunetide/audit.go
@@ -5,7 +5,7 @@
 	"os"
 	"time"
 
-	"dunetide/internal/audit"
+	"dunetide/internal/batch/audit"
 )
 
 type auditCmd struct {
--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"dunetide/internal/certify"
+	"dunetide/internal/control/certification"
 )
 
 type certifyCmd struct {
@@ -32,12 +32,12 @@
 	withdrawTries = 10
 )
 
-func readCertificates(path string) (*certify.Set, []byte, error) {
+func readCertificates(path string) (*certification.Set, []byte, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, errUsage.Wrap(err)
 	}
-	s, err := certify.Parse(b)
+	s, err := certification.Parse(b)
 	if err != nil {
 		return nil, nil, errUsage.New("%s: %w", path, err)
 	}
@@ -61,12 +61,12 @@
 		return 0, nil, fmt.Errorf("no clear answer from %s; repeat the same command, there or at another keeper: %w", k.Control, err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, certify.DocumentMost))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, certification.DocumentMost))
 	return resp.StatusCode, b, err
 }
 
 // newest reads the newest document; nil: there is none.
-func (k keeperAddress) newest(ctx context.Context) (*certify.Set, error) {
+func (k keeperAddress) newest(ctx context.Context) (*certification.Set, error) {
 	status, b, err := k.call(ctx, http.MethodGet, 0, nil)
 	switch {
 	case err != nil:
@@ -76,7 +76,7 @@
 	case status != http.StatusOK:
 		return nil, refusal(status, b)
 	}
-	return certify.Parse(b)
+	return certification.Parse(b)
 }
 
 func refusal(status int, b []byte) error {
--- a/cmd/dunetide/certify_test.go
+++ b/cmd/dunetide/certify_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/certify"
+	"dunetide/internal/control/certification"
 )
 
 // fakeKeeper is a keeper's calls about certificates, in memory. Another document may come between.
 type fakeKeeper struct {
-	set     *certify.Set
+	set     *certification.Set
 	between func()
 	puts    []string // If-Match of each
 }
@@ -47,7 +47,7 @@
 			return
 		}
 		body, _ := io.ReadAll(r.Body) // what is missing does not parse
-		s, err := certify.Parse(body)
+		s, err := certification.Parse(body)
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -74,9 +74,9 @@
 
 func write(t *testing.T, version uint64, endpoints ...string) string {
 	t.Helper()
-	d := certify.Document{Version: version, Routes: []certify.Route{{Name: "q", Regime: "fin"}}}
+	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certify.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now(), NotAfter: time.Now().Add(time.Hour), By: "x"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now(), NotAfter: time.Now().Add(time.Hour), By: "x"})
 	}
 	b, err := json.Marshal(d)
 	if err != nil {
--- a/cmd/dunetide/check.go
+++ b/cmd/dunetide/check.go
@@ -5,8 +5,8 @@
 	"os"
 	"runtime/debug"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/settings"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/platform/settings"
 )
 
 type checkCmd struct {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return errUsage.Wrap(err)
 	}
-	c, err := operator.Parse(b)
+	c, err := operatorconfig.Parse(b)
 	if err != nil {
 		return errUsage.Wrap(err)
 	}
--- a/cmd/dunetide/cut_test.go
+++ b/cmd/dunetide/cut_test.go
@@ -15,12 +15,12 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/contact"
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/consensus/quorum"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -54,8 +54,8 @@
 	config, certificates atomic.Uint64 // the newest that was confirmed
 	beats                atomic.Uint64
 	observers            []*observer
-	nodes                []control.Node    // the keepers, as they said who they are
-	bodies               map[uint64][]byte // of the configurations that were confirmed
+	nodes                []controlclient.Node // the keepers, as they said who they are
+	bodies               map[uint64][]byte    // of the configurations that were confirmed
 	// Counts of what was seen, so that a run that shows nothing is seen.
 	refused, acknowledged, attached int
 }
@@ -65,7 +65,7 @@
 }
 
 func certificatesBody(version uint64) []byte {
-	b, _ := json.Marshal(certify.Document{Version: version, Routes: []certify.Route{{Name: "q", Regime: "fin"}}}) // always marshals
+	b, _ := json.Marshal(certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}) // always marshals
 	return b
 }
 
@@ -130,7 +130,7 @@
 func (c *cutTest) beatAs(i int, id, state string, count uint64) answer {
 	return c.call(i, "PUT", "/instances/"+id, "", fmt.Appendf(nil,
 		`{"service":"s","address":"10.0.0.1:%d","zone":"z","version":"v","capacity":4,"state":%q,"cold_left_ms":0,"call_count":%d}`,
-		1+view.Hash(id)%60000, state, count))
+		1+snapshot.Hash(id)%60000, state, count))
 }
 
 // tableRow is a call of the table in docs/control.md.
@@ -202,27 +202,27 @@
 	if o.helloInContact {
 		c.t.Errorf("keeper %d: the reply to Hello says that there is contact", i+1)
 	}
-	if b, err := o.call(control.InContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := o.call(controlclient.InContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, asked whether it is in contact: %v, %v", i+1, b, err)
 	}
-	if _, err := o.call(control.Confirm, nil); err == nil {
+	if _, err := o.call(controlclient.Confirm, nil); err == nil {
 		c.t.Errorf("keeper %d confirms certificates", i+1)
 	}
 	if b, err := c.askLeaseAs(c.nodes[(i+1)%len(c.nodes)], i); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, asked for a lease: %v, %v", i+1, b, err)
 	}
-	if b, err := o.call(control.InForce, inForceRequest(refusedFrom)); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := o.call(controlclient.InForce, inForceRequest(refusedFrom)); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, asked for what nobody has in force: %v, %v", i+1, b, err)
 	}
-	if b, err := o.call(control.InForce, inForceRequest(0)); err != nil || !bytes.Equal(b, []byte{1}) {
+	if b, err := o.call(controlclient.InForce, inForceRequest(0)); err != nil || !bytes.Equal(b, []byte{1}) {
 		c.t.Errorf("keeper %d, asked for what all have in force: %v, %v", i+1, b, err)
 	}
 	id := fmt.Sprint("told", c.beats.Add(1))
-	if b, err := o.call(control.Entries, entriesOf(id)); err != nil || len(b) != 0 {
+	if b, err := o.call(controlclient.Entries, entriesOf(id)); err != nil || len(b) != 0 {
 		c.t.Errorf("keeper %d, told of entries: %v, %v", i+1, b, err)
 	}
-	c.until("entries of others are pushed", func() bool { return o.state(id) == view.Draining })
-	c.until("what endpoints said is pushed", func() bool { return o.state("drains") == view.Draining && o.state("kept") == view.Ready })
+	c.until("entries of others are pushed", func() bool { return o.state(id) == snapshot.Draining })
+	c.until("what endpoints said is pushed", func() bool { return o.state("drains") == snapshot.Draining && o.state("kept") == snapshot.Ready })
 	if seen, inContact, _ := o.now(); inContact || seen != (versions{}) {
 		c.t.Errorf("keeper %d hands out %+v, in contact: %v", i+1, seen, inContact)
 	}
@@ -239,7 +239,7 @@
 func entriesOf(id string) []byte {
 	w := link.Writer{}
 	w.U32(1)
-	registry.AppendEntry(&w, &registry.Entry{Endpoint: view.Endpoint{ID: id, Service: "s", CallCount: 2, State: view.Draining}, Alive: 2})
+	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: id, Service: "s", CallCount: 2, State: snapshot.Draining}, Alive: 2})
 	return w.B
 }
 
@@ -267,16 +267,16 @@
 	floor := c.floor()
 	o := c.observe(i, fmt.Sprint("near", c.beats.Add(1)), 0)
 	c.until("a process of the majority is handed the newest", func() bool { seen, _, _ := o.now(); return seen == floor })
-	c.until("its certificates are confirmed", func() bool { _, err := o.call(control.Confirm, nil); return err == nil })
+	c.until("its certificates are confirmed", func() bool { _, err := o.call(controlclient.Confirm, nil); return err == nil })
 	c.until("they are in force", func() bool {
-		b, err := o.call(control.InForce, inForceRequest(floor.certificates))
+		b, err := o.call(controlclient.InForce, inForceRequest(floor.certificates))
 		return err == nil && bytes.Equal(b, []byte{1})
 	})
 	c.until("it says that it is in contact", func() bool {
-		b, err := o.call(control.InContact, nil)
+		b, err := o.call(controlclient.InContact, nil)
 		return err == nil && bytes.Equal(b, []byte{1})
 	})
-	if b, err := o.call(control.Entries, entriesOf(id+"told")); err != nil || len(b) != 0 {
+	if b, err := o.call(controlclient.Entries, entriesOf(id+"told")); err != nil || len(b) != 0 {
 		c.t.Errorf("told of entries: %v, %v", b, err)
 	}
 }
@@ -335,9 +335,9 @@
 		for _, id := range ids {
 			c.until(fmt.Sprintf("keeper %d lists %s, which drains", i+1, id), func() bool {
 				c.beat(i, id, "ready")
-				return o.state(id) != view.Gone
+				return o.state(id) != snapshot.Gone
 			})
-			if state := o.state(id); state != view.Draining {
+			if state := o.state(id); state != snapshot.Draining {
 				c.t.Errorf("keeper %d lists %s as %v, and it drains", i+1, id, state)
 			}
 		}
@@ -345,13 +345,13 @@
 }
 
 // client attaches a process as proxies and stores are: it may move from keeper to keeper.
-func (c *cutTest) client(name string) *view.Holder {
-	holder := &view.Holder{}
+func (c *cutTest) client(name string) *snapshot.Holder {
+	holder := &snapshot.Holder{}
 	var links []string
 	for i := range c.running {
 		links = append(links, c.links(i))
 	}
-	client := control.NewClient(control.ClientOptions{Self: control.Node{Name: name, Role: control.RoleProxy, Zone: "z", Life: 1}, Seeds: links,
+	client := controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Life: 1}, Seeds: links,
 		Endpoints: true, Holder: holder, Log: hclog.NewNullLogger()})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -361,7 +361,7 @@
 }
 
 // configOf is the version of the configuration that a process has; 0: none.
-func configOf(holder *view.Holder) uint64 {
+func configOf(holder *snapshot.Holder) uint64 {
 	if s := holder.Get(); s != nil && s.Config != nil {
 		return s.Config.Version
 	}
@@ -384,7 +384,7 @@
 // cutOff cuts a keeper off, and tells from when on it must have no contact: a question that was answered was asked before.
 func (c *cutTest) cutOff(i int, from, to bool) (without time.Time) {
 	c.relays.cut(c.off(i, from, to)...)
-	return time.Now().Add(contact.Length)
+	return time.Now().Add(quorum.Length)
 }
 
 // awaitNoContact waits until a keeper has lost contact.
@@ -490,7 +490,7 @@
 	c.putNext(witness)
 	c.awaitNoContact(lone)
 	c.freeze(second)
-	noMajority := time.Now().Add(contact.Length)
+	noMajority := time.Now().Add(quorum.Length)
 	c.checkRefused(lone, without)
 	c.awaitNoContact(witness)
 	c.checkRefused(witness, noMajority)
--- a/cmd/dunetide/cut_wrong_test.go
+++ b/cmd/dunetide/cut_wrong_test.go
@@ -10,31 +10,31 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrongCuts are lines that would break what a keeper without contact promises, one at a time. Keepers that are built with one of
 // them have to be found out from outside.
-var wrongCuts = []wrongline.Line{
-	{"acknowledged without contact", "../../internal/keeper/endpoints.go", "	case res.noContact || !k.inContact():\n", "	case false:\n"},
-	{"registers pushed without contact", "../../internal/keeper/pushes.go", "	if inContact {\n		k.addRegisters(u, p)\n	}\n", "	k.addRegisters(u, p)\n"},
-	{"endpoints not pushed without contact", "../../internal/keeper/pushes.go", "		if inContact && !k.contact.MayHandOut(k.since(now), c) {\n", "		if !k.contact.MayHandOut(k.since(now), c) {\n"},
-	{"a lease granted without contact", "../../internal/keeper/duty.go", "return k.contact.Holds(k.since(now)) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
-	{"contact for life", "../../internal/contact/tracker.go", "return t.advance(now) < t.until }", "return t.until != 0 }"},
-	{"contact without a majority after 3 s", "../../internal/keeper/contact.go", "k.contact.Answered(k.since(time.Now()), askedAt, err == nil)",
+var wrongCuts = []mutation.Line{
+	{"acknowledged without contact", "../../internal/control/keeper/endpoints.go", "	case res.noContact || !k.inContact():\n", "	case false:\n"},
+	{"registers pushed without contact", "../../internal/control/keeper/pushes.go", "	if inContact {\n		k.addRegisters(u, p)\n	}\n", "	k.addRegisters(u, p)\n"},
+	{"endpoints not pushed without contact", "../../internal/control/keeper/pushes.go", "		if inContact && !k.contact.MayHandOut(k.since(now), c) {\n", "		if !k.contact.MayHandOut(k.since(now), c) {\n"},
+	{"a lease granted without contact", "../../internal/control/keeper/duty.go", "return k.contact.Holds(k.since(now)) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
+	{"contact for life", "../../internal/consensus/quorum/tracker.go", "return t.advance(now) < t.until }", "return t.until != 0 }"},
+	{"contact without a majority after 3 s", "../../internal/control/keeper/contact.go", "k.contact.Answered(k.since(time.Now()), askedAt, err == nil)",
 		"k.contact.Answered(k.since(time.Now()), askedAt, err == nil || k.since(time.Now()) > 3*time.Second)"},
-	{"what endpoints say without contact is not kept", "../../internal/keeper/endpoints.go", "	before := k.table.Newest()\n",
+	{"what endpoints say without contact is not kept", "../../internal/control/keeper/endpoints.go", "	before := k.table.Newest()\n",
 		"	before := k.table.Newest()\n	if !k.contact.Holds(k.since(now)) {\n		return registered{noContact: true}\n	}\n"},
-	{"the first push without a new read", "../../internal/contact/gate.go", "	return g.Holds(now) && g.confirmed[key]\n", "	return g.Holds(now)\n"},
-	{"contact that lasts twice as long", "../../internal/contact/tracker.go", "	until := beganAt + Length\n", "	until := beganAt + 2*Length\n"},
+	{"the first push without a new read", "../../internal/consensus/quorum/gate.go", "	return g.Holds(now) && g.confirmed[key]\n", "	return g.Holds(now)\n"},
+	{"contact that lasts twice as long", "../../internal/consensus/quorum/tracker.go", "	until := beganAt + Length\n", "	until := beganAt + 2*Length\n"},
 }
 
 // TestWrongCutsStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongCutsStand(t *testing.T) { wrongline.Check(t, wrongCuts) }
+func TestWrongCutsStand(t *testing.T) { mutation.Check(t, wrongCuts) }
 
 // Each wrong line can still be put where it belongs.
 func TestWrongLinesStand(t *testing.T) {
-	wrongline.Check(t, wrongCuts)
+	mutation.Check(t, wrongCuts)
 }
 
 // Each wrong line is found. This takes minutes, so it is asked for: CUT_WRONG=1, or a part of a name.
--- a/cmd/dunetide/golden_test.go
+++ b/cmd/dunetide/golden_test.go
@@ -19,11 +19,11 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"dunetide/internal/audit"
-	"dunetide/internal/certify"
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
 )
 
 // update writes the golden files anew. It is for the person who pins a changed format on purpose, never for CI.
@@ -227,9 +227,9 @@
 		`{"name":"r","host":"h","path_start":"/","kind":"writes","timeout_ms":100,"service":"a"},`+
 		`{"name":"q","host":"h","path_start":"/q/","kind":"bulk","shares":[{"service":"a","weight":9},{"service":"b","weight":1}]}]}`))
 	at := time.Date(2026, 6, 1, 23, 0, 0, 0, time.UTC)
-	d := certify.Document{Version: 7, Routes: []certify.Route{{Name: "q", Regime: "fin"}}}
+	d := certification.Document{Version: 7, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range []string{"e-1", "e-2"} {
-		d.Certificates = append(d.Certificates, certify.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), By: "the auditor"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), By: "the auditor"})
 	}
 	document, err := json.MarshalIndent(d, "", " ")
 	if err != nil {
@@ -247,7 +247,7 @@
 		t.Fatal(err)
 	}
 	recorder := audit.NewRecorder(audit.RecorderOptions{Node: "p1", Life: 7, Need: 1, Now: func() time.Time { return at },
-		Stores: func() []view.Store { return []view.Store{{Name: "s1", Addr: "s1"}} },
+		Stores: func() []snapshot.Store { return []snapshot.Store{{Name: "s1", Addr: "s1"}} },
 		Dial:   func(context.Context, string) (audit.Conn, error) { return storeConn{store}, nil }})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/cmd/dunetide/jobs.go
+++ b/cmd/dunetide/jobs.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/clientbody"
-	"dunetide/internal/forward"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/proxy/clientbody"
+	"dunetide/internal/proxy/forward"
 )
 
 const (
@@ -30,14 +30,14 @@
 // jobs is the batch side of a proxy.
 type jobs struct {
 	edge   *batch.Edge
-	holder *view.Holder
+	holder *snapshot.Holder
 	runner *runner
 	bodies *clientbody.Budget // shared with the requests of clients
 	// stopped: no more items are taken up.
 	stopped atomic.Bool
 }
 
-func newJobs(p *process, holder *view.Holder, bodies *clientbody.Budget) *jobs {
+func newJobs(p *process, holder *snapshot.Holder, bodies *clientbody.Budget) *jobs {
 	j := &jobs{holder: holder, bodies: bodies, runner: &runner{holder: holder}}
 	j.edge = batch.NewEdge(batch.EdgeOptions{Views: holder, Name: p.settings.NodeName, Zone: p.settings.Zone, Runner: j.runner, Log: p.log,
 		Logf: func(format string, args ...any) { p.log.Info("batch", "event", fmt.Sprintf(format, args...)) }})
@@ -48,7 +48,7 @@
 func (j *jobs) work(p *forward.Proxy) { j.runner.proxy.Store(p) }
 
 // update follows the system: a proxy has its share of the endpoints' places in hand, and a few more.
-func (j *jobs) update(snap *view.Snapshot) {
+func (j *jobs) update(snap *snapshot.Snapshot) {
 	if !j.stopped.Load() {
 		j.edge.SetLimit(inHand(snap))
 	}
@@ -56,13 +56,13 @@
 }
 
 // inHand is how many items a proxy takes up at once.
-func inHand(snap *view.Snapshot) int {
+func inHand(snap *snapshot.Snapshot) int {
 	if snap.Config == nil {
 		return 0
 	}
 	services := map[string]bool{}
 	for i := range snap.Config.Routes {
-		if r := &snap.Config.Routes[i]; r.Kind == operator.Bulk {
+		if r := &snap.Config.Routes[i]; r.Kind == operatorconfig.Bulk {
 			for _, s := range r.Shares {
 				services[s.Service] = true
 			}
@@ -71,7 +71,7 @@
 	places := 0
 	for s := range services {
 		for _, e := range snap.Endpoints[s] {
-			if e.State == view.Ready {
+			if e.State == snapshot.Ready {
 				places += e.Capacity
 			}
 		}
@@ -88,7 +88,7 @@
 }
 
 // serve answers a client's call about batch jobs.
-func (j *jobs) serve(w http.ResponseWriter, r *http.Request, route *operator.Route) {
+func (j *jobs) serve(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
 	body, status := j.readBody(w, r, route)
 	if status != 0 {
 		w.Header().Set("Connection", "close") // what follows on it can't be told from the rest of the body
@@ -117,7 +117,7 @@
 }
 
 // readBody reads the body of a call whole, in the time that the client has; status 0: it is there.
-func (j *jobs) readBody(w http.ResponseWriter, r *http.Request, route *operator.Route) (body []byte, status int) {
+func (j *jobs) readBody(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) (body []byte, status int) {
 	if r.ContentLength == 0 {
 		return nil, 0
 	}
--- a/cmd/dunetide/keeper.go
+++ b/cmd/dunetide/keeper.go
@@ -1,10 +1,10 @@
 package main
 
 import (
-	"dunetide/internal/control"
-	"dunetide/internal/journal"
-	"dunetide/internal/keeper"
-	"dunetide/internal/settings"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/keeper"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/settings"
 )
 
 // Ports of the roles' links and datagrams, counted from the first internal port.
@@ -18,15 +18,15 @@
 
 // Run serves the role until the process is told to stop.
 func (keeperCmd) Run(c *cli) error {
-	p, err := start(c, control.RoleKeeper)
+	p, err := start(c, controlclient.RoleKeeper)
 	if err != nil {
 		return err
 	}
-	members, err := p.join(control.RoleKeeper, keeperPort)
+	members, err := p.join(controlclient.RoleKeeper, keeperPort)
 	if err != nil {
 		return err
 	}
-	p.startTroubleReports(control.RoleKeeper, keeperPort, members)
+	p.startTroubleReports(controlclient.RoleKeeper, keeperPort, members)
 	var folder journal.Folder
 	if p.settings.DataDir != "" {
 		if folder, err = p.dataFolder(); err != nil {
--- a/cmd/dunetide/keepers_test.go
+++ b/cmd/dunetide/keepers_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 const (
@@ -70,9 +70,9 @@
 
 // buildRelayed builds this command into a folder with one change, laid over its sources: keepers dial each other where relaysVar
 // says. Further changes are for tests of the tests.
-func buildRelayed(dir string, further ...wrongline.Line) error {
+func buildRelayed(dir string, further ...mutation.Line) error {
 	replace := map[string]string{}
-	changes := append([]wrongline.Line{{"dialled through relays", keeperFile, optionsOf, optionsWith}}, further...)
+	changes := append([]mutation.Line{{"dialled through relays", keeperFile, optionsOf, optionsWith}}, further...)
 	for _, change := range changes {
 		file, err := filepath.Abs(change[1])
 		if err != nil {
--- a/cmd/dunetide/main.go
+++ b/cmd/dunetide/main.go
@@ -14,10 +14,10 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/zeebo/errs"
 
-	"dunetide/internal/control"
-	"dunetide/internal/invariant"
-	"dunetide/internal/settings"
-	"dunetide/internal/sighup"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/invariant"
+	"dunetide/internal/platform/reload"
+	"dunetide/internal/platform/settings"
 )
 
 // settingsVar holds the path of the settings file.
@@ -88,7 +88,7 @@
 	s := watcher.Current()
 	watcher.Subscribe(limitMemory)
 	// It goes on while the process drains: a signal then is no reason to end sooner.
-	go watcher.Run(context.Background(), sighup.Received())
+	go watcher.Run(context.Background(), reload.Received())
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE)
 	p := &process{settings: s, watcher: watcher, log: log, ctx: ctx}
@@ -105,7 +105,7 @@
 
 // seedLinks are the links of the keepers that settings name as seeds.
 func seedLinks(s *settings.Settings) []string {
-	return control.SeedLinks(s.Seeds, s.InternalFirst+keeperPort)
+	return controlclient.SeedLinks(s.Seeds, s.InternalFirst+keeperPort)
 }
 
 // newLogger writes one line of key=value pairs for each event.
--- a/cmd/dunetide/members.go
+++ b/cmd/dunetide/members.go
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/journal"
-	"dunetide/internal/membership"
-	"dunetide/internal/settings"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/membership"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/settings"
 )
 
 // members is the process's partial view of the others.
@@ -43,10 +43,10 @@
 }
 
 // keepers are those that the view knows of.
-func (m *members) keepers() []control.Node {
-	var nodes []control.Node
+func (m *members) keepers() []controlclient.Node {
+	var nodes []controlclient.Node
 	for _, peer := range m.service.Keepers() {
-		nodes = append(nodes, control.Node{Name: peer.Name, Role: control.RoleKeeper, Zone: peer.Zone, Addr: peer.Addr, Life: peer.Life})
+		nodes = append(nodes, controlclient.Node{Name: peer.Name, Role: controlclient.RoleKeeper, Zone: peer.Zone, Addr: peer.Addr, Life: peer.Life})
 	}
 	return nodes
 }
--- a/cmd/dunetide/metrics.go
+++ b/cmd/dunetide/metrics.go
@@ -8,13 +8,13 @@
 	"strconv"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/observe"
-	"dunetide/internal/settings"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/telemetry"
 )
 
 // metricsPorts are where the roles tell their figures; deploy/system.toml names them too. Two roles may share a machine.
-var metricsPorts = map[string]int{control.RoleProxy: 19101, control.RoleKeeper: 19102, control.RoleStore: 19103}
+var metricsPorts = map[string]int{controlclient.RoleProxy: 19101, controlclient.RoleKeeper: 19102, controlclient.RoleStore: 19103}
 
 // metricsAfter is how long after its start a process begins to tell its figures, so that a port that another role of the machine needs
 // for its own work goes to that one.
@@ -30,7 +30,7 @@
 	time.AfterFunc(metricsAfter, func() {
 		listener, err := net.Listen("tcp4", net.JoinHostPort(p.settings.IP, strconv.Itoa(port)))
 		if err == nil {
-			err = observe.Serve(listener)
+			err = telemetry.Serve(listener)
 		}
 		if !errors.Is(err, http.ErrServerClosed) {
 			p.log.Warn("metrics not served", "port", port, "err", err)
--- a/cmd/dunetide/metrics_test.go
+++ b/cmd/dunetide/metrics_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"dunetide/internal/observe"
+	"dunetide/internal/platform/telemetry"
 )
 
 // Where the deploy file says that a role tells its figures is where it does.
@@ -28,7 +28,7 @@
 		t.Errorf("%d roles in the deploy file, %d with a port", len(deploy.Roles), len(metricsPorts))
 	}
 	for role, port := range metricsPorts {
-		if want := fmt.Sprintf("%d%s", port, observe.Path); deploy.Roles[role].Metrics != want {
+		if want := fmt.Sprintf("%d%s", port, telemetry.Path); deploy.Roles[role].Metrics != want {
 			t.Errorf("%s: the deploy file says %q, it is %q", role, deploy.Roles[role].Metrics, want)
 		}
 	}
--- a/cmd/dunetide/observer_test.go
+++ b/cmd/dunetide/observer_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // versions are numbers of documents of the two registers that operators change.
@@ -22,7 +22,7 @@
 // older than what was confirmed before, one of registers without contact.
 type observer struct {
 	address string
-	self    control.Node
+	self    controlclient.Node
 	floorOf func() versions // what is confirmed by now
 	stopped atomic.Bool
 
@@ -30,7 +30,7 @@
 	conn     *link.Conn
 	attached int // how often
 	// keeper is the other side, and helloInContact what it said of contact in its first reply to Hello.
-	keeper         control.Node
+	keeper         controlclient.Node
 	helloInContact bool
 	floor          versions // confirmed before it attached
 	seen           versions
@@ -38,15 +38,15 @@
 	inContact      bool
 	pushes         int
 	keepers        int
-	states         map[string]view.State
+	states         map[string]snapshot.State
 	violation      string // the first
 }
 
 func (o *observer) Message(m *link.Message) {
-	if m.Kind != control.Push {
+	if m.Kind != controlclient.Push {
 		return
 	}
-	update, err := control.ReadUpdate(m.Body)
+	update, err := controlclient.ReadUpdate(m.Body)
 	if err != nil {
 		o.mu.Lock()
 		o.violates("a push can't be read: %v", err)
@@ -56,7 +56,7 @@
 	o.take(update)
 	w := link.Writer{}
 	w.U64(update.Number)
-	_ = m.Conn.Send(control.Ack, w.B)
+	_ = m.Conn.Send(controlclient.Ack, w.B)
 }
 
 // Closed attaches it again.
@@ -85,9 +85,9 @@
 	w := link.Writer{}
 	o.self.Append(&w)
 	w.Bool(true)
-	b, err := conn.Call(ctx, control.Hello, w.B)
+	b, err := conn.Call(ctx, controlclient.Hello, w.B)
 	r := link.Reader{B: b}
-	keeper := control.ReadNode(&r)
+	keeper := controlclient.ReadNode(&r)
 	r.Bool()
 	inContact := r.Bool()
 	if err = errors.Join(err, r.Err); err != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-func (o *observer) take(u *control.Update) {
+func (o *observer) take(u *controlclient.Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.pushes++
@@ -173,7 +173,7 @@
 	}
 }
 
-func (o *observer) takeRegisters(u *control.Update) {
+func (o *observer) takeRegisters(u *controlclient.Update) {
 	if u.Config != nil {
 		if u.Version <= o.seen.config {
 			o.violates("configuration %d is pushed", u.Version)
@@ -203,13 +203,13 @@
 }
 
 // state of an endpoint; Gone where none was told of.
-func (o *observer) state(id string) view.State {
+func (o *observer) state(id string) snapshot.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if s, there := o.states[id]; there {
 		return s
 	}
-	return view.Gone
+	return snapshot.Gone
 }
 
 func (o *observer) failed() string {
@@ -236,10 +236,10 @@
 // attach attaches a process to a keeper, as a proxy or, with an identity, as a store.
 func (k *keeperProcesses) attach(i int, name string, store uint64, floorOf func() versions) *observer {
 	k.t.Helper()
-	o := &observer{address: k.links(i), floorOf: floorOf, states: map[string]view.State{},
-		self: control.Node{Name: name, Role: control.RoleProxy, Zone: "z", Life: uint64(time.Now().UnixNano())}}
+	o := &observer{address: k.links(i), floorOf: floorOf, states: map[string]snapshot.State{},
+		self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Life: uint64(time.Now().UnixNano())}}
 	if store != 0 {
-		o.self.Role, o.self.ID, o.self.Addr = control.RoleStore, store, fmt.Sprint("127.0.0.1:", store)
+		o.self.Role, o.self.ID, o.self.Addr = controlclient.RoleStore, store, fmt.Sprint("127.0.0.1:", store)
 	}
 	k.until(name+" is attached", func() bool { return o.attach() == nil })
 	k.t.Cleanup(o.stop)
@@ -247,7 +247,7 @@
 }
 
 // nodeOf is a keeper as it says itself who it is.
-func (k *keeperProcesses) nodeOf(i int) control.Node {
+func (k *keeperProcesses) nodeOf(i int) controlclient.Node {
 	k.t.Helper()
 	o := k.attach(i, "asks", 0, func() versions { return versions{} })
 	o.stop()
@@ -255,7 +255,7 @@
 }
 
 // askLeaseAs asks a keeper for a lease in the name of another one, over a link like that of a later life of it.
-func (k *keeperProcesses) askLeaseAs(node control.Node, i int) (granted []byte, err error) {
+func (k *keeperProcesses) askLeaseAs(node controlclient.Node, i int) (granted []byte, err error) {
 	k.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
 	defer cancel()
@@ -268,10 +268,10 @@
 	w := link.Writer{}
 	node.Append(&w)
 	w.Bool(false)
-	if _, err := conn.Call(ctx, control.Hello, w.B); err != nil {
+	if _, err := conn.Call(ctx, controlclient.Hello, w.B); err != nil {
 		return nil, err
 	}
-	return conn.Call(ctx, control.Lease, leaseRequest(node.Name))
+	return conn.Call(ctx, controlclient.Lease, leaseRequest(node.Name))
 }
 
 // ignored takes no notice of what comes over a link.
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -8,14 +8,14 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/clientbody"
-	"dunetide/internal/control"
-	"dunetide/internal/descriptors"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/forward"
-	"dunetide/internal/operator"
-	"dunetide/internal/settings"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/descriptors"
+	"dunetide/internal/platform/settings"
+	"dunetide/internal/proxy/clientbody"
+	"dunetide/internal/proxy/dispatch"
+	"dunetide/internal/proxy/forward"
 )
 
 // bodiesPart is what part of the memory of a proxy clients' bodies may have: one in so many.
@@ -25,25 +25,25 @@
 
 // Run serves the role until the process is told to stop, and then what is under way.
 func (proxyCmd) Run(c *cli) error {
-	p, err := start(c, control.RoleProxy)
+	p, err := start(c, controlclient.RoleProxy)
 	if err != nil {
 		return err
 	}
 	s := p.settings
-	members, err := p.join(control.RoleProxy, proxyPort)
+	members, err := p.join(controlclient.RoleProxy, proxyPort)
 	if err != nil {
 		return err
 	}
-	holder := &view.Holder{}
+	holder := &snapshot.Holder{}
 	admission := dispatch.New(dispatch.Options{Name: s.NodeName, Zone: s.Zone, Holder: holder})
 	defer admission.Close()
 	files := descriptors.NewBudget(s.Limits.OpenFiles)
 	bodies := clientbody.NewBudget(int64(s.Limits.MemoryMB) << 20 / bodiesPart)
 	jobs := newJobs(p, holder, bodies)
-	var client *control.Client
+	var client *controlclient.Client
 	regulated := newRegulated(p, holder, func() time.Time { return client.Confirmed() })
 	proxy := forward.New(forward.Options{Holder: holder, Admission: admission, Log: p.log,
-		Match: func(c *operator.Config, host, path string) *operator.Route { return c.Match(host, path) },
+		Match: func(c *operatorconfig.Config, host, path string) *operatorconfig.Route { return c.Match(host, path) },
 		Bulk:  jobs.serve, Bodies: bodies, MaxOpen: files.Endpoints(forward.DefaultMaxOpen),
 		Certified: regulated.gate, Record: regulated.recorder,
 		Ready: func() bool {
@@ -52,10 +52,10 @@
 		}})
 	proxy.Observe()
 	jobs.work(proxy)
-	client = control.NewClient(control.ClientOptions{Self: control.Node{Name: s.NodeName, Role: control.RoleProxy, Zone: s.Zone,
+	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleProxy, Zone: s.Zone,
 		Life: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s), Known: members.keepers,
 		Endpoints: true, Holder: holder, Log: p.log, ConfirmEvery: s.Bounds.Drain / 5,
-		Changed: func(snap *view.Snapshot) {
+		Changed: func(snap *snapshot.Snapshot) {
 			regulated.gate.Update(snap.Certificates)
 			admission.Update(snap)
 			jobs.update(snap)
--- a/cmd/dunetide/regulated.go
+++ b/cmd/dunetide/regulated.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunetide/internal/audit"
-	"dunetide/internal/certify"
-	"dunetide/internal/view"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/snapshot"
 )
 
 const (
@@ -18,19 +18,19 @@
 // regulated is the side of a proxy that keeps to certificates.
 type regulated struct {
 	p        *process
-	gate     *certify.Gate
+	gate     *certification.Gate
 	recorder *audit.Recorder
-	told     map[string]certify.Counts
+	told     map[string]certification.Counts
 	toldAt   time.Time
 	fresh    bool
 }
 
-func newRegulated(p *process, holder *view.Holder, confirmed func() time.Time) *regulated {
+func newRegulated(p *process, holder *snapshot.Holder, confirmed func() time.Time) *regulated {
 	s := p.settings
-	return &regulated{p: p, told: map[string]certify.Counts{},
-		gate: certify.NewGate(certify.GateOptions{Confirmed: confirmed, Stale: s.Bounds.Drain}),
+	return &regulated{p: p, told: map[string]certification.Counts{},
+		gate: certification.NewGate(certification.GateOptions{Confirmed: confirmed, Stale: s.Bounds.Drain}),
 		recorder: audit.NewRecorder(audit.RecorderOptions{Node: s.NodeName, Life: uint64(time.Now().UnixNano()), Zone: s.Zone, Need: s.SurviveMachines + 1,
-			Log: p.log, Stores: func() (all []view.Store) {
+			Log: p.log, Stores: func() (all []snapshot.Store) {
 				snap := holder.Get()
 				if snap == nil || snap.Table == nil {
 					return nil
--- a/cmd/dunetide/room.go
+++ b/cmd/dunetide/room.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/journal"
-	"dunetide/internal/record"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/recordlog"
 )
 
 const (
@@ -26,7 +26,7 @@
 func (p *process) whenRoom(folder journal.Folder, f func() error) error {
 	for {
 		err := f()
-		if !record.NoRoom(err) && !batch.ErrNoRoom.Has(err) {
+		if !recordlog.NoRoom(err) && !batch.ErrNoRoom.Has(err) {
 			return err
 		}
 		p.log.Error(outOfService, "err", err)
--- a/cmd/dunetide/room_test.go
+++ b/cmd/dunetide/room_test.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 func TestWhenRoom(t *testing.T) {
--- a/cmd/dunetide/runner.go
+++ b/cmd/dunetide/runner.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/forward"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/proxy/forward"
 )
 
 // again is when an item that no endpoint has run comes again.
@@ -15,7 +15,7 @@
 
 // runner runs items of batch jobs through the proxy, and so through its admission.
 type runner struct {
-	holder *view.Holder
+	holder *snapshot.Holder
 	proxy  atomic.Pointer[forward.Proxy]
 }
 
--- a/cmd/dunetide/stalled_test.go
+++ b/cmd/dunetide/stalled_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
 )
 
 const (
@@ -25,8 +25,8 @@
 
 // jobsUnderTest serves calls about batch jobs with no stores.
 func jobsUnderTest(t *testing.T) *jobs {
-	holder := &view.Holder{}
-	holder.Set(&view.Snapshot{Config: &operator.Config{Version: 1}})
+	holder := &snapshot.Holder{}
+	holder.Set(&snapshot.Snapshot{Config: &operatorconfig.Config{Version: 1}})
 	j := &jobs{holder: holder, runner: &runner{holder: holder}}
 	j.edge = batch.NewEdge(batch.EdgeOptions{Views: holder, Name: "p", Zone: "z", Runner: j.runner})
 	t.Cleanup(j.edge.Close)
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -7,13 +7,13 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/audit"
 	"dunetide/internal/batch"
-	"dunetide/internal/control"
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/settings"
-	"dunetide/internal/view"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/settings"
 )
 
 // jobsLog is the file of batch jobs.
@@ -27,15 +27,15 @@
 
 // Run serves the role until the process is told to stop.
 func (storeCmd) Run(c *cli) error {
-	p, err := start(c, control.RoleStore)
+	p, err := start(c, controlclient.RoleStore)
 	if err != nil {
 		return err
 	}
-	members, err := p.join(control.RoleStore, storePort)
+	members, err := p.join(controlclient.RoleStore, storePort)
 	if err != nil {
 		return err
 	}
-	p.startTroubleReports(control.RoleStore, storePort, members)
+	p.startTroubleReports(controlclient.RoleStore, storePort, members)
 	folder, err := p.dataFolder()
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	// What is told to keepers outlasts SIGTERM: the lead of the parts is handed over then.
 	attached, detach := context.WithCancel(context.WithoutCancel(p.ctx))
 	defer detach()
-	var client *control.Client
+	var client *controlclient.Client
 	store, err := batch.NewStore(batch.StoreOptions{
 		Open: func(replay func(payload []byte, at int64) error) (batch.Log, error) {
 			return batch.OpenLog(folder, jobsLog, replay)
@@ -63,14 +63,14 @@
 		RoomBytes: int64(s.Limits.DiskMB) << 20 / 100 * jobsLogPercent,
 		Ready: func(part int, epoch uint64) {
 			go func() {
-				if err := reportToKeeper(attached, client, control.Joined, control.PartJoined{Part: part, Epoch: epoch}.Encode()); err != nil {
+				if err := reportToKeeper(attached, client, controlclient.Joined, controlclient.PartJoined{Part: part, Epoch: epoch}.Encode()); err != nil {
 					p.log.Warn("part not switched", "part", part, "epoch", epoch, "err", err)
 				}
 			}()
 		},
 		AnnounceStopping: func(store uint64, stopping bool) {
 			go func() {
-				if err := reportToKeeper(attached, client, control.Stopping, control.StoreStopping{Store: store, Stopping: stopping}.Encode()); err != nil {
+				if err := reportToKeeper(attached, client, controlclient.Stopping, controlclient.StoreStopping{Store: store, Stopping: stopping}.Encode()); err != nil {
 					p.log.Warn("stopping not announced", "stopping", stopping, "err", err)
 				}
 			}()
@@ -94,9 +94,9 @@
 	defer handler.end()
 	wg.Add(1)
 	go func() { defer wg.Done(); _ = link.Serve(links, handler, link.DefaultOptions) }() // ends with the listener
-	client = control.NewClient(control.ClientOptions{Self: control.Node{Name: s.NodeName, Role: control.RoleStore, Zone: s.Zone,
+	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleStore, Zone: s.Zone,
 		Addr: p.addr(storePort), ID: store.ID(), Life: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s),
-		Known: members.keepers, Holder: &view.Holder{}, Changed: store.Update, Log: p.log})
+		Known: members.keepers, Holder: &snapshot.Holder{}, Changed: store.Update, Log: p.log})
 	defer p.watcher.Subscribe(func(s *settings.Settings) { client.SetSeeds(seedLinks(s)) })()
 	wg.Add(1)
 	go func() { defer wg.Done(); client.Run(attached) }()
--- a/cmd/dunetide/store_control.go
+++ b/cmd/dunetide/store_control.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/control"
-	"dunetide/internal/link"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -18,7 +18,7 @@
 )
 
 // reportToKeeper sends a keeper a call that the store has to be sure of.
-func reportToKeeper(ctx context.Context, client *control.Client, kind link.Kind, body []byte) error {
+func reportToKeeper(ctx context.Context, client *controlclient.Client, kind link.Kind, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, reportWait)
 	defer cancel()
 	return client.Report(ctx, kind, body)
--- a/cmd/dunetide/storelinks.go
+++ b/cmd/dunetide/storelinks.go
@@ -3,9 +3,9 @@
 import (
 	"sync"
 
-	"dunetide/internal/audit"
 	"dunetide/internal/batch"
-	"dunetide/internal/link"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/platform/link"
 )
 
 // storeLinks passes on what comes over links to whom it is for, and ends the links with the store: who waits for a store
--- a/cmd/dunetide/trouble.go
+++ b/cmd/dunetide/trouble.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunetide/internal/control"
+	"dunetide/internal/control/controlclient"
 )
 
 const (
@@ -32,13 +32,13 @@
 }
 
 // reportTrouble tells keepers what keeps the process from its work while it lasts, and once when it is over.
-func (p *process) reportTrouble(node control.Node, keepers func() []string) {
+func (p *process) reportTrouble(node controlclient.Node, keepers func() []string) {
 	tick := time.NewTicker(troubleEvery)
 	defer tick.Stop()
 	told := ""
 	for {
 		if reason := p.trouble.reason(); reason != "" || told != "" {
-			if p.tellTrouble(control.Trouble{Node: node, Reason: reason}, keepers()) {
+			if p.tellTrouble(controlclient.Trouble{Node: node, Reason: reason}, keepers()) {
 				told = reason
 			}
 		}
@@ -51,10 +51,10 @@
 }
 
 // tellTrouble tells the first keeper that answers.
-func (p *process) tellTrouble(trouble control.Trouble, keepers []string) bool {
+func (p *process) tellTrouble(trouble controlclient.Trouble, keepers []string) bool {
 	for _, addr := range keepers {
 		ctx, cancel := context.WithTimeout(p.ctx, troubleWait)
-		err := control.ReportTrouble(ctx, addr, trouble)
+		err := controlclient.ReportTrouble(ctx, addr, trouble)
 		cancel()
 		if err == nil {
 			return true
@@ -66,7 +66,7 @@
 
 // startTroubleReports has keepers that membership and the settings know of told.
 func (p *process) startTroubleReports(role string, port int, members *members) {
-	self := control.Node{Name: p.settings.NodeName, Role: role, Zone: p.settings.Zone, Addr: p.addr(port), Life: uint64(time.Now().UnixNano())}
+	self := controlclient.Node{Name: p.settings.NodeName, Role: role, Zone: p.settings.Zone, Addr: p.addr(port), Life: uint64(time.Now().UnixNano())}
 	go p.reportTrouble(self, func() []string {
 		var addrs []string
 		for _, keeper := range members.keepers() {
--- a/cmd/dunetide/trouble_test.go
+++ b/cmd/dunetide/trouble_test.go
@@ -11,17 +11,17 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/control"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
 )
 
 // troubleListener takes the place of a keeper.
 type troubleListener chan string
 
 func (l troubleListener) Message(m *link.Message) {
-	told, err := control.ReadTrouble(m.Body)
-	if m.Kind != control.ProcessTrouble || err != nil {
+	told, err := controlclient.ReadTrouble(m.Body)
+	if m.Kind != controlclient.ProcessTrouble || err != nil {
 		m.Fail("kind %d, %v", m.Kind, err)
 		return
 	}
@@ -67,7 +67,7 @@
 	disk.Room = roomBytes / 2
 	ended, reported := make(chan error, 1), make(chan struct{})
 	go func() {
-		p.reportTrouble(control.Node{Name: "s1", Role: control.RoleStore}, func() []string {
+		p.reportTrouble(controlclient.Node{Name: "s1", Role: controlclient.RoleStore}, func() []string {
 			return []string{none.Addr().String(), listener.Addr().String()}
 		})
 		close(reported)
--- a/cmd/adapter/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command adapter lets the simulator drive the decision module: it hosts one
+// Command simhost lets the simulator drive the decision module: it hosts one
 // sender for each instance and translates between the wire and the module.
 package main
 
@@ -11,14 +11,14 @@
 	"runtime/debug"
 	"time"
 
-	"dunetide/internal/wire"
+	"dunetide/internal/deliverynode/wire"
 	"dunetide/policy"
 )
 
 func main() {
 	debug.SetGCPercent(400)
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "adapter: %v\n", err)
+		fmt.Fprintf(os.Stderr, "simhost: %v\n", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"dunetide/internal/wire"
+	"dunetide/internal/deliverynode/wire"
 	"dunetide/policy"
 )
 
--- a/internal/batch/ages.go
+++ b/internal/batch/ages.go
@@ -1,6 +1,6 @@
 package batch
 
-import "dunetide/internal/operator"
+import "dunetide/internal/control/operatorconfig"
 
 // Jobs that are too old are given up and dropped. How old a job is, is counted on the steady clock from when this store first
 // knew of it: no less than that has passed since it was sent, whatever the time of day is said to be. A job that is sent on
@@ -55,7 +55,7 @@
 	}
 	for i := range c.config.Routes {
 		r := &c.config.Routes[i]
-		if r.Kind == operator.Bulk && (r.Name == j.route || r.Host == j.host && r.PathStart == j.pathStart) {
+		if r.Kind == operatorconfig.Bulk && (r.Name == j.route || r.Host == j.host && r.PathStart == j.pathStart) {
 			return false
 		}
 	}
--- a/internal/batch/assign.go
+++ b/internal/batch/assign.go
@@ -5,11 +5,11 @@
 	"maps"
 	"slices"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // nextCopies is the group of a part once those that join have all and those that leave are gone.
-func nextCopies(row *view.Part) []uint64 {
+func nextCopies(row *snapshot.Part) []uint64 {
 	next := slices.DeleteFunc(slices.Clone(row.Copies), func(id uint64) bool { return slices.Contains(row.Leaving, id) })
 	for _, id := range row.Joining {
 		if !slices.Contains(next, id) {
@@ -19,10 +19,10 @@
 	return next
 }
 
-func cloneTable(t *view.Table) *view.Table {
-	n := &view.Table{Number: t.Number + 1, Parts: slices.Clone(t.Parts), Stores: maps.Clone(t.Stores), Retiring: maps.Clone(t.Retiring), Stopping: maps.Clone(t.Stopping)}
+func cloneTable(t *snapshot.Table) *snapshot.Table {
+	n := &snapshot.Table{Number: t.Number + 1, Parts: slices.Clone(t.Parts), Stores: maps.Clone(t.Stores), Retiring: maps.Clone(t.Retiring), Stopping: maps.Clone(t.Stopping)}
 	if n.Stores == nil {
-		n.Stores = map[uint64]view.Store{}
+		n.Stores = map[uint64]snapshot.Store{}
 	}
 	if n.Retiring == nil {
 		n.Retiring = map[uint64]bool{}
@@ -35,7 +35,7 @@
 
 // Switch is the table in which a part's next group is its group. Its primary, leading under that epoch, has said
 // that the next group has all. False: the table has moved on.
-func Switch(cur *view.Table, part int, epoch uint64) (*view.Table, bool) {
+func Switch(cur *snapshot.Table, part int, epoch uint64) (*snapshot.Table, bool) {
 	if cur == nil || part < 0 || part >= len(cur.Parts) || cur.Parts[part].Epoch != epoch {
 		return cur, false
 	}
@@ -51,7 +51,7 @@
 
 // SetStopping is the table in which a store is marked as one that is about to stop, or as one that runs. A store that the
 // table does not have can't be marked. False: nothing changes.
-func SetStopping(cur *view.Table, store uint64, stopping bool) (*view.Table, bool) {
+func SetStopping(cur *snapshot.Table, store uint64, stopping bool) (*snapshot.Table, bool) {
 	if cur == nil || cur.Stopping[store] == stopping {
 		return cur, false
 	}
@@ -70,9 +70,9 @@
 // assigner has what Assign looks at.
 type assigner struct {
 	f         int
-	alive     map[uint64]view.Store
+	alive     map[uint64]snapshot.Store
 	lost      func(uint64) bool
-	next      *view.Table
+	next      *snapshot.Table
 	copies    map[uint64]int // parts held or to be held
 	primaries map[uint64]int
 }
@@ -85,7 +85,7 @@
 
 // machineRetires tells whether the machine of a store is to be emptied. One that has lost its disk since that was asked for
 // comes back as another store, by the same name and at the same address.
-func machineRetires(t *view.Table, store view.Store) bool {
+func machineRetires(t *snapshot.Table, store snapshot.Store) bool {
 	for id, s := range t.Stores {
 		if t.Retiring[id] && s.Name == store.Name && s.Addr == store.Addr {
 			return true
@@ -97,9 +97,9 @@
 // Assign says how the parts should be placed. Alive are the stores that are heard of; lost tells of a store that it has
 // been away for so long that others should take its place. Every change of a part has a new epoch. The first table needs
 // f+2 stores, or as many as there are, so the caller asks for it when all that start together have been heard of.
-func Assign(cur *view.Table, alive []view.Store, lost func(id uint64) bool, parts, f int) (*view.Table, bool) {
+func Assign(cur *snapshot.Table, alive []snapshot.Store, lost func(id uint64) bool, parts, f int) (*snapshot.Table, bool) {
 	if cur == nil {
-		cur = &view.Table{}
+		cur = &snapshot.Table{}
 	}
 	a := newAssigner(cur, alive, lost, f)
 	changed := a.noteStores(cur, alive)
@@ -125,8 +125,8 @@
 }
 
 // newAssigner begins with a table.
-func newAssigner(cur *view.Table, alive []view.Store, lost func(id uint64) bool, f int) *assigner {
-	a := &assigner{f: f, alive: map[uint64]view.Store{}, next: cloneTable(cur), copies: map[uint64]int{}, primaries: map[uint64]int{}}
+func newAssigner(cur *snapshot.Table, alive []snapshot.Store, lost func(id uint64) bool, f int) *assigner {
+	a := &assigner{f: f, alive: map[uint64]snapshot.Store{}, next: cloneTable(cur), copies: map[uint64]int{}, primaries: map[uint64]int{}}
 	names := map[string]uint64{}
 	for _, s := range alive {
 		a.alive[s.ID] = s
@@ -142,7 +142,7 @@
 }
 
 // noteStores takes in the stores that are heard of.
-func (a *assigner) noteStores(cur *view.Table, alive []view.Store) (changed bool) {
+func (a *assigner) noteStores(cur *snapshot.Table, alive []snapshot.Store) (changed bool) {
 	for _, s := range alive {
 		if cur.Stores[s.ID] == s {
 			continue
@@ -168,7 +168,7 @@
 
 // firstParts places all parts for the first time.
 func (a *assigner) firstParts(parts int) {
-	a.next.Parts = make([]view.Part, parts)
+	a.next.Parts = make([]snapshot.Part, parts)
 	for i := range a.next.Parts {
 		row := &a.next.Parts[i]
 		row.Epoch = 1
@@ -216,7 +216,7 @@
 }
 
 // full are the copies that are there.
-func (a *assigner) full(row *view.Part) (n int) {
+func (a *assigner) full(row *snapshot.Part) (n int) {
 	for _, id := range row.Copies {
 		if _, ok := a.alive[id]; ok && !a.lost(id) {
 			n++
@@ -226,7 +226,7 @@
 }
 
 // part brings one part on its way.
-func (a *assigner) part(row *view.Part) bool {
+func (a *assigner) part(row *snapshot.Part) bool {
 	old := *row
 	a.moveLead(row)
 	var leaving []uint64
@@ -246,7 +246,7 @@
 }
 
 // moveLead gives the lead of a part to a copy that may lead better, where enough copies are there for it to take over.
-func (a *assigner) moveLead(row *view.Part) {
+func (a *assigner) moveLead(row *snapshot.Part) {
 	if a.reluctance(row.Primary) == 0 || a.full(row) < max(len(row.Copies)-a.f, 1) {
 		return
 	}
@@ -258,7 +258,7 @@
 }
 
 // joining are those that are to join a group of which so many stay.
-func (a *assigner) joining(row *view.Part, stay int) []uint64 {
+func (a *assigner) joining(row *snapshot.Part, stay int) []uint64 {
 	joining := slices.DeleteFunc(slices.Clone(row.Joining), func(id uint64) bool { return !a.usable(id) && a.gone(id) })
 	need := max(min(a.f+2, a.usableStores())-stay, 0)
 	if len(joining) > need {
@@ -280,7 +280,7 @@
 
 // leaving are those copies, of the ones that should go, that may go with the ones that join. Those that retire go first, and
 // without one in their place as long as f+1 are left. Those that are lost go only when there is one for them: they may come back.
-func (a *assigner) leaving(row *view.Part, gone []uint64) (leaving []uint64) {
+func (a *assigner) leaving(row *snapshot.Part, gone []uint64) (leaving []uint64) {
 	slices.SortStableFunc(gone, func(x, y uint64) int {
 		return cmp.Compare(b2i(!a.next.Retiring[x]), b2i(!a.next.Retiring[y]))
 	})
@@ -348,7 +348,7 @@
 
 // leader is the copy that is there and leads the fewest parts; one that retires or is about to stop only if there is no
 // other.
-func (a *assigner) leader(row *view.Part) (best uint64) {
+func (a *assigner) leader(row *snapshot.Part) (best uint64) {
 	for reluctance := range reluctances {
 		for _, id := range row.Copies {
 			if _, ok := a.alive[id]; !ok || a.lost(id) || a.reluctance(id) != reluctance {
@@ -387,7 +387,7 @@
 
 // Retired tells how far the retiring of a store by this name is: known tells whether there is such a store, finished
 // whether nothing depends on it any more.
-func Retired(t *view.Table, name string, f int) (known, finished bool) {
+func Retired(t *snapshot.Table, name string, f int) (known, finished bool) {
 	if t == nil {
 		return false, false
 	}
@@ -411,7 +411,7 @@
 }
 
 // Retire is the table in which a store is to be emptied. Few: too few would be left.
-func Retire(cur *view.Table, name string, alive []view.Store, lost func(id uint64) bool, f int) (next *view.Table, known, few bool) {
+func Retire(cur *snapshot.Table, name string, alive []snapshot.Store, lost func(id uint64) bool, f int) (next *snapshot.Table, known, few bool) {
 	if cur == nil {
 		return cur, false, false
 	}
--- a/internal/batch/assign_test.go
+++ b/internal/batch/assign_test.go
@@ -5,12 +5,12 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
-func someStores(n, zones int) (all []view.Store) {
+func someStores(n, zones int) (all []snapshot.Store) {
 	for i := range n {
-		all = append(all, view.Store{ID: uint64(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%zones)})
+		all = append(all, snapshot.Store{ID: uint64(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%zones)})
 	}
 	return all
 }
@@ -64,7 +64,7 @@
 				cur, _ := Assign(nil, all, none, 8, f)
 				cur = settleTable(t, cur, all, none, f)
 				lost := func(id uint64) bool { return id == uint64(away+1) }
-				rest := slices.DeleteFunc(slices.Clone(all), func(s view.Store) bool { return lost(s.ID) })
+				rest := slices.DeleteFunc(slices.Clone(all), func(s snapshot.Store) bool { return lost(s.ID) })
 				end := settleTable(t, cur, rest, lost, f)
 				for no, row := range end.Parts {
 					if lost(row.Primary) {
@@ -75,7 +75,7 @@
 					}
 				}
 				// The same machine comes with an empty disk.
-				back := append(slices.Clone(rest), view.Store{ID: 100, Name: all[away].Name, Addr: all[away].Addr, Zone: all[away].Zone})
+				back := append(slices.Clone(rest), snapshot.Store{ID: 100, Name: all[away].Name, Addr: all[away].Addr, Zone: all[away].Zone})
 				end = settleTable(t, end, back, lost, f)
 				for no, row := range end.Parts {
 					if len(row.Copies) != f+2 || slices.ContainsFunc(row.Copies, lost) {
@@ -100,7 +100,7 @@
 	}
 }
 
-func settleTable(t *testing.T, cur *view.Table, alive []view.Store, lost func(uint64) bool, f int) *view.Table {
+func settleTable(t *testing.T, cur *snapshot.Table, alive []snapshot.Store, lost func(uint64) bool, f int) *snapshot.Table {
 	t.Helper()
 	for range 200 {
 		next, changed := Assign(cur, alive, lost, 8, f)
--- a/internal/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
 )
 
 func must(t testing.TB, err error) {
@@ -33,9 +33,9 @@
 // text is a document that certifies endpoints for fin, which route q demands.
 func text(t testing.TB, version uint64, endpoints ...string) []byte {
 	t.Helper()
-	d := certify.Document{Version: version, Routes: []certify.Route{{Name: "q", Regime: "fin"}}}
+	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certify.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), By: "x"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), By: "x"})
 	}
 	b, err := json.Marshal(d)
 	must(t, err)
@@ -95,9 +95,9 @@
 		g.open(i, fileBytes)
 	}
 	g.r = NewRecorder(RecorderOptions{Node: "p", Life: 7, Need: need, Held: held, Now: func() time.Time { return at },
-		Stores: func() (all []view.Store) {
+		Stores: func() (all []snapshot.Store) {
 			for i := range stores {
-				all = append(all, view.Store{Name: fmt.Sprint("s", i), Addr: fmt.Sprint(i)})
+				all = append(all, snapshot.Store{Name: fmt.Sprint("s", i), Addr: fmt.Sprint(i)})
 			}
 			return all
 		},
--- a/internal/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 // The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
@@ -168,7 +168,7 @@
 func goldenBatch(t *testing.T) (link.Kind, []byte) {
 	c := &caught{}
 	r := NewRecorder(RecorderOptions{Node: goldenKey.proxy, Life: goldenKey.life, Need: 1, Now: func() time.Time { return goldenEnd },
-		Stores: func() []view.Store { return []view.Store{{Name: "s", Addr: "a"}} },
+		Stores: func() []snapshot.Store { return []snapshot.Store{{Name: "s", Addr: "a"}} },
 		Dial:   func(context.Context, string) (Conn, error) { return c, nil }})
 	other := Run{ID: "b", Route: "r", Regime: "g", Endpoint: "e", Version: 72, Repeatable: true, After: "x", Begun: goldenEnd}
 	r.Begin(other, []byte("text of 72"))
@@ -291,7 +291,7 @@
 	t.Helper()
 	d := disktest.New()
 	d.Put("f", data[:journal.FramesHeader])
-	l, err := record.Open(d, "f", func([]byte, int64) error { return nil })
+	l, err := recordlog.Open(d, "f", func([]byte, int64) error { return nil })
 	must(t, err)
 	for _, e := range entries {
 		end := d.File("f")
@@ -335,7 +335,7 @@
 		end  Outcome
 	}{{goldenRun, goldenText, Answered}, {other, append(slices.Clone(goldenText), ' '), Left}} {
 		d := disktest.New()
-		l, err := record.Open(d, "f", func([]byte, int64) error { return nil })
+		l, err := recordlog.Open(d, "f", func([]byte, int64) error { return nil })
 		must(t, err)
 		var last sum
 		for _, e := range [][]byte{startEntry(uint64(i+1), 1), documentEntry(goldenVersion, c.text), begunEntry(goldenKey, c.run),
--- a/internal/audit/kinds.go
+++ b/internal/batch/audit/kinds.go
@@ -1,6 +1,6 @@
 package audit
 
-import "dunetide/internal/link"
+import "dunetide/internal/platform/link"
 
 // The kinds of messages on links to stores, all of them here. Those of batch jobs end before them.
 const (
--- a/internal/audit/read.go
+++ b/internal/batch/audit/read.go
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 // chainOf follows one file.
@@ -81,7 +81,7 @@
 	} else if !bytes.Equal(head[:len(head)/2], head[len(head)/2:]) {
 		return c, fmt.Errorf("%s: the two copies of its head differ", name)
 	}
-	whole, err := record.Scan(file, size, name, c.add)
+	whole, err := recordlog.Scan(file, size, name, c.add)
 	switch {
 	case err != nil:
 		return c, err
@@ -152,7 +152,7 @@
 	runs      map[key]*Seen
 	ends      map[key]*Seen
 	documents map[uint64][]byte
-	sets      map[uint64]*certify.Set
+	sets      map[uint64]*certification.Set
 }
 
 func (a *auditor) say(rule, where, format string, args ...any) {
@@ -178,7 +178,7 @@
 }
 
 func check(files []file, o Options) *Report {
-	a := &auditor{o: o, runs: map[key]*Seen{}, ends: map[key]*Seen{}, documents: map[uint64][]byte{}, sets: map[uint64]*certify.Set{}}
+	a := &auditor{o: o, runs: map[key]*Seen{}, ends: map[key]*Seen{}, documents: map[uint64][]byte{}, sets: map[uint64]*certification.Set{}}
 	var chains []*chainOf
 	for _, f := range files {
 		c, err := scan(bytes.NewReader(f.data), int64(len(f.data)), f.name, a.entry)
@@ -255,7 +255,7 @@
 		}
 		a.documents[version] = raw
 		a.r.Versions = append(a.r.Versions, version)
-		s, err := certify.Parse(raw)
+		s, err := certification.Parse(raw)
 		if err != nil || s.Version != version {
 			a.say(Unknown, fmt.Sprintf("certificates %d", version), "their text can't be read, or is that of another version (%v)", err)
 			return nil
@@ -342,7 +342,7 @@
 		}
 		if a.o.Within > 0 {
 			for v, at := range used {
-				if v > run.Version && run.Begun.Sub(at) > a.o.Within+certify.ClockMargin {
+				if v > run.Version && run.Begun.Sub(at) > a.o.Within+certification.ClockMargin {
 					a.say(Withdrawn, where, "it was sent by certificates %d, %v after the first run by %d", run.Version, run.Begun.Sub(at).Round(time.Millisecond), v)
 					break
 				}
--- a/internal/audit/recorder.go
+++ b/internal/batch/audit/recorder.go
@@ -10,8 +10,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -36,7 +36,7 @@
 	Life   uint64
 	Zone   string
 	Need   int // stores that must have a record on disk: f+1
-	Stores func() []view.Store
+	Stores func() []snapshot.Store
 	Dial   func(ctx context.Context, addr string) (Conn, error) // nil: over link
 	Now    func() time.Time
 	Held   int // entries; 0: 16,384
@@ -223,10 +223,10 @@
 // that had them from an earlier attempt may have them twice, which those who read the files know.
 func (r *Recorder) handOver(ctx context.Context) error {
 	stores := r.o.Stores()
-	slices.SortStableFunc(stores, func(a, b view.Store) int {
-		return cmp.Or(cmp.Compare(far(a.Zone, r.o.Zone), far(b.Zone, r.o.Zone)), cmp.Compare(view.Hash(r.o.Node+a.Name), view.Hash(r.o.Node+b.Name)))
+	slices.SortStableFunc(stores, func(a, b snapshot.Store) int {
+		return cmp.Or(cmp.Compare(far(a.Zone, r.o.Zone), far(b.Zone, r.o.Zone)), cmp.Compare(snapshot.Hash(r.o.Node+a.Name), snapshot.Hash(r.o.Node+b.Name)))
 	})
-	stores = slices.CompactFunc(stores, func(a, b view.Store) bool { return a.Addr == b.Addr })
+	stores = slices.CompactFunc(stores, func(a, b snapshot.Store) bool { return a.Addr == b.Addr })
 	if len(stores) < r.o.Need {
 		return errFewStores
 	}
--- a/internal/audit/room_test.go
+++ b/internal/batch/audit/room_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
 )
 
 // handOver is a message with a run that has ended and the document that it names.
--- a/internal/audit/run.go
+++ b/internal/batch/audit/run.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // Run is one sending of a regulated request or item to an endpoint.
--- a/internal/audit/store.go
+++ b/internal/batch/audit/store.go
@@ -14,9 +14,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 const (
@@ -45,7 +45,7 @@
 	wg    sync.WaitGroup
 
 	// Of the one goroutine.
-	log       *record.Log
+	log       *recordlog.Log
 	chain     uint64
 	number    uint64 // of the file
 	last      sum
@@ -84,7 +84,7 @@
 
 // outOfUse gives the record up, unless the disk is merely full: then it is tried again with the next records.
 func (s *Store) outOfUse(err error) {
-	full := record.NoRoom(err)
+	full := recordlog.NoRoom(err)
 	if !full {
 		s.failed = err
 	}
@@ -267,7 +267,7 @@
 // open opens the file that is appended to, and checks its chain.
 func (s *Store) open() error {
 	first := true
-	log, err := record.Open(s.o.Folder, FileName, func(payload []byte, _ int64) error {
+	log, err := recordlog.Open(s.o.Folder, FileName, func(payload []byte, _ int64) error {
 		if first { // what is before it stands in the file before
 			if len(payload) < len(s.last) {
 				return errChain
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
 )
 
 // echo is a runner whose text is the item's body, an event a byte.
@@ -36,19 +36,19 @@
 	return Result{End: Done}
 }
 
-func bulkConfig(most int64) *operator.Config {
-	return &operator.Config{Version: 1, Routes: []operator.Route{{Name: "b", Host: "h.example", PathStart: "/b/", Kind: operator.Bulk, DueMs: 5000, Tries: 2, MaxWaitMs: 60000, MaxQueued: most}}}
+func bulkConfig(most int64) *operatorconfig.Config {
+	return &operatorconfig.Config{Version: 1, Routes: []operatorconfig.Route{{Name: "b", Host: "h.example", PathStart: "/b/", Kind: operatorconfig.Bulk, DueMs: 5000, Tries: 2, MaxWaitMs: 60000, MaxQueued: most}}}
 }
 
 // TestOverLinks hands in a job, runs it and reads it over real connections.
 func TestOverLinks(t *testing.T) {
 	var stores []*Store
-	var all []view.Store
+	var all []snapshot.Store
 	var dirs []string
 	var mu sync.Mutex
-	holder := &view.Holder{}
-	publish := func(tab *view.Table) {
-		s := &view.Snapshot{Config: bulkConfig(1000), Table: tab}
+	holder := &snapshot.Holder{}
+	publish := func(tab *snapshot.Table) {
+		s := &snapshot.Snapshot{Config: bulkConfig(1000), Table: tab}
 		holder.Set(s)
 		for _, st := range stores {
 			st.Update(s)
@@ -72,7 +72,7 @@
 		go func() { _ = link.Serve(l, st, link.DefaultOptions) }()
 		stores = append(stores, st)
 		listeners = append(listeners, l)
-		all = append(all, view.Store{ID: st.ID(), Name: fmt.Sprint("s", i), Addr: l.Addr().String(), Zone: fmt.Sprint("z", i)})
+		all = append(all, snapshot.Store{ID: st.ID(), Name: fmt.Sprint("s", i), Addr: l.Addr().String(), Zone: fmt.Sprint("z", i)})
 	}
 	mu.Lock()
 	tab, ok := Assign(nil, all, func(uint64) bool { return false }, 8, 1)
--- a/internal/batch/calls.go
+++ b/internal/batch/calls.go
@@ -1,6 +1,6 @@
 package batch
 
-import "dunetide/internal/link"
+import "dunetide/internal/platform/link"
 
 // Calls of clients, as edges pass them on.
 
--- a/internal/batch/clients_test.go
+++ b/internal/batch/clients_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // promise is what clients know of a job.
@@ -32,7 +32,7 @@
 	w     *world
 	name  string
 	pipes map[uint64]*simPipe
-	table *view.Table
+	table *snapshot.Table
 	held  map[itemKey]*simRun
 	parts map[int]*simHold
 	runs  int
@@ -60,7 +60,7 @@
 	return k
 }
 
-func (k *simWorker) take(t *view.Table) {
+func (k *simWorker) take(t *snapshot.Table) {
 	if k.table == nil || t.Number > k.table.Number {
 		k.table = t
 		k.hold()
--- a/internal/batch/confirm.go
+++ b/internal/batch/confirm.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // A primary confirms that it has not been replaced; what has been replaced is refused by its ballot.
--- a/internal/batch/core.go
+++ b/internal/batch/core.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"dunetide/internal/link"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // segmented is what a log does to give space back: see segments.go.
@@ -71,8 +71,8 @@
 	handingOver      []*part                          // what it led when it was told to stop
 	logf             func(format string, args ...any) // may be nil
 
-	table        *view.Table
-	config       *operator.Config
+	table        *snapshot.Table
+	config       *operatorconfig.Config
 	parts        []*part
 	peers        map[uint64]Pipe
 	workers      map[Pipe]*worker
--- a/internal/batch/due_test.go
+++ b/internal/batch/due_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 const hourMs = 3_600_000
--- a/internal/batch/edge.go
+++ b/internal/batch/edge.go
@@ -7,15 +7,15 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/link"
-	"dunetide/internal/observe"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/telemetry"
 )
 
 // EdgeOptions say what the edge's side of batch jobs is.
 type EdgeOptions struct {
-	Views  *view.Holder
+	Views  *snapshot.Holder
 	Name   string
 	Zone   string
 	Runner Runner // nil: this edge runs no items
@@ -29,12 +29,12 @@
 	pool   *pool
 	worker *workerSide
 	// callEvents are calls that failed.
-	callEvents *observe.Log
+	callEvents *telemetry.Log
 	stop       chan struct{}
 	once       sync.Once
 
 	mu   sync.Mutex
-	seen *view.Table
+	seen *snapshot.Table
 }
 
 // NewEdge begins to hold connections to the stores.
@@ -90,7 +90,7 @@
 	}
 }
 
-func (e *Edge) table() *view.Table {
+func (e *Edge) table() *snapshot.Table {
 	if s := e.o.Views.Get(); s != nil {
 		return s.Table
 	}
@@ -234,15 +234,15 @@
 }
 
 // bulkRoute is the route of batch jobs that a path under a host belongs to.
-func bulkRoute(c *operator.Config, host, path string) *operator.Route {
-	var best *operator.Route
+func bulkRoute(c *operatorconfig.Config, host, path string) *operatorconfig.Route {
+	var best *operatorconfig.Route
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if r.Host == host && len(path) >= len(r.PathStart) && path[:len(r.PathStart)] == r.PathStart && (best == nil || len(r.PathStart) > len(best.PathStart)) {
 			best = r
 		}
 	}
-	if best != nil && best.Kind == operator.Bulk {
+	if best != nil && best.Kind == operatorconfig.Bulk {
 		return best
 	}
 	return nil
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -7,9 +7,9 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 // sentPipe notes what is sent.
@@ -276,7 +276,7 @@
 	flipped := bytes.Clone(d.File("t.log"))
 	flipped[len(flipped)/2] ^= 4
 	d.Put("t.log", flipped)
-	if err := open(d); !record.Damaged.Has(err) {
+	if err := open(d); !recordlog.Damaged.Has(err) {
 		t.Errorf("a flipped byte: %v", err)
 	}
 	d = build()
--- a/internal/batch/give.go
+++ b/internal/batch/give.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // giveMessage is the body of a kGive: an item that a store hands to a worker.
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
-	"dunetide/internal/operator"
-	"dunetide/internal/record"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 // The files in testdata/golden hold the bytes of each message, record and JSON body of batch jobs as the sources of
@@ -147,10 +147,10 @@
 }
 
 // goldenTable has six parts; all but the one of the tests are led by owner.
-func goldenTable(primary, owner uint64) *view.Table {
-	table := &view.Table{Number: 12, Stores: map[uint64]view.Store{}}
+func goldenTable(primary, owner uint64) *snapshot.Table {
+	table := &snapshot.Table{Number: 12, Stores: map[uint64]snapshot.Store{}}
 	for no := range 6 {
-		part := view.Part{Epoch: 2, Primary: owner, Copies: []uint64{0x1101, 0x1202}}
+		part := snapshot.Part{Epoch: 2, Primary: owner, Copies: []uint64{0x1101, 0x1202}}
 		if no == goldenPart {
 			part.Primary = primary
 		}
@@ -467,8 +467,8 @@
 	c, _, j := goldenPrimary(t)
 	l := newGoldenLink(t)
 	no := c.table.PartOf(goldenJobID)
-	holder := &view.Holder{}
-	holder.Set(&view.Snapshot{Table: c.table})
+	holder := &snapshot.Holder{}
+	holder.Set(&snapshot.Snapshot{Table: c.table})
 	edge := &Edge{o: EdgeOptions{Views: holder}, pool: &pool{to: map[uint64]*dialled{c.table.Parts[no].Primary: {conn: l.conn}}}}
 
 	// answer gives a store the golden call and sends its golden reply back.
@@ -656,7 +656,7 @@
 // TestGoldenJSON fixes the JSON bodies of clients: the job that comes in, and the results that go out.
 func TestGoldenJSON(t *testing.T) {
 	want := goldenJob()
-	route := &operator.Route{Name: want.Route, Host: want.Host, PathStart: want.PathStart, DueMs: int(want.DueMs), Tries: want.Tries,
+	route := &operatorconfig.Route{Name: want.Route, Host: want.Host, PathStart: want.PathStart, DueMs: int(want.DueMs), Tries: want.Tries,
 		MaxWaitMs: int(want.MaxWaitMs), MaxQueued: want.MaxQueued}
 	body := golden(t, "client-job.json", []byte(`{"requests":[{"id":"item-a","path":"/bulk/a","headers":{"X-Kind":"renewal","Accept":"text/event-stream"},"body":"Ym9keSBvZiBh","tokens":207},{"id":"item-b","path":"/bulk/b","headers":{"X-Other":"review"},"body":"AAH+/w==","tokens":308}]}`))
 	got, ok := parseJob(&Call{Header: func(name string) string { return map[string]string{"X-Dunetide-Request-Id": goldenJobID}[name] }, Body: body}, route)
@@ -779,7 +779,7 @@
 	// The head of a segment: what was written now has the same payloads as the golden file.
 	var written, read [][]byte
 	for from, to := range map[*disktest.Disk]*[][]byte{d: &written, whole: &read} {
-		file, err := record.Open(from, second, func(payload []byte, _ int64) error {
+		file, err := recordlog.Open(from, second, func(payload []byte, _ int64) error {
 			*to = append(*to, bytes.Clone(payload))
 			return nil
 		})
--- a/internal/batch/http.go
+++ b/internal/batch/http.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 const mostItems = 200
@@ -36,7 +36,7 @@
 
 // ForBatch tells whether a call is one about batch jobs: a POST under a bulk route, or a call of /lots/ or /items/
 // under a host that has such a route.
-func ForBatch(c *operator.Config, method, host, path string) bool {
+func ForBatch(c *operatorconfig.Config, method, host, path string) bool {
 	if c == nil {
 		return false
 	}
@@ -48,7 +48,7 @@
 		return false
 	}
 	for i := range c.Routes {
-		if c.Routes[i].Kind == operator.Bulk && c.Routes[i].Host == host {
+		if c.Routes[i].Kind == operatorconfig.Bulk && c.Routes[i].Host == host {
 			return true
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 // serveAccept answers a job that is handed in.
-func (e *Edge) serveAccept(ctx context.Context, c *Call, config *operator.Config) Answer {
+func (e *Edge) serveAccept(ctx context.Context, c *Call, config *operatorconfig.Config) Answer {
 	route := bulkRoute(config, hostOnly(c.Host), c.Path)
 	if route == nil {
 		return Answer{Status: 404}
@@ -205,7 +205,7 @@
 	return Answer{}
 }
 
-func parseJob(c *Call, route *operator.Route) (*Job, bool) {
+func parseJob(c *Call, route *operatorconfig.Route) (*Job, bool) {
 	var in struct {
 		Requests []struct {
 			ID      string            `json:"id"`
--- a/internal/batch/invariants.go
+++ b/internal/batch/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"dunetide/internal/invariant"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/invariant"
 )
 
 var (
@@ -34,7 +34,7 @@
 }
 
 // checkEpochs holds a table against the one that it replaces.
-func checkEpochs(before, after *view.Table) {
+func checkEpochs(before, after *snapshot.Table) {
 	if before == nil {
 		return
 	}
--- a/internal/batch/invariants_test.go
+++ b/internal/batch/invariants_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"dunetide/internal/invariant/invarianttest"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/invariant/invarianttest"
 )
 
 func TestBrokenPromisesOfStoresAreFound(t *testing.T) {
@@ -15,10 +15,10 @@
 	p.lead.selfS = 6
 	invarianttest.Violates(t, "commits_are_on_enough_disks", func() { c.checkCommit(p, []uint64{1, 2, 3}) })
 
-	table := func(number uint64, epochs ...uint64) *view.Table {
-		out := &view.Table{Number: number}
+	table := func(number uint64, epochs ...uint64) *snapshot.Table {
+		out := &snapshot.Table{Number: number}
 		for _, epoch := range epochs {
-			out.Parts = append(out.Parts, view.Part{Epoch: epoch})
+			out.Parts = append(out.Parts, snapshot.Part{Epoch: epoch})
 		}
 		return out
 	}
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -3,7 +3,7 @@
 import (
 	"hash/crc32"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // Job is a batch job as it is handed in.
--- a/internal/batch/kinds.go
+++ b/internal/batch/kinds.go
@@ -1,6 +1,6 @@
 package batch
 
-import "dunetide/internal/link"
+import "dunetide/internal/platform/link"
 
 // The kinds of messages, all of them here. Fields are written with link.Writer in the order given.
 // A ballot is a part's epoch with the number of the leading life in that epoch (see ballotOf).
--- a/internal/batch/lead.go
+++ b/internal/batch/lead.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // The lead of a part: how it begins and ends, and who the copies are.
@@ -74,7 +74,7 @@
 }
 
 // setTable is the event of a newer table.
-func (c *core) setTable(t *view.Table) {
+func (c *core) setTable(t *snapshot.Table) {
 	if t == nil || c.table != nil && t.Number <= c.table.Number {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // startLead begins to lead a part. One that led it in the epoch before, in the same life, goes on.
-func (c *core) startLead(p *part, row *view.Part, goesOn bool) {
+func (c *core) startLead(p *part, row *snapshot.Part, goesOn bool) {
 	if !goesOn {
 		c.stopLead(p)
 	}
--- a/internal/batch/observe.go
+++ b/internal/batch/observe.go
@@ -9,24 +9,24 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/observe"
+	"dunetide/internal/platform/telemetry"
 )
 
 // figures are what a store tells of itself; its core sets them twice a second.
-var figures = struct{ led, jobs, open, workers, logBytes, full, table *observe.Figure }{
-	led:      observe.NewFigure("dunetide_store_parts_led"),
-	jobs:     observe.NewFigure("dunetide_store_jobs"),
-	open:     observe.NewFigure("dunetide_store_jobs_open"),
-	workers:  observe.NewFigure("dunetide_store_workers"),
-	logBytes: observe.NewFigure("dunetide_store_log_bytes"),
-	full:     observe.NewFigure("dunetide_store_log_full"),
-	table:    observe.NewFigure("dunetide_store_table_number"),
+var figures = struct{ led, jobs, open, workers, logBytes, full, table *telemetry.Figure }{
+	led:      telemetry.NewFigure("dunetide_store_parts_led"),
+	jobs:     telemetry.NewFigure("dunetide_store_jobs"),
+	open:     telemetry.NewFigure("dunetide_store_jobs_open"),
+	workers:  telemetry.NewFigure("dunetide_store_workers"),
+	logBytes: telemetry.NewFigure("dunetide_store_log_bytes"),
+	full:     telemetry.NewFigure("dunetide_store_log_full"),
+	table:    telemetry.NewFigure("dunetide_store_table_number"),
 }
 
 var (
-	commits     = observe.Counter("dunetide_store_commits_total")
-	leadsBegun  = observe.Counter("dunetide_store_leads_begun_total")
-	itemsListed = observe.Counter("dunetide_store_items_listed_total")
+	commits     = telemetry.Counter("dunetide_store_commits_total")
+	leadsBegun  = telemetry.Counter("dunetide_store_leads_begun_total")
+	itemsListed = telemetry.Counter("dunetide_store_items_listed_total")
 )
 
 // setFigures tells the state of this moment.
@@ -43,7 +43,7 @@
 	figures.open.Set(float64(len(c.open)))
 	figures.workers.Set(float64(len(c.attached)))
 	figures.logBytes.Set(float64(c.disk.Size()))
-	figures.full.Set(observe.Bool(c.full))
+	figures.full.Set(telemetry.Bool(c.full))
 	if c.table != nil {
 		figures.table.Set(float64(c.table.Number))
 	}
@@ -53,11 +53,11 @@
 var countedMethods = []string{http.MethodGet, http.MethodPost, http.MethodDelete}
 
 // newCallEvents tells of clients' calls that failed.
-func newCallEvents(log hclog.Logger) *observe.Log {
+func newCallEvents(log hclog.Logger) *telemetry.Log {
 	if log == nil {
 		log = hclog.NewNullLogger()
 	}
-	return observe.NewLog(log)
+	return telemetry.NewLog(log)
 }
 
 // noteCall counts a client's call by its answer, and tells of one that failed.
@@ -70,7 +70,7 @@
 	if !slices.Contains(countedMethods, method) {
 		method = "other" // clients may send any
 	}
-	observe.Counter("dunetide_proxy_batch_calls_total", "call", method+" "+kind, "status", strconv.Itoa(a.Status)).Inc()
+	telemetry.Counter("dunetide_proxy_batch_calls_total", "call", method+" "+kind, "status", strconv.Itoa(a.Status)).Inc()
 	if a.Status >= http.StatusOK && a.Status < http.StatusBadRequest {
 		return
 	}
--- a/internal/batch/pool.go
+++ b/internal/batch/pool.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // pool holds a connection to each store of the table. A store that answers with another identity than the
@@ -37,7 +37,7 @@
 func (h poolHandler) Closed(*link.Conn)       {}
 
 // set says which stores there are.
-func (p *pool) set(stores map[uint64]view.Store, self uint64) {
+func (p *pool) set(stores map[uint64]snapshot.Store, self uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
--- a/internal/batch/quota.go
+++ b/internal/batch/quota.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // usage is what the primary of a part knows of the tokens that wait on a route in its part.
--- a/internal/batch/reconnect_test.go
+++ b/internal/batch/reconnect_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // What a worker has in hand when its link breaks waits for it: it runs on, and its item would run twice.
--- a/internal/batch/records.go
+++ b/internal/batch/records.go
@@ -4,7 +4,7 @@
 	"errors"
 	"hash/crc32"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // What the records of the log do to the state, and what is read back from it.
--- a/internal/batch/repeat_numbers_test.go
+++ b/internal/batch/repeat_numbers_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // leaderOf is the store of a rig that leads a job's part.
--- a/internal/batch/repeat_test.go
+++ b/internal/batch/repeat_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // repeatSteps is how many messages lie between those at which a link breaks, in the short test. BATCH_REPEATS=1 breaks at each.
--- a/internal/batch/repeat_wrong_test.go
+++ b/internal/batch/repeat_wrong_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrongRepeats are lines that would count a repeat, or what is of an older life, as something new.
-var wrongRepeats = []wrongline.Line{
+var wrongRepeats = []mutation.Line{
 	{"a result is listed twice", "workers.go", "	if it.state == itemListed {\n		l.pend", "	if it.state == itemListed && k.part < 0 {\n		l.pend"},
 	{"a grant is counted twice", "quota.go", "if g.number == h.number {", "if g.number == h.number && h.part < 0 {"},
 	{"a grant to any life counts", "quota.go", "p.lead != nil && p.lead.life == life {", "p.lead != nil && life > 0 {"},
@@ -26,11 +26,11 @@
 }
 
 // TestWrongRepeatsStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongRepeatsStand(t *testing.T) { wrongline.Check(t, wrongRepeats) }
+func TestWrongRepeatsStand(t *testing.T) { mutation.Check(t, wrongRepeats) }
 
 // Each wrong line is found by the tests of repeats. It takes a minute or two, so it is asked for: REPEATS_WRONG=1, or a part of a name.
 func TestWrongRepeatsAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "REPEATS_WRONG")
-	wrongline.Find(t, wrongRepeats, wrongline.Options{Only: only, Args: []string{"-run", "SentAgain|DeliveredAgain|OlderLife|OlderBallot"},
+	only := mutation.Asked(t, "REPEATS_WRONG")
+	mutation.Find(t, wrongRepeats, mutation.Options{Only: only, Args: []string{"-run", "SentAgain|DeliveredAgain|OlderLife|OlderBallot"},
 		Env: []string{"REPEATS_WRONG="}, Within: 2 * time.Minute})
 }
--- a/internal/batch/replication.go
+++ b/internal/batch/replication.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // Operations on their way from a primary to the copies, and when they are committed.
--- a/internal/batch/retire_test.go
+++ b/internal/batch/retire_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // steadyJobs hands jobs in until a time.
@@ -171,18 +171,18 @@
 
 // TestRetiredNeedsEnoughOthers: nothing is finished where too few others would be left, or one still joins.
 func TestRetiredNeedsEnoughOthers(t *testing.T) {
-	table := &view.Table{Stores: map[uint64]view.Store{1: {ID: 1, Name: "a"}, 2: {ID: 2, Name: "b"}, 3: {ID: 3, Name: "c"}}, Retiring: map[uint64]bool{1: true}}
+	table := &snapshot.Table{Stores: map[uint64]snapshot.Store{1: {ID: 1, Name: "a"}, 2: {ID: 2, Name: "b"}, 3: {ID: 3, Name: "c"}}, Retiring: map[uint64]bool{1: true}}
 	for _, c := range []struct {
-		part     view.Part
+		part     snapshot.Part
 		finished bool
 	}{
-		{view.Part{Copies: []uint64{2, 3}}, true},
-		{view.Part{Copies: []uint64{2}}, false},
-		{view.Part{Copies: []uint64{1, 2, 3}}, false},
-		{view.Part{Copies: []uint64{1, 2, 3}, Leaving: []uint64{1}}, false},
-		{view.Part{Copies: []uint64{2, 3}, Joining: []uint64{1}}, false},
+		{snapshot.Part{Copies: []uint64{2, 3}}, true},
+		{snapshot.Part{Copies: []uint64{2}}, false},
+		{snapshot.Part{Copies: []uint64{1, 2, 3}}, false},
+		{snapshot.Part{Copies: []uint64{1, 2, 3}, Leaving: []uint64{1}}, false},
+		{snapshot.Part{Copies: []uint64{2, 3}, Joining: []uint64{1}}, false},
 	} {
-		table.Parts = []view.Part{c.part}
+		table.Parts = []snapshot.Part{c.part}
 		if known, finished := Retired(table, "a", 1); !known || finished != c.finished {
 			t.Errorf("%v: known %v, finished %v", c.part, known, finished)
 		}
--- a/internal/batch/room_test.go
+++ b/internal/batch/room_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // fullFolder is a folder whose files take half of each write, and no more, while it is full.
--- a/internal/batch/scale_test.go
+++ b/internal/batch/scale_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // scaleRig steps the cores of a few stores by hand, with many workers that run items at a pace. Nothing
@@ -86,12 +86,12 @@
 // newScaleRigOn has stores on disks of the caller's.
 func newScaleRigOn(stores, workers, inHand int, perSecond int64, newDisk func() disk) *scaleRig {
 	g := &scaleRig{most: workers * inHand * stores / 2, pace: 1e6 / perSecond}
-	var all []view.Store
+	var all []snapshot.Store
 	for i := range stores {
 		c := newCore(uint64(i+1), newDisk())
 		c.zone, c.config = fmt.Sprint("z", i%3), bulkConfig(1<<40)
 		g.cores = append(g.cores, c)
-		all = append(all, view.Store{ID: c.self, Name: fmt.Sprint("s", i), Zone: c.zone})
+		all = append(all, snapshot.Store{ID: c.self, Name: fmt.Sprint("s", i), Zone: c.zone})
 	}
 	table, _ := Assign(nil, all, func(uint64) bool { return false }, 16, 1)
 	g.clock()
--- a/internal/batch/segments.go
+++ b/internal/batch/segments.go
@@ -9,11 +9,11 @@
 	"strings"
 	"sync"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/record"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/recordlog"
 )
 
-// The log of a store is a row of segments, each a file of internal/record. Records are appended to the newest one; the
+// The log of a store is a row of segments, each a file of internal/platform/recordlog. Records are appended to the newest one; the
 // oldest one is removed as a whole when nothing in it is wanted any more. So disk space is given back without writing
 // again what stays.
 //
@@ -40,7 +40,7 @@
 
 type segment struct {
 	number int64
-	*record.Log
+	*recordlog.Log
 }
 
 // fileName of a segment: the first one has the log's name, which is that of a log of before there were segments.
@@ -93,7 +93,7 @@
 	slices.Sort(numbers)
 	for i, number := range numbers {
 		if i > 0 && number != numbers[i-1]+1 {
-			return nil, record.Damaged.New("%s: the segments %d and %d are there, and none between them", l.name, numbers[i-1], number)
+			return nil, recordlog.Damaged.New("%s: the segments %d and %d are there, and none between them", l.name, numbers[i-1], number)
 		}
 	}
 	if len(numbers) == 0 {
@@ -105,7 +105,7 @@
 // openSegment opens the next segment and replays it.
 func (l *segmentedLog) openSegment(number int64, newest bool, replay func(payload []byte, at int64) error) error {
 	records := 0
-	file, err := record.Open(l.folder, l.fileName(number), func(payload []byte, at int64) error {
+	file, err := recordlog.Open(l.folder, l.fileName(number), func(payload []byte, at int64) error {
 		records++
 		if records == 1 && number > 0 {
 			return l.checkPrevious(payload)
@@ -117,7 +117,7 @@
 	}
 	if number > 0 && records == 0 {
 		if !newest {
-			return errors.Join(record.Damaged.New("%s is empty, and there is a newer segment", l.fileName(number)), file.Close())
+			return errors.Join(recordlog.Damaged.New("%s is empty, and there is a newer segment", l.fileName(number)), file.Close())
 		}
 		if err := l.writeHead(file); err != nil { // the process ended while it began the segment
 			return errors.Join(err, file.Close())
@@ -128,7 +128,7 @@
 }
 
 // writeHead writes the first record of a segment that follows the newest one.
-func (l *segmentedLog) writeHead(file *record.Log) error {
+func (l *segmentedLog) writeHead(file *recordlog.Log) error {
 	size := int64(0)
 	if n := len(l.segments); n > 0 {
 		size = l.segments[n-1].Size()
@@ -142,14 +142,14 @@
 // checkPrevious checks the length of the newest segment against what the head of the next one says.
 func (l *segmentedLog) checkPrevious(head []byte) error {
 	if len(head) != 8 {
-		return record.Damaged.New("%s: a segment does not begin with its head", l.name)
+		return recordlog.Damaged.New("%s: a segment does not begin with its head", l.name)
 	}
 	if len(l.segments) == 0 {
 		return nil // the one before it has been removed
 	}
 	last := l.segments[len(l.segments)-1]
 	if want := int64(binary.BigEndian.Uint64(head)); last.Size() < want {
-		return record.Damaged.New("%s: it has %d bytes of the %d that were synced", l.fileName(last.number), last.Size(), want)
+		return recordlog.Damaged.New("%s: it has %d bytes of the %d that were synced", l.fileName(last.number), last.Size(), want)
 	}
 	return nil
 }
@@ -183,7 +183,7 @@
 func (l *segmentedLog) ReadRaw(at int64, n int) ([]byte, error) {
 	s, ok := l.get(segmentOf(at))
 	if !ok {
-		return nil, record.Moved.New("%s: segment %d is not there", l.name, segmentOf(at))
+		return nil, recordlog.Moved.New("%s: segment %d is not there", l.name, segmentOf(at))
 	}
 	return s.Log.ReadRaw(at&segmentMask, n)
 }
@@ -228,8 +228,8 @@
 		return err
 	}
 	number := last.number + 1
-	file, err := record.Open(l.folder, l.fileName(number), func([]byte, int64) error {
-		return record.Damaged.New("%s is there already", l.fileName(number))
+	file, err := recordlog.Open(l.folder, l.fileName(number), func([]byte, int64) error {
+		return recordlog.Damaged.New("%s is there already", l.fileName(number))
 	})
 	if err != nil {
 		return fmt.Errorf("beginning a segment: %w", err)
--- a/internal/batch/segments_test.go
+++ b/internal/batch/segments_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/record"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/recordlog"
 )
 
 // openedLog is a log and what its replay told.
@@ -159,13 +159,13 @@
 			t.Fatalf("before: %d records, %v", len(log.payloads), err)
 		}
 		spoil(d)
-		if log, err := openSegments(d); !record.Damaged.Has(err) {
+		if log, err := openSegments(d); !recordlog.Damaged.Has(err) {
 			t.Errorf("%s: %v, %d records", name, err, len(log.payloads))
 		}
 	}
 	// A log of before there were segments is the first one.
 	d := disktest.New()
-	old, err := record.Open(d, "t.log", nil)
+	old, err := recordlog.Open(d, "t.log", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/batch/sim_test.go
+++ b/internal/batch/sim_test.go
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"dunetide/internal/link"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // world is a whole system in one goroutine: stores, keepers, workers and clients on a clock and links of its
@@ -23,8 +23,8 @@
 	f      int
 	stores []*simStore
 	works  []*simWorker
-	table  *view.Table
-	config *operator.Config
+	table  *snapshot.Table
+	config *operatorconfig.Config
 	cut    func(a, b string) bool // links that are cut
 	slow   func(a, b string) bool // links on which messages take 0.9 s
 
@@ -192,7 +192,7 @@
 	waiting []func() // while frozen
 	synced  bool     // a sync runs
 	pipes   map[string]*simPipe
-	table   *view.Table
+	table   *snapshot.Table
 	heard   int64
 	wiped   bool // taken away for good
 	deaf    bool // keepers don't hear of it, nor it of them
@@ -421,7 +421,7 @@
 }
 
 // take gives a store a table.
-func (s *simStore) take(t *view.Table, life int) {
+func (s *simStore) take(t *snapshot.Table, life int) {
 	s.do(life, func() {
 		if s.table == nil || t.Number > s.table.Number {
 			s.table = t
@@ -558,10 +558,10 @@
 }
 
 // alive are the stores that keepers hear of.
-func (w *world) alive() (alive []view.Store) {
+func (w *world) alive() (alive []snapshot.Store) {
 	for _, s := range w.stores {
 		if s.core != nil && (w.ms()-s.heard < 400 || w.ms() < 300) {
-			alive = append(alive, view.Store{ID: s.core.self, Name: s.name, Addr: s.name, Zone: s.zone})
+			alive = append(alive, snapshot.Store{ID: s.core.self, Name: s.name, Addr: s.name, Zone: s.zone})
 		}
 	}
 	return alive
@@ -590,7 +590,7 @@
 	w.after(100, w.keep)
 }
 
-func (w *world) publish(t *view.Table) {
+func (w *world) publish(t *snapshot.Table) {
 	if w.noAgreement {
 		return
 	}
--- a/internal/batch/steady_test.go
+++ b/internal/batch/steady_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // boundedDisk is a simDisk that never holds more than its size.
@@ -261,8 +261,8 @@
 // TestFullStoresSaySo: a client whose job is refused for want of room hears so at once, and when to come again.
 func TestFullStoresSaySo(t *testing.T) {
 	g := newStoreGroup(t, 10)
-	views := &view.Holder{}
-	views.Set(&view.Snapshot{Config: bulkConfig(0), Table: g.table})
+	views := &snapshot.Holder{}
+	views.Set(&snapshot.Snapshot{Config: bulkConfig(0), Table: g.table})
 	e := NewEdge(EdgeOptions{Views: views, Name: "p", Zone: "z", Logf: t.Logf})
 	defer e.Close()
 	header := map[string]string{"X-Dunetide-Request-Id": "job"}
--- a/internal/batch/stopping_test.go
+++ b/internal/batch/stopping_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
 )
 
 // runsOf counts how often items began, over all workers.
@@ -55,7 +55,7 @@
 			t.Errorf("seed %d: %s had not handed over", seed, s.name)
 		case !late.taken || late.takenAt-begin > 1000:
 			t.Errorf("seed %d: a job was taken after %d ms (taken: %v)", seed, late.takenAt-begin, late.taken)
-		case slices.ContainsFunc(w.table.Parts, func(p view.Part) bool { return p.Primary == self }):
+		case slices.ContainsFunc(w.table.Parts, func(p snapshot.Part) bool { return p.Primary == self }):
 			t.Errorf("seed %d: %s leads in the table: %v", seed, s.name, w.table.Parts)
 		}
 		w.run(3000)
@@ -145,13 +145,13 @@
 type storeGroup struct {
 	t      *testing.T
 	mu     sync.Mutex
-	table  *view.Table
+	table  *snapshot.Table
 	stores []*Store
-	all    []view.Store
+	all    []snapshot.Store
 }
 
 // change changes the table and gives it to all stores.
-func (g *storeGroup) change(change func(cur *view.Table) (*view.Table, bool)) {
+func (g *storeGroup) change(change func(cur *snapshot.Table) (*snapshot.Table, bool)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	next, changed := change(g.table)
@@ -163,7 +163,7 @@
 	}
 	g.table = next
 	for _, s := range g.stores {
-		s.Update(&view.Snapshot{Config: bulkConfig(1000), Table: next})
+		s.Update(&snapshot.Snapshot{Config: bulkConfig(1000), Table: next})
 	}
 }
 
@@ -173,7 +173,7 @@
 	for i := range 3 {
 		s, err := NewStore(StoreOptions{Zone: "z", MachinesLost: 1, KeepMs: 60000, RoomBytes: room, Open: OpenIn(journal.Dir(t.TempDir())),
 			AnnounceStopping: func(store uint64, stopping bool) {
-				go g.change(func(cur *view.Table) (*view.Table, bool) { return SetStopping(cur, store, stopping) })
+				go g.change(func(cur *snapshot.Table) (*snapshot.Table, bool) { return SetStopping(cur, store, stopping) })
 			}})
 		if err != nil {
 			t.Fatal(err)
@@ -186,9 +186,9 @@
 		t.Cleanup(func() { _ = listener.Close() })
 		go func() { _ = link.Serve(listener, s, link.DefaultOptions) }()
 		g.stores = append(g.stores, s)
-		g.all = append(g.all, view.Store{ID: s.ID(), Name: fmt.Sprint("s", i), Addr: listener.Addr().String(), Zone: fmt.Sprint("z", i)})
+		g.all = append(g.all, snapshot.Store{ID: s.ID(), Name: fmt.Sprint("s", i), Addr: listener.Addr().String(), Zone: fmt.Sprint("z", i)})
 	}
-	g.change(func(*view.Table) (*view.Table, bool) { return Assign(nil, g.all, none, 8, 1) })
+	g.change(func(*snapshot.Table) (*snapshot.Table, bool) { return Assign(nil, g.all, none, 8, 1) })
 	return g
 }
 
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -11,10 +11,10 @@
 
 	"github.com/zeebo/errs"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 // Log is where a store keeps what it has: OpenLog's. Here at is the position after a record.
@@ -91,7 +91,7 @@
 func (n noting) Append(b []byte) (int64, error) {
 	defer n.timed()()
 	at, err := n.Log.Append(b)
-	if err != nil && !record.Failed.Has(err) {
+	if err != nil && !recordlog.Failed.Has(err) {
 		err = ErrNoRoom.Wrap(err)
 	}
 	if err == nil {
@@ -151,7 +151,7 @@
 	}
 	c.fail = func(err error) { s.end(fmt.Errorf("the log of batch jobs: %w", err)) }
 	log, err := o.Open(func(payload []byte, at int64) error { return c.replay(payload, at-int64(len(payload))) })
-	if record.NoRoom(err) {
+	if recordlog.NoRoom(err) {
 		return nil, ErrNoRoom.Wrap(err)
 	}
 	if err != nil {
@@ -193,7 +193,7 @@
 func (s *Store) ID() uint64 { return s.core.self }
 
 // Update hands over a newer view. The table in it is the newest that is agreed.
-func (s *Store) Update(v *view.Snapshot) {
+func (s *Store) Update(v *snapshot.Snapshot) {
 	if v == nil {
 		return
 	}
--- a/internal/batch/takeover.go
+++ b/internal/batch/takeover.go
@@ -1,6 +1,6 @@
 package batch
 
-import "dunetide/internal/link"
+import "dunetide/internal/platform/link"
 
 // A new primary collects what the copies have before it goes on.
 
--- a/internal/batch/trouble_test.go
+++ b/internal/batch/trouble_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // untilTrouble waits until the trouble of a store begins with something; empty: until there is none.
--- a/internal/batch/worker.go
+++ b/internal/batch/worker.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // Item is one to be run.
@@ -60,7 +60,7 @@
 	conns  map[uint64]*link.Conn
 	jobs   map[itemKey]*running
 	parts  map[int]*holding // by part: whether its primary knows what is in hand here
-	table  *view.Table
+	table  *snapshot.Table
 	closed bool
 }
 
@@ -164,7 +164,7 @@
 }
 
 // look is told of the newest table.
-func (w *workerSide) look(t *view.Table) {
+func (w *workerSide) look(t *snapshot.Table) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.table == t {
--- a/internal/batch/workers.go
+++ b/internal/batch/workers.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // What workers say, and what they have in hand.
--- a/internal/batch/wrong_test.go
+++ b/internal/batch/wrong_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // The wrong lines would break what docs/batch.md promises, one at a time. The tests have to find each of them.
 
 // wrongReplication are those that the lives of TestEachStep have to find, and TestUnsureIsNoPromise.
-var wrongReplication = []wrongline.Line{
+var wrongReplication = []mutation.Line{
 	{"a copy follows a primary that has been replaced", "confirm.go", "	if ballot >= known {\n", "	if ballot >= known || true {\n"},
 	{"a copy acknowledges before its disk has it", "replication.go", "	c.afterSync(ack)\n", "	ack()\n"},
 	{"a new primary goes on with what it has itself", "takeover.go", "if q.claimB > cb || q.claimB == cb && q.claimS > cs {", "if (q.claimB > cb || q.claimB == cb && q.claimS > cs) && false {"},
@@ -26,7 +26,7 @@
 }
 
 // wrongMembers are those about stores that stop, retire, run full or start again, for which there are tests of their own.
-var wrongMembers = []wrongline.Line{
+var wrongMembers = []mutation.Line{
 	{"a store that stops tells nobody", "stopping.go", "known && c.table.Stopping[c.self] != c.stopping {", "known && c.table.Stopping[c.self] {"},
 	{"a store that stops takes jobs", "calls.go", "	if c.stopping || err != nil {\n", "	if err != nil {\n"},
 	{"a store ends before others lead", "stopping.go", "	if !c.stopping || c.led() > 0 {\n", "	if !c.stopping {\n"},
@@ -46,8 +46,8 @@
 
 // TestWrongLinesStand fails when a line of the lists no longer stands once in the file that it names.
 func TestWrongLinesStand(t *testing.T) {
-	wrongline.Check(t, wrongReplication)
-	wrongline.Check(t, wrongMembers)
+	mutation.Check(t, wrongReplication)
+	mutation.Check(t, wrongMembers)
 }
 
 // TestWrongLines: each mistake that is put in on purpose is found.
@@ -55,8 +55,8 @@
 	if testing.Short() || *onlyWrong == "" {
 		t.Skip("not asked for")
 	}
-	find := func(lines []wrongline.Line, tests string) {
-		wrongline.Find(t, lines, wrongline.Options{Only: *onlyWrong, Args: []string{"-run", tests, "-steps.every=37", "-wrong="},
+	find := func(lines []mutation.Line, tests string) {
+		mutation.Find(t, lines, mutation.Options{Only: *onlyWrong, Args: []string{"-run", tests, "-steps.every=37", "-wrong="},
 			Within: 4 * time.Minute, Parallel: true})
 	}
 	find(wrongReplication, "TestEachStep|TestUnsure")
--- a/internal/agree/agree.go
+++ b/internal/consensus/paxos/agree.go
@@ -4,7 +4,7 @@
 //
 // The core is stepped by one goroutine at a time: it has no clock, no goroutines, no network and no files of its
 // own. Callbacks are called inside steps; they may call the Register.
-package agree
+package paxos
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 
 	"github.com/zeebo/errs"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // Errors of proposals and reads. After all but ErrTimeout nothing was written, for sure.
--- a/internal/agree/golden_test.go
+++ b/internal/consensus/paxos/golden_test.go
@@ -1,4 +1,4 @@
-package agree
+package paxos
 
 import (
 	"encoding/hex"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // updateGolden writes the golden files anew. They are what running nodes send and what disks hold: they change only
--- a/internal/agree/invariants.go
+++ b/internal/consensus/paxos/invariants.go
@@ -1,11 +1,11 @@
-package agree
+package paxos
 
 import (
 	"bytes"
 	"fmt"
 	"slices"
 
-	"dunetide/internal/invariant"
+	"dunetide/internal/platform/invariant"
 )
 
 // oneValueASlot is the promise that all others of a register rest on: whoever learns a slot learns the same value of it.
--- a/internal/agree/invariants_test.go
+++ b/internal/consensus/paxos/invariants_test.go
@@ -1,9 +1,9 @@
-package agree
+package paxos
 
 import (
 	"testing"
 
-	"dunetide/internal/invariant/invarianttest"
+	"dunetide/internal/platform/invariant/invarianttest"
 )
 
 func TestTwoValuesOfOneSlotAreFound(t *testing.T) {
--- a/internal/agree/sim_test.go
+++ b/internal/consensus/paxos/sim_test.go
@@ -1,4 +1,4 @@
-package agree
+package paxos
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // world is a simulation by seed: machines with disks, links between them, clients, and one clock. It panics with
--- a/internal/agree/state.go
+++ b/internal/consensus/paxos/state.go
@@ -1,10 +1,10 @@
-package agree
+package paxos
 
 import (
 	"bytes"
 	"slices"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // Voter is one who decides. Its ID is drawn at random when its disk is first used and kept there: an emptied disk
--- a/internal/agree/steps_test.go
+++ b/internal/consensus/paxos/steps_test.go
@@ -1,4 +1,4 @@
-package agree
+package paxos
 
 import (
 	"errors"
--- a/internal/agree/wrong_test.go
+++ b/internal/consensus/paxos/wrong_test.go
@@ -1,14 +1,14 @@
-package agree
+package paxos
 
 import (
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that would break what the page promises, one at a time. The tests have to find each of them.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"a promise is not saved", "agree.go", "if !r.save(promisePayload(m.slot, m.ballot)) {", "if false {"},
 	{"what is accepted is not saved", "agree.go", "if !r.save(acceptedPayload(m.ballot, m.state)) {", "if false {"},
 	{"what is decided is not saved", "agree.go", "	if r.save(r.toStore) {", "	if true {"},
@@ -51,12 +51,12 @@
 }
 
 // TestWrongLinesStand has the list follow the code.
-func TestWrongLinesStand(t *testing.T) { wrongline.Check(t, wrong) }
+func TestWrongLinesStand(t *testing.T) { mutation.Check(t, wrong) }
 
 // Each wrong line is found by the tests. This takes minutes and all cores, so it is asked for: AGREE_WRONG=1, or
 // a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "AGREE_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only, Args: []string{"-run", "TestChaos|TestLastFault|TestKilled|TestEveryOrder|TestStrangers|TestNoVoter|TestSnapshot"},
+	only := mutation.Asked(t, "AGREE_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "TestChaos|TestLastFault|TestKilled|TestEveryOrder|TestStrangers|TestNoVoter|TestSnapshot"},
 		Env: []string{"AGREE_WRONG=", "AGREE_SEEDS=5000"}, Within: 5 * time.Minute})
 }
--- a/internal/contact/contact_test.go
+++ b/internal/consensus/quorum/contact_test.go
@@ -1,4 +1,4 @@
-package contact
+package quorum
 
 import (
 	"slices"
--- a/internal/contact/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -1,4 +1,4 @@
-package contact
+package quorum
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // The model has keepers with a gate and a register each, in one simulated time. They are cut off from each other in one
@@ -78,7 +78,7 @@
 
 // modelState is who votes after a decision, and when the first keeper knew it.
 type modelState struct {
-	voters  []agree.Voter
+	voters  []paxos.Voter
 	decided time.Duration
 }
 
@@ -99,7 +99,7 @@
 	frozen   bool
 	waiting  []func() // what comes while it is frozen
 	payloads [][]byte
-	register *agree.Register
+	register *paxos.Register
 	gate     *Gate[int]
 	value    uint64
 	attached map[int]*modelProcess
@@ -128,7 +128,7 @@
 
 func newModel(seed uint64) *model {
 	m := &model{rnd: rand.New(rand.NewPCG(seed, 11))}
-	var voters []agree.Voter
+	var voters []paxos.Voter
 	for i := range modelKeepers {
 		k := &modelKeeper{m: m, i: i, id: m.nextIdentity()}
 		m.keepers = append(m.keepers, k)
@@ -145,8 +145,8 @@
 	return m
 }
 
-func (k *modelKeeper) voter() agree.Voter {
-	return agree.Voter{ID: k.id, Name: fmt.Sprint("k", k.i), Addr: strconv.Itoa(k.i)}
+func (k *modelKeeper) voter() paxos.Voter {
+	return paxos.Voter{ID: k.id, Name: fmt.Sprint("k", k.i), Addr: strconv.Itoa(k.i)}
 }
 
 func (m *model) nextIdentity() uint64 {
@@ -166,7 +166,7 @@
 	for j := range k.received {
 		k.received[j] = -time.Hour
 	}
-	register, err := agree.New(agree.Options{Name: "r", ID: k.id, Proposer: k.m.rnd.Uint64() | 1, Rand: k.m.rnd.Float64,
+	register, err := paxos.New(paxos.Options{Name: "r", ID: k.id, Proposer: k.m.rnd.Uint64() | 1, Rand: k.m.rnd.Float64,
 		Save:    func(b []byte) error { k.payloads = append(k.payloads, bytes.Clone(b)); return nil },
 		Send:    k.transmit,
 		Decided: k.decided,
@@ -235,7 +235,7 @@
 	now := k.clock()
 	if k.gate.Due(now) {
 		k.gate.Asked(now)
-		k.register.Read(now, 700*ms, func(s agree.State, err error) {
+		k.register.Read(now, 700*ms, func(s paxos.State, err error) {
 			if err == nil {
 				k.decided(s)
 			}
@@ -243,7 +243,7 @@
 		})
 	}
 	if k.gate.BeginRead(now) {
-		k.register.Read(now, time.Second, func(s agree.State, err error) {
+		k.register.Read(now, time.Second, func(s paxos.State, err error) {
 			if err == nil {
 				k.decided(s)
 			}
@@ -256,7 +256,7 @@
 
 func (k *modelKeeper) schedule() {
 	next := k.clock() + 200*ms
-	if at := k.register.Next(); at != agree.Never {
+	if at := k.register.Next(); at != paxos.Never {
 		next = min(next, at)
 	}
 	if at, ok := k.gate.Next(k.clock()); ok {
@@ -276,7 +276,7 @@
 	})
 }
 
-func (k *modelKeeper) decided(s agree.State) {
+func (k *modelKeeper) decided(s paxos.State) {
 	if int(s.Slot) == len(k.m.states) {
 		k.m.states = append(k.m.states, modelState{slices.Clone(s.Voters), k.m.now})
 	}
@@ -286,7 +286,7 @@
 }
 
 // transmit sends a message. It bears when it was sent, and when the newest was that has come from the other side.
-func (k *modelKeeper) transmit(to agree.Voter, b []byte) {
+func (k *modelKeeper) transmit(to paxos.Voter, b []byte) {
 	j, _ := strconv.Atoi(to.Addr)
 	if k.m.cut[k.i][j] {
 		return
@@ -322,7 +322,7 @@
 	k.m.fail("%v: keeper %d, without a majority: %s", k.m.now, k.i, what)
 }
 
-func (k *modelKeeper) backedBy(voters []agree.Voter, from time.Duration) bool {
+func (k *modelKeeper) backedBy(voters []paxos.Voter, from time.Duration) bool {
 	backing := 0
 	for _, voter := range voters {
 		if answeredAt, there := k.answered[voter.ID]; voter.ID == k.id || there && answeredAt >= from {
@@ -349,14 +349,14 @@
 
 // put is an operator's call.
 func (k *modelKeeper) put() {
-	k.register.Propose(k.clock(), 900*ms, func(cur agree.State) (agree.State, error) {
+	k.register.Propose(k.clock(), 900*ms, func(cur paxos.State) (paxos.State, error) {
 		value := uint64(0)
 		if len(cur.Value) == 8 {
 			value = binary.BigEndian.Uint64(cur.Value)
 		}
 		cur.Value = binary.BigEndian.AppendUint64(nil, value+1)
 		return cur, nil
-	}, func(s agree.State, err error) {
+	}, func(s paxos.State, err error) {
 		if err == nil {
 			k.decided(s)
 			k.m.confirmed = max(k.m.confirmed, binary.BigEndian.Uint64(s.Value))
--- a/internal/contact/model_troubles_test.go
+++ b/internal/consensus/quorum/model_troubles_test.go
@@ -1,9 +1,9 @@
-package contact
+package quorum
 
 import (
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // troubles play one trouble after the other.
@@ -109,7 +109,7 @@
 	k.payloads = nil
 	k.id = k.m.nextIdentity()
 	k.restart(k.m.upTo(300 * ms))
-	k.m.changeVoters(func(cur agree.State) (agree.State, bool) {
+	k.m.changeVoters(func(cur paxos.State) (paxos.State, bool) {
 		for _, voter := range cur.Voters {
 			if voter.Name == k.voter().Name {
 				return cur.WithReplacement(voter.ID, k.voter())
@@ -120,17 +120,17 @@
 }
 
 // changeVoters has any keeper propose a change until one has been told that it is decided, or not needed.
-func (m *model) changeVoters(change func(cur agree.State) (next agree.State, changed bool)) {
+func (m *model) changeVoters(change func(cur paxos.State) (next paxos.State, changed bool)) {
 	m.changing = true
 	proposer, decided := m.anyKeeper(), false
 	proposer.do(func() {
-		proposer.register.Propose(proposer.clock(), time.Second, func(cur agree.State) (agree.State, error) {
+		proposer.register.Propose(proposer.clock(), time.Second, func(cur paxos.State) (paxos.State, error) {
 			next, changed := change(cur)
 			if !changed {
-				return cur, agree.ErrUnchanged
+				return cur, paxos.ErrUnchanged
 			}
 			return next, nil
-		}, func(_ agree.State, err error) { decided = err == nil })
+		}, func(_ paxos.State, err error) { decided = err == nil })
 	})
 	m.after(1100*ms, func() {
 		if !decided {
@@ -148,7 +148,7 @@
 		return
 	}
 	joiner, leaver, draw := m.anyKeeper(), m.anyKeeper(), m.rnd.IntN(3)
-	m.changeVoters(func(cur agree.State) (agree.State, bool) {
+	m.changeVoters(func(cur paxos.State) (paxos.State, bool) {
 		switch {
 		case draw == 0:
 			return cur.WithReplacement(leaver.id, joiner.voter())
--- a/internal/contact/tracker.go
+++ b/internal/consensus/quorum/tracker.go
@@ -1,7 +1,7 @@
 // Package contact decides what a keeper may say of the agreed registers. A keeper is in contact while a majority of
 // the voters has answered it recently; contact runs out by itself. The package is stepped: it has no clock, no links
 // and no goroutines. Times are on the steady clock of the keeper's life.
-package contact
+package quorum
 
 import "time"
 
--- a/internal/contact/wrong_test.go
+++ b/internal/consensus/quorum/wrong_test.go
@@ -1,14 +1,14 @@
-package contact
+package quorum
 
 import (
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that would break what the package promises, one at a time. The model alone has to find each of them.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"contact counted from the answer", "tracker.go", "	until := beganAt + Length\n", "	until := now + Length\n"},
 	{"contact not looked at again after a freeze", "tracker.go", "return t.advance(now) < t.until }", "return t.until != 0 && (t.latest < t.until || t.asking) }"},
 	{"contact for life", "tracker.go", "return t.advance(now) < t.until }", "return t.until != 0 }"},
@@ -20,21 +20,21 @@
 	{"acknowledged without contact", "tracker.go", "return t.advance(now) < t.until }", "return t.advance(now) >= 0 }"},
 	{"time since the start by the time of day", "model_test.go", "return a.steady - b.steady }", "return a.day - b.day }"},
 	{"a wiped disk is the voter that it was", "model_troubles_test.go", "	k.id = k.m.nextIdentity()\n", ""},
-	{"the value is not kept over a change of voters", "../agree/members.go", "	next.Voters[i] = joiner\n", "	next.Voters[i], next.Value = joiner, nil\n"},
-	{"a majority of the first voters", "../agree/proposer.go", "return len(r.state.Voters)/2 + 1", "return 2"},
-	{"half of the voters", "../agree/proposer.go", "return len(r.state.Voters)/2 + 1", "return (len(r.state.Voters) + 1) / 2"},
-	{"asked for a state that has been followed", "../agree/agree.go", "	case r.known && r.state.Slot >= m.slot:\n		r.sendState(from)\n		return\n", ""},
+	{"the value is not kept over a change of voters", "../paxos/members.go", "	next.Voters[i] = joiner\n", "	next.Voters[i], next.Value = joiner, nil\n"},
+	{"a majority of the first voters", "../paxos/proposer.go", "return len(r.state.Voters)/2 + 1", "return 2"},
+	{"half of the voters", "../paxos/proposer.go", "return len(r.state.Voters)/2 + 1", "return (len(r.state.Voters) + 1) / 2"},
+	{"asked for a state that has been followed", "../paxos/agree.go", "	case r.known && r.state.Slot >= m.slot:\n		r.sendState(from)\n		return\n", ""},
 	{"handed out without contact", "gate.go", "	return g.Holds(now) && g.confirmed[key]\n", "	return g.confirmed[key]\n"},
 }
 
 // Each wrong line can still be put where it belongs.
 func TestWrongLinesStand(t *testing.T) {
-	wrongline.Check(t, wrong)
+	mutation.Check(t, wrong)
 }
 
 // Each wrong line is found by the model. This takes a while, so it is asked for: CONTACT_WRONG=1, or a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "CONTACT_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only, Args: []string{"-run", "^TestModel$"},
+	only := mutation.Asked(t, "CONTACT_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "^TestModel$"},
 		Env: []string{"CONTACT_WRONG=", "CONTACT_SEEDS=100"}, Within: 2 * time.Minute})
 }
--- a/internal/reconfigure/enumerate_test.go
+++ b/internal/consensus/reconfigure/enumerate_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // machine is a machine with a disk in the enumeration, or what is left of one in the voters.
@@ -91,7 +91,7 @@
 		if reverse {
 			id = uint64(1000 * (len(w.machines) - i))
 		}
-		identity := agree.Voter{ID: id, Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}
+		identity := paxos.Voter{ID: id, Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}
 		if m.voter {
 			voter := Voter{Voter: identity, Heard: m.connected()}
 			if !voter.Heard {
--- a/internal/reconfigure/fence_test.go
+++ b/internal/consensus/reconfigure/fence_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // replacedWhileAway has the voter that holds the duty cut off until another machine has its seat.
@@ -88,8 +88,8 @@
 		s.runUntil(s.now + 100*time.Millisecond)
 		decided := false
 		newest.step(func() {
-			newest.register.Propose(s.now, time.Second, func(current agree.State) (agree.State, error) { return current, nil },
-				func(_ agree.State, err error) { decided = decided || err == nil })
+			newest.register.Propose(s.now, time.Second, func(current paxos.State) (paxos.State, error) { return current, nil },
+				func(_ paxos.State, err error) { decided = decided || err == nil })
 		})
 		s.runUntil(s.now + 1500*time.Millisecond)
 		if decided {
@@ -98,7 +98,7 @@
 	})
 }
 
-func indexOf(state agree.State, id uint64) int {
+func indexOf(state paxos.State, id uint64) int {
 	for i, voter := range state.Voters {
 		if voter.ID == id {
 			return i
--- a/internal/reconfigure/observer.go
+++ b/internal/consensus/reconfigure/observer.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // Report is what a keeper with a disk tells the others of itself.
 type Report struct {
-	Keeper agree.Voter
+	Keeper paxos.Voter
 	// Heard are the identities of the keepers to which it is connected.
 	Heard []uint64
 	// Stored is the newest slot of the register that it has stored, plus one; 0: none.
@@ -42,7 +42,7 @@
 type contact struct{ heard, unheard bool }
 
 // Observe takes in the newest reports of the keepers that are connected, the own one included.
-func (o *Observer) Observe(now time.Duration, state agree.State, reports []Report) {
+func (o *Observer) Observe(now time.Duration, state paxos.State, reports []Report) {
 	o.observeSlot(now, state.Slot)
 	o.observeAbsent(state, reports)
 	unheardSince := map[uint64]time.Duration{}
@@ -67,7 +67,7 @@
 }
 
 // observeAbsent notes which keepers are no voters, and from which slot on.
-func (o *Observer) observeAbsent(state agree.State, reports []Report) {
+func (o *Observer) observeAbsent(state paxos.State, reports []Report) {
 	absentSince := map[uint64]uint64{}
 	for _, report := range reports {
 		id := report.Keeper.ID
@@ -84,7 +84,7 @@
 
 // knowsOfAbsence tells whether a keeper that is no voter made its report after it had stored that. A report from before
 // may not say yet that the keeper leaves, for which it was removed: such a keeper must not become a voter again.
-func (o *Observer) knowsOfAbsence(state agree.State, report Report) bool {
+func (o *Observer) knowsOfAbsence(state paxos.State, report Report) bool {
 	since, observed := o.absentSince[report.Keeper.ID]
 	if !observed {
 		since = state.Slot
@@ -101,7 +101,7 @@
 }
 
 // Situation is what is known for a decision on the voters of a state.
-func (o *Observer) Situation(now time.Duration, state agree.State, reports []Report, limits Limits) Situation {
+func (o *Observer) Situation(now time.Duration, state paxos.State, reports []Report, limits Limits) Situation {
 	s := Situation{Limits: limits}
 	known := contacts(state.Voters, reports)
 	for _, voter := range state.Voters {
@@ -121,10 +121,10 @@
 	return s
 }
 
-func contacts(voters []agree.Voter, reports []Report) map[uint64]contact {
+func contacts(voters []paxos.Voter, reports []Report) map[uint64]contact {
 	var byVoters []Report // by keepers that are no voters nothing is decided
 	for _, report := range reports {
-		if slices.ContainsFunc(voters, func(v agree.Voter) bool { return v.ID == report.Keeper.ID }) {
+		if slices.ContainsFunc(voters, func(v paxos.Voter) bool { return v.ID == report.Keeper.ID }) {
 			byVoters = append(byVoters, report)
 		}
 	}
--- a/internal/reconfigure/observer_test.go
+++ b/internal/consensus/reconfigure/observer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // reportsOf reads reports such as "1:123 2:12": who reports, and whom it hears.
@@ -14,7 +14,7 @@
 	var reports []Report
 	for _, field := range strings.Fields(text) {
 		who, whom, _ := strings.Cut(field, ":")
-		report := Report{Keeper: agree.Voter{ID: uint64(who[0] - '0'), Name: who, Addr: who}, Stored: 1}
+		report := Report{Keeper: paxos.Voter{ID: uint64(who[0] - '0'), Name: who, Addr: who}, Stored: 1}
 		for _, heard := range whom {
 			report.Heard = append(report.Heard, uint64(heard-'0'))
 		}
@@ -23,11 +23,11 @@
 	return reports
 }
 
-func numbered(n int) []agree.Voter {
-	var voters []agree.Voter
+func numbered(n int) []paxos.Voter {
+	var voters []paxos.Voter
 	for i := range n {
 		name := fmt.Sprint(i + 1)
-		voters = append(voters, agree.Voter{ID: uint64(i + 1), Name: name, Addr: name})
+		voters = append(voters, paxos.Voter{ID: uint64(i + 1), Name: name, Addr: name})
 	}
 	return voters
 }
@@ -74,7 +74,7 @@
 
 // The time counts from the first report of a majority, and starts anew when the voter is heard in between.
 func TestUnheardFor(t *testing.T) {
-	state := agree.State{Voters: numbered(3)}
+	state := paxos.State{Voters: numbered(3)}
 	cut, whole := reportsOf("1:12 2:12"), reportsOf("1:123 2:123 3:123")
 	var o Observer
 	unheardFor := func(now time.Duration, reports []Report) time.Duration {
@@ -116,10 +116,10 @@
 		var o Observer
 		reports := reportsOf("7:")
 		reports[0].Stored = c.stored
-		var state agree.State
+		var state paxos.State
 		var now time.Duration
 		for _, seen := range c.slots {
-			now, state = seen.at, agree.State{Slot: seen.slot, Voters: numbered(3)}
+			now, state = seen.at, paxos.State{Slot: seen.slot, Voters: numbered(3)}
 			o.Observe(now, state, reports)
 		}
 		if got := o.Situation(now, state, reports, Limits{}).Keepers[0].CaughtUp; got != c.want {
@@ -131,8 +131,8 @@
 // A keeper that leaves is removed by a change that others may hear of before they hear that it leaves. By what it reported before, it does
 // not become a voter again; by a report of a keeper that has stored its removal, it does.
 func TestRemovedKeeperIsNoCandidateByAnOlderReport(t *testing.T) {
-	with := agree.State{Slot: 77, Voters: numbered(4)}
-	without := agree.State{Slot: 78, Voters: numbered(3)}
+	with := paxos.State{Slot: 77, Voters: numbered(4)}
+	without := paxos.State{Slot: 78, Voters: numbered(3)}
 	limits := Limits{Survive: 1, MostVoters: 9, GiveUpAfter: time.Second}
 	older := reportsOf("1:1234 2:1234 3:1234 4:1234")
 	for i := range older {
@@ -144,16 +144,16 @@
 	leaves[3].Leaving = true
 	for _, c := range []struct {
 		what     string
-		observed []agree.State
+		observed []paxos.State
 		reports  []Report
 		added    bool
 	}{
-		{"the removal is observed", []agree.State{with, without}, older, false},
-		{"the removal comes after the newest observation", []agree.State{with}, older, false},
-		{"the first observation is that of the removal", []agree.State{without}, older, false},
-		{"it has stored the removal and leaves", []agree.State{with, without}, leaves, false},
-		{"it has stored the removal and was started again", []agree.State{with, without}, stored, true},
-		{"it was removed, added and removed again", []agree.State{{Slot: 70, Voters: numbered(3)}, with, without}, older, false},
+		{"the removal is observed", []paxos.State{with, without}, older, false},
+		{"the removal comes after the newest observation", []paxos.State{with}, older, false},
+		{"the first observation is that of the removal", []paxos.State{without}, older, false},
+		{"it has stored the removal and leaves", []paxos.State{with, without}, leaves, false},
+		{"it has stored the removal and was started again", []paxos.State{with, without}, stored, true},
+		{"it was removed, added and removed again", []paxos.State{{Slot: 70, Voters: numbered(3)}, with, without}, older, false},
 	} {
 		var o Observer
 		for i, state := range c.observed {
--- a/internal/reconfigure/reconfigure.go
+++ b/internal/consensus/reconfigure/reconfigure.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // leastGiveUp is the shortest time after which a voter that nobody hears may lose its seat.
@@ -20,7 +20,7 @@
 
 // Voter is a voter of a register and what the voters report of it.
 type Voter struct {
-	agree.Voter
+	paxos.Voter
 	// Heard says that a majority of the voters, itself included, hears it.
 	Heard bool
 	// UnheardFor is for how long a majority of the voters has been reporting that they do not hear it; 0: they have
@@ -30,7 +30,7 @@
 
 // Keeper is a connected keeper with a disk, voter or not.
 type Keeper struct {
-	agree.Voter // as it is connected now
+	paxos.Voter // as it is connected now
 	// CaughtUp says that it has stored the newest state of the register.
 	CaughtUp bool
 	// Leaving says that it has announced its end.
@@ -71,7 +71,7 @@
 // Change is one change of the voters: Old leaves, New joins. One of them may be nil.
 type Change struct {
 	Reason   Reason
-	Old, New *agree.Voter
+	Old, New *paxos.Voter
 }
 
 // Next gives the change of voters that comes next; false: none.
@@ -85,7 +85,7 @@
 }
 
 // Apply gives the state with the change made. False: its voters are no longer those that the change was decided for.
-func (c Change) Apply(current agree.State, decidedFor []agree.Voter) (agree.State, bool) {
+func (c Change) Apply(current paxos.State, decidedFor []paxos.Voter) (paxos.State, bool) {
 	if !slices.Equal(current.Voters, decidedFor) {
 		return current, false
 	}
--- a/internal/reconfigure/reconfigure_test.go
+++ b/internal/consensus/reconfigure/reconfigure_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 const testGiveUp = 2500 * time.Millisecond
@@ -17,8 +17,8 @@
 // another address.
 func parse(voters, keepers string) Situation {
 	s := Situation{Limits: Limits{1, 9, testGiveUp}}
-	identity := func(text string) agree.Voter {
-		return agree.Voter{ID: uint64(text[0] - '0'), Name: text[1:2], Addr: strings.ToUpper(text[1:2])}
+	identity := func(text string) paxos.Voter {
+		return paxos.Voter{ID: uint64(text[0] - '0'), Name: text[1:2], Addr: strings.ToUpper(text[1:2])}
 	}
 	for _, text := range strings.Fields(voters) {
 		voter := Voter{Voter: identity(text), Heard: len(text) == 2}
@@ -37,15 +37,15 @@
 	return s
 }
 
-func (s Situation) state() agree.State {
-	var state agree.State
+func (s Situation) state() paxos.State {
+	var state paxos.State
 	for _, voter := range s.Voters {
 		state.Voters = append(state.Voters, voter.Voter)
 	}
 	return state
 }
 
-func show(voters []agree.Voter) string {
+func show(voters []paxos.Voter) string {
 	var names []string
 	for _, voter := range voters {
 		names = append(names, fmt.Sprint(voter.ID, voter.Name))
@@ -141,7 +141,7 @@
 				for i := range voters {
 					voter := kinds[rest%len(kinds)]
 					rest /= len(kinds)
-					voter.Voter = agree.Voter{ID: uint64(i + 1), Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}
+					voter.Voter = paxos.Voter{ID: uint64(i + 1), Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}
 					s.Voters = append(s.Voters, voter)
 					if voter.Heard {
 						s.Keepers = append(s.Keepers, Keeper{Voter: voter.Voter, CaughtUp: true, Leaving: flags>>i&1 == 1})
@@ -149,7 +149,7 @@
 				}
 				for i := range 2 {
 					if flags>>(voters+i)&1 == 1 {
-						joiner := agree.Voter{ID: uint64(50 + i), Name: fmt.Sprint("n", 4*i), Addr: fmt.Sprint("b", i)}
+						joiner := paxos.Voter{ID: uint64(50 + i), Name: fmt.Sprint("n", 4*i), Addr: fmt.Sprint("b", i)}
 						s.Keepers = append(s.Keepers, Keeper{Voter: joiner, CaughtUp: flags>>(voters+2)&1 == 1})
 					}
 				}
--- a/internal/reconfigure/sim_test.go
+++ b/internal/consensus/reconfigure/sim_test.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/duty"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/singleton"
 )
 
 // Times of the simulation, as keepers have them.
@@ -106,11 +106,11 @@
 	lostUntil  time.Duration // until then it counts as lost, though it is up
 
 	life      int
-	register  *agree.Register
-	state     agree.State // the newest that is stored
+	register  *paxos.Register
+	state     paxos.State // the newest that is stored
 	known     bool
-	grants    *duty.Grants
-	candidate *duty.Candidate
+	grants    *singleton.Grants
+	candidate *singleton.Candidate
 	observer  *Observer
 	reports   map[uint64]*simReport // by identity
 	changing  bool
@@ -125,7 +125,7 @@
 	at   time.Duration
 }
 
-func (m *simMachine) voter() agree.Voter { return agree.Voter{ID: m.id, Name: m.name, Addr: m.addr} }
+func (m *simMachine) voter() paxos.Voter { return paxos.Voter{ID: m.id, Name: m.name, Addr: m.addr} }
 func (m *simMachine) connected() bool    { return m.up && !m.cut }
 
 // counts tells whether the machine counts as lost.
@@ -137,7 +137,7 @@
 	for range machines {
 		s.addMachine()
 	}
-	var seeds []agree.Voter
+	var seeds []paxos.Voter
 	for _, m := range s.machines[:3] {
 		seeds = append(seeds, m.voter())
 	}
@@ -178,12 +178,12 @@
 func (m *simMachine) start() {
 	s := m.s
 	m.up, m.leaving, m.changing, m.life, m.behind, m.tickSet = true, false, false, m.life+1, 0, 0
-	m.grants, m.candidate, m.observer = duty.NewGrants(s.now), duty.NewCandidate(s.rng.Float64), &Observer{}
+	m.grants, m.candidate, m.observer = singleton.NewGrants(s.now), singleton.NewCandidate(s.rng.Float64), &Observer{}
 	m.reports = map[uint64]*simReport{}
-	register, err := agree.New(agree.Options{Name: "r", ID: m.id, Proposer: s.rng.Uint64() | 1, Rand: s.rng.Float64,
+	register, err := paxos.New(paxos.Options{Name: "r", ID: m.id, Proposer: s.rng.Uint64() | 1, Rand: s.rng.Float64,
 		Save:    func(payload []byte) error { m.disk = append(m.disk, bytes.Clone(payload)); return nil },
 		Send:    m.sendRegister,
-		Decided: func(state agree.State) { m.state, m.known = state, true; s.observe(state) },
+		Decided: func(state paxos.State) { m.state, m.known = state, true; s.observe(state) },
 	}, m.disk)
 	if err != nil {
 		s.fail("%s: %v", m.name, err)
@@ -217,7 +217,7 @@
 	})
 }
 
-func (m *simMachine) sendRegister(to agree.Voter, message []byte) {
+func (m *simMachine) sendRegister(to paxos.Voter, message []byte) {
 	for _, other := range m.s.machines {
 		if other.addr == to.Addr {
 			from := m.voter()
@@ -237,7 +237,7 @@
 
 func (m *simMachine) scheduleRegister() {
 	next := m.register.Next()
-	if next == agree.Never || m.tickSet != 0 && m.tickSet <= next && m.tickSet > m.s.now {
+	if next == paxos.Never || m.tickSet != 0 && m.tickSet <= next && m.tickSet > m.s.now {
 		return
 	}
 	m.tickSet = max(next, m.s.now+time.Millisecond)
@@ -338,17 +338,17 @@
 	}
 }
 
-func (m *simMachine) change(change Change, state agree.State, within time.Duration, done func(error)) {
+func (m *simMachine) change(change Change, state paxos.State, within time.Duration, done func(error)) {
 	m.changing = true
 	m.s.note("%s: %v of slot %d: old %v, new %v", m.name, change.Reason, state.Slot, change.Old, change.New)
 	m.step(func() {
-		m.register.Propose(m.s.now, within, func(current agree.State) (agree.State, error) {
+		m.register.Propose(m.s.now, within, func(current paxos.State) (paxos.State, error) {
 			next, applied := change.Apply(current, state.Voters)
 			if !applied {
-				return current, agree.ErrUnchanged
+				return current, paxos.ErrUnchanged
 			}
 			return next, nil
-		}, func(_ agree.State, err error) {
+		}, func(_ paxos.State, err error) {
 			m.changing = false
 			done(err)
 		})
@@ -356,7 +356,7 @@
 }
 
 // askLease asks the voters for the lease of the duty.
-func (m *simMachine) askLease(state agree.State) {
+func (m *simMachine) askLease(state paxos.State) {
 	if m.leaving || m.behind != 0 || !state.Has(m.id) {
 		return
 	}
@@ -389,7 +389,7 @@
 	return nil
 }
 
-func (m *simMachine) answered(state agree.State, round uint64, voter agree.Voter, granted bool) {
+func (m *simMachine) answered(state paxos.State, round uint64, voter paxos.Voter, granted bool) {
 	if granted {
 		m.candidate.Granted(m.s.now, round, voter.Name)
 	} else if m.candidate.Refused(m.s.now, round, voter.Name) {
@@ -397,7 +397,7 @@
 	}
 }
 
-func (m *simMachine) releaseGrants(state agree.State) {
+func (m *simMachine) releaseGrants(state paxos.State) {
 	m.grants.Release(simDuty, m.name)
 	for _, voter := range state.Voters {
 		if peer := m.peer(voter.ID); peer != nil {
@@ -406,7 +406,7 @@
 	}
 }
 
-func (m *simMachine) leaseAsked(by *simMachine, state agree.State, round uint64) {
+func (m *simMachine) leaseAsked(by *simMachine, state paxos.State, round uint64) {
 	granted := m.mayGrant(by.id) && m.grants.Ask(m.s.now, simDuty, by.name)
 	life := by.life
 	m.transmit(by, func() {
@@ -446,7 +446,7 @@
 		switch next {
 		case StepConfirm:
 			m.step(func() {
-				m.register.Read(m.s.now, within, func(read agree.State, err error) {
+				m.register.Read(m.s.now, within, func(read paxos.State, err error) {
 					if err == nil && !read.Has(m.id) {
 						m.soon(0, end)
 					} else {
@@ -470,7 +470,7 @@
 }
 
 // observe is told every decided state.
-func (s *simulation) observe(state agree.State) {
+func (s *simulation) observe(state paxos.State) {
 	if earlier, known := s.chain[state.Slot]; known {
 		if !bytes.Equal(earlier, encoded(state)) {
 			s.fail("slot %d has two states", state.Slot)
@@ -484,7 +484,7 @@
 	}
 }
 
-func encoded(state agree.State) []byte {
+func encoded(state paxos.State) []byte {
 	text := fmt.Sprintf("%v", state.Voters)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), append([]byte(text), state.Value...)...)
 }
@@ -522,7 +522,7 @@
 	}
 	m := reachable[s.rng.IntN(len(reachable))]
 	m.step(func() {
-		m.register.Propose(s.now, 900*time.Millisecond, func(current agree.State) (agree.State, error) {
+		m.register.Propose(s.now, 900*time.Millisecond, func(current paxos.State) (paxos.State, error) {
 			for value := current.Value; len(value) > 0; value = value[8:] {
 				if binary.BigEndian.Uint64(value) == o.id {
 					return current, errTaken
@@ -530,7 +530,7 @@
 			}
 			current.Value = binary.BigEndian.AppendUint64(current.Value, o.id)
 			return current, nil
-		}, func(_ agree.State, err error) { o.taken = o.taken || err == nil || errors.Is(err, errTaken) })
+		}, func(_ paxos.State, err error) { o.taken = o.taken || err == nil || errors.Is(err, errTaken) })
 	})
 	s.after(200*time.Millisecond, func() { s.sendOrder(o) })
 }
@@ -544,7 +544,7 @@
 func (s *simulation) checkTaken() {
 	type reading struct {
 		m     *simMachine
-		state *agree.State
+		state *paxos.State
 	}
 	var taken []uint64
 	for id, o := range s.orders {
@@ -558,7 +558,7 @@
 			r := &reading{m: m}
 			readings = append(readings, r)
 			m.step(func() {
-				m.register.Read(s.now, simAck, func(state agree.State, err error) {
+				m.register.Read(s.now, simAck, func(state paxos.State, err error) {
 					if err == nil {
 						r.state = &state
 					}
--- a/internal/reconfigure/wrong_test.go
+++ b/internal/consensus/reconfigure/wrong_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that would break what the package promises, one at a time. The tests have to find each of them.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"nobody is removed", "reconfigure.go", "	if len(s.Voters)-1 < s.leastVoters() || !s.decidesWithout(voter.ID, 0) {", "	if true {"},
 	{"a leaver below the least removes itself", "reconfigure.go", "	if len(s.Voters)-1 < s.leastVoters() || !s.decidesWithout(voter.ID, 0) {", "	if !s.decidesWithout(voter.ID, 0) {"},
 	{"a removal after which no majority is heard", "reconfigure.go", "	if len(s.Voters)-1 < s.leastVoters() || !s.decidesWithout(voter.ID, 0) {", "	if len(s.Voters)-1 < s.leastVoters() {"},
@@ -26,7 +26,7 @@
 	{"half is a majority", "reconfigure.go", "return voters/2 + 1", "return (voters + 1) / 2"},
 	{"the newest voters are not compared", "reconfigure.go", "	if !slices.Equal(current.Voters, decidedFor) {", "	if false {"},
 	{"one voter's word is enough", "observer.go", "unheard: notHearing >= Majority(voters)}", "unheard: notHearing > 0}"},
-	{"the word of keepers that do not vote", "observer.go", "func(v agree.Voter) bool { return v.ID == report.Keeper.ID }) {", "func(v agree.Voter) bool { return true }) {"},
+	{"the word of keepers that do not vote", "observer.go", "func(v paxos.Voter) bool { return v.ID == report.Keeper.ID }) {", "func(v paxos.Voter) bool { return true }) {"},
 	{"the time unheard never starts anew", "observer.go", "	o.unheardSince = unheardSince\n", "	if o.unheardSince == nil {\n		o.unheardSince = unheardSince\n	}\n"},
 	{"the state before counts as caught up", "observer.go", "caughtUp := report.Stored > o.mustHave(state.Slot)\n", "caughtUp := report.Stored >= o.mustHave(state.Slot)\n"},
 	{"only who has the very newest state counts as caught up", "observer.go", "	return o.slots[0].slot\n", "	return newest\n"},
@@ -34,19 +34,19 @@
 	{"a report from before a removal makes a candidate", "observer.go", "caughtUp = caughtUp && o.knowsOfAbsence(state, report)", "_ = o.knowsOfAbsence"},
 	{"a removal between two observations is not noticed", "observer.go", "	if !observed {\n		since = state.Slot\n	}\n", "	_ = observed\n"},
 	{"a keeper that was a voter meanwhile counts as absent all the while", "observer.go", "		if state.Has(id) {\n			continue\n		}\n", ""},
-	{"two changes at once", "../agree/members.go", "	next := s.Clone()\n	next.Voters[i] = joiner\n", "	next := s.Clone()\n	next.Voters[i] = joiner\n	next.Voters = next.Voters[:max(1, len(next.Voters)-1)]\n"},
+	{"two changes at once", "../paxos/members.go", "	next := s.Clone()\n	next.Voters[i] = joiner\n", "	next := s.Clone()\n	next.Voters[i] = joiner\n	next.Voters = next.Voters[:max(1, len(next.Voters)-1)]\n"},
 	{"a leaver ends before its removal is stored", "handover.go", "		return StepConfirm, Change{}", "		return StepEnd, Change{}"},
 	{"a leaver does not wait for a candidate", "handover.go", "	if s.candidateExpected() {", "	if false {"},
 	{"a leaver waits for one that leaves, too", "handover.go", "!keeper.CaughtUp && !keeper.Leaving {", "!keeper.CaughtUp {"},
 }
 
 // TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { wrongline.Check(t, wrong) }
+func TestWrongLinesStand(t *testing.T) { mutation.Check(t, wrong) }
 
 // Each wrong line is found by the tests. This takes minutes, so it is asked for: RECONFIGURE_WRONG=1, or a part of a
 // name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "RECONFIGURE_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only, Args: []string{"-cpu", "2", "-run", "TestNext|TestHandOver|TestApply|TestEvery|TestContacts|TestUnheard|TestCaughtUp|TestRemoved|TestHistories|TestFenced"},
+	only := mutation.Asked(t, "RECONFIGURE_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-cpu", "2", "-run", "TestNext|TestHandOver|TestApply|TestEvery|TestContacts|TestUnheard|TestCaughtUp|TestRemoved|TestHistories|TestFenced"},
 		Env: []string{"RECONFIGURE_WRONG=", "RECONFIGURE_HISTORIES=15"}, Within: 5 * time.Minute})
 }
--- a/internal/duty/duty.go
+++ b/internal/consensus/singleton/duty.go
@@ -3,7 +3,7 @@
 // is on disk, as a voter that has just started grants nothing until what it may have granted before has
 // ended. What a duty changes is fenced by other means (compare-and-swap on a register), so that one who
 // was frozen in the middle of an act does no harm.
-package duty
+package singleton
 
 import "time"
 
--- a/internal/duty/duty_test.go
+++ b/internal/consensus/singleton/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"fmt"
--- a/internal/certify/certify_test.go
+++ b/internal/control/certification/certify_test.go
@@ -1,4 +1,4 @@
-package certify
+package certification
 
 import (
 	"encoding/json"
--- a/internal/certify/document.go
+++ b/internal/control/certification/document.go
@@ -1,6 +1,6 @@
 // Package certify has the agreed certificates: which incarnations of endpoints are certified for which regime,
 // and which routes demand one. docs/certified.md says what is guaranteed.
-package certify
+package certification
 
 import (
 	"bytes"
--- a/internal/certify/example_test.go
+++ b/internal/control/certification/example_test.go
@@ -1,4 +1,4 @@
-package certify
+package certification
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 )
 
 func TestTheExampleOfTheDocsIsSound(t *testing.T) {
-	b, err := os.ReadFile("../../docs/example-certificates.json")
+	b, err := os.ReadFile("../../../docs/example-certificates.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/attach.go
+++ b/internal/control/controlclient/attach.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 const (
--- a/internal/control/certificates_test.go
+++ b/internal/control/controlclient/certificates_test.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 const patience = 20 * time.Second
@@ -78,21 +78,21 @@
 
 func text(t *testing.T, version uint64) []byte {
 	t.Helper()
-	b, err := json.Marshal(certify.Document{Version: version, Routes: []certify.Route{{Name: "q", Regime: "fin"}}})
+	b, err := json.Marshal(certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func attach(t *testing.T) (*keeper, *Client, *view.Holder) {
+func attach(t *testing.T) (*keeper, *Client, *snapshot.Holder) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := &keeper{t: t}
 	go func() { _ = link.Serve(l, k, link.DefaultOptions) }() // it ends with the listener
-	holder := &view.Holder{}
+	holder := &snapshot.Holder{}
 	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, Holder: holder, ConfirmEvery: 20 * time.Millisecond, Log: hclog.NewNullLogger()})
 	k.c = c
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/control/client.go
+++ b/internal/control/controlclient/client.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/link"
-	"dunetide/internal/operator"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -34,8 +34,8 @@
 	Seeds     []string      // addresses of keepers' links
 	Known     func() []Node // keepers that membership knows of
 	Endpoints bool          // whether it wants the list of endpoints
-	Holder    *view.Holder
-	Changed   func(*view.Snapshot) // after each new snapshot, one call at a time; it must not call the Client
+	Holder    *snapshot.Holder
+	Changed   func(*snapshot.Snapshot) // after each new snapshot, one call at a time; it must not call the Client
 	// ConfirmEvery is how often keepers are asked whether the certificates are the newest, once there are any; 0: never.
 	ConfirmEvery time.Duration
 	Log          hclog.Logger
@@ -45,7 +45,7 @@
 // within its life.
 type Client struct {
 	o     ClientOptions
-	parse func([]byte) (*operator.Config, error)
+	parse func([]byte) (*operatorconfig.Config, error)
 	// reading is held while a configuration is read and taken in: both keepers push it at once, and reading it
 	// takes long.
 	reading sync.Mutex
@@ -57,14 +57,14 @@
 	said    map[string]saying
 	keepers []Node // as a keeper told last
 	former  []Node // keepers that were told of before, the latest last: the teller may be cut off from them
-	config  *operator.Config
-	table   *view.Table
+	config  *operatorconfig.Config
+	table   *snapshot.Table
 	senders int
 	// merged is the list of endpoints in the newest snapshot, which shares it, and whether it is whole.
-	merged map[string][]*view.Endpoint
+	merged map[string][]*snapshot.Endpoint
 	listed bool
 
-	certificates      *certify.Set
+	certificates      *certification.Set
 	certificatesKnown bool
 	unreadable        uint64        // a version that was pushed and can't be understood here
 	asked             chan struct{} // wakes confirming
@@ -83,13 +83,13 @@
 }
 
 type saying struct {
-	state view.State
+	state snapshot.State
 	at    time.Time
 }
 
 // NewClient returns a client that is not attached yet; Run attaches it.
 func NewClient(o ClientOptions) *Client {
-	return &Client{o: o, parse: operator.Parse, sources: map[*link.Conn]*source{}, trying: map[string]bool{}, said: map[string]saying{}, asked: make(chan struct{}, 1)}
+	return &Client{o: o, parse: operatorconfig.Parse, sources: map[*link.Conn]*source{}, trying: map[string]bool{}, said: map[string]saying{}, asked: make(chan struct{}, 1)}
 }
 
 // SetSeeds replaces the addresses of keepers' links that are tried where membership knows of too few. What is attached
@@ -184,7 +184,7 @@
 		m.Conn.Close()
 		return
 	}
-	var config *operator.Config
+	var config *operatorconfig.Config
 	if u.Config != nil {
 		c.reading.Lock()
 		defer c.reading.Unlock()
@@ -194,9 +194,9 @@
 			}
 		}
 	}
-	var certificates *certify.Set
+	var certificates *certification.Set
 	if u.Certificates != nil {
-		if certificates, err = certify.Parse(u.Certificates); err != nil {
+		if certificates, err = certification.Parse(u.Certificates); err != nil {
 			c.o.Log.Error("certificates unreadable", "version", u.CertificatesVersion, "err", err)
 			if !c.closeGate(u.CertificatesVersion) { // then nobody here knows what is regulated
 				m.Conn.Close()
--- a/internal/control/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"github.com/cockroachdb/datadriven"
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 var stateNames = []string{"ready", "draining", "gone"}
@@ -24,7 +24,7 @@
 // player is a client whose keepers are played: their links lead nowhere.
 type player struct {
 	c      *Client
-	holder view.Holder
+	holder snapshot.Holder
 	conns  map[string]*link.Conn
 	number uint64
 }
@@ -62,7 +62,7 @@
 		case "config":
 			u.Version, u.Config = number(), config(number())
 		case "table":
-			u.Table = &view.Table{Number: number()}
+			u.Table = &snapshot.Table{Number: number()}
 		case "keepers":
 			for _, k := range w.Vals {
 				u.Keepers = append(u.Keepers, Node{Name: k, Addr: k + ":1"})
@@ -71,14 +71,14 @@
 	}
 	for line := range strings.Lines(lines) {
 		f := strings.Fields(line)
-		e := registry.Entry{Endpoint: view.Endpoint{ID: f[0], Service: "s"}}
+		e := registry.Entry{Endpoint: snapshot.Endpoint{ID: f[0], Service: "s"}}
 		for _, w := range f[1:] {
 			switch name, value, _ := strings.Cut(w, "="); name {
 			case "ready":
 			case "draining":
-				e.State = view.Draining
+				e.State = snapshot.Draining
 			case "gone":
-				e.State = view.Gone
+				e.State = snapshot.Gone
 			case "silent":
 				e.Silent = true
 			case "count":
@@ -160,7 +160,7 @@
 	at := time.Now()
 	for i := range 3 * saidMost {
 		at = at.Add(time.Millisecond)
-		p.c.said[fmt.Sprint("i", i)] = saying{view.Draining, at}
+		p.c.said[fmt.Sprint("i", i)] = saying{snapshot.Draining, at}
 		p.c.forget(at)
 		if len(p.c.said) > saidMost {
 			t.Fatalf("%d are remembered", len(p.c.said))
--- a/internal/control/confirm.go
+++ b/internal/control/controlclient/confirm.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"context"
--- a/internal/control/invariants.go
+++ b/internal/control/controlclient/invariants.go
@@ -1,10 +1,10 @@
-package control
+package controlclient
 
 import (
 	"fmt"
 
-	"dunetide/internal/invariant"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/invariant"
 )
 
 var (
@@ -15,7 +15,7 @@
 )
 
 // checkSuccessor holds a snapshot against the one that it replaces. The list of endpoints is looked at where it has changed.
-func checkSuccessor(before, after *view.Snapshot, endpoints bool) {
+func checkSuccessor(before, after *snapshot.Snapshot, endpoints bool) {
 	if before == nil {
 		return
 	}
@@ -31,7 +31,7 @@
 // versions are those of a snapshot; 0 where there is nothing.
 type versions struct{ config, table, certificates uint64 }
 
-func versionsOf(s *view.Snapshot) (v versions) {
+func versionsOf(s *snapshot.Snapshot) (v versions) {
 	if s.Config != nil {
 		v.config = s.Config.Version
 	}
@@ -45,7 +45,7 @@
 }
 
 // checkEnds looks for endpoints that were draining and are ready. Both lists are in the order of their ids.
-func checkEnds(before, after *view.Snapshot) {
+func checkEnds(before, after *snapshot.Snapshot) {
 	for service, list := range after.Endpoints {
 		old, revived := before.Endpoints[service], ""
 		for _, e := range list {
--- a/internal/control/kinds.go
+++ b/internal/control/controlclient/kinds.go
@@ -1,8 +1,8 @@
 // Package control has what goes between keepers and the processes attached to them: the messages,
 // and the side of those attached.
-package control
+package controlclient
 
-import "dunetide/internal/link"
+import "dunetide/internal/platform/link"
 
 // Kinds of messages on links to keepers. Those of batch jobs have their own, from 64 on.
 const (
--- a/internal/control/merge.go
+++ b/internal/control/controlclient/merge.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"maps"
@@ -6,13 +6,13 @@
 	"sort"
 	"time"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
 )
 
 // take takes a push in, and tells whether it may change the list of endpoints.
-func (c *Client) take(s *source, u *Update, config *operator.Config) (endpoints bool) {
+func (c *Client) take(s *source, u *Update, config *operatorconfig.Config) (endpoints bool) {
 	if config != nil && (c.config == nil || config.Version > c.config.Version) {
 		c.config = config
 		c.o.Log.Info("configuration in force", "version", config.Version)
@@ -42,7 +42,7 @@
 			e = old
 		}
 		s.entries[e.ID] = e
-		if e.State != view.Ready {
+		if e.State != snapshot.Ready {
 			if old, there := c.said[e.ID]; !there || old.state < e.State {
 				c.said[e.ID] = saying{e.State, now}
 			}
@@ -93,7 +93,7 @@
 	if endpoints || c.merged == nil {
 		c.merge()
 	}
-	snap := &view.Snapshot{Config: c.config, Senders: max(c.senders, 1), Table: c.table, Listed: c.listed, Endpoints: c.merged,
+	snap := &snapshot.Snapshot{Config: c.config, Senders: max(c.senders, 1), Table: c.table, Listed: c.listed, Endpoints: c.merged,
 		Certificates: c.certificates, CertificatesKnown: c.certificatesKnown}
 	checkSuccessor(c.o.Holder.Get(), snap, endpoints)
 	c.o.Holder.Set(snap)
@@ -129,12 +129,12 @@
 			}
 		}
 	}
-	c.merged = map[string][]*view.Endpoint{} // the one before is shared
+	c.merged = map[string][]*snapshot.Endpoint{} // the one before is shared
 	for id, e := range newest {
 		if said := c.said[id]; said.state > e.State {
 			e.State = said.state
 		}
-		if e.State == view.Gone {
+		if e.State == snapshot.Gone {
 			continue
 		}
 		endpoint := e.Endpoint
--- a/internal/control/merge_test.go
+++ b/internal/control/controlclient/merge_test.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/link"
-	"dunetide/internal/operator"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // pushing is a keeper that says what the test has it say.
@@ -56,14 +56,14 @@
 	go func() { _ = link.Serve(l, keeper, link.DefaultOptions) }()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	seen := make(chan *view.Snapshot, 64)
-	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, Endpoints: true, Holder: &view.Holder{},
-		Changed: func(s *view.Snapshot) { seen <- s }, Log: hclog.NewNullLogger()})
+	seen := make(chan *snapshot.Snapshot, 64)
+	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, Endpoints: true, Holder: &snapshot.Holder{},
+		Changed: func(s *snapshot.Snapshot) { seen <- s }, Log: hclog.NewNullLogger()})
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	conn := <-keeper.conns
-	await := func(what string, is func(*view.Snapshot) bool) *view.Snapshot {
+	await := func(what string, is func(*snapshot.Snapshot) bool) *snapshot.Snapshot {
 		t.Helper()
 		late := time.After(10 * time.Second)
 		for {
@@ -82,38 +82,38 @@
 			t.Fatal(err)
 		}
 	}
-	entry := func(id string, count uint64, state view.State) registry.Entry {
-		return registry.Entry{Endpoint: view.Endpoint{ID: id, Service: "s", Address: id + ":1", State: state, CallCount: count}, Alive: count}
+	entry := func(id string, count uint64, state snapshot.State) registry.Entry {
+		return registry.Entry{Endpoint: snapshot.Endpoint{ID: id, Service: "s", Address: id + ":1", State: state, CallCount: count}, Alive: count}
 	}
-	same := func(a, b *view.Snapshot) bool {
+	same := func(a, b *snapshot.Snapshot) bool {
 		return reflect.ValueOf(a.Endpoints).Pointer() == reflect.ValueOf(b.Endpoints).Pointer()
 	}
 
-	push(Update{Number: 1, InContact: true, Whole: true, Listed: true, Senders: 1, Entries: []registry.Entry{entry("a", 1, view.Ready)}})
-	one := await("the first endpoint", func(s *view.Snapshot) bool { return s.Listed && len(s.Endpoints["s"]) == 1 })
+	push(Update{Number: 1, InContact: true, Whole: true, Listed: true, Senders: 1, Entries: []registry.Entry{entry("a", 1, snapshot.Ready)}})
+	one := await("the first endpoint", func(s *snapshot.Snapshot) bool { return s.Listed && len(s.Endpoints["s"]) == 1 })
 	push(Update{Number: 2, InContact: true, Listed: true, Senders: 7})
-	two := await("seven senders", func(s *view.Snapshot) bool { return s.Senders == 7 })
+	two := await("seven senders", func(s *snapshot.Snapshot) bool { return s.Senders == 7 })
 	if !two.Listed || !same(one, two) {
 		t.Error("the list was made anew though nothing of it changed")
 	}
-	push(Update{Number: 3, InContact: true, Listed: true, Entries: []registry.Entry{entry("b", 1, view.Ready), entry("a", 2, view.Draining)}})
-	three := await("two endpoints", func(s *view.Snapshot) bool { return len(s.Endpoints["s"]) == 2 })
-	if three.Senders != 7 || three.Endpoints["s"][0].State != view.Draining {
+	push(Update{Number: 3, InContact: true, Listed: true, Entries: []registry.Entry{entry("b", 1, snapshot.Ready), entry("a", 2, snapshot.Draining)}})
+	three := await("two endpoints", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 2 })
+	if three.Senders != 7 || three.Endpoints["s"][0].State != snapshot.Draining {
 		t.Errorf("%d senders, %+v", three.Senders, three.Endpoints["s"][0])
 	}
-	if len(two.Endpoints["s"]) != 1 || two.Endpoints["s"][0].State != view.Ready {
+	if len(two.Endpoints["s"]) != 1 || two.Endpoints["s"][0].State != snapshot.Ready {
 		t.Error("a shared list changed")
 	}
-	push(Update{Number: 4, InContact: true, Listed: true, Entries: []registry.Entry{entry("a", 2, view.Gone)}})
-	await("one endpoint left", func(s *view.Snapshot) bool { return len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "b" })
+	push(Update{Number: 4, InContact: true, Listed: true, Entries: []registry.Entry{entry("a", 2, snapshot.Gone)}})
+	await("one endpoint left", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "b" })
 	// A keeper that listens anew takes nobody away: what it told stays whole.
 	push(Update{Number: 5, InContact: true, Listed: false, Senders: 9})
-	five := await("nine senders", func(s *view.Snapshot) bool { return s.Senders == 9 })
+	five := await("nine senders", func(s *snapshot.Snapshot) bool { return s.Senders == 9 })
 	if !five.Listed || len(five.Endpoints["s"]) != 1 || five.Endpoints["s"][0].ID != "b" {
 		t.Errorf("listed %v, %d endpoints after a keeper began to listen anew", five.Listed, len(five.Endpoints["s"]))
 	}
-	push(Update{Number: 6, InContact: true, Whole: true, Listed: true, Entries: []registry.Entry{entry("c", 1, view.Ready)}})
-	await("another whole list", func(s *view.Snapshot) bool {
+	push(Update{Number: 6, InContact: true, Whole: true, Listed: true, Entries: []registry.Entry{entry("c", 1, snapshot.Ready)}})
+	await("another whole list", func(s *snapshot.Snapshot) bool {
 		return s.Listed && len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "c"
 	})
 }
@@ -125,12 +125,12 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Holder: &view.Holder{}, Log: hclog.NewNullLogger()})
+	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Holder: &snapshot.Holder{}, Log: hclog.NewNullLogger()})
 	var read atomic.Int64
-	c.parse = func([]byte) (*operator.Config, error) {
+	c.parse = func([]byte) (*operatorconfig.Config, error) {
 		read.Add(1)
 		time.Sleep(100 * time.Millisecond) // the other push comes meanwhile
-		return &operator.Config{Version: 3}, nil
+		return &operatorconfig.Config{Version: 3}, nil
 	}
 	keeper := &pushing{conns: make(chan *link.Conn, 1)}
 	go func() { _ = link.Serve(l, keeper, link.DefaultOptions) }()
--- a/internal/control/messages.go
+++ b/internal/control/controlclient/messages.go
@@ -1,12 +1,12 @@
-package control
+package controlclient
 
 import (
 	"encoding/binary"
 	"sort"
 
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // Roles of processes.
@@ -70,7 +70,7 @@
 	Senders   int    // 0: not in it
 	Config    []byte // as the operator sent it; nil: not in it
 	Version   uint64 // of Config
-	Table     *view.Table
+	Table     *snapshot.Table
 	Entries   []registry.Entry
 	Keepers   []Node // nil: not in it
 	// CertificatesVersion is told by a keeper in contact; 0: none were ever put.
@@ -131,7 +131,7 @@
 }
 
 // AppendTable writes the table of the batch parts.
-func AppendTable(w *link.Writer, t *view.Table) {
+func AppendTable(w *link.Writer, t *snapshot.Table) {
 	w.U64(t.Number)
 	w.U32(uint32(len(t.Parts)))
 	for _, p := range t.Parts {
@@ -163,7 +163,7 @@
 	flagStopping
 )
 
-func storeFlags(t *view.Table, id uint64) (flags uint8) {
+func storeFlags(t *snapshot.Table, id uint64) (flags uint8) {
 	if t.Retiring[id] {
 		flags |= flagRetiring
 	}
@@ -174,13 +174,13 @@
 }
 
 // ReadTable takes a table out of a message.
-func ReadTable(r *link.Reader) *view.Table {
-	t := &view.Table{Number: r.U64(), Stores: map[uint64]view.Store{}, Retiring: map[uint64]bool{}, Stopping: map[uint64]bool{}}
+func ReadTable(r *link.Reader) *snapshot.Table {
+	t := &snapshot.Table{Number: r.U64(), Stores: map[uint64]snapshot.Store{}, Retiring: map[uint64]bool{}, Stopping: map[uint64]bool{}}
 	for range r.Count(28) {
-		t.Parts = append(t.Parts, view.Part{Epoch: r.U64(), Primary: r.U64(), Copies: readNumbers(r), Joining: readNumbers(r), Leaving: readNumbers(r)})
+		t.Parts = append(t.Parts, snapshot.Part{Epoch: r.U64(), Primary: r.U64(), Copies: readNumbers(r), Joining: readNumbers(r), Leaving: readNumbers(r)})
 	}
 	for range r.Count(21) {
-		s := view.Store{ID: r.U64(), Name: r.String(), Addr: r.String(), Zone: r.String()}
+		s := snapshot.Store{ID: r.U64(), Name: r.String(), Addr: r.String(), Zone: r.String()}
 		t.Stores[s.ID] = s
 		flags := r.U8()
 		if flags&flagRetiring != 0 {
--- a/internal/control/messages_test.go
+++ b/internal/control/controlclient/messages_test.go
@@ -1,4 +1,4 @@
-package control
+package controlclient
 
 import (
 	"reflect"
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 func nodes() *rapid.Generator[Node] {
@@ -30,16 +30,16 @@
 	})
 }
 
-func tables() *rapid.Generator[*view.Table] {
-	return rapid.Custom(func(t *rapid.T) *view.Table {
-		v := &view.Table{Number: rapid.Uint64().Draw(t, "number"), Stores: map[uint64]view.Store{}, Retiring: map[uint64]bool{}, Stopping: map[uint64]bool{}}
+func tables() *rapid.Generator[*snapshot.Table] {
+	return rapid.Custom(func(t *rapid.T) *snapshot.Table {
+		v := &snapshot.Table{Number: rapid.Uint64().Draw(t, "number"), Stores: map[uint64]snapshot.Store{}, Retiring: map[uint64]bool{}, Stopping: map[uint64]bool{}}
 		for range rapid.IntRange(0, 4).Draw(t, "parts") {
 			g := idLists()
-			v.Parts = append(v.Parts, view.Part{Epoch: rapid.Uint64().Draw(t, "epoch"), Primary: rapid.Uint64().Draw(t, "primary"),
+			v.Parts = append(v.Parts, snapshot.Part{Epoch: rapid.Uint64().Draw(t, "epoch"), Primary: rapid.Uint64().Draw(t, "primary"),
 				Copies: g.Draw(t, "copies"), Joining: g.Draw(t, "joining"), Leaving: g.Draw(t, "leaving")})
 		}
 		for _, n := range rapid.SliceOfN(nodes(), 0, 4).Draw(t, "stores") {
-			v.Stores[n.ID] = view.Store{ID: n.ID, Name: n.Name, Addr: n.Addr, Zone: n.Zone}
+			v.Stores[n.ID] = snapshot.Store{ID: n.ID, Name: n.Name, Addr: n.Addr, Zone: n.Zone}
 			if rapid.Bool().Draw(t, "retiring") {
 				v.Retiring[n.ID] = true
 			}
@@ -72,12 +72,12 @@
 			u.Keepers = rapid.SliceOfN(nodes(), 1, 3).Draw(t, "keepers")
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "entries") {
-			e := registry.Entry{Endpoint: view.Endpoint{ID: rapid.StringMatching(`i-[a-f]{1,6}`).Draw(t, "id"), Service: rapid.StringN(0, 5, 9).Draw(t, "service"),
-				State: view.State(rapid.IntRange(0, 2).Draw(t, "state")), Capacity: rapid.IntRange(0, 99).Draw(t, "capacity"),
+			e := registry.Entry{Endpoint: snapshot.Endpoint{ID: rapid.StringMatching(`i-[a-f]{1,6}`).Draw(t, "id"), Service: rapid.StringN(0, 5, 9).Draw(t, "service"),
+				State: snapshot.State(rapid.IntRange(0, 2).Draw(t, "state")), Capacity: rapid.IntRange(0, 99).Draw(t, "capacity"),
 				CallCount: rapid.Uint64().Draw(t, "count")}, Silent: rapid.Bool().Draw(t, "silent"),
 				Age: time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * time.Second}
 			for range rapid.IntRange(0, 2).Draw(t, "models") {
-				e.Models = append(e.Models, view.Model{Name: rapid.StringN(0, 3, 9).Draw(t, "model"), Version: rapid.IntRange(-1, 3).Draw(t, "version")})
+				e.Models = append(e.Models, snapshot.Model{Name: rapid.StringN(0, 3, 9).Draw(t, "model"), Version: rapid.IntRange(-1, 3).Draw(t, "version")})
 			}
 			u.Entries = append(u.Entries, e)
 		}
@@ -116,7 +116,7 @@
 }
 
 func FuzzReadUpdate(f *testing.F) {
-	f.Add((&Update{Number: 1, Whole: true, Keepers: []Node{{Name: "a"}}, Table: &view.Table{Number: 2, Parts: make([]view.Part, 2)}}).Encode())
+	f.Add((&Update{Number: 1, Whole: true, Keepers: []Node{{Name: "a"}}, Table: &snapshot.Table{Number: 2, Parts: make([]snapshot.Part, 2)}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		u, err := ReadUpdate(b)
 		if err != nil {
--- a/internal/control/report.go
+++ b/internal/control/controlclient/report.go
@@ -1,6 +1,6 @@
-package control
+package controlclient
 
-import "dunetide/internal/link"
+import "dunetide/internal/platform/link"
 
 // KeeperReport is what a keeper tells the others of itself, at least once per heartbeat interval and at once after each change.
 type KeeperReport struct {
--- a/internal/control/report_test.go
+++ b/internal/control/controlclient/report_test.go
@@ -1,10 +1,10 @@
-package control
+package controlclient
 
 import (
 	"reflect"
 	"testing"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 func TestKeeperReportRoundTrip(t *testing.T) {
--- a/internal/control/store_reports.go
+++ b/internal/control/controlclient/store_reports.go
@@ -1,6 +1,6 @@
-package control
+package controlclient
 
-import "dunetide/internal/link"
+import "dunetide/internal/platform/link"
 
 // PartJoined is the body of a Joined call: a store says that the next group of a part has all of it.
 type PartJoined struct {
--- a/internal/control/trouble.go
+++ b/internal/control/controlclient/trouble.go
@@ -1,9 +1,9 @@
-package control
+package controlclient
 
 import (
 	"context"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // Trouble is what keeps a process from its work. The process tells a keeper of it again and again while it lasts, and that
--- a/internal/keeper/agreement.go
+++ b/internal/control/keeper/agreement.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 const (
@@ -38,17 +38,17 @@
 	id       uint64
 	proposer uint64
 	start    time.Time
-	log      *record.Log
+	log      *recordlog.Log
 	policy   rewritePolicy
 	saved    map[string][][]byte
-	first    []agree.Voter // of the very first start, if this keeper was told them then
+	first    []paxos.Voter // of the very first start, if this keeper was told them then
 	commands chan func()
 	ended    chan struct{}
-	regs     map[string]*agree.Register
+	regs     map[string]*paxos.Register
 
 	mu     sync.Mutex
-	known  []agree.Voter // of all registers
-	states map[string]agree.State
+	known  []paxos.Voter // of all registers
+	states map[string]paxos.State
 
 	booted  bool
 	asked   map[string]time.Time // when another keeper was last asked for a register that is not known
@@ -64,11 +64,11 @@
 
 func openAgreement(k *Keeper) (*agreement, error) {
 	a := &agreement{k: k, start: k.life, proposer: rand.Uint64() | 1, commands: make(chan func(), queueMost), ended: make(chan struct{}),
-		regs: map[string]*agree.Register{}, saved: map[string][][]byte{}, states: map[string]agree.State{},
+		regs: map[string]*paxos.Register{}, saved: map[string][][]byte{}, states: map[string]paxos.State{},
 		asked: map[string]time.Time{}, stored: map[string]uint64{}}
 	a.policy.diskBytes = int64(k.o.Settings.Limits.DiskMB) << 20
 	if k.o.Folder != nil {
-		log, err := record.Open(k.o.Folder, logName, func(b []byte, _ int64) error { return a.replay(b) })
+		log, err := recordlog.Open(k.o.Folder, logName, func(b []byte, _ int64) error { return a.replay(b) })
 		if err != nil {
 			return nil, err
 		}
@@ -85,9 +85,9 @@
 		}
 	}
 	for _, name := range registerNames {
-		r, err := agree.New(agree.Options{Name: name, ID: a.id, Proposer: a.proposer, Rand: rand.Float64,
+		r, err := paxos.New(paxos.Options{Name: name, ID: a.id, Proposer: a.proposer, Rand: rand.Float64,
 			Save: func(p []byte) error { return a.append(registerRecord(name, p)) },
-			Send: func(to agree.Voter, msg []byte) { a.send(name, to, msg) }, Decided: func(s agree.State) { a.decided(name, s) }}, a.saved[name])
+			Send: func(to paxos.Voter, msg []byte) { a.send(name, to, msg) }, Decided: func(s paxos.State) { a.decided(name, s) }}, a.saved[name])
 		if err != nil {
 			return nil, err
 		}
@@ -160,14 +160,14 @@
 }
 
 // send passes a message of agreement to a voter, or to oneself.
-func (a *agreement) send(name string, to agree.Voter, msg []byte) {
+func (a *agreement) send(name string, to paxos.Voter, msg []byte) {
 	b := a.envelope(name, msg)
 	if to.ID == a.id && a.id != 0 {
 		go a.receive(b)
 		return
 	}
 	if conn := a.k.links().to(to); conn != nil {
-		_ = conn.Send(control.Agree, b)
+		_ = conn.Send(controlclient.Agree, b)
 	}
 }
 
@@ -185,7 +185,7 @@
 func (a *agreement) receive(b []byte) {
 	r := link.Reader{B: b}
 	name := r.String()
-	from := agree.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()}
+	from := paxos.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()}
 	msg := r.Bytes()
 	if r.Err != nil || a.regs[name] == nil {
 		return
@@ -197,7 +197,7 @@
 func (a *agreement) learn(b []byte) {
 	r := link.Reader{B: b}
 	name := r.String()
-	s := agree.ReadState(&r)
+	s := paxos.ReadState(&r)
 	if r.Err != nil || a.regs[name] == nil {
 		return
 	}
@@ -205,7 +205,7 @@
 }
 
 // decided takes a newer state to the owner of the rest. It is called from the registers.
-func (a *agreement) decided(name string, s agree.State) {
+func (a *agreement) decided(name string, s paxos.State) {
 	a.mu.Lock()
 	a.states[name] = s
 	a.known = a.known[:0]
@@ -229,7 +229,7 @@
 	return out
 }
 
-func learnBody(name string, s agree.State) []byte {
+func learnBody(name string, s paxos.State) []byte {
 	w := link.Writer{}
 	w.String(name)
 	s.Append(&w)
@@ -237,7 +237,7 @@
 }
 
 // propose changes a register. done is called once, also where the disk has stalled, and from any goroutine.
-func (a *agreement) propose(name string, timeout time.Duration, change func(cur agree.State) (agree.State, error), done func(agree.State, error)) {
+func (a *agreement) propose(name string, timeout time.Duration, change func(cur paxos.State) (paxos.State, error), done func(paxos.State, error)) {
 	if name == configRegister {
 		done = a.k.confirmedSince(done)
 	}
@@ -247,12 +247,12 @@
 			a.regs[name].Propose(a.now(), timeout, change, op.finish)
 		}
 	}) {
-		op.finish(agree.State{}, errBusy)
+		op.finish(paxos.State{}, errBusy)
 	}
 }
 
 // read reads a register, as propose changes it.
-func (a *agreement) read(name string, timeout time.Duration, done func(agree.State, error)) {
+func (a *agreement) read(name string, timeout time.Duration, done func(paxos.State, error)) {
 	if name == configRegister {
 		done = a.k.confirmedSince(done)
 	}
@@ -262,12 +262,12 @@
 			a.regs[name].Read(a.now(), timeout, op.finish)
 		}
 	}) {
-		op.finish(agree.State{}, errBusy)
+		op.finish(paxos.State{}, errBusy)
 	}
 }
 
 // decided takes in a newer state of a register.
-func (k *Keeper) decided(name string, s agree.State) {
+func (k *Keeper) decided(name string, s paxos.State) {
 	switch name {
 	case configRegister:
 		v, err := readDocument(s.Value)
@@ -298,7 +298,7 @@
 		if len(s.Value) == 0 {
 			return
 		}
-		t := control.ReadTable(&r)
+		t := controlclient.ReadTable(&r)
 		if r.Err == nil && (k.parts == nil || t.Number > k.parts.Number) {
 			k.parts = t
 			k.dirty = true
--- a/internal/keeper/attached.go
+++ b/internal/control/keeper/attached.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // attachedMost bounds the processes attached to one keeper.
@@ -13,7 +13,7 @@
 
 // attachedProcess is a proxy or a store, and what it was pushed.
 type attachedProcess struct {
-	node      control.Node
+	node      controlclient.Node
 	conn      *link.Conn
 	endpoints bool // it wants the list
 
@@ -34,7 +34,7 @@
 
 func (k *Keeper) hello(m *link.Message) {
 	r := link.Reader{B: m.Body}
-	node := control.ReadNode(&r)
+	node := controlclient.ReadNode(&r)
 	endpoints := r.Bool()
 	if r.Err != nil {
 		m.Fail("%v", r.Err)
@@ -44,7 +44,7 @@
 	k.self.Append(&w)
 	w.Bool(k.agree.id != 0)
 	w.Bool(k.contact.Holds(k.since(time.Now())))
-	if node.Role == control.RoleKeeper {
+	if node.Role == controlclient.RoleKeeper {
 		if node.Name == k.self.Name {
 			m.Fail("that is this keeper itself")
 			return
@@ -87,8 +87,8 @@
 // recount counts the proxies over all keepers.
 func (k *Keeper) recount() {
 	names := map[string]bool{}
-	count := func(n control.Node) {
-		if n.Role == control.RoleProxy {
+	count := func(n controlclient.Node) {
+		if n.Role == controlclient.RoleProxy {
 			names[n.Name] = true
 		}
 	}
@@ -109,11 +109,11 @@
 }
 
 // stores are those attached to any keeper that is connected.
-func (k *Keeper) stores() map[uint64]view.Store {
-	all := map[uint64]view.Store{}
-	add := func(n control.Node) {
-		if n.Role == control.RoleStore && n.ID != 0 {
-			all[n.ID] = view.Store{ID: n.ID, Name: n.Name, Addr: n.Addr, Zone: n.Zone}
+func (k *Keeper) stores() map[uint64]snapshot.Store {
+	all := map[uint64]snapshot.Store{}
+	add := func(n controlclient.Node) {
+		if n.Role == controlclient.RoleStore && n.ID != 0 {
+			all[n.ID] = snapshot.Store{ID: n.ID, Name: n.Name, Addr: n.Addr, Zone: n.Zone}
 		}
 	}
 	for _, p := range k.attached {
--- a/internal/keeper/calls.go
+++ b/internal/control/keeper/calls.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/certify"
+	"dunetide/internal/control/certification"
 )
 
 const (
@@ -47,7 +47,7 @@
 	{http.MethodDelete, "/instances/", bodyMost, (*Keeper).leave},
 	{http.MethodPut, "/config", configMost, (*Keeper).putConfig},
 	{http.MethodGet, "/config", 0, (*Keeper).getConfig},
-	{http.MethodPut, certificatesPath, certify.DocumentMost, (*Keeper).putCertificates},
+	{http.MethodPut, certificatesPath, certification.DocumentMost, (*Keeper).putCertificates},
 	{http.MethodGet, certificatesPath, 0, (*Keeper).getCertificates},
 	{http.MethodPost, "/retire/", bodyMost, (*Keeper).postRetire},
 	{http.MethodGet, "/retire/", 0, (*Keeper).getRetire},
--- a/internal/keeper/certificates.go
+++ b/internal/control/keeper/certificates.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/certify"
-	"dunetide/internal/control"
-	"dunetide/internal/link"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -23,7 +23,7 @@
 // tellCertificates writes the lines of a change into the log: one for the version, and one for each certificate and route
 // that it takes away or adds.
 func (k *Keeper) tellCertificates(v *document, slot uint64) {
-	s, err := certify.Parse(v.raw)
+	s, err := certification.Parse(v.raw)
 	if err != nil {
 		k.log.Error("certificates unreadable", "version", v.version, "slot", slot, "err", err)
 		return
@@ -33,20 +33,20 @@
 	if k.certificates.version == 0 {
 		return
 	}
-	old, err := certify.Parse(k.certificates.raw)
+	old, err := certification.Parse(k.certificates.raw)
 	if err != nil {
 		return // told when it came
 	}
-	certificates := func(what string, all, but []certify.Certificate) {
+	certificates := func(what string, all, but []certification.Certificate) {
 		for _, c := range all {
-			if !slices.ContainsFunc(but, func(o certify.Certificate) bool { return c.Same(o) }) {
+			if !slices.ContainsFunc(but, func(o certification.Certificate) bool { return c.Same(o) }) {
 				k.log.Info(what, "version", v.version, "endpoint", c.Endpoint, "regime", c.Regime, "not_before", c.NotBefore, "not_after", c.NotAfter, "by", c.By)
 			}
 		}
 	}
 	certificates("certificate withdrawn", old.Certificates, s.Certificates)
 	certificates("certificate added", s.Certificates, old.Certificates)
-	routes := func(what string, all, but []certify.Route) {
+	routes := func(what string, all, but []certification.Route) {
 		for _, r := range all {
 			if !slices.Contains(but, r) {
 				k.log.Info(what, "version", v.version, "route", r.Name, "regime", r.Regime)
@@ -67,7 +67,7 @@
 
 func (k *Keeper) putCertificates(w http.ResponseWriter, _ string, body []byte, r *http.Request) {
 	version, ok := k.putDocument(w, r, certificatesDocument, body, func(b []byte) (uint64, error) {
-		s, err := certify.Parse(b)
+		s, err := certification.Parse(b)
 		if err != nil {
 			return 0, err
 		}
@@ -88,7 +88,7 @@
 				continue
 			}
 			n++
-			ch := p.conn.Go(control.InForce, msg.B)
+			ch := p.conn.Go(controlclient.InForce, msg.B)
 			go func() {
 				reply := <-ch
 				rd := link.Reader{B: reply.Body}
@@ -170,7 +170,7 @@
 	if !k.certificateReads.Begin(k.since(time.Now())) {
 		return
 	}
-	k.agree.read(certificatesRegister, confirmRead, func(s agree.State, err error) {
+	k.agree.read(certificatesRegister, confirmRead, func(s paxos.State, err error) {
 		k.post(func() {
 			if err == nil {
 				k.decided(certificatesRegister, s)
--- a/internal/keeper/certificates_test.go
+++ b/internal/control/keeper/certificates_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/control"
-	"dunetide/internal/view"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
 )
 
 const stale = time.Second
@@ -39,9 +39,9 @@
 
 func certificates(t *testing.T, version uint64, endpoints ...string) []byte {
 	t.Helper()
-	d := certify.Document{Version: version, Routes: []certify.Route{{Name: "q", Regime: "fin"}}}
+	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certify.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), By: "test"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), By: "test"})
 	}
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -55,16 +55,16 @@
 }
 
 // gate is a proxy's side: a real client and the gate behind it.
-func (r *rig) gate(seeds ...int) *certify.Gate {
-	var client *control.Client
-	gate := certify.NewGate(certify.GateOptions{Stale: stale, Confirmed: func() time.Time { return client.Confirmed() }})
+func (r *rig) gate(seeds ...int) *certification.Gate {
+	var client *controlclient.Client
+	gate := certification.NewGate(certification.GateOptions{Stale: stale, Confirmed: func() time.Time { return client.Confirmed() }})
 	var addrs []string
 	for _, i := range seeds {
 		addrs = append(addrs, fmt.Sprintf("%s:%d", r.ip(i), r.links))
 	}
-	client = control.NewClient(control.ClientOptions{Self: control.Node{Name: "p", Role: control.RoleProxy, Zone: "z", Life: 1},
-		Seeds: addrs, Endpoints: true, Holder: &view.Holder{}, ConfirmEvery: stale / 5, Log: hclog.NewNullLogger(),
-		Changed: func(s *view.Snapshot) { gate.Update(s.Certificates) }})
+	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: "z", Life: 1},
+		Seeds: addrs, Endpoints: true, Holder: &snapshot.Holder{}, ConfirmEvery: stale / 5, Log: hclog.NewNullLogger(),
+		Changed: func(s *snapshot.Snapshot) { gate.Update(s.Certificates) }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { client.Run(ctx); close(done) }()
@@ -124,7 +124,7 @@
 func TestAProxyFollowsTheAgreedCertificatesOrFailsClosed(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
-	allows := func(gate *certify.Gate, e string) bool { _, _, ok := gate.Allows("q", e); return ok }
+	allows := func(gate *certification.Gate, e string) bool { _, _, ok := gate.Allows("q", e); return ok }
 	r.untilCode(200, func() answer { return r.certify(0, "0", certificates(t, 1, "e1", "e2")) })
 	gate := r.gate(0, 1, 2)
 	until(t, "certified", func() bool { return gate.Set() != nil && allows(gate, "e1") && allows(gate, "e2") })
@@ -175,7 +175,7 @@
 	// An order is taken by its own majority, also before this keeper is in contact, and again without contact on a busy machine.
 	// Nothing is confirmed then, at once, and the process asks again.
 	until(t, "what it has is confirmed", func() bool {
-		_, err := w.conn.Call(ctx, control.Confirm, nil)
+		_, err := w.conn.Call(ctx, controlclient.Confirm, nil)
 		return err == nil
 	})
 	for i := range unackedMost + 8 {
@@ -194,7 +194,7 @@
 	if newest == 2 {
 		t.Skip("it was pushed them all the same")
 	}
-	if _, err := w.conn.Call(ctx, control.Confirm, nil); err == nil {
+	if _, err := w.conn.Call(ctx, controlclient.Confirm, nil); err == nil {
 		t.Error("what it has is confirmed, and it is not the newest")
 	}
 }
--- a/internal/keeper/contact.go
+++ b/internal/control/keeper/contact.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/link"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -65,7 +65,7 @@
 // askMajority asks by a read of the configuration's register.
 func (k *Keeper) askMajority(askedAt time.Duration) {
 	k.contact.Asked(askedAt)
-	k.agree.read(configRegister, contactRead, func(s agree.State, err error) {
+	k.agree.read(configRegister, contactRead, func(s paxos.State, err error) {
 		k.post(func() {
 			if err == nil {
 				k.decided(configRegister, s)
@@ -77,9 +77,9 @@
 
 // confirmedSince wraps the end of an operation on a register: one that a majority took part in is contact, counted
 // from before it began.
-func (k *Keeper) confirmedSince(done func(agree.State, error)) func(agree.State, error) {
+func (k *Keeper) confirmedSince(done func(paxos.State, error)) func(paxos.State, error) {
 	beganAt := k.since(time.Now())
-	return func(s agree.State, err error) {
+	return func(s paxos.State, err error) {
 		if err == nil {
 			k.post(func() { k.contact.Confirmed(k.since(time.Now()), beganAt) })
 		}
@@ -94,7 +94,7 @@
 	}
 	left, allRead := len(registerNames), true
 	for _, name := range registerNames {
-		k.agree.read(name, attachRead, func(s agree.State, err error) {
+		k.agree.read(name, attachRead, func(s paxos.State, err error) {
 			k.post(func() {
 				if err == nil {
 					k.decided(name, s)
--- a/internal/keeper/contact_test.go
+++ b/internal/control/keeper/contact_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // noConfig takes what has been pushed, and fails if anything of the registers is in it.
@@ -54,7 +54,7 @@
 	mayGrant, _ = ask(k, func() bool {
 		for conn, p := range k.attached {
 			if p.node.Name == attached {
-				k.conns[conn] = &peerLink{peer: &peer{node: control.Node{Name: fmt.Sprint("k", other+1), ID: id}}}
+				k.conns[conn] = &peerLink{peer: &peer{node: controlclient.Node{Name: fmt.Sprint("k", other+1), ID: id}}}
 			}
 		}
 		return k.mayGrant(time.Now(), id)
@@ -158,31 +158,31 @@
 			t.Fatalf("registers are pushed without contact: %+v", u)
 		}
 		for _, e := range u.Entries {
-			drains = drains || e.ID == "3" && e.State == view.Draining
+			drains = drains || e.ID == "3" && e.State == snapshot.Draining
 		}
 	}
 
 	// Who attaches is told that there is no contact, and is handed nothing of the registers.
 	late := r.raw(lone, "late")
 	reply := link.Reader{B: late.hello}
-	control.ReadNode(&reply)
+	controlclient.ReadNode(&reply)
 	reply.Bool()
 	if inContact := reply.Bool(); inContact || reply.Err != nil {
 		t.Errorf("the reply to Hello says contact: %v, %v", inContact, reply.Err)
 	}
-	if b, err := late.call(t, control.InContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := late.call(t, controlclient.InContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
 		t.Errorf("asked whether it is in contact, it says %v, %v", b, err)
 	}
-	if _, err := late.call(t, control.Confirm, nil); err == nil {
+	if _, err := late.call(t, controlclient.Confirm, nil); err == nil {
 		t.Error("certificates are confirmed")
 	}
-	if _, err := before.call(t, control.Confirm, nil); err == nil {
+	if _, err := before.call(t, controlclient.Confirm, nil); err == nil {
 		t.Error("certificates are confirmed for one that was pushed them before")
 	}
 	if mayGrant := r.asVoter(lone, "late", 1); !mayGrant && from && to { // else it may know that it lacks a state
 		t.Error("no lease would be granted with contact either")
 	}
-	if b, err := late.call(t, control.Lease, leaseRequest("k2")); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := late.call(t, controlclient.Lease, leaseRequest("k2")); err != nil || !bytes.Equal(b, []byte{0}) {
 		t.Errorf("a lease is answered %v, %v", b, err)
 	}
 	noConfig(t, late)
@@ -303,11 +303,11 @@
 	k := still(t, "k1")
 	conns, _ := wires(t, 2)
 	for i, name := range []string{"k2", "k3"} {
-		k.adoptLink(conns[i], control.Node{Name: name, Role: control.RoleKeeper, Zone: "far", Control: name + ":1", Life: 1}, true)
+		k.adoptLink(conns[i], controlclient.Node{Name: name, Role: controlclient.RoleKeeper, Zone: "far", Control: name + ":1", Life: 1}, true)
 	}
 	report := func(i int, inContact bool) {
 		w := link.Writer{}
-		control.KeeperReport{InContact: inContact, Slots: make([]uint64, len(registerNames))}.Append(&w)
+		controlclient.KeeperReport{InContact: inContact, Slots: make([]uint64, len(registerNames))}.Append(&w)
 		k.reported(&link.Message{Conn: conns[i], Body: w.B})
 	}
 	for _, step := range []struct {
@@ -321,7 +321,7 @@
 		}
 	}
 	report(0, true)
-	k.adoptLink(conns[1], control.Node{Name: "k2", Role: control.RoleKeeper, Zone: "far", Control: "k2:1", Life: 2}, true)
+	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "far", Control: "k2:1", Life: 2}, true)
 	if got := k.beatTo("far"); got != "" {
 		t.Errorf("by the report of a former life: %q", got)
 	}
@@ -354,9 +354,9 @@
 	conns, _ := wires(t, 1)
 	w := link.Writer{}
 	w.U32(1)
-	registry.AppendEntry(&w, &registry.Entry{Endpoint: view.Endpoint{ID: "1", Service: "s", CallCount: 2, State: view.Draining}, Alive: 2})
+	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining}, Alive: 2})
 	k.entries(time.Now(), &link.Message{Conn: conns[0], Body: w.B})
-	if e, there := k.table.Get(k.since(time.Now()), "1"); !there || e.State != view.Draining {
+	if e, there := k.table.Get(k.since(time.Now()), "1"); !there || e.State != snapshot.Draining {
 		t.Errorf("%+v, %v", e, there)
 	}
 }
