--- a/internal/keeper/deadline.go
+++ b/internal/control/keeper/deadline.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // stallSlack is how much longer than its own timeout an operation of a register may take before its caller is answered
@@ -15,11 +15,11 @@
 type boundedOperation struct {
 	mu      sync.Mutex
 	started bool
-	done    func(agree.State, error) // nil once it was called
+	done    func(paxos.State, error) // nil once it was called
 	timer   *time.Timer
 }
 
-func boundOperation(name string, timeout time.Duration, done func(agree.State, error)) *boundedOperation {
+func boundOperation(name string, timeout time.Duration, done func(paxos.State, error)) *boundedOperation {
 	op := &boundedOperation{done: done}
 	op.mu.Lock()
 	defer op.mu.Unlock()
@@ -36,11 +36,11 @@
 	if done == nil {
 		return
 	}
-	err := agree.ErrNoMajority.New("register %s, this keeper's disk does not answer", name)
+	err := paxos.ErrNoMajority.New("register %s, this keeper's disk does not answer", name)
 	if started {
-		err = agree.ErrTimeout.New("register %s, this keeper's disk does not answer", name)
+		err = paxos.ErrTimeout.New("register %s, this keeper's disk does not answer", name)
 	}
-	done(agree.State{}, err)
+	done(paxos.State{}, err)
 }
 
 // start tells whether the operation is still wanted.
@@ -51,7 +51,7 @@
 	return op.started
 }
 
-func (op *boundedOperation) finish(s agree.State, err error) {
+func (op *boundedOperation) finish(s paxos.State, err error) {
 	op.mu.Lock()
 	done := op.done
 	op.done = nil
--- a/internal/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/record"
-	"dunetide/internal/settings"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/settings"
 )
 
 // onDisk runs a change of a running keeper's disk in the goroutine that owns it.
@@ -165,23 +165,23 @@
 // TestBoundedOperation answers once, whichever comes first.
 func TestBoundedOperation(t *testing.T) {
 	answers := make(chan error, 2)
-	done := func(_ agree.State, err error) { answers <- err }
+	done := func(_ paxos.State, err error) { answers <- err }
 	waiting := boundOperation("r", time.Nanosecond, done)
-	if err := get(t, answers, "the answer"); !agree.ErrNoMajority.Has(err) || waiting.start() {
+	if err := get(t, answers, "the answer"); !paxos.ErrNoMajority.Has(err) || waiting.start() {
 		t.Errorf("%v, and it may still be started", err)
 	}
 	started := boundOperation("r", 50*time.Millisecond, done)
 	if !started.start() {
 		t.Error("not started")
 	}
-	if err := get(t, answers, "the answer"); !agree.ErrTimeout.Has(err) {
+	if err := get(t, answers, "the answer"); !paxos.ErrTimeout.Has(err) {
 		t.Error(err)
 	}
-	started.finish(agree.State{}, nil)
+	started.finish(paxos.State{}, nil)
 	quick := boundOperation("r", time.Hour, done)
 	quick.start()
 	want := errors.New("x")
-	quick.finish(agree.State{}, want)
+	quick.finish(paxos.State{}, want)
 	quick.giveUp("r")
 	if err := get(t, answers, "the answer"); err != want {
 		t.Error(err)
@@ -218,7 +218,7 @@
 		disk := disktest.New()
 		disk.Room = room
 		first, err := openLone(t, disk)
-		if err != nil && (!record.NoRoom(err) || started) {
+		if err != nil && (!recordlog.NoRoom(err) || started) {
 			t.Fatalf("room for %d: %v", room, err)
 		}
 		started = started || err == nil
--- a/internal/keeper/documents.go
+++ b/internal/control/keeper/documents.go
@@ -5,9 +5,9 @@
 	"strconv"
 	"strings"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
-	"dunetide/internal/operator"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // putDocument has an order decided and tells its version. Not ok: it was not confirmed, and the answer is given.
@@ -34,7 +34,7 @@
 // proposeOrder has an order decided; nil: it is in force, or was before its successors.
 func (k *Keeper) proposeOrder(order documentOrder, of documentKind) error {
 	done := make(chan error, 1)
-	k.agree.propose(of.register, proposeWait, order.change(of), func(s agree.State, err error) {
+	k.agree.propose(of.register, proposeWait, order.change(of), func(s paxos.State, err error) {
 		if err == nil {
 			k.spread(of.register, s)
 		}
@@ -54,15 +54,15 @@
 }
 
 // readRegister gives the newest State of a register, as a majority confirms it.
-func (k *Keeper) readRegister(register string) (agree.State, error) {
-	var state agree.State
+func (k *Keeper) readRegister(register string) (paxos.State, error) {
+	var state paxos.State
 	done := make(chan error, 1)
-	k.agree.read(register, proposeWait, func(s agree.State, err error) {
+	k.agree.read(register, proposeWait, func(s paxos.State, err error) {
 		state = s
 		done <- err
 	})
 	if err := k.await(done); err != nil {
-		return agree.State{}, err
+		return paxos.State{}, err
 	}
 	return state, nil
 }
@@ -78,7 +78,7 @@
 
 func (k *Keeper) putConfig(w http.ResponseWriter, _ string, body []byte, r *http.Request) {
 	version, ok := k.putDocument(w, r, configDocument, body, func(b []byte) (uint64, error) {
-		c, err := operator.Parse(b)
+		c, err := operatorconfig.Parse(b)
 		if err != nil {
 			return 0, err
 		}
@@ -98,11 +98,11 @@
 }
 
 // spread tells all other keepers of a decided state, also those who have no vote.
-func (k *Keeper) spread(name string, s agree.State) {
+func (k *Keeper) spread(name string, s paxos.State) {
 	body := learnBody(name, s)
 	for _, l := range k.links() {
 		if l.conn != nil {
-			_ = l.conn.Send(control.Learn, body)
+			_ = l.conn.Send(controlclient.Learn, body)
 		}
 	}
 }
--- a/internal/keeper/drain_cut_test.go
+++ b/internal/control/keeper/drain_cut_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // drainBound is bounds.drain_ms of the deployments, the time after an acknowledgement from which nothing may reach the endpoint.
@@ -30,7 +30,7 @@
 				r.untilMet(0, 1, 2)
 				other := r.follower(1, "other")
 				r.untilCode(200, func() answer { return r.beat(0, "1", "ready", 1) })
-				until(t, "the endpoint is known to the majority", func() bool { return other.state("1") == view.Ready })
+				until(t, "the endpoint is known to the majority", func() bool { return other.state("1") == snapshot.Ready })
 
 				relays.cutOff(0, cut.from, cut.to)
 				said := say(r)
@@ -44,7 +44,7 @@
 				}
 				pace := time.NewTicker(10 * time.Millisecond)
 				defer pace.Stop()
-				for ; other.state("1") == view.Ready; <-pace.C {
+				for ; other.state("1") == snapshot.Ready; <-pace.C {
 					if time.Since(acknowledged) > drainBound {
 						t.Fatalf("acknowledged, and not known to the majority %v later", drainBound)
 					}
--- a/internal/keeper/duty.go
+++ b/internal/control/keeper/duty.go
@@ -5,12 +5,12 @@
 	"strconv"
 	"time"
 
-	"dunetide/internal/agree"
 	"dunetide/internal/batch"
-	"dunetide/internal/control"
-	"dunetide/internal/duty"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/singleton"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -50,7 +50,7 @@
 
 // assigner is the duty of placing the batch parts on stores.
 type assigner struct {
-	lease    *duty.Candidate
+	lease    *singleton.Candidate
 	held     bool
 	running  bool
 	seen     map[uint64]time.Time // stores, when last attached anywhere
@@ -80,10 +80,10 @@
 	k.proposeTable(now, stores)
 }
 
-func (k *Keeper) proposeTable(now time.Time, stores map[uint64]view.Store) {
+func (k *Keeper) proposeTable(now time.Time, stores map[uint64]snapshot.Store) {
 	a := &k.assigner
 	alive, isLost := k.storesAt(now, stores)
-	var assign tableStep = func(cur *view.Table) (*view.Table, bool) {
+	var assign tableStep = func(cur *snapshot.Table) (*snapshot.Table, bool) {
 		return batch.Assign(cur, alive, isLost, partCount, k.o.Settings.SurviveMachines)
 	}
 	if _, changed := assign(k.parts); !changed {
@@ -93,14 +93,14 @@
 	k.changeTable(assign.orUnchanged, func(err error) {
 		k.post(func() { a.running = false })
 		k.log.Info("table proposed", "err", err)
-		if err != nil && err != agree.ErrUnchanged {
+		if err != nil && err != paxos.ErrUnchanged {
 			k.log.Warn("table not changed", "err", err)
 		}
 	})
 }
 
 // askLease asks the voters for the lease of a duty when it is due.
-func (k *Keeper) askLease(now time.Time, name string, lease *duty.Candidate) {
+func (k *Keeper) askLease(now time.Time, name string, lease *singleton.Candidate) {
 	voters := k.leaseVoters()
 	if k.leaving || !voters[k.agree.id] {
 		return
@@ -118,7 +118,7 @@
 
 // requestGrants asks all voters for a lease; those that are not connected count as refusing. A round that can't be
 // granted any more is released at once, as another keeper may be asking.
-func (k *Keeper) requestGrants(now time.Time, name string, lease *duty.Candidate, round uint64, voters map[uint64]bool) {
+func (k *Keeper) requestGrants(now time.Time, name string, lease *singleton.Candidate, round uint64, voters map[uint64]bool) {
 	answered := func(voter uint64, granted bool) {
 		at, key := k.since(time.Now()), strconv.FormatUint(voter, 16)
 		if granted {
@@ -136,7 +136,7 @@
 			continue
 		}
 		asked[voter] = true
-		reply := p.conn.Go(control.Lease, body)
+		reply := p.conn.Go(controlclient.Lease, body)
 		go func() {
 			answer := <-reply
 			r := link.Reader{B: answer.Body}
@@ -157,7 +157,7 @@
 	body := leaseBody(name, k.self.Name, true)
 	for _, p := range k.peers {
 		if p.conn != nil {
-			answers = append(answers, p.conn.Go(control.Lease, body))
+			answers = append(answers, p.conn.Go(controlclient.Lease, body))
 		}
 	}
 	return answers
@@ -173,14 +173,14 @@
 }
 
 // storesAt are the stores that are attached, and whether one has been away for too long.
-func (k *Keeper) storesAt(now time.Time, stores map[uint64]view.Store) ([]view.Store, func(uint64) bool) {
+func (k *Keeper) storesAt(now time.Time, stores map[uint64]snapshot.Store) ([]snapshot.Store, func(uint64) bool) {
 	lost := map[uint64]bool{}
 	if k.parts != nil {
 		for id := range k.parts.Stores {
 			lost[id] = now.Sub(k.assigner.seen[id]) > storeLost
 		}
 	}
-	var alive []view.Store
+	var alive []snapshot.Store
 	for _, s := range stores {
 		alive = append(alive, s)
 	}
@@ -190,9 +190,9 @@
 
 // storesNow is storesAt for other goroutines. Not ok: this keeper ends, or has not been in
 // contact for long enough to have heard of all.
-func (k *Keeper) storesNow() (alive []view.Store, lost func(uint64) bool, ok bool) {
+func (k *Keeper) storesNow() (alive []snapshot.Store, lost func(uint64) bool, ok bool) {
 	type result struct {
-		alive []view.Store
+		alive []snapshot.Store
 		lost  func(uint64) bool
 	}
 	res, ok := ask(k, func() result {
--- a/internal/keeper/endpoints.go
+++ b/internal/control/keeper/endpoints.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // heartbeat is what an endpoint says of itself.
@@ -33,12 +33,12 @@
 		refuse(w, http.StatusBadRequest, "a heartbeat must be JSON: "+err.Error())
 		return
 	}
-	e := view.Endpoint{ID: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Version: h.Version, Capacity: h.Capacity,
+	e := snapshot.Endpoint{ID: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Version: h.Version, Capacity: h.Capacity,
 		ColdLeftMs: int(h.ColdLeftMs), CallCount: h.CallCount}
 	switch h.State {
 	case "ready":
 	case "draining":
-		e.State = view.Draining
+		e.State = snapshot.Draining
 	default:
 		refuse(w, http.StatusBadRequest, `state: must be "ready" or "draining"`)
 		return
@@ -48,17 +48,17 @@
 		return
 	}
 	for _, m := range h.Models {
-		e.Models = append(e.Models, view.Model{Name: m.Name, Version: m.Version})
+		e.Models = append(e.Models, snapshot.Model{Name: m.Name, Version: m.Version})
 	}
 	if err := registry.Check(&e); err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	k.register(w, id, func(now time.Time) bool { return k.table.Beat(k.since(now), e) }, h.Zone, e.State == view.Draining)
+	k.register(w, id, func(now time.Time) bool { return k.table.Beat(k.since(now), e) }, h.Zone, e.State == snapshot.Draining)
 }
 
 func (k *Keeper) leave(w http.ResponseWriter, id string, _ []byte, _ *http.Request) {
-	if err := registry.Check(&view.Endpoint{ID: id}); err != nil {
+	if err := registry.Check(&snapshot.Endpoint{ID: id}); err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
@@ -125,7 +125,7 @@
 	wt := &waiter{change: k.table.Newest(), until: now.Add(k.o.PushWait), done: make(chan struct{})}
 	if list := k.entriesToTell(now, id, before, changed); len(list) > 0 {
 		if ends {
-			wt.quorum = newQuorum(k.agree.votersOf(configRegister), k.agree.id)
+			wt.quorum = newConfirmations(k.agree.votersOf(configRegister), k.agree.id)
 		}
 		k.tellEntries(list, wt)
 	}
@@ -169,7 +169,7 @@
 	if zone == "" || zone == k.self.Zone {
 		return k.self.Control // the answer is given in contact only
 	}
-	var named control.Node
+	var named controlclient.Node
 	for _, p := range k.peers {
 		if p.conn == nil || p.node.Zone != zone || !p.report.InContact {
 			continue
--- a/internal/keeper/every_order_test.go
+++ b/internal/control/keeper/every_order_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // smallCase is a few calls on three machines that are all sent before the first message arrives.
@@ -35,7 +35,7 @@
 // smallWorld is three machines whose messages are delivered in the order that the test chooses.
 type smallWorld struct {
 	now       time.Duration
-	registers []*agree.Register
+	registers []*paxos.Register
 	disks     [][][]byte
 	lives     uint64
 	wire      []smallMessage
@@ -53,13 +53,13 @@
 const smallVoters = 3
 
 func newSmallWorld(play smallCase) *smallWorld {
-	w := &smallWorld{registers: make([]*agree.Register, smallVoters), disks: make([][][]byte, smallVoters), history: newHistory()}
+	w := &smallWorld{registers: make([]*paxos.Register, smallVoters), disks: make([][][]byte, smallVoters), history: newHistory()}
 	if play.restarts {
 		w.restarts = 1
 	}
-	var voters []agree.Voter
+	var voters []paxos.Voter
 	for i := range smallVoters {
-		voters = append(voters, agree.Voter{ID: uint64(i + 1), Addr: strconv.Itoa(i)})
+		voters = append(voters, paxos.Voter{ID: uint64(i + 1), Addr: strconv.Itoa(i)})
 	}
 	for i := range smallVoters {
 		w.start(i)
@@ -76,9 +76,9 @@
 
 func (w *smallWorld) start(i int) {
 	w.lives++
-	register, err := agree.New(agree.Options{Name: configRegister, ID: uint64(i + 1), Proposer: w.lives, Rand: func() float64 { return float64(i) / smallVoters },
+	register, err := paxos.New(paxos.Options{Name: configRegister, ID: uint64(i + 1), Proposer: w.lives, Rand: func() float64 { return float64(i) / smallVoters },
 		Save: func(payload []byte) error { w.disks[i] = append(w.disks[i], payload); return nil },
-		Send: func(to agree.Voter, body []byte) {
+		Send: func(to paxos.Voter, body []byte) {
 			w.wire = append(w.wire, smallMessage{i, int(to.ID) - 1, body})
 		}}, w.disks[i])
 	if err != nil {
@@ -91,7 +91,7 @@
 	answered := w.history.begin(order)
 	w.waiting++
 	if order == readCall {
-		w.registers[machine].Read(w.now, proposeWait, func(s agree.State, err error) {
+		w.registers[machine].Read(w.now, proposeWait, func(s paxos.State, err error) {
 			w.waiting--
 			v, unreadable := readDocument(s.Value)
 			if err != nil || unreadable != nil {
@@ -102,7 +102,7 @@
 		return
 	}
 	change := w.history.orders[order].change(configDocument)
-	w.registers[machine].Propose(w.now, proposeWait, change, func(_ agree.State, err error) {
+	w.registers[machine].Propose(w.now, proposeWait, change, func(_ paxos.State, err error) {
 		w.waiting--
 		answered(registerAnswer{status: statusOf(err)})
 	})
@@ -139,12 +139,12 @@
 
 func (w *smallWorld) deliver(i int) {
 	m := w.take(i)
-	w.registers[m.to].Receive(w.now, agree.Voter{ID: uint64(m.from + 1), Addr: strconv.Itoa(m.from)}, m.body)
+	w.registers[m.to].Receive(w.now, paxos.Voter{ID: uint64(m.from + 1), Addr: strconv.Itoa(m.from)}, m.body)
 }
 
 // tick moves the clock to when some register has something to do.
 func (w *smallWorld) tick() {
-	next := agree.Never
+	next := paxos.Never
 	for _, r := range w.registers {
 		next = min(next, r.Next())
 	}
--- a/internal/keeper/exchange.go
+++ b/internal/control/keeper/exchange.go
@@ -4,9 +4,9 @@
 	"errors"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -24,7 +24,7 @@
 	for i := range list {
 		registry.AppendEntry(&w, &list[i])
 	}
-	ch := c.Go(control.Entries, w.B)
+	ch := c.Go(controlclient.Entries, w.B)
 	if then != nil {
 		go func() { r := <-ch; k.do(func() { then(r.Err) }) }()
 	}
@@ -66,11 +66,11 @@
 
 func (k *Keeper) attachedBody() []byte {
 	w := link.Writer{}
-	nodes := make([]control.Node, 0, len(k.attached))
+	nodes := make([]controlclient.Node, 0, len(k.attached))
 	for _, p := range k.attached {
 		nodes = append(nodes, p.node)
 	}
-	control.AppendNodes(&w, nodes)
+	controlclient.AppendNodes(&w, nodes)
 	return w.B
 }
 
@@ -78,7 +78,7 @@
 	body := k.attachedBody()
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(control.Attached, body)
+			_ = p.conn.Send(controlclient.Attached, body)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	}
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(control.Heard, w.B)
+			_ = p.conn.Send(controlclient.Heard, w.B)
 		}
 	}
 	k.sendReports()
@@ -123,7 +123,7 @@
 		k.dirty = true
 	}
 	if len(missing) > 0 || k.differs(now, m.Conn, sums) {
-		_ = m.Conn.Send(control.Missing, nil)
+		_ = m.Conn.Send(controlclient.Missing, nil)
 	}
 }
 
--- a/internal/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -12,14 +12,14 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
-	"dunetide/internal/registry"
-	"dunetide/internal/settings"
-	"dunetide/internal/view"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/settings"
 )
 
 // still makes a keeper that does not run: its parts are called by the test.
@@ -84,7 +84,7 @@
 
 func hello(name, role string) []byte {
 	w := link.Writer{}
-	control.Node{Name: name, Role: role}.Append(&w)
+	controlclient.Node{Name: name, Role: role}.Append(&w)
 	w.Bool(true)
 	return w.B
 }
@@ -99,10 +99,10 @@
 	done := make(chan struct{})
 	go func() { // the registers' goroutine
 		defer close(done)
-		k.agree.decided(configRegister, agree.State{Slot: 1, Voters: []agree.Voter{{ID: 9, Name: "k2"}}})
-		k.agree.send(configRegister, agree.Voter{ID: 9, Name: "k2"}, nil)
+		k.agree.decided(configRegister, paxos.State{Slot: 1, Voters: []paxos.Voter{{ID: 9, Name: "k2"}}})
+		k.agree.send(configRegister, paxos.Voter{ID: 9, Name: "k2"}, nil)
 		k.agree.askWhereUnknown(configRegister)
-		k.spread(configRegister, agree.State{})
+		k.spread(configRegister, paxos.State{})
 	}()
 	get(t, done, "the end of what the registers' goroutine does")
 	failed := make(chan error, 1)
@@ -133,11 +133,11 @@
 func TestUnacknowledgedIsBounded(t *testing.T) {
 	k := still(t, "k1")
 	conns, _ := wires(t, 1)
-	k.hello(&link.Message{Conn: conns[0], Body: hello("p", control.RoleProxy)})
+	k.hello(&link.Message{Conn: conns[0], Body: hello("p", controlclient.RoleProxy)})
 	confirmContact(t, k)
 	p := k.attached[conns[0]]
 	beat := func(i int) {
-		k.table.Beat(0, view.Endpoint{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("a:", i), CallCount: 1})
+		k.table.Beat(0, snapshot.Endpoint{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("a:", i), CallCount: 1})
 		k.pushAll()
 	}
 	for i := range 1000 {
@@ -164,7 +164,7 @@
 	k := still(t, "k1")
 	conns, _ := wires(t, 2)
 	for _, c := range conns {
-		k.hello(&link.Message{Conn: c, Body: hello("p", control.RoleProxy)})
+		k.hello(&link.Message{Conn: c, Body: hello("p", controlclient.RoleProxy)})
 	}
 	if len(k.attached) != 1 || k.attached[conns[1]] == nil || !ended(conns[0]) || ended(conns[1]) {
 		t.Fatalf("%d are attached", len(k.attached))
@@ -172,8 +172,8 @@
 }
 
 func TestLinksToOneKeeper(t *testing.T) {
-	node := func(name string, life uint64) control.Node {
-		return control.Node{Name: name, Role: control.RoleKeeper, ID: 7, Life: life}
+	node := func(name string, life uint64) controlclient.Node {
+		return controlclient.Node{Name: name, Role: controlclient.RoleKeeper, ID: 7, Life: life}
 	}
 	for _, c := range []struct {
 		what       string
@@ -198,7 +198,7 @@
 		if p.conn != conns[c.used] || ended(conns[0]) != c.firstEnds || ended(conns[1]) != c.secondEnds {
 			t.Fatalf("%s: the first is used: %v, ended %v, %v", c.what, p.conn == conns[0], ended(conns[0]), ended(conns[1]))
 		}
-		if got := k.links().to(agree.Voter{ID: 7}); got != p.conn {
+		if got := k.links().to(paxos.Voter{ID: 7}); got != p.conn {
 			t.Fatalf("%s: the registers use another link", c.what)
 		}
 		// The link in use ends, and the other takes its place if it is there.
@@ -211,7 +211,7 @@
 			t.Fatalf("%s: it does not count as connected", c.what)
 		}
 		k.dropLink(other)
-		if p.conn != nil || len(k.conns) != 0 || k.links().to(agree.Voter{ID: 7}) != nil {
+		if p.conn != nil || len(k.conns) != 0 || k.links().to(paxos.Voter{ID: 7}) != nil {
 			t.Fatalf("%s: links are left", c.what)
 		}
 		if k.links().connectedIDs(1)[7] {
@@ -237,7 +237,7 @@
 func TestListsThatDiffer(t *testing.T) {
 	k := still(t, "k1")
 	conns, far := wires(t, 1)
-	k.adoptLink(conns[0], control.Node{Name: "k2", Role: control.RoleKeeper, Life: 1}, true)
+	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Life: 1}, true)
 	word := func(sums [registry.Parts]uint64, at time.Duration) {
 		w := link.Writer{}
 		w.U32(0)
@@ -254,10 +254,10 @@
 	for range 9 {
 		word(other, time.Second) // is asked a moment ago
 	}
-	_ = conns[0].Send(control.Ack, nil)
+	_ = conns[0].Send(controlclient.Ack, nil)
 	asked := 0
-	for m := get(t, far.messages, "a message"); m.Kind != control.Ack; m = get(t, far.messages, "a message") {
-		if m.Kind == control.Missing {
+	for m := get(t, far.messages, "a message"); m.Kind != controlclient.Ack; m = get(t, far.messages, "a message") {
+		if m.Kind == controlclient.Missing {
 			asked++
 		}
 	}
@@ -275,9 +275,9 @@
 	if a := r.beat(0, "1", "ready", 1); a.code != 200 {
 		t.Fatal(a)
 	}
-	until(t, "the client has it", func() bool { return c.state("1") == view.Ready })
+	until(t, "the client has it", func() bool { return c.state("1") == snapshot.Ready })
 	r.drainUnheard(0, "1", 2)
-	until(t, "the client knows that it drains", func() bool { return c.state("1") == view.Draining })
+	until(t, "the client knows that it drains", func() bool { return c.state("1") == snapshot.Draining })
 }
 
 // drainUnheard makes one keeper take a drain and tell nobody.
@@ -285,7 +285,7 @@
 	k := r.running[i].k
 	if changed, ok := ask(k, func() bool {
 		e, _ := k.table.Get(k.since(time.Now()), id)
-		e.State, e.CallCount = view.Draining, count
+		e.State, e.CallCount = snapshot.Draining, count
 		return k.table.Beat(k.since(time.Now()), e.Endpoint)
 	}); !changed || !ok {
 		r.t.Fatal("the drain is not taken")
@@ -305,7 +305,7 @@
 			t.Fatal(a)
 		}
 		r.drainUnheard(0, id, 2)
-		if a := r.beat(0, id, "draining", 2); a.code != 200 || c.state(id) != view.Draining {
+		if a := r.beat(0, id, "draining", 2); a.code != 200 || c.state(id) != snapshot.Draining {
 			t.Fatalf("%v, and the client sees %v", a, c.state(id))
 		}
 	}
@@ -344,14 +344,14 @@
 	defer conn.Close()
 	w := link.Writer{}
 	w.U32(1)
-	registry.AppendEntry(&w, &registry.Entry{Endpoint: view.Endpoint{ID: "1", Service: "s", CallCount: 2, State: view.Draining}, Alive: 2})
-	first, second := conn.Go(control.Entries, w.B), conn.Go(control.Entries, w.B)
-	var u *control.Update
+	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining}, Alive: 2})
+	first, second := conn.Go(controlclient.Entries, w.B), conn.Go(controlclient.Entries, w.B)
+	var u *controlclient.Update
 	for u = get(t, p.pushes, "the push"); len(u.Entries) == 0; u = get(t, p.pushes, "the push") {
 		p.ack(u.Number)
 	}
 	// The keeper has taken both in once it has answered a call that came behind them.
-	if _, err := conn.Call(context.Background(), control.Status, nil); err != nil {
+	if _, err := conn.Call(context.Background(), controlclient.Status, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i, ch := range []<-chan link.Reply{first, second} {
@@ -417,7 +417,7 @@
 	run, disk := r.running[0], r.disks[0]
 	run.k.agree.do(func() { disk.FailAt, disk.Fails = disk.Ops+1, 1<<30 })
 	r.untilCode(200, func() answer { return r.put(1, 5, 3, "b") })
-	if err := get(t, run.done, "the end of the keeper"); !record.Failed.Has(err) {
+	if err := get(t, run.done, "the end of the keeper"); !recordlog.Failed.Has(err) {
 		t.Fatal(err)
 	}
 	r.running[0] = nil
@@ -432,9 +432,9 @@
 func TestAsksForWhatItDoesNotKnow(t *testing.T) {
 	k := still(t, "k1")
 	conns, far := wires(t, 1)
-	k.adoptLink(conns[0], control.Node{Name: "k2", Role: control.RoleKeeper, ID: 7, Life: 1}, true)
+	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, true)
 	k.agree.askWhereUnknown(tableRegister)
-	for m := get(t, far.messages, "the question"); m.Kind != control.Agree; m = get(t, far.messages, "the question") {
+	for m := get(t, far.messages, "the question"); m.Kind != controlclient.Agree; m = get(t, far.messages, "the question") {
 	}
 }
 
@@ -443,12 +443,12 @@
 	k := still(t, "k1")
 	conns, _ := wires(t, 1)
 	w := link.Writer{}
-	control.AppendNodes(&w, []control.Node{{Name: "s", Role: control.RoleStore, ID: 9, Addr: "127.0.0.1:3", Zone: "z"}})
-	k.message(&link.Message{Conn: conns[0], Kind: control.Attached, Body: w.B})
+	controlclient.AppendNodes(&w, []controlclient.Node{{Name: "s", Role: controlclient.RoleStore, ID: 9, Addr: "127.0.0.1:3", Zone: "z"}})
+	k.message(&link.Message{Conn: conns[0], Kind: controlclient.Attached, Body: w.B})
 	if n := len(k.stores()); n != 0 {
 		t.Fatalf("%d stores by the word of one who is not known", n)
 	}
-	k.adoptLink(conns[0], control.Node{Name: "k2", Role: control.RoleKeeper, ID: 7, Life: 1}, true)
+	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, true)
 	if _, there := k.stores()[9]; !there {
 		t.Error("the store that was told of before is not known")
 	}
--- a/internal/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -20,14 +20,14 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/certify"
-	"dunetide/internal/control"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
-	"dunetide/internal/registry"
-	"dunetide/internal/settings"
-	"dunetide/internal/view"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/settings"
 )
 
 // updateGolden writes the golden files anew. It is only for the sources whose bytes the files pin, and never set in CI.
@@ -61,21 +61,21 @@
 
 // Values of the golden files: each field has a value of its own.
 var (
-	goldenSelf  = control.Node{Name: "k1", Role: control.RoleKeeper, Zone: "za", Addr: "127.0.0.1:11", Control: "127.0.0.1:12", ID: 0x1111111111111111, Life: 0x1212121212121212}
-	goldenPeer  = control.Node{Name: "k2", Role: control.RoleKeeper, Zone: "zb", Addr: "127.0.0.1:21", Control: "127.0.0.1:22", ID: 0x2121212121212121, Life: 0x2222222222222222}
-	goldenProxy = control.Node{Name: "p3", Role: control.RoleProxy, Zone: "zc", Addr: "127.0.0.1:31", Control: "127.0.0.1:32", ID: 0x3131313131313131, Life: 0x3232323232323232}
-	goldenStore = control.Node{Name: "s4", Role: control.RoleStore, Zone: "zd", Addr: "127.0.0.1:41", ID: 0x4141414141414141, Life: 0x4242424242424242}
+	goldenSelf  = controlclient.Node{Name: "k1", Role: controlclient.RoleKeeper, Zone: "za", Addr: "127.0.0.1:11", Control: "127.0.0.1:12", ID: 0x1111111111111111, Life: 0x1212121212121212}
+	goldenPeer  = controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "zb", Addr: "127.0.0.1:21", Control: "127.0.0.1:22", ID: 0x2121212121212121, Life: 0x2222222222222222}
+	goldenProxy = controlclient.Node{Name: "p3", Role: controlclient.RoleProxy, Zone: "zc", Addr: "127.0.0.1:31", Control: "127.0.0.1:32", ID: 0x3131313131313131, Life: 0x3232323232323232}
+	goldenStore = controlclient.Node{Name: "s4", Role: controlclient.RoleStore, Zone: "zd", Addr: "127.0.0.1:41", ID: 0x4141414141414141, Life: 0x4242424242424242}
 
-	goldenVoters = []agree.Voter{{ID: 0x1111111111111111, Name: "k1", Addr: "127.0.0.1:11"}, {ID: 0x2121212121212121, Name: "k2", Addr: "127.0.0.1:21"},
+	goldenVoters = []paxos.Voter{{ID: 0x1111111111111111, Name: "k1", Addr: "127.0.0.1:11"}, {ID: 0x2121212121212121, Name: "k2", Addr: "127.0.0.1:21"},
 		{ID: 0x5151515151515151, Name: "k5", Addr: "127.0.0.1:51"}}
 
-	goldenEntry = registry.Entry{Endpoint: view.Endpoint{ID: "e-6", Service: "svc-7", Address: "10.0.0.8:9", Zone: "z-10", Version: "v-11", Capacity: 12,
-		State: view.Draining, ColdLeftMs: 13, Models: []view.Model{{Name: "m-14", Version: 15}, {Name: "m-16", Version: 17}}, CallCount: 18},
+	goldenEntry = registry.Entry{Endpoint: snapshot.Endpoint{ID: "e-6", Service: "svc-7", Address: "10.0.0.8:9", Zone: "z-10", Version: "v-11", Capacity: 12,
+		State: snapshot.Draining, ColdLeftMs: 13, Models: []snapshot.Model{{Name: "m-14", Version: 15}, {Name: "m-16", Version: 17}}, CallCount: 18},
 		Alive: 19, Silent: true, Age: 20 * time.Millisecond}
 
-	goldenTable = &view.Table{Number: 61, Parts: []view.Part{{Epoch: 62, Primary: 63, Copies: []uint64{63, 64}, Joining: []uint64{65}, Leaving: []uint64{66, 64}},
+	goldenTable = &snapshot.Table{Number: 61, Parts: []snapshot.Part{{Epoch: 62, Primary: 63, Copies: []uint64{63, 64}, Joining: []uint64{65}, Leaving: []uint64{66, 64}},
 		{Epoch: 67, Primary: 64, Copies: []uint64{64, 63}, Joining: []uint64{65}, Leaving: []uint64{66, 68}}},
-		Stores: map[uint64]view.Store{63: {ID: 63, Name: "s63", Addr: "a63", Zone: "z63"}, 64: {ID: 64, Name: "s64", Addr: "a64", Zone: "z64"}, 65: {ID: 65, Name: "s65", Addr: "a65", Zone: "z65"},
+		Stores: map[uint64]snapshot.Store{63: {ID: 63, Name: "s63", Addr: "a63", Zone: "z63"}, 64: {ID: 64, Name: "s64", Addr: "a64", Zone: "z64"}, 65: {ID: 65, Name: "s65", Addr: "a65", Zone: "z65"},
 			66: {ID: 66, Name: "s66", Addr: "a66", Zone: "z66"}},
 		Retiring: map[uint64]bool{64: true, 66: true}, Stopping: map[uint64]bool{65: true}}
 )
@@ -93,18 +93,18 @@
 	return v
 }
 
-// goldenState is a decided state, also of the fields that only internal/agree reads.
-func goldenState(t *testing.T, slot uint64, value []byte) agree.State {
+// goldenState is a decided state, also of the fields that only internal/consensus/paxos reads.
+func goldenState(t *testing.T, slot uint64, value []byte) paxos.State {
 	t.Helper()
 	w := link.Writer{}
-	agree.State{Slot: slot, Voters: goldenVoters, Value: value}.Append(&w)
+	paxos.State{Slot: slot, Voters: goldenVoters, Value: value}.Append(&w)
 	w.B = w.B[:len(w.B)-4] // the count of marks
 	w.U32(2)
 	for _, n := range []uint64{81, 82, 83, 84} {
 		w.U64(n)
 	}
 	r := link.Reader{B: w.B}
-	s := agree.ReadState(&r)
+	s := paxos.ReadState(&r)
 	if r.Err != nil || len(r.B) > 0 {
 		t.Fatal(r.Err, len(r.B))
 	}
@@ -179,7 +179,7 @@
 	k.attached[nil] = &attachedProcess{node: goldenProxy}
 	k.tellAttached()
 	_, body = next("attached")
-	same(t, decoded(t, body, control.ReadNodes), []control.Node{goldenProxy})
+	same(t, decoded(t, body, controlclient.ReadNodes), []controlclient.Node{goldenProxy})
 	delete(k.attached, nil)
 
 	k.leaving = true
@@ -191,12 +191,12 @@
 	k.agree.mu.Unlock()
 	k.sendReports()
 	_, body = next("report")
-	report := control.KeeperReport{InContact: true, Leaving: true, Slots: []uint64{91, 92, 93}, Heard: []uint64{goldenSelf.ID, goldenPeer.ID}}
-	same(t, decoded(t, body, control.ReadKeeperReport), report)
+	report := controlclient.KeeperReport{InContact: true, Leaving: true, Slots: []uint64{91, 92, 93}, Heard: []uint64{goldenSelf.ID, goldenPeer.ID}}
+	same(t, decoded(t, body, controlclient.ReadKeeperReport), report)
 
 	since := time.Hour
 	heard := goldenEntry.Endpoint
-	heard.State = view.Ready
+	heard.State = snapshot.Ready
 	k.table.Beat(since, heard)
 	k.sendHeard(k.life.Add(since + 1234*time.Millisecond))
 	_, body = next("heard")
@@ -221,15 +221,15 @@
 
 	k.spread(configRegister, goldenState(t, 85, []byte("value-86")))
 	_, body = next("learn")
-	state := decoded(t, body, func(r *link.Reader) agree.State {
+	state := decoded(t, body, func(r *link.Reader) paxos.State {
 		if name := r.String(); name != configRegister {
 			t.Errorf("register %q", name)
 		}
-		return agree.ReadState(r)
+		return paxos.ReadState(r)
 	})
 	same(t, state, goldenState(t, 85, []byte("value-86")))
 
-	k.agree.send(tableRegister, agree.Voter{ID: goldenPeer.ID, Name: goldenPeer.Name, Addr: goldenPeer.Addr}, []byte("message-87"))
+	k.agree.send(tableRegister, paxos.Voter{ID: goldenPeer.ID, Name: goldenPeer.Name, Addr: goldenPeer.Addr}, []byte("message-87"))
 	_, body = next("agree")
 	decoded(t, body, func(r *link.Reader) any {
 		same(t, []any{r.String(), r.U64(), r.String(), r.String(), string(r.Bytes())}, []any{tableRegister, goldenSelf.ID, goldenSelf.Name, goldenSelf.Addr, "message-87"})
@@ -255,15 +255,15 @@
 	}
 	conn := k.peers[goldenPeer.Name].conn
 	for range differsTwice {
-		k.receiveHeard(time.Now(), &link.Message{Conn: conn, Kind: control.Heard, Body: other.B})
+		k.receiveHeard(time.Now(), &link.Message{Conn: conn, Kind: controlclient.Heard, Body: other.B})
 	}
 	next("missing")
 
-	trouble := control.Trouble{Node: goldenStore, Reason: "reason-88"}
-	k.troubleReported(time.Now(), &link.Message{Conn: conn, Kind: control.ProcessTrouble, Body: trouble.Encode()})
+	trouble := controlclient.Trouble{Node: goldenStore, Reason: "reason-88"}
+	k.troubleReported(time.Now(), &link.Message{Conn: conn, Kind: controlclient.ProcessTrouble, Body: trouble.Encode()})
 	_, body = next("process-trouble")
 	trouble.Relayed = true
-	read, err := control.ReadTrouble(body)
+	read, err := controlclient.ReadTrouble(body)
 	same(t, []any{read, err}, []any{trouble, error(nil)})
 }
 
@@ -282,12 +282,12 @@
 	k.push(p, pushMessage{u.Encode(), change}, true)
 	_, b := received(t, far)
 	golden(t, "push", b)
-	got, err := control.ReadUpdate(readGolden(t, "push")[1:])
+	got, err := controlclient.ReadUpdate(readGolden(t, "push")[1:])
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, got, &control.Update{Number: 105, Whole: true, InContact: true, Listed: true, Senders: 103, Config: k.config.raw, Version: 101, Table: goldenTable,
-		Entries: []registry.Entry{entry}, Keepers: []control.Node{goldenSelf, goldenPeer}, CertificatesVersion: 102, Certificates: k.certificates.raw})
+	same(t, got, &controlclient.Update{Number: 105, Whole: true, InContact: true, Listed: true, Senders: 103, Config: k.config.raw, Version: 101, Table: goldenTable,
+		Entries: []registry.Entry{entry}, Keepers: []controlclient.Node{goldenSelf, goldenPeer}, CertificatesVersion: 102, Certificates: k.certificates.raw})
 	same(t, got.Encode(), readGolden(t, "push")[1:])
 }
 
@@ -309,7 +309,7 @@
 	m := get(t, far.messages, "hello")
 	golden(t, "hello", append([]byte{byte(m.Kind)}, m.Body...))
 	decoded(t, readGolden(t, "hello")[1:], func(r *link.Reader) any {
-		same(t, []any{control.ReadNode(r), r.Bool()}, []any{goldenSelf, false})
+		same(t, []any{controlclient.ReadNode(r), r.Bool()}, []any{goldenSelf, false})
 		return nil
 	})
 	m.Fail("enough")
@@ -337,15 +337,15 @@
 	w := link.Writer{}
 	goldenProxy.Append(&w)
 	w.Bool(true)
-	decoded(t, call("hello-reply", control.Hello, w.B), func(r *link.Reader) any {
-		same(t, []any{control.ReadNode(r), r.Bool(), r.Bool()}, []any{goldenSelf, true, true})
+	decoded(t, call("hello-reply", controlclient.Hello, w.B), func(r *link.Reader) any {
+		same(t, []any{controlclient.ReadNode(r), r.Bool(), r.Bool()}, []any{goldenSelf, true, true})
 		return nil
 	})
-	same(t, call("in-contact-reply", control.InContact, nil), []byte{1})
-	same(t, call("lease-reply", control.Lease, leaseBody(dutyAssign, "nobody", false)), []byte{0})
-	same(t, call("lease-release-reply", control.Lease, leaseBody(dutyAssign, "nobody", true)), []byte{})
-	same(t, call("process-trouble-reply", control.ProcessTrouble, (&control.Trouble{Node: goldenStore, Reason: "r", Relayed: true}).Encode()), []byte{})
-	same(t, call("entries-reply", control.Entries, []byte{0, 0, 0, 0}), []byte{})
+	same(t, call("in-contact-reply", controlclient.InContact, nil), []byte{1})
+	same(t, call("lease-reply", controlclient.Lease, leaseBody(dutyAssign, "nobody", false)), []byte{0})
+	same(t, call("lease-release-reply", controlclient.Lease, leaseBody(dutyAssign, "nobody", true)), []byte{})
+	same(t, call("process-trouble-reply", controlclient.ProcessTrouble, (&controlclient.Trouble{Node: goldenStore, Reason: "r", Relayed: true}).Encode()), []byte{})
+	same(t, call("entries-reply", controlclient.Entries, []byte{0, 0, 0, 0}), []byte{})
 }
 
 // serveLinks serves links on a loopback address until the test ends, and returns the address.
@@ -382,9 +382,9 @@
 	same(t, v.encode(), readGolden(t, "value-document"))
 
 	w := link.Writer{}
-	control.AppendTable(&w, goldenTable)
+	controlclient.AppendTable(&w, goldenTable)
 	golden(t, "value-table", w.B)
-	table, err := tableOf(agree.State{Value: readGolden(t, "value-table")})
+	table, err := tableOf(paxos.State{Value: readGolden(t, "value-table")})
 	same(t, []any{table, err}, []any{goldenTable, error(nil)})
 }
 
@@ -438,8 +438,8 @@
 func goldenCertificates(t *testing.T, version uint64) []byte {
 	t.Helper()
 	at := func(hour int) time.Time { return time.Date(2026, 12, 1, hour, 2, 3, 0, time.UTC) }
-	b, err := json.Marshal(certify.Document{Version: version, Routes: []certify.Route{{Name: "route-1", Regime: "regime-2"}},
-		Certificates: []certify.Certificate{{Endpoint: "e-3", Regime: "regime-2", NotBefore: at(4), NotAfter: at(5), By: "by-6"}}})
+	b, err := json.Marshal(certification.Document{Version: version, Routes: []certification.Route{{Name: "route-1", Regime: "regime-2"}},
+		Certificates: []certification.Certificate{{Endpoint: "e-3", Regime: "regime-2", NotBefore: at(4), NotAfter: at(5), By: "by-6"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -449,12 +449,12 @@
 // TestGoldenStatus: the status that operators are shown is as the golden file has it.
 func TestGoldenStatus(t *testing.T) {
 	k, _ := goldenKeeper(t)
-	k.config, k.certificates, k.parts, k.senders = &document{version: 121}, &document{version: 122}, &view.Table{Number: 123}, 124
+	k.config, k.certificates, k.parts, k.senders = &document{version: 121}, &document{version: 122}, &snapshot.Table{Number: 123}, 124
 	k.agree.mu.Lock()
 	k.agree.known = goldenVoters
 	k.agree.unsaved = fmt.Errorf("disk trouble 125")
 	for _, name := range registerNames {
-		k.agree.states[name] = agree.State{Voters: goldenVoters}
+		k.agree.states[name] = paxos.State{Voters: goldenVoters}
 	}
 	k.agree.mu.Unlock()
 	now := k.since(time.Now())
@@ -463,7 +463,7 @@
 	}
 	k.attached[nil] = &attachedProcess{node: goldenProxy, pushed: 130, acked: 3, marks: []mark{{number: 2, version: 126, certificates: 128}}}
 	k.table.Merge(now, []registry.Entry{{Endpoint: goldenEntry.Endpoint, Alive: 19}})
-	k.troubles.take(time.Now(), control.Trouble{Node: goldenStore, Reason: "reason-129"})
+	k.troubles.take(time.Now(), controlclient.Trouble{Node: goldenStore, Reason: "reason-129"})
 	for _, known := range k.troubles {
 		known.began = known.began.Add(-131 * time.Second)
 	}
@@ -488,7 +488,7 @@
 	r.untilCode(200, func() answer { return r.put(0, 7, 0, "golden") })
 	r.untilCode(404, func() answer { return r.call(0, "POST", "/retire/nobody", "", []byte(`{"over_s":10}`)) })
 	table := make(chan error, 1)
-	k.changeTable(func(*view.Table) (*view.Table, error) { return goldenTable, nil }, func(err error) { table <- err })
+	k.changeTable(func(*snapshot.Table) (*snapshot.Table, error) { return goldenTable, nil }, func(err error) { table <- err })
 	if err := get(t, table, "table"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keeper/http_test.go
+++ b/internal/control/keeper/http_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/registry"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 func (r *rig) untilMet(keepers ...int) {
@@ -199,18 +199,18 @@
 			t.Fatal(a)
 		}
 		for i, c := range clients {
-			if got := c.state(id); got != view.Draining {
+			if got := c.state(id); got != snapshot.Draining {
 				t.Fatalf("acknowledged to drain, and to client %d it is %v", i+1, got)
 			}
 		}
-		if a := r.beat(n%3, id, "ready", 1); a.code != 200 || clients[0].state(id) != view.Draining {
+		if a := r.beat(n%3, id, "ready", 1); a.code != 200 || clients[0].state(id) != snapshot.Draining {
 			t.Fatalf("a late heartbeat: %v", a)
 		}
 		if a := r.call((n+2)%3, "DELETE", "/instances/"+id, "", nil); a.code != 200 {
 			t.Fatal(a)
 		}
 		for i, c := range clients {
-			if got := c.state(id); got != view.Gone {
+			if got := c.state(id); got != snapshot.Gone {
 				t.Fatalf("acknowledged to be gone, and to client %d it is %v", i+1, got)
 			}
 		}
@@ -231,11 +231,11 @@
 		count++
 		stays(count)
 		for _, c := range clients {
-			if c.state("201") != view.Ready {
+			if c.state("201") != snapshot.Ready {
 				t.Fatal("one that is heard is gone")
 			}
 		}
-		return clients[0].state("200") == view.Gone && clients[1].state("200") == view.Gone
+		return clients[0].state("200") == snapshot.Gone && clients[1].state("200") == snapshot.Gone
 	})
 }
 
@@ -248,7 +248,7 @@
 	w := r.raw(1, "p")
 	until(t, "it is attached", func() bool { return r.status(0).Senders == 1 && len(r.status(1).Attached) == 1 })
 	answers := make(chan answer, 1)
-	check := func(what string, call func() answer, there func(u *control.Update) bool) {
+	check := func(what string, call func() answer, there func(u *controlclient.Update) bool) {
 		t.Helper()
 		go func() { answers <- call() }()
 		for {
@@ -268,15 +268,15 @@
 			t.Fatal(a)
 		}
 	}
-	in := func(state view.State) func(u *control.Update) bool {
-		return func(u *control.Update) bool {
+	in := func(state snapshot.State) func(u *controlclient.Update) bool {
+		return func(u *controlclient.Update) bool {
 			return slices.ContainsFunc(u.Entries, func(e registry.Entry) bool { return e.ID == "7" && e.State == state })
 		}
 	}
-	check("a heartbeat", func() answer { return r.beat(0, "7", "ready", 1) }, in(view.Ready))
-	check("a drain", func() answer { return r.beat(2, "7", "draining", 2) }, in(view.Draining))
-	check("an end", func() answer { return r.call(0, "DELETE", "/instances/7", "", nil) }, in(view.Gone))
-	check("a configuration", func() answer { return r.put(1, 3, 0, "a") }, func(u *control.Update) bool { return u.Version == 3 })
+	check("a heartbeat", func() answer { return r.beat(0, "7", "ready", 1) }, in(snapshot.Ready))
+	check("a drain", func() answer { return r.beat(2, "7", "draining", 2) }, in(snapshot.Draining))
+	check("an end", func() answer { return r.call(0, "DELETE", "/instances/7", "", nil) }, in(snapshot.Gone))
+	check("a configuration", func() answer { return r.put(1, 3, 0, "a") }, func(u *controlclient.Update) bool { return u.Version == 3 })
 }
 
 // Who does not acknowledge holds an answer for PushWait, no longer.
--- a/internal/keeper/invariants.go
+++ b/internal/control/keeper/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"dunetide/internal/invariant"
-	"dunetide/internal/link"
+	"dunetide/internal/platform/invariant"
+	"dunetide/internal/platform/link"
 )
 
 var (
--- a/internal/keeper/invariants_test.go
+++ b/internal/control/keeper/invariants_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dunetide/internal/invariant/invarianttest"
+	"dunetide/internal/platform/invariant/invarianttest"
 )
 
 func TestBrokenPromisesOfKeepersAreFound(t *testing.T) {
--- a/internal/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -17,16 +17,16 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/contact"
-	"dunetide/internal/control"
-	"dunetide/internal/descriptors"
-	"dunetide/internal/duty"
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/observe"
-	"dunetide/internal/registry"
-	"dunetide/internal/settings"
-	"dunetide/internal/view"
+	"dunetide/internal/consensus/quorum"
+	"dunetide/internal/consensus/singleton"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/registry"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/descriptors"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/telemetry"
 )
 
 const (
@@ -46,7 +46,7 @@
 type Options struct {
 	Settings *settings.Settings
 	Folder   journal.Folder // nil: no disk, and no vote
-	Known    func() []control.Node
+	Known    func() []controlclient.Node
 	Log      hclog.Logger
 	PushWait time.Duration // how long an acknowledgement waits for those it concerns; 0: pushWait
 	// DialAddress tells where another keeper's link address is dialled; nil: there. Tests put relays between keepers by it.
@@ -57,7 +57,7 @@
 type Keeper struct {
 	o     Options
 	log   hclog.Logger
-	self  control.Node
+	self  controlclient.Node
 	life  time.Time
 	agree *agreement
 
@@ -77,18 +77,18 @@
 	// decidedConfig and decidedCertificates are the newest decided states that were taken in.
 	decidedConfig, decidedCertificates decidedVersion
 	// certificateReads are for those who ask whether theirs are the newest.
-	certificateReads *contact.Barrier[*link.Message]
-	contact          *contact.Gate[*link.Conn]
+	certificateReads *quorum.Barrier[*link.Message]
+	contact          *quorum.Gate[*link.Conn]
 	contactTimer     *time.Timer
 	hadContact       bool // as the others were told last
-	parts            *view.Table
+	parts            *snapshot.Table
 	senders          int
 	dirty            bool
-	lease            *duty.Grants
+	lease            *singleton.Grants
 	assigner         assigner
 	voterDuty        voterDuty
-	leaving          bool                 // it was told to end, and hands over
-	reportSent       control.KeeperReport // the newest
+	leaving          bool                       // it was told to end, and hands over
+	reportSent       controlclient.KeeperReport // the newest
 	sentHeartbeat    time.Time
 	dialling         map[string]bool
 	wanted           map[string]time.Time // addresses of keepers' links: when each may be dialled again
@@ -103,7 +103,7 @@
 	seeds        atomic.Pointer[[]string] // control addresses that are dialled; those of the first voters stay those of the start
 	contactUntil atomic.Int64             // for other goroutines: the end of contact, as a time of this life
 
-	callEvents *observe.Log // answers that somebody may ask about
+	callEvents *telemetry.Log // answers that somebody may ask about
 
 	largeBodies chan struct{} // holds one for each large body that is in hand
 
@@ -118,10 +118,10 @@
 	now := time.Now()
 	k := &Keeper{o: o, log: o.Log, life: now, commands: make(chan func(), queueMost), ended: make(chan struct{}),
 		posted: make(chan struct{}, 1), largeBodies: make(chan struct{}, largeMost), attached: map[*link.Conn]*attachedProcess{}, peers: map[string]*peer{}, conns: map[*link.Conn]*peerLink{},
-		config: &document{}, certificates: &document{}, certificateReads: contact.NewBarrier[*link.Message](confirmEvery),
-		contact: contact.NewGate[*link.Conn](), contactTimer: time.NewTimer(0), dialling: map[string]bool{}, wanted: map[string]time.Time{},
+		config: &document{}, certificates: &document{}, certificateReads: quorum.NewBarrier[*link.Message](confirmEvery),
+		contact: quorum.NewGate[*link.Conn](), contactTimer: time.NewTimer(0), dialling: map[string]bool{}, wanted: map[string]time.Time{},
 		troubles: troubleTable{}}
-	k.callEvents = observe.NewLog(o.Log)
+	k.callEvents = telemetry.NewLog(o.Log)
 	if k.o.PushWait <= 0 {
 		k.o.PushWait = pushWait
 	}
@@ -132,15 +132,15 @@
 	k.linked.Store(&links{})
 	k.SetSeeds(s.Seeds)
 	k.table = registry.New(0, registry.Options{BeatEvery: time.Duration(s.BeatEveryMs) * time.Millisecond})
-	k.lease = duty.NewGrants(0)
-	k.assigner.lease = duty.NewCandidate(rand.Float64)
+	k.lease = singleton.NewGrants(0)
+	k.assigner.lease = singleton.NewCandidate(rand.Float64)
 	k.voterDuty = newVoterDuty()
 	a, err := openAgreement(k)
 	if err != nil {
 		return nil, err
 	}
 	k.agree = a
-	k.self = control.Node{Name: s.NodeName, Role: control.RoleKeeper, Zone: s.Zone, Addr: linkAddr(s), Control: s.Control,
+	k.self = controlclient.Node{Name: s.NodeName, Role: controlclient.RoleKeeper, Zone: s.Zone, Addr: linkAddr(s), Control: s.Control,
 		ID: a.id, Life: uint64(now.UnixNano())}
 	return k, nil
 }
@@ -307,9 +307,9 @@
 // Message dispatches what comes over links.
 func (k *Keeper) Message(m *link.Message) {
 	switch m.Kind {
-	case control.Agree:
+	case controlclient.Agree:
 		k.agree.receive(m.Body)
-	case control.Learn:
+	case controlclient.Learn:
 		k.agree.learn(m.Body)
 	default:
 		k.do(func() { k.message(m) })
@@ -319,9 +319,9 @@
 func (k *Keeper) message(m *link.Message) {
 	now := time.Now()
 	switch m.Kind {
-	case control.Hello:
+	case controlclient.Hello:
 		k.hello(m)
-	case control.Ack:
+	case controlclient.Ack:
 		if p := k.attached[m.Conn]; p != nil {
 			r := link.Reader{B: m.Body}
 			if p.ack(r.U64()) {
@@ -329,13 +329,13 @@
 			}
 			k.wakeWaiters(now)
 		}
-	case control.Entries:
+	case controlclient.Entries:
 		k.entries(now, m)
-	case control.Heard:
+	case controlclient.Heard:
 		k.receiveHeard(now, m)
-	case control.Attached:
+	case controlclient.Attached:
 		r := link.Reader{B: m.Body}
-		nodes := control.ReadNodes(&r)
+		nodes := controlclient.ReadNodes(&r)
 		if r.Err != nil {
 			return
 		}
@@ -345,26 +345,26 @@
 			return
 		}
 		m.Conn.Tag.Store(nodes) // until it is known whose word it is
-	case control.Confirm:
+	case controlclient.Confirm:
 		k.certificateReads.Add(m)
 		k.confirmCertificates()
-	case control.InContact:
+	case controlclient.InContact:
 		m.Reply(k.contactBody())
-	case control.InForce:
+	case controlclient.InForce:
 		k.inForceAsked(m)
-	case control.Report:
+	case controlclient.Report:
 		k.reported(m)
-	case control.Lease:
+	case controlclient.Lease:
 		k.leaseAsked(now, m)
-	case control.Missing:
+	case controlclient.Missing:
 		k.sendEntries(m.Conn, k.table.Entries(k.since(now), -1), nil)
-	case control.Joined:
+	case controlclient.Joined:
 		k.joined(m)
-	case control.Stopping:
+	case controlclient.Stopping:
 		k.stopping(m)
-	case control.ProcessTrouble:
+	case controlclient.ProcessTrouble:
 		k.troubleReported(now, m)
-	case control.Status:
+	case controlclient.Status:
 		m.Reply(k.statusJSON())
 	default:
 		m.Fail("no such call here: both sides must run the same version")
--- a/internal/keeper/learn_test.go
+++ b/internal/control/keeper/learn_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/settings"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/settings"
 )
 
 // A keeper that met the first voters before they knew of each other hears of all registers, with a disk and
--- a/internal/keeper/lease_test.go
+++ b/internal/control/keeper/lease_test.go
@@ -4,15 +4,15 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/contact"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/quorum"
 )
 
 // TestLeaseNeedsContact: a voter grants a lease to a voter only while it is in contact with a majority.
 func TestLeaseNeedsContact(t *testing.T) {
 	k := still(t, "k1")
 	const other = 7
-	k.agree.decided(configRegister, agree.State{Slot: k.agree.slots()[0], Voters: []agree.Voter{{ID: k.agree.id, Name: "k1"}, {ID: other, Name: "k2"}}})
+	k.agree.decided(configRegister, paxos.State{Slot: k.agree.slots()[0], Voters: []paxos.Voter{{ID: k.agree.id, Name: "k1"}, {ID: other, Name: "k2"}}})
 	now := k.life.Add(time.Minute)
 	if !k.mayGrant(now, other) {
 		t.Fatal("both vote")
@@ -24,7 +24,7 @@
 	if !k.grantLease(now, "duty", "k2", other) {
 		t.Error("refused in contact")
 	}
-	if later := now.Add(contact.Length); k.grantLease(later, "duty", "k2", other) {
+	if later := now.Add(quorum.Length); k.grantLease(later, "duty", "k2", other) {
 		t.Error("granted after contact has ended")
 	}
 }
--- a/internal/keeper/leave.go
+++ b/internal/control/keeper/leave.go
@@ -4,10 +4,10 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/duty"
-	"dunetide/internal/link"
-	"dunetide/internal/reconfigure"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/reconfigure"
+	"dunetide/internal/consensus/singleton"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -52,7 +52,7 @@
 }
 
 // releaseLease gives a lease back to all who may have granted it.
-func (k *Keeper) releaseLease(name string, lease *duty.Candidate) []<-chan link.Reply {
+func (k *Keeper) releaseLease(name string, lease *singleton.Candidate) []<-chan link.Reply {
 	if !lease.Holds(k.since(time.Now())) {
 		return nil
 	}
@@ -108,7 +108,7 @@
 type handOverStep struct {
 	step       reconfigure.Step
 	change     reconfigure.Change
-	decidedFor []agree.Voter
+	decidedFor []paxos.Voter
 }
 
 func (k *Keeper) nextHandOverStep(name string) handOverStep {
@@ -120,7 +120,7 @@
 // makeChange makes a change of voters, and tells whether it was made.
 func (k *Keeper) makeChange(name string, step handOverStep, deadline time.Time) bool {
 	ended := make(chan error, 1)
-	k.agree.changeVoters(name, time.Until(deadline), step.change, step.decidedFor, func(_ agree.State, err error) { ended <- err })
+	k.agree.changeVoters(name, time.Until(deadline), step.change, step.decidedFor, func(_ paxos.State, err error) { ended <- err })
 	select {
 	case err := <-ended:
 		k.logChange(name, step.change, err)
@@ -134,11 +134,11 @@
 // state may be decided on this keeper's disk and too few others.
 func (k *Keeper) removalStored(name string, deadline time.Time) bool {
 	type result struct {
-		state agree.State
+		state paxos.State
 		err   error
 	}
 	results := make(chan result, 1)
-	k.agree.read(name, time.Until(deadline), func(s agree.State, err error) { results <- result{s, err} })
+	k.agree.read(name, time.Until(deadline), func(s paxos.State, err error) { results <- result{s, err} })
 	select {
 	case r := <-results:
 		return r.err == nil && !r.state.Has(k.agree.id)
--- a/internal/keeper/log.go
+++ b/internal/control/keeper/log.go
@@ -4,9 +4,9 @@
 	"errors"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/link"
-	"dunetide/internal/record"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
 )
 
 // rewritePolicy says when the log is rewritten.
@@ -47,7 +47,7 @@
 
 // firstVoters is the record of the voters of the very first start. It is written before the registers are, each of which has a record
 // of its own: a process that ends between two of these goes on where it was.
-func firstVoters(voters []agree.Voter) []byte {
+func firstVoters(voters []paxos.Voter) []byte {
 	w := link.Writer{}
 	w.U8(recordFirstVoters)
 	w.U32(uint32(len(voters)))
@@ -80,7 +80,7 @@
 		a.saved[name] = append(a.saved[name], r.Bytes())
 	case recordFirstVoters:
 		for range r.Count(16) {
-			a.first = append(a.first, agree.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()})
+			a.first = append(a.first, paxos.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()})
 		}
 	}
 	return r.Err
@@ -95,11 +95,11 @@
 		a.rewrite() // the registers' state is that before b: nothing of b is lost by it
 	}
 	_, err := a.log.Append(b)
-	if err != nil && !record.Failed.Has(err) && a.shrink() {
+	if err != nil && !recordlog.Failed.Has(err) && a.shrink() {
 		_, err = a.log.Append(b)
 	}
-	if err != nil && !record.Failed.Has(err) {
-		return agree.ErrNotSaved.Wrap(err)
+	if err != nil && !recordlog.Failed.Has(err) {
+		return paxos.ErrNotSaved.Wrap(err)
 	}
 	if err != nil {
 		return err
--- a/internal/keeper/log_test.go
+++ b/internal/control/keeper/log_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/settings"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/settings"
 )
 
 const (
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	l := &lone{t: t, disk: disk, a: k.agree}
-	l.a.bootstrap([]agree.Voter{{ID: l.a.id, Name: "k1"}})
+	l.a.bootstrap([]paxos.Voter{{ID: l.a.id, Name: "k1"}})
 	return l, nil
 }
 
@@ -51,17 +51,17 @@
 func (l *lone) change(name string, value []byte) bool {
 	l.now += time.Second
 	reg, ended, done := l.a.regs[name], false, false
-	reg.Propose(l.now, 2*time.Second, func(cur agree.State) (agree.State, error) {
+	reg.Propose(l.now, 2*time.Second, func(cur paxos.State) (paxos.State, error) {
 		cur.Value = value
 		return cur, nil
-	}, func(_ agree.State, err error) { ended, done = true, err == nil })
+	}, func(_ paxos.State, err error) { ended, done = true, err == nil })
 	l.tickUntil(reg, &ended)
 	l.a.rewriteWhenGrown()
 	return done
 }
 
 // tickUntil lets time pass until an operation has ended: after a restart a ballot that was promised before takes a second try.
-func (l *lone) tickUntil(reg *agree.Register, ended *bool) {
+func (l *lone) tickUntil(reg *paxos.Register, ended *bool) {
 	for range 100 {
 		if *ended {
 			return
@@ -74,7 +74,7 @@
 // value reads a register: what was accepted before a kill is finished first.
 func (l *lone) value(name string) (value []byte) {
 	reg, ended := l.a.regs[name], false
-	reg.Read(l.now, 2*time.Second, func(s agree.State, err error) { value, ended = s.Value, true })
+	reg.Read(l.now, 2*time.Second, func(s paxos.State, err error) { value, ended = s.Value, true })
 	l.tickUntil(reg, &ended)
 	return value
 }
--- a/internal/keeper/model_test.go
+++ b/internal/control/keeper/model_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // The model plays the configurations' register, with the real agreement and the real decision on an order, on simulated
@@ -62,7 +62,7 @@
 	index       int
 	id          uint64
 	disk        [][]byte
-	register    *agree.Register
+	register    *paxos.Register
 	life        int // counts starts, so that what belongs to an earlier life is dropped
 	up          bool
 	frozenUntil time.Duration
@@ -72,7 +72,7 @@
 func newModelCluster(seed uint64, voters, remembered int) *modelCluster {
 	c := &modelCluster{rng: rand.New(rand.NewPCG(seed, 41)), cut: map[[2]int]bool{}, delay: 10 * time.Millisecond, history: newHistory(),
 		document: documentKind{configRegister, "/config", &ErrInvalid, remembered}}
-	var first []agree.Voter
+	var first []paxos.Voter
 	for i := range voters {
 		m := &modelMachine{cluster: c, index: i, id: uint64(i + 1)}
 		c.machines = append(c.machines, m)
@@ -107,15 +107,15 @@
 
 func (c *modelCluster) anyMachine() *modelMachine { return c.machines[c.rng.IntN(len(c.machines))] }
 
-func (m *modelMachine) voter() agree.Voter {
-	return agree.Voter{ID: m.id, Name: fmt.Sprint("k", m.index), Addr: fmt.Sprint(m.index)}
+func (m *modelMachine) voter() paxos.Voter {
+	return paxos.Voter{ID: m.id, Name: fmt.Sprint("k", m.index), Addr: fmt.Sprint(m.index)}
 }
 
 func (m *modelMachine) start() {
 	c := m.cluster
 	m.up, m.life = true, m.life+1
 	var err error
-	m.register, err = agree.New(agree.Options{Name: configRegister, ID: m.id, Proposer: c.rng.Uint64() | 1, Rand: c.rng.Float64,
+	m.register, err = paxos.New(paxos.Options{Name: configRegister, ID: m.id, Proposer: c.rng.Uint64() | 1, Rand: c.rng.Float64,
 		Save: func(payload []byte) error { m.disk = append(m.disk, bytes.Clone(payload)); return nil },
 		Send: m.send}, m.disk)
 	if err != nil {
@@ -163,7 +163,7 @@
 func (m *modelMachine) schedule() {
 	m.tick++
 	tick, next := m.tick, m.register.Next()
-	if next == agree.Never {
+	if next == paxos.Never {
 		return
 	}
 	m.cluster.after(max(next-m.cluster.now, time.Microsecond), func() {
@@ -173,7 +173,7 @@
 	})
 }
 
-func (m *modelMachine) send(to agree.Voter, message []byte) {
+func (m *modelMachine) send(to paxos.Voter, message []byte) {
 	c := m.cluster
 	var target int
 	if _, err := fmt.Sscan(to.Addr, &target); err != nil {
@@ -183,7 +183,7 @@
 	if c.chance(c.double) {
 		copies = 2
 	}
-	from := agree.Voter{Name: fmt.Sprint("k", m.index), Addr: fmt.Sprint(m.index)}
+	from := paxos.Voter{Name: fmt.Sprint("k", m.index), Addr: fmt.Sprint(m.index)}
 	for range copies {
 		if c.cut[[2]int{m.index, target}] || c.chance(c.loss) {
 			continue
@@ -206,7 +206,7 @@
 // put is an operator's order at this machine; answer is called once, or never if the machine is lost meanwhile.
 func (m *modelMachine) put(order documentOrder, answer func(status int)) {
 	m.step(func() {
-		m.register.Propose(m.cluster.now, proposeWait, order.change(m.cluster.document), func(_ agree.State, err error) {
+		m.register.Propose(m.cluster.now, proposeWait, order.change(m.cluster.document), func(_ paxos.State, err error) {
 			answer(statusOf(err))
 			if err == nil {
 				m.confirmed()
@@ -235,7 +235,7 @@
 // get reads what is in force.
 func (m *modelMachine) get(answer func(v *document, err error)) {
 	m.step(func() {
-		m.register.Read(m.cluster.now, proposeWait, func(s agree.State, err error) {
+		m.register.Read(m.cluster.now, proposeWait, func(s paxos.State, err error) {
 			if err != nil {
 				answer(nil, err)
 				return
@@ -260,7 +260,7 @@
 }
 
 // replaceByName gives the state with a voter in the place of the one of its name, whose disk is lost.
-func replaceByName(cur agree.State, joiner agree.Voter) (agree.State, bool) {
+func replaceByName(cur paxos.State, joiner paxos.Voter) (paxos.State, bool) {
 	for _, voter := range cur.Voters {
 		if voter.Name == joiner.Name {
 			return cur.WithReplacement(voter.ID, joiner)
@@ -274,16 +274,16 @@
 	joined := false
 	proposer := c.anyMachine()
 	proposer.step(func() {
-		proposer.register.Propose(c.now, time.Second, func(cur agree.State) (agree.State, error) {
+		proposer.register.Propose(c.now, time.Second, func(cur paxos.State) (paxos.State, error) {
 			if m.id != id {
-				return cur, agree.ErrUnchanged
+				return cur, paxos.ErrUnchanged
 			}
 			next, changed := replaceByName(cur, m.voter())
 			if !changed {
-				return cur, agree.ErrUnchanged
+				return cur, paxos.ErrUnchanged
 			}
 			return next, nil
-		}, func(_ agree.State, err error) { joined = err == nil })
+		}, func(_ paxos.State, err error) { joined = err == nil })
 	})
 	c.after(1100*time.Millisecond, func() {
 		if joined {
--- a/internal/keeper/peers.go
+++ b/internal/control/keeper/peers.go
@@ -6,9 +6,9 @@
 	"sort"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
-	"dunetide/internal/link"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -21,13 +21,13 @@
 
 // peer is another keeper.
 type peer struct {
-	node     control.Node
+	node     controlclient.Node
 	conn     *link.Conn // nil: not connected at present
 	lost     time.Time
-	attached []control.Node
-	report   control.KeeperReport // its newest one; zero before the first
-	differs  int                  // digests in a row by which its list is not this one
-	asked    time.Time            // for its entries, because of that
+	attached []controlclient.Node
+	report   controlclient.KeeperReport // its newest one; zero before the first
+	differs  int                        // digests in a row by which its list is not this one
+	asked    time.Time                  // for its entries, because of that
 }
 
 // peerLink is a link to another keeper.
@@ -41,7 +41,7 @@
 type links []linked
 
 type linked struct {
-	node control.Node
+	node controlclient.Node
 	conn *link.Conn
 	lost time.Time
 }
@@ -50,7 +50,7 @@
 func (k *Keeper) links() links { return *k.linked.Load() }
 
 // to gives the link to a voter; nil: there is none. Its identity counts more than its name.
-func (l links) to(v agree.Voter) (conn *link.Conn) {
+func (l links) to(v paxos.Voter) (conn *link.Conn) {
 	for _, x := range l {
 		if x.conn != nil && v.ID != 0 && x.node.ID == v.ID {
 			return x.conn
@@ -63,7 +63,7 @@
 }
 
 // any gives a connected keeper, drawn at random.
-func (l links) any() (node control.Node, there bool) {
+func (l links) any() (node controlclient.Node, there bool) {
 	for _, i := range rand.Perm(len(l)) {
 		if l[i].conn != nil {
 			return l[i].node, true
@@ -99,7 +99,7 @@
 // dialKeepers dials the keepers that are known and not connected.
 func (k *Keeper) dialKeepers(now time.Time) {
 	addrs := map[string]bool{}
-	for _, s := range control.SeedLinks(*k.seeds.Load(), k.o.Settings.InternalFirst) {
+	for _, s := range controlclient.SeedLinks(*k.seeds.Load(), k.o.Settings.InternalFirst) {
 		addrs[s] = true
 	}
 	if k.o.Known != nil {
@@ -149,11 +149,11 @@
 	w := link.Writer{}
 	k.self.Append(&w)
 	w.Bool(false)
-	b, err := conn.Call(ctx, control.Hello, w.B)
+	b, err := conn.Call(ctx, controlclient.Hello, w.B)
 	r := link.Reader{B: b}
-	node := control.ReadNode(&r)
+	node := controlclient.ReadNode(&r)
 	r.Bool()
-	if err != nil || r.Err != nil || node.Role != control.RoleKeeper || node.Name == k.self.Name {
+	if err != nil || r.Err != nil || node.Role != controlclient.RoleKeeper || node.Name == k.self.Name {
 		conn.Close()
 		return
 	}
@@ -162,7 +162,7 @@
 
 // adoptLink adopts a link to another keeper. Where two have dialled each other, the link from the smaller name stays,
 // and who dialled the other one closes it.
-func (k *Keeper) adoptLink(c *link.Conn, node control.Node, dialled bool) {
+func (k *Keeper) adoptLink(c *link.Conn, node controlclient.Node, dialled bool) {
 	select {
 	case <-c.Done():
 		return
@@ -186,7 +186,7 @@
 		k.log.Info("keeper connected", "keeper", node.Name, "zone", node.Zone)
 	}
 	if p.node.Life != node.Life {
-		p.attached, p.differs, p.report = nil, 0, control.KeeperReport{}
+		p.attached, p.differs, p.report = nil, 0, controlclient.KeeperReport{}
 		for other, l := range k.conns {
 			if l.peer == p && other != c {
 				other.Close()
@@ -195,7 +195,7 @@
 	}
 	p.node = node
 	k.conns[c] = &peerLink{peer: p, life: node.Life, dialled: dialled}
-	if nodes, ok := c.Tag.Load().([]control.Node); ok {
+	if nodes, ok := c.Tag.Load().([]controlclient.Node); ok {
 		p.attached = nodes
 	}
 	k.choose(p, c)
@@ -230,10 +230,10 @@
 		k.sendEntries(c, list, nil)
 	}
 	for _, body := range k.agree.newest() {
-		_ = c.Send(control.Learn, body)
+		_ = c.Send(controlclient.Learn, body)
 	}
-	_ = c.Send(control.Attached, k.attachedBody())
-	_ = c.Send(control.Report, encodeReport(k.report()))
+	_ = c.Send(controlclient.Attached, k.attachedBody())
+	_ = c.Send(controlclient.Report, encodeReport(k.report()))
 }
 
 // dropLink forgets a link to a keeper. Another one to the same life takes its place.
@@ -248,7 +248,7 @@
 		return
 	}
 	p.conn = nil
-	p.report = control.KeeperReport{}
+	p.report = controlclient.KeeperReport{}
 	for other, l := range k.conns {
 		if l.peer == p && l.life == p.node.Life {
 			p.conn = other
@@ -264,8 +264,8 @@
 }
 
 // keeperNodes are this keeper and those that are connected and not leaving, by name.
-func (k *Keeper) keeperNodes() []control.Node {
-	nodes := []control.Node{k.self}
+func (k *Keeper) keeperNodes() []controlclient.Node {
+	nodes := []controlclient.Node{k.self}
 	for _, p := range k.peers {
 		if p.conn != nil && !p.report.Leaving {
 			nodes = append(nodes, p.node)
--- a/internal/keeper/pushes.go
+++ b/internal/control/keeper/pushes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dunetide/internal/control"
+	"dunetide/internal/control/controlclient"
 )
 
 // mark is what is in force once a push is acknowledged.
@@ -95,7 +95,7 @@
 // push sends an update to a process, and takes note of what it then has.
 func (k *Keeper) push(p *attachedProcess, m pushMessage, inContact bool) {
 	p.pushed++
-	control.Renumber(m.body, p.pushed)
+	controlclient.Renumber(m.body, p.pushed)
 	p.whole, p.inContact, p.listed, p.senders, p.keepers = true, inContact, k.pushedListening, k.senders, k.keepersChange
 	p.change = m.change
 	if inContact {
@@ -105,15 +105,15 @@
 		}
 	}
 	p.marks = append(p.marks, mark{p.pushed, p.version, p.change, p.table, p.certificates})
-	if err := p.conn.Send(control.Push, m.body); err != nil {
+	if err := p.conn.Send(controlclient.Push, m.body); err != nil {
 		k.log.Warn("push not sent", "node", p.node.Name, "err", err)
 		p.conn.Close() // it attaches anew, and is told all
 	}
 }
 
 // update is what a process lacks, and the change of the list that it then has.
-func (k *Keeper) update(p *attachedProcess, now time.Time, inContact bool) (u *control.Update, change uint64) {
-	u = &control.Update{InContact: inContact, Listed: k.pushedListening, Senders: k.senders, CertificatesVersion: p.certificates}
+func (k *Keeper) update(p *attachedProcess, now time.Time, inContact bool) (u *controlclient.Update, change uint64) {
+	u = &controlclient.Update{InContact: inContact, Listed: k.pushedListening, Senders: k.senders, CertificatesVersion: p.certificates}
 	if inContact {
 		k.addRegisters(u, p)
 	}
@@ -129,7 +129,7 @@
 }
 
 // addRegisters puts what a process lacks of the registers into an update.
-func (k *Keeper) addRegisters(u *control.Update, p *attachedProcess) {
+func (k *Keeper) addRegisters(u *controlclient.Update, p *attachedProcess) {
 	u.CertificatesVersion = k.certificates.version
 	if p.certificates < k.certificates.version {
 		u.Certificates = k.certificates.raw
--- a/internal/keeper/quorum_test.go
+++ b/internal/control/keeper/quorum_test.go
@@ -3,18 +3,18 @@
 import (
 	"testing"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 func TestQuorum(t *testing.T) {
-	voters := func(ids ...uint64) (all []agree.Voter) {
+	voters := func(ids ...uint64) (all []paxos.Voter) {
 		for _, id := range ids {
-			all = append(all, agree.Voter{ID: id})
+			all = append(all, paxos.Voter{ID: id})
 		}
 		return all
 	}
 	for name, c := range map[string]struct {
-		voters    []agree.Voter
+		voters    []paxos.Voter
 		self      uint64
 		confirmed []uint64
 		reached   bool
@@ -30,7 +30,7 @@
 		"who asks need not vote":                  {voters(1, 2, 3), 9, []uint64{1, 2}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := newQuorum(c.voters, c.self)
+			q := newConfirmations(c.voters, c.self)
 			for _, id := range c.confirmed {
 				q.confirm(id)
 			}
@@ -39,7 +39,7 @@
 			}
 		})
 	}
-	var none *quorum
+	var none *confirmations
 	none.confirm(1)
 	if !none.reached() {
 		t.Fatal("what needs no majority waits for one")
--- a/internal/keeper/reconfigure.go
+++ b/internal/control/keeper/reconfigure.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
-	"dunetide/internal/duty"
-	"dunetide/internal/reconfigure"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/reconfigure"
+	"dunetide/internal/consensus/singleton"
+	"dunetide/internal/control/controlclient"
 )
 
 const (
@@ -25,7 +25,7 @@
 // voterDuty is the duty of changing who votes, and what this keeper has observed of the voters. All keepers observe,
 // so that one that takes the duty over knows already who has not been heard, and for how long.
 type voterDuty struct {
-	lease     *duty.Candidate
+	lease     *singleton.Candidate
 	held      bool
 	running   map[string]bool // registers whose voters are being changed
 	observers map[string]*reconfigure.Observer
@@ -33,7 +33,7 @@
 }
 
 func newVoterDuty() voterDuty {
-	d := voterDuty{lease: duty.NewCandidate(rand.Float64), running: map[string]bool{}, observers: map[string]*reconfigure.Observer{}}
+	d := voterDuty{lease: singleton.NewCandidate(rand.Float64), running: map[string]bool{}, observers: map[string]*reconfigure.Observer{}}
 	for _, name := range registerNames {
 		d.observers[name] = &reconfigure.Observer{}
 	}
@@ -73,25 +73,25 @@
 		return
 	}
 	k.voterDuty.running[name] = true
-	k.agree.changeVoters(name, changeWait, change, state.Voters, func(_ agree.State, err error) {
+	k.agree.changeVoters(name, changeWait, change, state.Voters, func(_ paxos.State, err error) {
 		k.post(func() { k.voterDuty.running[name] = false })
 		k.logChange(name, change, err)
 	})
 }
 
 // changeVoters makes one change of voters, unless they have changed since it was decided on.
-func (a *agreement) changeVoters(name string, timeout time.Duration, change reconfigure.Change, decidedFor []agree.Voter, done func(agree.State, error)) {
-	a.propose(name, timeout, func(current agree.State) (agree.State, error) {
+func (a *agreement) changeVoters(name string, timeout time.Duration, change reconfigure.Change, decidedFor []paxos.Voter, done func(paxos.State, error)) {
+	a.propose(name, timeout, func(current paxos.State) (paxos.State, error) {
 		next, applied := change.Apply(current, decidedFor)
 		if !applied {
-			return current, agree.ErrUnchanged
+			return current, paxos.ErrUnchanged
 		}
 		return next, nil
 	}, done)
 }
 
 func (k *Keeper) logChange(name string, change reconfigure.Change, err error) {
-	voterName := func(v *agree.Voter) string {
+	voterName := func(v *paxos.Voter) string {
 		if v == nil {
 			return "none"
 		}
@@ -101,7 +101,7 @@
 }
 
 // situation is what is known of a register's voters and of the keepers that could be voters.
-func (k *Keeper) situation(now time.Time, name string, state agree.State) reconfigure.Situation {
+func (k *Keeper) situation(now time.Time, name string, state paxos.State) reconfigure.Situation {
 	settings := k.o.Settings
 	limits := reconfigure.Limits{Survive: max(leastSurvive, settings.SurviveMachines), MostVoters: votersMost, GiveUpAfter: reconfigure.GiveUpAfter(settings.Bounds.CatchUp)}
 	return k.voterDuty.observers[name].Situation(k.since(now), state, k.registerReports(name), limits)
@@ -111,7 +111,7 @@
 func (k *Keeper) registerReports(name string) []reconfigure.Report {
 	register := slices.Index(registerNames, name)
 	var reports []reconfigure.Report
-	add := func(node control.Node, report control.KeeperReport) {
+	add := func(node controlclient.Node, report controlclient.KeeperReport) {
 		if node.ID != 0 && len(report.Slots) > 0 {
 			reports = append(reports, reconfigure.Report{Keeper: voterOf(node), Heard: report.Heard, Stored: report.Slots[register], Leaving: report.Leaving})
 		}
--- a/internal/keeper/report.go
+++ b/internal/control/keeper/report.go
@@ -4,19 +4,19 @@
 	"maps"
 	"slices"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
 )
 
 // report is what this keeper tells the others of itself.
-func (k *Keeper) report() control.KeeperReport {
+func (k *Keeper) report() controlclient.KeeperReport {
 	connected, heard := k.links().connectedIDs(k.agree.id), map[uint64]bool{}
 	for _, voter := range k.agree.voters() {
 		if connected[voter.ID] {
 			heard[voter.ID] = true
 		}
 	}
-	return control.KeeperReport{InContact: k.inContact(), Leaving: k.leaving, Slots: k.agree.slots(), Heard: slices.Sorted(maps.Keys(heard))}
+	return controlclient.KeeperReport{InContact: k.inContact(), Leaving: k.leaving, Slots: k.agree.slots(), Heard: slices.Sorted(maps.Keys(heard))}
 }
 
 // sendReports tells all keepers that are connected.
@@ -25,13 +25,13 @@
 	body := encodeReport(k.reportSent)
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(control.Report, body)
+			_ = p.conn.Send(controlclient.Report, body)
 		}
 	}
 }
 
 // encodeReport writes the message of a report.
-func encodeReport(report control.KeeperReport) []byte {
+func encodeReport(report controlclient.KeeperReport) []byte {
 	w := link.Writer{}
 	report.Append(&w)
 	return w.B
@@ -49,7 +49,7 @@
 // reported takes the report of another keeper in.
 func (k *Keeper) reported(m *link.Message) {
 	r := link.Reader{B: m.Body}
-	report := control.ReadKeeperReport(&r)
+	report := controlclient.ReadKeeperReport(&r)
 	l := k.conns[m.Conn]
 	if l == nil || r.Err != nil || len(report.Slots) != len(registerNames) {
 		return
--- a/internal/keeper/restart_damage_test.go
+++ b/internal/control/keeper/restart_damage_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/control"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/record"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/recordlog"
 )
 
 // damagedDisk is what becomes of a disk while its keeper is away: it gives the disk that the keeper comes back with, of the one that
@@ -158,7 +158,7 @@
 // refusesToStart checks that a keeper tells of a damaged log and does not start.
 func (r *rig) refusesToStart(i int) {
 	r.t.Helper()
-	if _, err := New(Options{Settings: r.settings(i), Folder: r.disks[i], Log: hclog.NewNullLogger()}); !record.Damaged.Has(err) {
+	if _, err := New(Options{Settings: r.settings(i), Folder: r.disks[i], Log: hclog.NewNullLogger()}); !recordlog.Damaged.Has(err) {
 		r.t.Fatalf("started on a damaged log: %v", err)
 	}
 }
@@ -185,7 +185,7 @@
 	}
 	calls.Wait()
 	attached := r.raw(victim, "attached before")
-	if _, err := attached.call(r.t, control.Confirm, nil); err == nil {
+	if _, err := attached.call(r.t, controlclient.Confirm, nil); err == nil {
 		r.t.Error("certificates are confirmed")
 	}
 	as, _ := r.running[other].k.agree.state(configRegister)
--- a/internal/keeper/restart_impostor_test.go
+++ b/internal/control/keeper/restart_impostor_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
-	"dunetide/internal/link"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
 )
 
 // agreeKind is the kind of a message of agreement, as it stands behind the register's name.
@@ -43,24 +43,24 @@
 // the keeper could catch up.
 type impostor struct {
 	t     *testing.T
-	voter agree.Voter // that it plays
-	asked agree.Voter
+	voter paxos.Voter // that it plays
+	asked paxos.Voter
 	conn  *link.Conn
 	start time.Time
 
 	mu       sync.Mutex
-	register *agree.Register
+	register *paxos.Register
 	heard    map[agreeKind]int // of the keeper's messages
 	local    [][]byte          // to itself
 }
 
 // impersonate connects to a keeper, past all relays, as another one.
-func (r *rig) impersonate(victim int, as agree.Voter, newest agree.State) *impostor {
+func (r *rig) impersonate(victim int, as paxos.Voter, newest paxos.State) *impostor {
 	r.t.Helper()
 	k := r.running[victim].k
-	p := &impostor{t: r.t, voter: as, asked: agree.Voter{ID: k.agree.id, Name: k.self.Name, Addr: k.self.Addr}, start: time.Now(), heard: map[agreeKind]int{}}
-	register, err := agree.New(agree.Options{Name: configRegister, ID: as.ID, Proposer: rand.Uint64() | 1, Rand: rand.Float64,
-		Save: func([]byte) error { return nil }, Send: p.send, Decided: func(agree.State) {}}, nil)
+	p := &impostor{t: r.t, voter: as, asked: paxos.Voter{ID: k.agree.id, Name: k.self.Name, Addr: k.self.Addr}, start: time.Now(), heard: map[agreeKind]int{}}
+	register, err := paxos.New(paxos.Options{Name: configRegister, ID: as.ID, Proposer: rand.Uint64() | 1, Rand: rand.Float64,
+		Save: func([]byte) error { return nil }, Send: p.send, Decided: func(paxos.State) {}}, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -73,9 +73,9 @@
 	}
 	r.t.Cleanup(p.conn.Close)
 	w := link.Writer{}
-	control.Node{Name: as.Name, Role: control.RoleKeeper, ID: as.ID, Addr: as.Addr, Life: uint64(time.Now().UnixNano())}.Append(&w)
+	controlclient.Node{Name: as.Name, Role: controlclient.RoleKeeper, ID: as.ID, Addr: as.Addr, Life: uint64(time.Now().UnixNano())}.Append(&w)
 	w.Bool(false)
-	if _, err := p.conn.Call(ctx, control.Hello, w.B); err != nil {
+	if _, err := p.conn.Call(ctx, controlclient.Hello, w.B); err != nil {
 		r.t.Fatal(err)
 	}
 	return p
@@ -94,7 +94,7 @@
 }
 
 // send is called in steps.
-func (p *impostor) send(to agree.Voter, message []byte) {
+func (p *impostor) send(to paxos.Voter, message []byte) {
 	if to.ID == p.voter.ID {
 		p.local = append(p.local, message)
 		return
@@ -108,17 +108,17 @@
 	w.String(p.voter.Name)
 	w.String(p.voter.Addr)
 	w.Bytes(message)
-	_ = p.conn.Send(control.Agree, w.B)
+	_ = p.conn.Send(controlclient.Agree, w.B)
 }
 
 // Message takes what the keeper sends.
 func (p *impostor) Message(m *link.Message) {
-	if m.Kind != control.Agree {
+	if m.Kind != controlclient.Agree {
 		return
 	}
 	r := link.Reader{B: m.Body}
 	name := r.String()
-	from := agree.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()}
+	from := paxos.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()}
 	message := r.Bytes()
 	if r.Err != nil || name != configRegister {
 		return
@@ -138,8 +138,8 @@
 	p.t.Helper()
 	ended := make(chan error, 2)
 	p.step(func(now time.Duration) {
-		p.register.Propose(now, patience, func(s agree.State) (agree.State, error) { return s, nil }, func(_ agree.State, err error) { ended <- err })
-		p.register.Read(now, patience, func(_ agree.State, err error) { ended <- err })
+		p.register.Propose(now, patience, func(s paxos.State) (paxos.State, error) { return s, nil }, func(_ paxos.State, err error) { ended <- err })
+		p.register.Read(now, patience, func(_ paxos.State, err error) { ended <- err })
 	})
 	const answers = 5
 	until(p.t, "the keeper says what it knows", func() bool {
@@ -171,7 +171,7 @@
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	reply, err := p.conn.Call(ctx, control.Lease, leaseBody(duty, p.voter.Name, false))
+	reply, err := p.conn.Call(ctx, controlclient.Lease, leaseBody(duty, p.voter.Name, false))
 	if err != nil {
 		p.t.Fatal(err)
 	}
--- a/internal/keeper/restart_measure_test.go
+++ b/internal/control/keeper/restart_measure_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // restartCost is what a restart took.
--- a/internal/keeper/restart_removed_test.go
+++ b/internal/control/keeper/restart_removed_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/agree"
+	"dunetide/internal/consensus/paxos"
 )
 
 // hold stops all bytes from one keeper to another, until heal.
@@ -27,9 +27,9 @@
 	leaver := (holder + 1) % machines
 	holderKeeper, gone := r.running[holder].k, r.running[leaver].k.agree.id
 	removed := map[string]bool{}
-	var voters map[string][]agree.Voter
+	var voters map[string][]paxos.Voter
 	observe := func() {
-		voters = map[string][]agree.Voter{}
+		voters = map[string][]paxos.Voter{}
 		for _, name := range registerNames {
 			state, _ := holderKeeper.agree.state(name)
 			voters[name] = state.Voters
--- a/internal/keeper/restart_rig_test.go
+++ b/internal/control/keeper/restart_rig_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/settings"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/settings"
 )
 
 // syncTime is how long a sync of a measuredFolder takes.
--- a/internal/keeper/retire.go
+++ b/internal/control/keeper/retire.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"slices"
 
-	"dunetide/internal/agree"
 	"dunetide/internal/batch"
-	"dunetide/internal/view"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/snapshot"
 )
 
 // Answers to a retirement that was not taken.
@@ -25,14 +25,14 @@
 // retirement is an order to empty a store, and what the keeper that hears it knows of the stores.
 type retirement struct {
 	name  string
-	alive []view.Store
+	alive []snapshot.Store
 	lost  func(id uint64) bool
 	spare int // stores that may be lost at once
 }
 
 // change decides on the table. A store that retires already is left as it is: the order was taken before. It refuses only by
 // what the table says; a keeper's own view of the stores may be wrong, so on it an order is put off.
-func (r retirement) change(cur *view.Table) (*view.Table, error) {
+func (r retirement) change(cur *snapshot.Table) (*snapshot.Table, error) {
 	next, known, few := batch.Retire(cur, r.name, r.alive, r.lost, r.spare)
 	switch {
 	case !known && r.joins():
@@ -44,19 +44,19 @@
 	case few:
 		return nil, errStoresMissing
 	case next == cur:
-		return nil, agree.ErrUnchanged
+		return nil, paxos.ErrUnchanged
 	}
 	return next, nil
 }
 
 // joins reports whether a store of this name is attached, though no table may name it yet.
 func (r retirement) joins() bool {
-	return slices.ContainsFunc(r.alive, func(s view.Store) bool { return s.Name == r.name })
+	return slices.ContainsFunc(r.alive, func(s snapshot.Store) bool { return s.Name == r.name })
 }
 
 // tooFewAgreed reports whether too few would be left even if all stores of the table and all that are attached were there. A
 // store that has had an order to retire is not refused another one, whatever disk it has by now.
-func (r retirement) tooFewAgreed(cur *view.Table) bool {
+func (r retirement) tooFewAgreed(cur *snapshot.Table) bool {
 	left := map[uint64]bool{}
 	for id, s := range cur.Stores {
 		switch {
@@ -77,7 +77,7 @@
 // retireStatus is the answer that an error means to an operator.
 func retireStatus(err error) int {
 	switch {
-	case err == nil, errors.Is(err, agree.ErrUnchanged):
+	case err == nil, errors.Is(err, paxos.ErrUnchanged):
 		return http.StatusOK
 	case errors.Is(err, errUnknownStore):
 		return http.StatusNotFound
@@ -136,7 +136,7 @@
 }
 
 // readTable gives the newest table of the batch parts; nil before the first one.
-func (k *Keeper) readTable() (*view.Table, error) {
+func (k *Keeper) readTable() (*snapshot.Table, error) {
 	s, err := k.readRegister(tableRegister)
 	if err != nil {
 		return nil, err
--- a/internal/keeper/retire_test.go
+++ b/internal/control/keeper/retire_test.go
@@ -7,35 +7,35 @@
 	"net/http/httptest"
 	"testing"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/certify"
-	"dunetide/internal/view"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/snapshot"
 )
 
 // A retirement is refused by what the agreed table says, and put off where only this keeper's view stands against it.
 func TestRetirementIsRefusedByTheTableAlone(t *testing.T) {
-	store := func(id uint64) view.Store { return view.Store{ID: id, Name: string(rune('a' + id - 1))} }
-	table := func(ids ...uint64) *view.Table {
-		table := &view.Table{Stores: map[uint64]view.Store{}, Retiring: map[uint64]bool{}}
+	store := func(id uint64) snapshot.Store { return snapshot.Store{ID: id, Name: string(rune('a' + id - 1))} }
+	table := func(ids ...uint64) *snapshot.Table {
+		table := &snapshot.Table{Stores: map[uint64]snapshot.Store{}, Retiring: map[uint64]bool{}}
 		for _, id := range ids {
 			table.Stores[id] = store(id)
 		}
 		return table
 	}
-	retiring := func(table *view.Table, ids ...uint64) *view.Table {
+	retiring := func(table *snapshot.Table, ids ...uint64) *snapshot.Table {
 		for _, id := range ids {
 			table.Retiring[id] = true
 		}
 		return table
 	}
-	replaced := func() *view.Table {
+	replaced := func() *snapshot.Table {
 		table := retiring(table(1, 2, 3), 1)
-		table.Stores[9] = view.Store{ID: 9, Name: "a"} // the same machine on an emptied disk
+		table.Stores[9] = snapshot.Store{ID: 9, Name: "a"} // the same machine on an emptied disk
 		return table
 	}
 	for _, test := range []struct {
 		what  string
-		table *view.Table
+		table *snapshot.Table
 		name  string
 		alive []uint64
 		want  error
@@ -51,8 +51,8 @@
 		{"the others retire", retiring(table(1, 2, 3), 2), "a", []uint64{1, 2, 3}, errTooFew},
 		{"this keeper hears of too few", table(1, 2, 3), "a", []uint64{1, 3}, errStoresMissing},
 		{"one of those left is not in the table yet", table(1, 2), "a", []uint64{1, 2, 3}, nil},
-		{"a repeat", retiring(table(1, 2, 3), 1), "a", []uint64{1, 2, 3}, agree.ErrUnchanged},
-		{"a repeat when too few are left by now", retiring(table(1, 2), 1), "a", nil, agree.ErrUnchanged},
+		{"a repeat", retiring(table(1, 2, 3), 1), "a", []uint64{1, 2, 3}, paxos.ErrUnchanged},
+		{"a repeat when too few are left by now", retiring(table(1, 2), 1), "a", nil, paxos.ErrUnchanged},
 		{"a repeat for a machine whose disk was emptied", replaced(), "a", []uint64{9, 2, 3}, nil},
 		{"such a repeat when too few are left by now", retiring(replaced(), 2), "a", []uint64{9, 3}, errStoresMissing},
 	} {
@@ -76,21 +76,21 @@
 // What ends an operator's call comes from the decided state of a register; all that may go wrong on the way to it is 503.
 func TestOnlyTheDecidedStateRefuses(t *testing.T) {
 	for err, want := range map[error]int{
-		nil: 200, agree.ErrUnchanged: 200, errUnknownStore: 404, errTooFew: 409, errStoreJoins: 503, errStoresMissing: 503, errStoresUnheard: 503,
+		nil: 200, paxos.ErrUnchanged: 200, errUnknownStore: 404, errTooFew: 409, errStoreJoins: 503, errStoresMissing: 503, errStoresUnheard: 503,
 	} {
 		if got := retireStatus(err); got != want {
 			t.Errorf("%v to a retirement: %d", err, got)
 		}
 	}
 	for err, want := range map[error]int{
-		nil: 200, ErrInvalid.New("x"): 400, certify.Invalid.New("x"): 400, ErrVersion.New("x"): 412, ErrForgotten.New("x"): 503,
+		nil: 200, ErrInvalid.New("x"): 400, certification.Invalid.New("x"): 400, ErrVersion.New("x"): 412, ErrForgotten.New("x"): 503,
 	} {
 		if got := statusOf(err); got != want {
 			t.Errorf("%v to a document: %d", err, got)
 		}
 	}
-	for _, err := range []error{errStops, errBusy, errNoContact, agree.ErrTimeout.New("x"), agree.ErrNoMajority.New("x"), agree.ErrUnknown.New("x"),
-		agree.ErrBusy.New("x"), agree.ErrVoters.New("x"), io.ErrUnexpectedEOF} {
+	for _, err := range []error{errStops, errBusy, errNoContact, paxos.ErrTimeout.New("x"), paxos.ErrNoMajority.New("x"), paxos.ErrUnknown.New("x"),
+		paxos.ErrBusy.New("x"), paxos.ErrVoters.New("x"), io.ErrUnexpectedEOF} {
 		if got := statusOf(err); got != 503 {
 			t.Errorf("%v to a document: %d", err, got)
 		}
--- a/internal/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -15,12 +15,12 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/control"
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
-	"dunetide/internal/settings"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/settings"
 )
 
 const (
@@ -212,9 +212,9 @@
 
 // client attaches a real client.
 type attachedClient struct {
-	holder view.Holder
+	holder snapshot.Holder
 	stop   context.CancelFunc
-	c      *control.Client
+	c      *controlclient.Client
 }
 
 func (r *rig) client(name string, seeds ...int) *attachedClient {
@@ -224,7 +224,7 @@
 	for _, i := range seeds {
 		addrs = append(addrs, fmt.Sprintf("%s:%d", r.ip(i), r.links))
 	}
-	a.c = control.NewClient(control.ClientOptions{Self: control.Node{Name: name, Role: control.RoleProxy, Zone: "z", Life: uint64(time.Now().UnixNano())},
+	a.c = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Life: uint64(time.Now().UnixNano())},
 		Seeds: addrs, Endpoints: true, Holder: &a.holder, Log: hclog.NewNullLogger()})
 	ended := make(chan struct{})
 	go func() { a.c.Run(ctx); close(ended) }()
@@ -233,7 +233,7 @@
 }
 
 // state of an endpoint, as the client sees it; Gone where it is not there.
-func (a *attachedClient) state(id string) view.State {
+func (a *attachedClient) state(id string) snapshot.State {
 	if s := a.holder.Get(); s != nil {
 		for _, e := range s.Endpoints["s"] {
 			if e.ID == id {
@@ -241,7 +241,7 @@
 			}
 		}
 	}
-	return view.Gone
+	return snapshot.Gone
 }
 
 func (a *attachedClient) version() uint64 {
@@ -255,12 +255,12 @@
 type raw struct {
 	conn   *link.Conn
 	hello  []byte // the reply to Hello
-	pushes chan *control.Update
+	pushes chan *controlclient.Update
 	closed chan struct{}
 }
 
 func (w *raw) Message(m *link.Message) {
-	if u, err := control.ReadUpdate(m.Body); err == nil && m.Kind == control.Push {
+	if u, err := controlclient.ReadUpdate(m.Body); err == nil && m.Kind == controlclient.Push {
 		w.pushes <- u
 	}
 }
@@ -270,12 +270,12 @@
 func (w *raw) ack(number uint64) {
 	b := link.Writer{}
 	b.U64(number)
-	_ = w.conn.Send(control.Ack, b.B)
+	_ = w.conn.Send(controlclient.Ack, b.B)
 }
 
 func (r *rig) raw(i int, name string) *raw {
 	r.t.Helper()
-	w := &raw{pushes: make(chan *control.Update, 1<<12), closed: make(chan struct{})}
+	w := &raw{pushes: make(chan *controlclient.Update, 1<<12), closed: make(chan struct{})}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	conn, err := link.Dial(ctx, fmt.Sprintf("%s:%d", r.ip(i), r.links), w, link.DefaultOptions)
@@ -285,9 +285,9 @@
 	w.conn = conn
 	r.t.Cleanup(conn.Close)
 	b := link.Writer{}
-	control.Node{Name: name, Role: control.RoleProxy}.Append(&b)
+	controlclient.Node{Name: name, Role: controlclient.RoleProxy}.Append(&b)
 	b.Bool(true)
-	if w.hello, err = conn.Call(ctx, control.Hello, b.B); err != nil {
+	if w.hello, err = conn.Call(ctx, controlclient.Hello, b.B); err != nil {
 		r.t.Fatal(err)
 	}
 	return w
@@ -296,11 +296,11 @@
 // follower is an attached process of one keeper alone, which acknowledges all.
 type follower struct {
 	mu     sync.Mutex
-	states map[string]view.State
+	states map[string]snapshot.State
 }
 
 func (r *rig) follower(i int, name string) *follower {
-	f := &follower{states: map[string]view.State{}}
+	f := &follower{states: map[string]snapshot.State{}}
 	w := r.raw(i, name)
 	go func() {
 		for {
@@ -320,13 +320,13 @@
 	return f
 }
 
-func (f *follower) state(id string) view.State {
+func (f *follower) state(id string) snapshot.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s, there := f.states[id]; there {
 		return s
 	}
-	return view.Gone
+	return snapshot.Gone
 }
 
 func get[T any](t *testing.T, ch <-chan T, what string) (v T) {
--- a/internal/keeper/stopping_test.go
+++ b/internal/control/keeper/stopping_test.go
@@ -5,15 +5,15 @@
 	"fmt"
 	"testing"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // attachStore attaches a store to a keeper. Its pushes come with the connection.
 func (r *rig) attachStore(i int, id uint64) *raw {
 	r.t.Helper()
-	w := &raw{pushes: make(chan *control.Update, 1<<12), closed: make(chan struct{})}
+	w := &raw{pushes: make(chan *controlclient.Update, 1<<12), closed: make(chan struct{})}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	var conn *link.Conn
@@ -25,16 +25,16 @@
 	w.conn = conn
 	r.t.Cleanup(conn.Close)
 	var b link.Writer
-	control.Node{Name: fmt.Sprint("store", id), Role: control.RoleStore, Zone: fmt.Sprint("z", id), Addr: fmt.Sprint("127.0.0.1:", id), ID: id, Life: 1}.Append(&b)
+	controlclient.Node{Name: fmt.Sprint("store", id), Role: controlclient.RoleStore, Zone: fmt.Sprint("z", id), Addr: fmt.Sprint("127.0.0.1:", id), ID: id, Life: 1}.Append(&b)
 	b.Bool(true)
-	if _, err := conn.Call(ctx, control.Hello, b.B); err != nil {
+	if _, err := conn.Call(ctx, controlclient.Hello, b.B); err != nil {
 		r.t.Fatal(err)
 	}
 	return w
 }
 
 // tableWhere waits for a pushed table of which something holds.
-func (w *raw) tableWhere(t *testing.T, what string, holds func(*view.Table) bool) {
+func (w *raw) tableWhere(t *testing.T, what string, holds func(*snapshot.Table) bool) {
 	t.Helper()
 	for {
 		u := get(t, w.pushes, what)
@@ -46,7 +46,7 @@
 }
 
 // leads is how many parts a store leads.
-func leads(t *view.Table, id uint64) (n int) {
+func leads(t *snapshot.Table, id uint64) (n int) {
 	for _, part := range t.Parts {
 		if part.Primary == id {
 			n++
@@ -64,7 +64,7 @@
 	for id := uint64(1); id <= 3; id++ {
 		stores = append(stores, r.attachStore(int(id-1), id))
 	}
-	stores[0].tableWhere(t, "the first table", func(table *view.Table) bool { return leads(table, 1) > 0 })
+	stores[0].tableWhere(t, "the first table", func(table *snapshot.Table) bool { return leads(table, 1) > 0 })
 	announce := func(stopping bool) {
 		t.Helper()
 		var b link.Writer
@@ -73,15 +73,15 @@
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		for range 2 { // it comes again when an answer is lost
-			if _, err := stores[1].conn.Call(ctx, control.Stopping, b.B); err != nil {
+			if _, err := stores[1].conn.Call(ctx, controlclient.Stopping, b.B); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	announce(true)
-	stores[0].tableWhere(t, "a table that gives its parts to others", func(table *view.Table) bool {
+	stores[0].tableWhere(t, "a table that gives its parts to others", func(table *snapshot.Table) bool {
 		return table.Stopping[1] && leads(table, 1) == 0
 	})
 	announce(false)
-	stores[0].tableWhere(t, "a table without the mark", func(table *view.Table) bool { return !table.Stopping[1] })
+	stores[0].tableWhere(t, "a table without the mark", func(table *snapshot.Table) bool { return !table.Stopping[1] })
 }
--- a/internal/keeper/troubles.go
+++ b/internal/control/keeper/troubles.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/control"
-	"dunetide/internal/link"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
 )
 
 const (
@@ -22,7 +22,7 @@
 
 // reportedTrouble is a trouble of another process.
 type reportedTrouble struct {
-	node     control.Node
+	node     controlclient.Node
 	reason   string
 	began    time.Time // when this keeper heard of it first
 	reported time.Time // when it was told last
@@ -32,7 +32,7 @@
 type troubleTable map[processName]*reportedTrouble
 
 // take takes in what a process tells of itself. The word of a former life of it counts for nothing.
-func (t troubleTable) take(now time.Time, report control.Trouble) {
+func (t troubleTable) take(now time.Time, report controlclient.Trouble) {
 	t.expire(now)
 	name := processName{report.Node.Role, report.Node.Name}
 	known := t[name]
@@ -72,7 +72,7 @@
 
 // troubleReported takes in the trouble of another process, and passes it on to the other keepers.
 func (k *Keeper) troubleReported(now time.Time, m *link.Message) {
-	report, err := control.ReadTrouble(m.Body)
+	report, err := controlclient.ReadTrouble(m.Body)
 	if err != nil {
 		m.Fail("%v", err)
 		return
@@ -86,7 +86,7 @@
 	body := report.Encode()
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(control.ProcessTrouble, body)
+			_ = p.conn.Send(controlclient.ProcessTrouble, body)
 		}
 	}
 }
--- a/internal/keeper/troubles_test.go
+++ b/internal/control/keeper/troubles_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/control"
+	"dunetide/internal/control/controlclient"
 )
 
 // TestTroublesAreShown: what keeps a store from its work, as it tells one keeper, is in the status of all of them until it is
@@ -16,12 +16,12 @@
 	r := newRig(t, 2)
 	r.startAll()
 	r.untilMet(0, 1)
-	store := control.Node{Name: "s1", Role: control.RoleStore, Zone: "z", Life: 2}
-	report := func(node control.Node, reason string) {
+	store := controlclient.Node{Name: "s1", Role: controlclient.RoleStore, Zone: "z", Life: 2}
+	report := func(node controlclient.Node, reason string) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		if err := control.ReportTrouble(ctx, fmt.Sprintf("%s:%d", r.ip(0), r.links), control.Trouble{Node: node, Reason: reason}); err != nil {
+		if err := controlclient.ReportTrouble(ctx, fmt.Sprintf("%s:%d", r.ip(0), r.links), controlclient.Trouble{Node: node, Reason: reason}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -52,7 +52,7 @@
 	now := time.Now()
 	table := troubleTable{}
 	told := func(name string, life uint64, reason string) {
-		table.take(now, control.Trouble{Node: control.Node{Name: name, Role: control.RoleStore, Life: life}, Reason: reason})
+		table.take(now, controlclient.Trouble{Node: controlclient.Node{Name: name, Role: controlclient.RoleStore, Life: life}, Reason: reason})
 	}
 	check := func(want string) {
 		t.Helper()
--- a/internal/keeper/value.go
+++ b/internal/control/keeper/value.go
@@ -7,9 +7,9 @@
 
 	"github.com/zeebo/errs"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/certify"
-	"dunetide/internal/link"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/platform/link"
 )
 
 // Names of the registers.
@@ -39,7 +39,7 @@
 
 var (
 	configDocument       = documentKind{configRegister, "/config", &ErrInvalid, rememberedVersions}
-	certificatesDocument = documentKind{certificatesRegister, certificatesPath, &certify.Invalid, rememberedVersions}
+	certificatesDocument = documentKind{certificatesRegister, certificatesPath, &certification.Invalid, rememberedVersions}
 )
 
 // documentOrder is an operator's order to put a document on top of the version that it names. The same version, base and
@@ -122,8 +122,8 @@
 
 // change is the order as a change of its register. It is called with the decided State that the next one will follow, so its
 // error is final: versions only rise, and a base that has passed does not come back.
-func (o documentOrder) change(of documentKind) func(cur agree.State) (agree.State, error) {
-	return func(cur agree.State) (agree.State, error) {
+func (o documentOrder) change(of documentKind) func(cur paxos.State) (paxos.State, error) {
+	return func(cur paxos.State) (paxos.State, error) {
 		v, err := readDocument(cur.Value)
 		if err != nil {
 			return cur, err
@@ -133,7 +133,7 @@
 			return cur, err
 		}
 		if next == nil {
-			return cur, agree.ErrUnchanged
+			return cur, paxos.ErrUnchanged
 		}
 		cur.Value = next.encode()
 		return cur, nil
@@ -146,7 +146,7 @@
 	switch {
 	case err == nil:
 		return http.StatusOK
-	case ErrInvalid.Has(err), certify.Invalid.Has(err):
+	case ErrInvalid.Has(err), certification.Invalid.Has(err):
 		return http.StatusBadRequest
 	case ErrVersion.Has(err):
 		return http.StatusPreconditionFailed
--- a/internal/keeper/value_test.go
+++ b/internal/control/keeper/value_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 	"pgregory.net/rapid"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 func configBody(version uint64, mark string) []byte {
@@ -23,7 +23,7 @@
 	v := &document{}
 	put := func(version, base uint64, mark string) string {
 		raw := configBody(version, mark)
-		c, err := operator.Parse(raw)
+		c, err := operatorconfig.Parse(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/keeper/voters.go
+++ b/internal/control/keeper/voters.go
@@ -4,17 +4,17 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
 )
 
 // askStateEvery is how often another keeper is asked for a register of which nothing is known.
 const askStateEvery = 300 * time.Millisecond
 
-func (a *agreement) voters() []agree.Voter {
+func (a *agreement) voters() []paxos.Voter {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]agree.Voter(nil), a.known...)
+	return append([]paxos.Voter(nil), a.known...)
 }
 
 // votes tells whether this keeper is a voter of all registers.
@@ -22,7 +22,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, name := range registerNames {
-		if !slices.ContainsFunc(a.states[name].Voters, func(v agree.Voter) bool { return v.ID == a.id }) {
+		if !slices.ContainsFunc(a.states[name].Voters, func(v paxos.Voter) bool { return v.ID == a.id }) {
 			return false
 		}
 	}
@@ -36,15 +36,15 @@
 	if !s.FirstStart || a.id == 0 {
 		return
 	}
-	var voters []agree.Voter
+	var voters []paxos.Voter
 	in := false
-	for _, addr := range control.SeedLinks(s.Seeds, s.InternalFirst) {
+	for _, addr := range controlclient.SeedLinks(s.Seeds, s.InternalFirst) {
 		if addr == a.k.self.Addr {
-			voters = append(voters, agree.Voter{ID: a.id, Name: a.k.self.Name, Addr: addr})
+			voters = append(voters, paxos.Voter{ID: a.id, Name: a.k.self.Name, Addr: addr})
 			in = true
 			continue
 		}
-		var node *control.Node
+		var node *controlclient.Node
 		for _, p := range a.k.peers {
 			if p.node.Addr == addr {
 				node = &p.node
@@ -54,7 +54,7 @@
 			return
 		}
 		if node.ID != 0 {
-			voters = append(voters, agree.Voter{ID: node.ID, Name: node.Name, Addr: addr})
+			voters = append(voters, paxos.Voter{ID: node.ID, Name: node.Name, Addr: addr})
 		}
 	}
 	if !in {
@@ -63,7 +63,7 @@
 	a.offer(func() { a.bootstrap(voters) }) // else when the next keeper is connected
 }
 
-func (a *agreement) bootstrap(voters []agree.Voter) {
+func (a *agreement) bootstrap(voters []paxos.Voter) {
 	if a.booted {
 		return
 	}
@@ -92,17 +92,17 @@
 }
 
 // askPeer asks a keeper for what it has of a register beyond what is known here.
-func (a *agreement) askPeer(name string, node control.Node) {
+func (a *agreement) askPeer(name string, node controlclient.Node) {
 	a.offer(func() { a.regs[name].Ask(a.now(), voterOf(node)) }) // else at its next report
 }
 
 // voterOf gives a keeper as a voter.
-func voterOf(node control.Node) agree.Voter {
-	return agree.Voter{ID: node.ID, Name: node.Name, Addr: node.Addr}
+func voterOf(node controlclient.Node) paxos.Voter {
+	return paxos.Voter{ID: node.ID, Name: node.Name, Addr: node.Addr}
 }
 
 // state gives the newest decided state of a register that is known and stored here; false: nothing is known.
-func (a *agreement) state(name string) (agree.State, bool) {
+func (a *agreement) state(name string) (paxos.State, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s, known := a.states[name]
--- a/internal/keeper/voters_test.go
+++ b/internal/control/keeper/voters_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/agree"
-	"dunetide/internal/control"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/link"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/link"
 )
 
 // votersOf are the names of those who vote on each register, as a keeper knows them.
@@ -245,12 +245,12 @@
 	k := still(t, "k1")
 	conns, _ := wires(t, 2)
 	for i, id := range []uint64{7, 8} {
-		k.adoptLink(conns[i], control.Node{Name: fmt.Sprint("k", id), Role: control.RoleKeeper, ID: id, Life: 1}, false)
+		k.adoptLink(conns[i], controlclient.Node{Name: fmt.Sprint("k", id), Role: controlclient.RoleKeeper, ID: id, Life: 1}, false)
 	}
 	if heard := k.report().Heard; len(heard) != 0 {
 		t.Errorf("%v are heard before anything is known of the voters", heard)
 	}
-	state := agree.State{Voters: []agree.Voter{{ID: k.agree.id, Name: "k1"}, {ID: 7, Name: "k7"}, {ID: 9, Name: "k9"}}}
+	state := paxos.State{Voters: []paxos.Voter{{ID: k.agree.id, Name: "k1"}, {ID: 7, Name: "k7"}, {ID: 9, Name: "k9"}}}
 	k.agree.decided(configRegister, state)
 	want := []uint64{7, k.agree.id}
 	slices.Sort(want)
@@ -269,9 +269,9 @@
 		t.Error("a lease from a keeper that knows nothing")
 	}
 	voters := func(ids ...uint64) {
-		state := agree.State{Slot: k.agree.slots()[0]}
+		state := paxos.State{Slot: k.agree.slots()[0]}
 		for _, id := range ids {
-			state.Voters = append(state.Voters, agree.Voter{ID: id, Name: fmt.Sprint(id)})
+			state.Voters = append(state.Voters, paxos.Voter{ID: id, Name: fmt.Sprint(id)})
 		}
 		k.agree.decided(configRegister, state)
 	}
@@ -340,17 +340,17 @@
 	k := still(t, "k1")
 	conns, _ := wires(t, 2)
 	k.leaving = true
-	k.hello(&link.Message{Conn: conns[0], Body: hello("p", control.RoleProxy)})
+	k.hello(&link.Message{Conn: conns[0], Body: hello("p", controlclient.RoleProxy)})
 	if len(k.attached) != 0 {
 		t.Error("a process was attached")
 	}
 	k.leaving = false
-	k.adoptLink(conns[1], control.Node{Name: "k2", Role: control.RoleKeeper, ID: 7, Life: 1}, false)
+	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, false)
 	if len(k.keeperNodes()) != 2 {
 		t.Errorf("%d keepers", len(k.keeperNodes()))
 	}
 	changes := k.keepersChange
-	body := encodeReport(control.KeeperReport{Leaving: true, Slots: make([]uint64, len(registerNames))})
+	body := encodeReport(controlclient.KeeperReport{Leaving: true, Slots: make([]uint64, len(registerNames))})
 	k.reported(&link.Message{Conn: conns[1], Body: body})
 	if len(k.keeperNodes()) != 1 || k.keepersChange == changes {
 		t.Error("the attached are still sent to one that leaves")
@@ -360,7 +360,7 @@
 // A keeper becomes a voter, and an empty disk is replaced, while orders come all the time.
 func TestVotersChangeUnderOrders(t *testing.T) {
 	o := startRig(t, 4, 3)
-	underOrders := func(what string, holds func(state agree.State) bool) {
+	underOrders := func(what string, holds func(state paxos.State) bool) {
 		until(t, what, func() bool {
 			o.take(1)
 			return !slices.ContainsFunc(registerNames, func(name string) bool {
@@ -370,10 +370,10 @@
 		})
 	}
 	o.start(3)
-	underOrders("the joiner votes", func(state agree.State) bool { return state.Has(o.running[3].k.agree.id) })
+	underOrders("the joiner votes", func(state paxos.State) bool { return state.Has(o.running[3].k.agree.id) })
 	o.kill(0)
 	o.disks[0] = disktest.New()
 	o.start(0)
-	underOrders("the new identity votes", func(state agree.State) bool { return state.Has(o.running[0].k.agree.id) })
+	underOrders("the new identity votes", func(state paxos.State) bool { return state.Has(o.running[0].k.agree.id) })
 	o.readable(0)
 }
--- a/internal/keeper/waiters.go
+++ b/internal/control/keeper/waiters.go
@@ -11,7 +11,7 @@
 	certificates uint64
 	peers        int // keepers that have yet to say that they have it
 	// quorum is the majority that has to know it before it may be acknowledged; nil: none has to.
-	quorum  *quorum
+	quorum  *confirmations
 	quorate bool // whether the majority knew it in time; to be read once done is closed
 	done    chan struct{}
 }
--- a/internal/keeper/wrong_orders_test.go
+++ b/internal/control/keeper/wrong_orders_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrongOrders are lines that would have two operators confirmed under one number, or a repeat refused, one at a time. The
 // model has to find each of them.
-var wrongOrders = []wrongline.Line{
+var wrongOrders = []mutation.Line{
 	{"a repeat is judged by its number alone", "value.go", "slices.Contains(v.past, taken{version, digest})",
 		"slices.ContainsFunc(v.past, func(t taken) bool { return t.version == version })"},
 	{"a repeat is known only while it is the newest", "value.go", "past = past[max(0, len(past)-of.remembered):]", "past = past[len(past)-1:]"},
@@ -20,24 +20,24 @@
 	{"the base is not compared", "value.go", "if o.base != v.version {", "if false {"},
 	{"an older base will do", "value.go", "if o.base != v.version {", "if o.base > v.version {"},
 	{"a forgotten version is refused", "value.go", "if v.mayHaveForgotten(o.version, of.remembered) {", "if false {"},
-	{"a repeat of what is in force is refused", "value.go", "		if next == nil {\n			return cur, agree.ErrUnchanged", "		if next == nil {\n			return cur, ErrVersion.New(\"taken\")"},
-	{"an order in doubt is refused", "value.go", "case ErrVersion.Has(err):", "case ErrVersion.Has(err), agree.ErrTimeout.Has(err):"},
-	{"an order that no majority heard of is refused", "value.go", "case ErrVersion.Has(err):", "case ErrVersion.Has(err), agree.ErrNoMajority.Has(err):"},
-	{"an order in doubt is confirmed", "value.go", "case err == nil:", "case err == nil, agree.ErrTimeout.Has(err):"},
-	{"an order that no majority heard of is confirmed", "value.go", "case err == nil:", "case err == nil, agree.ErrNoMajority.Has(err):"},
-	{"200 from a minority", "../agree/proposer.go", "return len(r.state.Voters)/2 + 1", "return (len(r.state.Voters) + 1) / 2"},
-	{"200 from one voter", "../agree/proposer.go", "return len(r.state.Voters)/2 + 1", "return 1"},
-	{"an order is judged by an older state", "../agree/agree.go", "	case r.known && r.state.Slot >= m.slot:\n		r.sendState(from)\n		return\n	case !r.known", "	case !r.known"},
-	{"an order is judged while another may be taken", "../agree/proposer.go", "if r.best == (ballot{}) && !r.choose() {", "if (r.best == ballot{} || !r.op.read) && !r.choose() {"},
-	{"an order that lost its slot is confirmed", "../agree/proposer.go", "			op.proposed, op.next = false, State{}\n", "			r.finish(op.next, nil)\n			return\n"},
-	{"a read of what is known here", "../agree/proposer.go", "case r.op.read && r.op.tries == 0:", "case r.op.read && r.op.tries == 0 && r.known && r.o.ID != 0:\n		r.finish(r.state, nil)\n	case r.op.read && r.op.tries == 0:"},
-	{"the value is not kept over a change of voters", "../agree/members.go", "	next.Voters[i] = joiner\n", "	next.Voters[i], next.Value = joiner, nil\n"},
-	{"what a voter accepted is not on its disk", "../agree/agree.go", "if !r.save(acceptedPayload(m.ballot, m.state)) {", "if false {"},
+	{"a repeat of what is in force is refused", "value.go", "		if next == nil {\n			return cur, paxos.ErrUnchanged", "		if next == nil {\n			return cur, ErrVersion.New(\"taken\")"},
+	{"an order in doubt is refused", "value.go", "case ErrVersion.Has(err):", "case ErrVersion.Has(err), paxos.ErrTimeout.Has(err):"},
+	{"an order that no majority heard of is refused", "value.go", "case ErrVersion.Has(err):", "case ErrVersion.Has(err), paxos.ErrNoMajority.Has(err):"},
+	{"an order in doubt is confirmed", "value.go", "case err == nil:", "case err == nil, paxos.ErrTimeout.Has(err):"},
+	{"an order that no majority heard of is confirmed", "value.go", "case err == nil:", "case err == nil, paxos.ErrNoMajority.Has(err):"},
+	{"200 from a minority", "../../consensus/paxos/proposer.go", "return len(r.state.Voters)/2 + 1", "return (len(r.state.Voters) + 1) / 2"},
+	{"200 from one voter", "../../consensus/paxos/proposer.go", "return len(r.state.Voters)/2 + 1", "return 1"},
+	{"an order is judged by an older state", "../../consensus/paxos/agree.go", "	case r.known && r.state.Slot >= m.slot:\n		r.sendState(from)\n		return\n	case !r.known", "	case !r.known"},
+	{"an order is judged while another may be taken", "../../consensus/paxos/proposer.go", "if r.best == (ballot{}) && !r.choose() {", "if (r.best == ballot{} || !r.op.read) && !r.choose() {"},
+	{"an order that lost its slot is confirmed", "../../consensus/paxos/proposer.go", "			op.proposed, op.next = false, State{}\n", "			r.finish(op.next, nil)\n			return\n"},
+	{"a read of what is known here", "../../consensus/paxos/proposer.go", "case r.op.read && r.op.tries == 0:", "case r.op.read && r.op.tries == 0 && r.known && r.o.ID != 0:\n		r.finish(r.state, nil)\n	case r.op.read && r.op.tries == 0:"},
+	{"the value is not kept over a change of voters", "../../consensus/paxos/members.go", "	next.Voters[i] = joiner\n", "	next.Voters[i], next.Value = joiner, nil\n"},
+	{"what a voter accepted is not on its disk", "../../consensus/paxos/agree.go", "if !r.save(acceptedPayload(m.ballot, m.state)) {", "if false {"},
 }
 
 // Each wrong line is found by the model. This takes minutes, so it is asked for: ORDERS_WRONG=1, or a part of a name.
 func TestWrongOrdersAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "ORDERS_WRONG")
-	wrongline.Find(t, wrongOrders, wrongline.Options{Only: only, Args: []string{"-run", "TestOperatorsHistoriesAreLinearizable|TestEveryOrderOfASmallCase"},
+	only := mutation.Asked(t, "ORDERS_WRONG")
+	mutation.Find(t, wrongOrders, mutation.Options{Only: only, Args: []string{"-run", "TestOperatorsHistoriesAreLinearizable|TestEveryOrderOfASmallCase"},
 		Env: []string{"ORDERS_WRONG=", "ORDERS_SEEDS=10000"}, Within: 5 * time.Minute})
 }
--- a/internal/keeper/wrong_test.go
+++ b/internal/control/keeper/wrong_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that would break what a keeper without contact promises, one at a time. Tests of real keepers have to
 // find each of them.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"acknowledged without contact", "endpoints.go", "	case res.noContact || !k.inContact():\n", "	case false:\n"},
 	{"contact not looked at again after a wait", "endpoints.go", "	case res.noContact || !k.inContact():\n", "	case res.noContact:\n"},
 	{"a drain acknowledged without a majority", "endpoints.go", "	case res.waiter != nil && !res.waiter.quorate:\n", "	case false:\n"},
@@ -19,23 +19,23 @@
 	{"endpoints not pushed without contact", "pushes.go", "		if inContact && !k.contact.MayHandOut(k.since(now), c) {\n", "		if !k.contact.MayHandOut(k.since(now), c) {\n"},
 	{"a lease granted without contact", "duty.go", "return k.contact.Holds(k.since(now)) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
 	{"beat_to names a keeper without contact", "endpoints.go", " || !p.report.InContact {\n", " {\n"},
-	{"a report of a former life counts", "peers.go", "p.attached, p.differs, p.report = nil, 0, control.KeeperReport{}\n", "p.attached, p.differs = nil, 0\n"},
+	{"a report of a former life counts", "peers.go", "p.attached, p.differs, p.report = nil, 0, controlclient.KeeperReport{}\n", "p.attached, p.differs = nil, 0\n"},
 	{"the attached are not told", "pushes.go", "p.inContact != inContact || ", ""},
-	{"processes stay at a keeper without contact", "../control/attach.go", "		if !c.inContact(a) {\n", "		if false {\n"},
-	{"processes forget keepers that are not told of any more", "../control/merge.go", "	former := slices.Concat(c.former, c.keepers)\n", "	var former []Node\n"},
+	{"processes stay at a keeper without contact", "../controlclient/attach.go", "		if !c.inContact(a) {\n", "		if false {\n"},
+	{"processes forget keepers that are not told of any more", "../controlclient/merge.go", "	former := slices.Concat(c.former, c.keepers)\n", "	var former []Node\n"},
 	{"contact without a majority after 3 s", "contact.go", "k.contact.Answered(k.since(time.Now()), askedAt, err == nil)", "k.contact.Answered(k.since(time.Now()), askedAt, err == nil || k.since(time.Now()) > 3*time.Second)"},
 }
 
 // Each wrong line can still be put where it belongs.
 func TestWrongLinesStand(t *testing.T) {
-	wrongline.Check(t, wrong)
-	wrongline.Check(t, wrongOrders)
+	mutation.Check(t, wrong)
+	mutation.Check(t, wrongOrders)
 }
 
 // Each wrong line is found. This takes minutes, so it is asked for: KEEPER_WRONG=1, or a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "KEEPER_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only,
+	only := mutation.Asked(t, "KEEPER_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only,
 		Args: []string{"-run", "TestCallsWithoutContact/both|TestProcessesMove|TestBeatTo|TestContactLost|TestLeaseNeedsContact|TestDrainAtAKeeper|TestQuorum"},
 		Env:  []string{"KEEPER_WRONG="}, Within: 2 * time.Minute})
 }
--- a/internal/membership/message.go
+++ b/internal/control/membership/message.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"dunetide/internal/link"
+	"dunetide/internal/platform/link"
 )
 
 // A datagram has these fields in turn: magic, kind, the number of the question, whether the sender lacks keepers, the
--- a/internal/operator/config_test.go
+++ b/internal/control/operatorconfig/config_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/operator/types.go
+++ b/internal/control/operatorconfig/types.go
@@ -1,5 +1,5 @@
 // Package operator reads and checks what the operator sends: whole configurations.
-package operator
+package operatorconfig
 
 import iradix "github.com/hashicorp/go-immutable-radix/v2"
 
--- a/internal/registry/changes.go
+++ b/internal/control/registry/changes.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // Changes returns the entries that changed after number since, oldest first, and the number for the next call. If the
@@ -59,7 +59,7 @@
 func (t *Table) Digests() (sums [Parts]uint64) {
 	for _, stored := range t.byID {
 		if entry := &stored.entry; !entry.Gone() {
-			sums[PartOf(entry.Service)] ^= view.Hash(strings.Join([]string{entry.ID, entry.Address, entry.Version, entry.Zone, entry.Service}, "\n")) + uint64(entry.State)
+			sums[PartOf(entry.Service)] ^= snapshot.Hash(strings.Join([]string{entry.ID, entry.Address, entry.Version, entry.Zone, entry.Service}, "\n")) + uint64(entry.State)
 		}
 	}
 	return sums
--- a/internal/registry/entry.go
+++ b/internal/control/registry/entry.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // Parts is the number of parts into which the table is divided for comparison between keepers.
@@ -27,13 +27,13 @@
 const leastModel = 12
 
 // PartOf returns the part of the table that a service belongs to, from 0 to Parts-1.
-func PartOf(service string) int { return int(view.Hash(service) % Parts) }
+func PartOf(service string) int { return int(snapshot.Hash(service) % Parts) }
 
 // Entry is what a keeper knows of one incarnation of an endpoint. Entries of one ID form a join semilattice under Join.
 type Entry struct {
 	// Endpoint is the content of the newest heartbeat, which CallCount numbers. State is Gone only if the
 	// incarnation itself, or the one that took over its address, said so; that is final.
-	view.Endpoint
+	snapshot.Endpoint
 	// Alive is the highest call count that any keeper is known to have heard. Silent says that no heartbeat
 	// followed it within the table's limit. A higher call count ends the silence.
 	Alive  uint64
@@ -44,13 +44,13 @@
 }
 
 // Gone reports whether the incarnation must be left out of lists: it said that it is gone, or it is silent.
-func (e *Entry) Gone() bool { return e.State == view.Gone || e.Silent }
+func (e *Entry) Gone() bool { return e.State == snapshot.Gone || e.Silent }
 
 // Shown returns the endpoint as senders should see it: a silent one has the state Gone.
-func (e *Entry) Shown() view.Endpoint {
+func (e *Entry) Shown() snapshot.Endpoint {
 	p := e.Endpoint
 	if e.Silent {
-		p.State = view.Gone
+		p.State = snapshot.Gone
 	}
 	return p
 }
@@ -83,7 +83,7 @@
 }
 
 // compareSaid orders endpoints by their content, without the state and the fields that change with each heartbeat.
-func compareSaid(a, b *view.Endpoint) int {
+func compareSaid(a, b *snapshot.Endpoint) int {
 	return cmp.Or(
 		strings.Compare(a.ID, b.ID),
 		strings.Compare(a.Service, b.Service),
@@ -91,13 +91,13 @@
 		strings.Compare(a.Zone, b.Zone),
 		strings.Compare(a.Version, b.Version),
 		cmp.Compare(a.Capacity, b.Capacity),
-		slices.CompareFunc(a.Models, b.Models, func(x, y view.Model) int {
+		slices.CompareFunc(a.Models, b.Models, func(x, y snapshot.Model) int {
 			return cmp.Or(strings.Compare(x.Name, y.Name), cmp.Compare(x.Version, y.Version))
 		}))
 }
 
 // Check returns an error that names the first field of an endpoint that is out of bounds.
-func Check(e *view.Endpoint) error {
+func Check(e *snapshot.Endpoint) error {
 	if e.ID == "" {
 		return errors.New("an endpoint without an id")
 	}
@@ -106,7 +106,7 @@
 			return fmt.Errorf("endpoint %.40q: a field is longer than %d bytes", e.ID, maxField)
 		}
 	}
-	if e.State > view.Gone {
+	if e.State > snapshot.Gone {
 		return fmt.Errorf("endpoint %q: state %d is unknown", e.ID, e.State)
 	}
 	if e.Capacity < 0 || e.Capacity > maxNumber || e.ColdLeftMs < 0 || e.ColdLeftMs > maxNumber {
@@ -146,10 +146,10 @@
 
 // ReadEntry decodes an entry from a message. It fails if the message is too short or the entry is out of bounds.
 func ReadEntry(r *link.Reader) (Entry, error) {
-	e := Entry{Endpoint: view.Endpoint{ID: r.String(), Service: r.String(), Address: r.String(), Zone: r.String(), Version: r.String(),
-		Capacity: r.Int(), State: view.State(r.U8()), ColdLeftMs: r.Int(), CallCount: r.U64()}}
+	e := Entry{Endpoint: snapshot.Endpoint{ID: r.String(), Service: r.String(), Address: r.String(), Zone: r.String(), Version: r.String(),
+		Capacity: r.Int(), State: snapshot.State(r.U8()), ColdLeftMs: r.Int(), CallCount: r.U64()}}
 	for range r.Count(leastModel) {
-		e.Models = append(e.Models, view.Model{Name: r.String(), Version: r.Int()})
+		e.Models = append(e.Models, snapshot.Model{Name: r.String(), Version: r.Int()})
 	}
 	e.Alive, e.Silent, e.Age = r.U64(), r.Bool(), readAge(r)
 	if r.Err != nil {
--- a/internal/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 // updateGolden makes the golden files; they are made once, from the code whose format they pin, and never in CI.
@@ -19,16 +19,16 @@
 // goldenEntry has a distinct value other than zero in each field.
 func goldenEntry() Entry {
 	return Entry{
-		Endpoint: view.Endpoint{
+		Endpoint: snapshot.Endpoint{
 			ID:         "incarnation-1",
 			Service:    "service-2",
 			Address:    "10.0.0.3:8003",
 			Zone:       "zone-4",
 			Version:    "version-5",
 			Capacity:   6,
-			State:      view.Draining,
+			State:      snapshot.Draining,
 			ColdLeftMs: 7_008,
-			Models: []view.Model{
+			Models: []snapshot.Model{
 				{Name: "model-9", Version: 10},
 				{Name: "model-11", Version: -12},
 			},
--- a/internal/registry/heard.go
+++ b/internal/control/registry/heard.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // Heard returns the live incarnations that were heard within Limit, ordered by ID, for the other keepers: those heard
@@ -35,7 +35,7 @@
 			missing = append(missing, other.ID)
 			continue
 		}
-		if stored.entry.State == view.Gone || other.Alive < stored.entry.Alive || other.Alive == stored.entry.Alive && stored.entry.Silent {
+		if stored.entry.State == snapshot.Gone || other.Alive < stored.entry.Alive || other.Alive == stored.entry.Alive && stored.entry.Silent {
 			continue
 		}
 		entry := t.ageless(now, stored)
--- a/internal/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -8,7 +8,7 @@
 	"container/list"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // Options configures a Table. A zero field takes its default.
@@ -104,12 +104,12 @@
 
 // Beat applies a heartbeat and reports whether the other keepers and subscribers must be told of a change.
 // A heartbeat that is out of bounds, late, or of an incarnation that is gone changes nothing and is counted in Stats.
-func (t *Table) Beat(now time.Duration, endpoint view.Endpoint) (changed bool) {
+func (t *Table) Beat(now time.Duration, endpoint snapshot.Endpoint) (changed bool) {
 	if Check(&endpoint) != nil {
 		t.stats.Refused++
 		return false
 	}
-	if endpoint.State == view.Gone {
+	if endpoint.State == snapshot.Gone {
 		return t.Leave(now, endpoint.ID)
 	}
 	t.receivedAt = now
@@ -120,7 +120,7 @@
 			t.stats.Refused++
 			return false
 		}
-	case stored.entry.State == view.Gone:
+	case stored.entry.State == snapshot.Gone:
 		t.stats.AfterGone++
 		return false
 	case endpoint.CallCount <= stored.entry.CallCount || endpoint.CallCount <= stored.entry.Alive:
@@ -134,7 +134,7 @@
 	if id := t.byAddress[endpoint.Address]; id != endpoint.ID {
 		if old := t.byID[id]; old != nil && fresh { // a new incarnation replaces the one at its address
 			gone := t.ageless(now, old)
-			gone.State = view.Gone
+			gone.State = snapshot.Gone
 			t.join(now, gone)
 		}
 		t.claimAddress(now, stored)
@@ -145,7 +145,7 @@
 // Leave marks an incarnation as gone for good, as said by itself or by its successor at its address, and reports
 // whether that is a change.
 func (t *Table) Leave(now time.Duration, id string) (changed bool) {
-	gone := Entry{Endpoint: view.Endpoint{ID: id, State: view.Gone}}
+	gone := Entry{Endpoint: snapshot.Endpoint{ID: id, State: snapshot.Gone}}
 	if Check(&gone.Endpoint) != nil {
 		t.stats.Refused++
 		return false
--- a/internal/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -11,21 +11,21 @@
 	"github.com/cockroachdb/datadriven"
 	"pgregory.net/rapid"
 
-	"dunetide/internal/link"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
 )
 
 func entries() *rapid.Generator[Entry] {
 	return rapid.Custom(func(t *rapid.T) Entry {
 		small := func(name string) string { return rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, name) }
-		e := Entry{Endpoint: view.Endpoint{
+		e := Entry{Endpoint: snapshot.Endpoint{
 			ID: "i", Service: small("service"), Address: small("address"), Zone: small("zone"), Version: small("version"),
-			Capacity: rapid.IntRange(0, 2).Draw(t, "capacity"), State: view.State(rapid.IntRange(0, 2).Draw(t, "state")),
+			Capacity: rapid.IntRange(0, 2).Draw(t, "capacity"), State: snapshot.State(rapid.IntRange(0, 2).Draw(t, "state")),
 			ColdLeftMs: rapid.IntRange(0, 2).Draw(t, "cold"), CallCount: rapid.Uint64Range(0, 3).Draw(t, "count"),
 		}, Alive: rapid.Uint64Range(0, 3).Draw(t, "alive"), Silent: rapid.Bool().Draw(t, "silent"),
 			Age: time.Duration(rapid.IntRange(0, 2).Draw(t, "age")) * time.Second}
 		for range rapid.IntRange(0, 2).Draw(t, "models") {
-			e.Models = append(e.Models, view.Model{Name: small("model"), Version: rapid.IntRange(0, 1).Draw(t, "model version")})
+			e.Models = append(e.Models, snapshot.Model{Name: small("model"), Version: rapid.IntRange(0, 1).Draw(t, "model version")})
 		}
 		return e
 	})
@@ -70,8 +70,8 @@
 				at.MergeHeard(now, tables[rapid.IntRange(0, 2).Draw(t, "from")].Heard(now, true))
 			default:
 				count[id]++
-				at.Beat(now, view.Endpoint{ID: id, Service: "s", Address: id + ":1", CallCount: count[id],
-					State: view.State(rapid.IntRange(0, 1).Draw(t, "state")), Capacity: rapid.IntRange(0, 1).Draw(t, "capacity")})
+				at.Beat(now, snapshot.Endpoint{ID: id, Service: "s", Address: id + ":1", CallCount: count[id],
+					State: snapshot.State(rapid.IntRange(0, 1).Draw(t, "state")), Capacity: rapid.IntRange(0, 1).Draw(t, "capacity")})
 			}
 		}
 		for _, a := range tables {
@@ -111,7 +111,7 @@
 		table := New(0, Options{Tombstones: 2, TombstoneFor: 10 * time.Second})
 		now := time.Duration(0)
 		count := uint64(0)
-		followed := map[string]view.State{}
+		followed := map[string]snapshot.State{}
 		var number uint64
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
@@ -137,7 +137,7 @@
 					}
 				}
 				number = to
-				want := map[string]view.State{}
+				want := map[string]snapshot.State{}
 				for _, e := range table.Entries(now, -1) {
 					if !e.Gone() {
 						want[e.ID] = e.State
@@ -148,8 +148,8 @@
 				}
 			default:
 				count++
-				table.Beat(now, view.Endpoint{ID: id, Service: "s", Address: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "address")), CallCount: count,
-					State: view.State(rapid.IntRange(0, 1).Draw(t, "state"))})
+				table.Beat(now, snapshot.Endpoint{ID: id, Service: "s", Address: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "address")), CallCount: count,
+					State: snapshot.State(rapid.IntRange(0, 1).Draw(t, "state"))})
 			}
 			if table.tombstones.Len() > 2 || len(table.byID) != table.changes.Len() {
 				t.Fatalf("%d tombstones, %d entries, %d changes", table.tombstones.Len(), len(table.byID), table.changes.Len())
@@ -178,7 +178,7 @@
 			t.Fatal("a cut entry was read")
 		}
 	})
-	for _, e := range []view.Endpoint{{}, {ID: strings.Repeat("x", 257)}, {ID: "i", State: 3}, {ID: "i", Capacity: -1}, {ID: "i", Models: make([]view.Model, 65)}} {
+	for _, e := range []snapshot.Endpoint{{}, {ID: strings.Repeat("x", 257)}, {ID: "i", State: 3}, {ID: "i", Capacity: -1}, {ID: "i", Models: make([]snapshot.Model, 65)}} {
 		if Check(&e) == nil {
 			t.Errorf("%.60v is taken", e)
 		}
@@ -193,7 +193,7 @@
 func TestBounds(t *testing.T) {
 	table := New(0, Options{Endpoints: 3, Tombstones: 2})
 	for i := range 5 {
-		table.Beat(0, view.Endpoint{ID: fmt.Sprint("i", i), Address: fmt.Sprint(i), CallCount: 1})
+		table.Beat(0, snapshot.Endpoint{ID: fmt.Sprint("i", i), Address: fmt.Sprint(i), CallCount: 1})
 	}
 	if table.Live() != 3 || table.Stats().Refused != 2 {
 		t.Errorf("%d live, %+v", table.Live(), table.Stats())
@@ -235,7 +235,7 @@
 	case "new":
 	case "beat":
 		for _, line := range strings.Split(d.Input, "\n") {
-			e := view.Endpoint{Service: "s"}
+			e := snapshot.Endpoint{Service: "s"}
 			if _, err := fmt.Sscanf(line, "%s %s %d %d %d", &e.ID, &e.Address, &e.CallCount, &e.State, &e.ColdLeftMs); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/view/golden_test.go
+++ b/internal/control/snapshot/golden_test.go
@@ -1,4 +1,4 @@
-package view
+package snapshot
 
 import "testing"
 
--- a/internal/view/view.go
+++ b/internal/control/snapshot/view.go
@@ -1,14 +1,14 @@
 // Package view has what a proxy or a store knows of the system at a moment: the configuration in
 // force, the endpoints, the stores. A Snapshot is never changed once it is shared.
-package view
+package snapshot
 
 import (
 	"context"
 	"sync"
 	"sync/atomic"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/operator"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // State of an endpoint's incarnation. It only grows.
@@ -92,14 +92,14 @@
 
 // Snapshot is all of it.
 type Snapshot struct {
-	Config    *operator.Config       // nil: none is known, and nothing may be said of routes
+	Config    *operatorconfig.Config // nil: none is known, and nothing may be said of routes
 	Endpoints map[string][]*Endpoint // by service; those that are gone are left out
 	Senders   int                    // proxies that share the endpoints, this one too; at least 1
 	Table     *Table                 // nil: not known
 	// Listed tells that the endpoints come from a keeper that has heard a whole round of heartbeats.
 	Listed bool
 	// Certificates say which endpoints may have regulated work; nil: none were ever put, and nothing is regulated.
-	Certificates *certify.Set
+	Certificates *certification.Set
 	// CertificatesKnown tells that a keeper has said whether there are any.
 	CertificatesKnown bool
 }
--- a/internal/fleet/claim_test.go
+++ b/internal/deliverynode/fleet/claim_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // newClaimant returns a node "a" in incarnation 1 that nothing runs for: no transport, no clock. Its
--- a/internal/fleet/config.go
+++ b/internal/deliverynode/fleet/config.go
@@ -1,7 +1,7 @@
 // Package fleet lets delivery nodes know of each other and talk. Its page is docs/fleet.md.
 //
 // What decides is pure and stepped: Table (who is there), peer (what is on its way to one
-// other). Sockets, timers and memberlist stand around that. It imports internal/journal for
+// other). Sockets, timers and memberlist stand around that. It imports internal/deliverynode/journal for
 // the seam of the file system alone.
 package fleet
 
@@ -35,7 +35,7 @@
 	Copies *Copies `json:"copies,omitempty"` // nil: all as CopiesOf says
 }
 
-// Copies says how nodes that are started with -copies keep copies of each other: see internal/replica.
+// Copies says how nodes that are started with -copies keep copies of each other: see internal/deliverynode/replica.
 type Copies struct {
 	// Mode is CopyAfter or CopyBefore: whether a message is taken on before its copies have it, or after.
 	Mode string `json:"mode,omitempty"`
@@ -95,7 +95,7 @@
 	}
 }
 
-// Leases says who keeps the leases of a fleet: see internal/lease.
+// Leases says who keeps the leases of a fleet: see internal/deliverynode/lease.
 type Leases struct {
 	Voters   []string `json:"voters"`
 	LongestS float64  `json:"longest_s,omitempty"` // the greatest length of a lease; LongestLease if 0
--- a/internal/fleet/config_test.go
+++ b/internal/deliverynode/fleet/config_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestTheExampleInDocs(t *testing.T) {
-	if _, err := ReadFile("../../docs/example-fleet.json", "n0"); err != nil {
+	if _, err := ReadFile("../../../docs/example-fleet.json", "n0"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/deliverynode/fleet/fleet.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/lab/faults"
 )
 
--- a/internal/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -1,6 +1,6 @@
 // Package fleettest has a fleet that is stepped: what nodes tell each other waits until the test
 // lets it through, loses it or lets it come twice, and each question meets the fate that the
-// test gives it. A part on top of internal/fleet can so be driven through every order.
+// test gives it. A part on top of internal/deliverynode/fleet can so be driven through every order.
 package fleettest
 
 import (
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 // Fate is what becomes of a question.
--- a/internal/fleet/fleettest/fleettest_test.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 // What the page says of news and questions holds of the fake.
--- a/internal/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -9,7 +9,7 @@
 	"reflect"
 	"testing"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/lab/golden"
 )
 
--- a/internal/fleet/identity.go
+++ b/internal/deliverynode/fleet/identity.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/fleet/identity_test.go
+++ b/internal/deliverynode/fleet/identity_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // Whatever operation fails, and whether power is lost then: an incarnation that was given out
--- a/internal/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -2,7 +2,7 @@
 
 // In simulated time the runtime's own timers crash now and then under the race detector (a
 // ticker whose tick is due is run by whoever selects on it). What these tests play, it sees
-// in TestOverAndOver and in the real processes of cmd/wingmount.
+// in TestOverAndOver and in the real processes of cmd/deliverynode.
 
 package fleet_test
 
@@ -21,7 +21,7 @@
 	"testing/synctest"
 	"time"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 	"dunetide/internal/lab/faults"
 )
 
--- a/internal/group/group.go
+++ b/internal/deliverynode/group/group.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunetide/internal/outbox"
+	"dunetide/internal/deliverynode/outbox"
 )
 
 const (
--- a/internal/group/news.go
+++ b/internal/deliverynode/group/news.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunetide/internal/outbox"
+	"dunetide/internal/deliverynode/outbox"
 )
 
 const (
--- a/internal/journal/disktest/disktest.go
+++ b/internal/deliverynode/journal/disktest/disktest.go
@@ -11,7 +11,7 @@
 	"slices"
 	"syscall"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // ErrFull is what a failing operation says.
--- a/internal/lease/book.go
+++ b/internal/deliverynode/lease/book.go
@@ -3,7 +3,7 @@
 //
 // The decisions are made by types without clock, goroutine or socket: Book is the replicated state, Voter one member of
 // the raft group that replicates it, Asker the client of one node. Leases runs a Voter and an Asker over a fleet.Net.
-// The package uses internal/journal for its interface to the file system.
+// The package uses internal/deliverynode/journal for its interface to the file system.
 package lease
 
 import (
@@ -16,7 +16,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 const (
--- a/internal/lease/book_test.go
+++ b/internal/deliverynode/lease/book_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // As many leases and nodes as there may be, with the longest names, fit a frame of a link and the room
--- a/internal/lease/disk.go
+++ b/internal/deliverynode/lease/disk.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/lease/disk_test.go
+++ b/internal/deliverynode/lease/disk_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // entries are what the records of a disk hold, as texts.
--- a/internal/lease/fence.go
+++ b/internal/deliverynode/lease/fence.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // maxFence is the most bytes of a file of tokens.
--- a/internal/lease/fence_test.go
+++ b/internal/deliverynode/lease/fence_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // Whatever fails, and whether the power goes then: an act that passed keeps lower tokens out for
--- a/internal/lease/lease.go
+++ b/internal/deliverynode/lease/lease.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 // Receive handles a message of another node that is a voter or may become one.
--- a/internal/lease/process_test.go
+++ b/internal/deliverynode/lease/process_test.go
@@ -19,10 +19,10 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 	"dunetide/internal/lab/faults"
-	"dunetide/internal/lease"
 )
 
 const (
--- a/internal/lease/step_test.go
+++ b/internal/deliverynode/lease/step_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // sim steps the whole of leases, but for goroutines and sockets: voters over raft and disks, and
--- a/internal/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/lease/voter_log.go
+++ b/internal/deliverynode/lease/voter_log.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 // Flush carries out the effects of the events since the last Flush and returns the messages to send. Now must have been read
--- a/internal/lease/wrong_test.go
+++ b/internal/deliverynode/lease/wrong_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that would break what the page promises, one at a time. The steps have to find
 // each of them.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"counted from after the answer", "asker.go", "t.token, t.until = out.Token, asked+out.Length", "t.token, t.until = out.Token, now+out.Length"},
 	{"held without looking at the time", "asker.go", "if t == nil || !t.wanted || t.token == 0 || now >= t.until {", "if t == nil || !t.wanted || t.token == 0 {"},
 	{"held after it was given back", "asker.go", "		t.giving, t.token = t.token, 0\n	}\n	if t.giving == 0 &&", "		t.giving = t.token\n	}\n	if t.giving == 0 &&"},
@@ -40,12 +40,12 @@
 }
 
 // TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { wrongline.Check(t, wrong) }
+func TestWrongLinesStand(t *testing.T) { mutation.Check(t, wrong) }
 
 // Each wrong line is found by the steps that CI plays, or by more of them. This takes minutes and
 // all cores, so it is asked for: LEASE_WRONG=1, or a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "LEASE_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only, Args: []string{"-run", "TestDisk|TestEveryOrder"},
+	only := mutation.Asked(t, "LEASE_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "TestDisk|TestEveryOrder"},
 		Env: []string{"LEASE_WRONG=", "LEASE_SEEDS=100", "LEASE_STEPS=100000", "LEASE_DEPTH=7"}, Within: 4 * time.Minute, Parallel: true})
 }
--- a/internal/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -16,9 +16,9 @@
 	"sync/atomic"
 	"time"
 
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
-	"dunetide/internal/upstream"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/upstream"
 	"dunetide/policy"
 )
 
--- a/internal/node/calls_test.go
+++ b/internal/deliverynode/node/calls_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/upstream"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/upstream"
 	"dunetide/policy"
 )
 
--- a/internal/node/cohort.go
+++ b/internal/deliverynode/node/cohort.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"dunetide/internal/group"
+	"dunetide/internal/deliverynode/group"
 	"dunetide/policy"
 )
 
--- a/internal/node/cohort_adopt.go
+++ b/internal/deliverynode/node/cohort_adopt.go
@@ -8,7 +8,7 @@
 	"strings"
 	"syscall"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // adoptDead takes over the journals that nobody has a lock on. It tells whether all there are
--- a/internal/node/cohort_discovery.go
+++ b/internal/deliverynode/node/cohort_discovery.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // taken tells whether another member has, or had, a message that a client hands in. That
--- a/internal/node/cohort_join.go
+++ b/internal/deliverynode/node/cohort_join.go
@@ -10,8 +10,8 @@
 	"path/filepath"
 	"time"
 
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/node/cohort_loop.go
+++ b/internal/deliverynode/node/cohort_loop.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/node/cohort_news.go
+++ b/internal/deliverynode/node/cohort_news.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/node/cohort_status.go
+++ b/internal/deliverynode/node/cohort_status.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // groupStatus is what the console shows.
--- a/internal/node/cohort_test.go
+++ b/internal/deliverynode/node/cohort_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // A member that knows no list yet says so: who joins and then leads fetches it whole.
--- a/internal/node/config.go
+++ b/internal/deliverynode/node/config.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
-	"dunetide/internal/wire"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/wire"
 	"dunetide/policy"
 )
 
--- a/internal/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 	"dunetide/policy"
 )
 
--- a/internal/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -14,11 +14,11 @@
 	"syscall"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
-	"dunetide/internal/replica"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
+	"dunetide/internal/deliverynode/replica"
 	"dunetide/policy"
 )
 
--- a/internal/node/ended_ids_test.go
+++ b/internal/deliverynode/node/ended_ids_test.go
@@ -5,7 +5,7 @@
 	"sync"
 	"testing"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // The intake and the journal add to one set of ended ids at once: clients' messages end here while a log that was taken over is
--- a/internal/node/finals.go
+++ b/internal/deliverynode/node/finals.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/node/finals_test.go
+++ b/internal/deliverynode/node/finals_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 type roundTrip func(*http.Request) (*http.Response, error)
--- a/internal/node/fleet.go
+++ b/internal/deliverynode/node/fleet.go
@@ -9,9 +9,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 )
 
 // fleetConns bounds the connections to other nodes where the descriptors are few: so many of
--- a/internal/node/golden_test.go
+++ b/internal/deliverynode/node/golden_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"dunetide/internal/lab/golden"
-	"dunetide/internal/upstream"
+	"dunetide/internal/platform/upstream"
 	"dunetide/policy"
 )
 
--- a/internal/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
-	"dunetide/internal/upstream"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/upstream"
 	"dunetide/policy"
 )
 
--- a/internal/node/intake.go
+++ b/internal/deliverynode/node/intake.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/node/intake_test.go
+++ b/internal/deliverynode/node/intake_test.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/net/netutil"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/node/journal_test.go
+++ b/internal/deliverynode/node/journal_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/node/loop_test.go
+++ b/internal/deliverynode/node/loop_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/node/node.go
+++ b/internal/deliverynode/node/node.go
@@ -13,7 +13,7 @@
 	"runtime/debug"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 const (
--- a/internal/node/peers.go
+++ b/internal/deliverynode/node/peers.go
@@ -7,7 +7,7 @@
 	"net"
 	"net/netip"
 
-	"dunetide/internal/wire"
+	"dunetide/internal/deliverynode/wire"
 	"dunetide/policy"
 )
 
--- a/internal/node/peers_test.go
+++ b/internal/deliverynode/node/peers_test.go
@@ -10,7 +10,7 @@
 	"dunetide/policy"
 )
 
-// Notes reach the others in the adapter's format; what a stranger sends, or what
+// Notes reach the others in simhost's format; what a stranger sends, or what
 // has no meaning, is passed over and the next note still comes.
 func TestNotesBetweenNodes(t *testing.T) {
 	other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/node/process.go
+++ b/internal/deliverynode/node/process.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/net/netutil"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/group"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/group"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/replica/copy.go
+++ b/internal/deliverynode/replica/copy.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/replica/golden_test.go
+++ b/internal/deliverynode/replica/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/lab/golden"
 )
 
--- a/internal/replica/held_copy.go
+++ b/internal/deliverynode/replica/held_copy.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // heldCopy is a copy at this node.
--- a/internal/replica/keeper.go
+++ b/internal/deliverynode/replica/keeper.go
@@ -15,9 +15,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 	"dunetide/policy"
 )
 
--- a/internal/replica/lookup.go
+++ b/internal/deliverynode/replica/lookup.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 // missing is a member that fell silent, so that its clients come to other nodes.
--- a/internal/replica/source_test.go
+++ b/internal/deliverynode/replica/source_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // pair is a log and its copies, stepped by hand.
--- a/internal/replica/takeover.go
+++ b/internal/deliverynode/replica/takeover.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // takeOver takes over the log of a copy, once this node has the log's lease.
--- a/internal/replica/work.go
+++ b/internal/deliverynode/replica/work.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 )
 
 // Work is a log that this node works on when it holds the log's lease: its own, or one that it has taken over. It is safe for
--- a/internal/replica/work_follow.go
+++ b/internal/deliverynode/replica/work_follow.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/lease"
 )
 
 // follow sends changes to the copies until the lease is lost, or until nothing is owed in a log that was taken over.
--- a/internal/replica/work_recover.go
+++ b/internal/deliverynode/replica/work_recover.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 	"dunetide/policy"
 )
 
--- a/internal/replica/work_wait.go
+++ b/internal/deliverynode/replica/work_wait.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 type copyWaiter struct {
--- a/internal/replica/work_watch.go
+++ b/internal/deliverynode/replica/work_watch.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
 	"dunetide/policy"
 )
 
--- a/internal/replica/world_disk_test.go
+++ b/internal/deliverynode/replica/world_disk_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"sync"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // wdisk is a disk that many may use, with folders on it.
--- a/internal/replica/world_process_test.go
+++ b/internal/deliverynode/replica/world_process_test.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 	"dunetide/policy"
 )
 
--- a/internal/replica/world_test.go
+++ b/internal/deliverynode/replica/world_test.go
@@ -14,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
-	"dunetide/internal/fleet"
-	"dunetide/internal/journal"
-	"dunetide/internal/lease"
+	"dunetide/internal/deliverynode/fleet"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/lease"
 )
 
 // world is a fleet in simulated time: the real Keepers, leases, journals and copies of each node, over
--- a/internal/replica/wrong_test.go
+++ b/internal/deliverynode/replica/wrong_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that would break what the page promises, one at a time. The tests have to find each.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"the earlier of two versions stands", "entry.go", "if t.compare(b[0]) < 0 {", "if t.compare(b[0]) > 0 {"},
 	{"only the last tenure's attempts count", "entry.go", "p.Attempts = max(p.Attempts, t.Base) + t.Attempts", "p.Attempts = t.Base + t.Attempts"},
 	{"what is out has not run", "entry.go", "if t.MayRun || t.Out || t.Settled {", "if t.MayRun && !t.Out || t.Settled {"},
@@ -35,11 +35,11 @@
 }
 
 // TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { wrongline.Check(t, wrong) }
+func TestWrongLinesStand(t *testing.T) { mutation.Check(t, wrong) }
 
 // Each wrong line is found by the tests. This takes minutes and all cores, so it is asked for:
 // COPIES_WRONG=1, or a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "COPIES_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only, Args: []string{"-timeout", "150s"}, Env: []string{"COPIES_WRONG=", "COPIES_SEEDS=120"}, Within: 3 * time.Minute})
+	only := mutation.Asked(t, "COPIES_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-timeout", "150s"}, Env: []string{"COPIES_WRONG=", "COPIES_SEEDS=120"}, Within: 3 * time.Minute})
 }
--- a/internal/lab/ablation/ablation.go
+++ b/internal/lab/ablation/ablation.go
@@ -27,12 +27,12 @@
 
 // Files that the mechanisms are in.
 const (
-	settingsFile = "internal/dispatch/settings.go"
-	choiceFile   = "internal/dispatch/choice.go"
-	estimateFile = "internal/dispatch/estimate.go"
-	waiterFile   = "internal/dispatch/waiter.go"
-	serveFile    = "internal/forward/serve.go"
-	attachFile   = "internal/control/attach.go"
+	settingsFile = "internal/proxy/dispatch/settings.go"
+	choiceFile   = "internal/proxy/dispatch/choice.go"
+	estimateFile = "internal/proxy/dispatch/estimate.go"
+	waiterFile   = "internal/proxy/dispatch/waiter.go"
+	serveFile    = "internal/proxy/forward/serve.go"
+	attachFile   = "internal/control/controlclient/attach.go"
 )
 
 // Mechanisms are those that docs/placement.md names.
--- a/internal/lab/faults/memory.go
+++ b/internal/lab/faults/memory.go
@@ -9,7 +9,7 @@
 	"sync"
 	"syscall"
 
-	"dunetide/internal/fleet"
+	"dunetide/internal/deliverynode/fleet"
 )
 
 // inbox bounds the datagrams that wait at a node, as a socket's buffer does.
--- a/internal/lab/insim/insim.go
+++ b/internal/lab/insim/insim.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"time"
 
+	"dunetide/internal/deliverynode/wire"
 	"dunetide/internal/lab/agenda"
 	"dunetide/internal/lab/trace"
 	"dunetide/internal/lab/world"
-	"dunetide/internal/wire"
 	"dunetide/policy"
 )
 
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	fleets "dunetide/internal/fleet"
+	fleets "dunetide/internal/deliverynode/fleet"
 	"dunetide/internal/lab/faults"
 	"dunetide/internal/lab/rules"
 	"dunetide/internal/lab/scenario"
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -166,7 +166,7 @@
 	}
 	cmd.Env = []string{"PROXY_NAME=" + fmt.Sprintf("n%d", n.me), "PROXY_LISTEN=" + n.listen, "PROXY_CONSOLE=" + n.console,
 		"PROXY_DISCOVERY=" + n.agent.addr(), "PROXY_STATE=" + n.state(), "PROXY_CONFIG=" + filepath.Join(n.dir, "config.json"), "TMPDIR=" + tmp}
-	for _, keep := range []string{"WINGMOUNT_DEBUG", "GOCOVERDIR"} {
+	for _, keep := range []string{"DELIVERYNODE_DEBUG", "WINGMOUNT_DEBUG", "GOCOVERDIR"} {
 		if v := os.Getenv(keep); v != "" {
 			cmd.Env = append(cmd.Env, keep+"="+v)
 		}
--- a/internal/lab/wrongline/wrongline.go
+++ b/internal/lab/mutation/wrongline.go
@@ -1,6 +1,6 @@
 // Package wrongline shows that tests find what they are there for: it puts lines that are wrong into a
 // package, one at a time, and runs the package's tests over each. Nothing on disk is changed.
-package wrongline
+package mutation
 
 import (
 	"context"
--- a/internal/lab/soak/account.go
+++ b/internal/lab/soak/account.go
@@ -14,12 +14,12 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/invariant"
 	"dunetide/internal/lab/tier/cluster"
 	"dunetide/internal/lab/tier/engine"
 	"dunetide/internal/lab/tier/load"
 	"dunetide/internal/lab/tier/operator"
 	"dunetide/internal/lab/wait"
+	"dunetide/internal/platform/invariant"
 )
 
 // Rules that a play checks beside those of package load.
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/wrong_test.go
@@ -19,23 +19,23 @@
 }{
 	{"a drain acknowledged by who is cut off, with the invariant off",
 		[]cluster.Replacement{
-			{File: "internal/keeper/endpoints.go", Old: "	case res.waiter != nil && !res.waiter.quorate:\n", New: "	case false:\n"},
-			{File: "internal/keeper/endpoints.go", Old: "	k.checkAcknowledgement(id, res)\n", New: ""},
+			{File: "internal/control/keeper/endpoints.go", Old: "	case res.waiter != nil && !res.waiter.quorate:\n", New: "	case false:\n"},
+			{File: "internal/control/keeper/endpoints.go", Old: "	k.checkAcknowledgement(id, res)\n", New: ""},
 		},
 		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 2, Troubles: []Trouble{
 			{Number: 1, At: 2 * time.Second, For: 9 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{1}},
 			{Number: 2, At: 2 * time.Second, For: time.Second, Kind: Leave, How: "silent lured", Targets: []int{4}},
 		}}, []string{ruleDrain}},
 	{"the same, found by the invariant",
-		[]cluster.Replacement{{File: "internal/keeper/endpoints.go", Old: "	case res.waiter != nil && !res.waiter.quorate:\n", New: "	case false:\n"}},
+		[]cluster.Replacement{{File: "internal/control/keeper/endpoints.go", Old: "	case res.waiter != nil && !res.waiter.quorate:\n", New: "	case false:\n"}},
 		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 1, Troubles: []Trouble{
 			{Number: 1, At: 2 * time.Second, For: 6 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{1}},
 			{Number: 2, At: 2 * time.Second, For: time.Second, Kind: Leave, How: "silent lured", Targets: []int{4}},
 		}}, []string{ruleInvariant}},
 	{"reads answered from memory, with the invariant off",
 		[]cluster.Replacement{
-			{File: "internal/keeper/documents.go", Old: "	v, err := k.readNewest(register)\n", New: "	k.agree.mu.Lock()\n	memory := k.agree.states[register].Value\n	k.agree.mu.Unlock()\n	v, err := readDocument(memory)\n"},
-			{File: "internal/keeper/documents.go", Old: "	checkRead(register, known, v.version)\n", New: "	_ = known\n"},
+			{File: "internal/control/keeper/documents.go", Old: "	v, err := k.readNewest(register)\n", New: "	k.agree.mu.Lock()\n	memory := k.agree.states[register].Value\n	k.agree.mu.Unlock()\n	v, err := readDocument(memory)\n"},
+			{File: "internal/control/keeper/documents.go", Old: "	checkRead(register, known, v.version)\n", New: "	_ = known\n"},
 		},
 		Plan{Seed: 2, Shape: shapes[0], Length: 8 * time.Second, Final: FinalNone, Load: 0.5, Troubles: []Trouble{
 			{Number: 1, At: 2 * time.Second, For: 4 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{2}},
@@ -46,15 +46,15 @@
 			{Number: 1, At: time.Second, For: 2 * time.Second, Kind: Freeze, How: "store", Targets: []int{1}},
 		}}, []string{ruleInvariant}},
 	{"a request that may run once is sent again",
-		[]cluster.Replacement{{File: "internal/attempt/attempt.go", Old: "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {\n", New: "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {\n"}},
+		[]cluster.Replacement{{File: "internal/proxy/attempt/attempt.go", Old: "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {\n", New: "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {\n"}},
 		Plan{Seed: 4, Shape: shapes[0], Length: 6 * time.Second, Final: FinalNone, Load: 1, Troubles: []Trouble{
 			{Number: 1, At: time.Second, For: 4 * time.Second, Kind: Spoil, Targets: []int{0}},
 		}}, []string{"TWICE", ruleInvariant}},
 	{"work goes on when its client has left",
-		[]cluster.Replacement{{File: "internal/forward/serve.go", Old: "x := &exchange{p: p, ctx: r.Context(), method: r.Method}", New: "x := &exchange{p: p, ctx: context.WithoutCancel(r.Context()), method: r.Method}"},
-			{File: "internal/forward/serve.go", Old: "import (\n", New: "import (\n	\"context\"\n"},
-			{File: "internal/forward/serve.go", Old: "			if _, err := w.Write(whole); err != nil {\n				return err\n			}\n", New: "			_, _ = w.Write(whole)\n"},
-			{File: "internal/forward/serve.go", Old: "		return rc.Flush()\n", New: "		_ = rc.Flush()\n		return nil\n"}},
+		[]cluster.Replacement{{File: "internal/proxy/forward/serve.go", Old: "x := &exchange{p: p, ctx: r.Context(), method: r.Method}", New: "x := &exchange{p: p, ctx: context.WithoutCancel(r.Context()), method: r.Method}"},
+			{File: "internal/proxy/forward/serve.go", Old: "import (\n", New: "import (\n	\"context\"\n"},
+			{File: "internal/proxy/forward/serve.go", Old: "			if _, err := w.Write(whole); err != nil {\n				return err\n			}\n", New: "			_, _ = w.Write(whole)\n"},
+			{File: "internal/proxy/forward/serve.go", Old: "		return rc.Flush()\n", New: "		_ = rc.Flush()\n		return nil\n"}},
 		Plan{Seed: 5, Shape: shapes[0], Length: 12 * time.Second, Final: FinalNone, Load: 2, GiveUp: 0.6}, []string{ruleGone}},
 }
 
--- a/internal/lab/tier/cluster/relayed.go
+++ b/internal/lab/tier/cluster/relayed.go
@@ -17,7 +17,7 @@
 
 const (
 	programPackage = "dunetide/cmd/dunetide"
-	linkPackage    = "dunetide/internal/link"
+	linkPackage    = "dunetide/internal/platform/link"
 	linkFile       = "link.go"
 	relaySeed      = 1 // nothing is drawn where the only fault is a cut
 )
--- a/internal/lab/tier/cluster/relayed_test.go
+++ b/internal/lab/tier/cluster/relayed_test.go
@@ -11,7 +11,7 @@
 
 // TestRelayedLinesStand has the lines that are replaced follow the code.
 func TestRelayedLinesStand(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("..", "..", "..", "link", linkFile))
+	text, err := os.ReadFile(filepath.Join("..", "..", "..", "platform", "link", linkFile))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -18,7 +18,7 @@
 	"text/tabwriter"
 	"time"
 
-	"dunetide/internal/control"
+	"dunetide/internal/control/controlclient"
 	"dunetide/internal/lab/tier/cluster"
 	"dunetide/internal/lab/tier/operator"
 	"dunetide/internal/lab/wait"
@@ -130,7 +130,7 @@
 	wait.For(ctx, calm)
 	before := heap()
 	began := time.Now()
-	r.proxies, err = startProxies(size.Proxies, c.Zones(), control.SeedLinks(c.Seeds(), c.InternalFirst()))
+	r.proxies, err = startProxies(size.Proxies, c.Zones(), controlclient.SeedLinks(c.Seeds(), c.InternalFirst()))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/tier/hollow/hollow_test.go
+++ b/internal/lab/tier/hollow/hollow_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 func TestFitFindsAPlane(t *testing.T) {
@@ -63,7 +63,7 @@
 }
 
 func TestConfigurationsAreTaken(t *testing.T) {
-	c, err := operator.Parse(configuration(3, 230, 22))
+	c, err := operatorconfig.Parse(configuration(3, 230, 22))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 	text := configuration(1, 230, 22)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := operator.Parse(text); err != nil {
+		if _, err := operatorconfig.Parse(text); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/lab/tier/hollow/proxy.go
+++ b/internal/lab/tier/hollow/proxy.go
@@ -12,9 +12,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/control"
-	"dunetide/internal/membership"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/membership"
+	"dunetide/internal/control/snapshot"
 )
 
 // startEvery is between the starts of proxies.
@@ -22,9 +22,9 @@
 
 // proxy is attached to keepers and has its place in membership as a proxy has; it serves nobody.
 type proxy struct {
-	client  *control.Client
+	client  *controlclient.Client
 	members *membership.Service
-	holder  view.Holder
+	holder  snapshot.Holder
 	fleet   *proxies
 	// version and left are what was seen last, so that each is told once.
 	version uint64
@@ -64,14 +64,14 @@
 		p := &proxy{fleet: f}
 		zone, life := zones[i%len(zones)], uint64(time.Now().UnixNano())
 		name := "hollow-" + conn.LocalAddr().String()
-		p.members, err = membership.Start(ctx, conn, membership.Options{Self: membership.Peer{Name: name, Role: control.RoleProxy, Zone: zone,
+		p.members, err = membership.Start(ctx, conn, membership.Options{Self: membership.Peer{Name: name, Role: controlclient.RoleProxy, Zone: zone,
 			Addr: conn.LocalAddr().String(), Life: life}, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}, seeds)
 		if err != nil {
 			_ = conn.Close()
 			f.close()
 			return nil, err
 		}
-		p.client = control.NewClient(control.ClientOptions{Self: control.Node{Name: name, Role: control.RoleProxy, Zone: zone, Life: life},
+		p.client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: zone, Life: life},
 			Seeds: seeds, Known: p.keepers, Endpoints: true, Holder: &p.holder, Changed: p.changed, Log: hclog.NewNullLogger()})
 		f.all = append(f.all, p)
 		f.wg.Go(func() { p.client.Run(ctx) })
@@ -88,15 +88,15 @@
 	}
 }
 
-func (p *proxy) keepers() (nodes []control.Node) {
+func (p *proxy) keepers() (nodes []controlclient.Node) {
 	for _, k := range p.members.Keepers() {
-		nodes = append(nodes, control.Node{Name: k.Name, Role: control.RoleKeeper, Zone: k.Zone, Addr: k.Addr, Life: k.Life})
+		nodes = append(nodes, controlclient.Node{Name: k.Name, Role: controlclient.RoleKeeper, Zone: k.Zone, Addr: k.Addr, Life: k.Life})
 	}
 	return nodes
 }
 
 // changed is called one snapshot at a time.
-func (p *proxy) changed(s *view.Snapshot) {
+func (p *proxy) changed(s *snapshot.Snapshot) {
 	p.fleet.views.Add(1)
 	saw := sighting{at: time.Now()}
 	if s.Config != nil && s.Config.Version > p.version {
@@ -104,8 +104,8 @@
 	}
 	if w := p.fleet.watch.Load(); w != nil && p.left != w.id && s.Listed {
 		list := s.Endpoints[w.service]
-		at, there := slices.BinarySearchFunc(list, w.id, func(e *view.Endpoint, id string) int { return strings.Compare(e.ID, id) })
-		if !there || list[at].State != view.Ready {
+		at, there := slices.BinarySearchFunc(list, w.id, func(e *snapshot.Endpoint, id string) int { return strings.Compare(e.ID, id) })
+		if !there || list[at].State != snapshot.Ready {
 			p.left, saw.left = w.id, w.id
 		}
 	}
--- a/internal/lab/tier/load/client.go
+++ b/internal/lab/tier/load/client.go
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
+	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/lab/tier/engine"
 	"dunetide/internal/lab/wait"
-	"dunetide/internal/operator"
 )
 
 const (
@@ -109,7 +109,7 @@
 
 // request is what a client wants, over all its tries.
 type request struct {
-	route  *operator.Route
+	route  *operatorconfig.Route
 	kind   string
 	method string
 	uri    string
--- a/internal/lab/tier/load/jobs.go
+++ b/internal/lab/tier/load/jobs.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
+	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/lab/tier/engine"
 	"dunetide/internal/lab/wait"
-	"dunetide/internal/operator"
 )
 
 const (
@@ -46,7 +46,7 @@
 type job struct {
 	o     Options
 	book  *book
-	route *operator.Route
+	route *operatorconfig.Route
 	rng   *rand.Rand
 	id    string
 	items map[string]*item
--- a/internal/lab/tier/load/load.go
+++ b/internal/lab/tier/load/load.go
@@ -8,15 +8,15 @@
 	"sync"
 	"time"
 
+	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/lab/tier/engine"
 	"dunetide/internal/lab/wait"
 	"dunetide/internal/lab/world"
-	"dunetide/internal/operator"
 )
 
 // Traffic is a stream of requests on one route.
 type Traffic struct {
-	Route *operator.Route
+	Route *operatorconfig.Route
 	Rate  float64 // a second
 	// Of streams.
 	In, Out  int // tokens, at most; at least a third of it
@@ -25,7 +25,7 @@
 
 // Jobs are batch jobs on one route.
 type Jobs struct {
-	Route    *operator.Route
+	Route    *operatorconfig.Route
 	Count    int
 	Items    int // a job
 	In, Out  int
@@ -138,7 +138,7 @@
 func draw(t Traffic, rng *rand.Rand, stride int) *request {
 	r := &request{route: t.Route, kind: t.Route.Name, method: http.MethodPost, ids: rng, header: http.Header{},
 		uri: fmt.Sprintf("%s%x?q=%x", t.Route.PathStart, rng.Uint32(), rng.Uint32N(100)), body: bytesOf(rng, 40+rng.IntN(200))}
-	if t.Route.Kind == operator.Streaming {
+	if t.Route.Kind == operatorconfig.Streaming {
 		out := prompt(r.header.Set, rng, t.In, t.Out, t.Sessions)
 		r.events = engine.Events(out, stride)
 	}
--- a/internal/lab/tier/load/load_test.go
+++ b/internal/lab/tier/load/load_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
+	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/lab/tier/engine"
 	"dunetide/internal/lab/tier/tiertest"
 	"dunetide/internal/lab/world"
-	"dunetide/internal/operator"
 )
 
 // proxy is a trivial tier with an endpoint for each of two services.
@@ -61,12 +61,12 @@
 
 func (p *proxy) front(string, uint64) (string, bool) { return p.addr, true }
 
-func route(name, service string, kind operator.Kind, resume bool) *operator.Route {
-	return &operator.Route{Name: name, Host: "h.example", PathStart: "/" + name + "/", Kind: kind, Resume: resume, TimeoutMs: 2000, TargetMs: 1000,
-		GapAimMs: 500, DueMs: 5000, MaxWaitMs: 8000, Tries: 2, Shares: []operator.Share{{Service: service, Weight: 1}}}
+func route(name, service string, kind operatorconfig.Kind, resume bool) *operatorconfig.Route {
+	return &operatorconfig.Route{Name: name, Host: "h.example", PathStart: "/" + name + "/", Kind: kind, Resume: resume, TimeoutMs: 2000, TargetMs: 1000,
+		GapAimMs: 500, DueMs: 5000, MaxWaitMs: 8000, Tries: 2, Shares: []operatorconfig.Share{{Service: service, Weight: 1}}}
 }
 
-func traffic(r *operator.Route) []Traffic {
+func traffic(r *operatorconfig.Route) []Traffic {
 	return []Traffic{{Route: r, Rate: 100, In: 60, Out: 60, Sessions: 5}}
 }
 
@@ -88,8 +88,8 @@
 	runs := &engine.Runs{}
 	p := newProxy(t, runs)
 	o := options(p, runs)
-	o.Traffic = slices.Concat(traffic(route("gen", "gen", operator.Streaming, false)), traffic(route("web", "web", operator.Writes, false)))
-	o.Jobs = []Jobs{{Route: route("bulk", "gen", operator.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
+	o.Traffic = slices.Concat(traffic(route("gen", "gen", operatorconfig.Streaming, false)), traffic(route("web", "web", operatorconfig.Writes, false)))
+	o.Jobs = []Jobs{{Route: route("bulk", "gen", operatorconfig.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
 	a := Run(t.Context(), o)
 	if len(a.Broken) > 0 || len(a.Jobs) != 1 || a.Jobs[0].Listed != 3 {
 		t.Errorf("broken %v, jobs %v", a.Broken, a.Jobs)
@@ -110,7 +110,7 @@
 		runs := &engine.Runs{}
 		p := newProxy(t, runs)
 		o := options(p, runs)
-		o.Traffic = traffic(route("web", "web", operator.ReadOnly, false))
+		o.Traffic = traffic(route("web", "web", operatorconfig.ReadOnly, false))
 		Run(t.Context(), o)
 		for _, r := range runs.All() {
 			sums[i] = append(sums[i], r.Request+" "+r.Sum)
@@ -123,10 +123,10 @@
 }
 
 func TestEachWrongIsFound(t *testing.T) {
-	stream, web := route("gen", "gen", operator.Streaming, false), route("web", "web", operator.Writes, false)
+	stream, web := route("gen", "gen", operatorconfig.Streaming, false), route("web", "web", operatorconfig.Writes, false)
 	for _, c := range []struct {
 		name  string
-		route *operator.Route
+		route *operatorconfig.Route
 		wrong func(*proxy)
 		rule  string
 	}{
@@ -148,8 +148,8 @@
 		{"ended early", stream, func(p *proxy) {
 			p.Rewrite = func(s int, b []byte) (int, []byte) { return s, b[:bytes.Index(b, []byte("\n\n"))+2] }
 		}, Order},
-		{"wrong service", &operator.Route{Name: "web", Host: "h", PathStart: "/web/", Kind: operator.Writes, TimeoutMs: 1000, TargetMs: 1000,
-			Shares: []operator.Share{{Service: "gen"}}}, func(*proxy) {}, Route},
+		{"wrong service", &operatorconfig.Route{Name: "web", Host: "h", PathStart: "/web/", Kind: operatorconfig.Writes, TimeoutMs: 1000, TargetMs: 1000,
+			Shares: []operatorconfig.Share{{Service: "gen"}}}, func(*proxy) {}, Route},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runs := &engine.Runs{}
@@ -200,7 +200,7 @@
 			p := newProxy(t, runs)
 			p.Results = c.wrong
 			o := options(p, runs)
-			o.Jobs = []Jobs{{Route: route("bulk", "gen", operator.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
+			o.Jobs = []Jobs{{Route: route("bulk", "gen", operatorconfig.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
 			if got := names(Run(t.Context(), o).Broken); !slices.Equal(got, c.rules) {
 				t.Errorf("broken %v, want %v", got, c.rules)
 			}
@@ -211,7 +211,7 @@
 func TestAJobThatChangesOrGoesIsFound(t *testing.T) {
 	o := Options{Settle: 0, Stride: stride}
 	b := newBook()
-	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operator.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
+	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
 	first := result{j.order[0].ID, "finished", engine.Text(j.order[0].ID, 0, j.order[0].events)}
 	j.take(0, first)
 	j.take(0, first)
@@ -244,7 +244,7 @@
 	o := options(p, runs)
 	o.Settle = 0
 	b := newBook()
-	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operator.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
+	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
 	j.accepted = time.Now()
 	j.read(t.Context(), 0)
 	if got := names(b.broken); !slices.Equal(got, []string{Lost}) {
@@ -272,7 +272,7 @@
 		}
 		b := newBook()
 		cl := &client{book: b, zone: "a", front: p.front}
-		r := draw(traffic(route("web", "web", operator.Writes, false))[0], world.Random(1, "test"), stride)
+		r := draw(traffic(route("web", "web", operatorconfig.Writes, false))[0], world.Random(1, "test"), stride)
 		r.born = time.Now()
 		cl.do(t.Context(), r)
 		cl.close()
@@ -288,11 +288,11 @@
 
 func TestOnlyWhatMayRepeatIsTriedAgainAfterABreak(t *testing.T) {
 	for _, c := range []struct {
-		route *operator.Route
+		route *operatorconfig.Route
 		tries int
 	}{
-		{route("web", "web", operator.ReadOnly, false), mostTry},
-		{route("web", "web", operator.Writes, false), 1},
+		{route("web", "web", operatorconfig.ReadOnly, false), mostTry},
+		{route("web", "web", operatorconfig.Writes, false), 1},
 	} {
 		runs := &engine.Runs{}
 		p := newProxy(t, runs)
@@ -327,7 +327,7 @@
 	defer s.Close()
 	cl := &client{book: b, front: func(string, uint64) (string, bool) { return s.Listener.Addr().String(), true }}
 	defer cl.close()
-	r := draw(traffic(route("gen", "gen", operator.Streaming, true))[0], world.Random(1, "test"), stride)
+	r := draw(traffic(route("gen", "gen", operatorconfig.Streaming, true))[0], world.Random(1, "test"), stride)
 	r.events, r.born = 4, time.Now()
 	cl.do(t.Context(), r)
 	if f := b.figures["gen"]; f.InAim != 1 || f.Tries != 2 || f.Ends["broken off"] != 1 || len(b.broken) > 0 {
@@ -347,7 +347,7 @@
 	defer s.Close()
 	b := newBook()
 	cl := &client{book: b, front: func(string, uint64) (string, bool) { return s.Listener.Addr().String(), true }}
-	r := draw(traffic(route("web", "web", operator.Writes, false))[0], world.Random(1, "test"), stride)
+	r := draw(traffic(route("web", "web", operatorconfig.Writes, false))[0], world.Random(1, "test"), stride)
 	r.born = time.Now()
 	cl.do(t.Context(), r)
 	if got := names(b.broken); !slices.Equal(got, []string{Mixed}) {
@@ -356,7 +356,7 @@
 }
 
 func TestItemsAreWrittenAsThePagesSay(t *testing.T) {
-	j := newJob(Options{Stride: stride}, newBook(), Jobs{Route: route("bulk", "gen", operator.Bulk, false), Items: 1, In: 60, Out: 60}, world.Random(1, "test"), 0)
+	j := newJob(Options{Stride: stride}, newBook(), Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 1, In: 60, Out: 60}, world.Random(1, "test"), 0)
 	text, err := json.Marshal(j.order[0])
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/tier/night.go
+++ b/internal/lab/tier/night.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/audit"
-	"dunetide/internal/certify"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/certification"
 	"dunetide/internal/lab/tier/cluster"
 	"dunetide/internal/lab/tier/engine"
 	"dunetide/internal/lab/tier/load"
@@ -49,7 +49,7 @@
 // certificate is withdrawn, and a keeper cut off.
 type night struct {
 	seed      uint64
-	document  certify.Document
+	document  certification.Document
 	certified map[string]bool
 	withdrawn map[string]time.Time // by when it had to be in force
 	down      string
@@ -91,7 +91,7 @@
 	now := time.Now().UTC()
 	n.document.Version = 1
 	for _, route := range regulatedRoutes {
-		n.document.Routes = append(n.document.Routes, certify.Route{Name: route, Regime: regime})
+		n.document.Routes = append(n.document.Routes, certification.Route{Name: route, Regime: regime})
 	}
 	count := map[string]int{}
 	r.mu.Lock()
@@ -104,7 +104,7 @@
 		}
 		if count[e.Service()]++; count[e.Service()] <= most {
 			n.certified[e.ID()] = true
-			n.document.Certificates = append(n.document.Certificates, certify.Certificate{Endpoint: e.ID(), Regime: regime,
+			n.document.Certificates = append(n.document.Certificates, certification.Certificate{Endpoint: e.ID(), Regime: regime,
 				NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), By: "the lab"})
 		}
 	}
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
+	config "dunetide/internal/control/operatorconfig"
 	"dunetide/internal/lab/tier/cluster"
 	"dunetide/internal/lab/tier/engine"
 	"dunetide/internal/lab/tier/load"
 	"dunetide/internal/lab/tier/operator"
 	"dunetide/internal/lab/wait"
-	config "dunetide/internal/operator"
 )
 
 const (
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"dunetide/internal/deliverynode/wire"
 	"dunetide/internal/lab/scenario"
 	"dunetide/internal/lab/trace"
-	"dunetide/internal/wire"
 )
 
 // host keeps what the world says.
--- a/internal/link/resend/calls_test.go
+++ b/internal/platform/link/resend/calls_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // cuts are the bytes at which a text of a length is cut, its end among them.
@@ -91,8 +91,8 @@
 		k.cutCall(at, drain, cutAt, read, beats%2 == 0)
 		if !whole {
 			k.untilStatus(at, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1))
-			eventually(t, "it is known", func() bool { return stateOf(holder, "s", id) != view.Gone })
-			if got := stateOf(holder, "s", id); got != view.Ready {
+			eventually(t, "it is known", func() bool { return stateOf(holder, "s", id) != snapshot.Gone })
+			if got := stateOf(holder, "s", id); got != snapshot.Ready {
 				t.Fatalf("cut at %d: it is %v", cutAt, got)
 			}
 		}
@@ -102,14 +102,14 @@
 				k.untilStatus(i, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1)) // a late one
 			}
 		}
-		if got := stateOf(holder, "s", id); got != view.Draining {
+		if got := stateOf(holder, "s", id); got != snapshot.Draining {
 			t.Fatalf("cut at %d: acknowledged to drain, and it is %v", cutAt, got)
 		}
 		for i := range keeperCount {
 			k.untilStatus(i, http.StatusOK, http.MethodDelete, path, "", "")
 			k.untilStatus(i, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1)) // a late one
 		}
-		if got := stateOf(holder, "s", id); got != view.Gone {
+		if got := stateOf(holder, "s", id); got != snapshot.Gone {
 			t.Fatalf("acknowledged to be gone, and it is %v", got)
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // follow follows the versions that an attached process holds, until it is stopped: they never go back.
-func follow(t *testing.T, holder *view.Holder) (newest func() uint64, stop func()) {
+func follow(t *testing.T, holder *snapshot.Holder) (newest func() uint64, stop func()) {
 	var held atomic.Uint64
 	stopped, ended := make(chan struct{}), make(chan struct{})
 	go func() {
--- a/internal/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -19,11 +19,11 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/control"
-	"dunetide/internal/journal/disktest"
-	"dunetide/internal/keeper"
-	"dunetide/internal/settings"
-	"dunetide/internal/view"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/keeper"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/settings"
 )
 
 const (
@@ -124,13 +124,13 @@
 const attached = keeperCount
 
 // attach attaches a process to keepers through relays, until it is stopped. What keepers tell it leads it past the relays later.
-func (k *keepers) attach() (holder *view.Holder, stop func()) {
-	holder = &view.Holder{}
+func (k *keepers) attach() (holder *snapshot.Holder, stop func()) {
+	holder = &snapshot.Holder{}
 	var seeds []string
 	for i := range keeperCount {
 		seeds = append(seeds, k.relays.address(attached, i, k.linkAddress(i)))
 	}
-	client := control.NewClient(control.ClientOptions{Self: control.Node{Name: "p", Role: control.RoleProxy, Zone: keeperZone, Life: uint64(time.Now().UnixNano())},
+	client := controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: keeperZone, Life: uint64(time.Now().UnixNano())},
 		Seeds: seeds, Endpoints: true, Holder: holder, Log: hclog.NewNullLogger()})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -141,13 +141,13 @@
 }
 
 // stateOf is how an attached process sees an endpoint.
-func stateOf(holder *view.Holder, service, id string) view.State {
+func stateOf(holder *snapshot.Holder, service, id string) snapshot.State {
 	if s := holder.Get(); s != nil {
-		if i := slices.IndexFunc(s.Endpoints[service], func(e *view.Endpoint) bool { return e.ID == id }); i >= 0 {
+		if i := slices.IndexFunc(s.Endpoints[service], func(e *snapshot.Endpoint) bool { return e.ID == id }); i >= 0 {
 			return s.Endpoints[service][i].State
 		}
 	}
-	return view.Gone
+	return snapshot.Gone
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
--- a/internal/link/wrong_test.go
+++ b/internal/platform/link/wrong_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that would give a reply to the wrong call, or lose one.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"a call is answered twice", "link.go", "			ch := c.calls[call]\n			delete(c.calls, call)\n", "			ch := c.calls[call]\n"},
 	{"a call that was given up is kept", "link.go", "		delete(c.calls, id) // a late reply finds nobody\n", "		_ = id\n"},
 	{"a refusal looks like a reply", "link.go", "			if kind == kindError {", "			if kind == kindProbe {"},
@@ -19,10 +19,10 @@
 }
 
 // TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { wrongline.Check(t, wrong) }
+func TestWrongLinesStand(t *testing.T) { mutation.Check(t, wrong) }
 
 // Each wrong line is found by the tests: LINK_WRONG=1, or a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "LINK_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only, Args: []string{"-timeout", "60s"}, Env: []string{"LINK_WRONG="}, Within: 2 * time.Minute})
+	only := mutation.Asked(t, "LINK_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-timeout", "60s"}, Env: []string{"LINK_WRONG="}, Within: 2 * time.Minute})
 }
--- a/internal/record/golden_test.go
+++ b/internal/platform/recordlog/golden_test.go
@@ -1,4 +1,4 @@
-package record
+package recordlog
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 // The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
--- a/internal/record/record.go
+++ b/internal/platform/recordlog/record.go
@@ -3,7 +3,7 @@
 // Each record also carries up to where the file was synced when it was written. So a record that
 // does not check can be told from a write that a loss of power took: if a later one says that its
 // place had been synced, the disk has lost what it had promised, and the file is not used.
-package record
+package recordlog
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 
 	"github.com/zeebo/errs"
 
-	"dunetide/internal/journal"
+	"dunetide/internal/deliverynode/journal"
 )
 
 // The kinds of errors.
--- a/internal/record/record_test.go
+++ b/internal/platform/recordlog/record_test.go
@@ -1,4 +1,4 @@
-package record
+package recordlog
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"testing/synctest"
 
-	"dunetide/internal/journal"
-	"dunetide/internal/journal/disktest"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
 )
 
 const name = "t.log"
--- a/internal/sighup/early.go
+++ b/internal/platform/reload/early.go
@@ -1,6 +1,6 @@
 //go:build cgo
 
-package sighup
+package reload
 
 /*
 #include <signal.h>
--- a/internal/sighup/sighup.go
+++ b/internal/platform/reload/sighup.go
@@ -1,6 +1,6 @@
 // Package sighup catches SIGHUP from the first moment of a process. Its default action would end the process, also
 // one that has not read its settings yet, so the package is initialised ahead of the packages of main.
-package sighup
+package reload
 
 import (
 	"os"
--- a/internal/observe/golden_test.go
+++ b/internal/platform/telemetry/golden_test.go
@@ -1,4 +1,4 @@
-package observe_test
+package telemetry_test
 
 import (
 	"bytes"
@@ -18,9 +18,9 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	_ "dunetide/internal/batch"
-	"dunetide/internal/forward"
-	_ "dunetide/internal/keeper"
-	"dunetide/internal/view"
+	_ "dunetide/internal/control/keeper"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/proxy/forward"
 )
 
 var updateGolden = flag.Bool("update", false, "write testdata/golden anew; never to make a failing test pass")
@@ -50,7 +50,7 @@
 
 // The series that each role exposes from its start on stay, with their labels and the values of these.
 func TestGoldenSeries(t *testing.T) {
-	forward.New(forward.Options{Holder: &view.Holder{}}).Observe()
+	forward.New(forward.Options{Holder: &snapshot.Holder{}}).Observe()
 	var text bytes.Buffer
 	metrics.WritePrometheus(&text, false)
 	var series []string
--- a/internal/observe/log.go
+++ b/internal/platform/telemetry/log.go
@@ -1,4 +1,4 @@
-package observe
+package telemetry
 
 import (
 	"sync/atomic"
--- a/internal/observe/observe.go
+++ b/internal/platform/telemetry/observe.go
@@ -1,6 +1,6 @@
 // Package observe is how a process tells afterwards what happened in it: metrics in the text format that scrapers read, and log lines
 // of events that may be many, which are bounded a second.
-package observe
+package telemetry
 
 import (
 	"fmt"
--- a/internal/dispatch/bench_test.go
+++ b/internal/proxy/dispatch/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // BenchmarkAcquireBySize is a request's admission and placement among so many endpoints of its service.
@@ -15,11 +15,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d := New(Options{Zone: "a"})
 			defer d.Close()
-			var eps []*view.Endpoint
+			var eps []*snapshot.Endpoint
 			for i := range n {
-				eps = append(eps, &view.Endpoint{ID: fmt.Sprintf("e%03d", i), Zone: string(rune('a' + i%10)), Capacity: 24})
+				eps = append(eps, &snapshot.Endpoint{ID: fmt.Sprintf("e%03d", i), Zone: string(rune('a' + i%10)), Capacity: 24})
 			}
-			d.Update(snapshot(400, eps...))
+			d.Update(snapshotOf(400, eps...))
 			r := request(time.Now().Add(time.Hour))
 			r.Prefix = []Part{{1, 10000}, {2, 3300}, {3, 3720}}
 			b.ReportAllocs()
--- a/internal/dispatch/certified_test.go
+++ b/internal/proxy/dispatch/certified_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
 )
 
 // regulated is a request that only some endpoints may have; the list may change later.
@@ -93,7 +93,7 @@
 		w.Bulk = true
 		b.ask(w)
 		u := regulated("int"+string(rune('a'+i)), &certified)
-		u.Route = &operator.Route{TargetMs: 4000}
+		u.Route = &operatorconfig.Route{TargetMs: 4000}
 		b.ask(u)
 	}
 	expect(t, b, "")
@@ -147,7 +147,7 @@
 func TestAHeldItemGoesWhenItsCertificateComes(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
-	d.Update(snapshot(1, &view.Endpoint{ID: "e1", Service: "s", Address: "e1:1", Zone: "a", Capacity: 4}))
+	d.Update(snapshotOf(1, &snapshot.Endpoint{ID: "e1", Service: "s", Address: "e1:1", Zone: "a", Capacity: 4}))
 	begin := time.Now().Add(400 * time.Millisecond)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -159,7 +159,7 @@
 		t.Error("granted before it counted")
 	}
 	g.End(Served, Load{})
-	_, err = d.Acquire(ctx, &Request{Service: "s", Route: &operator.Route{TargetMs: 100}, Arrived: time.Now(), Deadline: time.Now().Add(time.Second),
+	_, err = d.Acquire(ctx, &Request{Service: "s", Route: &operatorconfig.Route{TargetMs: 100}, Arrived: time.Now(), Deadline: time.Now().Add(time.Second),
 		Regime: "r", Certified: func(string) bool { return false }})
 	var refused *Refused
 	if !errors.As(err, &refused) || refused.Regime != "r" {
