--- a/internal/dispatch/choice.go
+++ b/internal/proxy/dispatch/choice.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // similarCost is the difference in cost, in ms, up to which endpoints count as equal.
@@ -155,11 +155,11 @@
 
 // may reports whether a request may go to an endpoint, whatever its load.
 func (e *endpoint) may(w *waiter) bool {
-	if e.unlisted || e.state != view.Ready || slices.Contains(w.r.Avoid, e.target.ID) || !w.r.may(e.target.ID) {
+	if e.unlisted || e.state != snapshot.Ready || slices.Contains(w.r.Avoid, e.target.ID) || !w.r.may(e.target.ID) {
 		return false
 	}
 	return w.r.Model == "" || len(e.models) == 0 ||
-		slices.ContainsFunc(e.models, func(m view.Model) bool { return m.Name == w.r.Model })
+		slices.ContainsFunc(e.models, func(m snapshot.Model) bool { return m.Name == w.r.Model })
 }
 
 // probe reports whether a request should try an ejected endpoint. One request at a time does: from the end of the ejection
@@ -273,7 +273,7 @@
 func (c *core) underFloor(p *pool, w *waiter) bool {
 	slots := 0
 	for _, e := range p.endpoints {
-		if !e.unlisted && e.state == view.Ready && w.r.may(e.target.ID) {
+		if !e.unlisted && e.state == snapshot.Ready && w.r.may(e.target.ID) {
 			slots += e.slots()
 		}
 	}
@@ -383,7 +383,7 @@
 	var scores [len(beliefs)]uint64
 	found := 0
 	for _, e := range p.endpoints {
-		if e.unlisted || e.state != view.Ready || !w.r.may(e.target.ID) {
+		if e.unlisted || e.state != snapshot.Ready || !w.r.may(e.target.ID) {
 			continue
 		}
 		score := mix(key, e.hash)
--- a/internal/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/sendlog"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/sendlog"
 )
 
 // Time is a reading of a monotonic clock.
@@ -54,8 +54,8 @@
 	target   Target
 	hash     uint64
 	capacity int
-	state    view.State
-	models   []view.Model
+	state    snapshot.State
+	models   []snapshot.Model
 	coldTill Time
 
 	narrow, wide sendlog.Log
@@ -101,7 +101,7 @@
 }
 
 // update applies a new snapshot. Endpoints that are not in it get no further requests.
-func (c *core) update(s *view.Snapshot) {
+func (c *core) update(s *snapshot.Snapshot) {
 	if s == nil {
 		return
 	}
@@ -147,13 +147,13 @@
 }
 
 // listed adds an endpoint of a snapshot, or updates it.
-func (c *core) listed(p *pool, v *view.Endpoint) {
+func (c *core) listed(p *pool, v *snapshot.Endpoint) {
 	e := c.endpoints[v.ID]
 	if e == nil {
-		if v.State == view.Gone {
+		if v.State == snapshot.Gone {
 			return
 		}
-		e = &endpoint{pool: p, hash: view.Hash(v.ID), slice: math.Inf(1), slowness: mean{1},
+		e = &endpoint{pool: p, hash: snapshot.Hash(v.ID), slice: math.Inf(1), slowness: mean{1},
 			spread: 0.75 + 0.5*c.rng(),
 			narrow: sendlog.Log{Window: c.settings.Narrow, Most: c.settings.MostSends},
 			passed: sendlog.Log{Window: c.settings.Narrow, Most: c.settings.MostSends},
@@ -199,7 +199,7 @@
 // anyListed reports whether a pool has a listed endpoint that is ready.
 func (c *core) anyListed(p *pool) bool {
 	for _, e := range p.endpoints {
-		if !e.unlisted && e.state == view.Ready {
+		if !e.unlisted && e.state == snapshot.Ready {
 			return true
 		}
 	}
--- a/internal/dispatch/core_test.go
+++ b/internal/proxy/dispatch/core_test.go
@@ -11,14 +11,14 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
 )
 
 // bench steps a core by hand.
 type bench struct {
 	c    *core
-	snap *view.Snapshot
+	snap *snapshot.Snapshot
 	seq  uint64
 	runs map[string]*run
 	wait map[string]*waiter
@@ -28,14 +28,14 @@
 func newBench(set Settings) *bench {
 	rng := rand.New(rand.NewPCG(1, 2))
 	return &bench{c: newCore(set, "a", rng.Float64), runs: map[string]*run{}, wait: map[string]*waiter{},
-		snap: &view.Snapshot{Senders: 1, Endpoints: map[string][]*view.Endpoint{},
-			Config: &operator.Config{Services: map[string]*operator.Service{"s": {Name: "s"}}}}}
+		snap: &snapshot.Snapshot{Senders: 1, Endpoints: map[string][]*snapshot.Endpoint{},
+			Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s"}}}}}
 }
 
 func (b *bench) add(ids ...string) {
 	for _, id := range ids {
 		b.snap.Endpoints["s"] = append(b.snap.Endpoints["s"],
-			&view.Endpoint{ID: id, Service: "s", Address: id + ":1", Zone: "a", Capacity: 4})
+			&snapshot.Endpoint{ID: id, Service: "s", Address: id + ":1", Zone: "a", Capacity: 4})
 	}
 	b.c.update(b.snap)
 }
@@ -47,7 +47,7 @@
 		r.Service = "s"
 	}
 	if r.Route == nil {
-		r.Route = &operator.Route{TargetMs: 400}
+		r.Route = &operatorconfig.Route{TargetMs: 400}
 	}
 	w := &waiter{r: r, seq: b.seq, deadline: b.c.now + 4*time.Second, due: b.c.now + 400*time.Millisecond}
 	if r.Bulk {
@@ -99,7 +99,7 @@
 		b.playEndpoint(c)
 	case "remove":
 		b.snap.Endpoints["s"] = slices.DeleteFunc(slices.Clone(b.snap.Endpoints["s"]),
-			func(o *view.Endpoint) bool { return o.ID == d.CmdArgs[0].Key })
+			func(o *snapshot.Endpoint) bool { return o.ID == d.CmdArgs[0].Key })
 		b.c.update(b.snap)
 	case "ask":
 		b.playAsk(c)
@@ -154,20 +154,20 @@
 
 // playEndpoint adds an endpoint to the snapshot, or replaces it.
 func (b *bench) playEndpoint(c command) {
-	v := &view.Endpoint{ID: c.CmdArgs[0].Key, Service: "s", Zone: "a", Capacity: c.number("slots", 4), ColdLeftMs: c.number("cold", 0)}
+	v := &snapshot.Endpoint{ID: c.CmdArgs[0].Key, Service: "s", Zone: "a", Capacity: c.number("slots", 4), ColdLeftMs: c.number("cold", 0)}
 	if zone := c.arg("zone"); zone != "" {
 		v.Zone = zone
 	}
 	if model := c.arg("model"); model != "" {
-		v.Models = []view.Model{{Name: model}}
+		v.Models = []snapshot.Model{{Name: model}}
 	}
 	switch c.arg("state") {
 	case "draining":
-		v.State = view.Draining
+		v.State = snapshot.Draining
 	case "gone":
-		v.State = view.Gone
+		v.State = snapshot.Gone
 	}
-	list := slices.DeleteFunc(slices.Clone(b.snap.Endpoints["s"]), func(o *view.Endpoint) bool { return o.ID == v.ID })
+	list := slices.DeleteFunc(slices.Clone(b.snap.Endpoints["s"]), func(o *snapshot.Endpoint) bool { return o.ID == v.ID })
 	b.snap.Endpoints["s"] = append(list, v)
 	b.c.update(b.snap)
 }
@@ -179,7 +179,7 @@
 			continue
 		}
 		r := &Request{ID: a.Key, Model: c.arg("model"), Bulk: c.number("bulk", 0) == 1,
-			Route: &operator.Route{Kind: operator.Kind(c.number("kind", 0)), TargetMs: c.number("aim", 400), Priority: c.number("priority", 0)}}
+			Route: &operatorconfig.Route{Kind: operatorconfig.Kind(c.number("kind", 0)), TargetMs: c.number("aim", 400), Priority: c.number("priority", 0)}}
 		if avoid := c.arg("avoid"); avoid != "" {
 			r.Avoid = strings.Split(avoid, "+")
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/proxy/dispatch/dispatch.go
@@ -7,13 +7,13 @@
 	"fmt"
 	"time"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // Request describes a client's request, or an item of a batch job, for its placement.
 type Request struct {
 	ID        string
-	Route     *operator.Route
+	Route     *operatorconfig.Route
 	Service   string // chosen at random by the route's weights
 	Model     string
 	TokensIn  int    // of the prompt; 0 if unknown
--- a/internal/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -6,14 +6,14 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // Options configures a Dispatcher.
 type Options struct {
 	Name     string           // of this sender, by which it chooses its subset of endpoints
 	Zone     string           // of this machine
-	Holder   *view.Holder     // whose newest snapshot it starts with; may be nil
+	Holder   *snapshot.Holder // whose newest snapshot it starts with; may be nil
 	Now      func() time.Time // default time.Now
 	Rand     func() float64   // random numbers in [0, 1); default rand.Float64
 	Settings Settings
@@ -50,7 +50,7 @@
 		o.Rand = rand.Float64
 	}
 	d := &Dispatcher{now: o.Now, origin: o.Now(), core: newCore(o.Settings, o.Zone, o.Rand)}
-	d.core.self = view.Hash(o.Name)
+	d.core.self = snapshot.Hash(o.Name)
 	d.timer = time.AfterFunc(time.Hour, d.woken)
 	d.timer.Stop()
 	if o.Holder != nil {
@@ -60,7 +60,7 @@
 }
 
 // Update applies a new snapshot.
-func (d *Dispatcher) Update(s *view.Snapshot) {
+func (d *Dispatcher) Update(s *snapshot.Snapshot) {
 	d.post(func(c *core) { c.update(s) })
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/proxy/dispatch/dispatcher_test.go
@@ -7,23 +7,23 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
 )
 
-func snapshot(senders int, eps ...*view.Endpoint) *view.Snapshot {
-	return &view.Snapshot{Senders: senders, Config: &operator.Config{Services: map[string]*operator.Service{"s": {Name: "s"}}},
-		Endpoints: map[string][]*view.Endpoint{"s": eps}}
+func snapshotOf(senders int, eps ...*snapshot.Endpoint) *snapshot.Snapshot {
+	return &snapshot.Snapshot{Senders: senders, Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s"}}},
+		Endpoints: map[string][]*snapshot.Endpoint{"s": eps}}
 }
 
 func request(now time.Time) *Request {
-	return &Request{Service: "s", Route: &operator.Route{TargetMs: 400}, Arrived: now,
+	return &Request{Service: "s", Route: &operatorconfig.Route{TargetMs: 400}, Arrived: now,
 		Deadline: now.Add(time.Minute), Due: now.Add(400 * time.Millisecond)}
 }
 
 func TestAcquireGrants(t *testing.T) {
-	h := &view.Holder{}
-	h.Set(snapshot(1, &view.Endpoint{ID: "e1", Address: "x:1", Zone: "a", Capacity: 2}))
+	h := &snapshot.Holder{}
+	h.Set(snapshotOf(1, &snapshot.Endpoint{ID: "e1", Address: "x:1", Zone: "a", Capacity: 2}))
 	d := New(Options{Zone: "a", Holder: h})
 	defer d.Close()
 	g, err := d.Acquire(context.Background(), request(time.Now()))
@@ -72,7 +72,7 @@
 		}
 		granted <- g.Endpoint().ID
 	}()
-	d.Update(snapshot(1, &view.Endpoint{ID: "e1", Zone: "a", Capacity: 2}))
+	d.Update(snapshotOf(1, &snapshot.Endpoint{ID: "e1", Zone: "a", Capacity: 2}))
 	if got := <-granted; got != "e1" {
 		t.Error(got)
 	}
@@ -101,11 +101,11 @@
 func TestMany(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
-	var eps []*view.Endpoint
+	var eps []*snapshot.Endpoint
 	for _, id := range []string{"e1", "e2", "e3"} {
-		eps = append(eps, &view.Endpoint{ID: id, Zone: "a", Capacity: 8})
+		eps = append(eps, &snapshot.Endpoint{ID: id, Zone: "a", Capacity: 8})
 	}
-	d.Update(snapshot(2, eps...))
+	d.Update(snapshotOf(2, eps...))
 	var all sync.WaitGroup
 	for i := range 16 {
 		all.Go(func() {
@@ -117,7 +117,7 @@
 					continue
 				}
 				if j%7 == 0 {
-					d.Update(snapshot(1+j%3, eps...))
+					d.Update(snapshotOf(1+j%3, eps...))
 				}
 				g.First(Load{Running: 1, Slots: 8, Known: true})
 				g.End([]Outcome{Served, Left}[j%2], Load{})
@@ -137,11 +137,11 @@
 
 func BenchmarkAcquire(b *testing.B) {
 	d := New(Options{Zone: "a"})
-	var eps []*view.Endpoint
+	var eps []*snapshot.Endpoint
 	for i := range 18 {
-		eps = append(eps, &view.Endpoint{ID: string(rune('a' + i)), Zone: "a", Capacity: 24})
+		eps = append(eps, &snapshot.Endpoint{ID: string(rune('a' + i)), Zone: "a", Capacity: 24})
 	}
-	d.Update(snapshot(10, eps...))
+	d.Update(snapshotOf(10, eps...))
 	r := request(time.Now().Add(time.Hour))
 	r.Prefix = []Part{{1, 10000}, {2, 3300}, {3, 3720}}
 	b.ReportAllocs()
--- a/internal/dispatch/fleet_test.go
+++ b/internal/proxy/dispatch/fleet_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
 )
 
 // fleet plays many senders before the endpoints of one service in steps of a ms, with what the worlds of world_test.go leave out: zones
@@ -126,7 +126,7 @@
 	snap := f.snapshot()
 	for i := range l.senders {
 		s := &fleetSender{core: newCore(l.settings, zoneName(i%l.zones), f.rng.Float64), zone: i % l.zones}
-		s.core.self = view.Hash(fmt.Sprint("sender-", i))
+		s.core.self = snapshot.Hash(fmt.Sprint("sender-", i))
 		s.core.update(snap)
 		f.senders = append(f.senders, s)
 	}
@@ -139,13 +139,13 @@
 }
 
 // snapshot lists all endpoints.
-func (f *fleet) snapshot() *view.Snapshot {
+func (f *fleet) snapshot() *snapshot.Snapshot {
 	l := f.layout
-	snap := &view.Snapshot{Senders: l.senders, Endpoints: map[string][]*view.Endpoint{},
-		Config: &operator.Config{Services: map[string]*operator.Service{"s": {Name: "s", MaxConns: l.maxConns,
-			Engine: &operator.Engine{Capacity: l.slots, CacheTokens: l.cacheTokens}}}}}
+	snap := &snapshot.Snapshot{Senders: l.senders, Endpoints: map[string][]*snapshot.Endpoint{},
+		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConns: l.maxConns,
+			Engine: &operatorconfig.Engine{Capacity: l.slots, CacheTokens: l.cacheTokens}}}}}
 	for _, e := range f.endpoints {
-		snap.Endpoints["s"] = append(snap.Endpoints["s"], &view.Endpoint{ID: e.id, Service: "s", Zone: zoneName(e.zone), Capacity: l.slots})
+		snap.Endpoints["s"] = append(snap.Endpoints["s"], &snapshot.Endpoint{ID: e.id, Service: "s", Zone: zoneName(e.zone), Capacity: l.slots})
 	}
 	return snap
 }
@@ -166,7 +166,7 @@
 	out := int(math.Ceil(k.out.draw(f.rng) * f.layout.tokensPerEvent))
 	t := &fleetTask{kind: k, sender: f.senders[f.rng.IntN(len(f.senders))], born: f.now, left: float64(out)}
 	t.request = &Request{ID: fmt.Sprint(f.ids), Service: "s", TokensIn: in, TokensOut: out, Bulk: k.bulk,
-		Route:  &operator.Route{Name: k.name, Kind: operator.Streaming, TargetMs: int(k.aim.Milliseconds()), Tries: 1},
+		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, TargetMs: int(k.aim.Milliseconds()), Tries: 1},
 		Prefix: []Part{{uint64(len(k.name))<<40 + uint64(subject), k.sharedOf[subject]}, {1<<60 + f.ids, own}}}
 	k.asked++
 	t.kind.weight += f.worthOf(t)
--- a/internal/dispatch/invariants.go
+++ b/internal/proxy/dispatch/invariants.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"dunetide/internal/invariant"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/invariant"
 )
 
 // grantsAreOfReadyEndpoints: nothing begins at an endpoint that drains, has ended or may not have the request.
@@ -12,7 +12,7 @@
 
 // checkGrant is called right before a request is granted an endpoint.
 func checkGrant(w *waiter, e *endpoint) {
-	grantsAreOfReadyEndpoints.Check(!e.unlisted && e.state == view.Ready && w.r.may(e.target.ID), func() string {
+	grantsAreOfReadyEndpoints.Check(!e.unlisted && e.state == snapshot.Ready && w.r.may(e.target.ID), func() string {
 		return fmt.Sprintf("request %s is granted %s, which is listed %v, in state %v", w.r.ID, e.target.ID, !e.unlisted, e.state)
 	})
 }
--- a/internal/dispatch/lies_test.go
+++ b/internal/proxy/dispatch/lies_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // lies are loads that an endpoint may tell whatever it has.
@@ -69,4 +69,4 @@
 	}
 }
 
-func engineOf(capacity int) *operator.Engine { return &operator.Engine{Capacity: capacity} }
+func engineOf(capacity int) *operatorconfig.Engine { return &operatorconfig.Engine{Capacity: capacity} }
--- a/internal/dispatch/place_test.go
+++ b/internal/proxy/dispatch/place_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // limited is an endpoint that takes so many starts in a second and turns the others away.
@@ -265,7 +265,7 @@
 	b := newBench(Settings{})
 	b.add("e1")
 	w := b.ask(&Request{ID: "1"})
-	b.snap = &view.Snapshot{Senders: 1, Config: b.snap.Config}
+	b.snap = &snapshot.Snapshot{Senders: 1, Config: b.snap.Config}
 	b.c.update(b.snap)
 	if b.endpoint("e1") == nil {
 		t.Error("forgotten though a request runs there")
--- a/internal/dispatch/subset.go
+++ b/internal/proxy/dispatch/subset.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // chooseSubset marks the endpoints of a pool that this sender prefers. Many senders before many endpoints seldom meet: each hears of an
@@ -21,7 +21,7 @@
 	var all []candidate
 	for _, e := range p.endpoints {
 		e.preferred = false
-		if e.unlisted || e.state != view.Ready {
+		if e.unlisted || e.state != snapshot.Ready {
 			continue
 		}
 		away := 0
--- a/internal/dispatch/waiter.go
+++ b/internal/proxy/dispatch/waiter.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // waiter is a request that waits in the hold of its pool, or is being decided on.
@@ -159,7 +159,7 @@
 	soonest := time.Duration(math.MaxInt64)
 	slots := 0.0
 	for _, e := range p.endpoints {
-		if e.unlisted || e.state != view.Ready || !w.r.may(e.target.ID) {
+		if e.unlisted || e.state != snapshot.Ready || !w.r.may(e.target.ID) {
 			continue
 		}
 		wait := max(0, e.ejectedUntil-c.now, e.fullTill-c.now, e.roomAt(c)-c.now)
@@ -269,7 +269,7 @@
 		}
 		soonest := Time(math.MaxInt64)
 		for _, e := range p.endpoints {
-			if e.unlisted || e.state != view.Ready {
+			if e.unlisted || e.state != snapshot.Ready {
 				continue
 			}
 			next := max(e.ejectedUntil, e.fullTill, e.roomAt(c))
--- a/internal/dispatch/world_test.go
+++ b/internal/proxy/dispatch/world_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
 )
 
 // world plays several senders and model endpoints in steps of a ms.
@@ -17,7 +17,7 @@
 	now   time.Duration
 	cores []*core
 	eps   []*engine
-	snap  *view.Snapshot
+	snap  *snapshot.Snapshot
 	next  uint64
 	kinds []*kindOf
 
@@ -82,15 +82,15 @@
 )
 
 func newWorld(senders, endpoints, zones int, set Settings) *world {
-	w := &world{rng: rand.New(rand.NewPCG(3, 4)), snap: &view.Snapshot{Senders: senders,
-		Endpoints: map[string][]*view.Endpoint{},
-		Config: &operator.Config{Services: map[string]*operator.Service{"s": {Name: "s", MaxConns: 220,
-			Engine: &operator.Engine{Capacity: 24, CacheTokens: cacheTokens}}}}}}
+	w := &world{rng: rand.New(rand.NewPCG(3, 4)), snap: &snapshot.Snapshot{Senders: senders,
+		Endpoints: map[string][]*snapshot.Endpoint{},
+		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConns: 220,
+			Engine: &operatorconfig.Engine{Capacity: 24, CacheTokens: cacheTokens}}}}}}
 	for i := range endpoints {
 		id := fmt.Sprintf("e%02d", i)
 		w.eps = append(w.eps, &engine{id: id, slots: 24, queue: 48, everRead: map[chain]bool{}, speed: 1})
 		w.snap.Endpoints["s"] = append(w.snap.Endpoints["s"],
-			&view.Endpoint{ID: id, Service: "s", Zone: fmt.Sprint(i % zones), Capacity: 24})
+			&snapshot.Endpoint{ID: id, Service: "s", Zone: fmt.Sprint(i % zones), Capacity: 24})
 	}
 	for i := range senders {
 		c := newCore(set, fmt.Sprint(i%zones), w.rng.Float64)
@@ -106,7 +106,7 @@
 	t := &task{kind: k, born: w.now, core: w.rng.IntN(len(w.cores))}
 	own := int(float64(k.own) * (0.5 + w.rng.Float64()))
 	t.r = &Request{ID: fmt.Sprint(w.next), Service: "s", TokensIn: k.shared + own, TokensOut: k.out, Bulk: k.bulk,
-		Route:  &operator.Route{Name: k.name, Kind: operator.Streaming, TargetMs: k.aim, Priority: k.priority},
+		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, TargetMs: k.aim, Priority: k.priority},
 		Prefix: []Part{{uint64(len(k.name))<<32 + group, k.shared}, {1<<60 + w.next, own}}}
 	k.asked++
 	w.ask(t)
--- a/internal/dispatch/worlds_test.go
+++ b/internal/proxy/dispatch/worlds_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
 )
 
 // wideLayout is a fleet with many senders before many endpoints, each of which has few slots: a sender meets an endpoint seldom.
@@ -209,10 +209,10 @@
 	if granted := ask(c, &Request{Regime: "r", Certified: func(id string) bool { return id == only }}); granted == nil {
 		t.Error("waits, though a certified endpoint outside the subset has room")
 	}
-	outside[1].models = []view.Model{{Name: "m"}}
+	outside[1].models = []snapshot.Model{{Name: "m"}}
 	for _, e := range c.pool("s").endpoints {
 		if e != outside[1] {
-			e.models = []view.Model{{Name: "other"}}
+			e.models = []snapshot.Model{{Name: "other"}}
 		}
 	}
 	if granted := ask(c, &Request{Model: "m"}); granted == nil {
--- a/internal/forward/answer.go
+++ b/internal/proxy/forward/answer.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/upstream"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/attempt"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // roundTrip writes the request and reads the head of its answer. Before it, duplicates of answers
--- a/internal/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -6,13 +6,13 @@
 	"net/http"
 	"testing"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // One request after the other on one connection, from a client over the proxy to an endpoint and back.
 func BenchmarkPlain(b *testing.B) {
 	e := newEndpoint(b, "e1", says(sealed, "the body"))
-	benchmark(b, newRig(b, route(operator.ReadOnly, 2), e))
+	benchmark(b, newRig(b, route(operatorconfig.ReadOnly, 2), e))
 }
 
 // Streams of ten events that come one by one.
@@ -25,7 +25,7 @@
 		_, err := io.WriteString(c, chunked(""))
 		return err == nil
 	})
-	benchmark(b, newRig(b, route(operator.Streaming, 2), e))
+	benchmark(b, newRig(b, route(operatorconfig.Streaming, 2), e))
 }
 
 func benchmark(b *testing.B, g *rig) {
--- a/internal/forward/budget_test.go
+++ b/internal/proxy/forward/budget_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // A request runs at no more endpoints than its route's tries, whatever they answer; those that reject it, or that take no
@@ -35,7 +35,7 @@
 						return false
 					}))
 				}
-				r := route(operator.Streaming, tries)
+				r := route(operatorconfig.Streaming, tries)
 				r.Resume = true
 				g := newRig(t, r, endpoints...)
 				a := g.do(plainCall, "body")
--- a/internal/forward/certified.go
+++ b/internal/proxy/forward/certified.go
@@ -4,11 +4,11 @@
 	"errors"
 	"time"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/audit"
-	"dunetide/internal/certify"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/upstream"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/attempt"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // Recorder keeps the record of regulated runs.
@@ -52,7 +52,7 @@
 		x.demand()
 	}
 	if !ok {
-		gate.Count(regime, func(c *certify.Counts) { c.Stopped++ })
+		gate.Count(regime, func(c *certification.Counts) { c.Stopped++ })
 		x.err = errNotCertified
 		x.reason = "no certified node for regime " + regime + " is free"
 		x.finish(dispatch.Left, upstream.Unused)
@@ -72,14 +72,14 @@
 			return attempt.Refused, false
 		}
 	}
-	gate.Count(regime, func(c *certify.Counts) { c.Runs++ })
+	gate.Count(regime, func(c *certification.Counts) { c.Runs++ })
 	return 0, true
 }
 
 // refusedFor counts a refusal.
 func (x *exchange) refusedFor(regime, reason string) {
 	x.reason = reason
-	x.p.o.Certified.Count(regime, func(c *certify.Counts) {
+	x.p.o.Certified.Count(regime, func(c *certification.Counts) {
 		if x.req.Bulk {
 			c.GivenUp++
 		} else {
@@ -94,7 +94,7 @@
 	if x.now().Sub(since) < longWait {
 		return
 	}
-	x.p.o.Certified.Count(x.req.Regime, func(c *certify.Counts) {
+	x.p.o.Certified.Count(x.req.Regime, func(c *certification.Counts) {
 		c.Waited++
 		if !granted {
 			c.GivenUp++
--- a/internal/forward/certified_test.go
+++ b/internal/proxy/forward/certified_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/audit"
-	"dunetide/internal/certify"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/proxy/attempt"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // book is a record in memory.
@@ -56,16 +56,16 @@
 	return strings.Join(out, ", ")
 }
 
-func certificates(t testing.TB, version uint64, endpoints ...string) *certify.Set {
+func certificates(t testing.TB, version uint64, endpoints ...string) *certification.Set {
 	t.Helper()
-	d := certify.Document{Version: version, Routes: []certify.Route{{Name: "r", Regime: "fin"}}}
+	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "r", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certify.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour),
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour),
 			NotAfter: time.Now().Add(time.Hour), By: "test"})
 	}
 	text, err := json.Marshal(d)
 	must(t, err)
-	s, err := certify.Parse(text)
+	s, err := certification.Parse(text)
 	must(t, err)
 	return s
 }
@@ -73,7 +73,7 @@
 // certify regulates the rig's route; the gate is confirmed all the time.
 func (g *rig) certify(endpoints ...string) *book {
 	b := &book{ends: map[uint64]audit.Outcome{}}
-	g.p.o.Certified = certify.NewGate(certify.GateOptions{Confirmed: time.Now, Stale: time.Second})
+	g.p.o.Certified = certification.NewGate(certification.GateOptions{Confirmed: time.Now, Stale: time.Second})
 	g.p.o.Certified.Update(certificates(g.t, 1, endpoints...))
 	g.p.o.Record = b
 	return b
@@ -81,7 +81,7 @@
 
 func TestNothingIsSentToWhoIsNotCertified(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
-	g := newRig(t, route(operator.Writes, 1), e1, e2) // its admission knows nothing of certificates, as one whose grant is late
+	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2) // its admission knows nothing of certificates, as one whose grant is late
 	b := g.certify("e2")
 	a := g.do(plainCall, "body")
 	if a.status != 200 || a.body != "two" || len(e1.got()) != 0 {
@@ -103,7 +103,7 @@
 
 func TestWhereNobodyIsCertifiedItIsRefusedWithItsReason(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
-	for _, kind := range []operator.Kind{operator.Writes, operator.ReadOnly} {
+	for _, kind := range []operatorconfig.Kind{operatorconfig.Writes, operatorconfig.ReadOnly} {
 		g := newRig(t, route(kind, 2), e1, e2)
 		g.certify()
 		a := g.do(plainCall, "body")
@@ -117,7 +117,7 @@
 }
 
 func TestWhatAdmissionRefusesForWantOfCertificatesIsCounted(t *testing.T) {
-	g := newRig(t, route(operator.Writes, 1))
+	g := newRig(t, route(operatorconfig.Writes, 1))
 	g.certify()
 	g.a.refuse = &dispatch.Refused{Reason: "no certified node for regime fin is free", RetryAfter: 70 * time.Millisecond, Regime: "fin"}
 	if a := g.do(plainCall, "body"); a.status != 503 || a.header.Get(headerReason) != "no certified node for regime fin is free" {
@@ -131,10 +131,10 @@
 // The first certificates come while a request is on its way to an endpoint that was granted before.
 func TestARouteThatIsRegulatedMeanwhile(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
-	g := newRig(t, route(operator.Writes, 1), e1, e2)
+	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2)
 	b := g.certify("e2")
 	set := g.p.o.Certified.Set()
-	g.p.o.Certified = certify.NewGate(certify.GateOptions{Confirmed: time.Now, Stale: time.Second})
+	g.p.o.Certified = certification.NewGate(certification.GateOptions{Confirmed: time.Now, Stale: time.Second})
 	x := &exchange{p: g.p, ctx: t.Context(), method: http.MethodPost}
 	x.describe(&g.config.Routes[0], func(string) string { return "id9" })
 	if x.req.Certified != nil || x.req.Regime != "" {
@@ -158,7 +158,7 @@
 
 func TestARecordThatIsFullStopsRegulatedWork(t *testing.T) {
 	e1 := newEndpoint(t, "e1", says(sealed, "one"))
-	g := newRig(t, route(operator.Writes, 1), e1)
+	g := newRig(t, route(operatorconfig.Writes, 1), e1)
 	b := g.certify("e1")
 	b.full = true
 	if a := g.do(plainCall, "body"); a.status != 503 || a.header.Get(headerReason) != recordFull || len(e1.got()) != 0 {
@@ -184,19 +184,19 @@
 		_, _ = io.WriteString(c, streamHead(r.Header.Get(headerID))+chunked(oneEvent(2), ""))
 		return true
 	}
-	resumed := route(operator.Streaming, 3)
+	resumed := route(operatorconfig.Streaming, 3)
 	resumed.Resume = true
 	for name, c := range map[string]struct {
-		route operator.Route
+		route operatorconfig.Route
 		first func(net.Conn, call) bool
 		last  func(net.Conn, call) bool
 		want  string
 	}{
-		"turned away":    {route(operator.Writes, 1), says("503 X|X-Dunetide-Not-Run: 1", ""), says(sealed, "fine"), "e1 not-run, e3 answered"},
-		"another one":    {route(operator.Writes, 1), says("421 X", ""), says(sealed, "fine"), "e1 not-run, e3 answered"},
-		"500":            {route(operator.Writes, 1), says("500 X", "x"), nil, "e1 failed"},
-		"500, repeated":  {route(operator.ReadOnly, 2), says("500 X", "x"), says(sealed, "fine"), "e1 failed, e3 answered"},
-		"closed":         {route(operator.Writes, 1), func(net.Conn, call) bool { return false }, nil, "e1 broken"},
+		"turned away":    {route(operatorconfig.Writes, 1), says("503 X|X-Dunetide-Not-Run: 1", ""), says(sealed, "fine"), "e1 not-run, e3 answered"},
+		"another one":    {route(operatorconfig.Writes, 1), says("421 X", ""), says(sealed, "fine"), "e1 not-run, e3 answered"},
+		"500":            {route(operatorconfig.Writes, 1), says("500 X", "x"), nil, "e1 failed"},
+		"500, repeated":  {route(operatorconfig.ReadOnly, 2), says("500 X", "x"), says(sealed, "fine"), "e1 failed, e3 answered"},
+		"closed":         {route(operatorconfig.Writes, 1), func(net.Conn, call) bool { return false }, nil, "e1 broken"},
 		"resumed stream": {resumed, cut, rest, "e1 broken, e3 answered"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -223,7 +223,7 @@
 
 func TestItemsGoOnOnlyAtCertifiedEndpoints(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
-	g := newRig(t, route(operator.Bulk, 2), e1, e2)
+	g := newRig(t, route(operatorconfig.Bulk, 2), e1, e2)
 	b := g.certify("e2")
 	res := g.p.RunItem(t.Context(), item(&g.config.Routes[0]), "3", func(string, []byte) {})
 	if res.State != ItemDone || len(e1.got()) != 0 || b.said() != "e2 answered" || !b.runs[0].Item || b.runs[0].After != "3" || !b.runs[0].Repeatable {
@@ -235,7 +235,7 @@
 func BenchmarkCertified(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(map[bool]string{false: "another-route", true: "this-route"}[on], func(b *testing.B) {
-			r := route(operator.ReadOnly, 2)
+			r := route(operatorconfig.ReadOnly, 2)
 			if !on {
 				r.Name = "other"
 			}
--- a/internal/forward/client_test.go
+++ b/internal/proxy/forward/client_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // Requests whose end can be read in two ways run once at most, as net/http reads them, and nothing that stands behind them is
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newEndpoint(t, "e1", says(sealed, "ok"))
-			g := newRig(t, route(operator.Writes, 1), e)
+			g := newRig(t, route(operatorconfig.Writes, 1), e)
 			client := g.dial()
 			_, err := io.WriteString(client, c.bytes)
 			must(t, err)
@@ -70,7 +70,7 @@
 // Chunked requests that are clear keep their connection, also behind requests with a length.
 func TestClearRequestsKeepTheirConnection(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed, "ok"))
-	g := newRig(t, route(operator.Writes, 1), e)
+	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	c := g.dial()
 	for n := range 6 {
 		if n%2 == 0 {
@@ -93,7 +93,7 @@
 		_, err := io.WriteString(c, answerOf(r.Header.Get(headerID), sealed, "of "+r.body))
 		return err == nil
 	})
-	g := newRig(t, route(operator.Writes, 1), e)
+	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	c := g.dial()
 	const requests = 20
 	for n := range requests {
@@ -110,7 +110,7 @@
 // A client that is cut off at any byte of its request: nothing of it runs before its last byte.
 func TestRequestCutAtEveryByte(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed, "ok"))
-	g := newRig(t, route(operator.Writes, 1), e)
+	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	for name, whole := range map[string]string{
 		"length": "POST /r/x HTTP/1.1\r\nHost: h.example\r\nX-Dunetide-Request-Id: id1\r\nContent-Length: 4\r\n\r\nbody",
 		"chunks": "POST /r/x HTTP/1.1\r\nHost: h.example\r\nX-Dunetide-Request-Id: id1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked("bo", "dy", ""),
@@ -140,7 +140,7 @@
 
 // A body that does not arrive in time is not waited for beyond the route's timeout.
 func TestSlowBodyIsNotHeldBeyondTheTimeout(t *testing.T) {
-	r := route(operator.Writes, 1)
+	r := route(operatorconfig.Writes, 1)
 	r.TimeoutMs = 100
 	g := newRig(t, r, newEndpoint(t, "e1", says(sealed, "ok")))
 	c := g.dial()
@@ -158,7 +158,7 @@
 
 // A request is not held beyond its deadline by an endpoint that takes no connections.
 func TestDialIsNotWaitedForBeyondTheDeadline(t *testing.T) {
-	r := route(operator.Writes, 1)
+	r := route(operatorconfig.Writes, 1)
 	r.TimeoutMs = 60
 	dials := make(chan time.Duration, 1)
 	g := newRigWith(t, r, func(o *Options) {
@@ -190,7 +190,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		// Of its own: a call may reach the endpoint after its client has left.
 		e := newEndpoint(t, "e1", says(sealed, "ok"))
-		g := newRig(t, route(operator.Writes, 1), e)
+		g := newRig(t, route(operatorconfig.Writes, 1), e)
 		c, err := net.Dial("tcp", g.addr)
 		must(t, err)
 		defer func() { _ = c.Close() }()
--- a/internal/forward/describe.go
+++ b/internal/proxy/forward/describe.go
@@ -4,13 +4,13 @@
 	"strconv"
 	"strings"
 
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // describe fills in what dispatch has to know.
-func (x *exchange) describe(route *operator.Route, get func(string) string) {
+func (x *exchange) describe(route *operatorconfig.Route, get func(string) string) {
 	x.req.ID, x.req.Route = get(headerID), route
 	x.req.Model = get(headerModel)
 	if in, out, ok := strings.Cut(get(headerTokens), ","); ok {
@@ -22,7 +22,7 @@
 			id, tokens, _ := strings.Cut(strings.TrimSpace(part), ":")
 			n, err := strconv.ParseUint(id, 16, 64)
 			if err != nil {
-				n = view.Hash(id)
+				n = snapshot.Hash(id)
 			}
 			x.req.Prefix = append(x.req.Prefix, dispatch.Part{ID: n, Tokens: atoi(tokens)})
 		}
@@ -43,13 +43,13 @@
 }
 
 // draw draws a service by the weights, the same one for the same id.
-func (p *Proxy) draw(route *operator.Route, id string) string {
+func (p *Proxy) draw(route *operatorconfig.Route, id string) string {
 	if len(route.Shares) == 1 {
 		return route.Shares[0].Service
 	}
 	at := p.o.Rand()
 	if id != "" {
-		at = float64(view.Hash(id)>>11) / (1 << 53)
+		at = float64(snapshot.Hash(id)>>11) / (1 << 53)
 	}
 	sum := 0.0
 	for _, s := range route.Shares {
--- a/internal/forward/early_test.go
+++ b/internal/proxy/forward/early_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // newRawEndpoint hands each of its connections to a function, which reads and writes as it likes.
@@ -67,7 +67,7 @@
 					}
 				})
 				good := newEndpoint(t, "good", says(sealed, "fine"))
-				g := newRig(t, route(operator.Writes, 2), early, good)
+				g := newRig(t, route(operatorconfig.Writes, 2), early, good)
 				a := g.do(plainCall, body)
 				calls := good.got()
 				switch { // what the system's buffers took may have been read: then it is not sent again
@@ -101,7 +101,7 @@
 				}
 				write(c, answerOf(r.Header.Get(headerID), sealed, body))
 			})
-			g := newRig(t, route(operator.Writes, 1), e)
+			g := newRig(t, route(operatorconfig.Writes, 1), e)
 			for at := range len(greeting) + 1 {
 				part.Store(int64(at))
 				id := fmt.Sprint("id", at)
@@ -149,7 +149,7 @@
 					write(c, streamHead("id1")+chunked(oneEvent(1), ""))
 				}
 			})
-			g := newRig(t, route(operator.Bulk, 1), e)
+			g := newRig(t, route(operatorconfig.Bulk, 1), e)
 			it := item(&g.config.Routes[0])
 			it.Header["X-Attempt"] = "1"
 			if res := g.p.RunItem(t.Context(), it, "", func(string, []byte) {}); res.State == ItemDone {
@@ -202,19 +202,19 @@
 // as its end was not sent yet. One that resets after the last byte may have run it: then it goes nowhere.
 func TestForgottenConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind   operator.Kind
+		kind   operatorconfig.Kind
 		body   string
 		method string
 		read   bool // the endpoint reads the second request whole, and then resets
 		status int
 	}{
-		"writes":           {operator.Writes, "body", "POST", false, 200},
-		"writes, no body":  {operator.Writes, "", "DELETE", false, 200},
-		"writes, long":     {operator.Writes, strings.Repeat("b", 100<<10), "POST", false, 200},
-		"stream":           {operator.Streaming, "body", "POST", false, 200},
-		"read":             {operator.Writes, "body", "POST", true, 502},
-		"read, no body":    {operator.Writes, "", "DELETE", true, 502},
-		"read, idempotent": {operator.ReadOnly, "body", "POST", true, 200},
+		"writes":           {operatorconfig.Writes, "body", "POST", false, 200},
+		"writes, no body":  {operatorconfig.Writes, "", "DELETE", false, 200},
+		"writes, long":     {operatorconfig.Writes, strings.Repeat("b", 100<<10), "POST", false, 200},
+		"stream":           {operatorconfig.Streaming, "body", "POST", false, 200},
+		"read":             {operatorconfig.Writes, "body", "POST", true, 502},
+		"read, no body":    {operatorconfig.Writes, "", "DELETE", true, 502},
+		"read, idempotent": {operatorconfig.ReadOnly, "body", "POST", true, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			forgetful := newForgetfulEndpoint(t, c.read)
@@ -263,7 +263,7 @@
 		_, err := io.WriteString(c, answerOf("foreign", sealed, answerOf(id, "404 X", "")))
 		return err == nil
 	})
-	g := newRig(t, route(operator.ReadOnly, 1), e)
+	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
 	conn := g.dial()
 	must(t, conn.ask("HEAD /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id1", ""))
 	resp, err := http.ReadResponse(conn.br, &http.Request{Method: http.MethodHead})
--- a/internal/forward/enumerate_test.go
+++ b/internal/proxy/forward/enumerate_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // The enumeration: for each kind of request and each kind of answer, an endpoint does each of the faults at each byte of the
@@ -22,7 +22,7 @@
 // requestKind is a kind of request as the account sees it.
 type requestKind struct {
 	name       string
-	kind       operator.Kind
+	kind       operatorconfig.Kind
 	resume     bool
 	idempotent bool
 	stream     bool
@@ -31,12 +31,12 @@
 }
 
 var requestKinds = []requestKind{
-	{name: "read-only", kind: operator.ReadOnly, idempotent: true, method: "POST"},
-	{name: "writes", kind: operator.Writes, method: "POST"},
-	{name: "stream", kind: operator.Streaming, stream: true, method: "POST"},
-	{name: "resumable", kind: operator.Streaming, resume: true, idempotent: true, stream: true, method: "POST"},
-	{name: "head", kind: operator.ReadOnly, idempotent: true, method: "HEAD"},
-	{name: "item", kind: operator.Bulk, idempotent: true, stream: true, method: "POST", item: true},
+	{name: "read-only", kind: operatorconfig.ReadOnly, idempotent: true, method: "POST"},
+	{name: "writes", kind: operatorconfig.Writes, method: "POST"},
+	{name: "stream", kind: operatorconfig.Streaming, stream: true, method: "POST"},
+	{name: "resumable", kind: operatorconfig.Streaming, resume: true, idempotent: true, stream: true, method: "POST"},
+	{name: "head", kind: operatorconfig.ReadOnly, idempotent: true, method: "HEAD"},
+	{name: "item", kind: operatorconfig.Bulk, idempotent: true, stream: true, method: "POST", item: true},
 }
 
 // answerKind is an answer of an endpoint.
--- a/internal/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/upstream"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/attempt"
+	"dunetide/internal/proxy/dispatch"
 )
 
 const (
--- a/internal/forward/forgotten_test.go
+++ b/internal/proxy/forward/forgotten_test.go
@@ -14,14 +14,14 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
 )
 
 // idleFor is longer than a connection may stand idle and still count as new.
 const idleFor = 100 * time.Millisecond
 
 // newForgetfulRig is a proxy whose connections count as idle from the second request on, and wait long for a reset.
-func newForgetfulRig(t *testing.T, r operator.Route, endpoints ...*endpoint) (g *rig, idle func()) {
+func newForgetfulRig(t *testing.T, r operatorconfig.Route, endpoints ...*endpoint) (g *rig, idle func()) {
 	var later atomic.Int64
 	g = newRigWith(t, r, func(o *Options) {
 		o.Now = func() time.Time { return time.Now().Add(time.Duration(later.Load())) }
@@ -44,7 +44,7 @@
 			for i, e := range all {
 				e.id = fmt.Sprint("forgetful", i)
 			}
-			g, idle := newForgetfulRig(t, route(operator.ReadOnly, tries), all...)
+			g, idle := newForgetfulRig(t, route(operatorconfig.ReadOnly, tries), all...)
 			for i := range all { // a connection to each
 				g.a.all = all[i : i+1]
 				if a := g.do(plainCall, "x"); a.body != "first" {
@@ -92,7 +92,7 @@
 				_ = conn.SetLinger(0)
 			})
 			good := newEndpoint(t, "good", says(sealed, "fine"))
-			g := newRigWith(t, route(operator.Writes, 2), func(*Options) {}, late, good)
+			g := newRigWith(t, route(operatorconfig.Writes, 2), func(*Options) {}, late, good)
 			if a := g.do(plainCall, "x"); a.body != "first" {
 				t.Fatalf("%+v", a)
 			}
--- a/internal/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/proxy/dispatch"
 )
 
 const patience = 10 * time.Second
@@ -236,16 +236,16 @@
 	p      *Proxy
 	a      *admission
 	addr   string
-	config *operator.Config
+	config *operatorconfig.Config
 }
 
-func route(kind operator.Kind, tries int) operator.Route {
-	return operator.Route{Name: "r", Host: "h.example", PathStart: "/r/", Kind: kind, TimeoutMs: 5000, TargetMs: 300, Tries: tries,
-		Shares: []operator.Share{{Service: "svc", Weight: 1}}}
+func route(kind operatorconfig.Kind, tries int) operatorconfig.Route {
+	return operatorconfig.Route{Name: "r", Host: "h.example", PathStart: "/r/", Kind: kind, TimeoutMs: 5000, TargetMs: 300, Tries: tries,
+		Shares: []operatorconfig.Share{{Service: "svc", Weight: 1}}}
 }
 
 // firstMatch stands in for the configuration's own Match, which knows only what was parsed.
-func firstMatch(c *operator.Config, host, path string) *operator.Route {
+func firstMatch(c *operatorconfig.Config, host, path string) *operatorconfig.Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for i := range c.Routes {
 		if r := &c.Routes[i]; r.Host == host && strings.HasPrefix(path, r.PathStart) {
@@ -255,18 +255,18 @@
 	return nil
 }
 
-func newRig(t testing.TB, r operator.Route, endpoints ...*endpoint) *rig {
+func newRig(t testing.TB, r operatorconfig.Route, endpoints ...*endpoint) *rig {
 	t.Helper()
 	return newRigWith(t, r, func(*Options) {}, endpoints...)
 }
 
 // newRigWith is newRig with other options.
-func newRigWith(t testing.TB, r operator.Route, change func(o *Options), endpoints ...*endpoint) *rig {
+func newRigWith(t testing.TB, r operatorconfig.Route, change func(o *Options), endpoints ...*endpoint) *rig {
 	t.Helper()
-	c := &operator.Config{Version: 1, Routes: []operator.Route{r}, Services: map[string]*operator.Service{"svc": {Name: "svc"}}}
+	c := &operatorconfig.Config{Version: 1, Routes: []operatorconfig.Route{r}, Services: map[string]*operatorconfig.Service{"svc": {Name: "svc"}}}
 	g := &rig{t: t, a: &admission{all: endpoints}, config: c}
-	holder := &view.Holder{}
-	holder.Set(&view.Snapshot{Config: c, Senders: 1})
+	holder := &snapshot.Holder{}
+	holder.Set(&snapshot.Snapshot{Config: c, Senders: 1})
 	o := Options{Holder: holder, Admission: g.a, DrainWait: time.Millisecond, Match: firstMatch}
 	change(&o)
 	g.p = New(o)
@@ -342,7 +342,7 @@
 
 func TestRequestAndAnswerGoUnchanged(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed+"|X-Any: 1|Keep-Alive: timeout=9|X-Dunetide-Server-Load: 3,1,8", "the body"))
-	g := newRig(t, route(operator.Writes, 1), e)
+	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	c := g.dial()
 	for range 2 {
 		must(t, c.ask("PUT /r/a%20b/%2F?q=1&&x HTTP/1.1|Host: H.example:80|X-Dunetide-Request-Id: id1|X-Mine: a|X-Mine: b|"+
@@ -433,7 +433,7 @@
 
 func TestAnswersOfAnEndpoint(t *testing.T) {
 	for name, c := range endpointAnswers {
-		for kind, status := range map[operator.Kind]int{operator.Writes: c.writes, operator.ReadOnly: c.read} {
+		for kind, status := range map[operatorconfig.Kind]int{operatorconfig.Writes: c.writes, operatorconfig.ReadOnly: c.read} {
 			t.Run(fmt.Sprintf("%s/%d", name, kind), func(t *testing.T) {
 				bad := newEndpoint(t, "bad", func(conn net.Conn, _ call) bool {
 					_, _ = io.WriteString(conn, c.bytes)
@@ -474,9 +474,9 @@
 				return false
 			})
 			good := newEndpoint(t, "good", says(sealed, "fine"))
-			g := newRig(t, route(operator.Writes, 2), bad, good)
+			g := newRig(t, route(operatorconfig.Writes, 2), bad, good)
 			if name == "stream" {
-				g.config.Routes[0].Kind = operator.Streaming
+				g.config.Routes[0].Kind = operatorconfig.Streaming
 			}
 			for cut = range len(whole) {
 				a := g.do(plainCall, "body")
@@ -506,7 +506,7 @@
 		}
 		return true
 	})
-	g := newRig(t, route(operator.Streaming, 1), e)
+	g := newRig(t, route(operatorconfig.Streaming, 1), e)
 	c := g.dial()
 	must(t, c.ask(plainCall, "body"))
 	var resp *http.Response
@@ -564,7 +564,7 @@
 				_, _ = io.WriteString(conn, streamHead("id1")+chunked(append(all, "")...))
 				return true
 			})
-			r := route(operator.Streaming, 3)
+			r := route(operatorconfig.Streaming, 3)
 			r.Resume = true
 			g := newRig(t, r, e1, e2, e3)
 			a := g.do(plainCall, "body")
@@ -584,7 +584,7 @@
 func TestLargeBodies(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 64<<10) // 1 MB
 	e := newEndpoint(t, "e1", func(c net.Conn, r call) bool { return says(sealed, r.body)(c, r) })
-	g := newRig(t, route(operator.Writes, 1), e)
+	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	if a := g.do(plainCall, body); a.status != 200 || a.body != body || a.err != nil {
 		t.Errorf("%d, %d bytes, %v", a.status, len(a.body), a.err)
 	}
@@ -611,7 +611,7 @@
 
 func TestWhatIsNotForwarded(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed, "ok"))
-	g := newRig(t, route(operator.ReadOnly, 1), e)
+	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
 	if a := g.do("GET /other/ HTTP/1.1|Host: h.example", ""); a.status != 404 {
 		t.Errorf("%+v", a)
 	}
@@ -625,7 +625,7 @@
 	if a := g.do(plainCall+"|X-Dunetide-Time-Left-Ms: 300", "x"); a.status != 503 || a.header.Get("Retry-After") > "0.100" {
 		t.Errorf("%+v", a)
 	}
-	g.p.o.Holder.Set(&view.Snapshot{})
+	g.p.o.Holder.Set(&snapshot.Snapshot{})
 	if a := g.do(plainCall, "x"); a.status != 503 || a.header.Get("Retry-After") == "" {
 		t.Errorf("%+v", a)
 	}
@@ -637,8 +637,8 @@
 // A parsed configuration finds its routes itself, also while none, and then another one, is in force.
 func TestParsedConfiguration(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed, "ok"))
-	g := newRig(t, route(operator.ReadOnly, 1), e)
-	g.p.o.Match = New(Options{Holder: &view.Holder{}}).o.Match
+	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
+	g.p.o.Match = New(Options{Holder: &snapshot.Holder{}}).o.Match
 	for _, c := range []struct {
 		start  string
 		status int
@@ -648,9 +648,9 @@
 			raw = fmt.Sprintf(`{"version":1,"routes":[{"name":"r","host":"h.example","path_start":%q,"kind":"read_only","timeout_ms":3000,"target_ms":300,"priority":0,
 				"service":"svc","tries":1}],"services":[{"name":"svc","health_path":"/health","max_conns":20}],"limits":{"max_body_bytes":4194304}}`, c.start)
 		}
-		config, err := operator.Parse([]byte(raw))
+		config, err := operatorconfig.Parse([]byte(raw))
 		must(t, err)
-		g.p.o.Holder.Set(&view.Snapshot{Config: config, Senders: 4})
+		g.p.o.Holder.Set(&snapshot.Snapshot{Config: config, Senders: 4})
 		if a := g.do(plainCall, "x"); a.status != c.status {
 			t.Errorf("%s: %+v", c.start, a)
 		}
@@ -662,7 +662,7 @@
 	must(t, err)
 	dead := &endpoint{id: "dead", addr: l.Addr().String()}
 	must(t, l.Close())
-	g := newRig(t, route(operator.Writes, 1), dead, newEndpoint(t, "e1", says(sealed, "ok")))
+	g := newRig(t, route(operatorconfig.Writes, 1), dead, newEndpoint(t, "e1", says(sealed, "ok")))
 	if a := g.do(plainCall, "x"); a.status != 200 {
 		t.Errorf("%+v", a)
 	}
@@ -683,7 +683,7 @@
 		gone <- err
 		return false
 	})
-	g := newRig(t, route(operator.ReadOnly, 3), e)
+	g := newRig(t, route(operatorconfig.ReadOnly, 3), e)
 	began := time.Now()
 	if a := g.do(plainCall+"|X-Dunetide-Time-Left-Ms: 80", "x"); a.status != 504 {
 		t.Errorf("%+v", a)
@@ -707,7 +707,7 @@
 		gone <- err
 		return false
 	})
-	g := newRig(t, route(operator.Writes, 1), e)
+	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	c := g.dial()
 	must(t, c.ask(plainCall, "x"))
 	<-came
@@ -733,7 +733,7 @@
 		_, _ = io.WriteString(c, chunked(oneEvent(2), ""))
 		return true
 	})
-	g := newRig(t, route(operator.Streaming, 1), e)
+	g := newRig(t, route(operatorconfig.Streaming, 1), e)
 	g.p.o.DrainWait = 300 * time.Millisecond
 	ready := func() int {
 		var w recorder
@@ -806,7 +806,7 @@
 				_, _ = io.WriteString(conn, streamHead("id1")+chunked(body, ""))
 				return true
 			})
-			r := route(operator.Streaming, 2)
+			r := route(operatorconfig.Streaming, 2)
 			r.Resume = true
 			g := newRig(t, r, e1, e2)
 			if a := g.do(plainCall, "body"); a.body != c.body || (a.err == nil) != c.whole {
@@ -828,7 +828,7 @@
 		}
 		return true
 	})
-	g := newRig(t, route(operator.Writes, 1), e)
+	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	if a := g.do(plainCall, "x"); a.body != "ok" {
 		t.Fatalf("%+v", a)
 	}
@@ -840,9 +840,9 @@
 }
 
 func TestBatchCallsGoToTheirHook(t *testing.T) {
-	g := newRig(t, route(operator.Bulk, 1))
+	g := newRig(t, route(operatorconfig.Bulk, 1))
 	var calls []string
-	g.p.o.Bulk = func(w http.ResponseWriter, r *http.Request, route *operator.Route) {
+	g.p.o.Bulk = func(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
 		name := ""
 		if route != nil {
 			name = route.Name
@@ -861,8 +861,8 @@
 }
 
 func TestServiceIsDrawnByWeight(t *testing.T) {
-	g := newRig(t, route(operator.ReadOnly, 1))
-	r := &operator.Route{Shares: []operator.Share{{Service: "none", Weight: 0}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "never", Weight: 0}}}
+	g := newRig(t, route(operatorconfig.ReadOnly, 1))
+	r := &operatorconfig.Route{Shares: []operatorconfig.Share{{Service: "none", Weight: 0}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "never", Weight: 0}}}
 	drawn := map[string]int{}
 	for n := range 10000 {
 		id := fmt.Sprint("id", n)
@@ -880,7 +880,7 @@
 // Connections to endpoints that are no longer listed are closed, others are kept.
 func TestTidy(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "ok")), newEndpoint(t, "e2", says(sealed, "ok"))
-	g := newRig(t, route(operator.ReadOnly, 1), e1)
+	g := newRig(t, route(operatorconfig.ReadOnly, 1), e1)
 	g.do(plainCall, "x")
 	g.a.all = []*endpoint{e2}
 	g.do(plainCall, "x")
@@ -890,7 +890,7 @@
 		t.Fatalf("%d open", n)
 	}
 	s := *g.p.o.Holder.Get()
-	s.Listed, s.Endpoints = true, map[string][]*view.Endpoint{"svc": {{ID: "e1", State: view.Gone}, {ID: "e2", State: view.Draining}}}
+	s.Listed, s.Endpoints = true, map[string][]*snapshot.Endpoint{"svc": {{ID: "e1", State: snapshot.Gone}, {ID: "e2", State: snapshot.Draining}}}
 	g.p.o.Holder.Set(&s)
 	g.p.Tidy()
 	if n := open(); n != 1 || len(g.p.pools) != 1 {
@@ -904,7 +904,7 @@
 	for n := range 9 {
 		all = append(all, newEndpoint(t, fmt.Sprint("e", n), says("503 X|X-Dunetide-Not-Run: 1|Retry-After: 0.5", "")))
 	}
-	g := newRig(t, route(operator.Writes, 2), all...)
+	g := newRig(t, route(operatorconfig.Writes, 2), all...)
 	if a := g.do(plainCall, "x"); a.status != 503 || a.header.Get("Retry-After") != "0.500" {
 		t.Errorf("%+v", a)
 	}
@@ -927,7 +927,7 @@
 		close(gone)
 		return false
 	})
-	g := newRig(t, route(operator.Streaming, 1), e)
+	g := newRig(t, route(operatorconfig.Streaming, 1), e)
 	c := g.dial()
 	must(t, c.ask(plainCall+"|X-Dunetide-Time-Left-Ms: 300", "x"))
 	if a := g.do("POST /r/ HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id2", "x"); a.body != "ok" {
--- a/internal/forward/golden_test.go
+++ b/internal/proxy/forward/golden_test.go
@@ -20,10 +20,10 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // update writes the golden files anew. It is for the person who pins a changed format on purpose, never for CI.
@@ -122,39 +122,39 @@
 		request  string
 		body     string
 		answer   string // of the endpoint; "": there is none
-		kind     operator.Kind
+		kind     operatorconfig.Kind
 		refuse   error
 		change   func(o *Options)
 		draining bool
 	}{
-		{name: "served", request: call, body: "four", answer: answered, kind: operator.Writes},
-		{name: "served-head", request: strings.Replace(call, "POST", "HEAD", 1), answer: strings.TrimSuffix(answered, "the body"), kind: operator.ReadOnly},
-		{name: "served-without-content", request: call, body: "x", kind: operator.Writes,
+		{name: "served", request: call, body: "four", answer: answered, kind: operatorconfig.Writes},
+		{name: "served-head", request: strings.Replace(call, "POST", "HEAD", 1), answer: strings.TrimSuffix(answered, "the body"), kind: operatorconfig.ReadOnly},
+		{name: "served-without-content", request: call, body: "x", kind: operatorconfig.Writes,
 			answer: "HTTP/1.1 204 No Content\r\nX-Dunetide-Request-Id: id1\r\nX-Dunetide-Server-Seal: s1\r\nContent-Length: 0\r\n\r\n"},
-		{name: "served-while-draining", request: strings.Replace(call, "Connection: close, x-hop|X-Hop: dropped|", "", 1), body: "x", answer: answered, kind: operator.Writes, draining: true},
-		{name: "stream", request: call + "|Last-Event-Id: 4", body: "x", kind: operator.Streaming,
+		{name: "served-while-draining", request: strings.Replace(call, "Connection: close, x-hop|X-Hop: dropped|", "", 1), body: "x", answer: answered, kind: operatorconfig.Writes, draining: true},
+		{name: "stream", request: call + "|Last-Event-Id: 4", body: "x", kind: operatorconfig.Streaming,
 			answer: streamHead("id1") + chunked("id: 5\ndata: a\n\n") + pause + chunked("id: 6\ndata: b\n\n") + pause + chunked("")},
-		{name: "endpoint-failed", request: call, body: "x", kind: operator.Writes,
+		{name: "endpoint-failed", request: call, body: "x", kind: operatorconfig.Writes,
 			answer: "HTTP/1.1 500 Internal Server Error\r\nX-Dunetide-Request-Id: id1\r\nContent-Length: 4\r\n\r\noops"},
-		{name: "endpoint-broke-off", request: call, body: "x", answer: "HTTP/1.1 200 OK\r\n", kind: operator.Writes},
-		{name: "endpoint-refused", request: call, body: "x", kind: operator.Writes,
+		{name: "endpoint-broke-off", request: call, body: "x", answer: "HTTP/1.1 200 OK\r\n", kind: operatorconfig.Writes},
+		{name: "endpoint-refused", request: call, body: "x", kind: operatorconfig.Writes,
 			answer: "HTTP/1.1 503 Service Unavailable\r\nX-Dunetide-Request-Id: id1\r\nX-Dunetide-Not-Run: 1\r\nRetry-After: 0.125\r\nContent-Length: 0\r\n\r\n"},
-		{name: "refused-no-room", request: call, body: "x", kind: operator.Writes,
+		{name: "refused-no-room", request: call, body: "x", kind: operatorconfig.Writes,
 			refuse: &dispatch.Refused{Reason: "svc: no endpoint has room in time", RetryAfter: 250 * time.Millisecond}},
-		{name: "refused-no-certified-endpoint", request: call, body: "x", kind: operator.Writes,
+		{name: "refused-no-certified-endpoint", request: call, body: "x", kind: operatorconfig.Writes,
 			refuse: &dispatch.Refused{Reason: "no certified node for regime fin is free", RetryAfter: 250 * time.Millisecond, Regime: "fin"},
 			change: func(o *Options) {
-				o.Certified = certify.NewGate(certify.GateOptions{Confirmed: func() time.Time { return now }, Stale: time.Second})
+				o.Certified = certification.NewGate(certification.GateOptions{Confirmed: func() time.Time { return now }, Stale: time.Second})
 			}},
-		{name: "refused-no-time-left", request: strings.Replace(call, "4000", "0", 1), body: "x", kind: operator.Writes},
-		{name: "refused-not-prepared", request: strings.Replace(call, "4000", "0", 1), kind: operator.Writes,
-			change: func(o *Options) { o.Holder = &view.Holder{} }},
-		{name: "refused-no-route", request: strings.Replace(call, "/r/x", "/elsewhere", 1), body: "x", kind: operator.Writes},
-		{name: "refused-no-id", request: strings.Replace(call, "X-Dunetide-Request-Id: id1|", "", 1), body: "x", kind: operator.Writes},
-		{name: "refused-http-1.0", request: strings.Replace(call, "HTTP/1.1", "HTTP/1.0", 1), body: "x", kind: operator.Writes},
-		{name: "refused-no-path", request: strings.Replace(call, "POST /r/x?q=1%2f", "POST *", 1), kind: operator.Writes},
-		{name: "refused-body-too-large", request: call, body: strings.Repeat("x", 33), kind: operator.Writes},
-		{name: "refused-head-too-large", request: call + "|X-Large: " + strings.Repeat("x", 800), body: "x", kind: operator.Writes},
+		{name: "refused-no-time-left", request: strings.Replace(call, "4000", "0", 1), body: "x", kind: operatorconfig.Writes},
+		{name: "refused-not-prepared", request: strings.Replace(call, "4000", "0", 1), kind: operatorconfig.Writes,
+			change: func(o *Options) { o.Holder = &snapshot.Holder{} }},
+		{name: "refused-no-route", request: strings.Replace(call, "/r/x", "/elsewhere", 1), body: "x", kind: operatorconfig.Writes},
+		{name: "refused-no-id", request: strings.Replace(call, "X-Dunetide-Request-Id: id1|", "", 1), body: "x", kind: operatorconfig.Writes},
+		{name: "refused-http-1.0", request: strings.Replace(call, "HTTP/1.1", "HTTP/1.0", 1), body: "x", kind: operatorconfig.Writes},
+		{name: "refused-no-path", request: strings.Replace(call, "POST /r/x?q=1%2f", "POST *", 1), kind: operatorconfig.Writes},
+		{name: "refused-body-too-large", request: call, body: strings.Repeat("x", 33), kind: operatorconfig.Writes},
+		{name: "refused-head-too-large", request: call + "|X-Large: " + strings.Repeat("x", 800), body: "x", kind: operatorconfig.Writes},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var endpoints []*endpoint
@@ -169,7 +169,7 @@
 					c.change(o)
 				}
 			}, endpoints...)
-			g.config.Limits = operator.Limits{MaxBodyBytes: 32, MaxHeaderBytes: 512}
+			g.config.Limits = operatorconfig.Limits{MaxBodyBytes: 32, MaxHeaderBytes: 512}
 			g.a.refuse = c.refuse
 			g.p.draining.Store(c.draining)
 			client := g.dial()
@@ -207,7 +207,7 @@
 		{"not ready", func() bool { return false }, false},
 		{"draining", func() bool { return true }, true},
 	} {
-		p := New(Options{Holder: &view.Holder{}, Ready: c.ready})
+		p := New(Options{Holder: &snapshot.Holder{}, Ready: c.ready})
 		p.draining.Store(c.draining)
 		s := httptest.NewServer(http.HandlerFunc(p.ServeReady))
 		conn, err := net.Dial("tcp", s.Listener.Addr().String())
@@ -224,7 +224,7 @@
 
 // TestGoldenMetrics pins the names and labels of a proxy's metrics.
 func TestGoldenMetrics(t *testing.T) {
-	New(Options{Holder: &view.Holder{}}).Observe()
+	New(Options{Holder: &snapshot.Holder{}}).Observe()
 	var names []string
 	for _, name := range metrics.ListMetricNames() {
 		if strings.HasPrefix(name, "dunetide_proxy_") && !strings.HasPrefix(name, "dunetide_proxy_own_answers_total") { // made by the first answer
--- a/internal/forward/invariants.go
+++ b/internal/proxy/forward/invariants.go
@@ -4,9 +4,9 @@
 	"errors"
 	"fmt"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/invariant"
-	"dunetide/internal/upstream"
+	"dunetide/internal/platform/invariant"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/attempt"
 )
 
 var (
--- a/internal/forward/invariants_test.go
+++ b/internal/proxy/forward/invariants_test.go
@@ -5,15 +5,15 @@
 	"net/http"
 	"testing"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/invariant/invarianttest"
-	"dunetide/internal/operator"
-	"dunetide/internal/upstream"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/platform/invariant/invarianttest"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/attempt"
+	"dunetide/internal/proxy/dispatch"
 )
 
 func TestWhatMayHaveRunIsAccountedFor(t *testing.T) {
-	once := &operator.Route{Name: "save", Kind: operator.Writes}
+	once := &operatorconfig.Route{Name: "save", Kind: operatorconfig.Writes}
 	request := func() *exchange { return &exchange{req: dispatch.Request{ID: "r1", Route: once}} }
 	for name, sending := range map[string]struct {
 		err        error
--- a/internal/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -10,10 +10,10 @@
 
 	"golang.org/x/net/http/httpguts"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
-	"dunetide/internal/upstream"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/attempt"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // Item is one request of a batch job.
@@ -23,7 +23,7 @@
 	Path   string // with a query, if any
 	Header map[string]string
 	Body   []byte
-	Route  *operator.Route
+	Route  *operatorconfig.Route
 	// MayStart is asked right before the item is sent to an endpoint; nil: it always may.
 	MayStart func() bool
 	Due      time.Time // its result should be there by then; zero: not told
--- a/internal/forward/item_test.go
+++ b/internal/proxy/forward/item_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/proxy/dispatch"
 )
 
-func item(r *operator.Route) *Item {
+func item(r *operatorconfig.Route) *Item {
 	return &Item{ID: "id1", Host: "h.example", Path: "/r/1?x", Header: map[string]string{"x-dunetide-token-count": "10,20"}, Body: []byte("body"), Route: r}
 }
 
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			e1 := newEndpoint(t, "e1", func(conn net.Conn, _ call) bool { _, _ = io.WriteString(conn, c.bytes); return false })
 			e2 := newEndpoint(t, "e2", says(sealed, "fine"))
-			g := newRig(t, route(operator.Bulk, 2), e1, e2)
+			g := newRig(t, route(operatorconfig.Bulk, 2), e1, e2)
 			var text []string
 			res := g.p.RunItem(t.Context(), item(&g.config.Routes[0]), "2", func(id string, data []byte) { text = append(text, id+"="+string(data)) })
 			if res.State != c.state || strings.Join(text, "|") != c.text {
@@ -74,7 +74,7 @@
 		gone <- err
 		return false
 	})
-	g := newRig(t, route(operator.Bulk, 2), e)
+	g := newRig(t, route(operatorconfig.Bulk, 2), e)
 	res := g.p.RunItem(ctx, item(&g.config.Routes[0]), "", func(string, []byte) { cancel() })
 	if res.State != ItemBroken || res.Err == nil {
 		t.Errorf("%+v", res)
@@ -91,7 +91,7 @@
 }
 
 func TestItemThatIsNoRequest(t *testing.T) {
-	r := route(operator.Bulk, 1)
+	r := route(operatorconfig.Bulk, 1)
 	g := newRig(t, r, newEndpoint(t, "e1", says(sealed, "x")))
 	for name, change := range map[string]func(*Item){
 		"path":         func(i *Item) { i.Path = "/r/ HTTP/1.1\r\nHost: x\r\n\r\nGET /" },
@@ -127,9 +127,9 @@
 		_, _ = conn.Write(*script.Load())
 		return false
 	})
-	goesOn := route(operator.Streaming, 1)
+	goesOn := route(operatorconfig.Streaming, 1)
 	goesOn.Resume = true
-	rigs := map[bool]*rig{false: newRig(f, route(operator.Streaming, 1), bad), true: newRig(f, goesOn, bad)}
+	rigs := map[bool]*rig{false: newRig(f, route(operatorconfig.Streaming, 1), bad), true: newRig(f, goesOn, bad)}
 	f.Fuzz(func(t *testing.T, b []byte, resume bool) {
 		script.Store(&b)
 		g := rigs[resume]
--- a/internal/forward/night_check_test.go
+++ b/internal/proxy/forward/night_check_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/audit"
-	"dunetide/internal/certify"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/certification"
 )
 
 // onTime is how long a request may be on its way to its engine after the last check.
@@ -25,7 +25,7 @@
 			until = n.putAt[i+1]
 		}
 		if !n.putAt[i].After(at) && !until.Add(nightStale+onTime).Before(at) &&
-			slices.ContainsFunc(s.Certificates, func(c certify.Certificate) bool {
+			slices.ContainsFunc(s.Certificates, func(c certification.Certificate) bool {
 				return c.Endpoint == engine && c.Regime == "fin" && !at.Before(c.NotBefore) && at.Before(c.NotAfter)
 			}) {
 			return true
--- a/internal/forward/night_test.go
+++ b/internal/proxy/forward/night_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// In simulated time, which the race detector does not take (see internal/fleet/simulated_test.go).
+// In simulated time, which the race detector does not take (see internal/deliverynode/fleet/simulated_test.go).
 
 package forward
 
@@ -25,13 +25,13 @@
 	"testing/synctest"
 	"time"
 
-	"dunetide/internal/audit"
-	"dunetide/internal/certify"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/journal"
-	"dunetide/internal/link"
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/batch/audit"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // A busy night: proxies with their dispatchers, gates and records, engines, stores with disks, and clients, in simulated time.
@@ -62,15 +62,15 @@
 	rng  *rand.Rand
 	wg   sync.WaitGroup
 
-	document certify.Document
-	puts     []*certify.Set // in the order in which they were put
+	document certification.Document
+	puts     []*certification.Set // in the order in which they were put
 	putAt    []time.Time
 	runs     []*trueRun
 	proxies  []*nightProxy
 	engines  map[string]*nightEngine
 	stores   []*audit.Store
 	lost     []bool // stores
-	config   *operator.Config
+	config   *operatorconfig.Config
 	ctx      context.Context
 	refused  int
 	served   int
@@ -91,9 +91,9 @@
 // nightProxy is one proxy.
 type nightProxy struct {
 	n         *night
-	holder    *view.Holder
+	holder    *snapshot.Holder
 	dispatch  *dispatch.Dispatcher
-	gate      *certify.Gate
+	gate      *certification.Gate
 	record    *audit.Recorder
 	proxy     *Proxy
 	mu        sync.Mutex
@@ -105,11 +105,11 @@
 // known is a document that a proxy had from a moment on.
 type known struct {
 	at  time.Time
-	set *certify.Set
+	set *certification.Set
 }
 
 // learn has the proxy take a document in.
-func (p *nightProxy) learn(s *certify.Set) {
+func (p *nightProxy) learn(s *certification.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gate.Update(s)
@@ -122,7 +122,7 @@
 func (p *nightProxy) knewCertified(engine string, at time.Time) bool {
 	for i, k := range p.known {
 		over := i+1 < len(p.known) && p.known[i+1].at.Before(at.Add(-onTheWay))
-		if !over && !k.at.After(at) && slices.ContainsFunc(k.set.Certificates, func(c certify.Certificate) bool { return c.Endpoint == engine }) {
+		if !over && !k.at.After(at) && slices.ContainsFunc(k.set.Certificates, func(c certification.Certificate) bool { return c.Endpoint == engine }) {
 			return true
 		}
 	}
@@ -164,7 +164,7 @@
 	p.mu.Unlock()
 }
 
-func (n *night) newest() *certify.Set {
+func (n *night) newest() *certification.Set {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.puts) == 0 {
@@ -174,13 +174,13 @@
 }
 
 // put agrees on a document and pushes it, late and in any order.
-func (n *night) put(change func(d *certify.Document)) {
+func (n *night) put(change func(d *certification.Document)) {
 	n.mu.Lock()
 	change(&n.document)
 	n.document.Version++
 	text, err := json.Marshal(n.document)
 	must(n.t, err)
-	s, err := certify.Parse(text)
+	s, err := certification.Parse(text)
 	must(n.t, err)
 	n.puts, n.putAt = append(n.puts, s), append(n.putAt, time.Now())
 	n.mu.Unlock()
@@ -361,27 +361,27 @@
 func (s toStore) Close()                {}
 
 // nightRoutes: all but the last demand the regime.
-var nightRoutes = []operator.Route{
-	{Name: "save", Kind: operator.Writes, TimeoutMs: 2000, TargetMs: 400, Tries: 2},
-	{Name: "look", Kind: operator.ReadOnly, TimeoutMs: 2000, TargetMs: 400, Tries: 3},
-	{Name: "talk", Kind: operator.Streaming, TimeoutMs: 4000, TargetMs: 400, Tries: 3, Resume: true},
-	{Name: "bulk", Kind: operator.Bulk, DueMs: 8000, Tries: 3, MaxWaitMs: 12000},
-	{Name: "open", Kind: operator.Writes, TimeoutMs: 2000, TargetMs: 400, Tries: 2},
+var nightRoutes = []operatorconfig.Route{
+	{Name: "save", Kind: operatorconfig.Writes, TimeoutMs: 2000, TargetMs: 400, Tries: 2},
+	{Name: "look", Kind: operatorconfig.ReadOnly, TimeoutMs: 2000, TargetMs: 400, Tries: 3},
+	{Name: "talk", Kind: operatorconfig.Streaming, TimeoutMs: 4000, TargetMs: 400, Tries: 3, Resume: true},
+	{Name: "bulk", Kind: operatorconfig.Bulk, DueMs: 8000, Tries: 3, MaxWaitMs: 12000},
+	{Name: "open", Kind: operatorconfig.Writes, TimeoutMs: 2000, TargetMs: 400, Tries: 2},
 }
 
 func newNight(t *testing.T, seed uint64) *night {
 	n := &night{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), engines: map[string]*nightEngine{}, lost: make([]bool, 3),
 		listed: map[string]int{}, givenUp: map[string]bool{}, answers: map[string]int{}}
-	n.config = &operator.Config{Version: 1, Services: map[string]*operator.Service{"svc": {Name: "svc"}}}
+	n.config = &operatorconfig.Config{Version: 1, Services: map[string]*operatorconfig.Service{"svc": {Name: "svc"}}}
 	for _, r := range nightRoutes {
-		r.Host, r.PathStart, r.Shares = "h.example", "/"+r.Name+"/", []operator.Share{{Service: "svc", Weight: 1}}
+		r.Host, r.PathStart, r.Shares = "h.example", "/"+r.Name+"/", []operatorconfig.Share{{Service: "svc", Weight: 1}}
 		n.config.Routes = append(n.config.Routes, r)
 	}
-	endpoints := []*view.Endpoint{}
+	endpoints := []*snapshot.Endpoint{}
 	for i := range nightEngines {
 		id := fmt.Sprint("e", i)
 		n.engines[id] = &nightEngine{n: n, id: id, open: map[net.Conn]bool{}}
-		endpoints = append(endpoints, &view.Endpoint{ID: id, Service: "svc", Address: id, Zone: "z", Capacity: engineSlots})
+		endpoints = append(endpoints, &snapshot.Endpoint{ID: id, Service: "svc", Address: id, Zone: "z", Capacity: engineSlots})
 	}
 	n.dir = t.TempDir()
 	for i := range 3 {
@@ -392,9 +392,9 @@
 		n.stores = append(n.stores, s)
 	}
 	for i := range nightProxies {
-		p := &nightProxy{n: n, holder: &view.Holder{}}
-		p.holder.Set(&view.Snapshot{Config: n.config, Senders: nightProxies, Listed: true, Endpoints: map[string][]*view.Endpoint{"svc": endpoints}})
-		p.gate = certify.NewGate(certify.GateOptions{Stale: nightStale, Confirmed: func() time.Time {
+		p := &nightProxy{n: n, holder: &snapshot.Holder{}}
+		p.holder.Set(&snapshot.Snapshot{Config: n.config, Senders: nightProxies, Listed: true, Endpoints: map[string][]*snapshot.Endpoint{"svc": endpoints}})
+		p.gate = certification.NewGate(certification.GateOptions{Stale: nightStale, Confirmed: func() time.Time {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.confirmed
@@ -402,9 +402,9 @@
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
 		p.dispatch = dispatch.New(dispatch.Options{Zone: "z", Holder: p.holder, Rand: rng.Float64})
 		p.record = audit.NewRecorder(audit.RecorderOptions{Node: fmt.Sprint("p", i), Life: 1, Need: 2, Held: 60,
-			Stores: func() (all []view.Store) {
+			Stores: func() (all []snapshot.Store) {
 				for i := range n.stores {
-					all = append(all, view.Store{Name: fmt.Sprint("s", i), Addr: fmt.Sprint(i)})
+					all = append(all, snapshot.Store{Name: fmt.Sprint("s", i), Addr: fmt.Sprint(i)})
 				}
 				return all
 			},
@@ -422,12 +422,12 @@
 // certify certifies some engines, one of them only until the middle of the night, one from then on.
 func (n *night) certify() {
 	now := time.Now()
-	n.put(func(d *certify.Document) {
+	n.put(func(d *certification.Document) {
 		for _, r := range nightRoutes[:len(nightRoutes)-1] {
-			d.Routes = append(d.Routes, certify.Route{Name: r.Name, Regime: "fin"})
+			d.Routes = append(d.Routes, certification.Route{Name: r.Name, Regime: "fin"})
 		}
 		for i := range 5 {
-			c := certify.Certificate{Endpoint: fmt.Sprint("e", i), Regime: "fin", NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), By: "n"}
+			c := certification.Certificate{Endpoint: fmt.Sprint("e", i), Regime: "fin", NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), By: "n"}
 			switch i {
 			case 3:
 				c.NotAfter = now.Add(nightLength / 2)
@@ -440,7 +440,7 @@
 }
 
 // interactive sends a request, again only after a promise.
-func (n *night) interactive(k int, route *operator.Route) {
+func (n *night) interactive(k int, route *operatorconfig.Route) {
 	deadline := time.Now().Add(time.Duration(route.TimeoutMs) * time.Millisecond)
 	for try := range 3 {
 		left := time.Until(deadline)
@@ -466,7 +466,7 @@
 			return
 		case w.Code == http.StatusOK:
 			body := w.Body.String()
-			if route.Kind == operator.Streaming && body != allEvents() || route.Kind != operator.Streaming && body != "fine" {
+			if route.Kind == operatorconfig.Streaming && body != allEvents() || route.Kind != operatorconfig.Streaming && body != "fine" {
 				n.t.Errorf("seed %d: %s was answered %q", n.seed, id, body)
 			}
 			n.mu.Lock()
@@ -564,20 +564,20 @@
 		e.mu.Unlock()
 	})
 	at(when(), func() {
-		n.put(func(*certify.Document) {}) // another one right before it, whose pushes may come later
+		n.put(func(*certification.Document) {}) // another one right before it, whose pushes may come later
 		time.Sleep(n.ms(300))
-		n.put(func(d *certify.Document) { *d, _ = d.Without(fmt.Sprint("e", order[2]), "fin"); d.Version-- })
+		n.put(func(d *certification.Document) { *d, _ = d.Without(fmt.Sprint("e", order[2]), "fin"); d.Version-- })
 	})
 	if n.draw(2) == 0 { // and it is certified again
 		at(nightLength*8/10, func() {
-			n.put(func(d *certify.Document) {
-				d.Certificates = append(d.Certificates, certify.Certificate{Endpoint: fmt.Sprint("e", order[2]), Regime: "fin",
+			n.put(func(d *certification.Document) {
+				d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: fmt.Sprint("e", order[2]), Regime: "fin",
 					NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), By: "n"})
 			})
 		})
 	}
 	if n.draw(4) == 0 { // nobody is certified any more
-		at(nightLength/4, func() { n.put(func(d *certify.Document) { d.Certificates = nil }) })
+		at(nightLength/4, func() { n.put(func(d *certification.Document) { d.Certificates = nil }) })
 	}
 	for range 1 + n.draw(2) {
 		p := n.proxies[n.draw(nightProxies)]
--- a/internal/forward/observe.go
+++ b/internal/proxy/forward/observe.go
@@ -9,9 +9,9 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/observe"
-	"dunetide/internal/operator"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/platform/telemetry"
+	"dunetide/internal/proxy/attempt"
 )
 
 // verdicts counts requests by how they ended, sends counts sendings to endpoints by what came of them.
@@ -20,9 +20,9 @@
 	sends    = countersOf("dunetide_proxy_sends_total", "event", int(attempt.BodyComplete)+1, func(i int) string { return attempt.Event(i).String() })
 	// closedWhile counts clients' connections by the state in which they ended.
 	closedWhile = map[http.ConnState]*metrics.Counter{
-		http.StateNew:    observe.Counter("dunetide_proxy_client_connections_closed_total", "while", "new"),
-		http.StateActive: observe.Counter("dunetide_proxy_client_connections_closed_total", "while", "active"),
-		http.StateIdle:   observe.Counter("dunetide_proxy_client_connections_closed_total", "while", "idle"),
+		http.StateNew:    telemetry.Counter("dunetide_proxy_client_connections_closed_total", "while", "new"),
+		http.StateActive: telemetry.Counter("dunetide_proxy_client_connections_closed_total", "while", "active"),
+		http.StateIdle:   telemetry.Counter("dunetide_proxy_client_connections_closed_total", "while", "idle"),
 	}
 )
 
@@ -30,7 +30,7 @@
 func countersOf(name, label string, values int, value func(i int) string) []*metrics.Counter {
 	all := make([]*metrics.Counter, values)
 	for i := range all {
-		all[i] = observe.Counter(name, label, value(i))
+		all[i] = telemetry.Counter(name, label, value(i))
 	}
 	return all
 }
@@ -54,8 +54,8 @@
 }
 
 // noteOwnAnswer tells of a 4xx or 5xx that no endpoint and no verdict is behind.
-func (p *Proxy) noteOwnAnswer(r *http.Request, status int, route *operator.Route) {
-	observe.Counter("dunetide_proxy_own_answers_total", "status", http.StatusText(status)).Inc()
+func (p *Proxy) noteOwnAnswer(r *http.Request, status int, route *operatorconfig.Route) {
+	telemetry.Counter("dunetide_proxy_own_answers_total", "status", http.StatusText(status)).Inc()
 	p.failures.Event("request not taken", func() []any {
 		fields := []any{"id", r.Header.Get(headerID), "status", status, "method", r.Method, "host", r.Host, "path", r.URL.Path, "version", p.version()}
 		if route != nil {
@@ -104,13 +104,13 @@
 
 // Observe declares the figures of this proxy.
 func (p *Proxy) Observe() {
-	observe.Gauge("dunetide_proxy_config_version", func() float64 { return float64(p.version()) })
-	observe.Gauge("dunetide_proxy_draining", func() float64 { return observe.Bool(p.draining.Load()) })
+	telemetry.Gauge("dunetide_proxy_config_version", func() float64 { return float64(p.version()) })
+	telemetry.Gauge("dunetide_proxy_draining", func() float64 { return telemetry.Bool(p.draining.Load()) })
 	for state, name := range map[http.ConnState]string{http.StateActive: "active", http.StateIdle: "idle"} {
-		observe.Gauge("dunetide_proxy_client_connections", func() float64 { return float64(p.states.count(state)) }, "state", name)
+		telemetry.Gauge("dunetide_proxy_client_connections", func() float64 { return float64(p.states.count(state)) }, "state", name)
 	}
-	observe.Gauge("dunetide_proxy_body_bytes", func() float64 { return float64(p.o.Bodies.InHand()) })
-	observe.Gauge("dunetide_proxy_endpoint_pools", func() float64 {
+	telemetry.Gauge("dunetide_proxy_body_bytes", func() float64 { return float64(p.o.Bodies.InHand()) })
+	telemetry.Gauge("dunetide_proxy_endpoint_pools", func() float64 {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return float64(len(p.pools))
--- a/internal/forward/prepare.go
+++ b/internal/proxy/forward/prepare.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"dunetide/internal/clientbody"
-	"dunetide/internal/observe"
-	"dunetide/internal/view"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/telemetry"
+	"dunetide/internal/proxy/clientbody"
 )
 
 const (
@@ -25,13 +25,13 @@
 
 // unpreparedRequests counts requests that came before the process could serve, by what became of them.
 var (
-	servedAfterWait = observe.Counter("dunetide_proxy_unprepared_requests_total", "end", "prepared")
-	refusedUnready  = observe.Counter("dunetide_proxy_unprepared_requests_total", "end", "refused")
+	servedAfterWait = telemetry.Counter("dunetide_proxy_unprepared_requests_total", "end", "prepared")
+	refusedUnready  = telemetry.Counter("dunetide_proxy_unprepared_requests_total", "end", "refused")
 )
 
 // prepared reports whether the process knows a configuration. It need not have the whole list of endpoints, which is known a second or
 // two later: those that have been heard of serve meanwhile, and admission holds what none of them has room for.
-func prepared(s *view.Snapshot) bool { return s != nil && s.Config != nil }
+func prepared(s *snapshot.Snapshot) bool { return s != nil && s.Config != nil }
 
 // awaitPrepared holds a request that reached a process which has just started until the process can serve it. After a loss of power
 // of all machines every proxy is in that state for about a second, and a client that is refused there has soon used up its tries. The
--- a/internal/forward/prepare_test.go
+++ b/internal/proxy/forward/prepare_test.go
@@ -9,14 +9,14 @@
 	"testing/synctest"
 	"time"
 
-	"dunetide/internal/operator"
-	"dunetide/internal/view"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
 )
 
 // unprepared is a proxy that has just started: it knows no configuration.
-func unprepared(t *testing.T, e ...*endpoint) (*rig, *view.Holder) {
-	holder := &view.Holder{}
-	return newRigWith(t, route(operator.Writes, 1), func(o *Options) { o.Holder = holder }, e...), holder
+func unprepared(t *testing.T, e ...*endpoint) (*rig, *snapshot.Holder) {
+	holder := &snapshot.Holder{}
+	return newRigWith(t, route(operatorconfig.Writes, 1), func(o *Options) { o.Holder = holder }, e...), holder
 }
 
 func TestRequestsWaitForAProxyThatHasJustStarted(t *testing.T) {
@@ -38,11 +38,11 @@
 	for g.p.unprepared.Load() < clients { // each has been read and waits
 		time.Sleep(time.Millisecond)
 	}
-	holder.Set(&view.Snapshot{Senders: 1, Listed: true}) // not enough
+	holder.Set(&snapshot.Snapshot{Senders: 1, Listed: true}) // not enough
 	if n := g.p.unprepared.Load(); n != clients {
 		t.Errorf("%d of %d requests wait for a configuration", n, clients)
 	}
-	holder.Set(&view.Snapshot{Config: g.config, Senders: 1})
+	holder.Set(&snapshot.Snapshot{Config: g.config, Senders: 1})
 	for range clients {
 		if a := <-answers; a.err != nil || a.status != http.StatusOK || a.body != "the body" {
 			t.Errorf("%+v", a)
@@ -101,20 +101,20 @@
 
 func TestAwaitSeesEachSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		holder := &view.Holder{}
+		holder := &snapshot.Holder{}
 		go func() {
 			for senders := range 4 {
 				time.Sleep(time.Second)
-				holder.Set(&view.Snapshot{Senders: senders})
+				holder.Set(&snapshot.Snapshot{Senders: senders})
 			}
 		}()
 		began := time.Now()
-		if err := holder.Await(t.Context(), func(s *view.Snapshot) bool { return s != nil && s.Senders == 3 }); err != nil || time.Since(began) != 4*time.Second {
+		if err := holder.Await(t.Context(), func(s *snapshot.Snapshot) bool { return s != nil && s.Senders == 3 }); err != nil || time.Since(began) != 4*time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if holder.Await(ctx, func(*view.Snapshot) bool { return false }) == nil {
+		if holder.Await(ctx, func(*snapshot.Snapshot) bool { return false }) == nil {
 			t.Error("it was never accepted")
 		}
 	})
--- a/internal/forward/proxy.go
+++ b/internal/proxy/forward/proxy.go
@@ -17,13 +17,13 @@
 	"github.com/hashicorp/go-hclog"
 	"golang.org/x/sys/unix"
 
-	"dunetide/internal/certify"
-	"dunetide/internal/clientbody"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/observe"
-	"dunetide/internal/operator"
-	"dunetide/internal/upstream"
-	"dunetide/internal/view"
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/telemetry"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/clientbody"
+	"dunetide/internal/proxy/dispatch"
 )
 
 // DefaultMaxOpen bounds the connections to all endpoints together where nothing else does.
@@ -44,15 +44,15 @@
 
 // Options are what a proxy is made of.
 type Options struct {
-	Holder    *view.Holder
+	Holder    *snapshot.Holder
 	Admission dispatch.Admission
 	// Match finds the route of a request by its Host header and its path as it was sent, without the
 	// query; nil: the configuration's own.
-	Match func(c *operator.Config, host, path string) *operator.Route
+	Match func(c *operatorconfig.Config, host, path string) *operatorconfig.Route
 	// Bulk answers calls of batch jobs: those of bulk routes, and of /lots/ and /items/ with no route.
-	Bulk func(w http.ResponseWriter, r *http.Request, route *operator.Route)
+	Bulk func(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route)
 	// Certified says where regulated requests may go; nil: nothing is regulated. Record keeps their runs; nil: nobody does.
-	Certified *certify.Gate
+	Certified *certification.Gate
 	Record    Recorder
 	// Ready tells whether the process could serve; nil: it always could.
 	Ready func() bool
@@ -80,7 +80,7 @@
 	draining atomic.Bool
 	// unprepared is the number of requests that wait for the process to be able to serve.
 	unprepared atomic.Int32
-	failures   *observe.Log
+	failures   *telemetry.Log
 	states     connStates
 
 	mu    sync.Mutex
@@ -96,7 +96,7 @@
 // New returns a proxy.
 func New(o Options) *Proxy {
 	if o.Match == nil {
-		o.Match = (*operator.Config).Match
+		o.Match = (*operatorconfig.Config).Match
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -122,7 +122,7 @@
 	if o.HeaderWait == 0 {
 		o.HeaderWait = 10 * time.Second
 	}
-	p := &Proxy{o: o, pools: map[string]pool{}, failures: observe.NewLog(o.Log)}
+	p := &Proxy{o: o, pools: map[string]pool{}, failures: telemetry.NewLog(o.Log)}
 	p.conns = upstream.New(upstream.Config{Dial: o.Dial, Now: o.Now, Rand: o.Rand, Senders: growthShare,
 		MaxOpen: o.MaxOpen, IdleLimit: idleLimit, DialTimeout: dialTimeout, Wait: connWait})
 	p.server = &http.Server{
@@ -190,7 +190,7 @@
 		listed := map[string]bool{}
 		for _, all := range s.Endpoints {
 			for _, e := range all {
-				listed[e.ID] = e.State != view.Gone
+				listed[e.ID] = e.State != snapshot.Gone
 			}
 		}
 		var left []pool
--- a/internal/forward/serve.go
+++ b/internal/proxy/forward/serve.go
@@ -8,11 +8,11 @@
 	"strings"
 	"time"
 
-	"dunetide/internal/attempt"
-	"dunetide/internal/clientbody"
-	"dunetide/internal/dispatch"
-	"dunetide/internal/operator"
-	"dunetide/internal/upstream"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/platform/upstream"
+	"dunetide/internal/proxy/attempt"
+	"dunetide/internal/proxy/clientbody"
+	"dunetide/internal/proxy/dispatch"
 )
 
 const (
@@ -57,7 +57,7 @@
 		p.refuse(w, r, http.StatusNotFound, 0, nil)
 		return
 	}
-	if route.Kind == operator.Bulk && p.o.Bulk != nil {
+	if route.Kind == operatorconfig.Bulk && p.o.Bulk != nil {
 		p.sayClose(w.Header())
 		p.o.Bulk(w, r, route)
 		return
@@ -72,7 +72,7 @@
 }
 
 // forward answers a client's request of a route from an endpoint.
-func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, route *operator.Route, limits *operator.Limits, target string, arrived arrival) {
+func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route, limits *operatorconfig.Limits, target string, arrived arrival) {
 	if status := unanswerable(r); status != 0 {
 		w.Header().Set("Connection", "close")
 		p.refuse(w, r, status, 0, route)
@@ -199,7 +199,7 @@
 }
 
 // refuse answers a request that goes to no endpoint; route is nil where none was found.
-func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration, route *operator.Route) {
+func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration, route *operatorconfig.Route) {
 	p.noteOwnAnswer(r, status, route)
 	p.answer(w, r, status, retryAfter)
 }
--- a/internal/forward/wrong_test.go
+++ b/internal/proxy/forward/wrong_test.go
@@ -6,39 +6,39 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/lab/wrongline"
+	"dunetide/internal/lab/mutation"
 )
 
 // wrong are lines that are wrong, for TestBusyNights to find.
-var wrong = []wrongline.Line{
+var wrong = []mutation.Line{
 	{"nothing is asked right before a send", "certified.go", "	if !ok {\n		gate.Count(regime", "	if !ok && regime == \"?\" {\n		gate.Count(regime"},
-	{"nobody need confirm", "../certify/gate.go", "g.Fresh() && s.Certified", "s.Certified"},
-	{"versions go back", "../certify/gate.go", "old != nil && old.Version >= s.Version ||", "old == s ||"},
-	{"a certificate counts at any time", "../certify/document.go", "if c.Valid(now) {", "if c.Valid(now) || !now.IsZero() {"},
+	{"nobody need confirm", "../../control/certification/gate.go", "g.Fresh() && s.Certified", "s.Certified"},
+	{"versions go back", "../../control/certification/gate.go", "old != nil && old.Version >= s.Version ||", "old == s ||"},
+	{"a certificate counts at any time", "../../control/certification/document.go", "if c.Valid(now) {", "if c.Valid(now) || !now.IsZero() {"},
 	{"a run that can't be recorded is sent", "certified.go", "		if !ok {\n			x.err = errRecordFull", "		if !ok && regime == \"?\" {\n			x.err = errRecordFull"},
 	{"runs of clients that leave have no end", "exchange.go", "	if x.run != 0 {", "	if x.run != 0 && o != dispatch.Left {"},
 	{"any endpoint is chosen", "../dispatch/choice.go", "slices.Contains(w.r.Avoid, e.target.ID) || !w.r.may(e.target.ID) {", "slices.Contains(w.r.Avoid, e.target.ID) {"},
 	{"a broken run counts as not written", "certified.go", "	if x.unsent {", "	if x.unsent || out == audit.Broken {"},
 	{"a try that broke off is repeated", "../attempt/attempt.go", "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {", "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {"},
-	{"entries are dropped with too few stores", "../audit/recorder.go", "	r.kept(len(b.entries))\n	return nil", "	r.kept(len(b.entries) + min(1, r.Waiting()-len(b.entries)))\n	return nil"},
-	{"the chain is not gone on with", "../audit/store.go", "	s.last = next\n	return nil\n}\n\n// open opens", "	_ = next\n	return nil\n}\n\n// open opens"},
+	{"entries are dropped with too few stores", "../../batch/audit/recorder.go", "	r.kept(len(b.entries))\n	return nil", "	r.kept(len(b.entries) + min(1, r.Waiting()-len(b.entries)))\n	return nil"},
+	{"the chain is not gone on with", "../../batch/audit/store.go", "	s.last = next\n	return nil\n}\n\n// open opens", "	_ = next\n	return nil\n}\n\n// open opens"},
 }
 
 // TestWrongLinesStand fails when a line of the lists no longer stands once in the file that it names.
 func TestWrongLinesStand(t *testing.T) {
-	wrongline.Check(t, wrong)
-	wrongline.Check(t, wrongCalls)
+	mutation.Check(t, wrong)
+	mutation.Check(t, wrongCalls)
 }
 
 // Each wrong line is found by drawn nights. This takes minutes, so it is asked for: CERTIFIED_WRONG=1, or a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "CERTIFIED_WRONG")
-	wrongline.Find(t, wrong, wrongline.Options{Only: only, Args: []string{"-run", "TestBusyNights", "-timeout", "150s"},
+	only := mutation.Asked(t, "CERTIFIED_WRONG")
+	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "TestBusyNights", "-timeout", "150s"},
 		Env: []string{"CERTIFIED_WRONG=", "CERTIFIED_NIGHTS_S=25"}, Within: 3 * time.Minute})
 }
 
 // wrongCalls are lines that would send an answer to the wrong caller, or a request twice.
-var wrongCalls = []wrongline.Line{
+var wrongCalls = []mutation.Line{
 	{"a broken try is repeated", "../attempt/attempt.go", "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {", "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {"},
 	{"a failed run is repeated", "../attempt/attempt.go", "	case Failed:\n		if c.Idempotent && c.TriesLeft {", "	case Failed:\n		if c.TriesLeft {"},
 	{"it goes on after it may have run", "../attempt/attempt.go", "if c.TurnsLeft && (s == NotSent || c.Idempotent) {", "if c.TurnsLeft {"},
@@ -63,20 +63,20 @@
 	{"a request may have two ids", "serve.go", "len(r.Header[headerID]) != 1 ||", "len(r.Header[headerID]) < 1 ||"},
 	{"a protocol whose answers can't be told from cut ones", "serve.go", "!r.ProtoAtLeast(1, 1)", "!r.ProtoAtLeast(1, 0)"},
 	{"a body is waited for beyond the deadline", "../clientbody/clientbody.go", "	if limits.Until.Before(until) {\n", "	if false {\n"},
-	{"a connection is waited for beyond the deadline", "../upstream/pools.go", "!deadline.IsZero() && left < limit {", "!deadline.IsZero() && left < 0 {"},
-	{"bytes behind an answer are kept", "../upstream/conn.go", " || c.br.Buffered() != 0 {", " {"},
-	{"nobody looks before a connection is used", "../upstream/pools.go", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) && c.quiet() {", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) {"},
-	{"a part that was written is the whole", "../upstream/conn.go", "		c.sent = n == size\n", "		c.sent = n >= 0\n"},
-	{"interim answers count", "../upstream/conn.go", "case resp.StatusCode >= 200:", "case resp.StatusCode >= 100:"},
-	{"a close before the end is not looked at", "../upstream/conn.go", "	return end, c.probe(ctx)", "	_ = c.probe(ctx)\n	return end, nil"},
+	{"a connection is waited for beyond the deadline", "../../platform/upstream/pools.go", "!deadline.IsZero() && left < limit {", "!deadline.IsZero() && left < 0 {"},
+	{"bytes behind an answer are kept", "../../platform/upstream/conn.go", " || c.br.Buffered() != 0 {", " {"},
+	{"nobody looks before a connection is used", "../../platform/upstream/pools.go", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) && c.quiet() {", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) {"},
+	{"a part that was written is the whole", "../../platform/upstream/conn.go", "		c.sent = n == size\n", "		c.sent = n >= 0\n"},
+	{"interim answers count", "../../platform/upstream/conn.go", "case resp.StatusCode >= 200:", "case resp.StatusCode >= 100:"},
+	{"a close before the end is not looked at", "../../platform/upstream/conn.go", "	return end, c.probe(ctx)", "	_ = c.probe(ctx)\n	return end, nil"},
 	{"a forgotten connection counts against its endpoint", "exchange.go", "	case !sent && call.Stale:", "	case !sent && call.Stale && false:"},
 	{"the last try is lost on a forgotten connection", "answer.go", " || x.tries+1 >= max(1, x.req.Route.Tries)", ""},
-	{"a surplus does not end a connection", "../upstream/conn.go", "c.whole = !resp.Close && !c.surplus", "c.whole = !resp.Close"},
+	{"a surplus does not end a connection", "../../platform/upstream/conn.go", "c.whole = !resp.Close && !c.surplus", "c.whole = !resp.Close"},
 }
 
 // Each wrong line is found by the tests of calls. This takes minutes, so it is asked for: CALLS_WRONG=1, or a part of a name.
 func TestWrongCallsAreFound(t *testing.T) {
-	only := wrongline.Asked(t, "CALLS_WRONG")
-	wrongline.Find(t, wrongCalls, wrongline.Options{Only: only, Args: []string{"-p", "2", "-skip", "TestBusyNights|TestFleet|TestCapGrows", "-timeout", "150s", "../attempt", "../upstream"},
+	only := mutation.Asked(t, "CALLS_WRONG")
+	mutation.Find(t, wrongCalls, mutation.Options{Only: only, Args: []string{"-p", "2", "-skip", "TestBusyNights|TestFleet|TestCapGrows", "-timeout", "150s", "../attempt", "../../platform/upstream"},
 		Env: []string{"CALLS_WRONG="}, Within: 3 * time.Minute})
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"dunetide/internal/sendlog"
+	"dunetide/internal/platform/sendlog"
 )
 
 // newPath starts with an unbound slice, or with this sender's part of the
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/sendlog"
+	"dunetide/internal/platform/sendlog"
 )
 
 // bench drives one sender by hand; calls end when a test says so.
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunetide/internal/sendlog"
+	"dunetide/internal/platform/sendlog"
 )
 
 // This file holds what a sender remembers, the plain handling of it, and the figures
