--- a/cmd/dunetide-lab/main.go
+++ b/cmd/dunetide-lab/main.go
@@ -113,6 +113,7 @@
 // errBroken ends the program with status 2: the run went well and found broken rules.
 var errBroken = errors.New("rules were broken")
 
+// Run plays the simulation; kong calls it.
 func (c *simCommand) Run(ctx context.Context) error {
 	s, err := scenario.Read(c.Scenario)
 	if err != nil {
@@ -149,6 +150,7 @@
 	return sum, errors.Join(err, wrote)
 }
 
+// Run plays real nodes; kong calls it.
 func (c *runCommand) Run(ctx context.Context) error {
 	s, err := scenario.Read(c.Scenario)
 	if err != nil {
@@ -173,6 +175,7 @@
 	return err
 }
 
+// Run plays the demonstration; kong calls it.
 func (demoCommand) Run(ctx context.Context) error {
 	s := scenario.Default()
 	s.Name, s.LengthS = "demo", scenario.Range{8, 8}
--- a/internal/deliverynode/fleet/connection.go
+++ b/internal/deliverynode/fleet/connection.go
@@ -61,18 +61,21 @@
 	return c
 }
 
+// Read reads and counts the bytes.
 func (c *counted) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.f.stats.bytesIn.Add(int64(n))
 	return n, err
 }
 
+// Write writes and counts the bytes.
 func (c *counted) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.f.stats.bytesOut.Add(int64(n))
 	return n, err
 }
 
+// Close closes the connection and frees its place among the fleet's connections, once.
 func (c *counted) Close() error {
 	c.mu.Lock()
 	first := !c.closed
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -158,8 +158,11 @@
 	return m
 }
 
+// Members returns the node's table of members.
 func (n *Node) Members() []fleet.Member { return n.table.Members() }
-func (n *Node) Count() int              { return n.table.Count(n.w.Now) }
+
+// Count returns the number of members that limits are divided by.
+func (n *Node) Count() int { return n.table.Count(n.w.Now) }
 
 func (n *Node) reach(to string) error {
 	if m, there := n.table.Member(to); !there || m.State.Gone() || to == n.name {
@@ -168,6 +171,7 @@
 	return nil
 }
 
+// Tell queues news for a member, as fleet.Fleet.Tell does.
 func (n *Node) Tell(to, kind, key string, body []byte) error {
 	if err := n.reach(to); err != nil {
 		return err
@@ -186,6 +190,7 @@
 	return nil
 }
 
+// Ask asks a member and waits for the answer, as fleet.Fleet.Ask does.
 func (n *Node) Ask(ctx context.Context, to, kind string, body []byte) ([]byte, error) {
 	if err := n.reach(to); err != nil {
 		return nil, err
@@ -214,6 +219,11 @@
 	return b, nil
 }
 
+// OnNews sets the function that receives news of a kind.
 func (n *Node) OnNews(kind string, f fleet.NewsFunc) { n.news[kind] = f }
-func (n *Node) OnAsk(kind string, f fleet.AskFunc)   { n.asks[kind] = f }
-func (n *Node) OnChange(f func(fleet.Change))        { n.hears = append(n.hears, f) }
+
+// OnAsk sets the function that answers questions of a kind.
+func (n *Node) OnAsk(kind string, f fleet.AskFunc) { n.asks[kind] = f }
+
+// OnChange adds a function that is called for each change of a member.
+func (n *Node) OnChange(f func(fleet.Change)) { n.hears = append(n.hears, f) }
--- a/internal/deliverynode/fleet/gossip.go
+++ b/internal/deliverynode/fleet/gossip.go
@@ -99,6 +99,7 @@
 // quiet is where memberlist's own log goes. Its warnings are about single packets.
 type quiet struct{ log *slog.Logger }
 
+// Write logs a line of memberlist's log at the debug level.
 func (q quiet) Write(b []byte) (int, error) {
 	q.log.Debug("fleet: gossip", "says", strings.TrimSpace(string(b)))
 	return len(b), nil
@@ -109,6 +110,7 @@
 	return g.f.address.Addr().AsSlice(), int(g.f.address.Port()), nil
 }
 
+// WriteTo sends a datagram; memberlist.Transport asks for it.
 func (g *gossip) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -117,14 +119,21 @@
 	return time.Now(), g.f.sendPacket(b, to)
 }
 
+// WriteToAddress sends a datagram; memberlist.NodeAwareTransport asks for it.
 func (g *gossip) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	return g.WriteTo(b, addr.Addr)
 }
 
+// PacketCh returns the datagrams that came.
 func (g *gossip) PacketCh() <-chan *memberlist.Packet { return g.packets }
-func (g *gossip) StreamCh() <-chan net.Conn           { return g.streams }
-func (g *gossip) Shutdown() error                     { return nil } // the transport is the fleet's
 
+// StreamCh returns the connections that came for gossip.
+func (g *gossip) StreamCh() <-chan net.Conn { return g.streams }
+
+// Shutdown does nothing, because the fleet closes the transport.
+func (g *gossip) Shutdown() error { return nil } // the transport is the fleet's
+
+// DialTimeout opens a connection for gossip.
 func (g *gossip) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -135,6 +144,7 @@
 	return g.f.dial(ctx, to, forGossip)
 }
 
+// DialAddressTimeout opens a connection for gossip; memberlist.NodeAwareTransport asks for it.
 func (g *gossip) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return g.DialTimeout(addr.Addr, timeout)
 }
@@ -172,8 +182,10 @@
 	}
 }
 
+// NotifyUpdate is called when the meta data of a member has changed; memberlist.EventDelegate asks for it.
 func (g *gossip) NotifyUpdate(n *memberlist.Node) { g.NotifyJoin(n) }
 
+// NotifyLeave is called when a member no longer answers or has left; memberlist.EventDelegate asks for it.
 func (g *gossip) NotifyLeave(n *memberlist.Node) {
 	g.heard(func() { g.f.learn(func(t *Table, now time.Duration) []Change { return t.Silence(n.Name, now) }) })
 }
@@ -202,10 +214,12 @@
 	})
 }
 
+// GetBroadcasts returns records to send along with other messages; memberlist.Delegate asks for it.
 func (g *gossip) GetBroadcasts(overhead, limit int) [][]byte {
 	return g.queue.GetBroadcasts(overhead, limit)
 }
 
+// LocalState returns all that this node knows, for a full exchange with another; memberlist.Delegate asks for it.
 func (g *gossip) LocalState(bool) []byte {
 	b, err := encoding.Marshal(g.f.known())
 	if err != nil {
@@ -214,6 +228,7 @@
 	return b
 }
 
+// MergeRemoteState takes in all that another node knows; memberlist.Delegate asks for it.
 func (g *gossip) MergeRemoteState(b []byte, _ bool) { g.NotifyMsg(b) }
 
 // spread lets all hear of a record by and by.
@@ -229,13 +244,20 @@
 	b    []byte
 }
 
+// Name returns the name of the member; memberlist.NamedBroadcast asks for it.
 func (w word) Name() string { return w.name }
+
+// Invalidates reports whether this record replaces another one that waits to be sent.
 func (w word) Invalidates(o memberlist.Broadcast) bool {
 	n, ok := o.(word)
 	return ok && n.name == w.name
 }
+
+// Message returns the encoded record.
 func (w word) Message() []byte { return w.b }
-func (w word) Finished()       {}
+
+// Finished does nothing: nobody waits for the end of the sending.
+func (w word) Finished() {}
 
 // rejoin meets, now and then, one that is silent or a seed that was never heard: memberlist
 // forgets the dead, and the two halves of a split know nothing of each other any more. While
--- a/internal/deliverynode/fleet/peer.go
+++ b/internal/deliverynode/fleet/peer.go
@@ -20,6 +20,7 @@
 // AnswerError is an answer that says no.
 type AnswerError string
 
+// Error returns the text that the member answered.
 func (e AnswerError) Error() string { return "answered: " + string(e) }
 
 const (
--- a/internal/deliverynode/fleet/transport.go
+++ b/internal/deliverynode/fleet/transport.go
@@ -46,21 +46,26 @@
 	return &sockets{udp: udp, tcp: tcp, own: addr.Addr(), buf: make([]byte, 64<<10)}, nil
 }
 
+// SendTo sends a datagram.
 func (s *sockets) SendTo(b []byte, to netip.AddrPort) error {
 	_, err := s.udp.WriteToUDPAddrPort(b, to)
 	return err
 }
 
+// Receive returns the next datagram and its sender.
 func (s *sockets) Receive() ([]byte, netip.AddrPort, error) {
 	n, from, err := s.udp.ReadFromUDPAddrPort(s.buf)
 	return s.buf[:n], from, err
 }
 
+// Dial opens a connection from the address of this node.
 func (s *sockets) Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	d := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(s.own, 0)), KeepAlive: 15 * time.Second}
 	return d.DialContext(ctx, "tcp4", to.String())
 }
 
+// Accept returns the next connection that came.
 func (s *sockets) Accept() (net.Conn, error) { return s.tcp.Accept() }
 
+// Close closes both sockets.
 func (s *sockets) Close() error { return errors.Join(s.tcp.Close(), s.udp.Close()) }
--- a/internal/deliverynode/fleet/wire.go
+++ b/internal/deliverynode/fleet/wire.go
@@ -50,6 +50,7 @@
 // VersionError says that a peer speaks no version that this program does.
 type VersionError struct{ Lowest, Highest uint8 }
 
+// Error names the versions of both sides.
 func (e VersionError) Error() string {
 	return fmt.Sprintf("it speaks versions %d to %d, this node %d to %d", e.Lowest, e.Highest, lowestVersion, highestVersion)
 }
@@ -57,6 +58,7 @@
 // RefusedError is the line with which a peer refuses.
 type RefusedError string
 
+// Error returns the reason that the peer gave.
 func (e RefusedError) Error() string { return "refused: " + string(e) }
 
 func common(lowest, highest uint8) (version uint8, err error) {
@@ -193,6 +195,7 @@
 	return n, nil
 }
 
+// Read reads from the stream within the frames.
 func (c *framed) Read(b []byte) (int, error) {
 	for len(c.left) == 0 {
 		payload, err := c.readFrame(maxFrame)
--- a/internal/deliverynode/journal/disktest/disktest.go
+++ b/internal/deliverynode/journal/disktest/disktest.go
@@ -134,6 +134,7 @@
 
 // The following are journal.Folder's.
 
+// List returns the files; journal.Folder asks for it, as for the methods that follow.
 func (d *Disk) List() (all []journal.FileInfo, err error) {
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
 		all = append(all, journal.FileInfo{Name: name, Size: int64(len(d.names[name].data))})
@@ -141,6 +142,7 @@
 	return all, nil
 }
 
+// Read returns the content of a file, with the damage that was planned.
 func (d *Disk) Read(name string, most int64) ([]byte, error) {
 	f := d.names[name]
 	if f == nil {
@@ -152,6 +154,7 @@
 	return slices.Clone(f.data), nil
 }
 
+// Head returns the beginning of a file.
 func (d *Disk) Head(name string, most int) ([]byte, error) {
 	f := d.names[name]
 	if f == nil {
@@ -160,6 +163,7 @@
 	return slices.Clone(f.data[:min(most, len(f.data))]), nil
 }
 
+// Create creates a file. Its name is durable after Sync of the folder.
 func (d *Disk) Create(name string) (journal.File, error) {
 	if err := d.op(); err != nil {
 		return nil, err
@@ -172,6 +176,7 @@
 	return &file{d, f}, nil
 }
 
+// Open opens an existing file.
 func (d *Disk) Open(name string) (journal.OpenFile, error) {
 	f := d.names[name]
 	if f == nil {
@@ -180,6 +185,7 @@
 	return &file{d, f}, nil
 }
 
+// Cut truncates a file durably.
 func (d *Disk) Cut(name string, size int64) error {
 	if err := d.op(); err != nil {
 		return err
@@ -190,6 +196,7 @@
 	return nil
 }
 
+// Rename renames a file. The new name is durable after Sync of the folder.
 func (d *Disk) Rename(from, to string) error {
 	if err := d.op(); err != nil {
 		return err
@@ -206,6 +213,7 @@
 	return nil
 }
 
+// Remove removes a file. That is durable after Sync of the folder.
 func (d *Disk) Remove(name string) error {
 	if err := d.op(); err != nil {
 		return err
@@ -217,6 +225,7 @@
 	return nil
 }
 
+// Sync makes the names of files durable.
 func (d *Disk) Sync() error {
 	if err := d.op(); err != nil {
 		return err
@@ -230,6 +239,7 @@
 	f *inode
 }
 
+// Write appends bytes, which are durable after Sync.
 func (w *file) Write(b []byte) (int, error) {
 	w.d.stall()
 	if err := w.d.op(); err != nil {
@@ -271,10 +281,12 @@
 	w.f.data = append(w.f.data, b...)
 }
 
+// ReadAt reads bytes at an offset.
 func (w *file) ReadAt(b []byte, at int64) (int, error) {
 	return bytes.NewReader(w.f.data).ReadAt(b, at)
 }
 
+// Truncate shortens the file.
 func (w *file) Truncate(size int64) error {
 	w.f.data = w.f.data[:size]
 	w.f.writes = slices.DeleteFunc(w.f.writes, func(r [2]int) bool { return r[0] >= int(size) })
@@ -284,6 +296,7 @@
 	return w.d.op()
 }
 
+// Sync makes the content of the file durable.
 func (w *file) Sync() error {
 	w.d.stall()
 	if err := w.d.op(); err != nil {
@@ -293,4 +306,5 @@
 	return nil
 }
 
+// Close closes the file.
 func (w *file) Close() error { return w.d.op() }
--- a/internal/deliverynode/journal/folder.go
+++ b/internal/deliverynode/journal/folder.go
@@ -101,6 +101,7 @@
 
 func (d dir) path(name string) string { return filepath.Join(string(d), name) }
 
+// List implements Folder, as the methods that follow do.
 func (d dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -119,6 +120,7 @@
 	return files, nil
 }
 
+// Read returns the content of a file.
 func (d dir) Read(name string, most int64) ([]byte, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
@@ -133,6 +135,7 @@
 	return io.ReadAll(io.LimitReader(f, most))
 }
 
+// Head returns the beginning of a file.
 func (d dir) Head(name string, most int) ([]byte, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
@@ -142,14 +145,17 @@
 	return io.ReadAll(io.LimitReader(f, int64(most)))
 }
 
+// Create creates a file for appending, readable by its owner only.
 func (d dir) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
+// Open opens an existing file for appending and for reading.
 func (d dir) Open(name string) (OpenFile, error) {
 	return os.OpenFile(d.path(name), os.O_RDWR|os.O_APPEND, 0)
 }
 
+// Cut truncates a file and syncs it.
 func (d dir) Cut(name string, size int64) error {
 	f, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
 	if err != nil {
@@ -162,9 +168,13 @@
 	return errors.Join(err, f.Close())
 }
 
+// Rename renames a file within the folder.
 func (d dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
-func (d dir) Remove(name string) error     { return os.Remove(d.path(name)) }
 
+// Remove removes a file.
+func (d dir) Remove(name string) error { return os.Remove(d.path(name)) }
+
+// Sync syncs the folder itself.
 func (d dir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
--- a/internal/deliverynode/lease/disk.go
+++ b/internal/deliverynode/lease/disk.go
@@ -56,6 +56,7 @@
 	Epoch uint64 `cbor:"2,keyasint"`
 }
 
+// String returns the id in hexadecimal and the epoch.
 func (l logID) String() string { return fmt.Sprintf("%016x.%d", l.ID, l.Epoch) }
 
 // record is what is written at once. All but the first of a file hold what is new.
--- a/internal/deliverynode/lease/raft_log.go
+++ b/internal/deliverynode/lease/raft_log.go
@@ -8,17 +8,40 @@
 // raftLog writes raft's messages to the node's log. A panic of raft ends the voter, not the process (Leases.runVoter).
 type raftLog struct{ log *slog.Logger }
 
-func (l raftLog) Debug(v ...any)           {}
-func (l raftLog) Debugf(string, ...any)    {}
-func (l raftLog) Info(v ...any)            { l.log.Debug("leases: raft", "says", fmt.Sprint(v...)) }
+// Debug implements raft.Logger, as the methods that follow do.
+func (l raftLog) Debug(v ...any) {}
+
+// Debugf drops what is for the debugging of raft itself.
+func (l raftLog) Debugf(string, ...any) {}
+
+// Info logs at this program's debug level, as Warning does: both are about single messages.
+func (l raftLog) Info(v ...any) { l.log.Debug("leases: raft", "says", fmt.Sprint(v...)) }
+
+// Infof logs at the debug level.
 func (l raftLog) Infof(f string, v ...any) { l.log.Debug("leases: raft", "says", fmt.Sprintf(f, v...)) }
-func (l raftLog) Warning(v ...any)         { l.log.Debug("leases: raft", "says", fmt.Sprint(v...)) }
+
+// Warning logs at the debug level.
+func (l raftLog) Warning(v ...any) { l.log.Debug("leases: raft", "says", fmt.Sprint(v...)) }
+
+// Warningf logs at the debug level.
 func (l raftLog) Warningf(f string, v ...any) {
 	l.log.Debug("leases: raft", "says", fmt.Sprintf(f, v...))
 }
-func (l raftLog) Error(v ...any)            { l.log.Warn("leases: raft", "says", fmt.Sprint(v...)) }
+
+// Error logs a warning.
+func (l raftLog) Error(v ...any) { l.log.Warn("leases: raft", "says", fmt.Sprint(v...)) }
+
+// Errorf logs a warning.
 func (l raftLog) Errorf(f string, v ...any) { l.log.Warn("leases: raft", "says", fmt.Sprintf(f, v...)) }
-func (l raftLog) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+
+// Fatal panics, as raft expects that it does not return.
+func (l raftLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+
+// Fatalf panics.
 func (l raftLog) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (l raftLog) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+
+// Panic panics.
+func (l raftLog) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+
+// Panicf panics.
 func (l raftLog) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/deliverynode/node/clients.go
+++ b/internal/deliverynode/node/clients.go
@@ -16,6 +16,7 @@
 	heard atomic.Bool
 }
 
+// Accept returns the next connection, whose reads are observed.
 func (l heardListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -24,6 +25,7 @@
 	return &heardConn{Conn: conn}, nil
 }
 
+// Read reads, and notes that the client has sent something.
 func (c *heardConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -417,11 +417,13 @@
 	closed func()
 }
 
+// Close closes the connection, and takes it off the list of open ones.
 func (c *caughtConn) Close() error {
 	c.closed()
 	return c.Conn.Close()
 }
 
+// Accept returns the next connection, and closes the oldest one if there are too many.
 func (l *newestCallers) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -177,12 +177,15 @@
 	cs.loop.post(&inheritance{journal: w.Journal(), owed: owed})
 }
 
+// Found takes over a message that was found in another replica of the log.
 func (cs *copies) Found(w *replica.Work, m *journal.Message) { cs.inherit(w, []*journal.Message{m}) }
 
+// Forget drops messages that another node has ended, and those that may have run there.
 func (cs *copies) Forget(_ *replica.Work, gone, doubted []*journal.Message) {
 	cs.loop.post(&disowned{gone, doubted})
 }
 
+// Acts opens or closes the share of this node when it may work on its own log, or may not any more.
 func (cs *copies) Acts(w *replica.Work, may bool) {
 	if w != cs.keeper.Own() {
 		return // the module has one share for all; each call looks at its own log
@@ -194,10 +197,15 @@
 	cs.loop.post(policy.Shared{Parts: parts, Whole: group.Whole, Alone: true})
 }
 
+// Orders takes over the staff's orders for endpoints from a log.
 func (cs *copies) Orders(out []string) { cs.loop.post(adoptedOrders(out)) }
+
+// Once reports whether messages of a class may not be repeated.
 func (cs *copies) Once(class int) bool {
 	return class >= len(cs.loop.caller.once) || cs.loop.caller.once[class]
 }
+
+// Knows reports whether this node has or had a message.
 func (cs *copies) Knows(id string) bool {
 	return cs.loop.intake.knows(id)
 }
@@ -248,6 +256,7 @@
 
 func (s stateFolders) path(name string) string { return filepath.Join(string(s), name) }
 
+// Open opens the folder of a replica, which it creates if need be.
 func (s stateFolders) Open(name string) (journal.Folder, error) {
 	if err := os.Mkdir(s.path(name), 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, err
@@ -255,6 +264,7 @@
 	return journal.Dir(s.path(name)), nil
 }
 
+// List returns the names of the folders of replicas.
 func (s stateFolders) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(s))
 	for _, e := range entries {
@@ -265,8 +275,11 @@
 	return names, err
 }
 
+// Remove removes the folder of a replica.
 func (s stateFolders) Remove(name string) error { return os.RemoveAll(s.path(name)) }
-func (s stateFolders) Top() journal.Folder      { return journal.Dir(string(s)) }
+
+// Top returns the state folder itself.
+func (s stateFolders) Top() journal.Folder { return journal.Dir(string(s)) }
 
 // Place is the run of this machine, and the folder by what the kernel knows of it: a copy of it, or the
 // same on another machine or after a loss of power, is another place. Empty: it can't be told.
--- a/internal/deliverynode/node/intake.go
+++ b/internal/deliverynode/node/intake.go
@@ -51,6 +51,7 @@
 	text   string
 }
 
+// Error returns the text for the client.
 func (b badRequest) Error() string { return b.text }
 
 // ServeHTTP answers a client.
--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -21,12 +21,21 @@
 
 type items []item
 
+// Len implements heap.Interface, as the methods that follow do.
 func (a items) Len() int { return len(a) }
+
+// Less orders by time, and by the order of addition at the same time.
 func (a items) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
+
+// Swap exchanges two items.
 func (a items) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *items) Push(x any)   { *a = append(*a, x.(item)) }
+
+// Push appends an item.
+func (a *items) Push(x any) { *a = append(*a, x.(item)) }
+
+// Pop removes the last item and returns it.
 func (a *items) Pop() any {
 	old := *a
 	x := old[len(old)-1]
--- a/internal/lab/faults/memory.go
+++ b/internal/lab/faults/memory.go
@@ -80,6 +80,7 @@
 	closed  chan struct{}
 }
 
+// SendTo sends a datagram, which the network may lose, delay or repeat.
 func (n *memoryNode) SendTo(b []byte, to netip.AddrPort) error {
 	_, i := n.net.at(to)
 	if i < 0 || i >= n.net.n {
@@ -100,6 +101,7 @@
 	return nil
 }
 
+// Receive returns the next datagram and its sender.
 func (n *memoryNode) Receive() ([]byte, netip.AddrPort, error) {
 	select {
 	case p := <-n.packets:
@@ -131,6 +133,7 @@
 	return mine, nil
 }
 
+// Accept returns the next connection that came.
 func (n *memoryNode) Accept() (net.Conn, error) {
 	select {
 	case c := <-n.conns:
@@ -140,6 +143,7 @@
 	}
 }
 
+// Close ends the node: what waits in Receive and Accept returns net.ErrClosed.
 func (n *memoryNode) Close() error {
 	n.once.Do(func() {
 		close(n.closed)
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -203,6 +203,7 @@
 	read func(line []byte)
 }
 
+// Write writes the node's log, and reads what its lines say of the fleet.
 func (l *fleetLog) Write(p []byte) (int, error) {
 	l.line = append(l.line, p...)
 	for {
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -480,6 +480,7 @@
 	line  []byte
 }
 
+// Write writes the node's log, and calls ready when the log says that the node is ready.
 func (l *readyLog) Write(p []byte) (int, error) {
 	if !l.said {
 		l.line = append(l.line, p...)
@@ -504,6 +505,7 @@
 	lost int64
 }
 
+// Write writes as long as the file is smaller than its limit, and drops the rest.
 func (l *cappedLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -60,6 +60,7 @@
 	Lines  []int         `json:"lines"` // of the trace, from 1
 }
 
+// String returns the broken rule in one line.
 func (b Broken) String() string {
 	var lines []string
 	for _, n := range b.Lines {
@@ -123,10 +124,19 @@
 
 type dues []due
 
-func (d dues) Len() int           { return len(d) }
+// Len implements heap.Interface, as the methods that follow do.
+func (d dues) Len() int { return len(d) }
+
+// Less orders by time.
 func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
+
+// Swap exchanges two items.
+func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+
+// Push appends an item.
+func (d *dues) Push(x any) { *d = append(*d, x.(due)) }
+
+// Pop removes the last item and returns it.
 func (d *dues) Pop() any {
 	old := *d
 	x := old[len(old)-1]
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -71,6 +71,7 @@
 	Targets []int `json:"targets,omitempty"`
 }
 
+// String returns the fault in one line.
 func (t Trouble) String() string {
 	return strings.Join(strings.Fields(fmt.Sprintf("%d: %s %s %v at %.1f s for %.1f s", t.Number, t.Kind, t.How, t.Targets, t.At.Seconds(), t.For.Seconds())), " ")
 }
--- a/internal/lab/tier/cluster/process.go
+++ b/internal/lab/tier/cluster/process.go
@@ -47,6 +47,7 @@
 	ended        []string // by itself
 }
 
+// String returns the role and the machine of the process.
 func (p *Process) String() string { return fmt.Sprintf("%s on %s", p.Role, p.Machine) }
 
 func (p *Process) at(port int) string { return fmt.Sprintf("%s:%d", p.ip, p.c.port+port) }
--- a/internal/lab/tier/engine/listener.go
+++ b/internal/lab/tier/engine/listener.go
@@ -61,17 +61,20 @@
 	once sync.Once
 }
 
+// Read reads; what came during an outage of the network is returned after it.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.l.wait() // what came in the dark is read after it
 	return n, err
 }
 
+// Write writes, after an outage of the network.
 func (c *conn) Write(p []byte) (int, error) {
 	c.l.wait()
 	return c.Conn.Write(p)
 }
 
+// Close closes the connection and counts it as closed, once.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		c.l.mu.Lock()
--- a/internal/lab/tier/hollow/endpoint.go
+++ b/internal/lab/tier/hollow/endpoint.go
@@ -160,12 +160,14 @@
 	f *endpoints
 }
 
+// Read reads and counts the bytes.
 func (c *counted) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.f.read.Add(int64(n))
 	return n, err
 }
 
+// Write writes and counts the bytes.
 func (c *counted) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.f.written.Add(int64(n))
--- a/internal/lab/tier/load/book.go
+++ b/internal/lab/tier/load/book.go
@@ -31,6 +31,7 @@
 	Detail string `json:"detail"`
 }
 
+// String returns the broken rule in one line.
 func (b Broken) String() string { return fmt.Sprintf("%-8s %s: %s", b.Rule, b.ID, b.Detail) }
 
 // Figures are the account of one kind of request.
--- a/internal/lab/tier/load/client.go
+++ b/internal/lab/tier/load/client.go
@@ -136,6 +136,7 @@
 	err    error
 }
 
+// String returns the outcome in words.
 func (o outcome) String() string {
 	switch {
 	case o.left:
--- a/internal/lab/tier/load/jobs.go
+++ b/internal/lab/tier/load/jobs.go
@@ -349,6 +349,7 @@
 	return out
 }
 
+// String returns the job in one line.
 func (j Job) String() string {
 	out := fmt.Sprintf("%s of %d items", j.ID, j.Items)
 	if j.Taken < 0 {
--- a/internal/lab/tier/operator/operator.go
+++ b/internal/lab/tier/operator/operator.go
@@ -32,6 +32,7 @@
 // Refusal is an answer that ends a call.
 type Refusal struct{ Status int }
 
+// Error returns the status and the text of the refusal.
 func (r Refusal) Error() string {
 	return fmt.Sprintf("the answer is %d %s", r.Status, http.StatusText(r.Status))
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -80,12 +80,21 @@
 // candidates is a heap with the best on top.
 type candidates []candidate
 
+// Len implements heap.Interface, as the methods that follow do.
 func (c candidates) Len() int { return len(c) }
+
+// Less orders by score, and by place where the scores are equal.
 func (c candidates) Less(i, j int) bool {
 	return c[i].score > c[j].score || c[i].score == c[j].score && c[i].place < c[j].place
 }
+
+// Swap exchanges two items.
 func (c candidates) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c *candidates) Push(x any)   { *c = append(*c, x.(candidate)) }
+
+// Push appends an item.
+func (c *candidates) Push(x any) { *c = append(*c, x.(candidate)) }
+
+// Pop removes the last item and returns it.
 func (c *candidates) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
