--- a/cmd/dunetide/cut_wrong_test.go
+++ b/cmd/dunetide/cut_wrong_test.go
@@ -16,15 +16,15 @@
 // wrongCuts are lines that would break what a keeper without contact promises, one at a time. Keepers that are built with one of
 // them have to be found out from outside.
 var wrongCuts = []mutation.Line{
-	{"acknowledged without contact", "../../internal/control/keeper/endpoints.go", "	case res.noContact || !k.inContact():\n", "	case false:\n"},
+	{"acknowledged without contact", "../../internal/control/keeper/endpoints.go", "	case result.noContact || !k.inContact():\n", "	case false:\n"},
 	{"registers pushed without contact", "../../internal/control/keeper/pushes.go", "	if inContact {\n		k.addRegisters(u, p)\n	}\n", "	k.addRegisters(u, p)\n"},
-	{"endpoints not pushed without contact", "../../internal/control/keeper/pushes.go", "		if inContact && !k.contact.MayHandOut(k.since(now), c) {\n", "		if !k.contact.MayHandOut(k.since(now), c) {\n"},
-	{"a lease granted without contact", "../../internal/control/keeper/duty.go", "return k.contact.Holds(k.since(now)) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
+	{"endpoints not pushed without contact", "../../internal/control/keeper/pushes.go", "		if inContact && !k.contact.MayHandOut(k.sinceStart(now), conn) {\n", "		if !k.contact.MayHandOut(k.sinceStart(now), conn) {\n"},
+	{"a lease granted without contact", "../../internal/control/keeper/leases.go", "return k.contact.Holds(at) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
 	{"contact for life", "../../internal/consensus/quorum/tracker.go", "return t.advance(now) < t.until }", "return t.until != 0 }"},
-	{"contact without a majority after 3 s", "../../internal/control/keeper/contact.go", "k.contact.Answered(k.since(time.Now()), askedAt, err == nil)",
-		"k.contact.Answered(k.since(time.Now()), askedAt, err == nil || k.since(time.Now()) > 3*time.Second)"},
-	{"what endpoints say without contact is not kept", "../../internal/control/keeper/endpoints.go", "	before := k.table.Newest()\n",
-		"	before := k.table.Newest()\n	if !k.contact.Holds(k.since(now)) {\n		return registered{noContact: true}\n	}\n"},
+	{"contact without a majority after 3 s", "../../internal/control/keeper/contact.go", "k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil)",
+		"k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)"},
+	{"what endpoints say without contact is not kept", "../../internal/control/keeper/endpoints.go", "	revision := k.endpoints.Newest()\n",
+		"	revision := k.endpoints.Newest()\n	if !k.contact.Holds(at) {\n		return changeResult{noContact: true}\n	}\n"},
 	{"the first push without a new read", "../../internal/consensus/quorum/gate.go", "	return g.Holds(now) && g.confirmed[key]\n", "	return g.Holds(now)\n"},
 	{"contact that lasts twice as long", "../../internal/consensus/quorum/tracker.go", "	until := beganAt + Length\n", "	until := beganAt + 2*Length\n"},
 }
--- /dev/null
+++ b/internal/control/keeper/bootstrap.go
@@ -0,0 +1,79 @@
+package keeper
+
+import (
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+)
+
+// bootstrapFromSeeds makes the seeds that have a disk the first voters, at the very first start of the deployment and
+// once all seeds are connected. The owner goroutine calls it after each new connection.
+func (rs *registerSet) bootstrapFromSeeds() {
+	settings := rs.keeper.options.Settings
+	if !settings.FirstStart || rs.id == 0 {
+		return
+	}
+	voters, complete := rs.seedVoters(controlclient.SeedLinks(settings.Seeds, settings.InternalFirst))
+	if complete {
+		rs.trySubmit(func() { rs.bootstrap(voters) }) // if the queue is full: after the next connection
+	}
+}
+
+// seedVoters returns the seeds that have a disk as voters. It is complete if all seeds are known and this keeper is
+// one.
+func (rs *registerSet) seedVoters(seedAddrs []string) (voters []paxos.Voter, complete bool) {
+	selfIsSeed := false
+	for _, addr := range seedAddrs {
+		if addr == rs.keeper.self.Addr {
+			voters = append(voters, paxos.Voter{ID: rs.id, Name: rs.keeper.self.Name, Addr: addr})
+			selfIsSeed = true
+			continue
+		}
+		seed := rs.keeper.peerAt(addr)
+		if seed == nil {
+			return nil, false
+		}
+		if seed.node.ID != 0 {
+			voters = append(voters, paxos.Voter{ID: seed.node.ID, Name: seed.node.Name, Addr: addr})
+		}
+	}
+	return voters, selfIsSeed
+}
+
+// peerAt returns the keeper whose links are served at an address; nil: it was never connected.
+func (k *Keeper) peerAt(addr string) (found *peer) {
+	for _, p := range k.peers {
+		if p.node.Addr == addr {
+			found = p
+		}
+	}
+	return found
+}
+
+// bootstrap decides slot 0 of each register. The voters are saved before the registers, each of which has a record of
+// its own, so that a process that ends between two of these records goes on where it was.
+func (rs *registerSet) bootstrap(voters []paxos.Voter) {
+	if rs.bootstrapped {
+		return
+	}
+	rs.bootstrapped = true
+	if err := rs.appendRecord(encodeFirstVotersRecord(voters)); err != nil {
+		rs.keeper.log.Error("first voters not saved", "err", err) // the registers are bootstrapped all the same
+	}
+	for _, name := range registerNames {
+		if _, known := rs.byName[name].State(); !known {
+			rs.byName[name].Bootstrap(voters, nil)
+		}
+	}
+	rs.keeper.log.Info("first voters", "count", len(voters))
+}
+
+// resumeBootstrap bootstraps the registers that a former life of the process didn't come to.
+func (rs *registerSet) resumeBootstrap() {
+	if len(rs.firstVoters) == 0 {
+		return
+	}
+	for _, name := range registerNames {
+		rs.byName[name].Bootstrap(rs.firstVoters, nil)
+	}
+	rs.bootstrapped = true
+}
--- /dev/null
+++ b/internal/control/keeper/certificate_reads.go
@@ -0,0 +1,64 @@
+package keeper
+
+import (
+	"time"
+
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/platform/link"
+)
+
+const (
+	// confirmReadTimeout bounds a read of the certificates' register for Confirm calls.
+	confirmReadTimeout = 700 * time.Millisecond
+	// confirmInterval is the least time between the starts of two such reads, however many processes call.
+	confirmInterval = 100 * time.Millisecond
+)
+
+// confirmCertificates has a majority confirm the newest certificates for all Confirm calls that came before its read
+// begins. They are pushed before the calls are answered, on the same links.
+func (k *Keeper) confirmCertificates() {
+	delay, needed := k.certificateReads.Delay(k.sinceStart(time.Now()))
+	if !needed {
+		return
+	}
+	if delay > 0 {
+		time.AfterFunc(delay, func() { k.submit(k.confirmCertificates) })
+		return
+	}
+	k.readCertificates()
+}
+
+func (k *Keeper) readCertificates() {
+	if !k.certificateReads.Begin(k.sinceStart(time.Now())) {
+		return
+	}
+	k.registers.read(certificatesRegister, confirmReadTimeout, func(s paxos.State, err error) {
+		k.post(func() { k.certificatesRead(s, err) })
+	})
+}
+
+// certificatesRead answers the Confirm calls of a read that has ended, and begins the next one if there are calls.
+func (k *Keeper) certificatesRead(s paxos.State, err error) {
+	if err == nil {
+		k.applyDecided(certificatesRegister, s)
+		if k.pushNeeded {
+			k.pushAll()
+		}
+	}
+	for _, m := range k.certificateReads.Done() {
+		k.answerConfirm(m, err == nil)
+	}
+	k.confirmCertificates()
+}
+
+// answerConfirm confirms that the certificates that the caller was pushed are the newest. A caller that wasn't pushed
+// them, as there is no contact or it has yet to acknowledge too much, must not take the answer for those it has.
+func (k *Keeper) answerConfirm(m *link.Message, read bool) {
+	process := k.attached[m.Conn]
+	if !read || process == nil || !k.contact.MayHandOut(k.sinceStart(time.Now()), m.Conn) ||
+		process.certificatesVersion < k.certificates.version {
+		m.Fail("no majority confirms the certificates")
+		return
+	}
+	m.Reply(nil)
+}
--- a/internal/control/keeper/certificates_test.go
+++ b/internal/control/keeper/certificates_test.go
@@ -60,7 +60,7 @@
 	gate := certification.NewGate(certification.GateOptions{Stale: stale, Confirmed: func() time.Time { return client.Confirmed() }})
 	var addrs []string
 	for _, i := range seeds {
-		addrs = append(addrs, fmt.Sprintf("%s:%d", r.ip(i), r.links))
+		addrs = append(addrs, r.linkAddress(i))
 	}
 	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: "z", Life: 1},
 		Seeds: addrs, Endpoints: true, Holder: &snapshot.Holder{}, ConfirmEvery: stale / 5, Log: hclog.NewNullLogger(),
@@ -178,7 +178,7 @@
 		_, err := w.conn.Call(ctx, controlclient.Confirm, nil)
 		return err == nil
 	})
-	for i := range unackedMost + 8 {
+	for i := range maxUnackedPushes + 8 {
 		r.beat(0, fmt.Sprint("e", i), "ready", 1)
 	}
 	r.untilCode(200, func() answer { return r.certify(0, "1", certificates(t, 2)) })
--- /dev/null
+++ b/internal/control/keeper/conditions.go
@@ -0,0 +1,98 @@
+package keeper
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
+)
+
+const (
+	// conditionTTL is how long a condition counts after its last report. Processes report theirs every second.
+	conditionTTL = 5 * time.Second
+	// maxConditions bounds the processes whose conditions are kept.
+	maxConditions = 1024
+	// maxReasonBytes bounds the text of a condition.
+	maxReasonBytes = 300
+)
+
+// processKey identifies a process of the deployment, over its incarnations.
+type processKey struct{ role, node string }
+
+// processCondition is what keeps another process from its work, as that process reports it.
+type processCondition struct {
+	node            controlclient.Node
+	reason          string
+	firstReportedAt time.Time // to this keeper
+	lastReportedAt  time.Time
+}
+
+// conditionTable holds the conditions of other processes.
+type conditionTable map[processKey]*processCondition
+
+// update applies a report. Reports of former incarnations of a process don't count.
+func (t conditionTable) update(now time.Time, report controlclient.Trouble) {
+	t.expire(now)
+	key := processKey{report.Node.Role, report.Node.Name}
+	known := t[key]
+	switch {
+	case known != nil && known.node.Life > report.Node.Life:
+	case report.Reason == "":
+		delete(t, key)
+	case known != nil:
+		known.node, known.reason, known.lastReportedAt = report.Node, truncateReason(report.Reason), now
+	case len(t) < maxConditions:
+		t[key] = &processCondition{
+			node:            report.Node,
+			reason:          truncateReason(report.Reason),
+			firstReportedAt: now,
+			lastReportedAt:  now,
+		}
+	}
+}
+
+func truncateReason(reason string) string { return reason[:min(len(reason), maxReasonBytes)] }
+
+// expire removes the conditions that weren't reported again: the process has ended, or reaches no keeper.
+func (t conditionTable) expire(now time.Time) {
+	for key, known := range t {
+		if now.Sub(known.lastReportedAt) > conditionTTL {
+			delete(t, key)
+		}
+	}
+}
+
+// sorted returns all conditions, by role and name.
+func (t conditionTable) sorted() []*processCondition {
+	all := make([]*processCondition, 0, len(t))
+	for _, known := range t {
+		all = append(all, known)
+	}
+	slices.SortFunc(all, func(a, b *processCondition) int {
+		return cmp.Or(cmp.Compare(a.node.Role, b.node.Role), cmp.Compare(a.node.Name, b.node.Name))
+	})
+	return all
+}
+
+// handleCondition takes the condition of another process, and relays it to the other keepers.
+func (k *Keeper) handleCondition(now time.Time, m *link.Message) {
+	report, err := controlclient.ReadTrouble(m.Body)
+	if err != nil {
+		m.Fail("%v", err)
+		return
+	}
+	k.conditions.update(now, report)
+	m.Reply(nil)
+	if report.Relayed {
+		return
+	}
+	report.Relayed = true
+	body := report.Encode()
+	for _, p := range k.peers {
+		if p.conn != nil {
+			_ = p.conn.Send(controlclient.ProcessTrouble, body) // the process reports it again
+		}
+	}
+}
--- a/internal/control/keeper/contact.go
+++ b/internal/control/keeper/contact.go
@@ -8,110 +8,113 @@
 )
 
 const (
-	// contactRead bounds the read by which a majority is asked. Operations that are ahead of it in the register's
-	// queue count as answers themselves.
-	contactRead = 700 * time.Millisecond
-	// attachRead bounds the reads for processes that have attached.
-	attachRead = time.Second
+	// contactReadTimeout bounds the read that probes the majority. Operations that are ahead of it in the register's
+	// queue are contact by themselves, see countingAsContact.
+	contactReadTimeout = 700 * time.Millisecond
+	// attachReadTimeout bounds the reads for processes that have attached.
+	attachReadTimeout = time.Second
+	// minContactDelay keeps the contact timer from spinning.
+	minContactDelay = time.Millisecond
 )
 
-// inContact tells whether a majority has answered recently. It may be called from any goroutine, and is to be looked
-// at right before each thing that is said.
+// inContact reports whether a majority of the voters has answered recently. Any goroutine may call it. It has to be
+// called right before each answer that depends on it, as contact runs out by itself.
 func (k *Keeper) inContact() bool {
-	return time.Since(k.life) < time.Duration(k.contactUntil.Load())
+	return time.Since(k.startedAt) < time.Duration(k.contactUntil.Load())
 }
 
-// stepContact asks the majority where that is due, tells of a change, and sets the timer for the next step.
+// stepContact probes the majority where that is due, reports a change of contact, and sets the timer for the next step.
 func (k *Keeper) stepContact() {
-	now := k.since(time.Now())
+	now := k.sinceStart(time.Now())
 	if k.contact.Due(now) {
-		k.askMajority(now)
+		k.probeMajority(now)
 	}
 	k.beginAttachRead(now)
 	k.contactUntil.Store(int64(k.contact.Until()))
-	if holds := k.contact.Holds(now); holds != k.hadContact {
-		k.hadContact = holds
+	if holds := k.contact.Holds(now); holds != k.reportedContact {
+		k.reportedContact = holds
 		k.contactChanged(now)
 	}
 	k.setContactTimer(now)
 }
 
-// setContactTimer sets the timer for what can't wait for the next tick.
+// setContactTimer sets the timer for steps that can't wait for the next tick.
 func (k *Keeper) setContactTimer(now time.Duration) {
 	at, needed := k.contact.Next(now)
 	delay := at - now
-	if read, waits := k.contact.ReadDelay(now); waits && (!needed || read < delay) {
-		delay, needed = read, true
+	if readDelay, waits := k.contact.ReadDelay(now); waits && (!needed || readDelay < delay) {
+		delay, needed = readDelay, true
 	}
 	if !needed {
 		k.contactTimer.Stop()
 		return
 	}
-	k.contactTimer.Reset(max(delay, time.Millisecond))
+	k.contactTimer.Reset(max(delay, minContactDelay))
 }
 
-// contactChanged tells the others and the attached processes.
+// contactChanged reports that contact has begun or ended to the other keepers and the attached processes.
 func (k *Keeper) contactChanged(now time.Duration) {
-	if k.hadContact {
+	if k.reportedContact {
 		k.log.Info("contact with a majority", "after", now)
 	} else {
 		contactLosses.Inc()
 		k.log.Warn("no contact with a majority")
 	}
-	k.sendReports()
-	k.dirty = true
+	k.broadcastReport()
+	k.pushNeeded = true
 }
 
-// askMajority asks by a read of the configuration's register.
-func (k *Keeper) askMajority(askedAt time.Duration) {
+// probeMajority checks contact by a linearizable read of the configuration's register.
+func (k *Keeper) probeMajority(askedAt time.Duration) {
 	k.contact.Asked(askedAt)
-	k.agree.read(configRegister, contactRead, func(s paxos.State, err error) {
+	k.registers.read(configRegister, contactReadTimeout, func(s paxos.State, err error) {
 		k.post(func() {
 			if err == nil {
-				k.decided(configRegister, s)
+				k.applyDecided(configRegister, s)
 			}
-			k.contact.Answered(k.since(time.Now()), askedAt, err == nil)
+			k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil)
 		})
 	})
 }
 
-// confirmedSince wraps the end of an operation on a register: one that a majority took part in is contact, counted
-// from before it began.
-func (k *Keeper) confirmedSince(done func(paxos.State, error)) func(paxos.State, error) {
-	beganAt := k.since(time.Now())
+// countingAsContact wraps the callback of an operation on the configuration's register: an operation that a majority
+// took part in is contact, counted from before it began.
+func (k *Keeper) countingAsContact(done resultFunc) resultFunc {
+	beganAt := k.sinceStart(time.Now())
 	return func(s paxos.State, err error) {
 		if err == nil {
-			k.post(func() { k.contact.Confirmed(k.since(time.Now()), beganAt) })
+			k.post(func() { k.contact.Confirmed(k.sinceStart(time.Now()), beganAt) })
 		}
 		done(s, err)
 	}
 }
 
-// beginAttachRead reads all registers for the processes that have attached since the last such read began.
+// beginAttachRead reads all registers for the processes that have attached since the last such read began. Without it
+// a keeper that was partitioned a moment ago could push a configuration that has been replaced.
 func (k *Keeper) beginAttachRead(now time.Duration) {
 	if !k.contact.BeginRead(now) {
 		return
 	}
-	left, allRead := len(registerNames), true
+	pending, allRead := len(registerNames), true
 	for _, name := range registerNames {
-		k.agree.read(name, attachRead, func(s paxos.State, err error) {
+		k.registers.read(name, attachReadTimeout, func(s paxos.State, err error) {
 			k.post(func() {
 				if err == nil {
-					k.decided(name, s)
+					k.applyDecided(name, s)
 				}
 				allRead = allRead && err == nil
-				if left--; left == 0 {
+				if pending--; pending == 0 {
 					k.contact.ReadDone(allRead)
-					k.dirty = true
+					k.pushNeeded = true
 				}
 			})
 		})
 	}
 }
 
-// contactBody tells whether this keeper is in contact, for processes that look for one that is.
-func (k *Keeper) contactBody() []byte {
+// encodeContact encodes the answer to an InContact call: whether this keeper is in contact with a majority.
+func (k *Keeper) encodeContact() []byte {
 	w := link.Writer{}
-	w.Bool(k.contact.Holds(k.since(time.Now())))
+	w.Bool(k.contact.Holds(k.sinceStart(time.Now())))
 	return w.B
 }
--- a/internal/control/keeper/contact_test.go
+++ b/internal/control/keeper/contact_test.go
@@ -50,11 +50,11 @@
 // asVoter has a keeper take the link of an attached process for that of another keeper, which votes, and tells whether it would
 // grant that one a lease as far as the voters go.
 func (r *rig) asVoter(i int, attached string, other int) (mayGrant bool) {
-	k, id := r.running[i].k, r.running[other].k.agree.id
-	mayGrant, _ = ask(k, func() bool {
+	k, id := r.running[i].k, r.running[other].k.registers.id
+	mayGrant, _ = query(k, func() bool {
 		for conn, p := range k.attached {
 			if p.node.Name == attached {
-				k.conns[conn] = &peerLink{peer: &peer{node: controlclient.Node{Name: fmt.Sprint("k", other+1), ID: id}}}
+				k.peerLinks[conn] = &peerLink{peer: &peer{node: controlclient.Node{Name: fmt.Sprint("k", other+1), ID: id}}}
 			}
 		}
 		return k.mayGrant(time.Now(), id)
@@ -147,7 +147,7 @@
 		r.beat(lone, "1", "ready", count)
 		r.beat(lone, "2", "ready", count)
 		r.beat(lone, "3", "draining", count)
-		return r.status(lone).Services["s"] == 3
+		return r.status(lone).EndpointsByService["s"] == 3
 	})
 	for drains := false; !drains; {
 		u := get(t, before.pushes, "the drain")
@@ -186,7 +186,7 @@
 		t.Errorf("a lease is answered %v, %v", b, err)
 	}
 	noConfig(t, late)
-	if s := r.status(lone); s.InContact || to && s.Version != 3 || s.Duty {
+	if s := r.status(lone); s.InContact || to && s.ConfigVersion != 3 || s.AssignsPartitions {
 		t.Errorf("%+v", s)
 	}
 
@@ -308,7 +308,7 @@
 	report := func(i int, inContact bool) {
 		w := link.Writer{}
 		controlclient.KeeperReport{InContact: inContact, Slots: make([]uint64, len(registerNames))}.Append(&w)
-		k.reported(&link.Message{Conn: conns[i], Body: w.B})
+		k.handleReport(&link.Message{Conn: conns[i], Body: w.B})
 	}
 	for _, step := range []struct {
 		second, third bool
@@ -316,13 +316,13 @@
 	}{{false, false, ""}, {false, true, "k3:1"}, {true, true, "k2:1"}, {true, false, "k2:1"}, {false, false, ""}} {
 		report(0, step.second)
 		report(1, step.third)
-		if got := k.beatTo("far"); got != step.want {
+		if got := k.heartbeatTarget("far"); got != step.want {
 			t.Errorf("%+v: %q", step, got)
 		}
 	}
 	report(0, true)
 	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "far", Control: "k2:1", Life: 2}, true)
-	if got := k.beatTo("far"); got != "" {
+	if got := k.heartbeatTarget("far"); got != "" {
 		t.Errorf("by the report of a former life: %q", got)
 	}
 }
@@ -339,7 +339,7 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- r.beat(0, "1", "ready", 1) }()
 	until(t, "the call waits", func() bool {
-		waits, _ := ask(r.running[0].k, func() bool { return len(r.running[0].k.waiting) > 0 })
+		waits, _ := query(r.running[0].k, func() bool { return len(r.running[0].k.waiters) > 0 })
 		return waits
 	})
 	relays.cutOff(0, true, true)
@@ -355,8 +355,8 @@
 	w := link.Writer{}
 	w.U32(1)
 	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining}, Alive: 2})
-	k.entries(time.Now(), &link.Message{Conn: conns[0], Body: w.B})
-	if e, there := k.table.Get(k.since(time.Now()), "1"); !there || e.State != snapshot.Draining {
+	k.handleEntries(time.Now(), &link.Message{Conn: conns[0], Body: w.B})
+	if e, there := k.endpoints.Get(k.sinceStart(time.Now()), "1"); !there || e.State != snapshot.Draining {
 		t.Errorf("%+v, %v", e, there)
 	}
 }
--- /dev/null
+++ b/internal/control/keeper/decided.go
@@ -0,0 +1,66 @@
+package keeper
+
+import (
+	"fmt"
+
+	"dunetide/internal/consensus/paxos"
+)
+
+// applyDecided puts a newer decided state of a register in force at this keeper; the loop pushes it to the attached
+// processes. States may come again and out of order.
+func (k *Keeper) applyDecided(register string, s paxos.State) {
+	switch register {
+	case configRegister:
+		k.applyConfig(s)
+	case certificatesRegister:
+		k.applyCertificates(s)
+	case partitionsRegister:
+		k.applyPartitions(s)
+	}
+}
+
+func (k *Keeper) applyConfig(s paxos.State) {
+	decided, err := decodeDocument(s.Value)
+	if err != nil {
+		k.log.Error("configuration's register unreadable", "slot", s.Slot, "err", err)
+		return
+	}
+	k.newestDecided[configRegister].advance(configRegister, s.Slot, decided.version)
+	if decided.version <= k.config.version {
+		return
+	}
+	k.config = decided
+	k.pushNeeded = true
+	k.log.Info("configuration in force", "version", decided.version, "slot", s.Slot)
+}
+
+func (k *Keeper) applyCertificates(s paxos.State) {
+	decided, err := decodeDocument(s.Value)
+	if err != nil {
+		k.log.Error("certificates' register unreadable", "slot", s.Slot, "err", err)
+		return
+	}
+	k.newestDecided[certificatesRegister].advance(certificatesRegister, s.Slot, decided.version)
+	if decided.version <= k.certificates.version {
+		return
+	}
+	k.logCertificateChange(decided, s.Slot)
+	k.certificates = decided
+	k.pushNeeded = true
+}
+
+func (k *Keeper) applyPartitions(s paxos.State) {
+	decided, err := decodeTable(s)
+	if decided == nil || err != nil { // none yet, or unreadable: the table in force stays
+		return
+	}
+	if k.partitions != nil && decided.Number <= k.partitions.Number {
+		return
+	}
+	k.partitions = decided
+	k.pushNeeded = true
+	if k.log.IsDebug() { // their texts are long
+		k.log.Debug("table in force", "number", decided.Number, "parts", fmt.Sprint(decided.Parts),
+			"stores", fmt.Sprint(decided.Stores))
+	}
+}
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -20,7 +20,7 @@
 // onDisk runs a change of a running keeper's disk in the goroutine that owns it.
 func (r *rig) onDisk(i int, change func()) {
 	done := make(chan struct{})
-	r.running[i].k.agree.do(func() { change(); close(done) })
+	r.running[i].k.registers.submit(func() { change(); close(done) })
 	get(r.t, done, "the change of the disk")
 }
 
@@ -29,7 +29,7 @@
 func (r *rig) empty(i int) { r.onDisk(i, func() { r.disks[i].Room = 0 }) }
 
 // storedSlot is the newest slot of the configuration's register on a keeper's disk.
-func (r *rig) storedSlot(i int) uint64 { return r.running[i].k.agree.slots()[0] - 1 }
+func (r *rig) storedSlot(i int) uint64 { return r.running[i].k.registers.storedSlotNumbers()[0] - 1 }
 
 // countingLog counts the lines that hold some words.
 type countingLog struct {
@@ -66,15 +66,15 @@
 	for version := uint64(2); version < 20; version++ {
 		r.untilCode(200, func() answer { return r.put(int(version%2), version, version-1, "a") })
 	}
-	until(t, "it knows the newest", func() bool { return r.status(2).Version == 19 })
-	if s := r.status(2); !strings.Contains(s.Disk, "the disk is full") || stored() != 1 {
-		t.Errorf("disk %q, slot %d is stored", s.Disk, stored())
+	until(t, "it knows the newest", func() bool { return r.status(2).ConfigVersion == 19 })
+	if s := r.status(2); !strings.Contains(s.DiskCondition, "the disk is full") || stored() != 1 {
+		t.Errorf("disk %q, slot %d is stored", s.DiskCondition, stored())
 	}
 	if a := r.call(2, "GET", "/config", "", nil); a.code != 200 || !strings.Contains(a.body, `"version":19`) {
 		t.Errorf("it does not relay: %v", a)
 	}
 	r.empty(2)
-	until(t, "it has stored the newest", func() bool { return stored() == 19 && r.status(2).Disk == "" })
+	until(t, "it has stored the newest", func() bool { return stored() == 19 && r.status(2).DiskCondition == "" })
 	if full, again := log.count("disk takes nothing"), log.count("disk takes records again"); full != 1 || again != 1 {
 		t.Errorf("logged %d and %d times", full, again)
 	}
@@ -151,7 +151,7 @@
 	if a := r.call(0, "GET", "/config", "", nil); a.code != 503 {
 		t.Error(a)
 	}
-	if s := r.status(0); s.Version != 1 {
+	if s := r.status(0); s.ConfigVersion != 1 {
 		t.Errorf("%+v", s)
 	}
 	run := r.running[0]
@@ -166,11 +166,11 @@
 func TestBoundedOperation(t *testing.T) {
 	answers := make(chan error, 2)
 	done := func(_ paxos.State, err error) { answers <- err }
-	waiting := boundOperation("r", time.Nanosecond, done)
+	waiting := newBoundedOperation("r", time.Nanosecond, done)
 	if err := get(t, answers, "the answer"); !paxos.ErrNoMajority.Has(err) || waiting.start() {
 		t.Errorf("%v, and it may still be started", err)
 	}
-	started := boundOperation("r", 50*time.Millisecond, done)
+	started := newBoundedOperation("r", 50*time.Millisecond, done)
 	if !started.start() {
 		t.Error("not started")
 	}
@@ -178,12 +178,12 @@
 		t.Error(err)
 	}
 	started.finish(paxos.State{}, nil)
-	quick := boundOperation("r", time.Hour, done)
+	quick := newBoundedOperation("r", time.Hour, done)
 	quick.start()
 	want := errors.New("x")
 	quick.finish(paxos.State{}, want)
-	quick.giveUp("r")
-	if err := get(t, answers, "the answer"); err != want {
+	quick.expire("r")
+	if err := get(t, answers, "the answer"); err != want { //nolint:errorlint // this very error, not one that wraps it
 		t.Error(err)
 	}
 	if len(answers) > 0 {
@@ -198,13 +198,13 @@
 		{64 * mb, 0, mb}, {64 * mb, mb / 2, 2 * mb}, {64 * mb, 8 * mb, 32 * mb}, {64 * mb, 16 * mb, 32 * mb}, {64 * mb, 24 * mb, 30 * mb},
 		{2 * mb, 1 * mb, 5 * mb / 4},
 	} {
-		if got := (rewritePolicy{c.disk}).due(c.rewritten); got != c.due {
+		if got := (rewritePolicy{c.disk}).rewriteSize(c.rewritten); got != c.due {
 			t.Errorf("disk %d, rewritten %d: %d, want %d", c.disk, c.rewritten, got, c.due)
 		}
 	}
 	// The log and the rewritten one fit together as long as twice what is kept does.
 	for kept := int64(0); kept <= 28*mb; kept += mb / 2 {
-		if due := (rewritePolicy{64 * mb}).due(kept); due+kept > 64*mb {
+		if due := (rewritePolicy{64 * mb}).rewriteSize(kept); due+kept > 64*mb {
 			t.Error(fmt.Sprint(kept, due))
 		}
 	}
@@ -255,7 +255,7 @@
 				t.Fatalf("%s at operation %d: %v", trouble.name, step, err)
 			}
 			known := 0
-			for _, reg := range k.agree.regs {
+			for _, reg := range k.registers.byName {
 				if _, there := reg.State(); there {
 					known++
 				}
--- /dev/null
+++ b/internal/control/keeper/document_calls.go
@@ -0,0 +1,130 @@
+package keeper
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/operatorconfig"
+)
+
+// putConfig answers PUT /config: 200 once a majority of the voters has the configuration on disk and the attached
+// processes have it in force, or have had Options.PushWait for that.
+func (k *Keeper) putConfig(w http.ResponseWriter, _ string, body []byte, r *http.Request) {
+	version, ok := k.putDocument(w, r, configDocument, body, parseConfigVersion)
+	if !ok {
+		return
+	}
+	waiter := newAckWaiter()
+	waiter.configVersion = version
+	k.submit(func() { k.addWaiter(waiter) })
+	select {
+	case <-waiter.done:
+	case <-k.ended: // it is decided all the same
+	}
+	answerJSON(w, []byte("{}"))
+}
+
+// parseConfigVersion checks a configuration and returns its version.
+func parseConfigVersion(body []byte) (uint64, error) {
+	config, err := operatorconfig.Parse(body)
+	if err != nil {
+		return 0, err
+	}
+	return config.Version, nil
+}
+
+// getConfig answers GET /config with the newest configuration, as the operator sent it.
+func (k *Keeper) getConfig(w http.ResponseWriter, _ string, _ []byte, _ *http.Request) {
+	k.getDocument(w, configRegister, http.StatusServiceUnavailable, "no configuration was taken yet: put one first")
+}
+
+// putDocument has a document decided and returns its version. If it isn't ok, the call has been answered with an error.
+func (k *Keeper) putDocument(
+	w http.ResponseWriter, r *http.Request, kind documentKind, body []byte, parse func([]byte) (uint64, error),
+) (version uint64, ok bool) {
+	base, err := parseIfMatch(r.Header.Get("If-Match"))
+	if err != nil {
+		refuse(w, http.StatusBadRequest,
+			"If-Match: must be the number of the version that this builds on, 0 for the first")
+		return 0, false
+	}
+	if version, err = parse(body); err != nil {
+		refuse(w, http.StatusBadRequest, err.Error())
+		return 0, false
+	}
+	request := documentPut{version: version, base: base, raw: body}
+	if err := k.proposeDocument(request, kind); err != nil {
+		k.log.Info("document refused", "register", kind.register, "version", version, "base", base, "err", err)
+		refuse(w, putStatus(err), err.Error())
+		return 0, false
+	}
+	return version, true
+}
+
+// parseIfMatch reads the version in an If-Match header, with or without quotes.
+func parseIfMatch(header string) (uint64, error) {
+	return strconv.ParseUint(strings.Trim(strings.TrimSpace(header), `"`), 10, 64)
+}
+
+// proposeDocument has a document decided by the voters. Without an error it is in force, or was before its successors.
+func (k *Keeper) proposeDocument(request documentPut, kind documentKind) error {
+	done := make(chan error, 1)
+	k.registers.propose(kind.register, proposeTimeout, request.change(kind), func(decided paxos.State, err error) {
+		if err == nil {
+			k.broadcastDecided(kind.register, decided)
+		}
+		done <- err
+	})
+	return k.awaitResult(done)
+}
+
+// awaitResult waits for the result of an operation on a register.
+func (k *Keeper) awaitResult(done <-chan error) error {
+	select {
+	case err := <-done:
+		return err
+	case <-k.ended:
+		return errShuttingDown
+	}
+}
+
+// getDocument answers with the newest document of a register, or with a status and a reason if none was put yet.
+func (k *Keeper) getDocument(w http.ResponseWriter, register string, noneStatus int, noneReason string) {
+	known := k.registers.knownDocumentVersion(register)
+	newest, err := k.readNewestDocument(register)
+	if err != nil {
+		refuse(w, http.StatusServiceUnavailable, err.Error())
+		return
+	}
+	checkReadNotOlder(register, known, newest.version)
+	if newest.version == 0 {
+		refuse(w, noneStatus, noneReason)
+		return
+	}
+	answerJSON(w, newest.raw)
+}
+
+// readNewestDocument returns the newest document of a register, as a majority confirms it.
+func (k *Keeper) readNewestDocument(register string) (*document, error) {
+	state, err := k.readRegister(register)
+	if err != nil {
+		return nil, err
+	}
+	return decodeDocument(state.Value)
+}
+
+// readRegister returns the newest state of a register, as a majority confirms it.
+func (k *Keeper) readRegister(register string) (paxos.State, error) {
+	var state paxos.State
+	done := make(chan error, 1)
+	k.registers.read(register, proposeTimeout, func(newest paxos.State, err error) {
+		state = newest
+		done <- err
+	})
+	if err := k.awaitResult(done); err != nil {
+		return paxos.State{}, err
+	}
+	return state, nil
+}
--- a/internal/control/keeper/endpoints.go
+++ b/internal/control/keeper/endpoints.go
@@ -11,208 +11,278 @@
 	"dunetide/internal/platform/link"
 )
 
-// heartbeat is what an endpoint says of itself.
+// minEntryBytes bounds the encoded size of an entry of the endpoint list from below.
+const minEntryBytes = 16
+
+// heartbeat is the body of PUT /instances/{id}: what an endpoint reports about itself. The name of this type, and that
+// the type of Models has none, are part of the answer to a body that can't be decoded.
 type heartbeat struct {
-	Service    string  `json:"service"`
-	Address    string  `json:"address"`
-	Zone       string  `json:"zone"`
-	Version    string  `json:"version"`
-	Capacity   int     `json:"capacity"`
-	State      string  `json:"state"`
-	ColdLeftMs float64 `json:"cold_left_ms"`
-	CallCount  uint64  `json:"call_count"`
-	Models     []struct {
+	Service      string  `json:"service"`
+	Address      string  `json:"address"`
+	Zone         string  `json:"zone"`
+	Version      string  `json:"version"`
+	Capacity     int     `json:"capacity"`
+	State        string  `json:"state"`
+	WarmUpLeftMs float64 `json:"cold_left_ms"`
+	CallCount    uint64  `json:"call_count"`
+	Models       []struct {
 		Name    string `json:"name"`
 		Version int    `json:"version"`
 	} `json:"models"`
 }
 
-func (k *Keeper) heartbeat(w http.ResponseWriter, id string, body []byte, _ *http.Request) {
-	var h heartbeat
-	if err := json.Unmarshal(body, &h); err != nil {
-		refuse(w, http.StatusBadRequest, "a heartbeat must be JSON: "+err.Error())
-		return
+// States of an endpoint in a heartbeat.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+)
+
+// endpoint checks the heartbeat of an endpoint. problem says what is wrong; empty: nothing.
+func (h *heartbeat) endpoint(id string) (e snapshot.Endpoint, problem string) {
+	e = snapshot.Endpoint{
+		ID:         id,
+		Service:    h.Service,
+		Address:    h.Address,
+		Zone:       h.Zone,
+		Version:    h.Version,
+		Capacity:   h.Capacity,
+		ColdLeftMs: int(h.WarmUpLeftMs),
+		CallCount:  h.CallCount,
 	}
-	e := snapshot.Endpoint{ID: id, Service: h.Service, Address: h.Address, Zone: h.Zone, Version: h.Version, Capacity: h.Capacity,
-		ColdLeftMs: int(h.ColdLeftMs), CallCount: h.CallCount}
 	switch h.State {
-	case "ready":
-	case "draining":
+	case stateReady:
+	case stateDraining:
 		e.State = snapshot.Draining
 	default:
-		refuse(w, http.StatusBadRequest, `state: must be "ready" or "draining"`)
-		return
+		return e, `state: must be "ready" or "draining"`
 	}
 	if h.Service == "" || h.Address == "" {
-		refuse(w, http.StatusBadRequest, "service and address: must be there")
-		return
+		return e, "service and address: must be there"
 	}
 	for _, m := range h.Models {
 		e.Models = append(e.Models, snapshot.Model{Name: m.Name, Version: m.Version})
 	}
 	if err := registry.Check(&e); err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		return e, err.Error()
+	}
+	return e, ""
+}
+
+// endpointChange is a change of the endpoint list that an endpoint has asked for.
+type endpointChange struct {
+	id    string
+	zone  string // of the endpoint; empty: unknown
+	ends  bool   // the endpoint drains or is removed
+	apply func(now time.Duration) (changed bool)
+}
+
+// putInstance answers PUT /instances/{id}: the heartbeat of an endpoint.
+func (k *Keeper) putInstance(w http.ResponseWriter, id string, body []byte, _ *http.Request) {
+	var h heartbeat
+	if err := json.Unmarshal(body, &h); err != nil {
+		refuse(w, http.StatusBadRequest, "a heartbeat must be JSON: "+err.Error())
+		return
+	}
+	e, problem := h.endpoint(id)
+	if problem != "" {
+		refuse(w, http.StatusBadRequest, problem)
 		return
 	}
-	k.register(w, id, func(now time.Time) bool { return k.table.Beat(k.since(now), e) }, h.Zone, e.State == snapshot.Draining)
+	k.answerChange(w, endpointChange{
+		id:    id,
+		zone:  h.Zone,
+		ends:  e.State == snapshot.Draining,
+		apply: func(now time.Duration) bool { return k.endpoints.Beat(now, e) },
+	})
 }
 
-func (k *Keeper) leave(w http.ResponseWriter, id string, _ []byte, _ *http.Request) {
+// deleteInstance answers DELETE /instances/{id}: an endpoint stops.
+func (k *Keeper) deleteInstance(w http.ResponseWriter, id string, _ []byte, _ *http.Request) {
 	if err := registry.Check(&snapshot.Endpoint{ID: id}); err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	k.register(w, id, func(now time.Time) bool { return k.table.Leave(k.since(now), id) }, "", true)
+	k.answerChange(w, endpointChange{
+		id:    id,
+		ends:  true,
+		apply: func(now time.Duration) bool { return k.endpoints.Leave(now, id) },
+	})
 }
 
-// registered is how far a change of the list has come.
-type registered struct {
-	waiter    *waiter // nil: there is nothing to wait for
-	beatTo    string
-	full      bool
-	noContact bool
+// changeResult is how far a change of the endpoint list has come.
+type changeResult struct {
+	waiter          *ackWaiter // nil: there is nothing to wait for
+	heartbeatTarget string
+	listFull        bool
+	noContact       bool
 }
 
-// register changes the list and answers once those who need it have acknowledged the change, or have
-// had time to. Without contact the change is made and told all the same, as it does no harm, but not acknowledged. Nor is the end of
-// an endpoint that a majority of the voters has not taken in: an endpoint that was told so says nothing more, so what only this
-// keeper knew would be lost with its contact.
-func (k *Keeper) register(w http.ResponseWriter, id string, change func(now time.Time) bool, zone string, ends bool) {
-	res, ok := ask(k, func() registered { return k.changeList(id, change, zone, ends) })
-	if ok && res.waiter != nil {
+// answerChange changes the list, and answers once the other keepers and the attached processes have acknowledged the
+// change, or have had Options.PushWait for that.
+//
+// Without contact the change is made and sent all the same, which does no harm, but isn't acknowledged. Nor is the
+// end of an endpoint before a majority of the voters knows it: an endpoint that was acknowledged sends nothing more,
+// so what only this keeper knew would be lost with its contact.
+func (k *Keeper) answerChange(w http.ResponseWriter, change endpointChange) {
+	result, ok := query(k, func() changeResult { return k.applyChange(time.Now(), change) })
+	if ok && result.waiter != nil {
 		select {
-		case <-res.waiter.done:
+		case <-result.waiter.done:
 		case <-k.ended:
 			ok = false
 		}
 	}
-	status, why := http.StatusServiceUnavailable, ""
+	var refusal error
 	switch {
 	case !ok:
-		why = errStops.Error()
-	case res.full:
-		why = "the list of endpoints is full: remove some"
-	case res.noContact || !k.inContact():
-		why = errNoContact.Error()
-	case res.waiter != nil && !res.waiter.quorate:
-		why = errNotAtMajority.Error()
-	default:
-		status = http.StatusOK
+		refusal = errShuttingDown
+	case result.listFull:
+		refusal = errListFull
+	case result.noContact || !k.inContact():
+		refusal = errNoContact
+	case result.waiter != nil && !result.waiter.majorityAcked:
+		refusal = errNotAtMajority
+	}
+	status := http.StatusOK
+	if refusal != nil {
+		status = http.StatusServiceUnavailable
 	}
-	if ends && ok {
-		k.noteEnd(id, res, status)
+	if change.ends && ok {
+		k.logEndpointEnd(change.id, result, status)
 	}
-	if status != http.StatusOK {
-		refuse(w, status, why)
+	if refusal != nil {
+		refuse(w, status, refusal.Error())
 		return
 	}
-	k.checkAcknowledgement(id, res)
-	acknowledge(w, res.beatTo)
+	k.checkAcknowledgement(change.id, result)
+	acknowledgeHeartbeat(w, result.heartbeatTarget)
 }
 
-// changeList changes the list, for the owner, and tells the other keepers and the attached processes.
-func (k *Keeper) changeList(id string, change func(now time.Time) bool, zone string, ends bool) registered {
-	now := time.Now()
-	before := k.table.Newest()
-	changed := change(now) || k.table.Newest() != before // of another, whose address it has
-	res := registered{beatTo: k.beatTo(zone), noContact: !k.contact.Holds(k.since(now))}
-	if _, there := k.table.Get(k.since(now), id); !there && !ends {
-		return registered{full: true}
-	}
-	if !changed && !ends {
-		return res
-	}
-	wt := &waiter{change: k.table.Newest(), until: now.Add(k.o.PushWait), done: make(chan struct{})}
-	if list := k.entriesToTell(now, id, before, changed); len(list) > 0 {
-		if ends {
-			wt.quorum = newConfirmations(k.agree.votersOf(configRegister), k.agree.id)
+// applyChange changes the list, and sends the change to the other keepers; the loop pushes it to the attached
+// processes. It runs on the owner goroutine.
+func (k *Keeper) applyChange(now time.Time, change endpointChange) changeResult {
+	at := k.sinceStart(now)
+	revision := k.endpoints.Newest()
+	// The list may also have changed by the end of another endpoint, whose address this one has.
+	changed := change.apply(at) || k.endpoints.Newest() != revision
+	result := changeResult{
+		heartbeatTarget: k.heartbeatTarget(change.zone),
+		noContact:       !k.contact.Holds(at),
+	}
+	if _, listed := k.endpoints.Get(at, change.id); !listed && !change.ends {
+		return changeResult{listFull: true}
+	}
+	if !changed && !change.ends {
+		return result
+	}
+	waiter := newAckWaiter()
+	waiter.listRevision, waiter.deadline = k.endpoints.Newest(), now.Add(k.options.PushWait)
+	if entries := k.entriesToBroadcast(at, change.id, revision, changed); len(entries) > 0 {
+		if change.ends {
+			waiter.voters = newVoterAcks(k.registers.registerVoters(configRegister), k.registers.id)
 		}
-		k.tellEntries(list, wt)
+		k.broadcastEntries(entries, waiter)
 	}
 	if changed {
-		k.dirty = true
+		k.pushNeeded = true
 	}
-	if !res.noContact {
-		k.wait(wt)
-		res.waiter = wt
+	if !result.noContact {
+		k.addWaiter(waiter)
+		result.waiter = waiter
 	}
-	return res
+	return result
 }
 
-// entriesToTell are those that the other keepers may lack.
-func (k *Keeper) entriesToTell(now time.Time, id string, before uint64, changed bool) []registry.Entry {
-	if !changed { // a repeat: others may lack it all the same, as who took it first may be dead
-		if e, there := k.table.Get(k.since(now), id); there {
+// entriesToBroadcast returns the entries that the other keepers may lack after a change of an endpoint.
+func (k *Keeper) entriesToBroadcast(at time.Duration, id string, revision uint64, changed bool) []registry.Entry {
+	if !changed { // a repeat: the others may lack it all the same, as the keeper that took it first may be dead
+		if e, listed := k.endpoints.Get(at, id); listed {
 			return []registry.Entry{e}
 		}
 		return nil
 	}
-	list, _, whole := k.table.Changes(k.since(now), before)
-	if whole { // the first change of all, which may be an end
-		list = k.table.Entries(k.since(now), -1)
+	entries, _, whole := k.endpoints.Changes(at, revision)
+	if whole { // the very first change, which may be an end
+		entries = k.endpoints.Entries(at, -1)
 	}
-	return list
+	return entries
 }
 
-func acknowledge(w http.ResponseWriter, beatTo string) {
-	w.Header().Set("Content-Type", "application/json")
-	if beatTo == "" {
-		_, _ = w.Write([]byte("{}"))
+// acknowledgeHeartbeat answers 200, and names the keeper to which the endpoint should send its heartbeats from then on;
+// empty: none.
+func acknowledgeHeartbeat(w http.ResponseWriter, target string) {
+	if target == "" {
+		answerJSON(w, []byte("{}"))
 		return
 	}
-	b, _ := json.Marshal(map[string]string{"beat_to": beatTo}) // strings always marshal
-	_, _ = w.Write(b)
+	b, _ := json.Marshal(map[string]string{"beat_to": target}) // strings always marshal
+	answerJSON(w, b)
 }
 
-// beatTo names a keeper in an endpoint's own zone that is in contact, so that its heartbeats stay there; "": there is none.
-func (k *Keeper) beatTo(zone string) string {
+// heartbeatTarget returns the control address of a keeper in an endpoint's own zone that is in contact, so that the
+// heartbeats stay in the zone; empty: there is none.
+func (k *Keeper) heartbeatTarget(zone string) string {
 	if zone == "" || zone == k.self.Zone {
 		return k.self.Control // the answer is given in contact only
 	}
-	var named controlclient.Node
+	var target controlclient.Node
 	for _, p := range k.peers {
 		if p.conn == nil || p.node.Zone != zone || !p.report.InContact {
 			continue
 		}
-		if named.Name == "" || p.node.Name < named.Name {
-			named = p.node
+		if target.Name == "" || p.node.Name < target.Name {
+			target = p.node
 		}
 	}
-	return named.Control
+	return target.Control
 }
 
-// entries takes what another keeper tells of endpoints, and answers once the attached processes have it in force.
-func (k *Keeper) entries(now time.Time, m *link.Message) {
-	r := link.Reader{B: m.Body}
-	var list []registry.Entry
-	for range r.Count(16) {
-		e, err := registry.ReadEntry(&r)
-		if err != nil {
-			m.Fail("%v", err)
-			return
-		}
-		list = append(list, e)
-	}
-	if r.Err != nil {
-		m.Fail("%v", r.Err)
+// handleEntries merges what another keeper knows of endpoints, and answers once the processes attached here have it in
+// force.
+func (k *Keeper) handleEntries(now time.Time, m *link.Message) {
+	entries, err := decodeEntries(m.Body)
+	if err != nil {
+		m.Fail("%v", err)
 		return
 	}
-	if len(k.table.Merge(k.since(now), list)) > 0 {
-		k.dirty = true
+	if len(k.endpoints.Merge(k.sinceStart(now), entries)) > 0 {
+		k.pushNeeded = true
 	}
-	// What is known already may be on its way to the attached.
-	w := &waiter{change: k.table.Newest(), done: make(chan struct{})}
-	k.wait(w)
+	// Also what was known already may still be on its way to the attached processes.
+	waiter := newAckWaiter()
+	waiter.listRevision = k.endpoints.Newest()
+	k.addWaiter(waiter)
 	select {
-	case <-w.done:
+	case <-waiter.done:
 		m.Reply(nil)
 	default:
-		go func() {
+		go func() { // it ends with the waiter or the keeper
 			select {
-			case <-w.done:
+			case <-waiter.done:
 				m.Reply(nil)
 			case <-k.ended:
 			}
 		}()
 	}
 }
+
+func encodeEntries(entries []registry.Entry) []byte {
+	w := link.Writer{}
+	w.U32(uint32(len(entries)))
+	for i := range entries {
+		registry.AppendEntry(&w, &entries[i])
+	}
+	return w.B
+}
+
+func decodeEntries(body []byte) (entries []registry.Entry, err error) {
+	r := link.Reader{B: body}
+	for range r.Count(minEntryBytes) {
+		e, err := registry.ReadEntry(&r)
+		if err != nil {
+			return nil, err
+		}
+		entries = append(entries, e)
+	}
+	return entries, r.Err
+}
--- a/internal/control/keeper/every_order_test.go
+++ b/internal/control/keeper/every_order_test.go
@@ -91,9 +91,9 @@
 	answered := w.history.begin(order)
 	w.waiting++
 	if order == readCall {
-		w.registers[machine].Read(w.now, proposeWait, func(s paxos.State, err error) {
+		w.registers[machine].Read(w.now, proposeTimeout, func(s paxos.State, err error) {
 			w.waiting--
-			v, unreadable := readDocument(s.Value)
+			v, unreadable := decodeDocument(s.Value)
 			if err != nil || unreadable != nil {
 				return
 			}
@@ -102,9 +102,9 @@
 		return
 	}
 	change := w.history.orders[order].change(configDocument)
-	w.registers[machine].Propose(w.now, proposeWait, change, func(_ paxos.State, err error) {
+	w.registers[machine].Propose(w.now, proposeTimeout, change, func(_ paxos.State, err error) {
 		w.waiting--
-		answered(registerAnswer{status: statusOf(err)})
+		answered(registerAnswer{status: putStatus(err)})
 	})
 }
 
@@ -171,7 +171,7 @@
 
 // settle goes on until all calls have ended, or would have.
 func (w *smallWorld) settle() {
-	for until := w.now + 2*proposeWait; w.waiting > 0 && w.now < until; {
+	for until := w.now + 2*proposeTimeout; w.waiting > 0 && w.now < until; {
 		if len(w.wire) > 0 {
 			w.deliver(0)
 		} else {
@@ -200,7 +200,7 @@
 				}
 				worlds++
 				w.finish()
-				if err := w.history.check(checkWait); err != nil {
+				if err := w.history.check(); err != nil {
 					t.Fatalf("after the choices %v: %v", path, err)
 				}
 				return 0
--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -36,12 +36,12 @@
 // confirmContact has a keeper that does not run in contact, and the registers confirmed for all who are attached.
 func confirmContact(t *testing.T, k *Keeper) {
 	t.Helper()
-	now := k.since(time.Now()) + time.Hour // it lasts for the test
+	now := k.sinceStart(time.Now()) + time.Hour // it lasts for the test
 	k.contact.Confirmed(now, now)
 	if k.contact.BeginRead(now) {
 		k.contact.ReadDone(true)
 	}
-	if !k.contact.Holds(k.since(time.Now())) {
+	if !k.contact.Holds(k.sinceStart(time.Now())) {
 		t.Fatal("no contact")
 	}
 }
@@ -92,17 +92,17 @@
 // The owner and the registers' goroutine each have a queue, and neither waits for the other's.
 func TestQueuesDoNotBlockEachOther(t *testing.T) {
 	k := still(t, "k1")
-	for range queueMost {
+	for range maxQueuedCommands {
 		k.commands <- func() {}
-		k.agree.commands <- func() {}
+		k.registers.commands <- func() {}
 	}
 	done := make(chan struct{})
 	go func() { // the registers' goroutine
 		defer close(done)
-		k.agree.decided(configRegister, paxos.State{Slot: 1, Voters: []paxos.Voter{{ID: 9, Name: "k2"}}})
-		k.agree.send(configRegister, paxos.Voter{ID: 9, Name: "k2"}, nil)
-		k.agree.askWhereUnknown(configRegister)
-		k.spread(configRegister, paxos.State{})
+		k.registers.publishDecided(configRegister, paxos.State{Slot: 1, Voters: []paxos.Voter{{ID: 9, Name: "k2"}}})
+		k.registers.send(configRegister, paxos.Voter{ID: 9, Name: "k2"}, nil)
+		k.registers.queryIfUnknown(configRegister)
+		k.broadcastDecided(configRegister, paxos.State{})
 	}()
 	get(t, done, "the end of what the registers' goroutine does")
 	failed := make(chan error, 1)
@@ -125,7 +125,7 @@
 		default:
 		}
 	}
-	k.do(again)
+	k.submit(again)
 	get(t, r.raw(0, "p").pushes, "a push")
 }
 
@@ -133,28 +133,28 @@
 func TestUnacknowledgedIsBounded(t *testing.T) {
 	k := still(t, "k1")
 	conns, _ := wires(t, 1)
-	k.hello(&link.Message{Conn: conns[0], Body: hello("p", controlclient.RoleProxy)})
+	k.handleHello(&link.Message{Conn: conns[0], Body: hello("p", controlclient.RoleProxy)})
 	confirmContact(t, k)
 	p := k.attached[conns[0]]
 	beat := func(i int) {
-		k.table.Beat(0, snapshot.Endpoint{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("a:", i), CallCount: 1})
+		k.endpoints.Beat(0, snapshot.Endpoint{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("a:", i), CallCount: 1})
 		k.pushAll()
 	}
 	for i := range 1000 {
 		beat(i)
 	}
-	if p.pushed > unackedMost || len(p.marks) > unackedMost || p.inForce() != (mark{}) {
-		t.Fatalf("%d pushes, %d marks, in force %+v", p.pushed, len(p.marks), p.inForce())
+	if p.pushedNumber > maxUnackedPushes || len(p.pushMarks) > maxUnackedPushes || p.acknowledged() != (pushMark{}) {
+		t.Fatalf("%d pushes, %d marks, in force %+v", p.pushedNumber, len(p.pushMarks), p.acknowledged())
 	}
-	if p.ack(p.pushed / 2); p.inForce().number != p.pushed/2 || p.inForce().change >= k.table.Newest() {
-		t.Fatalf("%+v", p.inForce())
+	if p.acknowledge(p.pushedNumber / 2); p.acknowledged().number != p.pushedNumber/2 || p.acknowledged().listRevision >= k.endpoints.Newest() {
+		t.Fatalf("%+v", p.acknowledged())
 	}
 	k.pushAll()
-	if p.ack(1 << 60); p.inForce().change != k.table.Newest() || len(p.marks) != 1 {
-		t.Fatalf("%+v, %d marks", p.inForce(), len(p.marks))
+	if p.acknowledge(1 << 60); p.acknowledged().listRevision != k.endpoints.Newest() || len(p.pushMarks) != 1 {
+		t.Fatalf("%+v, %d marks", p.acknowledged(), len(p.pushMarks))
 	}
 	beat(2000)
-	if p.inForce().change == k.table.Newest() {
+	if p.acknowledged().listRevision == k.endpoints.Newest() {
 		t.Fatal("in force before it was acknowledged")
 	}
 }
@@ -164,7 +164,7 @@
 	k := still(t, "k1")
 	conns, _ := wires(t, 2)
 	for _, c := range conns {
-		k.hello(&link.Message{Conn: c, Body: hello("p", controlclient.RoleProxy)})
+		k.handleHello(&link.Message{Conn: c, Body: hello("p", controlclient.RoleProxy)})
 	}
 	if len(k.attached) != 1 || k.attached[conns[1]] == nil || !ended(conns[0]) || ended(conns[1]) {
 		t.Fatalf("%d are attached", len(k.attached))
@@ -198,7 +198,7 @@
 		if p.conn != conns[c.used] || ended(conns[0]) != c.firstEnds || ended(conns[1]) != c.secondEnds {
 			t.Fatalf("%s: the first is used: %v, ended %v, %v", c.what, p.conn == conns[0], ended(conns[0]), ended(conns[1]))
 		}
-		if got := k.links().to(paxos.Voter{ID: 7}); got != p.conn {
+		if got := k.knownPeers().connTo(paxos.Voter{ID: 7}); got != p.conn {
 			t.Fatalf("%s: the registers use another link", c.what)
 		}
 		// The link in use ends, and the other takes its place if it is there.
@@ -207,14 +207,14 @@
 		if p.conn != other {
 			t.Fatalf("%s: the other link is not used", c.what)
 		}
-		if !k.links().connectedIDs(1)[7] {
+		if !k.knownPeers().connectedIDs(1)[7] {
 			t.Fatalf("%s: it does not count as connected", c.what)
 		}
 		k.dropLink(other)
-		if p.conn != nil || len(k.conns) != 0 || k.links().to(paxos.Voter{ID: 7}) != nil {
+		if p.conn != nil || len(k.peerLinks) != 0 || k.knownPeers().connTo(paxos.Voter{ID: 7}) != nil {
 			t.Fatalf("%s: links are left", c.what)
 		}
-		if k.links().connectedIDs(1)[7] {
+		if k.knownPeers().connectedIDs(1)[7] {
 			t.Fatalf("%s: it counts as connected", c.what)
 		}
 	}
@@ -244,11 +244,11 @@
 		for _, sum := range sums {
 			w.U64(sum)
 		}
-		k.receiveHeard(k.life.Add(at), &link.Message{Conn: conns[0], Body: w.B})
+		k.handleLiveness(k.startedAt.Add(at), &link.Message{Conn: conns[0], Body: w.B})
 	}
 	other := [registry.Parts]uint64{3: 1}
 	word(other, 0)
-	word(k.digests(), 0) // it was a change under way
+	word(k.endpointDigests(), 0) // it was a change under way
 	word(other, 0)
 	word(other, 0) // asks
 	for range 9 {
@@ -283,10 +283,10 @@
 // drainUnheard makes one keeper take a drain and tell nobody.
 func (r *rig) drainUnheard(i int, id string, count uint64) {
 	k := r.running[i].k
-	if changed, ok := ask(k, func() bool {
-		e, _ := k.table.Get(k.since(time.Now()), id)
+	if changed, ok := query(k, func() bool {
+		e, _ := k.endpoints.Get(k.sinceStart(time.Now()), id)
 		e.State, e.CallCount = snapshot.Draining, count
-		return k.table.Beat(k.since(time.Now()), e.Endpoint)
+		return k.endpoints.Beat(k.sinceStart(time.Now()), e.Endpoint)
 	}); !changed || !ok {
 		r.t.Fatal("the drain is not taken")
 	}
@@ -322,7 +322,7 @@
 	}
 	for i := range 3 {
 		k := r.running[i].k
-		if there, _ := ask(k, func() bool { _, there := k.table.Get(k.since(time.Now()), "1"); return there }); !there {
+		if there, _ := query(k, func() bool { _, there := k.endpoints.Get(k.sinceStart(time.Now()), "1"); return there }); !there {
 			t.Fatalf("keeper %d does not know of it", i+1)
 		}
 	}
@@ -373,14 +373,14 @@
 func TestEndedKeeperAcknowledgesNothing(t *testing.T) {
 	k := still(t, "k1")
 	close(k.ended)
-	for range queueMost { // nobody takes commands any more
+	for range maxQueuedCommands { // nobody takes commands any more
 		k.commands <- func() {}
 	}
 	beat := `{"service":"s","address":"a:1","state":"ready","call_count":1}`
 	for _, c := range [][3]string{{"PUT", "/instances/1", beat}, {"DELETE", "/instances/1", ""}, {"GET", "/status", ""}, {"GET", "/config", ""},
 		{"POST", "/retire/x", ""}, {"GET", "/retire/x", ""}} {
 		w := httptest.NewRecorder()
-		k.handler().ServeHTTP(w, httptest.NewRequest(c[0], c[1], strings.NewReader(c[2])))
+		k.httpHandler().ServeHTTP(w, httptest.NewRequest(c[0], c[1], strings.NewReader(c[2])))
 		if w.Code != 503 {
 			t.Fatalf("%s %s: %d", c[0], c[1], w.Code)
 		}
@@ -397,7 +397,7 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- r.beat(0, "1", "draining", 1) }()
 	until(t, "the call waits", func() bool {
-		waits, _ := ask(r.running[0].k, func() bool { return len(r.running[0].k.waiting) > 0 })
+		waits, _ := query(r.running[0].k, func() bool { return len(r.running[0].k.waiters) > 0 })
 		return waits
 	})
 	r.kill(0)
@@ -415,7 +415,7 @@
 		t.Fatal(a)
 	}
 	run, disk := r.running[0], r.disks[0]
-	run.k.agree.do(func() { disk.FailAt, disk.Fails = disk.Ops+1, 1<<30 })
+	run.k.registers.submit(func() { disk.FailAt, disk.Fails = disk.Ops+1, 1<<30 })
 	r.untilCode(200, func() answer { return r.put(1, 5, 3, "b") })
 	if err := get(t, run.done, "the end of the keeper"); !recordlog.Failed.Has(err) {
 		t.Fatal(err)
@@ -433,23 +433,23 @@
 	k := still(t, "k1")
 	conns, far := wires(t, 1)
 	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, true)
-	k.agree.askWhereUnknown(tableRegister)
+	k.registers.queryIfUnknown(partitionsRegister)
 	for m := get(t, far.messages, "the question"); m.Kind != controlclient.Agree; m = get(t, far.messages, "the question") {
 	}
 }
 
-// A keeper's list of attached processes may come before it is known who dialled: it counts from then on.
+// A keeper's list of attached processes may come before it is known who dialed: it counts from then on.
 func TestAttachedBeforeAdopted(t *testing.T) {
 	k := still(t, "k1")
 	conns, _ := wires(t, 1)
 	w := link.Writer{}
 	controlclient.AppendNodes(&w, []controlclient.Node{{Name: "s", Role: controlclient.RoleStore, ID: 9, Addr: "127.0.0.1:3", Zone: "z"}})
-	k.message(&link.Message{Conn: conns[0], Kind: controlclient.Attached, Body: w.B})
-	if n := len(k.stores()); n != 0 {
+	k.handleMessage(&link.Message{Conn: conns[0], Kind: controlclient.Attached, Body: w.B})
+	if n := len(k.attachedStores()); n != 0 {
 		t.Fatalf("%d stores by the word of one who is not known", n)
 	}
 	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, true)
-	if _, there := k.stores()[9]; !there {
+	if _, there := k.attachedStores()[9]; !there {
 		t.Error("the store that was told of before is not known")
 	}
 }
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -83,17 +83,17 @@
 func goldenDocument() *document {
 	v := &document{version: 71, raw: []byte(`{"version":71}`)}
 	for i := range 3 {
-		var t taken
+		var t acceptedVersion
 		t.version = uint64(69 + i)
 		for j := range t.digest {
 			t.digest[j] = byte(0x70 + 0x20*i + j)
 		}
-		v.past = append(v.past, t)
+		v.accepted = append(v.accepted, t)
 	}
 	return v
 }
 
-// goldenState is a decided state, also of the fields that only internal/consensus/paxos reads.
+// goldenState is a decided state, also of the fields that only internal/agree reads.
 func goldenState(t *testing.T, slot uint64, value []byte) paxos.State {
 	t.Helper()
 	w := link.Writer{}
@@ -115,11 +115,11 @@
 func goldenKeeper(t *testing.T) (k *Keeper, far *sink) {
 	t.Helper()
 	k = still(t, goldenSelf.Name)
-	k.self, k.agree.id = goldenSelf, goldenSelf.ID
+	k.self, k.registers.id = goldenSelf, goldenSelf.ID
 	conns, far := wires(t, 1)
 	p := &peer{node: goldenPeer, conn: conns[0]}
 	k.peers[goldenPeer.Name] = p
-	k.conns[conns[0]] = &peerLink{peer: p, life: goldenPeer.Life, dialled: true}
+	k.peerLinks[conns[0]] = &peerLink{peer: p, incarnation: goldenPeer.Life, dialed: true}
 	k.connectionsChanged()
 	confirmContact(t, k)
 	k.contactUntil.Store(int64(k.contact.Until()))
@@ -161,7 +161,7 @@
 		return m, readGolden(t, name)[1:]
 	}
 
-	k.tellEntries([]registry.Entry{goldenEntry}, &waiter{})
+	k.broadcastEntries([]registry.Entry{goldenEntry}, &ackWaiter{})
 	m, body := next("entries")
 	entries := decoded(t, body, func(r *link.Reader) (list []registry.Entry) {
 		for range r.Count(16) {
@@ -177,19 +177,19 @@
 	m.Reply(nil)
 
 	k.attached[nil] = &attachedProcess{node: goldenProxy}
-	k.tellAttached()
+	k.broadcastAttached()
 	_, body = next("attached")
 	same(t, decoded(t, body, controlclient.ReadNodes), []controlclient.Node{goldenProxy})
 	delete(k.attached, nil)
 
-	k.leaving = true
-	k.agree.mu.Lock()
-	k.agree.known = goldenVoters
+	k.shuttingDown = true
+	k.registers.mu.Lock()
+	k.registers.allVoters = goldenVoters
 	for i, name := range registerNames {
-		k.agree.stored[name] = uint64(91 + i)
+		k.registers.storedSlots[name] = uint64(91 + i)
 	}
-	k.agree.mu.Unlock()
-	k.sendReports()
+	k.registers.mu.Unlock()
+	k.broadcastReport()
 	_, body = next("report")
 	report := controlclient.KeeperReport{InContact: true, Leaving: true, Slots: []uint64{91, 92, 93}, Heard: []uint64{goldenSelf.ID, goldenPeer.ID}}
 	same(t, decoded(t, body, controlclient.ReadKeeperReport), report)
@@ -197,8 +197,8 @@
 	since := time.Hour
 	heard := goldenEntry.Endpoint
 	heard.State = snapshot.Ready
-	k.table.Beat(since, heard)
-	k.sendHeard(k.life.Add(since + 1234*time.Millisecond))
+	k.endpoints.Beat(since, heard)
+	k.broadcastLiveness(k.startedAt.Add(since + 1234*time.Millisecond))
 	_, body = next("heard")
 	signs := decoded(t, body, func(r *link.Reader) (list []registry.Heard) {
 		for range r.Count(9) {
@@ -208,7 +208,7 @@
 			}
 			list = append(list, h)
 		}
-		sums := k.table.Digests()
+		sums := k.endpoints.Digests()
 		for i := range sums {
 			if sum := r.U64(); sum != sums[i] {
 				t.Errorf("digest %d is %x, not %x", i, sum, sums[i])
@@ -219,7 +219,7 @@
 	same(t, signs, []registry.Heard{{ID: heard.ID, Alive: heard.CallCount, Age: 1234 * time.Millisecond}})
 	_, _ = received(t, far) // a report goes with each
 
-	k.spread(configRegister, goldenState(t, 85, []byte("value-86")))
+	k.broadcastDecided(configRegister, goldenState(t, 85, []byte("value-86")))
 	_, body = next("learn")
 	state := decoded(t, body, func(r *link.Reader) paxos.State {
 		if name := r.String(); name != configRegister {
@@ -229,24 +229,24 @@
 	})
 	same(t, state, goldenState(t, 85, []byte("value-86")))
 
-	k.agree.send(tableRegister, paxos.Voter{ID: goldenPeer.ID, Name: goldenPeer.Name, Addr: goldenPeer.Addr}, []byte("message-87"))
+	k.registers.send(partitionsRegister, paxos.Voter{ID: goldenPeer.ID, Name: goldenPeer.Name, Addr: goldenPeer.Addr}, []byte("message-87"))
 	_, body = next("agree")
 	decoded(t, body, func(r *link.Reader) any {
-		same(t, []any{r.String(), r.U64(), r.String(), r.String(), string(r.Bytes())}, []any{tableRegister, goldenSelf.ID, goldenSelf.Name, goldenSelf.Addr, "message-87"})
+		same(t, []any{r.String(), r.U64(), r.String(), r.String(), string(r.Bytes())}, []any{partitionsRegister, goldenSelf.ID, goldenSelf.Name, goldenSelf.Addr, "message-87"})
 		return nil
 	})
 
-	k.requestGrants(time.Now(), dutyAssign, k.assigner.lease, 1, map[uint64]bool{goldenPeer.ID: true})
+	k.requestGrants(time.Now(), assignRole, k.assigner.lease, 1, map[uint64]bool{goldenPeer.ID: true})
 	m, body = next("lease-request")
 	lease := func(r *link.Reader) []any { return []any{r.String(), r.String(), r.Bool()} }
 	same(t, decoded(t, body, lease), []any{"assign", goldenSelf.Name, false})
 	m.Reply([]byte{0})
-	k.releaseGrants(dutyVoters)
+	k.releaseGrants(votersRole)
 	m, body = next("lease-release")
 	same(t, decoded(t, body, lease), []any{"voters", goldenSelf.Name, true})
 	m.Reply([]byte{0})
 
-	sums := k.table.Digests()
+	sums := k.endpoints.Digests()
 	sums[3]++
 	other := link.Writer{}
 	other.U32(0)
@@ -254,13 +254,13 @@
 		other.U64(sum)
 	}
 	conn := k.peers[goldenPeer.Name].conn
-	for range differsTwice {
-		k.receiveHeard(time.Now(), &link.Message{Conn: conn, Kind: controlclient.Heard, Body: other.B})
+	for range mismatchesBeforeRequest {
+		k.handleLiveness(time.Now(), &link.Message{Conn: conn, Kind: controlclient.Heard, Body: other.B})
 	}
 	next("missing")
 
 	trouble := controlclient.Trouble{Node: goldenStore, Reason: "reason-88"}
-	k.troubleReported(time.Now(), &link.Message{Conn: conn, Kind: controlclient.ProcessTrouble, Body: trouble.Encode()})
+	k.handleCondition(time.Now(), &link.Message{Conn: conn, Kind: controlclient.ProcessTrouble, Body: trouble.Encode()})
 	_, body = next("process-trouble")
 	trouble.Relayed = true
 	read, err := controlclient.ReadTrouble(body)
@@ -273,13 +273,13 @@
 	conns, far := wires(t, 1)
 	k.config = &document{version: 101, raw: []byte(`{"version":101}`)}
 	k.certificates = &document{version: 102, raw: []byte(`{"version":102}`)}
-	k.parts, k.senders, k.keepersChange, k.pushedListening = goldenTable, 103, 104, true
+	k.partitions, k.proxyCount, k.keepersRevision, k.pushedListComplete = goldenTable, 103, 104, true
 	entry := goldenEntry
 	entry.Silent, entry.ColdLeftMs = false, 0
-	k.table.Merge(0, []registry.Entry{entry})
-	p := &attachedProcess{node: goldenProxy, conn: conns[0], endpoints: true, pushed: 104}
-	u, change := k.update(p, k.life, true)
-	k.push(p, pushMessage{u.Encode(), change}, true)
+	k.endpoints.Merge(0, []registry.Entry{entry})
+	p := &attachedProcess{node: goldenProxy, conn: conns[0], wantsEndpoints: true, pushedNumber: 104}
+	u, change := k.buildUpdate(p, k.startedAt, true)
+	k.push(p, encodedUpdate{u.Encode(), change}, true)
 	_, b := received(t, far)
 	golden(t, "push", b)
 	got, err := controlclient.ReadUpdate(readGolden(t, "push")[1:])
@@ -294,7 +294,7 @@
 // calledKeeper answers calls over links as a keeper does that runs.
 type calledKeeper struct{ k *Keeper }
 
-func (c calledKeeper) Message(m *link.Message) { c.k.message(m) }
+func (c calledKeeper) Message(m *link.Message) { c.k.handleMessage(m) }
 func (c calledKeeper) Closed(*link.Conn)       {}
 
 // TestGoldenCallsOverLinks: the calls that a keeper makes when it dials, and the answers to those that it takes, are as the
@@ -305,7 +305,7 @@
 	addr, served := serveLinks(t, far), serveLinks(t, calledKeeper{k})
 
 	dialled := make(chan struct{})
-	go func() { k.dial(addr); close(dialled) }()
+	go func() { k.dialKeeper(addr); close(dialled) }()
 	m := get(t, far.messages, "hello")
 	golden(t, "hello", append([]byte{byte(m.Kind)}, m.Body...))
 	decoded(t, readGolden(t, "hello")[1:], func(r *link.Reader) any {
@@ -342,8 +342,8 @@
 		return nil
 	})
 	same(t, call("in-contact-reply", controlclient.InContact, nil), []byte{1})
-	same(t, call("lease-reply", controlclient.Lease, leaseBody(dutyAssign, "nobody", false)), []byte{0})
-	same(t, call("lease-release-reply", controlclient.Lease, leaseBody(dutyAssign, "nobody", true)), []byte{})
+	same(t, call("lease-reply", controlclient.Lease, leaseMessage{assignRole, "nobody", false}.encode()), []byte{0})
+	same(t, call("lease-release-reply", controlclient.Lease, leaseMessage{assignRole, "nobody", true}.encode()), []byte{})
 	same(t, call("process-trouble-reply", controlclient.ProcessTrouble, (&controlclient.Trouble{Node: goldenStore, Reason: "r", Relayed: true}).Encode()), []byte{})
 	same(t, call("entries-reply", controlclient.Entries, []byte{0, 0, 0, 0}), []byte{})
 }
@@ -363,28 +363,28 @@
 // TestGoldenRecords: the records of keeper.log and the values of the registers are as the golden files have them.
 func TestGoldenRecords(t *testing.T) {
 	k := still(t, goldenSelf.Name)
-	a := k.agree
+	a := k.registers
 	a.id = goldenSelf.ID
-	golden(t, "record-identity", a.identity())
-	golden(t, "record-register", registerRecord(certificatesRegister, []byte("payload-111")))
-	golden(t, "record-first-voters", firstVoters(goldenVoters))
-	replayed := &agreement{saved: map[string][][]byte{}}
+	golden(t, "record-identity", a.identityRecord())
+	golden(t, "record-register", encodeRegisterRecord(certificatesRegister, []byte("payload-111")))
+	golden(t, "record-first-voters", encodeFirstVotersRecord(goldenVoters))
+	replayed := &registerSet{replayed: map[string][][]byte{}}
 	for _, name := range []string{"record-identity", "record-register", "record-first-voters"} {
-		if err := replayed.replay(readGolden(t, name)); err != nil {
+		if err := replayed.replayRecord(readGolden(t, name)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	same(t, replayed, &agreement{id: goldenSelf.ID, saved: map[string][][]byte{certificatesRegister: {[]byte("payload-111")}}, first: goldenVoters})
+	same(t, replayed, &registerSet{id: goldenSelf.ID, replayed: map[string][][]byte{certificatesRegister: {[]byte("payload-111")}}, firstVoters: goldenVoters})
 
 	golden(t, "value-document", goldenDocument().encode())
-	v, err := readDocument(readGolden(t, "value-document"))
+	v, err := decodeDocument(readGolden(t, "value-document"))
 	same(t, []any{v, err}, []any{goldenDocument(), error(nil)})
 	same(t, v.encode(), readGolden(t, "value-document"))
 
 	w := link.Writer{}
 	controlclient.AppendTable(&w, goldenTable)
 	golden(t, "value-table", w.B)
-	table, err := tableOf(paxos.State{Value: readGolden(t, "value-table")})
+	table, err := decodeTable(paxos.State{Value: readGolden(t, "value-table")})
 	same(t, []any{table, err}, []any{goldenTable, error(nil)})
 }
 
@@ -411,20 +411,20 @@
 		t.Fatal(err)
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "identity %x\n", k.agree.id)
+	fmt.Fprintf(&text, "identity %x\n", k.registers.id)
 	for _, name := range registerNames {
-		state, known := k.agree.state(name)
+		state, known := k.registers.state(name)
 		fmt.Fprintf(&text, "register %s: known %v, slot %d\n", name, known, state.Slot)
 		for _, voter := range state.Voters {
 			fmt.Fprintf(&text, "  voter %x %s %s\n", voter.ID, voter.Name, voter.Addr)
 		}
-		if name != tableRegister {
-			v, err := readDocument(state.Value)
+		if name != partitionsRegister {
+			v, err := decodeDocument(state.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(&text, "  version %d %s\n", v.version, v.raw)
-			for _, past := range v.past {
+			for _, past := range v.accepted {
 				fmt.Fprintf(&text, "  taken %d %x\n", past.version, past.digest)
 			}
 		}
@@ -449,32 +449,32 @@
 // TestGoldenStatus: the status that operators are shown is as the golden file has it.
 func TestGoldenStatus(t *testing.T) {
 	k, _ := goldenKeeper(t)
-	k.config, k.certificates, k.parts, k.senders = &document{version: 121}, &document{version: 122}, &snapshot.Table{Number: 123}, 124
-	k.agree.mu.Lock()
-	k.agree.known = goldenVoters
-	k.agree.unsaved = fmt.Errorf("disk trouble 125")
+	k.config, k.certificates, k.partitions, k.proxyCount = &document{version: 121}, &document{version: 122}, &snapshot.Table{Number: 123}, 124
+	k.registers.mu.Lock()
+	k.registers.allVoters = goldenVoters
+	k.registers.saveErr = fmt.Errorf("disk trouble 125")
 	for _, name := range registerNames {
-		k.agree.states[name] = paxos.State{Voters: goldenVoters}
+		k.registers.states[name] = paxos.State{Voters: goldenVoters}
 	}
-	k.agree.mu.Unlock()
-	now := k.since(time.Now())
+	k.registers.mu.Unlock()
+	now := k.sinceStart(time.Now())
 	if ask, _, round := k.assigner.lease.Step(now, 1); ask {
 		k.assigner.lease.Granted(now, round, "x")
 	}
-	k.attached[nil] = &attachedProcess{node: goldenProxy, pushed: 130, acked: 3, marks: []mark{{number: 2, version: 126, certificates: 128}}}
-	k.table.Merge(now, []registry.Entry{{Endpoint: goldenEntry.Endpoint, Alive: 19}})
-	k.troubles.take(time.Now(), controlclient.Trouble{Node: goldenStore, Reason: "reason-129"})
-	for _, known := range k.troubles {
-		known.began = known.began.Add(-131 * time.Second)
+	k.attached[nil] = &attachedProcess{node: goldenProxy, pushedNumber: 130, ackedNumber: 3, pushMarks: []pushMark{{number: 2, configVersion: 126, certificatesVersion: 128}}}
+	k.endpoints.Merge(now, []registry.Entry{{Endpoint: goldenEntry.Endpoint, Alive: 19}})
+	k.conditions.update(time.Now(), controlclient.Trouble{Node: goldenStore, Reason: "reason-129"})
+	for _, known := range k.conditions {
+		known.firstReportedAt = known.firstReportedAt.Add(-131 * time.Second)
 	}
 	golden(t, "status.json", k.statusJSON())
 	var read status
 	if err := json.Unmarshal(readGolden(t, "status.json"), &read); err != nil {
 		t.Fatal(err)
 	}
-	same(t, read, status{Node: "k1", Voter: true, InContact: true, Version: 121, Certificates: 122, Table: 123, Senders: 124, Duty: true,
+	same(t, read, status{Node: "k1", Voter: true, InContact: true, ConfigVersion: 121, CertificatesVersion: 122, TableNumber: 123, Proxies: 124, AssignsPartitions: true,
 		Voters: []string{"k1", "k2", "k5"}, Keepers: []string{"k1", "k2"}, Attached: []attachedStatus{{"p3", "proxy", "zc", 126, 128, 127}},
-		Services: map[string]int{"svc-7": 1}, Disk: "disk trouble 125", Troubled: []troubleStatus{{"s4", "store", "zd", "reason-129", 131}}})
+		EndpointsByService: map[string]int{"svc-7": 1}, DiskCondition: "disk trouble 125", Conditions: []conditionStatus{{"s4", "store", "zd", "reason-129", 131}}})
 	again, err := json.MarshalIndent(read, "", "  ")
 	same(t, []any{string(again) + "\n", err}, []any{string(readGolden(t, "status.json")), error(nil)})
 }
@@ -484,7 +484,7 @@
 	r := newRig(t, 1)
 	r.startAll()
 	k := r.running[0].k
-	ask(k, func() bool { k.leaving = true; k.assigner.lease.Stop(); return true }) // nobody else changes the table
+	query(k, func() bool { k.shuttingDown = true; k.assigner.lease.Stop(); return true }) // nobody else changes the table
 	r.untilCode(200, func() answer { return r.put(0, 7, 0, "golden") })
 	r.untilCode(404, func() answer { return r.call(0, "POST", "/retire/nobody", "", []byte(`{"over_s":10}`)) })
 	table := make(chan error, 1)
@@ -493,7 +493,7 @@
 		t.Fatal(err)
 	}
 	var text strings.Builder
-	handler := k.handler()
+	handler := k.httpHandler()
 	call := func(method, path, match, body string) {
 		t.Helper()
 		var out *httptest.ResponseRecorder
@@ -541,9 +541,9 @@
 
 	out := httptest.NewRecorder()
 	refuse(out, http.StatusServiceUnavailable, "why-1")
-	acknowledge(out, "10.0.0.2:3")
+	acknowledgeHeartbeat(out, "10.0.0.2:3")
 	golden(t, "http-503.txt", fmt.Appendf(nil, "%d %v\n%s\n", out.Code, out.Header(), out.Body))
-	b, err := json.Marshal(putAnswer{Version: 1, InForce: true, WithinMs: 2})
+	b, err := json.Marshal(putCertificatesAnswer{Version: 1, InForce: true, WithinMs: 2})
 	same(t, []any{string(b), err}, []any{`{"version":1,"in_force":true,"within_ms":2}`, error(nil)})
 }
 
@@ -551,7 +551,7 @@
 func TestGoldenMetrics(t *testing.T) {
 	k := still(t, "k1")
 	w := &statusWriter{httptest.NewRecorder(), http.StatusTeapot}
-	k.answered(call{method: http.MethodGet, path: "/golden/"}, "name", w, time.Now())
+	k.recordAnswer(route{method: http.MethodGet, path: "/golden/"}, "name", w.status, time.Now())
 	var all bytes.Buffer
 	metrics.WritePrometheus(&all, false)
 	var names []string
--- a/internal/control/keeper/history_check_test.go
+++ b/internal/control/keeper/history_check_test.go
@@ -63,7 +63,7 @@
 					answer()
 				}
 			}
-			if err := h.check(checkWait); (err == nil) != test.holds {
+			if err := h.check(); (err == nil) != test.holds {
 				t.Fatalf("%v\n%s", err, h)
 			}
 		})
--- a/internal/control/keeper/history_test.go
+++ b/internal/control/keeper/history_test.go
@@ -14,7 +14,7 @@
 type history struct {
 	clock      int64
 	operations []porcupine.Operation
-	orders     []documentOrder // by the numbers that their bytes tell
+	orders     []documentPut // by the numbers that their bytes tell
 }
 
 func newHistory() *history { return &history{} }
@@ -53,7 +53,7 @@
 
 // newOrder makes an order whose bytes no other one has.
 func (h *history) newOrder(version, base uint64) int {
-	h.orders = append(h.orders, documentOrder{version: version, base: base, raw: fmt.Appendf(nil, "order %d", len(h.orders))})
+	h.orders = append(h.orders, documentPut{version: version, base: base, raw: fmt.Appendf(nil, "order %d", len(h.orders))})
 	return len(h.orders) - 1
 }
 
@@ -140,8 +140,11 @@
 	}
 }
 
+// checkWait bounds the check of one history.
+const checkWait = 20 * time.Second
+
 // check looks whether some order of the calls explains all that was seen.
-func (h *history) check(within time.Duration) error {
+func (h *history) check() error {
 	var all []porcupine.Operation
 	for _, o := range h.operations {
 		if o.Input.(registerCall).order == readCall && o.Output.(registerAnswer).status != http.StatusOK {
@@ -151,11 +154,11 @@
 	}
 	now := h.tick()
 	all = append(all, porcupine.Operation{ClientId: len(h.operations), Input: registerCall{order: endCall}, Call: now, Output: registerAnswer{}, Return: h.tick()})
-	switch porcupine.CheckOperationsTimeout(registerModel, all, within) {
+	switch porcupine.CheckOperationsTimeout(registerModel, all, checkWait) {
 	case porcupine.Ok:
 		return nil
 	case porcupine.Unknown:
-		return fmt.Errorf("not decided within %v: %d calls", within, len(all))
+		return fmt.Errorf("not decided within %v: %d calls", checkWait, len(all))
 	}
 	return fmt.Errorf("not linearizable:\n%s", h)
 }
--- /dev/null
+++ b/internal/control/keeper/http.go
@@ -0,0 +1,187 @@
+package keeper
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"dunetide/internal/control/certification"
+)
+
+const (
+	// maxSmallBody and maxConfigBody bound request bodies, in bytes.
+	maxSmallBody  = 64 << 10
+	maxConfigBody = 8 << 20
+	// largeBodyBytes is above the size of everyday documents. Reading and parsing a larger one takes several times
+	// its size, so no more than maxLargeBodies of them are in memory at once: eight documents of 8 MB would take a
+	// keeper over the memory of its machine.
+	largeBodyBytes = 1 << 20
+	maxLargeBodies = 2
+	// proposeTimeout bounds an operation on a register for a caller. It is below the second after which an operator
+	// goes on to another keeper.
+	proposeTimeout = 900 * time.Millisecond
+	// retryAfter is in how many seconds a call that was answered 503 may be sent again as it is.
+	retryAfter = "0.2"
+)
+
+// Timeouts and limits of the HTTP server.
+const (
+	readHeaderTimeout = 3 * time.Second
+	readTimeout       = 30 * time.Second
+	writeTimeout      = time.Minute
+	idleTimeout       = 30 * time.Second
+	maxHeaderBytes    = 32 << 10
+)
+
+// Errors that say nothing about what was asked: another keeper may answer.
+var (
+	errShuttingDown = errors.New("this keeper stops: ask another one")
+	errNoContact    = errors.New("no contact with a majority: ask another keeper")
+	// errNotAtMajority is about a change that was made here and sent to the keepers that are connected, so a repeat
+	// does no harm.
+	errNotAtMajority = errors.New(
+		"a majority has not confirmed in time that the endpoint ends: send it again, or to another keeper")
+	errListFull = errors.New("the list of endpoints is full: remove some")
+)
+
+// route is a row of the table of all HTTP calls.
+type route struct {
+	method  string
+	path    string // one that ends with a slash takes a name behind it
+	maxBody int64  // in bytes
+	serve   func(k *Keeper, w http.ResponseWriter, name string, body []byte, r *http.Request)
+}
+
+// routes are the calls of endpoints, at /instances/, and of operators.
+var routes = []route{
+	{http.MethodPut, "/instances/", maxSmallBody, (*Keeper).putInstance},
+	{http.MethodDelete, "/instances/", maxSmallBody, (*Keeper).deleteInstance},
+	{http.MethodPut, "/config", maxConfigBody, (*Keeper).putConfig},
+	{http.MethodGet, "/config", 0, (*Keeper).getConfig},
+	{http.MethodPut, certificatesPath, certification.DocumentMost, (*Keeper).putCertificates},
+	{http.MethodGet, certificatesPath, 0, (*Keeper).getCertificates},
+	{http.MethodPost, "/retire/", maxSmallBody, (*Keeper).postRetire},
+	{http.MethodGet, "/retire/", 0, (*Keeper).getRetire},
+	{http.MethodGet, "/status", 0, (*Keeper).getStatus},
+}
+
+func (k *Keeper) newHTTPServer() *http.Server {
+	return &http.Server{
+		Handler:           k.httpHandler(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+}
+
+// httpHandler serves the routes. http.ServeMux isn't used, as it redirects and cleans paths, and answers errors as
+// text.
+func (k *Keeper) httpHandler() http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		began, pathFound := time.Now(), false
+		for _, route := range routes {
+			name, matches := route.match(r.URL.Path)
+			if matches && route.method == r.Method {
+				k.serveRoute(w, r, route, name, began)
+				return
+			}
+			pathFound = pathFound || matches
+		}
+		if pathFound {
+			refuse(w, http.StatusMethodNotAllowed, "this path is called with another method")
+			return
+		}
+		refuse(w, http.StatusNotFound, "no such call")
+	})
+}
+
+// match reports whether a path is the route's, and returns the name at its end.
+func (route route) match(path string) (name string, ok bool) {
+	if !strings.HasSuffix(route.path, "/") {
+		return "", path == route.path
+	}
+	name, ok = strings.CutPrefix(path, route.path)
+	return name, ok && name != "" && !strings.Contains(name, "/")
+}
+
+// serveRoute reads the body of a call and serves it.
+func (k *Keeper) serveRoute(w http.ResponseWriter, r *http.Request, route route, name string, began time.Time) {
+	release, ok := k.admitBody(route, r)
+	if !ok {
+		// Unless the body is read, the answer may be lost with the connection.
+		_, _ = io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, route.maxBody))
+		refuse(w, http.StatusServiceUnavailable,
+			"too many large bodies are in hand: send it again, or to another keeper")
+		return
+	}
+	defer release()
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max(route.maxBody, 1)))
+	if err != nil {
+		refuseBody(w, route, err)
+		return
+	}
+	recorder := &statusWriter{w, http.StatusOK}
+	route.serve(k, recorder, name, body, r)
+	k.recordAnswer(route, name, recorder.status, began)
+}
+
+// refuseBody answers a call whose body could not be read.
+func refuseBody(w http.ResponseWriter, route route, err error) {
+	if _, tooLarge := errors.AsType[*http.MaxBytesError](err); tooLarge {
+		refuse(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("the body is over %d bytes: send less", route.maxBody))
+		return
+	}
+	// A part of a request says nothing about the whole one, which may have been accepted before.
+	refuse(w, http.StatusRequestTimeout, "the body was cut: send it again whole")
+}
+
+// admitBody waits until a call's body may be read; !ok: others were in memory for too long. A body of unknown length
+// counts as large where it may be.
+func (k *Keeper) admitBody(route route, r *http.Request) (release func(), ok bool) {
+	if route.maxBody <= largeBodyBytes || r.ContentLength >= 0 && r.ContentLength <= largeBodyBytes {
+		return func() {}, true
+	}
+	timeout := time.NewTimer(proposeTimeout)
+	defer timeout.Stop()
+	select {
+	case k.largeBodySlots <- struct{}{}:
+		return func() { <-k.largeBodySlots }, true
+	case <-timeout.C:
+	case <-r.Context().Done():
+	case <-k.ended:
+	}
+	return nil, false
+}
+
+// answerJSON answers a call that succeeded.
+func answerJSON(w http.ResponseWriter, body []byte) {
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(body) // the caller is gone
+}
+
+// refuse answers a call that didn't succeed. 503 says that nothing is known, here and now, about what was asked.
+func refuse(w http.ResponseWriter, status int, reason string) {
+	w.Header().Set("Content-Type", "application/json")
+	if status == http.StatusServiceUnavailable {
+		w.Header().Set("Retry-After", retryAfter)
+	}
+	w.WriteHeader(status)
+	b, _ := json.Marshal(map[string]string{"error": reason}) // strings always marshal
+	_, _ = w.Write(b)                                        // the caller is gone
+}
+
+// getStatus answers GET /status.
+func (k *Keeper) getStatus(w http.ResponseWriter, _ string, _ []byte, _ *http.Request) {
+	b, ok := query(k, k.statusJSON)
+	if !ok {
+		refuse(w, http.StatusServiceUnavailable, errShuttingDown.Error())
+		return
+	}
+	answerJSON(w, b)
+}
--- a/internal/control/keeper/http_test.go
+++ b/internal/control/keeper/http_test.go
@@ -129,7 +129,7 @@
 	if a := r.beat(0, "i1", "ready", 1); a.code != 503 {
 		t.Fatal(a)
 	}
-	if s := r.status(0); s.Version != 8 || s.Services["s"] != 1 {
+	if s := r.status(0); s.ConfigVersion != 8 || s.EndpointsByService["s"] != 1 {
 		t.Fatalf("%+v", s)
 	}
 
@@ -246,7 +246,7 @@
 	r.startAll()
 	r.untilMet(0, 1, 2)
 	w := r.raw(1, "p")
-	until(t, "it is attached", func() bool { return r.status(0).Senders == 1 && len(r.status(1).Attached) == 1 })
+	until(t, "it is attached", func() bool { return r.status(0).Proxies == 1 && len(r.status(1).Attached) == 1 })
 	answers := make(chan answer, 1)
 	check := func(what string, call func() answer, there func(u *controlclient.Update) bool) {
 		t.Helper()
@@ -293,7 +293,7 @@
 		if a := call(); a.code != 200 {
 			t.Fatal(a)
 		}
-		if took := time.Since(began); took < pushWait {
+		if took := time.Since(began); took < defaultPushWait {
 			t.Fatalf("%s: it took %v", what, took)
 		}
 	}
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -1,13 +1,7 @@
-// Package keeper is the role that keeps control state: the agreed registers, the list of endpoints,
-// who is attached, and the pushes to them. docs/system.md says what it promises.
-//
-// One goroutine owns all of it but the registers, which have one of their own, as disks may be slow.
-// Both work through a queue of commands.
 package keeper
 
 import (
 	"context"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"strconv"
@@ -30,362 +24,231 @@
 )
 
 const (
-	// queueMost bounds the commands that wait for the owner.
-	queueMost = 4096
-	// tickEvery is the owner's pace for what is not urgent.
-	tickEvery = 200 * time.Millisecond
-	// drainMost bounds the commands that are run in a row.
-	drainMost = 256
-	// pushWait is how long an acknowledgement waits for those it concerns.
-	pushWait = 250 * time.Millisecond
-	// stallWait is how long the end of a keeper waits for its disk.
-	stallWait = 2 * time.Second
+	// defaultPushWait is the default of Options.PushWait.
+	defaultPushWait = 250 * time.Millisecond
+	// httpShutdownTimeout is how long HTTP calls in flight may take once the keeper has ended.
+	httpShutdownTimeout = time.Second
+	// diskStallTimeout is how long the end of a keeper waits for a disk that doesn't answer.
+	diskStallTimeout = 2 * time.Second
 )
 
-// Options of a keeper.
+// Options configure a Keeper.
 type Options struct {
+	// Settings are the process's checked settings.
 	Settings *settings.Settings
-	Folder   journal.Folder // nil: no disk, and no vote
-	Known    func() []controlclient.Node
-	Log      hclog.Logger
-	PushWait time.Duration // how long an acknowledgement waits for those it concerns; 0: pushWait
-	// DialAddress tells where another keeper's link address is dialled; nil: there. Tests put relays between keepers by it.
+	// Folder holds keeper.log. With nil the keeper has no disk: it serves, but never votes.
+	Folder journal.Folder
+	// Known returns the keepers that gossip has found; their links are dialed. May be nil.
+	Known func() []controlclient.Node
+	// Log receives all messages of the keeper.
+	Log hclog.Logger
+	// PushWait is how long an acknowledgement waits until the attached processes and the other keepers have the
+	// change that it acknowledges; 0: 250 ms.
+	PushWait time.Duration
+	// DialAddress maps the link address of another keeper to the address that is dialed; nil: the same. Tests use it to
+	// put relays between keepers.
 	DialAddress func(addr string) string
 }
 
-// Keeper is one process of the role.
+// Keeper is one control-plane server. Create it with New, and call Run once.
 type Keeper struct {
-	o     Options
-	log   hclog.Logger
-	self  controlclient.Node
-	life  time.Time
-	agree *agreement
-
-	commands chan func()
-	ended    chan struct{}
-	serving  context.Context    // ends when the keeper does
-	halt     context.CancelFunc // ends it without handing over
-
-	// Owned by the loop.
-	table    *registry.Table
-	attached map[*link.Conn]*attachedProcess
-	peers    map[string]*peer // by name
-	conns    map[*link.Conn]*peerLink
-	config   *document // newest decided that is known
-	// certificates are the newest decided that are known; version 0: none were ever put.
-	certificates *document
-	// decidedConfig and decidedCertificates are the newest decided states that were taken in.
-	decidedConfig, decidedCertificates decidedVersion
-	// certificateReads are for those who ask whether theirs are the newest.
+	options   Options
+	log       hclog.Logger
+	self      controlclient.Node
+	startedAt time.Time
+	registers *registerSet
+
+	commands   chan func()        // for the owner goroutine; bounded by maxQueuedCommands
+	ended      chan struct{}      // closed once the owner goroutine runs no more commands
+	runContext context.Context    // ends when the keeper does; all goroutines of Run end with it
+	cancelRun  context.CancelFunc // ends the keeper without transferring its votes
+
+	// The fields down to conditions belong to the owner goroutine.
+
+	endpoints     *registry.Table
+	attached      map[*link.Conn]*attachedProcess
+	peers         map[string]*peer // other keepers, by name
+	peerLinks     map[*link.Conn]*peerLink
+	dialing       map[string]bool      // link addresses of keepers that are being dialed
+	redialAt      map[string]time.Time // link addresses of keepers: when each may be dialed again
+	config        *document            // the newest decided one known here; version 0: none was put yet
+	certificates  *document            // the newest decided ones known here; version 0: none were put yet
+	partitions    *snapshot.Table      // the newest decided one known here; nil: none yet
+	newestDecided map[string]*versionWatermark
+	// certificateReads collect the Confirm calls that one read of the certificates answers.
 	certificateReads *quorum.Barrier[*link.Message]
-	contact          *quorum.Gate[*link.Conn]
-	contactTimer     *time.Timer
-	hadContact       bool // as the others were told last
-	parts            *snapshot.Table
-	senders          int
-	dirty            bool
-	lease            *singleton.Grants
-	assigner         assigner
-	voterDuty        voterDuty
-	leaving          bool                       // it was told to end, and hands over
-	reportSent       controlclient.KeeperReport // the newest
-	sentHeartbeat    time.Time
-	dialling         map[string]bool
-	wanted           map[string]time.Time // addresses of keepers' links: when each may be dialled again
-	waiting          []*waiter
-	keepersChange    uint64 // counts changes of the keepers that are connected
-	pushedListening  bool   // whether the list may be believed, as the attached were told last
-	pushedChange     uint64 // the list's newest change, as they were told last
-	sums             digests
-	troubles         troubleTable
-
-	linked       atomic.Pointer[links]    // for other goroutines
-	seeds        atomic.Pointer[[]string] // control addresses that are dialled; those of the first voters stay those of the start
-	contactUntil atomic.Int64             // for other goroutines: the end of contact, as a time of this life
-
-	callEvents *telemetry.Log // answers that somebody may ask about
 
-	largeBodies chan struct{} // holds one for each large body that is in hand
-
-	mu     sync.Mutex
-	posts  []func() // from the registers' goroutine, which never waits for the owner
-	posted chan struct{}
+	contact         *quorum.Gate[*link.Conn]
+	contactTimer    *time.Timer
+	reportedContact bool // the state of contact that was last reported to the others
+
+	proxyCount         int    // proxies attached to any connected keeper, at least 1
+	keepersRevision    uint64 // counts changes of the set of connected keepers
+	pushNeeded         bool   // attached processes may lack something
+	pushedListComplete bool   // whether the endpoint list was complete, as of the last push
+	pushedListRevision uint64 // the endpoint list's revision, as of the last push
+	waiters            []*ackWaiter
+
+	leaseGrants     *singleton.Grants // granted to keepers by this voter
+	assigner        partitionAssigner
+	voterManager    voterManager
+	shuttingDown    bool                       // it refuses attachments and transfers its votes
+	lastReport      controlclient.KeeperReport // as sent to the other keepers
+	heartbeatSentAt time.Time
+	digestCache     listDigests
+	conditions      conditionTable
+
+	// The remaining fields are safe for use by any goroutine.
+
+	peerSnapshot   atomic.Pointer[peerSnapshot]
+	seeds          atomic.Pointer[[]string] // control addresses of keepers, dialed until others are known
+	contactUntil   atomic.Int64             // the end of contact with a majority, in ns since startedAt
+	callEvents     *telemetry.Log           // rate-limited log of answers that a caller may ask about
+	largeBodySlots chan struct{}            // holds one element for each large request body in memory
+
+	postsMu    sync.Mutex
+	posts      []func()      // for the owner goroutine; unbounded, see post
+	postsReady chan struct{} // signals that posts isn't empty
+}
+
+// New opens the keeper's log and returns a keeper that doesn't run yet. It fails if the log can't be read or written.
+func New(options Options) (*Keeper, error) {
+	k := &Keeper{
+		options:   options.withDefaults(),
+		log:       options.Log,
+		startedAt: time.Now(),
+
+		commands:       make(chan func(), maxQueuedCommands),
+		ended:          make(chan struct{}),
+		postsReady:     make(chan struct{}, 1),
+		largeBodySlots: make(chan struct{}, maxLargeBodies),
+
+		attached:         map[*link.Conn]*attachedProcess{},
+		peers:            map[string]*peer{},
+		peerLinks:        map[*link.Conn]*peerLink{},
+		dialing:          map[string]bool{},
+		redialAt:         map[string]time.Time{},
+		config:           &document{},
+		certificates:     &document{},
+		newestDecided:    map[string]*versionWatermark{configRegister: {}, certificatesRegister: {}},
+		certificateReads: quorum.NewBarrier[*link.Message](confirmInterval),
+		contact:          quorum.NewGate[*link.Conn](),
+		contactTimer:     time.NewTimer(0),
+		leaseGrants:      singleton.NewGrants(0),
+		assigner:         newPartitionAssigner(),
+		voterManager:     newVoterManager(),
+		conditions:       conditionTable{},
+		callEvents:       telemetry.NewLog(options.Log),
+	}
+	k.endpoints = registry.New(0, registry.Options{BeatEvery: k.heartbeatInterval()})
+	k.runContext, k.cancelRun = context.WithCancel(context.Background())
+	k.peerSnapshot.Store(&peerSnapshot{})
+	k.SetSeeds(options.Settings.Seeds)
+	var err error
+	if k.registers, err = openRegisterSet(k); err != nil {
+		return nil, err
+	}
+	k.self = selfNode(options.Settings, k.registers.id, k.startedAt)
+	return k, nil
 }
 
-// New returns a keeper that is not running yet.
-func New(o Options) (*Keeper, error) {
-	s := o.Settings
-	now := time.Now()
-	k := &Keeper{o: o, log: o.Log, life: now, commands: make(chan func(), queueMost), ended: make(chan struct{}),
-		posted: make(chan struct{}, 1), largeBodies: make(chan struct{}, largeMost), attached: map[*link.Conn]*attachedProcess{}, peers: map[string]*peer{}, conns: map[*link.Conn]*peerLink{},
-		config: &document{}, certificates: &document{}, certificateReads: quorum.NewBarrier[*link.Message](confirmEvery),
-		contact: quorum.NewGate[*link.Conn](), contactTimer: time.NewTimer(0), dialling: map[string]bool{}, wanted: map[string]time.Time{},
-		troubles: troubleTable{}}
-	k.callEvents = telemetry.NewLog(o.Log)
-	if k.o.PushWait <= 0 {
-		k.o.PushWait = pushWait
+// withDefaults returns the options with defaults in place of zero values.
+func (options Options) withDefaults() Options {
+	if options.PushWait <= 0 {
+		options.PushWait = defaultPushWait
 	}
-	k.serving, k.halt = context.WithCancel(context.Background())
-	if k.o.DialAddress == nil {
-		k.o.DialAddress = func(addr string) string { return addr }
+	if options.DialAddress == nil {
+		options.DialAddress = func(addr string) string { return addr }
 	}
-	k.linked.Store(&links{})
-	k.SetSeeds(s.Seeds)
-	k.table = registry.New(0, registry.Options{BeatEvery: time.Duration(s.BeatEveryMs) * time.Millisecond})
-	k.lease = singleton.NewGrants(0)
-	k.assigner.lease = singleton.NewCandidate(rand.Float64)
-	k.voterDuty = newVoterDuty()
-	a, err := openAgreement(k)
-	if err != nil {
-		return nil, err
+	return options
+}
+
+// selfNode is how a keeper presents itself to others.
+func selfNode(s *settings.Settings, id uint64, startedAt time.Time) controlclient.Node {
+	return controlclient.Node{
+		Name:    s.NodeName,
+		Role:    controlclient.RoleKeeper,
+		Zone:    s.Zone,
+		Addr:    linkAddress(s),
+		Control: s.Control,
+		ID:      id,
+		Life:    uint64(startedAt.UnixNano()),
 	}
-	k.agree = a
-	k.self = controlclient.Node{Name: s.NodeName, Role: controlclient.RoleKeeper, Zone: s.Zone, Addr: linkAddr(s), Control: s.Control,
-		ID: a.id, Life: uint64(now.UnixNano())}
-	return k, nil
 }
 
-// SetSeeds replaces the control addresses of keepers that are dialled until others are known. The voters of the very
-// first start stay those that the settings named then: all processes must mean the same ones.
+// SetSeeds replaces the control addresses of keepers that are dialed until others are known. The voters of the very
+// first start stay those that the settings named then, as all processes have to mean the same ones.
 func (k *Keeper) SetSeeds(addrs []string) { k.seeds.Store(&addrs) }
 
-// linkAddr is where a keeper's links are served.
-func linkAddr(s *settings.Settings) string {
+// linkAddress is where a keeper's links are served.
+func linkAddress(s *settings.Settings) string {
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.InternalFirst))
 }
 
-// Run serves until the context ends, and then until its votes are handed over.
+func (k *Keeper) heartbeatInterval() time.Duration {
+	return time.Duration(k.options.Settings.BeatEveryMs) * time.Millisecond
+}
+
+// sinceStart is a moment as the types without a clock of their own count it: the time since this process started, on
+// its monotonic clock.
+func (k *Keeper) sinceStart(now time.Time) time.Duration { return now.Sub(k.startedAt) }
+
+// Run serves until the context ends, and then until the keeper's votes are transferred to others (2 s at most). It
+// returns once its goroutines have ended, with an error if an address can't be listened on or if the log failed.
 func (k *Keeper) Run(ctx context.Context) error {
-	links, err := net.Listen("tcp4", linkAddr(k.o.Settings))
+	var listen net.ListenConfig
+	linkListener, err := listen.Listen(k.runContext, "tcp4", linkAddress(k.options.Settings))
 	if err != nil {
 		return err
 	}
-	defer links.Close()
-	calls, err := descriptors.NewBudget(k.o.Settings.Limits.OpenFiles).Listen(k.o.Settings.Control)
+	defer linkListener.Close()
+	httpListener, err := descriptors.NewBudget(k.options.Settings.Limits.OpenFiles).Listen(k.options.Settings.Control)
 	if err != nil {
 		return err
 	}
-	server := k.server()
+	server := k.newHTTPServer()
 	defer server.Close()
-	defer k.halt()
-	defer context.AfterFunc(ctx, func() { defer k.halt(); k.shutdown() })()
-	var wg sync.WaitGroup
-	wg.Add(3)
-	go func() { defer wg.Done(); _ = link.Serve(links, k, link.DefaultOptions) }()
-	go func() { defer wg.Done(); _ = server.Serve(calls) }()
-	go func() { defer wg.Done(); defer k.halt(); k.agree.run(k.serving) }()
-	k.agree.bootstrapFromSeeds() // a single keeper is connected to nobody
-	k.loop(k.serving)
+	defer k.cancelRun()
+	defer context.AfterFunc(ctx, func() { defer k.cancelRun(); k.shutdown() })()
+
+	var servers sync.WaitGroup
+	servers.Go(func() { _ = link.Serve(linkListener, k, link.DefaultOptions) }) // it ends with its listener
+	servers.Go(func() { _ = server.Serve(httpListener) })                       // it ends with the server
+	servers.Go(func() { defer k.cancelRun(); k.registers.run(k.runContext) })
+	k.registers.bootstrapFromSeeds() // a single keeper is never connected to another one
+	k.loop(k.runContext)
+	k.closeAll(linkListener, server)
+	return k.awaitServers(&servers)
+}
+
+// closeAll ends everything that serves, after the owner goroutine's loop.
+func (k *Keeper) closeAll(linkListener net.Listener, server *http.Server) {
 	k.contactTimer.Stop()
 	close(k.ended)
-	_ = links.Close()
-	for c := range k.attached {
-		c.Close()
+	_ = linkListener.Close()
+	for conn := range k.attached {
+		conn.Close()
 	}
-	for c := range k.conns {
-		c.Close()
+	for conn := range k.peerLinks {
+		conn.Close()
 	}
-	// All calls end, as ended is closed, but some may never have come whole.
-	sctx, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
-	_ = server.Shutdown(sctx)
+	// Calls end by themselves, as ended is closed; a call whose body never comes doesn't.
+	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
+	defer cancel()
+	_ = server.Shutdown(ctx)
 	_ = server.Close()
-	return k.awaitEnd(&wg)
 }
 
-// awaitEnd waits for the goroutines, but no longer than stallWait for one that is stuck in a write: what was saved decides
-// when the process starts again.
-func (k *Keeper) awaitEnd(wg *sync.WaitGroup) error {
+// awaitServers waits for the goroutines of Run, but only for diskStallTimeout, as one of them may be stuck in a write.
+// The next start goes by what is on disk in any case.
+func (k *Keeper) awaitServers(servers *sync.WaitGroup) error {
 	ended := make(chan struct{})
-	go func() { wg.Wait(); close(ended) }()
+	go func() { servers.Wait(); close(ended) }()
 	select {
 	case <-ended:
-		return k.agree.failed
-	case <-time.After(stallWait):
+		return k.registers.failure
+	case <-time.After(diskStallTimeout):
 		k.log.Error("the disk does not answer: ending without it", "file", logName)
 		return nil
 	}
 }
-
-func (k *Keeper) loop(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case f := <-k.commands:
-			f()
-			drain(k.commands)
-		case <-k.posted:
-			k.mu.Lock()
-			posts := k.posts
-			k.posts = nil
-			k.mu.Unlock()
-			for _, f := range posts {
-				f()
-			}
-		case <-tick.C:
-			k.tick(time.Now())
-		case <-k.contactTimer.C:
-		case <-ctx.Done():
-			return
-		}
-		k.stepContact()
-		if k.dirty {
-			k.pushAll()
-		}
-	}
-}
-
-// drain runs what waits in a queue, but no more than leaves time for the rest.
-func drain(commands <-chan func()) {
-	for range drainMost {
-		select {
-		case f := <-commands:
-			f()
-		default:
-			return
-		}
-	}
-}
-
-// post queues a command for the owner and never waits. It is for the registers' goroutine: the owner may wait for
-// that one, so that one must not wait for the owner.
-func (k *Keeper) post(f func()) {
-	k.mu.Lock()
-	k.posts = append(k.posts, f)
-	k.mu.Unlock()
-	select {
-	case k.posted <- struct{}{}:
-	default:
-	}
-}
-
-// do queues a command for the owner.
-func (k *Keeper) do(f func()) {
-	select {
-	case k.commands <- f:
-	case <-k.ended:
-	}
-}
-
-// ask queues a command and waits for its result; not ok: the keeper has ended.
-func ask[T any](k *Keeper, f func() T) (v T, ok bool) {
-	done := make(chan T, 1)
-	k.do(func() { done <- f() })
-	select {
-	case v = <-done:
-		return v, true
-	case <-k.ended:
-		return v, false
-	}
-}
-
-func (k *Keeper) tick(now time.Time) {
-	k.dialKeepers(now)
-	if gone := k.table.Expire(k.since(now)); len(gone) > 0 {
-		for _, e := range gone {
-			k.log.Info("endpoint silent", "id", e.ID, "service", e.Service, "address", e.Address)
-		}
-		k.dirty = true
-	}
-	if now.Sub(k.sentHeartbeat) >= time.Duration(k.o.Settings.BeatEveryMs)*time.Millisecond/2 {
-		k.sentHeartbeat = now
-		k.sendHeard(now)
-	}
-	k.wakeWaiters(now)
-	k.setFigures(now)
-	k.assign(now)
-	k.changeVoters(now)
-	if k.table.Listening(k.since(now)) != k.pushedListening || k.table.Newest() != k.pushedChange {
-		k.dirty = true
-	}
-}
-
-// since is the time on the steady clock of this life, as the list of endpoints counts it.
-func (k *Keeper) since(now time.Time) time.Duration { return now.Sub(k.life) }
-
-// Message dispatches what comes over links.
-func (k *Keeper) Message(m *link.Message) {
-	switch m.Kind {
-	case controlclient.Agree:
-		k.agree.receive(m.Body)
-	case controlclient.Learn:
-		k.agree.learn(m.Body)
-	default:
-		k.do(func() { k.message(m) })
-	}
-}
-
-func (k *Keeper) message(m *link.Message) {
-	now := time.Now()
-	switch m.Kind {
-	case controlclient.Hello:
-		k.hello(m)
-	case controlclient.Ack:
-		if p := k.attached[m.Conn]; p != nil {
-			r := link.Reader{B: m.Body}
-			if p.ack(r.U64()) {
-				k.dirty = true
-			}
-			k.wakeWaiters(now)
-		}
-	case controlclient.Entries:
-		k.entries(now, m)
-	case controlclient.Heard:
-		k.receiveHeard(now, m)
-	case controlclient.Attached:
-		r := link.Reader{B: m.Body}
-		nodes := controlclient.ReadNodes(&r)
-		if r.Err != nil {
-			return
-		}
-		if l := k.conns[m.Conn]; l != nil {
-			l.peer.attached = nodes
-			k.recount()
-			return
-		}
-		m.Conn.Tag.Store(nodes) // until it is known whose word it is
-	case controlclient.Confirm:
-		k.certificateReads.Add(m)
-		k.confirmCertificates()
-	case controlclient.InContact:
-		m.Reply(k.contactBody())
-	case controlclient.InForce:
-		k.inForceAsked(m)
-	case controlclient.Report:
-		k.reported(m)
-	case controlclient.Lease:
-		k.leaseAsked(now, m)
-	case controlclient.Missing:
-		k.sendEntries(m.Conn, k.table.Entries(k.since(now), -1), nil)
-	case controlclient.Joined:
-		k.joined(m)
-	case controlclient.Stopping:
-		k.stopping(m)
-	case controlclient.ProcessTrouble:
-		k.troubleReported(now, m)
-	case controlclient.Status:
-		m.Reply(k.statusJSON())
-	default:
-		m.Fail("no such call here: both sides must run the same version")
-	}
-}
-
-// Closed forgets a connection.
-func (k *Keeper) Closed(c *link.Conn) {
-	k.do(func() {
-		if p := k.attached[c]; p != nil {
-			k.detach(c)
-			k.log.Info("detached", "node", p.node.Name, "role", p.node.Role)
-			k.recount()
-			k.tellAttached()
-			k.wakeWaiters(time.Now())
-		}
-		k.dropLink(c)
-	})
-}
-
-func (k *Keeper) server() *http.Server {
-	return &http.Server{Handler: k.handler(), ReadHeaderTimeout: 3 * time.Second, ReadTimeout: 30 * time.Second, WriteTimeout: time.Minute, IdleTimeout: 30 * time.Second,
-		MaxHeaderBytes: 32 << 10}
-}
--- a/internal/control/keeper/learn_test.go
+++ b/internal/control/keeper/learn_test.go
@@ -53,9 +53,9 @@
 	late := []*Keeper{start("b", "127.0.40.2", true), start("c", "127.0.40.3", false)}
 	start("a", first, true)
 	knows := func(k *Keeper) int {
-		k.agree.mu.Lock()
-		defer k.agree.mu.Unlock()
-		return len(k.agree.states)
+		k.registers.mu.Lock()
+		defer k.registers.mu.Unlock()
+		return len(k.registers.states)
 	}
 	end := time.Now().Add(10 * time.Second * raceSlowdown)
 	for _, k := range late {
--- a/internal/control/keeper/lease_test.go
+++ b/internal/control/keeper/lease_test.go
@@ -12,15 +12,15 @@
 func TestLeaseNeedsContact(t *testing.T) {
 	k := still(t, "k1")
 	const other = 7
-	k.agree.decided(configRegister, paxos.State{Slot: k.agree.slots()[0], Voters: []paxos.Voter{{ID: k.agree.id, Name: "k1"}, {ID: other, Name: "k2"}}})
-	now := k.life.Add(time.Minute)
+	k.registers.publishDecided(configRegister, paxos.State{Slot: k.registers.storedSlotNumbers()[0], Voters: []paxos.Voter{{ID: k.registers.id, Name: "k1"}, {ID: other, Name: "k2"}}})
+	now := k.startedAt.Add(time.Minute)
 	if !k.mayGrant(now, other) {
 		t.Fatal("both vote")
 	}
 	if k.grantLease(now, "duty", "k2", other) {
 		t.Error("granted without contact")
 	}
-	k.contact.Confirmed(k.since(now), k.since(now))
+	k.contact.Confirmed(k.sinceStart(now), k.sinceStart(now))
 	if !k.grantLease(now, "duty", "k2", other) {
 		t.Error("refused in contact")
 	}
--- /dev/null
+++ b/internal/control/keeper/leases.go
@@ -0,0 +1,154 @@
+package keeper
+
+import (
+	"strconv"
+	"time"
+
+	"dunetide/internal/consensus/singleton"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
+)
+
+// leaseMessage is the body of a Lease call between keepers: a request for a grant, or the release of one.
+type leaseMessage struct {
+	role      string
+	candidate string // the name of the keeper that wants or has the lease
+	release   bool
+}
+
+func (request leaseMessage) encode() []byte {
+	w := link.Writer{}
+	w.String(request.role)
+	w.String(request.candidate)
+	w.Bool(request.release)
+	return w.B
+}
+
+func decodeLeaseMessage(body []byte) (leaseMessage, error) {
+	r := link.Reader{B: body}
+	request := leaseMessage{role: r.String(), candidate: r.String(), release: r.Bool()}
+	return request, r.Err
+}
+
+// handleLease grants or refuses a lease to another keeper, or takes a grant back.
+func (k *Keeper) handleLease(now time.Time, m *link.Message) {
+	request, err := decodeLeaseMessage(m.Body)
+	if err != nil {
+		m.Fail("%v", err)
+		return
+	}
+	if request.release {
+		k.leaseGrants.Release(request.role, request.candidate)
+		m.Reply(nil)
+		return
+	}
+	var holderID uint64
+	if l := k.peerLinks[m.Conn]; l != nil && l.peer.node.Name == request.candidate {
+		holderID = l.peer.node.ID
+	}
+	w := link.Writer{}
+	w.Bool(k.grantLease(now, request.role, request.candidate, holderID))
+	m.Reply(w.B)
+}
+
+// grantLease grants a lease to another keeper if this one may, and nobody else has it.
+func (k *Keeper) grantLease(now time.Time, role, holder string, holderID uint64) bool {
+	at := k.sinceStart(now)
+	return k.contact.Holds(at) && k.mayGrant(now, holderID) && k.leaseGrants.Ask(at, role, holder)
+}
+
+// mayGrant reports whether this keeper may grant a lease to another, or to itself: both vote on the configuration by
+// the newest state that is known, and this keeper isn't behind. So a voter that was replaced neither grants a lease
+// nor is granted one by those that know of that.
+func (k *Keeper) mayGrant(now time.Time, holder uint64) bool {
+	voters := k.leaseVoters()
+	if !voters[k.registers.id] || !voters[holder] {
+		return false
+	}
+	behindSince := k.voterManager.behindSince
+	return behindSince.IsZero() || now.Sub(behindSince) < maxBehind
+}
+
+// leaseVoters returns the identities of the keepers that grant leases: the voters of the configuration.
+func (k *Keeper) leaseVoters() map[uint64]bool {
+	voters := map[uint64]bool{}
+	for _, voter := range k.registers.registerVoters(configRegister) {
+		voters[voter.ID] = true
+	}
+	return voters
+}
+
+// stepLease requests or renews the lease of a role when that is due, or releases what was granted of it.
+func (k *Keeper) stepLease(now time.Time, role string, lease *singleton.Candidate) {
+	voters := k.leaseVoters()
+	if k.shuttingDown || !voters[k.registers.id] {
+		return
+	}
+	request, release, round := lease.Step(k.sinceStart(now), len(voters))
+	switch {
+	case release:
+		k.releaseGrants(role)
+	case request:
+		k.requestGrants(now, role, lease, round, voters)
+	}
+}
+
+// requestGrants requests a lease from all voters. Those that aren't connected count as refusing. What was granted is
+// released as soon as the round can't succeed any more, as another keeper may want the lease.
+func (k *Keeper) requestGrants(
+	now time.Time, role string, lease *singleton.Candidate, round uint64, voters map[uint64]bool,
+) {
+	answered := func(voter uint64, granted bool) {
+		at, key := k.sinceStart(time.Now()), strconv.FormatUint(voter, 16)
+		if granted {
+			lease.Granted(at, round, key)
+		} else if lease.Refused(at, round, key) {
+			k.releaseGrants(role)
+		}
+	}
+	self := k.registers.id
+	requested := map[uint64]bool{self: true}
+	answered(self, k.mayGrant(now, self) && k.leaseGrants.Ask(k.sinceStart(now), role, k.self.Name))
+	body := leaseMessage{role: role, candidate: k.self.Name}.encode()
+	for _, p := range k.peers {
+		voter := p.node.ID
+		if p.conn == nil || !voters[voter] {
+			continue
+		}
+		requested[voter] = true
+		reply := p.conn.Go(controlclient.Lease, body)
+		go func() { // it ends with the link at the latest
+			granted := leaseGranted(<-reply)
+			k.submit(func() { answered(voter, granted) })
+		}()
+	}
+	for voter := range voters {
+		if !requested[voter] {
+			answered(voter, false)
+		}
+	}
+}
+
+func leaseGranted(reply link.Reply) bool {
+	r := link.Reader{B: reply.Body}
+	granted := r.Bool()
+	return granted && reply.Err == nil && r.Err == nil
+}
+
+// releaseGrants releases what was granted of a lease, here and at the other keepers, and returns where their answers
+// come.
+func (k *Keeper) releaseGrants(role string) (replies []<-chan link.Reply) {
+	k.leaseGrants.Release(role, k.self.Name)
+	body := leaseMessage{role: role, candidate: k.self.Name, release: true}.encode()
+	for _, p := range k.peers {
+		if p.conn != nil {
+			replies = append(replies, p.conn.Go(controlclient.Lease, body))
+		}
+	}
+	return replies
+}
+
+// logLease logs that this keeper has acquired or lost the lease of a role.
+func (k *Keeper) logLease(role string, held bool) {
+	k.log.Info("duty", "name", role, "held", held)
+}
--- a/internal/control/keeper/log_test.go
+++ b/internal/control/keeper/log_test.go
@@ -23,17 +23,18 @@
 type lone struct {
 	t    testing.TB
 	disk *disktest.Disk
-	a    *agreement
+	a    *registerSet
 	now  time.Duration
 }
 
 func openLone(t testing.TB, disk *disktest.Disk) (*lone, error) {
+	t.Helper()
 	s := &settings.Settings{NodeName: "k1", IP: "127.0.0.1", InternalFirst: 1, BeatEveryMs: 1200, Control: "127.0.0.1:2", Limits: settings.Limits{DiskMB: diskMB}}
 	k, err := New(Options{Settings: s, Folder: disk, Log: hclog.NewNullLogger()})
 	if err != nil {
 		return nil, err
 	}
-	l := &lone{t: t, disk: disk, a: k.agree}
+	l := &lone{t: t, disk: disk, a: k.registers}
 	l.a.bootstrap([]paxos.Voter{{ID: l.a.id, Name: "k1"}})
 	return l, nil
 }
@@ -50,13 +51,13 @@
 // change makes a value the newest of a register; false: it is not acknowledged.
 func (l *lone) change(name string, value []byte) bool {
 	l.now += time.Second
-	reg, ended, done := l.a.regs[name], false, false
+	reg, ended, done := l.a.byName[name], false, false
 	reg.Propose(l.now, 2*time.Second, func(cur paxos.State) (paxos.State, error) {
 		cur.Value = value
 		return cur, nil
 	}, func(_ paxos.State, err error) { ended, done = true, err == nil })
 	l.tickUntil(reg, &ended)
-	l.a.rewriteWhenGrown()
+	l.a.rewriteIfDue()
 	return done
 }
 
@@ -73,13 +74,13 @@
 
 // value reads a register: what was accepted before a kill is finished first.
 func (l *lone) value(name string) (value []byte) {
-	reg, ended := l.a.regs[name], false
+	reg, ended := l.a.byName[name], false
 	reg.Read(l.now, 2*time.Second, func(s paxos.State, err error) { value, ended = s.Value, true })
 	l.tickUntil(reg, &ended)
 	return value
 }
 
-func (l *lone) ended() bool { return l.a.regs[configRegister].Failed() != nil }
+func (l *lone) ended() bool { return l.a.byName[configRegister].Failed() != nil }
 
 // numbered is a value of some bytes that tells which change it is.
 func numbered(n, size int) []byte {
@@ -96,6 +97,7 @@
 
 // play makes changes of a size on a disk of 64 MB and starts again.
 func play(t testing.TB, count, size int) (u usage) {
+	t.Helper()
 	disk := disktest.New()
 	disk.Room = diskMB << 20
 	disk.Stall = func() { u.peak = max(u.peak, disk.Used()) }
@@ -119,11 +121,11 @@
 
 // TestLogIsBounded makes hundreds of changes up to the largest that operators may send.
 func TestLogIsBounded(t *testing.T) {
-	for _, c := range []struct{ count, size int }{{50, 4 << 10}, {200, 4 << 10}, {changes, 4 << 10}, {changes, 64 << 10}, {50, 1 << 20}, {100, 1 << 20}, {40, configMost}} {
+	for _, c := range []struct{ count, size int }{{50, 4 << 10}, {200, 4 << 10}, {changes, 4 << 10}, {changes, 64 << 10}, {50, 1 << 20}, {100, 1 << 20}, {40, maxConfigBody}} {
 		u := play(t, c.count, c.size)
 		t.Logf("%3d changes of %4d kB: file %6d kB, most on the disk %6d kB, restart %5.1f ms", c.count, c.size>>10, u.file>>10, u.peak>>10, float64(u.restart.Microseconds())/1000)
 		kept := c.size + 4<<10 // what has to be kept; a change that is under way has it twice
-		if bound := max(rewriteAbove, 4*2*kept) + 3*kept; u.file > bound || u.peak > min(bound+2*kept, diskMB<<20) {
+		if bound := max(minRewriteSize, 4*2*kept) + 3*kept; u.file > bound || u.peak > min(bound+2*kept, diskMB<<20) {
 			t.Errorf("%d changes of %d bytes: file %d, most on the disk %d, bound %d", c.count, c.size, u.file, u.peak, bound)
 		}
 	}
@@ -131,13 +133,14 @@
 
 // nearRewrite is a disk whose log is rewritten with one of the next changes, after hundreds, and the number of the last one.
 func nearRewrite(t *testing.T) (*disktest.Disk, int) {
+	t.Helper()
 	disk := disktest.New()
 	l := mustOpen(t, disk)
 	const size = 4 << 10
 	rewritten, n := 0, 0
-	for ; n < changes || l.a.log.Size() < l.a.policy.due(l.a.grown)-2*size; n++ {
+	for ; n < changes || l.a.log.Size() < l.a.rewritePolicy.rewriteSize(l.a.rewrittenSize)-2*size; n++ {
 		before := l.a.log.Size()
-		if !l.change(configRegister, numbered(n, size)) || !l.change(tableRegister, numbered(n, 100)) {
+		if !l.change(configRegister, numbered(n, size)) || !l.change(partitionsRegister, numbered(n, 100)) {
 			t.Fatal("not acknowledged")
 		}
 		if l.a.log.Size() < before {
@@ -223,8 +226,8 @@
 	if found < 0 {
 		t.Fatalf("%s: change %d was acknowledged, and %.20q is there", what, acknowledged, again.value(configRegister))
 	}
-	if !bytes.Equal(again.value(tableRegister), numbered(last, 100)) {
-		t.Fatalf("%s: the other register has %.20q", what, again.value(tableRegister))
+	if !bytes.Equal(again.value(partitionsRegister), numbered(last, 100)) {
+		t.Fatalf("%s: the other register has %.20q", what, again.value(partitionsRegister))
 	}
 	if !again.change(configRegister, numbered(proposed+1, 4<<10)) {
 		t.Fatalf("%s: no change after it", what)
@@ -249,18 +252,18 @@
 			}
 		}
 		if l.ended() {
-			t.Fatalf("room for %d: it ended: %v", room, l.a.regs[configRegister].Failed())
+			t.Fatalf("room for %d: it ended: %v", room, l.a.byName[configRegister].Failed())
 		}
 		if again := mustOpen(t, disk.Copy()); bytes.Compare(again.value(configRegister)[:20], numbered(acknowledged, 20)) < 0 {
 			t.Fatalf("room for %d: change %d was acknowledged, and %.20q is there", room, acknowledged, again.value(configRegister))
 		}
 		disk.Room = 0
-		l.a.later = time.Time{}
+		l.a.noRewriteBefore = time.Time{}
 		if !l.change(configRegister, numbered(last+7, 4<<10)) {
 			t.Fatalf("room for %d: not taken once there is room", room)
 		}
-		l.a.rewriteWhenGrown()
-		if l.a.log.Size() > rewriteAbove {
+		l.a.rewriteIfDue()
+		if l.a.log.Size() > minRewriteSize {
 			t.Fatalf("room for %d: not rewritten once there is room", room)
 		}
 	}
@@ -268,7 +271,7 @@
 
 // BenchmarkRestart is a keeper's start after many changes.
 func BenchmarkRestart(b *testing.B) {
-	for _, c := range []struct{ count, size int }{{100, 4 << 10}, {400, 4 << 10}, {400, 64 << 10}, {100, 1 << 20}, {24, configMost}} {
+	for _, c := range []struct{ count, size int }{{100, 4 << 10}, {400, 4 << 10}, {400, 64 << 10}, {100, 1 << 20}, {24, maxConfigBody}} {
 		b.Run(fmt.Sprintf("%dx%dkB", c.count, c.size>>10), func(b *testing.B) {
 			disk := disktest.New()
 			disk.Room = diskMB << 20
--- /dev/null
+++ b/internal/control/keeper/measured_rig_test.go
@@ -0,0 +1,97 @@
+package keeper
+
+import (
+	"io"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/settings"
+)
+
+// syncTime is how long a sync of a measuredFolder takes.
+const syncTime = 5 * time.Millisecond
+
+// measuredFolder is a disk on which a sync takes its time, and which counts what is read.
+type measuredFolder struct {
+	*disktest.Disk
+	read atomic.Int64
+}
+
+func (f *measuredFolder) Read(name string, most int64) ([]byte, error) {
+	b, err := f.Disk.Read(name, most)
+	f.read.Add(int64(len(b)))
+	return b, err
+}
+
+func (f *measuredFolder) Head(name string, most int) ([]byte, error) {
+	b, err := f.Disk.Head(name, most)
+	f.read.Add(int64(len(b)))
+	return b, err
+}
+
+func (f *measuredFolder) Create(name string) (journal.File, error) {
+	file, err := f.Disk.Create(name)
+	if err != nil {
+		return nil, err
+	}
+	return slowSync{file}, nil
+}
+
+func (f *measuredFolder) Open(name string) (journal.OpenFile, error) {
+	file, err := f.Disk.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	return measuredFile{slowSync{file}, file, &f.read}, nil
+}
+
+// slowSync is a file whose syncs take their time.
+type slowSync struct{ journal.File }
+
+func (f slowSync) Sync() error {
+	time.Sleep(syncTime)
+	return f.File.Sync()
+}
+
+// measuredFile is a slowSync that is read, too.
+type measuredFile struct {
+	slowSync
+	reader io.ReaderAt
+	read   *atomic.Int64
+}
+
+func (f measuredFile) ReadAt(b []byte, at int64) (int, error) {
+	n, err := f.reader.ReadAt(b, at)
+	f.read.Add(int64(n))
+	return n, err
+}
+
+// measuredRig is three keepers on disks of 64 MB, of which one is measured.
+type measuredRig struct {
+	*rig
+	folders []*measuredFolder
+}
+
+const (
+	measuredKeeper = 2
+	otherVoter     = 1 // the other voter besides keeper 0
+)
+
+func newMeasuredRig(t *testing.T) *measuredRig {
+	t.Helper()
+	m := &measuredRig{rig: newRig(t, 3)}
+	m.relayed()
+	m.limits = settings.Limits{DiskMB: diskMB}
+	m.folders = make([]*measuredFolder, len(m.running))
+	m.folder = func(i int) journal.Folder {
+		m.disks[i].Room = diskMB << 20
+		m.folders[i] = &measuredFolder{Disk: m.disks[i]}
+		return m.folders[i]
+	}
+	m.startAll()
+	m.untilMet(0, 1, 2)
+	return m
+}
--- a/internal/control/keeper/model_test.go
+++ b/internal/control/keeper/model_test.go
@@ -204,10 +204,10 @@
 }
 
 // put is an operator's order at this machine; answer is called once, or never if the machine is lost meanwhile.
-func (m *modelMachine) put(order documentOrder, answer func(status int)) {
+func (m *modelMachine) put(order documentPut, answer func(status int)) {
 	m.step(func() {
-		m.register.Propose(m.cluster.now, proposeWait, order.change(m.cluster.document), func(_ paxos.State, err error) {
-			answer(statusOf(err))
+		m.register.Propose(m.cluster.now, proposeTimeout, order.change(m.cluster.document), func(_ paxos.State, err error) {
+			answer(putStatus(err))
 			if err == nil {
 				m.confirmed()
 			}
@@ -235,12 +235,12 @@
 // get reads what is in force.
 func (m *modelMachine) get(answer func(v *document, err error)) {
 	m.step(func() {
-		m.register.Read(m.cluster.now, proposeWait, func(s paxos.State, err error) {
+		m.register.Read(m.cluster.now, proposeTimeout, func(s paxos.State, err error) {
 			if err != nil {
 				answer(nil, err)
 				return
 			}
-			answer(readDocument(s.Value))
+			answer(decodeDocument(s.Value))
 		})
 	})
 }
--- a/internal/control/keeper/operators_test.go
+++ b/internal/control/keeper/operators_test.go
@@ -17,8 +17,6 @@
 	// operatorWait is how long an operator waits for an answer.
 	operatorWait  = time.Second
 	operatorTries = 5
-	// checkWait bounds the check of one history.
-	checkWait = 20 * time.Second
 )
 
 // modelOperator puts, repeats and reads through any machine, one call or two at a time.
@@ -121,7 +119,7 @@
 // playOperators plays a drawn history and ends it in calm, where every machine is read and every order is repeated.
 func playOperators(seed uint64) (*history, error) {
 	voters := []int{3, 3, 4, 5}[seed%4]
-	remembered := []int{2, 4, rememberedVersions}[seed%3]
+	remembered := []int{2, 4, maxRememberedVersions}[seed%3]
 	c := newModelCluster(seed, voters, remembered)
 	c.loss, c.double, c.late = .1*c.rng.Float64(), .1*c.rng.Float64(), .05*c.rng.Float64()
 	c.lostAnswer = .4 * c.rng.Float64()
@@ -139,7 +137,7 @@
 	if err := c.repeatAll(); err != nil {
 		return c.history, err
 	}
-	return c.history, c.history.check(checkWait)
+	return c.history, c.history.check()
 }
 
 // calmTries is how many calls an operator needs at most in calm: after a conflict a proposer waits for up to twice the slowest
@@ -178,7 +176,7 @@
 func (c *modelCluster) forgotten(version uint64) bool {
 	for _, m := range c.machines {
 		s, _ := m.register.State()
-		if v, err := readDocument(s.Value); err == nil && len(v.past) >= c.document.remembered && version < v.past[0].version {
+		if v, err := decodeDocument(s.Value); err == nil && len(v.accepted) >= c.document.maxRemembered && version < v.accepted[0].version {
 			return true
 		}
 	}
--- a/internal/control/keeper/orders_test.go
+++ b/internal/control/keeper/orders_test.go
@@ -39,11 +39,11 @@
 }
 
 // any draws one of the newest orders, whoever sent it; false: there is none yet.
-func (s *sharedHistory) any(newest int) (order int, put documentOrder, ok bool) {
+func (s *sharedHistory) any(newest int) (order int, put documentPut, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.h.orders) == 0 {
-		return 0, documentOrder{}, false
+		return 0, documentPut{}, false
 	}
 	order = len(s.h.orders) - 1 - rand.N(min(newest, len(s.h.orders)))
 	return order, s.h.orders[order], true
@@ -61,7 +61,7 @@
 	return noOrder
 }
 
-func (s *sharedHistory) order(order int) documentOrder {
+func (s *sharedHistory) order(order int) documentPut {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.h.orders[order]
@@ -94,7 +94,8 @@
 }
 
 // send sends an order until its answer is clear, each time to another keeper.
-func (o *realOperator) send(order, tries int) (a registerAnswer) {
+func (o *realOperator) send(order, tries int) {
+	var a registerAnswer
 	keeper := rand.N(len(o.r.running))
 	for try := 0; try < tries && !a.clear(); try++ {
 		a = o.call(order, (keeper+try)%len(o.r.running))
@@ -102,7 +103,6 @@
 	if a.status == http.StatusOK {
 		o.known = max(o.known, o.history.order(order).version)
 	}
-	return a
 }
 
 // act does one thing: a read, a repeat, a rival of an order, or a new order.
@@ -164,7 +164,7 @@
 			until(t, "a clear answer at the end", func() bool { return o.call(order, i).clear() })
 		}
 	}
-	if err := shared.h.check(checkWait); err != nil {
+	if err := shared.h.check(); err != nil {
 		t.Fatal(err)
 	}
 	statuses := map[int]int{}
@@ -186,10 +186,10 @@
 	r := newRig(t, 3)
 	r.startAll()
 	r.untilMet(0, 1, 2)
-	if a := r.call(0, "PUT", "/config", "0", largeBody(3, 'x', configMost+1)); a.code != http.StatusRequestEntityTooLarge {
+	if a := r.call(0, "PUT", "/config", "0", largeBody(3, 'x', maxConfigBody+1)); a.code != http.StatusRequestEntityTooLarge {
 		t.Fatalf("a byte too many: %d", a.code)
 	}
-	const rivals, size = 3, configMost / raceSlowdown
+	const rivals, size = 3, maxConfigBody / raceSlowdown
 	answers := make(chan answer, rivals)
 	bodies := [][]byte{largeBody(3, 'a', size), largeBody(3, 'b', size), largeBody(3, 'c', size)}
 	for i, body := range bodies {
@@ -226,11 +226,11 @@
 	r.startAll()
 	r.untilMet(0)
 	k := r.running[0].k
-	for range largeMost {
-		k.largeBodies <- struct{}{}
+	for range maxLargeBodies {
+		k.largeBodySlots <- struct{}{}
 	}
-	large := largeBody(5, 'a', largeBytes+1)
-	for _, size := range []int{largeBytes + 1, configMost + 1} {
+	large := largeBody(5, 'a', largeBodyBytes+1)
+	for _, size := range []int{largeBodyBytes + 1, maxConfigBody + 1} {
 		if a := r.call(0, "PUT", "/config", "0", largeBody(5, 'a', size)); a.code != 503 || a.retryAfter != retryAfter {
 			t.Errorf("one of %d bytes: %v", size, a)
 		}
@@ -248,13 +248,13 @@
 		}
 		answers <- a
 	}()
-	<-k.largeBodies
+	<-k.largeBodySlots
 	if a := get(t, answers, "the answer"); a.code != 200 {
 		t.Error(a)
 	}
-	<-k.largeBodies
+	<-k.largeBodySlots
 	r.untilCode(200, func() answer { return r.call(0, "PUT", "/config", "3", large) })
-	until(t, "none is in hand", func() bool { return len(k.largeBodies) == 0 })
+	until(t, "none is in hand", func() bool { return len(k.largeBodySlots) == 0 })
 }
 
 // A body that is cut on its way is no order: the answer ends no operator's call, and says nothing against the whole one.
@@ -313,7 +313,7 @@
 	k := r.running[1].k
 	release := make(chan struct{})
 	blocked := make(chan struct{})
-	k.do(func() { close(blocked); <-release }) // the second one's keeper pushes nothing
+	k.submit(func() { close(blocked); <-release }) // the second one's keeper pushes nothing
 	get(t, blocked, "the keeper's owner")
 	r.untilCode(200, func() answer { return r.put(2, 5, 3, "b") })
 	has(5, near)
--- /dev/null
+++ b/internal/control/keeper/partition_assignment.go
@@ -0,0 +1,117 @@
+package keeper
+
+import (
+	"errors"
+	"math/rand/v2"
+	"sort"
+	"time"
+
+	"dunetide/internal/batch"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/singleton"
+	"dunetide/internal/control/snapshot"
+)
+
+const (
+	// assignRole is the singleton role that assigns the partitions of batch jobs to stores. The name is on the wire.
+	assignRole = "assign"
+	// partitionCount is the number of partitions of a new table.
+	partitionCount = 16
+	// storeLostAfter is how long a store may be attached nowhere before its partitions are assigned to others.
+	storeLostAfter = 300 * time.Millisecond
+	// takeoverDelay is how long a keeper that has acquired the lease hears from all stores before it acts. A keeper
+	// that has just come into contact judges retirements no sooner.
+	takeoverDelay = time.Second
+	// assignInterval is the least time between two proposals of a table.
+	assignInterval = 100 * time.Millisecond
+)
+
+// partitionAssigner is the singleton role that assigns the partitions to stores.
+type partitionAssigner struct {
+	lease      *singleton.Candidate
+	hasLease   bool // as logged last
+	proposing  bool
+	proposedAt time.Time
+	lastSeen   map[uint64]time.Time // when a store was last attached to any keeper
+}
+
+func newPartitionAssigner() partitionAssigner {
+	return partitionAssigner{lease: singleton.NewCandidate(rand.Float64), lastSeen: map[uint64]time.Time{}}
+}
+
+// stepAssigner keeps the lease and, while this keeper holds it, proposes better tables.
+func (k *Keeper) stepAssigner(now time.Time) {
+	a, at := &k.assigner, k.sinceStart(now)
+	stores := k.attachedStores()
+	for id := range stores {
+		a.lastSeen[id] = now
+	}
+	if k.contact.Holds(at) {
+		k.stepLease(now, assignRole, a.lease)
+	}
+	if held := a.lease.Holds(at); held != a.hasLease {
+		a.hasLease = held
+		k.logLease(assignRole, held)
+	}
+	if a.lease.Held(at) < takeoverDelay || a.proposing || now.Sub(a.proposedAt) < assignInterval {
+		return
+	}
+	k.proposeAssignment(now, stores)
+}
+
+// proposeAssignment proposes the table that the attached stores call for, if it differs from the present one. A
+// keeper that has lost the lease does no harm: the table is changed by compare-and-swap.
+func (k *Keeper) proposeAssignment(now time.Time, stores map[uint64]snapshot.Store) {
+	a := &k.assigner
+	alive, isLost := k.storeLiveness(now, stores)
+	var assign tableStep = func(current *snapshot.Table) (*snapshot.Table, bool) {
+		return batch.Assign(current, alive, isLost, partitionCount, k.options.Settings.SurviveMachines)
+	}
+	if _, changed := assign(k.partitions); !changed {
+		return
+	}
+	a.proposing, a.proposedAt = true, now
+	k.changeTable(assign.asChange, func(err error) {
+		k.post(func() { a.proposing = false })
+		k.log.Info("table proposed", "err", err)
+		if err != nil && !errors.Is(err, paxos.ErrUnchanged) {
+			k.log.Warn("table not changed", "err", err)
+		}
+	})
+}
+
+// storeLiveness returns the stores that are attached, by identity, and a function that reports whether a store of the
+// present table has been away for too long.
+func (k *Keeper) storeLiveness(
+	now time.Time, stores map[uint64]snapshot.Store,
+) (alive []snapshot.Store, isLost func(uint64) bool) {
+	lost := map[uint64]bool{}
+	if k.partitions != nil {
+		for id := range k.partitions.Stores {
+			lost[id] = now.Sub(k.assigner.lastSeen[id]) > storeLostAfter
+		}
+	}
+	for _, store := range stores {
+		alive = append(alive, store)
+	}
+	sort.Slice(alive, func(i, j int) bool { return alive[i].ID < alive[j].ID })
+	return alive, func(id uint64) bool { return lost[id] }
+}
+
+// queryStores is storeLiveness for other goroutines; !ok: this keeper ends, or hasn't been in contact for long enough
+// to have heard of all stores.
+func (k *Keeper) queryStores() (alive []snapshot.Store, isLost func(uint64) bool, ok bool) {
+	type result struct {
+		alive  []snapshot.Store
+		isLost func(uint64) bool
+	}
+	r, ok := query(k, func() result {
+		now := time.Now()
+		if k.contact.HeldFor(k.sinceStart(now)) < takeoverDelay {
+			return result{}
+		}
+		alive, isLost := k.storeLiveness(now, k.attachedStores())
+		return result{alive, isLost}
+	})
+	return r.alive, r.isLost, ok && r.isLost != nil
+}
--- /dev/null
+++ b/internal/control/keeper/partition_table.go
@@ -0,0 +1,99 @@
+package keeper
+
+import (
+	"errors"
+	"time"
+
+	"dunetide/internal/batch"
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
+)
+
+// tableChangeTimeout bounds a change of the partition table.
+const tableChangeTimeout = 2 * time.Second
+
+// changeTable changes the decided partition table by compare-and-swap. done is called from any goroutine.
+func (k *Keeper) changeTable(change func(current *snapshot.Table) (*snapshot.Table, error), done func(error)) {
+	k.registers.propose(partitionsRegister, tableChangeTimeout, func(current paxos.State) (paxos.State, error) {
+		table, err := decodeTable(current)
+		if err != nil {
+			return current, err
+		}
+		next, err := change(table)
+		if err != nil {
+			return current, err
+		}
+		w := link.Writer{}
+		controlclient.AppendTable(&w, next)
+		current.Value = w.B
+		return current, nil
+	}, func(_ paxos.State, err error) { done(err) })
+}
+
+// readTable returns the newest partition table, as a majority confirms it; nil before the first one.
+func (k *Keeper) readTable() (*snapshot.Table, error) {
+	state, err := k.readRegister(partitionsRegister)
+	if err != nil {
+		return nil, err
+	}
+	return decodeTable(state)
+}
+
+// decodeTable reads the register's value; nil before the first table.
+func decodeTable(state paxos.State) (*snapshot.Table, error) {
+	if len(state.Value) == 0 {
+		return nil, nil
+	}
+	r := link.Reader{B: state.Value}
+	table := controlclient.ReadTable(&r)
+	return table, r.Err
+}
+
+// tableStep computes the next table; !changed: it would be the same.
+type tableStep func(current *snapshot.Table) (next *snapshot.Table, changed bool)
+
+// asChange is the step as a change that ends with agree.ErrUnchanged if nothing is to be done.
+func (step tableStep) asChange(current *snapshot.Table) (*snapshot.Table, error) {
+	next, changed := step(current)
+	if !changed {
+		return nil, paxos.ErrUnchanged
+	}
+	return next, nil
+}
+
+// answerTableStep answers a store's call once the table is as the step makes it.
+func (k *Keeper) answerTableStep(m *link.Message, step tableStep) {
+	k.changeTable(step.asChange, func(err error) {
+		if err != nil && !errors.Is(err, paxos.ErrUnchanged) {
+			m.Fail("%v", err)
+			return
+		}
+		m.Reply(nil)
+	})
+}
+
+// handlePartitionJoined takes a store's message that the next replicas of a partition have all of it.
+func (k *Keeper) handlePartitionJoined(m *link.Message) {
+	joined, err := controlclient.ReadPartJoined(m.Body)
+	if err != nil {
+		m.Fail("%v", err)
+		return
+	}
+	k.answerTableStep(m, func(current *snapshot.Table) (*snapshot.Table, bool) {
+		return batch.Switch(current, joined.Part, joined.Epoch)
+	})
+}
+
+// handleStoreStopping takes a store's message that it is about to stop, or that it runs again.
+func (k *Keeper) handleStoreStopping(m *link.Message) {
+	report, err := controlclient.ReadStoreStopping(m.Body)
+	if err != nil {
+		m.Fail("%v", err)
+		return
+	}
+	k.answerTableStep(m, func(current *snapshot.Table) (*snapshot.Table, bool) {
+		return batch.SetStopping(current, report.Store, report.Stopping)
+	})
+}
--- a/internal/control/keeper/peers.go
+++ b/internal/control/keeper/peers.go
@@ -12,110 +12,130 @@
 )
 
 const (
-	peersMost = 64
-	// redial is how long a keeper that can't be reached is left alone.
-	redial = 300 * time.Millisecond
-	// forgetPeer is how long a keeper that is not connected is remembered.
-	forgetPeer = 10 * time.Minute
+	// maxPeers bounds the other keepers that are known, and the dials at a time.
+	maxPeers = 64
+	// dialTimeout bounds a dial and the Hello call on the new link.
+	dialTimeout = 2 * time.Second
+	// redialDelay is how long after the start of a dial an address is dialed again.
+	redialDelay = 300 * time.Millisecond
+	// forgetPeerAfter is how long a keeper that isn't connected is remembered, and forgetAddressAfter an address.
+	forgetPeerAfter    = 10 * time.Minute
+	forgetAddressAfter = time.Minute
 )
 
 // peer is another keeper.
 type peer struct {
-	node     controlclient.Node
-	conn     *link.Conn // nil: not connected at present
-	lost     time.Time
-	attached []controlclient.Node
-	report   controlclient.KeeperReport // its newest one; zero before the first
-	differs  int                        // digests in a row by which its list is not this one
-	asked    time.Time                  // for its entries, because of that
+	node               controlclient.Node
+	conn               *link.Conn // the link in use; nil: not connected at present
+	disconnectedAt     time.Time
+	attached           []controlclient.Node       // the processes attached to it
+	report             controlclient.KeeperReport // its newest one; zero before the first
+	digestMismatches   int                        // liveness messages in a row whose digests differ from this keeper's
+	entriesRequestedAt time.Time                  // because of these
 }
 
-// peerLink is a link to another keeper.
+// peerLink is a link to another keeper. There may be two to the same one, see chooseLink.
 type peerLink struct {
-	peer    *peer
-	life    uint64
-	dialled bool // from here
+	peer        *peer
+	incarnation uint64 // of the keeper at the other end
+	dialed      bool   // by this keeper
 }
 
-// links are the keepers that are connected, or were, for other goroutines. They are not changed any more.
-type links []linked
+// peerSnapshot has all other keepers that are remembered, for goroutines other than the owner. It is immutable.
+type peerSnapshot []peerInfo
 
-type linked struct {
-	node controlclient.Node
-	conn *link.Conn
-	lost time.Time
+type peerInfo struct {
+	node           controlclient.Node
+	conn           *link.Conn // nil: not connected
+	disconnectedAt time.Time
 }
 
-// links gives the newest.
-func (k *Keeper) links() links { return *k.linked.Load() }
+// knownPeers returns the newest snapshot.
+func (k *Keeper) knownPeers() peerSnapshot { return *k.peerSnapshot.Load() }
 
-// to gives the link to a voter; nil: there is none. Its identity counts more than its name.
-func (l links) to(v paxos.Voter) (conn *link.Conn) {
-	for _, x := range l {
-		if x.conn != nil && v.ID != 0 && x.node.ID == v.ID {
-			return x.conn
+// connTo returns the link to a voter; nil: there is none. The voter's identity counts more than its name.
+func (peers peerSnapshot) connTo(v paxos.Voter) (conn *link.Conn) {
+	for _, p := range peers {
+		if p.conn != nil && v.ID != 0 && p.node.ID == v.ID {
+			return p.conn
 		}
-		if x.conn != nil && x.node.Name == v.Name {
-			conn = x.conn
+		if p.conn != nil && p.node.Name == v.Name {
+			conn = p.conn
 		}
 	}
 	return conn
 }
 
-// any gives a connected keeper, drawn at random.
-func (l links) any() (node controlclient.Node, there bool) {
-	for _, i := range rand.Perm(len(l)) {
-		if l[i].conn != nil {
-			return l[i].node, true
+// randomPeer returns a connected keeper.
+func (peers peerSnapshot) randomPeer() (node controlclient.Node, connected bool) {
+	for _, i := range rand.Perm(len(peers)) {
+		if peers[i].conn != nil {
+			return peers[i].node, true
 		}
 	}
 	return node, false
 }
 
-// connectedIDs are the identities of the keepers that are connected, and the own one; keepers without a disk have none.
-func (l links) connectedIDs(self uint64) map[uint64]bool {
+// connectedIDs returns the identities of the connected keepers and of this one. Keepers without a disk have none.
+func (peers peerSnapshot) connectedIDs(self uint64) map[uint64]bool {
 	connected := map[uint64]bool{self: true}
-	for _, x := range l {
-		if x.conn != nil {
-			connected[x.node.ID] = true
+	for _, p := range peers {
+		if p.conn != nil {
+			connected[p.node.ID] = true
 		}
 	}
 	delete(connected, 0)
 	return connected
 }
 
-// connectionsChanged is called after each change of which keepers are connected.
+// connectionsChanged is called after each change of the connected keepers.
 func (k *Keeper) connectionsChanged() {
-	l := make(links, 0, len(k.peers))
+	peers := make(peerSnapshot, 0, len(k.peers))
 	for _, p := range k.peers {
-		l = append(l, linked{p.node, p.conn, p.lost})
+		peers = append(peers, peerInfo{p.node, p.conn, p.disconnectedAt})
 	}
-	k.linked.Store(&l)
-	k.keepersChange++
-	k.dirty = true
-	k.recount()
+	k.peerSnapshot.Store(&peers)
+	k.keepersRevision++
+	k.pushNeeded = true
+	k.countProxies()
 }
 
 // dialKeepers dials the keepers that are known and not connected.
 func (k *Keeper) dialKeepers(now time.Time) {
+	addrs := k.addressesToDial()
+	k.forgetOldPeers(now)
+	for addr := range addrs {
+		if k.dialing[addr] || now.Before(k.redialAt[addr]) || len(k.dialing) >= maxPeers {
+			continue
+		}
+		k.dialing[addr] = true
+		k.redialAt[addr] = now.Add(redialDelay)
+		go k.dialKeeper(addr) // it ends within dialTimeout
+	}
+	for addr, at := range k.redialAt {
+		if now.Sub(at) > forgetAddressAfter {
+			delete(k.redialAt, addr)
+		}
+	}
+}
+
+// addressesToDial returns the link addresses of the keepers that aren't connected: the seeds, those that gossip or the
+// registers know of, and those that were connected before.
+func (k *Keeper) addressesToDial() map[string]bool {
 	addrs := map[string]bool{}
-	for _, s := range controlclient.SeedLinks(*k.seeds.Load(), k.o.Settings.InternalFirst) {
-		addrs[s] = true
+	for _, addr := range controlclient.SeedLinks(*k.seeds.Load(), k.options.Settings.InternalFirst) {
+		addrs[addr] = true
 	}
-	if k.o.Known != nil {
-		for _, n := range k.o.Known() {
-			addrs[n.Addr] = true
+	if k.options.Known != nil {
+		for _, node := range k.options.Known() {
+			addrs[node.Addr] = true
 		}
 	}
-	for _, v := range k.agree.voters() {
-		addrs[v.Addr] = true
+	for _, voter := range k.registers.voters() {
+		addrs[voter.Addr] = true
 	}
-	for name, p := range k.peers {
+	for _, p := range k.peers {
 		addrs[p.node.Addr] = true
-		if p.conn == nil && now.Sub(p.lost) > forgetPeer {
-			delete(k.peers, name)
-			k.connectionsChanged()
-		}
 	}
 	for _, p := range k.peers {
 		if p.conn != nil {
@@ -123,148 +143,163 @@
 		}
 	}
 	delete(addrs, k.self.Addr)
-	for addr := range addrs {
-		if k.dialling[addr] || now.Before(k.wanted[addr]) || len(k.dialling) >= peersMost {
-			continue
-		}
-		k.dialling[addr] = true
-		k.wanted[addr] = now.Add(redial)
-		go k.dial(addr)
-	}
-	for addr, at := range k.wanted {
-		if now.Sub(at) > time.Minute {
-			delete(k.wanted, addr)
+	return addrs
+}
+
+// forgetOldPeers forgets keepers that have been disconnected for long.
+func (k *Keeper) forgetOldPeers(now time.Time) {
+	for name, p := range k.peers {
+		if p.conn == nil && now.Sub(p.disconnectedAt) > forgetPeerAfter {
+			delete(k.peers, name)
+			k.connectionsChanged()
 		}
 	}
 }
 
-func (k *Keeper) dial(addr string) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+// dialKeeper connects to the keeper at an address, on a goroutine of its own.
+func (k *Keeper) dialKeeper(addr string) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	defer k.do(func() { delete(k.dialling, addr) })
-	conn, err := link.Dial(ctx, k.o.DialAddress(addr), k, link.DefaultOptions)
+	defer k.submit(func() { delete(k.dialing, addr) })
+	conn, err := link.Dial(ctx, k.options.DialAddress(addr), k, link.DefaultOptions)
 	if err != nil {
+		return // the next tick dials again
+	}
+	node, err := k.callHello(ctx, conn)
+	if err != nil || node.Role != controlclient.RoleKeeper || node.Name == k.self.Name {
+		conn.Close()
 		return
 	}
+	k.submit(func() { k.adoptLink(conn, node, true) })
+}
+
+// callHello tells the process at the other end of a link who this keeper is, and returns who that process is.
+func (k *Keeper) callHello(ctx context.Context, conn *link.Conn) (controlclient.Node, error) {
 	w := link.Writer{}
 	k.self.Append(&w)
-	w.Bool(false)
-	b, err := conn.Call(ctx, controlclient.Hello, w.B)
-	r := link.Reader{B: b}
-	node := controlclient.ReadNode(&r)
-	r.Bool()
-	if err != nil || r.Err != nil || node.Role != controlclient.RoleKeeper || node.Name == k.self.Name {
-		conn.Close()
-		return
+	w.Bool(false) // it wants no endpoint list
+	reply, err := conn.Call(ctx, controlclient.Hello, w.B)
+	if err != nil {
+		return controlclient.Node{}, err
 	}
-	k.do(func() { k.adoptLink(conn, node, true) })
+	r := link.Reader{B: reply}
+	node := controlclient.ReadNode(&r)
+	_ = r.Bool() // whether it has a disk
+	return node, r.Err
 }
 
-// adoptLink adopts a link to another keeper. Where two have dialled each other, the link from the smaller name stays,
-// and who dialled the other one closes it.
-func (k *Keeper) adoptLink(c *link.Conn, node controlclient.Node, dialled bool) {
+// adoptLink adds a link to another keeper, which is then sent what it may lack.
+func (k *Keeper) adoptLink(conn *link.Conn, node controlclient.Node, dialed bool) {
 	select {
-	case <-c.Done():
+	case <-conn.Done():
 		return
 	default:
 	}
 	p := k.peers[node.Name]
 	if p == nil {
-		if len(k.peers) >= peersMost {
-			c.Close()
+		if len(k.peers) >= maxPeers {
+			conn.Close()
 			return
 		}
 		p = &peer{}
 		k.peers[node.Name] = p
 	}
-	// A life that is lower comes from a clock that was set back, unless the later life is there.
+	// A lower incarnation comes from a clock that was set back, unless the keeper's later one is connected.
 	if p.conn != nil && node.Life < p.node.Life {
-		c.Close()
+		conn.Close()
 		return
 	}
 	if p.conn == nil || p.node.Life != node.Life {
 		k.log.Info("keeper connected", "keeper", node.Name, "zone", node.Zone)
 	}
 	if p.node.Life != node.Life {
-		p.attached, p.differs, p.report = nil, 0, controlclient.KeeperReport{}
-		for other, l := range k.conns {
-			if l.peer == p && other != c {
-				other.Close()
-			}
-		}
+		k.replaceIncarnation(p, conn)
 	}
 	p.node = node
-	k.conns[c] = &peerLink{peer: p, life: node.Life, dialled: dialled}
-	if nodes, ok := c.Tag.Load().([]controlclient.Node); ok {
-		p.attached = nodes
+	k.peerLinks[conn] = &peerLink{peer: p, incarnation: node.Life, dialed: dialed}
+	if attached, ok := conn.Tag.Load().([]controlclient.Node); ok { // they came before, see handleAttached
+		p.attached = attached
 	}
-	k.choose(p, c)
-	k.sendNewest(c)
-	k.agree.bootstrapFromSeeds()
+	k.chooseLink(p, conn)
+	k.sendFullState(conn)
+	k.registers.bootstrapFromSeeds()
 	k.connectionsChanged()
 }
 
-// choose takes a link into use unless there is a better one to the same life.
-func (k *Keeper) choose(p *peer, c *link.Conn) {
-	better := func(l *peerLink) bool { return l.dialled == (k.self.Name < p.node.Name) }
+// replaceIncarnation forgets what a keeper's former incarnation has reported, and closes the links to it.
+func (k *Keeper) replaceIncarnation(p *peer, newest *link.Conn) {
+	p.attached, p.digestMismatches, p.report = nil, 0, controlclient.KeeperReport{}
+	for conn, l := range k.peerLinks {
+		if l.peer == p && conn != newest {
+			conn.Close()
+		}
+	}
+}
+
+// chooseLink uses a new link to a keeper unless there is a better one to the same incarnation. Where two keepers have
+// dialed each other, the link that the keeper with the smaller name has dialed stays, and the one that dialed the other
+// link closes it.
+func (k *Keeper) chooseLink(p *peer, conn *link.Conn) {
+	better := func(conn *link.Conn) bool { return k.peerLinks[conn].dialed == (k.self.Name < p.node.Name) }
 	old := p.conn
-	if l := k.conns[old]; l == nil || l.life != p.node.Life {
+	if l := k.peerLinks[old]; l == nil || l.incarnation != p.node.Life {
 		old = nil
 	}
-	p.conn = c
-	if old == nil || old == c {
+	p.conn = conn
+	if old == nil || old == conn {
 		return
 	}
 	worse := old
-	if better(k.conns[old]) && !better(k.conns[c]) {
-		p.conn, worse = old, c
+	if better(old) && !better(conn) {
+		p.conn, worse = old, conn
 	}
-	if k.conns[worse].dialled {
+	if k.peerLinks[worse].dialed {
 		worse.Close()
 	}
 }
 
-// sendNewest tells a keeper what it may lack.
-func (k *Keeper) sendNewest(c *link.Conn) {
-	if list := k.table.Entries(k.since(time.Now()), -1); len(list) > 0 {
-		k.sendEntries(c, list, nil)
+// sendFullState sends a keeper all that it may lack.
+func (k *Keeper) sendFullState(conn *link.Conn) {
+	if entries := k.endpoints.Entries(k.sinceStart(time.Now()), -1); len(entries) > 0 {
+		k.sendEntries(conn, entries, nil)
 	}
-	for _, body := range k.agree.newest() {
-		_ = c.Send(controlclient.Learn, body)
+	// If a send fails, the link has ended, and all is sent again over the next one.
+	for _, body := range k.registers.decidedMessages() {
+		_ = conn.Send(controlclient.Learn, body)
 	}
-	_ = c.Send(controlclient.Attached, k.attachedBody())
-	_ = c.Send(controlclient.Report, encodeReport(k.report()))
+	_ = conn.Send(controlclient.Attached, k.encodeAttached())
+	_ = conn.Send(controlclient.Report, encodeReport(k.currentReport()))
 }
 
-// dropLink forgets a link to a keeper. Another one to the same life takes its place.
-func (k *Keeper) dropLink(c *link.Conn) {
-	l := k.conns[c]
+// dropLink forgets a link to a keeper. Another link to the same incarnation takes its place.
+func (k *Keeper) dropLink(conn *link.Conn) {
+	l := k.peerLinks[conn]
 	if l == nil {
 		return
 	}
-	delete(k.conns, c)
+	delete(k.peerLinks, conn)
 	p := l.peer
-	if p.conn != c {
+	if p.conn != conn {
 		return
 	}
 	p.conn = nil
 	p.report = controlclient.KeeperReport{}
-	for other, l := range k.conns {
-		if l.peer == p && l.life == p.node.Life {
+	for other, l := range k.peerLinks {
+		if l.peer == p && l.incarnation == p.node.Life {
 			p.conn = other
 		}
 	}
 	if p.conn != nil {
-		k.sendNewest(p.conn)
+		k.sendFullState(p.conn)
 	} else {
-		p.lost = time.Now()
+		p.disconnectedAt = time.Now()
 		k.log.Info("keeper disconnected", "keeper", p.node.Name)
 	}
 	k.connectionsChanged()
 }
 
-// keeperNodes are this keeper and those that are connected and not leaving, by name.
-func (k *Keeper) keeperNodes() []controlclient.Node {
+// reachableKeepers returns this keeper and the connected ones that aren't shutting down, by name.
+func (k *Keeper) reachableKeepers() []controlclient.Node {
 	nodes := []controlclient.Node{k.self}
 	for _, p := range k.peers {
 		if p.conn != nil && !p.report.Leaving {
--- a/internal/control/keeper/pushes.go
+++ b/internal/control/keeper/pushes.go
@@ -4,140 +4,195 @@
 	"time"
 
 	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
 )
 
-// mark is what is in force once a push is acknowledged.
-type mark struct{ number, version, change, table, certificates uint64 }
-
-// unackedMost is how many pushes a process may have yet to acknowledge; what changes meanwhile goes out in one.
-const unackedMost = 64
+// maxUnackedPushes bounds the pushes that a process may have yet to acknowledge. Changes that come meanwhile go out
+// in one push.
+const maxUnackedPushes = 64
+
+// pushMark is what is in force at a process once it has acknowledged the push with that number.
+type pushMark struct {
+	number              uint64
+	configVersion       uint64
+	listRevision        uint64
+	tableNumber         uint64
+	certificatesVersion uint64
+}
 
-// inForce is what a process has acknowledged.
-func (p *attachedProcess) inForce() mark {
-	if len(p.marks) > 0 && p.marks[0].number <= p.acked {
-		return p.marks[0]
+// acknowledged returns what is in force at the process.
+func (p *attachedProcess) acknowledged() pushMark {
+	if len(p.pushMarks) > 0 && p.pushMarks[0].number <= p.ackedNumber {
+		return p.pushMarks[0]
 	}
-	return mark{}
+	return pushMark{}
 }
 
-// ack takes an acknowledgement in, and tells whether the process may be pushed to again.
-func (p *attachedProcess) ack(number uint64) (again bool) {
-	full := p.full()
-	p.acked = min(max(p.acked, number), p.pushed)
-	for len(p.marks) > 1 && p.marks[1].number <= p.acked {
-		p.marks = p.marks[1:]
+// acknowledge takes the acknowledgement of a push and all before it. It reports whether the process may be pushed to
+// again.
+func (p *attachedProcess) acknowledge(number uint64) (again bool) {
+	full := p.backlogFull()
+	p.ackedNumber = min(max(p.ackedNumber, number), p.pushedNumber)
+	for len(p.pushMarks) > 1 && p.pushMarks[1].number <= p.ackedNumber {
+		p.pushMarks = p.pushMarks[1:]
 	}
-	return full && !p.full()
+	return full && !p.backlogFull()
 }
 
-func (p *attachedProcess) full() bool { return p.pushed-p.acked >= unackedMost }
+func (p *attachedProcess) backlogFull() bool {
+	return p.pushedNumber-p.ackedNumber >= maxUnackedPushes
+}
 
-// state is what pushes carry on from.
-type state struct {
-	whole, listed, endpoints bool
-	inContact                bool
-	change, version, table   uint64
-	certificates             uint64
-	senders                  int
-	keepers                  uint64
+// handleAck takes the acknowledgement of a push.
+func (k *Keeper) handleAck(now time.Time, m *link.Message) {
+	process := k.attached[m.Conn]
+	if process == nil {
+		return
+	}
+	r := link.Reader{B: m.Body}
+	if process.acknowledge(r.U64()) {
+		k.pushNeeded = true
+	}
+	k.completeWaiters(now)
 }
 
-func (p *attachedProcess) state() state {
-	return state{p.whole, p.listed, p.endpoints, p.inContact, p.change, p.version, p.table, p.certificates, p.senders, p.keepers}
+// pushState is what a process has: those with the same state are pushed the same update.
+type pushState struct {
+	fullListSent, listComplete, wantsEndpoints bool
+	inContact                                  bool
+	listRevision, configVersion, tableNumber   uint64
+	certificatesVersion                        uint64
+	proxyCount                                 int
+	keepersRevision                            uint64
 }
 
-// behind tells whether a process lacks something. Without contact, nothing that the registers hold counts.
-func (p *attachedProcess) behind(k *Keeper, inContact bool) bool {
-	if !p.whole || p.inContact != inContact || p.senders != k.senders || p.keepers != k.keepersChange {
+func (p *attachedProcess) pushState() pushState {
+	return pushState{
+		fullListSent:        p.fullListSent,
+		listComplete:        p.listComplete,
+		wantsEndpoints:      p.wantsEndpoints,
+		inContact:           p.inContact,
+		listRevision:        p.listRevision,
+		configVersion:       p.configVersion,
+		tableNumber:         p.tableNumber,
+		certificatesVersion: p.certificatesVersion,
+		proxyCount:          p.proxyCount,
+		keepersRevision:     p.keepersRevision,
+	}
+}
+
+// lacksUpdate reports whether a process lacks something. Without contact nothing that the registers hold counts.
+func (k *Keeper) lacksUpdate(p *attachedProcess, inContact bool) bool {
+	if !p.fullListSent || p.inContact != inContact || p.proxyCount != k.proxyCount ||
+		p.keepersRevision != k.keepersRevision {
 		return true
 	}
-	if p.endpoints && (p.change < k.table.Newest() || p.listed != k.pushedListening) {
+	if p.wantsEndpoints && (p.listRevision < k.endpoints.Newest() || p.listComplete != k.pushedListComplete) {
 		return true
 	}
-	return inContact && p.behindRegisters(k)
+	return inContact && k.lacksRegisters(p)
 }
 
-func (p *attachedProcess) behindRegisters(k *Keeper) bool {
-	return p.version < k.config.version || p.certificates < k.certificates.version || k.parts != nil && p.table < k.parts.Number
+func (k *Keeper) lacksRegisters(p *attachedProcess) bool {
+	return p.configVersion < k.config.version || p.certificatesVersion < k.certificates.version ||
+		k.partitions != nil && p.tableNumber < k.partitions.Number
 }
 
-// pushAll tells every attached process what it lacks. With contact, one that has just attached is told nothing before
-// a majority has confirmed the registers for it; without contact, all are told of endpoints alone.
+// pushAll pushes to every attached process what it lacks. With contact, a process that has just attached is pushed
+// nothing before a majority has confirmed the registers for it; without contact, all are pushed endpoints alone.
 func (k *Keeper) pushAll() {
-	k.dirty = false
+	k.pushNeeded = false
 	now := time.Now()
-	inContact := k.contact.Holds(k.since(now))
-	k.pushedListening, k.pushedChange = k.table.Listening(k.since(now)), k.table.Newest()
-	made := map[state]pushMessage{} // most lack the same
-	for c, p := range k.attached {
-		if inContact && !k.contact.MayHandOut(k.since(now), c) {
+	inContact := k.contact.Holds(k.sinceStart(now))
+	k.pushedListComplete, k.pushedListRevision = k.endpoints.Listening(k.sinceStart(now)), k.endpoints.Newest()
+	encoded := map[pushState]encodedUpdate{} // most processes lack the same
+	for conn, p := range k.attached {
+		if inContact && !k.contact.MayHandOut(k.sinceStart(now), conn) {
 			continue
 		}
-		if !p.behind(k, inContact) || p.full() {
+		if !k.lacksUpdate(p, inContact) || p.backlogFull() {
 			continue
 		}
-		m, there := made[p.state()]
-		if !there {
-			u, change := k.update(p, now, inContact)
-			m = pushMessage{u.Encode(), change}
-			made[p.state()] = m
+		state := p.pushState()
+		update, found := encoded[state]
+		if !found {
+			update = k.encodeUpdate(p, now, inContact)
+			encoded[state] = update
 		}
-		k.push(p, m, inContact)
+		k.push(p, update, inContact)
 	}
 }
 
-// pushMessage is an update as it is sent, and the change of the list that a process then has.
-type pushMessage struct {
-	body   []byte
-	change uint64
+// encodedUpdate is an update as it is sent, and the revision of the endpoint list that a process then has.
+type encodedUpdate struct {
+	body         []byte
+	listRevision uint64
 }
 
-// push sends an update to a process, and takes note of what it then has.
-func (k *Keeper) push(p *attachedProcess, m pushMessage, inContact bool) {
-	p.pushed++
-	controlclient.Renumber(m.body, p.pushed)
-	p.whole, p.inContact, p.listed, p.senders, p.keepers = true, inContact, k.pushedListening, k.senders, k.keepersChange
-	p.change = m.change
+func (k *Keeper) encodeUpdate(p *attachedProcess, now time.Time, inContact bool) encodedUpdate {
+	update, listRevision := k.buildUpdate(p, now, inContact)
+	return encodedUpdate{update.Encode(), listRevision}
+}
+
+// push sends an update to a process, and notes what the process then has.
+func (k *Keeper) push(p *attachedProcess, update encodedUpdate, inContact bool) {
+	p.pushedNumber++
+	controlclient.Renumber(update.body, p.pushedNumber)
+	p.fullListSent, p.listComplete, p.listRevision = true, k.pushedListComplete, update.listRevision
+	p.inContact, p.proxyCount, p.keepersRevision = inContact, k.proxyCount, k.keepersRevision
 	if inContact {
-		p.version, p.certificates = k.config.version, k.certificates.version
-		if k.parts != nil {
-			p.table = k.parts.Number
+		p.configVersion, p.certificatesVersion = k.config.version, k.certificates.version
+		if k.partitions != nil {
+			p.tableNumber = k.partitions.Number
 		}
 	}
-	p.marks = append(p.marks, mark{p.pushed, p.version, p.change, p.table, p.certificates})
-	if err := p.conn.Send(controlclient.Push, m.body); err != nil {
+	p.pushMarks = append(p.pushMarks, pushMark{
+		number:              p.pushedNumber,
+		configVersion:       p.configVersion,
+		listRevision:        p.listRevision,
+		tableNumber:         p.tableNumber,
+		certificatesVersion: p.certificatesVersion,
+	})
+	if err := p.conn.Send(controlclient.Push, update.body); err != nil {
 		k.log.Warn("push not sent", "node", p.node.Name, "err", err)
-		p.conn.Close() // it attaches anew, and is told all
+		p.conn.Close() // it attaches anew, and is pushed everything
 	}
 }
 
-// update is what a process lacks, and the change of the list that it then has.
-func (k *Keeper) update(p *attachedProcess, now time.Time, inContact bool) (u *controlclient.Update, change uint64) {
-	u = &controlclient.Update{InContact: inContact, Listed: k.pushedListening, Senders: k.senders, CertificatesVersion: p.certificates}
+// buildUpdate returns what a process lacks, and the revision of the endpoint list that it then has.
+func (k *Keeper) buildUpdate(
+	p *attachedProcess, now time.Time, inContact bool,
+) (u *controlclient.Update, listRevision uint64) {
+	u = &controlclient.Update{
+		InContact:           inContact,
+		Listed:              k.pushedListComplete,
+		Senders:             k.proxyCount,
+		CertificatesVersion: p.certificatesVersion,
+	}
 	if inContact {
 		k.addRegisters(u, p)
 	}
-	if p.keepers != k.keepersChange {
-		u.Keepers = k.keeperNodes()
+	if p.keepersRevision != k.keepersRevision {
+		u.Keepers = k.reachableKeepers()
 	}
-	if p.endpoints {
-		u.Entries, change, u.Whole = k.table.Changes(k.since(now), p.change)
+	if p.wantsEndpoints {
+		u.Entries, listRevision, u.Whole = k.endpoints.Changes(k.sinceStart(now), p.listRevision)
 	} else {
-		u.Whole = !p.whole
+		u.Whole = !p.fullListSent
 	}
-	return u, change
+	return u, listRevision
 }
 
-// addRegisters puts what a process lacks of the registers into an update.
+// addRegisters adds to an update what a process lacks of the registers.
 func (k *Keeper) addRegisters(u *controlclient.Update, p *attachedProcess) {
 	u.CertificatesVersion = k.certificates.version
-	if p.certificates < k.certificates.version {
+	if p.certificatesVersion < k.certificates.version {
 		u.Certificates = k.certificates.raw
 	}
-	if p.version < k.config.version {
+	if p.configVersion < k.config.version {
 		u.Config, u.Version = k.config.raw, k.config.version
 	}
-	if k.parts != nil && p.table < k.parts.Number {
-		u.Table = k.parts
+	if k.partitions != nil && p.tableNumber < k.partitions.Number {
+		u.Table = k.partitions
 	}
 }
--- a/internal/control/keeper/quorum_test.go
+++ b/internal/control/keeper/quorum_test.go
@@ -30,18 +30,18 @@
 		"who asks need not vote":                  {voters(1, 2, 3), 9, []uint64{1, 2}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := newConfirmations(c.voters, c.self)
+			q := newVoterAcks(c.voters, c.self)
 			for _, id := range c.confirmed {
 				q.confirm(id)
 			}
-			if q.reached() != c.reached {
-				t.Fatalf("reached is %v", q.reached())
+			if q.majorityReached() != c.reached {
+				t.Fatalf("reached is %v", q.majorityReached())
 			}
 		})
 	}
-	var none *confirmations
+	var none *voterAcks
 	none.confirm(1)
-	if !none.reached() {
+	if !none.majorityReached() {
 		t.Fatal("what needs no majority waits for one")
 	}
 }
--- /dev/null
+++ b/internal/control/keeper/register_log.go
@@ -0,0 +1,197 @@
+package keeper
+
+import (
+	"bytes"
+	"errors"
+	"time"
+
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
+)
+
+// logName is the file of the registers' log in the keeper's folder.
+const logName = "keeper.log"
+
+// Kinds of records in the log; each record begins with its kind. They are on disk.
+const (
+	recordIdentity    = 1 // this keeper's identity as a voter
+	recordRegister    = 2 // a register's name and a payload of it
+	recordFirstVoters = 3 // the voters of the very first start
+)
+
+const (
+	// minRewriteSize is the least size at which the log is rewritten, in bytes.
+	minRewriteSize = 1 << 20
+	// rewriteRetryDelay is how long after a failed rewrite, or one that was to free space, the next one may come.
+	rewriteRetryDelay = 5 * time.Second
+	// minVoterBytes is the encoded size of a voter with an empty name and address.
+	minVoterBytes = 16
+)
+
+// Errors of the log that aren't of the disk.
+var (
+	errNoDisk          = errors.New("no disk")
+	errRegistersUnread = errors.New("not all registers are there yet")
+)
+
+// rewritePolicy decides when the log is rewritten. All sizes are in bytes.
+type rewritePolicy struct {
+	// diskBytes is the size of the disk; 0: unknown.
+	diskBytes int64
+}
+
+// rewriteSize is the size at which a log is rewritten whose last rewrite left that many bytes.
+func (p rewritePolicy) rewriteSize(rewritten int64) int64 {
+	size := max(minRewriteSize, 4*rewritten)
+	if p.diskBytes > 0 {
+		size = min(size, p.maxSize(rewritten))
+	}
+	return size
+}
+
+// maxSize is the size beyond which the log doesn't grow as long as it can be rewritten: with the rewritten one beside
+// it, the disk is three quarters full. Where that leaves no space to grow, the log grows by a quarter.
+func (p rewritePolicy) maxSize(rewritten int64) int64 {
+	return max(p.diskBytes/4*3-rewritten, rewritten+rewritten/4)
+}
+
+// openLog reads the log, and starts it with a new identity if it is empty.
+func (rs *registerSet) openLog(folder journal.Folder) error {
+	log, err := recordlog.Open(folder, logName, func(b []byte, _ int64) error { return rs.replayRecord(b) })
+	if err != nil {
+		return err
+	}
+	rs.log = log
+	if rs.id != 0 {
+		return nil
+	}
+	if rs.id, err = drawIdentity(); err != nil {
+		return errors.Join(err, log.Close())
+	}
+	if err := rs.appendRecord(rs.identityRecord()); err != nil {
+		return errors.Join(err, log.Close())
+	}
+	return nil
+}
+
+// closeLog closes the log. Its error is of no use: what is on disk decides when the process starts again.
+func (rs *registerSet) closeLog() {
+	if rs.log != nil {
+		_ = rs.log.Close()
+	}
+}
+
+func (rs *registerSet) identityRecord() []byte {
+	w := link.Writer{}
+	w.U8(recordIdentity)
+	w.U64(rs.id)
+	return w.B
+}
+
+func encodeRegisterRecord(name string, payload []byte) []byte {
+	w := link.Writer{}
+	w.U8(recordRegister)
+	w.String(name)
+	w.Bytes(payload)
+	return w.B
+}
+
+func encodeFirstVotersRecord(voters []paxos.Voter) []byte {
+	w := link.Writer{}
+	w.U8(recordFirstVoters)
+	w.U32(uint32(len(voters)))
+	for _, v := range voters {
+		w.U64(v.ID)
+		w.String(v.Name)
+		w.String(v.Addr)
+	}
+	return w.B
+}
+
+// replayRecord takes a record of the log. Records of unknown kinds are skipped.
+func (rs *registerSet) replayRecord(b []byte) error {
+	r := link.Reader{B: bytes.Clone(b)}
+	switch r.U8() {
+	case recordIdentity:
+		rs.id = r.U64()
+	case recordRegister:
+		name := r.String()
+		rs.replayed[name] = append(rs.replayed[name], r.Bytes())
+	case recordFirstVoters:
+		for range r.Count(minVoterBytes) {
+			rs.firstVoters = append(rs.firstVoters, paxos.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()})
+		}
+	}
+	return r.Err
+}
+
+// appendRecord appends a record and syncs the log. After an agree.ErrNotSaved the log is as it was; after any other
+// error it is out of use.
+func (rs *registerSet) appendRecord(b []byte) error {
+	if rs.log == nil {
+		return errNoDisk
+	}
+	if rs.log.Size()+int64(len(b)) > rs.rewritePolicy.rewriteSize(rs.rewrittenSize) {
+		rs.rewriteLog() // the registers' state is that before b, so nothing of b is lost
+	}
+	_, err := rs.log.Append(b)
+	if err != nil && !recordlog.Failed.Has(err) && rs.reclaimSpace() {
+		_, err = rs.log.Append(b)
+	}
+	if err != nil && !recordlog.Failed.Has(err) {
+		return paxos.ErrNotSaved.Wrap(err)
+	}
+	if err != nil {
+		return err
+	}
+	return rs.log.Sync()
+}
+
+// reclaimSpace rewrites the log on a disk that is full. It reports whether that freed space.
+func (rs *registerSet) reclaimSpace() bool {
+	before := rs.log.Size()
+	rs.rewriteLog()
+	rs.noRewriteBefore = time.Now().Add(rewriteRetryDelay)
+	return rs.log.Size() < before
+}
+
+// rewriteIfDue rewrites a log that has grown since its last rewrite.
+func (rs *registerSet) rewriteIfDue() {
+	if rs.log != nil && rs.log.Size() >= rs.rewritePolicy.rewriteSize(rs.rewrittenSize) {
+		rs.rewriteLog()
+	}
+}
+
+// rewriteLog replaces the log by one that holds only the present state. If that fails, the log is as it was, or out of
+// use, which the next append finds.
+func (rs *registerSet) rewriteLog() {
+	if time.Now().Before(rs.noRewriteBefore) {
+		return
+	}
+	if err := rs.log.Rewrite(rs.writeState); err != nil {
+		rs.keeper.log.Error("log not rewritten", "err", err)
+		rs.noRewriteBefore = time.Now().Add(rewriteRetryDelay)
+		return
+	}
+	rs.rewrittenSize = rs.log.Size()
+}
+
+// writeState adds the present state to a new log.
+func (rs *registerSet) writeState(add func([]byte) (int64, error)) error {
+	if _, err := add(rs.identityRecord()); err != nil {
+		return err
+	}
+	for _, name := range registerNames {
+		if rs.byName[name] == nil { // the log is being opened
+			return errRegistersUnread
+		}
+		for _, payload := range rs.byName[name].Snapshot() {
+			if _, err := add(encodeRegisterRecord(name, payload)); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
--- a/internal/control/keeper/relays_test.go
+++ b/internal/control/keeper/relay_test.go
@@ -1,31 +1,41 @@
 package keeper
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"sync"
+	"sync/atomic"
 )
 
-// relays stand between the keepers of a rig: a pair that is cut hears nothing of each other, and no connection ends.
+// direction is from one keeper of a rig to another.
+type direction struct{ from, to int }
+
+// relays stand between the keepers of a rig. A direction that is cut passes no bytes, and no connection ends. They count
+// the bytes that keepers receive from each other.
 type relays struct {
-	r  *rig
-	mu sync.Mutex
-	// flow is closed while bytes from one keeper to another pass.
-	flow      map[[2]int]chan struct{}
-	addresses map[[2]int]string // who dials, who is dialled
+	r         *rig
+	mu        sync.Mutex
+	flow      map[direction]chan struct{} // closed while bytes pass
+	addresses map[direction]string        // of the relay that a keeper dials in place of another
 	closers   []io.Closer
 	ended     chan struct{}
+	received  []atomic.Int64 // bytes, by keeper
 }
 
 // relayed has the keepers of a rig dial each other through relays.
 func (r *rig) relayed() *relays {
-	l := &relays{r: r, flow: map[[2]int]chan struct{}{}, addresses: map[[2]int]string{}, ended: make(chan struct{})}
+	l := &relays{
+		r:         r,
+		flow:      map[direction]chan struct{}{},
+		addresses: map[direction]string{},
+		ended:     make(chan struct{}),
+		received:  make([]atomic.Int64, len(r.running)),
+	}
 	for i := range r.running {
 		for j := range r.running {
 			open := make(chan struct{})
 			close(open)
-			l.flow[[2]int{i, j}] = open
+			l.flow[direction{i, j}] = open
 		}
 	}
 	r.relays = l
@@ -39,7 +49,7 @@
 	}
 	return func(addr string) string {
 		for j := range r.running {
-			if addr == fmt.Sprintf("%s:%d", r.ip(j), r.links) {
+			if addr == r.linkAddress(j) {
 				return r.relays.address(i, j, addr)
 			}
 		}
@@ -47,11 +57,11 @@
 	}
 }
 
-// address is where a keeper dials another one.
+// address is the relay's address that a keeper dials in place of another keeper's.
 func (l *relays) address(from, to int, target string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	pair := [2]int{from, to}
+	pair := direction{from, to}
 	if addr, there := l.addresses[pair]; there {
 		return addr
 	}
@@ -85,7 +95,7 @@
 	}
 }
 
-// carry passes bytes on while the pair is not cut.
+// carry passes bytes on while the direction is not cut.
 func (l *relays) carry(in, out net.Conn, from, to int) {
 	defer in.Close()
 	defer out.Close()
@@ -96,13 +106,14 @@
 			return
 		}
 		l.mu.Lock()
-		open := l.flow[[2]int{from, to}]
+		open := l.flow[direction{from, to}]
 		l.mu.Unlock()
 		select {
 		case <-open:
 		case <-l.ended:
 			return
 		}
+		l.received[to].Add(int64(n))
 		if _, err := out.Write(buffer[:n]); err != nil {
 			return
 		}
@@ -118,15 +129,22 @@
 			continue
 		}
 		if from {
-			l.flow[[2]int{i, j}] = make(chan struct{})
+			l.flow[direction{i, j}] = make(chan struct{})
 		}
 		if to {
-			l.flow[[2]int{j, i}] = make(chan struct{})
+			l.flow[direction{j, i}] = make(chan struct{})
 		}
 	}
 }
 
-// heal ends all cuts. What was held back comes late.
+// cut stops all bytes from one keeper to another.
+func (l *relays) cut(from, to int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.flow[direction{from, to}] = make(chan struct{})
+}
+
+// heal ends all cuts. The bytes that were sent meanwhile come late.
 func (l *relays) heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- /dev/null
+++ b/internal/control/keeper/reports.go
@@ -0,0 +1,73 @@
+package keeper
+
+import (
+	"maps"
+	"slices"
+
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/platform/link"
+)
+
+// currentReport is what this keeper reports about itself to the others, which decide by it who votes and who may grant
+// leases.
+func (k *Keeper) currentReport() controlclient.KeeperReport {
+	connected, heard := k.knownPeers().connectedIDs(k.registers.id), map[uint64]bool{}
+	for _, voter := range k.registers.voters() {
+		if connected[voter.ID] {
+			heard[voter.ID] = true
+		}
+	}
+	return controlclient.KeeperReport{
+		InContact: k.inContact(),
+		Leaving:   k.shuttingDown,
+		Slots:     k.registers.storedSlotNumbers(),
+		Heard:     slices.Sorted(maps.Keys(heard)),
+	}
+}
+
+// broadcastReport sends the report to all connected keepers.
+func (k *Keeper) broadcastReport() {
+	k.lastReport = k.currentReport()
+	body := encodeReport(k.lastReport)
+	for _, p := range k.peers {
+		if p.conn != nil {
+			_ = p.conn.Send(controlclient.Report, body) // the next one comes within half a heartbeat interval
+		}
+	}
+}
+
+// broadcastChangedReport sends the report if it has changed since it was sent last.
+func (k *Keeper) broadcastChangedReport() {
+	report := k.currentReport()
+	if report.InContact != k.lastReport.InContact || report.Leaving != k.lastReport.Leaving ||
+		!slices.Equal(report.Slots, k.lastReport.Slots) || !slices.Equal(report.Heard, k.lastReport.Heard) {
+		k.broadcastReport()
+	}
+}
+
+func encodeReport(report controlclient.KeeperReport) []byte {
+	w := link.Writer{}
+	report.Append(&w)
+	return w.B
+}
+
+// handleReport takes the report of another keeper, and asks it for the registers' states that it has and this one
+// lacks.
+func (k *Keeper) handleReport(m *link.Message) {
+	r := link.Reader{B: m.Body}
+	report := controlclient.ReadKeeperReport(&r)
+	l := k.peerLinks[m.Conn]
+	if l == nil || r.Err != nil || len(report.Slots) != len(registerNames) {
+		return
+	}
+	if report.Leaving != l.peer.report.Leaving {
+		k.keepersRevision++ // the attached processes are pushed which keepers to go to
+		k.pushNeeded = true
+	}
+	l.peer.report = report
+	for i, stored := range k.registers.storedSlotNumbers() {
+		if stored < report.Slots[i] {
+			k.registers.queryPeer(registerNames[i], l.peer.node)
+		}
+	}
+}
--- a/internal/control/keeper/restart_damage_test.go
+++ b/internal/control/keeper/restart_damage_test.go
@@ -120,7 +120,7 @@
 
 func (r *rig) holdsVoterDuty(i int) bool {
 	k := r.running[i].k
-	holds, _ := ask(k, func() bool { return k.voterDuty.lease.Holds(k.since(time.Now())) })
+	holds, _ := query(k, func() bool { return k.voterManager.lease.Holds(k.sinceStart(time.Now())) })
 	return holds
 }
 
@@ -188,23 +188,23 @@
 	if _, err := attached.call(r.t, controlclient.Confirm, nil); err == nil {
 		r.t.Error("certificates are confirmed")
 	}
-	as, _ := r.running[other].k.agree.state(configRegister)
+	as, _ := r.running[other].k.registers.state(configRegister)
 	voter := voterOf(r.running[other].k.self)
 	p := r.impersonate(victim, voter, as)
-	for _, duty := range []string{dutyAssign, dutyVoters} {
+	for _, duty := range []string{assignRole, votersRole} {
 		if p.askForLease(duty) {
 			r.t.Errorf("the lease %q is granted", duty)
 		}
 	}
 	p.askForVotes()
-	for _, duty := range []string{dutyAssign, dutyVoters} {
+	for _, duty := range []string{assignRole, votersRole} {
 		if p.askForLease(duty) {
 			r.t.Errorf("the lease %q is granted after it was asked for votes", duty)
 		}
 	}
 	noConfig(r.t, attached)
-	if s := r.status(victim); s.InContact || s.Duty || r.holdsVoterDuty(victim) {
-		r.t.Errorf("in contact %v, duties %v and %v", s.InContact, s.Duty, r.holdsVoterDuty(victim))
+	if s := r.status(victim); s.InContact || s.AssignsPartitions || r.holdsVoterDuty(victim) {
+		r.t.Errorf("in contact %v, duties %v and %v", s.InContact, s.AssignsPartitions, r.holdsVoterDuty(victim))
 	}
 	p.conn.Close()
 }
@@ -214,8 +214,8 @@
 	r.t.Helper()
 	until(r.t, "the new identity votes", func() bool {
 		for _, name := range registerNames {
-			state, _ := r.running[other].k.agree.state(name)
-			if len(state.Voters) != len(r.running) || !state.Has(r.running[victim].k.agree.id) {
+			state, _ := r.running[other].k.registers.state(name)
+			if len(state.Voters) != len(r.running) || !state.Has(r.running[victim].k.registers.id) {
 				return false
 			}
 		}
--- a/internal/control/keeper/restart_impostor_test.go
+++ b/internal/control/keeper/restart_impostor_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"sync"
 	"testing"
@@ -58,7 +57,7 @@
 func (r *rig) impersonate(victim int, as paxos.Voter, newest paxos.State) *impostor {
 	r.t.Helper()
 	k := r.running[victim].k
-	p := &impostor{t: r.t, voter: as, asked: paxos.Voter{ID: k.agree.id, Name: k.self.Name, Addr: k.self.Addr}, start: time.Now(), heard: map[agreeKind]int{}}
+	p := &impostor{t: r.t, voter: as, asked: paxos.Voter{ID: k.registers.id, Name: k.self.Name, Addr: k.self.Addr}, start: time.Now(), heard: map[agreeKind]int{}}
 	register, err := paxos.New(paxos.Options{Name: configRegister, ID: as.ID, Proposer: rand.Uint64() | 1, Rand: rand.Float64,
 		Save: func([]byte) error { return nil }, Send: p.send, Decided: func(paxos.State) {}}, nil)
 	if err != nil {
@@ -68,7 +67,7 @@
 	p.step(func(now time.Duration) { register.Learn(now, newest) })
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if p.conn, err = link.Dial(ctx, fmt.Sprintf("%s:%d", r.ip(victim), r.links), p, link.DefaultOptions); err != nil {
+	if p.conn, err = link.Dial(ctx, r.linkAddress(victim), p, link.DefaultOptions); err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(p.conn.Close)
@@ -171,7 +170,7 @@
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	reply, err := p.conn.Call(ctx, controlclient.Lease, leaseBody(duty, p.voter.Name, false))
+	reply, err := p.conn.Call(ctx, controlclient.Lease, leaseMessage{role: duty, candidate: p.voter.Name}.encode())
 	if err != nil {
 		p.t.Fatal(err)
 	}
--- a/internal/control/keeper/restart_measure_test.go
+++ b/internal/control/keeper/restart_measure_test.go
@@ -22,6 +22,7 @@
 
 // measureRestart has a keeper miss some changes of a size, and come back.
 func measureRestart(t *testing.T, changes, size int) (cost restartCost) {
+	t.Helper()
 	m := newMeasuredRig(t)
 	version := uint64(0)
 	put := func() {
@@ -31,7 +32,7 @@
 	}
 	put()
 	until(t, "all have the first", func() bool {
-		return slices.Equal(m.running[0].k.agree.slots(), m.running[measuredKeeper].k.agree.slots())
+		return slices.Equal(m.running[0].k.registers.storedSlotNumbers(), m.running[measuredKeeper].k.registers.storedSlotNumbers())
 	})
 	m.kill(measuredKeeper)
 	for range changes {
@@ -64,18 +65,18 @@
 	}
 	for i := range m.running {
 		if i != measuredKeeper {
-			m.startMeasured(i)
+			m.start(i)
 		}
 	}
-	m.untilMet(0, needlessKeeper)
+	m.untilMet(0, otherVoter)
 }
 
 // measurePush starts the keeper while both others run, until it pushes.
 func (m *measuredRig) measurePush(version uint64) (read, sent int64, took time.Duration) {
 	m.t.Helper()
-	before := m.counter.sent.Load()
+	before := m.relays.received[measuredKeeper].Load()
 	began := time.Now()
-	m.startMeasured(measuredKeeper)
+	m.start(measuredKeeper)
 	read = m.folders[measuredKeeper].read.Load()
 	until(m.t, "it listens", func() bool { return m.call(measuredKeeper, "GET", "/status", "", nil).code == 200 })
 	process := m.raw(measuredKeeper, "p")
@@ -83,7 +84,7 @@
 		update := get(m.t, process.pushes, "a push")
 		process.ack(update.Number)
 		if update.Version == version {
-			return read, m.counter.sent.Load() - before, time.Since(began)
+			return read, m.relays.received[measuredKeeper].Load() - before, time.Since(began)
 		}
 	}
 }
@@ -91,11 +92,11 @@
 // measureVote starts the keeper while one of the others runs, until that one has contact with a majority.
 func (m *measuredRig) measureVote() time.Duration {
 	m.t.Helper()
-	m.kill(needlessKeeper)
+	m.kill(otherVoter)
 	k := m.running[0].k
 	until(m.t, "one alone has no contact", func() bool { return !k.inContact() })
 	began := time.Now()
-	m.startMeasured(measuredKeeper)
+	m.start(measuredKeeper)
 	until(m.t, "the vote gives contact", k.inContact)
 	return time.Since(began)
 }
@@ -139,13 +140,14 @@
 	if most := int64(times*size + small); cost.sent > most {
 		t.Errorf("it was sent %d bytes, over %d, after %d changes of %d", cost.sent, most, away, size)
 	}
-	if most := int64(rewriteAbove + times*size); max(cost.read, cost.stayed) > most {
+	if most := int64(minRewriteSize + times*size); max(cost.read, cost.stayed) > most {
 		t.Errorf("%d and %d bytes were read, over %d", cost.read, cost.stayed, most)
 	}
 }
 
 // measureRestarts prints the table of docs/agreement.md.
 func measureRestarts(t *testing.T) {
+	t.Helper()
 	counts := []int{0, 100, 200, changes}
 	for _, size := range []int{4 << 10, 64 << 10, 1 << 20} {
 		var away, read, stayed, sent, votes, pushes []float64
--- a/internal/control/keeper/restart_removed_test.go
+++ b/internal/control/keeper/restart_removed_test.go
@@ -7,13 +7,6 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// hold stops all bytes from one keeper to another, until heal.
-func (l *relays) hold(from, to int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.flow[[2]int{from, to}] = make(chan struct{})
-}
-
 // A keeper leaves, and the holder of the duty hears of its removal from others, before the word that it leaves: it does not make it a voter again.
 func TestRemovalHeardOfBeforeTheLeaving(t *testing.T) {
 	const machines = 4
@@ -25,13 +18,13 @@
 	r.untilVoters(all...)
 	holder := r.untilVoterDuty()
 	leaver := (holder + 1) % machines
-	holderKeeper, gone := r.running[holder].k, r.running[leaver].k.agree.id
+	holderKeeper, gone := r.running[holder].k, r.running[leaver].k.registers.id
 	removed := map[string]bool{}
 	var voters map[string][]paxos.Voter
 	observe := func() {
 		voters = map[string][]paxos.Voter{}
 		for _, name := range registerNames {
-			state, _ := holderKeeper.agree.state(name)
+			state, _ := holderKeeper.registers.state(name)
 			voters[name] = state.Voters
 			if !state.Has(gone) {
 				removed[name] = true
@@ -41,9 +34,9 @@
 		}
 	}
 	heardOf := func() bool {
-		return slices.ContainsFunc(holderKeeper.links(), func(l linked) bool { return l.node.ID == gone && l.conn != nil })
+		return slices.ContainsFunc(holderKeeper.knownPeers(), func(l peerInfo) bool { return l.node.ID == gone && l.conn != nil })
 	}
-	links.hold(leaver, holder)
+	links.cut(leaver, holder)
 	ended := make(chan struct{})
 	go func() { r.running[leaver].stop(); close(ended) }()
 	get(t, ended, "the word to end")
--- a/internal/control/keeper/retire_test.go
+++ b/internal/control/keeper/retire_test.go
@@ -57,7 +57,7 @@
 		{"such a repeat when too few are left by now", retiring(replaced(), 2), "a", []uint64{9, 3}, errStoresMissing},
 	} {
 		t.Run(test.what, func(t *testing.T) {
-			order := retirement{name: test.name, lost: func(uint64) bool { return false }, spare: 1}
+			order := retirement{name: test.name, isLost: func(uint64) bool { return false }, survivableLosses: 1}
 			for _, id := range test.alive {
 				s := store(id)
 				if id == 9 {
@@ -85,13 +85,13 @@
 	for err, want := range map[error]int{
 		nil: 200, ErrInvalid.New("x"): 400, certification.Invalid.New("x"): 400, ErrVersion.New("x"): 412, ErrForgotten.New("x"): 503,
 	} {
-		if got := statusOf(err); got != want {
+		if got := putStatus(err); got != want {
 			t.Errorf("%v to a document: %d", err, got)
 		}
 	}
-	for _, err := range []error{errStops, errBusy, errNoContact, paxos.ErrTimeout.New("x"), paxos.ErrNoMajority.New("x"), paxos.ErrUnknown.New("x"),
+	for _, err := range []error{errShuttingDown, errBusy, errNoContact, paxos.ErrTimeout.New("x"), paxos.ErrNoMajority.New("x"), paxos.ErrUnknown.New("x"),
 		paxos.ErrBusy.New("x"), paxos.ErrVoters.New("x"), io.ErrUnexpectedEOF} {
-		if got := statusOf(err); got != 503 {
+		if got := putStatus(err); got != 503 {
 			t.Errorf("%v to a document: %d", err, got)
 		}
 		if got := retireStatus(err); got != 503 {
--- a/internal/control/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -40,7 +40,9 @@
 	first   bool
 	wait    time.Duration
 	log     hclog.Logger
-	disks   []*disktest.Disk // nil: none
+	disks   []*disktest.Disk           // nil: none
+	folder  func(i int) journal.Folder // the folder of a keeper; nil: its disk
+	limits  settings.Limits            // of all keepers
 	running []*running
 	relays  *relays // between the keepers; nil: none
 }
@@ -53,6 +55,7 @@
 
 // newRig makes n keepers that are not running, with empty disks; the first three are the seeds.
 func newRig(t *testing.T, n int) *rig {
+	t.Helper()
 	r := &rig{t: t, net: fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(256)), first: true, log: hclog.NewNullLogger(), disks: make([]*disktest.Disk, n),
 		running: make([]*running, n)}
 	for i := range r.disks {
@@ -76,11 +79,17 @@
 
 func (r *rig) ip(i int) string { return fmt.Sprint(r.net, i+1) }
 
+// linkAddress is where a keeper's links are served.
+func (r *rig) linkAddress(i int) string { return fmt.Sprintf("%s:%d", r.ip(i), r.links) }
+
+// controlAddress is where a keeper's HTTP calls are served.
+func (r *rig) controlAddress(i int) string { return fmt.Sprintf("%s:%d", r.ip(i), r.control) }
+
 func (r *rig) settings(i int) *settings.Settings {
-	s := &settings.Settings{NodeName: fmt.Sprint("k", i+1), IP: r.ip(i), Zone: "z", Control: fmt.Sprintf("%s:%d", r.ip(i), r.control),
-		InternalFirst: r.links, InternalLast: r.links + 15, FirstStart: r.first, BeatEveryMs: 200, SurviveMachines: 1}
+	s := &settings.Settings{NodeName: fmt.Sprint("k", i+1), IP: r.ip(i), Zone: "z", Control: r.controlAddress(i),
+		InternalFirst: r.links, InternalLast: r.links + 15, FirstStart: r.first, BeatEveryMs: 200, SurviveMachines: 1, Limits: r.limits}
 	for j := range min(3, len(r.running)) {
-		s.Seeds = append(s.Seeds, fmt.Sprintf("%s:%d", r.ip(j), r.control))
+		s.Seeds = append(s.Seeds, r.controlAddress(j))
 	}
 	return s
 }
@@ -88,7 +97,10 @@
 func (r *rig) start(i int) {
 	r.t.Helper()
 	var folder journal.Folder
-	if r.disks[i] != nil {
+	switch {
+	case r.folder != nil:
+		folder = r.folder(i)
+	case r.disks[i] != nil:
 		folder = r.disks[i]
 	}
 	k, err := New(Options{Settings: r.settings(i), Folder: folder, Log: r.log, PushWait: r.wait, DialAddress: r.dialAddress(i)})
@@ -111,7 +123,7 @@
 // kill ends a keeper without a word to the others; its disk stays as it is.
 func (r *rig) kill(i int) {
 	if run := r.running[i]; run != nil {
-		run.k.halt()
+		run.k.cancelRun()
 		r.ended(i)
 	}
 }
@@ -222,7 +234,7 @@
 	a := &attachedClient{stop: cancel}
 	var addrs []string
 	for _, i := range seeds {
-		addrs = append(addrs, fmt.Sprintf("%s:%d", r.ip(i), r.links))
+		addrs = append(addrs, r.linkAddress(i))
 	}
 	a.c = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Life: uint64(time.Now().UnixNano())},
 		Seeds: addrs, Endpoints: true, Holder: &a.holder, Log: hclog.NewNullLogger()})
@@ -278,7 +290,7 @@
 	w := &raw{pushes: make(chan *controlclient.Update, 1<<12), closed: make(chan struct{})}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	conn, err := link.Dial(ctx, fmt.Sprintf("%s:%d", r.ip(i), r.links), w, link.DefaultOptions)
+	conn, err := link.Dial(ctx, r.linkAddress(i), w, link.DefaultOptions)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/control/keeper/status.go
+++ b/internal/control/keeper/status.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// status is what operators are shown of a keeper.
+// status is the state of a keeper as GET /status and the Status call show it to operators. The keys are part of the
+// interface.
 type status struct {
-	Node         string           `json:"node"`
-	Voter        bool             `json:"voter"`
-	InContact    bool             `json:"in_contact"`
-	Version      uint64           `json:"config_version"`
-	Certificates uint64           `json:"certificates_version"`
-	Table        uint64           `json:"table_number"`
-	Senders      int              `json:"proxies"`
-	Duty         bool             `json:"assigns_parts"`
-	Voters       []string         `json:"voters"`
-	Keepers      []string         `json:"keepers_met"`
-	Attached     []attachedStatus `json:"attached"`
-	Services     map[string]int   `json:"endpoints"`
-	Disk         string           `json:"disk_trouble,omitempty"` // why nothing can be saved
-	// Troubled are processes that can't do their work, attached or not, as they told any keeper.
-	Troubled []troubleStatus `json:"in_trouble,omitempty"`
+	Node                string            `json:"node"`
+	Voter               bool              `json:"voter"` // of all registers
+	InContact           bool              `json:"in_contact"`
+	ConfigVersion       uint64            `json:"config_version"`
+	CertificatesVersion uint64            `json:"certificates_version"`
+	TableNumber         uint64            `json:"table_number"`
+	Proxies             int               `json:"proxies"`
+	AssignsPartitions   bool              `json:"assigns_parts"` // it holds the lease of that role
+	Voters              []string          `json:"voters"`
+	Keepers             []string          `json:"keepers_met"`
+	Attached            []attachedStatus  `json:"attached"`
+	EndpointsByService  map[string]int    `json:"endpoints"`
+	DiskCondition       string            `json:"disk_trouble,omitempty"` // why nothing can be saved
+	Conditions          []conditionStatus `json:"in_trouble,omitempty"`   // of processes that report one to any keeper
 }
 
-type troubleStatus struct {
+type conditionStatus struct {
 	Node    string `json:"node"`
 	Role    string `json:"role"`
 	Zone    string `json:"zone"`
@@ -33,47 +33,88 @@
 }
 
 type attachedStatus struct {
-	Node         string `json:"node"`
-	Role         string `json:"role"`
-	Zone         string `json:"zone"`
-	Version      uint64 `json:"config_version"`
-	Certificates uint64 `json:"certificates_version"`
-	Behind       uint64 `json:"pushes_behind"`
+	Node                string `json:"node"`
+	Role                string `json:"role"`
+	Zone                string `json:"zone"`
+	ConfigVersion       uint64 `json:"config_version"`
+	CertificatesVersion uint64 `json:"certificates_version"`
+	PushesBehind        uint64 `json:"pushes_behind"`
 }
 
+// statusJSON encodes the status, with a newline.
 func (k *Keeper) statusJSON() []byte {
-	s := status{Node: k.self.Name, InContact: k.inContact(), Version: k.config.version, Certificates: k.certificates.version, Senders: k.senders, Voter: k.agree.votes(), Services: map[string]int{},
-		Duty: k.assigner.lease.Holds(k.since(time.Now()))}
-	s.Disk = k.agree.diskTrouble()
-	if k.parts != nil {
-		s.Table = k.parts.Number
+	b, err := json.MarshalIndent(k.currentStatus(time.Now()), "", "  ")
+	if err != nil { // it has only fields that always marshal
+		return []byte("{}")
 	}
-	names := map[string]bool{}
-	for _, v := range k.agree.voters() {
-		if !names[v.Name] {
-			names[v.Name] = true
-			s.Voters = append(s.Voters, v.Name)
-		}
+	return append(b, '\n')
+}
+
+func (k *Keeper) currentStatus(now time.Time) status {
+	s := status{
+		Node:                k.self.Name,
+		Voter:               k.registers.votes(),
+		InContact:           k.inContact(),
+		ConfigVersion:       k.config.version,
+		CertificatesVersion: k.certificates.version,
+		Proxies:             k.proxyCount,
+		AssignsPartitions:   k.assigner.lease.Holds(k.sinceStart(now)),
+		Voters:              k.voterNames(),
+		Attached:            k.attachedStatuses(),
+		EndpointsByService:  map[string]int{},
+		DiskCondition:       k.registers.diskCondition(),
+		Conditions:          k.conditionStatuses(now),
 	}
-	for _, n := range k.keeperNodes() {
-		s.Keepers = append(s.Keepers, n.Name)
+	if k.partitions != nil {
+		s.TableNumber = k.partitions.Number
 	}
-	for _, p := range k.attached {
-		m := p.inForce()
-		s.Attached = append(s.Attached, attachedStatus{p.node.Name, p.node.Role, p.node.Zone, m.version, m.certificates, p.pushed - p.acked})
+	for _, node := range k.reachableKeepers() {
+		s.Keepers = append(s.Keepers, node.Name)
 	}
-	now := time.Now()
-	k.troubles.expire(now)
-	for _, t := range k.troubles.sorted() {
-		s.Troubled = append(s.Troubled, troubleStatus{t.node.Name, t.node.Role, t.node.Zone, t.reason, int(now.Sub(t.began).Seconds())})
+	endpoints, _, _ := k.endpoints.Changes(k.sinceStart(now), 0)
+	for _, e := range endpoints {
+		s.EndpointsByService[e.Service]++
 	}
-	list, _, _ := k.table.Changes(k.since(time.Now()), 0)
-	for _, e := range list {
-		s.Services[e.Service]++
+	return s
+}
+
+// voterNames returns the voters of any register, each once.
+func (k *Keeper) voterNames() (names []string) {
+	listed := map[string]bool{}
+	for _, voter := range k.registers.voters() {
+		if !listed[voter.Name] {
+			listed[voter.Name] = true
+			names = append(names, voter.Name)
+		}
 	}
-	b, err := json.MarshalIndent(s, "", "  ")
-	if err != nil {
-		return []byte("{}")
+	return names
+}
+
+func (k *Keeper) attachedStatuses() (statuses []attachedStatus) {
+	for _, process := range k.attached {
+		mark := process.acknowledged()
+		statuses = append(statuses, attachedStatus{
+			Node:                process.node.Name,
+			Role:                process.node.Role,
+			Zone:                process.node.Zone,
+			ConfigVersion:       mark.configVersion,
+			CertificatesVersion: mark.certificatesVersion,
+			PushesBehind:        process.pushedNumber - process.ackedNumber,
+		})
 	}
-	return append(b, '\n')
+	return statuses
+}
+
+func (k *Keeper) conditionStatuses(now time.Time) (statuses []conditionStatus) {
+	k.conditions.expire(now)
+	for _, c := range k.conditions.sorted() {
+		statuses = append(statuses, conditionStatus{
+			Node:    c.node.Name,
+			Role:    c.node.Role,
+			Zone:    c.node.Zone,
+			Reason:  c.reason,
+			Seconds: int(now.Sub(c.firstReportedAt).Seconds()),
+		})
+	}
+	return statuses
 }
--- a/internal/control/keeper/stopping_test.go
+++ b/internal/control/keeper/stopping_test.go
@@ -18,7 +18,7 @@
 	defer cancel()
 	var conn *link.Conn
 	until(r.t, "a connection to a keeper", func() (ok bool) {
-		c, err := link.Dial(ctx, fmt.Sprintf("%s:%d", r.ip(i), r.links), w, link.DefaultOptions)
+		c, err := link.Dial(ctx, r.linkAddress(i), w, link.DefaultOptions)
 		conn = c
 		return err == nil
 	})
--- a/internal/control/keeper/troubles_test.go
+++ b/internal/control/keeper/troubles_test.go
@@ -21,13 +21,13 @@
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		if err := controlclient.ReportTrouble(ctx, fmt.Sprintf("%s:%d", r.ip(0), r.links), controlclient.Trouble{Node: node, Reason: reason}); err != nil {
+		if err := controlclient.ReportTrouble(ctx, r.linkAddress(0), controlclient.Trouble{Node: node, Reason: reason}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	shown := func(keeper int) string {
 		var all []string
-		for _, trouble := range r.status(keeper).Troubled {
+		for _, trouble := range r.status(keeper).Conditions {
 			all = append(all, fmt.Sprint(trouble.Role, " ", trouble.Node, " ", trouble.Zone, ": ", trouble.Reason))
 		}
 		return strings.Join(all, ", ")
@@ -50,16 +50,16 @@
 // TestTroublesOfOthers: a trouble lasts while it is told, whoever tells others, and not by the word of a former life.
 func TestTroublesOfOthers(t *testing.T) {
 	now := time.Now()
-	table := troubleTable{}
+	table := conditionTable{}
 	told := func(name string, life uint64, reason string) {
-		table.take(now, controlclient.Trouble{Node: controlclient.Node{Name: name, Role: controlclient.RoleStore, Life: life}, Reason: reason})
+		table.update(now, controlclient.Trouble{Node: controlclient.Node{Name: name, Role: controlclient.RoleStore, Life: life}, Reason: reason})
 	}
 	check := func(want string) {
 		t.Helper()
 		table.expire(now)
 		var got []string
 		for _, known := range table.sorted() {
-			got = append(got, fmt.Sprintf("%s: %s for %v", known.node.Name, known.reason, now.Sub(known.began)))
+			got = append(got, fmt.Sprintf("%s: %s for %v", known.node.Name, known.reason, now.Sub(known.firstReportedAt)))
 		}
 		if all := strings.Join(got, ", "); all != want {
 			t.Errorf("%q, should be %q", all, want)
@@ -68,7 +68,7 @@
 	told("b", 2, "full")
 	told("a", 1, "stalled")
 	check("a: stalled for 0s, b: full for 0s")
-	now = now.Add(troubleLasts)
+	now = now.Add(conditionTTL)
 	told("b", 1, "") // of a former life
 	told("b", 2, "stalled")
 	check("a: stalled for 5s, b: stalled for 5s")
@@ -76,10 +76,10 @@
 	check("b: stalled for 6s")
 	told("b", 3, "")
 	check("")
-	for i := range troublesMost + 10 {
-		told(fmt.Sprint(i), 1, strings.Repeat("x", 10*troubleReasonMost))
+	for i := range maxConditions + 10 {
+		told(fmt.Sprint(i), 1, strings.Repeat("x", 10*maxReasonBytes))
 	}
-	if len(table) != troublesMost || len(table.sorted()[0].reason) != troubleReasonMost {
+	if len(table) != maxConditions || len(table.sorted()[0].reason) != maxReasonBytes {
 		t.Errorf("%d are kept, the first has %d bytes", len(table), len(table.sorted()[0].reason))
 	}
 }
--- a/internal/control/keeper/value_test.go
+++ b/internal/control/keeper/value_test.go
@@ -27,8 +27,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next, err := v.put(documentOrder{c.Version, base, raw}, configDocument)
-		out := fmt.Sprint(statusOf(err))
+		next, err := v.put(documentPut{c.Version, base, raw}, configDocument)
+		out := fmt.Sprint(putStatus(err))
 		switch {
 		case err != nil:
 			out += " " + err.Error()
@@ -37,9 +37,10 @@
 		default:
 			v = next
 		}
-		return fmt.Sprintf("%s\nversion %d, %d known\n", out, v.version, len(v.past))
+		return fmt.Sprintf("%s\nversion %d, %d known\n", out, v.version, len(v.accepted))
 	}
 	datadriven.RunTest(t, "testdata/put", func(t *testing.T, d *datadriven.TestData) string {
+		t.Helper()
 		var version, base, to uint64
 		var mark string
 		d.MaybeScanArgs(t, "version", &version)
@@ -67,14 +68,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		v := &document{version: rapid.Uint64().Draw(t, "version"), raw: rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "raw")}
 		for range rapid.IntRange(0, 5).Draw(t, "past") {
-			v.past = append(v.past, taken{rapid.Uint64().Draw(t, "taken"), sha256.Sum256([]byte(rapid.String().Draw(t, "body")))})
+			v.accepted = append(v.accepted, acceptedVersion{rapid.Uint64().Draw(t, "taken"), sha256.Sum256([]byte(rapid.String().Draw(t, "body")))})
 		}
 		b := v.encode()
-		got, err := readDocument(b)
+		got, err := decodeDocument(b)
 		if err != nil || !reflect.DeepEqual(got, v) {
 			t.Fatalf("%+v, %v", got, err)
 		}
-		if _, err := readDocument(b[:rapid.IntRange(1, len(b)-1).Draw(t, "cut")]); err == nil {
+		if _, err := decodeDocument(b[:rapid.IntRange(1, len(b)-1).Draw(t, "cut")]); err == nil {
 			t.Fatal("what was cut off was read")
 		}
 	})
