--- /dev/null
+++ b/internal/control/keeper/voter_changes.go
@@ -0,0 +1,172 @@
+package keeper
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/reconfigure"
+	"dunetide/internal/consensus/singleton"
+	"dunetide/internal/control/controlclient"
+)
+
+const (
+	// votersRole is the singleton role that changes the voters of the registers. The name is on the wire.
+	votersRole = "voters"
+	// voterChangeTimeout bounds one change of voters.
+	voterChangeTimeout = 2 * time.Second
+	// minSurvivableLosses is how many losses of machines the voters survive at least, where machines suffice.
+	minSurvivableLosses = 1
+	// maxBehind is how long this keeper may lack a state that another one has reported and still grant leases.
+	maxBehind = 500 * time.Millisecond
+)
+
+// voterManager is the singleton role that changes the voters of the registers, and what this keeper has observed of
+// them. All keepers observe, so that one that acquires the lease knows already which voters are unresponsive, and for
+// how long.
+type voterManager struct {
+	lease       *singleton.Candidate
+	hasLease    bool                             // as logged last
+	changing    map[string]bool                  // registers whose voters are being changed
+	observers   map[string]*reconfigure.Observer // by register
+	behindSince time.Time                        // since when others have reported newer states; zero: they haven't
+}
+
+func newVoterManager() voterManager {
+	m := voterManager{
+		lease:     singleton.NewCandidate(rand.Float64),
+		changing:  map[string]bool{},
+		observers: map[string]*reconfigure.Observer{},
+	}
+	for _, name := range registerNames {
+		m.observers[name] = &reconfigure.Observer{}
+	}
+	return m
+}
+
+// stepVoterManager observes the voters, keeps the lease and, while this keeper holds it, changes the voters.
+func (k *Keeper) stepVoterManager(now time.Time) {
+	m, at := &k.voterManager, k.sinceStart(now)
+	k.observeVoters(now)
+	k.broadcastChangedReport()
+	if k.contact.Holds(at) {
+		k.stepLease(now, votersRole, m.lease)
+	}
+	if held := m.lease.Holds(at); held != m.hasLease {
+		m.hasLease = held
+		k.logLease(votersRole, held)
+	}
+	if !m.hasLease || k.shuttingDown {
+		return
+	}
+	for i, name := range registerNames {
+		if !m.changing[name] && !k.isBehind(i) {
+			k.proposeVoterChange(now, name)
+		}
+	}
+}
+
+// proposeVoterChange proposes the next change of a register's voters, if there is one.
+func (k *Keeper) proposeVoterChange(now time.Time, name string) {
+	state, known := k.registers.state(name)
+	if !known {
+		return
+	}
+	change, found := reconfigure.Next(k.voterSituation(now, name, state))
+	if !found {
+		return
+	}
+	k.voterManager.changing[name] = true
+	k.registers.changeVoters(name, voterChangeTimeout, change, state.Voters, func(_ paxos.State, err error) {
+		k.post(func() { k.voterManager.changing[name] = false })
+		k.logVoterChange(name, change, err)
+	})
+}
+
+// changeVoters makes a change of voters, unless the voters differ from those that it was decided for.
+func (rs *registerSet) changeVoters(
+	name string, timeout time.Duration, change reconfigure.Change, decidedFor []paxos.Voter, done resultFunc,
+) {
+	rs.propose(name, timeout, func(current paxos.State) (paxos.State, error) {
+		next, applied := change.Apply(current, decidedFor)
+		if !applied {
+			return current, paxos.ErrUnchanged
+		}
+		return next, nil
+	}, done)
+}
+
+func (k *Keeper) logVoterChange(name string, change reconfigure.Change, err error) {
+	voterName := func(v *paxos.Voter) string {
+		if v == nil {
+			return "none"
+		}
+		return v.Name
+	}
+	k.log.Info("voters changed", "register", name, "reason", change.Reason,
+		"old", voterName(change.Old), "new", voterName(change.New), "err", err)
+}
+
+// voterSituation is what is known of a register's voters, and of the keepers that could be voters.
+func (k *Keeper) voterSituation(now time.Time, name string, state paxos.State) reconfigure.Situation {
+	settings := k.options.Settings
+	limits := reconfigure.Limits{
+		Survive:     max(minSurvivableLosses, settings.SurviveMachines),
+		MostVoters:  maxVoters,
+		GiveUpAfter: reconfigure.GiveUpAfter(settings.Bounds.CatchUp),
+	}
+	return k.voterManager.observers[name].Situation(k.sinceStart(now), state, k.registerReports(name), limits)
+}
+
+// registerReports returns what this keeper and the connected ones that have a disk report of a register.
+func (k *Keeper) registerReports(name string) []reconfigure.Report {
+	register := slices.Index(registerNames, name)
+	var reports []reconfigure.Report
+	add := func(node controlclient.Node, report controlclient.KeeperReport) {
+		if node.ID != 0 && len(report.Slots) > 0 {
+			reports = append(reports, reconfigure.Report{
+				Keeper:  voterOf(node),
+				Heard:   report.Heard,
+				Stored:  report.Slots[register],
+				Leaving: report.Leaving,
+			})
+		}
+	}
+	add(k.self, k.currentReport())
+	for _, p := range k.peers {
+		if p.conn != nil {
+			add(p.node, p.report)
+		}
+	}
+	return reports
+}
+
+// observeVoters notes which voters are unresponsive, and since when this keeper has been behind.
+func (k *Keeper) observeVoters(now time.Time) {
+	m := &k.voterManager
+	behind := false
+	for i, name := range registerNames {
+		state, _ := k.registers.state(name)
+		m.observers[name].Observe(k.sinceStart(now), state, k.registerReports(name))
+		behind = behind || k.isBehind(i)
+	}
+	switch {
+	case !behind:
+		m.behindSince = time.Time{}
+	case m.behindSince.IsZero():
+		m.behindSince = now
+	}
+}
+
+// isBehind reports whether a connected keeper has stored a newer state of a register than this one, or this one has
+// stored none. The register is given by its index in registerNames.
+func (k *Keeper) isBehind(register int) bool {
+	stored := k.registers.storedSlotNumbers()[register]
+	for _, p := range k.peers {
+		if p.conn != nil && len(p.report.Slots) > 0 && p.report.Slots[register] > stored {
+			return true
+		}
+	}
+	return stored == 0
+}
--- a/internal/control/keeper/voters_test.go
+++ b/internal/control/keeper/voters_test.go
@@ -12,9 +12,9 @@
 	"dunetide/internal/platform/link"
 )
 
-// votersOf are the names of those who vote on each register, as a keeper knows them.
+// registerVoters are the names of those who vote on each register, as a keeper knows them.
 func (r *rig) votersOf(i int, register string) []string {
-	state, _ := r.running[i].k.agree.state(register)
+	state, _ := r.running[i].k.registers.state(register)
 	var names []string
 	for _, voter := range state.Voters {
 		names = append(names, voter.Name)
@@ -101,7 +101,7 @@
 func TestRestartKeepsTheVote(t *testing.T) {
 	o := startRig(t, 3, 3)
 	for i := range 3 {
-		if took := o.terminate(i); took > min(time.Second*raceSlowdown, handOverMost) { // which one that hands over in vain takes
+		if took := o.terminate(i); took > min(time.Second*raceSlowdown, transferTimeout) { // which one that hands over in vain takes
 			t.Errorf("keeper %d ended after %v", i+1, took)
 		}
 		o.start(i)
@@ -127,7 +127,7 @@
 		o.untilVoters(step.before...)
 		took := o.terminate(step.leaves)
 		t.Logf("keeper %d handed over in %v", step.leaves+1, took)
-		if took > handOverMost*raceSlowdown {
+		if took > transferTimeout*raceSlowdown {
 			t.Errorf("keeper %d ended after %v", step.leaves+1, took)
 		}
 		o.removalStored(step.leaves, step.after...)
@@ -155,13 +155,13 @@
 func TestEmptyDiskUnderTheOldName(t *testing.T) {
 	o := startRig(t, 3, 3)
 	o.take(0)
-	lost := o.running[1].k.agree.id
+	lost := o.running[1].k.registers.id
 	o.kill(1)
 	o.disks[1] = disktest.New()
 	o.start(1)
 	until(t, "the identity of the lost disk votes no more", func() bool {
 		return !slices.ContainsFunc(registerNames, func(name string) bool {
-			state, _ := o.running[0].k.agree.state(name)
+			state, _ := o.running[0].k.registers.state(name)
 			return state.Has(lost) || len(state.Voters) != 3
 		})
 	})
@@ -232,8 +232,8 @@
 	}
 	began := time.Now()
 	o.start(0)
-	newest := o.running[1].k.agree.slots()
-	until(t, "it has what the others have", func() bool { return slices.Equal(o.running[0].k.agree.slots(), newest) })
+	newest := o.running[1].k.registers.storedSlotNumbers()
+	until(t, "it has what the others have", func() bool { return slices.Equal(o.running[0].k.registers.storedSlotNumbers(), newest) })
 	t.Logf("caught up in %v", time.Since(began))
 	o.kill(1)
 	o.take(2)
@@ -247,14 +247,14 @@
 	for i, id := range []uint64{7, 8} {
 		k.adoptLink(conns[i], controlclient.Node{Name: fmt.Sprint("k", id), Role: controlclient.RoleKeeper, ID: id, Life: 1}, false)
 	}
-	if heard := k.report().Heard; len(heard) != 0 {
+	if heard := k.currentReport().Heard; len(heard) != 0 {
 		t.Errorf("%v are heard before anything is known of the voters", heard)
 	}
-	state := paxos.State{Voters: []paxos.Voter{{ID: k.agree.id, Name: "k1"}, {ID: 7, Name: "k7"}, {ID: 9, Name: "k9"}}}
-	k.agree.decided(configRegister, state)
-	want := []uint64{7, k.agree.id}
+	state := paxos.State{Voters: []paxos.Voter{{ID: k.registers.id, Name: "k1"}, {ID: 7, Name: "k7"}, {ID: 9, Name: "k9"}}}
+	k.registers.publishDecided(configRegister, state)
+	want := []uint64{7, k.registers.id}
 	slices.Sort(want)
-	if heard := k.report().Heard; !slices.Equal(heard, want) {
+	if heard := k.currentReport().Heard; !slices.Equal(heard, want) {
 		t.Errorf("%v are heard, not %v", heard, want)
 	}
 }
@@ -263,35 +263,35 @@
 // another one has.
 func TestWhoMayGrantLeases(t *testing.T) {
 	k := still(t, "k1")
-	now := k.life.Add(time.Minute)
+	now := k.startedAt.Add(time.Minute)
 	const other, stranger = 7, 8
 	if k.mayGrant(now, other) {
 		t.Error("a lease from a keeper that knows nothing")
 	}
 	voters := func(ids ...uint64) {
-		state := paxos.State{Slot: k.agree.slots()[0]}
+		state := paxos.State{Slot: k.registers.storedSlotNumbers()[0]}
 		for _, id := range ids {
 			state.Voters = append(state.Voters, paxos.Voter{ID: id, Name: fmt.Sprint(id)})
 		}
-		k.agree.decided(configRegister, state)
+		k.registers.publishDecided(configRegister, state)
 	}
-	voters(k.agree.id, other)
-	if !k.mayGrant(now, other) || !k.mayGrant(now, k.agree.id) {
+	voters(k.registers.id, other)
+	if !k.mayGrant(now, other) || !k.mayGrant(now, k.registers.id) {
 		t.Error("no lease among voters")
 	}
 	if k.mayGrant(now, stranger) || k.mayGrant(now, 0) {
 		t.Error("a lease to one that is no voter")
 	}
-	k.voterDuty.behind = now.Add(-behindMost)
+	k.voterManager.behindSince = now.Add(-maxBehind)
 	if k.mayGrant(now, other) {
 		t.Error("a lease from one that lacks a newer state")
 	}
-	k.voterDuty.behind = now
+	k.voterManager.behindSince = now
 	if !k.mayGrant(now, other) {
 		t.Error("no lease while a state is under way")
 	}
 	voters(other, stranger)
-	if k.mayGrant(now, other) || k.mayGrant(now, k.agree.id) {
+	if k.mayGrant(now, other) || k.mayGrant(now, k.registers.id) {
 		t.Error("a lease from one that was replaced")
 	}
 }
@@ -304,7 +304,7 @@
 	until(t, "one has the duty", func() bool {
 		for i := range 4 {
 			k := o.running[i].k
-			if holds, _ := ask(k, func() bool { return k.voterDuty.lease.Holds(k.since(time.Now())) }); holds {
+			if holds, _ := query(k, func() bool { return k.voterManager.lease.Holds(k.sinceStart(time.Now())) }); holds {
 				leaver = i
 			}
 		}
@@ -326,7 +326,7 @@
 				continue
 			}
 			k := o.running[i].k
-			if holds, _ := ask(k, func() bool { return k.voterDuty.lease.Holds(k.since(time.Now())) }); holds {
+			if holds, _ := query(k, func() bool { return k.voterManager.lease.Holds(k.sinceStart(time.Now())) }); holds {
 				return true
 			}
 		}
@@ -339,20 +339,20 @@
 func TestLeavingKeeperTakesNobody(t *testing.T) {
 	k := still(t, "k1")
 	conns, _ := wires(t, 2)
-	k.leaving = true
-	k.hello(&link.Message{Conn: conns[0], Body: hello("p", controlclient.RoleProxy)})
+	k.shuttingDown = true
+	k.handleHello(&link.Message{Conn: conns[0], Body: hello("p", controlclient.RoleProxy)})
 	if len(k.attached) != 0 {
 		t.Error("a process was attached")
 	}
-	k.leaving = false
+	k.shuttingDown = false
 	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, false)
-	if len(k.keeperNodes()) != 2 {
-		t.Errorf("%d keepers", len(k.keeperNodes()))
+	if len(k.reachableKeepers()) != 2 {
+		t.Errorf("%d keepers", len(k.reachableKeepers()))
 	}
-	changes := k.keepersChange
+	changes := k.keepersRevision
 	body := encodeReport(controlclient.KeeperReport{Leaving: true, Slots: make([]uint64, len(registerNames))})
-	k.reported(&link.Message{Conn: conns[1], Body: body})
-	if len(k.keeperNodes()) != 1 || k.keepersChange == changes {
+	k.handleReport(&link.Message{Conn: conns[1], Body: body})
+	if len(k.reachableKeepers()) != 1 || k.keepersRevision == changes {
 		t.Error("the attached are still sent to one that leaves")
 	}
 }
@@ -364,16 +364,16 @@
 		until(t, what, func() bool {
 			o.take(1)
 			return !slices.ContainsFunc(registerNames, func(name string) bool {
-				state, _ := o.running[1].k.agree.state(name)
+				state, _ := o.running[1].k.registers.state(name)
 				return len(state.Voters) != 4 || !holds(state)
 			})
 		})
 	}
 	o.start(3)
-	underOrders("the joiner votes", func(state paxos.State) bool { return state.Has(o.running[3].k.agree.id) })
+	underOrders("the joiner votes", func(state paxos.State) bool { return state.Has(o.running[3].k.registers.id) })
 	o.kill(0)
 	o.disks[0] = disktest.New()
 	o.start(0)
-	underOrders("the new identity votes", func(state paxos.State) bool { return state.Has(o.running[0].k.agree.id) })
+	underOrders("the new identity votes", func(state paxos.State) bool { return state.Has(o.running[0].k.registers.id) })
 	o.readable(0)
 }
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/wrong_test.go
@@ -19,23 +19,23 @@
 }{
 	{"a drain acknowledged by who is cut off, with the invariant off",
 		[]cluster.Replacement{
-			{File: "internal/control/keeper/endpoints.go", Old: "	case res.waiter != nil && !res.waiter.quorate:\n", New: "	case false:\n"},
-			{File: "internal/control/keeper/endpoints.go", Old: "	k.checkAcknowledgement(id, res)\n", New: ""},
+			{File: "internal/control/keeper/endpoints.go", Old: "	case result.waiter != nil && !result.waiter.majorityAcked:\n", New: "	case false:\n"},
+			{File: "internal/control/keeper/endpoints.go", Old: "	k.checkAcknowledgement(change.id, result)\n", New: ""},
 		},
 		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 2, Troubles: []Trouble{
 			{Number: 1, At: 2 * time.Second, For: 9 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{1}},
 			{Number: 2, At: 2 * time.Second, For: time.Second, Kind: Leave, How: "silent lured", Targets: []int{4}},
 		}}, []string{ruleDrain}},
 	{"the same, found by the invariant",
-		[]cluster.Replacement{{File: "internal/control/keeper/endpoints.go", Old: "	case res.waiter != nil && !res.waiter.quorate:\n", New: "	case false:\n"}},
+		[]cluster.Replacement{{File: "internal/control/keeper/endpoints.go", Old: "	case result.waiter != nil && !result.waiter.majorityAcked:\n", New: "	case false:\n"}},
 		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 1, Troubles: []Trouble{
 			{Number: 1, At: 2 * time.Second, For: 6 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{1}},
 			{Number: 2, At: 2 * time.Second, For: time.Second, Kind: Leave, How: "silent lured", Targets: []int{4}},
 		}}, []string{ruleInvariant}},
 	{"reads answered from memory, with the invariant off",
 		[]cluster.Replacement{
-			{File: "internal/control/keeper/documents.go", Old: "	v, err := k.readNewest(register)\n", New: "	k.agree.mu.Lock()\n	memory := k.agree.states[register].Value\n	k.agree.mu.Unlock()\n	v, err := readDocument(memory)\n"},
-			{File: "internal/control/keeper/documents.go", Old: "	checkRead(register, known, v.version)\n", New: "	_ = known\n"},
+			{File: "internal/control/keeper/document_calls.go", Old: "	newest, err := k.readNewestDocument(register)\n", New: "	k.registers.mu.Lock()\n	memory := k.registers.states[register].Value\n	k.registers.mu.Unlock()\n	newest, err := decodeDocument(memory)\n"},
+			{File: "internal/control/keeper/document_calls.go", Old: "	checkReadNotOlder(register, known, newest.version)\n", New: "	_ = known\n"},
 		},
 		Plan{Seed: 2, Shape: shapes[0], Length: 8 * time.Second, Final: FinalNone, Load: 0.5, Troubles: []Trouble{
 			{Number: 1, At: 2 * time.Second, For: 4 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{2}},
