--- a/internal/batch/audit/store.go
+++ b/internal/batch/audit/store.go
@@ -84,7 +84,7 @@
 
 // outOfUse gives the record up, unless the disk is merely full: then it is tried again with the next records.
 func (s *Store) outOfUse(err error) {
-	full := recordlog.NoRoom(err)
+	full := recordlog.IsDiskFull(err)
 	if !full {
 		s.failed = err
 	}
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -276,7 +276,7 @@
 	flipped := bytes.Clone(d.File("t.log"))
 	flipped[len(flipped)/2] ^= 4
 	d.Put("t.log", flipped)
-	if err := open(d); !recordlog.Damaged.Has(err) {
+	if err := open(d); !recordlog.ErrDamaged.Has(err) {
 		t.Errorf("a flipped byte: %v", err)
 	}
 	d = build()
--- a/internal/batch/segments.go
+++ b/internal/batch/segments.go
@@ -93,7 +93,7 @@
 	slices.Sort(numbers)
 	for i, number := range numbers {
 		if i > 0 && number != numbers[i-1]+1 {
-			return nil, recordlog.Damaged.New("%s: the segments %d and %d are there, and none between them", l.name, numbers[i-1], number)
+			return nil, recordlog.ErrDamaged.New("%s: the segments %d and %d are there, and none between them", l.name, numbers[i-1], number)
 		}
 	}
 	if len(numbers) == 0 {
@@ -117,7 +117,7 @@
 	}
 	if number > 0 && records == 0 {
 		if !newest {
-			return errors.Join(recordlog.Damaged.New("%s is empty, and there is a newer segment", l.fileName(number)), file.Close())
+			return errors.Join(recordlog.ErrDamaged.New("%s is empty, and there is a newer segment", l.fileName(number)), file.Close())
 		}
 		if err := l.writeHead(file); err != nil { // the process ended while it began the segment
 			return errors.Join(err, file.Close())
@@ -142,14 +142,14 @@
 // checkPrevious checks the length of the newest segment against what the head of the next one says.
 func (l *segmentedLog) checkPrevious(head []byte) error {
 	if len(head) != 8 {
-		return recordlog.Damaged.New("%s: a segment does not begin with its head", l.name)
+		return recordlog.ErrDamaged.New("%s: a segment does not begin with its head", l.name)
 	}
 	if len(l.segments) == 0 {
 		return nil // the one before it has been removed
 	}
 	last := l.segments[len(l.segments)-1]
 	if want := int64(binary.BigEndian.Uint64(head)); last.Size() < want {
-		return recordlog.Damaged.New("%s: it has %d bytes of the %d that were synced", l.fileName(last.number), last.Size(), want)
+		return recordlog.ErrDamaged.New("%s: it has %d bytes of the %d that were synced", l.fileName(last.number), last.Size(), want)
 	}
 	return nil
 }
@@ -183,7 +183,7 @@
 func (l *segmentedLog) ReadRaw(at int64, n int) ([]byte, error) {
 	s, ok := l.get(segmentOf(at))
 	if !ok {
-		return nil, recordlog.Moved.New("%s: segment %d is not there", l.name, segmentOf(at))
+		return nil, recordlog.ErrNoRecord.New("%s: segment %d is not there", l.name, segmentOf(at))
 	}
 	return s.Log.ReadRaw(at&segmentMask, n)
 }
@@ -229,7 +229,7 @@
 	}
 	number := last.number + 1
 	file, err := recordlog.Open(l.folder, l.fileName(number), func([]byte, int64) error {
-		return recordlog.Damaged.New("%s is there already", l.fileName(number))
+		return recordlog.ErrDamaged.New("%s is there already", l.fileName(number))
 	})
 	if err != nil {
 		return fmt.Errorf("beginning a segment: %w", err)
--- a/internal/batch/segments_test.go
+++ b/internal/batch/segments_test.go
@@ -159,7 +159,7 @@
 			t.Fatalf("before: %d records, %v", len(log.payloads), err)
 		}
 		spoil(d)
-		if log, err := openSegments(d); !recordlog.Damaged.Has(err) {
+		if log, err := openSegments(d); !recordlog.ErrDamaged.Has(err) {
 			t.Errorf("%s: %v, %d records", name, err, len(log.payloads))
 		}
 	}
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -91,7 +91,7 @@
 func (n noting) Append(b []byte) (int64, error) {
 	defer n.timed()()
 	at, err := n.Log.Append(b)
-	if err != nil && !recordlog.Failed.Has(err) {
+	if err != nil && !recordlog.ErrUnusable.Has(err) {
 		err = ErrNoRoom.Wrap(err)
 	}
 	if err == nil {
@@ -151,7 +151,7 @@
 	}
 	c.fail = func(err error) { s.end(fmt.Errorf("the log of batch jobs: %w", err)) }
 	log, err := o.Open(func(payload []byte, at int64) error { return c.replay(payload, at-int64(len(payload))) })
-	if recordlog.NoRoom(err) {
+	if recordlog.IsDiskFull(err) {
 		return nil, ErrNoRoom.Wrap(err)
 	}
 	if err != nil {
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -218,7 +218,7 @@
 		disk := disktest.New()
 		disk.Room = room
 		first, err := openLone(t, disk)
-		if err != nil && (!recordlog.NoRoom(err) || started) {
+		if err != nil && (!recordlog.IsDiskFull(err) || started) {
 			t.Fatalf("room for %d: %v", room, err)
 		}
 		started = started || err == nil
--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -417,7 +417,7 @@
 	run, disk := r.running[0], r.disks[0]
 	run.k.registers.submit(func() { disk.FailAt, disk.Fails = disk.Ops+1, 1<<30 })
 	r.untilCode(200, func() answer { return r.put(1, 5, 3, "b") })
-	if err := get(t, run.done, "the end of the keeper"); !recordlog.Failed.Has(err) {
+	if err := get(t, run.done, "the end of the keeper"); !recordlog.ErrUnusable.Has(err) {
 		t.Fatal(err)
 	}
 	r.running[0] = nil
--- a/internal/control/keeper/register_log.go
+++ b/internal/control/keeper/register_log.go
@@ -137,10 +137,10 @@
 		rs.rewriteLog() // the registers' state is that before b, so nothing of b is lost
 	}
 	_, err := rs.log.Append(b)
-	if err != nil && !recordlog.Failed.Has(err) && rs.reclaimSpace() {
+	if err != nil && !recordlog.ErrUnusable.Has(err) && rs.reclaimSpace() {
 		_, err = rs.log.Append(b)
 	}
-	if err != nil && !recordlog.Failed.Has(err) {
+	if err != nil && !recordlog.ErrUnusable.Has(err) {
 		return paxos.ErrNotSaved.Wrap(err)
 	}
 	if err != nil {
--- a/internal/control/keeper/restart_damage_test.go
+++ b/internal/control/keeper/restart_damage_test.go
@@ -158,7 +158,7 @@
 // refusesToStart checks that a keeper tells of a damaged log and does not start.
 func (r *rig) refusesToStart(i int) {
 	r.t.Helper()
-	if _, err := New(Options{Settings: r.settings(i), Folder: r.disks[i], Log: hclog.NewNullLogger()}); !recordlog.Damaged.Has(err) {
+	if _, err := New(Options{Settings: r.settings(i), Folder: r.disks[i], Log: hclog.NewNullLogger()}); !recordlog.ErrDamaged.Has(err) {
 		r.t.Fatalf("started on a damaged log: %v", err)
 	}
 }
--- a/internal/platform/recordlog/golden_test.go
+++ b/internal/platform/recordlog/golden_test.go
@@ -61,7 +61,7 @@
 	l := &Log{}
 	b := frames.Header()
 	for _, r := range records {
-		b = append(b, l.frame(content{frames: frames, size: int64(len(b))}, []byte(r.payload), int64(r.synced))...)
+		b = append(b, l.encode(currentFile{frames: frames, size: int64(len(b))}, []byte(r.payload), int64(r.synced))...)
 	}
 	return b
 }
--- /dev/null
+++ b/internal/platform/recordlog/log.go
@@ -0,0 +1,242 @@
+package recordlog
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io/fs"
+	"math"
+	"sync"
+
+	"dunetide/internal/deliverynode/journal"
+)
+
+const (
+	// MaxPayload is the longest payload of a record, in bytes.
+	MaxPayload = 64 << 20
+
+	// syncedOffsetSize is how many bytes the synced offset takes in front of each payload.
+	syncedOffsetSize = 8
+	// recordOverhead is how many bytes a record takes beside its payload.
+	recordOverhead = journal.FrameHead + syncedOffsetSize
+	// maxRetainedBuffer is the largest buffer, in bytes, that is retained for the next record.
+	maxRetainedBuffer = 1 << 20
+)
+
+// Log is an open file of records. A position is a count of bytes since the log was first made: that of a record is
+// the one behind its last byte. Log is safe for concurrent use.
+type Log struct {
+	folder journal.Folder
+	name   string
+
+	// The locks are taken in this order: appendMu, readMu, mu. Only mu is never held over I/O; appendMu and readMu
+	// are there to order file operations. The fields file, frames and base of currentFile change under all three.
+
+	appendMu        sync.Mutex // held by each Append and over the whole of a Rewrite
+	frameBuffer     []byte     // guarded by appendMu
+	payloadBuffer   []byte     // guarded by appendMu
+	rewriteLeftover bool       // guarded by appendMu: a file that was to replace the log's could not be removed
+
+	readMu sync.RWMutex // held over each reading of the file
+
+	mu          sync.Mutex
+	syncDone    *sync.Cond // signalled when a sync of the disk has ended
+	currentFile            // guarded by mu
+	syncedSize  int64      // guarded by mu: bytes of the file that are durable
+	syncing     bool       // guarded by mu: a sync of the disk runs
+	failure     error      // guarded by mu: why the log is out of use; nil while it is in use
+}
+
+// currentFile is a file and what is known of it.
+type currentFile struct {
+	file   journal.OpenFile
+	frames journal.Frames
+	base   int64 // the position at which the file begins
+	size   int64 // bytes
+}
+
+// end returns the position behind the last record.
+func (f *currentFile) end() int64 { return f.base + f.size }
+
+// Open opens the log of a name in a folder, and makes it if it is missing. It calls replay with the payload of each
+// whole record, in order, and with the position of that record; the payload is valid until replay returns. What a
+// loss of power has torn behind the last whole record is cut off. All that was replayed is durable when Open returns.
+//
+// It fails with ErrDamaged if the disk has lost or changed what was synced, with journal.ErrNewer if a newer program
+// wrote the file, and with the first error of replay.
+func Open(folder journal.Folder, name string, replay func(payload []byte, position int64) error) (*Log, error) {
+	l := &Log{folder: folder, name: name}
+	l.syncDone = sync.NewCond(&l.mu)
+	if err := folder.Remove(name + rewriteSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return nil, fmt.Errorf("removing what a rewrite left: %w", err)
+	}
+	size, exists, err := l.storedSize()
+	if err != nil {
+		return nil, err
+	}
+	if exists {
+		err = l.load(size, replay)
+	} else {
+		err = l.create()
+	}
+	if err != nil {
+		return nil, err
+	}
+	return l, nil
+}
+
+// storedSize returns how many bytes the file has on disk.
+func (l *Log) storedSize() (size int64, exists bool, err error) {
+	files, err := l.folder.List()
+	if err != nil {
+		return 0, false, err
+	}
+	for _, f := range files {
+		if f.Name == l.name {
+			return f.Size, true, nil
+		}
+	}
+	return 0, false, nil
+}
+
+// create makes the file of a new log.
+func (l *Log) create() (err error) {
+	if l.currentFile, err = l.createReplacement(0); err != nil {
+		return err
+	}
+	err = l.file.Sync()
+	if err == nil {
+		err = l.installReplacement()
+	}
+	if err != nil {
+		return errors.Join(err, l.file.Close())
+	}
+	l.syncedSize = l.size
+	return nil
+}
+
+// load opens a file of some size and recovers what it has.
+func (l *Log) load(size int64, replay func(payload []byte, position int64) error) (err error) {
+	if l.file, err = l.folder.Open(l.name); err != nil {
+		return err
+	}
+	err = l.replayRecords(size, replay)
+	if err == nil && l.size < size {
+		err = l.folder.Cut(l.name, l.size)
+	}
+	if err == nil { // what a process that was killed had appended and not synced counts
+		err = l.file.Sync()
+	}
+	if err != nil {
+		return errors.Join(err, l.file.Close())
+	}
+	l.syncedSize = l.size
+	return nil
+}
+
+// Append writes a record behind the others and returns its position. The record is durable after a Sync, or a SyncTo
+// of that position. If the disk is full (see IsDiskFull) the record is not written, and the log remains usable.
+func (l *Log) Append(payload []byte) (position int64, err error) {
+	if err := checkLength(payload); err != nil {
+		return 0, err
+	}
+	l.appendMu.Lock()
+	defer l.appendMu.Unlock()
+	l.mu.Lock()
+	current, syncedSize, failure := l.currentFile, l.syncedSize, l.failure
+	l.mu.Unlock()
+	if failure != nil {
+		return 0, failure
+	}
+	record := l.encode(current, payload, syncedSize)
+	if _, err := current.file.Write(record); err != nil {
+		if truncateErr := current.file.Truncate(current.size); truncateErr != nil {
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			return 0, l.unusable(errors.Join(err, truncateErr))
+		}
+		return 0, err
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.size += int64(len(record))
+	return l.end(), nil
+}
+
+func checkLength(payload []byte) error {
+	if len(payload) > MaxPayload {
+		return fmt.Errorf("a record of %d bytes, over %d", len(payload), MaxPayload)
+	}
+	return nil
+}
+
+// encode returns a record as it stands at the end of a file. The bytes are valid until the next call; appendMu is
+// locked.
+func (l *Log) encode(f currentFile, payload []byte, syncedSize int64) []byte {
+	l.payloadBuffer = binary.LittleEndian.AppendUint64(l.payloadBuffer[:0], uint64(syncedSize))
+	l.payloadBuffer = append(l.payloadBuffer, payload...)
+	l.frameBuffer = f.frames.Append(l.frameBuffer[:0], l.payloadBuffer, f.size)
+	frame := l.frameBuffer
+	if cap(frame) > maxRetainedBuffer {
+		l.frameBuffer, l.payloadBuffer = nil, nil
+	}
+	return frame
+}
+
+// Sync returns when all that was appended before the call is durable. It fails with ErrUnusable alone.
+func (l *Log) Sync() error { return l.SyncTo(math.MaxInt64) }
+
+// SyncTo returns when all that was appended up to a position is durable. Callers that wait at the same time share
+// syncs of the disk (group commit). It fails with ErrUnusable alone.
+func (l *Log) SyncTo(position int64) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	position = min(position, l.end())
+	for l.failure == nil && position > l.base+l.syncedSize {
+		if l.syncing {
+			l.syncDone.Wait()
+			continue
+		}
+		l.syncing = true
+		file, size := l.file, l.size
+		l.mu.Unlock()
+		err := file.Sync()
+		l.mu.Lock()
+		l.syncing = false
+		if err != nil {
+			_ = l.unusable(err) // the loop ends, and the failure is returned below
+		} else {
+			l.syncedSize = size
+		}
+		l.syncDone.Broadcast()
+	}
+	return l.failure
+}
+
+// Size returns how many bytes the file has.
+func (l *Log) Size() int64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.size
+}
+
+// Close syncs what was appended and ends the use of the log: all later calls fail with ErrUnusable.
+func (l *Log) Close() error {
+	l.appendMu.Lock()
+	defer l.appendMu.Unlock()
+	err := l.Sync()
+	l.readMu.Lock()
+	defer l.readMu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.syncing {
+		l.syncDone.Wait()
+	}
+	if l.file == nil {
+		return err
+	}
+	err = errors.Join(err, l.file.Close())
+	l.file = nil
+	_ = l.unusable(errClosed) // that is for later calls; this one returns what went wrong in it
+	return err
+}
--- a/internal/platform/recordlog/record_test.go
+++ b/internal/platform/recordlog/record_test.go
@@ -227,7 +227,7 @@
 	k := reopen(t, d)
 	k.add(t, "a")
 	d.FailAt = d.Ops + 1
-	if _, err := k.Append([]byte("lost")); !errors.Is(err, disktest.ErrFull) || Failed.Has(err) {
+	if _, err := k.Append([]byte("lost")); !errors.Is(err, disktest.ErrFull) || ErrUnusable.Has(err) {
 		t.Fatal(err)
 	}
 	k.add(t, "b")
@@ -250,7 +250,7 @@
 		func() error { return k.Rewrite(func(func([]byte) (int64, error)) error { return nil }) },
 		k.Close,
 	} {
-		if err := call(); !Failed.Has(err) || !errors.Is(err, disktest.ErrFull) {
+		if err := call(); !ErrUnusable.Has(err) || !errors.Is(err, disktest.ErrFull) {
 			t.Errorf("call %d: %v", i, err)
 		}
 	}
@@ -260,7 +260,7 @@
 	d := disktest.New()
 	k := reopen(t, d)
 	var ends []int64
-	for _, p := range []string{"first", strings.Repeat("b", 3*window), "third"} {
+	for _, p := range []string{"first", strings.Repeat("b", 3*recoveryWindow), "third"} {
 		ends = append(ends, k.add(t, p)...)
 		must(t, k.Sync())
 	}
@@ -272,7 +272,7 @@
 	}
 	for at := int64(journal.FramesHeader); at < ends[1]; at += 1 + max(0, min(16381, at-ends[0])) {
 		_, err := open(flip(at))
-		if !Damaged.Has(err) || !strings.Contains(err.Error(), "move the file away") {
+		if !ErrDamaged.Has(err) || !strings.Contains(err.Error(), "move the file away") {
 			t.Fatalf("damage at byte %d: %v", at, err)
 		}
 	}
@@ -288,7 +288,7 @@
 	}
 	c := flip(3)
 	c.File(name)[journal.FramesHeader/2+20]++
-	if _, err := open(c); !Damaged.Has(err) {
+	if _, err := open(c); !ErrDamaged.Has(err) {
 		t.Errorf("both heads damaged: %v", err)
 	}
 	c = d.Copy()
@@ -309,11 +309,11 @@
 		at int64
 		n  int
 	}{{at[0], 5}, {at[0], -1}, {at[2] + 1, 4}, {0, 0}} {
-		if _, err := k.ReadAt(bad.at, bad.n); !Moved.Has(err) {
+		if _, err := k.ReadAt(bad.at, bad.n); !ErrNoRecord.Has(err) {
 			t.Errorf("reading %v: %v", bad, err)
 		}
 	}
-	if _, err := k.ReadAt(at[1], 3); !Damaged.Has(err) {
+	if _, err := k.ReadAt(at[1], 3); !ErrDamaged.Has(err) {
 		t.Errorf("wrong length: %v", err)
 	}
 	failed := errors.New("failed")
@@ -336,14 +336,14 @@
 		t.Errorf("%q, %v", b, err)
 	}
 	for _, old := range at {
-		if _, err := k.ReadAt(old, 4); !Moved.Has(err) {
+		if _, err := k.ReadAt(old, 4); !ErrNoRecord.Has(err) {
 			t.Errorf("position of before: %v", err)
 		}
 		must(t, k.SyncTo(old))
 	}
 	k.add(t, "more")
 	must(t, k.Close())
-	if _, err := k.Append(nil); !Failed.Has(err) {
+	if _, err := k.Append(nil); !ErrUnusable.Has(err) {
 		t.Errorf("append after close: %v", err)
 	}
 	if k := reopen(t, folder); !slices.Equal(k.payloads, []string{"same", "more"}) || k.at[0] != moved {
@@ -397,7 +397,7 @@
 			if fails {
 				g.release <- disktest.ErrFull
 				for range 9 {
-					if err := <-ends; !Failed.Has(err) {
+					if err := <-ends; !ErrUnusable.Has(err) {
 						t.Error(err)
 					}
 				}
--- /dev/null
+++ b/internal/platform/recordlog/recovery.go
@@ -0,0 +1,129 @@
+package recordlog
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+
+	"dunetide/internal/deliverynode/journal"
+)
+
+// recoveryWindow is how many bytes of a file are read at once.
+const recoveryWindow = 64 << 10
+
+// replayRecords replays the whole records of a file, and leaves in l.size how many bytes of it count.
+func (l *Log) replayRecords(size int64, replay func(payload []byte, position int64) error) error {
+	if err := l.readHeader(size); err != nil {
+		return err
+	}
+	offset := int64(journal.FramesHeader)
+	in := bufio.NewReaderSize(io.NewSectionReader(l.file, offset, size-offset), int(min(recoveryWindow, size)))
+	var record []byte
+	for {
+		var err error
+		if record, err = l.readRecord(in, record, offset, size); err != nil {
+			return err
+		}
+		if record == nil {
+			break
+		}
+		next := offset + journal.FrameHead + int64(len(record))
+		if err := replay(record[syncedOffsetSize:], l.base+next); err != nil {
+			return err
+		}
+		offset = next
+	}
+	l.size = offset
+	if later, err := l.findProofOfSync(offset, size); err != nil {
+		return err
+	} else if later > 0 {
+		return l.damaged(offset, fmt.Sprintf("the record at byte %d was written when this was synced", later))
+	}
+	return nil
+}
+
+// readHeader reads the beginning of a file: the encoding of its records, and its base.
+func (l *Log) readHeader(size int64) error {
+	header := make([]byte, min(size, journal.FramesHeader))
+	if _, err := l.file.ReadAt(header, 0); err != nil && !errors.Is(err, io.EOF) {
+		return err
+	}
+	frames, err := journal.ReadFrames(header)
+	if errors.Is(err, journal.ErrNewer) {
+		return fmt.Errorf("%s: %w", l.name, err)
+	}
+	// No file of this package has a base over half the range: positions could overflow behind it.
+	if err != nil || frames.Number() > math.MaxInt64/2 || size < journal.FramesHeader {
+		return l.damaged(0, "its head is spoilt, which was synced before the file had its name")
+	}
+	l.frames, l.base = frames, int64(frames.Number())
+	return nil
+}
+
+// readRecord reads the record at an offset of a file of some size: its synced offset and its payload. It returns nil
+// if no record checks there. The result uses the buffer if that is large enough.
+func (l *Log) readRecord(in io.Reader, buffer []byte, offset, size int64) ([]byte, error) {
+	var head [journal.FrameHead]byte
+	if ok, err := readWhole(in, head[:]); !ok {
+		return nil, err
+	}
+	n, ok := l.frames.Len(head[:], offset)
+	if !ok || n < syncedOffsetSize || n > syncedOffsetSize+MaxPayload || n > size-offset-journal.FrameHead {
+		return nil, nil
+	}
+	if int64(cap(buffer)) < n {
+		buffer = make([]byte, n)
+	}
+	buffer = buffer[:n]
+	if ok, err := readWhole(in, buffer); !ok {
+		return nil, err
+	}
+	if !l.frames.Checks(head[:], buffer, offset) {
+		return nil, nil
+	}
+	return buffer, nil
+}
+
+// readWhole fills a buffer. It returns false without an error if the input ends before.
+func readWhole(in io.Reader, buffer []byte) (bool, error) {
+	_, err := io.ReadFull(in, buffer)
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+		return false, nil
+	}
+	return err == nil, err
+}
+
+// findProofOfSync looks behind an offset at which no record checks for one that was written after that offset was
+// synced. It returns the offset of that record, or 0 if there is none.
+func (l *Log) findProofOfSync(from, size int64) (int64, error) {
+	window := make([]byte, min(recoveryWindow, size))
+	var record []byte
+	for start := from + 1; start+recordOverhead <= size; {
+		n, err := l.file.ReadAt(window[:min(int64(len(window)), size-start)], start)
+		if err != nil && !errors.Is(err, io.EOF) {
+			return 0, err
+		}
+		i := 0
+		for ; i+journal.FrameHead <= n; i++ {
+			offset := start + int64(i)
+			if _, ok := l.frames.Len(window[i:i+journal.FrameHead], offset); !ok {
+				continue
+			}
+			in := io.NewSectionReader(l.file, offset, size-offset)
+			if record, err = l.readRecord(in, record, offset, size); err != nil {
+				return 0, err
+			}
+			if record != nil && binary.LittleEndian.Uint64(record) > uint64(from) {
+				return offset, nil
+			}
+		}
+		if i == 0 {
+			break
+		}
+		start += int64(i)
+	}
+	return 0, nil
+}
