--- a/internal/platform/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -88,8 +88,8 @@
 
 func (k *keepers) start(i int) {
 	k.t.Helper()
-	s := &settings.Settings{NodeName: fmt.Sprint("k", i), IP: k.ip(i), Zone: keeperZone, Control: k.controlAddress(i), InternalFirst: k.linkPort,
-		InternalLast: k.linkPort + 15, FirstStart: true, BeatEveryMs: 200, SurviveMachines: 1}
+	s := &settings.Settings{NodeName: fmt.Sprint("k", i), IP: k.ip(i), Zone: keeperZone, ControlAddr: k.controlAddress(i), FirstInternalPort: k.linkPort,
+		LastInternalPort: k.linkPort + 15, FirstStart: true, BeatEveryMs: 200, SurviveMachines: 1}
 	for j := range keeperCount {
 		s.Seeds = append(s.Seeds, k.controlAddress(j))
 	}
@@ -124,8 +124,8 @@
 const attached = keeperCount
 
 // attach attaches a process to keepers through relays, until it is stopped. What keepers tell it leads it past the relays later.
-func (k *keepers) attach() (holder *snapshot.Holder, stop func()) {
-	holder = &snapshot.Holder{}
+func (k *keepers) attach() (holder *snapshot.Latest, stop func()) {
+	holder = &snapshot.Latest{}
 	var seeds []string
 	for i := range keeperCount {
 		seeds = append(seeds, k.relays.address(attached, i, k.linkAddress(i)))
@@ -141,13 +141,13 @@
 }
 
 // stateOf is how an attached process sees an endpoint.
-func stateOf(holder *snapshot.Holder, service, id string) snapshot.State {
+func stateOf(holder *snapshot.Latest, service, id string) snapshot.State {
 	if s := holder.Get(); s != nil {
 		if i := slices.IndexFunc(s.Endpoints[service], func(e *snapshot.Endpoint) bool { return e.ID == id }); i >= 0 {
 			return s.Endpoints[service][i].State
 		}
 	}
-	return snapshot.Gone
+	return snapshot.Removed
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
--- a/internal/platform/settings/diff.go
+++ b/internal/platform/settings/diff.go
@@ -7,7 +7,7 @@
 
 const (
 	// TakenOver is for fields that a running process takes over.
-	TakenOver Effect = iota
+	Reloadable Effect = iota
 	// NeedsRestart is for fields that count from the next start of the process on.
 	NeedsRestart
 )
@@ -28,8 +28,8 @@
 // fields are all that a process may have to be told of. first_start is not among them: it is about the start alone, and
 // the platform changes it while the process runs.
 var fields = []field{
-	{"seeds", TakenOver, func(s *Settings) any { return s.Seeds }},
-	{"limits.memory_mb", TakenOver, func(s *Settings) any { return s.Limits.MemoryMB }},
+	{"seeds", Reloadable, func(s *Settings) any { return s.Seeds }},
+	{"limits.memory_mb", Reloadable, func(s *Settings) any { return s.Limits.MemoryMB }},
 	{"node_name", NeedsRestart, func(s *Settings) any { return s.NodeName }},
 	{"role", NeedsRestart, func(s *Settings) any { return s.Role }},
 	{"machine_class", NeedsRestart, func(s *Settings) any { return s.MachineClass }},
@@ -38,10 +38,10 @@
 	{"zone", NeedsRestart, func(s *Settings) any { return s.Zone }},
 	{"region", NeedsRestart, func(s *Settings) any { return s.Region }},
 	{"zones", NeedsRestart, func(s *Settings) any { return s.Zones }},
-	{"listen_on.front", NeedsRestart, func(s *Settings) any { return s.Front }},
-	{"listen_on.ready", NeedsRestart, func(s *Settings) any { return s.Ready }},
-	{"listen_on.control", NeedsRestart, func(s *Settings) any { return s.Control }},
-	{"internal_ports", NeedsRestart, func(s *Settings) any { return [2]int{s.InternalFirst, s.InternalLast} }},
+	{"listen_on.front", NeedsRestart, func(s *Settings) any { return s.FrontAddr }},
+	{"listen_on.ready", NeedsRestart, func(s *Settings) any { return s.ReadyAddr }},
+	{"listen_on.control", NeedsRestart, func(s *Settings) any { return s.ControlAddr }},
+	{"internal_ports", NeedsRestart, func(s *Settings) any { return [2]int{s.FirstInternalPort, s.LastInternalPort} }},
 	{"counts_loss", NeedsRestart, func(s *Settings) any { return s.CountsLoss }},
 	{"data_dir", NeedsRestart, func(s *Settings) any { return s.DataDir }},
 	{"beat_every_ms", NeedsRestart, func(s *Settings) any { return s.BeatEveryMs }},
--- a/internal/platform/settings/keys_test.go
+++ b/internal/platform/settings/keys_test.go
@@ -38,11 +38,11 @@
 		{"zone", "", "north", "north", anything, "", func(s *Settings) any { return s.Zone }},
 		{"region", "", "east", "east", anything, "", func(s *Settings) any { return s.Region }},
 		{"zones.north", "map[]", "east", "map[north:east]", anything, "", func(s *Settings) any { return s.Zones }},
-		{"listen_on.front", "", "10.0.0.7:1", "10.0.0.7:1", "10.0.0.7", address, func(s *Settings) any { return s.Front }},
-		{"listen_on.ready", "", "10.0.0.7:2", "10.0.0.7:2", "10.0.0.7", address, func(s *Settings) any { return s.Ready }},
-		{"listen_on.control", "", "10.0.0.7:3", "10.0.0.7:3", "10.0.0.7", address, func(s *Settings) any { return s.Control }},
+		{"listen_on.front", "", "10.0.0.7:1", "10.0.0.7:1", "10.0.0.7", address, func(s *Settings) any { return s.FrontAddr }},
+		{"listen_on.ready", "", "10.0.0.7:2", "10.0.0.7:2", "10.0.0.7", address, func(s *Settings) any { return s.ReadyAddr }},
+		{"listen_on.control", "", "10.0.0.7:3", "10.0.0.7:3", "10.0.0.7", address, func(s *Settings) any { return s.ControlAddr }},
 		{"internal_ports", required, "8000,8015", "[8000 8015]", "8015,8000", "write the first and the last port, such as 7000,7015",
-			func(s *Settings) any { return []int{s.InternalFirst, s.InternalLast} }},
+			func(s *Settings) any { return []int{s.FirstInternalPort, s.LastInternalPort} }},
 		{"seeds", "[]", "10.0.0.7:3,10.0.0.8:3", "[10.0.0.7:3 10.0.0.8:3]", "10.0.0.7", "write addresses with ports, such as 10.0.0.7:8003, joined by commas",
 			func(s *Settings) any { return s.Seeds }},
 		{"first_start", "false", "true", "true", "yes", flag, func(s *Settings) any { return s.FirstStart }},
@@ -76,7 +76,7 @@
 		{"bounds.finish_by_s", "10s", "1.5", "1.5s", "-1", count, func(s *Settings) any { return s.Bounds.FinishBy }},
 		{"bounds.status_every_s", "2m0s", "1.5", "1.5s", "-1", count, func(s *Settings) any { return s.Bounds.StatusEvery }},
 		{"bounds.cancel_ms", "3s", "1.5", "1.5ms", "-1", count, func(s *Settings) any { return s.Bounds.Cancel }},
-		{"bounds.settle_ms", "1s", "1.5", "1.5ms", "-1", count, func(s *Settings) any { return s.Bounds.Settle }},
+		{"bounds.settle_ms", "1s", "1.5", "1.5ms", "-1", count, func(s *Settings) any { return s.Bounds.JobKnown }},
 	}
 	for _, k := range keys {
 		t.Run(k.name, func(t *testing.T) {
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -30,9 +30,9 @@
 	Zones        map[string]string // zone to region
 
 	// Addresses to listen on; empty: what they are for isn't served.
-	Front, Ready, Control string
+	FrontAddr, ReadyAddr, ControlAddr string
 
-	InternalFirst, InternalLast int // ports between nodes; always told
+	FirstInternalPort, LastInternalPort int // ports between nodes; always told
 
 	Seeds        []string // control addresses
 	FirstStart   bool
@@ -61,7 +61,7 @@
 type Bounds struct {
 	ListLag, ReuseAfter, InTouch, Ack, CatchUp, Drain, Grace, LostSlack, Apply, RevertSlack, Stretch time.Duration
 
-	Recovery, Pass, FinishBy, StatusEvery, Cancel, Settle time.Duration
+	Recovery, Pass, FinishBy, StatusEvery, Cancel, JobKnown time.Duration
 
 	QuotaExcess float64
 }
@@ -92,9 +92,9 @@
 		Zone:            r.text("zone"),
 		Region:          r.text("region"),
 		Zones:           r.zones(),
-		Front:           r.address("listen_on.front"),
-		Ready:           r.address("listen_on.ready"),
-		Control:         r.address("listen_on.control"),
+		FrontAddr:       r.address("listen_on.front"),
+		ReadyAddr:       r.address("listen_on.ready"),
+		ControlAddr:     r.address("listen_on.control"),
 		Seeds:           r.list("seeds"),
 		FirstStart:      r.flag("first_start"),
 		CountsLoss:      r.flag("counts_loss"),
@@ -123,7 +123,7 @@
 			break
 		}
 	}
-	s.InternalFirst, s.InternalLast = r.ports("internal_ports")
+	s.FirstInternalPort, s.LastInternalPort = r.ports("internal_ports")
 	if err := errors.Join(r.problems...); err != nil {
 		return nil, Invalid.Wrap(err)
 	}
@@ -287,7 +287,7 @@
 		{&b.FinishBy, "finish_by_s", 10 * time.Second},
 		{&b.StatusEvery, "status_every_s", 120 * time.Second},
 		{&b.Cancel, "cancel_ms", 3000 * ms},
-		{&b.Settle, "settle_ms", 1000 * ms},
+		{&b.JobKnown, "settle_ms", 1000 * ms},
 	} {
 		unit := ms
 		if strings.HasSuffix(f.field, "_s") {
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -54,7 +54,7 @@
 	f.Add([]byte("node_name=n\nip=10.0.0.7\ninternal_ports=7000,7015\nbounds.drain_ms=1.5\nzones.a=b\nx=${y}\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := Parse(b, "f")
-		if err == nil && (s.NodeName == "" || s.IP == "" || s.InternalFirst < 1 || s.InternalLast < s.InternalFirst || s.Limits.CPUShare <= 0) {
+		if err == nil && (s.NodeName == "" || s.IP == "" || s.FirstInternalPort < 1 || s.LastInternalPort < s.FirstInternalPort || s.Limits.CPUShare <= 0) {
 			t.Errorf("taken: %+v", s)
 		}
 		if err != nil && !Invalid.Has(err) {
--- a/internal/platform/settings/watch.go
+++ b/internal/platform/settings/watch.go
@@ -115,7 +115,7 @@
 func (w *Watcher) take(newer *Settings) {
 	var taken, waiting []string
 	for _, change := range Diff(w.inForce, newer) {
-		if change.Effect == TakenOver {
+		if change.Effect == Reloadable {
 			taken = append(taken, change.Field)
 		} else {
 			waiting = append(waiting, change.Field)
--- a/internal/proxy/dispatch/certified_test.go
+++ b/internal/proxy/dispatch/certified_test.go
@@ -93,7 +93,7 @@
 		w.Bulk = true
 		b.ask(w)
 		u := regulated("int"+string(rune('a'+i)), &certified)
-		u.Route = &operatorconfig.Route{TargetMs: 4000}
+		u.Route = &operatorconfig.Route{LatencyTargetMs: 4000}
 		b.ask(u)
 	}
 	expect(t, b, "")
@@ -159,7 +159,7 @@
 		t.Error("granted before it counted")
 	}
 	g.End(Served, Load{})
-	_, err = d.Acquire(ctx, &Request{Service: "s", Route: &operatorconfig.Route{TargetMs: 100}, Arrived: time.Now(), Deadline: time.Now().Add(time.Second),
+	_, err = d.Acquire(ctx, &Request{Service: "s", Route: &operatorconfig.Route{LatencyTargetMs: 100}, Arrived: time.Now(), Deadline: time.Now().Add(time.Second),
 		Regime: "r", Certified: func(string) bool { return false }})
 	var refused *Refused
 	if !errors.As(err, &refused) || refused.Regime != "r" {
--- a/internal/proxy/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -106,7 +106,7 @@
 		return
 	}
 	c.listing++
-	if n := max(s.Senders, 1); n != c.senders {
+	if n := max(s.Proxies, 1); n != c.senders {
 		for _, e := range c.endpoints {
 			e.slice = max(1, e.slice*float64(c.senders)/float64(n))
 		}
@@ -118,7 +118,7 @@
 	if s.Config != nil {
 		for name, service := range s.Config.Services {
 			p := c.pool(name)
-			p.maxConns, p.capacity, p.cache = service.MaxConns, 0, 0
+			p.maxConns, p.capacity, p.cache = service.MaxConnections, 0, 0
 			if service.Engine != nil {
 				p.capacity, p.cache = service.Engine.Capacity, service.Engine.CacheTokens
 			}
@@ -150,7 +150,7 @@
 func (c *core) listed(p *pool, v *snapshot.Endpoint) {
 	e := c.endpoints[v.ID]
 	if e == nil {
-		if v.State == snapshot.Gone {
+		if v.State == snapshot.Removed {
 			return
 		}
 		e = &endpoint{pool: p, hash: snapshot.Hash(v.ID), slice: math.Inf(1), slowness: mean{1},
@@ -180,8 +180,8 @@
 	}
 	e.capacity, e.models = e.plausible(v.Capacity), v.Models
 	e.state = max(e.state, v.State)
-	if v.ColdLeftMs > 0 {
-		e.coldTill = c.now + time.Duration(v.ColdLeftMs)*time.Millisecond
+	if v.RemainingWarmupMs > 0 {
+		e.coldTill = c.now + time.Duration(v.RemainingWarmupMs)*time.Millisecond
 	} else {
 		e.coldTill = 0
 	}
--- a/internal/proxy/dispatch/core_test.go
+++ b/internal/proxy/dispatch/core_test.go
@@ -28,7 +28,7 @@
 func newBench(set Settings) *bench {
 	rng := rand.New(rand.NewPCG(1, 2))
 	return &bench{c: newCore(set, "a", rng.Float64), runs: map[string]*run{}, wait: map[string]*waiter{},
-		snap: &snapshot.Snapshot{Senders: 1, Endpoints: map[string][]*snapshot.Endpoint{},
+		snap: &snapshot.Snapshot{Proxies: 1, Endpoints: map[string][]*snapshot.Endpoint{},
 			Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s"}}}}}
 }
 
@@ -47,7 +47,7 @@
 		r.Service = "s"
 	}
 	if r.Route == nil {
-		r.Route = &operatorconfig.Route{TargetMs: 400}
+		r.Route = &operatorconfig.Route{LatencyTargetMs: 400}
 	}
 	w := &waiter{r: r, seq: b.seq, deadline: b.c.now + 4*time.Second, due: b.c.now + 400*time.Millisecond}
 	if r.Bulk {
@@ -93,8 +93,8 @@
 	case "new":
 		b = newBench(Settings{})
 		b.c.senders = c.number("senders", 1)
-		b.snap.Senders = b.c.senders
-		b.snap.Config.Services["s"].MaxConns = c.number("conns", 0)
+		b.snap.Proxies = b.c.senders
+		b.snap.Config.Services["s"].MaxConnections = c.number("conns", 0)
 	case "endpoint":
 		b.playEndpoint(c)
 	case "remove":
@@ -154,7 +154,7 @@
 
 // playEndpoint adds an endpoint to the snapshot, or replaces it.
 func (b *bench) playEndpoint(c command) {
-	v := &snapshot.Endpoint{ID: c.CmdArgs[0].Key, Service: "s", Zone: "a", Capacity: c.number("slots", 4), ColdLeftMs: c.number("cold", 0)}
+	v := &snapshot.Endpoint{ID: c.CmdArgs[0].Key, Service: "s", Zone: "a", Capacity: c.number("slots", 4), RemainingWarmupMs: c.number("cold", 0)}
 	if zone := c.arg("zone"); zone != "" {
 		v.Zone = zone
 	}
@@ -165,7 +165,7 @@
 	case "draining":
 		v.State = snapshot.Draining
 	case "gone":
-		v.State = snapshot.Gone
+		v.State = snapshot.Removed
 	}
 	list := slices.DeleteFunc(slices.Clone(b.snap.Endpoints["s"]), func(o *snapshot.Endpoint) bool { return o.ID == v.ID })
 	b.snap.Endpoints["s"] = append(list, v)
@@ -179,7 +179,7 @@
 			continue
 		}
 		r := &Request{ID: a.Key, Model: c.arg("model"), Bulk: c.number("bulk", 0) == 1,
-			Route: &operatorconfig.Route{Kind: operatorconfig.Kind(c.number("kind", 0)), TargetMs: c.number("aim", 400), Priority: c.number("priority", 0)}}
+			Route: &operatorconfig.Route{Kind: operatorconfig.RouteKind(c.number("kind", 0)), LatencyTargetMs: c.number("aim", 400), Priority: c.number("priority", 0)}}
 		if avoid := c.arg("avoid"); avoid != "" {
 			r.Avoid = strings.Split(avoid, "+")
 		}
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -13,7 +13,7 @@
 type Options struct {
 	Name     string           // of this sender, by which it chooses its subset of endpoints
 	Zone     string           // of this machine
-	Holder   *snapshot.Holder // whose newest snapshot it starts with; may be nil
+	Holder   *snapshot.Latest // whose newest snapshot it starts with; may be nil
 	Now      func() time.Time // default time.Now
 	Rand     func() float64   // random numbers in [0, 1); default rand.Float64
 	Settings Settings
--- a/internal/proxy/dispatch/dispatcher_test.go
+++ b/internal/proxy/dispatch/dispatcher_test.go
@@ -12,17 +12,17 @@
 )
 
 func snapshotOf(senders int, eps ...*snapshot.Endpoint) *snapshot.Snapshot {
-	return &snapshot.Snapshot{Senders: senders, Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s"}}},
+	return &snapshot.Snapshot{Proxies: senders, Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s"}}},
 		Endpoints: map[string][]*snapshot.Endpoint{"s": eps}}
 }
 
 func request(now time.Time) *Request {
-	return &Request{Service: "s", Route: &operatorconfig.Route{TargetMs: 400}, Arrived: now,
+	return &Request{Service: "s", Route: &operatorconfig.Route{LatencyTargetMs: 400}, Arrived: now,
 		Deadline: now.Add(time.Minute), Due: now.Add(400 * time.Millisecond)}
 }
 
 func TestAcquireGrants(t *testing.T) {
-	h := &snapshot.Holder{}
+	h := &snapshot.Latest{}
 	h.Set(snapshotOf(1, &snapshot.Endpoint{ID: "e1", Address: "x:1", Zone: "a", Capacity: 2}))
 	d := New(Options{Zone: "a", Holder: h})
 	defer d.Close()
--- a/internal/proxy/dispatch/estimate_test.go
+++ b/internal/proxy/dispatch/estimate_test.go
@@ -30,7 +30,7 @@
 // What was measured in a queue does not make a sender refuse all that comes when the queue is gone.
 func TestEstimatesOfABadMomentDoNotLast(t *testing.T) {
 	b := newBench(Settings{})
-	b.snap.Senders = 20
+	b.snap.Proxies = 20
 	slowStart(b, 6)
 	var all []*waiter
 	for i := range 200 { // 10 s of one request in 50 ms, each answered in 20
--- a/internal/proxy/dispatch/fleet_test.go
+++ b/internal/proxy/dispatch/fleet_test.go
@@ -141,8 +141,8 @@
 // snapshot lists all endpoints.
 func (f *fleet) snapshot() *snapshot.Snapshot {
 	l := f.layout
-	snap := &snapshot.Snapshot{Senders: l.senders, Endpoints: map[string][]*snapshot.Endpoint{},
-		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConns: l.maxConns,
+	snap := &snapshot.Snapshot{Proxies: l.senders, Endpoints: map[string][]*snapshot.Endpoint{},
+		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConnections: l.maxConns,
 			Engine: &operatorconfig.Engine{Capacity: l.slots, CacheTokens: l.cacheTokens}}}}}
 	for _, e := range f.endpoints {
 		snap.Endpoints["s"] = append(snap.Endpoints["s"], &snapshot.Endpoint{ID: e.id, Service: "s", Zone: zoneName(e.zone), Capacity: l.slots})
@@ -166,7 +166,7 @@
 	out := int(math.Ceil(k.out.draw(f.rng) * f.layout.tokensPerEvent))
 	t := &fleetTask{kind: k, sender: f.senders[f.rng.IntN(len(f.senders))], born: f.now, left: float64(out)}
 	t.request = &Request{ID: fmt.Sprint(f.ids), Service: "s", TokensIn: in, TokensOut: out, Bulk: k.bulk,
-		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, TargetMs: int(k.aim.Milliseconds()), Tries: 1},
+		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: int(k.aim.Milliseconds()), MaxAttempts: 1},
 		Prefix: []Part{{uint64(len(k.name))<<40 + uint64(subject), k.sharedOf[subject]}, {1<<60 + f.ids, own}}}
 	k.asked++
 	t.kind.weight += f.worthOf(t)
--- a/internal/proxy/dispatch/place_test.go
+++ b/internal/proxy/dispatch/place_test.go
@@ -96,7 +96,7 @@
 		b.ask(&Request{ID: fmt.Sprint(i)})
 	}
 	b.c.end(b.runs["0"], NotRun, Load{})
-	b.snap.Senders = 2
+	b.snap.Proxies = 2
 	b.c.update(b.snap)
 	if s := b.endpoint("e1").slice; s != 4 {
 		t.Errorf("slice %v of two senders, want 4", s)
@@ -245,7 +245,7 @@
 
 func TestRetryAfterHasMeaning(t *testing.T) {
 	b := newBench(Settings{})
-	b.snap.Config.Services["s"].MaxConns = 1
+	b.snap.Config.Services["s"].MaxConnections = 1
 	b.add("e1")
 	b.ask(&Request{ID: "1"})
 	w := b.ask(&Request{ID: "2"})
@@ -265,7 +265,7 @@
 	b := newBench(Settings{})
 	b.add("e1")
 	w := b.ask(&Request{ID: "1"})
-	b.snap = &snapshot.Snapshot{Senders: 1, Config: b.snap.Config}
+	b.snap = &snapshot.Snapshot{Proxies: 1, Config: b.snap.Config}
 	b.c.update(b.snap)
 	if b.endpoint("e1") == nil {
 		t.Error("forgotten though a request runs there")
--- a/internal/proxy/dispatch/waiter.go
+++ b/internal/proxy/dispatch/waiter.go
@@ -125,8 +125,8 @@
 // endpoint was tried before, and at its deadline at the latest.
 func (c *core) giveUp(w *waiter, arrived Time) Time {
 	hold := time.Duration(math.MaxInt64 / 4)
-	if t := w.r.Route; t != nil && t.TargetMs > 0 {
-		hold = time.Duration(c.settings.HoldShare * float64(t.TargetMs) * float64(time.Millisecond))
+	if t := w.r.Route; t != nil && t.LatencyTargetMs > 0 {
+		hold = time.Duration(c.settings.HoldShare * float64(t.LatencyTargetMs) * float64(time.Millisecond))
 	}
 	if len(w.r.Avoid) > 0 {
 		hold *= 2
--- a/internal/proxy/dispatch/world_test.go
+++ b/internal/proxy/dispatch/world_test.go
@@ -82,9 +82,9 @@
 )
 
 func newWorld(senders, endpoints, zones int, set Settings) *world {
-	w := &world{rng: rand.New(rand.NewPCG(3, 4)), snap: &snapshot.Snapshot{Senders: senders,
+	w := &world{rng: rand.New(rand.NewPCG(3, 4)), snap: &snapshot.Snapshot{Proxies: senders,
 		Endpoints: map[string][]*snapshot.Endpoint{},
-		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConns: 220,
+		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConnections: 220,
 			Engine: &operatorconfig.Engine{Capacity: 24, CacheTokens: cacheTokens}}}}}}
 	for i := range endpoints {
 		id := fmt.Sprintf("e%02d", i)
@@ -106,7 +106,7 @@
 	t := &task{kind: k, born: w.now, core: w.rng.IntN(len(w.cores))}
 	own := int(float64(k.own) * (0.5 + w.rng.Float64()))
 	t.r = &Request{ID: fmt.Sprint(w.next), Service: "s", TokensIn: k.shared + own, TokensOut: k.out, Bulk: k.bulk,
-		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, TargetMs: k.aim, Priority: k.priority},
+		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: k.aim, Priority: k.priority},
 		Prefix: []Part{{uint64(len(k.name))<<32 + group, k.shared}, {1<<60 + w.next, own}}}
 	k.asked++
 	w.ask(t)
--- a/internal/proxy/forward/answer.go
+++ b/internal/proxy/forward/answer.go
@@ -39,7 +39,7 @@
 	if x.req.Regime != "" || x.req.Bulk {
 		return false
 	}
-	return !x.req.Route.Idempotent() || x.tries+1 >= max(1, x.req.Route.Tries)
+	return !x.req.Route.Idempotent() || x.tries+1 >= max(1, x.req.Route.MaxAttempts)
 }
 
 // matches tells whether the answer names this request, and no other.
--- a/internal/proxy/forward/budget_test.go
+++ b/internal/proxy/forward/budget_test.go
@@ -36,7 +36,7 @@
 					}))
 				}
 				r := route(operatorconfig.Streaming, tries)
-				r.Resume = true
+				r.Resumable = true
 				g := newRig(t, r, endpoints...)
 				a := g.do(plainCall, "body")
 				if a.status == 200 && a.err == nil {
--- a/internal/proxy/forward/certified_test.go
+++ b/internal/proxy/forward/certified_test.go
@@ -103,7 +103,7 @@
 
 func TestWhereNobodyIsCertifiedItIsRefusedWithItsReason(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
-	for _, kind := range []operatorconfig.Kind{operatorconfig.Writes, operatorconfig.ReadOnly} {
+	for _, kind := range []operatorconfig.RouteKind{operatorconfig.Writes, operatorconfig.ReadOnly} {
 		g := newRig(t, route(kind, 2), e1, e2)
 		g.certify()
 		a := g.do(plainCall, "body")
@@ -185,7 +185,7 @@
 		return true
 	}
 	resumed := route(operatorconfig.Streaming, 3)
-	resumed.Resume = true
+	resumed.Resumable = true
 	for name, c := range map[string]struct {
 		route operatorconfig.Route
 		first func(net.Conn, call) bool
--- a/internal/proxy/forward/early_test.go
+++ b/internal/proxy/forward/early_test.go
@@ -202,7 +202,7 @@
 // as its end was not sent yet. One that resets after the last byte may have run it: then it goes nowhere.
 func TestForgottenConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		kind   operatorconfig.Kind
+		kind   operatorconfig.RouteKind
 		body   string
 		method string
 		read   bool // the endpoint reads the second request whole, and then resets
--- a/internal/proxy/forward/enumerate_test.go
+++ b/internal/proxy/forward/enumerate_test.go
@@ -22,7 +22,7 @@
 // requestKind is a kind of request as the account sees it.
 type requestKind struct {
 	name       string
-	kind       operatorconfig.Kind
+	kind       operatorconfig.RouteKind
 	resume     bool
 	idempotent bool
 	stream     bool
@@ -185,7 +185,7 @@
 	bad := newEndpoint(t, "bad", func(c net.Conn, r call) bool { return n.serve("bad", c.(*net.TCPConn), r) })
 	good := newEndpoint(t, "good", func(c net.Conn, r call) bool { return n.serve("good", c.(*net.TCPConn), r) })
 	r := route(k.kind, 2)
-	r.Resume = k.resume
+	r.Resumable = k.resume
 	n.rig = newRig(t, r, bad, good)
 	return n
 }
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -97,9 +97,9 @@
 	timeLeft := x.left() > minTimeLeft
 	return attempt.Conditions{
 		Idempotent: r.Idempotent() || x.req.Bulk,
-		Resumable:  r.Resume && x.stream.lastID != "" && !x.stream.unnamed,
-		TriesLeft:  timeLeft && !x.req.Bulk && x.tries < max(1, r.Tries),
-		TurnsLeft:  timeLeft && x.turns < max(1, r.Tries)+extraTurns,
+		Resumable:  r.Resumable && x.stream.lastID != "" && !x.stream.unnamed,
+		TriesLeft:  timeLeft && !x.req.Bulk && x.tries < max(1, r.MaxAttempts),
+		TurnsLeft:  timeLeft && x.turns < max(1, r.MaxAttempts)+extraTurns,
 	}
 }
 
--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -239,8 +239,8 @@
 	config *operatorconfig.Config
 }
 
-func route(kind operatorconfig.Kind, tries int) operatorconfig.Route {
-	return operatorconfig.Route{Name: "r", Host: "h.example", PathStart: "/r/", Kind: kind, TimeoutMs: 5000, TargetMs: 300, Tries: tries,
+func route(kind operatorconfig.RouteKind, tries int) operatorconfig.Route {
+	return operatorconfig.Route{Name: "r", Host: "h.example", PathPrefix: "/r/", Kind: kind, TimeoutMs: 5000, LatencyTargetMs: 300, MaxAttempts: tries,
 		Shares: []operatorconfig.Share{{Service: "svc", Weight: 1}}}
 }
 
@@ -248,7 +248,7 @@
 func firstMatch(c *operatorconfig.Config, host, path string) *operatorconfig.Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for i := range c.Routes {
-		if r := &c.Routes[i]; r.Host == host && strings.HasPrefix(path, r.PathStart) {
+		if r := &c.Routes[i]; r.Host == host && strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
 	}
@@ -265,8 +265,8 @@
 	t.Helper()
 	c := &operatorconfig.Config{Version: 1, Routes: []operatorconfig.Route{r}, Services: map[string]*operatorconfig.Service{"svc": {Name: "svc"}}}
 	g := &rig{t: t, a: &admission{all: endpoints}, config: c}
-	holder := &snapshot.Holder{}
-	holder.Set(&snapshot.Snapshot{Config: c, Senders: 1})
+	holder := &snapshot.Latest{}
+	holder.Set(&snapshot.Snapshot{Config: c, Proxies: 1})
 	o := Options{Holder: holder, Admission: g.a, DrainWait: time.Millisecond, Match: firstMatch}
 	change(&o)
 	g.p = New(o)
@@ -433,7 +433,7 @@
 
 func TestAnswersOfAnEndpoint(t *testing.T) {
 	for name, c := range endpointAnswers {
-		for kind, status := range map[operatorconfig.Kind]int{operatorconfig.Writes: c.writes, operatorconfig.ReadOnly: c.read} {
+		for kind, status := range map[operatorconfig.RouteKind]int{operatorconfig.Writes: c.writes, operatorconfig.ReadOnly: c.read} {
 			t.Run(fmt.Sprintf("%s/%d", name, kind), func(t *testing.T) {
 				bad := newEndpoint(t, "bad", func(conn net.Conn, _ call) bool {
 					_, _ = io.WriteString(conn, c.bytes)
@@ -565,7 +565,7 @@
 				return true
 			})
 			r := route(operatorconfig.Streaming, 3)
-			r.Resume = true
+			r.Resumable = true
 			g := newRig(t, r, e1, e2, e3)
 			a := g.do(plainCall, "body")
 			if want := oneEvent(1) + oneEvent(2) + oneEvent(3) + oneEvent(4); a.body != want || a.err != nil {
@@ -638,7 +638,7 @@
 func TestParsedConfiguration(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
-	g.p.o.Match = New(Options{Holder: &snapshot.Holder{}}).o.Match
+	g.p.o.Match = New(Options{Holder: &snapshot.Latest{}}).o.Match
 	for _, c := range []struct {
 		start  string
 		status int
@@ -650,7 +650,7 @@
 		}
 		config, err := operatorconfig.Parse([]byte(raw))
 		must(t, err)
-		g.p.o.Holder.Set(&snapshot.Snapshot{Config: config, Senders: 4})
+		g.p.o.Holder.Set(&snapshot.Snapshot{Config: config, Proxies: 4})
 		if a := g.do(plainCall, "x"); a.status != c.status {
 			t.Errorf("%s: %+v", c.start, a)
 		}
@@ -807,7 +807,7 @@
 				return true
 			})
 			r := route(operatorconfig.Streaming, 2)
-			r.Resume = true
+			r.Resumable = true
 			g := newRig(t, r, e1, e2)
 			if a := g.do(plainCall, "body"); a.body != c.body || (a.err == nil) != c.whole {
 				t.Errorf("%+v, want %q", a, c.body)
@@ -890,7 +890,7 @@
 		t.Fatalf("%d open", n)
 	}
 	s := *g.p.o.Holder.Get()
-	s.Listed, s.Endpoints = true, map[string][]*snapshot.Endpoint{"svc": {{ID: "e1", State: snapshot.Gone}, {ID: "e2", State: snapshot.Draining}}}
+	s.EndpointsComplete, s.Endpoints = true, map[string][]*snapshot.Endpoint{"svc": {{ID: "e1", State: snapshot.Removed}, {ID: "e2", State: snapshot.Draining}}}
 	g.p.o.Holder.Set(&s)
 	g.p.Tidy()
 	if n := open(); n != 1 || len(g.p.pools) != 1 {
--- a/internal/proxy/forward/golden_test.go
+++ b/internal/proxy/forward/golden_test.go
@@ -122,7 +122,7 @@
 		request  string
 		body     string
 		answer   string // of the endpoint; "": there is none
-		kind     operatorconfig.Kind
+		kind     operatorconfig.RouteKind
 		refuse   error
 		change   func(o *Options)
 		draining bool
@@ -148,7 +148,7 @@
 			}},
 		{name: "refused-no-time-left", request: strings.Replace(call, "4000", "0", 1), body: "x", kind: operatorconfig.Writes},
 		{name: "refused-not-prepared", request: strings.Replace(call, "4000", "0", 1), kind: operatorconfig.Writes,
-			change: func(o *Options) { o.Holder = &snapshot.Holder{} }},
+			change: func(o *Options) { o.Holder = &snapshot.Latest{} }},
 		{name: "refused-no-route", request: strings.Replace(call, "/r/x", "/elsewhere", 1), body: "x", kind: operatorconfig.Writes},
 		{name: "refused-no-id", request: strings.Replace(call, "X-Dunetide-Request-Id: id1|", "", 1), body: "x", kind: operatorconfig.Writes},
 		{name: "refused-http-1.0", request: strings.Replace(call, "HTTP/1.1", "HTTP/1.0", 1), body: "x", kind: operatorconfig.Writes},
@@ -207,7 +207,7 @@
 		{"not ready", func() bool { return false }, false},
 		{"draining", func() bool { return true }, true},
 	} {
-		p := New(Options{Holder: &snapshot.Holder{}, Ready: c.ready})
+		p := New(Options{Holder: &snapshot.Latest{}, Ready: c.ready})
 		p.draining.Store(c.draining)
 		s := httptest.NewServer(http.HandlerFunc(p.ServeReady))
 		conn, err := net.Dial("tcp", s.Listener.Addr().String())
@@ -224,7 +224,7 @@
 
 // TestGoldenMetrics pins the names and labels of a proxy's metrics.
 func TestGoldenMetrics(t *testing.T) {
-	New(Options{Holder: &snapshot.Holder{}}).Observe()
+	New(Options{Holder: &snapshot.Latest{}}).Observe()
 	var names []string
 	for _, name := range metrics.ListMetricNames() {
 		if strings.HasPrefix(name, "dunetide_proxy_") && !strings.HasPrefix(name, "dunetide_proxy_own_answers_total") { // made by the first answer
--- a/internal/proxy/forward/item_test.go
+++ b/internal/proxy/forward/item_test.go
@@ -128,7 +128,7 @@
 		return false
 	})
 	goesOn := route(operatorconfig.Streaming, 1)
-	goesOn.Resume = true
+	goesOn.Resumable = true
 	rigs := map[bool]*rig{false: newRig(f, route(operatorconfig.Streaming, 1), bad), true: newRig(f, goesOn, bad)}
 	f.Fuzz(func(t *testing.T, b []byte, resume bool) {
 		script.Store(&b)
--- a/internal/proxy/forward/night_test.go
+++ b/internal/proxy/forward/night_test.go
@@ -91,7 +91,7 @@
 // nightProxy is one proxy.
 type nightProxy struct {
 	n         *night
-	holder    *snapshot.Holder
+	holder    *snapshot.Latest
 	dispatch  *dispatch.Dispatcher
 	gate      *certification.Gate
 	record    *audit.Recorder
@@ -362,11 +362,11 @@
 
 // nightRoutes: all but the last demand the regime.
 var nightRoutes = []operatorconfig.Route{
-	{Name: "save", Kind: operatorconfig.Writes, TimeoutMs: 2000, TargetMs: 400, Tries: 2},
-	{Name: "look", Kind: operatorconfig.ReadOnly, TimeoutMs: 2000, TargetMs: 400, Tries: 3},
-	{Name: "talk", Kind: operatorconfig.Streaming, TimeoutMs: 4000, TargetMs: 400, Tries: 3, Resume: true},
-	{Name: "bulk", Kind: operatorconfig.Bulk, DueMs: 8000, Tries: 3, MaxWaitMs: 12000},
-	{Name: "open", Kind: operatorconfig.Writes, TimeoutMs: 2000, TargetMs: 400, Tries: 2},
+	{Name: "save", Kind: operatorconfig.Writes, TimeoutMs: 2000, LatencyTargetMs: 400, MaxAttempts: 2},
+	{Name: "look", Kind: operatorconfig.ReadOnly, TimeoutMs: 2000, LatencyTargetMs: 400, MaxAttempts: 3},
+	{Name: "talk", Kind: operatorconfig.Streaming, TimeoutMs: 4000, LatencyTargetMs: 400, MaxAttempts: 3, Resumable: true},
+	{Name: "bulk", Kind: operatorconfig.Bulk, DueMs: 8000, MaxAttempts: 3, MaxWaitMs: 12000},
+	{Name: "open", Kind: operatorconfig.Writes, TimeoutMs: 2000, LatencyTargetMs: 400, MaxAttempts: 2},
 }
 
 func newNight(t *testing.T, seed uint64) *night {
@@ -374,7 +374,7 @@
 		listed: map[string]int{}, givenUp: map[string]bool{}, answers: map[string]int{}}
 	n.config = &operatorconfig.Config{Version: 1, Services: map[string]*operatorconfig.Service{"svc": {Name: "svc"}}}
 	for _, r := range nightRoutes {
-		r.Host, r.PathStart, r.Shares = "h.example", "/"+r.Name+"/", []operatorconfig.Share{{Service: "svc", Weight: 1}}
+		r.Host, r.PathPrefix, r.Shares = "h.example", "/"+r.Name+"/", []operatorconfig.Share{{Service: "svc", Weight: 1}}
 		n.config.Routes = append(n.config.Routes, r)
 	}
 	endpoints := []*snapshot.Endpoint{}
@@ -392,8 +392,8 @@
 		n.stores = append(n.stores, s)
 	}
 	for i := range nightProxies {
-		p := &nightProxy{n: n, holder: &snapshot.Holder{}}
-		p.holder.Set(&snapshot.Snapshot{Config: n.config, Senders: nightProxies, Listed: true, Endpoints: map[string][]*snapshot.Endpoint{"svc": endpoints}})
+		p := &nightProxy{n: n, holder: &snapshot.Latest{}}
+		p.holder.Set(&snapshot.Snapshot{Config: n.config, Proxies: nightProxies, EndpointsComplete: true, Endpoints: map[string][]*snapshot.Endpoint{"svc": endpoints}})
 		p.gate = certification.NewGate(certification.GateOptions{Stale: nightStale, Confirmed: func() time.Time {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -448,8 +448,8 @@
 			return
 		}
 		id := fmt.Sprintf("%s-%d-%d", route.Name, k, try)
-		r := httptest.NewRequestWithContext(n.ctx, http.MethodPost, "http://h.example"+route.PathStart+"x", strings.NewReader("body"))
-		r.RequestURI = route.PathStart + "x"
+		r := httptest.NewRequestWithContext(n.ctx, http.MethodPost, "http://h.example"+route.PathPrefix+"x", strings.NewReader("body"))
+		r.RequestURI = route.PathPrefix + "x"
 		r.Header.Set(headerID, id)
 		r.Header.Set(headerTimeLeft, strconv.FormatInt(left.Milliseconds(), 10))
 		w := httptest.NewRecorder()
--- a/internal/proxy/forward/prepare_test.go
+++ b/internal/proxy/forward/prepare_test.go
@@ -14,8 +14,8 @@
 )
 
 // unprepared is a proxy that has just started: it knows no configuration.
-func unprepared(t *testing.T, e ...*endpoint) (*rig, *snapshot.Holder) {
-	holder := &snapshot.Holder{}
+func unprepared(t *testing.T, e ...*endpoint) (*rig, *snapshot.Latest) {
+	holder := &snapshot.Latest{}
 	return newRigWith(t, route(operatorconfig.Writes, 1), func(o *Options) { o.Holder = holder }, e...), holder
 }
 
@@ -38,11 +38,11 @@
 	for g.p.unprepared.Load() < clients { // each has been read and waits
 		time.Sleep(time.Millisecond)
 	}
-	holder.Set(&snapshot.Snapshot{Senders: 1, Listed: true}) // not enough
+	holder.Set(&snapshot.Snapshot{Proxies: 1, EndpointsComplete: true}) // not enough
 	if n := g.p.unprepared.Load(); n != clients {
 		t.Errorf("%d of %d requests wait for a configuration", n, clients)
 	}
-	holder.Set(&snapshot.Snapshot{Config: g.config, Senders: 1})
+	holder.Set(&snapshot.Snapshot{Config: g.config, Proxies: 1})
 	for range clients {
 		if a := <-answers; a.err != nil || a.status != http.StatusOK || a.body != "the body" {
 			t.Errorf("%+v", a)
@@ -101,15 +101,15 @@
 
 func TestAwaitSeesEachSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		holder := &snapshot.Holder{}
+		holder := &snapshot.Latest{}
 		go func() {
 			for senders := range 4 {
 				time.Sleep(time.Second)
-				holder.Set(&snapshot.Snapshot{Senders: senders})
+				holder.Set(&snapshot.Snapshot{Proxies: senders})
 			}
 		}()
 		began := time.Now()
-		if err := holder.Await(t.Context(), func(s *snapshot.Snapshot) bool { return s != nil && s.Senders == 3 }); err != nil || time.Since(began) != 4*time.Second {
+		if err := holder.Await(t.Context(), func(s *snapshot.Snapshot) bool { return s != nil && s.Proxies == 3 }); err != nil || time.Since(began) != 4*time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/proxy/forward/proxy.go
+++ b/internal/proxy/forward/proxy.go
@@ -44,7 +44,7 @@
 
 // Options are what a proxy is made of.
 type Options struct {
-	Holder    *snapshot.Holder
+	Holder    *snapshot.Latest
 	Admission dispatch.Admission
 	// Match finds the route of a request by its Host header and its path as it was sent, without the
 	// query; nil: the configuration's own.
@@ -186,11 +186,11 @@
 // Tidy closes connections that have been idle for too long and forgets endpoints that are no longer
 // listed. It is to be called every second or two.
 func (p *Proxy) Tidy() {
-	if s := p.o.Holder.Get(); s != nil && s.Listed {
+	if s := p.o.Holder.Get(); s != nil && s.EndpointsComplete {
 		listed := map[string]bool{}
 		for _, all := range s.Endpoints {
 			for _, e := range all {
-				listed[e.ID] = e.State != snapshot.Gone
+				listed[e.ID] = e.State != snapshot.Removed
 			}
 		}
 		var left []pool
@@ -213,9 +213,9 @@
 func (p *Proxy) poolOf(t dispatch.Target) *upstream.Pool {
 	most := 0
 	if s := p.o.Holder.Get(); s != nil && s.Config != nil {
-		if svc := s.Config.Services[t.Service]; svc != nil && svc.MaxConns > 0 {
+		if svc := s.Config.Services[t.Service]; svc != nil && svc.MaxConnections > 0 {
 			// Some is left free, as not all senders see the same number of them.
-			most = max(1, svc.MaxConns*9/10/max(1, s.Senders))
+			most = max(1, svc.MaxConnections*9/10/max(1, s.Proxies))
 		}
 	}
 	p.mu.Lock()
--- a/internal/proxy/forward/serve.go
+++ b/internal/proxy/forward/serve.go
@@ -86,7 +86,7 @@
 	}
 	x.deadline = arrived.at.Add(aim - min(answerMargin, aim/8))
 	x.req.Arrived, x.req.Deadline = arrived.admitted, x.deadline
-	x.req.Due = arrived.at.Add(time.Duration(route.TargetMs) * time.Millisecond)
+	x.req.Due = arrived.at.Add(time.Duration(route.LatencyTargetMs) * time.Millisecond)
 	x.last = r.Header.Get(headerLastEvent)
 
 	rc := http.NewResponseController(w)
--- a/internal/proxy/forward/wrong_test.go
+++ b/internal/proxy/forward/wrong_test.go
@@ -70,7 +70,7 @@
 	{"interim answers count", "../../platform/upstream/conn.go", "case resp.StatusCode >= 200:", "case resp.StatusCode >= 100:"},
 	{"a close before the end is not looked at", "../../platform/upstream/conn.go", "	return end, c.probe(ctx)", "	_ = c.probe(ctx)\n	return end, nil"},
 	{"a forgotten connection counts against its endpoint", "exchange.go", "	case !sent && call.Stale:", "	case !sent && call.Stale && false:"},
-	{"the last try is lost on a forgotten connection", "answer.go", " || x.tries+1 >= max(1, x.req.Route.Tries)", ""},
+	{"the last try is lost on a forgotten connection", "answer.go", " || x.tries+1 >= max(1, x.req.Route.MaxAttempts)", ""},
 	{"a surplus does not end a connection", "../../platform/upstream/conn.go", "c.whole = !resp.Close && !c.surplus", "c.whole = !resp.Close"},
 }
 
