--- a/cmd/dunetide/cut_wrong_test.go
+++ b/cmd/dunetide/cut_wrong_test.go
@@ -23,8 +23,8 @@
 	{"contact for life", "../../internal/consensus/quorum/tracker.go", "return t.advance(now) < t.until }", "return t.until != 0 }"},
 	{"contact without a majority after 3 s", "../../internal/control/keeper/contact.go", "k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil)",
 		"k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)"},
-	{"what endpoints say without contact is not kept", "../../internal/control/keeper/endpoints.go", "	revision := k.endpoints.Newest()\n",
-		"	revision := k.endpoints.Newest()\n	if !k.contact.Holds(at) {\n		return changeResult{noContact: true}\n	}\n"},
+	{"what endpoints say without contact is not kept", "../../internal/control/keeper/endpoints.go", "	revision := k.endpoints.LastChange()\n",
+		"	revision := k.endpoints.LastChange()\n	if !k.contact.Holds(at) {\n		return changeResult{noContact: true}\n	}\n"},
 	{"the first push without a new read", "../../internal/consensus/quorum/gate.go", "	return g.Holds(now) && g.confirmed[key]\n", "	return g.Holds(now)\n"},
 	{"contact that lasts twice as long", "../../internal/consensus/quorum/tracker.go", "	until := beganAt + Length\n", "	until := beganAt + 2*Length\n"},
 }
