--- a/cmd/dunetide/audit.go
+++ b/cmd/dunetide/audit.go
@@ -16,7 +16,7 @@
 
 // Run reads the files and tells what is wrong with them or with the runs in them.
 func (c auditCmd) Run() error {
-	r, err := audit.Files(c.Files, audit.Options{Within: c.Within})
+	r, err := audit.CheckFiles(c.Files, audit.CheckOptions{WithdrawalBound: c.Within})
 	if err != nil {
 		return errUsage.Wrap(err)
 	}
--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -61,7 +61,7 @@
 		return 0, nil, fmt.Errorf("no clear answer from %s; repeat the same command, there or at another keeper: %w", k.Control, err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, certification.DocumentMost))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, certification.MaxDocumentBytes))
 	return resp.StatusCode, b, err
 }
 
--- a/cmd/dunetide/certify_test.go
+++ b/cmd/dunetide/certify_test.go
@@ -76,7 +76,7 @@
 	t.Helper()
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now(), NotAfter: time.Now().Add(time.Hour), By: "x"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now(), NotAfter: time.Now().Add(time.Hour), Issuer: "x"})
 	}
 	b, err := json.Marshal(d)
 	if err != nil {
--- a/cmd/dunetide/golden_test.go
+++ b/cmd/dunetide/golden_test.go
@@ -229,7 +229,7 @@
 	at := time.Date(2026, 6, 1, 23, 0, 0, 0, time.UTC)
 	d := certification.Document{Version: 7, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range []string{"e-1", "e-2"} {
-		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), By: "the auditor"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), Issuer: "the auditor"})
 	}
 	document, err := json.MarshalIndent(d, "", " ")
 	if err != nil {
@@ -246,15 +246,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder := audit.NewRecorder(audit.RecorderOptions{Node: "p1", Life: 7, Need: 1, Now: func() time.Time { return at },
+	recorder := audit.NewRecorder(audit.RecorderOptions{NodeName: "p1", Incarnation: 7, RequiredStores: 1, Now: func() time.Time { return at },
 		Stores: func() []snapshot.Store { return []snapshot.Store{{Name: "s1", Addr: "s1"}} },
 		Dial:   func(context.Context, string) (audit.Conn, error) { return storeConn{store}, nil }})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); recorder.Run(ctx) }()
-	for i, outcome := range []audit.Outcome{audit.Answered, audit.Failed, audit.NotRun, audit.Unsent, audit.Broken, audit.Left, audit.Open} {
-		run := audit.Run{ID: fmt.Sprint("id-", i), Route: "q", Regime: "fin", Endpoint: "e-1", Version: 7, Item: i%2 == 1, Repeatable: i%2 == 1,
-			Begun: at.Add(time.Duration(i) * time.Second)}
+	for i, outcome := range []audit.Outcome{audit.Answered, audit.Failed, audit.NotRun, audit.Unsent, audit.Broken, audit.Canceled, audit.Open} {
+		run := audit.Run{ID: fmt.Sprint("id-", i), Route: "q", Regime: "fin", Endpoint: "e-1", CertificatesVersion: 7,
+			BatchItem: i%2 == 1, Idempotent: i%2 == 1, StartedAt: at.Add(time.Duration(i) * time.Second)}
 		if i == 5 {
 			run.Endpoint = "e-9"
 		}
--- a/cmd/dunetide/regulated.go
+++ b/cmd/dunetide/regulated.go
@@ -28,8 +28,8 @@
 func newRegulated(p *process, holder *snapshot.Latest, confirmed func() time.Time) *regulated {
 	s := p.settings
 	return &regulated{p: p, told: map[string]certification.Counts{},
-		gate: certification.NewGate(certification.GateOptions{Confirmed: confirmed, Stale: s.Bounds.Drain}),
-		recorder: audit.NewRecorder(audit.RecorderOptions{Node: s.NodeName, Life: uint64(time.Now().UnixNano()), Zone: s.Zone, Need: s.SurviveMachines + 1,
+		gate: certification.NewGate(certification.GateOptions{LastConfirmed: confirmed, ConfirmationTTL: s.Bounds.Drain}),
+		recorder: audit.NewRecorder(audit.RecorderOptions{NodeName: s.NodeName, Incarnation: uint64(time.Now().UnixNano()), Zone: s.Zone, RequiredStores: s.SurviveMachines + 1,
 			Log: p.log, Stores: func() (all []snapshot.Store) {
 				snap := holder.Get()
 				if snap == nil || snap.Table == nil {
@@ -46,26 +46,26 @@
 
 // tell writes the counts of regulated work into the log.
 func (r *regulated) tell() {
-	if r.gate.Set() == nil {
+	if r.gate.Current() == nil {
 		return
 	}
-	if fresh := r.gate.Fresh(); fresh != r.fresh {
+	if fresh := r.gate.Confirmed(); fresh != r.fresh {
 		r.fresh = fresh
 		if fresh {
-			r.p.log.Info("certificates confirmed", "version", r.gate.Set().Version)
+			r.p.log.Info("certificates confirmed", "version", r.gate.Current().Version)
 		} else {
-			r.p.log.Warn("no keeper confirms the certificates: nobody counts as certified", "version", r.gate.Set().Version, "for_longer_than", r.p.settings.Bounds.Drain)
+			r.p.log.Warn("no keeper confirms the certificates: nobody counts as certified", "version", r.gate.Current().Version, "for_longer_than", r.p.settings.Bounds.Drain)
 		}
 	}
 	if time.Since(r.toldAt) < tellEvery {
 		return
 	}
 	r.toldAt = time.Now()
-	for _, c := range r.gate.Counted() {
+	for _, c := range r.gate.CountsByRegime() {
 		if r.told[c.Regime] != c.Counts {
 			r.told[c.Regime] = c.Counts
-			r.p.log.Info("regulated work", "regime", c.Regime, "certificates", r.gate.Set().Version, "runs", c.Runs, "refused", c.Refused,
-				"waited", c.Waited, "given_up", c.GivenUp, "stopped", c.Stopped, "not_recorded_yet", r.recorder.Waiting())
+			r.p.log.Info("regulated work", "regime", c.Regime, "certificates", r.gate.Current().Version, "runs", c.Runs, "refused", c.Refused,
+				"waited", c.Waited, "given_up", c.Abandoned, "stopped", c.Stopped, "not_recorded_yet", r.recorder.Pending())
 		}
 	}
 }
--- a/cmd/dunetide/storelinks.go
+++ b/cmd/dunetide/storelinks.go
@@ -29,7 +29,7 @@
 		return
 	}
 	if audit.Handles(m.Kind) {
-		l.records.Message(m)
+		l.records.HandleAppend(m)
 		return
 	}
 	l.store.Message(m)
--- a/internal/batch/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), By: "x"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), Issuer: "x"})
 	}
 	b, err := json.Marshal(d)
 	must(t, err)
@@ -43,7 +43,7 @@
 }
 
 func run(id, endpoint string, version uint64, after time.Duration) Run {
-	return Run{ID: id, Route: "q", Regime: "fin", Endpoint: endpoint, Version: version, Begun: at.Add(after)}
+	return Run{ID: id, Route: "q", Regime: "fin", Endpoint: endpoint, CertificatesVersion: version, StartedAt: at.Add(after)}
 }
 
 // direct is a connection to a store of this process. It can be cut.
@@ -94,7 +94,7 @@
 	for i := range stores {
 		g.open(i, fileBytes)
 	}
-	g.r = NewRecorder(RecorderOptions{Node: "p", Life: 7, Need: need, Held: held, Now: func() time.Time { return at },
+	g.r = NewRecorder(RecorderOptions{NodeName: "p", Incarnation: 7, RequiredStores: need, MaxPending: held, Now: func() time.Time { return at },
 		Stores: func() (all []snapshot.Store) {
 			for i := range stores {
 				all = append(all, snapshot.Store{Name: fmt.Sprint("s", i), Addr: fmt.Sprint(i)})
@@ -138,14 +138,14 @@
 }
 
 // files are all that the stores wrote, once they are closed.
-func (g *rig) files() (all []file) {
+func (g *rig) files() (all []auditFile) {
 	for i, dir := range g.dirs {
 		names, err := filepath.Glob(filepath.Join(dir, "audit*.log"))
 		must(g.t, err)
 		for _, n := range names {
 			b, err := os.ReadFile(n)
 			must(g.t, err)
-			all = append(all, file{fmt.Sprintf("s%d/%s", i, filepath.Base(n)), b})
+			all = append(all, auditFile{fmt.Sprintf("s%d/%s", i, filepath.Base(n)), b})
 		}
 	}
 	return all
@@ -176,11 +176,11 @@
 	for i := range 1000 {
 		g.do(run(fmt.Sprint("id", i), "e1", 1, 0), d, Answered)
 		if i == 300 {
-			time.Sleep(3 * gather)
+			time.Sleep(3 * gatherDelay)
 			g.lose(0, true)
 		}
 		if i == 600 {
-			time.Sleep(3 * gather)
+			time.Sleep(3 * gatherDelay)
 			g.lose(0, false)
 			g.lose(1, true)
 		}
@@ -191,17 +191,17 @@
 	g.close()
 	copies := map[string]int{}
 	for i := range g.dirs {
-		var own []file
+		var own []auditFile
 		for _, f := range g.files() {
 			if strings.HasPrefix(f.name, fmt.Sprintf("s%d/", i)) {
 				own = append(own, f)
 			}
 		}
-		for _, r := range check(own, Options{}).Runs {
+		for _, r := range check(own, CheckOptions{}).Runs {
 			copies[r.ID]++
 		}
 	}
-	r := check(g.files(), Options{Within: 2 * time.Second})
+	r := check(g.files(), CheckOptions{WithdrawalBound: 2 * time.Second})
 	if len(r.Problems) > 0 || len(r.Runs) != 1000 {
 		t.Errorf("%d runs, %v", len(r.Runs), r.Problems)
 	}
@@ -211,7 +211,7 @@
 		}
 	}
 	rows := r.Rows()
-	if len(rows) != 1 || rows[0].Night != "2026-06-01" || rows[0].Regime != "fin" || rows[0].Requests != 1000 || rows[0].Whole != 1000 || rows[0].Outcomes[Answered] != 1000 {
+	if len(rows) != 1 || rows[0].Date != "2026-06-01" || rows[0].Regime != "fin" || rows[0].Requests != 1000 || rows[0].Answered != 1000 || rows[0].Outcomes[Answered] != 1000 {
 		t.Errorf("%+v", rows)
 	}
 }
@@ -234,8 +234,8 @@
 	for _, n := range open { // there was room for each end
 		g.r.End(n, Broken)
 	}
-	if g.r.Waiting() != 10 {
-		t.Errorf("%d entries wait", g.r.Waiting())
+	if g.r.Pending() != 10 {
+		t.Errorf("%d entries wait", g.r.Pending())
 	}
 	g.lose(1, false)
 	if !g.r.Drain(10 * time.Second) {
@@ -245,7 +245,7 @@
 		t.Error("there is room again, and none is given")
 	}
 	g.close()
-	if r := check(g.files(), Options{}); len(r.Problems) > 0 || len(r.Runs) < 5 {
+	if r := check(g.files(), CheckOptions{}); len(r.Problems) > 0 || len(r.Runs) < 5 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -269,8 +269,8 @@
 		}
 		if i == 200 {
 			g.stores[0].Close()
-			full := g.stores[0].number
-			must(t, os.Rename(filepath.Join(g.dirs[0], FileName), filepath.Join(g.dirs[0], fullName(full)))) // power was lost in a rotation
+			full := g.stores[0].file.number
+			must(t, os.Rename(filepath.Join(g.dirs[0], FileName), filepath.Join(g.dirs[0], fullFileName(full)))) // power was lost in a rotation
 			g.open(0, 8<<10)
 			g.r.conns = map[string]*storeConn{} // nobody sends now
 		}
@@ -280,10 +280,10 @@
 	}
 	g.close()
 	files := g.files()
-	if len(files) < 4 || len(files) > filesMost+1 {
+	if len(files) < 4 || len(files) > maxFullFiles+1 {
 		t.Errorf("%d files", len(files))
 	}
-	r := check(files, Options{})
+	r := check(files, CheckOptions{})
 	for _, p := range r.Problems { // the ends of runs whose beginnings were in files that are gone
 		if !strings.Contains(p.Detail, "a file before is missing") {
 			t.Error(p)
@@ -293,7 +293,7 @@
 		t.Errorf("%d runs", len(r.Runs))
 	}
 	without := slices.Delete(slices.Clone(files), len(files)/2, len(files)/2+1)
-	if got := rules(check(without, Options{})); !strings.Contains(got, Chain) {
+	if got := rules(check(without, CheckOptions{})); !strings.Contains(got, RuleBrokenChain) {
 		t.Errorf("a file between others is missing, and that is not told: %q", got)
 	}
 }
@@ -304,7 +304,7 @@
 	other := run("a", "e1", 1, 0)
 	other.Route = "z"
 	repeatable := run("a", "e1", 1, 0)
-	repeatable.Repeatable = true
+	repeatable.Idempotent = true
 	type one struct {
 		run Run
 		doc []byte
@@ -315,18 +315,18 @@
 		want string
 	}{
 		"sound":                 {[]one{{run("a", "e1", 1, 0), d1, Answered}, {run("b", "e2", 1, 0), d1, Failed}}, ""},
-		"not certified":         {[]one{{run("a", "e3", 1, 0), d1, Answered}}, Uncertified},
-		"expired":               {[]one{{expired, d1, Answered}}, Uncertified},
-		"another regime":        {[]one{{other, d1, Answered}}, Uncertified},
-		"withdrawn":             {[]one{{run("a", "e2", 2, 0), d2, Answered}}, Uncertified},
-		"twice":                 {[]one{{run("a", "e1", 1, 0), d1, Broken}, {run("a", "e2", 1, time.Second), d1, Answered}}, Twice},
-		"twice, one open":       {[]one{{run("a", "e1", 1, 0), d1, Open}, {run("a", "e2", 1, time.Second), d1, Answered}}, Twice},
+		"not certified":         {[]one{{run("a", "e3", 1, 0), d1, Answered}}, RuleUncertified},
+		"expired":               {[]one{{expired, d1, Answered}}, RuleUncertified},
+		"another regime":        {[]one{{other, d1, Answered}}, RuleUncertified},
+		"withdrawn":             {[]one{{run("a", "e2", 2, 0), d2, Answered}}, RuleUncertified},
+		"twice":                 {[]one{{run("a", "e1", 1, 0), d1, Broken}, {run("a", "e2", 1, time.Second), d1, Answered}}, RuleDuplicateRun},
+		"twice, one open":       {[]one{{run("a", "e1", 1, 0), d1, Open}, {run("a", "e2", 1, time.Second), d1, Answered}}, RuleDuplicateRun},
 		"turned away before":    {[]one{{run("a", "e1", 1, 0), d1, NotRun}, {run("a", "e2", 1, time.Second), d1, Answered}}, ""},
 		"not written before":    {[]one{{run("a", "e1", 1, 0), d1, Unsent}, {run("a", "e2", 1, time.Second), d1, Answered}}, ""},
 		"may repeat":            {[]one{{repeatable, d1, Answered}, {repeatable, d1, Answered}}, ""},
-		"old certificates":      {[]one{{run("a", "e1", 2, 0), d2, Answered}, {run("b", "e2", 1, 5*time.Second), d1, Answered}}, Withdrawn},
+		"old certificates":      {[]one{{run("a", "e1", 2, 0), d2, Answered}, {run("b", "e2", 1, 5*time.Second), d1, Answered}}, RuleWithdrawn},
 		"old ones for a moment": {[]one{{run("a", "e1", 2, 0), d2, Answered}, {run("b", "e2", 1, 3*time.Second), d1, Answered}}, ""},
-		"unreadable":            {[]one{{run("a", "e1", 1, 0), []byte("{}"), Answered}}, Unknown},
+		"unreadable":            {[]one{{run("a", "e1", 1, 0), []byte("{}"), Answered}}, RuleUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1, 1, 0, 0)
@@ -335,7 +335,7 @@
 			}
 			g.r.Drain(10 * time.Second)
 			g.close()
-			r := check(g.files(), Options{Within: 2 * time.Second})
+			r := check(g.files(), CheckOptions{WithdrawalBound: 2 * time.Second})
 			if got := rules(r); got != c.want {
 				t.Errorf("%q, want %q: %v", got, c.want, r.Problems)
 			}
@@ -356,7 +356,7 @@
 	}
 	g.close()
 	files := g.files()
-	if r := check(files, Options{}); len(r.Problems) > 0 || len(files) < 2 {
+	if r := check(files, CheckOptions{}); len(r.Problems) > 0 || len(files) < 2 {
 		t.Fatalf("%d files, %v", len(files), r.Problems)
 	}
 	rng := rand.New(rand.NewPCG(11, 12))
@@ -364,7 +364,7 @@
 	for n := range 600 {
 		bad := slices.Clone(files)
 		i := rng.IntN(len(bad))
-		b := bytes.Clone(bad[i].data)
+		b := bytes.Clone(bad[i].content)
 		from := rng.IntN(len(b))
 		to := min(len(b), from+1+rng.IntN(200))
 		kind := kinds[n%len(kinds)]
@@ -383,16 +383,16 @@
 			if to+to-from > len(b) {
 				continue
 			}
-			copy(b[from:to], bad[i].data[to:to+to-from])
-			copy(b[to:to+to-from], bad[i].data[from:to])
+			copy(b[from:to], bad[i].content[to:to+to-from])
+			copy(b[to:to+to-from], bad[i].content[from:to])
 		case "repeat":
 			b = append(b, b[from:]...)
 		}
-		if bytes.Equal(b, bad[i].data) {
+		if bytes.Equal(b, bad[i].content) {
 			continue
 		}
-		bad[i].data = b
-		r := check(bad, Options{})
+		bad[i].content = b
+		r := check(bad, CheckOptions{})
 		if len(r.Problems) == 0 && !(kind == "cut" && i == newest(files)) {
 			t.Errorf("%s of bytes %d to %d in %s is not found", kind, from, to, bad[i].name)
 		}
@@ -401,8 +401,8 @@
 
 // newest is the file that is appended to: records at its end may be taken off without a trace in itself, as there is no
 // later record; that they are on other stores too is what shows it.
-func newest(files []file) int {
-	return slices.IndexFunc(files, func(f file) bool { return strings.HasSuffix(f.name, "/"+FileName) })
+func newest(files []auditFile) int {
+	return slices.IndexFunc(files, func(f auditFile) bool { return strings.HasSuffix(f.name, "/"+FileName) })
 }
 
 func TestARecordThatWasTakenOffIsThereOnTheOtherStores(t *testing.T) {
@@ -415,7 +415,7 @@
 	g.close()
 	files := g.files()
 	files = files[1:] // the whole file of one store is gone
-	if got := rules(check(files, Options{})); got != Uncertified {
+	if got := rules(check(files, CheckOptions{})); got != RuleUncertified {
 		t.Errorf("%q", got)
 	}
 }
@@ -453,10 +453,10 @@
 	g := newRig(t, 1, 1, 0, 0)
 	d := text(t, 1, "e1")
 	g.do(run("a", "e1", 1, 0), d, Answered)
-	g.do(run("b", "e1", 1, 14*time.Hour), d, Left)
+	g.do(run("b", "e1", 1, 14*time.Hour), d, Canceled)
 	g.r.Drain(10 * time.Second)
 	g.close()
-	r := check(g.files(), Options{})
+	r := check(g.files(), CheckOptions{})
 	var csv, people bytes.Buffer
 	must(t, errors.Join(r.WriteCSV(&csv), r.WriteText(&people)))
 	want := "regime,night,runs,requests,items,whole,again,endpoints,open,answered,failed,not-run,unsent,broken,left\n" +
--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -38,17 +38,17 @@
 }
 
 var (
-	goldenKey = key{"proxy-3", 0x1122334455667788, 42}
+	goldenKey = runKey{"proxy-3", 0x1122334455667788, 42}
 	goldenRun = Run{
-		ID:         "request-91",
-		Route:      "quotes",
-		Regime:     "solvency",
-		Endpoint:   "i-7f3a91c2",
-		Version:    71,
-		Item:       true,
-		Repeatable: false,
-		After:      "event-17",
-		Begun:      time.Date(2026, 6, 1, 23, 4, 5, 678, time.UTC),
+		ID:                  "request-91",
+		Route:               "quotes",
+		Regime:              "solvency",
+		Endpoint:            "i-7f3a91c2",
+		CertificatesVersion: 71,
+		BatchItem:           true,
+		Idempotent:          false,
+		ResumeAfter:         "event-17",
+		StartedAt:           time.Date(2026, 6, 1, 23, 4, 5, 678, time.UTC),
 	}
 	goldenEnd = time.Date(2026, 6, 2, 1, 2, 3, 456, time.UTC)
 )
@@ -64,31 +64,31 @@
 // Each kind of entry, as it goes to stores and stands in their files.
 func TestGoldenEntries(t *testing.T) {
 	repeatable := goldenRun
-	repeatable.Item, repeatable.Repeatable = false, true
+	repeatable.BatchItem, repeatable.Idempotent = false, true
 	for file, c := range map[string]struct {
 		entry  []byte
 		kind   uint8
 		decode func(r *link.Reader) (again []byte, value, want any)
 	}{
-		"entry-1-start": {startEntry(goldenChain, goldenNumber), 1, func(r *link.Reader) ([]byte, any, any) {
+		"entry-1-start": {fileStartEntry(goldenChain, goldenNumber), 1, func(r *link.Reader) ([]byte, any, any) {
 			chain, number := r.U64(), r.U64()
-			return startEntry(chain, number), []uint64{chain, number}, []uint64{goldenChain, goldenNumber}
+			return fileStartEntry(chain, number), []uint64{chain, number}, []uint64{goldenChain, goldenNumber}
 		}},
-		"entry-2-document": {documentEntry(goldenVersion, goldenText), 2, func(r *link.Reader) ([]byte, any, any) {
+		"entry-2-document": {certificatesEntry(goldenVersion, goldenText), 2, func(r *link.Reader) ([]byte, any, any) {
 			version, text := r.U64(), r.Bytes()
-			return documentEntry(version, text), fmt.Sprint(version, string(text)), fmt.Sprint(goldenVersion, string(goldenText))
+			return certificatesEntry(version, text), fmt.Sprint(version, string(text)), fmt.Sprint(goldenVersion, string(goldenText))
 		}},
-		"entry-3-begun-item": {begunEntry(goldenKey, goldenRun), 3, func(r *link.Reader) ([]byte, any, any) {
+		"entry-3-begun-item": {runStartedEntry(goldenKey, goldenRun), 3, func(r *link.Reader) ([]byte, any, any) {
 			k, run := readKey(r), readRun(r)
-			return begunEntry(k, run), []any{k, run}, []any{goldenKey, goldenRun}
+			return runStartedEntry(k, run), []any{k, run}, []any{goldenKey, goldenRun}
 		}},
-		"entry-3-begun-repeatable": {begunEntry(goldenKey, repeatable), 3, func(r *link.Reader) ([]byte, any, any) {
+		"entry-3-begun-repeatable": {runStartedEntry(goldenKey, repeatable), 3, func(r *link.Reader) ([]byte, any, any) {
 			k, run := readKey(r), readRun(r)
-			return begunEntry(k, run), []any{k, run}, []any{goldenKey, repeatable}
+			return runStartedEntry(k, run), []any{k, run}, []any{goldenKey, repeatable}
 		}},
-		"entry-4-ended": {endedEntry(goldenKey, goldenEnd, Broken), 4, func(r *link.Reader) ([]byte, any, any) {
+		"entry-4-ended": {runEndedEntry(goldenKey, goldenEnd, Broken), 4, func(r *link.Reader) ([]byte, any, any) {
 			k, at, o := readKey(r), time.Unix(0, int64(r.Int())).UTC(), Outcome(r.U8())
-			return endedEntry(k, at, o), []any{k, at, o}, []any{goldenKey, goldenEnd, Broken}
+			return runEndedEntry(k, at, o), []any{k, at, o}, []any{goldenKey, goldenEnd, Broken}
 		}},
 	} {
 		b := golden(t, file, func() []byte { return c.entry })
@@ -113,7 +113,7 @@
 func TestGoldenOutcomes(t *testing.T) {
 	written := func() []byte {
 		var b []byte
-		for _, o := range []Outcome{Open, Answered, Failed, NotRun, Unsent, Broken, Left} {
+		for _, o := range []Outcome{Open, Answered, Failed, NotRun, Unsent, Broken, Canceled} {
 			b = fmt.Appendf(b, "%d %v may have run: %v\n", uint8(o), o, o.MayHaveRun())
 		}
 		return b
@@ -121,16 +121,16 @@
 	if b := golden(t, "outcomes", written); !bytes.Equal(written(), b) {
 		t.Errorf("%s", written())
 	}
-	if outcomes != 7 {
-		t.Errorf("%d outcomes", outcomes)
+	if outcomeCount != 7 {
+		t.Errorf("%d outcomes", outcomeCount)
 	}
 }
 
 // A record of a file: the hash of the one before, then the entry.
 func TestGoldenChain(t *testing.T) {
 	written := func() []byte {
-		one, first := chained(sum{}, startEntry(goldenChain, 1))
-		two, second := chained(first, endedEntry(goldenKey, goldenEnd, Left))
+		one, first := chainRecord(recordHash{}, fileStartEntry(goldenChain, 1))
+		two, second := chainRecord(first, runEndedEntry(goldenKey, goldenEnd, Canceled))
 		return fmt.Appendf(nil, "%x\n%x\n%x\n%x\n", one, first, two, second)
 	}
 	b := golden(t, "chain", written)
@@ -138,12 +138,12 @@
 		t.Errorf("%s", written())
 	}
 	lines := strings.Split(string(b), "\n")
-	before := sum{}
-	for i, want := range [][]byte{startEntry(goldenChain, 1), endedEntry(goldenKey, goldenEnd, Left)} {
+	before := recordHash{}
+	for i, want := range [][]byte{fileStartEntry(goldenChain, 1), runEndedEntry(goldenKey, goldenEnd, Canceled)} {
 		var record []byte
 		_, err := fmt.Sscanf(lines[2*i], "%x", &record)
 		must(t, err)
-		entry, next, err := unchain(before, record)
+		entry, next, err := unchainRecord(before, record)
 		if err != nil || !bytes.Equal(entry, want) || fmt.Sprintf("%x", next) != lines[2*i+1] {
 			t.Errorf("record %d: %x, %x, %v", i, entry, next, err)
 		}
@@ -167,14 +167,14 @@
 // goldenBatch hands two runs by two versions of the certificates over, and the end of one.
 func goldenBatch(t *testing.T) (link.Kind, []byte) {
 	c := &caught{}
-	r := NewRecorder(RecorderOptions{Node: goldenKey.proxy, Life: goldenKey.life, Need: 1, Now: func() time.Time { return goldenEnd },
+	r := NewRecorder(RecorderOptions{NodeName: goldenKey.proxy, Incarnation: goldenKey.incarnation, RequiredStores: 1, Now: func() time.Time { return goldenEnd },
 		Stores: func() []snapshot.Store { return []snapshot.Store{{Name: "s", Addr: "a"}} },
 		Dial:   func(context.Context, string) (Conn, error) { return c, nil }})
-	other := Run{ID: "b", Route: "r", Regime: "g", Endpoint: "e", Version: 72, Repeatable: true, After: "x", Begun: goldenEnd}
+	other := Run{ID: "b", Route: "r", Regime: "g", Endpoint: "e", CertificatesVersion: 72, Idempotent: true, ResumeAfter: "x", StartedAt: goldenEnd}
 	r.Begin(other, []byte("text of 72"))
 	n, _ := r.Begin(goldenRun, goldenText)
 	r.End(n, NotRun)
-	must(t, r.handOver(context.Background()))
+	must(t, r.deliver(context.Background()))
 	return c.kind, c.body
 }
 
@@ -193,10 +193,10 @@
 	must(t, err)
 	must(t, s.appendNow(b))
 	s.Close()
-	r := check([]file{{FileName, d.File(FileName)}}, Options{})
-	want := []Seen{
-		{Run: goldenRun, Proxy: goldenKey.proxy, Number: 2, Ended: goldenEnd, Outcome: NotRun},
-		{Run: Run{ID: "b", Route: "r", Regime: "g", Endpoint: "e", Version: 72, Repeatable: true, After: "x", Begun: goldenEnd}, Proxy: goldenKey.proxy, Number: 1},
+	r := check([]auditFile{{FileName, d.File(FileName)}}, CheckOptions{})
+	want := []RecordedRun{
+		{Run: goldenRun, Proxy: goldenKey.proxy, Number: 2, EndedAt: goldenEnd, Outcome: NotRun},
+		{Run: Run{ID: "b", Route: "r", Regime: "g", Endpoint: "e", CertificatesVersion: 72, Idempotent: true, ResumeAfter: "x", StartedAt: goldenEnd}, Proxy: goldenKey.proxy, Number: 1},
 	}
 	if !reflect.DeepEqual(r.Runs, want) || !slices.Equal(r.Versions, []uint64{71, 72}) {
 		t.Errorf("%+v, certificates %v, want %+v", r.Runs, r.Versions, want)
@@ -214,8 +214,8 @@
 		w.U32(2)
 		k := goldenKey
 		k.number = number
-		w.Bytes(begunEntry(k, goldenRun))
-		w.Bytes(endedEntry(k, goldenEnd, Answered))
+		w.Bytes(runStartedEntry(k, goldenRun))
+		w.Bytes(runEndedEntry(k, goldenEnd, Answered))
 		return w.B
 	}
 	written := func() *disktest.Disk {
@@ -232,16 +232,16 @@
 	if *update {
 		d = written()
 	}
-	var files []file
+	var files []auditFile
 	for _, n := range names {
-		files = append(files, file{n, golden(t, n, func() []byte { return d.File(n) })})
+		files = append(files, auditFile{n, golden(t, n, func() []byte { return d.File(n) })})
 	}
-	r := check(files, Options{})
+	r := check(files, CheckOptions{})
 	if len(r.Runs) != 3 || r.Records != 9 || len(r.Files) != 2 {
 		t.Errorf("%d runs, %d records, %+v", len(r.Runs), r.Records, r.Files)
 	}
 	for i, run := range r.Runs {
-		want := Seen{Run: goldenRun, Proxy: goldenKey.proxy, Number: uint64(i + 1), Ended: goldenEnd, Outcome: Answered}
+		want := RecordedRun{Run: goldenRun, Proxy: goldenKey.proxy, Number: uint64(i + 1), EndedAt: goldenEnd, Outcome: Answered}
 		if !reflect.DeepEqual(run, want) {
 			t.Errorf("%+v, want %+v", run, want)
 		}
@@ -249,14 +249,14 @@
 	// What the store writes for the same messages differs in the salt of each file and the random chain alone: with the
 	// chain of the golden files, all records are the same.
 	for i, f := range files {
-		var last sum
+		var last recordHash
 		if i > 0 {
-			prev, err := scan(bytes.NewReader(files[i-1].data), int64(len(files[i-1].data)), files[i-1].name, nil)
+			prev, err := scan(bytes.NewReader(files[i-1].content), int64(len(files[i-1].content)), files[i-1].name, nil)
 			must(t, err)
 			last = prev.last
 		}
 		var entries [][]byte
-		c, err := scan(bytes.NewReader(f.data), int64(len(f.data)), f.name, func(e []byte) error {
+		c, err := scan(bytes.NewReader(f.content), int64(len(f.content)), f.name, func(e []byte) error {
 			entries = append(entries, bytes.Clone(e))
 			return nil
 		})
@@ -264,7 +264,7 @@
 		if c.number != uint64(i+1) || c.first != last {
 			t.Errorf("%s: file %d, goes on from %x", f.name, c.number, c.first)
 		}
-		if got := rewritten(t, f.data, last, entries); !bytes.Equal(got, f.data) {
+		if got := rewritten(t, f.content, last, entries); !bytes.Equal(got, f.content) {
 			t.Errorf("%s: written again as other bytes", f.name)
 		}
 	}
@@ -272,22 +272,22 @@
 	// A store goes on with the files.
 	d = disktest.New()
 	for _, f := range files {
-		d.Put(f.name, f.data)
+		d.Put(f.name, f.content)
 	}
 	s, err := OpenStore(StoreOptions{Folder: d, FileBytes: 900})
 	must(t, err)
 	must(t, s.appendNow(message(4)))
 	s.Close()
-	if got := d.File(FileName); !bytes.HasPrefix(got, files[1].data) {
+	if got := d.File(FileName); !bytes.HasPrefix(got, files[1].content) {
 		t.Error("the file was changed before its end")
 	}
-	if r := check([]file{files[0], {FileName, d.File(FileName)}}, Options{}); len(r.Runs) != 4 {
+	if r := check([]auditFile{files[0], {FileName, d.File(FileName)}}, CheckOptions{}); len(r.Runs) != 4 {
 		t.Errorf("%d runs, %v", len(r.Runs), r.Problems)
 	}
 }
 
 // rewritten writes entries behind the header of a file, syncing where that file says that it was synced.
-func rewritten(t *testing.T, data []byte, last sum, entries [][]byte) []byte {
+func rewritten(t *testing.T, data []byte, last recordHash, entries [][]byte) []byte {
 	t.Helper()
 	d := disktest.New()
 	d.Put("f", data[:journal.FramesHeader])
@@ -299,7 +299,7 @@
 			must(t, l.Sync())
 		}
 		var b []byte
-		b, last = chained(last, e)
+		b, last = chainRecord(last, e)
 		_, err := l.Append(b)
 		must(t, err)
 	}
@@ -308,10 +308,10 @@
 }
 
 func TestGoldenReports(t *testing.T) {
-	r := check([]file{
+	r := check([]auditFile{
 		{"audit-000001.log", golden(t, "audit-000001.log", nil)},
 		{FileName, golden(t, FileName, nil)},
-	}, Options{})
+	}, CheckOptions{})
 	for file, write := range map[string]func(*bytes.Buffer) error{
 		"report.csv": func(b *bytes.Buffer) error { return r.WriteCSV(b) },
 		"report.txt": func(b *bytes.Buffer) error { return r.WriteText(b) },
@@ -327,29 +327,29 @@
 // Two files that say other things of a run and of a version: the report names both, with all that each says.
 func TestGoldenReportOfDifferences(t *testing.T) {
 	other := goldenRun
-	other.Item, other.Repeatable, other.After = false, true, ""
-	files := []file{}
+	other.BatchItem, other.Idempotent, other.ResumeAfter = false, true, ""
+	files := []auditFile{}
 	for i, c := range []struct {
 		run  Run
 		text []byte
 		end  Outcome
-	}{{goldenRun, goldenText, Answered}, {other, append(slices.Clone(goldenText), ' '), Left}} {
+	}{{goldenRun, goldenText, Answered}, {other, append(slices.Clone(goldenText), ' '), Canceled}} {
 		d := disktest.New()
 		l, err := recordlog.Open(d, "f", func([]byte, int64) error { return nil })
 		must(t, err)
-		var last sum
-		for _, e := range [][]byte{startEntry(uint64(i+1), 1), documentEntry(goldenVersion, c.text), begunEntry(goldenKey, c.run),
-			endedEntry(goldenKey, goldenEnd, c.end)} {
+		var last recordHash
+		for _, e := range [][]byte{fileStartEntry(uint64(i+1), 1), certificatesEntry(goldenVersion, c.text), runStartedEntry(goldenKey, c.run),
+			runEndedEntry(goldenKey, goldenEnd, c.end)} {
 			var b []byte
-			b, last = chained(last, e)
+			b, last = chainRecord(last, e)
 			_, err := l.Append(b)
 			must(t, err)
 		}
 		must(t, l.Close())
-		files = append(files, file{fmt.Sprint("store-", i+1), d.File("f")})
+		files = append(files, auditFile{fmt.Sprint("store-", i+1), d.File("f")})
 	}
 	var b bytes.Buffer
-	must(t, check(files, Options{}).WriteProblems(&b))
+	must(t, check(files, CheckOptions{}).WriteProblems(&b))
 	if want := golden(t, "report-differences.txt", b.Bytes); !bytes.Equal(b.Bytes(), want) {
 		t.Errorf("%s", b.String())
 	}
@@ -357,8 +357,8 @@
 
 // A row in the JSON of the lab's reports.
 func TestGoldenRow(t *testing.T) {
-	row := Row{Regime: "solvency", Night: "2026-06-01", Runs: 11, Requests: 12, Items: 13, Whole: 14, Again: 15, Endpoints: 16,
-		Outcomes: [outcomes]int{21, 22, 23, 24, 25, 26, 27}}
+	row := Row{Regime: "solvency", Date: "2026-06-01", Runs: 11, Requests: 12, BatchItems: 13, Answered: 14, Reanswered: 15, Endpoints: 16,
+		Outcomes: [outcomeCount]int{21, 22, 23, 24, 25, 26, 27}}
 	written, err := json.Marshal(row)
 	must(t, err)
 	b := golden(t, "row.json", func() []byte { return written })
--- a/internal/batch/audit/recorder.go
+++ b/internal/batch/audit/recorder.go
@@ -1,9 +1,7 @@
 package audit
 
 import (
-	"cmp"
 	"context"
-	"errors"
 	"slices"
 	"sync"
 	"time"
@@ -15,121 +13,119 @@
 )
 
 const (
-	// entriesHeld bounds the entries that wait for stores; there is room for the end of each run that was begun.
-	entriesHeld = 16384
-	batchMost   = 512
-	gather      = 30 * time.Millisecond
-	callWait    = time.Second
-	pauseAfter  = 200 * time.Millisecond // a batch that too few stores took
+	// defaultMaxPending is how many entries a recorder has space for.
+	defaultMaxPending = 16384
+	// gatherDelay is how long entries are gathered before they are delivered together.
+	gatherDelay = 30 * time.Millisecond
+	// retryDelay is the pause after a delivery that too few stores accepted.
+	retryDelay = 200 * time.Millisecond
 )
 
-// Conn is a connection to a store.
-type Conn interface {
-	Call(ctx context.Context, kind link.Kind, body []byte) ([]byte, error)
-	Done() <-chan struct{}
-	Close()
-}
-
-// RecorderOptions of a proxy's side.
+// RecorderOptions are the options of a Recorder.
 type RecorderOptions struct {
-	Node   string
-	Life   uint64
-	Zone   string
-	Need   int // stores that must have a record on disk: f+1
-	Stores func() []snapshot.Store
-	Dial   func(ctx context.Context, addr string) (Conn, error) // nil: over link
-	Now    func() time.Time
-	Held   int // entries; 0: 16,384
-	Log    hclog.Logger
-}
-
-// Recorder keeps runs until enough stores have them.
+	NodeName       string
+	Incarnation    uint64 // of the proxy's process; with the name and a count it names a run
+	Zone           string // stores of the same zone are asked first
+	RequiredStores int    // stores that must have an entry on disk: the number of machines to survive, and one
+	Stores         func() []snapshot.Store
+	Dial           func(ctx context.Context, addr string) (Conn, error) // nil: over package link
+	Now            func() time.Time                                     // nil: time.Now
+	MaxPending     int                                                  // entries; 0: 16,384
+	Log            hclog.Logger                                         // nil: no log
+}
+
+// Recorder keeps the entries of a proxy's runs until enough stores have them on disk. It is safe for concurrent use.
 type Recorder struct {
-	o    RecorderOptions
-	wake chan struct{}
+	options RecorderOptions
+	wake    chan struct{} // has a token once there is an entry to deliver
 
-	mu        sync.Mutex
-	pending   [][]byte
-	versions  []uint64 // of pending, 0 where there is none
-	documents map[uint64][]byte
-	open      int // runs that were begun and have no end yet
-	number    uint64
-	warned    bool
+	mu           sync.Mutex
+	pending      []pendingEntry
+	certificates map[uint64][]byte // texts by version: those that pending entries name
+	openRuns     int               // runs that have begun and have no end yet
+	lastNumber   uint64            // of a run
+	drained      chan struct{}     // closed when nothing is pending any more; nil while nobody waits for that
 
-	// Of the one goroutine that sends.
-	conns map[string]*storeConn // by address
+	// Only the goroutine of Run uses these.
+	conns    map[string]*storeConn // by address
+	retrying bool                  // the last delivery failed
 }
 
-type storeConn struct {
-	Conn
-	has map[uint64]bool // documents
+// pendingEntry is an entry that too few stores have.
+type pendingEntry struct {
+	entry               []byte
+	certificatesVersion uint64 // the version that the entry names; 0 if it names none
 }
 
-// NewRecorder returns a recorder; Run hands over.
-func NewRecorder(o RecorderOptions) *Recorder {
-	if o.Held == 0 {
-		o.Held = entriesHeld
+// NewRecorder returns a recorder. Its Run has to be called for entries to be delivered.
+func NewRecorder(options RecorderOptions) *Recorder {
+	if options.MaxPending == 0 {
+		options.MaxPending = defaultMaxPending
 	}
-	if o.Now == nil {
-		o.Now = time.Now
+	if options.Now == nil {
+		options.Now = time.Now
 	}
-	if o.Log == nil {
-		o.Log = hclog.NewNullLogger()
+	if options.Log == nil {
+		options.Log = hclog.NewNullLogger()
 	}
-	if o.Dial == nil {
-		o.Dial = func(ctx context.Context, addr string) (Conn, error) {
-			return link.Dial(ctx, addr, nobody{}, link.DefaultOptions)
+	if options.Dial == nil {
+		options.Dial = func(ctx context.Context, addr string) (Conn, error) {
+			return link.Dial(ctx, addr, rejectCalls{}, link.DefaultOptions)
 		}
 	}
-	return &Recorder{o: o, wake: make(chan struct{}, 1), documents: map[uint64][]byte{}, conns: map[string]*storeConn{}}
+	return &Recorder{
+		options:      options,
+		wake:         make(chan struct{}, 1),
+		certificates: map[uint64][]byte{},
+		conns:        map[string]*storeConn{},
+	}
 }
 
-type nobody struct{}
-
-func (nobody) Message(m *link.Message) { m.Fail("no such call here") }
-func (nobody) Closed(*link.Conn)       {}
-
-// Begin takes in that a run is about to be sent by certificates, given as they were put. Without room for its end it says
-// false, and the run may not be sent.
-func (r *Recorder) Begin(run Run, certificates []byte) (uint64, bool) {
+// Begin records that a run is about to be sent, by certificates whose text is given as it was put, and returns the
+// number of the run. It returns false if there is no space for the run's beginning and end: then the run must not be
+// sent.
+func (r *Recorder) Begin(run Run, certificates []byte) (number uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.pending)+r.open+2 > r.o.Held {
+	if len(r.pending)+r.openRuns+2 > r.options.MaxPending {
 		return 0, false
 	}
-	r.documents[run.Version] = certificates
-	r.number++
-	r.open++
-	r.add(begunEntry(r.key(r.number), run), run.Version)
-	return r.number, true
+	r.certificates[run.CertificatesVersion] = certificates
+	r.lastNumber++
+	r.openRuns++
+	r.add(pendingEntry{runStartedEntry(r.key(r.lastNumber), run), run.CertificatesVersion})
+	return r.lastNumber, true
 }
 
-// End takes in how a run ended.
-func (r *Recorder) End(number uint64, o Outcome) {
+// End records how the run of a number ended. It has to be called once for each run that Begin accepted.
+func (r *Recorder) End(number uint64, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open--
-	r.add(endedEntry(r.key(number), r.o.Now(), o), 0)
+	r.openRuns--
+	r.add(pendingEntry{entry: runEndedEntry(r.key(number), r.options.Now(), outcome)})
 }
 
-func (r *Recorder) key(number uint64) key { return key{r.o.Node, r.o.Life, number} }
+func (r *Recorder) key(number uint64) runKey {
+	return runKey{r.options.NodeName, r.options.Incarnation, number}
+}
 
-func (r *Recorder) add(entry []byte, version uint64) {
-	r.pending, r.versions = append(r.pending, entry), append(r.versions, version)
+// add appends an entry, with mu locked.
+func (r *Recorder) add(entry pendingEntry) {
+	r.pending = append(r.pending, entry)
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Waiting is how many entries too few stores have.
-func (r *Recorder) Waiting() int {
+// Pending returns how many entries too few stores have.
+func (r *Recorder) Pending() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.pending)
 }
 
-// Run hands entries over until the context ends.
+// Run delivers entries to stores until the context ends, and then closes its connections. It is called once.
 func (r *Recorder) Run(ctx context.Context) {
 	defer func() {
 		for _, c := range r.conns {
@@ -142,173 +138,79 @@
 		case <-ctx.Done():
 			return
 		}
-		if !sleep(ctx, gather) {
+		if !sleep(ctx, gatherDelay) {
 			return
 		}
-		for r.Waiting() > 0 && ctx.Err() == nil {
-			if err := r.handOver(ctx); err != nil {
-				if !r.warned {
-					r.o.Log.Warn("regulated runs not recorded yet", "waiting", r.Waiting(), "err", err)
-				}
-				r.warned = true
-				if !sleep(ctx, pauseAfter) {
-					return
-				}
-				continue
-			}
-			if r.warned {
-				r.o.Log.Info("regulated runs recorded again")
+		for r.Pending() > 0 && ctx.Err() == nil {
+			err := r.deliver(ctx)
+			r.logDelivery(err)
+			if err != nil && !sleep(ctx, retryDelay) {
+				return
 			}
-			r.warned = false
-		}
-	}
-}
-
-// Drain waits until all is handed over, or the time is over.
-func (r *Recorder) Drain(most time.Duration) bool {
-	for until := time.Now().Add(most); r.Waiting() > 0; {
-		if time.Now().After(until) {
-			return false
 		}
-		time.Sleep(5 * time.Millisecond)
 	}
-	return true
 }
 
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
-// batch is what is handed over at once.
-type batch struct {
-	entries   [][]byte
-	documents map[uint64][]byte
-}
-
-func (r *Recorder) next() batch {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := min(len(r.pending), batchMost)
-	b := batch{entries: slices.Clone(r.pending[:n]), documents: map[uint64][]byte{}}
-	for _, v := range r.versions[:n] {
-		if v != 0 {
-			b.documents[v] = r.documents[v]
-		}
+// logDelivery logs the first delivery that failed after one that did not, and the other way round.
+func (r *Recorder) logDelivery(err error) {
+	switch {
+	case err != nil && !r.retrying:
+		r.options.Log.Warn("regulated runs not recorded yet", "waiting", r.Pending(), "err", err)
+	case err == nil && r.retrying:
+		r.options.Log.Info("regulated runs recorded again")
 	}
-	return b
+	r.retrying = err != nil
 }
 
-// kept drops entries that enough stores have, and documents that nothing names any more.
-func (r *Recorder) kept(n int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.pending, r.versions = slices.Delete(r.pending, 0, n), slices.Delete(r.versions, 0, n)
-	for v := range r.documents {
-		if !slices.Contains(r.versions, v) {
-			delete(r.documents, v)
-		}
-	}
-}
-
-var errFewStores = errors.New("fewer stores than must have a record took it")
-
-// handOver hands the oldest entries to as many stores as needed, one in the place of each that doesn't take them. Those
-// that had them from an earlier attempt may have them twice, which those who read the files know.
-func (r *Recorder) handOver(ctx context.Context) error {
-	stores := r.o.Stores()
-	slices.SortStableFunc(stores, func(a, b snapshot.Store) int {
-		return cmp.Or(cmp.Compare(far(a.Zone, r.o.Zone), far(b.Zone, r.o.Zone)), cmp.Compare(snapshot.Hash(r.o.Node+a.Name), snapshot.Hash(r.o.Node+b.Name)))
-	})
-	stores = slices.CompactFunc(stores, func(a, b snapshot.Store) bool { return a.Addr == b.Addr })
-	if len(stores) < r.o.Need {
-		return errFewStores
-	}
-	b := r.next()
-	results := make(chan error, len(stores))
-	going, taken, next, refused := 0, 0, 0, error(nil)
-	for taken < r.o.Need {
-		for going+taken < r.o.Need && next < len(stores) {
-			c, err := r.conn(ctx, stores[next].Addr)
-			next++
-			if err != nil {
-				refused = err
-				continue
-			}
-			going++
-			go func() { results <- c.hand(ctx, b) }()
+// Drain waits until enough stores have all entries, for a time at most, and reports whether they have. Run has to run
+// meanwhile.
+func (r *Recorder) Drain(timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for {
+		r.mu.Lock()
+		if len(r.pending) == 0 {
+			r.mu.Unlock()
+			return true
 		}
-		if going == 0 {
-			return errors.Join(errFewStores, refused)
+		if r.drained == nil {
+			r.drained = make(chan struct{})
 		}
-		err := <-results
-		going--
-		if err == nil {
-			taken++
-		} else {
-			refused = err
+		drained := r.drained
+		r.mu.Unlock()
+		select {
+		case <-drained:
+		case <-timer.C:
+			return false
 		}
 	}
-	r.kept(len(b.entries))
-	return nil
-}
-
-func far(a, b string) int {
-	if a == b {
-		return 0
-	}
-	return 1
 }
 
-func (r *Recorder) conn(ctx context.Context, addr string) (*storeConn, error) {
-	if c := r.conns[addr]; c != nil {
-		select {
-		case <-c.Done():
-		default:
-			return c, nil
+// acknowledge drops the oldest entries, which enough stores have, and the certificates that no other entry names.
+func (r *Recorder) acknowledge(n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.pending = slices.Delete(r.pending, 0, n)
+	for version := range r.certificates {
+		named := func(e pendingEntry) bool { return e.certificatesVersion == version }
+		if !slices.ContainsFunc(r.pending, named) {
+			delete(r.certificates, version)
 		}
 	}
-	c, err := r.o.Dial(ctx, addr)
-	if err != nil {
-		return nil, err
+	if len(r.pending) == 0 && r.drained != nil {
+		close(r.drained)
+		r.drained = nil
 	}
-	r.conns[addr] = &storeConn{Conn: c, has: map[uint64]bool{}}
-	return r.conns[addr], nil
 }
 
-func (c *storeConn) hand(ctx context.Context, b batch) error {
-	w := link.Writer{}
-	var versions []uint64
-	for v := range b.documents {
-		if !c.has[v] {
-			versions = append(versions, v)
-		}
-	}
-	slices.Sort(versions)
-	w.U32(uint32(len(versions)))
-	for _, v := range versions {
-		w.U64(v)
-		w.Bytes(b.documents[v])
-	}
-	w.U32(uint32(len(b.entries)))
-	for _, e := range b.entries {
-		w.Bytes(e)
-	}
-	ctx, cancel := context.WithTimeout(ctx, callWait)
-	defer cancel()
-	_, err := c.Call(ctx, kAppend, w.B)
-	if err != nil {
-		clear(c.has) // it may not know their text any more
-		return err
-	}
-	for _, v := range versions {
-		c.has[v] = true
+// sleep waits for a time. It returns false if the context ends before.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	return nil
 }
--- a/internal/batch/audit/report.go
+++ b/internal/batch/audit/report.go
@@ -11,81 +11,107 @@
 	"time"
 )
 
-// Row sums the runs of a regime in a night, which lasts from noon to noon (UTC) and is named by the day it begins on.
+// maxListedProblems is how many problems a report lists.
+const maxListedProblems = 40
+
+// Row sums up the runs of a regime in a night, which lasts from noon to noon (UTC). The JSON names, and the columns
+// of reports, are those of the first version.
 type Row struct {
-	Regime    string        `json:"Regime"`
-	Night     string        `json:"Night"`
-	Runs      int           `json:"Runs"`
-	Requests  int           `json:"Requests"` // ids of interactive requests
-	Items     int           `json:"Items"`    // ids of batch items
-	Whole     int           `json:"Whole"`    // ids with a run that was answered whole
-	Again     int           `json:"Again"`    // ids, repeatable ones, with more than one run answered whole
-	Endpoints int           `json:"Endpoints"`
-	Outcomes  [outcomes]int `json:"Outcomes"`
+	Regime     string            `json:"Regime"`
+	Date       string            `json:"Night"` // the day on which the night begins, as 2006-01-02
+	Runs       int               `json:"Runs"`
+	Requests   int               `json:"Requests"` // ids of interactive requests
+	BatchItems int               `json:"Items"`    // ids of batch items
+	Answered   int               `json:"Whole"`    // ids with a run that was answered completely
+	Reanswered int               `json:"Again"`    // ids with more than one such run, which idempotent ones may have
+	Endpoints  int               `json:"Endpoints"`
+	Outcomes   [outcomeCount]int `json:"Outcomes"` // runs by Outcome
 }
 
-func night(at time.Time) string { return at.UTC().Add(-12 * time.Hour).Format(time.DateOnly) }
+// nightOf returns the day on which the night begins that a moment is in.
+func nightOf(at time.Time) string { return at.UTC().Add(-12 * time.Hour).Format(time.DateOnly) }
 
-// Rows sums all runs.
-func (r *Report) Rows() []Row {
-	type group struct {
-		Row
-		requests, items, endpoints map[string]bool
-		whole                      map[string]int
+// rowSums gathers a row.
+type rowSums struct {
+	Row
+	requests, items, endpoints map[string]bool
+	answered                   map[string]int // runs, by id
+}
+
+func newRowSums(regime, date string) *rowSums {
+	return &rowSums{
+		Row:       Row{Regime: regime, Date: date},
+		requests:  map[string]bool{},
+		items:     map[string]bool{},
+		endpoints: map[string]bool{},
+		answered:  map[string]int{},
 	}
-	all := map[[2]string]*group{}
-	for _, run := range r.Runs {
-		k := [2]string{run.Regime, night(run.Begun)}
-		g := all[k]
-		if g == nil {
-			g = &group{Row: Row{Regime: k[0], Night: k[1]}, requests: map[string]bool{}, items: map[string]bool{}, endpoints: map[string]bool{}, whole: map[string]int{}}
-			all[k] = g
-		}
-		g.Runs++
-		g.Outcomes[run.Outcome]++
-		g.endpoints[run.Endpoint] = true
-		if run.Item {
-			g.items[run.ID] = true
-		} else {
-			g.requests[run.ID] = true
+}
+
+func (s *rowSums) add(run RecordedRun) {
+	s.Runs++
+	s.Outcomes[run.Outcome]++
+	s.endpoints[run.Endpoint] = true
+	if run.BatchItem {
+		s.items[run.ID] = true
+	} else {
+		s.requests[run.ID] = true
+	}
+	if run.Outcome == Answered {
+		s.answered[run.ID]++
+	}
+}
+
+func (s *rowSums) row() Row {
+	r := s.Row
+	r.Requests, r.BatchItems, r.Endpoints, r.Answered = len(s.requests), len(s.items), len(s.endpoints), len(s.answered)
+	for _, runs := range s.answered {
+		if runs > 1 {
+			r.Reanswered++
 		}
-		if run.Outcome == Answered {
-			g.whole[run.ID]++
+	}
+	return r
+}
+
+// Rows sums up all runs, by regime and then by date.
+func (r *Report) Rows() []Row {
+	type key struct{ regime, date string }
+	sums := map[key]*rowSums{}
+	for _, run := range r.Runs {
+		k := key{run.Regime, nightOf(run.StartedAt)}
+		if sums[k] == nil {
+			sums[k] = newRowSums(k.regime, k.date)
 		}
+		sums[k].add(run)
 	}
 	var rows []Row
-	for _, g := range all {
-		g.Requests, g.Items, g.Endpoints, g.Whole = len(g.requests), len(g.items), len(g.endpoints), len(g.whole)
-		for _, n := range g.whole {
-			if n > 1 {
-				g.Again++
-			}
-		}
-		rows = append(rows, g.Row)
+	for _, s := range sums {
+		rows = append(rows, s.row())
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
 		if c := strings.Compare(a.Regime, b.Regime); c != 0 {
 			return c
 		}
-		return strings.Compare(a.Night, b.Night)
+		return strings.Compare(a.Date, b.Date)
 	})
 	return rows
 }
 
 func columns() []string {
-	out := []string{"regime", "night", "runs", "requests", "items", "whole", "again", "endpoints"}
-	for o := range outcomes {
-		out = append(out, o.String())
+	names := []string{"regime", "night", "runs", "requests", "items", "whole", "again", "endpoints"}
+	for o := range outcomeCount {
+		names = append(names, o.String())
 	}
-	return out
+	return names
 }
 
 func (r Row) fields() []string {
-	out := []string{r.Regime, r.Night}
-	for _, n := range append([]int{r.Runs, r.Requests, r.Items, r.Whole, r.Again, r.Endpoints}, r.Outcomes[:]...) {
-		out = append(out, strconv.Itoa(n))
+	fields := []string{r.Regime, r.Date}
+	counts := append([]int{r.Runs, r.Requests, r.BatchItems, r.Answered, r.Reanswered, r.Endpoints}, r.Outcomes[:]...)
+	for _, n := range counts {
+		fields = append(fields, strconv.Itoa(n))
 	}
-	return out
+	return fields
 }
 
 // WriteCSV writes the rows.
@@ -103,10 +129,10 @@
 	return out.Error()
 }
 
-// WriteText writes the rows and the problems for people.
+// WriteText writes the rows, the files and the problems for people.
 func (r *Report) WriteText(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, strings.Join(columns(), "\t"))
+	fmt.Fprintln(out, strings.Join(columns(), "\t")) // it goes to memory: Flush returns the error of writing
 	for _, row := range r.Rows() {
 		fmt.Fprintln(out, strings.Join(row.fields(), "\t"))
 	}
@@ -114,22 +140,22 @@
 		return err
 	}
 	for _, f := range r.Files {
-		if _, err := fmt.Fprintf(w, "%s: chain %x, file %d, %d records, last hash %s\n", f.Name, f.Chain, f.Number, f.Records, f.Last); err != nil {
+		_, err := fmt.Fprintf(w, "%s: chain %x, file %d, %d records, last hash %s\n",
+			f.Name, f.Chain, f.Number, f.Records, f.LastHash)
+		if err != nil {
 			return err
 		}
 	}
-	if _, err := fmt.Fprintf(w, "%d files, %d records, certificates %v\n", len(r.Files), r.Records, r.Versions); err != nil {
+	_, err := fmt.Fprintf(w, "%d files, %d records, certificates %v\n", len(r.Files), r.Records, r.Versions)
+	if err != nil {
 		return err
 	}
 	return r.WriteProblems(w)
 }
 
-// problemsTold bounds the problems that are written out.
-const problemsTold = 40
-
-// WriteProblems writes what is wrong, or that nothing is.
+// WriteProblems writes the problems, up to a bound, and how many there are.
 func (r *Report) WriteProblems(w io.Writer) error {
-	for _, p := range r.Problems[:min(len(r.Problems), problemsTold)] {
+	for _, p := range r.Problems[:min(len(r.Problems), maxListedProblems)] {
 		if _, err := fmt.Fprintln(w, p); err != nil {
 			return err
 		}
--- a/internal/batch/audit/room_test.go
+++ b/internal/batch/audit/room_test.go
@@ -19,10 +19,10 @@
 	w.U32(1)
 	w.U64(1)
 	w.Bytes(text(t, 1, "e1"))
-	k := key{"p", 1, number}
+	k := runKey{"p", 1, number}
 	w.U32(2)
-	w.Bytes(begunEntry(k, run(fmt.Sprint("id", number), "e1", 1, 0)))
-	w.Bytes(endedEntry(k, at.Add(time.Second), Answered))
+	w.Bytes(runStartedEntry(k, run(fmt.Sprint("id", number), "e1", 1, 0)))
+	w.Bytes(runEndedEntry(k, at.Add(time.Second), Answered))
 	return w.B
 }
 
@@ -43,7 +43,7 @@
 		must(t, s.appendNow(handOver(t, uint64(n))))
 	}
 	s.Close()
-	if s.number < 2 {
+	if s.file.number < 2 {
 		t.Fatal("the file was never changed")
 	}
 	for room := 1; room < whole.Used(); room += 23 {
@@ -72,13 +72,13 @@
 		if said := strings.Count(log.String(), "takes nothing"); refused > 1 || said > 1 || said < refused {
 			t.Fatalf("room %d: refused %d times\n%s", room, refused, log.String())
 		}
-		var files []file
+		var files []auditFile
 		infos, err := disk.List()
 		must(t, err)
 		for _, info := range infos {
-			files = append(files, file{info.Name, disk.File(info.Name)})
+			files = append(files, auditFile{info.Name, disk.File(info.Name)})
 		}
-		report := check(files, Options{})
+		report := check(files, CheckOptions{})
 		if len(report.Runs) != messages || len(report.Problems) > 0 {
 			t.Fatalf("room %d: %d runs, %v", room, len(report.Runs), report.Problems)
 		}
--- /dev/null
+++ b/internal/batch/audit/scan.go
@@ -0,0 +1,98 @@
+package audit
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/recordlog"
+)
+
+// scannedFile is what a scan has seen of one file.
+type scannedFile struct {
+	name          string
+	chain, number uint64
+	first         recordHash // the hash that its first record holds
+	last          recordHash // of its last record
+	records       int
+
+	each func(entry []byte) error // called for each entry; nil: none
+}
+
+// scanIn scans a file of a folder.
+func scanIn(folder journal.Folder, name string) (*scannedFile, error) {
+	files, err := folder.List()
+	if err != nil {
+		return nil, err
+	}
+	f, err := folder.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	for _, info := range files {
+		if info.Name == name {
+			return scan(f, info.Size, name, nil)
+		}
+	}
+	return nil, os.ErrNotExist
+}
+
+// scan reads a file, and calls each for its entries. It returns what it has seen also with an error. All of the file
+// has to count: one that a store has closed, or has opened again, has no torn end.
+func scan(file io.ReaderAt, size int64, name string, each func(entry []byte) error) (*scannedFile, error) {
+	s := &scannedFile{name: name, each: each}
+	// A store needs one of the two copies of the header; that one of them was changed is for the auditor to know.
+	header := make([]byte, journal.FramesHeader)
+	if _, err := file.ReadAt(header, 0); err != nil && !errors.Is(err, io.EOF) {
+		return s, err
+	}
+	if !bytes.Equal(header[:len(header)/2], header[len(header)/2:]) {
+		return s, fmt.Errorf("%s: the two copies of its head differ", name)
+	}
+	whole, err := recordlog.Scan(file, size, name, s.add)
+	switch {
+	case err != nil:
+		return s, err
+	case s.records == 0:
+		return s, fmt.Errorf("%s has no record", name)
+	case whole < size:
+		return s, fmt.Errorf("%s: %d bytes behind record %d are none: "+
+			"changed, or copied while it was written (copy it again)", name, size-whole, s.records)
+	}
+	return s, nil
+}
+
+// add checks the next record of the file.
+func (s *scannedFile) add(payload []byte) error {
+	if s.records == 0 {
+		var err error
+		if s.first, err = hashBefore(payload); err != nil {
+			return err
+		}
+		s.last = s.first
+	}
+	entry, hash, err := unchainRecord(s.last, payload)
+	if err != nil {
+		return fmt.Errorf("record %d: %w", s.records+1, err)
+	}
+	in := link.Reader{B: entry}
+	kind := in.U8()
+	if (kind == entryFileStart) != (s.records == 0) {
+		return fmt.Errorf("record %d: a file begins with one record that names its chain, and has no other",
+			s.records+1)
+	}
+	if kind == entryFileStart {
+		s.chain, s.number = in.U64(), in.U64()
+	}
+	s.last = hash
+	s.records++
+	if in.Err != nil || s.each == nil {
+		return in.Err
+	}
+	return s.each(entry)
+}
--- a/internal/batch/audit/store.go
+++ b/internal/batch/audit/store.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"crypto/rand"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"maps"
@@ -20,108 +18,118 @@
 )
 
 const (
-	// FileName is the file that is appended to; those that are full are audit-N.log.
-	FileName = "audit.log"
-	// filesMost is how many full files are kept.
-	filesMost   = 8
-	entriesMost = 4096 // of a message
-	queueMost   = 256
-	// stallWait is how long the end of a store waits for its disk.
-	stallWait = 2 * time.Second
+	// defaultFileBytes is the size at which a file is full.
+	defaultFileBytes = 4 << 20
+	// maxQueued is how many messages wait for the disk; those beyond are rejected.
+	maxQueued = 256
+	// maxKnownCertificates is how many versions' texts a store retains, the newest ones.
+	maxKnownCertificates = 16
+	// closeTimeout is how long Close waits for the disk.
+	closeTimeout = 2 * time.Second
 )
 
-// StoreOptions of a store's side.
+var (
+	errQueueFull = errors.New("too much waits to be recorded here")
+	// errUnknownVersion makes the proxy send the text too.
+	errUnknownVersion = errors.New("the certificates of a version that a run names are not known here")
+)
+
+// StoreOptions are the options of a Store.
 type StoreOptions struct {
 	Folder    journal.Folder
-	FileBytes int64 // at which a file is full; 0: 4 MB
-	Log       hclog.Logger
+	FileBytes int64        // the size at which a file is full; 0: 4 MiB
+	Log       hclog.Logger // nil: no log
 }
 
-// Store appends what proxies hand over. Nothing is on its disk before the first record.
+// Store appends what recorders deliver to the audit files of a folder. Nothing is on its disk before the first entry.
+// Its methods are safe for concurrent use; one goroutine does all I/O.
 type Store struct {
-	o     StoreOptions
-	queue chan handed
-	done  chan struct{}
-	wg    sync.WaitGroup
+	options  StoreOptions
+	queue    chan appendRequest
+	stopping chan struct{}
+	wg       sync.WaitGroup
 
-	// Of the one goroutine.
-	log       *recordlog.Log
-	chain     uint64
-	number    uint64 // of the file
-	last      sum
-	documents map[uint64]bool   // versions that the file has
-	texts     map[uint64][]byte // the newest of them
-	failed    error
-	full      bool // the disk was, when it was tried last
+	// Only the goroutine of run uses what follows, and OpenStore before that begins.
+	file     openFile
+	known    map[uint64][]byte // texts of certificates, by version
+	failure  error             // why nothing is accepted until the next start; nil while entries are accepted
+	diskFull bool              // when the disk was written last
 }
 
-// OpenStore opens the record on a disk, if there is one.
-func OpenStore(o StoreOptions) (*Store, error) {
-	if o.FileBytes == 0 {
-		o.FileBytes = 4 << 20
-	}
-	if o.Log == nil {
-		o.Log = hclog.NewNullLogger()
-	}
-	s := &Store{o: o, queue: make(chan handed, queueMost), done: make(chan struct{}), documents: map[uint64]bool{}, texts: map[uint64][]byte{}}
-	files, err := o.Folder.List()
+// appendRequest is the body of a message, and the function that is called once its entries are on disk, or with why
+// they aren't.
+type appendRequest struct {
+	body []byte
+	done func(error)
+}
+
+// OpenStore opens the audit files of a folder, if there are any, and checks the chain of the newest one. A file that
+// can't be continued is no error: the store accepts no entries then, so that the batch jobs beside it go on.
+func OpenStore(options StoreOptions) (*Store, error) {
+	if options.FileBytes == 0 {
+		options.FileBytes = defaultFileBytes
+	}
+	if options.Log == nil {
+		options.Log = hclog.NewNullLogger()
+	}
+	s := &Store{
+		options:  options,
+		queue:    make(chan appendRequest, maxQueued),
+		stopping: make(chan struct{}),
+		file:     openFile{certificates: map[uint64]bool{}},
+		known:    map[uint64][]byte{},
+	}
+	files, err := options.Folder.List()
 	if err != nil {
 		return nil, err
 	}
-	for _, f := range files {
-		if f.Name == FileName || strings.HasPrefix(f.Name, "audit-") && strings.HasSuffix(f.Name, ".log") {
-			// A full one may be there without the next, where power was lost between. What can't be gone on with takes no
-			// records here; the store of batch jobs goes on.
-			if err := s.open(); err != nil {
-				s.outOfUse(err)
-			}
-			break
+	// A full file may be there without the one that is appended to, where power was lost between the two.
+	if slices.ContainsFunc(files, func(f journal.FileInfo) bool { return isAuditFile(f.Name) }) {
+		if err := s.open(); err != nil {
+			s.reject(err)
 		}
 	}
 	s.wg.Go(s.run)
 	return s, nil
 }
 
-// outOfUse gives the record up, unless the disk is merely full: then it is tried again with the next records.
-func (s *Store) outOfUse(err error) {
+func isAuditFile(name string) bool {
+	return name == FileName || strings.HasPrefix(name, "audit-") && strings.HasSuffix(name, ".log")
+}
+
+// reject ends the acceptance of entries until the next start. If the disk is merely full, the next message tries it
+// again.
+func (s *Store) reject(err error) {
 	full := recordlog.IsDiskFull(err)
 	if !full {
-		s.failed = err
+		s.failure = err
 	}
-	if !full || !s.full {
-		s.o.Log.Error("audit record takes nothing", "until_restart", !full, "err", err)
+	if !full || !s.diskFull {
+		s.options.Log.Error("audit record takes nothing", "until_restart", !full, "err", err)
 	}
-	s.full = full
+	s.diskFull = full
 }
 
-// Close ends it. What was not acknowledged comes again, here or elsewhere.
+// Close ends the store. Entries that were not acknowledged come again, here or at another store.
 func (s *Store) Close() {
-	close(s.done)
+	close(s.stopping)
 	closed := make(chan struct{})
-	go func() {
+	go func() { // it is left behind if the disk does not answer, and ends with the process
 		defer close(closed)
 		s.wg.Wait()
-		if s.log != nil {
-			_ = s.log.Close() // what was not synced was not acknowledged
+		if s.file.log != nil {
+			_ = s.file.log.Close() // what was not synced was not acknowledged
 		}
 	}()
 	select {
 	case <-closed:
-	case <-time.After(stallWait):
-		s.o.Log.Error("the disk does not answer: ending without it", "file", FileName)
+	case <-time.After(closeTimeout):
+		s.options.Log.Error("the disk does not answer: ending without it", "file", FileName)
 	}
 }
 
-// handed is what a proxy handed over, and who is told once it is on disk, or why it isn't.
-type handed struct {
-	body []byte
-	done func(error)
-}
-
-var errBusy = errors.New("too much waits to be recorded here")
-
-// Message takes what a proxy hands over.
-func (s *Store) Message(m *link.Message) {
+// HandleAppend accepts the message of a recorder, and replies once its entries are on disk. It doesn't wait.
+func (s *Store) HandleAppend(m *link.Message) {
 	s.Append(m.Body, func(err error) {
 		if err != nil {
 			m.Fail("%v", err)
@@ -131,252 +139,144 @@
 	})
 }
 
-// Append takes the body of a message. It doesn't wait.
+// Append accepts the body of a message. It doesn't wait: done is called, at most once, when the entries are on disk,
+// or with the reason why they aren't.
 func (s *Store) Append(body []byte, done func(error)) {
 	select {
-	case s.queue <- handed{body, done}:
+	case s.queue <- appendRequest{body, done}:
 	default:
-		done(errBusy)
+		done(errQueueFull)
 	}
 }
 
+// run appends what comes until the store is closed.
 func (s *Store) run() {
 	for {
 		select {
-		case m := <-s.queue:
-			all := []handed{m}
-			for more := true; more && len(all) < queueMost; {
-				select {
-				case m := <-s.queue:
-					all = append(all, m)
-				default:
-					more = false
-				}
-			}
-			s.take(all)
-		case <-s.done:
+		case first := <-s.queue:
+			s.appendAll(s.queuedBehind(first))
+		case <-s.stopping:
 			return
 		}
 	}
 }
 
-// take appends what came and answers once it is on disk.
-func (s *Store) take(all []handed) {
-	errs := make([]error, len(all))
-	for i, m := range all {
-		errs[i] = s.append(m.body)
+// queuedBehind returns a request and those that wait behind it.
+func (s *Store) queuedBehind(first appendRequest) []appendRequest {
+	requests := []appendRequest{first}
+	for len(requests) < maxQueued {
+		select {
+		case next := <-s.queue:
+			requests = append(requests, next)
+		default:
+			return requests
+		}
 	}
-	err := s.failed
-	if err == nil && s.log != nil {
-		if err = s.log.Sync(); err == nil && s.log.Size() >= s.o.FileBytes {
+	return requests
+}
+
+// appendAll appends requests with one sync of the disk, and answers them.
+func (s *Store) appendAll(requests []appendRequest) {
+	results := make([]error, len(requests))
+	for i, r := range requests {
+		results[i] = s.append(r.body)
+	}
+	err := s.failure
+	if err == nil && s.file.log != nil {
+		if err = s.file.log.Sync(); err == nil && s.file.log.Size() >= s.options.FileBytes {
 			s.rotate()
 		}
 	}
-	for i, m := range all {
-		m.done(errors.Join(errs[i], err))
+	for i, r := range requests {
+		r.done(errors.Join(results[i], err))
 	}
 }
 
-// errUnknownVersion asks the proxy to send the text too.
-var errUnknownVersion = errors.New("the certificates of a version that a run names are not known here")
-
+// append appends the entries of a message, without a sync. A message with an invalid entry is rejected as a whole.
 func (s *Store) append(body []byte) error {
-	r := link.Reader{B: body}
-	for range r.Count(12) {
-		version, raw := r.U64(), r.Bytes()
-		if r.Err == nil {
-			s.learn(version, raw)
-		}
+	in := link.Reader{B: body}
+	s.readCertificates(&in)
+	n := in.Count(4)
+	if n > maxEntriesPerMessage {
+		return fmt.Errorf("%d entries in a message, over %d", n, maxEntriesPerMessage)
 	}
-	n := r.Count(4)
-	if n > entriesMost {
-		return fmt.Errorf("%d entries in a message, over %d", n, entriesMost)
+	if s.failure != nil {
+		return s.failure
 	}
-	if s.failed != nil {
-		return s.failed
-	}
-	if s.log == nil {
+	if s.file.log == nil {
 		if err := s.open(); err != nil {
-			s.outOfUse(err)
+			s.reject(err)
 			return err
 		}
 	}
-	var add [][]byte
-	named := map[uint64]bool{}
-	for range n {
-		e := r.Bytes()
-		if r.Err != nil {
-			return r.Err
-		}
-		in := link.Reader{B: e}
-		switch in.U8() {
-		case entryBegun:
-			readKey(&in)
-			v := readRun(&in).Version
-			if !s.documents[v] && !named[v] {
-				if s.texts[v] == nil {
-					return errUnknownVersion
-				}
-				named[v] = true
-				add = append(add, documentEntry(v, s.texts[v]))
-			}
-		case entryEnded:
-		default:
-			return errors.New("an entry that is none")
-		}
-		if in.Err != nil {
-			return in.Err
-		}
-		add = append(add, e)
+	entries, added, err := s.readEntries(&in, n)
+	if err != nil {
+		return err
 	}
-	for _, e := range add {
-		if err := s.add(e); err != nil {
-			s.outOfUse(err)
+	for _, entry := range entries {
+		if err := s.file.append(entry); err != nil {
+			s.reject(err)
 			return err
 		}
 	}
-	for v := range named {
-		s.documents[v] = true
-	}
-	if s.full {
-		s.full = false
-		s.o.Log.Info("audit record takes records again")
-	}
-	return nil
-}
-
-// textsMost is how many versions' texts are held.
-const textsMost = 16
-
-func (s *Store) learn(version uint64, raw []byte) {
-	s.texts[version] = bytes.Clone(raw)
-	for len(s.texts) > textsMost {
-		delete(s.texts, slices.Min(slices.Collect(maps.Keys(s.texts))))
+	for _, version := range added {
+		s.file.certificates[version] = true
 	}
-}
-
-func (s *Store) add(entry []byte) error {
-	b, next := chained(s.last, entry)
-	if _, err := s.log.Append(b); err != nil {
-		return err
+	if s.diskFull {
+		s.diskFull = false
+		s.options.Log.Info("audit record takes records again")
 	}
-	s.last = next
 	return nil
 }
 
-// open opens the file that is appended to, and checks its chain.
-func (s *Store) open() error {
-	first := true
-	log, err := recordlog.Open(s.o.Folder, FileName, func(payload []byte, _ int64) error {
-		if first { // what is before it stands in the file before
-			if len(payload) < len(s.last) {
-				return errChain
-			}
-			s.last, first = sum(payload[:len(s.last)]), false
-		}
-		entry, next, err := unchain(s.last, payload)
-		if err != nil {
-			return err
-		}
-		s.last = next
-		r := link.Reader{B: entry}
-		switch r.U8() {
-		case entryStart:
-			s.chain, s.number = r.U64(), r.U64()
-		case entryDocument:
-			version := r.U64()
-			s.documents[version] = true
-			s.learn(version, r.Bytes())
+// readCertificates reads the texts of certificates that come with a message.
+func (s *Store) readCertificates(in *link.Reader) {
+	const minBytes = 12 // of a version and an empty text
+	for range in.Count(minBytes) {
+		version, text := in.U64(), in.Bytes()
+		if in.Err == nil {
+			s.learnCertificates(version, text)
 		}
-		return r.Err
-	})
-	if err != nil {
-		return fmt.Errorf("%s: %w; move the file away for the auditor and start again", FileName, err)
-	}
-	s.log = log
-	if !first {
-		return nil
-	}
-	if s.number == 0 {
-		s.continued()
-	}
-	if err := s.begin(); err != nil { // a file without a record goes, and is begun again
-		s.number--
-		s.log = nil
-		return errors.Join(err, log.Close(), s.o.Folder.Remove(FileName))
 	}
-	return nil
 }
 
-// continued finds the newest full file, whose chain goes on, where power was lost before the next one was begun.
-func (s *Store) continued() {
-	n := s.newestFull()
-	if n == 0 {
-		return
-	}
-	c, err := scanIn(s.o.Folder, fullName(n))
-	if err != nil {
-		s.o.Log.Error("full audit record unreadable, so a new chain begins", "file", fullName(n), "err", err)
-		s.number = n
-		return
+// learnCertificates retains a copy of the text of a version.
+func (s *Store) learnCertificates(version uint64, text []byte) {
+	s.known[version] = bytes.Clone(text)
+	for len(s.known) > maxKnownCertificates {
+		delete(s.known, slices.Min(slices.Collect(maps.Keys(s.known))))
 	}
-	s.chain, s.number, s.last = c.chain, c.number, c.last
 }
 
-// begin writes the first record of a file.
-func (s *Store) begin() error {
-	if s.chain == 0 {
-		var b [8]byte
-		if _, err := rand.Read(b[:]); err != nil {
-			return err
+// readEntries reads and checks n entries of a message. In front of the first run of each version that the file does
+// not have yet, it adds an entry with the text of that version; these versions are the second result.
+func (s *Store) readEntries(in *link.Reader, n int) (entries [][]byte, added []uint64, err error) {
+	for range n {
+		entry := in.Bytes()
+		if in.Err != nil {
+			return nil, nil, in.Err
 		}
-		s.chain = binary.BigEndian.Uint64(b[:]) | 1
-	}
-	s.number++
-	clear(s.documents) // each file has all that its runs name
-	return s.add(startEntry(s.chain, s.number))
-}
-
-func fullName(n uint64) string { return fmt.Sprintf("audit-%06d.log", n) }
-
-func (s *Store) newestFull() (newest uint64) {
-	files, err := s.o.Folder.List()
-	if err != nil {
-		return 0
-	}
-	for _, f := range files {
-		var n uint64
-		if _, err := fmt.Sscanf(f.Name, "audit-%d.log", &n); err == nil {
-			newest = max(newest, n)
+		fields := link.Reader{B: entry}
+		switch fields.U8() {
+		case entryRunStarted:
+			readKey(&fields)
+			version := readRun(&fields).CertificatesVersion
+			if s.file.certificates[version] || slices.Contains(added, version) {
+				break
+			}
+			if s.known[version] == nil {
+				return nil, nil, errUnknownVersion
+			}
+			added = append(added, version)
+			entries = append(entries, certificatesEntry(version, s.known[version]))
+		case entryRunEnded:
+		default:
+			return nil, nil, errors.New("an entry that is none")
 		}
-	}
-	return newest
-}
-
-// rotate puts a full file aside and begins the next one, which goes on with its chain. The oldest is removed.
-func (s *Store) rotate() {
-	err := s.log.Close()
-	if err == nil {
-		err = s.o.Folder.Rename(FileName, fullName(s.number))
-	}
-	if err == nil {
-		err = s.o.Folder.Sync()
-	}
-	s.log = nil
-	if err == nil {
-		err = s.open()
-	}
-	if err == nil {
-		err = s.log.Sync()
-	}
-	if err != nil {
-		s.outOfUse(fmt.Errorf("the record of regulated runs: %w", err))
-		return
-	}
-	s.o.Log.Info("audit record rotated", "full", fullName(s.number-1))
-	if s.number > filesMost+1 {
-		if err := s.o.Folder.Remove(fullName(s.number - 1 - filesMost)); err == nil {
-			s.o.Log.Warn("audit record removed", "file", fullName(s.number-1-filesMost))
+		if fields.Err != nil {
+			return nil, nil, fields.Err
 		}
+		entries = append(entries, entry)
 	}
+	return entries, added, nil
 }
--- a/internal/control/certification/certify_test.go
+++ b/internal/control/certification/certification_test.go
@@ -29,7 +29,7 @@
 				return err.Error()
 			}
 			s = got
-			return fmt.Sprintf("version %d: %d routes, %d certificates, demanding %v", s.Version, len(s.Routes), len(s.Certificates), s.Demanding())
+			return fmt.Sprintf("version %d: %d routes, %d certificates, demanding %v", s.Version, len(s.Routes), len(s.Certificates), len(s.Routes) > 0)
 		case "regime":
 			return fmt.Sprintf("%q", s.Regime(arg("route")))
 		case "certified":
@@ -76,7 +76,7 @@
 
 func TestTheGateFailsClosed(t *testing.T) {
 	now, confirmed := noon, time.Time{}
-	g := NewGate(GateOptions{Now: func() time.Time { return now }, Confirmed: func() time.Time { return confirmed }, Stale: 2 * time.Second})
+	g := NewGate(GateOptions{Now: func() time.Time { return now }, LastConfirmed: func() time.Time { return confirmed }, ConfirmationTTL: 2 * time.Second})
 	expect := func(what, route, endpoint, regime string, ok bool) {
 		t.Helper()
 		if r, _, got := g.Allows(route, endpoint); r != regime || got != ok {
@@ -113,20 +113,20 @@
 
 func TestNoGateMeansNothingIsRegulated(t *testing.T) {
 	var g *Gate
-	if g.Set() != nil || g.Set().Regime("a") != "" || g.Set().Demanding() {
+	if g.Current() != nil || g.Current().Regime("a") != "" {
 		t.Error("something is regulated")
 	}
-	if g.Set().Certified("e", "r", noon) {
+	if g.Current().Certified("e", "r", noon) {
 		t.Error("nobody said that e is certified")
 	}
 }
 
 func TestCountsAreByRegime(t *testing.T) {
-	g := NewGate(GateOptions{Confirmed: func() time.Time { return time.Time{} }})
+	g := NewGate(GateOptions{LastConfirmed: func() time.Time { return time.Time{} }})
 	g.Count("b", func(c *Counts) { c.Runs++ })
 	g.Count("a", func(c *Counts) { c.Refused++ })
 	g.Count("b", func(c *Counts) { c.Runs++ })
-	if got := fmt.Sprint(g.Counted()); got != "[{a {0 1 0 0 0}} {b {2 0 0 0 0}}]" {
+	if got := fmt.Sprint(g.CountsByRegime()); got != "[{a {0 1 0 0 0}} {b {2 0 0 0 0}}]" {
 		t.Error(got)
 	}
 }
@@ -137,7 +137,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if g.Set() != nil {
+				if g.Current() != nil {
 					if _, _, ok := g.Allows("a", "e1"); !ok {
 						b.Fatal("not allowed")
 					}
@@ -145,13 +145,13 @@
 			}
 		})
 	}
-	o := GateOptions{Confirmed: time.Now, Stale: time.Hour}
+	o := GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Hour}
 	run("off", NewGate(o))
 	on := NewGate(o)
 	d := document(b, 1)
 	for i := range 400 {
 		id := fmt.Sprint("e", i)
-		d.held[holding{id, "r"}] = []*Certificate{{id, "r", time.Now().Add(-time.Hour), time.Now().Add(time.Hour), "x"}}
+		d.certificates[certifiedFor{id, "r"}] = []*Certificate{{id, "r", time.Now().Add(-time.Hour), time.Now().Add(time.Hour), "x"}}
 	}
 	on.Update(d)
 	run("on", on)
@@ -159,7 +159,7 @@
 
 func TestAWrongDocumentIsToldInFullUpToABound(t *testing.T) {
 	_, err := Parse([]byte(`{"version":1,"routes":[` + strings.Repeat(`{"name":"","regime":""},`, 20) + `{"name":"a","regime":"b"}]}`))
-	if err == nil || strings.Count(err.Error(), "\n") != problemsMost || !strings.Contains(err.Error(), "more") {
+	if err == nil || strings.Count(err.Error(), "\n") != maxProblems || !strings.Contains(err.Error(), "more") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/control/certification/gate.go
+++ b/internal/control/certification/gate.go
@@ -1,114 +1,76 @@
 package certification
 
 import (
-	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Gate says where requests of regulated routes may go. It fails closed: where no keeper has confirmed lately that
-// what is known is the newest, nobody is certified.
+// Gate decides in a proxy where requests of regulated routes may go. It fails closed: where no keeper has confirmed
+// lately that the known certificates are the newest, nobody is certified. It is safe for concurrent use.
 type Gate struct {
-	o   GateOptions
-	set atomic.Pointer[Set]
+	options GateOptions
+	current atomic.Pointer[Set]
 
 	mu     sync.Mutex
-	counts map[string]*Counts
+	counts map[string]*Counts // guarded by mu; by regime
 }
 
-// GateOptions of a gate.
+// GateOptions are the options of a Gate.
 type GateOptions struct {
-	Now func() time.Time // nil: time.Now
-	// Confirmed tells when the newest question was asked to which a keeper answered that nothing newer was agreed.
-	Confirmed func() time.Time
-	// Stale is how long such an answer counts.
-	Stale time.Duration
-}
-
-// Counts of regulated work, by regime.
-type Counts struct {
-	Runs    uint64 // sent to an endpoint
-	Refused uint64 // interactive requests that no certified endpoint took in time
-	Waited  uint64 // turns of batch items that waited for a certified endpoint
-	GivenUp uint64 // such turns that ended without one: the item was given up, or taken back
-	Stopped uint64 // grants that weren't used, as the certificate was gone before the request was sent
+	// Now is the clock; nil: time.Now.
+	Now func() time.Time
+	// LastConfirmed returns when the newest question was sent to which a keeper answered that the known certificates
+	// are the newest; zero if there was none.
+	LastConfirmed func() time.Time
+	// ConfirmationTTL is how long such an answer counts, from when its question was sent.
+	ConfirmationTTL time.Duration
 }
 
 // NewGate returns a gate that knows of no certificates.
-func NewGate(o GateOptions) *Gate {
-	if o.Now == nil {
-		o.Now = time.Now
+func NewGate(options GateOptions) *Gate {
+	if options.Now == nil {
+		options.Now = time.Now
 	}
-	return &Gate{o: o, counts: map[string]*Counts{}}
+	return &Gate{options: options, counts: map[string]*Counts{}}
 }
 
-// Update takes in the newest certificates. Versions never go back.
+// Update tells the gate of certificates. Older ones than those that it knows, and nil, are ignored.
 func (g *Gate) Update(s *Set) {
 	if s == nil {
 		return
 	}
 	for {
-		old := g.set.Load()
-		if old != nil && old.Version >= s.Version || g.set.CompareAndSwap(old, s) {
+		old := g.current.Load()
+		if old != nil && old.Version >= s.Version || g.current.CompareAndSwap(old, s) {
 			return
 		}
 	}
 }
 
-// Set is the newest that is known; nil: none was ever put.
-func (g *Gate) Set() *Set {
+// Current returns the newest certificates that are known; nil if none were ever put.
+func (g *Gate) Current() *Set {
 	if g == nil {
 		return nil
 	}
-	return g.set.Load()
+	return g.current.Load()
 }
 
-// Regime is what a route demands now; empty: nothing.
-func (g *Gate) Regime(route string) string { return g.Set().Regime(route) }
+// Regime returns the regime that a route demands now; empty if it is not regulated.
+func (g *Gate) Regime(route string) string { return g.Current().Regime(route) }
 
-// Fresh tells whether what is known counts.
-func (g *Gate) Fresh() bool {
-	at := g.o.Confirmed()
-	return !at.IsZero() && g.o.Now().Sub(at) <= g.o.Stale
+// Confirmed reports whether a keeper has confirmed the certificates lately enough for them to count.
+func (g *Gate) Confirmed() bool {
+	at := g.options.LastConfirmed()
+	return !at.IsZero() && g.options.Now().Sub(at) <= g.options.ConfirmationTTL
 }
 
-// Allows tells whether a request of a route may be sent to an incarnation now, for which regime and by which certificates.
-func (g *Gate) Allows(route, endpoint string) (regime string, by *Set, ok bool) {
-	s := g.Set()
+// Allows reports whether a request of a route may be sent to an incarnation of an endpoint now, with the regime that
+// the route demands and the certificates by which this was decided.
+func (g *Gate) Allows(route, endpoint string) (regime string, certificates *Set, ok bool) {
+	s := g.Current()
 	if regime = s.Regime(route); regime == "" {
 		return "", s, true
 	}
-	return regime, s, g.Fresh() && s.Certified(endpoint, regime, g.o.Now())
-}
-
-// Count changes the counts of a regime.
-func (g *Gate) Count(regime string, change func(*Counts)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	c := g.counts[regime]
-	if c == nil {
-		c = &Counts{}
-		g.counts[regime] = c
-	}
-	change(c)
-}
-
-// Counted is a regime with its counts.
-type Counted struct {
-	Regime string
-	Counts
-}
-
-// Counted lists the counts by regime.
-func (g *Gate) Counted() []Counted {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	var out []Counted
-	for regime, c := range g.counts {
-		out = append(out, Counted{regime, *c})
-	}
-	slices.SortFunc(out, func(a, b Counted) int { return strings.Compare(a.Regime, b.Regime) })
-	return out
+	return regime, s, g.Confirmed() && s.Certified(endpoint, regime, g.options.Now())
 }
--- a/internal/control/keeper/certificates.go
+++ b/internal/control/keeper/certificates.go
@@ -152,9 +152,9 @@
 // logCertificates logs the certificates that aren't among others.
 func (k *Keeper) logCertificates(event string, version uint64, certificates, others []certification.Certificate) {
 	for _, c := range certificates {
-		if !slices.ContainsFunc(others, func(other certification.Certificate) bool { return c.Same(other) }) {
+		if !slices.ContainsFunc(others, func(other certification.Certificate) bool { return c.Equal(other) }) {
 			k.log.Info(event, "version", version, "endpoint", c.Endpoint, "regime", c.Regime,
-				"not_before", c.NotBefore, "not_after", c.NotAfter, "by", c.By)
+				"not_before", c.NotBefore, "not_after", c.NotAfter, "by", c.Issuer)
 		}
 	}
 }
--- a/internal/control/keeper/certificates_test.go
+++ b/internal/control/keeper/certificates_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), By: "test"})
+		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), Issuer: "test"})
 	}
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -57,7 +57,7 @@
 // gate is a proxy's side: a real client and the gate behind it.
 func (r *rig) gate(seeds ...int) *certification.Gate {
 	var client *controlclient.Client
-	gate := certification.NewGate(certification.GateOptions{Stale: stale, Confirmed: func() time.Time { return client.Confirmed() }})
+	gate := certification.NewGate(certification.GateOptions{ConfirmationTTL: stale, LastConfirmed: func() time.Time { return client.Confirmed() }})
 	var addrs []string
 	for _, i := range seeds {
 		addrs = append(addrs, r.linkAddress(i))
@@ -127,7 +127,7 @@
 	allows := func(gate *certification.Gate, e string) bool { _, _, ok := gate.Allows("q", e); return ok }
 	r.untilCode(200, func() answer { return r.certify(0, "0", certificates(t, 1, "e1", "e2")) })
 	gate := r.gate(0, 1, 2)
-	until(t, "certified", func() bool { return gate.Set() != nil && allows(gate, "e1") && allows(gate, "e2") })
+	until(t, "certified", func() bool { return gate.Current() != nil && allows(gate, "e1") && allows(gate, "e2") })
 	if allows(gate, "e3") {
 		t.Error("e3 is certified")
 	}
@@ -152,12 +152,12 @@
 	if a := r.certify(2, "2", certificates(t, 3, "e1", "e2")); a.code == 200 {
 		t.Error("a minority agreed to certificates")
 	}
-	if allows(gate, "e1") || gate.Set().Version != 2 {
-		t.Errorf("version %d", gate.Set().Version)
+	if allows(gate, "e1") || gate.Current().Version != 2 {
+		t.Errorf("version %d", gate.Current().Version)
 	}
 	r.start(0)
 	until(t, "open again", func() bool { return allows(gate, "e1") })
-	if gate.Set().Version == 2 && allows(gate, "e2") {
+	if gate.Current().Version == 2 && allows(gate, "e2") {
 		t.Error("what was withdrawn is certified again")
 	}
 }
--- a/internal/control/keeper/document.go
+++ b/internal/control/keeper/document.go
@@ -47,7 +47,7 @@
 	certificatesDocument = documentKind{
 		register:      certificatesRegister,
 		path:          certificatesPath,
-		invalid:       &certification.Invalid,
+		invalid:       &certification.ErrInvalid,
 		maxRemembered: maxRememberedVersions,
 	}
 )
@@ -161,7 +161,7 @@
 	switch {
 	case err == nil:
 		return http.StatusOK
-	case ErrInvalid.Has(err), certification.Invalid.Has(err):
+	case ErrInvalid.Has(err), certification.ErrInvalid.Has(err):
 		return http.StatusBadRequest
 	case ErrVersion.Has(err):
 		return http.StatusPreconditionFailed
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -439,7 +439,7 @@
 	t.Helper()
 	at := func(hour int) time.Time { return time.Date(2026, 12, 1, hour, 2, 3, 0, time.UTC) }
 	b, err := json.Marshal(certification.Document{Version: version, Routes: []certification.Route{{Name: "route-1", Regime: "regime-2"}},
-		Certificates: []certification.Certificate{{Endpoint: "e-3", Regime: "regime-2", NotBefore: at(4), NotAfter: at(5), By: "by-6"}}})
+		Certificates: []certification.Certificate{{Endpoint: "e-3", Regime: "regime-2", NotBefore: at(4), NotAfter: at(5), Issuer: "by-6"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/keeper/http.go
+++ b/internal/control/keeper/http.go
@@ -62,7 +62,7 @@
 	{http.MethodDelete, "/instances/", maxSmallBody, (*Keeper).deleteInstance},
 	{http.MethodPut, "/config", maxConfigBody, (*Keeper).putConfig},
 	{http.MethodGet, "/config", 0, (*Keeper).getConfig},
-	{http.MethodPut, certificatesPath, certification.DocumentMost, (*Keeper).putCertificates},
+	{http.MethodPut, certificatesPath, certification.MaxDocumentBytes, (*Keeper).putCertificates},
 	{http.MethodGet, certificatesPath, 0, (*Keeper).getCertificates},
 	{http.MethodPost, "/retire/", maxSmallBody, (*Keeper).postRetire},
 	{http.MethodGet, "/retire/", 0, (*Keeper).getRetire},
--- a/internal/control/keeper/retire_test.go
+++ b/internal/control/keeper/retire_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	for err, want := range map[error]int{
-		nil: 200, ErrInvalid.New("x"): 400, certification.Invalid.New("x"): 400, ErrVersion.New("x"): 412, ErrForgotten.New("x"): 503,
+		nil: 200, ErrInvalid.New("x"): 400, certification.ErrInvalid.New("x"): 400, ErrVersion.New("x"): 412, ErrForgotten.New("x"): 503,
 	} {
 		if got := putStatus(err); got != want {
 			t.Errorf("%v to a document: %d", err, got)
--- a/internal/lab/tier/night.go
+++ b/internal/lab/tier/night.go
@@ -105,7 +105,7 @@
 		if count[e.Service()]++; count[e.Service()] <= most {
 			n.certified[e.ID()] = true
 			n.document.Certificates = append(n.document.Certificates, certification.Certificate{Endpoint: e.ID(), Regime: regime,
-				NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), By: "the lab"})
+				NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), Issuer: "the lab"})
 		}
 	}
 	return n.put(ctx, op, func(inForce bool) {
@@ -279,7 +279,7 @@
 			continue
 		}
 		all = append(all, files...)
-		one, err := audit.Files(files, audit.Options{})
+		one, err := audit.CheckFiles(files, audit.CheckOptions{})
 		if err != nil {
 			problem("%v", err)
 			continue
@@ -288,7 +288,7 @@
 			copies[fmt.Sprint(run.Proxy, run.Number)]++
 		}
 	}
-	report, err := audit.Files(all, audit.Options{Within: drainFor})
+	report, err := audit.CheckFiles(all, audit.CheckOptions{WithdrawalBound: drainFor})
 	if err != nil {
 		problem("%v", err)
 		return
@@ -313,7 +313,7 @@
 	}
 	for _, row := range a.Rows {
 		if _, err := fmt.Fprintf(w, "regime %s, night of %s: %d runs, %d requests, %d items, %d answered whole, %d of them again, at %d endpoints\n",
-			row.Regime, row.Night, row.Runs, row.Requests, row.Items, row.Whole, row.Again, row.Endpoints); err != nil {
+			row.Regime, row.Date, row.Runs, row.Requests, row.BatchItems, row.Answered, row.Reanswered, row.Endpoints); err != nil {
 			return err
 		}
 	}
--- a/internal/proxy/forward/certified.go
+++ b/internal/proxy/forward/certified.go
@@ -63,8 +63,9 @@
 	}
 	if r := x.p.o.Record; r != nil {
 		x.unsent = false
-		x.run, ok = r.Begin(audit.Run{ID: x.req.ID, Route: route.Name, Regime: regime, Endpoint: endpoint, Version: by.Version,
-			Item: x.req.Bulk, Repeatable: x.req.Bulk || route.Idempotent(), After: x.last, Begun: x.now()}, by.Raw)
+		x.run, ok = r.Begin(audit.Run{ID: x.req.ID, Route: route.Name, Regime: regime, Endpoint: endpoint,
+			CertificatesVersion: by.Version, BatchItem: x.req.Bulk, Idempotent: x.req.Bulk || route.Idempotent(),
+			ResumeAfter: x.last, StartedAt: x.now()}, by.Raw)
 		if !ok {
 			x.err = errRecordFull
 			x.refusedFor(regime, recordFull)
@@ -81,7 +82,7 @@
 	x.reason = reason
 	x.p.o.Certified.Count(regime, func(c *certification.Counts) {
 		if x.req.Bulk {
-			c.GivenUp++
+			c.Abandoned++
 		} else {
 			c.Refused++
 		}
@@ -97,7 +98,7 @@
 	x.p.o.Certified.Count(x.req.Regime, func(c *certification.Counts) {
 		c.Waited++
 		if !granted {
-			c.GivenUp++
+			c.Abandoned++
 		}
 	})
 }
@@ -113,7 +114,7 @@
 	case dispatch.Failed:
 		out = audit.Failed
 	case dispatch.Left:
-		out = audit.Left
+		out = audit.Canceled
 	case dispatch.Unsent:
 		out = audit.Unsent
 	default:
--- a/internal/proxy/forward/certified_test.go
+++ b/internal/proxy/forward/certified_test.go
@@ -61,7 +61,7 @@
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "r", Regime: "fin"}}}
 	for _, e := range endpoints {
 		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour),
-			NotAfter: time.Now().Add(time.Hour), By: "test"})
+			NotAfter: time.Now().Add(time.Hour), Issuer: "test"})
 	}
 	text, err := json.Marshal(d)
 	must(t, err)
@@ -73,7 +73,7 @@
 // certify regulates the rig's route; the gate is confirmed all the time.
 func (g *rig) certify(endpoints ...string) *book {
 	b := &book{ends: map[uint64]audit.Outcome{}}
-	g.p.o.Certified = certification.NewGate(certification.GateOptions{Confirmed: time.Now, Stale: time.Second})
+	g.p.o.Certified = certification.NewGate(certification.GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Second})
 	g.p.o.Certified.Update(certificates(g.t, 1, endpoints...))
 	g.p.o.Record = b
 	return b
@@ -90,7 +90,7 @@
 	if got := b.said(); got != "e2 answered" {
 		t.Error(got)
 	}
-	if r := b.runs[0]; r.Regime != "fin" || r.Version != 1 || r.Route != "r" || r.Repeatable || r.Item || r.ID == "" {
+	if r := b.runs[0]; r.Regime != "fin" || r.CertificatesVersion != 1 || r.Route != "r" || r.Idempotent || r.BatchItem || r.ID == "" {
 		t.Errorf("%+v", r)
 	}
 	if !slices.Equal(g.a.outcomes(), []dispatch.Outcome{dispatch.Left, dispatch.Served}) {
@@ -123,7 +123,7 @@
 	if a := g.do(plainCall, "body"); a.status != 503 || a.header.Get(headerReason) != "no certified node for regime fin is free" {
 		t.Errorf("%+v", a)
 	}
-	if got := g.p.o.Certified.Counted(); len(got) != 1 || got[0].Refused != 1 {
+	if got := g.p.o.Certified.CountsByRegime(); len(got) != 1 || got[0].Refused != 1 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -133,8 +133,8 @@
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2)
 	b := g.certify("e2")
-	set := g.p.o.Certified.Set()
-	g.p.o.Certified = certification.NewGate(certification.GateOptions{Confirmed: time.Now, Stale: time.Second})
+	set := g.p.o.Certified.Current()
+	g.p.o.Certified = certification.NewGate(certification.GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Second})
 	x := &exchange{p: g.p, ctx: t.Context(), method: http.MethodPost}
 	x.describe(&g.config.Routes[0], func(string) string { return "id9" })
 	if x.req.Certified != nil || x.req.Regime != "" {
@@ -214,7 +214,7 @@
 			if got := b.said(); got != c.want || len(e2.got()) != 0 {
 				t.Errorf("%q, want %q; %d calls where nobody is certified", got, c.want, len(e2.got()))
 			}
-			if name == "resumed stream" && b.runs[1].After != "1" {
+			if name == "resumed stream" && b.runs[1].ResumeAfter != "1" {
 				t.Errorf("%+v", b.runs[1])
 			}
 		})
@@ -226,7 +226,7 @@
 	g := newRig(t, route(operatorconfig.Bulk, 2), e1, e2)
 	b := g.certify("e2")
 	res := g.p.RunItem(t.Context(), item(&g.config.Routes[0]), "3", func(string, []byte) {})
-	if res.State != ItemDone || len(e1.got()) != 0 || b.said() != "e2 answered" || !b.runs[0].Item || b.runs[0].After != "3" || !b.runs[0].Repeatable {
+	if res.State != ItemDone || len(e1.got()) != 0 || b.said() != "e2 answered" || !b.runs[0].BatchItem || b.runs[0].ResumeAfter != "3" || !b.runs[0].Idempotent {
 		t.Errorf("%+v, %+v", res, b.runs)
 	}
 }
--- a/internal/proxy/forward/describe.go
+++ b/internal/proxy/forward/describe.go
@@ -28,7 +28,7 @@
 		}
 	}
 	x.req.Service = x.p.draw(route, x.req.ID)
-	if x.p.o.Certified.Set() != nil {
+	if x.p.o.Certified.Current() != nil {
 		x.demand()
 	}
 }
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -164,7 +164,7 @@
 		return e
 	}
 	x.completeHead(target.ID)
-	if x.p.o.Certified.Set() != nil {
+	if x.p.o.Certified.Current() != nil {
 		if e, ok := x.certified(target.ID); !ok {
 			return e
 		}
--- a/internal/proxy/forward/golden_test.go
+++ b/internal/proxy/forward/golden_test.go
@@ -144,7 +144,7 @@
 		{name: "refused-no-certified-endpoint", request: call, body: "x", kind: operatorconfig.Writes,
 			refuse: &dispatch.Refused{Reason: "no certified node for regime fin is free", RetryAfter: 250 * time.Millisecond, Regime: "fin"},
 			change: func(o *Options) {
-				o.Certified = certification.NewGate(certification.GateOptions{Confirmed: func() time.Time { return now }, Stale: time.Second})
+				o.Certified = certification.NewGate(certification.GateOptions{LastConfirmed: func() time.Time { return now }, ConfirmationTTL: time.Second})
 			}},
 		{name: "refused-no-time-left", request: strings.Replace(call, "4000", "0", 1), body: "x", kind: operatorconfig.Writes},
 		{name: "refused-not-prepared", request: strings.Replace(call, "4000", "0", 1), kind: operatorconfig.Writes,
--- a/internal/proxy/forward/night_check_test.go
+++ b/internal/proxy/forward/night_check_test.go
@@ -115,7 +115,7 @@
 // checkStopped bounds the grants that the last look before a run stopped.
 func (n *night) checkStopped() {
 	for _, p := range n.proxies {
-		for _, c := range p.gate.Counted() {
+		for _, c := range p.gate.CountsByRegime() {
 			if c.Stopped > 20+c.Runs/10 {
 				n.fail("%d grants were for engines that were not certified, and %d runs began", c.Stopped, c.Runs)
 			}
@@ -127,17 +127,17 @@
 func (n *night) checkAudit() *audit.Report {
 	files, err := filepath.Glob(filepath.Join(n.dir, "s*", "audit*.log"))
 	must(n.t, err)
-	report, err := audit.Files(files, audit.Options{Within: nightStale})
+	report, err := audit.CheckFiles(files, audit.CheckOptions{WithdrawalBound: nightStale})
 	must(n.t, err)
 	for _, p := range report.Problems {
 		n.fail("the audit tells %v", p)
 	}
 	newest := map[string]uint64{} // of each proxy
 	for _, run := range report.Runs {
-		if run.Version < newest[run.Proxy] {
-			n.fail("%s goes back from certificates %d to %d", run.Proxy, newest[run.Proxy], run.Version)
+		if run.CertificatesVersion < newest[run.Proxy] {
+			n.fail("%s goes back from certificates %d to %d", run.Proxy, newest[run.Proxy], run.CertificatesVersion)
 		}
-		newest[run.Proxy] = run.Version
+		newest[run.Proxy] = run.CertificatesVersion
 	}
 	return report
 }
--- a/internal/proxy/forward/night_test.go
+++ b/internal/proxy/forward/night_test.go
@@ -113,7 +113,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gate.Update(s)
-	if now := p.gate.Set(); len(p.known) == 0 || p.known[len(p.known)-1].set != now {
+	if now := p.gate.Current(); len(p.known) == 0 || p.known[len(p.known)-1].set != now {
 		p.known = append(p.known, known{time.Now(), now})
 	}
 }
@@ -394,14 +394,14 @@
 	for i := range nightProxies {
 		p := &nightProxy{n: n, holder: &snapshot.Latest{}}
 		p.holder.Set(&snapshot.Snapshot{Config: n.config, Proxies: nightProxies, EndpointsComplete: true, Endpoints: map[string][]*snapshot.Endpoint{"svc": endpoints}})
-		p.gate = certification.NewGate(certification.GateOptions{Stale: nightStale, Confirmed: func() time.Time {
+		p.gate = certification.NewGate(certification.GateOptions{ConfirmationTTL: nightStale, LastConfirmed: func() time.Time {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.confirmed
 		}})
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
 		p.dispatch = dispatch.New(dispatch.Options{Zone: "z", Holder: p.holder, Rand: rng.Float64})
-		p.record = audit.NewRecorder(audit.RecorderOptions{Node: fmt.Sprint("p", i), Life: 1, Need: 2, Held: 60,
+		p.record = audit.NewRecorder(audit.RecorderOptions{NodeName: fmt.Sprint("p", i), Incarnation: 1, RequiredStores: 2, MaxPending: 60,
 			Stores: func() (all []snapshot.Store) {
 				for i := range n.stores {
 					all = append(all, snapshot.Store{Name: fmt.Sprint("s", i), Addr: fmt.Sprint(i)})
@@ -427,7 +427,7 @@
 			d.Routes = append(d.Routes, certification.Route{Name: r.Name, Regime: "fin"})
 		}
 		for i := range 5 {
-			c := certification.Certificate{Endpoint: fmt.Sprint("e", i), Regime: "fin", NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), By: "n"}
+			c := certification.Certificate{Endpoint: fmt.Sprint("e", i), Regime: "fin", NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), Issuer: "n"}
 			switch i {
 			case 3:
 				c.NotAfter = now.Add(nightLength / 2)
@@ -572,7 +572,7 @@
 		at(nightLength*8/10, func() {
 			n.put(func(d *certification.Document) {
 				d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: fmt.Sprint("e", order[2]), Regime: "fin",
-					NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), By: "n"})
+					NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), Issuer: "n"})
 			})
 		})
 	}
--- a/internal/proxy/forward/wrong_test.go
+++ b/internal/proxy/forward/wrong_test.go
@@ -12,16 +12,16 @@
 // wrong are lines that are wrong, for TestBusyNights to find.
 var wrong = []mutation.Line{
 	{"nothing is asked right before a send", "certified.go", "	if !ok {\n		gate.Count(regime", "	if !ok && regime == \"?\" {\n		gate.Count(regime"},
-	{"nobody need confirm", "../../control/certification/gate.go", "g.Fresh() && s.Certified", "s.Certified"},
+	{"nobody need confirm", "../../control/certification/gate.go", "g.Confirmed() && s.Certified", "s.Certified"},
 	{"versions go back", "../../control/certification/gate.go", "old != nil && old.Version >= s.Version ||", "old == s ||"},
-	{"a certificate counts at any time", "../../control/certification/document.go", "if c.Valid(now) {", "if c.Valid(now) || !now.IsZero() {"},
+	{"a certificate counts at any time", "../../control/certification/set.go", "if c.Valid(now) {", "if c.Valid(now) || !now.IsZero() {"},
 	{"a run that can't be recorded is sent", "certified.go", "		if !ok {\n			x.err = errRecordFull", "		if !ok && regime == \"?\" {\n			x.err = errRecordFull"},
 	{"runs of clients that leave have no end", "exchange.go", "	if x.run != 0 {", "	if x.run != 0 && o != dispatch.Left {"},
 	{"any endpoint is chosen", "../dispatch/choice.go", "slices.Contains(w.r.Avoid, e.target.ID) || !w.r.may(e.target.ID) {", "slices.Contains(w.r.Avoid, e.target.ID) {"},
 	{"a broken run counts as not written", "certified.go", "	if x.unsent {", "	if x.unsent || out == audit.Broken {"},
 	{"a try that broke off is repeated", "../attempt/attempt.go", "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {", "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {"},
-	{"entries are dropped with too few stores", "../../batch/audit/recorder.go", "	r.kept(len(b.entries))\n	return nil", "	r.kept(len(b.entries) + min(1, r.Waiting()-len(b.entries)))\n	return nil"},
-	{"the chain is not gone on with", "../../batch/audit/store.go", "	s.last = next\n	return nil\n}\n\n// open opens", "	_ = next\n	return nil\n}\n\n// open opens"},
+	{"entries are dropped with too few stores", "../../batch/audit/deliver.go", "	r.acknowledge(len(batch.entries))\n	return nil", "	r.acknowledge(len(batch.entries) + min(1, r.Pending()-len(batch.entries)))\n	return nil"},
+	{"the chain is not gone on with", "../../batch/audit/files.go", "	f.lastHash = next\n	return nil\n}\n\n// begin appends", "	_ = next\n	return nil\n}\n\n// begin appends"},
 }
 
 // TestWrongLinesStand fails when a line of the lists no longer stands once in the file that it names.
