--- a/cmd/dunetide/jobs.go
+++ b/cmd/dunetide/jobs.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -29,7 +28,7 @@
 
 // jobs is the batch side of a proxy.
 type jobs struct {
-	edge   *batch.Edge
+	edge   *batch.Proxy
 	holder *snapshot.Latest
 	runner *runner
 	bodies *clientbody.Budget // shared with the requests of clients
@@ -39,8 +38,13 @@
 
 func newJobs(p *process, holder *snapshot.Latest, bodies *clientbody.Budget) *jobs {
 	j := &jobs{holder: holder, bodies: bodies, runner: &runner{holder: holder}}
-	j.edge = batch.NewEdge(batch.EdgeOptions{Views: holder, Name: p.settings.NodeName, Zone: p.settings.Zone, Runner: j.runner, Log: p.log,
-		Logf: func(format string, args ...any) { p.log.Info("batch", "event", fmt.Sprintf(format, args...)) }})
+	j.edge = batch.NewProxy(batch.ProxyOptions{
+		Snapshots: holder,
+		Name:      p.settings.NodeName,
+		Zone:      p.settings.Zone,
+		Runner:    j.runner,
+		Log:       p.log,
+	})
 	return j
 }
 
@@ -50,9 +54,9 @@
 // update follows the system: a proxy has its share of the endpoints' places in hand, and a few more.
 func (j *jobs) update(snap *snapshot.Snapshot) {
 	if !j.stopped.Load() {
-		j.edge.SetLimit(inHand(snap))
+		j.edge.SetMaxRunning(inHand(snap))
 	}
-	j.edge.Update()
+	j.edge.Refresh()
 }
 
 // inHand is how many items a proxy takes up at once.
@@ -84,7 +88,7 @@
 
 func (j *jobs) stop() {
 	j.stopped.Store(true)
-	j.edge.SetLimit(0)
+	j.edge.SetMaxRunning(0)
 }
 
 // serve answers a client's call about batch jobs.
@@ -108,8 +112,8 @@
 	if a.RetryAfter != "" {
 		w.Header().Set("Retry-After", a.RetryAfter)
 	}
-	if a.Type != "" {
-		w.Header().Set("Content-Type", a.Type)
+	if a.ContentType != "" {
+		w.Header().Set("Content-Type", a.ContentType)
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerMost)) // a client that doesn't read holds nothing up for longer
 	w.WriteHeader(a.Status)
--- a/cmd/dunetide/room.go
+++ b/cmd/dunetide/room.go
@@ -26,7 +26,7 @@
 func (p *process) whenRoom(folder journal.Folder, f func() error) error {
 	for {
 		err := f()
-		if !recordlog.IsDiskFull(err) && !batch.ErrNoRoom.Has(err) {
+		if !recordlog.IsDiskFull(err) && !batch.ErrDiskFull.Has(err) {
 			return err
 		}
 		p.log.Error(outOfService, "err", err)
--- a/cmd/dunetide/room_test.go
+++ b/cmd/dunetide/room_test.go
@@ -22,7 +22,7 @@
 	other := errors.New("other")
 	err := p.whenRoom(disk, func() error {
 		if calls++; calls == 1 {
-			return batch.ErrNoRoom.New("full")
+			return batch.ErrDiskFull.New("full")
 		}
 		return other
 	})
--- a/cmd/dunetide/runner.go
+++ b/cmd/dunetide/runner.go
@@ -20,10 +20,10 @@
 }
 
 // Run sends one item to an endpoint of its route's service.
-func (r *runner) Run(ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte)) batch.Result {
+func (r *runner) Run(ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte)) batch.RunResult {
 	p, snap := r.proxy.Load(), r.holder.Get()
 	if p == nil || snap == nil || snap.Config == nil {
-		return batch.Result{End: batch.NotRun, RetryAfter: again}
+		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: again}
 	}
 	item := &forward.Item{ID: it.ID, Host: it.Host, Path: it.Path, Header: map[string]string{}, Body: it.Body, Due: it.Due, MayStart: it.MayStart}
 	for _, h := range it.Headers {
@@ -35,18 +35,18 @@
 		}
 	}
 	if item.Route == nil {
-		return batch.Result{End: batch.NotRun, RetryAfter: again} // a newer configuration may have it, or the job ends
+		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: again} // a newer configuration may have it, or the job ends
 	}
 	res := p.RunItem(ctx, item, lastEventID, event)
 	switch res.State {
 	case forward.ItemDone:
-		return batch.Result{End: batch.Done}
+		return batch.RunResult{End: batch.RunCompleted}
 	case forward.ItemBroken:
-		return batch.Result{End: batch.Broken}
+		return batch.RunResult{End: batch.RunInterrupted}
 	case forward.ItemFailed:
-		return batch.Result{End: batch.Failed}
+		return batch.RunResult{End: batch.RunFailed}
 	case forward.ItemNever:
-		return batch.Result{End: batch.Never}
+		return batch.RunResult{End: batch.RunImpossible}
 	}
-	return batch.Result{End: batch.NotRun, RetryAfter: again}
+	return batch.RunResult{End: batch.RunNotStarted, RetryAfter: again}
 }
--- a/cmd/dunetide/stalled_test.go
+++ b/cmd/dunetide/stalled_test.go
@@ -28,7 +28,7 @@
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Config: &operatorconfig.Config{Version: 1}})
 	j := &jobs{holder: holder, runner: &runner{holder: holder}}
-	j.edge = batch.NewEdge(batch.EdgeOptions{Views: holder, Name: "p", Zone: "z", Runner: j.runner})
+	j.edge = batch.NewProxy(batch.ProxyOptions{Snapshots: holder, Name: "p", Zone: "z", Runner: j.runner})
 	t.Cleanup(j.edge.Close)
 	return j
 }
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -59,9 +59,9 @@
 		Open: func(replay func(payload []byte, at int64) error) (batch.Log, error) {
 			return batch.OpenLog(folder, jobsLog, replay)
 		},
-		Zone: s.Zone, MachinesLost: s.SurviveMachines, KeepMs: s.Bounds.StatusEvery.Milliseconds(),
-		RoomBytes: int64(s.Limits.DiskMB) << 20 / 100 * jobsLogPercent,
-		Ready: func(part int, epoch uint64) {
+		Zone: s.Zone, MaxLostMachines: s.SurviveMachines, RetentionMs: s.Bounds.StatusEvery.Milliseconds(),
+		LogCapacityBytes: int64(s.Limits.DiskMB) << 20 / 100 * jobsLogPercent,
+		ReportReady: func(part int, epoch uint64) {
 			go func() {
 				if err := reportToKeeper(attached, client, controlclient.Joined, controlclient.PartJoined{Part: part, Epoch: epoch}.Encode()); err != nil {
 					p.log.Warn("part not switched", "part", part, "epoch", epoch, "err", err)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	p.trouble.set(store.Trouble)
+	p.trouble.set(store.Condition)
 	defer p.trouble.clear()
 	defer p.awaitStopped(store) // before the log is opened again
 	defer store.Close()
--- a/cmd/dunetide/store_control.go
+++ b/cmd/dunetide/store_control.go
@@ -29,7 +29,7 @@
 	begin := time.Now()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(p.ctx), handOverWait)
 	defer cancel()
-	if err := store.HandOver(ctx); err != nil {
+	if err := store.Drain(ctx); err != nil {
 		p.log.Warn("parts not handed over", "err", err, "waited", time.Since(begin))
 		return
 	}
--- a/cmd/dunetide/trouble_test.go
+++ b/cmd/dunetide/trouble_test.go
@@ -82,7 +82,7 @@
 	go func() {
 		ended <- p.whenRoom(folder, func() error {
 			if calls++; calls == 1 {
-				return batch.ErrNoRoom.New("full")
+				return batch.ErrDiskFull.New("full")
 			}
 			return other
 		})
--- a/internal/batch/ages_test.go
+++ b/internal/batch/ages_test.go
@@ -5,13 +5,13 @@
 // handAged hands in a job that says that it was sent at a time of day, and may be given up after a while.
 func (g *scaleRig) handAged(t *testing.T, id string, sentMs, maxWaitMs int64) (primary *core) {
 	t.Helper()
-	job := Job{ID: id, Route: "b", Host: "h.example", PathStart: "/b/", SentMs: sentMs, DueMs: maxWaitMs, Tries: 2, MaxWaitMs: maxWaitMs,
-		MaxQueued: 1 << 40, Version: 1, Items: []JobItem{{ID: "item", Path: "/b/x", Tokens: 1}}}
+	job := Job{ID: id, Route: "b", Host: "h.example", PathPrefix: "/b/", SentMs: sentMs, DueMs: maxWaitMs, MaxAttempts: 2, MaxWaitMs: maxWaitMs,
+		MaxQueuedTokens: 1 << 40, ConfigVersion: 1, Items: []JobItem{{ID: "item", Path: "/b/x", Tokens: 1}}}
 	table := g.cores[0].table
 	primary = g.cores[table.Partitions[table.PartitionOf(id)].Primary-1]
 	code := uint8(0)
 	g.clock()
-	primary.message(nil, replied(func(b []byte) { code = b[0] }), kAccept, job.encode())
+	primary.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kindAcceptJob, job.encode())
 	for range 20 {
 		g.settle()
 		if code != 0 {
@@ -33,7 +33,7 @@
 		g := newScaleRig(4, 0, 0, 1)
 		primary := g.handAged(t, "job", sentMs, maxWaitMs)
 		results := func() int {
-			j := primary.parts[primary.table.PartitionOf("job")].jobs["job"]
+			j := primary.partitions[primary.table.PartitionOf("job")].jobs["job"]
 			if j == nil {
 				t.Fatalf("sent at %d: the job was dropped", sentMs)
 			}
@@ -43,7 +43,7 @@
 		if n := results(); n != 0 {
 			t.Errorf("sent at %d: %d results before its time is over", sentMs, n)
 		}
-		g.step(100 + giveUpMargin + 1000)
+		g.step(100 + abandonMarginMs + 1000)
 		if n := results(); n != 1 {
 			t.Errorf("sent at %d: %d results after its time was over", sentMs, n)
 		}
@@ -53,16 +53,16 @@
 // TestJobIsKnownSinceItWasKnownFirst: a job that is taken in again whole, as from a new primary, is no younger by that.
 func TestJobIsKnownSinceItWasKnownFirst(t *testing.T) {
 	c := newCore(1, &simDisk{})
-	p := c.part(0)
+	p := c.partition(0)
 	for now := int64(10); now <= 30; now += 10 {
-		c.now = now
+		c.nowMs = now
 		j, err := decodeJob(scaleLot("job", 1, 0), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.keepJob(p, j, 0)
+		c.putJob(p, j, 0)
 	}
-	if since := p.jobs["job"].knownSince; since != 10 {
+	if since := p.jobs["job"].knownSinceMs; since != 10 {
 		t.Errorf("known since %d", since)
 	}
 }
--- a/internal/batch/assign_test.go
+++ b/internal/batch/assign_test.go
@@ -20,7 +20,7 @@
 func TestFirstTable(t *testing.T) {
 	for _, f := range []int{0, 1, 2} {
 		for n := 1; n <= 8; n++ {
-			next, ok := Assign(nil, someStores(n, 3), none, 16, f)
+			next, ok := AssignPartitions(nil, someStores(n, 3), none, 16, f)
 			if n < f+1 {
 				if ok {
 					t.Fatalf("f %d, %d stores: a table", f, n)
@@ -47,7 +47,7 @@
 					t.Errorf("f %d, %d stores: %d leads %d parts of 16", f, n, id, lead[id])
 				}
 			}
-			if again, changed := Assign(next, someStores(n, 3), none, 16, f); changed && again.Version > next.Version+1 {
+			if again, changed := AssignPartitions(next, someStores(n, 3), none, 16, f); changed && again.Version > next.Version+1 {
 				t.Errorf("f %d, %d stores: changes in a calm time", f, n)
 			}
 		}
@@ -61,7 +61,7 @@
 		for n := f + 2; n <= 7; n++ {
 			for away := range n {
 				all := someStores(n, 3)
-				cur, _ := Assign(nil, all, none, 8, f)
+				cur, _ := AssignPartitions(nil, all, none, 8, f)
 				cur = settleTable(t, cur, all, none, f)
 				lost := func(id uint64) bool { return id == uint64(away+1) }
 				rest := slices.DeleteFunc(slices.Clone(all), func(s snapshot.Store) bool { return lost(s.ID) })
@@ -84,7 +84,7 @@
 				}
 				// Another retires.
 				name := all[(away+1)%n].Name
-				next, known, few := Retire(end, name, back, lost, f)
+				next, known, few := RetireStore(end, name, back, lost, f)
 				if !known || few != (n-1 < f+1) {
 					t.Fatalf("f %d, %d stores: retire: known %v, few %v", f, n, known, few)
 				}
@@ -92,7 +92,7 @@
 					continue
 				}
 				next = settleTable(t, next, back, lost, f)
-				if _, done := Retired(next, name, f); !done {
+				if _, done := RetirementState(next, name, f); !done {
 					t.Fatalf("f %d, %d stores: %s is not empty: %v", f, n, name, next.Partitions)
 				}
 			}
@@ -103,11 +103,11 @@
 func settleTable(t *testing.T, cur *snapshot.PartitionTable, alive []snapshot.Store, lost func(uint64) bool, f int) *snapshot.PartitionTable {
 	t.Helper()
 	for range 200 {
-		next, changed := Assign(cur, alive, lost, 8, f)
+		next, changed := AssignPartitions(cur, alive, lost, 8, f)
 		if !changed {
 			done := true
 			for no := range cur.Partitions {
-				if s, ok := Switch(cur, no, cur.Partitions[no].Epoch); ok {
+				if s, ok := SwitchReplicas(cur, no, cur.Partitions[no].Epoch); ok {
 					cur, done = s, false
 				}
 			}
@@ -127,7 +127,7 @@
 			if fmt.Sprint(*a) != fmt.Sprint(*b) && b.Epoch != a.Epoch+1 {
 				t.Fatalf("changed without a new epoch: %v, %v", a, b)
 			}
-			if after := nextCopies(b); len(after) < f+1 {
+			if after := nextReplicas(b); len(after) < f+1 {
 				t.Fatalf("too few would be left: %v", b)
 			}
 		}
--- /dev/null
+++ b/internal/batch/assignment.go
@@ -0,0 +1,85 @@
+package batch
+
+import (
+	"time"
+
+	"dunetide/internal/platform/link"
+)
+
+// assignMessage is the body of kindAssignItem: an item that a store assigns to a worker.
+type assignMessage struct {
+	item        itemKey
+	epoch       uint64
+	dueMs       int64 // time of day at which the result is due, for workers of versions that do not know remainingMs
+	maxAttempts int
+	route       string
+	host        string
+	itemID      string
+	tokens      int64
+	request     []byte // see encodeRequest
+	// remainingMs is how long after the message was sent the result is due. It counts in place of
+	// dueMs, as clocks may be stepped.
+	remainingMs int64
+	// hasRemaining is false in messages of versions that do not know remainingMs.
+	hasRemaining bool
+}
+
+func (m *assignMessage) encode() []byte {
+	w := link.Writer{B: make([]byte, 0, len(m.request)+200)}
+	w.U32(uint32(m.item.partition))
+	w.U64(m.epoch)
+	w.String(m.item.jobID)
+	w.U32(uint32(m.item.index))
+	w.Int(int(m.dueMs))
+	w.Int(m.maxAttempts)
+	w.String(m.route)
+	w.String(m.host)
+	w.String(m.itemID)
+	w.Int(int(m.tokens))
+	w.Bytes(m.request)
+	w.Int(int(m.remainingMs))
+	return w.B
+}
+
+func decodeAssignMessage(body []byte) (assignMessage, error) {
+	r := link.Reader{B: body}
+	var m assignMessage
+	m.item.partition = int(r.U32())
+	m.epoch = r.U64()
+	m.item.jobID = r.String()
+	m.item.index = int(r.U32())
+	m.dueMs = int64(r.Int())
+	m.maxAttempts = r.Int()
+	m.route = r.String()
+	m.host = r.String()
+	m.itemID = r.String()
+	m.tokens = int64(r.Int())
+	m.request = r.Bytes()
+	if m.hasRemaining = len(r.B) > 0; m.hasRemaining {
+		m.remainingMs = int64(r.Int())
+	}
+	return m, r.Err
+}
+
+// toItem is what the worker is to run, if the message arrived just now.
+func (m *assignMessage) toItem(now time.Time) (*Item, error) {
+	path, headers, body, err := decodeRequest(m.request)
+	if err != nil {
+		return nil, err
+	}
+	due := time.UnixMilli(m.dueMs)
+	if m.hasRemaining {
+		due = now.Add(time.Duration(m.remainingMs) * time.Millisecond)
+	}
+	return &Item{
+		Job:     m.item.jobID,
+		ID:      m.itemID,
+		Route:   m.route,
+		Host:    m.host,
+		Path:    path,
+		Headers: headers,
+		Body:    body,
+		Tokens:  m.tokens,
+		Due:     due,
+	}, nil
+}
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -19,9 +19,9 @@
 // echo is a runner whose text is the item's body, an event a byte.
 type echo struct{ breakAt int }
 
-func (e *echo) Run(_ context.Context, it *Item, last string, event func(string, []byte)) Result {
+func (e *echo) Run(_ context.Context, it *Item, last string, event func(string, []byte)) RunResult {
 	if !it.MayStart() {
-		return Result{End: NotRun}
+		return RunResult{End: RunNotStarted}
 	}
 	from := 0
 	if last != "" {
@@ -29,11 +29,11 @@
 	}
 	for i := from; i < len(it.Body); i++ {
 		if from == 0 && i == e.breakAt && e.breakAt > 0 {
-			return Result{End: Broken}
+			return RunResult{End: RunInterrupted}
 		}
 		event(fmt.Sprint(i+1), it.Body[i:i+1])
 	}
-	return Result{End: Done}
+	return RunResult{End: RunCompleted}
 }
 
 func bulkConfig(most int64) *operatorconfig.Config {
@@ -57,9 +57,9 @@
 	var listeners []net.Listener
 	for i := range 3 {
 		dirs = append(dirs, t.TempDir())
-		st, err := NewStore(StoreOptions{Zone: "z", MachinesLost: 1, KeepMs: 60000,
-			Open:  OpenIn(journal.Dir(dirs[i])),
-			Ready: func(int, uint64) {}, Logf: t.Logf})
+		st, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000,
+			Open:        OpenIn(journal.Dir(dirs[i])),
+			ReportReady: func(int, uint64) {}, Logf: t.Logf})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,21 +75,21 @@
 		all = append(all, snapshot.Store{ID: st.ID(), Name: fmt.Sprint("s", i), Addr: l.Addr().String(), Zone: fmt.Sprint("z", i)})
 	}
 	mu.Lock()
-	tab, ok := Assign(nil, all, func(uint64) bool { return false }, 8, 1)
+	tab, ok := AssignPartitions(nil, all, func(uint64) bool { return false }, 8, 1)
 	mu.Unlock()
 	if !ok {
 		t.Fatal("no table")
 	}
 	publish(tab)
-	e := NewEdge(EdgeOptions{Views: holder, Name: "p", Zone: "z", Runner: &echo{breakAt: 2}, Logf: t.Logf})
+	e := NewProxy(ProxyOptions{Snapshots: holder, Name: "p", Zone: "z", Runner: &echo{breakAt: 2}})
 	defer e.Close()
-	e.SetLimit(6)
-	call := func(method, path, query string, header map[string]string, body string) Answer {
+	e.SetMaxRunning(6)
+	call := func(method, path, query string, header map[string]string, body string) Response {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		return e.Serve(ctx, &Call{Method: method, Host: "h.example", Path: path, Query: query, Body: []byte(body), Header: func(n string) string { return header[n] }})
 	}
-	post := func(id string, tokens int) Answer {
+	post := func(id string, tokens int) Response {
 		return call("POST", "/b/x", "", map[string]string{"X-Dunetide-Request-Id": id},
 			fmt.Sprintf(`{"requests":[{"id":"i1","path":"/b/1","headers":{"A":"b"},"body":"aGVsbG8=","tokens":%d},{"id":"i2","path":"/b/2","headers":{},"body":"eW91","tokens":5}]}`, tokens))
 	}
@@ -130,7 +130,7 @@
 		if st.ID() == row.Primary {
 			st.Close()
 			listeners[i].Close()
-			tab, _ = Assign(tab, slices.Delete(slices.Clone(all), i, i+1), func(id uint64) bool { return id == row.Primary }, 8, 1)
+			tab, _ = AssignPartitions(tab, slices.Delete(slices.Clone(all), i, i+1), func(id uint64) bool { return id == row.Primary }, 8, 1)
 			publish(tab)
 			if a := call("GET", "/lots/j1", "start_after=0", nil, ""); a.Status != 200 || !strings.Contains(string(a.Body), "h\\ne") {
 				t.Fatalf("read after the takeover: %d %s", a.Status, a.Body)
@@ -138,7 +138,7 @@
 			if a := post("j3", 40); a.Status != 202 {
 				t.Fatalf("accept after the takeover: %+v", a)
 			}
-			again, err := NewStore(StoreOptions{Zone: "z", MachinesLost: 1, KeepMs: 60000, Open: OpenIn(journal.Dir(dirs[i])), Logf: t.Logf})
+			again, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, Open: OpenIn(journal.Dir(dirs[i])), Logf: t.Logf})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -157,12 +157,12 @@
 		ids   string
 		wrong bool
 	}{{"1 2 3", false}, {"5 6", false}, {"1 3", true}, {"1 1", true}, {"2 1", true}, {"1 x", true}, {"-1", true}} {
-		j := &joined{last: -1}
+		j := &eventText{lastEvent: -1}
 		for _, id := range strings.Fields(c.ids) {
-			j.event(id, []byte("d"+id))
+			j.addEvent(id, []byte("d"+id))
 		}
-		if j.wrong != c.wrong {
-			t.Errorf("%s: wrong is %v", c.ids, j.wrong)
+		if j.invalid != c.wrong {
+			t.Errorf("%s: wrong is %v", c.ids, j.invalid)
 		}
 		if want := "d" + strings.ReplaceAll(c.ids, " ", "\nd"); !c.wrong && string(j.text) != want {
 			t.Errorf("%s: text %q", c.ids, j.text)
@@ -173,14 +173,14 @@
 // script is a runner that plays runs in order.
 type script struct {
 	mu   sync.Mutex
-	runs []func(last string, event func(string, []byte)) Result
+	runs []func(last string, event func(string, []byte)) RunResult
 }
 
-func (s *script) Run(_ context.Context, it *Item, last string, event func(string, []byte)) Result {
+func (s *script) Run(_ context.Context, it *Item, last string, event func(string, []byte)) RunResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !it.MayStart() || len(s.runs) == 0 {
-		return Result{End: NotRun}
+		return RunResult{End: RunNotStarted}
 	}
 	run := s.runs[0]
 	s.runs = s.runs[1:]
@@ -189,8 +189,8 @@
 
 // TestWorkerRuns: breaks, wrong joins, failures and what can never be done.
 func TestWorkerRuns(t *testing.T) {
-	play := func(end End, ids ...string) func(string, func(string, []byte)) Result {
-		return func(last string, event func(string, []byte)) Result {
+	play := func(end RunEnd, ids ...string) func(string, func(string, []byte)) RunResult {
+		return func(last string, event func(string, []byte)) RunResult {
 			if len(ids) > 0 && ids[0] == "after" {
 				if last != ids[1] {
 					t.Errorf("asked for what follows %q, not %q", last, ids[1])
@@ -200,34 +200,34 @@
 			for _, id := range ids {
 				event(id, []byte(id))
 			}
-			return Result{End: end}
+			return RunResult{End: end}
 		}
 	}
-	type runs = []func(string, func(string, []byte)) Result
+	type runs = []func(string, func(string, []byte)) RunResult
 	for name, c := range map[string]struct {
 		runs    runs
 		text    string
 		givenUp bool
 	}{
-		"broken, goes on":      {runs{play(Broken, "1", "2"), play(Done, "after", "2", "3")}, "1\n2\n3", false},
-		"wrong join":           {runs{play(Broken, "1", "2"), play(Done, "after", "2", "4"), play(Done, "after", "", "1", "2")}, "1\n2", false},
-		"turned away":          {runs{play(NotRun), play(Done, "1")}, "1", false},
-		"failed, then done":    {runs{play(Failed), play(Done, "after", "", "1")}, "1", false},
-		"failed too often":     {runs{play(Failed), play(Failed)}, "", true},
-		"can never be done":    {runs{play(Never)}, "", true},
-		"broken before events": {runs{play(Broken), play(Done, "after", "", "1")}, "1", false},
+		"broken, goes on":      {runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "3")}, "1\n2\n3", false},
+		"wrong join":           {runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "4"), play(RunCompleted, "after", "", "1", "2")}, "1\n2", false},
+		"turned away":          {runs{play(RunNotStarted), play(RunCompleted, "1")}, "1", false},
+		"failed, then done":    {runs{play(RunFailed), play(RunCompleted, "after", "", "1")}, "1", false},
+		"failed too often":     {runs{play(RunFailed), play(RunFailed)}, "", true},
+		"can never be done":    {runs{play(RunImpossible)}, "", true},
+		"broken before events": {runs{play(RunInterrupted), play(RunCompleted, "after", "", "1")}, "1", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := &Edge{o: EdgeOptions{Runner: &script{runs: c.runs}}}
-			w := newWorkerSide(e)
-			r := &running{key: itemKey{0, "j", 0}, item: &Item{}, tries: 2}
+			e := &Proxy{options: ProxyOptions{Runner: &script{runs: c.runs}}}
+			w := newItemRunner(e.options)
+			r := &runningItem{key: itemKey{0, "j", 0}, item: &Item{}, maxAttempts: 2}
 			r.ctx, r.cancel = context.WithCancel(context.Background())
 			r.item.MayStart = func() bool { return true }
-			w.jobs[r.key] = r
+			w.running[r.key] = r
 			w.run(r)
-			if !r.done || string(r.text) != c.text || r.givenUp != c.givenUp {
-				t.Errorf("done %v, given up %v, text %q", r.done, r.givenUp, r.text)
+			if !r.done || string(r.text) != c.text || r.abandoned != c.givenUp {
+				t.Errorf("done %v, given up %v, text %q", r.done, r.abandoned, r.text)
 			}
 		})
 	}
--- a/internal/batch/calls.go
+++ b/internal/batch/calls.go
@@ -2,291 +2,123 @@
 
 import "dunetide/internal/platform/link"
 
-// Calls of clients, as edges pass them on.
+// replyCode replies with nothing but a code.
+func replyCode(caller Caller, code uint8) { caller.Reply([]byte{code}) }
 
-type reader struct {
-	from     Caller
-	job      string
-	body     string // the item whose body is wanted
-	after    int
-	deadline int64 // of a held read
-	sureBy   int64 // of the confirmation
-	isBody   bool
-	isEnd    bool
-}
-
-type ending struct {
-	part     *part
-	job      string
-	from     []Caller
-	waiting  map[*worker]bool
-	deadline int64
-}
-
-// message is the event of any message: m is its call, nil if no reply is awaited.
-func (c *core) message(pipe Pipe, m Caller, kind link.Kind, body []byte) {
-	if c.dead {
-		return
-	}
-	switch {
-	case kind >= kAsk:
-		c.storeMessage(pipe, kind, body)
-	case kind >= kAttach:
-		c.workerMessage(pipe, kind, body)
-	case m != nil:
-		c.call(m, kind, body)
-	}
-	c.dispatch()
-}
-
-func (c *core) call(m Caller, kind link.Kind, body []byte) {
+// handleCall is the event of a call that a proxy passes on for a client. It is refused if this
+// store does not serve the job's partition.
+func (c *core) handleCall(caller Caller, kind link.Kind, body []byte) {
 	r := link.Reader{B: body}
-	id := r.String()
-	no := c.table.PartitionOf(id)
-	if r.Err != nil || no < 0 {
-		m.Reply([]byte{codeUnavailable})
+	jobID := r.String() // an encoded job begins with its ID too
+	index := c.table.PartitionOf(jobID)
+	if r.Err != nil || index < 0 {
+		replyCode(caller, codeUnavailable)
 		return
 	}
-	p := c.part(no)
-	if p.lead == nil || !p.lead.active {
-		m.Reply([]byte{codeUnavailable})
+	p := c.partition(index)
+	if p.primary == nil || !p.primary.serving {
+		replyCode(caller, codeUnavailable)
 		return
 	}
 	switch kind {
-	case kAccept:
-		c.accept(p, id, body, m)
-	case kRead:
-		after, wait := r.Int(), int64(r.Int())
-		if r.Err != nil || after < 0 {
-			m.Reply([]byte{codeUnavailable})
+	case kindAcceptJob:
+		c.acceptJob(p, jobID, body, caller)
+	case kindReadResults:
+		startAfter, waitMs := r.Int(), int64(r.Int())
+		if r.Err != nil || startAfter < 0 {
+			replyCode(caller, codeUnavailable)
 			return
 		}
-		c.read(p, reader{from: m, job: id, after: after, deadline: c.now + wait, sureBy: c.now + wait + confirmWaitMs})
-	case kBody:
-		c.read(p, reader{from: m, job: id, body: r.String(), isBody: true, sureBy: c.now + confirmWaitMs})
-	case kEnd:
-		c.end(p, id, m)
+		c.readJob(p, pendingRead{
+			caller:     caller,
+			jobID:      jobID,
+			startAfter: startAfter,
+			deadline:   c.nowMs + waitMs,
+			confirmBy:  c.nowMs + waitMs + confirmationWaitMs,
+		})
+	case kindReadItemBody:
+		c.readJob(p, pendingRead{
+			caller:    caller,
+			jobID:     jobID,
+			itemID:    r.String(),
+			readsBody: true,
+			confirmBy: c.nowMs + confirmationWaitMs,
+		})
+	case kindEndJob:
+		c.endJob(p, jobID, caller)
 	default:
-		m.Reply([]byte{codeUnavailable})
+		replyCode(caller, codeUnavailable)
 	}
 }
 
-func (c *core) accept(p *part, id string, enc []byte, m Caller) {
-	l := p.lead
-	if j := p.jobs[id]; j != nil {
+// acceptJob accepts a job that was submitted, once. A call that comes again while the first one is
+// under way shares its outcome.
+func (c *core) acceptJob(p *partition, jobID string, encoded []byte, caller Caller) {
+	primary := p.primary
+	if j := p.jobs[jobID]; j != nil {
 		if j.committed {
-			m.Reply([]byte{codeOK})
+			replyCode(caller, codeOK)
 			return
 		}
-		l.pend = append(l.pend, pending{int64(l.seq), c.takenOrUnknown(m)})
+		primary.afterCommit(func(ok bool) { replyAccepted(caller, ok) })
 		return
 	}
-	if in := l.incoming[id]; in != nil {
-		in.from = append(in.from, m)
+	if incoming := primary.incomingJobs[jobID]; incoming != nil {
+		incoming.callers = append(incoming.callers, caller)
 		return
 	}
-	j, err := decodeJob(enc, 0)
+	j, err := decodeJob(encoded, 0)
 	if c.stopping || err != nil {
-		m.Reply([]byte{codeUnavailable})
+		replyCode(caller, codeUnavailable)
 		return
 	}
-	if !c.hasRoom(len(enc)) || l.copyFull() {
-		m.Reply([]byte{codeNoRoom})
+	if !c.hasCapacity(len(encoded)) || primary.anyReplicaFull() {
+		replyCode(caller, codeLogFull)
 		return
 	}
-	in := &incoming{enc: enc, id: id, route: j.route, tokens: j.tokens(), most: j.maxQueued, from: []Caller{m}}
-	if j.maxQueued <= 0 {
-		c.take(p, in)
-		return
+	incoming := &incomingJob{
+		encoded:   encoded,
+		id:        jobID,
+		route:     j.route,
+		tokens:    j.openTokens(),
+		maxTokens: j.maxQueuedTokens,
+		callers:   []Caller{caller},
 	}
-	if in.tokens > j.maxQueued {
-		m.Reply([]byte{codeFull})
+	if j.maxQueuedTokens <= 0 {
+		c.replicateAccept(p, incoming)
 		return
 	}
-	l.incoming[id] = in
-	c.askTokens(p, in)
-}
-
-func (c *core) takenOrUnknown(m Caller) func(bool) {
-	return func(ok bool) {
-		if ok {
-			m.Reply([]byte{codeOK})
-		} else {
-			m.Reply([]byte{codeUnknown})
-		}
+	if incoming.tokens > j.maxQueuedTokens {
+		replyCode(caller, codeQuotaFull)
+		return
 	}
+	primary.incomingJobs[jobID] = incoming
+	c.reserveTokens(p, incoming)
 }
 
-// take orders a job whose tokens are granted. From here on it may be kept, whatever becomes of this store.
-func (c *core) take(p *part, in *incoming) {
-	c.usageChange(p, in.route, in.tokens)
-	from := in.from
-	op := append([]byte{opAccept}, in.enc...)
-	c.order(p, op, func(ok bool) {
+// replicateAccept orders a job whose tokens are granted. From here on it may be stored, whatever
+// becomes of this store, so no refusal is possible any more.
+func (c *core) replicateAccept(p *partition, incoming *incomingJob) {
+	c.addUsage(p, incoming.route, incoming.tokens)
+	callers := incoming.callers
+	c.replicate(p, encodeAcceptJob(incoming.encoded), func(ok bool) {
 		if ok {
-			if j := p.jobs[in.id]; j != nil {
+			if j := p.jobs[incoming.id]; j != nil {
 				j.committed = true
-				c.enqueue(j)
+				c.enqueueJob(j)
 			}
 		}
-		for _, m := range from {
-			c.takenOrUnknown(m)(ok)
+		for _, caller := range callers {
+			replyAccepted(caller, ok)
 		}
 	})
 }
 
-// read answers a read, now or when there is something, and only when this store is sure to be the primary.
-func (c *core) read(p *part, r reader) {
-	l := p.lead
-	j := p.jobs[r.job]
-	if j != nil && !j.committed {
-		j = nil
-	}
-	if j != nil && r.isEnd {
-		c.end(p, r.job, r.from)
-		return
+// replyAccepted answers the submission of a job that was ordered: it is committed, or that can't be known.
+func replyAccepted(caller Caller, committed bool) {
+	if committed {
+		replyCode(caller, codeOK)
+	} else {
+		replyCode(caller, codeUnknown)
 	}
-	if !r.isBody && j != nil && r.after >= c.seen(j) && c.now < r.deadline && c.seen(j) < len(j.items) && !j.endSeen {
-		j.readers = append(j.readers, r)
-		return
-	}
-	if !c.sure(l) {
-		if c.now >= r.sureBy {
-			r.from.Reply([]byte{codeUnavailable})
-			return
-		}
-		l.readers = append(l.readers, r)
-		c.confirm(p)
-		return
-	}
-	if j == nil {
-		r.from.Reply([]byte{codeNone})
-		return
-	}
-	if r.isBody {
-		c.readBody(j, r)
-		return
-	}
-	w := link.Writer{B: make([]byte, 0, 512)}
-	w.U8(codeOK)
-	w.U32(uint32(len(j.items)))
-	last, size := r.after, 0
-	for last < c.seen(j) && (last == r.after || size+j.results[last].n < readBytes) {
-		size += j.results[last].n + 100
-		last++
-	}
-	w.U32(uint32(max(0, last-r.after)))
-	for i := r.after; i < last; i++ {
-		res := j.results[i]
-		text, err := c.text(res)
-		if err != nil {
-			c.log("reading a result of job %s: %v", j.id, err)
-			r.from.Reply([]byte{codeUnavailable})
-			return
-		}
-		w.String(j.items[res.item].id)
-		w.Bool(res.givenUp)
-		w.Bytes(text)
-	}
-	r.from.Reply(w.B)
-}
-
-func (c *core) readBody(j *job, r reader) {
-	for i := range j.items {
-		if j.items[i].id != r.body {
-			continue
-		}
-		seg, err := c.segment(j, i)
-		if err == nil {
-			var body []byte
-			if _, _, body, err = decodeSegment(seg); err == nil {
-				r.from.Reply(append([]byte{codeOK}, body...))
-				return
-			}
-		}
-		c.log("reading an item of job %s: %v", j.id, err)
-		r.from.Reply([]byte{codeUnavailable})
-		return
-	}
-	r.from.Reply([]byte{codeNone})
-}
-
-// end ends a job: nothing of it is handed out from now on, and the workers let go of it before the answer.
-func (c *core) end(p *part, id string, m Caller) {
-	j := p.jobs[id]
-	if j == nil || !j.committed {
-		c.read(p, reader{from: m, job: id, isEnd: true, sureBy: c.now + confirmWaitMs}) // none, if that is sure
-		return
-	}
-	e := &ending{part: p, job: id, from: []Caller{m}, waiting: map[*worker]bool{}}
-	if j.endSeen {
-		c.endWorkers(e)
-		return
-	}
-	done := func(ok bool) {
-		if !ok {
-			m.Reply([]byte{codeUnavailable})
-			return
-		}
-		c.endWorkers(e)
-	}
-	if j.ended { // on its way
-		l := p.lead
-		l.pend = append(l.pend, pending{int64(l.seq), done})
-		return
-	}
-	c.order(p, encodeNamed(opEnd, id), func(ok bool) {
-		if ok {
-			j.endSeen = true
-			c.usageChange(p, j.route, -j.tokens())
-			c.wakeReaders(p, j)
-		}
-		done(ok)
-	})
-}
-
-func (c *core) endWorkers(e *ending) {
-	for _, w := range c.attached {
-		for k := range w.held {
-			if k.part == e.part.no && k.job == e.job {
-				e.waiting[w] = true
-				break
-			}
-		}
-		c.cancel(w, e.part.no, e.job)
-	}
-	if len(e.waiting) == 0 {
-		e.reply()
-		return
-	}
-	e.deadline = c.now + cancelWaitMs
-	c.ends = append(c.ends, e)
-}
-
-func (e *ending) reply() {
-	for _, m := range e.from {
-		m.Reply([]byte{codeOK})
-	}
-	e.from = nil
-}
-
-func (c *core) cancel(w *worker, part int, job string) {
-	var b link.Writer
-	b.U32(uint32(part))
-	b.String(job)
-	_ = w.pipe.Send(kCancel, b.B)
-}
-
-// wakeReaders answers those who wait for more of a job.
-func (c *core) wakeReaders(p *part, j *job) {
-	readers := j.readers
-	j.readers = nil
-	for _, r := range readers {
-		c.read(p, r)
-	}
-}
-
-// seen is how many results of a job may be read.
-func (c *core) seen(j *job) int {
-	return j.visible
 }
--- a/internal/batch/clients_test.go
+++ b/internal/batch/clients_test.go
@@ -78,13 +78,13 @@
 			p := w.connect(k.name, o.name, k.receive, o.receive(o.life))
 			p.closed = func(*simPipe) {}
 			olife := o.life
-			p.peer.closed = func(q *simPipe) { o.do(olife, func() { o.core.pipeClosed(q) }) }
+			p.peer.closed = func(q *simPipe) { o.do(olife, func() { o.core.connectionClosed(q) }) }
 			k.pipes[id] = p
 			var b link.Writer
 			b.String(k.name)
 			b.String("z0")
 			b.Int(3)
-			_ = p.Send(kAttach, b.B)
+			_ = p.Send(kindAttachWorker, b.B)
 		}
 		k.hold()
 	}
@@ -114,43 +114,43 @@
 	b.U64(epoch)
 	var keys []itemKey
 	for _, key := range k.keys() {
-		if key.part == no {
+		if key.partition == no {
 			keys = append(keys, key)
 		}
 	}
 	b.U32(uint32(len(keys)))
 	for _, key := range keys {
-		b.String(key.job)
-		b.U32(uint32(key.item))
+		b.String(key.jobID)
+		b.U32(uint32(key.index))
 	}
-	_ = p.Send(kHold, b.B)
+	_ = p.Send(kindReportRunning, b.B)
 }
 
 func compareKeys(a, b itemKey) int {
-	if a.job != b.job {
-		if a.job < b.job {
+	if a.jobID != b.jobID {
+		if a.jobID < b.jobID {
 			return -1
 		}
 		return 1
 	}
-	return a.item - b.item
+	return a.index - b.index
 }
 
 func (k *simWorker) receive(p *simPipe, _ Caller, kind link.Kind, body []byte) {
 	w := k.w
 	r := link.Reader{B: body}
-	key := itemKey{part: int(r.U32())}
+	key := itemKey{partition: int(r.U32())}
 	switch kind {
-	case kGive:
+	case kindAssignItem:
 		epoch := r.U64()
-		key.job, key.item = r.String(), int(r.U32())
-		h := k.parts[key.part]
+		key.jobID, key.index = r.String(), int(r.U32())
+		h := k.parts[key.partition]
 		if h != nil && h.epoch > epoch && h.pipe != p {
 			var b link.Writer
-			b.U32(uint32(key.part))
-			b.String(key.job)
-			b.U32(uint32(key.item))
-			_ = p.Send(kPutBack, b.B)
+			b.U32(uint32(key.partition))
+			b.String(key.jobID)
+			b.U32(uint32(key.index))
+			_ = p.Send(kindReturnItem, b.B)
 			return
 		}
 		if h != nil && h.pipe == p {
@@ -163,9 +163,9 @@
 			k.held[key] = run
 		}
 		if h == nil {
-			k.parts[key.part] = &simHold{pipe: p, epoch: epoch, noted: true}
+			k.parts[key.partition] = &simHold{pipe: p, epoch: epoch, noted: true}
 		} else if h.pipe != p || h.epoch < epoch {
-			k.holdPart(key.part, p, epoch)
+			k.holdPart(key.partition, p, epoch)
 		}
 		if !fresh {
 			if run.done {
@@ -174,34 +174,34 @@
 			return
 		}
 		w.after(w.rng.Float64()*60, func() { k.begin(key, run) })
-	case kHeld:
+	case kindRunningNoted:
 		epoch := r.U64()
-		if h := k.parts[key.part]; h != nil && h.pipe == p && (h.epoch == epoch || epoch == 0) {
+		if h := k.parts[key.partition]; h != nil && h.pipe == p && (h.epoch == epoch || epoch == 0) {
 			h.noted, h.unsure = true, false
 			for _, key := range k.keys() {
-				if key.part == int(h2part(body)) && k.held[key].done {
+				if key.partition == int(h2part(body)) && k.held[key].done {
 					k.report(p, key, k.held[key])
 				}
 			}
 		}
-	case kUnsure:
-		if h := k.parts[key.part]; h != nil && h.pipe == p {
+	case kindPauseStarts:
+		if h := k.parts[key.partition]; h != nil && h.pipe == p {
 			h.unsure = true
 		}
-	case kListed:
-		key.job, key.item = r.String(), int(r.U32())
+	case kindResultStored:
+		key.jobID, key.index = r.String(), int(r.U32())
 		delete(k.held, key)
-	case kCancel:
-		key.job = r.String()
-		if h := k.parts[key.part]; h != nil && h.pipe != p {
+	case kindCancelJob:
+		key.jobID = r.String()
+		if h := k.parts[key.partition]; h != nil && h.pipe != p {
 			return
 		}
 		for _, h := range k.keys() {
-			if h.part == key.part && h.job == key.job {
+			if h.partition == key.partition && h.jobID == key.jobID {
 				delete(k.held, h)
 			}
 		}
-		_ = p.Send(kCancelled, body)
+		_ = p.Send(kindJobCancelled, body)
 	}
 }
 
@@ -222,17 +222,17 @@
 	if k.held[key] != run {
 		return
 	}
-	h := k.parts[key.part]
+	h := k.parts[key.partition]
 	if h == nil || !h.noted || h.unsure || !h.pipe.open {
 		w.after(50, func() { k.begin(key, run) })
 		return
 	}
-	j := w.jobs[key.job]
+	j := w.jobs[key.jobID]
 	if j == nil {
 		w.fault("an item of a job that nobody sent runs: %v", key)
 		return
 	}
-	item := j.items[key.item]
+	item := j.items[key.index]
 	j.ran[item] = true
 	if j.tries > 0 && j.refused == j.tries {
 		w.fault("%s runs, and all %d tries of its job were refused", item, j.tries)
@@ -248,7 +248,7 @@
 		}
 		j.finished[item] = true
 		run.text, run.done = text, true
-		if h := k.parts[key.part]; h != nil && h.noted {
+		if h := k.parts[key.partition]; h != nil && h.noted {
 			k.report(h.pipe, key, run)
 		}
 	})
@@ -256,12 +256,12 @@
 
 func (k *simWorker) report(p *simPipe, key itemKey, run *simRun) {
 	var b link.Writer
-	b.U32(uint32(key.part))
-	b.String(key.job)
-	b.U32(uint32(key.item))
+	b.U32(uint32(key.partition))
+	b.String(key.jobID)
+	b.U32(uint32(key.index))
 	b.Bool(false)
 	b.Bytes([]byte(run.text))
-	_ = p.Send(kResult, b.B)
+	_ = p.Send(kindItemResult, b.B)
 }
 
 // reply is a call of a client; it is answered once, or cut.
@@ -326,7 +326,7 @@
 
 func (w *world) encode(j *promise) []byte {
 	r := w.config.Routes[0]
-	out := &Job{ID: j.id, Route: r.Name, Host: r.Host, PathStart: r.PathPrefix, SentMs: w.ms(), DueMs: 1000, Tries: 2, MaxQueued: w.most, Version: 1}
+	out := &Job{ID: j.id, Route: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, SentMs: w.ms(), DueMs: 1000, MaxAttempts: 2, MaxQueuedTokens: w.most, ConfigVersion: 1}
 	for i, id := range j.items {
 		out.Items = append(out.Items, JobItem{ID: id, Path: "/b/1", Body: []byte("body of " + id), Tokens: j.tokens[i]})
 	}
@@ -337,7 +337,7 @@
 func (k *simWorker) send(j *promise, then func(code uint8)) {
 	w := k.w
 	j.tries++
-	k.call(j.id, kAccept, w.encode(j), 1500, func(b []byte, sent bool) {
+	k.call(j.id, kindAcceptJob, w.encode(j), 1500, func(b []byte, sent bool) {
 		code := codeUnknown
 		if len(b) > 0 {
 			code = b[0]
@@ -350,7 +350,7 @@
 				j.taken, j.takenAt = true, w.ms()
 				w.countQuota()
 			}
-		case codeFull, codeUnavailable:
+		case codeQuotaFull, codeUnavailable:
 			j.refused++
 			if j.refused == j.tries && len(j.ran) > 0 {
 				w.fault("job %s ran and all its tries were refused", j.id)
@@ -397,11 +397,11 @@
 	b.String(j.id)
 	b.Int(after)
 	b.Int(int(wait))
-	k.call(j.id, kRead, b.B, float64(wait)+1200, func(b []byte, _ bool) {
+	k.call(j.id, kindReadResults, b.B, float64(wait)+1200, func(b []byte, _ bool) {
 		r := link.Reader{B: b}
 		ok := false
 		switch r.U8() {
-		case codeNone:
+		case codeNotFound:
 			if j.taken && w.ms() > j.takenAt+1000 {
 				w.fault("404 for job %s, taken %d ms ago", j.id, w.ms()-j.takenAt)
 			}
@@ -472,14 +472,14 @@
 	j.endAsked = true
 	var b link.Writer
 	b.String(j.id)
-	k.call(j.id, kEnd, b.B, 1500, func(b []byte, _ bool) {
+	k.call(j.id, kindEndJob, b.B, 1500, func(b []byte, _ bool) {
 		if len(b) > 0 && b[0] == codeOK {
 			if !j.ended {
 				j.ended, j.endedAt = true, w.ms()
 			}
 			return
 		}
-		if len(b) > 0 && b[0] == codeNone && j.taken && w.ms() > j.takenAt+1000 {
+		if len(b) > 0 && b[0] == codeNotFound && j.taken && w.ms() > j.takenAt+1000 {
 			w.fault("404 at the end of job %s", j.id)
 		}
 		w.after(100, func() { w.end(j) })
@@ -525,7 +525,7 @@
 		b.String(id)
 		b.String(j.items[0])
 		body := ""
-		w.works[0].call(id, kBody, b.B, 1000, func(b []byte, _ bool) { body = string(b) })
+		w.works[0].call(id, kindReadItemBody, b.B, 1000, func(b []byte, _ bool) { body = string(b) })
 		w.run(1500)
 		if want := string([]byte{codeOK}) + "body of " + j.items[0]; body != want {
 			w.fault("job %s: body %q", id, body)
--- /dev/null
+++ b/internal/batch/confirmation.go
@@ -0,0 +1,111 @@
+package batch
+
+import (
+	"cmp"
+	"slices"
+)
+
+// A primary reads out only what it has when f replicas have confirmed a moment ago that it has not
+// been replaced (as ReadIndex in etcd's raft). What a primary that has been replaced sends is
+// refused by its term.
+
+// rejectStaleTerm reports whether a term is too old to be followed, and tells its primary so.
+func (c *core) rejectStaleTerm(p *partition, term uint64, pipe Pipe) bool {
+	known := max(p.promisedTerm, firstTerm(p.epoch))
+	if term >= known {
+		return false
+	}
+	w := encodeTermMessage(0, p.index, known)
+	_ = pipe.Send(kindStaleTerm, w.B)
+	return true
+}
+
+// handleConfirm confirms to a primary that it has not been replaced as far as this store knows.
+func (c *core) handleConfirm(p *partition, term, stamp uint64, pipe Pipe) {
+	if c.rejectStaleTerm(p, term, pipe) {
+		return
+	}
+	w := encodeTermMessage(1, p.index, term, stamp)
+	w.Bool(c.logFull)
+	_ = pipe.Send(kindConfirmed, w.B)
+}
+
+// requestConfirmations asks the replicas whether this primary has been replaced, once at a time.
+func (c *core) requestConfirmations(p *partition) {
+	primary := p.primary
+	if primary.confirmationRequestedAt == c.nowMs && primary.confirmationRequestedAt != 0 {
+		return
+	}
+	primary.confirmationRequestedAt = c.nowMs
+	if primary.superseded {
+		return
+	}
+	w := encodeTermMessage(0, p.index, primary.term, uint64(c.nowMs))
+	for _, id := range primary.replicas {
+		if replica := primary.progress[id]; replica != nil {
+			_ = replica.pipe.Send(kindConfirm, w.B)
+		}
+	}
+	c.countConfirmations(p)
+}
+
+// countConfirmations works out when this primary was last confirmed, and answers what waited for that.
+func (c *core) countConfirmations(p *partition) {
+	primary := p.primary
+	stamps := []int64{c.nowMs} // its own
+	for _, id := range primary.replicas {
+		if replica := primary.progress[id]; replica != nil {
+			stamps = append(stamps, replica.confirmedAt)
+		}
+	}
+	if len(stamps) < c.maxLostReplicas+1 {
+		return
+	}
+	slices.SortFunc(stamps, func(a, b int64) int { return cmp.Compare(b, a) })
+	primary.confirmedAt = max(primary.confirmedAt, stamps[c.maxLostReplicas])
+	if !c.isConfirmed(primary) {
+		return
+	}
+	reads := primary.pendingReads
+	primary.pendingReads = nil
+	for _, read := range reads {
+		c.readJob(p, read)
+	}
+	if p.primary == primary && primary.serving {
+		c.adoptAllRunning(p)
+	}
+}
+
+// isConfirmed reports whether a primary had not been replaced a moment ago.
+func (c *core) isConfirmed(primary *primaryState) bool {
+	return c.nowMs-primary.confirmedAt <= confirmationMs
+}
+
+// superviseWorkers keeps this primary confirmed while workers run items of the partition. While it
+// is not confirmed they may start nothing: they would not hear of the end of a job that a successor
+// has acknowledged.
+func (c *core) superviseWorkers(p *partition) {
+	primary := p.primary
+	var running []*worker
+	for _, w := range c.attachedWorkers {
+		if w.runsPartition(p.index) {
+			running = append(running, w)
+		}
+	}
+	if len(running) == 0 {
+		return
+	}
+	c.requestConfirmations(p)
+	mayStart := c.nowMs-primary.confirmedAt <= workerGraceMs
+	if mayStart == !primary.startsPaused {
+		return
+	}
+	primary.startsPaused = !mayStart
+	for _, w := range running {
+		if mayStart {
+			_ = w.pipe.Send(kindRunningNoted, encodeRunningNoted(p.index, anyEpoch))
+		} else {
+			_ = w.pipe.Send(kindPauseStarts, encodeStartsPaused(p.index))
+		}
+	}
+}
--- a/internal/batch/core.go
+++ b/internal/batch/core.go
@@ -1,6 +1,7 @@
 package batch
 
 import (
+	"cmp"
 	"slices"
 
 	"dunetide/internal/control/operatorconfig"
@@ -8,111 +9,113 @@
 	"dunetide/internal/platform/link"
 )
 
-// segmented is what a log does to give space back: see segments.go.
-type segmented interface {
-	// NewestSize is how many bytes the segment has that is appended to.
-	NewestSize() int64
-	// Oldest is the number of the oldest segment, and whether there is a newer one.
-	Oldest() (number int64, more bool)
-	// Rotate makes all that was appended durable and begins a new segment.
-	Rotate() error
-	// DropOldest makes all that was appended durable and removes the oldest segment.
-	DropOldest() error
-}
-
-// disk is the log of a store: appended records. Here at is the place of a payload's first byte.
-type disk interface {
-	Append(payload []byte) (at int64, err error)
-	// ReadRaw reads bytes inside a payload, unchecked.
-	ReadRaw(at int64, n int) ([]byte, error)
-	Size() int64
-	segmented
-}
-
-// Pipe is a connection to another process; messages keep their order.
+// Pipe is a connection to another process. Messages arrive in the order in which they were sent, until it ends.
 type Pipe interface {
 	Send(kind link.Kind, body []byte) error
 }
 
-// Caller awaits a reply.
+// Caller awaits the reply to a call.
 type Caller interface {
 	Reply(body []byte)
 }
 
+// Times of the core, in ms.
+const (
+	confirmationMs     = 600  // how old a confirmation that a primary has not been replaced may be
+	confirmationWaitMs = 700  // how long a read waits for a confirmation
+	workerGraceMs      = 1500 // how old a confirmation may be before workers may start nothing more
+	reservationWaitMs  = 1200 // how long a job waits for its tokens
+	cancelWaitMs       = 300  // how long the end of a job waits for workers
+	reconnectWaitMs    = 1000 // how long the items of a worker whose connection ended wait for it to come back
+	dispatchDelayMs    = 400  // how long a new primary waits for workers to report what they run
+	dispatchConfirmMs  = 100  // how often dispatch asks for a confirmation
+	maintenanceMs      = 500  // how often metrics are set, ages looked at and space is reclaimed
+	usageReportMs      = 50   // how often a change of a route's usage is reported at most
+	reservationRetryMs = 100  // how long after an owner was not available it is asked again
+	usageRequestMs     = 100  // how often usage that is missing is asked for
+	staleUsageMs       = 1000 // how often usage that an earlier primary reported is asked for
+	dropMarginMs       = 3000 // how much longer than promised a job is retained
+	abandonMarginMs    = 1500 // how much later than promised items are abandoned
+)
+
 const (
-	confirmMs       = 600  // how old a confirmation that a primary has not been replaced may be
-	confirmWaitMs   = 700  // how long a read waits for one
-	reserveWaitMs   = 1200 // how long a job waits for its tokens
-	cancelWaitMs    = 300  // how long an end waits for workers
-	reconnectWaitMs = 1000 // how long the items of a worker whose connection ended wait for it to come back
-	handAfterMs     = 400  // how long a new primary waits for workers to say what they have in hand
-	usageEveryMs    = 50
-	putWindow       = 4
-	readBytes       = 800_000 // of texts in an answer
-	dropMarginMs    = 3000
-	giveUpMargin    = 1500
+	// maxJobTransfers is how many jobs may be on their way to a replica that catches up.
+	maxJobTransfers = 4
+	// maxReadBytes bounds the texts in one reply, unless the first one is longer.
+	maxReadBytes = 800_000
+	// maxPartitions bounds the indices of partitions in messages and records.
+	maxPartitions = 1 << 12
+	// never lies before all times of the steady clock.
+	never int64 = -1 << 60
 )
 
-// core is a store without goroutines, clock, network and disk: each of its methods is one event. All
-// it does to the outside is to append to the disk, send, and reply.
+// core is a store without goroutines, clock, network and disk. Each of its events is one call, and
+// all calls are made by one goroutine (Store.run). All it does to the outside is to append to the
+// disk, to send messages, and to reply to calls. So tests can play whole systems of cores step by
+// step (sim_test.go).
+//
+// Times are in ms on the steady clock of the process, unless a name says otherwise.
 type core struct {
-	self             uint64
-	zone             string
-	maxLost          int // copies that may be lost (f)
-	keep             int64
-	segmentSize      int64 // bytes of a segment of the log; 0: by the room
-	room             int64 // bytes that the log may have; 0: no limit
-	now              int64 // steady, in ms; set before each event
+	self              uint64 // identity of this store
+	zone              string
+	maxLostReplicas   int // f: how many replicas of a partition may be lost at once
+	retentionMs       int64
+	fixedSegmentBytes int64 // size of a segment of the log; 0: by logCapacity
+	logCapacity       int64 // bytes that the log may have; 0: no limit
+	nowMs             int64 // set before each event
+
 	disk             disk
-	fail             func(error)                      // the disk can't be used any more
-	ready            func(part int, epoch uint64)     // the group of the next epoch has all
-	announceStopping func(stopping bool)              // the table is to be told whether this store is about to stop
-	stopping         bool                             // takes no jobs and hands the lead of its parts over
-	handingOver      []*part                          // what it led when it was told to stop
-	logf             func(format string, args ...any) // may be nil
+	onDiskFailure    func(error)                       // the disk can't be used any more
+	reportReady      func(partition int, epoch uint64) // the next group of replicas is up to date
+	announceStopping func(stopping bool)               // the table should say whether this store is about to stop
+	logf             func(format string, args ...any)  // may be nil
 
-	table        *snapshot.PartitionTable
-	config       *operatorconfig.Config
-	parts        []*part
-	peers        map[uint64]Pipe
-	workers      map[Pipe]*worker
-	disconnected map[*worker]int64 // workers whose connection ended, and until when they may come back
-	attached     []*worker         // in the order of their coming
-	open         []*job            // of parts led here, with items to hand out, by due time
-	appended     uint64            // records
-	syncedN      uint64
-	waits        []wait // for a sync
-	sessions     uint64
-	ends         []*ending
-	live         int64           // bytes of jobs that the log must keep
-	liveIn       map[int64]int64 // of them, by segment
-	full         bool            // for want of room no job is taken
-	dead         bool
-	nextWork     int64 // when tick looks at ages next
-}
+	table         *snapshot.PartitionTable
+	config        *operatorconfig.Config
+	partitions    []*partition
+	peers         map[uint64]Pipe // connections to other stores, by identity
+	dispatchQueue []*job          // jobs led here with items left to run, the earliest due first
+	pendingEnds   []*pendingEnd   // ends of jobs that wait for workers
+
+	workers             map[Pipe]*worker
+	attachedWorkers     []*worker         // in the order in which they attached
+	disconnectedWorkers map[*worker]int64 // workers whose connection ended, and until when they may come back
 
-type wait struct {
-	n  uint64
-	fn func()
+	appendedRecords uint64
+	syncedRecords   uint64
+	syncWaiters     []syncWaiter // the oldest first
+	lastSession     uint64       // see replicaProgress.session
+
+	liveBytes          int64           // bytes of jobs that the log must keep
+	liveBytesBySegment map[int64]int64 // the same by the number of the segment
+	logFull            bool            // no job is accepted for want of space
+	diskFailed         bool            // nothing goes on
+
+	stopping          bool         // it accepts no jobs, and others are to lead its partitions
+	transferring      []*partition // the partitions that it led when it began to stop
+	nextMaintenanceMs int64
 }
 
-// part is what a store has of a part.
-type part struct {
-	no       int
-	epoch    uint64 // by the table
-	promised uint64 // the highest ballot that was promised
-	claimB   uint64 // has all that was ordered under ballot claimB up to claimS, and all that was committed before
-	claimS   uint64
-	jobs     map[string]*job
-	session  uint64 // of the primary that this store follows
-	from     Pipe
-	lead     *lead
-	ownerB   map[string]uint64 // by route: the newest owner of its quota that counted here
+// syncWaiter is called when so many records are durable.
+type syncWaiter struct {
+	records  uint64
+	callback func()
 }
 
 func newCore(self uint64, d disk) *core {
-	return &core{self: self, disk: d, peers: map[uint64]Pipe{}, workers: map[Pipe]*worker{}, disconnected: map[*worker]int64{}, liveIn: map[int64]int64{}, keep: 120_000, maxLost: 1,
-		ready: func(int, uint64) {}, announceStopping: func(bool) {}, fail: func(error) {}}
+	return &core{
+		self:                self,
+		disk:                d,
+		maxLostReplicas:     1,
+		retentionMs:         120_000,
+		peers:               map[uint64]Pipe{},
+		workers:             map[Pipe]*worker{},
+		disconnectedWorkers: map[*worker]int64{},
+		liveBytesBySegment:  map[int64]int64{},
+		onDiskFailure:       func(error) {},
+		reportReady:         func(int, uint64) {},
+		announceStopping:    func(bool) {},
+	}
 }
 
 func (c *core) log(format string, args ...any) {
@@ -121,162 +124,79 @@
 	}
 }
 
-func (c *core) part(no int) *part {
-	if no < 0 || no >= 1<<12 {
-		return nil
+// handleMessage is the event of a message. The caller is nil if no reply is awaited.
+func (c *core) handleMessage(pipe Pipe, caller Caller, kind link.Kind, body []byte) {
+	if c.diskFailed {
+		return
 	}
-	for no >= len(c.parts) {
-		c.parts = append(c.parts, &part{no: len(c.parts), jobs: map[string]*job{}, ownerB: map[string]uint64{}})
+	switch {
+	case kind >= kindPrepare:
+		c.handleStoreMessage(pipe, kind, body)
+	case kind >= kindAttachWorker:
+		c.handleWorkerMessage(pipe, kind, body)
+	case caller != nil:
+		c.handleCall(caller, kind, body)
 	}
-	return c.parts[no]
+	c.dispatchItems()
 }
 
-// append writes a record and does to the state what it says.
-func (c *core) append(rec []byte) {
-	if c.dead {
+// appendRecord appends a record to the log and applies it.
+func (c *core) appendRecord(record []byte) {
+	if c.diskFailed {
 		return
 	}
-	at, ok := c.write(rec)
+	offset, ok := c.writeRecord(record)
 	if !ok {
 		return
 	}
-	if err := c.replay(rec, at); err != nil {
+	if err := c.replay(record, offset); err != nil {
 		c.log("a record of our own can't be read: %v", err)
 	}
 }
 
-// write writes a record and tells its place. False: the store can't go on.
-func (c *core) write(rec []byte) (at int64, ok bool) {
-	at, err := c.disk.Append(rec)
+// writeRecord appends a record to the log and returns the offset of its first byte. False: the
+// store can't go on.
+func (c *core) writeRecord(record []byte) (offset int64, ok bool) {
+	offset, err := c.disk.Append(record)
 	if err != nil {
-		c.failed(err)
+		c.failDisk(err)
 		return 0, false
 	}
-	c.appended++
-	return at, true
+	c.appendedRecords++
+	return offset, true
 }
 
-// failed ends the store: its disk can't be used any more.
-func (c *core) failed(err error) {
-	c.dead = true
-	c.fail(err)
+// failDisk ends the store, as its disk can't be used any more.
+func (c *core) failDisk(err error) {
+	c.diskFailed = true
+	c.onDiskFailure(err)
 }
 
-// afterSync calls when all that was appended until now is durable.
-func (c *core) afterSync(fn func()) {
-	if c.syncedN >= c.appended {
-		fn()
+// afterSync calls back once all that has been appended until now is durable.
+func (c *core) afterSync(callback func()) {
+	if c.syncedRecords >= c.appendedRecords {
+		callback()
 		return
 	}
-	c.waits = append(c.waits, wait{c.appended, fn})
+	c.syncWaiters = append(c.syncWaiters, syncWaiter{c.appendedRecords, callback})
 }
 
-// synced is the event that so many records are durable.
-func (c *core) synced(n uint64) {
-	c.syncedN = max(c.syncedN, n)
-	for len(c.waits) > 0 && c.waits[0].n <= c.syncedN {
-		fn := c.waits[0].fn
-		c.waits = c.waits[1:]
-		fn()
+// recordsSynced is the event that so many records are durable.
+func (c *core) recordsSynced(records uint64) {
+	c.syncedRecords = max(c.syncedRecords, records)
+	for len(c.syncWaiters) > 0 && c.syncWaiters[0].records <= c.syncedRecords {
+		callback := c.syncWaiters[0].callback
+		c.syncWaiters = c.syncWaiters[1:]
+		callback()
 	}
 }
 
-func sortedKeys[V any](m map[string]V) []string {
-	keys := make([]string, 0, len(m))
+// sortedKeys are the keys of a map in ascending order, so that events have the same effects in each run.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
+	keys := make([]K, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
 	return keys
 }
-
-// tick is the event that time has passed.
-func (c *core) tick() {
-	if c.dead || c.table == nil {
-		return
-	}
-	c.takeBackFromLost()
-	c.ends = slices.DeleteFunc(c.ends, func(e *ending) bool {
-		if c.now < e.deadline {
-			return false
-		}
-		e.reply()
-		return true
-	})
-	for _, p := range c.parts {
-		l := p.lead
-		if l == nil {
-			continue
-		}
-		readers := l.readers
-		l.readers = nil
-		for _, r := range readers {
-			if c.now >= r.sureBy {
-				r.from.Reply([]byte{codeUnavailable})
-			} else {
-				l.readers = append(l.readers, r)
-			}
-		}
-		if len(l.readers) > 0 {
-			c.confirm(p)
-		}
-	}
-	c.quotaTick()
-	if c.now >= c.nextWork {
-		c.nextWork = c.now + 500
-		c.setFigures()
-		c.checkStopping()
-		c.ages()
-		c.keepSpace()
-	}
-	for _, p := range c.parts {
-		if p.lead == nil {
-			continue
-		}
-		var due []string
-		for id, j := range p.jobs {
-			if slices.ContainsFunc(j.readers, func(r reader) bool { return c.now >= r.deadline }) {
-				due = append(due, id)
-			}
-		}
-		slices.Sort(due)
-		for _, id := range due {
-			if j := p.jobs[id]; j != nil && p.lead != nil {
-				c.wakeReaders(p, j)
-			}
-		}
-	}
-	c.dispatch()
-}
-
-// busy tells whether somebody waits for a time to come.
-func (c *core) busy() bool {
-	if len(c.ends)+len(c.disconnected) > 0 {
-		return true
-	}
-	for _, p := range c.parts {
-		l := p.lead
-		if l == nil {
-			continue
-		}
-		if len(l.readers)+len(l.reserves) > 0 || l.active && c.now < l.handAt {
-			return true
-		}
-		for _, a := range l.accts {
-			if len(a.held) > 0 {
-				return true
-			}
-		}
-		for _, u := range l.usage {
-			if u.changed {
-				return true
-			}
-		}
-	}
-	for _, j := range c.open {
-		if len(j.readers) > 0 {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -5,131 +5,163 @@
 	"slices"
 )
 
-// Items are handed out to workers.
+// Items are assigned to workers: those of the job that is due first, to the worker with the most
+// free slots, in the own zone first.
 
-// enqueue puts a job among those with items to hand out.
-func (c *core) enqueue(j *job) {
+// enqueueJob puts a job into the dispatch queue, unless it has no items left to run.
+func (c *core) enqueueJob(j *job) {
 	if j.ended || j.queued {
 		return
 	}
-	j.waiting, j.next = 0, 0
+	j.waitingItems, j.firstWaiting = 0, 0
 	for i := range j.items {
 		if j.items[i].state == itemWaiting {
-			j.waiting++
+			j.waitingItems++
 		}
 	}
-	if len(j.results) == len(j.items) {
+	if j.isComplete() {
 		return
 	}
 	j.queued = true
-	at, _ := slices.BinarySearchFunc(c.open, j, compareDue)
-	c.open = slices.Insert(c.open, at, j)
+	at, _ := slices.BinarySearchFunc(c.dispatchQueue, j, compareDue)
+	c.dispatchQueue = slices.Insert(c.dispatchQueue, at, j)
 }
 
 // dueAt is when the results of a job are due, on the steady clock of this store.
-func (j *job) dueAt() int64 { return j.knownSince + j.dueMs }
+func (j *job) dueAt() int64 { return j.knownSinceMs + j.dueMs }
 
-// dueTimeOfDay is when the results of a job are due by the clock of the edge that took it.
+// dueTimeOfDay is when the results of a job are due by the clock of the proxy that accepted it, in
+// ms since 1970.
 func (j *job) dueTimeOfDay() int64 { return j.sentMs + j.dueMs }
 
-// compareDue orders jobs by when they are due. The time of day only decides among jobs that became known here at once, as
-// those that are read from the log at a start.
+// compareDue orders jobs by when they are due. The time of day only decides among jobs that became
+// known here at the same moment, as those that are read from the log at a start.
 func compareDue(a, b *job) int {
-	return cmp.Or(cmp.Compare(a.dueAt(), b.dueAt()), cmp.Compare(a.dueTimeOfDay(), b.dueTimeOfDay()), cmp.Compare(a.id, b.id))
+	return cmp.Or(
+		cmp.Compare(a.dueAt(), b.dueAt()),
+		cmp.Compare(a.dueTimeOfDay(), b.dueTimeOfDay()),
+		cmp.Compare(a.id, b.id),
+	)
 }
 
-// dispatch hands out items: earliest due first, to the workers with most room, those of the own zone first.
-func (c *core) dispatch() {
-	if len(c.open) == 0 || len(c.attached) == 0 {
+// dispatchItems assigns items until no worker has a free slot.
+func (c *core) dispatchItems() {
+	if len(c.dispatchQueue) == 0 || len(c.attachedWorkers) == 0 {
 		return
 	}
-	c.open = slices.DeleteFunc(c.open, func(j *job) bool {
-		if j.dropping || j.ended || !j.queued || len(j.results) == len(j.items) {
+	c.dispatchQueue = slices.DeleteFunc(c.dispatchQueue, func(j *job) bool {
+		if j.dropped || j.ended || !j.queued || j.isComplete() {
 			j.queued = false
 			return true
 		}
 		return false
 	})
-	for _, j := range c.open {
-		if j.waiting == 0 {
+	for _, j := range c.dispatchQueue {
+		if j.waitingItems == 0 {
 			continue
 		}
-		p := c.part(c.table.PartitionOf(j.id))
-		if p.lead == nil || !p.lead.active || c.now < p.lead.handAt {
+		p := c.partition(c.table.PartitionOf(j.id))
+		if !c.mayDispatch(p) {
 			continue
 		}
-		if !c.sure(p.lead) {
-			if p.lead.asked+100 < c.now {
-				c.confirm(p)
-			}
-			if !c.sure(p.lead) {
-				continue
-			}
+		if !c.dispatchJob(p, j) {
+			return
 		}
-		for i := j.next; i < len(j.items); i++ {
-			if j.items[i].state != itemWaiting {
-				if i == j.next {
-					j.next++
-				}
-				continue
-			}
-			w := c.pick()
-			if w == nil {
-				return
+	}
+}
+
+// mayDispatch reports whether items of a partition may be assigned: its primary is this store, and
+// that is confirmed.
+func (c *core) mayDispatch(p *partition) bool {
+	primary := p.primary
+	if primary == nil || !primary.serving || c.nowMs < primary.dispatchFrom {
+		return false
+	}
+	if !c.isConfirmed(primary) && primary.confirmationRequestedAt+dispatchConfirmMs < c.nowMs {
+		c.requestConfirmations(p)
+	}
+	return c.isConfirmed(primary)
+}
+
+// dispatchJob assigns the waiting items of a job. False: no worker has a free slot.
+func (c *core) dispatchJob(p *partition, j *job) bool {
+	for index := j.firstWaiting; index < len(j.items); index++ {
+		if j.items[index].state != itemWaiting {
+			if index == j.firstWaiting {
+				j.firstWaiting++
 			}
-			c.give(p, j, i, w)
+			continue
+		}
+		w := c.pickWorker()
+		if w == nil {
+			return false
 		}
+		c.assignItem(p, j, index, w)
 	}
+	return true
 }
 
-func (c *core) pick() (best *worker) {
-	for _, w := range c.attached {
-		free := w.limit - len(w.held)
-		if free <= 0 {
+// pickWorker is the worker that gets the next item; nil: none has a free slot.
+func (c *core) pickWorker() (best *worker) {
+	for _, w := range c.attachedWorkers {
+		if w.freeSlots() <= 0 {
 			continue
 		}
-		if best == nil || (w.zone == c.zone) != (best.zone == c.zone) {
-			if best == nil || w.zone == c.zone {
+		switch {
+		case best == nil:
+			best = w
+		case (w.zone == c.zone) != (best.zone == c.zone):
+			if w.zone == c.zone {
 				best = w
 			}
-			continue
-		}
-		if free > best.limit-len(best.held) {
+		case w.freeSlots() > best.freeSlots():
 			best = w
 		}
 	}
 	return best
 }
 
-func (c *core) give(p *part, j *job, no int, w *worker) {
-	it := &j.items[no]
-	seg, err := c.segment(j, no)
+// assignItem assigns an item to a worker and sends it. An item that can't be read stays.
+func (c *core) assignItem(p *partition, j *job, index int, w *worker) {
+	it := &j.items[index]
+	request, err := c.itemRequest(j, index)
 	if err != nil {
 		c.log("reading an item of job %s: %v", j.id, err)
 		return
 	}
-	c.hand(p, j, no, w)
-	message := giveMessage{key: itemKey{p.no, j.id, no}, epoch: p.epoch, dueMs: j.dueTimeOfDay(), tries: j.tries, route: j.route,
-		host: j.host, itemID: it.id, tokens: it.tokens, segment: seg, leftMs: j.dueAt() - c.now}
-	_ = w.pipe.Send(kGive, message.encode())
+	c.markAssigned(p, j, index, w)
+	message := assignMessage{
+		item:        itemKey{p.index, j.id, index},
+		epoch:       p.epoch,
+		dueMs:       j.dueTimeOfDay(),
+		maxAttempts: j.maxAttempts,
+		route:       j.route,
+		host:        j.host,
+		itemID:      it.id,
+		tokens:      it.tokens,
+		request:     request,
+		remainingMs: j.dueAt() - c.nowMs,
+	}
+	_ = w.pipe.Send(kindAssignItem, message.encode())
 }
 
-func (c *core) hand(p *part, j *job, no int, w *worker) {
-	j.items[no].state, j.items[no].by = itemHanded, w
-	j.waiting--
-	w.held[itemKey{p.no, j.id, no}] = true
+// markAssigned notes that a worker has an item.
+func (c *core) markAssigned(p *partition, j *job, index int, w *worker) {
+	j.items[index].state, j.items[index].worker = itemAssigned, w
+	j.waitingItems--
+	w.assigned[itemKey{p.index, j.id, index}] = true
 }
 
-// takeBack makes an item that a worker had in hand wait again.
-func (c *core) takeBack(w *worker, k itemKey) {
-	delete(w.held, k)
-	j := c.part(k.part).jobs[k.job]
-	if j == nil || k.item < 0 || k.item >= len(j.items) {
+// unassignItem makes an item that was assigned to a worker wait again.
+func (c *core) unassignItem(w *worker, key itemKey) {
+	delete(w.assigned, key)
+	j := c.partition(key.partition).jobs[key.jobID]
+	if j == nil || !j.hasItem(key.index) {
 		return
 	}
-	if it := &j.items[k.item]; it.state == itemHanded && it.by == w {
-		it.state, it.by = itemWaiting, nil
-		j.waiting++
-		j.next = min(j.next, k.item)
+	if it := &j.items[key.index]; it.state == itemAssigned && it.worker == w {
+		it.state, it.worker = itemWaiting, nil
+		j.waitingItems++
+		j.firstWaiting = min(j.firstWaiting, key.index)
 	}
 }
--- a/internal/batch/due_test.go
+++ b/internal/batch/due_test.go
@@ -27,15 +27,15 @@
 // giveAll attaches a worker to a store, and returns the items that it is handed.
 func (g *scaleRig) giveAll(c *core) (given [][]byte) {
 	worker := g.connect(func(_ *scaleEnd, kind link.Kind, body []byte) {
-		if kind == kGive {
+		if kind == kindAssignItem {
 			given = append(given, slices.Clone(body))
 		}
-	}, func(e *scaleEnd, kind link.Kind, body []byte) { c.message(e, nil, kind, body) })
+	}, func(e *scaleEnd, kind link.Kind, body []byte) { c.handleMessage(e, nil, kind, body) })
 	var attach link.Writer
 	attach.String("worker")
 	attach.String("z0")
 	attach.Int(100)
-	_ = worker.Send(kAttach, attach.B)
+	_ = worker.Send(kindAttachWorker, attach.B)
 	for range 100 {
 		g.now += 1000
 		g.settle()
@@ -75,9 +75,9 @@
 // dueRunner takes note of when the items it is to run are due.
 type dueRunner chan time.Time
 
-func (r dueRunner) Run(_ context.Context, item *Item, _ string, _ func(string, []byte)) Result {
+func (r dueRunner) Run(_ context.Context, item *Item, _ string, _ func(string, []byte)) RunResult {
 	r <- item.Due
-	return Result{End: Never}
+	return RunResult{End: RunImpossible}
 }
 
 // workerDue is when an item that a worker is handed is due by the worker's word.
@@ -95,8 +95,8 @@
 	}
 	defer conn.Close()
 	runner := make(dueRunner, 1)
-	worker := newWorkerSide(&Edge{o: EdgeOptions{Runner: runner}})
-	worker.message(0, &link.Message{Conn: conn, Kind: kGive, Body: body})
+	worker := newItemRunner(ProxyOptions{Runner: runner})
+	worker.handleMessage(&link.Message{Conn: conn, Kind: kindAssignItem, Body: body})
 	select {
 	case due := <-runner:
 		return due
@@ -131,8 +131,8 @@
 // TestGiveOfAnOlderVersion: a store of a version that does not tell the time left tells the time of day.
 func TestGiveOfAnOlderVersion(t *testing.T) {
 	due := time.Now().Add(time.Hour).Truncate(time.Millisecond)
-	message := giveMessage{key: itemKey{1, "job", 2}, epoch: 3, dueMs: due.UnixMilli(), tries: 4, route: "r", host: "h", itemID: "id",
-		tokens: 5, segment: encodeSegment("/x", nil, []byte("body")), leftMs: 60_000}
+	message := assignMessage{item: itemKey{1, "job", 2}, epoch: 3, dueMs: due.UnixMilli(), maxAttempts: 4, route: "r", host: "h", itemID: "id",
+		tokens: 5, request: encodeRequest("/x", nil, []byte("body")), remainingMs: 60_000}
 	body := message.encode()
 	if got := time.Until(workerDue(t, body)); got > time.Minute {
 		t.Errorf("due in %v by the time left", got)
@@ -141,8 +141,8 @@
 	if got := workerDue(t, older); !got.Equal(due) {
 		t.Errorf("due at %v, should be %v", got, due)
 	}
-	decoded, err := decodeGive(older)
-	if err != nil || decoded.hasLeft || decoded.key != message.key || decoded.epoch != 3 || decoded.tries != 4 || decoded.itemID != "id" || decoded.tokens != 5 {
+	decoded, err := decodeAssignMessage(older)
+	if err != nil || decoded.hasRemaining || decoded.item != message.item || decoded.epoch != 3 || decoded.maxAttempts != 4 || decoded.itemID != "id" || decoded.tokens != 5 {
 		t.Errorf("%+v, %v", decoded, err)
 	}
 }
@@ -151,10 +151,10 @@
 // an older version, it counts from when it came.
 func TestJobsTakeTheirAgeAlong(t *testing.T) {
 	donor := newCore(1, &simDisk{})
-	donor.now = 1000
-	donor.append(append(encodeRec(recOp, 3, ballotOf(1)+1, 1), append([]byte{opAccept}, scaleLot("job", 1, hourMs)...)...))
-	donor.now = 5000
-	whole, err := donor.whole(donor.part(3).jobs["job"])
+	donor.nowMs = 1000
+	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, scaleLot("job", 1, hourMs)...)...))
+	donor.nowMs = 5000
+	whole, err := donor.encodeWholeJob(donor.partition(3).jobs["job"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,15 +165,15 @@
 	}{{"with its age", whole, 4000}, {"without", whole[:len(whole)-8], 0}} {
 		log := &simDisk{}
 		receiver, restarted := newCore(2, log), newCore(2, log)
-		receiver.now, restarted.now = 70_000, 10
-		record := append(encodeRec(recPut, 3), c.whole...)
-		receiver.append(record)
+		receiver.nowMs, restarted.nowMs = 70_000, 10
+		record := append(encodeRecord(recordJob, 3), c.whole...)
+		receiver.appendRecord(record)
 		if err := restarted.replay(record, 0); err != nil {
 			t.Fatal(err)
 		}
 		for _, at := range []*core{receiver, restarted} {
-			if j := at.part(3).jobs["job"]; j == nil || at.now-j.knownSince != c.age {
-				t.Errorf("%s: %+v at %d", c.name, j, at.now)
+			if j := at.partition(3).jobs["job"]; j == nil || at.nowMs-j.knownSinceMs != c.age {
+				t.Errorf("%s: %+v at %d", c.name, j, at.nowMs)
 			}
 		}
 	}
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -58,28 +58,28 @@
 // copy and is not acknowledged; the answer tells of the newer ballot.
 func TestCopiesRefuseAReplacedPrimary(t *testing.T) {
 	g, part, old, successor, third := replacedPrimary(t)
-	ballot := old.part(part).lead.ballot
+	ballot := old.partition(part).primary.term
 	g.step(1000)
-	if successor.part(part).lead == nil || !successor.part(part).lead.active {
+	if successor.partition(part).primary == nil || !successor.partition(part).primary.serving {
 		t.Fatal("the successor does not lead")
 	}
-	p := third.part(part)
+	p := third.partition(part)
 	for kind, body := range map[link.Kind][]byte{
-		kAsk:     numbers(part, ballot, 7),
-		kPut:     append(numbers(part, ballot, p.session), 1, 2, 3),
-		kMark:    numbers(part, ballot, p.session, 99),
-		kOp:      append(numbers(part, ballot, p.session, p.claimS+1), encodeNamed(opEnd, "job")...),
-		kFetch:   append(numbers(part, ballot), 0, 0, 0, 0),
-		kConfirm: numbers(part, ballot, 1),
+		kindPrepare:    numbers(part, ballot, 7),
+		kindInstallJob: append(numbers(part, ballot, p.session), 1, 2, 3),
+		kindStartTerm:  numbers(part, ballot, p.session, 99),
+		kindOperation:  append(numbers(part, ballot, p.session, p.position.sequence+1), encodeJobOperation(opEndJob, "job")...),
+		kindFetchJob:   append(numbers(part, ballot), 0, 0, 0, 0),
+		kindConfirm:    numbers(part, ballot, 1),
 	} {
 		pipe := &sentPipe{}
-		claimB, claimS, promised, appended := p.claimB, p.claimS, p.promised, third.appended
-		third.storeMessage(pipe, kind, body)
-		third.synced(third.appended)
-		if p.claimB != claimB || p.claimS != claimS || p.promised != promised || third.appended != appended || p.jobs["job"].ended {
+		claimB, claimS, promised, appended := p.position.term, p.position.sequence, p.promisedTerm, third.appendedRecords
+		third.handleStoreMessage(pipe, kind, body)
+		third.recordsSynced(third.appendedRecords)
+		if p.position.term != claimB || p.position.sequence != claimS || p.promisedTerm != promised || third.appendedRecords != appended || p.jobs["job"].ended {
 			t.Errorf("kind %d of an old ballot changed a copy", kind)
 		}
-		if !slices.Equal(pipe.kinds, []link.Kind{kStale}) {
+		if !slices.Equal(pipe.kinds, []link.Kind{kindStaleTerm}) {
 			t.Errorf("kind %d of an old ballot was answered with %v", kind, pipe.kinds)
 		}
 	}
@@ -90,21 +90,21 @@
 func TestAReplacedPrimaryPromisesNothing(t *testing.T) {
 	g, part, old, successor, _ := replacedPrimary(t)
 	g.step(1000)
-	if l := old.part(part).lead; l != nil && old.sure(l) {
+	if l := old.partition(part).primary; l != nil && old.isConfirmed(l) {
 		t.Error("it is sure to lead")
 	}
 	for kind, body := range map[link.Kind][]byte{
-		kAccept: scaleLot("job", 2, 0), kEnd: encodeNamed(0, "job")[1:],
-		kRead: func() []byte { var w link.Writer; w.String("job"); w.Int(0); w.Int(0); return w.B }(),
+		kindAcceptJob: scaleLot("job", 2, 0), kindEndJob: encodeJobOperation(0, "job")[1:],
+		kindReadResults: func() []byte { var w link.Writer; w.String("job"); w.Int(0); w.Int(0); return w.B }(),
 	} {
 		var code uint8
-		old.message(nil, replied(func(b []byte) { code = b[0] }), kind, body)
+		old.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kind, body)
 		g.step(1500)
 		if code != codeUnavailable {
 			t.Errorf("kind %d: answered %d", kind, code)
 		}
 	}
-	if successor.part(part).jobs["job"].ended {
+	if successor.partition(part).jobs["job"].ended {
 		t.Error("an end that a replaced primary ordered is in force")
 	}
 }
@@ -116,11 +116,11 @@
 	g.accept(t, "job", 2)
 	no, store := g.cores[0].quotaOwner("b")
 	owner := g.cores[store-1]
-	account := owner.part(no).lead.accts["b"]
+	account := owner.partition(no).primary.accounts["b"]
 	part := g.cores[0].table.PartitionOf("job")
 	c := g.cores[g.cores[0].table.Partitions[part].Primary-1]
-	p := c.part(part)
-	share := account.shares[part]
+	p := c.partition(part)
+	share := account.usage[part]
 	before, grants := *share, len(share.grants)
 
 	usage := func(life uint64) []byte {
@@ -134,35 +134,35 @@
 		w.U64(1 << 40)
 		return w.B
 	}
-	owner.storeMessage(&sentPipe{}, kUsage, usage(p.lead.life-1))
-	if now := account.shares[part]; now.life != before.life || now.tokens != before.tokens {
+	owner.handleStoreMessage(&sentPipe{}, kindUsageReport, usage(p.primary.incarnation-1))
+	if now := account.usage[part]; now.incarnation != before.incarnation || now.tokens != before.tokens {
 		t.Errorf("a report of an old life counts: %+v, before %+v", now, before)
 	}
 	var ask link.Writer
 	ask.String("b")
 	ask.U32(uint32(part))
-	ask.U64(p.lead.life - 1)
+	ask.U64(p.primary.incarnation - 1)
 	ask.U64(1 << 30)
 	ask.Int(5)
 	ask.Int(1 << 30)
 	pipe := &sentPipe{}
-	owner.storeMessage(pipe, kReserve, ask.B)
-	if len(pipe.kinds) != 0 || len(account.shares[part].grants) != grants {
+	owner.handleStoreMessage(pipe, kindReserveTokens, ask.B)
+	if len(pipe.kinds) != 0 || len(account.usage[part].grants) != grants {
 		t.Errorf("a reservation of an old life was answered: %v", pipe.kinds)
 	}
 
-	in := &incoming{id: "new", route: "b", tokens: 1, most: 10, enc: scaleLot("new", 1, 0)}
-	p.lead.incoming["new"] = in
-	p.lead.reserves[77] = &reserve{route: "b", number: 77, in: in, deadline: c.now + 10_000, sent: true}
+	in := &incomingJob{id: "new", route: "b", tokens: 1, maxTokens: 10, encoded: scaleLot("new", 1, 0)}
+	p.primary.incomingJobs["new"] = in
+	p.primary.reservations[77] = &reservation{route: "b", number: 77, job: in, deadline: c.nowMs + 10_000, sent: true}
 	var grant link.Writer
 	grant.String("b")
 	grant.U32(uint32(part))
-	grant.U64(p.lead.life)
+	grant.U64(p.primary.incarnation)
 	grant.U64(77)
 	grant.U8(codeOK)
-	grant.U64(p.ownerB["b"] - 1)
-	c.storeMessage(&sentPipe{}, kGrant, grant.B)
-	if p.jobs["new"] != nil || p.lead.reserves[77] == nil {
+	grant.U64(p.quotaOwnerIncarnations["b"] - 1)
+	c.handleStoreMessage(&sentPipe{}, kindReservationReply, grant.B)
+	if p.jobs["new"] != nil || p.primary.reservations[77] == nil {
 		t.Error("a grant of an old owner was used")
 	}
 }
@@ -172,24 +172,24 @@
 func TestHalfATransferIsNoCopy(t *testing.T) {
 	log := &simDisk{}
 	c := newCore(9, log)
-	c.append(encodeRec(recID, 0, 9))
-	c.append(encodeRec(recMark, 3, ballotOf(1)+1, 4))
+	c.appendRecord(encodeRecord(recordIdentity, 0, 9))
+	c.appendRecord(encodeRecord(recordTermStart, 3, firstTerm(1)+1, 4))
 	primary := &sentPipe{}
-	c.storeMessage(primary, kAsk, numbers(3, ballotOf(2)+1, 5))
-	c.synced(c.appended)
+	c.handleStoreMessage(primary, kindPrepare, numbers(3, firstTerm(2)+1, 5))
+	c.recordsSynced(c.appendedRecords)
 	donor := newCore(1, &simDisk{})
-	donor.append(append(encodeRec(recOp, 3, ballotOf(1)+1, 1), append([]byte{opAccept}, scaleLot("job", 1, 0)...)...))
-	whole, err := donor.whole(donor.part(3).jobs["job"])
+	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, scaleLot("job", 1, 0)...)...))
+	whole, err := donor.encodeWholeJob(donor.partition(3).jobs["job"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.storeMessage(primary, kPut, append(numbers(3, ballotOf(2)+1, 5), whole...))
+	c.handleStoreMessage(primary, kindInstallJob, append(numbers(3, firstTerm(2)+1, 5), whole...))
 	for _, what := range []string{"while it comes", "after a restart"} {
-		p := c.part(3)
-		if p.claimB != ballotOf(1)+1 || p.claimS != 4 {
-			t.Errorf("%s: the claim is (%x, %d)", what, p.claimB, p.claimS)
+		p := c.partition(3)
+		if p.position.term != firstTerm(1)+1 || p.position.sequence != 4 {
+			t.Errorf("%s: the claim is (%x, %d)", what, p.position.term, p.position.sequence)
 		}
-		if p.lead != nil {
+		if p.primary != nil {
 			t.Errorf("%s: it leads", what)
 		}
 		again := newCore(0, log)
@@ -215,28 +215,28 @@
 	for name, id := range map[string]uint64{"an old disk": old.self, "an empty disk": 99} {
 		c := newCore(id, &simDisk{})
 		if id == old.self {
-			c.append(encodeRec(recPromise, part, old.part(part).promised))
-			c.append(append(encodeRec(recOp, part, ballotOf(1)+1, 1), append([]byte{opAccept}, scaleLot("job", 2, 0)...)...))
+			c.appendRecord(encodeRecord(recordPromise, part, old.partition(part).promisedTerm))
+			c.appendRecord(append(encodeRecord(recordOperation, part, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, scaleLot("job", 2, 0)...)...))
 		}
-		c.now = 10_000
+		c.nowMs = 10_000
 		c.setTable(oldTable) // a keeper that lags may hand out an old table
-		c.synced(c.appended)
+		c.recordsSynced(c.appendedRecords)
 		worker := &sentPipe{}
 		var attach link.Writer
 		attach.String("w")
 		attach.String("z0")
 		attach.Int(5)
-		c.message(worker, nil, kAttach, attach.B)
+		c.handleMessage(worker, nil, kindAttachWorker, attach.B)
 		for range 100 {
-			c.now += 25
+			c.nowMs += 25
 			c.tick()
 		}
-		if p := c.part(part); p.lead != nil && p.lead.active {
+		if p := c.partition(part); p.primary != nil && p.primary.serving {
 			t.Errorf("%s: it leads alone", name)
 		}
 		var code uint8
-		c.message(nil, replied(func(b []byte) { code = b[0] }), kAccept, scaleLot("job", 2, 0))
-		if code != codeUnavailable || slices.Contains(worker.kinds, kGive) {
+		c.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kindAcceptJob, scaleLot("job", 2, 0))
+		if code != codeUnavailable || slices.Contains(worker.kinds, kindAssignItem) {
 			t.Errorf("%s: answered %d, sent %v", name, code, worker.kinds)
 		}
 	}
@@ -252,7 +252,7 @@
 			t.Fatal(err)
 		}
 		for range 3 {
-			at, err := log.Append(encodeRec(recPromise, 1, 5))
+			at, err := log.Append(encodeRecord(recordPromise, 1, 5))
 			if err == nil {
 				err = log.SyncTo(at)
 			}
@@ -311,10 +311,10 @@
 		return c
 	}
 	old, successor := dial(), dial()
-	w := newWorkerSide(&Edge{})
-	inHand := &running{key: itemKey{0, "job", 0}, item: &Item{}, cancel: func() { t.Error("an item in hand was given up") }}
-	w.jobs[inHand.key] = inHand
-	w.parts[0] = &holding{conn: successor, epoch: 2, noted: true}
+	w := newItemRunner(ProxyOptions{})
+	inHand := &runningItem{key: itemKey{0, "job", 0}, item: &Item{}, cancel: func() { t.Error("an item in hand was given up") }}
+	w.running[inHand.key] = inHand
+	w.contacts[0] = &primaryContact{conn: successor, epoch: 2, runningNoted: true}
 
 	var give link.Writer
 	give.U32(0)
@@ -327,17 +327,17 @@
 		give.String("x")
 	}
 	give.Int(1)
-	give.Bytes(encodeSegment("/b/x", nil, nil))
+	give.Bytes(encodeRequest("/b/x", nil, nil))
 	var cancel link.Writer
 	cancel.U32(0)
 	cancel.String("job")
-	w.message(0, &link.Message{Conn: old, Kind: kCancel, Body: cancel.B})
-	w.message(0, &link.Message{Conn: old, Kind: kUnsure, Body: numbers(0)})
-	w.message(0, &link.Message{Conn: old, Kind: kGive, Body: give.B})
-	if got := <-sent; got != kPutBack {
+	w.handleMessage(&link.Message{Conn: old, Kind: kindCancelJob, Body: cancel.B})
+	w.handleMessage(&link.Message{Conn: old, Kind: kindPauseStarts, Body: numbers(0)})
+	w.handleMessage(&link.Message{Conn: old, Kind: kindAssignItem, Body: give.B})
+	if got := <-sent; got != kindReturnItem {
 		t.Errorf("answered with kind %d", got)
 	}
-	if len(w.jobs) != 1 || w.parts[0].unsure || w.parts[0].conn != successor {
-		t.Errorf("it holds %d items, is held back: %v", len(w.jobs), w.parts[0].unsure)
+	if len(w.running) != 1 || w.contacts[0].startsPaused || w.contacts[0].conn != successor {
+		t.Errorf("it holds %d items, is held back: %v", len(w.running), w.contacts[0].startsPaused)
 	}
 }
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -86,16 +86,16 @@
 
 // TestGoldenKinds fixes the numbers of the kinds of messages and of the codes, operations and records.
 func TestGoldenKinds(t *testing.T) {
-	kinds := []link.Kind{kHello, kAccept, kRead, kBody, kEnd, kAttach, kHold, kHeld, kUnsure, kGive, kResult, kListed, kCancel,
-		kCancelled, kPutBack, kAsk, kHave, kFetch, kWhole, kPut, kPutAck, kMark, kOp, kAck, kStale, kConfirm, kConfirmed, kReserve,
-		kGrant, kUsage, kUsageAsk}
+	kinds := []link.Kind{kindHello, kindAcceptJob, kindReadResults, kindReadItemBody, kindEndJob, kindAttachWorker, kindReportRunning, kindRunningNoted, kindPauseStarts, kindAssignItem, kindItemResult, kindResultStored, kindCancelJob,
+		kindJobCancelled, kindReturnItem, kindPrepare, kindPromise, kindFetchJob, kindJobContents, kindInstallJob, kindJobInstalled, kindStartTerm, kindOperation, kindOperationAck, kindStaleTerm, kindConfirm, kindConfirmed, kindReserveTokens,
+		kindReservationReply, kindUsageReport, kindUsageRequest}
 	for i, kind := range kinds {
 		if kind != link.Kind(100+i) {
 			t.Errorf("kind %d of the list is %d, want %d", i, kind, 100+i)
 		}
 	}
-	bytesOf := []uint8{codeOK, codeNone, codeFull, codeUnavailable, codeUnknown, codeNoRoom, opAccept, opList, opEnd, opDrop,
-		recID, recPromise, recMark, recOp, recPut}
+	bytesOf := []uint8{codeOK, codeNotFound, codeQuotaFull, codeUnavailable, codeUnknown, codeLogFull, opAcceptJob, opAddResult, opEndJob, opDropJob,
+		recordIdentity, recordPromise, recordTermStart, recordOperation, recordJob}
 	if want := []uint8{1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 1, 2, 3, 4, 5}; !bytes.Equal(bytesOf, want) {
 		t.Errorf("codes, operations and records are %v, want %v", bytesOf, want)
 	}
@@ -110,8 +110,8 @@
 // goldenJob is a job whose fields all have values of their own.
 func goldenJob() *Job {
 	return &Job{
-		ID: goldenJobID, Route: "nightly", Host: "batch.example", PathStart: "/bulk/", SentMs: 1_700_000_000_101, DueMs: 60_102, Tries: 3,
-		MaxWaitMs: 600_104, MaxQueued: 90_105, Version: 106,
+		ID: goldenJobID, Route: "nightly", Host: "batch.example", PathPrefix: "/bulk/", SentMs: 1_700_000_000_101, DueMs: 60_102, MaxAttempts: 3,
+		MaxWaitMs: 600_104, MaxQueuedTokens: 90_105, ConfigVersion: 106,
 		Items: []JobItem{
 			{ID: "item-a", Path: "/bulk/a", Headers: [][2]string{{"Accept", "text/event-stream"}, {"X-Kind", "renewal"}}, Body: []byte("body of a"), Tokens: 207},
 			{ID: "item-b", Path: "/bulk/b", Headers: [][2]string{{"X-Other", "review"}}, Body: []byte{0, 1, 0xfe, 0xff}, Tokens: 308},
@@ -126,11 +126,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := Job{ID: j.id, Route: j.route, Host: j.host, PathStart: j.pathStart, SentMs: j.sentMs, DueMs: j.dueMs, Tries: j.tries,
-		MaxWaitMs: j.maxWaitMs, MaxQueued: j.maxQueued, Version: j.version}
+	again := Job{ID: j.id, Route: j.route, Host: j.host, PathPrefix: j.pathPrefix, SentMs: j.sentMs, DueMs: j.dueMs, MaxAttempts: j.maxAttempts,
+		MaxWaitMs: j.maxWaitMs, MaxQueuedTokens: j.maxQueuedTokens, ConfigVersion: j.configVersion}
 	for i := range j.items {
 		it := &j.items[i]
-		path, headers, body, err := decodeSegment(enc[it.off : it.off+it.n])
+		path, headers, body, err := decodeRequest(enc[it.offset : it.offset+it.length])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,7 +143,7 @@
 func TestGoldenJob(t *testing.T) {
 	enc := golden(t, "call-accept.bin", goldenJob().encode())
 	golden(t, "call-accept.bin", encodedAgain(t, enc))
-	golden(t, "item-segment.bin", encodeSegment("/bulk/a", [][2]string{{"Accept", "text/event-stream"}, {"X-Kind", "renewal"}}, []byte("body of a")))
+	golden(t, "item-segment.bin", encodeRequest("/bulk/a", [][2]string{{"Accept", "text/event-stream"}, {"X-Kind", "renewal"}}, []byte("body of a")))
 }
 
 // goldenTable has six parts; all but the one of the tests are led by owner.
@@ -162,14 +162,14 @@
 // goldenCore is a store with an empty disk, without a limit of room and with a table.
 func goldenCore(id, primary, owner uint64) *core {
 	c := newCore(id, &simDisk{})
-	c.now = 50_001
+	c.nowMs = 50_001
 	c.zone = "zone-a"
 	c.table = goldenTable(primary, owner)
 	return c
 }
 
 // sync makes all that was appended durable.
-func syncAll(c *core) { c.synced(c.appended) }
+func syncAll(c *core) { c.recordsSynced(c.appendedRecords) }
 
 // lastRecord is the newest record of a store's disk.
 func lastRecord(t *testing.T, c *core) []byte {
@@ -204,43 +204,43 @@
 	leader, follower, joiner := goldenCore(leaderID, leaderID, leaderID), goldenCore(followerID, leaderID, leaderID), goldenCore(joinerID, leaderID, leaderID)
 	toFollower, toJoiner, fromFollower, fromJoiner := &goldenPipe{}, &goldenPipe{}, &goldenPipe{}, &goldenPipe{}
 	leader.peers[followerID], leader.peers[joinerID] = toFollower, toJoiner
-	leader.append(encodeRec(recID, 0, leaderID))
+	leader.appendRecord(encodeRecord(recordIdentity, 0, leaderID))
 	golden(t, "record-identity.bin", lastRecord(t, leader))
 	wantValue(t, "record-identity", replayed(t, lastRecord(t, leader)).self, uint64(leaderID))
 
 	// The follower has the job, under an older ballot.
-	part := follower.part(goldenPart)
-	follower.append(encodeRec(recMark, goldenPart, ballotOf(1)+7, 30))
-	follower.append(append(encodeRec(recOp, goldenPart, ballotOf(1)+7, 31), append([]byte{opAccept}, goldenJob().encode()...)...))
+	part := follower.partition(goldenPart)
+	follower.appendRecord(encodeRecord(recordTermStart, goldenPart, firstTerm(1)+7, 30))
+	follower.appendRecord(append(encodeRecord(recordOperation, goldenPart, firstTerm(1)+7, 31), append([]byte{opAcceptJob}, goldenJob().encode()...)...))
 	rec := golden(t, "record-operation-accept.bin", lastRecord(t, follower))
 	checkOperation(t, replayed(t, rec), 31)
-	follower.append(append(encodeRec(recOp, goldenPart, ballotOf(1)+7, 32), encodeList(goldenJobID, 1, true, []byte("text of b"))...))
+	follower.appendRecord(append(encodeRecord(recordOperation, goldenPart, firstTerm(1)+7, 32), encodeAddResult(goldenJobID, 1, true, []byte("text of b"))...))
 	golden(t, "record-operation-list.bin", lastRecord(t, follower))
 	syncAll(follower)
 	digest := part.jobs[goldenJobID].digest()
 
 	// The primary asks the follower for its promise.
-	p := leader.part(goldenPart)
-	p.epoch, p.promised = 2, goldenBatch
-	p.lead = &lead{ballot: goldenBatch, life: goldenBatch, stage: collecting, selfS: -1, commit: -1, copies: []uint64{leaderID, followerID},
-		next: []uint64{leaderID, joinerID}, peers: map[uint64]*peer{}, usage: map[string]*usage{}, reserves: map[uint64]*reserve{},
-		accts: map[string]*account{}, incoming: map[string]*incoming{}, confirmed: -1 << 60}
-	leader.maxLost = 0 // all replicas have to answer
-	leader.sessions = 0x2100
-	leader.ask(p, followerID)
-	follower.message(fromFollower, nil, kAsk, toFollower.next(t, kAsk, "replication-ask.bin"))
+	p := leader.partition(goldenPart)
+	p.epoch, p.promisedTerm = 2, goldenBatch
+	p.primary = &primaryState{term: goldenBatch, incarnation: goldenBatch, stage: stageCollecting, selfSynced: -1, committed: -1, replicas: []uint64{leaderID, followerID},
+		nextReplicas: []uint64{leaderID, joinerID}, progress: map[uint64]*replicaProgress{}, usage: map[string]*routeUsage{}, reservations: map[uint64]*reservation{},
+		accounts: map[string]*quotaAccount{}, incomingJobs: map[string]*incomingJob{}, confirmedAt: -1 << 60}
+	leader.maxLostReplicas = 0 // all replicas have to answer
+	leader.lastSession = 0x2100
+	leader.sendPrepare(p, followerID)
+	follower.handleMessage(fromFollower, nil, kindPrepare, toFollower.next(t, kindPrepare, "replication-ask.bin"))
 	rec = golden(t, "record-promise.bin", lastRecord(t, follower))
-	wantValue(t, "record-promise", replayed(t, rec).part(goldenPart).promised, uint64(goldenBatch))
-	wantValue(t, "replication-ask", []uint64{part.promised, part.session}, []uint64{goldenBatch, 0x2101})
+	wantValue(t, "record-promise", replayed(t, rec).partition(goldenPart).promisedTerm, uint64(goldenBatch))
+	wantValue(t, "replication-ask", []uint64{part.promisedTerm, part.session}, []uint64{goldenBatch, 0x2101})
 	syncAll(follower)
-	leader.message(toFollower, nil, kHave, fromFollower.next(t, kHave, "replication-have.bin"))
-	q := p.lead.peers[followerID]
-	wantValue(t, "replication-have", []any{q.claimB, q.claimS, q.have}, []any{ballotOf(1) + 7, uint64(32), map[string]uint64{goldenJobID: digest}})
+	leader.handleMessage(toFollower, nil, kindPromise, fromFollower.next(t, kindPromise, "replication-have.bin"))
+	q := p.primary.progress[followerID]
+	wantValue(t, "replication-have", []any{q.position.term, q.position.sequence, q.digests}, []any{firstTerm(1) + 7, uint64(32), map[string]uint64{goldenJobID: digest}})
 
 	// It has the newest state: the primary fetches the job, and marks what it has.
-	follower.now = 50_901 // the job's age
-	follower.message(fromFollower, nil, kFetch, toFollower.next(t, kFetch, "replication-fetch.bin"))
-	leader.message(toFollower, nil, kWhole, fromFollower.next(t, kWhole, "replication-whole.bin"))
+	follower.nowMs = 50_901 // the job's age
+	follower.handleMessage(fromFollower, nil, kindFetchJob, toFollower.next(t, kindFetchJob, "replication-fetch.bin"))
+	leader.handleMessage(toFollower, nil, kindJobContents, fromFollower.next(t, kindJobContents, "replication-whole.bin"))
 	checkWholeJob(t, leader, digest, 900)
 	d := leader.disk.(*simDisk)
 	put, err := d.ReadRaw(d.recs[1].at, d.recs[1].n)
@@ -249,61 +249,61 @@
 	}
 	checkWholeJob(t, replayed(t, golden(t, "record-job.bin", put)), digest, 900)
 	rec = golden(t, "record-mark.bin", lastRecord(t, leader))
-	again := replayed(t, rec).part(goldenPart)
-	wantValue(t, "record-mark", []uint64{again.promised, again.claimB, again.claimS}, []uint64{goldenBatch, goldenBatch, 32})
-	wantValue(t, "sequence", p.lead.seq, uint64(32))
+	again := replayed(t, rec).partition(goldenPart)
+	wantValue(t, "record-mark", []uint64{again.promisedTerm, again.position.term, again.position.sequence}, []uint64{goldenBatch, goldenBatch, 32})
+	wantValue(t, "sequence", p.primary.lastSequence, uint64(32))
 
 	// The follower is up to date, the one that joins gets the job whole.
-	follower.full = true
-	mark := toFollower.next(t, kMark, "replication-mark.bin")
-	follower.message(fromFollower, nil, kMark, mark)
-	wantValue(t, "replication-mark", []uint64{part.claimB, part.claimS}, []uint64{goldenBatch, 32})
+	follower.logFull = true
+	mark := toFollower.next(t, kindStartTerm, "replication-mark.bin")
+	follower.handleMessage(fromFollower, nil, kindStartTerm, mark)
+	wantValue(t, "replication-mark", []uint64{part.position.term, part.position.sequence}, []uint64{goldenBatch, 32})
 	syncAll(follower)
-	leader.message(toFollower, nil, kAck, fromFollower.next(t, kAck, "replication-ack.bin"))
-	wantValue(t, "replication-ack", []any{q.acked, q.full}, []any{int64(32), true})
-	leader.ask(p, joinerID)
-	joiner.message(fromJoiner, nil, kAsk, toJoiner.next(t, kAsk, "replication-ask-joining.bin"))
+	leader.handleMessage(toFollower, nil, kindOperationAck, fromFollower.next(t, kindOperationAck, "replication-ack.bin"))
+	wantValue(t, "replication-ack", []any{q.acknowledged, q.logFull}, []any{int64(32), true})
+	leader.sendPrepare(p, joinerID)
+	joiner.handleMessage(fromJoiner, nil, kindPrepare, toJoiner.next(t, kindPrepare, "replication-ask-joining.bin"))
 	syncAll(joiner)
-	leader.message(toJoiner, nil, kHave, fromJoiner.next(t, kHave, "replication-have-nothing.bin"))
-	joiner.message(fromJoiner, nil, kPut, toJoiner.next(t, kPut, "replication-put.bin"))
+	leader.handleMessage(toJoiner, nil, kindPromise, fromJoiner.next(t, kindPromise, "replication-have-nothing.bin"))
+	joiner.handleMessage(fromJoiner, nil, kindInstallJob, toJoiner.next(t, kindInstallJob, "replication-put.bin"))
 	checkWholeJob(t, joiner, digest, 900)
 	golden(t, "record-job.bin", lastRecord(t, joiner))
-	if inFlight := p.lead.peers[joinerID].flight; inFlight != 1 {
+	if inFlight := p.primary.progress[joinerID].transfersInFlight; inFlight != 1 {
 		t.Errorf("%d jobs are under way, want 1", inFlight)
 	}
-	leader.message(toJoiner, nil, kPutAck, fromJoiner.next(t, kPutAck, "replication-put-ack.bin"))
-	if inFlight := p.lead.peers[joinerID].flight; inFlight != 0 {
+	leader.handleMessage(toJoiner, nil, kindJobInstalled, fromJoiner.next(t, kindJobInstalled, "replication-put-ack.bin"))
+	if inFlight := p.primary.progress[joinerID].transfersInFlight; inFlight != 0 {
 		t.Errorf("%d jobs are under way, want none", inFlight)
 	}
 
 	// An operation of each other kind.
 	syncAll(leader)
-	leader.order(p, encodeNamed(opEnd, goldenJobID), func(bool) {})
-	follower.message(fromFollower, nil, kOp, toFollower.next(t, kOp, "replication-operation-end.bin"))
-	if !part.jobs[goldenJobID].ended || part.claimS != 33 {
-		t.Errorf("the job has not ended at the replica, which has all up to %d", part.claimS)
+	leader.replicate(p, encodeJobOperation(opEndJob, goldenJobID), func(bool) {})
+	follower.handleMessage(fromFollower, nil, kindOperation, toFollower.next(t, kindOperation, "replication-operation-end.bin"))
+	if !part.jobs[goldenJobID].ended || part.position.sequence != 33 {
+		t.Errorf("the job has not ended at the replica, which has all up to %d", part.position.sequence)
 	}
 	golden(t, "record-operation-end.bin", lastRecord(t, leader))
 	golden(t, "record-operation-end.bin", lastRecord(t, follower))
-	leader.order(p, encodeNamed(opDrop, goldenJobID), func(bool) {})
-	follower.message(fromFollower, nil, kOp, toFollower.next(t, kOp, "replication-operation-drop.bin"))
+	leader.replicate(p, encodeJobOperation(opDropJob, goldenJobID), func(bool) {})
+	follower.handleMessage(fromFollower, nil, kindOperation, toFollower.next(t, kindOperation, "replication-operation-drop.bin"))
 	if len(part.jobs) != 0 {
 		t.Errorf("the job is not dropped at the replica")
 	}
 	golden(t, "record-operation-drop.bin", lastRecord(t, leader))
 
 	// Confirmations, and the refusal of a ballot that is stale.
-	leader.confirm(p)
+	leader.requestConfirmations(p)
 	syncAll(follower)
 	fromFollower.kinds, fromFollower.bodies = nil, nil
-	follower.message(fromFollower, nil, kConfirm, toFollower.next(t, kConfirm, "replication-confirm.bin"))
-	leader.message(toFollower, nil, kConfirmed, fromFollower.next(t, kConfirmed, "replication-confirmed.bin"))
-	wantValue(t, "replication-confirmed", []any{q.stamp, q.full}, []any{int64(50_001), true})
-	if part.promised++; !follower.stale(part, goldenBatch, fromFollower) {
+	follower.handleMessage(fromFollower, nil, kindConfirm, toFollower.next(t, kindConfirm, "replication-confirm.bin"))
+	leader.handleMessage(toFollower, nil, kindConfirmed, fromFollower.next(t, kindConfirmed, "replication-confirmed.bin"))
+	wantValue(t, "replication-confirmed", []any{q.confirmedAt, q.logFull}, []any{int64(50_001), true})
+	if part.promisedTerm++; !follower.rejectStaleTerm(part, goldenBatch, fromFollower) {
 		t.Error("a stale ballot counts")
 	}
-	leader.message(toFollower, nil, kStale, fromFollower.next(t, kStale, "replication-stale.bin"))
-	if !p.lead.barred {
+	leader.handleMessage(toFollower, nil, kindStaleTerm, fromFollower.next(t, kindStaleTerm, "replication-stale.bin"))
+	if !p.primary.superseded {
 		t.Error("the primary has not noticed that it was replaced")
 	}
 }
@@ -311,13 +311,13 @@
 // checkOperation checks a store that has replayed the acceptance of the job.
 func checkOperation(t *testing.T, c *core, seq uint64) {
 	t.Helper()
-	p := c.part(goldenPart)
-	wantValue(t, "record-operation", []uint64{p.claimB, p.claimS}, []uint64{ballotOf(1) + 7, seq})
+	p := c.partition(goldenPart)
+	wantValue(t, "record-operation", []uint64{p.position.term, p.position.sequence}, []uint64{firstTerm(1) + 7, seq})
 	j := p.jobs[goldenJobID]
 	if j == nil {
 		t.Fatal("the job is not there")
 	}
-	enc, err := c.disk.ReadRaw(j.at, j.n)
+	enc, err := c.disk.ReadRaw(j.offset, j.encodedLength)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -327,22 +327,22 @@
 // checkWholeJob checks a job that was sent whole, and sends it on whole.
 func checkWholeJob(t *testing.T, c *core, digest uint64, age int64) {
 	t.Helper()
-	j := c.part(goldenPart).jobs[goldenJobID]
+	j := c.partition(goldenPart).jobs[goldenJobID]
 	if j == nil {
 		t.Fatal("the job is not there")
 	}
-	enc, err := c.disk.ReadRaw(j.at, j.n)
+	enc, err := c.disk.ReadRaw(j.offset, j.encodedLength)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "call-accept.bin", encodedAgain(t, enc))
-	text, err := c.text(j.results[0])
+	text, err := c.resultText(j.results[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantValue(t, "whole job", []any{j.results[0].item, j.results[0].givenUp, string(text), j.digest(), c.now - j.knownSince},
+	wantValue(t, "whole job", []any{j.results[0].itemIndex, j.results[0].abandoned, string(text), j.digest(), c.nowMs - j.knownSinceMs},
 		[]any{int32(1), true, "text of b", digest, age})
-	whole, err := c.whole(j)
+	whole, err := c.encodeWholeJob(j)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -359,63 +359,63 @@
 	if quotaPart == goldenPart {
 		t.Fatal("the quota's part is the job's")
 	}
-	newLead := func(ballot uint64) *lead {
-		return &lead{ballot: ballot, life: ballot, stage: ordering, active: true, peers: map[uint64]*peer{}, usage: map[string]*usage{},
-			reserves: map[uint64]*reserve{}, accts: map[string]*account{}, incoming: map[string]*incoming{}}
-	}
-	p := primary.part(goldenPart)
-	p.epoch, p.promised = 2, goldenBatch
-	p.lead = newLead(goldenBatch)
-	p.lead.reserveN, p.lead.usageV = 40, 50
-	p.lead.use(route).tokens = 1234
-	owner.part(quotaPart).lead = newLead(0x2_0009)
-	account := owner.account(route)
+	newLead := func(ballot uint64) *primaryState {
+		return &primaryState{term: ballot, incarnation: ballot, stage: stageReplicating, serving: true, progress: map[uint64]*replicaProgress{}, usage: map[string]*routeUsage{},
+			reservations: map[uint64]*reservation{}, accounts: map[string]*quotaAccount{}, incomingJobs: map[string]*incomingJob{}}
+	}
+	p := primary.partition(goldenPart)
+	p.epoch, p.promisedTerm = 2, goldenBatch
+	p.primary = newLead(goldenBatch)
+	p.primary.lastReservation, p.primary.usageVersion = 40, 50
+	p.primary.usageOf(route).tokens = 1234
+	owner.partition(quotaPart).primary = newLead(0x2_0009)
+	account := owner.ownedAccount(route)
 	for no := range owner.table.Partitions {
 		if no != goldenPart {
-			account.shares[no] = &share{}
+			account.usage[no] = &partitionUsage{}
 		}
 	}
 
-	in := &incoming{enc: goldenJob().encode(), id: goldenJobID, route: route, tokens: 515, most: 90_105}
-	p.lead.incoming[goldenJobID] = in
-	primary.askTokens(p, in)
-	owner.message(toPrimary, nil, kReserve, toOwner.next(t, kReserve, "quota-reserve.bin"))
-	wantValue(t, "quota-reserve", account.held, []heldReserve{{pipe: toPrimary, part: goldenPart, life: goldenBatch, number: 41, tokens: 515,
-		most: 90_105, deadline: 50_001 + reserveWaitMs}})
-	primary.message(toOwner, nil, kUsageAsk, toPrimary.next(t, kUsageAsk, "quota-usage-ask.bin"))
-	wantValue(t, "quota-usage-ask", p.ownerB[route], uint64(0x2_0009))
-	owner.message(toPrimary, nil, kUsage, toOwner.next(t, kUsage, "quota-usage.bin"))
-	wantValue(t, "quota-usage", *account.shares[goldenPart], share{life: goldenBatch, epoch: 2, version: 51, tokens: 1234, settled: 40,
-		grants: []grantedTokens{{41, 515}}})
-	primary.message(toOwner, nil, kGrant, toPrimary.next(t, kGrant, "quota-grant.bin"))
-	if len(p.lead.reserves) != 0 || p.jobs[goldenJobID] == nil {
+	in := &incomingJob{encoded: goldenJob().encode(), id: goldenJobID, route: route, tokens: 515, maxTokens: 90_105}
+	p.primary.incomingJobs[goldenJobID] = in
+	primary.reserveTokens(p, in)
+	owner.handleMessage(toPrimary, nil, kindReserveTokens, toOwner.next(t, kindReserveTokens, "quota-reserve.bin"))
+	wantValue(t, "quota-reserve", account.pending, []pendingReservation{{pipe: toPrimary, partition: goldenPart, incarnation: goldenBatch, number: 41, tokens: 515,
+		maxTokens: 90_105, deadline: 50_001 + reservationWaitMs}})
+	primary.handleMessage(toOwner, nil, kindUsageRequest, toPrimary.next(t, kindUsageRequest, "quota-usage-ask.bin"))
+	wantValue(t, "quota-usage-ask", p.quotaOwnerIncarnations[route], uint64(0x2_0009))
+	owner.handleMessage(toPrimary, nil, kindUsageReport, toOwner.next(t, kindUsageReport, "quota-usage.bin"))
+	wantValue(t, "quota-usage", *account.usage[goldenPart], partitionUsage{incarnation: goldenBatch, epoch: 2, version: 51, tokens: 1234, resolvedReservations: 40,
+		grants: []tokenGrant{{41, 515}}})
+	primary.handleMessage(toOwner, nil, kindReservationReply, toPrimary.next(t, kindReservationReply, "quota-grant.bin"))
+	if len(p.primary.reservations) != 0 || p.jobs[goldenJobID] == nil {
 		t.Error("the job is not accepted with the granted tokens")
 	}
 }
 
 // goldenPrimary is a store that leads the part of the tests and has the job, of which the second item is listed.
-func goldenPrimary(t *testing.T) (*core, *part, *job) {
+func goldenPrimary(t *testing.T) (*core, *partition, *job) {
 	t.Helper()
 	const id = 0x1101
 	c := goldenCore(id, id, id)
 	for no := range c.table.Partitions {
 		c.table.Partitions[no].Replicas = []uint64{id}
 	}
-	c.maxLost = 0
+	c.maxLostReplicas = 0
 	no := c.table.PartitionOf(goldenJobID)
-	p := c.part(no)
-	p.epoch, p.promised = 2, goldenBatch
-	p.lead = &lead{ballot: goldenBatch, life: goldenBatch, stage: ordering, active: true, commit: -1, copies: []uint64{id}, peers: map[uint64]*peer{},
-		usage: map[string]*usage{}, reserves: map[uint64]*reserve{}, accts: map[string]*account{}, incoming: map[string]*incoming{}, confirmed: c.now}
-	p.claimB = goldenBatch
+	p := c.partition(no)
+	p.epoch, p.promisedTerm = 2, goldenBatch
+	p.primary = &primaryState{term: goldenBatch, incarnation: goldenBatch, stage: stageReplicating, serving: true, committed: -1, replicas: []uint64{id}, progress: map[uint64]*replicaProgress{},
+		usage: map[string]*routeUsage{}, reservations: map[uint64]*reservation{}, accounts: map[string]*quotaAccount{}, incomingJobs: map[string]*incomingJob{}, confirmedAt: c.nowMs}
+	p.position.term = goldenBatch
 	accepted := goldenJob()
-	accepted.MaxQueued = 0
+	accepted.MaxQueuedTokens = 0
 	reply := &goldenReply{}
-	c.message(nil, reply, kAccept, accepted.encode())
+	c.handleMessage(nil, reply, kindAcceptJob, accepted.encode())
 	syncAll(c)
 	wantValue(t, "acceptance", reply.body, []byte{codeOK})
 	j := p.jobs[goldenJobID]
-	c.list(p, j, 1, true, []byte("text of b"), func(bool) {})
+	c.addResult(p, j, 1, true, []byte("text of b"), func(bool) {})
 	syncAll(c)
 	return c, p, j
 }
@@ -469,38 +469,38 @@
 	no := c.table.PartitionOf(goldenJobID)
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Table: c.table})
-	edge := &Edge{o: EdgeOptions{Views: holder}, pool: &pool{to: map[uint64]*dialled{c.table.Partitions[no].Primary: {conn: l.conn}}}}
+	edge := &Proxy{options: ProxyOptions{Snapshots: holder}, stores: &storeConnections{byID: map[uint64]*storeConnection{c.table.Partitions[no].Primary: {conn: l.conn}}}}
 
 	// answer gives a store the golden call and sends its golden reply back.
 	answer := func(kind link.Kind, call, reply string) {
 		m, body := l.next(t, kind, call)
 		r := &goldenReply{}
-		c.message(nil, r, kind, body)
+		c.handleMessage(nil, r, kind, body)
 		syncAll(c)
 		m.Reply(golden(t, reply, r.body))
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if outcome := edge.Accept(t.Context(), goldenJob()); outcome != Taken {
+		if outcome := edge.Submit(t.Context(), goldenJob()); outcome != Accepted {
 			t.Errorf("accept: %d", outcome)
 		}
-		reading, found := edge.Read(t.Context(), goldenJobID, 0, 77*time.Millisecond)
-		wantValue(t, "reply-read", []any{reading, found}, []any{Reading{Total: 2, Results: []ItemResult{{ID: "item-b", GivenUp: true, Message: []byte("text of b")}}}, OK})
-		if _, found := edge.Read(t.Context(), goldenJobID, 1, 0); found != OK {
+		reading, found := edge.ReadResults(t.Context(), goldenJobID, 0, 77*time.Millisecond)
+		wantValue(t, "reply-read", []any{reading, found}, []any{ResultPage{Total: 2, Results: []ItemResult{{ID: "item-b", Abandoned: true, Message: []byte("text of b")}}}, Found})
+		if _, found := edge.ReadResults(t.Context(), goldenJobID, 1, 0); found != Found {
 			t.Errorf("second read: %d", found)
 		}
-		body, found := edge.Body(t.Context(), goldenJobID, "item-b")
-		wantValue(t, "reply-body", []any{body, found}, []any{[]byte{0, 1, 0xfe, 0xff}, OK})
-		if found := edge.End(t.Context(), goldenJobID); found != OK {
+		body, found := edge.ReadItemBody(t.Context(), goldenJobID, "item-b")
+		wantValue(t, "reply-body", []any{body, found}, []any{[]byte{0, 1, 0xfe, 0xff}, Found})
+		if found := edge.EndJob(t.Context(), goldenJobID); found != Found {
 			t.Errorf("end: %d", found)
 		}
 	}()
-	answer(kAccept, "call-accept.bin", "reply-accept.bin")
-	answer(kRead, "call-read.bin", "reply-read.bin")
-	answer(kRead, "call-read-after.bin", "reply-read-after.bin")
-	answer(kBody, "call-body.bin", "reply-body.bin")
-	answer(kEnd, "call-end.bin", "reply-end.bin")
+	answer(kindAcceptJob, "call-accept.bin", "reply-accept.bin")
+	answer(kindReadResults, "call-read.bin", "reply-read.bin")
+	answer(kindReadResults, "call-read-after.bin", "reply-read-after.bin")
+	answer(kindReadItemBody, "call-body.bin", "reply-body.bin")
+	answer(kindEndJob, "call-end.bin", "reply-end.bin")
 	<-done
 	if !j.ended {
 		t.Error("the job has not ended")
@@ -508,18 +508,18 @@
 
 	// The start of a connection.
 	is := make(chan bool)
-	go func() { is <- edge.pool.is(t.Context(), l.conn, 0x1101_2202_3303_4404) }()
-	m, _ := l.next(t, kHello, "call-hello.bin")
+	go func() { is <- verifyIdentity(t.Context(), l.conn, 0x1101_2202_3303_4404) }()
+	m, _ := l.next(t, kindHello, "call-hello.bin")
 	store := &Store{core: newCore(0x1101_2202_3303_4404, nil)}
 	helloReply := make(chan []byte, 1)
 	go func() {
-		body, err := l.conn.Call(t.Context(), kHello, nil)
+		body, err := l.conn.Call(t.Context(), kindHello, nil)
 		if err != nil {
 			t.Error(err)
 		}
 		helloReply <- body
 	}()
-	second, _ := l.next(t, kHello, "call-hello.bin")
+	second, _ := l.next(t, kindHello, "call-hello.bin")
 	store.Message(second)
 	m.Reply(golden(t, "reply-hello.bin", <-helloReply))
 	if !<-is {
@@ -532,102 +532,102 @@
 	c, p, j := goldenPrimary(t)
 	l := newGoldenLink(t)
 	toWorker := &goldenPipe{}
-	side := newWorkerSide(&Edge{o: EdgeOptions{Name: "proxy-7", Zone: "zone-b", Runner: blockedRunner{}}})
+	side := newItemRunner(ProxyOptions{Name: "proxy-7", Zone: "zone-b", Runner: blockedRunner{}})
 	t.Cleanup(side.close)
 
 	// The worker attaches, with its share of the limit: two stores lead.
 	side.table = goldenTable(0x1101, 0x1202)
-	side.limit = 17
-	side.up(0x1101, l.conn)
-	_, body := l.next(t, kAttach, "worker-attach.bin")
-	c.message(toWorker, nil, kAttach, body)
+	side.maxRunning = 17
+	side.connected(0x1101, l.conn)
+	_, body := l.next(t, kindAttachWorker, "worker-attach.bin")
+	c.handleMessage(toWorker, nil, kindAttachWorker, body)
 	w := c.workers[toWorker]
 	wantValue(t, "worker-attach", []any{w.name, w.zone, w.limit}, []any{"proxy-7", "zone-b", 9})
 
 	// It is given an item.
-	body = toWorker.next(t, kGive, "worker-give.bin")
-	given, err := decodeGive(body)
+	body = toWorker.next(t, kindAssignItem, "worker-give.bin")
+	given, err := decodeAssignMessage(body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantValue(t, "worker-give", []any{given.key, given.epoch, given.dueMs, given.tries, given.route, given.host, given.itemID, given.tokens, given.leftMs, given.hasLeft},
-		[]any{itemKey{p.no, goldenJobID, 0}, uint64(2), int64(1_700_000_000_101 + 60_102), 3, "nightly", "batch.example", "item-a", int64(207), int64(60_102), true})
+	wantValue(t, "worker-give", []any{given.item, given.epoch, given.dueMs, given.maxAttempts, given.route, given.host, given.itemID, given.tokens, given.remainingMs, given.hasRemaining},
+		[]any{itemKey{p.index, goldenJobID, 0}, uint64(2), int64(1_700_000_000_101 + 60_102), 3, "nightly", "batch.example", "item-a", int64(207), int64(60_102), true})
 	golden(t, "worker-give.bin", given.encode())
-	item, err := given.item(time.UnixMilli(5000))
+	item, err := given.toItem(time.UnixMilli(5000))
 	if err != nil {
 		t.Fatal(err)
 	}
 	wantValue(t, "worker-give", item, &Item{Job: goldenJobID, ID: "item-a", Route: "nightly", Host: "batch.example", Path: "/bulk/a",
 		Headers: goldenJob().Items[0].Headers, Body: []byte("body of a"), Tokens: 207, Due: time.UnixMilli(65_102)})
-	side.message(0, &link.Message{Conn: l.conn, Kind: kGive, Body: body})
-	if side.inHand() != 1 {
+	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindAssignItem, Body: body})
+	if side.runningCount() != 1 {
 		t.Fatal("the item is not in hand")
 	}
 
 	// It says what it has in hand.
-	key := itemKey{part: p.no, job: goldenJobID, item: 0}
+	key := itemKey{partition: p.index, jobID: goldenJobID, index: 0}
 	side.mu.Lock()
-	side.jobs[itemKey{part: goldenPart + 1, job: "job-of-another-part", item: 3}] = &running{cancel: func() {}}
-	side.holdPart(goldenPart+1, l.conn, 0x2002)
+	side.running[itemKey{partition: goldenPart + 1, jobID: "job-of-another-part", index: 3}] = &runningItem{cancel: func() {}}
+	side.reportRunningOf(goldenPart+1, l.conn, 0x2002)
 	side.mu.Unlock()
-	_, body = l.next(t, kHold, "worker-hold.bin")
-	c.message(toWorker, nil, kHold, body)
-	wantValue(t, "worker-hold", w.holds[goldenPart+1], hold{0x2002, []itemKey{{goldenPart + 1, "job-of-another-part", 3}}})
-	w.holds[p.no] = hold{2, []itemKey{key}}
-	side.parts[p.no] = &holding{conn: l.conn, epoch: 2}
-	c.claim(p, w)
-	side.message(0, &link.Message{Conn: l.conn, Kind: kHeld, Body: toWorker.next(t, kHeld, "worker-held.bin")})
-	wantValue(t, "worker-held", *side.parts[p.no], holding{conn: l.conn, epoch: 2, noted: true})
+	_, body = l.next(t, kindReportRunning, "worker-hold.bin")
+	c.handleMessage(toWorker, nil, kindReportRunning, body)
+	wantValue(t, "worker-hold", w.reported[goldenPart+1], runningReport{0x2002, []itemKey{{goldenPart + 1, "job-of-another-part", 3}}})
+	w.reported[p.index] = runningReport{2, []itemKey{key}}
+	side.contacts[p.index] = &primaryContact{conn: l.conn, epoch: 2}
+	c.adoptRunning(p, w)
+	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindRunningNoted, Body: toWorker.next(t, kindRunningNoted, "worker-held.bin")})
+	wantValue(t, "worker-held", *side.contacts[p.index], primaryContact{conn: l.conn, epoch: 2, runningNoted: true})
 
 	// The store is not sure to lead.
-	p.lead.confirmed = c.now - 2000
-	c.maxLost = 1
-	c.keepSure(p)
-	side.message(0, &link.Message{Conn: l.conn, Kind: kUnsure, Body: toWorker.next(t, kUnsure, "worker-unsure.bin")})
-	if !side.parts[p.no].unsure {
+	p.primary.confirmedAt = c.nowMs - 2000
+	c.maxLostReplicas = 1
+	c.superviseWorkers(p)
+	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindPauseStarts, Body: toWorker.next(t, kindPauseStarts, "worker-unsure.bin")})
+	if !side.contacts[p.index].startsPaused {
 		t.Error("the worker goes on")
 	}
-	c.maxLost = 0
+	c.maxLostReplicas = 0
 
 	// Results.
 	side.mu.Lock()
-	side.report(l.conn, &running{key: itemKey{goldenPart, "job-of-another-part", 6}, givenUp: true, text: []byte("its text")})
-	side.report(l.conn, &running{key: key, text: []byte("text of a")})
+	sendResult(l.conn, &runningItem{key: itemKey{goldenPart, "job-of-another-part", 6}, abandoned: true, text: []byte("its text")})
+	sendResult(l.conn, &runningItem{key: key, text: []byte("text of a")})
 	side.mu.Unlock()
-	l.next(t, kResult, "worker-result-given-up.bin")
-	_, body = l.next(t, kResult, "worker-result.bin")
-	c.message(toWorker, nil, kResult, body)
+	l.next(t, kindItemResult, "worker-result-given-up.bin")
+	_, body = l.next(t, kindItemResult, "worker-result.bin")
+	c.handleMessage(toWorker, nil, kindItemResult, body)
 	syncAll(c)
-	text, err := c.text(j.results[1])
+	text, err := c.resultText(j.results[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantValue(t, "worker-result", []any{j.results[1].item, j.results[1].givenUp, string(text)}, []any{int32(0), false, "text of a"})
-	side.message(0, &link.Message{Conn: l.conn, Kind: kListed, Body: toWorker.next(t, kListed, "worker-listed.bin")})
-	if side.jobs[key] != nil {
+	wantValue(t, "worker-result", []any{j.results[1].itemIndex, j.results[1].abandoned, string(text)}, []any{int32(0), false, "text of a"})
+	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindResultStored, Body: toWorker.next(t, kindResultStored, "worker-listed.bin")})
+	if side.running[key] != nil {
 		t.Error("the worker keeps what is listed")
 	}
 
 	// Ends, and what is given back.
-	c.cancel(w, goldenPart+1, "job-of-another-part")
-	delete(side.parts, goldenPart+1)
-	side.message(0, &link.Message{Conn: l.conn, Kind: kCancel, Body: toWorker.next(t, kCancel, "worker-cancel.bin")})
-	if side.inHand() != 0 {
+	sendCancel(w, goldenPart+1, "job-of-another-part")
+	delete(side.contacts, goldenPart+1)
+	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindCancelJob, Body: toWorker.next(t, kindCancelJob, "worker-cancel.bin")})
+	if side.runningCount() != 0 {
 		t.Error("the job goes on")
 	}
-	_, body = l.next(t, kCancelled, "worker-cancelled.bin")
-	w.held[itemKey{goldenPart + 1, "job-of-another-part", 3}] = true
-	c.message(toWorker, nil, kCancelled, body)
-	if len(w.held) != 0 {
+	_, body = l.next(t, kindJobCancelled, "worker-cancelled.bin")
+	w.assigned[itemKey{goldenPart + 1, "job-of-another-part", 3}] = true
+	c.handleMessage(toWorker, nil, kindJobCancelled, body)
+	if len(w.assigned) != 0 {
 		t.Error("the store believes that the worker has the job")
 	}
 	other := newGoldenLink(t)
-	side.parts[p.no] = &holding{conn: other.conn, epoch: 9}
-	side.message(0, &link.Message{Conn: l.conn, Kind: kGive, Body: given.encode()})
-	_, body = l.next(t, kPutBack, "worker-put-back.bin")
-	w.held[key] = true
-	c.message(toWorker, nil, kPutBack, body)
-	if len(w.held) != 0 {
+	side.contacts[p.index] = &primaryContact{conn: other.conn, epoch: 9}
+	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindAssignItem, Body: given.encode()})
+	_, body = l.next(t, kindReturnItem, "worker-put-back.bin")
+	w.assigned[key] = true
+	c.handleMessage(toWorker, nil, kindReturnItem, body)
+	if len(w.assigned) != 0 {
 		t.Error("the store believes that the worker has the item")
 	}
 }
@@ -635,11 +635,11 @@
 // TestGoldenReadsAnOlderGive: a message of the versions that did not say how long is left is read by its time of day.
 func TestGoldenReadsAnOlderGive(t *testing.T) {
 	body := readGolden(t, "worker-give.bin")
-	given, err := decodeGive(body[:len(body)-8])
-	if err != nil || given.hasLeft {
-		t.Fatalf("%v, time left %v", err, given.hasLeft)
+	given, err := decodeAssignMessage(body[:len(body)-8])
+	if err != nil || given.hasRemaining {
+		t.Fatalf("%v, time left %v", err, given.hasRemaining)
 	}
-	if item, err := given.item(time.UnixMilli(5000)); err != nil || !item.Due.Equal(time.UnixMilli(1_700_000_060_203)) {
+	if item, err := given.toItem(time.UnixMilli(5000)); err != nil || !item.Due.Equal(time.UnixMilli(1_700_000_060_203)) {
 		t.Errorf("due at %v, %v", item.Due, err)
 	}
 }
@@ -656,20 +656,20 @@
 // TestGoldenJSON fixes the JSON bodies of clients: the job that comes in, and the results that go out.
 func TestGoldenJSON(t *testing.T) {
 	want := goldenJob()
-	route := &operatorconfig.Route{Name: want.Route, Host: want.Host, PathPrefix: want.PathStart, DueMs: int(want.DueMs), MaxAttempts: want.Tries,
-		MaxWaitMs: int(want.MaxWaitMs), MaxQueuedTokens: want.MaxQueued}
+	route := &operatorconfig.Route{Name: want.Route, Host: want.Host, PathPrefix: want.PathPrefix, DueMs: int(want.DueMs), MaxAttempts: want.MaxAttempts,
+		MaxWaitMs: int(want.MaxWaitMs), MaxQueuedTokens: want.MaxQueuedTokens}
 	body := golden(t, "client-job.json", []byte(`{"requests":[{"id":"item-a","path":"/bulk/a","headers":{"X-Kind":"renewal","Accept":"text/event-stream"},"body":"Ym9keSBvZiBh","tokens":207},{"id":"item-b","path":"/bulk/b","headers":{"X-Other":"review"},"body":"AAH+/w==","tokens":308}]}`))
 	got, ok := parseJob(&Call{Header: func(name string) string { return map[string]string{"X-Dunetide-Request-Id": goldenJobID}[name] }, Body: body}, route)
 	if !ok {
 		t.Fatal("the job is refused")
 	}
-	want.SentMs, want.Version = 0, 0 // set by the caller
+	want.SentMs, want.ConfigVersion = 0, 0 // set by the caller
 	wantValue(t, "client-job", got, want)
 
-	reading := Reading{Total: 9, Results: []ItemResult{{ID: "item-a", Message: []byte("text \"of\" a\n<b>")}, {ID: "item-b", GivenUp: true, Message: []byte("why")}}}
-	answer := readAnswer(reading, 4, OK)
+	reading := ResultPage{Total: 9, Results: []ItemResult{{ID: "item-a", Message: []byte("text \"of\" a\n<b>")}, {ID: "item-b", Abandoned: true, Message: []byte("why")}}}
+	answer := resultsResponse(reading, 4, Found)
 	body = golden(t, "client-results.json", answer.Body)
-	wantValue(t, "client-results", []any{answer.Status, answer.Type}, []any{200, "application/json"})
+	wantValue(t, "client-results", []any{answer.Status, answer.ContentType}, []any{200, "application/json"})
 	var read struct {
 		Total     int `json:"total"`
 		NextToken int `json:"next_token"`
@@ -684,13 +684,13 @@
 	if err := decoder.Decode(&read); err != nil {
 		t.Fatal(err)
 	}
-	again := Reading{Total: read.Total}
+	again := ResultPage{Total: read.Total}
 	for _, r := range read.Results {
-		again.Results = append(again.Results, ItemResult{ID: r.ID, GivenUp: r.State == "given_up", Message: []byte(r.Message)})
+		again.Results = append(again.Results, ItemResult{ID: r.ID, Abandoned: r.State == "given_up", Message: []byte(r.Message)})
 	}
 	wantValue(t, "client-results", again, reading)
-	golden(t, "client-results.json", readAnswer(again, read.NextToken-len(read.Results), OK).Body)
-	golden(t, "client-results-none.json", readAnswer(Reading{Total: 3}, 0, OK).Body)
+	golden(t, "client-results.json", resultsResponse(again, read.NextToken-len(read.Results), Found).Body)
+	golden(t, "client-results-none.json", resultsResponse(ResultPage{Total: 3}, 0, Found).Body)
 }
 
 // openGolden opens a store's log and returns what it holds, and where each record ends in its file.
@@ -796,7 +796,7 @@
 // blockedRunner runs items until they are cancelled.
 type blockedRunner struct{}
 
-func (blockedRunner) Run(ctx context.Context, _ *Item, _ string, _ func(id string, data []byte)) Result {
+func (blockedRunner) Run(ctx context.Context, _ *Item, _ string, _ func(id string, data []byte)) RunResult {
 	<-ctx.Done()
-	return Result{End: NotRun}
+	return RunResult{End: RunNotStarted}
 }
--- a/internal/batch/http.go
+++ b/internal/batch/http.go
@@ -14,7 +14,30 @@
 	"dunetide/internal/control/operatorconfig"
 )
 
-const mostItems = 200
+// maxItems is the most items of a job.
+const maxItems = 200
+
+// Names of the interface for clients.
+const (
+	pathJobs  = "/lots/"  // then the job's ID
+	pathItems = "/items/" // then the job's ID; the item's ID is in the query
+
+	headerRequestID = "X-Dunetide-Request-Id" // of a submission: the job's ID
+	headerWait      = "X-Dunetide-Wait-Ms"    // how long a read waits for a result
+	headerTimeLeft  = "X-Dunetide-Time-Left-Ms"
+
+	stateFinished  = "finished"
+	stateAbandoned = "given_up"
+)
+
+// How long a proxy goes on calling stores before it answers that nothing can be said now.
+const (
+	submitTimeout = 1500 * time.Millisecond
+	readTimeout   = 1200 * time.Millisecond
+	endTimeout    = 1500 * time.Millisecond
+	// maxReadWait is how long a read may wait for a result.
+	maxReadWait = 10_000 * time.Millisecond
+)
 
 // Call is a client's call about batch jobs.
 type Call struct {
@@ -26,17 +49,24 @@
 	Body   []byte // whole
 }
 
-// Answer to a call. Status 0: the connection is to be closed without an answer, as nothing can be promised.
-type Answer struct {
-	Status     int
-	RetryAfter string
-	Type       string
-	Body       []byte
+// Response to a call. Status 0: the connection has to be closed without an answer, as nothing can be promised.
+type Response struct {
+	Status      int
+	RetryAfter  string // seconds; empty: no such header
+	ContentType string
+	Body        []byte
 }
 
-// ForBatch tells whether a call is one about batch jobs: a POST under a bulk route, or a call of /lots/ or /items/
-// under a host that has such a route.
-func ForBatch(c *operatorconfig.Config, method, host, path string) bool {
+var (
+	responseUnavailable = Response{Status: http.StatusServiceUnavailable, RetryAfter: "0.2"}
+	// responseStoresFull is the answer while logs are full: jobs leave them some time after they
+	// were submitted.
+	responseStoresFull = Response{Status: http.StatusServiceUnavailable, RetryAfter: "2"}
+)
+
+// IsBatchCall reports whether a call is one about batch jobs: it is under a bulk route, or a call
+// of /lots/ or /items/ under a host that has such a route.
+func IsBatchCall(c *operatorconfig.Config, method, host, path string) bool {
 	if c == nil {
 		return false
 	}
@@ -44,7 +74,7 @@
 	if bulkRoute(c, host, path) != nil {
 		return true
 	}
-	if !strings.HasPrefix(path, "/lots/") && !strings.HasPrefix(path, "/items/") {
+	if !strings.HasPrefix(path, pathJobs) && !strings.HasPrefix(path, pathItems) {
 		return false
 	}
 	for i := range c.Routes {
@@ -55,6 +85,25 @@
 	return false
 }
 
+// bulkRoute is the bulk route that a path under a host belongs to; nil: none. The longest one counts.
+func bulkRoute(c *operatorconfig.Config, host, path string) *operatorconfig.Route {
+	var best *operatorconfig.Route
+	for i := range c.Routes {
+		route := &c.Routes[i]
+		if route.Host != host || !strings.HasPrefix(path, route.PathPrefix) {
+			continue
+		}
+		if best == nil || len(route.PathPrefix) > len(best.PathPrefix) {
+			best = route
+		}
+	}
+	if best != nil && best.Kind == operatorconfig.Bulk {
+		return best
+	}
+	return nil
+}
+
+// hostOnly is a host without its port, in lower case.
 func hostOnly(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -62,24 +111,7 @@
 	return strings.ToLower(host)
 }
 
-var unavailable = Answer{Status: 503, RetryAfter: "0.2"}
-
-// noRoom is the answer while disks are full: jobs leave them some time after they were sent.
-var noRoom = Answer{Status: 503, RetryAfter: "2"}
-
-// How long the edge goes on asking stores before it says that nothing can be said now.
-const (
-	acceptWait = 1500 * time.Millisecond
-	readWait   = 1200 * time.Millisecond
-	endWait    = 1500 * time.Millisecond
-	// mostHold is how long a read may be held until there is a result.
-	mostHold = 10_000 * time.Millisecond
-)
-
-// headerTimeLeft is what a client says that it still waits, in ms.
-const headerTimeLeft = "X-Dunetide-Time-Left-Ms"
-
-// TimeLeft returns what a client says that it still waits, or 0 if it says nothing.
+// TimeLeft returns how long a client says that it still waits, or 0 if it says nothing.
 func TimeLeft(header func(name string) string) time.Duration {
 	if ms, err := strconv.Atoi(header(headerTimeLeft)); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
@@ -87,186 +119,215 @@
 	return 0
 }
 
-// within is a wait, cut to what the client's time bears.
-func (c *Call) within(wait time.Duration) time.Duration {
+// limitTimeout shortens a timeout to four fifths of the time that the client still waits.
+func (c *Call) limitTimeout(timeout time.Duration) time.Duration {
 	if left := TimeLeft(c.Header); left > 0 {
-		return min(wait, left*8/10)
+		return min(timeout, left*8/10)
 	}
-	return wait
+	return timeout
 }
 
 // Serve answers a client's call.
-func (e *Edge) Serve(ctx context.Context, c *Call) Answer {
-	began := time.Now()
-	answer := e.serve(ctx, c)
-	e.noteCall(c, answer, began)
-	return answer
+func (p *Proxy) Serve(ctx context.Context, call *Call) Response {
+	startedAt := time.Now()
+	response := p.serve(ctx, call)
+	p.recordCall(call, response, startedAt)
+	return response
 }
 
-func (e *Edge) serve(ctx context.Context, c *Call) Answer {
-	v := e.o.Views.Get()
+func (p *Proxy) serve(ctx context.Context, call *Call) Response {
+	v := p.options.Snapshots.Get()
 	if v == nil || v.Config == nil {
-		return unavailable
+		return responseUnavailable
 	}
-	if id, ok := strings.CutPrefix(c.Path, "/lots/"); ok {
-		switch c.Method {
+	if jobID, ok := strings.CutPrefix(call.Path, pathJobs); ok {
+		switch call.Method {
 		case http.MethodGet:
-			return e.serveRead(ctx, c, id)
+			return p.serveResults(ctx, call, jobID)
 		case http.MethodDelete:
-			return e.serveEnd(ctx, c, id)
+			return p.serveEnd(ctx, call, jobID)
 		}
-		return Answer{Status: 405}
+		return Response{Status: http.StatusMethodNotAllowed}
 	}
-	if id, ok := strings.CutPrefix(c.Path, "/items/"); ok {
-		return e.serveBody(ctx, c, id)
+	if jobID, ok := strings.CutPrefix(call.Path, pathItems); ok {
+		return p.serveItemBody(ctx, call, jobID)
 	}
-	return e.serveAccept(ctx, c, v.Config)
+	return p.serveSubmit(ctx, call, v.Config)
 }
 
-// serveRead answers a read of results.
-func (e *Edge) serveRead(ctx context.Context, c *Call, id string) Answer {
-	q, _ := url.ParseQuery(c.Query)
-	after, err := strconv.Atoi(q.Get("start_after"))
-	if q.Get("start_after") == "" {
-		after, err = 0, nil
+// serveResults answers a read of results.
+func (p *Proxy) serveResults(ctx context.Context, call *Call, jobID string) Response {
+	query, _ := url.ParseQuery(call.Query) // what is not valid in it is left out
+	startAfter, err := strconv.Atoi(query.Get("start_after"))
+	if query.Get("start_after") == "" {
+		startAfter, err = 0, nil
 	}
-	if err != nil || after < 0 || id == "" {
-		return Answer{Status: 400}
+	if err != nil || startAfter < 0 || jobID == "" {
+		return Response{Status: http.StatusBadRequest}
 	}
-	ms, _ := strconv.Atoi(c.Header("X-Dunetide-Wait-Ms"))
-	wait := min(time.Duration(max(ms, 0))*time.Millisecond, mostHold)
+	ctx, cancel := context.WithTimeout(ctx, call.readWait()+call.limitTimeout(readTimeout))
+	defer cancel()
+	page, outcome := p.ReadResults(ctx, jobID, startAfter, call.readWait())
+	return resultsResponse(page, startAfter, outcome)
+}
+
+// readWait is how long a read waits for a result: half of the time that the client still waits at most.
+func (c *Call) readWait() time.Duration {
+	ms, _ := strconv.Atoi(c.Header(headerWait)) // what is no number counts as 0
+	wait := min(time.Duration(max(ms, 0))*time.Millisecond, maxReadWait)
 	if left := TimeLeft(c.Header); left > 0 {
 		wait = min(wait, left/2)
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+c.within(readWait))
-	defer cancel()
-	r, found := e.Read(ctx, id, after, wait)
-	return readAnswer(r, after, found)
+	return wait
 }
 
 // serveEnd answers the end of a job.
-func (e *Edge) serveEnd(ctx context.Context, c *Call, id string) Answer {
-	ctx, cancel := context.WithTimeout(ctx, c.within(endWait))
+func (p *Proxy) serveEnd(ctx context.Context, call *Call, jobID string) Response {
+	ctx, cancel := context.WithTimeout(ctx, call.limitTimeout(endTimeout))
 	defer cancel()
-	switch e.End(ctx, id) {
-	case OK:
-		return Answer{Status: 200}
-	case None:
-		return Answer{Status: 404}
+	switch p.EndJob(ctx, jobID) {
+	case Found:
+		return Response{Status: http.StatusOK}
+	case NotFound:
+		return Response{Status: http.StatusNotFound}
 	}
-	return unavailable
+	return responseUnavailable
 }
 
-// serveBody answers a read of an item's body.
-func (e *Edge) serveBody(ctx context.Context, c *Call, id string) Answer {
-	q, err := url.ParseQuery(c.Query)
-	if err != nil || c.Method != http.MethodGet {
-		return Answer{Status: 400}
+// serveItemBody answers a read of an item's body.
+func (p *Proxy) serveItemBody(ctx context.Context, call *Call, jobID string) Response {
+	query, err := url.ParseQuery(call.Query)
+	if err != nil || call.Method != http.MethodGet {
+		return Response{Status: http.StatusBadRequest}
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.within(readWait))
+	ctx, cancel := context.WithTimeout(ctx, call.limitTimeout(readTimeout))
 	defer cancel()
-	b, found := e.Body(ctx, id, q.Get("id"))
-	switch found {
-	case OK:
-		return Answer{Status: 200, Type: "application/octet-stream", Body: b}
-	case None:
-		return Answer{Status: 404}
+	body, outcome := p.ReadItemBody(ctx, jobID, query.Get("id"))
+	switch outcome {
+	case Found:
+		return Response{Status: http.StatusOK, ContentType: "application/octet-stream", Body: body}
+	case NotFound:
+		return Response{Status: http.StatusNotFound}
 	}
-	return unavailable
+	return responseUnavailable
 }
 
-// serveAccept answers a job that is handed in.
-func (e *Edge) serveAccept(ctx context.Context, c *Call, config *operatorconfig.Config) Answer {
-	route := bulkRoute(config, hostOnly(c.Host), c.Path)
+// serveSubmit answers the submission of a job.
+func (p *Proxy) serveSubmit(ctx context.Context, call *Call, config *operatorconfig.Config) Response {
+	route := bulkRoute(config, hostOnly(call.Host), call.Path)
 	if route == nil {
-		return Answer{Status: 404}
+		return Response{Status: http.StatusNotFound}
 	}
-	if c.Method != http.MethodPost {
-		return Answer{Status: 405}
+	if call.Method != http.MethodPost {
+		return Response{Status: http.StatusMethodNotAllowed}
 	}
-	j, ok := parseJob(c, route)
+	j, ok := parseJob(call, route)
 	if !ok {
-		return Answer{Status: 400}
+		return Response{Status: http.StatusBadRequest}
 	}
-	j.Version = config.Version
+	j.ConfigVersion = config.Version
 	j.SentMs = time.Now().UnixMilli()
-	ctx, cancel := context.WithTimeout(ctx, c.within(acceptWait))
+	ctx, cancel := context.WithTimeout(ctx, call.limitTimeout(submitTimeout))
 	defer cancel()
-	switch e.Accept(ctx, j) {
-	case Taken:
-		return Answer{Status: 202}
-	case Full:
-		return Answer{Status: 429, RetryAfter: "0.5"}
+	switch p.Submit(ctx, j) {
+	case Accepted:
+		return Response{Status: http.StatusAccepted}
+	case QuotaFull:
+		return Response{Status: http.StatusTooManyRequests, RetryAfter: "0.5"}
 	case Unavailable:
-		return unavailable
-	case NoRoom:
-		return noRoom
+		return responseUnavailable
+	case StoresFull:
+		return responseStoresFull
 	}
-	return Answer{}
+	return Response{}
+}
+
+// submission is the body of a submission.
+type submission struct {
+	Requests []submittedItem `json:"requests"`
 }
 
-func parseJob(c *Call, route *operatorconfig.Route) (*Job, bool) {
-	var in struct {
-		Requests []struct {
-			ID      string            `json:"id"`
-			Path    string            `json:"path"`
-			Headers map[string]string `json:"headers"`
-			Body    []byte            `json:"body"`
-			Tokens  int64             `json:"tokens"`
-		} `json:"requests"`
+type submittedItem struct {
+	ID      string            `json:"id"`
+	Path    string            `json:"path"`
+	Headers map[string]string `json:"headers"`
+	Body    []byte            `json:"body"`
+	Tokens  int64             `json:"tokens"`
+}
+
+func (i *submittedItem) valid() bool {
+	return i.ID != "" && i.Path != "" && i.Path[0] == '/' && i.Tokens >= 0
+}
+
+// parseJob reads the job that a client submits under a route. False: it is not valid.
+func parseJob(call *Call, route *operatorconfig.Route) (*Job, bool) {
+	var body submission
+	jobID := call.Header(headerRequestID)
+	if jobID == "" || json.Unmarshal(call.Body, &body) != nil {
+		return nil, false
 	}
-	id := c.Header("X-Dunetide-Request-Id")
-	if id == "" || json.Unmarshal(c.Body, &in) != nil || len(in.Requests) == 0 || len(in.Requests) > mostItems {
+	if len(body.Requests) == 0 || len(body.Requests) > maxItems {
 		return nil, false
 	}
-	j := &Job{ID: id, Route: route.Name, Host: route.Host, PathStart: route.PathPrefix, DueMs: int64(route.DueMs), Tries: max(route.MaxAttempts, 1),
-		MaxWaitMs: int64(route.MaxWaitMs), MaxQueued: route.MaxQueuedTokens}
-	seen := make(map[string]bool, len(in.Requests))
-	for _, q := range in.Requests {
-		if q.ID == "" || seen[q.ID] || q.Path == "" || q.Path[0] != '/' || q.Tokens < 0 {
+	j := &Job{
+		ID:              jobID,
+		Route:           route.Name,
+		Host:            route.Host,
+		PathPrefix:      route.PathPrefix,
+		DueMs:           int64(route.DueMs),
+		MaxAttempts:     max(route.MaxAttempts, 1),
+		MaxWaitMs:       int64(route.MaxWaitMs),
+		MaxQueuedTokens: route.MaxQueuedTokens,
+	}
+	seen := make(map[string]bool, len(body.Requests))
+	for i := range body.Requests {
+		submitted := &body.Requests[i]
+		if !submitted.valid() || seen[submitted.ID] {
 			return nil, false
 		}
-		seen[q.ID] = true
-		it := JobItem{ID: q.ID, Path: q.Path, Body: q.Body, Tokens: q.Tokens}
-		for _, name := range sortedKeys(q.Headers) {
-			it.Headers = append(it.Headers, [2]string{name, q.Headers[name]})
+		seen[submitted.ID] = true
+		item := JobItem{ID: submitted.ID, Path: submitted.Path, Body: submitted.Body, Tokens: submitted.Tokens}
+		for _, name := range sortedKeys(submitted.Headers) {
+			item.Headers = append(item.Headers, [2]string{name, submitted.Headers[name]})
 		}
-		j.Items = append(j.Items, it)
+		j.Items = append(j.Items, item)
 	}
 	return j, true
 }
 
-func readAnswer(r Reading, after int, found Found) Answer {
-	switch found {
-	case None:
-		return Answer{Status: 404}
-	case Unsure:
-		return unavailable
+// resultsResponse is the answer to a read of results. Its JSON is written field by field, so that
+// its bytes depend on no Go name.
+func resultsResponse(page ResultPage, startAfter int, outcome CallOutcome) Response {
+	switch outcome {
+	case NotFound:
+		return Response{Status: http.StatusNotFound}
+	case NotConfirmed:
+		return responseUnavailable
 	}
 	var b bytes.Buffer
+	writeString := func(s string) {
+		quoted, _ := json.Marshal(s) // a string can always be encoded
+		b.Write(quoted)
+	}
 	b.WriteString(`{"total":`)
-	b.WriteString(strconv.Itoa(r.Total))
+	b.WriteString(strconv.Itoa(page.Total))
 	b.WriteString(`,"next_token":`)
-	b.WriteString(strconv.Itoa(after + len(r.Results)))
+	b.WriteString(strconv.Itoa(startAfter + len(page.Results)))
 	b.WriteString(`,"results":[`)
-	enc := func(s string) {
-		t, _ := json.Marshal(s)
-		b.Write(t)
-	}
-	for i, res := range r.Results {
+	for i, result := range page.Results {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		b.WriteString(`{"id":`)
-		enc(res.ID)
-		if res.GivenUp {
-			b.WriteString(`,"state":"given_up","message":`)
-		} else {
-			b.WriteString(`,"state":"finished","message":`)
+		state := stateFinished
+		if result.Abandoned {
+			state = stateAbandoned
 		}
-		enc(string(res.Message))
+		b.WriteString(`{"id":`)
+		writeString(result.ID)
+		b.WriteString(`,"state":"` + state + `","message":`)
+		writeString(string(result.Message))
 		b.WriteByte('}')
 	}
 	b.WriteString("]}")
-	return Answer{Status: 200, Type: "application/json", Body: b.Bytes()}
+	return Response{Status: http.StatusOK, ContentType: "application/json", Body: b.Bytes()}
 }
--- /dev/null
+++ b/internal/batch/itemrun.go
@@ -0,0 +1,90 @@
+package batch
+
+import (
+	"strconv"
+	"time"
+)
+
+// Delays between the runs of an item.
+const (
+	minRunDelay = 50 * time.Millisecond
+	maxRunDelay = time.Second
+)
+
+// eventText is the text of an item as it grows. Its events are numbered, and a run goes on after
+// the newest event of the run before.
+type eventText struct {
+	text      []byte // the data of the events, a line each
+	lastEvent int64  // number of the newest event; -1: none yet
+	invalid   bool   // an event is missing, or came again
+}
+
+func newEventText() *eventText { return &eventText{lastEvent: -1} }
+
+// addEvent adds an event if it is the next one. The first one may have any number.
+func (t *eventText) addEvent(id string, data []byte) {
+	if t.invalid {
+		return
+	}
+	number, err := strconv.ParseInt(id, 10, 64)
+	if err != nil || number < 0 || t.lastEvent >= 0 && number != t.lastEvent+1 {
+		t.invalid = true
+		return
+	}
+	if t.lastEvent >= 0 {
+		t.text = append(t.text, '\n')
+	}
+	t.text = append(t.text, data...)
+	t.lastEvent = number
+}
+
+// lastEventID is the header Last-Event-Id of the next run; empty: it begins anew.
+func (t *eventText) lastEventID() string {
+	if t.lastEvent < 0 {
+		return ""
+	}
+	return strconv.FormatInt(t.lastEvent, 10)
+}
+
+// run runs an item until it has a result or is cancelled. It is a goroutine of its own.
+func (r *itemRunner) run(running *runningItem) {
+	defer running.cancel()
+	text := newEventText()
+	failures := 0
+	delay := minRunDelay
+	for running.ctx.Err() == nil {
+		result := RunResult{End: RunNotStarted}
+		if running.item.MayStart() {
+			result = r.runner.Run(running.ctx, running.item, text.lastEventID(), text.addEvent)
+		}
+		if text.invalid { // the text is thrown away, and the item begins anew
+			text = newEventText()
+			if result.End == RunCompleted {
+				result.End = RunInterrupted
+			}
+		}
+		switch result.End {
+		case RunCompleted:
+			r.finish(running, false, text.text)
+			return
+		case RunImpossible:
+			r.finish(running, true, nil)
+			return
+		case RunFailed:
+			if failures++; failures >= running.maxAttempts {
+				r.finish(running, true, nil)
+				return
+			}
+		case RunInterrupted:
+			if text.lastEvent >= 0 { // it got on
+				delay = minRunDelay
+			}
+		}
+		wait := max(delay, result.RetryAfter)
+		delay = min(delay*2, maxRunDelay)
+		select {
+		case <-time.After(wait):
+		case <-running.ctx.Done():
+		}
+	}
+}
--- /dev/null
+++ b/internal/batch/operations.go
@@ -0,0 +1,99 @@
+package batch
+
+import "dunetide/internal/platform/link"
+
+// Operations on the jobs of a partition, which its primary orders. The first byte of an operation
+// is one of these. They are on the wire and on disk.
+const (
+	opAcceptJob uint8 = 1 + iota // encoded job
+	opAddResult                  // job ID, item index, abandoned, text up to the end
+	opEndJob                     // job ID
+	opDropJob                    // job ID
+)
+
+func encodeAcceptJob(encodedJob []byte) []byte { return append([]byte{opAcceptJob}, encodedJob...) }
+
+func encodeAddResult(jobID string, index int, abandoned bool, text []byte) []byte {
+	w := link.Writer{B: make([]byte, 0, len(jobID)+len(text)+16)}
+	w.U8(opAddResult)
+	w.String(jobID)
+	w.U32(uint32(index))
+	w.Bool(abandoned)
+	w.B = append(w.B, text...)
+	return w.B
+}
+
+// encodeJobOperation encodes an operation that has nothing but the job's ID.
+func encodeJobOperation(operation uint8, jobID string) []byte {
+	var w link.Writer
+	w.U8(operation)
+	w.String(jobID)
+	return w.B
+}
+
+// jobOfOperation is the ID of the job that an operation is about. An encoded job begins with its ID too.
+func jobOfOperation(operation []byte) string {
+	r := link.Reader{B: operation}
+	r.U8()
+	return r.String()
+}
+
+// applyOperation applies an operation whose first byte lies at an offset of the log.
+func (c *core) applyOperation(p *partition, operation []byte, offset int64) error {
+	r := link.Reader{B: operation}
+	switch r.U8() {
+	case opAcceptJob:
+		j, err := decodeJob(r.B, offset+1)
+		if err != nil {
+			return err
+		}
+		c.putJob(p, j, 0)
+	case opAddResult:
+		id, index, abandoned := r.String(), int(r.U32()), r.Bool()
+		if r.Err != nil {
+			return r.Err
+		}
+		if j := p.jobs[id]; j != nil {
+			c.applyResult(j, index, abandoned, r.B, offset+int64(len(operation)-len(r.B)))
+		}
+	case opEndJob:
+		if j := p.jobs[r.String()]; j != nil {
+			j.ended = true
+		}
+	case opDropJob:
+		c.removeJob(p, r.String())
+	}
+	return r.Err
+}
+
+func (c *core) applyResult(j *job, index int, abandoned bool, text []byte, offset int64) {
+	before := len(j.results)
+	j.addResult(index, abandoned, text, offset)
+	if len(j.results) > before {
+		added := j.results[before]
+		c.addLiveBytes(added.offset, int64(added.length))
+	}
+}
+
+// putJob adds a job that is at least so many ms old, or replaces what was known of it. A job that
+// is replaced gets no younger.
+func (c *core) putJob(p *partition, j *job, ageMs int64) {
+	j.knownSinceMs = c.nowMs - ageMs
+	if known := p.jobs[j.id]; known != nil {
+		j.knownSinceMs = min(j.knownSinceMs, known.knownSinceMs)
+	}
+	c.removeJob(p, j.id)
+	p.jobs[j.id] = j
+	c.addLiveJob(j, 1)
+}
+
+func (c *core) removeJob(p *partition, id string) {
+	j := p.jobs[id]
+	if j == nil {
+		return
+	}
+	c.addLiveJob(j, -1)
+	j.dropped = true
+	rejectReads(j.pendingReads)
+	delete(p.jobs, id)
+}
--- /dev/null
+++ b/internal/batch/primary.go
@@ -0,0 +1,273 @@
+package batch
+
+import (
+	"slices"
+
+	"dunetide/internal/control/snapshot"
+)
+
+// primaryState is what the primary of a partition has besides the partition.
+type primaryState struct {
+	term        uint64
+	incarnation uint64 // the first term of this lead; it stays through epochs that leave the primary in place
+	stage       takeoverStage
+	serving     bool // the takeover is done: clients and workers are served
+
+	replicas          []uint64 // the group by the table, this store included
+	nextReplicas      []uint64 // the group after the change that is under way; nil: none is
+	nextGroupReady    bool     // the next group is up to date, so operations are committed by both groups
+	nextGroupReported bool
+	progress          map[uint64]*replicaProgress // of the other replicas that are connected, by identity
+	stateSource       uint64                      // the replica whose state is taken over
+	awaitedJobs       map[string]bool             // jobs that are still to come from it
+
+	lastSequence   uint64          // of the newest operation
+	startSequence  int64           // the operation up to which the state was taken over
+	selfSynced     int64           // durable on the own disk in this term; -1: not the start of the term yet
+	committed      int64           // the operation up to which all are committed; -1: none yet
+	pendingCommits []pendingCommit // the oldest first
+
+	confirmedAt             int64         // a moment at which this store had not been replaced, for sure
+	confirmationRequestedAt int64         // stamp of the newest request
+	superseded              bool          // a replica knows a newer term
+	startsPaused            bool          // workers have been told to start nothing
+	pendingReads            []pendingRead // that wait for a confirmation
+	dispatchFrom            int64         // when items are assigned first
+
+	usage           map[string]*routeUsage   // by route
+	usageVersion    uint64                   // of the newest report of usage
+	reservations    map[uint64]*reservation  // by their numbers
+	lastReservation uint64                   // number
+	accounts        map[string]*quotaAccount // of the routes whose quota this primary owns
+	incomingJobs    map[string]*incomingJob  // jobs that wait for their tokens, by ID
+}
+
+// takeoverStage says how far a new primary is. The stages are passed in this order; stageFetching
+// falls back to stageCollecting when the replica that is fetched from is lost.
+type takeoverStage uint8
+
+const (
+	stagePromising   takeoverStage = iota // the own promise is not durable yet
+	stageCollecting                       // the promises of replicas are awaited
+	stageFetching                         // jobs that another replica has are awaited
+	stageReplicating                      // operations are ordered and replicated
+)
+
+// replicaProgress is what a primary knows of another replica (as Progress in etcd's raft).
+type replicaProgress struct {
+	pipe              Pipe
+	session           uint64            // tells the messages under one connection and term from all others
+	digests           map[string]uint64 // of the jobs that it reported; nil: it has not reported yet
+	position          logPosition       // that it reported
+	outdatedJobs      map[string]bool   // jobs that have to be sent whole; nil: not known yet
+	transfersInFlight int               // jobs that were sent and not acknowledged
+	upToDate          bool              // it has been sent all, so operations may count on it
+	acknowledged      int64             // the operation up to which all are durable there; -1: none
+	confirmedAt       int64             // stamp of its newest confirmation
+	logFull           bool              // it has no space for more jobs
+}
+
+// pendingCommit is called when an operation is committed, or, with false, when this store is not
+// the primary any more and can't know.
+type pendingCommit struct {
+	sequence int64
+	done     func(ok bool)
+}
+
+// becomePrimary begins a term. A primary of the epoch before, in the same process, continues
+// without a takeover: nobody else can have ordered anything.
+func (c *core) becomePrimary(p *partition, row *snapshot.Partition, continues bool) {
+	if !continues {
+		c.stepDown(p)
+	}
+	term := max(p.promisedTerm, firstTerm(row.Epoch)) + 1
+	if epochOfTerm(term) != row.Epoch {
+		return // something newer is known already
+	}
+	if p.primary == nil {
+		termsStarted.Inc()
+		p.primary = newPrimaryState(term)
+	}
+	primary := p.primary
+	p.followedPrimary, p.session = nil, 0
+	primary.beginTerm(term, row)
+	if continues {
+		primary.confirmedAt = c.nowMs - confirmationMs - 1 // not confirmed, but workers have their grace
+	}
+	c.appendRecord(encodeRecord(recordPromise, p.index, term))
+	if continues {
+		c.writeTermStart(p)
+	}
+	c.afterSync(func() {
+		if p.primary != primary || primary.term != term {
+			return
+		}
+		if primary.stage == stagePromising {
+			primary.stage = stageCollecting
+		}
+		for _, id := range primary.allReplicas() {
+			c.sendPrepare(p, id)
+		}
+		c.chooseStateSource(p)
+	})
+}
+
+func newPrimaryState(term uint64) *primaryState {
+	return &primaryState{
+		incarnation:  term,
+		committed:    -1,
+		usage:        map[string]*routeUsage{},
+		reservations: map[uint64]*reservation{},
+		accounts:     map[string]*quotaAccount{},
+		incomingJobs: map[string]*incomingJob{},
+	}
+}
+
+// beginTerm forgets what was known of the replicas in the term before.
+func (s *primaryState) beginTerm(term uint64, row *snapshot.Partition) {
+	s.term = term
+	s.stage = stagePromising
+	s.selfSynced = -1
+	s.startSequence = 0
+	s.nextGroupReady = false
+	s.nextGroupReported = false
+	s.replicas = row.Replicas
+	s.nextReplicas = nil
+	if len(row.Joining)+len(row.Leaving) > 0 {
+		s.nextReplicas = nextReplicas(row)
+	}
+	s.progress = map[uint64]*replicaProgress{}
+	s.confirmedAt = never
+	s.confirmationRequestedAt = 0
+	s.superseded = false
+}
+
+// allReplicas are the replicas of the group and of the next one.
+func (s *primaryState) allReplicas() []uint64 {
+	ids := slices.Clone(s.replicas)
+	for _, id := range s.nextReplicas {
+		if !slices.Contains(ids, id) {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+func (s *primaryState) progressOfSession(session uint64) *replicaProgress {
+	for _, replica := range s.progress {
+		if replica.session == session {
+			return replica
+		}
+	}
+	return nil
+}
+
+// startServing is called when the state that was taken over is committed in this term.
+func (c *core) startServing(p *partition) {
+	primary := p.primary
+	primary.serving = true
+	c.log("part %d: leads under %x with %d jobs", p.index, primary.term, len(p.jobs))
+	primary.dispatchFrom = c.nowMs + dispatchDelayMs
+	for _, id := range sortedKeys(p.jobs) {
+		j := p.jobs[id]
+		j.committed = true
+		j.readableResults = len(j.results)
+		j.endCommitted = j.ended
+		if !j.ended {
+			primary.usageOf(j.route).tokens += j.openTokens()
+		}
+		c.enqueueJob(j)
+	}
+	for _, usage := range primary.usage {
+		usage.changed = true
+	}
+	c.adoptAllRunning(p)
+}
+
+// stepDown ends the lead of a partition, if this store has it. Whether operations that are not
+// committed yet count is open then, and their callers are told so.
+func (c *core) stepDown(p *partition) {
+	primary := p.primary
+	if primary == nil {
+		return
+	}
+	p.primary = nil
+	for _, commit := range primary.pendingCommits {
+		commit.done(false)
+	}
+	rejectReads(primary.pendingReads)
+	for _, id := range sortedKeys(primary.incomingJobs) {
+		primary.incomingJobs[id].reply(codeUnavailable)
+	}
+	for _, account := range primary.accounts {
+		account.rejectPending(c)
+	}
+	for _, id := range sortedKeys(p.jobs) {
+		j := p.jobs[id]
+		rejectReads(j.pendingReads)
+		j.forgetPrimaryState()
+	}
+	for _, w := range c.attachedWorkers {
+		for key := range w.assigned {
+			if key.partition == p.index {
+				delete(w.assigned, key)
+			}
+		}
+	}
+	c.dispatchQueue = slices.DeleteFunc(c.dispatchQueue, func(j *job) bool { return !j.queued })
+	c.rejectPendingEnds(p)
+}
+
+// forgetPrimaryState forgets what only the primary of the job's partition knows.
+func (j *job) forgetPrimaryState() {
+	j.pendingReads = nil
+	j.committed = false
+	j.readableResults = 0
+	j.endCommitted = false
+	j.queued = false
+	j.dropped = false
+	j.firstWaiting = 0
+	for i := range j.items {
+		j.items[i].worker = nil
+		if j.items[i].state == itemAssigned {
+			j.items[i].state = itemWaiting
+		}
+	}
+}
+
+// peerConnected is the event of a new connection to another store.
+func (c *core) peerConnected(id uint64, pipe Pipe) {
+	c.peers[id] = pipe
+	for _, p := range c.partitions {
+		primary := p.primary
+		if primary == nil {
+			continue
+		}
+		if primary.stage != stagePromising && slices.Contains(primary.allReplicas(), id) {
+			c.sendPrepare(p, id)
+		}
+		if primary.serving {
+			primary.resendReservations(id)
+			c.sendUsageTo(p, id)
+		}
+	}
+}
+
+// peerDisconnected is the event that such a connection has ended.
+func (c *core) peerDisconnected(id uint64, pipe Pipe) {
+	if c.peers[id] != pipe {
+		return
+	}
+	delete(c.peers, id)
+	for _, p := range c.partitions {
+		primary := p.primary
+		if primary == nil || primary.progress[id] == nil {
+			continue
+		}
+		delete(primary.progress, id)
+		if primary.stage == stageFetching && primary.stateSource == id {
+			primary.stage = stageCollecting
+			c.chooseStateSource(p)
+		}
+	}
+}
--- a/internal/batch/promises_test.go
+++ b/internal/batch/promises_test.go
@@ -345,7 +345,7 @@
 			if s == nil || s.core == nil || s.core.self != id {
 				return fmt.Sprintf("part %d has a copy at %d, which is not there: %v", no, id, *row)
 			}
-			if id == row.Primary && (s.core.parts[no].lead == nil || !s.core.parts[no].lead.active) {
+			if id == row.Primary && (s.core.partitions[no].primary == nil || !s.core.partitions[no].primary.serving) {
 				return fmt.Sprintf("part %d is not led: %v", no, *row)
 			}
 		}
@@ -356,7 +356,7 @@
 // retire empties a store and takes it away in the moment that it is finished, and the disk of another too.
 func (w *world) retire() {
 	s := w.stores[w.rng.IntN(len(w.stores))]
-	next, known, few := Retire(w.table, s.name, w.alive(), func(id uint64) bool { return w.ms()-w.heard[id] > 1000 }, w.f)
+	next, known, few := RetireStore(w.table, s.name, w.alive(), func(id uint64) bool { return w.ms()-w.heard[id] > 1000 }, w.f)
 	if few {
 		return
 	}
@@ -368,7 +368,7 @@
 	w.publish(next)
 	for range 100 {
 		w.run(100)
-		if _, done := Retired(w.table, s.name, w.f); done {
+		if _, done := RetirementState(w.table, s.name, w.f); done {
 			w.say("%s is finished", s.name)
 			s.wipe()
 			s.name += "'" // the machine that comes in its place is another
--- /dev/null
+++ b/internal/batch/proxy.go
@@ -0,0 +1,260 @@
+package batch
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/telemetry"
+)
+
+const (
+	// refreshInterval is how often the newest snapshot is looked at, besides at each Refresh.
+	refreshInterval = 200 * time.Millisecond
+	// callRetryDelay is how long after a call was not answered the primary is called again.
+	callRetryDelay = 40 * time.Millisecond
+)
+
+// ProxyOptions configure a Proxy.
+type ProxyOptions struct {
+	Snapshots *snapshot.Latest // what the proxy knows of the system
+	Name      string           // of the proxy
+	Zone      string
+	Runner    Runner       // runs items; nil: this proxy runs none
+	Log       hclog.Logger // of calls that failed; nil: none
+}
+
+// Proxy is the proxy's side of batch jobs: it passes the calls of clients on to the primaries of
+// their jobs, and has the worker that runs items. It is safe for concurrent use.
+type Proxy struct {
+	options    ProxyOptions
+	stores     *storeConnections
+	items      *itemRunner
+	callEvents *telemetry.Log // calls that failed
+
+	stop      chan struct{}
+	closeOnce sync.Once
+	watching  sync.WaitGroup
+
+	mu    sync.Mutex
+	table *snapshot.PartitionTable // the one whose stores are connected
+}
+
+// NewProxy begins to connect to the stores. Close ends it.
+func NewProxy(options ProxyOptions) *Proxy {
+	p := &Proxy{
+		options:    options,
+		items:      newItemRunner(options),
+		callEvents: newCallEvents(options.Log),
+		stop:       make(chan struct{}),
+	}
+	p.stores = newStoreConnections(storeEvents{
+		connected:    p.items.connected,
+		disconnected: p.items.disconnected,
+		message:      p.items.handleMessage,
+	})
+	p.watching.Go(p.watchSnapshots)
+	return p
+}
+
+// Close ends the connections, and cancels the items that run.
+func (p *Proxy) Close() {
+	p.closeOnce.Do(func() {
+		close(p.stop)
+		p.items.close()
+		p.stores.close()
+		p.watching.Wait()
+	})
+}
+
+// SetMaxRunning says how many items this proxy wants to run at a time, for all stores together.
+func (p *Proxy) SetMaxRunning(items int) { p.items.setMaxRunning(items) }
+
+// RunningItems is how many items are assigned to this proxy.
+func (p *Proxy) RunningItems() int { return p.items.runningCount() }
+
+// Refresh looks at the newest snapshot. That is also done a few times a second.
+func (p *Proxy) Refresh() {
+	table := p.currentTable()
+	if table == nil {
+		return
+	}
+	p.mu.Lock()
+	changed := p.table != table
+	p.table = table
+	p.mu.Unlock()
+	if changed {
+		p.stores.setStores(table.Stores, 0)
+	}
+	p.items.updateTable(table)
+}
+
+func (p *Proxy) watchSnapshots() {
+	tick := time.NewTicker(refreshInterval)
+	defer tick.Stop()
+	for {
+		p.Refresh()
+		select {
+		case <-tick.C:
+		case <-p.stop:
+			return
+		}
+	}
+}
+
+// currentTable is the newest table; nil: none is known.
+func (p *Proxy) currentTable() *snapshot.PartitionTable {
+	if v := p.options.Snapshots.Get(); v != nil {
+		return v.Table
+	}
+	return nil
+}
+
+// primary is the connection to the primary of a job's partition; nil if there is none now.
+func (p *Proxy) primary(jobID string) *link.Conn {
+	table := p.currentTable()
+	partition := table.PartitionOf(jobID)
+	if partition < 0 {
+		return nil
+	}
+	return p.stores.get(table.Partitions[partition].Primary)
+}
+
+// call calls the primary of a job's partition until one answers or the context ends; the reply is
+// nil then. MayBeDone reports that a primary may have done it although its answer is not known.
+func (p *Proxy) call(ctx context.Context, jobID string, kind link.Kind, body []byte) (reply []byte, mayBeDone bool) {
+	for {
+		if conn := p.primary(jobID); conn != nil {
+			reply, err := conn.Call(ctx, kind, body)
+			switch {
+			case err != nil, codeOf(reply) == codeUnknown:
+				mayBeDone = true
+			case len(reply) > 0 && codeOf(reply) != codeUnavailable:
+				return reply, mayBeDone
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return nil, mayBeDone
+		case <-time.After(callRetryDelay):
+		}
+	}
+}
+
+// codeOf is the code that a reply begins with; 0 if it is empty.
+func codeOf(reply []byte) uint8 {
+	if len(reply) == 0 {
+		return 0
+	}
+	return reply[0]
+}
+
+// SubmitOutcome is what the submission of a job came to.
+type SubmitOutcome uint8
+
+// The outcomes of submissions.
+const (
+	Accepted    SubmitOutcome = iota // the job is stored from now on
+	QuotaFull                        // not accepted: the quota of the route is used up
+	Unavailable                      // not accepted
+	Unresolved                       // it may have been accepted: the answer must promise nothing
+	StoresFull                       // not accepted, and none will be for some time: logs are full
+)
+
+// Submit submits a job. It tries until the context ends.
+func (p *Proxy) Submit(ctx context.Context, j *Job) SubmitOutcome {
+	reply, mayBeDone := p.call(ctx, j.ID, kindAcceptJob, j.encode())
+	switch code := codeOf(reply); {
+	case code == codeOK:
+		return Accepted
+	case mayBeDone:
+		return Unresolved
+	case code == codeQuotaFull:
+		return QuotaFull
+	case code == codeLogFull:
+		return StoresFull
+	}
+	return Unavailable
+}
+
+// CallOutcome is what a call about a job came to.
+type CallOutcome uint8
+
+// The outcomes of calls.
+const (
+	Found        CallOutcome = iota // it was done
+	NotFound                        // there is no such job or item, for sure
+	NotConfirmed                    // nothing can be said now
+)
+
+func callOutcome(code uint8) CallOutcome {
+	switch code {
+	case codeOK:
+		return Found
+	case codeNotFound:
+		return NotFound
+	}
+	return NotConfirmed
+}
+
+// ResultPage has results of a job from an index on.
+type ResultPage struct {
+	Total   int // items of the job
+	Results []ItemResult
+}
+
+// ItemResult is the result of an item.
+type ItemResult struct {
+	ID        string
+	Abandoned bool // the item was given up
+	Message   []byte
+}
+
+// ReadResults reads the results of a job from an index on. If there is none yet it waits so long for one.
+func (p *Proxy) ReadResults(
+	ctx context.Context, jobID string, startAfter int, wait time.Duration,
+) (ResultPage, CallOutcome) {
+	var w link.Writer
+	w.String(jobID)
+	w.Int(startAfter)
+	w.Int(int(wait.Milliseconds()))
+	reply, _ := p.call(ctx, jobID, kindReadResults, w.B)
+	r := link.Reader{B: reply}
+	outcome := callOutcome(r.U8())
+	if outcome != Found {
+		return ResultPage{}, outcome
+	}
+	page := ResultPage{Total: int(r.U32())}
+	for n := r.Count(9); n > 0; n-- {
+		page.Results = append(page.Results, ItemResult{ID: r.String(), Abandoned: r.Bool(), Message: r.Bytes()})
+	}
+	if r.Err != nil {
+		return ResultPage{}, NotConfirmed
+	}
+	return page, Found
+}
+
+// ReadItemBody reads the body of an item as it was submitted.
+func (p *Proxy) ReadItemBody(ctx context.Context, jobID, itemID string) ([]byte, CallOutcome) {
+	var w link.Writer
+	w.String(jobID)
+	w.String(itemID)
+	reply, _ := p.call(ctx, jobID, kindReadItemBody, w.B)
+	outcome := callOutcome(codeOf(reply))
+	if outcome != Found {
+		return nil, outcome
+	}
+	return reply[1:], Found
+}
+
+// EndJob ends a job: none of its items is started any more once it returns Found.
+func (p *Proxy) EndJob(ctx context.Context, jobID string) CallOutcome {
+	var w link.Writer
+	w.String(jobID)
+	reply, _ := p.call(ctx, jobID, kindEndJob, w.B)
+	return callOutcome(codeOf(reply))
+}
--- /dev/null
+++ b/internal/batch/quotaowner.go
@@ -0,0 +1,238 @@
+package batch
+
+import "slices"
+
+// The owner of a route's quota is the primary of the partition that the route hashes to. It holds
+// nothing on disk: a new owner asks all primaries for their usage before it grants anything.
+
+// quotaAccount is what the owner of a route's quota knows: for each partition an upper bound of the
+// tokens that wait there.
+type quotaAccount struct {
+	route            string
+	incarnation      uint64 // of this owner, as a primary
+	usage            map[int]*partitionUsage
+	pending          []pendingReservation // wait until the usage of all partitions is known
+	usageRequestedAt int64
+	requestingUsage  bool // the request may be answered at once by this store
+}
+
+// partitionUsage is what the primary of a partition has reported, and what it was granted since.
+type partitionUsage struct {
+	incarnation          uint64 // of the primary
+	epoch                uint64
+	version              uint64 // of the report, in the incarnation
+	tokens               int64
+	resolvedReservations uint64 // up to this number; the report includes their tokens if they were used
+	grants               []tokenGrant
+}
+
+// tokenGrant is a reservation that was granted and is not resolved.
+type tokenGrant struct {
+	number uint64
+	tokens int64
+}
+
+// pendingReservation is a reservation that has not been answered.
+type pendingReservation struct {
+	pipe        Pipe // nil: of this store
+	partition   int
+	incarnation uint64 // of the primary
+	number      uint64
+	tokens      int64
+	maxTokens   int64
+	deadline    int64
+}
+
+// ownedAccount is the account of a route, nil if this store does not own the quota or does not
+// serve the partition yet.
+func (c *core) ownedAccount(route string) *quotaAccount {
+	index, store := c.quotaOwner(route)
+	if index < 0 || store != c.self {
+		return nil
+	}
+	primary := c.partition(index).primary
+	if primary == nil || !primary.serving {
+		return nil
+	}
+	account := primary.accounts[route]
+	if account == nil {
+		account = &quotaAccount{
+			route:            route,
+			incarnation:      primary.incarnation,
+			usage:            map[int]*partitionUsage{},
+			usageRequestedAt: never,
+		}
+		primary.accounts[route] = account
+	}
+	return account
+}
+
+// usageOf is the usage of a partition; an empty one if it has not reported any.
+func (a *quotaAccount) usageOf(partition int) *partitionUsage {
+	usage := a.usage[partition]
+	if usage == nil {
+		usage = &partitionUsage{}
+		a.usage[partition] = usage
+	}
+	return usage
+}
+
+// countedTokens are the tokens that may wait on the route: reported, or granted since.
+func (a *quotaAccount) countedTokens() (tokens int64) {
+	for _, usage := range a.usage {
+		tokens += usage.tokens
+		for _, grant := range usage.grants {
+			tokens += grant.tokens
+		}
+	}
+	return tokens
+}
+
+// partitionsWithoutUsage are the partitions whose usage is not known.
+func (a *quotaAccount) partitionsWithoutUsage(partitions int) (missing []int) {
+	for index := range partitions {
+		if a.usage[index] == nil {
+			missing = append(missing, index)
+		}
+	}
+	return missing
+}
+
+// handleReservation is the event that a primary asks for tokens.
+func (c *core) handleReservation(route string, request pendingReservation) {
+	account := c.ownedAccount(route)
+	if account == nil {
+		c.sendReservationReply(route, 0, request, codeUnavailable)
+		return
+	}
+	account.pending = append(account.pending, request)
+	c.answerPendingReservations(account)
+}
+
+// handleUsageReport is the event that a primary reports its usage. Reports that come again or late
+// change nothing.
+func (c *core) handleUsageReport(route string, partition int, report partitionUsage) {
+	account := c.ownedAccount(route)
+	if account == nil {
+		return
+	}
+	known := account.usageOf(partition)
+	if report.incarnation < known.incarnation ||
+		report.incarnation == known.incarnation && report.version <= known.version {
+		return
+	}
+	for _, grant := range known.grants {
+		if known.incarnation == report.incarnation && grant.number > report.resolvedReservations {
+			report.grants = append(report.grants, grant)
+		}
+	}
+	*known = report
+	c.answerPendingReservations(account)
+}
+
+// requestUsage asks the primaries of partitions for their usage.
+func (c *core) requestUsage(account *quotaAccount, partitions []int) {
+	account.usageRequestedAt = c.nowMs
+	for _, index := range partitions {
+		store := c.table.Partitions[index].Primary
+		pipe := c.peers[store]
+		if pipe == nil && store != c.self {
+			continue
+		}
+		w := encodeQuotaMessage(account.route, index, account.incarnation, 0)
+		c.sendQuotaMessage(pipe, kindUsageRequest, w.B)
+	}
+}
+
+// answerPendingReservations answers the reservations that wait, once the usage of all partitions is known.
+func (c *core) answerPendingReservations(account *quotaAccount) {
+	if len(account.pending) == 0 || account.requestingUsage {
+		return
+	}
+	if missing := account.partitionsWithoutUsage(len(c.table.Partitions)); len(missing) > 0 {
+		if c.nowMs-account.usageRequestedAt >= usageRequestMs {
+			account.requestingUsage = true
+			c.requestUsage(account, missing)
+			account.requestingUsage = false
+			missing = account.partitionsWithoutUsage(len(c.table.Partitions))
+		}
+		if len(missing) > 0 {
+			return
+		}
+	}
+	pending := account.pending
+	account.pending = nil
+	for _, request := range pending {
+		c.answerReservation(account, request)
+	}
+}
+
+// answerReservation grants a reservation if the quota allows it, once.
+func (c *core) answerReservation(account *quotaAccount, request pendingReservation) {
+	usage := account.usageOf(request.partition)
+	if request.incarnation < usage.incarnation ||
+		request.incarnation == usage.incarnation && request.number <= usage.resolvedReservations {
+		return // the primary has been replaced, or the reservation is resolved
+	}
+	if request.incarnation > usage.incarnation {
+		// A new primary, whose usage is not known. It reports it when it begins to serve, so it is on its way.
+		c.sendReservationReply(account.route, account.incarnation, request, codeUnavailable)
+		return
+	}
+	for _, grant := range usage.grants {
+		if grant.number == request.number {
+			c.sendReservationReply(account.route, account.incarnation, request, codeOK)
+			return
+		}
+	}
+	if account.countedTokens()+request.tokens > request.maxTokens {
+		c.sendReservationReply(account.route, account.incarnation, request, codeQuotaFull)
+		return
+	}
+	usage.grants = append(usage.grants, tokenGrant{request.number, request.tokens})
+	c.sendReservationReply(account.route, account.incarnation, request, codeOK)
+}
+
+// sendReservationReply answers a reservation. Owner is the incarnation of the owner; 0: this store
+// is not the owner.
+func (c *core) sendReservationReply(route string, owner uint64, request pendingReservation, code uint8) {
+	w := encodeQuotaMessage(route, request.partition, request.incarnation, 17)
+	w.U64(request.number)
+	w.U8(code)
+	w.U64(owner)
+	c.sendQuotaMessage(request.pipe, kindReservationReply, w.B)
+}
+
+// rejectPending refuses the reservations that wait, as this store is the owner no longer.
+func (a *quotaAccount) rejectPending(c *core) {
+	pending := a.pending
+	a.pending = nil
+	for _, request := range pending {
+		c.sendReservationReply(a.route, a.incarnation, request, codeUnavailable)
+	}
+}
+
+// refreshAccounts drops the reservations that have waited too long, answers the others if that is
+// possible now, and asks for usage that only a primary of an earlier epoch has reported.
+func (c *core) refreshAccounts(primary *primaryState) {
+	for _, route := range sortedKeys(primary.accounts) {
+		account := primary.accounts[route]
+		account.pending = slices.DeleteFunc(account.pending, func(request pendingReservation) bool {
+			return c.nowMs >= request.deadline
+		})
+		c.answerPendingReservations(account)
+		if c.nowMs-account.usageRequestedAt < staleUsageMs {
+			continue
+		}
+		var outdated []int
+		for index := range c.table.Partitions {
+			usage := account.usage[index]
+			if usage != nil && usage.tokens+int64(len(usage.grants)) > 0 && usage.epoch < c.table.Partitions[index].Epoch {
+				outdated = append(outdated, index)
+			}
+		}
+		if len(outdated) > 0 {
+			c.requestUsage(account, outdated)
+		}
+	}
+}
--- /dev/null
+++ b/internal/batch/reads.go
@@ -0,0 +1,182 @@
+package batch
+
+import (
+	"slices"
+
+	"dunetide/internal/platform/link"
+)
+
+// pendingRead is a call that reads results or the body of an item. It waits for a result, for a
+// confirmation that this store is still the primary, or both.
+type pendingRead struct {
+	caller     Caller
+	jobID      string
+	itemID     string // whose body is read
+	startAfter int    // index of the first result that is read
+	deadline   int64  // until when it waits for a result
+	confirmBy  int64  // until when it waits for a confirmation after that
+	readsBody  bool
+	endsJob    bool // the call ends the job, which is not known here
+}
+
+func rejectReads(reads []pendingRead) {
+	for _, read := range reads {
+		replyCode(read.caller, codeUnavailable)
+	}
+}
+
+// readJob answers a read as soon as there is something to read and this store is confirmed to be the primary.
+func (c *core) readJob(p *partition, read pendingRead) {
+	j := p.jobs[read.jobID]
+	if j != nil && !j.committed {
+		j = nil
+	}
+	if j != nil && read.endsJob {
+		c.endJob(p, read.jobID, read.caller)
+		return
+	}
+	if j != nil && c.awaitsResult(j, &read) {
+		j.pendingReads = append(j.pendingReads, read)
+		return
+	}
+	if primary := p.primary; !c.isConfirmed(primary) {
+		if c.nowMs >= read.confirmBy {
+			replyCode(read.caller, codeUnavailable)
+			return
+		}
+		primary.pendingReads = append(primary.pendingReads, read)
+		c.requestConfirmations(p)
+		return
+	}
+	switch {
+	case j == nil:
+		replyCode(read.caller, codeNotFound)
+	case read.readsBody:
+		c.replyItemBody(j, read)
+	default:
+		c.replyResults(j, read)
+	}
+}
+
+// awaitsResult reports whether a read of results has nothing to read yet, and time to wait for more.
+func (c *core) awaitsResult(j *job, read *pendingRead) bool {
+	readable := j.readable()
+	mayCome := readable < len(j.items) && !j.endCommitted
+	return !read.readsBody && read.startAfter >= readable && mayCome && c.nowMs < read.deadline
+}
+
+// readable is how many results of a job may be read: those whose place in the list is committed.
+func (j *job) readable() int {
+	return j.readableResults
+}
+
+// replyResults replies with results from an index on, as many as fit.
+func (c *core) replyResults(j *job, read pendingRead) {
+	const perResult = 100 // bytes besides the text, roughly
+	end, size := read.startAfter, 0
+	for end < j.readable() && (end == read.startAfter || size+j.results[end].length < maxReadBytes) {
+		size += j.results[end].length + perResult
+		end++
+	}
+	w := link.Writer{B: make([]byte, 0, 512)}
+	w.U8(codeOK)
+	w.U32(uint32(len(j.items)))
+	w.U32(uint32(max(0, end-read.startAfter)))
+	for i := read.startAfter; i < end; i++ {
+		res := j.results[i]
+		text, err := c.resultText(res)
+		if err != nil {
+			c.log("reading a result of job %s: %v", j.id, err)
+			replyCode(read.caller, codeUnavailable)
+			return
+		}
+		w.String(j.items[res.itemIndex].id)
+		w.Bool(res.abandoned)
+		w.Bytes(text)
+	}
+	read.caller.Reply(w.B)
+}
+
+// replyItemBody replies with the body of an item.
+func (c *core) replyItemBody(j *job, read pendingRead) {
+	for index := range j.items {
+		if j.items[index].id != read.itemID {
+			continue
+		}
+		body, err := c.itemBody(j, index)
+		if err != nil {
+			c.log("reading an item of job %s: %v", j.id, err)
+			replyCode(read.caller, codeUnavailable)
+			return
+		}
+		read.caller.Reply(append([]byte{codeOK}, body...))
+		return
+	}
+	replyCode(read.caller, codeNotFound)
+}
+
+func (c *core) itemBody(j *job, index int) ([]byte, error) {
+	request, err := c.itemRequest(j, index)
+	if err != nil {
+		return nil, err
+	}
+	_, _, body, err := decodeRequest(request)
+	return body, err
+}
+
+// resumeReads answers the reads that wait for a result of a job, or lets them wait again.
+func (c *core) resumeReads(p *partition, j *job) {
+	reads := j.pendingReads
+	j.pendingReads = nil
+	for _, read := range reads {
+		c.readJob(p, read)
+	}
+}
+
+// resumeOverdueReads answers the reads that have waited long enough for a result.
+func (c *core) resumeOverdueReads() {
+	for _, p := range c.partitions {
+		if p.primary == nil {
+			continue
+		}
+		var overdue []string
+		for id, j := range p.jobs {
+			if j.hasOverdueRead(c.nowMs) {
+				overdue = append(overdue, id)
+			}
+		}
+		slices.Sort(overdue)
+		for _, id := range overdue {
+			if j := p.jobs[id]; j != nil && p.primary != nil {
+				c.resumeReads(p, j)
+			}
+		}
+	}
+}
+
+func (j *job) hasOverdueRead(nowMs int64) bool {
+	return slices.ContainsFunc(j.pendingReads, func(read pendingRead) bool { return nowMs >= read.deadline })
+}
+
+// retryConfirmations refuses the reads that have waited too long for a confirmation, and requests
+// one for the others.
+func (c *core) retryConfirmations() {
+	for _, p := range c.partitions {
+		primary := p.primary
+		if primary == nil {
+			continue
+		}
+		reads := primary.pendingReads
+		primary.pendingReads = nil
+		for _, read := range reads {
+			if c.nowMs >= read.confirmBy {
+				replyCode(read.caller, codeUnavailable)
+			} else {
+				primary.pendingReads = append(primary.pendingReads, read)
+			}
+		}
+		if len(primary.pendingReads) > 0 {
+			c.requestConfirmations(p)
+		}
+	}
+}
--- a/internal/batch/reconnect_test.go
+++ b/internal/batch/reconnect_test.go
@@ -14,36 +14,36 @@
 		g.accept(t, "j", 1)
 		c := g.cores[0]
 		for _, other := range g.cores {
-			if p := other.part(other.table.PartitionOf("j")); p.lead != nil {
+			if p := other.partition(other.table.PartitionOf("j")); p.primary != nil {
 				c = other
 			}
 		}
-		p := c.part(c.table.PartitionOf("j"))
+		p := c.partition(c.table.PartitionOf("j"))
 		it := &p.jobs["j"].items[0]
-		if it.state != itemHanded {
+		if it.state != itemAssigned {
 			t.Fatalf("the item is not handed out: state %d", it.state)
 		}
-		old := it.by
-		c.pipeClosed(old.pipe)
+		old := it.worker
+		c.connectionClosed(old.pipe)
 		attach := func() {
 			w := g.connect(func(_ *scaleEnd, kind link.Kind, _ []byte) {
-				if kind == kGive {
+				if kind == kindAssignItem {
 					given["again"]++
 				}
-			}, func(e *scaleEnd, kind link.Kind, body []byte) { c.message(e, nil, kind, body) })
+			}, func(e *scaleEnd, kind link.Kind, body []byte) { c.handleMessage(e, nil, kind, body) })
 			var b link.Writer
 			b.String("w0")
 			b.String("z0")
 			b.Int(4)
-			_ = w.Send(kAttach, b.B)
+			_ = w.Send(kindAttachWorker, b.B)
 			if back {
 				var h link.Writer
-				h.U32(uint32(p.no))
+				h.U32(uint32(p.index))
 				h.U64(p.epoch)
 				h.U32(1)
 				h.String("j")
 				h.U32(0)
-				_ = w.Send(kHold, h.B)
+				_ = w.Send(kindReportRunning, h.B)
 			}
 		}
 		attach()
@@ -55,8 +55,8 @@
 		if given["again"] != 0 {
 			t.Fatalf("back %v: the item was handed out again within the wait", back)
 		}
-		if back != (it.by != old) {
-			t.Errorf("back %v: the item is still in the old link's hand: %v", back, it.by == old)
+		if back != (it.worker != old) {
+			t.Errorf("back %v: the item is still in the old link's hand: %v", back, it.worker == old)
 		}
 		for range 400 {
 			g.now += 1000
--- a/internal/batch/records.go
+++ b/internal/batch/records.go
@@ -7,159 +7,133 @@
 	"dunetide/internal/platform/link"
 )
 
-// What the records of the log do to the state, and what is read back from it.
+// Records of a store's log. The first byte of a record is one of these, then comes the index of a
+// partition (u32). They are on disk.
+const (
+	recordIdentity  uint8 = 1 + iota // identity of the store; the partition is 0
+	recordPromise                    // term
+	recordTermStart                  // term, sequence number
+	recordOperation                  // term, sequence number (0: sent before the start of the term), operation
+	recordJob                        // whole job (see encodeWholeJob)
+)
+
+// encodeRecord encodes a record, or its begin.
+func encodeRecord(kind uint8, partition int, numbers ...uint64) []byte {
+	var w link.Writer
+	w.U8(kind)
+	w.U32(uint32(partition))
+	for _, n := range numbers {
+		w.U64(n)
+	}
+	return w.B
+}
 
-// replay does to the state what a record at a place in the log says.
-func (c *core) replay(rec []byte, at int64) error {
-	r := link.Reader{B: rec}
+// replay applies a record whose first byte lies at an offset of the log.
+func (c *core) replay(record []byte, offset int64) error {
+	r := link.Reader{B: record}
 	kind := r.U8()
-	pos := func() int64 { return at + int64(len(rec)-len(r.B)) }
-	p := c.part(int(r.U32()))
+	p := c.partition(int(r.U32()))
 	if r.Err != nil || p == nil {
 		return link.ErrShort
 	}
 	switch kind {
-	case recID:
+	case recordIdentity:
 		c.self = r.U64()
-	case recPromise:
-		p.promised = max(p.promised, r.U64())
-	case recMark:
-		p.claimB, p.claimS = r.U64(), r.U64()
-		p.promised = max(p.promised, p.claimB)
-	case recOp:
-		b, s := r.U64(), r.U64()
+	case recordPromise:
+		p.promisedTerm = max(p.promisedTerm, r.U64())
+	case recordTermStart:
+		p.position = logPosition{term: r.U64(), sequence: r.U64()}
+		p.promisedTerm = max(p.promisedTerm, p.position.term)
+	case recordOperation:
+		position := logPosition{term: r.U64(), sequence: r.U64()}
 		if r.Err != nil {
 			return r.Err
 		}
-		if s > 0 {
-			p.claimB, p.claimS = b, s
-		}
-		return c.apply(p, r.B, pos())
-	case recPut:
-		_ = r.String() // the id, which the job has too
-		enc := r.Bytes()
-		j, err := decodeJob(enc, pos()-int64(len(enc)))
-		if err != nil {
-			return err
-		}
-		for n := r.Count(9); n > 0; n-- {
-			no, gu := int(r.U32()), r.Bool()
-			text := r.Bytes()
-			j.list(no, gu, text, pos()-int64(len(text)))
+		if position.sequence > 0 {
+			p.position = position
 		}
-		j.ended = r.Bool()
-		age := int64(0)
-		if len(r.B) > 0 { // records of older versions end before it
-			age = max(0, int64(r.Int()))
-		}
-		if r.Err != nil {
-			return r.Err
-		}
-		c.keepJob(p, j, age)
+		return c.applyOperation(p, r.B, offset+int64(len(record)-len(r.B)))
+	case recordJob:
+		return c.replayWholeJob(p, &r, offset+int64(len(record)))
 	}
 	return r.Err
 }
 
-// keepJob takes a job in that is at least so many ms old, in the place of what was known of it. It has been known since it
-// was known first.
-func (c *core) keepJob(p *part, j *job, age int64) {
-	j.knownSince = c.now - age
-	if known := p.jobs[j.id]; known != nil {
-		j.knownSince = min(j.knownSince, known.knownSince)
+// replayWholeJob replaces a job by one that encodeWholeJob wrote. The record ends at an offset of the log.
+func (c *core) replayWholeJob(p *partition, r *link.Reader, end int64) error {
+	offset := func() int64 { return end - int64(len(r.B)) } // of what is read next
+	_ = r.String()                                          // the ID, which the encoded job has too
+	encoded := r.Bytes()
+	j, err := decodeJob(encoded, offset()-int64(len(encoded)))
+	if err != nil {
+		return err
 	}
-	c.forget(p, j.id)
-	p.jobs[j.id] = j
-	c.chargeJob(j, 1)
-}
-
-func (c *core) forget(p *part, id string) {
-	if j := p.jobs[id]; j != nil {
-		c.chargeJob(j, -1)
-		j.dropping = true
-		for _, r := range j.readers {
-			r.from.Reply([]byte{codeUnavailable})
-		}
-		delete(p.jobs, id)
+	for n := r.Count(9); n > 0; n-- {
+		index, abandoned := int(r.U32()), r.Bool()
+		text := r.Bytes()
+		j.addResult(index, abandoned, text, offset()-int64(len(text)))
 	}
-}
-
-// apply does an operation whose bytes lie at a place in the log.
-func (c *core) apply(p *part, op []byte, at int64) error {
-	r := link.Reader{B: op}
-	switch r.U8() {
-	case opAccept:
-		j, err := decodeJob(r.B, at+1)
-		if err != nil {
-			return err
-		}
-		c.keepJob(p, j, 0)
-	case opList:
-		id, no, gu := r.String(), int(r.U32()), r.Bool()
-		if r.Err != nil {
-			return r.Err
-		}
-		if j := p.jobs[id]; j != nil {
-			before := len(j.results)
-			if j.list(no, gu, r.B, at+int64(len(op)-len(r.B))); len(j.results) > before {
-				res := j.results[before]
-				c.chargeLog(res.at, int64(res.n))
-			}
-		}
-	case opEnd:
-		if j := p.jobs[r.String()]; j != nil {
-			j.ended = true
-		}
-	case opDrop:
-		c.forget(p, r.String())
+	j.ended = r.Bool()
+	ageMs := int64(0)
+	if len(r.B) > 0 { // records of older versions end before it
+		ageMs = max(0, int64(r.Int()))
 	}
-	return r.Err
+	if r.Err != nil {
+		return r.Err
+	}
+	c.putJob(p, j, ageMs)
+	return nil
 }
 
-// whole is a job with all that happened to it, as kPut and recPut have it: the id, the encoded job, the results, whether it
-// has ended, and its age in ms.
-func (c *core) whole(j *job) ([]byte, error) {
-	w := link.Writer{B: make([]byte, 0, j.bytes+int64(64+16*len(j.results)))}
+// encodeWholeJob encodes a job with its results: the ID, the encoded job, the results in their
+// order, whether it has ended, and its age in ms.
+func (c *core) encodeWholeJob(j *job) ([]byte, error) {
+	const perResult = 16
+	w := link.Writer{B: make([]byte, 0, j.logBytes+int64(64+perResult*len(j.results)))}
 	w.String(j.id)
-	enc, err := c.disk.ReadRaw(j.at, j.n)
+	encoded, err := c.disk.ReadRaw(j.offset, j.encodedLength)
 	if err != nil {
 		return nil, err
 	}
 	for i := range j.items {
-		if it := &j.items[i]; crc32.Checksum(enc[it.off:it.off+it.n], castagnoli) != it.sum {
-			return nil, errChanged
+		if it := &j.items[i]; crc32.Checksum(encoded[it.offset:it.offset+it.length], castagnoli) != it.checksum {
+			return nil, errCorruptRead
 		}
 	}
-	w.Bytes(enc)
+	w.Bytes(encoded)
 	w.U32(uint32(len(j.results)))
 	for _, res := range j.results {
-		w.U32(uint32(res.item))
-		w.Bool(res.givenUp)
-		text, err := c.text(res)
+		w.U32(uint32(res.itemIndex))
+		w.Bool(res.abandoned)
+		text, err := c.resultText(res)
 		if err != nil {
 			return nil, err
 		}
 		w.Bytes(text)
 	}
 	w.Bool(j.ended)
-	w.Int(int(c.now - j.knownSince))
+	w.Int(int(c.nowMs - j.knownSinceMs))
 	return w.B, nil
 }
 
-var errChanged = errors.New("the disk gave back other bytes than were written")
+// errCorruptRead says that bytes of the log that were checked when they were written are others now.
+var errCorruptRead = errors.New("the disk gave back other bytes than were written")
 
-// text is that of a result.
-func (c *core) text(res result) ([]byte, error) { return c.checked(res.at, res.n, res.sum) }
+// resultText reads the text of a result.
+func (c *core) resultText(res result) ([]byte, error) {
+	return c.readChecked(res.offset, res.length, res.checksum)
+}
 
-// segment is an item's path, headers and body.
-func (c *core) segment(j *job, no int) ([]byte, error) {
-	it := &j.items[no]
-	return c.checked(j.at+int64(it.off), int(it.n), it.sum)
+// itemRequest reads the encoded request of an item.
+func (c *core) itemRequest(j *job, index int) ([]byte, error) {
+	it := &j.items[index]
+	return c.readChecked(j.offset+int64(it.offset), int(it.length), it.checksum)
 }
 
-func (c *core) checked(at int64, n int, sum uint32) ([]byte, error) {
-	b, err := c.disk.ReadRaw(at, n)
-	if err == nil && crc32.Checksum(b, castagnoli) != sum {
-		err = errChanged
+func (c *core) readChecked(offset int64, length int, checksum uint32) ([]byte, error) {
+	b, err := c.disk.ReadRaw(offset, length)
+	if err == nil && crc32.Checksum(b, castagnoli) != checksum {
+		err = errCorruptRead
 	}
 	return b, err
 }
--- a/internal/batch/repeat_numbers_test.go
+++ b/internal/batch/repeat_numbers_test.go
@@ -8,11 +8,11 @@
 )
 
 // leaderOf is the store of a rig that leads a job's part.
-func leaderOf(t *testing.T, g *scaleRig, job string) (*core, *part) {
+func leaderOf(t *testing.T, g *scaleRig, job string) (*core, *partition) {
 	t.Helper()
 	no := g.cores[0].table.PartitionOf(job)
 	for _, c := range g.cores {
-		if p := c.part(no); p.lead != nil && p.lead.active {
+		if p := c.partition(no); p.primary != nil && p.primary.serving {
 			return c, p
 		}
 	}
@@ -22,7 +22,7 @@
 
 // answerCode calls a store and gives the code of its answer, after which the rig has settled; 0: there was none.
 func answerCode(g *scaleRig, c *core, kind link.Kind, body []byte) (code uint8) {
-	c.message(nil, replied(func(b []byte) { code = b[0] }), kind, body)
+	c.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kind, body)
 	for range 40 {
 		if code != 0 {
 			break
@@ -36,7 +36,7 @@
 // waitingTokens are the tokens that the owner of the quota of route "b" counts: those told, and those granted since.
 func waitingTokens(g *scaleRig) (sum int64) {
 	no, store := g.cores[0].quotaOwner("b")
-	for _, s := range g.cores[store-1].part(no).lead.accts["b"].shares {
+	for _, s := range g.cores[store-1].partition(no).primary.accounts["b"].usage {
 		sum += s.tokens
 		for _, grant := range s.grants {
 			sum += grant.tokens
@@ -52,20 +52,20 @@
 	c := g.cores[g.cores[0].table.Partitions[no].Primary-1]
 	var codes []uint8
 	for range 3 {
-		c.message(nil, replied(func(b []byte) { codes = append(codes, b[0]) }), kAccept, scaleLot("job", 2, 0))
+		c.handleMessage(nil, replied(func(b []byte) { codes = append(codes, b[0]) }), kindAcceptJob, scaleLot("job", 2, 0))
 	}
 	for range 40 {
 		g.now += 25_000
 		g.settle()
 	}
-	codes = append(codes, answerCode(g, c, kAccept, scaleLot("job", 2, 0)))
+	codes = append(codes, answerCode(g, c, kindAcceptJob, scaleLot("job", 2, 0)))
 	if !slices.Equal(codes, []uint8{codeOK, codeOK, codeOK, codeOK}) {
 		t.Errorf("answered %v", codes)
 	}
 	g.now += 200_000
 	g.settle()
-	if sum := waitingTokens(g); len(c.part(no).jobs) != 1 || sum != 200 {
-		t.Errorf("%d jobs are kept, and %d tokens counted, want 1 and 200", len(c.part(no).jobs), sum)
+	if sum := waitingTokens(g); len(c.partition(no).jobs) != 1 || sum != 200 {
+		t.Errorf("%d jobs are kept, and %d tokens counted, want 1 and 200", len(c.partition(no).jobs), sum)
 	}
 }
 
@@ -76,7 +76,7 @@
 	g.accept(t, "job", 2)
 	c, p := leaderOf(t, g, "job")
 	for n := range 3 {
-		if code := answerCode(g, c, kEnd, encodeNamed(0, "job")[1:]); code != codeOK {
+		if code := answerCode(g, c, kindEndJob, encodeJobOperation(0, "job")[1:]); code != codeOK {
 			t.Errorf("end %d: answered %d", n, code)
 		}
 	}
@@ -104,7 +104,7 @@
 	g := newScaleRig(3, 1, 4, 1000)
 	g.accept(t, "job", 1)
 	c, p := leaderOf(t, g, "job")
-	first := p.jobs["job"].items[0].by
+	first := p.jobs["job"].items[0].worker
 	if first == nil {
 		t.Fatal("the item is not handed out")
 	}
@@ -114,24 +114,24 @@
 		attach.String(name)
 		attach.String("z0")
 		attach.Int(4)
-		c.message(pipe, nil, kAttach, attach.B)
+		c.handleMessage(pipe, nil, kindAttachWorker, attach.B)
 	}
 	before := g.listed
 	for _, pipe := range []Pipe{first.pipe, first.pipe, newer, other} {
-		c.message(pipe, nil, kResult, resultOf(p.no, "job", 0, "the first text"))
-		c.message(pipe, nil, kResult, resultOf(p.no, "job", 0, "another text"))
+		c.handleMessage(pipe, nil, kindItemResult, resultOf(p.index, "job", 0, "the first text"))
+		c.handleMessage(pipe, nil, kindItemResult, resultOf(p.index, "job", 0, "another text"))
 		g.settle()
 	}
 	j := p.jobs["job"]
-	if len(j.results) != 1 || j.visible != 1 {
-		t.Fatalf("%d results, %d may be read", len(j.results), j.visible)
+	if len(j.results) != 1 || j.readableResults != 1 {
+		t.Fatalf("%d results, %d may be read", len(j.results), j.readableResults)
 	}
-	if text, err := c.text(j.results[0]); err != nil || string(text) != "the first text" {
+	if text, err := c.resultText(j.results[0]); err != nil || string(text) != "the first text" {
 		t.Errorf("%q, %v", text, err)
 	}
 	acknowledged := func(p *sentPipe) (n int) {
 		for _, kind := range p.kinds {
-			if kind == kListed {
+			if kind == kindResultStored {
 				n++
 			}
 		}
@@ -143,7 +143,7 @@
 }
 
 // reservation asks for tokens of route "b".
-func reservation(part int, life, number uint64, tokens, most int) []byte {
+func reservationOf(part int, life, number uint64, tokens, most int) []byte {
 	var w link.Writer
 	w.String("b")
 	w.U32(uint32(part))
@@ -163,21 +163,21 @@
 	no, store := g.cores[0].quotaOwner("b")
 	owner := g.cores[store-1]
 	_, p := leaderOf(t, g, "job")
-	settled := owner.part(no).lead.accts["b"].shares[p.no].settled
+	settled := owner.partition(no).primary.accounts["b"].usage[p.index].resolvedReservations
 	before := waitingTokens(g)
 	const asked = 5
 	pipe := &sentPipe{}
 	for range 3 {
-		owner.storeMessage(pipe, kReserve, reservation(p.no, p.lead.life, settled+1, asked, 1<<30))
+		owner.handleStoreMessage(pipe, kindReserveTokens, reservationOf(p.index, p.primary.incarnation, settled+1, asked, 1<<30))
 	}
 	if got := waitingTokens(g) - before; got != asked {
 		t.Errorf("%d tokens are counted, want %d", got, asked)
 	}
-	if !slices.Equal(pipe.kinds, []link.Kind{kGrant, kGrant, kGrant}) {
+	if !slices.Equal(pipe.kinds, []link.Kind{kindReservationReply, kindReservationReply, kindReservationReply}) {
 		t.Errorf("answered with %v", pipe.kinds)
 	}
 	decided := &sentPipe{}
-	owner.storeMessage(decided, kReserve, reservation(p.no, p.lead.life, settled, asked, 1<<30))
+	owner.handleStoreMessage(decided, kindReserveTokens, reservationOf(p.index, p.primary.incarnation, settled, asked, 1<<30))
 	if got := waitingTokens(g) - before; got != asked || len(decided.kinds) != 0 {
 		t.Errorf("one that is decided: %d tokens, answered with %v", got, decided.kinds)
 	}
@@ -192,29 +192,29 @@
 	no, store := g.cores[0].quotaOwner("b")
 	owner := g.cores[store-1]
 	_, p := leaderOf(t, g, "job")
-	known := owner.part(no).lead.accts["b"].shares[p.no]
+	known := owner.partition(no).primary.accounts["b"].usage[p.index]
 	if known.version == 0 {
 		t.Fatal("nothing was reported")
 	}
 	report := func(version uint64, tokens int) {
 		var w link.Writer
 		w.String("b")
-		w.U32(uint32(p.no))
-		w.U64(known.life)
+		w.U32(uint32(p.index))
+		w.U64(known.incarnation)
 		w.U64(known.epoch)
 		w.U64(version)
 		w.Int(tokens)
-		w.U64(known.settled)
-		owner.storeMessage(&sentPipe{}, kUsage, w.B)
+		w.U64(known.resolvedReservations)
+		owner.handleStoreMessage(&sentPipe{}, kindUsageReport, w.B)
 	}
 	tokens, version := known.tokens, known.version
 	report(version, 7)
 	report(version-1, 8)
-	if now := owner.part(no).lead.accts["b"].shares[p.no]; now.tokens != tokens || now.version != version {
+	if now := owner.partition(no).primary.accounts["b"].usage[p.index]; now.tokens != tokens || now.version != version {
 		t.Errorf("%d tokens at version %d, want %d at %d", now.tokens, now.version, tokens, version)
 	}
 	report(version+1, 9)
-	if now := owner.part(no).lead.accts["b"].shares[p.no]; now.tokens != 9 || now.version != version+1 {
+	if now := owner.partition(no).primary.accounts["b"].usage[p.index]; now.tokens != 9 || now.version != version+1 {
 		t.Errorf("a newer report does not count: %+v", now)
 	}
 }
@@ -234,35 +234,35 @@
 // An answer to a reservation ends that one alone: one that was made by an older life of the primary under the same number, or an
 // answer that comes twice, ends no other.
 func TestGrantOfAnOlderLifeEndsNoNewerReservation(t *testing.T) {
-	for name, code := range map[string]uint8{"granted": codeOK, "full": codeFull, "unavailable": codeUnavailable} {
+	for name, code := range map[string]uint8{"granted": codeOK, "full": codeQuotaFull, "unavailable": codeUnavailable} {
 		t.Run(name, func(t *testing.T) {
 			g := newScaleRig(3, 1, 0, 1000)
 			g.accept(t, "job", 1)
 			c, p := leaderOf(t, g, "job")
-			l := p.lead
-			l.reserveN++
-			number := l.reserveN
+			l := p.primary
+			l.lastReservation++
+			number := l.lastReservation
 			answered := 0
-			in := &incoming{id: "new", route: "b", tokens: 1, most: 1 << 30, enc: scaleLot("new", 1, 0), from: []Caller{replied(func([]byte) { answered++ })}}
-			l.incoming["new"] = in
-			l.reserves[number] = &reserve{route: "b", number: number, in: in, deadline: c.now + 10_000, sent: true}
-			owner := p.ownerB["b"]
+			in := &incomingJob{id: "new", route: "b", tokens: 1, maxTokens: 1 << 30, encoded: scaleLot("new", 1, 0), callers: []Caller{replied(func([]byte) { answered++ })}}
+			l.incomingJobs["new"] = in
+			l.reservations[number] = &reservation{route: "b", number: number, job: in, deadline: c.nowMs + 10_000, sent: true}
+			owner := p.quotaOwnerIncarnations["b"]
 			for what, body := range map[string][]byte{
-				"of an older life": grantOf(p.no, l.life-1, number, code, owner),
-				"of another one":   grantOf(p.no, l.life, number-1, code, owner),
-				"of a later one":   grantOf(p.no, l.life, number+1, code, owner),
-				"of another part":  grantOf((p.no+1)%len(c.table.Partitions), l.life, number, code, owner),
+				"of an older life": grantOf(p.index, l.incarnation-1, number, code, owner),
+				"of another one":   grantOf(p.index, l.incarnation, number-1, code, owner),
+				"of a later one":   grantOf(p.index, l.incarnation, number+1, code, owner),
+				"of another part":  grantOf((p.index+1)%len(c.table.Partitions), l.incarnation, number, code, owner),
 			} {
-				c.storeMessage(&sentPipe{}, kGrant, body)
-				if r := l.reserves[number]; r == nil || !r.sent || p.jobs["new"] != nil || answered != 0 {
+				c.handleStoreMessage(&sentPipe{}, kindReservationReply, body)
+				if r := l.reservations[number]; r == nil || !r.sent || p.jobs["new"] != nil || answered != 0 {
 					t.Errorf("an answer %s counts", what)
 				}
 			}
 			for range 2 { // its own, twice
-				c.storeMessage(&sentPipe{}, kGrant, grantOf(p.no, l.life, number, codeOK, owner))
+				c.handleStoreMessage(&sentPipe{}, kindReservationReply, grantOf(p.index, l.incarnation, number, codeOK, owner))
 			}
 			g.settle()
-			if j := p.jobs["new"]; j == nil || !j.committed || answered != 1 || l.reserves[number] != nil {
+			if j := p.jobs["new"]; j == nil || !j.committed || answered != 1 || l.reservations[number] != nil {
 				t.Errorf("its own answer: answered %d times", answered)
 			}
 		})
@@ -274,27 +274,27 @@
 	g := newScaleRig(3, 1, 0, 1000)
 	g.accept(t, "job", 1)
 	c, p := leaderOf(t, g, "job")
-	l := p.lead
-	if len(l.peers) == 0 {
+	l := p.primary
+	if len(l.progress) == 0 {
 		t.Fatal("it has no copies")
 	}
-	for _, q := range l.peers {
-		acked, stamp := q.acked, q.stamp
+	for _, q := range l.progress {
+		acked, stamp := q.acknowledged, q.confirmedAt
 		var ack, confirmed link.Writer
-		ack.B, confirmed.B = numbers(p.no, l.ballot-1, 1<<40), numbers(p.no, l.ballot-1, 1<<40)
+		ack.B, confirmed.B = numbers(p.index, l.term-1, 1<<40), numbers(p.index, l.term-1, 1<<40)
 		ack.Bool(true)
 		confirmed.Bool(true)
-		c.storeMessage(q.pipe, kAck, ack.B)
-		c.storeMessage(q.pipe, kConfirmed, confirmed.B)
-		if q.acked != acked || q.stamp != stamp || q.full {
-			t.Errorf("it counts: %d, %d before, stamp %d, %d before", q.acked, acked, q.stamp, stamp)
+		c.handleStoreMessage(q.pipe, kindOperationAck, ack.B)
+		c.handleStoreMessage(q.pipe, kindConfirmed, confirmed.B)
+		if q.acknowledged != acked || q.confirmedAt != stamp || q.logFull {
+			t.Errorf("it counts: %d, %d before, stamp %d, %d before", q.acknowledged, acked, q.confirmedAt, stamp)
 		}
 		var again link.Writer // its own, again and older than the newest
-		again.B = numbers(p.no, l.ballot, 0)
+		again.B = numbers(p.index, l.term, 0)
 		again.Bool(false)
-		c.storeMessage(q.pipe, kAck, again.B)
-		if q.acked != acked {
-			t.Errorf("an older acknowledgement takes back: %d, %d before", q.acked, acked)
+		c.handleStoreMessage(q.pipe, kindOperationAck, again.B)
+		if q.acknowledged != acked {
+			t.Errorf("an older acknowledgement takes back: %d, %d before", q.acknowledged, acked)
 		}
 	}
 }
@@ -306,26 +306,26 @@
 	leader, led := leaderOf(t, g, "job")
 	copies := 0
 	for _, c := range g.cores {
-		p := c.part(led.no)
-		if c == leader || p.claimB != led.lead.ballot {
+		p := c.partition(led.index)
+		if c == leader || p.position.term != led.primary.term {
 			continue
 		}
 		copies++
-		before, digest := p.claimS, p.jobs["job"].digest()
-		appended := c.appended
+		before, digest := p.position.sequence, p.jobs["job"].digest()
+		appended := c.appendedRecords
 		for _, seq := range []uint64{before, before + 2, 1} {
-			body := append(numbers(p.no, led.lead.ballot, p.session, seq), encodeList("job", 0, false, []byte("x"))...)
-			c.storeMessage(p.from, kOp, body)
+			body := append(numbers(p.index, led.primary.term, p.session, seq), encodeAddResult("job", 0, false, []byte("x"))...)
+			c.handleStoreMessage(p.followedPrimary, kindOperation, body)
 		}
-		if p.claimS != before || p.jobs["job"].digest() != digest || c.appended != appended {
-			t.Errorf("an operation that does not follow counts: up to %d, %d before", p.claimS, before)
+		if p.position.sequence != before || p.jobs["job"].digest() != digest || c.appendedRecords != appended {
+			t.Errorf("an operation that does not follow counts: up to %d, %d before", p.position.sequence, before)
 		}
 		for _, session := range []uint64{p.session - 1, p.session + 1} {
-			c.storeMessage(p.from, kOp, append(numbers(p.no, led.lead.ballot, session, before+1), encodeList("job", 0, false, []byte("x"))...))
+			c.handleStoreMessage(p.followedPrimary, kindOperation, append(numbers(p.index, led.primary.term, session, before+1), encodeAddResult("job", 0, false, []byte("x"))...))
 		}
-		c.storeMessage(&sentPipe{}, kOp, append(numbers(p.no, led.lead.ballot, p.session, before+1), encodeList("job", 0, false, []byte("x"))...))
-		if p.claimS != before || p.jobs["job"].digest() != digest || c.appended != appended {
-			t.Errorf("an operation of another session or link counts: up to %d, %d before", p.claimS, before)
+		c.handleStoreMessage(&sentPipe{}, kindOperation, append(numbers(p.index, led.primary.term, p.session, before+1), encodeAddResult("job", 0, false, []byte("x"))...))
+		if p.position.sequence != before || p.jobs["job"].digest() != digest || c.appendedRecords != appended {
+			t.Errorf("an operation of another session or link counts: up to %d, %d before", p.position.sequence, before)
 		}
 	}
 	if copies == 0 {
--- a/internal/batch/repeat_test.go
+++ b/internal/batch/repeat_test.go
@@ -105,7 +105,7 @@
 }
 
 // sentAgain tells of the kinds that may be sent again or be late. An item that is handed out is not: it would run again.
-func sentAgain(kind link.Kind) bool { return kind != kGive }
+func sentAgain(kind link.Kind) bool { return kind != kindAssignItem }
 
 // playBroken plays the life of a few jobs, one link of which breaks.
 func playBroken(kind breakKind, at int) (*world, *linkBreaker) {
