--- a/internal/batch/repeat_wrong_test.go
+++ b/internal/batch/repeat_wrong_test.go
@@ -11,18 +11,18 @@
 
 // wrongRepeats are lines that would count a repeat, or what is of an older life, as something new.
 var wrongRepeats = []mutation.Line{
-	{"a result is listed twice", "workers.go", "	if it.state == itemListed {\n		l.pend", "	if it.state == itemListed && k.part < 0 {\n		l.pend"},
-	{"a grant is counted twice", "quota.go", "if g.number == h.number {", "if g.number == h.number && h.part < 0 {"},
-	{"a grant to any life counts", "quota.go", "p.lead != nil && p.lead.life == life {", "p.lead != nil && life > 0 {"},
-	{"a reservation that is decided is answered", "quota.go", "h.life == s.life && h.number <= s.settled {", "h.life == s.life && h.number < 0 {"},
-	{"an older report counts", "quota.go", "n.life == s.life && n.version <= s.version {", "n.life == s.life && n.version < 1 {"},
-	{"any ballot is acknowledged", "replication.go", "if p.lead != nil && p.lead.ballot == ballot {", "if p.lead != nil && ballot > 0 {"},
-	{"any session is followed", "replication.go", " || session != p.session || pipe != p.from {", " || session == 0 {"},
-	{"any link is followed", "replication.go", " || session != p.session || pipe != p.from {", " || session != p.session {"},
-	{"operations may come again", "replication.go", "if seq > 0 && (p.claimB != ballot || p.claimS+1 != seq) {", "if seq > 1<<50 {"},
-	{"an older acknowledgement takes back", "replication.go", "max(q.acked, seq), full", "seq, full"},
-	{"a hand-in under way is taken twice", "calls.go", "if in := l.incoming[id]; in != nil {", "if in := l.incoming[id]; in != nil && in.most < 0 {"},
-	{"an end counts twice", "calls.go", "	if j.endSeen {\n		c.endWorkers(e)\n		return\n	}\n", ""},
+	{"a result is listed twice", "workers.go", "	if j.items[key.index].state == itemDone {\n		primary.afterCommit", "	if j.items[key.index].state == itemDone && key.partition < 0 {\n		primary.afterCommit"},
+	{"a grant is counted twice", "quotaowner.go", "if grant.number == request.number {", "if grant.number == request.number && request.partition < 0 {"},
+	{"a grant to any life counts", "quota.go", "p.primary != nil && p.primary.incarnation == incarnation {", "p.primary != nil && incarnation > 0 {"},
+	{"a reservation that is decided is answered", "quotaowner.go", "request.incarnation == usage.incarnation && request.number <= usage.resolvedReservations {", "request.incarnation == usage.incarnation && request.number < 0 {"},
+	{"an older report counts", "quotaowner.go", "report.incarnation == known.incarnation && report.version <= known.version {", "report.incarnation == known.incarnation && report.version < 1 {"},
+	{"any ballot is acknowledged", "replication.go", "if p.primary != nil && p.primary.term == term {", "if p.primary != nil && term > 0 {"},
+	{"any session is followed", "replication.go", "if term != p.promisedTerm || session != p.session || pipe != p.followedPrimary {", "if term != p.promisedTerm || session == 0 {"},
+	{"any link is followed", "replication.go", "if term != p.promisedTerm || session != p.session || pipe != p.followedPrimary {", "if term != p.promisedTerm || session != p.session {"},
+	{"operations may come again", "replication.go", "if sequence > 0 && (p.position.term != term || p.position.sequence+1 != sequence) {", "if sequence > 1<<50 {"},
+	{"an older acknowledgement takes back", "replication.go", "max(replica.acknowledged, sequence), logFull", "sequence, logFull"},
+	{"a hand-in under way is taken twice", "calls.go", "if incoming := primary.incomingJobs[jobID]; incoming != nil {", "if incoming := primary.incomingJobs[jobID]; incoming != nil && incoming.maxTokens < 0 {"},
+	{"an end counts twice", "ends.go", "	if j.endCommitted {\n		c.cancelOnWorkers(end)\n		return\n	}\n", ""},
 }
 
 // TestWrongRepeatsStand fails when a line of the list no longer stands once in the file that it names.
--- a/internal/batch/replication.go
+++ b/internal/batch/replication.go
@@ -7,283 +7,293 @@
 	"dunetide/internal/platform/link"
 )
 
-// Operations on their way from a primary to the copies, and when they are committed.
+// Operations are ordered by the primary of a partition, sent to its replicas, and committed once
+// they are durable at enough of them.
 
-// storeMessage is the event of a message of another store.
-func (c *core) storeMessage(pipe Pipe, kind link.Kind, body []byte) {
+// handleStoreMessage is the event of a message of another store.
+func (c *core) handleStoreMessage(pipe Pipe, kind link.Kind, body []byte) {
 	r := link.Reader{B: body}
 	switch kind {
-	case kReserve, kGrant, kUsage, kUsageAsk:
-		c.quotaMessage(pipe, kind, &r)
+	case kindReserveTokens, kindReservationReply, kindUsageReport, kindUsageRequest:
+		c.handleQuotaMessage(pipe, kind, &r)
 		return
 	}
-	p := c.part(int(r.U32()))
-	ballot := r.U64()
+	p := c.partition(int(r.U32()))
+	term := r.U64()
 	if r.Err != nil || p == nil {
 		return
 	}
 	switch kind {
-	case kAsk:
-		c.asked(p, ballot, r.U64(), pipe)
-	case kFetch:
-		c.fetchAsked(p, ballot, r.String(), pipe)
-	case kPut, kMark, kOp:
+	case kindPrepare:
+		c.handlePrepare(p, term, r.U64(), pipe)
+	case kindFetchJob:
+		c.handleFetchJob(p, term, r.String(), pipe)
+	case kindInstallJob, kindStartTerm, kindOperation:
 		session := r.U64()
-		if c.stale(p, ballot, pipe) || ballot != p.promised || session != p.session || pipe != p.from {
+		if c.rejectStaleTerm(p, term, pipe) {
 			return
 		}
-		c.follow(p, ballot, kind, &r, pipe)
-	case kConfirm:
-		c.confirmAsked(p, ballot, r.U64(), pipe)
-	case kStale:
-		if l := p.lead; l != nil && l.ballot < ballot {
-			// The table that says so is on its way. Until then nothing is committed and nobody is sure.
-			l.confirmed, l.barred = -1<<60, true
+		if term != p.promisedTerm || session != p.session || pipe != p.followedPrimary {
+			return
+		}
+		c.followPrimary(p, term, kind, &r, pipe)
+	case kindConfirm:
+		c.handleConfirm(p, term, r.U64(), pipe)
+	case kindStaleTerm:
+		if primary := p.primary; primary != nil && primary.term < term {
+			// The table that says so is on its way. Until it is here nothing is committed and
+			// nothing is confirmed.
+			primary.confirmedAt, primary.superseded = never, true
 		}
 	default:
-		if p.lead != nil && p.lead.ballot == ballot {
-			c.copyMessage(p, kind, &r, pipe)
+		if p.primary != nil && p.primary.term == term {
+			c.handleReplicaMessage(p, kind, &r, pipe)
 		}
 	}
 }
 
-// copyMessage is the event of a message of a copy to the primary that it follows.
-func (c *core) copyMessage(p *part, kind link.Kind, r *link.Reader, pipe Pipe) {
-	l := p.lead
+// handleReplicaMessage is the event of a message of a replica to the primary that it follows.
+func (c *core) handleReplicaMessage(p *partition, kind link.Kind, r *link.Reader, pipe Pipe) {
+	primary := p.primary
 	switch kind {
-	case kHave:
-		c.have(p, r)
-	case kWhole:
-		c.wholeCame(p, r)
-	case kPutAck:
-		if from := l.bySession(r.U64()); from != nil {
-			from.flight--
-			c.pump(p, from)
+	case kindPromise:
+		c.handlePromise(p, r)
+	case kindJobContents:
+		c.handleJobContents(p, r)
+	case kindJobInstalled:
+		if replica := primary.progressOfSession(r.U64()); replica != nil {
+			replica.transfersInFlight--
+			c.continueCatchUp(p, replica)
 		}
-	case kAck:
-		seq, full := int64(r.U64()), r.Bool()
-		for _, q := range l.peers {
-			if q.pipe == pipe && q.live {
-				q.acked, q.full = max(q.acked, seq), full
+	case kindOperationAck:
+		sequence, logFull := int64(r.U64()), r.Bool()
+		for _, replica := range primary.progress {
+			if replica.pipe == pipe && replica.upToDate {
+				replica.acknowledged, replica.logFull = max(replica.acknowledged, sequence), logFull
 			}
 		}
-		c.advance(p)
-	case kConfirmed:
-		stamp, full := int64(r.U64()), r.Bool()
-		for _, q := range l.peers {
-			if q.pipe == pipe {
-				q.stamp, q.full = max(q.stamp, stamp), full
+		c.advanceCommit(p)
+	case kindConfirmed:
+		stamp, logFull := int64(r.U64()), r.Bool()
+		for _, replica := range primary.progress {
+			if replica.pipe == pipe {
+				replica.confirmedAt, replica.logFull = max(replica.confirmedAt, stamp), logFull
 			}
 		}
-		c.countConfirmed(p)
+		c.countConfirmations(p)
 	}
 }
 
-// follow does what the primary says.
-func (c *core) follow(p *part, ballot uint64, kind link.Kind, r *link.Reader, pipe Pipe) {
+// followPrimary applies a message of the primary that this replica has promised to follow.
+func (c *core) followPrimary(p *partition, term uint64, kind link.Kind, r *link.Reader, pipe Pipe) {
 	switch kind {
-	case kPut:
-		c.append(append(encodeRec(recPut, p.no), r.B...))
-		var w link.Writer
-		w.U32(uint32(p.no))
-		w.U64(ballot)
-		w.U64(p.session)
-		_ = pipe.Send(kPutAck, w.B)
-	case kMark:
-		seq := r.U64()
-		c.append(encodeRec(recMark, p.no, ballot, seq))
-		c.ackAfterSync(p, ballot, seq, pipe)
-	case kOp:
-		seq := r.U64()
+	case kindInstallJob:
+		c.appendRecord(append(encodeRecord(recordJob, p.index), r.B...))
+		w := encodeTermMessage(0, p.index, term, p.session)
+		_ = pipe.Send(kindJobInstalled, w.B)
+	case kindStartTerm:
+		sequence := r.U64()
+		c.appendRecord(encodeRecord(recordTermStart, p.index, term, sequence))
+		c.acknowledgeAfterSync(p, term, sequence, pipe)
+	case kindOperation:
+		sequence := r.U64()
 		if r.Err != nil {
 			return
 		}
-		if seq > 0 && (p.claimB != ballot || p.claimS+1 != seq) {
-			c.log("part %d: operation %d does not follow %d", p.no, seq, p.claimS)
+		if sequence > 0 && (p.position.term != term || p.position.sequence+1 != sequence) {
+			c.log("part %d: operation %d does not follow %d", p.index, sequence, p.position.sequence)
 			return
 		}
-		c.append(append(encodeRec(recOp, p.no, ballot, seq), r.B...))
-		if seq > 0 {
-			c.ackAfterSync(p, ballot, seq, pipe)
+		c.appendRecord(append(encodeRecord(recordOperation, p.index, term, sequence), r.B...))
+		if sequence > 0 {
+			c.acknowledgeAfterSync(p, term, sequence, pipe)
 		}
 	}
 }
 
-func (c *core) ackAfterSync(p *part, ballot, seq uint64, pipe Pipe) {
-	ack := func() {
-		var w link.Writer
-		w.U32(uint32(p.no))
-		w.U64(ballot)
-		w.U64(seq)
-		w.Bool(c.full)
-		_ = pipe.Send(kAck, w.B)
+// acknowledgeAfterSync acknowledges operations to the primary once they are durable here.
+func (c *core) acknowledgeAfterSync(p *partition, term, sequence uint64, pipe Pipe) {
+	acknowledge := func() {
+		w := encodeTermMessage(1, p.index, term, sequence)
+		w.Bool(c.logFull)
+		_ = pipe.Send(kindOperationAck, w.B)
 	}
-	c.afterSync(ack)
+	c.afterSync(acknowledge)
 }
 
-// bring brings one that told what it has to the primary's state.
-func (c *core) bring(p *part, q *peer) {
-	if q.dirty != nil {
+// startCatchUp begins to bring a replica that has reported what it has to the state of this primary.
+func (c *core) startCatchUp(p *partition, replica *replicaProgress) {
+	if replica.outdatedJobs != nil {
 		return
 	}
-	q.dirty = map[string]bool{}
+	replica.outdatedJobs = map[string]bool{}
 	for id, j := range p.jobs {
-		if d, ok := q.have[id]; !ok || d != j.digest() {
-			q.dirty[id] = true
+		if digest, ok := replica.digests[id]; !ok || digest != j.digest() {
+			replica.outdatedJobs[id] = true
 		}
 	}
-	for _, id := range sortedKeys(q.have) {
+	for _, id := range sortedKeys(replica.digests) {
 		if p.jobs[id] == nil {
-			c.sendOp(p, q, 0, encodeNamed(opDrop, id))
+			c.sendOperation(p, replica, 0, encodeJobOperation(opDropJob, id))
 		}
 	}
-	q.have = map[string]uint64{}
-	c.pump(p, q)
+	replica.digests = map[string]uint64{}
+	c.continueCatchUp(p, replica)
 }
 
-// pump sends jobs whole, a few at once, and then the mark.
-func (c *core) pump(p *part, q *peer) {
-	l := p.lead
-	if q.live || q.dirty == nil {
+// continueCatchUp sends a replica the next jobs whole, a few at a time, and the start of the term
+// when it has them all.
+func (c *core) continueCatchUp(p *partition, replica *replicaProgress) {
+	primary := p.primary
+	if replica.upToDate || replica.outdatedJobs == nil {
 		return
 	}
-	for len(q.dirty) > 0 && q.flight < putWindow {
-		id := sortedKeys(q.dirty)[0]
-		delete(q.dirty, id)
+	for len(replica.outdatedJobs) > 0 && replica.transfersInFlight < maxJobTransfers {
+		id := sortedKeys(replica.outdatedJobs)[0]
+		delete(replica.outdatedJobs, id)
 		j := p.jobs[id]
 		if j == nil {
-			c.sendOp(p, q, 0, encodeNamed(opDrop, id))
+			c.sendOperation(p, replica, 0, encodeJobOperation(opDropJob, id))
 			continue
 		}
-		b, err := c.whole(j)
+		whole, err := c.encodeWholeJob(j)
 		if err != nil {
-			c.failed(err)
+			c.failDisk(err)
 			return
 		}
-		var w link.Writer
-		w.U32(uint32(p.no))
-		w.U64(l.ballot)
-		w.U64(q.session)
-		w.B = append(w.B, b...)
-		q.flight++
-		_ = q.pipe.Send(kPut, w.B)
+		w := encodeTermMessage(len(whole), p.index, primary.term, replica.session)
+		w.B = append(w.B, whole...)
+		replica.transfersInFlight++
+		_ = replica.pipe.Send(kindInstallJob, w.B)
 	}
-	if len(q.dirty) > 0 || q.flight > 0 {
+	if len(replica.outdatedJobs) > 0 || replica.transfersInFlight > 0 {
 		return
 	}
-	var w link.Writer
-	w.U32(uint32(p.no))
-	w.U64(l.ballot)
-	w.U64(q.session)
-	w.U64(l.seq)
-	q.live = true
-	_ = q.pipe.Send(kMark, w.B)
+	w := encodeTermMessage(0, p.index, primary.term, replica.session, primary.lastSequence)
+	replica.upToDate = true
+	_ = replica.pipe.Send(kindStartTerm, w.B)
 }
 
-func (c *core) sendOp(p *part, q *peer, seq uint64, op []byte) {
-	w := link.Writer{B: make([]byte, 0, len(op)+32)}
-	w.U32(uint32(p.no))
-	w.U64(p.lead.ballot)
-	w.U64(q.session)
-	w.U64(seq)
-	w.B = append(w.B, op...)
-	_ = q.pipe.Send(kOp, w.B)
+// sendOperation sends a replica an operation. The sequence number is 0 for one that the start of
+// the term, which comes later, includes.
+func (c *core) sendOperation(p *partition, replica *replicaProgress, sequence uint64, operation []byte) {
+	w := encodeTermMessage(len(operation), p.index, p.primary.term, replica.session, sequence)
+	w.B = append(w.B, operation...)
+	_ = replica.pipe.Send(kindOperation, w.B)
 }
 
-// order gives an operation its number, writes it and sends it to the copies. Done is called once it is
-// committed, or when this store leads no longer and can't know.
-func (c *core) order(p *part, op []byte, done func(ok bool)) {
-	l := p.lead
-	l.seq++
-	c.append(append(encodeRec(recOp, p.no, l.ballot, l.seq), op...))
-	id := jobOf(op)
-	for _, to := range l.all() {
-		q := l.peers[to]
-		if q == nil || q.dirty == nil {
+// replicate orders an operation: gives it the next sequence number, appends it to the log and sends
+// it to the replicas. Done is called once it is committed, or, with false, when this store leads no
+// longer and can't know.
+func (c *core) replicate(p *partition, operation []byte, done func(ok bool)) {
+	primary := p.primary
+	primary.lastSequence++
+	sequence := primary.lastSequence
+	c.appendRecord(append(encodeRecord(recordOperation, p.index, primary.term, sequence), operation...))
+	jobID := jobOfOperation(operation)
+	for _, id := range primary.allReplicas() {
+		replica := primary.progress[id]
+		if replica == nil || replica.outdatedJobs == nil {
 			continue
 		}
-		if q.live {
-			c.sendOp(p, q, l.seq, op)
-		} else if !q.dirty[id] {
-			c.sendOp(p, q, 0, op)
+		if replica.upToDate {
+			c.sendOperation(p, replica, sequence, operation)
+		} else if !replica.outdatedJobs[jobID] {
+			c.sendOperation(p, replica, 0, operation)
 		}
 	}
-	l.pend = append(l.pend, pending{int64(l.seq), done})
-	c.selfSynced(p, l.seq)
+	primary.afterCommit(done)
+	c.noteSelfSynced(p, sequence)
+}
+
+// afterCommit calls once all operations ordered until now are committed, or, with false, when this
+// store leads no longer.
+func (s *primaryState) afterCommit(done func(ok bool)) {
+	s.pendingCommits = append(s.pendingCommits, pendingCommit{int64(s.lastSequence), done})
 }
 
-// reached is how far so many of a group have it on disk.
-func (c *core) reached(l *lead, group []uint64) int64 {
-	var s []int64
+// replicatedUpTo is the operation up to which all are durable at f+1 of a group; -1: at too few.
+func (c *core) replicatedUpTo(primary *primaryState, group []uint64) int64 {
+	var durable []int64
 	for _, id := range group {
 		if id == c.self {
-			s = append(s, l.selfS)
-		} else if q := l.peers[id]; q != nil && q.live {
-			s = append(s, q.acked)
+			durable = append(durable, primary.selfSynced)
+		} else if replica := primary.progress[id]; replica != nil && replica.upToDate {
+			durable = append(durable, replica.acknowledged)
 		}
 	}
-	need := c.maxLost + 1
-	if len(s) < need {
+	need := c.maxLostReplicas + 1
+	if len(durable) < need {
 		return -1
 	}
-	slices.SortFunc(s, func(a, b int64) int { return cmp.Compare(b, a) })
-	return s[need-1]
+	slices.SortFunc(durable, func(a, b int64) int { return cmp.Compare(b, a) })
+	return durable[need-1]
 }
 
-// advance commits what is on enough disks.
-func (c *core) advance(p *part) {
-	l := p.lead
-	if l == nil || l.stage != ordering {
+// advanceCommit commits the operations that are durable at enough replicas, and calls who waits for that.
+func (c *core) advanceCommit(p *partition) {
+	primary := p.primary
+	if primary == nil || primary.stage != stageReplicating {
 		return
 	}
-	n := c.reached(l, l.copies)
-	if l.next != nil {
-		m := c.reached(l, l.next)
-		// Where so many copies are lost that nothing can be committed any more, the next group takes over what was: nothing
-		// has been committed under this ballot then, and what was before is in the primary's state.
-		if !l.nextReady && l.joined(c) && m >= max(l.commit, l.start) {
-			l.nextReady = true
-		}
-		if l.nextReady {
-			n = min(n, m)
-		}
-		if l.nextReady && !l.told {
-			l.told = true
-			c.ready(p.no, p.epoch)
-		}
+	replicated := c.replicatedUpTo(primary, primary.replicas)
+	if primary.nextReplicas != nil {
+		replicated = c.includeNextGroup(p, replicated)
 	}
-	if n < l.start || l.selfS < 0 {
+	if replicated < primary.startSequence || primary.selfSynced < 0 {
 		return
 	}
-	if n > l.commit {
-		l.commit = n
+	if replicated > primary.committed {
+		primary.committed = replicated
 		commits.Inc()
-		c.checkCommit(p, l.copies)
-		if l.nextReady {
-			c.checkCommit(p, l.next)
+		c.checkCommit(p, primary.replicas)
+		if primary.nextGroupReady {
+			c.checkCommit(p, primary.nextReplicas)
 		}
 	}
-	for len(l.pend) > 0 && l.pend[0].seq <= l.commit {
-		done := l.pend[0].done
-		l.pend = l.pend[1:]
+	for len(primary.pendingCommits) > 0 && primary.pendingCommits[0].sequence <= primary.committed {
+		done := primary.pendingCommits[0].done
+		primary.pendingCommits = primary.pendingCommits[1:]
 		done(true)
-		if p.lead != l {
+		if p.primary != primary {
 			return
 		}
 	}
-	if !l.active {
-		l.active = true
-		c.activate(p)
+	if !primary.serving {
+		c.startServing(p)
+	}
+}
+
+// includeNextGroup reports that the next group is ready once it has all that is committed. From
+// then on operations are committed by both groups (joint consensus), so it returns the smaller of
+// both operations.
+func (c *core) includeNextGroup(p *partition, replicated int64) int64 {
+	primary := p.primary
+	next := c.replicatedUpTo(primary, primary.nextReplicas)
+	// If so many replicas are lost that nothing can be committed any more, the next group gets
+	// ready all the same: nothing has been committed in this term then, and the state that was
+	// taken over includes what was committed before.
+	if !primary.nextGroupReady && c.joinersUpToDate(primary) && next >= max(primary.committed, primary.startSequence) {
+		primary.nextGroupReady = true
+	}
+	if !primary.nextGroupReady {
+		return replicated
+	}
+	if !primary.nextGroupReported {
+		primary.nextGroupReported = true
+		c.reportReady(p.index, p.epoch)
 	}
+	return min(replicated, next)
 }
 
-// joined tells whether all of the next group that are to join it have all.
-func (l *lead) joined(c *core) bool {
-	for _, id := range l.next {
-		if id == c.self || slices.Contains(l.copies, id) {
+// joinersUpToDate reports whether each replica that is to join the group has all that is committed.
+func (c *core) joinersUpToDate(primary *primaryState) bool {
+	for _, id := range primary.nextReplicas {
+		if id == c.self || slices.Contains(primary.replicas, id) {
 			continue
 		}
-		if q := l.peers[id]; q == nil || !q.live || q.acked < max(l.commit, l.start) {
+		replica := primary.progress[id]
+		if replica == nil || !replica.upToDate || replica.acknowledged < max(primary.committed, primary.startSequence) {
 			return false
 		}
 	}
--- a/internal/batch/retire_test.go
+++ b/internal/batch/retire_test.go
@@ -21,7 +21,7 @@
 
 // retired waits until a store is finished, and calls then in that moment.
 func (w *world) retired(name string, then func()) {
-	if _, finished := Retired(w.table, name, w.f); finished {
+	if _, finished := RetirementState(w.table, name, w.f); finished {
 		then()
 		return
 	}
@@ -31,7 +31,7 @@
 // startRetiring asks for a store to be emptied.
 func (w *world) startRetiring(t *testing.T, name string) {
 	t.Helper()
-	next, known, few := Retire(w.table, name, w.alive(), func(id uint64) bool { return w.ms()-w.heard[id] > 1000 }, w.f)
+	next, known, few := RetireStore(w.table, name, w.alive(), func(id uint64) bool { return w.ms()-w.heard[id] > 1000 }, w.f)
 	if !known || few {
 		t.Fatalf("%s: known %v, too few %v", name, known, few)
 	}
@@ -150,7 +150,7 @@
 		s := w.stores[seed%5]
 		w.startRetiring(t, s.name)
 		w.run(20 + int64(seed)*20)
-		if _, finished := Retired(w.table, s.name, w.f); finished {
+		if _, finished := RetirementState(w.table, s.name, w.f); finished {
 			t.Fatalf("seed %d: finished before its disk was lost", seed)
 		}
 		s.wipe()
@@ -183,7 +183,7 @@
 		{snapshot.Partition{Replicas: []uint64{2, 3}, Joining: []uint64{1}}, false},
 	} {
 		table.Partitions = []snapshot.Partition{c.part}
-		if known, finished := Retired(table, "a", 1); !known || finished != c.finished {
+		if known, finished := RetirementState(table, "a", 1); !known || finished != c.finished {
 			t.Errorf("%v: known %v, finished %v", c.part, known, finished)
 		}
 	}
--- a/internal/batch/room_test.go
+++ b/internal/batch/room_test.go
@@ -65,7 +65,7 @@
 	folder := fullFolder{journal.Dir(t.TempDir()), &atomic.Bool{}}
 	options := StoreOptions{Open: OpenIn(folder), Logf: t.Logf}
 	folder.full.Store(true)
-	if _, err := NewStore(options); !ErrNoRoom.Has(err) {
+	if _, err := NewStore(options); !ErrDiskFull.Has(err) {
 		t.Fatalf("an empty disk that is full: %v", err)
 	}
 	folder.full.Store(false)
@@ -75,18 +75,18 @@
 	}
 	id := s.ID()
 	promise := func(s *Store, part int, ballot uint64) {
-		s.do(func() { s.core.append(encodeRec(recPromise, part, ballot)) })
+		s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, part, ballot)) })
 	}
 	promise(s, 3, 7)
-	s.do(func() { folder.full.Store(true) })
+	s.enqueue(func() { folder.full.Store(true) })
 	promise(s, 4, 9)
 	promise(s, 5, 11)
 	closed(t, "the end of the store", s.Done())
 	closed(t, "the end of what uses the log", s.Stopped())
-	if err := s.Err(); !ErrNoRoom.Has(err) {
+	if err := s.Err(); !ErrDiskFull.Has(err) {
 		t.Error(err)
 	}
-	if _, err := NewStore(options); !ErrNoRoom.Has(err) {
+	if _, err := NewStore(options); !ErrDiskFull.Has(err) {
 		t.Errorf("opened while it is full: %v", err)
 	}
 	folder.full.Store(false)
@@ -96,7 +96,9 @@
 	}
 	defer func() { s.Close(); <-s.Stopped() }()
 	read := make(chan [3]uint64, 1)
-	s.do(func() { read <- [3]uint64{s.core.part(3).promised, s.core.part(4).promised, s.core.part(5).promised} })
+	s.enqueue(func() {
+		read <- [3]uint64{s.core.partition(3).promisedTerm, s.core.partition(4).promisedTerm, s.core.partition(5).promisedTerm}
+	})
 	if promised := <-read; s.ID() != id || promised != [3]uint64{7, 0, 0} {
 		t.Errorf("identity %d after %d, promises %v", s.ID(), id, promised)
 	}
@@ -137,7 +139,7 @@
 		t.Fatal(err)
 	}
 	folder.stalled.Store(true)
-	s.do(func() { s.core.append(encodeRec(recPromise, 3, 7)) })
+	s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, 3, 7)) })
 	closed(t, "the write", folder.reached)
 	s.Close()
 	closed(t, "the end of the store", s.Done())
--- a/internal/batch/scale_test.go
+++ b/internal/batch/scale_test.go
@@ -93,10 +93,10 @@
 		g.cores = append(g.cores, c)
 		all = append(all, snapshot.Store{ID: c.self, Name: fmt.Sprint("s", i), Zone: c.zone})
 	}
-	table, _ := Assign(nil, all, func(uint64) bool { return false }, 16, 1)
+	table, _ := AssignPartitions(nil, all, func(uint64) bool { return false }, 16, 1)
 	g.clock()
 	to := func(c *core) func(*scaleEnd, link.Kind, []byte) {
-		return func(e *scaleEnd, kind link.Kind, body []byte) { c.message(e, nil, kind, body) }
+		return func(e *scaleEnd, kind link.Kind, body []byte) { c.handleMessage(e, nil, kind, body) }
 	}
 	for _, c := range g.cores {
 		c.setTable(table)
@@ -104,7 +104,7 @@
 	for _, c := range g.cores {
 		for _, d := range g.cores {
 			if c != d {
-				c.peerUp(d.self, g.connect(to(c), to(d)))
+				c.peerConnected(d.self, g.connect(to(c), to(d)))
 			}
 		}
 		for n := range workers {
@@ -113,7 +113,7 @@
 			b.String(fmt.Sprint("w", n))
 			b.String(fmt.Sprint("z", n%3))
 			b.Int(inHand)
-			_ = w.Send(kAttach, b.B)
+			_ = w.Send(kindAttachWorker, b.B)
 		}
 	}
 	for range 1000 { // handAfterMs and more
@@ -126,9 +126,9 @@
 // work takes an item in hand; its result goes back when it is the longest there.
 func (g *scaleRig) work(e *scaleEnd, kind link.Kind, body []byte) {
 	switch kind {
-	case kListed:
+	case kindResultStored:
 		g.listed++
-	case kGive:
+	case kindAssignItem:
 		r := link.Reader{B: body}
 		part := r.U32()
 		r.U64()
@@ -140,7 +140,7 @@
 			w.U32(no)
 			w.Bool(false)
 			w.Bytes(scaleText)
-			_ = e.Send(kResult, w.B)
+			_ = e.Send(kindItemResult, w.B)
 		})
 	}
 }
@@ -149,7 +149,7 @@
 
 func (g *scaleRig) clock() {
 	for _, c := range g.cores {
-		c.now = g.now/1000 + 1
+		c.nowMs = g.now/1000 + 1
 	}
 }
 
@@ -171,9 +171,9 @@
 			}
 		}
 		for _, c := range g.cores {
-			if c.syncedN < c.appended {
-				c.synced(c.appended)
-				c.dispatch()
+			if c.syncedRecords < c.appendedRecords {
+				c.recordsSynced(c.appendedRecords)
+				c.dispatchItems()
 			}
 		}
 		if len(g.queue) == 0 {
@@ -183,7 +183,7 @@
 }
 
 func scaleLot(id string, items int, sent int64) []byte {
-	j := Job{ID: id, Route: "b", Host: "h.example", PathStart: "/b/", SentMs: sent, DueMs: 1 << 40, Tries: 2, MaxQueued: 1 << 40, Version: 1}
+	j := Job{ID: id, Route: "b", Host: "h.example", PathPrefix: "/b/", SentMs: sent, DueMs: 1 << 40, MaxAttempts: 2, MaxQueuedTokens: 1 << 40, ConfigVersion: 1}
 	for i := range items {
 		j.Items = append(j.Items, JobItem{ID: fmt.Sprintf("item-%06d", i), Path: "/b/x", Headers: [][2]string{{"content-type", "application/json"}}, Body: scaleBody, Tokens: 100})
 	}
@@ -195,7 +195,7 @@
 	no := g.cores[0].table.PartitionOf(id)
 	c := g.cores[g.cores[0].table.Partitions[no].Primary-1]
 	g.clock()
-	c.message(nil, replied(func(b []byte) { code = b[0] }), kAccept, enc)
+	c.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kindAcceptJob, enc)
 	for range 20 {
 		if code != 0 {
 			break
@@ -279,13 +279,13 @@
 		id := fmt.Sprint("job-", i)
 		no := g.cores[0].table.PartitionOf(id)
 		for _, copyOf := range g.cores {
-			j := copyOf.part(no).jobs[id]
+			j := copyOf.partition(no).jobs[id]
 			if j == nil || len(j.results) != 50 {
 				t.Fatalf("store %d: job %s is %+v", copyOf.self, id, j)
 			}
 			var nos []int32
 			for _, r := range j.results {
-				nos = append(nos, r.item)
+				nos = append(nos, r.itemIndex)
 			}
 			slices.Sort(nos)
 			if len(slices.Compact(nos)) != 50 {
@@ -303,12 +303,12 @@
 	g.accept(t, "job", items)
 	no := g.cores[0].table.PartitionOf("job")
 	c := g.cores[g.cores[0].table.Partitions[no].Primary-1]
-	j := c.part(no).jobs["job"]
+	j := c.partition(no).jobs["job"]
 	check := func() {
 		t.Helper()
-		for i := range j.next {
+		for i := range j.firstWaiting {
 			if j.items[i].state == itemWaiting {
-				t.Fatalf("item %d waits before %d", i, j.next)
+				t.Fatalf("item %d waits before %d", i, j.firstWaiting)
 			}
 		}
 	}
@@ -321,15 +321,15 @@
 		f()
 	}
 	g.settle()
-	if j.next < items/2 {
-		t.Fatalf("%d are listed, and items from %d on are looked through", g.listed, j.next)
+	if j.firstWaiting < items/2 {
+		t.Fatalf("%d are listed, and items from %d on are looked through", g.listed, j.firstWaiting)
 	}
-	lost := c.attached[0]
-	had := len(lost.held)
+	lost := c.attachedWorkers[0]
+	had := len(lost.assigned)
 	if had == 0 {
 		t.Fatal("the worker has nothing in hand")
 	}
-	c.pipeClosed(lost.pipe)
+	c.connectionClosed(lost.pipe)
 	check()
 	g.settle()
 	check()
@@ -347,7 +347,7 @@
 		c.tick()
 		check()
 	}
-	if len(j.results) != items || j.visible != items {
-		t.Fatalf("%d of %d items are listed, %d can be read", len(j.results), items, j.visible)
+	if len(j.results) != items || j.readableResults != items {
+		t.Fatalf("%d of %d items are listed, %d can be read", len(j.results), items, j.readableResults)
 	}
 }
--- a/internal/batch/segments.go
+++ b/internal/batch/segments.go
@@ -13,29 +13,33 @@
 	"dunetide/internal/platform/recordlog"
 )
 
-// The log of a store is a row of segments, each a file of internal/platform/recordlog. Records are appended to the newest one; the
-// oldest one is removed as a whole when nothing in it is wanted any more. So disk space is given back without writing
-// again what stays.
+// The log of a store is a row of segments, each a file of package recordlog. Records are appended to
+// the newest segment. The oldest segment is removed as a whole once nothing in it is live, so disk
+// space is given back without writing again what stays (see space.go).
 //
-// A position is the number of a segment and a position within it. The first record of a segment says how long the one
-// before it was when it was closed: a segment that is shorter has lost what was synced.
+// An offset of the log is the number of a segment and an offset in its file. The first record of a
+// segment, its head, says how long the segment before it was when that was closed: a segment that
+// is shorter has lost what was synced.
 
-// segmentShift is the place of the segment's number in a position.
-const segmentShift = 40
-
-// segmentOf is the number of the segment that a position lies in.
-func segmentOf(at int64) int64 { return at >> segmentShift }
+const (
+	// segmentShift is where the number of the segment begins in an offset.
+	segmentShift = 40
+	segmentMask  = 1<<segmentShift - 1
+	// segmentHeadBytes is the length of a head: the length of the segment before it.
+	segmentHeadBytes = 8
+)
 
-const segmentMask = 1<<segmentShift - 1
+// segmentOf is the number of the segment that an offset lies in.
+func segmentOf(offset int64) int64 { return offset >> segmentShift }
 
-// segmentedLog is a log in a folder. It is safe for concurrent use, but for Append, Rotate and DropOldest, which only one
-// goroutine calls.
+// segmentedLog is a Log in a folder. It is safe for concurrent use, but for Append, Rotate and
+// DropOldest, which one goroutine alone calls.
 type segmentedLog struct {
 	folder journal.Folder
 	name   string
 
 	mu       sync.Mutex
-	segments []segment // the oldest first
+	segments []segment // the oldest first; never empty
 }
 
 type segment struct {
@@ -43,7 +47,24 @@
 	*recordlog.Log
 }
 
-// fileName of a segment: the first one has the log's name, which is that of a log of before there were segments.
+// OpenLog opens the log of a name in a folder and replays what it holds; end is the offset behind a
+// record. The error is of class recordlog.ErrDamaged if a segment is missing or is not what was written.
+func OpenLog(folder journal.Folder, name string, replay func(record []byte, end int64) error) (Log, error) {
+	l := &segmentedLog{folder: folder, name: name}
+	numbers, err := l.listSegments()
+	if err != nil {
+		return nil, err
+	}
+	for _, number := range numbers {
+		if err := l.openSegment(number, number == numbers[len(numbers)-1], replay); err != nil {
+			return nil, errors.Join(err, l.Close())
+		}
+	}
+	return l, nil
+}
+
+// fileName is the name of a segment's file. The first one has the name of the log, as logs had
+// before there were segments.
 func (l *segmentedLog) fileName(number int64) string {
 	if number == 0 {
 		return l.name
@@ -51,7 +72,7 @@
 	return fmt.Sprintf("%s.%06d", l.name, number)
 }
 
-// numberOf is the number in a segment's file name.
+// numberOf is the number of the segment that a file is; false if it is none.
 func (l *segmentedLog) numberOf(file string) (number int64, ok bool) {
 	if file == l.name {
 		return 0, true
@@ -64,23 +85,8 @@
 	return number, err == nil && number > 0 && l.fileName(number) == file
 }
 
-// OpenLog opens the log of that name in a folder and replays what it holds; at is the position after a record.
-func OpenLog(folder journal.Folder, name string, replay func(payload []byte, at int64) error) (Log, error) {
-	l := &segmentedLog{folder: folder, name: name}
-	numbers, err := l.find()
-	if err != nil {
-		return nil, err
-	}
-	for _, number := range numbers {
-		if err := l.openSegment(number, number == numbers[len(numbers)-1], replay); err != nil {
-			return nil, errors.Join(err, l.Close())
-		}
-	}
-	return l, nil
-}
-
-// find lists the segments that there are; the first one, if there is none.
-func (l *segmentedLog) find() (numbers []int64, err error) {
+// listSegments lists the numbers of the segments that there are, or the first one if there is none.
+func (l *segmentedLog) listSegments() (numbers []int64, err error) {
 	files, err := l.folder.List()
 	if err != nil {
 		return nil, err
@@ -93,7 +99,8 @@
 	slices.Sort(numbers)
 	for i, number := range numbers {
 		if i > 0 && number != numbers[i-1]+1 {
-			return nil, recordlog.ErrDamaged.New("%s: the segments %d and %d are there, and none between them", l.name, numbers[i-1], number)
+			return nil, recordlog.ErrDamaged.New("%s: the segments %d and %d are there, and none between them",
+				l.name, numbers[i-1], number)
 		}
 	}
 	if len(numbers) == 0 {
@@ -103,21 +110,22 @@
 }
 
 // openSegment opens the next segment and replays it.
-func (l *segmentedLog) openSegment(number int64, newest bool, replay func(payload []byte, at int64) error) error {
+func (l *segmentedLog) openSegment(number int64, newest bool, replay func(record []byte, end int64) error) error {
 	records := 0
-	file, err := recordlog.Open(l.folder, l.fileName(number), func(payload []byte, at int64) error {
+	file, err := recordlog.Open(l.folder, l.fileName(number), func(payload []byte, end int64) error {
 		records++
 		if records == 1 && number > 0 {
 			return l.checkPrevious(payload)
 		}
-		return replay(payload, number<<segmentShift|at)
+		return replay(payload, number<<segmentShift|end)
 	})
 	if err != nil {
 		return err
 	}
 	if number > 0 && records == 0 {
 		if !newest {
-			return errors.Join(recordlog.ErrDamaged.New("%s is empty, and there is a newer segment", l.fileName(number)), file.Close())
+			err := recordlog.ErrDamaged.New("%s is empty, and there is a newer segment", l.fileName(number))
+			return errors.Join(err, file.Close())
 		}
 		if err := l.writeHead(file); err != nil { // the process ended while it began the segment
 			return errors.Join(err, file.Close())
@@ -127,7 +135,7 @@
 	return nil
 }
 
-// writeHead writes the first record of a segment that follows the newest one.
+// writeHead writes the head of a segment that follows the newest one.
 func (l *segmentedLog) writeHead(file *recordlog.Log) error {
 	size := int64(0)
 	if n := len(l.segments); n > 0 {
@@ -141,7 +149,7 @@
 
 // checkPrevious checks the length of the newest segment against what the head of the next one says.
 func (l *segmentedLog) checkPrevious(head []byte) error {
-	if len(head) != 8 {
+	if len(head) != segmentHeadBytes {
 		return recordlog.ErrDamaged.New("%s: a segment does not begin with its head", l.name)
 	}
 	if len(l.segments) == 0 {
@@ -149,20 +157,21 @@
 	}
 	last := l.segments[len(l.segments)-1]
 	if want := int64(binary.BigEndian.Uint64(head)); last.Size() < want {
-		return recordlog.ErrDamaged.New("%s: it has %d bytes of the %d that were synced", l.fileName(last.number), last.Size(), want)
+		return recordlog.ErrDamaged.New("%s: it has %d bytes of the %d that were synced",
+			l.fileName(last.number), last.Size(), want)
 	}
 	return nil
 }
 
-// newest is the segment that is appended to.
+// newest is the segment that records are appended to.
 func (l *segmentedLog) newest() segment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.segments[len(l.segments)-1]
 }
 
-// get is a segment by its number.
-func (l *segmentedLog) get(number int64) (segment, bool) {
+// byNumber is a segment by its number.
+func (l *segmentedLog) byNumber(number int64) (segment, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i := slices.IndexFunc(l.segments, func(s segment) bool { return s.number == number })
@@ -172,30 +181,31 @@
 	return l.segments[i], true
 }
 
-// Append writes a record to the newest segment. It tells the position after it.
-func (l *segmentedLog) Append(payload []byte) (int64, error) {
+// Append appends a record to the newest segment. It returns the offset behind the record.
+func (l *segmentedLog) Append(payload []byte) (end int64, err error) {
 	s := l.newest()
-	at, err := s.Log.Append(payload)
-	return s.number<<segmentShift | at, err
+	end, err = s.Log.Append(payload)
+	return s.number<<segmentShift | end, err
 }
 
-// ReadRaw reads bytes inside a payload, unchecked.
-func (l *segmentedLog) ReadRaw(at int64, n int) ([]byte, error) {
-	s, ok := l.get(segmentOf(at))
+// ReadRaw reads bytes inside a record without checking them. The error is of class recordlog.ErrNoRecord if
+// the segment has been removed.
+func (l *segmentedLog) ReadRaw(offset int64, length int) ([]byte, error) {
+	s, ok := l.byNumber(segmentOf(offset))
 	if !ok {
-		return nil, recordlog.ErrNoRecord.New("%s: segment %d is not there", l.name, segmentOf(at))
+		return nil, recordlog.ErrNoRecord.New("%s: segment %d is not there", l.name, segmentOf(offset))
 	}
-	return s.Log.ReadRaw(at&segmentMask, n)
+	return s.Log.ReadRaw(offset&segmentMask, length)
 }
 
-// SyncTo returns when all up to a position is durable. Segments before the newest one are.
-func (l *segmentedLog) SyncTo(at int64) error {
+// SyncTo returns when all up to an offset is durable. Segments before the newest one always are.
+func (l *segmentedLog) SyncTo(end int64) error {
 	s := l.newest()
-	if segmentOf(at) < s.number {
+	if segmentOf(end) < s.number {
 		return nil
 	}
-	err := s.SyncTo(at & segmentMask)
-	if _, there := l.get(s.number); err != nil && !there {
+	err := s.SyncTo(end & segmentMask)
+	if _, there := l.byNumber(s.number); err != nil && !there {
 		return nil // it was closed and removed meanwhile, and so synced
 	}
 	return err
@@ -211,7 +221,7 @@
 	return size
 }
 
-// NewestSize is how many bytes the segment has that is appended to.
+// NewestSize is how many bytes the segment has that records are appended to.
 func (l *segmentedLog) NewestSize() int64 { return l.newest().Size() }
 
 // Oldest is the number of the oldest segment, and whether there is a newer one.
@@ -235,7 +245,8 @@
 		return fmt.Errorf("beginning a segment: %w", err)
 	}
 	if err := l.writeHead(file); err != nil {
-		return errors.Join(fmt.Errorf("beginning a segment: %w", err), file.Close(), l.folder.Remove(l.fileName(number)))
+		err = fmt.Errorf("beginning a segment: %w", err)
+		return errors.Join(err, file.Close(), l.folder.Remove(l.fileName(number)))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,29 +254,37 @@
 	return nil
 }
 
-// DropOldest makes all that was appended durable and removes the oldest segment, for good.
+// DropOldest makes all that was appended durable and removes the oldest segment, unless it is the only one.
 func (l *segmentedLog) DropOldest() error {
 	if err := l.newest().Sync(); err != nil {
 		return err
 	}
+	oldest, ok := l.detachOldest()
+	if !ok {
+		return nil
+	}
+	return errors.Join(oldest.Close(), l.folder.Remove(l.fileName(oldest.number)), l.folder.Sync())
+}
+
+// detachOldest takes the oldest segment out of the log, so that nothing is read from it any more.
+func (l *segmentedLog) detachOldest() (oldest segment, ok bool) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	if len(l.segments) < 2 {
-		l.mu.Unlock()
-		return nil
+		return segment{}, false
 	}
-	oldest := l.segments[0]
+	oldest = l.segments[0]
 	l.segments = slices.Clone(l.segments[1:])
-	l.mu.Unlock()
-	return errors.Join(oldest.Close(), l.folder.Remove(l.fileName(oldest.number)), l.folder.Sync())
+	return oldest, true
 }
 
 // Close syncs what was appended and ends the use of the log.
 func (l *segmentedLog) Close() error {
 	l.mu.Lock()
-	all := slices.Clone(l.segments)
+	segments := slices.Clone(l.segments)
 	l.mu.Unlock()
 	var errs []error
-	for _, s := range all {
+	for _, s := range segments {
 		errs = append(errs, s.Close())
 	}
 	return errors.Join(errs...)
--- a/internal/batch/sim_test.go
+++ b/internal/batch/sim_test.go
@@ -289,17 +289,17 @@
 		s.waiting = append(s.waiting, func() { s.do(life, fn) })
 		return
 	}
-	s.core.now = s.w.ms() + 1
+	s.core.nowMs = s.w.ms() + 1
 	fn()
 	s.sync()
 }
 
 func (s *simStore) sync() {
-	if s.synced || s.core == nil || s.core.syncedN >= s.core.appended {
+	if s.synced || s.core == nil || s.core.syncedRecords >= s.core.appendedRecords {
 		return
 	}
 	s.synced = true
-	n, recs, life, disk := s.core.appended, len(s.disk.recs), s.life, s.disk
+	n, recs, life, disk := s.core.appendedRecords, len(s.disk.recs), s.life, s.disk
 	dropped := disk.dropped
 	most := 4.0
 	if s.w.slowSync {
@@ -313,7 +313,7 @@
 		if disk.dropped == dropped {
 			disk.synced = max(disk.synced, recs)
 		}
-		s.do(life, func() { s.core.synced(n); s.core.dispatch() })
+		s.do(life, func() { s.core.recordsSynced(n); s.core.dispatchItems() })
 	})
 }
 
@@ -325,9 +325,9 @@
 	s.life++
 	life := s.life
 	c := newCore(0, s.disk)
-	c.now = w.ms() + 1
-	c.maxLost, c.zone = w.f, s.zone
-	c.keep, c.segmentSize = 1<<40, 1500
+	c.nowMs = w.ms() + 1
+	c.maxLostReplicas, c.zone = w.f, s.zone
+	c.retentionMs, c.fixedSegmentBytes = 1<<40, 1500
 	if w.trace != nil {
 		c.logf = func(f string, a ...any) { w.say(s.name+": "+f, a...) }
 	}
@@ -347,16 +347,16 @@
 		w.nextID++
 		c.self = w.nextID
 	}
-	c.append(encodeRec(recID, 0, c.self))
+	c.appendRecord(encodeRecord(recordIdentity, 0, c.self))
 	s.disk.synced = len(s.disk.recs)
-	c.synced(c.appended)
-	c.ready = func(part int, epoch uint64) {
+	c.recordsSynced(c.appendedRecords)
+	c.reportReady = func(part int, epoch uint64) {
 		w.checkReady(c, part)
 		if s.deaf {
 			return
 		}
 		w.after(w.delay()*3, func() {
-			if next, ok := Switch(w.table, part, epoch); ok {
+			if next, ok := SwitchReplicas(w.table, part, epoch); ok {
 				w.say("switch part %d from epoch %d: %v", part, epoch, next.Partitions[part])
 				w.publish(next)
 			}
@@ -398,13 +398,13 @@
 
 // checkReady checks, when a primary says that the next group of a part has all of it, that those that join do.
 func (w *world) checkReady(primary *core, part int) {
-	l := primary.part(part).lead
+	l := primary.partition(part).primary
 	for _, o := range w.stores {
-		if o.core == nil || o.core == primary || !slices.Contains(l.next, o.core.self) || slices.Contains(l.copies, o.core.self) {
+		if o.core == nil || o.core == primary || !slices.Contains(l.nextReplicas, o.core.self) || slices.Contains(l.replicas, o.core.self) {
 			continue
 		}
-		if p := o.core.part(part); p.claimB != l.ballot || int64(p.claimS) < max(l.commit, l.start) {
-			w.fault("part %d is to be handed to %s, which has (%x, %d) of (%x, %d)", part, o.name, p.claimB, p.claimS, l.ballot, max(l.commit, l.start))
+		if p := o.core.partition(part); p.position.term != l.term || int64(p.position.sequence) < max(l.committed, l.startSequence) {
+			w.fault("part %d is to be handed to %s, which has (%x, %d) of (%x, %d)", part, o.name, p.position.term, p.position.sequence, l.term, max(l.committed, l.startSequence))
 		}
 	}
 }
@@ -446,20 +446,20 @@
 			}
 			p := w.connect(s.name, name, s.receive(life), o.receive(o.life))
 			s.pipes[name] = p
-			p.closed = func(p *simPipe) { s.do(life, func() { s.core.peerDown(id, p) }) }
+			p.closed = func(p *simPipe) { s.do(life, func() { s.core.peerDisconnected(id, p) }) }
 			olife := o.life
-			p.peer.closed = func(q *simPipe) { o.do(olife, func() { o.core.pipeClosed(q) }) }
-			s.do(life, func() { s.core.peerUp(id, p) })
+			p.peer.closed = func(q *simPipe) { o.do(olife, func() { o.core.connectionClosed(q) }) }
+			s.do(life, func() { s.core.peerConnected(id, p) })
 		}
 	}
 	w.after(50+w.rng.Float64()*20, func() { s.dial(life) })
 }
 
-func sortedIDs[V any](m map[uint64]V) []uint64 { return sortedNumbers(m) }
+func sortedIDs[V any](m map[uint64]V) []uint64 { return sortedKeys(m) }
 
 func (s *simStore) receive(life int) func(*simPipe, Caller, link.Kind, []byte) {
 	return func(p *simPipe, m Caller, kind link.Kind, body []byte) {
-		s.do(life, func() { s.core.message(p, m, kind, body) })
+		s.do(life, func() { s.core.handleMessage(p, m, kind, body) })
 	}
 }
 
@@ -497,7 +497,7 @@
 // terminate tells a store to end: it hands its parts over, and ends when that is done or its time is over.
 func (s *simStore) terminate(then func()) {
 	w, life := s.w, s.life
-	s.do(life, func() { s.core.stop() })
+	s.do(life, func() { s.core.beginDraining() })
 	until := w.ms() + 2000
 	var poll func()
 	poll = func() {
@@ -505,8 +505,8 @@
 			then()
 			return
 		}
-		if s.core.handedOver() || w.ms() > until {
-			if s.core.led() == 0 {
+		if s.core.drained() || w.ms() > until {
+			if s.core.primaryCount() == 0 {
 				w.handed++
 			}
 			s.kill()
@@ -582,7 +582,7 @@
 		if starting {
 			lost2 = func(uint64) bool { return false }
 		}
-		if next, ok := Assign(w.table, alive, lost2, w.nParts, w.f); ok {
+		if next, ok := AssignPartitions(w.table, alive, lost2, w.nParts, w.f); ok {
 			w.say("assign: %v", next.Partitions)
 			w.publish(next)
 		}
--- a/internal/batch/space.go
+++ b/internal/batch/space.go
@@ -1,163 +1,180 @@
 package batch
 
-// The space that a store's log takes. Jobs are dropped in about the order in which they came, so the oldest segment of
-// the log is soon empty of what must stay; what is left in it is appended again, and the segment goes.
+// The space that a store's log takes. Jobs are dropped in about the order in which they came, so
+// little of the oldest segment of the log is live after a while. What is live is appended again,
+// and the segment is removed.
 
 const (
-	// segmentsInRoom is how many segments the log has when it has taken all of its room.
-	segmentsInRoom = 24
+	// segmentsInLog is how many segments a log has that takes all of its capacity.
+	segmentsInLog = 24
 	// minSegmentBytes is how long a segment gets at least before a new one is begun.
 	minSegmentBytes = 1 << 20
-	// fullPercent of the room may be taken by what must stay; above it no job is taken.
-	fullPercent = 80
-	// pressedPercent of the room may be taken by the log before also segments are emptied that are mostly wanted.
-	pressedPercent = 85
-	// resultsPerByte is how many bytes of results are expected for each of a job.
+	// maxLivePercent of the capacity may be live; above it no job is accepted.
+	maxLivePercent = 80
+	// reclaimPressurePercent of the capacity may be used before segments are reclaimed that are mostly live.
+	reclaimPressurePercent = 85
+	// resultsPerByte is how many bytes of results are expected for each byte of a job.
 	resultsPerByte = 3
 )
 
-// chargeLog counts bytes at a place in the log that must stay, or that need not any more.
-func (c *core) chargeLog(at, bytes int64) {
-	c.live += bytes
-	c.liveIn[segmentOf(at)] += bytes
+// addLiveBytes counts bytes at an offset of the log as live, or, with a negative number, as garbage.
+func (c *core) addLiveBytes(offset, bytes int64) {
+	c.liveBytes += bytes
+	c.liveBytesBySegment[segmentOf(offset)] += bytes
 }
 
-// chargeJob counts all bytes of a job.
-func (c *core) chargeJob(j *job, sign int64) {
-	c.chargeLog(j.at, sign*int64(j.n))
+// addLiveJob counts all bytes of a job as live, or, with sign -1, as garbage.
+func (c *core) addLiveJob(j *job, sign int64) {
+	c.addLiveBytes(j.offset, sign*int64(j.encodedLength))
 	for _, res := range j.results {
-		c.chargeLog(res.at, sign*int64(res.n))
+		c.addLiveBytes(res.offset, sign*int64(res.length))
 	}
 }
 
-// hasRoom tells whether the log can take a job of so many bytes, its results and those of the jobs that it has.
-func (c *core) hasRoom(bytes int) bool {
-	if c.room <= 0 {
+// hasCapacity reports whether the log can take a job of so many bytes with its results, and the
+// results to come of the jobs that it has.
+func (c *core) hasCapacity(bytes int) bool {
+	if c.logCapacity <= 0 {
 		return true
 	}
-	needed := c.live + int64(bytes)*(1+resultsPerByte)
-	for _, p := range c.parts {
+	needed := c.liveBytes + int64(bytes)*(1+resultsPerByte)
+	for _, p := range c.partitions {
 		for _, j := range p.jobs {
-			if j.open() {
-				needed += int64(j.n) * resultsPerByte * int64(len(j.items)-len(j.results)) / int64(len(j.items))
+			if j.isOpen() {
+				items := int64(len(j.items))
+				needed += int64(j.encodedLength) * resultsPerByte * (items - int64(len(j.results))) / items
 			}
 		}
 	}
-	return needed <= c.room*fullPercent/100
+	return needed <= c.logCapacity*maxLivePercent/100
 }
 
-// segmentBytes is how long a segment gets.
-func (c *core) segmentBytes() int64 {
-	if c.segmentSize > 0 {
-		return c.segmentSize
+// targetSegmentBytes is the length at which a segment is followed by a new one.
+func (c *core) targetSegmentBytes() int64 {
+	if c.fixedSegmentBytes > 0 {
+		return c.fixedSegmentBytes
 	}
-	return max(minSegmentBytes, c.room/segmentsInRoom)
+	return max(minSegmentBytes, c.logCapacity/segmentsInLog)
 }
 
-// keepSpace begins a new segment when the newest one is long enough, and gives the oldest one back if that is worth it.
-func (c *core) keepSpace() {
-	if c.dead {
+// reclaimSpace begins a new segment when the newest one is long enough, and removes the oldest one
+// if that is worth it.
+func (c *core) reclaimSpace() {
+	if c.diskFailed {
 		return
 	}
-	if c.disk.NewestSize() >= c.segmentBytes() {
+	if c.disk.NewestSize() >= c.targetSegmentBytes() {
 		if err := c.disk.Rotate(); err != nil {
-			c.failed(err)
+			c.failDisk(err)
 			return
 		}
-		c.append(encodeRec(recID, 0, c.self)) // each segment begins with the identity, so that none need stay for it
+		c.appendRecord(encodeRecord(recordIdentity, 0, c.self)) // so no older segment has to stay for it
 	}
-	if oldest, more := c.disk.Oldest(); more && c.worthEmptying(oldest) {
-		c.emptyOldest(oldest)
+	if oldest, more := c.disk.Oldest(); more && c.shouldReclaim(oldest) {
+		c.reclaimOldest(oldest)
 	}
-	c.reportRoom()
+	c.updateLogFull()
 }
 
-// worthEmptying tells whether the oldest segment should be given back: most of it is garbage, or most of the log is, or
-// space runs out and there is some garbage.
-func (c *core) worthEmptying(oldest int64) bool {
+// shouldReclaim reports whether the oldest segment should be removed: most of it is garbage, or
+// most of the log is, or space runs out and there is some garbage.
+func (c *core) shouldReclaim(oldest int64) bool {
 	size := c.disk.Size()
-	garbage := size - c.live
-	if c.liveIn[oldest]*4 <= c.segmentBytes() || garbage*2 > size {
+	garbage := size - c.liveBytes
+	if c.liveBytesBySegment[oldest]*4 <= c.targetSegmentBytes() || garbage*2 > size {
 		return true
 	}
-	return c.room > 0 && size*100 > c.room*pressedPercent && garbage*8 > size
+	return c.logCapacity > 0 && size*100 > c.logCapacity*reclaimPressurePercent && garbage*8 > size
 }
 
-// emptyOldest appends again what must stay of the oldest segment, and removes it.
-func (c *core) emptyOldest(oldest int64) {
-	for _, p := range c.parts {
+// reclaimOldest appends again what is live of the oldest segment, and removes the segment.
+func (c *core) reclaimOldest(oldest int64) {
+	for _, p := range c.partitions {
 		for _, id := range sortedKeys(p.jobs) {
-			if j := p.jobs[id]; j.touches(oldest) && !c.moveJob(p, j) {
+			if j := p.jobs[id]; j.hasBytesIn(oldest) && !c.rewriteJob(p, j) {
 				return
 			}
 		}
-		if p.claimB > 0 {
-			c.append(encodeRec(recMark, p.no, p.claimB, p.claimS))
+		if p.position.term > 0 {
+			c.appendRecord(encodeRecord(recordTermStart, p.index, p.position.term, p.position.sequence))
 		}
-		if p.promised > 0 {
-			c.append(encodeRec(recPromise, p.no, p.promised))
+		if p.promisedTerm > 0 {
+			c.appendRecord(encodeRecord(recordPromise, p.index, p.promisedTerm))
 		}
 	}
-	if c.dead {
+	if c.diskFailed {
 		return
 	}
 	if err := c.disk.DropOldest(); err != nil {
-		c.failed(err)
+		c.failDisk(err)
 		return
 	}
-	delete(c.liveIn, oldest)
-	c.synced(c.appended)
+	delete(c.liveBytesBySegment, oldest)
+	c.recordsSynced(c.appendedRecords)
 }
 
-// touches tells whether anything of a job lies in a segment.
-func (j *job) touches(segment int64) bool {
-	if segmentOf(j.at) == segment {
+// hasBytesIn reports whether anything of a job lies in a segment.
+func (j *job) hasBytesIn(segment int64) bool {
+	if segmentOf(j.offset) == segment {
 		return true
 	}
 	for i := range j.results {
-		if segmentOf(j.results[i].at) == segment {
+		if segmentOf(j.results[i].offset) == segment {
 			return true
 		}
 	}
 	return false
 }
 
-// moveJob appends a job whole; what was written of it before is garbage then. False: the store can't go on.
-func (c *core) moveJob(p *part, j *job) bool {
-	whole, err := c.whole(j)
+// rewriteJob appends a job whole, so that what was written of it before is garbage. False: the
+// store can't go on.
+func (c *core) rewriteJob(p *partition, j *job) bool {
+	whole, err := c.encodeWholeJob(j)
 	if err != nil {
-		c.failed(err)
+		c.failDisk(err)
 		return false
 	}
-	at, ok := c.write(append(encodeRec(recPut, p.no), whole...))
+	offset, ok := c.writeRecord(append(encodeRecord(recordJob, p.index), whole...))
 	if !ok {
 		return false
 	}
-	c.chargeJob(j, -1)
-	pos := at + 5 + 4 + int64(len(j.id)) + 4
-	j.at = pos
-	pos += int64(j.n) + 4
+	c.addLiveJob(j, -1)
+	j.moveTo(offset)
+	c.addLiveJob(j, 1)
+	return true
+}
+
+// moveTo notes that a job lies whole, as encodeWholeJob writes it, in the record at an offset of the log.
+func (j *job) moveTo(recordOffset int64) {
+	const (
+		recordHeader = 1 + 4 // kind, partition
+		lengthPrefix = 4
+		resultHeader = 4 + 1 // item index, abandoned
+	)
+	offset := recordOffset + recordHeader + lengthPrefix + int64(len(j.id)) + lengthPrefix
+	j.offset = offset
+	offset += int64(j.encodedLength) + 4 // the number of results
 	for i := range j.results {
-		pos += 4 + 1 + 4
-		j.results[i].at = pos
-		pos += int64(j.results[i].n)
+		offset += resultHeader + lengthPrefix
+		j.results[i].offset = offset
+		offset += int64(j.results[i].length)
 	}
-	c.chargeJob(j, 1)
-	return true
 }
 
-// reportRoom logs when the store begins to take no more jobs for want of space, and when it takes some again.
-func (c *core) reportRoom() {
-	if full := !c.hasRoom(0); full != c.full {
-		c.full = full
-		c.log("full: %v; %d bytes must stay of the %d that the log may have, it has %d", full, c.live, c.room, c.disk.Size())
+// updateLogFull logs when the store begins to accept no more jobs for want of space, and when it
+// accepts some again.
+func (c *core) updateLogFull() {
+	if full := !c.hasCapacity(0); full != c.logFull {
+		c.logFull = full
+		c.log("full: %v; %d bytes must stay of the %d that the log may have, it has %d",
+			full, c.liveBytes, c.logCapacity, c.disk.Size())
 	}
 }
 
-// copyFull tells whether a copy has no room for more jobs.
-func (l *lead) copyFull() bool {
-	for _, q := range l.peers {
-		if q.full {
+// anyReplicaFull reports whether the log of a replica has no space for more jobs.
+func (s *primaryState) anyReplicaFull() bool {
+	for _, replica := range s.progress {
+		if replica.logFull {
 			return true
 		}
 	}
--- a/internal/batch/steady_test.go
+++ b/internal/batch/steady_test.go
@@ -49,9 +49,9 @@
 		return d
 	})
 	for _, c := range g.cores {
-		c.room = steadyDisk * 85 / 100
-		c.segmentSize = c.room / segmentsInRoom
-		c.fail = func(err error) { t.Errorf("store %d: %v", c.self, err) }
+		c.logCapacity = steadyDisk * 85 / 100
+		c.fixedSegmentBytes = c.logCapacity / segmentsInLog
+		c.onDiskFailure = func(err error) { t.Errorf("store %d: %v", c.self, err) }
 	}
 	return g, disks
 }
@@ -60,7 +60,7 @@
 func (g *scaleRig) hand(id string, items int) (code uint8) {
 	c := g.cores[g.cores[0].table.Partitions[g.cores[0].table.PartitionOf(id)].Primary-1]
 	g.clock()
-	c.message(nil, replied(func(b []byte) { code = b[0] }), kAccept, scaleLot(id, items, g.now/1000))
+	c.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kindAcceptJob, scaleLot(id, items, g.now/1000))
 	for range 20 {
 		g.settle()
 		if code != 0 {
@@ -102,7 +102,7 @@
 		if d.dropped == 0 || d.most > steadyDisk*85/100 {
 			t.Errorf("store %d held %d bytes at most, and gave %d segments back", i+1, d.most, d.dropped)
 		}
-		if jobs := g.cores[i].live; d.moved > 3*jobs*600/123 {
+		if jobs := g.cores[i].liveBytes; d.moved > 3*jobs*600/123 {
 			t.Errorf("store %d appended %d bytes, while %d bytes of jobs stayed", i+1, d.moved, jobs)
 		}
 	}
@@ -125,7 +125,7 @@
 	b.Int(0)
 	b.Int(0)
 	var answer []byte
-	c.message(nil, replied(func(b []byte) { answer = bytes.Clone(b) }), kRead, b.B)
+	c.handleMessage(nil, replied(func(b []byte) { answer = bytes.Clone(b) }), kindReadResults, b.B)
 	for range 5 {
 		g.settle()
 	}
@@ -149,7 +149,7 @@
 		switch code {
 		case codeOK:
 			taken = fmt.Sprint("job-", jobs)
-		case codeNoRoom:
+		case codeLogFull:
 			if g.now-at > 100_000 {
 				t.Fatalf("job %d was refused after %d ms", jobs, (g.now-at)/1000)
 			}
@@ -158,7 +158,7 @@
 		}
 		g.step(steadyEveryMs / 3)
 	}
-	if codes[codeNoRoom] == 0 || codes[codeOK] < 300*1000/steadyEveryMs {
+	if codes[codeLogFull] == 0 || codes[codeOK] < 300*1000/steadyEveryMs {
 		t.Errorf("answers: %v", codes)
 	}
 	g.step(20_000)
@@ -184,17 +184,17 @@
 	if full.self == row.Primary {
 		full = g.cores[row.Replicas[1]-1]
 	}
-	for i := 0; full.live == 0; i++ {
+	for i := 0; full.liveBytes == 0; i++ {
 		g.hand(fmt.Sprint("job-", i), 1)
 	}
-	room := full.room
-	full.room = 1
+	room := full.logCapacity
+	full.logCapacity = 1
 	g.step(1000)
 	g.read("job") // a read is confirmed by the copies, which say that they are full
-	if code := g.hand("job", 1); code != codeNoRoom {
+	if code := g.hand("job", 1); code != codeLogFull {
 		t.Errorf("with a full copy: code %d", code)
 	}
-	full.room = room
+	full.logCapacity = room
 	g.step(1000)
 	g.read("job")
 	if code := g.hand("job", 1); code != codeOK {
@@ -209,7 +209,7 @@
 	b.String(id)
 	b.Int(0)
 	b.Int(0)
-	c.message(nil, replied(func([]byte) {}), kRead, b.B)
+	c.handleMessage(nil, replied(func([]byte) {}), kindReadResults, b.B)
 	g.step(1000)
 }
 
@@ -228,7 +228,7 @@
 			t.Fatal(err)
 		}
 		for oldest, more := disks[i].Oldest(); more; oldest, more = disks[i].Oldest() {
-			c.emptyOldest(oldest)
+			c.reclaimOldest(oldest)
 		}
 		again := newCore(0, disks[i])
 		for _, r := range disks[i].recs {
@@ -240,11 +240,11 @@
 				t.Fatal(err)
 			}
 		}
-		for no, p := range c.parts {
-			q := again.part(no)
-			if p.claimB != q.claimB || p.claimS != q.claimS || p.promised != q.promised || len(p.jobs) != len(q.jobs) {
+		for no, p := range c.partitions {
+			q := again.partition(no)
+			if p.position.term != q.position.term || p.position.sequence != q.position.sequence || p.promisedTerm != q.promisedTerm || len(p.jobs) != len(q.jobs) {
 				t.Fatalf("store %d, part %d: claim (%x, %d), promise %x, %d jobs; again (%x, %d), %x, %d", c.self, no,
-					p.claimB, p.claimS, p.promised, len(p.jobs), q.claimB, q.claimS, q.promised, len(q.jobs))
+					p.position.term, p.position.sequence, p.promisedTerm, len(p.jobs), q.position.term, q.position.sequence, q.promisedTerm, len(q.jobs))
 			}
 			for id, j := range p.jobs {
 				if other := q.jobs[id]; other == nil || other.digest() != j.digest() {
@@ -252,8 +252,8 @@
 				}
 			}
 		}
-		if again.live != c.live {
-			t.Errorf("store %d: %d bytes of jobs, and %d again", c.self, c.live, again.live)
+		if again.liveBytes != c.liveBytes {
+			t.Errorf("store %d: %d bytes of jobs, and %d again", c.self, c.liveBytes, again.liveBytes)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	g := newStoreGroup(t, 10)
 	views := &snapshot.Latest{}
 	views.Set(&snapshot.Snapshot{Config: bulkConfig(0), Table: g.table})
-	e := NewEdge(EdgeOptions{Views: views, Name: "p", Zone: "z", Logf: t.Logf})
+	e := NewProxy(ProxyOptions{Snapshots: views, Name: "p", Zone: "z"})
 	defer e.Close()
 	header := map[string]string{"X-Dunetide-Request-Id": "job"}
 	call := &Call{Method: http.MethodPost, Host: "h.example", Path: "/b/x", Header: func(name string) string { return header[name] },
@@ -272,7 +272,7 @@
 		asked := time.Now()
 		a := e.Serve(t.Context(), call)
 		switch {
-		case a.Status == 503 && a.RetryAfter == noRoom.RetryAfter:
+		case a.Status == 503 && a.RetryAfter == responseStoresFull.RetryAfter:
 			if took := time.Since(asked); took > 2*time.Second {
 				t.Errorf("it took %v", took)
 			}
--- a/internal/batch/stopping_test.go
+++ b/internal/batch/stopping_test.go
@@ -65,8 +65,8 @@
 		s.boot()
 		w.run(1500)
 		for no, row := range w.table.Partitions {
-			if p := s.core.part(no); slices.Contains(row.Replicas, self) && (epochOf(p.claimB) != row.Epoch || p.lead == nil && p.from == nil) {
-				t.Errorf("seed %d: after 1.5 s it is no copy of part %d: claim %x, epoch %d", seed, no, p.claimB, row.Epoch)
+			if p := s.core.partition(no); slices.Contains(row.Replicas, self) && (epochOfTerm(p.position.term) != row.Epoch || p.primary == nil && p.followedPrimary == nil) {
+				t.Errorf("seed %d: after 1.5 s it is no copy of part %d: claim %x, epoch %d", seed, no, p.position.term, row.Epoch)
 			}
 		}
 		w.run(6500)
@@ -90,7 +90,7 @@
 		for n := f + 2; n <= f+4; n++ {
 			for stopping := 1; stopping <= n; stopping++ {
 				all := someStores(n, 3)
-				cur, _ := Assign(nil, all, none, 8, f)
+				cur, _ := AssignPartitions(nil, all, none, 8, f)
 				for id := 1; id <= stopping; id++ {
 					cur, _ = SetStopping(cur, uint64(id), true)
 				}
@@ -119,7 +119,7 @@
 // TestRestOfRetiringPrimaries: where all copies of a part retire, its lead does not go back and forth.
 func TestRestOfRetiringPrimaries(t *testing.T) {
 	all := someStores(4, 3)
-	cur, _ := Assign(nil, all, none, 8, 2)
+	cur, _ := AssignPartitions(nil, all, none, 8, 2)
 	for id := range cur.Stores {
 		cur.Retiring[id] = true
 	}
@@ -131,7 +131,7 @@
 	g := newScaleRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
 	for _, c := range g.cores {
-		c.stop()
+		c.beginDraining()
 	}
 	if code := g.hand("job", 2); code != codeOK {
 		t.Errorf("a job that was taken: code %d", code)
@@ -158,7 +158,7 @@
 	if !changed {
 		return
 	}
-	if better, ok := Assign(next, g.all, none, 8, 1); ok {
+	if better, ok := AssignPartitions(next, g.all, none, 8, 1); ok {
 		next = better
 	}
 	g.table = next
@@ -171,7 +171,7 @@
 func newStoreGroup(t *testing.T, room int64) *storeGroup {
 	g := &storeGroup{t: t}
 	for i := range 3 {
-		s, err := NewStore(StoreOptions{Zone: "z", MachinesLost: 1, KeepMs: 60000, RoomBytes: room, Open: OpenIn(journal.Dir(t.TempDir())),
+		s, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, LogCapacityBytes: room, Open: OpenIn(journal.Dir(t.TempDir())),
 			AnnounceStopping: func(store uint64, stopping bool) {
 				go g.change(func(cur *snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
 					return SetStopping(cur, store, stopping)
@@ -190,7 +190,9 @@
 		g.stores = append(g.stores, s)
 		g.all = append(g.all, snapshot.Store{ID: s.ID(), Name: fmt.Sprint("s", i), Addr: listener.Addr().String(), Zone: fmt.Sprint("z", i)})
 	}
-	g.change(func(*snapshot.PartitionTable) (*snapshot.PartitionTable, bool) { return Assign(nil, g.all, none, 8, 1) })
+	g.change(func(*snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
+		return AssignPartitions(nil, g.all, none, 8, 1)
+	})
 	return g
 }
 
@@ -200,7 +202,7 @@
 	g := newStoreGroup(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if err := g.stores[0].HandOver(ctx); err != nil {
+	if err := g.stores[0].Drain(ctx); err != nil {
 		t.Fatal(err)
 	}
 	g.mu.Lock()
@@ -215,7 +217,7 @@
 	g.mu.Lock() // nobody changes the table from here on
 	short, cancelShort := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancelShort()
-	err := g.stores[1].HandOver(short)
+	err := g.stores[1].Drain(short)
 	g.mu.Unlock()
 	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("without a table: %v", err)
--- /dev/null
+++ b/internal/batch/storelog.go
@@ -0,0 +1,76 @@
+package batch
+
+import (
+	"time"
+
+	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/recordlog"
+)
+
+// logName is the name of the first file of a store's log; see segments.go for the others.
+const logName = "lots.log"
+
+// OpenIn returns the function that opens the log of a store in a folder.
+func OpenIn(folder journal.Folder) func(replay func(record []byte, end int64) error) (Log, error) {
+	return func(replay func(record []byte, end int64) error) (Log, error) {
+		return OpenLog(folder, logName, replay)
+	}
+}
+
+// trackedLog is a Log as the disk of a core: it notes for syncLoop what has been appended, and how
+// long operations take.
+type trackedLog struct {
+	Log
+	store *Store
+}
+
+// Append returns the offset of the record's first byte. Errors are of class ErrDiskFull, or of
+// class recordlog.ErrUnusable if the log can't be used any more.
+func (l trackedLog) Append(b []byte) (offset int64, err error) {
+	defer l.timed()()
+	end, err := l.Log.Append(b)
+	if err != nil {
+		if !recordlog.ErrUnusable.Has(err) {
+			err = ErrDiskFull.Wrap(err)
+		}
+		return end, err
+	}
+	l.store.noteAppended(end)
+	return end - int64(len(b)), nil
+}
+
+// noteAppended has syncLoop make durable what was appended up to an offset.
+func (s *Store) noteAppended(end int64) {
+	s.syncMu.Lock()
+	s.appendedEnd = end
+	s.appendedRecords++
+	s.syncMu.Unlock()
+	select {
+	case s.syncWake <- struct{}{}:
+	default:
+	}
+}
+
+// ReadRaw is Log.ReadRaw.
+func (l trackedLog) ReadRaw(offset int64, length int) ([]byte, error) {
+	defer l.timed()()
+	return l.Log.ReadRaw(offset, length)
+}
+
+// Rotate is Log.Rotate.
+func (l trackedLog) Rotate() error {
+	defer l.timed()()
+	return l.Log.Rotate()
+}
+
+// DropOldest is Log.DropOldest.
+func (l trackedLog) DropOldest() error {
+	defer l.timed()()
+	return l.Log.DropOldest()
+}
+
+// timed begins an operation of the disk, and returns what ends it.
+func (l trackedLog) timed() (end func()) {
+	l.store.diskUse.begin(time.Since(l.store.start))
+	return l.store.diskUse.end
+}
--- a/internal/batch/takeover.go
+++ b/internal/batch/takeover.go
@@ -2,59 +2,64 @@
 
 import "dunetide/internal/platform/link"
 
-// A new primary collects what the copies have before it goes on.
+// A new primary has R-f replicas promise to follow no older term, takes the state of the most
+// complete one over, and brings the others to that state. See docs/batch.md for why that finds all
+// that was committed.
 
-func (c *core) ask(p *part, id uint64) {
+// sendPrepare asks a replica for its promise and for what it has. What was known of its progress is forgotten.
+func (c *core) sendPrepare(p *partition, id uint64) {
 	pipe := c.peers[id]
 	if pipe == nil || id == c.self {
 		return
 	}
-	c.sessions++
-	p.lead.peers[id] = &peer{pipe: pipe, session: c.sessions, acked: -1, stamp: -1 << 60}
-	var w link.Writer
-	w.U32(uint32(p.no))
-	w.U64(p.lead.ballot)
-	w.U64(c.sessions)
-	_ = pipe.Send(kAsk, w.B)
+	c.lastSession++
+	p.primary.progress[id] = &replicaProgress{
+		pipe:         pipe,
+		session:      c.lastSession,
+		acknowledged: -1,
+		confirmedAt:  never,
+	}
+	w := encodeTermMessage(0, p.index, p.primary.term, c.lastSession)
+	_ = pipe.Send(kindPrepare, w.B)
 }
 
-// asked promises a ballot and tells what there is.
-func (c *core) asked(p *part, ballot, session uint64, pipe Pipe) {
-	if c.stale(p, ballot, pipe) {
+// handlePrepare promises to follow a term and reports what this store has, once the promise is durable.
+func (c *core) handlePrepare(p *partition, term, session uint64, pipe Pipe) {
+	if c.rejectStaleTerm(p, term, pipe) {
 		return
 	}
-	if p.lead != nil {
-		c.stopLead(p)
+	if p.primary != nil {
+		c.stepDown(p)
 	}
-	if ballot > p.promised {
-		c.append(encodeRec(recPromise, p.no, ballot))
+	if term > p.promisedTerm {
+		c.appendRecord(encodeRecord(recordPromise, p.index, term))
 	}
-	p.session, p.from = session, pipe
+	p.session, p.followedPrimary = session, pipe
 	c.afterSync(func() {
-		if p.session != session || p.from != pipe || p.promised != ballot {
-			return
-		}
-		var w link.Writer
-		w.U32(uint32(p.no))
-		w.U64(ballot)
-		w.U64(session)
-		w.U64(p.claimB)
-		w.U64(p.claimS)
-		w.U32(uint32(len(p.jobs)))
-		for _, id := range sortedKeys(p.jobs) {
-			w.String(id)
-			w.U64(p.jobs[id].digest())
+		if p.session == session && p.followedPrimary == pipe && p.promisedTerm == term {
+			_ = pipe.Send(kindPromise, p.encodePromise())
 		}
-		_ = pipe.Send(kHave, w.B)
 	})
 }
 
-// have is what a copy says that it has.
-func (c *core) have(p *part, r *link.Reader) {
-	l := p.lead
-	session, claimBallot, claimSeq := r.U64(), r.U64(), r.U64()
-	from := l.bySession(session)
-	if from == nil {
+// encodePromise is kindPromise to the primary that is followed: the position, and the digest of each job.
+func (p *partition) encodePromise() []byte {
+	w := encodeTermMessage(4, p.index, p.promisedTerm, p.session, p.position.term, p.position.sequence)
+	w.U32(uint32(len(p.jobs)))
+	for _, id := range sortedKeys(p.jobs) {
+		w.String(id)
+		w.U64(p.jobs[id].digest())
+	}
+	return w.B
+}
+
+// handlePromise is the event that a replica has promised to follow this primary.
+func (c *core) handlePromise(p *partition, r *link.Reader) {
+	primary := p.primary
+	session := r.U64()
+	position := logPosition{term: r.U64(), sequence: r.U64()}
+	replica := primary.progressOfSession(session)
+	if replica == nil {
 		return
 	}
 	digests := map[string]uint64{}
@@ -65,133 +70,140 @@
 	if r.Err != nil {
 		return
 	}
-	from.have, from.claimB, from.claimS = digests, claimBallot, claimSeq
-	switch l.stage {
-	case collecting:
-		c.collected(p)
-	case ordering:
-		c.bring(p, from)
+	replica.digests, replica.position = digests, position
+	switch primary.stage {
+	case stageCollecting:
+		c.chooseStateSource(p)
+	case stageReplicating:
+		c.startCatchUp(p, replica)
 	}
 }
 
-// fetchAsked sends a job whole to a new primary.
-func (c *core) fetchAsked(p *part, ballot uint64, id string, pipe Pipe) {
-	if ballot != p.promised {
-		c.stale(p, ballot, pipe)
+// handleFetchJob sends a job whole to the new primary that this replica follows.
+func (c *core) handleFetchJob(p *partition, term uint64, jobID string, pipe Pipe) {
+	if term != p.promisedTerm {
+		c.rejectStaleTerm(p, term, pipe)
 		return
 	}
-	var w link.Writer
-	w.U32(uint32(p.no))
-	w.U64(ballot)
-	w.String(id)
-	j := p.jobs[id]
-	w.Bool(j != nil)
+	var whole []byte
+	j := p.jobs[jobID]
 	if j != nil {
-		whole, err := c.whole(j)
-		if err != nil {
-			c.log("reading job %s: %v", id, err)
+		var err error
+		if whole, err = c.encodeWholeJob(j); err != nil {
+			c.log("reading job %s: %v", jobID, err)
 			return
 		}
-		w.B = append(w.B, whole...)
 	}
-	_ = pipe.Send(kWhole, w.B)
+	w := encodeTermMessage(5+len(jobID)+len(whole), p.index, term)
+	w.String(jobID)
+	w.Bool(j != nil)
+	w.B = append(w.B, whole...)
+	_ = pipe.Send(kindJobContents, w.B)
 }
 
-// wholeCame takes in a job that this new primary did not have as the most complete copy has it.
-func (c *core) wholeCame(p *part, r *link.Reader) {
-	l := p.lead
-	id, found := r.String(), r.Bool()
-	if l.stage != fetching || !l.fetch[id] || r.Err != nil {
+// handleJobContents is the event that the most complete replica has sent a job.
+func (c *core) handleJobContents(p *partition, r *link.Reader) {
+	primary := p.primary
+	jobID, found := r.String(), r.Bool()
+	if primary.stage != stageFetching || !primary.awaitedJobs[jobID] || r.Err != nil {
 		return
 	}
-	if !found { // it told of it; it can't lose it while it follows this ballot
+	if !found { // it reported the job, and can't lose it while it follows this term
 		return
 	}
-	delete(l.fetch, id)
-	c.append(append(encodeRec(recPut, p.no), r.B...))
-	c.fetched(p)
+	delete(primary.awaitedJobs, jobID)
+	c.appendRecord(append(encodeRecord(recordJob, p.index), r.B...))
+	c.finishFetching(p)
 }
 
-// collected looks whether enough have told what they have, and takes the most complete.
-func (c *core) collected(p *part) {
-	l := p.lead
-	if l == nil || l.stage != collecting {
+// chooseStateSource chooses the replica with the highest position once enough have promised, and
+// fetches the jobs that differ.
+func (c *core) chooseStateSource(p *partition) {
+	primary := p.primary
+	if primary == nil || primary.stage != stageCollecting {
 		return
 	}
-	n, best, cb, cs := 0, c.self, p.claimB, p.claimS
-	for _, id := range l.copies {
-		q := l.peers[id]
+	promised, best, bestPosition := 0, c.self, p.position
+	for _, id := range primary.replicas {
+		replica := primary.progress[id]
 		switch {
 		case id == c.self:
-			n++
-		case q != nil && q.have != nil:
-			n++
-			if q.claimB > cb || q.claimB == cb && q.claimS > cs {
-				best, cb, cs = id, q.claimB, q.claimS
+			promised++
+		case replica != nil && replica.digests != nil:
+			promised++
+			if replica.position.after(bestPosition) {
+				best, bestPosition = id, replica.position
 			}
 		}
 	}
-	need := len(l.copies) - c.maxLost
-	if n < max(need, 1) {
+	need := len(primary.replicas) - c.maxLostReplicas
+	if promised < max(need, 1) {
 		return
 	}
-	l.best, l.fetch = best, map[string]bool{}
+	primary.stateSource, primary.awaitedJobs = best, map[string]bool{}
 	if best == c.self {
-		c.adopt(p, cs)
+		c.adoptState(p, bestPosition.sequence)
 		return
 	}
-	l.stage = fetching
-	q := l.peers[best]
+	c.fetchState(p, primary.progress[best])
+}
+
+// fetchState drops the jobs that the most complete replica does not have, and fetches those that differ.
+func (c *core) fetchState(p *partition, replica *replicaProgress) {
+	primary := p.primary
+	primary.stage = stageFetching
 	for _, id := range sortedKeys(p.jobs) {
-		if _, ok := q.have[id]; !ok {
-			c.append(append(encodeRec(recOp, p.no, l.ballot, 0), encodeNamed(opDrop, id)...))
+		if _, ok := replica.digests[id]; !ok {
+			drop := encodeJobOperation(opDropJob, id)
+			c.appendRecord(append(encodeRecord(recordOperation, p.index, primary.term, 0), drop...))
 		}
 	}
-	for _, id := range sortedKeys(q.have) {
-		if j := p.jobs[id]; j == nil || j.digest() != q.have[id] {
-			l.fetch[id] = true
-			var w link.Writer
-			w.U32(uint32(p.no))
-			w.U64(l.ballot)
+	for _, id := range sortedKeys(replica.digests) {
+		if j := p.jobs[id]; j == nil || j.digest() != replica.digests[id] {
+			primary.awaitedJobs[id] = true
+			w := encodeTermMessage(4+len(id), p.index, primary.term)
 			w.String(id)
-			_ = q.pipe.Send(kFetch, w.B)
+			_ = replica.pipe.Send(kindFetchJob, w.B)
 		}
 	}
-	c.fetched(p)
+	c.finishFetching(p)
 }
 
-func (c *core) fetched(p *part) {
-	if l := p.lead; len(l.fetch) == 0 {
-		c.adopt(p, l.peers[l.best].claimS)
+func (c *core) finishFetching(p *partition) {
+	if primary := p.primary; len(primary.awaitedJobs) == 0 {
+		c.adoptState(p, primary.progress[primary.stateSource].position.sequence)
 	}
 }
 
-// adopt: the state is the part's under this ballot.
-func (c *core) adopt(p *part, seq uint64) {
-	p.lead.seq = seq
-	c.mark(p)
-	for _, id := range p.lead.all() {
-		if q := p.lead.peers[id]; q != nil && q.have != nil {
-			c.bring(p, q)
+// adoptState starts the term with the state that this store has now, and brings the replicas to it.
+func (c *core) adoptState(p *partition, sequence uint64) {
+	primary := p.primary
+	primary.lastSequence = sequence
+	c.writeTermStart(p)
+	for _, id := range primary.allReplicas() {
+		if replica := primary.progress[id]; replica != nil && replica.digests != nil {
+			c.startCatchUp(p, replica)
 		}
 	}
-	c.advance(p)
+	c.advanceCommit(p)
 }
 
-func (c *core) mark(p *part) {
-	l := p.lead
-	l.stage, l.start = ordering, int64(l.seq)
-	c.append(encodeRec(recMark, p.no, l.ballot, l.seq))
-	c.selfSynced(p, l.seq)
+// writeTermStart records that this store has all up to the newest operation in its term.
+func (c *core) writeTermStart(p *partition) {
+	primary := p.primary
+	primary.stage, primary.startSequence = stageReplicating, int64(primary.lastSequence)
+	c.appendRecord(encodeRecord(recordTermStart, p.index, primary.term, primary.lastSequence))
+	c.noteSelfSynced(p, primary.lastSequence)
 }
 
-func (c *core) selfSynced(p *part, seq uint64) {
-	l := p.lead
-	ballot := l.ballot
+// noteSelfSynced counts this store as one that has all up to an operation, once that is durable.
+func (c *core) noteSelfSynced(p *partition, sequence uint64) {
+	primary := p.primary
+	term := primary.term
 	c.afterSync(func() {
-		if p.lead == l && l.ballot == ballot && int64(seq) > l.selfS {
-			l.selfS = int64(seq)
-			c.advance(p)
+		if p.primary == primary && primary.term == term && int64(sequence) > primary.selfSynced {
+			primary.selfSynced = int64(sequence)
+			c.advanceCommit(p)
 		}
 	})
 }
--- a/internal/batch/trouble_test.go
+++ b/internal/batch/trouble_test.go
@@ -15,7 +15,7 @@
 	pace := time.NewTicker(10 * time.Millisecond)
 	defer pace.Stop()
 	for began := time.Now(); ; <-pace.C {
-		trouble := s.Trouble()
+		trouble := s.Condition()
 		if prefix == "" && trouble == "" || prefix != "" && strings.HasPrefix(trouble, prefix) {
 			return
 		}
@@ -35,7 +35,7 @@
 	defer func() { s.Close(); <-s.Stopped() }()
 	untilTrouble(t, s, "")
 	folder.stalled.Store(true)
-	s.do(func() { s.core.append(encodeRec(recPromise, 3, 7)) })
+	s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, 3, 7)) })
 	closed(t, "the write", folder.reached)
 	untilTrouble(t, s, "the disk has not answered for ")
 	folder.stalled.Store(false)
@@ -46,24 +46,24 @@
 // TestTroubleOfAStalledSync: a sync that does not return counts too.
 func TestTroubleOfAStalledSync(t *testing.T) {
 	s := &Store{start: time.Now().Add(-time.Hour)}
-	s.syncing.begin(time.Hour - 10*stalledAfter)
+	s.diskSync.begin(time.Hour - 10*stalledAfter)
 	untilTrouble(t, s, "the disk has not answered for ")
-	s.syncing.end()
+	s.diskSync.end()
 	untilTrouble(t, s, "")
 }
 
 // TestTroubleOfAFullStore: a store that takes no jobs for want of room says so until it has room again.
 func TestTroubleOfAFullStore(t *testing.T) {
-	s, err := NewStore(StoreOptions{Open: OpenIn(journal.Dir(t.TempDir())), RoomBytes: 1 << 20, Logf: t.Logf})
+	s, err := NewStore(StoreOptions{Open: OpenIn(journal.Dir(t.TempDir())), LogCapacityBytes: 1 << 20, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { s.Close(); <-s.Stopped() }()
 	charge := func(bytes int64) {
-		s.do(func() { s.core.chargeLog(0, bytes); s.core.reportRoom() })
+		s.enqueue(func() { s.core.addLiveBytes(0, bytes); s.core.updateLogFull() })
 	}
 	charge(1 << 20)
-	untilTrouble(t, s, reasonFull)
+	untilTrouble(t, s, conditionLogFull)
 	charge(-1 << 20)
 	untilTrouble(t, s, "")
 }
--- a/internal/batch/workers.go
+++ b/internal/batch/workers.go
@@ -6,242 +6,255 @@
 	"dunetide/internal/platform/link"
 )
 
-// What workers say, and what they have in hand.
-
-// worker is a proxy that runs items.
+// worker is a proxy that runs items, as a store knows it. See itemRunner for its other side.
 type worker struct {
-	pipe  Pipe
-	name  string
-	zone  string
-	limit int
-	held  map[itemKey]bool
-	holds map[int]hold // what it says it has in hand, of parts that this store does not lead yet
+	pipe     Pipe
+	name     string
+	zone     string
+	limit    int // the most items that this store may have assigned to it at a time
+	assigned map[itemKey]bool
+	reported map[int]runningReport // by partition, until this store serves the partition as its primary
 }
 
-type hold struct {
-	epoch uint64
+// runningReport is what a worker has of a partition by its own report.
+type runningReport struct {
+	epoch uint64 // by the table of the worker
 	items []itemKey
 }
 
+// itemKey names an item.
 type itemKey struct {
-	part int
-	job  string
-	item int
+	partition int
+	jobID     string
+	index     int // in the job
+}
+
+// anyEpoch is the epoch in a kindRunningNoted that answers no report in particular.
+const anyEpoch = 0
+
+func (w *worker) freeSlots() int { return w.limit - len(w.assigned) }
+
+// runsPartition reports whether a worker has an item of a partition.
+func (w *worker) runsPartition(partition int) bool {
+	for key := range w.assigned {
+		if key.partition == partition {
+			return true
+		}
+	}
+	return false
+}
+
+// runsJob reports whether a worker has an item of a job.
+func (w *worker) runsJob(partition int, jobID string) bool {
+	for key := range w.assigned {
+		if key.partition == partition && key.jobID == jobID {
+			return true
+		}
+	}
+	return false
+}
+
+func sendCancel(w *worker, partition int, jobID string) {
+	_ = w.pipe.Send(kindCancelJob, encodeJobRef(partition, jobID))
+}
+
+func sendResultStored(w *worker, key itemKey) {
+	_ = w.pipe.Send(kindResultStored, encodeItemRef(key))
 }
 
-func (c *core) workerMessage(pipe Pipe, kind link.Kind, body []byte) {
+// handleWorkerMessage is the event of a message of a worker.
+func (c *core) handleWorkerMessage(pipe Pipe, kind link.Kind, body []byte) {
 	r := link.Reader{B: body}
 	w := c.workers[pipe]
-	if kind == kAttach {
-		c.attach(pipe, &r)
+	if kind == kindAttachWorker {
+		c.attachWorker(pipe, &r)
 		return
 	}
 	if w == nil {
 		return
 	}
-	k := itemKey{part: int(r.U32())}
-	p := c.part(k.part)
+	key := itemKey{partition: int(r.U32())}
+	p := c.partition(key.partition)
 	if r.Err != nil || p == nil {
 		return
 	}
 	switch kind {
-	case kHold:
-		c.holding(p, w, &r)
-	case kResult:
-		k.job, k.item = r.String(), int(r.U32())
-		givenUp := r.Bool()
+	case kindReportRunning:
+		c.noteRunning(p, w, &r)
+	case kindItemResult:
+		key.jobID, key.index = r.String(), int(r.U32())
+		abandoned := r.Bool()
 		if text := r.Bytes(); r.Err == nil {
-			c.result(p, w, k, givenUp, text)
+			c.handleResult(p, w, key, abandoned, text)
 		}
-	case kCancelled:
-		c.cancelled(p, w, r.String())
-	case kPutBack:
-		k.job, k.item = r.String(), int(r.U32())
-		c.takeBack(w, k)
+	case kindJobCancelled:
+		c.jobCancelled(p, w, r.String())
+	case kindReturnItem:
+		key.jobID, key.index = r.String(), int(r.U32())
+		c.unassignItem(w, key)
 	}
 }
 
-// attach notes a worker, or another limit of it.
-func (c *core) attach(pipe Pipe, r *link.Reader) {
+// attachWorker notes a worker that is new, or another limit of one that is known.
+func (c *core) attachWorker(pipe Pipe, r *link.Reader) {
 	name, zone, limit := r.String(), r.String(), r.Int()
 	if r.Err != nil {
 		return
 	}
 	w := c.workers[pipe]
 	if w == nil {
-		w = &worker{pipe: pipe, held: map[itemKey]bool{}, holds: map[int]hold{}}
+		w = &worker{pipe: pipe, assigned: map[itemKey]bool{}, reported: map[int]runningReport{}}
 		c.workers[pipe] = w
-		c.attached = append(c.attached, w)
+		c.attachedWorkers = append(c.attachedWorkers, w)
 	}
 	w.name, w.zone, w.limit = name, zone, limit
 }
 
-// holding notes what a worker says that it has in hand of a part.
-func (c *core) holding(p *part, w *worker, r *link.Reader) {
-	epoch := r.U64()
-	var all []itemKey
+// noteRunning notes the items of a partition that a worker reports to have.
+func (c *core) noteRunning(p *partition, w *worker, r *link.Reader) {
+	report := runningReport{epoch: r.U64()}
 	for n := r.Count(8); n > 0; n-- {
-		all = append(all, itemKey{p.no, r.String(), int(r.U32())})
+		report.items = append(report.items, itemKey{p.index, r.String(), int(r.U32())})
 	}
 	if r.Err != nil {
 		return
 	}
-	w.holds[p.no] = hold{epoch, all}
-	if p.lead != nil && p.lead.active {
-		c.claim(p, w)
+	w.reported[p.index] = report
+	if p.primary != nil && p.primary.serving {
+		c.adoptRunning(p, w)
 	}
 }
 
-// cancelled is a worker's word that nothing of a job starts there any more.
-func (c *core) cancelled(p *part, w *worker, job string) {
-	for k := range w.held {
-		if k.part == p.no && k.job == job {
-			c.takeBack(w, k)
-		}
+// adoptAllRunning adopts what each worker has reported of a partition.
+func (c *core) adoptAllRunning(p *partition) {
+	for _, w := range c.attachedWorkers {
+		c.adoptRunning(p, w)
 	}
-	c.ends = slices.DeleteFunc(c.ends, func(e *ending) bool {
-		if e.part != p || e.job != job {
-			return false
-		}
-		delete(e.waiting, w)
-		if len(e.waiting) == 0 {
-			e.reply()
-		}
-		return len(e.waiting) == 0
-	})
 }
 
-// claim notes what a worker has in hand of a part that is led here now.
-func (c *core) claim(p *part, w *worker) {
-	h, said := w.holds[p.no]
-	if !said || h.epoch > p.epoch {
+// adoptRunning assigns to a worker the items of a partition that it has reported to have, which an
+// earlier primary assigned to it. This store is the primary; only once it is confirmed: one that
+// was replaced would take from the worker what its successor assigned to it.
+func (c *core) adoptRunning(p *partition, w *worker) {
+	report, reported := w.reported[p.index]
+	if !reported || report.epoch > p.epoch {
 		return
 	}
-	if !c.sure(p.lead) { // one that was replaced would take from the worker what its successor handed out
-		c.confirm(p)
-		if !c.sure(p.lead) {
-			return // countConfirmed comes back
+	if !c.isConfirmed(p.primary) {
+		c.requestConfirmations(p)
+		if !c.isConfirmed(p.primary) {
+			return // countConfirmations comes back
 		}
 	}
-	delete(w.holds, p.no)
-	for _, k := range h.items {
-		j := p.jobs[k.job]
-		if j == nil || j.ended || k.item < 0 || k.item >= len(j.items) {
-			c.cancel(w, p.no, k.job)
-			continue
-		}
-		if it := &j.items[k.item]; it.state == itemHanded && it.by != w && c.disconnected[it.by] != 0 {
-			c.takeBack(it.by, k)
-		}
-		switch it := &j.items[k.item]; {
-		case it.state == itemWaiting && j.queued:
-			c.hand(p, j, k.item, w)
-		case it.state == itemListed:
-			p.lead.pend = append(p.lead.pend, pending{int64(p.lead.seq), func(ok bool) {
-				if ok {
-					c.listed(w, k)
-				}
-			}})
-		}
+	delete(w.reported, p.index)
+	for _, key := range report.items {
+		c.adoptItem(p, w, key)
 	}
-	var b link.Writer
-	b.U32(uint32(p.no))
-	b.U64(h.epoch)
-	_ = w.pipe.Send(kHeld, b.B)
-	c.advance(p)
+	_ = w.pipe.Send(kindRunningNoted, encodeRunningNoted(p.index, report.epoch))
+	c.advanceCommit(p)
 }
 
-func (c *core) listed(w *worker, k itemKey) {
-	var b link.Writer
-	b.U32(uint32(k.part))
-	b.String(k.job)
-	b.U32(uint32(k.item))
-	_ = w.pipe.Send(kListed, b.B)
+// adoptItem assigns an item to a worker that has it already, or tells it that the item is not needed.
+func (c *core) adoptItem(p *partition, w *worker, key itemKey) {
+	j := p.jobs[key.jobID]
+	if j == nil || j.ended || !j.hasItem(key.index) {
+		sendCancel(w, p.index, key.jobID)
+		return
+	}
+	it := &j.items[key.index]
+	if it.state == itemAssigned && it.worker != w && c.disconnectedWorkers[it.worker] != 0 {
+		c.unassignItem(it.worker, key) // most likely this worker itself, over its former connection
+	}
+	switch {
+	case it.state == itemWaiting && j.queued:
+		c.markAssigned(p, j, key.index, w)
+	case it.state == itemDone:
+		p.primary.afterCommit(func(ok bool) {
+			if ok {
+				sendResultStored(w, key)
+			}
+		})
+	}
 }
 
-// result is the text of an item. The first one counts.
-func (c *core) result(p *part, w *worker, k itemKey, givenUp bool, text []byte) {
-	l := p.lead
-	if l == nil || !l.active {
-		return // it comes again to whoever leads
+// handleResult is the event that a worker reports the result of an item. The first one counts.
+func (c *core) handleResult(p *partition, w *worker, key itemKey, abandoned bool, text []byte) {
+	primary := p.primary
+	if primary == nil || !primary.serving {
+		return // the worker reports it again to the next primary
 	}
-	j := p.jobs[k.job]
-	if j == nil || j.ended || k.item < 0 || k.item >= len(j.items) {
-		delete(w.held, k)
-		c.listed(w, k)
+	j := p.jobs[key.jobID]
+	if j == nil || j.ended || !j.hasItem(key.index) {
+		delete(w.assigned, key)
+		sendResultStored(w, key)
 		return
 	}
-	it := &j.items[k.item]
-	if it.state == itemListed {
-		l.pend = append(l.pend, pending{int64(l.seq), func(ok bool) {
+	if j.items[key.index].state == itemDone {
+		primary.afterCommit(func(ok bool) {
 			if ok {
-				delete(w.held, k)
-				c.listed(w, k)
+				delete(w.assigned, key)
+				sendResultStored(w, key)
 			}
-		}})
-		c.advance(p)
+		})
+		c.advanceCommit(p)
 		return
 	}
-	c.list(p, j, k.item, givenUp, text, func(ok bool) {
-		delete(w.held, k)
+	c.addResult(p, j, key.index, abandoned, text, func(ok bool) {
+		delete(w.assigned, key)
 		if ok {
-			c.listed(w, k)
+			sendResultStored(w, key)
 		}
 	})
 }
 
-func (c *core) list(p *part, j *job, no int, givenUp bool, text []byte, done func(bool)) {
-	it := &j.items[no]
-	if it.by != nil {
-		delete(it.by.held, itemKey{p.no, j.id, no})
-		it.by = nil
+// addResult orders the result of an item. Its place among the results of the job is decided by that.
+func (c *core) addResult(p *partition, j *job, index int, abandoned bool, text []byte, done func(ok bool)) {
+	it := &j.items[index]
+	if it.worker != nil {
+		delete(it.worker.assigned, itemKey{p.index, j.id, index})
+		it.worker = nil
 	}
 	tokens := it.tokens
-	c.order(p, encodeList(j.id, no, givenUp, text), func(ok bool) {
+	c.replicate(p, encodeAddResult(j.id, index, abandoned, text), func(ok bool) {
 		if ok {
-			j.visible++
-			itemsListed.Inc()
-			checkVisible(j)
-			if !j.endSeen {
-				c.usageChange(p, j.route, -tokens)
+			j.readableResults++
+			resultsCommitted.Inc()
+			checkReadable(j)
+			if !j.endCommitted {
+				c.addUsage(p, j.route, -tokens)
 			}
-			c.wakeReaders(p, j)
+			c.resumeReads(p, j)
 		}
 		done(ok)
 	})
 }
 
-// pipeClosed is the event of the end of a connection that others opened to this store.
-func (c *core) pipeClosed(pipe Pipe) {
+// connectionClosed is the event that a connection which another process opened to this store has ended.
+func (c *core) connectionClosed(pipe Pipe) {
 	w := c.workers[pipe]
 	if w == nil {
 		return
 	}
 	delete(c.workers, pipe)
-	c.attached = slices.DeleteFunc(c.attached, func(v *worker) bool { return v == w })
-	// A link may break while its worker runs on: it comes back and says what it has in hand.
-	if len(w.held) > 0 {
-		c.disconnected[w] = c.now + reconnectWaitMs
-	}
-	c.ends = slices.DeleteFunc(c.ends, func(e *ending) bool {
-		if !e.waiting[w] {
-			return false
-		}
-		// It is not known to have let go. It stops by itself when it hears nothing; so the end waits for its time.
-		return false
-	})
-	c.dispatch()
+	c.attachedWorkers = slices.DeleteFunc(c.attachedWorkers, func(attached *worker) bool { return attached == w })
+	if len(w.assigned) > 0 {
+		// Its process may run on: then it comes back over another connection and reports what it has.
+		c.disconnectedWorkers[w] = c.nowMs + reconnectWaitMs
+	}
+	// Ends of jobs that wait for it go on waiting: it is not known to have cancelled anything, but
+	// stops by itself.
+	c.dispatchItems()
 }
 
-// takeBackFromLost takes back what workers had in hand that have not come back.
-func (c *core) takeBackFromLost() {
-	for w, until := range c.disconnected {
-		if c.now < until && len(w.held) > 0 {
+// unassignFromLostWorkers makes the items of workers that have not come back wait again.
+func (c *core) unassignFromLostWorkers() {
+	for w, until := range c.disconnectedWorkers {
+		if c.nowMs < until && len(w.assigned) > 0 {
 			continue
 		}
-		delete(c.disconnected, w)
-		for k := range w.held {
-			c.takeBack(w, k)
+		delete(c.disconnectedWorkers, w)
+		for key := range w.assigned {
+			c.unassignItem(w, key)
 		}
 	}
 }
--- a/internal/control/keeper/partition_assignment.go
+++ b/internal/control/keeper/partition_assignment.go
@@ -65,7 +65,7 @@
 	a := &k.assigner
 	alive, isLost := k.storeLiveness(now, stores)
 	var assign tableStep = func(current *snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
-		return batch.Assign(current, alive, isLost, partitionCount, k.options.Settings.SurviveMachines)
+		return batch.AssignPartitions(current, alive, isLost, partitionCount, k.options.Settings.SurviveMachines)
 	}
 	if _, changed := assign(k.partitions); !changed {
 		return
--- a/internal/control/keeper/partition_table.go
+++ b/internal/control/keeper/partition_table.go
@@ -82,7 +82,7 @@
 		return
 	}
 	k.answerTableStep(m, func(current *snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
-		return batch.Switch(current, joined.Part, joined.Epoch)
+		return batch.SwitchReplicas(current, joined.Part, joined.Epoch)
 	})
 }
 
--- a/internal/control/keeper/store_retirement.go
+++ b/internal/control/keeper/store_retirement.go
@@ -41,7 +41,7 @@
 // request is rejected only by what the table says; a keeper's own view of the stores may be wrong, so that only
 // defers it.
 func (r retirement) change(current *snapshot.PartitionTable) (*snapshot.PartitionTable, error) {
-	next, known, few := batch.Retire(current, r.name, r.alive, r.isLost, r.survivableLosses)
+	next, known, few := batch.RetireStore(current, r.name, r.alive, r.isLost, r.survivableLosses)
 	switch {
 	case !known && r.isAttached():
 		return nil, errStoreJoins
@@ -135,7 +135,7 @@
 		refuse(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	known, finished := batch.Retired(table, name, k.options.Settings.SurviveMachines)
+	known, finished := batch.RetirementState(table, name, k.options.Settings.SurviveMachines)
 	if !known {
 		k.refuseUnknownStore(w, name)
 		return
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/wrong_test.go
@@ -41,7 +41,7 @@
 			{Number: 1, At: 2 * time.Second, For: 4 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{2}},
 		}}, []string{ruleConfig}},
 	{"jobs kept on one disk, found by the invariant",
-		[]cluster.Replacement{{File: "internal/batch/replication.go", Old: "	need := c.maxLost + 1\n", New: "	need := 1\n"}},
+		[]cluster.Replacement{{File: "internal/batch/replication.go", Old: "	need := c.maxLostReplicas + 1\n", New: "	need := 1\n"}},
 		Plan{Seed: 3, Shape: shapes[0], Length: 6 * time.Second, Final: FinalNone, Load: 0.5, Troubles: []Trouble{
 			{Number: 1, At: time.Second, For: 2 * time.Second, Kind: Freeze, How: "store", Targets: []int{1}},
 		}}, []string{ruleInvariant}},
