--- a/cmd/dunetide/cut_test.go
+++ b/cmd/dunetide/cut_test.go
@@ -384,7 +384,7 @@
 // cutOff cuts a keeper off, and tells from when on it must have no contact: a question that was answered was asked before.
 func (c *cutTest) cutOff(i int, from, to bool) (without time.Time) {
 	c.relays.cut(c.off(i, from, to)...)
-	return time.Now().Add(quorum.Length)
+	return time.Now().Add(quorum.ContactTimeout)
 }
 
 // awaitNoContact waits until a keeper has lost contact.
@@ -490,7 +490,7 @@
 	c.putNext(witness)
 	c.awaitNoContact(lone)
 	c.freeze(second)
-	noMajority := time.Now().Add(quorum.Length)
+	noMajority := time.Now().Add(quorum.ContactTimeout)
 	c.checkRefused(lone, without)
 	c.awaitNoContact(witness)
 	c.checkRefused(witness, noMajority)
--- a/cmd/dunetide/cut_wrong_test.go
+++ b/cmd/dunetide/cut_wrong_test.go
@@ -18,15 +18,15 @@
 var wrongCuts = []mutation.Line{
 	{"acknowledged without contact", "../../internal/control/keeper/endpoints.go", "	case result.noContact || !k.inContact():\n", "	case false:\n"},
 	{"registers pushed without contact", "../../internal/control/keeper/pushes.go", "	if inContact {\n		k.addRegisters(u, p)\n	}\n", "	k.addRegisters(u, p)\n"},
-	{"endpoints not pushed without contact", "../../internal/control/keeper/pushes.go", "		if inContact && !k.contact.MayHandOut(k.sinceStart(now), conn) {\n", "		if !k.contact.MayHandOut(k.sinceStart(now), conn) {\n"},
-	{"a lease granted without contact", "../../internal/control/keeper/leases.go", "return k.contact.Holds(at) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
+	{"endpoints not pushed without contact", "../../internal/control/keeper/pushes.go", "		if inContact && !k.contact.MayPush(k.sinceStart(now), conn) {\n", "		if !k.contact.MayPush(k.sinceStart(now), conn) {\n"},
+	{"a lease granted without contact", "../../internal/control/keeper/leases.go", "return k.contact.InContact(at) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
 	{"contact for life", "../../internal/consensus/quorum/tracker.go", "return t.advance(now) < t.until }", "return t.until != 0 }"},
-	{"contact without a majority after 3 s", "../../internal/control/keeper/contact.go", "k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil)",
-		"k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)"},
+	{"contact without a majority after 3 s", "../../internal/control/keeper/contact.go", "k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil)",
+		"k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)"},
 	{"what endpoints say without contact is not kept", "../../internal/control/keeper/endpoints.go", "	revision := k.endpoints.LastChange()\n",
-		"	revision := k.endpoints.LastChange()\n	if !k.contact.Holds(at) {\n		return changeResult{noContact: true}\n	}\n"},
-	{"the first push without a new read", "../../internal/consensus/quorum/gate.go", "	return g.Holds(now) && g.confirmed[key]\n", "	return g.Holds(now)\n"},
-	{"contact that lasts twice as long", "../../internal/consensus/quorum/tracker.go", "	until := beganAt + Length\n", "	until := beganAt + 2*Length\n"},
+		"	revision := k.endpoints.LastChange()\n	if !k.contact.InContact(at) {\n		return changeResult{noContact: true}\n	}\n"},
+	{"the first push without a new read", "../../internal/consensus/quorum/gate.go", "	return g.InContact(now) && g.confirmed[key]\n", "	return g.InContact(now)\n"},
+	{"contact that lasts twice as long", "../../internal/consensus/quorum/tracker.go", "	until := startedAt + ContactTimeout\n", "	until := startedAt + 2*ContactTimeout\n"},
 }
 
 // TestWrongCutsStand fails when a line of the list no longer stands once in the file that it names.
--- a/internal/consensus/paxos/agree_test.go
+++ b/internal/consensus/paxos/agree_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestThreeVoters has three voters over links that lose nothing.
-func TestThreeVoters(t *testing.T) {
+// TestThreeVotersDecideInOrder has three voters over links that lose nothing.
+func TestThreeVotersDecideInOrder(t *testing.T) {
 	var voters []Voter
 	for i := range 3 {
 		voters = append(voters, Voter{ID: uint64(i + 1), Name: fmt.Sprint("n", i+1), Addr: fmt.Sprint("a", i+1)})
@@ -20,7 +20,7 @@
 	var wire []sent
 	var regs []*Register
 	for i := range 3 {
-		r, err := New(Options{Name: "config", ID: voters[i].ID, Proposer: uint64(i + 100),
+		r, err := New(Options{Name: "config", ID: voters[i].ID, ProposerID: uint64(i + 100),
 			Send: func(to Voter, b []byte) { wire = append(wire, sent{i, int(to.ID) - 1, b}) }}, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -61,33 +61,33 @@
 	}
 }
 
-// TestStrangersDoNotCount: an answer of an identity that is no voter is no vote. Voters that are none do not give
+// TestAnswersOfNonVotersDoNotCount: an answer of an identity that is no voter is no vote. Voters that are none do not give
 // such answers either, so no simulation sees one.
-func TestStrangersDoNotCount(t *testing.T) {
+func TestAnswersOfNonVotersDoNotCount(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}, {ID: 3, Name: "c", Addr: "c"}}
-	r, err := New(Options{Name: "r", ID: 1, Proposer: 7, Send: func(Voter, []byte) {}}, nil)
+	r, err := New(Options{Name: "r", ID: 1, ProposerID: 7, Send: func(Voter, []byte) {}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Bootstrap(voters, nil)
 	r.Propose(0, time.Second, func(State) (State, error) { t.Fatal("a majority of one"); return State{}, nil }, func(State, error) {})
-	r.Receive(0, voters[1], message{kind: promise, id: 99, slot: 1, ballot: r.ballot}.encode("r"))
-	r.Receive(0, voters[1], message{kind: promise, id: 1, slot: 1, ballot: r.ballot}.encode("r"))
+	r.Receive(0, voters[1], message{kind: messagePromise, sender: 99, slot: 1, number: r.number}.encode("r"))
+	r.Receive(0, voters[1], message{kind: messagePromise, sender: 1, slot: 1, number: r.number}.encode("r"))
 }
 
-// TestNoVoterVotes: who is not in the newest State it knows answers no request, but for what it knows.
-func TestNoVoterVotes(t *testing.T) {
+// TestNonVotersDoNotVote: who is not in the newest State it knows answers no request, but for what it knows.
+func TestNonVotersDoNotVote(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}}
 	for _, id := range []uint64{0, 9} {
 		said, saves := 0, 0
-		r, err := New(Options{Name: "r", ID: id, Proposer: 7, Send: func(Voter, []byte) { said++ }, Save: func([]byte) error { saves++; return nil }}, nil)
+		r, err := New(Options{Name: "r", ID: id, ProposerID: 7, Send: func(Voter, []byte) { said++ }, Save: func([]byte) error { saves++; return nil }}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.Learn(0, State{Voters: voters})
 		saves = 0
-		for _, k := range []kind{query, prepare, accept} {
-			r.Receive(0, voters[0], message{kind: k, id: 1, slot: 1, ballot: ballot{1, 1}, state: State{Slot: 1, Voters: voters}}.encode("r"))
+		for _, k := range []messageKind{messageQuery, messagePrepare, messageAccept} {
+			r.Receive(0, voters[0], message{kind: k, sender: 1, slot: 1, number: ProposalNumber{1, 1}, state: State{Slot: 1, Voters: voters}}.encode("r"))
 		}
 		if said+saves != 0 {
 			t.Fatalf("identity %d: %d messages, %d saves", id, said, saves)
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestProposalsQueue: one at a time, in order, and not without bound; each ends in time.
-func TestProposalsQueue(t *testing.T) {
+// TestOperationsAreQueuedAndBounded: one at a time, in order, and not without bound; each ends in time.
+func TestOperationsAreQueuedAndBounded(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}}
-	r, err := New(Options{Name: "r", ID: 1, Proposer: 7, Send: func(Voter, []byte) {}}, nil)
+	r, err := New(Options{Name: "r", ID: 1, ProposerID: 7, Send: func(Voter, []byte) {}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,21 +106,21 @@
 	propose := func() {
 		r.Propose(0, time.Second, func(cur State) (State, error) { return cur, nil }, func(_ State, err error) {
 			switch {
-			case ErrBusy.Has(err):
+			case ErrQueueFull.Has(err):
 				ended["busy"]++
-			case ErrUnknown.Has(err):
+			case ErrNoState.Has(err):
 				ended["unknown"]++
 			default:
 				t.Error(err)
 			}
 		})
 	}
-	for range maxQueued + 11 {
+	for range maxQueuedOperations + 11 {
 		propose()
 	}
 	r.Tick(2 * time.Second)
-	if ended["busy"] != 10 || ended["unknown"] != maxQueued+1 || r.Next() != Never {
-		t.Fatal(ended, r.Next())
+	if ended["busy"] != 10 || ended["unknown"] != maxQueuedOperations+1 || r.NextTick() != Never {
+		t.Fatal(ended, r.NextTick())
 	}
 	r.Bootstrap(voters[:1], nil)
 	var got []int
@@ -137,11 +137,11 @@
 	}
 }
 
-// TestSnapshot: what a snapshot holds is what all payloads hold.
-func TestSnapshot(t *testing.T) {
+// TestSnapshotHoldsWhatTheRecordsHold: what a snapshot holds is what all payloads hold.
+func TestSnapshotHoldsWhatTheRecordsHold(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}, {ID: 3, Name: "c", Addr: "c"}}
 	var saved [][]byte
-	o := Options{Name: "r", ID: 1, Proposer: 7, Send: func(Voter, []byte) {}, Save: func(b []byte) error { saved = append(saved, b); return nil }}
+	o := Options{Name: "r", ID: 1, ProposerID: 7, Send: func(Voter, []byte) {}, Save: func(b []byte) error { saved = append(saved, b); return nil }}
 	r, err := New(o, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual([]any{c.known, c.state, c.promised, c.accepted, c.proposal}, []any{r.known, r.state, r.promised, r.accepted, r.proposal}) {
+			if !reflect.DeepEqual([]any{c.known, c.state, c.promised, c.acceptedNumber, c.acceptedState}, []any{r.known, r.state, r.promised, r.acceptedNumber, r.acceptedState}) {
 				t.Fatalf("%+v is not %+v", c, r)
 			}
 		}
@@ -161,10 +161,10 @@
 	check()
 	r.Bootstrap(voters, []byte("v"))
 	check()
-	next := State{Slot: 1, Voters: voters, Value: []byte("w"), marks: []mark{{8, 1}}}
-	for _, m := range []message{{kind: prepare, id: 2, slot: 1, ballot: ballot{3, 8}}, {kind: accept, id: 2, slot: 1, ballot: ballot{3, 8}, state: next},
-		{kind: prepare, id: 3, slot: 1, ballot: ballot{4, 9}}, {kind: accept, id: 2, slot: 1, ballot: ballot{3, 8}, state: next},
-		{kind: decided, id: 2, state: next}} {
+	next := State{Slot: 1, Voters: voters, Value: []byte("w"), recentOperations: []operationID{{8, 1}}}
+	for _, m := range []message{{kind: messagePrepare, sender: 2, slot: 1, number: ProposalNumber{3, 8}}, {kind: messageAccept, sender: 2, slot: 1, number: ProposalNumber{3, 8}, state: next},
+		{kind: messagePrepare, sender: 3, slot: 1, number: ProposalNumber{4, 9}}, {kind: messageAccept, sender: 2, slot: 1, number: ProposalNumber{3, 8}, state: next},
+		{kind: messageDecided, sender: 2, state: next}} {
 		r.Receive(0, voters[1], m.encode("r"))
 		check()
 	}
@@ -172,7 +172,7 @@
 		t.Fatal(r.state)
 	}
 	for i := range saved[1] {
-		if _, err := New(o, [][]byte{saved[0], saved[1][:i]}); !ErrSaved.Has(err) {
+		if _, err := New(o, [][]byte{saved[0], saved[1][:i]}); !ErrCorrupt.Has(err) {
 			t.Fatal("a payload that ends early is taken:", i, err)
 		}
 	}
--- a/internal/consensus/paxos/golden_test.go
+++ b/internal/consensus/paxos/golden_test.go
@@ -50,8 +50,8 @@
 			{ID: 0x2122232425262728, Name: "machine-2", Addr: "10.0.0.2:7102"},
 			{ID: 0x3132333435363738, Name: "machine-3", Addr: "10.0.0.3:7103"},
 		},
-		Value: []byte("the value\x00\xff"),
-		marks: []mark{{0x4142434445464748, 0x5152535455565758}, {0x6162636465666768, 0x7172737475767778}},
+		Value:            []byte("the value\x00\xff"),
+		recentOperations: []operationID{{0x4142434445464748, 0x5152535455565758}, {0x6162636465666768, 0x7172737475767778}},
 	}
 }
 
@@ -74,29 +74,29 @@
 
 // TestGoldenMessages reads each kind of message between registers.
 func TestGoldenMessages(t *testing.T) {
-	names := map[kind]string{query: "query", told: "told", prepare: "prepare", promise: "promise", accept: "accept",
-		accepted: "accepted", reject: "reject", decided: "decided", have: "have"}
+	names := map[messageKind]string{messageQuery: "query", messageQueryReply: "told", messagePrepare: "prepare", messagePromise: "promise", messageAccept: "accept",
+		messageAccepted: "accepted", messageReject: "reject", messageDecided: "decided", messageProgress: "have"}
 	for k, name := range names {
-		m := message{kind: k, id: 0x8182838485868788, slot: 0x9192939495969798,
-			ballot: ballot{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, other: ballot{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}}
-		if k == accept || k == decided || k == promise {
+		m := message{kind: k, sender: 0x8182838485868788, slot: 0x9192939495969798,
+			number: ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, reported: ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}}
+		if k == messageAccept || k == messageDecided || k == messagePromise {
 			m.state = goldenState()
 		}
 		goldenMessage(t, "message-"+name, m)
 	}
-	goldenMessage(t, "message-promise-nothing-accepted", message{kind: promise, id: 0x8182838485868788, slot: 0x9192939495969798,
-		ballot: ballot{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}})
+	goldenMessage(t, "message-promise-nothing-accepted", message{kind: messagePromise, sender: 0x8182838485868788, slot: 0x9192939495969798,
+		number: ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}})
 }
 
 func goldenMessage(t *testing.T, file string, m message) {
 	t.Helper()
 	const register = "config"
 	golden(t, file, func() []byte { return m.encode(register) }, func(b []byte) []byte {
-		name, got, err := decode(b)
+		name, got, err := decodeMessage(b)
 		if err != nil || name != register || !reflect.DeepEqual(got, m) {
 			t.Errorf("%s: read as %q, %+v, %v", file, name, got, err)
 		}
-		if name, ok := Name(b); !ok || name != register {
+		if name, ok := RegisterName(b); !ok || name != register {
 			t.Errorf("%s: for register %q, %v", file, name, ok)
 		}
 		return got.encode(name)
@@ -105,44 +105,44 @@
 
 // TestGoldenPayloads reads each kind of payload that Save stores, as a node does at its start.
 func TestGoldenPayloads(t *testing.T) {
-	low, high := ballot{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, ballot{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}
+	low, high := ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}
 	next := goldenState()
 	next.Slot++
 	next.Value = []byte("the next value")
 	load := func(t *testing.T, saved ...[]byte) *Register {
 		t.Helper()
-		r, err := New(Options{Name: "config", ID: goldenState().Voters[0].ID, Proposer: 1, Send: func(Voter, []byte) {}}, saved)
+		r, err := New(Options{Name: "config", ID: goldenState().Voters[0].ID, ProposerID: 1, Send: func(Voter, []byte) {}}, saved)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	start := decidedPayload(goldenState())
-	golden(t, "saved-decided", func() []byte { return decidedPayload(goldenState()) }, func(b []byte) []byte {
+	start := encodeDecided(goldenState())
+	golden(t, "saved-decided", func() []byte { return encodeDecided(goldenState()) }, func(b []byte) []byte {
 		r := load(t, b)
 		if s, known := r.State(); !known || !reflect.DeepEqual(s, goldenState()) {
 			t.Errorf("decided: %+v, %v", s, known)
 		}
 		return r.Snapshot()[0]
 	})
-	golden(t, "saved-accepted", func() []byte { return acceptedPayload(low, next) }, func(b []byte) []byte {
+	golden(t, "saved-accepted", func() []byte { return encodeAccepted(low, next) }, func(b []byte) []byte {
 		r := load(t, start, b)
-		if r.accepted != low || r.promised != low || !reflect.DeepEqual(r.proposal, next) {
-			t.Errorf("accepted: %v, promised %v, %+v", r.accepted, r.promised, r.proposal)
+		if r.acceptedNumber != low || r.promised != low || !reflect.DeepEqual(r.acceptedState, next) {
+			t.Errorf("accepted: %v, promised %v, %+v", r.acceptedNumber, r.promised, r.acceptedState)
 		}
 		return r.Snapshot()[1]
 	})
-	golden(t, "saved-promise", func() []byte { return promisePayload(next.Slot, high) }, func(b []byte) []byte {
+	golden(t, "saved-promise", func() []byte { return encodePromise(next.Slot, high) }, func(b []byte) []byte {
 		r := load(t, start, b)
-		if r.accepted != (ballot{}) || r.promised != high {
-			t.Errorf("promise: accepted %v, promised %v", r.accepted, r.promised)
+		if r.acceptedNumber != (ProposalNumber{}) || r.promised != high {
+			t.Errorf("promise: accepted %v, promised %v", r.acceptedNumber, r.promised)
 		}
 		return r.Snapshot()[1]
 	})
-	golden(t, "saved-chosen", func() []byte { return chosenPayload(next.Slot, low) }, func(b []byte) []byte {
-		accepted := load(t, start, acceptedPayload(low, next))
+	golden(t, "saved-chosen", func() []byte { return encodeChosen(next.Slot, low) }, func(b []byte) []byte {
+		accepted := load(t, start, encodeAccepted(low, next))
 		short := accepted.decidedRecord(next)
-		r := load(t, start, acceptedPayload(low, next), b)
+		r := load(t, start, encodeAccepted(low, next), b)
 		if s, known := r.State(); !known || !reflect.DeepEqual(s, next) {
 			t.Errorf("chosen: %+v, %v", s, known)
 		}
--- a/internal/consensus/paxos/invariants_test.go
+++ b/internal/consensus/paxos/invariants_test.go
@@ -6,10 +6,10 @@
 	"dunetide/internal/platform/invariant/invarianttest"
 )
 
-func TestTwoValuesOfOneSlotAreFound(t *testing.T) {
+func TestInvariantFindsTwoValuesOfOneSlot(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}
 	known := State{Slot: 4, Voters: voters, Value: []byte("x")}
-	r := &Register{o: Options{Name: "config"}, state: known, known: true}
+	r := &Register{options: Options{Name: "config"}, state: known, known: true}
 	for _, same := range []State{known, {Slot: 3, Voters: voters[:1], Value: []byte("older")}} {
 		r.learn(same)
 	}
--- a/internal/consensus/paxos/kill_test.go
+++ b/internal/consensus/paxos/kill_test.go
@@ -11,50 +11,50 @@
 // its disk, or with an empty one. More seeds are other links.
 func TestKilledAtEachPoint(t *testing.T) {
 	type shape struct {
-		sz    size
+		sz    clusterSize
 		empty bool
 		away  time.Duration
 	}
 	var shapes []shape
-	for _, sz := range sizes[:3] {
+	for _, sz := range clusterSizes[:3] {
 		shapes = append(shapes, shape{sz, false, 0}, shape{sz, false, 200 * time.Millisecond}, shape{sz, true, 0})
 	}
 	const pointsMost = 300
 	var unused atomic.Int64
-	play(t, max(seeds(0), len(shapes)*pointsMost), func(seed uint64, set func(*world)) {
+	playSeeds(t, max(seedCount(0), len(shapes)*pointsMost), func(seed uint64, set func(*cluster)) {
 		sh, at, links := shapes[int(seed)%len(shapes)], int(seed)/len(shapes)%pointsMost+1, int(seed)/len(shapes)/pointsMost
-		w := newWorld(uint64(sh.sz.n+10*links), sh.sz.n, 1)
-		set(w)
-		w.run(time.Second)
-		w.points, w.killAt = 0, at
+		c := newCluster(uint64(sh.sz.voters+10*links), sh.sz.voters, 1)
+		set(c)
+		c.RunUntil(time.Second)
+		c.killPoints, c.killAt = 0, at
 		hit := false
-		w.killing = func(m *machine) {
+		c.onKill = func(m *machine) {
 			hit = true
 			if sh.empty {
-				w.loseDisk(m, nil)
+				c.replaceDisk(m, nil)
 				return
 			}
-			w.after(sh.away, m.start)
+			c.After(sh.away, m.start)
 		}
-		w.propose(w.machines[0], 2*time.Second, nil)
-		w.propose(w.machines[1], 2*time.Second, nil)
-		w.run(w.now + 30*time.Millisecond)
-		spare := w.machines[sh.sz.n]
-		w.propose(w.machines[1], 2*time.Second, func(cur State) (State, error) {
-			next, ok := admitVoter(cur, spare.voter(), func(v Voter) bool { return v.Name == "n0" }, sh.sz.n)
+		c.propose(c.machines[0], 2*time.Second, nil)
+		c.propose(c.machines[1], 2*time.Second, nil)
+		c.RunUntil(c.Now() + 30*time.Millisecond)
+		spare := c.machines[sh.sz.voters]
+		c.propose(c.machines[1], 2*time.Second, func(cur State) (State, error) {
+			next, ok := admitVoter(cur, spare.voter(), func(v Voter) bool { return v.Name == "n0" }, sh.sz.voters)
 			if !ok {
 				return cur, ErrUnchanged
 			}
 			return next, nil
 		})
-		w.read(w.machines[0], 2*time.Second)
-		w.run(w.now + 100*time.Millisecond)
-		w.propose(spare, 2*time.Second, nil)
-		w.run(w.now + 3*time.Second)
-		w.calm()
-		w.run(w.now + 3*time.Second)
-		w.allRead(10 * time.Second)
-		w.check()
+		c.read(c.machines[0], 2*time.Second)
+		c.RunUntil(c.Now() + 100*time.Millisecond)
+		c.propose(spare, 2*time.Second, nil)
+		c.RunUntil(c.Now() + 3*time.Second)
+		c.endFaults()
+		c.RunUntil(c.Now() + 3*time.Second)
+		c.readOnAll(10 * time.Second)
+		c.checkOperations()
 		if !hit {
 			unused.Add(1)
 		}
--- a/internal/consensus/paxos/proposer.go
+++ b/internal/consensus/paxos/proposer.go
@@ -2,369 +2,320 @@
 
 import (
 	"errors"
-	"fmt"
 	"slices"
 	"time"
 )
 
+const (
+	// Requests are sent again to voters that have not answered, at pauses that double between these bounds.
+	minResendInterval = 150 * time.Millisecond
+	maxResendInterval = 600 * time.Millisecond
+
+	// The pause after a conflict is minBackoff and a random part of a window. The window is as long as two phases take
+	// on these disks, initialBackoffWindow at least; it doubles from attempt to attempt, up to maxBackoff.
+	minBackoff           = 10 * time.Millisecond
+	initialBackoffWindow = 50 * time.Millisecond
+	maxBackoffDoubling   = 5
+	// maxBackoff is well below the time that callers give an operation (0.9 s), so that one that begins in a conflict
+	// is tried again within it, also where a partition has made a phase look slow.
+	maxBackoff = 400 * time.Millisecond
+)
+
+// phase is what the proposer is doing for the operation under way.
 type phase uint8
 
 const (
-	idle      phase = iota
-	clueless        // no State is known yet
-	waiting         // until wakeAt, after a conflict
-	querying        // a read: is there something newer?
-	preparing       //
-	accepting       //
-	settling        // decided; the new voters store it
+	phaseIdle      phase = iota // there is no operation
+	phaseNoState                // no State is known yet
+	phaseBackoff                // until retryAt, after a conflict
+	phaseQuery                  // a read asks whether there is something newer
+	phasePrepare                // phase 1 of Paxos
+	phaseAccept                 // phase 2 of Paxos
+	phaseNewVoters              // the proposal is decided; a majority of its own voters has to store it
 )
 
-// operation is one Propose or Read.
-type operation struct {
-	read     bool
-	change   func(State) (State, error)
-	done     func(State, error)
-	deadline time.Duration
-	number   uint64
-	// What was proposed, and may be decided by whoever finds it. For one slot an operation proposes one State.
-	proposed bool
-	moved    bool // its voters are others than those of the slot before
-	next     State
-	tries    int
-}
-
-// proposer is the part of a Register that asks the voters, for one operation at a time.
+// proposer is the part of a Register that sends requests to the voters, for one operation at a time.
 type proposer struct {
-	queue   []*operation
-	op      *operation
-	number  uint64
-	round   uint64 // the newest that was used or heard of
-	phase   phase
-	slot    uint64
-	ballot  ballot
-	voted   map[uint64]bool // who said yes
-	refused map[uint64]bool // who said no
-	best    ballot          // the newest of what those who promised had accepted
-	value   State           // that, or what is to be accepted
-
-	deciding []Voter // who is to learn what this proposer has just had decided
+	queue         []*operation
+	current       *operation
+	lastOperation uint64 // the newest operation's id
 
-	since       time.Duration // of the phase
-	slowest     time.Duration // phase that was seen
-	wakeAt      time.Duration
-	resendAt    time.Duration
-	resendEvery time.Duration
-}
+	phase      phase
+	phaseStart time.Duration
+	// slowestPhase is how long a phase has taken lately; from phase to phase an eighth of it is forgotten.
+	slowestPhase time.Duration
 
-// Propose is a linearizable change: it finds the newest State, calls change with it, and has what change returns
-// decided as the next one. Change is called once for a slot, and again when another proposal took the slot. Its
-// error ends the proposal; ErrUnchanged ends it with the State it was called with. The new State's Slot is set here.
-func (r *Register) Propose(now, timeout time.Duration, change func(cur State) (next State, err error), done func(State, error)) {
-	r.step(now, func() { r.enqueue(&operation{change: change, done: done, deadline: r.now + timeout}) })
-}
+	// The attempt under way: for a slot, with a proposal number of its own.
+	slot         uint64
+	number       ProposalNumber
+	highestRound uint64 // used here or heard of from others
+	// The voters that have answered the requests of this phase.
+	acknowledged map[uint64]bool
+	rejected     map[uint64]bool
+	// highestAccepted is the highest number of a proposal that a voter reported to have accepted.
+	highestAccepted ProposalNumber
+	// proposedState is that proposal's, or what this operation proposes where there is none.
+	proposedState State
 
-// Read is a linearizable read: a majority confirms that there is nothing newer.
-func (r *Register) Read(now, timeout time.Duration, done func(State, error)) {
-	r.step(now, func() { r.enqueue(&operation{read: true, done: done, deadline: r.now + timeout}) })
-}
+	// decidedLearners have to learn the State that this proposer has just found to be decided.
+	decidedLearners []Voter
 
-func (r *Register) enqueue(op *operation) {
-	if len(r.queue) >= maxQueued {
-		op.done(State{}, ErrBusy.New("register %s has %d", r.o.Name, len(r.queue)))
-		return
-	}
-	r.number++
-	op.number = r.number
-	r.queue = append(r.queue, op)
-	r.startNext()
+	retryAt        time.Duration
+	resendAt       time.Duration
+	resendInterval time.Duration
 }
 
-func (r *Register) startNext() {
-	if r.op == nil && len(r.queue) > 0 {
-		r.op, r.queue = r.queue[0], r.queue[1:]
-		r.begin()
-	}
-}
-
-func (r *Register) finish(s State, err error) {
-	op := r.op
-	r.op, r.phase = nil, idle
-	if err == nil {
-		s = s.Clone()
-	}
-	op.done(s, err)
-	r.startNext()
-}
-
-// begin asks the voters of the newest State that is known.
-func (r *Register) begin() {
+// startOperation sends the first request of the operation to the voters of the newest State that is known.
+func (r *Register) startOperation() {
 	switch {
 	case !r.known:
-		r.phase = clueless
-	case r.op.read && r.op.tries == 0:
-		r.start(querying)
+		r.phase = phaseNoState
+	case r.current.read && r.current.attempts == 0:
+		r.startAttempt(phaseQuery)
 	default:
-		r.start(preparing)
+		r.startAttempt(phasePrepare)
 	}
 }
 
-// start begins a round: a ballot that nobody has used.
-func (r *Register) start(p phase) {
-	r.round++
-	r.slot, r.ballot, r.best, r.value = r.state.Slot+1, ballot{r.round, r.o.Proposer}, ballot{}, State{}
-	r.enter(p)
+// startAttempt begins an attempt with a proposal number that nobody has used.
+func (r *Register) startAttempt(first phase) {
+	r.highestRound++
+	r.slot, r.number = r.state.Slot+1, ProposalNumber{r.highestRound, r.options.ProposerID}
+	r.highestAccepted, r.proposedState = ProposalNumber{}, State{}
+	r.enterPhase(first)
 }
 
-func (r *Register) enter(p phase) {
-	r.phase, r.since = p, r.now
-	r.voted, r.refused = map[uint64]bool{}, map[uint64]bool{}
-	r.resendEvery = resendAfter
-	r.resend()
+func (r *Register) enterPhase(next phase) {
+	r.phase, r.phaseStart = next, r.now
+	r.acknowledged, r.rejected = map[uint64]bool{}, map[uint64]bool{}
+	r.resendInterval = minResendInterval
+	r.sendRequests()
 }
 
-// resend asks those who have not answered.
-func (r *Register) resend() {
-	r.resendAt = r.now + r.resendEvery
-	r.resendEvery = min(2*r.resendEvery, resendMost)
-	for _, v := range r.state.Voters {
-		r.ask(v.ID)
+// sendRequests sends the request of this phase to all voters that have not answered it.
+func (r *Register) sendRequests() {
+	r.resendAt = r.now + r.resendInterval
+	r.resendInterval = min(2*r.resendInterval, maxResendInterval)
+	for _, voter := range r.state.Voters {
+		r.sendRequest(voter.ID)
 	}
 }
 
-// ask sends the request of this phase to a voter that has not answered it.
-func (r *Register) ask(id uint64) {
-	if r.voted[id] || r.refused[id] {
+// sendRequest sends the request of this phase to a voter that has not answered it.
+func (r *Register) sendRequest(id uint64) {
+	if r.acknowledged[id] || r.rejected[id] {
 		return
 	}
-	m := message{slot: r.slot, ballot: r.ballot}
+	m := message{slot: r.slot, number: r.number}
 	switch r.phase {
-	case querying:
-		m.kind = query
-	case preparing:
-		m.kind = prepare
-	case accepting:
-		m.kind, m.state = accept, r.value
+	case phaseQuery:
+		m.kind = messageQuery
+	case phasePrepare:
+		m.kind = messagePrepare
+	case phaseAccept:
+		m.kind, m.state = messageAccept, r.proposedState
 	default:
 		return
 	}
-	for _, v := range r.state.Voters {
-		if v.ID == id {
-			r.send(v, m)
+	for _, voter := range r.state.Voters {
+		if voter.ID == id {
+			r.send(voter, m)
 		}
 	}
 }
 
-func (r *Register) majority() int { return len(r.state.Voters)/2 + 1 }
+func (r *Register) quorum() int { return QuorumSize(len(r.state.Voters)) }
 
-// answer takes what a voter said to the request of this phase, and nothing else.
-func (r *Register) answer(m message) {
-	r.round = max(r.round, m.other.round)
-	if r.op == nil || m.slot != r.slot || m.ballot != r.ballot || !r.state.Has(m.id) || r.slot != r.state.Slot+1 {
+// receiveAnswer counts a voter's answer to the request of this phase, and ignores all others.
+func (r *Register) receiveAnswer(m message) {
+	r.highestRound = max(r.highestRound, m.reported.Round)
+	if r.current == nil || r.slot != r.state.Slot+1 {
+		return
+	}
+	if m.slot != r.slot || m.number != r.number || !r.state.HasVoter(m.sender) {
 		return
 	}
 	switch {
-	case m.kind == reject && (r.phase == preparing || r.phase == accepting):
-		r.refused[m.id] = true
-		if len(r.refused) > len(r.state.Voters)-r.majority() {
+	case m.kind == messageReject && (r.phase == phasePrepare || r.phase == phaseAccept):
+		r.rejected[m.sender] = true
+		if len(r.rejected) > len(r.state.Voters)-r.quorum() {
 			r.backOff()
 		}
 		return
-	case m.kind == told && r.phase == querying:
-	case m.kind == promise && r.phase == preparing:
-		if r.best.less(m.other) {
-			r.best, r.value = m.other, m.state
+	case m.kind == messageQueryReply && r.phase == phaseQuery:
+		if r.highestAccepted.Less(m.reported) {
+			r.highestAccepted = m.reported
+		}
+	case m.kind == messagePromise && r.phase == phasePrepare:
+		if r.highestAccepted.Less(m.reported) {
+			r.highestAccepted, r.proposedState = m.reported, m.state
 		}
-	case m.kind == accepted && r.phase == accepting:
+	case m.kind == messageAccepted && r.phase == phaseAccept:
 	default:
 		return
 	}
-	if m.kind == told && r.best.less(m.other) {
-		r.best = m.other
+	r.acknowledged[m.sender] = true
+	if len(r.acknowledged) >= r.quorum() {
+		r.completePhase()
 	}
-	r.voted[m.id] = true
-	if len(r.voted) < r.majority() {
-		return
-	}
-	r.slowest = max(r.slowest*7/8, r.now-r.since)
-	switch {
-	case r.phase == querying && r.best == ballot{}, r.phase == preparing && r.best == ballot{} && r.op.read:
-		r.finish(r.state, nil)
-	case r.phase == querying:
-		r.start(preparing) // what is accepted may be decided: it is finished first
-	case r.phase == preparing:
-		if r.best == (ballot{}) && !r.choose() {
+}
+
+// completePhase goes on after a majority of the voters has answered the requests of this phase.
+//
+// After phase 1 the proposer is bound to the proposal with the highest number that a voter of its majority has
+// accepted, and free to propose its own State only where there is none: that keeps P2c of "Paxos Made Simple". If a
+// proposal was chosen, any majority has a voter that accepted it.
+func (r *Register) completePhase() {
+	r.slowestPhase = max(r.slowestPhase*7/8, r.now-r.phaseStart)
+	nothingAccepted := r.highestAccepted.IsZero()
+	switch r.phase {
+	case phaseQuery:
+		if nothingAccepted {
+			r.finishOperation(r.state, nil)
 			return
 		}
-		r.enter(accepting)
-	case r.phase == accepting:
-		old, s := r.state.Voters, r.value
-		r.deciding = slices.Concat(old, s.Voters)
-		r.learn(s)
+		r.startAttempt(phasePrepare) // what is accepted may be decided: it is finished first
+	case phasePrepare:
+		if nothingAccepted && r.current.read {
+			r.finishOperation(r.state, nil)
+			return
+		}
+		if nothingAccepted && !r.makeProposal() {
+			return
+		}
+		r.enterPhase(phaseAccept)
+	case phaseAccept:
+		before, decided := r.state.Voters, r.proposedState
+		r.decidedLearners = slices.Concat(before, decided.Voters)
+		r.learn(decided)
 	}
 }
 
-// choose sets the value of a slot for which no majority can have accepted one.
-func (r *Register) choose() bool {
-	op := r.op
+// makeProposal sets the State to propose for a slot for which no majority can have accepted one. False: the operation
+// has ended, or another one is under way.
+func (r *Register) makeProposal() bool {
+	op := r.current
 	if !op.proposed {
-		asked := r.ballot
+		attempt := r.number
 		next, err := op.change(r.state.Clone())
-		if r.op != op || r.ballot != asked {
-			return false // it called the Register
+		if r.current != op || r.number != attempt {
+			return false // change has called the Register
 		}
 		if errors.Is(err, ErrUnchanged) {
-			r.finish(r.state, nil)
+			r.finishOperation(r.state, nil)
 			return false
 		}
 		if err == nil {
-			err = checkVoters(next.Voters)
+			err = validateVoters(next.Voters)
 		}
 		if err != nil {
-			r.finish(State{}, err)
+			r.finishOperation(State{}, err)
 			return false
 		}
 		next.Slot = r.slot
-		next.marks = append(r.state.Clone().marks, mark{r.o.Proposer, op.number})
-		next.marks = next.marks[max(0, len(next.marks)-maxMarks):]
-		op.next, op.proposed, op.moved = next.Clone(), true, !slices.Equal(r.state.Voters, next.Voters)
+		next.recentOperations = r.state.operationsAnd(operationID{r.options.ProposerID, op.id})
+		op.proposed, op.proposal = true, next.Clone()
+		op.changesVoters = !slices.Equal(r.state.Voters, next.Voters)
 	}
-	r.value = op.next
+	r.proposedState = op.proposal
 	return true
 }
 
-func checkVoters(voters []Voter) error {
-	ids := map[uint64]bool{}
-	for _, v := range voters {
-		if v.ID == 0 || ids[v.ID] {
-			return ErrVoters.New("%q at %s has identity %d", v.Name, v.Addr, v.ID)
-		}
-		ids[v.ID] = true
-	}
-	if len(voters) == 0 {
-		return ErrVoters.New("there are none")
-	}
-	return nil
-}
-
-// maxBackOff bounds the pause after a conflict. It is well below the time that callers give an operation (0.9 s), so that
-// one that begins in a conflict is tried again within it, also where a cut has made a phase look slow.
-const maxBackOff = 400 * time.Millisecond
-
-// backOff waits longer from try to try, and not less than what a phase takes on these disks, up to a bound.
+// backOff ends an attempt: the next one begins after a random pause, so that proposers don't preempt each other again.
 func (r *Register) backOff() {
-	r.op.tries++
-	window := max(50*time.Millisecond, 2*r.slowest) << min(r.op.tries-1, 5)
-	r.phase = waiting
-	r.wakeAt = r.now + 10*time.Millisecond + time.Duration(r.o.Rand()*float64(min(window, maxBackOff)))
+	r.current.attempts++
+	window := max(initialBackoffWindow, 2*r.slowestPhase) << min(r.current.attempts-1, maxBackoffDoubling)
+	r.phase = phaseBackoff
+	r.retryAt = r.now + minBackoff + time.Duration(r.options.Rand()*float64(min(window, maxBackoff)))
 }
 
-// learned goes on after a newer State is known: what the operation proposed for its slot, or one before, is
-// decided or is not and never will be.
-func (r *Register) learned() {
-	op := r.op
+// resumeAfterLearning goes on with the operation under way after a newer State is known: what it proposed for that
+// State's slot, or one before, is decided, or is not and never will be.
+func (r *Register) resumeAfterLearning() {
+	op := r.current
 	if op == nil {
 		return
 	}
-	if op.proposed && r.state.Slot >= op.next.Slot {
-		by, found := r.state.proposedBy(op.next.Slot)
-		switch {
-		case !found:
-			r.finish(State{}, ErrTimeout.New("register %s is at slot %d, and slot %d was proposed here", r.o.Name, r.state.Slot, op.next.Slot))
-			return
-		case by != mark{r.o.Proposer, op.number}:
-			op.proposed, op.next = false, State{}
-		case r.state.Slot > op.next.Slot || !op.moved:
-			// If there are other voters, a majority of them stored it before they decided the next one.
-			r.finish(op.next, nil)
-			return
-		default:
-			r.phase = settling
-			if len(r.spreadTo) == 0 {
-				r.startSpread(r.state.Voters...)
-			}
-			r.settle()
-			return
+	if !op.proposed || r.state.Slot < op.proposal.Slot {
+		r.startOperation()
+		return
+	}
+	decided, found := r.state.operationAt(op.proposal.Slot)
+	switch {
+	case !found:
+		r.finishOperation(State{}, ErrOutcomeUnknown.New("register %s is at slot %d, and slot %d was proposed here",
+			r.options.Name, r.state.Slot, op.proposal.Slot))
+	case decided != operationID{r.options.ProposerID, op.id}:
+		op.proposed, op.proposal = false, State{}
+		r.startOperation()
+	case r.state.Slot > op.proposal.Slot || !op.changesVoters:
+		// Where the voters have changed, a majority of the new ones stored the State before they decided the next one.
+		r.finishOperation(op.proposal, nil)
+	default:
+		r.phase = phaseNewVoters
+		if len(r.learners) == 0 {
+			r.notifyLearners(r.state.Voters...)
 		}
+		r.finishIfNewVotersStored()
 	}
-	r.begin()
 }
 
-// settle ends a proposal that is decided when a majority of the State's own voters have stored it.
-func (r *Register) settle() {
-	if r.op == nil || r.phase != settling {
+// finishIfNewVotersStored ends a proposal that has changed the voters when a majority of the new ones has stored it.
+func (r *Register) finishIfNewVotersStored() {
+	if r.current == nil || r.phase != phaseNewVoters {
 		return
 	}
-	n := 0
-	for _, v := range r.state.Voters {
-		if r.holders[v.ID] {
-			n++
+	stored := 0
+	for _, voter := range r.state.Voters {
+		if r.storedBy[voter.ID] {
+			stored++
 		}
 	}
-	if n >= r.majority() {
-		r.finish(r.state, nil)
+	if stored >= r.quorum() {
+		r.finishOperation(r.state, nil)
 	}
 }
 
 func (r *Register) tickProposer() {
-	for i := 0; i < len(r.queue); i++ {
-		if op := r.queue[i]; r.now >= op.deadline {
-			r.queue = append(r.queue[:i:i], r.queue[i+1:]...)
-			i--
-			op.done(State{}, r.outOfTime(op))
-		}
-	}
-	op := r.op
+	r.expireQueued()
+	op := r.current
 	if op == nil {
 		return
 	}
 	if r.now >= op.deadline {
-		r.finish(State{}, r.outOfTime(op))
+		r.finishOperation(State{}, r.timeoutError(op))
 		return
 	}
 	switch r.phase {
-	case waiting:
-		if r.now >= r.wakeAt {
-			r.begin()
+	case phaseBackoff:
+		if r.now >= r.retryAt {
+			r.startOperation()
 		}
-	case querying, preparing, accepting:
+	case phaseQuery, phasePrepare, phaseAccept:
 		if r.now < r.resendAt {
 			break
 		}
-		if len(r.refused) > 0 {
+		if len(r.rejected) > 0 {
 			r.backOff()
 		} else {
-			r.resend()
+			r.sendRequests()
 		}
 	}
 }
 
-func (r *Register) outOfTime(op *operation) error {
-	switch {
-	case op.proposed:
-		return ErrTimeout.New("register %s, slot %d was proposed", r.o.Name, op.next.Slot)
-	case !r.known:
-		return ErrUnknown.New("register %s", r.o.Name)
-	}
-	return ErrNoMajority.New("register %s, %s", r.o.Name, r.reached())
-}
-
-func (r *Register) reached() string {
-	return fmt.Sprintf("slot %d, %d of %d voters answered", r.state.Slot, len(r.voted), len(r.state.Voters))
-}
-
-func (r *Register) nextProposer() time.Duration {
+func (r *Register) nextProposerTick() time.Duration {
 	next := Never
 	for _, op := range r.queue {
 		next = min(next, op.deadline)
 	}
-	if r.op == nil {
+	if r.current == nil {
 		return next
 	}
-	next = min(next, r.op.deadline)
+	next = min(next, r.current.deadline)
 	switch r.phase {
-	case waiting:
-		next = min(next, r.wakeAt)
-	case querying, preparing, accepting:
+	case phaseBackoff:
+		next = min(next, r.retryAt)
+	case phaseQuery, phasePrepare, phaseAccept:
 		next = min(next, r.resendAt)
 	}
 	return next
--- a/internal/consensus/paxos/quorum_test.go
+++ b/internal/consensus/paxos/quorum_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestQuorums enumerates: any two majorities meet; and whatever a majority holds is with one of any majority of
+// TestQuorumsIntersect enumerates: any two majorities meet; and whatever a majority holds is with one of any majority of
 // those that are left when f disks are lost, where there are 2f+1 voters at least.
-func TestQuorums(t *testing.T) {
+func TestQuorumsIntersect(t *testing.T) {
 	majority := func(n int) int {
 		r := Register{state: State{Voters: make([]Voter, n)}}
-		return r.majority()
+		return r.quorum()
 	}
 	for _, c := range []struct{ n, f int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {8, 1}, {8, 2}} {
 		q := majority(c.n)
--- a/internal/consensus/paxos/members_test.go
+++ b/internal/consensus/paxos/voters_test.go
@@ -40,7 +40,7 @@
 
 // The three changes of voters leave the state alone that they start from, and refuse what would leave no voters, a
 // voter without an identity, or one twice.
-func TestChangesOfVoters(t *testing.T) {
+func TestChangesOfVotersLeaveTheirStateAlone(t *testing.T) {
 	cur := State{Slot: 4, Voters: []Voter{{1, "a", "A"}, {2, "b", "B"}}}
 	joiner, moved := Voter{9, "d", "D"}, Voter{2, "b", "E"}
 	one := State{Voters: cur.Voters[:1]}
@@ -68,9 +68,9 @@
 	} {
 		got := ""
 		if c.got.ok {
-			got = show(c.got.State)
+			got = describeVoters(c.got.State)
 		}
-		if got != c.want || show(cur) != "1a 2b" || cur.Voters[1].Addr != "B" {
+		if got != c.want || describeVoters(cur) != "1a 2b" || cur.Voters[1].Addr != "B" {
 			t.Errorf("%d: %q, not %q", i, got, c.want)
 		}
 	}
@@ -100,14 +100,14 @@
 		next, ok := admitVoter(cur, c.in, c.dead, c.most)
 		got := ""
 		if ok {
-			got = show(next)
+			got = describeVoters(next)
 		}
-		if got != c.want || show(cur) != "1a 2b 3c" {
+		if got != c.want || describeVoters(cur) != "1a 2b 3c" {
 			t.Errorf("%d: %q, not %q", i, got, c.want)
 		}
 	}
-	if next, ok := expelVoter(cur, dead("b"), 2); !ok || show(next) != "1a 3c" || show(cur) != "1a 2b 3c" {
-		t.Error(show(next), ok)
+	if next, ok := expelVoter(cur, dead("b"), 2); !ok || describeVoters(next) != "1a 3c" || describeVoters(cur) != "1a 2b 3c" {
+		t.Error(describeVoters(next), ok)
 	}
 	if _, ok := expelVoter(cur, dead("b"), 3); ok {
 		t.Error("too few are left")
@@ -117,7 +117,7 @@
 	}
 }
 
-func show(s State) string {
+func describeVoters(s State) string {
 	out := ""
 	for _, v := range s.Voters {
 		out += fmt.Sprintf(" %d%s", v.ID, v.Name)
@@ -125,8 +125,8 @@
 	return out[min(1, len(out)):]
 }
 
-// TestOneVoterAtATime: whatever admitVoter makes, one voter at most is new, and one at most is gone.
-func TestOneVoterAtATime(t *testing.T) {
+// TestAdmitChangesOneVoterAtMost: whatever admitVoter makes, one voter at most is new, and one at most is gone.
+func TestAdmitChangesOneVoterAtMost(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		var cur State
 		for i := range n {
@@ -137,17 +137,17 @@
 			next, _ := admitVoter(cur, in, func(v Voter) bool { return v.ID%2 == 0 }, 8)
 			gone, come := 0, 0
 			for _, v := range cur.Voters {
-				if !next.Has(v.ID) {
+				if !next.HasVoter(v.ID) {
 					gone++
 				}
 			}
 			for _, v := range next.Voters {
-				if !cur.Has(v.ID) {
+				if !cur.HasVoter(v.ID) {
 					come++
 				}
 			}
 			if gone > 1 || come > 1 {
-				t.Error(show(cur), "to", show(next))
+				t.Error(describeVoters(cur), "to", describeVoters(next))
 			}
 		}
 	}
--- a/internal/consensus/quorum/barrier.go
+++ b/internal/consensus/quorum/barrier.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Barrier batches linearizable reads: each key waits for a read that begins after the key was added, and one read
+// ReadBarrier batches linearizable reads: each key waits for a read that begins after the key was added, and one read
 // serves all keys that were there when it began. One read is under way at a time.
-type Barrier[K comparable] struct {
-	spacing time.Duration // from the beginning of a read to that of the next
-	next    time.Duration
-	waiting []K
-	reading []K
-	busy    bool
+type ReadBarrier[K comparable] struct {
+	interval   time.Duration // from the beginning of a read to that of the next
+	nextBegin  time.Duration
+	pending    []K // they wait for the next read
+	reading    []K // the read under way serves them
+	inProgress bool
 }
 
-// NewBarrier returns a barrier whose reads begin at least so far apart.
-func NewBarrier[K comparable](spacing time.Duration) *Barrier[K] {
-	return &Barrier[K]{spacing: spacing}
+// NewReadBarrier returns a barrier whose reads begin at least an interval apart.
+func NewReadBarrier[K comparable](interval time.Duration) *ReadBarrier[K] {
+	return &ReadBarrier[K]{interval: interval}
 }
 
-// Add has a key wait for the next read.
-func (b *Barrier[K]) Add(keys ...K) { b.waiting = append(b.waiting, keys...) }
+// Add has keys wait for the next read.
+func (b *ReadBarrier[K]) Add(keys ...K) { b.pending = append(b.pending, keys...) }
 
-// Delay is how long it takes until a read may begin. Not ok: nobody waits for one, or one is under way.
-func (b *Barrier[K]) Delay(now time.Duration) (delay time.Duration, ok bool) {
-	if b.busy || len(b.waiting) == 0 {
+// Delay is how long it takes until a read may begin. Not ok: no key waits for one, or one is under way.
+func (b *ReadBarrier[K]) Delay(now time.Duration) (delay time.Duration, ok bool) {
+	if b.inProgress || len(b.pending) == 0 {
 		return 0, false
 	}
-	return max(0, b.next-now), true
+	return max(0, b.nextBegin-now), true
 }
 
-// Begin is called right before a read begins, for all that have been added. False: none is to begin now.
-func (b *Barrier[K]) Begin(now time.Duration) bool {
+// Begin is called right before a read begins, for all keys that have been added. False: none may begin now.
+func (b *ReadBarrier[K]) Begin(now time.Duration) bool {
 	if delay, ok := b.Delay(now); !ok || delay > 0 {
 		return false
 	}
-	b.busy, b.next = true, now+b.spacing
-	b.reading, b.waiting = b.waiting, nil
+	b.inProgress, b.nextBegin = true, now+b.interval
+	b.reading, b.pending = b.pending, nil
 	return true
 }
 
-// Done ends the read, and gives the keys it was for.
-func (b *Barrier[K]) Done() []K {
+// End ends the read, and returns the keys it was for.
+func (b *ReadBarrier[K]) End() []K {
 	keys := b.reading
-	b.reading, b.busy = nil, false
+	b.reading, b.inProgress = nil, false
 	return keys
 }
--- a/internal/consensus/quorum/contact_test.go
+++ b/internal/consensus/quorum/contact_test.go
@@ -18,10 +18,10 @@
 	heldFor time.Duration
 }
 
-func asked(t *Tracker, now time.Duration) { t.Asked(now) }
+func asked(t *Tracker, now time.Duration) { t.CheckStarted(now) }
 
 func answered(askedAt time.Duration, ok bool) func(*Tracker, time.Duration) {
-	return func(t *Tracker, now time.Duration) { t.Answered(now, askedAt*ms, ok) }
+	return func(t *Tracker, now time.Duration) { t.CheckEnded(now, askedAt*ms, ok) }
 }
 
 func confirmed(beganAt time.Duration) func(*Tracker, time.Duration) {
@@ -105,20 +105,20 @@
 			for i, s := range steps {
 				now := s.at * ms
 				s.do(tracker, now)
-				next, ok := tracker.Next(now)
+				next, ok := tracker.NextDeadline(now)
 				if !ok {
 					next = -ms
 				}
-				if holds, due := tracker.Holds(now), tracker.Due(now); holds != s.holds || due != s.due || next != s.nextAt*ms || tracker.HeldFor(now) != s.heldFor*ms {
-					t.Fatalf("step %d at %v: holds %v, due %v, next %v, held for %v", i+1, now, holds, due, next, tracker.HeldFor(now))
+				if holds, due := tracker.InContact(now), tracker.CheckDue(now); holds != s.holds || due != s.due || next != s.nextAt*ms || tracker.ContactDuration(now) != s.heldFor*ms {
+					t.Fatalf("step %d at %v: holds %v, due %v, next %v, held for %v", i+1, now, holds, due, next, tracker.ContactDuration(now))
 				}
 			}
 		})
 	}
 }
 
-func TestBarrier(t *testing.T) {
-	b := NewBarrier[string](100 * ms)
+func TestReadBarrier(t *testing.T) {
+	b := NewReadBarrier[string](100 * ms)
 	if b.Begin(0) {
 		t.Fatal("a read for nobody")
 	}
@@ -130,7 +130,7 @@
 	if _, ok := b.Delay(500 * ms); ok {
 		t.Fatal("two reads at once")
 	}
-	if got := b.Done(); !slices.Equal(got, []string{"a", "b"}) {
+	if got := b.End(); !slices.Equal(got, []string{"a", "b"}) {
 		t.Fatalf("the read was for %v", got)
 	}
 	if delay, ok := b.Delay(40 * ms); !ok || delay != 60*ms || b.Begin(40*ms) {
@@ -139,7 +139,7 @@
 	if !b.Begin(100 * ms) {
 		t.Fatal("no read for who came during the one before")
 	}
-	if got := b.Done(); !slices.Equal(got, []string{"c"}) || len(b.Done()) != 0 {
+	if got := b.End(); !slices.Equal(got, []string{"c"}) || len(b.End()) != 0 {
 		t.Fatalf("the read was for %v", got)
 	}
 }
@@ -147,32 +147,32 @@
 func TestGate(t *testing.T) {
 	g := NewGate[string]()
 	g.Attach("a")
-	if g.MayHandOut(0, "a") || !g.BeginRead(0) {
+	if g.MayPush(0, "a") || !g.BeginRead(0) {
 		t.Fatal("no read for who has attached")
 	}
 	g.Attach("late")
 	g.Attach("gone")
-	g.ReadDone(true)
+	g.EndRead(true)
 	g.Detach("gone")
-	if g.MayHandOut(0, "a") {
+	if g.MayPush(0, "a") {
 		t.Fatal("handed out without contact")
 	}
 	g.Confirmed(0, 0)
-	if !g.MayHandOut(0, "a") || g.MayHandOut(0, "late") || g.MayHandOut(0, "stranger") {
+	if !g.MayPush(0, "a") || g.MayPush(0, "late") || g.MayPush(0, "stranger") {
 		t.Fatal("handed out to others than those who were there when the read began")
 	}
-	if !g.BeginRead(AttachReadEvery) {
+	if !g.BeginRead(AttachReadInterval) {
 		t.Fatal("no read for who came late")
 	}
-	g.ReadDone(false)
-	if g.MayHandOut(AttachReadEvery, "late") || !g.MayHandOut(AttachReadEvery, "a") {
+	g.EndRead(false)
+	if g.MayPush(AttachReadInterval, "late") || !g.MayPush(AttachReadInterval, "a") {
 		t.Fatal("a read that failed")
 	}
-	if delay, ok := g.ReadDelay(AttachReadEvery); !ok || delay != AttachReadEvery || !g.BeginRead(2*AttachReadEvery) {
+	if delay, ok := g.ReadDelay(AttachReadInterval); !ok || delay != AttachReadInterval || !g.BeginRead(2*AttachReadInterval) {
 		t.Fatal("a read that failed is not made again")
 	}
-	g.ReadDone(true)
-	if !g.MayHandOut(2*AttachReadEvery, "late") || g.MayHandOut(2*AttachReadEvery, "gone") || g.MayHandOut(Length, "a") {
+	g.EndRead(true)
+	if !g.MayPush(2*AttachReadInterval, "late") || g.MayPush(2*AttachReadInterval, "gone") || g.MayPush(ContactTimeout, "a") {
 		t.Fatal("after the second read")
 	}
 	if _, ok := g.ReadDelay(time.Hour); ok {
--- a/internal/consensus/quorum/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
@@ -13,16 +12,17 @@
 	"time"
 
 	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/lab/simulation"
 )
 
-// The model has keepers with a gate and a register each, in one simulated time. They are cut off from each other in one
-// direction or both, for long or each second, frozen, killed and started again, their disks are wiped, who votes is changed
-// and the time of day is set, while operators put values, processes attach and heartbeats come. Two things must hold at each
-// moment:
+// The model has keepers with a gate and a register each, on one simulated clock. They are partitioned from each other in
+// one direction or both, for long or each second, frozen, killed and restarted, their disks are wiped, the voters are
+// changed and wall clocks are set, while operators put values, processes attach and heartbeats come. Two things must hold
+// at each moment:
 //
-//   - what a process is handed first is not older than the newest value that was confirmed before it asked;
-//   - what is acknowledged or pushed is backed by a majority of those who were the voters no longer than Length ago, each of
-//     whom has answered something which was sent no longer than Length ago.
+//   - what a process is pushed first is not older than the newest value that was confirmed before it attached;
+//   - what is acknowledged or pushed is backed by a majority of those who were the voters no longer than ContactTimeout
+//     ago, each of which has answered something that was sent no longer than ContactTimeout ago.
 
 const (
 	modelVoters  = 3 // at first
@@ -32,105 +32,81 @@
 	acknowledgeWait = 250 * time.Millisecond
 )
 
+// violation is what a check found.
 type violation string
 
-type modelEvent struct {
-	at  time.Duration
-	seq int
-	do  func()
-}
-
-type modelEvents []modelEvent
-
-func (e modelEvents) Len() int { return len(e) }
-func (e modelEvents) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
-}
-func (e modelEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *modelEvents) Push(x any)   { *e = append(*e, x.(modelEvent)) }
-func (e *modelEvents) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return x
-}
-
+// model is a simulation by seed. It panics with a violation when a check fails.
 type model struct {
-	rnd       *rand.Rand
-	now       time.Duration
-	events    modelEvents
-	seq       int
-	keepers   []*modelKeeper
-	cut       [modelKeepers][modelKeepers]bool // from, to
-	confirmed uint64                           // the newest value that an operator has been told is taken
-	processes int
-	states    []modelState // each that was decided, by its slot
-	identity  uint64       // of the newest voter
-	// changing is set while a disk that was wiped, or a change of the voters, has not been followed by a decision: another
+	simulation.Scheduler
+	rng          *rand.Rand
+	keepers      []*modelKeeper
+	partitioned  [modelKeepers][modelKeepers]bool // from, to
+	confirmed    uint64                           // the newest value that was confirmed to an operator
+	processCount int
+	states       []modelState // each that was decided, by its slot
+	lastIdentity uint64       // of the newest voter
+	// changePending is set while a disk that was wiped, or a change of the voters, has not been followed by a decision: another
 	// one might take the last copy of what was confirmed.
-	changing bool
-	// wipeAtAnswer has the next keeper that confirms a value lose its disk at once.
-	wipeAtAnswer bool
+	changePending bool
+	// wipeAtConfirmation has the next keeper that confirms a value lose its disk at once.
+	wipeAtConfirmation bool
 
 	// Counts of what was played, so that a run that shows nothing is seen.
-	handedOut, acknowledged, refused, taken, wiped, changed, stepped int
+	pushed, acknowledged, refused, confirmedCount, wiped, changed, clockSteps int
 }
 
-// modelState is who votes after a decision, and when the first keeper knew it.
+// modelState is the voters by a decided state, and when the first keeper knew it.
 type modelState struct {
 	voters  []paxos.Voter
 	decided time.Duration
 }
 
-// moment is what a machine reads from its clocks, as time.Now does: the steady one, which nothing sets, and the time of day.
-type moment struct{ steady, day time.Duration }
+// clockReading is what a machine reads from its clocks, as time.Now does: the steady one, which nothing sets, and the
+// wall clock.
+type clockReading struct{ steady, wall time.Duration }
 
-// sub is the time from another moment, as time.Time.Sub gives it.
-func (a moment) sub(b moment) time.Duration { return a.steady - b.steady }
+// sub is the time from another reading, as time.Time.Sub gives it.
+func (a clockReading) sub(b clockReading) time.Duration { return a.steady - b.steady }
 
 type modelKeeper struct {
-	m        *model
-	i        int
-	id       uint64 // as a voter; a wiped disk has another one
-	born     moment
-	day      time.Duration // by how much the time of day is off
-	life     int
-	up       bool
-	frozen   bool
-	waiting  []func() // what comes while it is frozen
-	payloads [][]byte
-	register *paxos.Register
-	gate     *Gate[int]
-	value    uint64
-	attached map[int]*modelProcess
-	tick     int
-	// received is the newest time of sending of a message from another keeper, in this life.
+	model           *model
+	index           int
+	id              uint64 // as a voter; a wiped disk has another one
+	startedAt       clockReading
+	wallClockOffset time.Duration // by how much the wall clock is off
+	incarnation     int
+	up              bool
+	frozen          bool
+	delayed         []func() // steps that came while it was frozen
+	records         [][]byte
+	register        *paxos.Register
+	gate            *Gate[int]
+	value           uint64
+	attached        map[int]*modelProcess
+	ticks           int
+	// received is the time at which the newest message from another keeper was sent, in this incarnation.
 	received [modelKeepers]time.Duration
-	// answered is, by voter, the newest of the own messages that it had received before it sent something that has come here.
+	// answered is, by voter, when the newest of the own messages was sent that it had received before it sent something
+	// that has arrived here.
 	answered map[uint64]time.Duration
 }
 
 type modelProcess struct {
-	floor uint64 // the newest value that was confirmed before it asked
-	value uint64
+	confirmedBefore uint64 // the newest value that was confirmed before it attached
+	value           uint64
 }
 
-func (m *model) fail(format string, args ...any) { panic(violation(fmt.Sprintf(format, args...))) }
-
-func (m *model) after(d time.Duration, do func()) {
-	m.seq++
-	heap.Push(&m.events, modelEvent{m.now + d, m.seq, do})
-}
+func (m *model) failf(format string, args ...any) { panic(violation(fmt.Sprintf(format, args...))) }
 
-func (m *model) upTo(d time.Duration) time.Duration { return time.Duration(m.rnd.Int64N(int64(d) + 1)) }
+func (m *model) upTo(d time.Duration) time.Duration { return time.Duration(m.rng.Int64N(int64(d) + 1)) }
 
-func (m *model) anyKeeper() *modelKeeper { return m.keepers[m.rnd.IntN(modelKeepers)] }
+func (m *model) anyKeeper() *modelKeeper { return m.keepers[m.rng.IntN(modelKeepers)] }
 
 func newModel(seed uint64) *model {
-	m := &model{rnd: rand.New(rand.NewPCG(seed, 11))}
+	m := &model{rng: rand.New(rand.NewPCG(seed, 11))}
 	var voters []paxos.Voter
 	for i := range modelKeepers {
-		k := &modelKeeper{m: m, i: i, id: m.nextIdentity()}
+		k := &modelKeeper{model: m, index: i, id: m.nextIdentity()}
 		m.keepers = append(m.keepers, k)
 		if i < modelVoters {
 			voters = append(voters, k.voter())
@@ -139,93 +115,95 @@
 	for i, k := range m.keepers {
 		k.start()
 		if i < modelVoters {
-			k.do(func() { k.register.Bootstrap(voters, nil) })
+			k.run(func() { k.register.Bootstrap(voters, nil) })
 		}
 	}
 	return m
 }
 
 func (k *modelKeeper) voter() paxos.Voter {
-	return paxos.Voter{ID: k.id, Name: fmt.Sprint("k", k.i), Addr: strconv.Itoa(k.i)}
+	return paxos.Voter{ID: k.id, Name: fmt.Sprint("k", k.index), Addr: strconv.Itoa(k.index)}
 }
 
 func (m *model) nextIdentity() uint64 {
-	m.identity++
-	return m.identity
+	m.lastIdentity++
+	return m.lastIdentity
 }
 
-func (k *modelKeeper) reads() moment { return moment{k.m.now, k.m.now + k.day} }
+func (k *modelKeeper) readClocks() clockReading {
+	return clockReading{k.model.Now(), k.model.Now() + k.wallClockOffset}
+}
 
-// clock is the time since the start of this life.
-func (k *modelKeeper) clock() time.Duration { return k.reads().sub(k.born) }
+// clock is the time since the start of this incarnation.
+func (k *modelKeeper) clock() time.Duration { return k.readClocks().sub(k.startedAt) }
 
 func (k *modelKeeper) start() {
-	k.up, k.life, k.born = true, k.life+1, k.reads()
+	k.up, k.incarnation, k.startedAt = true, k.incarnation+1, k.readClocks()
 	k.gate, k.attached, k.value = NewGate[int](), map[int]*modelProcess{}, 0
 	k.answered = map[uint64]time.Duration{}
 	for j := range k.received {
 		k.received[j] = -time.Hour
 	}
-	register, err := paxos.New(paxos.Options{Name: "r", ID: k.id, Proposer: k.m.rnd.Uint64() | 1, Rand: k.m.rnd.Float64,
-		Save:    func(b []byte) error { k.payloads = append(k.payloads, bytes.Clone(b)); return nil },
-		Send:    k.transmit,
-		Decided: k.decided,
-	}, k.payloads)
+	register, err := paxos.New(paxos.Options{Name: "r", ID: k.id, ProposerID: k.model.rng.Uint64() | 1, Rand: k.model.rng.Float64,
+		Save:      func(b []byte) error { k.records = append(k.records, bytes.Clone(b)); return nil },
+		Send:      k.transmit,
+		OnDecided: k.recordDecided,
+	}, k.records)
 	if err != nil {
-		k.m.fail("keeper %d: %v", k.i, err)
+		k.model.failf("keeper %d: %v", k.index, err)
 	}
 	k.register = register
 	if s, ok := register.State(); ok {
-		k.decided(s)
+		k.recordDecided(s)
 	}
-	k.askAround(k.life)
+	k.requestStateFromAny(k.incarnation)
 }
 
-// askAround is what a keeper does that knows nothing.
-func (k *modelKeeper) askAround(life int) {
-	if k.life != life || !k.up {
+// requestStateFromAny is what a keeper does that knows no state yet.
+func (k *modelKeeper) requestStateFromAny(incarnation int) {
+	if k.incarnation != incarnation || !k.up {
 		return
 	}
-	k.do(func() {
+	k.run(func() {
 		if _, ok := k.register.State(); !ok {
-			k.register.Ask(k.clock(), k.m.anyKeeper().voter())
+			k.register.RequestState(k.clock(), k.model.anyKeeper().voter())
 		}
 	})
-	k.m.after(300*ms, func() { k.askAround(life) })
+	k.model.After(300*ms, func() { k.requestStateFromAny(incarnation) })
 }
 
 func (k *modelKeeper) kill() {
-	k.up, k.frozen, k.waiting, k.life = false, false, nil, k.life+1
+	k.up, k.frozen, k.delayed, k.incarnation = false, false, nil, k.incarnation+1
 }
 
 func (k *modelKeeper) thaw() {
 	k.frozen = false
-	waiting := k.waiting
-	k.waiting = nil
+	waiting := k.delayed
+	k.delayed = nil
 	for _, f := range waiting {
-		k.do(f)
+		k.run(f)
 	}
 }
 
-// do makes a step, or has it wait while the keeper is frozen.
-func (k *modelKeeper) do(f func()) {
+// run makes a step, or has it wait while the keeper is frozen.
+func (k *modelKeeper) run(f func()) {
 	if !k.up {
 		return
 	}
 	if k.frozen {
-		k.waiting = append(k.waiting, f)
+		k.delayed = append(k.delayed, f)
 		return
 	}
 	f()
 	k.step()
 }
 
-// later makes a step of this life.
-func (k *modelKeeper) later(d time.Duration, f func()) {
-	life := k.life
-	k.m.after(d, func() {
-		if k.life == life {
-			k.do(f)
+// after makes a step of this incarnation.
+func (k *modelKeeper) after(d time.Duration, f func()) {
+	incarnation := k.incarnation
+	k.model.After(d, func() {
+		if k.incarnation == incarnation {
+			k.run(f)
 		}
 	})
 }
@@ -233,21 +211,21 @@
 // step does what is due after each event, as a keeper's owner does.
 func (k *modelKeeper) step() {
 	now := k.clock()
-	if k.gate.Due(now) {
-		k.gate.Asked(now)
+	if k.gate.CheckDue(now) {
+		k.gate.CheckStarted(now)
 		k.register.Read(now, 700*ms, func(s paxos.State, err error) {
 			if err == nil {
-				k.decided(s)
+				k.recordDecided(s)
 			}
-			k.gate.Answered(k.clock(), now, err == nil)
+			k.gate.CheckEnded(k.clock(), now, err == nil)
 		})
 	}
 	if k.gate.BeginRead(now) {
 		k.register.Read(now, time.Second, func(s paxos.State, err error) {
 			if err == nil {
-				k.decided(s)
+				k.recordDecided(s)
 			}
-			k.gate.ReadDone(err == nil)
+			k.gate.EndRead(err == nil)
 		})
 	}
 	k.push()
@@ -256,50 +234,51 @@
 
 func (k *modelKeeper) schedule() {
 	next := k.clock() + 200*ms
-	if at := k.register.Next(); at != paxos.Never {
+	if at := k.register.NextTick(); at != paxos.Never {
 		next = min(next, at)
 	}
-	if at, ok := k.gate.Next(k.clock()); ok {
+	if at, ok := k.gate.NextDeadline(k.clock()); ok {
 		next = min(next, at)
 	}
-	k.tick++
-	tick, life := k.tick, k.life
-	k.m.after(max(next-k.clock(), ms), func() {
-		if k.tick != tick || k.life != life {
+	k.ticks++
+	tick, incarnation := k.ticks, k.incarnation
+	k.model.After(max(next-k.clock(), ms), func() {
+		if k.ticks != tick || k.incarnation != incarnation {
 			return // another step came before
 		}
-		k.do(func() {
-			if k.register.Next() <= k.clock() {
+		k.run(func() {
+			if k.register.NextTick() <= k.clock() {
 				k.register.Tick(k.clock())
 			}
 		})
 	})
 }
 
-func (k *modelKeeper) decided(s paxos.State) {
-	if int(s.Slot) == len(k.m.states) {
-		k.m.states = append(k.m.states, modelState{slices.Clone(s.Voters), k.m.now})
+func (k *modelKeeper) recordDecided(s paxos.State) {
+	if int(s.Slot) == len(k.model.states) {
+		k.model.states = append(k.model.states, modelState{slices.Clone(s.Voters), k.model.Now()})
 	}
 	if len(s.Value) == 8 {
 		k.value = max(k.value, binary.BigEndian.Uint64(s.Value))
 	}
 }
 
-// transmit sends a message. It bears when it was sent, and when the newest was that has come from the other side.
+// transmit sends a message. It carries when it was sent, and when the newest one was sent that has come from the other
+// side.
 func (k *modelKeeper) transmit(to paxos.Voter, b []byte) {
 	j, _ := strconv.Atoi(to.Addr)
-	if k.m.cut[k.i][j] {
+	if k.model.partitioned[k.index][j] {
 		return
 	}
-	sent, echo, other, body, sender := k.m.now, k.received[j], k.m.keepers[j], bytes.Clone(b), k.voter()
-	delay := k.m.upTo(10 * ms)
-	if k.m.rnd.IntN(20) == 0 {
-		delay += k.m.upTo(500 * ms)
+	sent, echo, other, body, sender := k.model.Now(), k.received[j], k.model.keepers[j], bytes.Clone(b), k.voter()
+	delay := k.model.upTo(10 * ms)
+	if k.model.rng.IntN(20) == 0 {
+		delay += k.model.upTo(500 * ms)
 	}
-	k.m.after(delay, func() {
-		other.do(func() {
-			other.received[k.i] = max(other.received[k.i], sent)
-			if echo >= other.born.steady {
+	k.model.After(delay, func() {
+		other.run(func() {
+			other.received[k.index] = max(other.received[k.index], sent)
+			if echo >= other.startedAt.steady {
 				other.answered[sender.ID] = max(other.answered[sender.ID], echo)
 			}
 			other.register.Receive(other.clock(), sender, body)
@@ -307,19 +286,19 @@
 	})
 }
 
-// mustBeBacked fails unless a majority of those who were the voters no longer than Length ago has answered something that was
-// sent no longer than Length ago.
-func (k *modelKeeper) mustBeBacked(what string) {
-	from := k.m.now - Length
-	for slot := len(k.m.states) - 1; slot >= 0; slot-- {
-		if k.backedBy(k.m.states[slot].voters, from) {
+// requireBacking fails unless a majority of those who were the voters no longer than ContactTimeout ago has answered
+// something that was sent no longer than ContactTimeout ago.
+func (k *modelKeeper) requireBacking(what string) {
+	from := k.model.Now() - ContactTimeout
+	for slot := len(k.model.states) - 1; slot >= 0; slot-- {
+		if k.backedBy(k.model.states[slot].voters, from) {
 			return
 		}
-		if k.m.states[slot].decided < from {
+		if k.model.states[slot].decided < from {
 			break // it had followed the one before by then
 		}
 	}
-	k.m.fail("%v: keeper %d, without a majority: %s", k.m.now, k.i, what)
+	k.model.failf("%v: keeper %d, without a majority: %s", k.model.Now(), k.index, what)
 }
 
 func (k *modelKeeper) backedBy(voters []paxos.Voter, from time.Duration) bool {
@@ -332,18 +311,18 @@
 	return backing > len(voters)/2
 }
 
-// push hands the newest value that is known to all who may have it.
+// push sends the newest value that is known to all processes that may have it.
 func (k *modelKeeper) push() {
 	for id, p := range k.attached {
-		if p.value >= k.value || !k.gate.MayHandOut(k.clock(), id) {
+		if p.value >= k.value || !k.gate.MayPush(k.clock(), id) {
 			continue
 		}
-		if p.value == 0 && k.value < p.floor {
-			k.m.fail("%v: keeper %d hands out %d first, and %d was confirmed before", k.m.now, k.i, k.value, p.floor)
+		if p.value == 0 && k.value < p.confirmedBefore {
+			k.model.failf("%v: keeper %d pushes %d first, and %d was confirmed before", k.model.Now(), k.index, k.value, p.confirmedBefore)
 		}
-		k.mustBeBacked("a push")
+		k.requireBacking("a push")
 		p.value = k.value
-		k.m.handedOut++
+		k.model.pushed++
 	}
 }
 
@@ -358,65 +337,65 @@
 		return cur, nil
 	}, func(s paxos.State, err error) {
 		if err == nil {
-			k.decided(s)
-			k.m.confirmed = max(k.m.confirmed, binary.BigEndian.Uint64(s.Value))
-			k.m.taken++
-			k.confirmedHere()
+			k.recordDecided(s)
+			k.model.confirmed = max(k.model.confirmed, binary.BigEndian.Uint64(s.Value))
+			k.model.confirmedCount++
+			k.wipeAfterConfirmation()
 		}
 	})
 }
 
 func (k *modelKeeper) attach(floor uint64) {
-	k.m.processes++
-	id := k.m.processes
-	k.attached[id] = &modelProcess{floor: floor}
+	k.model.processCount++
+	id := k.model.processCount
+	k.attached[id] = &modelProcess{confirmedBefore: floor}
 	k.gate.Attach(id)
-	k.later(k.m.upTo(3*time.Second), func() {
+	k.after(k.model.upTo(3*time.Second), func() {
 		delete(k.attached, id)
 		k.gate.Detach(id)
 	})
 }
 
-// beat is a heartbeat; with news, it is acknowledged after a wait.
-func (k *modelKeeper) beat(news bool) {
-	if !k.gate.Holds(k.clock()) {
-		k.m.refused++
+// heartbeat is a process's heartbeat; with an update to push, it is acknowledged after a wait.
+func (k *modelKeeper) heartbeat(update bool) {
+	if !k.gate.InContact(k.clock()) {
+		k.model.refused++
 		return
 	}
-	if news {
-		k.later(acknowledgeWait, func() { k.acknowledge() })
+	if update {
+		k.after(acknowledgeWait, func() { k.acknowledge() })
 		return
 	}
 	k.acknowledge()
 }
 
 func (k *modelKeeper) acknowledge() {
-	if !k.gate.Holds(k.clock()) {
-		k.m.refused++
+	if !k.gate.InContact(k.clock()) {
+		k.model.refused++
 		return
 	}
-	k.mustBeBacked("an acknowledgement")
-	k.m.acknowledged++
+	k.requireBacking("an acknowledgement")
+	k.model.acknowledged++
 }
 
-// calls play what comes from outside, which no cut between keepers keeps away.
-func (m *model) calls() {
+// callFromOutside plays calls that no partition between keepers keeps away.
+func (m *model) callFromOutside() {
 	k := m.anyKeeper()
-	switch m.rnd.IntN(4) {
+	switch m.rng.IntN(4) {
 	case 0:
-		k.do(k.put)
+		k.run(k.put)
 	case 1:
 		floor := m.confirmed
-		m.after(m.upTo(10*ms), func() { k.do(func() { k.attach(floor) }) })
+		m.After(m.upTo(10*ms), func() { k.run(func() { k.attach(floor) }) })
 	default:
-		news := m.rnd.IntN(2) == 0
-		k.do(func() { k.beat(news) })
+		update := m.rng.IntN(2) == 0
+		k.run(func() { k.heartbeat(update) })
 	}
-	m.after(m.upTo(60*ms), m.calls)
+	m.After(m.upTo(60*ms), m.callFromOutside)
 }
 
-// play runs a model, and tells what was violated.
-func play(seed uint64) (m *model, broken error) {
+// playSeed runs a model, and returns what was violated.
+func playSeed(seed uint64) (m *model, broken error) {
 	defer func() {
 		if x := recover(); x != nil {
 			v, ok := x.(violation)
@@ -427,13 +406,9 @@
 		}
 	}()
 	m = newModel(seed)
-	m.calls()
-	m.after(2*time.Second, m.troubles)
-	for m.now < modelTime && len(m.events) > 0 {
-		e := heap.Pop(&m.events).(modelEvent)
-		m.now = e.at
-		e.do()
-	}
+	m.callFromOutside()
+	m.After(2*time.Second, m.injectFaults)
+	m.RunUntil(modelTime)
 	return m, nil
 }
 
@@ -448,24 +423,24 @@
 	return 20
 }
 
-func TestModel(t *testing.T) {
+func TestNothingIsServedWithoutAMajority(t *testing.T) {
 	var total model
 	for seed := range modelSeeds(t) {
-		m, err := play(seed)
+		m, err := playSeed(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		total.handedOut += m.handedOut
+		total.pushed += m.pushed
 		total.acknowledged += m.acknowledged
 		total.refused += m.refused
-		total.taken += m.taken
+		total.confirmedCount += m.confirmedCount
 		total.wiped += m.wiped
 		total.changed += m.changed
-		total.stepped += m.stepped
+		total.clockSteps += m.clockSteps
 	}
-	t.Logf("%d handed out, %d acknowledged, %d refused, %d taken, %d disks wiped, %d changes of voters, %d steps of the time of day",
-		total.handedOut, total.acknowledged, total.refused, total.taken, total.wiped, total.changed, total.stepped)
-	if min(total.handedOut, total.acknowledged, total.refused, total.taken, total.wiped, total.changed, total.stepped) == 0 {
+	t.Logf("%d pushed, %d acknowledged, %d refused, %d confirmed, %d disks wiped, %d changes of voters, %d steps of wall clocks",
+		total.pushed, total.acknowledged, total.refused, total.confirmedCount, total.wiped, total.changed, total.clockSteps)
+	if min(total.pushed, total.acknowledged, total.refused, total.confirmedCount, total.wiped, total.changed, total.clockSteps) == 0 {
 		t.Error("the model does not play what it is there for")
 	}
 }
--- a/internal/consensus/reconfigure/enumerate_test.go
+++ b/internal/consensus/reconfigure/enumeration_test.go
@@ -12,24 +12,24 @@
 )
 
 // machine is a machine with a disk in the enumeration, or what is left of one in the voters.
-type machine struct {
-	voter      bool  // its present identity is a voter
-	ghosts     uint8 // voters under its name whose disks are lost
-	up         bool
-	cut        bool
-	gone       bool // it never comes back
-	holds      bool // it has stored all that was acknowledged
-	recovering bool // it is back or new, and counts as lost until the world has settled
-	spare      bool // it came ahead of a planned replacement, and no machine has left for it yet
+type modelMachine struct {
+	voter       bool  // its present identity is a voter
+	ghosts      uint8 // voters under its name whose disks are lost
+	up          bool
+	partitioned bool
+	removed     bool // it never comes back
+	storedAll   bool // it has stored all that was acknowledged
+	recovering  bool // it is back or new, and counts as lost until the world has settled
+	spare       bool // it came ahead of a planned replacement, and no machine has left for it yet
 }
 
-func (m machine) connected() bool { return m.up && !m.cut }
-func (m machine) lost() bool      { return !m.gone && (!m.connected() || m.recovering) }
+func (m modelMachine) connected() bool    { return m.up && !m.partitioned }
+func (m modelMachine) countsAsLost() bool { return !m.removed && (!m.connected() || m.recovering) }
 
 // model is a set of machines that share one register.
 type model struct {
-	machines []machine
-	survive  int
+	machines    []modelMachine
+	maxFailures int
 }
 
 func (w model) clone() model {
@@ -41,7 +41,7 @@
 func (w model) key() string {
 	texts := make([]string, len(w.machines))
 	for i, m := range w.machines {
-		bits := []bool{m.voter, m.up, m.cut, m.gone, m.holds, m.recovering, m.spare}
+		bits := []bool{m.voter, m.up, m.partitioned, m.removed, m.storedAll, m.recovering, m.spare}
 		code := m.ghosts << 1
 		for _, bit := range bits {
 			code <<= 1
@@ -58,7 +58,7 @@
 func (w model) losses() int {
 	n := 0
 	for _, m := range w.machines {
-		if m.lost() {
+		if m.countsAsLost() {
 			n++
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // votersHeard counts the voters, those that are connected, and the connected ones that hold all that was acknowledged.
-func (w model) votersHeard() (voters, heard, holders int) {
+func (w model) countVoters() (voters, heard, holders int) {
 	for _, m := range w.machines {
 		voters += int(m.ghosts)
 		if !m.voter {
@@ -75,7 +75,7 @@
 		voters++
 		if m.connected() {
 			heard++
-			if m.holds {
+			if m.storedAll {
 				holders++
 			}
 		}
@@ -85,7 +85,7 @@
 
 // situation is what the connected keepers know. Identities are in the order of the machines, or in the reverse one.
 func (w model) situation(unheardFor time.Duration, reverse bool, leaver int) Situation {
-	s := Situation{Limits: Limits{w.survive, 9, testGiveUp}}
+	s := Situation{Limits: Limits{w.maxFailures, 9, testUnresponsiveTimeout}}
 	for i, m := range w.machines {
 		id := uint64(1000 * (i + 1))
 		if reverse {
@@ -93,19 +93,19 @@
 		}
 		identity := paxos.Voter{ID: id, Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}
 		if m.voter {
-			voter := Voter{Voter: identity, Heard: m.connected()}
-			if !voter.Heard {
-				voter.UnheardFor = unheardFor
+			voter := Voter{Voter: identity, Reachable: m.connected()}
+			if !voter.Reachable {
+				voter.UnreachableFor = unheardFor
 			}
 			s.Voters = append(s.Voters, voter)
 		}
 		for g := range m.ghosts {
 			ghost := identity
 			ghost.ID += uint64(g) + 1
-			s.Voters = append(s.Voters, Voter{Voter: ghost, UnheardFor: unheardFor})
+			s.Voters = append(s.Voters, Voter{Voter: ghost, UnreachableFor: unheardFor})
 		}
 		if m.connected() {
-			s.Keepers = append(s.Keepers, Keeper{Voter: identity, CaughtUp: m.holds, Leaving: i == leaver})
+			s.Keepers = append(s.Keepers, Keeper{Voter: identity, CaughtUp: m.storedAll, Leaving: i == leaver})
 		}
 	}
 	return s
@@ -114,7 +114,7 @@
 // changed gives the models that the next change of voters may lead to: it is done when some majority of the new voters
 // has stored it.
 func (w model) changed(s Situation) []model {
-	change, found := Next(s)
+	change, found := NextChange(s)
 	if !found {
 		return nil
 	}
@@ -139,12 +139,12 @@
 
 // forget drops machines that neither come back nor vote.
 func (w *model) forget() {
-	w.machines = slices.DeleteFunc(w.machines, func(m machine) bool { return m.gone && !m.voter && m.ghosts == 0 })
+	w.machines = slices.DeleteFunc(w.machines, func(m modelMachine) bool { return m.removed && !m.voter && m.ghosts == 0 })
 }
 
 // written gives a model for each least majority that may have stored a write when it is acknowledged.
 func (w model) written() []model {
-	voters, _, _ := w.votersHeard()
+	voters, _, _ := w.countVoters()
 	var connected []int
 	for i, m := range w.machines {
 		if m.voter && m.connected() {
@@ -156,15 +156,15 @@
 		next := w.clone()
 		stored := 0
 		for i := range next.machines {
-			next.machines[i].holds = false
+			next.machines[i].storedAll = false
 		}
 		for bit, i := range connected {
 			if set>>bit&1 == 1 {
-				next.machines[i].holds = true
+				next.machines[i].storedAll = true
 				stored++
 			}
 		}
-		if stored == Majority(voters) {
+		if stored == paxos.QuorumSize(voters) {
 			all = append(all, next)
 		}
 	}
@@ -175,7 +175,7 @@
 	next := w.clone()
 	for i := range next.machines {
 		if m := &next.machines[i]; m.connected() {
-			m.holds = true
+			m.storedAll = true
 		}
 	}
 	return next
@@ -185,7 +185,7 @@
 func (w model) settled(reverse bool) model {
 	next := w.spread()
 	for range 100 {
-		after := next.changed(next.situation(testGiveUp, reverse, -1))
+		after := next.changed(next.situation(testUnresponsiveTimeout, reverse, -1))
 		if len(after) == 0 {
 			break
 		}
@@ -200,7 +200,7 @@
 }
 
 // handedOver is SIGTERM to a machine: it changes the voters with itself as leaving until it is none, before it ends.
-func (w model) handedOver(leaver int, reverse bool) []model {
+func (w model) left(leaver int, reverse bool) []model {
 	var after []model
 	if w.machines[leaver].voter {
 		after = w.changed(w.situation(0, reverse, leaver))
@@ -210,7 +210,7 @@
 	}
 	var models []model
 	for _, next := range after {
-		models = append(models, next.spread().handedOver(leaver, reverse)...)
+		models = append(models, next.spread().left(leaver, reverse)...)
 	}
 	return models
 }
@@ -234,32 +234,32 @@
 	add("write", w.written()...)
 	for _, reverse := range []bool{false, true} {
 		add("change", w.changed(w.situation(0, reverse, -1))...)
-		add("change after giving up", w.changed(w.situation(testGiveUp, reverse, -1))...)
+		add("change after giving up", w.changed(w.situation(testUnresponsiveTimeout, reverse, -1))...)
 		add("settle", w.settled(reverse))
 	}
 	for i, m := range w.machines {
-		with := func(change func(m *machine)) model {
+		with := func(change func(m *modelMachine)) model {
 			next := w.clone()
 			change(&next.machines[i])
 			return next
 		}
-		mayBeLost := m.connected() && (m.recovering && w.losses() <= w.survive || w.losses() < w.survive)
+		mayBeLost := m.connected() && (m.recovering && w.losses() <= w.maxFailures || w.losses() < w.maxFailures)
 		if mayBeLost {
-			add("crash", with(func(m *machine) { m.up, m.recovering = false, false }))
-			add("cut", with(func(m *machine) { m.cut, m.recovering = true, false }))
-			add("loss of the disk", with(func(m *machine) { m.loseDisk(); m.up, m.recovering = false, false }))
+			add("crash", with(func(m *modelMachine) { m.up, m.recovering = false, false }))
+			add("cut", with(func(m *modelMachine) { m.partitioned, m.recovering = true, false }))
+			add("loss of the disk", with(func(m *modelMachine) { m.loseDisk(); m.up, m.recovering = false, false }))
 			add("restart", w.restarted(i)...)
 		}
-		if mayBeLost || m.lost() && !m.recovering && !m.gone {
-			replaced := with(func(m *machine) { m.up, m.gone, m.recovering, m.holds = false, true, false, false })
-			replaced.machines = append(replaced.machines, machine{up: true, recovering: true})
+		if mayBeLost || m.countsAsLost() && !m.recovering && !m.removed {
+			replaced := with(func(m *modelMachine) { m.up, m.removed, m.recovering, m.storedAll = false, true, false, false })
+			replaced.machines = append(replaced.machines, modelMachine{up: true, recovering: true})
 			add("replacement", replaced)
 		}
-		if !m.gone && !m.up {
-			add("return", with(func(m *machine) { m.up, m.recovering = true, true }))
+		if !m.removed && !m.up {
+			add("return", with(func(m *modelMachine) { m.up, m.recovering = true, true }))
 		}
-		if m.up && m.cut {
-			add("return", with(func(m *machine) { m.cut, m.recovering = false, true }))
+		if m.up && m.partitioned {
+			add("return", with(func(m *modelMachine) { m.partitioned, m.recovering = false, true }))
 		}
 		if m.connected() && !m.spare {
 			add("planned end", w.ended(i)...)
@@ -267,29 +267,29 @@
 	}
 	if w.spareMachine() < 0 {
 		next := w.clone()
-		next.machines = append(next.machines, machine{up: true, spare: true, recovering: true})
+		next.machines = append(next.machines, modelMachine{up: true, spare: true, recovering: true})
 		add("planned arrival", next)
 	}
 	return steps
 }
 
-func (m *machine) loseDisk() {
+func (m *modelMachine) loseDisk() {
 	if m.voter {
 		m.voter = false
 		m.ghosts++
 	}
-	m.holds = false
+	m.storedAll = false
 }
 
 func (w model) spareMachine() int {
-	return slices.IndexFunc(w.machines, func(m machine) bool { return m.spare })
+	return slices.IndexFunc(w.machines, func(m modelMachine) bool { return m.spare })
 }
 
 // restarted are the models after SIGTERM to a machine that will come back.
 func (w model) restarted(i int) []model {
 	var models []model
 	for _, reverse := range []bool{false, true} {
-		for _, next := range w.handedOver(i, reverse) {
+		for _, next := range w.left(i, reverse) {
 			next.machines[i].up, next.machines[i].recovering = false, false
 			models = append(models, next)
 		}
@@ -300,16 +300,16 @@
 // ended are the models after SIGTERM to a machine whose successor came before and has caught up.
 func (w model) ended(i int) []model {
 	spare := w.spareMachine()
-	if spare < 0 || !w.machines[spare].connected() || !w.machines[spare].holds || w.machines[i].recovering {
+	if spare < 0 || !w.machines[spare].connected() || !w.machines[spare].storedAll || w.machines[i].recovering {
 		return nil
 	}
 	ready := w.clone()
 	ready.machines[spare].spare = false
 	var models []model
 	for _, reverse := range []bool{false, true} {
-		for _, next := range ready.handedOver(i, reverse) {
+		for _, next := range ready.left(i, reverse) {
 			m := &next.machines[i]
-			m.up, m.gone, m.holds = false, true, false
+			m.up, m.removed, m.storedAll = false, true, false
 			models = append(models, next)
 		}
 	}
@@ -318,14 +318,14 @@
 
 // check tells what is wrong with a model; "": nothing.
 func (w model) check(settled bool) string {
-	voters, heard, holders := w.votersHeard()
-	if heard < Majority(voters) {
+	voters, heard, holders := w.countVoters()
+	if heard < paxos.QuorumSize(voters) {
 		return fmt.Sprintf("%d of %d voters are connected", heard, voters)
 	}
 	if holders == 0 {
 		return "no voter that is connected holds all that was acknowledged"
 	}
-	if more := w.survive - w.losses(); settled && heard-more < Majority(voters) {
+	if more := w.maxFailures - w.losses(); settled && heard-more < paxos.QuorumSize(voters) {
 		return fmt.Sprintf("%d of %d voters are connected, and %d more may be lost", heard, voters, more)
 	}
 	if unfilled := w.unfilled(); settled && w.losses() == 0 && unfilled != "" {
@@ -336,7 +336,7 @@
 
 // unfilled tells what the voters lack where nothing is lost any more; "": nothing.
 func (w model) unfilled() string {
-	voters, heard, _ := w.votersHeard()
+	voters, heard, _ := w.countVoters()
 	wanted := 0
 	for _, m := range w.machines {
 		if m.connected() {
@@ -364,9 +364,9 @@
 	for _, c := range []struct{ machines, survive, depth int }{{3, 1, 12}, {4, 1, 10}, {5, 1, 8}, {5, 2, 7}, {8, 1, 5}, {8, 2, 5}, {9, 1, 5}, {9, 2, 5}} {
 		t.Run(fmt.Sprintf("%d machines, %d lost", c.machines, c.survive), func(t *testing.T) {
 			t.Parallel()
-			first := model{survive: c.survive}
+			first := model{maxFailures: c.survive}
 			for range c.machines {
-				first.machines = append(first.machines, machine{voter: true, up: true, holds: true})
+				first.machines = append(first.machines, modelMachine{voter: true, up: true, storedAll: true})
 			}
 			enumerate(t, first, enumerationDepth(c.depth))
 		})
--- a/internal/consensus/reconfigure/fence_test.go
+++ b/internal/consensus/reconfigure/fence_test.go
@@ -8,68 +8,68 @@
 )
 
 // replacedWhileAway has the voter that holds the duty cut off until another machine has its seat.
-func replacedWhileAway(t *testing.T) (s *simulation, old *simMachine) {
+func replacedWhileAway(t *testing.T) (c *cluster, old *machine) {
 	t.Helper()
-	s = newSimulation(1, 3, 1)
-	s.loss = 0
-	s.after(time.Second, s.sendOrders)
-	s.runUntil(simCatchUp)
-	for _, m := range s.machines {
-		if m.candidate.Holds(s.now) {
+	c = newCluster(1, 3, 1)
+	c.loss = 0
+	c.After(time.Second, c.sendOrders)
+	c.RunUntil(repairTime)
+	for _, m := range c.machines {
+		if m.candidate.HasLease(c.Now()) {
 			old = m
 		}
 	}
 	if old == nil {
 		t.Fatal("nobody holds the duty")
 	}
-	old.cut = true
-	joiner := s.addMachine()
+	old.partitioned = true
+	joiner := c.addMachine()
 	joiner.start()
-	s.runUntil(s.now + simSilence + GiveUpAfter(simCatchUp) + time.Second)
-	if !joiner.state.Has(joiner.id) || joiner.state.Has(old.id) {
+	c.RunUntil(c.Now() + linkTimeout + UnresponsiveTimeout(repairTime) + time.Second)
+	if !joiner.state.HasVoter(joiner.id) || joiner.state.HasVoter(old.id) {
 		t.Fatalf("the voters are %v", joiner.state.Voters)
 	}
-	if !old.state.Has(old.id) {
+	if !old.state.HasVoter(old.id) {
 		t.Fatal("the one that was cut off knows what it can't know")
 	}
-	return s, old
+	return c, old
 }
 
 // TestFencedVoter: a voter that was replaced while it was away has its old state when it wakes. It decides nothing with
 // that, its vote counts for nothing, and nobody who knows of its replacement grants it a lease.
 func TestFencedVoter(t *testing.T) {
 	t.Run("duty", func(t *testing.T) {
-		s, old := replacedWhileAway(t)
-		if old.candidate.Holds(s.now) {
+		c, old := replacedWhileAway(t)
+		if old.candidate.HasLease(c.Now()) {
 			t.Error("it still holds the duty")
 		}
-		for _, m := range s.machines {
+		for _, m := range c.machines {
 			if m != old && m.mayGrant(old.id) {
 				t.Errorf("%s grants it a lease", m.name)
 			}
 		}
-		old.cut = false
-		s.runUntil(s.now + simTick)
-		if old.candidate.Holds(s.now) {
+		old.partitioned = false
+		c.RunUntil(c.Now() + keeperTick)
+		if old.candidate.HasLease(c.Now()) {
 			t.Error("it holds the duty again")
 		}
-		s.runUntil(s.now + simCatchUp)
-		if !old.state.Has(old.id) {
+		c.RunUntil(c.Now() + repairTime)
+		if !old.state.HasVoter(old.id) {
 			t.Error("it is no voter once it has caught up")
 		}
 	})
 	t.Run("change of voters", func(t *testing.T) {
-		s, old := replacedWhileAway(t)
-		old.cut = false
+		c, old := replacedWhileAway(t)
+		old.partitioned = false
 		stale := old.state
-		change := Change{Reason: GivenUp, Old: &stale.Voters[(indexOf(stale, old.id)+1)%3]}
+		change := Change{Reason: ReasonUnresponsive, Old: &stale.Voters[(indexOf(stale, old.id)+1)%3]}
 		ended := false
-		old.change(change, stale, simAck, func(err error) { ended = err == nil })
-		s.runUntil(s.now + time.Second)
+		old.change(change, stale, orderTimeout, func(err error) { ended = err == nil })
+		c.RunUntil(c.Now() + time.Second)
 		if !ended {
 			t.Fatal("it was not told that others vote")
 		}
-		for _, m := range s.machines {
+		for _, m := range c.machines {
 			if m.known && len(m.state.Voters) < 3 {
 				t.Errorf("%s knows a state with the voters %v", m.name, m.state.Voters)
 			}
@@ -77,21 +77,21 @@
 	})
 	t.Run("vote", func(t *testing.T) {
 		// Of the three new voters two are lost, beyond what may be: the old one must not make a majority with the third.
-		s, old := replacedWhileAway(t)
-		newest := s.machines[len(s.machines)-1]
-		for _, m := range s.machines {
+		c, old := replacedWhileAway(t)
+		newest := c.machines[len(c.machines)-1]
+		for _, m := range c.machines {
 			if m != old && m != newest {
 				m.stop()
 			}
 		}
-		old.cut = false
-		s.runUntil(s.now + 100*time.Millisecond)
+		old.partitioned = false
+		c.RunUntil(c.Now() + 100*time.Millisecond)
 		decided := false
 		newest.step(func() {
-			newest.register.Propose(s.now, time.Second, func(current paxos.State) (paxos.State, error) { return current, nil },
+			newest.register.Propose(c.Now(), time.Second, func(current paxos.State) (paxos.State, error) { return current, nil },
 				func(_ paxos.State, err error) { decided = decided || err == nil })
 		})
-		s.runUntil(s.now + 1500*time.Millisecond)
+		c.RunUntil(c.Now() + 1500*time.Millisecond)
 		if decided {
 			t.Error("a majority was made with the vote of one that was replaced")
 		}
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -58,29 +58,29 @@
 
 // playHistory tells what failed; "": nothing.
 func playHistory(seed uint64, machines, survive int, tracing bool) (failed string) {
-	var s *simulation
+	var c *cluster
 	defer func() {
 		if x := recover(); x != nil {
 			f, ok := x.(failure)
 			if !ok {
 				panic(x)
 			}
-			failed = fmt.Sprintf("seed %d at %v: %s\n%s", seed, s.now, f, strings.Join(s.trace, "\n"))
+			failed = fmt.Sprintf("seed %d at %v: %s\n%s", seed, c.Now(), f, strings.Join(c.trace, "\n"))
 		}
 	}()
-	s = newSimulation(seed, machines, survive)
-	s.tracing = tracing
-	s.after(time.Second, s.sendOrders)
-	s.runUntil(simCatchUp + time.Duration(machines)*time.Second)
-	s.checkVoters()
+	c = newCluster(seed, machines, survive)
+	c.tracing = tracing
+	c.After(time.Second, c.sendOrders)
+	c.RunUntil(repairTime + time.Duration(machines)*time.Second)
+	c.checkVoters()
 	for range 8 {
-		s.trouble()
+		c.injectRandomFault()
 	}
-	s.returnAll()
-	s.runUntil(s.now + simCatchUp)
-	s.checkVoters()
-	s.runUntil(s.now + simInTouch + simAck)
-	s.checkTaken()
+	c.returnAll()
+	c.RunUntil(c.Now() + repairTime)
+	c.checkVoters()
+	c.RunUntil(c.Now() + contactTime + orderTimeout)
+	c.checkOrders()
 	return ""
 }
 
@@ -101,22 +101,22 @@
 }
 
 // trouble draws one that is allowed now, and what passes until the next.
-func (s *simulation) trouble() {
-	kinds := []func(){s.loseOne, s.loseOne, s.loseOne, s.loseOne, s.replacePlanned, s.restart}
-	kinds[s.rng.IntN(len(kinds))]()
-	switch s.rng.IntN(4) {
+func (c *cluster) injectRandomFault() {
+	kinds := []func(){c.loseOne, c.loseOne, c.loseOne, c.loseOne, c.replacePlanned, c.restart}
+	kinds[c.rng.IntN(len(kinds))]()
+	switch c.rng.IntN(4) {
 	case 0: // at once
 	case 1:
-		s.runUntil(s.now + s.upTo(time.Second))
+		c.RunUntil(c.Now() + c.upTo(time.Second))
 	default: // the first moment at which one more may be lost
-		s.waitUntilFewerCount()
+		c.waitUntilOneMoreMayBeLost()
 	}
 }
 
-func (s *simulation) counting() int {
+func (c *cluster) countedLosses() int {
 	n := 0
-	for _, m := range s.machines {
-		if m.counts() {
+	for _, m := range c.machines {
+		if m.countsAsLost() {
 			n++
 		}
 	}
@@ -124,138 +124,138 @@
 }
 
 // waitUntilFewerCount passes time until fewer machines count as lost than may be.
-func (s *simulation) waitUntilFewerCount() {
-	for end := s.now + time.Minute; s.counting() >= s.survive && s.now < end; {
-		s.runUntil(s.now + 10*time.Millisecond)
+func (c *cluster) waitUntilOneMoreMayBeLost() {
+	for end := c.Now() + time.Minute; c.countedLosses() >= c.maxFailures && c.Now() < end; {
+		c.RunUntil(c.Now() + 10*time.Millisecond)
 	}
-	if s.counting() == 0 && !s.anyLeaving() && s.now-s.lastLoss >= simCatchUp {
-		s.checkVoters()
+	if c.countedLosses() == 0 && !c.anyLeaving() && c.Now()-c.lastFault >= repairTime {
+		c.checkVoters()
 	}
 }
 
 // anyLeaving tells whether a machine hands over.
-func (s *simulation) anyLeaving() bool {
-	return slices.ContainsFunc(s.machines, func(m *simMachine) bool { return m.up && m.leaving })
+func (c *cluster) anyLeaving() bool {
+	return slices.ContainsFunc(c.machines, func(m *machine) bool { return m.up && m.leaving })
 }
 
 // running is a machine that is connected and does not count as lost, drawn at random; nil: there is none.
-func (s *simulation) running() *simMachine {
-	var all []*simMachine
-	for _, m := range s.machines {
-		if m.connected() && !m.leaving && !m.counts() {
+func (c *cluster) randomRunning() *machine {
+	var all []*machine
+	for _, m := range c.machines {
+		if m.connected() && !m.leaving && !m.countsAsLost() {
 			all = append(all, m)
 		}
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	return all[s.rng.IntN(len(all))]
+	return all[c.rng.IntN(len(all))]
 }
 
 // troubled notes that something happens now.
-func (s *simulation) troubled(format string, args ...any) {
-	s.lastLoss = s.now
-	s.note(format, args...)
+func (c *cluster) recordFault(format string, args ...any) {
+	c.lastFault = c.Now()
+	c.tracef(format, args...)
 }
 
 // loseOne loses a machine in one of the ways there are, and has it or its successor come back.
-func (s *simulation) loseOne() {
-	m := s.running()
-	if m == nil || s.counting() >= s.survive {
+func (c *cluster) loseOne() {
+	m := c.randomRunning()
+	if m == nil || c.countedLosses() >= c.maxFailures {
 		return
 	}
-	away := s.upTo(6 * time.Second)
-	switch s.rng.IntN(4) {
+	away := c.upTo(6 * time.Second)
+	switch c.rng.IntN(4) {
 	case 0:
-		s.troubled("%s is cut off for %v", m.name, away)
-		m.cut = true
-		s.after(away, func() {
-			m.cut = false
-			m.back()
+		c.recordFault("%s is cut off for %v", m.name, away)
+		m.partitioned = true
+		c.After(away, func() {
+			m.partitioned = false
+			m.recordReturn()
 		})
 	case 1:
-		s.troubled("%s is killed for %v", m.name, away)
+		c.recordFault("%s is killed for %v", m.name, away)
 		m.stop()
-		s.after(away, func() { m.start(); m.back() })
+		c.After(away, func() { m.start(); m.recordReturn() })
 	case 2:
-		s.troubled("%s loses its disk, for %v", m.name, away)
+		c.recordFault("%s loses its disk, for %v", m.name, away)
 		m.stop()
 		m.emptyDisk()
-		s.after(away, func() { m.start(); m.back() })
+		c.After(away, func() { m.start(); m.recordReturn() })
 	case 3:
-		s.troubled("%s is lost for good, its successor comes in %v", m.name, away)
+		c.recordFault("%s is lost for good, its successor comes in %v", m.name, away)
 		m.stop()
-		s.after(away, func() {
-			m.gone = true
-			next := s.addMachine()
+		c.After(away, func() {
+			m.removed = true
+			next := c.addMachine()
 			next.start()
-			next.back()
+			next.recordReturn()
 		})
 	}
 }
 
 // back notes that a machine is back, or new.
-func (m *simMachine) back() {
-	m.s.troubled("%s is there", m.name)
-	m.lostUntil = m.s.now + simCatchUp
+func (m *machine) recordReturn() {
+	m.cluster.recordFault("%s is there", m.name)
+	m.lostUntil = m.cluster.Now() + repairTime
 }
 
 // replacePlanned starts a machine and, once that stopped counting as lost or at any moment before, ends another one.
-func (s *simulation) replacePlanned() {
-	if s.counting() >= s.survive {
+func (c *cluster) replacePlanned() {
+	if c.countedLosses() >= c.maxFailures {
 		return
 	}
-	next := s.addMachine()
+	next := c.addMachine()
 	next.start()
-	next.back()
-	wait := simCatchUp
-	if s.rng.IntN(3) == 0 {
-		wait = time.Second + s.upTo(simCatchUp-time.Second)
+	next.recordReturn()
+	wait := repairTime
+	if c.rng.IntN(3) == 0 {
+		wait = time.Second + c.upTo(repairTime-time.Second)
 	}
-	s.runUntil(s.now + wait)
-	m := s.running()
+	c.RunUntil(c.Now() + wait)
+	m := c.randomRunning()
 	if m == nil || m == next {
 		return
 	}
-	s.troubled("%s is replaced by %s", m.name, next.name)
+	c.recordFault("%s is replaced by %s", m.name, next.name)
 	m.terminate(func() {
-		m.gone = true
-		s.troubled("%s has ended", m.name)
+		m.removed = true
+		c.recordFault("%s has ended", m.name)
 	})
-	if s.rng.IntN(2) == 0 {
-		s.runUntil(s.now + s.upTo(simHandOver))
+	if c.rng.IntN(2) == 0 {
+		c.RunUntil(c.Now() + c.upTo(leaveTimeout))
 	}
 }
 
 // restart is SIGTERM to a machine that comes back at once.
-func (s *simulation) restart() {
-	m := s.running()
-	if m == nil || s.counting() >= s.survive {
+func (c *cluster) restart() {
+	m := c.randomRunning()
+	if m == nil || c.countedLosses() >= c.maxFailures {
 		return
 	}
-	s.troubled("%s is restarted", m.name)
-	m.lostUntil = s.now + time.Hour
-	away := s.upTo(time.Second)
-	m.terminate(func() { s.after(away, func() { m.start(); m.back() }) })
+	c.recordFault("%s is restarted", m.name)
+	m.lostUntil = c.Now() + time.Hour
+	away := c.upTo(time.Second)
+	m.terminate(func() { c.After(away, func() { m.start(); m.recordReturn() }) })
 }
 
 // returnAll waits until nothing counts as lost but what is new.
-func (s *simulation) returnAll() {
-	for end := s.now + time.Minute; s.now < end; s.runUntil(s.now + 10*time.Millisecond) {
-		away := slices.ContainsFunc(s.machines, func(m *simMachine) bool { return !m.gone && (!m.connected() || m.leaving) })
+func (c *cluster) returnAll() {
+	for end := c.Now() + time.Minute; c.Now() < end; c.RunUntil(c.Now() + 10*time.Millisecond) {
+		away := slices.ContainsFunc(c.machines, func(m *machine) bool { return !m.removed && (!m.connected() || m.leaving) })
 		if !away {
 			return
 		}
 	}
-	s.fail("a machine stays away")
+	c.failf("a machine stays away")
 }
 
 // checkVoters checks that the voters are all machines that are there, and no others.
-func (s *simulation) checkVoters() {
-	var newest *simMachine
+func (c *cluster) checkVoters() {
+	var newest *machine
 	wanted := 0
-	for _, m := range s.machines {
-		if m.gone || m.leaving {
+	for _, m := range c.machines {
+		if m.removed || m.leaving {
 			continue
 		}
 		wanted++
@@ -266,11 +266,11 @@
 	state := newest.state
 	connected := 0
 	for _, voter := range state.Voters {
-		if slices.ContainsFunc(s.machines, func(m *simMachine) bool { return m.connected() && m.id == voter.ID }) {
+		if slices.ContainsFunc(c.machines, func(m *machine) bool { return m.connected() && m.id == voter.ID }) {
 			connected++
 		}
 	}
 	if connected != len(state.Voters) || connected != min(wanted, 9) {
-		s.fail("%d of %d voters are connected, and %d machines are there: %v", connected, len(state.Voters), wanted, state.Voters)
+		c.failf("%d of %d voters are connected, and %d machines are there: %v", connected, len(state.Voters), wanted, state.Voters)
 	}
 }
--- a/internal/consensus/reconfigure/observer.go
+++ b/internal/consensus/reconfigure/observer.go
@@ -7,148 +7,155 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// Report is what a keeper with a disk tells the others of itself.
+// CatchUpLag is how far a keeper may be behind and still count as caught up. What it has stored is known by reports, so
+// with many changes a second it would never be reported to have the newest state. It is sent that by the change that
+// makes it a voter, which ends only when a majority of the new voters has it.
+const CatchUpLag = time.Second
+
+// Report is what a keeper with a disk reports of itself.
 type Report struct {
 	Keeper paxos.Voter
-	// Heard are the identities of the keepers to which it is connected.
-	Heard []uint64
-	// Stored is the newest slot of the register that it has stored, plus one; 0: none.
-	Stored  uint64
+	// Connected are the identities of the keepers to which it is connected.
+	Connected []uint64
+	// NextSlot is the slot after the newest one of the register that it has stored; 0: it has stored none.
+	NextSlot uint64
+	// Leaving says that it is shutting down.
 	Leaving bool
 }
 
-// Observer follows which voters of one register the others hear. Each keeper has one, so that whoever takes over the
-// decision on changes knows already for how long a voter has not been heard.
+// Observer follows which voters of one register the others can reach. Each keeper has one, so that whichever takes over
+// the decision on changes knows already for how long a voter has been unreachable. Times are on the steady clock of the
+// keeper's incarnation.
 type Observer struct {
-	unheardSince map[uint64]time.Duration
-	slots        []slotAt // the newest slots that were known, oldest first; the first is CatchUpLag old, or the first known
-	// absentSince is, for each keeper that reports and is no voter, the first slot that was known by which it is none.
-	absentSince map[uint64]uint64
+	unreachableSince map[uint64]time.Duration
+	// knownSlots are the newest slots that were known, oldest first; the first is CatchUpLag old, or the first known.
+	knownSlots []knownSlot
+	// nonVoterSince is, for each keeper that reports and is no voter, the first slot that was known by which it is
+	// none.
+	nonVoterSince map[uint64]uint64
 }
 
-// slotAt is the newest slot that was known at a time.
-type slotAt struct {
+// knownSlot is the newest slot that was known at a time.
+type knownSlot struct {
 	at   time.Duration
 	slot uint64
 }
 
-// CatchUpLag is how far a keeper may be behind and still count as caught up. What it has stored is told by reports, so
-// with many changes a second it would never be reported to have the newest. It is sent that by the change that makes it
-// a voter, which is done only when a majority of the new voters has it.
-const CatchUpLag = time.Second
-
-// contact says whether a majority of the voters hears one of them, itself included, and whether a majority reports not
-// to hear it. Neither may be so, where reports are missing.
-type contact struct{ heard, unheard bool }
+// reachability says whether a majority of the voters is connected to one of them, itself included, and whether a
+// majority reports not to be. Neither may be so, where reports are missing.
+type reachability struct{ reachable, unreachable bool }
 
 // Observe takes in the newest reports of the keepers that are connected, the own one included.
 func (o *Observer) Observe(now time.Duration, state paxos.State, reports []Report) {
-	o.observeSlot(now, state.Slot)
-	o.observeAbsent(state, reports)
-	unheardSince := map[uint64]time.Duration{}
-	for id, c := range contacts(state.Voters, reports) {
-		if !c.unheard {
+	o.recordSlot(now, state.Slot)
+	o.recordNonVoters(state, reports)
+	unreachableSince := map[uint64]time.Duration{}
+	for id, reported := range reachabilities(state.Voters, reports) {
+		if !reported.unreachable {
 			continue
 		}
-		unheardSince[id] = now
-		if since, before := o.unheardSince[id]; before {
-			unheardSince[id] = since
+		unreachableSince[id] = now
+		if since, before := o.unreachableSince[id]; before {
+			unreachableSince[id] = since
+		}
+	}
+	o.unreachableSince = unreachableSince
+}
+
+// Situation is what is known for a decision on the voters of a state.
+func (o *Observer) Situation(now time.Duration, state paxos.State, reports []Report, limits Limits) Situation {
+	s := Situation{Limits: limits}
+	reported := reachabilities(state.Voters, reports)
+	for _, voter := range state.Voters {
+		v := Voter{Voter: voter, Reachable: reported[voter.ID].reachable}
+		if since, observed := o.unreachableSince[voter.ID]; observed && reported[voter.ID].unreachable {
+			v.UnreachableFor = now - since
+		}
+		s.Voters = append(s.Voters, v)
+	}
+	for _, report := range reports {
+		caughtUp := report.NextSlot > o.requiredSlot(state.Slot)
+		if !state.HasVoter(report.Keeper.ID) {
+			caughtUp = caughtUp && o.storedAsNonVoter(state, report)
 		}
+		s.Keepers = append(s.Keepers, Keeper{Voter: report.Keeper, CaughtUp: caughtUp, Leaving: report.Leaving})
 	}
-	o.unheardSince = unheardSince
+	return s
 }
 
-// observeSlot notes the newest slot that is known.
-func (o *Observer) observeSlot(now time.Duration, slot uint64) {
-	o.slots = append(o.slots, slotAt{now, slot})
-	for len(o.slots) > 1 && now-o.slots[1].at >= CatchUpLag {
-		o.slots = o.slots[1:]
+// recordSlot notes the newest slot that is known.
+func (o *Observer) recordSlot(now time.Duration, slot uint64) {
+	o.knownSlots = append(o.knownSlots, knownSlot{now, slot})
+	for len(o.knownSlots) > 1 && now-o.knownSlots[1].at >= CatchUpLag {
+		o.knownSlots = o.knownSlots[1:]
 	}
 }
 
-// observeAbsent notes which keepers are no voters, and from which slot on.
-func (o *Observer) observeAbsent(state paxos.State, reports []Report) {
-	absentSince := map[uint64]uint64{}
+// recordNonVoters notes which keepers are no voters, and from which slot on.
+func (o *Observer) recordNonVoters(state paxos.State, reports []Report) {
+	nonVoterSince := map[uint64]uint64{}
 	for _, report := range reports {
 		id := report.Keeper.ID
-		if state.Has(id) {
+		if state.HasVoter(id) {
 			continue
 		}
-		absentSince[id] = state.Slot
-		if since, before := o.absentSince[id]; before {
-			absentSince[id] = since
+		nonVoterSince[id] = state.Slot
+		if since, before := o.nonVoterSince[id]; before {
+			nonVoterSince[id] = since
 		}
 	}
-	o.absentSince = absentSince
+	o.nonVoterSince = nonVoterSince
 }
 
-// knowsOfAbsence tells whether a keeper that is no voter made its report after it had stored that. A report from before
-// may not say yet that the keeper leaves, for which it was removed: such a keeper must not become a voter again.
-func (o *Observer) knowsOfAbsence(state paxos.State, report Report) bool {
-	since, observed := o.absentSince[report.Keeper.ID]
+// storedAsNonVoter tells whether a keeper that is no voter made its report after it had stored a state by which it is
+// none. An earlier report may not say yet that the keeper leaves, for which it was removed: such a keeper must not
+// become a voter again.
+func (o *Observer) storedAsNonVoter(state paxos.State, report Report) bool {
+	since, observed := o.nonVoterSince[report.Keeper.ID]
 	if !observed {
 		since = state.Slot
 	}
-	return report.Stored > since
+	return report.NextSlot > since
 }
 
-// mustHave is the slot that a keeper must have stored to count as caught up.
-func (o *Observer) mustHave(newest uint64) uint64 {
-	if len(o.slots) == 0 {
+// requiredSlot is the slot that a keeper must have stored to count as caught up.
+func (o *Observer) requiredSlot(newest uint64) uint64 {
+	if len(o.knownSlots) == 0 {
 		return newest
 	}
-	return o.slots[0].slot
-}
-
-// Situation is what is known for a decision on the voters of a state.
-func (o *Observer) Situation(now time.Duration, state paxos.State, reports []Report, limits Limits) Situation {
-	s := Situation{Limits: limits}
-	known := contacts(state.Voters, reports)
-	for _, voter := range state.Voters {
-		v := Voter{Voter: voter, Heard: known[voter.ID].heard}
-		if since, unheard := o.unheardSince[voter.ID]; unheard && known[voter.ID].unheard {
-			v.UnheardFor = now - since
-		}
-		s.Voters = append(s.Voters, v)
-	}
-	for _, report := range reports {
-		caughtUp := report.Stored > o.mustHave(state.Slot)
-		if !state.Has(report.Keeper.ID) {
-			caughtUp = caughtUp && o.knowsOfAbsence(state, report)
-		}
-		s.Keepers = append(s.Keepers, Keeper{Voter: report.Keeper, CaughtUp: caughtUp, Leaving: report.Leaving})
-	}
-	return s
+	return o.knownSlots[0].slot
 }
 
-func contacts(voters []paxos.Voter, reports []Report) map[uint64]contact {
-	var byVoters []Report // by keepers that are no voters nothing is decided
+// reachabilities are those of all voters, by identity. Only reports of voters count.
+func reachabilities(voters []paxos.Voter, reports []Report) map[uint64]reachability {
+	var byVoters []Report
 	for _, report := range reports {
 		if slices.ContainsFunc(voters, func(v paxos.Voter) bool { return v.ID == report.Keeper.ID }) {
 			byVoters = append(byVoters, report)
 		}
 	}
-	all := map[uint64]contact{}
+	all := map[uint64]reachability{}
 	for _, voter := range voters {
-		all[voter.ID] = contactOf(voter.ID, len(voters), byVoters)
+		all[voter.ID] = reachabilityOf(voter.ID, len(voters), byVoters)
 	}
 	return all
 }
 
-func contactOf(id uint64, voters int, reports []Report) contact {
-	hearing, notHearing, runs := 0, 0, false
+func reachabilityOf(id uint64, voters int, reports []Report) reachability {
+	connected, disconnected, runs := 0, 0, false
 	for _, report := range reports {
 		switch {
 		case report.Keeper.ID == id:
 			runs = true
-		case slices.Contains(report.Heard, id):
-			hearing++
+		case slices.Contains(report.Connected, id):
+			connected++
 		default:
-			notHearing++
+			disconnected++
 		}
 	}
-	if runs || hearing > 0 {
-		hearing++ // itself
+	if runs || connected > 0 {
+		connected++ // to itself
 	}
-	return contact{heard: hearing >= Majority(voters), unheard: notHearing >= Majority(voters)}
+	quorum := paxos.QuorumSize(voters)
+	return reachability{reachable: connected >= quorum, unreachable: disconnected >= quorum}
 }
--- a/internal/consensus/reconfigure/observer_test.go
+++ b/internal/consensus/reconfigure/observer_test.go
@@ -14,9 +14,9 @@
 	var reports []Report
 	for _, field := range strings.Fields(text) {
 		who, whom, _ := strings.Cut(field, ":")
-		report := Report{Keeper: paxos.Voter{ID: uint64(who[0] - '0'), Name: who, Addr: who}, Stored: 1}
+		report := Report{Keeper: paxos.Voter{ID: uint64(who[0] - '0'), Name: who, Addr: who}, NextSlot: 1}
 		for _, heard := range whom {
-			report.Heard = append(report.Heard, uint64(heard-'0'))
+			report.Connected = append(report.Connected, uint64(heard-'0'))
 		}
 		reports = append(reports, report)
 	}
@@ -33,7 +33,7 @@
 }
 
 // No voter is unheard by the word of one, nor by that of keepers that do not vote.
-func TestContacts(t *testing.T) {
+func TestReachability(t *testing.T) {
 	for _, c := range []struct {
 		what    string
 		voters  int
@@ -53,14 +53,14 @@
 		{"alone", 1, "1:1", "heard"},
 	} {
 		var got []string
-		all := contacts(numbered(c.voters), reportsOf(c.reports))
+		all := reachabilities(numbered(c.voters), reportsOf(c.reports))
 		for _, voter := range numbered(c.voters) {
 			switch {
-			case all[voter.ID].heard && all[voter.ID].unheard:
+			case all[voter.ID].reachable && all[voter.ID].unreachable:
 				got = append(got, "both")
-			case all[voter.ID].heard:
+			case all[voter.ID].reachable:
 				got = append(got, "heard")
-			case all[voter.ID].unheard:
+			case all[voter.ID].unreachable:
 				got = append(got, "unheard")
 			default:
 				got = append(got, "unknown")
@@ -73,13 +73,13 @@
 }
 
 // The time counts from the first report of a majority, and starts anew when the voter is heard in between.
-func TestUnheardFor(t *testing.T) {
+func TestUnreachableFor(t *testing.T) {
 	state := paxos.State{Voters: numbered(3)}
 	cut, whole := reportsOf("1:12 2:12"), reportsOf("1:123 2:123 3:123")
 	var o Observer
 	unheardFor := func(now time.Duration, reports []Report) time.Duration {
 		o.Observe(now, state, reports)
-		return o.Situation(now, state, reports, Limits{}).Voters[2].UnheardFor
+		return o.Situation(now, state, reports, Limits{}).Voters[2].UnreachableFor
 	}
 	for _, step := range []struct {
 		at      time.Duration
@@ -115,7 +115,7 @@
 	} {
 		var o Observer
 		reports := reportsOf("7:")
-		reports[0].Stored = c.stored
+		reports[0].NextSlot = c.stored
 		var state paxos.State
 		var now time.Duration
 		for _, seen := range c.slots {
@@ -133,13 +133,13 @@
 func TestRemovedKeeperIsNoCandidateByAnOlderReport(t *testing.T) {
 	with := paxos.State{Slot: 77, Voters: numbered(4)}
 	without := paxos.State{Slot: 78, Voters: numbered(3)}
-	limits := Limits{Survive: 1, MostVoters: 9, GiveUpAfter: time.Second}
+	limits := Limits{MaxFailures: 1, MaxVoters: 9, UnresponsiveTimeout: time.Second}
 	older := reportsOf("1:1234 2:1234 3:1234 4:1234")
 	for i := range older {
-		older[i].Stored = with.Slot + 1
+		older[i].NextSlot = with.Slot + 1
 	}
 	stored := append([]Report(nil), older...)
-	stored[3].Stored = without.Slot + 1
+	stored[3].NextSlot = without.Slot + 1
 	leaves := append([]Report(nil), stored...)
 	leaves[3].Leaving = true
 	for _, c := range []struct {
@@ -159,7 +159,7 @@
 		for i, state := range c.observed {
 			o.Observe(time.Duration(i), state, older)
 		}
-		change, found := Next(o.Situation(time.Duration(len(c.observed)), without, c.reports, limits))
+		change, found := NextChange(o.Situation(time.Duration(len(c.observed)), without, c.reports, limits))
 		if found != c.added {
 			t.Errorf("%s: %v, %v", c.what, change, found)
 		}
--- a/internal/consensus/reconfigure/reconfigure_test.go
+++ b/internal/consensus/reconfigure/reconfigure_test.go
@@ -10,20 +10,20 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-const testGiveUp = 2500 * time.Millisecond
+const testUnresponsiveTimeout = 2500 * time.Millisecond
 
 // parse reads voters and keepers, such as "1a 2b! 3c?9" and "1a 4d 5e~": ! is a voter that a majority does not hear,
 // ?9 one that it has not heard for 9 seconds, ~ a keeper that lacks the newest state, - one that is leaving, @ one at
 // another address.
 func parse(voters, keepers string) Situation {
-	s := Situation{Limits: Limits{1, 9, testGiveUp}}
+	s := Situation{Limits: Limits{1, 9, testUnresponsiveTimeout}}
 	identity := func(text string) paxos.Voter {
 		return paxos.Voter{ID: uint64(text[0] - '0'), Name: text[1:2], Addr: strings.ToUpper(text[1:2])}
 	}
 	for _, text := range strings.Fields(voters) {
-		voter := Voter{Voter: identity(text), Heard: len(text) == 2}
+		voter := Voter{Voter: identity(text), Reachable: len(text) == 2}
 		if _, seconds, found := strings.Cut(text, "?"); found {
-			voter.UnheardFor, _ = time.ParseDuration(seconds + "s")
+			voter.UnreachableFor, _ = time.ParseDuration(seconds + "s")
 		}
 		s.Voters = append(s.Voters, voter)
 	}
@@ -53,7 +53,7 @@
 	return strings.Join(names, " ")
 }
 
-func TestNext(t *testing.T) {
+func TestNextChange(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		voters, keepers string
@@ -91,9 +91,9 @@
 		{"leaving goes before giving up", "1a 2b 3c?9", "1a- 2b 4d", 1, 9, "leaving: 4d 2b 3c"},
 	} {
 		s := parse(c.voters, c.keepers)
-		s.Survive, s.MostVoters = c.survive, c.most
+		s.MaxFailures, s.MaxVoters = c.survive, c.most
 		got := ""
-		if change, found := Next(s); found {
+		if change, found := NextChange(s); found {
 			next, applied := change.Apply(s.state(), s.state().Voters)
 			if !applied {
 				t.Errorf("%s: the change does not apply", c.name)
@@ -109,7 +109,7 @@
 // A change that was decided for other voters than those of the newest state is not made.
 func TestApplyComparesVoters(t *testing.T) {
 	s := parse("1a 2b 3c", "1a 2b 3c 4d")
-	change, found := Next(s)
+	change, found := NextChange(s)
 	if !found {
 		t.Fatal("no change")
 	}
@@ -119,10 +119,10 @@
 	}
 }
 
-func TestGiveUpAfter(t *testing.T) {
+func TestUnresponsiveTimeout(t *testing.T) {
 	for catchUp, want := range map[time.Duration]time.Duration{5 * time.Second: 2500 * time.Millisecond, 5100 * time.Millisecond: 2550 * time.Millisecond,
 		time.Second: 1500 * time.Millisecond} {
-		if got := GiveUpAfter(catchUp); got != want {
+		if got := UnresponsiveTimeout(catchUp); got != want {
 			t.Errorf("%v: %v, not %v", catchUp, got, want)
 		}
 	}
@@ -131,19 +131,19 @@
 // Whatever the situation is, a change adds one voter at most and removes one at most, leaves a majority that is heard,
 // and never removes a voter below those that are needed.
 func TestEveryChangeIsSmall(t *testing.T) {
-	kinds := []Voter{{Heard: true}, {}, {UnheardFor: time.Second}, {UnheardFor: 9 * time.Second}}
+	kinds := []Voter{{Reachable: true}, {}, {UnreachableFor: time.Second}, {UnreachableFor: 9 * time.Second}}
 	situations := 0
 	for voters := 1; voters <= 5; voters++ {
 		for drawn := range pow(len(kinds), voters) {
 			for flags := range 1 << (voters + 4) {
-				s := Situation{Limits: Limits{1 + flags>>(voters+3)&1, 5, testGiveUp}}
+				s := Situation{Limits: Limits{1 + flags>>(voters+3)&1, 5, testUnresponsiveTimeout}}
 				rest := drawn
 				for i := range voters {
 					voter := kinds[rest%len(kinds)]
 					rest /= len(kinds)
 					voter.Voter = paxos.Voter{ID: uint64(i + 1), Name: fmt.Sprint("n", i), Addr: fmt.Sprint("a", i)}
 					s.Voters = append(s.Voters, voter)
-					if voter.Heard {
+					if voter.Reachable {
 						s.Keepers = append(s.Keepers, Keeper{Voter: voter.Voter, CaughtUp: true, Leaving: flags>>i&1 == 1})
 					}
 				}
@@ -171,7 +171,7 @@
 
 func checkChange(t *testing.T, s Situation) {
 	t.Helper()
-	change, found := Next(s)
+	change, found := NextChange(s)
 	if !found {
 		return
 	}
@@ -182,7 +182,7 @@
 	}
 	heard, joined, left := 0, 0, 0
 	for _, voter := range after.Voters {
-		if !before.Has(voter.ID) {
+		if !before.HasVoter(voter.ID) {
 			joined++
 			i := slices.IndexFunc(s.Keepers, func(k Keeper) bool { return k.ID == voter.ID })
 			if i < 0 || !s.Keepers[i].CaughtUp {
@@ -193,16 +193,16 @@
 	}
 	for _, voter := range s.Voters {
 		switch {
-		case !after.Has(voter.ID):
+		case !after.HasVoter(voter.ID):
 			left++
-		case voter.Heard:
+		case voter.Reachable:
 			heard++
 		}
 	}
-	if joined > 1 || left > 1 || heard < Majority(len(after.Voters)) {
+	if joined > 1 || left > 1 || heard < paxos.QuorumSize(len(after.Voters)) {
 		t.Fatalf("%+v: %d joined, %d left, %d of %d are heard", s, joined, left, heard, len(after.Voters))
 	}
-	if left > joined && len(after.Voters) < 2*s.Survive+1 {
+	if left > joined && len(after.Voters) < 2*s.MaxFailures+1 {
 		t.Fatalf("%+v: %d voters are left", s, len(after.Voters))
 	}
 }
--- a/internal/control/keeper/attached_processes.go
+++ b/internal/control/keeper/attached_processes.go
@@ -59,7 +59,7 @@
 	w := link.Writer{}
 	k.self.Append(&w)
 	w.Bool(k.registers.id != 0)
-	w.Bool(k.contact.Holds(k.sinceStart(time.Now())))
+	w.Bool(k.contact.InContact(k.sinceStart(time.Now())))
 	return w.B
 }
 
--- a/internal/control/keeper/bounded_operation.go
+++ b/internal/control/keeper/bounded_operation.go
@@ -53,9 +53,9 @@
 	if done == nil {
 		return
 	}
-	err := paxos.ErrNoMajority.New("register %s, this keeper's disk does not answer", register)
+	err := paxos.ErrNoQuorum.New("register %s, this keeper's disk does not answer", register)
 	if started {
-		err = paxos.ErrTimeout.New("register %s, this keeper's disk does not answer", register)
+		err = paxos.ErrOutcomeUnknown.New("register %s, this keeper's disk does not answer", register)
 	}
 	done(paxos.State{}, err)
 }
--- a/internal/control/keeper/certificate_reads.go
+++ b/internal/control/keeper/certificate_reads.go
@@ -45,7 +45,7 @@
 			k.pushAll()
 		}
 	}
-	for _, m := range k.certificateReads.Done() {
+	for _, m := range k.certificateReads.End() {
 		k.answerConfirm(m, err == nil)
 	}
 	k.confirmCertificates()
@@ -55,7 +55,7 @@
 // them, as there is no contact or it has yet to acknowledge too much, must not take the answer for those it has.
 func (k *Keeper) answerConfirm(m *link.Message, read bool) {
 	process := k.attached[m.Conn]
-	if !read || process == nil || !k.contact.MayHandOut(k.sinceStart(time.Now()), m.Conn) ||
+	if !read || process == nil || !k.contact.MayPush(k.sinceStart(time.Now()), m.Conn) ||
 		process.certificatesVersion < k.certificates.version {
 		m.Fail("no majority confirms the certificates")
 		return
--- a/internal/control/keeper/contact.go
+++ b/internal/control/keeper/contact.go
@@ -26,12 +26,12 @@
 // stepContact probes the majority where that is due, reports a change of contact, and sets the timer for the next step.
 func (k *Keeper) stepContact() {
 	now := k.sinceStart(time.Now())
-	if k.contact.Due(now) {
+	if k.contact.CheckDue(now) {
 		k.probeMajority(now)
 	}
 	k.beginAttachRead(now)
-	k.contactUntil.Store(int64(k.contact.Until()))
-	if holds := k.contact.Holds(now); holds != k.reportedContact {
+	k.contactUntil.Store(int64(k.contact.ContactUntil()))
+	if holds := k.contact.InContact(now); holds != k.reportedContact {
 		k.reportedContact = holds
 		k.contactChanged(now)
 	}
@@ -40,7 +40,7 @@
 
 // setContactTimer sets the timer for steps that can't wait for the next tick.
 func (k *Keeper) setContactTimer(now time.Duration) {
-	at, needed := k.contact.Next(now)
+	at, needed := k.contact.NextDeadline(now)
 	delay := at - now
 	if readDelay, waits := k.contact.ReadDelay(now); waits && (!needed || readDelay < delay) {
 		delay, needed = readDelay, true
@@ -66,13 +66,13 @@
 
 // probeMajority checks contact by a linearizable read of the configuration's register.
 func (k *Keeper) probeMajority(askedAt time.Duration) {
-	k.contact.Asked(askedAt)
+	k.contact.CheckStarted(askedAt)
 	k.registers.read(configRegister, contactReadTimeout, func(s paxos.State, err error) {
 		k.post(func() {
 			if err == nil {
 				k.applyDecided(configRegister, s)
 			}
-			k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil)
+			k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil)
 		})
 	})
 }
@@ -104,7 +104,7 @@
 				}
 				allRead = allRead && err == nil
 				if pending--; pending == 0 {
-					k.contact.ReadDone(allRead)
+					k.contact.EndRead(allRead)
 					k.pushNeeded = true
 				}
 			})
@@ -115,6 +115,6 @@
 // encodeContact encodes the answer to an InContact call: whether this keeper is in contact with a majority.
 func (k *Keeper) encodeContact() []byte {
 	w := link.Writer{}
-	w.Bool(k.contact.Holds(k.sinceStart(time.Now())))
+	w.Bool(k.contact.InContact(k.sinceStart(time.Now())))
 	return w.B
 }
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -167,14 +167,14 @@
 	answers := make(chan error, 2)
 	done := func(_ paxos.State, err error) { answers <- err }
 	waiting := newBoundedOperation("r", time.Nanosecond, done)
-	if err := get(t, answers, "the answer"); !paxos.ErrNoMajority.Has(err) || waiting.start() {
+	if err := get(t, answers, "the answer"); !paxos.ErrNoQuorum.Has(err) || waiting.start() {
 		t.Errorf("%v, and it may still be started", err)
 	}
 	started := newBoundedOperation("r", 50*time.Millisecond, done)
 	if !started.start() {
 		t.Error("not started")
 	}
-	if err := get(t, answers, "the answer"); !paxos.ErrTimeout.Has(err) {
+	if err := get(t, answers, "the answer"); !paxos.ErrOutcomeUnknown.Has(err) {
 		t.Error(err)
 	}
 	started.finish(paxos.State{}, nil)
--- a/internal/control/keeper/endpoints.go
+++ b/internal/control/keeper/endpoints.go
@@ -167,7 +167,7 @@
 	changed := change.apply(at) || k.endpoints.LastChange() != revision
 	result := changeResult{
 		heartbeatTarget: k.heartbeatTarget(change.zone),
-		noContact:       !k.contact.Holds(at),
+		noContact:       !k.contact.InContact(at),
 	}
 	if _, listed := k.endpoints.Get(at, change.id); !listed && !change.ends {
 		return changeResult{listFull: true}
--- a/internal/control/keeper/every_order_test.go
+++ b/internal/control/keeper/every_order_test.go
@@ -76,7 +76,7 @@
 
 func (w *smallWorld) start(i int) {
 	w.lives++
-	register, err := paxos.New(paxos.Options{Name: configRegister, ID: uint64(i + 1), Proposer: w.lives, Rand: func() float64 { return float64(i) / smallVoters },
+	register, err := paxos.New(paxos.Options{Name: configRegister, ID: uint64(i + 1), ProposerID: w.lives, Rand: func() float64 { return float64(i) / smallVoters },
 		Save: func(payload []byte) error { w.disks[i] = append(w.disks[i], payload); return nil },
 		Send: func(to paxos.Voter, body []byte) {
 			w.wire = append(w.wire, smallMessage{i, int(to.ID) - 1, body})
@@ -146,7 +146,7 @@
 func (w *smallWorld) tick() {
 	next := paxos.Never
 	for _, r := range w.registers {
-		next = min(next, r.Next())
+		next = min(next, r.NextTick())
 	}
 	w.now = max(w.now, next)
 	for _, r := range w.registers {
--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -39,9 +39,9 @@
 	now := k.sinceStart(time.Now()) + time.Hour // it lasts for the test
 	k.contact.Confirmed(now, now)
 	if k.contact.BeginRead(now) {
-		k.contact.ReadDone(true)
+		k.contact.EndRead(true)
 	}
-	if !k.contact.Holds(k.sinceStart(time.Now())) {
+	if !k.contact.InContact(k.sinceStart(time.Now())) {
 		t.Fatal("no contact")
 	}
 }
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -21,6 +21,7 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/consensus/paxos"
+	"dunetide/internal/consensus/singleton"
 	"dunetide/internal/control/certification"
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/registry"
@@ -122,7 +123,7 @@
 	k.peerLinks[conns[0]] = &peerLink{peer: p, incarnation: goldenPeer.Life, dialed: true}
 	k.connectionsChanged()
 	confirmContact(t, k)
-	k.contactUntil.Store(int64(k.contact.Until()))
+	k.contactUntil.Store(int64(k.contact.ContactUntil()))
 	return k, far
 }
 
@@ -458,8 +459,8 @@
 	}
 	k.registers.mu.Unlock()
 	now := k.sinceStart(time.Now())
-	if ask, _, round := k.assigner.lease.Step(now, 1); ask {
-		k.assigner.lease.Granted(now, round, "x")
+	if action, round := k.assigner.lease.Step(now, 1); action == singleton.ActionRequest {
+		k.assigner.lease.RecordGrant(now, round, "x")
 	}
 	k.attached[nil] = &attachedProcess{node: goldenProxy, pushedNumber: 130, ackedNumber: 3, pushMarks: []pushMark{{number: 2, configVersion: 126, certificatesVersion: 128}}}
 	k.endpoints.Merge(now, []registry.Entry{{Endpoint: goldenEntry.Endpoint, HeartbeatCount: 19}})
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -76,7 +76,7 @@
 	partitions    *snapshot.PartitionTable // the newest decided one known here; nil: none yet
 	newestDecided map[string]*versionWatermark
 	// certificateReads collect the Confirm calls that one read of the certificates answers.
-	certificateReads *quorum.Barrier[*link.Message]
+	certificateReads *quorum.ReadBarrier[*link.Message]
 
 	contact         *quorum.Gate[*link.Conn]
 	contactTimer    *time.Timer
@@ -89,7 +89,7 @@
 	pushedListRevision uint64 // the endpoint list's revision, as of the last push
 	waiters            []*ackWaiter
 
-	leaseGrants     *singleton.Grants // granted to keepers by this voter
+	leaseGrants     *singleton.Granter // granted to keepers by this voter
 	assigner        partitionAssigner
 	voterManager    voterManager
 	shuttingDown    bool                       // it refuses attachments and transfers its votes
@@ -131,10 +131,10 @@
 		config:           &document{},
 		certificates:     &document{},
 		newestDecided:    map[string]*versionWatermark{configRegister: {}, certificatesRegister: {}},
-		certificateReads: quorum.NewBarrier[*link.Message](confirmInterval),
+		certificateReads: quorum.NewReadBarrier[*link.Message](confirmInterval),
 		contact:          quorum.NewGate[*link.Conn](),
 		contactTimer:     time.NewTimer(0),
-		leaseGrants:      singleton.NewGrants(0),
+		leaseGrants:      singleton.NewGranter(0),
 		assigner:         newPartitionAssigner(),
 		voterManager:     newVoterManager(),
 		conditions:       conditionTable{},
--- a/internal/control/keeper/lease_test.go
+++ b/internal/control/keeper/lease_test.go
@@ -24,7 +24,7 @@
 	if !k.grantLease(now, "duty", "k2", other) {
 		t.Error("refused in contact")
 	}
-	if later := now.Add(quorum.Length); k.grantLease(later, "duty", "k2", other) {
+	if later := now.Add(quorum.ContactTimeout); k.grantLease(later, "duty", "k2", other) {
 		t.Error("granted after contact has ended")
 	}
 }
--- a/internal/control/keeper/leases.go
+++ b/internal/control/keeper/leases.go
@@ -54,7 +54,7 @@
 // grantLease grants a lease to another keeper if this one may, and nobody else has it.
 func (k *Keeper) grantLease(now time.Time, role, holder string, holderID uint64) bool {
 	at := k.sinceStart(now)
-	return k.contact.Holds(at) && k.mayGrant(now, holderID) && k.leaseGrants.Ask(at, role, holder)
+	return k.contact.InContact(at) && k.mayGrant(now, holderID) && k.leaseGrants.Grant(at, role, holder)
 }
 
 // mayGrant reports whether this keeper may grant a lease to another, or to itself: both vote on the configuration by
@@ -84,12 +84,12 @@
 	if k.shuttingDown || !voters[k.registers.id] {
 		return
 	}
-	request, release, round := lease.Step(k.sinceStart(now), len(voters))
-	switch {
-	case release:
-		k.releaseGrants(role)
-	case request:
+	switch action, round := lease.Step(k.sinceStart(now), len(voters)); action {
+	case singleton.ActionRequest:
 		k.requestGrants(now, role, lease, round, voters)
+	case singleton.ActionRelease:
+		k.releaseGrants(role)
+	case singleton.ActionNone:
 	}
 }
 
@@ -101,14 +101,14 @@
 	answered := func(voter uint64, granted bool) {
 		at, key := k.sinceStart(time.Now()), strconv.FormatUint(voter, 16)
 		if granted {
-			lease.Granted(at, round, key)
-		} else if lease.Refused(at, round, key) {
+			lease.RecordGrant(at, round, key)
+		} else if lease.RecordRefusal(at, round, key) {
 			k.releaseGrants(role)
 		}
 	}
 	self := k.registers.id
 	requested := map[uint64]bool{self: true}
-	answered(self, k.mayGrant(now, self) && k.leaseGrants.Ask(k.sinceStart(now), role, k.self.Name))
+	answered(self, k.mayGrant(now, self) && k.leaseGrants.Grant(k.sinceStart(now), role, k.self.Name))
 	body := leaseMessage{role: role, candidate: k.self.Name}.encode()
 	for _, p := range k.peers {
 		voter := p.node.ID
--- a/internal/control/keeper/log_test.go
+++ b/internal/control/keeper/log_test.go
@@ -80,7 +80,7 @@
 	return value
 }
 
-func (l *lone) ended() bool { return l.a.byName[configRegister].Failed() != nil }
+func (l *lone) ended() bool { return l.a.byName[configRegister].FatalError() != nil }
 
 // numbered is a value of some bytes that tells which change it is.
 func numbered(n, size int) []byte {
@@ -252,7 +252,7 @@
 			}
 		}
 		if l.ended() {
-			t.Fatalf("room for %d: it ended: %v", room, l.a.byName[configRegister].Failed())
+			t.Fatalf("room for %d: it ended: %v", room, l.a.byName[configRegister].FatalError())
 		}
 		if again := mustOpen(t, disk.Copy()); bytes.Compare(again.value(configRegister)[:20], numbered(acknowledged, 20)) < 0 {
 			t.Fatalf("room for %d: change %d was acknowledged, and %.20q is there", room, acknowledged, again.value(configRegister))
--- a/internal/control/keeper/metrics.go
+++ b/internal/control/keeper/metrics.go
@@ -35,7 +35,7 @@
 const callsMetric = "dunetide_keeper_calls_total"
 
 func (k *Keeper) updateGauges(now time.Time) {
-	gauges.inContact.Set(telemetry.Bool(k.contact.Holds(k.sinceStart(now))))
+	gauges.inContact.Set(telemetry.Bool(k.contact.InContact(k.sinceStart(now))))
 	gauges.config.Set(float64(k.config.version))
 	gauges.certificates.Set(float64(k.certificates.version))
 	if k.partitions != nil {
--- a/internal/control/keeper/model_test.go
+++ b/internal/control/keeper/model_test.go
@@ -115,7 +115,7 @@
 	c := m.cluster
 	m.up, m.life = true, m.life+1
 	var err error
-	m.register, err = paxos.New(paxos.Options{Name: configRegister, ID: m.id, Proposer: c.rng.Uint64() | 1, Rand: c.rng.Float64,
+	m.register, err = paxos.New(paxos.Options{Name: configRegister, ID: m.id, ProposerID: c.rng.Uint64() | 1, Rand: c.rng.Float64,
 		Save: func(payload []byte) error { m.disk = append(m.disk, bytes.Clone(payload)); return nil },
 		Send: m.send}, m.disk)
 	if err != nil {
@@ -133,7 +133,7 @@
 	if _, known := m.register.State(); known {
 		return
 	}
-	m.step(func() { m.register.Ask(m.cluster.now, m.cluster.anyMachine().voter()) })
+	m.step(func() { m.register.RequestState(m.cluster.now, m.cluster.anyMachine().voter()) })
 	m.cluster.after(200*time.Millisecond, func() { m.askUntilKnown(life) })
 }
 
@@ -162,7 +162,7 @@
 
 func (m *modelMachine) schedule() {
 	m.tick++
-	tick, next := m.tick, m.register.Next()
+	tick, next := m.tick, m.register.NextTick()
 	if next == paxos.Never {
 		return
 	}
--- a/internal/control/keeper/partition_assignment.go
+++ b/internal/control/keeper/partition_assignment.go
@@ -46,14 +46,14 @@
 	for id := range stores {
 		a.lastSeen[id] = now
 	}
-	if k.contact.Holds(at) {
+	if k.contact.InContact(at) {
 		k.stepLease(now, assignRole, a.lease)
 	}
-	if held := a.lease.Holds(at); held != a.hasLease {
+	if held := a.lease.HasLease(at); held != a.hasLease {
 		a.hasLease = held
 		k.logLease(assignRole, held)
 	}
-	if a.lease.Held(at) < takeoverDelay || a.proposing || now.Sub(a.proposedAt) < assignInterval {
+	if a.lease.LeaseAge(at) < takeoverDelay || a.proposing || now.Sub(a.proposedAt) < assignInterval {
 		return
 	}
 	k.proposeAssignment(now, stores)
@@ -107,7 +107,7 @@
 	}
 	r, ok := query(k, func() result {
 		now := time.Now()
-		if k.contact.HeldFor(k.sinceStart(now)) < takeoverDelay {
+		if k.contact.ContactDuration(k.sinceStart(now)) < takeoverDelay {
 			return result{}
 		}
 		alive, isLost := k.storeLiveness(now, k.attachedStores())
--- a/internal/control/keeper/pushes.go
+++ b/internal/control/keeper/pushes.go
@@ -103,11 +103,11 @@
 func (k *Keeper) pushAll() {
 	k.pushNeeded = false
 	now := time.Now()
-	inContact := k.contact.Holds(k.sinceStart(now))
+	inContact := k.contact.InContact(k.sinceStart(now))
 	k.pushedListComplete, k.pushedListRevision = k.endpoints.Listening(k.sinceStart(now)), k.endpoints.LastChange()
 	encoded := map[pushState]encodedUpdate{} // most processes lack the same
 	for conn, p := range k.attached {
-		if inContact && !k.contact.MayHandOut(k.sinceStart(now), conn) {
+		if inContact && !k.contact.MayPush(k.sinceStart(now), conn) {
 			continue
 		}
 		if !k.lacksUpdate(p, inContact) || p.backlogFull() {
--- a/internal/control/keeper/register_transport.go
+++ b/internal/control/keeper/register_transport.go
@@ -96,14 +96,14 @@
 	}
 	rs.queriedAt[name] = time.Now()
 	if node, connected := rs.keeper.knownPeers().randomPeer(); connected {
-		rs.byName[name].Ask(rs.now(), voterOf(node))
+		rs.byName[name].RequestState(rs.now(), voterOf(node))
 	}
 }
 
 // queryPeer asks a keeper for what it has of a register beyond what is known here. If the queue is full, the keeper is
 // asked after its next report.
 func (rs *registerSet) queryPeer(name string, node controlclient.Node) {
-	rs.trySubmit(func() { rs.byName[name].Ask(rs.now(), voterOf(node)) })
+	rs.trySubmit(func() { rs.byName[name].RequestState(rs.now(), voterOf(node)) })
 }
 
 // voterOf returns a keeper as a voter.
--- a/internal/control/keeper/registers.go
+++ b/internal/control/keeper/registers.go
@@ -101,13 +101,13 @@
 // openRegister opens a register from what the log had of it.
 func (rs *registerSet) openRegister(name string) error {
 	register, err := paxos.New(paxos.Options{
-		Name:     name,
-		ID:       rs.id,
-		Proposer: rs.proposerID,
-		Rand:     rand.Float64,
-		Save:     func(payload []byte) error { return rs.appendRecord(encodeRegisterRecord(name, payload)) },
-		Send:     func(to paxos.Voter, msg []byte) { rs.send(name, to, msg) },
-		Decided:  func(s paxos.State) { rs.publishDecided(name, s) },
+		Name:       name,
+		ID:         rs.id,
+		ProposerID: rs.proposerID,
+		Rand:       rand.Float64,
+		Save:       func(payload []byte) error { return rs.appendRecord(encodeRegisterRecord(name, payload)) },
+		Send:       func(to paxos.Voter, msg []byte) { rs.send(name, to, msg) },
+		OnDecided:  func(s paxos.State) { rs.publishDecided(name, s) },
 	}, rs.replayed[name])
 	if err != nil {
 		return err
@@ -183,14 +183,14 @@
 	next = maxRegisterIdle
 	for _, name := range registerNames {
 		register := rs.byName[name]
-		if now := rs.now(); register.Next() <= now {
+		if now := rs.now(); register.NextTick() <= now {
 			register.Tick(now)
 		}
-		if err := register.Failed(); err != nil {
+		if err := register.FatalError(); err != nil {
 			return 0, err
 		}
 		rs.queryIfUnknown(name)
-		next = min(next, register.Next()-rs.now())
+		next = min(next, register.NextTick()-rs.now())
 	}
 	return next, nil
 }
@@ -248,10 +248,10 @@
 	var saveErr error
 	rs.mu.Lock()
 	for _, name := range registerNames {
-		if slot, stored := rs.byName[name].Stored(); stored {
+		if slot, stored := rs.byName[name].StoredSlot(); stored {
 			rs.storedSlots[name] = slot + 1
 		}
-		if err := rs.byName[name].Unsaved(); err != nil {
+		if err := rs.byName[name].SaveError(); err != nil {
 			saveErr = err
 		}
 	}
@@ -294,7 +294,7 @@
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	for _, name := range registerNames {
-		if !rs.states[name].Has(rs.id) {
+		if !rs.states[name].HasVoter(rs.id) {
 			return false
 		}
 	}
--- a/internal/control/keeper/restart_damage_test.go
+++ b/internal/control/keeper/restart_damage_test.go
@@ -120,7 +120,7 @@
 
 func (r *rig) holdsVoterDuty(i int) bool {
 	k := r.running[i].k
-	holds, _ := query(k, func() bool { return k.voterManager.lease.Holds(k.sinceStart(time.Now())) })
+	holds, _ := query(k, func() bool { return k.voterManager.lease.HasLease(k.sinceStart(time.Now())) })
 	return holds
 }
 
@@ -215,7 +215,7 @@
 	until(r.t, "the new identity votes", func() bool {
 		for _, name := range registerNames {
 			state, _ := r.running[other].k.registers.state(name)
-			if len(state.Voters) != len(r.running) || !state.Has(r.running[victim].k.registers.id) {
+			if len(state.Voters) != len(r.running) || !state.HasVoter(r.running[victim].k.registers.id) {
 				return false
 			}
 		}
--- a/internal/control/keeper/restart_impostor_test.go
+++ b/internal/control/keeper/restart_impostor_test.go
@@ -58,8 +58,8 @@
 	r.t.Helper()
 	k := r.running[victim].k
 	p := &impostor{t: r.t, voter: as, asked: paxos.Voter{ID: k.registers.id, Name: k.self.Name, Addr: k.self.Addr}, start: time.Now(), heard: map[agreeKind]int{}}
-	register, err := paxos.New(paxos.Options{Name: configRegister, ID: as.ID, Proposer: rand.Uint64() | 1, Rand: rand.Float64,
-		Save: func([]byte) error { return nil }, Send: p.send, Decided: func(paxos.State) {}}, nil)
+	register, err := paxos.New(paxos.Options{Name: configRegister, ID: as.ID, ProposerID: rand.Uint64() | 1, Rand: rand.Float64,
+		Save: func([]byte) error { return nil }, Send: p.send, OnDecided: func(paxos.State) {}}, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 	const answers = 5
 	until(p.t, "the keeper says what it knows", func() bool {
 		p.step(func(now time.Duration) {
-			if p.register.Next() <= now {
+			if p.register.NextTick() <= now {
 				p.register.Tick(now)
 			}
 		})
--- a/internal/control/keeper/restart_removed_test.go
+++ b/internal/control/keeper/restart_removed_test.go
@@ -26,7 +26,7 @@
 		for _, name := range registerNames {
 			state, _ := holderKeeper.registers.state(name)
 			voters[name] = state.Voters
-			if !state.Has(gone) {
+			if !state.HasVoter(gone) {
 				removed[name] = true
 			} else if removed[name] {
 				t.Fatalf("the keeper that left votes on %s again: %v", name, state.Voters)
--- a/internal/control/keeper/retire_test.go
+++ b/internal/control/keeper/retire_test.go
@@ -89,8 +89,8 @@
 			t.Errorf("%v to a document: %d", err, got)
 		}
 	}
-	for _, err := range []error{errShuttingDown, errBusy, errNoContact, paxos.ErrTimeout.New("x"), paxos.ErrNoMajority.New("x"), paxos.ErrUnknown.New("x"),
-		paxos.ErrBusy.New("x"), paxos.ErrVoters.New("x"), io.ErrUnexpectedEOF} {
+	for _, err := range []error{errShuttingDown, errBusy, errNoContact, paxos.ErrOutcomeUnknown.New("x"), paxos.ErrNoQuorum.New("x"), paxos.ErrNoState.New("x"),
+		paxos.ErrQueueFull.New("x"), paxos.ErrInvalidVoters.New("x"), io.ErrUnexpectedEOF} {
 		if got := putStatus(err); got != 503 {
 			t.Errorf("%v to a document: %d", err, got)
 		}
--- a/internal/control/keeper/shutdown.go
+++ b/internal/control/keeper/shutdown.go
@@ -30,7 +30,7 @@
 	deadline := time.Now().Add(transferTimeout)
 	var transfers sync.WaitGroup
 	for _, name := range registerNames {
-		if state, _ := k.registers.state(name); state.Has(k.registers.id) {
+		if state, _ := k.registers.state(name); state.HasVoter(k.registers.id) {
 			transfers.Go(func() { k.transferVote(name, deadline) })
 		}
 	}
@@ -54,7 +54,7 @@
 
 // relinquishLease ends the use of a lease, and releases it at all keepers that may have granted it.
 func (k *Keeper) relinquishLease(role string, lease *singleton.Candidate) []<-chan link.Reply {
-	if !lease.Holds(k.sinceStart(time.Now())) {
+	if !lease.HasLease(k.sinceStart(time.Now())) {
 		return nil
 	}
 	lease.Stop()
@@ -85,13 +85,13 @@
 		}
 		changed := false
 		switch next.step {
-		case reconfigure.StepEnd:
+		case reconfigure.LeaveStepEnd:
 			return
-		case reconfigure.StepConfirm:
+		case reconfigure.LeaveStepConfirm:
 			if k.removalStored(name, deadline) {
 				return
 			}
-		case reconfigure.StepChange:
+		case reconfigure.LeaveStepChange:
 			changed = k.applyTransferStep(name, next, deadline)
 		}
 		if changed {
@@ -107,14 +107,14 @@
 
 // transferStep is what comes next for a register, and the voters for which that was decided.
 type transferStep struct {
-	step       reconfigure.Step
+	step       reconfigure.LeaveStep
 	change     reconfigure.Change
 	decidedFor []paxos.Voter
 }
 
 func (k *Keeper) nextTransferStep(name string) transferStep {
 	state, _ := k.registers.state(name)
-	step, change := reconfigure.HandOver(k.voterSituation(time.Now(), name, state), k.registers.id)
+	step, change := reconfigure.NextLeaveStep(k.voterSituation(time.Now(), name, state), k.registers.id)
 	return transferStep{step, change, state.Voters}
 }
 
@@ -143,7 +143,7 @@
 	k.registers.read(name, time.Until(deadline), func(s paxos.State, err error) { results <- result{s, err} })
 	select {
 	case r := <-results:
-		return r.err == nil && !r.state.Has(k.registers.id)
+		return r.err == nil && !r.state.HasVoter(k.registers.id)
 	case <-k.ended:
 		return true
 	}
--- a/internal/control/keeper/status.go
+++ b/internal/control/keeper/status.go
@@ -58,7 +58,7 @@
 		ConfigVersion:       k.config.version,
 		CertificatesVersion: k.certificates.version,
 		Proxies:             k.proxyCount,
-		AssignsPartitions:   k.assigner.lease.Holds(k.sinceStart(now)),
+		AssignsPartitions:   k.assigner.lease.HasLease(k.sinceStart(now)),
 		Voters:              k.voterNames(),
 		Attached:            k.attachedStatuses(),
 		EndpointsByService:  map[string]int{},
--- a/internal/control/keeper/voter_changes.go
+++ b/internal/control/keeper/voter_changes.go
@@ -50,10 +50,10 @@
 	m, at := &k.voterManager, k.sinceStart(now)
 	k.observeVoters(now)
 	k.broadcastChangedReport()
-	if k.contact.Holds(at) {
+	if k.contact.InContact(at) {
 		k.stepLease(now, votersRole, m.lease)
 	}
-	if held := m.lease.Holds(at); held != m.hasLease {
+	if held := m.lease.HasLease(at); held != m.hasLease {
 		m.hasLease = held
 		k.logLease(votersRole, held)
 	}
@@ -73,7 +73,7 @@
 	if !known {
 		return
 	}
-	change, found := reconfigure.Next(k.voterSituation(now, name, state))
+	change, found := reconfigure.NextChange(k.voterSituation(now, name, state))
 	if !found {
 		return
 	}
@@ -112,9 +112,9 @@
 func (k *Keeper) voterSituation(now time.Time, name string, state paxos.State) reconfigure.Situation {
 	settings := k.options.Settings
 	limits := reconfigure.Limits{
-		Survive:     max(minSurvivableLosses, settings.SurviveMachines),
-		MostVoters:  maxVoters,
-		GiveUpAfter: reconfigure.GiveUpAfter(settings.Bounds.CatchUp),
+		MaxFailures:         max(minSurvivableLosses, settings.SurviveMachines),
+		MaxVoters:           maxVoters,
+		UnresponsiveTimeout: reconfigure.UnresponsiveTimeout(settings.Bounds.CatchUp),
 	}
 	return k.voterManager.observers[name].Situation(k.sinceStart(now), state, k.registerReports(name), limits)
 }
@@ -126,10 +126,10 @@
 	add := func(node controlclient.Node, report controlclient.KeeperReport) {
 		if node.ID != 0 && len(report.Slots) > 0 {
 			reports = append(reports, reconfigure.Report{
-				Keeper:  voterOf(node),
-				Heard:   report.Heard,
-				Stored:  report.Slots[register],
-				Leaving: report.Leaving,
+				Keeper:    voterOf(node),
+				Connected: report.Heard,
+				NextSlot:  report.Slots[register],
+				Leaving:   report.Leaving,
 			})
 		}
 	}
--- a/internal/control/keeper/voters_test.go
+++ b/internal/control/keeper/voters_test.go
@@ -162,7 +162,7 @@
 	until(t, "the identity of the lost disk votes no more", func() bool {
 		return !slices.ContainsFunc(registerNames, func(name string) bool {
 			state, _ := o.running[0].k.registers.state(name)
-			return state.Has(lost) || len(state.Voters) != 3
+			return state.HasVoter(lost) || len(state.Voters) != 3
 		})
 	})
 	o.kill(2)
@@ -304,7 +304,7 @@
 	until(t, "one has the duty", func() bool {
 		for i := range 4 {
 			k := o.running[i].k
-			if holds, _ := query(k, func() bool { return k.voterManager.lease.Holds(k.sinceStart(time.Now())) }); holds {
+			if holds, _ := query(k, func() bool { return k.voterManager.lease.HasLease(k.sinceStart(time.Now())) }); holds {
 				leaver = i
 			}
 		}
@@ -326,7 +326,7 @@
 				continue
 			}
 			k := o.running[i].k
-			if holds, _ := query(k, func() bool { return k.voterManager.lease.Holds(k.sinceStart(time.Now())) }); holds {
+			if holds, _ := query(k, func() bool { return k.voterManager.lease.HasLease(k.sinceStart(time.Now())) }); holds {
 				return true
 			}
 		}
@@ -370,10 +370,10 @@
 		})
 	}
 	o.start(3)
-	underOrders("the joiner votes", func(state paxos.State) bool { return state.Has(o.running[3].k.registers.id) })
+	underOrders("the joiner votes", func(state paxos.State) bool { return state.HasVoter(o.running[3].k.registers.id) })
 	o.kill(0)
 	o.disks[0] = disktest.New()
 	o.start(0)
-	underOrders("the new identity votes", func(state paxos.State) bool { return state.Has(o.running[0].k.registers.id) })
+	underOrders("the new identity votes", func(state paxos.State) bool { return state.HasVoter(o.running[0].k.registers.id) })
 	o.readable(0)
 }
--- a/internal/control/keeper/wrong_test.go
+++ b/internal/control/keeper/wrong_test.go
@@ -16,14 +16,14 @@
 	{"every keeper counts as a voter", "voter_acks.go", "	if acks == nil || !acks.pending[id] {\n", "	if acks == nil {\n"},
 	{"half of the voters count as a majority", "voter_acks.go", "majority: len(voters)/2 + 1}", "majority: (len(voters) + 1) / 2}"},
 	{"registers pushed without contact", "pushes.go", "	if inContact {\n		k.addRegisters(u, p)\n	}\n", "	k.addRegisters(u, p)\n"},
-	{"endpoints not pushed without contact", "pushes.go", "		if inContact && !k.contact.MayHandOut(k.sinceStart(now), conn) {\n", "		if !k.contact.MayHandOut(k.sinceStart(now), conn) {\n"},
-	{"a lease granted without contact", "leases.go", "return k.contact.Holds(at) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
+	{"endpoints not pushed without contact", "pushes.go", "		if inContact && !k.contact.MayPush(k.sinceStart(now), conn) {\n", "		if !k.contact.MayPush(k.sinceStart(now), conn) {\n"},
+	{"a lease granted without contact", "leases.go", "return k.contact.InContact(at) && k.mayGrant(now, holderID) && ", "return k.mayGrant(now, holderID) && "},
 	{"beat_to names a keeper without contact", "endpoints.go", " || !p.report.InContact {\n", " {\n"},
 	{"a report of a former life counts", "peers.go", "p.attached, p.digestMismatches, p.report = nil, 0, controlclient.KeeperReport{}\n", "p.attached, p.digestMismatches = nil, 0\n"},
 	{"the attached are not told", "pushes.go", "p.inContact != inContact || ", ""},
 	{"processes stay at a keeper without contact", "../controlclient/attach.go", "		if !c.inContact(a) {\n", "		if false {\n"},
 	{"processes forget keepers that are not told of any more", "../controlclient/merge.go", "	former := slices.Concat(c.former, c.keepers)\n", "	var former []Node\n"},
-	{"contact without a majority after 3 s", "contact.go", "k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil)", "k.contact.Answered(k.sinceStart(time.Now()), askedAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)"},
+	{"contact without a majority after 3 s", "contact.go", "k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil)", "k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)"},
 }
 
 // Each wrong line can still be put where it belongs.
