--- a/cmd/dunetide/jobs.go
+++ b/cmd/dunetide/jobs.go
@@ -102,7 +102,7 @@
 		w.WriteHeader(status)
 		return
 	}
-	defer j.bodies.Give(len(body))
+	defer j.bodies.Release(len(body))
 	ctx, cancel := context.WithTimeout(r.Context(), callMost)
 	defer cancel()
 	a := j.edge.Serve(ctx, &batch.Call{Method: r.Method, Host: r.Host, Path: r.URL.Path, Query: r.URL.RawQuery, Header: r.Header.Get, Body: body})
@@ -125,15 +125,15 @@
 	if r.ContentLength == 0 {
 		return nil, 0
 	}
-	limits := clientbody.Limits{Most: bodyMost, Until: time.Now().Add(clientbody.Wait), Budget: j.bodies}
+	limits := clientbody.Limits{MaxBytes: bodyMost, Deadline: time.Now().Add(clientbody.MaxDuration), Budget: j.bodies}
 	if snap := j.holder.Get(); snap != nil && snap.Config != nil && snap.Config.Limits.MaxBodyBytes > 0 {
-		limits.Most = snap.Config.Limits.MaxBodyBytes
+		limits.MaxBytes = snap.Config.Limits.MaxBodyBytes
 	}
 	if route != nil && route.TimeoutMs > 0 {
-		limits.Until = earlier(limits.Until, time.Duration(route.TimeoutMs)*time.Millisecond)
+		limits.Deadline = earlier(limits.Deadline, time.Duration(route.TimeoutMs)*time.Millisecond)
 	}
 	if left := batch.TimeLeft(r.Header.Get); left > 0 {
-		limits.Until = earlier(limits.Until, left)
+		limits.Deadline = earlier(limits.Deadline, left)
 	}
 	status = clientbody.Read(http.NewResponseController(w), r, limits, &body)
 	return body, status
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/wrong_test.go
@@ -46,7 +46,7 @@
 			{Number: 1, At: time.Second, For: 2 * time.Second, Kind: Freeze, How: "store", Targets: []int{1}},
 		}}, []string{ruleInvariant}},
 	{"a request that may run once is sent again",
-		[]cluster.Replacement{{File: "internal/proxy/attempt/attempt.go", Old: "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {\n", New: "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {\n"}},
+		[]cluster.Replacement{{File: "internal/proxy/attempt/attempt.go", Old: "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {\n", New: "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {\n"}},
 		Plan{Seed: 4, Shape: shapes[0], Length: 6 * time.Second, Final: FinalNone, Load: 1, Troubles: []Trouble{
 			{Number: 1, At: time.Second, For: 4 * time.Second, Kind: Spoil, Targets: []int{0}},
 		}}, []string{"TWICE", ruleInvariant}},
--- a/internal/platform/sendlog/sendlog.go
+++ b/internal/platform/sendlog/sendlog.go
@@ -1,5 +1,7 @@
-// Package sendlog has the sliding window of send times of a client-side rate limiter: stale entries
-// are dropped before counting. It reads no clock: times are passed in.
+// Package sendlog has the sliding window of send times of a client-side rate limiter.
+//
+// Dispatch has one for each endpoint and window, the delivery node's policy one for each destination. It reads no
+// clock: the current time is passed in, so that its users can be simulated. It is not safe for concurrent use.
 package sendlog
 
 import (
@@ -7,41 +9,42 @@
 	"time"
 )
 
-// Time is a reading of a steady clock, counted from any fixed origin.
+// Time is a reading of a monotonic clock, counted from any fixed origin.
 type Time = time.Duration
 
-// Log is one sliding window of send times, oldest first.
+// Log is a sliding window of send times. The zero value with a Window is ready for use.
 type Log struct {
-	Window time.Duration
-	Times  []Time
-	Most   int // entries that are kept: beyond it the oldest goes; 0: no bound
+	Window     time.Duration // how long a send counts
+	Times      []Time        // of the sends, oldest first
+	MaxEntries int           // the oldest entry goes where there would be more; 0: no bound
 }
 
-// Count drops the entries that are a window old and tells how many are left.
-// The last one is kept beside the count, for a window that stretches later.
+// Count drops the entries that are a window old, and returns how many are left. The last of those that are a window
+// old is retained where no other is left, for a Window that is lengthened later.
 func (l *Log) Count(now Time) int {
-	stale := 0
-	for stale < len(l.Times) && now-l.Times[stale] >= l.Window {
-		stale++
+	expired := 0
+	for expired < len(l.Times) && now-l.Times[expired] >= l.Window {
+		expired++
 	}
-	n := len(l.Times) - stale
-	if n == 0 && stale > 0 {
-		stale--
+	n := len(l.Times) - expired
+	if n == 0 && expired > 0 {
+		expired--
 	}
-	l.Times = l.Times[stale:] // copied only when what was dropped is as much as is left
+	l.Times = l.Times[expired:] // append copies the rest once the capacity behind it is used up
 	return n
 }
 
-// Record puts a send in. Times do not go back.
+// Record adds a send. Times must not go back.
 func (l *Log) Record(now Time) {
-	if l.Most > 0 && len(l.Times) >= l.Most {
-		l.Times = l.Times[len(l.Times)-l.Most+1:]
+	if l.MaxEntries > 0 && len(l.Times) >= l.MaxEntries {
+		l.Times = l.Times[len(l.Times)-l.MaxEntries+1:]
 	}
 	l.Times = append(l.Times, now)
 }
 
-// RoomAt tells from when on fewer than limit entries count.
-func (l *Log) RoomAt(now Time, limit int) Time {
+// AvailableAt returns the earliest time, from now on, at which fewer than limit entries count; a limit under 1 is
+// taken as 1.
+func (l *Log) AvailableAt(now Time, limit int) Time {
 	n := l.Count(now)
 	if n < limit || n == 0 {
 		return now
@@ -49,8 +52,8 @@
 	return l.Times[n-max(limit, 1)] + l.Window
 }
 
-// Forget takes one send out again.
-func (l *Log) Forget(at Time) {
+// Remove removes one send of a time, if there is one.
+func (l *Log) Remove(at Time) {
 	if i := slices.Index(l.Times, at); i >= 0 {
 		l.Times = slices.Delete(l.Times, i, i+1)
 	}
--- a/internal/platform/sendlog/sendlog_test.go
+++ b/internal/platform/sendlog/sendlog_test.go
@@ -10,8 +10,8 @@
 	for _, at := range []Time{1, 2, 2, 3} {
 		l.Record(at)
 	}
-	l.Forget(2)
-	l.Forget(9)
+	l.Remove(2)
+	l.Remove(9)
 	if n := l.Count(4); n != 3 {
 		t.Errorf("%d entries are left, want 3", n)
 	}
@@ -33,7 +33,7 @@
 }
 
 func TestMostBoundsTheLog(t *testing.T) {
-	l := Log{Window: time.Minute, Most: 3}
+	l := Log{Window: time.Minute, MaxEntries: 3}
 	for i := range 10 {
 		l.Record(Time(i))
 	}
@@ -44,12 +44,12 @@
 
 func TestRoomAt(t *testing.T) {
 	l := Log{Window: 5}
-	if at := l.RoomAt(1, 1); at != 1 {
+	if at := l.AvailableAt(1, 1); at != 1 {
 		t.Errorf("an empty log has room at %v, want now", at)
 	}
 	for limit, want := range map[int]Time{0: 8, 1: 8, 2: 7, 3: 6, 4: 3} {
 		l := Log{Window: 5, Times: []Time{1, 2, 3}}
-		at := l.RoomAt(3, limit)
+		at := l.AvailableAt(3, limit)
 		if at != want {
 			t.Errorf("room under %d at %v, want %v", limit, at, want)
 		}
--- a/internal/proxy/attempt/attempt.go
+++ b/internal/proxy/attempt/attempt.go
@@ -1,20 +1,31 @@
-// Package attempt decides what follows each event in the life of a request that is sent to endpoints: whether it may be sent
-// again, and what may still be answered to the client. It is a pure state machine; every sender uses it, so that the rule "may
-// this be retried" exists once. docs/calls.md derives the table.
+// Package attempt decides what follows each event in the life of a request that is sent to endpoints: whether there
+// may be another attempt, and what may still be answered to the client.
+//
+// It is a pure state machine, without I/O or a clock. Everything that sends requests to endpoints uses it (package
+// forward, for interactive requests and batch items), so that the rule "may this be retried" exists once. Its
+// invariants:
+//
+//   - A request that is not idempotent is never sent again after an endpoint may have run it.
+//   - A request that may have run is never answered 503, which promises the client that it has not.
+//   - Once the head of an answer was passed on, that answer is continued, completed or visibly broken off, and no
+//     other follows.
+//
+// docs/calls.md derives the table; RFC 9110 section 9.2.2 says which requests may be repeated.
 package attempt
 
-// State is how far a request has come.
+// State is how far a request has come. A request never returns to an earlier state.
 type State uint8
 
-// The states. A request never returns to an earlier one. A request of which a part was written counts as NotSent: no endpoint
-// can run it without its last byte.
+// The states. A request of which only a part was written counts as NotSent: no endpoint can run it without its last
+// byte.
 const (
-	NotSent  State = iota // no endpoint has received it whole, or each has rejected it without running it
+	NotSent  State = iota // no endpoint has received it completely, or each that did has rejected it without running it
 	Sent                  // an endpoint received it and may have run it; the client has received nothing
 	HeadSent              // the client has received the head of an answer
 	Ended                 // nothing more may be sent to the client
 )
 
+// String returns the state's name in kebab case.
 func (s State) String() string {
 	return [...]string{"not-sent", "sent", "head-sent", "ended"}[s]
 }
@@ -22,24 +33,36 @@
 // Event is what may happen to a request.
 type Event uint8
 
-// The events. Those from Rejected on concern one send to one endpoint.
+// The events. Those from Rejected on are about one attempt, at one endpoint.
 const (
-	Refused          Event = iota // admission found no endpoint for it
-	DeadlineExceeded              // its time is up
-	ClientGone                    // nobody waits for the answer any more
-	Rejected                      // the endpoint states that it has not run it and never will
-	NotWritten                    // not all of it was written: the endpoint can't have received it whole
-	Broken                        // it was written; a reset, a close or an unusable answer followed
-	Failed                        // the endpoint answered 500: it has run
-	FalseRefusal                  // the endpoint gave a status that promises it has not run, without its proof: it may have run
-	Answered                      // the head of the endpoint's own answer arrived
-	BodyCut                       // the answer's body ended early
-	BodyComplete                  // the answer's body was read to its end
+	NotAdmitted       Event = iota // admission found no endpoint for it
+	DeadlineExceeded               // its deadline has passed
+	ClientCanceled                 // nobody waits for the answer any more
+	Rejected                       // the endpoint states that it has not run it and never will
+	NotWritten                     // not all of it was written: the endpoint can't have received it completely
+	Broken                         // it was written; a reset, a close or an unusable answer followed
+	Failed                         // the endpoint answered 500: it has run
+	UnprovenRejection              // the status promises that it has not run, the proof of that is missing: it may have run
+	Answered                       // the head of the endpoint's own answer arrived
+	BodyTruncated                  // the answer's body ended early
+	BodyComplete                   // the answer's body was read to its end
 )
 
+// String returns the event's name, which is a label of the metric dunetide_proxy_sends_total.
 func (e Event) String() string {
-	return [...]string{"refused", "deadline", "client-gone", "rejected", "not-written", "broken", "failed", "false-refusal", "answered",
-		"body-cut", "body-complete"}[e]
+	return [...]string{
+		NotAdmitted:       "refused",
+		DeadlineExceeded:  "deadline",
+		ClientCanceled:    "client-gone",
+		Rejected:          "rejected",
+		NotWritten:        "not-written",
+		Broken:            "broken",
+		Failed:            "failed",
+		UnprovenRejection: "false-refusal",
+		Answered:          "answered",
+		BodyTruncated:     "body-cut",
+		BodyComplete:      "body-complete",
+	}[e]
 }
 
 // Verdict is what to do next.
@@ -47,25 +70,34 @@
 
 // The verdicts.
 const (
-	Done           Verdict = iota // nothing is left to do
-	Retry                         // ask admission for another endpoint
-	Refuse                        // 503 with Retry-After: it has not run and never will
-	BadGateway                    // 502: promises nothing
-	GatewayTimeout                // 504: promises nothing
-	Forward                       // pass on what the endpoint answers
-	Abort                         // close the client's connection so that the answer can't look complete
+	Done               Verdict = iota // nothing is left to do
+	Retry                             // ask admission for another endpoint
+	ServiceUnavailable                // answer 503 with Retry-After: it has not run and never will
+	BadGateway                        // answer 502, which promises nothing
+	GatewayTimeout                    // answer 504, which promises nothing
+	Forward                           // pass on what the endpoint answers
+	Abort                             // close the client's connection, so that the answer can't look complete
 )
 
+// String returns the verdict's name, which is a label of the metric dunetide_proxy_requests_total.
 func (v Verdict) String() string {
-	return [...]string{"done", "retry", "refuse", "bad-gateway", "gateway-timeout", "forward", "abort"}[v]
+	return [...]string{
+		Done:               "done",
+		Retry:              "retry",
+		ServiceUnavailable: "refuse",
+		BadGateway:         "bad-gateway",
+		GatewayTimeout:     "gateway-timeout",
+		Forward:            "forward",
+		Abort:              "abort",
+	}[v]
 }
 
 // Conditions are what a verdict depends on beside the state and the event.
 type Conditions struct {
-	Idempotent bool // it may run more than once
-	Resumable  bool // its answer may be continued by another endpoint from where it stopped
-	TriesLeft  bool // another endpoint may have it, after one that may have run it
-	TurnsLeft  bool // another endpoint may be asked, after one that has not run it
+	Idempotent   bool // it may run more than once
+	Resumable    bool // another endpoint may continue its answer from where it stopped
+	AttemptsLeft bool // another endpoint may have it, after one that may have run it
+	ReroutesLeft bool // another endpoint may have it, after one that has not run it
 }
 
 // Next returns the state after an event, and what to do.
@@ -73,26 +105,26 @@
 	switch {
 	case s == Ended:
 		return Ended, Done
-	case e == ClientGone:
+	case e == ClientCanceled:
 		return Ended, Abort
 	case s == HeadSent:
 		return afterHead(e, c)
 	}
 	switch e {
-	case Refused, DeadlineExceeded:
+	case NotAdmitted, DeadlineExceeded:
 		return Ended, unserved(s, e)
 	case Rejected, NotWritten:
-		if c.TurnsLeft && (s == NotSent || c.Idempotent) {
+		if c.ReroutesLeft && (s == NotSent || c.Idempotent) {
 			return s, Retry
 		}
 		return Ended, unserved(s, e)
-	case Broken, FalseRefusal, BodyCut:
-		if c.Idempotent && c.TriesLeft {
+	case Broken, UnprovenRejection, BodyTruncated:
+		if c.Idempotent && c.AttemptsLeft {
 			return Sent, Retry
 		}
 		return Ended, BadGateway
 	case Failed:
-		if c.Idempotent && c.TriesLeft {
+		if c.Idempotent && c.AttemptsLeft {
 			return Sent, Retry
 		}
 		return Sent, Forward
@@ -103,12 +135,12 @@
 	}
 }
 
-// unserved is the answer to a request that no endpoint will get any more. Only one that was never sent is refused: a refusal
-// promises that it has not run.
+// unserved returns the answer to a request that no endpoint will get any more. Only one that was never sent gets 503,
+// which promises that it has not run.
 func unserved(s State, e Event) Verdict {
 	switch {
 	case s == NotSent:
-		return Refuse
+		return ServiceUnavailable
 	case e == DeadlineExceeded:
 		return GatewayTimeout
 	default:
@@ -127,10 +159,10 @@
 	case BodyComplete:
 		return Ended, Done
 	case Rejected, NotWritten:
-		retry = c.Resumable && c.TurnsLeft
-	case Broken, FalseRefusal, BodyCut, Failed:
-		retry = c.Resumable && c.TriesLeft
-	default: // Refused, DeadlineExceeded
+		retry = c.Resumable && c.ReroutesLeft
+	case Broken, UnprovenRejection, BodyTruncated, Failed:
+		retry = c.Resumable && c.AttemptsLeft
+	default: // NotAdmitted, DeadlineExceeded
 	}
 	if retry {
 		return HeadSent, Retry
--- a/internal/proxy/attempt/attempt_test.go
+++ b/internal/proxy/attempt/attempt_test.go
@@ -68,7 +68,7 @@
 	lines := strings.Split(strings.TrimSpace(verdicts), "\n")
 	n := 0
 	for s := NotSent; s <= Ended; s++ {
-		for e := Refused; e <= BodyComplete; e++ {
+		for e := NotAdmitted; e <= BodyComplete; e++ {
 			if n == len(lines) {
 				t.Fatalf("no line for %v %v", s, e)
 			}
@@ -82,7 +82,7 @@
 				want := strings.TrimSpace(alternatives[0])
 				for _, v := range alternatives[1:] {
 					missing, other, _ := strings.Cut(strings.TrimSpace(v), ": ")
-					if map[string]bool{"may run once": !h.Idempotent, "not resumable": !h.Resumable, "no tries": !h.TriesLeft, "no turns": !h.TurnsLeft}[missing] {
+					if map[string]bool{"may run once": !h.Idempotent, "not resumable": !h.Resumable, "no tries": !h.AttemptsLeft, "no turns": !h.ReroutesLeft}[missing] {
 						want = other
 					}
 				}
@@ -113,7 +113,7 @@
 				return
 			}
 			seen[a] = true
-			for e := Refused; e <= BodyComplete; e++ {
+			for e := NotAdmitted; e <= BodyComplete; e++ {
 				for _, h := range allConditions() {
 					if h.Idempotent != idempotent || h.Resumable && !idempotent {
 						continue
@@ -122,7 +122,7 @@
 					var v Verdict
 					b.s, v = Next(a.s, e, h)
 					switch e {
-					case Broken, Failed, FalseRefusal, Answered, BodyCut, BodyComplete:
+					case Broken, Failed, UnprovenRejection, Answered, BodyTruncated, BodyComplete:
 						b.mayRun = true
 					default:
 					}
@@ -135,7 +135,7 @@
 						if b.mayRun && !idempotent {
 							t.Errorf("%s: sent again", here)
 						}
-					case Refuse:
+					case ServiceUnavailable:
 						if b.mayRun || b.headed {
 							t.Errorf("%s: refused", here)
 						}
--- a/internal/proxy/attempt/golden_test.go
+++ b/internal/proxy/attempt/golden_test.go
@@ -18,7 +18,7 @@
 	for s := NotSent; s <= Ended; s++ {
 		got = fmt.Appendf(got, "state %d %v\n", uint8(s), s)
 	}
-	for e := Refused; e <= BodyComplete; e++ {
+	for e := NotAdmitted; e <= BodyComplete; e++ {
 		got = fmt.Appendf(got, "event %d %v\n", uint8(e), e)
 	}
 	for v := Done; v <= Abort; v++ {
--- a/internal/proxy/clientbody/clientbody.go
+++ b/internal/proxy/clientbody/clientbody.go
@@ -1,5 +1,9 @@
-// Package clientbody reads the bodies of clients' requests. It bounds each in bytes and in time, and all that are in hand in bytes, so
-// that clients that send slowly, much or many at once cost a bounded part of a process.
+// Package clientbody reads the bodies of clients' requests. It bounds each body in bytes and in time, and all bodies
+// together in bytes, so that clients that send slowly, much or many at once cost a process a bounded amount of
+// memory.
+//
+// Proxies read requests and batch jobs through it. Every byte that was read is reserved in a Budget until the caller
+// releases it; Read releases what it reserved itself when it fails.
 package clientbody
 
 import (
@@ -12,99 +16,103 @@
 )
 
 const (
-	// Most bounds a body where the configuration does not.
-	Most = 16 << 20
-	// Wait is how long a client may take for a body where no shorter time is told.
-	Wait = 30 * time.Second
-	// announcedMost is what a length that is only announced takes of memory before any of it has come.
-	announcedMost = 256 << 10
-	leastBuffer   = 512
+	// DefaultMaxBytes bounds a body where the configuration does not.
+	DefaultMaxBytes = 16 << 20
+	// MaxDuration is how long a client may take to send a body where the deadline is not earlier.
+	MaxDuration = 30 * time.Second
+
+	// maxPreallocated is how many bytes are allocated for a length that is only announced.
+	maxPreallocated = 256 << 10
+	// minGrowth is by how many bytes a buffer that is full grows at least.
+	minGrowth = 512
 )
 
-// Budget bounds the bytes of all bodies that are in hand. The zero value and nil bound nothing.
+// Budget bounds the bytes of all bodies that are in memory. The zero value and nil bound nothing. It is safe for
+// concurrent use.
 type Budget struct {
-	most  int64
-	taken atomic.Int64
+	maxBytes int64
+	reserved atomic.Int64
 }
 
-// NewBudget allows for so many bytes; 0: for any number.
-func NewBudget(most int64) *Budget { return &Budget{most: most} }
+// NewBudget returns a budget of so many bytes; 0 bounds nothing.
+func NewBudget(maxBytes int64) *Budget { return &Budget{maxBytes: maxBytes} }
 
-// take takes bytes, if there are so many.
-func (b *Budget) take(n int) bool {
-	if b == nil || b.most <= 0 {
+// reserve reserves bytes, unless they would exceed the budget.
+func (b *Budget) reserve(n int) bool {
+	if b == nil || b.maxBytes <= 0 {
 		return true
 	}
-	if b.taken.Add(int64(n)) <= b.most {
+	if b.reserved.Add(int64(n)) <= b.maxBytes {
 		return true
 	}
-	b.taken.Add(-int64(n))
+	b.reserved.Add(-int64(n))
 	return false
 }
 
-// Give gives the bytes of a body back that is not needed any more.
-func (b *Budget) Give(n int) {
-	if b != nil && b.most > 0 {
-		b.taken.Add(-int64(n))
+// Release returns the bytes of a body that is no longer needed.
+func (b *Budget) Release(n int) {
+	if b != nil && b.maxBytes > 0 {
+		b.reserved.Add(-int64(n))
 	}
 }
 
-// InHand is how many bytes are taken.
-func (b *Budget) InHand() int64 {
+// Reserved returns how many bytes are reserved.
+func (b *Budget) Reserved() int64 {
 	if b == nil {
 		return 0
 	}
-	return b.taken.Load()
+	return b.reserved.Load()
 }
 
 // Limits are those of one body.
 type Limits struct {
-	Most   int64     // bytes; 0: Most
-	Until  time.Time // when it has to be there; later than Wait from now: Wait
-	Budget *Budget   // that its bytes count for until they are given back; nil: none
+	MaxBytes int64     // 0: DefaultMaxBytes
+	Deadline time.Time // when the body has to be complete; at most MaxDuration from now
+	Budget   *Budget   // in which its bytes are reserved until they are released; nil: none
 }
 
-// Read reads the body of a request whole, behind what into holds of room. It returns 0, or the status to answer if that can't be: 413
-// for one that is too long, 408 for one that takes too long, 503 where too many bytes of others are in hand, 400 for one that breaks
-// off. The bytes of a body that was read are taken of the budget until the caller gives len(*into) back.
+// Read reads the whole body of a request into the buffer that into points at, and grows that as needed. It returns 0
+// or, if the body can't be had, the status to answer: 413 if it is too long, 408 if it takes too long, 503 if the
+// budget is used up by others, 400 if it breaks off. After 0 the caller has to release len(*into) bytes of the
+// budget.
 func Read(rc *http.ResponseController, r *http.Request, limits Limits, into *[]byte) (status int) {
-	most := limits.Most
-	if most <= 0 {
-		most = Most
+	maxBytes := limits.MaxBytes
+	if maxBytes <= 0 {
+		maxBytes = DefaultMaxBytes
 	}
-	if r.ContentLength > most {
+	if r.ContentLength > maxBytes {
 		return http.StatusRequestEntityTooLarge
 	}
-	until := time.Now().Add(Wait)
-	if limits.Until.Before(until) {
-		until = limits.Until
+	deadline := time.Now().Add(MaxDuration)
+	if limits.Deadline.Before(deadline) {
+		deadline = limits.Deadline
 	}
-	_ = rc.SetReadDeadline(until)
+	_ = rc.SetReadDeadline(deadline) // fails only on connections of tests, which have no deadlines
 	buffer := (*into)[:0]
-	if announced := min(r.ContentLength+1, announcedMost); announced > int64(cap(buffer)) {
+	if announced := min(r.ContentLength+1, maxPreallocated); announced > int64(cap(buffer)) {
 		buffer = make([]byte, 0, announced)
 	}
 	defer func() {
 		if status != 0 {
-			limits.Budget.Give(len(buffer))
+			limits.Budget.Release(len(buffer))
 			buffer = buffer[:0]
 		}
 		*into = buffer
 	}()
 	for {
 		if len(buffer) == cap(buffer) {
-			buffer = append(buffer, make([]byte, max(leastBuffer, cap(buffer)))...)[:len(buffer)]
+			buffer = append(buffer, make([]byte, max(minGrowth, cap(buffer)))...)[:len(buffer)]
 		}
 		n, err := r.Body.Read(buffer[len(buffer):cap(buffer)])
-		if !limits.Budget.take(n) {
+		if !limits.Budget.reserve(n) {
 			return http.StatusServiceUnavailable
 		}
 		buffer = buffer[:len(buffer)+n]
 		switch {
-		case int64(len(buffer)) > most:
+		case int64(len(buffer)) > maxBytes:
 			return http.StatusRequestEntityTooLarge
 		case errors.Is(err, io.EOF):
-			_ = rc.SetReadDeadline(time.Time{})
+			_ = rc.SetReadDeadline(time.Time{}) // as above
 			return 0
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return http.StatusRequestTimeout
--- a/internal/proxy/clientbody/clientbody_test.go
+++ b/internal/proxy/clientbody/clientbody_test.go
@@ -14,7 +14,7 @@
 func TestRead(t *testing.T) {
 	whole := strings.Repeat("x", 3000)
 	full := NewBudget(4000)
-	full.take(2000)
+	full.reserve(2000)
 	for name, c := range map[string]struct {
 		body   io.Reader
 		length int64 // announced; -1: not
@@ -26,16 +26,16 @@
 		"whole, of a length that is not told":  {strings.NewReader(whole), -1, Limits{Budget: NewBudget(3000)}, 0, whole},
 		"byte by byte":                         {iotest.OneByteReader(strings.NewReader(whole)), -1, Limits{}, 0, whole},
 		"empty":                                {strings.NewReader(""), -1, Limits{}, 0, ""},
-		"announced too long":                   {strings.NewReader(whole), 3000, Limits{Most: 2999}, http.StatusRequestEntityTooLarge, ""},
-		"too long":                             {strings.NewReader(whole), -1, Limits{Most: 2999}, http.StatusRequestEntityTooLarge, ""},
+		"announced too long":                   {strings.NewReader(whole), 3000, Limits{MaxBytes: 2999}, http.StatusRequestEntityTooLarge, ""},
+		"too long":                             {strings.NewReader(whole), -1, Limits{MaxBytes: 2999}, http.StatusRequestEntityTooLarge, ""},
 		"broken off":                           {io.MultiReader(strings.NewReader("half"), iotest.ErrReader(io.ErrUnexpectedEOF)), 3000, Limits{}, http.StatusBadRequest, ""},
 		"too late":                             {io.MultiReader(strings.NewReader("half"), iotest.ErrReader(os.ErrDeadlineExceeded)), 3000, Limits{}, http.StatusRequestTimeout, ""},
 		"more than is left beside others":      {strings.NewReader(whole), 3000, Limits{Budget: full}, http.StatusServiceUnavailable, ""},
 		"announced, and of others what counts": {strings.NewReader("short"), 3000, Limits{Budget: full}, 0, "short"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before := c.limits.Budget.InHand()
-			c.limits.Until = time.Now().Add(time.Minute)
+			before := c.limits.Budget.Reserved()
+			c.limits.Deadline = time.Now().Add(time.Minute)
 			r := httptest.NewRequest(http.MethodPost, "/", c.body)
 			r.ContentLength = c.length
 			body := make([]byte, 0, 8)
@@ -46,10 +46,10 @@
 			if string(body) != c.read {
 				t.Fatalf("the body is %q", body)
 			}
-			if c.limits.Budget != nil && c.limits.Budget.InHand() != before+int64(len(body)) {
-				t.Fatalf("%d bytes are in hand after %d, the body has %d", c.limits.Budget.InHand(), before, len(body))
+			if c.limits.Budget != nil && c.limits.Budget.Reserved() != before+int64(len(body)) {
+				t.Fatalf("%d bytes are in hand after %d, the body has %d", c.limits.Budget.Reserved(), before, len(body))
 			}
-			c.limits.Budget.Give(len(body))
+			c.limits.Budget.Release(len(body))
 		})
 	}
 }
--- a/internal/proxy/dispatch/choice.go
+++ b/internal/proxy/dispatch/choice.go
@@ -231,7 +231,7 @@
 		return c.now
 	}
 	limit := e.limit(c)
-	at := max(e.narrow.RoomAt(c.now, int(limit)), e.wide.RoomAt(c.now, int(limit*e.ratio())))
+	at := max(e.narrow.AvailableAt(c.now, int(limit)), e.wide.AvailableAt(c.now, int(limit*e.ratio())))
 	n := max(float64(e.narrow.Count(c.now)), float64(e.wide.Count(c.now))/e.ratio()) + 1e-3
 	grown := time.Duration((n/e.slice - 1) * float64(c.settings.Recover) * e.spread)
 	return max(c.now, min(at, e.refusedAt+grown))
--- a/internal/proxy/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -155,9 +155,9 @@
 		}
 		e = &endpoint{pool: p, hash: snapshot.Hash(v.ID), slice: math.Inf(1), slowness: mean{1},
 			spread: 0.75 + 0.5*c.rng(),
-			narrow: sendlog.Log{Window: c.settings.Narrow, Most: c.settings.MostSends},
-			passed: sendlog.Log{Window: c.settings.Narrow, Most: c.settings.MostSends},
-			wide:   sendlog.Log{Window: c.settings.Wide, Most: c.settings.MostSends}}
+			narrow: sendlog.Log{Window: c.settings.Narrow, MaxEntries: c.settings.MostSends},
+			passed: sendlog.Log{Window: c.settings.Narrow, MaxEntries: c.settings.MostSends},
+			wide:   sendlog.Log{Window: c.settings.Wide, MaxEntries: c.settings.MostSends}}
 		c.endpoints[v.ID] = e
 		p.known = true
 		i, _ := slices.BinarySearchFunc(p.endpoints, v.ID, func(e *endpoint, id string) int {
--- a/internal/proxy/dispatch/outcome.go
+++ b/internal/proxy/dispatch/outcome.go
@@ -106,8 +106,8 @@
 		c.failed(r, 0.7)
 	case Broken, Silent, Unsent:
 		if o == Unsent {
-			e.narrow.Forget(r.sent)
-			e.wide.Forget(r.sent)
+			e.narrow.Remove(r.sent)
+			e.wide.Remove(r.sent)
 		}
 		c.failed(r, 1)
 	case Left:
@@ -119,8 +119,8 @@
 // unsent ends a run whose request was not sent and removes it from the send logs.
 func (c *core) unsent(r *run) {
 	if !r.ended {
-		r.endpoint.narrow.Forget(r.sent)
-		r.endpoint.wide.Forget(r.sent)
+		r.endpoint.narrow.Remove(r.sent)
+		r.endpoint.wide.Remove(r.sent)
 		c.end(r, Left, Load{})
 	}
 }
--- a/internal/proxy/forward/answer.go
+++ b/internal/proxy/forward/answer.go
@@ -93,7 +93,7 @@
 	case notRun && promisesNotRun(status):
 		return attempt.Rejected, dispatch.NotRun
 	case promisesNotRun(status):
-		return attempt.FalseRefusal, dispatch.Failed
+		return attempt.UnprovenRejection, dispatch.Failed
 	case !plain(h.Get("Content-Encoding")), !x.delimited():
 		return attempt.Broken, dispatch.Broken
 	case status < 300 && (notRun || h.Get(headerSeal) == ""):
--- a/internal/proxy/forward/certified.go
+++ b/internal/proxy/forward/certified.go
@@ -70,7 +70,7 @@
 			x.err = errRecordFull
 			x.refusedFor(regime, recordFull)
 			x.finish(dispatch.Left, upstream.Unused)
-			return attempt.Refused, false
+			return attempt.NotAdmitted, false
 		}
 	}
 	gate.Count(regime, func(c *certification.Counts) { c.Runs++ })
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -96,10 +96,10 @@
 	r := x.req.Route
 	timeLeft := x.left() > minTimeLeft
 	return attempt.Conditions{
-		Idempotent: r.Idempotent() || x.req.Bulk,
-		Resumable:  r.Resumable && x.stream.lastID != "" && !x.stream.unnamed,
-		TriesLeft:  timeLeft && !x.req.Bulk && x.tries < max(1, r.MaxAttempts),
-		TurnsLeft:  timeLeft && x.turns < max(1, r.MaxAttempts)+extraTurns,
+		Idempotent:   r.Idempotent() || x.req.Bulk,
+		Resumable:    r.Resumable && x.stream.lastID != "" && !x.stream.unnamed,
+		AttemptsLeft: timeLeft && !x.req.Bulk && x.tries < max(1, r.MaxAttempts),
+		ReroutesLeft: timeLeft && x.turns < max(1, r.MaxAttempts)+extraTurns,
 	}
 }
 
@@ -108,7 +108,7 @@
 	switch e {
 	case attempt.Rejected, attempt.NotWritten:
 		x.turns++
-	case attempt.Broken, attempt.Failed, attempt.FalseRefusal, attempt.BodyCut:
+	case attempt.Broken, attempt.Failed, attempt.UnprovenRejection, attempt.BodyTruncated:
 		x.tries++
 	default:
 	}
@@ -138,7 +138,7 @@
 		return 0, true
 	}
 	if x.ctx.Err() != nil {
-		return attempt.ClientGone, false
+		return attempt.ClientCanceled, false
 	}
 	var refused *dispatch.Refused
 	if errors.As(err, &refused) {
@@ -151,7 +151,7 @@
 	if x.left() <= minTimeLeft {
 		return attempt.DeadlineExceeded, false
 	}
-	return attempt.Refused, false
+	return attempt.NotAdmitted, false
 }
 
 // send sends the request to the endpoint of the grant and reads the head of its answer. Unless
@@ -199,7 +199,7 @@
 	case x.ctx.Err() != nil:
 		x.err = err
 		x.finish(dispatch.Unsent, upstream.Unused)
-		return attempt.ClientGone, false
+		return attempt.ClientCanceled, false
 	case errors.Is(err, upstream.ErrBusy), errors.Is(err, upstream.ErrGone), errors.Is(err, upstream.ErrDeadline):
 		x.err = err
 		x.finish(dispatch.Unsent, upstream.Unused)
@@ -237,7 +237,7 @@
 	switch {
 	case x.ctx.Err() != nil:
 		x.finish(dispatch.Left, upstream.GaveUp)
-		return attempt.ClientGone
+		return attempt.ClientCanceled
 	case errors.Is(err, os.ErrDeadlineExceeded) && x.left() <= minTimeLeft:
 		x.finish(dispatch.Silent, upstream.GaveUp)
 		if sent {
--- a/internal/proxy/forward/invariants_test.go
+++ b/internal/proxy/forward/invariants_test.go
@@ -26,7 +26,7 @@
 		"an error that tells nothing":           {errors.New("reset"), 0, true},
 		"it was answered":                       {nil, attempt.Answered, true},
 		"it failed":                             {nil, attempt.Failed, true},
-		"a refusal without proof":               {nil, attempt.FalseRefusal, true},
+		"a refusal without proof":               {nil, attempt.UnprovenRejection, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := request()
--- a/internal/proxy/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -112,7 +112,7 @@
 		}
 		switch x.follow(e) {
 		case attempt.Retry:
-		case attempt.Refuse:
+		case attempt.ServiceUnavailable:
 			return Result{ItemNotRun, errors.Join(context.Cause(x.ctx), x.err)}
 		case attempt.Forward:
 			if e == attempt.Failed {
--- a/internal/proxy/forward/observe.go
+++ b/internal/proxy/forward/observe.go
@@ -109,7 +109,7 @@
 	for state, name := range map[http.ConnState]string{http.StateActive: "active", http.StateIdle: "idle"} {
 		telemetry.Gauge("dunetide_proxy_client_connections", func() float64 { return float64(p.states.count(state)) }, "state", name)
 	}
-	telemetry.Gauge("dunetide_proxy_body_bytes", func() float64 { return float64(p.o.Bodies.InHand()) })
+	telemetry.Gauge("dunetide_proxy_body_bytes", func() float64 { return float64(p.o.Bodies.Reserved()) })
 	telemetry.Gauge("dunetide_proxy_endpoint_pools", func() float64 {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/proxy/forward/prepare.go
+++ b/internal/proxy/forward/prepare.go
@@ -46,12 +46,12 @@
 	until := time.Now().Add(unpreparedWait(r.Header.Get(headerTimeLeft)))
 	if r.ContentLength != 0 {
 		var body []byte
-		limits := clientbody.Limits{Until: until, Budget: p.o.Bodies}
+		limits := clientbody.Limits{Deadline: until, Budget: p.o.Bodies}
 		if status := clientbody.Read(http.NewResponseController(w), r, limits, &body); status != 0 {
 			w.Header().Set("Connection", "close") // the rest of the body can't be told from another request
 			return status
 		}
-		defer p.o.Bodies.Give(len(body)) // whoever reads it again takes it anew
+		defer p.o.Bodies.Release(len(body)) // whoever reads it again takes it anew
 		r.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), until)
--- a/internal/proxy/forward/serve.go
+++ b/internal/proxy/forward/serve.go
@@ -101,14 +101,14 @@
 	}()
 	x.head, x.stream.buf = *headBuffer, *streamBuffer
 	if r.ContentLength != 0 {
-		status := clientbody.Read(rc, r, clientbody.Limits{Most: limits.MaxBodyBytes, Until: x.deadline, Budget: p.o.Bodies}, bodyBuffer)
+		status := clientbody.Read(rc, r, clientbody.Limits{MaxBytes: limits.MaxBodyBytes, Deadline: x.deadline, Budget: p.o.Bodies}, bodyBuffer)
 		if status != 0 {
 			w.Header().Set("Connection", "close") // what follows on it can't be told from the rest of the body
 			p.refuse(w, r, status, defaultRetryAfter, route)
 			return
 		}
 		x.body = *bodyBuffer
-		defer p.o.Bodies.Give(len(x.body))
+		defer p.o.Bodies.Release(len(x.body))
 	}
 	x.buildHead(target, r.Host, r.Header, len(x.body))
 	if limits.MaxHeaderBytes > 0 && x.base > limits.MaxHeaderBytes+256 { // some is laid out otherwise than it came
@@ -161,7 +161,7 @@
 			}
 			e, ok = x.acquire()
 			continue
-		case attempt.Refuse:
+		case attempt.ServiceUnavailable:
 			if x.reason != "" {
 				w.Header().Set(headerReason, x.reason)
 			}
@@ -290,7 +290,7 @@
 		}
 		if _, err := w.Write(b); err != nil {
 			x.finish(dispatch.Left, upstream.GaveUp)
-			return attempt.ClientGone
+			return attempt.ClientCanceled
 		}
 		b = b[:0]
 	}
@@ -309,7 +309,7 @@
 	x.finish(outcome, upstream.Answered) // before the client has it all, who may ask again at once
 	if len(end) > 0 {
 		if _, err := w.Write(end); err != nil {
-			return attempt.ClientGone
+			return attempt.ClientCanceled
 		}
 	}
 	return attempt.BodyComplete
@@ -325,7 +325,7 @@
 	if e := x.failed(err); e != attempt.Broken && e != attempt.NotWritten {
 		return e
 	}
-	return attempt.BodyCut
+	return attempt.BodyTruncated
 }
 
 // passEvents passes a stream on: each event as it comes, and only whole ones.
@@ -371,14 +371,14 @@
 			x.conn.Whole(x.resp)
 			x.finish(dispatch.Served, upstream.Answered)
 			if hand(s.buf, true) != nil {
-				return attempt.ClientGone
+				return attempt.ClientCanceled
 			}
 			return attempt.BodyComplete
 		}
 		if whole > 0 {
 			if hand(s.buf[:whole], false) != nil {
 				x.finish(dispatch.Left, upstream.GaveUp)
-				return attempt.ClientGone
+				return attempt.ClientCanceled
 			}
 			s.take()
 		}
--- a/internal/proxy/forward/wrong_test.go
+++ b/internal/proxy/forward/wrong_test.go
@@ -19,7 +19,7 @@
 	{"runs of clients that leave have no end", "exchange.go", "	if x.run != 0 {", "	if x.run != 0 && o != dispatch.Left {"},
 	{"any endpoint is chosen", "../dispatch/choice.go", "slices.Contains(w.r.Avoid, e.target.ID) || !w.r.may(e.target.ID) {", "slices.Contains(w.r.Avoid, e.target.ID) {"},
 	{"a broken run counts as not written", "certified.go", "	if x.unsent {", "	if x.unsent || out == audit.Broken {"},
-	{"a try that broke off is repeated", "../attempt/attempt.go", "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {", "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {"},
+	{"a try that broke off is repeated", "../attempt/attempt.go", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {"},
 	{"entries are dropped with too few stores", "../../batch/audit/deliver.go", "	r.acknowledge(len(batch.entries))\n	return nil", "	r.acknowledge(len(batch.entries) + min(1, r.Pending()-len(batch.entries)))\n	return nil"},
 	{"the chain is not gone on with", "../../batch/audit/files.go", "	f.lastHash = next\n	return nil\n}\n\n// begin appends", "	_ = next\n	return nil\n}\n\n// begin appends"},
 }
@@ -39,11 +39,11 @@
 
 // wrongCalls are lines that would send an answer to the wrong caller, or a request twice.
 var wrongCalls = []mutation.Line{
-	{"a broken try is repeated", "../attempt/attempt.go", "	case Broken, FalseRefusal, BodyCut:\n		if c.Idempotent && c.TriesLeft {", "	case Broken, FalseRefusal, BodyCut:\n		if c.TriesLeft {"},
-	{"a failed run is repeated", "../attempt/attempt.go", "	case Failed:\n		if c.Idempotent && c.TriesLeft {", "	case Failed:\n		if c.TriesLeft {"},
-	{"it goes on after it may have run", "../attempt/attempt.go", "if c.TurnsLeft && (s == NotSent || c.Idempotent) {", "if c.TurnsLeft {"},
-	{"what may have run is refused", "../attempt/attempt.go", "	case s == NotSent:\n		return Refuse", "	case s <= Sent:\n		return Refuse"},
-	{"an answer that can't be continued is continued", "../attempt/attempt.go", "retry = c.Resumable && c.TriesLeft", "retry = c.TriesLeft"},
+	{"a broken try is repeated", "../attempt/attempt.go", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {"},
+	{"a failed run is repeated", "../attempt/attempt.go", "	case Failed:\n		if c.Idempotent && c.AttemptsLeft {", "	case Failed:\n		if c.AttemptsLeft {"},
+	{"it goes on after it may have run", "../attempt/attempt.go", "if c.ReroutesLeft && (s == NotSent || c.Idempotent) {", "if c.ReroutesLeft {"},
+	{"what may have run is refused", "../attempt/attempt.go", "	case s == NotSent:\n		return ServiceUnavailable", "	case s <= Sent:\n		return ServiceUnavailable"},
+	{"an answer that can't be continued is continued", "../attempt/attempt.go", "retry = c.Resumable && c.AttemptsLeft", "retry = c.AttemptsLeft"},
 	{"tries are not counted", "exchange.go", "		x.tries++\n", ""},
 	{"any id matches", "answer.go", "return len(ids) == 1 && ids[0] == x.req.ID", "return len(ids) == 1"},
 	{"one of two ids matches", "answer.go", "return len(ids) == 1 && ids[0] == x.req.ID", "return slices.Contains(ids, x.req.ID)"},
@@ -52,7 +52,7 @@
 	{"a success needs no seal", "answer.go", "status < 300 && (notRun || h.Get(headerSeal) == \"\")", "status < 300 && notRun"},
 	{"an answer needs no end", "answer.go", "	case !plain(h.Get(\"Content-Encoding\")), !x.delimited():", "	case !plain(h.Get(\"Content-Encoding\")):"},
 	{"not run counts beside any status", "answer.go", "	case notRun && promisesNotRun(status):", "	case notRun:"},
-	{"a refusal needs no proof", "answer.go", "	case promisesNotRun(status):\n		return attempt.FalseRefusal, dispatch.Failed", "	case promisesNotRun(status):\n		return attempt.Rejected, dispatch.NotRun"},
+	{"a refusal needs no proof", "answer.go", "	case promisesNotRun(status):\n		return attempt.UnprovenRejection, dispatch.Failed", "	case promisesNotRun(status):\n		return attempt.Rejected, dispatch.NotRun"},
 	{"a reset proves that it was not read", "exchange.go", "	sent := !errors.As(err, &call) || call.Sent", "	sent := !errors.As(err, &call) || call.Sent && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, os.ErrDeadlineExceeded))"},
 	{"silence proves that it was not read", "exchange.go", "			x.state = max(x.state, attempt.Sent)", "			x.state = max(x.state, attempt.NotSent)"},
 	{"ids of items are not remembered", "exchange.go", "			x.conn.Remember(x.req.ID)", "			_ = x.req.ID"},
@@ -62,7 +62,7 @@
 	{"a request's length may be read in two ways", "listener.go", "&& c.arrived.Load() > c.handled", "&& c.handled < 0"},
 	{"a request may have two ids", "serve.go", "len(r.Header[headerID]) != 1 ||", "len(r.Header[headerID]) < 1 ||"},
 	{"a protocol whose answers can't be told from cut ones", "serve.go", "!r.ProtoAtLeast(1, 1)", "!r.ProtoAtLeast(1, 0)"},
-	{"a body is waited for beyond the deadline", "../clientbody/clientbody.go", "	if limits.Until.Before(until) {\n", "	if false {\n"},
+	{"a body is waited for beyond the deadline", "../clientbody/clientbody.go", "	if limits.Deadline.Before(deadline) {\n", "	if false {\n"},
 	{"a connection is waited for beyond the deadline", "../../platform/upstream/pools.go", "!deadline.IsZero() && left < limit {", "!deadline.IsZero() && left < 0 {"},
 	{"bytes behind an answer are kept", "../../platform/upstream/conn.go", " || c.br.Buffered() != 0 {", " {"},
 	{"nobody looks before a connection is used", "../../platform/upstream/pools.go", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) && c.quiet() {", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) {"},
--- a/policy/answers.go
+++ b/policy/answers.go
@@ -29,8 +29,8 @@
 		c.endpoint.calls = remove(c.endpoint.calls, c)
 		s.inFlight--
 		if o.Outcome == Moot && !c.judged { // never sent: it used up nothing of the limit
-			c.endpoint.path.narrow.Forget(c.sent)
-			c.endpoint.path.wide.Forget(c.sent)
+			c.endpoint.path.narrow.Remove(c.sent)
+			c.endpoint.path.wide.Remove(c.sent)
 		}
 	}
 	if !c.judged && o.Outcome != Moot && o.Outcome != Cancelled {
