--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -25,7 +25,7 @@
 // still makes a keeper that does not run: its parts are called by the test.
 func still(t *testing.T, name string) *Keeper {
 	t.Helper()
-	k, err := New(Options{Settings: &settings.Settings{NodeName: name, IP: "127.0.0.1", FirstInternalPort: 1, BeatEveryMs: 1200, ControlAddr: "127.0.0.1:2"},
+	k, err := New(Options{Settings: &settings.Settings{NodeName: name, IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2"},
 		Folder: disktest.New(), Log: hclog.NewNullLogger()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -406,7 +406,7 @@
 	if err := disk.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	k, err := New(Options{Settings: &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, BeatEveryMs: 1200, ControlAddr: "127.0.0.1:2"},
+	k, err := New(Options{Settings: &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2"},
 		Folder: disk, Log: hclog.NewNullLogger()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -186,7 +186,7 @@
 }
 
 func (k *Keeper) heartbeatInterval() time.Duration {
-	return time.Duration(k.options.Settings.BeatEveryMs) * time.Millisecond
+	return k.options.Settings.HeartbeatInterval
 }
 
 // sinceStart is a moment as the types without a clock of their own count it: the time since this process started, on
--- a/internal/control/keeper/learn_test.go
+++ b/internal/control/keeper/learn_test.go
@@ -36,7 +36,7 @@
 	}()
 	start := func(name, ip string, disk bool) *Keeper {
 		o := Options{Settings: &settings.Settings{NodeName: name, IP: ip, Zone: "z", ControlAddr: net.JoinHostPort(ip, strconv.Itoa(port+1)),
-			FirstInternalPort: port, LastInternalPort: port, Seeds: []string{net.JoinHostPort(first, strconv.Itoa(port+1))}, FirstStart: true, BeatEveryMs: 1200},
+			FirstInternalPort: port, LastInternalPort: port, Seeds: []string{net.JoinHostPort(first, strconv.Itoa(port+1))}, FirstStart: true, HeartbeatInterval: 1200 * time.Millisecond},
 			Log: hclog.NewNullLogger()}
 		if disk {
 			o.Folder = journal.Dir(t.TempDir())
--- a/internal/control/keeper/log_test.go
+++ b/internal/control/keeper/log_test.go
@@ -29,7 +29,7 @@
 
 func openLone(t testing.TB, disk *disktest.Disk) (*lone, error) {
 	t.Helper()
-	s := &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, BeatEveryMs: 1200, ControlAddr: "127.0.0.1:2", Limits: settings.Limits{DiskMB: diskMB}}
+	s := &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2", Limits: settings.Limits{DiskMB: diskMB}}
 	k, err := New(Options{Settings: s, Folder: disk, Log: hclog.NewNullLogger()})
 	if err != nil {
 		return nil, err
--- a/internal/control/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -87,7 +87,7 @@
 
 func (r *rig) settings(i int) *settings.Settings {
 	s := &settings.Settings{NodeName: fmt.Sprint("k", i+1), IP: r.ip(i), Zone: "z", ControlAddr: r.controlAddress(i),
-		FirstInternalPort: r.links, LastInternalPort: r.links + 15, FirstStart: r.first, BeatEveryMs: 200, SurviveMachines: 1, Limits: r.limits}
+		FirstInternalPort: r.links, LastInternalPort: r.links + 15, FirstStart: r.first, HeartbeatInterval: 200 * time.Millisecond, SurviveMachines: 1, Limits: r.limits}
 	for j := range min(3, len(r.running)) {
 		s.Seeds = append(s.Seeds, r.controlAddress(j))
 	}
--- a/internal/platform/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -89,7 +89,7 @@
 func (k *keepers) start(i int) {
 	k.t.Helper()
 	s := &settings.Settings{NodeName: fmt.Sprint("k", i), IP: k.ip(i), Zone: keeperZone, ControlAddr: k.controlAddress(i), FirstInternalPort: k.linkPort,
-		LastInternalPort: k.linkPort + 15, FirstStart: true, BeatEveryMs: 200, SurviveMachines: 1}
+		LastInternalPort: k.linkPort + 15, FirstStart: true, HeartbeatInterval: 200 * time.Millisecond, SurviveMachines: 1}
 	for j := range keeperCount {
 		s.Seeds = append(s.Seeds, k.controlAddress(j))
 	}
--- a/internal/platform/settings/diff.go
+++ b/internal/platform/settings/diff.go
@@ -6,7 +6,7 @@
 type Effect int
 
 const (
-	// TakenOver is for fields that a running process takes over.
+	// Reloadable is for fields that a running process takes over.
 	Reloadable Effect = iota
 	// NeedsRestart is for fields that count from the next start of the process on.
 	NeedsRestart
@@ -14,7 +14,7 @@
 
 // Change is a field of the settings file that has another value than before.
 type Change struct {
-	Field  string
+	Field  string // its key, or the first words of the keys of a group
 	Effect Effect
 }
 
@@ -25,8 +25,8 @@
 	value  func(*Settings) any
 }
 
-// fields are all that a process may have to be told of. first_start is not among them: it is about the start alone, and
-// the platform changes it while the process runs.
+// fields are all fields that are compared. first_start is not among them: it is about the start alone, and the platform
+// changes it while the process runs.
 var fields = []field{
 	{"seeds", Reloadable, func(s *Settings) any { return s.Seeds }},
 	{"limits.memory_mb", Reloadable, func(s *Settings) any { return s.Limits.MemoryMB }},
@@ -44,9 +44,11 @@
 	{"internal_ports", NeedsRestart, func(s *Settings) any { return [2]int{s.FirstInternalPort, s.LastInternalPort} }},
 	{"counts_loss", NeedsRestart, func(s *Settings) any { return s.CountsLoss }},
 	{"data_dir", NeedsRestart, func(s *Settings) any { return s.DataDir }},
-	{"beat_every_ms", NeedsRestart, func(s *Settings) any { return s.BeatEveryMs }},
+	{"beat_every_ms", NeedsRestart, func(s *Settings) any { return s.HeartbeatInterval }},
 	{"rules_in_force", NeedsRestart, func(s *Settings) any { return s.RulesInForce }},
-	{"survive", NeedsRestart, func(s *Settings) any { return [3]int{s.SurviveMachines, s.SurviveZones, s.SurviveRegions} }},
+	{"survive", NeedsRestart, func(s *Settings) any {
+		return [3]int{s.SurviveMachines, s.SurviveZones, s.SurviveRegions}
+	}},
 	{"limits", NeedsRestart, func(s *Settings) any {
 		limits := s.Limits
 		limits.MemoryMB = 0
@@ -55,7 +57,7 @@
 	{"bounds", NeedsRestart, func(s *Settings) any { return s.Bounds }},
 }
 
-// Diff lists the fields whose values differ.
+// Diff returns the fields whose values differ, in the order of fields.
 func Diff(before, after *Settings) []Change {
 	var changes []Change
 	for _, f := range fields {
@@ -66,8 +68,8 @@
 	return changes
 }
 
-// takeOver is the settings in force with the fields of a newer file that a running process can take over.
-func takeOver(inForce, newer *Settings) *Settings {
+// applyReloadable returns the settings in force with the Reloadable fields of a newer file.
+func applyReloadable(inForce, newer *Settings) *Settings {
 	merged := *inForce
 	merged.Seeds = newer.Seeds
 	merged.Limits.MemoryMB = newer.Limits.MemoryMB
--- a/internal/platform/settings/keys_test.go
+++ b/internal/platform/settings/keys_test.go
@@ -48,7 +48,7 @@
 		{"first_start", "false", "true", "true", "yes", flag, func(s *Settings) any { return s.FirstStart }},
 		{"counts_loss", "false", "true", "true", "1", flag, func(s *Settings) any { return s.CountsLoss }},
 		{"data_dir", "", "/data/x", "/data/x", anything, "", func(s *Settings) any { return s.DataDir }},
-		{"beat_every_ms", "1200", "900", "900", "0", "write a number from 1 to 2147483647", func(s *Settings) any { return s.BeatEveryMs }},
+		{"beat_every_ms", "1200", "900", "900", "0", "write a number from 1 to 2147483647", func(s *Settings) any { return s.HeartbeatInterval.Milliseconds() }},
 		{"rules_in_force", "[]", "base,drain", "[base drain]", anything, "", func(s *Settings) any { return s.RulesInForce }},
 		{"survive.machines", "0", "2", "2", "-1", count, func(s *Settings) any { return s.SurviveMachines }},
 		{"survive.zones", "0", "1", "1", "x", count, func(s *Settings) any { return s.SurviveZones }},
