--- /dev/null
+++ b/internal/control/registry/doc.go
@@ -0,0 +1,10 @@
+// Package registry is a keeper's table of endpoints: the last heartbeat of each incarnation, tombstones of those that
+// have ended, and a numbered log of changes for subscribers.
+//
+// The table is soft state and has no leader. Each incarnation is the only writer of its Entry, and entries form a join
+// semilattice: keepers exchange them (anti-entropy), and whatever the order and number of the exchanges, all tables
+// converge. Package keeper owns the table, feeds it and pushes its changes; package controlclient merges the pushes of
+// several keepers. The package does no I/O and has no clock: now is the reading of a monotonic clock.
+//
+// docs/control.md describes the protocol around it.
+package registry
--- /dev/null
+++ b/internal/control/registry/table.go
@@ -0,0 +1,313 @@
+package registry
+
+import (
+	"container/list"
+	"slices"
+	"time"
+
+	"dunetide/internal/control/snapshot"
+)
+
+// Options configures a Table. A zero field takes its default.
+type Options struct {
+	HeartbeatInterval time.Duration // between heartbeats of an endpoint; default 1.2 s
+	TombstoneLifetime time.Duration // how long a dead endpoint is remembered; default 60 s
+	MaxTombstones     int           // dead endpoints that are remembered, the oldest are dropped first; default 4,096
+	MaxEndpoints      int           // live endpoints, further ones are rejected; default 8,192
+}
+
+// Defaults of Options.
+const (
+	defaultHeartbeatInterval = 1200 * time.Millisecond
+	defaultTombstoneLifetime = time.Minute
+	defaultMaxTombstones     = 4096
+	defaultMaxEndpoints      = 8192
+)
+
+// minHeartbeatTimeout is the least time without a heartbeat after which an endpoint counts as dead.
+const minHeartbeatTimeout = 3 * time.Second
+
+// warmupSlack is the difference between the reported remaining warm-up and the value expected from the last report up
+// to which a heartbeat does not count as a change.
+const warmupSlack = 500 * time.Millisecond
+
+// Stats counts the messages that a Table did not accept.
+type Stats struct {
+	Stale        uint64 // heartbeats with a call count that is not newer than the known one
+	AfterRemoval uint64 // heartbeats of incarnations that were removed
+	Rejected     uint64 // entries that exceed a bound
+}
+
+// record is an entry with the times and list positions that the table keeps of it.
+type record struct {
+	entry          Entry
+	heardAt        time.Duration // the last heartbeat at any keeper
+	heardLocallyAt time.Duration // the last heartbeat at this keeper, if heardLocally
+	heardLocally   bool
+	warmupAt       time.Duration // the time at which entry.RemainingWarmupMs held
+	diedAt         time.Duration // when it died, if entry.Dead()
+	changeNumber   uint64        // of its newest change
+	change         *list.Element // its element in Table.changes
+	tombstone      *list.Element // its element in Table.tombstones, nil while it is live
+}
+
+// remainingWarmupMs returns the milliseconds that are left of the warm-up at now.
+func (r *record) remainingWarmupMs(now time.Duration) int {
+	return max(0, r.entry.RemainingWarmupMs-int((now-r.warmupAt).Milliseconds()))
+}
+
+// exportEntry returns a copy of the entry with its remaining warm-up and its age at now.
+func (r *record) exportEntry(now time.Duration) Entry {
+	entry := r.entry
+	entry.RemainingWarmupMs = r.remainingWarmupMs(now)
+	entry.Models = slices.Clone(entry.Models)
+	entry.Age = now - r.heardAt
+	if entry.Dead() {
+		entry.Age = now - r.diedAt
+	}
+	entry.Age = max(entry.Age, 0)
+	return entry
+}
+
+// currentEntry returns the entry with its remaining warm-up at now and age 0, to be changed and joined again.
+func (r *record) currentEntry(now time.Duration) Entry {
+	entry := r.entry
+	entry.RemainingWarmupMs, entry.Age = r.remainingWarmupMs(now), 0
+	return entry
+}
+
+// Table is the table of endpoints. It is not safe for concurrent use.
+type Table struct {
+	options          Options
+	heartbeatTimeout time.Duration
+	listeningSince   time.Duration // start of the current period without a break in Expire
+	expiredAt        time.Duration // the last Expire
+	receivedAt       time.Duration // the last message from an endpoint or another keeper
+	byID             map[string]*record
+	byAddress        map[string]string // address to the ID of the incarnation that has it
+	changes          *list.List        // of *record, in the order of their change numbers
+	tombstones       *list.List        // of *record, the longest dead first
+	lastChange       uint64            // number of the newest change
+	droppedChange    uint64            // the highest change number of a tombstone that was dropped
+	stats            Stats
+}
+
+// New returns an empty table that listens from now.
+func New(now time.Duration, options Options) *Table {
+	options.setDefaults()
+	return &Table{
+		options:          options,
+		heartbeatTimeout: max(options.HeartbeatInterval*7/2, minHeartbeatTimeout),
+		listeningSince:   now,
+		expiredAt:        now,
+		receivedAt:       now,
+		byID:             map[string]*record{},
+		byAddress:        map[string]string{},
+		changes:          list.New(),
+		tombstones:       list.New(),
+	}
+}
+
+func (o *Options) setDefaults() {
+	if o.HeartbeatInterval <= 0 {
+		o.HeartbeatInterval = defaultHeartbeatInterval
+	}
+	if o.TombstoneLifetime <= 0 {
+		o.TombstoneLifetime = defaultTombstoneLifetime
+	}
+	if o.MaxTombstones <= 0 {
+		o.MaxTombstones = defaultMaxTombstones
+	}
+	if o.MaxEndpoints <= 0 {
+		o.MaxEndpoints = defaultMaxEndpoints
+	}
+}
+
+// HeartbeatTimeout returns the time without a heartbeat after which an incarnation counts as dead: 3.5 heartbeat
+// intervals, at least 3 s.
+func (t *Table) HeartbeatTimeout() time.Duration { return t.heartbeatTimeout }
+
+// Listening reports whether the table has listened without a break for two heartbeat intervals: one heartbeat, and the
+// time an endpoint takes to find this keeper. Until then, an endpoint that the table lacks may exist.
+func (t *Table) Listening(now time.Duration) bool {
+	return now-t.listeningSince >= 2*t.options.HeartbeatInterval
+}
+
+// Stats returns the counts since New.
+func (t *Table) Stats() Stats { return t.stats }
+
+// Live returns the number of endpoints that are not dead.
+func (t *Table) Live() int { return len(t.byID) - t.tombstones.Len() }
+
+// Heartbeat applies a heartbeat and reports whether the other keepers and subscribers must be notified of a change. A
+// heartbeat that is out of bounds, stale, or of a removed incarnation changes nothing and is counted in Stats.
+func (t *Table) Heartbeat(now time.Duration, endpoint snapshot.Endpoint) (changed bool) {
+	if Validate(&endpoint) != nil {
+		t.stats.Rejected++
+		return false
+	}
+	if endpoint.State == snapshot.Removed {
+		return t.Remove(now, endpoint.ID)
+	}
+	t.receivedAt = now
+	known := t.byID[endpoint.ID]
+	if !t.acceptsHeartbeat(known, endpoint.CallCount) {
+		return false
+	}
+	changed = t.join(now, Entry{Endpoint: endpoint, HeartbeatCount: endpoint.CallCount})
+	stored := t.byID[endpoint.ID]
+	stored.heardLocallyAt, stored.heardLocally = now, true
+	if id := t.byAddress[endpoint.Address]; id != endpoint.ID {
+		if predecessor := t.byID[id]; predecessor != nil && known == nil {
+			// A new incarnation replaces the one at its address.
+			removed := predecessor.currentEntry(now)
+			removed.State = snapshot.Removed
+			t.join(now, removed)
+		}
+		t.claimAddress(now, stored)
+	}
+	return changed
+}
+
+// acceptsHeartbeat reports whether a heartbeat with a call count applies to a record, which is nil for a new
+// incarnation. One that does not is counted.
+func (t *Table) acceptsHeartbeat(known *record, callCount uint64) bool {
+	switch {
+	case known == nil:
+		if t.Live() >= t.options.MaxEndpoints {
+			t.stats.Rejected++
+			return false
+		}
+	case known.entry.State == snapshot.Removed:
+		t.stats.AfterRemoval++
+		return false
+	case callCount <= known.entry.CallCount || callCount <= known.entry.HeartbeatCount:
+		t.stats.Stale++
+		return false
+	}
+	return true
+}
+
+// Remove marks an incarnation as removed for good, as reported by itself or by its successor at its address, and
+// reports whether that is a change.
+func (t *Table) Remove(now time.Duration, id string) (changed bool) {
+	removed := Entry{Endpoint: snapshot.Endpoint{ID: id, State: snapshot.Removed}}
+	if Validate(&removed.Endpoint) != nil {
+		t.stats.Rejected++
+		return false
+	}
+	t.receivedAt = now
+	return t.join(now, removed)
+}
+
+// Merge joins entries of another keeper into the table and returns those that changed here. Entries that are out of
+// bounds, and new ones over Options.MaxEndpoints, are counted as rejected.
+func (t *Table) Merge(now time.Duration, entries []Entry) (changed []Entry) {
+	before := t.lastChange
+	t.receivedAt = now
+	for _, entry := range entries {
+		if Validate(&entry.Endpoint) != nil {
+			t.stats.Rejected++
+			continue
+		}
+		if t.byID[entry.ID] == nil {
+			if t.outlived(&entry) {
+				continue // it was dropped here, or would be at once
+			}
+			if !entry.Dead() && t.Live() >= t.options.MaxEndpoints {
+				t.stats.Rejected++
+				continue
+			}
+		}
+		t.join(now, entry)
+		if stored := t.byID[entry.ID]; stored != nil && !stored.entry.Dead() {
+			t.claimAddress(now, stored)
+		}
+	}
+	return t.changesAfter(now, before)
+}
+
+// outlived reports whether a received entry is older than the table keeps entries.
+func (t *Table) outlived(entry *Entry) bool {
+	if entry.Dead() {
+		return entry.Age >= t.options.TombstoneLifetime
+	}
+	return entry.Age >= t.heartbeatTimeout
+}
+
+// join merges an entry into its record and reports whether that is a change. All changes of entries are made here.
+func (t *Table) join(now time.Duration, received Entry) (changed bool) {
+	stored := t.byID[received.ID]
+	added := stored == nil
+	if added {
+		stored = &record{entry: received, heardAt: now - received.Age, warmupAt: now}
+		t.byID[received.ID] = stored
+	}
+	old := stored.entry
+	wasDead := !added && old.Dead()
+	old.RemainingWarmupMs = stored.remainingWarmupMs(now)
+
+	stored.entry = Join(old, received)
+	stored.warmupAt = now
+	if !received.Dead() {
+		stored.heardAt = max(stored.heardAt, now-received.Age)
+	}
+	if old.Address != stored.entry.Address {
+		t.releaseAddress(old.Address, received.ID)
+	}
+	t.updateTombstone(now, stored, wasDead, &received)
+	changed = added || isChange(&old, &stored.entry)
+	if changed {
+		t.logChange(stored)
+	}
+	t.dropTombstones(now)
+	return changed
+}
+
+// isChange reports whether subscribers must be notified of the difference between two entries of one incarnation.
+func isChange(old, updated *Entry) bool {
+	before, after := old.EffectiveEndpoint(), updated.EffectiveEndpoint()
+	drift := time.Duration(before.RemainingWarmupMs-after.RemainingWarmupMs) * time.Millisecond
+	return before.State != after.State ||
+		old.State != updated.State ||
+		drift.Abs() > warmupSlack ||
+		compareDescription(&before, &after) != 0
+}
+
+// logChange gives the newest change number to a record.
+func (t *Table) logChange(stored *record) {
+	t.lastChange++
+	stored.changeNumber = t.lastChange
+	if stored.change != nil {
+		t.changes.MoveToBack(stored.change)
+	} else {
+		stored.change = t.changes.PushBack(stored)
+	}
+}
+
+// claimAddress assigns the address of a record to one incarnation. Of two live ones the one heard last gets it and the
+// other is marked as timed out, which its next heartbeat undoes.
+func (t *Table) claimAddress(now time.Duration, stored *record) {
+	if stored.entry.Address == "" {
+		return
+	}
+	id, claimed := t.byAddress[stored.entry.Address]
+	if other := t.byID[id]; claimed && other != nil && other != stored && !other.entry.Dead() {
+		loser := other
+		if other.heardAt > stored.heardAt || other.heardAt == stored.heardAt && other.entry.ID > stored.entry.ID {
+			loser = stored
+		}
+		t.timeOut(now, loser)
+		if loser == stored {
+			return
+		}
+	}
+	t.byAddress[stored.entry.Address] = stored.entry.ID
+}
+
+// releaseAddress frees an address if an incarnation has it.
+func (t *Table) releaseAddress(address, id string) {
+	if t.byAddress[address] == id {
+		delete(t.byAddress, address)
+	}
+}
