--- a/internal/control/membership/contact.go
+++ b/internal/control/membership/contact.go
@@ -1,25 +1,40 @@
 package membership
 
 import (
+	"math"
 	"net/netip"
 	"slices"
 	"time"
 )
 
-// contact is an address that is asked while the view does not show a live process there: a seed, or a keeper that
-// left the view because it did not answer.
+const (
+	maxContacts = 16 // seeds and lost keepers
+	maxLost     = 8  // lost keepers among the contacts
+
+	fastInterval = 300 * time.Millisecond // between the first requests to a seed
+	fastAttempts = 33                     // requests at that interval, before it doubles each time
+	maxInterval  = 32 * time.Second       // the longest interval between requests to one contact
+	lostAttempts = 45                     // further requests after which a lost keeper is abandoned; a seed never is
+)
+
+// contact is an address that gets requests while the view does not show a live process there: a seed, or a keeper that
+// left the view because it did not respond.
 type contact struct {
-	addr    string
-	seed    bool
-	tries   int           // datagrams sent since it was added or last heard
-	wait    time.Duration // before the next try, which doubles after joinTries
-	next    time.Duration // when the next try is due
-	heardAt time.Duration // the last datagram from it, if heard
-	heard   bool
+	addr     string
+	seed     bool
+	attempts int           // requests sent since it was added or last heard
+	interval time.Duration // before the next attempt, which doubles after fastAttempts
+	dueAt    time.Duration // when the next attempt is due
+	heardAt  time.Duration // the last datagram from it, if heard
+	heard    bool
 }
 
-// Seed adds addresses of keepers that may be alive. They are asked at the next Tick, and again with growing intervals
-// while the view does not show enough keepers. Addresses that are not ip:port, and the process's own, are ignored.
+// abandoned reports whether no further request is sent to a contact.
+func (k *contact) abandoned() bool { return !k.seed && k.attempts >= fastAttempts+lostAttempts }
+
+// AddSeeds adds addresses of keepers that may be alive. They get requests at the next Tick, and again with growing
+// intervals while the view does not show enough keepers. Addresses that are not ip:port, and the process's own, are
+// ignored.
 func (c *Core) AddSeeds(now time.Duration, addrs []string) {
 	for _, addr := range addrs {
 		if _, err := netip.ParseAddrPort(addr); err == nil && addr != c.self.Addr {
@@ -28,12 +43,12 @@
 	}
 }
 
-// SetSeeds replaces the seeds. One that is no longer named is treated as a lost keeper, which is given up in the end.
+// SetSeeds replaces the seeds. One that is no longer named is treated as a lost keeper, which is abandoned in the end.
 func (c *Core) SetSeeds(now time.Duration, addrs []string) {
 	for i := range c.contacts {
 		known := &c.contacts[i]
 		if known.seed && !slices.Contains(addrs, known.addr) {
-			known.seed, known.tries = false, max(known.tries, joinTries)
+			known.seed, known.attempts = false, max(known.attempts, fastAttempts)
 		}
 	}
 	c.AddSeeds(now, addrs)
@@ -41,7 +56,7 @@
 
 // addSeed adds a seed, in place of the first lost keeper if there are too many contacts. With seeds only it is ignored.
 func (c *Core) addSeed(now time.Duration, addr string) {
-	if i := c.findContact(addr); i >= 0 {
+	if i := c.contactIndex(addr); i >= 0 {
 		c.contacts[i].seed = true
 		return
 	}
@@ -49,13 +64,13 @@
 		c.dropFirstLost()
 	}
 	if len(c.contacts) < maxContacts {
-		c.contacts = append(c.contacts, contact{addr: addr, seed: true, next: now, wait: joinEvery})
+		c.contacts = append(c.contacts, contact{addr: addr, seed: true, dueAt: now, interval: fastInterval})
 	}
 }
 
-// addLost adds a keeper that left the view, in place of the first one if there are maxLost of them.
-func (c *Core) addLost(now time.Duration, addr string) {
-	if c.findContact(addr) >= 0 {
+// addLostKeeper adds a keeper that left the view, in place of the first one if there are maxLost of them.
+func (c *Core) addLostKeeper(now time.Duration, addr string) {
+	if c.contactIndex(addr) >= 0 {
 		return
 	}
 	lost := 0
@@ -68,13 +83,14 @@
 		c.dropFirstLost()
 	}
 	if len(c.contacts) < maxContacts {
-		every := c.options.RoundInterval
-		c.contacts = append(c.contacts, contact{addr: addr, tries: joinTries, wait: every, next: now + every})
+		interval := c.options.RoundInterval
+		lostKeeper := contact{addr: addr, attempts: fastAttempts, interval: interval, dueAt: now + interval}
+		c.contacts = append(c.contacts, lostKeeper)
 	}
 }
 
-// findContact returns the index of the contact with an address, or -1.
-func (c *Core) findContact(addr string) int {
+// contactIndex returns the index of the contact with an address, or -1.
+func (c *Core) contactIndex(addr string) int {
 	return slices.IndexFunc(c.contacts, func(known contact) bool { return known.addr == addr })
 }
 
@@ -85,46 +101,80 @@
 	}
 }
 
-// try asks a contact and sets the time of the next try. The interval doubles after joinTries, up to maxWait, or to a
-// round while the process knows no live one.
-func (c *Core) try(now time.Duration, known *contact, alone bool) {
-	known.tries++
-	if known.tries > joinTries {
-		most := maxWait
-		if alone {
-			most = max(c.options.RoundInterval, joinEvery)
+// requestContacts sends requests to the contacts that are due, drops those that are abandoned, and returns when the
+// next one is due.
+func (c *Core) requestContacts(now time.Duration, startsRound bool) (next time.Duration) {
+	next = math.MaxInt64
+	isolated := c.isolated()
+	for i := 0; i < len(c.contacts); i++ {
+		known := &c.contacts[i]
+		if !c.wantsContact(now, known, isolated) {
+			continue
+		}
+		if c.contactDue(now, known, startsRound) {
+			if known.abandoned() {
+				c.contacts = slices.Delete(c.contacts, i, i+1)
+				i--
+				continue
+			}
+			c.requestContact(now, known, isolated)
+		}
+		if known.interval < c.options.RoundInterval {
+			next = min(next, known.dueAt)
 		}
-		known.wait = min(2*known.wait, most)
 	}
-	known.next = now + known.wait*2/3 + c.jitter(known.wait*2/3, 1)
-	c.ask(now, Peer{Addr: known.addr})
+	return next
 }
 
-// needs reports whether a contact should be asked: the view has no young entry at its address, and the process knows
-// too few keepers, or is a keeper itself and has not heard the contact for maxWait.
-func (c *Core) needs(now time.Duration, known *contact, alone bool) bool {
-	if !c.joined || alone {
+// contactDue reports whether it is time for the next request to a contact. An interval of a round or longer ends with
+// a round, so that it needs no wake-up of its own.
+func (c *Core) contactDue(now time.Duration, known *contact, startsRound bool) bool {
+	round := c.options.RoundInterval
+	return known.dueAt <= now || startsRound && known.interval >= round && known.dueAt <= now+round/2
+}
+
+// wantsContact reports whether a contact should get requests: the view has no live entry at its address, and the
+// process knows too few keepers, or is a keeper itself and has not heard the contact for maxInterval.
+func (c *Core) wantsContact(now time.Duration, known *contact, isolated bool) bool {
+	if !c.joined || isolated {
 		return true
 	}
-	for _, list := range [][]Peer{c.peers, c.keepers} {
-		for i := range list {
-			if list[i].Addr == known.addr && list[i].Age <= youngAge {
+	for _, entries := range [][]Peer{c.peers, c.keepers} {
+		for i := range entries {
+			if entries[i].Addr == known.addr && entries[i].Age <= liveAge {
 				return false
 			}
 		}
 	}
-	if c.self.Role == RoleKeeper { // keepers look for keepers, so that partitions of the system find each other again
-		return !known.heard || now-known.heardAt >= maxWait
+	if c.self.Role == RoleKeeper { // keepers look for keepers, so that the sides of a healed network partition meet again
+		return !known.heard || now-known.heardAt >= maxInterval
 	}
-	return c.young() < enoughYoung
+	return c.liveKeepers() < enoughLiveKeepers
 }
 
-// heard restarts the waits for the contact at an address that a datagram came from.
-func (c *Core) heard(now time.Duration, addr string) {
-	for i := range c.contacts {
-		if known := &c.contacts[i]; known.addr == addr {
-			known.heardAt, known.heard = now, true
-			known.tries, known.wait, known.next = joinTries, c.options.RoundInterval/2, now+c.options.RoundInterval
+// requestContact sends a request to a contact and sets the time of the next one. The interval doubles after
+// fastAttempts, up to maxInterval, or to a round while the process knows no live one.
+func (c *Core) requestContact(now time.Duration, known *contact, isolated bool) {
+	known.attempts++
+	if known.attempts > fastAttempts {
+		limit := maxInterval
+		if isolated {
+			limit = max(c.options.RoundInterval, fastInterval)
 		}
+		known.interval = min(2*known.interval, limit)
+	}
+	known.dueAt = now + known.interval*2/3 + c.jitter(known.interval*2/3, 1)
+	c.sendRequest(now, Peer{Addr: known.addr})
+}
+
+// contactHeard restarts the intervals of the contact at an address that a datagram came from.
+func (c *Core) contactHeard(now time.Duration, addr string) {
+	i := c.contactIndex(addr)
+	if i < 0 {
+		return
 	}
+	known := &c.contacts[i]
+	known.heardAt, known.heard = now, true
+	known.attempts, known.interval = fastAttempts, c.options.RoundInterval/2
+	known.dueAt = now + c.options.RoundInterval
 }
--- a/internal/control/membership/golden_test.go
+++ b/internal/control/membership/golden_test.go
@@ -21,7 +21,7 @@
 func TestMessageBytes(t *testing.T) {
 	for name, want := range map[string]message{
 		"ask": {
-			kind:         kindAsk,
+			kind:         kindRequest,
 			seq:          4_000_000_001,
 			needsKeepers: true,
 			from:         goldenPeer("sender-7001", 1_800_000_000_000_000_001, 3),
@@ -34,7 +34,7 @@
 			},
 		},
 		"answer": {
-			kind:    kindAnswer,
+			kind:    kindResponse,
 			seq:     4_000_000_005,
 			from:    goldenPeer("sender-7006", 1_800_000_000_000_000_006, 7),
 			keepers: []Peer{goldenPeer("keeper-7008", 1_800_000_000_000_000_008, 9)},
@@ -71,13 +71,13 @@
 
 // TestLargestMessage pins the size of a datagram, which all versions of the program accept and none exceeds.
 func TestLargestMessage(t *testing.T) {
-	m := message{kind: kindAsk, seq: 1, from: goldenPeer("sender-7001", 1, 0)}
+	m := message{kind: kindRequest, seq: 1, from: goldenPeer("sender-7001", 1, 0)}
 	var peers []Peer
 	for range 40 {
 		peers = append(peers, goldenPeer("peer-7002", 2, 3))
 	}
 	out, sent := m.encode(nil, peers, peers)
-	if len(out) > 1180 || len(sent) == 0 || len(out)+peerSize(&peers[0]) <= 1180 {
+	if len(out) > 1180 || len(sent) == 0 || len(out)+peerBytes(&peers[0]) <= 1180 {
 		t.Errorf("%d bytes with %d peers, want as many as fit into 1180", len(out), len(sent))
 	}
 	if _, err := decode(make([]byte, 1181)); err == nil {
--- a/internal/control/membership/service.go
+++ b/internal/control/membership/service.go
@@ -10,17 +10,21 @@
 	"time"
 )
 
+// errorPause is the wait after a read error that may persist, so that the goroutine does not spin.
+const errorPause = 10 * time.Millisecond
+
 // Service runs a Core on a UDP socket, with one goroutine. It is safe for concurrent use.
 type Service struct {
 	mu    sync.Mutex
-	core  *Core
+	core  *Core // guarded by mu
 	conn  *net.UDPConn
 	start time.Time
 	done  chan struct{}
 }
 
-// Start runs a Core over conn, which must be bound to Self.Addr, until ctx ends, and then closes conn. It sets Send in
-// the options. Seeds are addresses of keepers' internal ports. It fails if the options are invalid; conn stays open then.
+// Start runs a Core over conn, which must be bound to Self.Addr, until ctx ends, and then closes conn; Done tells when
+// that is complete. It sets Send in the options. Seeds are addresses of keepers' internal ports (ip:port). It fails if
+// the options are invalid; conn stays open then.
 func Start(ctx context.Context, conn *net.UDPConn, options Options, seeds []string) (*Service, error) {
 	s := &Service{conn: conn, start: time.Now(), done: make(chan struct{})}
 	options.Send = func(addr string, msg []byte) {
@@ -42,25 +46,19 @@
 	return s, nil
 }
 
-// errorPause is the wait after a read error that may persist, so that the goroutine does not spin.
-const errorPause = 10 * time.Millisecond
-
 // run reads datagrams until the socket is closed. The read deadline of the socket is the timer of the next Tick.
 func (s *Service) run() {
 	defer s.conn.Close()
-	buf := make([]byte, maxMessage+1)
+	buffer := make([]byte, maxMessageBytes+1)
 	next := s.tick()
 	for {
 		if err := s.conn.SetReadDeadline(s.start.Add(next)); err != nil {
 			return
 		}
-		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
 		switch {
 		case err == nil:
-			from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-			s.mu.Lock()
-			s.core.Receive(time.Since(s.start), from.String(), buf[:n])
-			s.mu.Unlock()
+			s.receive(from, buffer[:n])
 		case errors.Is(err, net.ErrClosed):
 			return
 		case !errors.Is(err, os.ErrDeadlineExceeded):
@@ -79,7 +77,15 @@
 	return s.core.Tick(time.Since(s.start))
 }
 
-// Seed adds addresses of keepers that may be alive. They are asked within a round.
+// receive hands a datagram to the Core.
+func (s *Service) receive(from netip.AddrPort, msg []byte) {
+	addr := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.core.Receive(time.Since(s.start), addr, msg)
+}
+
+// AddSeeds adds addresses of keepers that may be alive. They get requests within a round. See Core.AddSeeds.
 func (s *Service) AddSeeds(addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,19 +100,39 @@
 }
 
 // View returns all entries that are known, each process once.
-func (s *Service) View() []Peer { s.mu.Lock(); defer s.mu.Unlock(); return s.core.View() }
+func (s *Service) View() []Peer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.core.View()
+}
 
 // Keepers returns the entries of keepers that are known, the youngest first.
-func (s *Service) Keepers() []Peer { s.mu.Lock(); defer s.mu.Unlock(); return s.core.Keepers() }
+func (s *Service) Keepers() []Peer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.core.Keepers()
+}
 
 // Self returns this process's own entry.
-func (s *Service) Self() Peer { s.mu.Lock(); defer s.mu.Unlock(); return s.core.Self() }
+func (s *Service) Self() Peer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.core.Self()
+}
 
 // Stats returns the counts since Start.
-func (s *Service) Stats() Stats { s.mu.Lock(); defer s.mu.Unlock(); return s.core.Stats() }
+func (s *Service) Stats() Stats {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.core.Stats()
+}
 
-// Joined reports whether any question was ever answered.
-func (s *Service) Joined() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.core.Joined() }
+// Joined reports whether any request was ever answered.
+func (s *Service) Joined() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.core.Joined()
+}
 
-// Done is closed when the goroutine has ended.
+// Done is closed when the goroutine has ended and the socket is closed.
 func (s *Service) Done() <-chan struct{} { return s.done }
