--- a/internal/deliverynode/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -126,7 +126,7 @@
 			Senders: c.Settings.Senders * max(1, c.Members), MaxOpen: c.endpointSockets(), DialTimeout: connect,
 			// An endpoint closes an idle connection some time before the settings' limit
 			// at the latest; a request on its way then would end as a reset.
-			IdleLimit: c.IdleClose * 4 / 5, Warm: c.Warm, WarmUp: c.Settings.WarmUp})}
+			MaxIdle: c.IdleClose * 4 / 5, Preconnect: c.Warm, WarmUp: c.Settings.WarmUp})}
 }
 
 // endpointSockets is how many descriptors are left for connections to endpoints, when
@@ -194,9 +194,9 @@
 
 // connect returns a connection to the endpoint of a call. Without one it ends the call and returns nil.
 func (c *caller) connect(ctx context.Context, k *call) *upstream.Conn {
-	conn, err := k.endpoint.pool.Take(ctx)
+	conn, err := k.endpoint.pool.Acquire(ctx)
 	switch {
-	case errors.Is(err, upstream.ErrBusy), errors.Is(err, upstream.ErrGone): // it says nothing of the endpoint
+	case errors.Is(err, upstream.ErrBusy), errors.Is(err, upstream.ErrRemoved): // it says nothing of the endpoint
 		c.log.Debug("call: not sent", "endpoint", k.endpoint.name, "err", err)
 		c.endAll(k, policy.Moot, 0, false)
 		return nil
@@ -210,7 +210,7 @@
 
 // notSent gives back the connection of a call that was not sent, and ends the call.
 func (c *caller) notSent(k *call, conn *upstream.Conn) {
-	conn.Done(upstream.Unused)
+	conn.Release(upstream.Unused)
 	c.endAll(k, policy.Moot, 0, false)
 }
 
@@ -247,9 +247,9 @@
 func (c *caller) broken(ctx context.Context, k *call, conn *upstream.Conn, err error) {
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	if late {
-		conn.Done(upstream.GaveUp)
+		conn.Release(upstream.Canceled)
 	} else {
-		conn.Done(upstream.Broken)
+		conn.Release(upstream.Broken)
 	}
 	var broke *upstream.CallError
 	sent := !errors.As(err, &broke) || broke.Sent
@@ -369,9 +369,9 @@
 	_, err := conn.Body(drain, resp, maxAnswer)
 	end := endOf(err)
 	if err == nil && outcome == policy.Full && wait == 0 {
-		end = upstream.Full
+		end = upstream.Rejected
 	}
-	conn.Done(end)
+	conn.Release(end)
 	if err != nil || !waitOK {
 		// Only an answer that can be read proves that nothing ran.
 		c.log.Debug("call: unreadable answer", "endpoint", k.endpoint.name, "status", resp.Status, "err", err)
@@ -388,7 +388,7 @@
 	if err == nil {
 		ends = readEnds(body)
 	}
-	conn.Done(endOf(err))
+	conn.Release(endOf(err))
 	lost := policy.Failed // the outcome of messages that are left out
 	if err != nil {
 		lost = policy.Reset
@@ -421,7 +421,7 @@
 }
 
 // endOf tells what reading an answer to its end says of the connection.
-func endOf(err error) upstream.End {
+func endOf(err error) upstream.Outcome {
 	if err != nil {
 		return upstream.Broken
 	}
--- a/internal/deliverynode/node/loop.go
+++ b/internal/deliverynode/node/loop.go
@@ -243,14 +243,14 @@
 	}
 	if state != policy.Gone {
 		e.addr = m.HostPort
-		e.pool = l.caller.pools.Endpoint(upstream.Endpoint{Name: e.name, Addr: e.addr, Since: m.UpSince, MayWarm: e.mayWarm})
+		e.pool = l.caller.pools.Endpoint(upstream.Endpoint{Name: e.name, Addr: e.addr, Since: m.UpSince, MayPreconnect: e.mayWarm})
 	}
 	e.last = m
 	l.setLeaving(e, state != policy.Ready)
 	l.recordLeaving(e, state != policy.Ready)
 	entry := l.entry(e, m, state)
 	if state == policy.Gone {
-		e.pool.Leave()
+		e.pool.Remove()
 		l.forgetGone(e)
 	}
 	return entry, true
@@ -299,7 +299,7 @@
 			e.last.Phase = "left"
 			l.setLeaving(e, true)
 			l.recordLeaving(e, true)
-			e.pool.Leave()
+			e.pool.Remove()
 			l.forgetGone(e)
 		}
 	}
--- a/internal/deliverynode/node/process.go
+++ b/internal/deliverynode/node/process.go
@@ -262,11 +262,11 @@
 	if p.places > 0 {
 		p.clients.limit(max(p.places/4, p.places-p.estate.told.Connected))
 	}
-	pools.Limit(p.config.endpointSockets() - p.config.Settings.Slots) // the process before may have as many calls out
+	pools.SetMaxOpen(p.config.endpointSockets() - p.config.Settings.Slots) // the process before may have as many calls out
 	p.before.gone = func() {
 		p.config.limitMemory(1)
 		p.clients.limit(p.places)
-		pools.Limit(p.config.endpointSockets())
+		pools.SetMaxOpen(p.config.endpointSockets())
 	}
 }
 
--- a/internal/platform/upstream/conn_test.go
+++ b/internal/platform/upstream/conn_test.go
@@ -97,7 +97,7 @@
 
 func newPools(t *testing.T, change func(*Config)) *Pools {
 	c := Config{Dial: dialTCP, Now: time.Now, Rand: func() float64 { return 0.5 }, Senders: 1, MaxOpen: 100,
-		IdleLimit: time.Minute, DialTimeout: patience}
+		MaxIdle: time.Minute, DialTimeout: patience}
 	if change != nil {
 		change(&c)
 	}
@@ -119,19 +119,19 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	c, err := p.Take(ctx)
+	c, err := p.Acquire(ctx)
 	must(t, err)
 	reused = c.Reused()
-	resp, err := c.Send(ctx, request(p.at.Addr, body))
+	resp, err := c.Send(ctx, request(p.endpoint.Addr, body))
 	if err != nil {
-		c.Done(Broken)
+		c.Release(Broken)
 		return 0, reused, err
 	}
 	if _, err = c.Body(ctx, resp, 64<<10); err != nil {
-		c.Done(Broken)
+		c.Release(Broken)
 		return resp.StatusCode, reused, err
 	}
-	c.Done(Answered)
+	c.Release(Answered)
 	return resp.StatusCode, reused, nil
 }
 
@@ -341,13 +341,13 @@
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	ctx, cancel := context.WithCancel(context.Background())
-	c, err := p.Take(ctx)
+	c, err := p.Acquire(ctx)
 	must(t, err)
 	time.AfterFunc(0, cancel)
 	if _, err := c.Send(ctx, request(s.addr, 10)); err == nil || ctx.Err() == nil {
 		t.Errorf("%v, context %v", err, ctx.Err())
 	}
-	c.Done(GaveUp)
+	c.Release(Canceled)
 	<-closed
 	wantStats(t, ps, 0, 0, 1, 0, 0)
 }
@@ -362,7 +362,7 @@
 	})
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
-	c, err := p.Take(t.Context())
+	c, err := p.Acquire(t.Context())
 	must(t, err)
 	resp, err := c.Send(t.Context(), request(s.addr, 10))
 	must(t, err)
@@ -371,7 +371,7 @@
 	if _, err := c.Body(ctx, resp, 100); err == nil {
 		t.Error("half a body was read as a whole")
 	}
-	c.Done(Broken)
+	c.Release(Broken)
 	wantStats(t, ps, 0, 0, 1, 0, 0)
 }
 
--- /dev/null
+++ b/internal/platform/upstream/decay.go
@@ -0,0 +1,25 @@
+package upstream
+
+import (
+	"math"
+	"time"
+)
+
+// decayingSum is a sum in which a summand counts for half after a half-life, and for less and less later.
+type decayingSum struct {
+	sum       float64
+	decayedAt time.Time
+}
+
+func (s *decayingSum) add(x float64, now time.Time, halfLife time.Duration) {
+	if elapsed := now.Sub(s.decayedAt); elapsed > 0 {
+		s.sum *= math.Exp2(-float64(elapsed) / float64(halfLife))
+		s.decayedAt = now
+	}
+	s.sum += x
+}
+
+func (s *decayingSum) value(now time.Time, halfLife time.Duration) float64 {
+	s.add(0, now, halfLife)
+	return s.sum
+}
--- a/internal/platform/upstream/golden_test.go
+++ b/internal/platform/upstream/golden_test.go
@@ -35,7 +35,7 @@
 
 // The overview of pools, as the delivery node's console writes it.
 func TestGoldenOverview(t *testing.T) {
-	o := Overview{Open: 1, MaxOpen: 2, Waiting: 3, LeftOut: 4, Pools: []Stat{
+	o := Overview{Open: 1, MaxOpen: 2, Waiting: 3, Omitted: 4, Pools: []Stat{
 		{"e", "a:1", 5, 6, 7, 8, 9, 10.5, 11, 12, 13, 14, 15, 16, true},
 		{Endpoint: "f"},
 	}}
--- a/internal/platform/upstream/idle.go
+++ b/internal/platform/upstream/idle.go
@@ -6,93 +6,92 @@
 )
 
 const (
-	// youngest is the idle time up to which a connection is taken for as good as new.
-	youngest = 75 * time.Millisecond
-	// ages is how many spans of idle time are told apart, each twice as long as the
-	// one before.
-	ages = 8
-	// halfLife is when what was seen counts for half. No more than manyUses count, so
-	// that older connections are tried again soon after they were given up.
-	halfLife = 5 * time.Second
-	manyUses = 16
-	// An age is bad when badShare more break at it than of young ones, where goodUses
-	// that went well are taken to have come before: one break tells nothing, and what
-	// has nearly faded does not outweigh the next use.
-	goodUses = 6
-	badShare = 0.15
-	// ownUses of one endpoint in a span weigh more than what all endpoints show.
-	ownUses = 4
+	// freshIdle is the idle time up to which a connection counts as good as new.
+	freshIdle = 75 * time.Millisecond
+	// idleSpans is how many spans of idle time are told apart, each twice as long as the one before.
+	idleSpans = 8
+	// idleDecay is after how long an observation counts for half. No more than maxUses count, so that connections of
+	// a span are tried again soon after they were given up.
+	idleDecay = 5 * time.Second
+	maxUses   = 16
+	// A span is bad when brokenShare more connections break in it than fresh ones do. In both, assumedGoodUses that
+	// went well are taken to have come before: one break tells nothing, and what has nearly decayed does not outweigh
+	// the next use.
+	assumedGoodUses = 6
+	brokenShare     = 0.15
+	// minOwnUses of one endpoint in a span weigh more than what all endpoints show.
+	minOwnUses = 4
 )
 
-// idleLimit is how long a connection may stand idle and still be used. The settings
-// tell when the far side closes it at the latest; where something on the way forgets
-// it sooner, that shows only when a call on it breaks, and a call that broke may have
-// run. So it is learnt from the calls on connections that were idle for longer or
-// shorter.
+// idleLimit learns how long a connection may stand idle and still be used. The settings say when the far side closes
+// it at the latest; where something on the way forgets it sooner, that shows only when a call on it breaks, and a
+// call that broke may have run. So it is learnt from calls on connections that were idle for longer or shorter.
 type idleLimit struct {
-	told time.Duration // by the settings
+	configured time.Duration // by the settings
 
-	at   time.Time // when the counts last faded
-	seen [ages]struct{ uses, broken float64 }
+	decayedAt time.Time // when the counts last decayed
+	spans     [idleSpans]spanCounts
 }
 
-// spanOf is the span that an idle time falls in; the last one has no end.
+// spanCounts are the calls on connections that were idle for times of one span. They decay.
+type spanCounts struct{ uses, broken float64 }
+
+// spanOf returns the span that an idle time falls in; the last one has no end.
 func spanOf(idle time.Duration) int {
-	n := 0
-	for end := youngest; n < ages-1 && idle >= end; n++ {
+	span := 0
+	for end := freshIdle; span < idleSpans-1 && idle >= end; span++ {
 		end *= 2
 	}
-	return n
+	return span
 }
 
-// used tells how a call went on a connection that was idle for so long.
-func (l *idleLimit) used(idle time.Duration, broken bool, now time.Time) {
-	l.fade(now)
-	s := &l.seen[spanOf(idle)]
+// observe notes how a call ended on a connection that was idle for a time.
+func (l *idleLimit) observe(idle time.Duration, broken bool, now time.Time) {
+	l.decay(now)
+	s := &l.spans[spanOf(idle)]
 	s.uses++
 	if broken {
 		s.broken++
 	}
-	if s.uses > manyUses {
-		s.broken *= manyUses / s.uses
-		s.uses = manyUses
+	if s.uses > maxUses {
+		s.broken *= maxUses / s.uses
+		s.uses = maxUses
 	}
 }
 
-func (l *idleLimit) fade(now time.Time) {
-	if past := now.Sub(l.at); past > 0 {
-		keep := math.Exp2(-float64(past) / float64(halfLife))
-		for i := range l.seen {
-			l.seen[i].uses *= keep
-			l.seen[i].broken *= keep
+func (l *idleLimit) decay(now time.Time) {
+	if elapsed := now.Sub(l.decayedAt); elapsed > 0 {
+		factor := math.Exp2(-float64(elapsed) / float64(idleDecay))
+		for i := range l.spans {
+			l.spans[i].uses *= factor
+			l.spans[i].broken *= factor
 		}
-		l.at = now
+		l.decayedAt = now
 	}
 }
 
-// badAt tells whether connections of a span break more than young ones. It knows once
-// there were enough uses.
-func (l *idleLimit) badAt(span int, enough float64) (bad, known bool) {
-	young, old := l.seen[0], l.seen[span]
-	bad = old.broken/(old.uses+goodUses) > young.broken/(young.uses+goodUses)+badShare
+// isBad reports whether connections of a span break more than fresh ones do. It is known once there were enough uses.
+func (l *idleLimit) isBad(span int, enough float64) (bad, known bool) {
+	fresh, old := l.spans[0], l.spans[span]
+	bad = old.broken/(old.uses+assumedGoodUses) > fresh.broken/(fresh.uses+assumedGoodUses)+brokenShare
 	return bad, old.uses >= enough
 }
 
-// limit is the longest idle time at which connections are no worse than young ones.
-// Of a span in which the endpoint itself has shown little, all endpoints tell.
+// limit returns the longest idle time at which connections are no worse than fresh ones. Where the endpoint itself
+// has shown little about a span, all endpoints together decide.
 func (l *idleLimit) limit(all *idleLimit, now time.Time) time.Duration {
-	l.fade(now)
-	all.fade(now)
-	end := youngest
-	for span := 1; span < ages; span++ {
-		bad, known := l.badAt(span, ownUses)
+	l.decay(now)
+	all.decay(now)
+	end := freshIdle
+	for span := 1; span < idleSpans; span++ {
+		bad, known := l.isBad(span, minOwnUses)
 		if !known {
-			bad, _ = all.badAt(span, 0)
+			bad, _ = all.isBad(span, 0)
 		}
 		if bad {
-			return min(l.told, end)
+			return min(l.configured, end)
 		}
 		end *= 2
 	}
-	return l.told
+	return l.configured
 }
--- a/internal/platform/upstream/idle_test.go
+++ b/internal/platform/upstream/idle_test.go
@@ -10,30 +10,30 @@
 func TestIdleLimitIsLearnt(t *testing.T) {
 	const told = 12 * time.Second
 	now := time.Now()
-	l := &idleLimit{told: told}
+	l := &idleLimit{configured: told}
 	if got := l.limit(l, now); got != told {
 		t.Errorf("limit %v before any call, want what was told", got)
 	}
 	for i := range 40 {
-		l.used(-1, i%10 == 0, now)
-		l.used(20*time.Millisecond, i%10 == 0, now)
-		l.used(100*time.Millisecond, i%10 == 0, now)
-		l.used(2*time.Second, i%10 == 0, now)
+		l.observe(-1, i%10 == 0, now)
+		l.observe(20*time.Millisecond, i%10 == 0, now)
+		l.observe(100*time.Millisecond, i%10 == 0, now)
+		l.observe(2*time.Second, i%10 == 0, now)
 	}
 	if got := l.limit(l, now); got != told {
 		t.Errorf("limit %v where one in ten breaks at any age, want what was told", got)
 	}
 	for i := range 10 {
-		l.used(200*time.Millisecond, i%2 == 0, now)
+		l.observe(200*time.Millisecond, i%2 == 0, now)
 	}
-	if got := l.limit(l, now); got != 2*youngest {
-		t.Errorf("limit %v where half break at 200 ms, want %v", got, 2*youngest)
+	if got := l.limit(l, now); got != 2*freshIdle {
+		t.Errorf("limit %v where half break at 200 ms, want %v", got, 2*freshIdle)
 	}
-	now = now.Add(2 * halfLife)
+	now = now.Add(2 * idleDecay)
 	if got := l.limit(l, now); got != told {
 		t.Errorf("limit %v long after, want what was told", got)
 	}
-	l.used(200*time.Millisecond, false, now)
+	l.observe(200*time.Millisecond, false, now)
 	if got := l.limit(l, now); got != told {
 		t.Errorf("limit %v after another good use, want what was told", got)
 	}
@@ -43,25 +43,25 @@
 func TestIdleLimitOfOneEndpoint(t *testing.T) {
 	const told = 12 * time.Second
 	now := time.Now()
-	all, own := &idleLimit{told: told}, &idleLimit{told: told}
+	all, own := &idleLimit{configured: told}, &idleLimit{configured: told}
 	for range 10 {
-		all.used(200*time.Millisecond, true, now)
+		all.observe(200*time.Millisecond, true, now)
 	}
-	if got := own.limit(all, now); got != 2*youngest {
-		t.Errorf("limit %v with nothing of its own, want that of all, %v", got, 2*youngest)
+	if got := own.limit(all, now); got != 2*freshIdle {
+		t.Errorf("limit %v with nothing of its own, want that of all, %v", got, 2*freshIdle)
 	}
-	for range ownUses {
-		own.used(200*time.Millisecond, false, now)
+	for range minOwnUses {
+		own.observe(200*time.Millisecond, false, now)
 	}
 	if got := own.limit(all, now); got != told {
 		t.Errorf("limit %v though its own connections are sound, want %v", got, told)
 	}
-	now = now.Add(4 * halfLife)
-	all.used(200*time.Millisecond, false, now)
+	now = now.Add(4 * idleDecay)
+	all.observe(200*time.Millisecond, false, now)
 	for range 10 {
-		own.used(1500*time.Millisecond, true, now)
+		own.observe(1500*time.Millisecond, true, now)
 	}
-	if got := own.limit(all, now); got != 16*youngest {
-		t.Errorf("limit %v though its own break at 1.5 s, want %v", got, 16*youngest)
+	if got := own.limit(all, now); got != 16*freshIdle {
+		t.Errorf("limit %v though its own break at 1.5 s, want %v", got, 16*freshIdle)
 	}
 }
--- a/internal/platform/upstream/open_test.go
+++ b/internal/platform/upstream/open_test.go
@@ -18,18 +18,18 @@
 // open makes one call by Open and reads its answer to the end.
 func open(t *testing.T, p *Pool, deadline time.Time) (body string, reused bool, err error) {
 	t.Helper()
-	c, err := p.Take(t.Context())
+	c, err := p.Acquire(t.Context())
 	must(t, err)
 	resp, err := c.Open(t.Context(), http.MethodPost, []byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n"), []byte("ab"), deadline)
 	if err != nil {
-		c.Done(Broken)
+		c.Release(Broken)
 		return "", c.Reused(), err
 	}
 	b, err := io.ReadAll(resp.Body)
 	if err == nil {
-		c.Whole(resp)
+		c.MarkComplete(resp)
 	}
-	c.Done(Answered)
+	c.Release(Answered)
 	return string(b), c.Reused(), err
 }
 
@@ -98,13 +98,13 @@
 	must(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
 	must(t, err)
-	resp, err = c.Next()
+	resp, err = c.NextAnswer()
 	must(t, err)
 	if b, err := io.ReadAll(resp.Body); err != nil || string(b) != "me" {
 		t.Errorf("%q, %v", b, err)
 	}
-	c.Whole(resp)
-	c.Done(Answered)
+	c.MarkComplete(resp)
+	c.Release(Answered)
 	if take(t, p).Reused() {
 		t.Error("the connection was kept")
 	}
@@ -113,14 +113,14 @@
 // A connection is not used when the far side is about to close it, by its own word.
 func TestKeepAliveThatIsTold(t *testing.T) {
 	for told, keeps := range map[string]time.Duration{
-		"timeout=5":          5*time.Second - keepSlack,
-		"timeout=2, max=100": 2*time.Second - keepSlack,
-		"max=9, Timeout=3":   3*time.Second - keepSlack,
+		"timeout=5":          5*time.Second - keepAliveMargin,
+		"timeout=2, max=100": 2*time.Second - keepAliveMargin,
+		"max=9, Timeout=3":   3*time.Second - keepAliveMargin,
 		"timeout=0":          time.Millisecond,
 		"timeout=x":          0,
 		"":                   0,
 	} {
-		if got := keepAlive(http.Header{"Keep-Alive": {told}}); got != keeps {
+		if got := parseKeepAlive(http.Header{"Keep-Alive": {told}}); got != keeps {
 			t.Errorf("%q: %v, want %v", told, got, keeps)
 		}
 	}
@@ -128,7 +128,7 @@
 	ps := farPools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	c := take(t, p)
-	c.keep = 4600 * time.Millisecond
+	c.keepAlive = 4600 * time.Millisecond
 	served(c, Answered)
 	now.tick(4 * time.Second)
 	ps.Sweep()
@@ -145,21 +145,21 @@
 // No more connections than were told; who finds no place soon is told so.
 func TestMostConnectionsThatAreTold(t *testing.T) {
 	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, func(c *Config) { c.Wait = time.Millisecond })
-	p := ps.Endpoint(Endpoint{Name: "e", Most: 2})
+	ps := farPools(t, f, now, func(c *Config) { c.MaxWait = time.Millisecond })
+	p := ps.Endpoint(Endpoint{Name: "e", MaxConns: 2})
 	one, two := take(t, p), take(t, p)
-	if _, err := p.Take(t.Context()); !errors.Is(err, ErrBusy) {
+	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrBusy) {
 		t.Errorf("%v", err)
 	}
 	served(one, Answered)
 	if one = take(t, p); !one.Reused() || f.most != 2 {
 		t.Errorf("reused %v, %d at the most", one.Reused(), f.most)
 	}
-	if ps.Endpoint(Endpoint{Name: "e", Most: 3}) != p {
+	if ps.Endpoint(Endpoint{Name: "e", MaxConns: 3}) != p {
 		t.Fatal("another pool")
 	}
 	three := take(t, p)
-	ps.Endpoint(Endpoint{Name: "e", Most: 1})
+	ps.Endpoint(Endpoint{Name: "e", MaxConns: 1})
 	served(three, Answered)
 	served(two, Answered)
 	served(one, Answered)
@@ -178,8 +178,8 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Endpoints that forget idle connections and reset them at the next byte: a call whose end is held back was surely not
-// received, at whatever age of the connection. One that an endpoint has read whole is never told as not sent.
+// Endpoints that forget idle connections and reset them at the next byte: a call whose end is held back was surely
+// not received, at whatever age of the connection. One that an endpoint has read whole is never told as not sent.
 func TestForgottenConnectionIsFoundBeforeTheEnd(t *testing.T) {
 	for _, end := range []string{"reset", "close"} {
 		t.Run(end, func(t *testing.T) {
@@ -207,26 +207,26 @@
 			p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 			for _, body := range []string{"", "a body", strings.Repeat("b", 60<<10)} {
 				for call := range 2 {
-					c, err := p.Take(t.Context())
+					c, err := p.Acquire(t.Context())
 					must(t, err)
 					if call == 1 {
-						c.age = youngest // as if it had been idle
+						c.idleBefore = freshIdle // as if it had been idle
 					}
-					c.HoldBackEnd()
+					c.DelayEnd()
 					resp, err := c.Open(t.Context(), "POST", []byte(fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body))), []byte(body), time.Now().Add(patience))
 					if call == 0 {
 						must(t, err)
 						_, err := io.Copy(io.Discard, resp.Body)
 						must(t, err)
-						c.Whole(resp)
-						c.Done(Answered)
+						c.MarkComplete(resp)
+						c.Release(Answered)
 						continue
 					}
 					var broke *CallError
 					if !errors.As(err, &broke) || broke.Sent || !broke.Stale {
 						t.Errorf("%v, want a call that was not sent", err)
 					}
-					c.Done(Broken)
+					c.Release(Broken)
 				}
 			}
 			if n := whole.Load(); n != 3 {
@@ -242,18 +242,18 @@
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	for call := range 20 {
-		c, err := p.Take(t.Context())
+		c, err := p.Acquire(t.Context())
 		must(t, err)
 		if call > 0 {
-			c.age = youngest
+			c.idleBefore = freshIdle
 		}
-		c.HoldBackEnd()
+		c.DelayEnd()
 		resp, err := c.Open(t.Context(), "POST", []byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n"), []byte("ab"), time.Now().Add(patience))
 		must(t, err)
 		_, err = io.Copy(io.Discard, resp.Body)
 		must(t, err)
-		c.Whole(resp)
-		c.Done(Answered)
+		c.MarkComplete(resp)
+		c.Release(Answered)
 	}
 	wantStats(t, ps, 1, 1, 1, 19, 0)
 }
@@ -264,14 +264,14 @@
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	ctx, cancel := context.WithCancel(t.Context())
-	c, err := p.Take(ctx)
+	c, err := p.Acquire(ctx)
 	must(t, err)
-	c.age = youngest
-	c.HoldBackEnd()
+	c.idleBefore = freshIdle
+	c.DelayEnd()
 	cancel()
 	var broke *CallError
 	if _, err := c.Open(ctx, "POST", []byte("POST / HTTP/1.1\r\nHost: h\r\n\r\n"), nil, time.Time{}); !errors.As(err, &broke) || broke.Sent {
 		t.Errorf("%v, want a call that was not sent", err)
 	}
-	c.Done(GaveUp)
+	c.Release(Canceled)
 }
--- a/internal/platform/upstream/partial_test.go
+++ b/internal/platform/upstream/partial_test.go
@@ -34,7 +34,7 @@
 // A call of which a part was written, but not its last byte, was not sent, however long that part is.
 func TestPartThatWasWrittenIsNotTheWhole(t *testing.T) {
 	s := newStandIn(t, answers(ok200))
-	for _, body := range []string{"", "a body", strings.Repeat("b", 2*inlineWrite)} {
+	for _, body := range []string{"", "a body", strings.Repeat("b", 2*maxInlineWrite)} {
 		head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body))
 		size := len(head) + len(body)
 		for _, part := range []int{0, 1, len(head) - 1, len(head), size - 1} {
@@ -50,7 +50,7 @@
 					return &partialConn{conn, part}, nil
 				}
 			})
-			c, err := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr}).Take(t.Context())
+			c, err := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr}).Acquire(t.Context())
 			must(t, err)
 			resp, err := c.Open(t.Context(), "POST", []byte(head), []byte(body), time.Now().Add(patience/4))
 			var broke *CallError
@@ -61,7 +61,7 @@
 			case !errors.As(err, &broke) || broke.Sent:
 				t.Errorf("%d of %d bytes were written: %v, want a call that was not sent", part, size, err)
 			}
-			c.Done(Broken)
+			c.Release(Broken)
 		}
 	}
 }
--- a/internal/platform/upstream/pools_test.go
+++ b/internal/platform/upstream/pools_test.go
@@ -71,14 +71,14 @@
 }
 
 // served ends a call as one that was answered, without any bytes.
-func served(c *Conn, end End) {
-	c.used, c.sent, c.whole, c.stop = true, true, true, func() bool { return true }
-	c.Done(end)
+func served(c *Conn, end Outcome) {
+	c.inCall, c.sent, c.complete, c.stopCancel = true, true, true, func() bool { return true }
+	c.Release(end)
 }
 
 func take(t *testing.T, p *Pool) *Conn {
 	t.Helper()
-	c, err := p.Take(t.Context())
+	c, err := p.Acquire(t.Context())
 	must(t, err)
 	return c
 }
@@ -86,7 +86,7 @@
 // The connection that was used last comes first, so that the surplus ages and closes.
 func TestSurplusAges(t *testing.T) {
 	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, func(c *Config) { c.IdleLimit = 10 * time.Second })
+	ps := farPools(t, f, now, func(c *Config) { c.MaxIdle = 10 * time.Second })
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	a, b, c := take(t, p), take(t, p), take(t, p)
 	for _, conn := range []*Conn{a, b, c} {
@@ -116,7 +116,7 @@
 	at := Endpoint{Name: "e", Addr: "1", Since: now.now.UnixMilli()}
 	p := ps.Endpoint(at)
 	served(take(t, p), Answered)
-	p.size.cap = 3
+	p.sizing.cap = 3
 	out := take(t, p) // out while the list comes
 	old := take(t, p)
 	now.tick(time.Second)
@@ -124,12 +124,12 @@
 	now.tick(time.Second)
 	fresh := take(t, p)
 	served(old, Answered)
-	if ps.Endpoint(at) != p || p.size.cap != 0 {
-		t.Errorf("cap %v after a restart, want none", p.size.cap)
+	if ps.Endpoint(at) != p || p.sizing.cap != 0 {
+		t.Errorf("cap %v after a restart, want none", p.sizing.cap)
 	}
 	served(fresh, Answered)
 	served(out, Answered)
-	if f.open != 1 || len(p.idle) != 1 || p.idle[0].opened.UnixMilli() < at.Since {
+	if f.open != 1 || len(p.idle) != 1 || p.idle[0].dialedAt.UnixMilli() < at.Since {
 		t.Errorf("%d open, %d idle; want the connection that was opened since the restart", f.open, len(p.idle))
 	}
 	at.Addr = "2"
@@ -150,8 +150,8 @@
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	c := take(t, p)
 	served(take(t, p), Answered)
-	p.Leave()
-	if _, err := p.Take(t.Context()); !errors.Is(err, ErrGone) {
+	p.Remove()
+	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrRemoved) {
 		t.Errorf("%v, want that it is gone", err)
 	}
 	if o := ps.Stats(9); o.Open != 1 || len(o.Pools) != 1 {
@@ -184,12 +184,12 @@
 	if f.open != 3 || f.most != 3 {
 		t.Errorf("%d open, %d at the most, want 3", f.open, f.most)
 	}
-	if _, err := busy.Take(over()); !errors.Is(err, ErrBusy) {
+	if _, err := busy.Acquire(over()); !errors.Is(err, ErrBusy) {
 		t.Errorf("%v, want that no connection is free", err)
 	}
 	got := make(chan *Conn)
 	go func() {
-		c, err := busy.Take(context.Background())
+		c, err := busy.Acquire(context.Background())
 		if err != nil {
 			t.Error(err)
 		}
@@ -204,7 +204,7 @@
 		t.Errorf("%d open, want 3", f.open)
 	}
 	for _, c := range []*Conn{one, three, c} {
-		c.Done(Unused)
+		c.Release(Unused)
 	}
 	if o := ps.Stats(9); o.Open != 3 || o.Waiting != 0 {
 		t.Errorf("%+v at the end", o)
@@ -222,22 +222,22 @@
 		served(take(t, busy), Answered)
 	}
 	served(take(t, rare), Answered)
-	ps.Limit(2)
+	ps.SetMaxOpen(2)
 	if f.open != 2 || len(rare.idle) != 0 {
 		t.Errorf("%d open, %d of them to the endpoint that is used least; want 2 and none", f.open, len(rare.idle))
 	}
-	ps.Limit(1)
+	ps.SetMaxOpen(1)
 	got := make(chan error)
 	go func() {
-		_, err := rare.Take(context.Background())
+		_, err := rare.Acquire(context.Background())
 		got <- err
 	}()
 	for ps.Stats(1).Waiting == 0 {
 		runtime.Gosched()
 	}
-	ps.Limit(2)
+	ps.SetMaxOpen(2)
 	must(t, <-got)
-	out.Done(Unused)
+	out.Release(Unused)
 }
 
 // Calls that wait for a capped endpoint are few, and end with their time; the first of
@@ -246,20 +246,20 @@
 	f, now := &far{holds: 10}, newClock()
 	ps := farPools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
-	p.size.cap, p.size.growAt = 1, now.now.Add(time.Hour)
+	p.sizing.cap, p.sizing.growAt = 1, now.now.Add(time.Hour)
 	c := take(t, p)
 	ctx, cancel := context.WithCancel(t.Context())
 	ends := make(chan error, maxWaiting)
 	for range maxWaiting {
 		go func() {
-			_, err := p.Take(ctx)
+			_, err := p.Acquire(ctx)
 			ends <- err
 		}()
 	}
 	for ps.Stats(1).Pools[0].Waiting < maxWaiting {
 		runtime.Gosched()
 	}
-	if _, err := p.Take(t.Context()); !errors.Is(err, ErrBusy) {
+	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrBusy) {
 		t.Errorf("%v, want that too many wait", err)
 	}
 	served(c, Answered)
@@ -288,16 +288,16 @@
 		}
 	})
 	p := ps.Endpoint(Endpoint{Name: "e"})
-	if _, err := p.Take(over()); !errors.Is(err, context.Canceled) {
+	if _, err := p.Acquire(over()); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v, want that it was given up", err)
 	}
 	if s := ps.Stats(1).Pools[0]; s.Refused != 0 || s.Open != 0 {
 		t.Errorf("%+v, want nothing counted and nothing open", s)
 	}
-	if _, err := p.Take(t.Context()); !errors.Is(err, context.DeadlineExceeded) || errors.Is(err, ErrBusy) {
+	if _, err := p.Acquire(t.Context()); !errors.Is(err, context.DeadlineExceeded) || errors.Is(err, ErrBusy) {
 		t.Errorf("%v, want the time to connect", err)
 	}
-	if s := ps.Stats(1).Pools[0]; s.Refused != 1 || s.Open != 0 || s.Dialling != 0 {
+	if s := ps.Stats(1).Pools[0]; s.Refused != 1 || s.Open != 0 || s.Dialing != 0 {
 		t.Errorf("%+v, want one refused and nothing open", s)
 	}
 }
@@ -305,7 +305,7 @@
 // A connection that comes up when its endpoint is gone or has moved is closed.
 func TestDialThatComesTooLate(t *testing.T) {
 	for name, change := range map[string]func(*Pools, *Pool){
-		"gone":  func(_ *Pools, p *Pool) { p.Leave() },
+		"gone":  func(_ *Pools, p *Pool) { p.Remove() },
 		"moved": func(ps *Pools, _ *Pool) { ps.Endpoint(Endpoint{Name: "e", Addr: "2"}) },
 	} {
 		f := &far{holds: 1}
@@ -318,7 +318,7 @@
 			}
 		})
 		p = ps.Endpoint(Endpoint{Name: "e", Addr: "1"})
-		if _, err := p.Take(t.Context()); !errors.Is(err, ErrGone) || f.open != 0 || ps.Stats(1).Open != 0 {
+		if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrRemoved) || f.open != 0 || ps.Stats(1).Open != 0 {
 			t.Errorf("%s: %v, %d open", name, err, f.open)
 		}
 	}
@@ -357,15 +357,15 @@
 				p.CloseIdle()
 			case 'f':
 				f.err = syscall.ECONNREFUSED
-				if _, err := p.Take(t.Context()); err == nil {
+				if _, err := p.Acquire(t.Context()); err == nil {
 					t.Fatal("a connect went well that should fail")
 				}
 				f.err = nil
 			}
 			now.tick(time.Millisecond)
 		}
-		if p.size.cap != c.cap {
-			t.Errorf("%s: cap %v, want %v", name, p.size.cap, c.cap)
+		if p.sizing.cap != c.cap {
+			t.Errorf("%s: cap %v, want %v", name, p.sizing.cap, c.cap)
 		}
 	}
 }
@@ -373,27 +373,27 @@
 // First calls that are turned away tell of too many connections, unless others are too.
 func TestRefusedFirstCallsTellOfACrowd(t *testing.T) {
 	for name, c := range map[string]struct {
-		others End
+		others Outcome
 		capped bool
-	}{"connections": {Answered, true}, "limit": {Full, false}} {
+	}{"connections": {Answered, true}, "limit": {Rejected, false}} {
 		f, now := &far{holds: 100}, newClock()
 		ps := farPools(t, f, now, nil)
 		p := ps.Endpoint(Endpoint{Name: "e"})
 		served(take(t, p), Answered)
 		for range 6 {
-			if p.size.cap > 0 {
+			if p.sizing.cap > 0 {
 				break
 			}
 			old, fresh := take(t, p), take(t, p)
-			served(fresh, Full)
+			served(fresh, Rejected)
 			served(old, c.others)
 			p.idle = p.idle[:0]
 			p.idle = append(p.idle, old) // the other one is closed
 			ps.open--
 			now.tick(100 * time.Millisecond)
 		}
-		if capped := p.size.cap > 0; capped != c.capped {
-			t.Errorf("%s: cap %v", name, p.size.cap)
+		if capped := p.sizing.cap > 0; capped != c.capped {
+			t.Errorf("%s: cap %v", name, p.sizing.cap)
 		}
 	}
 }
@@ -427,7 +427,7 @@
 		f.pools[i].Retire()
 	}
 	f.pools[i] = farPools(t, f.far, f.now, func(c *Config) {
-		c.Senders, c.Rand, c.IdleLimit = len(f.pools), f.rng.Float64, 12*time.Second
+		c.Senders, c.Rand, c.MaxIdle = len(f.pools), f.rng.Float64, 12*time.Second
 		c.DialTimeout = 1 // who has to wait is turned away at once
 	})
 }
@@ -459,7 +459,7 @@
 			if len(f.queue[i]) == 0 || n%10 != i%10 && f.queue[i][0] != n+100 {
 				continue // it looks again every tenth of a second
 			}
-			c, err := f.pools[i].Endpoint(Endpoint{Name: "e"}).Take(context.Background())
+			c, err := f.pools[i].Endpoint(Endpoint{Name: "e"}).Acquire(context.Background())
 			if err == nil {
 				found++
 				f.queue[i] = f.queue[i][1:]
@@ -530,9 +530,9 @@
 	cfg := Config{Senders: 1, Rand: func() float64 { return 0.5 }}
 	s := sizing{}
 	s.cut(1, now.now, &cfg)
-	for range 2 * plenty {
+	for range 2 * maxCap {
 		now.tick(2 * time.Second)
-		s.most(now.now, &cfg)
+		s.maxConns(now.now, &cfg)
 	}
 	if s.cap != 0 {
 		t.Errorf("cap %v after long, want none", s.cap)
@@ -545,20 +545,20 @@
 	ps := farPools(t, f, now, nil)
 	for _, name := range []string{"a", "b"} {
 		p := ps.Endpoint(Endpoint{Name: name, Addr: "1", Since: 7})
-		p.size.cap, p.size.growAt = 3, now.now.Add(time.Minute)
+		p.sizing.cap, p.sizing.growAt = 3, now.now.Add(time.Minute)
 		for range 10 {
-			p.limit.used(200*time.Millisecond, true, now.now)
-			ps.idle.used(800*time.Millisecond, true, now.now)
+			p.idleLimit.observe(200*time.Millisecond, true, now.now)
+			ps.idleLimit.observe(800*time.Millisecond, true, now.now)
 		}
 	}
 	next := farPools(t, f, now, nil)
 	next.Inherit(ps.Memory())
 	a, b := next.Endpoint(Endpoint{Name: "a", Addr: "1", Since: 7}), next.Endpoint(Endpoint{Name: "b", Addr: "2", Since: 7})
-	if got := a.idleFor(now.now); a.size.cap != 3 || got != 2*youngest {
-		t.Errorf("cap %v and idle limit %v went along, want 3 and %v", a.size.cap, got, 2*youngest)
+	if got := a.maxIdle(now.now); a.sizing.cap != 3 || got != 2*freshIdle {
+		t.Errorf("cap %v and idle limit %v went along, want 3 and %v", a.sizing.cap, got, 2*freshIdle)
 	}
-	if got := b.idleFor(now.now); b.size.cap != 0 || got != 8*youngest {
-		t.Errorf("cap %v and idle limit %v of another address, want none and that of all, %v", b.size.cap, got, 8*youngest)
+	if got := b.maxIdle(now.now); b.sizing.cap != 0 || got != 8*freshIdle {
+		t.Errorf("cap %v and idle limit %v of another address, want none and that of all, %v", b.sizing.cap, got, 8*freshIdle)
 	}
 }
 
@@ -573,10 +573,10 @@
 		if _, _, err := call(t, p, 10); err != nil {
 			t.Fatal(err)
 		}
-		p.Leave()
-		c.Done(Unused)
+		p.Remove()
+		c.Release(Unused)
 	}
-	if o := ps.Stats(9); o.Open != 0 || len(o.Pools) != 0 || len(ps.heirs) != 0 {
+	if o := ps.Stats(9); o.Open != 0 || len(o.Pools) != 0 || len(ps.inherited) != 0 {
 		t.Errorf("%+v is left", o)
 	}
 	for end := time.Now().Add(patience); s.open.Load() > 0 && time.Now().Before(end); {
@@ -617,23 +617,23 @@
 		want   int
 	}{
 		"demand":             {nil, func() bool { return true }, nil, 3},
-		"off":                {func(c *Config) { c.Warm = false }, func() bool { return true }, nil, 0},
+		"off":                {func(c *Config) { c.Preconnect = false }, func() bool { return true }, nil, 0},
 		"nothing may go":     {nil, func() bool { return false }, nil, 0},
 		"nobody says it may": {nil, nil, nil, 0},
 		"failed of late":     {nil, func() bool { return true }, func(p *Pool, c *clock) { p.failedAt = c.now }, 0},
-		"capped":             {nil, func() bool { return true }, func(p *Pool, c *clock) { p.size.cap, p.size.growAt = 2, c.now.Add(time.Hour) }, 2},
+		"capped":             {nil, func() bool { return true }, func(p *Pool, c *clock) { p.sizing.cap, p.sizing.growAt = 2, c.now.Add(time.Hour) }, 2},
 		"no room":            {func(c *Config) { c.MaxOpen = 1 }, func() bool { return true }, nil, 1},
 		"demand of long ago": {nil, func() bool { return true }, func(_ *Pool, c *clock) { c.tick(2 * demandSpan) }, 0},
 	} {
 		f, now := &far{holds: 10}, newClock()
 		ps := farPools(t, f, now, func(cfg *Config) {
-			cfg.Warm, cfg.WarmUp = true, 14*time.Second
+			cfg.Preconnect, cfg.WarmUp = true, 14*time.Second
 			if c.change != nil {
 				c.change(cfg)
 			}
 		})
-		p := ps.Endpoint(Endpoint{Name: "e", MayWarm: c.may})
-		p.demand.seen(3, now.now)
+		p := ps.Endpoint(Endpoint{Name: "e", MayPreconnect: c.may})
+		p.demand.observe(3, now.now)
 		if c.before != nil {
 			c.before(p, now)
 		}
@@ -663,7 +663,7 @@
 	nc, err := dialTCP(t.Context(), s.addr)
 	must(t, err)
 	defer nc.Close()
-	c := &Conn{nc: nc}
+	c := &Conn{netConn: nc}
 	if !c.quiet() {
 		t.Error("something was seen on a quiet connection")
 	}
--- a/internal/platform/upstream/sizing.go
+++ b/internal/platform/upstream/sizing.go
@@ -7,73 +7,56 @@
 )
 
 const (
-	// Refusals and openings of late tell whether an endpoint is crowded: they count for
-	// half after crowdHalfLife.
-	crowdHalfLife = 5 * time.Second
-	// It takes fewSigns of them, and crowdShare of the openings: connects get lost too.
-	fewSigns   = 1.5
+	// crowdDecay is after how long a sign that an endpoint is crowded, or a dial, counts for half.
+	crowdDecay = 5 * time.Second
+	// It takes minSigns of them, and crowdShare of the dials: some get lost for other reasons.
+	minSigns   = 1.5
 	crowdShare = 0.3
-	// moreFull is how much oftener the first call on a connection is turned away than
-	// those on others, where connections and not calls are too many.
-	moreFull = 0.5
-	// proofSpan is how long a refusal waits for a sign that the endpoint was up.
-	proofSpan = 2 * time.Second
-	maxFailed = 8
-	// cutShare is what is left of a cap when the endpoint is found crowded again, and
-	// cutGap is how long a cut has to show before the next.
-	cutShare = 0.8
-	cutGap   = time.Second
-	// growEvery is how often all senders together try one connection more.
-	growEvery = time.Second
-	// plenty is a cap that binds nobody: it is forgotten.
-	plenty = 64
+	// firstRejectedShare is by how much more often the first call on a connection is rejected than others, where
+	// connections and not calls are too many.
+	firstRejectedShare = 0.5
+	// proofWindow is how long a dial that failed waits for proof that the endpoint was up.
+	proofWindow = 2 * time.Second
+	// maxUnproven is how many such dials are remembered.
+	maxUnproven = 8
+	// cutFactor is what is left of a cap when the endpoint is found crowded again, and minCutInterval how long a cut
+	// has to show an effect before the next one.
+	cutFactor      = 0.8
+	minCutInterval = time.Second
+	// growInterval is how often all senders together try one connection more.
+	growInterval = time.Second
+	// maxCap is a cap that bounds nobody: above it, it is forgotten.
+	maxCap = 64
 )
 
-// fading is a sum in which what is past counts less and less.
-type fading struct {
-	sum float64
-	at  time.Time
-}
-
-func (f *fading) add(x float64, now time.Time, halfLife time.Duration) {
-	if past := now.Sub(f.at); past > 0 {
-		f.sum *= math.Exp2(-float64(past) / float64(halfLife))
-		f.at = now
-	}
-	f.sum += x
-}
-
-func (f *fading) value(now time.Time, halfLife time.Duration) float64 {
-	f.add(0, now, halfLife)
-	return f.sum
-}
-
-// sizing learns how many connections this sender may have to an endpoint. What the
-// endpoint holds is told nowhere. A connect that fails tells of it only if the endpoint
-// was up, which an older connection proves that carries an answer afterwards. A call
-// that is turned away tells of it only if that happens to the first on a connection and
-// hardly to others. As each sender cuts its own part and all together grow by one
-// connection a second, they come to share. None has less than one.
+// sizing learns how many connections this sender may have to an endpoint, as nothing says how many the endpoint
+// holds. A dial that fails is a sign that they are too many only if the endpoint was up, which is proved by an older
+// connection that carries an answer afterwards. A call that is rejected is a sign only if that happens to the first
+// call on a connection and hardly to others. As each sender cuts its own cap and all together grow by one connection
+// a second, they come to share what the endpoint holds. No cap is under one.
 type sizing struct {
 	cap    float64 // 0 while none is known
 	cutAt  time.Time
 	growAt time.Time
 
-	dials, crowded     fading // connects, and those that failed at an endpoint that was up
-	first, firstFull   fading // calls on a new connection
-	others, othersFull fading
-	failed             []time.Time // connects of late with nothing proven yet
+	dials          decayingSum
+	crowded        decayingSum // dials that failed at an endpoint that was up
+	first          decayingSum // calls on a new connection
+	firstRejected  decayingSum
+	others         decayingSum // calls on other connections
+	othersRejected decayingSum
+	unproven       []time.Time // dials that failed lately, at an endpoint of which nothing is proved yet
 }
 
-// most is how many connections there may be at once.
-func (s *sizing) most(now time.Time, cfg *Config) int {
+// maxConns returns how many connections there may be at once.
+func (s *sizing) maxConns(now time.Time, config *Config) int {
 	if s.cap == 0 {
 		return math.MaxInt
 	}
 	if now.After(s.growAt) {
 		s.cap++
-		s.grow(now, cfg)
-		if s.cap > plenty {
+		s.scheduleGrowth(now, config)
+		if s.cap > maxCap {
 			s.cap = 0
 			return math.MaxInt
 		}
@@ -81,76 +64,83 @@
 	return max(1, int(s.cap))
 }
 
-// grow says when this sender is to try one more: at a time of its own, so that all
-// together try one in each growEvery and never in step.
-func (s *sizing) grow(now time.Time, cfg *Config) {
-	s.growAt = now.Add(time.Duration((0.5 + cfg.Rand()) * float64(cfg.Senders) * float64(growEvery)))
+// scheduleGrowth decides when this sender tries one connection more: at a time of its own, so that all together try
+// one in each growInterval and never in step.
+func (s *sizing) scheduleGrowth(now time.Time, config *Config) {
+	delay := (0.5 + config.Rand()) * float64(config.Senders) * float64(growInterval)
+	s.growAt = now.Add(time.Duration(delay))
 }
 
-// refused takes in a connect that failed.
+// refused notes a dial that failed.
 func (s *sizing) refused(now time.Time) {
-	s.dials.add(1, now, crowdHalfLife)
-	if len(s.failed) < maxFailed {
-		s.failed = append(s.failed, now)
+	s.dials.add(1, now, crowdDecay)
+	if len(s.unproven) < maxUnproven {
+		s.unproven = append(s.unproven, now)
 	}
 }
 
-// opened takes in a connect that went well.
-func (s *sizing) opened(now time.Time) { s.dials.add(1, now, crowdHalfLife) }
+// opened notes a dial that succeeded.
+func (s *sizing) opened(now time.Time) { s.dials.add(1, now, crowdDecay) }
 
-// answered takes in an answer, on a connection whose dial began at a time. Open is how
-// many there are.
-func (s *sizing) answered(began time.Time, first, full bool, open int, now time.Time, cfg *Config) {
-	proven := 0
-	s.failed = slices.DeleteFunc(s.failed, func(at time.Time) bool {
-		if began.Before(at) && now.Sub(at) <= proofSpan {
-			proven++
-			return true
-		}
-		return now.Sub(at) > proofSpan
-	})
-	if proven > 0 {
-		s.sign(float64(proven), open, now, cfg)
+// answered notes an answer on a connection: when that was dialed, whether the call was its first, whether the answer
+// rejected the call, and how many connections are open.
+func (s *sizing) answered(dialedAt time.Time, first, rejected bool, open int, now time.Time, config *Config) {
+	if proved := s.prove(dialedAt, now); proved > 0 {
+		s.sign(float64(proved), open, now, config)
 	}
-	calls, fulls := &s.others, &s.othersFull
+	calls, rejections := &s.others, &s.othersRejected
 	if first {
-		calls, fulls = &s.first, &s.firstFull
+		calls, rejections = &s.first, &s.firstRejected
 	}
-	calls.add(1, now, crowdHalfLife)
-	if !full {
+	calls.add(1, now, crowdDecay)
+	if !rejected {
 		return
 	}
-	fulls.add(1, now, crowdHalfLife)
-	if !first || s.firstFull.value(now, crowdHalfLife) < fewSigns || s.others.value(now, crowdHalfLife) < fewSigns {
+	rejections.add(1, now, crowdDecay)
+	if !first || s.firstRejected.value(now, crowdDecay) < minSigns || s.others.value(now, crowdDecay) < minSigns {
 		return
 	}
-	share := func(part, all *fading) float64 {
-		return part.value(now, crowdHalfLife) / max(1, all.value(now, crowdHalfLife))
+	share := func(part, all *decayingSum) float64 {
+		return part.value(now, crowdDecay) / max(1, all.value(now, crowdDecay))
 	}
-	if share(&s.firstFull, &s.first) > share(&s.othersFull, &s.others)+moreFull {
-		s.cut(open-1, now, cfg) // without the one that was turned away
+	if share(&s.firstRejected, &s.first) > share(&s.othersRejected, &s.others)+firstRejectedShare {
+		s.cut(open-1, now, config) // without the one that was rejected
 	}
 }
 
+// prove removes the failed dials after that of a connection that has carried an answer now, and returns how many they
+// were: the endpoint was up. Those that have waited too long go, too.
+func (s *sizing) prove(dialedAt, now time.Time) (proved int) {
+	s.unproven = slices.DeleteFunc(s.unproven, func(failedAt time.Time) bool {
+		recent := now.Sub(failedAt) <= proofWindow
+		if dialedAt.Before(failedAt) && recent {
+			proved++
+			return true
+		}
+		return !recent
+	})
+	return proved
+}
+
 // sign counts signs that the endpoint is crowded.
-func (s *sizing) sign(n float64, open int, now time.Time, cfg *Config) {
-	s.crowded.add(n, now, crowdHalfLife)
-	if signs := s.crowded.value(now, crowdHalfLife); signs >= fewSigns && signs >= crowdShare*s.dials.value(now, crowdHalfLife) {
-		s.cut(open, now, cfg)
+func (s *sizing) sign(n float64, open int, now time.Time, config *Config) {
+	s.crowded.add(n, now, crowdDecay)
+	signs := s.crowded.value(now, crowdDecay)
+	if signs >= minSigns && signs >= crowdShare*s.dials.value(now, crowdDecay) {
+		s.cut(open, now, config)
 	}
 }
 
-// cut lowers the cap to what fitted, and further each time that this was too many.
-func (s *sizing) cut(fitted int, now time.Time, cfg *Config) {
-	if now.Sub(s.cutAt) < cutGap {
+// cut lowers the cap to what fitted, and further each time that this was still too many.
+func (s *sizing) cut(fitted int, now time.Time, config *Config) {
+	if now.Sub(s.cutAt) < minCutInterval {
 		return
 	}
 	s.cutAt = now
-	switch {
-	case s.cap == 0:
+	if s.cap == 0 {
 		s.cap = max(1, float64(fitted))
-	default:
-		s.cap = max(1, min(s.cap, float64(max(1, fitted)))*cutShare)
+	} else {
+		s.cap = max(1, min(s.cap, float64(max(1, fitted)))*cutFactor)
 	}
-	s.grow(now, cfg)
+	s.scheduleGrowth(now, config)
 }
--- a/internal/proxy/forward/answer.go
+++ b/internal/proxy/forward/answer.go
@@ -16,7 +16,7 @@
 // to earlier calls on the connection may arrive: their ids differ, and they are read over.
 func (x *exchange) roundTrip() (err error) {
 	if x.holdsBackEnd() {
-		x.conn.HoldBackEnd()
+		x.conn.DelayEnd()
 	}
 	x.resp, err = x.conn.Open(x.ctx, x.method, x.head, x.body, x.deadline)
 	for n := 0; err == nil; n++ {
@@ -27,7 +27,7 @@
 		if spliced || n == maxSurplus || !x.skippable() || !x.drain(maxBuffered) {
 			return &upstream.CallError{Sent: true, Err: errForeign}
 		}
-		x.resp, err = x.conn.Next()
+		x.resp, err = x.conn.NextAnswer()
 	}
 	return err
 }
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -200,7 +200,7 @@
 		x.err = err
 		x.finish(dispatch.Unsent, upstream.Unused)
 		return attempt.ClientCanceled, false
-	case errors.Is(err, upstream.ErrBusy), errors.Is(err, upstream.ErrGone), errors.Is(err, upstream.ErrDeadline):
+	case errors.Is(err, upstream.ErrBusy), errors.Is(err, upstream.ErrRemoved), errors.Is(err, upstream.ErrDeadline):
 		x.err = err
 		x.finish(dispatch.Unsent, upstream.Unused)
 		return attempt.NotWritten, false
@@ -220,12 +220,12 @@
 func (x *exchange) takeConn(target dispatch.Target) (*upstream.Conn, error) {
 	pool := x.p.poolOf(target)
 	for {
-		conn, err := pool.TakeBefore(x.ctx, x.deadline)
-		if err != nil || !conn.Carried(x.req.ID) {
+		conn, err := pool.AcquireBefore(x.ctx, x.deadline)
+		if err != nil || !conn.HasCarried(x.req.ID) {
 			return conn, err
 		}
 		conn.Retire()
-		conn.Done(upstream.Unused)
+		conn.Release(upstream.Unused)
 	}
 }
 
@@ -236,10 +236,10 @@
 	sent := !errors.As(err, &call) || call.Sent
 	switch {
 	case x.ctx.Err() != nil:
-		x.finish(dispatch.Left, upstream.GaveUp)
+		x.finish(dispatch.Left, upstream.Canceled)
 		return attempt.ClientCanceled
 	case errors.Is(err, os.ErrDeadlineExceeded) && x.left() <= minTimeLeft:
-		x.finish(dispatch.Silent, upstream.GaveUp)
+		x.finish(dispatch.Silent, upstream.Canceled)
 		if sent {
 			x.state = max(x.state, attempt.Sent)
 		}
@@ -270,21 +270,21 @@
 	if o == dispatch.Broken {
 		end = upstream.Broken
 	} else if x.drain(4 << 10) {
-		x.conn.Whole(x.resp)
+		x.conn.MarkComplete(x.resp)
 		if x.req.Bulk { // it may be sent here again under the same id
 			x.conn.Remember(x.req.ID)
 		}
 	}
 	if o == dispatch.NotRun && x.resp.StatusCode == http.StatusServiceUnavailable {
-		end = upstream.Full
+		end = upstream.Rejected
 	}
 	x.finish(o, end)
 }
 
 // finish ends a sending.
-func (x *exchange) finish(o dispatch.Outcome, end upstream.End) {
+func (x *exchange) finish(o dispatch.Outcome, end upstream.Outcome) {
 	if x.conn != nil {
-		x.conn.Done(end)
+		x.conn.Release(end)
 		x.conn = nil
 	}
 	if x.grant != nil {
--- a/internal/proxy/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -88,7 +88,7 @@
 	x.req.Due = it.Due
 	headBuffer, streamBuffer := getBuffer(), getBuffer()
 	defer func() {
-		x.finish(dispatch.Left, upstream.GaveUp)
+		x.finish(dispatch.Left, upstream.Canceled)
 		*headBuffer, *streamBuffer = x.head, x.stream.buf
 		putBuffer(headBuffer)
 		putBuffer(streamBuffer)
--- a/internal/proxy/forward/proxy.go
+++ b/internal/proxy/forward/proxy.go
@@ -124,7 +124,7 @@
 	}
 	p := &Proxy{o: o, pools: map[string]pool{}, failures: telemetry.NewLog(o.Log)}
 	p.conns = upstream.New(upstream.Config{Dial: o.Dial, Now: o.Now, Rand: o.Rand, Senders: growthShare,
-		MaxOpen: o.MaxOpen, IdleLimit: idleLimit, DialTimeout: dialTimeout, Wait: connWait})
+		MaxOpen: o.MaxOpen, MaxIdle: idleLimit, DialTimeout: dialTimeout, MaxWait: connWait})
 	p.server = &http.Server{
 		Handler:           p,
 		ConnContext:       withClientConn,
@@ -203,7 +203,7 @@
 		}
 		p.mu.Unlock()
 		for _, e := range left {
-			e.Leave()
+			e.Remove()
 		}
 	}
 	p.conns.Sweep()
@@ -223,7 +223,7 @@
 	if e, ok := p.pools[t.ID]; ok && e.addr == t.Address && e.most == most {
 		return e.Pool
 	}
-	e := pool{p.conns.Endpoint(upstream.Endpoint{Name: t.ID, Addr: t.Address, Most: most}), t.Address, most}
+	e := pool{p.conns.Endpoint(upstream.Endpoint{Name: t.ID, Addr: t.Address, MaxConns: most}), t.Address, most}
 	p.pools[t.ID] = e
 	return e.Pool
 }
--- a/internal/proxy/forward/serve.go
+++ b/internal/proxy/forward/serve.go
@@ -93,7 +93,7 @@
 	_ = rc.SetWriteDeadline(arrived.at.Add(aim + writeMargin)) // a client that doesn't read holds nothing up for longer
 	bodyBuffer, headBuffer, streamBuffer := getBuffer(), getBuffer(), getBuffer()
 	defer func() {
-		x.finish(dispatch.Left, upstream.GaveUp) // where the handler was left early
+		x.finish(dispatch.Left, upstream.Canceled) // where the handler was left early
 		*headBuffer, *streamBuffer = x.head, x.stream.buf
 		putBuffer(bodyBuffer)
 		putBuffer(headBuffer)
@@ -252,7 +252,7 @@
 		outcome = dispatch.Failed
 	}
 	if x.method == http.MethodHead {
-		x.conn.Whole(x.resp)
+		x.conn.MarkComplete(x.resp)
 		x.passHead(w, x.resp.ContentLength)
 		x.finish(outcome, upstream.Answered)
 		return attempt.BodyComplete
@@ -289,7 +289,7 @@
 			x.passHead(w, length)
 		}
 		if _, err := w.Write(b); err != nil {
-			x.finish(dispatch.Left, upstream.GaveUp)
+			x.finish(dispatch.Left, upstream.Canceled)
 			return attempt.ClientCanceled
 		}
 		b = b[:0]
@@ -298,7 +298,7 @@
 
 // passEnd passes on the end of a body, with the head if that has not gone yet.
 func (x *exchange) passEnd(w http.ResponseWriter, end []byte, outcome dispatch.Outcome) attempt.Event {
-	x.conn.Whole(x.resp)
+	x.conn.MarkComplete(x.resp)
 	if !x.headed {
 		length := int64(len(end))
 		if !bodyAllowed(x.resp.StatusCode) {
@@ -368,7 +368,7 @@
 		s.buf = s.buf[:len(s.buf)+n]
 		whole, wrong := s.scan()
 		if errors.Is(err, io.EOF) && wrong == nil {
-			x.conn.Whole(x.resp)
+			x.conn.MarkComplete(x.resp)
 			x.finish(dispatch.Served, upstream.Answered)
 			if hand(s.buf, true) != nil {
 				return attempt.ClientCanceled
@@ -377,7 +377,7 @@
 		}
 		if whole > 0 {
 			if hand(s.buf[:whole], false) != nil {
-				x.finish(dispatch.Left, upstream.GaveUp)
+				x.finish(dispatch.Left, upstream.Canceled)
 				return attempt.ClientCanceled
 			}
 			s.take()
--- a/internal/proxy/forward/wrong_test.go
+++ b/internal/proxy/forward/wrong_test.go
@@ -63,15 +63,15 @@
 	{"a request may have two ids", "serve.go", "len(r.Header[headerID]) != 1 ||", "len(r.Header[headerID]) < 1 ||"},
 	{"a protocol whose answers can't be told from cut ones", "serve.go", "!r.ProtoAtLeast(1, 1)", "!r.ProtoAtLeast(1, 0)"},
 	{"a body is waited for beyond the deadline", "../clientbody/clientbody.go", "	if limits.Deadline.Before(deadline) {\n", "	if false {\n"},
-	{"a connection is waited for beyond the deadline", "../../platform/upstream/pools.go", "!deadline.IsZero() && left < limit {", "!deadline.IsZero() && left < 0 {"},
-	{"bytes behind an answer are kept", "../../platform/upstream/conn.go", " || c.br.Buffered() != 0 {", " {"},
-	{"nobody looks before a connection is used", "../../platform/upstream/pools.go", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) && c.quiet() {", "if c.age = now.Sub(c.since); c.age < c.idleFor(limit) {"},
-	{"a part that was written is the whole", "../../platform/upstream/conn.go", "		c.sent = n == size\n", "		c.sent = n >= 0\n"},
-	{"interim answers count", "../../platform/upstream/conn.go", "case resp.StatusCode >= 200:", "case resp.StatusCode >= 100:"},
-	{"a close before the end is not looked at", "../../platform/upstream/conn.go", "	return end, c.probe(ctx)", "	_ = c.probe(ctx)\n	return end, nil"},
+	{"a connection is waited for beyond the deadline", "../../platform/upstream/acquire.go", "!deadline.IsZero() && left < dialTimeout {", "!deadline.IsZero() && left < 0 {"},
+	{"bytes behind an answer are kept", "../../platform/upstream/conn.go", " || c.reader.Buffered() != 0 {", " {"},
+	{"nobody looks before a connection is used", "../../platform/upstream/acquire.go", "if c.idleBefore = now.Sub(c.idleSince); c.idleBefore < c.maxIdle(limit) && c.quiet() {", "if c.idleBefore = now.Sub(c.idleSince); c.idleBefore < c.maxIdle(limit) {"},
+	{"a part that was written is the whole", "../../platform/upstream/call.go", "		c.sent = n == size\n", "		c.sent = n >= 0\n"},
+	{"interim answers count", "../../platform/upstream/call.go", "case resp.StatusCode >= 200:", "case resp.StatusCode >= 100:"},
+	{"a close before the end is not looked at", "../../platform/upstream/call.go", "	return end, c.probe(ctx)", "	_ = c.probe(ctx)\n	return end, nil"},
 	{"a forgotten connection counts against its endpoint", "exchange.go", "	case !sent && call.Stale:", "	case !sent && call.Stale && false:"},
 	{"the last try is lost on a forgotten connection", "answer.go", " || x.tries+1 >= max(1, x.req.Route.MaxAttempts)", ""},
-	{"a surplus does not end a connection", "../../platform/upstream/conn.go", "c.whole = !resp.Close && !c.surplus", "c.whole = !resp.Close"},
+	{"a surplus does not end a connection", "../../platform/upstream/call.go", "c.complete = !resp.Close && !c.readSurplus", "c.complete = !resp.Close"},
 }
 
 // Each wrong line is found by the tests of calls. This takes minutes, so it is asked for: CALLS_WRONG=1, or a part of a name.
