--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -16,9 +16,6 @@
 	"dunetide/internal/platform/settings"
 )
 
-// jobsLog is the file of batch jobs.
-const jobsLog = "lots.log"
-
 // jobsLogPercent of the disk is for batch jobs. The rest is for the record of regulated runs, and for a segment of the log
 // that is written before another one is removed.
 const jobsLogPercent = 85
@@ -56,9 +53,7 @@
 	defer detach()
 	var client *controlclient.Client
 	store, err := batch.NewStore(batch.StoreOptions{
-		Open: func(replay func(payload []byte, at int64) error) (batch.Log, error) {
-			return batch.OpenLog(folder, jobsLog, replay)
-		},
+		Open: batch.OpenIn(folder),
 		Zone: s.Zone, MaxLostMachines: s.SurviveMachines, RetentionMs: s.Bounds.StatusEvery.Milliseconds(),
 		LogCapacityBytes: int64(s.Limits.DiskMB) << 20 / 100 * jobsLogPercent,
 		ReportReady: func(part int, epoch uint64) {
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -800,3 +800,10 @@
 	<-ctx.Done()
 	return RunResult{End: RunNotStarted}
 }
+
+// runningCount is how many items are assigned to a worker.
+func (r *itemRunner) runningCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.running)
+}
--- a/internal/batch/http.go
+++ b/internal/batch/http.go
@@ -64,27 +64,6 @@
 	responseStoresFull = Response{Status: http.StatusServiceUnavailable, RetryAfter: "2"}
 )
 
-// IsBatchCall reports whether a call is one about batch jobs: it is under a bulk route, or a call
-// of /lots/ or /items/ under a host that has such a route.
-func IsBatchCall(c *operatorconfig.Config, method, host, path string) bool {
-	if c == nil {
-		return false
-	}
-	host = hostOnly(host)
-	if bulkRoute(c, host, path) != nil {
-		return true
-	}
-	if !strings.HasPrefix(path, pathJobs) && !strings.HasPrefix(path, pathItems) {
-		return false
-	}
-	for i := range c.Routes {
-		if c.Routes[i].Kind == operatorconfig.Bulk && c.Routes[i].Host == host {
-			return true
-		}
-	}
-	return false
-}
-
 // bulkRoute is the bulk route that a path under a host belongs to; nil: none. The longest one counts.
 func bulkRoute(c *operatorconfig.Config, host, path string) *operatorconfig.Route {
 	var best *operatorconfig.Route
--- a/internal/batch/itemrunner.go
+++ b/internal/batch/itemrunner.go
@@ -115,12 +115,6 @@
 	}
 }
 
-func (r *itemRunner) runningCount() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.running)
-}
-
 func (r *itemRunner) setMaxRunning(items int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batch/proxy.go
+++ b/internal/batch/proxy.go
@@ -74,9 +74,6 @@
 // SetMaxRunning says how many items this proxy wants to run at a time, for all stores together.
 func (p *Proxy) SetMaxRunning(items int) { p.items.setMaxRunning(items) }
 
-// RunningItems is how many items are assigned to this proxy.
-func (p *Proxy) RunningItems() int { return p.items.runningCount() }
-
 // Refresh looks at the newest snapshot. That is also done a few times a second.
 func (p *Proxy) Refresh() {
 	table := p.currentTable()
--- a/internal/batch/table.go
+++ b/internal/batch/table.go
@@ -50,11 +50,11 @@
 // primary under that epoch has reported that the next group is up to date. False: the table has
 // changed since, and stays.
 func SwitchReplicas(current *snapshot.PartitionTable, partition int, epoch uint64) (*snapshot.PartitionTable, bool) {
-	if current == nil || partition < 0 || partition >= len(current.Partitions) || current.Partitions[partition].Epoch != epoch {
+	if current == nil || partition < 0 || partition >= len(current.Partitions) {
 		return current, false
 	}
 	row := &current.Partitions[partition]
-	if len(row.Joining)+len(row.Leaving) == 0 || slices.Contains(row.Leaving, row.Primary) {
+	if row.Epoch != epoch || len(row.Joining)+len(row.Leaving) == 0 || slices.Contains(row.Leaving, row.Primary) {
 		return current, false
 	}
 	next := cloneTable(current)
