--- a/internal/consensus/paxos/cluster_test.go
+++ b/internal/consensus/paxos/cluster_test.go
@@ -343,7 +343,7 @@
 func (c *cluster) propose(m *machine, timeout time.Duration, change func(State) (State, error)) *op {
 	o := &op{id: uint64(len(c.ops) + 1), machine: m.index, write: true, acknowledgedBefore: c.acknowledged}
 	c.ops[o.id] = o
-	incarnation, calls := m.incarnation, uint64(0)
+	calls := uint64(0)
 	m.step(func() {
 		o.acknowledgedBefore = c.acknowledged
 		m.register.Propose(m.clock, timeout, func(cur State) (State, error) {
@@ -361,7 +361,7 @@
 			calls++
 			cur.Value = binary.BigEndian.AppendUint64(cur.Value, o.id|calls<<32) // each call makes another value
 			return cur, nil
-		}, func(s State, err error) { c.done(m, incarnation, o, s, err) })
+		}, func(s State, err error) { c.done(m, o, s, err) })
 	})
 	return o
 }
@@ -369,15 +369,14 @@
 func (c *cluster) read(m *machine, timeout time.Duration) *op {
 	o := &op{id: uint64(len(c.ops) + 1), machine: m.index, acknowledgedBefore: c.acknowledged}
 	c.ops[o.id] = o
-	incarnation := m.incarnation
 	m.step(func() {
 		o.acknowledgedBefore = c.acknowledged
-		m.register.Read(m.clock, timeout, func(s State, err error) { c.done(m, incarnation, o, s, err) })
+		m.register.Read(m.clock, timeout, func(s State, err error) { c.done(m, o, s, err) })
 	})
 	return o
 }
 
-func (c *cluster) done(m *machine, incarnation int, o *op, s State, err error) {
+func (c *cluster) done(m *machine, o *op, s State, err error) {
 	c.tracef("%s: operation %d: slot %d, %v", m.name, o.id, s.Slot, err)
 	if o.result != "" {
 		c.failf("operation %d ends twice", o.id)
--- a/internal/consensus/paxos/exploration_test.go
+++ b/internal/consensus/paxos/exploration_test.go
@@ -260,6 +260,7 @@
 }
 
 func everyOrder(t *testing.T, first, depth, faults int) {
+	t.Helper()
 	defer func() {
 		switch x := recover().(type) {
 		case nil:
--- a/internal/consensus/paxos/steps_test.go
+++ b/internal/consensus/paxos/steps_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -100,8 +101,10 @@
 // TestSteps plays the tables of testdata/steps, in which every message and Save stands.
 func TestSteps(t *testing.T) {
 	datadriven.Walk(t, "testdata/steps", func(t *testing.T, path string) {
+		t.Helper()
 		tb := &stepTable{}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+			t.Helper()
 			tb.output.Reset()
 			tb.run(t, d)
 			return tb.output.String()
@@ -111,6 +114,7 @@
 
 // run plays one command of a table.
 func (tb *stepTable) run(t *testing.T, d *datadriven.TestData) {
+	t.Helper()
 	arg := func(i int) string {
 		if i < len(d.CmdArgs) {
 			return d.CmdArgs[i].Key
@@ -119,7 +123,7 @@
 	}
 	switch d.Cmd {
 	case "new": // voters, others
-		tb.startNodes(t, arg(0), arg(1))
+		tb.startNodes(t, count(t, arg(0)), count(t, arg(1)))
 	case "propose":
 		tb.propose(tb.node(t, arg(0)), arg(1))
 	case "refuse":
@@ -177,11 +181,21 @@
 	return i
 }
 
-func (tb *stepTable) startNodes(t *testing.T, voterCount, otherCount string) {
+// count reads a number of nodes; "" is 0.
+func count(t *testing.T, text string) int {
+	t.Helper()
+	if text == "" {
+		return 0
+	}
+	n, err := strconv.Atoi(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+func (tb *stepTable) startNodes(t *testing.T, voters, others int) {
 	t.Helper()
-	var voters, others int
-	fmt.Sscan(voterCount, &voters)
-	fmt.Sscan(otherCount, &others)
 	for i := range voters + others {
 		tb.nextID++
 		tb.nodes = append(tb.nodes, &stepNode{voter: Voter{tb.nextID, fmt.Sprint("n", i+1), fmt.Sprint("a", i+1)}})
--- a/internal/consensus/reconfigure/enumeration_test.go
+++ b/internal/consensus/reconfigure/enumeration_test.go
@@ -374,6 +374,7 @@
 }
 
 func enumerate(t *testing.T, first model, depth int) {
+	t.Helper()
 	type reached struct {
 		model
 		path *node
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -26,16 +26,17 @@
 // lost, orders are taken within the time for it in calm, and the voters are as many as they should be within the time
 // that a repair may take. RECONFIGURE_SEED plays one history, and tells what happened.
 func TestHistories(t *testing.T) {
-	for _, c := range []struct{ machines, survive int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {8, 2}, {9, 2}} {
-		t.Run(fmt.Sprintf("%d machines, %d lost", c.machines, c.survive), func(t *testing.T) {
-			playHistories(t, histories(20), c.machines, c.survive)
+	for _, c := range []struct{ machines, maxFailures int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {8, 2}, {9, 2}} {
+		t.Run(fmt.Sprintf("%d machines, %d lost", c.machines, c.maxFailures), func(t *testing.T) {
+			playHistories(t, histories(20), c.machines, c.maxFailures)
 		})
 	}
 }
 
-func playHistories(t *testing.T, n, machines, survive int) {
+func playHistories(t *testing.T, n, machines, maxFailures int) {
+	t.Helper()
 	if seed, err := strconv.ParseUint(os.Getenv("RECONFIGURE_SEED"), 10, 64); err == nil {
-		if failed := playHistory(seed, machines, survive, true); failed != "" {
+		if failed := playHistory(seed, machines, maxFailures, true); failed != "" {
 			t.Error(failed)
 		}
 		return
@@ -45,7 +46,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		group.Go(func() {
 			for seed := next.Add(1); seed <= uint64(n) && !t.Failed(); seed = next.Add(1) {
-				if failed := playHistory(seed, machines, survive, false); failed != "" {
+				if failed := playHistory(seed, machines, maxFailures, false); failed != "" {
 					t.Error(failed)
 				}
 				played.Add(1)
@@ -57,7 +58,7 @@
 }
 
 // playHistory tells what failed; "": nothing.
-func playHistory(seed uint64, machines, survive int, tracing bool) (failed string) {
+func playHistory(seed uint64, machines, maxFailures int, tracing bool) (failed string) {
 	var c *cluster
 	defer func() {
 		if x := recover(); x != nil {
@@ -68,7 +69,7 @@
 			failed = fmt.Sprintf("seed %d at %v: %s\n%s", seed, c.Now(), f, strings.Join(c.trace, "\n"))
 		}
 	}()
-	c = newCluster(seed, machines, survive)
+	c = newCluster(seed, machines, maxFailures)
 	c.tracing = tracing
 	c.After(time.Second, c.sendOrders)
 	c.RunUntil(repairTime + time.Duration(machines)*time.Second)
@@ -87,14 +88,14 @@
 // TestHistoriesThatBroke plays the drawn histories that found faults, each of which is mended.
 func TestHistoriesThatBroke(t *testing.T) {
 	for _, c := range []struct {
-		seed              uint64
-		machines, survive int
+		seed                  uint64
+		machines, maxFailures int
 	}{
 		{335, 9, 2},  // candidates never caught up under a stream of orders
 		{1761, 3, 1}, // two candidates for the duty kept each other out
 		{8585, 3, 1}, // a keeper that had left became a voter again
 	} {
-		if failed := playHistory(c.seed, c.machines, c.survive, false); failed != "" {
+		if failed := playHistory(c.seed, c.machines, c.maxFailures, false); failed != "" {
 			t.Error(failed)
 		}
 	}
--- a/internal/consensus/singleton/candidate.go
+++ b/internal/consensus/singleton/candidate.go
@@ -18,11 +18,11 @@
 type Action uint8
 
 const (
-	// ActionNone: nothing.
+	// ActionNone asks for nothing.
 	ActionNone Action = iota
-	// ActionRequest requests grants from all voters, in the round that Step returned.
+	// ActionRequest asks to request grants from all voters, in the round that Step returned.
 	ActionRequest
-	// ActionRelease releases what voters have granted in that round.
+	// ActionRelease asks to release what voters have granted in that round.
 	ActionRelease
 )
 
