--- a/internal/lab/tier/engine/engine.go
+++ b/internal/lab/tier/engine/engine.go
@@ -55,7 +55,7 @@
 
 // Endpoint is one incarnation, listening.
 type Endpoint struct {
-	o        Options
+	options  Options
 	server   *http.Server
 	listener *listener
 	life     context.Context
@@ -82,7 +82,7 @@
 	o.Address = l.Addr().String()
 	o.Stride, o.Piece = max(1, o.Stride), max(1, o.Piece)
 	life, end := context.WithCancel(context.Background())
-	e := &Endpoint{o: o, life: life, end: end, listener: newListener(l, o.MaxConns), batch: batch{o: o, cache: newCache()}, work: make(chan struct{}, 1)}
+	e := &Endpoint{options: o, life: life, end: end, listener: newListener(l, o.MaxConns), batch: batch{options: o, cache: newCache()}, work: make(chan struct{}, 1)}
 	e.server = &http.Server{Handler: e, IdleTimeout: 10 * time.Second, ReadHeaderTimeout: 5 * time.Second}
 	e.wg.Go(func() { _ = e.server.Serve(e.listener) }) // it ends with Crash
 	if o.Work == 0 {
@@ -97,13 +97,13 @@
 }
 
 // ID is the incarnation's.
-func (e *Endpoint) ID() string { return e.o.ID }
+func (e *Endpoint) ID() string { return e.options.ID }
 
 // Service is what it serves.
-func (e *Endpoint) Service() string { return e.o.Service }
+func (e *Endpoint) Service() string { return e.options.Service }
 
 // Address is where it listens.
-func (e *Endpoint) Address() string { return e.o.Address }
+func (e *Endpoint) Address() string { return e.options.Address }
 
 // Crash ends it at once, with all its connections.
 func (e *Endpoint) Crash() {
@@ -177,17 +177,17 @@
 	running, waiting := e.counts()
 	draining := e.draining
 	e.mu.Unlock()
-	h.Set(HeaderLoad, fmt.Sprintf("%d,%d,%d", running, waiting, e.o.Capacity))
+	h.Set(HeaderLoad, fmt.Sprintf("%d,%d,%d", running, waiting, e.options.Capacity))
 	if draining {
 		h.Set("Connection", "close")
 	}
-	if t := r.Header.Get(HeaderTarget); t != "" && t != e.o.ID {
+	if t := r.Header.Get(HeaderTarget); t != "" && t != e.options.ID {
 		refuse(w, http.StatusMisdirectedRequest)
 		return
 	}
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/health":
-		h.Set(HeaderInstance, e.o.ID)
+		h.Set(HeaderInstance, e.options.ID)
 		if draining {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -203,7 +203,7 @@
 	if err != nil {
 		return // the caller went
 	}
-	run := Run{Request: r.Header.Get(HeaderRequest), Service: e.o.Service, Instance: e.o.ID, Arrived: time.Now(), URI: r.URL.RequestURI(),
+	run := Run{Request: r.Header.Get(HeaderRequest), Service: e.options.Service, Instance: e.options.ID, Arrived: time.Now(), URI: r.URL.RequestURI(),
 		Sum: Sum(r.Method, r.URL.RequestURI(), body)}
 	ctx := r.Context()
 	if ms, err := strconv.Atoi(r.Header.Get(HeaderTimeLeft)); err == nil {
@@ -211,7 +211,7 @@
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 		defer cancel()
 	}
-	if e.o.Work > 0 {
+	if e.options.Work > 0 {
 		e.plain(ctx, w, run)
 		return
 	}
@@ -231,7 +231,7 @@
 	e.mu.Lock()
 	running, waiting := e.counts()
 	out := map[string]any{"stage": "both", "models": models, "load": false, "call_count": 0, "queued": waiting,
-		"active": running, "cache_used": e.batch.used, "cache_total": e.o.CacheTokens, "handles": 0}
+		"active": running, "cache_used": e.batch.used, "cache_total": e.options.CacheTokens, "handles": 0}
 	e.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out) // the caller may have gone
@@ -240,13 +240,13 @@
 // plain works on a request for a while and answers with its body.
 func (e *Endpoint) plain(ctx context.Context, w http.ResponseWriter, run Run) {
 	if !e.acquire(ctx) {
-		e.o.Runs.turn(e.o.Service)
+		e.options.Runs.turn(e.options.Service)
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
 	defer e.release()
-	begun := e.o.Runs.begin(run)
-	timer := time.NewTimer(e.o.Work)
+	begun := e.options.Runs.begin(run)
+	timer := time.NewTimer(e.options.Work)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -254,7 +254,7 @@
 	case <-ctx.Done():
 		e.expire(ctx, w, begun)
 	case <-e.life.Done():
-		e.o.Runs.end(begun, 0, false)
+		e.options.Runs.end(begun, 0, false)
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -262,23 +262,23 @@
 // expire ends a run whose caller went or whose time is up.
 func (e *Endpoint) expire(ctx context.Context, w http.ResponseWriter, run *Run) {
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		e.o.Runs.end(run, 0, false)
+		e.options.Runs.end(run, 0, false)
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(HeaderSeal, run.Seal)
 	w.WriteHeader(http.StatusGatewayTimeout)
-	e.o.Runs.end(run, http.StatusGatewayTimeout, false)
+	e.options.Runs.end(run, http.StatusGatewayTimeout, false)
 }
 
 // acquire waits for a slot of a plain endpoint.
 func (e *Endpoint) acquire(ctx context.Context) bool {
 	e.mu.Lock()
-	if e.active < e.o.Capacity {
+	if e.active < e.options.Capacity {
 		e.active++
 		e.mu.Unlock()
 		return true
 	}
-	if len(e.slots) >= e.o.Queue {
+	if len(e.slots) >= e.options.Queue {
 		e.mu.Unlock()
 		return false
 	}
@@ -327,7 +327,7 @@
 	if f == None {
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 		_, err := w.Write(body)
-		e.o.Runs.end(run, http.StatusOK, err == nil)
+		e.options.Runs.end(run, http.StatusOK, err == nil)
 		return
 	}
 	e.spoil(w, run, f, body)
@@ -355,7 +355,7 @@
 		out = whole[:len(whole)-len(body)/2]
 	}
 	_, err = io.WriteString(conn, out)
-	e.o.Runs.end(run, http.StatusOK, err == nil && f == Surplus)
+	e.options.Runs.end(run, http.StatusOK, err == nil && f == Surplus)
 }
 
 // generate has the batch make a stream of events and passes them on.
@@ -368,18 +368,18 @@
 	if last, err := strconv.Atoi(r.Header.Get(HeaderLast)); err == nil {
 		run.From = last
 	}
-	j := &job{prompt: parts(r.Header.Get(HeaderModel), r.Header.Get(HeaderPrefix)), out: out, next: run.From + 1, count: Events(out, e.o.Stride)}
+	j := &job{prompt: parts(r.Header.Get(HeaderModel), r.Header.Get(HeaderPrefix)), out: out, next: run.From + 1, count: Events(out, e.options.Stride)}
 	if len(j.prompt) == 0 {
 		j.prompt = []part{{run.Request, in}}
 	}
 	j.events = make(chan int, max(1, j.count-run.From))
 	var begun *Run
-	j.begin = func() { begun = e.o.Runs.begin(run) } // under the lock, before the first event
+	j.begin = func() { begun = e.options.Runs.begin(run) } // under the lock, before the first event
 	e.mu.Lock()
 	taken := e.batch.offer(j)
 	e.mu.Unlock()
 	if !taken {
-		e.o.Runs.turn(e.o.Service)
+		e.options.Runs.turn(e.options.Service)
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -424,7 +424,7 @@
 				w.Header().Set("Content-Type", "text/event-stream")
 			}
 			if !more {
-				e.o.Runs.end(begun, http.StatusOK, true)
+				e.options.Runs.end(begun, http.StatusOK, true)
 				return
 			}
 			_, err := io.WriteString(w, frame(run.Request, n))
@@ -432,7 +432,7 @@
 				err = flush.Flush()
 			}
 			if err != nil {
-				e.o.Runs.end(begun, http.StatusOK, false)
+				e.options.Runs.end(begun, http.StatusOK, false)
 				panic(http.ErrAbortHandler)
 			}
 			continue
@@ -445,7 +445,7 @@
 		switch {
 		case e.life.Err() != nil || sent:
 			if begun != nil {
-				e.o.Runs.end(begun, http.StatusOK, false)
+				e.options.Runs.end(begun, http.StatusOK, false)
 			}
 			panic(http.ErrAbortHandler)
 		case begun != nil:
--- a/internal/lab/tier/engine/listener.go
+++ b/internal/lab/tier/engine/listener.go
@@ -47,7 +47,7 @@
 		if l.most == 0 || l.open < l.most {
 			l.open++
 			l.mu.Unlock()
-			return &conn{Conn: c, l: l}, nil
+			return &conn{Conn: c, listener: l}, nil
 		}
 		l.mu.Unlock()
 		_ = c.(*net.TCPConn).SetLinger(0) // the close resets
@@ -57,29 +57,29 @@
 
 type conn struct {
 	net.Conn
-	l    *listener
-	once sync.Once
+	listener *listener
+	once     sync.Once
 }
 
 // Read reads; what came during an outage of the network is returned after it.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.l.wait() // what came in the dark is read after it
+	c.listener.wait() // what came in the dark is read after it
 	return n, err
 }
 
 // Write writes, after an outage of the network.
 func (c *conn) Write(p []byte) (int, error) {
-	c.l.wait()
+	c.listener.wait()
 	return c.Conn.Write(p)
 }
 
 // Close closes the connection and counts it as closed, once.
 func (c *conn) Close() error {
 	c.once.Do(func() {
-		c.l.mu.Lock()
-		defer c.l.mu.Unlock()
-		c.l.open--
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		c.listener.open--
 	})
 	return c.Conn.Close()
 }
--- a/internal/lab/tier/faults.go
+++ b/internal/lab/tier/faults.go
@@ -39,8 +39,8 @@
 // faults plays the faults that were asked for, spread over the play.
 func (r *rig) faults(ctx context.Context) error {
 	began := time.Now()
-	for i, name := range r.o.Faults {
-		at := time.Duration(float64(r.o.Length) * (0.3 + 0.5*float64(i)/float64(len(r.o.Faults))))
+	for i, name := range r.options.Faults {
+		at := time.Duration(float64(r.options.Length) * (0.3 + 0.5*float64(i)/float64(len(r.options.Faults))))
 		t := time.NewTimer(time.Until(began.Add(at)))
 		select {
 		case <-t.C:
@@ -48,7 +48,7 @@
 			t.Stop()
 			return nil
 		}
-		r.o.Say("%4.1f s  %s", time.Since(began).Seconds(), name)
+		r.options.Say("%4.1f s  %s", time.Since(began).Seconds(), name)
 		if err := losses[name](r); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -128,7 +128,7 @@
 func (r *rig) leave() error {
 	e := r.victim()
 	if e.Leave(context.Background()).IsZero() {
-		r.o.Say("nobody acknowledged that %s leaves", e.ID())
+		r.options.Say("nobody acknowledged that %s leaves", e.ID())
 	}
 	return r.replace(e)
 }
--- a/internal/lab/tier/hollow/endpoint.go
+++ b/internal/lab/tier/hollow/endpoint.go
@@ -157,20 +157,20 @@
 // counted counts a connection's bytes.
 type counted struct {
 	net.Conn
-	f *endpoints
+	endpoints *endpoints
 }
 
 // Read reads and counts the bytes.
 func (c *counted) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.f.read.Add(int64(n))
+	c.endpoints.read.Add(int64(n))
 	return n, err
 }
 
 // Write writes and counts the bytes.
 func (c *counted) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.f.written.Add(int64(n))
-	c.f.writes.Add(1)
+	c.endpoints.written.Add(int64(n))
+	c.endpoints.writes.Add(1)
 	return n, err
 }
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -95,7 +95,7 @@
 
 // rig is what runs at one size.
 type rig struct {
-	o         Options
+	options   Options
 	cluster   *cluster.Cluster
 	proxies   *proxies
 	endpoints *endpoints
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	defer c.Close()
-	r := &rig{o: o, cluster: c, op: operator.New(c.Controls)}
+	r := &rig{options: o, cluster: c, op: operator.New(c.Controls)}
 	if err := c.Start(); err != nil {
 		return nil, err
 	}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return err
 	}
-	wait.For(ctx, r.o.Quiet)
+	wait.For(ctx, r.options.Quiet)
 	b, err := r.read()
 	if err != nil {
 		return err
@@ -292,7 +292,7 @@
 func (r *rig) put(ctx context.Context) (took time.Duration, acked time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, putMost)
 	defer cancel()
-	text := configuration(r.version+1, r.o.Tenants, r.o.Models)
+	text := configuration(r.version+1, r.options.Tenants, r.options.Models)
 	began := time.Now()
 	if err := r.op.Put(ctx, r.version, text); err != nil {
 		return 0, acked, fmt.Errorf("configuration %d: %w", r.version+1, errors.Join(err, ended(r.cluster)))
@@ -365,7 +365,7 @@
 	r.proxies.forget()
 	var acks, after, whole []float64
 	missing := 0
-	for range r.o.Changes {
+	for range r.options.Changes {
 		began := time.Now()
 		took, acked, err := r.put(ctx)
 		if err != nil {
@@ -375,7 +375,7 @@
 		at := r.proxies.seen(ctx, inForceMost, func(s sighting) bool { return s.version == version })
 		missing += len(r.proxies.all) - len(at)
 		acks, after, whole = append(acks, took.Seconds()*1e3), append(after, delays(acked, at)...), append(whole, worst(delays(began, at)))
-		wait.For(ctx, time.Until(began.Add(r.o.ChangeEvery)))
+		wait.For(ctx, time.Until(began.Add(r.options.ChangeEvery)))
 	}
 	wait.For(ctx, calm/2) // what follows on a change
 	b, err := r.read()
@@ -385,7 +385,7 @@
 	// What a change costs: beyond what the same time costs without any.
 	over := func(read func(reading, reading) float64) float64 {
 		rest := read(quiet, a) * b.at.Sub(a.at).Seconds() / a.at.Sub(quiet.at).Seconds()
-		return max(0, read(a, b)-rest) / float64(r.o.Changes)
+		return max(0, read(a, b)-rest) / float64(r.options.Changes)
 	}
 	r.note("change: acknowledged after, median", "ms", median(acks))
 	r.note("change: acknowledged after, worst", "ms", worst(acks))
@@ -442,7 +442,7 @@
 	all := len(r.proxies.all)
 	await(ctx, calm, func() bool { return r.proxies.attachedTwice() < all })
 	if !await(ctx, attachMost, func() bool { return r.proxies.attachedTwice() == all }) {
-		r.o.Say("%d of %d are attached twice %v after a keeper's loss", r.proxies.attachedTwice(), all, attachMost)
+		r.options.Say("%d of %d are attached twice %v after a keeper's loss", r.proxies.attachedTwice(), all, attachMost)
 	}
 	r.note("keeper lost: all attached twice after", "s", time.Since(began).Seconds())
 	r.note("heartbeats that nobody took", "", float64(r.endpoints.missed.Load()))
--- a/internal/lab/tier/load/jobs.go
+++ b/internal/lab/tier/load/jobs.go
@@ -44,14 +44,14 @@
 // job is a batch job of a client. Its fields belong to the goroutine that plays it; the checker
 // reads them after that.
 type job struct {
-	o     Options
-	book  *book
-	route *operatorconfig.Route
-	rng   *rand.Rand
-	id    string
-	items map[string]*item
-	order []*item
-	early bool // its client ends it midway
+	options Options
+	book    *book
+	route   *operatorconfig.Route
+	rng     *rand.Rand
+	id      string
+	items   map[string]*item
+	order   []*item
+	early   bool // its client ends it midway
 
 	born     time.Time
 	accepted time.Time
@@ -63,7 +63,7 @@
 }
 
 func newJob(o Options, b *book, js Jobs, rng *rand.Rand, n int) *job {
-	j := &job{o: o, book: b, route: js.Route, rng: rng, id: fmt.Sprintf("%016x", rng.Uint64()), items: map[string]*item{}, at: map[string]int{},
+	j := &job{options: o, book: b, route: js.Route, rng: rng, id: fmt.Sprintf("%016x", rng.Uint64()), items: map[string]*item{}, at: map[string]int{},
 		early: js.EndEvery > 0 && n%js.EndEvery == js.EndEvery-1}
 	var services []string
 	for _, s := range js.Route.Shares {
@@ -91,7 +91,7 @@
 func (j *job) call(ctx context.Context, wait time.Duration, method, uri string, body []byte, header ...string) (int, http.Header, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	c, err := dial(ctx, j.o.Front, j.o.Zones[j.rng.IntN(len(j.o.Zones))], j.rng.Uint64())
+	c, err := dial(ctx, j.options.Front, j.options.Zones[j.rng.IntN(len(j.options.Zones))], j.rng.Uint64())
 	if err != nil {
 		return 0, nil, nil, err
 	}
@@ -201,7 +201,7 @@
 			f.Ends[fmt.Sprint("read ", status)]++
 		}
 	})
-	if err == nil && (status == http.StatusNotFound || status == http.StatusGone) && asked.Sub(j.accepted) > j.o.Settle {
+	if err == nil && (status == http.StatusNotFound || status == http.StatusGone) && asked.Sub(j.accepted) > j.options.Settle {
 		j.book.broke(Lost, j.id, "is answered %d %v after it was accepted", status, asked.Sub(j.accepted))
 		return true
 	}
@@ -223,7 +223,7 @@
 	if got.Next != from+len(got.Results) {
 		j.book.broke(Mixed, j.id, "next_token is %d after %d results from %d", got.Next, len(got.Results), from)
 	}
-	if len(got.Results) == 0 && from < len(j.results) && asked.Sub(j.seen[from]) > j.o.Settle {
+	if len(got.Results) == 0 && from < len(j.results) && asked.Sub(j.seen[from]) > j.options.Settle {
 		j.book.broke(Lost, j.id, "position %d was read and is no longer there", from)
 	}
 	for i, r := range got.Results {
@@ -286,7 +286,7 @@
 			j.ended = time.Now()
 			return
 		}
-		if err == nil && status == http.StatusNotFound && time.Since(j.accepted) > j.o.Settle {
+		if err == nil && status == http.StatusNotFound && time.Since(j.accepted) > j.options.Settle {
 			j.book.broke(Lost, j.id, "its end is answered 404")
 			return
 		}
--- a/internal/lab/tier/night.go
+++ b/internal/lab/tier/night.go
@@ -110,7 +110,7 @@
 	}
 	return n.put(ctx, op, func(inForce bool) {
 		if !inForce {
-			r.o.Say("the first certificates are not in force everywhere yet")
+			r.options.Say("the first certificates are not in force everywhere yet")
 		}
 	})
 }
@@ -145,7 +145,7 @@
 	keeper := r.cluster.Find(cluster.Keeper, rng.IntN(zones*2))
 	steps := []func() error{
 		func() error {
-			r.o.Say("%s is down for good", engines[0].ID())
+			r.options.Say("%s is down for good", engines[0].ID())
 			n.down = engines[0].ID()
 			r.mu.Lock()
 			delete(r.all, engines[0])
@@ -154,26 +154,26 @@
 			return nil
 		},
 		func() error {
-			r.o.Say("%s is frozen for %v", engines[1].ID(), frozenFor)
+			r.options.Say("%s is frozen for %v", engines[1].ID(), frozenFor)
 			engines[1].Dark(true)
 			time.Sleep(frozenFor)
 			engines[1].Dark(false)
 			return nil
 		},
 		func() error {
-			r.o.Say("the certificate of %s is withdrawn", engines[2].ID())
+			r.options.Say("the certificate of %s is withdrawn", engines[2].ID())
 			n.document, _ = n.document.Without(engines[2].ID(), regime)
 			return n.put(ctx, op, func(inForce bool) {
 				by := time.Now()
 				if !inForce {
 					by = by.Add(drainFor)
 				}
-				r.o.Say("withdrawn, in force everywhere: %v", inForce)
+				r.options.Say("withdrawn, in force everywhere: %v", inForce)
 				n.withdrawn[engines[2].ID()] = by.Add(onTheWay)
 			})
 		},
 		func() error {
-			r.o.Say("%v is cut off for %v", keeper, frozenFor)
+			r.options.Say("%v is cut off for %v", keeper, frozenFor)
 			return r.freeze(keeper)
 		},
 	}
@@ -182,7 +182,7 @@
 	var all []error
 	done := make(chan error, len(steps))
 	for i, step := range steps {
-		at := time.Duration(float64(r.o.Length) * (0.15 + 0.6*float64(i)/float64(len(steps))))
+		at := time.Duration(float64(r.options.Length) * (0.15 + 0.6*float64(i)/float64(len(steps))))
 		t := time.NewTimer(time.Until(began.Add(at)))
 		select {
 		case <-t.C:
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -139,12 +139,12 @@
 	defer d.mu.Unlock()
 	e := DayEvent{time.Since(d.began), fmt.Sprintf(format, args...)}
 	d.events = append(d.events, e)
-	d.o.Say("%5.1f s  %s", e.At.Seconds(), e.What)
+	d.options.Say("%5.1f s  %s", e.At.Seconds(), e.What)
 }
 
 // watchDisk syncs a small file throughout the day. A sync that stalls is an event, at its beginning and at its end.
 func (d *replacements) watchDisk(ctx context.Context) (slowest time.Duration, err error) {
-	file, err := os.Create(filepath.Join(d.o.Dir, "probe"))
+	file, err := os.Create(filepath.Join(d.options.Dir, "probe"))
 	if err != nil {
 		return 0, err
 	}
@@ -175,7 +175,9 @@
 }
 
 // met is the machine that something happens to: 0 and 2 are replaced, 1 is cut off.
-func (d *replacements) met(n int) int { return int((d.o.Seed + uint64(n)) % uint64(d.day.Machines)) }
+func (d *replacements) met(n int) int {
+	return int((d.options.Seed + uint64(n)) % uint64(d.day.Machines))
+}
 
 func (d *replacements) cutKeeper() *cluster.Process {
 	_, keeper := d.machine(d.met(1))
@@ -277,7 +279,7 @@
 func (d *replacements) jobs(ctx context.Context, jobs load.Jobs) load.Account {
 	jobs.Count, jobs.Items, jobs.EndEvery = int(d.day.Length/jobEvery), jobItems, 0
 	// Jobs begin in the first half of a length.
-	return load.Run(ctx, load.Options{Seed: d.o.Seed, Length: 2 * d.day.Length, Zones: d.cluster.Zones(), Front: d.cluster.Front, Jobs: []load.Jobs{jobs},
+	return load.Run(ctx, load.Options{Seed: d.options.Seed, Length: 2 * d.day.Length, Zones: d.cluster.Zones(), Front: d.cluster.Front, Jobs: []load.Jobs{jobs},
 		Stride: stride, FinishBy: jobsFinishBy - d.day.Length, Settle: settle, Cancel: cancelAfter, Runs: d.runs})
 }
 
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -128,7 +128,7 @@
 
 // rig is what stands around the tier.
 type rig struct {
-	o       Options
+	options Options
 	cluster *cluster.Cluster
 	runs    *engine.Runs
 	mu      sync.Mutex
@@ -137,7 +137,7 @@
 }
 
 func newRig(o Options, c *cluster.Cluster) *rig {
-	return &rig{o: o, cluster: c, runs: &engine.Runs{}, all: map[*engine.Endpoint]bool{}}
+	return &rig{options: o, cluster: c, runs: &engine.Runs{}, all: map[*engine.Endpoint]bool{}}
 }
 
 func (r *rig) endpoint(service, addr string, zone int) (*engine.Endpoint, error) {
@@ -145,7 +145,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts++
-	o.ID, o.Address, o.Zone, o.Runs = fmt.Sprintf("i-%08x", r.o.Seed<<16+uint64(r.starts)), addr, r.cluster.Zones()[zone], r.runs
+	o.ID, o.Address, o.Zone, o.Runs = fmt.Sprintf("i-%08x", r.options.Seed<<16+uint64(r.starts)), addr, r.cluster.Zones()[zone], r.runs
 	o.Beats = engine.Beats{Controls: r.cluster.Controls, Every: beatEvery, DrainFor: drainFor}
 	e, err := engine.Start(o)
 	if err == nil {
--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -75,14 +75,14 @@
 // Try is a client's attempt to hand a message in.
 type Try struct {
 	Message int
-	N       int // 0 for the first
+	Number  int // 0 for the first
 	At      time.Duration
 	Node    int
 	Again   bool // a node had it and died
 }
 
 // ID is the id of the try.
-func (t Try) ID() string { return ID(t.Message, t.N) }
+func (t Try) ID() string { return ID(t.Message, t.Number) }
 
 // Until is when the message is given up, which counts from its first try.
 func (d *Day) Until(t Try) time.Duration {
@@ -104,22 +104,22 @@
 // Refused tells whether and when a client comes again after a refusal that told it to wait,
 // or 0. It comes to any node.
 func (d *Day) Refused(t Try, now, wait time.Duration) (Try, bool) {
-	if t.N >= d.Retries {
+	if t.Number >= d.Retries {
 		return Try{}, false
 	}
-	r := Random(d.Seed, "again", uint64(t.Message), uint64(t.N))
-	pause := millis(draw(r, d.Scenario.Clients.BackoffMs)) * time.Duration(math.Exp2(float64(t.N)))
+	r := Random(d.Seed, "again", uint64(t.Message), uint64(t.Number))
+	pause := millis(draw(r, d.Scenario.Clients.BackoffMs)) * time.Duration(math.Exp2(float64(t.Number)))
 	if heeds := r.Float64() < d.Scenario.Clients.Honour; heeds && wait > 0 {
 		pause = min(wait, seconds(d.Scenario.Rules.MaxRetryAfterS))
 	}
-	next := Try{Message: t.Message, N: t.N + 1, At: now + pause, Node: r.IntN(len(d.Nodes)), Again: t.Again}
+	next := Try{Message: t.Message, Number: t.Number + 1, At: now + pause, Node: r.IntN(len(d.Nodes)), Again: t.Again}
 	return next, next.At < d.Until(t)
 }
 
 // Died tells when a client hands in again what a node had that died, or did not answer.
 func (d *Day) Died(t Try, now time.Duration) (Try, bool) {
-	r := Random(d.Seed, "died", uint64(t.Message), uint64(t.N))
-	next := Try{Message: t.Message, N: t.N + 1, At: now + millis(draw(r, d.Scenario.Clients.AgainMs)),
+	r := Random(d.Seed, "died", uint64(t.Message), uint64(t.Number))
+	next := Try{Message: t.Message, Number: t.Number + 1, At: now + millis(draw(r, d.Scenario.Clients.AgainMs)),
 		Node: r.IntN(len(d.Nodes)), Again: true}
-	return next, t.N < 8 && next.At < d.Until(t)
+	return next, t.Number < 8 && next.At < d.Until(t)
 }
--- a/internal/proxy/forward/wrong_test.go
+++ b/internal/proxy/forward/wrong_test.go
@@ -10,73 +10,293 @@
 )
 
 // wrong are lines that are wrong, for TestBusyNights to find.
-var wrong = []mutation.Line{
-	{"nothing is asked right before a send", "certified.go", "	if !ok {\n		gate.Count(regime", "	if !ok && regime == \"?\" {\n		gate.Count(regime"},
-	{"nobody need confirm", "../../control/certification/gate.go", "g.Confirmed() && s.Certified", "s.Certified"},
-	{"versions go back", "../../control/certification/gate.go", "old != nil && old.Version >= s.Version ||", "old == s ||"},
-	{"a certificate counts at any time", "../../control/certification/set.go", "if c.Valid(now) {", "if c.Valid(now) || !now.IsZero() {"},
-	{"a run that can't be recorded is sent", "certified.go", "		if !ok {\n			x.err = errRecordFull", "		if !ok && regime == \"?\" {\n			x.err = errRecordFull"},
-	{"runs of clients that leave have no end", "exchange.go", "	if x.run != 0 {", "	if x.run != 0 && o != dispatch.Left {"},
-	{"any endpoint is chosen", "../dispatch/choice.go", "slices.Contains(w.r.Avoid, e.target.ID) || !w.r.may(e.target.ID) {", "slices.Contains(w.r.Avoid, e.target.ID) {"},
-	{"a broken run counts as not written", "certified.go", "	if x.unsent {", "	if x.unsent || out == audit.Broken {"},
-	{"a try that broke off is repeated", "../attempt/attempt.go", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {"},
-	{"entries are dropped with too few stores", "../../batch/audit/deliver.go", "	r.acknowledge(len(batch.entries))\n	return nil", "	r.acknowledge(len(batch.entries) + min(1, r.Pending()-len(batch.entries)))\n	return nil"},
-	{"the chain is not gone on with", "../../batch/audit/files.go", "	f.lastHash = next\n	return nil\n}\n\n// begin appends", "	_ = next\n	return nil\n}\n\n// begin appends"},
+var wrong = []mutation.Mutant{
+	{
+		Name: "nothing is asked right before a send",
+		File: "certified.go",
+		Old:  "	if !ok {\n		gate.Count(regime",
+		New:  "	if !ok && regime == \"?\" {\n		gate.Count(regime",
+	},
+	{
+		Name: "nobody need confirm",
+		File: "../../control/certification/gate.go",
+		Old:  "g.Confirmed() && s.Certified",
+		New:  "s.Certified",
+	},
+	{
+		Name: "versions go back",
+		File: "../../control/certification/gate.go",
+		Old:  "old != nil && old.Version >= s.Version ||",
+		New:  "old == s ||",
+	},
+	{
+		Name: "a certificate counts at any time",
+		File: "../../control/certification/set.go",
+		Old:  "if c.Valid(now) {",
+		New:  "if c.Valid(now) || !now.IsZero() {",
+	},
+	{
+		Name: "a run that can't be recorded is sent",
+		File: "certified.go",
+		Old:  "		if !ok {\n			x.err = errRecordFull",
+		New:  "		if !ok && regime == \"?\" {\n			x.err = errRecordFull",
+	},
+	{
+		Name: "runs of clients that leave have no end",
+		File: "exchange.go",
+		Old:  "	if x.run != 0 {",
+		New:  "	if x.run != 0 && o != dispatch.Left {",
+	},
+	{
+		Name: "any endpoint is chosen",
+		File: "../dispatch/choice.go",
+		Old:  "slices.Contains(w.r.Avoid, e.target.ID) || !w.r.may(e.target.ID) {",
+		New:  "slices.Contains(w.r.Avoid, e.target.ID) {",
+	},
+	{
+		Name: "a broken run counts as not written",
+		File: "certified.go",
+		Old:  "	if x.unsent {",
+		New:  "	if x.unsent || out == audit.Broken {",
+	},
+	{
+		Name: "a try that broke off is repeated",
+		File: "../attempt/attempt.go",
+		Old:  "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {",
+		New:  "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {",
+	},
+	{
+		Name: "entries are dropped with too few stores",
+		File: "../../batch/audit/deliver.go",
+		Old:  "	r.acknowledge(len(batch.entries))\n	return nil",
+		New:  "	r.acknowledge(len(batch.entries) + min(1, r.Pending()-len(batch.entries)))\n	return nil",
+	},
+	{
+		Name: "the chain is not gone on with",
+		File: "../../batch/audit/files.go",
+		Old:  "	f.lastHash = next\n	return nil\n}\n\n// begin appends",
+		New:  "	_ = next\n	return nil\n}\n\n// begin appends",
+	},
 }
 
 // TestWrongLinesStand fails when a line of the lists no longer stands once in the file that it names.
 func TestWrongLinesStand(t *testing.T) {
-	mutation.Check(t, wrong)
-	mutation.Check(t, wrongCalls)
+	mutation.CheckPresent(t, wrong)
+	mutation.CheckPresent(t, wrongCalls)
 }
 
 // Each wrong line is found by drawn nights. This takes minutes, so it is asked for: CERTIFIED_WRONG=1, or a part of a name.
 func TestWrongLinesAreFound(t *testing.T) {
-	only := mutation.Asked(t, "CERTIFIED_WRONG")
+	only := mutation.Requested(t, "CERTIFIED_WRONG")
 	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "TestBusyNights", "-timeout", "150s"},
 		Env: []string{"CERTIFIED_WRONG=", "CERTIFIED_NIGHTS_S=25"}, Within: 3 * time.Minute})
 }
 
 // wrongCalls are lines that would send an answer to the wrong caller, or a request twice.
-var wrongCalls = []mutation.Line{
-	{"a broken try is repeated", "../attempt/attempt.go", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {", "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {"},
-	{"a failed run is repeated", "../attempt/attempt.go", "	case Failed:\n		if c.Idempotent && c.AttemptsLeft {", "	case Failed:\n		if c.AttemptsLeft {"},
-	{"it goes on after it may have run", "../attempt/attempt.go", "if c.ReroutesLeft && (s == NotSent || c.Idempotent) {", "if c.ReroutesLeft {"},
-	{"what may have run is refused", "../attempt/attempt.go", "	case s == NotSent:\n		return ServiceUnavailable", "	case s <= Sent:\n		return ServiceUnavailable"},
-	{"an answer that can't be continued is continued", "../attempt/attempt.go", "retry = c.Resumable && c.AttemptsLeft", "retry = c.AttemptsLeft"},
-	{"tries are not counted", "exchange.go", "		x.tries++\n", ""},
-	{"any id matches", "answer.go", "return len(ids) == 1 && ids[0] == x.req.ID", "return len(ids) == 1"},
-	{"one of two ids matches", "answer.go", "return len(ids) == 1 && ids[0] == x.req.ID", "return slices.Contains(ids, x.req.ID)"},
-	{"a spliced head matches", "answer.go", "if matches && !spliced {", "if matches {"},
-	{"bodies of others are read as answers to HEAD", "answer.go", "return x.method != http.MethodHead && ", "return "},
-	{"a success needs no seal", "answer.go", "status < 300 && (notRun || h.Get(headerSeal) == \"\")", "status < 300 && notRun"},
-	{"an answer needs no end", "answer.go", "	case !plain(h.Get(\"Content-Encoding\")), !x.delimited():", "	case !plain(h.Get(\"Content-Encoding\")):"},
-	{"not run counts beside any status", "answer.go", "	case notRun && promisesNotRun(status):", "	case notRun:"},
-	{"a refusal needs no proof", "answer.go", "	case promisesNotRun(status):\n		return attempt.UnprovenRejection, dispatch.Failed", "	case promisesNotRun(status):\n		return attempt.Rejected, dispatch.NotRun"},
-	{"a reset proves that it was not read", "exchange.go", "	sent := !errors.As(err, &call) || call.Sent", "	sent := !errors.As(err, &call) || call.Sent && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, os.ErrDeadlineExceeded))"},
-	{"silence proves that it was not read", "exchange.go", "			x.state = max(x.state, attempt.Sent)", "			x.state = max(x.state, attempt.NotSent)"},
-	{"ids of items are not remembered", "exchange.go", "			x.conn.Remember(x.req.ID)", "			_ = x.req.ID"},
-	{"any end of a body is its end", "serve.go", "		if errors.Is(err, io.EOF) {\n			return x.passEnd", "		if err != nil {\n			return x.passEnd"},
-	{"any end of a stream is its end", "serve.go", "if errors.Is(err, io.EOF) && wrong == nil {", "if err != nil && wrong == nil {"},
-	{"a cut answer looks complete", "serve.go", "			panic(http.ErrAbortHandler)", "			return"},
-	{"a request's length may be read in two ways", "listener.go", "&& c.arrived.Load() > c.handled", "&& c.handled < 0"},
-	{"a request may have two ids", "serve.go", "len(r.Header[headerID]) != 1 ||", "len(r.Header[headerID]) < 1 ||"},
-	{"a protocol whose answers can't be told from cut ones", "serve.go", "!r.ProtoAtLeast(1, 1)", "!r.ProtoAtLeast(1, 0)"},
-	{"a body is waited for beyond the deadline", "../clientbody/clientbody.go", "	if limits.Deadline.Before(deadline) {\n", "	if false {\n"},
-	{"a connection is waited for beyond the deadline", "../../platform/upstream/acquire.go", "!deadline.IsZero() && left < dialTimeout {", "!deadline.IsZero() && left < 0 {"},
-	{"bytes behind an answer are kept", "../../platform/upstream/conn.go", " || c.reader.Buffered() != 0 {", " {"},
-	{"nobody looks before a connection is used", "../../platform/upstream/acquire.go", "if c.idleBefore = now.Sub(c.idleSince); c.idleBefore < c.maxIdle(limit) && c.quiet() {", "if c.idleBefore = now.Sub(c.idleSince); c.idleBefore < c.maxIdle(limit) {"},
-	{"a part that was written is the whole", "../../platform/upstream/call.go", "		c.sent = n == size\n", "		c.sent = n >= 0\n"},
-	{"interim answers count", "../../platform/upstream/call.go", "case resp.StatusCode >= 200:", "case resp.StatusCode >= 100:"},
-	{"a close before the end is not looked at", "../../platform/upstream/call.go", "	return end, c.probe(ctx)", "	_ = c.probe(ctx)\n	return end, nil"},
-	{"a forgotten connection counts against its endpoint", "exchange.go", "	case !sent && call.Stale:", "	case !sent && call.Stale && false:"},
-	{"the last try is lost on a forgotten connection", "answer.go", " || x.tries+1 >= max(1, x.req.Route.MaxAttempts)", ""},
-	{"a surplus does not end a connection", "../../platform/upstream/call.go", "c.complete = !resp.Close && !c.readSurplus", "c.complete = !resp.Close"},
+var wrongCalls = []mutation.Mutant{
+	{
+		Name: "a broken try is repeated",
+		File: "../attempt/attempt.go",
+		Old:  "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {",
+		New:  "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {",
+	},
+	{
+		Name: "a failed run is repeated",
+		File: "../attempt/attempt.go",
+		Old:  "	case Failed:\n		if c.Idempotent && c.AttemptsLeft {",
+		New:  "	case Failed:\n		if c.AttemptsLeft {",
+	},
+	{
+		Name: "it goes on after it may have run",
+		File: "../attempt/attempt.go",
+		Old:  "if c.ReroutesLeft && (s == NotSent || c.Idempotent) {",
+		New:  "if c.ReroutesLeft {",
+	},
+	{
+		Name: "what may have run is refused",
+		File: "../attempt/attempt.go",
+		Old:  "	case s == NotSent:\n		return ServiceUnavailable",
+		New:  "	case s <= Sent:\n		return ServiceUnavailable",
+	},
+	{
+		Name: "an answer that can't be continued is continued",
+		File: "../attempt/attempt.go",
+		Old:  "retry = c.Resumable && c.AttemptsLeft",
+		New:  "retry = c.AttemptsLeft",
+	},
+	{
+		Name: "tries are not counted",
+		File: "exchange.go",
+		Old:  "		x.tries++\n",
+		New:  "",
+	},
+	{
+		Name: "any id matches",
+		File: "answer.go",
+		Old:  "return len(ids) == 1 && ids[0] == x.req.ID",
+		New:  "return len(ids) == 1",
+	},
+	{
+		Name: "one of two ids matches",
+		File: "answer.go",
+		Old:  "return len(ids) == 1 && ids[0] == x.req.ID",
+		New:  "return slices.Contains(ids, x.req.ID)",
+	},
+	{
+		Name: "a spliced head matches",
+		File: "answer.go",
+		Old:  "if matches && !spliced {",
+		New:  "if matches {",
+	},
+	{
+		Name: "bodies of others are read as answers to HEAD",
+		File: "answer.go",
+		Old:  "return x.method != http.MethodHead && ",
+		New:  "return ",
+	},
+	{
+		Name: "a success needs no seal",
+		File: "answer.go",
+		Old:  "status < 300 && (notRun || h.Get(headerSeal) == \"\")",
+		New:  "status < 300 && notRun",
+	},
+	{
+		Name: "an answer needs no end",
+		File: "answer.go",
+		Old:  "	case !plain(h.Get(\"Content-Encoding\")), !x.delimited():",
+		New:  "	case !plain(h.Get(\"Content-Encoding\")):",
+	},
+	{
+		Name: "not run counts beside any status",
+		File: "answer.go",
+		Old:  "	case notRun && promisesNotRun(status):",
+		New:  "	case notRun:",
+	},
+	{
+		Name: "a refusal needs no proof",
+		File: "answer.go",
+		Old:  "	case promisesNotRun(status):\n		return attempt.UnprovenRejection, dispatch.Failed",
+		New:  "	case promisesNotRun(status):\n		return attempt.Rejected, dispatch.NotRun",
+	},
+	{
+		Name: "a reset proves that it was not read",
+		File: "exchange.go",
+		Old:  "	sent := !errors.As(err, &call) || call.Sent",
+		New:  "	sent := !errors.As(err, &call) || call.Sent && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, os.ErrDeadlineExceeded))",
+	},
+	{
+		Name: "silence proves that it was not read",
+		File: "exchange.go",
+		Old:  "			x.state = max(x.state, attempt.Sent)",
+		New:  "			x.state = max(x.state, attempt.NotSent)",
+	},
+	{
+		Name: "ids of items are not remembered",
+		File: "exchange.go",
+		Old:  "			x.conn.Remember(x.req.ID)",
+		New:  "			_ = x.req.ID",
+	},
+	{
+		Name: "any end of a body is its end",
+		File: "serve.go",
+		Old:  "		if errors.Is(err, io.EOF) {\n			return x.passEnd",
+		New:  "		if err != nil {\n			return x.passEnd",
+	},
+	{
+		Name: "any end of a stream is its end",
+		File: "serve.go",
+		Old:  "if errors.Is(err, io.EOF) && wrong == nil {",
+		New:  "if err != nil && wrong == nil {",
+	},
+	{
+		Name: "a cut answer looks complete",
+		File: "serve.go",
+		Old:  "			panic(http.ErrAbortHandler)",
+		New:  "			return",
+	},
+	{
+		Name: "a request's length may be read in two ways",
+		File: "listener.go",
+		Old:  "&& c.arrived.Load() > c.handled",
+		New:  "&& c.handled < 0",
+	},
+	{
+		Name: "a request may have two ids",
+		File: "serve.go",
+		Old:  "len(r.Header[headerID]) != 1 ||",
+		New:  "len(r.Header[headerID]) < 1 ||",
+	},
+	{
+		Name: "a protocol whose answers can't be told from cut ones",
+		File: "serve.go",
+		Old:  "!r.ProtoAtLeast(1, 1)",
+		New:  "!r.ProtoAtLeast(1, 0)",
+	},
+	{
+		Name: "a body is waited for beyond the deadline",
+		File: "../clientbody/clientbody.go",
+		Old:  "	if limits.Deadline.Before(deadline) {\n",
+		New:  "	if false {\n",
+	},
+	{
+		Name: "a connection is waited for beyond the deadline",
+		File: "../../platform/upstream/acquire.go",
+		Old:  "!deadline.IsZero() && left < dialTimeout {",
+		New:  "!deadline.IsZero() && left < 0 {",
+	},
+	{
+		Name: "bytes behind an answer are kept",
+		File: "../../platform/upstream/conn.go",
+		Old:  " || c.reader.Buffered() != 0 {",
+		New:  " {",
+	},
+	{
+		Name: "nobody looks before a connection is used",
+		File: "../../platform/upstream/acquire.go",
+		Old:  "if c.idleBefore = now.Sub(c.idleSince); c.idleBefore < c.maxIdle(limit) && c.quiet() {",
+		New:  "if c.idleBefore = now.Sub(c.idleSince); c.idleBefore < c.maxIdle(limit) {",
+	},
+	{
+		Name: "a part that was written is the whole",
+		File: "../../platform/upstream/call.go",
+		Old:  "		c.sent = n == size\n",
+		New:  "		c.sent = n >= 0\n",
+	},
+	{
+		Name: "interim answers count",
+		File: "../../platform/upstream/call.go",
+		Old:  "case resp.StatusCode >= 200:",
+		New:  "case resp.StatusCode >= 100:",
+	},
+	{
+		Name: "a close before the end is not looked at",
+		File: "../../platform/upstream/call.go",
+		Old:  "	return end, c.probe(ctx)",
+		New:  "	_ = c.probe(ctx)\n	return end, nil",
+	},
+	{
+		Name: "a forgotten connection counts against its endpoint",
+		File: "exchange.go",
+		Old:  "	case !sent && call.Stale:",
+		New:  "	case !sent && call.Stale && false:",
+	},
+	{
+		Name: "the last try is lost on a forgotten connection",
+		File: "answer.go",
+		Old:  " || x.tries+1 >= max(1, x.req.Route.MaxAttempts)",
+		New:  "",
+	},
+	{
+		Name: "a surplus does not end a connection",
+		File: "../../platform/upstream/call.go",
+		Old:  "c.complete = !resp.Close && !c.readSurplus",
+		New:  "c.complete = !resp.Close",
+	},
 }
 
 // Each wrong line is found by the tests of calls. This takes minutes, so it is asked for: CALLS_WRONG=1, or a part of a name.
 func TestWrongCallsAreFound(t *testing.T) {
-	only := mutation.Asked(t, "CALLS_WRONG")
+	only := mutation.Requested(t, "CALLS_WRONG")
 	mutation.Find(t, wrongCalls, mutation.Options{Only: only, Args: []string{"-p", "2", "-skip", "TestBusyNights|TestFleet|TestCapGrows", "-timeout", "150s", "../attempt", "../../platform/upstream"},
 		Env: []string{"CALLS_WRONG="}, Within: 3 * time.Minute})
 }
