--- a/internal/consensus/paxos/storage.go
+++ b/internal/consensus/paxos/storage.go
@@ -112,7 +112,7 @@
 	r.finishIfNewVotersStored()
 }
 
-// storeDue tells whether the State has still to be stored.
+// storeDue reports whether the State has still to be stored.
 func (r *Register) storeDue() bool { return r.known && !r.stateStored && r.fatalError == nil }
 
 // decidedRecord is what has to be saved for a decided State: a short record where the disk holds it as accepted.
--- a/internal/consensus/quorum/gate.go
+++ b/internal/consensus/quorum/gate.go
@@ -30,7 +30,7 @@
 // Detach forgets a process.
 func (g *Gate[K]) Detach(key K) { delete(g.confirmed, key) }
 
-// MayPush tells whether a process may be pushed what the registers hold.
+// MayPush reports whether a process may be pushed what the registers hold.
 func (g *Gate[K]) MayPush(now time.Duration, key K) bool {
 	return g.InContact(now) && g.confirmed[key]
 }
--- a/internal/consensus/quorum/tracker.go
+++ b/internal/consensus/quorum/tracker.go
@@ -28,7 +28,7 @@
 	return t.latest
 }
 
-// CheckDue tells whether a check, an operation that a majority has to answer, is to begin now.
+// CheckDue reports whether a check, an operation that a majority has to answer, is to begin now.
 func (t *Tracker) CheckDue(now time.Duration) bool {
 	return !t.checking && t.advance(now) >= t.nextCheck
 }
@@ -64,7 +64,7 @@
 	t.until = until
 }
 
-// InContact tells whether there is contact now. It is called right before each answer and each push.
+// InContact reports whether there is contact now. It is called right before each answer and each push.
 func (t *Tracker) InContact(now time.Duration) bool { return t.advance(now) < t.until }
 
 // ContactDuration is for how long there has been contact without a break; 0 without any.
--- a/internal/consensus/reconfigure/cluster_test.go
+++ b/internal/consensus/reconfigure/cluster_test.go
@@ -94,7 +94,7 @@
 func (m *machine) voter() paxos.Voter { return paxos.Voter{ID: m.id, Name: m.name, Addr: m.addr} }
 func (m *machine) connected() bool    { return m.up && !m.partitioned }
 
-// countsAsLost tells whether the machine counts as lost.
+// countsAsLost reports whether the machine counts as lost.
 func (m *machine) countsAsLost() bool {
 	return !m.removed && (!m.connected() || m.cluster.Now() < m.lostUntil)
 }
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// anyLeaving tells whether a machine hands over.
+// anyLeaving reports whether a machine hands over.
 func (c *cluster) anyLeaving() bool {
 	return slices.ContainsFunc(c.machines, func(m *machine) bool { return m.up && m.leaving })
 }
--- a/internal/consensus/reconfigure/leave.go
+++ b/internal/consensus/reconfigure/leave.go
@@ -29,7 +29,7 @@
 	return LeaveStepEnd, Change{}
 }
 
-// candidateExpected tells whether a keeper is connected that may become a candidate once it has caught up.
+// candidateExpected reports whether a keeper is connected that may become a candidate once it has caught up.
 func (s Situation) candidateExpected() bool {
 	for _, keeper := range s.Keepers {
 		if keeper.ID != 0 && !s.isVoter(keeper.ID) && !keeper.CaughtUp && !keeper.Leaving {
--- a/internal/consensus/reconfigure/observer.go
+++ b/internal/consensus/reconfigure/observer.go
@@ -107,7 +107,7 @@
 	o.nonVoterSince = nonVoterSince
 }
 
-// storedAsNonVoter tells whether a keeper that is no voter made its report after it had stored a state by which it is
+// storedAsNonVoter reports whether a keeper that is no voter made its report after it had stored a state by which it is
 // none. An earlier report may not say yet that the keeper leaves, for which it was removed: such a keeper must not
 // become a voter again.
 func (o *Observer) storedAsNonVoter(state paxos.State, report Report) bool {
--- a/internal/consensus/reconfigure/rules.go
+++ b/internal/consensus/reconfigure/rules.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// rules are asked in this order; the first that finds a change decides.
+// rules are tried in this order; the first that finds a change decides.
 var rules = []func(Situation) (Change, bool){moved, diskLost, leaving, unresponsive, expansion}
 
 // NextChange returns the change of voters that comes next; false: none.
--- a/internal/consensus/singleton/candidate.go
+++ b/internal/consensus/singleton/candidate.go
@@ -1,6 +1,10 @@
 package singleton
 
-import "time"
+import (
+	"time"
+
+	"dunetide/internal/consensus/paxos"
+)
 
 const (
 	// LeaseDuration is how long a granted lease is used, from before it was requested, on its holder's clock. The
@@ -47,7 +51,7 @@
 // NewCandidate returns a candidate without a lease; rand is in [0, 1).
 func NewCandidate(rand func() float64) *Candidate { return &Candidate{rand: rand} }
 
-// HasLease tells whether the holder may act in the role now. It is to be called right before each act.
+// HasLease reports whether the holder may act in the role now. It is to be called right before each act.
 func (c *Candidate) HasLease(now time.Duration) bool { return now < c.until }
 
 // LeaseAge is for how long the lease has been held without a break; 0 without one.
@@ -121,7 +125,7 @@
 func (c *Candidate) startRound(now time.Duration, voters int) {
 	c.round++
 	c.requesting, c.requestedAt = true, now
-	c.quorum = voters/2 + 1
+	c.quorum = paxos.QuorumSize(voters)
 	c.maxRefusals = voters - c.quorum
 	c.granted, c.refused = map[string]bool{}, map[string]bool{}
 }
--- a/internal/consensus/singleton/singleton_test.go
+++ b/internal/consensus/singleton/singleton_test.go
@@ -178,7 +178,7 @@
 	}
 	c.Stop()
 	if c.HasLease(2) {
-		t.Error("it holds the lease that it stopped to use")
+		t.Error("it holds the lease that it stopped using")
 	}
 	action, round := c.Step(3, 2)
 	if action != ActionRequest {
