--- a/internal/control/membership/service.go
+++ b/internal/control/membership/service.go
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	s.core.AddSeeds(0, seeds)
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	stop := context.AfterFunc(ctx, s.closeConn)
 	go func() {
 		defer close(s.done)
 		defer stop()
@@ -46,9 +46,12 @@
 	return s, nil
 }
 
+// closeConn closes the socket, which may be closed already; a UDP socket loses nothing by that.
+func (s *Service) closeConn() { _ = s.conn.Close() }
+
 // run reads datagrams until the socket is closed. The read deadline of the socket is the timer of the next Tick.
 func (s *Service) run() {
-	defer s.conn.Close()
+	defer s.closeConn()
 	buffer := make([]byte, maxMessageBytes+1)
 	next := s.tick()
 	for {
--- a/internal/control/membership/simulation_test.go
+++ b/internal/control/membership/simulation_test.go
@@ -56,6 +56,7 @@
 }
 
 func newSimulation(t testing.TB, seed uint64) *simulation {
+	t.Helper()
 	return &simulation{
 		t:          t,
 		rand:       rand.New(rand.NewPCG(seed, 1)),
--- a/internal/control/operatorconfig/config_test.go
+++ b/internal/control/operatorconfig/config_test.go
@@ -15,8 +15,10 @@
 // or more of them (with), and routes alone over the services a and b.
 func TestConfigurations(t *testing.T) {
 	datadriven.Walk(t, "testdata/configs", func(t *testing.T, path string) {
+		t.Helper()
 		var c *Config
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+			t.Helper()
 			raw := d.Input
 			switch d.Cmd {
 			case "whole":
--- a/internal/control/registry/table_test.go
+++ b/internal/control/registry/table_test.go
@@ -14,8 +14,10 @@
 // TestTableCommands runs the files of testdata/tables: each command names a keeper and a time in ms.
 func TestTableCommands(t *testing.T) {
 	datadriven.Walk(t, "testdata/tables", func(t *testing.T, path string) {
+		t.Helper()
 		tables := map[string]*Table{}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+			t.Helper()
 			var keeper string
 			var ms int
 			d.ScanArgs(t, "at", &ms)
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -13,6 +13,7 @@
 // TestSettings has two commands: parse a whole file, and with, which puts lines behind those that must be there.
 func TestSettings(t *testing.T) {
 	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, d *datadriven.TestData) string {
+		t.Helper()
 		text := d.Input
 		switch d.Cmd {
 		case "parse":
