--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -27,9 +27,9 @@
 }
 
 const (
-	certifyWait = 10 * time.Second
+	certifyTimeout = 10 * time.Second
 	// withdrawTries is how often a withdrawal begins anew as another document came between.
-	withdrawTries = 10
+	maxWithdrawAttempts = 10
 )
 
 func readCertificates(path string) (*certification.Set, []byte, error) {
@@ -44,7 +44,7 @@
 	return s, b, nil
 }
 
-var errOtherVersion = errors.New("another version is in place")
+var errVersionConflict = errors.New("another version is in place")
 
 // call makes a call about certificates and answers its body.
 func (k keeperAddress) call(ctx context.Context, method string, base uint64, body []byte) (int, []byte, error) {
@@ -66,7 +66,7 @@
 }
 
 // newest reads the newest document; nil: there is none.
-func (k keeperAddress) newest(ctx context.Context) (*certification.Set, error) {
+func (k keeperAddress) getNewest(ctx context.Context) (*certification.Set, error) {
 	status, b, err := k.call(ctx, http.MethodGet, 0, nil)
 	switch {
 	case err != nil:
@@ -74,12 +74,12 @@
 	case status == http.StatusNotFound:
 		return nil, nil
 	case status != http.StatusOK:
-		return nil, refusal(status, b)
+		return nil, responseError(status, b)
 	}
 	return certification.Parse(b)
 }
 
-func refusal(status int, b []byte) error {
+func responseError(status int, b []byte) error {
 	var said struct{ Error string }
 	_ = json.Unmarshal(b, &said) // what isn't ours is told as it is
 	if said.Error == "" {
@@ -87,7 +87,7 @@
 	}
 	err := fmt.Errorf("the keeper answered %d: %s", status, said.Error)
 	if status == http.StatusPreconditionFailed {
-		err = errors.Join(errOtherVersion, err)
+		err = errors.Join(errVersionConflict, err)
 	}
 	return err
 }
@@ -98,7 +98,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return refusal(status, b)
+		return responseError(status, b)
 	}
 	var said struct {
 		Version  uint64 `json:"version"`
@@ -128,12 +128,12 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), certifyWait)
+	ctx, cancel := context.WithTimeout(context.Background(), certifyTimeout)
 	defer cancel()
 	base := uint64(0)
 	if c.Base != nil {
 		base = *c.Base
-	} else if s, err := c.newest(ctx); err != nil {
+	} else if s, err := c.getNewest(ctx); err != nil {
 		return err
 	} else if s != nil {
 		base = s.Version
@@ -144,9 +144,9 @@
 type certifyGetCmd struct{ keeperAddress }
 
 func (c certifyGetCmd) Run() error {
-	ctx, cancel := context.WithTimeout(context.Background(), certifyWait)
+	ctx, cancel := context.WithTimeout(context.Background(), certifyTimeout)
 	defer cancel()
-	s, err := c.newest(ctx)
+	s, err := c.getNewest(ctx)
 	if err != nil {
 		return err
 	}
@@ -164,10 +164,10 @@
 }
 
 func (c certifyWithdrawCmd) Run() error {
-	ctx, cancel := context.WithTimeout(context.Background(), certifyWait)
+	ctx, cancel := context.WithTimeout(context.Background(), certifyTimeout)
 	defer cancel()
-	for try := range withdrawTries {
-		s, err := c.newest(ctx)
+	for try := range maxWithdrawAttempts {
+		s, err := c.getNewest(ctx)
 		if err != nil {
 			return err
 		}
@@ -186,9 +186,9 @@
 		if err != nil {
 			return err
 		}
-		if err := c.put(ctx, s.Version, body); !errors.Is(err, errOtherVersion) {
+		if err := c.put(ctx, s.Version, body); !errors.Is(err, errVersionConflict) {
 			return err
 		}
 	}
-	return fmt.Errorf("other documents came between %d times: try again", withdrawTries)
+	return fmt.Errorf("other documents came between %d times: try again", maxWithdrawAttempts)
 }
--- a/cmd/dunetide/certify_test.go
+++ b/cmd/dunetide/certify_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	base := uint64(2)
-	if err := (certifyPutCmd{keeperAddress: at, File: write(t, 4, "e1"), Base: &base}).Run(); !errors.Is(err, errOtherVersion) {
+	if err := (certifyPutCmd{keeperAddress: at, File: write(t, 4, "e1"), Base: &base}).Run(); !errors.Is(err, errVersionConflict) {
 		t.Errorf("%v", err)
 	}
 	if err := (certifyWithdrawCmd{keeperAddress: at, Endpoint: "e9"}).Run(); err == nil {
--- a/cmd/dunetide/jobs.go
+++ b/cmd/dunetide/jobs.go
@@ -15,29 +15,29 @@
 
 const (
 	// callMost is how long a call about batch jobs may take.
-	callMost = 4 * time.Second
+	batchCallTimeout = 4 * time.Second
 	// bodyMost bounds such a call's body where no configuration says it.
-	bodyMost = 8 << 20
+	maxBatchBody = 8 << 20
 	// answerMost is how long a client may take to read the answer to such a call.
-	answerMost = 15 * time.Second
+	batchAnswerTimeout = 15 * time.Second
 	// retryAfterBodies is in how many seconds a call comes again for which too many bodies were in hand.
-	retryAfterBodies = "0.5"
+	bodyBudgetRetryAfter = "0.5"
 	// spareItems are in hand beyond the share, so that none has to be asked for when one ends.
 	spareItems = 2
 )
 
 // jobs is the batch side of a proxy.
-type jobs struct {
-	edge   *batch.Proxy
-	holder *snapshot.Latest
-	runner *runner
-	bodies *clientbody.Budget // shared with the requests of clients
+type batchCalls struct {
+	edge      *batch.Proxy
+	snapshots *snapshot.Latest
+	runner    *itemRunner
+	bodies    *clientbody.Budget // shared with the requests of clients
 	// stopped: no more items are taken up.
 	stopped atomic.Bool
 }
 
-func newJobs(p *process, holder *snapshot.Latest, bodies *clientbody.Budget) *jobs {
-	j := &jobs{holder: holder, bodies: bodies, runner: &runner{holder: holder}}
+func newBatchCalls(p *process, holder *snapshot.Latest, bodies *clientbody.Budget) *batchCalls {
+	j := &batchCalls{snapshots: holder, bodies: bodies, runner: &itemRunner{snapshots: holder}}
 	j.edge = batch.NewProxy(batch.ProxyOptions{
 		Snapshots: holder,
 		Name:      p.settings.NodeName,
@@ -49,18 +49,18 @@
 }
 
 // work lets the proxy run items.
-func (j *jobs) work(p *forward.Proxy) { j.runner.proxy.Store(p) }
+func (j *batchCalls) setProxy(p *forward.Proxy) { j.runner.proxy.Store(p) }
 
 // update follows the system: a proxy has its share of the endpoints' places in hand, and a few more.
-func (j *jobs) update(snap *snapshot.Snapshot) {
+func (j *batchCalls) applySnapshot(snap *snapshot.Snapshot) {
 	if !j.stopped.Load() {
-		j.edge.SetMaxRunning(inHand(snap))
+		j.edge.SetMaxRunning(itemLimit(snap))
 	}
 	j.edge.Refresh()
 }
 
 // inHand is how many items a proxy takes up at once.
-func inHand(snap *snapshot.Snapshot) int {
+func itemLimit(snap *snapshot.Snapshot) int {
 	if snap.Config == nil {
 		return 0
 	}
@@ -86,24 +86,24 @@
 	return places/max(snap.Proxies, 1) + spareItems
 }
 
-func (j *jobs) stop() {
+func (j *batchCalls) stop() {
 	j.stopped.Store(true)
 	j.edge.SetMaxRunning(0)
 }
 
 // serve answers a client's call about batch jobs.
-func (j *jobs) serve(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
+func (j *batchCalls) serveCall(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
 	body, status := j.readBody(w, r, route)
 	if status != 0 {
 		w.Header().Set("Connection", "close") // what follows on it can't be told from the rest of the body
 		if status == http.StatusServiceUnavailable {
-			w.Header().Set("Retry-After", retryAfterBodies)
+			w.Header().Set("Retry-After", bodyBudgetRetryAfter)
 		}
 		w.WriteHeader(status)
 		return
 	}
 	defer j.bodies.Release(len(body))
-	ctx, cancel := context.WithTimeout(r.Context(), callMost)
+	ctx, cancel := context.WithTimeout(r.Context(), batchCallTimeout)
 	defer cancel()
 	a := j.edge.Serve(ctx, &batch.Call{Method: r.Method, Host: r.Host, Path: r.URL.Path, Query: r.URL.RawQuery, Header: r.Header.Get, Body: body})
 	if a.Status == 0 {
@@ -115,18 +115,18 @@
 	if a.ContentType != "" {
 		w.Header().Set("Content-Type", a.ContentType)
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerMost)) // a client that doesn't read holds nothing up for longer
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(batchAnswerTimeout)) // a client that doesn't read holds nothing up for longer
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
 
 // readBody reads the body of a call whole, in the time that the client has; status 0: it is there.
-func (j *jobs) readBody(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) (body []byte, status int) {
+func (j *batchCalls) readBody(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) (body []byte, status int) {
 	if r.ContentLength == 0 {
 		return nil, 0
 	}
-	limits := clientbody.Limits{MaxBytes: bodyMost, Deadline: time.Now().Add(clientbody.MaxDuration), Budget: j.bodies}
-	if snap := j.holder.Get(); snap != nil && snap.Config != nil && snap.Config.Limits.MaxBodyBytes > 0 {
+	limits := clientbody.Limits{MaxBytes: maxBatchBody, Deadline: time.Now().Add(clientbody.MaxDuration), Budget: j.bodies}
+	if snap := j.snapshots.Get(); snap != nil && snap.Config != nil && snap.Config.Limits.MaxBodyBytes > 0 {
 		limits.MaxBytes = snap.Config.Limits.MaxBodyBytes
 	}
 	if route != nil && route.TimeoutMs > 0 {
--- a/cmd/dunetide/jobs_test.go
+++ b/cmd/dunetide/jobs_test.go
@@ -30,7 +30,7 @@
 		{"one of four", &snapshot.Snapshot{Config: config, Endpoints: endpoints, Proxies: 4}, 12 + spareItems},
 		{"more senders than places", &snapshot.Snapshot{Config: config, Endpoints: endpoints, Proxies: 100}, spareItems},
 	} {
-		if got := inHand(c.snap); got != c.want {
+		if got := itemLimit(c.snap); got != c.want {
 			t.Errorf("%s: %d items, want %d", c.name, got, c.want)
 		}
 	}
--- a/cmd/dunetide/keeper.go
+++ b/cmd/dunetide/keeper.go
@@ -22,19 +22,19 @@
 	if err != nil {
 		return err
 	}
-	members, err := p.join(controlclient.RoleKeeper, keeperPort)
+	members, err := p.joinMembership(controlclient.RoleKeeper, keeperPort)
 	if err != nil {
 		return err
 	}
-	p.startTroubleReports(controlclient.RoleKeeper, keeperPort, members)
+	p.startConditionReports(controlclient.RoleKeeper, keeperPort, members)
 	var folder journal.Folder
 	if p.settings.DataDir != "" {
-		if folder, err = p.dataFolder(); err != nil {
+		if folder, err = p.openDataFolder(); err != nil {
 			return err
 		}
 	}
 	var k *keeper.Keeper
-	err = p.whenRoom(folder, func() (err error) {
+	err = p.runWithDiskSpace(folder, func() (err error) {
 		k, err = keeper.New(keeper.Options{Settings: p.settings, Folder: folder, Known: members.keepers, Log: p.log})
 		return err
 	})
--- a/cmd/dunetide/main.go
+++ b/cmd/dunetide/main.go
@@ -66,11 +66,11 @@
 
 // process is what all roles start from.
 type process struct {
-	settings *settings.Settings // as they were at the start
-	watcher  *settings.Watcher  // for what may change
-	log      hclog.Logger
-	ctx      context.Context
-	trouble  troubleHolder // what keeps it from its work
+	settings  *settings.Settings // as they were at the start
+	watcher   *settings.Watcher  // for what may change
+	log       hclog.Logger
+	ctx       context.Context
+	condition processCondition // what keeps it from its work
 }
 
 // start reads the settings and prepares the runtime. The context ends at SIGTERM or SIGINT.
@@ -86,7 +86,7 @@
 		return nil, errUsage.Wrap(err)
 	}
 	s := watcher.Current()
-	watcher.Subscribe(limitMemory)
+	watcher.Subscribe(setMemoryLimit)
 	// It goes on while the process drains: a signal then is no reason to end sooner.
 	go watcher.Run(context.Background(), reload.Received())
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -97,7 +97,7 @@
 }
 
 // limitMemory leaves room below the limit for what the collector has not freed yet.
-func limitMemory(s *settings.Settings) {
+func setMemoryLimit(s *settings.Settings) {
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryMB) << 20 * 7 / 10)
 	}
--- a/cmd/dunetide/members.go
+++ b/cmd/dunetide/members.go
@@ -17,13 +17,13 @@
 type members struct{ service *membership.Service }
 
 // addr is where a role's links and datagrams are on this machine.
-func (p *process) addr(port int) string {
+func (p *process) internalAddr(port int) string {
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.FirstInternalPort+port))
 }
 
 // join starts the process's part in membership.
-func (p *process) join(role string, port int) (*members, error) {
-	at, err := net.ResolveUDPAddr("udp4", p.addr(port))
+func (p *process) joinMembership(role string, port int) (*members, error) {
+	at, err := net.ResolveUDPAddr("udp4", p.internalAddr(port))
 	if err != nil {
 		return nil, errUsage.New("ip and internal_ports: %v", err)
 	}
@@ -32,7 +32,7 @@
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	s := p.settings
-	self := membership.Peer{Name: s.NodeName, Role: role, Zone: s.Zone, Addr: p.addr(port), Incarnation: uint64(time.Now().UnixNano())}
+	self := membership.Peer{Name: s.NodeName, Role: role, Zone: s.Zone, Addr: p.internalAddr(port), Incarnation: uint64(time.Now().UnixNano())}
 	service, err := membership.Start(p.ctx, conn, membership.Options{Self: self, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))},
 		seedLinks(s))
 	if err != nil {
@@ -52,6 +52,6 @@
 }
 
 // dataFolder is where the role keeps what must last.
-func (p *process) dataFolder() (journal.Folder, error) {
+func (p *process) openDataFolder() (journal.Folder, error) {
 	return journal.Dir(p.settings.DataDir), nil
 }
--- a/cmd/dunetide/metrics.go
+++ b/cmd/dunetide/metrics.go
@@ -18,7 +18,7 @@
 
 // metricsAfter is how long after its start a process begins to tell its figures, so that a port that another role of the machine needs
 // for its own work goes to that one.
-const metricsAfter = 2 * time.Second
+const metricsDelay = 2 * time.Second
 
 // startMetrics serves the figures of the process until it ends. A port that is taken is no reason not to work: it is told in the log.
 func (p *process) startMetrics(role string) {
@@ -27,7 +27,7 @@
 		p.log.Warn("metrics not served: the settings give their port to something else", "port", port)
 		return
 	}
-	time.AfterFunc(metricsAfter, func() {
+	time.AfterFunc(metricsDelay, func() {
 		listener, err := net.Listen("tcp4", net.JoinHostPort(p.settings.IP, strconv.Itoa(port)))
 		if err == nil {
 			err = telemetry.Serve(listener)
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -19,7 +19,7 @@
 )
 
 // bodiesPart is what part of the memory of a proxy clients' bodies may have: one in so many.
-const bodiesPart = 5
+const bodyMemoryFraction = 5
 
 type proxyCmd struct{}
 
@@ -30,35 +30,35 @@
 		return err
 	}
 	s := p.settings
-	members, err := p.join(controlclient.RoleProxy, proxyPort)
+	members, err := p.joinMembership(controlclient.RoleProxy, proxyPort)
 	if err != nil {
 		return err
 	}
 	holder := &snapshot.Latest{}
-	admission := dispatch.New(dispatch.Options{Name: s.NodeName, Zone: s.Zone, Holder: holder})
+	admission := dispatch.New(dispatch.Options{Name: s.NodeName, Zone: s.Zone, Snapshots: holder})
 	defer admission.Close()
 	files := descriptors.NewBudget(s.Limits.OpenFiles)
-	bodies := clientbody.NewBudget(int64(s.Limits.MemoryMB) << 20 / bodiesPart)
-	jobs := newJobs(p, holder, bodies)
+	bodies := clientbody.NewBudget(int64(s.Limits.MemoryMB) << 20 / bodyMemoryFraction)
+	jobs := newBatchCalls(p, holder, bodies)
 	var client *controlclient.Client
-	regulated := newRegulated(p, holder, func() time.Time { return client.Confirmed() })
-	proxy := forward.New(forward.Options{Holder: holder, Admission: admission, Log: p.log,
-		Match: func(c *operatorconfig.Config, host, path string) *operatorconfig.Route { return c.Match(host, path) },
-		Bulk:  jobs.serve, Bodies: bodies, MaxOpen: files.Endpoints(forward.DefaultMaxOpen),
-		Certified: regulated.gate, Record: regulated.recorder,
+	regulated := newRegulatedWork(p, holder, func() time.Time { return client.Confirmed() })
+	proxy := forward.New(forward.Options{Snapshots: holder, Admission: admission, Log: p.log,
+		Match:      func(c *operatorconfig.Config, host, path string) *operatorconfig.Route { return c.Match(host, path) },
+		ServeBatch: jobs.serveCall, BodyBudget: bodies, MaxOpen: files.Endpoints(forward.DefaultMaxOpen),
+		Certificates: regulated.gate, Recorder: regulated.recorder,
 		Ready: func() bool {
 			snap := holder.Get()
 			return snap != nil && snap.Config != nil && snap.EndpointsComplete && snap.CertificatesKnown
 		}})
 	proxy.Observe()
-	jobs.work(proxy)
+	jobs.setProxy(proxy)
 	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleProxy, Zone: s.Zone,
 		Life: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s), Known: members.keepers,
 		Endpoints: true, Holder: holder, Log: p.log, ConfirmEvery: s.Bounds.Drain / 5,
 		Changed: func(snap *snapshot.Snapshot) {
 			regulated.gate.Update(snap.Certificates)
 			admission.Update(snap)
-			jobs.update(snap)
+			jobs.applySnapshot(snap)
 		}})
 	p.watcher.Subscribe(func(s *settings.Settings) { client.SetSeeds(seedLinks(s)) })
 	// The links outlast the signal: what is under way still has to know of drains.
@@ -89,7 +89,7 @@
 		defer wg.Done()
 		everySecond(ctx, func() {
 			proxy.Tidy()
-			regulated.tell()
+			regulated.logCounts()
 		})
 	}()
 	served := make(chan error, 1)
@@ -100,7 +100,7 @@
 		p.log.Info("stopping")
 		jobs.stop()
 		err = proxy.Shutdown(s.Bounds.Grace - 500*time.Millisecond)
-		regulated.recorder.Drain(recordWait)
+		regulated.recorder.Drain(recordDrainTimeout)
 	}
 	cancel()
 	_ = readyServer.Close()
--- a/cmd/dunetide/room.go
+++ b/cmd/dunetide/room.go
@@ -12,41 +12,41 @@
 
 const (
 	// roomEvery is how often a full disk is tried again.
-	roomEvery = 500 * time.Millisecond
+	diskProbeInterval = 500 * time.Millisecond
 	// roomFile is written for that, and removed.
-	roomFile = "room.probe"
+	diskProbeFile = "room.probe"
 	// roomBytes have to fit before the disk is used again.
-	roomBytes = 1 << 20
+	diskProbeBytes = 1 << 20
 	// outOfService is what operators are told of a full disk, in the log and by the status of keepers.
-	outOfService = "disk is full: out of service until there is room"
+	diskFullReason = "disk is full: out of service until there is room"
 )
 
 // whenRoom runs f, again once there is room wherever it ends because the disk is full. Nothing of f may be left when it
 // returns. Told to stop, it ends with nil.
-func (p *process) whenRoom(folder journal.Folder, f func() error) error {
+func (p *process) runWithDiskSpace(folder journal.Folder, f func() error) error {
 	for {
 		err := f()
 		if !recordlog.IsDiskFull(err) && !batch.ErrDiskFull.Has(err) {
 			return err
 		}
-		p.log.Error(outOfService, "err", err)
-		p.trouble.set(func() string { return outOfService })
-		if !p.awaitRoom(folder) {
+		p.log.Error(diskFullReason, "err", err)
+		p.condition.set(func() string { return diskFullReason })
+		if !p.awaitDiskSpace(folder) {
 			return nil
 		}
-		p.trouble.clear()
+		p.condition.clear()
 		p.log.Info("disk has room again")
 	}
 }
 
 // awaitRoom waits until a file of roomBytes fits; false: told to stop before.
-func (p *process) awaitRoom(folder journal.Folder) bool {
-	tick := time.NewTicker(roomEvery)
+func (p *process) awaitDiskSpace(folder journal.Folder) bool {
+	tick := time.NewTicker(diskProbeInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if probeRoom(folder) == nil {
+			if probeDisk(folder) == nil {
 				return true
 			}
 		case <-p.ctx.Done():
@@ -56,17 +56,17 @@
 }
 
 // probeRoom tries whether a disk takes bytes.
-func probeRoom(folder journal.Folder) error {
-	if err := folder.Remove(roomFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func probeDisk(folder journal.Folder) error {
+	if err := folder.Remove(diskProbeFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	f, err := folder.Create(roomFile)
+	f, err := folder.Create(diskProbeFile)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(make([]byte, roomBytes))
+	_, err = f.Write(make([]byte, diskProbeBytes))
 	if err == nil {
 		err = f.Sync()
 	}
-	return errors.Join(err, f.Close(), folder.Remove(roomFile))
+	return errors.Join(err, f.Close(), folder.Remove(diskProbeFile))
 }
--- a/cmd/dunetide/room_test.go
+++ b/cmd/dunetide/room_test.go
@@ -20,7 +20,7 @@
 	disk := disktest.New()
 	calls := 0
 	other := errors.New("other")
-	err := p.whenRoom(disk, func() error {
+	err := p.runWithDiskSpace(disk, func() error {
 		if calls++; calls == 1 {
 			return batch.ErrDiskFull.New("full")
 		}
@@ -30,9 +30,9 @@
 		t.Errorf("%v after %d calls", err, calls)
 	}
 	// A disk that stays full: it ends when the process is told to.
-	disk.Room = roomBytes / 2
+	disk.Room = diskProbeBytes / 2
 	probed := &atomic.Int32{}
-	err = p.whenRoom(countedFolder{disk, func() {
+	err = p.runWithDiskSpace(countedFolder{disk, func() {
 		if probed.Add(1) == 2 {
 			cancel()
 		}
--- a/cmd/dunetide/runner.go
+++ b/cmd/dunetide/runner.go
@@ -11,19 +11,19 @@
 )
 
 // again is when an item that no endpoint has run comes again.
-const again = 200 * time.Millisecond
+const itemRetryAfter = 200 * time.Millisecond
 
 // runner runs items of batch jobs through the proxy, and so through its admission.
-type runner struct {
-	holder *snapshot.Latest
-	proxy  atomic.Pointer[forward.Proxy]
+type itemRunner struct {
+	snapshots *snapshot.Latest
+	proxy     atomic.Pointer[forward.Proxy]
 }
 
 // Run sends one item to an endpoint of its route's service.
-func (r *runner) Run(ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte)) batch.RunResult {
-	p, snap := r.proxy.Load(), r.holder.Get()
+func (r *itemRunner) Run(ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte)) batch.RunResult {
+	p, snap := r.proxy.Load(), r.snapshots.Get()
 	if p == nil || snap == nil || snap.Config == nil {
-		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: again}
+		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: itemRetryAfter}
 	}
 	item := &forward.Item{ID: it.ID, Host: it.Host, Path: it.Path, Header: map[string]string{}, Body: it.Body, Due: it.Due, MayStart: it.MayStart}
 	for _, h := range it.Headers {
@@ -35,7 +35,7 @@
 		}
 	}
 	if item.Route == nil {
-		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: again} // a newer configuration may have it, or the job ends
+		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: itemRetryAfter} // a newer configuration may have it, or the job ends
 	}
 	res := p.RunItem(ctx, item, lastEventID, event)
 	switch res.State {
@@ -45,8 +45,8 @@
 		return batch.RunResult{End: batch.RunInterrupted}
 	case forward.ItemFailed:
 		return batch.RunResult{End: batch.RunFailed}
-	case forward.ItemNever:
+	case forward.ItemUnprocessable:
 		return batch.RunResult{End: batch.RunImpossible}
 	}
-	return batch.RunResult{End: batch.RunNotStarted, RetryAfter: again}
+	return batch.RunResult{End: batch.RunNotStarted, RetryAfter: itemRetryAfter}
 }
--- a/cmd/dunetide/stalled_test.go
+++ b/cmd/dunetide/stalled_test.go
@@ -24,10 +24,10 @@
 )
 
 // jobsUnderTest serves calls about batch jobs with no stores.
-func jobsUnderTest(t *testing.T) *jobs {
+func jobsUnderTest(t *testing.T) *batchCalls {
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Config: &operatorconfig.Config{Version: 1}})
-	j := &jobs{holder: holder, runner: &runner{holder: holder}}
+	j := &batchCalls{snapshots: holder, runner: &itemRunner{snapshots: holder}}
 	j.edge = batch.NewProxy(batch.ProxyOptions{Snapshots: holder, Name: "p", Zone: "z", Runner: j.runner})
 	t.Cleanup(j.edge.Close)
 	return j
@@ -37,7 +37,7 @@
 // hold the connection, its descriptor and what came of the body for as long as it likes.
 func TestStalledCallAboutJobs(t *testing.T) {
 	j := jobsUnderTest(t)
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { j.serve(w, r, nil) }))
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { j.serveCall(w, r, nil) }))
 	defer server.Close()
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
 	if err != nil {
@@ -78,7 +78,7 @@
 func TestAnswersAboutJobsHaveADeadline(t *testing.T) {
 	j := jobsUnderTest(t)
 	w := &deadlines{ResponseRecorder: httptest.NewRecorder()}
-	j.serve(w, httptest.NewRequest(http.MethodGet, "/lots/a?start_after=0", nil), nil)
+	j.serveCall(w, httptest.NewRequest(http.MethodGet, "/lots/a?start_after=0", nil), nil)
 	if w.write.IsZero() || time.Until(w.write) > time.Minute {
 		t.Errorf("the answer may be written until %v", w.write)
 	}
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -18,7 +18,7 @@
 
 // jobsLogPercent of the disk is for batch jobs. The rest is for the record of regulated runs, and for a segment of the log
 // that is written before another one is removed.
-const jobsLogPercent = 85
+const batchLogPercent = 85
 
 type storeCmd struct{}
 
@@ -28,12 +28,12 @@
 	if err != nil {
 		return err
 	}
-	members, err := p.join(controlclient.RoleStore, storePort)
+	members, err := p.joinMembership(controlclient.RoleStore, storePort)
 	if err != nil {
 		return err
 	}
-	p.startTroubleReports(controlclient.RoleStore, storePort, members)
-	folder, err := p.dataFolder()
+	p.startConditionReports(controlclient.RoleStore, storePort, members)
+	folder, err := p.openDataFolder()
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 		return err
 	}
 	defer records.Close()
-	return p.whenRoom(folder, func() error { return p.serveStore(members, folder, records) })
+	return p.runWithDiskSpace(folder, func() error { return p.serveStore(members, folder, records) })
 }
 
 // serveStore serves until the process is told to stop, or the store can't go on.
@@ -55,17 +55,17 @@
 	store, err := batch.NewStore(batch.StoreOptions{
 		Open: batch.OpenIn(folder),
 		Zone: s.Zone, MaxLostMachines: s.SurviveMachines, RetentionMs: s.Bounds.StatusEvery.Milliseconds(),
-		LogCapacityBytes: int64(s.Limits.DiskMB) << 20 / 100 * jobsLogPercent,
+		LogCapacityBytes: int64(s.Limits.DiskMB) << 20 / 100 * batchLogPercent,
 		ReportReady: func(part int, epoch uint64) {
 			go func() {
-				if err := reportToKeeper(attached, client, controlclient.Joined, controlclient.PartJoined{Part: part, Epoch: epoch}.Encode()); err != nil {
+				if err := sendReport(attached, client, controlclient.Joined, controlclient.PartJoined{Part: part, Epoch: epoch}.Encode()); err != nil {
 					p.log.Warn("part not switched", "part", part, "epoch", epoch, "err", err)
 				}
 			}()
 		},
 		AnnounceStopping: func(store uint64, stopping bool) {
 			go func() {
-				if err := reportToKeeper(attached, client, controlclient.Stopping, controlclient.StoreStopping{Store: store, Stopping: stopping}.Encode()); err != nil {
+				if err := sendReport(attached, client, controlclient.Stopping, controlclient.StoreStopping{Store: store, Stopping: stopping}.Encode()); err != nil {
 					p.log.Warn("stopping not announced", "stopping", stopping, "err", err)
 				}
 			}()
@@ -74,23 +74,23 @@
 	if err != nil {
 		return err
 	}
-	p.trouble.set(store.Condition)
-	defer p.trouble.clear()
+	p.condition.set(store.Condition)
+	defer p.condition.clear()
 	defer p.awaitStopped(store) // before the log is opened again
 	defer store.Close()
-	links, err := net.Listen("tcp4", p.addr(storePort))
+	links, err := net.Listen("tcp4", p.internalAddr(storePort))
 	if err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer links.Close()
-	handler := newStoreLinks(store, records)
-	defer handler.end()
+	handler := newStoreLinkHandler(store, records)
+	defer handler.closeAll()
 	wg.Add(1)
 	go func() { defer wg.Done(); _ = link.Serve(links, handler, link.DefaultOptions) }() // ends with the listener
 	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleStore, Zone: s.Zone,
-		Addr: p.addr(storePort), ID: store.ID(), Life: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s),
+		Addr: p.internalAddr(storePort), ID: store.ID(), Life: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s),
 		Known: members.keepers, Holder: &snapshot.Latest{}, Changed: store.Update, Log: p.log})
 	defer p.watcher.Subscribe(func(s *settings.Settings) { client.SetSeeds(seedLinks(s)) })()
 	wg.Add(1)
@@ -100,7 +100,7 @@
 	case <-store.Done():
 		return store.Err()
 	case <-p.ctx.Done():
-		p.handOver(store)
+		p.transferPartitions(store)
 		return nil
 	}
 }
--- a/cmd/dunetide/storelinks.go
+++ b/cmd/dunetide/storelinks.go
@@ -10,7 +10,7 @@
 
 // storeLinks passes on what comes over links to whom it is for, and ends the links with the store: who waits for a store
 // that is out of service has to see that it is gone.
-type storeLinks struct {
+type storeLinkHandler struct {
 	store   *batch.Store
 	records *audit.Store
 
@@ -18,13 +18,13 @@
 	conns map[*link.Conn]bool // nil: ended
 }
 
-func newStoreLinks(store *batch.Store, records *audit.Store) *storeLinks {
-	return &storeLinks{store: store, records: records, conns: map[*link.Conn]bool{}}
+func newStoreLinkHandler(store *batch.Store, records *audit.Store) *storeLinkHandler {
+	return &storeLinkHandler{store: store, records: records, conns: map[*link.Conn]bool{}}
 }
 
 // Message passes a message on.
-func (l *storeLinks) Message(m *link.Message) {
-	if !l.note(m.Conn) {
+func (l *storeLinkHandler) Message(m *link.Message) {
+	if !l.register(m.Conn) {
 		m.Conn.Close()
 		return
 	}
@@ -36,7 +36,7 @@
 }
 
 // note remembers a link; false: all have ended.
-func (l *storeLinks) note(c *link.Conn) bool {
+func (l *storeLinkHandler) register(c *link.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conns == nil {
@@ -47,7 +47,7 @@
 }
 
 // Closed forgets a link.
-func (l *storeLinks) Closed(c *link.Conn) {
+func (l *storeLinkHandler) Closed(c *link.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // end ends all links.
-func (l *storeLinks) end() {
+func (l *storeLinkHandler) closeAll() {
 	l.mu.Lock()
 	conns := l.conns
 	l.conns = nil
--- a/cmd/dunetide/trouble.go
+++ b/cmd/dunetide/trouble.go
@@ -10,21 +10,23 @@
 
 const (
 	// troubleEvery is how often keepers are told of what keeps the process from its work. They forget it after 5 s.
-	troubleEvery = time.Second
+	conditionInterval = time.Second
 	// troubleWait bounds the answer of one keeper.
-	troubleWait = time.Second
+	conditionTimeout = time.Second
 )
 
 // troubleSource tells what keeps the process from its work; empty: nothing.
-type troubleSource func() string
+type conditionSource func() string
 
 // troubleHolder holds the source in force. The zero value has none.
-type troubleHolder struct{ source atomic.Pointer[troubleSource] }
+type processCondition struct {
+	source atomic.Pointer[conditionSource]
+}
 
-func (h *troubleHolder) set(source troubleSource) { h.source.Store(&source) }
-func (h *troubleHolder) clear()                   { h.source.Store(nil) }
+func (h *processCondition) set(source conditionSource) { h.source.Store(&source) }
+func (h *processCondition) clear()                     { h.source.Store(nil) }
 
-func (h *troubleHolder) reason() string {
+func (h *processCondition) reason() string {
 	if source := h.source.Load(); source != nil {
 		return (*source)()
 	}
@@ -32,13 +34,13 @@
 }
 
 // reportTrouble tells keepers what keeps the process from its work while it lasts, and once when it is over.
-func (p *process) reportTrouble(node controlclient.Node, keepers func() []string) {
-	tick := time.NewTicker(troubleEvery)
+func (p *process) reportConditions(node controlclient.Node, keepers func() []string) {
+	tick := time.NewTicker(conditionInterval)
 	defer tick.Stop()
 	told := ""
 	for {
-		if reason := p.trouble.reason(); reason != "" || told != "" {
-			if p.tellTrouble(controlclient.Trouble{Node: node, Reason: reason}, keepers()) {
+		if reason := p.condition.reason(); reason != "" || told != "" {
+			if p.reportCondition(controlclient.Trouble{Node: node, Reason: reason}, keepers()) {
 				told = reason
 			}
 		}
@@ -51,9 +53,9 @@
 }
 
 // tellTrouble tells the first keeper that answers.
-func (p *process) tellTrouble(trouble controlclient.Trouble, keepers []string) bool {
+func (p *process) reportCondition(trouble controlclient.Trouble, keepers []string) bool {
 	for _, addr := range keepers {
-		ctx, cancel := context.WithTimeout(p.ctx, troubleWait)
+		ctx, cancel := context.WithTimeout(p.ctx, conditionTimeout)
 		err := controlclient.ReportTrouble(ctx, addr, trouble)
 		cancel()
 		if err == nil {
@@ -65,9 +67,9 @@
 }
 
 // startTroubleReports has keepers that membership and the settings know of told.
-func (p *process) startTroubleReports(role string, port int, members *members) {
-	self := controlclient.Node{Name: p.settings.NodeName, Role: role, Zone: p.settings.Zone, Addr: p.addr(port), Life: uint64(time.Now().UnixNano())}
-	go p.reportTrouble(self, func() []string {
+func (p *process) startConditionReports(role string, port int, members *members) {
+	self := controlclient.Node{Name: p.settings.NodeName, Role: role, Zone: p.settings.Zone, Addr: p.internalAddr(port), Life: uint64(time.Now().UnixNano())}
+	go p.reportConditions(self, func() []string {
 		var addrs []string
 		for _, keeper := range members.keepers() {
 			if keeper.Addr != self.Addr {
--- a/cmd/dunetide/trouble_test.go
+++ b/cmd/dunetide/trouble_test.go
@@ -64,10 +64,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	p := &process{log: hclog.NewNullLogger(), ctx: ctx}
 	disk := disktest.New()
-	disk.Room = roomBytes / 2
+	disk.Room = diskProbeBytes / 2
 	ended, reported := make(chan error, 1), make(chan struct{})
 	go func() {
-		p.reportTrouble(controlclient.Node{Name: "s1", Role: controlclient.RoleStore}, func() []string {
+		p.reportConditions(controlclient.Node{Name: "s1", Role: controlclient.RoleStore}, func() []string {
 			return []string{none.Addr().String(), listener.Addr().String()}
 		})
 		close(reported)
@@ -80,14 +80,14 @@
 	}}
 	calls, other := 0, errors.New("other")
 	go func() {
-		ended <- p.whenRoom(folder, func() error {
+		ended <- p.runWithDiskSpace(folder, func() error {
 			if calls++; calls == 1 {
 				return batch.ErrDiskFull.New("full")
 			}
 			return other
 		})
 	}()
-	told.await(t, "s1: "+outOfService)
+	told.await(t, "s1: "+diskFullReason)
 	makeRoom.Store(true)
 	told.await(t, "s1: ")
 	if err := <-ended; err != other {
--- a/internal/lab/ablation/ablation.go
+++ b/internal/lab/ablation/ablation.go
@@ -27,10 +27,11 @@
 // Files that the mechanisms are in.
 const (
 	settingsFile = "internal/proxy/dispatch/settings.go"
-	choiceFile   = "internal/proxy/dispatch/choice.go"
+	capacityFile = "internal/proxy/dispatch/capacity.go"
+	affinityFile = "internal/proxy/dispatch/affinity.go"
 	estimateFile = "internal/proxy/dispatch/estimate.go"
-	waiterFile   = "internal/proxy/dispatch/waiter.go"
-	serveFile    = "internal/proxy/forward/serve.go"
+	runFile      = "internal/proxy/dispatch/run.go"
+	intakeFile   = "internal/proxy/forward/intake.go"
 	attachFile   = "internal/control/controlclient/attach.go"
 )
 
@@ -41,55 +42,55 @@
 			Name: "subsets of endpoints",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.Sharers, 4)",
-				New:  "orElse(&s.Sharers, 1e6)",
+				Old:  "setDefault(&s.SendersPerEndpoint, 4)",
+				New:  "setDefault(&s.SendersPerEndpoint, 1e6)",
 			}},
 		},
 		{
 			Name: "doubt outside the subset",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.DoubtDeviations, 3)",
-				New:  "orElse(&s.DoubtDeviations, 1e-9)",
+				Old:  "setDefault(&s.UncertaintyDeviations, 3)",
+				New:  "setDefault(&s.UncertaintyDeviations, 1e-9)",
 			}},
 		},
 		{
 			Name: "cost outside the subset",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.OutsideSubset, 10*time.Millisecond)",
-				New:  "orElse(&s.OutsideSubset, 1)",
+				Old:  "setDefault(&s.OutsideSubsetCost, 10*time.Millisecond)",
+				New:  "setDefault(&s.OutsideSubsetCost, 1)",
 			}},
 		},
 		{
 			Name: "one bulk request at an endpoint that has not answered",
 			Edits: []overlay.Replacement{{
-				File: choiceFile,
-				Old:  "		if c.untried(e) {\n",
-				New:  "		if false {\n",
+				File: capacityFile,
+				Old:  "	if c.awaitsFirstAnswer(e) {\n",
+				New:  "	if false {\n",
 			}},
 		},
 		{
 			Name: "bounded outliers of the fit",
 			Edits: []overlay.Replacement{{
 				File: estimateFile,
-				Old:  "	outlier = 3\n",
-				New:  "	outlier = 1e9\n",
+				Old:  "	maxOutlier = 3\n",
+				New:  "	maxOutlier = 1e9\n",
 			}},
 		},
 		{
 			Name: "estimates that end",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.EstimateAge, time.Second)",
-				New:  "orElse(&s.EstimateAge, time.Hour)",
+				Old:  "setDefault(&s.MaxEstimateAge, time.Second)",
+				New:  "setDefault(&s.MaxEstimateAge, time.Hour)",
 			}},
 		},
 		{
 			Name: "waiting for a configuration",
 			Edits: []overlay.Replacement{{
-				File: serveFile,
-				Old:  "p.awaitPrepared(w, r)",
+				File: intakeFile,
+				Old:  "p.awaitConfig(w, r)",
 				New:  "http.StatusServiceUnavailable",
 			}},
 		},
@@ -105,22 +106,22 @@
 			Name: "headroom that bulk leaves",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.BulkHeadroom, 0.15)",
-				New:  "orElse(&s.BulkHeadroom, 1e-9)",
+				Old:  "setDefault(&s.BulkHeadroom, 0.15)",
+				New:  "setDefault(&s.BulkHeadroom, 1e-9)",
 			}},
 		},
 		{
 			Name: "pressing bulk uses the headroom",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.Pressing, 3*time.Second)",
-				New:  "orElse(&s.Pressing, 1)",
+				Old:  "setDefault(&s.BulkUrgency, 3*time.Second)",
+				New:  "setDefault(&s.BulkUrgency, 1)",
 			}},
 		},
 		{
 			Name: "common order of homes",
 			Edits: []overlay.Replacement{{
-				File: choiceFile,
+				File: affinityFile,
 				Old:  "{0.9, 0.5, 0.2}",
 				New:  "{1e-9, 1e-9, 1e-9}",
 			}},
@@ -129,56 +130,56 @@
 			Name: "bound on the load of homes",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.LoadFactor, 1.25)",
-				New:  "orElse(&s.LoadFactor, 1e6)",
+				Old:  "setDefault(&s.PreferredLoadFactor, 1.25)",
+				New:  "setDefault(&s.PreferredLoadFactor, 1e6)",
 			}},
 		},
 		{
 			Name: "price of reading again",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.Reread, 1)",
-				New:  "orElse(&s.Reread, 1e-9)",
+				Old:  "setDefault(&s.RereadCost, 1)",
+				New:  "setDefault(&s.RereadCost, 1e-9)",
 			}},
 		},
 		{
 			Name: "cost of load",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.LoadCost, 20*time.Millisecond)",
-				New:  "orElse(&s.LoadCost, 1)",
+				Old:  "setDefault(&s.LoadCost, 20*time.Millisecond)",
+				New:  "setDefault(&s.LoadCost, 1)",
 			}},
 		},
 		{
 			Name: "cost of another zone",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.OtherZone, 4*time.Millisecond)",
-				New:  "orElse(&s.OtherZone, 1)",
+				Old:  "setDefault(&s.OtherZoneCost, 4*time.Millisecond)",
+				New:  "setDefault(&s.OtherZoneCost, 1)",
 			}},
 		},
 		{
 			Name: "late requests only where a slot is free",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.QueueLate, 1)",
-				New:  "orElse(&s.QueueLate, 4)",
+				Old:  "setDefault(&s.QueueLate, 1)",
+				New:  "setDefault(&s.QueueLate, 4)",
 			}},
 		},
 		{
 			Name: "ejection",
 			Edits: []overlay.Replacement{{
 				File: settingsFile,
-				Old:  "orElse(&s.SickFrom, 2)",
-				New:  "orElse(&s.SickFrom, 1e9)",
+				Old:  "setDefault(&s.EjectionScore, 2)",
+				New:  "setDefault(&s.EjectionScore, 1e9)",
 			}},
 		},
 		{
 			Name: "lateness of recent first words",
 			Edits: []overlay.Replacement{{
-				File: waiterFile,
-				Old:  "	e.pool.lag(c.now, min(max(took-r.expected, -mostLag), mostLag), c.settings.LagFades)\n",
-				New:  "	e.pool.lag(c.now, 0, c.settings.LagFades)\n",
+				File: runFile,
+				Old:  "	lateMs := min(max(tookMs-r.expectedMs, -maxLatenessMs), maxLatenessMs)\n",
+				New:  "	lateMs := 0.0\n",
 			}},
 		},
 	}
--- a/internal/lab/ablation/ablation_test.go
+++ b/internal/lab/ablation/ablation_test.go
@@ -50,7 +50,7 @@
 	program := filepath.Join(dir, "bench")
 	script := `#!/bin/sh
 score=0.700
-grep -q 'Sharers, 1e6' internal/proxy/dispatch/settings.go && score=0.600
+grep -q 'SendersPerEndpoint, 1e6' internal/proxy/dispatch/settings.go && score=0.600
 mkdir -p journal && echo '{}' > journal/entry-$score.json
 echo "score on the standard days of $2 (set 1): $score"
 exit 1
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/wrong_test.go
@@ -53,10 +53,10 @@
 			{Number: 1, At: time.Second, For: 4 * time.Second, Kind: Spoil, Targets: []int{0}},
 		}}, []string{"TWICE", ruleInvariant}},
 	{"work goes on when its client has left",
-		[]mutation.Mutant{{File: "internal/proxy/forward/serve.go", Old: "x := &exchange{p: p, ctx: r.Context(), method: r.Method}", New: "x := &exchange{p: p, ctx: context.WithoutCancel(r.Context()), method: r.Method}"},
-			{File: "internal/proxy/forward/serve.go", Old: "import (\n", New: "import (\n	\"context\"\n"},
-			{File: "internal/proxy/forward/serve.go", Old: "			if _, err := w.Write(whole); err != nil {\n				return err\n			}\n", New: "			_, _ = w.Write(whole)\n"},
-			{File: "internal/proxy/forward/serve.go", Old: "		return rc.Flush()\n", New: "		_ = rc.Flush()\n		return nil\n"}},
+		[]mutation.Mutant{{File: "internal/proxy/forward/intake.go", Old: "x := &exchange{proxy: p, ctx: r.Context(), method: r.Method}", New: "x := &exchange{proxy: p, ctx: context.WithoutCancel(r.Context()), method: r.Method}"},
+			{File: "internal/proxy/forward/intake.go", Old: "import (\n", New: "import (\n	\"context\"\n"},
+			{File: "internal/proxy/forward/stream.go", Old: "			if _, err := w.Write(whole); err != nil {\n				return err\n			}\n", New: "			_, _ = w.Write(whole)\n"},
+			{File: "internal/proxy/forward/stream.go", Old: "		return rc.Flush()\n", New: "		_ = rc.Flush()\n		return nil\n"}},
 		Plan{Seed: 5, Shape: shapes[0], Length: 12 * time.Second, Final: FinalNone, Load: 2, GiveUp: 0.6}, []string{ruleGone}},
 }
 
--- a/internal/platform/telemetry/golden_test.go
+++ b/internal/platform/telemetry/golden_test.go
@@ -50,7 +50,7 @@
 
 // The series that each role exposes from its start on stay, with their labels and the values of these.
 func TestGoldenSeries(t *testing.T) {
-	forward.New(forward.Options{Holder: &snapshot.Latest{}}).Observe()
+	forward.New(forward.Options{Snapshots: &snapshot.Latest{}}).Observe()
 	var text bytes.Buffer
 	metrics.WritePrometheus(&text, false)
 	var series []string
--- a/internal/proxy/dispatch/ablation_test.go
+++ b/internal/proxy/dispatch/ablation_test.go
@@ -17,18 +17,18 @@
 }{
 	{"(nothing)", Settings{}},
 	{"subsets of endpoints", everywhere},
-	{"doubt outside the subset", Settings{DoubtDeviations: 1e-9}},
-	{"cost outside the subset", Settings{OutsideSubset: 1}},
-	{"estimates that end", Settings{EstimateAge: time.Hour}},
+	{"doubt outside the subset", Settings{UncertaintyDeviations: 1e-9}},
+	{"cost outside the subset", Settings{OutsideSubsetCost: 1}},
+	{"estimates that end", Settings{MaxEstimateAge: time.Hour}},
 	{"headroom that bulk leaves", Settings{BulkHeadroom: 1e-9}},
-	{"pressing bulk uses the headroom", Settings{Pressing: 1}},
+	{"pressing bulk uses the headroom", Settings{BulkUrgency: 1}},
 	{"floor of bulk", Settings{BulkFloor: 1e-9}},
-	{"bound on the load of homes", Settings{LoadFactor: 1e6}},
-	{"price of reading again", Settings{Reread: 1e-9}},
+	{"bound on the load of homes", Settings{PreferredLoadFactor: 1e6}},
+	{"price of reading again", Settings{RereadCost: 1e-9}},
 	{"cost of load", Settings{LoadCost: 1}},
-	{"cost of another zone", Settings{OtherZone: 1}},
+	{"cost of another zone", Settings{OtherZoneCost: 1}},
 	{"late requests only where a slot is free", Settings{QueueLate: 4}},
-	{"memory of what was sent where", Settings{CacheParts: 1}},
+	{"memory of what was sent where", Settings{MaxCacheEntries: 1}},
 }
 
 // TestAblationTable prints what each mechanism is worth in the worlds of worlds_test.go: ABLATION=1 go test -v -run AblationTable.
--- a/internal/proxy/dispatch/bench_test.go
+++ b/internal/proxy/dispatch/bench_test.go
@@ -21,7 +21,7 @@
 			}
 			d.Update(snapshotOf(400, eps...))
 			r := request(time.Now().Add(time.Hour))
-			r.Prefix = []Part{{1, 10000}, {2, 3300}, {3, 3720}}
+			r.Prefix = []PromptPart{{1, 10000}, {2, 3300}, {3, 3720}}
 			b.ReportAllocs()
 			for b.Loop() {
 				r.Prefix[2].ID++
@@ -29,7 +29,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				g.First(Load{Running: 1, Slots: 24, Known: true})
+				g.FirstToken(Load{Running: 1, Slots: 24, Known: true})
 				g.End(Served, Load{})
 			}
 		})
--- a/internal/proxy/dispatch/certified_test.go
+++ b/internal/proxy/dispatch/certified_test.go
@@ -36,7 +36,7 @@
 			if r.target.ID != "e2" && r.target.ID != "e3" {
 				t.Fatal(r.target.ID)
 			}
-			b.c.end(r, Served, Load{})
+			b.c.endRun(r, Served, Load{})
 		}
 		b.runs = map[string]*run{}
 	}
@@ -71,7 +71,7 @@
 	certified := []string{"e1"}
 	for range 2 { // e1 is sick from here on
 		w := b.ask(regulated("s", &certified))
-		b.c.end(w.grant, Broken, Load{})
+		b.c.endRun(w.granted, Broken, Load{})
 	}
 	if b.endpoint("e1").ejectedUntil == 0 {
 		t.Fatal("e1 is not out")
@@ -88,7 +88,7 @@
 	b := newBench(Settings{})
 	b.add("e1", "e2")
 	var certified []string
-	for i := range 3 * mostFailures {
+	for i := range 3 * maxFailedPlacements {
 		w := regulated("held"+string(rune('a'+i)), &certified)
 		w.Bulk = true
 		b.ask(w)
@@ -103,8 +103,8 @@
 		t.Errorf("%q: they wait for what is of no use to them", b.said)
 	}
 	b.said = nil
-	b.c.end(b.runs["plain"], Served, Load{})
-	b.c.end(b.runs["bulk"], Served, Load{})
+	b.c.endRun(b.runs["plain"], Served, Load{})
+	b.c.endRun(b.runs["bulk"], Served, Load{})
 	// Fill all, hold another plain one, and see that it goes when a place comes free, past those that are held.
 	b.runs = map[string]*run{}
 	for i := range 20 {
@@ -115,7 +115,7 @@
 		t.Fatal("nothing waits")
 	}
 	for _, r := range b.runs {
-		b.c.end(r, Served, Load{})
+		b.c.endRun(r, Served, Load{})
 		break
 	}
 	if len(b.runs) != ran+1 {
@@ -132,11 +132,11 @@
 		r := prompt(7, uint64(i))
 		r.ID, r.Regime, r.Certified = "h", "r", func(e string) bool { return slices.Contains(certified, e) }
 		w := b.ask(r)
-		if w.grant == nil {
+		if w.granted == nil {
 			t.Fatal("not granted")
 		}
-		homes[w.grant.target.ID]++
-		b.c.end(w.grant, Served, Load{})
+		homes[w.granted.target.ID]++
+		b.c.endRun(w.granted, Served, Load{})
 		b.pass(100 * time.Millisecond)
 	}
 	if homes["e2"]+homes["e5"] != 40 || max(homes["e2"], homes["e5"]) < 36 {
@@ -161,7 +161,7 @@
 	g.End(Served, Load{})
 	_, err = d.Acquire(ctx, &Request{Service: "s", Route: &operatorconfig.Route{LatencyTargetMs: 100}, Arrived: time.Now(), Deadline: time.Now().Add(time.Second),
 		Regime: "r", Certified: func(string) bool { return false }})
-	var refused *Refused
+	var refused *RefusedError
 	if !errors.As(err, &refused) || refused.Regime != "r" {
 		t.Errorf("%v", err)
 	}
--- a/internal/proxy/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -12,183 +13,219 @@
 // Time is a reading of a monotonic clock.
 type Time = sendlog.Time
 
-// core makes the decisions of a Dispatcher. It has no clock, no goroutine and no source of randomness of its own. It is not
-// safe for concurrent use.
+// core makes the decisions of a Dispatcher. It has no clock, no goroutine and no source of randomness of its own: its owner
+// sets now before each call. It is not safe for concurrent use.
 type core struct {
-	settings Settings
-	zone     string
-	self     uint64         // hash of this sender's name
-	rng      func() float64 // in [0, 1)
-	now      Time
-	senders  int // processes that send to the same endpoints
-
-	endpoints map[string]*endpoint
-	pools     map[string]*pool
-	order     []*pool // in the order in which they were first named
-	held      int     // requests that wait, in all pools
-	listing   uint64  // the number of snapshots so far
+	settings   Settings
+	zone       string
+	senderHash uint64         // of this sender's name
+	random     func() float64 // in [0, 1)
+	now        Time
+	senders    int // processes that send to the same endpoints, this one included
+
+	endpoints map[string]*endpoint // by id, of all pools
+	pools     map[string]*pool     // by service
+	poolOrder []*pool              // in the order in which they were first named
+	queued    int                  // pending requests of all pools
+	snapshots uint64               // snapshots that were applied so far
 }
 
 // pool is the endpoints of a service and the requests that wait for one of them.
 type pool struct {
-	service   string
-	endpoints []*endpoint // by id
-	maxConns  int
-	capacity  int
-	cache     int64 // tokens
-	known     bool  // an endpoint has been listed
-
-	first line      // ms to the first word, by tokens to read
-	work  mean      // ms from the grant to the end
-	rest  mean      // requests of other senders at an endpoint
-	bulk  int       // bulk requests that are running
-	size  mean      // tokens of a prompt
-	late  mean      // ms by which recent first words came later than expected
-	word  Time      // when the last first word came
-	hold  []*waiter // in the order of before
+	service     string
+	endpoints   []*endpoint // by id
+	maxConns    int         // connections to an endpoint, of all senders; 0: not bounded
+	capacity    int         // configured slots of an endpoint; 0: unknown
+	cacheTokens int64       // configured size of an endpoint's prefix cache; 0: unknown
+
+	firstTokenFit  linearFit     // ms to the first token, by tokens to prefill
+	runTime        movingAverage // ms from the grant to the end
+	otherLoad      movingAverage // requests of other senders at an endpoint
+	bulkRunning    int           // bulk requests of this sender that are running
+	promptTokens   movingAverage // tokens of a prompt
+	lateness       movingAverage // ms by which recent first tokens came later than expected
+	lastFirstToken Time          // when the newest first token came
+	queue          []*waiter     // pending requests, in the order of compareUrgency
 }
 
 // endpoint is one incarnation of an endpoint.
 type endpoint struct {
-	pool     *pool
-	target   Target
-	hash     uint64
-	capacity int
-	state    snapshot.State
-	models   []snapshot.Model
-	coldTill Time
-
-	narrow, wide sendlog.Log
-	passed       sendlog.Log // runs that were served in the narrow window
-	slice        float64     // most starts in a narrow window; infinite until a refusal
-	cutAt        Time        // the last refusal that cut the slice
-	refusedAt    Time        // the last refusal, from which on the slice grows
-	spread       float64     // random factor of the growth, so that senders do not return all at once
-
-	running  []*run  // granted and not ended, the oldest first
-	others   float64 // requests of other senders, by the last load that it reported
-	toldAt   Time    // when it last reported a load
-	told     bool    // it has reported a load
-	fullTill Time    // it counts as full until then
-	fullAt   float64 // running and waiting requests with which it refused one; 0 if unknown
-	slowness mean    // time to the first word as a multiple of the expected time
+	pool         *pool
+	target       Target
+	hash         uint64
+	capacity     int // slots, as listed or reported; 0: unknown
+	state        snapshot.State
+	models       []snapshot.Model // empty: any
+	warmingUntil Time
+	inSubset     bool // it is in this sender's subset
+	answered     bool // this sender has had a first token or an end of a run from it
+	unlisted     bool // not in the newest snapshot: it gets no requests, and is dropped when its runs have ended
 
-	score        float64       // failures since the last success
+	// Adaptive rate limit (ratelimit.go).
+	shortLog, longLog sendlog.Log // starts
+	servedLog         sendlog.Log // runs that were served, in the short window
+	rateLimit         float64     // maximal starts in the short window at refusedAt; infinite until a refusal
+	rateCutAt         Time        // the last refusal that reduced the rate limit
+	refusedAt         Time        // the last refusal, from which on the rate limit grows
+	recoveryJitter    float64     // random factor of the growth, so that senders do not return all at once
+
+	// Load (load.go).
+	running        []*run        // granted and not ended, the oldest first
+	otherLoad      float64       // requests of other senders, by the last load report
+	loadReportedAt Time          // time of the last load report
+	loadReported   bool          // there was a load report
+	fullUntil      Time          // it counts as full until then
+	fullAtLoad     float64       // running and waiting requests with which it refused one; 0 if unknown
+	slowness       movingAverage // time to the first token as a multiple of the expected time
+
+	// Ejection (ejection.go).
+	failureScore float64       // weighted failures since the last success
 	ejectedUntil Time          // 0 if it is not ejected
-	ejectedFor   time.Duration // how long it was ejected last
+	ejectedFor   time.Duration // length of the last ejection
 	probing      bool          // a probe is running
-	cache        prefixCache
-	preferred    bool // it is in the subset of endpoints that this sender prefers
-	answered     bool // this sender has had a first word or an end of a run from it
-	unlisted     bool // not in the newest snapshot: it gets no requests, and is dropped when its runs have ended
+
+	cache prefixCache // what this sender believes to be cached there
 }
 
-// newCore returns a core without endpoints. The function rng returns random numbers in [0, 1).
-func newCore(settings Settings, zone string, rng func() float64) *core {
-	return &core{settings: settings.withDefaults(), zone: zone, rng: rng, senders: 1,
-		endpoints: map[string]*endpoint{}, pools: map[string]*pool{}}
+// newCore returns a core without endpoints. The function random returns random numbers in [0, 1).
+func newCore(settings Settings, zone string, random func() float64) *core {
+	return &core{
+		settings:  settings.withDefaults(),
+		zone:      zone,
+		random:    random,
+		senders:   1,
+		endpoints: map[string]*endpoint{},
+		pools:     map[string]*pool{},
+	}
 }
 
 // pool returns the pool of a service, a new one if there is none.
 func (c *core) pool(service string) *pool {
 	p := c.pools[service]
 	if p == nil {
-		p = &pool{service: service, first: firstLine(), work: mean{float64(firstWork.Milliseconds())}}
+		p = &pool{
+			service:       service,
+			firstTokenFit: initialFit(),
+			runTime:       movingAverage{float64(initialRunTime.Milliseconds())},
+		}
 		c.pools[service] = p
-		c.order = append(c.order, p)
+		c.poolOrder = append(c.poolOrder, p)
 	}
 	return p
 }
 
-// update applies a new snapshot. Endpoints that are not in it get no further requests.
-func (c *core) update(s *snapshot.Snapshot) {
+// applySnapshot applies a new snapshot. Endpoints that are not in it get no further requests.
+func (c *core) applySnapshot(s *snapshot.Snapshot) {
 	if s == nil {
 		return
 	}
-	c.listing++
-	if n := max(s.Proxies, 1); n != c.senders {
-		for _, e := range c.endpoints {
-			e.slice = max(1, e.slice*float64(c.senders)/float64(n))
-		}
-		c.senders = n
-	}
+	c.snapshots++
+	c.setSenders(max(s.Proxies, 1))
+	c.configurePools(s)
 	for _, e := range c.endpoints {
 		e.unlisted = true
 	}
-	if s.Config != nil {
-		for name, service := range s.Config.Services {
-			p := c.pool(name)
-			p.maxConns, p.capacity, p.cache = service.MaxConnections, 0, 0
-			if service.Engine != nil {
-				p.capacity, p.cache = service.Engine.Capacity, service.Engine.CacheTokens
-			}
-		}
-	}
 	for name, list := range s.Endpoints {
-		for _, v := range list {
-			c.listed(c.pool(name), v)
+		for _, listed := range list {
+			c.applyEndpoint(c.pool(name), listed)
 		}
 	}
 	for _, e := range c.endpoints {
-		c.forget(e)
+		c.removeIfUnlisted(e)
 	}
-	for _, p := range c.order {
+	for _, p := range c.poolOrder {
 		c.chooseSubset(p)
 	}
-	c.order = slices.DeleteFunc(c.order, func(p *pool) bool {
+	c.removeEmptyPools(s)
+	c.serveAllQueues()
+}
+
+// setSenders divides the rate limits among a new number of senders.
+func (c *core) setSenders(senders int) {
+	if senders == c.senders {
+		return
+	}
+	for _, e := range c.endpoints {
+		e.rateLimit = max(1, e.rateLimit*float64(c.senders)/float64(senders))
+	}
+	c.senders = senders
+}
+
+// configurePools applies the services of a snapshot's configuration.
+func (c *core) configurePools(s *snapshot.Snapshot) {
+	if s.Config == nil {
+		return
+	}
+	for name, service := range s.Config.Services {
+		p := c.pool(name)
+		p.maxConns, p.capacity, p.cacheTokens = service.MaxConnections, 0, 0
+		if service.Engine != nil {
+			p.capacity, p.cacheTokens = service.Engine.Capacity, service.Engine.CacheTokens
+		}
+	}
+}
+
+// removeEmptyPools drops the pools of services that are neither configured nor in use.
+func (c *core) removeEmptyPools(s *snapshot.Snapshot) {
+	c.poolOrder = slices.DeleteFunc(c.poolOrder, func(p *pool) bool {
 		configured := s.Config == nil || s.Config.Services[p.service] != nil
-		if len(p.endpoints) > 0 || len(p.hold) > 0 || configured {
+		if len(p.endpoints) > 0 || len(p.queue) > 0 || configured {
 			return false
 		}
 		delete(c.pools, p.service)
 		return true
 	})
-	c.serveAll()
 }
 
-// listed adds an endpoint of a snapshot, or updates it.
-func (c *core) listed(p *pool, v *snapshot.Endpoint) {
-	e := c.endpoints[v.ID]
+// applyEndpoint adds an endpoint of a snapshot, or updates it.
+func (c *core) applyEndpoint(p *pool, listed *snapshot.Endpoint) {
+	e := c.endpoints[listed.ID]
 	if e == nil {
-		if v.State == snapshot.Removed {
+		if listed.State == snapshot.Removed {
 			return
 		}
-		e = &endpoint{pool: p, hash: snapshot.Hash(v.ID), slice: math.Inf(1), slowness: mean{1},
-			spread: 0.75 + 0.5*c.rng(),
-			narrow: sendlog.Log{Window: c.settings.Narrow, MaxEntries: c.settings.MostSends},
-			passed: sendlog.Log{Window: c.settings.Narrow, MaxEntries: c.settings.MostSends},
-			wide:   sendlog.Log{Window: c.settings.Wide, MaxEntries: c.settings.MostSends}}
-		c.endpoints[v.ID] = e
-		p.known = true
-		i, _ := slices.BinarySearchFunc(p.endpoints, v.ID, func(e *endpoint, id string) int {
-			if e.target.ID < id {
-				return -1
-			} else if e.target.ID > id {
-				return 1
-			}
-			return 0
-		})
-		p.endpoints = slices.Insert(p.endpoints, i, e)
+		e = c.addEndpoint(p, listed.ID)
 	}
 	if e.pool != p { // an incarnation never changes its service
 		return
 	}
 	e.unlisted = false
-	e.target = Target{ID: v.ID, Address: v.Address, Service: v.Service, Zone: v.Zone}
+	e.target = Target{ID: listed.ID, Address: listed.Address, Service: listed.Service, Zone: listed.Zone}
 	if e.target.Service == "" {
 		e.target.Service = p.service
 	}
-	e.capacity, e.models = e.plausible(v.Capacity), v.Models
-	e.state = max(e.state, v.State)
-	if v.RemainingWarmupMs > 0 {
-		e.coldTill = c.now + time.Duration(v.RemainingWarmupMs)*time.Millisecond
+	e.capacity, e.models = e.plausibleSlots(listed.Capacity), listed.Models
+	e.state = max(e.state, listed.State)
+	if listed.RemainingWarmupMs > 0 {
+		e.warmingUntil = c.now + time.Duration(listed.RemainingWarmupMs)*time.Millisecond
 	} else {
-		e.coldTill = 0
+		e.warmingUntil = 0
 	}
 }
 
-// forget drops an endpoint that is no longer listed and has no runs.
-func (c *core) forget(e *endpoint) {
+// addEndpoint adds an endpoint without a history to a pool.
+func (c *core) addEndpoint(p *pool, id string) *endpoint {
+	shortLog := sendlog.Log{Window: c.settings.ShortWindow, MaxEntries: c.settings.MaxLogEntries}
+	e := &endpoint{
+		pool:           p,
+		hash:           snapshot.Hash(id),
+		rateLimit:      math.Inf(1),
+		slowness:       movingAverage{1},
+		recoveryJitter: 0.75 + 0.5*c.random(),
+		shortLog:       shortLog,
+		servedLog:      shortLog,
+		longLog:        sendlog.Log{Window: c.settings.LongWindow, MaxEntries: c.settings.MaxLogEntries},
+	}
+	c.endpoints[id] = e
+	i, _ := slices.BinarySearchFunc(p.endpoints, id, func(e *endpoint, id string) int {
+		return cmp.Compare(e.target.ID, id)
+	})
+	p.endpoints = slices.Insert(p.endpoints, i, e)
+	return e
+}
+
+// removeIfUnlisted drops an endpoint that is no longer listed and has no runs.
+func (c *core) removeIfUnlisted(e *endpoint) {
 	if !e.unlisted || len(e.running) > 0 {
 		return
 	}
@@ -196,63 +233,8 @@
 	e.pool.endpoints = slices.DeleteFunc(e.pool.endpoints, func(x *endpoint) bool { return x == e })
 }
 
-// anyListed reports whether a pool has a listed endpoint that is ready.
-func (c *core) anyListed(p *pool) bool {
-	for _, e := range p.endpoints {
-		if !e.unlisted && e.state == snapshot.Ready {
-			return true
-		}
-	}
-	return false
-}
-
-// mostLag is the most ms by which one first word counts as late or early.
-const mostLag = 300
-
-// lag adds the ms by which a first word came later than expected to the recent mean. Older values fade.
-func (p *pool) lag(now Time, ms float64, fades time.Duration) {
-	old := math.Exp(-float64(now-p.word) / float64(fades))
-	p.late.v *= old
-	p.late.add(ms, max(0.05, (1-old)/2))
-	p.word = now
-}
-
-// Bounds of what an endpoint is believed about itself: one that tells nonsense must neither draw all requests nor, by way of the mean of
-// its pool, make all others look full.
-const (
-	mostCapacityFactor = 2    // slots, as a multiple of those that are configured for its service
-	mostCapacity       = 4096 // slots, where none are configured
-	mostToldFactor     = 8    // running and waiting requests, as a multiple of its slots
-)
-
-// plausible returns a number of slots that an endpoint tells, or 0 if it can't be believed.
-func (e *endpoint) plausible(slots int) int {
-	most := mostCapacity
-	if e.pool.capacity > 0 {
-		most = mostCapacityFactor * e.pool.capacity
-	}
-	if slots < 1 || slots > most {
-		return 0
-	}
-	return slots
-}
+// ready reports whether an endpoint is in the newest snapshot as ready.
+func (e *endpoint) ready() bool { return !e.unlisted && e.state == snapshot.Ready }
 
-// tell applies a load that an endpoint reported. The part of it that is not this sender's belongs to others.
-func (c *core) tell(e *endpoint, l Load) {
-	if !l.Known {
-		return
-	}
-	if plausible := e.plausible(l.Slots); plausible > 0 {
-		e.capacity = plausible
-	}
-	there := min(max(l.Running, 0)+max(l.Waiting, 0), mostToldFactor*e.slots())
-	e.others = float64(max(0, there-len(e.running)))
-	e.toldAt, e.told = c.now, true
-	if e.fullAt > 0 {
-		e.fullAt = max(e.fullAt, float64(l.Running+l.Waiting))
-	}
-	e.pool.rest.add(min(e.others, e.pool.rest.v+float64(e.slots())), 0.1)
-	if l.Waiting == 0 && 2*l.Running < l.Slots && c.now-e.cutAt > c.settings.FullFor {
-		e.slice = math.Inf(1) // half of its slots are free, so the limit no longer holds
-	}
-}
+// hasReadyEndpoint reports whether any endpoint of a pool is ready.
+func (p *pool) hasReadyEndpoint() bool { return slices.ContainsFunc(p.endpoints, (*endpoint).ready) }
--- a/internal/proxy/dispatch/core_test.go
+++ b/internal/proxy/dispatch/core_test.go
@@ -37,7 +37,7 @@
 		b.snap.Endpoints["s"] = append(b.snap.Endpoints["s"],
 			&snapshot.Endpoint{ID: id, Service: "s", Address: id + ":1", Zone: "a", Capacity: 4})
 	}
-	b.c.update(b.snap)
+	b.c.applySnapshot(b.snap)
 }
 
 // ask steps a request in. Without Arrived, Deadline and Due of its own it has 4 s, with an aim of 400 ms.
@@ -49,30 +49,30 @@
 	if r.Route == nil {
 		r.Route = &operatorconfig.Route{LatencyTargetMs: 400}
 	}
-	w := &waiter{r: r, seq: b.seq, deadline: b.c.now + 4*time.Second, due: b.c.now + 400*time.Millisecond}
+	w := &waiter{request: r, sequence: b.seq, deadline: b.c.now + 4*time.Second, due: b.c.now + 400*time.Millisecond}
 	if r.Bulk {
 		w.due = b.c.now + 10*time.Second
 	}
-	w.giveUp = b.c.giveUp(w, b.c.now)
-	w.done = func(w *waiter) {
-		if w.grant != nil {
-			b.runs[r.ID] = w.grant
-			b.said = append(b.said, r.ID+" to "+w.grant.target.ID)
+	b.c.setTimes(w, b.c.now, w.due, w.deadline)
+	w.decided = func(w *waiter) {
+		if w.granted != nil {
+			b.runs[r.ID] = w.granted
+			b.said = append(b.said, r.ID+" to "+w.granted.target.ID)
 		} else {
 			b.said = append(b.said, r.ID+" refused")
 		}
 	}
 	b.wait[r.ID] = w
-	b.c.acquire(w)
+	b.c.admit(w)
 	return w
 }
 
-func (b *bench) pass(d time.Duration) { b.c.now += d; b.c.step() }
+func (b *bench) pass(d time.Duration) { b.c.now += d; b.c.serveAllQueues() }
 
 func (b *bench) endpoint(id string) *endpoint { return b.c.endpoints[id] }
 
-var outcomes = map[string]Outcome{"served": Served, "notrun": NotRun, "wrong": WrongOne, "failed": Failed,
-	"broken": Broken, "silent": Silent, "left": Left, "unsent": Unsent}
+var outcomes = map[string]Outcome{"served": Served, "notrun": NotRun, "wrong": Misdirected, "failed": Failed,
+	"broken": Broken, "silent": TimedOut, "left": Canceled, "unsent": NotSent}
 
 // TestStepped plays the tables of testdata.
 func TestStepped(t *testing.T) {
@@ -100,16 +100,16 @@
 	case "remove":
 		b.snap.Endpoints["s"] = slices.DeleteFunc(slices.Clone(b.snap.Endpoints["s"]),
 			func(o *snapshot.Endpoint) bool { return o.ID == d.CmdArgs[0].Key })
-		b.c.update(b.snap)
+		b.c.applySnapshot(b.snap)
 	case "ask":
 		b.playAsk(c)
 	case "deadline": // moves that of one in the hold
 		w := b.wait[d.CmdArgs[0].Key]
 		p := b.c.pool("s")
-		p.hold = slices.DeleteFunc(p.hold, func(o *waiter) bool { return o == w })
+		p.queue = slices.DeleteFunc(p.queue, func(o *waiter) bool { return o == w })
 		w.deadline = b.c.now + time.Duration(c.number("ms", 0))*time.Millisecond
-		i, _ := slices.BinarySearchFunc(p.hold, w, before)
-		p.hold = slices.Insert(p.hold, i, w)
+		i, _ := slices.BinarySearchFunc(p.queue, w, compareUrgency)
+		p.queue = slices.Insert(p.queue, i, w)
 	case "end":
 		b.playEnd(c)
 	case "pass":
@@ -169,7 +169,7 @@
 	}
 	list := slices.DeleteFunc(slices.Clone(b.snap.Endpoints["s"]), func(o *snapshot.Endpoint) bool { return o.ID == v.ID })
 	b.snap.Endpoints["s"] = append(list, v)
-	b.c.update(b.snap)
+	b.c.applySnapshot(b.snap)
 }
 
 // playAsk asks for each request that the command names.
@@ -203,7 +203,7 @@
 	}
 	for _, a := range c.CmdArgs {
 		if r := b.runs[a.Key]; r != nil && len(a.Vals) == 0 {
-			b.c.end(r, outcome, load)
+			b.c.endRun(r, outcome, load)
 		}
 	}
 }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -11,12 +11,12 @@
 
 // Options configures a Dispatcher.
 type Options struct {
-	Name     string           // of this sender, by which it chooses its subset of endpoints
-	Zone     string           // of this machine
-	Holder   *snapshot.Latest // whose newest snapshot it starts with; may be nil
-	Now      func() time.Time // default time.Now
-	Rand     func() float64   // random numbers in [0, 1); default rand.Float64
-	Settings Settings
+	Name      string           // of this sender, by which it chooses its subset of endpoints
+	Zone      string           // of this machine
+	Snapshots *snapshot.Latest // whose newest snapshot it starts with; may be nil
+	Now       func() time.Time // default time.Now
+	Rand      func() float64   // random numbers in [0, 1); default rand.Float64
+	Settings  Settings
 }
 
 // Dispatcher is the Admission of a proxy. It is safe for concurrent use. One goroutine at a time owns the core and runs the
@@ -24,24 +24,24 @@
 // need not wait is granted without a switch of goroutines.
 type Dispatcher struct {
 	now    func() time.Time
-	origin time.Time
+	origin time.Time // time 0 of the core's clock
 
 	mu      sync.Mutex
-	queue   []func(*core)
-	spare   []func(*core)
-	working bool
+	queue   []func(*core) // commands
+	spare   []func(*core) // an empty batch for reuse
+	working bool          // a goroutine owns the core
 
 	// Only the owner uses these.
-	core    *core
-	timer   *time.Timer
-	armed   Time   // when the timer fires, 0 if it is stopped
-	seq     uint64 // of the last request
-	closing bool
+	core         *core
+	timer        *time.Timer
+	timerAt      Time   // when the timer fires; 0 if it is stopped
+	lastSequence uint64 // of the last request
+	closed       bool
 }
 
 var _ Admission = (*Dispatcher)(nil)
 
-// New returns a dispatcher with the newest snapshot of the holder.
+// New returns a dispatcher with the newest snapshot.
 func New(o Options) *Dispatcher {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -50,34 +50,34 @@
 		o.Rand = rand.Float64
 	}
 	d := &Dispatcher{now: o.Now, origin: o.Now(), core: newCore(o.Settings, o.Zone, o.Rand)}
-	d.core.self = snapshot.Hash(o.Name)
-	d.timer = time.AfterFunc(time.Hour, d.woken)
+	d.core.senderHash = snapshot.Hash(o.Name)
+	d.timer = time.AfterFunc(time.Hour, d.onTimer)
 	d.timer.Stop()
-	if o.Holder != nil {
-		d.Update(o.Holder.Get())
+	if o.Snapshots != nil {
+		d.Update(o.Snapshots.Get())
 	}
 	return d
 }
 
 // Update applies a new snapshot.
 func (d *Dispatcher) Update(s *snapshot.Snapshot) {
-	d.post(func(c *core) { c.update(s) })
+	d.post(func(c *core) { c.applySnapshot(s) })
 }
 
 // closing is the reason for refusals after Close.
 const closing = "this node is closing"
 
-// Close refuses all requests that wait and all later ones.
+// Close refuses all pending requests and all later ones.
 func (d *Dispatcher) Close() {
 	d.post(func(c *core) {
-		d.closing = true
-		for _, p := range c.order {
-			for _, w := range p.hold {
+		d.closed = true
+		for _, p := range c.poolOrder {
+			for _, w := range p.queue {
 				c.refuse(p, w, closing)
 			}
-			p.hold = nil
+			p.queue = nil
 		}
-		c.held = 0
+		c.queued = 0
 	})
 }
 
@@ -87,48 +87,55 @@
 		return nil, err
 	}
 	answer := make(chan struct{})
-	w := &waiter{r: r, done: func(*waiter) { close(answer) }}
-	d.post(func(c *core) {
-		d.seq++
-		w.seq = d.seq
-		w.deadline, w.due = d.at(r.Deadline), d.at(r.Due)
-		w.giveUp = c.giveUp(w, d.at(r.Arrived))
-		if d.closing {
-			c.refuse(c.pool(r.Service), w, closing)
-			return
-		}
-		c.acquire(w)
-	})
+	w := &waiter{request: r, decided: func(*waiter) { close(answer) }}
+	d.post(func(c *core) { d.admit(c, w) })
 	select {
 	case <-answer:
 	case <-ctx.Done():
-		d.post(func(c *core) {
-			if c.withdraw(w) {
-				close(answer)
-			}
-		})
-		<-answer
-		if w.grant != nil {
-			d.post(func(c *core) { c.unsent(w.grant) })
-		}
+		d.abandon(w, answer)
 		return nil, ctx.Err()
 	}
 	if w.refused != nil {
 		return nil, w.refused
 	}
-	return &grant{d, w.grant}, nil
+	return &grant{d, w.granted}, nil
+}
+
+// admit is the command that decides on a new request.
+func (d *Dispatcher) admit(c *core, w *waiter) {
+	d.lastSequence++
+	w.sequence = d.lastSequence
+	c.setTimes(w, d.coreTime(w.request.Arrived), d.coreTime(w.request.Due), d.coreTime(w.request.Deadline))
+	if d.closed {
+		c.refuse(c.pool(w.request.Service), w, closing)
+		return
+	}
+	c.admit(w)
 }
 
-// at converts a time to the core's clock. The zero time is 0.
-func (d *Dispatcher) at(t time.Time) Time {
+// abandon takes a request back whose context has ended.
+func (d *Dispatcher) abandon(w *waiter, answer chan struct{}) {
+	d.post(func(c *core) {
+		if c.dequeue(w) {
+			close(answer)
+		}
+	})
+	<-answer
+	if w.granted != nil {
+		d.post(func(c *core) { c.cancelRun(w.granted) })
+	}
+}
+
+// coreTime converts a time to the core's clock. The zero time is 0.
+func (d *Dispatcher) coreTime(t time.Time) Time {
 	if t.IsZero() {
 		return 0
 	}
 	return t.Sub(d.origin)
 }
 
-// maxSpare is the most commands for which a batch is kept for reuse.
-const maxSpare = 256
+// maxSpareCommands is the most commands for which a batch is kept for reuse.
+const maxSpareCommands = 256
 
 // post queues a command, and runs the queue if no other goroutine does.
 func (d *Dispatcher) post(command func(*core)) {
@@ -147,10 +154,10 @@
 		for _, command := range batch {
 			command(d.core)
 		}
-		d.arm()
+		d.setTimer()
 		d.mu.Lock()
 		clear(batch)
-		if d.spare = batch; cap(batch) > maxSpare {
+		if d.spare = batch; cap(batch) > maxSpareCommands {
 			d.spare = nil
 		}
 	}
@@ -158,37 +165,44 @@
 	d.mu.Unlock()
 }
 
-// arm sets the timer to the time at which the core has to step next, or stops it.
-func (d *Dispatcher) arm() {
-	at, any := d.core.wake()
+// setTimer sets the timer to the time at which the core has to serve its queues next, or stops it.
+func (d *Dispatcher) setTimer() {
+	at, needed := d.core.nextWake()
 	switch {
-	case !any:
-		if d.armed != 0 {
+	case !needed:
+		if d.timerAt != 0 {
 			d.timer.Stop()
-			d.armed = 0
+			d.timerAt = 0
 		}
-	case d.armed == 0 || at != d.armed:
+	case at != d.timerAt:
 		d.timer.Reset(at - d.core.now)
-		d.armed = at
+		d.timerAt = at
 	}
 }
 
-// woken steps the core when the timer fires.
-func (d *Dispatcher) woken() {
+// onTimer serves the queues when the timer fires.
+func (d *Dispatcher) onTimer() {
 	d.post(func(c *core) {
-		d.armed = 0
-		c.step()
+		d.timerAt = 0
+		c.serveAllQueues()
 	})
 }
 
 // grant implements Grant.
 type grant struct {
-	d   *Dispatcher
-	run *run
+	dispatcher *Dispatcher
+	run        *run
 }
 
+// Endpoint implements Grant.
 func (g *grant) Endpoint() Target { return g.run.target }
-func (g *grant) First(l Load)     { g.d.post(func(c *core) { c.first(g.run, l) }) }
+
+// FirstToken implements Grant.
+func (g *grant) FirstToken(l Load) {
+	g.dispatcher.post(func(c *core) { c.recordFirstToken(g.run, l) })
+}
+
+// End implements Grant.
 func (g *grant) End(o Outcome, l Load) {
-	g.d.post(func(c *core) { c.end(g.run, o, l) })
+	g.dispatcher.post(func(c *core) { c.endRun(g.run, o, l) })
 }
--- a/internal/proxy/dispatch/dispatcher_test.go
+++ b/internal/proxy/dispatch/dispatcher_test.go
@@ -24,13 +24,13 @@
 func TestAcquireGrants(t *testing.T) {
 	h := &snapshot.Latest{}
 	h.Set(snapshotOf(1, &snapshot.Endpoint{ID: "e1", Address: "x:1", Zone: "a", Capacity: 2}))
-	d := New(Options{Zone: "a", Holder: h})
+	d := New(Options{Zone: "a", Snapshots: h})
 	defer d.Close()
 	g, err := d.Acquire(context.Background(), request(time.Now()))
 	if err != nil || g.Endpoint() != (Target{ID: "e1", Address: "x:1", Service: "s", Zone: "a"}) {
 		t.Fatalf("%v %v", g, err)
 	}
-	g.First(Load{Running: 1, Slots: 2, Known: true})
+	g.FirstToken(Load{Running: 1, Slots: 2, Known: true})
 	g.End(Served, Load{})
 	g.End(Served, Load{}) // once more has no effect
 	if n := len(d.core.endpoints["e1"].running); n != 0 {
@@ -53,7 +53,7 @@
 	if err := <-cancelled; !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
-	if d.core.held != 0 {
+	if d.core.queued != 0 {
 		t.Error("it is still held")
 	}
 }
@@ -88,7 +88,7 @@
 		answer <- err
 	}()
 	d.Close()
-	var refused *Refused
+	var refused *RefusedError
 	if err := <-answer; !errors.As(err, &refused) {
 		t.Errorf("%v", err)
 	}
@@ -119,8 +119,8 @@
 				if j%7 == 0 {
 					d.Update(snapshotOf(1+j%3, eps...))
 				}
-				g.First(Load{Running: 1, Slots: 8, Known: true})
-				g.End([]Outcome{Served, Left}[j%2], Load{})
+				g.FirstToken(Load{Running: 1, Slots: 8, Known: true})
+				g.End([]Outcome{Served, Canceled}[j%2], Load{})
 			}
 		})
 	}
@@ -130,8 +130,8 @@
 			t.Errorf("%d run at %s", len(e.running), id)
 		}
 	}
-	if d.core.held != 0 {
-		t.Errorf("%d are held", d.core.held)
+	if d.core.queued != 0 {
+		t.Errorf("%d are held", d.core.queued)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	d.Update(snapshotOf(10, eps...))
 	r := request(time.Now().Add(time.Hour))
-	r.Prefix = []Part{{1, 10000}, {2, 3300}, {3, 3720}}
+	r.Prefix = []PromptPart{{1, 10000}, {2, 3300}, {3, 3720}}
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Prefix[2].ID++
@@ -151,7 +151,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		g.First(Load{Running: 1, Slots: 24, Known: true})
+		g.FirstToken(Load{Running: 1, Slots: 24, Known: true})
 		g.End(Served, Load{})
 	}
 }
--- a/internal/proxy/dispatch/estimate.go
+++ b/internal/proxy/dispatch/estimate.go
@@ -1,66 +1,90 @@
 package dispatch
 
-import "time"
-
-// line is a least-squares fit of y = base + slope*x whose older points count less. It holds the weighted sums.
-type line struct{ n, x, y, xx, xy float64 }
+import (
+	"math"
+	"time"
+)
 
 const (
-	lineKeeps = 0.99 // the weight of the older points at each new one
+	fitDecay = 0.99 // weight of the older points of a fit at each new one
 
 	// Estimates before anything is measured.
-	firstWork  = 20 * time.Millisecond // from a grant to the end of the run
-	firstBase  = 5.0                   // ms to the first word of a prompt without tokens
-	firstSlope = 1.0 / 130             // ms for each token of a prompt
+	initialRunTime    = 20 * time.Millisecond // from a grant to the end of the run
+	initialBaseMs     = 5.0                   // ms to the first token of a prompt without tokens
+	initialMsPerToken = 1.0 / 130             // ms for each token of a prompt
 
-	// firstWeight is the weight of each of the points of the first estimate.
-	firstWeight = 5
+	// initialPointWeight is the weight of each of the points of the first estimate.
+	initialPointWeight = 5
 
-	// outlier bounds a measured time, as a multiple of the expected one: a request that stood in a queue of which its sender knew
-	// nothing tells how long the queue was, not how fast prompts are read. What lasts is learnt all the same, a little more slowly.
-	outlier = 3
+	// maxOutlier bounds a measured time, as a multiple of the expected one: a request that stood in a queue of which its
+	// sender knew nothing shows how long the queue was, not how fast prompts are prefilled. What lasts is learnt all the
+	// same, a little more slowly.
+	maxOutlier = 3
 
 	// Bounds of a fitted slope, in ms for each token.
-	leastSlope = 1.0 / 1000
-	mostSlope  = 1.0 / 5
+	minMsPerToken = 1.0 / 1000
+	maxMsPerToken = 1.0 / 5
+
+	// maxLatenessMs is the most ms by which one first token counts as late or early.
+	maxLatenessMs = 300
+	// minLatenessShare is the least share of a first token in the recent lateness.
+	minLatenessShare = 0.05
 )
 
-// firstLine returns a fit of points on the first estimate.
-func firstLine() line {
-	var l line
+// linearFit is a least-squares fit of y = base + slope*x whose older points count less. It holds the weighted sums.
+type linearFit struct{ weight, sumX, sumY, sumXX, sumXY float64 }
+
+// initialFit returns a fit of points on the first estimate.
+func initialFit() linearFit {
+	var l linearFit
 	for _, x := range []float64{0, 1000, 4000, 16000} {
-		y := firstBase + firstSlope*x
-		l.n, l.x, l.y = l.n+firstWeight, l.x+firstWeight*x, l.y+firstWeight*y
-		l.xx, l.xy = l.xx+firstWeight*x*x, l.xy+firstWeight*x*y
+		y := initialBaseMs + initialMsPerToken*x
+		l.weight += initialPointWeight
+		l.sumX += initialPointWeight * x
+		l.sumY += initialPointWeight * y
+		l.sumXX += initialPointWeight * x * x
+		l.sumXY += initialPointWeight * x * y
 	}
 	return l
 }
 
 // add adds a point.
-func (l *line) add(x, y float64) {
-	l.n, l.x, l.y = lineKeeps*l.n+1, lineKeeps*l.x+x, lineKeeps*l.y+y
-	l.xx, l.xy = lineKeeps*l.xx+x*x, lineKeeps*l.xy+x*y
+func (l *linearFit) add(x, y float64) {
+	l.weight = fitDecay*l.weight + 1
+	l.sumX = fitDecay*l.sumX + x
+	l.sumY = fitDecay*l.sumY + y
+	l.sumXX = fitDecay*l.sumXX + x*x
+	l.sumXY = fitDecay*l.sumXY + x*y
 }
 
-// addBounded adds a point, of which it believes no more than outlier times what the fit expects there.
-func (l *line) addBounded(x, y float64) {
+// addBounded adds a point, of which it believes no more than maxOutlier times what the fit expects there.
+func (l *linearFit) addBounded(x, y float64) {
 	base, slope := l.fit()
-	l.add(x, min(y, outlier*(base+slope*x)))
+	l.add(x, min(y, maxOutlier*(base+slope*x)))
 }
 
-// fit returns the fitted line, with its slope limited to the range from leastSlope to mostSlope.
-func (l *line) fit() (base, slope float64) {
-	d := l.n*l.xx - l.x*l.x
-	slope = firstSlope
-	if d > 1e-6*l.n*l.xx {
-		slope = (l.n*l.xy - l.x*l.y) / d
+// fit returns the fitted line, with its slope limited to the range from minMsPerToken to maxMsPerToken.
+func (l *linearFit) fit() (base, slope float64) {
+	determinant := l.weight*l.sumXX - l.sumX*l.sumX
+	slope = initialMsPerToken
+	if determinant > 1e-6*l.weight*l.sumXX {
+		slope = (l.weight*l.sumXY - l.sumX*l.sumY) / determinant
 	}
-	slope = min(max(slope, leastSlope), mostSlope)
-	return max(0, (l.y-slope*l.x)/l.n), slope
+	slope = min(max(slope, minMsPerToken), maxMsPerToken)
+	return max(0, (l.sumY-slope*l.sumX)/l.weight), slope
 }
 
-// mean is an exponentially weighted mean.
-type mean struct{ v float64 }
+// movingAverage is an exponentially weighted moving average.
+type movingAverage struct{ value float64 }
+
+// add adds a value with a share of the new average.
+func (m *movingAverage) add(x, share float64) { m.value += share * (x - m.value) }
 
-// add adds a value with a share of the new mean.
-func (m *mean) add(x, share float64) { m.v += share * (x - m.v) }
+// recordLateness adds the ms by which a first token came later than expected to the recent average. Older values fade with
+// a time constant.
+func (p *pool) recordLateness(now Time, ms float64, decay time.Duration) {
+	remaining := math.Exp(-float64(now-p.lastFirstToken) / float64(decay))
+	p.lateness.value *= remaining
+	p.lateness.add(ms, max(minLatenessShare, (1-remaining)/2))
+	p.lastFirstToken = now
+}
--- a/internal/proxy/dispatch/estimate_test.go
+++ b/internal/proxy/dispatch/estimate_test.go
@@ -21,8 +21,8 @@
 	b.pass(3 * time.Second)
 	for _, id := range first {
 		if r := b.runs[id]; r != nil {
-			b.c.first(r, Load{Running: 4, Slots: 4, Known: true})
-			b.c.end(r, Served, Load{})
+			b.c.recordFirstToken(r, Load{Running: 4, Slots: 4, Known: true})
+			b.c.endRun(r, Served, Load{})
 		}
 	}
 }
@@ -38,8 +38,8 @@
 		all = append(all, b.ask(&Request{ID: id, TokensIn: 700}))
 		b.pass(20 * time.Millisecond)
 		if r := b.runs[id]; r != nil {
-			b.c.first(r, Load{Running: 4, Waiting: 1, Slots: 4, Known: true}) // full of what may wait, but quick
-			b.c.end(r, Served, Load{})
+			b.c.recordFirstToken(r, Load{Running: 4, Waiting: 1, Slots: 4, Known: true}) // full of what may wait, but quick
+			b.c.endRun(r, Served, Load{})
 		}
 		b.pass(30 * time.Millisecond)
 	}
@@ -59,19 +59,19 @@
 func TestAnEstimateThatNobodyTestsRefusesNobody(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
-	b.c.pool("s").first = line{n: 100, x: 100, y: 100 * 8000, xx: 200, xy: 100 * 8000} // 8 s to the first word
-	b.c.pool("s").word = b.c.now
-	if w := b.ask(&Request{ID: "at once"}); w.grant != nil {
+	b.c.pool("s").firstTokenFit = linearFit{weight: 100, sumX: 100, sumY: 100 * 8000, sumXX: 200, sumXY: 100 * 8000} // 8 s to the first word
+	b.c.pool("s").lastFirstToken = b.c.now
+	if w := b.ask(&Request{ID: "at once"}); w.granted != nil {
 		t.Fatal("granted, though its answer is expected after its deadline")
 	}
-	b.pass(b.c.settings.EstimateAge + time.Millisecond)
-	if w := b.ask(&Request{ID: "later"}); w.grant == nil {
+	b.pass(b.c.settings.MaxEstimateAge + time.Millisecond)
+	if w := b.ask(&Request{ID: "later"}); w.granted == nil {
 		t.Error("not granted because of an estimate that is old")
 	}
 }
 
 func TestOutliersMoveTheFitLittle(t *testing.T) {
-	l := firstLine()
+	l := initialFit()
 	for range 3 {
 		l.addBounded(700, 3000)
 	}
--- a/internal/proxy/dispatch/fleet_test.go
+++ b/internal/proxy/dispatch/fleet_test.go
@@ -126,8 +126,8 @@
 	snap := f.snapshot()
 	for i := range l.senders {
 		s := &fleetSender{core: newCore(l.settings, zoneName(i%l.zones), f.rng.Float64), zone: i % l.zones}
-		s.core.self = snapshot.Hash(fmt.Sprint("sender-", i))
-		s.core.update(snap)
+		s.core.senderHash = snapshot.Hash(fmt.Sprint("sender-", i))
+		s.core.applySnapshot(snap)
 		f.senders = append(f.senders, s)
 	}
 	for _, k := range kinds {
@@ -167,7 +167,7 @@
 	t := &fleetTask{kind: k, sender: f.senders[f.rng.IntN(len(f.senders))], born: f.now, left: float64(out)}
 	t.request = &Request{ID: fmt.Sprint(f.ids), Service: "s", TokensIn: in, TokensOut: out, Bulk: k.bulk,
 		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: int(k.aim.Milliseconds()), MaxAttempts: 1},
-		Prefix: []Part{{uint64(len(k.name))<<40 + uint64(subject), k.sharedOf[subject]}, {1<<60 + f.ids, own}}}
+		Prefix: []PromptPart{{uint64(len(k.name))<<40 + uint64(subject), k.sharedOf[subject]}, {1<<60 + f.ids, own}}}
 	k.asked++
 	t.kind.weight += f.worthOf(t)
 	f.ask(t)
@@ -176,8 +176,8 @@
 // reveal tells a sender the true load of each endpoint.
 func (f *fleet) reveal(c *core) {
 	for id, e := range c.endpoints {
-		e.others = max(0, float64(len(f.byID[id].tasks)-len(e.running)))
-		e.toldAt, e.told = f.now, true
+		e.otherLoad = max(0, float64(len(f.byID[id].tasks)-len(e.running)))
+		e.loadReportedAt, e.loadReported = f.now, true
 	}
 }
 
@@ -193,15 +193,15 @@
 	c := t.sender.core
 	c.now = f.now
 	f.ids++
-	w := &waiter{r: t.request, seq: f.ids, deadline: t.born + t.kind.deadline, due: t.born + t.kind.aim}
-	w.giveUp = c.giveUp(w, f.now)
+	w := &waiter{request: t.request, sequence: f.ids, deadline: t.born + t.kind.deadline, due: t.born + t.kind.aim}
+	c.setTimes(w, f.now, w.due, w.deadline)
 	if f.layout.oracle {
 		f.reveal(c)
 	}
-	w.done = func(w *waiter) {
+	w.decided = func(w *waiter) {
 		if w.refused == nil {
-			t.grant = w.grant
-			e := f.byID[w.grant.target.ID]
+			t.grant = w.granted
+			e := f.byID[w.granted.target.ID]
 			f.after(f.delay(t.sender, e), func() { f.arrive(t, e) })
 			return
 		}
@@ -215,7 +215,7 @@
 		})
 	}
 	t.waiter = w
-	c.acquire(w)
+	c.admit(w)
 }
 
 func (f *fleet) delay(s *fleetSender, e *fleetEndpoint) time.Duration {
@@ -231,7 +231,7 @@
 		f.after(f.delay(t.sender, e), func() {
 			c := t.sender.core
 			c.now = f.now
-			c.end(t.grant, NotRun, load)
+			c.endRun(t.grant, NotRun, load)
 			t.request.Avoid = append(t.request.Avoid, e.id)
 			if len(t.request.Avoid) > 3 {
 				f.lose(t)
@@ -289,8 +289,8 @@
 		}
 		for _, s := range f.senders {
 			s.core.now = f.now
-			if at, any := s.core.wake(); any && at <= f.now+time.Millisecond {
-				s.core.step()
+			if at, any := s.core.nextWake(); any && at <= f.now+time.Millisecond {
+				s.core.serveAllQueues()
 			}
 		}
 	}
@@ -336,17 +336,16 @@
 
 func (f *fleet) begin(e *fleetEndpoint, t *fleetTask) {
 	t.running = true
-	chains := chainOf(t.request.Model, t.request.Prefix)
+	chains := hashPrefixes(t.request.Model, t.request.Prefix)
 	t.read = float64(t.request.TokensIn)
-	e.cache.now = f.now
-	kept := e.cache.fresh(chains, f.now, longestLife)
+	kept := e.cache.cachedParts(chains, f.now, maxCacheLifetime)
 	for _, part := range t.request.Prefix[:kept] {
 		t.read -= float64(part.Tokens)
 	}
 	if kept == 0 {
 		t.kind.reread += t.request.Prefix[0].Tokens
 	}
-	e.cache.sent(chains, t.request.Prefix, 1, f.layout.cacheTokens, 1<<20)
+	e.cache.recordPrompt(f.now, chains, t.request.Prefix, 1, f.layout.cacheTokens, 1<<20)
 }
 
 // write gives a request its next token. The client sees whole events.
@@ -358,7 +357,7 @@
 		load := f.told(e)
 		f.after(f.delay(t.sender, e), func() {
 			t.sender.core.now = f.now
-			t.sender.core.first(t.grant, load)
+			t.sender.core.recordFirstToken(t.grant, load)
 		})
 		return
 	}
@@ -372,7 +371,7 @@
 	f.count(t)
 	f.after(f.delay(t.sender, e), func() {
 		t.sender.core.now = f.now
-		t.sender.core.end(t.grant, Served, Load{})
+		t.sender.core.endRun(t.grant, Served, Load{})
 	})
 }
 
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestGrantsOfOtherEndpointsAreFound(t *testing.T) {
-	w := &waiter{r: &Request{ID: "r1"}}
+	w := &waiter{request: &Request{ID: "r1"}}
 	checkGrant(w, &endpoint{state: snapshot.Ready})
 	for name, e := range map[string]*endpoint{"draining": {state: snapshot.Draining}, "not listed": {state: snapshot.Ready, unlisted: true}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/dispatch/lies_test.go
+++ b/internal/proxy/dispatch/lies_test.go
@@ -62,8 +62,8 @@
 		b.add("e1", "e2", "e3")
 		b.snap.Config.Services["s"].Engine = engineOf(4)
 		b.snap.Endpoints["s"][0].Capacity = capacity
-		b.c.update(b.snap)
-		if n := b.endpoint("e1").slots(); n < 1 || n > 4*mostCapacityFactor {
+		b.c.applySnapshot(b.snap)
+		if n := b.endpoint("e1").slots(); n < 1 || n > 4*maxSlotsFactor {
 			t.Errorf("capacity %d counts as %d slots", capacity, n)
 		}
 	}
--- a/internal/proxy/dispatch/place_test.go
+++ b/internal/proxy/dispatch/place_test.go
@@ -26,11 +26,11 @@
 			}
 			if len(taken) >= perSecond {
 				refusals++
-				b.c.end(r, NotRun, Load{})
+				b.c.endRun(r, NotRun, Load{})
 			} else {
 				taken = append(taken, b.c.now)
 				served++
-				b.c.end(r, Served, Load{})
+				b.c.endRun(r, Served, Load{})
 			}
 		}
 		b.pass(gap)
@@ -42,8 +42,8 @@
 	b := newBench(Settings{})
 	b.add("e1")
 	refusals, _ := b.limited(t, 1000, 30, 10*time.Second)
-	if refusals != 0 || !math.IsInf(b.endpoint("e1").slice, 1) {
-		t.Fatalf("%d refusals, slice %v, before there was a limit", refusals, b.endpoint("e1").slice)
+	if refusals != 0 || !math.IsInf(b.endpoint("e1").rateLimit, 1) {
+		t.Fatalf("%d refusals, slice %v, before there was a limit", refusals, b.endpoint("e1").rateLimit)
 	}
 	b.limited(t, 20, 30, 10*time.Second)
 	first, _ := b.limited(t, 10, 30, 5*time.Second) // the limit is halved
@@ -64,8 +64,8 @@
 func TestOneRefusalThrottlesNotForLong(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
-	b.c.end(b.ask(&Request{ID: "1"}).grant, NotRun, Load{})
-	if w := b.ask(&Request{ID: "2", Bulk: true}); w.grant != nil {
+	b.c.endRun(b.ask(&Request{ID: "1"}).granted, NotRun, Load{})
+	if w := b.ask(&Request{ID: "2", Bulk: true}); w.granted != nil {
 		t.Error("granted right after the refusal")
 	}
 	b.pass(2 * time.Second)
@@ -82,9 +82,9 @@
 	}
 	b.pass(10 * time.Millisecond)
 	for i := range 8 {
-		b.c.end(b.runs[fmt.Sprint(i)], NotRun, Load{})
+		b.c.endRun(b.runs[fmt.Sprint(i)], NotRun, Load{})
 	}
-	if s := b.endpoint("e1").slice; s != 8 {
+	if s := b.endpoint("e1").rateLimit; s != 8 {
 		t.Errorf("slice %v, want the count at the first refusal, 8", s)
 	}
 }
@@ -95,10 +95,10 @@
 	for i := range 8 {
 		b.ask(&Request{ID: fmt.Sprint(i)})
 	}
-	b.c.end(b.runs["0"], NotRun, Load{})
+	b.c.endRun(b.runs["0"], NotRun, Load{})
 	b.snap.Proxies = 2
-	b.c.update(b.snap)
-	if s := b.endpoint("e1").slice; s != 4 {
+	b.c.applySnapshot(b.snap)
+	if s := b.endpoint("e1").rateLimit; s != 4 {
 		t.Errorf("slice %v of two senders, want 4", s)
 	}
 }
@@ -108,17 +108,17 @@
 	b.add("e1")
 	b.ask(&Request{ID: "0"})
 	b.ask(&Request{ID: "1"})
-	b.c.end(b.runs["0"], NotRun, Load{})
+	b.c.endRun(b.runs["0"], NotRun, Load{})
 	b.pass(100 * time.Millisecond)
-	b.c.first(b.runs["1"], Load{Running: 1, Slots: 4, Known: true})
-	if !math.IsInf(b.endpoint("e1").slice, 1) {
+	b.c.recordFirstToken(b.runs["1"], Load{Running: 1, Slots: 4, Known: true})
+	if !math.IsInf(b.endpoint("e1").rateLimit, 1) {
 		t.Error("still bound though three of four slots are free")
 	}
 }
 
 func prompt(subject uint64, own uint64) *Request {
 	return &Request{ID: fmt.Sprint(subject, "/", own), TokensIn: 17000,
-		Prefix: []Part{{subject, 13300}, {1<<32 + own, 3700}}}
+		Prefix: []PromptPart{{subject, 13300}, {1<<32 + own, 3700}}}
 }
 
 // homes asks once about each subject and tells where it went.
@@ -126,10 +126,10 @@
 	out := map[int]string{}
 	for i := range n {
 		w := b.ask(prompt(uint64(i+1), round<<16+uint64(i)))
-		out[i] = w.grant.target.ID
-		b.pass(5*time.Millisecond + time.Duration(w.grant.read/130*float64(time.Millisecond)))
-		b.c.first(w.grant, Load{})
-		b.c.end(w.grant, Served, Load{})
+		out[i] = w.granted.target.ID
+		b.pass(5*time.Millisecond + time.Duration(w.granted.prefillTokens/130*float64(time.Millisecond)))
+		b.c.recordFirstToken(w.granted, Load{})
+		b.c.endRun(w.granted, Served, Load{})
 	}
 	return out
 }
@@ -151,7 +151,7 @@
 	}
 	b, other := newBench(Settings{}), newBench(Settings{})
 	other.c.zone = "b"
-	other.c.rng = rand.New(rand.NewPCG(7, 8)).Float64
+	other.c.random = rand.New(rand.NewPCG(7, 8)).Float64
 	b.add(ids...)
 	other.add(ids...)
 	const subjects = 60
@@ -163,7 +163,7 @@
 		t.Errorf("another sender has other homes for %d of %d subjects", n, subjects)
 	}
 	b.snap.Endpoints["s"] = b.snap.Endpoints["s"][1:] // e0 leaves
-	b.c.update(b.snap)
+	b.c.applySnapshot(b.snap)
 	now := b.homes(subjects, 4)
 	for i, home := range was {
 		if home != "e0" && now[i] != home {
@@ -178,10 +178,10 @@
 	places := map[string]int{}
 	for i := range 12 {
 		w := b.ask(prompt(1, uint64(i)))
-		if w.grant == nil {
+		if w.granted == nil {
 			t.Fatalf("request %d was not let through", i)
 		}
-		places[w.grant.target.ID]++
+		places[w.granted.target.ID]++
 		b.pass(time.Millisecond)
 	}
 	for id, n := range places {
@@ -196,32 +196,34 @@
 
 func TestModelOfKeptParts(t *testing.T) {
 	var c prefixCache
-	add := func(most int64, parts ...Part) { c.sent(chainOf("m", parts), parts, 1, most, 100) }
-	kept := func(parts ...Part) int { return c.fresh(chainOf("m", parts), c.now, longestLife) }
-	a, x, y, z := Part{1, 100}, Part{2, 50}, Part{3, 50}, Part{4, 50}
+	add := func(most int64, parts ...PromptPart) {
+		c.recordPrompt(0, hashPrefixes("m", parts), parts, 1, most, 100)
+	}
+	kept := func(parts ...PromptPart) int { return c.cachedParts(hashPrefixes("m", parts), 0, maxCacheLifetime) }
+	a, x, y, z := PromptPart{1, 100}, PromptPart{2, 50}, PromptPart{3, 50}, PromptPart{4, 50}
 	add(250, a, x)
 	add(250, a, y)
 	if kept(a, x) != 2 || kept(a, y) != 2 || kept(a, z) != 1 || kept(x) != 0 {
 		t.Error("parts that were sent are not kept with those before them")
 	}
-	if c.fresh(chainOf("n", []Part{a}), c.now, longestLife) != 0 {
+	if c.cachedParts(hashPrefixes("n", []PromptPart{a}), 0, maxCacheLifetime) != 0 {
 		t.Error("a part is kept for another model")
 	}
 	add(250, a, z) // over: the least recent gives way, and that is x
-	add(250, a, Part{5, 50})
+	add(250, a, PromptPart{5, 50})
 	if kept(a, x) != 1 || kept(a, z) != 2 || c.tokens > 250 {
 		t.Errorf("x %d, z %d, %d tokens", kept(a, x), kept(a, z), c.tokens)
 	}
 	for i := range 1000 {
-		c.sent([]chain{chain(i)}, []Part{{uint64(i), 1}}, 1, 0, 100)
+		c.recordPrompt(0, []prefixHash{prefixHash(i)}, []PromptPart{{uint64(i), 1}}, 1, 0, 100)
 	}
-	if c.recent.Len() != 100 || len(c.parts) != 100 {
-		t.Errorf("%d parts are remembered, want at most 100", c.recent.Len())
+	if c.byRecency.Len() != 100 || len(c.entries) != 100 {
+		t.Errorf("%d parts are remembered, want at most 100", c.byRecency.Len())
 	}
 }
 
 func TestSpeedIsLearnt(t *testing.T) {
-	l := firstLine()
+	l := initialFit()
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 500 {
 		x := float64(rng.IntN(5000))
@@ -234,12 +236,12 @@
 }
 
 func TestTheHoldIsBounded(t *testing.T) {
-	b := newBench(Settings{MostHeld: 5})
+	b := newBench(Settings{MaxQueued: 5})
 	for i := range 20 {
 		b.ask(&Request{ID: fmt.Sprint(i), Bulk: true})
 	}
-	if b.c.held != 5 || len(b.c.pool("s").hold) != 5 {
-		t.Errorf("%d are held", b.c.held)
+	if b.c.queued != 5 || len(b.c.pool("s").queue) != 5 {
+		t.Errorf("%d are held", b.c.queued)
 	}
 }
 
@@ -256,7 +258,7 @@
 	if d := w.refused.RetryAfter; d < 50*time.Millisecond || d > 4*time.Second/3 {
 		t.Errorf("come back in %v", d)
 	}
-	if n := len(b.c.pool("s").hold) + b.c.held; n != 0 {
+	if n := len(b.c.pool("s").queue) + b.c.queued; n != 0 {
 		t.Errorf("%d are held still", n)
 	}
 }
@@ -266,11 +268,11 @@
 	b.add("e1")
 	w := b.ask(&Request{ID: "1"})
 	b.snap = &snapshot.Snapshot{Proxies: 1, Config: b.snap.Config}
-	b.c.update(b.snap)
+	b.c.applySnapshot(b.snap)
 	if b.endpoint("e1") == nil {
 		t.Error("forgotten though a request runs there")
 	}
-	b.c.end(w.grant, Served, Load{})
+	b.c.endRun(w.granted, Served, Load{})
 	if b.endpoint("e1") != nil || len(b.c.pool("s").endpoints) != 0 {
 		t.Error("not forgotten")
 	}
@@ -284,12 +286,12 @@
 			b.add(fmt.Sprint("e", i))
 		}
 		for subject := range uint64(20) {
-			w := &waiter{r: prompt(subject, 1)}
-			w.chains = chainOf("", w.r.Prefix)
+			w := &waiter{request: prompt(subject, 1)}
+			w.prefixHashes = hashPrefixes("", w.request.Prefix)
 			all := slices.Clone(b.c.pool("s").endpoints)
-			key := uint64(w.chains[0])
-			slices.SortFunc(all, func(x, y *endpoint) int { return cmp.Compare(mix(key, y.hash), mix(key, x.hash)) })
-			if homes := b.c.homes(b.c.pool("s"), w); !slices.Equal(homes, all[:min(n, len(beliefs))]) {
+			key := uint64(w.prefixHashes[0])
+			slices.SortFunc(all, func(x, y *endpoint) int { return cmp.Compare(mixHash(key, y.hash), mixHash(key, x.hash)) })
+			if homes := rankReplicas(b.c.pool("s"), w); !slices.Equal(homes, all[:min(n, len(replicaCacheProbability))]) {
 				t.Fatalf("%d endpoints, subject %d: other homes than the first of all", n, subject)
 			}
 		}
--- /dev/null
+++ b/internal/proxy/dispatch/selection.go
@@ -0,0 +1,133 @@
+package dispatch
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// similarCost is the difference in cost, in ms, up to which endpoints count as equal.
+	similarCost = 0.25
+	// urgencyFactor reduces the load at which a late request may still be started, for each step of lower priority.
+	urgencyFactor = 0.8
+)
+
+// candidates are the endpoints that may serve a request.
+type candidates struct {
+	healthy   []*endpoint // not ejected
+	probe     *endpoint   // an ejected one with capacity, which the request should try; nil if there is none
+	totalLoad float64     // the sum of the loads of all, in requests
+	count     int
+}
+
+// placement is what the costs of all endpoints for one request have in common.
+type placement struct {
+	baseMs, msPerToken float64     // ms to the first token, and more for each token to prefill
+	loadBound          float64     // the load above which an endpoint is too full for further requests of a shared prefix
+	replicas           []*endpoint // the preferred replicas of the shared prefix
+	sharedTokens       float64     // tokens of the prefix that other requests may share
+}
+
+// choose picks the endpoint for a request and returns the run that it would be, or nil if no endpoint has capacity.
+func (c *core) choose(p *pool, w *waiter) *run {
+	found := c.candidates(p, w)
+	if found.count == 0 {
+		return nil
+	}
+	common := placement{loadBound: c.settings.PreferredLoadFactor*found.totalLoad/float64(found.count) + c.settings.PreferredLoadSlack}
+	common.baseMs, common.msPerToken = p.firstTokenFit.fit()
+	if found.probe != nil {
+		probe := run{endpoint: found.probe, prefillTokens: float64(w.request.TokensIn)}
+		probe.expectedMs = c.timeToFirstToken(found.probe, &common, &probe.prefillTokens)
+		return &probe
+	}
+	healthy := found.healthy
+	if len(healthy) == 0 { // all are ejected: the one that is ejected for the shortest time is better than none
+		least := leastEjected(p, w)
+		if least == nil {
+			return nil
+		}
+		healthy = append(healthy, least)
+	}
+	available := slices.DeleteFunc(healthy, func(e *endpoint) bool { return !c.hasCapacity(e, w) })
+	if len(available) == 0 {
+		return nil
+	}
+	if len(w.prefixHashes) > 0 {
+		common.replicas, common.sharedTokens = c.preferredReplicas(p, w), sharedTokens(w)
+	}
+	return c.cheapestRun(available, w, &common)
+}
+
+// candidates returns the endpoints of a pool that may serve a request.
+func (c *core) candidates(p *pool, w *waiter) candidates {
+	found := candidates{healthy: make([]*endpoint, 0, len(p.endpoints))}
+	w.subsetServes = false
+	for _, e := range p.endpoints {
+		if !e.eligible(w) {
+			continue
+		}
+		if e.inSubset && e.ejectedUntil == 0 {
+			w.subsetServes = true
+		}
+		found.totalLoad += e.load(c)
+		found.count++
+		switch {
+		case e.ejectedUntil == 0:
+			found.healthy = append(found.healthy, e)
+		case e.probeDue(c, w) && c.hasCapacity(e, w):
+			found.probe = e
+		}
+	}
+	return found
+}
+
+// cheapestRun returns the run at the endpoint with the lowest cost, a random one of those with a similar cost, or nil if a
+// run would be too late at each of them.
+func (c *core) cheapestRun(available []*endpoint, w *waiter, common *placement) *run {
+	var best run
+	lowest, similar := math.Inf(1), 0
+	for _, e := range available {
+		candidate, cost := c.prospectiveRun(e, w, common)
+		if !c.estimateAllows(e, w, candidate.expectedMs) {
+			continue
+		}
+		switch {
+		case cost < lowest-similarCost:
+			best, lowest, similar = candidate, cost, 1
+		case cost <= lowest+similarCost:
+			similar++
+			if c.random()*float64(similar) < 1 {
+				best = candidate
+			}
+			lowest = min(lowest, cost)
+		}
+	}
+	if best.endpoint == nil {
+		return nil
+	}
+	return &best
+}
+
+// estimateAllows reports whether a run is worth starting whose first token is expected after so many ms. It must come before
+// the deadline. If it comes after the due time, the load must be low, the lower the less urgent the route is. An estimate
+// that refuses all requests would never be corrected, so it counts only as long as first tokens come.
+func (c *core) estimateAllows(e *endpoint, w *waiter, ms float64) bool {
+	if w.request.Bulk {
+		return true
+	}
+	if c.now-e.pool.lastFirstToken > c.settings.MaxEstimateAge {
+		return true // nothing has tested the estimates for a while: a request does
+	}
+	late := e.pool.lateness.value * math.Exp(-float64(c.now-e.pool.lastFirstToken)/float64(c.settings.LatenessDecay))
+	at := c.now + time.Duration((ms+max(0, late))*float64(time.Millisecond))
+	if at >= w.deadline {
+		return false
+	}
+	if w.due == 0 || at <= w.due {
+		return true
+	}
+	urgency := math.Pow(urgencyFactor, float64(priority(w.request)))
+	return e.load(c) < float64(e.slots())*c.settings.QueueLate*urgency
+}
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -2,48 +2,76 @@
 
 import "time"
 
-// Settings are the parameters of admission and placement. A zero field takes its default.
+// Settings are the parameters of admission and placement. A zero field takes its default, which its comment gives.
+// docs/placement.md has the measurements behind them.
 type Settings struct {
-	Narrow, Wide time.Duration // windows of the two send logs of an endpoint
-	MostSends    int           // most entries of a send log
-	Recover      time.Duration // time after a refusal in which a slice grows by its own size
-	Cut          float64       // factor by which a further refusal reduces a slice
-	LeastCut     float64       // lower bound of a slice, as a share of the runs served in a narrow window
-
-	MostHeld    int           // most waiting requests of all services
-	HoldShare   float64       // longest wait of a request, as a share of its route's target
-	LeastRetry  time.Duration // shortest time after which a refused client may retry
-	TrustLoad   time.Duration // time constant with which a reported load of other senders fades to the mean
-	FullFor     time.Duration // time for which an endpoint counts as full that refused without a load
-	QueueInAim  float64       // capacities that may queue at an endpoint if the answer is in time
-	QueueLate   float64       // capacities that may run or queue at an endpoint if the answer is late
-	EstimateAge time.Duration // time without a first word after which estimates refuse nobody
-	LagFades    time.Duration // time constant with which the lateness of first words fades
+	// Rate limits of an endpoint (ratelimit.go).
+
+	ShortWindow   time.Duration // window of the short send log; 5 s
+	LongWindow    time.Duration // window of the long send log; 12 short windows
+	MaxLogEntries int           // entries of a send log, which bound its memory; 8192
+	RateRecovery  time.Duration // time after a refusal in which a rate limit grows by its own size; 1 s
+	RateCut       float64       // factor by which a further refusal reduces a rate limit; 0.7
+	// MinServedShare is the lower bound of a reduced rate limit, as a share of the requests that were served in the short
+	// window; 0.9. Without it a burst of refusals would push the limit below what the endpoint really serves.
+	MinServedShare float64
+
+	// Queueing of requests (admission.go, queue.go).
+
+	MaxQueued     int           // pending requests of all services; 2048
+	MaxWaitShare  float64       // longest wait of a request, as a share of its route's latency target; 0.25
+	MinRetryAfter time.Duration // shortest time after which a refused client may retry; 50 ms
+
+	// Load of an endpoint (load.go, capacity.go).
+
+	// LoadReportDecay is the time constant with which a reported load of other senders fades to the mean of the pool; 1.5 s.
+	LoadReportDecay time.Duration
+	FullBackoff     time.Duration // time for which an endpoint counts as full that refused without a load report; 60 ms
+	// QueueOnTime is how many capacities of requests may queue at an endpoint if the answer meets its latency target; 3.
+	QueueOnTime float64
+	// QueueLate is how many capacities of requests may run or queue at an endpoint if the answer misses its latency
+	// target; 1: only where a slot is free, because queues that make everybody late are worth less than refusals.
+	QueueLate      float64
+	MaxEstimateAge time.Duration // time without a first token after which estimates refuse nobody; 1 s
+	LatenessDecay  time.Duration // time constant with which the lateness of first tokens fades; 300 ms
+
 	// Subsets of endpoints (subset.go).
-	Sharers         float64       // senders that should share an endpoint by their subsets
-	LeastSubset     int           // fewest endpoints of a subset: one may be ejected, one full
-	OutsideSubset   time.Duration // cost of an endpoint outside the subset
-	DoubtDeviations float64       // standard deviations by which the load of an endpoint outside the subset may be underestimated
-
-	BulkHeadroom float64       // share of the capacity that bulk leaves free
-	BulkFloor    float64       // share of the capacity that pressing bulk may use at any load
-	Pressing     time.Duration // time before its due time from which bulk may use the headroom and need not wait for others
-
-	LoadFactor, LoadSlack float64       // a load above factor x mean + slack is too much for further requests of a shared prefix
-	FreeShare             float64       // share of the capacity up to which a load is never too much
-	Reread                float64       // cost of reading a shared part again, as a multiple of the time it takes
-	OtherZone             time.Duration // cost of an endpoint in another zone
-	LoadCost              time.Duration // cost of an endpoint that is fully loaded
-	ColdCost              float64       // cost of each ms that is left of a cold start, in ms
-
-	SickFrom   float64       // failure score from which an endpoint is ejected
-	OutLeast   time.Duration // shortest ejection
-	OutMost    time.Duration // longest ejection
-	CacheParts int           // most parts of prompts that are remembered for each endpoint
+
+	SendersPerEndpoint float64       // senders that should share an endpoint by their subsets; 4
+	MinSubsetSize      int           // endpoints of a subset; 3, as one may be ejected and one full
+	OutsideSubsetCost  time.Duration // cost of an endpoint outside the subset; 10 ms
+	// UncertaintyDeviations is by how many standard deviations of independent arrivals the load of an endpoint outside
+	// the subset may be underestimated; 3.
+	UncertaintyDeviations float64
+
+	// Bulk requests (capacity.go).
+
+	BulkHeadroom float64       // share of the capacity that bulk leaves free for interactive requests; 0.15
+	BulkFloor    float64       // share of the capacity that bulk near its due time may use at any load; 0.1
+	BulkUrgency  time.Duration // time before its due time from which bulk may use the headroom, ahead of others; 3 s
+
+	// Cost of an endpoint for a request (cost.go, affinity.go).
+
+	// PreferredLoadFactor and PreferredLoadSlack bound the load of the preferred replicas of a prefix (consistent hashing
+	// with bounded loads): one whose load exceeds factor x mean + slack costs more; 1.25 and 1 request.
+	PreferredLoadFactor, PreferredLoadSlack float64
+	PreferredLoadFloor                      float64       // share of the capacity up to which a load is never too much; 0.25
+	RereadCost                              float64       // cost of prefilling a shared part again, as a multiple of the time it takes; 1
+	OtherZoneCost                           time.Duration // cost of an endpoint in another zone; 4 ms
+	LoadCost                                time.Duration // cost of an endpoint that is fully loaded; 20 ms
+	WarmUpCost                              float64       // cost of each ms that is left of a warm-up, in ms; 0.2
+
+	// Ejection of outliers (ejection.go).
+
+	EjectionScore float64       // failure score from which an endpoint is ejected; 2, so that one failure does not
+	MinEjection   time.Duration // shortest ejection; 500 ms
+	MaxEjection   time.Duration // longest ejection; 5 s
+
+	MaxCacheEntries int // prompt parts that are remembered for each endpoint (prefixcache.go); 2048
 }
 
-// orElse sets a value to a default if it is zero.
-func orElse[T comparable](value *T, byDefault T) {
+// setDefault sets a value to a default if it is zero.
+func setDefault[T comparable](value *T, byDefault T) {
 	var zero T
 	if *value == zero {
 		*value = byDefault
@@ -52,38 +80,38 @@
 
 // withDefaults returns the settings with defaults in place of zero fields.
 func (s Settings) withDefaults() Settings {
-	orElse(&s.Narrow, 5*time.Second)
-	orElse(&s.Wide, 12*s.Narrow)
-	orElse(&s.MostSends, 8192)
-	orElse(&s.Recover, time.Second)
-	orElse(&s.Cut, 0.7)
-	orElse(&s.LeastCut, 0.9)
-	orElse(&s.MostHeld, 2048)
-	orElse(&s.HoldShare, 0.25)
-	orElse(&s.LeastRetry, 50*time.Millisecond)
-	orElse(&s.TrustLoad, 1500*time.Millisecond)
-	orElse(&s.FullFor, 60*time.Millisecond)
-	orElse(&s.QueueInAim, 3)
-	orElse(&s.QueueLate, 1)
-	orElse(&s.EstimateAge, time.Second)
-	orElse(&s.LagFades, 300*time.Millisecond)
-	orElse(&s.Sharers, 4)
-	orElse(&s.LeastSubset, 3)
-	orElse(&s.OutsideSubset, 10*time.Millisecond)
-	orElse(&s.DoubtDeviations, 3)
-	orElse(&s.BulkHeadroom, 0.15)
-	orElse(&s.BulkFloor, 0.1)
-	orElse(&s.Pressing, 3*time.Second)
-	orElse(&s.LoadFactor, 1.25)
-	orElse(&s.LoadSlack, 1)
-	orElse(&s.FreeShare, 0.25)
-	orElse(&s.Reread, 1)
-	orElse(&s.OtherZone, 4*time.Millisecond)
-	orElse(&s.LoadCost, 20*time.Millisecond)
-	orElse(&s.ColdCost, 0.2)
-	orElse(&s.SickFrom, 2)
-	orElse(&s.OutLeast, 500*time.Millisecond)
-	orElse(&s.OutMost, 5*time.Second)
-	orElse(&s.CacheParts, 2048)
+	setDefault(&s.ShortWindow, 5*time.Second)
+	setDefault(&s.LongWindow, 12*s.ShortWindow)
+	setDefault(&s.MaxLogEntries, 8192)
+	setDefault(&s.RateRecovery, time.Second)
+	setDefault(&s.RateCut, 0.7)
+	setDefault(&s.MinServedShare, 0.9)
+	setDefault(&s.MaxQueued, 2048)
+	setDefault(&s.MaxWaitShare, 0.25)
+	setDefault(&s.MinRetryAfter, 50*time.Millisecond)
+	setDefault(&s.LoadReportDecay, 1500*time.Millisecond)
+	setDefault(&s.FullBackoff, 60*time.Millisecond)
+	setDefault(&s.QueueOnTime, 3)
+	setDefault(&s.QueueLate, 1)
+	setDefault(&s.MaxEstimateAge, time.Second)
+	setDefault(&s.LatenessDecay, 300*time.Millisecond)
+	setDefault(&s.SendersPerEndpoint, 4)
+	setDefault(&s.MinSubsetSize, 3)
+	setDefault(&s.OutsideSubsetCost, 10*time.Millisecond)
+	setDefault(&s.UncertaintyDeviations, 3)
+	setDefault(&s.BulkHeadroom, 0.15)
+	setDefault(&s.BulkFloor, 0.1)
+	setDefault(&s.BulkUrgency, 3*time.Second)
+	setDefault(&s.PreferredLoadFactor, 1.25)
+	setDefault(&s.PreferredLoadSlack, 1)
+	setDefault(&s.PreferredLoadFloor, 0.25)
+	setDefault(&s.RereadCost, 1)
+	setDefault(&s.OtherZoneCost, 4*time.Millisecond)
+	setDefault(&s.LoadCost, 20*time.Millisecond)
+	setDefault(&s.WarmUpCost, 0.2)
+	setDefault(&s.EjectionScore, 2)
+	setDefault(&s.MinEjection, 500*time.Millisecond)
+	setDefault(&s.MaxEjection, 5*time.Second)
+	setDefault(&s.MaxCacheEntries, 2048)
 	return s
 }
--- a/internal/proxy/dispatch/world_test.go
+++ b/internal/proxy/dispatch/world_test.go
@@ -70,7 +70,7 @@
 	tasks    []*task // running first, then waiting
 	cache    prefixCache
 	reread   float64
-	everRead map[chain]bool
+	everRead map[prefixHash]bool
 	speed    float64
 	broken   bool // breaks all calls off at once
 	dark     bool // gives no word
@@ -88,13 +88,13 @@
 			Engine: &operatorconfig.Engine{Capacity: 24, CacheTokens: cacheTokens}}}}}}
 	for i := range endpoints {
 		id := fmt.Sprintf("e%02d", i)
-		w.eps = append(w.eps, &engine{id: id, slots: 24, queue: 48, everRead: map[chain]bool{}, speed: 1})
+		w.eps = append(w.eps, &engine{id: id, slots: 24, queue: 48, everRead: map[prefixHash]bool{}, speed: 1})
 		w.snap.Endpoints["s"] = append(w.snap.Endpoints["s"],
 			&snapshot.Endpoint{ID: id, Service: "s", Zone: fmt.Sprint(i % zones), Capacity: 24})
 	}
 	for i := range senders {
 		c := newCore(set, fmt.Sprint(i%zones), w.rng.Float64)
-		c.update(w.snap)
+		c.applySnapshot(w.snap)
 		w.cores = append(w.cores, c)
 	}
 	return w
@@ -107,7 +107,7 @@
 	own := int(float64(k.own) * (0.5 + w.rng.Float64()))
 	t.r = &Request{ID: fmt.Sprint(w.next), Service: "s", TokensIn: k.shared + own, TokensOut: k.out, Bulk: k.bulk,
 		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: k.aim, Priority: k.priority},
-		Prefix: []Part{{uint64(len(k.name))<<32 + group, k.shared}, {1<<60 + w.next, own}}}
+		Prefix: []PromptPart{{uint64(len(k.name))<<32 + group, k.shared}, {1<<60 + w.next, own}}}
 	k.asked++
 	w.ask(t)
 }
@@ -116,10 +116,10 @@
 	c := w.cores[t.core]
 	c.now = w.now
 	w.next++
-	t.w = &waiter{r: t.r, seq: w.next, deadline: t.born + t.kind.deadline,
+	t.w = &waiter{request: t.r, sequence: w.next, deadline: t.born + t.kind.deadline,
 		due: t.born + time.Duration(t.kind.aim)*time.Millisecond}
-	t.w.giveUp = c.giveUp(t.w, w.now)
-	t.w.done = func(x *waiter) {
+	c.setTimes(t.w, w.now, t.w.due, t.w.deadline)
+	t.w.decided = func(x *waiter) {
 		if x.refused != nil {
 			t.tries++
 			if t.tries > 1 || w.now+x.refused.RetryAfter > t.w.deadline {
@@ -129,9 +129,9 @@
 			w.backOff = append(w.backOff, later{w.now + x.refused.RetryAfter, t, w.rng.IntN(len(w.cores))})
 			return
 		}
-		w.arrive(t, x.grant)
+		w.arrive(t, x.granted)
 	}
-	c.acquire(t.w)
+	c.admit(t.w)
 }
 
 func (w *world) load(e *engine) Load {
@@ -155,9 +155,9 @@
 }
 
 func (w *world) read(e *engine, t *task) {
-	chains := chainOf(t.r.Model, t.r.Prefix)
+	chains := hashPrefixes(t.r.Model, t.r.Prefix)
 	t.toRead = float64(t.r.TokensIn)
-	cached := e.cache.fresh(chains, e.cache.now, longestLife)
+	cached := e.cache.cachedParts(chains, 0, maxCacheLifetime)
 	for i := range cached {
 		t.toRead -= float64(t.r.Prefix[i].Tokens)
 	}
@@ -166,12 +166,12 @@
 		t.kind.reread++
 	}
 	e.everRead[chains[0]] = true
-	e.cache.sent(chains, t.r.Prefix, 1, cacheTokens, 1<<20)
+	e.cache.recordPrompt(0, chains, t.r.Prefix, 1, cacheTokens, 1<<20)
 	t.toWrite = float64(t.r.TokensOut)
 	t.running = true
 }
 
-func (e *engine) anyRead(w *world, h chain) bool {
+func (e *engine) anyRead(w *world, h prefixHash) bool {
 	return slices.ContainsFunc(w.eps, func(o *engine) bool { return o.everRead[h] })
 }
 
@@ -191,9 +191,9 @@
 		case l.core < 0: // the endpoint turned it away
 			c, t := w.cores[l.task.core], l.task
 			c.now = w.now
-			g := t.w.grant
+			g := t.w.granted
 			i := slices.IndexFunc(w.eps, func(e *engine) bool { return e.id == g.target.ID })
-			c.end(g, NotRun, w.load(w.eps[i]))
+			c.endRun(g, NotRun, w.load(w.eps[i]))
 			t.r.Avoid = append(t.r.Avoid, g.target.ID)
 			if len(t.r.Avoid) > 2 {
 				t.kind.failed++
@@ -211,8 +211,8 @@
 	}
 	for _, c := range w.cores {
 		c.now = w.now
-		if at, any := c.wake(); any && at <= w.now+time.Millisecond {
-			c.step()
+		if at, any := c.nextWake(); any && at <= w.now+time.Millisecond {
+			c.serveAllQueues()
 		}
 	}
 }
@@ -227,7 +227,7 @@
 		}
 		e.tasks = slices.DeleteFunc(e.tasks, func(o *task) bool { return o == t })
 		w.cores[t.core].now = w.now
-		w.cores[t.core].end(t.w.grant, o, Load{})
+		w.cores[t.core].endRun(t.w.granted, o, Load{})
 		if t.kind.bulk { // an item is handed out again
 			w.backOff = append(w.backOff, later{w.now + 50*time.Millisecond, t, t.core})
 			continue
@@ -242,7 +242,7 @@
 		w.lose(e, Broken, func(*task) bool { return true })
 		return
 	case e.dark:
-		w.lose(e, Silent, func(t *task) bool { return w.now-t.w.grant.sent > patience })
+		w.lose(e, TimedOut, func(t *task) bool { return w.now-t.w.granted.sent > patience })
 		return
 	}
 	budget := readSpeed * e.speed
@@ -267,7 +267,7 @@
 		if t.firstAt == 0 {
 			t.firstAt = w.now
 			c.now = w.now
-			c.first(t.w.grant, w.load(e))
+			c.recordFirstToken(t.w.granted, w.load(e))
 		}
 		if t.toWrite <= 0 {
 			done = append(done, t)
@@ -284,7 +284,7 @@
 		}
 		c := w.cores[t.core]
 		c.now = w.now
-		c.end(t.w.grant, Served, Load{})
+		c.endRun(t.w.granted, Served, Load{})
 	}
 }
 
@@ -417,7 +417,7 @@
 				ill(e, false)
 			}
 			w.play(5 * time.Second)
-			before := w.cores[0].endpoints["e00"].wide.Count(w.now)
+			before := w.cores[0].endpoints["e00"].longLog.Count(w.now)
 			w.play(6 * time.Second)
 			w.report(t)
 			// Two lost calls take an endpoint out for a sender; a third may have been out already.
@@ -428,7 +428,7 @@
 			if lost > 3*3*len(w.cores) {
 				t.Errorf("%d requests lost", lost)
 			}
-			if w.cores[0].endpoints["e00"].wide.Count(w.now) <= before {
+			if w.cores[0].endpoints["e00"].longLog.Count(w.now) <= before {
 				t.Error("an endpoint that is sound again gets nothing")
 			}
 		})
--- a/internal/proxy/dispatch/worlds_test.go
+++ b/internal/proxy/dispatch/worlds_test.go
@@ -87,7 +87,7 @@
 }
 
 // everywhere makes each endpoint part of each sender's subset: no subsets.
-var everywhere = Settings{Sharers: 1e6}
+var everywhere = Settings{SendersPerEndpoint: 1e6}
 
 func TestSubsetsInManyWorlds(t *testing.T) {
 	for name, w := range fleetWorlds {
@@ -123,7 +123,7 @@
 	for _, s := range f.senders {
 		chosen := 0
 		for id, e := range s.core.endpoints {
-			if !e.preferred {
+			if !e.inSubset {
 				continue
 			}
 			chosen++
@@ -132,7 +132,7 @@
 				t.Errorf("a sender prefers %s of another zone, though its own has enough", id)
 			}
 		}
-		if chosen != s.core.settings.LeastSubset {
+		if chosen != s.core.settings.MinSubsetSize {
 			t.Errorf("a sender prefers %d endpoints", chosen)
 		}
 	}
@@ -150,7 +150,7 @@
 	before := map[string]bool{}
 	gone := ""
 	for id, e := range c.endpoints {
-		if before[id] = e.preferred; e.preferred {
+		if before[id] = e.inSubset; e.inSubset {
 			gone = id
 		}
 	}
@@ -161,10 +161,10 @@
 			break
 		}
 	}
-	c.update(snap)
+	c.applySnapshot(snap)
 	changed := 0
 	for id, e := range c.endpoints {
-		if e.preferred != before[id] {
+		if e.inSubset != before[id] {
 			changed++
 		}
 	}
@@ -183,10 +183,10 @@
 		c := f.senders[0].core
 		c.now = time.Minute
 		p := c.pool("s")
-		p.rest.v = 6 // of 12 slots: a doubt of three deviations leaves no room
+		p.otherLoad.value = 6 // of 12 slots: a doubt of three deviations leaves no room
 		var outside []*endpoint
 		for _, e := range p.endpoints {
-			if !e.preferred {
+			if !e.inSubset {
 				outside = append(outside, e)
 			}
 		}
@@ -195,14 +195,14 @@
 	ask := func(c *core, r *Request) *run {
 		r.ID, r.Service, r.Bulk = "1", "s", true
 		var granted *run
-		w := &waiter{r: r, done: func(w *waiter) { granted = w.grant }}
-		w.giveUp = c.giveUp(w, c.now)
+		w := &waiter{request: r, decided: func(w *waiter) { granted = w.granted }}
+		c.setTimes(w, c.now, w.due, w.deadline)
 		w.due = c.now + time.Minute
-		c.acquire(w)
+		c.admit(w)
 		return granted
 	}
 	c, outside := busy()
-	if granted := ask(c, &Request{}); granted == nil || !granted.endpoint.preferred {
+	if granted := ask(c, &Request{}); granted == nil || !granted.endpoint.inSubset {
 		t.Error("not granted an endpoint of the subset")
 	}
 	only := outside[0].target.ID
@@ -220,11 +220,11 @@
 	}
 	c, _ = busy()
 	for _, e := range c.pool("s").endpoints {
-		if e.preferred {
+		if e.inSubset {
 			c.eject(e, 0)
 		}
 	}
-	if granted := ask(c, &Request{}); granted == nil || granted.endpoint.preferred {
+	if granted := ask(c, &Request{}); granted == nil || granted.endpoint.inSubset {
 		t.Error("waits for a subset that is ejected")
 	}
 }
--- a/internal/proxy/forward/budget_test.go
+++ b/internal/proxy/forward/budget_test.go
@@ -31,7 +31,7 @@
 				}
 				for n := range 5 {
 					endpoints = append(endpoints, newEndpoint(t, fmt.Sprint("e", n), func(c net.Conn, r call) bool {
-						_, _ = io.WriteString(c, answer(r.Header.Get(headerID), atoi(r.Header.Get(headerLastEvent))))
+						_, _ = io.WriteString(c, answer(r.Header.Get(headerID), parseCount(r.Header.Get(headerLastEvent))))
 						return false
 					}))
 				}
--- a/internal/proxy/forward/certified.go
+++ b/internal/proxy/forward/certified.go
@@ -13,115 +13,136 @@
 
 // Recorder keeps the record of regulated runs.
 type Recorder interface {
-	// Begin takes in that a run is about to be sent by certificates, and tells its number. Without room for its end it says
-	// false, and the run may not be sent.
+	// Begin records that a run is about to be sent under certificates, and returns its number. Without space for its end
+	// it returns false, and the run may not be sent.
 	Begin(r audit.Run, certificates []byte) (number uint64, ok bool)
-	// End takes in how it ended.
+	// End records how a run ended.
 	End(number uint64, o audit.Outcome)
 }
 
-// recordFull is why regulated work is refused while runs can't be recorded.
-const recordFull = "the record of regulated runs is full, as too few stores take it"
+// recordFullReason is why regulated work is refused while runs can't be recorded.
+const recordFullReason = "the record of regulated runs is full, as too few stores take it"
 
-// longWait is how long a batch item waits before that is counted.
-const longWait = 100 * time.Millisecond
+// countedWait is how long a batch item waits before that is counted.
+const countedWait = 100 * time.Millisecond
 
 var (
 	errNotCertified = errors.New("the endpoint is no longer certified")
-	errRecordFull   = errors.New(recordFull)
+	errRecordFull   = errors.New(recordFullReason)
 )
 
-// demand asks for what the route demands now.
-func (x *exchange) demand() {
-	gate, route := x.p.o.Certified, x.req.Route.Name
-	x.req.Regime, x.req.Certified = gate.Regime(route), nil
-	if x.req.Regime != "" {
-		x.req.Certified = func(id string) bool {
+// requireCertificate sets the regime that the route demands now.
+func (x *exchange) requireCertificate() {
+	gate, route := x.proxy.options.Certificates, x.request.Route.Name
+	x.request.Regime, x.request.Certified = gate.Regime(route), nil
+	if x.request.Regime != "" {
+		x.request.Certified = func(id string) bool {
 			_, _, ok := gate.Allows(route, id)
 			return ok
 		}
 	}
 }
 
-// certified is asked right before a request is written to an endpoint: what let it go there may have been withdrawn since. It
-// begins the record of a regulated run.
-func (x *exchange) certified(endpoint string) (attempt.Event, bool) {
-	gate, route := x.p.o.Certified, x.req.Route
+// recheckCertificate is called right before a request is written to an endpoint: the certificate by which it was chosen may
+// have been withdrawn since. It begins the record of a regulated run. If the request must not be sent, the sending is over:
+// it returns false and the event.
+func (x *exchange) recheckCertificate(endpoint string) (attempt.Event, bool) {
+	gate, route := x.proxy.options.Certificates, x.request.Route
 	regime, by, ok := gate.Allows(route.Name, endpoint)
-	if regime != x.req.Regime {
-		x.demand()
+	if regime != x.request.Regime {
+		x.requireCertificate()
 	}
 	if !ok {
 		gate.Count(regime, func(c *certification.Counts) { c.Stopped++ })
 		x.err = errNotCertified
-		x.reason = "no certified node for regime " + regime + " is free"
-		x.finish(dispatch.Left, upstream.Unused)
+		x.refusalReason = "no certified node for regime " + regime + " is free"
+		x.finish(dispatch.Canceled, upstream.Unused)
 		return attempt.NotWritten, false
 	}
 	if regime == "" {
 		return 0, true
 	}
-	if r := x.p.o.Record; r != nil {
-		x.unsent = false
-		x.run, ok = r.Begin(audit.Run{ID: x.req.ID, Route: route.Name, Regime: regime, Endpoint: endpoint,
-			CertificatesVersion: by.Version, BatchItem: x.req.Bulk, Idempotent: x.req.Bulk || route.Idempotent(),
-			ResumeAfter: x.last, StartedAt: x.now()}, by.Raw)
-		if !ok {
-			x.err = errRecordFull
-			x.refusedFor(regime, recordFull)
-			x.finish(dispatch.Left, upstream.Unused)
-			return attempt.NotAdmitted, false
-		}
+	if !x.beginRecord(regime, endpoint, by) {
+		x.err = errRecordFull
+		x.countRefusal(regime, recordFullReason)
+		x.finish(dispatch.Canceled, upstream.Unused)
+		return attempt.NotAdmitted, false
 	}
 	gate.Count(regime, func(c *certification.Counts) { c.Runs++ })
 	return 0, true
 }
 
-// refusedFor counts a refusal.
-func (x *exchange) refusedFor(regime, reason string) {
-	x.reason = reason
-	x.p.o.Certified.Count(regime, func(c *certification.Counts) {
-		if x.req.Bulk {
+// beginRecord begins the record of a regulated run, and reports whether there is space for it.
+func (x *exchange) beginRecord(regime, endpoint string, by *certification.Set) (ok bool) {
+	recorder := x.proxy.options.Recorder
+	if recorder == nil {
+		return true
+	}
+	x.notWritten = false
+	x.recordNumber, ok = recorder.Begin(audit.Run{
+		ID:                  x.request.ID,
+		Route:               x.request.Route.Name,
+		Regime:              regime,
+		Endpoint:            endpoint,
+		CertificatesVersion: by.Version,
+		BatchItem:           x.request.Bulk,
+		Idempotent:          x.request.Bulk || x.request.Route.Idempotent(),
+		ResumeAfter:         x.lastEventID,
+		StartedAt:           x.now(),
+	}, by.Raw)
+	return ok
+}
+
+// endRecord ends the record of a regulated run.
+func (x *exchange) endRecord(o dispatch.Outcome) {
+	outcome := recordOutcome(o)
+	if x.notWritten {
+		outcome = audit.Unsent
+	}
+	x.proxy.options.Recorder.End(x.recordNumber, outcome)
+	x.recordNumber, x.notWritten = 0, false
+}
+
+// recordOutcome returns the outcome of a run as it is recorded.
+func recordOutcome(o dispatch.Outcome) audit.Outcome {
+	switch o {
+	case dispatch.Served:
+		return audit.Answered
+	case dispatch.NotRun, dispatch.Misdirected:
+		return audit.NotRun
+	case dispatch.Failed:
+		return audit.Failed
+	case dispatch.Canceled:
+		return audit.Canceled
+	case dispatch.NotSent:
+		return audit.Unsent
+	default:
+		return audit.Broken
+	}
+}
+
+// countRefusal counts the refusal of a regulated request or item.
+func (x *exchange) countRefusal(regime, reason string) {
+	x.refusalReason = reason
+	x.proxy.options.Certificates.Count(regime, func(c *certification.Counts) {
+		if x.request.Bulk {
 			c.Abandoned++
 		} else {
 			c.Refused++
 		}
 	})
-	x.p.o.Log.Debug("regulated work refused", "id", x.req.ID, "route", x.req.Route.Name, "regime", regime, "reason", reason)
+	x.proxy.options.Log.Debug("regulated work refused", "id", x.request.ID, "route", x.request.Route.Name, "regime", regime, "reason", reason)
 }
 
-// waited counts a batch item's turn that waited for a certified endpoint.
-func (x *exchange) waited(since time.Time, granted bool) {
-	if x.now().Sub(since) < longWait {
+// countWait counts a batch item that waited for a certified endpoint.
+func (x *exchange) countWait(since time.Time, granted bool) {
+	if x.now().Sub(since) < countedWait {
 		return
 	}
-	x.p.o.Certified.Count(x.req.Regime, func(c *certification.Counts) {
+	x.proxy.options.Certificates.Count(x.request.Regime, func(c *certification.Counts) {
 		c.Waited++
 		if !granted {
 			c.Abandoned++
 		}
 	})
 }
-
-// recorded ends the record of a regulated run.
-func (x *exchange) recorded(o dispatch.Outcome) {
-	out := audit.Broken
-	switch o {
-	case dispatch.Served:
-		out = audit.Answered
-	case dispatch.NotRun, dispatch.WrongOne:
-		out = audit.NotRun
-	case dispatch.Failed:
-		out = audit.Failed
-	case dispatch.Left:
-		out = audit.Canceled
-	case dispatch.Unsent:
-		out = audit.Unsent
-	default:
-	}
-	if x.unsent {
-		out = audit.Unsent
-	}
-	x.p.o.Record.End(x.run, out)
-	x.run, x.unsent = 0, false
-}
--- a/internal/proxy/forward/certified_test.go
+++ b/internal/proxy/forward/certified_test.go
@@ -73,9 +73,9 @@
 // certify regulates the rig's route; the gate is confirmed all the time.
 func (g *rig) certify(endpoints ...string) *book {
 	b := &book{ends: map[uint64]audit.Outcome{}}
-	g.p.o.Certified = certification.NewGate(certification.GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Second})
-	g.p.o.Certified.Update(certificates(g.t, 1, endpoints...))
-	g.p.o.Record = b
+	g.p.options.Certificates = certification.NewGate(certification.GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Second})
+	g.p.options.Certificates.Update(certificates(g.t, 1, endpoints...))
+	g.p.options.Recorder = b
 	return b
 }
 
@@ -93,7 +93,7 @@
 	if r := b.runs[0]; r.Regime != "fin" || r.CertificatesVersion != 1 || r.Route != "r" || r.Idempotent || r.BatchItem || r.ID == "" {
 		t.Errorf("%+v", r)
 	}
-	if !slices.Equal(g.a.outcomes(), []dispatch.Outcome{dispatch.Left, dispatch.Served}) {
+	if !slices.Equal(g.a.outcomes(), []dispatch.Outcome{dispatch.Canceled, dispatch.Served}) {
 		t.Errorf("%v: a certificate that is gone tells nothing of the endpoint's health", g.a.outcomes())
 	}
 	if q := g.a.asked[0]; q.Regime != "fin" || q.Certified("e1") || !q.Certified("e2") {
@@ -119,11 +119,11 @@
 func TestWhatAdmissionRefusesForWantOfCertificatesIsCounted(t *testing.T) {
 	g := newRig(t, route(operatorconfig.Writes, 1))
 	g.certify()
-	g.a.refuse = &dispatch.Refused{Reason: "no certified node for regime fin is free", RetryAfter: 70 * time.Millisecond, Regime: "fin"}
+	g.a.refuse = &dispatch.RefusedError{Reason: "no certified node for regime fin is free", RetryAfter: 70 * time.Millisecond, Regime: "fin"}
 	if a := g.do(plainCall, "body"); a.status != 503 || a.header.Get(headerReason) != "no certified node for regime fin is free" {
 		t.Errorf("%+v", a)
 	}
-	if got := g.p.o.Certified.CountsByRegime(); len(got) != 1 || got[0].Refused != 1 {
+	if got := g.p.options.Certificates.CountsByRegime(); len(got) != 1 || got[0].Refused != 1 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -133,22 +133,22 @@
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2)
 	b := g.certify("e2")
-	set := g.p.o.Certified.Current()
-	g.p.o.Certified = certification.NewGate(certification.GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Second})
-	x := &exchange{p: g.p, ctx: t.Context(), method: http.MethodPost}
+	set := g.p.options.Certificates.Current()
+	g.p.options.Certificates = certification.NewGate(certification.GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Second})
+	x := &exchange{proxy: g.p, ctx: t.Context(), method: http.MethodPost}
 	x.describe(&g.config.Routes[0], func(string) string { return "id9" })
-	if x.req.Certified != nil || x.req.Regime != "" {
+	if x.request.Certified != nil || x.request.Regime != "" {
 		t.Fatal("regulated before")
 	}
 	_, ok := x.acquire()
 	if !ok || x.grant.Endpoint().ID != "e1" {
 		t.Fatal("not granted")
 	}
-	g.p.o.Certified.Update(set)
-	if e, ok := x.certified("e1"); ok || e != attempt.NotWritten || x.grant != nil {
+	g.p.options.Certificates.Update(set)
+	if e, ok := x.recheckCertificate("e1"); ok || e != attempt.NotWritten || x.grant != nil {
 		t.Errorf("%v, %v", e, ok)
 	}
-	if x.req.Regime != "fin" || x.req.Certified("e1") {
+	if x.request.Regime != "fin" || x.request.Certified("e1") {
 		t.Error("its next endpoint need not be certified")
 	}
 	if len(b.runs) != 0 {
@@ -161,7 +161,7 @@
 	g := newRig(t, route(operatorconfig.Writes, 1), e1)
 	b := g.certify("e1")
 	b.full = true
-	if a := g.do(plainCall, "body"); a.status != 503 || a.header.Get(headerReason) != recordFull || len(e1.got()) != 0 {
+	if a := g.do(plainCall, "body"); a.status != 503 || a.header.Get(headerReason) != recordFullReason || len(e1.got()) != 0 {
 		t.Errorf("%+v", a)
 	}
 	res := g.p.RunItem(t.Context(), item(&g.config.Routes[0]), "", nil)
--- a/internal/proxy/forward/early_test.go
+++ b/internal/proxy/forward/early_test.go
@@ -118,7 +118,7 @@
 					t.Errorf("%d: %d though the answer came", at, resp.StatusCode)
 				}
 				_ = conn.Close()
-				g.p.poolOf(dispatch.Target{ID: e.id, Address: e.addr, Service: "svc"}).CloseIdle()
+				g.p.poolFor(dispatch.Target{ID: e.id, Address: e.addr, Service: "svc"}).CloseIdle()
 			}
 		})
 	}
@@ -242,7 +242,7 @@
 			if c.status != 200 {
 				want = 0
 			}
-			outcome := dispatch.Left // it says nothing of the endpoint
+			outcome := dispatch.Canceled // it says nothing of the endpoint
 			if c.read {
 				outcome = dispatch.Broken
 			}
--- a/internal/proxy/forward/enumerate_test.go
+++ b/internal/proxy/forward/enumerate_test.go
@@ -192,7 +192,7 @@
 
 // serve answers a call: by its id, "bad-BYTE-N" asks the bad endpoint for the misdeed at a byte.
 func (n *enumeration) serve(endpoint string, c *net.TCPConn, r call) bool {
-	id, after := r.Header.Get(headerID), atoi(r.Header.Get(headerLastEvent))
+	id, after := r.Header.Get(headerID), parseCount(r.Header.Get(headerLastEvent))
 	at := -1
 	if endpoint == "bad" && strings.HasPrefix(id, "bad-") {
 		_, _ = fmt.Sscanf(id, "bad-%d-", &at)
@@ -328,7 +328,7 @@
 		broke("REFUSED")
 	case r.item.State == ItemFailed && !contains(gave, 500):
 		broke("MIXED (a failure that was none)")
-	case r.item.State == ItemNever:
+	case r.item.State == ItemUnprocessable:
 		broke("MIXED (status)")
 	}
 }
--- a/internal/proxy/forward/events.go
+++ b/internal/proxy/forward/events.go
@@ -2,92 +2,98 @@
 
 import (
 	"bytes"
+	"errors"
 	"strconv"
 )
 
-// events takes a stream of server-sent events apart. It knows where whole events end and what
-// the last of them were called.
-type events struct {
-	buf   []byte // what has come and not been taken
-	line  int    // where the line begins that is looked at
-	start int    // where the event begins that it is in
-	whole int    // the end of the last whole event
+var (
+	errOutOfOrder   = errors.New("an event is not the next one")
+	errEventTooLong = errors.New("an event is too long")
+)
+
+// eventStream parses a stream of server-sent events (WHATWG HTML, 9.2) as far as it must be known where complete events
+// end and what the last of them were called. Bytes are read into its buffer, scanned, forwarded and discarded.
+type eventStream struct {
+	buffer     []byte // bytes that were read and not discarded
+	lineStart  int    // start of the line that is scanned next
+	eventStart int    // start of the event that this line belongs to
+	wholeEnd   int    // end of the last complete event
 
-	idOf   string // of the event that is looked at
-	hasID  bool
-	data   bool // it has data
-	each   func(id string, event []byte) error
-	lastID string // of the last whole event that had one
-	// unnamed tells that there was an event with data and no id since then: nobody can say where
-	// to go on.
-	unnamed bool
-	after   int64 // ids must be greater; -1: any
-	err     error
+	id      string // of the event that is scanned
+	hasID   bool   // it has an id
+	hasData bool   // it has data
+	onEvent func(id string, event []byte) error
+	lastID  string // of the last complete event that had one
+	// lastUnnamed is true if an event with data and without an id came since then: nobody can say where to resume.
+	lastUnnamed bool
+	minID       int64 // ids must be greater; -1: any
+	err         error
 }
 
-// reset forgets all; an event must have an id beyond a number, where that is not negative.
-func (s *events) reset(after int64) {
-	*s = events{buf: s.buf[:0], after: after}
+// reset forgets all but the buffer. Events must have ids greater than minID, where that is not negative.
+func (s *eventStream) reset(minID int64) {
+	*s = eventStream{buffer: s.buffer[:0], minID: minID}
 }
 
-// scan looks at what has come since. It tells how many bytes belong to whole events.
-func (s *events) scan() (int, error) {
+// scan scans what was read since the last call. It returns how many bytes of the buffer belong to complete events.
+func (s *eventStream) scan() (int, error) {
 	for s.err == nil {
-		n := bytes.IndexByte(s.buf[s.line:], '\n')
-		if n < 0 {
+		length := bytes.IndexByte(s.buffer[s.lineStart:], '\n')
+		if length < 0 {
 			break
 		}
-		line := s.buf[s.line : s.line+n]
-		s.line += n + 1
+		line := s.buffer[s.lineStart : s.lineStart+length]
+		s.lineStart += length + 1
 		if len(line) > 0 && line[len(line)-1] == '\r' {
 			line = line[:len(line)-1]
 		}
 		if len(line) == 0 {
-			s.endOfEvent()
+			s.endEvent()
 			continue
 		}
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch string(name) {
 		case "id":
-			s.idOf, s.hasID = string(bytes.TrimPrefix(value, []byte(" "))), true
+			s.id, s.hasID = string(bytes.TrimPrefix(value, []byte(" "))), true
 		case "data":
-			s.data = true
+			s.hasData = true
 		}
 	}
-	return s.whole, s.err
+	return s.wholeEnd, s.err
 }
 
-func (s *events) endOfEvent() {
+// endEvent ends the event that is scanned, and checks that its id is the next one.
+func (s *eventStream) endEvent() {
 	switch {
 	case s.hasID:
-		if n, err := strconv.ParseInt(s.idOf, 10, 64); s.after >= 0 && (err != nil || n <= s.after) {
-			s.err = errNotNext
+		if n, err := strconv.ParseInt(s.id, 10, 64); s.minID >= 0 && (err != nil || n <= s.minID) {
+			s.err = errOutOfOrder
 			return
 		} else if err == nil {
-			s.after = n
+			s.minID = n
 		}
-		s.lastID, s.unnamed = s.idOf, false
-	case s.data:
-		s.unnamed = true
+		s.lastID, s.lastUnnamed = s.id, false
+	case s.hasData:
+		s.lastUnnamed = true
 	}
-	if s.each != nil && (s.data || s.hasID) {
-		s.err = s.each(s.idOf, s.buf[s.start:s.line])
+	if s.onEvent != nil && (s.hasData || s.hasID) {
+		s.err = s.onEvent(s.id, s.buffer[s.eventStart:s.lineStart])
 	}
-	s.idOf, s.hasID, s.data = "", false, false
-	s.start, s.whole = s.line, s.line
+	s.id, s.hasID, s.hasData = "", false, false
+	s.eventStart, s.wholeEnd = s.lineStart, s.lineStart
 }
 
-// take drops the whole events.
-func (s *events) take() {
-	n := copy(s.buf, s.buf[s.whole:])
-	s.buf = s.buf[:n]
-	s.line -= s.whole
-	s.start, s.whole = 0, 0
+// discardWhole discards the complete events.
+func (s *eventStream) discardWhole() {
+	n := copy(s.buffer, s.buffer[s.wholeEnd:])
+	s.buffer = s.buffer[:n]
+	s.lineStart -= s.wholeEnd
+	s.eventStart, s.wholeEnd = 0, 0
 }
 
-// dataOf joins the data lines of an event.
-func dataOf(event []byte) []byte {
-	var out []byte
+// eventData joins the data lines of an event.
+func eventData(event []byte) []byte {
+	var data []byte
 	first := true
 	for line := range bytes.Lines(event) {
 		line = bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
@@ -96,10 +102,10 @@
 			continue
 		}
 		if !first {
-			out = append(out, '\n')
+			data = append(data, '\n')
 		}
 		first = false
-		out = append(out, bytes.TrimPrefix(value, []byte(" "))...)
+		data = append(data, bytes.TrimPrefix(value, []byte(" "))...)
 	}
-	return out
+	return data
 }
--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -190,14 +190,14 @@
 			return &grant{a: a, e: e}, nil
 		}
 	}
-	return nil, &dispatch.Refused{Reason: "none", RetryAfter: 250 * time.Millisecond}
+	return nil, &dispatch.RefusedError{Reason: "none", RetryAfter: 250 * time.Millisecond}
 }
 
 func (g *grant) Endpoint() dispatch.Target {
 	return dispatch.Target{ID: g.e.id, Address: g.e.addr, Service: "svc"}
 }
 
-func (g *grant) First(dispatch.Load) {
+func (g *grant) FirstToken(dispatch.Load) {
 	g.a.mu.Lock()
 	defer g.a.mu.Unlock()
 	g.a.firsts++
@@ -267,7 +267,7 @@
 	g := &rig{t: t, a: &admission{all: endpoints}, config: c}
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Config: c, Proxies: 1})
-	o := Options{Holder: holder, Admission: g.a, DrainWait: time.Millisecond, Match: firstMatch}
+	o := Options{Snapshots: holder, Admission: g.a, DrainWait: time.Millisecond, Match: firstMatch}
 	change(&o)
 	g.p = New(o)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -280,7 +280,7 @@
 		if err := <-done; !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
 		}
-		g.p.conns.Close()
+		g.p.connections.Close()
 	})
 	return g
 }
@@ -376,7 +376,7 @@
 	if !slices.Equal(names, want) {
 		t.Errorf("headers %v, want %v", names, want)
 	}
-	if left := atoi(r.Header.Get(headerTimeLeft)); left < 3000 || left >= 4000 {
+	if left := parseCount(r.Header.Get(headerTimeLeft)); left < 3000 || left >= 4000 {
 		t.Errorf("%d ms left", left)
 	}
 	if r.Header.Get(headerTarget) != "e1" || len(r.Header["X-Mine"]) != 2 || r.Header.Get(headerLastEvent) != "4" {
@@ -384,7 +384,7 @@
 	}
 	q := g.a.asked[0]
 	if q.ID != "id1" || q.Model != "m" || q.TokensIn != 14 || q.TokensOut != 80 || q.Service != "svc" || q.Bulk ||
-		!slices.Equal(q.Prefix, []dispatch.Part{{ID: 255, Tokens: 8}, {ID: 10, Tokens: 6}}) {
+		!slices.Equal(q.Prefix, []dispatch.PromptPart{{ID: 255, Tokens: 8}, {ID: 10, Tokens: 6}}) {
 		t.Errorf("%+v", q)
 	}
 	if want := (ended{"e1", dispatch.Served, dispatch.Load{Running: 3, Waiting: 1, Slots: 8, Known: true}}); g.a.ends[0] != want || g.a.firsts != 2 {
@@ -415,7 +415,7 @@
 	"nothing":          {"", 502, 200, dispatch.Broken},
 	"503 not run":      {answerOf("id1", "503 X|X-Dunetide-Not-Run: full", ""), 200, 200, dispatch.NotRun},
 	"429 not run":      {answerOf("id1", "429 X|X-Dunetide-Not-Run: 1", "x"), 200, 200, dispatch.NotRun},
-	"421":              {answerOf("id1", "421 X", ""), 200, 200, dispatch.WrongOne},
+	"421":              {answerOf("id1", "421 X", ""), 200, 200, dispatch.Misdirected},
 	"503":              {answerOf("id1", "503 X", ""), 502, 200, dispatch.Failed},
 	"429":              {answerOf("id1", "429 X", ""), 502, 200, dispatch.Failed},
 	"408":              {answerOf("id1", "408 X", ""), 502, 200, dispatch.Failed},
@@ -558,7 +558,7 @@
 			e1, e2 := newEndpoint(t, "e1", send(first)), newEndpoint(t, "e2", send(c.second))
 			e3 := newEndpoint(t, "e3", func(conn net.Conn, r call) bool {
 				var all []string
-				for n := atoi(r.Header.Get(headerLastEvent)) + 1; n <= 4; n++ {
+				for n := parseCount(r.Header.Get(headerLastEvent)) + 1; n <= 4; n++ {
 					all = append(all, oneEvent(n))
 				}
 				_, _ = io.WriteString(conn, streamHead("id1")+chunked(append(all, "")...))
@@ -618,14 +618,14 @@
 	if a := g.do("GET /r/ HTTP/1.1|Host: other.example", ""); a.status != 404 {
 		t.Errorf("%+v", a)
 	}
-	g.a.refuse = &dispatch.Refused{Reason: "full", RetryAfter: 250 * time.Millisecond}
+	g.a.refuse = &dispatch.RefusedError{Reason: "full", RetryAfter: 250 * time.Millisecond}
 	if a := g.do(plainCall, "x"); a.status != 503 || a.header.Get("Retry-After") != "0.250" {
 		t.Errorf("%+v", a)
 	}
 	if a := g.do(plainCall+"|X-Dunetide-Time-Left-Ms: 300", "x"); a.status != 503 || a.header.Get("Retry-After") > "0.100" {
 		t.Errorf("%+v", a)
 	}
-	g.p.o.Holder.Set(&snapshot.Snapshot{})
+	g.p.options.Snapshots.Set(&snapshot.Snapshot{})
 	if a := g.do(plainCall, "x"); a.status != 503 || a.header.Get("Retry-After") == "" {
 		t.Errorf("%+v", a)
 	}
@@ -638,7 +638,7 @@
 func TestParsedConfiguration(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
-	g.p.o.Match = New(Options{Holder: &snapshot.Latest{}}).o.Match
+	g.p.options.Match = New(Options{Snapshots: &snapshot.Latest{}}).options.Match
 	for _, c := range []struct {
 		start  string
 		status int
@@ -650,7 +650,7 @@
 		}
 		config, err := operatorconfig.Parse([]byte(raw))
 		must(t, err)
-		g.p.o.Holder.Set(&snapshot.Snapshot{Config: config, Proxies: 4})
+		g.p.options.Snapshots.Set(&snapshot.Snapshot{Config: config, Proxies: 4})
 		if a := g.do(plainCall, "x"); a.status != c.status {
 			t.Errorf("%s: %+v", c.start, a)
 		}
@@ -694,7 +694,7 @@
 	if err := <-gone; err == nil {
 		t.Error("the run was not ended")
 	}
-	if got := g.a.outcomes(); !slices.Equal(got, []dispatch.Outcome{dispatch.Silent}) {
+	if got := g.a.outcomes(); !slices.Equal(got, []dispatch.Outcome{dispatch.TimedOut}) {
 		t.Errorf("%v", got)
 	}
 }
@@ -716,7 +716,7 @@
 		t.Error("the run was not ended")
 	}
 	must(t, g.p.Server().Shutdown(t.Context()))
-	if got := g.a.outcomes(); !slices.Equal(got, []dispatch.Outcome{dispatch.Left}) {
+	if got := g.a.outcomes(); !slices.Equal(got, []dispatch.Outcome{dispatch.Canceled}) {
 		t.Errorf("%v", got)
 	}
 }
@@ -734,7 +734,7 @@
 		return true
 	})
 	g := newRig(t, route(operatorconfig.Streaming, 1), e)
-	g.p.o.DrainWait = 300 * time.Millisecond
+	g.p.options.DrainWait = 300 * time.Millisecond
 	ready := func() int {
 		var w recorder
 		g.p.ServeReady(&w, nil)
@@ -800,7 +800,7 @@
 			})
 			e2 := newEndpoint(t, "e2", func(conn net.Conn, r call) bool {
 				body := ""
-				for n := atoi(r.Header.Get(headerLastEvent)) + 1; n <= 3; n++ {
+				for n := parseCount(r.Header.Get(headerLastEvent)) + 1; n <= 3; n++ {
 					body += oneEvent(n)
 				}
 				_, _ = io.WriteString(conn, streamHead("id1")+chunked(body, ""))
@@ -842,7 +842,7 @@
 func TestBatchCallsGoToTheirHook(t *testing.T) {
 	g := newRig(t, route(operatorconfig.Bulk, 1))
 	var calls []string
-	g.p.o.Bulk = func(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
+	g.p.options.ServeBatch = func(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
 		name := ""
 		if route != nil {
 			name = route.Name
@@ -866,9 +866,9 @@
 	drawn := map[string]int{}
 	for n := range 10000 {
 		id := fmt.Sprint("id", n)
-		s := g.p.draw(r, id)
+		s := g.p.chooseService(r, id)
 		drawn[s]++
-		if g.p.draw(r, id) != s {
+		if g.p.chooseService(r, id) != s {
 			t.Fatal("another service for the same id")
 		}
 	}
@@ -884,14 +884,14 @@
 	g.do(plainCall, "x")
 	g.a.all = []*endpoint{e2}
 	g.do(plainCall, "x")
-	open := func() int { return g.p.conns.Stats(0).Open }
+	open := func() int { return g.p.connections.Stats(0).Open }
 	g.p.Tidy() // no list is known
 	if n := open(); n != 2 {
 		t.Fatalf("%d open", n)
 	}
-	s := *g.p.o.Holder.Get()
+	s := *g.p.options.Snapshots.Get()
 	s.EndpointsComplete, s.Endpoints = true, map[string][]*snapshot.Endpoint{"svc": {{ID: "e1", State: snapshot.Removed}, {ID: "e2", State: snapshot.Draining}}}
-	g.p.o.Holder.Set(&s)
+	g.p.options.Snapshots.Set(&s)
 	g.p.Tidy()
 	if n := open(); n != 1 || len(g.p.pools) != 1 {
 		t.Errorf("%d open", n)
@@ -908,7 +908,7 @@
 	if a := g.do(plainCall, "x"); a.status != 503 || a.header.Get("Retry-After") != "0.500" {
 		t.Errorf("%+v", a)
 	}
-	if n := len(g.a.outcomes()); n != 2+extraTurns {
+	if n := len(g.a.outcomes()); n != 2+extraRejections {
 		t.Errorf("%d were asked", n)
 	}
 }
--- a/internal/proxy/forward/golden_test.go
+++ b/internal/proxy/forward/golden_test.go
@@ -140,15 +140,15 @@
 		{name: "endpoint-refused", request: call, body: "x", kind: operatorconfig.Writes,
 			answer: "HTTP/1.1 503 Service Unavailable\r\nX-Dunetide-Request-Id: id1\r\nX-Dunetide-Not-Run: 1\r\nRetry-After: 0.125\r\nContent-Length: 0\r\n\r\n"},
 		{name: "refused-no-room", request: call, body: "x", kind: operatorconfig.Writes,
-			refuse: &dispatch.Refused{Reason: "svc: no endpoint has room in time", RetryAfter: 250 * time.Millisecond}},
+			refuse: &dispatch.RefusedError{Reason: "svc: no endpoint has room in time", RetryAfter: 250 * time.Millisecond}},
 		{name: "refused-no-certified-endpoint", request: call, body: "x", kind: operatorconfig.Writes,
-			refuse: &dispatch.Refused{Reason: "no certified node for regime fin is free", RetryAfter: 250 * time.Millisecond, Regime: "fin"},
+			refuse: &dispatch.RefusedError{Reason: "no certified node for regime fin is free", RetryAfter: 250 * time.Millisecond, Regime: "fin"},
 			change: func(o *Options) {
-				o.Certified = certification.NewGate(certification.GateOptions{LastConfirmed: func() time.Time { return now }, ConfirmationTTL: time.Second})
+				o.Certificates = certification.NewGate(certification.GateOptions{LastConfirmed: func() time.Time { return now }, ConfirmationTTL: time.Second})
 			}},
 		{name: "refused-no-time-left", request: strings.Replace(call, "4000", "0", 1), body: "x", kind: operatorconfig.Writes},
 		{name: "refused-not-prepared", request: strings.Replace(call, "4000", "0", 1), kind: operatorconfig.Writes,
-			change: func(o *Options) { o.Holder = &snapshot.Latest{} }},
+			change: func(o *Options) { o.Snapshots = &snapshot.Latest{} }},
 		{name: "refused-no-route", request: strings.Replace(call, "/r/x", "/elsewhere", 1), body: "x", kind: operatorconfig.Writes},
 		{name: "refused-no-id", request: strings.Replace(call, "X-Dunetide-Request-Id: id1|", "", 1), body: "x", kind: operatorconfig.Writes},
 		{name: "refused-http-1.0", request: strings.Replace(call, "HTTP/1.1", "HTTP/1.0", 1), body: "x", kind: operatorconfig.Writes},
@@ -207,7 +207,7 @@
 		{"not ready", func() bool { return false }, false},
 		{"draining", func() bool { return true }, true},
 	} {
-		p := New(Options{Holder: &snapshot.Latest{}, Ready: c.ready})
+		p := New(Options{Snapshots: &snapshot.Latest{}, Ready: c.ready})
 		p.draining.Store(c.draining)
 		s := httptest.NewServer(http.HandlerFunc(p.ServeReady))
 		conn, err := net.Dial("tcp", s.Listener.Addr().String())
@@ -224,7 +224,7 @@
 
 // TestGoldenMetrics pins the names and labels of a proxy's metrics.
 func TestGoldenMetrics(t *testing.T) {
-	New(Options{Holder: &snapshot.Latest{}}).Observe()
+	New(Options{Snapshots: &snapshot.Latest{}}).Observe()
 	var names []string
 	for _, name := range metrics.ListMetricNames() {
 		if strings.HasPrefix(name, "dunetide_proxy_") && !strings.HasPrefix(name, "dunetide_proxy_own_answers_total") { // made by the first answer
--- a/internal/proxy/forward/head.go
+++ b/internal/proxy/forward/head.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The names of headers, as the parser writes them.
+// Names of headers in their canonical form. docs/calls.md says what they mean.
 const (
 	headerID        = "X-Dunetide-Request-Id"
 	headerTimeLeft  = "X-Dunetide-Time-Left-Ms"
@@ -22,41 +22,66 @@
 	headerReason    = "X-Dunetide-Reason"
 )
 
-// completeHead puts what this sending adds behind the head that all have.
+// buildHead begins the head of the request: what all sendings have in common. Fields that concern the client's connection
+// are dropped.
+func (x *exchange) buildHead(target, host string, h http.Header, length int) {
+	b := append(x.head[:0], x.method...)
+	b = append(b, ' ')
+	b = append(b, target...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	b = appendField(b, "Host", host)
+	drop := connectionHeaders(h)
+	for name, values := range h {
+		if hopByHop[name] || drop(name) && name != headerID {
+			continue
+		}
+		for _, v := range values {
+			b = appendField(b, name, v)
+		}
+	}
+	if length > 0 || x.method != http.MethodGet && x.method != http.MethodHead {
+		b = append(b, "Content-Length: "...)
+		b = strconv.AppendInt(b, int64(length), 10)
+		b = append(b, "\r\n"...)
+	}
+	x.head, x.sharedHeadLength = b, len(b)
+}
+
+// completeHead adds to the head what this sending alone has.
 func (x *exchange) completeHead(target string) {
-	h := x.head[:x.base]
-	h = field(h, headerTarget, target)
+	h := x.head[:x.sharedHeadLength]
+	h = appendField(h, headerTarget, target)
 	if !x.deadline.IsZero() {
-		left := max(1, (x.left() - endpointMargin).Milliseconds())
+		left := max(1, (x.timeLeft() - endpointMargin).Milliseconds())
 		h = append(h, headerTimeLeft...)
 		h = append(h, ": "...)
 		h = strconv.AppendInt(h, left, 10)
 		h = append(h, "\r\n"...)
 	}
-	if x.last != "" {
-		h = field(h, headerLastEvent, x.last)
+	if x.lastEventID != "" {
+		h = appendField(h, headerLastEvent, x.lastEventID)
 	}
 	x.head = append(h, "\r\n"...)
 }
 
-func field(b []byte, name, value string) []byte {
+// appendField appends a header field.
+func appendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = append(b, value...)
 	return append(b, "\r\n"...)
 }
 
-// ofConnection are the headers that concern one connection only, and those that are laid out by
-// themselves.
-var ofConnection = map[string]bool{
+// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1), and those that the proxy writes itself.
+var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Expect": true, "Content-Length": true, "Host": true,
 	headerTarget: true, headerTimeLeft: true, headerLastEvent: true,
 }
 
-// named tells which headers a Connection header names.
-func named(h http.Header) func(name string) bool {
+// connectionHeaders returns whether a header is named by the Connection header, and so concerns one connection only.
+func connectionHeaders(h http.Header) func(name string) bool {
 	lines := h["Connection"]
 	if len(lines) == 0 {
 		return func(string) bool { return false }
@@ -69,27 +94,3 @@
 	}
 	return func(name string) bool { return slices.Contains(names, name) }
 }
-
-// buildHead begins the head of a call: what all sendings have.
-func (x *exchange) buildHead(target, host string, h http.Header, length int) {
-	b := append(x.head[:0], x.method...)
-	b = append(b, ' ')
-	b = append(b, target...)
-	b = append(b, " HTTP/1.1\r\n"...)
-	b = field(b, "Host", host)
-	drop := named(h)
-	for name, values := range h {
-		if ofConnection[name] || drop(name) && name != headerID {
-			continue
-		}
-		for _, v := range values {
-			b = field(b, name, v)
-		}
-	}
-	if length > 0 || x.method != http.MethodGet && x.method != http.MethodHead {
-		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(length), 10)
-		b = append(b, "\r\n"...)
-	}
-	x.head, x.base = b, len(b)
-}
--- /dev/null
+++ b/internal/proxy/forward/intake.go
@@ -0,0 +1,152 @@
+package forward
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/proxy/clientbody"
+)
+
+const (
+	// unpreparedRetryAfter is after what time a client may retry that a process refused which has just started.
+	unpreparedRetryAfter = 3 * defaultRetryAfter
+	// writeMargin is how long after the deadline a client may still read its answer.
+	writeMargin = 150 * time.Millisecond
+	// headerMargin is by how many bytes the head of a request may grow while it is forwarded before it counts as too large:
+	// some fields are written otherwise than they came.
+	headerMargin = 256
+)
+
+// ServeHTTP answers a client.
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrived := arrival{at: p.options.Now()}
+	closeIfAmbiguous(w, r)
+	target, path := requestTarget(r)
+	if !strings.HasPrefix(target, "/") {
+		p.refuse(w, r, http.StatusBadRequest, 0, nil)
+		return
+	}
+	arrived.admitted = arrived.at
+	if !hasConfig(p.options.Snapshots.Get()) {
+		if status := p.awaitConfig(w, r); status != 0 {
+			refusedBeforePreparation.Inc()
+			p.refuse(w, r, status, unpreparedRetryAfter, nil)
+			return
+		}
+		servedAfterPreparation.Inc()
+		arrived.admitted = p.options.Now()
+	}
+	if p.options.ServeBatch != nil && isBatchPath(path) {
+		p.serveBatch(w, r, nil)
+		return
+	}
+	config := p.options.Snapshots.Get().Config
+	route := p.options.Match(config, r.Host, path)
+	if route == nil {
+		p.refuse(w, r, http.StatusNotFound, 0, nil)
+		return
+	}
+	if route.Kind == operatorconfig.Bulk && p.options.ServeBatch != nil {
+		p.serveBatch(w, r, route)
+		return
+	}
+	p.forward(w, r, route, &config.Limits, target, arrived)
+}
+
+// arrival is when a request came.
+type arrival struct {
+	at       time.Time // its header was read
+	admitted time.Time // the process could serve it: later than at where the process had just started
+}
+
+// requestTarget returns the target of a request as it is forwarded, with the query, and its path as it was sent. A target
+// that does not begin with a slash can't be forwarded.
+func requestTarget(r *http.Request) (target, path string) {
+	target, path = r.RequestURI, r.URL.EscapedPath()
+	if !strings.HasPrefix(target, "/") {
+		target = r.URL.RequestURI() // of a URL with scheme and host
+	} else if raw, _, _ := strings.Cut(target, "?"); raw != path {
+		path = raw
+	}
+	return target, path
+}
+
+// isBatchPath reports whether calls of a path concern batch jobs on any route.
+func isBatchPath(path string) bool {
+	return strings.HasPrefix(path, "/lots/") || strings.HasPrefix(path, "/items/")
+}
+
+// serveBatch answers a call of batch jobs.
+func (p *Proxy) serveBatch(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
+	p.closeWhenDraining(w.Header())
+	p.options.ServeBatch(w, r, route)
+}
+
+// forward answers a client's request of a route from an endpoint.
+func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route, limits *operatorconfig.Limits, target string, arrived arrival) {
+	if status := statusIfUnanswerable(r); status != 0 {
+		w.Header().Set("Connection", "close")
+		p.refuse(w, r, status, 0, route)
+		return
+	}
+	timeout := clientTimeout(route, r.Header)
+	x := p.newExchange(r, route, arrived, timeout)
+	rc := http.NewResponseController(w)
+	_ = rc.SetWriteDeadline(arrived.at.Add(timeout + writeMargin)) // without it a client that doesn't read is waited for
+	body := getBuffer()
+	defer putBuffer(body)
+	head, stream := x.takeBuffers()
+	defer x.releaseBuffers(head, stream)
+	if r.ContentLength != 0 {
+		bodyLimits := clientbody.Limits{MaxBytes: limits.MaxBodyBytes, Deadline: x.deadline, Budget: p.options.BodyBudget}
+		if status := clientbody.Read(rc, r, bodyLimits, body); status != 0 {
+			w.Header().Set("Connection", "close") // what follows on it can't be told from the rest of the body
+			p.refuse(w, r, status, defaultRetryAfter, route)
+			return
+		}
+		x.body = *body
+		defer p.options.BodyBudget.Release(len(x.body))
+	}
+	x.buildHead(target, r.Host, r.Header, len(x.body))
+	if limits.MaxHeaderBytes > 0 && x.sharedHeadLength > limits.MaxHeaderBytes+headerMargin {
+		p.refuse(w, r, http.StatusRequestHeaderFieldsTooLarge, 0, route)
+		return
+	}
+	p.answerFromEndpoints(x, w, r, rc)
+}
+
+// statusIfUnanswerable returns the status for a request whose answer could not be told from others, or not from a part of
+// itself; 0 for any other.
+func statusIfUnanswerable(r *http.Request) int {
+	switch {
+	case !r.ProtoAtLeast(1, 1): // a stream that is cut would look complete
+		return http.StatusHTTPVersionNotSupported
+	case len(r.Header[headerID]) != 1 || r.Header[headerID][0] == "":
+		return http.StatusBadRequest
+	}
+	return 0
+}
+
+// clientTimeout returns how long a client waits for its answer: the route's time limit, or less if the client says so.
+func clientTimeout(route *operatorconfig.Route, header http.Header) time.Duration {
+	timeout := time.Duration(route.TimeoutMs) * time.Millisecond
+	ms, err := strconv.ParseInt(header.Get(headerTimeLeft), 10, 64)
+	if err == nil && ms >= 0 && ms < timeout.Milliseconds() {
+		return time.Duration(ms) * time.Millisecond
+	}
+	return timeout
+}
+
+// newExchange returns the exchange of a client's request.
+func (p *Proxy) newExchange(r *http.Request, route *operatorconfig.Route, arrived arrival, timeout time.Duration) *exchange {
+	x := &exchange{proxy: p, ctx: r.Context(), method: r.Method}
+	x.describe(route, r.Header.Get)
+	x.deadline = arrived.at.Add(timeout - min(answerMargin, timeout/8))
+	x.request.Arrived, x.request.Deadline = arrived.admitted, x.deadline
+	x.request.Due = arrived.at.Add(time.Duration(route.LatencyTargetMs) * time.Millisecond)
+	x.lastEventID = r.Header.Get(headerLastEvent)
+	return x
+}
--- a/internal/proxy/forward/invariants.go
+++ b/internal/proxy/forward/invariants.go
@@ -10,26 +10,26 @@
 )
 
 var (
-	// runsOnce: a request that may run once goes to no endpoint after one that may have run it.
-	runsOnce = invariant.New("requests_that_run_once_are_sent_once")
-	// refusalsHaveNotRun: 503 is answered only to a request that no endpoint can have run.
-	refusalsHaveNotRun = invariant.New("refused_requests_have_not_run")
-	// answersAreTheCalls: what a client gets of an endpoint bears the id of its own request.
-	answersAreTheCalls = invariant.New("answers_belong_to_their_request")
+	// sentOnceInvariant: a request that may run once goes to no endpoint after one that may have run it.
+	sentOnceInvariant = invariant.New("requests_that_run_once_are_sent_once")
+	// refusedNotRunInvariant: 503 is answered only to a request that no endpoint can have run.
+	refusedNotRunInvariant = invariant.New("refused_requests_have_not_run")
+	// answersMatchInvariant: what a client gets from an endpoint carries the id of its own request.
+	answersMatchInvariant = invariant.New("answers_belong_to_their_request")
 )
 
-// checkSend is called before a request is written to an endpoint. noteSent keeps account of what may have run by itself,
-// apart from the states of package attempt, which decide.
+// checkSend is called before a request is written to an endpoint. What may have run is recorded by recordSent, independently
+// of the states of package attempt, which decide.
 func (x *exchange) checkSend(target string) {
-	repeatable := x.req.Bulk || x.req.Route.Idempotent()
-	runsOnce.Check(repeatable || !x.mayHaveRun, func() string {
-		return fmt.Sprintf("request %s of route %s goes to %s after %v", x.req.ID, x.req.Route.Name, target, x.req.Avoid)
+	idempotent := x.request.Bulk || x.request.Route.Idempotent()
+	sentOnceInvariant.Check(idempotent || !x.mayHaveRun, func() string {
+		return fmt.Sprintf("request %s of route %s goes to %s after %v", x.request.ID, x.request.Route.Name, target, x.request.Avoid)
 	})
 }
 
-// noteSent takes in how a sending ended, by the error of its round trip or, without one, by the event that its answer's head is. An
-// endpoint that had all of it may have run it, unless it says that it has not.
-func (x *exchange) noteSent(err error, head attempt.Event) {
+// recordSent records how a sending ended, by the error of its round trip or, without one, by the event that its answer's head
+// is. An endpoint that had all of the request may have run it, unless it says that it has not.
+func (x *exchange) recordSent(err error, head attempt.Event) {
 	if err == nil {
 		x.mayHaveRun = x.mayHaveRun || head != attempt.Rejected
 		return
@@ -40,14 +40,14 @@
 
 // checkRefusal is called before 503 is answered.
 func (x *exchange) checkRefusal() {
-	refusalsHaveNotRun.Check(!x.mayHaveRun, func() string {
-		return fmt.Sprintf("request %s of route %s is refused after %v had it", x.req.ID, x.req.Route.Name, x.req.Avoid)
+	refusedNotRunInvariant.Check(!x.mayHaveRun, func() string {
+		return fmt.Sprintf("request %s of route %s is refused after %v had it", x.request.ID, x.request.Route.Name, x.request.Avoid)
 	})
 }
 
-// checkAnswer is called before the head of an endpoint's answer is passed on.
+// checkAnswer is called before the head of an endpoint's answer is forwarded.
 func (x *exchange) checkAnswer() {
-	answersAreTheCalls.Check(x.matches(), func() string {
-		return fmt.Sprintf("request %s gets an answer with the ids %v", x.req.ID, x.resp.Header[headerID])
+	answersMatchInvariant.Check(x.answersThisRequest(), func() string {
+		return fmt.Sprintf("request %s gets an answer with the ids %v", x.request.ID, x.response.Header[headerID])
 	})
 }
--- a/internal/proxy/forward/invariants_test.go
+++ b/internal/proxy/forward/invariants_test.go
@@ -14,7 +14,7 @@
 
 func TestWhatMayHaveRunIsAccountedFor(t *testing.T) {
 	once := &operatorconfig.Route{Name: "save", Kind: operatorconfig.Writes}
-	request := func() *exchange { return &exchange{req: dispatch.Request{ID: "r1", Route: once}} }
+	request := func() *exchange { return &exchange{request: dispatch.Request{ID: "r1", Route: once}} }
 	for name, sending := range map[string]struct {
 		err        error
 		head       attempt.Event
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := request()
 			x.checkSend("e1")
-			x.noteSent(sending.err, sending.head)
+			x.recordSent(sending.err, sending.head)
 			if x.mayHaveRun != sending.mayHaveRun {
 				t.Fatalf("it may have run: %v", x.mayHaveRun)
 			}
@@ -45,8 +45,8 @@
 		})
 	}
 	x := request()
-	x.resp = &http.Response{Header: http.Header{headerID: {"r1"}}}
+	x.response = &http.Response{Header: http.Header{headerID: {"r1"}}}
 	x.checkAnswer()
-	x.resp.Header[headerID] = []string{"r2"}
+	x.response.Header[headerID] = []string{"r2"}
 	invarianttest.Violates(t, "answers_belong_to_their_request", x.checkAnswer)
 }
--- a/internal/proxy/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -24,149 +24,165 @@
 	Header map[string]string
 	Body   []byte
 	Route  *operatorconfig.Route
-	// MayStart is asked right before the item is sent to an endpoint; nil: it always may.
+	// MayStart is called right before the item is sent to an endpoint; nil: it always may.
 	MayStart func() bool
-	Due      time.Time // its result should be there by then; zero: not told
+	Due      time.Time // when its result should be there; zero: unknown
 }
 
 // ItemState is how a run of an item ended.
 type ItemState uint8
 
-// The states.
+// States of an item.
 const (
-	ItemNotRun ItemState = iota // no endpoint has run it
-	ItemDone                    // its whole output came
-	ItemBroken                  // it broke off; it may go on after the last event that came
-	ItemFailed                  // the endpoint answered 500: a failed attempt
-	ItemNever                   // the endpoint answered 422: it can't be done
+	ItemNotRun        ItemState = iota // no endpoint has run it
+	ItemDone                           // its whole output came
+	ItemBroken                         // it broke off; it may go on after the last event that came
+	ItemFailed                         // the endpoint answered 500: a failed attempt
+	ItemUnprocessable                  // the endpoint answered 422: it can't be done
 )
 
 // Result is how a run of an item ended.
 type Result struct {
 	State ItemState
-	Err   error
+	Err   error // why, where it is not done
 }
 
 var (
-	errNotAnItem   = errors.New("not an item that can be sent")
+	errInvalidItem = errors.New("not an item that can be sent")
 	errMayNotStart = errors.New("its job may have ended")
 )
 
-// Check tells whether an item can be sent as a request.
+// Check returns an error if an item can't be sent as a request.
 func (it *Item) Check() error {
-	if it.Route == nil || it.ID == "" || !httpguts.ValidHeaderFieldValue(it.ID) || it.Host == "" || !httpguts.ValidHostHeader(it.Host) {
-		return errNotAnItem
+	switch {
+	case it.Route == nil,
+		it.ID == "" || !httpguts.ValidHeaderFieldValue(it.ID),
+		it.Host == "" || !httpguts.ValidHostHeader(it.Host):
+		return errInvalidItem
 	}
-	if !strings.HasPrefix(it.Path, "/") || strings.ContainsFunc(it.Path, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
-		return fmt.Errorf("%w: its path", errNotAnItem)
+	if !strings.HasPrefix(it.Path, "/") || strings.ContainsFunc(it.Path, isNotPrintable) {
+		return fmt.Errorf("%w: its path", errInvalidItem)
 	}
 	for name, value := range it.Header {
 		if !httpguts.ValidHeaderFieldName(name) || !httpguts.ValidHeaderFieldValue(value) {
-			return fmt.Errorf("%w: header %q", errNotAnItem, name)
+			return fmt.Errorf("%w: header %q", errInvalidItem, name)
 		}
 	}
 	return nil
 }
 
-// RunItem runs an item at an endpoint, after the event that is named, if any. Each whole event is
-// handed on as it comes; an answer that is no stream comes as one event. It ends with the context.
+func isNotPrintable(c rune) bool { return c <= ' ' || c >= 0x7f }
+
+// RunItem runs an item at an endpoint, after the event lastEventID, if there is one. The function event is called with each
+// complete event as it comes; an answer that is no stream comes as one event. The run ends with the context.
 func (p *Proxy) RunItem(ctx context.Context, it *Item, lastEventID string, event func(id string, data []byte)) Result {
 	if err := it.Check(); err != nil {
-		return Result{ItemNotRun, err}
+		return Result{State: ItemNotRun, Err: err}
 	}
 	header := make(http.Header, len(it.Header)+1)
 	for name, value := range it.Header {
 		header.Set(name, strings.TrimSpace(value))
 	}
 	header.Set(headerID, it.ID)
-	x := &exchange{p: p, ctx: ctx, method: http.MethodPost, last: lastEventID, body: it.Body}
+	x := &exchange{
+		proxy:       p,
+		ctx:         ctx,
+		method:      http.MethodPost,
+		lastEventID: lastEventID,
+		body:        it.Body,
+	}
 	x.describe(it.Route, header.Get)
-	x.req.Bulk, x.req.Arrived = true, p.o.Now()
+	x.request.Bulk, x.request.Arrived = true, p.options.Now()
 	if deadline, ok := ctx.Deadline(); ok {
-		x.deadline, x.req.Deadline = deadline, deadline
+		x.deadline, x.request.Deadline = deadline, deadline
 	}
-	x.req.Due = it.Due
-	headBuffer, streamBuffer := getBuffer(), getBuffer()
-	defer func() {
-		x.finish(dispatch.Left, upstream.Canceled)
-		*headBuffer, *streamBuffer = x.head, x.stream.buf
-		putBuffer(headBuffer)
-		putBuffer(streamBuffer)
-	}()
-	x.head, x.stream.buf = *headBuffer, *streamBuffer
+	x.request.Due = it.Due
+	head, stream := x.takeBuffers()
+	defer x.releaseBuffers(head, stream)
 	x.buildHead(it.Path, it.Host, header, len(it.Body))
 	return x.runItem(it, event)
 }
 
-// runItem sends an item until an endpoint has run it or none will. Only a send that ran nowhere is repeated here; what follows
-// a run that broke off or failed is decided by its job.
+// runItem sends an item until an endpoint has run it or none will. Only a sending that ran nowhere is repeated here; what
+// follows a run that broke off or failed is decided by its job.
 func (x *exchange) runItem(it *Item, event func(id string, data []byte)) Result {
 	for {
 		e, granted := x.acquire()
 		if granted {
 			if it.MayStart != nil && !it.MayStart() {
-				x.finish(dispatch.Unsent, upstream.Unused)
-				return Result{ItemNotRun, errMayNotStart}
+				x.finish(dispatch.NotSent, upstream.Unused)
+				return Result{State: ItemNotRun, Err: errMayNotStart}
 			}
-			e = x.send()
+			e = x.sendRequest()
 		}
-		switch x.follow(e) {
+		switch x.nextVerdict(e) {
 		case attempt.Retry:
 		case attempt.ServiceUnavailable:
-			return Result{ItemNotRun, errors.Join(context.Cause(x.ctx), x.err)}
+			return Result{State: ItemNotRun, Err: errors.Join(context.Cause(x.ctx), x.err)}
 		case attempt.Forward:
 			if e == attempt.Failed {
 				x.drainAndFinish(dispatch.Failed)
-				return Result{ItemFailed, nil}
+				return Result{State: ItemFailed}
 			}
-			return x.itemAnswer(event)
+			return x.readItemAnswer(event)
 		default: // BadGateway, GatewayTimeout, Abort
 			state := ItemBroken
 			if !granted {
 				state = ItemNotRun
 			}
-			return Result{state, errors.Join(context.Cause(x.ctx), x.err)}
+			return Result{State: state, Err: errors.Join(context.Cause(x.ctx), x.err)}
 		}
 	}
 }
 
-// itemAnswer reads the answer of an item.
-func (x *exchange) itemAnswer(event func(id string, data []byte)) Result {
-	status := x.resp.StatusCode
+// readItemAnswer reads the answer of an item, by its status.
+func (x *exchange) readItemAnswer(event func(id string, data []byte)) Result {
+	status := x.response.StatusCode
 	switch {
 	case status == http.StatusUnprocessableEntity:
 		x.drainAndFinish(dispatch.Served)
-		return Result{State: ItemNever}
-	case status == http.StatusBadRequest && x.resp.Header.Get(headerNotRun) != "":
+		return Result{State: ItemUnprocessable}
+	case status == http.StatusBadRequest && x.response.Header.Get(headerNotRun) != "":
 		x.drainAndFinish(dispatch.NotRun)
-		return Result{ItemNotRun, errNotAnItem}
+		return Result{State: ItemNotRun, Err: errInvalidItem}
 	case status >= 300:
 		x.drainAndFinish(dispatch.Failed)
-		return Result{ItemBroken, fmt.Errorf("the endpoint answered %d", status)}
+		return Result{State: ItemBroken, Err: fmt.Errorf("the endpoint answered %d", status)}
+	}
+	if isStream(x.response.Header) {
+		return x.readItemStream(event)
 	}
-	stream := isStream(x.resp.Header)
+	return x.readItemBody(event)
+}
+
+// readItemStream reads the events of an item's answer.
+func (x *exchange) readItemStream(event func(id string, data []byte)) Result {
 	x.stream.reset(-1)
-	if n := atoi(x.last); stream && n > 0 {
-		x.stream.after = int64(n)
+	if last := parseCount(x.lastEventID); last > 0 {
+		x.stream.minID = int64(last)
 	}
-	if stream {
-		x.stream.each = func(id string, one []byte) error {
-			event(id, dataOf(one))
-			return nil
-		}
+	x.stream.onEvent = func(id string, bytes []byte) error {
+		event(id, eventData(bytes))
+		return nil
 	}
-	var rest []byte
-	e := x.readEvents(func(whole []byte, end bool) error {
-		if !stream {
-			rest = append(rest, whole...)
-		}
+	end := x.readEvents(func([]byte, bool) error { return nil })
+	if end != attempt.BodyComplete {
+		return Result{State: ItemBroken, Err: x.err}
+	}
+	return Result{State: ItemDone}
+}
+
+// readItemBody reads an item's answer that is no stream.
+func (x *exchange) readItemBody(event func(id string, data []byte)) Result {
+	x.stream.reset(-1)
+	var body []byte
+	end := x.readEvents(func(whole []byte, _ bool) error {
+		body = append(body, whole...)
 		return nil
 	})
-	if e != attempt.BodyComplete {
-		return Result{ItemBroken, x.err}
-	}
-	if !stream {
-		event("", rest)
+	if end != attempt.BodyComplete {
+		return Result{State: ItemBroken, Err: x.err}
 	}
+	event("", body)
 	return Result{State: ItemDone}
 }
--- a/internal/proxy/forward/item_test.go
+++ b/internal/proxy/forward/item_test.go
@@ -34,7 +34,7 @@
 		"plain":      {answerOf("id1", sealed, "all\n\nof it"), ItemDone, "=all\n\nof it", 0},
 		"plain cut":  {strings.TrimSuffix(answerOf("id1", sealed, "all\n\nof it"), " it"), ItemBroken, "", 0},
 		"500":        {answerOf("id1", "500 X", "x"), ItemFailed, "", 0},
-		"422":        {answerOf("id1", "422 X", "x"), ItemNever, "", 0},
+		"422":        {answerOf("id1", "422 X", "x"), ItemUnprocessable, "", 0},
 		"504":        {answerOf("id1", "504 X", "x"), ItemBroken, "", 0},
 		"not sealed": {answerOf("id1", "200 OK", "x"), ItemBroken, "", 0},
 		"not run":    {answerOf("id1", "503 X|X-Dunetide-Not-Run: 1", "x"), ItemDone, "=fine", 1},
@@ -82,7 +82,7 @@
 	if err := <-gone; err == nil {
 		t.Error("the run was not ended")
 	}
-	if got := g.a.outcomes(); !slices.Equal(got, []dispatch.Outcome{dispatch.Left}) {
+	if got := g.a.outcomes(); !slices.Equal(got, []dispatch.Outcome{dispatch.Canceled}) {
 		t.Errorf("%v", got)
 	}
 	if res := g.p.RunItem(ctx, item(&g.config.Routes[0]), "", nil); res.State != ItemNotRun {
--- a/internal/proxy/forward/listener.go
+++ b/internal/proxy/forward/listener.go
@@ -9,77 +9,81 @@
 	"sync/atomic"
 )
 
-// lengthHeader is the header that is counted on clients' connections, in lower case.
-const lengthHeader = "content-length"
+// lengthHeaderName is the header that is counted on clients' connections, in lower case.
+const lengthHeaderName = "content-length"
 
 // clientConn counts the Content-Length headers that arrive on a client's connection. net/http drops that header of a request
-// with chunked transfer coding before any handler sees it, but such a request may be an attempt to smuggle a second one behind it
-// (RFC 9112, 6.1): its connection has to be closed after the answer.
+// with chunked transfer coding before any handler sees it, but such a request may be an attempt to smuggle a second one behind
+// it (RFC 9112, 6.1): its connection has to be closed after the answer.
 type clientConn struct {
 	net.Conn
-	arrived atomic.Int64 // headers that were read
-	matched int          // bytes of lengthHeader that the current line begins with; -1: it begins otherwise
-	handled int64        // headers of the requests that were handled
+	lengthHeaders  atomic.Int64 // headers that were read
+	matchedBytes   int          // bytes of lengthHeaderName that the current line begins with; -1: it begins otherwise
+	handledLengths int64        // headers of the requests that were handled
 
-	state   http.ConnState // of connStates, with the two below
-	counted bool           // it is in the count of its state
+	// Of connectionStates.
+	state   http.ConnState
+	counted bool // it is in the count of its state
 	ended   bool
 }
 
-// Read is of net.Conn.
+// Read implements net.Conn.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.scan(b[:n])
+	c.countLengthHeaders(b[:n])
 	return n, err
 }
 
-// scan counts the lines that begin with the header's name; those of bodies count too.
-func (c *clientConn) scan(b []byte) {
+// countLengthHeaders counts the lines that begin with the header's name; those of bodies count too.
+func (c *clientConn) countLengthHeaders(b []byte) {
 	for len(b) > 0 {
-		if c.matched < 0 {
+		if c.matchedBytes < 0 {
 			end := bytes.IndexByte(b, '\n')
 			if end < 0 {
 				return
 			}
 			b = b[end+1:]
-			c.matched = 0
+			c.matchedBytes = 0
 			continue
 		}
 		const lowerCase = 0x20
-		if b[0]|lowerCase != lengthHeader[c.matched] {
-			c.matched = -1
+		if b[0]|lowerCase != lengthHeaderName[c.matchedBytes] {
+			c.matchedBytes = -1
 			continue
 		}
 		b = b[1:]
-		if c.matched++; c.matched == len(lengthHeader) {
-			c.arrived.Add(1)
-			c.matched = -1
+		if c.matchedBytes++; c.matchedBytes == len(lengthHeaderName) {
+			c.lengthHeaders.Add(1)
+			c.matchedBytes = -1
 		}
 	}
 }
 
-// ambiguous takes in a request that is about to be handled. It tells whether the request is chunked and may have had a
+// ambiguous records a request that is about to be handled. It reports whether the request is chunked and may have had a
 // Content-Length as well. Pipelined requests and bodies may be mistaken for that, at the cost of a connection.
 func (c *clientConn) ambiguous(r *http.Request) bool {
 	if len(r.Header["Content-Length"]) > 0 {
-		c.handled++
+		c.handledLengths++
 	}
-	return slices.Contains(r.TransferEncoding, "chunked") && c.arrived.Load() > c.handled
+	return slices.Contains(r.TransferEncoding, "chunked") && c.lengthHeaders.Load() > c.handledLengths
 }
 
+// clientListener wraps the connections that it accepts.
 type clientListener struct{ net.Listener }
 
-// Accept is of net.Listener.
+// Accept implements net.Listener.
 func (l clientListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: conn, matched: -1}, nil
+	return &clientConn{Conn: conn, matchedBytes: -1}, nil
 }
 
+// clientConnKey is the context key of a request's *clientConn.
 type clientConnKey struct{}
 
+// withClientConn is the ConnContext hook of the server.
 func withClientConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
@@ -87,7 +91,7 @@
 // Serve accepts clients' connections until the server is shut down or closed.
 func (p *Proxy) Serve(l net.Listener) error { return p.server.Serve(clientListener{l}) }
 
-// closeIfAmbiguous lets the connection end with the answer if the request's length could be read in two ways.
+// closeIfAmbiguous closes the connection after the answer if the length of the request could be read in two ways.
 func closeIfAmbiguous(w http.ResponseWriter, r *http.Request) {
 	if conn, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok && conn.ambiguous(r) {
 		w.Header().Set("Connection", "close")
--- a/internal/proxy/forward/night_test.go
+++ b/internal/proxy/forward/night_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// In simulated time, which the race detector does not take (see internal/deliverynode/fleet/simulated_test.go).
+// In simulated time, which the race detector does not take (see internal/fleet/simulated_test.go).
 
 package forward
 
@@ -400,7 +400,7 @@
 			return p.confirmed
 		}})
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		p.dispatch = dispatch.New(dispatch.Options{Zone: "z", Holder: p.holder, Rand: rng.Float64})
+		p.dispatch = dispatch.New(dispatch.Options{Zone: "z", Snapshots: p.holder, Rand: rng.Float64})
 		p.record = audit.NewRecorder(audit.RecorderOptions{NodeName: fmt.Sprint("p", i), Incarnation: 1, RequiredStores: 2, MaxPending: 60,
 			Stores: func() (all []snapshot.Store) {
 				for i := range n.stores {
@@ -412,7 +412,7 @@
 				i, err := strconv.Atoi(addr)
 				return toStore{n, i}, err
 			}})
-		p.proxy = New(Options{Holder: p.holder, Admission: p.dispatch, Match: firstMatch, Certified: p.gate, Record: p.record,
+		p.proxy = New(Options{Snapshots: p.holder, Admission: p.dispatch, Match: firstMatch, Certificates: p.gate, Recorder: p.record,
 			Dial: func(_ context.Context, addr string) (net.Conn, error) { return n.engines[addr].dial(p) }})
 		n.proxies = append(n.proxies, p)
 	}
@@ -642,7 +642,7 @@
 	cancel()
 	for _, p := range n.proxies {
 		p.dispatch.Close()
-		p.proxy.conns.Close()
+		p.proxy.connections.Close()
 	}
 	for _, e := range n.engines {
 		e.mu.Lock()
--- a/internal/proxy/forward/prepare_test.go
+++ b/internal/proxy/forward/prepare_test.go
@@ -16,7 +16,7 @@
 // unprepared is a proxy that has just started: it knows no configuration.
 func unprepared(t *testing.T, e ...*endpoint) (*rig, *snapshot.Latest) {
 	holder := &snapshot.Latest{}
-	return newRigWith(t, route(operatorconfig.Writes, 1), func(o *Options) { o.Holder = holder }, e...), holder
+	return newRigWith(t, route(operatorconfig.Writes, 1), func(o *Options) { o.Snapshots = holder }, e...), holder
 }
 
 func TestRequestsWaitForAProxyThatHasJustStarted(t *testing.T) {
@@ -84,7 +84,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	must(t, c.Close())
-	for end := time.Now().Add(unpreparedMost / 2); g.p.unprepared.Load() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(maxUnpreparedWait / 2); g.p.unprepared.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it still waits")
 		}
@@ -92,7 +92,7 @@
 }
 
 func TestUnpreparedWait(t *testing.T) {
-	for timeLeft, want := range map[string]time.Duration{"900": 450 * time.Millisecond, "60000": unpreparedMost, "0": 0, "": unpreparedMost, "x": unpreparedMost, "-1": unpreparedMost} {
+	for timeLeft, want := range map[string]time.Duration{"900": 450 * time.Millisecond, "60000": maxUnpreparedWait, "0": 0, "": maxUnpreparedWait, "x": maxUnpreparedWait, "-1": maxUnpreparedWait} {
 		if got := unpreparedWait(timeLeft); got != want {
 			t.Errorf("%q: %v, want %v", timeLeft, got, want)
 		}
--- /dev/null
+++ b/internal/proxy/forward/refuse.go
@@ -0,0 +1,49 @@
+package forward
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"dunetide/internal/control/operatorconfig"
+)
+
+// defaultRetryAfter is after what time to retry where nothing better is known.
+const defaultRetryAfter = 100 * time.Millisecond
+
+// refuse answers a request that goes to no endpoint with a status; route is nil where none was found.
+func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration, route *operatorconfig.Route) {
+	p.logOwnAnswer(r, status, route)
+	p.answerStatus(w, r, status, retryAfter)
+}
+
+// answerStatus answers a client with a status of the proxy's own, without a body. A 503 states when to retry.
+func (p *Proxy) answerStatus(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration) {
+	h := w.Header()
+	p.closeWhenDraining(h)
+	h["Date"], h["Content-Type"] = nil, nil
+	h.Set("Content-Length", "0")
+	if id := r.Header.Get(headerID); id != "" {
+		h[headerID] = []string{id}
+	}
+	if retryAfter > 0 && status == http.StatusServiceUnavailable {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	}
+	w.WriteHeader(status)
+}
+
+// retryAfterHint returns after what time a client that is refused should retry: a third of its time at most.
+func (x *exchange) retryAfterHint() time.Duration {
+	d := x.retryAfter
+	if d <= 0 {
+		d = defaultRetryAfter
+	}
+	return max(time.Millisecond, min(d, x.timeLeft()/3))
+}
+
+// closeWhenDraining asks the client for another connection, to another machine, once this process is to be stopped.
+func (p *Proxy) closeWhenDraining(h http.Header) {
+	if p.draining.Load() {
+		h["Connection"] = []string{"close"}
+	}
+}
