--- a/internal/control/operatorconfig/config_test.go
+++ b/internal/control/operatorconfig/config_test.go
@@ -11,9 +11,10 @@
 
 const services = `[{"name":"a","health_path":"/health","max_conns":320,"protocol":"h1","tls":false},{"name":"b"}]`
 
-// TestConfigurations has three ways to give a configuration: whole, a field in the place of the whole's
-// or more of them (with), and routes alone over the services a and b.
-func TestConfigurations(t *testing.T) {
+// TestParse has three commands for a configuration: whole gives all of it, with gives fields of the root object that
+// replace or join those of a minimal configuration, and routes gives routes to the services a and b. The command match
+// matches requests against the configuration before it.
+func TestParse(t *testing.T) {
 	datadriven.Walk(t, "testdata/configs", func(t *testing.T, path string) {
 		t.Helper()
 		var c *Config
@@ -27,16 +28,7 @@
 			case "routes":
 				raw = `{"version":7,"services":` + services + `,"routes":[` + d.Input + `]}`
 			case "match":
-				var out strings.Builder
-				for line := range strings.Lines(d.Input) {
-					host, path, _ := strings.Cut(strings.TrimSpace(line), " ")
-					if r := c.Match(host, path); r != nil {
-						fmt.Fprintln(&out, r.Name)
-					} else {
-						fmt.Fprintln(&out, "none")
-					}
-				}
-				return out.String()
+				return matchRequests(c, d.Input)
 			default:
 				d.Fatalf(t, "unknown command")
 			}
@@ -51,12 +43,27 @@
 				t.Errorf("raw is %q", got.Raw)
 			}
 			c = got
-			return show(c)
+			return formatConfig(c)
 		})
 	})
 }
 
-func show(c *Config) string {
+// matchRequests returns the name of the route of each request, which is a host and a path a line.
+func matchRequests(c *Config, requests string) string {
+	var out strings.Builder
+	for line := range strings.Lines(requests) {
+		host, path, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if route := c.Match(host, path); route != nil {
+			fmt.Fprintln(&out, route.Name)
+		} else {
+			fmt.Fprintln(&out, "none")
+		}
+	}
+	return out.String()
+}
+
+// formatConfig returns a configuration in the order of its routes, and of the names of its services.
+func formatConfig(c *Config) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "version %d, limits %+v\n", c.Version, c.Limits)
 	for _, r := range c.Routes {
@@ -80,20 +87,20 @@
 	return out.String()
 }
 
-func TestMatchBeforeParse(t *testing.T) {
+func TestMatchOfEmptyConfigIsNil(t *testing.T) {
 	if r := new(Config).Match("h", "/"); r != nil {
 		t.Error(r)
 	}
 }
 
-func TestEveryCutIsInvalid(t *testing.T) {
+func TestTruncatedConfigurationIsUnreadable(t *testing.T) {
 	whole := `{"version":7,"services":` + services + `,"routes":[{"name":"r","host":"h","path_start":"/","kind":"writes","timeout_ms":1,"service":"a"}]}`
 	if _, err := Parse([]byte(whole)); err != nil {
 		t.Fatal(err)
 	}
 	for n := range len(whole) {
 		if _, err := Parse([]byte(whole[:n])); !Unreadable.Has(err) {
-			t.Errorf("cut at %d: %v", n, err)
+			t.Errorf("truncated to %d bytes: %v", n, err)
 		}
 	}
 }
@@ -119,7 +126,7 @@
 				}
 			}
 			if sum <= 0 || r.TimeoutMs <= 0 || r.MaxAttempts < 1 || c.Version == 0 {
-				t.Errorf("taken: %+v", r)
+				t.Errorf("accepted: %+v", r)
 			}
 			if got := c.Match(r.Host, r.PathPrefix); got != r && !strings.ContainsRune(r.PathPrefix, '?') && normalizeHost(r.Host) == r.Host {
 				t.Errorf("%+v matches %+v", r, got)
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestSettings has two commands: parse a whole file, and with, which puts lines behind those that must be there.
-func TestSettings(t *testing.T) {
+// TestParse has two commands: parse for a whole file, and with, which adds lines to the required ones.
+func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, d *datadriven.TestData) string {
 		t.Helper()
 		text := d.Input
@@ -38,10 +38,10 @@
 	})
 }
 
-func TestRead(t *testing.T) {
+func TestReadErrorsNameTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.conf")
 	if _, err := Read(path); !Invalid.Has(err) || !strings.Contains(err.Error(), path) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("absent file: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("node_name=n\nip=x\ninternal_ports=1,2\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := Parse(b, "f")
 		if err == nil && (s.NodeName == "" || s.IP == "" || s.FirstInternalPort < 1 || s.LastInternalPort < s.FirstInternalPort || s.Limits.CPUShare <= 0) {
-			t.Errorf("taken: %+v", s)
+			t.Errorf("accepted: %+v", s)
 		}
 		if err != nil && !Invalid.Has(err) {
 			t.Error(err)
--- a/internal/platform/settings/watch_test.go
+++ b/internal/platform/settings/watch_test.go
@@ -14,9 +14,9 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-const soundFile = "node_name=n\nip=10.0.0.7\ninternal_ports=7000,7015\nseeds=10.0.0.7:8003\nfirst_start=true\nlimits.memory_mb=100\n"
+const validFile = "node_name=n\nip=10.0.0.7\ninternal_ports=7000,7015\nseeds=10.0.0.7:8003\nfirst_start=true\nlimits.memory_mb=100\n"
 
-// watched is a Watcher over a file that the test writes, and what it logs.
+// watched is a Watcher over a file that the test writes, with its log.
 type watched struct {
 	*Watcher
 	t    *testing.T
@@ -45,10 +45,11 @@
 	return strings.Split(text, "\n")
 }
 
-func watch(t *testing.T, text string) *watched {
+// watch starts a Watcher over validFile.
+func watch(t *testing.T) *watched {
 	t.Helper()
 	w := &watched{t: t, path: filepath.Join(t.TempDir(), "boot.conf")}
-	w.write(text)
+	w.write(validFile)
 	var err error
 	if w.Watcher, err = NewWatcher(w.path, hclog.New(&hclog.LoggerOptions{Output: &w.log, DisableTime: true})); err != nil {
 		t.Fatal(err)
@@ -63,7 +64,7 @@
 	}
 }
 
-// expectLog checks how many lines there are and that the newest holds all the words.
+// expectLog checks how many lines there are and that the newest one contains all the words.
 func (w *watched) expectLog(lines int, words ...string) {
 	w.t.Helper()
 	got := w.log.lines()
@@ -77,31 +78,31 @@
 	}
 }
 
-func TestSeedsAndMemoryAreTakenOver(t *testing.T) {
-	w := watch(t, soundFile)
-	var told []*Settings
-	w.Subscribe(func(s *Settings) { told = append(told, s) })
+func TestReloadAppliesSeedsAndMemory(t *testing.T) {
+	w := watch(t)
+	var notified []*Settings
+	w.Subscribe(func(s *Settings) { notified = append(notified, s) })
 	before := w.Current()
 	w.Reload()
 	w.expectLog(0)
-	w.write(strings.NewReplacer("10.0.0.7:8003", "10.0.0.8:8003,10.0.0.9:8003", "=100", "=200").Replace(soundFile))
+	w.write(strings.NewReplacer("10.0.0.7:8003", "10.0.0.8:8003,10.0.0.9:8003", "=100", "=200").Replace(validFile))
 	w.Reload()
 	w.expectLog(1, "settings taken over", `fields="seeds,limits.memory_mb"`)
 	s := w.Current()
 	if !reflect.DeepEqual(s.Seeds, []string{"10.0.0.8:8003", "10.0.0.9:8003"}) || s.Limits.MemoryMB != 200 {
 		t.Errorf("%+v", s)
 	}
-	if len(told) != 2 || told[0] != before || told[1] != s {
-		t.Errorf("told %d times", len(told))
+	if len(notified) != 2 || notified[0] != before || notified[1] != s {
+		t.Errorf("notified %d times", len(notified))
 	}
 	if len(before.Seeds) != 1 {
-		t.Error("settings that were handed out have changed")
+		t.Error("settings that were returned have changed")
 	}
 }
 
-func TestWhatNeedsARestartIsSaidOnce(t *testing.T) {
-	w := watch(t, soundFile)
-	w.write(soundFile + "zone=z2\nbounds.grace_s=9\nlimits.disk_mb=5\n")
+func TestFieldsThatNeedARestartAreLoggedOnce(t *testing.T) {
+	w := watch(t)
+	w.write(validFile + "zone=z2\nbounds.grace_s=9\nlimits.disk_mb=5\n")
 	for range 3 {
 		w.Reload()
 	}
@@ -109,18 +110,18 @@
 	if s := w.Current(); s.Zone != "" || s.Bounds.Grace != 8*time.Second || s.Limits.DiskMB != 0 {
 		t.Errorf("%+v", s)
 	}
-	// Seeds of the same file count; what waits is not said again.
-	w.write(strings.Replace(soundFile, ":8003", ":8004", 1) + "zone=z2\nbounds.grace_s=9\nlimits.disk_mb=5\n")
+	// Seeds of the same file apply; the fields that need a restart are not logged again.
+	w.write(strings.Replace(validFile, ":8003", ":8004", 1) + "zone=z2\nbounds.grace_s=9\nlimits.disk_mb=5\n")
 	w.Reload()
 	w.expectLog(2, "fields=seeds")
-	w.write(strings.Replace(soundFile, ":8003", ":8004", 1))
+	w.write(strings.Replace(validFile, ":8003", ":8004", 1))
 	w.Reload()
 	w.expectLog(2)
 }
 
-func TestTheStartAloneReadsFirstStart(t *testing.T) {
-	w := watch(t, soundFile)
-	w.write(strings.Replace(soundFile, "first_start=true", "first_start=false", 1))
+func TestReloadIgnoresFirstStart(t *testing.T) {
+	w := watch(t)
+	w.write(strings.Replace(validFile, "first_start=true", "first_start=false", 1))
 	w.Reload()
 	w.expectLog(0)
 	if !w.Current().FirstStart {
@@ -128,10 +129,10 @@
 	}
 }
 
-func TestAnUnsoundFileLeavesTheSettings(t *testing.T) {
-	w := watch(t, soundFile)
+func TestInvalidFileLeavesSettingsInForce(t *testing.T) {
+	w := watch(t)
 	before := w.Current()
-	w.write(strings.Replace(soundFile, ":8003", "", 1))
+	w.write(strings.Replace(validFile, ":8003", "", 1))
 	for range 3 {
 		w.Reload()
 	}
@@ -147,14 +148,14 @@
 	w.Reload()
 	w.expectLog(3, "node_name is missing")
 	if w.Current() != before {
-		t.Error("an unsound file was taken over")
+		t.Error("an invalid file was applied")
 	}
-	w.write(strings.Replace(soundFile, ":8003", ":8004", 1))
+	w.write(strings.Replace(validFile, ":8003", ":8004", 1))
 	w.Reload()
 	w.expectLog(4, "settings taken over")
 }
 
-func TestNoStartWithAnUnsoundFile(t *testing.T) {
+func TestNewWatcherFailsOnInvalidFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.conf")
 	if _, err := NewWatcher(path, hclog.NewNullLogger()); !Invalid.Has(err) {
 		t.Error(err)
@@ -167,9 +168,9 @@
 	}
 }
 
-// TestEachFieldIsCompared changes every field of the settings by itself.
-func TestEachFieldIsCompared(t *testing.T) {
-	base, err := Parse([]byte(soundFile), "f")
+// TestDiffComparesEachField changes every field of the settings by itself.
+func TestDiffComparesEachField(t *testing.T) {
+	base, err := Parse([]byte(validFile), "f")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -214,15 +215,15 @@
 	each("", reflect.ValueOf(&changed).Elem())
 }
 
-// TestReadersAndSignals has readers while the file changes, for the race detector.
-func TestReadersAndSignals(t *testing.T) {
-	w := watch(t, soundFile)
+// TestConcurrentReadersDuringReload has readers while the file changes, for the race detector.
+func TestConcurrentReadersDuringReload(t *testing.T) {
+	w := watch(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	signals := make(chan os.Signal, 1)
-	var group sync.WaitGroup
-	group.Go(func() { w.Run(ctx, signals) })
+	var workers sync.WaitGroup
+	workers.Go(func() { w.Run(ctx, signals) })
 	for range 4 {
-		group.Go(func() {
+		workers.Go(func() {
 			for ctx.Err() == nil {
 				if len(w.Current().Seeds) != 1 {
 					t.Error("no seeds")
@@ -230,16 +231,16 @@
 			}
 		})
 	}
-	taken := make(chan string, 100)
-	w.Subscribe(func(s *Settings) { taken <- s.Seeds[0] })
-	<-taken
+	applied := make(chan string, 100)
+	w.Subscribe(func(s *Settings) { applied <- s.Seeds[0] })
+	<-applied
 	for _, port := range []string{":8004", ":8005", ":8006"} {
-		w.write(strings.Replace(soundFile, ":8003", port, 1))
+		w.write(strings.Replace(validFile, ":8003", port, 1))
 		signals <- os.Interrupt
 		for got := ""; got != "10.0.0.7"+port; {
-			got = <-taken
+			got = <-applied
 		}
 	}
 	cancel()
-	group.Wait()
+	workers.Wait()
 }
