--- a/internal/consensus/paxos/exploration_test.go
+++ b/internal/consensus/paxos/exploration_test.go
@@ -243,10 +243,10 @@
 }
 
 // TestEveryOrderOfMessages has two proposers on three voters, and every order of messages to a depth: from the start and from
-// where some messages were delivered in order; with one fault and without. AGREE_DEPTH goes deeper.
+// where some messages were delivered in order; with one fault and without. PAXOS_DEPTH goes deeper.
 func TestEveryOrderOfMessages(t *testing.T) {
 	depth := 5
-	if n, err := strconv.Atoi(os.Getenv("AGREE_DEPTH")); err == nil {
+	if n, err := strconv.Atoi(os.Getenv("PAXOS_DEPTH")); err == nil {
 		depth = n
 	}
 	for _, first := range []int{0, 3, 6, 9, 12, 16, 20} {
--- a/internal/consensus/paxos/faults_test.go
+++ b/internal/consensus/paxos/faults_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// seeds is how many a test plays: AGREE_SEEDS, or what fits into a few seconds.
+// seeds is how many a test plays: PAXOS_SEEDS, or what fits into a few seconds.
 func seedCount(usual int) int {
-	if n, err := strconv.Atoi(os.Getenv("AGREE_SEEDS")); err == nil {
+	if n, err := strconv.Atoi(os.Getenv("PAXOS_SEEDS")); err == nil {
 		return n
 	}
 	return usual
 }
 
-// play runs f for each seed on all cores; AGREE_SEED plays one, with what happened.
+// play runs f for each seed on all cores; PAXOS_SEED plays one, with what happened.
 func playSeeds(t *testing.T, n int, f func(seed uint64, c func(*cluster))) {
 	t.Helper()
 	one := func(seed uint64, tracing bool) (said string) {
@@ -41,7 +41,7 @@
 		f(seed, func(c *cluster) { played, c.tracing = c, tracing })
 		return ""
 	}
-	if s, err := strconv.ParseUint(os.Getenv("AGREE_SEED"), 10, 64); err == nil {
+	if s, err := strconv.ParseUint(os.Getenv("PAXOS_SEED"), 10, 64); err == nil {
 		if said := one(s, true); said != "" {
 			t.Fatal(said)
 		}
--- a/internal/consensus/paxos/golden_test.go
+++ b/internal/consensus/paxos/golden_test.go
@@ -103,8 +103,8 @@
 	})
 }
 
-// TestGoldenPayloads reads each kind of payload that Save stores, as a node does at its start.
-func TestGoldenPayloads(t *testing.T) {
+// TestGoldenRecords reads each kind of payload that Save stores, as a node does at its start.
+func TestGoldenRecords(t *testing.T) {
 	low, high := ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}
 	next := goldenState()
 	next.Slot++
--- a/internal/consensus/paxos/wrong_test.go
+++ b/internal/consensus/paxos/mutants_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that would break what the page promises, one at a time. The tests have to find each of them.
-var wrong = []mutation.Mutant{
+// mutants each break a guarantee of docs/agreement.md. The tests have to find each of them.
+var mutants = []mutation.Mutant{
 	{
 		Name: "a promise is not saved",
 		File: "acceptor.go",
@@ -245,13 +245,18 @@
 	},
 }
 
-// TestWrongLinesStand has the list follow the code.
-func TestWrongLinesStand(t *testing.T) { mutation.CheckPresent(t, wrong) }
+// TestMutantsStand fails when the text of a mutant is not found once in the file that it names.
+func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
-// Each wrong line is found by the tests. This takes minutes and all cores, so it is asked for: AGREE_WRONG=1, or
-// a part of a name.
-func TestWrongLinesAreFound(t *testing.T) {
-	only := mutation.Requested(t, "AGREE_WRONG")
-	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "TestChaos|TestLastFault|TestKilled|TestEveryOrder|TestAnswersOfNonVoters|TestNonVoters|TestSnapshot"},
-		Env: []string{"AGREE_WRONG=", "AGREE_SEEDS=5000"}, Within: 5 * time.Minute})
+// TestMutantsAreFound runs the tests over each mutant. That takes minutes and all cores, so it has to be requested:
+// PAXOS_MUTANTS=1, or a part of a name.
+func TestMutantsAreFound(t *testing.T) {
+	only := mutation.Requested(t, "PAXOS_MUTANTS")
+	tests := "TestChaos|TestLastFault|TestKilled|TestEveryOrder|TestAnswersOfNonVoters|TestNonVoters|TestSnapshot"
+	mutation.Find(t, mutants, mutation.Options{
+		Only:   only,
+		Args:   []string{"-run", tests},
+		Env:    []string{"PAXOS_MUTANTS=", "PAXOS_SEEDS=5000"},
+		Within: 5 * time.Minute,
+	})
 }
--- a/internal/consensus/quorum/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -414,7 +414,7 @@
 
 func modelSeeds(t *testing.T) uint64 {
 	t.Helper()
-	if text := os.Getenv("CONTACT_SEEDS"); text != "" {
+	if text := os.Getenv("QUORUM_SEEDS"); text != "" {
 		n, err := strconv.ParseUint(text, 10, 32)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/consensus/quorum/wrong_test.go
+++ b/internal/consensus/quorum/mutants_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that would break what the package promises, one at a time. The model alone has to find each of them.
-var wrong = []mutation.Mutant{
+// mutants each break a guarantee of the package. The model alone has to find each of them.
+var mutants = []mutation.Mutant{
 	{
 		Name: "contact counted from the answer",
 		File: "tracker.go",
@@ -107,14 +107,19 @@
 	},
 }
 
-// Each wrong line can still be put where it belongs.
-func TestWrongLinesStand(t *testing.T) {
-	mutation.CheckPresent(t, wrong)
+// TestMutantsStand fails when the text of a mutant is not found once in the file that it names.
+func TestMutantsStand(t *testing.T) {
+	mutation.CheckPresent(t, mutants)
 }
 
-// Each wrong line is found by the model. This takes a while, so it is asked for: CONTACT_WRONG=1, or a part of a name.
-func TestWrongLinesAreFound(t *testing.T) {
-	only := mutation.Requested(t, "CONTACT_WRONG")
-	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "^TestNothingIsServedWithoutAMajority$"},
-		Env: []string{"CONTACT_WRONG=", "CONTACT_SEEDS=100"}, Within: 2 * time.Minute})
+// TestMutantsAreFound runs the model over each mutant. That takes a while, so it has to be requested: QUORUM_MUTANTS=1,
+// or a part of a name.
+func TestMutantsAreFound(t *testing.T) {
+	only := mutation.Requested(t, "QUORUM_MUTANTS")
+	mutation.Find(t, mutants, mutation.Options{
+		Only:   only,
+		Args:   []string{"-run", "^TestNothingIsServedWithoutAMajority$"},
+		Env:    []string{"QUORUM_MUTANTS=", "QUORUM_SEEDS=100"},
+		Within: 2 * time.Minute,
+	})
 }
--- a/internal/consensus/reconfigure/wrong_test.go
+++ b/internal/consensus/reconfigure/mutants_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that would break what the package promises, one at a time. The tests have to find each of them.
-var wrong = []mutation.Mutant{
+// mutants each break a guarantee of the package. The tests have to find each of them.
+var mutants = []mutation.Mutant{
 	{
 		Name: "nobody is removed",
 		File: "rules.go",
@@ -185,13 +185,18 @@
 	},
 }
 
-// TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { mutation.CheckPresent(t, wrong) }
+// TestMutantsStand fails when the text of a mutant is not found once in the file that it names.
+func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
-// Each wrong line is found by the tests. This takes minutes, so it is asked for: RECONFIGURE_WRONG=1, or a part of a
-// name.
-func TestWrongLinesAreFound(t *testing.T) {
-	only := mutation.Requested(t, "RECONFIGURE_WRONG")
-	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-cpu", "2", "-run", "TestNext|TestApply|TestEvery|TestReachability|TestUnreachable|TestCaughtUp|TestRemoved|TestHistories|TestFenced"},
-		Env: []string{"RECONFIGURE_WRONG=", "RECONFIGURE_HISTORIES=15"}, Within: 5 * time.Minute})
+// TestMutantsAreFound runs the tests over each mutant. That takes minutes, so it has to be requested:
+// RECONFIGURE_MUTANTS=1, or a part of a name.
+func TestMutantsAreFound(t *testing.T) {
+	only := mutation.Requested(t, "RECONFIGURE_MUTANTS")
+	tests := "TestNext|TestApply|TestEvery|TestReachability|TestUnreachable|TestCaughtUp|TestRemoved|TestHistories|TestFenced"
+	mutation.Find(t, mutants, mutation.Options{
+		Only:   only,
+		Args:   []string{"-cpu", "2", "-run", tests},
+		Env:    []string{"RECONFIGURE_MUTANTS=", "RECONFIGURE_HISTORIES=15"},
+		Within: 5 * time.Minute,
+	})
 }
