--- a/internal/batch/itemrunner.go
+++ b/internal/batch/itemrunner.go
@@ -183,11 +183,7 @@
 			continue
 		}
 		r.announcedLimits[id] = limit
-		var w link.Writer
-		w.String(r.name)
-		w.String(r.zone)
-		w.Int(limit)
-		_ = conn.Send(kindAttachWorker, w.B)
+		_ = conn.Send(kindAttachWorker, encodeAttachWorker(r.name, r.zone, limit))
 	}
 }
 
@@ -223,13 +219,7 @@
 		return
 	}
 	r.contacts[partition] = &primaryContact{conn: conn, epoch: epoch}
-	w := encodeTermMessage(4, partition, epoch)
-	w.U32(uint32(len(keys)))
-	for _, key := range keys {
-		w.String(key.jobID)
-		w.U32(uint32(key.index))
-	}
-	_ = conn.Send(kindReportRunning, w.B)
+	_ = conn.Send(kindReportRunning, encodeReportRunning(partition, epoch, keys))
 }
 
 // handleMessage is the event of a message of a store.
@@ -372,11 +362,5 @@
 
 // sendResult sends the result of an item to a store.
 func sendResult(conn *link.Conn, item *runningItem) {
-	w := link.Writer{B: make([]byte, 0, len(item.text)+64)}
-	w.U32(uint32(item.key.partition))
-	w.String(item.key.jobID)
-	w.U32(uint32(item.key.index))
-	w.Bool(item.abandoned)
-	w.Bytes(item.text)
-	_ = conn.Send(kindItemResult, w.B)
+	_ = conn.Send(kindItemResult, encodeItemResult(item.key, item.abandoned, item.text))
 }
--- a/internal/batch/messages.go
+++ b/internal/batch/messages.go
@@ -70,6 +70,61 @@
 	codeLogFull           // not done, and it will not be for some time: the log of this store or of a replica is full
 )
 
+// encodeReadResults is kindReadResults.
+func encodeReadResults(jobID string, startAfter int, waitMs int64) []byte {
+	w := link.Writer{B: make([]byte, 0, 4+len(jobID)+16)}
+	w.String(jobID)
+	w.Int(startAfter)
+	w.Int(int(waitMs))
+	return w.B
+}
+
+// encodeReadItemBody is kindReadItemBody.
+func encodeReadItemBody(jobID, itemID string) []byte {
+	w := link.Writer{B: make([]byte, 0, 8+len(jobID)+len(itemID))}
+	w.String(jobID)
+	w.String(itemID)
+	return w.B
+}
+
+// encodeEndJob is kindEndJob.
+func encodeEndJob(jobID string) []byte {
+	var w link.Writer
+	w.String(jobID)
+	return w.B
+}
+
+// encodeAttachWorker is kindAttachWorker.
+func encodeAttachWorker(name, zone string, limit int) []byte {
+	w := link.Writer{B: make([]byte, 0, 16+len(name)+len(zone))}
+	w.String(name)
+	w.String(zone)
+	w.Int(limit)
+	return w.B
+}
+
+// encodeReportRunning is kindReportRunning. The keys are those of items of the partition.
+func encodeReportRunning(partition int, epoch uint64, keys []itemKey) []byte {
+	w := encodeTermMessage(4, partition, epoch)
+	w.U32(uint32(len(keys)))
+	for _, key := range keys {
+		w.String(key.jobID)
+		w.U32(uint32(key.index))
+	}
+	return w.B
+}
+
+// encodeItemResult is kindItemResult.
+func encodeItemResult(key itemKey, abandoned bool, text []byte) []byte {
+	w := link.Writer{B: make([]byte, 0, 17+len(key.jobID)+len(text))}
+	w.U32(uint32(key.partition))
+	w.String(key.jobID)
+	w.U32(uint32(key.index))
+	w.Bool(abandoned)
+	w.Bytes(text)
+	return w.B
+}
+
 // encodeTermMessage begins a message between a primary and its replicas: a partition, a term and
 // more numbers. The capacity has space for so many more bytes.
 func encodeTermMessage(more, partition int, numbers ...uint64) link.Writer {
--- a/internal/batch/proxy.go
+++ b/internal/batch/proxy.go
@@ -215,11 +215,8 @@
 func (p *Proxy) ReadResults(
 	ctx context.Context, jobID string, startAfter int, wait time.Duration,
 ) (ResultPage, CallOutcome) {
-	var w link.Writer
-	w.String(jobID)
-	w.Int(startAfter)
-	w.Int(int(wait.Milliseconds()))
-	reply, _ := p.call(ctx, jobID, kindReadResults, w.B)
+	body := encodeReadResults(jobID, startAfter, wait.Milliseconds())
+	reply, _ := p.call(ctx, jobID, kindReadResults, body)
 	r := link.Reader{B: reply}
 	outcome := callOutcome(r.U8())
 	if outcome != Found {
@@ -237,10 +234,7 @@
 
 // ReadItemBody reads the body of an item as it was submitted.
 func (p *Proxy) ReadItemBody(ctx context.Context, jobID, itemID string) ([]byte, CallOutcome) {
-	var w link.Writer
-	w.String(jobID)
-	w.String(itemID)
-	reply, _ := p.call(ctx, jobID, kindReadItemBody, w.B)
+	reply, _ := p.call(ctx, jobID, kindReadItemBody, encodeReadItemBody(jobID, itemID))
 	outcome := callOutcome(codeOf(reply))
 	if outcome != Found {
 		return nil, outcome
@@ -250,8 +244,6 @@
 
 // EndJob ends a job: none of its items is started any more once it returns Found.
 func (p *Proxy) EndJob(ctx context.Context, jobID string) CallOutcome {
-	var w link.Writer
-	w.String(jobID)
-	reply, _ := p.call(ctx, jobID, kindEndJob, w.B)
+	reply, _ := p.call(ctx, jobID, kindEndJob, encodeEndJob(jobID))
 	return callOutcome(codeOf(reply))
 }
