--- a/internal/control/keeper/endpoint_exchange.go
+++ b/internal/control/keeper/endpoint_exchange.go
@@ -17,7 +17,7 @@
 	entriesRequestInterval = 3 * time.Second
 	// linkEndDelay is how long it takes at the most until the end of a link is known to the owner goroutine.
 	linkEndDelay = 5 * time.Millisecond
-	// minHeardBytes bounds the encoded size of a registry.Heard from below.
+	// minHeardBytes bounds the encoded size of a registry.Liveness from below.
 	minHeardBytes = 9
 )
 
--- a/internal/control/operatorconfig/config.go
+++ b/internal/control/operatorconfig/config.go
@@ -8,7 +8,7 @@
 // The kinds of routes. The configuration names them read_only, writes, streaming and bulk.
 const (
 	ReadOnly  RouteKind = iota // may run more than once
-	Writes                     // at most once for each attempt
+	Writes                     // at most once for each time that a client sends it
 	Streaming                  // a series of events; as Writes unless the route is resumable
 	Bulk                       // batch jobs
 )
@@ -30,13 +30,13 @@
 	Host       string    // host: required; lower case, without a port
 	PathPrefix string    // path_start: required; begins and ends with a slash
 	Kind       RouteKind // kind: required
-	// TimeoutMs (timeout_ms) is the longest time in milliseconds that an attempt may take; over 0. It is required but for
-	// Bulk, whose default is 5,000.
+	// TimeoutMs (timeout_ms) is the longest time in milliseconds that a request may be pending, from its arrival to its
+	// answer; over 0. It is required but for Bulk, whose default is 5,000.
 	TimeoutMs        int
 	LatencyTargetMs  int     // target_ms: a response within it has its full value; 0: none
 	EventGapTargetMs int     // gap_aim_ms: the longest pause between events of a stream; 0: none
 	Priority         int     // priority: 0 is the highest, and the default
-	MaxAttempts      int     // tries: endpoints that one request may go to; at least 1
+	MaxAttempts      int     // tries: endpoints that one request is sent to at most; at least 1
 	Shares           []Share // shares, or service alone: required
 	Sticky           bool    // sticky: requests of one session prefer one endpoint
 	Resumable        bool    // resume: a stream may go on at another endpoint
