--- a/internal/control/keeper/contact.go
+++ b/internal/control/keeper/contact.go
@@ -31,8 +31,8 @@
 	}
 	k.beginAttachRead(now)
 	k.contactUntil.Store(int64(k.contact.ContactUntil()))
-	if holds := k.contact.InContact(now); holds != k.reportedContact {
-		k.reportedContact = holds
+	if inContact := k.contact.InContact(now); inContact != k.reportedContact {
+		k.reportedContact = inContact
 		k.contactChanged(now)
 	}
 	k.setContactTimer(now)
@@ -65,14 +65,14 @@
 }
 
 // probeMajority checks contact by a linearizable read of the configuration's register.
-func (k *Keeper) probeMajority(askedAt time.Duration) {
-	k.contact.CheckStarted(askedAt)
+func (k *Keeper) probeMajority(beganAt time.Duration) {
+	k.contact.CheckStarted(beganAt)
 	k.registers.read(configRegister, contactReadTimeout, func(s paxos.State, err error) {
 		k.post(func() {
 			if err == nil {
 				k.applyDecided(configRegister, s)
 			}
-			k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil)
+			k.contact.CheckEnded(k.sinceStart(time.Now()), beganAt, err == nil)
 		})
 	})
 }
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -202,7 +202,8 @@
 		return err
 	}
 	defer linkListener.Close()
-	httpListener, err := descriptors.NewBudget(k.options.Settings.Limits.OpenFiles).Listen(k.options.Settings.ControlAddr)
+	budget := descriptors.NewBudget(k.options.Settings.Limits.OpenFiles)
+	httpListener, err := budget.Listen(k.options.Settings.ControlAddr)
 	if err != nil {
 		return err
 	}
--- a/internal/control/keeper/mutants_test.go
+++ b/internal/control/keeper/mutants_test.go
@@ -91,8 +91,8 @@
 	{
 		Name: "contact without a majority after 3 s",
 		File: "contact.go",
-		Old:  "k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil)",
-		New:  "k.contact.CheckEnded(k.sinceStart(time.Now()), askedAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)",
+		Old:  "k.contact.CheckEnded(k.sinceStart(time.Now()), beganAt, err == nil)",
+		New:  "k.contact.CheckEnded(k.sinceStart(time.Now()), beganAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)",
 	},
 }
 
--- a/internal/control/keeper/partition_table.go
+++ b/internal/control/keeper/partition_table.go
@@ -15,7 +15,9 @@
 const tableChangeTimeout = 2 * time.Second
 
 // changeTable changes the decided partition table by compare-and-swap. done is called from any goroutine.
-func (k *Keeper) changeTable(change func(current *snapshot.PartitionTable) (*snapshot.PartitionTable, error), done func(error)) {
+func (k *Keeper) changeTable(
+	change func(current *snapshot.PartitionTable) (*snapshot.PartitionTable, error), done func(error),
+) {
 	k.registers.propose(partitionsRegister, tableChangeTimeout, func(current paxos.State) (paxos.State, error) {
 		table, err := decodeTable(current)
 		if err != nil {
--- a/internal/control/keeper/shutdown.go
+++ b/internal/control/keeper/shutdown.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkRemovalStored reports whether a majority of the voters has stored a state by which this keeper is none. Until then
+// removalStored reports whether a majority of the voters has stored a state by which this keeper is none. Until then
 // that state may be decided on the disks of this keeper and too few others.
 func (k *Keeper) removalStored(name string, deadline time.Time) bool {
 	type result struct {
