--- a/internal/control/certification/doc.go
+++ b/internal/control/certification/doc.go
@@ -1,5 +1,5 @@
-// Package certification holds the agreed certificates: which incarnations of endpoints are certified for which regime, and
-// which routes of the configuration demand one.
+// Package certification holds the agreed certificates: which incarnations of endpoints are certified for which
+// regime, and which routes of the configuration demand one.
 //
 // The control plane owns the document, as one more register that a majority agrees on; this package has its form, its
 // checks and the questions that are asked of it. Every proxy has a Gate: dispatch asks it for each candidate, and the
--- a/internal/control/certification/golden_test.go
+++ b/internal/control/certification/golden_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
+// The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format,
+// never in CI.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 func golden(t *testing.T, file string, now func() []byte) []byte {
--- a/internal/platform/upstream/decay.go
+++ b/internal/platform/upstream/decay.go
@@ -18,8 +18,3 @@
 	}
 	s.sum += x
 }
-
-func (s *decayingSum) value(now time.Time, halfLife time.Duration) float64 {
-	s.add(0, now, halfLife)
-	return s.sum
-}
--- a/internal/platform/upstream/sizing.go
+++ b/internal/platform/upstream/sizing.go
@@ -97,11 +97,11 @@
 		return
 	}
 	rejections.add(1, now, crowdDecay)
-	if !first || s.firstRejected.value(now, crowdDecay) < minSigns || s.others.value(now, crowdDecay) < minSigns {
+	if !first || crowdValue(&s.firstRejected, now) < minSigns || crowdValue(&s.others, now) < minSigns {
 		return
 	}
 	share := func(part, all *decayingSum) float64 {
-		return part.value(now, crowdDecay) / max(1, all.value(now, crowdDecay))
+		return crowdValue(part, now) / max(1, crowdValue(all, now))
 	}
 	if share(&s.firstRejected, &s.first) > share(&s.othersRejected, &s.others)+firstRejectedShare {
 		s.cut(open-1, now, config) // without the one that was rejected
@@ -122,11 +122,17 @@
 	return proved
 }
 
+// crowdValue returns a sum of calls or dials as it has decayed by now.
+func crowdValue(sum *decayingSum, now time.Time) float64 {
+	sum.add(0, now, crowdDecay)
+	return sum.sum
+}
+
 // sign counts signs that the endpoint is crowded.
 func (s *sizing) sign(n float64, open int, now time.Time, config *Config) {
 	s.crowded.add(n, now, crowdDecay)
-	signs := s.crowded.value(now, crowdDecay)
-	if signs >= minSigns && signs >= crowdShare*s.dials.value(now, crowdDecay) {
+	signs := crowdValue(&s.crowded, now)
+	if signs >= minSigns && signs >= crowdShare*crowdValue(&s.dials, now) {
 		s.cut(open, now, config)
 	}
 }
--- a/internal/proxy/attempt/attempt.go
+++ b/internal/proxy/attempt/attempt.go
@@ -42,7 +42,7 @@
 	NotWritten                     // not all of it was written: the endpoint can't have received it completely
 	Broken                         // it was written; a reset, a close or an unusable answer followed
 	Failed                         // the endpoint answered 500: it has run
-	UnprovenRejection              // the status promises that it has not run, the proof of that is missing: it may have run
+	UnprovenRejection              // the status promises that it has not run, without proof: it may have run
 	Answered                       // the head of the endpoint's own answer arrived
 	BodyTruncated                  // the answer's body ended early
 	BodyComplete                   // the answer's body was read to its end
