--- a/cmd/dunetide/condition.go
+++ b/cmd/dunetide/condition.go
@@ -40,7 +40,7 @@
 	told := ""
 	for {
 		if reason := p.condition.reason(); reason != "" || told != "" {
-			if p.reportCondition(controlclient.Trouble{Node: node, Reason: reason}, keepers()) {
+			if p.reportCondition(controlclient.Condition{Node: node, Reason: reason}, keepers()) {
 				told = reason
 			}
 		}
@@ -53,10 +53,10 @@
 }
 
 // tellTrouble tells the first keeper that answers.
-func (p *process) reportCondition(trouble controlclient.Trouble, keepers []string) bool {
+func (p *process) reportCondition(trouble controlclient.Condition, keepers []string) bool {
 	for _, addr := range keepers {
 		ctx, cancel := context.WithTimeout(p.ctx, conditionTimeout)
-		err := controlclient.ReportTrouble(ctx, addr, trouble)
+		err := controlclient.ReportCondition(ctx, addr, trouble)
 		cancel()
 		if err == nil {
 			return true
@@ -68,7 +68,7 @@
 
 // startTroubleReports has keepers that membership and the settings know of told.
 func (p *process) startConditionReports(role string, port int, members *members) {
-	self := controlclient.Node{Name: p.settings.NodeName, Role: role, Zone: p.settings.Zone, Addr: p.internalAddr(port), Life: uint64(time.Now().UnixNano())}
+	self := controlclient.Node{Name: p.settings.NodeName, Role: role, Zone: p.settings.Zone, Addr: p.internalAddr(port), Incarnation: uint64(time.Now().UnixNano())}
 	go p.reportConditions(self, func() []string {
 		var addrs []string
 		for _, keeper := range members.keepers() {
--- a/cmd/dunetide/condition_test.go
+++ b/cmd/dunetide/condition_test.go
@@ -20,8 +20,8 @@
 type troubleListener chan string
 
 func (l troubleListener) Message(m *link.Message) {
-	told, err := controlclient.ReadTrouble(m.Body)
-	if m.Kind != controlclient.ProcessTrouble || err != nil {
+	told, err := controlclient.ReadCondition(m.Body)
+	if m.Kind != controlclient.KindCondition || err != nil {
 		m.Fail("kind %d, %v", m.Kind, err)
 		return
 	}
--- a/cmd/dunetide/cut_test.go
+++ b/cmd/dunetide/cut_test.go
@@ -202,23 +202,23 @@
 	if o.helloInContact {
 		c.t.Errorf("keeper %d: the reply to Hello says that there is contact", i+1)
 	}
-	if b, err := o.call(controlclient.InContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := o.call(controlclient.KindInContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, asked whether it is in contact: %v, %v", i+1, b, err)
 	}
-	if _, err := o.call(controlclient.Confirm, nil); err == nil {
+	if _, err := o.call(controlclient.KindConfirm, nil); err == nil {
 		c.t.Errorf("keeper %d confirms certificates", i+1)
 	}
 	if b, err := c.askLeaseAs(c.nodes[(i+1)%len(c.nodes)], i); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, asked for a lease: %v, %v", i+1, b, err)
 	}
-	if b, err := o.call(controlclient.InForce, inForceRequest(refusedFrom)); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := o.call(controlclient.KindInForce, inForceRequest(refusedFrom)); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, asked for what nobody has in force: %v, %v", i+1, b, err)
 	}
-	if b, err := o.call(controlclient.InForce, inForceRequest(0)); err != nil || !bytes.Equal(b, []byte{1}) {
+	if b, err := o.call(controlclient.KindInForce, inForceRequest(0)); err != nil || !bytes.Equal(b, []byte{1}) {
 		c.t.Errorf("keeper %d, asked for what all have in force: %v, %v", i+1, b, err)
 	}
 	id := fmt.Sprint("told", c.beats.Add(1))
-	if b, err := o.call(controlclient.Entries, entriesOf(id)); err != nil || len(b) != 0 {
+	if b, err := o.call(controlclient.KindEndpoints, entriesOf(id)); err != nil || len(b) != 0 {
 		c.t.Errorf("keeper %d, told of entries: %v, %v", i+1, b, err)
 	}
 	c.until("entries of others are pushed", func() bool { return o.state(id) == snapshot.Draining })
@@ -232,7 +232,7 @@
 func inForceRequest(version uint64) []byte {
 	w := link.Writer{}
 	w.U64(version)
-	return w.B
+	return w.Buf
 }
 
 // entriesOf is what another keeper tells of an endpoint that drains.
@@ -240,7 +240,7 @@
 	w := link.Writer{}
 	w.U32(1)
 	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: id, Service: "s", CallCount: 2, State: snapshot.Draining}, HeartbeatCount: 2})
-	return w.B
+	return w.Buf
 }
 
 // checkMajority makes the calls of the table where there is contact: each is taken.
@@ -267,16 +267,16 @@
 	floor := c.floor()
 	o := c.observe(i, fmt.Sprint("near", c.beats.Add(1)), 0)
 	c.until("a process of the majority is handed the newest", func() bool { seen, _, _ := o.now(); return seen == floor })
-	c.until("its certificates are confirmed", func() bool { _, err := o.call(controlclient.Confirm, nil); return err == nil })
+	c.until("its certificates are confirmed", func() bool { _, err := o.call(controlclient.KindConfirm, nil); return err == nil })
 	c.until("they are in force", func() bool {
-		b, err := o.call(controlclient.InForce, inForceRequest(floor.certificates))
+		b, err := o.call(controlclient.KindInForce, inForceRequest(floor.certificates))
 		return err == nil && bytes.Equal(b, []byte{1})
 	})
 	c.until("it says that it is in contact", func() bool {
-		b, err := o.call(controlclient.InContact, nil)
+		b, err := o.call(controlclient.KindInContact, nil)
 		return err == nil && bytes.Equal(b, []byte{1})
 	})
-	if b, err := o.call(controlclient.Entries, entriesOf(id+"told")); err != nil || len(b) != 0 {
+	if b, err := o.call(controlclient.KindEndpoints, entriesOf(id+"told")); err != nil || len(b) != 0 {
 		c.t.Errorf("told of entries: %v, %v", b, err)
 	}
 }
@@ -351,8 +351,8 @@
 	for i := range c.running {
 		links = append(links, c.links(i))
 	}
-	client := controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Life: 1}, Seeds: links,
-		Endpoints: true, Holder: holder, Log: hclog.NewNullLogger()})
+	client := controlclient.New(controlclient.Options{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Incarnation: 1}, Seeds: links,
+		WantEndpoints: true, Snapshots: holder, Log: hclog.NewNullLogger()})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { client.Run(ctx); close(ended) }()
--- a/cmd/dunetide/main.go
+++ b/cmd/dunetide/main.go
@@ -88,7 +88,7 @@
 	s := watcher.Current()
 	watcher.Subscribe(setMemoryLimit)
 	// It goes on while the process drains: a signal then is no reason to end sooner.
-	go watcher.Run(context.Background(), reload.Received())
+	go watcher.Run(context.Background(), reload.Requests())
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE)
 	p := &process{settings: s, watcher: watcher, log: log, ctx: ctx}
@@ -105,7 +105,7 @@
 
 // seedLinks are the links of the keepers that settings name as seeds.
 func seedLinks(s *settings.Settings) []string {
-	return controlclient.SeedLinks(s.Seeds, s.FirstInternalPort+keeperPort)
+	return controlclient.SeedLinkAddrs(s.Seeds, s.FirstInternalPort+keeperPort)
 }
 
 // newLogger writes one line of key=value pairs for each event.
--- a/cmd/dunetide/members.go
+++ b/cmd/dunetide/members.go
@@ -46,7 +46,7 @@
 func (m *members) keepers() []controlclient.Node {
 	var nodes []controlclient.Node
 	for _, peer := range m.service.Keepers() {
-		nodes = append(nodes, controlclient.Node{Name: peer.Name, Role: controlclient.RoleKeeper, Zone: peer.Zone, Addr: peer.Addr, Life: peer.Incarnation})
+		nodes = append(nodes, controlclient.Node{Name: peer.Name, Role: controlclient.RoleKeeper, Zone: peer.Zone, Addr: peer.Addr, Incarnation: peer.Incarnation})
 	}
 	return nodes
 }
--- a/cmd/dunetide/observer_test.go
+++ b/cmd/dunetide/observer_test.go
@@ -43,7 +43,7 @@
 }
 
 func (o *observer) Message(m *link.Message) {
-	if m.Kind != controlclient.Push {
+	if m.Kind != controlclient.KindUpdate {
 		return
 	}
 	update, err := controlclient.ReadUpdate(m.Body)
@@ -55,8 +55,8 @@
 	}
 	o.take(update)
 	w := link.Writer{}
-	w.U64(update.Number)
-	_ = m.Conn.Send(controlclient.Ack, w.B)
+	w.U64(update.Sequence)
+	_ = m.Conn.Send(controlclient.KindAck, w.Buf)
 }
 
 // Closed attaches it again.
@@ -85,8 +85,8 @@
 	w := link.Writer{}
 	o.self.Append(&w)
 	w.Bool(true)
-	b, err := conn.Call(ctx, controlclient.Hello, w.B)
-	r := link.Reader{B: b}
+	b, err := conn.Call(ctx, controlclient.KindHello, w.Buf)
+	r := link.Reader{Buf: b}
 	keeper := controlclient.ReadNode(&r)
 	r.Bool()
 	inContact := r.Bool()
@@ -160,8 +160,8 @@
 	o.pushes++
 	if u.InContact {
 		o.takeRegisters(u)
-	} else if u.Version != 0 || u.Config != nil || u.Table != nil || u.Certificates != nil || u.CertificatesVersion > o.seen.certificates {
-		o.violates("registers are pushed without contact: version %d, certificates %d", u.Version, u.CertificatesVersion)
+	} else if u.ConfigVersion != 0 || u.Config != nil || u.Table != nil || u.Certificates != nil || u.CertificatesVersion > o.seen.certificates {
+		o.violates("registers are pushed without contact: version %d, certificates %d", u.ConfigVersion, u.CertificatesVersion)
 	}
 	o.inContact = u.InContact
 	if u.Keepers != nil {
@@ -175,10 +175,10 @@
 
 func (o *observer) takeRegisters(u *controlclient.Update) {
 	if u.Config != nil {
-		if u.Version <= o.seen.config {
-			o.violates("configuration %d is pushed", u.Version)
+		if u.ConfigVersion <= o.seen.config {
+			o.violates("configuration %d is pushed", u.ConfigVersion)
 		}
-		o.seen.config = u.Version
+		o.seen.config = u.ConfigVersion
 	}
 	if u.CertificatesVersion < o.seen.certificates {
 		o.violates("certificates %d are pushed", u.CertificatesVersion)
@@ -237,7 +237,7 @@
 func (k *keeperProcesses) attach(i int, name string, store uint64, floorOf func() versions) *observer {
 	k.t.Helper()
 	o := &observer{address: k.links(i), floorOf: floorOf, states: map[string]snapshot.State{},
-		self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Life: uint64(time.Now().UnixNano())}}
+		self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Incarnation: uint64(time.Now().UnixNano())}}
 	if store != 0 {
 		o.self.Role, o.self.ID, o.self.Addr = controlclient.RoleStore, store, fmt.Sprint("127.0.0.1:", store)
 	}
@@ -264,14 +264,14 @@
 		return nil, err
 	}
 	defer conn.Close()
-	node.Life++
+	node.Incarnation++
 	w := link.Writer{}
 	node.Append(&w)
 	w.Bool(false)
-	if _, err := conn.Call(ctx, controlclient.Hello, w.B); err != nil {
+	if _, err := conn.Call(ctx, controlclient.KindHello, w.Buf); err != nil {
 		return nil, err
 	}
-	return conn.Call(ctx, controlclient.Lease, leaseRequest(node.Name))
+	return conn.Call(ctx, controlclient.KindLease, leaseRequest(node.Name))
 }
 
 // ignored takes no notice of what comes over a link.
@@ -286,7 +286,7 @@
 	w.String("observed")
 	w.String(holder)
 	w.Bool(false)
-	return w.B
+	return w.Buf
 }
 
 // checkObservers fails for each observer that saw what must not be.
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -41,7 +41,7 @@
 	bodies := clientbody.NewBudget(int64(s.Limits.MemoryMB) << 20 / bodyMemoryFraction)
 	jobs := newBatchCalls(p, holder, bodies)
 	var client *controlclient.Client
-	regulated := newRegulatedWork(p, holder, func() time.Time { return client.Confirmed() })
+	regulated := newRegulatedWork(p, holder, func() time.Time { return client.CertificatesConfirmedAt() })
 	proxy := forward.New(forward.Options{Snapshots: holder, Admission: admission, Log: p.log,
 		Match:      func(c *operatorconfig.Config, host, path string) *operatorconfig.Route { return c.Match(host, path) },
 		ServeBatch: jobs.serveCall, BodyBudget: bodies, MaxOpen: files.Endpoints(forward.DefaultMaxOpen),
@@ -52,10 +52,10 @@
 		}})
 	proxy.Observe()
 	jobs.setProxy(proxy)
-	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleProxy, Zone: s.Zone,
-		Life: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s), Known: members.keepers,
-		Endpoints: true, Holder: holder, Log: p.log, ConfirmEvery: s.Bounds.Drain / 5,
-		Changed: func(snap *snapshot.Snapshot) {
+	client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleProxy, Zone: s.Zone,
+		Incarnation: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s), KnownKeepers: members.keepers,
+		WantEndpoints: true, Snapshots: holder, Log: p.log, ConfirmInterval: s.Bounds.Drain / 5,
+		OnSnapshot: func(snap *snapshot.Snapshot) {
 			regulated.gate.Update(snap.Certificates)
 			admission.Update(snap)
 			jobs.applySnapshot(snap)
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -58,14 +58,14 @@
 		LogCapacityBytes: int64(s.Limits.DiskMB) << 20 / 100 * batchLogPercent,
 		ReportReady: func(part int, epoch uint64) {
 			go func() {
-				if err := sendReport(attached, client, controlclient.Joined, controlclient.PartJoined{Part: part, Epoch: epoch}.Encode()); err != nil {
+				if err := sendReport(attached, client, controlclient.KindPartitionJoined, controlclient.PartitionJoined{Partition: part, Epoch: epoch}.Encode()); err != nil {
 					p.log.Warn("part not switched", "part", part, "epoch", epoch, "err", err)
 				}
 			}()
 		},
 		AnnounceStopping: func(store uint64, stopping bool) {
 			go func() {
-				if err := sendReport(attached, client, controlclient.Stopping, controlclient.StoreStopping{Store: store, Stopping: stopping}.Encode()); err != nil {
+				if err := sendReport(attached, client, controlclient.KindStoreStopping, controlclient.StoreStopping{Store: store, Stopping: stopping}.Encode()); err != nil {
 					p.log.Warn("stopping not announced", "stopping", stopping, "err", err)
 				}
 			}()
@@ -89,9 +89,9 @@
 	defer handler.closeAll()
 	wg.Add(1)
 	go func() { defer wg.Done(); _ = link.Serve(links, handler, link.DefaultOptions) }() // ends with the listener
-	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleStore, Zone: s.Zone,
-		Addr: p.internalAddr(storePort), ID: store.ID(), Life: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s),
-		Known: members.keepers, Holder: &snapshot.Latest{}, Changed: store.Update, Log: p.log})
+	client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleStore, Zone: s.Zone,
+		Addr: p.internalAddr(storePort), ID: store.ID(), Incarnation: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s),
+		KnownKeepers: members.keepers, Snapshots: &snapshot.Latest{}, OnSnapshot: store.Update, Log: p.log})
 	defer p.watcher.Subscribe(func(s *settings.Settings) { client.SetSeeds(seedLinks(s)) })()
 	wg.Add(1)
 	go func() { defer wg.Done(); client.Run(attached) }()
--- a/cmd/dunetide/storereports.go
+++ b/cmd/dunetide/storereports.go
@@ -21,7 +21,7 @@
 func sendReport(ctx context.Context, client *controlclient.Client, kind link.Kind, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return client.Report(ctx, kind, body)
+	return client.CallKeeper(ctx, kind, body)
 }
 
 // handOver gives the lead of the store's parts to others before the process ends.
--- a/internal/batch/assignment.go
+++ b/internal/batch/assignment.go
@@ -25,7 +25,7 @@
 }
 
 func (m *assignMessage) encode() []byte {
-	w := link.Writer{B: make([]byte, 0, len(m.request)+200)}
+	w := link.Writer{Buf: make([]byte, 0, len(m.request)+200)}
 	w.U32(uint32(m.item.partition))
 	w.U64(m.epoch)
 	w.String(m.item.jobID)
@@ -38,11 +38,11 @@
 	w.Int(int(m.tokens))
 	w.Bytes(m.request)
 	w.Int(int(m.remainingMs))
-	return w.B
+	return w.Buf
 }
 
 func decodeAssignMessage(body []byte) (assignMessage, error) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	var m assignMessage
 	m.item.partition = int(r.U32())
 	m.epoch = r.U64()
@@ -55,7 +55,7 @@
 	m.itemID = r.String()
 	m.tokens = int64(r.Int())
 	m.request = r.Bytes()
-	if m.hasRemaining = len(r.B) > 0; m.hasRemaining {
+	if m.hasRemaining = len(r.Buf) > 0; m.hasRemaining {
 		m.remainingMs = int64(r.Int())
 	}
 	return m, r.Err
--- a/internal/batch/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -440,7 +440,7 @@
 	w := link.Writer{}
 	w.U32(0)
 	w.U32(0)
-	s.Append(w.B, func(err error) { answer <- err })
+	s.Append(w.Buf, func(err error) { answer <- err })
 	if err := <-answer; err == nil {
 		t.Error("it takes more")
 	}
--- a/internal/batch/audit/check.go
+++ b/internal/batch/audit/check.go
@@ -144,7 +144,7 @@
 
 // addEntry notes what an entry says. An entry that stands in several files, or several times in one, counts once.
 func (c *checker) addEntry(entry []byte) error {
-	in := link.Reader{B: entry}
+	in := link.Reader{Buf: entry}
 	switch kind := in.U8(); kind {
 	case entryFileStart:
 		return nil
--- a/internal/batch/audit/entry.go
+++ b/internal/batch/audit/entry.go
@@ -20,7 +20,7 @@
 	w.U8(entryFileStart)
 	w.U64(chain)
 	w.U64(number)
-	return w.B
+	return w.Buf
 }
 
 func certificatesEntry(version uint64, text []byte) []byte {
@@ -28,7 +28,7 @@
 	w.U8(entryCertificates)
 	w.U64(version)
 	w.Bytes(text)
-	return w.B
+	return w.Buf
 }
 
 func runStartedEntry(key runKey, run Run) []byte {
@@ -44,7 +44,7 @@
 	w.Bool(run.Idempotent)
 	w.String(run.ResumeAfter)
 	writeTime(&w, run.StartedAt)
-	return w.B
+	return w.Buf
 }
 
 func runEndedEntry(key runKey, at time.Time, outcome Outcome) []byte {
@@ -53,7 +53,7 @@
 	writeKey(&w, key)
 	writeTime(&w, at)
 	w.U8(uint8(outcome))
-	return w.B
+	return w.Buf
 }
 
 func writeKey(w *link.Writer, key runKey) {
--- a/internal/batch/audit/files.go
+++ b/internal/batch/audit/files.go
@@ -91,7 +91,7 @@
 		return err
 	}
 	f.lastHash = hash
-	in := link.Reader{B: entry}
+	in := link.Reader{Buf: entry}
 	switch in.U8() {
 	case entryFileStart:
 		f.chain, f.number = in.U64(), in.U64()
--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -95,13 +95,13 @@
 		if !bytes.Equal(c.entry, b) {
 			t.Errorf("%s: %x, want %x", file, c.entry, b)
 		}
-		r := link.Reader{B: b}
+		r := link.Reader{Buf: b}
 		if kind := r.U8(); kind != c.kind {
 			t.Errorf("%s: kind %d", file, kind)
 		}
 		again, value, want := c.decode(&r)
-		if r.Err != nil || len(r.B) > 0 || !reflect.DeepEqual(value, want) {
-			t.Errorf("%s: %v, %v, %d bytes are left; want %v", file, value, r.Err, len(r.B), want)
+		if r.Err != nil || len(r.Buf) > 0 || !reflect.DeepEqual(value, want) {
+			t.Errorf("%s: %v, %v, %d bytes are left; want %v", file, value, r.Err, len(r.Buf), want)
 		}
 		if !bytes.Equal(again, b) {
 			t.Errorf("%s: written again as %x", file, again)
@@ -216,7 +216,7 @@
 		k.number = number
 		w.Bytes(runStartedEntry(k, goldenRun))
 		w.Bytes(runEndedEntry(k, goldenEnd, Answered))
-		return w.B
+		return w.Buf
 	}
 	written := func() *disktest.Disk {
 		d := disktest.New()
--- a/internal/batch/audit/message.go
+++ b/internal/batch/audit/message.go
@@ -30,5 +30,5 @@
 	for _, entry := range entries {
 		w.Bytes(entry)
 	}
-	return w.B
+	return w.Buf
 }
--- a/internal/batch/audit/room_test.go
+++ b/internal/batch/audit/room_test.go
@@ -23,7 +23,7 @@
 	w.U32(2)
 	w.Bytes(runStartedEntry(k, run(fmt.Sprint("id", number), "e1", 1, 0)))
 	w.Bytes(runEndedEntry(k, at.Add(time.Second), Answered))
-	return w.B
+	return w.Buf
 }
 
 func (s *Store) appendNow(body []byte) error {
--- a/internal/batch/audit/scan.go
+++ b/internal/batch/audit/scan.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return fmt.Errorf("record %d: %w", s.records+1, err)
 	}
-	in := link.Reader{B: entry}
+	in := link.Reader{Buf: entry}
 	kind := in.U8()
 	if (kind == entryFileStart) != (s.records == 0) {
 		return fmt.Errorf("record %d: a file begins with one record that names its chain, and has no other",
--- a/internal/batch/audit/store.go
+++ b/internal/batch/audit/store.go
@@ -194,7 +194,7 @@
 
 // append appends the entries of a message, without a sync. A message with an invalid entry is rejected as a whole.
 func (s *Store) append(body []byte) error {
-	in := link.Reader{B: body}
+	in := link.Reader{Buf: body}
 	s.readCertificates(&in)
 	n := in.Count(4)
 	if n > maxEntriesPerMessage {
@@ -256,7 +256,7 @@
 		if in.Err != nil {
 			return nil, nil, in.Err
 		}
-		fields := link.Reader{B: entry}
+		fields := link.Reader{Buf: entry}
 		switch fields.U8() {
 		case entryRunStarted:
 			readKey(&fields)
--- a/internal/batch/calls.go
+++ b/internal/batch/calls.go
@@ -8,7 +8,7 @@
 // handleCall is the event of a call that a proxy passes on for a client. It is refused if this
 // store does not serve the job's partition.
 func (c *core) handleCall(caller Caller, kind link.Kind, body []byte) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	jobID := r.String() // an encoded job begins with its ID too
 	index := c.table.PartitionOf(jobID)
 	if r.Err != nil || index < 0 {
--- a/internal/batch/clients_test.go
+++ b/internal/batch/clients_test.go
@@ -84,7 +84,7 @@
 			b.String(k.name)
 			b.String("z0")
 			b.Int(3)
-			_ = p.Send(kindAttachWorker, b.B)
+			_ = p.Send(kindAttachWorker, b.Buf)
 		}
 		k.hold()
 	}
@@ -123,7 +123,7 @@
 		b.String(key.jobID)
 		b.U32(uint32(key.index))
 	}
-	_ = p.Send(kindReportRunning, b.B)
+	_ = p.Send(kindReportRunning, b.Buf)
 }
 
 func compareKeys(a, b itemKey) int {
@@ -138,7 +138,7 @@
 
 func (k *simWorker) receive(p *simPipe, _ Caller, kind link.Kind, body []byte) {
 	w := k.w
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	key := itemKey{partition: int(r.U32())}
 	switch kind {
 	case kindAssignItem:
@@ -150,7 +150,7 @@
 			b.U32(uint32(key.partition))
 			b.String(key.jobID)
 			b.U32(uint32(key.index))
-			_ = p.Send(kindReturnItem, b.B)
+			_ = p.Send(kindReturnItem, b.Buf)
 			return
 		}
 		if h != nil && h.pipe == p {
@@ -205,7 +205,7 @@
 	}
 }
 
-func h2part(body []byte) uint32 { r := link.Reader{B: body}; return r.U32() }
+func h2part(body []byte) uint32 { r := link.Reader{Buf: body}; return r.U32() }
 
 func (k *simWorker) keys() []itemKey {
 	var keys []itemKey
@@ -261,7 +261,7 @@
 	b.U32(uint32(key.index))
 	b.Bool(false)
 	b.Bytes([]byte(run.text))
-	_ = p.Send(kindItemResult, b.B)
+	_ = p.Send(kindItemResult, b.Buf)
 }
 
 // reply is a call of a client; it is answered once, or cut.
@@ -397,8 +397,8 @@
 	b.String(j.id)
 	b.Int(after)
 	b.Int(int(wait))
-	k.call(j.id, kindReadResults, b.B, float64(wait)+1200, func(b []byte, _ bool) {
-		r := link.Reader{B: b}
+	k.call(j.id, kindReadResults, b.Buf, float64(wait)+1200, func(b []byte, _ bool) {
+		r := link.Reader{Buf: b}
 		ok := false
 		switch r.U8() {
 		case codeNotFound:
@@ -472,7 +472,7 @@
 	j.endAsked = true
 	var b link.Writer
 	b.String(j.id)
-	k.call(j.id, kindEndJob, b.B, 1500, func(b []byte, _ bool) {
+	k.call(j.id, kindEndJob, b.Buf, 1500, func(b []byte, _ bool) {
 		if len(b) > 0 && b[0] == codeOK {
 			if !j.ended {
 				j.ended, j.endedAt = true, w.ms()
@@ -525,7 +525,7 @@
 		b.String(id)
 		b.String(j.items[0])
 		body := ""
-		w.works[0].call(id, kindReadItemBody, b.B, 1000, func(b []byte, _ bool) { body = string(b) })
+		w.works[0].call(id, kindReadItemBody, b.Buf, 1000, func(b []byte, _ bool) { body = string(b) })
 		w.run(1500)
 		if want := string([]byte{codeOK}) + "body of " + j.items[0]; body != want {
 			w.fault("job %s: body %q", id, body)
--- a/internal/batch/confirmation.go
+++ b/internal/batch/confirmation.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	w := encodeTermMessage(0, p.index, known)
-	_ = pipe.Send(kindStaleTerm, w.B)
+	_ = pipe.Send(kindStaleTerm, w.Buf)
 	return true
 }
 
@@ -27,7 +27,7 @@
 	}
 	w := encodeTermMessage(1, p.index, term, stamp)
 	w.Bool(c.logFull)
-	_ = pipe.Send(kindConfirmed, w.B)
+	_ = pipe.Send(kindConfirmed, w.Buf)
 }
 
 // requestConfirmations asks the replicas whether this primary has been replaced, once at a time.
@@ -43,7 +43,7 @@
 	w := encodeTermMessage(0, p.index, primary.term, uint64(c.nowMs))
 	for _, id := range primary.replicas {
 		if replica := primary.progress[id]; replica != nil {
-			_ = replica.pipe.Send(kindConfirm, w.B)
+			_ = replica.pipe.Send(kindConfirm, w.Buf)
 		}
 	}
 	c.countConfirmations(p)
--- a/internal/batch/due_test.go
+++ b/internal/batch/due_test.go
@@ -35,7 +35,7 @@
 	attach.String("worker")
 	attach.String("z0")
 	attach.Int(100)
-	_ = worker.Send(kindAttachWorker, attach.B)
+	_ = worker.Send(kindAttachWorker, attach.Buf)
 	for range 100 {
 		g.now += 1000
 		g.settle()
@@ -45,7 +45,7 @@
 
 // jobOfGive is the job that an item is of which a worker is handed.
 func jobOfGive(body []byte) string {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	r.U32()
 	r.U64()
 	return r.String()
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -26,7 +26,7 @@
 	for _, n := range nums {
 		w.U64(n)
 	}
-	return w.B
+	return w.Buf
 }
 
 // replacedPrimary is a rig in which the lead of a job's part has moved on, and the old primary has not heard of it.
@@ -95,7 +95,7 @@
 	}
 	for kind, body := range map[link.Kind][]byte{
 		kindAcceptJob: scaleLot("job", 2, 0), kindEndJob: encodeJobOperation(0, "job")[1:],
-		kindReadResults: func() []byte { var w link.Writer; w.String("job"); w.Int(0); w.Int(0); return w.B }(),
+		kindReadResults: func() []byte { var w link.Writer; w.String("job"); w.Int(0); w.Int(0); return w.Buf }(),
 	} {
 		var code uint8
 		old.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kind, body)
@@ -132,7 +132,7 @@
 		}
 		w.Int(0)
 		w.U64(1 << 40)
-		return w.B
+		return w.Buf
 	}
 	owner.handleStoreMessage(&sentPipe{}, kindUsageReport, usage(p.primary.incarnation-1))
 	if now := account.usage[part]; now.incarnation != before.incarnation || now.tokens != before.tokens {
@@ -146,7 +146,7 @@
 	ask.Int(5)
 	ask.Int(1 << 30)
 	pipe := &sentPipe{}
-	owner.handleStoreMessage(pipe, kindReserveTokens, ask.B)
+	owner.handleStoreMessage(pipe, kindReserveTokens, ask.Buf)
 	if len(pipe.kinds) != 0 || len(account.usage[part].grants) != grants {
 		t.Errorf("a reservation of an old life was answered: %v", pipe.kinds)
 	}
@@ -161,7 +161,7 @@
 	grant.U64(77)
 	grant.U8(codeOK)
 	grant.U64(p.quotaOwnerIncarnations["b"] - 1)
-	c.handleStoreMessage(&sentPipe{}, kindReservationReply, grant.B)
+	c.handleStoreMessage(&sentPipe{}, kindReservationReply, grant.Buf)
 	if p.jobs["new"] != nil || p.primary.reservations[77] == nil {
 		t.Error("a grant of an old owner was used")
 	}
@@ -226,7 +226,7 @@
 		attach.String("w")
 		attach.String("z0")
 		attach.Int(5)
-		c.handleMessage(worker, nil, kindAttachWorker, attach.B)
+		c.handleMessage(worker, nil, kindAttachWorker, attach.Buf)
 		for range 100 {
 			c.nowMs += 25
 			c.tick()
@@ -331,9 +331,9 @@
 	var cancel link.Writer
 	cancel.U32(0)
 	cancel.String("job")
-	w.handleMessage(&link.Message{Conn: old, Kind: kindCancelJob, Body: cancel.B})
+	w.handleMessage(&link.Message{Conn: old, Kind: kindCancelJob, Body: cancel.Buf})
 	w.handleMessage(&link.Message{Conn: old, Kind: kindPauseStarts, Body: numbers(0)})
-	w.handleMessage(&link.Message{Conn: old, Kind: kindAssignItem, Body: give.B})
+	w.handleMessage(&link.Message{Conn: old, Kind: kindAssignItem, Body: give.Buf})
 	if got := <-sent; got != kindReturnItem {
 		t.Errorf("answered with kind %d", got)
 	}
--- a/internal/batch/itemrunner.go
+++ b/internal/batch/itemrunner.go
@@ -230,7 +230,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	body := link.Reader{B: m.Body}
+	body := link.Reader{Buf: m.Body}
 	partition := int(body.U32())
 	switch m.Kind {
 	case kindRunningNoted:
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -40,7 +40,7 @@
 	for i := range j.Items {
 		capacity += perItem + len(j.Items[i].Body)
 	}
-	w := &link.Writer{B: make([]byte, 0, capacity)}
+	w := &link.Writer{Buf: make([]byte, 0, capacity)}
 	w.String(j.ID)
 	w.String(j.Route)
 	w.String(j.Host)
@@ -58,7 +58,7 @@
 		w.Int(int(it.Tokens))
 		w.Bytes(encodeRequest(it.Path, it.Headers, it.Body))
 	}
-	return w.B
+	return w.Buf
 }
 
 // encodeRequest encodes the request of an item: what a worker sends to an endpoint.
@@ -71,11 +71,11 @@
 		w.String(h[1])
 	}
 	w.Bytes(body)
-	return w.B
+	return w.Buf
 }
 
 func decodeRequest(b []byte) (path string, headers [][2]string, body []byte, err error) {
-	r := link.Reader{B: b}
+	r := link.Reader{Buf: b}
 	path = r.String()
 	for n := r.Count(8); n > 0; n-- {
 		headers = append(headers, [2]string{r.String(), r.String()})
--- a/internal/batch/jobstate.go
+++ b/internal/batch/jobstate.go
@@ -113,7 +113,7 @@
 
 // decodeJob reads an encoded job whose first byte lies at an offset of the log.
 func decodeJob(encoded []byte, offset int64) (*job, error) {
-	r := link.Reader{B: encoded}
+	r := link.Reader{Buf: encoded}
 	j := &job{
 		offset:        offset,
 		encodedLength: len(encoded),
@@ -137,7 +137,7 @@
 		it.tokens = int64(r.Int())
 		request := r.Bytes()
 		it.length = uint32(len(request))
-		it.offset = uint32(len(encoded) - len(r.B) - len(request))
+		it.offset = uint32(len(encoded) - len(r.Buf) - len(request))
 		it.checksum = crc32.Checksum(request, castagnoli)
 	}
 	return j, r.Err
--- a/internal/batch/messages.go
+++ b/internal/batch/messages.go
@@ -72,35 +72,35 @@
 
 // encodeReadResults is kindReadResults.
 func encodeReadResults(jobID string, startAfter int, waitMs int64) []byte {
-	w := link.Writer{B: make([]byte, 0, 4+len(jobID)+16)}
+	w := link.Writer{Buf: make([]byte, 0, 4+len(jobID)+16)}
 	w.String(jobID)
 	w.Int(startAfter)
 	w.Int(int(waitMs))
-	return w.B
+	return w.Buf
 }
 
 // encodeReadItemBody is kindReadItemBody.
 func encodeReadItemBody(jobID, itemID string) []byte {
-	w := link.Writer{B: make([]byte, 0, 8+len(jobID)+len(itemID))}
+	w := link.Writer{Buf: make([]byte, 0, 8+len(jobID)+len(itemID))}
 	w.String(jobID)
 	w.String(itemID)
-	return w.B
+	return w.Buf
 }
 
 // encodeEndJob is kindEndJob.
 func encodeEndJob(jobID string) []byte {
 	var w link.Writer
 	w.String(jobID)
-	return w.B
+	return w.Buf
 }
 
 // encodeAttachWorker is kindAttachWorker.
 func encodeAttachWorker(name, zone string, limit int) []byte {
-	w := link.Writer{B: make([]byte, 0, 16+len(name)+len(zone))}
+	w := link.Writer{Buf: make([]byte, 0, 16+len(name)+len(zone))}
 	w.String(name)
 	w.String(zone)
 	w.Int(limit)
-	return w.B
+	return w.Buf
 }
 
 // encodeReportRunning is kindReportRunning. The keys are those of items of the partition.
@@ -111,24 +111,24 @@
 		w.String(key.jobID)
 		w.U32(uint32(key.index))
 	}
-	return w.B
+	return w.Buf
 }
 
 // encodeItemResult is kindItemResult.
 func encodeItemResult(key itemKey, abandoned bool, text []byte) []byte {
-	w := link.Writer{B: make([]byte, 0, 17+len(key.jobID)+len(text))}
+	w := link.Writer{Buf: make([]byte, 0, 17+len(key.jobID)+len(text))}
 	w.U32(uint32(key.partition))
 	w.String(key.jobID)
 	w.U32(uint32(key.index))
 	w.Bool(abandoned)
 	w.Bytes(text)
-	return w.B
+	return w.Buf
 }
 
 // encodeTermMessage begins a message between a primary and its replicas: a partition, a term and
 // more numbers. The capacity has space for so many more bytes.
 func encodeTermMessage(more, partition int, numbers ...uint64) link.Writer {
-	w := link.Writer{B: make([]byte, 0, 4+8*len(numbers)+more)}
+	w := link.Writer{Buf: make([]byte, 0, 4+8*len(numbers)+more)}
 	w.U32(uint32(partition))
 	for _, n := range numbers {
 		w.U64(n)
@@ -138,25 +138,25 @@
 
 // encodeJobRef is the message that names a job: kindCancelJob.
 func encodeJobRef(partition int, jobID string) []byte {
-	w := link.Writer{B: make([]byte, 0, 8+len(jobID))}
+	w := link.Writer{Buf: make([]byte, 0, 8+len(jobID))}
 	w.U32(uint32(partition))
 	w.String(jobID)
-	return w.B
+	return w.Buf
 }
 
 // encodeItemRef is the message that names an item: kindResultStored and kindReturnItem.
 func encodeItemRef(key itemKey) []byte {
-	w := link.Writer{B: make([]byte, 0, 12+len(key.jobID))}
+	w := link.Writer{Buf: make([]byte, 0, 12+len(key.jobID))}
 	w.U32(uint32(key.partition))
 	w.String(key.jobID)
 	w.U32(uint32(key.index))
-	return w.B
+	return w.Buf
 }
 
 // encodeRunningNoted is kindRunningNoted. Epoch 0 answers reports under any epoch.
 func encodeRunningNoted(partition int, epoch uint64) []byte {
-	return encodeTermMessage(0, partition, epoch).B
+	return encodeTermMessage(0, partition, epoch).Buf
 }
 
 // encodeStartsPaused is kindPauseStarts.
-func encodeStartsPaused(partition int) []byte { return encodeTermMessage(0, partition).B }
+func encodeStartsPaused(partition int) []byte { return encodeTermMessage(0, partition).Buf }
--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -13,14 +13,14 @@
 )
 
 // Gauges of a store. Its core sets them twice a second.
-var gauges = struct{ led, jobs, open, workers, logBytes, full, table *telemetry.Figure }{
-	led:      telemetry.NewFigure("dunetide_store_parts_led"),
-	jobs:     telemetry.NewFigure("dunetide_store_jobs"),
-	open:     telemetry.NewFigure("dunetide_store_jobs_open"),
-	workers:  telemetry.NewFigure("dunetide_store_workers"),
-	logBytes: telemetry.NewFigure("dunetide_store_log_bytes"),
-	full:     telemetry.NewFigure("dunetide_store_log_full"),
-	table:    telemetry.NewFigure("dunetide_store_table_number"),
+var gauges = struct{ led, jobs, open, workers, logBytes, full, table *telemetry.Gauge }{
+	led:      telemetry.NewGauge("dunetide_store_parts_led"),
+	jobs:     telemetry.NewGauge("dunetide_store_jobs"),
+	open:     telemetry.NewGauge("dunetide_store_jobs_open"),
+	workers:  telemetry.NewGauge("dunetide_store_workers"),
+	logBytes: telemetry.NewGauge("dunetide_store_log_bytes"),
+	full:     telemetry.NewGauge("dunetide_store_log_full"),
+	table:    telemetry.NewGauge("dunetide_store_table_number"),
 }
 
 // Counters of a store.
@@ -55,11 +55,11 @@
 var countedMethods = []string{http.MethodGet, http.MethodPost, http.MethodDelete}
 
 // newCallEvents logs the calls of clients that failed.
-func newCallEvents(log hclog.Logger) *telemetry.Log {
+func newCallEvents(log hclog.Logger) *telemetry.EventLog {
 	if log == nil {
 		log = hclog.NewNullLogger()
 	}
-	return telemetry.NewLog(log)
+	return telemetry.NewEventLog(log)
 }
 
 // recordCall counts a client's call by its status, and logs one that failed.
--- a/internal/batch/operations.go
+++ b/internal/batch/operations.go
@@ -14,13 +14,13 @@
 func encodeAcceptJob(encodedJob []byte) []byte { return append([]byte{opAcceptJob}, encodedJob...) }
 
 func encodeAddResult(jobID string, index int, abandoned bool, text []byte) []byte {
-	w := link.Writer{B: make([]byte, 0, len(jobID)+len(text)+16)}
+	w := link.Writer{Buf: make([]byte, 0, len(jobID)+len(text)+16)}
 	w.U8(opAddResult)
 	w.String(jobID)
 	w.U32(uint32(index))
 	w.Bool(abandoned)
-	w.B = append(w.B, text...)
-	return w.B
+	w.Buf = append(w.Buf, text...)
+	return w.Buf
 }
 
 // encodeJobOperation encodes an operation that has nothing but the job's ID.
@@ -28,22 +28,22 @@
 	var w link.Writer
 	w.U8(operation)
 	w.String(jobID)
-	return w.B
+	return w.Buf
 }
 
 // jobOfOperation is the ID of the job that an operation is about. An encoded job begins with its ID too.
 func jobOfOperation(operation []byte) string {
-	r := link.Reader{B: operation}
+	r := link.Reader{Buf: operation}
 	r.U8()
 	return r.String()
 }
 
 // applyOperation applies an operation whose first byte lies at an offset of the log.
 func (c *core) applyOperation(p *partition, operation []byte, offset int64) error {
-	r := link.Reader{B: operation}
+	r := link.Reader{Buf: operation}
 	switch r.U8() {
 	case opAcceptJob:
-		j, err := decodeJob(r.B, offset+1)
+		j, err := decodeJob(r.Buf, offset+1)
 		if err != nil {
 			return err
 		}
@@ -54,7 +54,7 @@
 			return r.Err
 		}
 		if j := p.jobs[id]; j != nil {
-			c.applyResult(j, index, abandoned, r.B, offset+int64(len(operation)-len(r.B)))
+			c.applyResult(j, index, abandoned, r.Buf, offset+int64(len(operation)-len(r.Buf)))
 		}
 	case opEndJob:
 		if j := p.jobs[r.String()]; j != nil {
--- a/internal/batch/proxy.go
+++ b/internal/batch/proxy.go
@@ -34,7 +34,7 @@
 	options    ProxyOptions
 	stores     *storeConnections
 	items      *itemRunner
-	callEvents *telemetry.Log // calls that failed
+	callEvents *telemetry.EventLog // calls that failed
 
 	stop      chan struct{}
 	closeOnce sync.Once
@@ -217,7 +217,7 @@
 ) (ResultPage, CallOutcome) {
 	body := encodeReadResults(jobID, startAfter, wait.Milliseconds())
 	reply, _ := p.call(ctx, jobID, kindReadResults, body)
-	r := link.Reader{B: reply}
+	r := link.Reader{Buf: reply}
 	outcome := callOutcome(r.U8())
 	if outcome != Found {
 		return ResultPage{}, outcome
--- a/internal/batch/quota.go
+++ b/internal/batch/quota.go
@@ -57,7 +57,7 @@
 
 // encodeQuotaMessage begins a message between a primary and the owner of a quota.
 func encodeQuotaMessage(route string, partition int, incarnation uint64, more int) link.Writer {
-	w := link.Writer{B: make([]byte, 0, 4+len(route)+4+8+more)}
+	w := link.Writer{Buf: make([]byte, 0, 4+len(route)+4+8+more)}
 	w.String(route)
 	w.U32(uint32(partition))
 	w.U64(incarnation)
@@ -67,7 +67,7 @@
 // sendQuotaMessage sends to another store, or to this one if the pipe is nil.
 func (c *core) sendQuotaMessage(pipe Pipe, kind link.Kind, body []byte) {
 	if pipe == nil {
-		r := link.Reader{B: body}
+		r := link.Reader{Buf: body}
 		c.handleQuotaMessage(nil, kind, &r)
 		return
 	}
@@ -141,7 +141,7 @@
 	w.U64(r.number)
 	w.Int(int(r.job.tokens))
 	w.Int(int(r.job.maxTokens))
-	c.sendQuotaMessage(pipe, kindReserveTokens, w.B)
+	c.sendQuotaMessage(pipe, kindReserveTokens, w.Buf)
 }
 
 // resendReservations has the reservations that were sent to a store over a connection that ended sent again.
@@ -220,7 +220,7 @@
 	w.Int(int(usage.tokens))
 	w.U64(primary.resolvedReservations())
 	usage.changed, usage.sentAt = false, c.nowMs
-	c.sendQuotaMessage(pipe, kindUsageReport, w.B)
+	c.sendQuotaMessage(pipe, kindUsageReport, w.Buf)
 }
 
 // sendUsageTo reports the usage of all routes whose quota a store owns.
--- a/internal/batch/quotaowner.go
+++ b/internal/batch/quotaowner.go
@@ -140,7 +140,7 @@
 			continue
 		}
 		w := encodeQuotaMessage(account.route, index, account.incarnation, 0)
-		c.sendQuotaMessage(pipe, kindUsageRequest, w.B)
+		c.sendQuotaMessage(pipe, kindUsageRequest, w.Buf)
 	}
 }
 
@@ -200,7 +200,7 @@
 	w.U64(request.number)
 	w.U8(code)
 	w.U64(owner)
-	c.sendQuotaMessage(request.pipe, kindReservationReply, w.B)
+	c.sendQuotaMessage(request.pipe, kindReservationReply, w.Buf)
 }
 
 // rejectPending refuses the reservations that wait, as this store is the owner no longer.
--- a/internal/batch/reads.go
+++ b/internal/batch/reads.go
@@ -78,7 +78,7 @@
 		size += j.results[end].length + perResult
 		end++
 	}
-	w := link.Writer{B: make([]byte, 0, 512)}
+	w := link.Writer{Buf: make([]byte, 0, 512)}
 	w.U8(codeOK)
 	w.U32(uint32(len(j.items)))
 	w.U32(uint32(max(0, end-read.startAfter)))
@@ -94,7 +94,7 @@
 		w.Bool(res.abandoned)
 		w.Bytes(text)
 	}
-	read.caller.Reply(w.B)
+	read.caller.Reply(w.Buf)
 }
 
 // replyItemBody replies with the body of an item.
--- a/internal/batch/reconnect_test.go
+++ b/internal/batch/reconnect_test.go
@@ -35,7 +35,7 @@
 			b.String("w0")
 			b.String("z0")
 			b.Int(4)
-			_ = w.Send(kindAttachWorker, b.B)
+			_ = w.Send(kindAttachWorker, b.Buf)
 			if back {
 				var h link.Writer
 				h.U32(uint32(p.index))
@@ -43,7 +43,7 @@
 				h.U32(1)
 				h.String("j")
 				h.U32(0)
-				_ = w.Send(kindReportRunning, h.B)
+				_ = w.Send(kindReportRunning, h.Buf)
 			}
 		}
 		attach()
--- a/internal/batch/records.go
+++ b/internal/batch/records.go
@@ -25,16 +25,16 @@
 	for _, n := range numbers {
 		w.U64(n)
 	}
-	return w.B
+	return w.Buf
 }
 
 // replay applies a record whose first byte lies at an offset of the log.
 func (c *core) replay(record []byte, offset int64) error {
-	r := link.Reader{B: record}
+	r := link.Reader{Buf: record}
 	kind := r.U8()
 	p := c.partition(int(r.U32()))
 	if r.Err != nil || p == nil {
-		return link.ErrShort
+		return link.ErrTruncated
 	}
 	switch kind {
 	case recordIdentity:
@@ -52,7 +52,7 @@
 		if position.sequence > 0 {
 			p.position = position
 		}
-		return c.applyOperation(p, r.B, offset+int64(len(record)-len(r.B)))
+		return c.applyOperation(p, r.Buf, offset+int64(len(record)-len(r.Buf)))
 	case recordJob:
 		return c.replayWholeJob(p, &r, offset+int64(len(record)))
 	}
@@ -61,8 +61,8 @@
 
 // replayWholeJob replaces a job by one that encodeWholeJob wrote. The record ends at an offset of the log.
 func (c *core) replayWholeJob(p *partition, r *link.Reader, end int64) error {
-	offset := func() int64 { return end - int64(len(r.B)) } // of what is read next
-	_ = r.String()                                          // the ID, which the encoded job has too
+	offset := func() int64 { return end - int64(len(r.Buf)) } // of what is read next
+	_ = r.String()                                            // the ID, which the encoded job has too
 	encoded := r.Bytes()
 	j, err := decodeJob(encoded, offset()-int64(len(encoded)))
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	j.ended = r.Bool()
 	ageMs := int64(0)
-	if len(r.B) > 0 { // records of older versions end before it
+	if len(r.Buf) > 0 { // records of older versions end before it
 		ageMs = max(0, int64(r.Int()))
 	}
 	if r.Err != nil {
@@ -89,7 +89,7 @@
 // order, whether it has ended, and its age in ms.
 func (c *core) encodeWholeJob(j *job) ([]byte, error) {
 	const perResult = 16
-	w := link.Writer{B: make([]byte, 0, j.logBytes+int64(64+perResult*len(j.results)))}
+	w := link.Writer{Buf: make([]byte, 0, j.logBytes+int64(64+perResult*len(j.results)))}
 	w.String(j.id)
 	encoded, err := c.disk.ReadRaw(j.offset, j.encodedLength)
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 	w.Bool(j.ended)
 	w.Int(int(c.nowMs - j.knownSinceMs))
-	return w.B, nil
+	return w.Buf, nil
 }
 
 // errCorruptRead says that bytes of the log that were checked when they were written are others now.
--- a/internal/batch/repeat_numbers_test.go
+++ b/internal/batch/repeat_numbers_test.go
@@ -95,7 +95,7 @@
 	w.U32(uint32(item))
 	w.Bool(false)
 	w.Bytes([]byte(text))
-	return w.B
+	return w.Buf
 }
 
 // A result that is delivered again, over the same link, over a newer one of its worker, or by another worker that had the item in an
@@ -114,7 +114,7 @@
 		attach.String(name)
 		attach.String("z0")
 		attach.Int(4)
-		c.handleMessage(pipe, nil, kindAttachWorker, attach.B)
+		c.handleMessage(pipe, nil, kindAttachWorker, attach.Buf)
 	}
 	before := g.listed
 	for _, pipe := range []Pipe{first.pipe, first.pipe, newer, other} {
@@ -151,7 +151,7 @@
 	w.U64(number)
 	w.Int(tokens)
 	w.Int(most)
-	return w.B
+	return w.Buf
 }
 
 // A reservation that is sent again is granted again and counted once; one that is decided is not answered any more.
@@ -205,7 +205,7 @@
 		w.U64(version)
 		w.Int(tokens)
 		w.U64(known.resolvedReservations)
-		owner.handleStoreMessage(&sentPipe{}, kindUsageReport, w.B)
+		owner.handleStoreMessage(&sentPipe{}, kindUsageReport, w.Buf)
 	}
 	tokens, version := known.tokens, known.version
 	report(version, 7)
@@ -228,7 +228,7 @@
 	w.U64(number)
 	w.U8(code)
 	w.U64(owner)
-	return w.B
+	return w.Buf
 }
 
 // An answer to a reservation ends that one alone: one that was made by an older life of the primary under the same number, or an
@@ -281,18 +281,18 @@
 	for _, q := range l.progress {
 		acked, stamp := q.acknowledged, q.confirmedAt
 		var ack, confirmed link.Writer
-		ack.B, confirmed.B = numbers(p.index, l.term-1, 1<<40), numbers(p.index, l.term-1, 1<<40)
+		ack.Buf, confirmed.Buf = numbers(p.index, l.term-1, 1<<40), numbers(p.index, l.term-1, 1<<40)
 		ack.Bool(true)
 		confirmed.Bool(true)
-		c.handleStoreMessage(q.pipe, kindOperationAck, ack.B)
-		c.handleStoreMessage(q.pipe, kindConfirmed, confirmed.B)
+		c.handleStoreMessage(q.pipe, kindOperationAck, ack.Buf)
+		c.handleStoreMessage(q.pipe, kindConfirmed, confirmed.Buf)
 		if q.acknowledged != acked || q.confirmedAt != stamp || q.logFull {
 			t.Errorf("it counts: %d, %d before, stamp %d, %d before", q.acknowledged, acked, q.confirmedAt, stamp)
 		}
 		var again link.Writer // its own, again and older than the newest
-		again.B = numbers(p.index, l.term, 0)
+		again.Buf = numbers(p.index, l.term, 0)
 		again.Bool(false)
-		c.handleStoreMessage(q.pipe, kindOperationAck, again.B)
+		c.handleStoreMessage(q.pipe, kindOperationAck, again.Buf)
 		if q.acknowledged != acked {
 			t.Errorf("an older acknowledgement takes back: %d, %d before", q.acknowledged, acked)
 		}
--- a/internal/batch/replication.go
+++ b/internal/batch/replication.go
@@ -12,7 +12,7 @@
 
 // handleStoreMessage is the event of a message of another store.
 func (c *core) handleStoreMessage(pipe Pipe, kind link.Kind, body []byte) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	switch kind {
 	case kindReserveTokens, kindReservationReply, kindUsageReport, kindUsageRequest:
 		c.handleQuotaMessage(pipe, kind, &r)
@@ -88,9 +88,9 @@
 func (c *core) followPrimary(p *partition, term uint64, kind link.Kind, r *link.Reader, pipe Pipe) {
 	switch kind {
 	case kindInstallJob:
-		c.appendRecord(append(encodeRecord(recordJob, p.index), r.B...))
+		c.appendRecord(append(encodeRecord(recordJob, p.index), r.Buf...))
 		w := encodeTermMessage(0, p.index, term, p.session)
-		_ = pipe.Send(kindJobInstalled, w.B)
+		_ = pipe.Send(kindJobInstalled, w.Buf)
 	case kindStartTerm:
 		sequence := r.U64()
 		c.appendRecord(encodeRecord(recordTermStart, p.index, term, sequence))
@@ -104,7 +104,7 @@
 			c.log("part %d: operation %d does not follow %d", p.index, sequence, p.position.sequence)
 			return
 		}
-		c.appendRecord(append(encodeRecord(recordOperation, p.index, term, sequence), r.B...))
+		c.appendRecord(append(encodeRecord(recordOperation, p.index, term, sequence), r.Buf...))
 		if sequence > 0 {
 			c.acknowledgeAfterSync(p, term, sequence, pipe)
 		}
@@ -116,7 +116,7 @@
 	acknowledge := func() {
 		w := encodeTermMessage(1, p.index, term, sequence)
 		w.Bool(c.logFull)
-		_ = pipe.Send(kindOperationAck, w.B)
+		_ = pipe.Send(kindOperationAck, w.Buf)
 	}
 	c.afterSync(acknowledge)
 }
@@ -162,24 +162,24 @@
 			return
 		}
 		w := encodeTermMessage(len(whole), p.index, primary.term, replica.session)
-		w.B = append(w.B, whole...)
+		w.Buf = append(w.Buf, whole...)
 		replica.transfersInFlight++
-		_ = replica.pipe.Send(kindInstallJob, w.B)
+		_ = replica.pipe.Send(kindInstallJob, w.Buf)
 	}
 	if len(replica.outdatedJobs) > 0 || replica.transfersInFlight > 0 {
 		return
 	}
 	w := encodeTermMessage(0, p.index, primary.term, replica.session, primary.lastSequence)
 	replica.upToDate = true
-	_ = replica.pipe.Send(kindStartTerm, w.B)
+	_ = replica.pipe.Send(kindStartTerm, w.Buf)
 }
 
 // sendOperation sends a replica an operation. The sequence number is 0 for one that the start of
 // the term, which comes later, includes.
 func (c *core) sendOperation(p *partition, replica *replicaProgress, sequence uint64, operation []byte) {
 	w := encodeTermMessage(len(operation), p.index, p.primary.term, replica.session, sequence)
-	w.B = append(w.B, operation...)
-	_ = replica.pipe.Send(kindOperation, w.B)
+	w.Buf = append(w.Buf, operation...)
+	_ = replica.pipe.Send(kindOperation, w.Buf)
 }
 
 // replicate orders an operation: gives it the next sequence number, appends it to the log and sends
--- a/internal/batch/scale_test.go
+++ b/internal/batch/scale_test.go
@@ -113,7 +113,7 @@
 			b.String(fmt.Sprint("w", n))
 			b.String(fmt.Sprint("z", n%3))
 			b.Int(inHand)
-			_ = w.Send(kindAttachWorker, b.B)
+			_ = w.Send(kindAttachWorker, b.Buf)
 		}
 	}
 	for range 1000 { // handAfterMs and more
@@ -129,18 +129,18 @@
 	case kindResultStored:
 		g.listed++
 	case kindAssignItem:
-		r := link.Reader{B: body}
+		r := link.Reader{Buf: body}
 		part := r.U32()
 		r.U64()
 		job, no := r.String(), r.U32()
 		g.running = append(g.running, func() {
-			w := link.Writer{B: make([]byte, 0, 600)}
+			w := link.Writer{Buf: make([]byte, 0, 600)}
 			w.U32(part)
 			w.String(job)
 			w.U32(no)
 			w.Bool(false)
 			w.Bytes(scaleText)
-			_ = e.Send(kindItemResult, w.B)
+			_ = e.Send(kindItemResult, w.Buf)
 		})
 	}
 }
--- a/internal/batch/steady_test.go
+++ b/internal/batch/steady_test.go
@@ -125,11 +125,11 @@
 	b.Int(0)
 	b.Int(0)
 	var answer []byte
-	c.handleMessage(nil, replied(func(b []byte) { answer = bytes.Clone(b) }), kindReadResults, b.B)
+	c.handleMessage(nil, replied(func(b []byte) { answer = bytes.Clone(b) }), kindReadResults, b.Buf)
 	for range 5 {
 		g.settle()
 	}
-	r := link.Reader{B: answer}
+	r := link.Reader{Buf: answer}
 	if code, total, n := r.U8(), int(r.U32()), r.Count(9); code != codeOK || total != items || n != items {
 		t.Fatalf("%s: code %d, %d of %d results", id, code, n, total)
 	}
@@ -209,7 +209,7 @@
 	b.String(id)
 	b.Int(0)
 	b.Int(0)
-	c.handleMessage(nil, replied(func([]byte) {}), kindReadResults, b.B)
+	c.handleMessage(nil, replied(func([]byte) {}), kindReadResults, b.Buf)
 	g.step(1000)
 }
 
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -257,7 +257,7 @@
 	}
 	s.enqueue(func() {
 		var caller Caller
-		if m.Wants() {
+		if m.ExpectsReply() {
 			caller = m
 		}
 		s.core.handleMessage(m.Conn, caller, m.Kind, m.Body)
--- a/internal/batch/takeover.go
+++ b/internal/batch/takeover.go
@@ -20,7 +20,7 @@
 		confirmedAt:  never,
 	}
 	w := encodeTermMessage(0, p.index, p.primary.term, c.lastSession)
-	_ = pipe.Send(kindPrepare, w.B)
+	_ = pipe.Send(kindPrepare, w.Buf)
 }
 
 // handlePrepare promises to follow a term and reports what this store has, once the promise is durable.
@@ -50,7 +50,7 @@
 		w.String(id)
 		w.U64(p.jobs[id].digest())
 	}
-	return w.B
+	return w.Buf
 }
 
 // handlePromise is the event that a replica has promised to follow this primary.
@@ -97,8 +97,8 @@
 	w := encodeTermMessage(5+len(jobID)+len(whole), p.index, term)
 	w.String(jobID)
 	w.Bool(j != nil)
-	w.B = append(w.B, whole...)
-	_ = pipe.Send(kindJobContents, w.B)
+	w.Buf = append(w.Buf, whole...)
+	_ = pipe.Send(kindJobContents, w.Buf)
 }
 
 // handleJobContents is the event that the most complete replica has sent a job.
@@ -112,7 +112,7 @@
 		return
 	}
 	delete(primary.awaitedJobs, jobID)
-	c.appendRecord(append(encodeRecord(recordJob, p.index), r.B...))
+	c.appendRecord(append(encodeRecord(recordJob, p.index), r.Buf...))
 	c.finishFetching(p)
 }
 
@@ -163,7 +163,7 @@
 			primary.awaitedJobs[id] = true
 			w := encodeTermMessage(4+len(id), p.index, primary.term)
 			w.String(id)
-			_ = replica.pipe.Send(kindFetchJob, w.B)
+			_ = replica.pipe.Send(kindFetchJob, w.Buf)
 		}
 	}
 	c.finishFetching(p)
--- a/internal/batch/workers.go
+++ b/internal/batch/workers.go
@@ -64,7 +64,7 @@
 
 // handleWorkerMessage is the event of a message of a worker.
 func (c *core) handleWorkerMessage(pipe Pipe, kind link.Kind, body []byte) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	w := c.workers[pipe]
 	if kind == kindAttachWorker {
 		c.attachWorker(pipe, &r)
--- a/internal/consensus/paxos/cluster_test.go
+++ b/internal/consensus/paxos/cluster_test.go
@@ -313,13 +313,13 @@
 	e := &link.Writer{}
 	s.Append(e)
 	if b, ok := c.decided[s.Slot]; ok {
-		if !bytes.Equal(b, e.B) {
+		if !bytes.Equal(b, e.Buf) {
 			c.failf("slot %d is two things: %s has %x, others %x", s.Slot, who, s.Value, c.values[s.Slot])
 		}
 		return
 	}
 	c.tracef("%s is first to know slot %d, voters %v", who, s.Slot, s.Voters)
-	c.decided[s.Slot], c.values[s.Slot], c.newest = e.B, s.Value, max(c.newest, s.Slot)
+	c.decided[s.Slot], c.values[s.Slot], c.newest = e.Buf, s.Value, max(c.newest, s.Slot)
 	if len(s.Value) != 8*int(s.Slot) {
 		c.failf("slot %d has %d operations", s.Slot, len(s.Value)/8)
 	}
--- a/internal/consensus/paxos/golden_test.go
+++ b/internal/consensus/paxos/golden_test.go
@@ -60,13 +60,13 @@
 	encode := func(s State) []byte {
 		w := &link.Writer{}
 		s.Append(w)
-		return w.B
+		return w.Buf
 	}
 	golden(t, "state", func() []byte { return encode(goldenState()) }, func(b []byte) []byte {
-		r := &link.Reader{B: b}
+		r := &link.Reader{Buf: b}
 		s := ReadState(r)
-		if r.Err != nil || len(r.B) != 0 || !reflect.DeepEqual(s, goldenState()) {
-			t.Errorf("read as %+v, %v, %d bytes left", s, r.Err, len(r.B))
+		if r.Err != nil || len(r.Buf) != 0 || !reflect.DeepEqual(s, goldenState()) {
+			t.Errorf("read as %+v, %v, %d bytes left", s, r.Err, len(r.Buf))
 		}
 		return encode(s)
 	})
--- a/internal/consensus/paxos/message.go
+++ b/internal/consensus/paxos/message.go
@@ -70,7 +70,7 @@
 	if m.hasState() {
 		m.state.Append(w)
 	}
-	return w.B
+	return w.Buf
 }
 
 func (m message) hasState() bool {
@@ -85,7 +85,7 @@
 }
 
 func decodeMessage(b []byte) (name string, m message, err error) {
-	r := &link.Reader{B: b}
+	r := &link.Reader{Buf: b}
 	name = r.String()
 	m = message{
 		kind:     messageKind(r.U8()),
@@ -102,7 +102,7 @@
 
 // RegisterName is the name of the register that a message is for; false: it is no message of a register.
 func RegisterName(msg []byte) (string, bool) {
-	r := &link.Reader{B: msg}
+	r := &link.Reader{Buf: msg}
 	name := r.String()
 	return name, r.Err == nil
 }
--- a/internal/consensus/paxos/storage.go
+++ b/internal/consensus/paxos/storage.go
@@ -164,7 +164,7 @@
 }
 
 func decodeRecord(b []byte) (savedRecord, error) {
-	in := &link.Reader{B: b}
+	in := &link.Reader{Buf: b}
 	record := savedRecord{kind: recordKind(in.U8())}
 	switch record.kind {
 	case recordDecided:
@@ -190,7 +190,7 @@
 	w.U8(uint8(recordPromise))
 	w.U64(slot)
 	number.append(w)
-	return w.B
+	return w.Buf
 }
 
 func encodeAccepted(number ProposalNumber, s State) []byte {
@@ -199,14 +199,14 @@
 	w.U64(s.Slot)
 	number.append(w)
 	s.Append(w)
-	return w.B
+	return w.Buf
 }
 
 func encodeDecided(s State) []byte {
 	w := &link.Writer{}
 	w.U8(uint8(recordDecided))
 	s.Append(w)
-	return w.B
+	return w.Buf
 }
 
 func encodeChosen(slot uint64, number ProposalNumber) []byte {
@@ -214,5 +214,5 @@
 	w.U8(uint8(recordChosen))
 	w.U64(slot)
 	number.append(w)
-	return w.B
+	return w.Buf
 }
--- a/internal/control/controlclient/attach.go
+++ b/internal/control/controlclient/attach.go
@@ -164,8 +164,8 @@
 
 // isInContact asks a keeper whether it is in contact with a majority, without attaching to it.
 func isInContact(ctx context.Context, conn *link.Conn) bool {
-	b, err := conn.Call(ctx, InContact, nil)
-	r := link.Reader{B: b}
+	b, err := conn.Call(ctx, KindInContact, nil)
+	r := link.Reader{Buf: b}
 	return r.Bool() && err == nil && r.Err == nil
 }
 
@@ -173,11 +173,11 @@
 func (c *Client) hello(ctx context.Context, a *attachment) bool {
 	w := link.Writer{}
 	c.o.Self.Append(&w)
-	w.Bool(c.o.Endpoints)
+	w.Bool(c.o.WantEndpoints)
 	ctx, cancel := context.WithTimeout(ctx, helloWait)
 	defer cancel()
-	b, err := a.conn.Call(ctx, Hello, w.B)
-	r := link.Reader{B: b}
+	b, err := a.conn.Call(ctx, KindHello, w.Buf)
+	r := link.Reader{Buf: b}
 	a.node = ReadNode(&r)
 	r.Bool() // whether it has a disk
 	inContact := r.Bool()
@@ -215,8 +215,8 @@
 		taken[s.node.Addr] = true
 	}
 	c.mu.Unlock()
-	if c.o.Known != nil {
-		nodes = append(nodes, c.o.Known()...)
+	if c.o.KnownKeepers != nil {
+		nodes = append(nodes, c.o.KnownKeepers()...)
 	}
 	for _, s := range c.currentSeeds() {
 		nodes = append(nodes, Node{Addr: s})
--- a/internal/control/controlclient/certificates_test.go
+++ b/internal/control/controlclient/certificates_test.go
@@ -31,14 +31,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch m.Kind {
-	case Hello:
+	case KindHello:
 		w := link.Writer{}
 		Node{Name: "k", Role: RoleKeeper}.Append(&w)
 		w.Bool(true)
 		w.Bool(true)
-		m.Reply(w.B)
+		m.Reply(w.Buf)
 		k.conns = append(k.conns, m.Conn)
-	case Confirm:
+	case KindConfirm:
 		if k.mute {
 			m.Fail("no majority")
 			return
@@ -57,13 +57,13 @@
 
 func (k *keeper) push(version uint64, text []byte) {
 	k.t.Helper()
-	await(k.t, "attached", func() bool { return len(k.c.Keepers()) > 0 })
+	await(k.t, "attached", func() bool { return len(k.c.KeeperConns()) > 0 })
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.n++
-	u := Update{Number: k.n, InContact: true, Whole: k.n == 1, CertificatesVersion: version, Certificates: text}
+	u := Update{Sequence: k.n, InContact: true, Complete: k.n == 1, CertificatesVersion: version, Certificates: text}
 	for _, conn := range k.conns {
-		_ = conn.Send(Push, u.Encode()) // all but one were given up
+		_ = conn.Send(KindUpdate, u.Encode()) // all but one were given up
 	}
 }
 
@@ -93,7 +93,7 @@
 	k := &keeper{t: t}
 	go func() { _ = link.Serve(l, k, link.DefaultOptions) }() // it ends with the listener
 	holder := &snapshot.Latest{}
-	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, Holder: holder, ConfirmEvery: 20 * time.Millisecond, Log: hclog.NewNullLogger()})
+	c := New(Options{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, Snapshots: holder, ConfirmInterval: 20 * time.Millisecond, Log: hclog.NewNullLogger()})
 	k.c = c
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -104,13 +104,13 @@
 
 func TestThatThereAreNoCertificatesIsTold(t *testing.T) {
 	k, c, holder := attach(t)
-	await(t, "attached", func() bool { return len(c.Keepers()) > 0 })
+	await(t, "attached", func() bool { return len(c.KeeperConns()) > 0 })
 	if s := holder.Get(); s == nil || s.CertificatesKnown {
 		t.Error("known before a keeper has said it")
 	}
 	k.push(0, nil)
 	await(t, "told", func() bool { return holder.Get().CertificatesKnown })
-	if holder.Get().Certificates != nil || !c.Confirmed().IsZero() {
+	if holder.Get().Certificates != nil || !c.CertificatesConfirmedAt().IsZero() {
 		t.Error("there are none")
 	}
 }
@@ -127,21 +127,21 @@
 	k.push(3, text(t, 3))
 	await(t, "in force", func() bool { return version() == 3 })
 	time.Sleep(100 * time.Millisecond)
-	if !c.Confirmed().IsZero() {
+	if !c.CertificatesConfirmedAt().IsZero() {
 		t.Error("nobody has confirmed it")
 	}
 	k.setMute(false)
-	await(t, "confirmed", func() bool { return !c.Confirmed().IsZero() })
+	await(t, "confirmed", func() bool { return !c.CertificatesConfirmedAt().IsZero() })
 	k.push(2, text(t, 2))
 	k.push(5, text(t, 5))
 	await(t, "in force", func() bool { return version() == 5 })
 	k.push(4, text(t, 4))
 	k.setMute(true)
 	time.Sleep(100 * time.Millisecond)
-	at := c.Confirmed()
+	at := c.CertificatesConfirmedAt()
 	time.Sleep(100 * time.Millisecond)
-	if version() != 5 || c.Confirmed() != at || time.Since(at) < 100*time.Millisecond {
-		t.Errorf("version %d, confirmed %v ago", version(), time.Since(c.Confirmed()))
+	if version() != 5 || c.CertificatesConfirmedAt() != at || time.Since(at) < 100*time.Millisecond {
+		t.Errorf("version %d, confirmed %v ago", version(), time.Since(c.CertificatesConfirmedAt()))
 	}
 }
 
@@ -149,15 +149,15 @@
 func TestCertificatesThatCannotBeReadCloseTheGate(t *testing.T) {
 	k, c, holder := attach(t)
 	k.push(3, text(t, 3))
-	await(t, "confirmed", func() bool { return !c.Confirmed().IsZero() })
+	await(t, "confirmed", func() bool { return !c.CertificatesConfirmedAt().IsZero() })
 	k.push(4, []byte(`{"version":4,"new_field":1}`))
-	await(t, "closed", func() bool { return c.Confirmed().IsZero() })
+	await(t, "closed", func() bool { return c.CertificatesConfirmedAt().IsZero() })
 	time.Sleep(100 * time.Millisecond)
-	if !c.Confirmed().IsZero() || holder.Get().Certificates.Version != 3 {
+	if !c.CertificatesConfirmedAt().IsZero() || holder.Get().Certificates.Version != 3 {
 		t.Error("open again by the old ones")
 	}
 	k.push(6, text(t, 6))
-	await(t, "open by newer ones", func() bool { return !c.Confirmed().IsZero() && holder.Get().Certificates.Version == 6 })
+	await(t, "open by newer ones", func() bool { return !c.CertificatesConfirmedAt().IsZero() && holder.Get().Certificates.Version == 6 })
 }
 
 func TestFirstCertificatesThatCannotBeReadAreNotTakenForNone(t *testing.T) {
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -29,22 +29,22 @@
 )
 
 // ClientOptions of a process that is attached to keepers.
-type ClientOptions struct {
-	Self      Node
-	Seeds     []string      // addresses of keepers' links
-	Known     func() []Node // keepers that membership knows of
-	Endpoints bool          // whether it wants the list of endpoints
-	Holder    *snapshot.Latest
-	Changed   func(*snapshot.Snapshot) // after each new snapshot, one call at a time; it must not call the Client
+type Options struct {
+	Self          Node
+	Seeds         []string      // addresses of keepers' links
+	KnownKeepers  func() []Node // keepers that membership knows of
+	WantEndpoints bool          // whether it wants the list of endpoints
+	Snapshots     *snapshot.Latest
+	OnSnapshot    func(*snapshot.Snapshot) // after each new snapshot, one call at a time; it must not call the Client
 	// ConfirmEvery is how often keepers are asked whether the certificates are the newest, once there are any; 0: never.
-	ConfirmEvery time.Duration
-	Log          hclog.Logger
+	ConfirmInterval time.Duration
+	Log             hclog.Logger
 }
 
 // Client attaches a process to keepers and holds what they push. What it knows never goes back
 // within its life.
 type Client struct {
-	o     ClientOptions
+	o     Options
 	parse func([]byte) (*operatorconfig.Config, error)
 	// reading is held while a configuration is read and taken in: both keepers push it at once, and reading it
 	// takes long.
@@ -88,7 +88,7 @@
 }
 
 // NewClient returns a client that is not attached yet; Run attaches it.
-func NewClient(o ClientOptions) *Client {
+func New(o Options) *Client {
 	return &Client{o: o, parse: operatorconfig.Parse, sources: map[*link.Conn]*source{}, trying: map[string]bool{}, said: map[string]saying{}, asked: make(chan struct{}, 1)}
 }
 
@@ -110,7 +110,7 @@
 		wg.Add(1)
 		go func() { defer wg.Done(); c.hold(ctx, i) }()
 	}
-	if c.o.ConfirmEvery > 0 {
+	if c.o.ConfirmInterval > 0 {
 		wg.Add(1)
 		go func() { defer wg.Done(); c.confirm(ctx) }()
 	}
@@ -118,7 +118,7 @@
 }
 
 // Keepers tells the attached keepers' links.
-func (c *Client) Keepers() []*link.Conn {
+func (c *Client) KeeperConns() []*link.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var conns []*link.Conn
@@ -174,7 +174,7 @@
 
 // Message takes a push in and acknowledges it once it is in force.
 func (c *Client) Message(m *link.Message) {
-	if m.Kind != Push {
+	if m.Kind != KindUpdate {
 		m.Fail("no such call here: both sides must run the same version")
 		return
 	}
@@ -188,9 +188,9 @@
 	if u.Config != nil {
 		c.reading.Lock()
 		defer c.reading.Unlock()
-		if c.version() < u.Version {
+		if c.version() < u.ConfigVersion {
 			if config, err = c.parse(u.Config); err != nil {
-				c.o.Log.Error("configuration unreadable", "version", u.Version, "err", err)
+				c.o.Log.Error("configuration unreadable", "version", u.ConfigVersion, "err", err)
 			}
 		}
 	}
@@ -219,8 +219,8 @@
 		c.ask()
 	}
 	w := link.Writer{}
-	w.U64(u.Number)
-	_ = m.Conn.Send(Ack, w.B)
+	w.U64(u.Sequence)
+	_ = m.Conn.Send(KindAck, w.Buf)
 }
 
 func (c *Client) version() uint64 {
@@ -233,9 +233,9 @@
 }
 
 // Report sends a call to an attached keeper, one after the other until one takes it.
-func (c *Client) Report(ctx context.Context, kind link.Kind, body []byte) error {
+func (c *Client) CallKeeper(ctx context.Context, kind link.Kind, body []byte) error {
 	err := error(link.ErrClosed)
-	for _, conn := range c.Keepers() {
+	for _, conn := range c.KeeperConns() {
 		cctx, cancel := context.WithTimeout(ctx, time.Second)
 		_, err = conn.Call(cctx, kind, body)
 		cancel()
@@ -247,7 +247,7 @@
 }
 
 // SeedLinks turns the seeds of the settings (control addresses) into addresses of keepers' links.
-func SeedLinks(seeds []string, port int) []string {
+func SeedLinkAddrs(seeds []string, port int) []string {
 	var out []string
 	for _, s := range seeds {
 		if host, _, err := net.SplitHostPort(s); err == nil {
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -31,7 +31,7 @@
 
 func newPlayer() *player {
 	p := &player{conns: map[string]*link.Conn{}}
-	p.c = NewClient(ClientOptions{Holder: &p.holder, Endpoints: true, Log: hclog.NewNullLogger()})
+	p.c = New(Options{Snapshots: &p.holder, WantEndpoints: true, Log: hclog.NewNullLogger()})
 	return p
 }
 
@@ -43,7 +43,7 @@
 func (p *player) push(t *testing.T, name string, words []datadriven.CmdArg, lines string) {
 	u := &Update{InContact: true}
 	p.number++
-	u.Number = p.number
+	u.Sequence = p.number
 	for _, w := range words {
 		number := func() uint64 {
 			n, err := strconv.ParseUint(w.Vals[0], 10, 64)
@@ -54,13 +54,13 @@
 		}
 		switch w.Key {
 		case "whole":
-			u.Whole = true
+			u.Complete = true
 		case "listed":
-			u.Listed = true
+			u.EndpointsKnown = true
 		case "senders":
 			u.Senders = int(number())
 		case "config":
-			u.Version, u.Config = number(), config(number())
+			u.ConfigVersion, u.Config = number(), config(number())
 		case "table":
 			u.Table = &snapshot.PartitionTable{Version: number()}
 		case "keepers":
@@ -94,7 +94,7 @@
 	if p.conns[name] == nil {
 		p.conns[name] = new(link.Conn)
 	}
-	p.c.Message(&link.Message{Conn: p.conns[name], Kind: Push, Body: u.Encode()})
+	p.c.Message(&link.Message{Conn: p.conns[name], Kind: KindUpdate, Body: u.Encode()})
 }
 
 func (p *player) show() string {
@@ -215,7 +215,7 @@
 			c.mu.Unlock()
 			runtime.Gosched()
 		}
-		if c.adopt(conn, Node{Name: "a"}, true) || len(c.Keepers()) != 0 {
+		if c.adopt(conn, Node{Name: "a"}, true) || len(c.KeeperConns()) != 0 {
 			t.Fatal("a link that has ended is held")
 		}
 	}
--- a/internal/control/controlclient/confirm.go
+++ b/internal/control/controlclient/confirm.go
@@ -8,7 +8,7 @@
 // Confirmed tells when the newest question was asked to which a keeper has answered that a majority knew of no newer
 // certificates than those it had pushed before; zero: none was answered yet. It is this process's own clock, so neither
 // the keepers' clocks nor the time that an answer took count for anything.
-func (c *Client) Confirmed() time.Time {
+func (c *Client) CertificatesConfirmedAt() time.Time {
 	if at := c.confirmed.Load(); at != nil {
 		return *at
 	}
@@ -17,7 +17,7 @@
 
 // confirm asks all attached keepers again and again, once there are certificates.
 func (c *Client) confirm(ctx context.Context) {
-	tick := time.NewTicker(c.o.ConfirmEvery)
+	tick := time.NewTicker(c.o.ConfirmInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -26,11 +26,11 @@
 		case <-ctx.Done():
 			return
 		}
-		if s := c.o.Holder.Get(); s == nil || s.Certificates == nil {
+		if s := c.o.Snapshots.Get(); s == nil || s.Certificates == nil {
 			continue
 		}
-		for _, conn := range c.Keepers() {
-			at, reply := time.Now(), conn.Go(Confirm, nil)
+		for _, conn := range c.KeeperConns() {
+			at, reply := time.Now(), conn.Go(KindConfirm, nil)
 			go func() {
 				select {
 				case r := <-reply:
--- a/internal/control/controlclient/golden_test.go
+++ b/internal/control/controlclient/golden_test.go
@@ -66,12 +66,12 @@
 	encode := func(v T) []byte {
 		var w link.Writer
 		write(v, &w)
-		return w.B
+		return w.Buf
 	}
 	decode := func(body []byte) (T, error) {
-		r := link.Reader{B: body}
+		r := link.Reader{Buf: body}
 		v := read(&r)
-		if r.Err == nil && len(r.B) > 0 {
+		if r.Err == nil && len(r.Buf) > 0 {
 			r.Err = io.ErrUnexpectedEOF
 		}
 		return v, r.Err
@@ -81,13 +81,13 @@
 
 func goldenNode(name string, offset uint64) Node {
 	return Node{
-		Name:    name,
-		Role:    RoleStore,
-		Zone:    "zone-of-" + name,
-		Addr:    name + ":7001",
-		Control: name + ":7002",
-		ID:      0x0a00 + offset,
-		Life:    0x0b00 + offset,
+		Name:        name,
+		Role:        RoleStore,
+		Zone:        "zone-of-" + name,
+		Addr:        name + ":7001",
+		ControlAddr: name + ":7002",
+		ID:          0x0a00 + offset,
+		Incarnation: 0x0b00 + offset,
 	}
 }
 
@@ -111,14 +111,14 @@
 
 func goldenUpdate() *Update {
 	return &Update{
-		Number:    11,
-		Whole:     true,
-		InContact: true,
-		Listed:    true,
-		Senders:   12,
-		Config:    []byte(`{"version":13}`),
-		Version:   13,
-		Table:     goldenTable(),
+		Sequence:       11,
+		Complete:       true,
+		InContact:      true,
+		EndpointsKnown: true,
+		Senders:        12,
+		Config:         []byte(`{"version":13}`),
+		ConfigVersion:  13,
+		Table:          goldenTable(),
 		Entries: []registry.Entry{
 			{
 				Endpoint: snapshot.Endpoint{
@@ -139,18 +139,18 @@
 	encodeNodes, decodeNodes := appended(func(nodes []Node, w *link.Writer) { AppendNodes(w, nodes) }, ReadNodes)
 	encodeTable, decodeTable := appended(func(table *snapshot.PartitionTable, w *link.Writer) { AppendTable(w, table) }, ReadTable)
 	encodeReport, decodeReport := appended(KeeperReport.Append, ReadKeeperReport)
-	encodeTrouble := func(trouble Trouble) []byte { return trouble.Encode() }
+	encodeTrouble := func(trouble Condition) []byte { return trouble.Encode() }
 	return []goldenMessage{
 		message("node", goldenNode("p1", 1), encodeNode, decodeNode),
 		message("nodes", []Node{goldenNode("p1", 1), goldenNode("p2", 2)}, encodeNodes, decodeNodes),
 		message("table", goldenTable(), encodeTable, decodeTable),
 		message("update", goldenUpdate(), (*Update).Encode, ReadUpdate),
-		message("update_number_only", &Update{Number: 22, InContact: true}, (*Update).Encode, ReadUpdate),
-		message("keeper_report", KeeperReport{InContact: true, Slots: []uint64{51, 52}, Heard: []uint64{53, 54, 55}}, encodeReport, decodeReport),
-		message("keeper_report_leaving", KeeperReport{Leaving: true, Slots: []uint64{56}}, encodeReport, decodeReport),
-		message("part_joined", PartJoined{Part: 61, Epoch: 62}, PartJoined.Encode, ReadPartJoined),
+		message("update_number_only", &Update{Sequence: 22, InContact: true}, (*Update).Encode, ReadUpdate),
+		message("keeper_report", KeeperReport{InContact: true, DecidedSlots: []uint64{51, 52}, ConnectedVoters: []uint64{53, 54, 55}}, encodeReport, decodeReport),
+		message("keeper_report_leaving", KeeperReport{Stopping: true, DecidedSlots: []uint64{56}}, encodeReport, decodeReport),
+		message("part_joined", PartitionJoined{Partition: 61, Epoch: 62}, PartitionJoined.Encode, ReadPartitionJoined),
 		message("store_stopping", StoreStopping{Store: 71, Stopping: true}, StoreStopping.Encode, ReadStoreStopping),
-		message("trouble", Trouble{Node: goldenNode("p3", 3), Reason: "the disk is full", Relayed: true}, encodeTrouble, ReadTrouble),
+		message("trouble", Condition{Node: goldenNode("p3", 3), Reason: "the disk is full", Relayed: true}, encodeTrouble, ReadCondition),
 	}
 }
 
@@ -178,15 +178,15 @@
 
 func TestGoldenRenumberedUpdate(t *testing.T) {
 	body := goldenUpdate().Encode()
-	Renumber(body, 0x0102030405060708)
+	SetSequence(body, 0x0102030405060708)
 	checkGolden(t, "update_renumbered", body)
 }
 
 // The numbers of the kinds of messages stay.
 func TestGoldenKinds(t *testing.T) {
 	kinds := map[link.Kind]link.Kind{
-		Hello: 1, Push: 2, Ack: 3, Agree: 4, Entries: 5, Heard: 6, Attached: 7, Learn: 8, Joined: 9, Lease: 10, Status: 11, Missing: 12,
-		Confirm: 13, InForce: 14, Report: 15, Stopping: 20, InContact: 21, ProcessTrouble: 22,
+		KindHello: 1, KindUpdate: 2, KindAck: 3, KindConsensus: 4, KindEndpoints: 5, KindHeartbeats: 6, KindAttached: 7, KindDecided: 8, KindPartitionJoined: 9, KindLease: 10, KindStatus: 11, KindEndpointsRequest: 12,
+		KindConfirm: 13, KindInForce: 14, KindKeeperReport: 15, KindStoreStopping: 20, KindInContact: 21, KindCondition: 22,
 	}
 	if len(kinds) != 18 {
 		t.Fatalf("%d kinds", len(kinds))
@@ -224,7 +224,7 @@
 	defer listener.Close()
 	self := goldenNode("p1", 1)
 	self.Role = RoleProxy
-	c := NewClient(ClientOptions{Self: self, Endpoints: true, Holder: &snapshot.Latest{}, ConfirmEvery: time.Hour, Log: hclog.NewNullLogger()})
+	c := New(Options{Self: self, WantEndpoints: true, Snapshots: &snapshot.Latest{}, ConfirmInterval: time.Hour, Log: hclog.NewNullLogger()})
 	attached := make(chan *attachment, 1)
 	go func() { attached <- c.attach(t.Context(), listener.Addr().String(), true) }()
 	raw, err := listener.Accept()
@@ -238,7 +238,7 @@
 			t.Fatal(err)
 		}
 	}
-	nodeSize := 5*4 + len(self.Name) + len(self.Role) + len(self.Zone) + len(self.Addr) + len(self.Control) + 2*8
+	nodeSize := 5*4 + len(self.Name) + len(self.Role) + len(self.Zone) + len(self.Addr) + len(self.ControlAddr) + 2*8
 
 	checkGolden(t, "frame_in_contact_call", readFrame(t, raw, 0))
 	write("frame_in_contact_reply", []byte{0, 0, 0, 6, 250, 0, 0, 0, 1, 1})
@@ -249,7 +249,7 @@
 	keeper.Append(&w)
 	w.Bool(true)
 	w.Bool(true)
-	write("frame_hello_reply", append([]byte{0, 0, 0, byte(5 + len(w.B)), 250, 0, 0, 0, 2}, w.B...))
+	write("frame_hello_reply", append([]byte{0, 0, 0, byte(5 + len(w.Buf)), 250, 0, 0, 0, 2}, w.Buf...))
 	var a *attachment
 	select {
 	case a = <-attached:
@@ -260,7 +260,7 @@
 	}
 	defer a.conn.Close()
 
-	push := Update{Number: 0x0c01, InContact: true, Whole: true, Listed: true, Senders: 3, CertificatesVersion: 3, Certificates: text(t, 3)}
+	push := Update{Sequence: 0x0c01, InContact: true, Complete: true, EndpointsKnown: true, Senders: 3, CertificatesVersion: 3, Certificates: text(t, 3)}
 	body := push.Encode()
 	write("frame_push", append([]byte{0, 0, 0, byte(5 + len(body)), 2, 0, 0, 0, 0}, body...))
 	checkGolden(t, "frame_ack", readFrame(t, raw, 8))
@@ -271,7 +271,7 @@
 	defer func() { cancel(); <-confirming }()
 	checkGolden(t, "frame_confirm_call", readFrame(t, raw, 0))
 	write("frame_confirm_reply", []byte{0, 0, 0, 5, 250, 0, 0, 0, 3})
-	await(t, "confirmed", func() bool { return !c.Confirmed().IsZero() })
+	await(t, "confirmed", func() bool { return !c.CertificatesConfirmedAt().IsZero() })
 }
 
 // What a process sends that can't do its work.
@@ -281,9 +281,9 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	trouble := Trouble{Node: goldenNode("p3", 3), Reason: "the disk is full"}
+	trouble := Condition{Node: goldenNode("p3", 3), Reason: "the disk is full"}
 	reported := make(chan error, 1)
-	go func() { reported <- ReportTrouble(t.Context(), listener.Addr().String(), trouble) }()
+	go func() { reported <- ReportCondition(t.Context(), listener.Addr().String(), trouble) }()
 	raw, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/controlclient/merge.go
+++ b/internal/control/controlclient/merge.go
@@ -28,13 +28,13 @@
 		c.takeKeepers(u.Keepers)
 	}
 	before := s.entries
-	endpoints = u.Whole || len(u.Entries) > 0 || u.Listed && !s.listed
-	if u.Whole {
+	endpoints = u.Complete || len(u.Entries) > 0 || u.EndpointsKnown && !s.listed
+	if u.Complete {
 		s.entries = map[string]registry.Entry{}
 		s.whole = true
 	}
 	// A keeper that listens anew, after a freeze, takes nobody away before it has heard a round: its word stays good.
-	s.listed = s.listed || u.Listed
+	s.listed = s.listed || u.EndpointsKnown
 	now := time.Now()
 	for _, e := range u.Entries {
 		if old, there := before[e.ID]; there && old.CallCount > e.CallCount && !e.Dead() {
@@ -95,10 +95,10 @@
 	}
 	snap := &snapshot.Snapshot{Config: c.config, Proxies: max(c.senders, 1), Table: c.table, EndpointsComplete: c.listed, Endpoints: c.merged,
 		Certificates: c.certificates, CertificatesKnown: c.certificatesKnown}
-	checkSuccessor(c.o.Holder.Get(), snap, endpoints)
-	c.o.Holder.Set(snap)
-	if c.o.Changed != nil {
-		c.o.Changed(snap)
+	checkSuccessor(c.o.Snapshots.Get(), snap, endpoints)
+	c.o.Snapshots.Set(snap)
+	if c.o.OnSnapshot != nil {
+		c.o.OnSnapshot(snap)
 	}
 }
 
--- a/internal/control/controlclient/merge_test.go
+++ b/internal/control/controlclient/merge_test.go
@@ -25,7 +25,7 @@
 }
 
 func (p *pushing) Message(m *link.Message) {
-	if m.Kind != Hello {
+	if m.Kind != KindHello {
 		return
 	}
 	first := false
@@ -35,7 +35,7 @@
 		Node{Name: "k", Role: RoleKeeper}.Append(&w)
 		w.Bool(true)
 		w.Bool(true)
-		m.Reply(w.B)
+		m.Reply(w.Buf)
 		p.conns <- m.Conn
 	})
 	if !first {
@@ -57,8 +57,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	seen := make(chan *snapshot.Snapshot, 64)
-	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, Endpoints: true, Holder: &snapshot.Latest{},
-		Changed: func(s *snapshot.Snapshot) { seen <- s }, Log: hclog.NewNullLogger()})
+	c := New(Options{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, WantEndpoints: true, Snapshots: &snapshot.Latest{},
+		OnSnapshot: func(s *snapshot.Snapshot) { seen <- s }, Log: hclog.NewNullLogger()})
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
@@ -78,7 +78,7 @@
 		}
 	}
 	push := func(u Update) {
-		if err := conn.Send(Push, u.Encode()); err != nil {
+		if err := conn.Send(KindUpdate, u.Encode()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -89,14 +89,14 @@
 		return reflect.ValueOf(a.Endpoints).Pointer() == reflect.ValueOf(b.Endpoints).Pointer()
 	}
 
-	push(Update{Number: 1, InContact: true, Whole: true, Listed: true, Senders: 1, Entries: []registry.Entry{entry("a", 1, snapshot.Ready)}})
+	push(Update{Sequence: 1, InContact: true, Complete: true, EndpointsKnown: true, Senders: 1, Entries: []registry.Entry{entry("a", 1, snapshot.Ready)}})
 	one := await("the first endpoint", func(s *snapshot.Snapshot) bool { return s.EndpointsComplete && len(s.Endpoints["s"]) == 1 })
-	push(Update{Number: 2, InContact: true, Listed: true, Senders: 7})
+	push(Update{Sequence: 2, InContact: true, EndpointsKnown: true, Senders: 7})
 	two := await("seven senders", func(s *snapshot.Snapshot) bool { return s.Proxies == 7 })
 	if !two.EndpointsComplete || !same(one, two) {
 		t.Error("the list was made anew though nothing of it changed")
 	}
-	push(Update{Number: 3, InContact: true, Listed: true, Entries: []registry.Entry{entry("b", 1, snapshot.Ready), entry("a", 2, snapshot.Draining)}})
+	push(Update{Sequence: 3, InContact: true, EndpointsKnown: true, Entries: []registry.Entry{entry("b", 1, snapshot.Ready), entry("a", 2, snapshot.Draining)}})
 	three := await("two endpoints", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 2 })
 	if three.Proxies != 7 || three.Endpoints["s"][0].State != snapshot.Draining {
 		t.Errorf("%d senders, %+v", three.Proxies, three.Endpoints["s"][0])
@@ -104,15 +104,15 @@
 	if len(two.Endpoints["s"]) != 1 || two.Endpoints["s"][0].State != snapshot.Ready {
 		t.Error("a shared list changed")
 	}
-	push(Update{Number: 4, InContact: true, Listed: true, Entries: []registry.Entry{entry("a", 2, snapshot.Removed)}})
+	push(Update{Sequence: 4, InContact: true, EndpointsKnown: true, Entries: []registry.Entry{entry("a", 2, snapshot.Removed)}})
 	await("one endpoint left", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "b" })
 	// A keeper that listens anew takes nobody away: what it told stays whole.
-	push(Update{Number: 5, InContact: true, Listed: false, Senders: 9})
+	push(Update{Sequence: 5, InContact: true, EndpointsKnown: false, Senders: 9})
 	five := await("nine senders", func(s *snapshot.Snapshot) bool { return s.Proxies == 9 })
 	if !five.EndpointsComplete || len(five.Endpoints["s"]) != 1 || five.Endpoints["s"][0].ID != "b" {
 		t.Errorf("listed %v, %d endpoints after a keeper began to listen anew", five.EndpointsComplete, len(five.Endpoints["s"]))
 	}
-	push(Update{Number: 6, InContact: true, Whole: true, Listed: true, Entries: []registry.Entry{entry("c", 1, snapshot.Ready)}})
+	push(Update{Sequence: 6, InContact: true, Complete: true, EndpointsKnown: true, Entries: []registry.Entry{entry("c", 1, snapshot.Ready)}})
 	await("another whole list", func(s *snapshot.Snapshot) bool {
 		return s.EndpointsComplete && len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "c"
 	})
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := NewClient(ClientOptions{Self: Node{Name: "p", Role: RoleProxy}, Holder: &snapshot.Latest{}, Log: hclog.NewNullLogger()})
+	c := New(Options{Self: Node{Name: "p", Role: RoleProxy}, Snapshots: &snapshot.Latest{}, Log: hclog.NewNullLogger()})
 	var read atomic.Int64
 	c.parse = func([]byte) (*operatorconfig.Config, error) {
 		read.Add(1)
@@ -134,7 +134,7 @@
 	}
 	keeper := &pushing{conns: make(chan *link.Conn, 1)}
 	go func() { _ = link.Serve(l, keeper, link.DefaultOptions) }()
-	u := Update{Number: 1, InContact: true, Whole: true, Listed: true, Config: []byte("{}"), Version: 3}
+	u := Update{Sequence: 1, InContact: true, Complete: true, EndpointsKnown: true, Config: []byte("{}"), ConfigVersion: 3}
 	var wg sync.WaitGroup
 	for range 2 {
 		conn, err := link.Dial(t.Context(), l.Addr().String(), c, link.DefaultOptions)
@@ -142,10 +142,10 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		wg.Go(func() { c.Message(&link.Message{Conn: conn, Kind: Push, Body: u.Encode()}) })
+		wg.Go(func() { c.Message(&link.Message{Conn: conn, Kind: KindUpdate, Body: u.Encode()}) })
 	}
 	wg.Wait()
-	if n := read.Load(); n != 1 || c.o.Holder.Get().Config.Version != 3 {
+	if n := read.Load(); n != 1 || c.o.Snapshots.Get().Config.Version != 3 {
 		t.Errorf("it was read %d times", n)
 	}
 }
--- a/internal/control/controlclient/messages.go
+++ b/internal/control/controlclient/messages.go
@@ -18,13 +18,13 @@
 
 // Node is a process of the system.
 type Node struct {
-	Name    string
-	Role    string
-	Zone    string
-	Addr    string // of its links; of a proxy: none
-	Control string // a keeper's address for endpoints and operators
-	ID      uint64 // on its disk: a keeper's as a voter, a store's; 0: no disk
-	Life    uint64 // grows with each start
+	Name        string
+	Role        string
+	Zone        string
+	Addr        string // of its links; of a proxy: none
+	ControlAddr string // a keeper's address for endpoints and operators
+	ID          uint64 // on its disk: a keeper's as a voter, a store's; 0: no disk
+	Incarnation uint64 // grows with each start
 }
 
 // Append writes a node into a message.
@@ -33,14 +33,14 @@
 	w.String(n.Role)
 	w.String(n.Zone)
 	w.String(n.Addr)
-	w.String(n.Control)
+	w.String(n.ControlAddr)
 	w.U64(n.ID)
-	w.U64(n.Life)
+	w.U64(n.Incarnation)
 }
 
 // ReadNode takes a node out of a message.
 func ReadNode(r *link.Reader) Node {
-	return Node{Name: r.String(), Role: r.String(), Zone: r.String(), Addr: r.String(), Control: r.String(), ID: r.U64(), Life: r.U64()}
+	return Node{Name: r.String(), Role: r.String(), Zone: r.String(), Addr: r.String(), ControlAddr: r.String(), ID: r.U64(), Incarnation: r.U64()}
 }
 
 // AppendNodes writes a list of nodes.
@@ -61,18 +61,18 @@
 
 // Update is a numbered change. What is not in it stays as it was.
 type Update struct {
-	Number uint64 // grows by one a push, in one life of the keeper
-	Whole  bool   // the entries are all that there are
+	Sequence uint64 // grows by one a push, in one life of the keeper
+	Complete bool   // the entries are all that there are
 	// InContact says that a majority has answered the keeper recently. Without, the update tells nothing of what the
 	// registers hold: no configuration, no table and no certificates.
-	InContact bool
-	Listed    bool   // the keeper has heard a whole round of heartbeats
-	Senders   int    // 0: not in it
-	Config    []byte // as the operator sent it; nil: not in it
-	Version   uint64 // of Config
-	Table     *snapshot.PartitionTable
-	Entries   []registry.Entry
-	Keepers   []Node // nil: not in it
+	InContact      bool
+	EndpointsKnown bool   // the keeper has heard a whole round of heartbeats
+	Senders        int    // 0: not in it
+	Config         []byte // as the operator sent it; nil: not in it
+	ConfigVersion  uint64 // of Config
+	Table          *snapshot.PartitionTable
+	Entries        []registry.Entry
+	Keepers        []Node // nil: not in it
 	// CertificatesVersion is told by a keeper in contact; 0: none were ever put.
 	CertificatesVersion uint64
 	Certificates        []byte // as the operator sent them; nil: not in it
@@ -81,13 +81,13 @@
 // Encode writes the update's message.
 func (u *Update) Encode() []byte {
 	w := link.Writer{}
-	w.U64(u.Number)
-	w.Bool(u.Whole)
+	w.U64(u.Sequence)
+	w.Bool(u.Complete)
 	w.Bool(u.InContact)
-	w.Bool(u.Listed)
+	w.Bool(u.EndpointsKnown)
 	w.Int(u.Senders)
 	w.Bytes(u.Config)
-	w.U64(u.Version)
+	w.U64(u.ConfigVersion)
 	w.Bool(u.Table != nil)
 	if u.Table != nil {
 		AppendTable(&w, u.Table)
@@ -99,16 +99,16 @@
 	AppendNodes(&w, u.Keepers)
 	w.U64(u.CertificatesVersion)
 	w.Bytes(u.Certificates)
-	return w.B
+	return w.Buf
 }
 
 // Renumber gives an update's message another number, as one message serves many processes.
-func Renumber(b []byte, number uint64) { binary.BigEndian.PutUint64(b, number) }
+func SetSequence(b []byte, number uint64) { binary.BigEndian.PutUint64(b, number) }
 
 // ReadUpdate reads the update's message.
 func ReadUpdate(b []byte) (*Update, error) {
-	r := link.Reader{B: b}
-	u := &Update{Number: r.U64(), Whole: r.Bool(), InContact: r.Bool(), Listed: r.Bool(), Senders: r.Int(), Config: r.Bytes(), Version: r.U64()}
+	r := link.Reader{Buf: b}
+	u := &Update{Sequence: r.U64(), Complete: r.Bool(), InContact: r.Bool(), EndpointsKnown: r.Bool(), Senders: r.Int(), Config: r.Bytes(), ConfigVersion: r.U64()}
 	if len(u.Config) == 0 {
 		u.Config = nil
 	}
--- a/internal/control/controlclient/messages_test.go
+++ b/internal/control/controlclient/messages_test.go
@@ -53,10 +53,10 @@
 
 func updates() *rapid.Generator[*Update] {
 	return rapid.Custom(func(t *rapid.T) *Update {
-		u := &Update{Number: rapid.Uint64().Draw(t, "number"), Whole: rapid.Bool().Draw(t, "whole"), InContact: rapid.Bool().Draw(t, "in contact"), Listed: rapid.Bool().Draw(t, "listed"),
+		u := &Update{Sequence: rapid.Uint64().Draw(t, "number"), Complete: rapid.Bool().Draw(t, "whole"), InContact: rapid.Bool().Draw(t, "in contact"), EndpointsKnown: rapid.Bool().Draw(t, "listed"),
 			Senders: rapid.IntRange(0, 9).Draw(t, "senders")}
 		if rapid.Bool().Draw(t, "has config") {
-			u.Config, u.Version = rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "config"), rapid.Uint64().Draw(t, "version")
+			u.Config, u.ConfigVersion = rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "config"), rapid.Uint64().Draw(t, "version")
 		}
 		if rapid.Bool().Draw(t, "has certificates") {
 			u.CertificatesVersion = rapid.Uint64().Draw(t, "certificates' version")
@@ -108,7 +108,7 @@
 		list := rapid.SliceOfN(nodes(), 1, 5).Draw(t, "nodes")
 		w := link.Writer{}
 		AppendNodes(&w, list)
-		r := link.Reader{B: w.B}
+		r := link.Reader{Buf: w.Buf}
 		if got := ReadNodes(&r); r.Err != nil || !reflect.DeepEqual(got, list) {
 			t.Fatalf("%+v, %v", got, r.Err)
 		}
@@ -116,7 +116,7 @@
 }
 
 func FuzzReadUpdate(f *testing.F) {
-	f.Add((&Update{Number: 1, Whole: true, Keepers: []Node{{Name: "a"}}, Table: &snapshot.PartitionTable{Version: 2, Partitions: make([]snapshot.Partition, 2)}}).Encode())
+	f.Add((&Update{Sequence: 1, Complete: true, Keepers: []Node{{Name: "a"}}, Table: &snapshot.PartitionTable{Version: 2, Partitions: make([]snapshot.Partition, 2)}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		u, err := ReadUpdate(b)
 		if err != nil {
--- a/internal/control/controlclient/report.go
+++ b/internal/control/controlclient/report.go
@@ -7,26 +7,26 @@
 	// InContact says that a majority of the voters has answered the sender recently enough for it to serve.
 	InContact bool
 	// Leaving says that the sender has been told to stop and hands over its seats.
-	Leaving bool
+	Stopping bool
 	// Slots tell the newest decided slots that the sender has stored, by the order in which the registers are declared:
 	// the slot plus one, and 0 where it knows none.
-	Slots []uint64
+	DecidedSlots []uint64
 	// Heard are the identities of the voters with which the sender has a link, and its own if it votes. Those of other
 	// keepers are left out: nothing depends on them, and there may be many.
-	Heard []uint64
+	ConnectedVoters []uint64
 }
 
 // Append writes a report into a message.
 func (report KeeperReport) Append(w *link.Writer) {
 	w.Bool(report.InContact)
-	w.Bool(report.Leaving)
-	appendNumbers(w, report.Slots)
-	appendNumbers(w, report.Heard)
+	w.Bool(report.Stopping)
+	appendNumbers(w, report.DecidedSlots)
+	appendNumbers(w, report.ConnectedVoters)
 }
 
 // ReadKeeperReport takes a report out of a message.
 func ReadKeeperReport(r *link.Reader) KeeperReport {
-	return KeeperReport{InContact: r.Bool(), Leaving: r.Bool(), Slots: readNumbers(r), Heard: readNumbers(r)}
+	return KeeperReport{InContact: r.Bool(), Stopping: r.Bool(), DecidedSlots: readNumbers(r), ConnectedVoters: readNumbers(r)}
 }
 
 func appendNumbers(w *link.Writer, numbers []uint64) {
--- a/internal/control/controlclient/report_test.go
+++ b/internal/control/controlclient/report_test.go
@@ -10,17 +10,17 @@
 func TestKeeperReportRoundTrip(t *testing.T) {
 	for _, want := range []KeeperReport{
 		{},
-		{InContact: true, Slots: []uint64{1, 2, 3}, Heard: []uint64{7}},
-		{Leaving: true, Heard: []uint64{1, 1 << 63}},
+		{InContact: true, DecidedSlots: []uint64{1, 2, 3}, ConnectedVoters: []uint64{7}},
+		{Stopping: true, ConnectedVoters: []uint64{1, 1 << 63}},
 	} {
 		w := link.Writer{}
 		want.Append(&w)
-		r := link.Reader{B: w.B}
+		r := link.Reader{Buf: w.Buf}
 		got := ReadKeeperReport(&r)
-		if r.Err != nil || len(r.B) != 0 || !reflect.DeepEqual(got, want) {
-			t.Errorf("%+v, %d bytes left, %v, want %+v", got, len(r.B), r.Err, want)
+		if r.Err != nil || len(r.Buf) != 0 || !reflect.DeepEqual(got, want) {
+			t.Errorf("%+v, %d bytes left, %v, want %+v", got, len(r.Buf), r.Err, want)
 		}
-		short := link.Reader{B: w.B[:len(w.B)-1]}
+		short := link.Reader{Buf: w.Buf[:len(w.Buf)-1]}
 		if ReadKeeperReport(&short); short.Err == nil {
 			t.Errorf("%+v was read from a message that was cut", want)
 		}
--- a/internal/control/controlclient/store_reports.go
+++ b/internal/control/controlclient/store_reports.go
@@ -3,23 +3,23 @@
 import "dunetide/internal/platform/link"
 
 // PartJoined is the body of a Joined call: a store says that the next group of a part has all of it.
-type PartJoined struct {
-	Part  int
-	Epoch uint64
+type PartitionJoined struct {
+	Partition int
+	Epoch     uint64
 }
 
 // Encode writes the message.
-func (p PartJoined) Encode() []byte {
+func (p PartitionJoined) Encode() []byte {
 	w := link.Writer{}
-	w.Int(p.Part)
+	w.Int(p.Partition)
 	w.U64(p.Epoch)
-	return w.B
+	return w.Buf
 }
 
 // ReadPartJoined reads the message.
-func ReadPartJoined(body []byte) (PartJoined, error) {
-	r := link.Reader{B: body}
-	p := PartJoined{Part: r.Int(), Epoch: r.U64()}
+func ReadPartitionJoined(body []byte) (PartitionJoined, error) {
+	r := link.Reader{Buf: body}
+	p := PartitionJoined{Partition: r.Int(), Epoch: r.U64()}
 	return p, r.Err
 }
 
@@ -34,12 +34,12 @@
 	w := link.Writer{}
 	w.U64(s.Store)
 	w.Bool(s.Stopping)
-	return w.B
+	return w.Buf
 }
 
 // ReadStoreStopping reads the message.
 func ReadStoreStopping(body []byte) (StoreStopping, error) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	s := StoreStopping{Store: r.U64(), Stopping: r.Bool()}
 	return s, r.Err
 }
--- a/internal/control/keeper/attached_processes.go
+++ b/internal/control/keeper/attached_processes.go
@@ -36,7 +36,7 @@
 
 // handleHello attaches a process, or adopts the link of another keeper.
 func (k *Keeper) handleHello(m *link.Message) {
-	r := link.Reader{B: m.Body}
+	r := link.Reader{Buf: m.Body}
 	node, wantsEndpoints := controlclient.ReadNode(&r), r.Bool()
 	if r.Err != nil {
 		m.Fail("%v", r.Err)
@@ -60,7 +60,7 @@
 	k.self.Append(&w)
 	w.Bool(k.registers.id != 0)
 	w.Bool(k.contact.InContact(k.sinceStart(time.Now())))
-	return w.B
+	return w.Buf
 }
 
 // attach attaches a process in place of its older attachment, if there is one.
@@ -122,7 +122,7 @@
 	body := k.encodeAttached()
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.Attached, body) // a link that has ended is sent them when it is replaced
+			_ = p.conn.Send(controlclient.KindAttached, body) // a link that has ended is sent them when it is replaced
 		}
 	}
 }
@@ -134,12 +134,12 @@
 	}
 	w := link.Writer{}
 	controlclient.AppendNodes(&w, nodes)
-	return w.B
+	return w.Buf
 }
 
 // handleAttached takes the processes that are attached to another keeper.
 func (k *Keeper) handleAttached(m *link.Message) {
-	r := link.Reader{B: m.Body}
+	r := link.Reader{Buf: m.Body}
 	nodes := controlclient.ReadNodes(&r)
 	if r.Err != nil {
 		return
--- a/internal/control/keeper/bootstrap.go
+++ b/internal/control/keeper/bootstrap.go
@@ -12,7 +12,7 @@
 	if !settings.FirstStart || rs.id == 0 {
 		return
 	}
-	voters, complete := rs.seedVoters(controlclient.SeedLinks(settings.Seeds, settings.FirstInternalPort))
+	voters, complete := rs.seedVoters(controlclient.SeedLinkAddrs(settings.Seeds, settings.FirstInternalPort))
 	if complete {
 		rs.trySubmit(func() { rs.bootstrap(voters) }) // if the queue is full: after the next connection
 	}
--- a/internal/control/keeper/calls_test.go
+++ b/internal/control/keeper/calls_test.go
@@ -259,10 +259,10 @@
 					t.Fatalf("%s is acknowledged before the attached did: %v", what, a)
 				default:
 				}
-				w.ack(u.Number)
+				w.ack(u.Sequence)
 				break
 			}
-			w.ack(u.Number)
+			w.ack(u.Sequence)
 		}
 		if a := receive(t, answers, "the answer"); a.status != 200 {
 			t.Fatal(a)
@@ -276,7 +276,7 @@
 	check("a heartbeat", func() response { return r.heartbeat(0, "7", "ready", 1) }, in(snapshot.Ready))
 	check("a drain", func() response { return r.heartbeat(2, "7", "draining", 2) }, in(snapshot.Draining))
 	check("an end", func() response { return r.call(0, "DELETE", "/instances/7", "", nil) }, in(snapshot.Removed))
-	check("a configuration", func() response { return r.putConfig(1, 3, 0, "a") }, func(u *controlclient.Update) bool { return u.Version == 3 })
+	check("a configuration", func() response { return r.putConfig(1, 3, 0, "a") }, func(u *controlclient.Update) bool { return u.ConfigVersion == 3 })
 }
 
 // Who does not acknowledge holds an answer for PushWait, no longer.
--- a/internal/control/keeper/certificates.go
+++ b/internal/control/keeper/certificates.go
@@ -84,10 +84,10 @@
 			continue
 		}
 		expected++
-		reply := p.conn.Go(controlclient.InForce, request.B)
+		reply := p.conn.Go(controlclient.KindInForce, request.Buf)
 		go func() { // it ends with the link at the latest
 			answer := <-reply
-			r := link.Reader{B: answer.Body}
+			r := link.Reader{Buf: answer.Body}
 			answers <- r.Bool() && answer.Err == nil && r.Err == nil
 		}()
 	}
@@ -97,7 +97,7 @@
 
 // handleInForce answers another keeper once the processes attached here have a version in force, or haven't in time.
 func (k *Keeper) handleInForce(m *link.Message) {
-	r := link.Reader{B: m.Body}
+	r := link.Reader{Buf: m.Body}
 	version := r.U64()
 	if r.Err != nil {
 		m.Fail("%v", r.Err)
@@ -106,7 +106,7 @@
 	k.whenInForce(version, func(inForce bool) {
 		w := link.Writer{}
 		w.Bool(inForce)
-		m.Reply(w.B)
+		m.Reply(w.Buf)
 	})
 }
 
--- a/internal/control/keeper/certificates_test.go
+++ b/internal/control/keeper/certificates_test.go
@@ -57,14 +57,14 @@
 // gate is a proxy's side: a real client and the gate behind it.
 func (r *rig) gate(seeds ...int) *certification.Gate {
 	var client *controlclient.Client
-	gate := certification.NewGate(certification.GateOptions{ConfirmationTTL: certificatesTTL, LastConfirmed: func() time.Time { return client.Confirmed() }})
+	gate := certification.NewGate(certification.GateOptions{ConfirmationTTL: certificatesTTL, LastConfirmed: func() time.Time { return client.CertificatesConfirmedAt() }})
 	var addrs []string
 	for _, i := range seeds {
 		addrs = append(addrs, r.linkAddress(i))
 	}
-	client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: "z", Life: 1},
-		Seeds: addrs, Endpoints: true, Holder: &snapshot.Latest{}, ConfirmEvery: certificatesTTL / 5, Log: hclog.NewNullLogger(),
-		Changed: func(s *snapshot.Snapshot) { gate.Update(s.Certificates) }})
+	client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: "z", Incarnation: 1},
+		Seeds: addrs, WantEndpoints: true, Snapshots: &snapshot.Latest{}, ConfirmInterval: certificatesTTL / 5, Log: hclog.NewNullLogger(),
+		OnSnapshot: func(s *snapshot.Snapshot) { gate.Update(s.Certificates) }})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { client.Run(ctx); close(done) }()
@@ -175,7 +175,7 @@
 	// An order is taken by its own majority, also before this keeper is in contact, and again without contact on a busy machine.
 	// Nothing is confirmed then, at once, and the process asks again.
 	eventually(t, "what it has is confirmed", func() bool {
-		_, err := w.conn.Call(ctx, controlclient.Confirm, nil)
+		_, err := w.conn.Call(ctx, controlclient.KindConfirm, nil)
 		return err == nil
 	})
 	for i := range maxUnackedPushes + 8 {
@@ -194,7 +194,7 @@
 	if newest == 2 {
 		t.Skip("it was pushed them all the same")
 	}
-	if _, err := w.conn.Call(ctx, controlclient.Confirm, nil); err == nil {
+	if _, err := w.conn.Call(ctx, controlclient.KindConfirm, nil); err == nil {
 		t.Error("what it has is confirmed, and it is not the newest")
 	}
 }
--- a/internal/control/keeper/conditions.go
+++ b/internal/control/keeper/conditions.go
@@ -33,12 +33,12 @@
 type conditionTable map[processKey]*processCondition
 
 // update applies a report. Reports of former incarnations of a process don't count.
-func (t conditionTable) update(now time.Time, report controlclient.Trouble) {
+func (t conditionTable) update(now time.Time, report controlclient.Condition) {
 	t.expire(now)
 	key := processKey{report.Node.Role, report.Node.Name}
 	known := t[key]
 	switch {
-	case known != nil && known.node.Life > report.Node.Life:
+	case known != nil && known.node.Incarnation > report.Node.Incarnation:
 	case report.Reason == "":
 		delete(t, key)
 	case known != nil:
@@ -78,7 +78,7 @@
 
 // handleCondition takes the condition of another process, and relays it to the other keepers.
 func (k *Keeper) handleCondition(now time.Time, m *link.Message) {
-	report, err := controlclient.ReadTrouble(m.Body)
+	report, err := controlclient.ReadCondition(m.Body)
 	if err != nil {
 		m.Fail("%v", err)
 		return
@@ -92,7 +92,7 @@
 	body := report.Encode()
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.ProcessTrouble, body) // the process reports it again
+			_ = p.conn.Send(controlclient.KindCondition, body) // the process reports it again
 		}
 	}
 }
--- a/internal/control/keeper/conditions_test.go
+++ b/internal/control/keeper/conditions_test.go
@@ -16,12 +16,12 @@
 	r := newRig(t, 2)
 	r.startAll()
 	r.untilConnected(0, 1)
-	store := controlclient.Node{Name: "s1", Role: controlclient.RoleStore, Zone: "z", Life: 2}
+	store := controlclient.Node{Name: "s1", Role: controlclient.RoleStore, Zone: "z", Incarnation: 2}
 	report := func(node controlclient.Node, reason string) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		if err := controlclient.ReportTrouble(ctx, r.linkAddress(0), controlclient.Trouble{Node: node, Reason: reason}); err != nil {
+		if err := controlclient.ReportCondition(ctx, r.linkAddress(0), controlclient.Condition{Node: node, Reason: reason}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -52,7 +52,7 @@
 	now := time.Now()
 	table := conditionTable{}
 	told := func(name string, life uint64, reason string) {
-		table.update(now, controlclient.Trouble{Node: controlclient.Node{Name: name, Role: controlclient.RoleStore, Life: life}, Reason: reason})
+		table.update(now, controlclient.Condition{Node: controlclient.Node{Name: name, Role: controlclient.RoleStore, Incarnation: life}, Reason: reason})
 	}
 	check := func(want string) {
 		t.Helper()
--- a/internal/control/keeper/contact.go
+++ b/internal/control/keeper/contact.go
@@ -116,5 +116,5 @@
 func (k *Keeper) encodeContact() []byte {
 	w := link.Writer{}
 	w.Bool(k.contact.InContact(k.sinceStart(time.Now())))
-	return w.B
+	return w.Buf
 }
--- a/internal/control/keeper/contact_test.go
+++ b/internal/control/keeper/contact_test.go
@@ -21,10 +21,10 @@
 	for {
 		select {
 		case u := <-w.pushes:
-			if u.Version != 0 || u.Config != nil || u.Table != nil || u.Certificates != nil || u.CertificatesVersion != 0 || u.InContact {
+			if u.ConfigVersion != 0 || u.Config != nil || u.Table != nil || u.Certificates != nil || u.CertificatesVersion != 0 || u.InContact {
 				t.Fatalf("registers are handed out without contact: %+v", u)
 			}
-			w.ack(u.Number)
+			w.ack(u.Sequence)
 		default:
 			return
 		}
@@ -44,7 +44,7 @@
 	w.String("observed")
 	w.String(holder)
 	w.Bool(false)
-	return w.B
+	return w.Buf
 }
 
 // mayGrantAsVoter has a keeper take the link of an attached process for that of another keeper, which votes, and tells whether it would
@@ -88,7 +88,7 @@
 		t.Fatal(a)
 	}
 	before := r.attachManually(lone, "before") // attached, and acknowledges nothing
-	for u := receive(t, before.pushes, "the first push"); u.Version != 3; u = receive(t, before.pushes, "the configuration") {
+	for u := receive(t, before.pushes, "the first push"); u.ConfigVersion != 3; u = receive(t, before.pushes, "the configuration") {
 		if !u.InContact {
 			t.Fatalf("pushed in contact: %+v", u)
 		}
@@ -154,7 +154,7 @@
 		if u.InContact && u.Entries != nil {
 			continue // from before
 		}
-		if u.Version != 0 || u.CertificatesVersion > 1 {
+		if u.ConfigVersion != 0 || u.CertificatesVersion > 1 {
 			t.Fatalf("registers are pushed without contact: %+v", u)
 		}
 		for _, e := range u.Entries {
@@ -164,25 +164,25 @@
 
 	// Who attaches is told that there is no contact, and is handed nothing of the registers.
 	late := r.attachManually(lone, "late")
-	reply := link.Reader{B: late.hello}
+	reply := link.Reader{Buf: late.hello}
 	controlclient.ReadNode(&reply)
 	reply.Bool()
 	if inContact := reply.Bool(); inContact || reply.Err != nil {
 		t.Errorf("the reply to Hello says contact: %v, %v", inContact, reply.Err)
 	}
-	if b, err := late.call(t, controlclient.InContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := late.call(t, controlclient.KindInContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
 		t.Errorf("asked whether it is in contact, it says %v, %v", b, err)
 	}
-	if _, err := late.call(t, controlclient.Confirm, nil); err == nil {
+	if _, err := late.call(t, controlclient.KindConfirm, nil); err == nil {
 		t.Error("certificates are confirmed")
 	}
-	if _, err := before.call(t, controlclient.Confirm, nil); err == nil {
+	if _, err := before.call(t, controlclient.KindConfirm, nil); err == nil {
 		t.Error("certificates are confirmed for one that was pushed them before")
 	}
 	if mayGrant := r.mayGrantAsVoter(lone, "late", 1); !mayGrant && from && to { // else it may know that it lacks a state
 		t.Error("no lease would be granted with contact either")
 	}
-	if b, err := late.call(t, controlclient.Lease, encodeUnheldLeaseRequest("k2")); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := late.call(t, controlclient.KindLease, encodeUnheldLeaseRequest("k2")); err != nil || !bytes.Equal(b, []byte{0}) {
 		t.Errorf("a lease is answered %v, %v", b, err)
 	}
 	checkNoConfigPushed(t, late)
@@ -193,8 +193,8 @@
 	relays.heal()
 	eventually(t, "contact is back", func() bool { return r.status(lone).InContact })
 	for first := true; first; {
-		if u := receive(t, late.pushes, "the configuration"); u.Version != 0 {
-			if u.Version != 5 || u.CertificatesVersion != 1 || !u.InContact {
+		if u := receive(t, late.pushes, "the configuration"); u.ConfigVersion != 0 {
+			if u.ConfigVersion != 5 || u.CertificatesVersion != 1 || !u.InContact {
 				t.Fatalf("handed out first: %+v", u)
 			}
 			first = false
@@ -224,7 +224,7 @@
 	}
 	eventually(t, "all have the configuration", func() bool {
 		for _, c := range clients {
-			if c.version() != 3 || len(c.client.Keepers()) != 2 {
+			if c.version() != 3 || len(c.client.KeeperConns()) != 2 {
 				return false
 			}
 		}
@@ -236,7 +236,7 @@
 	eventually(t, "nobody is attached to the keeper that is cut off", func() bool { return len(r.status(0).Attached) == 0 })
 	eventually(t, "all have the next, and two keepers each", func() bool {
 		for _, c := range clients {
-			if c.version() != 5 || len(c.client.Keepers()) != 2 {
+			if c.version() != 5 || len(c.client.KeeperConns()) != 2 {
 				return false
 			}
 		}
@@ -255,7 +255,7 @@
 		t.Fatal(a)
 	}
 	c := r.attachClient("p1", 0, 1, 2)
-	eventually(t, "it has the configuration", func() bool { return c.version() == 3 && len(c.client.Keepers()) == 2 })
+	eventually(t, "it has the configuration", func() bool { return c.version() == 3 && len(c.client.KeeperConns()) == 2 })
 	for i := range 3 {
 		relays.cutOff(i, true, true)
 	}
@@ -289,7 +289,7 @@
 	t.Helper()
 	since := time.Now()
 	eventually(t, "it stays at two keepers", func() bool {
-		now := a.client.Keepers() // in any order
+		now := a.client.KeeperConns() // in any order
 		if len(now) != len(attached) || slices.ContainsFunc(now, func(c *link.Conn) bool { return !slices.Contains(attached, c) }) {
 			attached, since = now, time.Now()
 		}
@@ -303,12 +303,12 @@
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
 	for i, name := range []string{"k2", "k3"} {
-		k.adoptLink(conns[i], controlclient.Node{Name: name, Role: controlclient.RoleKeeper, Zone: "far", Control: name + ":1", Life: 1}, true)
+		k.adoptLink(conns[i], controlclient.Node{Name: name, Role: controlclient.RoleKeeper, Zone: "far", ControlAddr: name + ":1", Incarnation: 1}, true)
 	}
 	report := func(i int, inContact bool) {
 		w := link.Writer{}
-		controlclient.KeeperReport{InContact: inContact, Slots: make([]uint64, len(registerNames))}.Append(&w)
-		k.handleReport(&link.Message{Conn: conns[i], Body: w.B})
+		controlclient.KeeperReport{InContact: inContact, DecidedSlots: make([]uint64, len(registerNames))}.Append(&w)
+		k.handleReport(&link.Message{Conn: conns[i], Body: w.Buf})
 	}
 	for _, step := range []struct {
 		second, third bool
@@ -321,7 +321,7 @@
 		}
 	}
 	report(0, true)
-	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "far", Control: "k2:1", Life: 2}, true)
+	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "far", ControlAddr: "k2:1", Incarnation: 2}, true)
 	if got := k.heartbeatTarget("far"); got != "" {
 		t.Errorf("by the report of a former life: %q", got)
 	}
@@ -355,7 +355,7 @@
 	w := link.Writer{}
 	w.U32(1)
 	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining}, HeartbeatCount: 2})
-	k.handleEntries(time.Now(), &link.Message{Conn: conns[0], Body: w.B})
+	k.handleEntries(time.Now(), &link.Message{Conn: conns[0], Body: w.Buf})
 	if e, there := k.endpoints.Get(k.sinceStart(time.Now()), "1"); !there || e.State != snapshot.Draining {
 		t.Errorf("%+v, %v", e, there)
 	}
--- a/internal/control/keeper/dispatch.go
+++ b/internal/control/keeper/dispatch.go
@@ -11,9 +11,9 @@
 // registers' goroutine, all others to the owner goroutine.
 func (k *Keeper) Message(m *link.Message) {
 	switch m.Kind {
-	case controlclient.Agree:
+	case controlclient.KindConsensus:
 		k.registers.receive(m.Body)
-	case controlclient.Learn:
+	case controlclient.KindDecided:
 		k.registers.receiveDecided(m.Body)
 	default:
 		k.submit(func() { k.handleMessage(m) })
@@ -25,38 +25,38 @@
 	now := time.Now()
 	switch m.Kind {
 	// From attached processes.
-	case controlclient.Hello: // also from keepers
+	case controlclient.KindHello: // also from keepers
 		k.handleHello(m)
-	case controlclient.Ack:
+	case controlclient.KindAck:
 		k.handleAck(now, m)
-	case controlclient.Confirm:
+	case controlclient.KindConfirm:
 		k.certificateReads.Add(m)
 		k.confirmCertificates()
-	case controlclient.InContact:
+	case controlclient.KindInContact:
 		m.Reply(k.encodeContact())
-	case controlclient.Joined:
+	case controlclient.KindPartitionJoined:
 		k.handlePartitionJoined(m)
-	case controlclient.Stopping:
+	case controlclient.KindStoreStopping:
 		k.handleStoreStopping(m)
-	case controlclient.ProcessTrouble: // also from keepers
+	case controlclient.KindCondition: // also from keepers
 		k.handleCondition(now, m)
-	case controlclient.Status:
+	case controlclient.KindStatus:
 		m.Reply(k.statusJSON())
 
 	// From other keepers.
-	case controlclient.Entries:
+	case controlclient.KindEndpoints:
 		k.handleEntries(now, m)
-	case controlclient.Heard:
+	case controlclient.KindHeartbeats:
 		k.handleLiveness(now, m)
-	case controlclient.Missing:
+	case controlclient.KindEndpointsRequest:
 		k.sendEntries(m.Conn, k.endpoints.Entries(k.sinceStart(now), -1), nil)
-	case controlclient.Attached:
+	case controlclient.KindAttached:
 		k.handleAttached(m)
-	case controlclient.InForce:
+	case controlclient.KindInForce:
 		k.handleInForce(m)
-	case controlclient.Report:
+	case controlclient.KindKeeperReport:
 		k.handleReport(m)
-	case controlclient.Lease:
+	case controlclient.KindLease:
 		k.handleLease(now, m)
 
 	default:
--- a/internal/control/keeper/document.go
+++ b/internal/control/keeper/document.go
@@ -82,7 +82,7 @@
 		w.U64(a.version)
 		w.Bytes(a.digest[:])
 	}
-	return w.B
+	return w.Buf
 }
 
 // decodeDocument reads a register's value. An empty one is version 0.
@@ -91,7 +91,7 @@
 	if len(b) == 0 {
 		return d, nil
 	}
-	r := link.Reader{B: b}
+	r := link.Reader{Buf: b}
 	d.version, d.raw = r.U64(), r.Bytes()
 	for range r.Count(minAcceptedBytes) {
 		a := acceptedVersion{version: r.U64()}
--- a/internal/control/keeper/endpoint_exchange.go
+++ b/internal/control/keeper/endpoint_exchange.go
@@ -24,7 +24,7 @@
 // sendEntries sends entries of the endpoint list to a keeper. done, which may be nil, runs on the owner goroutine once
 // the keeper has answered, or never will.
 func (k *Keeper) sendEntries(conn *link.Conn, entries []registry.Entry, done func(error)) {
-	reply := conn.Go(controlclient.Entries, encodeEntries(entries))
+	reply := conn.Go(controlclient.KindEndpoints, encodeEntries(entries))
 	if done != nil {
 		go func() { // it ends with the link at the latest
 			answer := <-reply
@@ -73,7 +73,7 @@
 	body := k.encodeLiveness(now)
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.Heard, body) // the next one comes soon
+			_ = p.conn.Send(controlclient.KindHeartbeats, body) // the next one comes soon
 		}
 	}
 	k.broadcastReport()
@@ -89,11 +89,11 @@
 	for _, digest := range k.endpointDigests() {
 		w.U64(digest)
 	}
-	return w.B
+	return w.Buf
 }
 
 func decodeLiveness(body []byte) (heard []registry.Liveness, digests [registry.DigestBuckets]uint64, err error) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	for range r.Count(minHeardBytes) {
 		h, err := registry.ReadLiveness(&r)
 		if err != nil {
@@ -119,7 +119,7 @@
 		k.pushNeeded = true
 	}
 	if len(missing) > 0 || k.needsEntries(now, m.Conn, digests) {
-		_ = m.Conn.Send(controlclient.Missing, nil) // it is asked again after the next one
+		_ = m.Conn.Send(controlclient.KindEndpointsRequest, nil) // it is asked again after the next one
 	}
 }
 
--- a/internal/control/keeper/endpoints.go
+++ b/internal/control/keeper/endpoints.go
@@ -223,7 +223,7 @@
 // heartbeats stay in the zone; empty: there is none.
 func (k *Keeper) heartbeatTarget(zone string) string {
 	if zone == "" || zone == k.self.Zone {
-		return k.self.Control // the answer is given in contact only
+		return k.self.ControlAddr // the answer is given in contact only
 	}
 	var target controlclient.Node
 	for _, p := range k.peers {
@@ -234,7 +234,7 @@
 			target = p.node
 		}
 	}
-	return target.Control
+	return target.ControlAddr
 }
 
 // handleEntries merges what another keeper knows of endpoints, and answers once the processes attached here have it in
@@ -272,11 +272,11 @@
 	for i := range entries {
 		registry.AppendEntry(&w, &entries[i])
 	}
-	return w.B
+	return w.Buf
 }
 
 func decodeEntries(body []byte) (entries []registry.Entry, err error) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	for range r.Count(minEntryBytes) {
 		e, err := registry.ReadEntry(&r)
 		if err != nil {
--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -86,7 +86,7 @@
 	w := link.Writer{}
 	controlclient.Node{Name: name, Role: role}.Append(&w)
 	w.Bool(true)
-	return w.B
+	return w.Buf
 }
 
 // The owner and the registers' goroutine each have a queue, and neither waits for the other's.
@@ -173,7 +173,7 @@
 
 func TestChoiceAmongLinksToOnePeer(t *testing.T) {
 	node := func(name string, life uint64) controlclient.Node {
-		return controlclient.Node{Name: name, Role: controlclient.RoleKeeper, ID: 7, Life: life}
+		return controlclient.Node{Name: name, Role: controlclient.RoleKeeper, ID: 7, Incarnation: life}
 	}
 	for _, c := range []struct {
 		what       string
@@ -237,14 +237,14 @@
 func TestDifferingListsAreRequestedOnce(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, far := dialSink(t, 1)
-	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Life: 1}, true)
+	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Incarnation: 1}, true)
 	word := func(sums [registry.DigestBuckets]uint64, at time.Duration) {
 		w := link.Writer{}
 		w.U32(0)
 		for _, sum := range sums {
 			w.U64(sum)
 		}
-		k.handleLiveness(k.startedAt.Add(at), &link.Message{Conn: conns[0], Body: w.B})
+		k.handleLiveness(k.startedAt.Add(at), &link.Message{Conn: conns[0], Body: w.Buf})
 	}
 	other := [registry.DigestBuckets]uint64{3: 1}
 	word(other, 0)
@@ -254,10 +254,10 @@
 	for range 9 {
 		word(other, time.Second) // is asked a moment ago
 	}
-	_ = conns[0].Send(controlclient.Ack, nil)
+	_ = conns[0].Send(controlclient.KindAck, nil)
 	asked := 0
-	for m := receive(t, far.messages, "a message"); m.Kind != controlclient.Ack; m = receive(t, far.messages, "a message") {
-		if m.Kind == controlclient.Missing {
+	for m := receive(t, far.messages, "a message"); m.Kind != controlclient.KindAck; m = receive(t, far.messages, "a message") {
+		if m.Kind == controlclient.KindEndpointsRequest {
 			asked++
 		}
 	}
@@ -335,7 +335,7 @@
 	r.startAll()
 	r.untilConnected(0)
 	p := r.attachManually(0, "p")
-	p.ack(receive(t, p.pushes, "the first push").Number)
+	p.ack(receive(t, p.pushes, "the first push").Sequence)
 	k := r.running[0].keeper
 	conn, err := link.Dial(context.Background(), k.self.Addr, &messageSink{make(chan *link.Message, 16)}, link.DefaultOptions)
 	if err != nil {
@@ -345,13 +345,13 @@
 	w := link.Writer{}
 	w.U32(1)
 	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining}, HeartbeatCount: 2})
-	first, second := conn.Go(controlclient.Entries, w.B), conn.Go(controlclient.Entries, w.B)
+	first, second := conn.Go(controlclient.KindEndpoints, w.Buf), conn.Go(controlclient.KindEndpoints, w.Buf)
 	var u *controlclient.Update
 	for u = receive(t, p.pushes, "the push"); len(u.Entries) == 0; u = receive(t, p.pushes, "the push") {
-		p.ack(u.Number)
+		p.ack(u.Sequence)
 	}
 	// The keeper has taken both in once it has answered a call that came behind them.
-	if _, err := conn.Call(context.Background(), controlclient.Status, nil); err != nil {
+	if _, err := conn.Call(context.Background(), controlclient.KindStatus, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i, ch := range []<-chan link.Reply{first, second} {
@@ -361,7 +361,7 @@
 		default:
 		}
 	}
-	p.ack(u.Number)
+	p.ack(u.Sequence)
 	for _, ch := range []<-chan link.Reply{first, second} {
 		if reply := receive(t, ch, "the acknowledgement"); reply.Err != nil {
 			t.Fatal(reply.Err)
@@ -432,9 +432,9 @@
 func TestUnknownRegistersAreQueried(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, far := dialSink(t, 1)
-	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, true)
+	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Incarnation: 1}, true)
 	k.registers.queryIfUnknown(partitionsRegister)
-	for m := receive(t, far.messages, "the question"); m.Kind != controlclient.Agree; m = receive(t, far.messages, "the question") {
+	for m := receive(t, far.messages, "the question"); m.Kind != controlclient.KindConsensus; m = receive(t, far.messages, "the question") {
 	}
 }
 
@@ -444,11 +444,11 @@
 	conns, _ := dialSink(t, 1)
 	w := link.Writer{}
 	controlclient.AppendNodes(&w, []controlclient.Node{{Name: "s", Role: controlclient.RoleStore, ID: 9, Addr: "127.0.0.1:3", Zone: "z"}})
-	k.handleMessage(&link.Message{Conn: conns[0], Kind: controlclient.Attached, Body: w.B})
+	k.handleMessage(&link.Message{Conn: conns[0], Kind: controlclient.KindAttached, Body: w.Buf})
 	if n := len(k.attachedStores()); n != 0 {
 		t.Fatalf("%d stores by the word of one who is not known", n)
 	}
-	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, true)
+	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Incarnation: 1}, true)
 	if _, there := k.attachedStores()[9]; !there {
 		t.Error("the store that was told of before is not known")
 	}
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -62,10 +62,10 @@
 
 // Values of the golden files: each field has a value of its own.
 var (
-	goldenSelf  = controlclient.Node{Name: "k1", Role: controlclient.RoleKeeper, Zone: "za", Addr: "127.0.0.1:11", Control: "127.0.0.1:12", ID: 0x1111111111111111, Life: 0x1212121212121212}
-	goldenPeer  = controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "zb", Addr: "127.0.0.1:21", Control: "127.0.0.1:22", ID: 0x2121212121212121, Life: 0x2222222222222222}
-	goldenProxy = controlclient.Node{Name: "p3", Role: controlclient.RoleProxy, Zone: "zc", Addr: "127.0.0.1:31", Control: "127.0.0.1:32", ID: 0x3131313131313131, Life: 0x3232323232323232}
-	goldenStore = controlclient.Node{Name: "s4", Role: controlclient.RoleStore, Zone: "zd", Addr: "127.0.0.1:41", ID: 0x4141414141414141, Life: 0x4242424242424242}
+	goldenSelf  = controlclient.Node{Name: "k1", Role: controlclient.RoleKeeper, Zone: "za", Addr: "127.0.0.1:11", ControlAddr: "127.0.0.1:12", ID: 0x1111111111111111, Incarnation: 0x1212121212121212}
+	goldenPeer  = controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "zb", Addr: "127.0.0.1:21", ControlAddr: "127.0.0.1:22", ID: 0x2121212121212121, Incarnation: 0x2222222222222222}
+	goldenProxy = controlclient.Node{Name: "p3", Role: controlclient.RoleProxy, Zone: "zc", Addr: "127.0.0.1:31", ControlAddr: "127.0.0.1:32", ID: 0x3131313131313131, Incarnation: 0x3232323232323232}
+	goldenStore = controlclient.Node{Name: "s4", Role: controlclient.RoleStore, Zone: "zd", Addr: "127.0.0.1:41", ID: 0x4141414141414141, Incarnation: 0x4242424242424242}
 
 	goldenVoters = []paxos.Voter{{ID: 0x1111111111111111, Name: "k1", Addr: "127.0.0.1:11"}, {ID: 0x2121212121212121, Name: "k2", Addr: "127.0.0.1:21"},
 		{ID: 0x5151515151515151, Name: "k5", Addr: "127.0.0.1:51"}}
@@ -99,15 +99,15 @@
 	t.Helper()
 	w := link.Writer{}
 	paxos.State{Slot: slot, Voters: goldenVoters, Value: value}.Append(&w)
-	w.B = w.B[:len(w.B)-4] // the count of marks
+	w.Buf = w.Buf[:len(w.Buf)-4] // the count of marks
 	w.U32(2)
 	for _, n := range []uint64{81, 82, 83, 84} {
 		w.U64(n)
 	}
-	r := link.Reader{B: w.B}
+	r := link.Reader{Buf: w.Buf}
 	s := paxos.ReadState(&r)
-	if r.Err != nil || len(r.B) > 0 {
-		t.Fatal(r.Err, len(r.B))
+	if r.Err != nil || len(r.Buf) > 0 {
+		t.Fatal(r.Err, len(r.Buf))
 	}
 	return s
 }
@@ -120,7 +120,7 @@
 	conns, far := dialSink(t, 1)
 	p := &peer{node: goldenPeer, conn: conns[0]}
 	k.peers[goldenPeer.Name] = p
-	k.peerLinks[conns[0]] = &peerLink{peer: p, incarnation: goldenPeer.Life, dialed: true}
+	k.peerLinks[conns[0]] = &peerLink{peer: p, incarnation: goldenPeer.Incarnation, dialed: true}
 	k.connectionsChanged()
 	confirmContact(t, k)
 	k.contactUntil.Store(int64(k.contact.ContactUntil()))
@@ -137,10 +137,10 @@
 // decoded reads all of a message.
 func decoded[T any](t *testing.T, body []byte, read func(r *link.Reader) T) T {
 	t.Helper()
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	v := read(&r)
-	if r.Err != nil || len(r.B) > 0 {
-		t.Errorf("%v, %d bytes are left", r.Err, len(r.B))
+	if r.Err != nil || len(r.Buf) > 0 {
+		t.Errorf("%v, %d bytes are left", r.Err, len(r.Buf))
 	}
 	return v
 }
@@ -192,7 +192,7 @@
 	k.registers.mu.Unlock()
 	k.broadcastReport()
 	_, body = next("report")
-	report := controlclient.KeeperReport{InContact: true, Leaving: true, Slots: []uint64{91, 92, 93}, Heard: []uint64{goldenSelf.ID, goldenPeer.ID}}
+	report := controlclient.KeeperReport{InContact: true, Stopping: true, DecidedSlots: []uint64{91, 92, 93}, ConnectedVoters: []uint64{goldenSelf.ID, goldenPeer.ID}}
 	same(t, decoded(t, body, controlclient.ReadKeeperReport), report)
 
 	since := time.Hour
@@ -256,15 +256,15 @@
 	}
 	conn := k.peers[goldenPeer.Name].conn
 	for range mismatchesBeforeRequest {
-		k.handleLiveness(time.Now(), &link.Message{Conn: conn, Kind: controlclient.Heard, Body: other.B})
+		k.handleLiveness(time.Now(), &link.Message{Conn: conn, Kind: controlclient.KindHeartbeats, Body: other.Buf})
 	}
 	next("missing")
 
-	trouble := controlclient.Trouble{Node: goldenStore, Reason: "reason-88"}
-	k.handleCondition(time.Now(), &link.Message{Conn: conn, Kind: controlclient.ProcessTrouble, Body: trouble.Encode()})
+	trouble := controlclient.Condition{Node: goldenStore, Reason: "reason-88"}
+	k.handleCondition(time.Now(), &link.Message{Conn: conn, Kind: controlclient.KindCondition, Body: trouble.Encode()})
 	_, body = next("process-trouble")
 	trouble.Relayed = true
-	read, err := controlclient.ReadTrouble(body)
+	read, err := controlclient.ReadCondition(body)
 	same(t, []any{read, err}, []any{trouble, error(nil)})
 }
 
@@ -287,7 +287,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, got, &controlclient.Update{Number: 105, Whole: true, InContact: true, Listed: true, Senders: 103, Config: k.config.raw, Version: 101, Table: goldenTable,
+	same(t, got, &controlclient.Update{Sequence: 105, Complete: true, InContact: true, EndpointsKnown: true, Senders: 103, Config: k.config.raw, ConfigVersion: 101, Table: goldenTable,
 		Entries: []registry.Entry{entry}, Keepers: []controlclient.Node{goldenSelf, goldenPeer}, CertificatesVersion: 102, Certificates: k.certificates.raw})
 	same(t, got.Encode(), readGolden(t, "push")[1:])
 }
@@ -338,15 +338,15 @@
 	w := link.Writer{}
 	goldenProxy.Append(&w)
 	w.Bool(true)
-	decoded(t, call("hello-reply", controlclient.Hello, w.B), func(r *link.Reader) any {
+	decoded(t, call("hello-reply", controlclient.KindHello, w.Buf), func(r *link.Reader) any {
 		same(t, []any{controlclient.ReadNode(r), r.Bool(), r.Bool()}, []any{goldenSelf, true, true})
 		return nil
 	})
-	same(t, call("in-contact-reply", controlclient.InContact, nil), []byte{1})
-	same(t, call("lease-reply", controlclient.Lease, leaseMessage{assignRole, "nobody", false}.encode()), []byte{0})
-	same(t, call("lease-release-reply", controlclient.Lease, leaseMessage{assignRole, "nobody", true}.encode()), []byte{})
-	same(t, call("process-trouble-reply", controlclient.ProcessTrouble, (&controlclient.Trouble{Node: goldenStore, Reason: "r", Relayed: true}).Encode()), []byte{})
-	same(t, call("entries-reply", controlclient.Entries, []byte{0, 0, 0, 0}), []byte{})
+	same(t, call("in-contact-reply", controlclient.KindInContact, nil), []byte{1})
+	same(t, call("lease-reply", controlclient.KindLease, leaseMessage{assignRole, "nobody", false}.encode()), []byte{0})
+	same(t, call("lease-release-reply", controlclient.KindLease, leaseMessage{assignRole, "nobody", true}.encode()), []byte{})
+	same(t, call("process-trouble-reply", controlclient.KindCondition, (&controlclient.Condition{Node: goldenStore, Reason: "r", Relayed: true}).Encode()), []byte{})
+	same(t, call("entries-reply", controlclient.KindEndpoints, []byte{0, 0, 0, 0}), []byte{})
 }
 
 // serveLinks serves links on a loopback address until the test ends, and returns the address.
@@ -384,7 +384,7 @@
 
 	w := link.Writer{}
 	controlclient.AppendTable(&w, goldenTable)
-	golden(t, "value-table", w.B)
+	golden(t, "value-table", w.Buf)
 	table, err := decodeTable(paxos.State{Value: readGolden(t, "value-table")})
 	same(t, []any{table, err}, []any{goldenTable, error(nil)})
 }
@@ -464,7 +464,7 @@
 	}
 	k.attached[nil] = &attachedProcess{node: goldenProxy, pushedNumber: 130, ackedNumber: 3, pushMarks: []pushMark{{number: 2, configVersion: 126, certificatesVersion: 128}}}
 	k.endpoints.Merge(now, []registry.Entry{{Endpoint: goldenEntry.Endpoint, HeartbeatCount: 19}})
-	k.conditions.update(time.Now(), controlclient.Trouble{Node: goldenStore, Reason: "reason-129"})
+	k.conditions.update(time.Now(), controlclient.Condition{Node: goldenStore, Reason: "reason-129"})
 	for _, known := range k.conditions {
 		known.firstReportedAt = known.firstReportedAt.Add(-131 * time.Second)
 	}
--- a/internal/control/keeper/impersonator_test.go
+++ b/internal/control/keeper/impersonator_test.go
@@ -35,7 +35,7 @@
 }
 
 func messageKind(message []byte) paxosMessageKind {
-	r := link.Reader{B: message}
+	r := link.Reader{Buf: message}
 	_ = r.String()
 	return paxosMessageKind(r.U8())
 }
@@ -74,9 +74,9 @@
 	}
 	r.t.Cleanup(p.conn.Close)
 	w := link.Writer{}
-	controlclient.Node{Name: as.Name, Role: controlclient.RoleKeeper, ID: as.ID, Addr: as.Addr, Life: uint64(time.Now().UnixNano())}.Append(&w)
+	controlclient.Node{Name: as.Name, Role: controlclient.RoleKeeper, ID: as.ID, Addr: as.Addr, Incarnation: uint64(time.Now().UnixNano())}.Append(&w)
 	w.Bool(false)
-	if _, err := p.conn.Call(ctx, controlclient.Hello, w.B); err != nil {
+	if _, err := p.conn.Call(ctx, controlclient.KindHello, w.Buf); err != nil {
 		r.t.Fatal(err)
 	}
 	return p
@@ -109,15 +109,15 @@
 	w.String(p.voter.Name)
 	w.String(p.voter.Addr)
 	w.Bytes(message)
-	_ = p.conn.Send(controlclient.Agree, w.B)
+	_ = p.conn.Send(controlclient.KindConsensus, w.Buf)
 }
 
 // Message takes what the keeper sends.
 func (p *impersonator) Message(m *link.Message) {
-	if m.Kind != controlclient.Agree {
+	if m.Kind != controlclient.KindConsensus {
 		return
 	}
-	r := link.Reader{B: m.Body}
+	r := link.Reader{Buf: m.Body}
 	name := r.String()
 	from := paxos.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()}
 	message := r.Bytes()
@@ -172,10 +172,10 @@
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	reply, err := p.conn.Call(ctx, controlclient.Lease, leaseMessage{role: duty, candidate: p.voter.Name}.encode())
+	reply, err := p.conn.Call(ctx, controlclient.KindLease, leaseMessage{role: duty, candidate: p.voter.Name}.encode())
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	r := link.Reader{B: reply}
+	r := link.Reader{Buf: reply}
 	return r.Bool()
 }
--- a/internal/control/keeper/invariants.go
+++ b/internal/control/keeper/invariants.go
@@ -40,7 +40,7 @@
 	if len(state.Value) == 0 {
 		return 0
 	}
-	r := link.Reader{B: state.Value}
+	r := link.Reader{Buf: state.Value}
 	return r.U64()
 }
 
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -103,7 +103,7 @@
 	peerSnapshot   atomic.Pointer[peerSnapshot]
 	seeds          atomic.Pointer[[]string] // control addresses of keepers, dialed until others are known
 	contactUntil   atomic.Int64             // the end of contact with a majority, in ns since startedAt
-	callEvents     *telemetry.Log           // rate-limited log of answers that a caller may ask about
+	callEvents     *telemetry.EventLog      // rate-limited log of answers that a caller may ask about
 	largeBodySlots chan struct{}            // holds one element for each large request body in memory
 
 	postsMu    sync.Mutex
@@ -138,7 +138,7 @@
 		assigner:         newPartitionAssigner(),
 		voterManager:     newVoterManager(),
 		conditions:       conditionTable{},
-		callEvents:       telemetry.NewLog(options.Log),
+		callEvents:       telemetry.NewEventLog(options.Log),
 	}
 	k.endpoints = registry.New(0, registry.Options{HeartbeatInterval: k.heartbeatInterval()})
 	k.runContext, k.cancelRun = context.WithCancel(context.Background())
@@ -166,13 +166,13 @@
 // selfNode is how a keeper presents itself to others.
 func selfNode(s *settings.Settings, id uint64, startedAt time.Time) controlclient.Node {
 	return controlclient.Node{
-		Name:    s.NodeName,
-		Role:    controlclient.RoleKeeper,
-		Zone:    s.Zone,
-		Addr:    linkAddress(s),
-		Control: s.ControlAddr,
-		ID:      id,
-		Life:    uint64(startedAt.UnixNano()),
+		Name:        s.NodeName,
+		Role:        controlclient.RoleKeeper,
+		Zone:        s.Zone,
+		Addr:        linkAddress(s),
+		ControlAddr: s.ControlAddr,
+		ID:          id,
+		Incarnation: uint64(startedAt.UnixNano()),
 	}
 }
 
--- a/internal/control/keeper/leases.go
+++ b/internal/control/keeper/leases.go
@@ -21,11 +21,11 @@
 	w.String(request.role)
 	w.String(request.candidate)
 	w.Bool(request.release)
-	return w.B
+	return w.Buf
 }
 
 func decodeLeaseMessage(body []byte) (leaseMessage, error) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	request := leaseMessage{role: r.String(), candidate: r.String(), release: r.Bool()}
 	return request, r.Err
 }
@@ -48,7 +48,7 @@
 	}
 	w := link.Writer{}
 	w.Bool(k.grantLease(now, request.role, request.candidate, holderID))
-	m.Reply(w.B)
+	m.Reply(w.Buf)
 }
 
 // grantLease grants a lease to another keeper if this one may, and nobody else has it.
@@ -116,7 +116,7 @@
 			continue
 		}
 		requested[voter] = true
-		reply := p.conn.Go(controlclient.Lease, body)
+		reply := p.conn.Go(controlclient.KindLease, body)
 		go func() { // it ends with the link at the latest
 			granted := leaseGranted(<-reply)
 			k.submit(func() { answered(voter, granted) })
@@ -130,7 +130,7 @@
 }
 
 func leaseGranted(reply link.Reply) bool {
-	r := link.Reader{B: reply.Body}
+	r := link.Reader{Buf: reply.Body}
 	granted := r.Bool()
 	return granted && reply.Err == nil && r.Err == nil
 }
@@ -142,7 +142,7 @@
 	body := leaseMessage{role: role, candidate: k.self.Name, release: true}.encode()
 	for _, p := range k.peers {
 		if p.conn != nil {
-			replies = append(replies, p.conn.Go(controlclient.Lease, body))
+			replies = append(replies, p.conn.Go(controlclient.KindLease, body))
 		}
 	}
 	return replies
--- a/internal/control/keeper/metrics.go
+++ b/internal/control/keeper/metrics.go
@@ -12,20 +12,20 @@
 // gauges describe the state of the keeper; the owner goroutine sets them at each tick. Their names are part of the
 // interface.
 var gauges = struct {
-	inContact, config, certificates, table *telemetry.Figure
-	attached, keepers, endpoints, waiters  *telemetry.Figure
-	voter, diskCondition                   *telemetry.Figure
+	inContact, config, certificates, table *telemetry.Gauge
+	attached, keepers, endpoints, waiters  *telemetry.Gauge
+	voter, diskCondition                   *telemetry.Gauge
 }{
-	inContact:     telemetry.NewFigure("dunetide_keeper_in_contact"),
-	config:        telemetry.NewFigure("dunetide_keeper_config_version"),
-	certificates:  telemetry.NewFigure("dunetide_keeper_certificates_version"),
-	table:         telemetry.NewFigure("dunetide_keeper_table_number"),
-	attached:      telemetry.NewFigure("dunetide_keeper_attached_processes"),
-	keepers:       telemetry.NewFigure("dunetide_keeper_keepers_connected"),
-	endpoints:     telemetry.NewFigure("dunetide_keeper_endpoints"),
-	waiters:       telemetry.NewFigure("dunetide_keeper_acknowledgements_waiting"),
-	voter:         telemetry.NewFigure("dunetide_keeper_voter"),
-	diskCondition: telemetry.NewFigure("dunetide_keeper_disk_trouble"),
+	inContact:     telemetry.NewGauge("dunetide_keeper_in_contact"),
+	config:        telemetry.NewGauge("dunetide_keeper_config_version"),
+	certificates:  telemetry.NewGauge("dunetide_keeper_certificates_version"),
+	table:         telemetry.NewGauge("dunetide_keeper_table_number"),
+	attached:      telemetry.NewGauge("dunetide_keeper_attached_processes"),
+	keepers:       telemetry.NewGauge("dunetide_keeper_keepers_connected"),
+	endpoints:     telemetry.NewGauge("dunetide_keeper_endpoints"),
+	waiters:       telemetry.NewGauge("dunetide_keeper_acknowledgements_waiting"),
+	voter:         telemetry.NewGauge("dunetide_keeper_voter"),
+	diskCondition: telemetry.NewGauge("dunetide_keeper_disk_trouble"),
 }
 
 // contactLosses counts how often contact with a majority has ended.
--- a/internal/control/keeper/partition_table.go
+++ b/internal/control/keeper/partition_table.go
@@ -29,7 +29,7 @@
 		}
 		w := link.Writer{}
 		controlclient.AppendTable(&w, next)
-		current.Value = w.B
+		current.Value = w.Buf
 		return current, nil
 	}, func(_ paxos.State, err error) { done(err) })
 }
@@ -48,7 +48,7 @@
 	if len(state.Value) == 0 {
 		return nil, nil
 	}
-	r := link.Reader{B: state.Value}
+	r := link.Reader{Buf: state.Value}
 	table := controlclient.ReadTable(&r)
 	return table, r.Err
 }
@@ -78,13 +78,13 @@
 
 // handlePartitionJoined takes a store's message that the next replicas of a partition have all of it.
 func (k *Keeper) handlePartitionJoined(m *link.Message) {
-	joined, err := controlclient.ReadPartJoined(m.Body)
+	joined, err := controlclient.ReadPartitionJoined(m.Body)
 	if err != nil {
 		m.Fail("%v", err)
 		return
 	}
 	k.answerTableStep(m, func(current *snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
-		return batch.SwitchReplicas(current, joined.Part, joined.Epoch)
+		return batch.SwitchReplicas(current, joined.Partition, joined.Epoch)
 	})
 }
 
--- a/internal/control/keeper/peers.go
+++ b/internal/control/keeper/peers.go
@@ -123,7 +123,7 @@
 // registers know of, and those that were connected before.
 func (k *Keeper) addressesToDial() map[string]bool {
 	addrs := map[string]bool{}
-	for _, addr := range controlclient.SeedLinks(*k.seeds.Load(), k.options.Settings.FirstInternalPort) {
+	for _, addr := range controlclient.SeedLinkAddrs(*k.seeds.Load(), k.options.Settings.FirstInternalPort) {
 		addrs[addr] = true
 	}
 	if k.options.Known != nil {
@@ -178,11 +178,11 @@
 	w := link.Writer{}
 	k.self.Append(&w)
 	w.Bool(false) // it wants no endpoint list
-	reply, err := conn.Call(ctx, controlclient.Hello, w.B)
+	reply, err := conn.Call(ctx, controlclient.KindHello, w.Buf)
 	if err != nil {
 		return controlclient.Node{}, err
 	}
-	r := link.Reader{B: reply}
+	r := link.Reader{Buf: reply}
 	node := controlclient.ReadNode(&r)
 	_ = r.Bool() // whether it has a disk
 	return node, r.Err
@@ -205,18 +205,18 @@
 		k.peers[node.Name] = p
 	}
 	// A lower incarnation comes from a clock that was set back, unless the keeper's later one is connected.
-	if p.conn != nil && node.Life < p.node.Life {
+	if p.conn != nil && node.Incarnation < p.node.Incarnation {
 		conn.Close()
 		return
 	}
-	if p.conn == nil || p.node.Life != node.Life {
+	if p.conn == nil || p.node.Incarnation != node.Incarnation {
 		k.log.Info("keeper connected", "keeper", node.Name, "zone", node.Zone)
 	}
-	if p.node.Life != node.Life {
+	if p.node.Incarnation != node.Incarnation {
 		k.replaceIncarnation(p, conn)
 	}
 	p.node = node
-	k.peerLinks[conn] = &peerLink{peer: p, incarnation: node.Life, dialed: dialed}
+	k.peerLinks[conn] = &peerLink{peer: p, incarnation: node.Incarnation, dialed: dialed}
 	if attached, ok := conn.Tag.Load().([]controlclient.Node); ok { // they came before, see handleAttached
 		p.attached = attached
 	}
@@ -242,7 +242,7 @@
 func (k *Keeper) chooseLink(p *peer, conn *link.Conn) {
 	better := func(conn *link.Conn) bool { return k.peerLinks[conn].dialed == (k.self.Name < p.node.Name) }
 	old := p.conn
-	if l := k.peerLinks[old]; l == nil || l.incarnation != p.node.Life {
+	if l := k.peerLinks[old]; l == nil || l.incarnation != p.node.Incarnation {
 		old = nil
 	}
 	p.conn = conn
@@ -265,10 +265,10 @@
 	}
 	// If a send fails, the link has ended, and all is sent again over the next one.
 	for _, body := range k.registers.decidedMessages() {
-		_ = conn.Send(controlclient.Learn, body)
+		_ = conn.Send(controlclient.KindDecided, body)
 	}
-	_ = conn.Send(controlclient.Attached, k.encodeAttached())
-	_ = conn.Send(controlclient.Report, encodeReport(k.currentReport()))
+	_ = conn.Send(controlclient.KindAttached, k.encodeAttached())
+	_ = conn.Send(controlclient.KindKeeperReport, encodeReport(k.currentReport()))
 }
 
 // dropLink forgets a link to a keeper. Another link to the same incarnation takes its place.
@@ -285,7 +285,7 @@
 	p.conn = nil
 	p.report = controlclient.KeeperReport{}
 	for other, l := range k.peerLinks {
-		if l.peer == p && l.incarnation == p.node.Life {
+		if l.peer == p && l.incarnation == p.node.Incarnation {
 			p.conn = other
 		}
 	}
@@ -302,7 +302,7 @@
 func (k *Keeper) reachableKeepers() []controlclient.Node {
 	nodes := []controlclient.Node{k.self}
 	for _, p := range k.peers {
-		if p.conn != nil && !p.report.Leaving {
+		if p.conn != nil && !p.report.Stopping {
 			nodes = append(nodes, p.node)
 		}
 	}
--- a/internal/control/keeper/pushes.go
+++ b/internal/control/keeper/pushes.go
@@ -49,7 +49,7 @@
 	if process == nil {
 		return
 	}
-	r := link.Reader{B: m.Body}
+	r := link.Reader{Buf: m.Body}
 	if process.acknowledge(r.U64()) {
 		k.pushNeeded = true
 	}
@@ -137,7 +137,7 @@
 // push sends an update to a process, and notes what the process then has.
 func (k *Keeper) push(p *attachedProcess, update encodedUpdate, inContact bool) {
 	p.pushedNumber++
-	controlclient.Renumber(update.body, p.pushedNumber)
+	controlclient.SetSequence(update.body, p.pushedNumber)
 	p.fullListSent, p.listComplete, p.listRevision = true, k.pushedListComplete, update.listRevision
 	p.inContact, p.proxyCount, p.keepersRevision = inContact, k.proxyCount, k.keepersRevision
 	if inContact {
@@ -153,7 +153,7 @@
 		tableNumber:         p.tableNumber,
 		certificatesVersion: p.certificatesVersion,
 	})
-	if err := p.conn.Send(controlclient.Push, update.body); err != nil {
+	if err := p.conn.Send(controlclient.KindUpdate, update.body); err != nil {
 		k.log.Warn("push not sent", "node", p.node.Name, "err", err)
 		p.conn.Close() // it attaches anew, and is pushed everything
 	}
@@ -165,7 +165,7 @@
 ) (u *controlclient.Update, listRevision uint64) {
 	u = &controlclient.Update{
 		InContact:           inContact,
-		Listed:              k.pushedListComplete,
+		EndpointsKnown:      k.pushedListComplete,
 		Senders:             k.proxyCount,
 		CertificatesVersion: p.certificatesVersion,
 	}
@@ -176,9 +176,9 @@
 		u.Keepers = k.reachableKeepers()
 	}
 	if p.wantsEndpoints {
-		u.Entries, listRevision, u.Whole = k.endpoints.Changes(k.sinceStart(now), p.listRevision)
+		u.Entries, listRevision, u.Complete = k.endpoints.Changes(k.sinceStart(now), p.listRevision)
 	} else {
-		u.Whole = !p.fullListSent
+		u.Complete = !p.fullListSent
 	}
 	return u, listRevision
 }
@@ -190,7 +190,7 @@
 		u.Certificates = k.certificates.raw
 	}
 	if p.configVersion < k.config.version {
-		u.Config, u.Version = k.config.raw, k.config.version
+		u.Config, u.ConfigVersion = k.config.raw, k.config.version
 	}
 	if k.partitions != nil && p.tableNumber < k.partitions.Version {
 		u.Table = k.partitions
--- a/internal/control/keeper/register_log.go
+++ b/internal/control/keeper/register_log.go
@@ -87,7 +87,7 @@
 	w := link.Writer{}
 	w.U8(recordIdentity)
 	w.U64(rs.id)
-	return w.B
+	return w.Buf
 }
 
 func encodeRegisterRecord(name string, payload []byte) []byte {
@@ -95,7 +95,7 @@
 	w.U8(recordRegister)
 	w.String(name)
 	w.Bytes(payload)
-	return w.B
+	return w.Buf
 }
 
 func encodeFirstVotersRecord(voters []paxos.Voter) []byte {
@@ -107,12 +107,12 @@
 		w.String(v.Name)
 		w.String(v.Addr)
 	}
-	return w.B
+	return w.Buf
 }
 
 // replayRecord takes a record of the log. Records of unknown kinds are skipped.
 func (rs *registerSet) replayRecord(b []byte) error {
-	r := link.Reader{B: bytes.Clone(b)}
+	r := link.Reader{Buf: bytes.Clone(b)}
 	switch r.U8() {
 	case recordIdentity:
 		rs.id = r.U64()
--- a/internal/control/keeper/register_transport.go
+++ b/internal/control/keeper/register_transport.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if conn := rs.keeper.knownPeers().connTo(to); conn != nil {
-		_ = conn.Send(controlclient.Agree, envelope)
+		_ = conn.Send(controlclient.KindConsensus, envelope)
 	}
 }
 
@@ -32,12 +32,12 @@
 	w.String(rs.keeper.self.Name)
 	w.String(rs.keeper.self.Addr)
 	w.Bytes(msg)
-	return w.B
+	return w.Buf
 }
 
 // receive takes a register's message. It is dropped if the queue is full, as a link must not wait for the disk.
 func (rs *registerSet) receive(envelope []byte) {
-	r := link.Reader{B: envelope}
+	r := link.Reader{Buf: envelope}
 	name := r.String()
 	from := paxos.Voter{ID: r.U64(), Name: r.String(), Addr: r.String()}
 	msg := r.Bytes()
@@ -49,7 +49,7 @@
 
 // receiveDecided takes a decided state that another keeper has sent. It may be dropped, as by receive.
 func (rs *registerSet) receiveDecided(body []byte) {
-	r := link.Reader{B: body}
+	r := link.Reader{Buf: body}
 	name, state := r.String(), paxos.ReadState(&r)
 	if r.Err != nil || rs.byName[name] == nil {
 		return
@@ -62,7 +62,7 @@
 	w := link.Writer{}
 	w.String(name)
 	state.Append(&w)
-	return w.B
+	return w.Buf
 }
 
 // decidedMessages returns the newest decided state of each register, encoded.
@@ -83,7 +83,7 @@
 	body := encodeDecided(name, state)
 	for _, p := range k.knownPeers() {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.Learn, body) // a keeper that misses it asks for it after a report
+			_ = p.conn.Send(controlclient.KindDecided, body) // a keeper that misses it asks for it after a report
 		}
 	}
 }
--- a/internal/control/keeper/reports.go
+++ b/internal/control/keeper/reports.go
@@ -18,10 +18,10 @@
 		}
 	}
 	return controlclient.KeeperReport{
-		InContact: k.inContact(),
-		Leaving:   k.shuttingDown,
-		Slots:     k.registers.storedSlotNumbers(),
-		Heard:     slices.Sorted(maps.Keys(heard)),
+		InContact:       k.inContact(),
+		Stopping:        k.shuttingDown,
+		DecidedSlots:    k.registers.storedSlotNumbers(),
+		ConnectedVoters: slices.Sorted(maps.Keys(heard)),
 	}
 }
 
@@ -31,7 +31,7 @@
 	body := encodeReport(k.lastReport)
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.Report, body) // the next one comes within half a heartbeat interval
+			_ = p.conn.Send(controlclient.KindKeeperReport, body) // the next one comes within half a heartbeat interval
 		}
 	}
 }
@@ -39,8 +39,8 @@
 // broadcastChangedReport sends the report if it has changed since it was sent last.
 func (k *Keeper) broadcastChangedReport() {
 	report := k.currentReport()
-	if report.InContact != k.lastReport.InContact || report.Leaving != k.lastReport.Leaving ||
-		!slices.Equal(report.Slots, k.lastReport.Slots) || !slices.Equal(report.Heard, k.lastReport.Heard) {
+	if report.InContact != k.lastReport.InContact || report.Stopping != k.lastReport.Stopping ||
+		!slices.Equal(report.DecidedSlots, k.lastReport.DecidedSlots) || !slices.Equal(report.ConnectedVoters, k.lastReport.ConnectedVoters) {
 		k.broadcastReport()
 	}
 }
@@ -48,25 +48,25 @@
 func encodeReport(report controlclient.KeeperReport) []byte {
 	w := link.Writer{}
 	report.Append(&w)
-	return w.B
+	return w.Buf
 }
 
 // handleReport takes the report of another keeper, and asks it for the registers' states that it has and this one
 // lacks.
 func (k *Keeper) handleReport(m *link.Message) {
-	r := link.Reader{B: m.Body}
+	r := link.Reader{Buf: m.Body}
 	report := controlclient.ReadKeeperReport(&r)
 	l := k.peerLinks[m.Conn]
-	if l == nil || r.Err != nil || len(report.Slots) != len(registerNames) {
+	if l == nil || r.Err != nil || len(report.DecidedSlots) != len(registerNames) {
 		return
 	}
-	if report.Leaving != l.peer.report.Leaving {
+	if report.Stopping != l.peer.report.Stopping {
 		k.keepersRevision++ // the attached processes are pushed which keepers to go to
 		k.pushNeeded = true
 	}
 	l.peer.report = report
 	for i, stored := range k.registers.storedSlotNumbers() {
-		if stored < report.Slots[i] {
+		if stored < report.DecidedSlots[i] {
 			k.registers.queryPeer(registerNames[i], l.peer.node)
 		}
 	}
--- a/internal/control/keeper/restart_damage_test.go
+++ b/internal/control/keeper/restart_damage_test.go
@@ -100,7 +100,7 @@
 	}
 	o.checkReadable(victim)
 	attached := r.attachManually(victim, "attached after")
-	eventually(t, "the newest is pushed", func() bool { return receive(t, attached.pushes, "a push").Version == o.version })
+	eventually(t, "the newest is pushed", func() bool { return receive(t, attached.pushes, "a push").ConfigVersion == o.version })
 }
 
 // untilVoterLeaseHeld waits until a keeper has the duty of changing who votes.
@@ -185,7 +185,7 @@
 	}
 	calls.Wait()
 	attached := r.attachManually(victim, "attached before")
-	if _, err := attached.call(r.t, controlclient.Confirm, nil); err == nil {
+	if _, err := attached.call(r.t, controlclient.KindConfirm, nil); err == nil {
 		r.t.Error("certificates are confirmed")
 	}
 	as, _ := r.running[other].keeper.registers.state(configRegister)
--- a/internal/control/keeper/restart_measure_test.go
+++ b/internal/control/keeper/restart_measure_test.go
@@ -82,8 +82,8 @@
 	process := m.attachManually(measuredKeeper, "p")
 	for {
 		update := receive(m.t, process.pushes, "a push")
-		process.ack(update.Number)
-		if update.Version == version {
+		process.ack(update.Sequence)
+		if update.ConfigVersion == version {
 			return read, m.relays.received[measuredKeeper].Load() - before, time.Since(began)
 		}
 	}
--- a/internal/control/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -236,8 +236,8 @@
 	for _, i := range seeds {
 		addrs = append(addrs, r.linkAddress(i))
 	}
-	a.client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Life: uint64(time.Now().UnixNano())},
-		Seeds: addrs, Endpoints: true, Holder: &a.snapshots, Log: hclog.NewNullLogger()})
+	a.client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Incarnation: uint64(time.Now().UnixNano())},
+		Seeds: addrs, WantEndpoints: true, Snapshots: &a.snapshots, Log: hclog.NewNullLogger()})
 	ended := make(chan struct{})
 	go func() { a.client.Run(ctx); close(ended) }()
 	r.t.Cleanup(func() { cancel(); <-ended })
@@ -272,7 +272,7 @@
 }
 
 func (w *manualProcess) Message(m *link.Message) {
-	if u, err := controlclient.ReadUpdate(m.Body); err == nil && m.Kind == controlclient.Push {
+	if u, err := controlclient.ReadUpdate(m.Body); err == nil && m.Kind == controlclient.KindUpdate {
 		w.pushes <- u
 	}
 }
@@ -282,7 +282,7 @@
 func (w *manualProcess) ack(number uint64) {
 	b := link.Writer{}
 	b.U64(number)
-	_ = w.conn.Send(controlclient.Ack, b.B)
+	_ = w.conn.Send(controlclient.KindAck, b.Buf)
 }
 
 func (r *rig) attachManually(i int, name string) *manualProcess {
@@ -299,7 +299,7 @@
 	b := link.Writer{}
 	controlclient.Node{Name: name, Role: controlclient.RoleProxy}.Append(&b)
 	b.Bool(true)
-	if w.hello, err = conn.Call(ctx, controlclient.Hello, b.B); err != nil {
+	if w.hello, err = conn.Call(ctx, controlclient.KindHello, b.Buf); err != nil {
 		r.t.Fatal(err)
 	}
 	return w
@@ -323,7 +323,7 @@
 					f.states[e.ID] = e.EffectiveEndpoint().State
 				}
 				f.mu.Unlock()
-				w.ack(u.Number)
+				w.ack(u.Sequence)
 			case <-w.closed:
 				return
 			}
--- a/internal/control/keeper/store_stopping_test.go
+++ b/internal/control/keeper/store_stopping_test.go
@@ -25,9 +25,9 @@
 	w.conn = conn
 	r.t.Cleanup(conn.Close)
 	var b link.Writer
-	controlclient.Node{Name: fmt.Sprint("store", id), Role: controlclient.RoleStore, Zone: fmt.Sprint("z", id), Addr: fmt.Sprint("127.0.0.1:", id), ID: id, Life: 1}.Append(&b)
+	controlclient.Node{Name: fmt.Sprint("store", id), Role: controlclient.RoleStore, Zone: fmt.Sprint("z", id), Addr: fmt.Sprint("127.0.0.1:", id), ID: id, Incarnation: 1}.Append(&b)
 	b.Bool(true)
-	if _, err := conn.Call(ctx, controlclient.Hello, b.B); err != nil {
+	if _, err := conn.Call(ctx, controlclient.KindHello, b.Buf); err != nil {
 		r.t.Fatal(err)
 	}
 	return w
@@ -38,7 +38,7 @@
 	t.Helper()
 	for {
 		u := receive(t, w.pushes, what)
-		w.ack(u.Number)
+		w.ack(u.Sequence)
 		if u.Table != nil && holds(u.Table) {
 			return
 		}
@@ -73,7 +73,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		for range 2 { // it comes again when an answer is lost
-			if _, err := stores[1].conn.Call(ctx, controlclient.Stopping, b.B); err != nil {
+			if _, err := stores[1].conn.Call(ctx, controlclient.KindStoreStopping, b.Buf); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/control/keeper/voter_changes.go
+++ b/internal/control/keeper/voter_changes.go
@@ -124,12 +124,12 @@
 	register := slices.Index(registerNames, name)
 	var reports []reconfigure.Report
 	add := func(node controlclient.Node, report controlclient.KeeperReport) {
-		if node.ID != 0 && len(report.Slots) > 0 {
+		if node.ID != 0 && len(report.DecidedSlots) > 0 {
 			reports = append(reports, reconfigure.Report{
 				Keeper:    voterOf(node),
-				Connected: report.Heard,
-				NextSlot:  report.Slots[register],
-				Leaving:   report.Leaving,
+				Connected: report.ConnectedVoters,
+				NextSlot:  report.DecidedSlots[register],
+				Leaving:   report.Stopping,
 			})
 		}
 	}
@@ -164,7 +164,7 @@
 func (k *Keeper) isBehind(register int) bool {
 	stored := k.registers.storedSlotNumbers()[register]
 	for _, p := range k.peers {
-		if p.conn != nil && len(p.report.Slots) > 0 && p.report.Slots[register] > stored {
+		if p.conn != nil && len(p.report.DecidedSlots) > 0 && p.report.DecidedSlots[register] > stored {
 			return true
 		}
 	}
--- a/internal/control/keeper/voters_test.go
+++ b/internal/control/keeper/voters_test.go
@@ -245,16 +245,16 @@
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
 	for i, id := range []uint64{7, 8} {
-		k.adoptLink(conns[i], controlclient.Node{Name: fmt.Sprint("k", id), Role: controlclient.RoleKeeper, ID: id, Life: 1}, false)
+		k.adoptLink(conns[i], controlclient.Node{Name: fmt.Sprint("k", id), Role: controlclient.RoleKeeper, ID: id, Incarnation: 1}, false)
 	}
-	if heard := k.currentReport().Heard; len(heard) != 0 {
+	if heard := k.currentReport().ConnectedVoters; len(heard) != 0 {
 		t.Errorf("%v are heard before anything is known of the voters", heard)
 	}
 	state := paxos.State{Voters: []paxos.Voter{{ID: k.registers.id, Name: "k1"}, {ID: 7, Name: "k7"}, {ID: 9, Name: "k9"}}}
 	k.registers.publishDecided(configRegister, state)
 	want := []uint64{7, k.registers.id}
 	slices.Sort(want)
-	if heard := k.currentReport().Heard; !slices.Equal(heard, want) {
+	if heard := k.currentReport().ConnectedVoters; !slices.Equal(heard, want) {
 		t.Errorf("%v are heard, not %v", heard, want)
 	}
 }
@@ -345,12 +345,12 @@
 		t.Error("a process was attached")
 	}
 	k.shuttingDown = false
-	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Life: 1}, false)
+	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Incarnation: 1}, false)
 	if len(k.reachableKeepers()) != 2 {
 		t.Errorf("%d keepers", len(k.reachableKeepers()))
 	}
 	changes := k.keepersRevision
-	body := encodeReport(controlclient.KeeperReport{Leaving: true, Slots: make([]uint64, len(registerNames))})
+	body := encodeReport(controlclient.KeeperReport{Stopping: true, DecidedSlots: make([]uint64, len(registerNames))})
 	k.handleReport(&link.Message{Conn: conns[1], Body: body})
 	if len(k.reachableKeepers()) != 1 || k.keepersRevision == changes {
 		t.Error("the attached are still sent to one that leaves")
--- a/internal/control/membership/message.go
+++ b/internal/control/membership/message.go
@@ -59,13 +59,13 @@
 // encode appends the message with as many of the peers, and then of the keepers, as fit into maxMessageBytes. It
 // returns the extended buffer and the peers that fit.
 func (m *message) encode(buffer []byte, peers, keepers []Peer) (out []byte, sent []Peer) {
-	w := link.Writer{B: buffer}
+	w := link.Writer{Buf: buffer}
 	w.U32(magic)
 	w.U8(m.kind)
 	w.U32(m.seq)
 	w.Bool(m.needsKeepers)
 	appendPeer(&w, &m.from)
-	left := maxMessageBytes - len(w.B) - listCountBytes
+	left := maxMessageBytes - len(w.Buf) - listCountBytes
 	fitting := func(entries []Peer) []Peer {
 		for i := range entries {
 			if left -= peerBytes(&entries[i]); left < 0 {
@@ -81,13 +81,13 @@
 			appendPeer(&w, &entries[i])
 		}
 	}
-	return w.B, sent
+	return w.Buf, sent
 }
 
 // decode reads a datagram. It fails if the datagram is too long or too short, has bytes left over, or has a field that
 // is out of bounds.
 func decode(datagram []byte) (m message, err error) {
-	r := link.Reader{B: datagram}
+	r := link.Reader{Buf: datagram}
 	if len(datagram) > maxMessageBytes || r.U32() != magic {
 		return m, errMalformed
 	}
@@ -107,7 +107,7 @@
 			*entries = append(*entries, entry)
 		}
 	}
-	if r.Err != nil || len(r.B) != 0 {
+	if r.Err != nil || len(r.Buf) != 0 {
 		return m, errMalformed
 	}
 	return m, nil
--- a/internal/control/registry/entry_test.go
+++ b/internal/control/registry/entry_test.go
@@ -63,17 +63,17 @@
 		e := entryGenerator().Draw(t, "entry")
 		var w link.Writer
 		AppendEntry(&w, &e)
-		entryBytes := len(w.B)
+		entryBytes := len(w.Buf)
 		l := Liveness{ID: "i", HeartbeatCount: 7, Age: 250 * time.Millisecond}
 		AppendLiveness(&w, &l)
-		r := link.Reader{B: w.B}
+		r := link.Reader{Buf: w.Buf}
 		if got, err := ReadEntry(&r); err != nil || !reflect.DeepEqual(got, e) {
 			t.Fatalf("%+v, %v", got, err)
 		}
-		if got, err := ReadLiveness(&r); err != nil || got != l || len(r.B) != 0 {
+		if got, err := ReadLiveness(&r); err != nil || got != l || len(r.Buf) != 0 {
 			t.Fatalf("%+v, %v", got, err)
 		}
-		truncated := link.Reader{B: w.B[:rapid.IntRange(0, entryBytes-1).Draw(t, "length")]}
+		truncated := link.Reader{Buf: w.Buf[:rapid.IntRange(0, entryBytes-1).Draw(t, "length")]}
 		if _, err := ReadEntry(&truncated); err == nil {
 			t.Fatal("a truncated entry was read")
 		}
@@ -93,7 +93,7 @@
 		}
 		var w link.Writer
 		AppendEntry(&w, &Entry{Endpoint: e})
-		if _, err := ReadEntry(&link.Reader{B: w.B}); err == nil {
+		if _, err := ReadEntry(&link.Reader{Buf: w.Buf}); err == nil {
 			t.Errorf("%.60v is read", e)
 		}
 	}
--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -46,13 +46,13 @@
 	encode := func(e *Entry) []byte {
 		var w link.Writer
 		AppendEntry(&w, e)
-		return w.B
+		return w.Buf
 	}
 	golden := readGolden(t, "entry", func() []byte { return encode(&want) })
-	r := link.Reader{B: golden}
+	r := link.Reader{Buf: golden}
 	got, err := ReadEntry(&r)
-	if err != nil || len(r.B) != 0 {
-		t.Fatalf("%v, %d bytes left", err, len(r.B))
+	if err != nil || len(r.Buf) != 0 {
+		t.Fatalf("%v, %d bytes left", err, len(r.Buf))
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded %+v, want %+v", got, want)
@@ -68,13 +68,13 @@
 	encode := func(h *Liveness) []byte {
 		var w link.Writer
 		AppendLiveness(&w, h)
-		return w.B
+		return w.Buf
 	}
 	golden := readGolden(t, "heard", func() []byte { return encode(&want) })
-	r := link.Reader{B: golden}
+	r := link.Reader{Buf: golden}
 	got, err := ReadLiveness(&r)
-	if err != nil || len(r.B) != 0 {
-		t.Fatalf("%v, %d bytes left", err, len(r.B))
+	if err != nil || len(r.Buf) != 0 {
+		t.Fatalf("%v, %d bytes left", err, len(r.Buf))
 	}
 	if got != want {
 		t.Errorf("decoded %+v, want %+v", got, want)
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -130,7 +130,7 @@
 	wait.For(ctx, calm)
 	before := heap()
 	began := time.Now()
-	r.proxies, err = startProxies(size.Proxies, c.Zones(), controlclient.SeedLinks(c.Seeds(), c.InternalFirst()))
+	r.proxies, err = startProxies(size.Proxies, c.Zones(), controlclient.SeedLinkAddrs(c.Seeds(), c.InternalFirst()))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/tier/hollow/proxy.go
+++ b/internal/lab/tier/hollow/proxy.go
@@ -71,8 +71,8 @@
 			f.close()
 			return nil, err
 		}
-		p.client = controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: zone, Life: life},
-			Seeds: seeds, Known: p.keepers, Endpoints: true, Holder: &p.holder, Changed: p.changed, Log: hclog.NewNullLogger()})
+		p.client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: zone, Incarnation: life},
+			Seeds: seeds, KnownKeepers: p.keepers, WantEndpoints: true, Snapshots: &p.holder, OnSnapshot: p.changed, Log: hclog.NewNullLogger()})
 		f.all = append(f.all, p)
 		f.wg.Go(func() { p.client.Run(ctx) })
 		time.Sleep(startEvery) // they share processors that real ones would not
@@ -90,7 +90,7 @@
 
 func (p *proxy) keepers() (nodes []controlclient.Node) {
 	for _, k := range p.members.Keepers() {
-		nodes = append(nodes, controlclient.Node{Name: k.Name, Role: controlclient.RoleKeeper, Zone: k.Zone, Addr: k.Addr, Life: k.Incarnation})
+		nodes = append(nodes, controlclient.Node{Name: k.Name, Role: controlclient.RoleKeeper, Zone: k.Zone, Addr: k.Addr, Incarnation: k.Incarnation})
 	}
 	return nodes
 }
@@ -122,7 +122,7 @@
 func (f *proxies) settled(endpoints int) bool {
 	for _, p := range f.all {
 		s := p.holder.Get()
-		if len(p.client.Keepers()) < 2 || s == nil || !s.EndpointsComplete || s.Config == nil {
+		if len(p.client.KeeperConns()) < 2 || s == nil || !s.EndpointsComplete || s.Config == nil {
 			return false
 		}
 		n := 0
@@ -139,7 +139,7 @@
 // attachedTwice counts those that hold two links.
 func (f *proxies) attachedTwice() (n int) {
 	for _, p := range f.all {
-		if len(p.client.Keepers()) >= 2 {
+		if len(p.client.KeeperConns()) >= 2 {
 			n++
 		}
 	}
--- a/internal/platform/link/codec_test.go
+++ b/internal/platform/link/codec_test.go
@@ -41,21 +41,21 @@
 				checks = append(checks, func(r *Reader) bool { return bytes.Equal(r.Bytes(), v) })
 			}
 		}
-		r := Reader{B: w.B}
+		r := Reader{Buf: w.Buf}
 		for i, check := range checks {
 			if !check(&r) || r.Err != nil {
 				t.Fatalf("field %d, %v", i, r.Err)
 			}
 		}
-		if len(r.B) != 0 {
-			t.Fatalf("%d bytes are left", len(r.B))
+		if len(r.Buf) != 0 {
+			t.Fatalf("%d bytes are left", len(r.Buf))
 		}
-		if len(w.B) > 0 {
-			r := Reader{B: w.B[:rapid.IntRange(0, len(w.B)-1).Draw(t, "cut")]}
+		if len(w.Buf) > 0 {
+			r := Reader{Buf: w.Buf[:rapid.IntRange(0, len(w.Buf)-1).Draw(t, "cut")]}
 			for _, check := range checks {
 				check(&r)
 			}
-			if !errors.Is(r.Err, ErrShort) {
+			if !errors.Is(r.Err, ErrTruncated) {
 				t.Fatal(r.Err)
 			}
 		}
@@ -67,9 +67,9 @@
 	f.Add([]byte{0, 1, 2, 3, 4, 5}, []byte{0, 0, 0, 1, 9})
 	f.Add([]byte{6, 4}, []byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, fields, b []byte) {
-		r := Reader{B: b}
+		r := Reader{Buf: b}
 		for _, kind := range fields {
-			before, failed := len(r.B), r.Err != nil
+			before, failed := len(r.Buf), r.Err != nil
 			got := 0
 			switch kind % 7 {
 			case 0:
@@ -87,7 +87,7 @@
 			case 6:
 				got = r.Count(int(kind)) * int(kind)
 			}
-			if got > before || len(r.B) > before || failed && (got > 0 || r.Err == nil) {
+			if got > before || len(r.Buf) > before || failed && (got > 0 || r.Err == nil) {
 				t.Fatalf("kind %d: %d of %d bytes", kind%7, got, before)
 			}
 		}
--- a/internal/platform/link/golden_test.go
+++ b/internal/platform/link/golden_test.go
@@ -67,7 +67,7 @@
 		}
 		written := checkGolden(t, "frame_message", readFrames(t, raw, 15))
 		got := receive(t, written)
-		if got.Kind != 7 || string(got.Body) != "notice" || got.Wants() {
+		if got.Kind != 7 || string(got.Body) != "notice" || got.ExpectsReply() {
 			t.Errorf("read as %+v", got)
 		}
 	})
@@ -79,7 +79,7 @@
 		c.Go(9, nil)
 		written := checkGolden(t, "frame_call", readFrames(t, raw, 14+9))
 		got := receive(t, written[:14])
-		if got.Kind != 8 || string(got.Body) != "first" || got.call != 1 || !got.Wants() {
+		if got.Kind != 8 || string(got.Body) != "first" || got.call != 1 || !got.ExpectsReply() {
 			t.Errorf("read as %+v", got)
 		}
 		got = receive(t, written[14:])
@@ -89,7 +89,7 @@
 	})
 	t.Run("probe", func(t *testing.T) {
 		raw, nc := net.Pipe()
-		c := start(nc, newSide(), Options{Probe: time.Millisecond, Silence: time.Hour})
+		c := start(nc, newSide(), Options{ProbeInterval: time.Millisecond, PeerTimeout: time.Hour})
 		defer c.Close()
 		checkGolden(t, "frame_probe", readFrames(t, raw, 9))
 	})
@@ -154,11 +154,11 @@
 	w.U32(2)
 	w.U64(21)
 	w.U64(22)
-	r := Reader{B: checkGolden(t, "fields", w.B)}
+	r := Reader{Buf: checkGolden(t, "fields", w.Buf)}
 	got := []any{r.U8(), r.U32(), r.U64(), r.Int(), r.Bool(), r.Bool(), r.String(), r.Bytes(), r.Count(8), r.U64(), r.U64()}
 	want := []any{uint8(0xfe), uint32(0x01020304), uint64(0x1112131415161718), -2, true, false, "zwölf", []byte{9, 8, 7}, 2, uint64(21), uint64(22)}
-	if r.Err != nil || len(r.B) != 0 || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %v, %v, %d bytes are left", got, r.Err, len(r.B))
+	if r.Err != nil || len(r.Buf) != 0 || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %v, %v, %d bytes are left", got, r.Err, len(r.Buf))
 	}
 }
 
@@ -167,7 +167,7 @@
 	if kindReply != 250 || kindError != 251 || kindProbe != 252 || maxFrame != 16<<20 || head != 9 {
 		t.Error("a peer of another version would end the link")
 	}
-	if DefaultOptions.Probe != 400*time.Millisecond || DefaultOptions.Silence != 1300*time.Millisecond {
+	if DefaultOptions.ProbeInterval != 400*time.Millisecond || DefaultOptions.PeerTimeout != 1300*time.Millisecond {
 		t.Errorf("%+v: a peer of another version may count as dead", DefaultOptions)
 	}
 	c := start(first(net.Pipe()), newSide(), steady)
--- a/internal/platform/link/link.go
+++ b/internal/platform/link/link.go
@@ -64,7 +64,7 @@
 }
 
 // Wants tells whether a reply is awaited.
-func (m *Message) Wants() bool { return m.call != 0 }
+func (m *Message) ExpectsReply() bool { return m.call != 0 }
 
 // Reply answers a call, once.
 func (m *Message) Reply(body []byte) {
@@ -111,12 +111,12 @@
 
 // Options of links.
 type Options struct {
-	Probe   time.Duration // a side that has written nothing for that long writes a probe
-	Silence time.Duration // a side that has read nothing for that long ends the connection
+	ProbeInterval time.Duration // a side that has written nothing for that long writes a probe
+	PeerTimeout   time.Duration // a side that has read nothing for that long ends the connection
 }
 
 // DefaultOptions find a dead peer in little over a second.
-var DefaultOptions = Options{Probe: 400 * time.Millisecond, Silence: 1300 * time.Millisecond}
+var DefaultOptions = Options{ProbeInterval: 400 * time.Millisecond, PeerTimeout: 1300 * time.Millisecond}
 
 // Dial opens a connection.
 func Dial(ctx context.Context, addr string, h Handler, o Options) (*Conn, error) {
@@ -151,7 +151,7 @@
 		_ = t.SetNoDelay(true)
 		if raw, err := t.SyscallConn(); err == nil {
 			_ = raw.Control(func(fd uintptr) {
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.Silence.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.PeerTimeout.Milliseconds()))
 			})
 		}
 	}
@@ -159,7 +159,7 @@
 	c.lastIn.Store(now)
 	c.lastOut.Store(now)
 	c.mu.Lock()
-	c.pulse = time.AfterFunc(o.Probe, func() { c.probe(o) })
+	c.pulse = time.AfterFunc(o.ProbeInterval, func() { c.probe(o) })
 	c.mu.Unlock()
 	go c.read()
 	go c.writeLoop()
@@ -270,16 +270,16 @@
 // timer of its own, as a writer may be stuck with a peer that does not read.
 func (c *Conn) probe(o Options) {
 	now := time.Now().UnixNano()
-	if now-c.lastIn.Load() > int64(o.Silence) {
-		c.end(fmt.Errorf("nothing heard for %v", o.Silence))
+	if now-c.lastIn.Load() > int64(o.PeerTimeout) {
+		c.end(fmt.Errorf("nothing heard for %v", o.PeerTimeout))
 		return
 	}
-	if now-c.lastOut.Load() >= int64(o.Probe)/2 && c.write(kindProbe, 0, nil) != nil {
+	if now-c.lastOut.Load() >= int64(o.ProbeInterval)/2 && c.write(kindProbe, 0, nil) != nil {
 		return
 	}
 	c.mu.Lock()
 	if c.err == nil {
-		c.pulse.Reset(o.Probe)
+		c.pulse.Reset(o.ProbeInterval)
 	}
 	c.mu.Unlock()
 }
--- a/internal/platform/link/link_test.go
+++ b/internal/platform/link/link_test.go
@@ -17,7 +17,7 @@
 const patience = 20 * time.Second
 
 // steady options probe so seldom that no test meets a probe.
-var steady = Options{Probe: time.Hour, Silence: 2 * time.Hour}
+var steady = Options{ProbeInterval: time.Hour, PeerTimeout: 2 * time.Hour}
 
 // side is a handler that passes on what it gets.
 type side struct {
@@ -99,7 +99,7 @@
 		}
 		for i := range n {
 			m := get(t, bs.messages, "a message")
-			if want := fmt.Sprintf("%d%0*d", i, i%300, 0); string(m.Body) != want || m.Kind != 7 || m.Wants() {
+			if want := fmt.Sprintf("%d%0*d", i, i%300, 0); string(m.Body) != want || m.Kind != 7 || m.ExpectsReply() {
 				t.Fatalf("message %d: kind %d, %.40q", i, m.Kind, m.Body)
 			}
 		}
@@ -257,7 +257,7 @@
 				na, raw := tr.pair(t)
 				defer raw.Close()
 				as := newSide()
-				a := start(na, as, Options{Probe: 10 * time.Millisecond, Silence: 50 * time.Millisecond})
+				a := start(na, as, Options{ProbeInterval: 10 * time.Millisecond, PeerTimeout: 50 * time.Millisecond})
 				defer a.Close()
 				if stuck {
 					_ = a.Send(7, make([]byte, 15<<20))
@@ -274,7 +274,7 @@
 
 // Probes hold a link on which nobody has anything to say.
 func TestProbesHoldALink(t *testing.T) {
-	contract(t, Options{Probe: 5 * time.Millisecond, Silence: 5 * time.Second}, func(t *testing.T, a, b *Conn, _, _ *side) {
+	contract(t, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 5 * time.Second}, func(t *testing.T, a, b *Conn, _, _ *side) {
 		began := time.Now().UnixNano()
 		for _, c := range []*Conn{a, b} {
 			deadline := time.Now().Add(patience)
@@ -302,7 +302,7 @@
 			na, raw := tr.pair(t)
 			defer raw.Close()
 			as := newSide()
-			a := start(na, as, Options{Probe: 5 * time.Millisecond, Silence: 300 * time.Millisecond})
+			a := start(na, as, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 300 * time.Millisecond})
 			defer a.Close()
 			go func() { // reads the probes away
 				b := make([]byte, 1<<10)
--- a/internal/platform/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -130,8 +130,8 @@
 	for i := range keeperCount {
 		seeds = append(seeds, k.relays.address(attached, i, k.linkAddress(i)))
 	}
-	client := controlclient.NewClient(controlclient.ClientOptions{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: keeperZone, Life: uint64(time.Now().UnixNano())},
-		Seeds: seeds, Endpoints: true, Holder: holder, Log: hclog.NewNullLogger()})
+	client := controlclient.New(controlclient.Options{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: keeperZone, Incarnation: uint64(time.Now().UnixNano())},
+		Seeds: seeds, WantEndpoints: true, Snapshots: holder, Log: hclog.NewNullLogger()})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { client.Run(ctx); close(ended) }()
--- a/internal/platform/reload/sighup.go
+++ b/internal/platform/reload/sighup.go
@@ -14,4 +14,4 @@
 func init() { signal.Notify(pending, syscall.SIGHUP) }
 
 // Received delivers a value after one or more SIGHUPs. It is for one reader.
-func Received() <-chan os.Signal { return pending }
+func Requests() <-chan os.Signal { return pending }
--- a/internal/platform/telemetry/log.go
+++ b/internal/platform/telemetry/log.go
@@ -15,19 +15,19 @@
 
 // Log writes lines of one kind of event, so many a second at most, as under overload there may be thousands. A line tells how many
 // were left out before it; counters have them all.
-type Log struct {
+type EventLog struct {
 	log     hclog.Logger
 	limiter *rate.Limiter
 	omitted atomic.Uint64
 }
 
 // NewLog writes to a logger.
-func NewLog(log hclog.Logger) *Log {
-	return &Log{log: log, limiter: rate.NewLimiter(linesASecond, linesAtOnce)}
+func NewEventLog(log hclog.Logger) *EventLog {
+	return &EventLog{log: log, limiter: rate.NewLimiter(linesASecond, linesAtOnce)}
 }
 
 // Event writes a line at info, or leaves it out. fields is called only where it is written; it returns pairs of key and value.
-func (l *Log) Event(what string, fields func() []any) {
+func (l *EventLog) Event(what string, fields func() []any) {
 	if !l.log.IsInfo() {
 		return
 	}
--- a/internal/platform/telemetry/observe.go
+++ b/internal/platform/telemetry/observe.go
@@ -41,22 +41,22 @@
 
 // Gauge declares a figure that is asked for at each scrape. One that is declared again, by a role that starts its service anew in the
 // same process, takes the place of the former.
-func Gauge(name string, value func() float64, labels ...string) {
+func GaugeFunc(name string, value func() float64, labels ...string) {
 	full := withLabels(name, labels)
 	metrics.UnregisterMetric(full)
 	metrics.NewGauge(full, value)
 }
 
 // Figure is a gauge that its owner sets.
-type Figure struct{ gauge *metrics.Gauge }
+type Gauge struct{ gauge *metrics.Gauge }
 
 // NewFigure declares a gauge that is 0 until it is set.
-func NewFigure(name string, labels ...string) *Figure {
-	return &Figure{metrics.NewGauge(withLabels(name, labels), nil)}
+func NewGauge(name string, labels ...string) *Gauge {
+	return &Gauge{metrics.NewGauge(withLabels(name, labels), nil)}
 }
 
 // Set gives it a value.
-func (f *Figure) Set(value float64) { f.gauge.Set(value) }
+func (f *Gauge) Set(value float64) { f.gauge.Set(value) }
 
 func withLabels(name string, labels []string) string {
 	if len(labels) == 0 {
--- a/internal/platform/telemetry/observe_test.go
+++ b/internal/platform/telemetry/observe_test.go
@@ -13,8 +13,8 @@
 
 func TestMetricsAreServedAsText(t *testing.T) {
 	Counter("test_requests_total", "verdict", "refused", "route", `a"b`).Add(3)
-	Gauge("test_in_contact", func() float64 { return 1 })
-	Gauge("test_in_contact", func() float64 { return Bool(false) }) // the role begins anew
+	GaugeFunc("test_in_contact", func() float64 { return 1 })
+	GaugeFunc("test_in_contact", func() float64 { return Bool(false) }) // the role begins anew
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 
 func TestManyEventsAreFewLines(t *testing.T) {
 	var out bytes.Buffer
-	l := NewLog(hclog.New(&hclog.LoggerOptions{Output: &out}))
+	l := NewEventLog(hclog.New(&hclog.LoggerOptions{Output: &out}))
 	for range 10 * linesAtOnce {
 		l.Event("request failed", func() []any { return []any{"id", "r1"} })
 	}
@@ -61,5 +61,5 @@
 	if !strings.Contains(out.String(), "id=r2 omitted_before=7") {
 		t.Fatalf("the lines left out are not told:\n%s", out.String())
 	}
-	NewLog(hclog.NewNullLogger()).Event("x", func() []any { t.Error("asked for what nobody reads"); return nil })
+	NewEventLog(hclog.NewNullLogger()).Event("x", func() []any { t.Error("asked for what nobody reads"); return nil })
 }
--- a/internal/proxy/forward/metrics.go
+++ b/internal/proxy/forward/metrics.go
@@ -127,14 +127,14 @@
 
 // Observe registers the gauges of this proxy. There may be one in a process.
 func (p *Proxy) Observe() {
-	telemetry.Gauge("dunetide_proxy_config_version", func() float64 { return float64(p.configVersion()) })
-	telemetry.Gauge("dunetide_proxy_draining", func() float64 { return telemetry.Bool(p.draining.Load()) })
+	telemetry.GaugeFunc("dunetide_proxy_config_version", func() float64 { return float64(p.configVersion()) })
+	telemetry.GaugeFunc("dunetide_proxy_draining", func() float64 { return telemetry.Bool(p.draining.Load()) })
 	for state, name := range map[http.ConnState]string{http.StateActive: "active", http.StateIdle: "idle"} {
 		count := func() float64 { return float64(p.connectionStates.count(state)) }
-		telemetry.Gauge("dunetide_proxy_client_connections", count, "state", name)
+		telemetry.GaugeFunc("dunetide_proxy_client_connections", count, "state", name)
 	}
-	telemetry.Gauge("dunetide_proxy_body_bytes", func() float64 { return float64(p.options.BodyBudget.Reserved()) })
-	telemetry.Gauge("dunetide_proxy_endpoint_pools", func() float64 {
+	telemetry.GaugeFunc("dunetide_proxy_body_bytes", func() float64 { return float64(p.options.BodyBudget.Reserved()) })
+	telemetry.GaugeFunc("dunetide_proxy_endpoint_pools", func() float64 {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return float64(len(p.pools))
--- a/internal/proxy/forward/proxy.go
+++ b/internal/proxy/forward/proxy.go
@@ -110,7 +110,7 @@
 	server           *http.Server
 	draining         atomic.Bool
 	unprepared       atomic.Int32 // requests that wait for a configuration
-	failures         *telemetry.Log
+	failures         *telemetry.EventLog
 	connectionStates connectionStates // of clients' connections
 
 	mu    sync.Mutex
@@ -123,7 +123,7 @@
 	p := &Proxy{
 		options:  o,
 		pools:    map[string]endpointPool{},
-		failures: telemetry.NewLog(o.Log),
+		failures: telemetry.NewEventLog(o.Log),
 		connections: upstream.New(upstream.Config{
 			Dial:        o.Dial,
 			Now:         o.Now,
