--- a/cmd/dunetide-lab/compare.go
+++ b/cmd/dunetide-lab/compare.go
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(tmp)
+		defer func() { _ = os.RemoveAll(tmp) }() // a temporary folder
 		dir = tmp
 	}
 	dir, err := filepath.Abs(dir)
@@ -275,7 +275,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	seen := map[string]bool{}
 	err = trace.Read(f, func(r trace.Record) {
 		key := fmt.Sprint(r.Result, r.Until)
--- a/cmd/dunetide-lab/ledger.go
+++ b/cmd/dunetide-lab/ledger.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // it was only read
 		if worths, err = ledger.ReadSite(f); err != nil {
 			return err
 		}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	report, err := ledger.ReadReport(f)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		defer logs.Close()
+		defer func() { _ = logs.Close() }() // it was only read
 		if day.Ended, err = ledger.ReadLogs(logs); err != nil {
 			return err
 		}
--- a/cmd/dunetide-lab/main.go
+++ b/cmd/dunetide-lab/main.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return record.Summary{}, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	r, err := record.New(d, "", "", blur)
 	if err != nil {
 		return record.Summary{}, err
@@ -212,7 +212,7 @@
 		if err != nil {
 			return record.Summary{}, err
 		}
-		defer os.RemoveAll(tmp)
+		defer func() { _ = os.RemoveAll(tmp) }() // a temporary folder
 		work = tmp
 	}
 	r, err := record.New(d, "run", dir, blur)
--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(work)
+	defer func() { _ = os.RemoveAll(work) }() // a temporary folder
 	program := c.Program
 	if program == "" && !c.Show {
 		program = filepath.Join(work, "dunetide")
--- a/internal/deliverynode/fleet/config.go
+++ b/internal/deliverynode/fleet/config.go
@@ -172,7 +172,7 @@
 	if err != nil {
 		return File{}, fmt.Errorf("the fleet's file: %w", err)
 	}
-	defer r.Close()
+	defer func() { _ = r.Close() }() // it was only read
 	text, err := io.ReadAll(io.LimitReader(r, maxFile+1))
 	if err != nil {
 		return File{}, fmt.Errorf("the fleet's file: %w", err)
--- a/internal/deliverynode/group/files.go
+++ b/internal/deliverynode/group/files.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only locked and not written
 	err = syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return true, nil
--- a/internal/deliverynode/group/news.go
+++ b/internal/deliverynode/group/news.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // the exchange is over
 	if err := conn.SetDeadline(time.Now().Add(fileTimeout)); err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 		_, err := conn.Write([]byte{0})
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // the receiver has a descriptor of its own
 	_, _, err := conn.WriteMsgUnix([]byte{1}, unix.UnixRights(int(f.Fd())), nil)
 	return err
 }
@@ -233,7 +233,7 @@
 	if err != nil {
 		return reply{}, err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // the exchange is over
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	if err := conn.SetDeadline(time.Now().Add(within)); err != nil {
 		return reply{}, err
--- a/internal/deliverynode/journal/folder.go
+++ b/internal/deliverynode/journal/folder.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	if info, err := f.Stat(); err != nil {
 		return nil, err
 	} else if info.Size() > most {
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	return io.ReadAll(io.LimitReader(f, int64(most)))
 }
 
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if v.node != nil && m.Log.ID == v.self.Log.ID && m.Log.Epoch > v.self.Log.Epoch && m.What != sayOld {
-		v.leave("a later epoch of the log has begun: " + m.Log.String())
+		_ = v.leave("a later epoch of the log has begun: " + m.Log.String()) // it has logged the error
 	}
 	if v.node != nil && m.Log.ID == v.self.Log.ID && m.Log.Epoch < v.self.Log.Epoch && m.What == sayRaft {
 		v.say(from.Name, "here", message{What: sayHere, From: v.self.Voter}) // so it leaves the old epoch
@@ -47,7 +47,7 @@
 		// What came late from an earlier life is answered so too: then the later one is this, or
 		// one before it.
 		if same && m.To == v.self.Voter && m.Seen.Incarnation >= v.options.Incarnation() && m.Seen.Start != v.options.Start {
-			v.leave("another voter has seen a later incarnation of this node")
+			_ = v.leave("another voter has seen a later incarnation of this node") // it has logged the error
 		}
 	case sayRaft:
 		if !same || m.To != v.self.Voter || v.stuck != nil {
--- a/internal/deliverynode/node/process.go
+++ b/internal/deliverynode/node/process.go
@@ -77,7 +77,7 @@
 func (e *estate) unlock() {
 	for _, lock := range []*os.File{e.hold, e.lock} {
 		if lock != nil {
-			lock.Close()
+			_ = lock.Close() // it may be closed already, and was never written to
 		}
 	}
 }
--- a/internal/lab/ablation/ablation.go
+++ b/internal/lab/ablation/ablation.go
@@ -250,7 +250,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
 	clone := exec.CommandContext(ctx, "git", "clone", "--quiet", o.Repository, dir)
 	if out, err := clone.CombinedOutput(); err != nil {
 		return Result{}, fmt.Errorf("cloning the repository: %w\n%s", err, out)
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -376,7 +376,7 @@
 	if err != nil {
 		return // the run's figures stand without it
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // the run's figures stand without it
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 4 * len(n.procs) {
 		if resp, err := client.Get("http://" + n.console + "/ops/group"); err == nil {
--- a/internal/lab/tier/cluster/process.go
+++ b/internal/lab/tier/cluster/process.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
 	cmd := exec.Command(p.cluster.options.Program, string(p.Role))
 	cmd.Env = p.environment()
 	cmd.Stdout, cmd.Stderr = log, log
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
 	cmd := exec.CommandContext(ctx, p.cluster.options.Program, string(p.Role))
 	cmd.Env = p.environment()
 	cmd.Stdout, cmd.Stderr = log, log
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // a probe of the disk, of no further use
 	for time.Since(d.began) < d.day.Length && wait.For(ctx, syncEvery) {
 		began := time.Since(d.began)
 		if _, err := file.WriteAt([]byte{1}, 0); err != nil {
