--- a/internal/control/membership/golden_test.go
+++ b/internal/control/membership/golden_test.go
@@ -1,16 +1,11 @@
 package membership
 
 import (
-	"bytes"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
-)
 
-// updateGolden makes the golden files; they are made once, from the code whose format they pin, and never in CI.
-var updateGolden = flag.Bool("update-golden", false, "write testdata/golden instead of comparing with it")
+	"dunetide/internal/lab/golden"
+)
 
 // goldenPeer has a distinct value other than zero in each field.
 func goldenPeer(name string, life uint64, age uint16) Peer {
@@ -19,7 +14,7 @@
 
 // TestMessageBytes pins the bytes of each kind of datagram between processes.
 func TestMessageBytes(t *testing.T) {
-	for name, want := range map[string]message{
+	for file, want := range map[string]message{
 		"ask": {
 			kind:         kindRequest,
 			seq:          4_000_000_001,
@@ -40,31 +35,20 @@
 			keepers: []Peer{goldenPeer("keeper-7008", 1_800_000_000_000_000_008, 9)},
 		},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(file, func(t *testing.T) {
 			encode := func(m *message) []byte {
 				out, _ := m.encode(nil, m.peers, m.keepers)
 				return out
 			}
-			path := filepath.Join("testdata", "golden", name)
-			if *updateGolden {
-				if err := os.WriteFile(path, encode(&want), 0o644); err != nil {
-					t.Fatal(err)
-				}
-			}
-			golden, err := os.ReadFile(path)
-			if err != nil {
-				t.Fatal(err)
-			}
-			got, err := decode(golden)
+			golden.Compare(t, file, encode(&want))
+			got, err := decode(golden.Read(t, file))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("decoded %+v, want %+v", got, want)
 			}
-			if again := encode(&got); !bytes.Equal(again, golden) {
-				t.Errorf("encoded again as %x, want %x", again, golden)
-			}
+			golden.Compare(t, file, encode(&got))
 		})
 	}
 }
--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -1,21 +1,15 @@
 package registry
 
 import (
-	"bytes"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
 
 	"dunetide/internal/control/snapshot"
+	"dunetide/internal/lab/golden"
 	"dunetide/internal/platform/link"
 )
 
-// updateGolden makes the golden files; they are made once, from the code whose format they pin, and never in CI.
-var updateGolden = flag.Bool("update-golden", false, "write testdata/golden instead of comparing with it")
-
 // goldenEntry has a distinct value other than zero in each field.
 func goldenEntry() Entry {
 	return Entry{
@@ -41,55 +35,40 @@
 }
 
 // TestEntryBytes pins the bytes of an Entry between keepers and their clients.
-func TestEntryBytes(t *testing.T) {
-	want := goldenEntry()
-	encode := func(e *Entry) []byte {
-		var w link.Writer
-		AppendEntry(&w, e)
-		return w.Buf
-	}
-	golden := readGolden(t, "entry", func() []byte { return encode(&want) })
-	r := link.Reader{Buf: golden}
-	got, err := ReadEntry(&r)
-	if err != nil || len(r.Buf) != 0 {
-		t.Fatalf("%v, %d bytes left", err, len(r.Buf))
-	}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded %+v, want %+v", got, want)
-	}
-	if again := encode(&got); !bytes.Equal(again, golden) {
-		t.Errorf("encoded again as %x, want %x", again, golden)
-	}
-}
+func TestEntryBytes(t *testing.T) { testCodec(t, "entry", goldenEntry(), AppendEntry, ReadEntry) }
 
-// TestHeardBytes pins the bytes of a Heard between keepers.
-func TestHeardBytes(t *testing.T) {
+// TestLivenessBytes pins the bytes of a Liveness between keepers.
+func TestLivenessBytes(t *testing.T) {
 	want := Liveness{ID: "incarnation-1", HeartbeatCount: 2_000_000_000_003, Age: 4_005 * time.Millisecond}
-	encode := func(h *Liveness) []byte {
+	testCodec(t, "heard", want, AppendLiveness, ReadLiveness)
+}
+
+// testCodec checks that a value is encoded to a golden file's bytes, decoded from them, and encoded to them again.
+func testCodec[T any](t *testing.T, file string, want T, appendTo func(*link.Writer, *T), read func(*link.Reader) (T, error)) {
+	t.Helper()
+	encode := func(value *T) []byte {
 		var w link.Writer
-		AppendLiveness(&w, h)
+		appendTo(&w, value)
 		return w.Buf
 	}
-	golden := readGolden(t, "heard", func() []byte { return encode(&want) })
-	r := link.Reader{Buf: golden}
-	got, err := ReadLiveness(&r)
+	golden.Compare(t, file, encode(&want))
+	r := link.Reader{Buf: golden.Read(t, file)}
+	got, err := read(&r)
 	if err != nil || len(r.Buf) != 0 {
 		t.Fatalf("%v, %d bytes left", err, len(r.Buf))
 	}
-	if got != want {
+	if !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded %+v, want %+v", got, want)
 	}
-	if again := encode(&got); !bytes.Equal(again, golden) {
-		t.Errorf("encoded again as %x, want %x", again, golden)
-	}
+	golden.Compare(t, file, encode(&got))
 }
 
-// TestPartOfServiceIsStable pins which part of the table a service belongs to: keepers of several versions compare
-// their checksums part by part.
-func TestPartOfServiceIsStable(t *testing.T) {
+// TestBucketOfServiceIsStable pins which bucket of the table a service belongs to: keepers of several versions compare
+// their checksums bucket by bucket.
+func TestBucketOfServiceIsStable(t *testing.T) {
 	for service, want := range map[string]int{"": 6, "a": 11, "chat": 6, "service-2": 5} {
 		if got := BucketOf(service); got != want {
-			t.Errorf("service %q is in part %d, want %d", service, got, want)
+			t.Errorf("service %q is in bucket %d, want %d", service, got, want)
 		}
 	}
 }
@@ -105,19 +84,3 @@
 		t.Errorf("digests %#x, want %#x", got, want)
 	}
 }
-
-// readGolden returns a golden file's bytes.
-func readGolden(t *testing.T, name string, encode func() []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *updateGolden {
-		if err := os.WriteFile(path, encode(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return golden
-}
