--- a/internal/control/controlclient/certificates_test.go
+++ b/internal/control/controlclient/certificates_test.go
@@ -61,7 +61,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.n++
-	u := Update{Sequence: k.n, InContact: true, Complete: k.n == 1, CertificatesVersion: version, Certificates: text}
+	u := Update{Sequence: k.n, InContact: true, FullSync: k.n == 1, CertificatesVersion: version, Certificates: text}
 	for _, conn := range k.conns {
 		_ = conn.Send(KindUpdate, u.Encode()) // all but one were given up
 	}
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -54,11 +54,11 @@
 		}
 		switch w.Key {
 		case "whole":
-			u.Complete = true
+			u.FullSync = true
 		case "listed":
-			u.EndpointsKnown = true
+			u.EndpointsComplete = true
 		case "senders":
-			u.Senders = int(number())
+			u.Proxies = int(number())
 		case "config":
 			u.ConfigVersion, u.Config = number(), config(number())
 		case "table":
--- a/internal/control/controlclient/golden_test.go
+++ b/internal/control/controlclient/golden_test.go
@@ -111,14 +111,14 @@
 
 func goldenUpdate() *Update {
 	return &Update{
-		Sequence:       11,
-		Complete:       true,
-		InContact:      true,
-		EndpointsKnown: true,
-		Senders:        12,
-		Config:         []byte(`{"version":13}`),
-		ConfigVersion:  13,
-		Table:          goldenTable(),
+		Sequence:          11,
+		FullSync:          true,
+		InContact:         true,
+		EndpointsComplete: true,
+		Proxies:           12,
+		Config:            []byte(`{"version":13}`),
+		ConfigVersion:     13,
+		Table:             goldenTable(),
 		Entries: []registry.Entry{
 			{
 				Endpoint: snapshot.Endpoint{
@@ -185,7 +185,7 @@
 // The numbers of the kinds of messages stay.
 func TestGoldenKinds(t *testing.T) {
 	kinds := map[link.Kind]link.Kind{
-		KindHello: 1, KindUpdate: 2, KindAck: 3, KindConsensus: 4, KindEndpoints: 5, KindHeartbeats: 6, KindAttached: 7, KindDecided: 8, KindPartitionJoined: 9, KindLease: 10, KindStatus: 11, KindEndpointsRequest: 12,
+		KindHello: 1, KindUpdate: 2, KindAck: 3, KindConsensus: 4, KindEndpoints: 5, KindLiveness: 6, KindAttached: 7, KindDecided: 8, KindPartitionJoined: 9, KindLease: 10, KindStatus: 11, KindEndpointsRequest: 12,
 		KindConfirm: 13, KindInForce: 14, KindKeeperReport: 15, KindStoreStopping: 20, KindInContact: 21, KindCondition: 22,
 	}
 	if len(kinds) != 18 {
@@ -260,7 +260,7 @@
 	}
 	defer a.conn.Close()
 
-	push := Update{Sequence: 0x0c01, InContact: true, Complete: true, EndpointsKnown: true, Senders: 3, CertificatesVersion: 3, Certificates: text(t, 3)}
+	push := Update{Sequence: 0x0c01, InContact: true, FullSync: true, EndpointsComplete: true, Proxies: 3, CertificatesVersion: 3, Certificates: text(t, 3)}
 	body := push.Encode()
 	write("frame_push", append([]byte{0, 0, 0, byte(5 + len(body)), 2, 0, 0, 0, 0}, body...))
 	checkGolden(t, "frame_ack", readFrame(t, raw, 8))
--- a/internal/control/controlclient/kinds.go
+++ b/internal/control/controlclient/kinds.go
@@ -11,7 +11,7 @@
 	KindAck              link.Kind = 3  // one way, attached to keeper: the number of the newest change that is in force there
 	KindConsensus        link.Kind = 4  // one way, between keepers: a register's name, the sender as a voter, a message of agreement
 	KindEndpoints        link.Kind = 5  // call, between keepers: entries of the list of endpoints that changed; empty reply
-	KindHeartbeats       link.Kind = 6  // one way, between keepers: which incarnations were heard of, and how long ago
+	KindLiveness         link.Kind = 6  // one way, between keepers: which incarnations were heard of, and how long ago
 	KindAttached         link.Kind = 7  // one way, between keepers: the processes attached to the sender, all of them
 	KindDecided          link.Kind = 8  // one way, between keepers: a register's name and a decided state
 	KindPartitionJoined  link.Kind = 9  // call, store to keeper: the next group of a part has all of it (part, epoch)
--- a/internal/control/controlclient/merge.go
+++ b/internal/control/controlclient/merge.go
@@ -21,20 +21,20 @@
 		c.table = u.Table
 		c.o.Log.Info("table in force", "number", u.Table.Version, "stores", len(u.Table.Stores))
 	}
-	if u.Senders > 0 {
-		c.senders = u.Senders
+	if u.Proxies > 0 {
+		c.senders = u.Proxies
 	}
 	if u.Keepers != nil {
 		c.takeKeepers(u.Keepers)
 	}
 	before := s.entries
-	endpoints = u.Complete || len(u.Entries) > 0 || u.EndpointsKnown && !s.listed
-	if u.Complete {
+	endpoints = u.FullSync || len(u.Entries) > 0 || u.EndpointsComplete && !s.listed
+	if u.FullSync {
 		s.entries = map[string]registry.Entry{}
 		s.whole = true
 	}
 	// A keeper that listens anew, after a freeze, takes nobody away before it has heard a round: its word stays good.
-	s.listed = s.listed || u.EndpointsKnown
+	s.listed = s.listed || u.EndpointsComplete
 	now := time.Now()
 	for _, e := range u.Entries {
 		if old, there := before[e.ID]; there && old.CallCount > e.CallCount && !e.Dead() {
--- a/internal/control/controlclient/merge_test.go
+++ b/internal/control/controlclient/merge_test.go
@@ -89,14 +89,14 @@
 		return reflect.ValueOf(a.Endpoints).Pointer() == reflect.ValueOf(b.Endpoints).Pointer()
 	}
 
-	push(Update{Sequence: 1, InContact: true, Complete: true, EndpointsKnown: true, Senders: 1, Entries: []registry.Entry{entry("a", 1, snapshot.Ready)}})
+	push(Update{Sequence: 1, InContact: true, FullSync: true, EndpointsComplete: true, Proxies: 1, Entries: []registry.Entry{entry("a", 1, snapshot.Ready)}})
 	one := await("the first endpoint", func(s *snapshot.Snapshot) bool { return s.EndpointsComplete && len(s.Endpoints["s"]) == 1 })
-	push(Update{Sequence: 2, InContact: true, EndpointsKnown: true, Senders: 7})
+	push(Update{Sequence: 2, InContact: true, EndpointsComplete: true, Proxies: 7})
 	two := await("seven senders", func(s *snapshot.Snapshot) bool { return s.Proxies == 7 })
 	if !two.EndpointsComplete || !same(one, two) {
 		t.Error("the list was made anew though nothing of it changed")
 	}
-	push(Update{Sequence: 3, InContact: true, EndpointsKnown: true, Entries: []registry.Entry{entry("b", 1, snapshot.Ready), entry("a", 2, snapshot.Draining)}})
+	push(Update{Sequence: 3, InContact: true, EndpointsComplete: true, Entries: []registry.Entry{entry("b", 1, snapshot.Ready), entry("a", 2, snapshot.Draining)}})
 	three := await("two endpoints", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 2 })
 	if three.Proxies != 7 || three.Endpoints["s"][0].State != snapshot.Draining {
 		t.Errorf("%d senders, %+v", three.Proxies, three.Endpoints["s"][0])
@@ -104,15 +104,15 @@
 	if len(two.Endpoints["s"]) != 1 || two.Endpoints["s"][0].State != snapshot.Ready {
 		t.Error("a shared list changed")
 	}
-	push(Update{Sequence: 4, InContact: true, EndpointsKnown: true, Entries: []registry.Entry{entry("a", 2, snapshot.Removed)}})
+	push(Update{Sequence: 4, InContact: true, EndpointsComplete: true, Entries: []registry.Entry{entry("a", 2, snapshot.Removed)}})
 	await("one endpoint left", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "b" })
 	// A keeper that listens anew takes nobody away: what it told stays whole.
-	push(Update{Sequence: 5, InContact: true, EndpointsKnown: false, Senders: 9})
+	push(Update{Sequence: 5, InContact: true, EndpointsComplete: false, Proxies: 9})
 	five := await("nine senders", func(s *snapshot.Snapshot) bool { return s.Proxies == 9 })
 	if !five.EndpointsComplete || len(five.Endpoints["s"]) != 1 || five.Endpoints["s"][0].ID != "b" {
 		t.Errorf("listed %v, %d endpoints after a keeper began to listen anew", five.EndpointsComplete, len(five.Endpoints["s"]))
 	}
-	push(Update{Sequence: 6, InContact: true, Complete: true, EndpointsKnown: true, Entries: []registry.Entry{entry("c", 1, snapshot.Ready)}})
+	push(Update{Sequence: 6, InContact: true, FullSync: true, EndpointsComplete: true, Entries: []registry.Entry{entry("c", 1, snapshot.Ready)}})
 	await("another whole list", func(s *snapshot.Snapshot) bool {
 		return s.EndpointsComplete && len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "c"
 	})
@@ -134,7 +134,7 @@
 	}
 	keeper := &pushing{conns: make(chan *link.Conn, 1)}
 	go func() { _ = link.Serve(l, keeper, link.DefaultOptions) }()
-	u := Update{Sequence: 1, InContact: true, Complete: true, EndpointsKnown: true, Config: []byte("{}"), ConfigVersion: 3}
+	u := Update{Sequence: 1, InContact: true, FullSync: true, EndpointsComplete: true, Config: []byte("{}"), ConfigVersion: 3}
 	var wg sync.WaitGroup
 	for range 2 {
 		conn, err := link.Dial(t.Context(), l.Addr().String(), c, link.DefaultOptions)
--- a/internal/control/controlclient/messages.go
+++ b/internal/control/controlclient/messages.go
@@ -62,17 +62,17 @@
 // Update is a numbered change. What is not in it stays as it was.
 type Update struct {
 	Sequence uint64 // grows by one a push, in one life of the keeper
-	Complete bool   // the entries are all that there are
+	FullSync bool   // the entries are all that there are
 	// InContact says that a majority has answered the keeper recently. Without, the update tells nothing of what the
 	// registers hold: no configuration, no table and no certificates.
-	InContact      bool
-	EndpointsKnown bool   // the keeper has heard a whole round of heartbeats
-	Senders        int    // 0: not in it
-	Config         []byte // as the operator sent it; nil: not in it
-	ConfigVersion  uint64 // of Config
-	Table          *snapshot.PartitionTable
-	Entries        []registry.Entry
-	Keepers        []Node // nil: not in it
+	InContact         bool
+	EndpointsComplete bool   // the keeper has heard a whole round of heartbeats
+	Proxies           int    // 0: not in it
+	Config            []byte // as the operator sent it; nil: not in it
+	ConfigVersion     uint64 // of Config
+	Table             *snapshot.PartitionTable
+	Entries           []registry.Entry
+	Keepers           []Node // nil: not in it
 	// CertificatesVersion is told by a keeper in contact; 0: none were ever put.
 	CertificatesVersion uint64
 	Certificates        []byte // as the operator sent them; nil: not in it
@@ -82,10 +82,10 @@
 func (u *Update) Encode() []byte {
 	w := link.Writer{}
 	w.U64(u.Sequence)
-	w.Bool(u.Complete)
+	w.Bool(u.FullSync)
 	w.Bool(u.InContact)
-	w.Bool(u.EndpointsKnown)
-	w.Int(u.Senders)
+	w.Bool(u.EndpointsComplete)
+	w.Int(u.Proxies)
 	w.Bytes(u.Config)
 	w.U64(u.ConfigVersion)
 	w.Bool(u.Table != nil)
@@ -108,7 +108,7 @@
 // ReadUpdate reads the update's message.
 func ReadUpdate(b []byte) (*Update, error) {
 	r := link.Reader{Buf: b}
-	u := &Update{Sequence: r.U64(), Complete: r.Bool(), InContact: r.Bool(), EndpointsKnown: r.Bool(), Senders: r.Int(), Config: r.Bytes(), ConfigVersion: r.U64()}
+	u := &Update{Sequence: r.U64(), FullSync: r.Bool(), InContact: r.Bool(), EndpointsComplete: r.Bool(), Proxies: r.Int(), Config: r.Bytes(), ConfigVersion: r.U64()}
 	if len(u.Config) == 0 {
 		u.Config = nil
 	}
--- a/internal/control/controlclient/messages_test.go
+++ b/internal/control/controlclient/messages_test.go
@@ -53,8 +53,8 @@
 
 func updates() *rapid.Generator[*Update] {
 	return rapid.Custom(func(t *rapid.T) *Update {
-		u := &Update{Sequence: rapid.Uint64().Draw(t, "number"), Complete: rapid.Bool().Draw(t, "whole"), InContact: rapid.Bool().Draw(t, "in contact"), EndpointsKnown: rapid.Bool().Draw(t, "listed"),
-			Senders: rapid.IntRange(0, 9).Draw(t, "senders")}
+		u := &Update{Sequence: rapid.Uint64().Draw(t, "number"), FullSync: rapid.Bool().Draw(t, "whole"), InContact: rapid.Bool().Draw(t, "in contact"), EndpointsComplete: rapid.Bool().Draw(t, "listed"),
+			Proxies: rapid.IntRange(0, 9).Draw(t, "senders")}
 		if rapid.Bool().Draw(t, "has config") {
 			u.Config, u.ConfigVersion = rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "config"), rapid.Uint64().Draw(t, "version")
 		}
@@ -116,7 +116,7 @@
 }
 
 func FuzzReadUpdate(f *testing.F) {
-	f.Add((&Update{Sequence: 1, Complete: true, Keepers: []Node{{Name: "a"}}, Table: &snapshot.PartitionTable{Version: 2, Partitions: make([]snapshot.Partition, 2)}}).Encode())
+	f.Add((&Update{Sequence: 1, FullSync: true, Keepers: []Node{{Name: "a"}}, Table: &snapshot.PartitionTable{Version: 2, Partitions: make([]snapshot.Partition, 2)}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		u, err := ReadUpdate(b)
 		if err != nil {
--- a/internal/control/keeper/dispatch.go
+++ b/internal/control/keeper/dispatch.go
@@ -46,7 +46,7 @@
 	// From other keepers.
 	case controlclient.KindEndpoints:
 		k.handleEntries(now, m)
-	case controlclient.KindHeartbeats:
+	case controlclient.KindLiveness:
 		k.handleLiveness(now, m)
 	case controlclient.KindEndpointsRequest:
 		k.sendEntries(m.Conn, k.endpoints.Entries(k.sinceStart(now), -1), nil)
--- a/internal/control/keeper/endpoint_exchange.go
+++ b/internal/control/keeper/endpoint_exchange.go
@@ -73,7 +73,7 @@
 	body := k.encodeLiveness(now)
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.KindHeartbeats, body) // the next one comes soon
+			_ = p.conn.Send(controlclient.KindLiveness, body) // the next one comes soon
 		}
 	}
 	k.broadcastReport()
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -256,7 +256,7 @@
 	}
 	conn := k.peers[goldenPeer.Name].conn
 	for range mismatchesBeforeRequest {
-		k.handleLiveness(time.Now(), &link.Message{Conn: conn, Kind: controlclient.KindHeartbeats, Body: other.Buf})
+		k.handleLiveness(time.Now(), &link.Message{Conn: conn, Kind: controlclient.KindLiveness, Body: other.Buf})
 	}
 	next("missing")
 
@@ -287,7 +287,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, got, &controlclient.Update{Sequence: 105, Complete: true, InContact: true, EndpointsKnown: true, Senders: 103, Config: k.config.raw, ConfigVersion: 101, Table: goldenTable,
+	same(t, got, &controlclient.Update{Sequence: 105, FullSync: true, InContact: true, EndpointsComplete: true, Proxies: 103, Config: k.config.raw, ConfigVersion: 101, Table: goldenTable,
 		Entries: []registry.Entry{entry}, Keepers: []controlclient.Node{goldenSelf, goldenPeer}, CertificatesVersion: 102, Certificates: k.certificates.raw})
 	same(t, got.Encode(), readGolden(t, "push")[1:])
 }
--- a/internal/control/keeper/pushes.go
+++ b/internal/control/keeper/pushes.go
@@ -165,8 +165,8 @@
 ) (u *controlclient.Update, listRevision uint64) {
 	u = &controlclient.Update{
 		InContact:           inContact,
-		EndpointsKnown:      k.pushedListComplete,
-		Senders:             k.proxyCount,
+		EndpointsComplete:   k.pushedListComplete,
+		Proxies:             k.proxyCount,
 		CertificatesVersion: p.certificatesVersion,
 	}
 	if inContact {
@@ -176,9 +176,9 @@
 		u.Keepers = k.reachableKeepers()
 	}
 	if p.wantsEndpoints {
-		u.Entries, listRevision, u.Complete = k.endpoints.Changes(k.sinceStart(now), p.listRevision)
+		u.Entries, listRevision, u.FullSync = k.endpoints.Changes(k.sinceStart(now), p.listRevision)
 	} else {
-		u.Complete = !p.fullListSent
+		u.FullSync = !p.fullListSent
 	}
 	return u, listRevision
 }
