--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -9,58 +9,57 @@
 // Invalid is the class of errors about a settings file that can't be used. They name the lines and what would be right.
 var Invalid = errs.Class("settings")
 
-// Settings are what a process is told at its start. The comments begin with the keys of the file. A key that is absent
-// is empty, 0 or false, if no other default is given. Lists are joined by commas.
+// Settings are what a process is given at its start. The comments begin with the keys of the file. A key that is absent
+// is empty, 0 or false, if no other default is given. Lists are joined by commas. Keys whose comments end in "unused"
+// are only validated.
 type Settings struct {
 	NodeName     string            // node_name: the node's name; required
-	Role         string            // role: the role that the process is started for
-	MachineClass string            // machine_class: for people; the process does not read it
-	Serves       []string          // serves: list of what the role serves, such as edge or control
+	Role         string            // role: that the process is started for; only printed by dunetide check
+	MachineClass string            // machine_class: kind of machine, such as edge; unused
+	Serves       []string          // serves: list, such as edge or control; only printed by dunetide check
 	IP           string            // ip: the machine's address, such as 10.0.0.7; required
 	Zone         string            // zone: the machine's failure domain
-	Region       string            // region: of the zone
-	Zones        map[string]string // zones.ZONE: the region of each zone
+	Region       string            // region: of the zone; unused
+	Zones        map[string]string // zones.ZONE: the region of each zone; unused
 
-	// Addresses to listen on (ip:port). What has none is not served.
-
-	FrontAddr   string // listen_on.front: for clients
-	ReadyAddr   string // listen_on.ready: for the platform's readiness check
-	ControlAddr string // listen_on.control: for endpoints and operators, at a keeper
+	FrontAddr   string // listen_on.front: ip:port for clients; empty: none are served
+	ReadyAddr   string // listen_on.ready: ip:port for the platform's readiness check
+	ControlAddr string // listen_on.control: ip:port for endpoints and operators, at a keeper
 
 	// internal_ports: the first and the last port for traffic between nodes, such as 7000,7015; required.
 	FirstInternalPort, LastInternalPort int
 
 	Seeds             []string      // seeds: list of control addresses of keepers (ip:port)
 	FirstStart        bool          // first_start: true only when the whole tier starts for the first time
-	CountsLoss        bool          // counts_loss: the loss of this machine counts towards survive.machines
+	CountsLoss        bool          // counts_loss: the machine counts towards survive.machines; unused
 	Limits            Limits        // limits.*
 	DataDir           string        // data_dir: the folder for what must last; empty: the machine has no disk
 	HeartbeatInterval time.Duration // beat_every_ms: between heartbeats of an endpoint, whole ms from 1; default 1,200
-	RulesInForce      []string      // rules_in_force: list of the platform's rules that apply
+	RulesInForce      []string      // rules_in_force: list of the platform's rules that apply; unused
 
 	// What may be lost at the same time while the tier keeps its guarantees.
 
 	SurviveMachines int // survive.machines: machines with counts_loss
-	SurviveZones    int // survive.zones: whole zones
-	SurviveRegions  int // survive.regions: whole regions
+	SurviveZones    int // survive.zones: whole zones; unused
+	SurviveRegions  int // survive.regions: whole regions; unused
 
 	Bounds Bounds // bounds.*
 }
 
 // Limits are what the process may use. 0 means that no limit is known.
 type Limits struct {
-	CPUShare    float64 // limits.cpu_share: of a core, above 0; default 1
-	CPUCores    float64 // limits.cpu_cores: how much faster that core is than the reference, above 0; default 1
+	CPUShare    float64 // limits.cpu_share: of a core, above 0; default 1; unused
+	CPUCores    float64 // limits.cpu_cores: speed of that core, relative and above 0; default 1; unused
 	MemoryMB    int     // limits.memory_mb: MiB; fractions are rounded down
 	OpenFiles   int     // limits.open_files: file descriptors
-	NetworkMbps float64 // limits.network_mbps: of the machine's link, in Mbit/s
+	NetworkMbps float64 // limits.network_mbps: of the machine's link, in Mbit/s; unused
 	DiskMB      int     // limits.disk_mb: of data_dir, in MiB; fractions are rounded down
 }
 
 // Bounds are the figures of the platform's rules, by which the platform judges the tier. Their keys begin with bounds,
 // as in bounds.list_lag_s. A key that ends in _ms or _s gives a duration in that unit, fractions included; the comments
 // give the key, the default and the meaning. The process acts on CatchUp, Drain, Grace and StatusEvery; the others are
-// only validated.
+// unused.
 type Bounds struct {
 	ListLag     time.Duration // list_lag_s: 3 s; lag of the operator's list of control addresses
 	ReuseAfter  time.Duration // reuse_after_s: 2 s; until another endpoint may have the address of an ended one
