--- a/internal/control/keeper/bootstrap_test.go
+++ b/internal/control/keeper/bootstrap_test.go
@@ -13,8 +13,9 @@
 	"dunetide/internal/platform/settings"
 )
 
-// A keeper that met the first voters before they knew of each other hears of all registers, with a disk and
-// without: whoever has a duty or relays a call needs to know them, and nobody else would tell.
+// TestKeeperConnectedBeforeBootstrapLearnsRegisters: a keeper that connects to the first voters before they have
+// bootstrapped learns all registers, with a disk and without. A keeper that has a role, or that serves calls, needs
+// them.
 func TestKeeperConnectedBeforeBootstrapLearnsRegisters(t *testing.T) {
 	const first = "127.0.40.1"
 	l, err := net.Listen("tcp4", first+":0")
@@ -49,7 +50,7 @@
 		go func() { ended <- k.Run(ctx) }()
 		return k
 	}
-	// The seed knows itself for the first voter when it meets somebody, and by then has said what it knew.
+	// The seed bootstraps when it connects to another keeper, and has by then sent what it knew: nothing.
 	late := []*Keeper{start("b", "127.0.40.2", true), start("c", "127.0.40.3", false)}
 	start("a", first, true)
 	knows := func(k *Keeper) int {
--- a/internal/control/keeper/calls_test.go
+++ b/internal/control/keeper/calls_test.go
@@ -106,7 +106,7 @@
 	}
 	r.untilConnected(0, 1, 2)
 
-	// An emptied disk: another voter in the place of the old one.
+	// An emptied disk is another voter, which replaces the old one.
 	r.kill(1)
 	r.disks[1] = disktest.New()
 	r.start(1)
@@ -117,8 +117,8 @@
 		t.Fatal(a)
 	}
 
-	// A minority answers 503 to all but the status. It keeps what heartbeats say, but acknowledges none: the rest of the
-	// system never hears of them from here.
+	// A minority answers 503 to all but the status. It stores heartbeats, but acknowledges none, as the others don't
+	// learn of them from here.
 	r.kill(1)
 	for _, a := range []response{r.putConfig(0, 9, 8, "d"), r.call(0, "GET", "/config", "", nil), r.call(0, "GET", "/retire/x", "", nil)} {
 		if a.status != 503 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// A keeper without a disk relays operators' calls.
+// TestKeeperWithoutDisk: a keeper without a disk serves operators' calls by the votes of the others.
 func TestKeeperWithoutDisk(t *testing.T) {
 	r := newRig(t, 4)
 	r.disks[3] = nil
@@ -216,7 +216,7 @@
 		}
 	}
 
-	// Silence: it is gone everywhere, while another one that goes on stays.
+	// Heartbeats end: the endpoint expires everywhere, while another one that goes on stays.
 	stays := func(count int) {
 		if a := r.heartbeat(count%3, "201", "ready", count); a.status != 200 {
 			t.Fatal(a)
@@ -239,7 +239,8 @@
 	})
 }
 
-// A drain, and a configuration, wait for the word of who is attached.
+// TestAcknowledgedAfterAttachedProcesses: changes of endpoints and configurations are acknowledged after the attached
+// processes have acknowledged them.
 func TestAcknowledgedAfterAttachedProcesses(t *testing.T) {
 	r := newRig(t, 3)
 	r.pushWait = testTimeout
@@ -279,7 +280,7 @@
 	check("a configuration", func() response { return r.putConfig(1, 3, 0, "a") }, func(u *controlclient.Update) bool { return u.ConfigVersion == 3 })
 }
 
-// Who does not acknowledge holds an answer for PushWait, no longer.
+// TestProcessWithoutAcknowledgements: a process that acknowledges nothing delays an answer by PushWait, no longer.
 func TestProcessWithoutAcknowledgements(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -299,7 +300,7 @@
 	}
 }
 
-// A client keeps its configuration when keepers come back that know less.
+// TestClientRetainsConfiguration: a client retains its configuration when keepers come back that know less.
 func TestClientRetainsConfiguration(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
--- a/internal/control/keeper/certificates_test.go
+++ b/internal/control/keeper/certificates_test.go
@@ -19,7 +19,7 @@
 
 const certificatesTTL = time.Second
 
-// lines is a log in memory.
+// memoryLog keeps log lines in memory.
 type memoryLog struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -54,7 +54,7 @@
 	return r.call(i, "PUT", certificatesPath, match, body)
 }
 
-// gate is a proxy's side: a real client and the gate behind it.
+// gate attaches a real client, as a proxy has one, and returns the gate that is fed by it.
 func (r *rig) gate(seeds ...int) *certification.Gate {
 	var client *controlclient.Client
 	gate := certification.NewGate(certification.GateOptions{ConfirmationTTL: certificatesTTL, LastConfirmed: func() time.Time { return client.CertificatesConfirmedAt() }})
@@ -119,8 +119,9 @@
 	}
 }
 
-// A withdrawal is in force at the proxy when it is acknowledged; with no majority left, the proxy treats nobody as certified once
-// that has lasted for the stated time, and goes on when there is one again. A minority agrees nothing.
+// TestProxyFollowsCertificatesOrFailsClosed: a withdrawal is in force at the proxy when it is acknowledged. Without a
+// majority the proxy treats no endpoint as certified after the stated time, and goes on when there is one again. A
+// minority decides nothing.
 func TestProxyFollowsCertificatesOrFailsClosed(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -162,7 +163,8 @@
 	}
 }
 
-// Who was not pushed the newest, as it acknowledges nothing, is not told that what it has is the newest.
+// TestProcessBehindIsNotConfirmed: a process that wasn't pushed the newest certificates, as it acknowledges nothing,
+// gets no confirmation that it has the newest.
 func TestProcessBehindIsNotConfirmed(t *testing.T) {
 	r := newRig(t, 3)
 	r.pushWait = 10 * time.Millisecond // nobody acknowledges
@@ -172,8 +174,8 @@
 	receive(t, w.pushes, "the first push")
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	// An order is taken by its own majority, also before this keeper is in contact, and again without contact on a busy machine.
-	// Nothing is confirmed then, at once, and the process asks again.
+	// A put is accepted by a majority also before this keeper is in contact, and on a busy machine contact may end
+	// again. Then nothing is confirmed, and the process calls again.
 	eventually(t, "what it has is confirmed", func() bool {
 		_, err := w.conn.Call(ctx, controlclient.KindConfirm, nil)
 		return err == nil
--- a/internal/control/keeper/concurrent_puts_test.go
+++ b/internal/control/keeper/concurrent_puts_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// sharedHistory is a history that operators on goroutines of their own add to.
+// sharedHistory is a history to which several goroutines add.
 type sharedHistory struct {
 	mu      sync.Mutex
 	history *history
 }
 
-// newPut makes an order that keepers take for a configuration.
+// newPut makes a put of a valid configuration.
 func (s *sharedHistory) newPut(version, base uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// randomPut draws one of the newest orders, whoever sent it; false: there is none yet.
+// randomPut draws one of the newest puts, whoever sent it; false: there is none yet.
 func (s *sharedHistory) randomPut(newest int) (order int, put documentPut, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	return order, s.history.puts[order], true
 }
 
-// putIndex is the order whose bytes were read.
+// putIndex is the put whose bytes were read.
 func (s *sharedHistory) putIndex(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,7 @@
 	return a
 }
 
-// sendPut sends an order until its answer is clear, each time to another keeper.
+// sendPut sends a put until its answer is clear, each time to another keeper.
 func (o *realOperator) sendPut(order, tries int) {
 	var a registerAnswer
 	keeper := rand.N(len(o.rig.running))
@@ -105,7 +105,7 @@
 	}
 }
 
-// act does one thing: a read, a repeat, a rival of an order, or a new order.
+// act does one thing: a read, a repeat, a rival of a put, or a new put.
 func (o *realOperator) act() {
 	order, put, any := o.history.randomPut(6)
 	switch draw := rand.N(10); {
@@ -122,8 +122,9 @@
 	}
 }
 
-// Eight operators at once, at real keepers, put, repeat, race and read while answers are lost, each keeper is restarted, and
-// all of them are: what they see is one register with conditional writes and conditional repeats.
+// TestEightConcurrentOperators: eight operators put, repeat, race and read at real keepers while answers are lost and
+// keepers are restarted, one after the other and all at once. What they see is one register with conditional writes and
+// conditional repeats.
 func TestEightConcurrentOperators(t *testing.T) {
 	const keepers, actions = 3, 25
 	r := newRig(t, keepers)
@@ -174,14 +175,15 @@
 	t.Logf("%d orders, answers %v", len(shared.history.puts), statuses)
 }
 
-// largeBody is a configuration of so many bytes.
+// largeBody is a configuration of the given size.
 func largeBody(version uint64, mark byte, size int) []byte {
 	frame := len(configBody(version, ""))
 	return configBody(version, string(bytes.Repeat([]byte{mark}, size-frame)))
 }
 
-// Rivals of the most bytes allowed, at several keepers: one is confirmed, the others are refused, and a repeat is confirmed
-// by every keeper. With the race detector they are smaller: the keepers' 900 ms for an order are not scaled.
+// TestLargestConfigurations: of rivals of the maximum size at several keepers one is confirmed, the others are
+// rejected, and a repeat is confirmed by every keeper. With the race detector they are smaller, as the 900 ms that a
+// keeper has for a put aren't scaled.
 func TestLargestConfigurations(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -220,7 +222,8 @@
 	}
 }
 
-// While as many large bodies as may be are in hand, another one is put off, and nothing else is.
+// TestLargeBodiesWaitForEachOther: while the maximum of large bodies is in memory, another large one is deferred, and
+// nothing else is.
 func TestLargeBodiesWaitForEachOther(t *testing.T) {
 	r := newRig(t, 1)
 	r.startAll()
@@ -257,7 +260,8 @@
 	eventually(t, "none is in hand", func() bool { return len(k.largeBodySlots) == 0 })
 }
 
-// A body that is cut on its way is no order: the answer ends no operator's call, and says nothing against the whole one.
+// TestTruncatedBody: a body that is cut on its way isn't a put. The answer makes the operator send it again, and says
+// nothing about the whole one.
 func TestTruncatedBody(t *testing.T) {
 	r := newRig(t, 1)
 	r.startAll()
@@ -286,8 +290,8 @@
 	}
 }
 
-// 200 says that a configuration is decided, and in force at those who are attached to the keeper that says it. Others have it
-// once a keeper that knows it reaches them.
+// TestConfirmationIsNotInForceEverywhere: 200 says that a configuration is decided, and in force at the processes
+// attached to the keeper that answers. Others have it once a keeper that knows it reaches them.
 func TestConfirmationIsNotInForceEverywhere(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -309,7 +313,7 @@
 	}
 	has(3, alone, stuck, near)
 
-	r.kill(0) // the first client is attached nowhere now
+	r.kill(0) // now the first client is attached nowhere
 	k := r.running[1].keeper
 	release := make(chan struct{})
 	blocked := make(chan struct{})
--- a/internal/control/keeper/conditions_test.go
+++ b/internal/control/keeper/conditions_test.go
@@ -10,8 +10,8 @@
 	"dunetide/internal/control/controlclient"
 )
 
-// TestConditionsAreInStatus: what keeps a store from its work, as it tells one keeper, is in the status of all of them until it is
-// over.
+// TestConditionsAreInStatus: the condition that a store reports to one keeper is in the status of all keepers until
+// it is over.
 func TestConditionsAreInStatus(t *testing.T) {
 	r := newRig(t, 2)
 	r.startAll()
@@ -34,24 +34,25 @@
 	}
 	const want = "store s1 z: no room"
 	for keeper := range 2 {
-		eventually(t, fmt.Sprintf("the trouble at keeper %d", keeper+1), func() bool {
+		eventually(t, fmt.Sprintf("the condition at keeper %d", keeper+1), func() bool {
 			report(store, "no room") // again and again, as processes do
 			return shown(keeper) == want
 		})
 	}
 	for keeper := range 2 {
-		eventually(t, fmt.Sprintf("the end of the trouble at keeper %d", keeper+1), func() bool {
+		eventually(t, fmt.Sprintf("the end of the condition at keeper %d", keeper+1), func() bool {
 			report(store, "")
 			return shown(keeper) == ""
 		})
 	}
 }
 
-// TestConditionTable: a trouble lasts while it is told, whoever tells others, and not by the word of a former life.
+// TestConditionTable: a condition lasts while it is reported, whatever other processes report, and reports of former
+// incarnations don't count.
 func TestConditionTable(t *testing.T) {
 	now := time.Now()
 	table := conditionTable{}
-	told := func(name string, life uint64, reason string) {
+	report := func(name string, life uint64, reason string) {
 		table.update(now, controlclient.Condition{Node: controlclient.Node{Name: name, Role: controlclient.RoleStore, Incarnation: life}, Reason: reason})
 	}
 	check := func(want string) {
@@ -65,19 +66,19 @@
 			t.Errorf("%q, should be %q", all, want)
 		}
 	}
-	told("b", 2, "full")
-	told("a", 1, "stalled")
+	report("b", 2, "full")
+	report("a", 1, "stalled")
 	check("a: stalled for 0s, b: full for 0s")
 	now = now.Add(conditionTTL)
-	told("b", 1, "") // of a former life
-	told("b", 2, "stalled")
+	report("b", 1, "") // of a former incarnation
+	report("b", 2, "stalled")
 	check("a: stalled for 5s, b: stalled for 5s")
 	now = now.Add(time.Second)
 	check("b: stalled for 6s")
-	told("b", 3, "")
+	report("b", 3, "")
 	check("")
 	for i := range maxConditions + 10 {
-		told(fmt.Sprint(i), 1, strings.Repeat("x", 10*maxReasonBytes))
+		report(fmt.Sprint(i), 1, strings.Repeat("x", 10*maxReasonBytes))
 	}
 	if len(table) != maxConditions || len(table.sorted()[0].reason) != maxReasonBytes {
 		t.Errorf("%d are kept, the first has %d bytes", len(table), len(table.sorted()[0].reason))
--- a/internal/control/keeper/contact_test.go
+++ b/internal/control/keeper/contact_test.go
@@ -15,7 +15,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// checkNoConfigPushed takes what has been pushed, and fails if anything of the registers is in it.
+// checkNoConfigPushed acknowledges all pushes so far, and fails if anything of the registers is in one.
 func checkNoConfigPushed(t *testing.T, w *manualProcess) {
 	t.Helper()
 	for {
@@ -38,7 +38,8 @@
 	return w.conn.Call(ctx, kind, body)
 }
 
-// encodeUnheldLeaseRequest asks for the lease of a duty that nobody does, so that none but the keeper's own reasons refuse it.
+// encodeUnheldLeaseRequest encodes a request for the lease of a role that nobody has, so that only the keeper's own
+// state can refuse it.
 func encodeUnheldLeaseRequest(holder string) []byte {
 	w := link.Writer{}
 	w.String("observed")
@@ -47,8 +48,8 @@
 	return w.Buf
 }
 
-// mayGrantAsVoter has a keeper take the link of an attached process for that of another keeper, which votes, and tells whether it would
-// grant that one a lease as far as the voters go.
+// mayGrantAsVoter has a keeper treat the link of an attached process as that of another keeper, which votes, and
+// reports whether the keeper would grant that one a lease as far as the voters go.
 func (r *rig) mayGrantAsVoter(i int, attached string, other int) (mayGrant bool) {
 	k, id := r.running[i].keeper, r.running[other].keeper.registers.id
 	mayGrant, _ = query(k, func() bool {
@@ -62,7 +63,8 @@
 	return mayGrant
 }
 
-// Each row of the table in docs/control.md, at a keeper that is cut off from the others and can still be called.
+// TestCallsWithoutContact plays each row of the table in docs/control.md at a keeper that is partitioned from the
+// others and can still be called.
 func TestCallsWithoutContact(t *testing.T) {
 	for name, cut := range map[string]struct{ from, to bool }{
 		"both ways": {true, true}, "its words are lost": {true, false}, "it hears nothing": {false, true},
@@ -140,9 +142,9 @@
 		}
 	}
 
-	// What endpoints said is kept, and pushed to those who are attached, without anything of the registers.
+	// What endpoints reported is stored and pushed to the attached processes, without anything of the registers.
 	count := 10
-	eventually(t, "what endpoints say is kept", func() bool {
+	eventually(t, "what endpoints report is stored", func() bool {
 		count++
 		r.heartbeat(lone, "1", "ready", count)
 		r.heartbeat(lone, "2", "ready", count)
@@ -162,7 +164,7 @@
 		}
 	}
 
-	// Who attaches is told that there is no contact, and is handed nothing of the registers.
+	// A process that attaches is told that there is no contact, and is pushed nothing of the registers.
 	late := r.attachManually(lone, "late")
 	reply := link.Reader{Buf: late.hello}
 	controlclient.ReadNode(&reply)
@@ -208,8 +210,8 @@
 	r.untilCode(200, func() response { return r.putConfig(lone, 5, 3, "b") })
 }
 
-// Processes of a keeper that is cut off go on with what they have, find keepers that are in contact, and come by what
-// is new.
+// TestProcessesMoveToKeepersInContact: processes attached to a partitioned keeper go on with what they have, find
+// keepers that are in contact, and get what is new from these.
 func TestProcessesMoveToKeepersInContact(t *testing.T) {
 	r := newRig(t, 5)
 	relays := r.startRelays()
@@ -220,7 +222,7 @@
 	}
 	var clients []*clientProcess
 	for _, name := range []string{"p1", "p2", "p3", "p4"} {
-		clients = append(clients, r.attachClient(name, 0)) // it learns of the others by what is pushed
+		clients = append(clients, r.attachClient(name, 0)) // it learns of the other keepers by pushes
 	}
 	eventually(t, "all have the configuration", func() bool {
 		for _, c := range clients {
@@ -244,8 +246,9 @@
 	})
 }
 
-// With no majority anywhere, processes stay where they are and keep what they have, and contact comes back by itself. Keepers lose it
-// one after the other, and come by it so, and processes may move meanwhile.
+// TestProcessesStayWithoutAnyContact: without a majority anywhere, processes stay attached and retain what they have,
+// and contact comes back by itself. Keepers lose and regain contact one after the other, and processes may move
+// meanwhile.
 func TestProcessesStayWithoutAnyContact(t *testing.T) {
 	r := newRig(t, 3)
 	relays := r.startRelays()
@@ -278,9 +281,10 @@
 }
 
 const (
-	// keeperSearchTime is for how long a process that looks for a keeper in contact is watched: it looks at least every 3 s.
+	// keeperSearchTime is how long a process that looks for a keeper in contact is watched: it looks at least every 3
+	// s.
 	keeperSearchTime = 4 * time.Second
-	// keeperMoveTime is above what a move takes that has begun.
+	// keeperMoveTime is more than a move takes once it has begun.
 	keeperMoveTime = time.Second
 )
 
@@ -298,7 +302,7 @@
 	return attached
 }
 
-// beat_to names no keeper without contact.
+// TestHeartbeatTargetIsInContact: beat_to names no keeper without contact.
 func TestHeartbeatTargetIsInContact(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
@@ -323,11 +327,11 @@
 	report(0, true)
 	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "far", ControlAddr: "k2:1", Incarnation: 2}, true)
 	if got := k.heartbeatTarget("far"); got != "" {
-		t.Errorf("by the report of a former life: %q", got)
+		t.Errorf("by the report of a former incarnation: %q", got)
 	}
 }
 
-// An acknowledgement that waits looks at contact again before it says so.
+// TestContactLostWhileAnswerIsPending: contact is checked again after an acknowledgement has waited.
 func TestContactLostWhileAnswerIsPending(t *testing.T) {
 	r := newRig(t, 3)
 	relays := r.startRelays()
@@ -348,7 +352,7 @@
 	}
 }
 
-// The entries of endpoints are handed on between keepers, in contact or not.
+// TestEntriesAreMergedWithoutContact: keepers exchange entries of the endpoint list in contact or not.
 func TestEntriesAreMergedWithoutContact(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 1)
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -24,7 +24,7 @@
 	receive(r.t, done, "the change of the disk")
 }
 
-// fillDisk leaves no room on a keeper's disk; empty ends it.
+// fillDisk leaves no free space on a keeper's disk; freeDisk ends that.
 func (r *rig) fillDisk(i int) { r.withDisk(i, func() { r.disks[i].Room = r.disks[i].Used() + 1 }) }
 func (r *rig) freeDisk(i int) { r.withDisk(i, func() { r.disks[i].Room = 0 }) }
 
@@ -33,7 +33,7 @@
 	return r.running[i].keeper.registers.storedSlotNumbers()[0] - 1
 }
 
-// countingLog counts the lines that hold some words.
+// countingLog counts the log lines that contain given words.
 type countingLog struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -51,8 +51,8 @@
 	return strings.Count(l.text.String(), words)
 }
 
-// TestOneFullDisk has one of three keepers without room: changes go on, it does not count as holding them, and it has
-// them on its disk by itself once there is room.
+// TestOneFullDisk: while the disk of one of three keepers is full, changes go on, and that keeper doesn't count as
+// having stored them. It stores them by itself once there is free space.
 func TestOneFullDisk(t *testing.T) {
 	r := newRig(t, 3)
 	log := &countingLog{}
@@ -85,7 +85,7 @@
 	r.untilCode(200, func() response { return r.putConfig(0, 20, 19, "a") })
 }
 
-// TestMajorityOfFullDisks has no order confirmed until there is room, and then all goes on.
+// TestMajorityOfFullDisks: no put is confirmed until there is free space, and then all goes on.
 func TestMajorityOfFullDisks(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -107,7 +107,7 @@
 	if a := r.call(1, "GET", "/config", "", nil); a.status != 200 && a.status != 503 {
 		t.Error(a)
 	}
-	// A loss of power while they are full: what was confirmed is there.
+	// Power is lost while they are full: what was confirmed is there.
 	r.kill(2)
 	r.disks[2].PowerLoss(func(int) int { return 0 })
 	r.disks[2].Room = r.disks[2].Used() + 1
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestStalledDisk has a keeper whose writes do not return: callers are answered within their bounds, what is no business of the
-// disk goes on, and the keeper can be stopped.
+// TestStalledDisk: if the writes of a keeper don't return, callers are answered within their bounds, what doesn't
+// need the disk goes on, and the keeper can be stopped.
 func TestStalledDisk(t *testing.T) {
 	r := newRig(t, 1)
 	r.startAll()
@@ -146,7 +146,7 @@
 	if !stalled.Load() {
 		t.Error("nothing was written")
 	}
-	// Who waits for its disk has no contact with a majority: endpoints go on to another keeper.
+	// A keeper that waits for its disk has no contact with a majority: endpoints go on to another keeper.
 	if a := r.heartbeat(0, "1", "ready", 1); a.status != 503 {
 		t.Error(a)
 	}
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestBoundedOperation answers once, whichever comes first.
+// TestBoundedOperation: the result and the timeout answer once, whichever comes first.
 func TestBoundedOperation(t *testing.T) {
 	answers := make(chan error, 2)
 	done := func(_ paxos.State, err error) { answers <- err }
@@ -204,7 +204,7 @@
 			t.Errorf("disk %d, rewritten %d: %d, want %d", c.disk, c.rewritten, got, c.due)
 		}
 	}
-	// The log and the rewritten one fit together as long as twice what is kept does.
+	// The log and the rewritten one fit together as long as twice the state does.
 	for kept := int64(0); kept <= 28*mb; kept += mb / 2 {
 		if due := (rewritePolicy{64 * mb}).rewriteSize(kept); due+kept > 64*mb {
 			t.Error(fmt.Sprint(kept, due))
@@ -212,8 +212,8 @@
 	}
 }
 
-// TestStartOnFullDisk tries to start at each amount of room: it fails with an error that says so, or the keeper has its identity, and
-// keeps it.
+// TestStartOnFullDisk starts a keeper with each amount of free space: the start fails with an error that says so, or
+// the keeper has an identity, and retains it.
 func TestStartOnFullDisk(t *testing.T) {
 	started := false
 	for room := 1; room < 200; room++ {
@@ -238,8 +238,8 @@
 	}
 }
 
-// TestInterruptedFirstStart kills a keeper at each operation of its first start: it knows all registers after it, or none, as no other
-// start tells it the first voters.
+// TestInterruptedFirstStart kills a keeper at each operation of its first start: afterwards it knows all registers or
+// none, as no later start tells it the first voters.
 func TestInterruptedFirstStart(t *testing.T) {
 	whole := disktest.New()
 	mustOpen(t, whole)
--- a/internal/control/keeper/document_mutants_test.go
+++ b/internal/control/keeper/document_mutants_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// documentMutants are lines that would have two operators confirmed under one number, or a repeat refused, one at a time. The
-// model has to find each of them.
+// documentMutants would confirm two operators under one version, or reject a repeat. The models have to find each of
+// them.
 var documentMutants = []mutation.Mutant{
 	{
 		Name: "a repeat is judged by its number alone",
@@ -144,11 +144,11 @@
 	},
 }
 
-// TestDocumentMutantsAreFound runs the models over each mutant, which takes minutes: ORDERS_WRONG is 1 or a part of a
+// TestDocumentMutantsAreFound runs the models over each mutant, which takes minutes: ORDERS_MUTANTS is 1 or a part of a
 // name.
 func TestDocumentMutantsAreFound(t *testing.T) {
-	only := mutation.Requested(t, "ORDERS_WRONG")
+	only := mutation.Requested(t, "ORDERS_MUTANTS")
 	mutation.Find(t, documentMutants, mutation.Options{Only: only,
 		Args: []string{"-run", "TestOperatorHistoriesAreLinearizable|TestEveryInterleavingOfSmallCases"},
-		Env:  []string{"ORDERS_WRONG=", "ORDERS_SEEDS=10000"}, Within: 5 * time.Minute})
+		Env:  []string{"ORDERS_MUTANTS=", "ORDERS_SEEDS=10000"}, Within: 5 * time.Minute})
 }
--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -22,7 +22,7 @@
 	"dunetide/internal/platform/settings"
 )
 
-// newIdleKeeper makes a keeper that does not run: its parts are called by the test.
+// newIdleKeeper makes a keeper that doesn't run: the test calls its methods.
 func newIdleKeeper(t *testing.T, name string) *Keeper {
 	t.Helper()
 	k, err := New(Options{Settings: &settings.Settings{NodeName: name, IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2"},
@@ -33,7 +33,7 @@
 	return k
 }
 
-// confirmContact has a keeper that does not run in contact, and the registers confirmed for all who are attached.
+// confirmContact puts an idle keeper in contact, and confirms the registers for all attached processes.
 func confirmContact(t *testing.T, k *Keeper) {
 	t.Helper()
 	now := k.sinceStart(time.Now()) + time.Hour // it lasts for the test
@@ -46,13 +46,13 @@
 	}
 }
 
-// sink takes what comes over links, at the far end.
+// messageSink takes what comes over links, at the far end.
 type messageSink struct{ messages chan *link.Message }
 
 func (s *messageSink) Message(m *link.Message) { s.messages <- m }
 func (s *messageSink) Closed(*link.Conn)       {}
 
-// dialSink makes links that lead to a sink.
+// dialSink makes links that lead to a messageSink.
 func dialSink(t *testing.T, n int) (conns []*link.Conn, far *messageSink) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -89,7 +89,8 @@
 	return w.Buf
 }
 
-// The owner and the registers' goroutine each have a queue, and neither waits for the other's.
+// TestQueuesDoNotBlockEachOther: the owner goroutine and the registers' each have a queue, and neither waits for the
+// other's.
 func TestQueuesDoNotBlockEachOther(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	for range maxQueuedCommands {
@@ -112,7 +113,7 @@
 	}
 }
 
-// A queue that is never empty holds up neither pushes nor ticks.
+// TestBusyQueue: a queue that is never empty delays neither pushes nor ticks.
 func TestBusyQueue(t *testing.T) {
 	r := newRig(t, 1)
 	r.startAll()
@@ -129,7 +130,8 @@
 	receive(t, r.attachManually(0, "p").pushes, "a push")
 }
 
-// Who acknowledges nothing is pushed no more than so much, and is told all in one once it does.
+// TestUnacknowledgedPushesAreBounded: a process that acknowledges nothing is pushed a bounded number of updates, and
+// gets the rest in one once it acknowledges.
 func TestUnacknowledgedPushesAreBounded(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 1)
@@ -159,7 +161,8 @@
 	}
 }
 
-// A process whose link broke attaches anew before this side has seen the end of the old link.
+// TestNewAttachmentReplacesOlder: a process whose link broke attaches anew before this side knows that the old link has
+// ended.
 func TestNewAttachmentReplacesOlder(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
@@ -171,6 +174,7 @@
 	}
 }
 
+// TestChoiceAmongLinksToOnePeer is the table of chooseLink, and what happens to the links that aren't used.
 func TestChoiceAmongLinksToOnePeer(t *testing.T) {
 	node := func(name string, life uint64) controlclient.Node {
 		return controlclient.Node{Name: name, Role: controlclient.RoleKeeper, ID: 7, Incarnation: life}
@@ -219,13 +223,13 @@
 		}
 	}
 
-	// A clock that was set back, and a life that is over.
+	// A clock that was set back, and an incarnation that has ended.
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 3)
 	k.adoptLink(conns[0], node("k2", 10), false)
 	k.adoptLink(conns[1], node("k2", 5), false)
 	if p := k.peers["k2"]; p.conn != conns[0] || !linkEnded(conns[1]) {
-		t.Fatal("an older life took the place of a newer one")
+		t.Fatal("an older incarnation replaced a newer one")
 	}
 	k.dropLink(conns[0])
 	k.adoptLink(conns[2], node("k2", 5), false)
@@ -234,11 +238,13 @@
 	}
 }
 
+// TestDifferingListsAreRequestedOnce: a keeper whose digests differ twice in a row is asked for its list, and not
+// again for a while.
 func TestDifferingListsAreRequestedOnce(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, far := dialSink(t, 1)
 	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Incarnation: 1}, true)
-	word := func(sums [registry.DigestBuckets]uint64, at time.Duration) {
+	receiveLiveness := func(sums [registry.DigestBuckets]uint64, at time.Duration) {
 		w := link.Writer{}
 		w.U32(0)
 		for _, sum := range sums {
@@ -247,12 +253,12 @@
 		k.handleLiveness(k.startedAt.Add(at), &link.Message{Conn: conns[0], Body: w.Buf})
 	}
 	other := [registry.DigestBuckets]uint64{3: 1}
-	word(other, 0)
-	word(k.endpointDigests(), 0) // it was a change under way
-	word(other, 0)
-	word(other, 0) // asks
+	receiveLiveness(other, 0)
+	receiveLiveness(k.endpointDigests(), 0) // it was a change under way
+	receiveLiveness(other, 0)
+	receiveLiveness(other, 0) // asks
 	for range 9 {
-		word(other, time.Second) // is asked a moment ago
+		receiveLiveness(other, time.Second) // is asked a moment ago
 	}
 	_ = conns[0].Send(controlclient.KindAck, nil)
 	asked := 0
@@ -266,7 +272,7 @@
 	}
 }
 
-// A word that one keeper took and nobody else has heard reaches the others, by the lists' sums.
+// TestLostEntriesAreRecovered: a change that only one keeper knows reaches the others by the digests of the lists.
 func TestLostEntriesAreRecovered(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -280,7 +286,7 @@
 	eventually(t, "the client knows that it drains", func() bool { return c.state("1") == snapshot.Draining })
 }
 
-// drainWithoutBroadcast makes one keeper take a drain and tell nobody.
+// drainWithoutBroadcast has one keeper merge a drain without sending it to the others.
 func (r *rig) drainWithoutBroadcast(i int, id string, count uint64) {
 	k := r.running[i].keeper
 	if changed, ok := query(k, func() bool {
@@ -292,7 +298,7 @@
 	}
 }
 
-// A drain that is said again is acknowledged when the others know it, too.
+// TestRepeatedDrainIsBroadcastAgain: a repeated drain is acknowledged only once the other keepers know it, too.
 func TestRepeatedDrainIsBroadcastAgain(t *testing.T) {
 	r := newRig(t, 3)
 	r.pushWait = testTimeout
@@ -311,7 +317,7 @@
 	}
 }
 
-// The very first change of a keeper's list may be an end.
+// TestFirstChangeIsARemoval: the very first change of a keeper's list may be the end of an endpoint.
 func TestFirstChangeIsARemoval(t *testing.T) {
 	r := newRig(t, 3)
 	r.pushWait = testTimeout
@@ -328,7 +334,8 @@
 	}
 }
 
-// What a keeper knows already is not acknowledged to another before those who are attached have it.
+// TestKnownEntriesAwaitAcknowledgements: entries that a keeper knows already aren't acknowledged to another one
+// before the attached processes have them.
 func TestKnownEntriesAwaitAcknowledgements(t *testing.T) {
 	r := newRig(t, 1)
 	r.pushWait = testTimeout
@@ -350,14 +357,14 @@
 	for u = receive(t, p.pushes, "the push"); len(u.Entries) == 0; u = receive(t, p.pushes, "the push") {
 		p.ack(u.Sequence)
 	}
-	// The keeper has taken both in once it has answered a call that came behind them.
+	// The keeper has merged both once it has answered a call that came after them.
 	if _, err := conn.Call(context.Background(), controlclient.KindStatus, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i, ch := range []<-chan link.Reply{first, second} {
 		select {
 		case <-ch:
-			t.Fatalf("word %d is acknowledged before the attached has it", i+1)
+			t.Fatalf("call %d is acknowledged before the attached process has the entries", i+1)
 		default:
 		}
 	}
@@ -369,7 +376,7 @@
 	}
 }
 
-// A keeper that has ended acknowledges nothing.
+// TestEndedKeeperAcknowledgesNothing: calls at a keeper that has ended get 503.
 func TestEndedKeeperAcknowledgesNothing(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	close(k.ended)
@@ -387,7 +394,7 @@
 	}
 }
 
-// Calls that wait do not hold up the end of a keeper.
+// TestEndWithCallsInFlight: calls that wait don't delay the end of a keeper.
 func TestEndWithCallsInFlight(t *testing.T) {
 	r := newRig(t, 1)
 	r.pushWait = 2 * testTimeout
@@ -406,7 +413,7 @@
 	}
 }
 
-// A keeper whose disk failed ends, and is a voter again when it starts on the disk as it was.
+// TestFailedDisk: a keeper whose disk failed ends, and is a voter again when it starts on the disk as it was.
 func TestFailedDisk(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -428,7 +435,8 @@
 	r.untilCode(200, func() response { return r.putConfig(2, 8, 5, "c") })
 }
 
-// A keeper that met the others before they knew anything asks them.
+// TestUnknownRegistersAreQueried: a keeper that connected to the others before they knew anything asks them for the
+// registers.
 func TestUnknownRegistersAreQueried(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, far := dialSink(t, 1)
@@ -438,7 +446,8 @@
 	}
 }
 
-// A keeper's list of attached processes may come before it is known who dialed: it counts from then on.
+// TestAttachedListBeforeHello: a keeper's list of attached processes may come before it is known which keeper dialed.
+// It counts from then on.
 func TestAttachedListBeforeHello(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 1)
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -298,8 +298,8 @@
 func (c calledKeeper) Message(m *link.Message) { c.k.handleMessage(m) }
 func (c calledKeeper) Closed(*link.Conn)       {}
 
-// TestGoldenCallsOverLinks: the calls that a keeper makes when it dials, and the answers to those that it takes, are as the
-// golden files have them.
+// TestGoldenCallsOverLinks: the calls that a keeper makes when it dials, and the answers to those that it takes, are
+// as the golden files have them.
 func TestGoldenCallsOverLinks(t *testing.T) {
 	k, _ := goldenKeeper(t)
 	far := &messageSink{make(chan *link.Message, 10)}
@@ -480,7 +480,8 @@
 	same(t, []any{string(again) + "\n", err}, []any{string(readGolden(t, "status.json")), error(nil)})
 }
 
-// TestGoldenHTTP: the answers of a keeper's HTTP calls are as the golden file has them: status, headers that clients heed, body.
+// TestGoldenHTTP: the answers of a keeper's HTTP calls are as the golden file has them: status, headers that clients
+// heed, body.
 func TestGoldenHTTP(t *testing.T) {
 	r := newRig(t, 1)
 	r.startAll()
--- a/internal/control/keeper/history_check_test.go
+++ b/internal/control/keeper/history_check_test.go
@@ -2,23 +2,24 @@
 
 import "testing"
 
-// played is a call in a history written by hand: its order, when it was sent and answered (0: never), and the answer.
+// played is a call in a history written by hand: its put, when it was sent and answered (0: never), and the answer.
 type played struct {
 	order, sent, answered int
 	answer                registerAnswer
 }
 
-// The check tells histories that one register explains from those that none does.
+// TestHistoryCheckFindsViolations: the check accepts histories that one register explains, and finds those that none
+// does.
 func TestHistoryCheckFindsViolations(t *testing.T) {
 	taken, superseded, low := registerAnswer{status: 200}, registerAnswer{status: 412}, registerAnswer{status: 400}
 	none := registerAnswer{}
 	found := func(order int) registerAnswer { return registerAnswer{200, order} }
-	const ( // the orders of each history
-		first    = iota // version 5 on 0
-		rival           // version 5 on 0, other bytes
-		second          // version 7 on 5
-		tooLow          // version 4 on 5
-		wrongOne        // version 9 on 4
+	const ( // the puts of each history
+		first     = iota // version 5 on 0
+		rival            // version 5 on 0, other bytes
+		second           // version 7 on 5
+		tooLow           // version 4 on 5
+		wrongBase        // version 9 on 4
 	)
 	for _, test := range []struct {
 		what  string
@@ -43,7 +44,7 @@
 		{"found before it was sent", []played{{readCall, 1, 2, found(first)}, {first, 3, 0, none}}, false},
 		{"a number too low", []played{{first, 1, 2, taken}, {tooLow, 3, 4, low}}, true},
 		{"a number too low is taken", []played{{first, 1, 2, taken}, {tooLow, 3, 4, taken}}, false},
-		{"a base that never was is taken", []played{{first, 1, 2, taken}, {wrongOne, 3, 4, taken}}, false},
+		{"a base that never was is taken", []played{{first, 1, 2, taken}, {wrongBase, 3, 4, taken}}, false},
 		{"an acknowledged one is lost", []played{{first, 1, 2, taken}, {readCall, 3, 4, found(noPut)}}, false},
 	} {
 		t.Run(test.what, func(t *testing.T) {
--- a/internal/control/keeper/history_test.go
+++ b/internal/control/keeper/history_test.go
@@ -10,11 +10,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// history is what operators saw of one register: each call from when it was sent to when its answer came.
+// history is what operators observed of one register: each call from when it was sent to when its answer came.
 type history struct {
 	clock      int64
 	operations []porcupine.Operation
-	puts       []documentPut // by the numbers that their bytes tell
+	puts       []documentPut // by the numbers in their bytes
 }
 
 func newHistory() *history { return &history{} }
@@ -22,7 +22,7 @@
 // unanswered is the status of a call whose answer did not come.
 const unanswered = 0
 
-// registerCall is a call of an operator: an order, or a read where it is negative.
+// registerCall is a call of an operator: a put, or a read if it is negative.
 type registerCall struct {
 	put     int
 	version uint64
@@ -32,7 +32,7 @@
 const (
 	readCall = -1 - iota
 	endCall  // marks the end of the history
-	noPut    // what a read found before the first order
+	noPut    // what a read found before the first put
 )
 
 // registerAnswer is a status, and what a read found.
@@ -41,7 +41,7 @@
 	found  int
 }
 
-// clear reports whether an operator knows by it what became of its call.
+// clear reports whether the answer tells the operator what became of the call.
 func (a registerAnswer) clear() bool {
 	return a.status != unanswered && a.status != http.StatusServiceUnavailable
 }
@@ -51,13 +51,13 @@
 	return h.clock
 }
 
-// newPut makes an order whose bytes no other one has.
+// newPut makes a put whose bytes no other one has.
 func (h *history) newPut(version, base uint64) int {
 	h.puts = append(h.puts, documentPut{version: version, base: base, raw: fmt.Appendf(nil, "order %d", len(h.puts))})
 	return len(h.puts) - 1
 }
 
-// putOf is the number of the order that a document came with.
+// putOf is the number of the put that a document came with.
 func putOf(v *document) int {
 	if v.version == 0 {
 		return noPut
@@ -69,7 +69,7 @@
 	return number
 }
 
-// begin notes a call; the result takes its answer. Without a clear one it may have any effect at any later time.
+// begin records a call; the result takes its answer. Without a clear answer the call may take effect at any later time.
 func (h *history) begin(order int) (answered func(registerAnswer)) {
 	call := registerCall{put: order}
 	if order >= 0 {
@@ -85,11 +85,11 @@
 	}
 }
 
-// registerState is the register as operators know it: one document at a time, and all that ever were in force.
+// registerState is the register as operators know it: one document at a time, and all that were ever in force.
 type registerState struct {
 	version  uint64
 	newest   int
-	accepted string // the orders that were in force, each as a character
+	accepted string // the puts that were in force, each as a character
 	ended    bool
 }
 
@@ -106,9 +106,9 @@
 	return s, true
 }
 
-// registerModel is one register with conditional writes and conditional repeats: 200 says that the order is in force or was,
-// 412 that it never was and that another version is in place, 400 that it never was and its number is too low. Without an
-// answer it takes effect once, at any later time, or not at all.
+// registerModel is one register with conditional writes and conditional repeats: 200 says that the order is in force
+// or was, 412 that it never was and that another version is in place, 400 that it never was and its number is too
+// low. Without an answer it takes effect once, at any later time, or not at all.
 var registerModel = porcupine.Model{
 	Init: func() any { return registerState{newest: noPut} },
 	Step: func(state, input, output any) (bool, any) {
@@ -145,7 +145,7 @@
 // checkWait bounds the check of one history.
 const checkWait = 20 * time.Second
 
-// check looks whether some order of the calls explains all that was seen.
+// check checks that some order of the calls explains all that was observed.
 func (h *history) check() error {
 	var all []porcupine.Operation
 	for _, o := range h.operations {
--- a/internal/control/keeper/impersonator_test.go
+++ b/internal/control/keeper/impersonator_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// paxosMessageKind is the kind of a message of agreement, as it stands behind the register's name.
+// paxosMessageKind is the kind of a register's message, which follows the register's name.
 type paxosMessageKind uint8
 
 const (
@@ -24,12 +24,12 @@
 	paxosAccepted
 )
 
-// isRequest tells whether it asks for a vote.
+// isRequest reports whether the message requests a vote.
 func (k paxosMessageKind) isRequest() bool {
 	return k == paxosQuery || k == paxosPrepare || k == paxosAccept
 }
 
-// isVote tells whether it is one.
+// isVote reports whether the message is a vote.
 func (k paxosMessageKind) isVote() bool {
 	return k == paxosQueryReply || k == paxosPromise || k == paxosAccepted
 }
@@ -40,8 +40,8 @@
 	return paxosMessageKind(r.U8())
 }
 
-// impostor asks a keeper for its vote under the identity of another voter, which knows the newest state. It passes nothing on by which
-// the keeper could catch up.
+// impersonator requests a keeper's votes under the identity of another voter, which knows the newest state. It sends
+// nothing by which the keeper could catch up.
 type impersonator struct {
 	t         *testing.T
 	voter     paxos.Voter // that it plays
@@ -55,7 +55,7 @@
 	local    [][]byte                 // to itself
 }
 
-// impersonate connects to a keeper, past all relays, as another one.
+// impersonate connects to a keeper as another one, without a relay.
 func (r *rig) impersonate(victim int, as paxos.Voter, newest paxos.State) *impersonator {
 	r.t.Helper()
 	k := r.running[victim].keeper
@@ -82,7 +82,7 @@
 	return p
 }
 
-// step runs a step of the register, and those that it makes for itself.
+// step runs a step of the register, and those that follow from messages to itself.
 func (p *impersonator) step(do func(now time.Duration)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,8 +133,8 @@
 // Closed is link.Handler's.
 func (p *impersonator) Closed(*link.Conn) {}
 
-// requestVotes asks for a change and for a read until the keeper has answered each kind of question, and fails if it voted or if any of
-// them was done.
+// requestVotes proposes a change and reads until the keeper has answered often enough. It fails if the keeper voted
+// or if an operation ended.
 func (p *impersonator) requestVotes() {
 	p.t.Helper()
 	ended := make(chan error, 2)
@@ -167,7 +167,7 @@
 	}
 }
 
-// requestLease asks for the lease of a duty.
+// requestLease requests the lease of a role.
 func (p *impersonator) requestLease(duty string) (granted bool) {
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/control/keeper/invariants_test.go
+++ b/internal/control/keeper/invariants_test.go
@@ -6,6 +6,7 @@
 	"dunetide/internal/platform/invariant/invarianttest"
 )
 
+// TestInvariantsFindViolations: each invariant of the package is violated once.
 func TestInvariantsFindViolations(t *testing.T) {
 	var newest versionWatermark
 	newest.advance(configRegister, 3, 10)
--- a/internal/control/keeper/model_operators_test.go
+++ b/internal/control/keeper/model_operators_test.go
@@ -26,7 +26,7 @@
 	endsAt  time.Duration
 }
 
-// call sends a call and tells its answer, or unanswered after a second.
+// call sends a call and passes its answer on, or unanswered after a second.
 func (o *modelOperator) call(order int, m *modelMachine, then func(registerAnswer)) {
 	c := o.cluster
 	answered := c.history.begin(order)
@@ -64,7 +64,7 @@
 	})
 }
 
-// sendPut sends an order until it has a clear answer or has been tried often enough, each time to any machine.
+// sendPut sends a put until it has a clear answer or its attempts are used up, each time to any machine.
 func (o *modelOperator) sendPut(order, tries int, then func()) {
 	o.call(order, o.cluster.randomMachine(), func(a registerAnswer) {
 		if !a.clear() && tries > 1 {
@@ -98,7 +98,7 @@
 	switch draw := c.rng.IntN(10); {
 	case draw < 3:
 		o.read(again)
-	case draw < 5 && len(orders) > 0: // one that anybody sent before, whatever became of it
+	case draw < 5 && len(orders) > 0: // one that was sent before, whatever became of it
 		o.sendPut(c.rng.IntN(len(orders)), 1, again)
 	case draw < 6 && len(orders) > 0: // a rival of one that was sent before
 		rival := orders[len(orders)-1-c.rng.IntN(min(3, len(orders)))]
@@ -116,7 +116,8 @@
 	}
 }
 
-// playOperators plays a drawn history and ends it in calm, where every machine is read and every order is repeated.
+// playOperators plays the randomized history of a seed. At its end, without faults, every machine is read and every
+// put is repeated.
 func playOperators(seed uint64) (*history, error) {
 	voters := []int{3, 3, 4, 5}[seed%4]
 	remembered := []int{2, 4, maxRememberedVersions}[seed%3]
@@ -140,12 +141,12 @@
 	return c.history, c.history.check()
 }
 
-// maxCallsInCalm is how many calls an operator needs at most in calm: after a conflict a proposer waits for up to twice the slowest
-// phase that it has seen, which may have been a cut.
+// maxCallsInCalm is how many calls an operator needs at most without faults: after a conflict a proposer waits for up
+// to twice the slowest phase that it has observed, which may have been a partition.
 const maxCallsInCalm = 4
 
-// repeatAll has each order sent again and each machine read. In calm all get a clear answer, but for versions that are no
-// longer remembered.
+// repeatAll sends each put again and reads each machine. Without faults all get a clear answer, but for versions that
+// are no longer remembered.
 func (c *modelCluster) repeatAll() error {
 	o := &modelOperator{cluster: c}
 	for _, m := range c.machines {
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// callUntilClear calls one machine a few times.
+// callUntilClear calls one machine until the answer is clear, up to maxCallsInCalm times.
 func (o *modelOperator) callUntilClear(order int, m *modelMachine) (answer registerAnswer) {
 	for try := 0; try < maxCallsInCalm && !answer.clear(); try++ {
 		waits := true
@@ -183,7 +184,7 @@
 	return false
 }
 
-// historyCount is how many a test draws: ORDERS_SEEDS, or what fits into a few seconds.
+// historyCount is how many histories a test plays: ORDERS_SEEDS, or what fits into a few seconds.
 func historyCount(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("ORDERS_SEEDS")); err == nil {
 		return n
@@ -191,8 +192,9 @@
 	return usual
 }
 
-// Drawn histories of operators who put, repeat, race and read through several keepers, under cuts, losses, restarts and
-// replaced voters, are linearizable. ORDERS_SEED plays one seed and shows its history.
+// TestOperatorHistoriesAreLinearizable: randomized histories of operators that put, repeat, race and read through
+// several keepers, under partitions, losses, restarts and replaced voters, are linearizable. ORDERS_SEED plays one
+// seed and shows its history.
 func TestOperatorHistoriesAreLinearizable(t *testing.T) {
 	if seed, err := strconv.ParseUint(os.Getenv("ORDERS_SEED"), 10, 64); err == nil {
 		h, err := playOperators(seed)
--- a/internal/control/keeper/model_test.go
+++ b/internal/control/keeper/model_test.go
@@ -10,8 +10,8 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// The model plays the configurations' register, with the real agreement and the real decision on an order, on simulated
-// machines with a simulated network, clock and disks. Operators call it, and what they see is a history.
+// The model runs the configuration's register, with the real Paxos and the real decision on a put, on simulated
+// machines with a simulated network, clock and disks. Operators call it, and what they observe is a history.
 
 // modelCluster is a simulation by seed: machines with disks, links between them, operators, and one clock.
 type modelCluster struct {
@@ -29,7 +29,7 @@
 	lostAnswer float64       // share of answers to operators that are lost
 	cuts       map[[2]int]bool
 	replacing  bool // a voter's disk was lost, and its successor is not in yet
-	// faultAtAnswer has the machine that next confirms an order lose its disk right then, and all others their power.
+	// faultAtAnswer has the machine that next confirms a put lose its disk right then, and all others their power.
 	faultAtAnswer bool
 
 	history *history
@@ -63,7 +63,7 @@
 	id          uint64
 	disk        [][]byte
 	register    *paxos.Register
-	incarnation int // counts starts, so that what belongs to an earlier life is dropped
+	incarnation int // counts starts, so that events of an earlier incarnation are dropped
 	up          bool
 	frozenUntil time.Duration
 	tick        int // counts schedules, so that only the newest runs
@@ -125,7 +125,7 @@
 	m.queryUntilKnown(m.incarnation)
 }
 
-// queryUntilKnown is what a process does that knows nothing.
+// queryUntilKnown asks the other machines for the register, as a process does that knows nothing.
 func (m *modelMachine) queryUntilKnown(life int) {
 	if m.incarnation != life {
 		return
@@ -142,7 +142,7 @@
 	m.up, m.incarnation = false, m.incarnation+1
 }
 
-// step runs something on this machine, once it is not frozen, unless its life ends before.
+// step runs something on this machine once it isn't frozen, unless its incarnation ends before.
 func (m *modelMachine) step(run func()) {
 	if !m.up {
 		return
@@ -195,7 +195,7 @@
 	}
 }
 
-// messageDelay is how long a message is on its way.
+// messageDelay draws how long a message is on its way.
 func (c *modelCluster) messageDelay() time.Duration {
 	if c.chance(c.delayed) {
 		return c.randomDuration(time.Second)
@@ -203,7 +203,7 @@
 	return 100*time.Microsecond + c.randomDuration(c.delay)
 }
 
-// put is an operator's order at this machine; answer is called once, or never if the machine is lost meanwhile.
+// put is an operator's put at this machine; answer is called once, or never if the machine is lost meanwhile.
 func (m *modelMachine) put(order documentPut, answer func(status int)) {
 	m.step(func() {
 		m.register.Propose(m.cluster.now, proposeTimeout, order.change(m.cluster.document), func(_ paxos.State, err error) {
@@ -215,7 +215,7 @@
 	})
 }
 
-// confirmed brings the fault about that waits for an answer.
+// confirmed injects the fault that waits for an answer.
 func (m *modelMachine) confirmed() {
 	c := m.cluster
 	if !c.faultAtAnswer || c.replacing {
@@ -232,7 +232,7 @@
 	})
 }
 
-// get reads what is in force.
+// get reads the document in force.
 func (m *modelMachine) get(answer func(v *document, err error)) {
 	m.step(func() {
 		m.register.Read(m.cluster.now, proposeTimeout, func(s paxos.State, err error) {
@@ -259,7 +259,7 @@
 	c.after(300*time.Millisecond, func() { m.join(m.id) })
 }
 
-// replaceByName gives the state with a voter in the place of the one of its name, whose disk is lost.
+// replaceByName returns the state with a voter in place of the one of the same name, whose disk is lost.
 func replaceByName(cur paxos.State, joiner paxos.Voter) (paxos.State, bool) {
 	for _, voter := range cur.Voters {
 		if voter.Name == joiner.Name {
@@ -294,7 +294,7 @@
 	})
 }
 
-// endFaults ends all troubles and starts all machines.
+// endFaults ends all faults and starts all machines.
 func (c *modelCluster) endFaults() {
 	c.loss, c.duplicated, c.delayed, c.lostAnswer = 0, 0, 0, 0
 	clear(c.cuts)
@@ -306,14 +306,14 @@
 	}
 }
 
-// injectFault starts a trouble, which ends by itself.
+// injectFault starts a fault, which ends by itself.
 func (c *modelCluster) injectFault() {
 	m, other := c.randomMachine(), c.randomMachine()
 	length := 50*time.Millisecond + c.randomDuration(1500*time.Millisecond)
 	switch c.rng.IntN(8) {
 	case 0:
 		c.cutFor(length, [2]int{m.index, other.index})
-	case 1: // cut off from all, both ways
+	case 1: // a partition from all others, in both directions
 		for _, p := range c.machines {
 			c.cutFor(length, [2]int{m.index, p.index})
 			c.cutFor(length, [2]int{p.index, m.index})
--- a/internal/control/keeper/mutants_test.go
+++ b/internal/control/keeper/mutants_test.go
@@ -7,8 +7,7 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that would break what a keeper without contact promises, one at a time. Tests of real keepers have to
-// find each of them.
+// mutants break what a keeper without contact guarantees. Tests of real keepers have to find each of them.
 var mutants = []mutation.Mutant{
 	{
 		Name: "acknowledged without contact",
@@ -96,17 +95,17 @@
 	},
 }
 
-// TestMutantsArePresent checks that each mutant can still be put where it belongs.
-func TestMutantsArePresent(t *testing.T) {
+// TestMutantsStand checks that each mutant can still be put where it belongs.
+func TestMutantsStand(t *testing.T) {
 	mutation.CheckPresent(t, mutants)
 	mutation.CheckPresent(t, documentMutants)
 }
 
-// TestMutantsAreFound runs the tests over each mutant, which takes minutes: KEEPER_WRONG is 1 or a part of a name.
+// TestMutantsAreFound runs the tests over each mutant, which takes minutes: KEEPER_MUTANTS is 1 or a part of a name.
 func TestMutantsAreFound(t *testing.T) {
-	only := mutation.Requested(t, "KEEPER_WRONG")
+	only := mutation.Requested(t, "KEEPER_MUTANTS")
 	mutation.Find(t, mutants, mutation.Options{Only: only,
 		Args: []string{"-run", "TestCallsWithoutContact/both|TestProcessesMove|TestHeartbeatTarget|TestContactLost|" +
 			"TestLeaseNeedsContact|TestDrainAtJustPartitionedKeeper|TestVoterAcks"},
-		Env: []string{"KEEPER_WRONG="}, Within: 2 * time.Minute})
+		Env: []string{"KEEPER_MUTANTS="}, Within: 2 * time.Minute})
 }
--- a/internal/control/keeper/partitioned_drain_test.go
+++ b/internal/control/keeper/partitioned_drain_test.go
@@ -7,12 +7,14 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// drainBound is bounds.drain_ms of the deployments, the time after an acknowledgement from which nothing may reach the endpoint.
+// drainBound is bounds.drain_ms of the deployments: from then on after an acknowledgement nothing may reach the
+// endpoint.
 const drainBound = 2 * time.Second
 
-// A keeper that has just been cut off is in contact by its own reckoning until the last answered question runs out. It must not
-// acknowledge, in that time, that an endpoint drains or is gone: the machines of the majority would go on sending to it, and an
-// endpoint that has its acknowledgement says nothing more.
+// TestDrainAtJustPartitionedKeeper: a keeper that has just been partitioned counts as in contact until the last
+// answer of a majority runs out. In that time it must not acknowledge that an endpoint drains or is removed: the
+// machines of the majority would go on sending to the endpoint, which sends nothing more once it has its
+// acknowledgement.
 func TestDrainAtJustPartitionedKeeper(t *testing.T) {
 	says := map[string]func(r *rig) response{
 		"draining": func(r *rig) response { return r.heartbeat(0, "1", "draining", 2) },
--- a/internal/control/keeper/register_log_test.go
+++ b/internal/control/keeper/register_log_test.go
@@ -19,7 +19,8 @@
 	changes = 400
 )
 
-// lone is the registers of a keeper that is the only voter, stepped by the test: a change is done, or not, when it returns.
+// loneRegisters are the registers of a keeper that is the only voter, stepped by the test: a change has ended when it
+// returns.
 type loneRegisters struct {
 	t         testing.TB
 	disk      *disktest.Disk
@@ -48,7 +49,7 @@
 	return l
 }
 
-// change makes a value the newest of a register; false: it is not acknowledged.
+// change makes a value the newest of a register; false: that wasn't acknowledged.
 func (l *loneRegisters) change(name string, value []byte) bool {
 	l.now += time.Second
 	reg, ended, done := l.registers.byName[name], false, false
@@ -61,7 +62,8 @@
 	return done
 }
 
-// tickUntil lets time pass until an operation has ended: after a restart a ballot that was promised before takes a second try.
+// tickUntil lets time pass until an operation has ended: after a restart a proposal number that was promised before
+// costs a second attempt.
 func (l *loneRegisters) tickUntil(reg *paxos.Register, ended *bool) {
 	for range 100 {
 		if *ended {
@@ -72,7 +74,7 @@
 	}
 }
 
-// value reads a register: what was accepted before a kill is finished first.
+// value reads a register, which first completes what was accepted before a kill.
 func (l *loneRegisters) value(name string) (value []byte) {
 	reg, ended := l.registers.byName[name], false
 	reg.Read(l.now, 2*time.Second, func(s paxos.State, err error) { value, ended = s.Value, true })
@@ -82,20 +84,20 @@
 
 func (l *loneRegisters) failed() bool { return l.registers.byName[configRegister].FatalError() != nil }
 
-// numberedValue is a value of some bytes that tells which change it is.
+// numberedValue is a value of the given size with the number of its change.
 func numberedValue(n, size int) []byte {
 	b := make([]byte, size)
 	copy(b, fmt.Sprintf("change %d ", n))
 	return b
 }
 
-// usage is what changes cost.
+// logUsage is what changes cost.
 type logUsage struct {
 	peak, file, saved int
 	restart           time.Duration
 }
 
-// replayChanges makes changes of a size on a disk of 64 MB and starts again.
+// replayChanges makes changes of the given size on a disk of 64 MB and starts again.
 func replayChanges(t testing.TB, count, size int) (u logUsage) {
 	t.Helper()
 	disk := disktest.New()
@@ -124,14 +126,15 @@
 	for _, c := range []struct{ count, size int }{{50, 4 << 10}, {200, 4 << 10}, {changes, 4 << 10}, {changes, 64 << 10}, {50, 1 << 20}, {100, 1 << 20}, {40, maxConfigBody}} {
 		u := replayChanges(t, c.count, c.size)
 		t.Logf("%3d changes of %4d kB: file %6d kB, most on the disk %6d kB, restart %5.1f ms", c.count, c.size>>10, u.file>>10, u.peak>>10, float64(u.restart.Microseconds())/1000)
-		kept := c.size + 4<<10 // what has to be kept; a change that is under way has it twice
-		if bound := max(minRewriteSize, 4*2*kept) + 3*kept; u.file > bound || u.peak > min(bound+2*kept, diskMB<<20) {
+		state := c.size + 4<<10 // bytes; a change that is in progress has them twice
+		if bound := max(minRewriteSize, 4*2*state) + 3*state; u.file > bound || u.peak > min(bound+2*state, diskMB<<20) {
 			t.Errorf("%d changes of %d bytes: file %d, most on the disk %d, bound %d", c.count, c.size, u.file, u.peak, bound)
 		}
 	}
 }
 
-// logNearRewrite is a disk whose log is rewritten with one of the next changes, after hundreds, and the number of the last one.
+// logNearRewrite is a disk whose log is rewritten with one of the next changes, after hundreds of changes, and the
+// number of the last one.
 func logNearRewrite(t *testing.T) (*disktest.Disk, int) {
 	t.Helper()
 	disk := disktest.New()
@@ -153,7 +156,7 @@
 	return disk, n - 1
 }
 
-// trouble is what happens at one operation of the disk.
+// diskFault is what happens at one operation of the disk.
 type diskFault struct {
 	name string
 	hit  func(disk *disktest.Disk, step int)
@@ -175,8 +178,8 @@
 	}
 }
 
-// TestRewriteWithFaultAtEachStep has a kill, a loss of power or a disk that fails at each operation around a rewrite after hundreds of changes:
-// what was acknowledged stays, of each register, and the log goes on.
+// TestRewriteWithFaultAtEachStep injects a kill, a loss of power or a failed disk at each operation around a rewrite
+// after hundreds of changes: what was acknowledged of each register stays, and the log goes on.
 func TestRewriteWithFaultAtEachStep(t *testing.T) {
 	base, last := logNearRewrite(t)
 	const more = 6
@@ -237,8 +240,8 @@
 	}
 }
 
-// TestRewriteWithoutSpace leaves room for a part of the rewritten log only: nothing ends, what has room is taken, and the log is
-// rewritten once there is some.
+// TestRewriteWithoutSpace leaves space for a part of the rewritten log only: the process goes on, stores what fits, and
+// rewrites the log once there is space.
 func TestRewriteWithoutSpace(t *testing.T) {
 	base, last := logNearRewrite(t)
 	for room := 0; room < 12<<10; room += 500 {
@@ -269,7 +272,7 @@
 	}
 }
 
-// BenchmarkRestart is a keeper's start after many changes.
+// BenchmarkRestart measures a keeper's start after many changes.
 func BenchmarkRestart(b *testing.B) {
 	for _, c := range []struct{ count, size int }{{100, 4 << 10}, {400, 4 << 10}, {400, 64 << 10}, {100, 1 << 20}, {24, maxConfigBody}} {
 		b.Run(fmt.Sprintf("%dx%dkB", c.count, c.size>>10), func(b *testing.B) {
--- a/internal/control/keeper/relay_test.go
+++ b/internal/control/keeper/relay_test.go
@@ -10,8 +10,8 @@
 // direction is from one keeper of a rig to another.
 type direction struct{ from, to int }
 
-// relays stand between the keepers of a rig. A direction that is cut passes no bytes, and no connection ends. They count
-// the bytes that keepers receive from each other.
+// relays stand between the keepers of a rig. A direction that is cut passes no bytes, and no connection ends. They
+// count the bytes that keepers receive from each other.
 type relays struct {
 	r         *rig
 	mu        sync.Mutex
--- a/internal/control/keeper/restart_damage_test.go
+++ b/internal/control/keeper/restart_damage_test.go
@@ -14,8 +14,9 @@
 	"dunetide/internal/platform/recordlog"
 )
 
-// damagedDisk is what becomes of a disk while its keeper is away: it gives the disk that the keeper comes back with, of the one that
-// it had and a copy of that from long ago. Refused says that a keeper does not start on it before the staff have emptied it.
+// damagedDisk is what happens to a disk while its keeper is down. damage returns the disk that the keeper comes back
+// with, from the one that it had and an old copy of that. refusesStart says that a keeper doesn't start on it before
+// an operator has emptied it.
 type damagedDisk struct {
 	name         string
 	refusesStart bool
@@ -42,12 +43,12 @@
 	}
 }
 
-// missedChanges is how many changes a keeper misses.
+// missedChanges is how many changes the keeper misses.
 const missedChanges = 20
 
-// TestRestartOnDamagedDisk has a keeper go that holds the duty of changing who votes and proposes an order at that moment, and come back
-// with a disk in each of the states above. Before it has met the others it hands out nothing, votes for nothing and grants
-// nothing; after it, it has what they have.
+// TestRestartOnDamagedDisk kills the lease holder of the voters role while it proposes a put, and starts it on a disk
+// in each of the states above. Before it is connected to the others it pushes nothing, votes for nothing and grants
+// nothing; afterwards it has what they have.
 func TestRestartOnDamagedDisk(t *testing.T) {
 	for _, disk := range damagedDisks() {
 		t.Run(disk.name, func(t *testing.T) {
@@ -103,7 +104,7 @@
 	eventually(t, "the newest is pushed", func() bool { return receive(t, attached.pushes, "a push").ConfigVersion == o.version })
 }
 
-// untilVoterLeaseHeld waits until a keeper has the duty of changing who votes.
+// untilVoterLeaseHeld waits until a keeper has the lease of the voters role.
 func (r *rig) untilVoterLeaseHeld() (holder int) {
 	r.t.Helper()
 	eventually(r.t, "one has the duty", func() bool {
@@ -124,10 +125,11 @@
 	return holds
 }
 
-// maxProposalWrites is the most writes and syncs of its disk that a proposer of an order has done when it is killed.
+// maxProposalWrites bounds the writes and syncs that the proposer of a put has done when it is killed.
 const maxProposalWrites = 6
 
-// killWhileProposing kills a keeper while an order at it is under way, and has the others tell, by the same order, that it is in force.
+// killWhileProposing kills a keeper while a put at it is in progress, and checks by the same put at another keeper
+// that it is in force.
 func (r *rig) killWhileProposing(i int, o *configWriter) {
 	r.t.Helper()
 	body := configBody(o.version+1, "under way")
@@ -155,7 +157,7 @@
 	}
 }
 
-// checkRefusesToStart checks that a keeper tells of a damaged log and does not start.
+// checkRefusesToStart checks that a keeper doesn't start on a damaged log, and says so.
 func (r *rig) checkRefusesToStart(i int) {
 	r.t.Helper()
 	if _, err := New(Options{Settings: r.settings(i), Folder: r.disks[i], Log: hclog.NewNullLogger()}); !recordlog.ErrDamaged.Has(err) {
@@ -163,7 +165,7 @@
 	}
 }
 
-// checkRevealsNothing checks that a keeper that has met nobody since its start hands out, votes for and grants nothing.
+// checkRevealsNothing checks that a keeper that wasn't connected since its start pushes, votes for and grants nothing.
 func (r *rig) checkRevealsNothing(victim, other int) {
 	r.t.Helper()
 	refused := map[string]func() response{
--- a/internal/control/keeper/restart_measure_test.go
+++ b/internal/control/keeper/restart_measure_test.go
@@ -11,16 +11,16 @@
 	"dunetide/internal/deliverynode/journal/disktest"
 )
 
-// restartCost is what a restart took.
+// restartCost is what a restart cost.
 type restartCost struct {
 	read   int64         // bytes, from its disk
-	stayed int64         // bytes that one reads from its disk that took part in the changes
+	stayed int64         // bytes that a keeper reads from its disk that took part in the changes
 	sent   int64         // bytes that the others sent to it until it pushed
 	votes  time.Duration // until another keeper had contact with a majority by its vote
 	pushes time.Duration // until a process that is attached to it alone had the newest configuration
 }
 
-// measureRestart has a keeper miss some changes of a size, and come back.
+// measureRestart has a keeper miss changes of the given size, and come back.
 func measureRestart(t *testing.T, changes, size int) (cost restartCost) {
 	t.Helper()
 	m := newMeasuredRig(t)
@@ -49,7 +49,7 @@
 	return cost
 }
 
-// killAll ends all keepers, and gives their disks.
+// killAll kills all keepers, and returns their disks.
 func (m *measuredRig) killAll() (disks []*disktest.Disk) {
 	for i := range m.running {
 		m.kill(i)
@@ -71,7 +71,7 @@
 	m.untilConnected(0, otherVoter)
 }
 
-// measurePush starts the keeper while both others run, until it pushes.
+// measurePush starts the keeper while both others run, and measures until it pushes.
 func (m *measuredRig) measurePush(version uint64) (read, sent int64, took time.Duration) {
 	m.t.Helper()
 	before := m.relays.received[measuredKeeper].Load()
@@ -89,7 +89,8 @@
 	}
 }
 
-// measureVote starts the keeper while one of the others runs, until that one has contact with a majority.
+// measureVote starts the keeper while one of the others runs, and measures until that one is in contact with a
+// majority.
 func (m *measuredRig) measureVote() time.Duration {
 	m.t.Helper()
 	m.kill(otherVoter)
@@ -101,7 +102,7 @@
 	return time.Since(began)
 }
 
-// slope is that of the line of least squares through some points.
+// slope is the slope of the least-squares line through the points.
 func slope(x, y []float64) float64 {
 	var meanX, meanY, covariance, variance float64
 	for i := range x {
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestRestartCostIsIndependentOfMissedChanges has a keeper miss some changes: what it reads and is sent is bounded by the size of the state.
-// RESTART_CHANGES=1 measures it for up to 400 changes of up to 1 MB.
+// TestRestartCostIsIndependentOfMissedChanges: what a keeper that missed changes reads and is sent is bounded by the
+// size of the state. RESTART_CHANGES=1 measures it for up to 400 changes of up to 1 MB.
 func TestRestartCostIsIndependentOfMissedChanges(t *testing.T) {
 	if os.Getenv("RESTART_CHANGES") != "" {
 		measureRestarts(t)
@@ -132,7 +133,7 @@
 	const (
 		away  = 30
 		size  = 64 << 10
-		times = 6 // that each of two others may tell of the state, in links that meet and in what was changed meanwhile
+		times = 6 // that the two others may send the state, over links that cross and after changes meanwhile
 		small = 128 << 10
 	)
 	cost := measureRestart(t, away, size)
--- a/internal/control/keeper/restart_removed_test.go
+++ b/internal/control/keeper/restart_removed_test.go
@@ -7,7 +7,8 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// A keeper leaves, and the holder of the duty hears of its removal from others, before the word that it leaves: it does not make it a voter again.
+// TestRemovalLearnedBeforeShutdownReport: a keeper shuts down, and the lease holder of the voters role learns its
+// removal from others before its report that it shuts down. The holder doesn't make it a voter again.
 func TestRemovalLearnedBeforeShutdownReport(t *testing.T) {
 	const machines = 4
 	r := newRig(t, machines)
--- a/internal/control/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	// patience is how long a test waits for what must come.
+	// testTimeout is how long a test waits for what must come.
 	testTimeout = 30 * time.Second * raceSlowdown
-	// promptly bounds an answer that must not wait for another process. It is not scaled: with the race detector, too, it is
-	// ten times what a keeper has for an answer.
+	// promptAnswer bounds an answer that must not wait for another process. It isn't scaled: with the race detector,
+	// too, it is ten times what a keeper has for an answer.
 	promptAnswer = 10 * time.Second
 )
 
-// rig is some keepers in one process, each on a loopback address of its own.
+// rig runs keepers in one process, each on a loopback address of its own.
 type rig struct {
 	t           *testing.T
 	ipPrefix    string
@@ -53,7 +53,7 @@
 	done   chan error
 }
 
-// newRig makes n keepers that are not running, with empty disks; the first three are the seeds.
+// newRig prepares n keepers with empty disks, which don't run yet; the first three are the seeds.
 func newRig(t *testing.T, n int) *rig {
 	t.Helper()
 	r := &rig{t: t, ipPrefix: fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(256)), firstStart: true, log: hclog.NewNullLogger(), disks: make([]*disktest.Disk, n),
@@ -120,7 +120,7 @@
 	r.firstStart = false
 }
 
-// kill ends a keeper without a word to the others; its disk stays as it is.
+// kill ends a keeper without notice to the others; its disk stays as it is.
 func (r *rig) kill(i int) {
 	if run := r.running[i]; run != nil {
 		run.keeper.cancelRun()
@@ -128,7 +128,7 @@
 	}
 }
 
-// terminate ends a keeper as SIGTERM does: it hands over what it has. It returns how long that took.
+// terminate ends a keeper as SIGTERM does, with a transfer of its votes and leases. It returns how long that took.
 func (r *rig) terminate(i int) time.Duration {
 	began := time.Now()
 	r.running[i].stop()
@@ -160,7 +160,7 @@
 
 func (a response) String() string { return fmt.Sprint(a.status, " ", strings.TrimSpace(a.body)) }
 
-// call calls a keeper; code 0: it did not answer.
+// call calls a keeper; status 0: it didn't answer.
 func (r *rig) call(i int, method, path, match string, body []byte) response {
 	req, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", r.ip(i), r.controlPort, path), strings.NewReader(string(body)))
 	if err != nil {
@@ -188,19 +188,19 @@
 		`{"service":"s","address":"10.0.0.1:%s","zone":"z","version":"v","capacity":4,"state":%q,"cold_left_ms":0,"call_count":%d}`, id, state, count))
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	pace := time.NewTicker(10 * time.Millisecond)
 	defer pace.Stop()
 	for began := time.Now(); !holds(); <-pace.C {
 		if time.Since(began) > testTimeout {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("not within the time: %s", what)
 		}
 	}
 }
 
-// untilCode waits for an answer.
+// untilCode calls until the answer has a status.
 func (r *rig) untilCode(code int, call func() response) response {
 	r.t.Helper()
 	var last response
@@ -222,7 +222,7 @@
 	return s
 }
 
-// client attaches a real client.
+// clientProcess is a process with a real client.
 type clientProcess struct {
 	snapshots snapshot.Latest
 	stop      context.CancelFunc
@@ -244,7 +244,7 @@
 	return a
 }
 
-// state of an endpoint, as the client sees it; Gone where it is not there.
+// state is the state of an endpoint as the client knows it; Removed: the client doesn't know it.
 func (a *clientProcess) state(id string) snapshot.State {
 	if s := a.snapshots.Get(); s != nil {
 		for _, e := range s.Endpoints["s"] {
@@ -263,7 +263,7 @@
 	return 0
 }
 
-// raw is an attached process that acknowledges when it is told to.
+// manualProcess is an attached process that acknowledges when the test says so.
 type manualProcess struct {
 	conn   *link.Conn
 	hello  []byte // the reply to Hello
@@ -305,7 +305,7 @@
 	return w
 }
 
-// follower is an attached process of one keeper alone, which acknowledges all.
+// acknowledgingProcess is attached to one keeper and acknowledges every push.
 type acknowledgingProcess struct {
 	mu     sync.Mutex
 	states map[string]snapshot.State
--- a/internal/control/keeper/small_model_test.go
+++ b/internal/control/keeper/small_model_test.go
@@ -9,18 +9,18 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// smallCase is a few calls on three machines that are all sent before the first message arrives.
+// smallCase is a few calls on three machines, all sent before the first message arrives.
 type smallCase struct {
 	name  string
 	calls []smallCall
-	// restarts has each machine restarted, at any moment, once.
+	// restarts has one machine restarted once, at any moment.
 	restarts bool
 }
 
-// smallCall is a call to one machine; order: an index of smallPuts, or a read.
+// smallCall is a call to one machine: an index of smallPuts, or a read.
 type smallCall struct{ machine, put int }
 
-// smallPuts are two rivals under one number, and one that builds on it.
+// smallPuts are two rivals under one version, and one that builds on it.
 var smallPuts = [][2]uint64{{5, 0}, {5, 0}, {7, 5}}
 
 var smallCases = []smallCase{
@@ -49,7 +49,7 @@
 	body     []byte
 }
 
-// smallVoters is the number of machines in a small world.
+// smallVoters is the number of machines in a small simulation.
 const smallVoters = 3
 
 func newSmallSimulation(play smallCase) *smallSimulation {
@@ -108,7 +108,7 @@
 	})
 }
 
-// choices is in how many ways the world may go on: each message delivered or lost, each machine restarted, the clock moved on.
+// choices counts the ways to go on: each message delivered or lost, each machine restarted, the clock moved on.
 func (w *smallSimulation) choices() int {
 	n := 2*len(w.inFlight) + 1
 	if w.restarts > 0 {
@@ -154,7 +154,8 @@
 	}
 }
 
-// finish delivers all in the order sent until every call has ended, then repeats every order at every machine and reads.
+// finish delivers all messages in the order sent until every call has ended, then repeats every put at every machine
+// and reads.
 func (w *smallSimulation) finish() {
 	w.finishCalls()
 	for machine := range smallVoters {
@@ -169,7 +170,7 @@
 	}
 }
 
-// finishCalls goes on until all calls have ended, or would have.
+// finishCalls goes on until all calls have ended, or their time is over.
 func (w *smallSimulation) finishCalls() {
 	for until := w.now + 2*proposeTimeout; w.pendingCalls > 0 && w.now < until; {
 		if len(w.inFlight) > 0 {
@@ -180,7 +181,8 @@
 	}
 }
 
-// TestEveryInterleavingOfSmallCases goes through every order of the first events of small cases, to a depth: ORDERS_DEPTH.
+// TestEveryInterleavingOfSmallCases plays every interleaving of the first events of small cases, to a depth:
+// ORDERS_DEPTH.
 func TestEveryInterleavingOfSmallCases(t *testing.T) {
 	depth := 3
 	if n, err := strconv.Atoi(os.Getenv("ORDERS_DEPTH")); err == nil {
@@ -189,7 +191,7 @@
 	for _, play := range smallCases {
 		t.Run(play.name, func(t *testing.T) {
 			t.Parallel()
-			worlds := 0
+			simulations := 0
 			visitPaths(depth, func(path []int) (choices int) {
 				w := newSmallSimulation(play)
 				for _, choice := range path {
@@ -198,19 +200,19 @@
 				if len(path) < depth {
 					return w.choices()
 				}
-				worlds++
+				simulations++
 				w.finish()
 				if err := w.history.check(); err != nil {
 					t.Fatalf("after the choices %v: %v", path, err)
 				}
 				return 0
 			})
-			t.Logf("%d worlds to depth %d", worlds, depth)
+			t.Logf("%d simulations to depth %d", simulations, depth)
 		})
 	}
 }
 
-// visitPaths calls back with every path of choices to a depth; visit tells how many choices there are after a path.
+// visitPaths visits every path of choices to a depth; visit returns how many choices there are after a path.
 func visitPaths(depth int, visit func(path []int) (choices int)) {
 	var extend func(path []int)
 	extend = func(path []int) {
--- a/internal/control/keeper/store_retirement_test.go
+++ b/internal/control/keeper/store_retirement_test.go
@@ -12,7 +12,8 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// A retirement is refused by what the agreed table says, and put off where only this keeper's view stands against it.
+// TestOnlyTheTableRejectsRetirements: a retirement is rejected by what the decided table says, and deferred if only
+// this keeper's view of the stores stands against it.
 func TestOnlyTheTableRejectsRetirements(t *testing.T) {
 	store := func(id uint64) snapshot.Store { return snapshot.Store{ID: id, Name: string(rune('a' + id - 1))} }
 	table := func(ids ...uint64) *snapshot.PartitionTable {
@@ -73,7 +74,8 @@
 	}
 }
 
-// What ends an operator's call comes from the decided state of a register; all that may go wrong on the way to it is 503.
+// TestOnlyTheDecidedStateRejects: only the decided state of a register rejects a request for good; all that may go
+// wrong on the way to it is 503.
 func TestOnlyTheDecidedStateRejects(t *testing.T) {
 	for err, want := range map[error]int{
 		nil: 200, paxos.ErrUnchanged: 200, errUnknownStore: 404, errTooFew: 409, errStoreJoins: 503, errStoresMissing: 503, errStoresUnheard: 503,
@@ -100,7 +102,8 @@
 	}
 }
 
-// An answer for lack of knowledge says when to come back; a refusal does not.
+// TestRetirementIsDeferredWithoutKnowledge: an answer for lack of knowledge says when to call again; a rejection
+// doesn't.
 func TestRetirementIsDeferredWithoutKnowledge(t *testing.T) {
 	for status, want := range map[int]string{http.StatusServiceUnavailable: retryAfter, http.StatusPreconditionFailed: "", http.StatusNotFound: ""} {
 		w := httptest.NewRecorder()
--- a/internal/control/keeper/store_stopping_test.go
+++ b/internal/control/keeper/store_stopping_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// attachStore attaches a store to a keeper. Its pushes come with the connection.
+// attachStore attaches a store to a keeper.
 func (r *rig) attachStore(i int, id uint64) *manualProcess {
 	r.t.Helper()
 	w := &manualProcess{pushes: make(chan *controlclient.Update, 1<<12), closed: make(chan struct{})}
@@ -33,7 +33,7 @@
 	return w
 }
 
-// tableWhere waits for a pushed table of which something holds.
+// tableWhere waits for a pushed table for which a condition holds.
 func (w *manualProcess) tableWhere(t *testing.T, what string, holds func(*snapshot.PartitionTable) bool) {
 	t.Helper()
 	for {
@@ -45,7 +45,7 @@
 	}
 }
 
-// leads is how many parts a store leads.
+// leads counts the partitions of which a store is the primary.
 func leads(t *snapshot.PartitionTable, id uint64) (n int) {
 	for _, part := range t.Partitions {
 		if part.Primary == id {
@@ -55,8 +55,8 @@
 	return n
 }
 
-// TestStoppingStore: a store says at any keeper that it is about to stop; the table marks it and gives its parts to others
-// to lead, and says so no longer when the store says that it runs.
+// TestStoppingStore: a store reports to any keeper that it is about to stop. The table marks it and makes others the
+// primaries of its partitions, until the store reports that it runs.
 func TestStoppingStore(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -72,7 +72,7 @@
 		b.Bool(stopping)
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		for range 2 { // it comes again when an answer is lost
+		for range 2 { // it is sent again if an answer is lost
 			if _, err := stores[1].conn.Call(ctx, controlclient.KindStoreStopping, b.Buf); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/control/keeper/voters_test.go
+++ b/internal/control/keeper/voters_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// registerVoters are the names of those who vote on each register, as a keeper knows them.
+// voterNames returns the names of a register's voters, as a keeper knows them.
 func (r *rig) voterNames(i int, register string) []string {
 	state, _ := r.running[i].keeper.registers.state(register)
 	var names []string
@@ -23,7 +23,7 @@
 	return names
 }
 
-// untilVoters waits until some keepers, by their numbers, are the voters of all registers, as each of them knows.
+// untilVoters waits until each of the keepers knows that they are the voters of all registers.
 func (r *rig) untilVoters(keepers ...int) {
 	r.t.Helper()
 	var want []string
@@ -39,8 +39,8 @@
 	}
 }
 
-// orders puts configurations one on top of the other, and fails if one is not taken in the time that the platform
-// allows in calm.
+// configWriter puts configurations one on top of the other, and fails if one isn't accepted in the time that the
+// platform allows without faults.
 type configWriter struct {
 	*rig
 	version uint64
@@ -57,7 +57,7 @@
 	}
 }
 
-// checkReadable checks that the newest order that was acknowledged is what a keeper answers with.
+// checkReadable checks that a keeper answers with the newest configuration that was acknowledged.
 func (o *configWriter) checkReadable(i int) {
 	o.t.Helper()
 	want := string(configBody(o.version, fmt.Sprint("version ", o.version)))
@@ -66,7 +66,8 @@
 	}
 }
 
-// checkRemovalStored checks that a majority of the voters that are left has stored that a keeper is none, on all registers.
+// checkRemovalStored checks that a majority of the remaining voters of each register has stored that a keeper is no
+// voter.
 func (o *configWriter) checkRemovalStored(removed int, left ...int) {
 	o.t.Helper()
 	name := fmt.Sprint("k", removed+1)
@@ -83,7 +84,7 @@
 	}
 }
 
-// startRig starts the first so many of n machines.
+// startRig starts the first of n machines.
 func startRig(t *testing.T, n, first int) *configWriter {
 	t.Helper()
 	r := newRig(t, n)
@@ -97,11 +98,11 @@
 	return &configWriter{rig: r}
 }
 
-// A keeper that is told to end and whose vote is needed ends at once: it is probably restarted.
+// TestRestartRetainsVote: a keeper that shuts down and whose vote is needed ends at once, as it is probably restarted.
 func TestRestartRetainsVote(t *testing.T) {
 	o := startRig(t, 3, 3)
 	for i := range 3 {
-		if took := o.terminate(i); took > min(time.Second*raceSlowdown, transferTimeout) { // which one that hands over in vain takes
+		if took := o.terminate(i); took > min(time.Second*raceSlowdown, transferTimeout) { // which a keeper takes that transfers its votes in vain
 			t.Errorf("keeper %d ended after %v", i+1, took)
 		}
 		o.start(i)
@@ -111,8 +112,8 @@
 	o.put(0)
 }
 
-// The successor becomes a voter before the one that leaves is told to end; that one is out when it has ended, and one
-// more loss leaves a majority. Then the next is replaced.
+// TestTwoPlannedReplacements: the successor becomes a voter before its predecessor shuts down. The predecessor is no
+// voter when it has ended, and one more loss leaves a majority. Then the next one is replaced.
 func TestTwoPlannedReplacements(t *testing.T) {
 	o := startRig(t, 5, 3)
 	o.put(0)
@@ -139,7 +140,8 @@
 	o.checkReadable(4)
 }
 
-// A machine is lost for good, and another one takes its vote; then one more is lost.
+// TestReplacementAfterLoss: a machine is lost for good, and another one becomes a voter in its place; then one more
+// is lost.
 func TestReplacementAfterLoss(t *testing.T) {
 	o := startRig(t, 4, 3)
 	o.put(0)
@@ -151,7 +153,7 @@
 	o.checkReadable(3)
 }
 
-// A machine comes back under its name with an empty disk, and one more is lost.
+// TestEmptiedDiskIsAnotherVoter: a machine comes back under its name with an empty disk, and one more is lost.
 func TestEmptiedDiskIsAnotherVoter(t *testing.T) {
 	o := startRig(t, 3, 3)
 	o.put(0)
@@ -170,7 +172,8 @@
 	o.checkReadable(1)
 }
 
-// A disk that comes back in another machine keeps its vote, under the machine's name and address.
+// TestOldDiskAtNewAddress: a disk that comes back in another machine retains its vote, under that machine's name and
+// address.
 func TestOldDiskAtNewAddress(t *testing.T) {
 	o := startRig(t, 4, 3)
 	o.put(0)
@@ -183,8 +186,8 @@
 	o.checkReadable(3)
 }
 
-// A voter that wakes after it was replaced is no voter: it is told so, asks for no lease and grants none. When it has
-// caught up it becomes one again, with the disk that it had.
+// TestReplacedVoterReturns: a voter that returns after it was replaced is no voter. It learns that, requests no lease
+// and grants none. When it has caught up it becomes a voter again, with the disk that it had.
 func TestReplacedVoterReturns(t *testing.T) {
 	o := startRig(t, 4, 3)
 	o.put(0)
@@ -198,8 +201,9 @@
 	o.put(0)
 }
 
-// The day on which a planned replacement, the loss of a voter for a while and another replacement during that loss left
-// no majority: orders are taken at each point, and all can be read at the end.
+// TestReplacementsAroundLoss: a planned replacement, the loss of a voter for a while and another replacement during
+// that loss, which once left no majority. Puts are accepted at each point, and the newest can be read everywhere at
+// the end.
 func TestReplacementsAroundLoss(t *testing.T) {
 	o := startRig(t, 5, 3)
 	o.put(0)
@@ -207,7 +211,7 @@
 	o.untilVoters(0, 1, 2, 3)
 	o.terminate(0)
 	o.put(1)
-	o.kill(2) // it is away for a while
+	o.kill(2) // it is down for a while
 	o.put(3)
 	o.start(4)
 	o.untilVoters(1, 3, 4)
@@ -222,7 +226,8 @@
 	o.checkReadable(2)
 }
 
-// A voter that was away for a hundred changes is told the newest state when it is back, and is needed for the next.
+// TestVoterMissesManyChanges: a voter that was down for a hundred changes gets the newest state when it is back, and is
+// needed for the next change.
 func TestVoterMissesManyChanges(t *testing.T) {
 	o := startRig(t, 3, 3)
 	o.put(0)
@@ -240,7 +245,7 @@
 	o.checkReadable(0)
 }
 
-// A report names the voters that are heard, itself if it votes, and no other keepers.
+// TestReportNamesVoters: a report names the voters that are heard, the sender if it votes, and no other keepers.
 func TestReportNamesVoters(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
@@ -259,8 +264,8 @@
 	}
 }
 
-// Leases are granted by voters to voters, by the newest state that is known, and by none that lacks a state that
-// another one has.
+// TestWhichKeepersMayGrantLeases: voters grant leases to voters, by the newest state that is known, and not if they
+// lack a state that another one has.
 func TestWhichKeepersMayGrantLeases(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	now := k.startedAt.Add(time.Minute)
@@ -296,7 +301,8 @@
 	}
 }
 
-// A keeper that is told to end gives its attached processes and its leases to others, and takes no new ones.
+// TestProcessesLeaveKeeperThatShutsDown: the processes and leases of a keeper that shuts down go to others, and it
+// accepts no new ones.
 func TestProcessesLeaveKeeperThatShutsDown(t *testing.T) {
 	o := startRig(t, 4, 4)
 	o.untilVoters(0, 1, 2, 3)
@@ -335,7 +341,8 @@
 	o.put((leaver + 1) % 4)
 }
 
-// A keeper that leaves takes no new attachments, and others don't send processes to it.
+// TestShuttingDownKeeperRefusesAttachments: a keeper that shuts down refuses attachments, and the others don't send
+// processes to it.
 func TestShuttingDownKeeperRefusesAttachments(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
@@ -357,7 +364,7 @@
 	}
 }
 
-// A keeper becomes a voter, and an empty disk is replaced, while orders come all the time.
+// TestVoterChangesUnderPuts: a keeper becomes a voter, and an emptied disk is replaced, under continuous puts.
 func TestVoterChangesUnderPuts(t *testing.T) {
 	o := startRig(t, 4, 3)
 	underOrders := func(what string, holds func(state paxos.State) bool) {
