--- a/internal/consensus/paxos/cluster_test.go
+++ b/internal/consensus/paxos/cluster_test.go
@@ -13,8 +13,8 @@
 	"dunetide/internal/platform/link"
 )
 
-// cluster is a simulation by seed: machines with disks, links between them, clients, and one clock. It panics with a
-// violation when a check fails.
+// cluster is a simulation by seed: machines with disks, links between them, clients, and one clock. Checks that fail end
+// it with a simulation.Violation.
 type cluster struct {
 	simulation.Scheduler
 	rng      *rand.Rand
@@ -40,20 +40,10 @@
 	killAt     int
 	onKill     func(*machine)
 
-	trace   []string
-	tracing bool
+	trace simulation.Trace
 }
 
-// violation is what a check found.
-type violation string
-
-func (c *cluster) failf(format string, args ...any) { panic(violation(fmt.Sprintf(format, args...))) }
-
-func (c *cluster) tracef(format string, args ...any) {
-	if c.tracing {
-		c.trace = append(c.trace, fmt.Sprintf("%8.3f ", c.Now().Seconds())+fmt.Sprintf(format, args...))
-	}
-}
+func (c *cluster) tracef(format string, args ...any) { c.trace.Addf(c.Now(), format, args...) }
 
 // op is an operation of a client.
 type op struct {
@@ -182,7 +172,7 @@
 		if m.ticks == tick {
 			m.step(func() {
 				if next := m.register.Tick(m.clock); next <= m.clock && m.clock == m.cluster.Now() {
-					m.cluster.failf("%s: Tick at %v wants to come again at %v", m.name, m.clock, next)
+					simulation.Failf("%s: Tick at %v wants to come again at %v", m.name, m.clock, next)
 				}
 			})
 		}
@@ -210,14 +200,14 @@
 		OnDecided: m.decided,
 	}, m.records)
 	if err != nil {
-		c.failf("%s: %v", m.name, err)
+		simulation.Failf("%s: %v", m.name, err)
 	}
 	if s, ok := m.register.State(); ok {
 		c.observe(m.name, s)
 		m.known, m.lastNotified = true, s.Slot
 	}
 	if m.known && m.lastNotified < m.storedSlot || !m.known && m.storedSlot > 0 {
-		c.failf("%s forgot slot %d", m.name, m.storedSlot)
+		simulation.Failf("%s forgot slot %d", m.name, m.storedSlot)
 	}
 	m.requestStateFromAny(incarnation)
 	m.step(func() { m.register.Tick(m.clock) })
@@ -244,7 +234,7 @@
 
 func (m *machine) decided(s State) {
 	if m.known && s.Slot <= m.lastNotified {
-		m.cluster.failf("%s was notified of slot %d after %d", m.name, s.Slot, m.lastNotified)
+		simulation.Failf("%s was notified of slot %d after %d", m.name, s.Slot, m.lastNotified)
 	}
 	m.known, m.lastNotified = true, s.Slot
 	m.cluster.observe(m.name, s)
@@ -282,7 +272,7 @@
 	c := m.cluster
 	i := slices.IndexFunc(c.machines, func(o *machine) bool { return o.addr == to.Addr })
 	if i < 0 {
-		c.failf("a message to %v", to)
+		simulation.Failf("a message to %v", to)
 	}
 	copies := 1
 	if c.chance(c.duplicate) {
@@ -301,7 +291,7 @@
 			to.step(func() { to.register.Receive(to.clock, from, b) })
 		})
 	}
-	if c.tracing {
+	if c.trace.Enabled {
 		_, sent, _ := decodeMessage(b)
 		c.tracef("%s -> n%d kind %d slot %d ballot %d.%x other %d", m.name, i, sent.kind, sent.slot,
 			sent.number.Round, sent.number.Proposer>>48, sent.reported.Round)
@@ -314,25 +304,25 @@
 	s.Append(e)
 	if b, ok := c.decided[s.Slot]; ok {
 		if !bytes.Equal(b, e.Buf) {
-			c.failf("slot %d is two things: %s has %x, others %x", s.Slot, who, s.Value, c.values[s.Slot])
+			simulation.Failf("slot %d is two things: %s has %x, others %x", s.Slot, who, s.Value, c.values[s.Slot])
 		}
 		return
 	}
 	c.tracef("%s is first to know slot %d, voters %v", who, s.Slot, s.Voters)
 	c.decided[s.Slot], c.values[s.Slot], c.newest = e.Buf, s.Value, max(c.newest, s.Slot)
 	if len(s.Value) != 8*int(s.Slot) {
-		c.failf("slot %d has %d operations", s.Slot, len(s.Value)/8)
+		simulation.Failf("slot %d has %d operations", s.Slot, len(s.Value)/8)
 	}
 	for i := range s.Slot {
 		id := binary.BigEndian.Uint64(s.Value[8*i:]) & (1<<32 - 1)
 		if at, ok := c.slotOf[id]; ok && at != i+1 {
-			c.failf("operation %d stands at slots %d and %d", id, at, i+1)
+			simulation.Failf("operation %d stands at slots %d and %d", id, at, i+1)
 		}
 		c.slotOf[id] = i + 1
 	}
 	for slot, v := range c.values {
 		if !bytes.HasPrefix(s.Value, v) && !bytes.HasPrefix(v, s.Value) {
-			c.failf("slots %d and %d are no chain", slot, s.Slot)
+			simulation.Failf("slots %d and %d are no chain", slot, s.Slot)
 		}
 	}
 }
@@ -349,7 +339,7 @@
 		m.register.Propose(m.clock, timeout, func(cur State) (State, error) {
 			c.observe(m.name, cur)
 			if cur.Slot < o.acknowledgedBefore {
-				c.failf("operation %d started at slot %d or later, and was called with %d", o.id, o.acknowledgedBefore, cur.Slot)
+				simulation.Failf("operation %d started at slot %d or later, and was called with %d", o.id, o.acknowledgedBefore, cur.Slot)
 			}
 			if change != nil {
 				next, err := change(cur.Clone())
@@ -379,21 +369,21 @@
 func (c *cluster) done(m *machine, o *op, s State, err error) {
 	c.tracef("%s: operation %d: slot %d, %v", m.name, o.id, s.Slot, err)
 	if o.result != "" {
-		c.failf("operation %d ends twice", o.id)
+		simulation.Failf("operation %d ends twice", o.id)
 	}
 	switch {
 	case err == nil:
 		o.result = "ok"
 		c.observe(m.name, s)
 		if s.Slot < o.acknowledgedBefore {
-			c.failf("operation %d started at slot %d or later and is answered with %d", o.id, o.acknowledgedBefore, s.Slot)
+			simulation.Failf("operation %d started at slot %d or later and is answered with %d", o.id, o.acknowledgedBefore, s.Slot)
 		}
 		at, there := c.slotOf[o.id]
 		switch {
 		case o.write && there && at != s.Slot:
-			c.failf("operation %d is at slot %d and is answered with %d", o.id, at, s.Slot)
+			simulation.Failf("operation %d is at slot %d and is answered with %d", o.id, at, s.Slot)
 		case o.write && there && s.Slot <= o.acknowledgedBefore:
-			c.failf("operation %d was written before it started", o.id)
+			simulation.Failf("operation %d was written before it started", o.id)
 		case o.write && !there:
 			o.result = "none" // unchanged
 		}
@@ -405,7 +395,7 @@
 	case ErrOutcomeUnknown.Has(err):
 		o.result = "doubt"
 		if !o.write {
-			c.failf("a read in doubt")
+			simulation.Failf("a read in doubt")
 		}
 	default:
 		o.result = "none"
@@ -418,9 +408,9 @@
 		at, there := c.slotOf[o.id]
 		switch {
 		case o.result == "none" && there:
-			c.failf("operation %d was refused and is at slot %d", o.id, at)
+			simulation.Failf("operation %d was refused and is at slot %d", o.id, at)
 		case o.result == "ok" && o.write && !there:
-			c.failf("operation %d was acknowledged and is nowhere", o.id)
+			simulation.Failf("operation %d was acknowledged and is nowhere", o.id)
 		}
 	}
 }
@@ -452,7 +442,7 @@
 	c.RunWhile(until, func() bool { return slices.ContainsFunc(all, func(o *op) bool { return o.result == "" }) })
 	for _, o := range all {
 		if o.result != "ok" {
-			c.failf("%s can't read at the end: %q", c.machines[o.machine].name, o.result)
+			simulation.Failf("%s can't read at the end: %q", c.machines[o.machine].name, o.result)
 		}
 	}
 }
--- a/internal/consensus/paxos/exploration_test.go
+++ b/internal/consensus/paxos/exploration_test.go
@@ -11,9 +11,11 @@
 	"strings"
 	"testing"
 	"time"
+
+	"dunetide/internal/lab/simulation"
 )
 
-// branch is one of the worlds that differ in the order of messages.
+// branch is one state of a simulation that forks: branches differ in the order of messages.
 type branch struct {
 	now          time.Duration
 	registers    []*Register
@@ -49,7 +51,7 @@
 		},
 		OnDecided: func(s State) {
 			if was, ok := b.decided[s.Slot]; ok && was != string(s.Value) {
-				panic(violation(fmt.Sprintf("slot %d is %q and %q", s.Slot, was, s.Value)))
+				simulation.Failf("slot %d is %q and %q", s.Slot, was, s.Value)
 			}
 			b.decided[s.Slot] = string(s.Value)
 		}}
@@ -71,7 +73,7 @@
 		case err == nil:
 			b.results[i] = "ok"
 			if n := bytes.Count(s.Value, []byte{byte('a' + i)}); n != 1 {
-				panic(violation(fmt.Sprintf("%d times in %q", n, s.Value)))
+				simulation.Failf("%d times in %q", n, s.Value)
 			}
 		case ErrOutcomeUnknown.Has(err):
 			b.results[i] = "doubt"
@@ -81,7 +83,7 @@
 	}
 }
 
-// clone makes a world of its own.
+// clone makes a branch of its own.
 func (o *explorer) clone(b *branch) *branch {
 	c := *b
 	c.registers, c.disks, c.inFlight = slices.Clone(b.registers), slices.Clone(b.disks), slices.Clone(b.inFlight)
@@ -150,7 +152,7 @@
 	}
 	r, err := New(o.options(b, i, b.incarnations), b.disks[i])
 	if err != nil {
-		panic(violation(err.Error()))
+		simulation.Failf("%v", err)
 	}
 	b.registers[i] = r
 }
@@ -161,9 +163,9 @@
 	defer func() {
 		switch x := recover().(type) {
 		case nil:
-		case violation:
+		case simulation.Violation:
 			if !strings.Contains(string(x), "after") {
-				x = violation(fmt.Sprintf("%s\nafter %v", x, b.path))
+				x = simulation.Violation(fmt.Sprintf("%s\nafter %v", x, b.path))
 			}
 			panic(x)
 		default:
@@ -222,7 +224,7 @@
 				for i, r := range b.results[:2] {
 					n := bytes.Count(s.Value, []byte{byte('a' + i)})
 					if err != nil || n > 1 || r == "ok" && n != 1 || r == "none" && n != 0 {
-						panic(violation(fmt.Sprintf("read %q, %v, results %v", s.Value, err, b.results)))
+						simulation.Failf("read %q, %v, results %v", s.Value, err, b.results)
 					}
 				}
 			})
@@ -236,10 +238,10 @@
 					b.tick()
 				}
 			}
-			panic(violation("no read at the end"))
+			simulation.Failf("no read at the end")
 		}
 	}
-	panic(violation(fmt.Sprintf("no end: %v", b.results)))
+	simulation.Failf("no end: %v", b.results)
 }
 
 // TestEveryOrderOfMessages has two proposers on three voters, and every order of messages to a depth: from the start and from
@@ -261,15 +263,6 @@
 
 func everyOrder(t *testing.T, first, depth, faults int) {
 	t.Helper()
-	defer func() {
-		switch x := recover().(type) {
-		case nil:
-		case violation:
-			t.Error("BROKEN", x)
-		default:
-			panic(x)
-		}
-	}()
 	o := &explorer{seen: map[uint64]bool{}, seed: maphash.MakeSeed()}
 	b := &branch{decided: map[uint64]string{}, results: make([]string, 3), disks: make([][][]byte, 3), faultsLeft: faults}
 	for i := range 3 {
@@ -284,11 +277,16 @@
 		r.Tick(0)
 		b.registers = append(b.registers, r)
 	}
-	o.propose(b, 0)
-	o.propose(b, 1)
-	for range first {
-		b.deliver(o, 0, false)
+	found := simulation.Play(func() {
+		o.propose(b, 0)
+		o.propose(b, 1)
+		for range first {
+			b.deliver(o, 0, false)
+		}
+		o.explore(b, depth)
+	})
+	if found != "" {
+		t.Error("BROKEN", found)
 	}
-	o.explore(b, depth)
-	t.Logf("depth %d: %d worlds, %d ends", depth, len(o.seen), o.endings)
+	t.Logf("depth %d: %d branches, %d ends", depth, len(o.seen), o.endings)
 }
--- a/internal/consensus/paxos/faults_test.go
+++ b/internal/consensus/paxos/faults_test.go
@@ -1,19 +1,16 @@
 package paxos
 
 import (
-	"fmt"
 	"os"
-	"runtime"
 	"slices"
 	"strconv"
-	"strings"
-	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
+
+	"dunetide/internal/lab/simulation"
 )
 
-// seeds is how many a test plays: PAXOS_SEEDS, or what fits into a few seconds.
+// seedCount is how many a test plays: PAXOS_SEEDS, or what fits into a few seconds.
 func seedCount(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("PAXOS_SEEDS")); err == nil {
 		return n
@@ -21,51 +18,35 @@
 	return usual
 }
 
-// play runs f for each seed on all cores; PAXOS_SEED plays one, with what happened.
-func playSeeds(t *testing.T, n int, f func(seed uint64, c func(*cluster))) {
+// playSeeds runs f for each seed on all cores; PAXOS_SEED plays one, and prints its trace. F passes its cluster to started.
+func playSeeds(t *testing.T, n int, f func(seed uint64, started func(*cluster))) {
 	t.Helper()
-	one := func(seed uint64, tracing bool) (said string) {
+	if seed, err := strconv.ParseUint(os.Getenv("PAXOS_SEED"), 10, 64); err == nil {
 		var played *cluster
-		defer func() {
-			if x := recover(); x != nil {
-				b, ok := x.(violation)
-				if !ok {
-					panic(x)
-				}
-				said = fmt.Sprintf("BROKEN seed %d: %s", seed, b)
-				if tracing {
-					said += "\n" + strings.Join(played.trace, "\n")
-				}
-			}
-		}()
-		f(seed, func(c *cluster) { played, c.tracing = c, tracing })
-		return ""
-	}
-	if s, err := strconv.ParseUint(os.Getenv("PAXOS_SEED"), 10, 64); err == nil {
-		if said := one(s, true); said != "" {
-			t.Fatal(said)
+		found := simulation.Play(func() {
+			f(seed, func(c *cluster) {
+				played = c
+				c.trace.Enabled = true
+			})
+		})
+		if found != "" {
+			t.Fatalf("BROKEN seed %d: %s\n%s", seed, found, played.trace.String())
 		}
 		return
 	}
-	var next atomic.Uint64
-	var group sync.WaitGroup
-	for range runtime.GOMAXPROCS(0) {
-		group.Go(func() {
-			for s := next.Add(1); s <= uint64(n) && !t.Failed(); s = next.Add(1) {
-				if said := one(s, false); said != "" {
-					t.Error(said)
-				}
-			}
-		})
-	}
-	group.Wait()
+	simulation.EachSeed(uint64(n), func() bool { return !t.Failed() }, func(seed uint64) {
+		if found := simulation.Play(func() { f(seed, func(*cluster) {}) }); found != "" {
+			t.Errorf("BROKEN seed %d: %s", seed, found)
+		}
+	})
 }
 
+// clusterSize is how many voters there are at first, and how many of their disks may be lost.
 type clusterSize struct{ voters, maxLost int }
 
 var clusterSizes = []clusterSize{{3, 1}, {4, 1}, {5, 2}, {8, 2}}
 
-// change makes a random change of the voters, or a write, or a conditional write.
+// startRandomOperation starts a read, a write, a conditional write or a random change of the voters.
 func (c *cluster) startRandomOperation(sz clusterSize) {
 	m := c.randomMachine()
 	timeout := 200*time.Millisecond + c.upTo(3*time.Second)
@@ -237,10 +218,10 @@
 // TestChaos plays all faults at once: one chain, nothing acknowledged is lost, reads are linearizable; and where
 // no more disks were lost than may be, everything works afterwards.
 func TestChaos(t *testing.T) {
-	playSeeds(t, seedCount(1000), func(seed uint64, set func(*cluster)) {
+	playSeeds(t, seedCount(1000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
 		c := newCluster(seed, sz.voters, 2)
-		set(c)
+		started(c)
 		c.makeNetworkUnreliable()
 		losses, all := 0, seed%5 == 0 // all: disks are lost beyond what may be
 		for c.Now() < 4*time.Second {
@@ -263,7 +244,7 @@
 			o := c.propose(c.randomMachine(), 10*time.Second, nil)
 			c.RunUntil(c.Now() + 10*time.Second)
 			if o.result != "ok" {
-				c.failf("no write after all: %q", o.result)
+				simulation.Failf("no write after all: %q", o.result)
 			}
 			c.readOnAll(20 * time.Second)
 		}
@@ -274,10 +255,10 @@
 // TestLastFault loses as many disks as may be lost right after something was acknowledged, while all others lose
 // power, or all are killed. Everybody reads it afterwards.
 func TestLastFault(t *testing.T) {
-	playSeeds(t, seedCount(2000), func(seed uint64, set func(*cluster)) {
+	playSeeds(t, seedCount(2000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
 		c := newCluster(seed, sz.voters, 2)
-		set(c)
+		started(c)
 		c.makeNetworkUnreliable()
 		joining, after := 0, 1+c.rng.IntN(25)
 		hit, clear := false, uint64(0)
@@ -338,10 +319,10 @@
 // first stays away, and at the moment that this is done as many disks as may be are lost and all others lose power.
 // One process alone is asked afterwards.
 func TestLastFaultAfterAdmit(t *testing.T) {
-	playSeeds(t, seedCount(2000), func(seed uint64, set func(*cluster)) {
+	playSeeds(t, seedCount(2000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
 		c := newCluster(seed, sz.voters, 1)
-		set(c)
+		started(c)
 		c.loss, c.duplicate, c.maxDelay = .2*c.rng.Float64(), .1*c.rng.Float64(), 40*time.Millisecond
 		c.RunUntil(time.Second)
 		if seed%3 == 0 { // disks that are full until the fault, and not after it
@@ -413,7 +394,7 @@
 		o := c.read(asked, 10*time.Second)
 		c.RunUntil(c.Now() + 12*time.Second)
 		if o.result != "ok" {
-			c.failf("%s can't read: %q", asked.name, o.result)
+			simulation.Failf("%s can't read: %q", asked.name, o.result)
 		}
 		c.checkOperations()
 	})
--- a/internal/consensus/paxos/kill_test.go
+++ b/internal/consensus/paxos/kill_test.go
@@ -21,10 +21,10 @@
 	}
 	const pointsMost = 300
 	var unused atomic.Int64
-	playSeeds(t, max(seedCount(0), len(shapes)*pointsMost), func(seed uint64, set func(*cluster)) {
+	playSeeds(t, max(seedCount(0), len(shapes)*pointsMost), func(seed uint64, started func(*cluster)) {
 		sh, at, links := shapes[int(seed)%len(shapes)], int(seed)/len(shapes)%pointsMost+1, int(seed)/len(shapes)/pointsMost
 		c := newCluster(uint64(sh.sz.voters+10*links), sh.sz.voters, 1)
-		set(c)
+		started(c)
 		c.RunUntil(time.Second)
 		c.killPoints, c.killAt = 0, at
 		hit := false
--- a/internal/consensus/quorum/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -32,10 +32,7 @@
 	acknowledgeWait = 250 * time.Millisecond
 )
 
-// violation is what a check found.
-type violation string
-
-// model is a simulation by seed. It panics with a violation when a check fails.
+// model is a simulation by seed. Checks that fail end it with a simulation.Violation.
 type model struct {
 	simulation.Scheduler
 	rng          *rand.Rand
@@ -96,8 +93,6 @@
 	value           uint64
 }
 
-func (m *model) failf(format string, args ...any) { panic(violation(fmt.Sprintf(format, args...))) }
-
 func (m *model) upTo(d time.Duration) time.Duration { return time.Duration(m.rng.Int64N(int64(d) + 1)) }
 
 func (m *model) anyKeeper() *modelKeeper { return m.keepers[m.rng.IntN(modelKeepers)] }
@@ -150,7 +145,7 @@
 		OnDecided: k.recordDecided,
 	}, k.records)
 	if err != nil {
-		k.model.failf("keeper %d: %v", k.index, err)
+		simulation.Failf("keeper %d: %v", k.index, err)
 	}
 	k.register = register
 	if s, ok := register.State(); ok {
@@ -298,7 +293,7 @@
 			break // it had followed the one before by then
 		}
 	}
-	k.model.failf("%v: keeper %d, without a majority: %s", k.model.Now(), k.index, what)
+	simulation.Failf("%v: keeper %d, without a majority: %s", k.model.Now(), k.index, what)
 }
 
 func (k *modelKeeper) backedBy(voters []paxos.Voter, from time.Duration) bool {
@@ -318,7 +313,7 @@
 			continue
 		}
 		if p.value == 0 && k.value < p.confirmedBefore {
-			k.model.failf("%v: keeper %d pushes %d first, and %d was confirmed before", k.model.Now(), k.index, k.value, p.confirmedBefore)
+			simulation.Failf("%v: keeper %d pushes %d first, and %d was confirmed before", k.model.Now(), k.index, k.value, p.confirmedBefore)
 		}
 		k.requireBacking("a push")
 		p.value = k.value
@@ -395,20 +390,16 @@
 }
 
 // playSeed runs a model, and returns what was violated.
-func playSeed(seed uint64) (m *model, broken error) {
-	defer func() {
-		if x := recover(); x != nil {
-			v, ok := x.(violation)
-			if !ok {
-				panic(x)
-			}
-			broken = fmt.Errorf("seed %d: %s", seed, v)
-		}
-	}()
-	m = newModel(seed)
-	m.callFromOutside()
-	m.After(2*time.Second, m.injectFaults)
-	m.RunUntil(modelTime)
+func playSeed(seed uint64) (m *model, violated error) {
+	found := simulation.Play(func() {
+		m = newModel(seed)
+		m.callFromOutside()
+		m.After(2*time.Second, m.injectFaults)
+		m.RunUntil(modelTime)
+	})
+	if found != "" {
+		return m, fmt.Errorf("seed %d: %s", seed, found)
+	}
 	return m, nil
 }
 
--- a/internal/consensus/reconfigure/cluster_test.go
+++ b/internal/consensus/reconfigure/cluster_test.go
@@ -29,8 +29,8 @@
 	votersRole = "voters" // the singleton role of changing the voters
 )
 
-// cluster is some machines with a register and the singleton role of changing its voters, on one clock. It panics with
-// a failure when a check fails.
+// cluster is some machines with a register and the singleton role of changing its voters, on one clock. Checks
+// that fail end it with a simulation.Violation.
 type cluster struct {
 	simulation.Scheduler
 	rng          *rand.Rand
@@ -42,20 +42,10 @@
 	decided   map[uint64][]byte // the decided state of each slot
 	orders    map[uint64]*operatorOrder
 	lastFault time.Duration // when a machine was last lost, came back, started or ended
-	trace     []string
-	tracing   bool
+	trace     simulation.Trace
 }
 
-// failure is what a check found.
-type failure string
-
-func (c *cluster) failf(format string, args ...any) { panic(failure(fmt.Sprintf(format, args...))) }
-
-func (c *cluster) tracef(format string, args ...any) {
-	if c.tracing {
-		c.trace = append(c.trace, fmt.Sprintf("%8.3f ", c.Now().Seconds())+fmt.Sprintf(format, args...))
-	}
-}
+func (c *cluster) tracef(format string, args ...any) { c.trace.Addf(c.Now(), format, args...) }
 
 func (c *cluster) upTo(limit time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(limit) + 1))
@@ -171,7 +161,7 @@
 		},
 	}, m.disk)
 	if err != nil {
-		c.failf("%s: %v", m.name, err)
+		simulation.Failf("%s: %v", m.name, err)
 	}
 	m.register = register
 	m.state, m.known = register.State()
@@ -459,14 +449,14 @@
 func (c *cluster) observe(state paxos.State) {
 	if earlier, known := c.decided[state.Slot]; known {
 		if !bytes.Equal(earlier, encoded(state)) {
-			c.failf("slot %d has two states", state.Slot)
+			simulation.Failf("slot %d has two states", state.Slot)
 		}
 		return
 	}
 	c.tracef("slot %d is decided, %d bytes, voters %v", state.Slot, len(state.Value), state.Voters)
 	c.decided[state.Slot] = encoded(state)
 	if before, known := c.decided[state.Slot-1]; known && !bytes.HasPrefix(state.Value, valueOf(before)) {
-		c.failf("slot %d does not carry on from the one before", state.Slot)
+		simulation.Failf("slot %d does not carry on from the one before", state.Slot)
 	}
 }
 
@@ -498,7 +488,7 @@
 		return
 	}
 	if c.faultFreeFor(c.Now()-o.started) >= orderTimeout {
-		c.failf("order %d was not accepted in %v without faults", o.id, orderTimeout)
+		simulation.Failf("order %d was not accepted in %v without faults", o.id, orderTimeout)
 	}
 	var reachable []*machine
 	for _, m := range c.machines {
@@ -555,7 +545,7 @@
 	c.RunUntil(c.Now() + orderTimeout)
 	for _, r := range readings {
 		if r.state == nil {
-			c.failf("%s can't read at the end", r.m.name)
+			simulation.Failf("%s can't read at the end", r.m.name)
 		}
 		occurrences := map[uint64]int{}
 		for value := r.state.Value; len(value) > 0; value = value[8:] {
@@ -563,7 +553,7 @@
 		}
 		for _, id := range accepted {
 			if occurrences[id] != 1 {
-				c.failf("%s: order %d was acknowledged and is there %d times", r.m.name, id, occurrences[id])
+				simulation.Failf("%s: order %d was acknowledged and is there %d times", r.m.name, id, occurrences[id])
 			}
 		}
 	}
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -3,14 +3,13 @@
 import (
 	"fmt"
 	"os"
-	"runtime"
 	"slices"
 	"strconv"
-	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"dunetide/internal/lab/simulation"
 )
 
 // histories is how many a test plays: RECONFIGURE_HISTORIES, or what fits into a few seconds.
@@ -21,10 +20,10 @@
 	return usual
 }
 
-// TestHistories plays drawn histories of losses, losses of disks, cuts, restarts, replacements and planned replacements
-// within what may be lost, often at the first moment that is allowed. Checked are: one chain, nothing acknowledged is
-// lost, orders are taken within the time for it in calm, and the voters are as many as they should be within the time
-// that a repair may take. RECONFIGURE_SEED plays one history, and tells what happened.
+// TestHistories plays randomized histories of losses, losses of disks, partitions, restarts, replacements and planned
+// replacements within what may be lost, often at the first moment that is allowed. Checked are: one chain, nothing
+// acknowledged is lost, orders are accepted within orderTimeout while there are no faults, and the voters are as many as
+// they should be within repairTime. RECONFIGURE_SEED plays one history, and prints its trace.
 func TestHistories(t *testing.T) {
 	for _, c := range []struct{ machines, maxFailures int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {8, 2}, {9, 2}} {
 		t.Run(fmt.Sprintf("%d machines, %d lost", c.machines, c.maxFailures), func(t *testing.T) {
@@ -41,58 +40,48 @@
 		}
 		return
 	}
-	var next, played atomic.Uint64
-	var group sync.WaitGroup
-	for range runtime.GOMAXPROCS(0) {
-		group.Go(func() {
-			for seed := next.Add(1); seed <= uint64(n) && !t.Failed(); seed = next.Add(1) {
-				if failed := playHistory(seed, machines, maxFailures, false); failed != "" {
-					t.Error(failed)
-				}
-				played.Add(1)
-			}
-		})
-	}
-	group.Wait()
+	var played atomic.Uint64
+	simulation.EachSeed(uint64(n), func() bool { return !t.Failed() }, func(seed uint64) {
+		if failed := playHistory(seed, machines, maxFailures, false); failed != "" {
+			t.Error(failed)
+		}
+		played.Add(1)
+	})
 	t.Logf("%d histories played", played.Load())
 }
 
-// playHistory tells what failed; "": nothing.
+// playHistory returns what failed; "": nothing.
 func playHistory(seed uint64, machines, maxFailures int, tracing bool) (failed string) {
 	var c *cluster
-	defer func() {
-		if x := recover(); x != nil {
-			f, ok := x.(failure)
-			if !ok {
-				panic(x)
-			}
-			failed = fmt.Sprintf("seed %d at %v: %s\n%s", seed, c.Now(), f, strings.Join(c.trace, "\n"))
+	found := simulation.Play(func() {
+		c = newCluster(seed, machines, maxFailures)
+		c.trace.Enabled = tracing
+		c.After(time.Second, c.sendOrders)
+		c.RunUntil(repairTime + time.Duration(machines)*time.Second)
+		c.checkVoters()
+		for range 8 {
+			c.injectRandomFault()
 		}
-	}()
-	c = newCluster(seed, machines, maxFailures)
-	c.tracing = tracing
-	c.After(time.Second, c.sendOrders)
-	c.RunUntil(repairTime + time.Duration(machines)*time.Second)
-	c.checkVoters()
-	for range 8 {
-		c.injectRandomFault()
+		c.returnAll()
+		c.RunUntil(c.Now() + repairTime)
+		c.checkVoters()
+		c.RunUntil(c.Now() + contactTime + orderTimeout)
+		c.checkOrders()
+	})
+	if found == "" {
+		return ""
 	}
-	c.returnAll()
-	c.RunUntil(c.Now() + repairTime)
-	c.checkVoters()
-	c.RunUntil(c.Now() + contactTime + orderTimeout)
-	c.checkOrders()
-	return ""
+	return fmt.Sprintf("seed %d at %v: %s\n%s", seed, c.Now(), found, c.trace.String())
 }
 
-// TestHistoriesThatBroke plays the drawn histories that found faults, each of which is mended.
+// TestHistoriesThatBroke plays the histories that found faults, each of which is fixed.
 func TestHistoriesThatBroke(t *testing.T) {
 	for _, c := range []struct {
 		seed                  uint64
 		machines, maxFailures int
 	}{
 		{335, 9, 2},  // candidates never caught up under a stream of orders
-		{1761, 3, 1}, // two candidates for the duty kept each other out
+		{1761, 3, 1}, // two candidates for the lease kept each other out
 		{8585, 3, 1}, // a keeper that had left became a voter again
 	} {
 		if failed := playHistory(c.seed, c.machines, c.maxFailures, false); failed != "" {
@@ -248,7 +237,7 @@
 			return
 		}
 	}
-	c.failf("a machine stays away")
+	simulation.Failf("a machine stays away")
 }
 
 // checkVoters checks that the voters are all machines that are there, and no others.
@@ -272,6 +261,6 @@
 		}
 	}
 	if connected != len(state.Voters) || connected != min(wanted, 9) {
-		c.failf("%d of %d voters are connected, and %d machines are there: %v", connected, len(state.Voters), wanted, state.Voters)
+		simulation.Failf("%d of %d voters are connected, and %d machines are there: %v", connected, len(state.Voters), wanted, state.Voters)
 	}
 }
