--- a/internal/platform/link/golden_test.go
+++ b/internal/platform/link/golden_test.go
@@ -164,7 +164,7 @@
 
 // Numbers that both sides must agree on.
 func TestGoldenLimits(t *testing.T) {
-	if kindReply != 250 || kindError != 251 || kindProbe != 252 || maxFrame != 16<<20 || head != 9 {
+	if kindReply != 250 || kindError != 251 || kindProbe != 252 || maxFrame != 16<<20 || headerSize != 9 {
 		t.Error("a peer of another version would end the link")
 	}
 	if DefaultOptions.ProbeInterval != 400*time.Millisecond || DefaultOptions.PeerTimeout != 1300*time.Millisecond {
--- a/internal/platform/link/link_test.go
+++ b/internal/platform/link/link_test.go
@@ -193,10 +193,10 @@
 func TestTooLongIsRefused(t *testing.T) {
 	contract(t, steady, func(t *testing.T, a, b *Conn, _, bs *side) {
 		long := make([]byte, maxFrame)
-		if err := a.Send(7, long); !errors.Is(err, errLong) {
+		if err := a.Send(7, long); !errors.Is(err, errFrameTooLong) {
 			t.Fatal(err)
 		}
-		if r := get(t, a.Go(7, long), "the refusal"); !errors.Is(r.Err, errLong) {
+		if r := get(t, a.Go(7, long), "the refusal"); !errors.Is(r.Err, errFrameTooLong) {
 			t.Fatal(r.Err)
 		}
 		ch := a.Go(7, nil)
@@ -205,10 +205,10 @@
 		if r := get(t, ch, "the refusal of the reply"); !errors.As(r.Err, &refusal) {
 			t.Fatal(r.Err)
 		}
-		if err := a.Send(7, make([]byte, maxFrame-head)); err != nil {
+		if err := a.Send(7, make([]byte, maxBody)); err != nil {
 			t.Fatal(err)
 		}
-		if m := get(t, bs.messages, "the longest frame"); len(m.Body) != maxFrame-head {
+		if m := get(t, bs.messages, "the longest frame"); len(m.Body) != maxBody {
 			t.Fatal(len(m.Body))
 		}
 	})
@@ -225,7 +225,7 @@
 			_, _ = raw.Write(binary.BigEndian.AppendUint32(nil, maxFrame+1))
 			_, _ = raw.Write([]byte{7, 0, 0, 0, 0})
 			get(t, bs.closed, "the end")
-			if !errors.Is(b.err, errLong) {
+			if !errors.Is(b.err, errFrameTooLong) {
 				t.Fatal(b.err)
 			}
 		})
@@ -279,7 +279,7 @@
 		for _, c := range []*Conn{a, b} {
 			deadline := time.Now().Add(patience)
 			for n, last := 0, began; n < 5; {
-				if at := c.lastIn.Load(); at > last {
+				if at := c.lastRead.Load(); at > last {
 					n, last = n+1, at
 				}
 				if time.Now().After(deadline) {
@@ -371,7 +371,7 @@
 		raw, nb := net.Pipe()
 		s := newSide()
 		bytes := 0
-		s.act = func(m *Message) { bytes += len(m.Body) + head; m.Reply(nil) }
+		s.act = func(m *Message) { bytes += len(m.Body) + headerSize; m.Reply(nil) }
 		c := start(nb, s, steady)
 		go func() {
 			_, _ = raw.Write(b)
@@ -389,12 +389,12 @@
 // anything that ends the link.
 func firstReplies(b []byte, calls uint32) map[uint32]Reply {
 	first := map[uint32]Reply{}
-	for len(b) >= head {
+	for len(b) >= headerSize {
 		n := binary.BigEndian.Uint32(b)
-		if n < 5 || n-5 > maxFrame-head || uint64(len(b)) < uint64(n)+4 {
+		if n < 5 || n-5 > maxBody || uint64(len(b)) < uint64(n)+4 {
 			break
 		}
-		kind, call, body := Kind(b[4]), binary.BigEndian.Uint32(b[5:]), b[head:n+4]
+		kind, call, body := Kind(b[4]), binary.BigEndian.Uint32(b[5:]), b[headerSize:n+4]
 		b = b[n+4:]
 		if _, known := first[call]; known || call == 0 || call > calls {
 			continue
@@ -412,7 +412,7 @@
 // readCalls reads some calls without bodies: then no write is under way that a close would end before a reply is read.
 func readCalls(t *testing.T, raw net.Conn, calls int64) {
 	t.Helper()
-	if _, err := io.CopyN(io.Discard, raw, calls*head); err != nil {
+	if _, err := io.CopyN(io.Discard, raw, calls*headerSize); err != nil {
 		t.Fatal(err)
 	}
 }
