--- a/internal/platform/descriptors/descriptors.go
+++ b/internal/platform/descriptors/descriptors.go
@@ -1,5 +1,8 @@
-// Package descriptors divides the file descriptors of a process among what uses them, so that clients which open connections without
-// an end leave it those that its own work takes: links to other processes, connections to endpoints, files.
+// Package descriptors divides the file descriptors of a process among its users, so that clients that open connections
+// without end leave enough for the process's own work: links to other processes, connections to endpoints, and files.
+//
+// Each role makes one Budget from limits.open_files of the settings, and takes the bounds of its listeners and of its
+// connections to endpoints from it.
 package descriptors
 
 import (
@@ -9,33 +12,37 @@
 )
 
 const (
-	// clientsPart is what part of all descriptors connections from outside may take: one in so many. endpointsPart is that of
-	// connections to endpoints. The rest is for links, readiness, metrics and files.
-	clientsPart   = 2
-	endpointsPart = 4
+	// clientsDivisor and endpointsDivisor say what part of all descriptors connections from outside and connections to
+	// endpoints may use: one half and one quarter. The rest is for links, readiness, metrics and files.
+	clientsDivisor   = 2
+	endpointsDivisor = 4
 )
 
-// Budget is how the descriptors of a process are divided.
-type Budget struct{ most int }
+// Budget divides the descriptors of a process.
+type Budget struct {
+	// maxOpen is the number of all descriptors; 0: it is not known, and nothing is limited.
+	maxOpen int
+}
 
-// NewBudget divides so many descriptors, limits.open_files of the settings; 0: their number is not known, and nothing is bounded.
-func NewBudget(most int) Budget { return Budget{most} }
+// NewBudget divides so many descriptors; 0: their number is not known, and nothing is limited.
+func NewBudget(maxOpen int) Budget { return Budget{maxOpen} }
 
-// Clients is how many connections from outside may be open at once; 0: any number.
-func (b Budget) Clients() int { return b.most / clientsPart }
+// Clients returns how many connections from outside may be open at once; 0: any number.
+func (b Budget) Clients() int { return b.maxOpen / clientsDivisor }
 
-// Endpoints is how many connections to endpoints may be open at once, of those that are wanted.
+// Endpoints returns how many connections to endpoints may be open at once, given how many are wanted; at least 1.
 func (b Budget) Endpoints(wanted int) int {
-	if b.most == 0 {
+	if b.maxOpen == 0 {
 		return wanted
 	}
-	return max(1, min(wanted, b.most/endpointsPart))
+	return max(1, min(wanted, b.maxOpen/endpointsDivisor))
 }
 
-// Listen accepts connections from outside at an address. Those beyond the budget wait in the queue of the kernel until others end.
+// Listen listens for connections from outside at an IPv4 address. Connections beyond the budget wait in the kernel's
+// queue until others end.
 func (b Budget) Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
-	if err != nil || b.most == 0 {
+	if err != nil || b.maxOpen == 0 {
 		return listener, err
 	}
 	return netutil.LimitListener(listener, b.Clients()), nil
--- a/internal/platform/invariant/invariant.go
+++ b/internal/platform/invariant/invariant.go
@@ -1,7 +1,9 @@
-// Package invariant checks promises of the tier while it runs. A check that fails is counted, logged with what was found, and ends
-// the test in which it happened; a process in service goes on, as ending it would break more promises than it keeps.
+// Package invariant checks promises of the tier while it runs. A violation is counted, logged with what was found, and
+// ends the test in which it happens; a process in service goes on, as ending it would break more promises than it
+// keeps.
 //
-// docs/promises.md says which promise stands behind each invariant.
+// Each package declares the invariants of its own state as package variables. docs/promises.md says which promise each
+// of them stands for.
 package invariant
 
 import (
@@ -13,11 +15,11 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// LogMessage begins the log line of each violation. Whoever reads logs for violations looks for it.
+// LogMessage is the message of the log line of each violation. Programs that read logs for violations look for it.
 const LogMessage = "invariant violated"
 
-// loggedMost bounds the log lines of one invariant in the life of a process. Its counter goes on.
-const loggedMost = 20
+// maxLogged limits the log lines of one invariant in the life of a process. Its counter goes on.
+const maxLogged = 20
 
 // Names of the metrics, each with the label invariant.
 const (
@@ -37,7 +39,8 @@
 // SetLogger has violations logged; before, they are only counted.
 func SetLogger(log hclog.Logger) { logger.Store(&log) }
 
-// New declares an invariant. Its name is that of its metrics' label, in lower case with underscores; it is declared once in a process.
+// New declares an invariant. The name is the value of its metrics' label, in lower case with underscores. It panics if
+// the process has declared the name before.
 func New(name string) *Invariant {
 	return &Invariant{
 		name:       name,
@@ -46,28 +49,28 @@
 	}
 }
 
-// Check counts a check, and a violation where it does not hold. describe is called only then; it says what was found, with the ids
-// by which the logs of other processes can be searched.
+// Check counts a check, and a violation if the invariant doesn't hold. describe is called only then; it returns what
+// was found, with the IDs by which the logs of other processes can be searched. In a test, a violation panics.
 func (i *Invariant) Check(holds bool, describe func() string) {
 	i.checks.Inc()
 	if !holds {
-		i.violated(describe())
+		i.reportViolation(describe())
 	}
 }
 
-func (i *Invariant) violated(found string) {
+func (i *Invariant) reportViolation(found string) {
 	i.violations.Inc()
 	if inTest() {
 		panic(fmt.Sprintf("%s: %s: %s", LogMessage, i.name, found))
 	}
 	log := logger.Load()
-	if log == nil || i.violations.Get() > loggedMost {
+	if log == nil || i.violations.Get() > maxLogged {
 		return
 	}
 	(*log).Error(LogMessage, "invariant", i.name, "found", found)
 }
 
-// Violations is how often it was violated in the life of this process.
+// Violations returns how often the invariant has been violated in the life of this process.
 func (i *Invariant) Violations() uint64 { return i.violations.Get() }
 
 // inTest reports whether this is a test binary, without linking package testing into the program.
--- a/internal/platform/reload/reload.go
+++ b/internal/platform/reload/reload.go
@@ -1,5 +1,8 @@
-// Package sighup catches SIGHUP from the first moment of a process. Its default action would end the process, also
-// one that has not read its settings yet, so the package is initialised ahead of the packages of main.
+// Package reload receives SIGHUP, by which an operator has a process read its settings again.
+//
+// The signal is caught from the first moment of the process on, as its default action would end a process that has not
+// read its settings yet: early.go ignores it before the Go runtime starts, and the package is initialised before the
+// packages of main. package main is its only user.
 package reload
 
 import (
@@ -8,10 +11,10 @@
 	"syscall"
 )
 
-// pending holds at most one signal: a burst stands for one request to look at the settings again.
+// pending holds at most one signal: several in a row are one request to read the settings again.
 var pending = make(chan os.Signal, 1)
 
 func init() { signal.Notify(pending, syscall.SIGHUP) }
 
-// Received delivers a value after one or more SIGHUPs. It is for one reader.
+// Requests returns the channel on which a value arrives after one or more SIGHUPs. It has one reader.
 func Requests() <-chan os.Signal { return pending }
--- a/internal/platform/telemetry/log.go
+++ b/internal/platform/telemetry/log.go
@@ -7,27 +7,30 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of a Log: what may come at once, and what may come each second after that.
+// Limits of an EventLog.
 const (
-	linesAtOnce  = 40
-	linesASecond = 20
+	// maxBurst is the number of lines that may be written at once.
+	maxBurst = 40
+	// maxPerSecond is the rate of lines after that.
+	maxPerSecond = 20
 )
 
-// Log writes lines of one kind of event, so many a second at most, as under overload there may be thousands. A line tells how many
-// were left out before it; counters have them all.
+// EventLog writes log lines for events of one kind, of which there may be thousands under overload: it limits the lines
+// per second. A line says how many were left out before it; counters count all events.
 type EventLog struct {
 	log     hclog.Logger
 	limiter *rate.Limiter
 	omitted atomic.Uint64
 }
 
-// NewLog writes to a logger.
+// NewEventLog returns an event log that writes to a logger.
 func NewEventLog(log hclog.Logger) *EventLog {
-	return &EventLog{log: log, limiter: rate.NewLimiter(linesASecond, linesAtOnce)}
+	return &EventLog{log: log, limiter: rate.NewLimiter(maxPerSecond, maxBurst)}
 }
 
-// Event writes a line at info, or leaves it out. fields is called only where it is written; it returns pairs of key and value.
-func (l *EventLog) Event(what string, fields func() []any) {
+// Event writes a line of level info, or leaves it out. fields is called only if the line is written; it returns pairs
+// of key and value.
+func (l *EventLog) Event(message string, fields func() []any) {
 	if !l.log.IsInfo() {
 		return
 	}
@@ -39,5 +42,5 @@
 	if omitted := l.omitted.Swap(0); omitted > 0 {
 		pairs = append(pairs, "omitted_before", omitted)
 	}
-	l.log.Info(what, pairs...)
+	l.log.Info(message, pairs...)
 }
--- a/internal/platform/telemetry/telemetry_test.go
+++ b/internal/platform/telemetry/telemetry_test.go
@@ -47,14 +47,14 @@
 func TestManyEventsAreFewLines(t *testing.T) {
 	var out bytes.Buffer
 	l := NewEventLog(hclog.New(&hclog.LoggerOptions{Output: &out}))
-	for range 10 * linesAtOnce {
+	for range 10 * maxBurst {
 		l.Event("request failed", func() []any { return []any{"id", "r1"} })
 	}
 	lines := strings.Count(out.String(), "request failed: id=r1")
-	if lines < linesAtOnce || lines > 2*linesAtOnce {
+	if lines < maxBurst || lines > 2*maxBurst {
 		t.Fatalf("%d lines", lines)
 	}
-	l.limiter.SetBurst(10 * linesAtOnce)
+	l.limiter.SetBurst(10 * maxBurst)
 	l.limiter.SetLimit(1e9)
 	l.omitted.Store(7)
 	l.Event("request failed", func() []any { return []any{"id", "r2"} })
