--- a/internal/control/controlclient/attach.go
+++ b/internal/control/controlclient/attach.go
@@ -2,33 +2,40 @@
 
 import (
 	"context"
-	"maps"
 	"math/rand/v2"
-	"slices"
-	"sort"
 	"time"
 
 	"dunetide/internal/platform/link"
 )
 
+// Attaching: a client has attachedKeepers slots, each of which one goroutine keeps filled with a link to a keeper.
+//
+//  1. fillSlot dials the candidates in turn, until one accepts the process (Hello). At this point it doesn't matter
+//     whether the keeper is in contact with a majority: the client has what there is as soon as there is contact.
+//  2. watchAttachment watches the link. While the keeper has no contact with a majority, it looks for one that has, and
+//     attaches to that before it leaves the old one.
+//  3. When the link ends, the slot is filled again, after a pause that grows with the failures in a row.
+//
+// An address is reserved while a slot dials it or is attached to it, so that two slots never use one keeper.
 const (
-	// attachPause is the least mean pause between tries to attach a place, attachPauseMost the greatest.
-	attachPause     = 100 * time.Millisecond
-	attachPauseMost = time.Second
-	// quickAttaches is the number of tries after which the pause begins to double. When all machines start at once, keepers listen some
-	// tenths of a second after the others have first asked, and nobody serves until it is attached.
+	// attachPause is the least mean pause between attempts to fill a slot, maxAttachPause the greatest.
+	attachPause    = 100 * time.Millisecond
+	maxAttachPause = time.Second
+	// quickAttaches is the number of attempts after which the pause begins to double. When all machines start at once,
+	// keepers listen some tenths of a second after the others first ask, and nobody serves until it is attached.
 	quickAttaches = 5
-	// movePause is the mean pause before another keeper is looked for in the place of one that has lost contact with a
-	// majority; it doubles up to movePauseMost. It is drawn, so that the processes of one keeper don't move at once.
-	movePause     = 300 * time.Millisecond
-	movePauseMost = 2 * time.Second
-	// helloWait bounds the answer of a keeper to a process that attaches.
-	helloWait = time.Second
-	// lookWait bounds the connection to a keeper, and its answer, where a process is attached to another one meanwhile.
-	lookWait = 500 * time.Millisecond
+	// movePause is the mean pause before another keeper is looked for in place of one that has lost contact with a
+	// majority; it doubles up to maxMovePause. It is random, so that the processes of one keeper don't move at once.
+	movePause    = 300 * time.Millisecond
+	maxMovePause = 2 * time.Second
+	// helloTimeout limits the time that a keeper takes to answer a Hello.
+	helloTimeout = time.Second
+	// probeTimeout limits the time to connect to a keeper and to ask it for its contact, where the slot is attached to
+	// another one meanwhile.
+	probeTimeout = 500 * time.Millisecond
 )
 
-// attachment is a link to a keeper that fills a place.
+// attachment is a link to a keeper that has accepted the process.
 type attachment struct {
 	addr   string
 	conn   *link.Conn
@@ -36,40 +43,40 @@
 	source *source
 }
 
-// drawn is a pause by chance, between a half of it and one and a half.
-func drawn(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
+// jitter returns a random duration between a half of a pause and one and a half of it.
+func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
 
-// hold keeps one place of attachment filled.
-func (c *Client) hold(ctx context.Context, place int) {
-	tries := 0
+// fillSlot keeps one slot filled until the context ends.
+func (c *Client) fillSlot(ctx context.Context, slot int) {
+	attempts := 0
 	for ctx.Err() == nil {
-		if a := c.attachAny(ctx, place); a != nil {
-			c.keep(ctx, place, a)
-			tries = 0
+		if a := c.attachAny(ctx, slot); a != nil {
+			c.watchAttachment(ctx, slot, a)
+			attempts = 0
 		}
-		tries++
+		attempts++
 		select {
-		case <-time.After(drawn(pauseAfter(tries))):
+		case <-time.After(jitter(pauseAfter(attempts))):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// pauseAfter returns the mean pause after so many tries in a row to attach a place.
-func pauseAfter(tries int) time.Duration {
+// pauseAfter returns the mean pause after so many attempts in a row to fill a slot.
+func pauseAfter(attempts int) time.Duration {
 	pause := attachPause
-	for range tries - quickAttaches {
-		if pause *= 2; pause >= attachPauseMost {
-			return attachPauseMost
+	for range attempts - quickAttaches {
+		pause *= 2
+		if pause >= maxAttachPause {
+			return maxAttachPause
 		}
 	}
 	return pause
 }
 
-// attachAny attaches to the first candidate that takes it, in contact or not: at a start it has what there is as soon
-// as there is contact. nil: there is none.
-func (c *Client) attachAny(ctx context.Context, place int) *attachment {
-	for _, addr := range c.candidates(place) {
+// attachAny attaches to the first candidate that accepts, in contact with a majority or not; nil: none does.
+func (c *Client) attachAny(ctx context.Context, slot int) *attachment {
+	for _, addr := range c.candidates(slot) {
 		if a := c.attach(ctx, addr, false); a != nil {
 			return a
 		}
@@ -77,37 +84,38 @@
 	return nil
 }
 
-// keep holds an attachment until its link ends, and takes another in its place while its keeper has no contact.
-func (c *Client) keep(ctx context.Context, place int, a *attachment) {
-	defer func() { c.leave(a) }()
+// watchAttachment returns when the link to the keeper has ended. While the keeper has no contact with a majority, it
+// moves the slot to one that has, if there is any.
+func (c *Client) watchAttachment(ctx context.Context, slot int, a *attachment) {
+	defer func() { c.detach(a) }() // a is the newest one then
 	pause := movePause
 	for {
-		var look <-chan time.Time
+		var lookAround <-chan time.Time
 		if !c.inContact(a) {
-			look = time.After(drawn(pause))
+			lookAround = time.After(jitter(pause))
 		}
 		select {
 		case <-a.conn.Done():
 			return
 		case <-ctx.Done():
 			return
-		case <-a.source.changed:
+		case <-a.source.contactChanged:
 			pause = movePause
-		case <-look:
-			pause = min(2*pause, movePauseMost)
-			if better := c.attachInContact(ctx, place, a); better != nil {
-				c.o.Log.Info("moved to a keeper in contact", "from", a.node.Name, "to", better.node.Name)
-				c.leave(a)
+		case <-lookAround:
+			pause = min(2*pause, maxMovePause)
+			if better := c.attachInContact(ctx, slot, a); better != nil {
+				c.options.Log.Info("moved to a keeper in contact", "from", a.node.Name, "to", better.node.Name)
+				c.detach(a)
 				a, pause = better, movePause
 			}
 		}
 	}
 }
 
-// attachInContact attaches to a candidate that is in contact, unless the present keeper is in contact again. nil:
-// there is none.
-func (c *Client) attachInContact(ctx context.Context, place int, present *attachment) *attachment {
-	for _, addr := range c.candidates(place) {
+// attachInContact attaches to a candidate that is in contact with a majority, unless the present keeper is in contact
+// again; nil: there is none.
+func (c *Client) attachInContact(ctx context.Context, slot int, present *attachment) *attachment {
+	for _, addr := range c.candidates(slot) {
 		if ctx.Err() != nil || c.inContact(present) {
 			return nil
 		}
@@ -118,23 +126,25 @@
 	return nil
 }
 
+// inContact reports whether the keeper of an attachment is in contact with a majority, as it reported last.
 func (c *Client) inContact(a *attachment) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return a.source.inContact
 }
 
-// leave ends an attachment.
-func (c *Client) leave(a *attachment) {
+// detach closes the link of an attachment.
+func (c *Client) detach(a *attachment) {
 	a.conn.Close()
 	c.release(a.addr)
-	c.o.Log.Info("keeper detached", "keeper", a.node.Name)
+	c.options.Log.Info("keeper detached", "keeper", a.node.Name)
 }
 
-// attach attaches to a keeper; with onlyInContact, to one that is in contact. nil: it did not.
+// attach attaches to a keeper; with onlyInContact, only if it is in contact with a majority. It returns nil if the
+// keeper can't be reached, doesn't accept, or belongs to the other slot.
 func (c *Client) attach(ctx context.Context, addr string, onlyInContact bool) *attachment {
 	if !c.reserve(addr) {
-		return nil // the other place has it
+		return nil
 	}
 	a := c.attachReserved(ctx, addr, onlyInContact)
 	if a == nil {
@@ -143,43 +153,45 @@
 	return a
 }
 
+// attachReserved dials a keeper and sends it a Hello.
 func (c *Client) attachReserved(ctx context.Context, addr string, onlyInContact bool) *attachment {
-	dialling := ctx
+	dialCtx := ctx
 	if onlyInContact {
-		limited, cancel := context.WithTimeout(ctx, lookWait)
+		limited, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		dialling = limited
+		dialCtx = limited
 	}
-	conn, err := link.Dial(dialling, addr, c, link.DefaultOptions)
+	conn, err := link.Dial(dialCtx, addr, c, link.DefaultOptions)
 	if err != nil {
-		return nil
+		return nil // the next candidate is tried, and this one again later
 	}
 	a := &attachment{addr: addr, conn: conn}
-	if onlyInContact && !isInContact(dialling, conn) || !c.hello(ctx, a) {
+	if onlyInContact && !queryInContact(dialCtx, conn) || !c.sendHello(ctx, a) {
 		conn.Close()
 		return nil
 	}
 	return a
 }
 
-// isInContact asks a keeper whether it is in contact with a majority, without attaching to it.
-func isInContact(ctx context.Context, conn *link.Conn) bool {
-	b, err := conn.Call(ctx, KindInContact, nil)
-	r := link.Reader{Buf: b}
+// queryInContact asks a keeper whether it is in contact with a majority, without attaching to it.
+func queryInContact(ctx context.Context, conn *link.Conn) bool {
+	body, err := conn.Call(ctx, KindInContact, nil)
+	r := link.Reader{Buf: body}
 	return r.Bool() && err == nil && r.Err == nil
 }
 
-// hello attaches over a link to a keeper.
-func (c *Client) hello(ctx context.Context, a *attachment) bool {
-	w := link.Writer{}
-	c.o.Self.Append(&w)
-	w.Bool(c.o.WantEndpoints)
-	ctx, cancel := context.WithTimeout(ctx, helloWait)
+// sendHello attaches over a link. It reports false if the keeper doesn't accept, or the client is attached to it
+// already.
+func (c *Client) sendHello(ctx context.Context, a *attachment) bool {
+	var hello link.Writer
+	c.options.Self.Append(&hello)
+	hello.Bool(c.options.WantEndpoints)
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	b, err := a.conn.Call(ctx, KindHello, w.Buf)
-	r := link.Reader{Buf: b}
+	body, err := a.conn.Call(ctx, KindHello, hello.Buf)
+	r := link.Reader{Buf: body}
 	a.node = ReadNode(&r)
-	r.Bool() // whether it has a disk
+	r.Bool() // whether the keeper has a disk, which is of no use here
 	inContact := r.Bool()
 	if err != nil || r.Err != nil || a.node.Role != RoleKeeper || !c.adopt(a.conn, a.node, inContact) {
 		return false
@@ -188,66 +200,13 @@
 	return true
 }
 
-func (c *Client) reserve(addr string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.trying[addr] {
-		return false
-	}
-	c.trying[addr] = true
-	return true
-}
-
-func (c *Client) release(addr string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.trying, addr)
-}
-
-// candidates are keepers to try, the own zone's first for the first place and another's for the second. Those that were
-// told of before, and are not any more, come last.
-func (c *Client) candidates(place int) []string {
-	c.mu.Lock()
-	nodes := slices.Clone(c.keepers)
-	former := slices.Clone(c.former)
-	taken := maps.Clone(c.trying)
-	for _, s := range c.sources {
-		taken[s.node.Addr] = true
-	}
-	c.mu.Unlock()
-	if c.o.KnownKeepers != nil {
-		nodes = append(nodes, c.o.KnownKeepers()...)
-	}
-	for _, s := range c.currentSeeds() {
-		nodes = append(nodes, Node{Addr: s})
-	}
-	return append(c.ordered(nodes, place, taken), c.ordered(former, place, taken)...)
-}
-
-// ordered draws an order of addresses that are not taken, and takes them.
-func (c *Client) ordered(nodes []Node, place int, taken map[string]bool) []string {
-	zones := map[string]string{}
-	var addrs []string
-	for _, n := range nodes {
-		if !taken[n.Addr] {
-			taken[n.Addr] = true
-			zones[n.Addr] = n.Zone
-			addrs = append(addrs, n.Addr)
-		}
-	}
-	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-	sort.SliceStable(addrs, func(i, j int) bool {
-		a, b := zones[addrs[i]] == c.o.Self.Zone, zones[addrs[j]] == c.o.Self.Zone
-		return a != b && a == (place == 0)
-	})
-	return addrs
-}
-
+// adopt adds an accepted link to the sources of the snapshot. It reports false if the link has ended, or another one
+// leads to the same keeper.
 func (c *Client) adopt(conn *link.Conn, node Node, inContact bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-conn.Done(): // Closed has been, or will find nothing
+	case <-conn.Done(): // Closed has found nothing to remove, or will find nothing
 		return false
 	default:
 	}
@@ -260,7 +219,7 @@
 	s.node = node
 	c.sources[conn] = s
 	c.rebuild(true)
-	c.ask()
-	c.o.Log.Info("keeper attached", "keeper", node.Name, "in_contact", s.inContact)
+	c.confirmNow()
+	c.options.Log.Info("keeper attached", "keeper", node.Name, "in_contact", s.inContact)
 	return true
 }
--- a/internal/control/controlclient/attach_test.go
+++ b/internal/control/controlclient/attach_test.go
@@ -17,7 +17,7 @@
 	last := pauseAfter(quickAttaches)
 	for tries := quickAttaches + 1; tries < 40; tries++ {
 		pause := pauseAfter(tries)
-		if pause != min(2*last, attachPauseMost) {
+		if pause != min(2*last, maxAttachPause) {
 			t.Fatalf("%v after %d tries, %v before", pause, tries, last)
 		}
 		last = pause
--- /dev/null
+++ b/internal/control/controlclient/candidates.go
@@ -0,0 +1,87 @@
+package controlclient
+
+import (
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sort"
+)
+
+// maxFormerKeepers limits the keepers that are remembered beside those in the newest update.
+const maxFormerKeepers = 64
+
+// reserve reserves a keeper's address for a slot. It reports false if it is reserved.
+func (c *Client) reserve(addr string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.reserved[addr] {
+		return false
+	}
+	c.reserved[addr] = true
+	return true
+}
+
+func (c *Client) release(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.reserved, addr)
+}
+
+// candidates returns the addresses of keepers to try, in random order: for the first slot those of the own zone first,
+// for the second those of other zones, so that the loss of a zone leaves a link. Keepers that an earlier update named,
+// and the newest does not, come last: the sender of the newest may be cut off from them.
+func (c *Client) candidates(slot int) []string {
+	c.mu.Lock()
+	nodes := slices.Clone(c.keepers)
+	former := slices.Clone(c.formerKeepers)
+	excluded := maps.Clone(c.reserved)
+	for _, s := range c.sources {
+		excluded[s.node.Addr] = true
+	}
+	c.mu.Unlock()
+	if c.options.KnownKeepers != nil {
+		nodes = append(nodes, c.options.KnownKeepers()...)
+	}
+	for _, seed := range c.currentSeeds() {
+		nodes = append(nodes, Node{Addr: seed})
+	}
+	return append(c.shuffled(nodes, slot, excluded), c.shuffled(former, slot, excluded)...)
+}
+
+// shuffled returns the addresses of nodes in the order for a slot, without those that are excluded, and excludes them.
+func (c *Client) shuffled(nodes []Node, slot int, excluded map[string]bool) []string {
+	zones := map[string]string{}
+	var addrs []string
+	for _, n := range nodes {
+		if !excluded[n.Addr] {
+			excluded[n.Addr] = true
+			zones[n.Addr] = n.Zone
+			addrs = append(addrs, n.Addr)
+		}
+	}
+	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
+	ownZoneFirst := slot == 0
+	sort.SliceStable(addrs, func(i, j int) bool {
+		own, otherOwn := zones[addrs[i]] == c.options.Self.Zone, zones[addrs[j]] == c.options.Self.Zone
+		return own != otherOwn && own == ownZoneFirst
+	})
+	return addrs
+}
+
+// setKeepers accepts the keepers of an update, and remembers those that were named before and are not any more.
+func (c *Client) setKeepers(keepers []Node) {
+	former := slices.Concat(c.formerKeepers, c.keepers)
+	c.keepers = keepers
+	listed := map[string]bool{}
+	for _, n := range keepers {
+		listed[n.Name] = true
+	}
+	c.formerKeepers = nil
+	for _, n := range slices.Backward(former) {
+		if !listed[n.Name] && len(c.formerKeepers) < maxFormerKeepers {
+			listed[n.Name] = true
+			c.formerKeepers = append(c.formerKeepers, n)
+		}
+	}
+	slices.Reverse(c.formerKeepers)
+}
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -12,112 +12,115 @@
 
 	"dunetide/internal/control/certification"
 	"dunetide/internal/control/operatorconfig"
-	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
 	"dunetide/internal/platform/link"
 )
 
 const (
-	// held is to how many keepers a process is attached.
-	held = 2
-	// saidFor is how long a drain or an end is remembered, whoever said it.
-	saidFor = 2 * time.Minute
-	// saidMost bounds what is remembered of drains and ends.
-	saidMost = 8192
-	// formerMost bounds the keepers that are remembered beside those that were told of last.
-	formerMost = 64
+	// attachedKeepers is the number of keepers to which a process is attached.
+	attachedKeepers = 2
+	// callTimeout limits the time that a keeper takes to answer CallKeeper.
+	callTimeout = time.Second
 )
 
-// ClientOptions of a process that is attached to keepers.
+// Options of a Client.
 type Options struct {
-	Self          Node
-	Seeds         []string      // addresses of keepers' links
-	KnownKeepers  func() []Node // keepers that membership knows of
-	WantEndpoints bool          // whether it wants the list of endpoints
-	Snapshots     *snapshot.Latest
-	OnSnapshot    func(*snapshot.Snapshot) // after each new snapshot, one call at a time; it must not call the Client
-	// ConfirmEvery is how often keepers are asked whether the certificates are the newest, once there are any; 0: never.
+	// Self is the process that is attached.
+	Self Node
+	// Seeds are the addresses of keepers' links from the settings.
+	Seeds []string
+	// KnownKeepers returns the keepers that gossip of members has found; nil: there is no gossip.
+	KnownKeepers func() []Node
+	// WantEndpoints has keepers push the list of endpoints.
+	WantEndpoints bool
+	// Snapshots is where each new snapshot is published.
+	Snapshots *snapshot.Latest
+	// OnSnapshot is called after each new snapshot, one call at a time. It must not call the Client. nil: nothing is
+	// called.
+	OnSnapshot func(*snapshot.Snapshot)
+	// ConfirmInterval is how often keepers are asked whether the certificates are the newest, once there are any; 0:
+	// never.
 	ConfirmInterval time.Duration
 	Log             hclog.Logger
 }
 
-// Client attaches a process to keepers and holds what they push. What it knows never goes back
-// within its life.
+// Client attaches a process to keepers and publishes what they push. While the process lives, no version in force is
+// replaced by an older one.
+//
+// Run owns the goroutines of a client and waits for them. Message and Closed run in the reading goroutines of the
+// links; each link is closed by the slot that dialled it, before Run returns.
 type Client struct {
-	o     Options
-	parse func([]byte) (*operatorconfig.Config, error)
-	// reading is held while a configuration is read and taken in: both keepers push it at once, and reading it
-	// takes long.
-	reading sync.Mutex
-
-	mu      sync.Mutex
-	sources map[*link.Conn]*source
-	trying  map[string]bool // addresses that a place is dialling or holds
-	stale   *source         // of the last keeper, while there is no other
-	said    map[string]saying
-	keepers []Node // as a keeper told last
-	former  []Node // keepers that were told of before, the latest last: the teller may be cut off from them
-	config  *operatorconfig.Config
-	table   *snapshot.PartitionTable
-	senders int
-	// merged is the list of endpoints in the newest snapshot, which shares it, and whether it is whole.
-	merged map[string][]*snapshot.Endpoint
-	listed bool
-
+	options     Options
+	parseConfig func([]byte) (*operatorconfig.Config, error)
+	// parsing is held while a configuration is parsed and put in force. Both keepers push one at the same time, and
+	// parsing takes long: the second one finds the version in force and is not parsed.
+	parsing sync.Mutex
+	// confirmed is the time that CertificatesConfirmedAt returns; nil: none.
+	confirmed atomic.Pointer[time.Time]
+	// confirmWake wakes confirmLoop before its interval is over.
+	confirmWake chan struct{}
+	// seeds take the place of those of the options; nil: they have not been replaced.
+	seeds atomic.Pointer[[]string]
+
+	mu sync.Mutex // guards what follows
+
+	// The keepers.
+	sources       map[*link.Conn]*source // the attached keepers
+	lastSource    *source                // the last keeper, while no attached one knows the endpoints
+	reserved      map[string]bool        // addresses that a slot dials or is attached to
+	keepers       []Node                 // those named by the newest update that names them
+	formerKeepers []Node                 // those named by earlier updates only, the latest last
+
+	// What is in force.
+	config            *operatorconfig.Config
+	table             *snapshot.PartitionTable
+	proxies           int
+	endpoints         map[string][]*snapshot.Endpoint // merged, by service; shared with the newest snapshot
+	endpointsComplete bool                            // whether endpoints come from a keeper that knows all
 	certificates      *certification.Set
 	certificatesKnown bool
-	unreadable        uint64        // a version that was pushed and can't be understood here
-	asked             chan struct{} // wakes confirming
-	confirmed         atomic.Pointer[time.Time]
-	seeds             atomic.Pointer[[]string] // nil: those of the options
-}
-
-// source is one keeper's word.
-type source struct {
-	node      Node
-	inContact bool          // the keeper is in contact with a majority, as it said last
-	changed   chan struct{} // wakes the place that holds it after a change of that
-	listed    bool
-	whole     bool
-	entries   map[string]registry.Entry
-}
-
-type saying struct {
-	state snapshot.State
-	at    time.Time
+	// unreadableCertificates is the newest version of certificates that was pushed and can't be parsed by this program.
+	unreadableCertificates uint64
+	// ended are the endpoints that a keeper has reported as draining or ended, by ID.
+	ended map[string]endedState
 }
 
-// NewClient returns a client that is not attached yet; Run attaches it.
+// New returns a client that is not attached yet; Run attaches it.
 func New(o Options) *Client {
-	return &Client{o: o, parse: operatorconfig.Parse, sources: map[*link.Conn]*source{}, trying: map[string]bool{}, said: map[string]saying{}, asked: make(chan struct{}, 1)}
+	return &Client{
+		options:     o,
+		parseConfig: operatorconfig.Parse,
+		confirmWake: make(chan struct{}, 1),
+		sources:     map[*link.Conn]*source{},
+		reserved:    map[string]bool{},
+		ended:       map[string]endedState{},
+	}
 }
 
-// SetSeeds replaces the addresses of keepers' links that are tried where membership knows of too few. What is attached
-// stays attached.
+// SetSeeds replaces the addresses of keepers' links that are tried beside those that gossip and updates name. Links
+// that are attached stay attached.
 func (c *Client) SetSeeds(addrs []string) { c.seeds.Store(&addrs) }
 
 func (c *Client) currentSeeds() []string {
 	if seeds := c.seeds.Load(); seeds != nil {
 		return *seeds
 	}
-	return c.o.Seeds
+	return c.options.Seeds
 }
 
-// Run keeps the process attached until the context ends.
+// Run keeps the process attached until the context ends, and returns when all links are closed.
 func (c *Client) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i := range held {
-		wg.Add(1)
-		go func() { defer wg.Done(); c.hold(ctx, i) }()
+	for slot := range attachedKeepers {
+		wg.Go(func() { c.fillSlot(ctx, slot) })
 	}
-	if c.o.ConfirmInterval > 0 {
-		wg.Add(1)
-		go func() { defer wg.Done(); c.confirm(ctx) }()
+	if c.options.ConfirmInterval > 0 {
+		wg.Go(func() { c.confirmLoop(ctx) })
 	}
 	wg.Wait()
 }
 
-// Keepers tells the attached keepers' links.
+// KeeperConns returns the links to the attached keepers, in no order.
 func (c *Client) KeeperConns() []*link.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,116 +131,13 @@
 	return conns
 }
 
-// sourceOf is the word of the keeper at the other end of a link; the first push may come before the reply to Hello.
-func sourceOf(conn *link.Conn, inContact bool) *source {
-	s, _ := conn.Tag.Load().(*source)
-	if s == nil {
-		s = &source{entries: map[string]registry.Entry{}, inContact: inContact, changed: make(chan struct{}, 1)}
-		conn.Tag.Store(s)
-	}
-	return s
-}
-
-func (s *source) setContact(inContact bool) {
-	if s.inContact == inContact {
-		return
-	}
-	s.inContact = inContact
-	select {
-	case s.changed <- struct{}{}:
-	default:
-	}
-}
-
-// Closed forgets a keeper's word once another one's is there.
-func (c *Client) Closed(conn *link.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := c.sources[conn]
-	if s == nil {
-		return
-	}
-	delete(c.sources, conn)
-	if s.whole && s.listed {
-		c.stale = s
-	}
-	// The newest of what an endpoint said of itself stays, so that it doesn't go back to what the others had.
-	for _, other := range c.sources {
-		for id, e := range other.entries {
-			if known, there := s.entries[id]; there && known.CallCount > e.CallCount {
-				other.entries[id] = known
-			}
-		}
-	}
-	c.rebuild(true)
-}
-
-// Message takes a push in and acknowledges it once it is in force.
-func (c *Client) Message(m *link.Message) {
-	if m.Kind != KindUpdate {
-		m.Fail("no such call here: both sides must run the same version")
-		return
-	}
-	u, err := ReadUpdate(m.Body)
-	if err != nil {
-		c.o.Log.Error("push unreadable", "err", err)
-		m.Conn.Close()
-		return
-	}
-	var config *operatorconfig.Config
-	if u.Config != nil {
-		c.reading.Lock()
-		defer c.reading.Unlock()
-		if c.version() < u.ConfigVersion {
-			if config, err = c.parse(u.Config); err != nil {
-				c.o.Log.Error("configuration unreadable", "version", u.ConfigVersion, "err", err)
-			}
-		}
-	}
-	var certificates *certification.Set
-	if u.Certificates != nil {
-		if certificates, err = certification.Parse(u.Certificates); err != nil {
-			c.o.Log.Error("certificates unreadable", "version", u.CertificatesVersion, "err", err)
-			if !c.closeGate(u.CertificatesVersion) { // then nobody here knows what is regulated
-				m.Conn.Close()
-				return
-			}
-		}
-	}
-	c.mu.Lock()
-	s := sourceOf(m.Conn, u.InContact)
-	s.setContact(u.InContact)
-	endpoints := c.take(s, u, config)
-	c.certificatesKnown = c.certificatesKnown || u.InContact
-	if certificates != nil && (c.certificates == nil || certificates.Version > c.certificates.Version) {
-		c.certificates = certificates
-		c.o.Log.Info("certificates in force", "version", certificates.Version, "certificates", len(certificates.Certificates), "regulated_routes", len(certificates.Routes))
-	}
-	c.rebuild(endpoints)
-	c.mu.Unlock()
-	if certificates != nil {
-		c.ask()
-	}
-	w := link.Writer{}
-	w.U64(u.Sequence)
-	_ = m.Conn.Send(KindAck, w.Buf)
-}
-
-func (c *Client) version() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.config == nil {
-		return 0
-	}
-	return c.config.Version
-}
-
-// Report sends a call to an attached keeper, one after the other until one takes it.
+// CallKeeper sends a call to one attached keeper after the other, until one answers without an error. It returns the
+// last keeper's error, or link.ErrClosed if no keeper is attached. A keeper that failed may have carried the call out.
 func (c *Client) CallKeeper(ctx context.Context, kind link.Kind, body []byte) error {
 	err := error(link.ErrClosed)
 	for _, conn := range c.KeeperConns() {
-		cctx, cancel := context.WithTimeout(ctx, time.Second)
-		_, err = conn.Call(cctx, kind, body)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		_, err = conn.Call(callCtx, kind, body)
 		cancel()
 		if err == nil {
 			return nil
@@ -246,13 +146,14 @@
 	return err
 }
 
-// SeedLinks turns the seeds of the settings (control addresses) into addresses of keepers' links.
+// SeedLinkAddrs returns the addresses of keepers' links, given the seeds of the settings, which are control addresses,
+// and the port of links. A seed that is not an address is left out.
 func SeedLinkAddrs(seeds []string, port int) []string {
-	var out []string
-	for _, s := range seeds {
-		if host, _, err := net.SplitHostPort(s); err == nil {
-			out = append(out, net.JoinHostPort(host, strconv.Itoa(port)))
+	var addrs []string
+	for _, seed := range seeds {
+		if host, _, err := net.SplitHostPort(seed); err == nil {
+			addrs = append(addrs, net.JoinHostPort(host, strconv.Itoa(port)))
 		}
 	}
-	return out
+	return addrs
 }
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -158,14 +158,14 @@
 func TestSaidIsBounded(t *testing.T) {
 	p := newPlayer()
 	at := time.Now()
-	for i := range 3 * saidMost {
+	for i := range 3 * maxEnded {
 		at = at.Add(time.Millisecond)
-		p.c.said[fmt.Sprint("i", i)] = saying{snapshot.Draining, at}
-		p.c.forget(at)
-		if len(p.c.said) > saidMost {
-			t.Fatalf("%d are remembered", len(p.c.said))
+		p.c.ended[fmt.Sprint("i", i)] = endedState{snapshot.Draining, at}
+		p.c.trimEnded(at)
+		if len(p.c.ended) > maxEnded {
+			t.Fatalf("%d are remembered", len(p.c.ended))
 		}
-		if _, there := p.c.said[fmt.Sprint("i", max(0, i-saidMost/4))]; !there {
+		if _, there := p.c.ended[fmt.Sprint("i", max(0, i-maxEnded/4))]; !there {
 			t.Fatalf("a drain among the newest is forgotten, after %d", i)
 		}
 	}
@@ -174,7 +174,7 @@
 // The places of attachment don't dial one keeper at the same time.
 func TestOnePlaceAnAddress(t *testing.T) {
 	c := newPlayer().c
-	c.o.Seeds = []string{"a:1", "b:1"}
+	c.options.Seeds = []string{"a:1", "b:1"}
 	if !c.reserve("a:1") || c.reserve("a:1") {
 		t.Fatal("reserved twice, or not at all")
 	}
@@ -230,19 +230,19 @@
 		}
 		return list
 	}
-	c.takeKeepers(nodes("a", "b", "c"))
-	c.takeKeepers(nodes("a"))
+	c.setKeepers(nodes("a", "b", "c"))
+	c.setKeepers(nodes("a"))
 	if got := c.candidates(0); len(got) != 3 || got[0] != "a:1" {
 		t.Fatal(got)
 	}
-	c.takeKeepers(nodes("b", "d"))
+	c.setKeepers(nodes("b", "d"))
 	if got := c.candidates(0); len(got) != 4 || got[0] != "b:1" && got[0] != "d:1" || got[2] != "a:1" && got[2] != "c:1" {
 		t.Fatal(got)
 	}
-	for i := range 3 * formerMost {
-		c.takeKeepers(nodes(fmt.Sprint("k", i)))
+	for i := range 3 * maxFormerKeepers {
+		c.setKeepers(nodes(fmt.Sprint("k", i)))
 	}
-	if got := c.candidates(0); len(got) != 1+formerMost || len(c.former) != formerMost || c.former[formerMost-1].Name != fmt.Sprint("k", 3*formerMost-2) {
-		t.Fatalf("%d candidates, %d former", len(got), len(c.former))
+	if got := c.candidates(0); len(got) != 1+maxFormerKeepers || len(c.formerKeepers) != maxFormerKeepers || c.formerKeepers[maxFormerKeepers-1].Name != fmt.Sprint("k", 3*maxFormerKeepers-2) {
+		t.Fatalf("%d candidates, %d former", len(got), len(c.formerKeepers))
 	}
 }
--- a/internal/control/controlclient/confirm.go
+++ b/internal/control/controlclient/confirm.go
@@ -3,11 +3,13 @@
 import (
 	"context"
 	"time"
+
+	"dunetide/internal/platform/link"
 )
 
-// Confirmed tells when the newest question was asked to which a keeper has answered that a majority knew of no newer
-// certificates than those it had pushed before; zero: none was answered yet. It is this process's own clock, so neither
-// the keepers' clocks nor the time that an answer took count for anything.
+// CertificatesConfirmedAt returns the time of the newest request to which a keeper has answered that a majority knew of
+// no newer certificates than those that it had pushed before; zero: none was answered yet. The time is that of this
+// process's own clock when it sent the request, so neither the keepers' clocks nor the delay of the answer matter.
 func (c *Client) CertificatesConfirmedAt() time.Time {
 	if at := c.confirmed.Load(); at != nil {
 		return *at
@@ -15,68 +17,74 @@
 	return time.Time{}
 }
 
-// confirm asks all attached keepers again and again, once there are certificates.
-func (c *Client) confirm(ctx context.Context) {
-	tick := time.NewTicker(c.o.ConfirmInterval)
-	defer tick.Stop()
+// confirmLoop has all attached keepers confirm the certificates at each interval, once there are any.
+func (c *Client) confirmLoop(ctx context.Context) {
+	ticker := time.NewTicker(c.options.ConfirmInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-		case <-c.asked:
+		case <-ticker.C:
+		case <-c.confirmWake:
 		case <-ctx.Done():
 			return
 		}
-		if s := c.o.Snapshots.Get(); s == nil || s.Certificates == nil {
+		if s := c.options.Snapshots.Get(); s == nil || s.Certificates == nil {
 			continue
 		}
 		for _, conn := range c.KeeperConns() {
-			at, reply := time.Now(), conn.Go(KindConfirm, nil)
-			go func() {
-				select {
-				case r := <-reply:
-					if r.Err == nil {
-						c.raise(at)
-					}
-				case <-ctx.Done():
-				}
-			}()
+			requestedAt := time.Now()
+			// It isn't waited for: it ends with the reply, the link or the context, whichever is first.
+			go c.awaitConfirmation(ctx, conn.Go(KindConfirm, nil), requestedAt)
 		}
 	}
 }
 
-// closeGate has nothing count as confirmed from here on, as newer certificates can't be understood, which may withdraw what is
-// in force. It tells whether there are any in force.
-func (c *Client) closeGate(version uint64) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.certificates == nil {
-		return false
-	}
-	if version > c.certificates.Version {
-		c.unreadable = version
-		c.confirmed.Store(nil)
+// awaitConfirmation waits for a keeper's answer to a request.
+func (c *Client) awaitConfirmation(ctx context.Context, reply <-chan link.Reply, requestedAt time.Time) {
+	select {
+	case r := <-reply:
+		if r.Err == nil {
+			c.setConfirmed(requestedAt)
+		}
+	case <-ctx.Done():
 	}
-	return true
 }
 
-func (c *Client) raise(at time.Time) {
+// setConfirmed moves the time of the newest confirmation forward, unless a version has been pushed that can't be
+// parsed.
+func (c *Client) setConfirmed(requestedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.certificates == nil || c.unreadable > c.certificates.Version {
+	if c.certificates == nil || c.unreadableCertificates > c.certificates.Version {
 		return
 	}
 	for {
 		old := c.confirmed.Load()
-		if old != nil && !old.Before(at) || c.confirmed.CompareAndSwap(old, &at) {
+		if old != nil && !old.Before(requestedAt) || c.confirmed.CompareAndSwap(old, &requestedAt) {
 			return
 		}
 	}
 }
 
-// ask has the keepers asked at once.
-func (c *Client) ask() {
+// distrustCertificates has the certificates in force no longer count as confirmed, as a newer version that can't be
+// parsed may withdraw them. It reports whether there are any in force.
+func (c *Client) distrustCertificates(unreadableVersion uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.certificates == nil {
+		return false
+	}
+	if unreadableVersion > c.certificates.Version {
+		c.unreadableCertificates = unreadableVersion
+		c.confirmed.Store(nil)
+	}
+	return true
+}
+
+// confirmNow has the keepers confirm the certificates before the interval is over.
+func (c *Client) confirmNow() {
 	select {
-	case c.asked <- struct{}{}:
-	default:
+	case c.confirmWake <- struct{}{}:
+	default: // they are to be confirmed already
 	}
 }
--- a/internal/control/controlclient/golden_test.go
+++ b/internal/control/controlclient/golden_test.go
@@ -267,7 +267,7 @@
 
 	ctx, cancel := context.WithCancel(t.Context())
 	confirming := make(chan struct{})
-	go func() { defer close(confirming); c.confirm(ctx) }()
+	go func() { defer close(confirming); c.confirmLoop(ctx) }()
 	defer func() { cancel(); <-confirming }()
 	checkGolden(t, "frame_confirm_call", readFrame(t, raw, 0))
 	write("frame_confirm_reply", []byte{0, 0, 0, 5, 250, 0, 0, 0, 3})
--- a/internal/control/controlclient/invariants.go
+++ b/internal/control/controlclient/invariants.go
@@ -8,27 +8,29 @@
 )
 
 var (
-	// versionsNeverGoBack: what a process has in force of the registers only grows in its life.
+	// versionsNeverGoBack: while a process lives, each document in force is replaced by a newer version only.
 	versionsNeverGoBack = invariant.New("versions_in_force_never_go_back")
-	// endsAreFinal: an endpoint that drains or has ended never becomes ready again under the same id.
+	// endsAreFinal: an endpoint that drains or has ended never becomes ready again under the same ID.
 	endsAreFinal = invariant.New("drained_endpoints_never_become_ready")
 )
 
-// checkSuccessor holds a snapshot against the one that it replaces. The list of endpoints is looked at where it has changed.
-func checkSuccessor(before, after *snapshot.Snapshot, endpoints bool) {
+// checkSuccessor checks a snapshot against the one that it replaces; nil: it is the first. The lists of endpoints are
+// compared only if they may differ, as they are long.
+func checkSuccessor(before, after *snapshot.Snapshot, endpointsChanged bool) {
 	if before == nil {
 		return
 	}
 	was, is := versionsOf(before), versionsOf(after)
-	versionsNeverGoBack.Check(was.config <= is.config && was.table <= is.table && was.certificates <= is.certificates, func() string {
+	neverBack := was.config <= is.config && was.table <= is.table && was.certificates <= is.certificates
+	versionsNeverGoBack.Check(neverBack, func() string {
 		return fmt.Sprintf("%+v were in force, now %+v", was, is)
 	})
-	if endpoints {
+	if endpointsChanged {
 		checkEnds(before, after)
 	}
 }
 
-// versions are those of a snapshot; 0 where there is nothing.
+// versions are those of the documents in a snapshot; 0: there is none.
 type versions struct{ config, table, certificates uint64 }
 
 func versionsOf(s *snapshot.Snapshot) (v versions) {
@@ -44,7 +46,7 @@
 	return v
 }
 
-// checkEnds looks for endpoints that were draining and are ready. Both lists are in the order of their ids.
+// checkEnds checks that no endpoint was draining before and is ready after. Both lists are sorted by ID.
 func checkEnds(before, after *snapshot.Snapshot) {
 	for service, list := range after.Endpoints {
 		old, revived := before.Endpoints[service], ""
@@ -56,6 +58,8 @@
 				revived = e.ID
 			}
 		}
-		endsAreFinal.Check(revived == "", func() string { return fmt.Sprintf("endpoint %s of %s is ready again", revived, service) })
+		endsAreFinal.Check(revived == "", func() string {
+			return fmt.Sprintf("endpoint %s of %s is ready again", revived, service)
+		})
 	}
 }
--- a/internal/control/controlclient/kinds.go
+++ b/internal/control/controlclient/kinds.go
@@ -1,29 +1,55 @@
-// Package control has what goes between keepers and the processes attached to them: the messages,
-// and the side of those attached.
 package controlclient
 
 import "dunetide/internal/platform/link"
 
-// Kinds of messages on links to keepers. Those of batch jobs have their own, from 64 on.
+// Kinds of messages on links to keepers. The numbers are on the wire: they never change, and none is used again. Those
+// of batch jobs, from 64 on, are declared by package batch.
+//
+// Between keepers and the processes attached to them:
 const (
-	KindHello            link.Kind = 1  // call: who dials (Node); the reply says who was dialled (Node), whether it has a disk, and whether it is in contact
-	KindUpdate           link.Kind = 2  // one way, keeper to attached: a numbered change (Update)
-	KindAck              link.Kind = 3  // one way, attached to keeper: the number of the newest change that is in force there
-	KindConsensus        link.Kind = 4  // one way, between keepers: a register's name, the sender as a voter, a message of agreement
-	KindEndpoints        link.Kind = 5  // call, between keepers: entries of the list of endpoints that changed; empty reply
-	KindLiveness         link.Kind = 6  // one way, between keepers: which incarnations were heard of, and how long ago
-	KindAttached         link.Kind = 7  // one way, between keepers: the processes attached to the sender, all of them
-	KindDecided          link.Kind = 8  // one way, between keepers: a register's name and a decided state
-	KindPartitionJoined  link.Kind = 9  // call, store to keeper: the next group of a part has all of it (part, epoch)
-	KindLease            link.Kind = 10 // call, between keepers: a duty's name, the holder, the length; the reply says whether it is granted
-	KindEndpointsRequest link.Kind = 12 // one way, between keepers: send all entries, as some are not known
-	KindStatus           link.Kind = 11 // call: the status as JSON
-	KindConfirm          link.Kind = 13 // call, attached to keeper: answered once a majority has said, after it came, that the certificates pushed are the newest
-	KindKeeperReport     link.Kind = 15 // one way, between keepers: the state of the sender (KeeperReport)
-	KindStoreStopping    link.Kind = 20 // call, store to keeper: whether the store (its identity) is about to stop and is to lead nothing
-	// InContact is a call, to a keeper by a process that looks for one: the reply says whether the keeper is in contact with a majority.
+	// KindHello is a call by the side that dials: its Node, and whether it wants the list of endpoints. The reply: the
+	// keeper's Node, whether it has a disk, and whether it is in contact with a majority.
+	KindHello link.Kind = 1
+	// KindUpdate is a one-way message to an attached process: a numbered change (Update).
+	KindUpdate link.Kind = 2
+	// KindAck is a one-way message to a keeper: the sequence number of the newest update that is in force at the sender.
+	KindAck link.Kind = 3
+	// KindPartitionJoined is a call by a store: the next replicas of a partition have all of it (PartitionJoined).
+	KindPartitionJoined link.Kind = 9
+	// KindStatus is a call without a body. The reply: the keeper's status as JSON.
+	KindStatus link.Kind = 11
+	// KindConfirm is a call without a body. It is answered once a majority has said, after the call arrived, that the
+	// certificates that were pushed are the newest.
+	KindConfirm link.Kind = 13
+	// KindStoreStopping is a call by a store: whether it is about to stop and must not be a primary (StoreStopping).
+	KindStoreStopping link.Kind = 20
+	// KindInContact is a call without a body by a process that looks for a keeper. The reply: whether the keeper is in
+	// contact with a majority.
 	KindInContact link.Kind = 21
-	// ProcessTrouble is a call, to a keeper by a process that can't do its work; between keepers it is one way (Trouble).
+	// KindCondition is a call by a process that can't do its work, and a one-way message between keepers (Condition).
 	KindCondition link.Kind = 22
-	KindInForce   link.Kind = 14 // call, between keepers: a version of the certificates; the reply says whether all attached have it in force
+)
+
+// Between keepers:
+const (
+	// KindConsensus is a one-way message: the name of a register, the sender as a voter, and a message of Paxos.
+	KindConsensus link.Kind = 4
+	// KindEndpoints is a call: entries of the list of endpoints that have changed. The reply is empty.
+	KindEndpoints link.Kind = 5
+	// KindLiveness is a one-way message: the incarnations of endpoints from which heartbeats arrived, and when.
+	KindLiveness link.Kind = 6
+	// KindAttached is a one-way message: all processes that are attached to the sender.
+	KindAttached link.Kind = 7
+	// KindDecided is a one-way message: the name of a register and a state of it that was decided.
+	KindDecided link.Kind = 8
+	// KindLease is a call: the name of a singleton role, the process that wants the lease, and its duration. The reply:
+	// whether it is granted.
+	KindLease link.Kind = 10
+	// KindEndpointsRequest is a one-way message: send all entries of the list of endpoints, as some are missing here.
+	KindEndpointsRequest link.Kind = 12
+	// KindInForce is a call: a version of the certificates. The reply: whether it is in force at all processes that are
+	// attached to the keeper.
+	KindInForce link.Kind = 14
+	// KindKeeperReport is a one-way message: the state of the sender (KeeperReport).
+	KindKeeperReport link.Kind = 15
 )
--- a/internal/control/controlclient/merge.go
+++ b/internal/control/controlclient/merge.go
@@ -6,141 +6,182 @@
 	"sort"
 	"time"
 
+	"dunetide/internal/control/certification"
 	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
 )
 
-// take takes a push in, and tells whether it may change the list of endpoints.
-func (c *Client) take(s *source, u *Update, config *operatorconfig.Config) (endpoints bool) {
-	if config != nil && (c.config == nil || config.Version > c.config.Version) {
-		c.config = config
-		c.o.Log.Info("configuration in force", "version", config.Version)
-	}
-	if u.Table != nil && (c.table == nil || u.Table.Version > c.table.Version) {
-		c.table = u.Table
-		c.o.Log.Info("table in force", "number", u.Table.Version, "stores", len(u.Table.Stores))
+const (
+	// endedRetention is how long an endpoint that drains or has ended is remembered, whichever keeper reported it.
+	endedRetention = 2 * time.Minute
+	// maxEnded limits the endpoints that are remembered so.
+	maxEnded = 8192
+)
+
+// endedState says that an endpoint is draining or has ended.
+type endedState struct {
+	state      snapshot.State
+	reportedAt time.Time
+}
+
+// applyConfig puts a configuration in force unless a newer one is; nil: nothing.
+func (c *Client) applyConfig(config *operatorconfig.Config) {
+	if config == nil || c.config != nil && config.Version <= c.config.Version {
+		return
 	}
-	if u.Proxies > 0 {
-		c.senders = u.Proxies
+	c.config = config
+	c.options.Log.Info("configuration in force", "version", config.Version)
+}
+
+// applyTable puts the partition table of an update in force unless a newer one is.
+func (c *Client) applyTable(u *Update) {
+	if u.Table == nil || c.table != nil && u.Table.Version <= c.table.Version {
+		return
 	}
-	if u.Keepers != nil {
-		c.takeKeepers(u.Keepers)
+	c.table = u.Table
+	c.options.Log.Info("table in force", "number", u.Table.Version, "stores", len(u.Table.Stores))
+}
+
+// applyCertificates puts certificates in force unless newer ones are; nil: nothing.
+func (c *Client) applyCertificates(certificates *certification.Set) {
+	if certificates == nil || c.certificates != nil && certificates.Version <= c.certificates.Version {
+		return
 	}
+	c.certificates = certificates
+	c.options.Log.Info("certificates in force",
+		"version", certificates.Version,
+		"certificates", len(certificates.Certificates),
+		"regulated_routes", len(certificates.Routes))
+}
+
+// applyEndpoints stores the endpoints of an update in the keeper's source. It reports whether the merged list may
+// change.
+func (c *Client) applyEndpoints(s *source, u *Update) (changed bool) {
 	before := s.entries
-	endpoints = u.FullSync || len(u.Entries) > 0 || u.EndpointsComplete && !s.listed
+	changed = u.FullSync || len(u.Entries) > 0 || u.EndpointsComplete && !s.endpointsComplete
 	if u.FullSync {
 		s.entries = map[string]registry.Entry{}
-		s.whole = true
+		s.synced = true
 	}
-	// A keeper that listens anew, after a freeze, takes nobody away before it has heard a round: its word stays good.
-	s.listed = s.listed || u.EndpointsComplete
+	// A keeper that begins anew to collect heartbeats, after a freeze, removes no endpoint before it knows all again: what
+	// it pushed before stays valid.
+	s.endpointsComplete = s.endpointsComplete || u.EndpointsComplete
 	now := time.Now()
 	for _, e := range u.Entries {
-		if old, there := before[e.ID]; there && old.CallCount > e.CallCount && !e.Dead() {
-			old.State = max(old.State, e.State)
-			e = old
-		}
-		s.entries[e.ID] = e
-		if e.State != snapshot.Ready {
-			if old, there := c.said[e.ID]; !there || old.state < e.State {
-				c.said[e.ID] = saying{e.State, now}
-			}
-		}
-		if e.Dead() {
-			delete(s.entries, e.ID)
-		}
+		c.applyEntry(s, before, e, now)
 	}
-	c.forget(now)
-	return endpoints
+	c.trimEnded(now)
+	return changed
 }
 
-// takeKeepers takes in which keepers there are, and remembers those that are not told of any more.
-func (c *Client) takeKeepers(told []Node) {
-	former := slices.Concat(c.former, c.keepers)
-	c.keepers = told
-	seen := map[string]bool{}
-	for _, n := range told {
-		seen[n.Name] = true
-	}
-	c.former = c.former[:0:0]
-	for _, n := range slices.Backward(former) {
-		if !seen[n.Name] && len(c.former) < formerMost {
-			seen[n.Name] = true
-			c.former = append(c.former, n)
+// applyEntry stores one endpoint in the keeper's source. An entry with an older heartbeat than the one that the keeper
+// pushed before changes the state only.
+func (c *Client) applyEntry(s *source, before map[string]registry.Entry, e registry.Entry, now time.Time) {
+	if known, found := before[e.ID]; found && known.CallCount > e.CallCount && !e.Dead() {
+		known.State = max(known.State, e.State)
+		e = known
+	}
+	if e.State != snapshot.Ready {
+		if known, found := c.ended[e.ID]; !found || known.state < e.State {
+			c.ended[e.ID] = endedState{e.State, now}
 		}
 	}
-	slices.Reverse(c.former)
+	if e.Dead() {
+		delete(s.entries, e.ID)
+		return
+	}
+	s.entries[e.ID] = e
 }
 
-// forget keeps what was said bounded: what is old goes, and if that is not enough, the oldest.
-func (c *Client) forget(now time.Time) {
-	if len(c.said) <= saidMost {
+// trimEnded limits the draining and ended endpoints that are remembered: where there are too many, the old ones are
+// forgotten, and of the others the oldest.
+func (c *Client) trimEnded(now time.Time) {
+	if len(c.ended) <= maxEnded {
 		return
 	}
-	ids := slices.Collect(maps.Keys(c.said))
-	slices.SortFunc(ids, func(a, b string) int { return c.said[a].at.Compare(c.said[b].at) })
+	ids := slices.Collect(maps.Keys(c.ended))
+	slices.SortFunc(ids, func(a, b string) int { return c.ended[a].reportedAt.Compare(c.ended[b].reportedAt) })
 	for i, id := range ids {
-		if i < len(ids)-saidMost/2 || now.Sub(c.said[id].at) > saidFor {
-			delete(c.said, id)
+		if i < len(ids)-maxEnded/2 || now.Sub(c.ended[id].reportedAt) > endedRetention {
+			delete(c.ended, id)
 		}
 	}
 }
 
-// rebuild makes the snapshot anew. Where the list of endpoints can't have changed, it has that of the one
-// before: most pushes in a start of all are about something else, and the list is long.
-func (c *Client) rebuild(endpoints bool) {
-	if endpoints || c.merged == nil {
-		c.merge()
-	}
-	snap := &snapshot.Snapshot{Config: c.config, Proxies: max(c.senders, 1), Table: c.table, EndpointsComplete: c.listed, Endpoints: c.merged,
-		Certificates: c.certificates, CertificatesKnown: c.certificatesKnown}
-	checkSuccessor(c.o.Snapshots.Get(), snap, endpoints)
-	c.o.Snapshots.Set(snap)
-	if c.o.OnSnapshot != nil {
-		c.o.OnSnapshot(snap)
+// rebuild publishes a new snapshot. Where the list of endpoints can't have changed, the snapshot shares the one before:
+// most updates at a start of all processes are about something else, and the list is long.
+func (c *Client) rebuild(endpointsChanged bool) {
+	if endpointsChanged || c.endpoints == nil {
+		c.mergeEndpoints()
+	}
+	next := &snapshot.Snapshot{
+		Config:            c.config,
+		Proxies:           max(c.proxies, 1),
+		Table:             c.table,
+		EndpointsComplete: c.endpointsComplete,
+		Endpoints:         c.endpoints,
+		Certificates:      c.certificates,
+		CertificatesKnown: c.certificatesKnown,
+	}
+	checkSuccessor(c.options.Snapshots.Get(), next, endpointsChanged)
+	c.options.Snapshots.Set(next)
+	if c.options.OnSnapshot != nil {
+		c.options.OnSnapshot(next)
+	}
+}
+
+// mergeEndpoints makes one list of what the keepers have pushed. An endpoint is in it as long as one source has it;
+// draining or ended counts whichever keeper reported it.
+func (c *Client) mergeEndpoints() {
+	newest := newestEntries(c.mergedSources())
+	c.endpoints = map[string][]*snapshot.Endpoint{} // a new map, as snapshots share the one before
+	for id, e := range newest {
+		if ended := c.ended[id]; ended.state > e.State {
+			e.State = ended.state
+		}
+		if e.State == snapshot.Removed {
+			continue
+		}
+		endpoint := e.Endpoint
+		c.endpoints[e.Service] = append(c.endpoints[e.Service], &endpoint)
+	}
+	for _, list := range c.endpoints {
+		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
 }
 
-// merge makes one list of what the keepers tell. An endpoint is there as long as one attached keeper that has
-// heard a whole round holds it; a drain or an end counts whoever said it.
-func (c *Client) merge() {
-	c.listed = false
-	var from []*source
+// mergedSources returns the sources that have pushed a complete list, and sets endpointsComplete. While none of them
+// knows all endpoints, the last source that did is one of them.
+func (c *Client) mergedSources() []*source {
+	c.endpointsComplete = false
+	var sources []*source
 	for _, s := range c.sources {
-		if s.whole && s.listed {
-			c.listed = true
+		if s.synced && s.endpointsComplete {
+			c.endpointsComplete = true
 		}
-		if s.whole {
-			from = append(from, s)
+		if s.synced {
+			sources = append(sources, s)
 		}
 	}
-	if c.listed {
-		c.stale = nil
-	} else if c.stale != nil {
-		from = append(from, c.stale)
-		c.listed = true
+	if c.endpointsComplete {
+		c.lastSource = nil
+	} else if c.lastSource != nil {
+		sources = append(sources, c.lastSource)
+		c.endpointsComplete = true
 	}
+	return sources
+}
+
+// newestEntries returns, of each endpoint, the entry with the newest heartbeat.
+func newestEntries(sources []*source) map[string]registry.Entry {
 	newest := map[string]registry.Entry{}
-	for _, s := range from {
+	for _, s := range sources {
 		for id, e := range s.entries {
-			if old, there := newest[id]; !there || old.CallCount < e.CallCount {
+			if known, found := newest[id]; !found || known.CallCount < e.CallCount {
 				newest[id] = e
 			}
 		}
 	}
-	c.merged = map[string][]*snapshot.Endpoint{} // the one before is shared
-	for id, e := range newest {
-		if said := c.said[id]; said.state > e.State {
-			e.State = said.state
-		}
-		if e.State == snapshot.Removed {
-			continue
-		}
-		endpoint := e.Endpoint
-		c.merged[e.Service] = append(c.merged[e.Service], &endpoint)
-	}
-	for _, list := range c.merged {
-		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-	}
+	return newest
 }
--- a/internal/control/controlclient/merge_test.go
+++ b/internal/control/controlclient/merge_test.go
@@ -127,7 +127,7 @@
 	defer l.Close()
 	c := New(Options{Self: Node{Name: "p", Role: RoleProxy}, Snapshots: &snapshot.Latest{}, Log: hclog.NewNullLogger()})
 	var read atomic.Int64
-	c.parse = func([]byte) (*operatorconfig.Config, error) {
+	c.parseConfig = func([]byte) (*operatorconfig.Config, error) {
 		read.Add(1)
 		time.Sleep(100 * time.Millisecond) // the other push comes meanwhile
 		return &operatorconfig.Config{Version: 3}, nil
@@ -145,7 +145,7 @@
 		wg.Go(func() { c.Message(&link.Message{Conn: conn, Kind: KindUpdate, Body: u.Encode()}) })
 	}
 	wg.Wait()
-	if n := read.Load(); n != 1 || c.o.Snapshots.Get().Config.Version != 3 {
+	if n := read.Load(); n != 1 || c.options.Snapshots.Get().Config.Version != 3 {
 		t.Errorf("it was read %d times", n)
 	}
 }
--- /dev/null
+++ b/internal/control/controlclient/receive.go
@@ -0,0 +1,129 @@
+package controlclient
+
+import (
+	"dunetide/internal/control/certification"
+	"dunetide/internal/control/operatorconfig"
+	"dunetide/internal/platform/link"
+)
+
+// Message implements link.Handler: it puts an update in force and acknowledges it then. An update that can't be decoded
+// closes the link. A configuration or certificates that can't be parsed leave those before in force, and the update
+// counts as received.
+func (c *Client) Message(m *link.Message) {
+	if m.Kind != KindUpdate {
+		m.Fail("no such call here: both sides must run the same version")
+		return
+	}
+	u, err := ReadUpdate(m.Body)
+	if err != nil {
+		c.options.Log.Error("push unreadable", "err", err)
+		m.Conn.Close()
+		return
+	}
+	var config *operatorconfig.Config
+	if u.Config != nil {
+		c.parsing.Lock()
+		defer c.parsing.Unlock()
+		config = c.parseNewerConfig(u)
+	}
+	var certificates *certification.Set
+	if u.Certificates != nil {
+		var usable bool
+		if certificates, usable = c.parseCertificates(u); !usable {
+			m.Conn.Close()
+			return
+		}
+	}
+	c.apply(m.Conn, u, config, certificates)
+	if certificates != nil {
+		c.confirmNow()
+	}
+	var ack link.Writer
+	ack.U64(u.Sequence)
+	_ = m.Conn.Send(KindAck, ack.Buf) // an error means that the link has ended: the keeper pushes all over the next one
+}
+
+// Closed implements link.Handler: it removes the keeper's source. What it said of endpoints stays in force until
+// another keeper knows all endpoints.
+func (c *Client) Closed(conn *link.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.sources[conn]
+	if s == nil {
+		return
+	}
+	delete(c.sources, conn)
+	if s.synced && s.endpointsComplete {
+		c.lastSource = s
+	}
+	c.inheritNewerEntries(s)
+	c.rebuild(true)
+}
+
+// inheritNewerEntries gives the other sources the newer heartbeats of a source that ends, so that no endpoint goes back
+// to an older one.
+func (c *Client) inheritNewerEntries(ended *source) {
+	for _, other := range c.sources {
+		for id, e := range other.entries {
+			if known, found := ended.entries[id]; found && known.CallCount > e.CallCount {
+				other.entries[id] = known
+			}
+		}
+	}
+}
+
+// parseNewerConfig parses the configuration of an update if it is newer than the one in force; nil: it isn't, or it
+// can't be parsed.
+func (c *Client) parseNewerConfig(u *Update) *operatorconfig.Config {
+	if c.configVersion() >= u.ConfigVersion {
+		return nil
+	}
+	config, err := c.parseConfig(u.Config)
+	if err != nil {
+		c.options.Log.Error("configuration unreadable", "version", u.ConfigVersion, "err", err)
+		return nil
+	}
+	return config
+}
+
+// configVersion returns the version of the configuration in force; 0: there is none.
+func (c *Client) configVersion() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.config == nil {
+		return 0
+	}
+	return c.config.Version
+}
+
+// parseCertificates parses the certificates of an update. If they can't be parsed, those in force stay, but don't count
+// as confirmed any more. It reports false if there are none in force either: then this process doesn't know what is
+// regulated, and must not use the update.
+func (c *Client) parseCertificates(u *Update) (certificates *certification.Set, usable bool) {
+	certificates, err := certification.Parse(u.Certificates)
+	if err == nil {
+		return certificates, true
+	}
+	c.options.Log.Error("certificates unreadable", "version", u.CertificatesVersion, "err", err)
+	return nil, c.distrustCertificates(u.CertificatesVersion)
+}
+
+// apply puts an update in force.
+func (c *Client) apply(conn *link.Conn, u *Update, config *operatorconfig.Config, certificates *certification.Set) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := sourceOf(conn, u.InContact)
+	s.setInContact(u.InContact)
+	c.applyConfig(config)
+	c.applyTable(u)
+	if u.Proxies > 0 {
+		c.proxies = u.Proxies
+	}
+	if u.Keepers != nil {
+		c.setKeepers(u.Keepers)
+	}
+	endpointsChanged := c.applyEndpoints(s, u)
+	c.certificatesKnown = c.certificatesKnown || u.InContact
+	c.applyCertificates(certificates)
+	c.rebuild(endpointsChanged)
+}
--- a/internal/control/controlclient/store_reports.go
+++ b/internal/control/controlclient/store_reports.go
@@ -2,13 +2,14 @@
 
 import "dunetide/internal/platform/link"
 
-// PartJoined is the body of a Joined call: a store says that the next group of a part has all of it.
+// PartitionJoined is the body of a KindPartitionJoined call: the next replicas of a partition have all of it.
 type PartitionJoined struct {
+	// Partition is the partition's index in the table, Epoch the one in which it was copied.
 	Partition int
 	Epoch     uint64
 }
 
-// Encode writes the message.
+// Encode returns the encoding of the message.
 func (p PartitionJoined) Encode() []byte {
 	w := link.Writer{}
 	w.Int(p.Partition)
@@ -16,20 +17,21 @@
 	return w.Buf
 }
 
-// ReadPartJoined reads the message.
+// ReadPartitionJoined decodes the message. It fails with link.ErrTruncated.
 func ReadPartitionJoined(body []byte) (PartitionJoined, error) {
 	r := link.Reader{Buf: body}
 	p := PartitionJoined{Partition: r.Int(), Epoch: r.U64()}
 	return p, r.Err
 }
 
-// StoreStopping is the body of a Stopping call: a store says whether it is about to stop.
+// StoreStopping is the body of a KindStoreStopping call: whether a store is about to stop.
 type StoreStopping struct {
-	Store    uint64 // its identity
+	// Store is the ID of the store.
+	Store    uint64
 	Stopping bool
 }
 
-// Encode writes the message.
+// Encode returns the encoding of the message.
 func (s StoreStopping) Encode() []byte {
 	w := link.Writer{}
 	w.U64(s.Store)
@@ -37,7 +39,7 @@
 	return w.Buf
 }
 
-// ReadStoreStopping reads the message.
+// ReadStoreStopping decodes the message. It fails with link.ErrTruncated.
 func ReadStoreStopping(body []byte) (StoreStopping, error) {
 	r := link.Reader{Buf: body}
 	s := StoreStopping{Store: r.U64(), Stopping: r.Bool()}
--- a/internal/control/keeper/mutants_test.go
+++ b/internal/control/keeper/mutants_test.go
@@ -83,8 +83,8 @@
 	},
 	{
 		Name: "processes forget keepers that are not told of any more",
-		File: "../controlclient/merge.go",
-		Old:  "	former := slices.Concat(c.former, c.keepers)\n",
+		File: "../controlclient/candidates.go",
+		Old:  "	former := slices.Concat(c.formerKeepers, c.keepers)\n",
 		New:  "	var former []Node\n",
 	},
 	{
