--- a/cmd/dunetide/audit.go
+++ b/cmd/dunetide/audit.go
@@ -8,13 +8,14 @@
 	"dunetide/internal/batch/audit"
 )
 
+// auditCmd checks the record of regulated runs offline. It exits with status 1 if it finds problems.
 type auditCmd struct {
 	Files  []string      `arg:"" name:"file" help:"Files of stores: audit.log and audit-N.log, of as many stores as there are." type:"existingfile"`
 	CSV    bool          `help:"Write the rows as CSV to standard output, and what is wrong to standard error."`
 	Within time.Duration `default:"2s" help:"The time in which a withdrawal is in force everywhere: drain_ms of the deployment. 0: not checked."`
 }
 
-// Run reads the files and tells what is wrong with them or with the runs in them.
+// Run implements the command: it prints a summary of the runs and the problems of the files and the runs.
 func (c auditCmd) Run() error {
 	r, err := audit.CheckFiles(c.Files, audit.CheckOptions{WithdrawalBound: c.Within})
 	if err != nil {
--- a/cmd/dunetide/batchcalls.go
+++ b/cmd/dunetide/batchcalls.go
@@ -14,86 +14,92 @@
 )
 
 const (
-	// callMost is how long a call about batch jobs may take.
+	// batchCallTimeout is how long a call of the batch interface may take.
 	batchCallTimeout = 4 * time.Second
-	// bodyMost bounds such a call's body where no configuration says it.
+	// maxBatchBody bounds such a call's body where no configuration does.
 	maxBatchBody = 8 << 20
-	// answerMost is how long a client may take to read the answer to such a call.
+	// batchAnswerTimeout is how long a client may take to read the answer to such a call.
 	batchAnswerTimeout = 15 * time.Second
-	// retryAfterBodies is in how many seconds a call comes again for which too many bodies were in hand.
+	// bodyBudgetRetryAfter is after how many seconds to retry a call for whose body there was no budget.
 	bodyBudgetRetryAfter = "0.5"
-	// spareItems are in hand beyond the share, so that none has to be asked for when one ends.
+	// spareItems are running beyond the share, so that none has to be requested when one ends.
 	spareItems = 2
 )
 
-// jobs is the batch side of a proxy.
+// batchCalls is the batch interface of a proxy: it answers clients' calls about jobs and runs items.
 type batchCalls struct {
-	edge      *batch.Proxy
+	jobs      *batch.Proxy
 	snapshots *snapshot.Latest
 	runner    *itemRunner
 	bodies    *clientbody.Budget // shared with the requests of clients
-	// stopped: no more items are taken up.
-	stopped atomic.Bool
+	stopped   atomic.Bool        // no more items are started
 }
 
-func newBatchCalls(p *process, holder *snapshot.Latest, bodies *clientbody.Budget) *batchCalls {
-	j := &batchCalls{snapshots: holder, bodies: bodies, runner: &itemRunner{snapshots: holder}}
-	j.edge = batch.NewProxy(batch.ProxyOptions{
-		Snapshots: holder,
+// newBatchCalls returns the batch interface of a proxy. Items run after setProxy.
+func newBatchCalls(p *process, snapshots *snapshot.Latest, bodies *clientbody.Budget) *batchCalls {
+	b := &batchCalls{snapshots: snapshots, bodies: bodies, runner: &itemRunner{snapshots: snapshots}}
+	b.jobs = batch.NewProxy(batch.ProxyOptions{
+		Snapshots: snapshots,
 		Name:      p.settings.NodeName,
 		Zone:      p.settings.Zone,
-		Runner:    j.runner,
+		Runner:    b.runner,
 		Log:       p.log,
 	})
-	return j
+	return b
 }
 
-// work lets the proxy run items.
-func (j *batchCalls) setProxy(p *forward.Proxy) { j.runner.proxy.Store(p) }
+// setProxy sets the proxy through which items run.
+func (b *batchCalls) setProxy(p *forward.Proxy) { b.runner.proxy.Store(p) }
 
-// update follows the system: a proxy has its share of the endpoints' places in hand, and a few more.
-func (j *batchCalls) applySnapshot(snap *snapshot.Snapshot) {
-	if !j.stopped.Load() {
-		j.edge.SetMaxRunning(itemLimit(snap))
+// applySnapshot applies a new snapshot: a proxy runs as many items as its share of the endpoints' slots, and a few more.
+func (b *batchCalls) applySnapshot(snap *snapshot.Snapshot) {
+	if !b.stopped.Load() {
+		b.jobs.SetMaxRunning(itemLimit(snap))
 	}
-	j.edge.Refresh()
+	b.jobs.Refresh()
 }
 
-// inHand is how many items a proxy takes up at once.
+// itemLimit returns how many items a proxy runs at once.
 func itemLimit(snap *snapshot.Snapshot) int {
 	if snap.Config == nil {
 		return 0
 	}
-	services := map[string]bool{}
-	for i := range snap.Config.Routes {
-		if r := &snap.Config.Routes[i]; r.Kind == operatorconfig.Bulk {
-			for _, s := range r.Shares {
-				services[s.Service] = true
-			}
-		}
-	}
-	places := 0
-	for s := range services {
-		for _, e := range snap.Endpoints[s] {
+	slots := 0
+	for service := range bulkServices(snap.Config) {
+		for _, e := range snap.Endpoints[service] {
 			if e.State == snapshot.Ready {
-				places += e.Capacity
+				slots += e.Capacity
 			}
 		}
 	}
-	if places == 0 {
+	if slots == 0 {
 		return 0
 	}
-	return places/max(snap.Proxies, 1) + spareItems
+	return slots/max(snap.Proxies, 1) + spareItems
 }
 
-func (j *batchCalls) stop() {
-	j.stopped.Store(true)
-	j.edge.SetMaxRunning(0)
+// bulkServices returns the services of all bulk routes.
+func bulkServices(config *operatorconfig.Config) map[string]bool {
+	services := map[string]bool{}
+	for i := range config.Routes {
+		if r := &config.Routes[i]; r.Kind == operatorconfig.Bulk {
+			for _, s := range r.Shares {
+				services[s.Service] = true
+			}
+		}
+	}
+	return services
 }
 
-// serve answers a client's call about batch jobs.
-func (j *batchCalls) serveCall(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
-	body, status := j.readBody(w, r, route)
+// stop starts no more items. Those that run go on.
+func (b *batchCalls) stop() {
+	b.stopped.Store(true)
+	b.jobs.SetMaxRunning(0)
+}
+
+// serveCall answers a client's call of the batch interface.
+func (b *batchCalls) serveCall(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
+	body, status := b.readBody(w, r, route)
 	if status != 0 {
 		w.Header().Set("Connection", "close") // what follows on it can't be told from the rest of the body
 		if status == http.StatusServiceUnavailable {
@@ -102,10 +108,17 @@
 		w.WriteHeader(status)
 		return
 	}
-	defer j.bodies.Release(len(body))
+	defer b.bodies.Release(len(body))
 	ctx, cancel := context.WithTimeout(r.Context(), batchCallTimeout)
 	defer cancel()
-	a := j.edge.Serve(ctx, &batch.Call{Method: r.Method, Host: r.Host, Path: r.URL.Path, Query: r.URL.RawQuery, Header: r.Header.Get, Body: body})
+	a := b.jobs.Serve(ctx, &batch.Call{
+		Method: r.Method,
+		Host:   r.Host,
+		Path:   r.URL.Path,
+		Query:  r.URL.RawQuery,
+		Header: r.Header.Get,
+		Body:   body,
+	})
 	if a.Status == 0 {
 		panic(http.ErrAbortHandler) // nothing can be promised
 	}
@@ -115,18 +128,19 @@
 	if a.ContentType != "" {
 		w.Header().Set("Content-Type", a.ContentType)
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(batchAnswerTimeout)) // a client that doesn't read holds nothing up for longer
+	// Without the deadline a client that doesn't read is waited for. One that has left needs no answer.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(batchAnswerTimeout))
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
 
-// readBody reads the body of a call whole, in the time that the client has; status 0: it is there.
-func (j *batchCalls) readBody(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) (body []byte, status int) {
+// readBody reads the complete body of a call, in the time that the client has. It returns 0, or the status to refuse it with.
+func (b *batchCalls) readBody(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) (body []byte, status int) {
 	if r.ContentLength == 0 {
 		return nil, 0
 	}
-	limits := clientbody.Limits{MaxBytes: maxBatchBody, Deadline: time.Now().Add(clientbody.MaxDuration), Budget: j.bodies}
-	if snap := j.snapshots.Get(); snap != nil && snap.Config != nil && snap.Config.Limits.MaxBodyBytes > 0 {
+	limits := clientbody.Limits{MaxBytes: maxBatchBody, Deadline: time.Now().Add(clientbody.MaxDuration), Budget: b.bodies}
+	if snap := b.snapshots.Get(); snap != nil && snap.Config != nil && snap.Config.Limits.MaxBodyBytes > 0 {
 		limits.MaxBytes = snap.Config.Limits.MaxBodyBytes
 	}
 	if route != nil && route.TimeoutMs > 0 {
@@ -139,7 +153,7 @@
 	return body, status
 }
 
-// earlier is a moment, or the end of a time from now where that is sooner.
+// earlier returns a time, or the end of a wait from now where that is sooner.
 func earlier(at time.Time, wait time.Duration) time.Time {
 	if end := time.Now().Add(wait); end.Before(at) {
 		return end
--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -15,23 +15,26 @@
 	"dunetide/internal/control/certification"
 )
 
+// certifyCmd changes the certificates by calls to a keeper. docs/certified.md says what each promises.
 type certifyCmd struct {
 	Put      certifyPutCmd      `cmd:"" help:"Put a whole document of certificates in force."`
 	Get      certifyGetCmd      `cmd:"" help:"Write the newest document to standard output."`
 	Withdraw certifyWithdrawCmd `cmd:"" help:"Take the certificates of an endpoint away, at once."`
 }
 
-// keeperAddress is where a keeper is called.
+// keeperAddress is the flag of the keeper that is called.
 type keeperAddress struct {
 	Control string `required:"" help:"A keeper's control address (host:port)."`
 }
 
 const (
+	// certifyTimeout bounds a command with all its calls.
 	certifyTimeout = 10 * time.Second
-	// withdrawTries is how often a withdrawal begins anew as another document came between.
+	// maxWithdrawAttempts is how often a withdrawal is tried, as another document may come between its read and its write.
 	maxWithdrawAttempts = 10
 )
 
+// readCertificates reads a document of certificates and checks it. It returns its bytes too.
 func readCertificates(path string) (*certification.Set, []byte, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -44,9 +47,10 @@
 	return s, b, nil
 }
 
+// errVersionConflict is the error of a document that builds on another version than the newest.
 var errVersionConflict = errors.New("another version is in place")
 
-// call makes a call about certificates and answers its body.
+// call makes a call about certificates and returns the status and the body of its answer.
 func (k keeperAddress) call(ctx context.Context, method string, base uint64, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+k.Control+"/certificates", bytes.NewReader(body))
 	if err != nil {
@@ -65,7 +69,7 @@
 	return resp.StatusCode, b, err
 }
 
-// newest reads the newest document; nil: there is none.
+// getNewest returns the newest document; nil if there is none.
 func (k keeperAddress) getNewest(ctx context.Context) (*certification.Set, error) {
 	status, b, err := k.call(ctx, http.MethodGet, 0, nil)
 	switch {
@@ -79,19 +83,23 @@
 	return certification.Parse(b)
 }
 
+// responseError returns the error of an answer that is no success.
 func responseError(status int, b []byte) error {
-	var said struct{ Error string }
-	_ = json.Unmarshal(b, &said) // what isn't ours is told as it is
-	if said.Error == "" {
-		said.Error = string(b)
+	var answer struct {
+		Error string `json:"error"`
 	}
-	err := fmt.Errorf("the keeper answered %d: %s", status, said.Error)
+	_ = json.Unmarshal(b, &answer) // an answer that is no keeper's is shown as it is
+	if answer.Error == "" {
+		answer.Error = string(b)
+	}
+	err := fmt.Errorf("the keeper answered %d: %s", status, answer.Error)
 	if status == http.StatusPreconditionFailed {
 		err = errors.Join(errVersionConflict, err)
 	}
 	return err
 }
 
+// put puts a document in force that builds on a version, and prints what the keeper promises.
 func (k keeperAddress) put(ctx context.Context, base uint64, body []byte) error {
 	status, b, err := k.call(ctx, http.MethodPut, base, body)
 	if err != nil {
@@ -100,29 +108,31 @@
 	if status != http.StatusOK {
 		return responseError(status, b)
 	}
-	var said struct {
+	var answer struct {
 		Version  uint64 `json:"version"`
 		InForce  bool   `json:"in_force"`
 		WithinMs int64  `json:"within_ms"`
 	}
-	if err := json.Unmarshal(b, &said); err != nil {
+	if err := json.Unmarshal(b, &answer); err != nil {
 		return fmt.Errorf("the keeper's answer can't be read: %w", err)
 	}
-	if said.InForce {
-		fmt.Printf("version %d is in force at all processes that are in touch", said.Version)
+	if answer.InForce {
+		fmt.Printf("version %d is in force at all processes that are in touch", answer.Version)
 	} else {
-		fmt.Printf("version %d is agreed, and not yet acknowledged by all processes that are in touch", said.Version)
+		fmt.Printf("version %d is agreed, and not yet acknowledged by all processes that are in touch", answer.Version)
 	}
-	fmt.Printf("; no process uses an earlier one longer than %d ms from now\n", said.WithinMs)
+	fmt.Printf("; no process uses an earlier one longer than %d ms from now\n", answer.WithinMs)
 	return nil
 }
 
+// certifyPutCmd puts a document in force.
 type certifyPutCmd struct {
 	keeperAddress
 	File string  `arg:"" help:"The certificates, as JSON." type:"path"`
 	Base *uint64 `help:"The version that it builds on, 0 for the first; without it, the newest."`
 }
 
+// Run implements the command.
 func (c certifyPutCmd) Run() error {
 	_, body, err := readCertificates(c.File)
 	if err != nil {
@@ -141,8 +151,10 @@
 	return c.put(ctx, base, body)
 }
 
+// certifyGetCmd prints the newest document.
 type certifyGetCmd struct{ keeperAddress }
 
+// Run implements the command.
 func (c certifyGetCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), certifyTimeout)
 	defer cancel()
@@ -157,16 +169,18 @@
 	return err
 }
 
+// certifyWithdrawCmd removes certificates of an endpoint.
 type certifyWithdrawCmd struct {
 	keeperAddress
 	Endpoint string `arg:"" help:"The incarnation's id."`
 	Regime   string `help:"Only this regime's; without it, all of the endpoint's."`
 }
 
+// Run implements the command. It starts again from the newest document if another one came between.
 func (c certifyWithdrawCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), certifyTimeout)
 	defer cancel()
-	for try := range maxWithdrawAttempts {
+	for attempt := range maxWithdrawAttempts {
 		s, err := c.getNewest(ctx)
 		if err != nil {
 			return err
@@ -176,7 +190,7 @@
 		}
 		next, n := s.Without(c.Endpoint, c.Regime)
 		if n == 0 {
-			if try == 0 {
+			if attempt == 0 {
 				return fmt.Errorf("version %d has no such certificate of %s: see dunetide certify get", s.Version, c.Endpoint)
 			}
 			fmt.Printf("version %d, which came meanwhile, has none of %s\n", s.Version, c.Endpoint)
--- a/cmd/dunetide/check.go
+++ b/cmd/dunetide/check.go
@@ -3,22 +3,24 @@
 import (
 	"fmt"
 	"os"
-	"runtime/debug"
 
 	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/platform/settings"
 )
 
+// checkCmd checks files offline. Its commands print one line, or exit with status 2 and an error that names the place.
 type checkCmd struct {
 	Settings     checkSettingsCmd     `cmd:"" help:"Check the settings file of a process."`
 	Config       checkConfigCmd       `cmd:"" help:"Check a configuration as an operator would send it."`
 	Certificates checkCertificatesCmd `cmd:"" help:"Check a document of certificates."`
 }
 
+// checkSettingsCmd checks the settings file of a process.
 type checkSettingsCmd struct {
 	File string `arg:"" help:"The settings file." type:"path"`
 }
 
+// Run implements the command.
 func (k checkSettingsCmd) Run() error {
 	s, err := settings.Read(k.File)
 	if err != nil {
@@ -28,10 +30,12 @@
 	return nil
 }
 
+// checkConfigCmd checks an operator's configuration.
 type checkConfigCmd struct {
 	File string `arg:"" help:"The configuration, as JSON." type:"path"`
 }
 
+// Run implements the command.
 func (k checkConfigCmd) Run() error {
 	b, err := os.ReadFile(k.File)
 	if err != nil {
@@ -45,10 +49,12 @@
 	return nil
 }
 
+// checkCertificatesCmd checks a document of certificates.
 type checkCertificatesCmd struct {
 	File string `arg:"" help:"The certificates, as JSON." type:"path"`
 }
 
+// Run implements the command.
 func (k checkCertificatesCmd) Run() error {
 	s, _, err := readCertificates(k.File)
 	if err != nil {
@@ -57,21 +63,3 @@
 	fmt.Printf("%s: sound: version=%d regulated_routes=%d certificates=%d\n", k.File, s.Version, len(s.Routes), len(s.Certificates))
 	return nil
 }
-
-type versionCmd struct{}
-
-func (versionCmd) Run() error {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		fmt.Println("dunetide: built without version information")
-		return nil
-	}
-	revision := "unknown"
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			revision = s.Value
-		}
-	}
-	fmt.Printf("dunetide revision=%s go=%s\n", revision, info.GoVersion)
-	return nil
-}
--- a/cmd/dunetide/condition.go
+++ b/cmd/dunetide/condition.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -9,39 +10,60 @@
 )
 
 const (
-	// troubleEvery is how often keepers are told of what keeps the process from its work. They forget it after 5 s.
+	// conditionInterval is how often the condition of the process is reported. Keepers forget it after 5 s.
 	conditionInterval = time.Second
-	// troubleWait bounds the answer of one keeper.
+	// conditionTimeout bounds the answer of one keeper.
 	conditionTimeout = time.Second
 )
 
-// troubleSource tells what keeps the process from its work; empty: nothing.
+// conditionSource returns the condition that prevents the process from working; empty if there is none.
 type conditionSource func() string
 
-// troubleHolder holds the source in force. The zero value has none.
+// processCondition has the source in force. The zero value has none.
 type processCondition struct {
 	source atomic.Pointer[conditionSource]
 }
 
-func (h *processCondition) set(source conditionSource) { h.source.Store(&source) }
-func (h *processCondition) clear()                     { h.source.Store(nil) }
+func (c *processCondition) set(source conditionSource) { c.source.Store(&source) }
+func (c *processCondition) clear()                     { c.source.Store(nil) }
 
-func (h *processCondition) reason() string {
-	if source := h.source.Load(); source != nil {
+// reason returns the condition now; empty if there is none.
+func (c *processCondition) reason() string {
+	if source := c.source.Load(); source != nil {
 		return (*source)()
 	}
 	return ""
 }
 
-// reportTrouble tells keepers what keeps the process from its work while it lasts, and once when it is over.
+// startConditionReports reports the condition of the process to the keepers that membership and the settings know, until the
+// process is told to stop.
+func (p *process) startConditionReports(role string, port int, members *members) {
+	self := controlclient.Node{
+		Name:        p.settings.NodeName,
+		Role:        role,
+		Zone:        p.settings.Zone,
+		Addr:        p.internalAddr(port),
+		Incarnation: uint64(time.Now().UnixNano()),
+	}
+	keepers := func() (addrs []string) {
+		for _, keeper := range members.keepers() {
+			addrs = append(addrs, keeper.Addr)
+		}
+		addrs = append(addrs, seedLinks(p.watcher.Current())...)
+		return slices.DeleteFunc(addrs, func(addr string) bool { return addr == self.Addr })
+	}
+	p.goroutines.Go(func() { p.reportConditions(self, keepers) })
+}
+
+// reportConditions reports the condition of the process to keepers while there is one, and once when it has ended.
 func (p *process) reportConditions(node controlclient.Node, keepers func() []string) {
 	tick := time.NewTicker(conditionInterval)
 	defer tick.Stop()
-	told := ""
+	reported := ""
 	for {
-		if reason := p.condition.reason(); reason != "" || told != "" {
+		if reason := p.condition.reason(); reason != "" || reported != "" {
 			if p.reportCondition(controlclient.Condition{Node: node, Reason: reason}, keepers()) {
-				told = reason
+				reported = reason
 			}
 		}
 		select {
@@ -52,11 +74,11 @@
 	}
 }
 
-// tellTrouble tells the first keeper that answers.
-func (p *process) reportCondition(trouble controlclient.Condition, keepers []string) bool {
+// reportCondition reports a condition to the first keeper that answers. It reports whether one did.
+func (p *process) reportCondition(condition controlclient.Condition, keepers []string) bool {
 	for _, addr := range keepers {
 		ctx, cancel := context.WithTimeout(p.ctx, conditionTimeout)
-		err := controlclient.ReportCondition(ctx, addr, trouble)
+		err := controlclient.ReportCondition(ctx, addr, condition)
 		cancel()
 		if err == nil {
 			return true
@@ -65,22 +87,3 @@
 	}
 	return false
 }
-
-// startTroubleReports has keepers that membership and the settings know of told.
-func (p *process) startConditionReports(role string, port int, members *members) {
-	self := controlclient.Node{Name: p.settings.NodeName, Role: role, Zone: p.settings.Zone, Addr: p.internalAddr(port), Incarnation: uint64(time.Now().UnixNano())}
-	go p.reportConditions(self, func() []string {
-		var addrs []string
-		for _, keeper := range members.keepers() {
-			if keeper.Addr != self.Addr {
-				addrs = append(addrs, keeper.Addr)
-			}
-		}
-		for _, addr := range seedLinks(p.watcher.Current()) {
-			if addr != self.Addr {
-				addrs = append(addrs, addr)
-			}
-		}
-		return addrs
-	})
-}
--- a/cmd/dunetide/diskspace.go
+++ b/cmd/dunetide/diskspace.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// roomEvery is how often a full disk is tried again.
+	// diskProbeInterval is how often a full disk is tried again.
 	diskProbeInterval = 500 * time.Millisecond
-	// roomFile is written for that, and removed.
+	// diskProbeFile is written for that, and removed.
 	diskProbeFile = "room.probe"
-	// roomBytes have to fit before the disk is used again.
+	// diskProbeBytes must fit before the disk is used again.
 	diskProbeBytes = 1 << 20
-	// outOfService is what operators are told of a full disk, in the log and by the status of keepers.
+	// diskFullReason is the condition that operators see of a full disk, in the log and in the status of keepers.
 	diskFullReason = "disk is full: out of service until there is room"
 )
 
-// whenRoom runs f, again once there is room wherever it ends because the disk is full. Nothing of f may be left when it
-// returns. Told to stop, it ends with nil.
+// runWithDiskSpace runs f, and again once there is disk space whenever it ends because the disk is full. Nothing of f may be
+// left when it returns. If the process is told to stop meanwhile, it returns nil.
 func (p *process) runWithDiskSpace(folder journal.Folder, f func() error) error {
 	for {
 		err := f()
@@ -39,7 +39,7 @@
 	}
 }
 
-// awaitRoom waits until a file of roomBytes fits; false: told to stop before.
+// awaitDiskSpace waits until a file of diskProbeBytes fits. It reports false if the process is told to stop before.
 func (p *process) awaitDiskSpace(folder journal.Folder) bool {
 	tick := time.NewTicker(diskProbeInterval)
 	defer tick.Stop()
@@ -55,7 +55,7 @@
 	}
 }
 
-// probeRoom tries whether a disk takes bytes.
+// probeDisk returns an error if a file of diskProbeBytes can't be written.
 func probeDisk(folder journal.Folder) error {
 	if err := folder.Remove(diskProbeFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
--- a/cmd/dunetide/itemrunner.go
+++ b/cmd/dunetide/itemrunner.go
@@ -6,39 +6,44 @@
 	"time"
 
 	"dunetide/internal/batch"
+	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/control/snapshot"
 	"dunetide/internal/proxy/forward"
 )
 
-// again is when an item that no endpoint has run comes again.
+// itemRetryAfter is after what time an item that no endpoint has run is tried again.
 const itemRetryAfter = 200 * time.Millisecond
 
-// runner runs items of batch jobs through the proxy, and so through its admission.
+// itemRunner runs items of batch jobs through the proxy, and so through its admission.
 type itemRunner struct {
 	snapshots *snapshot.Latest
-	proxy     atomic.Pointer[forward.Proxy]
+	proxy     atomic.Pointer[forward.Proxy] // nil until the proxy is there
 }
 
-// Run sends one item to an endpoint of its route's service.
+// Run sends one item to an endpoint of its route's service. It implements batch.Runner.
 func (r *itemRunner) Run(ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte)) batch.RunResult {
 	p, snap := r.proxy.Load(), r.snapshots.Get()
 	if p == nil || snap == nil || snap.Config == nil {
-		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: itemRetryAfter}
+		return notStarted()
 	}
-	item := &forward.Item{ID: it.ID, Host: it.Host, Path: it.Path, Header: map[string]string{}, Body: it.Body, Due: it.Due, MayStart: it.MayStart}
-	for _, h := range it.Headers {
-		item.Header[h[0]] = h[1]
+	route := routeByName(snap.Config, it.Route)
+	if route == nil {
+		return notStarted() // a newer configuration may have it, or the job ends
 	}
-	for i := range snap.Config.Routes {
-		if snap.Config.Routes[i].Name == it.Route {
-			item.Route = &snap.Config.Routes[i]
-		}
+	item := &forward.Item{
+		ID:       it.ID,
+		Host:     it.Host,
+		Path:     it.Path,
+		Header:   make(map[string]string, len(it.Headers)),
+		Body:     it.Body,
+		Route:    route,
+		MayStart: it.MayStart,
+		Due:      it.Due,
 	}
-	if item.Route == nil {
-		return batch.RunResult{End: batch.RunNotStarted, RetryAfter: itemRetryAfter} // a newer configuration may have it, or the job ends
+	for _, h := range it.Headers {
+		item.Header[h[0]] = h[1]
 	}
-	res := p.RunItem(ctx, item, lastEventID, event)
-	switch res.State {
+	switch p.RunItem(ctx, item, lastEventID, event).State {
 	case forward.ItemDone:
 		return batch.RunResult{End: batch.RunCompleted}
 	case forward.ItemBroken:
@@ -47,6 +52,22 @@
 		return batch.RunResult{End: batch.RunFailed}
 	case forward.ItemUnprocessable:
 		return batch.RunResult{End: batch.RunImpossible}
+	default:
+		return notStarted()
 	}
+}
+
+// notStarted returns the result of an item that no endpoint has run.
+func notStarted() batch.RunResult {
 	return batch.RunResult{End: batch.RunNotStarted, RetryAfter: itemRetryAfter}
 }
+
+// routeByName returns a route of a configuration; nil if there is none of that name.
+func routeByName(config *operatorconfig.Config, name string) *operatorconfig.Route {
+	for i := range config.Routes {
+		if config.Routes[i].Name == name {
+			return &config.Routes[i]
+		}
+	}
+	return nil
+}
--- a/cmd/dunetide/keeper.go
+++ b/cmd/dunetide/keeper.go
@@ -7,13 +7,7 @@
 	"dunetide/internal/platform/settings"
 )
 
-// Ports of the roles' links and datagrams, counted from the first internal port.
-const (
-	keeperPort = 0
-	proxyPort  = 1
-	storePort  = 2
-)
-
+// keeperCmd runs a keeper, a server of the control plane.
 type keeperCmd struct{}
 
 // Run serves the role until the process is told to stop.
@@ -22,16 +16,15 @@
 	if err != nil {
 		return err
 	}
+	defer p.close()
 	members, err := p.joinMembership(controlclient.RoleKeeper, keeperPort)
 	if err != nil {
 		return err
 	}
 	p.startConditionReports(controlclient.RoleKeeper, keeperPort, members)
 	var folder journal.Folder
-	if p.settings.DataDir != "" {
-		if folder, err = p.openDataFolder(); err != nil {
-			return err
-		}
+	if p.settings.DataDir != "" { // without one its state is in memory only
+		folder = p.dataFolder()
 	}
 	var k *keeper.Keeper
 	err = p.runWithDiskSpace(folder, func() (err error) {
--- a/cmd/dunetide/main.go
+++ b/cmd/dunetide/main.go
@@ -1,31 +1,28 @@
-// Command dunetide is the serving tier: each role of it is a subcommand. deploy/system.toml says which
-// runs where, docs/system.md what each owns.
+// Command dunetide is the serving tier: each role of it is a subcommand that runs until SIGTERM, and operators have commands
+// beside them. deploy/system.toml says which role runs where, docs/architecture.md what each owns.
+//
+// One file holds one role (proxy.go, keeper.go, store.go) or one operators' command (check.go, status.go, certify.go,
+// audit.go, version.go). process.go is what the roles share. Exit statuses: 0, 1 for a failure, 2 for a wrong use.
 package main
 
 import (
-	"context"
 	"fmt"
 	"os"
-	"os/signal"
-	"runtime/debug"
-	"syscall"
 
 	"github.com/alecthomas/kong"
-	"github.com/hashicorp/go-hclog"
 	"github.com/zeebo/errs"
-
-	"dunetide/internal/control/controlclient"
-	"dunetide/internal/platform/invariant"
-	"dunetide/internal/platform/reload"
-	"dunetide/internal/platform/settings"
 )
 
-// settingsVar holds the path of the settings file.
-const settingsVar = "DUNETIDE_CONFIG"
+// Exit statuses of a command that does not succeed.
+const (
+	exitFailure = 1
+	exitUsage   = 2
+)
 
-// errUsage is a wrong use: the process ends with one line and status 2.
+// errUsage is a wrong use: the process ends with one line and exitUsage.
 var errUsage = errs.Class("usage")
 
+// cli has all commands, for kong. Its commands' Run methods get it as their argument.
 type cli struct {
 	LogLevel string `help:"Least level that is logged: trace, debug, info, warn or error." default:"info" enum:"trace,debug,info,warn,error" env:"DUNETIDE_LOG"`
 
@@ -41,75 +38,26 @@
 
 func main() {
 	var c cli
-	parser, err := kong.New(&c, kong.Name("dunetide"), kong.Description("A serving tier: proxies, keepers of control state, stores of batch jobs."),
+	parser, err := kong.New(&c,
+		kong.Name("dunetide"),
+		kong.Description("A serving tier: proxies, keepers of control state, stores of batch jobs."),
 		kong.UsageOnError())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dunetide:", err)
-		os.Exit(2)
+		os.Exit(exitUsage)
 	}
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "dunetide: %v (dunetide --help tells of all commands)\n", err)
-		os.Exit(2)
+		os.Exit(exitUsage)
 	}
 	err = ctx.Run(&c)
-	switch {
-	case err == nil:
-	case errUsage.Has(err):
-		fmt.Fprintln(os.Stderr, "dunetide:", err)
-		os.Exit(2)
-	default:
-		fmt.Fprintln(os.Stderr, "dunetide:", err)
-		os.Exit(1)
+	if err == nil {
+		return
 	}
-}
-
-// process is what all roles start from.
-type process struct {
-	settings  *settings.Settings // as they were at the start
-	watcher   *settings.Watcher  // for what may change
-	log       hclog.Logger
-	ctx       context.Context
-	condition processCondition // what keeps it from its work
-}
-
-// start reads the settings and prepares the runtime. The context ends at SIGTERM or SIGINT.
-func start(c *cli, role string) (*process, error) {
-	path := os.Getenv(settingsVar)
-	if path == "" {
-		return nil, errUsage.New("%s is not set: let it hold the path of the settings file", settingsVar)
+	fmt.Fprintln(os.Stderr, "dunetide:", err)
+	if errUsage.Has(err) {
+		os.Exit(exitUsage)
 	}
-	log := newLogger(role, c.LogLevel)
-	invariant.SetLogger(log)
-	watcher, err := settings.NewWatcher(path, log)
-	if err != nil {
-		return nil, errUsage.Wrap(err)
-	}
-	s := watcher.Current()
-	watcher.Subscribe(setMemoryLimit)
-	// It goes on while the process drains: a signal then is no reason to end sooner.
-	go watcher.Run(context.Background(), reload.Requests())
-	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	signal.Ignore(syscall.SIGPIPE)
-	p := &process{settings: s, watcher: watcher, log: log, ctx: ctx}
-	p.startMetrics(role)
-	return p, nil
-}
-
-// limitMemory leaves room below the limit for what the collector has not freed yet.
-func setMemoryLimit(s *settings.Settings) {
-	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.Limits.MemoryMB) << 20 * 7 / 10)
-	}
-}
-
-// seedLinks are the links of the keepers that settings name as seeds.
-func seedLinks(s *settings.Settings) []string {
-	return controlclient.SeedLinkAddrs(s.Seeds, s.FirstInternalPort+keeperPort)
-}
-
-// newLogger writes one line of key=value pairs for each event.
-func newLogger(role, level string) hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: role, Level: hclog.LevelFromString(level), Output: os.Stdout,
-		TimeFormat: "2006-01-02T15:04:05.000Z", DisableTime: false})
+	os.Exit(exitFailure)
 }
--- a/cmd/dunetide/metrics.go
+++ b/cmd/dunetide/metrics.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -13,31 +14,48 @@
 	"dunetide/internal/platform/telemetry"
 )
 
-// metricsPorts are where the roles tell their figures; deploy/system.toml names them too. Two roles may share a machine.
-var metricsPorts = map[string]int{controlclient.RoleProxy: 19101, controlclient.RoleKeeper: 19102, controlclient.RoleStore: 19103}
+// metricsPorts are the ports of the roles' metrics, which deploy/system.toml names too. Two roles may share a machine.
+var metricsPorts = map[string]int{
+	controlclient.RoleProxy:  19101,
+	controlclient.RoleKeeper: 19102,
+	controlclient.RoleStore:  19103,
+}
 
-// metricsAfter is how long after its start a process begins to tell its figures, so that a port that another role of the machine needs
-// for its own work goes to that one.
+// metricsDelay is how long after its start a process begins to serve metrics, so that a port that another role of the machine
+// needs for its own work goes to that one.
 const metricsDelay = 2 * time.Second
 
-// startMetrics serves the figures of the process until it ends. A port that is taken is no reason not to work: it is told in the log.
+// startMetrics serves the metrics of the process until it ends. A port that is in use is no reason not to work: it is logged.
 func (p *process) startMetrics(role string) {
 	port := metricsPorts[role]
 	if portIsUsed(p.settings, port) {
 		p.log.Warn("metrics not served: the settings give their port to something else", "port", port)
 		return
 	}
-	time.AfterFunc(metricsDelay, func() {
-		listener, err := net.Listen("tcp4", net.JoinHostPort(p.settings.IP, strconv.Itoa(port)))
-		if err == nil {
-			err = telemetry.Serve(listener)
+	p.goroutines.Go(func() {
+		select {
+		case <-time.After(metricsDelay):
+		case <-p.background.Done():
+			return
 		}
-		if !errors.Is(err, http.ErrServerClosed) {
+		addr := net.JoinHostPort(p.settings.IP, strconv.Itoa(port))
+		if err := p.serveMetrics(addr); !errors.Is(err, http.ErrServerClosed) {
 			p.log.Warn("metrics not served", "port", port, "err", err)
 		}
 	})
 }
 
+// serveMetrics serves metrics at an address until the process ends.
+func (p *process) serveMetrics(addr string) error {
+	listener, err := net.Listen("tcp4", addr)
+	if err != nil {
+		return err
+	}
+	server := telemetry.NewServer()
+	context.AfterFunc(p.background, func() { _ = server.Close() }) // at the end of the process
+	return server.Serve(listener)
+}
+
 // portIsUsed reports whether the settings give a port to something else of this process or between nodes.
 func portIsUsed(s *settings.Settings, port int) bool {
 	if port >= s.FirstInternalPort && port <= s.LastInternalPort {
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"dunetide/internal/control/controlclient"
-	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/control/snapshot"
 	"dunetide/internal/platform/descriptors"
 	"dunetide/internal/platform/settings"
@@ -18,96 +17,158 @@
 	"dunetide/internal/proxy/forward"
 )
 
-// bodiesPart is what part of the memory of a proxy clients' bodies may have: one in so many.
-const bodyMemoryFraction = 5
+const (
+	// bodyMemoryFraction is the part of a proxy's memory, one in so many, that clients' bodies may take.
+	bodyMemoryFraction = 5
+	// confirmFraction is the part of the time in which a withdrawal must be in force, one in so many, after which the
+	// client has its certificates confirmed again.
+	confirmFraction = 5
+	// shutdownMargin is what is left of the grace for the end of the process.
+	shutdownMargin = 500 * time.Millisecond
+	// Time limits of the readiness server.
+	readyHeaderTimeout = 3 * time.Second
+	readyIdleTimeout   = 30 * time.Second
+)
 
+// proxyCmd runs a proxy.
 type proxyCmd struct{}
 
-// Run serves the role until the process is told to stop, and then what is under way.
+// Run serves the role until the process is told to stop, and then the requests in flight.
 func (proxyCmd) Run(c *cli) error {
 	p, err := start(c, controlclient.RoleProxy)
 	if err != nil {
 		return err
 	}
-	s := p.settings
+	defer p.close()
 	members, err := p.joinMembership(controlclient.RoleProxy, proxyPort)
 	if err != nil {
 		return err
 	}
-	holder := &snapshot.Latest{}
-	admission := dispatch.New(dispatch.Options{Name: s.NodeName, Zone: s.Zone, Snapshots: holder})
-	defer admission.Close()
-	files := descriptors.NewBudget(s.Limits.OpenFiles)
+	r := newProxyRole(p, members)
+	defer r.admission.Close()
+	p.watcher.Subscribe(func(s *settings.Settings) { r.client.SetSeeds(seedLinks(s)) })
+	return r.serve()
+}
+
+// proxyRole is the parts of a proxy process.
+type proxyRole struct {
+	process   *process
+	snapshots *snapshot.Latest
+	files     descriptors.Budget
+	admission *dispatch.Dispatcher
+	calls     *batchCalls
+	regulated *regulatedWork
+	proxy     *forward.Proxy
+	client    *controlclient.Client
+}
+
+// newProxyRole connects the parts of a proxy: the client receives snapshots and passes them to the others.
+func newProxyRole(p *process, members *members) *proxyRole {
+	s := p.settings
+	r := &proxyRole{process: p, snapshots: &snapshot.Latest{}, files: descriptors.NewBudget(s.Limits.OpenFiles)}
+	r.admission = dispatch.New(dispatch.Options{Name: s.NodeName, Zone: s.Zone, Snapshots: r.snapshots})
 	bodies := clientbody.NewBudget(int64(s.Limits.MemoryMB) << 20 / bodyMemoryFraction)
-	jobs := newBatchCalls(p, holder, bodies)
-	var client *controlclient.Client
-	regulated := newRegulatedWork(p, holder, func() time.Time { return client.CertificatesConfirmedAt() })
-	proxy := forward.New(forward.Options{Snapshots: holder, Admission: admission, Log: p.log,
-		Match:      func(c *operatorconfig.Config, host, path string) *operatorconfig.Route { return c.Match(host, path) },
-		ServeBatch: jobs.serveCall, BodyBudget: bodies, MaxOpen: files.Endpoints(forward.DefaultMaxOpen),
-		Certificates: regulated.gate, Recorder: regulated.recorder,
-		Ready: func() bool {
-			snap := holder.Get()
-			return snap != nil && snap.Config != nil && snap.EndpointsComplete && snap.CertificatesKnown
-		}})
-	proxy.Observe()
-	jobs.setProxy(proxy)
-	client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleProxy, Zone: s.Zone,
-		Incarnation: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s), KnownKeepers: members.keepers,
-		WantEndpoints: true, Snapshots: holder, Log: p.log, ConfirmInterval: s.Bounds.Drain / 5,
-		OnSnapshot: func(snap *snapshot.Snapshot) {
-			regulated.gate.Update(snap.Certificates)
-			admission.Update(snap)
-			jobs.applySnapshot(snap)
-		}})
-	p.watcher.Subscribe(func(s *settings.Settings) { client.SetSeeds(seedLinks(s)) })
-	// The links outlast the signal: what is under way still has to know of drains.
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	defer cancel()
-	front, err := files.Listen(s.FrontAddr)
+	r.calls = newBatchCalls(p, r.snapshots, bodies)
+	r.regulated = newRegulatedWork(p, r.snapshots, func() time.Time { return r.client.CertificatesConfirmedAt() })
+	r.proxy = forward.New(forward.Options{
+		Snapshots:    r.snapshots,
+		Admission:    r.admission,
+		ServeBatch:   r.calls.serveCall,
+		Certificates: r.regulated.gate,
+		Recorder:     r.regulated.recorder,
+		Ready:        r.ready,
+		Log:          p.log,
+		MaxOpen:      r.files.Endpoints(forward.DefaultMaxOpen),
+		BodyBudget:   bodies,
+	})
+	r.proxy.Observe()
+	r.calls.setProxy(r.proxy)
+	r.client = controlclient.New(controlclient.Options{
+		Self: controlclient.Node{
+			Name:        s.NodeName,
+			Role:        controlclient.RoleProxy,
+			Zone:        s.Zone,
+			Incarnation: uint64(time.Now().UnixNano()),
+		},
+		Seeds:           seedLinks(s),
+		KnownKeepers:    members.keepers,
+		WantEndpoints:   true,
+		Snapshots:       r.snapshots,
+		Log:             p.log,
+		ConfirmInterval: s.Bounds.Drain / confirmFraction,
+		OnSnapshot:      r.applySnapshot,
+	})
+	return r
+}
+
+// ready reports whether the process has received all that it needs to serve.
+func (r *proxyRole) ready() bool {
+	snap := r.snapshots.Get()
+	return snap != nil && snap.Config != nil && snap.EndpointsComplete && snap.CertificatesKnown
+}
+
+// applySnapshot applies a new snapshot, the certificates first: what they no longer allow must not be admitted.
+func (r *proxyRole) applySnapshot(snap *snapshot.Snapshot) {
+	r.regulated.gate.Update(snap.Certificates)
+	r.admission.Update(snap)
+	r.calls.applySnapshot(snap)
+}
+
+// serve listens and serves until the process is told to stop or can't serve.
+func (r *proxyRole) serve() error {
+	front, err := r.files.Listen(r.process.settings.FrontAddr)
 	if err != nil {
 		return err
 	}
-	ready, err := net.Listen("tcp4", s.ReadyAddr)
+	ready, err := net.Listen("tcp4", r.process.settings.ReadyAddr)
 	if err != nil {
 		return err
 	}
-	readyServer := &http.Server{Handler: http.HandlerFunc(proxy.ServeReady), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
-	wg.Add(4)
-	go func() { defer wg.Done(); client.Run(ctx) }()
-	go func() { defer wg.Done(); regulated.recorder.Run(ctx) }()
-	go func() {
-		defer wg.Done()
+	// The client outlasts the signal: requests in flight still have to be notified of drains.
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer cancel()
+	running.Go(func() { r.client.Run(ctx) })
+	running.Go(func() { r.regulated.recorder.Run(ctx) })
+	running.Go(func() { everySecond(ctx, r.maintain) })
+	readyServer := &http.Server{
+		Handler:           http.HandlerFunc(r.proxy.ServeReady),
+		ReadHeaderTimeout: readyHeaderTimeout,
+		IdleTimeout:       readyIdleTimeout,
+	}
+	defer func() { _ = readyServer.Close() }() // of no use any more: an error changes nothing
+	running.Go(func() {
 		if err := readyServer.Serve(ready); !errors.Is(err, http.ErrServerClosed) {
-			p.log.Error("readiness not served", "err", err)
+			r.process.log.Error("readiness not served", "err", err)
 		}
-	}()
-	go func() {
-		defer wg.Done()
-		everySecond(ctx, func() {
-			proxy.Tidy()
-			regulated.logCounts()
-		})
-	}()
+	})
+	return r.serveClients(front)
+}
+
+// serveClients serves clients until the process is told to stop, and then the requests in flight.
+func (r *proxyRole) serveClients(front net.Listener) error {
 	served := make(chan error, 1)
-	go func() { served <- proxy.Serve(front) }()
+	go func() { served <- r.proxy.Serve(front) }() // ends with Shutdown
 	select {
-	case err = <-served:
-	case <-p.ctx.Done():
-		p.log.Info("stopping")
-		jobs.stop()
-		err = proxy.Shutdown(s.Bounds.Grace - 500*time.Millisecond)
-		regulated.recorder.Drain(recordDrainTimeout)
+	case err := <-served:
+		return err
+	case <-r.process.ctx.Done():
 	}
-	cancel()
-	_ = readyServer.Close()
+	r.process.log.Info("stopping")
+	r.calls.stop()
+	err := r.proxy.Shutdown(r.process.settings.Bounds.Grace - shutdownMargin)
+	r.regulated.recorder.Drain(recordDrainTimeout)
 	return err
 }
 
-// everySecond calls until the context ends.
+// maintain does what a proxy has to do every second.
+func (r *proxyRole) maintain() {
+	r.proxy.Tidy()
+	r.regulated.logCounts()
+}
+
+// everySecond calls a function every second until the context ends.
 func everySecond(ctx context.Context, call func()) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/cmd/dunetide/regulatedwork.go
+++ b/cmd/dunetide/regulatedwork.go
@@ -9,52 +9,72 @@
 )
 
 const (
-	// recordWait is how long a proxy that stops waits for stores to take the record of its regulated runs.
+	// recordDrainTimeout is how long a proxy that stops waits for stores to accept the record of its regulated runs.
 	recordDrainTimeout = 300 * time.Millisecond
-	// tellEvery is how often the counts of regulated work go into the log, where they have changed.
+	// regulatedLogInterval is how often the counts of regulated work are logged, where they have changed.
 	regulatedLogInterval = 10 * time.Second
 )
 
-// regulated is the side of a proxy that keeps to certificates.
+// regulatedWork is the part of a proxy that keeps to certificates and records regulated runs.
 type regulatedWork struct {
-	process           *process
-	gate              *certification.Gate
-	recorder          *audit.Recorder
-	logged            map[string]certification.Counts
+	process   *process
+	snapshots *snapshot.Latest
+	gate      *certification.Gate
+	recorder  *audit.Recorder
+
+	// Of the goroutine that calls logCounts.
+	logged            map[string]certification.Counts // by regime
 	loggedAt          time.Time
 	certificatesFresh bool
 }
 
-func newRegulatedWork(p *process, holder *snapshot.Latest, confirmed func() time.Time) *regulatedWork {
-	s := p.settings
-	return &regulatedWork{process: p, logged: map[string]certification.Counts{},
-		gate: certification.NewGate(certification.GateOptions{LastConfirmed: confirmed, ConfirmationTTL: s.Bounds.Drain}),
-		recorder: audit.NewRecorder(audit.RecorderOptions{NodeName: s.NodeName, Incarnation: uint64(time.Now().UnixNano()), Zone: s.Zone, RequiredStores: s.SurviveMachines + 1,
-			Log: p.log, Stores: func() (all []snapshot.Store) {
-				snap := holder.Get()
-				if snap == nil || snap.Table == nil {
-					return nil
-				}
-				for id, store := range snap.Table.Stores {
-					if !snap.Table.Retiring[id] {
-						all = append(all, store)
-					}
-				}
-				return all
-			}})}
+// newRegulatedWork returns the regulated work of a proxy. The function lastConfirmed returns when a keeper last confirmed the
+// certificates.
+func newRegulatedWork(p *process, snapshots *snapshot.Latest, lastConfirmed func() time.Time) *regulatedWork {
+	r := &regulatedWork{process: p, snapshots: snapshots, logged: map[string]certification.Counts{}}
+	r.gate = certification.NewGate(certification.GateOptions{
+		LastConfirmed:   lastConfirmed,
+		ConfirmationTTL: p.settings.Bounds.Drain,
+	})
+	r.recorder = audit.NewRecorder(audit.RecorderOptions{
+		NodeName:       p.settings.NodeName,
+		Incarnation:    uint64(time.Now().UnixNano()),
+		Zone:           p.settings.Zone,
+		RequiredStores: p.settings.SurviveMachines + 1,
+		Log:            p.log,
+		Stores:         r.stores,
+	})
+	return r
+}
+
+// stores returns the stores that accept records: all that are not retiring.
+func (r *regulatedWork) stores() (all []snapshot.Store) {
+	snap := r.snapshots.Get()
+	if snap == nil || snap.Table == nil {
+		return nil
+	}
+	for id, store := range snap.Table.Stores {
+		if !snap.Table.Retiring[id] {
+			all = append(all, store)
+		}
+	}
+	return all
 }
 
-// tell writes the counts of regulated work into the log.
+// logCounts logs whether the certificates are confirmed, where that has changed, and the counts of regulated work.
 func (r *regulatedWork) logCounts() {
-	if r.gate.Current() == nil {
+	current := r.gate.Current()
+	if current == nil {
 		return
 	}
 	if fresh := r.gate.Confirmed(); fresh != r.certificatesFresh {
 		r.certificatesFresh = fresh
 		if fresh {
-			r.process.log.Info("certificates confirmed", "version", r.gate.Current().Version)
+			r.process.log.Info("certificates confirmed", "version", current.Version)
 		} else {
-			r.process.log.Warn("no keeper confirms the certificates: nobody counts as certified", "version", r.gate.Current().Version, "for_longer_than", r.process.settings.Bounds.Drain)
+			r.process.log.Warn("no keeper confirms the certificates: nobody counts as certified",
+				"version", current.Version,
+				"for_longer_than", r.process.settings.Bounds.Drain)
 		}
 	}
 	if time.Since(r.loggedAt) < regulatedLogInterval {
@@ -62,10 +82,18 @@
 	}
 	r.loggedAt = time.Now()
 	for _, c := range r.gate.CountsByRegime() {
-		if r.logged[c.Regime] != c.Counts {
-			r.logged[c.Regime] = c.Counts
-			r.process.log.Info("regulated work", "regime", c.Regime, "certificates", r.gate.Current().Version, "runs", c.Runs, "refused", c.Refused,
-				"waited", c.Waited, "given_up", c.Abandoned, "stopped", c.Stopped, "not_recorded_yet", r.recorder.Pending())
+		if r.logged[c.Regime] == c.Counts {
+			continue
 		}
+		r.logged[c.Regime] = c.Counts
+		r.process.log.Info("regulated work",
+			"regime", c.Regime,
+			"certificates", current.Version,
+			"runs", c.Runs,
+			"refused", c.Refused,
+			"waited", c.Waited,
+			"given_up", c.Abandoned,
+			"stopped", c.Stopped,
+			"not_recorded_yet", r.recorder.Pending())
 	}
 }
--- a/cmd/dunetide/stalled_test.go
+++ b/cmd/dunetide/stalled_test.go
@@ -28,8 +28,8 @@
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Config: &operatorconfig.Config{Version: 1}})
 	j := &batchCalls{snapshots: holder, runner: &itemRunner{snapshots: holder}}
-	j.edge = batch.NewProxy(batch.ProxyOptions{Snapshots: holder, Name: "p", Zone: "z", Runner: j.runner})
-	t.Cleanup(j.edge.Close)
+	j.jobs = batch.NewProxy(batch.ProxyOptions{Snapshots: holder, Name: "p", Zone: "z", Runner: j.runner})
+	t.Cleanup(j.jobs.Close)
 	return j
 }
 
--- a/cmd/dunetide/status.go
+++ b/cmd/dunetide/status.go
@@ -9,13 +9,17 @@
 	"time"
 )
 
+// statusTimeout bounds the answer of the keeper.
+const statusTimeout = 5 * time.Second
+
+// statusCmd prints what a keeper knows of the system.
 type statusCmd struct {
 	Control string `arg:"" help:"A keeper's control address (host:port)."`
 }
 
-// Run prints what the keeper knows, as JSON.
+// Run implements the command: it prints the JSON that the keeper answers.
 func (s statusCmd) Run() error {
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Control+"/status", nil)
 	if err != nil {
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -16,10 +16,15 @@
 	"dunetide/internal/platform/settings"
 )
 
-// jobsLogPercent of the disk is for batch jobs. The rest is for the record of regulated runs, and for a segment of the log
-// that is written before another one is removed.
-const batchLogPercent = 85
+const (
+	// batchLogPercent of the disk is for batch jobs. The rest is for the record of regulated runs, and for a segment of the
+	// log that is written before another one is removed.
+	batchLogPercent = 85
+	// recordFileFraction is the part of the disk, one in so many, that a file of the record of regulated runs may take.
+	recordFileFraction = 128
+)
 
+// storeCmd runs a store, a server of batch jobs.
 type storeCmd struct{}
 
 // Run serves the role until the process is told to stop.
@@ -28,16 +33,14 @@
 	if err != nil {
 		return err
 	}
+	defer p.close()
 	members, err := p.joinMembership(controlclient.RoleStore, storePort)
 	if err != nil {
 		return err
 	}
 	p.startConditionReports(controlclient.RoleStore, storePort, members)
-	folder, err := p.openDataFolder()
-	if err != nil {
-		return err
-	}
-	records, err := audit.OpenStore(audit.StoreOptions{Folder: folder, FileBytes: int64(p.settings.Limits.DiskMB) << 20 / 128, Log: p.log})
+	folder := p.dataFolder()
+	records, err := audit.OpenStore(audit.StoreOptions{Folder: folder, FileBytes: p.diskBytes() / recordFileFraction, Log: p.log})
 	if err != nil {
 		return err
 	}
@@ -45,32 +48,17 @@
 	return p.runWithDiskSpace(folder, func() error { return p.serveStore(members, folder, records) })
 }
 
+// diskBytes returns the disk space of the process.
+func (p *process) diskBytes() int64 { return int64(p.settings.Limits.DiskMB) << 20 }
+
 // serveStore serves until the process is told to stop, or the store can't go on.
 func (p *process) serveStore(members *members, folder journal.Folder, records *audit.Store) error {
-	s := p.settings
-	// What is told to keepers outlasts SIGTERM: the lead of the parts is handed over then.
+	// Reports to keepers outlast SIGTERM: the partitions of the store are transferred then.
 	attached, detach := context.WithCancel(context.WithoutCancel(p.ctx))
 	defer detach()
-	var client *controlclient.Client
-	store, err := batch.NewStore(batch.StoreOptions{
-		Open: batch.OpenIn(folder),
-		Zone: s.Zone, MaxLostMachines: s.SurviveMachines, RetentionMs: s.Bounds.StatusEvery.Milliseconds(),
-		LogCapacityBytes: int64(s.Limits.DiskMB) << 20 / 100 * batchLogPercent,
-		ReportReady: func(part int, epoch uint64) {
-			go func() {
-				if err := sendReport(attached, client, controlclient.KindPartitionJoined, controlclient.PartitionJoined{Partition: part, Epoch: epoch}.Encode()); err != nil {
-					p.log.Warn("part not switched", "part", part, "epoch", epoch, "err", err)
-				}
-			}()
-		},
-		AnnounceStopping: func(store uint64, stopping bool) {
-			go func() {
-				if err := sendReport(attached, client, controlclient.KindStoreStopping, controlclient.StoreStopping{Store: store, Stopping: stopping}.Encode()); err != nil {
-					p.log.Warn("stopping not announced", "stopping", stopping, "err", err)
-				}
-			}()
-		},
-		Logf: func(format string, args ...any) { p.log.Info("batch", "event", fmt.Sprintf(format, args...)) }})
+	reports := &storeReports{ctx: attached, log: p.log}
+	defer reports.close()
+	store, err := p.openStore(folder, reports)
 	if err != nil {
 		return err
 	}
@@ -82,19 +70,16 @@
 	if err != nil {
 		return err
 	}
-	var wg sync.WaitGroup
-	defer wg.Wait()
+	var serving sync.WaitGroup
+	defer serving.Wait()
 	defer links.Close()
 	handler := newStoreLinkHandler(store, records)
 	defer handler.closeAll()
-	wg.Add(1)
-	go func() { defer wg.Done(); _ = link.Serve(links, handler, link.DefaultOptions) }() // ends with the listener
-	client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: s.NodeName, Role: controlclient.RoleStore, Zone: s.Zone,
-		Addr: p.internalAddr(storePort), ID: store.ID(), Incarnation: uint64(time.Now().UnixNano())}, Seeds: seedLinks(s),
-		KnownKeepers: members.keepers, Snapshots: &snapshot.Latest{}, OnSnapshot: store.Update, Log: p.log})
+	serving.Go(func() { _ = link.Serve(links, handler, link.DefaultOptions) }) // ends with the listener
+	client := p.newStoreClient(members, store)
+	reports.client = client
 	defer p.watcher.Subscribe(func(s *settings.Settings) { client.SetSeeds(seedLinks(s)) })()
-	wg.Add(1)
-	go func() { defer wg.Done(); client.Run(attached) }()
+	serving.Go(func() { client.Run(attached) })
 	defer detach() // before the wait for the goroutines
 	select {
 	case <-store.Done():
@@ -105,6 +90,41 @@
 	}
 }
 
+// openStore opens the log of batch jobs. The store does nothing before its first snapshot.
+func (p *process) openStore(folder journal.Folder, reports *storeReports) (*batch.Store, error) {
+	return batch.NewStore(batch.StoreOptions{
+		Open:             batch.OpenIn(folder),
+		Zone:             p.settings.Zone,
+		MaxLostMachines:  p.settings.SurviveMachines,
+		RetentionMs:      p.settings.Bounds.StatusEvery.Milliseconds(),
+		LogCapacityBytes: p.diskBytes() / 100 * batchLogPercent,
+		ReportReady:      reports.reportReady,
+		AnnounceStopping: reports.announceStopping,
+		Logf: func(format string, args ...any) {
+			p.log.Info("batch", "event", fmt.Sprintf(format, args...))
+		},
+	})
+}
+
+// newStoreClient returns the client that attaches a store to the keepers.
+func (p *process) newStoreClient(members *members, store *batch.Store) *controlclient.Client {
+	return controlclient.New(controlclient.Options{
+		Self: controlclient.Node{
+			Name:        p.settings.NodeName,
+			Role:        controlclient.RoleStore,
+			Zone:        p.settings.Zone,
+			Addr:        p.internalAddr(storePort),
+			ID:          store.ID(),
+			Incarnation: uint64(time.Now().UnixNano()),
+		},
+		Seeds:        seedLinks(p.settings),
+		KnownKeepers: members.keepers,
+		Snapshots:    &snapshot.Latest{},
+		OnSnapshot:   store.Update,
+		Log:          p.log,
+	})
+}
+
 // awaitStopped waits until a store does not use its log any more, or the process is to end anyway.
 func (p *process) awaitStopped(store *batch.Store) {
 	select {
--- a/cmd/dunetide/storelinks.go
+++ b/cmd/dunetide/storelinks.go
@@ -8,21 +8,22 @@
 	"dunetide/internal/platform/link"
 )
 
-// storeLinks passes on what comes over links to whom it is for, and ends the links with the store: who waits for a store
-// that is out of service has to see that it is gone.
+// storeLinkHandler passes messages to the batch store or to the record of regulated runs, and closes the links with the
+// store: who waits for a store that is out of service must notice that.
 type storeLinkHandler struct {
 	store   *batch.Store
 	records *audit.Store
 
 	mu    sync.Mutex
-	conns map[*link.Conn]bool // nil: ended
+	conns map[*link.Conn]bool // nil: all were closed
 }
 
+// newStoreLinkHandler returns the handler of a store's links.
 func newStoreLinkHandler(store *batch.Store, records *audit.Store) *storeLinkHandler {
 	return &storeLinkHandler{store: store, records: records, conns: map[*link.Conn]bool{}}
 }
 
-// Message passes a message on.
+// Message implements link.Handler.
 func (l *storeLinkHandler) Message(m *link.Message) {
 	if !l.register(m.Conn) {
 		m.Conn.Close()
@@ -35,7 +36,7 @@
 	l.store.Message(m)
 }
 
-// note remembers a link; false: all have ended.
+// register records a link. It reports false if all were closed.
 func (l *storeLinkHandler) register(c *link.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +47,7 @@
 	return true
 }
 
-// Closed forgets a link.
+// Closed implements link.Handler.
 func (l *storeLinkHandler) Closed(c *link.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -54,7 +55,7 @@
 	l.store.Closed(c)
 }
 
-// end ends all links.
+// closeAll closes all links, and those that come later at their first message.
 func (l *storeLinkHandler) closeAll() {
 	l.mu.Lock()
 	conns := l.conns
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// takeBuffers gives the exchange buffers for the head of the request and for the answer, and returns them for releaseBuffers.
-func (x *exchange) takeBuffers() (head, stream *[]byte) {
+// acquireBuffers gives the exchange buffers for the head of the request and for the answer, and returns them for releaseBuffers.
+func (x *exchange) acquireBuffers() (head, stream *[]byte) {
 	head, stream = getBuffer(), getBuffer()
 	x.head, x.stream.buffer = *head, *stream
 	return head, stream
--- a/internal/proxy/forward/intake.go
+++ b/internal/proxy/forward/intake.go
@@ -98,7 +98,7 @@
 	_ = rc.SetWriteDeadline(arrived.at.Add(timeout + writeMargin)) // without it a client that doesn't read is waited for
 	body := getBuffer()
 	defer putBuffer(body)
-	head, stream := x.takeBuffers()
+	head, stream := x.acquireBuffers()
 	defer x.releaseBuffers(head, stream)
 	if r.ContentLength != 0 {
 		bodyLimits := clientbody.Limits{MaxBytes: limits.MaxBodyBytes, Deadline: x.deadline, Budget: p.options.BodyBudget}
--- a/internal/proxy/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -97,7 +97,7 @@
 		x.deadline, x.request.Deadline = deadline, deadline
 	}
 	x.request.Due = it.Due
-	head, stream := x.takeBuffers()
+	head, stream := x.acquireBuffers()
 	defer x.releaseBuffers(head, stream)
 	x.buildHead(it.Path, it.Host, header, len(it.Body))
 	return x.runItem(it, event)
--- a/internal/proxy/forward/send.go
+++ b/internal/proxy/forward/send.go
@@ -53,7 +53,7 @@
 // connect acquires a connection to the endpoint. If there is none, or no time is left, the sending is over: it returns false
 // and the event.
 func (x *exchange) connect(target dispatch.Target) (attempt.Event, bool) {
-	conn, err := x.takeConnection(target)
+	conn, err := x.acquireConnection(target)
 	switch {
 	case err == nil:
 		x.connection = conn
@@ -77,8 +77,8 @@
 	return 0, true
 }
 
-// takeConnection acquires a connection that has not carried this id before: an answer to the earlier sending might come late.
-func (x *exchange) takeConnection(target dispatch.Target) (*upstream.Conn, error) {
+// acquireConnection acquires a connection that has not carried this id before: an answer to the earlier sending might come late.
+func (x *exchange) acquireConnection(target dispatch.Target) (*upstream.Conn, error) {
 	pool := x.proxy.poolFor(target)
 	for {
 		conn, err := pool.AcquireBefore(x.ctx, x.deadline)
@@ -93,7 +93,7 @@
 // roundTrip writes the request and reads the head of its answer. Before it, duplicates of answers to earlier requests on the
 // connection may arrive: their ids differ, and they are skipped.
 func (x *exchange) roundTrip() (err error) {
-	if x.holdsBackEnd() {
+	if x.delaysEnd() {
 		x.connection.DelayEnd()
 	}
 	x.response, err = x.connection.Open(x.ctx, x.method, x.head, x.body, x.deadline)
@@ -110,11 +110,11 @@
 	return err
 }
 
-// holdsBackEnd reports whether the request must not be lost on a connection that the endpoint has closed: no other endpoint
+// delaysEnd reports whether the request must not be lost on a connection that the endpoint has closed: no other endpoint
 // may have it after a reset, as it may run once or this is its last attempt. Then the end of the request is written a round
 // trip after its start, so that a reset comes first (upstream.Conn.DelayEnd). A regulated request goes out at once: its certificate was checked a moment ago,
 // and may be withdrawn. An item goes out at once too: it comes back after a pause.
-func (x *exchange) holdsBackEnd() bool {
+func (x *exchange) delaysEnd() bool {
 	if x.request.Regime != "" || x.request.Bulk {
 		return false
 	}
