--- a/cmd/deliverynode/main.go
+++ b/cmd/deliverynode/main.go
@@ -17,6 +17,7 @@
 	"dunetide/internal/deliverynode/group"
 	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/deliverynode/node"
+	"dunetide/internal/platform/vfs"
 )
 
 const usage = `usage: deliverynode [flags]   a delivery node; PROXY_CONFIG and PROXY_STATE say how and where
@@ -106,7 +107,7 @@
 
 // check tells what is in a state folder; it returns the exit status.
 func check(dir string, out io.Writer) int {
-	lock, err := journal.Lock(dir)
+	lock, err := vfs.Lock(dir)
 	if err != nil {
 		fmt.Fprintf(out, "not usable: %v\n", err)
 		return 2
@@ -116,7 +117,7 @@
 	} else {
 		_ = lock.Close() // a node may start meanwhile
 	}
-	report, err := journal.Check(journal.Dir(dir), largest)
+	report, err := journal.Check(vfs.Dir(dir), largest)
 	if err != nil {
 		fmt.Fprintf(out, "not usable: %v\n", err)
 		return 2
--- a/cmd/dunetide/condition_test.go
+++ b/cmd/dunetide/condition_test.go
@@ -12,8 +12,8 @@
 
 	"dunetide/internal/batch"
 	"dunetide/internal/control/controlclient"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // troubleListener takes the place of a keeper.
@@ -63,7 +63,7 @@
 	go func() { _ = link.Serve(listener, told, link.DefaultOptions) }()
 	ctx, cancel := context.WithCancel(t.Context())
 	p := &process{log: hclog.NewNullLogger(), ctx: ctx}
-	disk := disktest.New()
+	disk := vfstest.New()
 	disk.Room = diskProbeBytes / 2
 	ended, reported := make(chan error, 1), make(chan struct{})
 	go func() {
--- a/cmd/dunetide/diskspace.go
+++ b/cmd/dunetide/diskspace.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // runWithDiskSpace runs f, and again once there is disk space whenever it ends because the disk is full. Nothing of f may be
 // left when it returns. If the process is told to stop meanwhile, it returns nil.
-func (p *process) runWithDiskSpace(folder journal.Folder, f func() error) error {
+func (p *process) runWithDiskSpace(folder vfs.Folder, f func() error) error {
 	for {
 		err := f()
 		if !recordlog.IsDiskFull(err) && !batch.ErrDiskFull.Has(err) {
@@ -40,7 +40,7 @@
 }
 
 // awaitDiskSpace waits until a file of diskProbeBytes fits. It reports false if the process is told to stop before.
-func (p *process) awaitDiskSpace(folder journal.Folder) bool {
+func (p *process) awaitDiskSpace(folder vfs.Folder) bool {
 	tick := time.NewTicker(diskProbeInterval)
 	defer tick.Stop()
 	for {
@@ -56,7 +56,7 @@
 }
 
 // probeDisk returns an error if a file of diskProbeBytes can't be written.
-func probeDisk(folder journal.Folder) error {
+func probeDisk(folder vfs.Folder) error {
 	if err := folder.Remove(diskProbeFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
--- a/cmd/dunetide/diskspace_test.go
+++ b/cmd/dunetide/diskspace_test.go
@@ -10,14 +10,14 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/batch"
-	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 func TestWhenRoom(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	p := &process{log: hclog.NewNullLogger(), ctx: ctx}
-	disk := disktest.New()
+	disk := vfstest.New()
 	calls := 0
 	other := errors.New("other")
 	err := p.runWithDiskSpace(disk, func() error {
@@ -47,11 +47,11 @@
 
 // countedFolder tells of each file that is made.
 type countedFolder struct {
-	journal.Folder
+	vfs.Folder
 	created func()
 }
 
-func (f countedFolder) Create(name string) (journal.File, error) {
+func (f countedFolder) Create(name string) (vfs.File, error) {
 	f.created()
 	return f.Folder.Create(name)
 }
--- a/cmd/dunetide/golden_test.go
+++ b/cmd/dunetide/golden_test.go
@@ -22,8 +22,8 @@
 	"dunetide/internal/batch/audit"
 	"dunetide/internal/control/certification"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs"
 )
 
 // update writes the golden files anew. It is for the person who pins a changed format on purpose, never for CI.
@@ -242,7 +242,7 @@
 // auditLog is the record of some runs, one of which was sent to an endpoint without a certificate.
 func auditLog(t *testing.T, document []byte, at time.Time) []byte {
 	dir := t.TempDir()
-	store, err := audit.OpenStore(audit.StoreOptions{Folder: journal.Dir(dir), FileBytes: 1 << 20})
+	store, err := audit.OpenStore(audit.StoreOptions{Folder: vfs.Dir(dir), FileBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dunetide/keeper.go
+++ b/cmd/dunetide/keeper.go
@@ -3,8 +3,8 @@
 import (
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/keeper"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs"
 )
 
 // keeperCmd runs a keeper, a server of the control plane.
@@ -22,7 +22,7 @@
 		return err
 	}
 	p.startConditionReports(controlclient.RoleKeeper, keeperPort, members)
-	var folder journal.Folder
+	var folder vfs.Folder
 	if p.settings.DataDir != "" { // without one its state is in memory only
 		folder = p.dataFolder()
 	}
--- a/cmd/dunetide/process.go
+++ b/cmd/dunetide/process.go
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/control/controlclient"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/invariant"
 	"dunetide/internal/platform/reload"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs"
 )
 
 // settingsVar is the environment variable with the path of the settings file.
@@ -107,4 +107,4 @@
 }
 
 // dataFolder returns the folder of what the role stores on disk.
-func (p *process) dataFolder() journal.Folder { return journal.Dir(p.settings.DataDir) }
+func (p *process) dataFolder() vfs.Folder { return vfs.Dir(p.settings.DataDir) }
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -11,9 +11,9 @@
 	"dunetide/internal/batch/audit"
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -52,7 +52,7 @@
 func (p *process) diskBytes() int64 { return int64(p.settings.Limits.DiskMB) << 20 }
 
 // serveStore serves until the process is told to stop, or the store can't go on.
-func (p *process) serveStore(members *members, folder journal.Folder, records *audit.Store) error {
+func (p *process) serveStore(members *members, folder vfs.Folder, records *audit.Store) error {
 	// Reports to keepers outlast SIGTERM: the partitions of the store are transferred then.
 	attached, detach := context.WithCancel(context.WithoutCancel(p.ctx))
 	defer detach()
@@ -91,7 +91,7 @@
 }
 
 // openStore opens the log of batch jobs. The store does nothing before its first snapshot.
-func (p *process) openStore(folder journal.Folder, reports *storeReports) (*batch.Store, error) {
+func (p *process) openStore(folder vfs.Folder, reports *storeReports) (*batch.Store, error) {
 	return batch.NewStore(batch.StoreOptions{
 		Open:             batch.OpenIn(folder),
 		Zone:             p.settings.Zone,
--- a/internal/batch/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -17,8 +17,8 @@
 
 	"dunetide/internal/control/certification"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs"
 )
 
 func must(t testing.TB, err error) {
@@ -114,7 +114,7 @@
 }
 
 func (g *rig) open(i int, fileBytes int64) {
-	s, err := OpenStore(StoreOptions{Folder: journal.Dir(g.dirs[i]), FileBytes: fileBytes})
+	s, err := OpenStore(StoreOptions{Folder: vfs.Dir(g.dirs[i]), FileBytes: fileBytes})
 	must(g.t, err)
 	g.stores[i] = s
 }
@@ -433,7 +433,7 @@
 	must(t, err)
 	b[100] ^= 1
 	must(t, os.WriteFile(name, b, 0o600))
-	s, err := OpenStore(StoreOptions{Folder: journal.Dir(g.dirs[0])})
+	s, err := OpenStore(StoreOptions{Folder: vfs.Dir(g.dirs[0])})
 	must(t, err)
 	defer s.Close()
 	answer := make(chan error, 1)
--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -17,9 +17,9 @@
 
 	"dunetide/internal/control/snapshot"
 	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
@@ -188,7 +188,7 @@
 		t.Error("another kind of message")
 	}
 
-	d := disktest.New()
+	d := vfstest.New()
 	s, err := OpenStore(StoreOptions{Folder: d})
 	must(t, err)
 	must(t, s.appendNow(b))
@@ -218,8 +218,8 @@
 		w.Bytes(runEndedEntry(k, goldenEnd, Answered))
 		return w.Buf
 	}
-	written := func() *disktest.Disk {
-		d := disktest.New()
+	written := func() *vfstest.Disk {
+		d := vfstest.New()
 		s, err := OpenStore(StoreOptions{Folder: d, FileBytes: 900})
 		must(t, err)
 		for n := range uint64(3) {
@@ -228,7 +228,7 @@
 		s.Close()
 		return d
 	}
-	var d *disktest.Disk
+	var d *vfstest.Disk
 	if *update {
 		d = written()
 	}
@@ -270,7 +270,7 @@
 	}
 
 	// A store goes on with the files.
-	d = disktest.New()
+	d = vfstest.New()
 	for _, f := range files {
 		d.Put(f.name, f.content)
 	}
@@ -289,7 +289,7 @@
 // rewritten writes entries behind the header of a file, syncing where that file says that it was synced.
 func rewritten(t *testing.T, data []byte, last recordHash, entries [][]byte) []byte {
 	t.Helper()
-	d := disktest.New()
+	d := vfstest.New()
 	d.Put("f", data[:journal.FramesHeader])
 	l, err := recordlog.Open(d, "f", func([]byte, int64) error { return nil })
 	must(t, err)
@@ -334,7 +334,7 @@
 		text []byte
 		end  Outcome
 	}{{goldenRun, goldenText, Answered}, {other, append(slices.Clone(goldenText), ' '), Canceled}} {
-		d := disktest.New()
+		d := vfstest.New()
 		l, err := recordlog.Open(d, "f", func([]byte, int64) error { return nil })
 		must(t, err)
 		var last recordHash
--- a/internal/batch/audit/room_test.go
+++ b/internal/batch/audit/room_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // handOver is a message with a run that has ended and the document that it names.
@@ -36,7 +36,7 @@
 // there, the chain holds, and records are taken again as soon as there is room, which is logged once.
 func TestFullDiskIsNotForGood(t *testing.T) {
 	const messages, fileBytes = 12, 1 << 10
-	whole := disktest.New()
+	whole := vfstest.New()
 	s, err := OpenStore(StoreOptions{Folder: whole, FileBytes: fileBytes})
 	must(t, err)
 	for n := range messages {
@@ -48,7 +48,7 @@
 	}
 	for room := 1; room < whole.Used(); room += 23 {
 		var log bytes.Buffer
-		disk := disktest.New()
+		disk := vfstest.New()
 		disk.Room = room
 		s, err := OpenStore(StoreOptions{Folder: disk, FileBytes: fileBytes, Log: hclog.New(&hclog.LoggerOptions{Output: &log})})
 		must(t, err)
@@ -87,7 +87,7 @@
 
 // TestStalledDiskDoesNotHoldTheEndOfTheRecord stops a store of records in the middle of a write.
 func TestStalledDiskDoesNotHoldTheEndOfTheRecord(t *testing.T) {
-	disk, reached, release := disktest.New(), make(chan struct{}), make(chan struct{})
+	disk, reached, release := vfstest.New(), make(chan struct{}), make(chan struct{})
 	s, err := OpenStore(StoreOptions{Folder: disk})
 	must(t, err)
 	disk.Stall = func() {
--- a/internal/batch/audit/scan.go
+++ b/internal/batch/audit/scan.go
@@ -10,6 +10,7 @@
 	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs"
 )
 
 // scannedFile is what a scan has seen of one file.
@@ -24,7 +25,7 @@
 }
 
 // scanIn scans a file of a folder.
-func scanIn(folder journal.Folder, name string) (*scannedFile, error) {
+func scanIn(folder vfs.Folder, name string) (*scannedFile, error) {
 	files, err := folder.List()
 	if err != nil {
 		return nil, err
--- a/internal/batch/audit/store.go
+++ b/internal/batch/audit/store.go
@@ -12,9 +12,9 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -36,7 +36,7 @@
 
 // StoreOptions are the options of a Store.
 type StoreOptions struct {
-	Folder    journal.Folder
+	Folder    vfs.Folder
 	FileBytes int64        // the size at which a file is full; 0: 4 MiB
 	Log       hclog.Logger // nil: no log
 }
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	// A full file may be there without the one that is appended to, where power was lost between the two.
-	if slices.ContainsFunc(files, func(f journal.FileInfo) bool { return isAuditFile(f.Name) }) {
+	if slices.ContainsFunc(files, func(f vfs.FileInfo) bool { return isAuditFile(f.Name) }) {
 		if err := s.open(); err != nil {
 			s.reject(err)
 		}
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -12,8 +12,8 @@
 
 	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs"
 )
 
 // echo is a runner whose text is the item's body, an event a byte.
@@ -58,7 +58,7 @@
 	for i := range 3 {
 		dirs = append(dirs, t.TempDir())
 		st, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000,
-			Open:        OpenIn(journal.Dir(dirs[i])),
+			Open:        OpenIn(vfs.Dir(dirs[i])),
 			ReportReady: func(int, uint64) {}, Logf: t.Logf})
 		if err != nil {
 			t.Fatal(err)
@@ -138,7 +138,7 @@
 			if a := post("j3", 40); a.Status != 202 {
 				t.Fatalf("accept after the takeover: %+v", a)
 			}
-			again, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, Open: OpenIn(journal.Dir(dirs[i])), Logf: t.Logf})
+			again, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, Open: OpenIn(vfs.Dir(dirs[i])), Logf: t.Logf})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -7,9 +7,9 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // sentPipe notes what is sent.
@@ -245,8 +245,8 @@
 // TestDamagedDisksAreNotUsed: a store does not start on a log with a flipped byte in what was synced; a torn tail is cut
 // off, and what was synced is there.
 func TestDamagedDisksAreNotUsed(t *testing.T) {
-	build := func() *disktest.Disk {
-		d := disktest.New()
+	build := func() *vfstest.Disk {
+		d := vfstest.New()
 		log, err := openSegments(d)
 		if err != nil {
 			t.Fatal(err)
@@ -265,7 +265,7 @@
 		}
 		return d
 	}
-	open := func(d *disktest.Disk) error {
+	open := func(d *vfstest.Disk) error {
 		s, err := NewStore(StoreOptions{Open: func(replay func([]byte, int64) error) (Log, error) { return OpenLog(d, "t.log", replay) }})
 		if err == nil {
 			s.Close()
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -14,9 +14,9 @@
 
 	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // The files in testdata/golden hold the bytes of each message, record and JSON body of batch jobs as the sources of
@@ -694,7 +694,7 @@
 }
 
 // openGolden opens a store's log and returns what it holds, and where each record ends in its file.
-func openGolden(t *testing.T, d *disktest.Disk) (log Log, payloads []string, ends []int) {
+func openGolden(t *testing.T, d *vfstest.Disk) (log Log, payloads []string, ends []int) {
 	t.Helper()
 	log, err := OpenIn(d)(func(payload []byte, at int64) error {
 		payloads, ends = append(payloads, string(payload)), append(ends, int(at&segmentMask))
@@ -728,7 +728,7 @@
 // appended to the golden files cut short, which has to restore them.
 func TestGoldenLogFiles(t *testing.T) {
 	const first, second = "lots.log", "lots.log.000001"
-	d := disktest.New()
+	d := vfstest.New()
 	log, _, _ := openGolden(t, d)
 	appendTo(t, log, "first record")
 	if err := log.SyncTo(1<<segmentShift - 1); err != nil { // a record says how far the file was synced before it
@@ -753,7 +753,7 @@
 	}
 	wantValue(t, "files", names, []string{first, second})
 
-	whole := disktest.New()
+	whole := vfstest.New()
 	for _, name := range names {
 		whole.Put(name, readGolden(t, "file-"+name))
 	}
@@ -761,7 +761,7 @@
 	wantValue(t, "records", payloads, []string{"first record", "second record", "third record"})
 	closeLog(t, log)
 
-	cut := disktest.New()
+	cut := vfstest.New()
 	cut.Put(first, readGolden(t, "file-"+first)[:ends[0]])
 	log, _, _ = openGolden(t, cut)
 	appendTo(t, log, "second record")
@@ -778,7 +778,7 @@
 
 	// The head of a segment: what was written now has the same payloads as the golden file.
 	var written, read [][]byte
-	for from, to := range map[*disktest.Disk]*[][]byte{d: &written, whole: &read} {
+	for from, to := range map[*vfstest.Disk]*[][]byte{d: &written, whole: &read} {
 		file, err := recordlog.Open(from, second, func(payload []byte, _ int64) error {
 			*to = append(*to, bytes.Clone(payload))
 			return nil
--- a/internal/batch/room_test.go
+++ b/internal/batch/room_test.go
@@ -6,40 +6,40 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // fullFolder is a folder whose files take half of each write, and no more, while it is full.
 type fullFolder struct {
-	journal.Folder
+	vfs.Folder
 	full *atomic.Bool
 }
 
-func (f fullFolder) Create(name string) (journal.File, error) {
+func (f fullFolder) Create(name string) (vfs.File, error) {
 	file, err := f.Folder.Create(name)
 	return fullFile{file, f.full}, err
 }
 
-func (f fullFolder) Open(name string) (journal.OpenFile, error) {
+func (f fullFolder) Open(name string) (vfs.OpenFile, error) {
 	file, err := f.Folder.Open(name)
 	return fullOpenFile{file, f.full}, err
 }
 
 type fullFile struct {
-	journal.File
+	vfs.File
 	full *atomic.Bool
 }
 
 func (f fullFile) Write(b []byte) (int, error) { return writeHalf(f.File, b, f.full) }
 
 type fullOpenFile struct {
-	journal.OpenFile
+	vfs.OpenFile
 	full *atomic.Bool
 }
 
 func (f fullOpenFile) Write(b []byte) (int, error) { return writeHalf(f.OpenFile, b, f.full) }
 
-func writeHalf(to journal.File, b []byte, full *atomic.Bool) (int, error) {
+func writeHalf(to vfs.File, b []byte, full *atomic.Bool) (int, error) {
 	if !full.Load() {
 		return to.Write(b)
 	}
@@ -62,7 +62,7 @@
 // TestFullDiskEndsTheStoreNotItsLog has a store whose disk takes no more: it ends with an error that says so, and holds what it held
 // once it is opened again.
 func TestFullDiskEndsTheStoreNotItsLog(t *testing.T) {
-	folder := fullFolder{journal.Dir(t.TempDir()), &atomic.Bool{}}
+	folder := fullFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}}
 	options := StoreOptions{Open: OpenIn(folder), Logf: t.Logf}
 	folder.full.Store(true)
 	if _, err := NewStore(options); !ErrDiskFull.Has(err) {
@@ -106,19 +106,19 @@
 
 // stalledFolder is a folder whose writes do not return, from the first on that finds stalled set, until they are released.
 type stalledFolder struct {
-	journal.Folder
+	vfs.Folder
 	stalled *atomic.Bool
 	reached chan struct{}
 	release chan struct{}
 }
 
-func (f stalledFolder) Open(name string) (journal.OpenFile, error) {
+func (f stalledFolder) Open(name string) (vfs.OpenFile, error) {
 	file, err := f.Folder.Open(name)
 	return stalledFile{file, f}, err
 }
 
 type stalledFile struct {
-	journal.OpenFile
+	vfs.OpenFile
 	folder stalledFolder
 }
 
@@ -133,7 +133,7 @@
 // TestStalledDiskDoesNotHoldTheEnd stops a store in the middle of a write: it ends at once, and its log is in use until the write
 // has returned.
 func TestStalledDiskDoesNotHoldTheEnd(t *testing.T) {
-	folder := stalledFolder{journal.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
+	folder := stalledFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
 	s, err := NewStore(StoreOptions{Open: OpenIn(folder), Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/batch/segments.go
+++ b/internal/batch/segments.go
@@ -9,8 +9,8 @@
 	"strings"
 	"sync"
 
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs"
 )
 
 // The log of a store is a row of segments, each a file of package recordlog. Records are appended to
@@ -35,7 +35,7 @@
 // segmentedLog is a Log in a folder. It is safe for concurrent use, but for Append, Rotate and
 // DropOldest, which one goroutine alone calls.
 type segmentedLog struct {
-	folder journal.Folder
+	folder vfs.Folder
 	name   string
 
 	mu       sync.Mutex
@@ -49,7 +49,7 @@
 
 // OpenLog opens the log of a name in a folder and replays what it holds; end is the offset behind a
 // record. The error is of class recordlog.ErrDamaged if a segment is missing or is not what was written.
-func OpenLog(folder journal.Folder, name string, replay func(record []byte, end int64) error) (Log, error) {
+func OpenLog(folder vfs.Folder, name string, replay func(record []byte, end int64) error) (Log, error) {
 	l := &segmentedLog{folder: folder, name: name}
 	numbers, err := l.listSegments()
 	if err != nil {
--- a/internal/batch/segments_test.go
+++ b/internal/batch/segments_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // openedLog is a log and what its replay told.
@@ -17,7 +17,7 @@
 	at       []int64
 }
 
-func openSegments(d *disktest.Disk) (o openedLog, err error) {
+func openSegments(d *vfstest.Disk) (o openedLog, err error) {
 	log, err := OpenLog(d, "t.log", func(payload []byte, at int64) error {
 		o.payloads, o.at = append(o.payloads, string(payload)), append(o.at, at)
 		return nil
@@ -31,7 +31,7 @@
 // segmentScript appends three records to each of four segments, and removes the oldest segment twice on the way. It ends
 // at the first error. Appended is all that it has written, durable how much of that is promised, and removed how much of
 // it may be gone.
-func segmentScript(d *disktest.Disk) (appended []string, durable, removed int) {
+func segmentScript(d *vfstest.Disk) (appended []string, durable, removed int) {
 	log, err := openSegments(d)
 	if err != nil {
 		return nil, 0, 0
@@ -69,13 +69,13 @@
 // TestSegmentsAfterPowerLoss: whatever a loss of power at any step leaves, what was durable is there and in order, and the
 // log can be appended to and read back.
 func TestSegmentsAfterPowerLoss(t *testing.T) {
-	whole := disktest.New()
+	whole := vfstest.New()
 	if _, durable, removed := segmentScript(whole); durable != 12 || removed != 6 {
 		t.Fatalf("without losses: %d durable, %d removed", durable, removed)
 	}
 	for step := 1; step <= whole.Ops+1; step++ {
 		for kept := range 3 {
-			d := disktest.New()
+			d := vfstest.New()
 			d.FailAt, d.Fails = step, 1<<30
 			appended, durable, removed := segmentScript(d)
 			d.FailAt = 0
@@ -120,8 +120,8 @@
 
 // TestDamagedSegments: a segment that is missing, cut or changed after it was synced is found, and the log not used.
 func TestDamagedSegments(t *testing.T) {
-	build := func() *disktest.Disk {
-		d := disktest.New()
+	build := func() *vfstest.Disk {
+		d := vfstest.New()
 		log, err := openSegments(d)
 		if err != nil {
 			t.Fatal(err)
@@ -144,15 +144,15 @@
 		return d
 	}
 	middle := "t.log.000001"
-	for name, spoil := range map[string]func(d *disktest.Disk){
-		"a missing segment": func(d *disktest.Disk) { _ = d.Remove(middle) },
-		"a cut segment":     func(d *disktest.Disk) { b := d.File(middle); d.Put(middle, b[:len(b)-7]) },
-		"a flipped byte": func(d *disktest.Disk) {
+	for name, spoil := range map[string]func(d *vfstest.Disk){
+		"a missing segment": func(d *vfstest.Disk) { _ = d.Remove(middle) },
+		"a cut segment":     func(d *vfstest.Disk) { b := d.File(middle); d.Put(middle, b[:len(b)-7]) },
+		"a flipped byte": func(d *vfstest.Disk) {
 			b := bytes.Clone(d.File(middle))
 			b[len(b)-3] ^= 1
 			d.Put(middle, b)
 		},
-		"an emptied segment": func(d *disktest.Disk) { b := d.File(middle); d.Put(middle, b[:len(b)/4]) },
+		"an emptied segment": func(d *vfstest.Disk) { b := d.File(middle); d.Put(middle, b[:len(b)/4]) },
 	} {
 		d := build()
 		if log, err := openSegments(d); err != nil || len(log.payloads) != 9 {
@@ -164,7 +164,7 @@
 		}
 	}
 	// A log of before there were segments is the first one.
-	d := disktest.New()
+	d := vfstest.New()
 	old, err := recordlog.Open(d, "t.log", nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/batch/stopping_test.go
+++ b/internal/batch/stopping_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs"
 )
 
 // runsOf counts how often items began, over all workers.
@@ -171,7 +171,7 @@
 func newStoreGroup(t *testing.T, room int64) *storeGroup {
 	g := &storeGroup{t: t}
 	for i := range 3 {
-		s, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, LogCapacityBytes: room, Open: OpenIn(journal.Dir(t.TempDir())),
+		s, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, LogCapacityBytes: room, Open: OpenIn(vfs.Dir(t.TempDir())),
 			AnnounceStopping: func(store uint64, stopping bool) {
 				go g.change(func(cur *snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
 					return SetStopping(cur, store, stopping)
--- a/internal/batch/storelog.go
+++ b/internal/batch/storelog.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs"
 )
 
 // logName is the name of the first file of a store's log; see segments.go for the others.
 const logName = "lots.log"
 
 // OpenIn returns the function that opens the log of a store in a folder.
-func OpenIn(folder journal.Folder) func(replay func(record []byte, end int64) error) (Log, error) {
+func OpenIn(folder vfs.Folder) func(replay func(record []byte, end int64) error) (Log, error) {
 	return func(replay func(record []byte, end int64) error) (Log, error) {
 		return OpenLog(folder, logName, replay)
 	}
--- a/internal/batch/trouble_test.go
+++ b/internal/batch/trouble_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // untilTrouble waits until the trouble of a store begins with something; empty: until there is none.
@@ -27,7 +27,7 @@
 
 // TestTroubleOfAStalledDisk: a store whose disk does not answer says so until it does.
 func TestTroubleOfAStalledDisk(t *testing.T) {
-	folder := stalledFolder{journal.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
+	folder := stalledFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
 	s, err := NewStore(StoreOptions{Open: OpenIn(folder), Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 
 // TestTroubleOfAFullStore: a store that takes no jobs for want of room says so until it has room again.
 func TestTroubleOfAFullStore(t *testing.T) {
-	s, err := NewStore(StoreOptions{Open: OpenIn(journal.Dir(t.TempDir())), LogCapacityBytes: 1 << 20, Logf: t.Logf})
+	s, err := NewStore(StoreOptions{Open: OpenIn(vfs.Dir(t.TempDir())), LogCapacityBytes: 1 << 20, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/keeper/bootstrap_test.go
+++ b/internal/control/keeper/bootstrap_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs"
 )
 
 // TestKeeperConnectedBeforeBootstrapLearnsRegisters: a keeper that connects to the first voters before they have
@@ -40,7 +40,7 @@
 			FirstInternalPort: port, LastInternalPort: port, Seeds: []string{net.JoinHostPort(first, strconv.Itoa(port+1))}, FirstStart: true, HeartbeatInterval: 1200 * time.Millisecond},
 			Log: hclog.NewNullLogger()}
 		if disk {
-			o.Folder = journal.Dir(t.TempDir())
+			o.Folder = vfs.Dir(t.TempDir())
 		}
 		k, err := New(o)
 		if err != nil {
--- a/internal/control/keeper/calls_test.go
+++ b/internal/control/keeper/calls_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 func (r *rig) untilConnected(keepers ...int) {
@@ -108,7 +108,7 @@
 
 	// An emptied disk is another voter, which replaces the old one.
 	r.kill(1)
-	r.disks[1] = disktest.New()
+	r.disks[1] = vfstest.New()
 	r.start(1)
 	r.untilConnected(0, 1, 2)
 	r.kill(2) // a majority needs the new one
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -12,9 +12,9 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/consensus/paxos"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/recordlog"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // withDisk runs a change of a running keeper's disk in the goroutine that owns it.
@@ -217,7 +217,7 @@
 func TestStartOnFullDisk(t *testing.T) {
 	started := false
 	for room := 1; room < 200; room++ {
-		disk := disktest.New()
+		disk := vfstest.New()
 		disk.Room = room
 		first, err := openLone(t, disk)
 		if err != nil && (!recordlog.IsDiskFull(err) || started) {
@@ -241,12 +241,12 @@
 // TestInterruptedFirstStart kills a keeper at each operation of its first start: afterwards it knows all registers or
 // none, as no later start tells it the first voters.
 func TestInterruptedFirstStart(t *testing.T) {
-	whole := disktest.New()
+	whole := vfstest.New()
 	mustOpen(t, whole)
 	seen := map[int]bool{}
 	for step := 1; step <= whole.Ops; step++ {
 		for _, trouble := range diskFaults()[:5] {
-			disk := disktest.New()
+			disk := vfstest.New()
 			trouble.hit(disk, step)
 			_, _ = openLone(t, disk) // whether it comes as far as that
 			disk.FailAt = 0
--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -16,17 +16,17 @@
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // newIdleKeeper makes a keeper that doesn't run: the test calls its methods.
 func newIdleKeeper(t *testing.T, name string) *Keeper {
 	t.Helper()
 	k, err := New(Options{Settings: &settings.Settings{NodeName: name, IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2"},
-		Folder: disktest.New(), Log: hclog.NewNullLogger()})
+		Folder: vfstest.New(), Log: hclog.NewNullLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -26,9 +26,9 @@
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // updateGolden writes the golden files anew. It is only for the sources whose bytes the files pin, and never set in CI.
@@ -401,7 +401,7 @@
 		r.terminate(0)
 		golden(t, file, r.disks[0].File(logName))
 	}
-	disk := disktest.New()
+	disk := vfstest.New()
 	disk.Put(logName, readGolden(t, file))
 	if err := disk.Sync(); err != nil {
 		t.Fatal(err)
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -16,11 +16,11 @@
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/descriptors"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/settings"
 	"dunetide/internal/platform/telemetry"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -37,7 +37,7 @@
 	// Settings are the process's checked settings.
 	Settings *settings.Settings
 	// Folder holds keeper.log. With nil the keeper has no disk: it serves, but never votes.
-	Folder journal.Folder
+	Folder vfs.Folder
 	// Known returns the keepers that gossip has found; their links are dialed. May be nil.
 	Known func() []controlclient.Node
 	// Log receives all messages of the keeper.
--- a/internal/control/keeper/measured_rig_test.go
+++ b/internal/control/keeper/measured_rig_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // syncTime is how long a sync of a measuredFolder takes.
@@ -16,7 +16,7 @@
 
 // measuredFolder is a disk on which a sync takes its time, and which counts what is read.
 type measuredFolder struct {
-	*disktest.Disk
+	*vfstest.Disk
 	read atomic.Int64
 }
 
@@ -32,7 +32,7 @@
 	return b, err
 }
 
-func (f *measuredFolder) Create(name string) (journal.File, error) {
+func (f *measuredFolder) Create(name string) (vfs.File, error) {
 	file, err := f.Disk.Create(name)
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	return slowSync{file}, nil
 }
 
-func (f *measuredFolder) Open(name string) (journal.OpenFile, error) {
+func (f *measuredFolder) Open(name string) (vfs.OpenFile, error) {
 	file, err := f.Disk.Open(name)
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 }
 
 // slowSync is a file whose syncs take their time.
-type slowSync struct{ journal.File }
+type slowSync struct{ vfs.File }
 
 func (f slowSync) Sync() error {
 	time.Sleep(syncTime)
@@ -86,7 +86,7 @@
 	m.startRelays()
 	m.limits = settings.Limits{DiskMB: diskMB}
 	m.folders = make([]*measuredFolder, len(m.running))
-	m.folder = func(i int) journal.Folder {
+	m.folder = func(i int) vfs.Folder {
 		m.disks[i].Room = diskMB << 20
 		m.folders[i] = &measuredFolder{Disk: m.disks[i]}
 		return m.folders[i]
--- a/internal/control/keeper/register_log.go
+++ b/internal/control/keeper/register_log.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"dunetide/internal/consensus/paxos"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs"
 )
 
 // logName is the file of the registers' log in the keeper's folder.
@@ -58,7 +58,7 @@
 }
 
 // openLog reads the log, and starts it with a new identity if it is empty.
-func (rs *registerSet) openLog(folder journal.Folder) error {
+func (rs *registerSet) openLog(folder vfs.Folder) error {
 	log, err := recordlog.Open(folder, logName, func(b []byte, _ int64) error { return rs.replayRecord(b) })
 	if err != nil {
 		return err
--- a/internal/control/keeper/register_log_test.go
+++ b/internal/control/keeper/register_log_test.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/consensus/paxos"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 const (
@@ -23,12 +23,12 @@
 // returns.
 type loneRegisters struct {
 	t         testing.TB
-	disk      *disktest.Disk
+	disk      *vfstest.Disk
 	registers *registerSet
 	now       time.Duration
 }
 
-func openLone(t testing.TB, disk *disktest.Disk) (*loneRegisters, error) {
+func openLone(t testing.TB, disk *vfstest.Disk) (*loneRegisters, error) {
 	t.Helper()
 	s := &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2", Limits: settings.Limits{DiskMB: diskMB}}
 	k, err := New(Options{Settings: s, Folder: disk, Log: hclog.NewNullLogger()})
@@ -40,7 +40,7 @@
 	return l, nil
 }
 
-func mustOpen(t testing.TB, disk *disktest.Disk) *loneRegisters {
+func mustOpen(t testing.TB, disk *vfstest.Disk) *loneRegisters {
 	t.Helper()
 	l, err := openLone(t, disk)
 	if err != nil {
@@ -100,7 +100,7 @@
 // replayChanges makes changes of the given size on a disk of 64 MB and starts again.
 func replayChanges(t testing.TB, count, size int) (u logUsage) {
 	t.Helper()
-	disk := disktest.New()
+	disk := vfstest.New()
 	disk.Room = diskMB << 20
 	disk.Stall = func() { u.peak = max(u.peak, disk.Used()) }
 	l := mustOpen(t, disk)
@@ -135,9 +135,9 @@
 
 // logNearRewrite is a disk whose log is rewritten with one of the next changes, after hundreds of changes, and the
 // number of the last one.
-func logNearRewrite(t *testing.T) (*disktest.Disk, int) {
+func logNearRewrite(t *testing.T) (*vfstest.Disk, int) {
 	t.Helper()
-	disk := disktest.New()
+	disk := vfstest.New()
 	l := mustOpen(t, disk)
 	const size = 4 << 10
 	rewritten, n := 0, 0
@@ -159,22 +159,22 @@
 // diskFault is what happens at one operation of the disk.
 type diskFault struct {
 	name string
-	hit  func(disk *disktest.Disk, step int)
+	hit  func(disk *vfstest.Disk, step int)
 	// after is done once the process has ended.
-	after func(disk *disktest.Disk)
+	after func(disk *vfstest.Disk)
 }
 
 func diskFaults() []diskFault {
-	kill := func(disk *disktest.Disk, step int) { disk.FailAt, disk.Fails = step, 1<<30 }
+	kill := func(disk *vfstest.Disk, step int) { disk.FailAt, disk.Fails = step, 1<<30 }
 	return []diskFault{
-		{"kill", kill, func(*disktest.Disk) {}},
-		{"loss of power, nothing stays", kill, func(d *disktest.Disk) { d.PowerLossEach(func(int) int { return 0 }) }},
-		{"loss of power, all stays", kill, func(d *disktest.Disk) { d.PowerLossEach(func(n int) int { return min(1, n-1) }) }},
-		{"loss of power, names stay", kill, func(d *disktest.Disk) { d.PowerLoss(func(n int) int { return n - 1 }) }},
-		{"loss of power, some stays", kill, func(d *disktest.Disk) { d.PowerLossEach(rand.IntN) }},
-		{"one operation fails", func(d *disktest.Disk, step int) { d.FailAt, d.Fails = step, 1 }, func(*disktest.Disk) {}},
-		{"three operations fail, then power is lost", func(d *disktest.Disk, step int) { d.FailAt, d.Fails = step, 3 },
-			func(d *disktest.Disk) { d.PowerLossEach(rand.IntN) }},
+		{"kill", kill, func(*vfstest.Disk) {}},
+		{"loss of power, nothing stays", kill, func(d *vfstest.Disk) { d.PowerLossEach(func(int) int { return 0 }) }},
+		{"loss of power, all stays", kill, func(d *vfstest.Disk) { d.PowerLossEach(func(n int) int { return min(1, n-1) }) }},
+		{"loss of power, names stay", kill, func(d *vfstest.Disk) { d.PowerLoss(func(n int) int { return n - 1 }) }},
+		{"loss of power, some stays", kill, func(d *vfstest.Disk) { d.PowerLossEach(rand.IntN) }},
+		{"one operation fails", func(d *vfstest.Disk, step int) { d.FailAt, d.Fails = step, 1 }, func(*vfstest.Disk) {}},
+		{"three operations fail, then power is lost", func(d *vfstest.Disk, step int) { d.FailAt, d.Fails = step, 3 },
+			func(d *vfstest.Disk) { d.PowerLossEach(rand.IntN) }},
 	}
 }
 
@@ -202,7 +202,7 @@
 	t.Log(cases, "cases")
 }
 
-func rewriteWithFault(t *testing.T, disk *disktest.Disk, last, more, step int, trouble diskFault) {
+func rewriteWithFault(t *testing.T, disk *vfstest.Disk, last, more, step int, trouble diskFault) {
 	t.Helper()
 	what := fmt.Sprintf("%s at operation %d", trouble.name, step)
 	l := mustOpen(t, disk)
@@ -276,7 +276,7 @@
 func BenchmarkRestart(b *testing.B) {
 	for _, c := range []struct{ count, size int }{{100, 4 << 10}, {400, 4 << 10}, {400, 64 << 10}, {100, 1 << 20}, {24, maxConfigBody}} {
 		b.Run(fmt.Sprintf("%dx%dkB", c.count, c.size>>10), func(b *testing.B) {
-			disk := disktest.New()
+			disk := vfstest.New()
 			disk.Room = diskMB << 20
 			l := mustOpen(b, disk)
 			for n := range c.count {
--- a/internal/control/keeper/restart_damage_test.go
+++ b/internal/control/keeper/restart_damage_test.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/go-hclog"
 
 	"dunetide/internal/control/controlclient"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/recordlog"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // damagedDisk is what happens to a disk while its keeper is down. damage returns the disk that the keeper comes back
@@ -21,25 +21,25 @@
 	name         string
 	refusesStart bool
 	keepsVote    bool // under the identity that it had
-	damage       func(disk, longAgo *disktest.Disk) *disktest.Disk
+	damage       func(disk, longAgo *vfstest.Disk) *vfstest.Disk
 }
 
 func damagedDisks() []damagedDisk {
-	same := func(disk, _ *disktest.Disk) *disktest.Disk { return disk }
+	same := func(disk, _ *vfstest.Disk) *vfstest.Disk { return disk }
 	return []damagedDisk{
 		{name: "as it was", keepsVote: true, damage: same},
-		{name: "torn tail", keepsVote: true, damage: func(disk, _ *disktest.Disk) *disktest.Disk {
+		{name: "torn tail", keepsVote: true, damage: func(disk, _ *vfstest.Disk) *vfstest.Disk {
 			log := disk.File(logName)
 			disk.Put(logName, bytes.Clone(log[:len(log)-3]))
 			return disk
 		}},
-		{name: "flipped byte", refusesStart: true, damage: func(disk, _ *disktest.Disk) *disktest.Disk {
+		{name: "flipped byte", refusesStart: true, damage: func(disk, _ *vfstest.Disk) *vfstest.Disk {
 			log := disk.File(logName)
 			log[len(log)/2] ^= 1 << 3
 			return disk
 		}},
-		{name: "empty", damage: func(_, _ *disktest.Disk) *disktest.Disk { return disktest.New() }},
-		{name: "of long ago", keepsVote: true, damage: func(_, longAgo *disktest.Disk) *disktest.Disk { return longAgo }},
+		{name: "empty", damage: func(_, _ *vfstest.Disk) *vfstest.Disk { return vfstest.New() }},
+		{name: "of long ago", keepsVote: true, damage: func(_, longAgo *vfstest.Disk) *vfstest.Disk { return longAgo }},
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	victim := r.untilVoterLeaseHeld()
 	other, third := (victim+1)%3, (victim+2)%3
-	var longAgo *disktest.Disk
+	var longAgo *vfstest.Disk
 	r.withDisk(victim, func() { longAgo = r.disks[victim].Copy() })
 	for range missedChanges {
 		o.put(victim)
@@ -82,7 +82,7 @@
 	r.disks[victim] = damaged.damage(r.disks[victim], longAgo)
 	if damaged.refusesStart {
 		r.checkRefusesToStart(victim)
-		r.disks[victim] = disktest.New()
+		r.disks[victim] = vfstest.New()
 	}
 	links.cutOff(victim, true, true)
 	r.start(victim)
--- a/internal/control/keeper/restart_measure_test.go
+++ b/internal/control/keeper/restart_measure_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // restartCost is what a restart cost.
@@ -50,7 +50,7 @@
 }
 
 // killAll kills all keepers, and returns their disks.
-func (m *measuredRig) killAll() (disks []*disktest.Disk) {
+func (m *measuredRig) killAll() (disks []*vfstest.Disk) {
 	for i := range m.running {
 		m.kill(i)
 	}
@@ -58,7 +58,7 @@
 }
 
 // restartOthers starts the keepers that are not measured, all on copies of disks.
-func (m *measuredRig) restartOthers(disks []*disktest.Disk) {
+func (m *measuredRig) restartOthers(disks []*vfstest.Disk) {
 	m.t.Helper()
 	for i := range disks {
 		m.disks[i] = disks[i].Copy()
--- a/internal/control/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -17,10 +17,10 @@
 
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 const (
@@ -40,9 +40,9 @@
 	firstStart  bool
 	pushWait    time.Duration
 	log         hclog.Logger
-	disks       []*disktest.Disk           // nil: none
-	folder      func(i int) journal.Folder // the folder of a keeper; nil: its disk
-	limits      settings.Limits            // of all keepers
+	disks       []*vfstest.Disk        // nil: none
+	folder      func(i int) vfs.Folder // the folder of a keeper; nil: its disk
+	limits      settings.Limits        // of all keepers
 	running     []*runningKeeper
 	relays      *relays // between the keepers; nil: none
 }
@@ -56,10 +56,10 @@
 // newRig prepares n keepers with empty disks, which don't run yet; the first three are the seeds.
 func newRig(t *testing.T, n int) *rig {
 	t.Helper()
-	r := &rig{t: t, ipPrefix: fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(256)), firstStart: true, log: hclog.NewNullLogger(), disks: make([]*disktest.Disk, n),
+	r := &rig{t: t, ipPrefix: fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(256)), firstStart: true, log: hclog.NewNullLogger(), disks: make([]*vfstest.Disk, n),
 		running: make([]*runningKeeper, n)}
 	for i := range r.disks {
-		r.disks[i] = disktest.New()
+		r.disks[i] = vfstest.New()
 	}
 	for _, port := range []*int{&r.linkPort, &r.controlPort} {
 		l, err := net.Listen("tcp4", r.ip(0)+":0")
@@ -96,7 +96,7 @@
 
 func (r *rig) start(i int) {
 	r.t.Helper()
-	var folder journal.Folder
+	var folder vfs.Folder
 	switch {
 	case r.folder != nil:
 		folder = r.folder(i)
--- a/internal/control/keeper/voters_test.go
+++ b/internal/control/keeper/voters_test.go
@@ -8,8 +8,8 @@
 
 	"dunetide/internal/consensus/paxos"
 	"dunetide/internal/control/controlclient"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // voterNames returns the names of a register's voters, as a keeper knows them.
@@ -159,7 +159,7 @@
 	o.put(0)
 	lost := o.running[1].keeper.registers.id
 	o.kill(1)
-	o.disks[1] = disktest.New()
+	o.disks[1] = vfstest.New()
 	o.start(1)
 	eventually(t, "the identity of the lost disk votes no more", func() bool {
 		return !slices.ContainsFunc(registerNames, func(name string) bool {
@@ -379,7 +379,7 @@
 	o.start(3)
 	underOrders("the joiner votes", func(state paxos.State) bool { return state.HasVoter(o.running[3].keeper.registers.id) })
 	o.kill(0)
-	o.disks[0] = disktest.New()
+	o.disks[0] = vfstest.New()
 	o.start(0)
 	underOrders("the new identity votes", func(state paxos.State) bool { return state.HasVoter(o.running[0].keeper.registers.id) })
 	o.checkReadable(0)
--- a/internal/deliverynode/fleet/claim_test.go
+++ b/internal/deliverynode/fleet/claim_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // newClaimant returns a node "a" in incarnation 1 that nothing runs for: no transport, no clock. Its
@@ -17,7 +17,7 @@
 	node, err := New(Options{
 		File:   File{Fleet: "test", Nodes: []Node{{Name: "a", Address: address, Listen: address}}},
 		Name:   "a",
-		Folder: journal.Dir(t.TempDir()),
+		Folder: vfs.Dir(t.TempDir()),
 		Clock:  func() time.Duration { return 0 },
 		Log:    slog.New(slog.DiscardHandler),
 	})
--- a/internal/deliverynode/fleet/fleet.go
+++ b/internal/deliverynode/fleet/fleet.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -73,7 +73,7 @@
 type Options struct {
 	File   File
 	Name   string
-	Folder journal.Folder
+	Folder vfs.Folder
 	// Listen opens the transport at an address.
 	Listen func(netip.AddrPort) (Transport, error)
 	Clock  func() time.Duration // monotonic
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/lab/faults"
+	"dunetide/internal/platform/vfs"
 )
 
 // world is a fleet in simulated time: the real code above a network in memory.
@@ -66,7 +66,7 @@
 func (w *world) start(i int, prepare ...func(*fleet.Fleet)) *node {
 	n := w.nodes[i]
 	origin := time.Now()
-	f, err := fleet.New(fleet.Options{File: w.file, Name: n.name, Folder: journal.Dir(n.dir), Listen: w.net.Listen,
+	f, err := fleet.New(fleet.Options{File: w.file, Name: n.name, Folder: vfs.Dir(n.dir), Listen: w.net.Listen,
 		Clock: func() time.Duration { return time.Since(origin) }, Seed: uint64(i), Log: w.log.With("at", n.name)})
 	if err != nil {
 		w.t.Fatal(err)
--- a/internal/deliverynode/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -9,8 +9,8 @@
 	"reflect"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/lab/golden"
+	"dunetide/internal/platform/vfs"
 )
 
 // goldenCBOR tests the encoding of what goes over links and in gossip.
@@ -125,7 +125,7 @@
 func TestGoldenIdentityFile(t *testing.T) {
 	want := golden.Filled[identity]()
 	dir := t.TempDir()
-	if err := want.save(journal.Dir(dir)); err != nil {
+	if err := want.save(vfs.Dir(dir)); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(filepath.Join(dir, identityName))
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, "fleet-node", written)
-	read, spoilt, err := loadIdentity(journal.Dir(golden.Dir), want.Fleet, want.Name)
+	read, spoilt, err := loadIdentity(vfs.Dir(golden.Dir), want.Fleet, want.Name)
 	if err != nil || spoilt != nil || read != want {
 		t.Errorf("read %+v, %v, %v, want %+v", read, spoilt, err, want)
 	}
--- a/internal/deliverynode/fleet/identity.go
+++ b/internal/deliverynode/fleet/identity.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // loadIdentity reads what an earlier start kept; a zero incarnation where there is nothing.
 // What can't be read is as good as nothing, and is told: others know the incarnation.
-func loadIdentity(folder journal.Folder, fleet, name string) (id identity, spoilt error, err error) {
+func loadIdentity(folder vfs.Folder, fleet, name string) (id identity, spoilt error, err error) {
 	fresh := identity{Fleet: fleet, Name: name}
 	text, err := folder.Read(identityName, maxIdentity)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -56,12 +56,12 @@
 
 // save puts an identity on disk, whole or not at all, synced: an incarnation that somebody
 // has heard must never be used again.
-func (id identity) save(folder journal.Folder) error {
+func (id identity) save(folder vfs.Folder) error {
 	body, err := json.Marshal(id)
 	if err != nil {
 		return fmt.Errorf("keeping the incarnation: %w", err)
 	}
-	err = journal.Replace(folder, identityName, fmt.Appendf(nil, "%s\n%016x\n", body, xxhash.Sum64(body)))
+	err = vfs.Replace(folder, identityName, fmt.Appendf(nil, "%s\n%016x\n", body, xxhash.Sum64(body)))
 	if err != nil {
 		return fmt.Errorf("keeping the incarnation: %w", err)
 	}
--- a/internal/deliverynode/fleet/identity_test.go
+++ b/internal/deliverynode/fleet/identity_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // Whatever operation fails, and whether power is lost then: an incarnation that was given out
@@ -13,7 +13,7 @@
 func TestNoIncarnationTwice(t *testing.T) {
 	for failAt := 0; failAt <= 40; failAt++ {
 		for _, power := range []bool{false, true} {
-			d := disktest.New()
+			d := vfstest.New()
 			out := uint64(0)
 			for range 6 {
 				id, spoilt, err := loadIdentity(d, "f", "a")
@@ -40,7 +40,7 @@
 }
 
 func TestASpoiltOrForeignIdentity(t *testing.T) {
-	d := disktest.New()
+	d := vfstest.New()
 	if err := (identity{"f", "a", 7}).save(d); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deliverynode/journal/bench_test.go
+++ b/internal/deliverynode/journal/bench_test.go
@@ -7,6 +7,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"dunetide/internal/platform/vfs"
 )
 
 // BenchmarkTake takes messages on and ends them, by one caller and by many. It reports
@@ -15,7 +17,7 @@
 	for _, callers := range []int{1, 64} {
 		for _, on := range []bool{false, true} {
 			b.Run(fmt.Sprintf("callers=%d/sync=%v", callers, on), func(b *testing.B) {
-				j, _, err := Open(Options{Folder: Dir(b.TempDir()), Limit: 3e6, Sync: on})
+				j, _, err := Open(Options{Folder: vfs.Dir(b.TempDir()), Limit: 3e6, Sync: on})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -94,7 +95,7 @@
 		dir := t.TempDir()
 		must(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "v1"))))
 		for life, on := range sync {
-			j, owed, err := Open(Options{Folder: Dir(dir), Limit: MinDisk, Sync: on})
+			j, owed, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: on})
 			must(t, err)
 			got := map[string]*Message{}
 			for _, m := range owed {
@@ -252,14 +253,14 @@
 // startTwice checks what a folder is reported to have, and that a second start finds the same as the first, and no problem.
 func startTwice(t *testing.T, dir string, damaged bool, owedThen, aside int) {
 	t.Helper()
-	report, err := Check(Dir(dir), MinDisk)
+	report, err := Check(vfs.Dir(dir), MinDisk)
 	must(t, err)
 	if report.Damaged() != damaged || report.Owed != owedThen {
 		t.Errorf("damaged %v and %d owed, want %v and %d: %+v", report.Damaged(), report.Owed, damaged, owedThen, report.Problems)
 	}
 	first := ""
 	for start := range 2 {
-		j, owed, err := Open(Options{Folder: Dir(dir), Limit: MinDisk, Sync: true})
+		j, owed, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true})
 		must(t, err)
 		if start == 0 {
 			first = state(j, owed)
@@ -286,7 +287,7 @@
 // four writes 12 messages, three in each of four segments.
 func four(t *testing.T, dir string) {
 	for s := range 4 {
-		j, _, err := Open(Options{Folder: Dir(dir), Limit: MinDisk, Sync: true})
+		j, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true})
 		must(t, err)
 		for i := range 3 {
 			must(t, j.Take(&Message{ID: fmt.Sprint("m", s, i), Deadline: time.Now(), Body: bytes.Repeat([]byte{1, 2}, 50)}))
@@ -323,7 +324,7 @@
 	must(t, os.WriteFile(path, data, 0o600))
 	before := readFolder(t, dir)
 	for _, sync := range []bool{false, true} {
-		_, _, err := Open(Options{Folder: Dir(dir), Limit: MinDisk, Sync: sync})
+		_, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: sync})
 		if !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "format 3") {
 			t.Errorf("%v, want that it is newer", err)
 		}
@@ -346,7 +347,7 @@
 	if _, _, err := Open(Options{Folder: d, Limit: MinDisk}); !errors.Is(err, os.ErrPermission) {
 		t.Errorf("%v, want that it is not permitted", err)
 	}
-	if _, err := Check(Dir(filepath.Join(t.TempDir(), "none")), MinDisk); !errors.Is(err, os.ErrNotExist) {
+	if _, err := Check(vfs.Dir(filepath.Join(t.TempDir(), "none")), MinDisk); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v, want that it is not there", err)
 	}
 }
@@ -437,14 +438,14 @@
 		dir := t.TempDir()
 		now := time.Now()
 		clock := func() time.Time { return now }
-		j, _, err := Open(Options{Folder: Dir(dir), Limit: MinDisk, Sync: true, Now: clock})
+		j, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true, Now: clock})
 		must(t, err)
 		m := &Message{ID: "a", Deadline: now.Add(time.Minute)}
 		must(t, j.Take(m))
 		must(t, j.Attempt(m, "e1", 0, now))
 		must(t, j.Close())
 		now = now.Add(jump)
-		j, owed, err := Open(Options{Folder: Dir(dir), Limit: MinDisk, Sync: true, Now: clock})
+		j, owed, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true, Now: clock})
 		must(t, err)
 		if len(owed) != 1 || !owed[0].Past.MayRun || !owed[0].Deadline.Equal(m.Deadline.Truncate(time.Microsecond)) {
 			t.Errorf("jump %v: owed %+v", jump, owed)
@@ -492,13 +493,13 @@
 	began   chan struct{}
 }
 
-func (d *slowDisk) Create(name string) (File, error) {
+func (d *slowDisk) Create(name string) (vfs.File, error) {
 	f, err := d.disk.Create(name)
 	return &slowFile{f, d}, err
 }
 
 type slowFile struct {
-	File
+	vfs.File
 	d *slowDisk
 }
 
@@ -531,7 +532,7 @@
 func FuzzReader(f *testing.F) {
 	for _, sync := range []bool{false, true} {
 		dir := f.TempDir()
-		j, _, err := Open(Options{Folder: Dir(dir), Limit: MinDisk, Sync: sync})
+		j, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: sync})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -592,11 +593,11 @@
 }
 
 type onceBadFile struct {
-	File
+	vfs.File
 	d *onceBad
 }
 
-func (d *onceBad) Create(name string) (File, error) {
+func (d *onceBad) Create(name string) (vfs.File, error) {
 	f, err := d.disk.Create(name)
 	return &onceBadFile{f, d}, err
 }
--- a/internal/deliverynode/journal/golden_test.go
+++ b/internal/deliverynode/journal/golden_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"dunetide/internal/lab/golden"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -80,7 +81,7 @@
 			if err != nil || read.keyed != f.keyed || read.checkpoint != f.checkpoint || read.salt != f.salt {
 				t.Errorf("read the format %+v, %v, want %+v", read, err, f)
 			}
-			j, err := Replay(Options{Folder: Dir(filepath.Join(golden.Dir, name)), Limit: MinDisk, Sync: f.keyed})
+			j, err := Replay(Options{Folder: vfs.Dir(filepath.Join(golden.Dir, name)), Limit: MinDisk, Sync: f.keyed})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/deliverynode/journal/journal.go
+++ b/internal/deliverynode/journal/journal.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -41,7 +42,7 @@
 
 // Options configures a journal.
 type Options struct {
-	Folder Folder
+	Folder vfs.Folder
 	Limit  int64 // most bytes in the folder
 	// Base is added to the numbers of the messages (Message.Number), for a process that has several journals.
 	Base policy.MessageID
@@ -56,7 +57,7 @@
 // are still needed are written to the newest, so the record that ends a message never goes before the message itself.
 // It is safe for concurrent use.
 type Journal struct {
-	fs      Folder
+	fs      vfs.Folder
 	limit   int64
 	base    policy.MessageID
 	sync    bool
@@ -70,7 +71,7 @@
 	stray    bool      // the folder has an unfinished checkpoint
 
 	mu         sync.Mutex
-	file       File // the newest segment
+	file       vfs.File // the newest segment
 	format     format
 	segments   []segment
 	aside      []segment // copies of damaged segments
--- a/internal/deliverynode/journal/journal_test.go
+++ b/internal/deliverynode/journal/journal_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -17,7 +18,7 @@
 
 func mustOpen(t *testing.T, dir string, limit int64) (*Journal, []*Message) {
 	t.Helper()
-	j, owed, err := Open(Options{Folder: Dir(dir), Limit: limit, Log: quietLog()})
+	j, owed, err := Open(Options{Folder: vfs.Dir(dir), Limit: limit, Log: quietLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deliverynode/journal/power_test.go
+++ b/internal/deliverynode/journal/power_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -56,12 +57,12 @@
 	d.pending = append(d.pending, nameOp{do})
 }
 
-func (d *disk) List() ([]FileInfo, error) {
+func (d *disk) List() ([]vfs.FileInfo, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var files []FileInfo
+	var files []vfs.FileInfo
 	for _, name := range sorted(d.names) {
-		files = append(files, FileInfo{name, int64(len(d.names[name].data))})
+		files = append(files, vfs.FileInfo{Name: name, Size: int64(len(d.names[name].data))})
 	}
 	return files, nil
 }
@@ -74,7 +75,7 @@
 		return nil, fmt.Errorf("%s is not there", name)
 	}
 	if int64(len(f.data)) > most {
-		return nil, errTooLarge
+		return nil, vfs.ErrTooLarge
 	}
 	return slices.Clone(f.data), nil
 }
@@ -89,7 +90,7 @@
 	return slices.Clone(f.data[:min(most, len(f.data))]), nil
 }
 
-func (d *disk) Create(name string) (File, error) {
+func (d *disk) Create(name string) (vfs.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.names[name] != nil {
@@ -103,7 +104,7 @@
 	return &diskFile{d, f}, nil
 }
 
-func (d *disk) Open(name string) (OpenFile, error) {
+func (d *disk) Open(name string) (vfs.OpenFile, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.names[name]
@@ -250,7 +251,7 @@
 // small makes segments short, so that a short script rolls, cleans and checks often.
 const smallSegment = 1500
 
-func openSmall(f Folder, sync bool) (*Journal, []*Message, error) {
+func openSmall(f vfs.Folder, sync bool) (*Journal, []*Message, error) {
 	j, err := Replay(Options{Folder: f, Limit: 24 * smallSegment, Sync: sync})
 	if err != nil {
 		return nil, nil, err
--- a/internal/deliverynode/journal/recover.go
+++ b/internal/deliverynode/journal/recover.go
@@ -11,6 +11,7 @@
 	"strings"
 	"time"
 
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -204,7 +205,7 @@
 	j := r.journal
 	data, err := j.fs.Read(segmentPath(n), max(j.limit, 2*(MaxBody+4<<10)))
 	switch {
-	case errors.Is(err, errTooLarge):
+	case errors.Is(err, vfs.ErrTooLarge):
 		r.problem(segmentPath(n), 0, err.Error(), false)
 		j.segments[slices.IndexFunc(j.segments, func(s segment) bool { return s.number == n })].size = 0
 		return []byte("\xff\xff\xff\xff"), nil
@@ -561,7 +562,7 @@
 }
 
 // Check replays the journal in a folder, with a limit in bytes, and returns the report. It writes nothing.
-func Check(fs Folder, limit int64) (*Report, error) {
+func Check(fs vfs.Folder, limit int64) (*Report, error) {
 	j, err := Replay(Options{Folder: fs, Limit: limit})
 	if err != nil {
 		return nil, err
--- a/internal/deliverynode/journal/segment.go
+++ b/internal/deliverynode/journal/segment.go
@@ -6,6 +6,8 @@
 	"math/rand/v2"
 	"slices"
 	"sort"
+
+	"dunetide/internal/platform/vfs"
 )
 
 // segment is one file of the journal.
@@ -103,7 +105,7 @@
 }
 
 // create creates a file. With a header, the header and the file's name are durable when it returns.
-func (j *Journal) create(name string, f format) (File, error) {
+func (j *Journal) create(name string, f format) (vfs.File, error) {
 	file, err := j.fs.Create(name)
 	if err != nil || !f.keyed {
 		return file, err
--- a/internal/deliverynode/journal/sync.go
+++ b/internal/deliverynode/journal/sync.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"os"
 	"time"
+
+	"dunetide/internal/platform/vfs"
 )
 
 // durableWait is the longest wait for a sync. A client waits for its answer for 400 ms.
@@ -80,7 +82,7 @@
 
 // synced handles the result of a sync of a segment up to a place, and answers the waiters. A segment that was closed
 // meanwhile, because a new one was started, had been synced before.
-func (j *Journal) synced(file File, place uint64, err error) {
+func (j *Journal) synced(file vfs.File, place uint64, err error) {
 	s := &j.syncer
 	s.count++
 	if err != nil && !(file != j.file && errors.Is(err, os.ErrClosed)) {
--- a/internal/deliverynode/lease/book_test.go
+++ b/internal/deliverynode/lease/book_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // As many leases and nodes as there may be, with the longest names, fit a frame of a link and the room
@@ -53,7 +53,7 @@
 	if back, err := again.snapshot(); err != nil || !bytes.Equal(back, text) {
 		t.Errorf("read and written again it is another: %v", err)
 	}
-	l := disk{folder: disktest.New()}
+	l := disk{folder: vfstest.New()}
 	if err := l.renew(record{Self: &identity{}, Snapshot: text}); err != nil || 3*l.size > DiskRoom(MaxLeases, false) {
 		t.Errorf("%d bytes on disk, of %d for three files: %v", l.size, DiskRoom(MaxLeases, false), err)
 	}
--- a/internal/deliverynode/lease/disk.go
+++ b/internal/deliverynode/lease/disk.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -78,8 +78,8 @@
 // disk is a voter's file. Each record stands in it twice, so that one spoilt byte never takes
 // a promise away that looks, then, like a write that was cut off.
 type disk struct {
-	folder journal.Folder
-	file   journal.File // nil: it has to be written anew
+	folder vfs.Folder
+	file   vfs.File // nil: it has to be written anew
 	place  uint64
 	size   int64
 	began  int64 // its size when it was written anew
@@ -157,7 +157,7 @@
 	return fmt.Errorf("writing %s: %w", logName, err)
 }
 
-func (d *disk) put(f journal.File, rec record) (int64, error) {
+func (d *disk) put(f vfs.File, rec record) (int64, error) {
 	payload, err := encoding.Marshal(rec)
 	if err != nil {
 		return 0, err
--- a/internal/deliverynode/lease/disk_test.go
+++ b/internal/deliverynode/lease/disk_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // entries are what the records of a disk hold, as texts.
@@ -22,7 +22,7 @@
 // One spoilt bit, wherever it is, takes nothing away; what is cut off anywhere is a beginning of
 // what was written, or known to be damaged.
 func TestDiskSpoilt(t *testing.T) {
-	d := disktest.New()
+	d := vfstest.New()
 	l := disk{folder: d}
 	if err := l.renew(record{Self: &identity{logID{7, 1}, 9}, Entries: [][]byte{[]byte("first")}}); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	for failAt := 1; failAt <= 40; failAt++ {
 		for fails := 1; fails <= 3; fails++ {
 			for kept := range 4 {
-				d := disktest.New()
+				d := vfstest.New()
 				l := disk{folder: d}
 				d.FailAt, d.Fails = failAt, fails
 				var all, promised [][]byte // in memory; and those that somebody has heard of
--- a/internal/deliverynode/lease/fence.go
+++ b/internal/deliverynode/lease/fence.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // maxFence is the most bytes of a file of tokens.
@@ -24,7 +24,7 @@
 // Fence refuses acts under fencing tokens that are lower than one it has seen. With a folder, it remembers the tokens beyond
 // the end of the process. It is safe for concurrent use.
 type Fence struct {
-	folder journal.Folder
+	folder vfs.Folder
 	name   string
 
 	mu   sync.Mutex
@@ -33,7 +33,7 @@
 
 // OpenFence reads the tokens that an earlier process has seen. If folder is nil, none are stored. It fails if the file is
 // damaged, because a lower token could pass without it.
-func OpenFence(folder journal.Folder, name string) (*Fence, error) {
+func OpenFence(folder vfs.Folder, name string) (*Fence, error) {
 	f := &Fence{folder: folder, name: name, seen: map[string]uint64{}}
 	if folder == nil {
 		return f, nil
@@ -92,5 +92,5 @@
 	}
 	// The body is written in hexadecimal, so that the checksum can have a line of its own.
 	text := fmt.Sprintf("%x", body)
-	return journal.Replace(f.folder, f.name, fmt.Appendf(nil, "%s\n%016x\n", text, xxhash.Sum64String(text)))
+	return vfs.Replace(f.folder, f.name, fmt.Appendf(nil, "%s\n%016x\n", text, xxhash.Sum64String(text)))
 }
--- a/internal/deliverynode/lease/fence_test.go
+++ b/internal/deliverynode/lease/fence_test.go
@@ -4,14 +4,14 @@
 	"errors"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // Whatever fails, and whether the power goes then: an act that passed keeps lower tokens out for
 // good, and the same token and later ones pass.
 func TestFence(t *testing.T) {
 	for failAt := range 30 {
-		d := disktest.New()
+		d := vfstest.New()
 		f, err := OpenFence(d, "fence")
 		if err != nil {
 			t.Fatal(err)
@@ -42,7 +42,7 @@
 			}
 		}
 	}
-	d := disktest.New()
+	d := vfstest.New()
 	d.Put("fence", []byte("a0\n0000000000000000\n"))
 	if _, err := OpenFence(d, "fence"); err == nil {
 		t.Error("a spoilt one is taken for none")
--- a/internal/deliverynode/lease/golden_test.go
+++ b/internal/deliverynode/lease/golden_test.go
@@ -6,8 +6,8 @@
 	"reflect"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/lab/golden"
+	"dunetide/internal/platform/vfs"
 )
 
 // goldenCBOR tests the encoding of a message between nodes, or of a part of a file.
@@ -46,7 +46,7 @@
 		text = append(text, frame(payload)...)
 	}
 	golden.Compare(t, name, text)
-	d := disk{folder: journal.Dir(golden.Dir)}
+	d := disk{folder: vfs.Dir(golden.Dir)}
 	all, err := d.load()
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	}
 	// What the program writes itself is the same.
 	folder := t.TempDir()
-	w := disk{folder: journal.Dir(folder)}
+	w := disk{folder: vfs.Dir(folder)}
 	if err := w.renew(all[0]); err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 func TestGoldenFence(t *testing.T) {
 	const name = "fence"
 	dir := t.TempDir()
-	f, err := OpenFence(journal.Dir(dir), name)
+	f, err := OpenFence(vfs.Dir(dir), name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, name, written)
-	read, err := OpenFence(journal.Dir(golden.Dir), name)
+	read, err := OpenFence(vfs.Dir(golden.Dir), name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deliverynode/lease/lease.go
+++ b/internal/deliverynode/lease/lease.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -42,7 +42,7 @@
 // Options configures Leases.
 type Options struct {
 	Net     fleet.Net
-	Folder  journal.Folder
+	Folder  vfs.Folder
 	Name    string
 	Voters  []string
 	Longest time.Duration
--- a/internal/deliverynode/lease/process_test.go
+++ b/internal/deliverynode/lease/process_test.go
@@ -20,9 +20,9 @@
 	"time"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/deliverynode/lease"
 	"dunetide/internal/lab/faults"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -91,12 +91,12 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	began := time.Now()
 	clock := func() time.Duration { return time.Duration(rate * float64(time.Since(began))) }
-	f, err := fleet.New(fleet.Options{File: file, Name: name, Folder: journal.Dir(dir), Listen: fleet.Sockets, Clock: clock,
+	f, err := fleet.New(fleet.Options{File: file, Name: name, Folder: vfs.Dir(dir), Listen: fleet.Sockets, Clock: clock,
 		Seed: uint64(os.Getpid()), Log: log})
 	if err != nil {
 		return nil, err
 	}
-	l := lease.New(lease.Options{Net: f, Folder: journal.Dir(dir), Name: name, Voters: file.Leases.Voters, Longest: file.Leases.Longest(),
+	l := lease.New(lease.Options{Net: f, Folder: vfs.Dir(dir), Name: name, Voters: file.Leases.Voters, Longest: file.Leases.Longest(),
 		Most: 100, Clock: clock, Above: func() uint64 { return uint64(time.Now().Unix()) << 20 }, Seed: uint64(os.Getpid()), Log: log})
 	f.OnOld(l.Overtaken)
 	f.While(l.Run)
--- a/internal/deliverynode/lease/step_test.go
+++ b/internal/deliverynode/lease/step_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // sim steps the whole of leases, but for goroutines and sockets: voters over raft and disks, and
@@ -52,8 +52,8 @@
 	inc     uint64 // of this life
 	maxInc  uint64 // of all lives
 	start   uint64
-	disk    *disktest.Disk
-	old     *disktest.Disk // an earlier copy of it, under oldInc
+	disk    *vfstest.Disk
+	old     *vfstest.Disk // an earlier copy of it, under oldInc
 	oldInc  uint64
 	stale   bool // it runs on an old copy, and nobody has told it yet
 	v       *Voter
@@ -94,7 +94,7 @@
 		granted: map[string]tenured{}, agreed: map[string]uint64{}, stats: map[string]int{}, now: time.Hour}
 	crand.Reader = seeded{s.rng} // raft draws its elections' times from it
 	for i := range voters + askers {
-		n := &simNode{name: fmt.Sprint("n", i), votes: i < voters, disk: disktest.New()}
+		n := &simNode{name: fmt.Sprint("n", i), votes: i < voters, disk: vfstest.New()}
 		s.nodes = append(s.nodes, n)
 	}
 	for i := range s.nodes {
@@ -427,7 +427,7 @@
 		n.disk.PowerLoss(s.pick)
 		s.note("%s loses its power", n.name)
 	case c < 5 && whole:
-		n.disk = disktest.New()
+		n.disk = vfstest.New()
 		s.stats["lost"]++
 		s.note("%s loses its folder", n.name)
 	case c < 7 && whole && n.old != nil && n.oldInc < n.inc:
@@ -472,7 +472,7 @@
 		if n.v != nil {
 			n.v.Close()
 		}
-		n.up, n.paused, n.v, n.disk, n.old, n.stale = false, false, nil, disktest.New(), nil, false
+		n.up, n.paused, n.v, n.disk, n.old, n.stale = false, false, nil, vfstest.New(), nil, false
 		n.inc = n.maxInc // as the others of the fleet know
 	}
 	s.note("%d of %d voters lose their folders", lose, len(order))
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -48,7 +48,7 @@
 	Start uint64 // a random number of the process
 	// Incarnation returns the present incarnation of the node.
 	Incarnation func() uint64
-	Folder      journal.Folder
+	Folder      vfs.Folder
 	Voters      []string // the first voters of a log; only the first of them begins one
 	// Longest and Most are the greatest length and number of leases of a log that begins.
 	Longest time.Duration
--- a/internal/deliverynode/node/cohort_adopt.go
+++ b/internal/deliverynode/node/cohort_adopt.go
@@ -9,6 +9,7 @@
 	"syscall"
 
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // adoptDead takes over the journals that nobody has a lock on. It tells whether all there are
@@ -109,7 +110,7 @@
 // inherit adopts a journal, if it owes anything. Its ids are known here before a client can
 // hand one in again.
 func (co *cohort) inherit(s *slot) (owes bool, err error) {
-	report, err := journal.Check(journal.Dir(s.path), max(co.cfg.DiskBytes, 64<<20))
+	report, err := journal.Check(vfs.Dir(s.path), max(co.cfg.DiskBytes, 64<<20))
 	if err != nil {
 		return false, err
 	}
--- a/internal/deliverynode/node/cohort_discovery.go
+++ b/internal/deliverynode/node/cohort_discovery.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/group"
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // taken tells whether another member has, or had, a message that a client hands in. That
@@ -34,7 +34,7 @@
 		if string(owner) == string(co.group.ID()) || co.isAdopted(n) {
 			continue
 		}
-		if lock, err := journal.Lock(co.path(n)); err == nil && lock != nil { // its owner is dead
+		if lock, err := vfs.Lock(co.path(n)); err == nil && lock != nil { // its owner is dead
 			_ = lock.Close()
 			if print := fingerprint(co.path(n)); print != "" && co.looked[n] != print {
 				changed = true
--- a/internal/deliverynode/node/cohort_join.go
+++ b/internal/deliverynode/node/cohort_join.go
@@ -12,6 +12,7 @@
 
 	"dunetide/internal/deliverynode/group"
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -136,7 +137,7 @@
 
 // seize locks a slot, and writes down whose it is; nil if another has it.
 func (co *cohort) seize(n int, path string) (*slot, error) {
-	lock, err := journal.Lock(path)
+	lock, err := vfs.Lock(path)
 	if err != nil || lock == nil {
 		return nil, err
 	}
@@ -147,7 +148,7 @@
 }
 
 func (co *cohort) options(s *slot) journal.Options {
-	return journal.Options{Folder: journal.Dir(s.path), Limit: co.cfg.DiskBytes, Base: policy.MessageID(s.number+1) * slotNumbers,
+	return journal.Options{Folder: vfs.Dir(s.path), Limit: co.cfg.DiskBytes, Base: policy.MessageID(s.number+1) * slotNumbers,
 		Sync: co.cfg.Sync, Log: co.log}
 }
 
--- a/internal/deliverynode/node/cohort_status.go
+++ b/internal/deliverynode/node/cohort_status.go
@@ -8,6 +8,7 @@
 
 	"dunetide/internal/deliverynode/group"
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // groupStatus is what the console shows.
@@ -54,7 +55,7 @@
 		return 0, nil
 	}
 	for _, path := range MemberFolders(dir) {
-		report, err := journal.Check(journal.Dir(path), max(limit, 64<<20))
+		report, err := journal.Check(vfs.Dir(path), max(limit, 64<<20))
 		if err != nil {
 			return 0, err
 		}
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -19,6 +19,7 @@
 	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/deliverynode/lease"
 	"dunetide/internal/deliverynode/replica"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -257,11 +258,11 @@
 func (s stateFolders) path(name string) string { return filepath.Join(string(s), name) }
 
 // Open opens the folder of a replica, which it creates if need be.
-func (s stateFolders) Open(name string) (journal.Folder, error) {
+func (s stateFolders) Open(name string) (vfs.Folder, error) {
 	if err := os.Mkdir(s.path(name), 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, err
 	}
-	return journal.Dir(s.path(name)), nil
+	return vfs.Dir(s.path(name)), nil
 }
 
 // List returns the names of the folders of replicas.
@@ -279,7 +280,7 @@
 func (s stateFolders) Remove(name string) error { return os.RemoveAll(s.path(name)) }
 
 // Top returns the state folder itself.
-func (s stateFolders) Top() journal.Folder { return journal.Dir(string(s)) }
+func (s stateFolders) Top() vfs.Folder { return vfs.Dir(string(s)) }
 
 // Place is the run of this machine, and the folder by what the kernel knows of it: a copy of it, or the
 // same on another machine or after a loss of power, is another place. Empty: it can't be told.
--- a/internal/deliverynode/node/fleet.go
+++ b/internal/deliverynode/node/fleet.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/deliverynode/lease"
+	"dunetide/internal/platform/vfs"
 )
 
 // fleetConns bounds the connections to other nodes where the descriptors are few: so many of
@@ -39,7 +39,7 @@
 		return nil, nil
 	}
 	origin := time.Now()
-	return fleet.New(fleet.Options{File: *c.Fleet, Name: c.Name, Folder: journal.Dir(c.State), Listen: fleet.Sockets,
+	return fleet.New(fleet.Options{File: *c.Fleet, Name: c.Name, Folder: vfs.Dir(c.State), Listen: fleet.Sockets,
 		Clock: func() time.Duration { return time.Since(origin) }, Seed: c.Seed, Conns: c.fleetConns(), Log: log})
 }
 
@@ -58,7 +58,7 @@
 	if f == nil || c.Fleet.Leases == nil {
 		return nil
 	}
-	l := lease.New(lease.Options{Net: f, Folder: journal.Dir(c.State), Name: c.Name, Voters: c.Fleet.Leases.Voters,
+	l := lease.New(lease.Options{Net: f, Folder: vfs.Dir(c.State), Name: c.Name, Voters: c.Fleet.Leases.Voters,
 		Longest: c.Fleet.Leases.Longest(), Most: c.Fleet.Leases.Most(), Clock: lastingClock, Seed: c.Seed, Log: log,
 		// Above all that a log of this fleet may have granted before, as nothing is granted a million times a second.
 		Above: func() uint64 { return uint64(time.Now().Unix()) << 20 }})
--- a/internal/deliverynode/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -16,6 +16,7 @@
 	"dunetide/internal/deliverynode/group"
 	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/upstream"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -220,7 +221,7 @@
 // other one has it, else by asking that one for it, or when it has died.
 func takeOver(ctx context.Context, c Config, log *slog.Logger) (*estate, error) {
 	for {
-		lock, err := journal.Lock(c.State)
+		lock, err := vfs.Lock(c.State)
 		if err != nil {
 			return nil, err
 		}
@@ -278,7 +279,7 @@
 	if err := l.dec.Decode(&free); err != nil {
 		return fail("taking over", err)
 	}
-	lock, err := journal.Lock(c.State)
+	lock, err := vfs.Lock(c.State)
 	if err == nil && lock == nil {
 		err = errors.New("a third process came first")
 	}
@@ -417,7 +418,7 @@
 		HandoverStep("old: let go")
 		return nil
 	}
-	lock, again := journal.Lock(h.dir)
+	lock, again := vfs.Lock(h.dir)
 	if again != nil || lock == nil {
 		h.log.Error("handover: the next process died when it had everything", "err", errors.Join(err, again))
 		return nil
--- a/internal/deliverynode/node/intake_test.go
+++ b/internal/deliverynode/node/intake_test.go
@@ -18,6 +18,7 @@
 	"golang.org/x/net/netutil"
 
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -305,13 +306,13 @@
 }
 
 // badDisk is a folder whose files can't be synced.
-type badDisk struct{ journal.Folder }
+type badDisk struct{ vfs.Folder }
 
-type badFile struct{ journal.File }
+type badFile struct{ vfs.File }
 
 var badSync atomic.Bool
 
-func (d badDisk) Create(name string) (journal.File, error) {
+func (d badDisk) Create(name string) (vfs.File, error) {
 	f, err := d.Folder.Create(name)
 	return badFile{f}, err
 }
@@ -330,7 +331,7 @@
 	var accepted []*journal.Message
 	in := newIntake(t, &accepted)
 	var err error
-	in.journal, _, err = journal.Open(journal.Options{Folder: badDisk{journal.Dir(t.TempDir())}, Limit: journal.MinDisk, Sync: true})
+	in.journal, _, err = journal.Open(journal.Options{Folder: badDisk{vfs.Dir(t.TempDir())}, Limit: journal.MinDisk, Sync: true})
 	must(t, err)
 	in.maxHeld = 10
 	hand := func(id string) *httptest.ResponseRecorder {
--- a/internal/deliverynode/node/journal_test.go
+++ b/internal/deliverynode/node/journal_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -14,7 +15,7 @@
 
 func mustOpen(t *testing.T, dir string, limit int64) (*journal.Journal, []*journal.Message) {
 	t.Helper()
-	j, owed, err := journal.Open(journal.Options{Folder: journal.Dir(dir), Limit: limit, Log: quietLog()})
+	j, owed, err := journal.Open(journal.Options{Folder: vfs.Dir(dir), Limit: limit, Log: quietLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deliverynode/node/node.go
+++ b/internal/deliverynode/node/node.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -139,7 +140,7 @@
 	var hold *os.File
 	for end := time.Now().Add(lockPatience); ; time.Sleep(ownerPause) {
 		var err error
-		if hold, err = journal.Lock(c.State); err != nil {
+		if hold, err = vfs.Lock(c.State); err != nil {
 			return nil, nil, err
 		}
 		if hold != nil {
@@ -162,7 +163,7 @@
 
 // journal says how the journal is kept.
 func (c Config) journal(log *slog.Logger) journal.Options {
-	return journal.Options{Folder: journal.Dir(c.State), Limit: c.DiskBytes, Sync: c.Sync, Log: log}
+	return journal.Options{Folder: vfs.Dir(c.State), Limit: c.DiskBytes, Sync: c.Sync, Log: log}
 }
 
 // limitMemory keeps the heap to a part of the limit, where so many processes share it.
--- a/internal/deliverynode/replica/copy.go
+++ b/internal/deliverynode/replica/copy.go
@@ -15,6 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -44,7 +45,7 @@
 // Copy is a log of another node: its messages on this node's disk. It is not safe for concurrent use.
 type Copy struct {
 	meta    meta
-	folder  journal.Folder
+	folder  vfs.Folder
 	journal *journal.Journal
 	log     *slog.Logger
 	sync    bool
@@ -63,7 +64,7 @@
 
 // CopyOptions say where and how a copy is kept.
 type CopyOptions struct {
-	Folder journal.Folder
+	Folder vfs.Folder
 	Place  string
 	Limit  int64
 	Sync   bool
@@ -74,17 +75,17 @@
 var errNoCopy = errors.New("there is no copy in the folder")
 
 // saveMeta replaces the file that says whose copy it is.
-func saveMeta(folder journal.Folder, name string, v any) error {
+func saveMeta(folder vfs.Folder, name string, v any) error {
 	body, err := encoding.Marshal(v)
 	if err != nil {
 		return err
 	}
 	text := hex.EncodeToString(body)
-	return journal.Replace(folder, name, fmt.Appendf(nil, "%s\n%016x\n", text, xxhash.Sum64String(text)))
+	return vfs.Replace(folder, name, fmt.Appendf(nil, "%s\n%016x\n", text, xxhash.Sum64String(text)))
 }
 
 // loadMeta reads one; fs.ErrNotExist: there is none.
-func loadMeta(folder journal.Folder, name string, v any) error {
+func loadMeta(folder vfs.Folder, name string, v any) error {
 	text, err := folder.Read(name, maxMeta)
 	if err != nil {
 		return err
--- a/internal/deliverynode/replica/golden_test.go
+++ b/internal/deliverynode/replica/golden_test.go
@@ -9,6 +9,7 @@
 
 	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/lab/golden"
+	"dunetide/internal/platform/vfs"
 )
 
 // goldenCBOR tests the encoding of a message between nodes, or of a part of a file.
@@ -41,7 +42,7 @@
 func goldenMeta[T any](t *testing.T, name string) {
 	t.Helper()
 	dir, want := t.TempDir(), golden.Filled[T]()
-	if err := saveMeta(journal.Dir(dir), name, want); err != nil {
+	if err := saveMeta(vfs.Dir(dir), name, want); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(filepath.Join(dir, name))
@@ -50,7 +51,7 @@
 	}
 	golden.Compare(t, name, written)
 	var read T
-	if err := loadMeta(journal.Dir(golden.Dir), name, &read); err != nil {
+	if err := loadMeta(vfs.Dir(golden.Dir), name, &read); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, want) {
@@ -113,7 +114,7 @@
 }
 
 func copyOptions(dir string) CopyOptions {
-	return CopyOptions{Folder: journal.Dir(dir), Place: "place", Limit: journal.MinDisk,
+	return CopyOptions{Folder: vfs.Dir(dir), Place: "place", Limit: journal.MinDisk,
 		Now: func() time.Time { return time.UnixMicro(1764600000123456) }}
 }
 
--- a/internal/deliverynode/replica/held_copy.go
+++ b/internal/deliverynode/replica/held_copy.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/fleet"
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // heldCopy is a copy at this node.
@@ -41,7 +41,7 @@
 	}
 }
 
-func (k *Keeper) copyOptions(folder journal.Folder, name string) CopyOptions {
+func (k *Keeper) copyOptions(folder vfs.Folder, name string) CopyOptions {
 	return CopyOptions{Folder: folder, Place: k.options.Folders.Place(name), Limit: k.options.Limit, Sync: k.options.Sync, Now: k.options.Now, Log: k.options.Log}
 }
 
--- a/internal/deliverynode/replica/keeper.go
+++ b/internal/deliverynode/replica/keeper.go
@@ -18,6 +18,7 @@
 	"dunetide/internal/deliverynode/fleet"
 	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/deliverynode/lease"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -71,13 +72,13 @@
 // Folders are the folders within the state folder.
 type Folders interface {
 	// Open returns a folder, and creates it if there is none.
-	Open(name string) (journal.Folder, error)
+	Open(name string) (vfs.Folder, error)
 	// List returns the names of the folders.
 	List() ([]string, error)
 	// Remove removes a folder and its content.
 	Remove(name string) error
 	// Top returns the state folder itself.
-	Top() journal.Folder
+	Top() vfs.Folder
 	// Place identifies the folder and the boot of the machine: another process in the same place has ended if this process
 	// has the folder's lock.
 	Place(name string) string
--- a/internal/deliverynode/replica/source_test.go
+++ b/internal/deliverynode/replica/source_test.go
@@ -7,23 +7,23 @@
 	"testing"
 	"time"
 
-	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // pair is a log and its copies, stepped by hand.
 type pair struct {
 	t      *testing.T
 	s      *Source
-	disks  map[string]*disktest.Disk
+	disks  map[string]*vfstest.Disk
 	copies map[string]*Copy
 	now    time.Duration
 }
 
 func newPair(t *testing.T, want int, names ...string) *pair {
-	p := &pair{t: t, s: NewSource("a", 1, want, time.Minute), disks: map[string]*disktest.Disk{}, copies: map[string]*Copy{}}
+	p := &pair{t: t, s: NewSource("a", 1, want, time.Minute), disks: map[string]*vfstest.Disk{}, copies: map[string]*Copy{}}
 	for _, name := range names {
-		p.disks[name] = disktest.New()
+		p.disks[name] = vfstest.New()
 		p.open(name)
 	}
 	return p
@@ -254,7 +254,7 @@
 	if at, n := p.s.Copied(); n != 1 || at != p.s.version {
 		t.Fatalf("%d at %d of %d", n, at, p.s.version)
 	}
-	p.disks["b"] = disktest.New()
+	p.disks["b"] = vfstest.New()
 	p.open("b")
 	p.change(11, 0)
 	for p.tell("b") && p.copies["b"].meta.Complete {
@@ -448,4 +448,4 @@
 	}
 }
 
-var _ journal.Folder = (*disktest.Disk)(nil)
+var _ vfs.Folder = (*vfstest.Disk)(nil)
--- a/internal/deliverynode/replica/takeover.go
+++ b/internal/deliverynode/replica/takeover.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // takeOver takes over the log of a copy, once this node has the log's lease.
@@ -164,7 +165,7 @@
 }
 
 // emptyWork opens an empty folder for a log that is taken over; k.mu is held.
-func (k *Keeper) emptyWork(meta workMeta) (*Work, journal.Folder, error) {
+func (k *Keeper) emptyWork(meta workMeta) (*Work, vfs.Folder, error) {
 	name := workFolder + key(meta.Owner, meta.Log)
 	if err := k.options.Folders.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, nil, err
--- a/internal/deliverynode/replica/work_recover.go
+++ b/internal/deliverynode/replica/work_recover.go
@@ -12,6 +12,7 @@
 
 	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/deliverynode/lease"
+	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
 
@@ -295,7 +296,7 @@
 	k.works[w.key] = w
 }
 
-func (k *Keeper) openWork(name string, folder journal.Folder, m workMeta) (*Work, error) {
+func (k *Keeper) openWork(name string, folder vfs.Folder, m workMeta) (*Work, error) {
 	j, _, err := journal.Open(journal.Options{Folder: folder, Limit: k.options.Limit, Base: k.base(), Sync: k.options.Sync, Now: k.options.Now, Log: k.options.Log})
 	if err != nil {
 		return nil, err
--- a/internal/deliverynode/replica/world_disk_test.go
+++ b/internal/deliverynode/replica/world_disk_test.go
@@ -6,30 +6,30 @@
 	"slices"
 	"sync"
 
-	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // wdisk is a disk that many may use, with folders on it.
 type wdisk struct {
 	mu      sync.Mutex
-	folders map[string]*disktest.Disk
+	folders map[string]*vfstest.Disk
 	places  map[string]int // of each folder
 	next    int
 }
 
 func newWdisk() *wdisk {
-	d := &wdisk{folders: map[string]*disktest.Disk{}, places: map[string]int{}}
+	d := &wdisk{folders: map[string]*vfstest.Disk{}, places: map[string]int{}}
 	d.Open("")
 	return d
 }
 
-func (d *wdisk) Open(name string) (journal.Folder, error) {
+func (d *wdisk) Open(name string) (vfs.Folder, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.folders[name] == nil {
 		d.next++
-		d.folders[name], d.places[name] = disktest.New(), d.next
+		d.folders[name], d.places[name] = vfstest.New(), d.next
 	}
 	return &wfolder{d, d.folders[name]}, nil
 }
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (d *wdisk) Top() journal.Folder { f, _ := d.Open(""); return f }
+func (d *wdisk) Top() vfs.Folder { f, _ := d.Open(""); return f }
 
 func (d *wdisk) Place(name string) string {
 	d.mu.Lock()
@@ -83,7 +83,7 @@
 func (d *wdisk) clone() *wdisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := &wdisk{folders: map[string]*disktest.Disk{}, places: map[string]int{}, next: d.next + 1000}
+	c := &wdisk{folders: map[string]*vfstest.Disk{}, places: map[string]int{}, next: d.next + 1000}
 	for name, f := range d.folders {
 		c.folders[name], c.places[name] = f.Copy(), d.places[name]
 	}
@@ -92,7 +92,7 @@
 
 type wfolder struct {
 	d *wdisk
-	f *disktest.Disk
+	f *vfstest.Disk
 }
 
 func (f *wfolder) do(what func()) {
@@ -101,7 +101,7 @@
 	what()
 }
 
-func (f *wfolder) List() (all []journal.FileInfo, err error) {
+func (f *wfolder) List() (all []vfs.FileInfo, err error) {
 	f.do(func() { all, err = f.f.List() })
 	return
 }
@@ -113,14 +113,14 @@
 	f.do(func() { b, err = f.f.Head(name, most) })
 	return
 }
-func (f *wfolder) Create(name string) (file journal.File, err error) {
+func (f *wfolder) Create(name string) (file vfs.File, err error) {
 	f.do(func() { file, err = f.f.Create(name) })
 	if err != nil {
 		return nil, err
 	}
 	return &wfile{f, file}, nil
 }
-func (f *wfolder) Open(name string) (file journal.OpenFile, err error) {
+func (f *wfolder) Open(name string) (file vfs.OpenFile, err error) {
 	f.do(func() { file, err = f.f.Open(name) })
 	if err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 
 type wfile struct {
 	f    *wfolder
-	file journal.File
+	file vfs.File
 }
 
 func (w *wfile) Write(b []byte) (n int, err error) {
--- a/internal/platform/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -22,8 +22,8 @@
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/keeper"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal/disktest"
 	"dunetide/internal/platform/settings"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 const (
@@ -93,7 +93,7 @@
 	for j := range keeperCount {
 		s.Seeds = append(s.Seeds, k.controlAddress(j))
 	}
-	one, err := keeper.New(keeper.Options{Settings: s, Folder: disktest.New(), Log: hclog.NewNullLogger(), PushWait: patience, DialAddress: func(addr string) string {
+	one, err := keeper.New(keeper.Options{Settings: s, Folder: vfstest.New(), Log: hclog.NewNullLogger(), PushWait: patience, DialAddress: func(addr string) string {
 		for j := range keeperCount {
 			if addr == k.linkAddress(j) {
 				return k.relays.address(i, j, addr)
--- a/internal/platform/recordlog/golden_test.go
+++ b/internal/platform/recordlog/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 // The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
@@ -69,7 +69,7 @@
 func TestGoldenFileOfAppendedRecords(t *testing.T) {
 	want := []string{"first", "", "third \x00\xff", strings.Repeat("fourth", 50)}
 	b := golden(t, "appended.log", func() []byte {
-		d := disktest.New()
+		d := vfstest.New()
 		k := reopen(t, d)
 		k.add(t, want[:2]...)
 		must(t, k.Sync())
@@ -79,7 +79,7 @@
 		must(t, k.Close())
 		return d.File(name)
 	})
-	d := disktest.New()
+	d := vfstest.New()
 	d.Put(name, b)
 	k := reopen(t, d) // reads each record back, too
 	if !slices.Equal(k.payloads, want) {
@@ -136,7 +136,7 @@
 		}))
 	}
 	b := golden(t, "rewritten.log", func() []byte {
-		d := disktest.New()
+		d := vfstest.New()
 		k := reopen(t, d)
 		k.add(t, "left behind")
 		rewrite(k)
@@ -152,7 +152,7 @@
 	if !bytes.Equal(encodeFile(frames, records), b) {
 		t.Error("the same records are written as other bytes")
 	}
-	d := disktest.New()
+	d := vfstest.New()
 	d.Put(name, b)
 	k := reopen(t, d)
 	if payloads := append(slices.Clone(stays), added); !slices.Equal(k.payloads, payloads) {
--- a/internal/platform/recordlog/log.go
+++ b/internal/platform/recordlog/log.go
@@ -9,6 +9,7 @@
 	"sync"
 
 	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 const (
@@ -26,7 +27,7 @@
 // Log is an open file of records. A position is a count of bytes since the log was first made: that of a record is
 // the one behind its last byte. Log is safe for concurrent use.
 type Log struct {
-	folder journal.Folder
+	folder vfs.Folder
 	name   string
 
 	// The locks are taken in this order: appendMu, readMu, mu. Only mu is never held over I/O; appendMu and readMu
@@ -49,7 +50,7 @@
 
 // currentFile is a file and what is known of it.
 type currentFile struct {
-	file   journal.OpenFile
+	file   vfs.OpenFile
 	frames journal.Frames
 	base   int64 // the position at which the file begins
 	size   int64 // bytes
@@ -64,7 +65,7 @@
 //
 // It fails with ErrDamaged if the disk has lost or changed what was synced, with journal.ErrNewer if a newer program
 // wrote the file, and with the first error of replay.
-func Open(folder journal.Folder, name string, replay func(payload []byte, position int64) error) (*Log, error) {
+func Open(folder vfs.Folder, name string, replay func(payload []byte, position int64) error) (*Log, error) {
 	l := &Log{folder: folder, name: name}
 	l.syncDone = sync.NewCond(&l.mu)
 	if err := folder.Remove(name + rewriteSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/platform/recordlog/record_test.go
+++ b/internal/platform/recordlog/record_test.go
@@ -11,7 +11,8 @@
 	"testing/synctest"
 
 	"dunetide/internal/deliverynode/journal"
-	"dunetide/internal/deliverynode/journal/disktest"
+	"dunetide/internal/platform/vfs"
+	"dunetide/internal/platform/vfs/vfstest"
 )
 
 const name = "t.log"
@@ -30,7 +31,7 @@
 	at       []int64
 }
 
-func open(folder journal.Folder) (kept, error) {
+func open(folder vfs.Folder) (kept, error) {
 	var k kept
 	var err error
 	k.Log, err = Open(folder, name, func(payload []byte, at int64) error {
@@ -40,7 +41,7 @@
 	return k, err
 }
 
-func reopen(t *testing.T, folder journal.Folder) kept {
+func reopen(t *testing.T, folder vfs.Folder) kept {
 	t.Helper()
 	k, err := open(folder)
 	must(t, err)
@@ -108,7 +109,7 @@
 }
 
 // script runs until its end or the first error.
-func script(d *disktest.Disk) (m model) {
+func script(d *vfstest.Disk) (m model) {
 	k, err := open(d)
 	if err != nil {
 		return m
@@ -160,14 +161,14 @@
 }
 
 func TestPowerLossAtEachStep(t *testing.T) {
-	whole := disktest.New()
+	whole := vfstest.New()
 	if m := script(whole); m.durable != 6 {
 		t.Fatalf("without losses: %+v", m)
 	}
 	cases := 0
 	for step := 1; step <= whole.Ops+1; step++ {
 		for p := (picks{}); ; {
-			d := disktest.New()
+			d := vfstest.New()
 			d.FailAt, d.Fails = step, 1<<30
 			m := script(d)
 			d.FailAt = 0
@@ -182,7 +183,7 @@
 	t.Log(cases, "cases")
 }
 
-func checkLoss(t *testing.T, d *disktest.Disk, m *model, again bool, what string) {
+func checkLoss(t *testing.T, d *vfstest.Disk, m *model, again bool, what string) {
 	t.Helper()
 	for step := 1; again && step <= 4; step++ { // it goes again while the log is opened
 		for _, all := range []int{0, 1} {
@@ -210,10 +211,10 @@
 }
 
 func TestOneFailingStep(t *testing.T) {
-	whole := disktest.New()
+	whole := vfstest.New()
 	script(whole)
 	for step := 1; step <= whole.Ops; step++ {
-		d := disktest.New()
+		d := vfstest.New()
 		d.FailAt = step
 		m := script(d)
 		if k := reopen(t, d); !m.allows(k.payloads) { // the process is killed, the disk has all
@@ -223,11 +224,11 @@
 }
 
 func TestFullDiskTearsNothing(t *testing.T) {
-	d := disktest.New()
+	d := vfstest.New()
 	k := reopen(t, d)
 	k.add(t, "a")
 	d.FailAt = d.Ops + 1
-	if _, err := k.Append([]byte("lost")); !errors.Is(err, disktest.ErrFull) || ErrUnusable.Has(err) {
+	if _, err := k.Append([]byte("lost")); !errors.Is(err, vfstest.ErrFull) || ErrUnusable.Has(err) {
 		t.Fatal(err)
 	}
 	k.add(t, "b")
@@ -238,7 +239,7 @@
 }
 
 func TestFailedSyncIsFinal(t *testing.T) {
-	d := disktest.New()
+	d := vfstest.New()
 	k := reopen(t, d)
 	at := k.add(t, "a")[0]
 	d.FailAt = d.Ops + 1
@@ -250,14 +251,14 @@
 		func() error { return k.Rewrite(func(func([]byte) (int64, error)) error { return nil }) },
 		k.Close,
 	} {
-		if err := call(); !ErrUnusable.Has(err) || !errors.Is(err, disktest.ErrFull) {
+		if err := call(); !ErrUnusable.Has(err) || !errors.Is(err, vfstest.ErrFull) {
 			t.Errorf("call %d: %v", i, err)
 		}
 	}
 }
 
 func TestDamage(t *testing.T) {
-	d := disktest.New()
+	d := vfstest.New()
 	k := reopen(t, d)
 	var ends []int64
 	for _, p := range []string{"first", strings.Repeat("b", 3*recoveryWindow), "third"} {
@@ -265,7 +266,7 @@
 		must(t, k.Sync())
 	}
 	must(t, k.Close())
-	flip := func(at int64) *disktest.Disk {
+	flip := func(at int64) *vfstest.Disk {
 		c := d.Copy()
 		c.File(name)[at] ^= 0x10
 		return c
@@ -302,7 +303,7 @@
 }
 
 func TestReadBackAndRewrite(t *testing.T) {
-	folder := journal.Dir(t.TempDir())
+	folder := vfs.Dir(t.TempDir())
 	k := reopen(t, folder)
 	at := k.add(t, "same", "gone", "same")
 	for _, bad := range []struct {
@@ -353,18 +354,18 @@
 
 // gate lets syncs of files wait.
 type gate struct {
-	*disktest.Disk
+	*vfstest.Disk
 	armed   bool
 	syncs   int
 	release chan error
 }
 
 type gateFile struct {
-	journal.OpenFile
+	vfs.OpenFile
 	g *gate
 }
 
-func (g *gate) Open(name string) (journal.OpenFile, error) {
+func (g *gate) Open(name string) (vfs.OpenFile, error) {
 	f, err := g.Disk.Open(name)
 	return &gateFile{f, g}, err
 }
@@ -382,7 +383,7 @@
 func TestWaitersShareSyncs(t *testing.T) {
 	for _, fails := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			g := &gate{Disk: disktest.New(), release: make(chan error)}
+			g := &gate{Disk: vfstest.New(), release: make(chan error)}
 			k := reopen(t, g)
 			g.armed = true
 			ends := make(chan error, 10)
@@ -395,7 +396,7 @@
 				t.Fatalf("%d syncs run, want 1", g.syncs)
 			}
 			if fails {
-				g.release <- disktest.ErrFull
+				g.release <- vfstest.ErrFull
 				for range 9 {
 					if err := <-ends; !ErrUnusable.Has(err) {
 						t.Error(err)
@@ -421,7 +422,7 @@
 }
 
 func TestManyAtOnce(t *testing.T) {
-	folder := journal.Dir(t.TempDir())
+	folder := vfs.Dir(t.TempDir())
 	k := reopen(t, folder)
 	var held sync.RWMutex // the index is its user's to guard against a rewrite
 	index := map[string]int64{}
--- a/internal/deliverynode/journal/folder.go
+++ b/internal/platform/vfs/vfs.go
@@ -1,4 +1,9 @@
-package journal
+// Package vfs is the file system below everything that a process keeps: a Folder of files whose writes, renames and
+// removals are made durable one by one. Logs and journals of both programs are written through it, so that tests can put a
+// simulated disk (vfstest) in its place, which fails, fills up, stalls, or loses what was not synced.
+//
+// The package keeps nothing itself. Its callers own their folders; Lock keeps a second process out of one.
+package vfs
 
 import (
 	"errors"
@@ -10,15 +15,15 @@
 	"syscall"
 )
 
-// Folder is the directory of a journal. Names are of files in it. Tests use a simulated disk that fails or loses what
-// was not synced.
+// Folder is a directory. Names are of files in it. Implementations may be used by several goroutines at a time as far as
+// they name different files.
 type Folder interface {
 	// List returns the entries with their sizes. An entry that is no regular file has size 0.
 	List() ([]FileInfo, error)
-	// Read returns the content of a file. It fails if the file is longer than most bytes.
-	Read(name string, most int64) ([]byte, error)
-	// Head returns up to most bytes from the beginning of a file.
-	Head(name string, most int) ([]byte, error)
+	// Read returns the content of a file. It fails with ErrTooLarge if the file is longer than maxBytes.
+	Read(name string, maxBytes int64) ([]byte, error)
+	// Head returns up to maxBytes bytes from the beginning of a file.
+	Head(name string, maxBytes int) ([]byte, error)
 	// Create creates a file for appending. It fails if the file exists.
 	Create(name string) (File, error)
 	// Open opens an existing file for appending, and for reading at any place.
@@ -50,7 +55,8 @@
 	io.ReaderAt
 }
 
-var errTooLarge = errors.New("larger than anything that was written here")
+// ErrTooLarge is returned by Folder.Read for a file over the limit: nothing of that size was written by this program.
+var ErrTooLarge = errors.New("larger than anything that was written here")
 
 // Lock locks a folder and returns the file that holds the lock, or nil if another process has it. Closing the file, or
 // the end of the process, releases the lock.
@@ -121,7 +127,7 @@
 }
 
 // Read returns the content of a file.
-func (d dir) Read(name string, most int64) ([]byte, error) {
+func (d dir) Read(name string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
 		return nil, err
@@ -129,20 +135,20 @@
 	defer func() { _ = f.Close() }() // it was only read
 	if info, err := f.Stat(); err != nil {
 		return nil, err
-	} else if info.Size() > most {
-		return nil, fmt.Errorf("%s: %w", name, errTooLarge)
+	} else if info.Size() > maxBytes {
+		return nil, fmt.Errorf("%s: %w", name, ErrTooLarge)
 	}
-	return io.ReadAll(io.LimitReader(f, most))
+	return io.ReadAll(io.LimitReader(f, maxBytes))
 }
 
 // Head returns the beginning of a file.
-func (d dir) Head(name string, most int) ([]byte, error) {
+func (d dir) Head(name string, maxBytes int) ([]byte, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // it was only read
-	return io.ReadAll(io.LimitReader(f, int64(most)))
+	return io.ReadAll(io.LimitReader(f, int64(maxBytes)))
 }
 
 // Create creates a file for appending, readable by its owner only.
--- a/internal/deliverynode/journal/disktest/disktest.go
+++ b/internal/platform/vfs/vfstest/vfstest.go
@@ -1,6 +1,6 @@
-// Package disktest has a folder in memory for tests: an operation of it can be made to fail, and
+// Package vfstest has a folder in memory for tests: an operation of it can be made to fail, and
 // at a loss of power it forgets what was not synced, or a part of that.
-package disktest
+package vfstest
 
 import (
 	"bytes"
@@ -11,13 +11,13 @@
 	"slices"
 	"syscall"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/vfs"
 )
 
 // ErrFull is what a failing operation says.
 var ErrFull = fmt.Errorf("the disk is full: %w", syscall.ENOSPC)
 
-// Disk is a journal.Folder. Each creation, write, sync, close, renaming and removal is one
+// Disk is a vfs.Folder. Each creation, write, sync, close, renaming and removal is one
 // operation. It is not safe for concurrent use.
 type Disk struct {
 	// FailAt is the operation that fails, counted from 1, and Fails how many from there on; a
@@ -132,12 +132,12 @@
 	d.names[name], d.durable[name] = f, f
 }
 
-// The following are journal.Folder's.
+// The following are vfs.Folder's.
 
-// List returns the files; journal.Folder asks for it, as for the methods that follow.
-func (d *Disk) List() (all []journal.FileInfo, err error) {
+// List returns the files; vfs.Folder asks for it, as for the methods that follow.
+func (d *Disk) List() (all []vfs.FileInfo, err error) {
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
-		all = append(all, journal.FileInfo{Name: name, Size: int64(len(d.names[name].data))})
+		all = append(all, vfs.FileInfo{Name: name, Size: int64(len(d.names[name].data))})
 	}
 	return all, nil
 }
@@ -164,7 +164,7 @@
 }
 
 // Create creates a file. Its name is durable after Sync of the folder.
-func (d *Disk) Create(name string) (journal.File, error) {
+func (d *Disk) Create(name string) (vfs.File, error) {
 	if err := d.op(); err != nil {
 		return nil, err
 	}
@@ -177,7 +177,7 @@
 }
 
 // Open opens an existing file.
-func (d *Disk) Open(name string) (journal.OpenFile, error) {
+func (d *Disk) Open(name string) (vfs.OpenFile, error) {
 	f := d.names[name]
 	if f == nil {
 		return nil, fs.ErrNotExist
--- a/internal/proxy/forward/night_test.go
+++ b/internal/proxy/forward/night_test.go
@@ -29,8 +29,8 @@
 	"dunetide/internal/control/certification"
 	"dunetide/internal/control/operatorconfig"
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/vfs"
 	"dunetide/internal/proxy/dispatch"
 )
 
@@ -322,14 +322,14 @@
 }
 
 // unsynced is a disk that loses no power: no night plays that, and other users of the machine's disk would hold it up.
-type unsynced struct{ journal.Folder }
+type unsynced struct{ vfs.Folder }
 
-type unsyncedFile struct{ journal.OpenFile }
+type unsyncedFile struct{ vfs.OpenFile }
 
 func (unsyncedFile) Sync() error { return nil }
 func (unsynced) Sync() error     { return nil }
 
-func (f unsynced) Open(name string) (journal.OpenFile, error) {
+func (f unsynced) Open(name string) (vfs.OpenFile, error) {
 	file, err := f.Folder.Open(name)
 	return unsyncedFile{file}, err
 }
@@ -387,7 +387,7 @@
 	for i := range 3 {
 		at := filepath.Join(n.dir, fmt.Sprint("s", i))
 		must(t, os.Mkdir(at, 0o755))
-		s, err := audit.OpenStore(audit.StoreOptions{Folder: unsynced{journal.Dir(at)}, FileBytes: 64 << 10})
+		s, err := audit.OpenStore(audit.StoreOptions{Folder: unsynced{vfs.Dir(at)}, FileBytes: 64 << 10})
 		must(t, err)
 		n.stores = append(n.stores, s)
 	}
