--- a/internal/control/controlclient/confirm.go
+++ b/internal/control/controlclient/confirm.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"time"
 
 	"dunetide/internal/platform/link"
@@ -19,6 +20,8 @@
 
 // confirmLoop has all attached keepers confirm the certificates at each interval, once there are any.
 func (c *Client) confirmLoop(ctx context.Context) {
+	var pending sync.WaitGroup
+	defer pending.Wait() // the context ends them
 	ticker := time.NewTicker(c.options.ConfirmInterval)
 	defer ticker.Stop()
 	for {
@@ -33,8 +36,8 @@
 		}
 		for _, conn := range c.KeeperConns() {
 			requestedAt := time.Now()
-			// It isn't waited for: it ends with the reply, the link or the context, whichever is first.
-			go c.awaitConfirmation(ctx, conn.Go(KindConfirm, nil), requestedAt)
+			reply := conn.Go(KindConfirm, nil)
+			pending.Go(func() { c.awaitConfirmation(ctx, reply, requestedAt) })
 		}
 	}
 }
