--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -116,7 +116,7 @@
 
 // serve listens and serves until the process is told to stop or can't serve.
 func (r *proxyRole) serve() error {
-	front, err := r.files.Listen(r.process.settings.FrontAddr)
+	front, err := r.files.Listen(r.process.background, r.process.settings.FrontAddr)
 	if err != nil {
 		return err
 	}
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -203,7 +203,7 @@
 	}
 	defer linkListener.Close()
 	budget := descriptors.NewBudget(k.options.Settings.Limits.OpenFiles)
-	httpListener, err := budget.Listen(k.options.Settings.ControlAddr)
+	httpListener, err := budget.Listen(k.runContext, k.options.Settings.ControlAddr)
 	if err != nil {
 		return err
 	}
--- a/internal/platform/descriptors/descriptors.go
+++ b/internal/platform/descriptors/descriptors.go
@@ -6,6 +6,7 @@
 package descriptors
 
 import (
+	"context"
 	"net"
 
 	"golang.org/x/net/netutil"
@@ -38,10 +39,10 @@
 	return max(1, min(wanted, b.maxOpen/endpointsDivisor))
 }
 
-// Listen listens for connections from outside at an IPv4 address. Connections beyond the budget wait in the kernel's
-// queue until others end.
-func (b Budget) Listen(address string) (net.Listener, error) {
-	listener, err := net.Listen("tcp4", address)
+// Listen listens for connections from outside at an IPv4 address; the context limits the lookup of its name.
+// Connections beyond the budget wait in the kernel's queue until others end.
+func (b Budget) Listen(ctx context.Context, address string) (net.Listener, error) {
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", address)
 	if err != nil || b.maxOpen == 0 {
 		return listener, err
 	}
--- a/internal/platform/descriptors/descriptors_test.go
+++ b/internal/platform/descriptors/descriptors_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestConnectionsBeyondTheBudgetWait(t *testing.T) {
-	listener, err := NewBudget(4).Listen("127.0.0.1:0")
+	listener, err := NewBudget(4).Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
