--- a/cmd/dunetide/batchcalls.go
+++ b/cmd/dunetide/batchcalls.go
@@ -51,7 +51,8 @@
 // setProxy sets the proxy through which items run.
 func (b *batchCalls) setProxy(p *forward.Proxy) { b.runner.proxy.Store(p) }
 
-// applySnapshot applies a new snapshot: a proxy runs as many items as its share of the endpoints' slots, and a few more.
+// applySnapshot applies a new snapshot: a proxy runs as many items as its share of the endpoints'
+// slots, and a few more.
 func (b *batchCalls) applySnapshot(snap *snapshot.Snapshot) {
 	if !b.stopped.Load() {
 		b.jobs.SetMaxRunning(itemLimit(snap))
@@ -134,8 +135,11 @@
 	_, _ = w.Write(a.Body)
 }
 
-// readBody reads the complete body of a call, in the time that the client has. It returns 0, or the status to refuse it with.
-func (b *batchCalls) readBody(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) (body []byte, status int) {
+// readBody reads the complete body of a call, in the time that the client has. It returns 0, or the
+// status to refuse it with.
+func (b *batchCalls) readBody(
+	w http.ResponseWriter, r *http.Request, route *operatorconfig.Route,
+) (body []byte, status int) {
 	if r.ContentLength == 0 {
 		return nil, 0
 	}
--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -30,7 +30,8 @@
 const (
 	// certifyTimeout bounds a command with all its calls.
 	certifyTimeout = 10 * time.Second
-	// maxWithdrawAttempts is how often a withdrawal is tried, as another document may come between its read and its write.
+	// maxWithdrawAttempts is how often a withdrawal is tried, as another document may come between
+	// its read and its write.
 	maxWithdrawAttempts = 10
 )
 
@@ -62,7 +63,8 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, nil, fmt.Errorf("no clear answer from %s; repeat the same command, there or at another keeper: %w", k.Control, err)
+		return 0, nil, fmt.Errorf("no clear answer from %s; repeat the same command, there or at another keeper: %w",
+			k.Control, err)
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, certification.MaxDocumentBytes))
--- a/cmd/dunetide/check.go
+++ b/cmd/dunetide/check.go
@@ -8,7 +8,8 @@
 	"dunetide/internal/platform/settings"
 )
 
-// checkCmd checks files offline. Its commands print one line, or exit with status 2 and an error that names the place.
+// checkCmd checks files offline. Its commands print one line, or exit with status 2 and an error
+// that names the place.
 type checkCmd struct {
 	Settings     checkSettingsCmd     `cmd:"" help:"Check the settings file of a process."`
 	Config       checkConfigCmd       `cmd:"" help:"Check a configuration as an operator would send it."`
@@ -60,6 +61,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: sound: version=%d regulated_routes=%d certificates=%d\n", k.File, s.Version, len(s.Routes), len(s.Certificates))
+	fmt.Printf("%s: sound: version=%d regulated_routes=%d certificates=%d\n",
+		k.File, s.Version, len(s.Routes), len(s.Certificates))
 	return nil
 }
--- a/cmd/dunetide/condition.go
+++ b/cmd/dunetide/condition.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// conditionInterval is how often the condition of the process is reported. Keepers forget it after 5 s.
+	// conditionInterval is how often the condition of the process is reported. Keepers forget it
+	// after 5 s.
 	conditionInterval = time.Second
 	// conditionTimeout bounds the answer of one keeper.
 	conditionTimeout = time.Second
@@ -35,8 +36,8 @@
 	return ""
 }
 
-// startConditionReports reports the condition of the process to the keepers that membership and the settings know, until the
-// process is told to stop.
+// startConditionReports reports the condition of the process to the keepers that membership and the
+// settings know, until the process is told to stop.
 func (p *process) startConditionReports(role string, port int, members *members) {
 	self := controlclient.Node{
 		Name:        p.settings.NodeName,
@@ -55,7 +56,8 @@
 	p.goroutines.Go(func() { p.reportConditions(self, keepers) })
 }
 
-// reportConditions reports the condition of the process to keepers while there is one, and once when it has ended.
+// reportConditions reports the condition of the process to keepers while there is one, and once
+// when it has ended.
 func (p *process) reportConditions(node controlclient.Node, keepers func() []string) {
 	tick := time.NewTicker(conditionInterval)
 	defer tick.Stop()
--- a/cmd/dunetide/diskspace.go
+++ b/cmd/dunetide/diskspace.go
@@ -17,12 +17,14 @@
 	diskProbeFile = "room.probe"
 	// diskProbeBytes must fit before the disk is used again.
 	diskProbeBytes = 1 << 20
-	// diskFullReason is the condition that operators see of a full disk, in the log and in the status of keepers.
+	// diskFullReason is the condition that operators see of a full disk, in the log and in the
+	// status of keepers.
 	diskFullReason = "disk is full: out of service until there is room"
 )
 
-// runWithDiskSpace runs f, and again once there is disk space whenever it ends because the disk is full. Nothing of f may be
-// left when it returns. If the process is told to stop meanwhile, it returns nil.
+// runWithDiskSpace runs f, and again once there is disk space whenever it ends because the disk is
+// full. Nothing of f may be left when it returns. If the process is told to stop meanwhile, it
+// returns nil.
 func (p *process) runWithDiskSpace(folder vfs.Folder, f func() error) error {
 	for {
 		err := f()
@@ -39,7 +41,8 @@
 	}
 }
 
-// awaitDiskSpace waits until a file of diskProbeBytes fits. It reports false if the process is told to stop before.
+// awaitDiskSpace waits until a file of diskProbeBytes fits. It reports false if the process is told
+// to stop before.
 func (p *process) awaitDiskSpace(folder vfs.Folder) bool {
 	tick := time.NewTicker(diskProbeInterval)
 	defer tick.Stop()
--- a/cmd/dunetide/itemrunner.go
+++ b/cmd/dunetide/itemrunner.go
@@ -21,7 +21,9 @@
 }
 
 // Run sends one item to an endpoint of its route's service. It implements batch.Runner.
-func (r *itemRunner) Run(ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte)) batch.RunResult {
+func (r *itemRunner) Run(
+	ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte),
+) batch.RunResult {
 	p, snap := r.proxy.Load(), r.snapshots.Get()
 	if p == nil || snap == nil || snap.Config == nil {
 		return notStarted()
--- a/cmd/dunetide/main.go
+++ b/cmd/dunetide/main.go
@@ -1,8 +1,10 @@
-// Command dunetide is the serving tier: each role of it is a subcommand that runs until SIGTERM, and operators have commands
-// beside them. deploy/system.toml says which role runs where, docs/architecture.md what each owns.
+// Command dunetide is the serving tier: each role of it is a subcommand that runs until SIGTERM,
+// and operators have commands beside them. deploy/system.toml says which role runs where,
+// docs/architecture.md what each owns.
 //
-// One file holds one role (proxy.go, keeper.go, store.go) or one operators' command (check.go, status.go, certify.go,
-// audit.go, version.go). process.go is what the roles share. Exit statuses: 0, 1 for a failure, 2 for a wrong use.
+// One file holds one role (proxy.go, keeper.go, store.go) or one operators' command (check.go,
+// status.go, certify.go, audit.go, version.go). process.go is what the roles share. Exit statuses:
+// 0, 1 for a failure, 2 for a wrong use.
 package main
 
 import (
--- a/cmd/dunetide/metrics.go
+++ b/cmd/dunetide/metrics.go
@@ -14,18 +14,20 @@
 	"dunetide/internal/platform/telemetry"
 )
 
-// metricsPorts are the ports of the roles' metrics, which deploy/system.toml names too. Two roles may share a machine.
+// metricsPorts are the ports of the roles' metrics, which deploy/system.toml names too. Two roles
+// may share a machine.
 var metricsPorts = map[string]int{
 	controlclient.RoleProxy:  19101,
 	controlclient.RoleKeeper: 19102,
 	controlclient.RoleStore:  19103,
 }
 
-// metricsDelay is how long after its start a process begins to serve metrics, so that a port that another role of the machine
-// needs for its own work goes to that one.
+// metricsDelay is how long after its start a process begins to serve metrics, so that a port that
+// another role of the machine needs for its own work goes to that one.
 const metricsDelay = 2 * time.Second
 
-// startMetrics serves the metrics of the process until it ends. A port that is in use is no reason not to work: it is logged.
+// startMetrics serves the metrics of the process until it ends. A port that is in use is no reason
+// not to work: it is logged.
 func (p *process) startMetrics(role string) {
 	port := metricsPorts[role]
 	if portIsUsed(p.settings, port) {
@@ -56,7 +58,8 @@
 	return server.Serve(listener)
 }
 
-// portIsUsed reports whether the settings give a port to something else of this process or between nodes.
+// portIsUsed reports whether the settings give a port to something else of this process or between
+// nodes.
 func portIsUsed(s *settings.Settings, port int) bool {
 	if port >= s.FirstInternalPort && port <= s.LastInternalPort {
 		return true
--- a/cmd/dunetide/process.go
+++ b/cmd/dunetide/process.go
@@ -42,7 +42,8 @@
 	goroutines sync.WaitGroup
 }
 
-// start reads the settings and prepares the runtime. The context of the process ends at SIGTERM or SIGINT.
+// start reads the settings and prepares the runtime. The context of the process ends at SIGTERM or
+// SIGINT.
 func start(c *cli, role string) (*process, error) {
 	path := os.Getenv(settingsVar)
 	if path == "" {
@@ -88,8 +89,8 @@
 	})
 }
 
-// setMemoryLimit sets the limit of the Go runtime. It leaves space below the limit of the process for what the collector has
-// not freed yet.
+// setMemoryLimit sets the limit of the Go runtime. It leaves space below the limit of the process
+// for what the collector has not freed yet.
 func setMemoryLimit(s *settings.Settings) {
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryMB) << 20 * 7 / 10)
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -20,8 +20,8 @@
 const (
 	// bodyMemoryFraction is the part of a proxy's memory, one in so many, that clients' bodies may take.
 	bodyMemoryFraction = 5
-	// confirmFraction is the part of the time in which a withdrawal must be in force, one in so many, after which the
-	// client has its certificates confirmed again.
+	// confirmFraction is the part of the time in which a withdrawal must be in force, one in so
+	// many, after which the client has its certificates confirmed again.
 	confirmFraction = 5
 	// shutdownMargin is what is left of the grace for the end of the process.
 	shutdownMargin = 500 * time.Millisecond
@@ -62,7 +62,8 @@
 	client    *controlclient.Client
 }
 
-// newProxyRole connects the parts of a proxy: the client receives snapshots and passes them to the others.
+// newProxyRole connects the parts of a proxy: the client receives snapshots and passes them to the
+// others.
 func newProxyRole(p *process, members *members) *proxyRole {
 	s := p.settings
 	r := &proxyRole{process: p, snapshots: &snapshot.Latest{}, files: descriptors.NewBudget(s.Limits.OpenFiles)}
@@ -107,7 +108,8 @@
 	return snap != nil && snap.Config != nil && snap.EndpointsComplete && snap.CertificatesKnown
 }
 
-// applySnapshot applies a new snapshot, the certificates first: what they no longer allow must not be admitted.
+// applySnapshot applies a new snapshot, the certificates first: what they no longer allow must not
+// be admitted.
 func (r *proxyRole) applySnapshot(snap *snapshot.Snapshot) {
 	r.regulated.gate.Update(snap.Certificates)
 	r.admission.Update(snap)
--- a/cmd/dunetide/regulatedwork.go
+++ b/cmd/dunetide/regulatedwork.go
@@ -9,9 +9,11 @@
 )
 
 const (
-	// recordDrainTimeout is how long a proxy that stops waits for stores to accept the record of its regulated runs.
+	// recordDrainTimeout is how long a proxy that stops waits for stores to accept the record of
+	// its regulated runs.
 	recordDrainTimeout = 300 * time.Millisecond
-	// regulatedLogInterval is how often the counts of regulated work are logged, where they have changed.
+	// regulatedLogInterval is how often the counts of regulated work are logged, where they have
+	// changed.
 	regulatedLogInterval = 10 * time.Second
 )
 
@@ -28,8 +30,8 @@
 	certificatesFresh bool
 }
 
-// newRegulatedWork returns the regulated work of a proxy. The function lastConfirmed returns when a keeper last confirmed the
-// certificates.
+// newRegulatedWork returns the regulated work of a proxy. The function lastConfirmed returns when a
+// keeper last confirmed the certificates.
 func newRegulatedWork(p *process, snapshots *snapshot.Latest, lastConfirmed func() time.Time) *regulatedWork {
 	r := &regulatedWork{process: p, snapshots: snapshots, logged: map[string]certification.Counts{}}
 	r.gate = certification.NewGate(certification.GateOptions{
@@ -61,7 +63,8 @@
 	return all
 }
 
-// logCounts logs whether the certificates are confirmed, where that has changed, and the counts of regulated work.
+// logCounts logs whether the certificates are confirmed, where that has changed, and the counts of
+// regulated work.
 func (r *regulatedWork) logCounts() {
 	current := r.gate.Current()
 	if current == nil {
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -17,10 +17,11 @@
 )
 
 const (
-	// batchLogPercent of the disk is for batch jobs. The rest is for the record of regulated runs, and for a segment of the
-	// log that is written before another one is removed.
+	// batchLogPercent of the disk is for batch jobs. The rest is for the record of regulated runs,
+	// and for a segment of the log that is written before another one is removed.
 	batchLogPercent = 85
-	// recordFileFraction is the part of the disk, one in so many, that a file of the record of regulated runs may take.
+	// recordFileFraction is the part of the disk, one in so many, that a file of the record of
+	// regulated runs may take.
 	recordFileFraction = 128
 )
 
@@ -40,7 +41,11 @@
 	}
 	p.startConditionReports(controlclient.RoleStore, storePort, members)
 	folder := p.dataFolder()
-	records, err := audit.OpenStore(audit.StoreOptions{Folder: folder, FileBytes: p.diskBytes() / recordFileFraction, Log: p.log})
+	records, err := audit.OpenStore(audit.StoreOptions{
+		Folder:    folder,
+		FileBytes: p.diskBytes() / recordFileFraction,
+		Log:       p.log,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/dunetide/storelinks.go
+++ b/cmd/dunetide/storelinks.go
@@ -8,8 +8,8 @@
 	"dunetide/internal/platform/link"
 )
 
-// storeLinkHandler passes messages to the batch store or to the record of regulated runs, and closes the links with the
-// store: who waits for a store that is out of service must notice that.
+// storeLinkHandler passes messages to the batch store or to the record of regulated runs, and
+// closes the links with the store: who waits for a store that is out of service must notice that.
 type storeLinkHandler struct {
 	store   *batch.Store
 	records *audit.Store
--- a/cmd/dunetide/storereports.go
+++ b/cmd/dunetide/storereports.go
@@ -15,12 +15,14 @@
 const (
 	// reportTimeout bounds a report to the keepers.
 	reportTimeout = 3 * time.Second
-	// transferTimeout is how long a store that was told to end waits for others to become primary of its partitions. It is
-	// well under the time that the platform leaves a process (grace_s), as a store has nothing else to wait for.
+	// transferTimeout is how long a store that was told to end waits for others to become primary
+	// of its partitions. It is well under the time that the platform leaves a process (grace_s), as
+	// a store has nothing else to wait for.
 	transferTimeout = 2 * time.Second
 )
 
-// storeReports sends the reports of a store to the keepers, each in a goroutine of its own, as the store must not wait.
+// storeReports sends the reports of a store to the keepers, each in a goroutine of its own, as the
+// store must not wait.
 type storeReports struct {
 	ctx    context.Context
 	client *controlclient.Client // set before the first snapshot reaches the store
@@ -75,7 +77,8 @@
 	r.running.Wait()
 }
 
-// transferPartitions lets other stores become primary of the store's partitions before the process ends.
+// transferPartitions lets other stores become primary of the store's partitions before the process
+// ends.
 func (p *process) transferPartitions(store *batch.Store) {
 	begin := time.Now()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(p.ctx), transferTimeout)
--- a/internal/proxy/dispatch/admission.go
+++ b/internal/proxy/dispatch/admission.go
@@ -31,7 +31,8 @@
 // refusalReason returns why a request that must wait is refused at once, or "" if it may wait.
 func (c *core) refusalReason(p *pool, w *waiter) string {
 	if !w.request.Bulk {
-		// A certificate may become valid while the request waits, but an endpoint that it must avoid stays excluded.
+		// A certificate may become valid while the request waits, but an endpoint that it must
+		// avoid stays excluded.
 		if w.request.Regime == "" && p.hasReadyEndpoint() && !p.hasEligibleEndpoint(w) {
 			return "no endpoint is left to ask"
 		}
@@ -51,9 +52,10 @@
 	return slices.ContainsFunc(p.endpoints, func(e *endpoint) bool { return e.eligible(w) })
 }
 
-// setTimes sets the times of a request, of which zero is none: when it arrived, when it is due, when its answer must be
-// complete, and when it is refused if it is still pending. That is after a share of its route's latency target, or twice
-// that if an endpoint was tried before, and at its deadline at the latest.
+// setTimes sets the times of a request, of which zero is none: when it arrived, when it is due,
+// when its answer must be complete, and when it is refused if it is still pending. That is after a
+// share of its route's latency target, or twice that if an endpoint was tried before, and at its
+// deadline at the latest.
 func (c *core) setTimes(w *waiter, arrived, due, deadline Time) {
 	w.due, w.deadline = due, deadline
 	if arrived == 0 {
--- a/internal/proxy/dispatch/affinity.go
+++ b/internal/proxy/dispatch/affinity.go
@@ -2,15 +2,17 @@
 
 import "slices"
 
-// Requests with a common prefix of their prompts should meet at the endpoints that have it in their prefix cache. All
-// senders rank the endpoints for a prefix by rendezvous hashing, and so prefer the same few replicas of it without talking
-// to each other.
+// Requests with a common prefix of their prompts should meet at the endpoints that have it in their
+// prefix cache. All senders rank the endpoints for a prefix by rendezvous hashing, and so prefer
+// the same few replicas of it without talking to each other.
 
-// replicaCacheProbability is the probability that an endpoint has cached shared parts that this sender has not sent there,
-// by its rank among the preferred replicas: other senders prefer the same endpoints.
+// replicaCacheProbability is the probability that an endpoint has cached shared parts that this
+// sender has not sent there, by its rank among the preferred replicas: other senders prefer the
+// same endpoints.
 var replicaCacheProbability = [...]float64{0.9, 0.5, 0.2}
 
-// sharedParts returns the number of parts of a prompt that other requests may share: all but the last, if there are more.
+// sharedParts returns the number of parts of a prompt that other requests may share: all but the
+// last, if there are more.
 func sharedParts(w *waiter) int { return max(len(w.request.Prefix)-1, min(len(w.request.Prefix), 1)) }
 
 // sharedTokens returns the tokens of a prompt's prefix that other requests may share.
@@ -22,7 +24,8 @@
 	return shared
 }
 
-// preferredReplicas returns the preferred replicas for a request, which are computed once for each snapshot.
+// preferredReplicas returns the preferred replicas for a request, which are computed once for each
+// snapshot.
 func (c *core) preferredReplicas(p *pool, w *waiter) []*endpoint {
 	if w.replicasAsOf != c.snapshots {
 		w.replicas, w.replicasAsOf = rankReplicas(p, w), c.snapshots
@@ -30,8 +33,9 @@
 	return w.replicas
 }
 
-// rankReplicas returns the first endpoints in the common order of those that are ready and certified for a request's
-// regime: by rendezvous hashing of its shared parts, with the same result at all senders.
+// rankReplicas returns the first endpoints in the common order of those that are ready and
+// certified for a request's regime: by rendezvous hashing of its shared parts, with the same result
+// at all senders.
 func rankReplicas(p *pool, w *waiter) []*endpoint {
 	key := uint64(w.prefixHashes[sharedParts(w)-1])
 	var first [len(replicaCacheProbability)]*endpoint
@@ -57,8 +61,9 @@
 	return slices.Clone(first[:found])
 }
 
-// cachedTokens estimates how many tokens of a prompt an endpoint has cached: the prefix that this sender has sent there
-// within the lifetime of cache entries, or the shared part that others have probably sent there, by its rank.
+// cachedTokens estimates how many tokens of a prompt an endpoint has cached: the prefix that this
+// sender has sent there within the lifetime of cache entries, or the shared part that others have
+// probably sent there, by its rank.
 func (c *core) cachedTokens(e *endpoint, w *waiter, common *placement) float64 {
 	if len(w.prefixHashes) == 0 {
 		return 0
--- a/internal/proxy/dispatch/capacity.go
+++ b/internal/proxy/dispatch/capacity.go
@@ -18,7 +18,8 @@
 		slices.ContainsFunc(e.models, func(m snapshot.Model) bool { return m.Name == w.request.Model })
 }
 
-// hasCapacity reports whether an endpoint can take a request now, by its connections, its rate limit and its load.
+// hasCapacity reports whether an endpoint can take a request now, by its connections, its rate
+// limit and its load.
 func (c *core) hasCapacity(e *endpoint, w *waiter) bool {
 	// A tenth of the connections is left free, as not all senders see the same number of senders.
 	if m := e.pool.maxConns; m > 0 && len(e.running) >= max(1, m*9/10/c.senders) {
@@ -36,8 +37,8 @@
 	return e.load(c) < float64(e.slots())*(1+c.settings.QueueOnTime)
 }
 
-// hasBulkCapacity reports whether the load of an endpoint allows a bulk request, which leaves a headroom to interactive
-// ones until it is near its due time.
+// hasBulkCapacity reports whether the load of an endpoint allows a bulk request, which leaves a
+// headroom to interactive ones until it is near its due time.
 func (c *core) hasBulkCapacity(e *endpoint, w *waiter) bool {
 	if c.awaitsFirstAnswer(e) {
 		return false
@@ -66,8 +67,9 @@
 	return float64(p.bulkRunning) < max(1, c.settings.BulkFloor*float64(slots)/float64(c.senders))
 }
 
-// awaitsFirstAnswer reports whether this sender, one of several, runs bulk at an endpoint that has never answered it. After
-// a start of all senders nobody knows any load, and the bulk of all of them would go out at once.
+// awaitsFirstAnswer reports whether this sender, one of several, runs bulk at an endpoint that has
+// never answered it. After a start of all senders nobody knows any load, and the bulk of all of
+// them would go out at once.
 func (c *core) awaitsFirstAnswer(e *endpoint) bool {
 	if e.answered || c.senders == 1 {
 		return false
--- a/internal/proxy/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -13,8 +13,8 @@
 // Time is a reading of a monotonic clock.
 type Time = sendlog.Time
 
-// core makes the decisions of a Dispatcher. It has no clock, no goroutine and no source of randomness of its own: its owner
-// sets now before each call. It is not safe for concurrent use.
+// core makes the decisions of a Dispatcher. It has no clock, no goroutine and no source of
+// randomness of its own: its owner sets now before each call. It is not safe for concurrent use.
 type core struct {
 	settings   Settings
 	zone       string
--- a/internal/proxy/dispatch/cost.go
+++ b/internal/proxy/dispatch/cost.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// The cost of an endpoint for a request is in ms: the expected time to the first token, and penalties of what else speaks
-// against the endpoint.
+// The cost of an endpoint for a request is in ms: the expected time to the first token, and
+// penalties of what else speaks against the endpoint.
 
 const (
-	// minExpectedMs is the least expected time to the first token that is compared with the time that has passed.
+	// minExpectedMs is the least expected time to the first token that is compared with the time
+	// that has passed.
 	minExpectedMs = 20
-	// overdueFactor is how many times the expected time a run may take to its first token before it is overdue.
+	// overdueFactor is how many times the expected time a run may take to its first token before it
+	// is overdue.
 	overdueFactor = 3
 	// failurePenaltyMs is the penalty of each failure since the last success.
 	failurePenaltyMs = 10
@@ -35,8 +37,9 @@
 	return r, cost
 }
 
-// timeToFirstToken estimates the ms until the first token: the wait for a slot, and the prefill of the prompts before this
-// one and of this one. It raises a negative number of tokens to prefill to 0.
+// timeToFirstToken estimates the ms until the first token: the wait for a slot, and the prefill of
+// the prompts before this one and of this one. It raises a negative number of tokens to prefill to
+// 0.
 func (c *core) timeToFirstToken(e *endpoint, common *placement, prefillTokens *float64) float64 {
 	*prefillTokens = max(*prefillTokens, 0)
 	ms := common.baseMs + common.msPerToken*(*prefillTokens+e.pendingPrefill())
@@ -58,8 +61,8 @@
 	return tokens
 }
 
-// penalty returns the cost of an endpoint in addition to the expected time: for its load, another zone, a warm-up, an
-// overdue first token, and recent failures.
+// penalty returns the cost of an endpoint in addition to the expected time: for its load, another
+// zone, a warm-up, an overdue first token, and recent failures.
 func (c *core) penalty(e *endpoint) float64 {
 	utilization := e.load(c) / float64(e.slots())
 	cost := milliseconds(c.settings.LoadCost) * utilization * utilization
--- a/internal/proxy/dispatch/dispatch.go
+++ b/internal/proxy/dispatch/dispatch.go
@@ -22,8 +22,8 @@
 	Due       time.Time    // when the answer loses a part of its value; zero if it never does
 	Bulk      bool         // it waits until its context ends and is not refused; interactive requests go first
 	Avoid     []string     // ids of endpoint incarnations to which it must not be sent
-	// Regime is the certification that the route demands of endpoints, or empty. If it is set, Certified reports whether an
-	// endpoint has it, and is asked at each choice.
+	// Regime is the certification that the route demands of endpoints, or empty. If it is set,
+	// Certified reports whether an endpoint has it, and is asked at each choice.
 	Regime    string
 	Certified func(id string) bool
 }
@@ -63,13 +63,13 @@
 	Known                   bool // the endpoint reported one
 }
 
-// Grant is the permission to send one request to one endpoint now. It counts in both send logs of the endpoint. End must be
-// called once.
+// Grant is the permission to send one request to one endpoint now. It counts in both send logs of
+// the endpoint. End must be called once.
 type Grant interface {
 	// Endpoint returns where to send the request.
 	Endpoint() Target
-	// FirstToken must be called when the answer's head or its first event arrives, whichever is first, with the load that
-	// the head reports.
+	// FirstToken must be called when the answer's head or its first event arrives, whichever is
+	// first, with the load that the head reports.
 	FirstToken(l Load)
 	// End releases the slot.
 	End(o Outcome, l Load)
@@ -95,8 +95,9 @@
 	return fmt.Sprintf("%s; come back in %v", e.Reason, e.RetryAfter)
 }
 
-// Admission grants requests an endpoint. Acquire waits until an endpoint has capacity. It fails with a *RefusedError as soon
-// as it is known that the request cannot be served in time, or with the error of its context.
+// Admission grants requests an endpoint. Acquire waits until an endpoint has capacity. It fails
+// with a *RefusedError as soon as it is known that the request cannot be served in time, or with
+// the error of its context.
 type Admission interface {
 	Acquire(ctx context.Context, r *Request) (Grant, error)
 }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -19,9 +19,10 @@
 	Settings  Settings
 }
 
-// Dispatcher is the Admission of a proxy. It is safe for concurrent use. One goroutine at a time owns the core and runs the
-// queue of commands: the goroutine that posts to an idle queue owns the core until the queue is empty, so a request that
-// need not wait is granted without a switch of goroutines.
+// Dispatcher is the Admission of a proxy. It is safe for concurrent use. One goroutine at a time
+// owns the core and runs the queue of commands: the goroutine that posts to an idle queue owns the
+// core until the queue is empty, so a request that need not wait is granted without a switch of
+// goroutines.
 type Dispatcher struct {
 	now    func() time.Time
 	origin time.Time // time 0 of the core's clock
--- a/internal/proxy/dispatch/ejection.go
+++ b/internal/proxy/dispatch/ejection.go
@@ -11,7 +11,8 @@
 // runTimeShare is the share of a run in the mean run time of its pool.
 const runTimeShare = 0.05
 
-// leastEjected returns the endpoint that may serve a request and is ejected for the shortest time; nil if none may.
+// leastEjected returns the endpoint that may serve a request and is ejected for the shortest time;
+// nil if none may.
 func leastEjected(p *pool, w *waiter) *endpoint {
 	var least *endpoint
 	for _, e := range p.endpoints {
@@ -22,8 +23,9 @@
 	return least
 }
 
-// probeDue reports whether a request should try an ejected endpoint. One request at a time does: from the end of the
-// ejection on a request that may run twice, later also a small one, and later still any.
+// probeDue reports whether a request should try an ejected endpoint. One request at a time does:
+// from the end of the ejection on a request that may run twice, later also a small one, and later
+// still any.
 func (e *endpoint) probeDue(c *core, w *waiter) bool {
 	from := e.ejectedUntil
 	if !w.request.Bulk && (w.request.Route == nil || !w.request.Route.Idempotent()) {
@@ -55,7 +57,8 @@
 	}
 }
 
-// recordFailure adds to the failure score of an endpoint, and ejects it from a score on or if a probe has failed.
+// recordFailure adds to the failure score of an endpoint, and ejects it from a score on or if a
+// probe has failed.
 func (c *core) recordFailure(r *run, weight float64) {
 	e := r.endpoint
 	e.failureScore += weight
@@ -64,8 +67,9 @@
 	}
 }
 
-// eject lets no request but a probe go to an endpoint for a time, which doubles each time it is ejected again. Least is a
-// lower bound of that time. The time is randomized by a quarter, so that senders do not probe all at once.
+// eject lets no request but a probe go to an endpoint for a time, which doubles each time it is
+// ejected again. Least is a lower bound of that time. The time is randomized by a quarter, so that
+// senders do not probe all at once.
 func (c *core) eject(e *endpoint, least time.Duration) {
 	if e.ejectedUntil > c.now {
 		return
--- a/internal/proxy/dispatch/estimate.go
+++ b/internal/proxy/dispatch/estimate.go
@@ -16,9 +16,9 @@
 	// initialPointWeight is the weight of each of the points of the first estimate.
 	initialPointWeight = 5
 
-	// maxOutlier bounds a measured time, as a multiple of the expected one: a request that stood in a queue of which its
-	// sender knew nothing shows how long the queue was, not how fast prompts are prefilled. What lasts is learnt all the
-	// same, a little more slowly.
+	// maxOutlier bounds a measured time, as a multiple of the expected one: a request that stood in
+	// a queue of which its sender knew nothing shows how long the queue was, not how fast prompts
+	// are prefilled. What lasts is learnt all the same, a little more slowly.
 	maxOutlier = 3
 
 	// Bounds of a fitted slope, in ms for each token.
@@ -31,7 +31,8 @@
 	minLatenessShare = 0.05
 )
 
-// linearFit is a least-squares fit of y = base + slope*x whose older points count less. It holds the weighted sums.
+// linearFit is a least-squares fit of y = base + slope*x whose older points count less. It holds
+// the weighted sums.
 type linearFit struct{ weight, sumX, sumY, sumXX, sumXY float64 }
 
 // initialFit returns a fit of points on the first estimate.
@@ -57,7 +58,8 @@
 	l.sumXY = fitDecay*l.sumXY + x*y
 }
 
-// addBounded adds a point, of which it believes no more than maxOutlier times what the fit expects there.
+// addBounded adds a point, of which it believes no more than maxOutlier times what the fit expects
+// there.
 func (l *linearFit) addBounded(x, y float64) {
 	base, slope := l.fit()
 	l.add(x, min(y, maxOutlier*(base+slope*x)))
@@ -80,8 +82,8 @@
 // add adds a value with a share of the new average.
 func (m *movingAverage) add(x, share float64) { m.value += share * (x - m.value) }
 
-// recordLateness adds the ms by which a first token came later than expected to the recent average. Older values fade with
-// a time constant.
+// recordLateness adds the ms by which a first token came later than expected to the recent average.
+// Older values fade with a time constant.
 func (p *pool) recordLateness(now Time, ms float64, decay time.Duration) {
 	remaining := math.Exp(-float64(now-p.lastFirstToken) / float64(decay))
 	p.lateness.value *= remaining
--- a/internal/proxy/dispatch/load.go
+++ b/internal/proxy/dispatch/load.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Bounds of what an endpoint is believed about itself: one that reports nonsense must neither attract all requests nor, by
-// way of the mean of its pool, make all others look full.
+// Bounds of what an endpoint is believed about itself: one that reports nonsense must neither
+// attract all requests nor, by way of the mean of its pool, make all others look full.
 const (
 	maxSlotsFactor = 2    // slots, as a multiple of those that are configured for its service
 	maxSlots       = 4096 // slots, where none are configured
@@ -39,7 +39,8 @@
 	return defaultSlots
 }
 
-// applyLoadReport applies a load that an endpoint reported. What is not this sender's belongs to others.
+// applyLoadReport applies a load that an endpoint reported. What is not this sender's belongs to
+// others.
 func (c *core) applyLoadReport(e *endpoint, l Load) {
 	if !l.Known {
 		return
@@ -59,8 +60,8 @@
 	}
 }
 
-// loadOfOthers estimates the requests of other senders at an endpoint: by its last load report, which fades to the mean of
-// the pool.
+// loadOfOthers estimates the requests of other senders at an endpoint: by its last load report,
+// which fades to the mean of the pool.
 func (e *endpoint) loadOfOthers(c *core) float64 {
 	if !e.loadReported {
 		return e.pool.otherLoad.value
@@ -72,10 +73,11 @@
 // load estimates the requests at an endpoint, of this sender and others.
 func (e *endpoint) load(c *core) float64 { return float64(len(e.running)) + e.loadOfOthers(c) }
 
-// loadUncertainty returns by how much an endpoint's load may exceed its estimate, in requests. Within the subset the
-// estimate is trusted; outside it the uncertainty grows with the age of the last load report, up to UncertaintyDeviations
-// of the spread of independent arrivals. A request that no healthy endpoint of the subset may serve, by its model, its
-// regime or what it must avoid, takes the estimates as they are.
+// loadUncertainty returns by how much an endpoint's load may exceed its estimate, in requests.
+// Within the subset the estimate is trusted; outside it the uncertainty grows with the age of the
+// last load report, up to UncertaintyDeviations of the spread of independent arrivals. A request
+// that no healthy endpoint of the subset may serve, by its model, its regime or what it must avoid,
+// takes the estimates as they are.
 func (c *core) loadUncertainty(e *endpoint, w *waiter) float64 {
 	if e.inSubset || !w.subsetServes {
 		return 0
--- a/internal/proxy/dispatch/prefixcache.go
+++ b/internal/proxy/dispatch/prefixcache.go
@@ -13,7 +13,8 @@
 	maxCacheLifetime = 2 * time.Minute
 )
 
-// prefixHash is the hash of a part of a prompt with all the parts before it: a cached part is only of use with them.
+// prefixHash is the hash of a part of a prompt with all the parts before it: a cached part is only
+// of use with them.
 type prefixHash uint64
 
 // hashPrefixes returns the hash of each prefix of a prompt for a model.
@@ -40,8 +41,8 @@
 	return h ^ h>>33
 }
 
-// prefixCache models what an endpoint has in its prefix cache (KV cache), by the prompts that this sender sent there. The
-// least recently used parts are evicted first.
+// prefixCache models what an endpoint has in its prefix cache (KV cache), by the prompts that this
+// sender sent there. The least recently used parts are evicted first.
 type prefixCache struct {
 	entries   map[prefixHash]*list.Element
 	byRecency *list.List   // of *cacheEntry, the most recently sent first
@@ -56,7 +57,8 @@
 	lastSent Time
 }
 
-// lifetime returns how long what nobody requests again is believed to stay in a cache of so many tokens; 0 tokens: unknown.
+// lifetime returns how long what nobody requests again is believed to stay in a cache of so many
+// tokens; 0 tokens: unknown.
 func (c *prefixCache) lifetime(now Time, senders int, cacheTokens int64) time.Duration {
 	rate := c.tokenRate.perSecond(now) * float64(max(senders, 1))
 	if cacheTokens <= 0 || rate < float64(cacheTokens)/maxCacheLifetime.Seconds() {
@@ -75,9 +77,12 @@
 	return len(hashes)
 }
 
-// recordPrompt records that a prompt was sent there, and evicts what exceeds maxEntries or the size of the cache. The last
-// part belongs to one request: each of the senders brings such a part meanwhile, so it counts for all of them.
-func (c *prefixCache) recordPrompt(now Time, hashes []prefixHash, parts []PromptPart, senders int, cacheTokens int64, maxEntries int) {
+// recordPrompt records that a prompt was sent there, and evicts what exceeds maxEntries or the size
+// of the cache. The last part belongs to one request: each of the senders brings such a part
+// meanwhile, so it counts for all of them.
+func (c *prefixCache) recordPrompt(
+	now Time, hashes []prefixHash, parts []PromptPart, senders int, cacheTokens int64, maxEntries int,
+) {
 	if c.entries == nil {
 		c.entries, c.byRecency = map[prefixHash]*list.Element{}, list.New()
 	}
--- a/internal/proxy/dispatch/queue.go
+++ b/internal/proxy/dispatch/queue.go
@@ -25,8 +25,8 @@
 	decided func(*waiter)
 }
 
-// compareUrgency compares the places of two requests in a queue: first interactive ones by priority and deadline, then bulk
-// by due time. It returns a negative number if a goes first.
+// compareUrgency compares the places of two requests in a queue: first interactive ones by priority
+// and deadline, then bulk by due time. It returns a negative number if a goes first.
 func compareUrgency(a, b *waiter) int {
 	switch {
 	case a.request.Bulk != b.request.Bulk:
@@ -77,8 +77,9 @@
 	return false
 }
 
-// overlaps reports whether a pending request may go, by its regime, to all endpoints that another one may go to. If not,
-// the other one need not wait for it, because it may wait for endpoints that the other one cannot use.
+// overlaps reports whether a pending request may go, by its regime, to all endpoints that another
+// one may go to. If not, the other one need not wait for it, because it may wait for endpoints that
+// the other one cannot use.
 func overlaps(pending, other *waiter) bool {
 	return pending.request.Regime == "" || pending.request.Regime == other.request.Regime
 }
@@ -112,8 +113,8 @@
 	}
 }
 
-// serveQueue goes through the queue of a pool, starts the requests for which an endpoint has capacity and refuses those that
-// have waited for too long.
+// serveQueue goes through the queue of a pool, starts the requests for which an endpoint has
+// capacity and refuses those that have waited for too long.
 func (c *core) serveQueue(p *pool) {
 	if len(p.queue) == 0 {
 		return
@@ -161,12 +162,12 @@
 	return 0
 }
 
-// maxFailedPlacements is the number of requests without an endpoint after which the further ones of the same kind are not
-// tried in a pass over the queue.
+// maxFailedPlacements is the number of requests without an endpoint after which the further ones of
+// the same kind are not tried in a pass over the queue.
 const maxFailedPlacements = 4
 
-// failedPlacements counts the pending requests of one kind and regime for which no endpoint had capacity. Those of other
-// regimes may go to other endpoints.
+// failedPlacements counts the pending requests of one kind and regime for which no endpoint had
+// capacity. Those of other regimes may go to other endpoints.
 type failedPlacements struct {
 	regime string
 	bulk   bool
@@ -184,8 +185,8 @@
 	return &(*all)[len(*all)-1].count
 }
 
-// interactiveBlocked reports whether no endpoint had capacity for interactive requests that may go to all endpoints of a
-// request.
+// interactiveBlocked reports whether no endpoint had capacity for interactive requests that may go
+// to all endpoints of a request.
 func interactiveBlocked(all []failedPlacements, r *Request) bool {
 	for _, f := range all {
 		if !f.bulk && f.count > 0 && (f.regime == "" || f.regime == r.Regime) {
@@ -195,7 +196,8 @@
 	return false
 }
 
-// nextWake returns when serveAllQueues must be called even if nothing happens, and false if it need not be.
+// nextWake returns when serveAllQueues must be called even if nothing happens, and false if it need
+// not be.
 func (c *core) nextWake() (Time, bool) {
 	at := Time(math.MaxInt64)
 	for _, p := range c.poolOrder {
--- a/internal/proxy/dispatch/ratelimit.go
+++ b/internal/proxy/dispatch/ratelimit.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// The rate limit of an endpoint adapts to its refusals, as additive-increase congestion control does: there is none until it
-// refuses a request; then the starts in the short window are limited to their present count. A further refusal reduces the
-// limit, and time without refusals lets it grow. The long window allows the same rate.
+// The rate limit of an endpoint adapts to its refusals, as additive-increase congestion control
+// does: there is none until it refuses a request; then the starts in the short window are limited
+// to their present count. A further refusal reduces the limit, and time without refusals lets it
+// grow. The long window allows the same rate.
 
-// currentRateLimit returns the maximal number of starts in the short window now: the rate limit with its growth since the
-// last refusal.
+// currentRateLimit returns the maximal number of starts in the short window now: the rate limit
+// with its growth since the last refusal.
 func (e *endpoint) currentRateLimit(c *core) float64 {
 	if math.IsInf(e.rateLimit, 1) {
 		return e.rateLimit
@@ -23,8 +24,8 @@
 	return float64(e.longLog.Window) / float64(e.shortLog.Window)
 }
 
-// withinRateLimit reports whether both send logs allow another start. It lifts a limit that was far from being reached for a
-// short window.
+// withinRateLimit reports whether both send logs allow another start. It lifts a limit that was far
+// from being reached for a short window.
 func (e *endpoint) withinRateLimit(c *core) bool {
 	limit := e.currentRateLimit(c)
 	short, long := float64(e.shortLog.Count(c.now)), float64(e.longLog.Count(c.now))
@@ -35,8 +36,8 @@
 	return short < limit && long < limit*e.windowRatio()
 }
 
-// nextStartAt returns the time by which both send logs allow another start: when enough old starts have left them, or the
-// rate limit has grown, whichever is first.
+// nextStartAt returns the time by which both send logs allow another start: when enough old starts
+// have left them, or the rate limit has grown, whichever is first.
 func (e *endpoint) nextStartAt(c *core) Time {
 	if e.withinRateLimit(c) {
 		return c.now
@@ -48,9 +49,10 @@
 	return max(c.now, min(logsAllow, e.refusedAt+growth))
 }
 
-// reduceRateLimit reduces the rate limit of an endpoint that refused a run: to the present count at the first refusal, by a
-// factor at further ones. Refusals of runs that were sent before the last reduction are ignored. Where the refusal came with
-// a load, that load is remembered as the one at which the endpoint is full.
+// reduceRateLimit reduces the rate limit of an endpoint that refused a run: to the present count at
+// the first refusal, by a factor at further ones. Refusals of runs that were sent before the last
+// reduction are ignored. Where the refusal came with a load, that load is remembered as the one at
+// which the endpoint is full.
 func (c *core) reduceRateLimit(r *run, l Load) {
 	e := r.endpoint
 	if !l.Known {
--- a/internal/proxy/dispatch/run.go
+++ b/internal/proxy/dispatch/run.go
@@ -7,8 +7,8 @@
 	promptShare = 0.02
 	// slownessShare is the share of a first token in its endpoint's slowness.
 	slownessShare = 0.1
-	// minSlownessSample and maxSlownessSample bound what one first token says of its endpoint's slowness, and
-	// minSlownessMs the expected time that it is compared with.
+	// minSlownessSample and maxSlownessSample bound what one first token says of its endpoint's
+	// slowness, and minSlownessMs the expected time that it is compared with.
 	minSlownessSample, maxSlownessSample = 0.25, 4
 	minSlownessMs                        = 0.5
 )
@@ -47,7 +47,8 @@
 	}
 	if len(w.prefixHashes) > 0 {
 		e.cache.tokenRate.add(c.now, r.prefillTokens+float64(w.request.TokensOut))
-		e.cache.recordPrompt(c.now, w.prefixHashes, w.request.Prefix, c.senders, e.pool.cacheTokens, c.settings.MaxCacheEntries)
+		e.cache.recordPrompt(c.now, w.prefixHashes, w.request.Prefix,
+			c.senders, e.pool.cacheTokens, c.settings.MaxCacheEntries)
 	}
 	w.granted = r
 	w.decided(w)
@@ -74,7 +75,8 @@
 	c.serveQueue(e.pool)
 }
 
-// endRun applies the outcome of a run and the load that came with it. Further calls for the same run have no effect.
+// endRun applies the outcome of a run and the load that came with it. Further calls for the same
+// run have no effect.
 func (c *core) endRun(r *run, o Outcome, l Load) {
 	if r.ended {
 		return
--- a/internal/proxy/dispatch/selection.go
+++ b/internal/proxy/dispatch/selection.go
@@ -9,7 +9,8 @@
 const (
 	// similarCost is the difference in cost, in ms, up to which endpoints count as equal.
 	similarCost = 0.25
-	// urgencyFactor reduces the load at which a late request may still be started, for each step of lower priority.
+	// urgencyFactor reduces the load at which a late request may still be started, for each step of
+	// lower priority.
 	urgencyFactor = 0.8
 )
 
@@ -29,13 +30,15 @@
 	sharedTokens       float64     // tokens of the prefix that other requests may share
 }
 
-// choose picks the endpoint for a request and returns the run that it would be, or nil if no endpoint has capacity.
+// choose picks the endpoint for a request and returns the run that it would be, or nil if no
+// endpoint has capacity.
 func (c *core) choose(p *pool, w *waiter) *run {
 	found := c.candidates(p, w)
 	if found.count == 0 {
 		return nil
 	}
-	common := placement{loadBound: c.settings.PreferredLoadFactor*found.totalLoad/float64(found.count) + c.settings.PreferredLoadSlack}
+	var common placement
+	common.loadBound = c.settings.PreferredLoadFactor*found.totalLoad/float64(found.count) + c.settings.PreferredLoadSlack
 	common.baseMs, common.msPerToken = p.firstTokenFit.fit()
 	if found.probe != nil {
 		probe := run{endpoint: found.probe, prefillTokens: float64(w.request.TokensIn)}
@@ -83,8 +86,8 @@
 	return found
 }
 
-// cheapestRun returns the run at the endpoint with the lowest cost, a random one of those with a similar cost, or nil if a
-// run would be too late at each of them.
+// cheapestRun returns the run at the endpoint with the lowest cost, a random one of those with a
+// similar cost, or nil if a run would be too late at each of them.
 func (c *core) cheapestRun(available []*endpoint, w *waiter, common *placement) *run {
 	var best run
 	lowest, similar := math.Inf(1), 0
@@ -110,9 +113,10 @@
 	return &best
 }
 
-// estimateAllows reports whether a run is worth starting whose first token is expected after so many ms. It must come before
-// the deadline. If it comes after the due time, the load must be low, the lower the less urgent the route is. An estimate
-// that refuses all requests would never be corrected, so it counts only as long as first tokens come.
+// estimateAllows reports whether a run is worth starting whose first token is expected after so
+// many ms. It must come before the deadline. If it comes after the due time, the load must be low,
+// the lower the less urgent the route is. An estimate that refuses all requests would never be
+// corrected, so it counts only as long as first tokens come.
 func (c *core) estimateAllows(e *endpoint, w *waiter, ms float64) bool {
 	if w.request.Bulk {
 		return true
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Settings are the parameters of admission and placement. A zero field takes its default, which its comment gives.
-// docs/placement.md has the measurements behind them.
+// Settings are the parameters of admission and placement. A zero field takes its default, which its
+// comment gives. docs/placement.md has the measurements behind them.
 type Settings struct {
 	// Rate limits of an endpoint (ratelimit.go).
 
@@ -12,8 +12,9 @@
 	MaxLogEntries int           // entries of a send log, which bound its memory; 8192
 	RateRecovery  time.Duration // time after a refusal in which a rate limit grows by its own size; 1 s
 	RateCut       float64       // factor by which a further refusal reduces a rate limit; 0.7
-	// MinServedShare is the lower bound of a reduced rate limit, as a share of the requests that were served in the short
-	// window; 0.9. Without it a burst of refusals would push the limit below what the endpoint really serves.
+	// MinServedShare is the lower bound of a reduced rate limit, as a share of the requests that
+	// were served in the short window; 0.9. Without it a burst of refusals would push the limit
+	// below what the endpoint really serves.
 	MinServedShare float64
 
 	// Queueing of requests (admission.go, queue.go).
@@ -24,13 +25,16 @@
 
 	// Load of an endpoint (load.go, capacity.go).
 
-	// LoadReportDecay is the time constant with which a reported load of other senders fades to the mean of the pool; 1.5 s.
+	// LoadReportDecay is the time constant with which a reported load of other senders fades to the
+	// mean of the pool; 1.5 s.
 	LoadReportDecay time.Duration
 	FullBackoff     time.Duration // time for which an endpoint counts as full that refused without a load report; 60 ms
-	// QueueOnTime is how many capacities of requests may queue at an endpoint if the answer meets its latency target; 3.
+	// QueueOnTime is how many capacities of requests may queue at an endpoint if the answer meets
+	// its latency target; 3.
 	QueueOnTime float64
-	// QueueLate is how many capacities of requests may run or queue at an endpoint if the answer misses its latency
-	// target; 1: only where a slot is free, because queues that make everybody late are worth less than refusals.
+	// QueueLate is how many capacities of requests may run or queue at an endpoint if the answer
+	// misses its latency target; 1: only where a slot is free, because queues that make everybody
+	// late are worth less than refusals.
 	QueueLate      float64
 	MaxEstimateAge time.Duration // time without a first token after which estimates refuse nobody; 1 s
 	LatenessDecay  time.Duration // time constant with which the lateness of first tokens fades; 300 ms
@@ -40,8 +44,8 @@
 	SendersPerEndpoint float64       // senders that should share an endpoint by their subsets; 4
 	MinSubsetSize      int           // endpoints of a subset; 3, as one may be ejected and one full
 	OutsideSubsetCost  time.Duration // cost of an endpoint outside the subset; 10 ms
-	// UncertaintyDeviations is by how many standard deviations of independent arrivals the load of an endpoint outside
-	// the subset may be underestimated; 3.
+	// UncertaintyDeviations is by how many standard deviations of independent arrivals the load of
+	// an endpoint outside the subset may be underestimated; 3.
 	UncertaintyDeviations float64
 
 	// Bulk requests (capacity.go).
@@ -52,14 +56,18 @@
 
 	// Cost of an endpoint for a request (cost.go, affinity.go).
 
-	// PreferredLoadFactor and PreferredLoadSlack bound the load of the preferred replicas of a prefix (consistent hashing
-	// with bounded loads): one whose load exceeds factor x mean + slack costs more; 1.25 and 1 request.
+	// PreferredLoadFactor and PreferredLoadSlack bound the load of the preferred replicas of a
+	// prefix (consistent hashing with bounded loads): one whose load exceeds factor x mean + slack
+	// costs more; 1.25 and 1 request.
 	PreferredLoadFactor, PreferredLoadSlack float64
-	PreferredLoadFloor                      float64       // share of the capacity up to which a load is never too much; 0.25
-	RereadCost                              float64       // cost of prefilling a shared part again, as a multiple of the time it takes; 1
-	OtherZoneCost                           time.Duration // cost of an endpoint in another zone; 4 ms
-	LoadCost                                time.Duration // cost of an endpoint that is fully loaded; 20 ms
-	WarmUpCost                              float64       // cost of each ms that is left of a warm-up, in ms; 0.2
+	// PreferredLoadFloor is the share of the capacity up to which a load is never too much; 0.25.
+	PreferredLoadFloor float64
+	// RereadCost is the cost of prefilling a shared part again, as a multiple of the time it takes;
+	// 1.
+	RereadCost    float64
+	OtherZoneCost time.Duration // cost of an endpoint in another zone; 4 ms
+	LoadCost      time.Duration // cost of an endpoint that is fully loaded; 20 ms
+	WarmUpCost    float64       // cost of each ms that is left of a warm-up, in ms; 0.2
 
 	// Ejection of outliers (ejection.go).
 
--- a/internal/proxy/dispatch/subset.go
+++ b/internal/proxy/dispatch/subset.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// chooseSubset marks the endpoints of a pool that this sender prefers. With many senders before many endpoints each sender
-// hears of an endpoint's load every few seconds, while a request lasts a second, so that all of them choose blindly. A
-// sender that keeps to a few endpoints knows their loads. It chooses them by rendezvous hashing with its own name, those of
-// its zone first, as many as let about Settings.SendersPerEndpoint senders share each endpoint. Nobody has to be notified of
-// a subset, and an endpoint that joins or leaves changes few.
+// chooseSubset marks the endpoints of a pool that this sender prefers. With many senders before
+// many endpoints each sender hears of an endpoint's load every few seconds, while a request lasts a
+// second, so that all of them choose blindly. A sender that keeps to a few endpoints knows their
+// loads. It chooses them by rendezvous hashing with its own name, those of its zone first, as many
+// as let about Settings.SendersPerEndpoint senders share each endpoint. Nobody has to be notified
+// of a subset, and an endpoint that joins or leaves changes few.
 func (c *core) chooseSubset(p *pool) {
 	type candidate struct {
 		endpoint *endpoint
--- a/internal/proxy/forward/answer.go
+++ b/internal/proxy/forward/answer.go
@@ -20,8 +20,9 @@
 	return len(ids) == 1 && ids[0] == x.request.ID
 }
 
-// spliced reports whether the head of the answer has another status line inside: the endpoint broke off the head of one
-// answer and sent another one behind it. The status, and any header, may be of either.
+// spliced reports whether the head of the answer has another status line inside: the endpoint broke
+// off the head of one answer and sent another one behind it. The status, and any header, may be of
+// either.
 func (x *exchange) spliced() bool {
 	if hasStatusLine(x.response.Status) {
 		return true
@@ -51,13 +52,14 @@
 
 func isNoDigit(r rune) bool { return r < '0' || r > '9' }
 
-// skippable reports whether an answer to another request can be skipped: it must have an id, and an end that does not
-// depend on the method of the request that it belongs to.
+// skippable reports whether an answer to another request can be skipped: it must have an id, and an
+// end that does not depend on the method of the request that it belongs to.
 func (x *exchange) skippable() bool {
 	return x.method != http.MethodHead && x.response.Header.Get(headerID) != "" && x.delimited()
 }
 
-// classify returns the event that the head of an answer is, and its outcome for the endpoint. docs/calls.md has the table.
+// classify returns the event that the head of an answer is, and its outcome for the endpoint.
+// docs/calls.md has the table.
 func (x *exchange) classify() (attempt.Event, dispatch.Outcome) {
 	h, status := x.response.Header, x.response.StatusCode
 	notRun := h.Get(headerNotRun) != ""
@@ -82,8 +84,8 @@
 	return attempt.Answered, dispatch.Served
 }
 
-// promisesNotRun reports whether a status promises that a request has not run, if the endpoint says so in X-Dunetide-Not-Run
-// too. Beside any other status that header is no proof.
+// promisesNotRun reports whether a status promises that a request has not run, if the endpoint says
+// so in X-Dunetide-Not-Run too. Beside any other status that header is no proof.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout:
--- a/internal/proxy/forward/certified.go
+++ b/internal/proxy/forward/certified.go
@@ -13,8 +13,8 @@
 
 // Recorder keeps the record of regulated runs.
 type Recorder interface {
-	// Begin records that a run is about to be sent under certificates, and returns its number. Without space for its end
-	// it returns false, and the run may not be sent.
+	// Begin records that a run is about to be sent under certificates, and returns its number.
+	// Without space for its end it returns false, and the run may not be sent.
 	Begin(r audit.Run, certificates []byte) (number uint64, ok bool)
 	// End records how a run ended.
 	End(number uint64, o audit.Outcome)
@@ -43,9 +43,9 @@
 	}
 }
 
-// recheckCertificate is called right before a request is written to an endpoint: the certificate by which it was chosen may
-// have been withdrawn since. It begins the record of a regulated run. If the request must not be sent, the sending is over:
-// it returns false and the event.
+// recheckCertificate is called right before a request is written to an endpoint: the certificate by
+// which it was chosen may have been withdrawn since. It begins the record of a regulated run. If
+// the request must not be sent, the sending is over: it returns false and the event.
 func (x *exchange) recheckCertificate(endpoint string) (attempt.Event, bool) {
 	gate, route := x.proxy.options.Certificates, x.request.Route
 	regime, by, ok := gate.Allows(route.Name, endpoint)
@@ -131,7 +131,11 @@
 			c.Refused++
 		}
 	})
-	x.proxy.options.Log.Debug("regulated work refused", "id", x.request.ID, "route", x.request.Route.Name, "regime", regime, "reason", reason)
+	x.proxy.options.Log.Debug("regulated work refused",
+		"id", x.request.ID,
+		"route", x.request.Route.Name,
+		"regime", regime,
+		"reason", reason)
 }
 
 // countWait counts a batch item that waited for a certified endpoint.
--- a/internal/proxy/forward/connections.go
+++ b/internal/proxy/forward/connections.go
@@ -15,10 +15,11 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// connectionTimeout is how long a request waits for a connection where there may be no more of them: another endpoint
-	// may have one to spare.
+	// connectionTimeout is how long a request waits for a connection where there may be no more of
+	// them: another endpoint may have one to spare.
 	connectionTimeout = 100 * time.Millisecond
-	// deadLinkTimeout is how long bytes may stay unacknowledged before a connection counts as dead (TCP_USER_TIMEOUT).
+	// deadLinkTimeout is how long bytes may stay unacknowledged before a connection counts as dead
+	// (TCP_USER_TIMEOUT).
 	deadLinkTimeout = 2 * time.Second
 	// idleLimit is the longest that a connection to an endpoint is idle.
 	idleLimit = 20 * time.Second
@@ -70,7 +71,8 @@
 	return e.Pool
 }
 
-// maxConnections returns this proxy's share of the connections that an endpoint of a service accepts; 0: not bounded.
+// maxConnections returns this proxy's share of the connections that an endpoint of a service
+// accepts; 0: not bounded.
 func (p *Proxy) maxConnections(service string) int {
 	s := p.options.Snapshots.Get()
 	if s == nil || s.Config == nil {
@@ -84,8 +86,8 @@
 	return max(1, configured.MaxConnections*9/10/max(1, s.Proxies))
 }
 
-// Tidy closes connections that have been idle for too long and drops endpoints that are no longer listed. It is to be called
-// every second or two.
+// Tidy closes connections that have been idle for too long and drops endpoints that are no longer
+// listed. It is to be called every second or two.
 func (p *Proxy) Tidy() {
 	if s := p.options.Snapshots.Get(); s != nil && s.EndpointsComplete {
 		for _, e := range p.removeUnlisted(s) {
--- a/internal/proxy/forward/events.go
+++ b/internal/proxy/forward/events.go
@@ -11,8 +11,9 @@
 	errEventTooLong = errors.New("an event is too long")
 )
 
-// eventStream parses a stream of server-sent events (WHATWG HTML, 9.2) as far as it must be known where complete events
-// end and what the last of them were called. Bytes are read into its buffer, scanned, forwarded and discarded.
+// eventStream parses a stream of server-sent events (WHATWG HTML, 9.2) as far as it must be known
+// where complete events end and what the last of them were called. Bytes are read into its buffer,
+// scanned, forwarded and discarded.
 type eventStream struct {
 	buffer     []byte // bytes that were read and not discarded
 	lineStart  int    // start of the line that is scanned next
@@ -24,18 +25,21 @@
 	hasData bool   // it has data
 	onEvent func(id string, event []byte) error
 	lastID  string // of the last complete event that had one
-	// lastUnnamed is true if an event with data and without an id came since then: nobody can say where to resume.
+	// lastUnnamed is true if an event with data and without an id came since then: nobody can say
+	// where to resume.
 	lastUnnamed bool
 	minID       int64 // ids must be greater; -1: any
 	err         error
 }
 
-// reset forgets all but the buffer. Events must have ids greater than minID, where that is not negative.
+// reset forgets all but the buffer. Events must have ids greater than minID, where that is not
+// negative.
 func (s *eventStream) reset(minID int64) {
 	*s = eventStream{buffer: s.buffer[:0], minID: minID}
 }
 
-// scan scans what was read since the last call. It returns how many bytes of the buffer belong to complete events.
+// scan scans what was read since the last call. It returns how many bytes of the buffer belong to
+// complete events.
 func (s *eventStream) scan() (int, error) {
 	for s.err == nil {
 		length := bytes.IndexByte(s.buffer[s.lineStart:], '\n')
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -14,16 +14,18 @@
 const (
 	// minTimeLeft is the time that must be left for another sending.
 	minTimeLeft = 5 * time.Millisecond
-	// answerMargin is how long before the client's deadline the client is answered that its time is up, and endpointMargin
-	// how much sooner an endpoint is told to stop.
+	// answerMargin is how long before the client's deadline the client is answered that its time is
+	// up, and endpointMargin how much sooner an endpoint is told to stop.
 	answerMargin   = 10 * time.Millisecond
 	endpointMargin = 10 * time.Millisecond
-	// bufferSize is the size of a new buffer, and maxPooledBuffer that of the largest one that is kept for reuse.
+	// bufferSize is the size of a new buffer, and maxPooledBuffer that of the largest one that is
+	// kept for reuse.
 	bufferSize      = 4 << 10
 	maxPooledBuffer = 64 << 10
 )
 
-// exchange is one request or item with all its sendings to endpoints. It belongs to the goroutine that serves the request.
+// exchange is one request or item with all its sendings to endpoints. It belongs to the goroutine
+// that serves the request.
 type exchange struct {
 	proxy    *Proxy
 	ctx      context.Context // ends when nobody waits any more
@@ -78,15 +80,16 @@
 	}
 }
 
-// acquireBuffers gives the exchange buffers for the head of the request and for the answer, and returns them for releaseBuffers.
+// acquireBuffers gives the exchange buffers for the head of the request and for the answer, and
+// returns them for releaseBuffers.
 func (x *exchange) acquireBuffers() (head, stream *[]byte) {
 	head, stream = getBuffer(), getBuffer()
 	x.head, x.stream.buffer = *head, *stream
 	return head, stream
 }
 
-// releaseBuffers returns the buffers for reuse. Before, it ends a sending that is still in flight, which happens where the
-// handler panics.
+// releaseBuffers returns the buffers for reuse. Before, it ends a sending that is still in flight,
+// which happens where the handler panics.
 func (x *exchange) releaseBuffers(head, stream *[]byte) {
 	x.finish(dispatch.Canceled, upstream.Canceled)
 	*head, *stream = x.head, x.stream.buffer
--- a/internal/proxy/forward/finish.go
+++ b/internal/proxy/forward/finish.go
@@ -14,8 +14,8 @@
 // maxDrained is how much of a useless answer is read so that its connection can be used again.
 const maxDrained = 4 << 10
 
-// finish ends a sending: it returns the connection, releases the endpoint and ends the record of a regulated run. Without a
-// sending in flight it has no effect.
+// finish ends a sending: it returns the connection, releases the endpoint and ends the record of a
+// regulated run. Without a sending in flight it has no effect.
 func (x *exchange) finish(o dispatch.Outcome, end upstream.Outcome) {
 	if x.connection != nil {
 		x.connection.Release(end)
@@ -84,7 +84,8 @@
 	x.finish(o, end)
 }
 
-// drainBody reads the rest of the answer's body, less than maxBytes, and reports whether it came to its end.
+// drainBody reads the rest of the answer's body, less than maxBytes, and reports whether it came to
+// its end.
 func (x *exchange) drainBody(maxBytes int64) bool {
 	n, err := io.CopyN(io.Discard, x.response.Body, maxBytes)
 	return n < maxBytes && errors.Is(err, io.EOF)
--- a/internal/proxy/forward/head.go
+++ b/internal/proxy/forward/head.go
@@ -22,8 +22,8 @@
 	headerReason    = "X-Dunetide-Reason"
 )
 
-// buildHead begins the head of the request: what all sendings have in common. Fields that concern the client's connection
-// are dropped.
+// buildHead begins the head of the request: what all sendings have in common. Fields that concern
+// the client's connection are dropped.
 func (x *exchange) buildHead(target, host string, h http.Header, length int) {
 	b := append(x.head[:0], x.method...)
 	b = append(b, ' ')
@@ -72,7 +72,8 @@
 	return append(b, "\r\n"...)
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1), and those that the proxy writes itself.
+// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1), and those that the
+// proxy writes itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
@@ -80,7 +81,8 @@
 	headerTarget: true, headerTimeLeft: true, headerLastEvent: true,
 }
 
-// connectionHeaders returns whether a header is named by the Connection header, and so concerns one connection only.
+// connectionHeaders returns whether a header is named by the Connection header, and so concerns one
+// connection only.
 func connectionHeaders(h http.Header) func(name string) bool {
 	lines := h["Connection"]
 	if len(lines) == 0 {
--- a/internal/proxy/forward/intake.go
+++ b/internal/proxy/forward/intake.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// unpreparedRetryAfter is after what time a client may retry that a process refused which has just started.
+	// unpreparedRetryAfter is after what time a client may retry that a process refused which has
+	// just started.
 	unpreparedRetryAfter = 3 * defaultRetryAfter
 	// writeMargin is how long after the deadline a client may still read its answer.
 	writeMargin = 150 * time.Millisecond
-	// headerMargin is by how many bytes the head of a request may grow while it is forwarded before it counts as too large:
-	// some fields are written otherwise than they came.
+	// headerMargin is by how many bytes the head of a request may grow while it is forwarded before
+	// it counts as too large: some fields are written otherwise than they came.
 	headerMargin = 256
 )
 
@@ -62,8 +63,8 @@
 	admitted time.Time // the process could serve it: later than at where the process had just started
 }
 
-// requestTarget returns the target of a request as it is forwarded, with the query, and its path as it was sent. A target
-// that does not begin with a slash can't be forwarded.
+// requestTarget returns the target of a request as it is forwarded, with the query, and its path as
+// it was sent. A target that does not begin with a slash can't be forwarded.
 func requestTarget(r *http.Request) (target, path string) {
 	target, path = r.RequestURI, r.URL.EscapedPath()
 	if !strings.HasPrefix(target, "/") {
@@ -86,7 +87,10 @@
 }
 
 // forward answers a client's request of a route from an endpoint.
-func (p *Proxy) forward(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route, limits *operatorconfig.Limits, target string, arrived arrival) {
+func (p *Proxy) forward(
+	w http.ResponseWriter, r *http.Request,
+	route *operatorconfig.Route, limits *operatorconfig.Limits, target string, arrived arrival,
+) {
 	if status := statusIfUnanswerable(r); status != 0 {
 		w.Header().Set("Connection", "close")
 		p.refuse(w, r, status, 0, route)
@@ -118,8 +122,8 @@
 	p.answerFromEndpoints(x, w, r, rc)
 }
 
-// statusIfUnanswerable returns the status for a request whose answer could not be told from others, or not from a part of
-// itself; 0 for any other.
+// statusIfUnanswerable returns the status for a request whose answer could not be told from others,
+// or not from a part of itself; 0 for any other.
 func statusIfUnanswerable(r *http.Request) int {
 	switch {
 	case !r.ProtoAtLeast(1, 1): // a stream that is cut would look complete
@@ -130,7 +134,8 @@
 	return 0
 }
 
-// clientTimeout returns how long a client waits for its answer: the route's time limit, or less if the client says so.
+// clientTimeout returns how long a client waits for its answer: the route's time limit, or less if
+// the client says so.
 func clientTimeout(route *operatorconfig.Route, header http.Header) time.Duration {
 	timeout := time.Duration(route.TimeoutMs) * time.Millisecond
 	ms, err := strconv.ParseInt(header.Get(headerTimeLeft), 10, 64)
@@ -141,7 +146,9 @@
 }
 
 // newExchange returns the exchange of a client's request.
-func (p *Proxy) newExchange(r *http.Request, route *operatorconfig.Route, arrived arrival, timeout time.Duration) *exchange {
+func (p *Proxy) newExchange(
+	r *http.Request, route *operatorconfig.Route, arrived arrival, timeout time.Duration,
+) *exchange {
 	x := &exchange{proxy: p, ctx: r.Context(), method: r.Method}
 	x.describe(route, r.Header.Get)
 	x.deadline = arrived.at.Add(timeout - min(answerMargin, timeout/8))
--- a/internal/proxy/forward/invariants.go
+++ b/internal/proxy/forward/invariants.go
@@ -18,17 +18,19 @@
 	answersMatchInvariant = invariant.New("answers_belong_to_their_request")
 )
 
-// checkSend is called before a request is written to an endpoint. What may have run is recorded by recordSent, independently
-// of the states of package attempt, which decide.
+// checkSend is called before a request is written to an endpoint. What may have run is recorded by
+// recordSent, independently of the states of package attempt, which decide.
 func (x *exchange) checkSend(target string) {
 	idempotent := x.request.Bulk || x.request.Route.Idempotent()
 	sentOnceInvariant.Check(idempotent || !x.mayHaveRun, func() string {
-		return fmt.Sprintf("request %s of route %s goes to %s after %v", x.request.ID, x.request.Route.Name, target, x.request.Avoid)
+		return fmt.Sprintf("request %s of route %s goes to %s after %v",
+			x.request.ID, x.request.Route.Name, target, x.request.Avoid)
 	})
 }
 
-// recordSent records how a sending ended, by the error of its round trip or, without one, by the event that its answer's head
-// is. An endpoint that had all of the request may have run it, unless it says that it has not.
+// recordSent records how a sending ended, by the error of its round trip or, without one, by the
+// event that its answer's head is. An endpoint that had all of the request may have run it, unless
+// it says that it has not.
 func (x *exchange) recordSent(err error, head attempt.Event) {
 	if err == nil {
 		x.mayHaveRun = x.mayHaveRun || head != attempt.Rejected
@@ -41,7 +43,8 @@
 // checkRefusal is called before 503 is answered.
 func (x *exchange) checkRefusal() {
 	refusedNotRunInvariant.Check(!x.mayHaveRun, func() string {
-		return fmt.Sprintf("request %s of route %s is refused after %v had it", x.request.ID, x.request.Route.Name, x.request.Avoid)
+		return fmt.Sprintf("request %s of route %s is refused after %v had it",
+			x.request.ID, x.request.Route.Name, x.request.Avoid)
 	})
 }
 
--- a/internal/proxy/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -73,8 +73,9 @@
 
 func isNotPrintable(c rune) bool { return c <= ' ' || c >= 0x7f }
 
-// RunItem runs an item at an endpoint, after the event lastEventID, if there is one. The function event is called with each
-// complete event as it comes; an answer that is no stream comes as one event. The run ends with the context.
+// RunItem runs an item at an endpoint, after the event lastEventID, if there is one. The function
+// event is called with each complete event as it comes; an answer that is no stream comes as one
+// event. The run ends with the context.
 func (p *Proxy) RunItem(ctx context.Context, it *Item, lastEventID string, event func(id string, data []byte)) Result {
 	if err := it.Check(); err != nil {
 		return Result{State: ItemNotRun, Err: err}
@@ -103,8 +104,8 @@
 	return x.runItem(it, event)
 }
 
-// runItem sends an item until an endpoint has run it or none will. Only a sending that ran nowhere is repeated here; what
-// follows a run that broke off or failed is decided by its job.
+// runItem sends an item until an endpoint has run it or none will. Only a sending that ran nowhere
+// is repeated here; what follows a run that broke off or failed is decided by its job.
 func (x *exchange) runItem(it *Item, event func(id string, data []byte)) Result {
 	for {
 		e, granted := x.acquire()
--- a/internal/proxy/forward/listener.go
+++ b/internal/proxy/forward/listener.go
@@ -12,9 +12,10 @@
 // lengthHeaderName is the header that is counted on clients' connections, in lower case.
 const lengthHeaderName = "content-length"
 
-// clientConn counts the Content-Length headers that arrive on a client's connection. net/http drops that header of a request
-// with chunked transfer coding before any handler sees it, but such a request may be an attempt to smuggle a second one behind
-// it (RFC 9112, 6.1): its connection has to be closed after the answer.
+// clientConn counts the Content-Length headers that arrive on a client's connection. net/http drops
+// that header of a request with chunked transfer coding before any handler sees it, but such a
+// request may be an attempt to smuggle a second one behind it (RFC 9112, 6.1): its connection has
+// to be closed after the answer.
 type clientConn struct {
 	net.Conn
 	lengthHeaders  atomic.Int64 // headers that were read
@@ -59,8 +60,9 @@
 	}
 }
 
-// ambiguous records a request that is about to be handled. It reports whether the request is chunked and may have had a
-// Content-Length as well. Pipelined requests and bodies may be mistaken for that, at the cost of a connection.
+// ambiguous records a request that is about to be handled. It reports whether the request is
+// chunked and may have had a Content-Length as well. Pipelined requests and bodies may be mistaken
+// for that, at the cost of a connection.
 func (c *clientConn) ambiguous(r *http.Request) bool {
 	if len(r.Header["Content-Length"]) > 0 {
 		c.handledLengths++
@@ -91,7 +93,8 @@
 // Serve accepts clients' connections until the server is shut down or closed.
 func (p *Proxy) Serve(l net.Listener) error { return p.server.Serve(clientListener{l}) }
 
-// closeIfAmbiguous closes the connection after the answer if the length of the request could be read in two ways.
+// closeIfAmbiguous closes the connection after the answer if the length of the request could be
+// read in two ways.
 func closeIfAmbiguous(w http.ResponseWriter, r *http.Request) {
 	if conn, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok && conn.ambiguous(r) {
 		w.Header().Set("Connection", "close")
--- a/internal/proxy/forward/metrics.go
+++ b/internal/proxy/forward/metrics.go
@@ -40,8 +40,8 @@
 	return all
 }
 
-// recordVerdict counts the end of a client's request. One that did not end with an endpoint's complete answer is logged, with
-// all endpoints that were tried.
+// recordVerdict counts the end of a client's request. One that did not end with an endpoint's
+// complete answer is logged, with all endpoints that were tried.
 func (x *exchange) recordVerdict(v attempt.Verdict, e attempt.Event) {
 	requestsByVerdict[v].Inc()
 	if v == attempt.Done || v == attempt.Forward {
@@ -69,7 +69,8 @@
 	})
 }
 
-// logOwnAnswer counts and logs a 4xx or 5xx of the proxy's own, behind which is neither an endpoint nor a verdict.
+// logOwnAnswer counts and logs a 4xx or 5xx of the proxy's own, behind which is neither an endpoint
+// nor a verdict.
 func (p *Proxy) logOwnAnswer(r *http.Request, status int, route *operatorconfig.Route) {
 	telemetry.Counter("dunetide_proxy_own_answers_total", "status", http.StatusText(status)).Inc()
 	p.failures.Event("request not taken", func() []any {
@@ -96,8 +97,9 @@
 	return 0
 }
 
-// connectionStates counts clients' connections by their state, so that one that ends can be counted by the state in which it
-// was. Each connection keeps its own state, which its server changes one call at a time.
+// connectionStates counts clients' connections by their state, so that one that ends can be counted
+// by the state in which it was. Each connection keeps its own state, which its server changes one
+// call at a time.
 type connectionStates struct {
 	open [http.StateClosed + 1]atomic.Int64
 }
--- a/internal/proxy/forward/place.go
+++ b/internal/proxy/forward/place.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// parsePrefix parses the parts of a prompt, "id:tokens,id:tokens". An id that is not hexadecimal is hashed.
+// parsePrefix parses the parts of a prompt, "id:tokens,id:tokens". An id that is not hexadecimal is
+// hashed.
 func parsePrefix(value string) []dispatch.PromptPart {
 	if value == "" {
 		return nil
--- a/internal/proxy/forward/prepare.go
+++ b/internal/proxy/forward/prepare.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// maxUnprepared bounds the requests that wait for a process that has just started; further ones are refused at once.
-	// A proxy serves some tens of requests a second, and each that waits costs a goroutine and its body.
+	// maxUnprepared bounds the requests that wait for a process that has just started; further ones
+	// are refused at once. A proxy serves some tens of requests a second, and each that waits costs
+	// a goroutine and its body.
 	maxUnprepared = 512
-	// unpreparedFraction is the part of its time, one in so many, that a request waits at most: whoever is refused then has
-	// as much left.
+	// unpreparedFraction is the part of its time, one in so many, that a request waits at most:
+	// whoever is refused then has as much left.
 	unpreparedFraction = 2
 	// maxUnpreparedWait is the longest wait of a request that does not state its time, or a long one.
 	maxUnpreparedWait = 2 * time.Second
@@ -30,14 +31,16 @@
 	refusedBeforePreparation = telemetry.Counter("dunetide_proxy_unprepared_requests_total", "end", "refused")
 )
 
-// hasConfig reports whether the process knows a configuration. It need not have the whole list of endpoints, which is known
-// a second or two later: those that have registered serve meanwhile, and admission queues what none of them has capacity for.
+// hasConfig reports whether the process knows a configuration. It need not have the whole list of
+// endpoints, which is known a second or two later: those that have registered serve meanwhile, and
+// admission queues what none of them has capacity for.
 func hasConfig(s *snapshot.Snapshot) bool { return s != nil && s.Config != nil }
 
-// awaitConfig holds a request that reached a process which has just started until the process knows a configuration. After a
-// loss of power of all machines every proxy is in that state for about a second, and a client that is refused there has soon
-// used up its attempts. The request's body is read meanwhile: a client takes a request that nobody reads for lost, and a
-// disconnection is noticed only behind the body. It returns 0, or the status to refuse the request with.
+// awaitConfig holds a request that reached a process which has just started until the process knows
+// a configuration. After a loss of power of all machines every proxy is in that state for about a
+// second, and a client that is refused there has soon used up its attempts. The request's body is
+// read meanwhile: a client takes a request that nobody reads for lost, and a disconnection is
+// noticed only behind the body. It returns 0, or the status to refuse the request with.
 func (p *Proxy) awaitConfig(w http.ResponseWriter, r *http.Request) (status int) {
 	if p.unprepared.Add(1) > maxUnprepared {
 		p.unprepared.Add(-1)
@@ -63,7 +66,8 @@
 	return 0
 }
 
-// unpreparedWait returns how long a request may wait, by the time in ms that its client says to have left.
+// unpreparedWait returns how long a request may wait, by the time in ms that its client says to
+// have left.
 func unpreparedWait(timeLeft string) time.Duration {
 	ms, err := strconv.ParseInt(timeLeft, 10, 64)
 	if err != nil || ms < 0 {
--- a/internal/proxy/forward/proxy.go
+++ b/internal/proxy/forward/proxy.go
@@ -29,7 +29,8 @@
 	defaultIdleTimeout   = time.Minute
 	defaultHeaderTimeout = 10 * time.Second
 
-	// maxHeaderBytes bounds a client's header for net/http; what the configuration allows is checked with it.
+	// maxHeaderBytes bounds a client's header for net/http; what the configuration allows is
+	// checked with it.
 	maxHeaderBytes = 256 << 10
 )
 
@@ -39,11 +40,11 @@
 	Snapshots *snapshot.Latest
 	// Admission grants requests an endpoint.
 	Admission dispatch.Admission
-	// Match finds the route of a request by its Host header and its path as it was sent, without the query; nil: the
-	// configuration's own.
+	// Match finds the route of a request by its Host header and its path as it was sent, without
+	// the query; nil: the configuration's own.
 	Match func(c *operatorconfig.Config, host, path string) *operatorconfig.Route
-	// ServeBatch answers calls of batch jobs: those of bulk routes, and of /lots/ and /items/ with no route; nil: there
-	// are none.
+	// ServeBatch answers calls of batch jobs: those of bulk routes, and of /lots/ and /items/ with
+	// no route; nil: there are none.
 	ServeBatch func(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route)
 	// Certificates decides where regulated requests may go; nil: nothing is regulated.
 	Certificates *certification.Gate
@@ -61,7 +62,8 @@
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 	// MaxOpen bounds the connections to all endpoints together; 0: DefaultMaxOpen.
 	MaxOpen int
-	// DrainWait is how long new connections are still served after the process was told to stop; 0: 2.2 s.
+	// DrainWait is how long new connections are still served after the process was told to stop; 0:
+	// 2.2 s.
 	DrainWait time.Duration
 	// IdleTimeout is how long a client's connection may be idle; 0: 60 s.
 	IdleTimeout time.Duration
@@ -147,10 +149,12 @@
 	return p
 }
 
-// Server returns the server of clients' connections; it is the same one each time. Serve is the way to start it.
+// Server returns the server of clients' connections; it is the same one each time. Serve is the way
+// to start it.
 func (p *Proxy) Server() *http.Server { return p.server }
 
-// ServeReady answers whether clients should come here: 200, or 503 while the process is not ready or drains.
+// ServeReady answers whether clients should come here: 200, or 503 while the process is not ready
+// or drains.
 func (p *Proxy) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusServiceUnavailable
 	if !p.draining.Load() && (p.options.Ready == nil || p.options.Ready()) {
@@ -162,8 +166,8 @@
 	w.WriteHeader(status)
 }
 
-// Shutdown ends the serving of clients. First the process is no longer ready, while whatever still comes is served; then no
-// new requests are accepted, and those in flight may end within the grace.
+// Shutdown ends the serving of clients. First the process is no longer ready, while whatever still
+// comes is served; then no new requests are accepted, and those in flight may end within the grace.
 func (p *Proxy) Shutdown(grace time.Duration) error {
 	began := p.options.Now()
 	p.draining.Store(true)
--- a/internal/proxy/forward/refuse.go
+++ b/internal/proxy/forward/refuse.go
@@ -12,12 +12,16 @@
 const defaultRetryAfter = 100 * time.Millisecond
 
 // refuse answers a request that goes to no endpoint with a status; route is nil where none was found.
-func (p *Proxy) refuse(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration, route *operatorconfig.Route) {
+func (p *Proxy) refuse(
+	w http.ResponseWriter, r *http.Request,
+	status int, retryAfter time.Duration, route *operatorconfig.Route,
+) {
 	p.logOwnAnswer(r, status, route)
 	p.answerStatus(w, r, status, retryAfter)
 }
 
-// answerStatus answers a client with a status of the proxy's own, without a body. A 503 states when to retry.
+// answerStatus answers a client with a status of the proxy's own, without a body. A 503 states when
+// to retry.
 func (p *Proxy) answerStatus(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration) {
 	h := w.Header()
 	p.closeWhenDraining(h)
@@ -32,7 +36,8 @@
 	w.WriteHeader(status)
 }
 
-// retryAfterHint returns after what time a client that is refused should retry: a third of its time at most.
+// retryAfterHint returns after what time a client that is refused should retry: a third of its time
+// at most.
 func (x *exchange) retryAfterHint() time.Duration {
 	d := x.retryAfter
 	if d <= 0 {
@@ -41,7 +46,8 @@
 	return max(time.Millisecond, min(d, x.timeLeft()/3))
 }
 
-// closeWhenDraining asks the client for another connection, to another machine, once this process is to be stopped.
+// closeWhenDraining asks the client for another connection, to another machine, once this process
+// is to be stopped.
 func (p *Proxy) closeWhenDraining(h http.Header) {
 	if p.draining.Load() {
 		h["Connection"] = []string{"close"}
--- a/internal/proxy/forward/respond.go
+++ b/internal/proxy/forward/respond.go
@@ -32,7 +32,8 @@
 	return x.forwardBody(w, outcome)
 }
 
-// writeHead forwards an answer's head, with the length of its body if that is known: if it is not negative.
+// writeHead forwards an answer's head, with the length of its body if that is known: if it is not
+// negative.
 func (x *exchange) writeHead(w http.ResponseWriter, length int64) {
 	x.checkAnswer()
 	h := w.Header()
@@ -56,8 +57,8 @@
 	x.headSent = true
 }
 
-// forwardBody forwards an answer that is no stream. Up to maxBuffered bytes are read before anything is forwarded, so that
-// an answer that breaks off there may still be replaced.
+// forwardBody forwards an answer that is no stream. Up to maxBuffered bytes are read before
+// anything is forwarded, so that an answer that breaks off there may still be replaced.
 func (x *exchange) forwardBody(w http.ResponseWriter, outcome dispatch.Outcome) attempt.Event {
 	length := x.response.ContentLength
 	b := x.stream.buffer[:0]
--- a/internal/proxy/forward/retry.go
+++ b/internal/proxy/forward/retry.go
@@ -10,8 +10,8 @@
 // extraRejections is how many endpoints may refuse a request, beyond its attempts.
 const extraRejections = 3
 
-// answerFromEndpoints sends a request to one endpoint after the other until there is an answer for the client. Package
-// attempt decides after each event what is next.
+// answerFromEndpoints sends a request to one endpoint after the other until there is an answer for
+// the client. Package attempt decides after each event what is next.
 func (p *Proxy) answerFromEndpoints(x *exchange, w http.ResponseWriter, r *http.Request, rc *http.ResponseController) {
 	for {
 		event, granted := x.acquire()
@@ -44,7 +44,10 @@
 }
 
 // answerVerdict answers a client by a verdict without an endpoint's answer, or cuts its connection.
-func (p *Proxy) answerVerdict(x *exchange, w http.ResponseWriter, r *http.Request, verdict attempt.Verdict, event attempt.Event) {
+func (p *Proxy) answerVerdict(
+	x *exchange, w http.ResponseWriter, r *http.Request,
+	verdict attempt.Verdict, event attempt.Event,
+) {
 	switch verdict {
 	case attempt.ServiceUnavailable:
 		if x.refusalReason != "" {
--- a/internal/proxy/forward/send.go
+++ b/internal/proxy/forward/send.go
@@ -14,8 +14,9 @@
 // errForeign is the error of an answer that is not to this request.
 var errForeign = errors.New("the answer is not the endpoint's to this request")
 
-// sendRequest sends the request to the endpoint of the grant and reads the head of its answer. Unless it was answered, the
-// sending is over then; a 500 that may have to be forwarded is left open.
+// sendRequest sends the request to the endpoint of the grant and reads the head of its answer.
+// Unless it was answered, the sending is over then; a 500 that may have to be forwarded is left
+// open.
 func (x *exchange) sendRequest() attempt.Event {
 	target := x.grant.Endpoint()
 	x.request.Avoid = append(x.request.Avoid, target.ID)
@@ -50,8 +51,8 @@
 	return e
 }
 
-// connect acquires a connection to the endpoint. If there is none, or no time is left, the sending is over: it returns false
-// and the event.
+// connect acquires a connection to the endpoint. If there is none, or no time is left, the sending
+// is over: it returns false and the event.
 func (x *exchange) connect(target dispatch.Target) (attempt.Event, bool) {
 	conn, err := x.acquireConnection(target)
 	switch {
@@ -77,7 +78,8 @@
 	return 0, true
 }
 
-// acquireConnection acquires a connection that has not carried this id before: an answer to the earlier sending might come late.
+// acquireConnection acquires a connection that has not carried this id before: an answer to the
+// earlier sending might come late.
 func (x *exchange) acquireConnection(target dispatch.Target) (*upstream.Conn, error) {
 	pool := x.proxy.poolFor(target)
 	for {
@@ -90,8 +92,8 @@
 	}
 }
 
-// roundTrip writes the request and reads the head of its answer. Before it, duplicates of answers to earlier requests on the
-// connection may arrive: their ids differ, and they are skipped.
+// roundTrip writes the request and reads the head of its answer. Before it, duplicates of answers
+// to earlier requests on the connection may arrive: their ids differ, and they are skipped.
 func (x *exchange) roundTrip() (err error) {
 	if x.delaysEnd() {
 		x.connection.DelayEnd()
@@ -110,10 +112,12 @@
 	return err
 }
 
-// delaysEnd reports whether the request must not be lost on a connection that the endpoint has closed: no other endpoint
-// may have it after a reset, as it may run once or this is its last attempt. Then the end of the request is written a round
-// trip after its start, so that a reset comes first (upstream.Conn.DelayEnd). A regulated request goes out at once: its certificate was checked a moment ago,
-// and may be withdrawn. An item goes out at once too: it comes back after a pause.
+// delaysEnd reports whether the request must not be lost on a connection that the endpoint has
+// closed: no other endpoint may have it after a reset, as it may run once or this is its last
+// attempt. Then the end of the request is written a round trip after its start, so that a reset
+// comes first (upstream.Conn.DelayEnd). A regulated request goes out at once: its certificate was
+// checked a moment ago, and may be withdrawn. An item goes out at once too: it comes back after a
+// pause.
 func (x *exchange) delaysEnd() bool {
 	if x.request.Regime != "" || x.request.Bulk {
 		return false
--- a/internal/proxy/forward/stream.go
+++ b/internal/proxy/forward/stream.go
@@ -14,8 +14,8 @@
 // maxEvent bounds one event of a stream.
 const maxEvent = 4 << 20
 
-// forwardEvents forwards a stream: each event as it comes, and only complete ones. After a retry the events continue those
-// that the client has.
+// forwardEvents forwards a stream: each event as it comes, and only complete ones. After a retry
+// the events continue those that the client has.
 func (x *exchange) forwardEvents(w http.ResponseWriter, rc *http.ResponseController) attempt.Event {
 	minID := int64(-1)
 	if x.headSent {
@@ -40,8 +40,9 @@
 	})
 }
 
-// readEvents reads the answer's body as events and calls a function with the bytes of those that are complete, last with
-// what remains at the end of the body, which the endpoint has ended properly.
+// readEvents reads the answer's body as events and calls a function with the bytes of those that
+// are complete, last with what remains at the end of the body, which the endpoint has ended
+// properly.
 func (x *exchange) readEvents(forward func(whole []byte, end bool) error) attempt.Event {
 	s := &x.stream
 	for {
