--- a/internal/platform/recordlog/log.go
+++ b/internal/platform/recordlog/log.go
@@ -30,8 +30,9 @@
 	folder vfs.Folder
 	name   string
 
-	// The locks are taken in this order: appendMu, readMu, mu. Only mu is never held over I/O; appendMu and readMu
-	// are there to order file operations. The fields file, frames and base of currentFile change under all three.
+	// The locks are taken in this order: appendMu, readMu, mu. The first two put operations on the file in order, and are
+	// held over them; mu is held over none but the closing of a file that nobody uses any more. The fields file, frames
+	// and base of currentFile change under all three.
 
 	appendMu        sync.Mutex // held by each Append and over the whole of a Rewrite
 	frameBuffer     []byte     // guarded by appendMu
