--- a/internal/control/keeper/bootstrap_test.go
+++ b/internal/control/keeper/bootstrap_test.go
@@ -36,9 +36,21 @@
 		}
 	}()
 	start := func(name, ip string, disk bool) *Keeper {
-		o := Options{Settings: &settings.Settings{NodeName: name, IP: ip, Zone: "z", ControlAddr: net.JoinHostPort(ip, strconv.Itoa(port+1)),
-			FirstInternalPort: port, LastInternalPort: port, Seeds: []string{net.JoinHostPort(first, strconv.Itoa(port+1))}, FirstStart: true, HeartbeatInterval: 1200 * time.Millisecond},
-			Log: hclog.NewNullLogger()}
+		controlPort := strconv.Itoa(port + 1)
+		o := Options{
+			Settings: &settings.Settings{
+				NodeName:          name,
+				IP:                ip,
+				Zone:              "z",
+				ControlAddr:       net.JoinHostPort(ip, controlPort),
+				FirstInternalPort: port,
+				LastInternalPort:  port,
+				Seeds:             []string{net.JoinHostPort(first, controlPort)},
+				FirstStart:        true,
+				HeartbeatInterval: 1200 * time.Millisecond,
+			},
+			Log: hclog.NewNullLogger(),
+		}
 		if disk {
 			o.Folder = vfs.Dir(t.TempDir())
 		}
@@ -58,13 +70,10 @@
 		defer k.registers.mu.Unlock()
 		return len(k.registers.states)
 	}
-	end := time.Now().Add(10 * time.Second * raceSlowdown)
+	deadline := time.Now().Add(10 * time.Second * raceSlowdown)
 	for _, k := range late {
-		for knows(k) < len(registerNames) {
-			if time.Now().After(end) {
-				t.Fatalf("%s knows %d of %d registers", k.self.Name, knows(k), len(registerNames))
-			}
-			time.Sleep(20 * time.Millisecond)
-		}
+		eventuallyBefore(t, deadline, k.self.Name+" knows all registers", func() bool {
+			return knows(k) == len(registerNames)
+		})
 	}
 }
--- a/internal/control/keeper/certificates_test.go
+++ b/internal/control/keeper/certificates_test.go
@@ -41,7 +41,13 @@
 	t.Helper()
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), Issuer: "test"})
+		d.Certificates = append(d.Certificates, certification.Certificate{
+			Endpoint:  e,
+			Regime:    "fin",
+			NotBefore: time.Now().Add(-time.Hour),
+			NotAfter:  time.Now().Add(time.Hour),
+			Issuer:    "test",
+		})
 	}
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -62,7 +68,12 @@
 	for _, i := range seeds {
 		addrs = append(addrs, r.linkAddress(i))
 	}
-	client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: "z", Incarnation: 1},
+	client = controlclient.New(controlclient.Options{Self: controlclient.Node{
+		Name:        "p",
+		Role:        controlclient.RoleProxy,
+		Zone:        "z",
+		Incarnation: 1,
+	},
 		Seeds: addrs, WantEndpoints: true, Snapshots: &snapshot.Latest{}, ConfirmInterval: certificatesTTL / 5, Log: hclog.NewNullLogger(),
 		OnSnapshot: func(s *snapshot.Snapshot) { gate.Update(s.Certificates) }})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/control/keeper/conditions_test.go
+++ b/internal/control/keeper/conditions_test.go
@@ -53,7 +53,10 @@
 	now := time.Now()
 	table := conditionTable{}
 	report := func(name string, life uint64, reason string) {
-		table.update(now, controlclient.Condition{Node: controlclient.Node{Name: name, Role: controlclient.RoleStore, Incarnation: life}, Reason: reason})
+		table.update(now, controlclient.Condition{
+			Node:   controlclient.Node{Name: name, Role: controlclient.RoleStore, Incarnation: life},
+			Reason: reason,
+		})
 	}
 	check := func(want string) {
 		t.Helper()
--- a/internal/control/keeper/contact_test.go
+++ b/internal/control/keeper/contact_test.go
@@ -55,7 +55,10 @@
 	mayGrant, _ = query(k, func() bool {
 		for conn, p := range k.attached {
 			if p.node.Name == attached {
-				k.peerLinks[conn] = &peerLink{peer: &peer{node: controlclient.Node{Name: fmt.Sprint("k", other+1), ID: id}}}
+				k.peerLinks[conn] = &peerLink{peer: &peer{node: controlclient.Node{
+					Name: fmt.Sprint("k", other+1),
+					ID:   id,
+				}}}
 			}
 		}
 		return k.mayGrant(time.Now(), id)
@@ -266,12 +269,13 @@
 		return !r.status(0).InContact && !r.status(1).InContact && !r.status(2).InContact
 	})
 	attached := c.untilSettled(t)
-	for end := time.Now().Add(keeperSearchTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		for _, conn := range attached {
-			if linkEnded(conn) {
-				t.Fatal("it has left a keeper, and no other was in contact")
-			}
-		}
+	const left = "it has left a keeper, and no other was in contact"
+	select {
+	case <-attached[0].Done():
+		t.Fatal(left)
+	case <-attached[1].Done():
+		t.Fatal(left)
+	case <-time.After(keeperSearchTime):
 	}
 	relays.heal()
 	eventually(t, "contact is back", func() bool { return r.status(0).InContact && r.status(1).InContact && r.status(2).InContact })
@@ -307,7 +311,13 @@
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
 	for i, name := range []string{"k2", "k3"} {
-		k.adoptLink(conns[i], controlclient.Node{Name: name, Role: controlclient.RoleKeeper, Zone: "far", ControlAddr: name + ":1", Incarnation: 1}, true)
+		k.adoptLink(conns[i], controlclient.Node{
+			Name:        name,
+			Role:        controlclient.RoleKeeper,
+			Zone:        "far",
+			ControlAddr: name + ":1",
+			Incarnation: 1,
+		}, true)
 	}
 	report := func(i int, inContact bool) {
 		w := link.Writer{}
@@ -325,7 +335,13 @@
 		}
 	}
 	report(0, true)
-	k.adoptLink(conns[1], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "far", ControlAddr: "k2:1", Incarnation: 2}, true)
+	k.adoptLink(conns[1], controlclient.Node{
+		Name:        "k2",
+		Role:        controlclient.RoleKeeper,
+		Zone:        "far",
+		ControlAddr: "k2:1",
+		Incarnation: 2,
+	}, true)
 	if got := k.heartbeatTarget("far"); got != "" {
 		t.Errorf("by the report of a former incarnation: %q", got)
 	}
@@ -358,7 +374,10 @@
 	conns, _ := dialSink(t, 1)
 	w := link.Writer{}
 	w.U32(1)
-	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining}, HeartbeatCount: 2})
+	registry.AppendEntry(&w, &registry.Entry{
+		Endpoint:       snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining},
+		HeartbeatCount: 2,
+	})
 	k.handleEntries(time.Now(), &link.Message{Conn: conns[0], Body: w.Buf})
 	if e, there := k.endpoints.Get(k.sinceStart(time.Now()), "1"); !there || e.State != snapshot.Draining {
 		t.Errorf("%+v, %v", e, there)
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -251,7 +251,12 @@
 			_, _ = openLone(t, disk) // whether it comes as far as that
 			disk.FailAt = 0
 			trouble.after(disk)
-			k, err := New(Options{Settings: &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, ControlAddr: "127.0.0.1:2"},
+			k, err := New(Options{Settings: &settings.Settings{
+				NodeName:          "k1",
+				IP:                "127.0.0.1",
+				FirstInternalPort: 1,
+				ControlAddr:       "127.0.0.1:2",
+			},
 				Folder: disk, Log: hclog.NewNullLogger()})
 			if err != nil {
 				t.Fatalf("%s at operation %d: %v", trouble.name, step, err)
--- a/internal/control/keeper/document_test.go
+++ b/internal/control/keeper/document_test.go
@@ -66,7 +66,10 @@
 
 func TestDocumentRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := &document{version: rapid.Uint64().Draw(t, "version"), raw: rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "raw")}
+		v := &document{
+			version: rapid.Uint64().Draw(t, "version"),
+			raw:     rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "raw"),
+		}
 		for range rapid.IntRange(0, 5).Draw(t, "past") {
 			v.accepted = append(v.accepted, acceptedVersion{rapid.Uint64().Draw(t, "taken"), sha256.Sum256([]byte(rapid.String().Draw(t, "body")))})
 		}
--- a/internal/control/keeper/endpoint_exchange.go
+++ b/internal/control/keeper/endpoint_exchange.go
@@ -17,8 +17,8 @@
 	entriesRequestInterval = 3 * time.Second
 	// linkEndDelay is how long it takes at the most until the end of a link is known to the owner goroutine.
 	linkEndDelay = 5 * time.Millisecond
-	// minHeardBytes bounds the encoded size of a registry.Liveness from below.
-	minHeardBytes = 9
+	// minLivenessBytes bounds the encoded size of a registry.Liveness from below.
+	minLivenessBytes = 9
 )
 
 // sendEntries sends entries of the endpoint list to a keeper. done, which may be nil, runs on the owner goroutine once
@@ -94,7 +94,7 @@
 
 func decodeLiveness(body []byte) (heard []registry.Liveness, digests [registry.DigestBuckets]uint64, err error) {
 	r := link.Reader{Buf: body}
-	for range r.Count(minHeardBytes) {
+	for range r.Count(minLivenessBytes) {
 		h, err := registry.ReadLiveness(&r)
 		if err != nil {
 			return nil, digests, err
--- a/internal/control/keeper/faults_test.go
+++ b/internal/control/keeper/faults_test.go
@@ -25,7 +25,13 @@
 // newIdleKeeper makes a keeper that doesn't run: the test calls its methods.
 func newIdleKeeper(t *testing.T, name string) *Keeper {
 	t.Helper()
-	k, err := New(Options{Settings: &settings.Settings{NodeName: name, IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2"},
+	k, err := New(Options{Settings: &settings.Settings{
+		NodeName:          name,
+		IP:                "127.0.0.1",
+		FirstInternalPort: 1,
+		HeartbeatInterval: 1200 * time.Millisecond,
+		ControlAddr:       "127.0.0.1:2",
+	},
 		Folder: vfstest.New(), Log: hclog.NewNullLogger()})
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +145,12 @@
 	confirmContact(t, k)
 	p := k.attached[conns[0]]
 	beat := func(i int) {
-		k.endpoints.Heartbeat(0, snapshot.Endpoint{ID: fmt.Sprint("i", i), Service: "s", Address: fmt.Sprint("a:", i), CallCount: 1})
+		k.endpoints.Heartbeat(0, snapshot.Endpoint{
+			ID:        fmt.Sprint("i", i),
+			Service:   "s",
+			Address:   fmt.Sprint("a:", i),
+			CallCount: 1,
+		})
 		k.pushAll()
 	}
 	for i := range 1000 {
@@ -351,7 +362,10 @@
 	defer conn.Close()
 	w := link.Writer{}
 	w.U32(1)
-	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining}, HeartbeatCount: 2})
+	registry.AppendEntry(&w, &registry.Entry{
+		Endpoint:       snapshot.Endpoint{ID: "1", Service: "s", CallCount: 2, State: snapshot.Draining},
+		HeartbeatCount: 2,
+	})
 	first, second := conn.Go(controlclient.KindEndpoints, w.Buf), conn.Go(controlclient.KindEndpoints, w.Buf)
 	var u *controlclient.Update
 	for u = receive(t, p.pushes, "the push"); len(u.Entries) == 0; u = receive(t, p.pushes, "the push") {
@@ -452,7 +466,13 @@
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 1)
 	w := link.Writer{}
-	controlclient.AppendNodes(&w, []controlclient.Node{{Name: "s", Role: controlclient.RoleStore, ID: 9, Addr: "127.0.0.1:3", Zone: "z"}})
+	controlclient.AppendNodes(&w, []controlclient.Node{{
+		Name: "s",
+		Role: controlclient.RoleStore,
+		ID:   9,
+		Addr: "127.0.0.1:3",
+		Zone: "z",
+	}})
 	k.handleMessage(&link.Message{Conn: conns[0], Kind: controlclient.KindAttached, Body: w.Buf})
 	if n := len(k.attachedStores()); n != 0 {
 		t.Fatalf("%d stores by the word of one who is not known", n)
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -62,19 +62,63 @@
 
 // Values of the golden files: each field has a value of its own.
 var (
-	goldenSelf  = controlclient.Node{Name: "k1", Role: controlclient.RoleKeeper, Zone: "za", Addr: "127.0.0.1:11", ControlAddr: "127.0.0.1:12", ID: 0x1111111111111111, Incarnation: 0x1212121212121212}
-	goldenPeer  = controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, Zone: "zb", Addr: "127.0.0.1:21", ControlAddr: "127.0.0.1:22", ID: 0x2121212121212121, Incarnation: 0x2222222222222222}
-	goldenProxy = controlclient.Node{Name: "p3", Role: controlclient.RoleProxy, Zone: "zc", Addr: "127.0.0.1:31", ControlAddr: "127.0.0.1:32", ID: 0x3131313131313131, Incarnation: 0x3232323232323232}
-	goldenStore = controlclient.Node{Name: "s4", Role: controlclient.RoleStore, Zone: "zd", Addr: "127.0.0.1:41", ID: 0x4141414141414141, Incarnation: 0x4242424242424242}
-
-	goldenVoters = []paxos.Voter{{ID: 0x1111111111111111, Name: "k1", Addr: "127.0.0.1:11"}, {ID: 0x2121212121212121, Name: "k2", Addr: "127.0.0.1:21"},
+	goldenSelf = controlclient.Node{
+		Name:        "k1",
+		Role:        controlclient.RoleKeeper,
+		Zone:        "za",
+		Addr:        "127.0.0.1:11",
+		ControlAddr: "127.0.0.1:12",
+		ID:          0x1111111111111111,
+		Incarnation: 0x1212121212121212,
+	}
+	goldenPeer = controlclient.Node{
+		Name:        "k2",
+		Role:        controlclient.RoleKeeper,
+		Zone:        "zb",
+		Addr:        "127.0.0.1:21",
+		ControlAddr: "127.0.0.1:22",
+		ID:          0x2121212121212121,
+		Incarnation: 0x2222222222222222,
+	}
+	goldenProxy = controlclient.Node{
+		Name:        "p3",
+		Role:        controlclient.RoleProxy,
+		Zone:        "zc",
+		Addr:        "127.0.0.1:31",
+		ControlAddr: "127.0.0.1:32",
+		ID:          0x3131313131313131,
+		Incarnation: 0x3232323232323232,
+	}
+	goldenStore = controlclient.Node{
+		Name:        "s4",
+		Role:        controlclient.RoleStore,
+		Zone:        "zd",
+		Addr:        "127.0.0.1:41",
+		ID:          0x4141414141414141,
+		Incarnation: 0x4242424242424242,
+	}
+
+	goldenVoters = []paxos.Voter{{
+		ID:   0x1111111111111111,
+		Name: "k1",
+		Addr: "127.0.0.1:11",
+	}, {ID: 0x2121212121212121, Name: "k2", Addr: "127.0.0.1:21"},
 		{ID: 0x5151515151515151, Name: "k5", Addr: "127.0.0.1:51"}}
 
 	goldenEntry = registry.Entry{Endpoint: snapshot.Endpoint{ID: "e-6", Service: "svc-7", Address: "10.0.0.8:9", Zone: "z-10", Version: "v-11", Capacity: 12,
-		State: snapshot.Draining, RemainingWarmupMs: 13, Models: []snapshot.Model{{Name: "m-14", Version: 15}, {Name: "m-16", Version: 17}}, CallCount: 18},
+		State: snapshot.Draining, RemainingWarmupMs: 13, Models: []snapshot.Model{{
+			Name:    "m-14",
+			Version: 15,
+		}, {Name: "m-16", Version: 17}}, CallCount: 18},
 		HeartbeatCount: 19, TimedOut: true, Age: 20 * time.Millisecond}
 
-	goldenTable = &snapshot.PartitionTable{Version: 61, Partitions: []snapshot.Partition{{Epoch: 62, Primary: 63, Replicas: []uint64{63, 64}, Joining: []uint64{65}, Leaving: []uint64{66, 64}},
+	goldenTable = &snapshot.PartitionTable{Version: 61, Partitions: []snapshot.Partition{{
+		Epoch:    62,
+		Primary:  63,
+		Replicas: []uint64{63, 64},
+		Joining:  []uint64{65},
+		Leaving:  []uint64{66, 64},
+	},
 		{Epoch: 67, Primary: 64, Replicas: []uint64{64, 63}, Joining: []uint64{65}, Leaving: []uint64{66, 68}}},
 		Stores: map[uint64]snapshot.Store{63: {ID: 63, Name: "s63", Addr: "a63", Zone: "z63"}, 64: {ID: 64, Name: "s64", Addr: "a64", Zone: "z64"}, 65: {ID: 65, Name: "s65", Addr: "a65", Zone: "z65"},
 			66: {ID: 66, Name: "s66", Addr: "a66", Zone: "z66"}},
@@ -192,7 +236,12 @@
 	k.registers.mu.Unlock()
 	k.broadcastReport()
 	_, body = next("report")
-	report := controlclient.KeeperReport{InContact: true, Stopping: true, DecidedSlots: []uint64{91, 92, 93}, ConnectedVoters: []uint64{goldenSelf.ID, goldenPeer.ID}}
+	report := controlclient.KeeperReport{
+		InContact:       true,
+		Stopping:        true,
+		DecidedSlots:    []uint64{91, 92, 93},
+		ConnectedVoters: []uint64{goldenSelf.ID, goldenPeer.ID},
+	}
 	same(t, decoded(t, body, controlclient.ReadKeeperReport), report)
 
 	since := time.Hour
@@ -230,7 +279,11 @@
 	})
 	same(t, state, goldenState(t, 85, []byte("value-86")))
 
-	k.registers.send(partitionsRegister, paxos.Voter{ID: goldenPeer.ID, Name: goldenPeer.Name, Addr: goldenPeer.Addr}, []byte("message-87"))
+	k.registers.send(partitionsRegister, paxos.Voter{
+		ID:   goldenPeer.ID,
+		Name: goldenPeer.Name,
+		Addr: goldenPeer.Addr,
+	}, []byte("message-87"))
 	_, body = next("agree")
 	decoded(t, body, func(r *link.Reader) any {
 		same(t, []any{r.String(), r.U64(), r.String(), r.String(), string(r.Bytes())}, []any{partitionsRegister, goldenSelf.ID, goldenSelf.Name, goldenSelf.Addr, "message-87"})
@@ -345,7 +398,11 @@
 	same(t, call("in-contact-reply", controlclient.KindInContact, nil), []byte{1})
 	same(t, call("lease-reply", controlclient.KindLease, leaseMessage{assignRole, "nobody", false}.encode()), []byte{0})
 	same(t, call("lease-release-reply", controlclient.KindLease, leaseMessage{assignRole, "nobody", true}.encode()), []byte{})
-	same(t, call("process-trouble-reply", controlclient.KindCondition, (&controlclient.Condition{Node: goldenStore, Reason: "r", Relayed: true}).Encode()), []byte{})
+	same(t, call("process-trouble-reply", controlclient.KindCondition, (&controlclient.Condition{
+		Node:    goldenStore,
+		Reason:  "r",
+		Relayed: true,
+	}).Encode()), []byte{})
 	same(t, call("entries-reply", controlclient.KindEndpoints, []byte{0, 0, 0, 0}), []byte{})
 }
 
@@ -375,7 +432,11 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	same(t, replayed, &registerSet{id: goldenSelf.ID, replayed: map[string][][]byte{certificatesRegister: {[]byte("payload-111")}}, firstVoters: goldenVoters})
+	same(t, replayed, &registerSet{
+		id:          goldenSelf.ID,
+		replayed:    map[string][][]byte{certificatesRegister: {[]byte("payload-111")}},
+		firstVoters: goldenVoters,
+	})
 
 	golden(t, "value-document", goldenDocument().encode())
 	v, err := decodeDocument(readGolden(t, "value-document"))
@@ -406,7 +467,13 @@
 	if err := disk.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	k, err := New(Options{Settings: &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2"},
+	k, err := New(Options{Settings: &settings.Settings{
+		NodeName:          "k1",
+		IP:                "127.0.0.1",
+		FirstInternalPort: 1,
+		HeartbeatInterval: 1200 * time.Millisecond,
+		ControlAddr:       "127.0.0.1:2",
+	},
 		Folder: disk, Log: hclog.NewNullLogger()})
 	if err != nil {
 		t.Fatal(err)
@@ -439,8 +506,17 @@
 func goldenCertificates(t *testing.T, version uint64) []byte {
 	t.Helper()
 	at := func(hour int) time.Time { return time.Date(2026, 12, 1, hour, 2, 3, 0, time.UTC) }
-	b, err := json.Marshal(certification.Document{Version: version, Routes: []certification.Route{{Name: "route-1", Regime: "regime-2"}},
-		Certificates: []certification.Certificate{{Endpoint: "e-3", Regime: "regime-2", NotBefore: at(4), NotAfter: at(5), Issuer: "by-6"}}})
+	b, err := json.Marshal(certification.Document{Version: version, Routes: []certification.Route{{
+		Name:   "route-1",
+		Regime: "regime-2",
+	}},
+		Certificates: []certification.Certificate{{
+			Endpoint:  "e-3",
+			Regime:    "regime-2",
+			NotBefore: at(4),
+			NotAfter:  at(5),
+			Issuer:    "by-6",
+		}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -462,7 +538,12 @@
 	if action, round := k.assigner.lease.Step(now, 1); action == singleton.ActionRequest {
 		k.assigner.lease.RecordGrant(now, round, "x")
 	}
-	k.attached[nil] = &attachedProcess{node: goldenProxy, pushedNumber: 130, ackedNumber: 3, pushMarks: []pushMark{{number: 2, configVersion: 126, certificatesVersion: 128}}}
+	k.attached[nil] = &attachedProcess{
+		node:         goldenProxy,
+		pushedNumber: 130,
+		ackedNumber:  3,
+		pushMarks:    []pushMark{{number: 2, configVersion: 126, certificatesVersion: 128}},
+	}
 	k.endpoints.Merge(now, []registry.Entry{{Endpoint: goldenEntry.Endpoint, HeartbeatCount: 19}})
 	k.conditions.update(time.Now(), controlclient.Condition{Node: goldenStore, Reason: "reason-129"})
 	for _, known := range k.conditions {
--- a/internal/control/keeper/history_test.go
+++ b/internal/control/keeper/history_test.go
@@ -76,7 +76,13 @@
 		call.version, call.base = h.puts[order].version, h.puts[order].base
 	}
 	i := len(h.operations)
-	h.operations = append(h.operations, porcupine.Operation{ClientId: i, Input: call, Call: h.tick(), Output: registerAnswer{}, Return: math.MaxInt64})
+	h.operations = append(h.operations, porcupine.Operation{
+		ClientId: i,
+		Input:    call,
+		Call:     h.tick(),
+		Output:   registerAnswer{},
+		Return:   math.MaxInt64,
+	})
 	return func(a registerAnswer) {
 		h.operations[i].Output = a
 		if a.clear() {
@@ -155,7 +161,13 @@
 		all = append(all, o)
 	}
 	now := h.tick()
-	all = append(all, porcupine.Operation{ClientId: len(h.operations), Input: registerCall{put: endCall}, Call: now, Output: registerAnswer{}, Return: h.tick()})
+	all = append(all, porcupine.Operation{
+		ClientId: len(h.operations),
+		Input:    registerCall{put: endCall},
+		Call:     now,
+		Output:   registerAnswer{},
+		Return:   h.tick(),
+	})
 	switch porcupine.CheckOperationsTimeout(registerModel, all, checkWait) {
 	case porcupine.Ok:
 		return nil
--- a/internal/control/keeper/impersonator_test.go
+++ b/internal/control/keeper/impersonator_test.go
@@ -59,7 +59,13 @@
 func (r *rig) impersonate(victim int, as paxos.Voter, newest paxos.State) *impersonator {
 	r.t.Helper()
 	k := r.running[victim].keeper
-	p := &impersonator{t: r.t, voter: as, victim: paxos.Voter{ID: k.registers.id, Name: k.self.Name, Addr: k.self.Addr}, startedAt: time.Now(), received: map[paxosMessageKind]int{}}
+	p := &impersonator{
+		t:         r.t,
+		voter:     as,
+		victim:    paxos.Voter{ID: k.registers.id, Name: k.self.Name, Addr: k.self.Addr},
+		startedAt: time.Now(),
+		received:  map[paxosMessageKind]int{},
+	}
 	register, err := paxos.New(paxos.Options{Name: configRegister, ID: as.ID, ProposerID: rand.Uint64() | 1, Rand: rand.Float64,
 		Save: func([]byte) error { return nil }, Send: p.send, OnDecided: func(paxos.State) {}}, nil)
 	if err != nil {
@@ -74,7 +80,13 @@
 	}
 	r.t.Cleanup(p.conn.Close)
 	w := link.Writer{}
-	controlclient.Node{Name: as.Name, Role: controlclient.RoleKeeper, ID: as.ID, Addr: as.Addr, Incarnation: uint64(time.Now().UnixNano())}.Append(&w)
+	controlclient.Node{
+		Name:        as.Name,
+		Role:        controlclient.RoleKeeper,
+		ID:          as.ID,
+		Addr:        as.Addr,
+		Incarnation: uint64(time.Now().UnixNano()),
+	}.Append(&w)
 	w.Bool(false)
 	if _, err := p.conn.Call(ctx, controlclient.KindHello, w.Buf); err != nil {
 		r.t.Fatal(err)
--- a/internal/control/keeper/leases_test.go
+++ b/internal/control/keeper/leases_test.go
@@ -12,7 +12,10 @@
 func TestLeaseNeedsContact(t *testing.T) {
 	k := newIdleKeeper(t, "k1")
 	const other = 7
-	k.registers.publishDecided(configRegister, paxos.State{Slot: k.registers.storedSlotNumbers()[0], Voters: []paxos.Voter{{ID: k.registers.id, Name: "k1"}, {ID: other, Name: "k2"}}})
+	k.registers.publishDecided(configRegister, paxos.State{
+		Slot:   k.registers.storedSlotNumbers()[0],
+		Voters: []paxos.Voter{{ID: k.registers.id, Name: "k1"}, {ID: other, Name: "k2"}},
+	})
 	now := k.startedAt.Add(time.Minute)
 	if !k.mayGrant(now, other) {
 		t.Fatal("both vote")
--- a/internal/control/keeper/register_log_test.go
+++ b/internal/control/keeper/register_log_test.go
@@ -30,7 +30,14 @@
 
 func openLone(t testing.TB, disk *vfstest.Disk) (*loneRegisters, error) {
 	t.Helper()
-	s := &settings.Settings{NodeName: "k1", IP: "127.0.0.1", FirstInternalPort: 1, HeartbeatInterval: 1200 * time.Millisecond, ControlAddr: "127.0.0.1:2", Limits: settings.Limits{DiskMB: diskMB}}
+	s := &settings.Settings{
+		NodeName:          "k1",
+		IP:                "127.0.0.1",
+		FirstInternalPort: 1,
+		HeartbeatInterval: 1200 * time.Millisecond,
+		ControlAddr:       "127.0.0.1:2",
+		Limits:            settings.Limits{DiskMB: diskMB},
+	}
 	k, err := New(Options{Settings: s, Folder: disk, Log: hclog.NewNullLogger()})
 	if err != nil {
 		return nil, err
@@ -123,12 +130,16 @@
 
 // TestLogIsBounded makes hundreds of changes up to the largest that operators may send.
 func TestLogIsBounded(t *testing.T) {
-	for _, c := range []struct{ count, size int }{{50, 4 << 10}, {200, 4 << 10}, {changes, 4 << 10}, {changes, 64 << 10}, {50, 1 << 20}, {100, 1 << 20}, {40, maxConfigBody}} {
+	for _, c := range []struct{ count, size int }{
+		{50, 4 << 10}, {200, 4 << 10}, {changes, 4 << 10}, {changes, 64 << 10}, {50, 1 << 20}, {100, 1 << 20}, {40, maxConfigBody},
+	} {
 		u := replayChanges(t, c.count, c.size)
-		t.Logf("%3d changes of %4d kB: file %6d kB, most on the disk %6d kB, restart %5.1f ms", c.count, c.size>>10, u.file>>10, u.peak>>10, float64(u.restart.Microseconds())/1000)
+		t.Logf("%3d changes of %4d kB: file %6d kB, most on the disk %6d kB, restart %5.1f ms",
+			c.count, c.size>>10, u.file>>10, u.peak>>10, float64(u.restart.Microseconds())/1000)
 		state := c.size + 4<<10 // bytes; a change that is in progress has them twice
 		if bound := max(minRewriteSize, 4*2*state) + 3*state; u.file > bound || u.peak > min(bound+2*state, diskMB<<20) {
-			t.Errorf("%d changes of %d bytes: file %d, most on the disk %d, bound %d", c.count, c.size, u.file, u.peak, bound)
+			t.Errorf("%d changes of %d bytes: file %d, most on the disk %d, bound %d",
+				c.count, c.size, u.file, u.peak, bound)
 		}
 	}
 }
--- a/internal/control/keeper/reports.go
+++ b/internal/control/keeper/reports.go
@@ -38,13 +38,16 @@
 
 // broadcastChangedReport sends the report if it has changed since it was sent last.
 func (k *Keeper) broadcastChangedReport() {
-	report := k.currentReport()
-	if report.InContact != k.lastReport.InContact || report.Stopping != k.lastReport.Stopping ||
-		!slices.Equal(report.DecidedSlots, k.lastReport.DecidedSlots) || !slices.Equal(report.ConnectedVoters, k.lastReport.ConnectedVoters) {
+	if !sameReport(k.currentReport(), k.lastReport) {
 		k.broadcastReport()
 	}
 }
 
+func sameReport(a, b controlclient.KeeperReport) bool {
+	return a.InContact == b.InContact && a.Stopping == b.Stopping &&
+		slices.Equal(a.DecidedSlots, b.DecidedSlots) && slices.Equal(a.ConnectedVoters, b.ConnectedVoters)
+}
+
 func encodeReport(report controlclient.KeeperReport) []byte {
 	w := link.Writer{}
 	report.Append(&w)
--- a/internal/control/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -56,8 +56,14 @@
 // newRig prepares n keepers with empty disks, which don't run yet; the first three are the seeds.
 func newRig(t *testing.T, n int) *rig {
 	t.Helper()
-	r := &rig{t: t, ipPrefix: fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(256)), firstStart: true, log: hclog.NewNullLogger(), disks: make([]*vfstest.Disk, n),
-		running: make([]*runningKeeper, n)}
+	r := &rig{
+		t:          t,
+		ipPrefix:   fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(256)),
+		firstStart: true,
+		log:        hclog.NewNullLogger(),
+		disks:      make([]*vfstest.Disk, n),
+		running:    make([]*runningKeeper, n),
+	}
 	for i := range r.disks {
 		r.disks[i] = vfstest.New()
 	}
@@ -86,8 +92,18 @@
 func (r *rig) controlAddress(i int) string { return fmt.Sprintf("%s:%d", r.ip(i), r.controlPort) }
 
 func (r *rig) settings(i int) *settings.Settings {
-	s := &settings.Settings{NodeName: fmt.Sprint("k", i+1), IP: r.ip(i), Zone: "z", ControlAddr: r.controlAddress(i),
-		FirstInternalPort: r.linkPort, LastInternalPort: r.linkPort + 15, FirstStart: r.firstStart, HeartbeatInterval: 200 * time.Millisecond, SurviveMachines: 1, Limits: r.limits}
+	s := &settings.Settings{
+		NodeName:          fmt.Sprint("k", i+1),
+		IP:                r.ip(i),
+		Zone:              "z",
+		ControlAddr:       r.controlAddress(i),
+		FirstInternalPort: r.linkPort,
+		LastInternalPort:  r.linkPort + 15,
+		FirstStart:        r.firstStart,
+		HeartbeatInterval: 200 * time.Millisecond,
+		SurviveMachines:   1,
+		Limits:            r.limits,
+	}
 	for j := range min(3, len(r.running)) {
 		s.Seeds = append(s.Seeds, r.controlAddress(j))
 	}
@@ -103,7 +119,13 @@
 	case r.disks[i] != nil:
 		folder = r.disks[i]
 	}
-	k, err := New(Options{Settings: r.settings(i), Folder: folder, Log: r.log, PushWait: r.pushWait, DialAddress: r.dialAddress(i)})
+	k, err := New(Options{
+		Settings:    r.settings(i),
+		Folder:      folder,
+		Log:         r.log,
+		PushWait:    r.pushWait,
+		DialAddress: r.dialAddress(i),
+	})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -190,11 +212,17 @@
 
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	eventuallyBefore(t, time.Now().Add(testTimeout), what, holds)
+}
+
+// eventuallyBefore waits until a condition holds, which it must before a deadline.
+func eventuallyBefore(t *testing.T, deadline time.Time, what string, holds func() bool) {
 	t.Helper()
 	pace := time.NewTicker(10 * time.Millisecond)
 	defer pace.Stop()
-	for began := time.Now(); !holds(); <-pace.C {
-		if time.Since(began) > testTimeout {
+	for ; !holds(); <-pace.C {
+		if time.Now().After(deadline) {
 			t.Fatalf("not within the time: %s", what)
 		}
 	}
@@ -236,7 +264,12 @@
 	for _, i := range seeds {
 		addrs = append(addrs, r.linkAddress(i))
 	}
-	a.client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: "z", Incarnation: uint64(time.Now().UnixNano())},
+	a.client = controlclient.New(controlclient.Options{Self: controlclient.Node{
+		Name:        name,
+		Role:        controlclient.RoleProxy,
+		Zone:        "z",
+		Incarnation: uint64(time.Now().UnixNano()),
+	},
 		Seeds: addrs, WantEndpoints: true, Snapshots: &a.snapshots, Log: hclog.NewNullLogger()})
 	ended := make(chan struct{})
 	go func() { a.client.Run(ctx); close(ended) }()
--- a/internal/control/keeper/small_model_test.go
+++ b/internal/control/keeper/small_model_test.go
@@ -53,7 +53,11 @@
 const smallVoters = 3
 
 func newSmallSimulation(play smallCase) *smallSimulation {
-	w := &smallSimulation{registers: make([]*paxos.Register, smallVoters), disks: make([][][]byte, smallVoters), history: newHistory()}
+	w := &smallSimulation{
+		registers: make([]*paxos.Register, smallVoters),
+		disks:     make([][][]byte, smallVoters),
+		history:   newHistory(),
+	}
 	if play.restarts {
 		w.restarts = 1
 	}
--- a/internal/control/keeper/store_stopping_test.go
+++ b/internal/control/keeper/store_stopping_test.go
@@ -25,7 +25,14 @@
 	w.conn = conn
 	r.t.Cleanup(conn.Close)
 	var b link.Writer
-	controlclient.Node{Name: fmt.Sprint("store", id), Role: controlclient.RoleStore, Zone: fmt.Sprint("z", id), Addr: fmt.Sprint("127.0.0.1:", id), ID: id, Incarnation: 1}.Append(&b)
+	controlclient.Node{
+		Name:        fmt.Sprint("store", id),
+		Role:        controlclient.RoleStore,
+		Zone:        fmt.Sprint("z", id),
+		Addr:        fmt.Sprint("127.0.0.1:", id),
+		ID:          id,
+		Incarnation: 1,
+	}.Append(&b)
 	b.Bool(true)
 	if _, err := conn.Call(ctx, controlclient.KindHello, b.Buf); err != nil {
 		r.t.Fatal(err)
--- a/internal/control/keeper/voters_test.go
+++ b/internal/control/keeper/voters_test.go
@@ -250,12 +250,20 @@
 	k := newIdleKeeper(t, "k1")
 	conns, _ := dialSink(t, 2)
 	for i, id := range []uint64{7, 8} {
-		k.adoptLink(conns[i], controlclient.Node{Name: fmt.Sprint("k", id), Role: controlclient.RoleKeeper, ID: id, Incarnation: 1}, false)
+		k.adoptLink(conns[i], controlclient.Node{
+			Name:        fmt.Sprint("k", id),
+			Role:        controlclient.RoleKeeper,
+			ID:          id,
+			Incarnation: 1,
+		}, false)
 	}
 	if heard := k.currentReport().ConnectedVoters; len(heard) != 0 {
 		t.Errorf("%v are heard before anything is known of the voters", heard)
 	}
-	state := paxos.State{Voters: []paxos.Voter{{ID: k.registers.id, Name: "k1"}, {ID: 7, Name: "k7"}, {ID: 9, Name: "k9"}}}
+	state := paxos.State{Voters: []paxos.Voter{{
+		ID:   k.registers.id,
+		Name: "k1",
+	}, {ID: 7, Name: "k7"}, {ID: 9, Name: "k9"}}}
 	k.registers.publishDecided(configRegister, state)
 	want := []uint64{7, k.registers.id}
 	slices.Sort(want)
