--- a/internal/batch/trouble_test.go
+++ b/internal/batch/condition_test.go
@@ -9,8 +9,8 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// untilTrouble waits until the trouble of a store begins with something; empty: until there is none.
-func untilTrouble(t *testing.T, s *Store, prefix string) {
+// waitCondition waits until the trouble of a store begins with something; empty: until there is none.
+func waitCondition(t *testing.T, s *Store, prefix string) {
 	t.Helper()
 	pace := time.NewTicker(10 * time.Millisecond)
 	defer pace.Stop()
@@ -25,35 +25,35 @@
 	}
 }
 
-// TestTroubleOfAStalledDisk: a store whose disk does not answer says so until it does.
-func TestTroubleOfAStalledDisk(t *testing.T) {
+// TestConditionOfAStalledDisk: a store whose disk does not answer says so until it does.
+func TestConditionOfAStalledDisk(t *testing.T) {
 	folder := stalledFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
 	s, err := NewStore(StoreOptions{Open: OpenIn(folder), Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { s.Close(); <-s.Stopped() }()
-	untilTrouble(t, s, "")
+	waitCondition(t, s, "")
 	folder.stalled.Store(true)
 	s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, 3, 7)) })
-	closed(t, "the write", folder.reached)
-	untilTrouble(t, s, "the disk has not answered for ")
+	waitClosed(t, "the write", folder.reached)
+	waitCondition(t, s, "the disk has not answered for ")
 	folder.stalled.Store(false)
 	close(folder.release)
-	untilTrouble(t, s, "")
+	waitCondition(t, s, "")
 }
 
-// TestTroubleOfAStalledSync: a sync that does not return counts too.
-func TestTroubleOfAStalledSync(t *testing.T) {
+// TestConditionOfAStalledSync: a sync that does not return counts too.
+func TestConditionOfAStalledSync(t *testing.T) {
 	s := &Store{start: time.Now().Add(-time.Hour)}
 	s.diskSync.begin(time.Hour - 10*stalledAfter)
-	untilTrouble(t, s, "the disk has not answered for ")
+	waitCondition(t, s, "the disk has not answered for ")
 	s.diskSync.end()
-	untilTrouble(t, s, "")
+	waitCondition(t, s, "")
 }
 
-// TestTroubleOfAFullStore: a store that takes no jobs for want of room says so until it has room again.
-func TestTroubleOfAFullStore(t *testing.T) {
+// TestConditionOfAFullLog: a store that takes no jobs for want of room says so until it has room again.
+func TestConditionOfAFullLog(t *testing.T) {
 	s, err := NewStore(StoreOptions{Open: OpenIn(vfs.Dir(t.TempDir())), LogCapacityBytes: 1 << 20, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 		s.enqueue(func() { s.core.addLiveBytes(0, bytes); s.core.updateLogFull() })
 	}
 	charge(1 << 20)
-	untilTrouble(t, s, conditionLogFull)
+	waitCondition(t, s, conditionLogFull)
 	charge(-1 << 20)
-	untilTrouble(t, s, "")
+	waitCondition(t, s, "")
 }
--- a/internal/batch/room_test.go
+++ b/internal/batch/diskfailure_test.go
@@ -50,7 +50,7 @@
 	return n, syscall.ENOSPC
 }
 
-func closed(t *testing.T, what string, c <-chan struct{}) {
+func waitClosed(t *testing.T, what string, c <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-c:
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestFullDiskEndsTheStoreNotItsLog has a store whose disk takes no more: it ends with an error that says so, and holds what it held
-// once it is opened again.
-func TestFullDiskEndsTheStoreNotItsLog(t *testing.T) {
+// TestFullDiskEndsTheStoreAndKeepsItsLog has a store whose disk takes no more: it ends with an
+// error that says so, and holds what it held once it is opened again.
+func TestFullDiskEndsTheStoreAndKeepsItsLog(t *testing.T) {
 	folder := fullFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}}
 	options := StoreOptions{Open: OpenIn(folder), Logf: t.Logf}
 	folder.full.Store(true)
@@ -81,8 +81,8 @@
 	s.enqueue(func() { folder.full.Store(true) })
 	promise(s, 4, 9)
 	promise(s, 5, 11)
-	closed(t, "the end of the store", s.Done())
-	closed(t, "the end of what uses the log", s.Stopped())
+	waitClosed(t, "the end of the store", s.Done())
+	waitClosed(t, "the end of what uses the log", s.Stopped())
 	if err := s.Err(); !ErrDiskFull.Has(err) {
 		t.Error(err)
 	}
@@ -104,7 +104,8 @@
 	}
 }
 
-// stalledFolder is a folder whose writes do not return, from the first on that finds stalled set, until they are released.
+// stalledFolder is a folder whose writes do not return, from the first on that finds stalled set,
+// until they are released.
 type stalledFolder struct {
 	vfs.Folder
 	stalled *atomic.Bool
@@ -130,9 +131,9 @@
 	return f.OpenFile.Write(b)
 }
 
-// TestStalledDiskDoesNotHoldTheEnd stops a store in the middle of a write: it ends at once, and its log is in use until the write
-// has returned.
-func TestStalledDiskDoesNotHoldTheEnd(t *testing.T) {
+// TestStalledDiskDoesNotDelayTheEnd stops a store in the middle of a write: it ends at once, and
+// its log is in use until the write has returned.
+func TestStalledDiskDoesNotDelayTheEnd(t *testing.T) {
 	folder := stalledFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
 	s, err := NewStore(StoreOptions{Open: OpenIn(folder), Logf: t.Logf})
 	if err != nil {
@@ -140,9 +141,9 @@
 	}
 	folder.stalled.Store(true)
 	s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, 3, 7)) })
-	closed(t, "the write", folder.reached)
+	waitClosed(t, "the write", folder.reached)
 	s.Close()
-	closed(t, "the end of the store", s.Done())
+	waitClosed(t, "the end of the store", s.Done())
 	select {
 	case <-s.Stopped():
 		t.Error("the log is said to be free while it is written")
@@ -150,5 +151,5 @@
 	}
 	folder.stalled.Store(false)
 	close(folder.release)
-	closed(t, "the end of what uses the log", s.Stopped())
+	waitClosed(t, "the end of what uses the log", s.Stopped())
 }
--- a/internal/batch/due_test.go
+++ b/internal/batch/dispatch_test.go
@@ -13,8 +13,8 @@
 
 const hourMs = 3_600_000
 
-// idsOfOnePart are ids of jobs that one part holds.
-func (g *scaleRig) idsOfOnePart(n int) (ids []string) {
+// idsOfOnePartition are IDs of jobs of one partition.
+func (g *storeRig) idsOfOnePartition(n int) (ids []string) {
 	table := g.cores[0].table
 	for i := 0; len(ids) < n; i++ {
 		if id := fmt.Sprint("job", i); table.PartitionOf(id) == 0 {
@@ -24,47 +24,35 @@
 	return ids
 }
 
-// giveAll attaches a worker to a store, and returns the items that it is handed.
-func (g *scaleRig) giveAll(c *core) (given [][]byte) {
-	worker := g.connect(func(_ *scaleEnd, kind link.Kind, body []byte) {
+// attachAndCollect attaches a worker to a store, and returns the messages with the items that it is assigned.
+func (g *storeRig) attachAndCollect(c *core) (assigned [][]byte) {
+	worker := g.connect(func(_ *rigPipe, kind link.Kind, body []byte) {
 		if kind == kindAssignItem {
-			given = append(given, slices.Clone(body))
+			assigned = append(assigned, slices.Clone(body))
 		}
-	}, func(e *scaleEnd, kind link.Kind, body []byte) { c.handleMessage(e, nil, kind, body) })
-	var attach link.Writer
-	attach.String("worker")
-	attach.String("z0")
-	attach.Int(100)
-	_ = worker.Send(kindAttachWorker, attach.Buf)
+	}, receiverOf(c))
+	_ = worker.Send(kindAttachWorker, encodeAttachWorker("worker", "z0", 100))
 	for range 100 {
 		g.now += 1000
-		g.settle()
+		g.deliverAll()
 	}
-	return given
+	return assigned
 }
 
-// jobOfGive is the job that an item is of which a worker is handed.
-func jobOfGive(body []byte) string {
-	r := link.Reader{Buf: body}
-	r.U32()
-	r.U64()
-	return r.String()
-}
-
-// TestTimeOfDayDoesNotOrderJobs: jobs of one route are handed out in the order in which they came, also when the clock of
-// the edge that took them was stepped between them.
-func TestTimeOfDayDoesNotOrderJobs(t *testing.T) {
+// TestSteppedClockDoesNotReorderJobs: jobs of one route are handed out in the order in which they
+// came, also when the clock of the edge that took them was stepped between them.
+func TestSteppedClockDoesNotReorderJobs(t *testing.T) {
 	for _, step := range []int64{-hourMs, 0, hourMs} {
-		g := newScaleRig(4, 0, 0, 1)
-		ids := g.idsOfOnePart(3)
+		g := newStoreRig(4, 0, 0, 1)
+		ids := g.idsOfOnePartition(3)
 		var primary *core
 		for i, id := range ids {
-			primary = g.handAged(t, id, int64(i)*step, 60_000)
+			primary = g.submitAged(t, id, int64(i)*step, 60_000)
 			g.step(100)
 		}
 		var order []string
-		for _, body := range g.giveAll(primary) {
-			order = append(order, jobOfGive(body))
+		for _, body := range g.attachAndCollect(primary) {
+			order = append(order, itemOfAssignment(body).jobID)
 		}
 		if !slices.Equal(order, ids) {
 			t.Errorf("the clock was stepped by %d ms: came as %v, handed out as %v", step, ids, order)
@@ -106,16 +94,16 @@
 	}
 }
 
-// TestWorkersCountTheTimeLeft: when an item is due is told as the time that is left, whatever the time of day was said to be
-// when its job came.
-func TestWorkersCountTheTimeLeft(t *testing.T) {
+// TestWorkersUseTheRemainingTime: when an item is due is told as the time that is left, whatever
+// the time of day was said to be when its job came.
+func TestWorkersUseTheRemainingTime(t *testing.T) {
 	const dueMs, waitedMs = 600_000, 200_000
 	for _, step := range []int64{-hourMs, 0, hourMs} {
-		g := newScaleRig(4, 0, 0, 1)
-		id := g.idsOfOnePart(1)[0]
-		primary := g.handAged(t, id, time.Now().UnixMilli()+step, dueMs)
+		g := newStoreRig(4, 0, 0, 1)
+		id := g.idsOfOnePartition(1)[0]
+		primary := g.submitAged(t, id, time.Now().UnixMilli()+step, dueMs)
 		g.step(waitedMs)
-		given := g.giveAll(primary)
+		given := g.attachAndCollect(primary)
 		if len(given) != 1 {
 			t.Fatalf("%d items handed out", len(given))
 		}
@@ -128,8 +116,9 @@
 	}
 }
 
-// TestGiveOfAnOlderVersion: a store of a version that does not tell the time left tells the time of day.
-func TestGiveOfAnOlderVersion(t *testing.T) {
+// TestAssignmentOfAnOlderVersionUsesTheTimeOfDay: a store of a version that does not tell the time
+// left tells the time of day.
+func TestAssignmentOfAnOlderVersionUsesTheTimeOfDay(t *testing.T) {
 	due := time.Now().Add(time.Hour).Truncate(time.Millisecond)
 	message := assignMessage{item: itemKey{1, "job", 2}, epoch: 3, dueMs: due.UnixMilli(), maxAttempts: 4, route: "r", host: "h", itemID: "id",
 		tokens: 5, request: encodeRequest("/x", nil, []byte("body")), remainingMs: 60_000}
@@ -147,12 +136,12 @@
 	}
 }
 
-// TestJobsTakeTheirAgeAlong: a copy that is sent a job whole knows how old it is, also after a restart; without its age, as from
-// an older version, it counts from when it came.
-func TestJobsTakeTheirAgeAlong(t *testing.T) {
+// TestTransferredJobKeepsItsAge: a copy that is sent a job whole knows how old it is, also after a
+// restart; without its age, as from an older version, it counts from when it came.
+func TestTransferredJobKeepsItsAge(t *testing.T) {
 	donor := newCore(1, &simDisk{})
 	donor.nowMs = 1000
-	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, scaleLot("job", 1, hourMs)...)...))
+	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, encodedJob("job", 1, hourMs)...)...))
 	donor.nowMs = 5000
 	whole, err := donor.encodeWholeJob(donor.partition(3).jobs["job"])
 	if err != nil {
--- a/internal/batch/stopping_test.go
+++ b/internal/batch/draining_test.go
@@ -15,54 +15,55 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// runsOf counts how often items began, over all workers.
-func (w *world) runsOf() (n int) {
-	for _, k := range w.works {
-		n += k.runs
+// totalRuns counts how often items began, over all workers.
+func (w *simulation) totalRuns() (n int) {
+	for _, k := range w.workers {
+		n += k.runCount
 	}
 	return n
 }
 
-// TestHandOver: a store that is told to end gives the lead of its parts to others within half a second, in which a job is
-// not taken by it; what workers have in hand does not run twice; it comes back as a copy, and the mark goes.
-func TestHandOver(t *testing.T) {
+// TestDrainingStoreTransfersItsPartitions: a store that is told to end gives the lead of its parts
+// to others within half a second, in which a job is not taken by it; what workers have in hand does
+// not run twice; it comes back as a copy, and the mark goes.
+func TestDrainingStoreTransfersItsPartitions(t *testing.T) {
 	for seed := range uint64(12) {
-		w := newWorld(seed, 3+int(seed%3), 1, 6)
+		w := newSimulation(seed, 3+int(seed%3), 1, 6)
 		w.start()
 		for i := range 3 {
 			w.addWorker(fmt.Sprint("p", i))
 		}
 		w.run(2000)
-		var jobs []*promise
+		var jobs []*clientJob
 		for i := range 6 {
 			j := w.newJob(fmt.Sprint("j", i), 5, 5, 5)
-			j.slow = 1500
-			w.insist(j, 12)
+			j.extraMs = 1500
+			w.submitUntilAccepted(j, 12)
 			jobs = append(jobs, j)
 		}
 		w.run(700)
 		s := w.stores[int(seed)%len(w.stores)]
 		self := s.core.self
-		begin, ended := w.ms(), int64(0)
-		s.terminate(func() { ended = w.ms() })
+		begin, ended := w.nowMs(), int64(0)
+		s.terminate(func() { ended = w.nowMs() })
 		late := w.newJob("late", 5)
-		w.insist(late, 12)
+		w.submitUntilAccepted(late, 12)
 		w.run(2500)
 		switch {
 		case ended == 0 || ended-begin > 500:
 			t.Errorf("seed %d: %s ended after %d ms", seed, s.name, ended-begin)
-		case w.handed != 1:
+		case w.drainedStores != 1:
 			t.Errorf("seed %d: %s had not handed over", seed, s.name)
-		case !late.taken || late.takenAt-begin > 1000:
-			t.Errorf("seed %d: a job was taken after %d ms (taken: %v)", seed, late.takenAt-begin, late.taken)
+		case !late.accepted || late.acceptedAt-begin > 1000:
+			t.Errorf("seed %d: a job was taken after %d ms (taken: %v)", seed, late.acceptedAt-begin, late.accepted)
 		case slices.ContainsFunc(w.table.Partitions, func(p snapshot.Partition) bool { return p.Primary == self }):
 			t.Errorf("seed %d: %s leads in the table: %v", seed, s.name, w.table.Partitions)
 		}
 		w.run(3000)
-		if runs, items := w.runsOf(), 3*len(jobs)+1; runs != items {
+		if runs, items := w.totalRuns(), 3*len(jobs)+1; runs != items {
 			t.Errorf("seed %d: %d runs of %d items", seed, runs, items)
 		}
-		s.boot()
+		s.start()
 		w.run(1500)
 		for no, row := range w.table.Partitions {
 			if p := s.core.partition(no); slices.Contains(row.Replicas, self) && (epochOfTerm(p.position.term) != row.Epoch || p.primary == nil && p.followedPrimary == nil) {
@@ -70,22 +71,22 @@
 			}
 		}
 		w.run(6500)
-		if bad := w.whole(); bad != "" {
+		if bad := w.findUnhealthy(); bad != "" {
 			t.Errorf("seed %d: after the return: %s", seed, bad)
 		}
 		if w.table.Stopping[self] {
 			t.Errorf("seed %d: %s is still marked", seed, s.name)
 		}
-		w.settle(3000)
-		if !check(t, w, fmt.Sprint("seed ", seed)) {
+		w.healAndCheck(3000)
+		if !reportViolations(t, w, fmt.Sprint("seed ", seed)) {
 			return
 		}
 	}
 }
 
-// TestStoppingStoresDontLead: the table gives a store that is about to stop nothing to lead as long as another copy is
-// there, and comes to rest also when all of them stop.
-func TestStoppingStoresDontLead(t *testing.T) {
+// TestStoppingStoresAreNotMadePrimaries: the table gives a store that is about to stop nothing to
+// lead as long as another copy is there, and comes to rest also when all of them stop.
+func TestStoppingStoresAreNotMadePrimaries(t *testing.T) {
 	for _, f := range []int{1, 2} {
 		for n := f + 2; n <= f+4; n++ {
 			for stopping := 1; stopping <= n; stopping++ {
@@ -94,7 +95,7 @@
 				for id := 1; id <= stopping; id++ {
 					cur, _ = SetStopping(cur, uint64(id), true)
 				}
-				cur = settleTable(t, cur, all, none, f)
+				cur = assignUntilStable(t, cur, all, none, f)
 				for no, row := range cur.Partitions {
 					other := slices.ContainsFunc(row.Replicas, func(id uint64) bool { return !cur.Stopping[id] })
 					if other && cur.Stopping[row.Primary] {
@@ -108,7 +109,7 @@
 					}
 					cur = next
 				}
-				if cur = settleTable(t, cur, all, none, f); len(cur.Stopping) != 0 {
+				if cur = assignUntilStable(t, cur, all, none, f); len(cur.Stopping) != 0 {
 					t.Fatalf("marks are left: %v", cur.Stopping)
 				}
 			}
@@ -116,27 +117,28 @@
 	}
 }
 
-// TestRestOfRetiringPrimaries: where all copies of a part retire, its lead does not go back and forth.
-func TestRestOfRetiringPrimaries(t *testing.T) {
+// TestRetiringPrimariesDoNotAlternate: where all copies of a part retire, its lead does not go back and forth.
+func TestRetiringPrimariesDoNotAlternate(t *testing.T) {
 	all := someStores(4, 3)
 	cur, _ := AssignPartitions(nil, all, none, 8, 2)
 	for id := range cur.Stores {
 		cur.Retiring[id] = true
 	}
-	settleTable(t, cur, all, none, 2)
+	assignUntilStable(t, cur, all, none, 2)
 }
 
-// TestStoppingTakesNoJobs: a store that is about to stop refuses what is new to it, and acknowledges again what it has.
-func TestStoppingTakesNoJobs(t *testing.T) {
-	g := newScaleRig(3, 2, 2, 1000)
+// TestStoppingStoreAcceptsNoNewJobs: a store that is about to stop refuses what is new to it, and
+// acknowledges again what it has.
+func TestStoppingStoreAcceptsNoNewJobs(t *testing.T) {
+	g := newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
 	for _, c := range g.cores {
 		c.beginDraining()
 	}
-	if code := g.hand("job", 2); code != codeOK {
+	if code := g.submit("job", 2); code != codeOK {
 		t.Errorf("a job that was taken: code %d", code)
 	}
-	if code := g.hand("another", 2); code != codeUnavailable {
+	if code := g.submit("another", 2); code != codeUnavailable {
 		t.Errorf("a new job: code %d", code)
 	}
 }
@@ -196,9 +198,9 @@
 	return g
 }
 
-// TestHandOverOverLinks: a real store has handed its parts over when HandOver returns; where nobody changes the table, it
-// returns when its time is over, with the error that says so.
-func TestHandOverOverLinks(t *testing.T) {
+// TestDrainOverRealLinks: a real store has handed its parts over when HandOver returns; where
+// nobody changes the table, it returns when its time is over, with the error that says so.
+func TestDrainOverRealLinks(t *testing.T) {
 	g := newStoreGroup(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"net"
 	"slices"
 	"testing"
@@ -12,31 +11,15 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// sentPipe notes what is sent.
-type sentPipe struct{ kinds []link.Kind }
-
-func (p *sentPipe) Send(kind link.Kind, _ []byte) error {
-	p.kinds = append(p.kinds, kind)
-	return nil
-}
-
-func numbers(part int, nums ...uint64) []byte {
-	var w link.Writer
-	w.U32(uint32(part))
-	for _, n := range nums {
-		w.U64(n)
-	}
-	return w.Buf
-}
-
-// replacedPrimary is a rig in which the lead of a job's part has moved on, and the old primary has not heard of it.
-func replacedPrimary(t *testing.T) (g *scaleRig, part int, old, successor, third *core) {
+// replacedPrimary is a rig in which the table has given a job's partition another primary, and the
+// old one has not heard of it.
+func replacedPrimary(t *testing.T) (g *storeRig, index int, old, successor, third *core) {
 	t.Helper()
-	g = newScaleRig(3, 2, 2, 1000)
+	g = newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
 	next := cloneTable(g.cores[0].table)
-	part = next.PartitionOf("job")
-	row := &next.Partitions[part]
+	index = next.PartitionOf("job")
+	row := &next.Partitions[index]
 	old = g.cores[row.Primary-1]
 	for _, c := range g.cores {
 		switch {
@@ -51,200 +34,174 @@
 	row.Primary = successor.self
 	successor.setTable(next)
 	third.setTable(next)
-	return g, part, old, successor, third
+	return g, index, old, successor, third
 }
 
-// TestCopiesRefuseAReplacedPrimary: whatever a primary sends under a ballot that is known to be over changes nothing at a
-// copy and is not acknowledged; the answer tells of the newer ballot.
-func TestCopiesRefuseAReplacedPrimary(t *testing.T) {
-	g, part, old, successor, third := replacedPrimary(t)
-	ballot := old.partition(part).primary.term
+// TestReplicasRejectAStaleTerm: whatever a primary sends in a term that is known to be over changes
+// nothing at a replica and is not acknowledged. The answer has the newer term.
+func TestReplicasRejectAStaleTerm(t *testing.T) {
+	g, index, old, successor, third := replacedPrimary(t)
+	term := old.partition(index).primary.term
 	g.step(1000)
-	if successor.partition(part).primary == nil || !successor.partition(part).primary.serving {
-		t.Fatal("the successor does not lead")
+	if primary := successor.partition(index).primary; primary == nil || !primary.serving {
+		t.Fatal("the successor does not serve")
 	}
-	p := third.partition(part)
+	p := third.partition(index)
 	for kind, body := range map[link.Kind][]byte{
-		kindPrepare:    numbers(part, ballot, 7),
-		kindInstallJob: append(numbers(part, ballot, p.session), 1, 2, 3),
-		kindStartTerm:  numbers(part, ballot, p.session, 99),
-		kindOperation:  append(numbers(part, ballot, p.session, p.position.sequence+1), encodeJobOperation(opEndJob, "job")...),
-		kindFetchJob:   append(numbers(part, ballot), 0, 0, 0, 0),
-		kindConfirm:    numbers(part, ballot, 1),
+		kindPrepare:    encodeNumbers(index, term, 7),
+		kindInstallJob: append(encodeNumbers(index, term, p.session), 1, 2, 3),
+		kindStartTerm:  encodeNumbers(index, term, p.session, 99),
+		kindOperation: append(encodeNumbers(index, term, p.session, p.position.sequence+1),
+			encodeJobOperation(opEndJob, "job")...),
+		kindFetchJob: append(encodeNumbers(index, term), 0, 0, 0, 0),
+		kindConfirm:  encodeNumbers(index, term, 1),
 	} {
-		pipe := &sentPipe{}
-		claimB, claimS, promised, appended := p.position.term, p.position.sequence, p.promisedTerm, third.appendedRecords
+		pipe := &recordingPipe{}
+		position, promised, appended := p.position, p.promisedTerm, third.appendedRecords
 		third.handleStoreMessage(pipe, kind, body)
 		third.recordsSynced(third.appendedRecords)
-		if p.position.term != claimB || p.position.sequence != claimS || p.promisedTerm != promised || third.appendedRecords != appended || p.jobs["job"].ended {
-			t.Errorf("kind %d of an old ballot changed a copy", kind)
+		changed := p.position != position || p.promisedTerm != promised || third.appendedRecords != appended
+		if changed || p.jobs["job"].ended {
+			t.Errorf("kind %d of a stale term changed a replica", kind)
 		}
 		if !slices.Equal(pipe.kinds, []link.Kind{kindStaleTerm}) {
-			t.Errorf("kind %d of an old ballot was answered with %v", kind, pipe.kinds)
+			t.Errorf("kind %d of a stale term was answered with %v", kind, pipe.kinds)
 		}
 	}
 }
 
-// TestAReplacedPrimaryPromisesNothing: it wakes and finds out at its first message; what it orders then is not committed,
-// and it is not sure of anything.
-func TestAReplacedPrimaryPromisesNothing(t *testing.T) {
-	g, part, old, successor, _ := replacedPrimary(t)
+// TestReplacedPrimaryAcknowledgesNothing: a primary that was replaced finds out at its first
+// message. What it orders before is not committed, and it is not confirmed.
+func TestReplacedPrimaryAcknowledgesNothing(t *testing.T) {
+	g, index, old, successor, _ := replacedPrimary(t)
 	g.step(1000)
-	if l := old.partition(part).primary; l != nil && old.isConfirmed(l) {
-		t.Error("it is sure to lead")
+	if primary := old.partition(index).primary; primary != nil && old.isConfirmed(primary) {
+		t.Error("it is confirmed")
 	}
 	for kind, body := range map[link.Kind][]byte{
-		kindAcceptJob: scaleLot("job", 2, 0), kindEndJob: encodeJobOperation(0, "job")[1:],
-		kindReadResults: func() []byte { var w link.Writer; w.String("job"); w.Int(0); w.Int(0); return w.Buf }(),
+		kindAcceptJob:   encodedJob("job", 2, 0),
+		kindEndJob:      encodeEndJob("job"),
+		kindReadResults: encodeReadResults("job", 0, 0),
 	} {
 		var code uint8
-		old.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kind, body)
+		old.handleMessage(nil, callerFunc(func(b []byte) { code = b[0] }), kind, body)
 		g.step(1500)
 		if code != codeUnavailable {
 			t.Errorf("kind %d: answered %d", kind, code)
 		}
 	}
-	if successor.partition(part).jobs["job"].ended {
+	if successor.partition(index).jobs["job"].ended {
 		t.Error("an end that a replaced primary ordered is in force")
 	}
 }
 
-// TestQuotaOwnersAreFenced: grants of an owner older than the one that counted last are not used, and what an earlier life
-// of a primary reports or asks for changes nothing at the owner.
+// TestQuotaOwnersAreFenced: grants of an owner that is older than the newest one are not used, and
+// what an earlier incarnation of a primary reports or asks for changes nothing at the owner.
 func TestQuotaOwnersAreFenced(t *testing.T) {
-	g := newScaleRig(3, 2, 2, 1000)
+	g := newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
-	no, store := g.cores[0].quotaOwner("b")
-	owner := g.cores[store-1]
-	account := owner.partition(no).primary.accounts["b"]
-	part := g.cores[0].table.PartitionOf("job")
-	c := g.cores[g.cores[0].table.Partitions[part].Primary-1]
-	p := c.partition(part)
-	share := account.usage[part]
-	before, grants := *share, len(share.grants)
+	owner, account := quotaAccountOf(g)
+	c, p := primaryOfJob(t, g)
+	older := p.primary.incarnation - 1
+	before, grants := *account.usage[p.index], len(account.usage[p.index].grants)
 
-	usage := func(life uint64) []byte {
-		var w link.Writer
-		w.String("b")
-		w.U32(uint32(part))
-		for _, n := range []uint64{life, 1, 1 << 40} {
-			w.U64(n)
-		}
-		w.Int(0)
-		w.U64(1 << 40)
-		return w.Buf
-	}
-	owner.handleStoreMessage(&sentPipe{}, kindUsageReport, usage(p.primary.incarnation-1))
-	if now := account.usage[part]; now.incarnation != before.incarnation || now.tokens != before.tokens {
-		t.Errorf("a report of an old life counts: %+v, before %+v", now, before)
+	owner.handleStoreMessage(&recordingPipe{}, kindUsageReport, usageReportOf(p.index, older, 1, 1<<40, 0, 1<<40))
+	if now := account.usage[p.index]; now.incarnation != before.incarnation || now.tokens != before.tokens {
+		t.Errorf("a report of an older incarnation counts: %+v, before %+v", now, before)
 	}
-	var ask link.Writer
-	ask.String("b")
-	ask.U32(uint32(part))
-	ask.U64(p.primary.incarnation - 1)
-	ask.U64(1 << 30)
-	ask.Int(5)
-	ask.Int(1 << 30)
-	pipe := &sentPipe{}
-	owner.handleStoreMessage(pipe, kindReserveTokens, ask.Buf)
-	if len(pipe.kinds) != 0 || len(account.usage[part].grants) != grants {
-		t.Errorf("a reservation of an old life was answered: %v", pipe.kinds)
+	pipe := &recordingPipe{}
+	owner.handleStoreMessage(pipe, kindReserveTokens, reservationOf(p.index, older, 1<<30, 5, 1<<30))
+	if len(pipe.kinds) != 0 || len(account.usage[p.index].grants) != grants {
+		t.Errorf("a reservation of an older incarnation was answered: %v", pipe.kinds)
 	}
 
-	in := &incomingJob{id: "new", route: "b", tokens: 1, maxTokens: 10, encoded: scaleLot("new", 1, 0)}
-	p.primary.incomingJobs["new"] = in
-	p.primary.reservations[77] = &reservation{route: "b", number: 77, job: in, deadline: c.nowMs + 10_000, sent: true}
-	var grant link.Writer
-	grant.String("b")
-	grant.U32(uint32(part))
-	grant.U64(p.primary.incarnation)
-	grant.U64(77)
-	grant.U8(codeOK)
-	grant.U64(p.quotaOwnerIncarnations["b"] - 1)
-	c.handleStoreMessage(&sentPipe{}, kindReservationReply, grant.Buf)
+	incoming := &incomingJob{id: "new", route: "b", tokens: 1, maxTokens: 10, encoded: encodedJob("new", 1, 0)}
+	p.primary.incomingJobs["new"] = incoming
+	p.primary.reservations[77] = &reservation{
+		route:    "b",
+		number:   77,
+		job:      incoming,
+		deadline: c.nowMs + 10_000,
+		sent:     true,
+	}
+	grant := reservationReplyOf(p.index, p.primary.incarnation, 77, codeOK, p.quotaOwnerIncarnations["b"]-1)
+	c.handleStoreMessage(&recordingPipe{}, kindReservationReply, grant)
 	if p.jobs["new"] != nil || p.primary.reservations[77] == nil {
-		t.Error("a grant of an old owner was used")
+		t.Error("a grant of an older owner was used")
 	}
 }
 
-// TestHalfATransferIsNoCopy: jobs that a primary has sent, without the mark behind them, raise no claim: the copy is asked
-// for its old one, also after a restart, and a more complete one is preferred.
-func TestHalfATransferIsNoCopy(t *testing.T) {
+// TestIncompleteTransferDoesNotMoveThePosition: jobs that a primary has sent, without the start of
+// its term behind them, do not move the position of a replica, also after a restart, so that a more
+// complete replica is preferred.
+func TestIncompleteTransferDoesNotMoveThePosition(t *testing.T) {
 	log := &simDisk{}
 	c := newCore(9, log)
 	c.appendRecord(encodeRecord(recordIdentity, 0, 9))
 	c.appendRecord(encodeRecord(recordTermStart, 3, firstTerm(1)+1, 4))
-	primary := &sentPipe{}
-	c.handleStoreMessage(primary, kindPrepare, numbers(3, firstTerm(2)+1, 5))
+	primary := &recordingPipe{}
+	c.handleStoreMessage(primary, kindPrepare, encodeNumbers(3, firstTerm(2)+1, 5))
 	c.recordsSynced(c.appendedRecords)
 	donor := newCore(1, &simDisk{})
-	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, scaleLot("job", 1, 0)...)...))
+	accept := encodeAcceptJob(encodedJob("job", 1, 0))
+	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), accept...))
 	whole, err := donor.encodeWholeJob(donor.partition(3).jobs["job"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.handleStoreMessage(primary, kindInstallJob, append(numbers(3, firstTerm(2)+1, 5), whole...))
+	c.handleStoreMessage(primary, kindInstallJob, append(encodeNumbers(3, firstTerm(2)+1, 5), whole...))
 	for _, what := range []string{"while it comes", "after a restart"} {
 		p := c.partition(3)
-		if p.position.term != firstTerm(1)+1 || p.position.sequence != 4 {
-			t.Errorf("%s: the claim is (%x, %d)", what, p.position.term, p.position.sequence)
+		if want := (logPosition{firstTerm(1) + 1, 4}); p.position != want {
+			t.Errorf("%s: the position is %+v, want %+v", what, p.position, want)
 		}
 		if p.primary != nil {
-			t.Errorf("%s: it leads", what)
+			t.Errorf("%s: it is the primary", what)
 		}
-		again := newCore(0, log)
-		for _, r := range log.recs {
-			b, err := log.ReadRaw(r.at, r.n)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := again.replay(b, r.at); err != nil {
-				t.Fatal(err)
-			}
+		c = newCore(0, log)
+		if err := log.replayInto(c); err != nil {
+			t.Fatal(err)
 		}
-		c = again
 	}
 }
 
-// TestARejoiningStoreServesNothing: a store that comes back, whatever its disk has, answers no call and hands out nothing
-// before the table and enough copies have made it the primary; one with another identity is not in the table at all.
-func TestARejoiningStoreServesNothing(t *testing.T) {
-	g, part, old, _, _ := replacedPrimary(t)
+// TestRejoiningStoreServesNothing: a store that comes back, whatever its disk has, answers no call
+// and assigns nothing before the table and enough replicas have made it the primary. One with
+// another identity is not in the table at all.
+func TestRejoiningStoreServesNothing(t *testing.T) {
+	g, index, old, _, _ := replacedPrimary(t)
 	g.step(1000)
 	oldTable := old.table
 	for name, id := range map[string]uint64{"an old disk": old.self, "an empty disk": 99} {
 		c := newCore(id, &simDisk{})
 		if id == old.self {
-			c.appendRecord(encodeRecord(recordPromise, part, old.partition(part).promisedTerm))
-			c.appendRecord(append(encodeRecord(recordOperation, part, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, scaleLot("job", 2, 0)...)...))
+			accept := encodeAcceptJob(encodedJob("job", 2, 0))
+			c.appendRecord(encodeRecord(recordPromise, index, old.partition(index).promisedTerm))
+			c.appendRecord(append(encodeRecord(recordOperation, index, firstTerm(1)+1, 1), accept...))
 		}
 		c.nowMs = 10_000
-		c.setTable(oldTable) // a keeper that lags may hand out an old table
+		c.setTable(oldTable) // a keeper that lags may have an old table
 		c.recordsSynced(c.appendedRecords)
-		worker := &sentPipe{}
-		var attach link.Writer
-		attach.String("w")
-		attach.String("z0")
-		attach.Int(5)
-		c.handleMessage(worker, nil, kindAttachWorker, attach.Buf)
+		worker := &recordingPipe{}
+		c.handleMessage(worker, nil, kindAttachWorker, encodeAttachWorker("w", "z0", 5))
 		for range 100 {
 			c.nowMs += 25
 			c.tick()
 		}
-		if p := c.partition(part); p.primary != nil && p.primary.serving {
-			t.Errorf("%s: it leads alone", name)
+		if p := c.partition(index); p.primary != nil && p.primary.serving {
+			t.Errorf("%s: it serves alone", name)
 		}
 		var code uint8
-		c.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kindAcceptJob, scaleLot("job", 2, 0))
+		c.handleMessage(nil, callerFunc(func(b []byte) { code = b[0] }), kindAcceptJob, encodedJob("job", 2, 0))
 		if code != codeUnavailable || slices.Contains(worker.kinds, kindAssignItem) {
 			t.Errorf("%s: answered %d, sent %v", name, code, worker.kinds)
 		}
 	}
 }
 
-// TestDamagedDisksAreNotUsed: a store does not start on a log with a flipped byte in what was synced; a torn tail is cut
-// off, and what was synced is there.
-func TestDamagedDisksAreNotUsed(t *testing.T) {
+// TestStoreDoesNotStartOnADamagedLog: a store does not start on a log with a flipped byte in what
+// was synced; a torn tail is cut off, and what was synced is there.
+func TestStoreDoesNotStartOnADamagedLog(t *testing.T) {
 	build := func() *vfstest.Disk {
 		d := vfstest.New()
 		log, err := openSegments(d)
@@ -266,7 +223,9 @@
 		return d
 	}
 	open := func(d *vfstest.Disk) error {
-		s, err := NewStore(StoreOptions{Open: func(replay func([]byte, int64) error) (Log, error) { return OpenLog(d, "t.log", replay) }})
+		s, err := NewStore(StoreOptions{Open: func(replay func([]byte, int64) error) (Log, error) {
+			return OpenLog(d, "t.log", replay)
+		}})
 		if err == nil {
 			s.Close()
 		}
@@ -292,9 +251,9 @@
 func (h kindsHandler) Message(m *link.Message) { h <- m.Kind }
 func (h kindsHandler) Closed(*link.Conn)       {}
 
-// TestWorkersRefuseAReplacedPrimary: an item that a replaced primary hands out is put back, and its word that a job has
-// ended or that it is not sure counts for nothing.
-func TestWorkersRefuseAReplacedPrimary(t *testing.T) {
+// TestWorkersRejectAReplacedPrimary: an item that a replaced primary assigns is returned, and that
+// it cancels a job or pauses starts counts for nothing.
+func TestWorkersRejectAReplacedPrimary(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -303,7 +262,7 @@
 	sent := make(kindsHandler, 10)
 	go func() { _ = link.Serve(listener, sent, link.DefaultOptions) }()
 	dial := func() *link.Conn {
-		c, err := link.Dial(context.Background(), listener.Addr().String(), make(kindsHandler, 10), link.DefaultOptions)
+		c, err := link.Dial(t.Context(), listener.Addr().String(), make(kindsHandler, 10), link.DefaultOptions)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -312,32 +271,31 @@
 	}
 	old, successor := dial(), dial()
 	w := newItemRunner(ProxyOptions{})
-	inHand := &runningItem{key: itemKey{0, "job", 0}, item: &Item{}, cancel: func() { t.Error("an item in hand was given up") }}
-	w.running[inHand.key] = inHand
+	running := &runningItem{
+		key:    itemKey{0, "job", 0},
+		item:   &Item{},
+		cancel: func() { t.Error("an item was cancelled") },
+	}
+	w.running[running.key] = running
 	w.contacts[0] = &primaryContact{conn: successor, epoch: 2, runningNoted: true}
 
-	var give link.Writer
-	give.U32(0)
-	give.U64(1)
-	give.String("job")
-	give.U32(1)
-	give.Int(0)
-	give.Int(1)
-	for range 3 {
-		give.String("x")
+	assignment := assignMessage{
+		item:        itemKey{0, "job", 1},
+		epoch:       1,
+		maxAttempts: 1,
+		route:       "x",
+		host:        "x",
+		itemID:      "x",
+		tokens:      1,
+		request:     encodeRequest("/b/x", nil, nil),
 	}
-	give.Int(1)
-	give.Bytes(encodeRequest("/b/x", nil, nil))
-	var cancel link.Writer
-	cancel.U32(0)
-	cancel.String("job")
-	w.handleMessage(&link.Message{Conn: old, Kind: kindCancelJob, Body: cancel.Buf})
-	w.handleMessage(&link.Message{Conn: old, Kind: kindPauseStarts, Body: numbers(0)})
-	w.handleMessage(&link.Message{Conn: old, Kind: kindAssignItem, Body: give.Buf})
+	w.handleMessage(&link.Message{Conn: old, Kind: kindCancelJob, Body: encodeJobRef(0, "job")})
+	w.handleMessage(&link.Message{Conn: old, Kind: kindPauseStarts, Body: encodeNumbers(0)})
+	w.handleMessage(&link.Message{Conn: old, Kind: kindAssignItem, Body: assignment.encode()})
 	if got := <-sent; got != kindReturnItem {
 		t.Errorf("answered with kind %d", got)
 	}
 	if len(w.running) != 1 || w.contacts[0].startsPaused || w.contacts[0].conn != successor {
-		t.Errorf("it holds %d items, is held back: %v", len(w.running), w.contacts[0].startsPaused)
+		t.Errorf("it has %d items, starts are paused: %v", len(w.running), w.contacts[0].startsPaused)
 	}
 }
--- a/internal/batch/frozen_table_test.go
+++ b/internal/batch/frozen_table_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// readAll reads all jobs that were taken, as far as the primary of their part is there, and tells how many could be read.
-func (w *world) readAll() (read, led int) {
-	for _, id := range w.names {
+// readAllJobs reads all jobs that were taken, as far as the primary of their part is there, and
+// tells how many could be read.
+func (w *simulation) readAllJobs() (read, led int) {
+	for _, id := range w.jobIDs {
 		j := w.jobs[id]
 		row := &w.table.Partitions[w.table.PartitionOf(id)]
-		s := w.store(w.table.Stores[row.Primary].Name)
-		if !j.taken || s.core == nil || s.core.self != row.Primary {
+		s := w.storeNamed(w.table.Stores[row.Primary].Name)
+		if !j.accepted || s.core == nil || s.core.self != row.Primary {
 			continue
 		}
 		led++
-		w.works[0].read(j, 0, 0, func(ok bool) {
+		w.workers[0].readResults(j, 0, 0, func(ok bool) {
 			if ok {
 				read++
 			}
@@ -25,22 +26,23 @@
 	return read, led
 }
 
-// TestTableThatCannotChange: the keepers have no majority for twenty seconds, in which stores fail one after the other and
-// one loses its disk. What was taken can be read at each primary that is there, jobs are taken (while the quota has its owner), and when the table
+// TestJobsStayReadableWhileTheTableCannotChange: the keepers have no majority for twenty seconds,
+// in which stores fail one after the other and one loses its disk. What was taken can be read at
+// each primary that is there, jobs are taken (while the quota has its owner), and when the table
 // changes again, also in the worst moment for it, nothing is lost.
-func TestTableThatCannotChange(t *testing.T) {
+func TestJobsStayReadableWhileTheTableCannotChange(t *testing.T) {
 	counted := 0
 	for seed := range uint64(16) {
-		w := newWorld(seed, 3+int(seed%3), 1, 6)
+		w := newSimulation(seed, 3+int(seed%3), 1, 6)
 		w.start()
 		for i := range 2 {
 			w.addWorker(fmt.Sprint("p", i))
 		}
 		w.run(600)
-		w.most = 10_000
-		w.steadyJobs(20_000)
+		w.maxQueuedTokens = 10_000
+		w.submitSteadily(20_000)
 		w.run(1000)
-		w.noAgreement = true
+		w.tableFrozen = true
 		wiped := w.stores[w.rng.IntN(len(w.stores))]
 		wipeIn := w.rng.IntN(5)
 		// Without the owner of the quota, of which only a new table could make another one, no job is taken.
@@ -49,42 +51,42 @@
 			s := w.stores[w.rng.IntN(len(w.stores))]
 			switch {
 			case round == wipeIn:
-				wiped.wipe()
-				w.after(400, wiped.boot)
+				wiped.loseDisk()
+				w.after(400, wiped.start)
 			case round > wipeIn:
 				s.kill() // one disk is lost already: no other one may be
-				w.after(500, s.boot)
+				w.after(500, s.start)
 			default:
 				disturbances[w.rng.IntN(3)].do(w, s)
 			}
 			w.run(3600)
-			if read, led := w.readAll(); read < led {
-				w.fault("round %d: %d of %d jobs can be read", round, read, led)
+			if read, led := w.readAllJobs(); read < led {
+				w.violation("round %d: %d of %d jobs can be read", round, read, led)
 			}
 		}
 		taken := 0
-		for _, id := range w.names {
-			if j := w.jobs[id]; j.taken && j.takenAt > 6000 {
+		for _, id := range w.jobIDs {
+			if j := w.jobs[id]; j.accepted && j.acceptedAt > 6000 {
 				taken++
 			}
 		}
 		if taken < 20 && !ownerLost {
-			w.fault("only %d jobs were taken while the table could not change", taken)
+			w.violation("only %d jobs were taken while the table could not change", taken)
 		}
 		if !ownerLost {
 			counted++
 		}
-		w.noAgreement = false
-		if s := w.next(wiped); seed%2 == 0 { // the first change finds one more store down for a moment
+		w.tableFrozen = false
+		if s := w.nextStore(wiped); seed%2 == 0 { // the first change finds one more store down for a moment
 			s.kill()
-			w.after(300+w.rng.Float64()*300, s.boot)
+			w.after(300+w.rng.Float64()*300, s.start)
 		}
 		w.run(9000)
-		if bad := w.whole(); bad != "" {
-			w.fault("after the table could change again: %s", bad)
+		if bad := w.findUnhealthy(); bad != "" {
+			w.violation("after the table could change again: %s", bad)
 		}
-		w.settle(4000)
-		if !check(t, w, fmt.Sprint("seed ", seed)) {
+		w.healAndCheck(4000)
+		if !reportViolations(t, w, fmt.Sprint("seed ", seed)) {
 			return
 		}
 	}
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -19,8 +19,9 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// The files in testdata/golden hold the bytes of each message, record and JSON body of batch jobs as the sources of
-// faf8ea2 wrote them. The sender has to write these bytes, and the receiver is given them and must read the same values.
+// The files in testdata/golden hold the bytes of each message, record and JSON body of batch jobs
+// as the sources of faf8ea2 wrote them. The sender has to write these bytes, and the receiver is
+// given them and must read the same values.
 
 var updateGolden = flag.Bool("update-golden", false, "write the files in testdata/golden; only for a kind of message that is new")
 
@@ -65,7 +66,8 @@
 	return nil
 }
 
-// next takes the oldest message that was sent, which must be of a kind, compares it with its golden file and returns the file's bytes.
+// next takes the oldest message that was sent, which must be of a kind, compares it with its golden
+// file and returns the file's bytes.
 func (p *goldenPipe) next(t *testing.T, kind link.Kind, name string) []byte {
 	t.Helper()
 	if len(p.kinds) == 0 {
@@ -175,8 +177,8 @@
 func lastRecord(t *testing.T, c *core) []byte {
 	t.Helper()
 	d := c.disk.(*simDisk)
-	rec := d.recs[len(d.recs)-1]
-	b, err := d.ReadRaw(rec.at, rec.n)
+	rec := d.records[len(d.records)-1]
+	b, err := d.ReadRaw(rec.offset, rec.length)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,8 +199,8 @@
 	return c
 }
 
-// TestGoldenReplication plays how a primary takes a part over, brings a new replica up to date and replicates operations. Each
-// message goes to its receiver in its golden form.
+// TestGoldenReplication plays how a primary takes a part over, brings a new replica up to date and
+// replicates operations. Each message goes to its receiver in its golden form.
 func TestGoldenReplication(t *testing.T) {
 	const leaderID, followerID, joinerID = 0x1101, 0x1202, 0x1303
 	leader, follower, joiner := goldenCore(leaderID, leaderID, leaderID), goldenCore(followerID, leaderID, leaderID), goldenCore(joinerID, leaderID, leaderID)
@@ -243,7 +245,7 @@
 	leader.handleMessage(toFollower, nil, kindJobContents, fromFollower.next(t, kindJobContents, "replication-whole.bin"))
 	checkWholeJob(t, leader, digest, 900)
 	d := leader.disk.(*simDisk)
-	put, err := d.ReadRaw(d.recs[1].at, d.recs[1].n)
+	put, err := d.ReadRaw(d.records[1].offset, d.records[1].length)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -393,7 +395,8 @@
 	}
 }
 
-// goldenPrimary is a store that leads the part of the tests and has the job, of which the second item is listed.
+// goldenPrimary is a store that leads the part of the tests and has the job, of which the second
+// item is listed.
 func goldenPrimary(t *testing.T) (*core, *partition, *job) {
 	t.Helper()
 	const id = 0x1101
@@ -632,8 +635,9 @@
 	}
 }
 
-// TestGoldenReadsAnOlderGive: a message of the versions that did not say how long is left is read by its time of day.
-func TestGoldenReadsAnOlderGive(t *testing.T) {
+// TestGoldenAssignmentOfAnOlderVersion: a message of the versions that did not say how long is left
+// is read by its time of day.
+func TestGoldenAssignmentOfAnOlderVersion(t *testing.T) {
 	body := readGolden(t, "worker-give.bin")
 	given, err := decodeAssignMessage(body[:len(body)-8])
 	if err != nil || given.hasRemaining {
@@ -724,8 +728,9 @@
 	}
 }
 
-// TestGoldenLogFiles fixes the names and bytes of the files of a store's log. Each file has a random salt in its head, so records are
-// appended to the golden files cut short, which has to restore them.
+// TestGoldenLogFiles fixes the names and bytes of the files of a store's log. Each file has a
+// random salt in its head, so records are appended to the golden files cut short, which has to
+// restore them.
 func TestGoldenLogFiles(t *testing.T) {
 	const first, second = "lots.log", "lots.log.000001"
 	d := vfstest.New()
--- /dev/null
+++ b/internal/batch/helpers_test.go
@@ -0,0 +1,44 @@
+package batch
+
+import "dunetide/internal/platform/link"
+
+// recordingPipe records the kinds of messages that are sent over it.
+type recordingPipe struct{ kinds []link.Kind }
+
+func (p *recordingPipe) Send(kind link.Kind, _ []byte) error {
+	p.kinds = append(p.kinds, kind)
+	return nil
+}
+
+// encodeNumbers is the begin of a message between stores, or all of it: a partition and some numbers.
+func encodeNumbers(partition int, numbers ...uint64) []byte {
+	return encodeTermMessage(0, partition, numbers...).Buf
+}
+
+// reservationOf is a reservation of tokens of route "b".
+func reservationOf(partition int, incarnation, number uint64, tokens, maxTokens int) []byte {
+	w := encodeQuotaMessage("b", partition, incarnation, 24)
+	w.U64(number)
+	w.Int(tokens)
+	w.Int(maxTokens)
+	return w.Buf
+}
+
+// usageReportOf is a report of the usage of route "b".
+func usageReportOf(partition int, incarnation, epoch, version uint64, tokens int, resolved uint64) []byte {
+	w := encodeQuotaMessage("b", partition, incarnation, 32)
+	w.U64(epoch)
+	w.U64(version)
+	w.Int(tokens)
+	w.U64(resolved)
+	return w.Buf
+}
+
+// reservationReplyOf is the owner's answer to a reservation of tokens of route "b".
+func reservationReplyOf(partition int, incarnation, number uint64, code uint8, owner uint64) []byte {
+	w := encodeQuotaMessage("b", partition, incarnation, 17)
+	w.U64(number)
+	w.U8(code)
+	w.U64(owner)
+	return w.Buf
+}
--- a/internal/batch/repeat_wrong_test.go
+++ b/internal/batch/idempotence_mutants_test.go
@@ -9,10 +9,10 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrongRepeats are lines that would count a repeat, or what is of an older life, as something new.
-var wrongRepeats = []mutation.Mutant{
+// repetitionMutants would count a message that is repeated, or one of an older incarnation, as something new.
+var repetitionMutants = []mutation.Mutant{
 	{
-		Name: "a result is listed twice",
+		Name: "a result is stored twice",
 		File: "workers.go",
 		Old:  "	if j.items[key.index].state == itemDone {\n		primary.afterCommit",
 		New:  "	if j.items[key.index].state == itemDone && key.partition < 0 {\n		primary.afterCommit",
@@ -24,13 +24,13 @@
 		New:  "if grant.number == request.number && request.partition < 0 {",
 	},
 	{
-		Name: "a grant to any life counts",
+		Name: "a grant to any incarnation counts",
 		File: "quota.go",
 		Old:  "p.primary != nil && p.primary.incarnation == incarnation {",
 		New:  "p.primary != nil && incarnation > 0 {",
 	},
 	{
-		Name: "a reservation that is decided is answered",
+		Name: "a reservation that is resolved is answered",
 		File: "quotaowner.go",
 		Old:  "request.incarnation == usage.incarnation && request.number <= usage.resolvedReservations {",
 		New:  "request.incarnation == usage.incarnation && request.number < 0 {",
@@ -42,7 +42,7 @@
 		New:  "report.incarnation == known.incarnation && report.version < 1 {",
 	},
 	{
-		Name: "any ballot is acknowledged",
+		Name: "acknowledgements of any term count",
 		File: "replication.go",
 		Old:  "if p.primary != nil && p.primary.term == term {",
 		New:  "if p.primary != nil && term > 0 {",
@@ -66,13 +66,13 @@
 		New:  "if sequence > 1<<50 {",
 	},
 	{
-		Name: "an older acknowledgement takes back",
+		Name: "an older acknowledgement lowers a newer one",
 		File: "replication.go",
 		Old:  "max(replica.acknowledged, sequence), logFull",
 		New:  "sequence, logFull",
 	},
 	{
-		Name: "a hand-in under way is taken twice",
+		Name: "a submission under way is accepted twice",
 		File: "calls.go",
 		Old:  "if incoming := primary.incomingJobs[jobID]; incoming != nil {",
 		New:  "if incoming := primary.incomingJobs[jobID]; incoming != nil && incoming.maxTokens < 0 {",
@@ -85,12 +85,17 @@
 	},
 }
 
-// TestWrongRepeatsStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongRepeatsStand(t *testing.T) { mutation.CheckPresent(t, wrongRepeats) }
+// TestRepetitionMutantsStand fails when the text of a mutant does not stand once in the file that it names.
+func TestRepetitionMutantsStand(t *testing.T) { mutation.CheckPresent(t, repetitionMutants) }
 
-// Each wrong line is found by the tests of repeats. It takes a minute or two, so it is asked for: REPEATS_WRONG=1, or a part of a name.
-func TestWrongRepeatsAreFound(t *testing.T) {
-	only := mutation.Requested(t, "REPEATS_WRONG")
-	mutation.Find(t, wrongRepeats, mutation.Options{Only: only, Args: []string{"-run", "SentAgain|DeliveredAgain|OlderLife|OlderBallot"},
-		Env: []string{"REPEATS_WRONG="}, Within: 2 * time.Minute})
+// TestRepetitionMutantsAreFound puts each mutant into the sources and expects the tests of
+// idempotence_test.go to fail. It takes a minute or two, so it has to be requested:
+// REPEATS_WRONG=1, or a part of a name.
+func TestRepetitionMutantsAreFound(t *testing.T) {
+	mutation.Find(t, repetitionMutants, mutation.Options{
+		Only:   mutation.Requested(t, "REPEATS_WRONG"),
+		Args:   []string{"-run", "SentAgain|OlderIncarnation|OlderTerm"},
+		Env:    []string{"REPEATS_WRONG="},
+		Within: 2 * time.Minute,
+	})
 }
--- a/internal/batch/invariants_test.go
+++ b/internal/batch/invariants_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/platform/invariant/invarianttest"
 )
 
-func TestBrokenPromisesOfStoresAreFound(t *testing.T) {
+func TestInvariantsFindViolations(t *testing.T) {
 	c := newCore(1, nil)
 	p := &partition{index: 3, primary: &primaryState{committed: 7, selfSynced: 7, progress: map[uint64]*replicaProgress{2: {acknowledged: 7}, 3: {acknowledged: 6}}}}
 	c.checkCommit(p, []uint64{1, 2, 3})
--- a/internal/batch/repeat_test.go
+++ b/internal/batch/linkbreaks_test.go
@@ -8,7 +8,8 @@
 	"dunetide/internal/platform/link"
 )
 
-// repeatSteps is how many messages lie between those at which a link breaks, in the short test. BATCH_REPEATS=1 breaks at each.
+// repeatSteps is how many messages lie between those at which a link breaks, in the short test.
+// BATCH_REPEATS=1 breaks at each.
 const repeatSteps = 23
 
 // breakKind is how a link breaks at a message.
@@ -27,14 +28,14 @@
 
 // linkBreaker ends one link of a world at one of its messages.
 type linkBreaker struct {
-	w       *world
-	kind    breakKind
-	at      int // the message at which it breaks; 0: none
-	seen    int // messages until now
-	known   map[*simPipe]bool
-	broken  *brokenMessage // nil: not yet, or repeated
-	repeats int
-	hit     link.Kind // at which it broke
+	simulation *simulation
+	kind       breakKind
+	breakAt    int // the message at which it breaks; 0: none
+	seen       int // messages until now
+	known      map[*simPipe]bool
+	broken     *brokenMessage // nil: not yet, or repeated
+	repeats    int
+	hit        link.Kind // at which it broke
 }
 
 // brokenMessage is the message at which a link broke.
@@ -45,13 +46,13 @@
 	body     []byte
 }
 
-func newLinkBreaker(w *world, kind breakKind, at int) *linkBreaker {
-	return &linkBreaker{w: w, kind: kind, at: at, known: map[*simPipe]bool{}}
+func newLinkBreaker(w *simulation, kind breakKind, at int) *linkBreaker {
+	return &linkBreaker{simulation: w, kind: kind, breakAt: at, known: map[*simPipe]bool{}}
 }
 
 // watch stands in the way of all messages of links that are new.
 func (b *linkBreaker) watch() {
-	for _, p := range b.w.all {
+	for _, p := range b.simulation.connections {
 		if b.known[p] {
 			continue
 		}
@@ -65,12 +66,12 @@
 }
 
 func (b *linkBreaker) message(deliver func(*simPipe, Caller, link.Kind, []byte), side *simPipe, m Caller, kind link.Kind, body []byte) {
-	if b.w.hook == nil { // the life is over: what follows is the account of it
+	if b.simulation.beforeStep == nil { // the life is over: what follows is the account of it
 		deliver(side, m, kind, body)
 		return
 	}
 	b.seen++
-	if b.seen != b.at {
+	if b.seen != b.breakAt {
 		deliver(side, m, kind, body)
 		return
 	}
@@ -91,32 +92,34 @@
 		return
 	}
 	b.broken = nil
-	b.w.after(b.w.delay(), func() {
+	b.simulation.after(b.simulation.delay(), func() {
 		if !side.open {
 			return
 		}
 		b.repeats++
 		var nobody Caller // who asked has its answer, or has given up
 		if again.call {
-			nobody = replied(func([]byte) {})
+			nobody = callerFunc(func([]byte) {})
 		}
 		deliver(side, nobody, again.kind, again.body)
 	})
 }
 
-// sentAgain tells of the kinds that may be sent again or be late. An item that is handed out is not: it would run again.
+// sentAgain tells of the kinds that may be sent again or be late. An item that is handed out is
+// not: it would run again.
 func sentAgain(kind link.Kind) bool { return kind != kindAssignItem }
 
 // playBroken plays the life of a few jobs, one link of which breaks.
-func playBroken(kind breakKind, at int) (*world, *linkBreaker) {
-	w := newWorld(uint64(at), 3+at%2, 1, 4)
+func playBroken(kind breakKind, at int) (*simulation, *linkBreaker) {
+	w := newSimulation(uint64(at), 3+at%2, 1, 4)
 	b := newLinkBreaker(w, kind, at)
-	life(w, b.watch)
+	playScenario(w, b.watch)
 	return w, b
 }
 
-// TestLinkBreaksAtEachMessage breaks the links between stores, and between stores and proxies, at each message of a life of jobs:
-// before it, behind it, and so that it comes again over the next link. No promise is broken: no job, result, end or grant counts twice.
+// TestLinkBreaksAtEachMessage breaks the links between stores, and between stores and proxies, at
+// each message of a life of jobs: before it, behind it, and so that it comes again over the next
+// link. No promise is broken: no job, result, end or grant counts twice.
 func TestLinkBreaksAtEachMessage(t *testing.T) {
 	step := repeatSteps
 	if os.Getenv("BATCH_REPEATS") != "" {
@@ -130,11 +133,11 @@
 			lives++
 			repeats += b.repeats
 			hits[b.hit]++
-			if !check(t, w, fmt.Sprintf("%v message %d, of kind %d", kind, at, b.hit)) {
+			if !reportViolations(t, w, fmt.Sprintf("%v message %d, of kind %d", kind, at, b.hit)) {
 				return
 			}
-			if w.served < 7 {
-				t.Fatalf("%v message %d: only %d results", kind, at, w.served)
+			if w.resultsRead < 7 {
+				t.Fatalf("%v message %d: only %d results", kind, at, w.resultsRead)
 			}
 		}
 	}
--- a/internal/batch/wrong_test.go
+++ b/internal/batch/mutants_test.go
@@ -8,136 +8,137 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// The wrong lines would break what docs/batch.md promises, one at a time. The tests have to find each of them.
+// Each mutant would break what docs/batch.md guarantees, and the tests have to find it.
 
-// wrongReplication are those that the lives of TestEachStep have to find, and TestUnsureIsNoPromise.
-var wrongReplication = []mutation.Mutant{
+// replicationMutants are those that replicationTests have to find: tests of whole simulated systems.
+var replicationMutants = []mutation.Mutant{
 	{
-		Name: "a copy follows a primary that has been replaced",
+		Name: "a replica follows a primary that has been replaced",
 		File: "confirmation.go",
 		Old:  "	if term >= known {\n",
 		New:  "	if term >= known || true {\n",
 	},
 	{
-		Name: "a copy acknowledges before its disk has it",
+		Name: "a replica acknowledges before the operation is durable",
 		File: "replication.go",
 		Old:  "	c.afterSync(acknowledge)\n",
 		New:  "	acknowledge()\n",
 	},
 	{
-		Name: "a new primary goes on with what it has itself",
+		Name: "a new primary continues with its own state",
 		File: "takeover.go",
 		Old:  "if replica.position.after(bestPosition) {",
 		New:  "if replica.position.after(bestPosition) && false {",
 	},
 	{
-		Name: "a new primary asks nobody",
+		Name: "a new primary collects no promises",
 		File: "takeover.go",
 		Old:  "	need := len(primary.replicas) - c.maxLostReplicas\n",
 		New:  "	need := 1\n",
 	},
 	{
-		Name: "one disk is enough",
+		Name: "one durable replica is enough",
 		File: "replication.go",
 		Old:  "	need := c.maxLostReplicas + 1\n",
 		New:  "	need := 1\n",
 	},
 	{
-		Name: "a primary answers that may have been replaced",
+		Name: "a primary answers without a confirmation",
 		File: "confirmation.go",
 		Old:  "return c.nowMs-primary.confirmedAt <= confirmationMs",
 		New:  "return true",
 	},
 	{
-		Name: "the owner of a quota forgets what it granted",
+		Name: "the owner of a quota forgets its grants",
 		File: "quotaowner.go",
 		Old:  "	usage.grants = append(usage.grants, tokenGrant{request.number, request.tokens})\n",
 		New:  "",
 	},
 	{
-		Name: "a new owner of a quota does not count anew",
+		Name: "a new owner of a quota does not collect the usage",
 		File: "quotaowner.go",
 		Old:  "len(missing) > 0 {\n		if c.nowMs-account.usageRequestedAt",
 		New:  "len(missing) > 1<<20 {\n		if c.nowMs-account.usageRequestedAt",
 	},
 	{
-		Name: "a position may be read before it is on enough disks",
+		Name: "a result may be read before it is committed",
 		File: "reads.go",
 		Old:  "	return j.readableResults\n",
 		New:  "	return len(j.results)\n",
 	},
 	{
-		Name: "what may have been kept is answered as if it had not",
+		Name: "a job that may be stored is answered as refused",
 		File: "calls.go",
 		Old:  "		replyCode(caller, codeUnknown)\n",
 		New:  "		replyCode(caller, codeUnavailable)\n",
 	},
 	{
-		Name: "a segment goes with the jobs in it",
+		Name: "a segment is removed with the live jobs in it",
 		File: "space.go",
 		Old:  "if j := p.jobs[id]; j.hasBytesIn(oldest) && !c.rewriteJob(p, j) {",
 		New:  "if j := p.jobs[id]; false && !c.rewriteJob(p, j) {",
 	},
 }
 
-// wrongMembers are those about stores that stop, retire, run full or start again, for which there are tests of their own.
-var wrongMembers = []mutation.Mutant{
+// membershipMutants are about stores that stop, retire, run full or start again. membershipTests
+// have to find them.
+var membershipMutants = []mutation.Mutant{
 	{
-		Name: "a store that stops tells nobody",
+		Name: "a store that stops does not announce it",
 		File: "draining.go",
 		Old:  "known && c.table.Stopping[c.self] != c.stopping {",
 		New:  "known && c.table.Stopping[c.self] {",
 	},
 	{
-		Name: "a store that stops takes jobs",
+		Name: "a store that stops accepts jobs",
 		File: "calls.go",
 		Old:  "	if c.stopping || err != nil {\n",
 		New:  "	if err != nil {\n",
 	},
 	{
-		Name: "a store ends before others lead",
+		Name: "a store ends before others are primaries",
 		File: "draining.go",
 		Old:  "	if !c.stopping || c.primaryCount() > 0 {\n",
 		New:  "	if !c.stopping {\n",
 	},
 	{
-		Name: "a store that stops may lead",
+		Name: "a store that stops may become a primary",
 		File: "placement.go",
 		Old:  "	case a.next.Stopping[id]:\n		return reluctanceStopping\n",
 		New:  "",
 	},
 	{
-		Name: "a store that is back stays marked",
+		Name: "a store that is back stays marked as stopping",
 		File: "draining.go",
 		Old:  "c.table.Stopping[c.self] != c.stopping {",
 		New:  "!c.table.Stopping[c.self] && c.stopping {",
 	},
 	{
-		Name: "a retiring store still holds parts",
+		Name: "a retirement is finished while the store has replicas",
 		File: "retirement.go",
 		Old:  "if slices.Contains(row.Replicas, id) || slices.Contains(row.Joining, id) || len(row.Replicas) < f+1 {",
 		New:  "if len(row.Replicas) < f+1 {",
 	},
 	{
-		Name: "a group is switched before it has all",
+		Name: "a group is switched before it is up to date",
 		File: "replication.go",
 		Old:  "if !primary.nextGroupReady && c.joinersUpToDate(primary) && next >= max(primary.committed, primary.startSequence) {",
 		New:  "if !primary.nextGroupReady {",
 	},
 	{
-		Name: "a wiped store of a retiring machine stays",
+		Name: "a store of a retiring machine with a new disk stays",
 		File: "placement.go",
 		Old:  "!known && machineRetiring(current, store) {",
 		New:  "!known && false {",
 	},
 	{
-		Name: "a segment goes with the claims in it",
+		Name: "a segment is removed with the positions in it",
 		File: "space.go",
 		Old:  "		if p.position.term > 0 {\n",
 		New:  "		if p.position.term > 1<<62 {\n",
 	},
 	{
-		Name: "a segment that was cut is used",
+		Name: "a segment that was cut short is used",
 		File: "segments.go",
 		Old:  "last.Size() < want {",
 		New:  "last.Size() < 0*want {",
@@ -149,36 +150,47 @@
 		New:  "",
 	},
 	{
-		Name: "a full copy is not asked",
+		Name: "full replicas are ignored",
 		File: "calls.go",
 		Old:  "	if !c.hasCapacity(len(encoded)) || primary.anyReplicaFull() {\n",
 		New:  "	if !c.hasCapacity(len(encoded)) {\n",
 	},
 	{
-		Name: "jobs are taken until the disk is full",
+		Name: "jobs are accepted until the disk is full",
 		File: "space.go",
 		Old:  "	return needed <= c.logCapacity*maxLivePercent/100\n",
 		New:  "	return needed >= 0\n",
 	},
 }
 
-var onlyWrong = flag.String("wrong", "1", "which wrong lines: a part of a name; 1 for all, nothing for none")
+var onlyMutants = flag.String("wrong", "1", "which mutants: a part of a name; 1 for all, nothing for none")
 
-// TestWrongLinesStand fails when a line of the lists no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) {
-	mutation.CheckPresent(t, wrongReplication)
-	mutation.CheckPresent(t, wrongMembers)
+// The tests that have to find the mutants of the two lists.
+const (
+	replicationTests = "TestPromisesHoldWithAFaultAtEachStep|TestUncommittedJob"
+	membershipTests  = "TestDrain|TestStopping|TestRetirement|TestTwoStoresRetire|TestStoreThatLosesItsDisk|TestSegments|" +
+		"TestDamagedSegments|TestStoreDoesNotStart|TestFull|TestJobIsRefusedWhile|TestClientsOfFull|TestPositionsAndPromises"
+)
+
+// TestMutantsStand fails when the text of a mutant does not stand once in the file that it names.
+func TestMutantsStand(t *testing.T) {
+	mutation.CheckPresent(t, replicationMutants)
+	mutation.CheckPresent(t, membershipMutants)
 }
 
-// TestWrongLines: each mistake that is put in on purpose is found.
-func TestWrongLines(t *testing.T) {
-	if testing.Short() || *onlyWrong == "" {
+// TestMutantsAreFound puts each mutant into the sources and expects its tests to fail.
+func TestMutantsAreFound(t *testing.T) {
+	if testing.Short() || *onlyMutants == "" {
 		t.Skip("not asked for")
 	}
-	find := func(lines []mutation.Mutant, tests string) {
-		mutation.Find(t, lines, mutation.Options{Only: *onlyWrong, Args: []string{"-run", tests, "-steps.every=37", "-wrong="},
-			Within: 4 * time.Minute, Parallel: true})
+	find := func(mutants []mutation.Mutant, tests string) {
+		mutation.Find(t, mutants, mutation.Options{
+			Only:     *onlyMutants,
+			Args:     []string{"-run", tests, "-steps.every=37", "-wrong="},
+			Within:   4 * time.Minute,
+			Parallel: true,
+		})
 	}
-	find(wrongReplication, "TestEachStep|TestUnsure")
-	find(wrongMembers, "TestHandOver|TestStopping|TestRetire|TestSegments|TestDamaged|TestFull|TestClaims")
+	find(replicationMutants, replicationTests)
+	find(membershipMutants, membershipTests)
 }
--- a/internal/batch/assign_test.go
+++ b/internal/batch/placement_test.go
@@ -17,7 +17,7 @@
 
 func none(uint64) bool { return false }
 
-func TestFirstTable(t *testing.T) {
+func TestFirstTableSpreadsReplicasOverZones(t *testing.T) {
 	for _, f := range []int{0, 1, 2} {
 		for n := 1; n <= 8; n++ {
 			next, ok := AssignPartitions(nil, someStores(n, 3), none, 16, f)
@@ -54,18 +54,18 @@
 	}
 }
 
-// TestAssignComesToRest: whatever is lost, the tables that follow come to rest, and no step takes more from a group than
-// is safe.
-func TestAssignComesToRest(t *testing.T) {
+// TestAssignmentsBecomeStable: whatever is lost, the tables that follow come to rest, and no step
+// takes more from a group than is safe.
+func TestAssignmentsBecomeStable(t *testing.T) {
 	for _, f := range []int{1, 2} {
 		for n := f + 2; n <= 7; n++ {
 			for away := range n {
 				all := someStores(n, 3)
 				cur, _ := AssignPartitions(nil, all, none, 8, f)
-				cur = settleTable(t, cur, all, none, f)
+				cur = assignUntilStable(t, cur, all, none, f)
 				lost := func(id uint64) bool { return id == uint64(away+1) }
 				rest := slices.DeleteFunc(slices.Clone(all), func(s snapshot.Store) bool { return lost(s.ID) })
-				end := settleTable(t, cur, rest, lost, f)
+				end := assignUntilStable(t, cur, rest, lost, f)
 				for no, row := range end.Partitions {
 					if lost(row.Primary) {
 						t.Fatalf("f %d, %d stores: part %d is led by the lost one", f, n, no)
@@ -76,7 +76,7 @@
 				}
 				// The same machine comes with an empty disk.
 				back := append(slices.Clone(rest), snapshot.Store{ID: 100, Name: all[away].Name, Addr: all[away].Addr, Zone: all[away].Zone})
-				end = settleTable(t, end, back, lost, f)
+				end = assignUntilStable(t, end, back, lost, f)
 				for no, row := range end.Partitions {
 					if len(row.Replicas) != f+2 || slices.ContainsFunc(row.Replicas, lost) {
 						t.Fatalf("f %d, %d stores: part %d after the return: %v", f, n, no, row)
@@ -91,7 +91,7 @@
 				if few {
 					continue
 				}
-				next = settleTable(t, next, back, lost, f)
+				next = assignUntilStable(t, next, back, lost, f)
 				if _, done := RetirementState(next, name, f); !done {
 					t.Fatalf("f %d, %d stores: %s is not empty: %v", f, n, name, next.Partitions)
 				}
@@ -100,7 +100,7 @@
 	}
 }
 
-func settleTable(t *testing.T, cur *snapshot.PartitionTable, alive []snapshot.Store, lost func(uint64) bool, f int) *snapshot.PartitionTable {
+func assignUntilStable(t *testing.T, cur *snapshot.PartitionTable, alive []snapshot.Store, lost func(uint64) bool, f int) *snapshot.PartitionTable {
 	t.Helper()
 	for range 200 {
 		next, changed := AssignPartitions(cur, alive, lost, 8, f)
--- a/internal/batch/batch_test.go
+++ b/internal/batch/proxy_test.go
@@ -40,8 +40,8 @@
 	return &operatorconfig.Config{Version: 1, Routes: []operatorconfig.Route{{Name: "b", Host: "h.example", PathPrefix: "/b/", Kind: operatorconfig.Bulk, DueMs: 5000, MaxAttempts: 2, MaxWaitMs: 60000, MaxQueuedTokens: most}}}
 }
 
-// TestOverLinks hands in a job, runs it and reads it over real connections.
-func TestOverLinks(t *testing.T) {
+// TestJobsAreRunAndReadOverRealLinks hands in a job, runs it and reads it over real connections.
+func TestJobsAreRunAndReadOverRealLinks(t *testing.T) {
 	var stores []*Store
 	var all []snapshot.Store
 	var dirs []string
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestJoined: a text goes on only with the event after its newest one.
-func TestJoined(t *testing.T) {
+// TestEventTextAcceptsOnlyTheNextEvent: a text goes on only with the event after its newest one.
+func TestEventTextAcceptsOnlyTheNextEvent(t *testing.T) {
 	for _, c := range []struct {
 		ids   string
 		wrong bool
@@ -187,8 +187,8 @@
 	return run(last, event)
 }
 
-// TestWorkerRuns: breaks, wrong joins, failures and what can never be done.
-func TestWorkerRuns(t *testing.T) {
+// TestWorkerRetriesItemsByTheEndOfTheirRuns: breaks, wrong joins, failures and what can never be done.
+func TestWorkerRetriesItemsByTheEndOfTheirRuns(t *testing.T) {
 	play := func(end RunEnd, ids ...string) func(string, func(string, []byte)) RunResult {
 		return func(last string, event func(string, []byte)) RunResult {
 			if len(ids) > 0 && ids[0] == "after" {
--- a/internal/batch/segments_test.go
+++ b/internal/batch/segments_test.go
@@ -28,9 +28,9 @@
 	return o, err
 }
 
-// segmentScript appends three records to each of four segments, and removes the oldest segment twice on the way. It ends
-// at the first error. Appended is all that it has written, durable how much of that is promised, and removed how much of
-// it may be gone.
+// segmentScript appends three records to each of four segments, and removes the oldest segment
+// twice on the way. It ends at the first error. Appended is all that it has written, durable how
+// much of that is promised, and removed how much of it may be gone.
 func segmentScript(d *vfstest.Disk) (appended []string, durable, removed int) {
 	log, err := openSegments(d)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return appended, durable, removed
 }
 
-// TestSegmentsAfterPowerLoss: whatever a loss of power at any step leaves, what was durable is there and in order, and the
-// log can be appended to and read back.
+// TestSegmentsAfterPowerLoss: whatever a loss of power at any step leaves, what was durable is
+// there and in order, and the log can be appended to and read back.
 func TestSegmentsAfterPowerLoss(t *testing.T) {
 	whole := vfstest.New()
 	if _, durable, removed := segmentScript(whole); durable != 12 || removed != 6 {
@@ -118,8 +118,9 @@
 	}
 }
 
-// TestDamagedSegments: a segment that is missing, cut or changed after it was synced is found, and the log not used.
-func TestDamagedSegments(t *testing.T) {
+// TestDamagedSegmentsAreRefused: a segment that is missing, cut or changed after it was synced is
+// found, and the log not used.
+func TestDamagedSegmentsAreRefused(t *testing.T) {
 	build := func() *vfstest.Disk {
 		d := vfstest.New()
 		log, err := openSegments(d)
--- a/internal/batch/steady_test.go
+++ b/internal/batch/space_test.go
@@ -15,18 +15,18 @@
 // boundedDisk is a simDisk that never holds more than its size.
 type boundedDisk struct {
 	*simDisk
-	bytes int64
-	most  int64 // ever held
-	moved int64 // appended
+	bytes    int64 // its size
+	maxUsed  int64
+	appended int64
 }
 
 func (d *boundedDisk) Append(b []byte) (int64, error) {
 	if d.Size()+int64(len(b)) > d.bytes {
 		return 0, errors.New("no space left on device")
 	}
-	d.moved += int64(len(b))
+	d.appended += int64(len(b))
 	at, err := d.simDisk.Append(b)
-	d.most = max(d.most, d.Size())
+	d.maxUsed = max(d.maxUsed, d.Size())
 	return at, err
 }
 
@@ -39,11 +39,13 @@
 )
 
 // newSteadyRig has nine stores with small disks.
-func newSteadyRig(t *testing.T) (*scaleRig, []*boundedDisk) {
-	scaleBody, scaleText = bytes.Repeat([]byte("b"), steadyBody), bytes.Repeat([]byte("t"), steadyText)
-	t.Cleanup(func() { scaleBody, scaleText = bytes.Repeat([]byte("b"), 1000), bytes.Repeat([]byte("t"), 500) })
+func newSteadyRig(t *testing.T) (*storeRig, []*boundedDisk) {
+	t.Helper()
+	body, text := rigBody, rigText
+	t.Cleanup(func() { rigBody, rigText = body, text })
+	rigBody, rigText = bytes.Repeat([]byte("b"), steadyBody), bytes.Repeat([]byte("t"), steadyText)
 	var disks []*boundedDisk
-	g := newScaleRigOn(9, 8, 4, 100, func() disk {
+	g := newStoreRigOn(9, 8, 4, 100, func() disk {
 		d := &boundedDisk{simDisk: &simDisk{}, bytes: steadyDisk}
 		disks = append(disks, d)
 		return d
@@ -56,41 +58,25 @@
 	return g, disks
 }
 
-// hand hands a job in and returns the code of its answer.
-func (g *scaleRig) hand(id string, items int) (code uint8) {
-	c := g.cores[g.cores[0].table.Partitions[g.cores[0].table.PartitionOf(id)].Primary-1]
-	g.clock()
-	c.handleMessage(nil, replied(func(b []byte) { code = b[0] }), kindAcceptJob, scaleLot(id, items, g.now/1000))
-	for range 20 {
-		g.settle()
-		if code != 0 {
-			return code
-		}
-		g.now += 25_000
-	}
-	return code
-}
-
 // step lets a ms pass, in which items end at the rig's pace.
-func (g *scaleRig) step(ms int64) {
+func (g *storeRig) step(ms int64) {
 	for range ms / 10 {
 		g.now += 10_000
-		for n := 10_000 / g.pace; n > 0 && len(g.running) > 0; n-- {
-			f := g.running[0]
-			g.running = g.running[1:]
-			f()
+		for n := 10_000 / g.itemMicros; n > 0 && len(g.running) > 0; n-- {
+			g.endOldestItem()
 		}
-		g.settle()
+		g.deliverAll()
 	}
 }
 
-// TestTenSteadyMinutes: at a steady rate the stores take all jobs for ten minutes, and their disks hold what must stay.
-func TestTenSteadyMinutes(t *testing.T) {
+// TestSpaceIsReclaimedAtASteadyRate: at a steady rate the stores take all jobs for ten minutes, and
+// their disks hold what must stay.
+func TestSpaceIsReclaimedAtASteadyRate(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	jobs, begin := 0, g.now
 	for g.now-begin < 600e6 {
 		jobs++
-		if code := g.hand(fmt.Sprint("job-", jobs), steadyItems); code != codeOK {
+		if code := g.submit(fmt.Sprint("job-", jobs), steadyItems); code != codeOK {
 			t.Fatalf("job %d, after %d s: code %d", jobs, (g.now-begin)/1e6, code)
 		}
 		g.step(steadyEveryMs)
@@ -99,11 +85,11 @@
 		}
 	}
 	for i, d := range disks {
-		if d.dropped == 0 || d.most > steadyDisk*85/100 {
-			t.Errorf("store %d held %d bytes at most, and gave %d segments back", i+1, d.most, d.dropped)
+		if d.droppedSegments == 0 || d.maxUsed > steadyDisk*85/100 {
+			t.Errorf("store %d held %d bytes at most, and gave %d segments back", i+1, d.maxUsed, d.droppedSegments)
 		}
-		if jobs := g.cores[i].liveBytes; d.moved > 3*jobs*600/123 {
-			t.Errorf("store %d appended %d bytes, while %d bytes of jobs stayed", i+1, d.moved, jobs)
+		if jobs := g.cores[i].liveBytes; d.appended > 3*jobs*600/123 {
+			t.Errorf("store %d appended %d bytes, while %d bytes of jobs stayed", i+1, d.appended, jobs)
 		}
 	}
 	t.Logf("%d jobs, the fullest disk held %d of %d bytes", jobs, fullest(disks), steadyDisk)
@@ -111,23 +97,19 @@
 
 func fullest(disks []*boundedDisk) (most int64) {
 	for _, d := range disks {
-		most = max(most, d.most)
+		most = max(most, d.maxUsed)
 	}
 	return most
 }
 
 // checkReadable reads a job whole.
-func (g *scaleRig) checkReadable(t *testing.T, id string, items int) {
+func (g *storeRig) checkReadable(t *testing.T, id string, items int) {
 	t.Helper()
-	c := g.cores[g.cores[0].table.Partitions[g.cores[0].table.PartitionOf(id)].Primary-1]
-	var b link.Writer
-	b.String(id)
-	b.Int(0)
-	b.Int(0)
+	c := g.primaryOf(id)
 	var answer []byte
-	c.handleMessage(nil, replied(func(b []byte) { answer = bytes.Clone(b) }), kindReadResults, b.Buf)
+	c.handleMessage(nil, callerFunc(func(b []byte) { answer = bytes.Clone(b) }), kindReadResults, encodeReadResults(id, 0, 0))
 	for range 5 {
-		g.settle()
+		g.deliverAll()
 	}
 	r := link.Reader{Buf: answer}
 	if code, total, n := r.U8(), int(r.U32()), r.Count(9); code != codeOK || total != items || n != items {
@@ -135,16 +117,17 @@
 	}
 }
 
-// TestFullStores: at three times the rate that the disks bear, jobs are refused at once and as such, no disk runs full, and
-// what was taken is read whole; at the old rate all are taken again.
-func TestFullStores(t *testing.T) {
+// TestFullStoresRefuseJobsAndRecover: at three times the rate that the disks bear, jobs are refused
+// at once and as such, no disk runs full, and what was taken is read whole; at the old rate all are
+// taken again.
+func TestFullStoresRefuseJobsAndRecover(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	codes := map[uint8]int{}
 	taken, jobs := "", 0
 	for begin := g.now; g.now-begin < 300e6; {
 		jobs++
 		at := g.now
-		code := g.hand(fmt.Sprint("job-", jobs), steadyItems)
+		code := g.submit(fmt.Sprint("job-", jobs), steadyItems)
 		codes[code]++
 		switch code {
 		case codeOK:
@@ -167,15 +150,16 @@
 	g.step(130_000)
 	for range 200 {
 		jobs++
-		if code := g.hand(fmt.Sprint("job-", jobs), steadyItems); code != codeOK {
+		if code := g.submit(fmt.Sprint("job-", jobs), steadyItems); code != codeOK {
 			t.Fatalf("job %d, at the old rate: code %d", jobs, code)
 		}
 		g.step(steadyEveryMs)
 	}
 }
 
-// TestFullCopy: a job is refused as well when one of those that would hold it has no room.
-func TestFullCopy(t *testing.T) {
+// TestJobIsRefusedWhileAReplicaIsFull: a job is refused as well when one of those that would hold
+// it has no room.
+func TestJobIsRefusedWhileAReplicaIsFull(t *testing.T) {
 	g, _ := newSteadyRig(t)
 	g.step(1000)
 	table := g.cores[0].table
@@ -185,40 +169,36 @@
 		full = g.cores[row.Replicas[1]-1]
 	}
 	for i := 0; full.liveBytes == 0; i++ {
-		g.hand(fmt.Sprint("job-", i), 1)
+		g.submit(fmt.Sprint("job-", i), 1)
 	}
 	room := full.logCapacity
 	full.logCapacity = 1
 	g.step(1000)
 	g.read("job") // a read is confirmed by the copies, which say that they are full
-	if code := g.hand("job", 1); code != codeLogFull {
+	if code := g.submit("job", 1); code != codeLogFull {
 		t.Errorf("with a full copy: code %d", code)
 	}
 	full.logCapacity = room
 	g.step(1000)
 	g.read("job")
-	if code := g.hand("job", 1); code != codeOK {
+	if code := g.submit("job", 1); code != codeOK {
 		t.Errorf("with room again: code %d", code)
 	}
 }
 
 // read reads a job and waits until the copies have answered.
-func (g *scaleRig) read(id string) {
-	c := g.cores[g.cores[0].table.Partitions[g.cores[0].table.PartitionOf(id)].Primary-1]
-	var b link.Writer
-	b.String(id)
-	b.Int(0)
-	b.Int(0)
-	c.handleMessage(nil, replied(func([]byte) {}), kindReadResults, b.Buf)
+func (g *storeRig) read(id string) {
+	c := g.primaryOf(id)
+	c.handleMessage(nil, callerFunc(func([]byte) {}), kindReadResults, encodeReadResults(id, 0, 0))
 	g.step(1000)
 }
 
-// TestClaimsOutliveSegments: what a store promised and claimed, and its jobs, are the same after each segment but the
-// newest has been given back and the store has started again.
-func TestClaimsOutliveSegments(t *testing.T) {
+// TestPositionsAndPromisesOutliveSegments: what a store promised and claimed, and its jobs, are the
+// same after each segment but the newest has been given back and the store has started again.
+func TestPositionsAndPromisesOutliveSegments(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	for i := range 40 {
-		if code := g.hand(fmt.Sprint("job-", i), steadyItems); code != codeOK {
+		if code := g.submit(fmt.Sprint("job-", i), steadyItems); code != codeOK {
 			t.Fatalf("code %d", code)
 		}
 		g.step(steadyEveryMs)
@@ -231,14 +211,8 @@
 			c.reclaimOldest(oldest)
 		}
 		again := newCore(0, disks[i])
-		for _, r := range disks[i].recs {
-			b, err := disks[i].ReadRaw(r.at, r.n)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := again.replay(b, r.at); err != nil {
-				t.Fatal(err)
-			}
+		if err := disks[i].replayInto(again); err != nil {
+			t.Fatal(err)
 		}
 		for no, p := range c.partitions {
 			q := again.partition(no)
@@ -258,8 +232,9 @@
 	}
 }
 
-// TestFullStoresSaySo: a client whose job is refused for want of room hears so at once, and when to come again.
-func TestFullStoresSaySo(t *testing.T) {
+// TestClientsOfFullStoresAreToldWhenToRetry: a client whose job is refused for want of room hears
+// so at once, and when to come again.
+func TestClientsOfFullStoresAreToldWhenToRetry(t *testing.T) {
 	g := newStoreGroup(t, 10)
 	views := &snapshot.Latest{}
 	views.Set(&snapshot.Snapshot{Config: bulkConfig(0), Table: g.table})
--- a/internal/batch/reconnect_test.go
+++ b/internal/batch/workers_test.go
@@ -7,9 +7,9 @@
 )
 
 // What a worker has in hand when its link breaks waits for it: it runs on, and its item would run twice.
-func TestBrokenLinkOfAWorker(t *testing.T) {
+func TestItemsWaitForTheirWorkerToReconnect(t *testing.T) {
 	for _, back := range []bool{true, false} {
-		g := newScaleRig(3, 1, 4, 1000)
+		g := newStoreRig(3, 1, 4, 1000)
 		given := map[string]int{}
 		g.accept(t, "j", 1)
 		c := g.cores[0]
@@ -26,16 +26,12 @@
 		old := it.worker
 		c.connectionClosed(old.pipe)
 		attach := func() {
-			w := g.connect(func(_ *scaleEnd, kind link.Kind, _ []byte) {
+			w := g.connect(func(_ *rigPipe, kind link.Kind, _ []byte) {
 				if kind == kindAssignItem {
 					given["again"]++
 				}
-			}, func(e *scaleEnd, kind link.Kind, body []byte) { c.handleMessage(e, nil, kind, body) })
-			var b link.Writer
-			b.String("w0")
-			b.String("z0")
-			b.Int(4)
-			_ = w.Send(kindAttachWorker, b.Buf)
+			}, func(e *rigPipe, kind link.Kind, body []byte) { c.handleMessage(e, nil, kind, body) })
+			_ = w.Send(kindAttachWorker, encodeAttachWorker("w0", "z0", 4))
 			if back {
 				var h link.Writer
 				h.U32(uint32(p.index))
@@ -49,7 +45,7 @@
 		attach()
 		for range 900 {
 			g.now += 1000
-			g.settle()
+			g.deliverAll()
 			c.tick()
 		}
 		if given["again"] != 0 {
@@ -60,7 +56,7 @@
 		}
 		for range 400 {
 			g.now += 1000
-			g.settle()
+			g.deliverAll()
 			c.tick()
 		}
 		if want := map[bool]int{true: 0, false: 1}[back]; given["again"] != want {
