--- a/internal/lab/faults/memory.go
+++ b/internal/lab/faults/memory.go
@@ -43,7 +43,7 @@
 func (m *Memory) Listen(at netip.AddrPort) (fleet.Transport, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for i := range m.nodes {
+	for i := range m.size {
 		if m.Address(i) != at {
 			continue
 		}
