--- a/internal/control/controlclient/doc.go
+++ b/internal/control/controlclient/doc.go
@@ -9,7 +9,7 @@
 //     keeper sends them (invariant versions_in_force_never_go_back).
 //   - An endpoint that is draining or has ended never becomes ready again (invariant
 //     drained_endpoints_never_become_ready).
-//   - An update is acknowledged after it is in force, never before.
+//   - An update is acknowledged once all of it that this program can parse is in force, never before.
 //   - A keeper without contact with a majority neither confirms certificates nor says what the registers hold.
 //
 // # Compatibility
--- a/internal/control/controlclient/update.go
+++ b/internal/control/controlclient/update.go
@@ -20,8 +20,8 @@
 	// InContact says that a majority has answered the keeper recently. Without, the update says nothing of what the
 	// registers hold: no configuration, no table and no certificates.
 	InContact bool
-	// EndpointsComplete says that the keeper has collected heartbeats for a whole interval, so that an endpoint missing in
-	// its list has ended.
+	// EndpointsComplete says that the keeper has heard heartbeats for two heartbeat intervals without a break, so that an
+	// endpoint missing in its list has ended.
 	EndpointsComplete bool
 	// Proxies is the number of processes that send requests to endpoints; 0: not in it.
 	Proxies int
