--- a/internal/consensus/paxos/golden_test.go
+++ b/internal/consensus/paxos/golden_test.go
@@ -2,45 +2,29 @@
 
 import (
 	"encoding/hex"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 
+	"dunetide/internal/lab/golden"
 	"dunetide/internal/platform/link"
 )
 
-// updateGolden writes the golden files anew. They are what running nodes send and what disks hold: they change only
-// with a new format, never with a change of the code.
-var updateGolden = flag.Bool("update-golden", false, "write testdata/golden from this code")
-
-// golden compares the encoding of a value with the bytes of a file, decodes those bytes and encodes the result again.
-func golden(t *testing.T, name string, encode func() []byte, again func(b []byte) []byte) {
+// testGolden compares the encoding of a value with the bytes of a file, decodes those bytes and encodes the result again.
+// The files are what running nodes send and what disks hold: they never change.
+func testGolden(t *testing.T, name string, encode func() []byte, again func(b []byte) []byte) {
 	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".hex")
-	if *updateGolden {
-		if err := os.WriteFile(path, []byte(hex.EncodeToString(encode())+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	file := name + ".hex"
+	golden.Compare(t, file, hexLine(encode()))
+	want, err := hex.DecodeString(strings.TrimSpace(string(golden.Read(t, file))))
 	if err != nil {
-		t.Fatalf("%s: %v", path, err)
-	}
-	if got := encode(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: encoded as %x, want %x", name, got, want)
-	}
-	if got := again(want); !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: read and encoded again as %x, want %x", name, got, want)
+		t.Fatalf("%s: %v", file, err)
 	}
+	golden.Compare(t, file, hexLine(again(want)))
 }
 
+func hexLine(b []byte) []byte { return []byte(hex.EncodeToString(b) + "\n") }
+
 // goldenState has a distinct value in each field.
 func goldenState() State {
 	return State{
@@ -55,14 +39,14 @@
 	}
 }
 
-// TestGoldenState reads a state, as it stands within messages, saved payloads and the keeper's files.
+// TestGoldenState reads a state, as it is encoded within messages, saved records and the keeper's files.
 func TestGoldenState(t *testing.T) {
 	encode := func(s State) []byte {
 		w := &link.Writer{}
 		s.Append(w)
 		return w.Buf
 	}
-	golden(t, "state", func() []byte { return encode(goldenState()) }, func(b []byte) []byte {
+	testGolden(t, "state", func() []byte { return encode(goldenState()) }, func(b []byte) []byte {
 		r := &link.Reader{Buf: b}
 		s := ReadState(r)
 		if r.Err != nil || len(r.Buf) != 0 || !reflect.DeepEqual(s, goldenState()) {
@@ -74,24 +58,42 @@
 
 // TestGoldenMessages reads each kind of message between registers.
 func TestGoldenMessages(t *testing.T) {
-	names := map[messageKind]string{messageQuery: "query", messageQueryReply: "told", messagePrepare: "prepare", messagePromise: "promise", messageAccept: "accept",
-		messageAccepted: "accepted", messageReject: "reject", messageDecided: "decided", messageProgress: "have"}
-	for k, name := range names {
-		m := message{kind: k, sender: 0x8182838485868788, slot: 0x9192939495969798,
-			number: ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, reported: ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}}
-		if k == messageAccept || k == messageDecided || k == messagePromise {
+	files := map[messageKind]string{
+		messageQuery:      "query",
+		messageQueryReply: "told",
+		messagePrepare:    "prepare",
+		messagePromise:    "promise",
+		messageAccept:     "accept",
+		messageAccepted:   "accepted",
+		messageReject:     "reject",
+		messageDecided:    "decided",
+		messageProgress:   "have",
+	}
+	for kind, file := range files {
+		m := message{
+			kind:     kind,
+			sender:   0x8182838485868788,
+			slot:     0x9192939495969798,
+			number:   ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8},
+			reported: ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8},
+		}
+		if kind == messageAccept || kind == messageDecided || kind == messagePromise {
 			m.state = goldenState()
 		}
-		goldenMessage(t, "message-"+name, m)
+		testGoldenMessage(t, "message-"+file, m)
 	}
-	goldenMessage(t, "message-promise-nothing-accepted", message{kind: messagePromise, sender: 0x8182838485868788, slot: 0x9192939495969798,
-		number: ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}})
+	testGoldenMessage(t, "message-promise-nothing-accepted", message{
+		kind:   messagePromise,
+		sender: 0x8182838485868788,
+		slot:   0x9192939495969798,
+		number: ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8},
+	})
 }
 
-func goldenMessage(t *testing.T, file string, m message) {
+func testGoldenMessage(t *testing.T, file string, m message) {
 	t.Helper()
 	const register = "config"
-	golden(t, file, func() []byte { return m.encode(register) }, func(b []byte) []byte {
+	testGolden(t, file, func() []byte { return m.encode(register) }, func(b []byte) []byte {
 		name, got, err := decodeMessage(b)
 		if err != nil || name != register || !reflect.DeepEqual(got, m) {
 			t.Errorf("%s: read as %q, %+v, %v", file, name, got, err)
@@ -103,43 +105,49 @@
 	})
 }
 
-// TestGoldenRecords reads each kind of payload that Save stores, as a node does at its start.
+// TestGoldenRecords reads each kind of record that Save stores, as a node does at its start.
 func TestGoldenRecords(t *testing.T) {
-	low, high := ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}, ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}
+	low := ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}
+	high := ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}
 	next := goldenState()
 	next.Slot++
 	next.Value = []byte("the next value")
 	load := func(t *testing.T, saved ...[]byte) *Register {
 		t.Helper()
-		r, err := New(Options{Name: "config", ID: goldenState().Voters[0].ID, ProposerID: 1, Send: func(Voter, []byte) {}}, saved)
+		r, err := New(Options{
+			Name:       "config",
+			ID:         goldenState().Voters[0].ID,
+			ProposerID: 1,
+			Send:       func(Voter, []byte) {},
+		}, saved)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
 	start := encodeDecided(goldenState())
-	golden(t, "saved-decided", func() []byte { return encodeDecided(goldenState()) }, func(b []byte) []byte {
+	testGolden(t, "saved-decided", func() []byte { return encodeDecided(goldenState()) }, func(b []byte) []byte {
 		r := load(t, b)
 		if s, known := r.State(); !known || !reflect.DeepEqual(s, goldenState()) {
 			t.Errorf("decided: %+v, %v", s, known)
 		}
 		return r.Snapshot()[0]
 	})
-	golden(t, "saved-accepted", func() []byte { return encodeAccepted(low, next) }, func(b []byte) []byte {
+	testGolden(t, "saved-accepted", func() []byte { return encodeAccepted(low, next) }, func(b []byte) []byte {
 		r := load(t, start, b)
 		if r.acceptedNumber != low || r.promised != low || !reflect.DeepEqual(r.acceptedState, next) {
 			t.Errorf("accepted: %v, promised %v, %+v", r.acceptedNumber, r.promised, r.acceptedState)
 		}
 		return r.Snapshot()[1]
 	})
-	golden(t, "saved-promise", func() []byte { return encodePromise(next.Slot, high) }, func(b []byte) []byte {
+	testGolden(t, "saved-promise", func() []byte { return encodePromise(next.Slot, high) }, func(b []byte) []byte {
 		r := load(t, start, b)
 		if r.acceptedNumber != (ProposalNumber{}) || r.promised != high {
 			t.Errorf("promise: accepted %v, promised %v", r.acceptedNumber, r.promised)
 		}
 		return r.Snapshot()[1]
 	})
-	golden(t, "saved-chosen", func() []byte { return encodeChosen(next.Slot, low) }, func(b []byte) []byte {
+	testGolden(t, "saved-chosen", func() []byte { return encodeChosen(next.Slot, low) }, func(b []byte) []byte {
 		accepted := load(t, start, encodeAccepted(low, next))
 		short := accepted.decidedRecord(next)
 		r := load(t, start, encodeAccepted(low, next), b)
--- a/internal/consensus/reconfigure/enumeration_test.go
+++ b/internal/consensus/reconfigure/enumeration_test.go
@@ -11,15 +11,15 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// machine is a machine with a disk in the enumeration, or what is left of one in the voters.
+// modelMachine is a machine with a disk in the enumeration, or what is left of one among the voters.
 type modelMachine struct {
 	voter       bool  // its present identity is a voter
-	ghosts      uint8 // voters under its name whose disks are lost
+	lostVoters  uint8 // voters under its name whose disks are lost
 	up          bool
 	partitioned bool
 	removed     bool // it never comes back
 	storedAll   bool // it has stored all that was acknowledged
-	recovering  bool // it is back or new, and counts as lost until the world has settled
+	recovering  bool // it is back or new, and counts as lost until the repair
 	spare       bool // it came ahead of a planned replacement, and no machine has left for it yet
 }
 
@@ -42,14 +42,14 @@
 	texts := make([]string, len(w.machines))
 	for i, m := range w.machines {
 		bits := []bool{m.voter, m.up, m.partitioned, m.removed, m.storedAll, m.recovering, m.spare}
-		code := m.ghosts << 1
+		code := m.lostVoters << 1
 		for _, bit := range bits {
 			code <<= 1
 			if bit {
 				code |= 1
 			}
 		}
-		texts[i] = string([]byte{m.ghosts, code})
+		texts[i] = string([]byte{m.lostVoters, code})
 	}
 	slices.Sort(texts)
 	return fmt.Sprintf("%q", texts)
@@ -65,26 +65,27 @@
 	return n
 }
 
-// votersHeard counts the voters, those that are connected, and the connected ones that hold all that was acknowledged.
-func (w model) countVoters() (voters, heard, holders int) {
+// countVoters counts the voters, those that are connected, and the connected ones that have stored all that was
+// acknowledged.
+func (w model) countVoters() (voters, connected, complete int) {
 	for _, m := range w.machines {
-		voters += int(m.ghosts)
+		voters += int(m.lostVoters)
 		if !m.voter {
 			continue
 		}
 		voters++
 		if m.connected() {
-			heard++
+			connected++
 			if m.storedAll {
-				holders++
+				complete++
 			}
 		}
 	}
-	return voters, heard, holders
+	return voters, connected, complete
 }
 
 // situation is what the connected keepers know. Identities are in the order of the machines, or in the reverse one.
-func (w model) situation(unheardFor time.Duration, reverse bool, leaver int) Situation {
+func (w model) situation(unreachableFor time.Duration, reverse bool, leaver int) Situation {
 	s := Situation{Limits: Limits{w.maxFailures, 9, testUnresponsiveTimeout}}
 	for i, m := range w.machines {
 		id := uint64(1000 * (i + 1))
@@ -95,14 +96,14 @@
 		if m.voter {
 			voter := Voter{Voter: identity, Reachable: m.connected()}
 			if !voter.Reachable {
-				voter.UnreachableFor = unheardFor
+				voter.UnreachableFor = unreachableFor
 			}
 			s.Voters = append(s.Voters, voter)
 		}
-		for g := range m.ghosts {
+		for g := range m.lostVoters {
 			ghost := identity
 			ghost.ID += uint64(g) + 1
-			s.Voters = append(s.Voters, Voter{Voter: ghost, UnreachableFor: unheardFor})
+			s.Voters = append(s.Voters, Voter{Voter: ghost, UnreachableFor: unreachableFor})
 		}
 		if m.connected() {
 			s.Keepers = append(s.Keepers, Keeper{Voter: identity, CaughtUp: m.storedAll, Leaving: i == leaver})
@@ -111,9 +112,9 @@
 	return s
 }
 
-// changed gives the models that the next change of voters may lead to: it is done when some majority of the new voters
+// afterChange returns the models that the next change of voters may lead to: it is done when some majority of the new voters
 // has stored it.
-func (w model) changed(s Situation) []model {
+func (w model) afterChange(s Situation) []model {
 	change, found := NextChange(s)
 	if !found {
 		return nil
@@ -126,24 +127,24 @@
 			if change.Old.ID%1000 == 0 {
 				m.voter = false
 			} else {
-				m.ghosts--
+				m.lostVoters--
 			}
 		}
 		if change.New != nil && change.New.Name == name {
 			m.voter = true
 		}
 	}
-	next.forget()
-	return next.written()
+	next.dropRemoved()
+	return next.afterWrite()
 }
 
-// forget drops machines that neither come back nor vote.
-func (w *model) forget() {
-	w.machines = slices.DeleteFunc(w.machines, func(m modelMachine) bool { return m.removed && !m.voter && m.ghosts == 0 })
+// dropRemoved drops machines that neither come back nor vote.
+func (w *model) dropRemoved() {
+	w.machines = slices.DeleteFunc(w.machines, func(m modelMachine) bool { return m.removed && !m.voter && m.lostVoters == 0 })
 }
 
-// written gives a model for each least majority that may have stored a write when it is acknowledged.
-func (w model) written() []model {
+// afterWrite returns a model for each least majority that may have stored a write when it is acknowledged.
+func (w model) afterWrite() []model {
 	voters, _, _ := w.countVoters()
 	var connected []int
 	for i, m := range w.machines {
@@ -171,7 +172,7 @@
 	return all
 }
 
-func (w model) spread() model {
+func (w model) afterSpread() model {
 	next := w.clone()
 	for i := range next.machines {
 		if m := &next.machines[i]; m.connected() {
@@ -181,15 +182,15 @@
 	return next
 }
 
-// settled passes the time that a repair may take.
-func (w model) settled(reverse bool) model {
-	next := w.spread()
+// afterRepair passes the time that a repair may take.
+func (w model) afterRepair(reverse bool) model {
+	next := w.afterSpread()
 	for range 100 {
-		after := next.changed(next.situation(testUnresponsiveTimeout, reverse, -1))
+		after := next.afterChange(next.situation(testUnresponsiveTimeout, reverse, -1))
 		if len(after) == 0 {
 			break
 		}
-		next = after[0].spread()
+		next = after[0].afterSpread()
 	}
 	for i := range next.machines {
 		if next.machines[i].connected() {
@@ -199,43 +200,43 @@
 	return next
 }
 
-// handedOver is SIGTERM to a machine: it changes the voters with itself as leaving until it is none, before it ends.
-func (w model) left(leaver int, reverse bool) []model {
+// afterLeaving is SIGTERM to a machine: it changes the voters with itself as leaving until it is none, before it ends.
+func (w model) afterLeaving(leaver int, reverse bool) []model {
 	var after []model
 	if w.machines[leaver].voter {
-		after = w.changed(w.situation(0, reverse, leaver))
+		after = w.afterChange(w.situation(0, reverse, leaver))
 	}
 	if len(after) == 0 {
 		return []model{w.clone()}
 	}
 	var models []model
 	for _, next := range after {
-		models = append(models, next.spread().left(leaver, reverse)...)
+		models = append(models, next.afterSpread().afterLeaving(leaver, reverse)...)
 	}
 	return models
 }
 
-// step is a model that follows, and what led to it.
-type step struct {
+// successor is a model that follows, and the event that led to it.
+type successor struct {
 	event string
 	model model
 }
 
-// next are all models that may follow.
-func (w model) next() []step {
-	var steps []step
+// successors are all models that may follow.
+func (w model) successors() []successor {
+	var steps []successor
 	add := func(event string, models ...model) {
 		for _, m := range models {
-			m.forget()
-			steps = append(steps, step{event, m})
+			m.dropRemoved()
+			steps = append(steps, successor{event, m})
 		}
 	}
-	add("spread", w.spread())
-	add("write", w.written()...)
+	add("spread", w.afterSpread())
+	add("write", w.afterWrite()...)
 	for _, reverse := range []bool{false, true} {
-		add("change", w.changed(w.situation(0, reverse, -1))...)
-		add("change after giving up", w.changed(w.situation(testUnresponsiveTimeout, reverse, -1))...)
-		add("settle", w.settled(reverse))
+		add("change", w.afterChange(w.situation(0, reverse, -1))...)
+		add("change of an unresponsive voter", w.afterChange(w.situation(testUnresponsiveTimeout, reverse, -1))...)
+		add("repair", w.afterRepair(reverse))
 	}
 	for i, m := range w.machines {
 		with := func(change func(m *modelMachine)) model {
@@ -246,9 +247,9 @@
 		mayBeLost := m.connected() && (m.recovering && w.losses() <= w.maxFailures || w.losses() < w.maxFailures)
 		if mayBeLost {
 			add("crash", with(func(m *modelMachine) { m.up, m.recovering = false, false }))
-			add("cut", with(func(m *modelMachine) { m.partitioned, m.recovering = true, false }))
+			add("partition", with(func(m *modelMachine) { m.partitioned, m.recovering = true, false }))
 			add("loss of the disk", with(func(m *modelMachine) { m.loseDisk(); m.up, m.recovering = false, false }))
-			add("restart", w.restarted(i)...)
+			add("restart", w.afterRestart(i)...)
 		}
 		if mayBeLost || m.countsAsLost() && !m.recovering && !m.removed {
 			replaced := with(func(m *modelMachine) { m.up, m.removed, m.recovering, m.storedAll = false, true, false, false })
@@ -262,7 +263,7 @@
 			add("return", with(func(m *modelMachine) { m.partitioned, m.recovering = false, true }))
 		}
 		if m.connected() && !m.spare {
-			add("planned end", w.ended(i)...)
+			add("planned end", w.afterPlannedEnd(i)...)
 		}
 	}
 	if w.spareMachine() < 0 {
@@ -276,7 +277,7 @@
 func (m *modelMachine) loseDisk() {
 	if m.voter {
 		m.voter = false
-		m.ghosts++
+		m.lostVoters++
 	}
 	m.storedAll = false
 }
@@ -285,11 +286,11 @@
 	return slices.IndexFunc(w.machines, func(m modelMachine) bool { return m.spare })
 }
 
-// restarted are the models after SIGTERM to a machine that will come back.
-func (w model) restarted(i int) []model {
+// afterRestart returns the models after SIGTERM to a machine that will come back.
+func (w model) afterRestart(i int) []model {
 	var models []model
 	for _, reverse := range []bool{false, true} {
-		for _, next := range w.left(i, reverse) {
+		for _, next := range w.afterLeaving(i, reverse) {
 			next.machines[i].up, next.machines[i].recovering = false, false
 			models = append(models, next)
 		}
@@ -297,8 +298,8 @@
 	return models
 }
 
-// ended are the models after SIGTERM to a machine whose successor came before and has caught up.
-func (w model) ended(i int) []model {
+// afterPlannedEnd returns the models after SIGTERM to a machine whose successor came before and has caught up.
+func (w model) afterPlannedEnd(i int) []model {
 	spare := w.spareMachine()
 	if spare < 0 || !w.machines[spare].connected() || !w.machines[spare].storedAll || w.machines[i].recovering {
 		return nil
@@ -307,7 +308,7 @@
 	ready.machines[spare].spare = false
 	var models []model
 	for _, reverse := range []bool{false, true} {
-		for _, next := range ready.left(i, reverse) {
+		for _, next := range ready.afterLeaving(i, reverse) {
 			m := &next.machines[i]
 			m.up, m.removed, m.storedAll = false, true, false
 			models = append(models, next)
@@ -316,35 +317,35 @@
 	return models
 }
 
-// check tells what is wrong with a model; "": nothing.
-func (w model) check(settled bool) string {
-	voters, heard, holders := w.countVoters()
-	if heard < paxos.QuorumSize(voters) {
-		return fmt.Sprintf("%d of %d voters are connected", heard, voters)
+// check returns what is wrong with a model; "": nothing. Repaired: the time that a repair may take has passed.
+func (w model) check(repaired bool) string {
+	voters, connected, complete := w.countVoters()
+	if connected < paxos.QuorumSize(voters) {
+		return fmt.Sprintf("%d of %d voters are connected", connected, voters)
 	}
-	if holders == 0 {
+	if complete == 0 {
 		return "no voter that is connected holds all that was acknowledged"
 	}
-	if more := w.maxFailures - w.losses(); settled && heard-more < paxos.QuorumSize(voters) {
-		return fmt.Sprintf("%d of %d voters are connected, and %d more may be lost", heard, voters, more)
+	if more := w.maxFailures - w.losses(); repaired && connected-more < paxos.QuorumSize(voters) {
+		return fmt.Sprintf("%d of %d voters are connected, and %d more may be lost", connected, voters, more)
 	}
-	if unfilled := w.unfilled(); settled && w.losses() == 0 && unfilled != "" {
+	if unfilled := w.unfilled(); repaired && w.losses() == 0 && unfilled != "" {
 		return unfilled
 	}
 	return ""
 }
 
-// unfilled tells what the voters lack where nothing is lost any more; "": nothing.
+// unfilled returns what the voters lack where nothing is lost any more; "": nothing.
 func (w model) unfilled() string {
-	voters, heard, _ := w.countVoters()
+	voters, connected, _ := w.countVoters()
 	wanted := 0
 	for _, m := range w.machines {
 		if m.connected() {
 			wanted++
 		}
 	}
-	if voters != heard || voters != min(wanted, 9) {
-		return fmt.Sprintf("%d of %d voters are connected, and there are %d machines", heard, voters, wanted)
+	if voters != connected || voters != min(wanted, 9) {
+		return fmt.Sprintf("%d of %d voters are connected, and there are %d machines", connected, voters, wanted)
 	}
 	return ""
 }
@@ -357,14 +358,16 @@
 	return usual
 }
 
-// TestEveryOrderOfEvents plays every order of losses, losses of disks, cuts, returns, restarts, replacements, planned
+// TestEveryOrderOfEvents plays every order of losses, losses of disks, partitions, returns, restarts, replacements, planned
 // replacements, writes and changes of voters within what may be lost. A majority is connected at each moment, with a
 // holder of all that was acknowledged, and after each repair as many more may be lost as the rules allow.
 func TestEveryOrderOfEvents(t *testing.T) {
-	for _, c := range []struct{ machines, survive, depth int }{{3, 1, 12}, {4, 1, 10}, {5, 1, 8}, {5, 2, 7}, {8, 1, 5}, {8, 2, 5}, {9, 1, 5}, {9, 2, 5}} {
-		t.Run(fmt.Sprintf("%d machines, %d lost", c.machines, c.survive), func(t *testing.T) {
+	for _, c := range []struct{ machines, maxFailures, depth int }{
+		{3, 1, 12}, {4, 1, 10}, {5, 1, 8}, {5, 2, 7}, {8, 1, 5}, {8, 2, 5}, {9, 1, 5}, {9, 2, 5},
+	} {
+		t.Run(fmt.Sprintf("%d machines, %d lost", c.machines, c.maxFailures), func(t *testing.T) {
 			t.Parallel()
-			first := model{maxFailures: c.survive}
+			first := model{maxFailures: c.maxFailures}
 			for range c.machines {
 				first.machines = append(first.machines, modelMachine{voter: true, up: true, storedAll: true})
 			}
@@ -377,7 +380,7 @@
 	t.Helper()
 	type reached struct {
 		model
-		path *node
+		path *eventPath
 	}
 	seen := map[string]bool{first.key(): true}
 	level := []reached{{first, nil}}
@@ -385,11 +388,11 @@
 	for range depth {
 		var following []reached
 		for _, from := range level {
-			for _, s := range from.next() {
+			for _, s := range from.successors() {
 				steps++
-				path := &node{s.event, from.path}
-				if wrong := s.model.check(s.event == "settle"); wrong != "" {
-					t.Fatalf("after %v: %s\n%+v", path, wrong, s.model.machines)
+				path := &eventPath{s.event, from.path}
+				if fault := s.model.check(s.event == "repair"); fault != "" {
+					t.Fatalf("after %v: %s\n%+v", path, fault, s.model.machines)
 				}
 				if key := s.model.key(); !seen[key] {
 					seen[key] = true
@@ -402,13 +405,13 @@
 	t.Logf("%d events deep: %d steps, %d states, %d of them first reached by the last event", depth, steps, len(seen), len(level))
 }
 
-// node is an event and those before it.
-type node struct {
+// eventPath is an event and those before it.
+type eventPath struct {
 	event  string
-	before *node
+	before *eventPath
 }
 
-func (n *node) String() string {
+func (n *eventPath) String() string {
 	if n.before == nil {
 		return n.event
 	}
--- a/internal/consensus/reconfigure/fence_test.go
+++ b/internal/consensus/reconfigure/fence_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// replacedWhileAway has the voter that holds the duty cut off until another machine has its seat.
+// replacedWhileAway has the voter that is the lease holder partitioned until another machine has replaced it.
 func replacedWhileAway(t *testing.T) (c *cluster, old *machine) {
 	t.Helper()
 	c = newCluster(1, 3, 1)
@@ -20,7 +20,7 @@
 		}
 	}
 	if old == nil {
-		t.Fatal("nobody holds the duty")
+		t.Fatal("nobody has the lease")
 	}
 	old.partitioned = true
 	joiner := c.addMachine()
@@ -30,7 +30,7 @@
 		t.Fatalf("the voters are %v", joiner.state.Voters)
 	}
 	if !old.state.HasVoter(old.id) {
-		t.Fatal("the one that was cut off knows what it can't know")
+		t.Fatal("the one that was partitioned knows what it can't know")
 	}
 	return c, old
 }
@@ -38,10 +38,10 @@
 // TestFencedVoter: a voter that was replaced while it was away has its old state when it wakes. It decides nothing with
 // that, its vote counts for nothing, and nobody who knows of its replacement grants it a lease.
 func TestFencedVoter(t *testing.T) {
-	t.Run("duty", func(t *testing.T) {
+	t.Run("lease", func(t *testing.T) {
 		c, old := replacedWhileAway(t)
 		if old.candidate.HasLease(c.Now()) {
-			t.Error("it still holds the duty")
+			t.Error("it still has the lease")
 		}
 		for _, m := range c.machines {
 			if m != old && m.mayGrant(old.id) {
@@ -51,7 +51,7 @@
 		old.partitioned = false
 		c.RunUntil(c.Now() + keeperTick)
 		if old.candidate.HasLease(c.Now()) {
-			t.Error("it holds the duty again")
+			t.Error("it has the lease again")
 		}
 		c.RunUntil(c.Now() + repairTime)
 		if !old.state.HasVoter(old.id) {
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -157,7 +157,7 @@
 	away := c.upTo(6 * time.Second)
 	switch c.rng.IntN(4) {
 	case 0:
-		c.recordFault("%s is cut off for %v", m.name, away)
+		c.recordFault("%s is partitioned for %v", m.name, away)
 		m.partitioned = true
 		c.After(away, func() {
 			m.partitioned = false
--- a/internal/consensus/reconfigure/leave_test.go
+++ b/internal/consensus/reconfigure/leave_test.go
@@ -16,7 +16,7 @@
 		{"the candidate leaves, too", "1a 2b 3c", "1a- 2b 3c 4d~-", LeaveStepEnd},
 		{"the other keeper has no disk", "1a 2b 3c", "1a- 2b 3c 0d~", LeaveStepEnd},
 		{"its vote is needed", "1a 2b 3c", "1a- 2b 3c", LeaveStepEnd},
-		{"no majority is heard", "1a 2b! 3c! 4d!", "1a-", LeaveStepEnd},
+		{"no majority is reachable", "1a 2b! 3c! 4d!", "1a-", LeaveStepEnd},
 	} {
 		if got, _ := NextLeaveStep(parse(c.voters, c.keepers), 1); got != c.want {
 			t.Errorf("%s: step %d, not %d", c.name, got, c.want)
--- a/internal/consensus/reconfigure/observer_test.go
+++ b/internal/consensus/reconfigure/observer_test.go
@@ -9,14 +9,14 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// reportsOf reads reports such as "1:123 2:12": who reports, and whom it hears.
+// reportsOf reads reports such as "1:123 2:12": who reports, and to whom it is connected.
 func reportsOf(text string) []Report {
 	var reports []Report
 	for _, field := range strings.Fields(text) {
-		who, whom, _ := strings.Cut(field, ":")
-		report := Report{Keeper: paxos.Voter{ID: uint64(who[0] - '0'), Name: who, Addr: who}, NextSlot: 1}
-		for _, heard := range whom {
-			report.Connected = append(report.Connected, uint64(heard-'0'))
+		reporter, connected, _ := strings.Cut(field, ":")
+		report := Report{Keeper: paxos.Voter{ID: uint64(reporter[0] - '0'), Name: reporter, Addr: reporter}, NextSlot: 1}
+		for _, id := range connected {
+			report.Connected = append(report.Connected, uint64(id-'0'))
 		}
 		reports = append(reports, report)
 	}
@@ -32,25 +32,25 @@
 	return voters
 }
 
-// No voter is unheard by the word of one, nor by that of keepers that do not vote.
+// No voter is unreachable by the report of one, nor by those of keepers that do not vote.
 func TestReachability(t *testing.T) {
 	for _, c := range []struct {
 		what    string
 		voters  int
 		reports string
-		want    string // of each voter: heard, unheard or unknown
+		want    string // of each voter: reachable, unreachable or unknown
 	}{
-		{"all is well", 3, "1:123 2:123 3:123", "heard heard heard"},
-		{"one is cut off", 3, "1:12 2:12", "heard heard unheard"},
-		{"only one does not hear it", 3, "1:12 2:123", "heard heard heard"},
+		{"all is well", 3, "1:123 2:123 3:123", "reachable reachable reachable"},
+		{"one is partitioned", 3, "1:12 2:12", "reachable reachable unreachable"},
+		{"only one is not connected to it", 3, "1:12 2:123", "reachable reachable reachable"},
 		{"only one reports", 3, "1:1", "unknown unknown unknown"},
-		{"one has just started", 3, "1:123 2:123 3:3", "heard heard heard"},
-		{"non-voters do not hear it", 3, "1:123 2:123 7:12 8:12 9:12", "heard heard heard"},
-		{"non-voters hear it", 3, "1:12 2:12 7:123 8:123", "heard heard unheard"},
-		{"two of four do not hear it", 4, "1:123 2:123 3:1234", "heard heard heard unknown"},
-		{"three of four do not hear it", 4, "1:123 2:123 3:123", "heard heard heard unheard"},
-		{"two of five are cut off", 5, "1:123 2:123 3:123", "heard heard heard unheard unheard"},
-		{"alone", 1, "1:1", "heard"},
+		{"one has just started", 3, "1:123 2:123 3:3", "reachable reachable reachable"},
+		{"non-voters are not connected to it", 3, "1:123 2:123 7:12 8:12 9:12", "reachable reachable reachable"},
+		{"non-voters are connected to it", 3, "1:12 2:12 7:123 8:123", "reachable reachable unreachable"},
+		{"two of four are not connected to it", 4, "1:123 2:123 3:1234", "reachable reachable reachable unknown"},
+		{"three of four are not connected to it", 4, "1:123 2:123 3:123", "reachable reachable reachable unreachable"},
+		{"two of five are partitioned", 5, "1:123 2:123 3:123", "reachable reachable reachable unreachable unreachable"},
+		{"alone", 1, "1:1", "reachable"},
 	} {
 		var got []string
 		all := reachabilities(numbered(c.voters), reportsOf(c.reports))
@@ -59,9 +59,9 @@
 			case all[voter.ID].reachable && all[voter.ID].unreachable:
 				got = append(got, "both")
 			case all[voter.ID].reachable:
-				got = append(got, "heard")
+				got = append(got, "reachable")
 			case all[voter.ID].unreachable:
-				got = append(got, "unheard")
+				got = append(got, "unreachable")
 			default:
 				got = append(got, "unknown")
 			}
@@ -72,12 +72,12 @@
 	}
 }
 
-// The time counts from the first report of a majority, and starts anew when the voter is heard in between.
+// The time counts from the first report of a majority, and starts anew when the voter is reachable in between.
 func TestUnreachableFor(t *testing.T) {
 	state := paxos.State{Voters: numbered(3)}
-	cut, whole := reportsOf("1:12 2:12"), reportsOf("1:123 2:123 3:123")
+	partitioned, connected := reportsOf("1:12 2:12"), reportsOf("1:123 2:123 3:123")
 	var o Observer
-	unheardFor := func(now time.Duration, reports []Report) time.Duration {
+	unreachableFor := func(now time.Duration, reports []Report) time.Duration {
 		o.Observe(now, state, reports)
 		return o.Situation(now, state, reports, Limits{}).Voters[2].UnreachableFor
 	}
@@ -85,8 +85,15 @@
 		at      time.Duration
 		reports []Report
 		want    time.Duration
-	}{{1, cut, 0}, {3, cut, 2}, {8, cut, 7}, {9, whole, 0}, {10, cut, 0}, {12, cut, 2}} {
-		if got := unheardFor(step.at, step.reports); got != step.want {
+	}{
+		{1, partitioned, 0},
+		{3, partitioned, 2},
+		{8, partitioned, 7},
+		{9, connected, 0},
+		{10, partitioned, 0},
+		{12, partitioned, 2},
+	} {
+		if got := unreachableFor(step.at, step.reports); got != step.want {
 			t.Errorf("at %d: %d, not %d", step.at, got, step.want)
 		}
 	}
@@ -128,8 +135,8 @@
 	}
 }
 
-// A keeper that leaves is removed by a change that others may hear of before they hear that it leaves. By what it reported before, it does
-// not become a voter again; by a report of a keeper that has stored its removal, it does.
+// A keeper that leaves is removed by a change that others may learn of before the report that it leaves. By what it
+// reported before, it does not become a voter again; by a report of a keeper that has stored its removal, it does.
 func TestRemovedKeeperIsNoCandidateByAnOlderReport(t *testing.T) {
 	with := paxos.State{Slot: 77, Voters: numbered(4)}
 	without := paxos.State{Slot: 78, Voters: numbered(3)}
--- a/internal/consensus/reconfigure/reconfigure_test.go
+++ b/internal/consensus/reconfigure/rules_test.go
@@ -12,8 +12,8 @@
 
 const testUnresponsiveTimeout = 2500 * time.Millisecond
 
-// parse reads voters and keepers, such as "1a 2b! 3c?9" and "1a 4d 5e~": ! is a voter that a majority does not hear,
-// ?9 one that it has not heard for 9 seconds, ~ a keeper that lacks the newest state, - one that is leaving, @ one at
+// parse reads voters and keepers, such as "1a 2b! 3c?9" and "1a 4d 5e~": ! is a voter that is not reachable, ?9 one
+// that has been unreachable for 9 seconds, ~ a keeper that lacks the newest state, - one that is leaving, @ one at
 // another address.
 func parse(voters, keepers string) Situation {
 	s := Situation{Limits: Limits{1, 9, testUnresponsiveTimeout}}
@@ -57,7 +57,8 @@
 	for _, c := range []struct {
 		name            string
 		voters, keepers string
-		survive, most   int
+		maxFailures     int
+		maxVoters       int
 		want            string
 	}{
 		{"all is well", "1a 2b 3c", "1a 2b 3c", 1, 9, ""},
@@ -72,26 +73,26 @@
 		{"leaving, with voters to spare", "1a 2b 3c 4d", "1a- 2b 3c 4d", 1, 9, "leaving: 2b 3c 4d"},
 		{"leaving, with voters to spare and a candidate", "1a 2b 3c 4d", "1a- 2b 3c 4d 5e", 1, 9, "leaving: 2b 3c 4d"},
 		{"leaving, with none to spare for two losses", "1a 2b 3c 4d 5e", "1a- 2b 3c 4d 5e", 2, 9, ""},
-		{"leaving, while another is not heard", "1a 2b 3c 4d!", "1a- 2b 3c", 1, 9, "leaving: 2b 3c 4d"},
-		{"leaving, while too many are not heard", "1a 2b 3c! 4d!", "1a- 2b", 1, 9, ""},
-		{"not heard for a moment", "1a 2b 3c?2", "1a 2b 4d", 1, 9, ""},
-		{"given up, with a candidate", "1a 2b 3c?2.5", "1a 2b 4d", 1, 9, "given up: 1a 2b 4d"},
-		{"given up, without one", "1a 2b 3c?9", "1a 2b", 1, 9, ""},
-		{"given up, with voters to spare", "1a 2b 3c?9 4d", "1a 2b 4d", 1, 9, "given up: 1a 2b 4d"},
-		{"given up, with none to spare for two losses", "1a 2b 3c 4d 5e?9", "1a 2b 3c 4d", 2, 9, ""},
-		{"the one unheard for longest goes first", "1a 2b 3c 4d?4 5e?9", "1a 2b 3c 6f", 2, 9, "given up: 1a 2b 3c 4d 6f"},
-		{"no majority is heard", "1a 2b?9 3c?9", "1a 4d", 1, 9, "given up: 1a 4d 3c"},
-		{"no majority would be heard", "1a 2b?9 3c?9 4d?9", "1a 5e", 1, 9, ""},
+		{"leaving, while another is unreachable", "1a 2b 3c 4d!", "1a- 2b 3c", 1, 9, "leaving: 2b 3c 4d"},
+		{"leaving, while too many are unreachable", "1a 2b 3c! 4d!", "1a- 2b", 1, 9, ""},
+		{"unreachable for a moment", "1a 2b 3c?2", "1a 2b 4d", 1, 9, ""},
+		{"unresponsive, with a candidate", "1a 2b 3c?2.5", "1a 2b 4d", 1, 9, "given up: 1a 2b 4d"},
+		{"unresponsive, without one", "1a 2b 3c?9", "1a 2b", 1, 9, ""},
+		{"unresponsive, with voters to spare", "1a 2b 3c?9 4d", "1a 2b 4d", 1, 9, "given up: 1a 2b 4d"},
+		{"unresponsive, with none to spare for two losses", "1a 2b 3c 4d 5e?9", "1a 2b 3c 4d", 2, 9, ""},
+		{"the one unreachable for longest goes first", "1a 2b 3c 4d?4 5e?9", "1a 2b 3c 6f", 2, 9, "given up: 1a 2b 3c 4d 6f"},
+		{"no majority is reachable", "1a 2b?9 3c?9", "1a 4d", 1, 9, "given up: 1a 4d 3c"},
+		{"no majority would be reachable", "1a 2b?9 3c?9 4d?9", "1a 5e", 1, 9, ""},
 		{"one more", "1a 2b 3c", "1a 2b 3c 4d", 1, 9, "expansion: 1a 2b 3c 4d"},
 		{"one more, which lacks the state", "1a 2b 3c", "1a 2b 3c 4d~", 1, 9, ""},
 		{"one more, without a disk", "1a 2b 3c", "1a 2b 3c 0d", 1, 9, ""},
-		{"one more, while a voter is not heard", "1a 2b 3c!", "1a 2b 4d", 1, 9, ""},
-		{"one more than the most", "1a 2b 3c", "1a 2b 3c 4d", 1, 3, ""},
+		{"one more, while a voter is unreachable", "1a 2b 3c!", "1a 2b 4d", 1, 9, ""},
+		{"one more than the maximum", "1a 2b 3c", "1a 2b 3c 4d", 1, 3, ""},
 		{"two more come one at a time", "1a 2b 3c", "1a 2b 3c 5e 4d", 1, 9, "expansion: 1a 2b 3c 4d"},
-		{"leaving goes before giving up", "1a 2b 3c?9", "1a- 2b 4d", 1, 9, "leaving: 4d 2b 3c"},
+		{"leaving precedes unresponsive", "1a 2b 3c?9", "1a- 2b 4d", 1, 9, "leaving: 4d 2b 3c"},
 	} {
 		s := parse(c.voters, c.keepers)
-		s.MaxFailures, s.MaxVoters = c.survive, c.most
+		s.MaxFailures, s.MaxVoters = c.maxFailures, c.maxVoters
 		got := ""
 		if change, found := NextChange(s); found {
 			next, applied := change.Apply(s.state(), s.state().Voters)
@@ -106,7 +107,7 @@
 	}
 }
 
-// A change that was decided for other voters than those of the newest state is not made.
+// A change that was decided for other voters than those of the newest state does not apply.
 func TestApplyComparesVoters(t *testing.T) {
 	s := parse("1a 2b 3c", "1a 2b 3c 4d")
 	change, found := NextChange(s)
@@ -120,15 +121,18 @@
 }
 
 func TestUnresponsiveTimeout(t *testing.T) {
-	for catchUp, want := range map[time.Duration]time.Duration{5 * time.Second: 2500 * time.Millisecond, 5100 * time.Millisecond: 2550 * time.Millisecond,
-		time.Second: 1500 * time.Millisecond} {
+	for catchUp, want := range map[time.Duration]time.Duration{
+		time.Second:             1500 * time.Millisecond,
+		5 * time.Second:         2500 * time.Millisecond,
+		5100 * time.Millisecond: 2550 * time.Millisecond,
+	} {
 		if got := UnresponsiveTimeout(catchUp); got != want {
 			t.Errorf("%v: %v, not %v", catchUp, got, want)
 		}
 	}
 }
 
-// Whatever the situation is, a change adds one voter at most and removes one at most, leaves a majority that is heard,
+// Whatever the situation is, a change adds one voter at most and removes one at most, leaves a quorum that is reachable,
 // and never removes a voter below those that are needed.
 func TestEveryChangeIsSmall(t *testing.T) {
 	kinds := []Voter{{Reachable: true}, {}, {UnreachableFor: time.Second}, {UnreachableFor: 9 * time.Second}}
@@ -180,7 +184,7 @@
 	if !applied {
 		t.Fatalf("%+v: %+v does not apply", s, change)
 	}
-	heard, joined, left := 0, 0, 0
+	reachable, joined, left := 0, 0, 0
 	for _, voter := range after.Voters {
 		if !before.HasVoter(voter.ID) {
 			joined++
@@ -188,7 +192,7 @@
 			if i < 0 || !s.Keepers[i].CaughtUp {
 				t.Fatalf("%+v: %d joins and has not caught up", s, voter.ID)
 			}
-			heard++
+			reachable++
 		}
 	}
 	for _, voter := range s.Voters {
@@ -196,11 +200,11 @@
 		case !after.HasVoter(voter.ID):
 			left++
 		case voter.Reachable:
-			heard++
+			reachable++
 		}
 	}
-	if joined > 1 || left > 1 || heard < paxos.QuorumSize(len(after.Voters)) {
-		t.Fatalf("%+v: %d joined, %d left, %d of %d are heard", s, joined, left, heard, len(after.Voters))
+	if joined > 1 || left > 1 || reachable < paxos.QuorumSize(len(after.Voters)) {
+		t.Fatalf("%+v: %d joined, %d left, %d of %d are reachable", s, joined, left, reachable, len(after.Voters))
 	}
 	if left > joined && len(after.Voters) < 2*s.MaxFailures+1 {
 		t.Fatalf("%+v: %d voters are left", s, len(after.Voters))
