--- a/internal/batch/core.go
+++ b/internal/batch/core.go
@@ -9,7 +9,9 @@
 	"dunetide/internal/platform/link"
 )
 
-// Pipe is a connection to another process. Messages arrive in the order in which they were sent, until it ends.
+// Pipe is a connection to another process. Messages arrive in the order in which they were sent,
+// until it ends. The core drops the errors of Send: they say that the connection has ended, which is
+// an event of its own, and after which all that is still needed is sent again.
 type Pipe interface {
 	Send(kind link.Kind, body []byte) error
 }
--- a/internal/batch/itemrunner.go
+++ b/internal/batch/itemrunner.go
@@ -56,6 +56,9 @@
 // It may start items of a partition only while the primary of the partition is connected and has
 // noted what runs here. So the end of a job reaches it, or it stops by itself. Results are kept
 // until the primary has stored them, and go to the next primary if it changes.
+//
+// Errors of sending are dropped: they say that the connection has ended, which disconnected is told,
+// and all that is still needed is sent again over the next one.
 type itemRunner struct {
 	runner Runner // nil: no items are run
 	name   string // of the proxy
