--- a/internal/batch/connections.go
+++ b/internal/batch/connections.go
@@ -27,8 +27,8 @@
 // storeConnections keeps a connection open to each store of the table. Each has a goroutine, for
 // which close waits. It is safe for concurrent use.
 type storeConnections struct {
-	events    storeEvents
-	maintains sync.WaitGroup
+	events     storeEvents
+	goroutines sync.WaitGroup
 
 	mu     sync.Mutex
 	byID   map[uint64]*storeConnection
@@ -71,7 +71,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			connection := &storeConnection{id: id, addr: store.Addr, cancel: cancel}
 			s.byID[id] = connection
-			s.maintains.Go(func() { s.maintain(ctx, connection) })
+			s.goroutines.Go(func() { s.maintain(ctx, connection) })
 		}
 	}
 }
@@ -85,7 +85,7 @@
 		delete(s.byID, id)
 	}
 	s.mu.Unlock()
-	s.maintains.Wait()
+	s.goroutines.Wait()
 }
 
 // get is the connection to a store; nil if there is none now.
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -53,10 +53,10 @@
 	connections *storeConnections // to other stores
 	start       time.Time         // zero of the steady clock
 
-	wake    chan struct{} // for run: something is in the queue
-	done    chan struct{} // closed when the store ends
-	stopped chan struct{} // closed once nothing uses the log any more
-	workers sync.WaitGroup
+	wake       chan struct{}  // for run: something is in the queue
+	done       chan struct{}  // closed when the store ends
+	stopped    chan struct{}  // closed once nothing uses the log any more
+	goroutines sync.WaitGroup // run and syncLoop
 
 	mu     sync.Mutex
 	queue  []func() // events for run
@@ -94,8 +94,8 @@
 		disconnected: func(id uint64, conn *link.Conn) { s.enqueue(func() { s.core.peerDisconnected(id, conn) }) },
 		message:      s.Message,
 	})
-	s.workers.Go(s.run)
-	s.workers.Go(s.syncLoop)
+	s.goroutines.Go(s.run)
+	s.goroutines.Go(s.syncLoop)
 	return s, nil
 }
 
@@ -242,7 +242,7 @@
 	if s.connections != nil {
 		s.connections.close()
 	}
-	s.workers.Wait()
+	s.goroutines.Wait()
 	if closer, ok := s.log.(interface{ Close() error }); ok {
 		_ = closer.Close() // what was acknowledged is durable
 	}
