--- /dev/null
+++ b/internal/platform/link/bench_test.go
@@ -0,0 +1,58 @@
+package link
+
+import (
+	"context"
+	"net"
+	"testing"
+)
+
+// benchmarkPair returns the two ends of a link over loopback; the far end answers each call with its body.
+func benchmarkPair(b *testing.B) *Conn {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	far := newSide()
+	far.act = func(m *Message) { m.Reply(m.Body) }
+	go func() { _ = Serve(l, far, DefaultOptions) }()
+	c, err := Dial(context.Background(), l.Addr().String(), newSide(), DefaultOptions)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { c.Close(); _ = l.Close() })
+	return c
+}
+
+// BenchmarkCall is the cost of a call and its reply, both ends together.
+func BenchmarkCall(b *testing.B) {
+	c := benchmarkPair(b)
+	body := make([]byte, 256)
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := c.Call(context.Background(), 7, body); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkCallsInFlight is the cost of a call where 64 are pending at a time.
+func BenchmarkCallsInFlight(b *testing.B) {
+	c := benchmarkPair(b)
+	body := make([]byte, 256)
+	b.ReportAllocs()
+	pending := make(chan (<-chan Reply), 64)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for reply := range pending {
+			if r := <-reply; r.Err != nil {
+				b.Error(r.Err)
+			}
+		}
+	}()
+	for b.Loop() {
+		pending <- c.Go(7, body)
+	}
+	close(pending)
+	<-done
+}
--- a/internal/platform/link/golden_test.go
+++ b/internal/platform/link/golden_test.go
@@ -1,49 +1,22 @@
 package link
 
 import (
-	"bytes"
 	"context"
 	"errors"
-	"flag"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
-)
-
-var updateGolden = flag.Bool("update", false, "write testdata/golden anew; never to make a failing test pass")
 
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name+".bin") }
-
-// readGolden returns the bytes of a golden file.
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
+	"dunetide/internal/lab/golden"
+)
 
-// checkGolden compares encoded bytes with those of a golden file, which it returns. With -update it writes the file first.
+// checkGolden compares encoded bytes with those of a golden file, which it returns.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
-	if *updateGolden {
-		if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(goldenPath(name), encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want := readGolden(t, name)
-	if !bytes.Equal(encoded, want) {
-		t.Errorf("%s: encoded as\n%x\nthe golden file has\n%x", name, encoded, want)
-	}
-	return want
+	golden.Compare(t, name+".bin", encoded)
+	return golden.Read(t, name+".bin")
 }
 
 // readFrames reads so many bytes as a peer would that knows nothing of this package.
@@ -101,7 +74,7 @@
 	s := newSide()
 	callee := start(nc, s, steady)
 	defer callee.Close()
-	if _, err := raw.Write(readGolden(t, "frame_call")); err != nil {
+	if _, err := raw.Write(golden.Read(t, "frame_call.bin")); err != nil {
 		t.Fatal(err)
 	}
 	firstCall, secondCall := get(t, s.messages, "the first call"), get(t, s.messages, "the second call")
--- a/internal/platform/link/link_test.go
+++ b/internal/platform/link/link_test.go
@@ -7,139 +7,70 @@
 	"fmt"
 	"io"
 	"net"
+	"reflect"
 	"slices"
 	"sync"
 	"testing"
 	"time"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 20 * time.Second
-
-// steady options probe so seldom that no test meets a probe.
-var steady = Options{ProbeInterval: time.Hour, PeerTimeout: 2 * time.Hour}
-
-// side is a handler that passes on what it gets.
-type side struct {
-	messages chan *Message
-	closed   chan *Conn
-	act      func(m *Message) // in place of messages
-}
-
-func newSide() *side {
-	return &side{messages: make(chan *Message, 1<<16), closed: make(chan *Conn, 16)}
-}
-
-func (s *side) Message(m *Message) {
-	if s.act != nil {
-		s.act(m)
-		return
-	}
-	s.messages <- m
-}
-
-func (s *side) Closed(c *Conn) { s.closed <- c }
-
-// transport makes the two ends of one connection.
-type transport struct {
-	name string
-	pair func(t *testing.T) (a, b net.Conn)
-}
-
-var transports = []transport{
-	{"tcp", func(t *testing.T) (net.Conn, net.Conn) {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer l.Close()
-		a, err := net.Dial("tcp4", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		b, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return a, b
-	}},
-	{"pipe", func(*testing.T) (net.Conn, net.Conn) { return net.Pipe() }},
-}
-
-// contract runs a check on links over each transport.
-func contract(t *testing.T, o Options, check func(t *testing.T, a, b *Conn, as, bs *side)) {
+func TestMessagesArriveInOrder(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			na, nb := tr.pair(t)
-			as, bs := newSide(), newSide()
-			a, b := start(na, as, o), start(nb, bs, o)
-			t.Cleanup(func() { a.Close(); b.Close() })
-			check(t, a, b, as, bs)
+			a, _, _, bSide := startPair(t, tr, steady)
+			const n = 5000
+			for i := range n {
+				if err := a.Send(7, fmt.Appendf(nil, "%d%0*d", i, i%300, 0)); err != nil {
+					t.Fatal(err)
+				}
+			}
+			for i := range n {
+				m := get(t, bSide.messages, "a message")
+				if want := fmt.Sprintf("%d%0*d", i, i%300, 0); string(m.Body) != want || m.Kind != 7 || m.ExpectsReply() {
+					t.Fatalf("message %d: kind %d, %.40q", i, m.Kind, m.Body)
+				}
+			}
 		})
 	}
 }
 
-func get[T any](t *testing.T, ch <-chan T, what string) (v T) {
-	t.Helper()
-	select {
-	case v = <-ch:
-	case <-time.After(patience):
-		t.Fatalf("%s did not come", what)
-	}
-	return v
-}
-
-func TestOrderIsKept(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, _ *Conn, _, bs *side) {
-		const n = 5000
-		for i := range n {
-			if err := a.Send(7, fmt.Appendf(nil, "%d%0*d", i, i%300, 0)); err != nil {
-				t.Fatal(err)
+func TestRepliesInAnyOrderReachTheirCalls(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, _, _, bSide := startPair(t, tr, steady)
+			const n = 50
+			var replies []<-chan Reply
+			for i := range n {
+				replies = append(replies, a.Go(7, []byte{byte(i)}))
 			}
-		}
-		for i := range n {
-			m := get(t, bs.messages, "a message")
-			if want := fmt.Sprintf("%d%0*d", i, i%300, 0); string(m.Body) != want || m.Kind != 7 || m.ExpectsReply() {
-				t.Fatalf("message %d: kind %d, %.40q", i, m.Kind, m.Body)
+			var calls []*Message
+			for range n {
+				calls = append(calls, get(t, bSide.messages, "a call"))
 			}
-		}
-	})
-}
-
-func TestCallsAreAnsweredLateAndInAnyOrder(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, _ *Conn, _, bs *side) {
-		const n = 50
-		var replies []<-chan Reply
-		for i := range n {
-			replies = append(replies, a.Go(7, []byte{byte(i)}))
-		}
-		var calls []*Message
-		for range n {
-			calls = append(calls, get(t, bs.messages, "a call"))
-		}
-		slices.Reverse(calls)
-		for _, m := range calls {
-			if m.Body[0]%3 == 0 {
-				m.Fail("refused %d", m.Body[0])
-			} else {
-				m.Reply([]byte{m.Body[0], 1})
-			}
-			m.Reply([]byte("once more")) // is for nobody
-		}
-		for i, ch := range replies {
-			r := get(t, ch, "a reply")
-			var refusal RemoteError
-			if refused := errors.As(r.Err, &refusal); refused != (i%3 == 0) || refused && string(refusal) != fmt.Sprint("refused ", i) {
-				t.Fatalf("call %d: %v", i, r.Err)
+			slices.Reverse(calls)
+			for _, m := range calls {
+				if m.Body[0]%3 == 0 {
+					m.Fail("refused %d", m.Body[0])
+				} else {
+					m.Reply([]byte{m.Body[0], 1})
+				}
+				m.Reply([]byte("once more")) // is for nobody
+			}
+			for i, ch := range replies {
+				r := get(t, ch, "a reply")
+				var refusal RemoteError
+				if refused := errors.As(r.Err, &refusal); refused != (i%3 == 0) || refused && string(refusal) != fmt.Sprint("refused ", i) {
+					t.Fatalf("call %d: %v", i, r.Err)
+				}
+				if r.Err == nil && !slices.Equal(r.Body, []byte{byte(i), 1}) {
+					t.Fatalf("call %d: %q", i, r.Body)
+				}
 			}
-			if r.Err == nil && !slices.Equal(r.Body, []byte{byte(i), 1}) {
-				t.Fatalf("call %d: %q", i, r.Body)
+			if left := remembered(a); left != 0 {
+				t.Fatalf("%d calls are remembered", left)
 			}
-		}
-		if left := remembered(a); left != 0 {
-			t.Fatalf("%d calls are remembered", left)
-		}
-	})
+		})
+	}
 }
 
 func remembered(c *Conn) int {
@@ -148,83 +79,92 @@
 	return len(c.calls)
 }
 
-func TestCloseEndsCallsUnderWay(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, b *Conn, as, bs *side) {
-		ch := a.Go(7, nil)
-		get(t, bs.messages, "the call")
-		b.Close()
-		if r := get(t, ch, "the end of the call"); !errors.Is(r.Err, ErrClosed) {
-			t.Fatal(r.Err)
-		}
-		get(t, as.closed, "the end at one side")
-		get(t, bs.closed, "the end at the other side")
-		if r := get(t, a.Go(7, nil), "the end of a later call"); !errors.Is(r.Err, ErrClosed) {
-			t.Fatal(r.Err)
-		}
-		if a.Send(7, nil) == nil {
-			t.Fatal("sent on a link that has ended")
-		}
-	})
+func TestCloseFailsPendingCalls(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, b, aSide, bSide := startPair(t, tr, steady)
+			ch := a.Go(7, nil)
+			get(t, bSide.messages, "the call")
+			b.Close()
+			if r := get(t, ch, "the end of the call"); !errors.Is(r.Err, ErrClosed) {
+				t.Fatal(r.Err)
+			}
+			get(t, aSide.closed, "the end at one side")
+			get(t, bSide.closed, "the end at the other side")
+			if r := get(t, a.Go(7, nil), "the end of a later call"); !errors.Is(r.Err, ErrClosed) {
+				t.Fatal(r.Err)
+			}
+			if a.Send(7, nil) == nil {
+				t.Fatal("sent on a link that has ended")
+			}
+		})
+	}
 }
 
 // A call that nobody waits for any more is not remembered.
-func TestCallsGivenUpAreForgotten(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, _ *Conn, _, bs *side) {
-		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan error, 1)
-		go func() { _, err := a.Call(ctx, 7, nil); ended <- err }()
-		m := get(t, bs.messages, "the call")
-		cancel()
-		if err := get(t, ended, "the call's end"); !errors.Is(err, context.Canceled) {
-			t.Fatal(err)
-		}
-		if left := remembered(a); left != 0 {
-			t.Fatalf("%d calls are remembered", left)
-		}
-		m.Reply(nil)
-		go func() { get(t, bs.messages, "a second call").Reply([]byte("yes")) }()
-		if b, err := a.Call(context.Background(), 7, nil); err != nil || string(b) != "yes" {
-			t.Fatalf("%q, %v", b, err)
-		}
-	})
+func TestAbandonedCallIsForgotten(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, _, _, bSide := startPair(t, tr, steady)
+			ctx, cancel := context.WithCancel(context.Background())
+			ended := make(chan error, 1)
+			go func() { _, err := a.Call(ctx, 7, nil); ended <- err }()
+			m := get(t, bSide.messages, "the call")
+			cancel()
+			if err := get(t, ended, "the call's end"); !errors.Is(err, context.Canceled) {
+				t.Fatal(err)
+			}
+			if left := remembered(a); left != 0 {
+				t.Fatalf("%d calls are remembered", left)
+			}
+			m.Reply(nil)
+			go func() { get(t, bSide.messages, "a second call").Reply([]byte("yes")) }()
+			if b, err := a.Call(context.Background(), 7, nil); err != nil || string(b) != "yes" {
+				t.Fatalf("%q, %v", b, err)
+			}
+		})
+	}
 }
 
 // A frame that is too long is refused to its sender, and the link goes on.
-func TestTooLongIsRefused(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, b *Conn, _, bs *side) {
-		long := make([]byte, maxFrame)
-		if err := a.Send(7, long); !errors.Is(err, errFrameTooLong) {
-			t.Fatal(err)
-		}
-		if r := get(t, a.Go(7, long), "the refusal"); !errors.Is(r.Err, errFrameTooLong) {
-			t.Fatal(r.Err)
-		}
-		ch := a.Go(7, nil)
-		get(t, bs.messages, "the call").Reply(long)
-		var refusal RemoteError
-		if r := get(t, ch, "the refusal of the reply"); !errors.As(r.Err, &refusal) {
-			t.Fatal(r.Err)
-		}
-		if err := a.Send(7, make([]byte, maxBody)); err != nil {
-			t.Fatal(err)
-		}
-		if m := get(t, bs.messages, "the longest frame"); len(m.Body) != maxBody {
-			t.Fatal(len(m.Body))
-		}
-	})
+func TestTooLongBodyIsRejectedAndLinkStays(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, _, _, bSide := startPair(t, tr, steady)
+			long := make([]byte, maxFrame)
+			if err := a.Send(7, long); !errors.Is(err, errFrameTooLong) {
+				t.Fatal(err)
+			}
+			if r := get(t, a.Go(7, long), "the refusal"); !errors.Is(r.Err, errFrameTooLong) {
+				t.Fatal(r.Err)
+			}
+			ch := a.Go(7, nil)
+			get(t, bSide.messages, "the call").Reply(long)
+			var refusal RemoteError
+			if r := get(t, ch, "the refusal of the reply"); !errors.As(r.Err, &refusal) {
+				t.Fatal(r.Err)
+			}
+			if err := a.Send(7, make([]byte, maxBody)); err != nil {
+				t.Fatal(err)
+			}
+			if m := get(t, bSide.messages, "the longest frame"); len(m.Body) != maxBody {
+				t.Fatal(len(m.Body))
+			}
+		})
+	}
 }
 
-func TestFrameTooLongEndsTheLink(t *testing.T) {
+func TestTooLongFrameEndsLink(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
 			raw, nb := tr.pair(t)
 			defer raw.Close()
-			bs := newSide()
-			b := start(nb, bs, steady)
+			bSide := newSide()
+			b := start(nb, bSide, steady)
 			defer b.Close()
 			_, _ = raw.Write(binary.BigEndian.AppendUint32(nil, maxFrame+1))
 			_, _ = raw.Write([]byte{7, 0, 0, 0, 0})
-			get(t, bs.closed, "the end")
+			get(t, bSide.closed, "the end")
 			if !errors.Is(b.err, errFrameTooLong) {
 				t.Fatal(b.err)
 			}
@@ -233,37 +173,40 @@
 }
 
 // What waits for a peer that does not read is bounded.
-func TestPeerThatDoesNotRead(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, _ *Conn, as, bs *side) {
-		release := make(chan struct{})
-		bs.act = func(*Message) { <-release }
-		defer close(release)
-		body := make([]byte, 1<<20)
-		sent := 0
-		for a.Send(7, body) == nil {
-			if sent++; sent > 4*maxQueued>>20 {
-				t.Fatal("more and more waits")
+func TestQueueForPeerThatDoesNotReadIsBounded(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, _, aSide, bSide := startPair(t, tr, steady)
+			release := make(chan struct{})
+			bSide.act = func(*Message) { <-release }
+			defer close(release)
+			body := make([]byte, 1<<20)
+			sent := 0
+			for a.Send(7, body) == nil {
+				if sent++; sent > 4*maxQueued>>20 {
+					t.Fatal("more and more waits")
+				}
 			}
-		}
-		get(t, as.closed, "the end")
-	})
+			get(t, aSide.closed, "the end")
+		})
+	}
 }
 
 // A peer that says nothing is found, also while the writer is stuck with it.
-func TestSilentPeerIsFound(t *testing.T) {
+func TestUnresponsivePeerEndsLink(t *testing.T) {
 	for _, tr := range transports {
 		for _, stuck := range []bool{false, true} {
 			t.Run(fmt.Sprint(tr.name, "/stuck=", stuck), func(t *testing.T) {
 				na, raw := tr.pair(t)
 				defer raw.Close()
-				as := newSide()
-				a := start(na, as, Options{ProbeInterval: 10 * time.Millisecond, PeerTimeout: 50 * time.Millisecond})
+				aSide := newSide()
+				a := start(na, aSide, Options{ProbeInterval: 10 * time.Millisecond, PeerTimeout: 50 * time.Millisecond})
 				defer a.Close()
 				if stuck {
 					_ = a.Send(7, make([]byte, 15<<20))
 				}
 				ch := a.Go(7, nil)
-				get(t, as.closed, "the end")
+				get(t, aSide.closed, "the end")
 				if r := get(t, ch, "the end of the call"); !errors.Is(r.Err, ErrClosed) {
 					t.Fatal(r.Err)
 				}
@@ -273,36 +216,39 @@
 }
 
 // Probes hold a link on which nobody has anything to say.
-func TestProbesHoldALink(t *testing.T) {
-	contract(t, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 5 * time.Second}, func(t *testing.T, a, b *Conn, _, _ *side) {
-		began := time.Now().UnixNano()
-		for _, c := range []*Conn{a, b} {
-			deadline := time.Now().Add(patience)
-			for n, last := 0, began; n < 5; {
-				if at := c.lastRead.Load(); at > last {
-					n, last = n+1, at
-				}
-				if time.Now().After(deadline) {
-					t.Fatal("no probe is heard")
-				}
-				select {
-				case <-c.Done():
-					t.Fatal("the link has ended")
-				case <-time.After(time.Millisecond):
+func TestProbesKeepIdleLinkOpen(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, b, _, _ := startPair(t, tr, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 5 * time.Second})
+			began := time.Now().UnixNano()
+			for _, c := range []*Conn{a, b} {
+				deadline := time.Now().Add(patience)
+				for n, last := 0, began; n < 5; {
+					if at := c.lastRead.Load(); at > last {
+						n, last = n+1, at
+					}
+					if time.Now().After(deadline) {
+						t.Fatal("no probe is heard")
+					}
+					select {
+					case <-c.Done():
+						t.Fatal("the link has ended")
+					case <-time.After(time.Millisecond):
+					}
 				}
 			}
-		}
-	})
+		})
+	}
 }
 
 // A frame that takes longer than the silence allowed is heard all the while.
-func TestLongFrameIsNoSilence(t *testing.T) {
+func TestSlowLongFrameCountsAsAlive(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
 			na, raw := tr.pair(t)
 			defer raw.Close()
-			as := newSide()
-			a := start(na, as, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 300 * time.Millisecond})
+			aSide := newSide()
+			a := start(na, aSide, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 300 * time.Millisecond})
 			defer a.Close()
 			go func() { // reads the probes away
 				b := make([]byte, 1<<10)
@@ -325,7 +271,7 @@
 					t.Fatal(err)
 				}
 			}
-			if m := get(t, as.messages, "the frame"); len(m.Body) != n {
+			if m := get(t, aSide.messages, "the frame"); len(m.Body) != n {
 				t.Fatal(len(m.Body))
 			}
 		})
@@ -333,31 +279,34 @@
 }
 
 // Many write at once, both ways, and all arrives, in each writer's order.
-func TestManyWriters(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, b *Conn, as, bs *side) {
-		const writers, each = 8, 300
-		var wg sync.WaitGroup
-		for _, c := range []*Conn{a, b} {
-			for w := range writers {
-				wg.Go(func() {
-					for i := range each {
-						_ = c.Send(Kind(w), binary.BigEndian.AppendUint32(nil, uint32(i)))
-					}
-				})
+func TestConcurrentWritersKeepTheirOrder(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, b, aSide, bSide := startPair(t, tr, steady)
+			const writers, each = 8, 300
+			var wg sync.WaitGroup
+			for _, c := range []*Conn{a, b} {
+				for w := range writers {
+					wg.Go(func() {
+						for i := range each {
+							_ = c.Send(Kind(w), binary.BigEndian.AppendUint32(nil, uint32(i)))
+						}
+					})
+				}
 			}
-		}
-		for _, s := range []*side{as, bs} {
-			next := map[Kind]uint32{}
-			for range writers * each {
-				m := get(t, s.messages, "a message")
-				if got := binary.BigEndian.Uint32(m.Body); got != next[m.Kind] {
-					t.Fatalf("writer %d: %d in place of %d", m.Kind, got, next[m.Kind])
+			for _, s := range []*side{aSide, bSide} {
+				next := map[Kind]uint32{}
+				for range writers * each {
+					m := get(t, s.messages, "a message")
+					if got := binary.BigEndian.Uint32(m.Body); got != next[m.Kind] {
+						t.Fatalf("writer %d: %d in place of %d", m.Kind, got, next[m.Kind])
+					}
+					next[m.Kind]++
 				}
-				next[m.Kind]++
 			}
-		}
-		wg.Wait()
-	})
+			wg.Wait()
+		})
+	}
 }
 
 // FuzzFrames reads any bytes: no panic, no memory beyond what came, and Closed is called last, once.
@@ -448,7 +397,7 @@
 			switch {
 			case !replied && !errors.Is(got.Err, ErrClosed):
 				t.Fatalf("call %d: %+v though nobody replied", n+1, got)
-			case replied && (string(got.Body) != string(expected.Body) || got.Err != expected.Err):
+			case replied && (string(got.Body) != string(expected.Body) || !reflect.DeepEqual(got.Err, expected.Err)):
 				t.Fatalf("call %d: %+v in place of %+v", n+1, got, expected)
 			}
 		}
@@ -464,7 +413,7 @@
 
 // A link that breaks at any byte of two replies: what came whole counts, the other call ends with ErrClosed, and the next link,
 // whose calls have the same numbers, gets nothing of it.
-func TestLinkCutAtEveryByteOfAReply(t *testing.T) {
+func TestLinkCutAtEachByteOfReplies(t *testing.T) {
 	reply := func(call byte, body string) []byte {
 		return append([]byte{0, 0, 0, byte(5 + len(body)), byte(kindReply), 0, 0, 0, call}, body...)
 	}
@@ -485,7 +434,7 @@
 			if cut < whole {
 				want = Reply{Err: ErrClosed}
 			}
-			if string(got.Body) != string(want.Body) || got.Err != want.Err {
+			if string(got.Body) != string(want.Body) || !reflect.DeepEqual(got.Err, want.Err) {
 				t.Errorf("cut at %d, call %d: %+v, want %+v", cut, call+1, got, want)
 			}
 		}
@@ -493,25 +442,31 @@
 }
 
 // A reply to a question that came over an older link ends no call of a newer one, though both have the same number.
-func TestReplyToAnOlderLinkEndsNoNewerCall(t *testing.T) {
-	contract(t, steady, func(t *testing.T, a, b *Conn, _, bs *side) {
-		old := a.Go(1, []byte("old"))
-		question := get(t, bs.messages, "the old question")
-		a.Close()
-		if r := get(t, old, "the end of the old call"); !errors.Is(r.Err, ErrClosed) {
-			t.Errorf("%+v", r)
-		}
-		contract(t, steady, func(t *testing.T, newer, _ *Conn, _, newerSide *side) {
-			now := newer.Go(1, []byte("new"))
-			next := get(t, newerSide.messages, "the new question")
-			if next.call != question.call {
-				t.Fatalf("numbers %d and %d", question.call, next.call)
-			}
-			question.Reply([]byte("to the old one"))
-			next.Reply([]byte("to the new one"))
-			if r := get(t, now, "a reply"); string(r.Body) != "to the new one" || r.Err != nil {
+func TestReplyOnOldLinkEndsNoCallOnNewLink(t *testing.T) {
+	for _, tr := range transports {
+		t.Run(tr.name, func(t *testing.T) {
+			a, _, _, bSide := startPair(t, tr, steady)
+			old := a.Go(1, []byte("old"))
+			question := get(t, bSide.messages, "the old question")
+			a.Close()
+			if r := get(t, old, "the end of the old call"); !errors.Is(r.Err, ErrClosed) {
 				t.Errorf("%+v", r)
 			}
+			for _, tr := range transports {
+				t.Run(tr.name, func(t *testing.T) {
+					newer, _, _, newerSide := startPair(t, tr, steady)
+					now := newer.Go(1, []byte("new"))
+					next := get(t, newerSide.messages, "the new question")
+					if next.call != question.call {
+						t.Fatalf("numbers %d and %d", question.call, next.call)
+					}
+					question.Reply([]byte("to the old one"))
+					next.Reply([]byte("to the new one"))
+					if r := get(t, now, "a reply"); string(r.Body) != "to the new one" || r.Err != nil {
+						t.Errorf("%+v", r)
+					}
+				})
+			}
 		})
-	})
+	}
 }
--- a/internal/platform/link/wrong_test.go
+++ b/internal/platform/link/mutants_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that would give a reply to the wrong call, or lose one.
-var wrong = []mutation.Mutant{
+// mutants are changes that would give a reply to the wrong call, or lose one.
+var mutants = []mutation.Mutant{
 	{
 		Name: "a call is answered twice",
 		File: "conn.go",
@@ -53,11 +53,16 @@
 	},
 }
 
-// TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { mutation.CheckPresent(t, wrong) }
+// TestMutantsStand fails if a line that a mutant replaces no longer stands once in its file.
+func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
-// Each wrong line is found by the tests: LINK_WRONG=1, or a part of a name.
-func TestWrongLinesAreFound(t *testing.T) {
-	only := mutation.Requested(t, "LINK_WRONG")
-	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-timeout", "60s"}, Env: []string{"LINK_WRONG="}, Within: 2 * time.Minute})
+// TestMutantsAreFound runs the tests over each mutant, which takes minutes: LINK_MUTANTS is 1 or a part of a name.
+func TestMutantsAreFound(t *testing.T) {
+	only := mutation.Requested(t, "LINK_MUTANTS")
+	mutation.Find(t, mutants, mutation.Options{
+		Only:   only,
+		Args:   []string{"-timeout", "60s"},
+		Env:    []string{"LINK_MUTANTS="},
+		Within: 2 * time.Minute,
+	})
 }
