--- a/internal/consensus/paxos/storage.go
+++ b/internal/consensus/paxos/storage.go
@@ -186,22 +186,19 @@
 }
 
 func encodePromise(slot uint64, number ProposalNumber) []byte {
-	w := &link.Writer{}
-	w.U8(uint8(recordPromise))
-	w.U64(slot)
-	number.append(w)
-	return w.Buf
+	return encodeRecord(recordPromise, slot, number).Buf
 }
 
 func encodeAccepted(number ProposalNumber, s State) []byte {
-	w := &link.Writer{}
-	w.U8(uint8(recordAccepted))
-	w.U64(s.Slot)
-	number.append(w)
+	w := encodeRecord(recordAccepted, s.Slot, number)
 	s.Append(w)
 	return w.Buf
 }
 
+func encodeChosen(slot uint64, number ProposalNumber) []byte {
+	return encodeRecord(recordChosen, slot, number).Buf
+}
+
 func encodeDecided(s State) []byte {
 	w := &link.Writer{}
 	w.U8(uint8(recordDecided))
@@ -209,10 +206,11 @@
 	return w.Buf
 }
 
-func encodeChosen(slot uint64, number ProposalNumber) []byte {
+// encodeRecord encodes what all records but a recordDecided begin with.
+func encodeRecord(kind recordKind, slot uint64, number ProposalNumber) *link.Writer {
 	w := &link.Writer{}
-	w.U8(uint8(recordChosen))
+	w.U8(uint8(kind))
 	w.U64(slot)
 	number.append(w)
-	return w.Buf
+	return w
 }
--- a/internal/consensus/reconfigure/mutants_test.go
+++ b/internal/consensus/reconfigure/mutants_test.go
@@ -90,8 +90,8 @@
 	{
 		Name: "a leaver relies on one that has just started",
 		File: "rules.go",
-		Old:  "{s.remove, s.substitute}",
-		New:  "{s.substitute, s.remove}",
+		Old:  "s.remove, s.substitute)",
+		New:  "s.substitute, s.remove)",
 	},
 	{
 		Name: "half is a majority",
--- a/internal/consensus/reconfigure/rules.go
+++ b/internal/consensus/reconfigure/rules.go
@@ -55,10 +55,8 @@
 		}
 		// A candidate may be a machine that has just started, and may be lost with others: it is not relied on where
 		// enough voters remain without it.
-		for _, rule := range []func(Reason, Voter) (Change, bool){s.remove, s.substitute} {
-			if change, found := rule(ReasonLeaving, voter); found {
-				return change, true
-			}
+		if change, found := firstChange(ReasonLeaving, voter, s.remove, s.substitute); found {
+			return change, true
 		}
 	}
 	return Change{}, false
@@ -72,10 +70,8 @@
 		if voter.Reachable || voter.UnreachableFor < s.UnresponsiveTimeout {
 			continue
 		}
-		for _, rule := range []func(Reason, Voter) (Change, bool){s.substitute, s.remove} {
-			if change, found := rule(ReasonUnresponsive, voter); found {
-				return change, true
-			}
+		if change, found := firstChange(ReasonUnresponsive, voter, s.substitute, s.remove); found {
+			return change, true
 		}
 	}
 	return Change{}, false
@@ -92,6 +88,16 @@
 	return Change{Reason: ReasonExpansion, New: &candidates[0].Voter}, true
 }
 
+// firstChange returns the change of the first way to give up a voter's seat that is possible.
+func firstChange(reason Reason, voter Voter, ways ...func(Reason, Voter) (Change, bool)) (Change, bool) {
+	for _, way := range ways {
+		if change, found := way(reason, voter); found {
+			return change, true
+		}
+	}
+	return Change{}, false
+}
+
 // substitute replaces a voter by a candidate.
 func (s Situation) substitute(reason Reason, voter Voter) (Change, bool) {
 	candidates := s.candidates()
