--- a/cmd/dunetide/metrics.go
+++ b/cmd/dunetide/metrics.go
@@ -49,7 +49,7 @@
 
 // serveMetrics serves metrics at an address until the process ends.
 func (p *process) serveMetrics(addr string) error {
-	listener, err := net.Listen("tcp4", addr)
+	listener, err := p.listen(addr)
 	if err != nil {
 		return err
 	}
--- a/cmd/dunetide/process.go
+++ b/cmd/dunetide/process.go
@@ -102,6 +102,12 @@
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.FirstInternalPort+port))
 }
 
+// listen accepts connections at an address of this machine.
+func (p *process) listen(addr string) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(p.background, "tcp4", addr)
+}
+
 // seedLinks returns the link addresses of the keepers that settings name as seeds.
 func seedLinks(s *settings.Settings) []string {
 	return controlclient.SeedLinkAddrs(s.Seeds, s.FirstInternalPort+keeperPort)
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	ready, err := net.Listen("tcp4", r.process.settings.ReadyAddr)
+	ready, err := r.process.listen(r.process.settings.ReadyAddr)
 	if err != nil {
 		return err
 	}
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"sync"
 	"time"
 
@@ -71,7 +70,7 @@
 	defer p.condition.clear()
 	defer p.awaitStopped(store) // before the log is opened again
 	defer store.Close()
-	links, err := net.Listen("tcp4", p.internalAddr(storePort))
+	links, err := p.listen(p.internalAddr(storePort))
 	if err != nil {
 		return err
 	}
--- a/cmd/dunetide/version.go
+++ b/cmd/dunetide/version.go
@@ -12,8 +12,8 @@
 func (versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		fmt.Println("dunetide: built without version information")
-		return nil
+		_, err := fmt.Println("dunetide: built without version information")
+		return err
 	}
 	revision := "unknown"
 	for _, s := range info.Settings {
@@ -21,6 +21,6 @@
 			revision = s.Value
 		}
 	}
-	fmt.Printf("dunetide revision=%s go=%s\n", revision, info.GoVersion)
-	return nil
+	_, err := fmt.Printf("dunetide revision=%s go=%s\n", revision, info.GoVersion)
+	return err
 }
--- a/internal/proxy/forward/head.go
+++ b/internal/proxy/forward/head.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Names of headers in their canonical form. docs/calls.md says what they mean.
+// Names of headers in their canonical form, as they are on the wire.
 const (
 	headerID        = "X-Dunetide-Request-Id"
 	headerTimeLeft  = "X-Dunetide-Time-Left-Ms"
--- a/internal/proxy/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -35,7 +35,7 @@
 // States of an item.
 const (
 	ItemNotRun        ItemState = iota // no endpoint has run it
-	ItemDone                           // its whole output came
+	ItemDone                           // its complete output came
 	ItemBroken                         // it broke off; it may go on after the last event that came
 	ItemFailed                         // the endpoint answered 500: a failed attempt
 	ItemUnprocessable                  // the endpoint answered 422: it can't be done
--- a/internal/proxy/forward/respond.go
+++ b/internal/proxy/forward/respond.go
@@ -11,7 +11,7 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// maxBuffered is how long a body may be that is read whole before its head is forwarded.
+// maxBuffered is how long a body may be that is read to its end before its head is forwarded.
 const maxBuffered = 256 << 10
 
 // forwardAnswer forwards an answer to the client, and returns the event by which that ended.
--- a/internal/proxy/forward/send.go
+++ b/internal/proxy/forward/send.go
@@ -98,6 +98,7 @@
 	if x.delaysEnd() {
 		x.connection.DelayEnd()
 	}
+	//nolint:bodyclose // finish releases the connection, which is what has an end
 	x.response, err = x.connection.Open(x.ctx, x.method, x.head, x.body, x.deadline)
 	for skipped := 0; err == nil; skipped++ {
 		matches, spliced := x.answersThisRequest(), x.spliced()
@@ -107,6 +108,7 @@
 		if spliced || skipped == maxSurplus || !x.skippable() || !x.drainBody(maxBuffered) {
 			return &upstream.CallError{Sent: true, Err: errForeign}
 		}
+		//nolint:bodyclose // as above
 		x.response, err = x.connection.NextAnswer()
 	}
 	return err
