--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"dunetide/internal/control/snapshot"
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
 	"dunetide/internal/platform/vfs/vfstest"
@@ -290,12 +290,12 @@
 func rewritten(t *testing.T, data []byte, last recordHash, entries [][]byte) []byte {
 	t.Helper()
 	d := vfstest.New()
-	d.Put("f", data[:journal.FramesHeader])
+	d.Put("f", data[:frame.HeadersSize])
 	l, err := recordlog.Open(d, "f", func([]byte, int64) error { return nil })
 	must(t, err)
 	for _, e := range entries {
 		end := d.File("f")
-		if synced := binary.LittleEndian.Uint64(data[len(end)+journal.FrameHead:]); synced == uint64(len(end)) {
+		if synced := binary.LittleEndian.Uint64(data[len(end)+frame.KeyedHeadSize:]); synced == uint64(len(end)) {
 			must(t, l.Sync())
 		}
 		var b []byte
--- a/internal/batch/audit/scan.go
+++ b/internal/batch/audit/scan.go
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
 	"dunetide/internal/platform/vfs"
@@ -48,7 +48,7 @@
 func scan(file io.ReaderAt, size int64, name string, each func(entry []byte) error) (*scannedFile, error) {
 	s := &scannedFile{name: name, each: each}
 	// A store needs one of the two copies of the header; that one of them was changed is for the auditor to know.
-	header := make([]byte, journal.FramesHeader)
+	header := make([]byte, frame.HeadersSize)
 	if _, err := file.ReadAt(header, 0); err != nil && !errors.Is(err, io.EOF) {
 		return s, err
 	}
--- a/internal/deliverynode/journal/begin.go
+++ b/internal/deliverynode/journal/begin.go
@@ -27,7 +27,7 @@
 const segmentsOfLimit = 24
 
 // Replay reads the journal in a folder and writes nothing. It fails if a file cannot be read or was written by a newer
-// program (ErrNewer); damage is no failure (Problems).
+// program (frame.ErrNewer); damage is no failure (Problems).
 func Replay(o Options) (*Journal, error) {
 	if o.Now == nil {
 		o.Now = time.Now
--- a/internal/deliverynode/journal/checkpoint.go
+++ b/internal/deliverynode/journal/checkpoint.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"dunetide/internal/platform/frame"
 	"dunetide/policy"
 )
 
@@ -48,7 +49,7 @@
 		return err
 	}
 	n := j.segments[len(j.segments)-1].number + 1
-	f := format{keyed: true, checkpoint: true, number: n, salt: rand.Uint64()}
+	f := frame.Format{Keyed: true, Checkpoint: true, Number: n, Salt: rand.Uint64()}
 	size, err := j.writeState(f)
 	if err != nil { // the next checkpoint, or the next start, removes the unfinished file
 		return fmt.Errorf("writing a checkpoint: %w", err)
@@ -82,7 +83,7 @@
 }
 
 // writeState writes the state to the temporary file of a checkpoint, makes it durable, and returns its size.
-func (j *Journal) writeState(f format) (size int64, err error) {
+func (j *Journal) writeState(f frame.Format) (size int64, err error) {
 	if err := j.removeStray(); err != nil {
 		return 0, err
 	}
@@ -92,12 +93,12 @@
 	}
 	j.stray = true
 	defer func() { err = errors.Join(err, file.Close()) }()
-	if _, err := file.Write(f.header()); err != nil {
+	if _, err := file.Write(f.Header()); err != nil {
 		return 0, err
 	}
-	size = headers
+	size = frame.HeadersSize
 	put := func(payload []byte) error {
-		j.buf = f.frame(j.buf[:0], payload, size)
+		j.buf = f.AppendRecord(j.buf[:0], payload, size)
 		size += int64(len(j.buf))
 		_, err := file.Write(j.buf)
 		return err
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
@@ -185,7 +186,7 @@
 					}
 					if start == 0 {
 						first = state(j, owed)
-					} else if second := state(j, owed); second != first || len(j.recovery.report.Problems) > 0 && bit/8 >= headers {
+					} else if second := state(j, owed); second != first || len(j.recovery.report.Problems) > 0 && bit/8 >= frame.HeadersSize {
 						t.Errorf("%s: then %s and %+v, first %s", what, second, j.recovery.report.Problems, first)
 					}
 					must(t, j.Close())
@@ -317,15 +318,15 @@
 	path := filepath.Join(dir, segmentPath(3))
 	data, err := os.ReadFile(path)
 	must(t, err)
-	for _, at := range []int{0, headerSize} {
-		binary.LittleEndian.PutUint16(data[at+8:], formatVersion+1)
-		binary.LittleEndian.PutUint32(data[at+headerSize-4:], crc32.Checksum(data[at:at+headerSize-4], crcTable))
+	for _, at := range []int{0, frame.HeaderSize} {
+		binary.LittleEndian.PutUint16(data[at+8:], frame.Version+1)
+		binary.LittleEndian.PutUint32(data[at+frame.HeaderSize-4:], crc32.Checksum(data[at:at+frame.HeaderSize-4], crc32.MakeTable(crc32.Castagnoli)))
 	}
 	must(t, os.WriteFile(path, data, 0o600))
 	before := readFolder(t, dir)
 	for _, sync := range []bool{false, true} {
 		_, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: sync})
-		if !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "format 3") {
+		if !errors.Is(err, frame.ErrNewer) || !strings.Contains(err.Error(), "format 3") {
 			t.Errorf("%v, want that it is newer", err)
 		}
 	}
--- a/internal/deliverynode/journal/golden_test.go
+++ b/internal/deliverynode/journal/golden_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"dunetide/internal/lab/golden"
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
@@ -41,14 +42,14 @@
 }
 
 // goldenSegment returns a segment with one record of each kind but recEnd, which only a checkpoint has.
-func goldenSegment(f format) []byte {
+func goldenSegment(f frame.Format) []byte {
 	var b []byte
-	if f.keyed {
-		b = f.header()
+	if f.Keyed {
+		b = f.Header()
 	}
 	kinds := goldenRecordKinds()
 	for _, payload := range kinds[:len(kinds)-1] {
-		b = f.frame(b, payload, int64(len(b)))
+		b = f.AppendRecord(b, payload, int64(len(b)))
 	}
 	return b
 }
@@ -66,22 +67,22 @@
 
 // Segments of both forms, written by an earlier version, are read and have the same bytes.
 func TestGoldenSegments(t *testing.T) {
-	for name, f := range map[string]format{
+	for name, f := range map[string]frame.Format{
 		"plain":      {},
-		"keyed":      {keyed: true, number: 1, salt: 0x0102030405060708},
-		"checkpoint": {keyed: true, checkpoint: true, number: 1, salt: 0x1112131415161718},
+		"keyed":      {Keyed: true, Number: 1, Salt: 0x0102030405060708},
+		"checkpoint": {Keyed: true, Checkpoint: true, Number: 1, Salt: 0x1112131415161718},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := goldenSegment(f)
-			if f.checkpoint {
-				text = f.frame(text, record(recEnd, 0), int64(len(text)))
+			if f.Checkpoint {
+				text = f.AppendRecord(text, record(recEnd, 0), int64(len(text)))
 			}
 			golden.Compare(t, filepath.Join(name, segmentPath(1)), text)
-			read, _, err := formatOf(golden.Read(t, filepath.Join(name, segmentPath(1))), 1)
-			if err != nil || read.keyed != f.keyed || read.checkpoint != f.checkpoint || read.salt != f.salt {
+			read, _, err := frame.FormatOf(golden.Read(t, filepath.Join(name, segmentPath(1))), 1)
+			if err != nil || read.Keyed != f.Keyed || read.Checkpoint != f.Checkpoint || read.Salt != f.Salt {
 				t.Errorf("read the format %+v, %v, want %+v", read, err, f)
 			}
-			j, err := Replay(Options{Folder: vfs.Dir(filepath.Join(golden.Dir, name)), Limit: MinDisk, Sync: f.keyed})
+			j, err := Replay(Options{Folder: vfs.Dir(filepath.Join(golden.Dir, name)), Limit: MinDisk, Sync: f.Keyed})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/deliverynode/journal/journal.go
+++ b/internal/deliverynode/journal/journal.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
@@ -72,7 +73,7 @@
 
 	mu         sync.Mutex
 	file       vfs.File // the newest segment
-	format     format
+	format     frame.Format
 	segments   []segment
 	aside      []segment // copies of damaged segments
 	foreign    int64     // bytes on disk of files that are not the journal's
--- a/internal/deliverynode/journal/recover.go
+++ b/internal/deliverynode/journal/recover.go
@@ -11,6 +11,7 @@
 	"strings"
 	"time"
 
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs"
 	"dunetide/policy"
 )
@@ -148,15 +149,15 @@
 func (j *Journal) findCheckpoints() ([]int, error) {
 	var checkpoints []int
 	for i, s := range j.segments {
-		head, err := j.fs.Head(segmentPath(s.number), headers)
+		head, err := j.fs.Head(segmentPath(s.number), frame.HeadersSize)
 		if err != nil {
 			return nil, fmt.Errorf("replaying the journal: %w", err)
 		}
-		f, at, err := formatOf(head, s.number)
-		if errors.Is(err, ErrNewer) {
+		f, at, err := frame.FormatOf(head, s.number)
+		if errors.Is(err, frame.ErrNewer) {
 			return nil, fmt.Errorf("%s: %w", segmentPath(s.number), err)
 		}
-		if at > 0 && f.checkpoint { // one spoilt header is enough to read it, and is reported when it is read
+		if at > 0 && f.Checkpoint { // one spoilt header is enough to read it, and is reported when it is read
 			checkpoints = append(checkpoints, i)
 		}
 	}
@@ -172,7 +173,7 @@
 		if err != nil {
 			return err
 		}
-		if f, at, _ := formatOf(data, number); at == 0 || !whole(f, data, at) {
+		if f, at, _ := frame.FormatOf(data, number); at == 0 || !whole(f, data, at) {
 			continue
 		}
 		r.report.Checkpoint, j.checkpoint = number, number
@@ -217,9 +218,9 @@
 }
 
 // whole reports whether a checkpoint is complete.
-func whole(f format, data []byte, at int) bool {
+func whole(f frame.Format, data []byte, at int) bool {
 	for at < len(data) {
-		payload, next, err := f.record(data, at)
+		payload, next, err := f.Record(data, at)
 		if err != nil {
 			return false
 		}
@@ -263,9 +264,9 @@
 // segment replays a segment up to its end or its torn tail. After damage it goes on with the next sound record.
 func (r *recovery) segment(n uint64, data []byte, last bool) {
 	r.number, r.behind.on = n, false
-	f, at, err := formatOf(data, n)
+	f, at, err := frame.FormatOf(data, n)
 	switch {
-	case errors.Is(err, errTorn) && last:
+	case errors.Is(err, frame.ErrTorn) && last:
 		r.torn(n, 0, len(data))
 		return
 	case err != nil && at == 0:
@@ -275,11 +276,11 @@
 		r.problem(segmentPath(n), 0, err.Error(), false)
 		r.keep[n] = true
 	}
-	if f.keyed {
+	if f.Keyed {
 		r.report.Headed++
 	}
 	for at < len(data) {
-		payload, next, err := f.record(data, at)
+		payload, next, err := f.Record(data, at)
 		if err == nil {
 			r.report.Records++
 			if err := r.apply(payload); err != nil {
@@ -288,9 +289,9 @@
 			at = next
 			continue
 		}
-		if errors.Is(err, errTorn) && (last || !f.keyed) && !r.behind.on {
+		if errors.Is(err, frame.ErrTorn) && (last || !f.Keyed) && !r.behind.on {
 			r.torn(n, at, len(data))
-			if !f.keyed && !(len(data) > at+plainHead && data[at+plainHead] == recTaken) {
+			if !f.Keyed && !(len(data) > at+frame.PlainHeadSize && data[at+frame.PlainHeadSize] == recTaken) {
 				// Only the length says so, and a damaged length looks the same.
 				r.inDoubt()
 			}
@@ -303,7 +304,7 @@
 			r.damaged(n, at, err)
 			r.behind.on = true
 		}
-		if at = f.resume(data, at, next); at < 0 {
+		if at = f.Resume(data, at, next); at < 0 {
 			return
 		}
 	}
@@ -470,7 +471,7 @@
 			records = append(records, appendNotice(record(recEnded, seq), m.Notice))
 		}
 		for _, b := range records {
-			if err := j.makeRoom(int64(len(b) + j.format.head())); err != nil {
+			if err := j.makeRoom(int64(len(b) + j.format.HeadSize())); err != nil {
 				return err
 			}
 			if j.home[seq] >= first { // makeRoom has just copied the message, with all this
--- a/internal/deliverynode/journal/segment.go
+++ b/internal/deliverynode/journal/segment.go
@@ -7,6 +7,7 @@
 	"slices"
 	"sort"
 
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs"
 )
 
@@ -31,7 +32,7 @@
 			j.retryAt = j.sinceCheckpoint() + j.segSize
 		}
 	}
-	size := int64(len(payload) + j.format.head())
+	size := int64(len(payload) + j.format.HeadSize())
 	if err := j.makeRoom(size); err != nil {
 		return err
 	}
@@ -40,14 +41,14 @@
 
 // write writes a record to the newest segment, or to a new one if that is full.
 func (j *Journal) write(payload []byte, taken *Message) error {
-	size := int64(len(payload) + j.format.head())
+	size := int64(len(payload) + j.format.HeadSize())
 	if last := &j.segments[len(j.segments)-1]; last.size > j.headSize() && last.size+size > j.segSize {
 		if err := j.roll(); err != nil {
 			return err
 		}
 	}
 	last := &j.segments[len(j.segments)-1]
-	j.buf = j.format.frame(j.buf[:0], payload, last.size)
+	j.buf = j.format.AppendRecord(j.buf[:0], payload, last.size)
 	if n, err := j.file.Write(j.buf); err != nil {
 		// A part of the record may have been written. It must not hide the records that follow.
 		last.size += int64(n)
@@ -71,7 +72,7 @@
 // headSize returns the size of a segment without records.
 func (j *Journal) headSize() int64 {
 	if j.sync {
-		return headers
+		return frame.HeadersSize
 	}
 	return 0
 }
@@ -86,9 +87,9 @@
 	if err := j.syncFile(); err != nil {
 		return err
 	}
-	f := format{number: n}
+	f := frame.Format{Number: n}
 	if j.sync {
-		f = format{keyed: true, number: n, salt: rand.Uint64()}
+		f = frame.Format{Keyed: true, Number: n, Salt: rand.Uint64()}
 	}
 	file, err := j.create(segmentPath(n), f)
 	if err != nil {
@@ -105,12 +106,12 @@
 }
 
 // create creates a file. With a header, the header and the file's name are durable when it returns.
-func (j *Journal) create(name string, f format) (vfs.File, error) {
+func (j *Journal) create(name string, f frame.Format) (vfs.File, error) {
 	file, err := j.fs.Create(name)
-	if err != nil || !f.keyed {
+	if err != nil || !f.Keyed {
 		return file, err
 	}
-	if _, err = file.Write(f.header()); err == nil {
+	if _, err = file.Write(f.Header()); err == nil {
 		err = file.Sync()
 	}
 	if err == nil {
--- a/internal/platform/recordlog/golden_test.go
+++ b/internal/platform/recordlog/golden_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
@@ -36,28 +36,28 @@
 }
 
 // decodeFile reads a file by its format alone, without the package's own reading.
-func decodeFile(t *testing.T, b []byte) (frames journal.Frames, records []framed) {
+func decodeFile(t *testing.T, b []byte) (frames frame.Format, records []framed) {
 	t.Helper()
-	frames, err := journal.ReadFrames(b)
+	frames, err := frame.ReadFormat(b)
 	must(t, err)
-	for at := int64(journal.FramesHeader); at < int64(len(b)); {
-		head := b[at : at+journal.FrameHead]
-		n, ok := frames.Len(head, at)
-		if !ok || at+journal.FrameHead+n > int64(len(b)) {
+	for at := int64(frame.HeadersSize); at < int64(len(b)); {
+		head := b[at : at+frame.KeyedHeadSize]
+		n, ok := frames.PayloadSize(head, at)
+		if !ok || at+frame.KeyedHeadSize+n > int64(len(b)) {
 			t.Fatalf("no record at byte %d", at)
 		}
-		payload := b[at+journal.FrameHead : at+journal.FrameHead+n]
-		if !frames.Checks(head, payload, at) {
+		payload := b[at+frame.KeyedHeadSize : at+frame.KeyedHeadSize+n]
+		if !frames.Matches(head, payload, at) {
 			t.Fatalf("the record at byte %d does not check", at)
 		}
 		records = append(records, framed{binary.LittleEndian.Uint64(payload), string(payload[8:])})
-		at += journal.FrameHead + n
+		at += frame.KeyedHeadSize + n
 	}
 	return frames, records
 }
 
 // encodeFile writes records as Append and Rewrite do.
-func encodeFile(frames journal.Frames, records []framed) []byte {
+func encodeFile(frames frame.Format, records []framed) []byte {
 	l := &Log{}
 	b := frames.Header()
 	for _, r := range records {
@@ -102,8 +102,8 @@
 	}
 	frames, records := decodeFile(t, b)
 	marks := []framed{{64, want[0]}, {64, want[1]}, {109, want[2]}, {137, want[3]}}
-	if frames.Number() != 0 || !slices.Equal(records, marks) {
-		t.Errorf("file %d, %+v, want %+v", frames.Number(), records, marks)
+	if frames.Number != 0 || !slices.Equal(records, marks) {
+		t.Errorf("file %d, %+v, want %+v", frames.Number, records, marks)
 	}
 	if !bytes.Equal(encodeFile(frames, records), b) {
 		t.Error("the same records are written as other bytes")
@@ -146,8 +146,8 @@
 	})
 	frames, records := decodeFile(t, b)
 	want := []framed{{0, stays[0]}, {0, stays[1]}, {120, added}}
-	if frames.Number() != 95 || !slices.Equal(records, want) {
-		t.Errorf("file %d, %+v, want %+v", frames.Number(), records, want)
+	if frames.Number != 95 || !slices.Equal(records, want) {
+		t.Errorf("file %d, %+v, want %+v", frames.Number, records, want)
 	}
 	if !bytes.Equal(encodeFile(frames, records), b) {
 		t.Error("the same records are written as other bytes")
@@ -166,7 +166,7 @@
 	rewrite(k)
 	must(t, k.Close())
 	frames, records = decodeFile(t, d.File(name))
-	if frames.Number() != 246 || !slices.Equal(records, want[:2]) {
-		t.Errorf("rewritten again: file %d, %+v", frames.Number(), records)
+	if frames.Number != 246 || !slices.Equal(records, want[:2]) {
+		t.Errorf("rewritten again: file %d, %+v", frames.Number, records)
 	}
 }
--- a/internal/platform/recordlog/log.go
+++ b/internal/platform/recordlog/log.go
@@ -8,7 +8,7 @@
 	"math"
 	"sync"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs"
 )
 
@@ -19,7 +19,7 @@
 	// syncedOffsetSize is how many bytes the synced offset takes in front of each payload.
 	syncedOffsetSize = 8
 	// recordOverhead is how many bytes a record takes beside its payload.
-	recordOverhead = journal.FrameHead + syncedOffsetSize
+	recordOverhead = frame.KeyedHeadSize + syncedOffsetSize
 	// maxRetainedBuffer is the largest buffer, in bytes, that is retained for the next record.
 	maxRetainedBuffer = 1 << 20
 )
@@ -52,7 +52,7 @@
 // currentFile is a file and what is known of it.
 type currentFile struct {
 	file   vfs.OpenFile
-	frames journal.Frames
+	frames frame.Format
 	base   int64 // the position at which the file begins
 	size   int64 // bytes
 }
@@ -64,7 +64,7 @@
 // whole record, in order, and with the position of that record; the payload is valid until replay returns. What a
 // loss of power has torn behind the last whole record is cut off. All that was replayed is durable when Open returns.
 //
-// It fails with ErrDamaged if the disk has lost or changed what was synced, with journal.ErrNewer if a newer program
+// It fails with ErrDamaged if the disk has lost or changed what was synced, with frame.ErrNewer if a newer program
 // wrote the file, and with the first error of replay.
 func Open(folder vfs.Folder, name string, replay func(payload []byte, position int64) error) (*Log, error) {
 	l := &Log{folder: folder, name: name}
@@ -177,7 +177,7 @@
 func (l *Log) encode(f currentFile, payload []byte, syncedSize int64) []byte {
 	l.payloadBuffer = binary.LittleEndian.AppendUint64(l.payloadBuffer[:0], uint64(syncedSize))
 	l.payloadBuffer = append(l.payloadBuffer, payload...)
-	l.frameBuffer = f.frames.Append(l.frameBuffer[:0], l.payloadBuffer, f.size)
+	l.frameBuffer = f.frames.AppendRecord(l.frameBuffer[:0], l.payloadBuffer, f.size)
 	frame := l.frameBuffer
 	if cap(frame) > maxRetainedBuffer {
 		l.frameBuffer, l.payloadBuffer = nil, nil
--- a/internal/platform/recordlog/read.go
+++ b/internal/platform/recordlog/read.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 )
 
 // ReadAt reads a record back, given its position and the length of its payload, and checks it. It fails with
@@ -18,16 +18,16 @@
 		return nil, err
 	}
 	start := position - current.base - int64(length) - recordOverhead
-	if length < 0 || length > MaxPayload || start < journal.FramesHeader || position > current.end() {
+	if length < 0 || length > MaxPayload || start < frame.HeadersSize || position > current.end() {
 		return nil, ErrNoRecord.New("%s: position %d, %d bytes", l.name, position, length)
 	}
-	frame := make([]byte, recordOverhead+length)
-	if _, err := current.file.ReadAt(frame, start); err != nil {
+	encoded := make([]byte, recordOverhead+length)
+	if _, err := current.file.ReadAt(encoded, start); err != nil {
 		return nil, fmt.Errorf("reading a record back: %w", err)
 	}
-	head, record := frame[:journal.FrameHead], frame[journal.FrameHead:]
-	n, ok := current.frames.Len(head, start)
-	if !ok || n != int64(len(record)) || !current.frames.Checks(head, record, start) {
+	head, record := encoded[:frame.KeyedHeadSize], encoded[frame.KeyedHeadSize:]
+	n, ok := current.frames.PayloadSize(head, start)
+	if !ok || n != int64(len(record)) || !current.frames.Matches(head, record, start) {
 		return nil, l.damaged(start, fmt.Sprintf("no record of %d bytes checks there", length))
 	}
 	return record[syncedOffsetSize:], nil
@@ -45,7 +45,7 @@
 	}
 	start := position - current.base
 	end := start + int64(length)
-	if length < 0 || length > MaxPayload || start < journal.FramesHeader+recordOverhead || end > current.size {
+	if length < 0 || length > MaxPayload || start < frame.HeadersSize+recordOverhead || end > current.size {
 		return nil, ErrNoRecord.New("%s: %d bytes at position %d", l.name, length, position)
 	}
 	b := make([]byte, length)
--- a/internal/platform/recordlog/record_test.go
+++ b/internal/platform/recordlog/record_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"testing/synctest"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs"
 	"dunetide/internal/platform/vfs/vfstest"
 )
@@ -271,7 +271,7 @@
 		c.File(name)[at] ^= 0x10
 		return c
 	}
-	for at := int64(journal.FramesHeader); at < ends[1]; at += 1 + max(0, min(16381, at-ends[0])) {
+	for at := int64(frame.HeadersSize); at < ends[1]; at += 1 + max(0, min(16381, at-ends[0])) {
 		_, err := open(flip(at))
 		if !ErrDamaged.Has(err) || !strings.Contains(err.Error(), "move the file away") {
 			t.Fatalf("damage at byte %d: %v", at, err)
@@ -282,13 +282,13 @@
 			t.Fatalf("damage at byte %d: %d records", at, len(k.payloads))
 		}
 	}
-	for _, at := range []int64{3, journal.FramesHeader / 2} {
+	for _, at := range []int64{3, frame.HeadersSize / 2} {
 		if k := reopen(t, flip(at)); len(k.payloads) != 3 {
 			t.Errorf("damage at byte %d: %d records", at, len(k.payloads))
 		}
 	}
 	c := flip(3)
-	c.File(name)[journal.FramesHeader/2+20]++
+	c.File(name)[frame.HeadersSize/2+20]++
 	if _, err := open(c); !ErrDamaged.Has(err) {
 		t.Errorf("both heads damaged: %v", err)
 	}
--- a/internal/platform/recordlog/recovery.go
+++ b/internal/platform/recordlog/recovery.go
@@ -8,7 +8,7 @@
 	"io"
 	"math"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 )
 
 // recoveryWindow is how many bytes of a file are read at once.
@@ -19,7 +19,7 @@
 	if err := l.readHeader(size); err != nil {
 		return err
 	}
-	offset := int64(journal.FramesHeader)
+	offset := int64(frame.HeadersSize)
 	in := bufio.NewReaderSize(io.NewSectionReader(l.file, offset, size-offset), int(min(recoveryWindow, size)))
 	var record []byte
 	for {
@@ -30,7 +30,7 @@
 		if record == nil {
 			break
 		}
-		next := offset + journal.FrameHead + int64(len(record))
+		next := offset + frame.KeyedHeadSize + int64(len(record))
 		if err := replay(record[syncedOffsetSize:], l.base+next); err != nil {
 			return err
 		}
@@ -47,31 +47,31 @@
 
 // readHeader reads the beginning of a file: the encoding of its records, and its base.
 func (l *Log) readHeader(size int64) error {
-	header := make([]byte, min(size, journal.FramesHeader))
+	header := make([]byte, min(size, frame.HeadersSize))
 	if _, err := l.file.ReadAt(header, 0); err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
-	frames, err := journal.ReadFrames(header)
-	if errors.Is(err, journal.ErrNewer) {
+	frames, err := frame.ReadFormat(header)
+	if errors.Is(err, frame.ErrNewer) {
 		return fmt.Errorf("%s: %w", l.name, err)
 	}
 	// No file of this package has a base over half the range: positions could overflow behind it.
-	if err != nil || frames.Number() > math.MaxInt64/2 || size < journal.FramesHeader {
+	if err != nil || frames.Number > math.MaxInt64/2 || size < frame.HeadersSize {
 		return l.damaged(0, "its head is spoilt, which was synced before the file had its name")
 	}
-	l.frames, l.base = frames, int64(frames.Number())
+	l.frames, l.base = frames, int64(frames.Number)
 	return nil
 }
 
 // readRecord reads the record at an offset of a file of some size: its synced offset and its payload. It returns nil
 // if no record checks there. The result uses the buffer if that is large enough.
 func (l *Log) readRecord(in io.Reader, buffer []byte, offset, size int64) ([]byte, error) {
-	var head [journal.FrameHead]byte
+	var head [frame.KeyedHeadSize]byte
 	if ok, err := readWhole(in, head[:]); !ok {
 		return nil, err
 	}
-	n, ok := l.frames.Len(head[:], offset)
-	if !ok || n < syncedOffsetSize || n > syncedOffsetSize+MaxPayload || n > size-offset-journal.FrameHead {
+	n, ok := l.frames.PayloadSize(head[:], offset)
+	if !ok || n < syncedOffsetSize || n > syncedOffsetSize+MaxPayload || n > size-offset-frame.KeyedHeadSize {
 		return nil, nil
 	}
 	if int64(cap(buffer)) < n {
@@ -81,7 +81,7 @@
 	if ok, err := readWhole(in, buffer); !ok {
 		return nil, err
 	}
-	if !l.frames.Checks(head[:], buffer, offset) {
+	if !l.frames.Matches(head[:], buffer, offset) {
 		return nil, nil
 	}
 	return buffer, nil
@@ -107,9 +107,9 @@
 			return 0, err
 		}
 		i := 0
-		for ; i+journal.FrameHead <= n; i++ {
+		for ; i+frame.KeyedHeadSize <= n; i++ {
 			offset := start + int64(i)
-			if _, ok := l.frames.Len(window[i:i+journal.FrameHead], offset); !ok {
+			if _, ok := l.frames.PayloadSize(window[i:i+frame.KeyedHeadSize], offset); !ok {
 				continue
 			}
 			in := io.NewSectionReader(l.file, offset, size-offset)
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -7,7 +7,7 @@
 	"io/fs"
 	"math/rand/v2"
 
-	"dunetide/internal/deliverynode/journal"
+	"dunetide/internal/platform/frame"
 )
 
 const (
@@ -70,9 +70,9 @@
 		return currentFile{}, err
 	}
 	next := currentFile{
-		frames: journal.NewFrames(uint64(base), rand.Uint64()),
+		frames: frame.NewFormat(uint64(base), rand.Uint64()),
 		base:   base,
-		size:   journal.FramesHeader,
+		size:   frame.HeadersSize,
 	}
 	_, err = f.Write(next.frames.Header())
 	if err = errors.Join(err, f.Close()); err != nil {
