--- a/internal/control/keeper/leases.go
+++ b/internal/control/keeper/leases.go
@@ -78,6 +78,20 @@
 	return voters
 }
 
+// maintainLease requests or renews the lease of a role while this keeper is in contact, and logs when it acquires or
+// loses the lease. It reports whether this keeper has the lease now.
+func (k *Keeper) maintainLease(now time.Time, role string, lease *singleton.Candidate, hadLease bool) (hasLease bool) {
+	at := k.sinceStart(now)
+	if k.contact.InContact(at) {
+		k.stepLease(now, role, lease)
+	}
+	hasLease = lease.HasLease(at)
+	if hasLease != hadLease {
+		k.log.Info("duty", "name", role, "held", hasLease)
+	}
+	return hasLease
+}
+
 // stepLease requests or renews the lease of a role when that is due, or releases what was granted of it.
 func (k *Keeper) stepLease(now time.Time, role string, lease *singleton.Candidate) {
 	voters := k.leaseVoters()
@@ -147,8 +161,3 @@
 	}
 	return replies
 }
-
-// logLease logs that this keeper has acquired or lost the lease of a role.
-func (k *Keeper) logLease(role string, held bool) {
-	k.log.Info("duty", "name", role, "held", held)
-}
--- a/internal/control/keeper/partition_assignment.go
+++ b/internal/control/keeper/partition_assignment.go
@@ -29,7 +29,7 @@
 // partitionAssigner is the singleton role that assigns the partitions to stores.
 type partitionAssigner struct {
 	lease      *singleton.Candidate
-	hasLease   bool // as logged last
+	hasLease   bool // as of the last step
 	proposing  bool
 	proposedAt time.Time
 	lastSeen   map[uint64]time.Time // when a store was last attached to any keeper
@@ -41,19 +41,13 @@
 
 // stepAssigner keeps the lease and, while this keeper holds it, proposes better tables.
 func (k *Keeper) stepAssigner(now time.Time) {
-	a, at := &k.assigner, k.sinceStart(now)
+	a := &k.assigner
 	stores := k.attachedStores()
 	for id := range stores {
 		a.lastSeen[id] = now
 	}
-	if k.contact.InContact(at) {
-		k.stepLease(now, assignRole, a.lease)
-	}
-	if held := a.lease.HasLease(at); held != a.hasLease {
-		a.hasLease = held
-		k.logLease(assignRole, held)
-	}
-	if a.lease.LeaseAge(at) < takeoverDelay || a.proposing || now.Sub(a.proposedAt) < assignInterval {
+	a.hasLease = k.maintainLease(now, assignRole, a.lease, a.hasLease)
+	if a.lease.LeaseAge(k.sinceStart(now)) < takeoverDelay || a.proposing || now.Sub(a.proposedAt) < assignInterval {
 		return
 	}
 	k.proposeAssignment(now, stores)
--- a/internal/control/keeper/voter_changes.go
+++ b/internal/control/keeper/voter_changes.go
@@ -27,7 +27,7 @@
 // how long.
 type voterManager struct {
 	lease       *singleton.Candidate
-	hasLease    bool                             // as logged last
+	hasLease    bool                             // as of the last step
 	changing    map[string]bool                  // registers whose voters are being changed
 	observers   map[string]*reconfigure.Observer // by register
 	behindSince time.Time                        // since when others have reported newer states; zero: they haven't
@@ -47,16 +47,10 @@
 
 // stepVoterManager observes the voters, keeps the lease and, while this keeper holds it, changes the voters.
 func (k *Keeper) stepVoterManager(now time.Time) {
-	m, at := &k.voterManager, k.sinceStart(now)
+	m := &k.voterManager
 	k.observeVoters(now)
 	k.broadcastChangedReport()
-	if k.contact.InContact(at) {
-		k.stepLease(now, votersRole, m.lease)
-	}
-	if held := m.lease.HasLease(at); held != m.hasLease {
-		m.hasLease = held
-		k.logLease(votersRole, held)
-	}
+	m.hasLease = k.maintainLease(now, votersRole, m.lease, m.hasLease)
 	if !m.hasLease || k.shuttingDown {
 		return
 	}
