--- a/cmd/deliverynode/lease_test.go
+++ b/cmd/deliverynode/lease_test.go
@@ -190,7 +190,7 @@
 		t.Errorf("token %d after %d", second, first)
 	}
 	r.launch(1)
-	r.awaitLeases(1, "the old epoch is left", func(s lease.Status) bool { return s.Asker.Incarnation > 0 && s.Voter == nil && s.Why == "" })
+	r.awaitLeases(1, "the old epoch is left", func(s lease.Status) bool { return s.Client.Incarnation > 0 && s.Voter == nil && s.Why == "" })
 	if third := r.take(1, "another", 1); third <= first {
 		t.Errorf("token %d after %d", third, first)
 	}
--- a/cmd/dunetide-lab/fleet.go
+++ b/cmd/dunetide-lab/fleet.go
@@ -45,7 +45,7 @@
 		}
 		sum, err := playLive(ctx, world.Draw(s, seed), dir, program, c.Flag)
 		if sum.Scenario != "" {
-			err = errors.Join(err, tell(sum))
+			err = errors.Join(err, printSummary(sum))
 		}
 		if err != nil || time.Since(began) >= c.For {
 			return err
--- a/cmd/dunetide-lab/hollow.go
+++ b/cmd/dunetide-lab/hollow.go
@@ -27,8 +27,8 @@
 	Program   string        `help:"The tier's program; without it, dunetide of this checkout is built." type:"existingfile"`
 }
 
-// hollowMost bounds a size beyond the time in which it is measured.
-const hollowMost = 3 * time.Minute
+// maxHollow bounds a size beyond the time in which it is measured.
+const maxHollow = 3 * time.Minute
 
 func (c *hollowCommand) sizes() (sizes []hollow.Size, err error) {
 	for i, n := range c.Proxies {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(len(sizes))*(c.Length+time.Duration(c.Changes)*c.Every+hollowMost))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(len(sizes))*(c.Length+time.Duration(c.Changes)*c.Every+maxHollow))
 	defer cancel()
 	work, err := os.MkdirTemp("", "dunetide-lab-hollow-")
 	if err != nil {
--- a/cmd/dunetide-lab/ledger.go
+++ b/cmd/dunetide-lab/ledger.go
@@ -22,7 +22,7 @@
 	if c.Log != "" && len(c.Reports) > 1 {
 		return errors.New("a log belongs to one day: give one report with it")
 	}
-	var worths []ledger.KindWorth
+	var worths []ledger.RevenueWeight
 	if c.Site != "" {
 		f, err := os.Open(c.Site)
 		if err != nil {
@@ -42,7 +42,7 @@
 }
 
 // account prints, and plots, the account of one day.
-func (c *ledgerCommand) account(path string, worths []ledger.KindWorth) error {
+func (c *ledgerCommand) account(path string, worths []ledger.RevenueWeight) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
--- a/cmd/dunetide-lab/main.go
+++ b/cmd/dunetide-lab/main.go
@@ -27,20 +27,20 @@
 )
 
 type commands struct {
-	Demo    demoCommand    `cmd:"" help:"Build the node, play a short quiet day against it, and account for each message."`
-	Run     runCommand     `cmd:"" help:"Play a scenario against real delivery nodes on loopback sockets."`
-	Fleet   fleetCommand   `cmd:"" help:"Play a fleet of real nodes, with relays that break what is between them."`
-	Tier    tierCommand    `cmd:"" help:"Play a small serving tier of real dunetide processes, with endpoints and clients around it."`
-	Soak    soakCommand    `cmd:"" help:"Play a serving tier of real dunetide processes under drawn troubles that overlap, and check what it promises."`
-	Night   nightCommand   `cmd:"" help:"Play a busy night with certified nodes: real dunetide processes, twice the traffic, nodes lost, a certificate withdrawn."`
-	Hollow  hollowCommand  `cmd:"" help:"Measure what control costs by size: real keepers and stores, hollow proxies and endpoints."`
-	Sim     simCommand     `cmd:"" help:"Play a scenario in simulated time: one module for each node, no sockets."`
-	Compare compareCommand `cmd:"" help:"A against B, in pairs by seed: two builds, revisions, sets of flags or settings."`
-	Sweep   sweepCommand   `cmd:"" help:"One setting, or two, over some values, in step."`
-	Report  reportCommand  `cmd:"" help:"One page with plots of a run, or of two."`
-	Check   checkCommand   `cmd:"" help:"Read the trace of a run again: its rules and its figures."`
-	Ledger  ledgerCommand  `cmd:"" help:"Account for what days of the bench lost: by kind of request, reason and second."`
-	Ablate  ablateCommand  `cmd:"" help:"Play days of the bench with one mechanism of placement switched off at a time."`
+	Demo    demoCommand          `cmd:"" help:"Build the node, play a short quiet day against it, and account for each message."`
+	Run     runCommand           `cmd:"" help:"Play a scenario against real delivery nodes on loopback sockets."`
+	Fleet   fleetCommand         `cmd:"" help:"Play a fleet of real nodes, with relays that break what is between them."`
+	Tier    tierCommand          `cmd:"" help:"Play a small serving tier of real dunetide processes, with endpoints and clients around it."`
+	Soak    soakCommand          `cmd:"" help:"Play a serving tier of real dunetide processes under drawn troubles that overlap, and check what it promises."`
+	Night   certificationCommand `cmd:"" help:"Play a busy night with certified nodes: real dunetide processes, twice the traffic, nodes lost, a certificate withdrawn."`
+	Hollow  hollowCommand        `cmd:"" help:"Measure what control costs by size: real keepers and stores, hollow proxies and endpoints."`
+	Sim     simCommand           `cmd:"" help:"Play a scenario in simulated time: one module for each node, no sockets."`
+	Compare compareCommand       `cmd:"" help:"A against B, in pairs by seed: two builds, revisions, sets of flags or settings."`
+	Sweep   sweepCommand         `cmd:"" help:"One setting, or two, over some values, in step."`
+	Report  reportCommand        `cmd:"" help:"One page with plots of a run, or of two."`
+	Check   checkCommand         `cmd:"" help:"Read the trace of a run again: its rules and its figures."`
+	Ledger  ledgerCommand        `cmd:"" help:"Account for what days of the bench lost: by kind of request, reason and second."`
+	Ablate  ablateCommand        `cmd:"" help:"Play days of the bench with one mechanism of placement switched off at a time."`
 }
 
 type simCommand struct {
@@ -85,7 +85,7 @@
 		return err
 	}
 	sum.Way, sum.Revision, sum.Variant, sum.Invalid, sum.Usage = was.Way, was.Revision, was.Variant, was.Invalid, was.Usage
-	return tell(sum)
+	return printSummary(sum)
 }
 
 // reread counts and checks a trace, however long, record by record.
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	return tell(sum)
+	return printSummary(sum)
 }
 
 func playInStep(ctx context.Context, d world.Day, dir string) (record.Summary, error) {
@@ -170,7 +170,7 @@
 	defer clean()
 	sum, err := playLive(ctx, world.Draw(s, c.Seed), c.Out, program, c.Flag)
 	if sum.Scenario != "" {
-		return errors.Join(err, tell(sum))
+		return errors.Join(err, printSummary(sum))
 	}
 	return err
 }
@@ -248,7 +248,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func tell(s record.Summary) error {
+func printSummary(s record.Summary) error {
 	if err := s.Print(os.Stdout); err != nil {
 		return err
 	}
--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -27,8 +27,8 @@
 	Program string        `help:"A program that dials through the lab's hub; without it, dunetide of this checkout is built so." type:"existingfile"`
 }
 
-// soakMost bounds a play beyond its length: starting, the end, recovering, finishing jobs, reading back.
-const soakMost = 90 * time.Second
+// maxSoak bounds a play beyond its length: starting, the end, recovering, finishing jobs, reading back.
+const maxSoak = 90 * time.Second
 
 // Run plays plans of troubles that overlap.
 func (c *soakCommand) Run(ctx context.Context) error {
@@ -83,7 +83,7 @@
 
 // play plays one plan and tells whether a promise was broken.
 func (c *soakCommand) play(ctx context.Context, program, work string, plan soak.Plan, tell bool) (bad bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, plan.Length+soakMost)
+	ctx, cancel := context.WithTimeout(ctx, plan.Length+maxSoak)
 	defer cancel()
 	dir := filepath.Join(work, "run")
 	if err := os.RemoveAll(dir); err != nil {
--- a/cmd/dunetide-lab/tier.go
+++ b/cmd/dunetide-lab/tier.go
@@ -23,8 +23,8 @@
 	Program string        `help:"The tier's program; without it, dunetide of this checkout is built." type:"existingfile"`
 }
 
-// tierMost bounds a play beyond the time in which clients ask: starting, finishing jobs, reading back.
-const tierMost = 60 * time.Second
+// maxTier bounds a play beyond the time in which clients ask: starting, finishing jobs, reading back.
+const maxTier = 60 * time.Second
 
 // prepare builds the program, if none is given, and makes the folder of a play. What stop removes is not to be kept.
 func prepare(ctx context.Context, program, out string) (built, dir string, stop func(), err error) {
@@ -63,7 +63,7 @@
 
 // Run plays a small tier of real processes.
 func (c *tierCommand) Run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, c.Length+tierMost)
+	ctx, cancel := context.WithTimeout(ctx, c.Length+maxTier)
 	defer cancel()
 	program, dir, stop, err := prepare(ctx, c.Program, c.Out)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return ended(a)
 }
 
-type nightCommand struct {
+type certificationCommand struct {
 	Seed    uint64        `default:"1" help:"Draws the clients' requests and the order of the troubles."`
 	Length  time.Duration `default:"12s" help:"How long clients ask."`
 	Spoil   bool          `help:"Endpoints spoil an answer now and then."`
@@ -94,15 +94,15 @@
 }
 
 // Run plays a busy night.
-func (c *nightCommand) Run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, c.Length+tierMost)
+func (c *certificationCommand) Run(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, c.Length+maxTier)
 	defer cancel()
 	program, dir, stop, err := prepare(ctx, c.Program, c.Out)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	a, err := tier.Night(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, Spoil: c.Spoil, Load: c.Load, Say: say})
+	a, err := tier.PlayCertification(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, Spoil: c.Spoil, Load: c.Load, Say: say})
 	if err != nil && a.Kinds == nil {
 		return err
 	}
--- a/internal/deliverynode/fleet/claim.go
+++ b/internal/deliverynode/fleet/claim.go
@@ -24,7 +24,7 @@
 	if claim == (Claim{}) {
 		return
 	}
-	f.claim.keep(claim)
+	f.claim.merge(claim)
 	if claim.Rival != "" {
 		f.claim.Rival = claim.Rival
 	}
@@ -39,9 +39,9 @@
 	}
 }
 
-// settleClaim does what the claims heard so far ask for. It returns false while another process has the
+// resolveClaim does what the claims heard so far ask for. It returns false while another process has the
 // name: the node stays outside, and the claims wait for the next call.
-func (f *Fleet) settleClaim(ctx context.Context) bool {
+func (f *Fleet) resolveClaim(ctx context.Context) bool {
 	f.mu.Lock()
 	claim := f.claim
 	f.claim = Claim{}
@@ -83,7 +83,7 @@
 func (f *Fleet) stayOutside(rival string, claim Claim) {
 	f.mu.Lock()
 	known := f.rival == rival
-	f.claim.keep(claim)
+	f.claim.merge(claim)
 	f.rival, f.state, f.why = rival, Outside, fmt.Sprintf("%s is in use at %s", f.options.Name, rival)
 	f.mu.Unlock()
 	if !known {
@@ -107,7 +107,7 @@
 	if err := f.saveIncarnation(claim); err != nil {
 		f.options.Log.Error("fleet: no new incarnation, tried again", "err", err)
 		f.mu.Lock()
-		f.claim.keep(claim)
+		f.claim.merge(claim)
 		f.mu.Unlock()
 		time.AfterFunc(againAfter, f.rouse)
 		return
@@ -123,7 +123,7 @@
 	if removed { // whoever builds on members hears it as of any other
 		f.inOrder.Lock()
 		defer f.inOrder.Unlock()
-		f.tellChanges([]Change{{f.options.Name, own, Alive, Removed}, {f.options.Name, claim.Raise, Removed, Alive}})
+		f.notifyChanges([]Change{{f.options.Name, own, Alive, Removed}, {f.options.Name, claim.Raise, Removed, Alive}})
 	}
 }
 
@@ -148,9 +148,9 @@
 	return nil
 }
 
-// askSeeds asks up to askedSeeds seeds what they know of this node's name before it says its own: who has it,
+// queryName asks up to askedSeeds seeds what they know of this node's name before it says its own: who has it,
 // and whether it was removed. Nobody waits for it but the joining itself.
-func (f *Fleet) askSeeds(ctx context.Context) {
+func (f *Fleet) queryName(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, askWho)
 	defer cancel()
 	var asked sync.WaitGroup
--- a/internal/deliverynode/fleet/claim_test.go
+++ b/internal/deliverynode/fleet/claim_test.go
@@ -67,7 +67,7 @@
 			})
 			settle := func(what string) {
 				t.Helper()
-				if !node.settleClaim(t.Context()) {
+				if !node.resolveClaim(t.Context()) {
 					t.Fatalf("%s: it stays outside", what)
 				}
 			}
--- a/internal/deliverynode/fleet/config.go
+++ b/internal/deliverynode/fleet/config.go
@@ -59,8 +59,8 @@
 	DefaultScrub   = 60 * time.Second
 	DefaultLag     = 256
 	DefaultLagTime = time.Second
-	// MostCopies is how many copies of a log there may be.
-	MostCopies = 3
+	// MaxCopies is how many copies of a log there may be.
+	MaxCopies = 3
 )
 
 // CopiesOf is how copies are kept, all defaults filled in.
@@ -105,15 +105,15 @@
 // LongestLease is the greatest length of a lease where the file names none, and MostLease is
 // what it may name.
 const (
-	LongestLease = 60 * time.Second
-	MostLease    = time.Hour
+	LongestLease   = 60 * time.Second
+	MaxLeaseLength = time.Hour
 	// DefaultLeases and MostLeases are the same for their number.
 	DefaultLeases = 200
-	MostLeases    = 10000
+	MaxLeases     = 10000
 )
 
-// Most is how many leases may be held at a time.
-func (l Leases) Most() int { return cmp.Or(l.Number, DefaultLeases) }
+// MaxHeld is how many leases may be held at a time.
+func (l Leases) MaxHeld() int { return cmp.Or(l.Number, DefaultLeases) }
 
 // Longest is the greatest length of a lease.
 func (l Leases) Longest() time.Duration {
@@ -133,11 +133,11 @@
 			bad("%q is to be a voter and is no node", name)
 		}
 	}
-	if l.LongestS != 0 && !(l.LongestS >= 1 && l.LongestS <= MostLease.Seconds()) {
-		bad("longest_s of %v: it has to be 1 to %v", l.LongestS, MostLease.Seconds())
+	if l.LongestS != 0 && !(l.LongestS >= 1 && l.LongestS <= MaxLeaseLength.Seconds()) {
+		bad("longest_s of %v: it has to be 1 to %v", l.LongestS, MaxLeaseLength.Seconds())
 	}
-	if l.Number < 0 || l.Number > MostLeases {
-		bad("most of %d: it has to be 1 to %d", l.Number, MostLeases)
+	if l.Number < 0 || l.Number > MaxLeases {
+		bad("most of %d: it has to be 1 to %d", l.Number, MaxLeases)
 	}
 }
 
--- a/internal/deliverynode/fleet/connection.go
+++ b/internal/deliverynode/fleet/connection.go
@@ -15,7 +15,7 @@
 	if f.transport == nil {
 		return nil, nil, net.ErrClosed
 	}
-	return f.transport, f.life, nil
+	return f.transport, f.ctx, nil
 }
 
 // sendPacket sends a datagram.
--- a/internal/deliverynode/fleet/datagrams.go
+++ b/internal/deliverynode/fleet/datagrams.go
@@ -16,7 +16,7 @@
 			return
 		}
 		if err != nil { // a port that nobody had was hit before
-			if f.life.Err() != nil {
+			if f.ctx.Err() != nil {
 				return
 			}
 			continue
--- a/internal/deliverynode/fleet/fleet.go
+++ b/internal/deliverynode/fleet/fleet.go
@@ -32,8 +32,8 @@
 	raiseEvery = 100 * time.Millisecond
 	// seekRemoved is for how long one that was removed is looked for, where it is no seed.
 	seekRemoved = 10 * time.Minute
-	// settleTime is for how long after a step of any member a node meets others by chance.
-	settleTime = 20 * time.Second
+	// convergenceTime is for how long after a step of any member a node meets others by chance.
+	convergenceTime = 20 * time.Second
 	// DefaultConns bounds the connections to and from other nodes where nothing is said.
 	DefaultConns = 256
 )
@@ -99,7 +99,7 @@
 	listen  netip.AddrPort
 	seeds   []Node
 
-	life      context.Context // of the session
+	ctx       context.Context // of the session
 	transport Transport
 	id        identity
 	gossip    *gossip
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -61,7 +61,7 @@
 // Silence makes another a suspect of a node's.
 func (w *World) Silence(at, of string) {
 	n := w.nodes[at]
-	n.changed(n.table.Silence(of, w.Now))
+	n.changed(n.table.Suspect(of, w.Now))
 }
 
 // Leave says a node's own word, as one other hears it.
@@ -75,7 +75,7 @@
 // Remove says the staff's word at one node.
 func (w *World) Remove(at, of string) {
 	n := w.nodes[at]
-	_, changes, _ := n.table.Word(of, w.Now)
+	_, changes, _ := n.table.Remove(of, w.Now)
 	n.changed(changes)
 }
 
@@ -143,7 +143,7 @@
 
 func (n *Node) changed(all []fleet.Change) {
 	for _, c := range all {
-		if c.To.Gone() {
+		if c.To.Departed() {
 			n.world.way = slices.DeleteFunc(n.world.way, func(m *news) bool { return m.from == n.name && m.to == c.Name })
 		}
 		for _, hear := range n.hears {
@@ -165,7 +165,7 @@
 func (n *Node) Count() int { return n.table.Count(n.world.Now) }
 
 func (n *Node) reach(to string) error {
-	if m, there := n.table.Member(to); !there || m.State.Gone() || to == n.name {
+	if m, there := n.table.Member(to); !there || m.State.Departed() || to == n.name {
 		return fmt.Errorf("%w: %s", fleet.ErrUnknown, to)
 	}
 	return nil
--- a/internal/deliverynode/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -26,7 +26,7 @@
 	goldenCBOR[welcome](t, "welcome.cbor")
 	goldenCBOR[frame](t, "frame.cbor")
 	goldenCBOR[meta](t, "gossip-meta.cbor")
-	goldenCBOR[words](t, "gossip-records.cbor")
+	goldenCBOR[gossipRecords](t, "gossip-records.cbor")
 	golden.JSON[Status](t, "status.json")
 	golden.JSON[File](t, "fleet-file.json")
 }
--- a/internal/deliverynode/fleet/gossip.go
+++ b/internal/deliverynode/fleet/gossip.go
@@ -23,9 +23,9 @@
 	streamTime  = 2 * time.Second
 	// rejoinEvery is the pause between tries to reach one that is silent, or a seed. It doubles
 	// up to rejoinMost while nothing comes of them.
-	rejoinEvery = time.Second
-	rejoinMost  = 5 * time.Second
-	packetRoom  = 256
+	rejoinEvery    = time.Second
+	maxRejoinPause = 5 * time.Second
+	packetQueue    = 256
 )
 
 // meta is what gossip carries with each member; memberlist gives it 512 bytes.
@@ -36,9 +36,9 @@
 	Highest     uint8  `cbor:"4,keyasint"`
 }
 
-// words is what nodes exchange beside what memberlist does: all that they know when they
+// gossipRecords is what nodes exchange beside what memberlist does: all that they know when they
 // meet, one record when it is new.
-type words struct {
+type gossipRecords struct {
 	Records []Record   `cbor:"1,keyasint"`
 	Counts  []Sighting `cbor:"2,keyasint,omitempty"`
 }
@@ -77,7 +77,7 @@
 }
 
 func (f *Fleet) startGossip() (*gossip, error) {
-	g := &gossip{fleet: f, packets: make(chan *memberlist.Packet, packetRoom), streams: make(chan net.Conn)}
+	g := &gossip{fleet: f, packets: make(chan *memberlist.Packet, packetQueue), streams: make(chan net.Conn)}
 	g.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 4, NumNodes: func() int { return f.current() }}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport = f.options.Name, g
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(g.fleet.life, timeout)
+	ctx, cancel := context.WithTimeout(g.fleet.ctx, timeout)
 	defer cancel()
 	return g.fleet.dial(ctx, to, forGossip)
 }
@@ -187,7 +187,7 @@
 
 // NotifyLeave is called when a member no longer answers or has left; memberlist.EventDelegate asks for it.
 func (g *gossip) NotifyLeave(n *memberlist.Node) {
-	g.heard(func() { g.fleet.learn(func(t *Table, now time.Duration) []Change { return t.Silence(n.Name, now) }) })
+	g.heard(func() { g.fleet.learn(func(t *Table, now time.Duration) []Change { return t.Suspect(n.Name, now) }) })
 }
 
 // NodeMeta and the next four are memberlist's Delegate.
@@ -202,13 +202,13 @@
 
 // NotifyMsg takes in one word and passes on what is new in it.
 func (g *gossip) NotifyMsg(b []byte) {
-	var w words
+	var w gossipRecords
 	if err := decoding.Unmarshal(b, &w); err != nil {
 		g.fleet.stats.spoilt.Add(1)
 		return
 	}
 	g.heard(func() {
-		for _, rec := range g.fleet.take(w) {
+		for _, rec := range g.fleet.mergeRecords(w) {
 			g.spread(rec)
 		}
 	})
@@ -233,31 +233,31 @@
 
 // spread lets all hear of a record by and by.
 func (g *gossip) spread(rec Record) {
-	if b, err := encoding.Marshal(words{Records: []Record{rec}}); err == nil {
-		g.queue.QueueBroadcast(word{rec.Name, b})
+	if b, err := encoding.Marshal(gossipRecords{Records: []Record{rec}}); err == nil {
+		g.queue.QueueBroadcast(broadcast{rec.Name, b})
 	}
 }
 
-// word is a record on its way; a newer one of the same member takes its place.
-type word struct {
+// broadcast is a record on its way; a newer one of the same member takes its place.
+type broadcast struct {
 	name    string
 	encoded []byte
 }
 
 // Name returns the name of the member; memberlist.NamedBroadcast asks for it.
-func (w word) Name() string { return w.name }
+func (w broadcast) Name() string { return w.name }
 
 // Invalidates reports whether this record replaces another one that waits to be sent.
-func (w word) Invalidates(o memberlist.Broadcast) bool {
-	n, ok := o.(word)
+func (w broadcast) Invalidates(o memberlist.Broadcast) bool {
+	n, ok := o.(broadcast)
 	return ok && n.name == w.name
 }
 
 // Message returns the encoded record.
-func (w word) Message() []byte { return w.encoded }
+func (w broadcast) Message() []byte { return w.encoded }
 
 // Finished does nothing: nobody waits for the end of the sending.
-func (w word) Finished() {}
+func (w broadcast) Finished() {}
 
 // rejoin meets, now and then, one that is silent or a seed that was never heard: memberlist
 // forgets the dead, and the two halves of a split know nothing of each other any more. While
@@ -278,7 +278,7 @@
 			switch {
 			case err != nil:
 				g.fleet.options.Log.Debug("fleet: not reached", "address", to, "err", err)
-				failed = min(max(2*failed, rejoinEvery), rejoinMost)
+				failed = min(max(2*failed, rejoinEvery), maxRejoinPause)
 				pause = failed
 			case lost:
 				pause, failed = rejoinEvery/4, 0 // there may be others
@@ -292,7 +292,7 @@
 
 // leave says that this node has ended its work: to all by gossip, and to a few for sure.
 func (g *gossip) leave(rec Record, within time.Duration) {
-	b, err := encoding.Marshal(words{Records: []Record{rec}})
+	b, err := encoding.Marshal(gossipRecords{Records: []Record{rec}})
 	if err != nil {
 		return
 	}
--- a/internal/deliverynode/fleet/greeting.go
+++ b/internal/deliverynode/fleet/greeting.go
@@ -82,8 +82,8 @@
 		}
 		if err != nil { // no descriptors, say
 			f.options.Log.Debug("fleet: accepting", "err", err)
-			wait(f.life, dialLeast)
-			if f.life.Err() != nil {
+			wait(f.ctx, dialLeast)
+			if f.ctx.Err() != nil {
 				return
 			}
 			continue
@@ -92,7 +92,7 @@
 			_ = raw.Close()
 			continue
 		}
-		conn := f.counted(f.life, raw)
+		conn := f.counted(f.ctx, raw)
 		f.running.Go(func() { f.accept(conn) })
 	}
 }
@@ -131,8 +131,8 @@
 		}
 		select {
 		case g.streams <- conn: // it has deadlines of its own from here on, and closes it
-		case <-f.life.Done():
-			bad(f.life.Err())
+		case <-f.ctx.Done():
+			bad(f.ctx.Err())
 		case <-time.After(greetTime):
 			bad(errors.New("gossip is busy"))
 		}
--- a/internal/deliverynode/fleet/identity.go
+++ b/internal/deliverynode/fleet/identity.go
@@ -16,8 +16,8 @@
 const (
 	identityName = "fleet-node"
 	maxIdentity  = 512 // a block on disk
-	// DiskRoom is what the file takes in the folder, with the one that replaces it.
-	DiskRoom = 2 * 512
+	// DiskSpace is what the file takes in the folder, with the one that replaces it.
+	DiskSpace = 2 * 512
 )
 
 // ErrOtherNode refuses a folder that belongs to another node or fleet.
--- a/internal/deliverynode/fleet/link.go
+++ b/internal/deliverynode/fleet/link.go
@@ -17,12 +17,12 @@
 	writeTime = 2 * time.Second
 	// idleTime is how long a link that nobody uses stays.
 	idleTime = 60 * time.Second
-	// askTime is a question's time where its asker names none.
-	askTime = 2 * time.Second
+	// requestTime is a question's time where its asker names none.
+	requestTime = 2 * time.Second
 	// answering bounds the questions of one member that are being answered.
-	answering = 64
-	dialLeast = 100 * time.Millisecond
-	dialMost  = 5 * time.Second
+	answering    = 64
+	dialLeast    = 100 * time.Millisecond
+	maxDialPause = 5 * time.Second
 )
 
 // link is the connection with one member, or the wish for one. One goroutine writes, and dials
@@ -31,7 +31,7 @@
 	fleet *Fleet
 	name  string
 	wake  chan struct{}
-	life  context.Context
+	ctx   context.Context
 	end   context.CancelFunc
 
 	mu       sync.Mutex
@@ -52,7 +52,7 @@
 		return l
 	}
 	l := &link{fleet: f, name: name, wake: make(chan struct{}, 1), peer: newPeer(), used: f.options.Clock()}
-	l.life, l.end = context.WithCancel(f.life)
+	l.ctx, l.end = context.WithCancel(f.ctx)
 	f.links[name] = l
 	f.running.Go(l.run)
 	return l
@@ -76,7 +76,7 @@
 		return false
 	}
 	if l.conn != nil && l.theirs.Start == them.Start {
-		_ = l.peer.tell("", "", nil, l.now()) // if nothing comes back, it is broken
+		_ = l.peer.enqueue("", "", nil, l.now()) // if nothing comes back, it is broken
 		l.rouse()
 		return true
 	}
@@ -146,7 +146,7 @@
 func (l *link) run() {
 	pause := time.Duration(0)
 	var dialAt time.Duration
-	for l.life.Err() == nil {
+	for l.ctx.Err() == nil {
 		now := l.now()
 		l.mu.Lock()
 		ends, stuck := l.peer.tick(now)
@@ -180,7 +180,7 @@
 			if l.dial() {
 				continue
 			}
-			pause = min(max(2*pause, dialLeast), dialMost)
+			pause = min(max(2*pause, dialLeast), maxDialPause)
 			dialAt = l.now() + time.Duration(float64(pause)*(0.75+0.5*l.fleet.random()))
 			continue
 		}
@@ -195,7 +195,7 @@
 		select {
 		case <-l.wake:
 		case <-t.C:
-		case <-l.life.Done():
+		case <-l.ctx.Done():
 		}
 		t.Stop()
 	}
@@ -252,7 +252,7 @@
 // dial opens the link. It gives way to one that has come meanwhile.
 func (l *link) dial() bool {
 	m, there := l.fleet.member(l.name)
-	if !there || m.State.Gone() {
+	if !there || m.State.Departed() {
 		return false
 	}
 	to, err := netip.ParseAddrPort(m.Address)
@@ -266,7 +266,7 @@
 	}
 	l.dialling = true
 	l.mu.Unlock()
-	conn, w, err := l.fleet.hello(l.life, to, l.name, false)
+	conn, w, err := l.fleet.hello(l.ctx, to, l.name, false)
 	l.mu.Lock()
 	l.dialling = false
 	came := l.conn != nil
@@ -380,7 +380,7 @@
 		answer(nil, fmt.Errorf("nothing is known of %q", in.Kind))
 	default:
 		l.fleet.running.Go(func() {
-			ctx, cancel := context.WithTimeout(l.life, min(max(in.Age, 0), time.Minute))
+			ctx, cancel := context.WithTimeout(l.ctx, min(max(in.Age, 0), time.Minute))
 			defer cancel()
 			answer(handle(ctx, from, in.Body))
 		})
@@ -397,7 +397,7 @@
 func (f *Fleet) reach(name string) (*link, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m, there := f.table.Member(name); !there || m.State.Gone() || name == f.options.Name || f.gossip == nil {
+	if m, there := f.table.Member(name); !there || m.State.Departed() || name == f.options.Name || f.gossip == nil {
 		return nil, fmt.Errorf("%w: %s", ErrUnknown, name)
 	}
 	return f.link(name), nil
@@ -414,7 +414,7 @@
 	if l.ended {
 		return fmt.Errorf("%w: %s", ErrUnknown, to)
 	}
-	err = l.peer.tell(kind, key, body, l.now())
+	err = l.peer.enqueue(kind, key, body, l.now())
 	l.rouse()
 	return err
 }
@@ -425,12 +425,12 @@
 	if err != nil {
 		return nil, err
 	}
-	within := askTime
+	within := requestTime
 	if at, ok := ctx.Deadline(); ok {
 		within = time.Until(at)
 	} else {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, askTime)
+		ctx, cancel = context.WithTimeout(ctx, requestTime)
 		defer cancel()
 	}
 	type answer struct {
--- a/internal/deliverynode/fleet/members.go
+++ b/internal/deliverynode/fleet/members.go
@@ -16,7 +16,7 @@
 	}
 	var over []*link
 	for _, c := range changes {
-		if l := f.links[c.Name]; l != nil && c.To.Gone() {
+		if l := f.links[c.Name]; l != nil && c.To.Departed() {
 			over = append(over, l)
 			delete(f.links, c.Name)
 		}
@@ -25,10 +25,10 @@
 	for _, l := range over {
 		l.close()
 	}
-	f.tellChanges(changes)
+	f.notifyChanges(changes)
 }
 
-func (f *Fleet) tellChanges(changes []Change) {
+func (f *Fleet) notifyChanges(changes []Change) {
 	for _, c := range changes {
 		f.options.Log.Info("fleet: member", "name", c.Name, "incarnation", c.Incarnation, "was", c.From, "is", c.To)
 		for _, hear := range f.onChange {
@@ -37,8 +37,8 @@
 	}
 }
 
-// take takes in words; those that it returns were new, and others should hear them.
-func (f *Fleet) take(w words) (fresh []Record) {
+// mergeRecords takes in words; those that it returns were new, and others should hear them.
+func (f *Fleet) mergeRecords(w gossipRecords) (fresh []Record) {
 	f.learn(func(t *Table, now time.Duration) (all []Change) {
 		for _, rec := range w.Records {
 			if rec.Name == f.options.Name {
@@ -50,17 +50,17 @@
 				fresh = append(fresh, after.Record)
 			}
 		}
-		t.Told(w.Counts, now)
+		t.MergeSightings(w.Counts, now)
 		return all
 	})
 	return fresh
 }
 
 // known is all that others may know.
-func (f *Fleet) known() words {
+func (f *Fleet) known() gossipRecords {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return words{f.table.Records(), f.table.Sightings(f.options.Clock())}
+	return gossipRecords{f.table.Records(), f.table.Sightings(f.options.Clock())}
 }
 
 func (f *Fleet) current() int {
@@ -96,7 +96,7 @@
 	var rec Record
 	var ok bool
 	f.learn(func(t *Table, now time.Duration) (all []Change) {
-		rec, all, ok = t.Word(name, now)
+		rec, all, ok = t.Remove(name, now)
 		return all
 	})
 	if !ok {
--- a/internal/deliverynode/fleet/peer.go
+++ b/internal/deliverynode/fleet/peer.go
@@ -11,8 +11,8 @@
 	ErrNotSent = errors.New("not sent")
 	// ErrMaybe says that a question may have arrived, and no answer will be taken any more.
 	ErrMaybe = errors.New("may have arrived")
-	// ErrRoom says that too much waits for that member already. Nothing was kept.
-	ErrRoom = errors.New("too much waits for this member")
+	// ErrQueueFull says that too much waits for that member already. Nothing was kept.
+	ErrQueueFull = errors.New("too much waits for this member")
 	// ErrUnknown says that the fleet has no such member now.
 	ErrUnknown = errors.New("no such member")
 )
@@ -27,8 +27,8 @@
 	// maxWaiting bounds what waits for one member, in bytes; each piece counts pieceCost more.
 	maxWaiting = 1 << 20
 	pieceCost  = 64
-	// maxAsked bounds the questions to one member that have no answer yet.
-	maxAsked = 1024
+	// maxOutstanding bounds the questions to one member that have no answer yet.
+	maxOutstanding = 1024
 	// ackTime is how long news may go without a word that they came. Then the link counts as
 	// broken: on a path that swallows bytes nothing else would show it.
 	ackTime = 2 * time.Second
@@ -98,8 +98,8 @@
 
 func (q *question) end(body []byte, err error) done { return func() { q.answered(body, err) } }
 
-// tell keeps news, in the place of older ones of their kind and key.
-func (p *peer) tell(kind, key string, body []byte, seen time.Duration) error {
+// enqueue keeps news, in the place of older ones of their kind and key.
+func (p *peer) enqueue(kind, key string, body []byte, seen time.Duration) error {
 	n := &news{kind: kind, key: key, body: body, seen: seen}
 	k := kind + "\x00" + key
 	old := p.news[k]
@@ -109,7 +109,7 @@
 	}
 	if p.bytes-free+n.cost() > maxWaiting {
 		p.Dropped++
-		return ErrRoom
+		return ErrQueueFull
 	}
 	p.bytes += n.cost() - free
 	if old == nil {
@@ -122,9 +122,9 @@
 // ask keeps a question until it was answered or its time is up.
 func (p *peer) ask(q *question) error {
 	cost := len(q.body) + len(q.kind) + pieceCost
-	if p.bytes+cost > maxWaiting || len(p.asks) >= maxAsked {
+	if p.bytes+cost > maxWaiting || len(p.asks) >= maxOutstanding {
 		p.Dropped++
-		return ErrRoom
+		return ErrQueueFull
 	}
 	p.bytes += cost
 	p.lastID++
--- a/internal/deliverynode/fleet/peer_test.go
+++ b/internal/deliverynode/fleet/peer_test.go
@@ -36,7 +36,7 @@
 			return false
 		}
 		m.told++
-		if err := m.p.tell("k", "x", []byte{byte(m.told)}, m.now); err != nil {
+		if err := m.p.enqueue("k", "x", []byte{byte(m.told)}, m.now); err != nil {
 			panic(err)
 		}
 	case "ask":
@@ -186,23 +186,23 @@
 	p := newPeer()
 	big := make([]byte, 100<<10)
 	for i := range 20 {
-		err := p.tell("k", fmt.Sprint(i), big, 0)
-		if full := i >= 10; errors.Is(err, ErrRoom) != full {
+		err := p.enqueue("k", fmt.Sprint(i), big, 0)
+		if full := i >= 10; errors.Is(err, ErrQueueFull) != full {
 			t.Fatal(i, err)
 		}
 	}
-	if err := p.tell("k", "3", big, 0); err != nil {
+	if err := p.enqueue("k", "3", big, 0); err != nil {
 		t.Error("a newer one of the same key needs no further room:", err)
 	}
-	if err := p.ask(&question{body: big}); !errors.Is(err, ErrRoom) {
+	if err := p.ask(&question{body: big}); !errors.Is(err, ErrQueueFull) {
 		t.Error(err)
 	}
 	if p.Dropped != 11 || p.bytes > maxWaiting {
 		t.Error(p.Dropped, p.bytes)
 	}
 	p = newPeer()
-	for i := range maxAsked + 1 {
-		if err := p.ask(&question{}); errors.Is(err, ErrRoom) != (i == maxAsked) {
+	for i := range maxOutstanding + 1 {
+		if err := p.ask(&question{}); errors.Is(err, ErrQueueFull) != (i == maxOutstanding) {
 			t.Fatal(i, err)
 		}
 	}
--- a/internal/deliverynode/fleet/rejoin.go
+++ b/internal/deliverynode/fleet/rejoin.go
@@ -35,7 +35,7 @@
 func (f *Fleet) settling() (address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.options.Clock()-f.news > settleTime {
+	if f.options.Clock()-f.news > convergenceTime {
 		return "", false
 	}
 	var all []string
--- a/internal/deliverynode/fleet/session.go
+++ b/internal/deliverynode/fleet/session.go
@@ -75,7 +75,7 @@
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	self := Record{Name: f.options.Name, Incarnation: f.id.Incarnation, Start: rand.Uint64() | 1, Address: f.address.String()}
 	f.mu.Lock()
-	f.life, f.running, f.claim, f.state, f.why = life, &sync.WaitGroup{}, Claim{}, Starting, ""
+	f.ctx, f.running, f.claim, f.state, f.why = life, &sync.WaitGroup{}, Claim{}, Starting, ""
 	old := f.table
 	f.table = NewTable(self, f.options.Clock())
 	for _, rec := range old.Records() { // what was known outlasts the session
@@ -95,11 +95,11 @@
 	}()
 	f.running.Go(func() { f.acceptAll(transport) })
 	f.running.Go(func() { f.receiveAll(transport) })
-	f.askSeeds(ctx)
+	f.queryName(ctx)
 	for ctx.Err() == nil {
-		if !f.settleClaim(ctx) { // somebody has the name
+		if !f.resolveClaim(ctx) { // somebody has the name
 			wait(ctx, rivalEvery)
-			f.askSeeds(ctx) // outside nobody else tells of a removal
+			f.queryName(ctx) // outside nobody else tells of a removal
 			continue
 		}
 		g, err := f.startGossip()
@@ -115,14 +115,14 @@
 
 // follow takes part in gossip until the context ends or the name turns out to be another's too.
 func (f *Fleet) follow(ctx context.Context, g *gossip, leave func() bool) {
-	life, end := context.WithCancel(f.life)
+	life, end := context.WithCancel(f.ctx)
 	f.mu.Lock()
 	f.gossip, f.state, f.why = g, Joined, ""
 	f.mu.Unlock()
 	f.options.Log.Info("fleet: joined", "fleet", f.options.File.Fleet, "name", f.options.Name, "incarnation", f.Self().Incarnation)
 	var meeting sync.WaitGroup
 	meeting.Go(func() { g.rejoin(life) })
-	working, rest := context.WithCancel(f.life)
+	working, rest := context.WithCancel(f.ctx)
 	var parts sync.WaitGroup
 	for _, run := range f.parts {
 		parts.Go(func() { run(working) })
@@ -131,7 +131,7 @@
 	for ctx.Err() == nil && !fenced {
 		select {
 		case <-f.changed:
-			if !f.settleClaim(ctx) {
+			if !f.resolveClaim(ctx) {
 				fenced = true
 				break
 			}
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -143,7 +143,7 @@
 			return w.nodes[2].Status().State == fleet.Outside && w.nodes[5].Status().State == fleet.Outside
 		})
 		w.await(healTime, "the others are one", func() bool { return w.whole(0, 1, 3, 4) })
-		if s := w.sees(0, 2); s.Gone() {
+		if s := w.sees(0, 2); s.Departed() {
 			t.Errorf("the name is %s, and nobody said so", s)
 		}
 		w.kill(5)
@@ -213,7 +213,7 @@
 			time.Sleep(time.Second)
 			for _, i := range []int{1, 2, 3, 4} {
 				for _, j := range []int{1, 2, 3, 4} {
-					if w.sees(i, j).Gone() {
+					if w.sees(i, j).Departed() {
 						t.Fatalf("%d sees %d as gone", i, j)
 					}
 				}
@@ -263,7 +263,7 @@
 					time.Sleep(period)
 					w.net.Heal()
 					time.Sleep(period)
-					if s := w.sees(0, 5); s.Gone() {
+					if s := w.sees(0, 5); s.Departed() {
 						t.Fatal(s)
 					}
 				}
@@ -299,7 +299,7 @@
 	}{
 		{"whole", faults.Fault{}}, {"slow", faults.Fault{Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond}},
 		{"cut", faults.Fault{Cut: true}}, {"swallowed", faults.Fault{Swallow: true}}, {"reset in a frame", faults.Fault{Reset: 300}},
-		{"spoilt", faults.Fault{Spoil: 0.2}}, {"a byte at a time", faults.Fault{Trickle: 1}}, {"lossy", faults.Fault{Lose: 0.2}},
+		{"spoilt", faults.Fault{Corrupt: 0.2}}, {"a byte at a time", faults.Fault{Trickle: 1}}, {"lossy", faults.Fault{Lose: 0.2}},
 	} {
 		for _, way := range []string{"there", "back"} {
 			t.Run(c.name+" "+way, func(t *testing.T) {
--- a/internal/deliverynode/fleet/table.go
+++ b/internal/deliverynode/fleet/table.go
@@ -18,8 +18,8 @@
 	Removed State = "removed" // by the staff's word
 )
 
-// Gone tells whether one of the two words was said.
-func (s State) Gone() bool { return s == Left || s == Removed }
+// Departed tells whether one of the two words was said.
+func (s State) Departed() bool { return s == Left || s == Removed }
 
 // CountTime is for how long a count that a member has seen holds against smaller ones: longer
 // than a death takes to be told to all, and than the longest restart in turn.
@@ -99,7 +99,7 @@
 // Self is the node's own record.
 func (t *Table) Self() Record { return t.rows[t.self].Record }
 
-func (r *row) settle(now time.Duration) (Change, bool) {
+func (r *row) updateState(now time.Duration) (Change, bool) {
 	to := Suspect
 	switch {
 	case r.Incarnation <= r.Removed:
@@ -129,7 +129,7 @@
 		r.Left, r.Removed = max(r.Left, min(rec.Left, r.Incarnation-1)), max(r.Removed, min(rec.Removed, r.Incarnation-1))
 		return nil
 	case r == nil:
-		if !t.room() {
+		if !t.hasCapacity() {
 			t.Refused++
 			return nil
 		}
@@ -139,7 +139,7 @@
 		before = r.Incarnation
 		r.Record = r.Record.Merge(rec)
 	}
-	if c, ok := r.settle(now); ok {
+	if c, ok := r.updateState(now); ok {
 		all = append(all, c)
 	} else if r.state == Alive && r.Incarnation > before { // it has started again
 		r.since = now
@@ -149,14 +149,14 @@
 	return all
 }
 
-// room makes some: the one that has been gone for longest is forgotten. Who is not gone stays.
-func (t *Table) room() bool {
+// hasCapacity makes some: the one that has been gone for longest is forgotten. Who is not gone stays.
+func (t *Table) hasCapacity() bool {
 	if len(t.rows) < MaxMembers {
 		return true
 	}
 	var oldest *row
 	for _, r := range t.rows {
-		if r.state.Gone() && (oldest == nil || cmp.Or(cmp.Compare(r.since, oldest.since), cmp.Compare(r.Name, oldest.Name)) < 0) {
+		if r.state.Departed() && (oldest == nil || cmp.Or(cmp.Compare(r.since, oldest.since), cmp.Compare(r.Name, oldest.Name)) < 0) {
 			oldest = r
 		}
 	}
@@ -183,14 +183,14 @@
 	return t.Merge(rec, now)
 }
 
-// Silence tells that gossip no longer reaches a member.
-func (t *Table) Silence(name string, now time.Duration) []Change {
+// Suspect tells that gossip no longer reaches a member.
+func (t *Table) Suspect(name string, now time.Duration) []Change {
 	r := t.rows[name]
 	if r == nil || name == t.self {
 		return nil
 	}
 	r.heard = false
-	if c, ok := r.settle(now); ok {
+	if c, ok := r.updateState(now); ok {
 		return []Change{c}
 	}
 	return nil
@@ -204,8 +204,8 @@
 	Rival   string // the name is in use at this address, or was; empty: it is not
 }
 
-// keep adds what another claim asks for besides; the rival is looked for, not kept.
-func (c *Claim) keep(o Claim) {
+// merge adds what another claim asks for besides; the rival is looked for, not kept.
+func (c *Claim) merge(o Claim) {
 	c.Raise, c.Removed, c.Old = max(c.Raise, o.Raise), max(c.Removed, o.Removed), c.Old || o.Old
 }
 
@@ -245,8 +245,8 @@
 // asks for nothing any more.
 func (t *Table) Renewed() { t.memberSince = t.Self().Incarnation }
 
-// Word says that a member is gone, up to its present incarnation, by the staff's word.
-func (t *Table) Word(name string, now time.Duration) (Record, []Change, bool) {
+// Remove says that a member is gone, up to its present incarnation, by the staff's word.
+func (t *Table) Remove(name string, now time.Duration) (Record, []Change, bool) {
 	r := t.rows[name]
 	if r == nil || name == t.self {
 		return Record{}, nil, false
@@ -287,7 +287,7 @@
 // Current is how many are not gone now, the node itself and suspects among them.
 func (t *Table) Current() (n int) {
 	for _, r := range t.rows {
-		if !r.state.Gone() {
+		if !r.state.Departed() {
 			n++
 		}
 	}
@@ -309,9 +309,9 @@
 	Age   time.Duration `cbor:"3,keyasint"`
 }
 
-// Told takes in the counts that members have seen. What others have told a member is not in
+// MergeSightings takes in the counts that members have seen. What others have told a member is not in
 // its own, or no count would ever fall.
-func (t *Table) Told(all []Sighting, now time.Duration) {
+func (t *Table) MergeSightings(all []Sighting, now time.Duration) {
 	for _, s := range all {
 		r := t.rows[s.Name]
 		if r == nil || s.Name == t.self || s.Count < 1 || s.Count > MaxMembers || s.Age < 0 || s.Age >= CountTime {
@@ -335,7 +335,7 @@
 func (t *Table) Sightings(now time.Duration) []Sighting {
 	all := []Sighting{{t.self, t.own(now), 0}}
 	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
-		if r := t.rows[name]; r.countKnown && !r.state.Gone() && now-r.countAt < CountTime {
+		if r := t.rows[name]; r.countKnown && !r.state.Departed() && now-r.countAt < CountTime {
 			all = append(all, Sighting{name, r.count, now - r.countAt})
 		}
 	}
--- a/internal/deliverynode/fleet/table_test.go
+++ b/internal/deliverynode/fleet/table_test.go
@@ -55,8 +55,8 @@
 		from State
 	}{
 		{"heard", func(now time.Duration) []Change { return tab.Hear(b, now) }, Alive, Suspect},
-		{"silent", func(now time.Duration) []Change { return tab.Silence("b", now) }, Suspect, Alive},
-		{"for a year", func(now time.Duration) []Change { return tab.Silence("b", now+365*24*time.Hour) }, Suspect, ""},
+		{"silent", func(now time.Duration) []Change { return tab.Suspect("b", now) }, Suspect, Alive},
+		{"for a year", func(now time.Duration) []Change { return tab.Suspect("b", now+365*24*time.Hour) }, Suspect, ""},
 		{"heard under the incarnation before", func(now time.Duration) []Change {
 			old := b
 			old.Incarnation = 2
@@ -67,7 +67,7 @@
 		{"left", func(now time.Duration) []Change { w := b; w.Left = 5; return tab.Merge(w, now) }, Left, Alive},
 		{"an old word", func(now time.Duration) []Change { w := b; w.Removed = 4; return tab.Merge(w, now) }, Left, ""},
 		{"back", func(now time.Duration) []Change { b.Incarnation, b.Start = 6, 8; return tab.Hear(b, now) }, Alive, Left},
-		{"removed while it is heard", func(now time.Duration) []Change { _, c, _ := tab.Word("b", now); return c }, Removed, Alive},
+		{"removed while it is heard", func(now time.Duration) []Change { _, c, _ := tab.Remove("b", now); return c }, Removed, Alive},
 		{"new incarnation", func(now time.Duration) []Change { b.Incarnation = 7; return tab.Hear(b, now) }, Alive, Removed},
 	}
 	for i, s := range steps {
@@ -104,20 +104,20 @@
 		tab.Hear(Record{Name: name, Incarnation: 1, Start: 2}, at(1))
 	}
 	want(1, 4)
-	tab.Silence("b", at(2))
+	tab.Suspect("b", at(2))
 	want(500, 4)
 	tab.Merge(Record{Name: "c", Incarnation: 1, Start: 2, Left: 1}, at(500))
 	want(559, 4)
 	want(561, 3)
-	tab.Told([]Sighting{{"b", 9, 10 * time.Second}, {"d", 1000000, 0}, {"a", 50, 0}, {"x", 7, 0}}, at(600))
+	tab.MergeSightings([]Sighting{{"b", 9, 10 * time.Second}, {"d", 1000000, 0}, {"a", 50, 0}, {"x", 7, 0}}, at(600))
 	want(649, 9) // b saw nine, until 60 s after it did
 	want(651, 3)
-	tab.Told([]Sighting{{"b", 9, 0}, {"b", 5, 30 * time.Second}}, at(700)) // an older word changes nothing
+	tab.MergeSightings([]Sighting{{"b", 9, 0}, {"b", 5, 30 * time.Second}}, at(700)) // an older word changes nothing
 	want(701, 9)
 	if got := tab.Sightings(at(702)); !slices.Equal(got, []Sighting{{"a", 3, 0}, {"b", 9, 2 * time.Second}}) {
 		t.Errorf("passed on %v", got) // with its age, and without what others said as one's own
 	}
-	tab.Word("b", at(703))
+	tab.Remove("b", at(703))
 	want(704, 3) // b is no current member any more; a itself has seen three of late
 }
 
--- a/internal/deliverynode/group/core.go
+++ b/internal/deliverynode/group/core.go
@@ -22,8 +22,8 @@
 	// LeaseTime is how long a share holds without being renewed: what a member that is
 	// stopped right after a renewal keeps from the others.
 	LeaseTime = time.Second
-	// BeatEvery is how often leases are renewed: three may be lost before one runs out.
-	BeatEvery = LeaseTime / 4
+	// HeartbeatEvery is how often leases are renewed: three may be lost before one runs out.
+	HeartbeatEvery = LeaseTime / 4
 	// SuspectAfter is how long a member may say nothing before it gets no new lease.
 	SuspectAfter = LeaseTime
 )
@@ -84,23 +84,23 @@
 
 // Member is one process's own side: the lease that it has.
 type Member struct {
-	id    ID
-	epoch uint64 // the highest that it has seen
-	lease Lease
-	heard time.Duration // when a lease last came, or it last came back from standing still
-	beat  time.Duration // when it last did anything
+	id       ID
+	epoch    uint64 // the highest that it has seen
+	lease    Lease
+	heard    time.Duration // when a lease last came, or it last came back from standing still
+	tickedAt time.Duration // when it last did anything
 }
 
 // NewMember has no share.
 func NewMember(id ID) *Member { return &Member{id: id} }
 
-// Beat is to be called every BeatEvery. It tells whether the coordinator has been silent for
+// Tick is to be called every BeatEvery. It tells whether the coordinator has been silent for
 // so long, while this member was at work all along, that another has to take its place.
-func (m *Member) Beat(now time.Duration) (leaderless bool) {
-	if now-m.beat > SuspectAfter { // it stood still itself, and may just not have heard
+func (m *Member) Tick(now time.Duration) (leaderless bool) {
+	if now-m.tickedAt > SuspectAfter { // it stood still itself, and may just not have heard
 		m.heard = now
 	}
-	m.beat = now
+	m.tickedAt = now
 	return now-m.heard > SuspectAfter+LeaseTime
 }
 
@@ -250,8 +250,8 @@
 	return ids
 }
 
-// Gone tells that a member's lock is free: it has died.
-func (c *Coordinator) Gone(id ID) {
+// Departed tells that a member's lock is free: it has died.
+func (c *Coordinator) Departed(id ID) {
 	if p := c.peers[id]; p != nil {
 		p.alive = false
 	}
--- a/internal/deliverynode/group/core_test.go
+++ b/internal/deliverynode/group/core_test.go
@@ -75,7 +75,7 @@
 	if p.dead || p.stopped {
 		return
 	}
-	if leaderless := p.member.Beat(m.now); m.lead == nil || leaderless && m.lead != p {
+	if leaderless := p.member.Tick(m.now); m.lead == nil || leaderless && m.lead != p {
 		m.term++
 		told := m.views[max(0, len(m.views)-2):]
 		epoch := uint64(m.term) << 32
@@ -92,7 +92,7 @@
 	if c := p.lead; c != nil {
 		for _, o := range m.procs {
 			if o.dead {
-				c.Gone(o.id)
+				c.Departed(o.id)
 			}
 		}
 		_ = c.Hear(m.now, p.member.Hello())
@@ -220,7 +220,7 @@
 		m.flight = slices.Delete(m.flight, of%len(m.flight), of%len(m.flight)+1)
 		return "lose"
 	case kind == 4:
-		m.now += []time.Duration{BeatEvery, LeaseTime / 2, 3 * LeaseTime}[of%3]
+		m.now += []time.Duration{HeartbeatEvery, LeaseTime / 2, 3 * LeaseTime}[of%3]
 		return "wait"
 	case kind == 5 && len(m.flight) > 0:
 		m.deliver(of % len(m.flight))
@@ -294,7 +294,7 @@
 			for len(m.flight) > 0 {
 				m.deliver(0)
 			}
-			m.now += BeatEvery
+			m.now += HeartbeatEvery
 		}
 		for _, p := range m.procs {
 			if got := p.member.Parts(m.now); got != Whole/n {
@@ -336,7 +336,7 @@
 // play lets all members beat and hear of each other for a time.
 func (m *machine) play(t *testing.T, d time.Duration) {
 	t.Helper()
-	for end := m.now + d; m.now < end; m.now += BeatEvery {
+	for end := m.now + d; m.now < end; m.now += HeartbeatEvery {
 		for _, p := range m.procs {
 			m.beat(p)
 		}
@@ -408,7 +408,7 @@
 		t.Errorf("%d parts in use after a short stop, want half", second.use)
 	}
 	m.kill(first, false)
-	play(BeatEvery)
+	play(HeartbeatEvery)
 	if second.use != Whole/2 || second.member.Parts(m.now) != Whole/2 {
 		t.Errorf("%d parts in use when the coordinator has died, want half", second.use)
 	}
@@ -445,20 +445,20 @@
 	}
 	for range 12 {
 		leases("a", "b")
-		now += BeatEvery
+		now += HeartbeatEvery
 	}
 	told := c.view
 	if l := leases("a", "b"); l["b"].Parts != Whole/2 || l["b"].Kept != Whole/2 {
 		t.Fatalf("%+v", l)
 	}
 	for range 12 { // b is stopped
-		now += BeatEvery
+		now += HeartbeatEvery
 		leases("a")
 	}
 	if l := leases("a"); l["a"].Parts != Whole {
 		t.Fatalf("%+v", l)
 	}
-	c.Gone("a") // just when b goes on
+	c.Departed("a") // just when b goes on
 	now += LeaseTime
 	if l := leases("b"); l["b"].Parts != Whole || l["b"].Kept != 0 {
 		t.Errorf("it kept what a has had: %+v", l)
--- a/internal/deliverynode/group/files.go
+++ b/internal/deliverynode/group/files.go
@@ -19,9 +19,9 @@
 	leadForm     = "lead-%08d"
 	viewForm     = "view-%016x"
 	newView      = "view.new"
-	// keptViews is how many views stay: the last may be torn.
-	keptViews = 2
-	maxView   = 64 << 10
+	// retainedViews is how many views stay: the last may be torn.
+	retainedViews = 2
+	maxView       = 64 << 10
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
@@ -60,8 +60,8 @@
 	}
 }
 
-// bury removes what a dead member has left.
-func (d folder) bury(id ID) error {
+// removeDead removes what a dead member has left.
+func (d folder) removeDead(id ID) error {
 	f, err := d.lock(memberPrefix + string(id))
 	if err != nil || f == nil { // it lives, or another buries it
 		return err
@@ -75,8 +75,8 @@
 	return errors.Join(append(errs, f.Close())...)
 }
 
-// held tells whether anyone has the lock on a file that is there.
-func (d folder) held(name string) (bool, error) {
+// locked tells whether anyone has the lock on a file that is there.
+func (d folder) locked(name string) (bool, error) {
 	f, err := os.Open(d.path(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	for len(names) > keptViews {
+	for len(names) > retainedViews {
 		if err := os.Remove(d.path(names[0])); err != nil {
 			return fmt.Errorf("removing an old view: %w", err)
 		}
--- a/internal/deliverynode/group/golden_test.go
+++ b/internal/deliverynode/group/golden_test.go
@@ -15,9 +15,9 @@
 	t.Helper()
 	golden.Codec(t, name, func(v T) ([]byte, error) {
 		var b bytes.Buffer
-		err := writeFrame(&b, v, maxNews)
+		err := writeFrame(&b, v, maxMessage)
 		return b.Bytes(), err
-	}, func(text []byte, v *T) error { return readFrame(bytes.NewReader(text), v, maxNews) })
+	}, func(text []byte, v *T) error { return readFrame(bytes.NewReader(text), v, maxMessage) })
 }
 
 // Bytes of every message between processes, written by an earlier version, mean the same and are written again.
@@ -32,19 +32,19 @@
 func TestGoldenReply(t *testing.T) {
 	var b bytes.Buffer
 	want := golden.Filled[reply]()
-	if err := writeFrame(&b, want, maxNews); err != nil {
+	if err := writeFrame(&b, want, maxMessage); err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "reply", b.Bytes())
 	var read reply
-	if err := readFrame(bytes.NewReader(golden.Read(t, "reply")), &read, maxNews); err != nil {
+	if err := readFrame(bytes.NewReader(golden.Read(t, "reply")), &read, maxMessage); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, want) {
 		t.Errorf("read %+v, want %+v", read, want)
 	}
 	b.Reset()
-	if err := writeFrame(&b, reply{Version: Version}, maxNews); err != nil {
+	if err := writeFrame(&b, reply{Version: Version}, maxMessage); err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "reply.empty", b.Bytes())
--- a/internal/deliverynode/group/group.go
+++ b/internal/deliverynode/group/group.go
@@ -24,7 +24,7 @@
 	// maxFrame bounds a request for a file, callTimeout one exchange, maxCalls those
 	// at a time.
 	maxFrame    = 4 << 10
-	callTimeout = BeatEvery / 2
+	callTimeout = HeartbeatEvery / 2
 	maxCalls    = 2 * MaxMembers
 	socketName  = "s-"
 )
@@ -61,19 +61,19 @@
 	cfg      Config
 	id       ID
 	dir      folder
-	hold     *os.File // the lock on its own file, for as long as it lives
+	lock     *os.File // the lock on its own file, for as long as it lives
 	listener *net.UnixListener
 
 	peersMu sync.Mutex
 	peers   map[ID]*outbox.Queue[Message]
 	endPeer map[ID]context.CancelFunc
 
-	mu     sync.Mutex
-	member *Member
-	lead   *Coordinator
-	term   int
-	leader *os.File // the lock on the term that it leads
-	told   int      // the share that was last told
+	mu            sync.Mutex
+	member        *Member
+	lead          *Coordinator
+	term          int
+	leader        *os.File // the lock on the term that it leads
+	notifiedShare int      // the share that was last told
 }
 
 // Join makes this process a member, with no share yet.
@@ -90,7 +90,7 @@
 	if err != nil || hold == nil {
 		return nil, fmt.Errorf("joining the group: its own lock: %w", errors.Join(err, errLock(hold)))
 	}
-	g.hold = hold
+	g.lock = hold
 	err = AtSocket(g.dir.path(socketName+string(g.id)), func(short string) (err error) {
 		g.listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: short, Net: "unix"})
 		return err
@@ -123,7 +123,7 @@
 	if g.leader != nil {
 		errs = append(errs, g.leader.Close())
 	}
-	return errors.Join(append(errs, g.hold.Close())...)
+	return errors.Join(append(errs, g.lock.Close())...)
 }
 
 // Abandon leaves a group that was joined and never run.
@@ -134,14 +134,14 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	running.Go(func() { g.serve(ctx, &running) })
-	tick := time.NewTicker(BeatEvery)
+	tick := time.NewTicker(HeartbeatEvery)
 	defer tick.Stop()
 	for {
 		g.MaySend() // it may have stood still
-		if err := g.beat(ctx); err != nil {
+		if err := g.heartbeat(ctx); err != nil {
 			g.cfg.Log.Warn("group: beat", "err", err)
 		}
-		g.tell()
+		g.notifyShare()
 		if err := g.meet(ctx, &running); err != nil {
 			g.cfg.Log.Warn("group: members", "err", err)
 		}
@@ -156,11 +156,11 @@
 	}
 }
 
-// beat renews this process's lease: from itself where it leads, else from who does.
-func (g *Group) beat(ctx context.Context) error {
+// heartbeat renews this process's lease: from itself where it leads, else from who does.
+func (g *Group) heartbeat(ctx context.Context) error {
 	g.mu.Lock()
 	now := g.cfg.Clock()
-	leaderless := g.member.Beat(now)
+	leaderless := g.member.Tick(now)
 	hello := g.member.Hello()
 	err := g.follow(now, leaderless)
 	lead, term := g.lead, g.term
@@ -174,7 +174,7 @@
 	if err != nil || lead != nil || term == 0 {
 		return err
 	}
-	l, err := g.ask(ctx, term, hello)
+	l, err := g.requestLease(ctx, term, hello)
 	if err != nil {
 		return fmt.Errorf("asking the coordinator: %w", err)
 	}
@@ -202,7 +202,7 @@
 	}
 	held := false
 	if term > 0 {
-		if held, err = g.dir.held(fmt.Sprintf(leadForm, term)); err != nil {
+		if held, err = g.dir.locked(fmt.Sprintf(leadForm, term)); err != nil {
 			return err
 		}
 	}
@@ -242,18 +242,18 @@
 	}
 	there := map[ID]bool{}
 	for _, id := range ids {
-		if there[id], err = g.dir.held(memberPrefix + string(id)); err != nil {
+		if there[id], err = g.dir.locked(memberPrefix + string(id)); err != nil {
 			return Lease{}, err
 		}
 	}
 	for _, id := range g.lead.Members() {
 		if !there[id] {
-			g.lead.Gone(id)
+			g.lead.Departed(id)
 		}
 	}
 	for id, alive := range there {
 		if !alive {
-			if err := g.dir.bury(id); err != nil {
+			if err := g.dir.removeDead(id); err != nil {
 				g.cfg.Log.Warn("group: what a dead member has left", "member", id, "err", err)
 			}
 		}
@@ -279,12 +279,12 @@
 	return Lease{}, errors.New("no share")
 }
 
-// tell passes the share on that is in force.
-func (g *Group) tell() {
+// notifyShare passes the share on that is in force.
+func (g *Group) notifyShare() {
 	g.mu.Lock()
 	parts, kept := g.member.Parts(g.cfg.Clock()), g.member.lease.Kept
-	changed := parts != g.told
-	g.told = parts
+	changed := parts != g.notifiedShare
+	g.notifiedShare = parts
 	g.mu.Unlock()
 	if changed {
 		g.cfg.Share(parts, min(kept, parts))
@@ -295,9 +295,9 @@
 // sends nothing on what it decided before.
 func (g *Group) MaySend() bool {
 	g.mu.Lock()
-	may, told := g.member.Parts(g.cfg.Clock()) > 0, g.told
+	may, told := g.member.Parts(g.cfg.Clock()) > 0, g.notifiedShare
 	if !may { // so that it is told anew when a lease comes, also of as much as before
-		g.told = 0
+		g.notifiedShare = 0
 	}
 	g.mu.Unlock()
 	if !may && told > 0 {
@@ -306,8 +306,8 @@
 	return may
 }
 
-// ask exchanges a hello for a lease with who leads a term.
-func (g *Group) ask(ctx context.Context, term int, h Hello) (Lease, error) {
+// requestLease exchanges a hello for a lease with who leads a term.
+func (g *Group) requestLease(ctx context.Context, term int, h Hello) (Lease, error) {
 	id, err := os.ReadFile(g.dir.path(fmt.Sprintf(leadForm, term)))
 	if err != nil {
 		return Lease{}, err
@@ -356,7 +356,7 @@
 		return
 	}
 	var r request
-	if err := readFrame(conn, &r, maxNews); err != nil {
+	if err := readFrame(conn, &r, maxMessage); err != nil {
 		g.cfg.Log.Debug("group: a message without meaning", "err", err)
 		return
 	}
@@ -372,7 +372,7 @@
 		a.Lease, err = g.share(g.cfg.Clock(), *r.Hello)
 		g.mu.Unlock()
 	case r.File != "":
-		if err := g.hand(conn.(*net.UnixConn), r.File); err != nil {
+		if err := g.sendFile(conn.(*net.UnixConn), r.File); err != nil {
 			g.cfg.Log.Warn("group: handing a file on", "name", r.File, "err", err)
 		}
 		return
@@ -384,7 +384,7 @@
 	if err != nil {
 		a.Refused = err.Error()
 	}
-	if err := writeFrame(conn, a, maxNews); err != nil {
+	if err := writeFrame(conn, a, maxMessage); err != nil {
 		g.cfg.Log.Debug("group: answering", "err", err)
 	}
 }
--- a/internal/deliverynode/group/group_test.go
+++ b/internal/deliverynode/group/group_test.go
@@ -175,7 +175,7 @@
 	entries, err := os.ReadDir(dir)
 	must(t, err)
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), memberPrefix) || strings.HasPrefix(e.Name(), socketName) || len(entries) > 1+keptViews {
+		if strings.HasPrefix(e.Name(), memberPrefix) || strings.HasPrefix(e.Name(), socketName) || len(entries) > 1+retainedViews {
 			t.Errorf("left over: %s", e.Name())
 		}
 	}
--- a/internal/deliverynode/group/news.go
+++ b/internal/deliverynode/group/news.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// maxNews bounds what members tell each other beside leases: a whole list, say.
-	maxNews = 1 << 20
+	// maxMessage bounds what members tell each other beside leases: a whole list, say.
+	maxMessage = 1 << 20
 	// maxQueued bounds what waits for one member; the newest of each key is kept.
 	maxQueued = 1024
 	// retryAfter is how long a member is left alone that could not be reached.
-	retryAfter = BeatEvery / 5
+	retryAfter = HeartbeatEvery / 5
 	// fileTimeout is for handing on a file, and for an answer to a question.
 	fileTimeout = time.Second
 )
@@ -38,12 +38,12 @@
 // ErrUnanswered says that a member has not answered a question.
 var ErrUnanswered = errors.New("a member has not answered")
 
-// Tell lets all other members know, those that join soon after not among them. It never
+// Notify lets all other members know, those that join soon after not among them. It never
 // waits: to a member that is out of touch the newest of each key is told when it is back.
-func (g *Group) Tell(kind, key string, v any) error { return g.TellOf(g.cfg.Clock(), kind, key, v) }
+func (g *Group) Notify(kind, key string, v any) error { return g.NotifyAt(g.cfg.Clock(), kind, key, v) }
 
-// TellOf tells of something that was seen at another moment.
-func (g *Group) TellOf(at time.Duration, kind, key string, v any) error {
+// NotifyAt tells of something that was seen at another moment.
+func (g *Group) NotifyAt(at time.Duration, kind, key string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("group: telling %s: %w", kind, err)
@@ -68,7 +68,7 @@
 		if id == g.id {
 			continue
 		}
-		if held, err := g.dir.held(memberPrefix + string(id)); err != nil {
+		if held, err := g.dir.locked(memberPrefix + string(id)); err != nil {
 			return nil, err
 		} else if held {
 			live = append(live, id)
@@ -127,8 +127,8 @@
 	return os.NewFile(uintptr(fds[0]), name), nil
 }
 
-// hand gives a file on: a byte that says whether there is one, and the file with it.
-func (g *Group) hand(conn *net.UnixConn, name string) error {
+// sendFile gives a file on: a byte that says whether there is one, and the file with it.
+func (g *Group) sendFile(conn *net.UnixConn, name string) error {
 	var f *os.File
 	if g.cfg.File != nil {
 		f = g.cfg.File(name)
@@ -164,7 +164,7 @@
 		q, life, end := outbox.New[Message](maxQueued, 0), context.Context(nil), context.CancelFunc(nil)
 		life, end = context.WithCancel(ctx)
 		g.peers[id], g.endPeer[id], met = q, end, true
-		running.Go(func() { g.tellPeer(life, id, q) })
+		running.Go(func() { g.notifyPeer(life, id, q) })
 	}
 	for id := range g.peers {
 		if !there[id] {
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// tellPeer tells one member what it is to know, in order, until it is gone.
-func (g *Group) tellPeer(ctx context.Context, id ID, q *outbox.Queue[Message]) {
+// notifyPeer tells one member what it is to know, in order, until it is gone.
+func (g *Group) notifyPeer(ctx context.Context, id ID, q *outbox.Queue[Message]) {
 	for {
 		e, ok := q.First()
 		m := e.Value
@@ -196,7 +196,7 @@
 			case <-ctx.Done():
 				return
 			}
-			if held, err := g.dir.held(memberPrefix + string(id)); err == nil && !held {
+			if held, err := g.dir.locked(memberPrefix + string(id)); err == nil && !held {
 				return
 			}
 			continue
@@ -238,11 +238,11 @@
 	if err := conn.SetDeadline(time.Now().Add(within)); err != nil {
 		return reply{}, err
 	}
-	if err := writeFrame(conn, r, maxNews); err != nil {
+	if err := writeFrame(conn, r, maxMessage); err != nil {
 		return reply{}, err
 	}
 	var a reply
-	if err := readFrame(conn, &a, maxNews); err != nil {
+	if err := readFrame(conn, &a, maxMessage); err != nil {
 		return reply{}, err
 	}
 	if a.Refused != "" {
@@ -292,7 +292,7 @@
 	s.Unreadable = torn || err != nil
 	if len(views) > 0 {
 		for _, v := range views[len(views)-1].Shares {
-			held, _ := g.dir.held(memberPrefix + string(v.Member)) // one that can't be told counts as gone
+			held, _ := g.dir.locked(memberPrefix + string(v.Member)) // one that can't be told counts as gone
 			m := MemberStatus{ID: v.Member, Alive: held, Parts: v.Parts, State: states[v.Member]}
 			if age, ok := ages[v.Member]; ok {
 				m.Age = age.Round(time.Millisecond).String()
--- a/internal/deliverynode/group/news_test.go
+++ b/internal/deliverynode/group/news_test.go
@@ -81,7 +81,7 @@
 	dir := t.TempDir()
 	a, b, c := talk(t, dir, nil), talk(t, dir, nil), talk(t, dir, nil)
 	a.meets(t, 2)
-	must(t, a.Tell("wait", "e1", 7))
+	must(t, a.Notify("wait", "e1", 7))
 	for _, k := range []*talker{b, c} {
 		if m := k.next(t); m.From != a.ID() || m.Kind != "wait" || m.Key != "e1" || string(m.Body) != "7" || m.At <= 0 {
 			t.Errorf("heard %+v", m)
@@ -94,7 +94,7 @@
 	c.stop()
 	a.meets(t, 1)
 	for i := range 100 {
-		must(t, a.Tell("n", fmt.Sprint(i), i))
+		must(t, a.Notify("n", fmt.Sprint(i), i))
 	}
 	for i := range 100 {
 		if m := b.next(t); string(m.Body) != fmt.Sprint(i) {
@@ -116,8 +116,8 @@
 	a := talk(t, dir, nil)
 	a.meets(t, 1)
 	for i := range 5000 {
-		must(t, a.Tell("list", "", i))
-		must(t, a.Tell("wait", fmt.Sprint(i), i))
+		must(t, a.Notify("list", "", i))
+		must(t, a.Notify("wait", fmt.Sprint(i), i))
 	}
 	s := a.Status()
 	if s.Queued > maxQueued || s.Dropped == 0 {
@@ -213,7 +213,7 @@
 		t.Error(err)
 	}
 	b.meets(t, 1)
-	must(t, b.Tell("still", "", 1))
+	must(t, b.Notify("still", "", 1))
 	if m := a.next(t); m.Kind != "still" {
 		t.Errorf("heard %+v", m)
 	}
@@ -232,7 +232,7 @@
 		case <-time.After(patience):
 			t.Fatal("nobody was met")
 		}
-		must(t, a.TellOf(7, "list", "", 1))
+		must(t, a.NotifyAt(7, "list", "", 1))
 		if m := b.next(t); m.Kind != "list" || m.At != 7 {
 			t.Errorf("heard %+v", m)
 		}
--- a/internal/deliverynode/journal/apply.go
+++ b/internal/deliverynode/journal/apply.go
@@ -15,8 +15,8 @@
 	j.next = max(j.next, seq+1)
 	message := j.live[seq]
 	switch kind {
-	case recTaken:
-		j.applyTaken(&r, seq, segment)
+	case recAccepted:
+		j.applyAccepted(&r, seq, segment)
 	case recAttempt:
 		j.applyAttempt(&r, message)
 	case recOutcome:
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// applyTaken adds a message with its past, in place of what is known of it.
-func (j *Journal) applyTaken(r *reader, seq policy.MessageID, segment uint64) {
+// applyAccepted adds a message with its past, in place of what is known of it.
+func (j *Journal) applyAccepted(r *reader, seq policy.MessageID, segment uint64) {
 	message := &Message{Seq: seq, home: j}
 	message.ID, message.Key = string(r.bytes()), string(r.bytes())
 	message.Class, message.Dest = int(r.uvarint()), int(r.uvarint())
--- a/internal/deliverynode/journal/begin.go
+++ b/internal/deliverynode/journal/begin.go
@@ -130,12 +130,12 @@
 	At       time.Time
 }
 
-// GiveAway ends the writing by this process, so that another one can begin, and returns the attempts that have no
+// Release ends the writing by this process, so that another one can begin, and returns the attempts that have no
 // outcome yet. From then on writes fail with ErrGiven.
-func (j *Journal) GiveAway() []AttemptOut {
+func (j *Journal) Release() []AttemptOut {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.given = true
+	j.released = true
 	var out []AttemptOut
 	for _, m := range j.live {
 		if m.Past.Out {
@@ -145,9 +145,9 @@
 	return out
 }
 
-// TakeBack resumes the writing after GiveAway. No other process may have begun to write.
-func (j *Journal) TakeBack() {
+// Reclaim resumes the writing after GiveAway. No other process may have begun to write.
+func (j *Journal) Reclaim() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.given = false
+	j.released = false
 }
--- a/internal/deliverynode/journal/bench_test.go
+++ b/internal/deliverynode/journal/bench_test.go
@@ -29,7 +29,7 @@
 						for i := c; i < b.N; i += callers {
 							m := &Message{ID: fmt.Sprint(i), Deadline: time.Now(), Body: make([]byte, 200)}
 							began := time.Now()
-							if err := j.Take(m); err != nil {
+							if err := j.Accept(m); err != nil {
 								b.Error(err)
 								return
 							}
@@ -68,7 +68,7 @@
 		var open []*Message
 		for n := int64(0); n < written; n += 1200 {
 			m := &Message{ID: fmt.Sprint(n), Deadline: time.Now(), Body: bytes.Repeat([]byte{7}, 1000)}
-			if err := j.Take(m); err != nil {
+			if err := j.Accept(m); err != nil {
 				break // it is full
 			}
 			if open = append(open, m); len(open) > live {
--- a/internal/deliverynode/journal/checkpoint.go
+++ b/internal/deliverynode/journal/checkpoint.go
@@ -154,7 +154,7 @@
 			}
 		}
 		for _, seq := range sorted(j.live) {
-			if !yield(takenRecord(j.live[seq])) {
+			if !yield(acceptedRecord(j.live[seq])) {
 				return
 			}
 		}
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -29,7 +29,7 @@
 		if i%2 == 0 {
 			m.Key = ""
 		}
-		must(t, j.Take(m))
+		must(t, j.Accept(m))
 		return m
 	}
 	var ms []*Message
@@ -110,13 +110,13 @@
 					t.Errorf("sync %v, life %d: %s came back with %+v", sync, life, id, got[id].Past)
 				}
 			}
-			if n := got["id6"].Notice; n == nil || !n.HandedBack() || !j.Barred("e3") || j.Barred("e4") || !j.Left("e5") || !j.Over.Has("id5") {
+			if n := got["id6"].Notice; n == nil || !n.HandedBack() || !j.TakenOut("e3") || j.TakenOut("e4") || !j.Left("e5") || !j.Over.Has("id5") {
 				t.Errorf("sync %v, life %d: notice %v, orders %v", sync, life, n, j.orders)
 			}
 			if len(j.recovery.report.Problems) > 0 {
 				t.Errorf("sync %v, life %d: %v", sync, life, j.recovery.report.Problems)
 			}
-			must(t, j.Take(&Message{ID: fmt.Sprint("life", life), Deadline: time.Now(), Body: []byte("x")}))
+			must(t, j.Accept(&Message{ID: fmt.Sprint("life", life), Deadline: time.Now(), Body: []byte("x")}))
 			must(t, j.Close())
 		}
 	}
@@ -130,7 +130,7 @@
 	at := time.UnixMicro(1764600000123456)
 	for _, id := range []string{"c-sent", "c-full", "s", "c-new", "c-done"} {
 		m := &Message{ID: id, Deadline: at, Body: []byte("body of " + id)}
-		must(t, j.Take(m))
+		must(t, j.Accept(m))
 		if id == "c-new" {
 			continue
 		}
@@ -291,7 +291,7 @@
 		j, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true})
 		must(t, err)
 		for i := range 3 {
-			must(t, j.Take(&Message{ID: fmt.Sprint("m", s, i), Deadline: time.Now(), Body: bytes.Repeat([]byte{1, 2}, 50)}))
+			must(t, j.Accept(&Message{ID: fmt.Sprint("m", s, i), Deadline: time.Now(), Body: bytes.Repeat([]byte{1, 2}, 50)}))
 		}
 		must(t, j.Close())
 	}
@@ -406,8 +406,8 @@
 	for range 3 {
 		j, _, err := openSmall(d, true)
 		must(t, err)
-		must(t, j.Take(&Message{ID: "a", Body: bytes.Repeat([]byte("a"), 800)}))
-		must(t, j.Take(&Message{ID: "b", Body: bytes.Repeat([]byte("b"), 100)}))
+		must(t, j.Accept(&Message{ID: "a", Body: bytes.Repeat([]byte("a"), 800)}))
+		must(t, j.Accept(&Message{ID: "b", Body: bytes.Repeat([]byte("b"), 100)}))
 		must(t, j.Close())
 		f := d.names[segmentPath(j.segments[len(j.segments)-1].number)]
 		f.data[len(f.data)-20] ^= 1
@@ -419,7 +419,7 @@
 	}
 	for i := 0; len(j.aside) > 0 && i < 1000; i++ {
 		m := &Message{ID: fmt.Sprint(i), Body: make([]byte, 900)}
-		must(t, j.Take(m))
+		must(t, j.Accept(m))
 		if i >= 8 {
 			must(t, j.Closed(m, "", time.Now()))
 		}
@@ -442,7 +442,7 @@
 		j, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true, Now: clock})
 		must(t, err)
 		m := &Message{ID: "a", Deadline: now.Add(time.Minute)}
-		must(t, j.Take(m))
+		must(t, j.Accept(m))
 		must(t, j.Attempt(m, "e1", 0, now))
 		must(t, j.Close())
 		now = now.Add(jump)
@@ -465,10 +465,10 @@
 	d.slow = true
 	const n = 50
 	ends := make(chan error, n)
-	go func() { ends <- j.Take(&Message{ID: "first"}) }()
+	go func() { ends <- j.Accept(&Message{ID: "first"}) }()
 	<-d.began // the first sync is on its way; the others come meanwhile
 	for i := range n - 1 {
-		go func() { ends <- j.Take(&Message{ID: fmt.Sprint(i)}) }()
+		go func() { ends <- j.Accept(&Message{ID: fmt.Sprint(i)}) }()
 	}
 	for j.Status().Waiting < n {
 		time.Sleep(time.Millisecond) // they have nothing to tell of it
@@ -518,7 +518,7 @@
 	j, _, err := Open(Options{Folder: d, Limit: 1 << 20, Sync: true})
 	must(t, err)
 	d.slow = true
-	if err := j.Take(&Message{ID: "a"}); !errors.Is(err, ErrNotDurable) {
+	if err := j.Accept(&Message{ID: "a"}); !errors.Is(err, ErrNotDurable) {
 		t.Errorf("%v, want that it is not known to be durable", err)
 	}
 	if s := j.Status(); s.Live != 0 {
@@ -526,7 +526,7 @@
 	}
 	close(d.release)
 	must(t, j.Sync())
-	must(t, j.Take(&Message{ID: "b"})) // slow is not failed
+	must(t, j.Accept(&Message{ID: "b"})) // slow is not failed
 }
 
 // The reader never panics on what it finds, and takes no more than there is.
@@ -538,7 +538,7 @@
 			f.Fatal(err)
 		}
 		m := &Message{ID: "a", Key: "k", Body: []byte("body")}
-		if err := errors.Join(j.Take(m), j.Attempt(m, "e", 1, time.Now()), j.Outcome(m, policy.Reset, "e", time.Now()),
+		if err := errors.Join(j.Accept(m), j.Attempt(m, "e", 1, time.Now()), j.Outcome(m, policy.Reset, "e", time.Now()),
 			j.Ended(m, NewNotice("a", true, 1)), j.Order("e", true, time.Now()), j.Closed(m, "e", time.Now()), j.Close()); err != nil {
 			f.Fatal(err)
 		}
@@ -619,10 +619,10 @@
 	j, _, err := Open(Options{Folder: d, Limit: MinDisk, Sync: true})
 	must(t, err)
 	m := &Message{ID: "a"}
-	must(t, j.Take(m))
+	must(t, j.Accept(m))
 	d.armed = true
 	ends := make(chan error)
-	go func() { ends <- j.Take(&Message{ID: "b"}) }()
+	go func() { ends <- j.Accept(&Message{ID: "b"}) }()
 	<-d.began
 	for first := len(j.segments); len(j.segments) == first; {
 		must(t, j.Attempt(m, "e1", 0, time.Now()))
--- a/internal/deliverynode/journal/golden_test.go
+++ b/internal/deliverynode/journal/golden_test.go
@@ -27,8 +27,8 @@
 // goldenRecordKinds returns one record of each kind.
 func goldenRecordKinds() [][]byte {
 	return [][]byte{
-		takenRecord(goldenMessage()),
-		takenRecord(&Message{Seq: 301, ID: "bare"}),
+		acceptedRecord(goldenMessage()),
+		acceptedRecord(&Message{Seq: 301, ID: "bare"}),
 		attemptRecord(300, "endpoint-1", 6, goldenAt),
 		outcomeRecord(300, policy.TimedOut, "endpoint-1", goldenAt.Add(2*time.Second)),
 		appendNotice(record(recEnded, 301), NewNotice("bare", false, 0)),
@@ -107,7 +107,7 @@
 	if got, want := j.OverIDs(), []string{"bare", "over-1", "over-2"}; !reflect.DeepEqual(got, want) {
 		t.Errorf("ended ids %v, want %v", got, want)
 	}
-	if !j.Barred("endpoint-3") || j.Barred("endpoint-4") || j.next != 901 {
+	if !j.TakenOut("endpoint-3") || j.TakenOut("endpoint-4") || j.next != 901 {
 		t.Errorf("orders %v, next number %d", j.orders, j.next)
 	}
 	memories := map[string]*Memory{
--- a/internal/deliverynode/journal/journal.go
+++ b/internal/deliverynode/journal/journal.go
@@ -32,13 +32,13 @@
 )
 
 var (
-	// ErrNoRoom is returned for a message or an order for which the journal has no room.
-	ErrNoRoom = errors.New("the journal is full")
+	// ErrFull is returned for a message or an order for which the journal has no room.
+	ErrFull = errors.New("the journal is full")
 	// ErrLate is returned for an attempt at a message that may have run, when the destination no longer remembers
 	// its key.
 	ErrLate = errors.New("the destination has forgotten the key")
-	// ErrGiven is returned when another process writes the journal or is about to (GiveAway).
-	ErrGiven = errors.New("the journal has been given away")
+	// ErrReleased is returned when another process writes the journal or is about to (GiveAway).
+	ErrReleased = errors.New("the journal has been given away")
 )
 
 // Options configures a journal.
@@ -90,7 +90,7 @@
 	recent     map[string]*Memory // Memories and what this process recorded, for the next checkpoint
 	recentOver *IDRing            // Over and the messages that this process ended, for the next checkpoint
 	buf        []byte
-	given      bool              // another process writes the journal or is about to
+	released   bool              // another process writes the journal or is about to
 	orders     map[string]uint64 // endpoints that the staff have taken out, and the segment with the order
 	syncer     syncer
 	watch      Watcher // nil if there is none
@@ -147,7 +147,7 @@
 	}
 	m.home = j
 	j.liveSize += cost(m)
-	if err := j.append(takenRecord(m), m); err != nil {
+	if err := j.append(acceptedRecord(m), m); err != nil {
 		if old := j.live[m.Seq]; old != nil {
 			j.liveSize += cost(old)
 		}
@@ -158,10 +158,10 @@
 	return nil
 }
 
-// Take writes a new message and numbers it. It fails with ErrGiven, with ErrNoRoom, or with ErrNotDurable if the message
+// Accept writes a new message and numbers it. It fails with ErrGiven, with ErrNoRoom, or with ErrNotDurable if the message
 // could not be made durable in time: then the message is ended, but may come back after a loss of power.
-func (j *Journal) Take(m *Message) error {
-	at, err := j.take(m)
+func (j *Journal) Accept(m *Message) error {
+	at, err := j.accept(m)
 	if err != nil {
 		return err
 	}
@@ -171,12 +171,12 @@
 	return nil
 }
 
-// take writes a new message and returns the number of bytes that must be durable before it is.
-func (j *Journal) take(m *Message) (at uint64, err error) {
+// accept writes a new message and returns the number of bytes that must be durable before it is.
+func (j *Journal) accept(m *Message) (at uint64, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.given {
-		return 0, ErrGiven
+	if j.released {
+		return 0, ErrReleased
 	}
 	if j.syncer.failed != nil {
 		return 0, j.syncer.failed
@@ -184,10 +184,10 @@
 	// Three segments are held in reserve: for records that are no longer needed, for the next segment, and for the
 	// copy of a segment that is being cleaned.
 	if j.liveSize+cost(m) > j.limit-3*j.segSize {
-		return 0, ErrNoRoom
+		return 0, ErrFull
 	}
 	m.Seq, m.home = j.next, j
-	if err := j.append(takenRecord(m), m); err != nil {
+	if err := j.append(acceptedRecord(m), m); err != nil {
 		return 0, err
 	}
 	j.next++
@@ -201,8 +201,8 @@
 func (j *Journal) change(m *Message, write func() error) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.given {
-		return ErrGiven
+	if j.released {
+		return ErrReleased
 	}
 	if j.live[m.Seq] == nil {
 		return nil
--- a/internal/deliverynode/journal/journal_test.go
+++ b/internal/deliverynode/journal/journal_test.go
@@ -60,7 +60,7 @@
 		newMessage("turned", 3), newMessage("over", 5), newMessage("done", 5)
 	fresh.Body = []byte("0123456\r\n9")
 	for _, m := range []*Message{fresh, tried, out, turned, over, done} {
-		must(t, j.Take(m))
+		must(t, j.Accept(m))
 	}
 	must(t, j.Attempt(tried, "e1", 1, at))
 	must(t, j.Outcome(tried, policy.TimedOut, "e1", at))
@@ -103,7 +103,7 @@
 		t.Errorf("e1 is remembered as %+v", e)
 	}
 	next := newMessage("next", 1)
-	must(t, again.Take(next))
+	must(t, again.Accept(next))
 	if next.Seq <= done.Seq {
 		t.Errorf("number %d was given before", next.Seq)
 	}
@@ -120,8 +120,8 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			j, _ := mustOpen(t, dir, MinDisk)
-			must(t, j.Take(newMessage("a", 100)))
-			must(t, j.Take(newMessage("b", 100)))
+			must(t, j.Accept(newMessage("a", 100)))
+			must(t, j.Accept(newMessage("b", 100)))
 			must(t, j.Close())
 			path := filepath.Join(dir, segmentPath(1))
 			data, err := os.ReadFile(path)
@@ -131,7 +131,7 @@
 			if len(owed) == 0 || owed[0].ID != "a" {
 				t.Fatalf("owed %v, want a at least", owed)
 			}
-			must(t, j.Take(newMessage("c", 100)))
+			must(t, j.Accept(newMessage("c", 100)))
 			must(t, j.Close())
 			_, owed = mustOpen(t, dir, MinDisk)
 			if last := owed[len(owed)-1]; last.ID != "c" {
@@ -151,8 +151,8 @@
 	refused := 0
 	for i := range 600 {
 		m := newMessage(fmt.Sprint("m", i), MaxBody-i%3*30000)
-		switch err := j.Take(m); {
-		case errors.Is(err, ErrNoRoom):
+		switch err := j.Accept(m); {
+		case errors.Is(err, ErrFull):
 			refused++
 			if len(open) == 0 {
 				t.Fatal("refused with nothing held")
@@ -204,12 +204,12 @@
 	}
 	good := j.file
 	j.file = full
-	if err := j.Take(newMessage("a", 10)); err == nil || errors.Is(err, ErrNoRoom) {
+	if err := j.Accept(newMessage("a", 10)); err == nil || errors.Is(err, ErrFull) {
 		t.Fatalf("take on a full disk: %v", err)
 	}
 	j.file = good
 	must(t, full.Close())
-	must(t, j.Take(newMessage("b", 10)))
+	must(t, j.Accept(newMessage("b", 10)))
 	must(t, j.Close())
 	must(t, os.WriteFile(filepath.Join(dir, "stranger"), []byte("x"), 0o600))
 	_, owed := mustOpen(t, dir, MinDisk)
@@ -228,8 +228,8 @@
 			var open []*Message
 			for {
 				m := newMessage(fmt.Sprint("m", len(open)), size)
-				err := j.Take(m)
-				if errors.Is(err, ErrNoRoom) {
+				err := j.Accept(m)
+				if errors.Is(err, ErrFull) {
 					break
 				}
 				must(t, err)
@@ -250,7 +250,7 @@
 			for _, m := range open {
 				must(t, j.Closed(m, "", time.Now()))
 			}
-			must(t, j.Take(newMessage("next", size)))
+			must(t, j.Accept(newMessage("next", size)))
 		})
 	}
 }
@@ -268,13 +268,13 @@
 	first := j.segments[0].number
 	for i := 0; j.segments[0].number < first+30; i++ {
 		m := newMessage(fmt.Sprint("m", i), 20000)
-		must(t, j.Take(m))
+		must(t, j.Accept(m))
 		must(t, j.Closed(m, "", time.Now()))
 	}
 	must(t, j.Order("back", false, time.Now()))
 	must(t, j.Close())
 	again, _ := mustOpen(t, dir, limit)
-	if !again.Barred("out") || again.Barred("back") || again.Barred("other") {
+	if !again.TakenOut("out") || again.TakenOut("back") || again.TakenOut("other") {
 		t.Errorf("on record as out: %v, want one alone", again.orders)
 	}
 	if m := again.Memories["back"]; m == nil || len(m.Runs) != 1 || m.Runs[0].BackAt.IsZero() {
@@ -291,27 +291,27 @@
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, MinDisk)
 	held, out := newMessage("held", 10), newMessage("out", 10)
-	must(t, j.Take(held))
-	must(t, j.Take(out))
+	must(t, j.Accept(held))
+	must(t, j.Accept(out))
 	at := time.Now()
 	must(t, j.Attempt(out, "e1", 1, at))
 	size := dirSize(t, dir)
-	if given := j.GiveAway(); len(given) != 1 || given[0] != (AttemptOut{Message: out.Seq, Endpoint: "e1", At: at}) {
+	if given := j.Release(); len(given) != 1 || given[0] != (AttemptOut{Message: out.Seq, Endpoint: "e1", At: at}) {
 		t.Errorf("given away with %+v out, want the one attempt", given)
 	}
 	for name, err := range map[string]error{
-		"take": j.Take(newMessage("new", 1)), "attempt": j.Attempt(held, "e1", 1, at), "closed": j.Closed(held, "", at),
+		"take": j.Accept(newMessage("new", 1)), "attempt": j.Attempt(held, "e1", 1, at), "closed": j.Closed(held, "", at),
 		"outcome": j.Outcome(out, policy.Full, "e1", at), "ended": j.Ended(held, NewNotice("held", true, 0)),
 		"order": j.Order("e1", true, at),
 	} {
-		if !errors.Is(err, ErrGiven) {
+		if !errors.Is(err, ErrReleased) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if dirSize(t, dir) != size || held.Notice != nil || !out.Past.Out || !out.Past.MayRun {
 		t.Error("something changed though the journal was given away")
 	}
-	j.TakeBack()
+	j.Reclaim()
 	must(t, j.Outcome(out, policy.Full, "e1", at))
 	if out.Past.Out || out.Past.MayRun {
 		t.Errorf("taken back: %+v", out.Past)
--- a/internal/deliverynode/journal/order.go
+++ b/internal/deliverynode/journal/order.go
@@ -25,15 +25,15 @@
 func (j *Journal) Order(endpoint string, out bool, at time.Time) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.given {
-		return ErrGiven
+	if j.released {
+		return ErrReleased
 	}
 	if _, known := j.orders[endpoint]; known == out {
 		return nil
 	}
 	room := orderCost(endpoint)
 	if out && j.liveSize+room > j.limit-3*j.segSize {
-		return ErrNoRoom
+		return ErrFull
 	}
 	if err := j.append(orderRecord(endpoint, out, at), nil); err != nil {
 		return err
@@ -59,8 +59,8 @@
 	return slices.Sorted(maps.Keys(j.orders))
 }
 
-// Barred reports whether the staff have taken an endpoint out.
-func (j *Journal) Barred(endpoint string) bool {
+// TakenOut reports whether the staff have taken an endpoint out.
+func (j *Journal) TakenOut(endpoint string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	_, out := j.orders[endpoint]
@@ -86,4 +86,4 @@
 }
 
 // Left reports whether the last list had an endpoint as draining or gone.
-func (j *Journal) Left(endpoint string) bool { return j.Barred(leavingMark + endpoint) }
+func (j *Journal) Left(endpoint string) bool { return j.TakenOut(leavingMark + endpoint) }
--- a/internal/deliverynode/journal/power_test.go
+++ b/internal/deliverynode/journal/power_test.go
@@ -305,7 +305,7 @@
 	var open []*Message
 	for i := range p.rounds {
 		m := scripted(i, at.Add(time.Hour))
-		if err := j.Take(m); err != nil {
+		if err := j.Accept(m); err != nil {
 			return err
 		}
 		w.taken[m.ID] = true
@@ -407,7 +407,7 @@
 		}
 	}
 	for name, out := range w.out {
-		if j.Barred(name) != out {
+		if j.TakenOut(name) != out {
 			w.t.Errorf("%s: %s is out: %v, want %v", what, name, !out, out)
 		}
 	}
@@ -539,7 +539,7 @@
 			if err == nil {
 				err = w.script(j, plays["checkpoints"])
 				if j.Failed() != nil { // nothing is taken, however sound the disk says it is now
-					if err := j.Take(&Message{ID: "late"}); !errors.Is(err, ErrFailed) {
+					if err := j.Accept(&Message{ID: "late"}); !errors.Is(err, ErrFailed) {
 						t.Errorf("operation %d: taken on a failed disk: %v", at, err)
 					}
 				}
--- a/internal/deliverynode/journal/record.go
+++ b/internal/deliverynode/journal/record.go
@@ -9,12 +9,12 @@
 
 // Kinds of record.
 const (
-	recTaken   = 1 // a message with its past; it replaces the earlier records of the message
-	recAttempt = 2 // written before the first byte of an attempt is sent
-	recOutcome = 3 // how the last attempt ended
-	recEnded   = 4 // the message ended undelivered, and its notice is owed
-	recClosed  = 5 // nothing is owed for the message; if it names an endpoint, that one accepted the message
-	recOrder   = 6 // the staff's order for an endpoint; it replaces the one before
+	recAccepted = 1 // a message with its past; it replaces the earlier records of the message
+	recAttempt  = 2 // written before the first byte of an attempt is sent
+	recOutcome  = 3 // how the last attempt ended
+	recEnded    = 4 // the message ended undelivered, and its notice is owed
+	recClosed   = 5 // nothing is owed for the message; if it names an endpoint, that one accepted the message
+	recOrder    = 6 // the staff's order for an endpoint; it replaces the one before
 	// These are written to segments with a header, and when a damaged folder is repaired.
 	recOver = 7 // ids of messages that have ended
 	recNext = 8 // the lowest number that no message has had
@@ -48,9 +48,9 @@
 	return append(binary.AppendUvarint(b, uint64(len(data))), data...)
 }
 
-// takenRecord returns the encoding of a recTaken: a message with its past, and its notice if it has one.
-func takenRecord(m *Message) []byte {
-	b := record(recTaken, m.Seq)
+// acceptedRecord returns the encoding of a recTaken: a message with its past, and its notice if it has one.
+func acceptedRecord(m *Message) []byte {
+	b := record(recAccepted, m.Seq)
 	b = appendBytes(appendBytes(b, []byte(m.ID)), []byte(m.Key))
 	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(m.Class)), uint64(m.Dest))
 	b = binary.AppendUvarint(b, uint64(m.Deadline.UnixMicro()))
@@ -59,15 +59,15 @@
 	if m.Past.MayRun {
 		ranAt = uint64(m.Past.RanAt.UnixMicro())
 	}
-	b = binary.AppendUvarint(append(b, takenFlags(m)), ranAt)
+	b = binary.AppendUvarint(append(b, acceptedFlags(m)), ranAt)
 	if m.Notice != nil {
 		b = appendNotice(b, m.Notice)
 	}
 	return appendBytes(b, m.Body)
 }
 
-// takenFlags returns the flags of a recTaken.
-func takenFlags(m *Message) byte {
+// acceptedFlags returns the flags of a recTaken.
+func acceptedFlags(m *Message) byte {
 	flags := byte(0)
 	if m.Past.Settled {
 		flags |= flagSettled
--- a/internal/deliverynode/journal/recover.go
+++ b/internal/deliverynode/journal/recover.go
@@ -108,7 +108,7 @@
 		return err
 	}
 	r.report.Segments = len(j.segments)
-	r.settle()
+	r.resolve()
 	r.report.Took = j.now().Sub(began)
 	return nil
 }
@@ -291,7 +291,7 @@
 		}
 		if errors.Is(err, frame.ErrTorn) && (last || !f.Keyed) && !r.behind.on {
 			r.torn(n, at, len(data))
-			if !f.Keyed && !(len(data) > at+frame.PlainHeadSize && data[at+frame.PlainHeadSize] == recTaken) {
+			if !f.Keyed && !(len(data) > at+frame.PlainHeadSize && data[at+frame.PlainHeadSize] == recAccepted) {
 				// Only the length says so, and a damaged length looks the same.
 				r.inDoubt()
 			}
@@ -334,7 +334,7 @@
 		return err
 	}
 	switch kind {
-	case recTaken, recClosed: // they replace all records before them
+	case recAccepted, recClosed: // they replace all records before them
 		delete(r.doubt, seq)
 		delete(r.trace, seq)
 		delete(r.behind.attempts, seq)
@@ -347,7 +347,7 @@
 		return nil
 	}
 	switch kind {
-	case recTaken:
+	case recAccepted:
 		r.behind.taken[seq] = true
 		delete(r.behind.closed, seq)
 	case recAttempt:
@@ -368,8 +368,8 @@
 	return nil
 }
 
-// settle makes the messages in doubt count as possibly run, and completes the report.
-func (r *recovery) settle() {
+// resolve makes the messages in doubt count as possibly run, and completes the report.
+func (r *recovery) resolve() {
 	for _, seq := range sorted(r.doubt) {
 		m := r.journal.live[seq]
 		if m == nil {
@@ -407,7 +407,7 @@
 		}
 	}
 	err := r.rewrite()
-	if errors.Is(err, ErrNoRoom) {
+	if errors.Is(err, ErrFull) {
 		j.log.Error("journal: no room to mend the folder, the next start finds the same", "err", err)
 		return nil
 	}
@@ -457,7 +457,7 @@
 	for _, seq := range sorted(j.live) {
 		m := j.live[seq]
 		if r.behind.taken[seq] {
-			if err := j.append(takenRecord(m), m); err != nil {
+			if err := j.append(acceptedRecord(m), m); err != nil {
 				return err
 			}
 			continue
@@ -471,7 +471,7 @@
 			records = append(records, appendNotice(record(recEnded, seq), m.Notice))
 		}
 		for _, b := range records {
-			if err := j.makeRoom(int64(len(b) + j.format.HeadSize())); err != nil {
+			if err := j.freeSpace(int64(len(b) + j.format.HeadSize())); err != nil {
 				return err
 			}
 			if j.home[seq] >= first { // makeRoom has just copied the message, with all this
--- a/internal/deliverynode/journal/segment.go
+++ b/internal/deliverynode/journal/segment.go
@@ -33,7 +33,7 @@
 		}
 	}
 	size := int64(len(payload) + j.format.HeadSize())
-	if err := j.makeRoom(size); err != nil {
+	if err := j.freeSpace(size); err != nil {
 		return err
 	}
 	return j.write(payload, taken)
@@ -132,9 +132,9 @@
 	return sum
 }
 
-// makeRoom cleans the oldest segments until a record fits and a segment's size remains free: while a segment is cleaned
+// freeSpace cleans the oldest segments until a record fits and a segment's size remains free: while a segment is cleaned
 // it and its copy are both on disk. It fails with ErrNoRoom.
-func (j *Journal) makeRoom(size int64) error {
+func (j *Journal) freeSpace(size int64) error {
 	for tries := 2 * len(j.segments); j.diskSize()+size+j.segSize+2*block > j.limit; tries-- {
 		if len(j.aside) > 0 { // copies of damaged segments are dropped before messages are refused
 			if err := j.dropAside(0); err != nil {
@@ -143,7 +143,7 @@
 			continue
 		}
 		if tries <= 0 || len(j.segments) < 2 {
-			return ErrNoRoom
+			return ErrFull
 		}
 		if err := j.clean(); err != nil {
 			return err
@@ -163,7 +163,7 @@
 	}
 	sort.Slice(move, func(a, b int) bool { return move[a].Seq < move[b].Seq })
 	for _, m := range move {
-		if err := j.write(takenRecord(m), m); err != nil {
+		if err := j.write(acceptedRecord(m), m); err != nil {
 			return err
 		}
 	}
--- a/internal/deliverynode/lease/asker.go
+++ b/internal/deliverynode/lease/asker.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// askGap is the shortest time between two asks of a node.
-	askGap = 50 * time.Millisecond
+	// requestGap is the shortest time between two asks of a node.
+	requestGap = 50 * time.Millisecond
 	// backoffLeast and backoffMost bound the pause after an ask that failed.
 	backoffLeast = 100 * time.Millisecond
-	backoffMost  = 2 * time.Second
+	maxBackoff   = 2 * time.Second
 	// A lease is renewed after a renewAfter-th of its length, so that the rest is left for an election.
 	renewAfter = 3
 	// wantedLeast and wantedMost bound the pause before asking again for a lease that another node has, which is a
 	// wantedShare-th of its length. The leader also says when it becomes free.
 	wantedLeast = 250 * time.Millisecond
-	wantedMost  = 10 * time.Second
+	maxWanted   = 10 * time.Second
 	wantedShare = 8
 	// avoidFor is the time for which a voter that has not answered is not asked if there are others: as long as an
 	// election takes.
@@ -44,30 +44,30 @@
 	no     string // why it was not granted
 }
 
-// request is an ask that was sent and not answered yet.
-type request struct {
+// sentRequest is an ask that was sent and not answered yet.
+type sentRequest struct {
 	Number uint64
 	To     string // a voter
-	Ask    ask
+	Ask    request
 	at     time.Duration // a time before it was sent
 }
 
 // patience returns how long to wait for the answer: a part of the shortest lease that is asked for, so that there is time
 // to ask another voter.
-func (r *request) patience() time.Duration {
-	shortest := 4 * askTime
+func (r *sentRequest) patience() time.Duration {
+	shortest := 4 * requestTime
 	for _, o := range r.Ask.Ops {
-		if o.Do == take {
+		if o.Do == opTake {
 			shortest = min(shortest, o.Length)
 		}
 	}
 	return max(shortest/4, backoffLeast)
 }
 
-// Asker is the client of the leases at one node: it decides when to ask for what, and knows what the node holds. It has no
+// Client is the client of the leases at one node: it decides when to ask for what, and knows what the node holds. It has no
 // clock or goroutine: now is the reading of a monotonic clock that does not stop while the machine sleeps. It is not safe
 // for concurrent use.
-type Asker struct {
+type Client struct {
 	name        string
 	incarnation uint64
 	number      uint64
@@ -78,26 +78,26 @@
 	avoidTo     time.Duration
 	log         logID
 	tenures     map[string]*tenure
-	out         *request
+	out         *sentRequest
 	next        time.Duration // the earliest time of the next ask
 	backoff     time.Duration
 	random      func() float64
-	stats       AskerStats
+	stats       ClientStats
 }
 
-// AskerStats counts the asks, those without an answer, and the leases lost, since the start.
-type AskerStats struct {
+// ClientStats counts the asks, those without an answer, and the leases lost, since the start.
+type ClientStats struct {
 	Asks, NoAnswer, Lost int
 }
 
-// NewAsker returns an Asker that wants no leases. The function random returns random numbers in [0, 1).
-func NewAsker(name string, voters []string, random func() float64) *Asker {
-	return &Asker{name: name, voters: voters, tenures: map[string]*tenure{}, random: random}
+// NewClient returns an Asker that wants no leases. The function random returns random numbers in [0, 1).
+func NewClient(name string, voters []string, random func() float64) *Client {
+	return &Client{name: name, voters: voters, tenures: map[string]*tenure{}, random: random}
 }
 
 // Restart sets the incarnation of the node. If it has changed, the leases that were held and the ask without an answer are
 // lost.
-func (a *Asker) Restart(incarnation uint64) {
+func (a *Client) Restart(incarnation uint64) {
 	if incarnation == a.incarnation {
 		return
 	}
@@ -113,7 +113,7 @@
 
 // Want asks for a lease from now on, and renews it, until Drop. It fails if the name or the length is invalid or there are
 // too many leases.
-func (a *Asker) Want(name string, length, now time.Duration) error {
+func (a *Client) Want(name string, length, now time.Duration) error {
 	if name == blocked || len(name) > MaxName || !utf8.ValidString(name) {
 		return fmt.Errorf("%q is no name of a lease (1 to %d bytes)", name, MaxName)
 	}
@@ -135,21 +135,21 @@
 }
 
 // Succeed allows a lease that is wanted to be taken from earlier incarnations of this node (op.Since).
-func (a *Asker) Succeed(name string, since uint64) {
+func (a *Client) Succeed(name string, since uint64) {
 	if t := a.tenures[name]; t != nil {
 		t.since = since
 	}
 }
 
 // SetNote asks to replace the note of a lease that is held.
-func (a *Asker) SetNote(name string, text []byte, now time.Duration) {
+func (a *Client) SetNote(name string, text []byte, now time.Duration) {
 	if t := a.tenures[name]; t != nil && t.token != 0 {
 		t.set, t.toSet, t.askAt = text, true, min(t.askAt, now)
 	}
 }
 
 // Note returns the note of a lease at the last answer, and whether no SetNote is outstanding.
-func (a *Asker) Note(name string) (text []byte, settled bool) {
+func (a *Client) Note(name string) (text []byte, settled bool) {
 	t := a.tenures[name]
 	if t == nil {
 		return nil, false
@@ -158,7 +158,7 @@
 }
 
 // Drop gives a lease back. The caller must have ended its work under it.
-func (a *Asker) Drop(name string, now time.Duration) {
+func (a *Client) Drop(name string, now time.Duration) {
 	t := a.tenures[name]
 	if t == nil {
 		return
@@ -167,16 +167,16 @@
 	if t.token != 0 {
 		t.giving, t.token = t.token, 0
 	}
-	if t.giving == 0 && (a.out == nil || !slices.ContainsFunc(a.out.Ask.Ops, func(o op) bool { return o.Name == name && o.Do == take })) {
+	if t.giving == 0 && (a.out == nil || !slices.ContainsFunc(a.out.Ask.Ops, func(o op) bool { return o.Name == name && o.Do == opTake })) {
 		delete(a.tenures, name)
 	}
 }
 
 // Forget stops renewing a lease without giving it back: it expires.
-func (a *Asker) Forget(name string) { delete(a.tenures, name) }
+func (a *Client) Forget(name string) { delete(a.tenures, name) }
 
 // Held returns the token of a lease that this node holds and the time until it expires, or zeros.
-func (a *Asker) Held(name string, now time.Duration) (token uint64, left time.Duration) {
+func (a *Client) Held(name string, now time.Duration) (token uint64, left time.Duration) {
 	t := a.tenures[name]
 	if t == nil || !t.wanted || t.token == 0 || now >= t.until {
 		return 0, 0
@@ -185,14 +185,14 @@
 }
 
 // Freed makes the next ask for a name due at once, because it may be free.
-func (a *Asker) Freed(name string, now time.Duration) {
+func (a *Client) Freed(name string, now time.Duration) {
 	if t := a.tenures[name]; t != nil && t.wanted && t.token == 0 {
 		t.askAt = min(t.askAt, now)
 	}
 }
 
 // runOut ends the leases that have expired.
-func (a *Asker) runOut(now time.Duration) {
+func (a *Client) runOut(now time.Duration) {
 	for name, t := range a.tenures {
 		if t.token == 0 && t.giving == 0 || now < t.until {
 			continue
@@ -208,7 +208,7 @@
 }
 
 // Step returns the next ask, or nil if none is due.
-func (a *Asker) Step(now time.Duration) *request {
+func (a *Client) Step(now time.Duration) *sentRequest {
 	a.runOut(now)
 	if a.out != nil || now < a.next || a.incarnation == 0 || len(a.voters) == 0 {
 		return nil
@@ -232,15 +232,15 @@
 		return cmp.Or(cmp.Compare(urgent(x), urgent(y)), cmp.Compare(x, y))
 	})
 	a.number++
-	r := &request{Number: a.number, To: a.leader, Ask: ask{Node: a.name, Incarnation: a.incarnation, Number: a.number}, at: now}
+	r := &sentRequest{Number: a.number, To: a.leader, Ask: request{Node: a.name, Incarnation: a.incarnation, Number: a.number}, at: now}
 	if r.To == "" {
 		r.To = a.anyVoter(now)
 	}
 	for _, name := range due[:min(len(due), maxOps)] {
 		t := a.tenures[name]
-		o := op{Do: take, Name: name, Token: t.token, Length: t.length, Since: t.since, SetNote: t.toSet && t.token != 0, Note: t.set}
+		o := op{Do: opTake, Name: name, Token: t.token, Length: t.length, Since: t.since, SetNote: t.toSet && t.token != 0, Note: t.set}
 		if t.giving != 0 || !t.wanted {
-			o = op{Do: give, Name: name, Token: t.giving}
+			o = op{Do: opGive, Name: name, Token: t.giving}
 		}
 		r.Ask.Ops = append(r.Ask.Ops, o)
 	}
@@ -250,7 +250,7 @@
 }
 
 // anyVoter returns a random voter, if possible one that is not avoided.
-func (a *Asker) anyVoter(now time.Duration) string {
+func (a *Client) anyVoter(now time.Duration) string {
 	all := slices.Concat(a.learnt, a.voters)
 	if others := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return name == a.avoid }); now < a.avoidTo && len(others) > 0 {
 		all = others
@@ -259,7 +259,7 @@
 }
 
 // Wake returns when Step must be called next, and false if no lease is wanted.
-func (a *Asker) Wake() (at time.Duration, ok bool) {
+func (a *Client) Wake() (at time.Duration, ok bool) {
 	for _, t := range a.tenures {
 		due := max(t.askAt, a.next)
 		if a.out != nil {
@@ -276,7 +276,7 @@
 }
 
 // NoAnswer reports that an ask was not answered. It may have had an effect.
-func (a *Asker) NoAnswer(number uint64, now time.Duration) {
+func (a *Client) NoAnswer(number uint64, now time.Duration) {
 	if a.out == nil || a.out.Number != number {
 		return
 	}
@@ -287,13 +287,13 @@
 }
 
 // pause delays the next ask by a random time whose mean doubles with each failed ask in a row.
-func (a *Asker) pause(now time.Duration) {
-	a.backoff = min(max(2*a.backoff, backoffLeast), backoffMost)
+func (a *Client) pause(now time.Duration) {
+	a.backoff = min(max(2*a.backoff, backoffLeast), maxBackoff)
 	a.next = now + time.Duration(float64(a.backoff)*(0.5+a.random()))
 }
 
 // Answer handles the answer to an ask. An answer to any but the last ask is ignored.
-func (a *Asker) Answer(number uint64, ans answer, now time.Duration) {
+func (a *Client) Answer(number uint64, ans answer, now time.Duration) {
 	if a.out == nil || a.out.Number != number {
 		return
 	}
@@ -308,21 +308,21 @@
 	}
 	if ans.No != "" || len(ans.Outcomes) != len(r.Ask.Ops) {
 		if ans.Leader != "" && ans.Leader != r.To && (ans.Leader != a.avoid || now >= a.avoidTo) {
-			a.leader, a.next = ans.Leader, now+askGap
+			a.leader, a.next = ans.Leader, now+requestGap
 		} else {
 			a.pause(now)
 		}
 		return
 	}
-	a.leader, a.backoff, a.next = r.To, 0, now+askGap
+	a.leader, a.backoff, a.next = r.To, 0, now+requestGap
 	for i, o := range ans.Outcomes {
-		a.settle(r.Ask.Ops[i], o, r.at, now)
+		a.resolve(r.Ask.Ops[i], o, r.at, now)
 	}
 }
 
 // another reports whether an answer must be ignored because of its log: it is of an earlier epoch, or of another log while
 // this node holds leases of the one that it knows.
-func (a *Asker) another(log logID, now time.Duration) bool {
+func (a *Client) another(log logID, now time.Duration) bool {
 	if log == (logID{}) {
 		return false // the voter is in no log, or only names the leader
 	}
@@ -339,13 +339,13 @@
 	return false
 }
 
-// settle applies the outcome of one op. The time of a lease is counted from before the ask was sent.
-func (a *Asker) settle(o op, out outcome, asked, now time.Duration) {
+// resolve applies the outcome of one op. The time of a lease is counted from before the ask was sent.
+func (a *Client) resolve(o op, out outcome, asked, now time.Duration) {
 	t := a.tenures[o.Name]
 	if t == nil {
 		return
 	}
-	if o.Do == give {
+	if o.Do == opGive {
 		if t.giving == o.Token {
 			t.giving = 0
 		}
@@ -368,7 +368,7 @@
 			delete(a.tenures, o.Name)
 			return
 		}
-		pause := min(max(out.Length/wantedShare, wantedLeast), wantedMost)
+		pause := min(max(out.Length/wantedShare, wantedLeast), maxWanted)
 		t.askAt = now + time.Duration(float64(pause)*(0.5+a.random()))
 		if o.Token != 0 && out.Token == 0 {
 			t.askAt = now // the lease of this node has expired: ask for a new one
@@ -390,4 +390,4 @@
 }
 
 // names returns the names that are wanted or held, in order.
-func (a *Asker) names() []string { return slices.Sorted(maps.Keys(a.tenures)) }
+func (a *Client) names() []string { return slices.Sorted(maps.Keys(a.tenures)) }
--- a/internal/deliverynode/lease/book.go
+++ b/internal/deliverynode/lease/book.go
@@ -21,7 +21,7 @@
 
 const (
 	// MaxLeases is the most leases that may be held at a time, so that a snapshot fits into a frame of a link.
-	MaxLeases = fleet.MostLeases
+	MaxLeases = fleet.MaxLeases
 	// MaxName is the most bytes of a lease's name.
 	MaxName = 48
 	// maxOps is the most names in one ask.
@@ -37,8 +37,8 @@
 
 // Kinds of op.
 const (
-	take = iota + 1 // take a lease, or renew it
-	give            // give a lease back
+	opTake = iota + 1 // take a lease, or renew it
+	opGive            // give a lease back
 )
 
 // op is the operation of an ask on one name.
@@ -55,8 +55,8 @@
 	Since uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// ask is a request of one node to the log, for several names at once.
-type ask struct {
+// request is a request of one node to the log, for several names at once.
+type request struct {
 	Node        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Number      uint64 `cbor:"3,keyasint"` // grows with each ask of an incarnation
@@ -82,14 +82,14 @@
 
 // command is an entry of the log. Exactly one of Ask, Lapsed and Wanted is set.
 type command struct {
-	Ask     *ask     `cbor:"1,keyasint,omitempty"`
+	Ask     *request `cbor:"1,keyasint,omitempty"`
 	Lapsed  []lapse  `cbor:"2,keyasint,omitempty"`
 	Wanted  []string `cbor:"3,keyasint,omitempty"` // names of the nodes that should be voters from now on
 	Request uint64   `cbor:"4,keyasint,omitempty"` // number of the order in Wanted
 }
 
-// held is a lease in the log.
-type held struct {
+// grant is a lease in the log.
+type grant struct {
 	Node        uint32        `cbor:"1,keyasint"` // an index into the book's nodes
 	Incarnation uint64        `cbor:"2,keyasint"`
 	Token       uint64        `cbor:"3,keyasint"`
@@ -114,19 +114,19 @@
 	errFull = errors.New("no room for another node's asks")
 )
 
-// Book is the replicated state machine: it is the same at all voters that have applied the same commands, and has no
+// StateMachine is the replicated state machine: it is the same at all voters that have applied the same commands, and has no
 // notion of time. It is not safe for concurrent use.
-type Book struct {
-	state bookState
+type StateMachine struct {
+	state machineState
 	index map[string]uint32 // of sessions, by name
 	freed []string          // names whose leases have ended since the caller last emptied this
 }
 
-// bookState is the part of a Book that is in a snapshot.
-type bookState struct {
+// machineState is the part of a Book that is in a snapshot.
+type machineState struct {
 	Commands uint64            `cbor:"1,keyasint"`
 	Token    uint64            `cbor:"2,keyasint"` // of the last grant
-	Leases   map[string]held   `cbor:"3,keyasint"`
+	Leases   map[string]grant  `cbor:"3,keyasint"`
 	Nodes    []session         `cbor:"4,keyasint"`
 	Voters   map[uint64]string `cbor:"5,keyasint"` // names of the voters and learners by their raft ids
 	Wanted   []string          `cbor:"6,keyasint"`
@@ -141,10 +141,10 @@
 	At   uint64 `cbor:"2,keyasint"` // so many commands had come then
 }
 
-// newBook returns the state of a log that begins: nothing is granted until a lease of the greatest length would have
+// newStateMachine returns the state of a log that begins: nothing is granted until a lease of the greatest length would have
 // expired, and all tokens are greater than above.
-func newBook(above uint64, longest time.Duration, most int, wanted []string) *Book {
-	return &Book{state: bookState{Token: above + 1, Leases: map[string]held{blocked: {Token: above + 1, Length: longest}},
+func newStateMachine(above uint64, longest time.Duration, most int, wanted []string) *StateMachine {
+	return &StateMachine{state: machineState{Token: above + 1, Leases: map[string]grant{blocked: {Token: above + 1, Length: longest}},
 		Nodes: []session{{Holds: 1}}, Voters: map[uint64]string{}, Wanted: wanted,
 		Longest: longest, Most: min(most, MaxLeases)}, index: map[string]uint32{}}
 }
@@ -164,11 +164,11 @@
 }
 
 // snapshot encodes the state.
-func (b *Book) snapshot() ([]byte, error) { return encoding.Marshal(b.state) }
+func (b *StateMachine) snapshot() ([]byte, error) { return encoding.Marshal(b.state) }
 
-// readBook decodes a snapshot. It fails if the snapshot contradicts itself.
-func readBook(text []byte) (*Book, error) {
-	b := &Book{index: map[string]uint32{}}
+// readStateMachine decodes a snapshot. It fails if the snapshot contradicts itself.
+func readStateMachine(text []byte) (*StateMachine, error) {
+	b := &StateMachine{index: map[string]uint32{}}
 	if err := decoding.Unmarshal(text, &b.state); err != nil {
 		return nil, fmt.Errorf("the snapshot of the leases: %w", err)
 	}
@@ -184,7 +184,7 @@
 		}
 	}
 	if b.state.Leases == nil {
-		b.state.Leases = map[string]held{}
+		b.state.Leases = map[string]grant{}
 	}
 	if b.state.Voters == nil {
 		b.state.Voters = map[uint64]string{}
@@ -194,7 +194,7 @@
 
 // node returns the index of a node's session, a new one if there is none. If there are too many, the one that has no
 // leases and has not asked for longest is replaced.
-func (b *Book) node(name string) (uint32, error) {
+func (b *StateMachine) node(name string) (uint32, error) {
 	if i, ok := b.index[name]; ok {
 		return i, nil
 	}
@@ -219,9 +219,9 @@
 	return uint32(oldest), nil
 }
 
-// ask applies an ask. It returns the outcomes of its ops, and the names of the leases that were granted or renewed, whose
+// applyRequest applies an ask. It returns the outcomes of its ops, and the names of the leases that were granted or renewed, whose
 // time starts anew. After an error the ask has had no effect.
-func (b *Book) ask(a *ask) (all []outcome, changed []string, err error) {
+func (b *StateMachine) applyRequest(a *request) (all []outcome, changed []string, err error) {
 	b.state.Commands++
 	if len(a.Ops) > maxOps {
 		return nil, nil, fmt.Errorf("%d names in one ask, over %d", len(a.Ops), maxOps)
@@ -246,9 +246,9 @@
 }
 
 // do applies one op of the node with session i, and reports whether the lease was granted or renewed.
-func (b *Book) do(i uint32, incarnation uint64, o op) (out outcome, began bool) {
+func (b *StateMachine) do(i uint32, incarnation uint64, o op) (out outcome, began bool) {
 	h, there := b.state.Leases[o.Name]
-	if there && o.Do == take && h.Node == i && o.Since != 0 && h.Incarnation >= o.Since && h.Incarnation < incarnation {
+	if there && o.Do == opTake && h.Node == i && o.Since != 0 && h.Incarnation >= o.Since && h.Incarnation < incarnation {
 		b.drop(o.Name, h)
 		there = false
 	}
@@ -256,7 +256,7 @@
 	switch {
 	case o.Name == blocked || len(o.Name) > MaxName:
 		return outcome{No: "no name of a lease"}, false
-	case o.Do == give:
+	case o.Do == opGive:
 		if mine && h.Token == o.Token {
 			if o.SetNote {
 				b.note(o.Name, o.Note)
@@ -264,7 +264,7 @@
 			b.drop(o.Name, h)
 			return outcome{}, false
 		}
-	case o.Do != take:
+	case o.Do != opTake:
 		return outcome{No: fmt.Sprintf("nothing is known of op %d", o.Do)}, false
 	case mine && (o.Token == 0 || o.Token == h.Token):
 		h.Renewed++
@@ -282,7 +282,7 @@
 		return outcome{No: fmt.Sprintf("a length of %v: it has to be %v to %v", o.Length, Shortest, b.state.Longest)}, false
 	default:
 		b.state.Token++
-		b.state.Leases[o.Name] = held{Node: i, Incarnation: incarnation, Token: b.state.Token, Length: o.Length}
+		b.state.Leases[o.Name] = grant{Node: i, Incarnation: incarnation, Token: b.state.Token, Length: o.Length}
 		b.state.Nodes[i].Holds++
 		return outcome{Token: b.state.Token, Holder: b.state.Nodes[i].Name, Mine: true, Length: o.Length, Note: b.state.Notes[o.Name].Text}, true
 	}
@@ -294,7 +294,7 @@
 
 // note replaces the note of a name that is held; an empty or too long text removes it. If there are too many notes, the
 // oldest one whose name is not held is dropped, so the absence of a note does not prove that a name is new.
-func (b *Book) note(name string, text []byte) {
+func (b *StateMachine) note(name string, text []byte) {
 	if len(text) == 0 || len(text) > MaxNote {
 		delete(b.state.Notes, name)
 		return
@@ -319,14 +319,14 @@
 }
 
 // drop ends a lease.
-func (b *Book) drop(name string, h held) {
+func (b *StateMachine) drop(name string, h grant) {
 	delete(b.state.Leases, name)
 	b.freed = append(b.freed, name)
 	b.state.Nodes[h.Node].Holds--
 }
 
-// lapse ends leases that have expired, except those that were renewed since.
-func (b *Book) lapse(all []lapse) {
+// applyLapses ends leases that have expired, except those that were renewed since.
+func (b *StateMachine) applyLapses(all []lapse) {
 	b.state.Commands++
 	for _, l := range all {
 		if h, there := b.state.Leases[l.Name]; there && h.Token == l.Token && h.Renewed == l.Renewed {
@@ -336,7 +336,7 @@
 }
 
 // want sets which nodes should be voters.
-func (b *Book) want(names []string) {
+func (b *StateMachine) want(names []string) {
 	b.state.Commands++
 	b.state.Wanted = slices.Clone(names)
 }
@@ -352,7 +352,7 @@
 }
 
 // holdings returns up to most leases in the order of their names.
-func (b *Book) holdings(most int) (all []Holding) {
+func (b *StateMachine) holdings(most int) (all []Holding) {
 	for _, name := range slices.Sorted(maps.Keys(b.state.Leases)) {
 		h := b.state.Leases[name]
 		if name == blocked {
--- a/internal/deliverynode/lease/book_test.go
+++ b/internal/deliverynode/lease/book_test.go
@@ -14,29 +14,29 @@
 // As many leases and nodes as there may be, with the longest names, fit a frame of a link and the room
 // on disk, and are read as they were written. One more is refused; nodes that hold nothing make room.
 func TestAsManyAsThereMayBe(t *testing.T) {
-	b := newBook(1<<62, time.Hour, MaxLeases, nil)
-	b.lapse([]lapse{{blocked, b.state.Token, 0}})
+	b := newStateMachine(1<<62, time.Hour, MaxLeases, nil)
+	b.applyLapses([]lapse{{blocked, b.state.Token, 0}})
 	long := func(what string, i, length int) string {
 		return strings.Repeat("x", length-len(fmt.Sprint(what, i))) + fmt.Sprint(what, i)
 	}
 	numbers := map[string]uint64{}
 	put := func(node string, ops ...op) []outcome {
 		numbers[node]++
-		all, _, err := b.ask(&ask{Node: node, Incarnation: 1 << 40, Number: numbers[node], Ops: ops})
+		all, _, err := b.applyRequest(&request{Node: node, Incarnation: 1 << 40, Number: numbers[node], Ops: ops})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return all
 	}
 	for i := range MaxLeases {
-		if o := put(long("n", i%fleet.MaxMembers, 64), op{Do: take, Name: long("l", i, MaxName), Length: time.Hour})[0]; !o.Mine {
+		if o := put(long("n", i%fleet.MaxMembers, 64), op{Do: opTake, Name: long("l", i, MaxName), Length: time.Hour})[0]; !o.Mine {
 			t.Fatalf("lease %d: %+v", i, o)
 		}
 	}
-	if o := put(long("n", 0, 64), op{Do: take, Name: "one more", Length: time.Hour})[0]; o.Mine || o.No == "" {
+	if o := put(long("n", 0, 64), op{Do: opTake, Name: "one more", Length: time.Hour})[0]; o.Mine || o.No == "" {
 		t.Errorf("one more: %+v", o)
 	}
-	if _, _, err := b.ask(&ask{Node: "another", Incarnation: 1, Number: 1}); err != errFull {
+	if _, _, err := b.applyRequest(&request{Node: "another", Incarnation: 1, Number: 1}); err != errFull {
 		t.Errorf("another node: %v", err)
 	}
 	text, err := b.snapshot()
@@ -46,7 +46,7 @@
 	if most := 1<<20 - 4<<10; len(text) > most {
 		t.Errorf("a snapshot of %d bytes, over %d", len(text), most)
 	}
-	again, err := readBook(text)
+	again, err := readStateMachine(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,25 +54,25 @@
 		t.Errorf("read and written again it is another: %v", err)
 	}
 	l := disk{folder: vfstest.New()}
-	if err := l.renew(record{Self: &identity{}, Snapshot: text}); err != nil || 3*l.size > DiskRoom(MaxLeases, false) {
-		t.Errorf("%d bytes on disk, of %d for three files: %v", l.size, DiskRoom(MaxLeases, false), err)
+	if err := l.renew(record{Self: &identity{}, Snapshot: text}); err != nil || 3*l.size > DiskSpace(MaxLeases, false) {
+		t.Errorf("%d bytes on disk, of %d for three files: %v", l.size, DiskSpace(MaxLeases, false), err)
 	}
 	for i := range MaxLeases { // the first node gives all of its own back
 		if i%fleet.MaxMembers == 0 {
-			put(long("n", 0, 64), op{Do: give, Name: long("l", i, MaxName), Token: b.state.Leases[long("l", i, MaxName)].Token})
+			put(long("n", 0, 64), op{Do: opGive, Name: long("l", i, MaxName), Token: b.state.Leases[long("l", i, MaxName)].Token})
 		}
 	}
-	if o := put("another", op{Do: take, Name: "one more", Length: time.Hour})[0]; !o.Mine {
+	if o := put("another", op{Do: opTake, Name: "one more", Length: time.Hour})[0]; !o.Mine {
 		t.Errorf("with room again: %+v", o)
 	}
-	if _, _, err := b.ask(&ask{Node: long("n", 0, 64), Incarnation: 1, Number: 1}); err != errFull {
+	if _, _, err := b.applyRequest(&request{Node: long("n", 0, 64), Incarnation: 1, Number: 1}); err != errFull {
 		t.Errorf("the one that made room: %v", err)
 	}
 }
 
 // What could not be read again is not proposed, by a voter that would have to.
 func TestNoNameThatCannotBeRead(t *testing.T) {
-	a := NewAsker("n0", []string{"n0"}, func() float64 { return 0 })
+	a := NewClient("n0", []string{"n0"}, func() float64 { return 0 })
 	for _, name := range []string{"", "\xff", strings.Repeat("x", MaxName+1)} {
 		if err := a.Want(name, time.Second, 0); err == nil {
 			t.Errorf("%q is a name", name)
@@ -83,7 +83,7 @@
 		s.pass(tickEvery)
 	}
 	said := ""
-	s.nodes[0].v.Ask(0, ask{Node: "n0", Incarnation: 9, Number: 9, Ops: []op{{Do: take, Name: "\xff", Length: time.Second}}}, func(ans answer) { said = ans.No })
+	s.nodes[0].v.Ask(0, request{Node: "n0", Incarnation: 9, Number: 9, Ops: []op{{Do: opTake, Name: "\xff", Length: time.Second}}}, func(ans answer) { said = ans.No })
 	if said != errNotProposed.Error() {
 		t.Errorf("answered %q", said)
 	}
--- a/internal/deliverynode/lease/disk.go
+++ b/internal/deliverynode/lease/disk.go
@@ -22,21 +22,21 @@
 	maxLog    = 16 << 20
 	// growLog is by how much the file grows before it is written anew, and keptLog how much of what
 	// came before a snapshot stays, for whoever lacks a little.
-	growLog = 64 << 10
-	keptLog = 32 << 10
+	growLog     = 64 << 10
+	retainedLog = 32 << 10
 	// What a lease and a node take in a snapshot at the most.
 	leaseCost = 120
 	nodeCost  = 100
 )
 
-// DiskRoom is what a voter's files take in its folder, with so many leases at the most: the log, the
+// DiskSpace is what a voter's files take in its folder, with so many leases at the most: the log, the
 // one that is to replace it, and one that was set aside. Notes: each lease may have one.
-func DiskRoom(most int, notes bool) int64 {
+func DiskSpace(most int, notes bool) int64 {
 	cost := leaseCost
 	if notes {
 		cost += MaxName + MaxNote + 16
 	}
-	began := 2 * int64(most*cost+(fleet.MaxMembers+1)*nodeCost+keptLog+4<<10) // records stand twice
+	began := 2 * int64(most*cost+(fleet.MaxMembers+1)*nodeCost+retainedLog+4<<10) // records stand twice
 	return began + 2*(began+growLog+2*maxProposed)
 }
 
@@ -61,16 +61,16 @@
 
 // record is what is written at once. All but the first of a file hold what is new.
 type record struct {
-	Place    uint64          `cbor:"1,keyasint"` // in the file, from 1
-	Self     *identity       `cbor:"2,keyasint,omitempty"`
-	Hard     []byte          `cbor:"3,keyasint,omitempty"`
-	Entries  [][]byte        `cbor:"4,keyasint,omitempty"`
-	Snapshot []byte          `cbor:"5,keyasint,omitempty"`
-	Seen     map[uint64]life `cbor:"6,keyasint,omitempty"` // of other voters
+	Place    uint64                 `cbor:"1,keyasint"` // in the file, from 1
+	Self     *identity              `cbor:"2,keyasint,omitempty"`
+	Hard     []byte                 `cbor:"3,keyasint,omitempty"`
+	Entries  [][]byte               `cbor:"4,keyasint,omitempty"`
+	Snapshot []byte                 `cbor:"5,keyasint,omitempty"`
+	Seen     map[uint64]incarnation `cbor:"6,keyasint,omitempty"` // of other voters
 }
 
-// life is one life of a voter: each process of it draws another start.
-type life struct {
+// incarnation is one life of a voter: each process of it draws another start.
+type incarnation struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Start       uint64 `cbor:"2,keyasint"`
 }
--- a/internal/deliverynode/lease/explore_test.go
+++ b/internal/deliverynode/lease/explore_test.go
@@ -19,7 +19,7 @@
 // fast. Time goes on in the steps that matter: to the next end of a lease by some clock.
 type model struct {
 	now    time.Duration // true time, in units of 100 ns, so that all clocks are whole
-	book   *Book         // all that has landed
+	book   *StateMachine // all that has landed
 	landed []command
 	pool   []command // proposed
 	voters []modelVoter
@@ -28,13 +28,13 @@
 }
 
 type modelVoter struct {
-	book    *Book
+	book    *StateMachine
 	applied int
 	counts  timekeeper
 }
 
 type modelAsker struct {
-	*Asker
+	*Client
 	answers []modelAnswer
 }
 
@@ -48,7 +48,7 @@
 func slowClock(now time.Duration) time.Duration { return now / 100 * 99 }
 func fastClock(now time.Duration) time.Duration { return now / 100 * 101 }
 
-func cloneBook(b *Book) *Book {
+func cloneBook(b *StateMachine) *StateMachine {
 	c := *b
 	c.state.Leases, c.state.Nodes, c.index, c.freed = maps.Clone(b.state.Leases), slices.Clone(b.state.Nodes), maps.Clone(b.index), nil
 	c.state.Notes = maps.Clone(b.state.Notes)
@@ -63,7 +63,7 @@
 		c.voters[i].book, c.voters[i].counts = cloneBook(v.book), maps.Clone(v.counts)
 	}
 	for i, a := range m.askers {
-		copied := *a.Asker
+		copied := *a.Client
 		copied.tenures = map[string]*tenure{}
 		for name, t := range a.tenures {
 			u := *t
@@ -78,7 +78,7 @@
 func (m *model) digest() uint64 {
 	h := fnv.New64a()
 	put := func(args ...any) { fmt.Fprintln(h, args...) }
-	lease := func(b *Book) { put(b.state.Leases, b.state.Nodes, b.state.Token, b.state.Notes) }
+	lease := func(b *StateMachine) { put(b.state.Leases, b.state.Nodes, b.state.Token, b.state.Notes) }
 	lease(m.book)
 	put(m.last)
 	proposed := func(all []command) {
@@ -225,7 +225,7 @@
 	m.landed = append(m.landed, c)
 	switch {
 	case c.Ask != nil:
-		all, _, err := m.book.ask(c.Ask)
+		all, _, err := m.book.applyRequest(c.Ask)
 		for k := range m.askers {
 			if a := &m.askers[k]; a.name == c.Ask.Node && a.incarnation == c.Ask.Incarnation {
 				ans := answer{Outcomes: all}
@@ -236,7 +236,7 @@
 			}
 		}
 	default:
-		m.book.lapse(c.Lapsed)
+		m.book.applyLapses(c.Lapsed)
 	}
 	m.book.freed = nil
 }
@@ -247,12 +247,12 @@
 	v.applied++
 	switch {
 	case c.Ask != nil:
-		_, changed, _ := v.book.ask(c.Ask)
+		_, changed, _ := v.book.applyRequest(c.Ask)
 		for _, name := range changed {
 			v.counts.count(v.book, name, fastClock(m.now))
 		}
 	default:
-		v.book.lapse(c.Lapsed)
+		v.book.applyLapses(c.Lapsed)
 	}
 	for _, name := range v.book.freed {
 		v.counts.forget(v.book, name)
@@ -282,20 +282,20 @@
 }
 
 func newModel() *model {
-	book := newBook(0, Shortest, 10, nil)
-	book.lapse([]lapse{{blocked, 1, 0}})
+	book := newStateMachine(0, Shortest, 10, nil)
+	book.applyLapses([]lapse{{blocked, 1, 0}})
 	book.freed = nil
 	m := &model{now: time.Hour, book: book}
 	for range 2 {
 		m.voters = append(m.voters, modelVoter{book: cloneBook(book), counts: timekeeper{}})
 	}
 	for i := range 2 {
-		a := NewAsker(fmt.Sprint("n", i), []string{"v"}, func() float64 { return 0.5 })
+		a := NewClient(fmt.Sprint("n", i), []string{"v"}, func() float64 { return 0.5 })
 		a.Restart(1)
 		if err := a.Want(modelName, Shortest, 0); err != nil {
 			panic(err)
 		}
-		m.askers = append(m.askers, modelAsker{Asker: a})
+		m.askers = append(m.askers, modelAsker{Client: a})
 	}
 	return m
 }
--- a/internal/deliverynode/lease/golden_test.go
+++ b/internal/deliverynode/lease/golden_test.go
@@ -19,12 +19,12 @@
 
 // Bytes of every message, record and snapshot, written by an earlier version, mean the same and are written again.
 func TestGoldenMessagesAndSnapshots(t *testing.T) {
-	goldenCBOR[ask](t, "ask.cbor")
+	goldenCBOR[request](t, "ask.cbor")
 	goldenCBOR[answer](t, "answer.cbor")
 	goldenCBOR[message](t, "message.cbor")
 	goldenCBOR[command](t, "command.cbor")
 	goldenCBOR[record](t, "record.cbor")
-	goldenCBOR[bookState](t, "snapshot.cbor")
+	goldenCBOR[machineState](t, "snapshot.cbor")
 	golden.JSON[Status](t, "status.json")
 }
 
@@ -32,7 +32,7 @@
 func goldenRecords() []record {
 	first := golden.Filled[record]()
 	first.Place = 1
-	return []record{first, {Place: 2, Hard: []byte{8, 3}, Entries: [][]byte{{1, 2}, {3}}}, {Place: 3, Seen: map[uint64]life{7: {8, 9}}}}
+	return []record{first, {Place: 2, Hard: []byte{8, 3}, Entries: [][]byte{{1, 2}, {3}}}, {Place: 3, Seen: map[uint64]incarnation{7: {8, 9}}}}
 }
 
 func TestGoldenVoterLog(t *testing.T) {
--- a/internal/deliverynode/lease/lease.go
+++ b/internal/deliverynode/lease/lease.go
@@ -19,17 +19,17 @@
 const (
 	// kind is the kind of the messages about leases on the fleet's links.
 	kind = "lease"
-	// eventRoom is the most events that wait for the voter's loop; further ones are refused. An event takes some
+	// eventQueue is the most events that wait for the voter's loop; further ones are refused. An event takes some
 	// microseconds, or as long as a sync of the disk.
-	eventRoom = 2048
+	eventQueue = 2048
 	// flushEvery is the most events before a Flush.
 	flushEvery = 256
-	// tookRoom is the number of asks whose times are kept for the staff.
-	tookRoom = 256
+	// tookWindow is the number of asks whose times are kept for the staff.
+	tookWindow = 256
 	// voterPause is the pause before a voter that has failed is started again from its folder.
 	voterPause = 5 * time.Second
-	// askTime is how long to wait for an answer: a little longer than the leader waits.
-	askTime = answerTime + 500*time.Millisecond
+	// requestTime is how long to wait for an answer: a little longer than the leader waits.
+	requestTime = answerTime + 500*time.Millisecond
 )
 
 var (
@@ -59,12 +59,12 @@
 type Leases struct {
 	options Options
 	events  chan func(v *Voter, now time.Duration) // for the voter's loop
-	life    sync.Mutex                             // held while the voter is started or stopped
+	ctx     sync.Mutex                             // held while the voter is started or stopped
 	votes   bool                                   // there is a voter; guarded by life
 	wake    chan struct{}                          // wakes the asker's loop
 
 	mu     sync.Mutex // guards the following
-	asker  *Asker
+	client *Client
 	leases map[string]*Lease
 	rand   *rand.Rand
 	start  uint64
@@ -76,10 +76,10 @@
 
 // New registers the handlers of messages with the fleet. Run does the work.
 func New(o Options) *Leases {
-	l := &Leases{options: o, events: make(chan func(*Voter, time.Duration), eventRoom), wake: make(chan struct{}, 1),
+	l := &Leases{options: o, events: make(chan func(*Voter, time.Duration), eventQueue), wake: make(chan struct{}, 1),
 		leases: map[string]*Lease{}, turn: make(chan struct{}), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
 	l.start = l.rand.Uint64()
-	l.asker = NewAsker(o.Name, o.Voters, l.rand.Float64)
+	l.client = NewClient(o.Name, o.Voters, l.rand.Float64)
 	o.Net.OnNews(kind, l.hear)
 	o.Net.OnAsk(kind, l.asked)
 	o.Net.OnChange(func(c fleet.Change) {
@@ -100,12 +100,12 @@
 // Overtaken sets the log in the folder aside, because other nodes know a later start of this node than its folder does. If
 // it returns nil, the log is set aside.
 func (l *Leases) Overtaken() error {
-	l.life.Lock()
-	defer l.life.Unlock()
+	l.ctx.Lock()
+	defer l.ctx.Unlock()
 	if !l.votes {
 		return (&disk{folder: l.options.Folder}).setAside()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askTime)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTime)
 	defer cancel()
 	out, err := await(ctx, l, func(v *Voter, _ time.Duration, reply func(error)) { reply(v.Old()) })
 	return errors.Join(err, out)
@@ -119,13 +119,13 @@
 	l.mu.Unlock()
 	var running sync.WaitGroup
 	running.Go(func() { l.runVoter(ctx) })
-	running.Go(func() { l.runAsker(ctx) })
+	running.Go(func() { l.runClient(ctx) })
 	<-ctx.Done()
 	running.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.joined = false
-	l.asker.Restart(0)
+	l.client.Restart(0)
 	l.settle(l.options.Clock())
 }
 
@@ -171,12 +171,12 @@
 
 // stepVoter runs the voter until it fails or the context ends.
 func (l *Leases) stepVoter(ctx context.Context) {
-	l.life.Lock()
+	l.ctx.Lock()
 	v, err := NewVoter(VoterOptions{Name: l.options.Name, Start: l.start, Folder: l.options.Folder,
 		Incarnation: func() uint64 { return l.options.Net.Self().Incarnation }, Voters: l.options.Voters, Longest: l.options.Longest, Most: l.options.Most,
 		Random: l.random, Above: l.options.Above, Log: l.options.Log}, l.options.Clock())
 	l.votes = err == nil
-	l.life.Unlock()
+	l.ctx.Unlock()
 	if err != nil {
 		l.fail(err.Error())
 		return
@@ -185,8 +185,8 @@
 	l.failed = ""
 	l.mu.Unlock()
 	defer func() {
-		l.life.Lock()
-		defer l.life.Unlock()
+		l.ctx.Lock()
+		defer l.ctx.Unlock()
 		l.votes = false
 		v.Close()
 		for len(l.events) > 0 { // callers that wait for them have a time limit
@@ -249,14 +249,14 @@
 // hearFree handles the message that a lease may be free.
 func (l *Leases) hearFree(name string) {
 	l.mu.Lock()
-	l.asker.Freed(name, l.options.Clock())
+	l.client.Freed(name, l.options.Clock())
 	l.mu.Unlock()
 	l.rouse()
 }
 
 // asked answers another node's ask.
 func (l *Leases) asked(ctx context.Context, from fleet.Peer, body []byte) ([]byte, error) {
-	var a ask
+	var a request
 	if err := decoding.Unmarshal(body, &a); err != nil {
 		return nil, fmt.Errorf("unreadable: %w", err)
 	}
@@ -271,7 +271,7 @@
 }
 
 // put lets this node's voter answer an ask.
-func (l *Leases) put(ctx context.Context, a ask) (answer, error) {
+func (l *Leases) put(ctx context.Context, a request) (answer, error) {
 	return await(ctx, l, func(v *Voter, now time.Duration, reply func(answer)) { v.Ask(now, a, reply) })
 }
 
@@ -289,27 +289,27 @@
 	}
 }
 
-// runAsker sends the asks of the asker, one at a time.
-func (l *Leases) runAsker(ctx context.Context) {
+// runClient sends the asks of the asker, one at a time.
+func (l *Leases) runClient(ctx context.Context) {
 	var asking sync.WaitGroup
 	defer asking.Wait()
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		now := l.options.Clock()
-		l.asker.Restart(l.options.Net.Self().Incarnation)
-		r := l.asker.Step(now)
+		l.client.Restart(l.options.Net.Self().Incarnation)
+		r := l.client.Step(now)
 		l.settle(now)
-		at, timed := l.asker.Wake()
+		at, timed := l.client.Wake()
 		l.mu.Unlock()
 		if r != nil {
 			asking.Go(func() {
 				ans, err := l.ask(ctx, r)
 				l.mu.Lock()
 				if now := l.options.Clock(); err != nil {
-					l.asker.NoAnswer(r.Number, now)
+					l.client.NoAnswer(r.Number, now)
 				} else {
-					l.asker.Answer(r.Number, ans, now)
-					if l.took = append(l.took, now-r.at); len(l.took) > tookRoom {
+					l.client.Answer(r.Number, ans, now)
+					if l.took = append(l.took, now-r.at); len(l.took) > tookWindow {
 						l.took = l.took[1:]
 					}
 				}
@@ -332,7 +332,7 @@
 }
 
 // ask sends an ask to a voter and returns the answer.
-func (l *Leases) ask(ctx context.Context, r *request) (ans answer, err error) {
+func (l *Leases) ask(ctx context.Context, r *sentRequest) (ans answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, r.patience())
 	defer cancel()
 	if r.To == l.options.Name {
@@ -353,7 +353,7 @@
 func (l *Leases) Names() (all []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.asker.names()
+	return l.client.names()
 }
 
 // Take wants a lease on behalf of the staff and waits for it. It is renewed until Give or the end of the process. If the
@@ -365,13 +365,13 @@
 	}
 	if token, err = t.Wait(ctx); err != nil {
 		l.mu.Lock()
-		if tenure := l.asker.tenures[name]; tenure != nil && tenure.holder != "" {
+		if tenure := l.client.tenures[name]; tenure != nil && tenure.holder != "" {
 			err = fmt.Errorf("%w: %s has it", err, tenure.holder)
 		} else if tenure != nil && tenure.no != "" {
 			err = fmt.Errorf("%w: %s", err, tenure.no)
 		}
 		l.mu.Unlock()
-		t.GiveBack(context.Background()) // it has no acts
+		t.Release(context.Background()) // it has no acts
 	}
 	return token, err
 }
@@ -387,7 +387,7 @@
 	if have, _ := t.Held(); have != token {
 		return fmt.Errorf("%w: %q under token %d; it is %d", ErrNotHeld, name, token, have)
 	}
-	t.GiveBack(ctx)
+	t.Release(ctx)
 	return nil
 }
 
--- a/internal/deliverynode/lease/lease_handle.go
+++ b/internal/deliverynode/lease/lease_handle.go
@@ -32,7 +32,7 @@
 	if length > l.options.Longest {
 		return nil, fmt.Errorf("a lease of %v: %v is the most", length, l.options.Longest)
 	}
-	if err := l.asker.Want(name, length, l.options.Clock()); err != nil {
+	if err := l.client.Want(name, length, l.options.Clock()); err != nil {
 		return nil, err
 	}
 	t := &Lease{leases: l, name: name, held: make(chan struct{}), lost: make(chan struct{})}
@@ -45,7 +45,7 @@
 // settle updates the leases by what the asker holds and wakes those that wait for a change. l.mu is held.
 func (l *Leases) settle(now time.Duration) {
 	for _, t := range l.leases {
-		token, _ := l.asker.Held(t.name, now)
+		token, _ := l.client.Held(t.name, now)
 		if token == t.token {
 			continue
 		}
@@ -69,7 +69,7 @@
 func (t *Lease) Succeed(since uint64) {
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
-	t.leases.asker.Succeed(t.name, since)
+	t.leases.client.Succeed(t.name, since)
 	t.leases.rouse()
 }
 
@@ -78,7 +78,7 @@
 func (t *Lease) Note() []byte {
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
-	text, _ := t.leases.asker.Note(t.name)
+	text, _ := t.leases.client.Note(t.name)
 	return text
 }
 
@@ -90,12 +90,12 @@
 	}
 	for first := true; ; first = false {
 		t.leases.mu.Lock()
-		have, _ := t.leases.asker.Held(t.name, t.leases.options.Clock())
+		have, _ := t.leases.client.Held(t.name, t.leases.options.Clock())
 		if first && have == token && !t.given {
-			t.leases.asker.SetNote(t.name, text, t.leases.options.Clock())
+			t.leases.client.SetNote(t.name, text, t.leases.options.Clock())
 			t.leases.rouse()
 		}
-		is, settled := t.leases.asker.Note(t.name)
+		is, settled := t.leases.client.Note(t.name)
 		turn := t.leases.turn
 		held := have == token && !t.given
 		t.leases.mu.Unlock()
@@ -119,7 +119,7 @@
 func (t *Lease) Holder() string {
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
-	if tenure := t.leases.asker.tenures[t.name]; tenure != nil {
+	if tenure := t.leases.client.tenures[t.name]; tenure != nil {
 		return tenure.holder
 	}
 	return ""
@@ -132,7 +132,7 @@
 	if t.given {
 		return 0, 0
 	}
-	return t.leases.asker.Held(t.name, t.leases.options.Clock())
+	return t.leases.client.Held(t.name, t.leases.options.Clock())
 }
 
 // Wait waits until the lease is held and returns its token. It fails if the context ends or the lease was given back.
@@ -173,7 +173,7 @@
 // long. The act must have ended, with its last byte sent, when its context ends, and End must be called then.
 func (t *Lease) Begin(ctx context.Context, longest time.Duration) (act *Act, err error) {
 	t.leases.mu.Lock()
-	token, left := t.leases.asker.Held(t.name, t.leases.options.Clock())
+	token, left := t.leases.client.Held(t.name, t.leases.options.Clock())
 	ok := token != 0 && left > longest && !t.given
 	lost := t.lost
 	if ok {
@@ -212,9 +212,9 @@
 	})
 }
 
-// GiveBack gives the lease back. No further act can begin; it waits for the acts that are under way and then releases the
+// Release gives the lease back. No further act can begin; it waits for the acts that are under way and then releases the
 // lease. If the context ends first, the lease is no longer renewed, and expires.
-func (t *Lease) GiveBack(ctx context.Context) {
+func (t *Lease) Release(ctx context.Context) {
 	t.leases.mu.Lock()
 	if t.given {
 		t.leases.mu.Unlock()
@@ -236,9 +236,9 @@
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
 	if clean {
-		t.leases.asker.Drop(t.name, t.leases.options.Clock())
+		t.leases.client.Drop(t.name, t.leases.options.Clock())
 	} else {
-		t.leases.asker.Forget(t.name)
+		t.leases.client.Forget(t.name)
 	}
 	delete(t.leases.leases, t.name)
 	if t.token != 0 {
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -71,12 +71,12 @@
 		v.stats.Strangers++
 		return
 	}
-	if now := (life{from.Incarnation, m.Start}); now.Incarnation > v.seen[m.From].Incarnation {
+	if now := (incarnation{from.Incarnation, m.Start}); now.Incarnation > v.seen[m.From].Incarnation {
 		if len(v.seen) >= fleet.MaxMembers { // voters that were replaced
 			clear(v.seen)
 		}
 		v.seen[m.From] = now
-		if err := v.disk.append(record{Seen: map[uint64]life{m.From: now}}); err != nil {
+		if err := v.disk.append(record{Seen: map[uint64]incarnation{m.From: now}}); err != nil {
 			v.options.Log.Error("leases: no part in the log until the disk takes it", "err", err)
 			v.stuck, v.why = &raft.Ready{}, err.Error()
 			return
@@ -108,7 +108,7 @@
 	v.looked = now
 	ask := v.options.Voters
 	if !begins {
-		ask = v.book.state.Wanted
+		ask = v.machine.state.Wanted
 	}
 	none := true // nobody has a log
 	for _, name := range ask {
@@ -125,7 +125,7 @@
 	}
 	if begins && none {
 		id := identity{logID{v.options.Random() | 1, 1}, v.options.Random() | 1}
-		if err := v.create(id, newBook(v.options.Above(), v.options.Longest, v.options.Most, v.options.Voters), now); err != nil {
+		if err := v.create(id, newStateMachine(v.options.Above(), v.options.Longest, v.options.Most, v.options.Voters), now); err != nil {
 			v.options.Log.Error("leases: beginning a log", "err", err)
 			v.empty()
 			return
@@ -147,7 +147,7 @@
 	v.changed = now
 	if c.GetType() == raftpb.ConfChangeRemoveNode && c.GetNodeId() == v.self.Voter {
 		for _, id := range v.conf.GetVoters() {
-			if id != v.self.Voter && slices.Contains(v.book.state.Wanted, v.book.state.Voters[id]) {
+			if id != v.self.Voter && slices.Contains(v.machine.state.Wanted, v.machine.state.Voters[id]) {
 				v.node.TransferLeader(id) // the next leader removes this one
 				return
 			}
@@ -166,14 +166,14 @@
 	}
 	numbers := func(name string, among []uint64) (all []uint64) {
 		for _, id := range among {
-			if v.book.state.Voters[id] == name {
+			if v.machine.state.Voters[id] == name {
 				all = append(all, id)
 			}
 		}
 		return all
 	}
 	whole := true
-	for _, name := range slices.Sorted(slices.Values(v.book.state.Wanted)) {
+	for _, name := range slices.Sorted(slices.Values(v.machine.state.Wanted)) {
 		s, there := v.here[name]
 		id := s.id.Voter
 		if name == v.options.Name {
@@ -205,7 +205,7 @@
 		return nil
 	}
 	for _, id := range append(slices.Clone(v.conf.GetVoters()), v.conf.GetLearners()...) {
-		if name := v.book.state.Voters[id]; !slices.Contains(v.book.state.Wanted, name) {
+		if name := v.machine.state.Voters[id]; !slices.Contains(v.machine.state.Wanted, name) {
 			return change(raftpb.ConfChangeRemoveNode, id, name)
 		}
 	}
@@ -225,17 +225,17 @@
 	if v.node == nil {
 		return errors.New("this node has nothing of the log")
 	}
-	data, err := v.book.snapshot()
+	data, err := v.machine.snapshot()
 	if err != nil {
 		return err
 	}
-	book, err := readBook(data)
+	book, err := readStateMachine(data)
 	if err != nil {
 		return err
 	}
 	book.state.Token = max(book.state.Token+newEpoch, v.options.Above())
 	// Present leases are left to expire and are not renewed, because the lost voters may have granted them to others.
-	book.state.Leases = map[string]held{blocked: {Token: book.state.Token, Length: book.state.Longest}}
+	book.state.Leases = map[string]grant{blocked: {Token: book.state.Token, Length: book.state.Longest}}
 	book.state.Notes = nil // the lost may have agreed on others
 	for i := range book.state.Nodes {
 		book.state.Nodes[i].Holds = 0
--- a/internal/deliverynode/lease/note_test.go
+++ b/internal/deliverynode/lease/note_test.go
@@ -10,20 +10,20 @@
 // name nobody holds.
 func TestNotes(t *testing.T) {
 	const maxNotes = 20
-	b := newBook(0, time.Minute, maxNotes, nil)
-	b.lapse([]lapse{{blocked, 1, 0}})
+	b := newStateMachine(0, time.Minute, maxNotes, nil)
+	b.applyLapses([]lapse{{blocked, 1, 0}})
 	number := uint64(0)
 	put := func(node string, incarnation uint64, o op) outcome {
 		t.Helper()
 		number++
-		out, _, err := b.ask(&ask{node, incarnation, number, []op{o}})
+		out, _, err := b.applyRequest(&request{node, incarnation, number, []op{o}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return out[0]
 	}
 	took := func(name, note string) op {
-		return op{Do: take, Name: name, Length: time.Second, SetNote: note != "", Note: []byte(note)}
+		return op{Do: opTake, Name: name, Length: time.Second, SetNote: note != "", Note: []byte(note)}
 	}
 	first := put("a", 1, took("x", ""))
 	if out := put("b", 1, took("x", "from b")); out.Mine || len(b.state.Notes) != 0 {
@@ -32,7 +32,7 @@
 	if out := put("a", 1, took("x", "from a")); string(out.Note) != "from a" {
 		t.Errorf("%+v", out)
 	}
-	put("a", 1, op{Do: give, Name: "x", Token: first.Token})
+	put("a", 1, op{Do: opGive, Name: "x", Token: first.Token})
 	if out := put("b", 1, took("x", "")); !out.Mine || string(out.Note) != "from a" {
 		t.Errorf("the next holder finds %+v", out)
 	}
@@ -40,7 +40,7 @@
 		name := fmt.Sprint("y", i)
 		out := put("c", 1, took(name, ""))
 		put("c", 1, took(name, "n"))
-		put("c", 1, op{Do: give, Name: name, Token: out.Token})
+		put("c", 1, op{Do: opGive, Name: name, Token: out.Token})
 	}
 	if len(b.state.Notes) != maxNotes || string(b.state.Notes["x"].Text) != "from a" || b.state.Notes["y0"].Text != nil {
 		t.Errorf("%d notes, that of a held name is %q", len(b.state.Notes), b.state.Notes["x"].Text)
@@ -49,11 +49,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := readBook(text)
+	again, err := readStateMachine(text)
 	if err != nil || string(again.state.Notes["x"].Text) != "from a" {
 		t.Errorf("a snapshot has %q, %v", again.state.Notes["x"].Text, err)
 	}
-	if out := put("b", 1, op{Do: give, Name: "x", Token: b.state.Leases["x"].Token, SetNote: true}); out.Mine || b.state.Notes["x"].Text != nil {
+	if out := put("b", 1, op{Do: opGive, Name: "x", Token: b.state.Leases["x"].Token, SetNote: true}); out.Mine || b.state.Notes["x"].Text != nil {
 		t.Error("a note that was taken away is there still")
 	}
 }
@@ -73,13 +73,13 @@
 		{"another node", "b", "a", 3, 4, 1, false, false},
 		{"itself", "a", "a", 4, 4, 1, false, true},
 	} {
-		b := newBook(0, time.Minute, 10, nil)
-		b.lapse([]lapse{{blocked, 1, 0}})
-		first, _, err := b.ask(&ask{c.holder, c.was, 1, []op{{Do: take, Name: "x", Length: time.Second}}})
+		b := newStateMachine(0, time.Minute, 10, nil)
+		b.applyLapses([]lapse{{blocked, 1, 0}})
+		first, _, err := b.applyRequest(&request{c.holder, c.was, 1, []op{{Do: opTake, Name: "x", Length: time.Second}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		then, changed, err := b.ask(&ask{c.asker, c.is, 2, []op{{Do: take, Name: "x", Length: time.Second, Since: c.since}}})
+		then, changed, err := b.applyRequest(&request{c.asker, c.is, 2, []op{{Do: opTake, Name: "x", Length: time.Second, Since: c.since}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/deliverynode/lease/process_test.go
+++ b/internal/deliverynode/lease/process_test.go
@@ -69,7 +69,7 @@
 				return err
 			}
 		}
-		task.GiveBack(context.Background())
+		task.Release(context.Background())
 	}
 }
 
--- a/internal/deliverynode/lease/status.go
+++ b/internal/deliverynode/lease/status.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// maxShown bounds the leases that are shown.
-const maxShown = 200
+// maxListed bounds the leases that are shown.
+const maxListed = 200
 
 // Status is how leases look from one node, for the staff.
 type Status struct {
 	Voter  *VoterStatus `json:"voter,omitempty"` // none: this node has no part in the log
 	Why    string       `json:"why,omitempty"`   // why it does not vote, or not now
-	Asker  AskerStatus  `json:"asker"`
+	Client ClientStatus `json:"asker"`
 	Leases []Wish       `json:"wanted"` // at this node
 }
 
@@ -50,13 +50,13 @@
 	Age    float64 `json:"age_s"`
 }
 
-// AskerStatus is what this node asks.
-type AskerStatus struct {
-	Incarnation uint64     `json:"incarnation"`
-	Asks        uint64     `json:"asks"`
-	Asking      string     `json:"asking,omitempty"` // whom, just now
-	Leader      string     `json:"leader,omitempty"`
-	Stats       AskerStats `json:"since_start"`
+// ClientStatus is what this node asks.
+type ClientStatus struct {
+	Incarnation uint64      `json:"incarnation"`
+	Requests    uint64      `json:"asks"`
+	Asking      string      `json:"asking,omitempty"` // whom, just now
+	Leader      string      `json:"leader,omitempty"`
+	Stats       ClientStats `json:"since_start"`
 	// How long the last asks took that were answered, a tookRoom of them.
 	Answered int     `json:"answered_of_late"`
 	Median   float64 `json:"median_ms"`
@@ -82,17 +82,17 @@
 	if !l.joined {
 		s.Why = ErrOutside.Error()
 	}
-	s.Asker = AskerStatus{Incarnation: l.asker.incarnation, Asks: l.asker.number, Leader: l.asker.leader, Stats: l.asker.stats}
+	s.Client = ClientStatus{Incarnation: l.client.incarnation, Requests: l.client.number, Leader: l.client.leader, Stats: l.client.stats}
 	if took := slices.Sorted(slices.Values(l.took)); len(took) > 0 {
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-		s.Asker.Answered, s.Asker.Median, s.Asker.P99 = len(took), ms(took[len(took)/2]), ms(took[len(took)*99/100])
+		s.Client.Answered, s.Client.Median, s.Client.P99 = len(took), ms(took[len(took)/2]), ms(took[len(took)*99/100])
 	}
-	if l.asker.out != nil {
-		s.Asker.Asking = l.asker.out.To
+	if l.client.out != nil {
+		s.Client.Asking = l.client.out.To
 	}
-	for _, name := range l.asker.names() {
-		t := l.asker.tenures[name]
-		token, left := l.asker.Held(name, now)
+	for _, name := range l.client.names() {
+		t := l.client.tenures[name]
+		token, left := l.client.Held(name, now)
 		s.Leases = append(s.Leases, Wish{name, token, left.Seconds(), t.length.Seconds(), t.holder, t.no})
 	}
 	l.mu.Unlock()
@@ -113,16 +113,16 @@
 	}
 	raft := v.node.BasicStatus()
 	s := &VoterStatus{Log: v.self.Log.String(), Number: fmt.Sprintf("%016x", v.self.Voter), Role: raft.RaftState.String(),
-		Term: raft.HardState.GetTerm(), Leader: v.Leader(), Voters: v.Voters(), Wanted: v.book.state.Wanted, Commit: raft.HardState.GetCommit(),
-		Applied: v.applied, Bytes: v.disk.size, Token: v.book.state.Token, Leases: v.book.holdings(maxShown), Nodes: len(v.book.state.Nodes) - 1,
+		Term: raft.HardState.GetTerm(), Leader: v.Leader(), Voters: v.Voters(), Wanted: v.machine.state.Wanted, Commit: raft.HardState.GetCommit(),
+		Applied: v.applied, Bytes: v.disk.size, Token: v.machine.state.Token, Leases: v.machine.holdings(maxListed), Nodes: len(v.machine.state.Nodes) - 1,
 		Pending: len(v.pending), Stats: v.stats, Failed: v.why}
-	_, s.Blocked = v.book.state.Leases[blocked]
-	s.Count = len(v.book.state.Leases)
+	_, s.Blocked = v.machine.state.Leases[blocked]
+	s.Count = len(v.machine.state.Leases)
 	if s.Blocked {
 		s.Count--
 	}
 	for _, id := range v.conf.GetLearners() {
-		s.Learners = append(s.Learners, v.book.state.Voters[id])
+		s.Learners = append(s.Learners, v.machine.state.Voters[id])
 	}
 	for name, h := range v.here {
 		seen := VoterSeen{Name: name, Age: (now - h.at).Seconds()}
--- a/internal/deliverynode/lease/step_test.go
+++ b/internal/deliverynode/lease/step_test.go
@@ -57,7 +57,7 @@
 	oldInc  uint64
 	stale   bool // it runs on an old copy, and nobody has told it yet
 	v       *Voter
-	a       *Asker
+	a       *Client
 	rate    float64
 	boot    time.Duration // true time of its start
 	offset  time.Duration // what its clock showed then
@@ -69,7 +69,7 @@
 	fromInc  uint64
 	key      string
 	body     []byte
-	ask      *ask
+	ask      *request
 	number   uint64  // of an answer
 	ans      *answer // to the asker's life of fromInc
 }
@@ -120,7 +120,7 @@
 	n.maxInc = max(n.maxInc, n.inc)
 	n.up, n.paused, n.start = true, false, s.rng.Uint64()
 	n.boot, n.offset, n.rate = s.now, time.Duration(s.rng.Int64N(int64(time.Hour))), 0.99+0.02*float64(s.pick(3))/2
-	n.a = NewAsker(n.name, s.voters(), s.rng.Float64)
+	n.a = NewClient(n.name, s.voters(), s.rng.Float64)
 	n.a.Restart(n.inc)
 	n.v, n.applied = nil, 0
 	if n.votes {
@@ -205,7 +205,7 @@
 		return
 	}
 	n.applied = n.v.applied
-	text, err := n.v.book.snapshot()
+	text, err := n.v.machine.snapshot()
 	if err != nil {
 		s.fail("%v", err)
 	}
@@ -414,7 +414,7 @@
 	n := s.nodes[i]
 	whole := s.whole() && n.votes
 	for _, o := range s.nodes {
-		whole = whole && (o == n || !o.votes || o.v.seen[n.v.self.Voter] == (life{n.inc, n.start}))
+		whole = whole && (o == n || !o.votes || o.v.seen[n.v.self.Voter] == (incarnation{n.inc, n.start}))
 	}
 	n.up, n.paused = false, false
 	if n.v != nil {
--- a/internal/deliverynode/lease/timekeeper.go
+++ b/internal/deliverynode/lease/timekeeper.go
@@ -26,13 +26,13 @@
 type timekeeper map[string]counted
 
 // count restarts the time of a lease.
-func (k timekeeper) count(b *Book, name string, now time.Duration) {
+func (k timekeeper) count(b *StateMachine, name string, now time.Duration) {
 	h := b.state.Leases[name]
 	k[name] = counted{token: h.Token, renewed: h.Renewed, since: now, said: now - sayAgain}
 }
 
 // forget removes the time of a lease that has ended.
-func (k timekeeper) forget(b *Book, name string) {
+func (k timekeeper) forget(b *StateMachine, name string) {
 	if _, there := b.state.Leases[name]; !there {
 		delete(k, name)
 	}
@@ -45,7 +45,7 @@
 
 // due returns the leases whose expiry is to be proposed now, up to maxOps. Each has the number of renewals from which its
 // time was counted, so that a later renewal makes the proposal void.
-func (k timekeeper) due(b *Book, now time.Duration) (all []lapse) {
+func (k timekeeper) due(b *StateMachine, now time.Duration) (all []lapse) {
 	for _, name := range slices.Sorted(maps.Keys(k)) {
 		c := k[name]
 		if now-c.since < longer(b.state.Leases[name].Length) || now-c.said < sayAgain {
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -15,9 +15,9 @@
 const (
 	// tickEvery is the length of a raft tick. A leader sends heartbeats every beatTicks, and an election begins after
 	// electionTicks to twice as many without one: long enough for a slow sync and for a link that has to be dialled.
-	tickEvery     = 100 * time.Millisecond
-	electionTicks = 10
-	beatTicks     = 2
+	tickEvery      = 100 * time.Millisecond
+	electionTicks  = 10
+	heartbeatTicks = 2
 	// lookEvery is how often the leader, or the node that may begin a log, asks other nodes for their identities.
 	// seenFor is how long an answer is valid.
 	lookEvery = time.Second
@@ -69,19 +69,19 @@
 	options VoterOptions
 	disk    disk
 	self    identity
-	seen    map[uint64]life   // the last process of each other voter, by raft id
-	names   map[uint64]string // names of the senders of messages, by raft id
+	seen    map[uint64]incarnation // the last process of each other voter, by raft id
+	names   map[uint64]string      // names of the senders of messages, by raft id
 
 	node    *raft.RawNode // nil if there is no log
 	store   *raft.MemoryStorage
 	conf    *raftpb.ConfState
-	book    *Book
+	machine *StateMachine
 	applied uint64
 	stuck   *raft.Ready // what could not be written yet, nil if there is nothing
 	why     string      // the last error of the disk
 
 	counts  timekeeper
-	pending map[askKey]waiting         // asks that are not committed yet
+	pending map[requestKey]waiting     // asks that are not committed yet
 	wanted  map[uint64]waiting         // orders of voters that are not committed yet
 	freed   map[string]map[string]bool // nodes that wait for each name
 	here    map[string]sighting        // identities of other nodes, by name
@@ -135,11 +135,11 @@
 
 // Voters returns the names of the voters, in order.
 func (v *Voter) Voters() (all []string) {
-	if v.book == nil {
+	if v.machine == nil {
 		return nil
 	}
 	for _, id := range v.conf.GetVoters() {
-		all = append(all, v.book.state.Voters[id])
+		all = append(all, v.machine.state.Voters[id])
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
@@ -160,13 +160,13 @@
 	if v.node == nil {
 		return ""
 	}
-	return v.book.state.Voters[v.node.BasicStatus().Lead]
+	return v.machine.state.Voters[v.node.BasicStatus().Lead]
 }
 
 // expire proposes to end the leases that have expired.
 func (v *Voter) expire(now time.Duration) {
-	all := v.counts.due(v.book, now)
-	if len(v.conf.GetVoters()) <= len(v.book.state.Wanted)/2 { // a log grants nothing before a majority of its voters has joined
+	all := v.counts.due(v.machine, now)
+	if len(v.conf.GetVoters()) <= len(v.machine.state.Wanted)/2 { // a log grants nothing before a majority of its voters has joined
 		all = slices.DeleteFunc(all, func(l lapse) bool { return l.Name == blocked })
 	}
 	if len(all) > 0 {
@@ -190,7 +190,7 @@
 }
 
 // Ask proposes a node's ask. It calls reply once, at once or from a later Flush or Tick.
-func (v *Voter) Ask(now time.Duration, a ask, reply func(answer)) {
+func (v *Voter) Ask(now time.Duration, a request, reply func(answer)) {
 	switch {
 	case !v.leads():
 		reply(v.no(errNotLeader))
@@ -199,7 +199,7 @@
 		reply(v.no(errors.New("too many asks at once")))
 		return
 	}
-	key := askKey{a.Node, a.Incarnation, a.Number}
+	key := requestKey{a.Node, a.Incarnation, a.Number}
 	if _, there := v.pending[key]; there || !v.propose(command{Ask: &a}) {
 		reply(v.no(errNotProposed))
 		return
--- a/internal/deliverynode/lease/voter_log.go
+++ b/internal/deliverynode/lease/voter_log.go
@@ -29,7 +29,7 @@
 		}
 		v.carryOut(rd, now)
 	}
-	v.tellFreed()
+	v.notifyFreed()
 	out := v.out
 	v.out = nil
 	return out
@@ -92,7 +92,7 @@
 func (v *Voter) carryOut(rd raft.Ready, now time.Duration) {
 	if rd.SoftState != nil {
 		v.stats.Elections++
-		v.options.Log.Info("leases: leader", "is", v.book.state.Voters[rd.SoftState.Lead], "this one", rd.SoftState.RaftState)
+		v.options.Log.Info("leases: leader", "is", v.machine.state.Voters[rd.SoftState.Lead], "this one", rd.SoftState.RaftState)
 		if rd.SoftState.RaftState != raft.StateLeader {
 			clear(v.freed)
 		}
@@ -122,17 +122,17 @@
 	if err != nil || v.applied < first || !v.disk.full() {
 		return
 	}
-	data, err := v.book.snapshot()
+	data, err := v.machine.snapshot()
 	if err == nil {
 		_, err = v.store.CreateSnapshot(v.applied, v.conf, data)
 	}
 	keep := v.applied
 	for size := 0; err == nil && keep >= first; keep-- {
 		var last []*raftpb.Entry
-		if last, err = v.store.Entries(keep, keep+1, keptLog); err == nil {
+		if last, err = v.store.Entries(keep, keep+1, retainedLog); err == nil {
 			size += proto.Size(last[0])
 		}
-		if size > keptLog {
+		if size > retainedLog {
 			break
 		}
 	}
@@ -159,13 +159,13 @@
 		}
 		v.conf = v.node.ApplyConfChange(cc)
 		if cc.GetType() == raftpb.ConfChangeRemoveNode {
-			delete(v.book.state.Voters, cc.GetNodeId())
+			delete(v.machine.state.Voters, cc.GetNodeId())
 			delete(v.seen, cc.GetNodeId())
 		} else {
-			v.book.state.Voters[cc.GetNodeId()] = string(cc.GetContext())
+			v.machine.state.Voters[cc.GetNodeId()] = string(cc.GetContext())
 		}
 		// A learner accepts only a snapshot whose configuration includes it.
-		data, err := v.book.snapshot()
+		data, err := v.machine.snapshot()
 		if err == nil {
 			_, err = v.store.CreateSnapshot(v.applied, v.conf, data)
 		}
@@ -187,13 +187,13 @@
 	}
 	switch {
 	case c.Ask != nil:
-		v.applyAsk(c.Ask, now)
+		v.applyRequest(c.Ask, now)
 	case c.Lapsed != nil:
-		was := len(v.book.state.Leases)
-		v.book.lapse(c.Lapsed)
-		v.stats.Lapsed += was - len(v.book.state.Leases)
+		was := len(v.machine.state.Leases)
+		v.machine.applyLapses(c.Lapsed)
+		v.stats.Lapsed += was - len(v.machine.state.Leases)
 	case c.Wanted != nil:
-		v.book.want(c.Wanted)
+		v.machine.want(c.Wanted)
 		if w, there := v.wanted[c.Request]; there {
 			delete(v.wanted, c.Request)
 			w.reply(answer{Log: v.self.Log})
@@ -202,18 +202,18 @@
 	return nil
 }
 
-// applyAsk applies an ask and answers it if it came to this voter.
-func (v *Voter) applyAsk(a *ask, now time.Duration) {
-	all, changed, err := v.book.ask(a)
+// applyRequest applies an ask and answers it if it came to this voter.
+func (v *Voter) applyRequest(a *request, now time.Duration) {
+	all, changed, err := v.machine.applyRequest(a)
 	for _, name := range changed {
-		if v.book.state.Leases[name].Renewed > 0 {
+		if v.machine.state.Leases[name].Renewed > 0 {
 			v.stats.Renewed++
 		} else {
 			v.stats.Granted++
 		}
-		v.counts.count(v.book, name, now)
+		v.counts.count(v.machine, name, now)
 	}
-	key := askKey{a.Node, a.Incarnation, a.Number}
+	key := requestKey{a.Node, a.Incarnation, a.Number}
 	w, there := v.pending[key]
 	if !there {
 		return
@@ -224,7 +224,7 @@
 		out = v.no(err)
 	}
 	for i, o := range all {
-		if a.Ops[i].Do == take && !o.Mine {
+		if a.Ops[i].Do == opTake && !o.Mine {
 			v.stats.Refused++
 			v.watch(a.Ops[i].Name, a.Node)
 		}
@@ -245,14 +245,14 @@
 	}
 }
 
-// tellFreed removes the times of leases that have ended, and as the leader tells the nodes that wait for them. A node that
+// notifyFreed removes the times of leases that have ended, and as the leader tells the nodes that wait for them. A node that
 // misses the message asks again by itself.
-func (v *Voter) tellFreed() {
-	if v.book == nil {
+func (v *Voter) notifyFreed() {
+	if v.machine == nil {
 		return
 	}
-	for _, name := range v.book.freed {
-		v.counts.forget(v.book, name)
+	for _, name := range v.machine.freed {
+		v.counts.forget(v.machine, name)
 		if !v.leads() {
 			continue
 		}
@@ -261,5 +261,5 @@
 		}
 		delete(v.freed, name)
 	}
-	v.book.freed = nil
+	v.machine.freed = nil
 }
--- a/internal/deliverynode/lease/voter_message.go
+++ b/internal/deliverynode/lease/voter_message.go
@@ -44,7 +44,7 @@
 	// Start is a random number of the sender's process. Two processes of one incarnation have different folders.
 	Start uint64 `cbor:"6,keyasint,omitempty"`
 	// Seen is, in sayOld, the last process of the receiver that was seen.
-	Seen life `cbor:"7,keyasint,omitempty"`
+	Seen incarnation `cbor:"7,keyasint,omitempty"`
 }
 
 // sighting is the identity of a node and when it was received.
@@ -59,8 +59,8 @@
 	until time.Duration
 }
 
-// askKey identifies an ask.
-type askKey struct {
+// requestKey identifies an ask.
+type requestKey struct {
 	node                string
 	incarnation, number uint64
 }
@@ -80,7 +80,7 @@
 // send queues a message of raft. A later message may replace an earlier one of its kind that was not sent yet (windowOf),
 // because raft repeats what is lost.
 func (v *Voter) send(m *raftpb.Message) {
-	name := cmp.Or(v.book.state.Voters[m.GetTo()], v.names[m.GetTo()])
+	name := cmp.Or(v.machine.state.Voters[m.GetTo()], v.names[m.GetTo()])
 	b, err := proto.Marshal(m)
 	if err != nil || name == "" || name == v.options.Name {
 		v.node.ReportUnreachable(m.GetTo())
@@ -128,7 +128,7 @@
 	if v.node == nil {
 		return
 	}
-	for id, n := range v.book.state.Voters {
+	for id, n := range v.machine.state.Voters {
 		if n == name && id != v.self.Voter {
 			v.node.ReportUnreachable(id)
 		}
--- a/internal/deliverynode/lease/voter_open.go
+++ b/internal/deliverynode/lease/voter_open.go
@@ -32,10 +32,10 @@
 // empty drops the state of the log.
 func (v *Voter) empty() {
 	v.dropPending("this voter has left the log")
-	v.self, v.node, v.store, v.conf, v.book, v.applied, v.stuck, v.why = identity{}, nil, nil, nil, nil, 0, nil, ""
-	v.seen, v.names, v.counts, v.here = map[uint64]life{}, map[uint64]string{}, timekeeper{}, map[string]sighting{}
+	v.self, v.node, v.store, v.conf, v.machine, v.applied, v.stuck, v.why = identity{}, nil, nil, nil, nil, 0, nil, ""
+	v.seen, v.names, v.counts, v.here = map[uint64]incarnation{}, map[uint64]string{}, timekeeper{}, map[string]sighting{}
 	v.snapshots = map[uint64]time.Duration{}
-	v.pending, v.wanted, v.freed = map[askKey]waiting{}, map[uint64]waiting{}, map[string]map[string]bool{}
+	v.pending, v.wanted, v.freed = map[requestKey]waiting{}, map[uint64]waiting{}, map[string]map[string]bool{}
 }
 
 // dropPending answers all callers that wait.
@@ -140,7 +140,7 @@
 	if err := v.take(snap, now); err != nil {
 		return err
 	}
-	v.node, err = raft.NewRawNode(&raft.Config{ID: v.self.Voter, ElectionTick: electionTicks, HeartbeatTick: beatTicks, Storage: v.store,
+	v.node, err = raft.NewRawNode(&raft.Config{ID: v.self.Voter, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: v.store,
 		Applied: v.applied, MaxSizePerMsg: 128 << 10, MaxCommittedSizePerReady: 4 << 20, MaxUncommittedEntriesSize: maxProposed,
 		MaxInflightMsgs: 16, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true,
 		Logger: raftLog{v.options.Log}})
@@ -156,18 +156,18 @@
 
 // take replaces the state by a snapshot. The times of all leases start anew.
 func (v *Voter) take(snap *raftpb.Snapshot, now time.Duration) error {
-	v.applied, v.conf, v.book = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState(), nil
+	v.applied, v.conf, v.machine = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState(), nil
 	v.counts = timekeeper{}
 	if v.applied == 0 {
-		v.book, v.conf = newBook(0, 0, 0, nil), &raftpb.ConfState{}
-		delete(v.book.state.Leases, blocked) // the log itself is still to come
+		v.machine, v.conf = newStateMachine(0, 0, 0, nil), &raftpb.ConfState{}
+		delete(v.machine.state.Leases, blocked) // the log itself is still to come
 		return nil
 	}
-	book, err := readBook(snap.GetData())
+	book, err := readStateMachine(snap.GetData())
 	if err != nil {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
-	v.book = book
+	v.machine = book
 	for name := range book.state.Leases {
 		v.counts.count(book, name, now)
 	}
@@ -175,7 +175,7 @@
 }
 
 // create begins a log with this node as the only voter.
-func (v *Voter) create(id identity, book *Book, now time.Duration) error {
+func (v *Voter) create(id identity, book *StateMachine, now time.Duration) error {
 	book.state.Voters = map[uint64]string{id.Voter: v.options.Name}
 	data, err := book.snapshot()
 	if err != nil {
--- a/internal/deliverynode/lease/wrong_test.go
+++ b/internal/deliverynode/lease/wrong_test.go
@@ -44,7 +44,7 @@
 		Name: "a renewal does not begin the time anew",
 		File: "voter_log.go",
 		Old:  "\tfor _, name := range changed {",
-		New:  "\tfor _, name := range changed {\n\t\tif v.book.state.Leases[name].Renewed > 0 {\n\t\t\tcontinue\n\t\t}",
+		New:  "\tfor _, name := range changed {\n\t\tif v.machine.state.Leases[name].Renewed > 0 {\n\t\t\tcontinue\n\t\t}",
 	},
 	{
 		Name: "a lease is counted from the start of the clock after a restart",
@@ -97,20 +97,20 @@
 	{
 		Name: "a log that begins with small tokens",
 		File: "members.go",
-		Old:  "newBook(v.options.Above(), v.options.Longest",
-		New:  "newBook(0, v.o.Longest",
+		Old:  "newStateMachine(v.options.Above(), v.options.Longest",
+		New:  "newStateMachine(0, v.options.Longest",
 	},
 	{
 		Name: "the next epoch grants at once",
 		File: "members.go",
-		Old:  "map[string]held{blocked: {Token: book.state.Token, Length: book.state.Longest}}",
-		New:  "map[string]held{}",
+		Old:  "map[string]grant{blocked: {Token: book.state.Token, Length: book.state.Longest}}",
+		New:  "map[string]grant{}",
 	},
 	{
 		Name: "the next epoch renews what the lost may have given to others",
 		File: "members.go",
-		Old:  "\tbook.state.Leases = map[string]held{blocked: {Token: book.state.Token, Length: book.state.Longest}}\n\tbook.state.Notes = nil // the lost may have agreed on others\n\tfor i := range book.state.Nodes {\n\t\tbook.state.Nodes[i].Holds = 0\n\t}\n\tbook.state.Nodes[0].Holds = 1\n",
-		New:  "\tbook.state.Leases[blocked] = held{Token: book.state.Token, Length: book.state.Longest}\n",
+		Old:  "	book.state.Leases = map[string]grant{blocked: {Token: book.state.Token, Length: book.state.Longest}}\n	book.state.Notes = nil // the lost may have agreed on others\n	for i := range book.state.Nodes {\n		book.state.Nodes[i].Holds = 0\n	}\n	book.state.Nodes[0].Holds = 1\n",
+		New:  "\tbook.state.Leases[blocked] = grant{Token: book.state.Token, Length: book.state.Longest}\n",
 	},
 	{
 		Name: "the next epoch's tokens go on",
@@ -164,13 +164,13 @@
 		Name: "a voter that lost its folder has its old number",
 		File: "voter_open.go",
 		Old:  "v.self, v.store = identity{log, v.options.Random() | 1}, raft.NewMemoryStorage()",
-		New:  "v.self, v.store = identity{log, uint64(v.o.Name[1]) + 7}, raft.NewMemoryStorage()",
+		New:  "v.self, v.store = identity{log, uint64(v.options.Name[1]) + 7}, raft.NewMemoryStorage()",
 	},
 	{
 		Name: "answered before it is agreed on",
 		File: "voter.go",
 		Old:  "\tv.pending[key] = waiting{reply, now + answerTime}\n",
-		New:  "\tif all, _, err := must(readBook(must(v.book.snapshot()))).ask(&a); err == nil {\n\t\treply(answer{Log: v.self.Log, Outcomes: all})\n\t} else {\n\t\treply(v.no(err))\n\t}\n",
+		New:  "\tif all, _, err := must(readStateMachine(must(v.machine.snapshot()))).applyRequest(&a); err == nil {\n\t\treply(answer{Log: v.self.Log, Outcomes: all})\n\t} else {\n\t\treply(v.no(err))\n\t}\n",
 	},
 }
 
--- a/internal/deliverynode/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -103,9 +103,9 @@
 	reported []string // names of the values in a load report
 	sync     bool     // attempts that may not be repeated are durable before they are made
 	once     []bool   // by class: it may not be repeated
-	tell     func(policy.Event)
-	cohort   *cohort // the other processes of the node; nil where there are none
-	copies   *copies // what other nodes have of the journals; nil where they have nothing
+	notify   func(policy.Event)
+	cohort   *processGroup // the other processes of the node; nil where there are none
+	copies   *copies       // what other nodes have of the journals; nil where they have nothing
 	running  sync.WaitGroup
 }
 
@@ -119,7 +119,7 @@
 	for _, k := range c.Settings.Classes {
 		once = append(once, k.Repeat != policy.Idempotent)
 	}
-	return &caller{log: log, reported: c.Settings.Reported, sync: c.Sync, once: once, tell: tell,
+	return &caller{log: log, reported: c.Settings.Reported, sync: c.Sync, once: once, notify: tell,
 		pools: upstream.New(upstream.Config{
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
 			Now:  time.Now, Rand: rand.Float64,
@@ -342,13 +342,13 @@
 	k.mu.Lock()
 	k.told = c.allowance(resp.Header.Get(loadHeader))
 	k.mu.Unlock()
-	wait, waitOK := toldWait(resp)
+	wait, waitOK := retryAfter(resp)
 	if wait > 0 {
 		// Not a moment longer than the module counts: a send that it decides on
 		// when the wait is over would be stopped here, and use up an attempt.
 		k.endpoint.waits.wait(time.Now().Add(wait))
 		if c.cohort != nil {
-			c.cohort.tell(newsWait, k.endpoint.name, waitNews{group.Clock() + wait})
+			c.cohort.notify(newsWait, k.endpoint.name, waitNews{group.Clock() + wait})
 		}
 	}
 	if len(k.parts) > 1 && resp.StatusCode == http.StatusOK {
@@ -451,8 +451,8 @@
 	return policy.Failed, false
 }
 
-// toldWait reads the wait of a refusal. A 429 has one, or it is not readable.
-func toldWait(resp *http.Response) (wait time.Duration, ok bool) {
+// retryAfter reads the wait of a refusal. A 429 has one, or it is not readable.
+func retryAfter(resp *http.Response) (wait time.Duration, ok bool) {
 	ms, err := strconv.ParseInt(resp.Header.Get(waitHeader), 10, 32)
 	if err != nil || ms < 0 {
 		return 0, resp.StatusCode != http.StatusTooManyRequests
@@ -501,7 +501,7 @@
 		return
 	}
 	err := c.record(k, p, outcome, over)
-	for errors.Is(err, journal.ErrGiven) {
+	for errors.Is(err, journal.ErrReleased) {
 		to, _ := c.owner.owner(context.Background()) // settled within handoverTimeout
 		if to != nil {
 			c.passOn(to, endedCall{Message: p.message.Number(), Outcome: outcome, Wait: wait, Over: over, Told: told}, p.attempted)
@@ -513,7 +513,7 @@
 		// The attempt alone is on record then: after a restart it may have run.
 		c.log.Error("journal: outcome", "id", p.message.ID, "err", err)
 	}
-	c.tell(policy.Ended{Message: p.message.Number(), Attempt: p.attempt, Endpoint: k.endpoint.id, Outcome: outcome,
+	c.notify(policy.Ended{Message: p.message.Number(), Attempt: p.attempt, Endpoint: k.endpoint.id, Outcome: outcome,
 		Wait: wait, Final: over || outcome == policy.Delivered, Took: time.Since(k.started), Told: told})
 }
 
--- a/internal/deliverynode/node/calls_test.go
+++ b/internal/deliverynode/node/calls_test.go
@@ -51,7 +51,7 @@
 	for range n {
 		r.seq++
 		m := newMessage(fmt.Sprint("id", r.seq), 20)
-		must(r.t, r.journal.Take(m))
+		must(r.t, r.journal.Accept(m))
 		k.parts = append(k.parts, &part{message: m, timeout: limit})
 		messages = append(messages, m)
 	}
@@ -347,7 +347,7 @@
 	}{"within": {5 * time.Second, policy.Delivered}, "after": {13 * time.Second, policy.Moot}} {
 		m := newMessage(name, 5)
 		m.Window = 12 * time.Second
-		must(t, r.journal.Take(m))
+		must(t, r.journal.Accept(m))
 		must(t, r.journal.Attempt(m, "e1", 0, time.Now().Add(-c.ago)))
 		must(t, r.journal.Outcome(m, policy.TimedOut, "e1", time.Now()))
 		r.caller.start(context.Background(), &call{endpoint: r.endpoint, addr: addr, started: time.Now(),
--- a/internal/deliverynode/node/cohort.go
+++ b/internal/deliverynode/node/cohort.go
@@ -15,8 +15,8 @@
 	"dunetide/policy"
 )
 
-// cohort is this process's part in a group.
-type cohort struct {
+// processGroup is this process's part in a group.
+type processGroup struct {
 	group *group.Group
 	cfg   Config
 	log   *slog.Logger
@@ -59,7 +59,7 @@
 
 // learn asks a member that serves what it knows; nil where there is none. Where others live
 // and none of them answers, joining is not safe.
-func (co *cohort) learn(ctx context.Context) (*memberState, error) {
+func (co *processGroup) learn(ctx context.Context) (*memberState, error) {
 	for end := time.Now().Add(joinPatience); ; {
 		ids, err := co.group.Members()
 		if err != nil {
@@ -92,7 +92,7 @@
 }
 
 // listen gives a listener that all members share: another's, or the first.
-func (co *cohort) listen(ctx context.Context, name, addr string) (net.Listener, error) {
+func (co *processGroup) listen(ctx context.Context, name, addr string) (net.Listener, error) {
 	var l net.Listener
 	for end := time.Now().Add(joinPatience); l == nil; {
 		ids, err := co.group.Members()
@@ -132,7 +132,7 @@
 }
 
 // file is a listener for another member.
-func (co *cohort) file(name string) *os.File {
+func (co *processGroup) file(name string) *os.File {
 	co.mu.Lock()
 	l := co.listeners[name]
 	co.mu.Unlock()
@@ -147,7 +147,7 @@
 }
 
 // shared is told of the share; the newest counts.
-func (co *cohort) shared(parts, kept int) {
+func (co *processGroup) shared(parts, kept int) {
 	for {
 		select {
 		case co.shares <- [2]int{parts, kept}:
@@ -162,13 +162,13 @@
 }
 
 // serves lets the loop be told.
-func (co *cohort) serves(l *loop) {
+func (co *processGroup) serves(l *loop) {
 	co.loop = l
 	close(co.up)
 }
 
 // run takes part in the group until the context ends.
-func (co *cohort) run(ctx context.Context) {
+func (co *processGroup) run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() {
 		if err := co.group.Run(ctx); err != nil {
@@ -179,7 +179,7 @@
 	case <-co.up:
 	case <-ctx.Done():
 	}
-	tick := time.NewTicker(group.BeatEvery)
+	tick := time.NewTicker(group.HeartbeatEvery)
 	defer tick.Stop()
 	defer running.Wait()
 	for ctx.Err() == nil {
@@ -200,13 +200,13 @@
 	}
 }
 
-func (co *cohort) alone() bool {
+func (co *processGroup) alone() bool {
 	ids, err := co.group.Members()
 	return err == nil && len(ids) == 0
 }
 
 // wait waits until there is a share in use; false tells that the context has ended before.
-func (co *cohort) wait(ctx context.Context) bool {
+func (co *processGroup) wait(ctx context.Context) bool {
 	select {
 	case <-co.usable:
 		return true
--- a/internal/deliverynode/node/cohort_adopt.go
+++ b/internal/deliverynode/node/cohort_adopt.go
@@ -14,7 +14,7 @@
 
 // adoptDead takes over the journals that nobody has a lock on. It tells whether all there are
 // belong to somebody who lives.
-func (co *cohort) adoptDead() (all bool) {
+func (co *processGroup) adoptDead() (all bool) {
 	if !co.group.MaySend() {
 		return false
 	}
@@ -23,7 +23,7 @@
 	return co.adopt()
 }
 
-func (co *cohort) adopt() (all bool) {
+func (co *processGroup) adopt() (all bool) {
 	all = true
 	for n := -1; n < co.slots; n++ {
 		path := co.path(n)
@@ -61,7 +61,7 @@
 
 // lockDead locks a slot that nobody has. That of a node without a group lies in the folder
 // that all members share, so there is a file to lock.
-func (co *cohort) lockDead(n int, path string) (*os.File, error) {
+func (co *processGroup) lockDead(n int, path string) (*os.File, error) {
 	if n >= 0 {
 		s, err := co.seize(n, path)
 		if s == nil {
@@ -83,7 +83,7 @@
 	return f, nil
 }
 
-func (co *cohort) isAdopted(n int) bool {
+func (co *processGroup) isAdopted(n int) bool {
 	for _, s := range co.adopted {
 		if s.number == n {
 			return true
@@ -109,7 +109,7 @@
 
 // inherit adopts a journal, if it owes anything. Its ids are known here before a client can
 // hand one in again.
-func (co *cohort) inherit(s *slot) (owes bool, err error) {
+func (co *processGroup) inherit(s *slot) (owes bool, err error) {
 	report, err := journal.Check(vfs.Dir(s.path), max(co.cfg.DiskBytes, 64<<20))
 	if err != nil {
 		return false, err
@@ -146,7 +146,7 @@
 }
 
 // pass hands a dead member's estate to the loop.
-func (co *cohort) pass(in *inheritance) {
+func (co *processGroup) pass(in *inheritance) {
 	for _, id := range in.journal.OverIDs() {
 		co.loop.intake.wasOver(id)
 	}
@@ -157,7 +157,7 @@
 }
 
 // letGo gives back the journals that owe nothing any more.
-func (co *cohort) letGo() {
+func (co *processGroup) letGo() {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	keep := co.adopted[:0]
@@ -177,7 +177,7 @@
 }
 
 // close lets go of all that is adopted still; others go on with it.
-func (co *cohort) close() error {
+func (co *processGroup) close() error {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	var errs []error
--- a/internal/deliverynode/node/cohort_discovery.go
+++ b/internal/deliverynode/node/cohort_discovery.go
@@ -19,7 +19,7 @@
 // taken tells whether another member has, or had, a message that a client hands in. That
 // matters only soon after a member has died: its client sends once more on a new connection.
 // What the dead had, somebody has adopted first.
-func (co *cohort) taken(id string) bool {
+func (co *processGroup) taken(id string) bool {
 	co.mu.Lock()
 	changed := false
 	for n := range co.slots {
@@ -59,7 +59,7 @@
 }
 
 // anyone tells whether any other member says yes to a question.
-func (co *cohort) anyone(kind string, v any) bool {
+func (co *processGroup) anyone(kind string, v any) bool {
 	ids, err := co.group.Members()
 	if err != nil {
 		return false
@@ -81,7 +81,7 @@
 }
 
 // hear takes in what another member tells or asks.
-func (co *cohort) hear(m group.Message, asked bool) (any, error) {
+func (co *processGroup) hear(m group.Message, asked bool) (any, error) {
 	select {
 	case <-co.up:
 	default:
@@ -129,18 +129,18 @@
 	return nil, fmt.Errorf("%q is no question", m.Kind)
 }
 
-// tell lets the others know what this member has just seen.
-func (co *cohort) tell(kind, key string, v any) { co.tellOf(group.Clock(), kind, key, v) }
+// notify lets the others know what this member has just seen.
+func (co *processGroup) notify(kind, key string, v any) { co.notifyAt(group.Clock(), kind, key, v) }
 
-func (co *cohort) tellOf(at time.Duration, kind, key string, v any) {
-	if err := co.group.TellOf(at, kind, key, v); err != nil {
+func (co *processGroup) notifyAt(at time.Duration, kind, key string, v any) {
+	if err := co.group.NotifyAt(at, kind, key, v); err != nil {
 		co.log.Error("group: telling", "kind", kind, "err", err)
 	}
 }
 
 // order has an order carried out by all members. A yes says that each that lives has it; after
 // a no none has.
-func (co *cohort) order(ctx context.Context, host string, out bool) (status int, text string) {
+func (co *processGroup) order(ctx context.Context, host string, out bool) (status int, text string) {
 	status, text = co.loop.obeyHere(ctx, host, out)
 	if status != 200 {
 		return status, text
@@ -186,7 +186,7 @@
 }
 
 // inUse tells whether this member takes clients.
-func (co *cohort) inUse() bool {
+func (co *processGroup) inUse() bool {
 	select {
 	case <-co.usable:
 		return !co.loop.intake.isRefusing() && co.group.MaySend()
@@ -196,12 +196,12 @@
 }
 
 // follow runs the watch of discovery while this member coordinates.
-func (co *cohort) follow(ctx context.Context, watch func(ctx context.Context, known int64)) {
+func (co *processGroup) follow(ctx context.Context, watch func(ctx context.Context, known int64)) {
 	co.whileLeading(ctx, func(life context.Context) { watch(life, co.loop.known.Load()) })
 }
 
 // whileLeading runs what one process of the node does for all, while this member coordinates.
-func (co *cohort) whileLeading(ctx context.Context, f func(ctx context.Context)) {
+func (co *processGroup) whileLeading(ctx context.Context, f func(ctx context.Context)) {
 	tick := time.NewTicker(joinPause)
 	defer tick.Stop()
 	var end context.CancelFunc
@@ -230,7 +230,7 @@
 }
 
 // leaving closes this member's listeners, where others have them still.
-func (co *cohort) leaving() {
+func (co *processGroup) leaving() {
 	if co.alone() {
 		return
 	}
--- a/internal/deliverynode/node/cohort_join.go
+++ b/internal/deliverynode/node/cohort_join.go
@@ -62,7 +62,7 @@
 }
 
 // joinGroup makes this process a member. Its configuration is then that of a part of the node.
-func joinGroup(ctx context.Context, c *Config, log *slog.Logger) (*cohort, error) {
+func joinGroup(ctx context.Context, c *Config, log *slog.Logger) (*processGroup, error) {
 	if c.Members > group.MaxMembers {
 		return nil, fmt.Errorf("-group %d: %d members at most", c.Members, group.MaxMembers)
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	co := &cohort{log: log, slots: slots, state: state, up: make(chan struct{}), usable: make(chan struct{}),
+	co := &processGroup{log: log, slots: slots, state: state, up: make(chan struct{}), usable: make(chan struct{}),
 		shares: make(chan [2]int, 1), met: make(chan struct{}, 1), looked: map[int]string{}, owners: map[int]string{}, listeners: map[string]*net.TCPListener{}}
 	// None of these can shrink at once, so each has its part of the most members from the start.
 	c.MemoryMB /= c.Members
@@ -100,10 +100,12 @@
 	return co, nil
 }
 
-func (co *cohort) path(n int) string { return filepath.Join(co.cfg.State, fmt.Sprintf(slotForm, n)) }
+func (co *processGroup) path(n int) string {
+	return filepath.Join(co.cfg.State, fmt.Sprintf(slotForm, n))
+}
 
 // claim takes a journal for this process: one with something in it before an empty one.
-func (co *cohort) claim(ctx context.Context) (*slot, error) {
+func (co *processGroup) claim(ctx context.Context) (*slot, error) {
 	for end := time.Now().Add(joinPatience); ; {
 		for _, empty := range []bool{false, true} {
 			for n := range co.slots {
@@ -136,7 +138,7 @@
 }
 
 // seize locks a slot, and writes down whose it is; nil if another has it.
-func (co *cohort) seize(n int, path string) (*slot, error) {
+func (co *processGroup) seize(n int, path string) (*slot, error) {
 	lock, err := vfs.Lock(path)
 	if err != nil || lock == nil {
 		return nil, err
@@ -147,19 +149,19 @@
 	return &slot{number: n, path: path, lock: lock}, nil
 }
 
-func (co *cohort) options(s *slot) journal.Options {
+func (co *processGroup) options(s *slot) journal.Options {
 	return journal.Options{Folder: vfs.Dir(s.path), Limit: co.cfg.DiskBytes, Base: policy.MessageID(s.number+1) * slotNumbers,
 		Sync: co.cfg.Sync, Log: co.log}
 }
 
 // begin opens this member's journal and the clients' listener, and learns what the others know.
-func (co *cohort) begin(ctx context.Context) (*estate, net.Listener, error) {
+func (co *processGroup) begin(ctx context.Context) (*inheritedState, net.Listener, error) {
 	j, owed, err := journal.Open(co.options(co.mine))
 	if err != nil {
 		return nil, nil, err
 	}
 	co.mine.journal = j
-	fail := func(err error) (*estate, net.Listener, error) { return nil, nil, errors.Join(err, j.Close()) }
+	fail := func(err error) (*inheritedState, net.Listener, error) { return nil, nil, errors.Join(err, j.Close()) }
 	state, err := co.learn(ctx)
 	if err != nil {
 		return fail(err)
@@ -178,7 +180,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	return &estate{journal: j, owed: owed, hold: co.mine.lock, joined: state}, listener, nil
+	return &inheritedState{journal: j, owed: owed, hold: co.mine.lock, joined: state}, listener, nil
 }
 
 // adoptOrders makes a journal's orders those of the group.
--- a/internal/deliverynode/node/cohort_loop.go
+++ b/internal/deliverynode/node/cohort_loop.go
@@ -53,7 +53,7 @@
 		return
 	}
 	l.listAt = group.Clock()
-	l.cohort.tell(newsList, "", list{Revision: l.revision, Complete: true, Members: l.table()})
+	l.cohort.notify(newsList, "", list{Revision: l.revision, Complete: true, Members: l.table()})
 }
 
 // hear takes in what another member tells.
@@ -118,10 +118,10 @@
 func (l *loop) welcome() {
 	s := l.memberState()
 	if l.listAt > 0 {
-		l.cohort.tellOf(l.listAt, newsList, "", list{Revision: s.Revision, Complete: true, Members: s.Members})
+		l.cohort.notifyAt(l.listAt, newsList, "", list{Revision: s.Revision, Complete: true, Members: s.Members})
 	}
 	for _, w := range s.Waits {
-		l.cohort.tell(newsWait, w.Endpoint, waitNews{w.Until})
+		l.cohort.notify(newsWait, w.Endpoint, waitNews{w.Until})
 	}
 }
 
--- a/internal/deliverynode/node/cohort_staleness.go
+++ b/internal/deliverynode/node/cohort_staleness.go
@@ -20,8 +20,8 @@
 	last   []float64
 }
 
-// agesKept bounds what the figures of staleness are taken from.
-const agesKept = 1024
+// maxAges bounds what the figures of staleness are taken from.
+const maxAges = 1024
 
 func (s *staleness) add(kind string, d time.Duration) {
 	s.mu.Lock()
@@ -36,10 +36,10 @@
 	}
 	ms := float64(d.Microseconds()) / 1000
 	a.Max = max(a.Max, ms)
-	if len(a.last) < agesKept {
+	if len(a.last) < maxAges {
 		a.last = append(a.last, ms)
 	} else {
-		a.last[a.Count%agesKept] = ms
+		a.last[a.Count%maxAges] = ms
 	}
 	a.Count++
 }
--- a/internal/deliverynode/node/cohort_status.go
+++ b/internal/deliverynode/node/cohort_status.go
@@ -27,7 +27,7 @@
 	Owed    int    `json:"owed"`
 }
 
-func (co *cohort) status() groupStatus {
+func (co *processGroup) status() groupStatus {
 	s := groupStatus{Status: co.group.Status(), Share: co.loop.share(), Serves: co.inUse(), Journal: filepath.Base(co.mine.path),
 		Adopted: []adoptedState{}, Staleness: co.stale.show()}
 	co.mu.Lock()
--- a/internal/deliverynode/node/cohort_test.go
+++ b/internal/deliverynode/node/cohort_test.go
@@ -23,7 +23,7 @@
 
 func TestStaleness(t *testing.T) {
 	var s staleness
-	for i := range 3 * agesKept {
+	for i := range 3 * maxAges {
 		s.add("wait", time.Duration(i)*time.Microsecond)
 	}
 	s.add("list", time.Millisecond)
@@ -33,10 +33,10 @@
 	}
 	// Of the last: from two thirds on.
 	a := got["wait"]
-	if a.Count != 3*agesKept || a.Max != float64(3*agesKept-1)/1000 || a.Median < 2.5*agesKept/1000-0.01 || a.Median > 2.5*agesKept/1000+0.01 || a.P99 <= a.Median {
+	if a.Count != 3*maxAges || a.Max != float64(3*maxAges-1)/1000 || a.Median < 2.5*maxAges/1000-0.01 || a.Median > 2.5*maxAges/1000+0.01 || a.P99 <= a.Median {
 		t.Errorf("%+v", a)
 	}
-	if n := len(s.all["wait"].last); n != agesKept {
+	if n := len(s.all["wait"].last); n != maxAges {
 		t.Errorf("%d are kept", n)
 	}
 }
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -44,7 +44,7 @@
 
 	up     chan struct{} // closed when there is a loop
 	loop   *loop
-	cohort *cohort // the other processes of the node; nil where there are none
+	cohort *processGroup // the other processes of the node; nil where there are none
 	fleet  *fleet.Fleet
 	leases *lease.Leases
 	copies *copies // nil where there are none, or not yet
@@ -362,7 +362,7 @@
 			return http.StatusOK, "done"
 		case errors.Is(err, errUnknownHost):
 			return http.StatusNotFound, err.Error()
-		case !errors.Is(err, journal.ErrGiven):
+		case !errors.Is(err, journal.ErrReleased):
 			return http.StatusServiceUnavailable, err.Error()
 		}
 	}
@@ -387,7 +387,7 @@
 	}
 	id := policy.EndpointID(hash(o.host))
 	e := l.endpoints[id]
-	if e == nil && !l.journal.Barred(o.host) {
+	if e == nil && !l.journal.TakenOut(o.host) {
 		o.reply <- errUnknownHost
 		return
 	}
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -55,8 +55,8 @@
 	switch {
 	case c.Copies == 0:
 		return nil
-	case c.Copies < 0 || c.Copies > fleet.MostCopies:
-		return fmt.Errorf("-copies %d: it has to be between 1 and %d, or 0 for none", c.Copies, fleet.MostCopies)
+	case c.Copies < 0 || c.Copies > fleet.MaxCopies:
+		return fmt.Errorf("-copies %d: it has to be between 1 and %d, or 0 for none", c.Copies, fleet.MaxCopies)
 	case c.Fleet == nil || c.Fleet.Copies == nil:
 		return errors.New("-copies needs -fleet, with a file that has a part \"copies\"")
 	case c.Members > 0 || c.AcceptFD > 0:
@@ -238,7 +238,7 @@
 // adoptOrders makes orders hold here that held where an adopted log came from.
 func (l *loop) adoptOrders(names []string) {
 	for _, name := range names {
-		if l.journal.Barred(name) {
+		if l.journal.TakenOut(name) {
 			continue
 		}
 		if err := l.journal.Order(name, true, time.Now()); err != nil {
--- a/internal/deliverynode/node/discovery.go
+++ b/internal/deliverynode/node/discovery.go
@@ -24,9 +24,9 @@
 	// maxPause bounds the pause after calls that failed in a row. What is to be told counts
 	// as told 6 s later, so there must be time for some tries.
 	maxPause = 1600 * time.Millisecond
-	// askGap is how far apart the calls of all nodes together should come where each is
+	// requestGap is how far apart the calls of all nodes together should come where each is
 	// work for discovery. Two nodes still ask within the 200 ms in which a watch goes on.
-	askGap = 80 * time.Millisecond
+	requestGap = 80 * time.Millisecond
 	// turnsWatched is how many turns of all nodes a watch waits where that is longer.
 	turnsWatched = 5
 	maxList      = 4 << 20
@@ -108,7 +108,7 @@
 	agent  *agent
 	client *http.Client
 	log    *slog.Logger
-	tell   func(list)
+	notify func(list)
 	known  int64 // the version of the list that is known at the start, or -1
 	// turn is the time in which each of all nodes may ask once: what many nodes would do
 	// at one moment they do at random within it. It is 0 where asking is no work.
@@ -116,7 +116,7 @@
 }
 
 func newDiscovery(a *agent, known int64, turn time.Duration, log *slog.Logger, tell func(list)) *discovery {
-	return &discovery{agent: a, known: known, turn: turn, log: log, tell: tell,
+	return &discovery{agent: a, known: known, turn: turn, log: log, notify: tell,
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 }
 
@@ -124,7 +124,7 @@
 // AskEvery counts as told all the same, so its turn comes before, with room for two calls
 // that are slow to be answered.
 func discoveryTurn(c Config) time.Duration {
-	turn := time.Duration(c.Settings.Senders) * askGap
+	turn := time.Duration(c.Settings.Senders) * requestGap
 	switch {
 	case !c.Settings.MustSubscribe:
 		return 0
@@ -163,7 +163,7 @@
 			continue
 		}
 		if err == nil && (l.Complete || at >= 0 && l.Revision > at) {
-			d.tell(l)
+			d.notify(l)
 			at, failed = l.Revision, 0
 			rest(ctx, here, partOf(d.turn)) // all nodes hear of a change at the same moment
 			continue
--- a/internal/deliverynode/node/ended_ids_test.go
+++ b/internal/deliverynode/node/ended_ids_test.go
@@ -18,7 +18,7 @@
 	both.Go(func() {
 		for i := range each {
 			id := fmt.Sprint("own", i)
-			in.taken(id)
+			in.accepted(id)
 			in.ended(id)
 		}
 	})
--- a/internal/deliverynode/node/finals.go
+++ b/internal/deliverynode/node/finals.go
@@ -22,14 +22,14 @@
 	// a notice that is sent twice does no harm.
 	noticeTimeout = 60 * time.Millisecond
 	noticePause   = 10 * time.Millisecond
-	// heldPause is how often it is looked whether what had to wait may be told.
-	heldPause   = 50 * time.Millisecond
-	noticeBatch = 64
+	// pendingPause is how often it is looked whether what had to wait may be told.
+	pendingPause = 50 * time.Millisecond
+	noticeBatch  = 64
 )
 
-// finals tells the platform of messages that ended undelivered, again and again
+// completionReports tells the platform of messages that ended undelivered, again and again
 // until it has answered: only then is nothing owed any more.
-type finals struct {
+type completionReports struct {
 	agent  *agent
 	client *http.Client
 	log    *slog.Logger
@@ -43,14 +43,14 @@
 	more  chan struct{} // holds a token while the queue may hold messages
 }
 
-func newFinals(a *agent, log *slog.Logger) *finals {
-	return &finals{agent: a, log: log,
+func newCompletionReports(a *agent, log *slog.Logger) *completionReports {
+	return &completionReports{agent: a, log: log,
 		more:   make(chan struct{}, 1),
 		client: &http.Client{Timeout: noticeTimeout, Transport: &http.Transport{DisableCompression: true}}}
 }
 
 // add queues the notice of a message. It never waits.
-func (f *finals) add(m *journal.Message) {
+func (f *completionReports) add(m *journal.Message) {
 	f.mu.Lock()
 	f.queue = append(f.queue, m)
 	f.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-func (f *finals) take() []*journal.Message {
+func (f *completionReports) next() []*journal.Message {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	q := f.queue
@@ -70,11 +70,11 @@
 
 // run sends what is queued until the context ends. What is left then is owed
 // still, and the journal has it.
-func (f *finals) run(ctx context.Context) {
+func (f *completionReports) run(ctx context.Context) {
 	defer f.client.CloseIdleConnections()
 	var pending []*journal.Message
 	for {
-		pending = append(pending, f.take()...)
+		pending = append(pending, f.next()...)
 		if len(pending) == 0 {
 			select {
 			case <-f.more:
@@ -87,14 +87,14 @@
 		if ready == 0 {
 			select {
 			case <-f.more: // or one that waits may be told by then
-			case <-time.After(heldPause):
+			case <-time.After(pendingPause):
 			case <-ctx.Done():
 				return
 			}
 			continue
 		}
 		batch := pending[:min(ready, noticeBatch)]
-		f.settle(batch)
+		f.resolve(batch)
 		status, err := f.post(ctx, batch)
 		if status == http.StatusBadRequest && len(batch) > 1 {
 			// One line that the platform can't read must not hold the others back.
@@ -105,7 +105,7 @@
 			closed := 0
 			for _, m := range batch {
 				err = m.Home().Closed(m, "", time.Now())
-				if errors.Is(err, journal.ErrGiven) {
+				if errors.Is(err, journal.ErrReleased) {
 					break // whoever owns the journal then sends it again, which does no harm
 				}
 				if err != nil {
@@ -132,7 +132,7 @@
 
 // ready puts first what may be told now, and counts it. What may be told only when its time is up, as
 // its log may be another node's, is given up then.
-func (f *finals) ready(pending []*journal.Message) int {
+func (f *completionReports) ready(pending []*journal.Message) int {
 	if f.copies == nil {
 		return len(pending)
 	}
@@ -164,10 +164,10 @@
 	return ready
 }
 
-// settle makes it durable that messages are over whose clients are told to come again,
+// resolve makes it durable that messages are over whose clients are told to come again,
 // where that is asked for: after a loss of power such a charge would be owed here as well.
 // On a disk that fails they are not told so.
-func (f *finals) settle(batch []*journal.Message) {
+func (f *completionReports) resolve(batch []*journal.Message) {
 	back := func(m *journal.Message) bool { return f.once[m.Class] && m.Notice.HandedBack() }
 	if f.copies == nil && (!f.sync || !slices.ContainsFunc(batch, back)) {
 		return
@@ -193,7 +193,7 @@
 	}
 }
 
-func (f *finals) post(ctx context.Context, batch []*journal.Message) (int, error) {
+func (f *completionReports) post(ctx context.Context, batch []*journal.Message) (int, error) {
 	var body bytes.Buffer
 	enc := json.NewEncoder(&body)
 	for _, m := range batch {
--- a/internal/deliverynode/node/finals_test.go
+++ b/internal/deliverynode/node/finals_test.go
@@ -18,7 +18,7 @@
 func TestNoticeLandsInTimeThoughTriesHang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
-		f := newFinals(newAgent("127.0.0.1:1"), quietLog())
+		f := newCompletionReports(newAgent("127.0.0.1:1"), quietLog())
 		ctx, cancel := context.WithCancel(t.Context())
 		start, tries := time.Now(), 0
 		f.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -30,7 +30,7 @@
 			return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody}, nil
 		})
 		m := newMessage("a", 1)
-		must(t, j.Take(m))
+		must(t, j.Accept(m))
 		m.Notice = journal.NewNotice(m.ID, false, 0)
 		f.add(m)
 		f.run(ctx)
--- a/internal/deliverynode/node/fleet.go
+++ b/internal/deliverynode/node/fleet.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	l := lease.New(lease.Options{Net: f, Folder: vfs.Dir(c.State), Name: c.Name, Voters: c.Fleet.Leases.Voters,
-		Longest: c.Fleet.Leases.Longest(), Most: c.Fleet.Leases.Most(), Clock: lastingClock, Seed: c.Seed, Log: log,
+		Longest: c.Fleet.Leases.Longest(), Most: c.Fleet.Leases.MaxHeld(), Clock: lastingClock, Seed: c.Seed, Log: log,
 		// Above all that a log of this fleet may have granted before, as nothing is granted a million times a second.
 		Above: func() uint64 { return uint64(time.Now().Unix()) << 20 }})
 	f.OnOld(l.Overtaken)
@@ -73,14 +73,14 @@
 	case c.Fleet == nil:
 		return 0
 	case c.Fleet.Leases == nil || !slices.Contains(c.Fleet.Leases.Voters, c.Name):
-		return fleet.DiskRoom
+		return fleet.DiskSpace
 	}
-	return fleet.DiskRoom + lease.DiskRoom(c.Fleet.Leases.Most(), c.Fleet.Copies != nil)
+	return fleet.DiskSpace + lease.DiskSpace(c.Fleet.Leases.MaxHeld(), c.Fleet.Copies != nil)
 }
 
 // runFleet takes part for as long as this process owns what the node owes. Of a group, the
 // member that coordinates speaks for the node. The node has left only if no process of it goes on.
-func runFleet(owned context.Context, f *fleet.Fleet, co *cohort, o *ownership) {
+func runFleet(owned context.Context, f *fleet.Fleet, co *processGroup, o *ownership) {
 	if co == nil {
 		f.Run(owned, func() bool {
 			to, err := o.owner(context.WithoutCancel(owned))
--- a/internal/deliverynode/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -206,8 +206,8 @@
 	return l, nil
 }
 
-// estate is what a process starts with.
-type estate struct {
+// inheritedState is what a process starts with.
+type inheritedState struct {
 	journal *journal.Journal
 	owed    []*journal.Message
 	lock    *os.File     // held while this process owns the journal and may give it away
@@ -217,9 +217,9 @@
 	joined  *memberState // by another member of the group
 }
 
-// takeOver waits until what the node owes belongs to this process: at once where no
+// acquire waits until what the node owes belongs to this process: at once where no
 // other one has it, else by asking that one for it, or when it has died.
-func takeOver(ctx context.Context, c Config, log *slog.Logger) (*estate, error) {
+func acquire(ctx context.Context, c Config, log *slog.Logger) (*inheritedState, error) {
 	for {
 		lock, err := vfs.Lock(c.State)
 		if err != nil {
@@ -230,9 +230,9 @@
 			if err != nil {
 				return nil, errors.Join(err, lock.Close())
 			}
-			return &estate{journal: j, owed: owed, lock: lock}, nil
+			return &inheritedState{journal: j, owed: owed, lock: lock}, nil
 		}
-		e, err := ask(c, log)
+		e, err := requestHandover(c, log)
 		if err == nil {
 			return e, nil
 		}
@@ -245,14 +245,14 @@
 	}
 }
 
-// ask asks the process that has the journal for it. Nothing is written before that
+// requestHandover asks the process that has the journal for it. Nothing is written before that
 // process has let go.
-func ask(c Config, log *slog.Logger) (*estate, error) {
+func requestHandover(c Config, log *slog.Logger) (*inheritedState, error) {
 	conn, err := dialHandover(c.State)
 	if err != nil {
 		return nil, err
 	}
-	fail := func(what string, err error) (*estate, error) {
+	fail := func(what string, err error) (*inheritedState, error) {
 		return nil, errors.Join(fmt.Errorf("%s: %w", what, err), conn.Close())
 	}
 	l := newLink(conn)
@@ -293,7 +293,7 @@
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		log.Warn("handover: link", "err", err)
 	}
-	return &estate{journal: j, owed: owed, lock: lock, before: l, told: told}, nil
+	return &inheritedState{journal: j, owed: owed, lock: lock, before: l, told: told}, nil
 }
 
 // handover gives what this process owns to the next one, when it asks.
@@ -346,7 +346,7 @@
 			}
 			return
 		}
-		err = h.give(ctx, newLink(conn))
+		err = h.transferTo(ctx, newLink(conn))
 		if err == nil {
 			return
 		}
@@ -355,13 +355,13 @@
 	}
 }
 
-// giveaway is the loop's part: it stands still from the snapshot until told how it ended.
-type giveaway struct {
+// transfer is the loop's part: it stands still from the snapshot until told how it ended.
+type transfer struct {
 	snapshot chan snapshot
 	gone     chan bool
 }
 
-func (h *handover) give(ctx context.Context, l *link) error {
+func (h *handover) transferTo(ctx context.Context, l *link) error {
 	if err := l.conn.SetDeadline(time.Now().Add(handoverTimeout)); err != nil {
 		return err
 	}
@@ -370,7 +370,7 @@
 		return fmt.Errorf("nothing was asked: %w", err)
 	}
 	HandoverStep("old: asked")
-	g := &giveaway{snapshot: make(chan snapshot, 1), gone: make(chan bool, 1)}
+	g := &transfer{snapshot: make(chan snapshot, 1), gone: make(chan bool, 1)}
 	select {
 	case h.loop.giveaways <- g:
 	case <-h.loop.quieted:
@@ -388,7 +388,7 @@
 		err = h.letGo(l)
 	}
 	if err != nil { // it has written nothing
-		h.loop.journal.TakeBack()
+		h.loop.journal.Reclaim()
 		h.owner.set(owning, nil)
 		g.gone <- false
 		return err
@@ -429,9 +429,9 @@
 
 // giveAway stands still until another process owns what is owed, or this one does
 // again. It tells whether all is given away.
-func (l *loop) giveAway(g *giveaway) bool {
+func (l *loop) giveAway(g *transfer) bool {
 	l.owner.set(giving, nil)
-	s := snapshot{Out: l.journal.GiveAway(), Memory: l.sender.Memory(), Revision: l.revision, Pools: l.caller.pools.Memory()}
+	s := snapshot{Out: l.journal.Release(), Memory: l.sender.Memory(), Revision: l.revision, Pools: l.caller.pools.Memory()}
 	for _, e := range l.endpoints {
 		s.Members = append(s.Members, e.last)
 		s.Gates = append(s.Gates, gateState{ID: e.name, ClosedFrom: e.leaves.closedFrom.Load(), ClosedUntil: e.waits.closedUntil.Load()})
@@ -476,8 +476,8 @@
 	l.take(leaving)
 }
 
-// heir is the new process's side of the link to the old one.
-type heir struct {
+// successor is the new process's side of the link to the old one.
+type successor struct {
 	link   *link
 	intake *intake
 	caller *caller
@@ -488,14 +488,14 @@
 }
 
 // expect keeps the call of a message that the old process waits for.
-func (h *heir) expect(m *journal.Message, e *endpoint) {
+func (h *successor) expect(m *journal.Message, e *endpoint) {
 	e.out++
 	h.out[m.Number()] = &call{endpoint: e, started: m.Past.OutAt, parts: []*part{{message: m, attempted: true}}}
 }
 
 // run takes in what the old process passes on, until that has ended. Whatever it had
 // out then may have run.
-func (h *heir) run(ctx context.Context) {
+func (h *successor) run(ctx context.Context) {
 	defer h.link.conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = h.link.conn.Close() })()
 	for {
@@ -518,10 +518,10 @@
 	h.gone()
 }
 
-func (h *heir) answer(p passedOn) answer {
+func (h *successor) answer(p passedOn) answer {
 	switch {
 	case p.Message != nil:
-		status, text := h.intake.take(&journal.Message{ID: p.Message.ID, Key: p.Message.Key, Class: p.Message.Class,
+		status, text := h.intake.submit(&journal.Message{ID: p.Message.ID, Key: p.Message.Key, Class: p.Message.Class,
 			Dest: p.Message.Dest, Deadline: p.Message.Deadline, Body: p.Message.Body})
 		return answer{Status: status, Text: text}
 	case p.Ended != nil:
