--- a/internal/proxy/dispatch/affinity.go
+++ b/internal/proxy/dispatch/affinity.go
@@ -4,12 +4,12 @@
 
 // Requests with a common prefix of their prompts should meet at the endpoints that have it in their
 // prefix cache. All senders rank the endpoints for a prefix by rendezvous hashing, and so prefer
-// the same few replicas of it without talking to each other.
+// the same few endpoints for it without talking to each other.
 
-// replicaCacheProbability is the probability that an endpoint has cached shared parts that this
-// sender has not sent there, by its rank among the preferred replicas: other senders prefer the
+// preferredCacheProbability is the probability that an endpoint has cached shared parts that this
+// sender has not sent there, by its rank among the preferred endpoints: other senders prefer the
 // same endpoints.
-var replicaCacheProbability = [...]float64{0.9, 0.5, 0.2}
+var preferredCacheProbability = [...]float64{0.9, 0.5, 0.2}
 
 // sharedParts returns the number of parts of a prompt that other requests may share: all but the
 // last, if there are more.
@@ -24,22 +24,22 @@
 	return shared
 }
 
-// preferredReplicas returns the preferred replicas for a request, which are computed once for each
+// preferredEndpoints returns the preferred endpoints for a request, which are computed once for each
 // snapshot.
-func (c *core) preferredReplicas(p *pool, w *waiter) []*endpoint {
-	if w.replicasAsOf != c.snapshots {
-		w.replicas, w.replicasAsOf = rankReplicas(p, w), c.snapshots
+func (c *core) preferredEndpoints(p *pool, w *waiter) []*endpoint {
+	if w.preferredAsOf != c.snapshots {
+		w.preferred, w.preferredAsOf = rankPreferred(p, w), c.snapshots
 	}
-	return w.replicas
+	return w.preferred
 }
 
-// rankReplicas returns the first endpoints in the common order of those that are ready and
+// rankPreferred returns the first endpoints in the common order of those that are ready and
 // certified for a request's regime: by rendezvous hashing of its shared parts, with the same result
 // at all senders.
-func rankReplicas(p *pool, w *waiter) []*endpoint {
+func rankPreferred(p *pool, w *waiter) []*endpoint {
 	key := uint64(w.prefixHashes[sharedParts(w)-1])
-	var first [len(replicaCacheProbability)]*endpoint
-	var scores [len(replicaCacheProbability)]uint64
+	var first [len(preferredCacheProbability)]*endpoint
+	var scores [len(preferredCacheProbability)]uint64
 	found := 0
 	for _, e := range p.endpoints {
 		if !e.ready() || !w.request.mayUse(e.target.ID) {
@@ -73,8 +73,8 @@
 	for _, part := range w.request.Prefix[:e.cache.cachedParts(w.prefixHashes, c.now, lifetime)] {
 		cached += float64(part.Tokens)
 	}
-	if rank := slices.Index(common.replicas, e); rank >= 0 {
-		cached = max(cached, replicaCacheProbability[rank]*common.sharedTokens)
+	if rank := slices.Index(common.preferred, e); rank >= 0 {
+		cached = max(cached, preferredCacheProbability[rank]*common.sharedTokens)
 	}
 	return cached
 }
--- a/internal/proxy/dispatch/place_test.go
+++ b/internal/proxy/dispatch/place_test.go
@@ -291,7 +291,7 @@
 			all := slices.Clone(b.c.pool("s").endpoints)
 			key := uint64(w.prefixHashes[0])
 			slices.SortFunc(all, func(x, y *endpoint) int { return cmp.Compare(mixHash(key, y.hash), mixHash(key, x.hash)) })
-			if homes := rankReplicas(b.c.pool("s"), w); !slices.Equal(homes, all[:min(n, len(replicaCacheProbability))]) {
+			if homes := rankPreferred(b.c.pool("s"), w); !slices.Equal(homes, all[:min(n, len(preferredCacheProbability))]) {
 				t.Fatalf("%d endpoints, subject %d: other homes than the first of all", n, subject)
 			}
 		}
--- a/internal/proxy/dispatch/queue.go
+++ b/internal/proxy/dispatch/queue.go
@@ -9,15 +9,15 @@
 
 // waiter is a request that is pending in the queue of its pool, or is being decided on.
 type waiter struct {
-	request      *Request
-	prefixHashes []prefixHash // of the prompt's parts
-	deadline     Time
-	due          Time
-	refuseAt     Time   // when it is refused if it is still pending
-	sequence     uint64 // in the order of arrival
-	replicas     []*endpoint
-	replicasAsOf uint64 // the snapshot for which the replicas were computed
-	subsetServes bool   // a healthy endpoint of the subset may serve it
+	request       *Request
+	prefixHashes  []prefixHash // of the prompt's parts
+	deadline      Time
+	due           Time
+	refuseAt      Time        // when it is refused if it is still pending
+	sequence      uint64      // in the order of arrival
+	preferred     []*endpoint // for the prompt's prefix
+	preferredAsOf uint64      // the snapshot for which the preferred endpoints were computed
+	subsetServes  bool        // a healthy endpoint of the subset may serve it
 
 	// One of these two is set when decided is called, which is once.
 	granted *run
--- a/internal/proxy/dispatch/selection.go
+++ b/internal/proxy/dispatch/selection.go
@@ -26,7 +26,7 @@
 type placement struct {
 	baseMs, msPerToken float64     // ms to the first token, and more for each token to prefill
 	loadBound          float64     // the load above which an endpoint is too full for further requests of a shared prefix
-	replicas           []*endpoint // the preferred replicas of the shared prefix
+	preferred          []*endpoint // the preferred endpoints of the shared prefix
 	sharedTokens       float64     // tokens of the prefix that other requests may share
 }
 
@@ -58,7 +58,7 @@
 		return nil
 	}
 	if len(w.prefixHashes) > 0 {
-		common.replicas, common.sharedTokens = c.preferredReplicas(p, w), sharedTokens(w)
+		common.preferred, common.sharedTokens = c.preferredEndpoints(p, w), sharedTokens(w)
 	}
 	return c.cheapestRun(available, w, &common)
 }
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -56,7 +56,7 @@
 
 	// Cost of an endpoint for a request (cost.go, affinity.go).
 
-	// PreferredLoadFactor and PreferredLoadSlack bound the load of the preferred replicas of a
+	// PreferredLoadFactor and PreferredLoadSlack bound the load of the preferred endpoints of a
 	// prefix (consistent hashing with bounded loads): one whose load exceeds factor x mean + slack
 	// costs more; 1.25 and 1 request.
 	PreferredLoadFactor, PreferredLoadSlack float64
