--- a/internal/platform/upstream/conn_test.go
+++ b/internal/platform/upstream/conn_test.go
@@ -39,7 +39,7 @@
 	s := &standIn{addr: l.Addr().String()}
 	var running sync.WaitGroup
 	var mu sync.Mutex
-	all := map[net.Conn]bool{}
+	all := map[net.Conn]bool{} // nil: the test has ended
 	running.Go(func() {
 		for {
 			conn, err := l.Accept()
@@ -47,8 +47,15 @@
 				return
 			}
 			mu.Lock()
-			all[conn] = true
+			ended := all == nil
+			if !ended {
+				all[conn] = true
+			}
 			mu.Unlock()
+			if ended { // nobody would close it, and its server would wait for ever
+				_ = conn.Close()
+				return
+			}
 			s.open.Add(1)
 			running.Go(func() {
 				defer s.open.Add(-1)
@@ -63,6 +70,7 @@
 		for conn := range all {
 			_ = conn.Close()
 		}
+		all = nil
 		mu.Unlock()
 		running.Wait()
 	})
