--- a/internal/deliverynode/group/core.go
+++ b/internal/deliverynode/group/core.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// MaxMembers bounds a group. Whole is what all shares come to: it can be shared out
-	// evenly among any number of members up to that.
+	// MaxMembers is the most processes of a group.
 	MaxMembers = 8
-	Whole      = 840
+	// Whole is what all shares come to, in parts: it can be shared out evenly among any number of members up to MaxMembers.
+	Whole = 840
 	// Version is that of the messages and views. Members of another are refused.
 	Version = 1
 
--- a/internal/deliverynode/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -184,7 +184,7 @@
 		c.notSent(k, conn)
 		return
 	}
-	resp, err := conn.Send(ctx, req)
+	resp, err := conn.Send(ctx, req) //nolint:bodyclose // answered reads and closes it
 	if err != nil {
 		c.broken(ctx, k, conn, err)
 		return
--- a/internal/deliverynode/node/cohort.go
+++ b/internal/deliverynode/node/cohort.go
@@ -113,7 +113,7 @@
 		if l != nil {
 			break
 		}
-		if l, err = net.Listen("tcp", addr); err != nil {
+		if l, err = (&net.ListenConfig{}).Listen(ctx, "tcp", addr); err != nil {
 			l = nil // another member may have it, and not serve yet
 			if time.Now().After(end) || !errors.Is(err, syscall.EADDRINUSE) {
 				return nil, fmt.Errorf("listening for %s: %w", name, err)
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -53,7 +53,7 @@
 
 // openConsole listens at once; calls that need the node's state wait for it.
 func openConsole(ctx context.Context, addr string, c *console, log *slog.Logger) (net.Listener, error) {
-	listen := func() (net.Listener, error) { return net.Listen("tcp", addr) }
+	listen := func() (net.Listener, error) { return (&net.ListenConfig{}).Listen(ctx, "tcp", addr) }
 	if c.cohort != nil {
 		listen = func() (net.Listener, error) { return c.cohort.listen(ctx, "staff", addr) }
 	}
--- a/internal/deliverynode/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -308,9 +308,10 @@
 	abandon  func() // ends the calls that are out
 }
 
+// dialHandover connects to the process that has the journal in a state folder.
 func dialHandover(dir string) (conn net.Conn, err error) {
 	err = group.AtSocket(filepath.Join(dir, handoverName), func(short string) error {
-		conn, err = net.DialTimeout("unix", short, handoverTimeout)
+		conn, err = net.DialTimeout("unix", short, handoverTimeout) //nolint:noctx // a local socket, within handoverTimeout
 		return err
 	})
 	return conn, err
--- a/internal/deliverynode/node/node.go
+++ b/internal/deliverynode/node/node.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, hold.Close())
 	}
-	listener, err := net.Listen("tcp", c.Listen)
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.Listen)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("listening for clients: %w", err), j.Close(), hold.Close())
 	}
--- a/internal/deliverynode/wire/settings.go
+++ b/internal/deliverynode/wire/settings.go
@@ -12,18 +12,9 @@
 // config is the part of the settings that the module acts on. Other keys are
 // disregarded.
 type config struct {
-	NInstances *int `json:"NInstances"`
-	Classes    []struct {
-		AimUs       int64   `json:"AimUs"`
-		DeadlineUs  int64   `json:"DeadlineUs"`
-		WindowUs    int64   `json:"WindowUs"`
-		Group       string  `json:"Group"`
-		Idempotency string  `json:"Idempotency"`
-		Sequential  bool    `json:"Sequential"`
-		Worth       float64 `json:"Worth"`
-		LateWorth   float64 `json:"LateWorth"`
-	} `json:"Classes"`
-	MachineTypes []string `json:"MachineTypes"`
+	NInstances   *int          `json:"NInstances"`
+	Classes      []classConfig `json:"Classes"`
+	MachineTypes []string      `json:"MachineTypes"`
 	Extra        struct {
 		BundleMax   []int     `json:"BundleMax"`
 		RoutesApart []bool    `json:"RoutesApart"`
@@ -55,6 +46,18 @@
 	Discovery    string `json:"Discovery"`
 }
 
+// classConfig is the part of the settings about one class of messages.
+type classConfig struct {
+	AimUs       int64   `json:"AimUs"`
+	DeadlineUs  int64   `json:"DeadlineUs"`
+	WindowUs    int64   `json:"WindowUs"`
+	Group       string  `json:"Group"`
+	Idempotency string  `json:"Idempotency"`
+	Sequential  bool    `json:"Sequential"`
+	Worth       float64 `json:"Worth"`
+	LateWorth   float64 `json:"LateWorth"`
+}
+
 func us(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
 // DecodeSettings reads the settings of an instance.
@@ -100,19 +103,8 @@
 		return policy.Settings{}, fmt.Errorf("unreadable settings: WeightSource is %q", c.WeightSource)
 	}
 	for i, k := range c.Classes {
-		class := policy.Class{
-			Window: us(k.WindowUs), Ordered: k.Sequential, Aim: us(k.AimUs), Deadline: us(k.DeadlineUs),
-			Worth: k.Worth, LateWorth: k.LateWorth,
-			GroupAll: k.Group == "all", GroupZone: k.Group == "zone",
-		}
-		switch k.Idempotency {
-		case "idempotent":
-			class.Repeat = policy.Idempotent
-		case "deduplicated":
-			class.Repeat = policy.Deduplicated
-		case "at_most_once":
-			class.Repeat = policy.AtMostOnce
-		default:
+		class, ok := k.class()
+		if !ok {
 			return policy.Settings{}, fmt.Errorf("unreadable settings: Idempotency of class %d is %q", i, k.Idempotency)
 		}
 		s.Classes = append(s.Classes, class)
@@ -129,3 +121,28 @@
 	}
 	return s, nil
 }
+
+// class returns the class as the decision module knows it, and false if its idempotency is unknown.
+func (k classConfig) class() (class policy.Class, ok bool) {
+	class = policy.Class{
+		Window:    us(k.WindowUs),
+		Ordered:   k.Sequential,
+		Aim:       us(k.AimUs),
+		Deadline:  us(k.DeadlineUs),
+		Worth:     k.Worth,
+		LateWorth: k.LateWorth,
+		GroupAll:  k.Group == "all",
+		GroupZone: k.Group == "zone",
+	}
+	switch k.Idempotency {
+	case "idempotent":
+		class.Repeat = policy.Idempotent
+	case "deduplicated":
+		class.Repeat = policy.Deduplicated
+	case "at_most_once":
+		class.Repeat = policy.AtMostOnce
+	default:
+		return class, false
+	}
+	return class, true
+}
--- a/internal/lab/tier/faults.go
+++ b/internal/lab/tier/faults.go
@@ -114,7 +114,7 @@
 	delete(r.all, e)
 	r.mu.Unlock()
 	time.Sleep(backAfter)
-	_, err := r.endpoint(gen, e.Address(), 0)
+	err := r.startEndpoint(gen, e.Address(), 0)
 	return err
 }
 
