--- /dev/null
+++ b/internal/control/keeper/attached_processes_test.go
@@ -0,0 +1,82 @@
+package keeper
+
+import (
+	"fmt"
+	"testing"
+
+	"dunetide/internal/control/controlclient"
+	"dunetide/internal/control/snapshot"
+	"dunetide/internal/platform/link"
+)
+
+// TestUnacknowledgedPushesAreBounded: a process that acknowledges nothing is pushed a bounded number of updates, and
+// gets the rest in one once it acknowledges.
+func TestUnacknowledgedPushesAreBounded(t *testing.T) {
+	k := newIdleKeeper(t, "k1")
+	conns, _ := dialSink(t, 1)
+	k.handleHello(&link.Message{Conn: conns[0], Body: encodeHello("p", controlclient.RoleProxy)})
+	confirmContact(t, k)
+	p := k.attached[conns[0]]
+	beat := func(i int) {
+		k.endpoints.Heartbeat(0, snapshot.Endpoint{
+			ID:        fmt.Sprint("i", i),
+			Service:   "s",
+			Address:   fmt.Sprint("a:", i),
+			CallCount: 1,
+		})
+		k.pushAll()
+	}
+	for i := range 1000 {
+		beat(i)
+	}
+	if p.pushedNumber > maxUnackedPushes || len(p.pushMarks) > maxUnackedPushes || p.acknowledged() != (pushMark{}) {
+		t.Fatalf("%d pushes, %d marks, in force %+v", p.pushedNumber, len(p.pushMarks), p.acknowledged())
+	}
+	if p.acknowledge(p.pushedNumber / 2); p.acknowledged().number != p.pushedNumber/2 || p.acknowledged().listRevision >= k.endpoints.LastChange() {
+		t.Fatalf("%+v", p.acknowledged())
+	}
+	k.pushAll()
+	if p.acknowledge(1 << 60); p.acknowledged().listRevision != k.endpoints.LastChange() || len(p.pushMarks) != 1 {
+		t.Fatalf("%+v, %d marks", p.acknowledged(), len(p.pushMarks))
+	}
+	beat(2000)
+	if p.acknowledged().listRevision == k.endpoints.LastChange() {
+		t.Fatal("in force before it was acknowledged")
+	}
+}
+
+// TestNewAttachmentReplacesOlder: a process whose link broke attaches anew before this side knows that the old link has
+// ended.
+func TestNewAttachmentReplacesOlder(t *testing.T) {
+	k := newIdleKeeper(t, "k1")
+	conns, _ := dialSink(t, 2)
+	for _, c := range conns {
+		k.handleHello(&link.Message{Conn: c, Body: encodeHello("p", controlclient.RoleProxy)})
+	}
+	if len(k.attached) != 1 || k.attached[conns[1]] == nil || !linkEnded(conns[0]) || linkEnded(conns[1]) {
+		t.Fatalf("%d are attached", len(k.attached))
+	}
+}
+
+// TestAttachedListBeforeHello: a keeper's list of attached processes may come before it is known which keeper dialed.
+// It counts from then on.
+func TestAttachedListBeforeHello(t *testing.T) {
+	k := newIdleKeeper(t, "k1")
+	conns, _ := dialSink(t, 1)
+	w := link.Writer{}
+	controlclient.AppendNodes(&w, []controlclient.Node{{
+		Name: "s",
+		Role: controlclient.RoleStore,
+		ID:   9,
+		Addr: "127.0.0.1:3",
+		Zone: "z",
+	}})
+	k.handleMessage(&link.Message{Conn: conns[0], Kind: controlclient.KindAttached, Body: w.Buf})
+	if n := len(k.attachedStores()); n != 0 {
+		t.Fatalf("%d stores by the word of one who is not known", n)
+	}
+	k.adoptLink(conns[0], controlclient.Node{Name: "k2", Role: controlclient.RoleKeeper, ID: 7, Incarnation: 1}, true)
+	if _, there := k.attachedStores()[9]; !there {
+		t.Error("the store that was told of before is not known")
+	}
+}
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -276,3 +276,25 @@
 		t.Errorf("known were %v", seen)
 	}
 }
+
+// TestFailedDisk: a keeper whose disk failed ends, and is a voter again when it starts on the disk as it was.
+func TestFailedDisk(t *testing.T) {
+	r := newRig(t, 3)
+	r.startAll()
+	r.untilConnected(0, 1, 2)
+	if a := r.putConfig(0, 3, 0, "a"); a.status != 200 {
+		t.Fatal(a)
+	}
+	run, disk := r.running[0], r.disks[0]
+	run.keeper.registers.submit(func() { disk.FailAt, disk.Fails = disk.Ops+1, 1<<30 })
+	r.untilCode(200, func() response { return r.putConfig(1, 5, 3, "b") })
+	if err := receive(t, run.done, "the end of the keeper"); !recordlog.ErrUnusable.Has(err) {
+		t.Fatal(err)
+	}
+	r.running[0] = nil
+	disk.FailAt = 0
+	r.start(0)
+	r.untilConnected(0, 1, 2)
+	r.kill(1)
+	r.untilCode(200, func() response { return r.putConfig(2, 8, 5, "c") })
+}
--- a/internal/control/keeper/golden_test.go
+++ b/internal/control/keeper/golden_test.go
@@ -358,8 +358,8 @@
 	far := &messageSink{make(chan *link.Message, 10)}
 	addr, served := serveLinks(t, far), serveLinks(t, calledKeeper{k})
 
-	dialled := make(chan struct{})
-	go func() { k.dialKeeper(addr); close(dialled) }()
+	dialed := make(chan struct{})
+	go func() { k.dialKeeper(addr); close(dialed) }()
 	m := receive(t, far.messages, "hello")
 	golden(t, "hello", append([]byte{byte(m.Kind)}, m.Body...))
 	decoded(t, readGolden(t, "hello")[1:], func(r *link.Reader) any {
@@ -367,7 +367,7 @@
 		return nil
 	})
 	m.Fail("enough")
-	<-dialled
+	<-dialed
 	for len(k.commands) > 0 {
 		(<-k.commands)()
 	}
