--- a/internal/deliverynode/fleet/config.go
+++ b/internal/deliverynode/fleet/config.go
@@ -1,7 +1,7 @@
-// Package fleet lets delivery nodes know of each other and talk. Its page is docs/fleet.md.
+// Package fleet is the membership of delivery nodes and the links between them. docs/fleet.md describes it.
 //
-// What decides is pure and stepped: Table (who is there), peer (what is on its way to one
-// other). Sockets, timers and memberlist stand around that. It imports internal/deliverynode/journal for
+// The decisions are made by types without clock, goroutine or socket: Table has the members, peer the messages on their
+// way to one other member. Fleet runs them over sockets, timers and memberlist. It imports internal/deliverynode/journal for
 // the seam of the file system alone.
 package fleet
 
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -1,6 +1,6 @@
-// Package fleettest has a fleet that is stepped: what nodes tell each other waits until the test
-// lets it through, loses it or lets it come twice, and each question meets the fate that the
-// test gives it. A part on top of internal/deliverynode/fleet can so be driven through every order.
+// Package fleettest is a simulated fleet for tests: the messages of its nodes wait until the test delivers, drops or
+// repeats them, and the test decides how each request ends. So a package on top of internal/deliverynode/fleet can be
+// driven through every order of events.
 package fleettest
 
 import (
--- a/internal/deliverynode/group/core.go
+++ b/internal/deliverynode/group/core.go
@@ -1,6 +1,5 @@
-// Package group lets several processes of one machine be one node: who is a member, who
-// coordinates, and which share of the node's limits each may use. docs/group.md says what
-// it guarantees.
+// Package group lets several processes of one machine act as one delivery node: it decides who is a member, who
+// coordinates, and which share of the node's limits each may use. docs/group.md says what it guarantees.
 package group
 
 import (
--- a/internal/deliverynode/lease/book.go
+++ b/internal/deliverynode/lease/book.go
@@ -1,8 +1,8 @@
 // Package lease grants leases on names to the nodes of a fleet: at any time at most one node may do the task of a name,
 // until its lease expires, under a fencing token that grows with each grant. docs/leases.md describes it.
 //
-// The decisions are made by types without clock, goroutine or socket: Book is the replicated state, Voter one member of
-// the raft group that replicates it, Asker the client of one node. Leases runs a Voter and an Asker over a fleet.Net.
+// The decisions are made by types without clock, goroutine or socket: StateMachine is the replicated state, Voter one member
+// of the raft group that replicates it, Client the client of one node. Leases runs a Voter and a Client over a fleet.Net.
 // The package uses internal/deliverynode/journal for its interface to the file system.
 package lease
 
--- a/internal/deliverynode/node/node.go
+++ b/internal/deliverynode/node/node.go
@@ -1,5 +1,5 @@
-// Package node is a delivery node: it takes messages from clients, lets the
-// decision module say what to do with them, and carries that out over sockets.
+// Package node is a delivery node: it accepts messages from clients, stores them in the journal, asks the decision module
+// (dunetide/policy) what to do with them, and carries that out over sockets. cmd/deliverynode runs it; docs/delivery-node.md describes it.
 package node
 
 import (
--- a/internal/deliverynode/outbox/outbox.go
+++ b/internal/deliverynode/outbox/outbox.go
@@ -1,5 +1,5 @@
-// Package outbox holds what one peer is still to be told: of each key the newest, in the order
-// in which the keys were first put, bounded in number and in bytes. Nobody waits for room.
+// Package outbox is the queue of messages to one peer: the newest of each key, in the order in which the keys were first
+// added, bounded in number and in bytes. Adding never blocks: what does not fit is dropped.
 package outbox
 
 import (
--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -1,5 +1,5 @@
-// Package agenda keeps what is to be done at which time. Of what is due at one time, what was
-// planned first is done first, on each run alike.
+// Package agenda is the queue of events of a simulation, ordered by time. Events that are due at the same time
+// run in the order in which they were planned, so each run of a seed is the same.
 package agenda
 
 import (
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -1,6 +1,6 @@
-// Package faults breaks the network between the nodes of a fleet: a Fault for each directed
-// pair says what becomes of a datagram and of a connection's bytes, a Pattern sets many at once.
-// Relays carries that out between real processes.
+// Package faults injects faults into the network between the nodes of a fleet: a Fault for each directed
+// pair says what becomes of a datagram and of a connection's bytes, a Pattern sets many at once. Relays and
+// Hub inject them between real processes, Memory in a network within one process.
 package faults
 
 import (
--- a/internal/lab/insim/insim.go
+++ b/internal/lab/insim/insim.go
@@ -1,5 +1,5 @@
-// Package insim plays a day in step: a policy.Sender for each node over the lab's world, in
-// simulated time, in one goroutine. The same day gives the same trace on any machine.
+// Package insim runs a simulation in one goroutine and in simulated time: a policy.Sender for each node over the lab's
+// world. A seed gives the same trace on any machine.
 package insim
 
 import (
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,5 +1,5 @@
-// Package live plays a day against real delivery nodes: the built program as real processes,
-// and the lab's world behind real sockets on the loopback.
+// Package live runs a scenario against real delivery nodes: processes of the built program, with the lab's world behind
+// sockets on the loopback.
 package live
 
 import (
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps a run: its trace, its figures, the rules that it broke, in a folder
-// of its own where one is wanted.
+// Package record stores a run: its trace, its figures and the rules that it broke, in a folder of its own if one
+// is asked for.
 package record
 
 import (
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules reads the trace of a run and tells which rules of the protocol it broke.
-// It knows nothing of how the run was made.
+// Package rules checks the trace of a run against the rules of the protocol. It depends on nothing of the program
+// that made the run.
 package rules
 
 import (
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,4 +1,5 @@
-// Package scenario reads what the lab plays: ranges from which each seed draws a day.
+// Package scenario reads the scenarios of the lab (scenarios/*.toml): ranges from which each seed draws the load and
+// the faults of a run.
 package scenario
 
 import (
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -1,4 +1,4 @@
-// Package soak plays a serving tier of real processes over real sockets under troubles that are drawn and overlap in time: processes
+// Package soak plays a serving tier of real processes over real sockets under random faults that overlap in time: processes
 // that are killed, frozen, stopped and restarted, machines that are cut off or lose their disks, reloads, clients and endpoints that
 // misbehave, operators that race. Clients, operators, readers of the configuration and the processes' own invariants are watched all
 // along. A seed gives the same plan again; docs/soak.md describes it.
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -1,6 +1,7 @@
 // Package hollow measures what control costs by size: real keepers and stores, with many hollow proxies
-// and endpoints that share the lab's process. A hollow proxy has a proxy's attachment to keepers, its
-// view and its place in membership, and no clients; a hollow endpoint only sends heartbeats.
+// and endpoints that share the lab's process. The term is that of Kubernetes' kubemark, whose hollow nodes
+// run the control side of a node without its work. A hollow proxy has a proxy's attachment to keepers, its
+// snapshot and its place in membership, and no clients; a hollow endpoint only sends heartbeats.
 package hollow
 
 import (
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -1,5 +1,5 @@
 // Package tier plays a small serving tier of real processes against the lab's endpoints, clients and
-// operator.
+// operator. `dunetide-lab tier` and tests of cmd/dunetide use it; docs/tier-lab.md describes it.
 package tier
 
 import (
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace is what a run of the lab leaves behind: one record for each thing that
-// was seen, in the order of time, as lines of JSON.
+// Package trace defines the trace of a run of the lab: one record for each event, in the order of time, as lines
+// of JSON. internal/lab/rules checks it, internal/lab/figures counts it.
 package trace
 
 import (
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -1,6 +1,6 @@
-// Package world is the lab's model of all that stands around delivery nodes: destinations
-// with their endpoints and limits, discovery, clients, and what goes wrong. It has no clock,
-// sockets or goroutines: whoever plays it says what time it is and carries out what it says.
+// Package world is the lab's model of the environment of delivery nodes: destinations with their endpoints and limits,
+// discovery, clients, and faults. It has no clock, socket or goroutine: internal/lab/insim steps it in simulated
+// time, internal/lab/live in real time.
 package world
 
 import (
