--- a/internal/batch/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -86,6 +86,7 @@
 }
 
 func newRig(t testing.TB, stores, need, held int, fileBytes int64) *rig {
+	t.Helper()
 	g := &rig{t: t, cut: make([]bool, stores), ended: make(chan struct{})}
 	for range stores {
 		g.dirs = append(g.dirs, t.TempDir())
--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -166,6 +166,7 @@
 
 // goldenBatch hands two runs by two versions of the certificates over, and the end of one.
 func goldenBatch(t *testing.T) (link.Kind, []byte) {
+	t.Helper()
 	c := &caught{}
 	r := NewRecorder(RecorderOptions{NodeName: goldenKey.proxy, Incarnation: goldenKey.incarnation, RequiredStores: 1, Now: func() time.Time { return goldenEnd },
 		Stores: func() []snapshot.Store { return []snapshot.Store{{Name: "s", Addr: "a"}} },
--- a/internal/batch/audit/report.go
+++ b/internal/batch/audit/report.go
@@ -28,8 +28,8 @@
 	Outcomes   [outcomeCount]int `json:"Outcomes"` // runs by Outcome
 }
 
-// nightOf returns the day on which the night begins that a moment is in.
-func nightOf(at time.Time) string { return at.UTC().Add(-12 * time.Hour).Format(time.DateOnly) }
+// reportDate returns the day on which the night, from noon to noon, begins that a moment is in.
+func reportDate(at time.Time) string { return at.UTC().Add(-12 * time.Hour).Format(time.DateOnly) }
 
 // rowSums gathers a row.
 type rowSums struct {
@@ -78,7 +78,7 @@
 	type key struct{ regime, date string }
 	sums := map[key]*rowSums{}
 	for _, run := range r.Runs {
-		k := key{run.Regime, nightOf(run.StartedAt)}
+		k := key{run.Regime, reportDate(run.StartedAt)}
 		if sums[k] == nil {
 			sums[k] = newRowSums(k.regime, k.date)
 		}
--- a/internal/batch/audit/room_test.go
+++ b/internal/batch/audit/room_test.go
@@ -15,6 +15,7 @@
 
 // handOver is a message with a run that has ended and the document that it names.
 func handOver(t *testing.T, number uint64) []byte {
+	t.Helper()
 	w := link.Writer{}
 	w.U32(1)
 	w.U64(1)
@@ -100,8 +101,8 @@
 	<-reached
 	s.Close() // or the test takes too long
 	select {
-	case <-answer:
-		t.Error("acknowledged before it was written")
+	case err := <-answer:
+		t.Errorf("answered before it was written: %v", err)
 	default:
 	}
 	close(release)
--- a/internal/control/certification/certification_test.go
+++ b/internal/control/certification/certification_test.go
@@ -14,6 +14,7 @@
 func TestDocument(t *testing.T) {
 	var s *Set
 	datadriven.RunTest(t, "testdata/document", func(t *testing.T, d *datadriven.TestData) string {
+		t.Helper()
 		arg := func(key string) string {
 			for _, a := range d.CmdArgs {
 				if a.Key == key && len(a.Vals) > 0 {
--- a/internal/platform/upstream/conn_test.go
+++ b/internal/platform/upstream/conn_test.go
@@ -104,6 +104,7 @@
 }
 
 func newPools(t *testing.T, change func(*Config)) *Pools {
+	t.Helper()
 	c := Config{Dial: dialTCP, Now: time.Now, Rand: func() float64 { return 0.5 }, Senders: 1, MaxOpen: 100,
 		MaxIdle: time.Minute, DialTimeout: patience}
 	if change != nil {
--- a/internal/platform/upstream/pools_test.go
+++ b/internal/platform/upstream/pools_test.go
@@ -55,6 +55,7 @@
 func (c *clock) tick(d time.Duration) { c.now = c.now.Add(d) }
 
 func farPools(t *testing.T, f *far, c *clock, change func(*Config)) *Pools {
+	t.Helper()
 	return newPools(t, func(cfg *Config) {
 		cfg.Dial, cfg.Now = f.dial, func() time.Time { return c.now }
 		if change != nil {
@@ -410,6 +411,7 @@
 }
 
 func newFleet(t *testing.T, senders, holds int) *fleet {
+	t.Helper()
 	f := &fleet{far: &far{holds: holds}, now: newClock(), rng: rand.New(rand.NewPCG(1, 2))}
 	f.pools, f.out, f.until, f.queue = make([]*Pools, senders), make([][]*Conn, senders), make([][]int, senders), make([][]int, senders)
 	for i := range f.pools {
@@ -419,6 +421,7 @@
 }
 
 func (f *fleet) restart(t *testing.T, i int) {
+	t.Helper()
 	if f.pools[i] != nil {
 		for _, c := range f.out[i] {
 			c.close()
