--- a/internal/consensus/paxos/cluster_test.go
+++ b/internal/consensus/paxos/cluster_test.go
@@ -339,7 +339,8 @@
 		m.register.Propose(m.clock, timeout, func(cur State) (State, error) {
 			c.observe(m.name, cur)
 			if cur.Slot < o.acknowledgedBefore {
-				simulation.Failf("operation %d started at slot %d or later, and was called with %d", o.id, o.acknowledgedBefore, cur.Slot)
+				simulation.Failf("operation %d started at slot %d or later, and was called with %d",
+					o.id, o.acknowledgedBefore, cur.Slot)
 			}
 			if change != nil {
 				next, err := change(cur.Clone())
@@ -376,7 +377,8 @@
 		o.result = "ok"
 		c.observe(m.name, s)
 		if s.Slot < o.acknowledgedBefore {
-			simulation.Failf("operation %d started at slot %d or later and is answered with %d", o.id, o.acknowledgedBefore, s.Slot)
+			simulation.Failf("operation %d started at slot %d or later and is answered with %d",
+				o.id, o.acknowledgedBefore, s.Slot)
 		}
 		at, there := c.slotOf[o.id]
 		switch {
--- a/internal/consensus/paxos/exploration_test.go
+++ b/internal/consensus/paxos/exploration_test.go
@@ -41,20 +41,28 @@
 }
 
 func (o *explorer) options(b *branch, i int, incarnation uint64) Options {
-	return Options{Name: "r", ID: o.voters[i].ID, ProposerID: uint64(10-i) + 100*incarnation, Rand: func() float64 { return float64(i) / 3 },
-		Save: func(p []byte) error { b.disks[i] = append(b.disks[i], p); return nil },
-		Send: func(to Voter, m []byte) {
-			if _, x, _ := decodeMessage(m); x.kind == messageProgress && x.slot < 2 {
+	return Options{
+		Name:       "r",
+		ID:         o.voters[i].ID,
+		ProposerID: uint64(10-i) + 100*incarnation,
+		Rand:       func() float64 { return float64(i) / 3 },
+		Save: func(record []byte) error {
+			b.disks[i] = append(b.disks[i], record)
+			return nil
+		},
+		Send: func(to Voter, msg []byte) {
+			if _, m, _ := decodeMessage(msg); m.kind == messageProgress && m.slot < 2 {
 				return // of slot 0: only noise here
 			}
-			b.inFlight = append(b.inFlight, packet{i, int(to.ID) - 1, m})
+			b.inFlight = append(b.inFlight, packet{i, int(to.ID) - 1, msg})
 		},
 		OnDecided: func(s State) {
 			if was, ok := b.decided[s.Slot]; ok && was != string(s.Value) {
 				simulation.Failf("slot %d is %q and %q", s.Slot, was, s.Value)
 			}
 			b.decided[s.Slot] = string(s.Value)
-		}}
+		},
+	}
 }
 
 func (o *explorer) propose(b *branch, i int) {
@@ -109,18 +117,20 @@
 	var h maphash.Hash
 	h.SetSeed(o.seed)
 	for _, r := range b.registers {
-		fmt.Fprint(&h, r.state, r.promised, r.acceptedNumber, r.acceptedState, r.phase, r.slot, r.number, r.acknowledged, r.rejected, r.highestAccepted, r.proposedState,
-			r.highestRound, r.retryAt, r.resendAt, r.lastOperation, r.storedBy, r.announceAt, len(r.learners), r.learnerSendAt)
+		fmt.Fprint(&h, r.state, r.promised, r.acceptedNumber, r.acceptedState,
+			r.phase, r.slot, r.number, r.acknowledged, r.rejected, r.highestAccepted, r.proposedState,
+			r.highestRound, r.retryAt, r.resendAt, r.lastOperation,
+			r.storedBy, r.announceAt, len(r.learners), r.learnerSendAt)
 		if r.current != nil {
 			fmt.Fprint(&h, r.current.proposed, r.current.proposal, r.current.attempts)
 		}
 	}
-	wire := make([]string, 0, len(b.inFlight))
+	inFlight := make([]string, 0, len(b.inFlight))
 	for _, p := range b.inFlight {
-		wire = append(wire, string(p.message)+string(rune('0'+p.from))+string(rune('0'+p.to)))
+		inFlight = append(inFlight, string(p.message)+string(rune('0'+p.from))+string(rune('0'+p.to)))
 	}
-	slices.Sort(wire)
-	fmt.Fprint(&h, b.now, b.results, b.faultsLeft, wire)
+	slices.Sort(inFlight)
+	fmt.Fprint(&h, b.now, b.results, b.faultsLeft, inFlight)
 	return h.Sum64()
 }
 
--- a/internal/consensus/paxos/invariants.go
+++ b/internal/consensus/paxos/invariants.go
@@ -8,8 +8,8 @@
 	"dunetide/internal/platform/invariant"
 )
 
-// oneValueASlot is agreement, on which all other guarantees of a register rest: all processes that learn a slot learn the
-// same State of it. The name is that of a metric.
+// oneValueASlot is agreement, on which all other guarantees of a register rest: all processes that learn a slot learn
+// the same State of it. The name is that of a metric.
 var oneValueASlot = invariant.New("register_has_one_value_a_slot")
 
 // checkSameValue compares a decided State of the newest known slot with the one that is known.
--- a/internal/consensus/paxos/invariants_test.go
+++ b/internal/consensus/paxos/invariants_test.go
@@ -13,7 +13,10 @@
 	for _, same := range []State{known, {Slot: 3, Voters: voters[:1], Value: []byte("older")}} {
 		r.learn(same)
 	}
-	for _, other := range []State{{Slot: 4, Voters: voters, Value: []byte("y")}, {Slot: 4, Voters: voters[:1], Value: []byte("x")}} {
+	for _, other := range []State{
+		{Slot: 4, Voters: voters, Value: []byte("y")},
+		{Slot: 4, Voters: voters[:1], Value: []byte("x")},
+	} {
 		invarianttest.Violates(t, "register_has_one_value_a_slot", func() { r.learn(other) })
 	}
 }
--- a/internal/consensus/paxos/storage_test.go
+++ b/internal/consensus/paxos/storage_test.go
@@ -17,13 +17,19 @@
 func newSingleVoter(t *testing.T, disk [][]byte) *singleVoter {
 	t.Helper()
 	s := &singleVoter{disk: disk}
-	r, err := New(Options{Name: "r", ID: 1, ProposerID: uint64(len(disk)) + 1, Send: func(Voter, []byte) {}, Save: func(b []byte) error {
-		if s.diskFull {
-			return ErrNotSaved.New("the disk is full")
-		}
-		s.disk = append(s.disk, bytes.Clone(b))
-		return nil
-	}}, disk)
+	r, err := New(Options{
+		Name:       "r",
+		ID:         1,
+		ProposerID: uint64(len(disk)) + 1,
+		Send:       func(Voter, []byte) {},
+		Save: func(record []byte) error {
+			if s.diskFull {
+				return ErrNotSaved.New("the disk is full")
+			}
+			s.disk = append(s.disk, bytes.Clone(record))
+			return nil
+		},
+	}, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +95,8 @@
 	}
 	s.receiveRequest(Voter{ID: 2}, message{kind: messagePrepare, slot: 3, number: ProposalNumber{9, 9}})
 	s.diskFull = false
-	if s.receiveRequest(Voter{ID: 2}, message{kind: messagePrepare, slot: 3, number: ProposalNumber{9, 9}}); len(s.disk) != saved {
+	s.receiveRequest(Voter{ID: 2}, message{kind: messagePrepare, slot: 3, number: ProposalNumber{9, 9}})
+	if len(s.disk) != saved {
 		t.Error("a vote before the State of the slot before is stored")
 	}
 	if due := s.NextTick(); due > s.now+saveRetryDelay {
--- a/internal/consensus/quorum/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -313,7 +313,8 @@
 			continue
 		}
 		if p.value == 0 && k.value < p.confirmedBefore {
-			simulation.Failf("%v: keeper %d pushes %d first, and %d was confirmed before", k.model.Now(), k.index, k.value, p.confirmedBefore)
+			simulation.Failf("%v: keeper %d pushes %d first, and %d was confirmed before",
+				k.model.Now(), k.index, k.value, p.confirmedBefore)
 		}
 		k.requireBacking("a push")
 		p.value = k.value
@@ -430,9 +431,13 @@
 		total.changed += m.changed
 		total.clockSteps += m.clockSteps
 	}
-	t.Logf("%d pushed, %d acknowledged, %d refused, %d confirmed, %d disks wiped, %d changes of voters, %d steps of wall clocks",
-		total.pushed, total.acknowledged, total.refused, total.confirmedCount, total.wiped, total.changed, total.clockSteps)
-	if min(total.pushed, total.acknowledged, total.refused, total.confirmedCount, total.wiped, total.changed, total.clockSteps) == 0 {
+	t.Logf("%d pushed, %d acknowledged, %d refused, %d confirmed, "+
+		"%d disks wiped, %d changes of voters, %d steps of wall clocks",
+		total.pushed, total.acknowledged, total.refused, total.confirmedCount,
+		total.wiped, total.changed, total.clockSteps)
+	fewest := min(total.pushed, total.acknowledged, total.refused, total.confirmedCount,
+		total.wiped, total.changed, total.clockSteps)
+	if fewest == 0 {
 		t.Error("the model does not play what it is there for")
 	}
 }
--- a/internal/consensus/quorum/quorum_test.go
+++ b/internal/consensus/quorum/quorum_test.go
@@ -8,95 +8,95 @@
 
 const ms = time.Millisecond
 
-// Each step is made at a moment in milliseconds; what must hold right after it stands beside it.
+// trackerStep is made at a moment in milliseconds; what must be so right after it stands beside it.
 type trackerStep struct {
-	at      time.Duration
-	do      func(t *Tracker, now time.Duration)
-	holds   bool
-	due     bool
-	nextAt  time.Duration // -1: none before an answer comes
-	heldFor time.Duration
+	at           time.Duration
+	do           func(t *Tracker, now time.Duration)
+	inContact    bool
+	due          bool
+	nextDeadline time.Duration // -1: none before the check ends
+	duration     time.Duration // of contact
 }
 
-func asked(t *Tracker, now time.Duration) { t.CheckStarted(now) }
+func checkStarted(t *Tracker, now time.Duration) { t.CheckStarted(now) }
 
-func answered(askedAt time.Duration, ok bool) func(*Tracker, time.Duration) {
-	return func(t *Tracker, now time.Duration) { t.CheckEnded(now, askedAt*ms, ok) }
+func checkEnded(startedAt time.Duration, ok bool) func(*Tracker, time.Duration) {
+	return func(t *Tracker, now time.Duration) { t.CheckEnded(now, startedAt*ms, ok) }
 }
 
-func confirmed(beganAt time.Duration) func(*Tracker, time.Duration) {
-	return func(t *Tracker, now time.Duration) { t.Confirmed(now, beganAt*ms) }
+func confirmed(startedAt time.Duration) func(*Tracker, time.Duration) {
+	return func(t *Tracker, now time.Duration) { t.Confirmed(now, startedAt*ms) }
 }
 
 func nothing(*Tracker, time.Duration) {}
 
 func TestTracker(t *testing.T) {
 	for name, steps := range map[string][]trackerStep{
-		"asks at once, then every AskEvery, and contact counts from the question": {
+		"checks at once, then every CheckInterval, and contact counts from the start of the check": {
 			{0, nothing, false, true, 0, 0},
-			{10, asked, false, false, -1, 0},
-			{30, answered(10, true), true, false, 1510, 0},
+			{10, checkStarted, false, false, -1, 0},
+			{30, checkEnded(10, true), true, false, 1510, 0},
 			{359, nothing, true, false, 1510, 329},
 			{360, nothing, true, true, 1510, 330},
-			{410, asked, true, false, 1510, 380},
+			{410, checkStarted, true, false, 1510, 380},
 			{1509, nothing, true, false, 1510, 1479},
 			{1510, nothing, false, false, -1, 0},
 		},
-		"a question that fails is asked again soon, and takes no contact away": {
-			{0, asked, false, false, -1, 0},
-			{10, answered(0, true), true, false, 1500, 0},
-			{400, asked, true, false, 1500, 390},
-			{1100, answered(400, false), true, false, 1500, 1090},
+		"a check that fails is repeated soon, and takes no contact away": {
+			{0, checkStarted, false, false, -1, 0},
+			{10, checkEnded(0, true), true, false, 1500, 0},
+			{400, checkStarted, true, false, 1500, 390},
+			{1100, checkEnded(400, false), true, false, 1500, 1090},
 			{1199, nothing, true, false, 1500, 1189},
 			{1200, nothing, true, true, 1500, 1190},
-			{1200, asked, true, false, 1500, 1190},
-			{1210, answered(1200, true), true, false, 2700, 1200},
+			{1200, checkStarted, true, false, 1500, 1190},
+			{1210, checkEnded(1200, true), true, false, 2700, 1200},
 			{2699, nothing, true, true, 2700, 2689},
 		},
-		"frozen between question and answer": {
-			{0, asked, false, false, -1, 0},
-			{20000, answered(0, true), false, true, 350, 0},
-			{20000, asked, false, false, -1, 0},
-			{20005, answered(20000, true), true, false, 21500, 0},
+		"frozen during a check": {
+			{0, checkStarted, false, false, -1, 0},
+			{20000, checkEnded(0, true), false, true, 350, 0},
+			{20000, checkStarted, false, false, -1, 0},
+			{20005, checkEnded(20000, true), true, false, 21500, 0},
 		},
 		"frozen with contact": {
-			{0, asked, false, false, -1, 0},
-			{1, answered(0, true), true, false, 1500, 0},
+			{0, checkStarted, false, false, -1, 0},
+			{1, checkEnded(0, true), true, false, 1500, 0},
 			{20000, nothing, false, true, 350, 0},
 		},
 		"an answer that comes after contact has ended begins it anew": {
-			{0, asked, false, false, -1, 0},
-			{1, answered(0, true), true, false, 1500, 0},
-			{400, asked, true, false, 1500, 399},
-			{1600, answered(400, true), true, true, 1900, 0},
+			{0, checkStarted, false, false, -1, 0},
+			{1, checkEnded(0, true), true, false, 1500, 0},
+			{400, checkStarted, true, false, 1500, 399},
+			{1600, checkEnded(400, true), true, true, 1900, 0},
 			{1700, nothing, true, true, 1900, 100},
 		},
 		"an answer that is too old is none": {
-			{0, asked, false, false, -1, 0},
-			{1500, answered(0, true), false, true, 350, 0},
+			{0, checkStarted, false, false, -1, 0},
+			{1500, checkEnded(0, true), false, true, 350, 0},
 		},
 		"other operations count from when they began, and never shorten contact": {
-			{0, asked, false, false, -1, 0},
+			{0, checkStarted, false, false, -1, 0},
 			{900, confirmed(100), true, false, 1600, 0},
 			{950, confirmed(50), true, false, 1600, 50},
 			{1000, confirmed(800), true, false, 2300, 100},
-			{1100, answered(0, false), true, false, 2300, 200},
+			{1100, checkEnded(0, false), true, false, 2300, 200},
 		},
 		"the clock never goes back": {
-			{0, asked, false, false, -1, 0},
-			{10, answered(0, true), true, false, 1500, 0},
+			{0, checkStarted, false, false, -1, 0},
+			{10, checkEnded(0, true), true, false, 1500, 0},
 			{1500, nothing, false, true, 350, 0},
 			{100, nothing, false, true, 350, 0},
-			{100, asked, false, false, -1, 0},
-			{100, answered(100, true), true, false, 1600, 0},
+			{100, checkStarted, false, false, -1, 0},
+			{100, checkEnded(100, true), true, false, 1600, 0},
 		},
-		"no majority for long: no contact, and it is asked again and again": {
-			{0, asked, false, false, -1, 0},
-			{700, answered(0, false), false, false, 800, 0},
-			{800, asked, false, false, -1, 0},
-			{1500, answered(800, false), false, false, 1600, 0},
-			{3000, asked, false, false, -1, 0},
-			{3700, answered(3000, false), false, false, 3800, 0},
+		"no majority for long: no contact, and check after check": {
+			{0, checkStarted, false, false, -1, 0},
+			{700, checkEnded(0, false), false, false, 800, 0},
+			{800, checkStarted, false, false, -1, 0},
+			{1500, checkEnded(800, false), false, false, 1600, 0},
+			{3000, checkStarted, false, false, -1, 0},
+			{3700, checkEnded(3000, false), false, false, 3800, 0},
 			{60000, nothing, false, true, 3800, 0},
 		},
 	} {
@@ -109,8 +109,10 @@
 				if !ok {
 					next = -ms
 				}
-				if holds, due := tracker.InContact(now), tracker.CheckDue(now); holds != s.holds || due != s.due || next != s.nextAt*ms || tracker.ContactDuration(now) != s.heldFor*ms {
-					t.Fatalf("step %d at %v: holds %v, due %v, next %v, held for %v", i+1, now, holds, due, next, tracker.ContactDuration(now))
+				inContact, due, duration := tracker.InContact(now), tracker.CheckDue(now), tracker.ContactDuration(now)
+				if inContact != s.inContact || due != s.due || next != s.nextDeadline*ms || duration != s.duration*ms {
+					t.Fatalf("step %d at %v: in contact %v, due %v, next %v, in contact for %v",
+						i+1, now, inContact, due, next, duration)
 				}
 			}
 		})
@@ -155,11 +157,11 @@
 	g.EndRead(true)
 	g.Detach("gone")
 	if g.MayPush(0, "a") {
-		t.Fatal("handed out without contact")
+		t.Fatal("pushed without contact")
 	}
 	g.Confirmed(0, 0)
 	if !g.MayPush(0, "a") || g.MayPush(0, "late") || g.MayPush(0, "stranger") {
-		t.Fatal("handed out to others than those who were there when the read began")
+		t.Fatal("pushed to others than those that were attached when the read began")
 	}
 	if !g.BeginRead(AttachReadInterval) {
 		t.Fatal("no read for who came late")
--- a/internal/consensus/reconfigure/cluster_test.go
+++ b/internal/consensus/reconfigure/cluster_test.go
@@ -394,7 +394,8 @@
 
 func (m *machine) mayGrant(holder uint64) bool {
 	state := m.state
-	return m.known && state.HasVoter(m.id) && state.HasVoter(holder) && (m.behindSince == 0 || m.cluster.Now()-m.behindSince < maxBehind)
+	upToDate := m.behindSince == 0 || m.cluster.Now()-m.behindSince < maxBehind
+	return m.known && state.HasVoter(m.id) && state.HasVoter(holder) && upToDate
 }
 
 // terminate is SIGTERM: the machine gives up its vote, where it can, and ends.
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -261,6 +261,7 @@
 		}
 	}
 	if connected != len(state.Voters) || connected != min(wanted, 9) {
-		simulation.Failf("%d of %d voters are connected, and %d machines are there: %v", connected, len(state.Voters), wanted, state.Voters)
+		simulation.Failf("%d of %d voters are connected, and %d machines are there: %v",
+			connected, len(state.Voters), wanted, state.Voters)
 	}
 }
--- a/internal/consensus/reconfigure/reason_test.go
+++ b/internal/consensus/reconfigure/reason_test.go
@@ -4,7 +4,14 @@
 
 // TestReasonWords pins the words that keepers log; whoever reads recorded logs looks for them.
 func TestReasonWords(t *testing.T) {
-	words := map[Reason]string{0: "none", ReasonMoved: "moved", ReasonDiskLost: "disk lost", ReasonLeaving: "leaving", ReasonUnresponsive: "given up", ReasonExpansion: "expansion"}
+	words := map[Reason]string{
+		0:                  "none",
+		ReasonMoved:        "moved",
+		ReasonDiskLost:     "disk lost",
+		ReasonLeaving:      "leaving",
+		ReasonUnresponsive: "given up",
+		ReasonExpansion:    "expansion",
+	}
 	for reason, want := range words {
 		if got := reason.String(); got != want {
 			t.Errorf("reason %d is %q, want %q", reason, got, want)
--- a/internal/consensus/reconfigure/situation.go
+++ b/internal/consensus/reconfigure/situation.go
@@ -74,8 +74,8 @@
 	return slices.ContainsFunc(s.Voters, func(v Voter) bool { return v.ID == id })
 }
 
-// quorumReachableWithout reports whether the reachable voters, without one and with some joiners, are a quorum of the new
-// voters.
+// quorumReachableWithout reports whether the reachable voters, without one and with some joiners, are a quorum of the
+// new voters.
 func (s Situation) quorumReachableWithout(id uint64, joiners int) bool {
 	reachable := joiners
 	for _, voter := range s.Voters {
--- a/internal/consensus/singleton/singleton_test.go
+++ b/internal/consensus/singleton/singleton_test.go
@@ -197,7 +197,8 @@
 	c := NewCandidate(func() float64 { return 0 })
 	_, round := c.Step(0, 3)
 	c.RecordGrant(1, round, "a")
-	if c.RecordRefusal(2, round, "a") || c.RecordRefusal(2, round+1, "b") || c.RecordRefusal(2, round, "b") || c.RecordRefusal(2, round, "b") {
+	if c.RecordRefusal(2, round, "a") || c.RecordRefusal(2, round+1, "b") ||
+		c.RecordRefusal(2, round, "b") || c.RecordRefusal(2, round, "b") {
 		t.Error("a round ended that can be granted")
 	}
 	if !c.RecordRefusal(3, round, "c") {
