--- a/internal/platform/link/resend/calls_test.go
+++ b/internal/platform/link/resend/calls_test.go
@@ -36,8 +36,8 @@
 // partsOfAnswer are how many bytes of an answer are read before its connection ends.
 var partsOfAnswer = []int{1, 20, 1000}
 
-// A part of an order is none. The whole one, sent again unchanged after a cut at any of its bytes or in its answer, is taken once: it gets 200
-// at each keeper, and another one under its number 412.
+// A part of an order is none. The whole one, sent again unchanged after a cut at any of its bytes or in its answer, is
+// taken once: it gets 200 at each keeper, and another one under its number 412.
 func TestOrderCutAtEachByte(t *testing.T) {
 	k := startKeepers(t)
 	version := 0
@@ -45,7 +45,7 @@
 		base := version
 		version++
 		body := configuration(version, "a")
-		text := layOut(http.MethodPut, "/config", fmt.Sprint(base), body)
+		text := requestText(http.MethodPut, "/config", fmt.Sprint(base), body)
 		cutAt := sent(len(text))
 		k.cutCall(version%keeperCount, text, cutAt, read, version%2 == 0)
 		if cutAt < len(text) && base > 0 {
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	length := len(layOut(http.MethodPut, "/config", "0", configuration(1, "a")))
+	length := len(requestText(http.MethodPut, "/config", "0", configuration(1, "a")))
 	for _, at := range cuts(length-1, 23) {
 		order(func(int) int { return at }, 0)
 	}
@@ -71,28 +71,28 @@
 	t.Logf("%d orders", version)
 }
 
-// A part of a heartbeat is none. The whole one counts once, by its call_count: sent again after a cut, also by another keeper, it is
-// acknowledged, and one that is late takes nothing back.
+// A part of a heartbeat is none. The whole one counts once, by its call_count: sent again after a cut, also by another
+// keeper, it is acknowledged, and one that is late takes nothing back.
 func TestHeartbeatCutAtEachByte(t *testing.T) {
 	k := startKeepers(t)
-	holder, _ := k.attach()
-	eventually(t, "the process is attached", func() bool { s := holder.Get(); return s != nil && s.EndpointsComplete })
-	beats := 0
-	beat := func(cutAt, read int) {
-		beats++
-		id := fmt.Sprint("i-", beats)
-		path, at := "/instances/"+id, beats%keeperCount
+	latest, _ := k.attach()
+	eventually(t, "the process is attached", func() bool { s := latest.Get(); return s != nil && s.EndpointsComplete })
+	count := 0
+	putAndRemove := func(cutAt, read int) {
+		count++
+		id := fmt.Sprint("i-", count)
+		path, at := "/instances/"+id, count%keeperCount
 		k.untilStatus(at, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1))
-		drain := layOut(http.MethodPut, path, "", heartbeat("draining", 2))
-		whole := cutAt < 0 || cutAt >= len(drain)
-		if whole {
+		drain := requestText(http.MethodPut, path, "", heartbeat("draining", 2))
+		complete := cutAt < 0 || cutAt >= len(drain)
+		if complete {
 			cutAt = len(drain)
 		}
-		k.cutCall(at, drain, cutAt, read, beats%2 == 0)
-		if !whole {
+		k.cutCall(at, drain, cutAt, read, count%2 == 0)
+		if !complete {
 			k.untilStatus(at, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1))
-			eventually(t, "it is known", func() bool { return stateOf(holder, "s", id) != snapshot.Removed })
-			if got := stateOf(holder, "s", id); got != snapshot.Ready {
+			eventually(t, "it is known", func() bool { return stateOf(latest, id) != snapshot.Removed })
+			if got := stateOf(latest, id); got != snapshot.Ready {
 				t.Fatalf("cut at %d: it is %v", cutAt, got)
 			}
 		}
@@ -102,51 +102,51 @@
 				k.untilStatus(i, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1)) // a late one
 			}
 		}
-		if got := stateOf(holder, "s", id); got != snapshot.Draining {
+		if got := stateOf(latest, id); got != snapshot.Draining {
 			t.Fatalf("cut at %d: acknowledged to drain, and it is %v", cutAt, got)
 		}
 		for i := range keeperCount {
 			k.untilStatus(i, http.StatusOK, http.MethodDelete, path, "", "")
 			k.untilStatus(i, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1)) // a late one
 		}
-		if got := stateOf(holder, "s", id); got != snapshot.Removed {
+		if got := stateOf(latest, id); got != snapshot.Removed {
 			t.Fatalf("acknowledged to be gone, and it is %v", got)
 		}
 	}
-	length := len(layOut(http.MethodPut, "/instances/i-1", "", heartbeat("draining", 2)))
+	length := len(requestText(http.MethodPut, "/instances/i-1", "", heartbeat("draining", 2)))
 	for _, at := range cuts(length-1, 23) {
-		beat(at, 0)
+		putAndRemove(at, 0)
 	}
 	for _, read := range append(partsOfAnswer, 0) {
-		beat(-1, read)
+		putAndRemove(-1, read)
 	}
-	t.Logf("%d endpoints", beats)
+	t.Logf("%d endpoints", count)
 }
 
-// Messages of the registers are sent again where a link between keepers breaks at any byte, from or to the keeper that takes an order:
-// the order is decided once, and each keeper tells the same.
+// Messages of the registers are sent again where a link between keepers breaks at any byte, from or to the keeper that
+// takes an order: the order is decided once, and each keeper tells the same.
 func TestRegisterMessagesOverBrokenLinks(t *testing.T) {
 	k := startKeepers(t)
 	version := 0
-	most, step := 1500, 131
+	length, step := 1500, 131
 	if everyByte() {
 		step = 7
 	}
 	for _, side := range []string{bytesFrom, bytesTo} {
-		for at := 0; at < most; at += step {
+		for at := 0; at < length; at += step {
 			base := version
 			version++
 			body := configuration(version, strings.Repeat("a", 1+version%7))
-			taker := version % keeperCount
-			k.relays.breakAfter(taker, side, at)
+			receiver := version % keeperCount
+			k.relays.breakAfter(receiver, side, at)
 			before := k.relays.brokenLinks()
-			k.untilStatus(taker, http.StatusOK, http.MethodPut, "/config", fmt.Sprint(base), body)
+			k.untilStatus(receiver, http.StatusOK, http.MethodPut, "/config", fmt.Sprint(base), body)
 			eventually(t, "a link breaks", func() bool { return k.relays.brokenLinks() > before })
 			for i := range keeperCount {
 				k.untilStatus(i, http.StatusOK, http.MethodPut, "/config", fmt.Sprint(base), body)
 				k.untilStatus(i, http.StatusPreconditionFailed, http.MethodPut, "/config", fmt.Sprint(base), configuration(version, "b"))
 				if got := k.untilStatus(i, http.StatusOK, http.MethodGet, "/config", "", ""); got.body != body {
-					t.Fatalf("%d bytes %s keeper %d: keeper %d has %s", at, side, taker, i, got.body)
+					t.Fatalf("%d bytes %s keeper %d: keeper %d has %s", at, side, receiver, i, got.body)
 				}
 			}
 		}
@@ -154,9 +154,10 @@
 	t.Logf("%d orders, %d links broken", version, k.relays.brokenLinks())
 }
 
-// follow follows the versions that an attached process holds, until it is stopped: they never go back.
-func follow(t *testing.T, holder *snapshot.Latest) (newest func() uint64, stop func()) {
-	var held atomic.Uint64
+// follow watches the versions that are in force at an attached process, until it is stopped: they never go back.
+func follow(t *testing.T, latest *snapshot.Latest) (newest func() uint64, stop func()) {
+	t.Helper()
+	var inForce atomic.Uint64
 	stopped, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -166,40 +167,40 @@
 				return
 			case <-time.After(time.Millisecond):
 			}
-			s := holder.Get()
+			s := latest.Get()
 			if s == nil || s.Config == nil {
 				continue
 			}
-			if before := held.Swap(s.Config.Version); before > s.Config.Version {
-				t.Errorf("version %d is held after %d", s.Config.Version, before)
+			if before := inForce.Swap(s.Config.Version); before > s.Config.Version {
+				t.Errorf("version %d is in force after %d", s.Config.Version, before)
 			}
 		}
 	}()
-	return held.Load, func() { close(stopped); <-ended }
+	return inForce.Load, func() { close(stopped); <-ended }
 }
 
-// A push that a broken link cuts at any byte comes whole over the next link; a process that attaches has each version soon, and goes back
-// to none.
+// A push that a broken link cuts at any byte comes whole over the next link; a process that attaches has each version
+// soon, and goes back to none.
 func TestPushOverABrokenLink(t *testing.T) {
 	k := startKeepers(t)
 	k.untilStatus(0, http.StatusOK, http.MethodPut, "/config", "0", configuration(1, "a"))
 	version := 1
-	most, step := 700, 47
+	length, step := 700, 47
 	if everyByte() {
 		step = 2
 	}
 	for _, side := range []string{bytesTo, bytesFrom} {
-		for at := 0; at < most; at += step {
+		for at := 0; at < length; at += step {
 			k.relays.breakAfter(attached, side, at)
-			holder, stopHolder := k.attach()
-			newest, stopFollowing := follow(t, holder)
+			latest, detach := k.attach()
+			newest, stopFollowing := follow(t, latest)
 			eventually(t, "the process is attached", func() bool { return newest() == uint64(version) })
 			base := version
 			version++
 			k.untilStatus(version%keeperCount, http.StatusOK, http.MethodPut, "/config", fmt.Sprint(base), configuration(version, "a"))
 			eventually(t, "the process has the version", func() bool { return newest() == uint64(version) })
 			stopFollowing()
-			stopHolder()
+			detach()
 		}
 	}
 	if k.relays.brokenLinks() < version/4 {
--- a/internal/platform/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -1,5 +1,5 @@
-// Package resend breaks the connections and links of real keepers at each byte, sends again what was under way, and checks that it
-// counts once. It has tests only.
+// Package resend breaks the connections and links of real keepers at each byte, sends again what was under way, and
+// checks that it counts once. It has tests only.
 package resend
 
 import (
@@ -12,7 +12,6 @@
 	"net"
 	"net/http"
 	"os"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -30,6 +29,8 @@
 	// patience is how long a test waits for what must come.
 	patience   = 30 * time.Second
 	keeperZone = "z"
+	// service is that of all endpoints.
+	service = "s"
 	// keeperCount is how many keepers there are; one of them may be lost.
 	keeperCount = 3
 	poll        = 10 * time.Millisecond
@@ -51,7 +52,7 @@
 func startKeepers(t *testing.T) *keepers {
 	t.Helper()
 	k := &keepers{t: t, network: fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(250))}
-	k.drawPorts()
+	k.pickPorts()
 	k.relays = newRelays(t)
 	for i := range keeperCount {
 		k.start(i)
@@ -70,8 +71,8 @@
 	return k
 }
 
-// drawPorts takes two ports that are free.
-func (k *keepers) drawPorts() {
+// pickPorts picks two free ports.
+func (k *keepers) pickPorts() {
 	for _, port := range []*int{&k.linkPort, &k.controlPort} {
 		listener, err := net.Listen("tcp4", k.ip(0)+":0")
 		if err != nil {
@@ -88,19 +89,27 @@
 
 func (k *keepers) start(i int) {
 	k.t.Helper()
-	s := &settings.Settings{NodeName: fmt.Sprint("k", i), IP: k.ip(i), Zone: keeperZone, ControlAddr: k.controlAddress(i), FirstInternalPort: k.linkPort,
-		LastInternalPort: k.linkPort + 15, FirstStart: true, HeartbeatInterval: 200 * time.Millisecond, SurviveMachines: 1}
+	s := &settings.Settings{
+		NodeName:          fmt.Sprint("k", i),
+		IP:                k.ip(i),
+		Zone:              keeperZone,
+		ControlAddr:       k.controlAddress(i),
+		FirstInternalPort: k.linkPort,
+		LastInternalPort:  k.linkPort + 15,
+		FirstStart:        true,
+		HeartbeatInterval: 200 * time.Millisecond,
+		SurviveMachines:   1,
+	}
 	for j := range keeperCount {
 		s.Seeds = append(s.Seeds, k.controlAddress(j))
 	}
-	one, err := keeper.New(keeper.Options{Settings: s, Folder: vfstest.New(), Log: hclog.NewNullLogger(), PushWait: patience, DialAddress: func(addr string) string {
-		for j := range keeperCount {
-			if addr == k.linkAddress(j) {
-				return k.relays.address(i, j, addr)
-			}
-		}
-		return addr
-	}})
+	one, err := keeper.New(keeper.Options{
+		Settings:    s,
+		Folder:      vfstest.New(),
+		Log:         hclog.NewNullLogger(),
+		PushWait:    patience,
+		DialAddress: func(addr string) string { return k.dialAddress(i, addr) },
+	})
 	if err != nil {
 		k.t.Fatal(err)
 	}
@@ -120,36 +129,62 @@
 	})
 }
 
+// dialAddress returns the address of the relay through which a keeper dials another one.
+func (k *keepers) dialAddress(from int, addr string) string {
+	for to := range keeperCount {
+		if addr == k.linkAddress(to) {
+			return k.relays.address(from, to, addr)
+		}
+	}
+	return addr
+}
+
 // attached is the number of the process that attaches, among the relays.
 const attached = keeperCount
 
-// attach attaches a process to keepers through relays, until it is stopped. What keepers tell it leads it past the relays later.
-func (k *keepers) attach() (holder *snapshot.Latest, stop func()) {
-	holder = &snapshot.Latest{}
+// attach attaches a process to keepers through relays, until it is stopped. The addresses that keepers push lead it
+// past the relays later.
+func (k *keepers) attach() (latest *snapshot.Latest, stop func()) {
+	latest = &snapshot.Latest{}
 	var seeds []string
 	for i := range keeperCount {
 		seeds = append(seeds, k.relays.address(attached, i, k.linkAddress(i)))
 	}
-	client := controlclient.New(controlclient.Options{Self: controlclient.Node{Name: "p", Role: controlclient.RoleProxy, Zone: keeperZone, Incarnation: uint64(time.Now().UnixNano())},
-		Seeds: seeds, WantEndpoints: true, Snapshots: holder, Log: hclog.NewNullLogger()})
+	client := controlclient.New(controlclient.Options{
+		Self: controlclient.Node{
+			Name:        "p",
+			Role:        controlclient.RoleProxy,
+			Zone:        keeperZone,
+			Incarnation: uint64(time.Now().UnixNano()),
+		},
+		Seeds:         seeds,
+		WantEndpoints: true,
+		Snapshots:     latest,
+		Log:           hclog.NewNullLogger(),
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { client.Run(ctx); close(ended) }()
 	stop = func() { cancel(); <-ended }
 	k.t.Cleanup(stop)
-	return holder, stop
+	return latest, stop
 }
 
-// stateOf is how an attached process sees an endpoint.
-func stateOf(holder *snapshot.Latest, service, id string) snapshot.State {
-	if s := holder.Get(); s != nil {
-		if i := slices.IndexFunc(s.Endpoints[service], func(e *snapshot.Endpoint) bool { return e.ID == id }); i >= 0 {
-			return s.Endpoints[service][i].State
+// stateOf returns the state of an endpoint in the newest snapshot of an attached process.
+func stateOf(latest *snapshot.Latest, id string) snapshot.State {
+	s := latest.Get()
+	if s == nil {
+		return snapshot.Removed
+	}
+	for _, e := range s.Endpoints[service] {
+		if e.ID == id {
+			return e.State
 		}
 	}
 	return snapshot.Removed
 }
 
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(poll) {
@@ -159,14 +194,14 @@
 	}
 }
 
-// answer is what a keeper said; status 0: nothing whole.
+// answer is the response of a keeper; status 0: it did not arrive complete.
 type answer struct {
 	status int
 	body   string
 }
 
-// layOut writes a call out.
-func layOut(method, path, match, body string) string {
+// requestText returns a request as it is on the wire.
+func requestText(method, path, match, body string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: keeper\r\nContent-Length: %d\r\nConnection: close\r\n", method, path, len(body))
 	if match != "" {
@@ -183,7 +218,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(patience))
-	if _, err := io.WriteString(conn, layOut(method, path, match, body)); err != nil {
+	if _, err := io.WriteString(conn, requestText(method, path, match, body)); err != nil {
 		return answer{}
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
