--- a/internal/control/controlclient/attach_test.go
+++ b/internal/control/controlclient/attach_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// The tries that follow a start come close together, and those that go on failing ever more seldom.
-func TestPausesBetweenAttaches(t *testing.T) {
+// The attempts that follow a start come close together, and those that go on failing ever more seldom.
+func TestPauseDoublesAfterQuickAttempts(t *testing.T) {
 	total := time.Duration(0)
-	for tries := 1; tries <= quickAttaches; tries++ {
-		total += pauseAfter(tries)
+	for attempts := 1; attempts <= quickAttaches; attempts++ {
+		total += pauseAfter(attempts)
 	}
 	if total != quickAttaches*attachPause {
-		t.Errorf("the first tries take %v", total)
+		t.Errorf("the first attempts take %v", total)
 	}
 	last := pauseAfter(quickAttaches)
-	for tries := quickAttaches + 1; tries < 40; tries++ {
-		pause := pauseAfter(tries)
+	for attempts := quickAttaches + 1; attempts < 40; attempts++ {
+		pause := pauseAfter(attempts)
 		if pause != min(2*last, maxAttachPause) {
-			t.Fatalf("%v after %d tries, %v before", pause, tries, last)
+			t.Fatalf("%v after %d attempts, %v before", pause, attempts, last)
 		}
 		last = pause
 	}
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -41,6 +41,7 @@
 
 // push plays a push: words of the command, and a line for each entry.
 func (p *player) push(t *testing.T, name string, words []datadriven.CmdArg, lines string) {
+	t.Helper()
 	u := &Update{InContact: true}
 	p.number++
 	u.Sequence = p.number
@@ -126,9 +127,9 @@
 	return b.String()
 }
 
-// TestClient has three commands, each with the name of a keeper: attach; push, with what is in it (whole, listed,
-// senders=, config=, table=, keepers=) and a line for each entry; detach. Each shows the snapshot.
-func TestClient(t *testing.T) {
+// TestClientScenarios has three commands, each with the name of a keeper: attach; push, with what is in it (whole,
+// listed, senders=, config=, table=, keepers=) and a line for each entry; detach. Each shows the snapshot.
+func TestClientScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/client", func(t *testing.T, path string) {
 		p := newPlayer()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -154,8 +155,8 @@
 	})
 }
 
-// What is remembered of drains is bounded, and the newest stay.
-func TestSaidIsBounded(t *testing.T) {
+// The draining and ended endpoints that are remembered are bounded, and the newest stay.
+func TestEndedEndpointsThatAreRememberedAreBounded(t *testing.T) {
 	p := newPlayer()
 	at := time.Now()
 	for i := range 3 * maxEnded {
@@ -171,8 +172,8 @@
 	}
 }
 
-// The places of attachment don't dial one keeper at the same time.
-func TestOnePlaceAnAddress(t *testing.T) {
+// The slots don't dial one keeper at the same time.
+func TestOneSlotPerAddress(t *testing.T) {
 	c := newPlayer().c
 	c.options.Seeds = []string{"a:1", "b:1"}
 	if !c.reserve("a:1") || c.reserve("a:1") {
@@ -187,13 +188,14 @@
 	}
 }
 
+// nobody ignores what it receives.
 type nobody struct{}
 
 func (nobody) Message(*link.Message) {}
 func (nobody) Closed(*link.Conn)     {}
 
-// A link that ended before it was adopted is not held, whenever its end is told.
-func TestEndedBeforeAdopted(t *testing.T) {
+// A link that ends before it is adopted, or meanwhile, does not stay a source.
+func TestLinkThatHasEndedIsNotAdopted(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -221,8 +223,8 @@
 	}
 }
 
-// A keeper that is cut off tells of itself alone. The others that it told of before are tried all the same, last.
-func TestFormerKeepersAreTriedLast(t *testing.T) {
+// A keeper that is cut off names itself alone. The others that it named before are tried all the same, last.
+func TestFormerKeepersAreCandidatesLast(t *testing.T) {
 	c := newPlayer().c
 	nodes := func(names ...string) (list []Node) {
 		for _, n := range names {
--- a/internal/control/controlclient/golden_test.go
+++ b/internal/control/controlclient/golden_test.go
@@ -3,11 +3,8 @@
 import (
 	"bytes"
 	"context"
-	"flag"
 	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
@@ -16,31 +13,15 @@
 
 	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
+	"dunetide/internal/lab/golden"
 	"dunetide/internal/platform/link"
 )
 
-var updateGolden = flag.Bool("update", false, "write testdata/golden anew; never to make a failing test pass")
-
-// checkGolden compares encoded bytes with those of a golden file, which it returns. With -update it writes the file first.
+// checkGolden compares encoded bytes with those of a golden file, which it returns.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".bin")
-	if *updateGolden {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, encoded, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(encoded, want) {
-		t.Errorf("%s: encoded as\n%x\nthe golden file has\n%x", name, encoded, want)
-	}
-	return want
+	golden.Compare(t, name+".bin", encoded)
+	return golden.Read(t, name+".bin")
 }
 
 // goldenMessage is a message with a value in each of its fields.
@@ -260,7 +241,7 @@
 	}
 	defer a.conn.Close()
 
-	push := Update{Sequence: 0x0c01, InContact: true, FullSync: true, EndpointsComplete: true, Proxies: 3, CertificatesVersion: 3, Certificates: text(t, 3)}
+	push := Update{Sequence: 0x0c01, InContact: true, FullSync: true, EndpointsComplete: true, Proxies: 3, CertificatesVersion: 3, Certificates: certificatesText(t, 3)}
 	body := push.Encode()
 	write("frame_push", append([]byte{0, 0, 0, byte(5 + len(body)), 2, 0, 0, 0, 0}, body...))
 	checkGolden(t, "frame_ack", readFrame(t, raw, 8))
--- a/internal/control/controlclient/invariants_test.go
+++ b/internal/control/controlclient/invariants_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/invariant/invarianttest"
 )
 
-func TestSnapshotsThatGoBackAreFound(t *testing.T) {
+func TestSnapshotsThatGoBackViolateInvariants(t *testing.T) {
 	endpoints := func(states ...snapshot.State) map[string][]*snapshot.Endpoint {
 		var list []*snapshot.Endpoint
 		for i, state := range states {
--- a/internal/control/controlclient/merge_test.go
+++ b/internal/control/controlclient/merge_test.go
@@ -1,8 +1,6 @@
 package controlclient
 
 import (
-	"context"
-	"net"
 	"reflect"
 	"sync"
 	"sync/atomic"
@@ -17,53 +15,13 @@
 	"dunetide/internal/platform/link"
 )
 
-// pushing is a keeper that says what the test has it say.
-// It takes one link, as a client wants another keeper for its second one.
-type pushing struct {
-	once  sync.Once
-	conns chan *link.Conn
-}
-
-func (p *pushing) Message(m *link.Message) {
-	if m.Kind != KindHello {
-		return
-	}
-	first := false
-	p.once.Do(func() {
-		first = true
-		var w link.Writer
-		Node{Name: "k", Role: RoleKeeper}.Append(&w)
-		w.Bool(true)
-		w.Bool(true)
-		m.Reply(w.Buf)
-		p.conns <- m.Conn
-	})
-	if !first {
-		m.Fail("one link is enough")
-	}
-}
-
-func (p *pushing) Closed(*link.Conn) {}
-
 // The list of endpoints is made anew only when it may have changed, and one that was shared never changes.
-func TestTheListIsKeptWhileOtherThingsChange(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	keeper := &pushing{conns: make(chan *link.Conn, 1)}
-	go func() { _ = link.Serve(l, keeper, link.DefaultOptions) }()
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
+func TestEndpointListIsSharedWhileOtherThingsChange(t *testing.T) {
+	keeper := startFakeKeeper(t)
 	seen := make(chan *snapshot.Snapshot, 64)
-	c := New(Options{Self: Node{Name: "p", Role: RoleProxy}, Seeds: []string{l.Addr().String()}, WantEndpoints: true, Snapshots: &snapshot.Latest{},
-		OnSnapshot: func(s *snapshot.Snapshot) { seen <- s }, Log: hclog.NewNullLogger()})
-	ended := make(chan struct{})
-	go func() { defer close(ended); c.Run(ctx) }()
-	defer func() { cancel(); <-ended }()
-	conn := <-keeper.conns
-	await := func(what string, is func(*snapshot.Snapshot) bool) *snapshot.Snapshot {
+	runClient(t, keeper, Options{WantEndpoints: true, OnSnapshot: func(s *snapshot.Snapshot) { seen <- s }})
+	conn := <-keeper.links
+	awaitSnapshot := func(what string, is func(*snapshot.Snapshot) bool) *snapshot.Snapshot {
 		t.Helper()
 		late := time.After(10 * time.Second)
 		for {
@@ -83,61 +41,77 @@
 		}
 	}
 	entry := func(id string, count uint64, state snapshot.State) registry.Entry {
-		return registry.Entry{Endpoint: snapshot.Endpoint{ID: id, Service: "s", Address: id + ":1", State: state, CallCount: count}, HeartbeatCount: count}
+		return registry.Entry{
+			Endpoint:       snapshot.Endpoint{ID: id, Service: "s", Address: id + ":1", State: state, CallCount: count},
+			HeartbeatCount: count,
+		}
 	}
 	same := func(a, b *snapshot.Snapshot) bool {
 		return reflect.ValueOf(a.Endpoints).Pointer() == reflect.ValueOf(b.Endpoints).Pointer()
 	}
 
-	push(Update{Sequence: 1, InContact: true, FullSync: true, EndpointsComplete: true, Proxies: 1, Entries: []registry.Entry{entry("a", 1, snapshot.Ready)}})
-	one := await("the first endpoint", func(s *snapshot.Snapshot) bool { return s.EndpointsComplete && len(s.Endpoints["s"]) == 1 })
+	push(Update{
+		Sequence: 1, InContact: true, FullSync: true, EndpointsComplete: true, Proxies: 1,
+		Entries: []registry.Entry{entry("a", 1, snapshot.Ready)},
+	})
+	one := awaitSnapshot("the first endpoint", func(s *snapshot.Snapshot) bool {
+		return s.EndpointsComplete && len(s.Endpoints["s"]) == 1
+	})
 	push(Update{Sequence: 2, InContact: true, EndpointsComplete: true, Proxies: 7})
-	two := await("seven senders", func(s *snapshot.Snapshot) bool { return s.Proxies == 7 })
+	two := awaitSnapshot("seven proxies", func(s *snapshot.Snapshot) bool { return s.Proxies == 7 })
 	if !two.EndpointsComplete || !same(one, two) {
 		t.Error("the list was made anew though nothing of it changed")
 	}
-	push(Update{Sequence: 3, InContact: true, EndpointsComplete: true, Entries: []registry.Entry{entry("b", 1, snapshot.Ready), entry("a", 2, snapshot.Draining)}})
-	three := await("two endpoints", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 2 })
+	push(Update{
+		Sequence: 3, InContact: true, EndpointsComplete: true,
+		Entries: []registry.Entry{entry("b", 1, snapshot.Ready), entry("a", 2, snapshot.Draining)},
+	})
+	three := awaitSnapshot("two endpoints", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 2 })
 	if three.Proxies != 7 || three.Endpoints["s"][0].State != snapshot.Draining {
-		t.Errorf("%d senders, %+v", three.Proxies, three.Endpoints["s"][0])
+		t.Errorf("%d proxies, %+v", three.Proxies, three.Endpoints["s"][0])
 	}
 	if len(two.Endpoints["s"]) != 1 || two.Endpoints["s"][0].State != snapshot.Ready {
 		t.Error("a shared list changed")
 	}
 	push(Update{Sequence: 4, InContact: true, EndpointsComplete: true, Entries: []registry.Entry{entry("a", 2, snapshot.Removed)}})
-	await("one endpoint left", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "b" })
+	awaitSnapshot("one endpoint left", func(s *snapshot.Snapshot) bool { return len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "b" })
 	// A keeper that listens anew takes nobody away: what it told stays whole.
 	push(Update{Sequence: 5, InContact: true, EndpointsComplete: false, Proxies: 9})
-	five := await("nine senders", func(s *snapshot.Snapshot) bool { return s.Proxies == 9 })
+	five := awaitSnapshot("nine proxies", func(s *snapshot.Snapshot) bool { return s.Proxies == 9 })
 	if !five.EndpointsComplete || len(five.Endpoints["s"]) != 1 || five.Endpoints["s"][0].ID != "b" {
 		t.Errorf("listed %v, %d endpoints after a keeper began to listen anew", five.EndpointsComplete, len(five.Endpoints["s"]))
 	}
 	push(Update{Sequence: 6, InContact: true, FullSync: true, EndpointsComplete: true, Entries: []registry.Entry{entry("c", 1, snapshot.Ready)}})
-	await("another whole list", func(s *snapshot.Snapshot) bool {
+	awaitSnapshot("another whole list", func(s *snapshot.Snapshot) bool {
 		return s.EndpointsComplete && len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "c"
 	})
 }
 
-// A configuration that two keepers push at once is read once.
-func TestAConfigurationIsReadOnce(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	c := New(Options{Self: Node{Name: "p", Role: RoleProxy}, Snapshots: &snapshot.Latest{}, Log: hclog.NewNullLogger()})
-	var read atomic.Int64
+// A configuration that two keepers push at once is parsed once.
+func TestConfigurationIsParsedOnce(t *testing.T) {
+	keeper := startFakeKeeper(t)
+	c := New(Options{
+		Self:      Node{Name: "p", Role: RoleProxy},
+		Snapshots: &snapshot.Latest{},
+		Log:       hclog.NewNullLogger(),
+	})
+	var parsed atomic.Int64
 	c.parseConfig = func([]byte) (*operatorconfig.Config, error) {
-		read.Add(1)
-		time.Sleep(100 * time.Millisecond) // the other push comes meanwhile
+		parsed.Add(1)
+		time.Sleep(100 * time.Millisecond) // the other push arrives meanwhile, and can't be seen to wait
 		return &operatorconfig.Config{Version: 3}, nil
 	}
-	keeper := &pushing{conns: make(chan *link.Conn, 1)}
-	go func() { _ = link.Serve(l, keeper, link.DefaultOptions) }()
-	u := Update{Sequence: 1, InContact: true, FullSync: true, EndpointsComplete: true, Config: []byte("{}"), ConfigVersion: 3}
+	u := Update{
+		Sequence:          1,
+		InContact:         true,
+		FullSync:          true,
+		EndpointsComplete: true,
+		Config:            []byte("{}"),
+		ConfigVersion:     3,
+	}
 	var wg sync.WaitGroup
 	for range 2 {
-		conn, err := link.Dial(t.Context(), l.Addr().String(), c, link.DefaultOptions)
+		conn, err := link.Dial(t.Context(), keeper.address, c, link.DefaultOptions)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -145,7 +119,7 @@
 		wg.Go(func() { c.Message(&link.Message{Conn: conn, Kind: KindUpdate, Body: u.Encode()}) })
 	}
 	wg.Wait()
-	if n := read.Load(); n != 1 || c.options.Snapshots.Get().Config.Version != 3 {
-		t.Errorf("it was read %d times", n)
+	if n := parsed.Load(); n != 1 || c.options.Snapshots.Get().Config.Version != 3 {
+		t.Errorf("it was parsed %d times", n)
 	}
 }
