--- a/internal/control/controlclient/golden_test.go
+++ b/internal/control/controlclient/golden_test.go
@@ -120,18 +120,21 @@
 	encodeNodes, decodeNodes := appended(func(nodes []Node, w *link.Writer) { AppendNodes(w, nodes) }, ReadNodes)
 	encodeTable, decodeTable := appended(func(table *snapshot.PartitionTable, w *link.Writer) { AppendTable(w, table) }, ReadTable)
 	encodeReport, decodeReport := appended(KeeperReport.Append, ReadKeeperReport)
-	encodeTrouble := func(trouble Condition) []byte { return trouble.Encode() }
+	encodeCondition := func(c Condition) []byte { return c.Encode() }
+	report := KeeperReport{InContact: true, DecidedSlots: []uint64{51, 52}, ConnectedVoters: []uint64{53, 54, 55}}
+	stopping := KeeperReport{Stopping: true, DecidedSlots: []uint64{56}}
+	condition := Condition{Node: goldenNode("p3", 3), Reason: "the disk is full", Relayed: true}
 	return []goldenMessage{
 		message("node", goldenNode("p1", 1), encodeNode, decodeNode),
 		message("nodes", []Node{goldenNode("p1", 1), goldenNode("p2", 2)}, encodeNodes, decodeNodes),
 		message("table", goldenTable(), encodeTable, decodeTable),
 		message("update", goldenUpdate(), (*Update).Encode, ReadUpdate),
 		message("update_number_only", &Update{Sequence: 22, InContact: true}, (*Update).Encode, ReadUpdate),
-		message("keeper_report", KeeperReport{InContact: true, DecidedSlots: []uint64{51, 52}, ConnectedVoters: []uint64{53, 54, 55}}, encodeReport, decodeReport),
-		message("keeper_report_leaving", KeeperReport{Stopping: true, DecidedSlots: []uint64{56}}, encodeReport, decodeReport),
+		message("keeper_report", report, encodeReport, decodeReport),
+		message("keeper_report_leaving", stopping, encodeReport, decodeReport),
 		message("part_joined", PartitionJoined{Partition: 61, Epoch: 62}, PartitionJoined.Encode, ReadPartitionJoined),
 		message("store_stopping", StoreStopping{Store: 71, Stopping: true}, StoreStopping.Encode, ReadStoreStopping),
-		message("trouble", Condition{Node: goldenNode("p3", 3), Reason: "the disk is full", Relayed: true}, encodeTrouble, ReadCondition),
+		message("trouble", condition, encodeCondition, ReadCondition),
 	}
 }
 
@@ -166,7 +169,8 @@
 // The numbers of the kinds of messages stay.
 func TestGoldenKinds(t *testing.T) {
 	kinds := map[link.Kind]link.Kind{
-		KindHello: 1, KindUpdate: 2, KindAck: 3, KindConsensus: 4, KindEndpoints: 5, KindLiveness: 6, KindAttached: 7, KindDecided: 8, KindPartitionJoined: 9, KindLease: 10, KindStatus: 11, KindEndpointsRequest: 12,
+		KindHello: 1, KindUpdate: 2, KindAck: 3, KindConsensus: 4, KindEndpoints: 5, KindLiveness: 6, KindAttached: 7,
+		KindDecided: 8, KindPartitionJoined: 9, KindLease: 10, KindStatus: 11, KindEndpointsRequest: 12,
 		KindConfirm: 13, KindInForce: 14, KindKeeperReport: 15, KindStoreStopping: 20, KindInContact: 21, KindCondition: 22,
 	}
 	if len(kinds) != 18 {
@@ -205,7 +209,13 @@
 	defer listener.Close()
 	self := goldenNode("p1", 1)
 	self.Role = RoleProxy
-	c := New(Options{Self: self, WantEndpoints: true, Snapshots: &snapshot.Latest{}, ConfirmInterval: time.Hour, Log: hclog.NewNullLogger()})
+	c := New(Options{
+		Self:            self,
+		WantEndpoints:   true,
+		Snapshots:       &snapshot.Latest{},
+		ConfirmInterval: time.Hour,
+		Log:             hclog.NewNullLogger(),
+	})
 	attached := make(chan *attachment, 1)
 	go func() { attached <- c.attach(t.Context(), listener.Addr().String(), true) }()
 	raw, err := listener.Accept()
@@ -241,7 +251,15 @@
 	}
 	defer a.conn.Close()
 
-	push := Update{Sequence: 0x0c01, InContact: true, FullSync: true, EndpointsComplete: true, Proxies: 3, CertificatesVersion: 3, Certificates: certificatesText(t, 3)}
+	push := Update{
+		Sequence:            0x0c01,
+		InContact:           true,
+		FullSync:            true,
+		EndpointsComplete:   true,
+		Proxies:             3,
+		CertificatesVersion: 3,
+		Certificates:        certificatesText(t, 3),
+	}
 	body := push.Encode()
 	write("frame_push", append([]byte{0, 0, 0, byte(5 + len(body)), 2, 0, 0, 0, 0}, body...))
 	checkGolden(t, "frame_ack", readFrame(t, raw, 8))
@@ -256,21 +274,21 @@
 }
 
 // What a process sends that can't do its work.
-func TestGoldenTroubleCall(t *testing.T) {
+func TestGoldenConditionCall(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	trouble := Condition{Node: goldenNode("p3", 3), Reason: "the disk is full"}
+	condition := Condition{Node: goldenNode("p3", 3), Reason: "the disk is full"}
 	reported := make(chan error, 1)
-	go func() { reported <- ReportCondition(t.Context(), listener.Addr().String(), trouble) }()
+	go func() { reported <- ReportCondition(t.Context(), listener.Addr().String(), condition) }()
 	raw, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	checkGolden(t, "frame_trouble_call", readFrame(t, raw, len(trouble.Encode())))
+	checkGolden(t, "frame_trouble_call", readFrame(t, raw, len(condition.Encode())))
 	if _, err := raw.Write([]byte{0, 0, 0, 5, 250, 0, 0, 0, 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/controlclient/invariants_test.go
+++ b/internal/control/controlclient/invariants_test.go
@@ -17,8 +17,12 @@
 		}
 		return map[string][]*snapshot.Endpoint{"s": list}
 	}
-	before := &snapshot.Snapshot{Config: &operatorconfig.Config{Version: 5}, Table: &snapshot.PartitionTable{Version: 7}, Certificates: &certification.Set{Document: certification.Document{Version: 2}},
-		Endpoints: endpoints(snapshot.Ready, snapshot.Draining)}
+	before := &snapshot.Snapshot{
+		Config:       &operatorconfig.Config{Version: 5},
+		Table:        &snapshot.PartitionTable{Version: 7},
+		Certificates: &certification.Set{Document: certification.Document{Version: 2}},
+		Endpoints:    endpoints(snapshot.Ready, snapshot.Draining),
+	}
 	after := func(change func(s *snapshot.Snapshot)) *snapshot.Snapshot {
 		s := *before
 		change(&s)
@@ -40,6 +44,7 @@
 		})
 	}
 	invarianttest.Violates(t, "drained_endpoints_never_become_ready", func() {
-		checkSuccessor(before, after(func(s *snapshot.Snapshot) { s.Endpoints = endpoints(snapshot.Ready, snapshot.Ready) }), true)
+		revived := after(func(s *snapshot.Snapshot) { s.Endpoints = endpoints(snapshot.Ready, snapshot.Ready) })
+		checkSuccessor(before, revived, true)
 	})
 }
--- a/internal/control/controlclient/messages_test.go
+++ b/internal/control/controlclient/messages_test.go
@@ -15,8 +15,15 @@
 func nodes() *rapid.Generator[Node] {
 	return rapid.Custom(func(t *rapid.T) Node {
 		text := rapid.StringN(0, 6, 12)
-		return Node{text.Draw(t, "name"), rapid.SampledFrom([]string{RoleProxy, RoleKeeper, RoleStore}).Draw(t, "role"), text.Draw(t, "zone"),
-			text.Draw(t, "addr"), text.Draw(t, "control"), rapid.Uint64().Draw(t, "id"), rapid.Uint64().Draw(t, "life")}
+		return Node{
+			Name:        text.Draw(t, "name"),
+			Role:        rapid.SampledFrom([]string{RoleProxy, RoleKeeper, RoleStore}).Draw(t, "role"),
+			Zone:        text.Draw(t, "zone"),
+			Addr:        text.Draw(t, "addr"),
+			ControlAddr: text.Draw(t, "control"),
+			ID:          rapid.Uint64().Draw(t, "id"),
+			Incarnation: rapid.Uint64().Draw(t, "incarnation"),
+		}
 	})
 }
 
@@ -32,11 +39,21 @@
 
 func tables() *rapid.Generator[*snapshot.PartitionTable] {
 	return rapid.Custom(func(t *rapid.T) *snapshot.PartitionTable {
-		v := &snapshot.PartitionTable{Version: rapid.Uint64().Draw(t, "number"), Stores: map[uint64]snapshot.Store{}, Retiring: map[uint64]bool{}, Stopping: map[uint64]bool{}}
-		for range rapid.IntRange(0, 4).Draw(t, "parts") {
+		v := &snapshot.PartitionTable{
+			Version:  rapid.Uint64().Draw(t, "version"),
+			Stores:   map[uint64]snapshot.Store{},
+			Retiring: map[uint64]bool{},
+			Stopping: map[uint64]bool{},
+		}
+		for range rapid.IntRange(0, 4).Draw(t, "partitions") {
 			g := idLists()
-			v.Partitions = append(v.Partitions, snapshot.Partition{Epoch: rapid.Uint64().Draw(t, "epoch"), Primary: rapid.Uint64().Draw(t, "primary"),
-				Replicas: g.Draw(t, "copies"), Joining: g.Draw(t, "joining"), Leaving: g.Draw(t, "leaving")})
+			v.Partitions = append(v.Partitions, snapshot.Partition{
+				Epoch:    rapid.Uint64().Draw(t, "epoch"),
+				Primary:  rapid.Uint64().Draw(t, "primary"),
+				Replicas: g.Draw(t, "replicas"),
+				Joining:  g.Draw(t, "joining"),
+				Leaving:  g.Draw(t, "leaving"),
+			})
 		}
 		for _, n := range rapid.SliceOfN(nodes(), 0, 4).Draw(t, "stores") {
 			v.Stores[n.ID] = snapshot.Store{ID: n.ID, Name: n.Name, Addr: n.Addr, Zone: n.Zone}
@@ -51,10 +68,38 @@
 	})
 }
 
+func entries() *rapid.Generator[registry.Entry] {
+	return rapid.Custom(func(t *rapid.T) registry.Entry {
+		e := registry.Entry{
+			Endpoint: snapshot.Endpoint{
+				ID:        rapid.StringMatching(`i-[a-f]{1,6}`).Draw(t, "id"),
+				Service:   rapid.StringN(0, 5, 9).Draw(t, "service"),
+				State:     snapshot.State(rapid.IntRange(0, 2).Draw(t, "state")),
+				Capacity:  rapid.IntRange(0, 99).Draw(t, "capacity"),
+				CallCount: rapid.Uint64().Draw(t, "count"),
+			},
+			TimedOut: rapid.Bool().Draw(t, "timed out"),
+			Age:      time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * time.Second,
+		}
+		for range rapid.IntRange(0, 2).Draw(t, "models") {
+			e.Models = append(e.Models, snapshot.Model{
+				Name:    rapid.StringN(0, 3, 9).Draw(t, "model"),
+				Version: rapid.IntRange(-1, 3).Draw(t, "version"),
+			})
+		}
+		return e
+	})
+}
+
 func updates() *rapid.Generator[*Update] {
 	return rapid.Custom(func(t *rapid.T) *Update {
-		u := &Update{Sequence: rapid.Uint64().Draw(t, "number"), FullSync: rapid.Bool().Draw(t, "whole"), InContact: rapid.Bool().Draw(t, "in contact"), EndpointsComplete: rapid.Bool().Draw(t, "listed"),
-			Proxies: rapid.IntRange(0, 9).Draw(t, "senders")}
+		u := &Update{
+			Sequence:          rapid.Uint64().Draw(t, "sequence"),
+			FullSync:          rapid.Bool().Draw(t, "full sync"),
+			InContact:         rapid.Bool().Draw(t, "in contact"),
+			EndpointsComplete: rapid.Bool().Draw(t, "endpoints complete"),
+			Proxies:           rapid.IntRange(0, 9).Draw(t, "proxies"),
+		}
 		if rapid.Bool().Draw(t, "has config") {
 			u.Config, u.ConfigVersion = rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "config"), rapid.Uint64().Draw(t, "version")
 		}
@@ -72,14 +117,7 @@
 			u.Keepers = rapid.SliceOfN(nodes(), 1, 3).Draw(t, "keepers")
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "entries") {
-			e := registry.Entry{Endpoint: snapshot.Endpoint{ID: rapid.StringMatching(`i-[a-f]{1,6}`).Draw(t, "id"), Service: rapid.StringN(0, 5, 9).Draw(t, "service"),
-				State: snapshot.State(rapid.IntRange(0, 2).Draw(t, "state")), Capacity: rapid.IntRange(0, 99).Draw(t, "capacity"),
-				CallCount: rapid.Uint64().Draw(t, "count")}, TimedOut: rapid.Bool().Draw(t, "silent"),
-				Age: time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * time.Second}
-			for range rapid.IntRange(0, 2).Draw(t, "models") {
-				e.Models = append(e.Models, snapshot.Model{Name: rapid.StringN(0, 3, 9).Draw(t, "model"), Version: rapid.IntRange(-1, 3).Draw(t, "version")})
-			}
-			u.Entries = append(u.Entries, e)
+			u.Entries = append(u.Entries, entries().Draw(t, "entry"))
 		}
 		return u
 	})
@@ -116,7 +154,13 @@
 }
 
 func FuzzReadUpdate(f *testing.F) {
-	f.Add((&Update{Sequence: 1, FullSync: true, Keepers: []Node{{Name: "a"}}, Table: &snapshot.PartitionTable{Version: 2, Partitions: make([]snapshot.Partition, 2)}}).Encode())
+	seed := &Update{
+		Sequence: 1,
+		FullSync: true,
+		Keepers:  []Node{{Name: "a"}},
+		Table:    &snapshot.PartitionTable{Version: 2, Partitions: make([]snapshot.Partition, 2)},
+	}
+	f.Add(seed.Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		u, err := ReadUpdate(b)
 		if err != nil {
