--- a/internal/batch/condition_test.go
+++ b/internal/batch/condition_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// waitCondition waits until the trouble of a store begins with something; empty: until there is none.
+// waitCondition waits until the condition of a store begins with a prefix; empty: until there is none.
 func waitCondition(t *testing.T, s *Store, prefix string) {
 	t.Helper()
 	pace := time.NewTicker(10 * time.Millisecond)
@@ -52,7 +52,7 @@
 	waitCondition(t, s, "")
 }
 
-// TestConditionOfAFullLog: a store that takes no jobs for want of room says so until it has room again.
+// TestConditionOfAFullLog: a store that accepts no jobs for want of space says so until it has space again.
 func TestConditionOfAFullLog(t *testing.T) {
 	s, err := NewStore(StoreOptions{Open: OpenIn(vfs.Dir(t.TempDir())), LogCapacityBytes: 1 << 20, Logf: t.Logf})
 	if err != nil {
--- a/internal/batch/diskfailure_test.go
+++ b/internal/batch/diskfailure_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFullDiskEndsTheStoreAndKeepsItsLog has a store whose disk takes no more: it ends with an
-// error that says so, and holds what it held once it is opened again.
+// TestFullDiskEndsTheStoreAndKeepsItsLog: a store whose disk is full ends with an error that says
+// so, and has what it had once it is opened again.
 func TestFullDiskEndsTheStoreAndKeepsItsLog(t *testing.T) {
 	folder := fullFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}}
 	options := StoreOptions{Open: OpenIn(folder), Logf: t.Logf}
@@ -131,8 +131,8 @@
 	return f.OpenFile.Write(b)
 }
 
-// TestStalledDiskDoesNotDelayTheEnd stops a store in the middle of a write: it ends at once, and
-// its log is in use until the write has returned.
+// TestStalledDiskDoesNotDelayTheEnd: a store that is closed in the middle of a write ends at once,
+// and its log is in use until the write has returned.
 func TestStalledDiskDoesNotDelayTheEnd(t *testing.T) {
 	folder := stalledFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
 	s, err := NewStore(StoreOptions{Open: OpenIn(folder), Logf: t.Logf})
--- a/internal/batch/dispatch_test.go
+++ b/internal/batch/dispatch_test.go
@@ -39,8 +39,8 @@
 	return assigned
 }
 
-// TestSteppedClockDoesNotReorderJobs: jobs of one route are handed out in the order in which they
-// came, also when the clock of the edge that took them was stepped between them.
+// TestSteppedClockDoesNotReorderJobs: jobs of one route are assigned in the order in which they
+// were submitted, also if the clock of the proxy was stepped in between.
 func TestSteppedClockDoesNotReorderJobs(t *testing.T) {
 	for _, step := range []int64{-hourMs, 0, hourMs} {
 		g := newStoreRig(4, 0, 0, 1)
@@ -60,7 +60,7 @@
 	}
 }
 
-// dueRunner takes note of when the items it is to run are due.
+// dueRunner is a Runner that passes on when items are due.
 type dueRunner chan time.Time
 
 func (r dueRunner) Run(_ context.Context, item *Item, _ string, _ func(string, []byte)) RunResult {
@@ -68,7 +68,7 @@
 	return RunResult{End: RunImpossible}
 }
 
-// workerDue is when an item that a worker is handed is due by the worker's word.
+// workerDue is when an item is due for the worker that it is assigned to.
 func workerDue(t *testing.T, body []byte) time.Time {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestWorkersUseTheRemainingTime: when an item is due is told as the time that is left, whatever
-// the time of day was said to be when its job came.
+// TestWorkersUseTheRemainingTime: a worker is told how long is left until an item is due, whatever
+// the time of day was when the job was submitted.
 func TestWorkersUseTheRemainingTime(t *testing.T) {
 	const dueMs, waitedMs = 600_000, 200_000
 	for _, step := range []int64{-hourMs, 0, hourMs} {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestAssignmentOfAnOlderVersionUsesTheTimeOfDay: a store of a version that does not tell the time
-// left tells the time of day.
+// TestAssignmentOfAnOlderVersionUsesTheTimeOfDay: a store of a version that does not send the
+// remaining time sends the time of day.
 func TestAssignmentOfAnOlderVersionUsesTheTimeOfDay(t *testing.T) {
 	due := time.Now().Add(time.Hour).Truncate(time.Millisecond)
 	message := assignMessage{item: itemKey{1, "job", 2}, epoch: 3, dueMs: due.UnixMilli(), maxAttempts: 4, route: "r", host: "h", itemID: "id",
@@ -136,8 +136,9 @@
 	}
 }
 
-// TestTransferredJobKeepsItsAge: a copy that is sent a job whole knows how old it is, also after a
-// restart; without its age, as from an older version, it counts from when it came.
+// TestTransferredJobKeepsItsAge: a replica that is sent a job whole knows its age, also after a
+// restart. Without the age, as from an older version, it counts from the moment at which the job
+// came.
 func TestTransferredJobKeepsItsAge(t *testing.T) {
 	donor := newCore(1, &simDisk{})
 	donor.nowMs = 1000
--- a/internal/batch/draining_test.go
+++ b/internal/batch/draining_test.go
@@ -15,82 +15,82 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// totalRuns counts how often items began, over all workers.
-func (w *simulation) totalRuns() (n int) {
-	for _, k := range w.workers {
-		n += k.runCount
+// totalRuns is how often items were started, at all workers.
+func (sim *simulation) totalRuns() (n int) {
+	for _, proxy := range sim.workers {
+		n += proxy.runCount
 	}
 	return n
 }
 
-// TestDrainingStoreTransfersItsPartitions: a store that is told to end gives the lead of its parts
-// to others within half a second, in which a job is not taken by it; what workers have in hand does
-// not run twice; it comes back as a copy, and the mark goes.
+// TestDrainingStoreTransfersItsPartitions: a store that is told to end transfers its partitions
+// within half a second, in which another store accepts the jobs that are submitted. The items of
+// workers do not run twice. The store comes back as a replica, and the mark in the table goes.
 func TestDrainingStoreTransfersItsPartitions(t *testing.T) {
 	for seed := range uint64(12) {
-		w := newSimulation(seed, 3+int(seed%3), 1, 6)
-		w.start()
+		sim := newSimulation(seed, 3+int(seed%3), 1, 6)
+		sim.start()
 		for i := range 3 {
-			w.addWorker(fmt.Sprint("p", i))
+			sim.addWorker(fmt.Sprint("p", i))
 		}
-		w.run(2000)
+		sim.run(2000)
 		var jobs []*clientJob
 		for i := range 6 {
-			j := w.newJob(fmt.Sprint("j", i), 5, 5, 5)
+			j := sim.newJob(fmt.Sprint("j", i), 5, 5, 5)
 			j.extraMs = 1500
-			w.submitUntilAccepted(j, 12)
+			sim.submitUntilAccepted(j, 12)
 			jobs = append(jobs, j)
 		}
-		w.run(700)
-		s := w.stores[int(seed)%len(w.stores)]
+		sim.run(700)
+		s := sim.stores[int(seed)%len(sim.stores)]
 		self := s.core.self
-		begin, ended := w.nowMs(), int64(0)
-		s.terminate(func() { ended = w.nowMs() })
-		late := w.newJob("late", 5)
-		w.submitUntilAccepted(late, 12)
-		w.run(2500)
+		begin, ended := sim.nowMs(), int64(0)
+		s.terminate(func() { ended = sim.nowMs() })
+		late := sim.newJob("late", 5)
+		sim.submitUntilAccepted(late, 12)
+		sim.run(2500)
 		switch {
 		case ended == 0 || ended-begin > 500:
 			t.Errorf("seed %d: %s ended after %d ms", seed, s.name, ended-begin)
-		case w.drainedStores != 1:
+		case sim.drainedStores != 1:
 			t.Errorf("seed %d: %s had not handed over", seed, s.name)
 		case !late.accepted || late.acceptedAt-begin > 1000:
 			t.Errorf("seed %d: a job was taken after %d ms (taken: %v)", seed, late.acceptedAt-begin, late.accepted)
-		case slices.ContainsFunc(w.table.Partitions, func(p snapshot.Partition) bool { return p.Primary == self }):
-			t.Errorf("seed %d: %s leads in the table: %v", seed, s.name, w.table.Partitions)
+		case slices.ContainsFunc(sim.table.Partitions, func(p snapshot.Partition) bool { return p.Primary == self }):
+			t.Errorf("seed %d: %s leads in the table: %v", seed, s.name, sim.table.Partitions)
 		}
-		w.run(3000)
-		if runs, items := w.totalRuns(), 3*len(jobs)+1; runs != items {
+		sim.run(3000)
+		if runs, items := sim.totalRuns(), 3*len(jobs)+1; runs != items {
 			t.Errorf("seed %d: %d runs of %d items", seed, runs, items)
 		}
 		s.start()
-		w.run(1500)
-		for no, row := range w.table.Partitions {
+		sim.run(1500)
+		for no, row := range sim.table.Partitions {
 			if p := s.core.partition(no); slices.Contains(row.Replicas, self) && (epochOfTerm(p.position.term) != row.Epoch || p.primary == nil && p.followedPrimary == nil) {
 				t.Errorf("seed %d: after 1.5 s it is no copy of part %d: claim %x, epoch %d", seed, no, p.position.term, row.Epoch)
 			}
 		}
-		w.run(6500)
-		if bad := w.findUnhealthy(); bad != "" {
+		sim.run(6500)
+		if bad := sim.findUnhealthy(); bad != "" {
 			t.Errorf("seed %d: after the return: %s", seed, bad)
 		}
-		if w.table.Stopping[self] {
+		if sim.table.Stopping[self] {
 			t.Errorf("seed %d: %s is still marked", seed, s.name)
 		}
-		w.healAndCheck(3000)
-		if !reportViolations(t, w, fmt.Sprint("seed ", seed)) {
+		sim.healAndCheck(3000)
+		if !reportViolations(t, sim, fmt.Sprint("seed ", seed)) {
 			return
 		}
 	}
 }
 
 // TestStoppingStoresAreNotMadePrimaries: the table gives a store that is about to stop nothing to
-// lead as long as another copy is there, and comes to rest also when all of them stop.
+// lead as long as another replica is there, and becomes stable also if all stores stop.
 func TestStoppingStoresAreNotMadePrimaries(t *testing.T) {
 	for _, f := range []int{1, 2} {
 		for n := f + 2; n <= f+4; n++ {
 			for stopping := 1; stopping <= n; stopping++ {
-				all := someStores(n, 3)
+				all := someStores(n)
 				cur, _ := AssignPartitions(nil, all, none, 8, f)
 				for id := 1; id <= stopping; id++ {
 					cur, _ = SetStopping(cur, uint64(id), true)
@@ -117,9 +117,10 @@
 	}
 }
 
-// TestRetiringPrimariesDoNotAlternate: where all copies of a part retire, its lead does not go back and forth.
+// TestRetiringPrimariesDoNotAlternate: if all replicas of a partition retire, the lead does not
+// move back and forth.
 func TestRetiringPrimariesDoNotAlternate(t *testing.T) {
-	all := someStores(4, 3)
+	all := someStores(4)
 	cur, _ := AssignPartitions(nil, all, none, 8, 2)
 	for id := range cur.Stores {
 		cur.Retiring[id] = true
@@ -127,8 +128,8 @@
 	assignUntilStable(t, cur, all, none, 2)
 }
 
-// TestStoppingStoreAcceptsNoNewJobs: a store that is about to stop refuses what is new to it, and
-// acknowledges again what it has.
+// TestStoppingStoreAcceptsNoNewJobs: a store that is about to stop refuses jobs that are new to it,
+// and acknowledges again those that it has.
 func TestStoppingStoreAcceptsNoNewJobs(t *testing.T) {
 	g := newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
@@ -143,9 +144,8 @@
 	}
 }
 
-// storeGroup is some real stores on loopback and a table that changes by what they announce.
+// storeGroup is a few real stores on loopback, and a table that follows what they announce.
 type storeGroup struct {
-	t      *testing.T
 	mu     sync.Mutex
 	table  *snapshot.PartitionTable
 	stores []*Store
@@ -169,11 +169,13 @@
 	}
 }
 
-// newStoreGroup starts three stores whose logs may have so many bytes; 0: any.
-func newStoreGroup(t *testing.T, room int64) *storeGroup {
-	g := &storeGroup{t: t}
+// newStoreGroup starts three stores whose logs may have so many bytes; 0: no limit.
+func newStoreGroup(t *testing.T, logCapacity int64) *storeGroup {
+	t.Helper()
+	g := &storeGroup{}
 	for i := range 3 {
-		s, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, LogCapacityBytes: room, Open: OpenIn(vfs.Dir(t.TempDir())),
+		s, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, LogCapacityBytes: logCapacity,
+			Open: OpenIn(vfs.Dir(t.TempDir())),
 			AnnounceStopping: func(store uint64, stopping bool) {
 				go g.change(func(cur *snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
 					return SetStopping(cur, store, stopping)
@@ -198,8 +200,8 @@
 	return g
 }
 
-// TestDrainOverRealLinks: a real store has handed its parts over when HandOver returns; where
-// nobody changes the table, it returns when its time is over, with the error that says so.
+// TestDrainOverRealLinks: a real store leads nothing when Drain returns. If nobody changes the
+// table, Drain returns the error of its context.
 func TestDrainOverRealLinks(t *testing.T) {
 	g := newStoreGroup(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -200,7 +200,7 @@
 }
 
 // TestStoreDoesNotStartOnADamagedLog: a store does not start on a log with a flipped byte in what
-// was synced; a torn tail is cut off, and what was synced is there.
+// was synced. A torn tail is cut off, and what was synced is there.
 func TestStoreDoesNotStartOnADamagedLog(t *testing.T) {
 	build := func() *vfstest.Disk {
 		d := vfstest.New()
--- a/internal/batch/linkbreaks_test.go
+++ b/internal/batch/linkbreaks_test.go
@@ -26,7 +26,7 @@
 
 func (k breakKind) String() string { return [...]string{"before", "after", "after, and repeated"}[k] }
 
-// linkBreaker ends one link of a world at one of its messages.
+// linkBreaker breaks one link of a simulation at one of its messages.
 type linkBreaker struct {
 	simulation *simulation
 	kind       breakKind
@@ -46,11 +46,11 @@
 	body     []byte
 }
 
-func newLinkBreaker(w *simulation, kind breakKind, at int) *linkBreaker {
-	return &linkBreaker{simulation: w, kind: kind, breakAt: at, known: map[*simPipe]bool{}}
+func newLinkBreaker(sim *simulation, kind breakKind, at int) *linkBreaker {
+	return &linkBreaker{simulation: sim, kind: kind, breakAt: at, known: map[*simPipe]bool{}}
 }
 
-// watch stands in the way of all messages of links that are new.
+// watch intercepts the messages of links that are new.
 func (b *linkBreaker) watch() {
 	for _, p := range b.simulation.connections {
 		if b.known[p] {
@@ -66,7 +66,7 @@
 }
 
 func (b *linkBreaker) message(deliver func(*simPipe, Caller, link.Kind, []byte), side *simPipe, m Caller, kind link.Kind, body []byte) {
-	if b.simulation.beforeStep == nil { // the life is over: what follows is the account of it
+	if b.simulation.beforeStep == nil { // the scenario is over: the rest checks it
 		deliver(side, m, kind, body)
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// repeat delivers the message at which the former link of two broke once more.
+// repeat delivers the message at which a link broke once more, over the next link between the two.
 func (b *linkBreaker) repeat(side *simPipe, deliver func(*simPipe, Caller, link.Kind, []byte)) {
 	again := b.broken
 	if again == nil || side.from != again.to || side.to != again.from || !sentAgain(again.kind) {
@@ -97,7 +97,7 @@
 			return
 		}
 		b.repeats++
-		var nobody Caller // who asked has its answer, or has given up
+		var nobody Caller // the caller has its answer, or waits no more
 		if again.call {
 			nobody = callerFunc(func([]byte) {})
 		}
@@ -109,17 +109,17 @@
 // not: it would run again.
 func sentAgain(kind link.Kind) bool { return kind != kindAssignItem }
 
-// playBroken plays the life of a few jobs, one link of which breaks.
+// playBroken plays the scenario with a link that breaks.
 func playBroken(kind breakKind, at int) (*simulation, *linkBreaker) {
-	w := newSimulation(uint64(at), 3+at%2, 1, 4)
-	b := newLinkBreaker(w, kind, at)
-	playScenario(w, b.watch)
-	return w, b
+	sim := newSimulation(uint64(at), 3+at%2, 1, 4)
+	b := newLinkBreaker(sim, kind, at)
+	playScenario(sim, b.watch)
+	return sim, b
 }
 
-// TestLinkBreaksAtEachMessage breaks the links between stores, and between stores and proxies, at
-// each message of a life of jobs: before it, behind it, and so that it comes again over the next
-// link. No promise is broken: no job, result, end or grant counts twice.
+// TestLinkBreaksAtEachMessage: the links between stores, and between stores and proxies, break at
+// each message of the scenario: before it, behind it, and so that it comes again over the next
+// link. No guarantee is broken: no job, result, end or grant counts twice.
 func TestLinkBreaksAtEachMessage(t *testing.T) {
 	step := repeatSteps
 	if os.Getenv("BATCH_REPEATS") != "" {
@@ -129,15 +129,15 @@
 	lives, repeats, hits := 0, 0, map[link.Kind]int{}
 	for at := 1; at <= counted.seen; at += step {
 		for _, kind := range []breakKind{breakBefore, breakAfter, breakAndRepeat} {
-			w, b := playBroken(kind, at)
+			sim, b := playBroken(kind, at)
 			lives++
 			repeats += b.repeats
 			hits[b.hit]++
-			if !reportViolations(t, w, fmt.Sprintf("%v message %d, of kind %d", kind, at, b.hit)) {
+			if !reportViolations(t, sim, fmt.Sprintf("%v message %d, of kind %d", kind, at, b.hit)) {
 				return
 			}
-			if w.resultsRead < 7 {
-				t.Fatalf("%v message %d: only %d results", kind, at, w.resultsRead)
+			if sim.resultsRead < 7 {
+				t.Fatalf("%v message %d: only %d results", kind, at, sim.resultsRead)
 			}
 		}
 	}
--- a/internal/batch/mutants_test.go
+++ b/internal/batch/mutants_test.go
@@ -117,7 +117,7 @@
 		Name: "a retirement is finished while the store has replicas",
 		File: "retirement.go",
 		Old:  "if slices.Contains(row.Replicas, id) || slices.Contains(row.Joining, id) || len(row.Replicas) < f+1 {",
-		New:  "if len(row.Replicas) < f+1 {",
+		New:  "if slices.Contains([]uint64(nil), id) || len(row.Replicas) < f+1 {",
 	},
 	{
 		Name: "a group is switched before it is up to date",
--- a/internal/batch/placement_test.go
+++ b/internal/batch/placement_test.go
@@ -8,9 +8,10 @@
 	"dunetide/internal/control/snapshot"
 )
 
-func someStores(n, zones int) (all []snapshot.Store) {
+// someStores are n stores in three zones.
+func someStores(n int) (all []snapshot.Store) {
 	for i := range n {
-		all = append(all, snapshot.Store{ID: uint64(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%zones)})
+		all = append(all, snapshot.Store{ID: uint64(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3)})
 	}
 	return all
 }
@@ -20,7 +21,7 @@
 func TestFirstTableSpreadsReplicasOverZones(t *testing.T) {
 	for _, f := range []int{0, 1, 2} {
 		for n := 1; n <= 8; n++ {
-			next, ok := AssignPartitions(nil, someStores(n, 3), none, 16, f)
+			next, ok := AssignPartitions(nil, someStores(n), none, 16, f)
 			if n < f+1 {
 				if ok {
 					t.Fatalf("f %d, %d stores: a table", f, n)
@@ -47,20 +48,20 @@
 					t.Errorf("f %d, %d stores: %d leads %d parts of 16", f, n, id, lead[id])
 				}
 			}
-			if again, changed := AssignPartitions(next, someStores(n, 3), none, 16, f); changed && again.Version > next.Version+1 {
+			if again, changed := AssignPartitions(next, someStores(n), none, 16, f); changed && again.Version > next.Version+1 {
 				t.Errorf("f %d, %d stores: changes in a calm time", f, n)
 			}
 		}
 	}
 }
 
-// TestAssignmentsBecomeStable: whatever is lost, the tables that follow come to rest, and no step
-// takes more from a group than is safe.
+// TestAssignmentsBecomeStable: whatever is lost, the tables that follow become stable, and no step
+// removes more replicas from a group than is safe.
 func TestAssignmentsBecomeStable(t *testing.T) {
 	for _, f := range []int{1, 2} {
 		for n := f + 2; n <= 7; n++ {
 			for away := range n {
-				all := someStores(n, 3)
+				all := someStores(n)
 				cur, _ := AssignPartitions(nil, all, none, 8, f)
 				cur = assignUntilStable(t, cur, all, none, f)
 				lost := func(id uint64) bool { return id == uint64(away+1) }
@@ -74,7 +75,7 @@
 						t.Fatalf("f %d, %d stores: part %d still counts on the lost one: %v", f, n, no, row)
 					}
 				}
-				// The same machine comes with an empty disk.
+				// The same machine comes back with an empty disk.
 				back := append(slices.Clone(rest), snapshot.Store{ID: 100, Name: all[away].Name, Addr: all[away].Addr, Zone: all[away].Zone})
 				end = assignUntilStable(t, end, back, lost, f)
 				for no, row := range end.Partitions {
--- a/internal/batch/proxy_test.go
+++ b/internal/batch/proxy_test.go
@@ -16,7 +16,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// echo is a runner whose text is the item's body, an event a byte.
+// echo is a Runner whose text is the body of the item, an event for each byte.
 type echo struct{ breakAt int }
 
 func (e *echo) Run(_ context.Context, it *Item, last string, event func(string, []byte)) RunResult {
@@ -40,7 +40,8 @@
 	return &operatorconfig.Config{Version: 1, Routes: []operatorconfig.Route{{Name: "b", Host: "h.example", PathPrefix: "/b/", Kind: operatorconfig.Bulk, DueMs: 5000, MaxAttempts: 2, MaxWaitMs: 60000, MaxQueuedTokens: most}}}
 }
 
-// TestJobsAreRunAndReadOverRealLinks hands in a job, runs it and reads it over real connections.
+// TestJobsAreRunAndReadOverRealLinks: a job is submitted, run and read over real connections, also
+// after a takeover.
 func TestJobsAreRunAndReadOverRealLinks(t *testing.T) {
 	var stores []*Store
 	var all []snapshot.Store
@@ -170,7 +171,7 @@
 	}
 }
 
-// script is a runner that plays runs in order.
+// script is a Runner that plays runs in order.
 type script struct {
 	mu   sync.Mutex
 	runs []func(last string, event func(string, []byte)) RunResult
@@ -187,7 +188,8 @@
 	return run(last, event)
 }
 
-// TestWorkerRetriesItemsByTheEndOfTheirRuns: breaks, wrong joins, failures and what can never be done.
+// TestWorkerRetriesItemsByTheEndOfTheirRuns: runs that are interrupted, whose events do not join,
+// that fail, or that can never succeed.
 func TestWorkerRetriesItemsByTheEndOfTheirRuns(t *testing.T) {
 	play := func(end RunEnd, ids ...string) func(string, func(string, []byte)) RunResult {
 		return func(last string, event func(string, []byte)) RunResult {
--- a/internal/batch/retirement_test.go
+++ b/internal/batch/retirement_test.go
@@ -7,53 +7,53 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// submitSteadily hands jobs in until a time.
-func (w *simulation) submitSteadily(until int64) {
-	n := len(w.jobIDs) + 1
-	if w.nowMs() > until {
+// submitSteadily submits jobs until a time.
+func (sim *simulation) submitSteadily(until int64) {
+	n := len(sim.jobIDs) + 1
+	if sim.nowMs() > until {
 		return
 	}
-	j := w.newJob(fmt.Sprint("j", n), 3, 3)
-	w.submitUntilAccepted(j, 12)
-	w.readRepeatedly(j, w.nowMs()+1500)
-	w.after(40+w.rng.Float64()*80, func() { w.submitSteadily(until) })
+	j := sim.newJob(fmt.Sprint("j", n), 3, 3)
+	sim.submitUntilAccepted(j, 12)
+	sim.readRepeatedly(j, sim.nowMs()+1500)
+	sim.after(40+sim.rng.Float64()*80, func() { sim.submitSteadily(until) })
 }
 
-// whenRetired waits until a store is finished, and calls then in that moment.
-func (w *simulation) whenRetired(name string, then func()) {
-	if _, finished := RetirementState(w.table, name, w.maxLost); finished {
+// whenRetired calls in the moment in which the retirement of a store is finished.
+func (sim *simulation) whenRetired(name string, then func()) {
+	if _, finished := RetirementState(sim.table, name, sim.maxLost); finished {
 		then()
 		return
 	}
-	w.after(5, func() { w.whenRetired(name, then) })
+	sim.after(5, func() { sim.whenRetired(name, then) })
 }
 
-// startRetiring asks for a store to be emptied.
-func (w *simulation) startRetiring(t *testing.T, name string) {
+// startRetiring orders the retirement of a store.
+func (sim *simulation) startRetiring(t *testing.T, name string) {
 	t.Helper()
-	next, known, few := RetireStore(w.table, name, w.aliveStores(), func(id uint64) bool { return w.nowMs()-w.lastHeard[id] > 1000 }, w.maxLost)
+	next, known, few := RetireStore(sim.table, name, sim.aliveStores(), sim.isLost, sim.maxLost)
 	if !known || few {
 		t.Fatalf("%s: known %v, too few %v", name, known, few)
 	}
-	w.publish(next)
+	sim.publish(next)
 }
 
 // TestRetirementSurvivesLossesAtItsEnd: a store retires while another one lags behind or is away
-// for a while; in the moment that it is finished it goes with its disk, and yet another one loses
-// its disk. Each order is played for four stores, and a third of them for five.
+// for a while. In the moment in which the retirement is finished the store is removed, and yet
+// another one loses its disk. Each order is played for four stores, and a third of them for five.
 func TestRetirementSurvivesLossesAtItsEnd(t *testing.T) {
 	type trouble struct {
 		name string
-		do   func(w *simulation, o *simStore) (end func())
+		do   func(sim *simulation, o *simStore) (end func())
 	}
 	troubles := []trouble{
 		{"none", func(*simulation, *simStore) func() { return func() {} }},
-		{"slow", func(w *simulation, o *simStore) func() {
-			w.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
-			return func() { w.slowLinks = nil }
+		{"slow", func(sim *simulation, o *simStore) func() {
+			sim.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
+			return func() { sim.slowLinks = nil }
 		}},
-		{"terminated and back", func(w *simulation, o *simStore) func() {
-			o.terminate(func() { w.after(600, o.start) })
+		{"terminated and back", func(sim *simulation, o *simStore) func() {
+			o.terminate(func() { sim.after(600, o.start) })
 			return func() {}
 		}},
 	}
@@ -68,35 +68,35 @@
 						if n > 4 && (retiring+other+victim)%3 != 0 || testing.Short() && (retiring+other+victim)%2 != 0 {
 							continue
 						}
-						w := newSimulation(uint64(n*1000+retiring*100+other*10+victim), n, 1, 4)
-						w.start()
+						sim := newSimulation(uint64(n*1000+retiring*100+other*10+victim), n, 1, 4)
+						sim.start()
 						for i := range 2 {
-							w.addWorker(fmt.Sprint("p", i))
+							sim.addWorker(fmt.Sprint("p", i))
 						}
-						w.run(600)
-						w.maxQueuedTokens = 10_000
-						w.submitSteadily(w.nowMs() + 3000)
-						w.run(500)
-						s, o, v := w.stores[retiring], w.stores[other], w.stores[victim]
-						end := tr.do(w, o)
+						sim.run(600)
+						sim.maxQueuedTokens = 10_000
+						sim.submitSteadily(sim.nowMs() + 3000)
+						sim.run(500)
+						s, o, v := sim.stores[retiring], sim.stores[other], sim.stores[victim]
+						end := tr.do(sim, o)
 						done := false
-						w.run(30)
-						w.startRetiring(t, s.name)
-						w.whenRetired(s.name, func() {
+						sim.run(30)
+						sim.startRetiring(t, s.name)
+						sim.whenRetired(s.name, func() {
 							done = true
 							s.loseDisk()
 							s.removed = true
 							v.loseDisk()
-							w.after(300, func() { end(); v.start() })
+							sim.after(300, func() { end(); v.start() })
 						})
-						w.run(9000)
+						sim.run(9000)
 						end()
 						what := fmt.Sprintf("%d stores, %d retires, %d %s, %d wiped", n, retiring, other, tr.name, victim)
 						if !done {
-							t.Fatalf("%s: not finished: %v", what, w.table.Partitions)
+							t.Fatalf("%s: not finished: %v", what, sim.table.Partitions)
 						}
-						w.healAndCheck(5000)
-						if !reportViolations(t, w, what) {
+						sim.healAndCheck(5000)
+						if !reportViolations(t, sim, what) {
 							return
 						}
 					}
@@ -106,73 +106,73 @@
 	}
 }
 
-// newBusySimulation is five stores, of which one may be lost, with a worker and jobs that come and are run.
+// newBusySimulation has five stores, of which one may be lost, a worker, and jobs that are submitted and run.
 func newBusySimulation(seed uint64) *simulation {
-	w := newSimulation(seed, 5, 1, 4)
-	w.start()
-	w.addWorker("p0")
-	w.run(600)
-	w.maxQueuedTokens = 10_000
-	w.submitSteadily(w.nowMs() + 2500)
-	w.run(400)
-	return w
+	sim := newSimulation(seed, 5, 1, 4)
+	sim.start()
+	sim.addWorker("p0")
+	sim.run(600)
+	sim.maxQueuedTokens = 10_000
+	sim.submitSteadily(sim.nowMs() + 2500)
+	sim.run(400)
+	return sim
 }
 
-// TestTwoStoresRetireAtOnce: two stores retire at once, asked for again and again; both are
-// finished, and both may go.
+// TestTwoStoresRetireAtOnce: two stores retire at the same time, and the order is repeated. Both
+// retirements are finished, and both stores may be removed.
 func TestTwoStoresRetireAtOnce(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newBusySimulation(seed)
-		a, b := w.stores[seed%5], w.stores[(seed+2)%5]
+		sim := newBusySimulation(seed)
+		a, b := sim.stores[seed%5], sim.stores[(seed+2)%5]
 		for range 3 {
-			w.startRetiring(t, a.name)
-			w.startRetiring(t, b.name)
-			w.run(50)
+			sim.startRetiring(t, a.name)
+			sim.startRetiring(t, b.name)
+			sim.run(50)
 		}
 		gone := 0
 		for _, s := range []*simStore{a, b} {
-			w.whenRetired(s.name, func() { gone++; s.loseDisk(); s.removed = true })
+			sim.whenRetired(s.name, func() { gone++; s.loseDisk(); s.removed = true })
 		}
-		w.run(8000)
+		sim.run(8000)
 		if gone != 2 {
-			t.Fatalf("seed %d: %d of two are finished: %v", seed, gone, w.table.Partitions)
+			t.Fatalf("seed %d: %d of two are finished: %v", seed, gone, sim.table.Partitions)
 		}
-		w.healAndCheck(4000)
-		if !reportViolations(t, w, fmt.Sprint("seed ", seed)) {
+		sim.healAndCheck(4000)
+		if !reportViolations(t, sim, fmt.Sprint("seed ", seed)) {
 			return
 		}
 	}
 }
 
 // TestStoreThatLosesItsDiskRetiresStill: a store that loses its disk while it retires, and comes
-// back under its name, is to be emptied too: the order is about the machine.
+// back under its name, retires too: the order is about the machine.
 func TestStoreThatLosesItsDiskRetiresStill(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newBusySimulation(seed)
-		s := w.stores[seed%5]
-		w.startRetiring(t, s.name)
-		w.run(20 + int64(seed)*20)
-		if _, finished := RetirementState(w.table, s.name, w.maxLost); finished {
+		sim := newBusySimulation(seed)
+		s := sim.stores[seed%5]
+		sim.startRetiring(t, s.name)
+		sim.run(20 + int64(seed)*20)
+		if _, finished := RetirementState(sim.table, s.name, sim.maxLost); finished {
 			t.Fatalf("seed %d: finished before its disk was lost", seed)
 		}
 		s.loseDisk()
-		w.after(300, s.start)
+		sim.after(300, s.start)
 		gone := false
-		w.run(400)
-		w.whenRetired(s.name, func() { gone = true; s.loseDisk(); s.removed = true })
-		w.run(9000)
+		sim.run(400)
+		sim.whenRetired(s.name, func() { gone = true; s.loseDisk(); s.removed = true })
+		sim.run(9000)
 		if !gone {
-			t.Fatalf("seed %d: not finished: %v, retiring %v", seed, w.table.Partitions, w.table.Retiring)
+			t.Fatalf("seed %d: not finished: %v, retiring %v", seed, sim.table.Partitions, sim.table.Retiring)
 		}
-		w.healAndCheck(4000)
-		if !reportViolations(t, w, fmt.Sprint("seed ", seed)) {
+		sim.healAndCheck(4000)
+		if !reportViolations(t, sim, fmt.Sprint("seed ", seed)) {
 			return
 		}
 	}
 }
 
-// TestRetirementNeedsEnoughOtherReplicas: nothing is finished where too few others would be left,
-// or one still joins.
+// TestRetirementNeedsEnoughOtherReplicas: no retirement is finished while too few other replicas
+// are left, or the store is still joining a group.
 func TestRetirementNeedsEnoughOtherReplicas(t *testing.T) {
 	table := &snapshot.PartitionTable{Stores: map[uint64]snapshot.Store{1: {ID: 1, Name: "a"}, 2: {ID: 2, Name: "b"}, 3: {ID: 3, Name: "c"}}, Retiring: map[uint64]bool{1: true}}
 	for _, c := range []struct {
--- a/internal/batch/scenarios_test.go
+++ b/internal/batch/scenarios_test.go
@@ -8,190 +8,190 @@
 
 // playScenario is the life of a few jobs with everything that may be asked of them. Step is called
 // before each event.
-func playScenario(w *simulation, hook func()) {
-	w.start()
+func playScenario(sim *simulation, hook func()) {
+	sim.start()
 	for i := range 3 {
-		w.addWorker(fmt.Sprintf("p%d", i))
+		sim.addWorker(fmt.Sprintf("p%d", i))
 	}
-	w.run(400)
-	w.beforeStep = hook
-	a := w.newJob("a", 10, 10, 10, 10, 10)
-	b := w.newJob("b", 20, 20)
-	c := w.newJob("c", 30, 30)
+	sim.run(400)
+	sim.beforeStep = hook
+	a := sim.newJob("a", 10, 10, 10, 10, 10)
+	b := sim.newJob("b", 20, 20)
+	c := sim.newJob("c", 30, 30)
 	for _, j := range []*clientJob{a, b, c} {
-		w.submitUntilAccepted(j, 12)
-		w.readRepeatedly(j, 6000)
+		sim.submitUntilAccepted(j, 12)
+		sim.readRepeatedly(j, 6000)
 	}
-	e := w.newJob("e", 45)
+	e := sim.newJob("e", 45)
 	e.extraMs = 2500
-	w.submitUntilAccepted(e, 12)
-	w.after(30, func() { w.workers[1].submit(a, nil) })
-	w.after(31, func() { w.workers[2].submit(a, nil) })
-	w.after(150+w.rng.Float64()*100, func() {
+	sim.submitUntilAccepted(e, 12)
+	sim.after(30, func() { sim.workers[1].submit(a, nil) })
+	sim.after(31, func() { sim.workers[2].submit(a, nil) })
+	sim.after(150+sim.rng.Float64()*100, func() {
 		if b.accepted {
-			w.endUntilAcknowledged(b)
+			sim.endUntilAcknowledged(b)
 		}
 	})
-	w.run(3000)
-	d := w.newJob("d", 40, 40)
-	w.submitUntilAccepted(d, 12)
-	w.readRepeatedly(d, 6000)
-	w.run(3000)
-	w.beforeStep = nil
-	w.healAndCheck(6000)
+	sim.run(3000)
+	d := sim.newJob("d", 40, 40)
+	sim.submitUntilAccepted(d, 12)
+	sim.readRepeatedly(d, 6000)
+	sim.run(3000)
+	sim.beforeStep = nil
+	sim.healAndCheck(6000)
 }
 
-func reportViolations(t *testing.T, w *simulation, what string) bool {
+func reportViolations(t *testing.T, sim *simulation, what string) bool {
 	t.Helper()
-	for _, b := range w.violations {
+	for _, b := range sim.violations {
 		t.Errorf("%s: %s", what, b)
 	}
-	return len(w.violations) == 0
+	return len(sim.violations) == 0
 }
 
 func TestJobsCompleteWithoutFaults(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newSimulation(seed, 3+int(seed%3), 1, 4)
-		playScenario(w, nil)
-		if !reportViolations(t, w, fmt.Sprint("seed ", seed)) {
+		sim := newSimulation(seed, 3+int(seed%3), 1, 4)
+		playScenario(sim, nil)
+		if !reportViolations(t, sim, fmt.Sprint("seed ", seed)) {
 			return
 		}
-		if w.resultsRead < 7 {
-			t.Fatalf("seed %d: only %d results", seed, w.resultsRead)
+		if sim.resultsRead < 7 {
+			t.Fatalf("seed %d: only %d results", seed, sim.resultsRead)
 		}
 	}
 }
 
 type disturbance struct {
 	name string
-	do   func(w *simulation, s *simStore)
+	do   func(sim *simulation, s *simStore)
 }
 
 var disturbances = []disturbance{
-	{"kill", func(w *simulation, s *simStore) { s.kill(); w.after(400, s.start) }},
-	{"kill for long", func(w *simulation, s *simStore) { s.kill(); w.after(3000, s.start) }},
-	{"power", func(w *simulation, s *simStore) { s.losePower(); w.after(400, s.start) }},
-	{"wipe", func(w *simulation, s *simStore) { s.loseDisk(); w.after(400, s.start) }},
-	{"terminate", func(w *simulation, s *simStore) { s.terminate(func() { w.after(400, s.start) }) }},
-	{"terminate for long", func(w *simulation, s *simStore) { s.terminate(func() { w.after(3000, s.start) }) }},
-	{"terminate, then power of another", func(w *simulation, s *simStore) {
-		o := w.nextStore(s)
+	{"kill", func(sim *simulation, s *simStore) { s.kill(); sim.after(400, s.start) }},
+	{"kill for long", func(sim *simulation, s *simStore) { s.kill(); sim.after(3000, s.start) }},
+	{"power", func(sim *simulation, s *simStore) { s.losePower(); sim.after(400, s.start) }},
+	{"wipe", func(sim *simulation, s *simStore) { s.loseDisk(); sim.after(400, s.start) }},
+	{"terminate", func(sim *simulation, s *simStore) { s.terminate(func() { sim.after(400, s.start) }) }},
+	{"terminate for long", func(sim *simulation, s *simStore) { s.terminate(func() { sim.after(3000, s.start) }) }},
+	{"terminate, then power of another", func(sim *simulation, s *simStore) {
+		o := sim.nextStore(s)
 		s.terminate(func() {
-			w.after(300, s.start)
+			sim.after(300, s.start)
 			o.losePower()
-			w.after(300, o.start)
+			sim.after(300, o.start)
 		})
 	}},
-	{"terminate, then the disk of another when it is back", func(w *simulation, s *simStore) {
-		o := w.nextStore(s)
+	{"terminate, then the disk of another when it is back", func(sim *simulation, s *simStore) {
+		o := sim.nextStore(s)
 		s.terminate(func() {
 			s.start()
-			w.after(4000, func() { o.loseDisk(); w.after(400, o.start) })
+			sim.after(4000, func() { o.loseDisk(); sim.after(400, o.start) })
 		})
 	}},
-	{"terminate, then the disk of another at once", func(w *simulation, s *simStore) {
-		o := w.nextStore(s)
-		s.terminate(func() { w.after(300, s.start); o.loseDisk(); w.after(400, o.start) })
+	{"terminate, then the disk of another at once", func(sim *simulation, s *simStore) {
+		o := sim.nextStore(s)
+		s.terminate(func() { sim.after(300, s.start); o.loseDisk(); sim.after(400, o.start) })
 	}},
-	{"terminate all at once", func(w *simulation, s *simStore) {
-		for _, o := range w.stores {
-			o.terminate(func() { w.after(300+w.rng.Float64()*200, o.start) })
+	{"terminate all at once", func(sim *simulation, s *simStore) {
+		for _, o := range sim.stores {
+			o.terminate(func() { sim.after(300+sim.rng.Float64()*200, o.start) })
 		}
 	}},
-	{"terminate and a kill while it hands over", func(w *simulation, s *simStore) {
+	{"terminate and a kill while it hands over", func(sim *simulation, s *simStore) {
 		s.terminate(func() {})
-		w.after(60+w.rng.Float64()*60, func() { s.kill(); w.after(400, s.start) })
+		sim.after(60+sim.rng.Float64()*60, func() { s.kill(); sim.after(400, s.start) })
 	}},
-	{"freeze", func(w *simulation, s *simStore) { s.freeze(2600) }},
-	{"cut", func(w *simulation, s *simStore) {
-		w.cutLinks = func(a, b string) bool { return a == s.name }
-		w.dropConnections(s.name, 1300)
-		w.after(2500, func() { w.cutLinks = nil })
+	{"freeze", func(sim *simulation, s *simStore) { s.freeze(2600) }},
+	{"cut", func(sim *simulation, s *simStore) {
+		sim.cutLinks = func(a, b string) bool { return a == s.name }
+		sim.dropConnections(s.name, 1300)
+		sim.after(2500, func() { sim.cutLinks = nil })
 	}},
-	{"wipe, the others without power", func(w *simulation, s *simStore) {
-		for _, o := range w.stores {
+	{"wipe, the others without power", func(sim *simulation, s *simStore) {
+		for _, o := range sim.stores {
 			if o == s {
 				o.loseDisk()
 			} else {
 				o.losePower()
 			}
-			w.after(300+w.rng.Float64()*200, o.start)
+			sim.after(300+sim.rng.Float64()*200, o.start)
 		}
 	}},
-	{"freeze, the others without power", func(w *simulation, s *simStore) {
+	{"freeze, the others without power", func(sim *simulation, s *simStore) {
 		s.freeze(2600)
-		for _, o := range w.stores {
+		for _, o := range sim.stores {
 			if o != s {
 				o.losePower()
-				w.after(300+w.rng.Float64()*200, o.start)
+				sim.after(300+sim.rng.Float64()*200, o.start)
 			}
 		}
 	}},
-	{"alone with clients who don't know", func(w *simulation, s *simStore) {
+	{"alone with clients who don't know", func(sim *simulation, s *simStore) {
 		s.cutFromKeepers = true
-		w.cutLinks = func(a, b string) bool { return (a == s.name || b == s.name) && a[0] == 's' && b[0] == 's' }
-		for _, k := range w.workers {
-			k.tableDelayMs = 2500
+		sim.cutLinks = func(a, b string) bool { return (a == s.name || b == s.name) && a[0] == 's' && b[0] == 's' }
+		for _, proxy := range sim.workers {
+			proxy.tableDelayMs = 2500
 		}
-		w.after(3000, func() {
-			s.cutFromKeepers, w.cutLinks = false, nil
-			for _, k := range w.workers {
-				k.tableDelayMs = 0
+		sim.after(3000, func() {
+			s.cutFromKeepers, sim.cutLinks = false, nil
+			for _, proxy := range sim.workers {
+				proxy.tableDelayMs = 0
 			}
 		})
 	}},
-	{"alone with one proxy that doesn't know", func(w *simulation, s *simStore) {
+	{"alone with one proxy that doesn't know", func(sim *simulation, s *simStore) {
 		s.cutFromKeepers = true
-		w.cutLinks = func(a, b string) bool { return (a == s.name || b == s.name) && a[0] == 's' && b[0] == 's' }
-		w.workers[0].tableDelayMs = 3500
-		w.after(4000, func() { s.cutFromKeepers, w.cutLinks, w.workers[0].tableDelayMs = false, nil, 0 })
+		sim.cutLinks = func(a, b string) bool { return (a == s.name || b == s.name) && a[0] == 's' && b[0] == 's' }
+		sim.workers[0].tableDelayMs = 3500
+		sim.after(4000, func() { s.cutFromKeepers, sim.cutLinks, sim.workers[0].tableDelayMs = false, nil, 0 })
 	}},
-	{"acknowledgements lost, then its disk", func(w *simulation, s *simStore) {
-		w.cutLinks = func(a, b string) bool { return b == s.name && a[0] == 's' }
+	{"acknowledgements lost, then its disk", func(sim *simulation, s *simStore) {
+		sim.cutLinks = func(a, b string) bool { return b == s.name && a[0] == 's' }
 		s.cutFromKeepers = true
-		w.after(1600, func() { s.loseDisk(); w.cutLinks, s.cutFromKeepers = nil, false })
-		w.after(2000, s.start)
+		sim.after(1600, func() { s.loseDisk(); sim.cutLinks, s.cutFromKeepers = nil, false })
+		sim.after(2000, s.start)
 	}},
-	{"acknowledgements lost", func(w *simulation, s *simStore) {
-		w.cutLinks = func(a, b string) bool { return b == s.name && a[0] == 's' }
+	{"acknowledgements lost", func(sim *simulation, s *simStore) {
+		sim.cutLinks = func(a, b string) bool { return b == s.name && a[0] == 's' }
 		s.cutFromKeepers = true
-		w.after(2600, func() { w.cutLinks, s.cutFromKeepers = nil, false })
+		sim.after(2600, func() { sim.cutLinks, s.cutFromKeepers = nil, false })
 	}},
-	{"a slow copy, then a disk", func(w *simulation, s *simStore) {
-		o := w.stores[(int(s.name[1]-'0')+1)%len(w.stores)]
-		w.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
-		w.after(120+w.rng.Float64()*300, func() { s.loseDisk(); w.after(400, s.start) })
-		w.after(900, func() { w.slowLinks = nil })
+	{"a slow copy, then a disk", func(sim *simulation, s *simStore) {
+		o := sim.stores[(int(s.name[1]-'0')+1)%len(sim.stores)]
+		sim.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
+		sim.after(120+sim.rng.Float64()*300, func() { s.loseDisk(); sim.after(400, s.start) })
+		sim.after(900, func() { sim.slowLinks = nil })
 	}},
-	{"a slow copy, then a kill", func(w *simulation, s *simStore) {
-		o := w.stores[(int(s.name[1]-'0')+1)%len(w.stores)]
-		w.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
-		w.after(120+w.rng.Float64()*300, func() { s.kill(); w.after(3000, s.start) })
-		w.after(900, func() { w.slowLinks = nil })
+	{"a slow copy, then a kill", func(sim *simulation, s *simStore) {
+		o := sim.stores[(int(s.name[1]-'0')+1)%len(sim.stores)]
+		sim.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
+		sim.after(120+sim.rng.Float64()*300, func() { s.kill(); sim.after(3000, s.start) })
+		sim.after(900, func() { sim.slowLinks = nil })
 	}},
-	{"wipe, then another", func(w *simulation, s *simStore) {
+	{"wipe, then another", func(sim *simulation, s *simStore) {
 		s.loseDisk()
-		w.after(300, s.start)
-		w.after(5000, func() {
-			o := w.stores[(int(s.name[1]-'0')+1)%len(w.stores)]
+		sim.after(300, s.start)
+		sim.after(5000, func() {
+			o := sim.stores[(int(s.name[1]-'0')+1)%len(sim.stores)]
 			o.loseDisk()
-			w.after(300, o.start)
+			sim.after(300, o.start)
 		})
 	}},
 }
 
-// nextStore is another store than this one.
-func (w *simulation) nextStore(s *simStore) *simStore {
-	for i, o := range w.stores {
+// nextStore is the store after this one.
+func (sim *simulation) nextStore(s *simStore) *simStore {
+	for i, o := range sim.stores {
 		if o == s {
-			return w.stores[(i+1)%len(w.stores)]
+			return sim.stores[(i+1)%len(sim.stores)]
 		}
 	}
 	return s
 }
 
-// disturbEachStep plays a life for each step, store and disturbance.
-func disturbEachStep(every int, report func(what string, w *simulation) bool) {
+// disturbEachStep plays a scenario for each step, store and disturbance.
+func disturbEachStep(every int, report func(what string, sim *simulation) bool) {
 	for step := 1; step < 1400; step += every {
 		for s := range 4 {
 			for _, d := range disturbances {
@@ -200,15 +200,15 @@
 				if s >= n {
 					continue
 				}
-				w := newSimulation(seed, n, 1, 4)
-				w.slowSyncs = step/37%2 == 1
+				sim := newSimulation(seed, n, 1, 4)
+				sim.slowSyncs = step/37%2 == 1
 				at := 0
-				playScenario(w, func() {
+				playScenario(sim, func() {
 					if at++; at == step {
-						d.do(w, w.stores[s])
+						d.do(sim, sim.stores[s])
 					}
 				})
-				if !report(fmt.Sprintf("%s of s%d at step %d", d.name, s, step), w) {
+				if !report(fmt.Sprintf("%s of s%d at step %d", d.name, s, step), sim) {
 					return
 				}
 			}
@@ -222,127 +222,127 @@
 		every = 211
 	}
 	n := 0
-	disturbEachStep(every, func(what string, w *simulation) bool {
+	disturbEachStep(every, func(what string, sim *simulation) bool {
 		n++
-		return reportViolations(t, w, what)
+		return reportViolations(t, sim, what)
 	})
 	t.Logf("%d lives", n)
 }
 
 // TestUncommittedJobIsAnsweredAsUnknown: a job that was ordered and not committed when its primary
-// is replaced is answered neither as taken nor as refused.
+// is replaced is answered neither as accepted nor as refused.
 func TestUncommittedJobIsAnsweredAsUnknown(t *testing.T) {
-	w := newSimulation(1, 3, 1, 1)
-	w.start()
-	w.addWorker("p0")
-	w.run(400)
-	leads := w.storeNamed(w.table.Stores[w.table.Partitions[0].Primary].Name)
-	w.cutLinks = func(a, b string) bool { return b == leads.name && a[0] == 's' }
-	j := w.newJob("a", 10)
+	sim := newSimulation(1, 3, 1, 1)
+	sim.start()
+	sim.addWorker("p0")
+	sim.run(400)
+	leads := sim.storeNamed(sim.table.Stores[sim.table.Partitions[0].Primary].Name)
+	sim.cutLinks = func(a, b string) bool { return b == leads.name && a[0] == 's' }
+	j := sim.newJob("a", 10)
 	var code uint8
-	w.workers[0].submit(j, func(c uint8) { code = c })
-	w.run(50)
+	sim.workers[0].submit(j, func(c uint8) { code = c })
+	sim.run(50)
 	if code != 0 {
 		t.Fatalf("answered %d without a copy", code)
 	}
-	next := cloneTable(w.table)
+	next := cloneTable(sim.table)
 	next.Partitions[0].Epoch++
 	next.Partitions[0].Primary = next.Partitions[0].Replicas[1]
-	w.publish(next)
-	w.run(100)
+	sim.publish(next)
+	sim.run(100)
 	if code != codeUnknown {
 		t.Errorf("answered %d", code)
 	}
 }
 
-// playStorm plays jobs without end while machines are disturbed, f at a time at most, and emptied.
+// playStorm plays jobs for 24 s while stores are disturbed, f at a time at most, and retired.
 func playStorm(seed uint64, f int, retire bool) *simulation {
 	n := f + 2 + int(seed%3)
-	w := newSimulation(seed, n, f, 6)
-	w.maxQueuedTokens = 300
-	w.slowSyncs = seed%4 == 1
-	w.start()
+	sim := newSimulation(seed, n, f, 6)
+	sim.maxQueuedTokens = 300
+	sim.slowSyncs = seed%4 == 1
+	sim.start()
 	for i := range 3 {
-		w.addWorker(fmt.Sprintf("p%d", i))
+		sim.addWorker(fmt.Sprintf("p%d", i))
 	}
-	w.run(400)
+	sim.run(400)
 	count := 0
 	var jobs func()
 	jobs = func() {
-		if w.nowMs() > 24000 {
+		if sim.nowMs() > 24000 {
 			return
 		}
 		count++
 		var tokens []int64
-		for range 1 + w.rng.IntN(5) {
-			tokens = append(tokens, int64(5+w.rng.IntN(20)))
+		for range 1 + sim.rng.IntN(5) {
+			tokens = append(tokens, int64(5+sim.rng.IntN(20)))
 		}
-		j := w.newJob(fmt.Sprint("j", count), tokens...)
-		if w.rng.IntN(6) == 0 {
-			j.extraMs = float64(w.rng.IntN(2500))
+		j := sim.newJob(fmt.Sprint("j", count), tokens...)
+		if sim.rng.IntN(6) == 0 {
+			j.extraMs = float64(sim.rng.IntN(2500))
 		}
-		w.submitUntilAccepted(j, 1+w.rng.IntN(10))
-		if w.rng.IntN(3) == 0 {
-			w.workers[w.rng.IntN(3)].submit(j, nil)
+		sim.submitUntilAccepted(j, 1+sim.rng.IntN(10))
+		if sim.rng.IntN(3) == 0 {
+			sim.workers[sim.rng.IntN(3)].submit(j, nil)
 		}
-		w.readRepeatedly(j, w.nowMs()+3000)
-		if w.rng.IntN(4) == 0 {
-			w.after(w.rng.Float64()*600, func() {
+		sim.readRepeatedly(j, sim.nowMs()+3000)
+		if sim.rng.IntN(4) == 0 {
+			sim.after(sim.rng.Float64()*600, func() {
 				if j.accepted {
-					w.endUntilAcknowledged(j)
+					sim.endUntilAcknowledged(j)
 				}
 			})
 		}
-		w.after(20+w.rng.Float64()*260, jobs)
+		sim.after(20+sim.rng.Float64()*260, jobs)
 	}
 	jobs()
-	for w.nowMs() < 24000 {
-		w.run(200 + int64(w.rng.IntN(1500)))
-		hit := w.rng.Perm(n)
+	for sim.nowMs() < 24000 {
+		sim.run(200 + int64(sim.rng.IntN(1500)))
+		hit := sim.rng.Perm(n)
 		if f == 1 {
-			disturbances[w.rng.IntN(len(disturbances)-1)].do(w, w.stores[hit[0]])
+			disturbances[sim.rng.IntN(len(disturbances)-1)].do(sim, sim.stores[hit[0]])
 		} else {
 			for i := range f {
-				switch s := w.stores[hit[i]]; w.rng.IntN(4) {
+				switch s := sim.stores[hit[i]]; sim.rng.IntN(4) {
 				case 0:
 					s.loseDisk()
-					w.after(300+w.rng.Float64()*2500, s.start)
+					sim.after(300+sim.rng.Float64()*2500, s.start)
 				case 1:
 					s.losePower()
-					w.after(300+w.rng.Float64()*2500, s.start)
+					sim.after(300+sim.rng.Float64()*2500, s.start)
 				case 2:
-					s.freeze(500 + w.rng.Float64()*2500)
+					s.freeze(500 + sim.rng.Float64()*2500)
 				default:
 					s.kill()
-					w.after(300+w.rng.Float64()*2500, s.start)
+					sim.after(300+sim.rng.Float64()*2500, s.start)
 				}
 			}
 		}
-		w.run(9000) // until all is whole again
-		if bad := w.findUnhealthy(); bad != "" {
-			w.violation("nine seconds after: %s", bad)
-			return w
+		sim.run(9000) // until all is whole again
+		if bad := sim.findUnhealthy(); bad != "" {
+			sim.violation("nine seconds after: %s", bad)
+			return sim
 		}
 		if retire {
-			w.retireStore()
+			sim.retireStore()
 		}
-		if len(w.violations) > 0 {
-			return w
+		if len(sim.violations) > 0 {
+			return sim
 		}
 	}
-	w.healAndCheck(6000)
-	return w
+	sim.healAndCheck(6000)
+	return sim
 }
 
-// findUnhealthy tells what is not as it should be: each part led, with all copies there.
-func (w *simulation) findUnhealthy() string {
-	for no := range w.table.Partitions {
-		row := &w.table.Partitions[no]
+// findUnhealthy says which partition has no primary that serves it or misses a replica; empty: none.
+func (sim *simulation) findUnhealthy() string {
+	for no := range sim.table.Partitions {
+		row := &sim.table.Partitions[no]
 		if len(row.Joining)+len(row.Leaving) > 0 {
 			return fmt.Sprintf("part %d is on its way: %v", no, *row)
 		}
 		for _, id := range row.Replicas {
-			s := w.storeNamed(w.table.Stores[id].Name)
+			s := sim.storeNamed(sim.table.Stores[id].Name)
 			if s == nil || s.core == nil || s.core.self != id {
 				return fmt.Sprintf("part %d has a copy at %d, which is not there: %v", no, id, *row)
 			}
@@ -354,36 +354,37 @@
 	return ""
 }
 
-// retireStore empties a store and takes it away in the moment that it is finished, and the disk of another too.
-func (w *simulation) retireStore() {
-	s := w.stores[w.rng.IntN(len(w.stores))]
-	next, known, few := RetireStore(w.table, s.name, w.aliveStores(), func(id uint64) bool { return w.nowMs()-w.lastHeard[id] > 1000 }, w.maxLost)
+// retireStore retires a store. In the moment in which that is finished it is removed, and another store
+// loses its disk.
+func (sim *simulation) retireStore() {
+	s := sim.stores[sim.rng.IntN(len(sim.stores))]
+	next, known, few := RetireStore(sim.table, s.name, sim.aliveStores(), sim.isLost, sim.maxLost)
 	if few {
 		return
 	}
 	if !known {
-		w.violation("%s is not known", s.name)
+		sim.violation("%s is not known", s.name)
 		return
 	}
-	w.logf("%s retires", s.name)
-	w.publish(next)
+	sim.logf("%s retires", s.name)
+	sim.publish(next)
 	for range 100 {
-		w.run(100)
-		if _, done := RetirementState(w.table, s.name, w.maxLost); done {
-			w.logf("%s is finished", s.name)
+		sim.run(100)
+		if _, done := RetirementState(sim.table, s.name, sim.maxLost); done {
+			sim.logf("%s is finished", s.name)
 			s.loseDisk()
 			s.name += "'" // the machine that comes in its place is another
-			o := w.stores[w.rng.IntN(len(w.stores))]
+			o := sim.stores[sim.rng.IntN(len(sim.stores))]
 			if o != s {
 				o.loseDisk()
-				w.after(400, o.start)
+				sim.after(400, o.start)
 			}
-			w.after(2000, s.start)
-			w.run(9000)
+			sim.after(2000, s.start)
+			sim.run(9000)
 			return
 		}
 	}
-	w.violation("%s is not empty after 10 s: %v", s.name, w.table.Partitions)
+	sim.violation("%s is not empty after 10 s: %v", s.name, sim.table.Partitions)
 }
 
 var (
@@ -399,12 +400,12 @@
 	}
 	for _, f := range []int{1, 2} {
 		for seed := *firstSeed; seed < *firstSeed+seeds; seed++ {
-			w := playStorm(seed, f, seed%2 == 0)
-			if !reportViolations(t, w, fmt.Sprintf("f %d, seed %d", f, seed)) {
+			sim := playStorm(seed, f, seed%2 == 0)
+			if !reportViolations(t, sim, fmt.Sprintf("f %d, seed %d", f, seed)) {
 				return
 			}
-			if w.resultsRead < 20 {
-				t.Fatalf("f %d, seed %d: only %d results", f, seed, w.resultsRead)
+			if sim.resultsRead < 20 {
+				t.Fatalf("f %d, seed %d: only %d results", f, seed, sim.resultsRead)
 			}
 		}
 	}
--- a/internal/batch/segments_test.go
+++ b/internal/batch/segments_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// openedLog is a log and what its replay told.
+// openedLog is a log and what was replayed from it.
 type openedLog struct {
 	*segmentedLog
 	payloads []string
@@ -67,7 +67,7 @@
 }
 
 // TestSegmentsAfterPowerLoss: whatever a loss of power at any step leaves, what was durable is
-// there and in order, and the log can be appended to and read back.
+// there and in order, and the log can be appended to and read.
 func TestSegmentsAfterPowerLoss(t *testing.T) {
 	whole := vfstest.New()
 	if _, durable, removed := segmentScript(whole); durable != 12 || removed != 6 {
@@ -97,7 +97,7 @@
 	}
 }
 
-// checkUse reads all records back, appends one and finds it again.
+// checkUse reads all records back, appends one and reads it.
 func checkUse(t *testing.T, log openedLog) {
 	t.Helper()
 	for i, at := range log.at {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestDamagedSegmentsAreRefused: a segment that is missing, cut or changed after it was synced is
-// found, and the log not used.
+// TestDamagedSegmentsAreRefused: a segment that is missing, cut short or changed after it was
+// synced is found, and the log is not opened.
 func TestDamagedSegmentsAreRefused(t *testing.T) {
 	build := func() *vfstest.Disk {
 		d := vfstest.New()
@@ -164,7 +164,7 @@
 			t.Errorf("%s: %v, %d records", name, err, len(log.payloads))
 		}
 	}
-	// A log of before there were segments is the first one.
+	// A log that was written before there were segments is the first segment.
 	d := vfstest.New()
 	old, err := recordlog.Open(d, "t.log", nil)
 	if err != nil {
--- a/internal/batch/simclients_test.go
+++ b/internal/batch/simclients_test.go
@@ -1,6 +1,7 @@
 package batch
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 
@@ -13,7 +14,7 @@
 	id           string
 	items        []string
 	tokens       []int64
-	extraMs      float64 // ms that an item takes besides
+	extraMs      float64 // that each item takes besides
 	attempts     int
 	refusals     int // answers of 429 or 503
 	acceptedAt   int64
@@ -27,7 +28,7 @@
 	finished     map[string]bool // items that a worker ended
 }
 
-// simWorker is a proxy: it runs items and lets clients in.
+// simWorker is a proxy: it runs items and passes calls of clients on.
 type simWorker struct {
 	simulation   *simulation
 	name         string
@@ -52,160 +53,142 @@
 	done bool
 }
 
-func (w *simulation) addWorker(name string) *simWorker {
-	k := &simWorker{simulation: w, name: name, pipes: map[uint64]*simPipe{}, assigned: map[itemKey]*simRun{}, contacts: map[int]*simContact{}}
-	w.workers = append(w.workers, k)
-	k.table = w.table
-	k.connectStores()
-	return k
+// addWorker adds a proxy.
+func (sim *simulation) addWorker(name string) {
+	proxy := &simWorker{
+		simulation: sim,
+		name:       name,
+		pipes:      map[uint64]*simPipe{},
+		assigned:   map[itemKey]*simRun{},
+		contacts:   map[int]*simContact{},
+	}
+	sim.workers = append(sim.workers, proxy)
+	proxy.table = sim.table
+	proxy.connectStores()
 }
 
-func (k *simWorker) receiveTable(t *snapshot.PartitionTable) {
-	if k.table == nil || t.Version > k.table.Version {
-		k.table = t
-		k.reportRunning()
+func (proxy *simWorker) receiveTable(t *snapshot.PartitionTable) {
+	if proxy.table == nil || t.Version > proxy.table.Version {
+		proxy.table = t
+		proxy.reportRunning()
 	}
 }
 
-func (k *simWorker) connectStores() {
-	w := k.simulation
-	if k.table != nil {
-		for _, id := range sortedIDs(k.table.Stores) {
-			o := w.storeNamed(k.table.Stores[id].Name)
-			if p := k.pipes[id]; p != nil && p.open || o == nil || o.core == nil || o.core.self != id || o.frozen || w.isCut(k.name, o.name) {
+func (proxy *simWorker) connectStores() {
+	sim := proxy.simulation
+	if proxy.table != nil {
+		for _, id := range sortedKeys(proxy.table.Stores) {
+			store := sim.storeNamed(proxy.table.Stores[id].Name)
+			if p := proxy.pipes[id]; p != nil && p.open || !store.reachable(id) || sim.isCut(proxy.name, store.name) {
 				continue
 			}
-			p := w.connect(k.name, o.name, k.receive, o.receiver(o.incarnation))
+			p := sim.connect(proxy.name, store.name, proxy.receive, store.receiver(store.incarnation))
 			p.closed = func(*simPipe) {}
-			olife := o.incarnation
-			p.peer.closed = func(q *simPipe) { o.runEvent(olife, func() { o.core.connectionClosed(q) }) }
-			k.pipes[id] = p
-			_ = p.Send(kindAttachWorker, encodeAttachWorker(k.name, "z0", 3))
+			otherIncarnation := store.incarnation
+			p.peer.closed = func(q *simPipe) { store.runEvent(otherIncarnation, func() { store.core.connectionClosed(q) }) }
+			proxy.pipes[id] = p
+			_ = p.Send(kindAttachWorker, encodeAttachWorker(proxy.name, "z0", 3))
 		}
-		k.reportRunning()
+		proxy.reportRunning()
 	}
-	w.after(60, k.connectStores)
+	sim.after(60, proxy.connectStores)
 }
 
-func (k *simWorker) reportRunning() {
-	if k.table == nil {
+func (proxy *simWorker) reportRunning() {
+	if proxy.table == nil {
 		return
 	}
-	for no := range k.table.Partitions {
-		row := &k.table.Partitions[no]
-		h := k.contacts[no]
-		if h != nil && h.epoch > row.Epoch {
+	for index := range proxy.table.Partitions {
+		row := &proxy.table.Partitions[index]
+		contact := proxy.contacts[index]
+		if contact != nil && contact.epoch > row.Epoch {
 			continue
 		}
-		if p := k.pipes[row.Primary]; p != nil && p.open && (h == nil || h.pipe != p || h.epoch < row.Epoch) {
-			k.reportRunningOf(no, p, row.Epoch)
+		if p := proxy.pipes[row.Primary]; p != nil && p.open && (contact == nil || contact.pipe != p || contact.epoch < row.Epoch) {
+			proxy.reportRunningOf(index, p, row.Epoch)
 		}
 	}
 }
 
-func (k *simWorker) reportRunningOf(no int, p *simPipe, epoch uint64) {
-	k.contacts[no] = &simContact{pipe: p, epoch: epoch}
-	var b link.Writer
-	b.U32(uint32(no))
-	b.U64(epoch)
-	var keys []itemKey
-	for _, key := range k.assignedKeys() {
-		if key.partition == no {
-			keys = append(keys, key)
-		}
-	}
-	b.U32(uint32(len(keys)))
-	for _, key := range keys {
-		b.String(key.jobID)
-		b.U32(uint32(key.index))
-	}
-	_ = p.Send(kindReportRunning, b.Buf)
+func (proxy *simWorker) reportRunningOf(index int, p *simPipe, epoch uint64) {
+	proxy.contacts[index] = &simContact{pipe: p, epoch: epoch}
+	keys := slices.DeleteFunc(proxy.assignedKeys(), func(key itemKey) bool { return key.partition != index })
+	_ = p.Send(kindReportRunning, encodeReportRunning(index, epoch, keys))
 }
 
 func compareKeys(a, b itemKey) int {
-	if a.jobID != b.jobID {
-		if a.jobID < b.jobID {
-			return -1
-		}
-		return 1
-	}
-	return a.index - b.index
+	return cmp.Or(cmp.Compare(a.jobID, b.jobID), cmp.Compare(a.index, b.index))
 }
 
-func (k *simWorker) receive(p *simPipe, _ Caller, kind link.Kind, body []byte) {
-	w := k.simulation
+func (proxy *simWorker) receive(p *simPipe, _ Caller, kind link.Kind, body []byte) {
+	sim := proxy.simulation
 	r := link.Reader{Buf: body}
 	key := itemKey{partition: int(r.U32())}
 	switch kind {
 	case kindAssignItem:
 		epoch := r.U64()
 		key.jobID, key.index = r.String(), int(r.U32())
-		h := k.contacts[key.partition]
-		if h != nil && h.epoch > epoch && h.pipe != p {
-			var b link.Writer
-			b.U32(uint32(key.partition))
-			b.String(key.jobID)
-			b.U32(uint32(key.index))
-			_ = p.Send(kindReturnItem, b.Buf)
+		contact := proxy.contacts[key.partition]
+		if contact != nil && contact.epoch > epoch && contact.pipe != p {
+			_ = p.Send(kindReturnItem, encodeItemRef(key))
 			return
 		}
-		if h != nil && h.pipe == p {
-			h.startsPaused = false
+		if contact != nil && contact.pipe == p {
+			contact.startsPaused = false
 		}
-		run := k.assigned[key]
+		run := proxy.assigned[key]
 		fresh := run == nil
 		if fresh {
 			run = &simRun{}
-			k.assigned[key] = run
+			proxy.assigned[key] = run
 		}
-		if h == nil {
-			k.contacts[key.partition] = &simContact{pipe: p, epoch: epoch, runningNoted: true}
-		} else if h.pipe != p || h.epoch < epoch {
-			k.reportRunningOf(key.partition, p, epoch)
+		if contact == nil {
+			proxy.contacts[key.partition] = &simContact{pipe: p, epoch: epoch, runningNoted: true}
+		} else if contact.pipe != p || contact.epoch < epoch {
+			proxy.reportRunningOf(key.partition, p, epoch)
 		}
 		if !fresh {
 			if run.done {
-				k.sendResult(p, key, run)
+				proxy.sendResult(p, key, run)
 			}
 			return
 		}
-		w.after(w.rng.Float64()*60, func() { k.startRun(key, run) })
+		sim.after(sim.rng.Float64()*60, func() { proxy.startRun(key, run) })
 	case kindRunningNoted:
 		epoch := r.U64()
-		if h := k.contacts[key.partition]; h != nil && h.pipe == p && (h.epoch == epoch || epoch == 0) {
-			h.runningNoted, h.startsPaused = true, false
-			for _, key := range k.assignedKeys() {
-				if key.partition == int(partitionOfMessage(body)) && k.assigned[key].done {
-					k.sendResult(p, key, k.assigned[key])
+		if contact := proxy.contacts[key.partition]; contact != nil && contact.pipe == p && (contact.epoch == epoch || epoch == 0) {
+			contact.runningNoted, contact.startsPaused = true, false
+			partition := key.partition
+			for _, key := range proxy.assignedKeys() {
+				if key.partition == partition && proxy.assigned[key].done {
+					proxy.sendResult(p, key, proxy.assigned[key])
 				}
 			}
 		}
 	case kindPauseStarts:
-		if h := k.contacts[key.partition]; h != nil && h.pipe == p {
-			h.startsPaused = true
+		if contact := proxy.contacts[key.partition]; contact != nil && contact.pipe == p {
+			contact.startsPaused = true
 		}
 	case kindResultStored:
 		key.jobID, key.index = r.String(), int(r.U32())
-		delete(k.assigned, key)
+		delete(proxy.assigned, key)
 	case kindCancelJob:
 		key.jobID = r.String()
-		if h := k.contacts[key.partition]; h != nil && h.pipe != p {
+		if contact := proxy.contacts[key.partition]; contact != nil && contact.pipe != p {
 			return
 		}
-		for _, h := range k.assignedKeys() {
-			if h.partition == key.partition && h.jobID == key.jobID {
-				delete(k.assigned, h)
+		for _, assigned := range proxy.assignedKeys() {
+			if assigned.partition == key.partition && assigned.jobID == key.jobID {
+				delete(proxy.assigned, assigned)
 			}
 		}
 		_ = p.Send(kindJobCancelled, body)
 	}
 }
 
-func partitionOfMessage(body []byte) uint32 { r := link.Reader{Buf: body}; return r.U32() }
-
-func (k *simWorker) assignedKeys() []itemKey {
+func (proxy *simWorker) assignedKeys() []itemKey {
 	var keys []itemKey
-	for key := range k.assigned {
+	for key := range proxy.assigned {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, compareKeys)
@@ -213,51 +196,45 @@
 }
 
 // startRun sends an item to an endpoint.
-func (k *simWorker) startRun(key itemKey, run *simRun) {
-	w := k.simulation
-	if k.assigned[key] != run {
+func (proxy *simWorker) startRun(key itemKey, run *simRun) {
+	sim := proxy.simulation
+	if proxy.assigned[key] != run {
 		return
 	}
-	h := k.contacts[key.partition]
-	if h == nil || !h.runningNoted || h.startsPaused || !h.pipe.open {
-		w.after(50, func() { k.startRun(key, run) })
+	contact := proxy.contacts[key.partition]
+	if contact == nil || !contact.runningNoted || contact.startsPaused || !contact.pipe.open {
+		sim.after(50, func() { proxy.startRun(key, run) })
 		return
 	}
-	j := w.jobs[key.jobID]
+	j := sim.jobs[key.jobID]
 	if j == nil {
-		w.violation("an item of a job that nobody sent runs: %v", key)
+		sim.violation("an item of a job that nobody sent runs: %v", key)
 		return
 	}
 	item := j.items[key.index]
 	j.started[item] = true
 	if j.attempts > 0 && j.refusals == j.attempts {
-		w.violation("%s runs, and all %d tries of its job were refused", item, j.attempts)
+		sim.violation("%s runs, and all %d tries of its job were refused", item, j.attempts)
 	}
-	if j.ended && w.nowMs() > j.endedAt+3000 {
-		w.violation("%s begins %d ms after the end of its job was acknowledged", item, w.nowMs()-j.endedAt)
+	if j.ended && sim.nowMs() > j.endedAt+3000 {
+		sim.violation("%s begins %d ms after the end of its job was acknowledged", item, sim.nowMs()-j.endedAt)
 	}
-	k.runCount++
-	text := fmt.Sprintf("%s by %s run %d", item, k.name, k.runCount)
-	w.after(w.rng.Float64()*80+j.extraMs, func() {
-		if k.assigned[key] != run {
+	proxy.runCount++
+	text := fmt.Sprintf("%s by %s run %d", item, proxy.name, proxy.runCount)
+	sim.after(sim.rng.Float64()*80+j.extraMs, func() {
+		if proxy.assigned[key] != run {
 			return
 		}
 		j.finished[item] = true
 		run.text, run.done = text, true
-		if h := k.contacts[key.partition]; h != nil && h.runningNoted {
-			k.sendResult(h.pipe, key, run)
+		if contact := proxy.contacts[key.partition]; contact != nil && contact.runningNoted {
+			proxy.sendResult(contact.pipe, key, run)
 		}
 	})
 }
 
-func (k *simWorker) sendResult(p *simPipe, key itemKey, run *simRun) {
-	var b link.Writer
-	b.U32(uint32(key.partition))
-	b.String(key.jobID)
-	b.U32(uint32(key.index))
-	b.Bool(false)
-	b.Bytes([]byte(run.text))
-	_ = p.Send(kindItemResult, b.Buf)
+func (proxy *simWorker) sendResult(p *simPipe, key itemKey, run *simRun) {
+	_ = p.Send(kindItemResult, encodeItemResult(key, false, []byte(run.text)))
 }
 
 // simCall is a call of a client; it is answered once, or cut.
@@ -276,33 +253,33 @@
 	r.simulation.after(r.simulation.delay(), func() { r.handle(b) })
 }
 
-// call calls the primary of a job's part through a worker's connections; nil: no answer. It gives
-// up after so many ms.
-func (k *simWorker) call(job string, kind link.Kind, body []byte, ms float64, fn func(b []byte, sent bool)) {
-	w := k.simulation
-	no := k.table.PartitionOf(job)
-	if no < 0 {
+// call calls the primary of a job's partition over a worker's connections. The reply is nil if there is
+// none within so many ms.
+func (proxy *simWorker) call(job string, kind link.Kind, body []byte, ms float64, fn func(b []byte, sent bool)) {
+	sim := proxy.simulation
+	index := proxy.table.PartitionOf(job)
+	if index < 0 {
 		fn(nil, false)
 		return
 	}
-	p := k.pipes[k.table.Partitions[no].Primary]
+	p := proxy.pipes[proxy.table.Partitions[index].Primary]
 	if p == nil || !p.open {
 		fn(nil, false)
 		return
 	}
 	over := false
-	r := &simCall{simulation: w, handle: func(b []byte) {
+	r := &simCall{simulation: sim, handle: func(b []byte) {
 		if over {
 			return
 		}
 		over = true
-		if w.isCut(k.name, p.to) || !p.open {
+		if sim.isCut(proxy.name, p.to) || !p.open {
 			b = nil
 		}
 		fn(b, true)
 	}}
 	_ = p.call(r, kind, body)
-	w.after(ms, func() {
+	sim.after(ms, func() {
 		if !over {
 			over = true
 			fn(nil, true)
@@ -311,30 +288,47 @@
 }
 
 // newJob is a job that clients will send.
-func (w *simulation) newJob(id string, tokens ...int64) *clientJob {
-	j := &clientJob{id: id, tokens: tokens, positions: map[int]string{}, readAt: map[int]int64{}, started: map[string]bool{}, finished: map[string]bool{}}
+func (sim *simulation) newJob(id string, tokens ...int64) *clientJob {
+	j := &clientJob{
+		id:        id,
+		tokens:    tokens,
+		positions: map[int]string{},
+		readAt:    map[int]int64{},
+		started:   map[string]bool{},
+		finished:  map[string]bool{},
+	}
 	for i := range tokens {
 		j.items = append(j.items, fmt.Sprintf("%s.%d", id, i))
 	}
-	w.jobs[id] = j
-	w.jobIDs = append(w.jobIDs, id)
+	sim.jobs[id] = j
+	sim.jobIDs = append(sim.jobIDs, id)
 	return j
 }
 
-func (w *simulation) encodeJob(j *clientJob) []byte {
-	r := w.config.Routes[0]
-	out := &Job{ID: j.id, Route: r.Name, Host: r.Host, PathPrefix: r.PathPrefix, SentMs: w.nowMs(), DueMs: 1000, MaxAttempts: 2, MaxQueuedTokens: w.maxQueuedTokens, ConfigVersion: 1}
+func (sim *simulation) encodeJob(j *clientJob) []byte {
+	r := sim.config.Routes[0]
+	out := &Job{
+		ID:              j.id,
+		Route:           r.Name,
+		Host:            r.Host,
+		PathPrefix:      r.PathPrefix,
+		SentMs:          sim.nowMs(),
+		DueMs:           1000,
+		MaxAttempts:     2,
+		MaxQueuedTokens: sim.maxQueuedTokens,
+		ConfigVersion:   1,
+	}
 	for i, id := range j.items {
 		out.Items = append(out.Items, JobItem{ID: id, Path: "/b/1", Body: []byte("body of " + id), Tokens: j.tokens[i]})
 	}
 	return out.encode()
 }
 
-// submit hands a job in, once.
-func (k *simWorker) submit(j *clientJob, then func(code uint8)) {
-	w := k.simulation
+// submit submits a job once.
+func (proxy *simWorker) submit(j *clientJob, then func(code uint8)) {
+	sim := proxy.simulation
 	j.attempts++
-	k.call(j.id, kindAcceptJob, w.encodeJob(j), 1500, func(b []byte, sent bool) {
+	proxy.call(j.id, kindAcceptJob, sim.encodeJob(j), 1500, func(b []byte, sent bool) {
 		code := codeUnknown
 		if len(b) > 0 {
 			code = b[0]
@@ -344,13 +338,13 @@
 		switch code {
 		case codeOK:
 			if !j.accepted {
-				j.accepted, j.acceptedAt = true, w.nowMs()
-				w.checkQuota()
+				j.accepted, j.acceptedAt = true, sim.nowMs()
+				sim.checkQuota()
 			}
 		case codeQuotaFull, codeUnavailable:
 			j.refusals++
 			if j.refusals == j.attempts && len(j.started) > 0 {
-				w.violation("job %s ran and all its tries were refused", j.id)
+				sim.violation("job %s ran and all its tries were refused", j.id)
 			}
 		}
 		if then != nil {
@@ -359,10 +353,10 @@
 	})
 }
 
-// checkQuota checks the tokens at a 202.
-func (w *simulation) checkQuota() {
+// checkQuota checks the quota when a job has been accepted.
+func (sim *simulation) checkQuota() {
 	var sum int64
-	for _, j := range w.jobs {
+	for _, j := range sim.jobs {
 		if !j.accepted || j.endRequested {
 			continue
 		}
@@ -372,40 +366,36 @@
 			}
 		}
 	}
-	if w.maxQueuedTokens > 0 && sum > w.maxQueuedTokens {
-		w.violation("%d tokens wait, over %d", sum, w.maxQueuedTokens)
+	if sim.maxQueuedTokens > 0 && sum > sim.maxQueuedTokens {
+		sim.violation("%d tokens wait, over %d", sum, sim.maxQueuedTokens)
 	}
 }
 
-// submitUntilAccepted sends a job until it is taken or so many tries are over, at workers in turn.
-func (w *simulation) submitUntilAccepted(j *clientJob, tries int) {
-	k := w.workers[w.rng.IntN(len(w.workers))]
-	k.submit(j, func(code uint8) {
+// submitUntilAccepted submits a job over any worker until it is accepted, so many times at most.
+func (sim *simulation) submitUntilAccepted(j *clientJob, tries int) {
+	proxy := sim.workers[sim.rng.IntN(len(sim.workers))]
+	proxy.submit(j, func(code uint8) {
 		if code != codeOK && tries > 1 {
-			w.after(100+w.rng.Float64()*100, func() { w.submitUntilAccepted(j, tries-1) })
+			sim.after(100+sim.rng.Float64()*100, func() { sim.submitUntilAccepted(j, tries-1) })
 		}
 	})
 }
 
-// readResults reads a job and checks the answer.
-func (k *simWorker) readResults(j *clientJob, after int, wait int64, then func(ok bool)) {
-	w := k.simulation
-	var b link.Writer
-	b.String(j.id)
-	b.Int(after)
-	b.Int(int(wait))
-	k.call(j.id, kindReadResults, b.Buf, float64(wait)+1200, func(b []byte, _ bool) {
+// readResults reads the results of a job and checks the answer.
+func (proxy *simWorker) readResults(j *clientJob, after int, wait int64, then func(ok bool)) {
+	sim := proxy.simulation
+	proxy.call(j.id, kindReadResults, encodeReadResults(j.id, after, wait), float64(wait)+1200, func(b []byte, _ bool) {
 		r := link.Reader{Buf: b}
 		ok := false
 		switch r.U8() {
 		case codeNotFound:
-			if j.accepted && w.nowMs() > j.acceptedAt+1000 {
-				w.violation("404 for job %s, taken %d ms ago", j.id, w.nowMs()-j.acceptedAt)
+			if j.accepted && sim.nowMs() > j.acceptedAt+1000 {
+				sim.violation("404 for job %s, taken %d ms ago", j.id, sim.nowMs()-j.acceptedAt)
 			}
 		case codeOK:
 			ok = true
 			if total := int(r.U32()); total != len(j.items) {
-				w.violation("job %s: total is %d", j.id, total)
+				sim.violation("job %s: total is %d", j.id, total)
 			}
 			n := r.Count(9)
 			seen := map[string]int{}
@@ -417,21 +407,21 @@
 				what := id + "=" + string(r.Bytes())
 				pos := after + i
 				if old, ok := j.positions[pos]; ok && old != what {
-					w.violation("job %s: position %d was %q and is %q", j.id, pos, old, what)
+					sim.violation("job %s: position %d was %q and is %q", j.id, pos, old, what)
 				}
 				if p, ok := seen[id]; ok && p != pos {
-					w.violation("job %s: %s stands at %d and at %d", j.id, id, p, pos)
+					sim.violation("job %s: %s stands at %d and at %d", j.id, id, p, pos)
 				}
 				seen[id] = pos
 				if !slices.Contains(j.items, id) {
-					w.violation("job %s lists %s", j.id, id)
+					sim.violation("job %s lists %s", j.id, id)
 				}
 				if _, ok := j.positions[pos]; !ok {
-					j.positions[pos], j.readAt[pos] = what, w.nowMs()
+					j.positions[pos], j.readAt[pos] = what, sim.nowMs()
 				}
 			}
-			if at, ok := j.readAt[after]; ok && n == 0 && w.nowMs() > at+1000 {
-				w.violation("job %s: nothing at position %d, which was read %d ms ago", j.id, after, w.nowMs()-at)
+			if at, ok := j.readAt[after]; ok && n == 0 && sim.nowMs() > at+1000 {
+				sim.violation("job %s: nothing at position %d, which was read %d ms ago", j.id, after, sim.nowMs()-at)
 			}
 		}
 		if then != nil {
@@ -449,44 +439,42 @@
 	return what
 }
 
-// readRepeatedly reads a job over and over.
-func (w *simulation) readRepeatedly(j *clientJob, until int64) {
-	if w.nowMs() > until {
+// readRepeatedly reads the results of a job again and again until a time.
+func (sim *simulation) readRepeatedly(j *clientJob, until int64) {
+	if sim.nowMs() > until {
 		return
 	}
-	k := w.workers[w.rng.IntN(len(w.workers))]
+	proxy := sim.workers[sim.rng.IntN(len(sim.workers))]
 	after := 0
 	if n := len(j.positions); n > 0 {
-		after = w.rng.IntN(n + 1)
+		after = sim.rng.IntN(n + 1)
 	}
-	k.readResults(j, after, int64(w.rng.IntN(300)), nil)
-	w.after(60+w.rng.Float64()*100, func() { w.readRepeatedly(j, until) })
+	proxy.readResults(j, after, int64(sim.rng.IntN(300)), nil)
+	sim.after(60+sim.rng.Float64()*100, func() { sim.readRepeatedly(j, until) })
 }
 
 // endUntilAcknowledged ends a job, until it is acknowledged.
-func (w *simulation) endUntilAcknowledged(j *clientJob) {
-	k := w.workers[w.rng.IntN(len(w.workers))]
+func (sim *simulation) endUntilAcknowledged(j *clientJob) {
+	proxy := sim.workers[sim.rng.IntN(len(sim.workers))]
 	j.endRequested = true
-	var b link.Writer
-	b.String(j.id)
-	k.call(j.id, kindEndJob, b.Buf, 1500, func(b []byte, _ bool) {
+	proxy.call(j.id, kindEndJob, encodeEndJob(j.id), 1500, func(b []byte, _ bool) {
 		if len(b) > 0 && b[0] == codeOK {
 			if !j.ended {
-				j.ended, j.endedAt = true, w.nowMs()
+				j.ended, j.endedAt = true, sim.nowMs()
 			}
 			return
 		}
-		if len(b) > 0 && b[0] == codeNotFound && j.accepted && w.nowMs() > j.acceptedAt+1000 {
-			w.violation("404 at the end of job %s", j.id)
+		if len(b) > 0 && b[0] == codeNotFound && j.accepted && sim.nowMs() > j.acceptedAt+1000 {
+			sim.violation("404 at the end of job %s", j.id)
 		}
-		w.after(100, func() { w.endUntilAcknowledged(j) })
+		sim.after(100, func() { sim.endUntilAcknowledged(j) })
 	})
 }
 
-// healAndCheck heals everything and checks that all that was promised is there.
-func (w *simulation) healAndCheck(ms int64) {
-	w.cutLinks, w.slowLinks = nil, nil
-	for _, s := range w.stores {
+// healAndCheck ends all faults and checks that all that was acknowledged is there.
+func (sim *simulation) healAndCheck(ms int64) {
+	sim.cutLinks, sim.slowLinks = nil, nil
+	for _, s := range sim.stores {
 		if s.frozen {
 			s.frozen = false
 			all := s.frozenEvents
@@ -498,34 +486,31 @@
 		s.cutFromKeepers = false
 		s.start()
 	}
-	w.run(ms)
-	for _, id := range w.jobIDs {
-		j := w.jobs[id]
+	sim.run(ms)
+	for _, id := range sim.jobIDs {
+		j := sim.jobs[id]
 		if !j.accepted {
 			continue
 		}
 		read, had := false, len(j.positions)
-		w.workers[0].readResults(j, 0, 0, func(ok bool) { read = ok })
-		w.run(1500)
+		sim.workers[0].readResults(j, 0, 0, func(ok bool) { read = ok })
+		sim.run(1500)
 		if !read {
-			w.violation("job %s can't be read at the end", id)
+			sim.violation("job %s can't be read at the end", id)
 			continue
 		}
 		if len(j.positions) < had {
-			w.violation("job %s has lost positions", id)
+			sim.violation("job %s has lost positions", id)
 		}
 		if !j.endRequested && len(j.positions) < len(j.items) {
-			w.violation("job %s: %d of %d items are done at the end", id, len(j.positions), len(j.items))
+			sim.violation("job %s: %d of %d items are done at the end", id, len(j.positions), len(j.items))
 		}
-		w.resultsRead += len(j.positions)
-		var b link.Writer
-		b.String(id)
-		b.String(j.items[0])
+		sim.resultsRead += len(j.positions)
 		body := ""
-		w.workers[0].call(id, kindReadItemBody, b.Buf, 1000, func(b []byte, _ bool) { body = string(b) })
-		w.run(1500)
+		sim.workers[0].call(id, kindReadItemBody, encodeReadItemBody(id, j.items[0]), 1000, func(b []byte, _ bool) { body = string(b) })
+		sim.run(1500)
 		if want := string([]byte{codeOK}) + "body of " + j.items[0]; body != want {
-			w.violation("job %s: body %q", id, body)
+			sim.violation("job %s: body %q", id, body)
 		}
 	}
 }
--- a/internal/batch/simulation_test.go
+++ b/internal/batch/simulation_test.go
@@ -13,7 +13,8 @@
 )
 
 // simulation is a whole system in one goroutine: stores, keepers, workers and clients on a clock
-// and links of its own, all drawn from a seed. It checks every promise that was made.
+// and links of its own. What is random is drawn from a seed. It checks each answer against what
+// clients know, and collects the violations.
 type simulation struct {
 	rng       *rand.Rand
 	now       int64 // in 1/10 ms
@@ -40,7 +41,7 @@
 	beforeStep      func() // before each step
 	tableFrozen     bool   // keepers have no majority: the table can't change
 	resultsRead     int
-	drainedStores   int // stores that ended after others had their parts
+	drainedStores   int // stores that ended when others led their partitions
 	connections     []*simPipe
 }
 
@@ -65,38 +66,38 @@
 	return x
 }
 
-func (w *simulation) after(ms float64, do func()) {
-	w.nextOrder++
-	heap.Push(&w.queue, event{w.now + int64(ms*10), w.nextOrder, do})
+func (sim *simulation) after(ms float64, do func()) {
+	sim.nextOrder++
+	heap.Push(&sim.queue, event{sim.now + int64(ms*10), sim.nextOrder, do})
 }
 
-func (w *simulation) nowMs() int64 { return w.now / 10 }
+func (sim *simulation) nowMs() int64 { return sim.now / 10 }
 
-func (w *simulation) delay() float64 { return 0.2 + w.rng.Float64()*3 }
+func (sim *simulation) delay() float64 { return 0.2 + sim.rng.Float64()*3 }
 
-func (w *simulation) violation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%d ms: ", w.nowMs())+fmt.Sprintf(format, args...))
+func (sim *simulation) violation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf("%d ms: ", sim.nowMs())+fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) logf(format string, args ...any) {
-	if w.trace != nil {
-		w.trace("%6d "+format, append([]any{w.nowMs()}, args...)...)
+func (sim *simulation) logf(format string, args ...any) {
+	if sim.trace != nil {
+		sim.trace("%6d "+format, append([]any{sim.nowMs()}, args...)...)
 	}
 }
 
 // run plays for so many ms.
-func (w *simulation) run(ms int64) {
-	end := w.now + ms*10
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		w.steps++
-		if w.beforeStep != nil {
-			w.beforeStep()
+func (sim *simulation) run(ms int64) {
+	end := sim.now + ms*10
+	for len(sim.queue) > 0 && sim.queue[0].at <= end {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
+		sim.steps++
+		if sim.beforeStep != nil {
+			sim.beforeStep()
 		}
 		e.do()
 	}
-	w.now = end
+	sim.now = end
 }
 
 // simDisk is a disk whose records may be lost until they are synced.
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// powerLoss leaves what was synced, and some of what came after.
+// powerLoss loses records that were not synced, as many as the caller picks.
 func (d *simDisk) powerLoss(pick func(int) int) {
 	n := d.synced + pick(len(d.records)-d.synced+1)
 	if n < len(d.records) {
@@ -208,8 +209,8 @@
 	pipes          map[string]*simPipe
 	table          *snapshot.PartitionTable
 	lastHeartbeat  int64
-	removed        bool // taken away for good
-	cutFromKeepers bool // keepers don't hear of it, nor it of them
+	removed        bool // for good
+	cutFromKeepers bool // no message between it and keepers arrives
 }
 
 // simPipe is one side of a connection. Messages arrive at the other side in order, unless either has died.
@@ -246,8 +247,8 @@
 	return nil
 }
 
-func (w *simulation) isCut(a, b string) bool {
-	return w.cutLinks != nil && (w.cutLinks(a, b) || w.cutLinks(b, a))
+func (sim *simulation) isCut(a, b string) bool {
+	return sim.cutLinks != nil && (sim.cutLinks(a, b) || sim.cutLinks(b, a))
 }
 
 // end closes both sides: at once here, and there when it is noticed.
@@ -271,24 +272,31 @@
 }
 
 func newSimulation(seed uint64, n, f, parts int) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), maxLost: f, jobs: map[string]*clientJob{}, lastHeard: map[uint64]int64{}, partitionCount: parts, maxQueuedTokens: 100}
-	w.config = bulkConfig(100)
+	sim := &simulation{
+		rng:             rand.New(rand.NewPCG(seed, 7)),
+		maxLost:         f,
+		jobs:            map[string]*clientJob{},
+		lastHeard:       map[uint64]int64{},
+		partitionCount:  parts,
+		maxQueuedTokens: 100,
+	}
+	sim.config = bulkConfig(100)
 	for i := range n {
-		s := &simStore{simulation: w, name: fmt.Sprintf("s%d", i), zone: fmt.Sprintf("z%d", i%3), disk: &simDisk{}}
-		w.stores = append(w.stores, s)
+		s := &simStore{simulation: sim, name: fmt.Sprintf("s%d", i), zone: fmt.Sprintf("z%d", i%3), disk: &simDisk{}}
+		sim.stores = append(sim.stores, s)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) start() {
-	for _, s := range w.stores {
+func (sim *simulation) start() {
+	for _, s := range sim.stores {
 		s.start()
 	}
-	w.runKeepers()
+	sim.runKeepers()
 }
 
-func (w *simulation) storeNamed(name string) *simStore {
-	for _, s := range w.stores {
+func (sim *simulation) storeNamed(name string) *simStore {
+	for _, s := range sim.stores {
 		if s.name == name {
 			return s
 		}
@@ -296,13 +304,13 @@
 	return nil
 }
 
-// runEvent runs something on a store's own goroutine, as it were: later if it is frozen, never if it has died.
-func (s *simStore) runEvent(life int, fn func()) {
-	if s.core == nil || s.incarnation != life {
+// runEvent runs an event of an incarnation of a store: later if it is frozen, never if it has ended.
+func (s *simStore) runEvent(incarnation int, fn func()) {
+	if s.core == nil || s.incarnation != incarnation {
 		return
 	}
 	if s.frozen {
-		s.frozenEvents = append(s.frozenEvents, func() { s.runEvent(life, fn) })
+		s.frozenEvents = append(s.frozenEvents, func() { s.runEvent(incarnation, fn) })
 		return
 	}
 	s.core.nowMs = s.simulation.nowMs() + 1
@@ -315,21 +323,21 @@
 		return
 	}
 	s.syncRunning = true
-	n, recs, life, disk := s.core.appendedRecords, len(s.disk.records), s.incarnation, s.disk
+	n, recs, incarnation, disk := s.core.appendedRecords, len(s.disk.records), s.incarnation, s.disk
 	dropped := disk.droppedSegments
 	most := 4.0
 	if s.simulation.slowSyncs {
 		most = 60
 	}
 	s.simulation.after(0.5+s.simulation.rng.Float64()*most, func() {
-		if s.incarnation != life || s.disk != disk {
+		if s.incarnation != incarnation || s.disk != disk {
 			return
 		}
 		s.syncRunning = false
 		if disk.droppedSegments == dropped {
 			disk.synced = max(disk.synced, recs)
 		}
-		s.runEvent(life, func() { s.core.recordsSynced(n); s.core.dispatchItems() })
+		s.runEvent(incarnation, func() { s.core.recordsSynced(n); s.core.dispatchItems() })
 	})
 }
 
@@ -337,38 +345,38 @@
 	if s.core != nil || s.removed {
 		return
 	}
-	w := s.simulation
+	sim := s.simulation
 	s.incarnation++
-	life := s.incarnation
+	incarnation := s.incarnation
 	c := newCore(0, s.disk)
-	c.nowMs = w.nowMs() + 1
-	c.maxLostReplicas, c.zone = w.maxLost, s.zone
+	c.nowMs = sim.nowMs() + 1
+	c.maxLostReplicas, c.zone = sim.maxLost, s.zone
 	c.retentionMs, c.fixedSegmentBytes = 1<<40, 1500
-	if w.trace != nil {
-		c.logf = func(f string, a ...any) { w.logf(s.name+": "+f, a...) }
+	if sim.trace != nil {
+		c.logf = func(f string, a ...any) { sim.logf(s.name+": "+f, a...) }
 	}
 	if err := s.disk.replayInto(c); err != nil {
-		w.violation("%s: %v", s.name, err)
+		sim.violation("%s: %v", s.name, err)
 	}
 	s.core, s.frozen, s.frozenEvents, s.syncRunning = c, false, nil, false
 	s.pipes = map[string]*simPipe{}
 	s.table = nil
 	if c.self == 0 {
-		w.nextID++
-		c.self = w.nextID
+		sim.nextID++
+		c.self = sim.nextID
 	}
 	c.appendRecord(encodeRecord(recordIdentity, 0, c.self))
 	s.disk.synced = len(s.disk.records)
 	c.recordsSynced(c.appendedRecords)
-	c.reportReady = func(part int, epoch uint64) {
-		w.checkReady(c, part)
+	c.reportReady = func(index int, epoch uint64) {
+		sim.checkReady(c, index)
 		if s.cutFromKeepers {
 			return
 		}
-		w.after(w.delay()*3, func() {
-			if next, ok := SwitchReplicas(w.table, part, epoch); ok {
-				w.logf("switch part %d from epoch %d: %v", part, epoch, next.Partitions[part])
-				w.publish(next)
+		sim.after(sim.delay()*3, func() {
+			if next, ok := SwitchReplicas(sim.table, index, epoch); ok {
+				sim.logf("switch part %d from epoch %d: %v", index, epoch, next.Partitions[index])
+				sim.publish(next)
 			}
 		})
 	}
@@ -377,62 +385,66 @@
 			return
 		}
 		id := c.self
-		w.after(w.delay()*3, func() {
-			if next, ok := SetStopping(w.table, id, stopping); ok {
-				w.logf("%s: stopping %v", s.name, stopping)
-				w.publish(next)
+		sim.after(sim.delay()*3, func() {
+			if next, ok := SetStopping(sim.table, id, stopping); ok {
+				sim.logf("%s: stopping %v", s.name, stopping)
+				sim.publish(next)
 			}
 		})
 	}
-	w.logf("%s starts as %d", s.name, c.self)
+	sim.logf("%s starts as %d", s.name, c.self)
 	var tick func()
 	tick = func() {
-		if s.incarnation != life || s.core == nil {
+		if s.incarnation != incarnation || s.core == nil {
 			return
 		}
-		s.runEvent(life, func() { s.core.tick() })
+		s.runEvent(incarnation, func() { s.core.tick() })
 		if !s.frozen && !s.cutFromKeepers {
-			s.lastHeartbeat = w.nowMs()
+			s.lastHeartbeat = sim.nowMs()
 		}
-		w.after(25+w.rng.Float64()*10, tick)
+		sim.after(25+sim.rng.Float64()*10, tick)
 	}
-	w.after(w.rng.Float64()*20, tick)
-	w.after(5+w.rng.Float64()*30, func() {
-		if s.incarnation == life && w.table != nil {
-			s.receiveTable(w.table, life)
+	sim.after(sim.rng.Float64()*20, tick)
+	sim.after(5+sim.rng.Float64()*30, func() {
+		if s.incarnation == incarnation && sim.table != nil {
+			s.receiveTable(sim.table, incarnation)
 		}
 	})
-	w.after(700, func() { s.pollTable(life) })
-	w.after(20, func() { s.connectPeers(life) })
+	sim.after(700, func() { s.pollTable(incarnation) })
+	sim.after(20, func() { s.connectPeers(incarnation) })
 }
 
-// checkReady checks, when a primary says that the next group of a part has all of it, that those that join do.
-func (w *simulation) checkReady(primary *core, part int) {
-	l := primary.partition(part).primary
-	for _, o := range w.stores {
-		if o.core == nil || o.core == primary || !slices.Contains(l.nextReplicas, o.core.self) || slices.Contains(l.replicas, o.core.self) {
+// checkReady is called when a primary reports that the next group of a partition is ready: the replicas
+// that join have to have all that is committed.
+func (sim *simulation) checkReady(primary *core, index int) {
+	state := primary.partition(index).primary
+	for _, other := range sim.stores {
+		if other.core == nil || other.core == primary || slices.Contains(state.replicas, other.core.self) ||
+			!slices.Contains(state.nextReplicas, other.core.self) {
 			continue
 		}
-		if p := o.core.partition(part); p.position.term != l.term || int64(p.position.sequence) < max(l.committed, l.startSequence) {
-			w.violation("part %d is to be handed to %s, which has (%x, %d) of (%x, %d)", part, o.name, p.position.term, p.position.sequence, l.term, max(l.committed, l.startSequence))
+		position, committed := other.core.partition(index).position, max(state.committed, state.startSequence)
+		if position.term != state.term || int64(position.sequence) < committed {
+			sim.violation("partition %d is to get the replica %s, which has (%x, %d) of (%x, %d)",
+				index, other.name, position.term, position.sequence, state.term, committed)
 		}
 	}
 }
 
-// pollTable gives a store the newest table now and then, as a keeper that it has found does.
-func (s *simStore) pollTable(life int) {
-	if s.incarnation != life || s.core == nil {
+// pollTable gives a store the newest table now and then, as a keeper does that it has found.
+func (s *simStore) pollTable(incarnation int) {
+	if s.incarnation != incarnation || s.core == nil {
 		return
 	}
 	if !s.cutFromKeepers && s.simulation.table != nil {
-		s.receiveTable(s.simulation.table, life)
+		s.receiveTable(s.simulation.table, incarnation)
 	}
-	s.simulation.after(700, func() { s.pollTable(life) })
+	s.simulation.after(700, func() { s.pollTable(incarnation) })
 }
 
-// receiveTable gives a store a table.
-func (s *simStore) receiveTable(t *snapshot.PartitionTable, life int) {
-	s.runEvent(life, func() {
+// receiveTable is the event that a store gets a table.
+func (s *simStore) receiveTable(t *snapshot.PartitionTable, incarnation int) {
+	s.runEvent(incarnation, func() {
 		if s.table == nil || t.Version > s.table.Version {
 			s.table = t
 		}
@@ -441,56 +453,62 @@
 	})
 }
 
-// connectPeers holds connections to all other stores of the table.
-func (s *simStore) connectPeers(life int) {
-	if s.incarnation != life || s.core == nil {
+// reachable reports whether a connection to a store of an identity can be opened.
+func (s *simStore) reachable(id uint64) bool {
+	return s != nil && s.core != nil && s.core.self == id && !s.frozen
+}
+
+// connectPeers keeps connections open to all other stores of the table.
+func (s *simStore) connectPeers(incarnation int) {
+	if s.incarnation != incarnation || s.core == nil {
 		return
 	}
-	w := s.simulation
+	sim := s.simulation
 	if s.table != nil && !s.frozen {
-		for _, id := range sortedIDs(s.table.Stores) {
+		for _, id := range sortedKeys(s.table.Stores) {
 			name := s.table.Stores[id].Name
-			o := w.storeNamed(name)
-			if id == s.core.self || s.pipes[name] != nil && s.pipes[name].open || o == nil || o.core == nil || o.core.self != id || o.frozen || w.isCut(s.name, name) {
+			other := sim.storeNamed(name)
+			connected := s.pipes[name] != nil && s.pipes[name].open
+			if id == s.core.self || connected || !other.reachable(id) || sim.isCut(s.name, name) {
 				continue
 			}
-			p := w.connect(s.name, name, s.receiver(life), o.receiver(o.incarnation))
+			p := sim.connect(s.name, name, s.receiver(incarnation), other.receiver(other.incarnation))
 			s.pipes[name] = p
-			p.closed = func(p *simPipe) { s.runEvent(life, func() { s.core.peerDisconnected(id, p) }) }
-			olife := o.incarnation
-			p.peer.closed = func(q *simPipe) { o.runEvent(olife, func() { o.core.connectionClosed(q) }) }
-			s.runEvent(life, func() { s.core.peerConnected(id, p) })
+			p.closed = func(p *simPipe) { s.runEvent(incarnation, func() { s.core.peerDisconnected(id, p) }) }
+			otherIncarnation := other.incarnation
+			p.peer.closed = func(q *simPipe) { other.runEvent(otherIncarnation, func() { other.core.connectionClosed(q) }) }
+			s.runEvent(incarnation, func() { s.core.peerConnected(id, p) })
 		}
 	}
-	w.after(50+w.rng.Float64()*20, func() { s.connectPeers(life) })
+	sim.after(50+sim.rng.Float64()*20, func() { s.connectPeers(incarnation) })
 }
 
 func sortedIDs[V any](m map[uint64]V) []uint64 { return sortedKeys(m) }
 
-func (s *simStore) receiver(life int) func(*simPipe, Caller, link.Kind, []byte) {
+func (s *simStore) receiver(incarnation int) func(*simPipe, Caller, link.Kind, []byte) {
 	return func(p *simPipe, m Caller, kind link.Kind, body []byte) {
-		s.runEvent(life, func() { s.core.handleMessage(p, m, kind, body) })
+		s.runEvent(incarnation, func() { s.core.handleMessage(p, m, kind, body) })
 	}
 }
 
-func (w *simulation) connect(a, b string, fa, fb func(*simPipe, Caller, link.Kind, []byte)) *simPipe {
-	p := &simPipe{simulation: w, from: a, to: b, open: true, deliver: fa}
-	q := &simPipe{simulation: w, from: b, to: a, open: true, deliver: fb, peer: p}
+func (sim *simulation) connect(a, b string, fa, fb func(*simPipe, Caller, link.Kind, []byte)) *simPipe {
+	p := &simPipe{simulation: sim, from: a, to: b, open: true, deliver: fa}
+	q := &simPipe{simulation: sim, from: b, to: a, open: true, deliver: fb, peer: p}
 	p.peer = q
-	w.connections = append(w.connections, p)
+	sim.connections = append(sim.connections, p)
 	return p
 }
 
 // dropConnections ends all connections of a machine; the others notice after so many ms.
-func (w *simulation) dropConnections(name string, ms float64) {
-	for _, p := range w.connections {
+func (sim *simulation) dropConnections(name string, ms float64) {
+	for _, p := range sim.connections {
 		if p.from == name {
 			p.end(ms)
 		} else if p.to == name {
 			p.peer.end(ms)
 		}
 	}
-	w.connections = slices.DeleteFunc(w.connections, func(p *simPipe) bool { return !p.open })
+	sim.connections = slices.DeleteFunc(sim.connections, func(p *simPipe) bool { return !p.open })
 }
 
 // kill ends a store's process.
@@ -504,59 +522,59 @@
 	s.simulation.dropConnections(s.name, 1)
 }
 
-// terminate tells a store to end: it hands its parts over, and ends when that is done or its time is over.
+// terminate drains a store, and ends it when that is done or after 2 s.
 func (s *simStore) terminate(then func()) {
-	w, life := s.simulation, s.incarnation
-	s.runEvent(life, func() { s.core.beginDraining() })
-	until := w.nowMs() + 2000
+	sim, incarnation := s.simulation, s.incarnation
+	s.runEvent(incarnation, func() { s.core.beginDraining() })
+	until := sim.nowMs() + 2000
 	var poll func()
 	poll = func() {
-		if s.incarnation != life || s.core == nil {
+		if s.incarnation != incarnation || s.core == nil {
 			then()
 			return
 		}
-		if s.core.drained() || w.nowMs() > until {
+		if s.core.drained() || sim.nowMs() > until {
 			if s.core.primaryCount() == 0 {
-				w.drainedStores++
+				sim.drainedStores++
 			}
 			s.kill()
 			then()
 			return
 		}
-		w.after(25, poll)
+		sim.after(25, poll)
 	}
-	w.after(25, poll)
+	sim.after(25, poll)
 }
 
-// losePower takes the power away.
+// losePower ends a store and loses records of its disk that were not synced.
 func (s *simStore) losePower() {
 	s.kill()
 	s.disk.powerLoss(s.simulation.rng.IntN)
 }
 
-// loseDisk takes the disk away.
+// loseDisk ends a store and gives it an empty disk.
 func (s *simStore) loseDisk() {
 	s.kill()
 	s.disk = &simDisk{}
 	s.simulation.logf("%s has lost its disk", s.name)
 }
 
-// freeze stops a store for so long. Others notice by silence.
+// freeze stops a store for so many ms. Others notice by a timeout.
 func (s *simStore) freeze(ms float64) {
 	if s.core == nil || s.frozen {
 		return
 	}
-	w, life := s.simulation, s.incarnation
-	w.logf("%s is frozen", s.name)
+	sim, incarnation := s.simulation, s.incarnation
+	sim.logf("%s is frozen", s.name)
 	s.frozen = true
-	w.after(1300, func() {
-		if s.incarnation == life && s.frozen {
-			w.dropConnections(s.name, 0)
+	sim.after(1300, func() {
+		if s.incarnation == incarnation && s.frozen {
+			sim.dropConnections(s.name, 0)
 		}
 	})
-	w.after(ms, func() {
-		if s.incarnation == life && s.frozen {
-			w.logf("%s goes on", s.name)
+	sim.after(ms, func() {
+		if s.incarnation == incarnation && s.frozen {
+			sim.logf("%s goes on", s.name)
 			s.frozen = false
 			all := s.frozenEvents
 			s.frozenEvents = nil
@@ -567,51 +585,53 @@
 	})
 }
 
-// aliveStores are the stores that keepers hear of.
-func (w *simulation) aliveStores() (alive []snapshot.Store) {
-	for _, s := range w.stores {
-		if s.core != nil && (w.nowMs()-s.lastHeartbeat < 400 || w.nowMs() < 300) {
+// aliveStores are the stores whose heartbeats keepers get.
+func (sim *simulation) aliveStores() (alive []snapshot.Store) {
+	for _, s := range sim.stores {
+		if s.core != nil && (sim.nowMs()-s.lastHeartbeat < 400 || sim.nowMs() < 300) {
 			alive = append(alive, snapshot.Store{ID: s.core.self, Name: s.name, Addr: s.name, Zone: s.zone})
 		}
 	}
 	return alive
 }
 
-// runKeepers is the keepers' duty.
-func (w *simulation) runKeepers() {
-	for _, s := range w.stores {
+// isLost reports whether a store has sent no heartbeat for a second.
+func (sim *simulation) isLost(id uint64) bool { return sim.nowMs()-sim.lastHeard[id] > 1000 }
+
+// runKeepers assigns the partitions, again and again.
+func (sim *simulation) runKeepers() {
+	for _, s := range sim.stores {
 		if s.core != nil {
-			w.lastHeard[s.core.self] = s.lastHeartbeat
+			sim.lastHeard[s.core.self] = s.lastHeartbeat
 		}
 	}
-	lost := func(id uint64) bool { return w.nowMs()-w.lastHeard[id] > 1000 }
-	starting := w.nowMs() < 300
-	alive := w.aliveStores()
-	if !starting || len(alive) == len(w.stores) {
-		lost2 := lost
+	starting := sim.nowMs() < 300
+	alive := sim.aliveStores()
+	if !starting || len(alive) == len(sim.stores) {
+		lost := sim.isLost
 		if starting {
-			lost2 = func(uint64) bool { return false }
+			lost = func(uint64) bool { return false }
 		}
-		if next, ok := AssignPartitions(w.table, alive, lost2, w.partitionCount, w.maxLost); ok {
-			w.logf("assign: %v", next.Partitions)
-			w.publish(next)
+		if next, ok := AssignPartitions(sim.table, alive, lost, sim.partitionCount, sim.maxLost); ok {
+			sim.logf("assign: %v", next.Partitions)
+			sim.publish(next)
 		}
 	}
-	w.after(100, w.runKeepers)
+	sim.after(100, sim.runKeepers)
 }
 
-func (w *simulation) publish(t *snapshot.PartitionTable) {
-	if w.tableFrozen {
+func (sim *simulation) publish(t *snapshot.PartitionTable) {
+	if sim.tableFrozen {
 		return
 	}
-	w.table = t
-	for _, s := range w.stores {
-		life := s.incarnation
+	sim.table = t
+	for _, s := range sim.stores {
+		incarnation := s.incarnation
 		if !s.cutFromKeepers {
-			w.after(w.delay()*5, func() { s.receiveTable(t, life) })
+			sim.after(sim.delay()*5, func() { s.receiveTable(t, incarnation) })
 		}
 	}
-	for _, k := range w.workers {
-		w.after(w.delay()*5+k.tableDelayMs, func() { k.receiveTable(t) })
+	for _, proxy := range sim.workers {
+		sim.after(sim.delay()*5+proxy.tableDelayMs, func() { proxy.receiveTable(t) })
 	}
 }
--- a/internal/batch/space_test.go
+++ b/internal/batch/space_test.go
@@ -58,7 +58,7 @@
 	return g, disks
 }
 
-// step lets a ms pass, in which items end at the rig's pace.
+// step lets so many ms pass, in which items end at the rate of the rig.
 func (g *storeRig) step(ms int64) {
 	for range ms / 10 {
 		g.now += 10_000
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestSpaceIsReclaimedAtASteadyRate: at a steady rate the stores take all jobs for ten minutes, and
-// their disks hold what must stay.
+// TestSpaceIsReclaimedAtASteadyRate: at a steady rate the stores accept all jobs for ten minutes,
+// and their disks never have more than their capacity.
 func TestSpaceIsReclaimedAtASteadyRate(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	jobs, begin := 0, g.now
@@ -102,7 +102,7 @@
 	return most
 }
 
-// checkReadable reads a job whole.
+// checkReadable reads all results of a job.
 func (g *storeRig) checkReadable(t *testing.T, id string, items int) {
 	t.Helper()
 	c := g.primaryOf(id)
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestFullStoresRefuseJobsAndRecover: at three times the rate that the disks bear, jobs are refused
-// at once and as such, no disk runs full, and what was taken is read whole; at the old rate all are
-// taken again.
+// TestFullStoresRefuseJobsAndRecover: at three times the rate that the disks can bear, jobs are
+// refused at once with the code for a full log, no disk runs full, and what was accepted can be
+// read. At the steady rate all jobs are accepted again.
 func TestFullStoresRefuseJobsAndRecover(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	codes := map[uint8]int{}
@@ -157,8 +157,7 @@
 	}
 }
 
-// TestJobIsRefusedWhileAReplicaIsFull: a job is refused as well when one of those that would hold
-// it has no room.
+// TestJobIsRefusedWhileAReplicaIsFull: a job is refused also if the log of a replica is full.
 func TestJobIsRefusedWhileAReplicaIsFull(t *testing.T) {
 	g, _ := newSteadyRig(t)
 	g.step(1000)
@@ -174,7 +173,7 @@
 	room := full.logCapacity
 	full.logCapacity = 1
 	g.step(1000)
-	g.read("job") // a read is confirmed by the copies, which say that they are full
+	g.read("job") // a read needs confirmations by the replicas, which say that their logs are full
 	if code := g.submit("job", 1); code != codeLogFull {
 		t.Errorf("with a full copy: code %d", code)
 	}
@@ -186,15 +185,15 @@
 	}
 }
 
-// read reads a job and waits until the copies have answered.
+// read reads a job and waits until the replicas have answered.
 func (g *storeRig) read(id string) {
 	c := g.primaryOf(id)
 	c.handleMessage(nil, callerFunc(func([]byte) {}), kindReadResults, encodeReadResults(id, 0, 0))
 	g.step(1000)
 }
 
-// TestPositionsAndPromisesOutliveSegments: what a store promised and claimed, and its jobs, are the
-// same after each segment but the newest has been given back and the store has started again.
+// TestPositionsAndPromisesOutliveSegments: the positions, promises and jobs of a store are the same
+// after each segment but the newest has been removed and the store has started again.
 func TestPositionsAndPromisesOutliveSegments(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	for i := range 40 {
@@ -232,8 +231,8 @@
 	}
 }
 
-// TestClientsOfFullStoresAreToldWhenToRetry: a client whose job is refused for want of room hears
-// so at once, and when to come again.
+// TestClientsOfFullStoresAreToldWhenToRetry: a client whose job is refused for want of space is
+// told so at once, and when to retry.
 func TestClientsOfFullStoresAreToldWhenToRetry(t *testing.T) {
 	g := newStoreGroup(t, 10)
 	views := &snapshot.Latest{}
--- a/internal/batch/workers_test.go
+++ b/internal/batch/workers_test.go
@@ -6,7 +6,8 @@
 	"dunetide/internal/platform/link"
 )
 
-// What a worker has in hand when its link breaks waits for it: it runs on, and its item would run twice.
+// TestItemsWaitForTheirWorkerToReconnect: the items of a worker whose link breaks wait for it to
+// come back: it runs on, and they would run twice.
 func TestItemsWaitForTheirWorkerToReconnect(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		g := newStoreRig(3, 1, 4, 1000)
