--- a/internal/deliverynode/outbox/outbox.go
+++ b/internal/deliverynode/outbox/outbox.go
@@ -1,5 +1,5 @@
 // Package outbox is the queue of messages to one peer: the newest of each key, in the order in which the keys were first
-// added, bounded in number and in bytes. Adding never blocks: what does not fit is dropped.
+// added, bounded in number and in bytes. Adding never blocks: Put refuses what does not fit, Push drops the oldest instead.
 package outbox
 
 import (
