--- a/cmd/dunetide-lab/hollow.go
+++ b/cmd/dunetide-lab/hollow.go
@@ -80,8 +80,8 @@
 		return err
 	}
 	report, err := hollow.Run(ctx, hollow.Options{Program: program, Dir: dir, Sizes: sizes, Zones: c.Zones, Keepers: c.Keepers, Stores: c.Stores,
-		BeatEvery: c.BeatEvery, Quiet: c.Length, Changes: c.Changes, ChangeEvery: c.Every, Tenants: c.Tenants, Models: c.Models,
-		Say: func(form string, args ...any) { fmt.Fprintf(os.Stderr, form+"\n", args...) }})
+		HeartbeatInterval: c.BeatEvery, Quiet: c.Length, Changes: c.Changes, ChangeEvery: c.Every, Tenants: c.Tenants, Models: c.Models,
+		Logf: func(form string, args ...any) { fmt.Fprintf(os.Stderr, form+"\n", args...) }})
 	if len(report.Sizes) == 0 {
 		return err
 	}
--- a/cmd/dunetide-lab/night_test.go
+++ b/cmd/dunetide-lab/night_test.go
@@ -15,7 +15,7 @@
 	if out, err := exec.Command("go", "build", "-o", program, "dunetide/cmd/dunetide").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	a, err := tier.PlayCertification(t.Context(), tier.Options{Program: program, Dir: t.TempDir(), Seed: 1, Length: 8 * time.Second, Say: t.Logf})
+	a, err := tier.PlayCertification(t.Context(), tier.Options{Program: program, Dir: t.TempDir(), Seed: 1, Length: 8 * time.Second, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -46,7 +46,7 @@
 	}
 	broken := 0
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds); seed++ {
-		plan := soak.Draw(seed, c.Length).Only(c.Only)
+		plan := soak.RandomPlan(seed, c.Length).Only(c.Only)
 		if c.Final != "" {
 			plan.Final = soak.Final(c.Final)
 		}
@@ -75,8 +75,8 @@
 }
 
 func showPlan(plan soak.Plan) {
-	fmt.Printf("seed %d: %+v, final %s, load %.2f, clients that leave %.2f\n", plan.Seed, plan.Shape, plan.Final, plan.Load, plan.GiveUp)
-	for _, t := range plan.Troubles {
+	fmt.Printf("seed %d: %+v, final %s, load %.2f, clients that leave %.2f\n", plan.Seed, plan.Shape, plan.Final, plan.Load, plan.LeaveShare)
+	for _, t := range plan.Faults {
 		fmt.Printf("  %v\n", t)
 	}
 }
@@ -92,7 +92,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return false, err
 	}
-	account, err := soak.Play(ctx, soak.Options{Program: program, Dir: dir, Plan: plan, Say: say})
+	account, err := soak.Play(ctx, soak.Options{Program: program, Dir: dir, Plan: plan, Logf: say})
 	if err != nil {
 		return true, errors.Join(fmt.Errorf("seed %d: %w", plan.Seed, err), c.keep(dir, plan.Seed))
 	}
@@ -122,9 +122,9 @@
 
 // shrink takes troubles away for as long as a promise is still broken without them.
 func (c *soakCommand) shrink(ctx context.Context, program, work string, plan soak.Plan) error {
-	for i := 0; i < len(plan.Troubles); {
+	for i := 0; i < len(plan.Faults); {
 		less := plan
-		less.Troubles = slices.Delete(slices.Clone(plan.Troubles), i, i+1)
+		less.Faults = slices.Delete(slices.Clone(plan.Faults), i, i+1)
 		bad, err := c.play(ctx, program, work, less, false)
 		if err != nil {
 			return err
@@ -136,7 +136,7 @@
 		}
 	}
 	var numbers []string
-	for _, t := range plan.Troubles {
+	for _, t := range plan.Faults {
 		numbers = append(numbers, strconv.Itoa(t.Number))
 	}
 	fmt.Printf("seed %d takes --only=%s\n", plan.Seed, strings.Join(numbers, ","))
--- a/cmd/dunetide-lab/tier.go
+++ b/cmd/dunetide-lab/tier.go
@@ -74,7 +74,7 @@
 	if c.Faults {
 		faults = append([]string{"store", "keeper", "engine"}, faults...)
 	}
-	a, err := tier.Play(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, Faults: faults, Spoil: c.Spoil, Load: c.Load, Say: say})
+	a, err := tier.Play(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, Faults: faults, CorruptAnswers: c.Spoil, Load: c.Load, Logf: say})
 	if err != nil && a.Kinds == nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 		return err
 	}
 	defer stop()
-	a, err := tier.PlayCertification(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, Spoil: c.Spoil, Load: c.Load, Say: say})
+	a, err := tier.PlayCertification(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, CorruptAnswers: c.Spoil, Load: c.Load, Logf: say})
 	if err != nil && a.Kinds == nil {
 		return err
 	}
--- a/cmd/dunetide-lab/tier_test.go
+++ b/cmd/dunetide-lab/tier_test.go
@@ -15,7 +15,7 @@
 	if out, err := exec.Command("go", "build", "-o", program, "dunetide/cmd/dunetide").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	a, err := tier.Play(t.Context(), tier.Options{Program: program, Dir: t.TempDir(), Seed: 1, Length: 4 * time.Second, Faults: []string{"store", "keeper", "engine"}, Spoil: true, Say: t.Logf})
+	a, err := tier.Play(t.Context(), tier.Options{Program: program, Dir: t.TempDir(), Seed: 1, Length: 4 * time.Second, Faults: []string{"store", "keeper", "engine"}, CorruptAnswers: true, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/soak/account.go
+++ b/internal/lab/soak/account.go
@@ -240,7 +240,7 @@
 func (a Account) Print(w io.Writer) error {
 	var out strings.Builder
 	fmt.Fprintf(&out, "seed %d: %+v, %d troubles, final %s: %d runs, %d orders acknowledged, %d reads of the configuration and %d refused, %d drains, %d clients left (%d runs, %d go on), %d checks of invariants at %d processes\n",
-		a.Plan.Seed, a.Plan.Shape, len(a.Plan.Troubles), a.Plan.Final, a.Runs, a.Acked, a.Reads, a.Refused, a.Drains, a.Left, a.LeftRuns, a.LeftWork, a.Checks, a.Scraped)
+		a.Plan.Seed, a.Plan.Shape, len(a.Plan.Faults), a.Plan.Final, a.Runs, a.Acked, a.Reads, a.Refused, a.Drains, a.Left, a.LeftRuns, a.LeftWork, a.Checks, a.Scraped)
 	for _, k := range a.Kinds {
 		fmt.Fprintf(&out, "  %-8s asked %d: %d in aim, %d late, %d refused, %d failed\n", k.Kind, k.Asked, k.InAim, k.Late, k.Refused, k.Failed)
 	}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -31,14 +31,14 @@
 // playFaults plays all troubles of the plan at their times, side by side, and returns when the last one has ended.
 func (p *play) playFaults(ctx context.Context) {
 	var all sync.WaitGroup
-	for _, t := range p.plan.Troubles {
+	for _, t := range p.plan.Faults {
 		all.Go(func() {
 			if !wait.For(ctx, time.Until(p.began.Add(t.At))) {
 				return
 			}
-			p.options.Say("%5.1f s  %v", time.Since(p.began).Seconds(), t)
+			p.options.Logf("%5.1f s  %v", time.Since(p.began).Seconds(), t)
 			if err := p.playFault(ctx, t); err != nil {
-				p.options.Say("%5.1f s  trouble %d: %v", time.Since(p.began).Seconds(), t.Number, err)
+				p.options.Logf("%5.1f s  trouble %d: %v", time.Since(p.began).Seconds(), t.Number, err)
 			}
 		})
 	}
@@ -297,7 +297,7 @@
 func (p *play) playFinal(ctx context.Context) time.Time {
 	p.orders.awaitAcknowledged(ctx)
 	at := time.Now()
-	p.options.Say("%5.1f s  final: %s", at.Sub(p.began).Seconds(), p.plan.Final)
+	p.options.Logf("%5.1f s  final: %s", at.Sub(p.began).Seconds(), p.plan.Final)
 	all := p.cluster.Processes()
 	var lost []*cluster.Process
 	end := (*cluster.Process).Kill
@@ -320,7 +320,7 @@
 		return nil
 	}
 	if err := p.down(ctx, Fault{Kind: Kind(p.plan.Final), For: time.Second}, all, end, then); err != nil {
-		p.options.Say("the final: %v", err)
+		p.options.Logf("the final: %v", err)
 	}
 	return at
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -96,13 +96,13 @@
 
 // Plan is a play that is drawn.
 type Plan struct {
-	Seed     uint64        `json:"seed"`
-	Shape    Shape         `json:"shape"`
-	Length   time.Duration `json:"length"`
-	Troubles []Fault       `json:"troubles"`
-	Final    Final         `json:"final"`
-	GiveUp   float64       `json:"give_up"` // the share of clients that leave
-	Load     float64       `json:"load"`
+	Seed       uint64        `json:"seed"`
+	Shape      Shape         `json:"shape"`
+	Length     time.Duration `json:"length"`
+	Faults     []Fault       `json:"troubles"`
+	Final      Final         `json:"final"`
+	LeaveShare float64       `json:"give_up"` // the share of clients that leave
+	Load       float64       `json:"load"`
 }
 
 // weights say how often a kind is drawn.
@@ -132,12 +132,12 @@
 	{Twin, 1, []string{"keeper", "store", "proxy"}},
 }
 
-// Draw makes the plan of a seed: episodes of two or three troubles that overlap, with calm in between.
-func Draw(seed uint64, length time.Duration) Plan {
+// RandomPlan makes the plan of a seed: episodes of two or three troubles that overlap, with calm in between.
+func RandomPlan(seed uint64, length time.Duration) Plan {
 	rng := world.Random(seed, "soak plan")
 	p := Plan{Seed: seed, Shape: shapes[rng.IntN(len(shapes))], Length: length, Load: 0.5 + rng.Float64()}
 	if rng.IntN(2) == 0 {
-		p.GiveUp = 0.05 + 0.2*rng.Float64()
+		p.LeaveShare = 0.05 + 0.2*rng.Float64()
 	}
 	p.Final = []Final{FinalNone, FinalKillAll, FinalWipe, FinalWipe, FinalRestart}[rng.IntN(5)]
 	total := 0
@@ -147,7 +147,7 @@
 	wipes := 0
 	for begin := firstEpisode; begin+episodeLength <= length; begin += episodeLength + episodeCalm {
 		for range 2 + rng.IntN(maxOverlap-1) {
-			t := Fault{Number: len(p.Troubles) + 1, At: begin + time.Duration(rng.Int64N(int64(episodeLength-longestFault)+1)),
+			t := Fault{Number: len(p.Faults) + 1, At: begin + time.Duration(rng.Int64N(int64(episodeLength-longestFault)+1)),
 				For: shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))}
 			at := rng.IntN(total)
 			for _, w := range weights {
@@ -165,7 +165,7 @@
 				}
 				wipes++
 			}
-			p.Troubles = append(p.Troubles, t)
+			p.Faults = append(p.Faults, t)
 		}
 	}
 	return p
@@ -174,7 +174,7 @@
 // end is by when the troubles of the plan have ended, counted from its beginning. Processes that are stopped take up to the grace.
 func (p Plan) end() time.Duration {
 	last := p.Length
-	for _, t := range p.Troubles {
+	for _, t := range p.Faults {
 		ends := t.At + t.For + grace + backAfter
 		switch t.Kind {
 		case RollProxies:
@@ -190,7 +190,7 @@
 // Only keeps the troubles with these numbers; none named: all.
 func (p Plan) Only(numbers []int) Plan {
 	if len(numbers) > 0 {
-		p.Troubles = slices.DeleteFunc(slices.Clone(p.Troubles), func(t Fault) bool { return !slices.Contains(numbers, t.Number) })
+		p.Faults = slices.DeleteFunc(slices.Clone(p.Faults), func(t Fault) bool { return !slices.Contains(numbers, t.Number) })
 	}
 	return p
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -44,7 +44,7 @@
 	Program string // that cluster.BuildRelayed has made
 	Dir     string // for settings, disks, logs and the account
 	Plan    Plan
-	Say     func(format string, args ...any)
+	Logf    func(format string, args ...any)
 }
 
 // play is one under way.
@@ -166,7 +166,7 @@
 		js[i].Route.MaxWaitMs = int((length + finishBy) / time.Millisecond)
 	}
 	return load.Run(ctx, load.Options{Seed: p.plan.Seed, Length: length, Clients: clients, Zones: p.cluster.Zones(), Front: p.cluster.Front, Traffic: ts, Jobs: js,
-		Stride: stride, FinishBy: finishBy, Settle: settleTime, Cancel: cancelAfter, Runs: p.runs, GiveUp: p.plan.GiveUp})
+		Stride: stride, FinishBy: finishBy, Settle: settleTime, Cancel: cancelAfter, Runs: p.runs, GiveUp: p.plan.LeaveShare})
 }
 
 // startEndpoint starts a new incarnation at a place.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -23,15 +23,15 @@
 func TestPlanIsDrawnAgain(t *testing.T) {
 	kinds := map[Kind]bool{}
 	for seed := range uint64(200) {
-		p := Draw(seed, time.Minute)
-		if !reflect.DeepEqual(p, Draw(seed, time.Minute)) {
+		p := RandomPlan(seed, time.Minute)
+		if !reflect.DeepEqual(p, RandomPlan(seed, time.Minute)) {
 			t.Fatalf("seed %d draws two plans", seed)
 		}
-		if len(p.Troubles) < 8 {
-			t.Errorf("seed %d has %d troubles in a minute", seed, len(p.Troubles))
+		if len(p.Faults) < 8 {
+			t.Errorf("seed %d has %d troubles in a minute", seed, len(p.Faults))
 		}
 		wipes := 0
-		for _, trouble := range p.Troubles {
+		for _, trouble := range p.Faults {
 			kinds[trouble.Kind] = true
 			if trouble.Kind == WipeDisk {
 				wipes++
@@ -43,8 +43,8 @@
 		if wipes > 1 {
 			t.Errorf("seed %d loses %d disks in its troubles", seed, wipes)
 		}
-		if only := p.Only([]int{2}); len(only.Troubles) != 1 || only.Troubles[0].Number != 2 {
-			t.Errorf("seed %d: only trouble 2 is %v", seed, only.Troubles)
+		if only := p.Only([]int{2}); len(only.Faults) != 1 || only.Faults[0].Number != 2 {
+			t.Errorf("seed %d: only trouble 2 is %v", seed, only.Faults)
 		}
 	}
 	for _, w := range weights {
@@ -103,7 +103,7 @@
 	}
 	program := build(t)
 	for n := range seeds {
-		account := soak(t, program, Draw(first+uint64(n), length))
+		account := soak(t, program, RandomPlan(first+uint64(n), length))
 		for _, line := range account.Story {
 			t.Log(line)
 		}
@@ -134,7 +134,7 @@
 
 func soak(t *testing.T, program string, plan Plan) Account {
 	t.Helper()
-	account, err := Play(t.Context(), Options{Program: program, Dir: t.TempDir(), Plan: plan, Say: t.Logf})
+	account, err := Play(t.Context(), Options{Program: program, Dir: t.TempDir(), Plan: plan, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/wrong_test.go
@@ -24,13 +24,13 @@
 			{File: "internal/control/keeper/endpoints.go", Old: "	case result.waiter != nil && !result.waiter.majorityAcked:\n", New: "	case false:\n"},
 			{File: "internal/control/keeper/endpoints.go", Old: "	k.checkAcknowledgement(change.id, result)\n", New: ""},
 		},
-		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 2, Troubles: []Fault{
+		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 2, Faults: []Fault{
 			{Number: 1, At: 2 * time.Second, For: 9 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{1}},
 			{Number: 2, At: 2 * time.Second, For: time.Second, Kind: Leave, How: "silent lured", Targets: []int{4}},
 		}}, []string{ruleDrain}},
 	{"the same, found by the invariant",
 		[]mutation.Mutant{{File: "internal/control/keeper/endpoints.go", Old: "	case result.waiter != nil && !result.waiter.majorityAcked:\n", New: "	case false:\n"}},
-		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 1, Troubles: []Fault{
+		Plan{Seed: 1, Shape: shapes[3], Length: 12 * time.Second, Final: FinalNone, Load: 1, Faults: []Fault{
 			{Number: 1, At: 2 * time.Second, For: 6 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{1}},
 			{Number: 2, At: 2 * time.Second, For: time.Second, Kind: Leave, How: "silent lured", Targets: []int{4}},
 		}}, []string{ruleInvariant}},
@@ -39,17 +39,17 @@
 			{File: "internal/control/keeper/document_calls.go", Old: "	newest, err := k.readNewestDocument(register)\n", New: "	k.registers.mu.Lock()\n	memory := k.registers.states[register].Value\n	k.registers.mu.Unlock()\n	newest, err := decodeDocument(memory)\n"},
 			{File: "internal/control/keeper/document_calls.go", Old: "	checkReadNotOlder(register, known, newest.version)\n", New: "	_ = known\n"},
 		},
-		Plan{Seed: 2, Shape: shapes[0], Length: 8 * time.Second, Final: FinalNone, Load: 0.5, Troubles: []Fault{
+		Plan{Seed: 2, Shape: shapes[0], Length: 8 * time.Second, Final: FinalNone, Load: 0.5, Faults: []Fault{
 			{Number: 1, At: 2 * time.Second, For: 4 * time.Second, Kind: CutOff, How: "keeper", Targets: []int{2}},
 		}}, []string{ruleConfig}},
 	{"jobs kept on one disk, found by the invariant",
 		[]mutation.Mutant{{File: "internal/batch/replication.go", Old: "	need := c.maxLostReplicas + 1\n", New: "	need := 1\n"}},
-		Plan{Seed: 3, Shape: shapes[0], Length: 6 * time.Second, Final: FinalNone, Load: 0.5, Troubles: []Fault{
+		Plan{Seed: 3, Shape: shapes[0], Length: 6 * time.Second, Final: FinalNone, Load: 0.5, Faults: []Fault{
 			{Number: 1, At: time.Second, For: 2 * time.Second, Kind: Freeze, How: "store", Targets: []int{1}},
 		}}, []string{ruleInvariant}},
 	{"a request that may run once is sent again",
 		[]mutation.Mutant{{File: "internal/proxy/attempt/attempt.go", Old: "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.Idempotent && c.AttemptsLeft {\n", New: "	case Broken, UnprovenRejection, BodyTruncated:\n		if c.AttemptsLeft {\n"}},
-		Plan{Seed: 4, Shape: shapes[0], Length: 6 * time.Second, Final: FinalNone, Load: 1, Troubles: []Fault{
+		Plan{Seed: 4, Shape: shapes[0], Length: 6 * time.Second, Final: FinalNone, Load: 1, Faults: []Fault{
 			{Number: 1, At: time.Second, For: 4 * time.Second, Kind: Spoil, Targets: []int{0}},
 		}}, []string{"TWICE", ruleInvariant}},
 	{"work goes on when its client has left",
@@ -57,7 +57,7 @@
 			{File: "internal/proxy/forward/intake.go", Old: "import (\n", New: "import (\n	\"context\"\n"},
 			{File: "internal/proxy/forward/stream.go", Old: "			if _, err := w.Write(whole); err != nil {\n				return err\n			}\n", New: "			_, _ = w.Write(whole)\n"},
 			{File: "internal/proxy/forward/stream.go", Old: "		return rc.Flush()\n", New: "		_ = rc.Flush()\n		return nil\n"}},
-		Plan{Seed: 5, Shape: shapes[0], Length: 12 * time.Second, Final: FinalNone, Load: 2, GiveUp: 0.6}, []string{ruleClientLeft}},
+		Plan{Seed: 5, Shape: shapes[0], Length: 12 * time.Second, Final: FinalNone, Load: 2, LeaveShare: 0.6}, []string{ruleClientLeft}},
 }
 
 // TestMutantsArePresent fails when a line of a program that is to be found no longer stands once in the file that is named.
--- a/internal/lab/tier/certification.go
+++ b/internal/lab/tier/certification.go
@@ -110,7 +110,7 @@
 	}
 	return n.put(ctx, op, func(inForce bool) {
 		if !inForce {
-			r.options.Say("the first certificates are not in force everywhere yet")
+			r.options.Logf("the first certificates are not in force everywhere yet")
 		}
 	})
 }
@@ -145,7 +145,7 @@
 	keeper := r.cluster.Find(cluster.Keeper, rng.IntN(zones*2))
 	steps := []func() error{
 		func() error {
-			r.options.Say("%s is down for good", engines[0].ID())
+			r.options.Logf("%s is down for good", engines[0].ID())
 			n.down = engines[0].ID()
 			r.mu.Lock()
 			delete(r.all, engines[0])
@@ -154,26 +154,26 @@
 			return nil
 		},
 		func() error {
-			r.options.Say("%s is frozen for %v", engines[1].ID(), frozenFor)
+			r.options.Logf("%s is frozen for %v", engines[1].ID(), frozenFor)
 			engines[1].Dark(true)
 			time.Sleep(frozenFor)
 			engines[1].Dark(false)
 			return nil
 		},
 		func() error {
-			r.options.Say("the certificate of %s is withdrawn", engines[2].ID())
+			r.options.Logf("the certificate of %s is withdrawn", engines[2].ID())
 			n.document, _ = n.document.Without(engines[2].ID(), regime)
 			return n.put(ctx, op, func(inForce bool) {
 				by := time.Now()
 				if !inForce {
 					by = by.Add(drainFor)
 				}
-				r.options.Say("withdrawn, in force everywhere: %v", inForce)
+				r.options.Logf("withdrawn, in force everywhere: %v", inForce)
 				n.withdrawn[engines[2].ID()] = by.Add(onTheWay)
 			})
 		},
 		func() error {
-			r.options.Say("%v is cut off for %v", keeper, frozenFor)
+			r.options.Logf("%v is cut off for %v", keeper, frozenFor)
 			return r.freeze(keeper)
 		},
 	}
--- a/internal/lab/tier/faults.go
+++ b/internal/lab/tier/faults.go
@@ -48,7 +48,7 @@
 			t.Stop()
 			return nil
 		}
-		r.options.Say("%4.1f s  %s", time.Since(began).Seconds(), name)
+		r.options.Logf("%4.1f s  %s", time.Since(began).Seconds(), name)
 		if err := losses[name](r); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -128,7 +128,7 @@
 func (r *rig) leave() error {
 	e := r.victim()
 	if e.Leave(context.Background()).IsZero() {
-		r.options.Say("nobody acknowledged that %s leaves", e.ID())
+		r.options.Logf("nobody acknowledged that %s leaves", e.ID())
 	}
 	return r.replace(e)
 }
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -42,19 +42,19 @@
 
 // Options of a measurement.
 type Options struct {
-	Program     string
-	Dir         string
-	Sizes       []Size
-	Zones       int
-	Keepers     int // a zone; as many real proxies stand beside them
-	Stores      int
-	BeatEvery   time.Duration
-	Quiet       time.Duration // measured without changes
-	Changes     int           // of the configuration
-	ChangeEvery time.Duration
-	Tenants     int
-	Models      int
-	Say         func(format string, args ...any)
+	Program           string
+	Dir               string
+	Sizes             []Size
+	Zones             int
+	Keepers           int // a zone; as many real proxies stand beside them
+	Stores            int
+	HeartbeatInterval time.Duration
+	Quiet             time.Duration // measured without changes
+	Changes           int           // of the configuration
+	ChangeEvery       time.Duration
+	Tenants           int
+	Models            int
+	Logf              func(format string, args ...any)
 }
 
 // Figure is one thing measured at one size.
@@ -83,7 +83,7 @@
 	out.Load = strings.TrimSpace(string(load))
 	var failed error
 	for _, size := range o.Sizes {
-		o.Say("%d proxies, %d endpoints", size.Proxies, size.Endpoints)
+		o.Logf("%d proxies, %d endpoints", size.Proxies, size.Endpoints)
 		figures, err := one(ctx, o, size)
 		if err != nil {
 			failed = errors.Join(failed, fmt.Errorf("%d proxies and %d endpoints: %w", size.Proxies, size.Endpoints, err))
@@ -111,7 +111,7 @@
 
 func one(ctx context.Context, o Options, size Size) ([]Figure, error) {
 	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: filepath.Join(o.Dir, fmt.Sprintf("%dx%d", size.Proxies, size.Endpoints)), Zones: o.Zones,
-		Edges: o.Keepers, Keepers: o.Keepers, Stores: o.Stores, BeatEvery: o.BeatEvery, Grace: grace, Rules: "base,drain,config,cost,recover,batch,stream,engine"})
+		Edges: o.Keepers, Keepers: o.Keepers, Stores: o.Stores, BeatEvery: o.HeartbeatInterval, Grace: grace, Rules: "base,drain,config,cost,recover,batch,stream,engine"})
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 	if _, _, err := r.put(ctx); err != nil {
 		return nil, err
 	}
-	r.endpoints = startEndpoints(size.Endpoints, o.Models, o.BeatEvery, c.Zones(), c.Controls)
+	r.endpoints = startEndpoints(size.Endpoints, o.Models, o.HeartbeatInterval, c.Zones(), c.Controls)
 	defer r.endpoints.close()
 	if !await(ctx, maxSettle, func() bool { return r.endpoints.known.Load() == int64(size.Endpoints) }) {
 		return nil, errors.Join(ctx.Err(), errors.New("not all endpoints were taken by a keeper"), ended(c))
@@ -443,7 +443,7 @@
 	all := len(r.proxies.all)
 	await(ctx, calm, func() bool { return r.proxies.attachedTwice() < all })
 	if !await(ctx, maxAttach, func() bool { return r.proxies.attachedTwice() == all }) {
-		r.options.Say("%d of %d are attached twice %v after a keeper's loss", r.proxies.attachedTwice(), all, maxAttach)
+		r.options.Logf("%d of %d are attached twice %v after a keeper's loss", r.proxies.attachedTwice(), all, maxAttach)
 	}
 	r.note("keeper lost: all attached twice after", "s", time.Since(began).Seconds())
 	r.note("heartbeats that nobody took", "", float64(r.endpoints.missed.Load()))
--- a/internal/lab/tier/hollow/hollow_test.go
+++ b/internal/lab/tier/hollow/hollow_test.go
@@ -80,8 +80,8 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 90*time.Second)
 	defer cancel()
-	r, err := Run(ctx, Options{Program: program, Dir: t.TempDir(), Sizes: []Size{{5, 8}}, Zones: 2, Keepers: 2, Stores: 1, BeatEvery: 300 * time.Millisecond,
-		Quiet: 500 * time.Millisecond, Changes: 1, Tenants: 4, Models: 2, Say: t.Logf})
+	r, err := Run(ctx, Options{Program: program, Dir: t.TempDir(), Sizes: []Size{{5, 8}}, Zones: 2, Keepers: 2, Stores: 1, HeartbeatInterval: 300 * time.Millisecond,
+		Quiet: 500 * time.Millisecond, Changes: 1, Tenants: 4, Models: 2, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -139,7 +139,7 @@
 	defer d.mu.Unlock()
 	e := DayEvent{time.Since(d.began), fmt.Sprintf(format, args...)}
 	d.events = append(d.events, e)
-	d.options.Say("%5.1f s  %s", e.At.Seconds(), e.What)
+	d.options.Logf("%5.1f s  %s", e.At.Seconds(), e.What)
 }
 
 // watchDisk syncs a small file throughout the day. A sync that stalls is an event, at its beginning and at its end.
--- a/internal/lab/tier/replacements_test.go
+++ b/internal/lab/tier/replacements_test.go
@@ -21,7 +21,7 @@
 
 func playReplacements(t *testing.T, program string, seed uint64, day ReplacementDay) ReplacementAccount {
 	t.Helper()
-	a, err := Replacements(t.Context(), Options{Program: program, Dir: t.TempDir(), Seed: seed, Say: t.Logf}, day)
+	a, err := Replacements(t.Context(), Options{Program: program, Dir: t.TempDir(), Seed: seed, Logf: t.Logf}, day)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -40,14 +40,14 @@
 
 // Options of a play.
 type Options struct {
-	Program string
-	Dir     string
-	Seed    uint64
-	Length  time.Duration
-	Faults  []string                         // of Faults, in their order, spread over the play
-	Spoil   bool                             // endpoints spoil an answer now and then
-	Load    float64                          // over the usual rates; 0: 1
-	Say     func(format string, args ...any) // what happens, as it happens
+	Program        string
+	Dir            string
+	Seed           uint64
+	Length         time.Duration
+	Faults         []string                         // of Faults, in their order, spread over the play
+	CorruptAnswers bool                             // endpoints spoil an answer now and then
+	Load           float64                          // over the usual rates; 0: 1
+	Logf           func(format string, args ...any) // what happens, as it happens
 
 	night *certificationRun // nil: nothing is regulated
 }
@@ -215,7 +215,7 @@
 			return out, explain(err, c)
 		}
 	}
-	o.Say("ready after %.1f s; %v of clients begin", out.ReadyS, o.Length)
+	o.Logf("ready after %.1f s; %v of clients begin", out.ReadyS, o.Length)
 
 	var wg sync.WaitGroup
 	var failed error
@@ -227,7 +227,7 @@
 		failed = r.faults(ctx)
 	})
 	spoiling, stop := context.WithCancel(ctx)
-	if o.Spoil {
+	if o.CorruptAnswers {
 		wg.Go(func() { r.corrupt(spoiling) })
 	}
 	asked := time.Now()
