--- a/cmd/dunetide/batchcalls.go
+++ b/cmd/dunetide/batchcalls.go
@@ -30,14 +30,14 @@
 type batchCalls struct {
 	jobs      *batch.Proxy
 	snapshots *snapshot.Latest
-	runner    *itemRunner
+	runner    *forwardRunner
 	bodies    *clientbody.Budget // shared with the requests of clients
 	stopped   atomic.Bool        // no more items are started
 }
 
 // newBatchCalls returns the batch interface of a proxy. Items run after setProxy.
 func newBatchCalls(p *process, snapshots *snapshot.Latest, bodies *clientbody.Budget) *batchCalls {
-	b := &batchCalls{snapshots: snapshots, bodies: bodies, runner: &itemRunner{snapshots: snapshots}}
+	b := &batchCalls{snapshots: snapshots, bodies: bodies, runner: &forwardRunner{snapshots: snapshots}}
 	b.jobs = batch.NewProxy(batch.ProxyOptions{
 		Snapshots: snapshots,
 		Name:      p.settings.NodeName,
--- a/cmd/dunetide/itemrunner.go
+++ b/cmd/dunetide/forwardrunner.go
@@ -14,14 +14,14 @@
 // itemRetryAfter is after what time an item that no endpoint has run is tried again.
 const itemRetryAfter = 200 * time.Millisecond
 
-// itemRunner runs items of batch jobs through the proxy, and so through its admission.
-type itemRunner struct {
+// forwardRunner runs items of batch jobs through the proxy, and so through its admission.
+type forwardRunner struct {
 	snapshots *snapshot.Latest
 	proxy     atomic.Pointer[forward.Proxy] // nil until the proxy is there
 }
 
 // Run sends one item to an endpoint of its route's service. It implements batch.Runner.
-func (r *itemRunner) Run(
+func (r *forwardRunner) Run(
 	ctx context.Context, it *batch.Item, lastEventID string, event func(id string, data []byte),
 ) batch.RunResult {
 	p, snap := r.proxy.Load(), r.snapshots.Get()
--- a/cmd/dunetide/stalled_test.go
+++ b/cmd/dunetide/stalled_test.go
@@ -27,7 +27,7 @@
 func jobsUnderTest(t *testing.T) *batchCalls {
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Config: &operatorconfig.Config{Version: 1}})
-	j := &batchCalls{snapshots: holder, runner: &itemRunner{snapshots: holder}}
+	j := &batchCalls{snapshots: holder, runner: &forwardRunner{snapshots: holder}}
 	j.jobs = batch.NewProxy(batch.ProxyOptions{Snapshots: holder, Name: "p", Zone: "z", Runner: j.runner})
 	t.Cleanup(j.jobs.Close)
 	return j
