--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -577,17 +577,17 @@
 	c.handleMessage(toWorker, nil, kindReportRunning, body)
 	wantValue(t, "worker-hold", w.reported[goldenPart+1], runningReport{0x2002, []itemKey{{goldenPart + 1, "job-of-another-part", 3}}})
 	w.reported[p.index] = runningReport{2, []itemKey{key}}
-	side.contacts[p.index] = &primaryContact{conn: l.conn, epoch: 2}
+	side.setContact(p.index, &primaryContact{conn: l.conn, epoch: 2})
 	c.adoptRunning(p, w)
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindRunningNoted, Body: toWorker.next(t, kindRunningNoted, "worker-held.bin")})
-	wantValue(t, "worker-held", *side.contacts[p.index], primaryContact{conn: l.conn, epoch: 2, runningNoted: true})
+	wantValue(t, "worker-held", side.contact(p.index), primaryContact{conn: l.conn, epoch: 2, runningNoted: true})
 
 	// The store is not sure to lead.
 	p.primary.confirmedAt = c.nowMs - 2000
 	c.maxLostReplicas = 1
 	c.superviseWorkers(p)
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindPauseStarts, Body: toWorker.next(t, kindPauseStarts, "worker-unsure.bin")})
-	if !side.contacts[p.index].startsPaused {
+	if !side.contact(p.index).startsPaused {
 		t.Error("the worker goes on")
 	}
 	c.maxLostReplicas = 0
@@ -607,13 +607,13 @@
 	}
 	wantValue(t, "worker-result", []any{j.results[1].itemIndex, j.results[1].abandoned, string(text)}, []any{int32(0), false, "text of a"})
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindResultStored, Body: toWorker.next(t, kindResultStored, "worker-listed.bin")})
-	if side.running[key] != nil {
+	if side.runs(key) {
 		t.Error("the worker keeps what is listed")
 	}
 
 	// Ends, and what is given back.
 	sendCancel(w, goldenPart+1, "job-of-another-part")
-	delete(side.contacts, goldenPart+1)
+	side.setContact(goldenPart+1, nil)
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindCancelJob, Body: toWorker.next(t, kindCancelJob, "worker-cancel.bin")})
 	if side.runningCount() != 0 {
 		t.Error("the job goes on")
@@ -625,7 +625,7 @@
 		t.Error("the store believes that the worker has the job")
 	}
 	other := newGoldenLink(t)
-	side.contacts[p.index] = &primaryContact{conn: other.conn, epoch: 9}
+	side.setContact(p.index, &primaryContact{conn: other.conn, epoch: 9})
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindAssignItem, Body: given.encode()})
 	_, body = l.next(t, kindReturnItem, "worker-put-back.bin")
 	w.assigned[key] = true
@@ -812,3 +812,28 @@
 	defer r.mu.Unlock()
 	return len(r.running)
 }
+
+// runs reports whether an item is assigned to a worker.
+func (r *itemRunner) runs(key itemKey) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.running[key] != nil
+}
+
+// contact is what a worker knows of the primary of a partition.
+func (r *itemRunner) contact(partition int) primaryContact {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return *r.contacts[partition]
+}
+
+// setContact sets what a worker knows of the primary of a partition; nil: nothing.
+func (r *itemRunner) setContact(partition int, contact *primaryContact) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if contact == nil {
+		delete(r.contacts, partition)
+		return
+	}
+	r.contacts[partition] = contact
+}
--- a/internal/batch/simulation_test.go
+++ b/internal/batch/simulation_test.go
@@ -483,8 +483,6 @@
 	sim.after(50+sim.rng.Float64()*20, func() { s.connectPeers(incarnation) })
 }
 
-func sortedIDs[V any](m map[uint64]V) []uint64 { return sortedKeys(m) }
-
 func (s *simStore) receiver(incarnation int) func(*simPipe, Caller, link.Kind, []byte) {
 	return func(p *simPipe, m Caller, kind link.Kind, body []byte) {
 		s.runEvent(incarnation, func() { s.core.handleMessage(p, m, kind, body) })
