--- a/internal/platform/descriptors/descriptors_test.go
+++ b/internal/platform/descriptors/descriptors_test.go
@@ -6,13 +6,17 @@
 	"time"
 )
 
-func TestBudget(t *testing.T) {
-	for _, c := range []struct{ most, clients, wanted, endpoints int }{
-		{0, 0, 1024, 1024}, {4100, 2050, 1024, 1024}, {400, 200, 1024, 100}, {2, 1, 1024, 1}, {8200, 4100, 1024, 1024},
+func TestBudgetIsDivided(t *testing.T) {
+	for _, test := range []struct{ maxOpen, clients, wanted, endpoints int }{
+		{maxOpen: 0, clients: 0, wanted: 1024, endpoints: 1024}, // unknown: nothing is limited
+		{maxOpen: 4100, clients: 2050, wanted: 1024, endpoints: 1024},
+		{maxOpen: 400, clients: 200, wanted: 1024, endpoints: 100},
+		{maxOpen: 2, clients: 1, wanted: 1024, endpoints: 1},
+		{maxOpen: 8200, clients: 4100, wanted: 1024, endpoints: 1024},
 	} {
-		b := NewBudget(c.most)
-		if b.Clients() != c.clients || b.Endpoints(c.wanted) != c.endpoints {
-			t.Errorf("of %d: %d for clients, %d for endpoints", c.most, b.Clients(), b.Endpoints(c.wanted))
+		b := NewBudget(test.maxOpen)
+		if b.Clients() != test.clients || b.Endpoints(test.wanted) != test.endpoints {
+			t.Errorf("of %d: %d for clients, %d for endpoints", test.maxOpen, b.Clients(), b.Endpoints(test.wanted))
 		}
 	}
 }
@@ -33,14 +37,14 @@
 			accepted <- conn
 		}
 	}()
-	var held []net.Conn
+	var open []net.Conn
 	for range 2 {
 		conn, err := net.Dial("tcp4", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		held = append(held, <-accepted)
+		open = append(open, <-accepted)
 	}
 	third, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
@@ -52,7 +56,7 @@
 		t.Fatal("a third connection is accepted")
 	case <-time.After(50 * time.Millisecond):
 	}
-	_ = held[0].Close()
+	_ = open[0].Close()
 	_ = (<-accepted).Close()
-	_ = held[1].Close()
+	_ = open[1].Close()
 }
--- a/internal/platform/invariant/invariant_test.go
+++ b/internal/platform/invariant/invariant_test.go
@@ -8,7 +8,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-func TestCheck(t *testing.T) {
+func TestViolationIsCountedAndEndsTheTest(t *testing.T) {
 	never := New("test_never_violated")
 	never.Check(true, func() string { t.Error("described although it holds"); return "" })
 	if never.Violations() != 0 || never.checks.Get() != 1 {
@@ -19,7 +19,7 @@
 	defer func() {
 		found, _ := recover().(string)
 		if !strings.Contains(found, "test_violated: slot 3 has two values") {
-			t.Errorf("the test goes on, or is told %q", found)
+			t.Errorf("the test goes on, or panics with %q", found)
 		}
 		if violated.Violations() != 1 {
 			t.Errorf("%d violations are counted", violated.Violations())
--- a/internal/platform/telemetry/golden_test.go
+++ b/internal/platform/telemetry/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"go/ast"
 	"go/parser"
 	"go/token"
@@ -20,32 +19,15 @@
 	_ "dunetide/internal/batch"
 	_ "dunetide/internal/control/keeper"
 	"dunetide/internal/control/snapshot"
+	"dunetide/internal/lab/golden"
 	"dunetide/internal/proxy/forward"
 )
 
-var updateGolden = flag.Bool("update", false, "write testdata/golden anew; never to make a failing test pass")
-
-// checkGoldenLines compares sorted lines with those of a golden file. With -update it writes the file first.
+// checkGoldenLines compares lines, sorted and each once, with those of a golden file.
 func checkGoldenLines(t *testing.T, name string, lines []string) {
 	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
 	slices.Sort(lines)
-	text := strings.Join(slices.Compact(lines), "\n") + "\n"
-	if *updateGolden {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if text != string(want) {
-		t.Errorf("%s has\n%s\nthe program has\n%s", path, want, text)
-	}
+	golden.Compare(t, name, []byte(strings.Join(slices.Compact(lines), "\n")+"\n"))
 }
 
 // The series that each role exposes from its start on stay, with their labels and the values of these.
--- a/internal/platform/telemetry/telemetry_test.go
+++ b/internal/platform/telemetry/telemetry_test.go
@@ -14,7 +14,7 @@
 func TestMetricsAreServedAsText(t *testing.T) {
 	Counter("test_requests_total", "verdict", "refused", "route", `a"b`).Add(3)
 	GaugeFunc("test_in_contact", func() float64 { return 1 })
-	GaugeFunc("test_in_contact", func() float64 { return Bool(false) }) // the role begins anew
+	GaugeFunc("test_in_contact", func() float64 { return Bool(false) }) // the role restarts its service
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestManyEventsAreFewLines(t *testing.T) {
+func TestLinesOfManyEventsAreLimited(t *testing.T) {
 	var out bytes.Buffer
 	l := NewEventLog(hclog.New(&hclog.LoggerOptions{Output: &out}))
 	for range 10 * maxBurst {
@@ -59,7 +59,7 @@
 	l.omitted.Store(7)
 	l.Event("request failed", func() []any { return []any{"id", "r2"} })
 	if !strings.Contains(out.String(), "id=r2 omitted_before=7") {
-		t.Fatalf("the lines left out are not told:\n%s", out.String())
+		t.Fatalf("the lines left out are not counted:\n%s", out.String())
 	}
 	NewEventLog(hclog.NewNullLogger()).Event("x", func() []any { t.Error("asked for what nobody reads"); return nil })
 }
