--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -131,8 +131,10 @@
 // listed, senders=, config=, table=, keepers=) and a line for each entry; detach. Each shows the snapshot.
 func TestClientScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/client", func(t *testing.T, path string) {
+		t.Helper()
 		p := newPlayer()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+			t.Helper()
 			name := d.CmdArgs[0].Key
 			switch d.Cmd {
 			case "attach":
--- a/internal/platform/link/bench_test.go
+++ b/internal/platform/link/bench_test.go
@@ -8,6 +8,7 @@
 
 // benchmarkPair returns the two ends of a link over loopback; the far end answers each call with its body.
 func benchmarkPair(b *testing.B) *Conn {
+	b.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/platform/link/linktest/relays.go
+++ b/internal/platform/link/linktest/relays.go
@@ -1,8 +1,9 @@
-// Package linktest has relays for tests of what processes do over links that are cut, delayed or broken. It is for tests
-// only: those of links, of keepers, and of the command.
+// Package linktest has relays for tests of what processes do over links that are cut, delayed or broken. It is for
+// tests only: those of links, of keepers, and of the command.
 package linktest
 
 import (
+	"context"
 	"io"
 	"net"
 	"sync"
@@ -26,7 +27,8 @@
 type Relays struct {
 	t       testing.TB
 	gate    Gate
-	done    chan struct{}
+	ctx     context.Context // ends with the test
+	cancel  context.CancelFunc
 	running sync.WaitGroup
 
 	mu        sync.Mutex // guards what follows
@@ -37,10 +39,14 @@
 
 // New returns relays without a listener.
 func New(t testing.TB, gate Gate) *Relays {
+	t.Helper()
+	// The context of the test would end before the processes that a test ends in its clean-up.
+	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relays{
 		t:         t,
 		gate:      gate,
-		done:      make(chan struct{}),
+		ctx:       ctx,
+		cancel:    cancel,
 		addresses: map[Direction]string{},
 		open:      map[io.Closer]bool{},
 	}
@@ -49,17 +55,17 @@
 }
 
 // Done returns a channel that is closed when the test ends.
-func (r *Relays) Done() <-chan struct{} { return r.done }
+func (r *Relays) Done() <-chan struct{} { return r.ctx.Done() }
 
-// Address returns the address at which one process dials another, whose own is target. It is the same at each call for a
-// direction.
+// Address returns the address at which one process dials another, whose own is target. It is the same at each call for
+// a direction.
 func (r *Relays) Address(way Direction, target string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if address, found := r.addresses[way]; found {
 		return address
 	}
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(r.ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
 		r.t.Errorf("a relay: %v", err)
 		return target
@@ -91,7 +97,7 @@
 	if _, keep := r.gate(way, 0); !keep {
 		return
 	}
-	far, err := net.Dial("tcp4", target)
+	far, err := new(net.Dialer).DialContext(r.ctx, "tcp4", target)
 	if err != nil {
 		return // the target has ended: so does the connection
 	}
@@ -142,7 +148,7 @@
 func (r *Relays) close() {
 	r.mu.Lock()
 	r.ended = true
-	close(r.done)
+	r.cancel()
 	for c := range r.open {
 		_ = c.Close()
 	}
