--- a/cmd/dunetide/cut_test.go
+++ b/cmd/dunetide/cut_test.go
@@ -21,6 +21,7 @@
 	"dunetide/internal/control/registry"
 	"dunetide/internal/control/snapshot"
 	"dunetide/internal/platform/link"
+	"dunetide/internal/platform/link/linktest"
 )
 
 const (
@@ -302,7 +303,7 @@
 // endpoints said on either side.
 func (c *cutTest) checkTogether() {
 	c.t.Helper()
-	c.relays.heal()
+	c.relays.Heal()
 	var all []int
 	for i := range c.running {
 		all = append(all, i)
@@ -369,13 +370,13 @@
 }
 
 // off are the directions between a keeper and the others.
-func (c *cutTest) off(i int, from, to bool) (ways []direction) {
+func (c *cutTest) off(i int, from, to bool) (ways []linktest.Direction) {
 	for j := range c.running {
 		if j != i && from {
-			ways = append(ways, direction{i, j})
+			ways = append(ways, linktest.Direction{From: i, To: j})
 		}
 		if j != i && to {
-			ways = append(ways, direction{j, i})
+			ways = append(ways, linktest.Direction{From: j, To: i})
 		}
 	}
 	return ways
@@ -383,7 +384,7 @@
 
 // cutOff cuts a keeper off, and tells from when on it must have no contact: a question that was answered was asked before.
 func (c *cutTest) cutOff(i int, from, to bool) (without time.Time) {
-	c.relays.cut(c.off(i, from, to)...)
+	c.relays.Cut(c.off(i, from, to)...)
 	return time.Now().Add(quorum.ContactTimeout)
 }
 
@@ -462,7 +463,7 @@
 		for end := time.Now().Add(length); time.Now().Before(end); {
 			c.cutOff(lone, true, true)
 			time.Sleep(time.Second)
-			c.relays.heal()
+			c.relays.Heal()
 			time.Sleep(time.Second)
 		}
 	}()
@@ -517,7 +518,7 @@
 	}
 	c.checkRefused(second, alone)
 	c.checkAttached(second)
-	c.relays.heal(direction{witness, second}, direction{second, witness})
+	c.relays.Heal(linktest.Direction{From: witness, To: second}, linktest.Direction{From: second, To: witness})
 	c.untilTogether(witness, second)
 	c.checkMajority(second)
 	c.checkRefused(lone, without)
--- a/cmd/dunetide/keepers_test.go
+++ b/cmd/dunetide/keepers_test.go
@@ -19,6 +19,7 @@
 
 	"dunetide/internal/lab/mutation"
 	"dunetide/internal/lab/overlay"
+	"dunetide/internal/platform/link/linktest"
 )
 
 const (
@@ -125,12 +126,12 @@
 	}
 	k := &keeperProcesses{t: t, program: program, dir: t.TempDir(), first: true, running: make([]*keeperProcess, keepers)}
 	k.drawAddresses()
-	k.relays = newRelays(t, keepers)
+	k.relays = newRelays(t)
 	for from := range keepers {
 		var pairs []string
 		for to := range keepers {
 			if to != from {
-				pairs = append(pairs, k.links(to)+"="+k.relays.listen(t, direction{from, to}, k.links(to)))
+				pairs = append(pairs, k.links(to)+"="+k.relays.Address(linktest.Direction{From: from, To: to}, k.links(to)))
 			}
 		}
 		k.dialled = append(k.dialled, strings.Join(pairs, ","))
