--- a/cmd/dunetide-lab/night_test.go
+++ b/cmd/dunetide-lab/night_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a.Bad() {
-		t.Errorf("broken %v, ended %v, read back %q", a.Broken, a.Ends, a.ReadBack)
+	if a.Failed() {
+		t.Errorf("broken %v, ended %v, read back %q", a.Violations, a.Ends, a.ReadBack)
 	}
 	if a.Regulated == 0 || a.Copies < 2 || len(a.Rows) == 0 {
 		t.Errorf("%d regulated runs, %d copies, rows %+v", a.Regulated, a.Copies, a.Rows)
--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -99,10 +99,10 @@
 	if tell {
 		err = account.Print(os.Stdout)
 	}
-	if account.Bad() {
+	if account.Failed() {
 		err = errors.Join(err, account.Save(dir), c.keep(dir, plan.Seed))
 	}
-	return account.Bad(), err
+	return account.Failed(), err
 }
 
 // keep moves the folder of a play to where it is looked at later.
--- a/cmd/dunetide-lab/tier.go
+++ b/cmd/dunetide-lab/tier.go
@@ -53,9 +53,9 @@
 // ended tells what an account means for the program's exit.
 func ended(a tier.Account) error {
 	switch {
-	case len(a.Broken) > 0:
+	case len(a.Violations) > 0:
 		return errBroken
-	case a.Bad():
+	case a.Failed():
 		return fmt.Errorf("%w: processes ended by themselves, or the configuration did not come back", errBroken)
 	}
 	return nil
--- a/cmd/dunetide-lab/tier_test.go
+++ b/cmd/dunetide-lab/tier_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a.Bad() {
-		t.Errorf("broken %v, ended %v, read back %q", a.Broken, a.Ends, a.ReadBack)
+	if a.Failed() {
+		t.Errorf("broken %v, ended %v, read back %q", a.Violations, a.Ends, a.ReadBack)
 	}
 	for _, k := range a.Kinds {
 		if served := k.InAim + k.Late; 2*served < k.Asked || served+k.Refused+k.Failed != k.Asked {
--- a/internal/lab/soak/account.go
+++ b/internal/lab/soak/account.go
@@ -63,11 +63,11 @@
 	Story    []string `json:"story"` // of each broken promise: what happened around it, and the log lines with its id
 }
 
-// Bad tells whether a promise was broken.
-func (a Account) Bad() bool { return len(a.Broken) > 0 }
+// Failed tells whether a promise was broken.
+func (a Account) Failed() bool { return len(a.Violations) > 0 }
 
 func (a *Account) broke(rule, id, form string, args ...any) {
-	a.Broken = append(a.Broken, load.Broken{Rule: rule, ID: id, Detail: fmt.Sprintf(form, args...)})
+	a.Violations = append(a.Violations, load.Broken{Rule: rule, ID: id, Detail: fmt.Sprintf(form, args...)})
 }
 
 // judge holds what was seen against what is promised.
@@ -83,7 +83,7 @@
 	a.judgeRuns(p)
 	a.judgeServed(p, finalAt)
 	a.judgeProcesses(p, scraped)
-	for _, b := range a.Broken {
+	for _, b := range a.Violations {
 		a.Story = append(a.Story, p.story(b)...)
 	}
 }
@@ -244,7 +244,7 @@
 	for _, k := range a.Kinds {
 		fmt.Fprintf(&out, "  %-8s asked %d: %d in aim, %d late, %d refused, %d failed\n", k.Kind, k.Asked, k.InAim, k.Late, k.Refused, k.Failed)
 	}
-	for _, b := range a.Broken {
+	for _, b := range a.Violations {
 		fmt.Fprintf(&out, "  BROKEN %v\n", b)
 	}
 	for _, line := range a.Story {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -107,7 +107,7 @@
 		for _, line := range account.Story {
 			t.Log(line)
 		}
-		for _, b := range account.Broken {
+		for _, b := range account.Violations {
 			t.Error(b)
 		}
 		if account.Runs == 0 || account.Acked == 0 || account.Reads == 0 || account.Checks == 0 {
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/wrong_test.go
@@ -85,10 +85,10 @@
 		t.Run(w.name, func(t *testing.T) {
 			account := soak(t, build(t, w.mutants...), w.plan)
 			found := map[string]int{}
-			for _, b := range account.Broken {
+			for _, b := range account.Violations {
 				found[b.Rule]++
 			}
-			for _, b := range account.Broken[:min(3, len(account.Broken))] {
+			for _, b := range account.Violations[:min(3, len(account.Violations))] {
 				t.Log(b)
 			}
 			t.Logf("%v; %d clients left, of %d runs %d went on", found, account.Left, account.LeftRuns, account.LeftWork)
--- a/internal/lab/tier/account.go
+++ b/internal/lab/tier/account.go
@@ -60,8 +60,10 @@
 	return out
 }
 
-// Bad tells whether a rule was broken or a process ended by itself.
-func (a Account) Bad() bool { return len(a.Broken) > 0 || len(a.Ends) > 0 || a.ReadBack != "same" }
+// Failed tells whether a rule was broken or a process ended by itself.
+func (a Account) Failed() bool {
+	return len(a.Violations) > 0 || len(a.Ends) > 0 || a.ReadBack != "same"
+}
 
 // Print writes the account for people.
 func (a Account) Print(w io.Writer) error {
@@ -85,12 +87,12 @@
 		fmt.Fprintln(&out, e)
 	}
 	rules := map[string]int{}
-	for _, b := range a.Broken {
+	for _, b := range a.Violations {
 		if rules[b.Rule]++; rules[b.Rule] <= maxReported {
 			fmt.Fprintln(&out, b)
 		}
 	}
-	if len(a.Broken) == 0 {
+	if len(a.Violations) == 0 {
 		fmt.Fprintln(&out, "no rule was broken")
 	} else {
 		fmt.Fprintf(&out, "rules broken: %v\n", rules)
--- a/internal/lab/tier/certification.go
+++ b/internal/lab/tier/certification.go
@@ -78,7 +78,7 @@
 	for _, id := range n.again {
 		n.broke(ruleOnce, id, "ran whole more than once")
 	}
-	a.Broken = append(a.Broken, n.broken...)
+	a.Violations = append(a.Violations, n.broken...)
 	return CertificationAccount{Account: a, Regulated: n.runs, Rows: n.rows, Copies: n.copies, Again: n.again}, err
 }
 
--- a/internal/lab/tier/load/load.go
+++ b/internal/lab/tier/load/load.go
@@ -52,12 +52,12 @@
 
 // Account is what became of all.
 type Account struct {
-	Kinds  []Figures `json:"kinds"`
-	Broken []Broken  `json:"broken"`
-	Runs   int       `json:"runs"`
-	Cut    int       `json:"cut"` // runs that were not answered whole
-	Late   int       `json:"sent_late"`
-	Jobs   []Job     `json:"jobs"`
+	Kinds      []Figures `json:"kinds"`
+	Violations []Broken  `json:"broken"`
+	Runs       int       `json:"runs"`
+	Cut        int       `json:"cut"` // runs that were not answered whole
+	Late       int       `json:"sent_late"`
+	Jobs       []Job     `json:"jobs"`
 	// Tries are all requests of clients, by their ids.
 	Tries map[string]Try `json:"-"`
 }
@@ -92,7 +92,7 @@
 	wg.Wait()
 	out := Account{Kinds: sorted(b.figures), Late: b.late, Tries: b.tries()}
 	runs := o.Runs.All()
-	out.Broken, out.Runs = b.check(runs, o.Cancel), len(runs)
+	out.Violations, out.Runs = b.check(runs, o.Cancel), len(runs)
 	whole := map[string]bool{}
 	for _, r := range runs {
 		if r.Whole {
--- a/internal/lab/tier/load/load_test.go
+++ b/internal/lab/tier/load/load_test.go
@@ -91,8 +91,8 @@
 	o.Traffic = slices.Concat(traffic(route("gen", "gen", operatorconfig.Streaming, false)), traffic(route("web", "web", operatorconfig.Writes, false)))
 	o.Jobs = []Jobs{{Route: route("bulk", "gen", operatorconfig.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
 	a := Run(t.Context(), o)
-	if len(a.Broken) > 0 || len(a.Jobs) != 1 || a.Jobs[0].Listed != 3 {
-		t.Errorf("broken %v, jobs %v", a.Broken, a.Jobs)
+	if len(a.Violations) > 0 || len(a.Jobs) != 1 || a.Jobs[0].Listed != 3 {
+		t.Errorf("broken %v, jobs %v", a.Violations, a.Jobs)
 	}
 	if len(a.Kinds) != 3 {
 		t.Fatalf("kinds %+v", a.Kinds)
@@ -157,7 +157,7 @@
 			c.wrong(p)
 			o := options(p, runs)
 			o.Length, o.Traffic = 60*time.Millisecond, traffic(c.route)
-			if got := names(Run(t.Context(), o).Broken); !slices.Equal(got, []string{c.rule}) {
+			if got := names(Run(t.Context(), o).Violations); !slices.Equal(got, []string{c.rule}) {
 				t.Errorf("broken %v, want %s", got, c.rule)
 			}
 		})
@@ -201,7 +201,7 @@
 			p.Results = c.wrong
 			o := options(p, runs)
 			o.Jobs = []Jobs{{Route: route("bulk", "gen", operatorconfig.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
-			if got := names(Run(t.Context(), o).Broken); !slices.Equal(got, c.rules) {
+			if got := names(Run(t.Context(), o).Violations); !slices.Equal(got, c.rules) {
 				t.Errorf("broken %v, want %v", got, c.rules)
 			}
 		})
--- a/internal/lab/tier/replacements_test.go
+++ b/internal/lab/tier/replacements_test.go
@@ -30,8 +30,8 @@
 		t.Fatal(err)
 	}
 	t.Log(told.String())
-	if a.Bad() {
-		t.Errorf("unread %v, broken %v, ended %v, read back %q, the cut was felt: %v", a.Unread, a.Broken, a.Ends, a.ReadBack, a.CutFelt)
+	if a.Failed() {
+		t.Errorf("unread %v, broken %v, ended %v, read back %q, the cut was felt: %v", a.Unread, a.Violations, a.Ends, a.ReadBack, a.CutFelt)
 	}
 	if a.Accepted != len(a.Jobs) || len(a.Jobs) == 0 {
 		t.Errorf("%d of %d jobs were accepted", a.Accepted, len(a.Jobs))
--- a/internal/lab/tier/tier_test.go
+++ b/internal/lab/tier/tier_test.go
@@ -137,8 +137,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a.Bad() {
-		t.Errorf("broken %v, ended %v, read back %q", a.Broken, a.Ends, a.ReadBack)
+	if a.Failed() {
+		t.Errorf("broken %v, ended %v, read back %q", a.Violations, a.Ends, a.ReadBack)
 	}
 	if len(a.Kinds) != 5 {
 		t.Fatalf("kinds %+v", a.Kinds)
