--- a/internal/batch/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -132,6 +132,14 @@
 	}
 }
 
+// drain waits until enough stores have all entries.
+func (g *rig) drain() {
+	g.t.Helper()
+	if !g.r.Drain(10 * time.Second) {
+		g.t.Fatal("not delivered")
+	}
+}
+
 func (g *rig) lose(i int, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,17 +179,17 @@
 	return strings.Join(slices.Compact(out), " ")
 }
 
-func TestRunsAreOnAsManyStoresAsNeeded(t *testing.T) {
+func TestRunsAreOnAsManyStoresAsRequired(t *testing.T) {
 	g := newRig(t, 3, 2, 0, 0)
 	d := text(t, 1, "e1", "e2")
 	for i := range 1000 {
 		g.do(run(fmt.Sprint("id", i), "e1", 1, 0), d, Answered)
 		if i == 300 {
-			time.Sleep(3 * gatherDelay)
+			g.drain()
 			g.lose(0, true)
 		}
 		if i == 600 {
-			time.Sleep(3 * gatherDelay)
+			g.drain()
 			g.lose(0, false)
 			g.lose(1, true)
 		}
@@ -217,7 +225,7 @@
 	}
 }
 
-func TestTheRecordIsBoundedAndFailsClosed(t *testing.T) {
+func TestRecorderIsBoundedAndFailsClosed(t *testing.T) {
 	g := newRig(t, 2, 2, 10, 0)
 	g.lose(1, true)
 	d := text(t, 1, "e1")
@@ -260,7 +268,7 @@
 }
 
 // Files are rotated and bounded; a store that starts again goes on with its chain, also right after a file was put aside.
-func TestTheChainGoesOnOverFilesAndStarts(t *testing.T) {
+func TestChainContinuesOverFilesAndRestarts(t *testing.T) {
 	g := newRig(t, 1, 1, 0, 8<<10)
 	d := text(t, 3, "e1")
 	for i := range 400 {
@@ -299,7 +307,7 @@
 	}
 }
 
-func TestWhatAnAuditorHasToHear(t *testing.T) {
+func TestEachRuleIsReported(t *testing.T) {
 	d1, d2 := text(t, 1, "e1", "e2"), text(t, 2, "e1")
 	expired := run("a", "e1", 1, 2*time.Hour)
 	other := run("a", "e1", 1, 0)
@@ -334,7 +342,7 @@
 			for _, o := range c.runs {
 				g.do(o.run, o.doc, o.end)
 			}
-			g.r.Drain(10 * time.Second)
+			g.drain()
 			g.close()
 			r := check(g.files(), CheckOptions{WithdrawalBound: 2 * time.Second})
 			if got := rules(r); got != c.want {
@@ -348,12 +356,12 @@
 }
 
 // Any byte that is changed, cut off, put in or moved is found.
-func TestDrawnCorruptionsAreFound(t *testing.T) {
+func TestRandomCorruptionsAreReported(t *testing.T) {
 	g := newRig(t, 1, 1, 0, 6<<10)
 	d := text(t, 1, "e1")
 	for i := range 60 {
 		g.do(run(fmt.Sprint("id", i), "e1", 1, 0), d, Answered)
-		g.r.Drain(10 * time.Second)
+		g.drain()
 	}
 	g.close()
 	files := g.files()
@@ -406,13 +414,13 @@
 	return slices.IndexFunc(files, func(f auditFile) bool { return strings.HasSuffix(f.name, "/"+FileName) })
 }
 
-func TestARecordThatWasTakenOffIsThereOnTheOtherStores(t *testing.T) {
+func TestRunOfARemovedFileIsOnTheOtherStores(t *testing.T) {
 	g := newRig(t, 2, 2, 0, 0)
 	d := text(t, 1, "e1")
 	g.do(run("a", "e1", 1, 0), d, Answered)
-	g.r.Drain(10 * time.Second)
+	g.drain()
 	g.do(run("b", "e9", 1, 0), d, Answered) // what somebody would like to be gone
-	g.r.Drain(10 * time.Second)
+	g.drain()
 	g.close()
 	files := g.files()
 	files = files[1:] // the whole file of one store is gone
@@ -422,11 +430,11 @@
 }
 
 // A store whose record can't be gone on with takes no more, and the store of batch jobs beside it goes on.
-func TestADamagedRecordTakesNoMore(t *testing.T) {
+func TestDamagedFileAcceptsNoMoreEntries(t *testing.T) {
 	g := newRig(t, 1, 1, 0, 0)
 	for i := range 3 { // each is synced before the next is written
 		g.do(run(fmt.Sprint("id", i), "e1", 1, 0), text(t, 1, "e1"), Answered)
-		g.r.Drain(10 * time.Second)
+		g.drain()
 	}
 	g.close()
 	name := filepath.Join(g.dirs[0], FileName)
@@ -455,7 +463,7 @@
 	d := text(t, 1, "e1")
 	g.do(run("a", "e1", 1, 0), d, Answered)
 	g.do(run("b", "e1", 1, 14*time.Hour), d, Canceled)
-	g.r.Drain(10 * time.Second)
+	g.drain()
 	g.close()
 	r := check(g.files(), CheckOptions{})
 	var csv, people bytes.Buffer
--- a/internal/batch/audit/room_test.go
+++ b/internal/batch/audit/diskfull_test.go
@@ -33,9 +33,9 @@
 	return <-answer
 }
 
-// TestFullDiskIsNotForGood fills the disk at each of many places, also in the middle of a change of files. What was acknowledged is
+// TestFullDiskIsRetried fills the disk at each of many places, also in the middle of a change of files. What was acknowledged is
 // there, the chain holds, and records are taken again as soon as there is room, which is logged once.
-func TestFullDiskIsNotForGood(t *testing.T) {
+func TestFullDiskIsRetried(t *testing.T) {
 	const messages, fileBytes = 12, 1 << 10
 	whole := vfstest.New()
 	s, err := OpenStore(StoreOptions{Folder: whole, FileBytes: fileBytes})
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestStalledDiskDoesNotHoldTheEndOfTheRecord stops a store of records in the middle of a write.
-func TestStalledDiskDoesNotHoldTheEndOfTheRecord(t *testing.T) {
+// TestStalledDiskDoesNotBlockClose stops a store of records in the middle of a write.
+func TestStalledDiskDoesNotBlockClose(t *testing.T) {
 	disk, reached, release := vfstest.New(), make(chan struct{}), make(chan struct{})
 	s, err := OpenStore(StoreOptions{Folder: disk})
 	must(t, err)
--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -5,10 +5,7 @@
 	"context"
 	"encoding/binary"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -16,27 +13,14 @@
 	"time"
 
 	"dunetide/internal/control/snapshot"
+	"dunetide/internal/lab/golden"
 	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/link"
 	"dunetide/internal/platform/recordlog"
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
-var update = flag.Bool("update", false, "write the golden files anew")
-
-func golden(t *testing.T, file string, now func() []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", file)
-	if *update && now != nil {
-		must(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		must(t, os.WriteFile(path, now(), 0o644))
-	}
-	b, err := os.ReadFile(path)
-	must(t, err)
-	return b
-}
-
+// The golden files were written by the sources of faf8ea2.
 var (
 	goldenKey = runKey{"proxy-3", 0x1122334455667788, 42}
 	goldenRun = Run{
@@ -91,7 +75,7 @@
 			return runEndedEntry(k, at, o), []any{k, at, o}, []any{goldenKey, goldenEnd, Broken}
 		}},
 	} {
-		b := golden(t, file, func() []byte { return c.entry })
+		b := golden.Read(t, file)
 		if !bytes.Equal(c.entry, b) {
 			t.Errorf("%s: %x, want %x", file, c.entry, b)
 		}
@@ -118,7 +102,7 @@
 		}
 		return b
 	}
-	if b := golden(t, "outcomes", written); !bytes.Equal(written(), b) {
+	if b := golden.Read(t, "outcomes"); !bytes.Equal(written(), b) {
 		t.Errorf("%s", written())
 	}
 	if outcomeCount != 7 {
@@ -133,7 +117,7 @@
 		two, second := chainRecord(first, runEndedEntry(goldenKey, goldenEnd, Canceled))
 		return fmt.Appendf(nil, "%x\n%x\n%x\n%x\n", one, first, two, second)
 	}
-	b := golden(t, "chain", written)
+	b := golden.Read(t, "chain")
 	if !bytes.Equal(written(), b) {
 		t.Errorf("%s", written())
 	}
@@ -180,7 +164,7 @@
 }
 
 func TestGoldenMessageToStores(t *testing.T) {
-	b := golden(t, "append-message", func() []byte { _, b := goldenBatch(t); return b })
+	b := golden.Read(t, "append-message")
 	kind, body := goldenBatch(t)
 	if kind != 200 || !bytes.Equal(body, b) {
 		t.Errorf("kind %d, %x, want %x", kind, body, b)
@@ -204,81 +188,104 @@
 	}
 }
 
-// A full file and the one that goes on from it, as a store writes them.
-func TestGoldenFiles(t *testing.T) {
-	names := []string{"audit-000001.log", FileName}
-	message := func(number uint64) []byte {
-		w := link.Writer{}
-		w.U32(1)
-		w.U64(goldenVersion)
-		w.Bytes(goldenText)
-		w.U32(2)
-		k := goldenKey
-		k.number = number
-		w.Bytes(runStartedEntry(k, goldenRun))
-		w.Bytes(runEndedEntry(k, goldenEnd, Answered))
-		return w.Buf
-	}
-	written := func() *vfstest.Disk {
-		d := vfstest.New()
-		s, err := OpenStore(StoreOptions{Folder: d, FileBytes: 900})
-		must(t, err)
-		for n := range uint64(3) {
-			must(t, s.appendNow(message(n+1)))
-		}
-		s.Close()
-		return d
-	}
-	var d *vfstest.Disk
-	if *update {
-		d = written()
-	}
+// goldenMessage is a message with the certificates and a whole run of a number.
+func goldenMessage(number uint64) []byte {
+	key := goldenKey
+	key.number = number
+	return encodeAppend(
+		map[uint64][]byte{goldenVersion: goldenText},
+		[]uint64{goldenVersion},
+		[][]byte{runStartedEntry(key, goldenRun), runEndedEntry(key, goldenEnd, Answered)},
+	)
+}
+
+// goldenFiles are a full file and the one that continues its chain, as a store wrote them for three messages.
+func goldenFiles(t *testing.T) []auditFile {
+	t.Helper()
 	var files []auditFile
-	for _, n := range names {
-		files = append(files, auditFile{n, golden(t, n, func() []byte { return d.File(n) })})
+	for _, name := range []string{"audit-000001.log", FileName} {
+		files = append(files, auditFile{name, golden.Read(t, name)})
+	}
+	return files
+}
+
+// goldenFileBytes is the size at which the golden files were full.
+const goldenFileBytes = 900
+
+// appendMessages has a store append messages to the files of a disk.
+func appendMessages(t *testing.T, d *vfstest.Disk, numbers ...uint64) {
+	t.Helper()
+	s, err := OpenStore(StoreOptions{Folder: d, FileBytes: goldenFileBytes})
+	must(t, err)
+	for _, number := range numbers {
+		must(t, s.appendNow(goldenMessage(number)))
 	}
+	s.Close()
+}
+
+// entriesOf returns what a scan of a file has seen, and the entries of the file.
+func entriesOf(t *testing.T, f auditFile) (scanned *scannedFile, entries [][]byte) {
+	t.Helper()
+	scanned, err := scan(bytes.NewReader(f.content), int64(len(f.content)), f.name, func(e []byte) error {
+		entries = append(entries, bytes.Clone(e))
+		return nil
+	})
+	must(t, err)
+	return scanned, entries
+}
+
+func TestGoldenFiles(t *testing.T) {
+	files := goldenFiles(t)
 	r := check(files, CheckOptions{})
 	if len(r.Runs) != 3 || r.Records != 9 || len(r.Files) != 2 {
 		t.Errorf("%d runs, %d records, %+v", len(r.Runs), r.Records, r.Files)
 	}
 	for i, run := range r.Runs {
-		want := RecordedRun{Run: goldenRun, Proxy: goldenKey.proxy, Number: uint64(i + 1), EndedAt: goldenEnd, Outcome: Answered}
+		want := RecordedRun{
+			Run:     goldenRun,
+			Proxy:   goldenKey.proxy,
+			Number:  uint64(i + 1),
+			EndedAt: goldenEnd,
+			Outcome: Answered,
+		}
 		if !reflect.DeepEqual(run, want) {
 			t.Errorf("%+v, want %+v", run, want)
 		}
 	}
-	// What the store writes for the same messages differs in the salt of each file and the random chain alone: with the
-	// chain of the golden files, all records are the same.
+	last := recordHash{}
 	for i, f := range files {
-		var last recordHash
-		if i > 0 {
-			prev, err := scan(bytes.NewReader(files[i-1].content), int64(len(files[i-1].content)), files[i-1].name, nil)
-			must(t, err)
-			last = prev.last
-		}
-		var entries [][]byte
-		c, err := scan(bytes.NewReader(f.content), int64(len(f.content)), f.name, func(e []byte) error {
-			entries = append(entries, bytes.Clone(e))
-			return nil
-		})
-		must(t, err)
-		if c.number != uint64(i+1) || c.first != last {
-			t.Errorf("%s: file %d, goes on from %x", f.name, c.number, c.first)
+		scanned, entries := entriesOf(t, f)
+		if scanned.number != uint64(i+1) || scanned.first != last {
+			t.Errorf("%s: file %d, goes on from %x", f.name, scanned.number, scanned.first)
 		}
 		if got := rewritten(t, f.content, last, entries); !bytes.Equal(got, f.content) {
 			t.Errorf("%s: written again as other bytes", f.name)
 		}
+		last = scanned.last
 	}
+}
 
-	// A store goes on with the files.
-	d = vfstest.New()
+// A store that gets the same messages writes the same files, but for the salts and the chain, which are random.
+func TestStoreWritesTheEntriesOfTheGoldenFiles(t *testing.T) {
+	d := vfstest.New()
+	appendMessages(t, d, 1, 2, 3)
+	for _, f := range goldenFiles(t) {
+		_, want := entriesOf(t, f)
+		scanned, got := entriesOf(t, auditFile{f.name, d.File(f.name)})
+		want[0] = fileStartEntry(scanned.chain, scanned.number)
+		if !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %x, want %x", f.name, got, want)
+		}
+	}
+}
+
+func TestStoreContinuesTheGoldenFiles(t *testing.T) {
+	files := goldenFiles(t)
+	d := vfstest.New()
 	for _, f := range files {
 		d.Put(f.name, f.content)
 	}
-	s, err := OpenStore(StoreOptions{Folder: d, FileBytes: 900})
-	must(t, err)
-	must(t, s.appendNow(message(4)))
-	s.Close()
+	appendMessages(t, d, 4)
 	if got := d.File(FileName); !bytes.HasPrefix(got, files[1].content) {
 		t.Error("the file was changed before its end")
 	}
@@ -309,17 +316,14 @@
 }
 
 func TestGoldenReports(t *testing.T) {
-	r := check([]auditFile{
-		{"audit-000001.log", golden(t, "audit-000001.log", nil)},
-		{FileName, golden(t, FileName, nil)},
-	}, CheckOptions{})
+	r := check(goldenFiles(t), CheckOptions{})
 	for file, write := range map[string]func(*bytes.Buffer) error{
 		"report.csv": func(b *bytes.Buffer) error { return r.WriteCSV(b) },
 		"report.txt": func(b *bytes.Buffer) error { return r.WriteText(b) },
 	} {
 		var b bytes.Buffer
 		must(t, write(&b))
-		if want := golden(t, file, b.Bytes); !bytes.Equal(b.Bytes(), want) {
+		if want := golden.Read(t, file); !bytes.Equal(b.Bytes(), want) {
 			t.Errorf("%s: %s", file, b.String())
 		}
 	}
@@ -351,7 +355,7 @@
 	}
 	var b bytes.Buffer
 	must(t, check(files, CheckOptions{}).WriteProblems(&b))
-	if want := golden(t, "report-differences.txt", b.Bytes); !bytes.Equal(b.Bytes(), want) {
+	if want := golden.Read(t, "report-differences.txt"); !bytes.Equal(b.Bytes(), want) {
 		t.Errorf("%s", b.String())
 	}
 }
@@ -362,7 +366,7 @@
 		Outcomes: [outcomeCount]int{21, 22, 23, 24, 25, 26, 27}}
 	written, err := json.Marshal(row)
 	must(t, err)
-	b := golden(t, "row.json", func() []byte { return written })
+	b := golden.Read(t, "row.json")
 	if !bytes.Equal(written, b) {
 		t.Errorf("%s", written)
 	}
--- a/internal/control/certification/certification_test.go
+++ b/internal/control/certification/certification_test.go
@@ -75,7 +75,7 @@
 
 var noon = time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 
-func TestTheGateFailsClosed(t *testing.T) {
+func TestGateFailsClosed(t *testing.T) {
 	now, confirmed := noon, time.Time{}
 	g := NewGate(GateOptions{Now: func() time.Time { return now }, LastConfirmed: func() time.Time { return confirmed }, ConfirmationTTL: 2 * time.Second})
 	expect := func(what, route, endpoint, regime string, ok bool) {
@@ -158,7 +158,7 @@
 	run("on", on)
 }
 
-func TestAWrongDocumentIsToldInFullUpToABound(t *testing.T) {
+func TestProblemsOfAnInvalidDocumentAreListedUpToABound(t *testing.T) {
 	_, err := Parse([]byte(`{"version":1,"routes":[` + strings.Repeat(`{"name":"","regime":""},`, 20) + `{"name":"a","regime":"b"}]}`))
 	if err == nil || strings.Count(err.Error(), "\n") != maxProblems || !strings.Contains(err.Error(), "more") {
 		t.Errorf("%v", err)
--- a/internal/control/certification/example_test.go
+++ b/internal/control/certification/example_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestTheExampleOfTheDocsIsSound(t *testing.T) {
+func TestExampleOfTheDocsIsValid(t *testing.T) {
 	b, err := os.ReadFile("../../../docs/example-certificates.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/certification/golden_test.go
+++ b/internal/control/certification/golden_test.go
@@ -3,36 +3,14 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
-)
-
-// The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format,
-// never in CI.
-var update = flag.Bool("update", false, "write the golden files anew")
 
-func golden(t *testing.T, file string, now func() []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", file)
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, now(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return b
-}
+	"dunetide/internal/lab/golden"
+)
 
+// The golden files were written by the sources of faf8ea2.
 func goldenDocument() Document {
 	at := func(day, nanos int) time.Time { return time.Date(2026, 6, day, 12, 13, 14, nanos, time.UTC) }
 	return Document{
@@ -59,7 +37,7 @@
 			}
 			return b
 		}
-		b := golden(t, file, func() []byte { return written(goldenDocument()) })
+		b := golden.Read(t, file)
 		s, err := Parse(b)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
@@ -77,14 +55,7 @@
 }
 
 func TestGoldenDocumentWithout(t *testing.T) {
-	b := golden(t, "without.json", func() []byte {
-		next, _ := goldenDocument().Without("i-0b", "border")
-		b, err := json.MarshalIndent(next, "", "  ")
-		if err != nil {
-			t.Fatal(err)
-		}
-		return b
-	})
+	b := golden.Read(t, "without.json")
 	next, n := goldenDocument().Without("i-0b", "border")
 	got, err := json.MarshalIndent(next, "", "  ")
 	if err != nil || n != 1 || !bytes.Equal(got, b) {
--- a/internal/platform/recordlog/golden_test.go
+++ b/internal/platform/recordlog/golden_test.go
@@ -3,31 +3,16 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"flag"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
+	"dunetide/internal/lab/golden"
 	"dunetide/internal/platform/frame"
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
-var update = flag.Bool("update", false, "write the golden files anew")
-
-func golden(t *testing.T, file string, now func() []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", file)
-	if *update {
-		must(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		must(t, os.WriteFile(path, now(), 0o644))
-	}
-	b, err := os.ReadFile(path)
-	must(t, err)
-	return b
-}
+// The golden files were written by the sources of faf8ea2.
 
 // framed is a record as it stands in a file: the offset up to which the file was synced when it was written, and its payload.
 type framed struct {
@@ -68,17 +53,7 @@
 
 func TestGoldenFileOfAppendedRecords(t *testing.T) {
 	want := []string{"first", "", "third \x00\xff", strings.Repeat("fourth", 50)}
-	b := golden(t, "appended.log", func() []byte {
-		d := vfstest.New()
-		k := reopen(t, d)
-		k.add(t, want[:2]...)
-		must(t, k.Sync())
-		k.add(t, want[2])
-		must(t, k.Sync())
-		k.add(t, want[3])
-		must(t, k.Close())
-		return d.File(name)
-	})
+	b := golden.Read(t, "appended.log")
 	d := vfstest.New()
 	d.Put(name, b)
 	k := reopen(t, d) // reads each record back, too
@@ -125,7 +100,7 @@
 
 func TestGoldenFileOfARewrite(t *testing.T) {
 	stays, added := []string{"kept one", "kept two"}, "added later"
-	rewrite := func(k kept) {
+	rewrite := func(k replayedLog) {
 		must(t, k.Rewrite(func(add func([]byte) (int64, error)) error {
 			for _, p := range stays {
 				if _, err := add([]byte(p)); err != nil {
@@ -135,15 +110,7 @@
 			return nil
 		}))
 	}
-	b := golden(t, "rewritten.log", func() []byte {
-		d := vfstest.New()
-		k := reopen(t, d)
-		k.add(t, "left behind")
-		rewrite(k)
-		k.add(t, added)
-		must(t, k.Close())
-		return d.File(name)
-	})
+	b := golden.Read(t, "rewritten.log")
 	frames, records := decodeFile(t, b)
 	want := []framed{{0, stays[0]}, {0, stays[1]}, {120, added}}
 	if frames.Number != 95 || !slices.Equal(records, want) {
--- a/internal/platform/recordlog/record_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -24,15 +24,15 @@
 	}
 }
 
-// kept is a log and what its replay told.
-type kept struct {
+// replayedLog is a log and what its replay returned.
+type replayedLog struct {
 	*Log
 	payloads []string
 	at       []int64
 }
 
-func open(folder vfs.Folder) (kept, error) {
-	var k kept
+func open(folder vfs.Folder) (replayedLog, error) {
+	var k replayedLog
 	var err error
 	k.Log, err = Open(folder, name, func(payload []byte, at int64) error {
 		k.payloads, k.at = append(k.payloads, string(payload)), append(k.at, at)
@@ -41,7 +41,7 @@
 	return k, err
 }
 
-func reopen(t *testing.T, folder vfs.Folder) kept {
+func reopen(t *testing.T, folder vfs.Folder) replayedLog {
 	t.Helper()
 	k, err := open(folder)
 	must(t, err)
@@ -54,7 +54,7 @@
 	return k
 }
 
-func (k *kept) add(t *testing.T, payloads ...string) (at []int64) {
+func (k *replayedLog) add(t *testing.T, payloads ...string) (at []int64) {
 	t.Helper()
 	for _, p := range payloads {
 		a, err := k.Append([]byte(p))
@@ -160,7 +160,7 @@
 	return m
 }
 
-func TestPowerLossAtEachStep(t *testing.T) {
+func TestPowerLossAtEachDiskOperationKeepsSyncedRecords(t *testing.T) {
 	whole := vfstest.New()
 	if m := script(whole); m.durable != 6 {
 		t.Fatalf("without losses: %+v", m)
@@ -189,7 +189,7 @@
 		for _, all := range []int{0, 1} {
 			c := d.Copy()
 			c.FailAt, c.Fails = step, 1<<30
-			_, _ = open(c) // whether it comes as far as that
+			_, _ = open(c) // it may fail before that step
 			c.FailAt = 0
 			c.PowerLossEach(func(n int) int { return min(all, n-1) })
 			if k, err := open(c); err != nil || !m.allows(k.payloads) {
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestOneFailingStep(t *testing.T) {
+func TestOneFailingDiskOperationKeepsAppendedRecords(t *testing.T) {
 	whole := vfstest.New()
 	script(whole)
 	for step := 1; step <= whole.Ops; step++ {
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestFullDiskTearsNothing(t *testing.T) {
+func TestFullDiskLeavesNoTornRecord(t *testing.T) {
 	d := vfstest.New()
 	k := reopen(t, d)
 	k.add(t, "a")
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestFailedSyncIsFinal(t *testing.T) {
+func TestFailedSyncMakesTheLogUnusable(t *testing.T) {
 	d := vfstest.New()
 	k := reopen(t, d)
 	at := k.add(t, "a")[0]
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestDamage(t *testing.T) {
+func TestDamageToSyncedRecordsIsReported(t *testing.T) {
 	d := vfstest.New()
 	k := reopen(t, d)
 	var ends []int64
@@ -302,7 +302,7 @@
 	}
 }
 
-func TestReadBackAndRewrite(t *testing.T) {
+func TestPositionsAreValidUntilARewrite(t *testing.T) {
 	folder := vfs.Dir(t.TempDir())
 	k := reopen(t, folder)
 	at := k.add(t, "same", "gone", "same")
@@ -380,7 +380,7 @@
 	return f.OpenFile.Sync()
 }
 
-func TestWaitersShareSyncs(t *testing.T) {
+func TestConcurrentSyncsAreGrouped(t *testing.T) {
 	for _, fails := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			g := &gate{Disk: vfstest.New(), release: make(chan error)}
@@ -408,7 +408,7 @@
 			must(t, <-ends)
 			synctest.Wait()
 			if len(ends) != 0 {
-				t.Errorf("%d are told before their sync", len(ends))
+				t.Errorf("%d return before their sync", len(ends))
 			}
 			g.release <- nil
 			for range 8 {
@@ -421,7 +421,7 @@
 	}
 }
 
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentAppendsReadsAndRewrites(t *testing.T) {
 	folder := vfs.Dir(t.TempDir())
 	k := reopen(t, folder)
 	var held sync.RWMutex // the index is its user's to guard against a rewrite
--- a/internal/platform/sendlog/sendlog_test.go
+++ b/internal/platform/sendlog/sendlog_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestForgetTakesOneOut(t *testing.T) {
+func TestRemoveRemovesOneSend(t *testing.T) {
 	l := Log{Window: 5 * time.Second}
 	for _, at := range []Time{1, 2, 2, 3} {
 		l.Record(at)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestCountDropsWhatIsAWindowOld(t *testing.T) {
+func TestCountDropsExpiredSends(t *testing.T) {
 	l := Log{Window: 5 * time.Second}
 	for i := range 4 {
 		l.Record(Time(i) * time.Second)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestMostBoundsTheLog(t *testing.T) {
+func TestMaxEntriesBoundsTheLog(t *testing.T) {
 	l := Log{Window: time.Minute, MaxEntries: 3}
 	for i := range 10 {
 		l.Record(Time(i))
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRoomAt(t *testing.T) {
+func TestAvailableAt(t *testing.T) {
 	l := Log{Window: 5}
 	if at := l.AvailableAt(1, 1); at != 1 {
 		t.Errorf("an empty log has room at %v, want now", at)
--- a/internal/platform/upstream/conn_test.go
+++ b/internal/platform/upstream/conn_test.go
@@ -185,7 +185,7 @@
 				t.Errorf("status %d, %v, want %d", status, err, c.status)
 			}
 			if idle := ps.Stats(1).Pools[0].Idle; idle == 1 != c.keep {
-				t.Errorf("%d connections kept, want kept: %v", idle, c.keep)
+				t.Errorf("%d connections retained, want retained: %v", idle, c.keep)
 			}
 			// The next call never gets what came behind the answer before.
 			if _, reused, _ := call(t, p, 10); reused != c.keep {
@@ -341,7 +341,7 @@
 
 // A machine that says nothing any more holds a call no longer than its time, and its
 // connection is closed then.
-func TestSilentEndpointIsGivenUp(t *testing.T) {
+func TestUnresponsiveEndpointTimesOut(t *testing.T) {
 	closed := make(chan struct{})
 	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		_, _ = io.Copy(io.Discard, r)
@@ -361,8 +361,8 @@
 	wantStats(t, ps, 0, 0, 1, 0, 0)
 }
 
-// A body that comes too slowly ends with its context; its connection is not kept.
-func TestSlowBodyIsGivenUp(t *testing.T) {
+// A body that comes too slowly ends with its context; its connection is not retained.
+func TestSlowBodyTimesOut(t *testing.T) {
 	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		if readCall(r) == nil {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
@@ -384,7 +384,7 @@
 	wantStats(t, ps, 0, 0, 1, 0, 0)
 }
 
-// What was told to one call never reaches the next, however fast the connection changes
+// The answer to one call never reaches the next, however fast the connection changes
 // hands: an endpoint that sends its answers twice delivers nothing that it did not read.
 func TestAnswersNeverGoToTheNextCall(t *testing.T) {
 	var read atomic.Int64
--- a/internal/platform/upstream/golden_test.go
+++ b/internal/platform/upstream/golden_test.go
@@ -4,36 +4,14 @@
 	"bytes"
 	"encoding/gob"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 	"time"
-)
-
-// The files under testdata/golden were written by the sources of faf8ea2. They are made anew only for a new format, never in CI.
-var update = flag.Bool("update", false, "write the golden files anew")
 
-func golden(t *testing.T, file string, now []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", file)
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, now, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return b
-}
+	"dunetide/internal/lab/golden"
+)
 
-// The overview of pools, as the delivery node's console writes it.
+// The overview of pools, as the delivery node's console writes it. The golden files were written by the sources of faf8ea2.
 func TestGoldenOverview(t *testing.T) {
 	o := Overview{Open: 1, MaxOpen: 2, Waiting: 3, Omitted: 4, Pools: []Stat{
 		{"e", "a:1", 5, 6, 7, 8, 9, 10.5, 11, 12, 13, 14, 15, 16, true},
@@ -43,10 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := golden(t, "overview.json", written)
-	if !bytes.Equal(written, b) {
-		t.Errorf("%s", written)
-	}
+	golden.Compare(t, "overview.json", written)
+	b := golden.Read(t, "overview.json")
 	var got Overview
 	if err := json.Unmarshal(b, &got); err != nil || !reflect.DeepEqual(got, o) {
 		t.Errorf("%+v, %v", got, err)
@@ -60,11 +36,7 @@
 		{IdleAt: at, Uses: []float64{1, 2}, Broken: []float64{3, 4}},
 		{Name: "e", Addr: "a:1", Since: 5, Cap: 6.5, GrowAt: at.Add(time.Second), IdleAt: at.Add(time.Minute), Uses: []float64{7}, Broken: []float64{8}},
 	}
-	var written bytes.Buffer
-	if err := gob.NewEncoder(&written).Encode(memory); err != nil {
-		t.Fatal(err)
-	}
-	b := golden(t, "memory.gob", written.Bytes())
+	b := golden.Read(t, "memory.gob")
 	var got []Learnt
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&got); err != nil || !reflect.DeepEqual(got, memory) {
 		t.Errorf("%+v, %v", got, err)
--- a/internal/platform/upstream/idle_test.go
+++ b/internal/platform/upstream/idle_test.go
@@ -8,11 +8,11 @@
 // Connections that break when they were idle for long are not used at that age any
 // more, for a while; those that break at any age tell nothing of idle times.
 func TestIdleLimitIsLearnt(t *testing.T) {
-	const told = 12 * time.Second
+	const configured = 12 * time.Second
 	now := time.Now()
-	l := &idleLimit{configured: told}
-	if got := l.limit(l, now); got != told {
-		t.Errorf("limit %v before any call, want what was told", got)
+	l := &idleLimit{configured: configured}
+	if got := l.limit(l, now); got != configured {
+		t.Errorf("limit %v before any call, want the configured one", got)
 	}
 	for i := range 40 {
 		l.observe(-1, i%10 == 0, now)
@@ -20,8 +20,8 @@
 		l.observe(100*time.Millisecond, i%10 == 0, now)
 		l.observe(2*time.Second, i%10 == 0, now)
 	}
-	if got := l.limit(l, now); got != told {
-		t.Errorf("limit %v where one in ten breaks at any age, want what was told", got)
+	if got := l.limit(l, now); got != configured {
+		t.Errorf("limit %v where one in ten breaks at any age, want the configured one", got)
 	}
 	for i := range 10 {
 		l.observe(200*time.Millisecond, i%2 == 0, now)
@@ -30,20 +30,20 @@
 		t.Errorf("limit %v where half break at 200 ms, want %v", got, 2*freshIdle)
 	}
 	now = now.Add(2 * idleDecay)
-	if got := l.limit(l, now); got != told {
-		t.Errorf("limit %v long after, want what was told", got)
+	if got := l.limit(l, now); got != configured {
+		t.Errorf("limit %v long after, want the configured one", got)
 	}
 	l.observe(200*time.Millisecond, false, now)
-	if got := l.limit(l, now); got != told {
-		t.Errorf("limit %v after another good use, want what was told", got)
+	if got := l.limit(l, now); got != configured {
+		t.Errorf("limit %v after another good use, want the configured one", got)
 	}
 }
 
 // What one endpoint shows outweighs what all show, once it has shown enough.
 func TestIdleLimitOfOneEndpoint(t *testing.T) {
-	const told = 12 * time.Second
+	const configured = 12 * time.Second
 	now := time.Now()
-	all, own := &idleLimit{configured: told}, &idleLimit{configured: told}
+	all, own := &idleLimit{configured: configured}, &idleLimit{configured: configured}
 	for range 10 {
 		all.observe(200*time.Millisecond, true, now)
 	}
@@ -53,8 +53,8 @@
 	for range minOwnUses {
 		own.observe(200*time.Millisecond, false, now)
 	}
-	if got := own.limit(all, now); got != told {
-		t.Errorf("limit %v though its own connections are sound, want %v", got, told)
+	if got := own.limit(all, now); got != configured {
+		t.Errorf("limit %v though its own connections are sound, want %v", got, configured)
 	}
 	now = now.Add(4 * idleDecay)
 	all.observe(200*time.Millisecond, false, now)
--- a/internal/platform/upstream/open_test.go
+++ b/internal/platform/upstream/open_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// A deadline ends a call, and leaves none on a connection that is kept.
+// A deadline ends a call, and leaves none on a connection that is retained.
 func TestDeadlineOfAnOpenedCall(t *testing.T) {
 	s := newStandIn(t, func(n int64, conn net.Conn, r *bufio.Reader) {
 		if n == 1 {
@@ -90,10 +90,10 @@
 }
 
 // What belongs to an earlier call is read over, and the connection ends with this one.
-func TestSurplusBeforeAnAnswer(t *testing.T) {
+func TestAnswerToAnEarlierCallIsReadOver(t *testing.T) {
 	s := newStandIn(t, answers(ok200+strings.Replace(ok200, "ok", "me", 1)))
 	p := newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr})
-	c := take(t, p)
+	c := acquire(t, p)
 	resp, err := c.Open(t.Context(), http.MethodGet, []byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), nil, time.Time{})
 	must(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
@@ -105,14 +105,14 @@
 	}
 	c.MarkComplete(resp)
 	c.Release(Answered)
-	if take(t, p).Reused() {
-		t.Error("the connection was kept")
+	if acquire(t, p).Reused() {
+		t.Error("the connection was retained")
 	}
 }
 
-// A connection is not used when the far side is about to close it, by its own word.
-func TestKeepAliveThatIsTold(t *testing.T) {
-	for told, keeps := range map[string]time.Duration{
+// A connection is not used when the far side is about to close it, by its Keep-Alive header.
+func TestKeepAliveHeaderBoundsIdleTime(t *testing.T) {
+	for header, want := range map[string]time.Duration{
 		"timeout=5":          5*time.Second - keepAliveMargin,
 		"timeout=2, max=100": 2*time.Second - keepAliveMargin,
 		"max=9, Timeout=3":   3*time.Second - keepAliveMargin,
@@ -120,51 +120,51 @@
 		"timeout=x":          0,
 		"":                   0,
 	} {
-		if got := parseKeepAlive(http.Header{"Keep-Alive": {told}}); got != keeps {
-			t.Errorf("%q: %v, want %v", told, got, keeps)
+		if got := parseKeepAlive(http.Header{"Keep-Alive": {header}}); got != want {
+			t.Errorf("%q: %v, want %v", header, got, want)
 		}
 	}
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, nil)
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
-	c := take(t, p)
+	c := acquire(t, p)
 	c.keepAlive = 4600 * time.Millisecond
-	served(c, Answered)
+	endCallAs(c, Answered)
 	now.tick(4 * time.Second)
 	ps.Sweep()
-	if c = take(t, p); !c.Reused() {
+	if c = acquire(t, p); !c.Reused() {
 		t.Error("it was closed too early")
 	}
-	served(c, Answered)
+	endCallAs(c, Answered)
 	now.tick(4600 * time.Millisecond)
-	if take(t, p).Reused() {
+	if acquire(t, p).Reused() {
 		t.Error("it was used when the far side closes it")
 	}
 }
 
-// No more connections than were told; who finds no place soon is told so.
-func TestMostConnectionsThatAreTold(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, func(c *Config) { c.MaxWait = time.Millisecond })
+// No more connections than the list says; a call that gets none soon fails with ErrBusy.
+func TestListedMaxConnsIsNotExceeded(t *testing.T) {
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, func(c *Config) { c.MaxWait = time.Millisecond })
 	p := ps.Endpoint(Endpoint{Name: "e", MaxConns: 2})
-	one, two := take(t, p), take(t, p)
+	one, two := acquire(t, p), acquire(t, p)
 	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrBusy) {
 		t.Errorf("%v", err)
 	}
-	served(one, Answered)
-	if one = take(t, p); !one.Reused() || f.most != 2 {
+	endCallAs(one, Answered)
+	if one = acquire(t, p); !one.Reused() || f.most != 2 {
 		t.Errorf("reused %v, %d at the most", one.Reused(), f.most)
 	}
 	if ps.Endpoint(Endpoint{Name: "e", MaxConns: 3}) != p {
 		t.Fatal("another pool")
 	}
-	three := take(t, p)
+	three := acquire(t, p)
 	ps.Endpoint(Endpoint{Name: "e", MaxConns: 1})
-	served(three, Answered)
-	served(two, Answered)
-	served(one, Answered)
+	endCallAs(three, Answered)
+	endCallAs(two, Answered)
+	endCallAs(one, Answered)
 	if f.open != 1 {
-		t.Errorf("%d are kept, want 1", f.open)
+		t.Errorf("%d are retained, want 1", f.open)
 	}
 }
 
@@ -178,9 +178,9 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Endpoints that forget idle connections and reset them at the next byte: a call whose end is held back was surely
-// not received, at whatever age of the connection. One that an endpoint has read whole is never told as not sent.
-func TestForgottenConnectionIsFoundBeforeTheEnd(t *testing.T) {
+// Endpoints that forget idle connections and reset them at the next byte: a call whose end is delayed was surely
+// not received, at whatever age of the connection. One that an endpoint has read completely is never reported as not sent.
+func TestDelayedEndFindsForgottenConnection(t *testing.T) {
 	for _, end := range []string{"reset", "close"} {
 		t.Run(end, func(t *testing.T) {
 			var whole atomic.Int64
@@ -237,7 +237,7 @@
 }
 
 // An end that was held back follows, and the answer comes, also where the endpoint speaks before it.
-func TestHeldBackEndFollows(t *testing.T) {
+func TestDelayedEndFollows(t *testing.T) {
 	s := newStandIn(t, answers(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
@@ -259,7 +259,7 @@
 }
 
 // A call that is given up while its end is held back was not sent.
-func TestGivenUpBeforeTheEnd(t *testing.T) {
+func TestCancelBeforeTheDelayedEnd(t *testing.T) {
 	s := newStandIn(t, answers(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
--- a/internal/platform/upstream/pools_test.go
+++ b/internal/platform/upstream/pools_test.go
@@ -14,27 +14,27 @@
 	"time"
 )
 
-// far is an endpoint without sockets: it holds so many connections at most.
-type far struct {
+// fakeEndpoint is an endpoint without sockets: it holds up to a number of connections.
+type fakeEndpoint struct {
 	holds, open, most, refused int
 	err                        error // in place of connections, while it is set
 }
 
-type farConn struct {
+type fakeConn struct {
 	net.Conn // nil: nothing is read or written on it
-	far      *far
+	endpoint *fakeEndpoint
 	closed   bool
 }
 
-func (c *farConn) Close() error {
+func (c *fakeConn) Close() error {
 	if !c.closed {
 		c.closed = true
-		c.far.open--
+		c.endpoint.open--
 	}
 	return nil
 }
 
-func (f *far) dial(context.Context, string) (net.Conn, error) {
+func (f *fakeEndpoint) dial(context.Context, string) (net.Conn, error) {
 	if f.err != nil {
 		return nil, f.err
 	}
@@ -44,17 +44,17 @@
 	}
 	f.open++
 	f.most = max(f.most, f.open)
-	return &farConn{far: f}, nil
+	return &fakeConn{endpoint: f}, nil
 }
 
-// clock is a time that moves when it is told to.
+// clock is a time that moves by tick alone.
 type clock struct{ now time.Time }
 
 func newClock() *clock { return &clock{time.Unix(1e9, 0)} }
 
 func (c *clock) tick(d time.Duration) { c.now = c.now.Add(d) }
 
-func farPools(t *testing.T, f *far, c *clock, change func(*Config)) *Pools {
+func fakePools(t *testing.T, f *fakeEndpoint, c *clock, change func(*Config)) *Pools {
 	t.Helper()
 	return newPools(t, func(cfg *Config) {
 		cfg.Dial, cfg.Now = f.dial, func() time.Time { return c.now }
@@ -64,20 +64,20 @@
 	})
 }
 
-// over is a context whose time is up: who has to wait is turned away at once.
-func over() context.Context {
+// canceledContext is a context that has ended: a call that has to wait is rejected at once.
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// served ends a call as one that was answered, without any bytes.
-func served(c *Conn, end Outcome) {
+// endCallAs ends a call as one that was answered completely, without any bytes.
+func endCallAs(c *Conn, end Outcome) {
 	c.inCall, c.sent, c.complete, c.stopCancel = true, true, true, func() bool { return true }
 	c.Release(end)
 }
 
-func take(t *testing.T, p *Pool) *Conn {
+func acquire(t *testing.T, p *Pool) *Conn {
 	t.Helper()
 	c, err := p.Acquire(t.Context())
 	must(t, err)
@@ -85,51 +85,51 @@
 }
 
 // The connection that was used last comes first, so that the surplus ages and closes.
-func TestSurplusAges(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, func(c *Config) { c.MaxIdle = 10 * time.Second })
+func TestSurplusConnectionsExpire(t *testing.T) {
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, func(c *Config) { c.MaxIdle = 10 * time.Second })
 	p := ps.Endpoint(Endpoint{Name: "e"})
-	a, b, c := take(t, p), take(t, p), take(t, p)
+	a, b, c := acquire(t, p), acquire(t, p), acquire(t, p)
 	for _, conn := range []*Conn{a, b, c} {
-		served(conn, Answered)
+		endCallAs(conn, Answered)
 	}
 	for range 4 {
 		now.tick(3 * time.Second)
 		ps.Sweep()
-		conn := take(t, p)
+		conn := acquire(t, p)
 		if conn != c {
 			t.Fatal("not the connection that was used last")
 		}
-		served(conn, Answered)
+		endCallAs(conn, Answered)
 	}
 	wantStats(t, ps, 1, 1, 3, 4, 0)
 	now.tick(10 * time.Second)
-	if conn := take(t, p); conn == c {
+	if conn := acquire(t, p); conn == c {
 		t.Error("a connection was used that had been idle for its limit")
 	}
 }
 
 // A list that names another address or a newer start gives fresh connections, and what
-// was learnt is forgotten; what was opened since that start is kept.
-func TestEndpointThatIsAnotherOne(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, nil)
+// was learnt is forgotten; what was opened since that start is retained.
+func TestMovedOrRestartedEndpointGetsFreshConnections(t *testing.T) {
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, nil)
 	at := Endpoint{Name: "e", Addr: "1", Since: now.now.UnixMilli()}
 	p := ps.Endpoint(at)
-	served(take(t, p), Answered)
+	endCallAs(acquire(t, p), Answered)
 	p.sizing.cap = 3
-	out := take(t, p) // out while the list comes
-	old := take(t, p)
+	out := acquire(t, p) // out while the list comes
+	old := acquire(t, p)
 	now.tick(time.Second)
 	at.Since = now.now.UnixMilli()
 	now.tick(time.Second)
-	fresh := take(t, p)
-	served(old, Answered)
+	fresh := acquire(t, p)
+	endCallAs(old, Answered)
 	if ps.Endpoint(at) != p || p.sizing.cap != 0 {
 		t.Errorf("cap %v after a restart, want none", p.sizing.cap)
 	}
-	served(fresh, Answered)
-	served(out, Answered)
+	endCallAs(fresh, Answered)
+	endCallAs(out, Answered)
 	if f.open != 1 || len(p.idle) != 1 || p.idle[0].dialedAt.UnixMilli() < at.Since {
 		t.Errorf("%d open, %d idle; want the connection that was opened since the restart", f.open, len(p.idle))
 	}
@@ -139,18 +139,18 @@
 		t.Errorf("%d connections to the address before", f.open)
 	}
 	ps.Endpoint(at)
-	if c := take(t, p); c.Reused() {
+	if c := acquire(t, p); c.Reused() {
 		t.Error("a connection to the address before was used")
 	}
 }
 
 // A pool ends with its last call, and what comes back under its name starts afresh.
 func TestPoolEndsWithItsLastCall(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, nil)
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
-	c := take(t, p)
-	served(take(t, p), Answered)
+	c := acquire(t, p)
+	endCallAs(acquire(t, p), Answered)
 	p.Remove()
 	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrRemoved) {
 		t.Errorf("%v, want that it is gone", err)
@@ -158,34 +158,34 @@
 	if o := ps.Stats(9); o.Open != 1 || len(o.Pools) != 1 {
 		t.Errorf("%+v, want the call that is out", o)
 	}
-	served(c, Answered)
+	endCallAs(c, Answered)
 	if o := ps.Stats(9); o.Open != 0 || len(o.Pools) != 0 || f.open != 0 {
 		t.Errorf("%+v and %d open, want nothing", o, f.open)
 	}
-	if q := ps.Endpoint(Endpoint{Name: "e"}); q == p || take(t, q).Reused() {
+	if q := ps.Endpoint(Endpoint{Name: "e"}); q == p || acquire(t, q).Reused() {
 		t.Error("it came back with what it was")
 	}
 }
 
 // At the bound of all connections the idle one of the endpoint that is used least goes;
 // where none is idle, calls wait, and the first of them gets the next that is free.
-func TestRoomAmongAllPools(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, func(c *Config) { c.MaxOpen = 3 })
+func TestMaxOpenIsSharedByAllPools(t *testing.T) {
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, func(c *Config) { c.MaxOpen = 3 })
 	busy, rare, third := ps.Endpoint(Endpoint{Name: "a"}), ps.Endpoint(Endpoint{Name: "b"}), ps.Endpoint(Endpoint{Name: "c"})
 	for range 3 {
-		served(take(t, busy), Answered)
+		endCallAs(acquire(t, busy), Answered)
 	}
-	served(take(t, rare), Answered)
-	one, two := take(t, third), take(t, third)
+	endCallAs(acquire(t, rare), Answered)
+	one, two := acquire(t, third), acquire(t, third)
 	if len(rare.idle) != 0 || len(busy.idle) != 1 {
 		t.Errorf("%d idle to the one that is used least, %d to the other", len(rare.idle), len(busy.idle))
 	}
-	three := take(t, rare)
+	three := acquire(t, rare)
 	if f.open != 3 || f.most != 3 {
 		t.Errorf("%d open, %d at the most, want 3", f.open, f.most)
 	}
-	if _, err := busy.Acquire(over()); !errors.Is(err, ErrBusy) {
+	if _, err := busy.Acquire(canceledContext()); !errors.Is(err, ErrBusy) {
 		t.Errorf("%v, want that no connection is free", err)
 	}
 	got := make(chan *Conn)
@@ -199,7 +199,7 @@
 	for ps.Stats(1).Waiting == 0 {
 		runtime.Gosched()
 	}
-	served(two, Answered)
+	endCallAs(two, Answered)
 	c := <-got
 	if f.open != 3 {
 		t.Errorf("%d open, want 3", f.open)
@@ -214,15 +214,15 @@
 
 // A lower bound closes what is idle, the least used first; a higher one lets calls go on
 // that wait.
-func TestBoundThatChanges(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, func(c *Config) { c.MaxOpen = 4 })
+func TestSetMaxOpen(t *testing.T) {
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, func(c *Config) { c.MaxOpen = 4 })
 	busy, rare := ps.Endpoint(Endpoint{Name: "a"}), ps.Endpoint(Endpoint{Name: "b"})
-	out := take(t, busy)
+	out := acquire(t, busy)
 	for range 3 {
-		served(take(t, busy), Answered)
+		endCallAs(acquire(t, busy), Answered)
 	}
-	served(take(t, rare), Answered)
+	endCallAs(acquire(t, rare), Answered)
 	ps.SetMaxOpen(2)
 	if f.open != 2 || len(rare.idle) != 0 {
 		t.Errorf("%d open, %d of them to the endpoint that is used least; want 2 and none", f.open, len(rare.idle))
@@ -244,11 +244,11 @@
 // Calls that wait for a capped endpoint are few, and end with their time; the first of
 // them gets the connection that comes back.
 func TestWaitingIsBounded(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, nil)
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	p.sizing.cap, p.sizing.growAt = 1, now.now.Add(time.Hour)
-	c := take(t, p)
+	c := acquire(t, p)
 	ctx, cancel := context.WithCancel(t.Context())
 	ends := make(chan error, maxWaiting)
 	for range maxWaiting {
@@ -263,7 +263,7 @@
 	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrBusy) {
 		t.Errorf("%v, want that too many wait", err)
 	}
-	served(c, Answered)
+	endCallAs(c, Answered)
 	if err := <-ends; err != nil {
 		t.Errorf("nobody got what came back: %v", err)
 	}
@@ -280,7 +280,7 @@
 
 // Whoever gives up while dialling leaves nothing behind, and it says nothing of the
 // endpoint; SYNs that are never answered end with the time to connect.
-func TestDialThatIsGivenUp(t *testing.T) {
+func TestDialThatTimesOut(t *testing.T) {
 	ps := newPools(t, func(c *Config) {
 		c.DialTimeout = time.Millisecond
 		c.Dial = func(ctx context.Context, _ string) (net.Conn, error) {
@@ -289,7 +289,7 @@
 		}
 	})
 	p := ps.Endpoint(Endpoint{Name: "e"})
-	if _, err := p.Acquire(over()); !errors.Is(err, context.Canceled) {
+	if _, err := p.Acquire(canceledContext()); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v, want that it was given up", err)
 	}
 	if s := ps.Stats(1).Pools[0]; s.Refused != 0 || s.Open != 0 {
@@ -304,12 +304,12 @@
 }
 
 // A connection that comes up when its endpoint is gone or has moved is closed.
-func TestDialThatComesTooLate(t *testing.T) {
+func TestDialToARemovedOrMovedEndpoint(t *testing.T) {
 	for name, change := range map[string]func(*Pools, *Pool){
 		"gone":  func(_ *Pools, p *Pool) { p.Remove() },
 		"moved": func(ps *Pools, _ *Pool) { ps.Endpoint(Endpoint{Name: "e", Addr: "2"}) },
 	} {
-		f := &far{holds: 1}
+		f := &fakeEndpoint{holds: 1}
 		var ps *Pools
 		var p *Pool
 		ps = newPools(t, func(c *Config) {
@@ -326,7 +326,7 @@
 }
 
 // A connect that fails tells of a crowded endpoint only if that was up all along.
-func TestWhatTellsOfACrowd(t *testing.T) {
+func TestSignsOfACrowdedEndpoint(t *testing.T) {
 	type step struct {
 		ends string // a take and answer, f a connect that fails, o an answer on an old connection, s a second's rest
 		cap  float64
@@ -340,8 +340,8 @@
 		"proof that came too late":   {"Offsssso", 0},
 		"connects lost now and then": {"OfossssssssssssssssfoO", 0},
 	} {
-		f, now := &far{holds: 100}, newClock()
-		ps := farPools(t, f, now, nil)
+		f, now := &fakeEndpoint{holds: 100}, newClock()
+		ps := fakePools(t, f, now, nil)
 		p := ps.Endpoint(Endpoint{Name: "e"})
 		var old *Conn
 		for _, s := range c.ends {
@@ -349,12 +349,12 @@
 			case 's':
 				now.tick(time.Second)
 			case 'O':
-				old = take(t, p)
+				old = acquire(t, p)
 			case 'o': // an answer on it, and it is out again
-				served(old, Answered)
-				old = take(t, p)
+				endCallAs(old, Answered)
+				old = acquire(t, p)
 			case 'a':
-				served(take(t, p), Answered)
+				endCallAs(acquire(t, p), Answered)
 				p.CloseIdle()
 			case 'f':
 				f.err = syscall.ECONNREFUSED
@@ -372,22 +372,22 @@
 }
 
 // First calls that are turned away tell of too many connections, unless others are too.
-func TestRefusedFirstCallsTellOfACrowd(t *testing.T) {
+func TestRejectedFirstCallsAreSignsOfACrowd(t *testing.T) {
 	for name, c := range map[string]struct {
 		others Outcome
 		capped bool
 	}{"connections": {Answered, true}, "limit": {Rejected, false}} {
-		f, now := &far{holds: 100}, newClock()
-		ps := farPools(t, f, now, nil)
+		f, now := &fakeEndpoint{holds: 100}, newClock()
+		ps := fakePools(t, f, now, nil)
 		p := ps.Endpoint(Endpoint{Name: "e"})
-		served(take(t, p), Answered)
+		endCallAs(acquire(t, p), Answered)
 		for range 6 {
 			if p.sizing.cap > 0 {
 				break
 			}
-			old, fresh := take(t, p), take(t, p)
-			served(fresh, Rejected)
-			served(old, c.others)
+			old, fresh := acquire(t, p), acquire(t, p)
+			endCallAs(fresh, Rejected)
+			endCallAs(old, c.others)
 			p.idle = p.idle[:0]
 			p.idle = append(p.idle, old) // the other one is closed
 			ps.open--
@@ -401,18 +401,18 @@
 
 // fleet is many nodes with one pool each to one endpoint, driven by one clock.
 type fleet struct {
-	far   *far
-	now   *clock
-	pools []*Pools
-	out   [][]*Conn // by pool, with the step at which each ends
-	until [][]int
-	queue [][]int // by pool, the steps until which calls wait
-	rng   *rand.Rand
+	endpoint *fakeEndpoint
+	now      *clock
+	pools    []*Pools
+	out      [][]*Conn // by pool, with the step at which each ends
+	until    [][]int
+	queue    [][]int // by pool, the steps until which calls wait
+	rng      *rand.Rand
 }
 
 func newFleet(t *testing.T, senders, holds int) *fleet {
 	t.Helper()
-	f := &fleet{far: &far{holds: holds}, now: newClock(), rng: rand.New(rand.NewPCG(1, 2))}
+	f := &fleet{endpoint: &fakeEndpoint{holds: holds}, now: newClock(), rng: rand.New(rand.NewPCG(1, 2))}
 	f.pools, f.out, f.until, f.queue = make([]*Pools, senders), make([][]*Conn, senders), make([][]int, senders), make([][]int, senders)
 	for i := range f.pools {
 		f.restart(t, i)
@@ -429,7 +429,7 @@
 		f.out[i], f.until[i] = nil, nil
 		f.pools[i].Retire()
 	}
-	f.pools[i] = farPools(t, f.far, f.now, func(c *Config) {
+	f.pools[i] = fakePools(t, f.endpoint, f.now, func(c *Config) {
 		c.Senders, c.Rand, c.MaxIdle = len(f.pools), f.rng.Float64, 12*time.Second
 		c.DialTimeout = 1 // who has to wait is turned away at once
 	})
@@ -441,12 +441,12 @@
 func (f *fleet) run(t *testing.T, d time.Duration, rate float64) (refused, share float64) {
 	t.Helper()
 	const step = 10 * time.Millisecond
-	before, calls, found := f.far.refused, 0, 0
+	before, calls, found := f.endpoint.refused, 0, 0
 	for n := range int(d / step) {
 		f.now.tick(step)
 		for i := range f.pools {
 			for len(f.until[i]) > 0 && f.until[i][0] <= n {
-				served(f.out[i][0], Answered)
+				endCallAs(f.out[i][0], Answered)
 				f.out[i], f.until[i] = f.out[i][1:], f.until[i][1:]
 			}
 			if n%100 == i%100 {
@@ -476,7 +476,7 @@
 		}
 		f.queue[i] = nil
 	}
-	return float64(f.far.refused-before) / d.Seconds(), float64(found) / float64(calls)
+	return float64(f.endpoint.refused-before) / d.Seconds(), float64(found) / float64(calls)
 }
 
 // Many pools settle under what one endpoint holds, with few senders and with many,
@@ -509,7 +509,7 @@
 				f.restart(t, i)
 			}
 			check("after a common restart")
-			f.far.holds /= 2
+			f.endpoint.holds /= 2
 			check("with half of the places")
 		})
 	}
@@ -543,9 +543,9 @@
 }
 
 // What was learnt goes along to the next process, for the same endpoint only.
-func TestMemoryGoesAlong(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, nil)
+func TestLearntStateIsInherited(t *testing.T) {
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, nil)
 	for _, name := range []string{"a", "b"} {
 		p := ps.Endpoint(Endpoint{Name: name, Addr: "1", Since: 7})
 		p.sizing.cap, p.sizing.growAt = 3, now.now.Add(time.Minute)
@@ -554,7 +554,7 @@
 			ps.idleLimit.observe(800*time.Millisecond, true, now.now)
 		}
 	}
-	next := farPools(t, f, now, nil)
+	next := fakePools(t, f, now, nil)
 	next.Inherit(ps.Memory())
 	a, b := next.Endpoint(Endpoint{Name: "a", Addr: "1", Since: 7}), next.Endpoint(Endpoint{Name: "b", Addr: "2", Since: 7})
 	if got := a.maxIdle(now.now); a.sizing.cap != 3 || got != 2*freshIdle {
@@ -572,7 +572,7 @@
 	before := runtime.NumGoroutine()
 	for n := range 1000 {
 		p := ps.Endpoint(Endpoint{Name: fmt.Sprint(n), Addr: s.addr})
-		c := take(t, p)
+		c := acquire(t, p)
 		if _, _, err := call(t, p, 10); err != nil {
 			t.Fatal(err)
 		}
@@ -595,16 +595,16 @@
 
 // Retired pools close what is idle, and what is out when its call ends.
 func TestRetire(t *testing.T) {
-	f, now := &far{holds: 10}, newClock()
-	ps := farPools(t, f, now, nil)
+	f, now := &fakeEndpoint{holds: 10}, newClock()
+	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
-	c := take(t, p)
-	served(take(t, p), Answered)
+	c := acquire(t, p)
+	endCallAs(acquire(t, p), Answered)
 	ps.Retire()
 	if f.open != 1 {
 		t.Errorf("%d open, want the one that is out", f.open)
 	}
-	served(c, Answered)
+	endCallAs(c, Answered)
 	if f.open != 0 {
 		t.Errorf("%d open, want none", f.open)
 	}
@@ -612,7 +612,7 @@
 
 // One connection is opened ahead for demand that was seen, where it is asked for, and
 // none where it might do harm.
-func TestOpeningAhead(t *testing.T) {
+func TestPreconnect(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Config)
 		may    func() bool
@@ -628,8 +628,8 @@
 		"no room":            {func(c *Config) { c.MaxOpen = 1 }, func() bool { return true }, nil, 1},
 		"demand of long ago": {nil, func() bool { return true }, func(_ *Pool, c *clock) { c.tick(2 * demandSpan) }, 0},
 	} {
-		f, now := &far{holds: 10}, newClock()
-		ps := farPools(t, f, now, func(cfg *Config) {
+		f, now := &fakeEndpoint{holds: 10}, newClock()
+		ps := fakePools(t, f, now, func(cfg *Config) {
 			cfg.Preconnect, cfg.WarmUp = true, 14*time.Second
 			if c.change != nil {
 				c.change(cfg)
@@ -644,7 +644,7 @@
 			ps.Sweep()
 			ps.background.Wait()
 			for len(p.idle) > 0 { // in use: the next is opened ahead
-				take(t, p)
+				acquire(t, p)
 				ps.background.Wait()
 			}
 		}
@@ -655,7 +655,7 @@
 }
 
 // The look at a socket sees what has come, and nothing on one that is quiet.
-func TestLookAtASocket(t *testing.T) {
+func TestQuietSeesWhatHasCome(t *testing.T) {
 	hold := make(chan struct{})
 	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		_, _ = r.ReadByte()
--- a/internal/proxy/attempt/golden_test.go
+++ b/internal/proxy/attempt/golden_test.go
@@ -1,18 +1,14 @@
 package attempt
 
 import (
-	"bytes"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
-)
 
-// The file under testdata/golden was written by the sources of faf8ea2. It is made anew only for a new format, never in CI.
-var update = flag.Bool("update", false, "write the golden file anew")
+	"dunetide/internal/lab/golden"
+)
 
-// The names of states, events and verdicts; those of events and verdicts are labels of metrics.
+// The names of states, events and verdicts; those of events and verdicts are labels of metrics. The golden file was written by the
+// sources of faf8ea2.
 func TestGoldenNames(t *testing.T) {
 	var got []byte
 	for s := NotSent; s <= Ended; s++ {
@@ -24,17 +20,5 @@
 	for v := Done; v <= Abort; v++ {
 		got = fmt.Appendf(got, "verdict %d %v\n", uint8(v), v)
 	}
-	path := filepath.Join("testdata", "golden", "names")
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s", got)
-	}
+	golden.Compare(t, "names", got)
 }
