--- a/internal/consensus/quorum/doc.go
+++ b/internal/consensus/quorum/doc.go
@@ -8,6 +8,6 @@
 // Invariants, argued in docs/control-safety.md: nothing is acknowledged or pushed without contact, and the first value
 // that a process is pushed is not older than the newest one that was confirmed before it attached.
 //
-// The package is stepped: it has no clock, no links and no goroutines. Times are on the steady clock of the keeper's
+// The package is stepped: it has no clock, no links and no goroutines. Times are on the monotonic clock of the keeper's
 // incarnation.
 package quorum
--- a/internal/consensus/quorum/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -58,12 +58,12 @@
 	decided time.Duration
 }
 
-// clockReading is what a machine reads from its clocks, as time.Now does: the steady one, which nothing sets, and the
+// clockReading is what a machine reads from its clocks, as time.Now does: the monotonic one, which nothing sets, and the
 // wall clock.
-type clockReading struct{ steady, wall time.Duration }
+type clockReading struct{ monotonic, wall time.Duration }
 
 // sub is the time from another reading, as time.Time.Sub gives it.
-func (a clockReading) sub(b clockReading) time.Duration { return a.steady - b.steady }
+func (a clockReading) sub(b clockReading) time.Duration { return a.monotonic - b.monotonic }
 
 type modelKeeper struct {
 	model           *model
@@ -273,7 +273,7 @@
 	k.model.After(delay, func() {
 		other.run(func() {
 			other.received[k.index] = max(other.received[k.index], sent)
-			if echo >= other.startedAt.steady {
+			if echo >= other.startedAt.monotonic {
 				other.answered[sender.ID] = max(other.answered[sender.ID], echo)
 			}
 			other.register.Receive(other.clock(), sender, body)
--- a/internal/consensus/quorum/mutants_test.go
+++ b/internal/consensus/quorum/mutants_test.go
@@ -66,7 +66,7 @@
 	{
 		Name: "time since the start by the time of day",
 		File: "model_test.go",
-		Old:  "return a.steady - b.steady }",
+		Old:  "return a.monotonic - b.monotonic }",
 		New:  "return a.wall - b.wall }",
 	},
 	{
--- a/internal/consensus/reconfigure/observer.go
+++ b/internal/consensus/reconfigure/observer.go
@@ -24,8 +24,8 @@
 }
 
 // Observer follows which voters of one register the others can reach. Each keeper has one, so that whichever takes over
-// the decision on changes knows already for how long a voter has been unreachable. Times are on the steady clock of the
-// keeper's incarnation.
+// the decision on changes knows already for how long a voter has been unreachable. Times are on the monotonic clock of
+// the keeper's incarnation.
 type Observer struct {
 	unreachableSince map[uint64]time.Duration
 	// knownSlots are the newest slots that were known, oldest first; the first is CatchUpLag old, or the first known.
--- a/internal/consensus/singleton/candidate.go
+++ b/internal/consensus/singleton/candidate.go
@@ -8,7 +8,7 @@
 
 const (
 	// LeaseDuration is how long a granted lease is used, from before it was requested, on its holder's clock. The
-	// difference to GrantDuration is more than steady clocks drift in that time.
+	// difference to GrantDuration is more than monotonic clocks drift in that time.
 	LeaseDuration = 1200 * time.Millisecond
 	// RenewBefore is how long before its end a lease is requested again.
 	RenewBefore = 700 * time.Millisecond
