--- a/internal/deliverynode/group/group.go
+++ b/internal/deliverynode/group/group.go
@@ -70,9 +70,9 @@
 
 	mu            sync.Mutex
 	member        *Member
-	lead          *Coordinator
+	coordinator   *Coordinator
 	term          int
-	leader        *os.File // the lock on the term that it leads
+	leaderLock    *os.File // the lock on the term that it leads
 	notifiedShare int      // the share that was last told
 }
 
@@ -120,8 +120,8 @@
 			errs = append(errs, err)
 		}
 	}
-	if g.leader != nil {
-		errs = append(errs, g.leader.Close())
+	if g.leaderLock != nil {
+		errs = append(errs, g.leaderLock.Close())
 	}
 	return errors.Join(append(errs, g.lock.Close())...)
 }
@@ -163,7 +163,7 @@
 	leaderless := g.member.Tick(now)
 	hello := g.member.Hello()
 	err := g.follow(now, leaderless)
-	lead, term := g.lead, g.term
+	lead, term := g.coordinator, g.term
 	if lead != nil && err == nil {
 		var l Lease
 		if l, err = g.share(now, hello); err == nil {
@@ -189,13 +189,13 @@
 	if err != nil {
 		return err
 	}
-	if g.lead != nil {
+	if g.coordinator != nil {
 		if term == g.term {
 			return nil
 		}
 		g.cfg.Log.Warn("group: another leads meanwhile", "term", term)
-		err = g.leader.Close()
-		g.lead, g.leader = nil, nil
+		err = g.leaderLock.Close()
+		g.coordinator, g.leaderLock = nil, nil
 	}
 	if g.term = term; err != nil {
 		return err
@@ -220,9 +220,9 @@
 	if err != nil {
 		return errors.Join(err, f.Close())
 	}
-	g.term, g.leader = term+1, f
+	g.term, g.leaderLock = term+1, f
 	// By its term in the upper half: one that led before and goes on is never above it.
-	g.lead = NewCoordinator(now, views, max(epoch, uint64(g.term)<<32), torn)
+	g.coordinator = NewCoordinator(now, views, max(epoch, uint64(g.term)<<32), torn)
 	g.cfg.Log.Info("group: leads", "member", g.id, "term", g.term, "torn view", torn)
 	return nil
 }
@@ -230,7 +230,7 @@
 // share answers a member, with the view on disk before. It reads the clock before it looks
 // whether it still leads: what it grants after standing still has run out already.
 func (g *Group) share(now time.Duration, h Hello) (Lease, error) {
-	if g.lead == nil {
+	if g.coordinator == nil {
 		return Lease{}, errors.New("this member does not lead")
 	}
 	if term, err := g.dir.term(); err != nil || term != g.term {
@@ -246,9 +246,9 @@
 			return Lease{}, err
 		}
 	}
-	for _, id := range g.lead.Members() {
+	for _, id := range g.coordinator.Members() {
 		if !there[id] {
-			g.lead.Departed(id)
+			g.coordinator.Departed(id)
 		}
 	}
 	for id, alive := range there {
@@ -261,10 +261,10 @@
 	if !there[h.Member] {
 		return Lease{}, fmt.Errorf("%q holds no lock of a member", h.Member)
 	}
-	if err := g.lead.Hear(now, h); err != nil {
+	if err := g.coordinator.Hear(now, h); err != nil {
 		return Lease{}, err
 	}
-	view, changed, leases := g.lead.Share(now)
+	view, changed, leases := g.coordinator.Share(now)
 	if changed {
 		if err := g.dir.writeView(view); err != nil {
 			// It can't be known to be there: nothing is told, and what it grants counts as out.
--- a/internal/deliverynode/group/messages.go
+++ b/internal/deliverynode/group/messages.go
@@ -279,11 +279,11 @@
 func (g *Group) Status() Status {
 	g.mu.Lock()
 	now := g.cfg.Clock()
-	s := Status{Member: g.id, Leads: g.lead != nil, Term: g.term, Epoch: g.member.epoch, Parts: g.member.Parts(now), Whole: Whole,
+	s := Status{Member: g.id, Leads: g.coordinator != nil, Term: g.term, Epoch: g.member.epoch, Parts: g.member.Parts(now), Whole: Whole,
 		LeaseLeft: max(0, (g.member.lease.Until - now).Seconds()), Members: []MemberStatus{}}
 	states, ages := map[ID]State{}, map[ID]time.Duration{}
-	if g.lead != nil {
-		for id, p := range g.lead.peers {
+	if g.coordinator != nil {
+		for id, p := range g.coordinator.peers {
 			states[id], ages[id] = p.state(now), now-p.heard
 		}
 	}
@@ -314,5 +314,5 @@
 func (g *Group) Leads() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lead != nil
+	return g.coordinator != nil
 }
--- a/internal/deliverynode/lease/voter_log.go
+++ b/internal/deliverynode/lease/voter_log.go
@@ -98,7 +98,7 @@
 		}
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.take(rd.Snapshot, now); err != nil {
+		if err := v.applySnapshot(rd.Snapshot, now); err != nil {
 			_ = v.leave(err.Error()) // it has logged the error
 			return
 		}
--- a/internal/deliverynode/lease/voter_open.go
+++ b/internal/deliverynode/lease/voter_open.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	if err := v.take(snap, now); err != nil {
+	if err := v.applySnapshot(snap, now); err != nil {
 		return err
 	}
 	v.node, err = raft.NewRawNode(&raft.Config{ID: v.self.Voter, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: v.store,
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// take replaces the state by a snapshot. The times of all leases start anew.
-func (v *Voter) take(snap *raftpb.Snapshot, now time.Duration) error {
+// applySnapshot replaces the state by a snapshot. The times of all leases start anew.
+func (v *Voter) applySnapshot(snap *raftpb.Snapshot, now time.Duration) error {
 	v.applied, v.conf, v.machine = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState(), nil
 	v.counts = timekeeper{}
 	if v.applied == 0 {
--- a/internal/deliverynode/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -59,18 +59,18 @@
 
 // endpoint is one address of a destination.
 type endpoint struct {
-	id     policy.EndpointID
-	name   string
-	addr   string // owned by the loop
-	last   member // as it was last listed; owned by the loop
-	dest   int
-	kind   int
-	zone   int
-	leaves *gate       // that it drains or is gone
-	barred atomic.Bool // the staff have taken it out
-	waits  *gate       // of its route, or of its destination where routes share a limit
-	pool   *upstream.Pool
-	out    int // messages on their way to it; owned by the loop
+	id       policy.EndpointID
+	name     string
+	addr     string // owned by the loop
+	last     member // as it was last listed; owned by the loop
+	dest     int
+	kind     int
+	zone     int
+	leaves   *gate       // that it drains or is gone
+	excluded atomic.Bool // the staff have taken it out
+	waits    *gate       // of its route, or of its destination where routes share a limit
+	pool     *upstream.Pool
+	out      int // messages on their way to it; owned by the loop
 }
 
 // part is one message of a call.
@@ -90,9 +90,9 @@
 	started  time.Time
 	limit    time.Duration
 
-	mu    sync.Mutex
-	parts []*part
-	told  policy.Allowance // with the answer
+	mu       sync.Mutex
+	parts    []*part
+	reported policy.Allowance // with the answer
 }
 
 // caller makes calls. Each runs in a goroutine of its own.
@@ -340,7 +340,7 @@
 // answered takes in an answer.
 func (c *caller) answered(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response) {
 	k.mu.Lock()
-	k.told = c.allowance(resp.Header.Get(loadHeader))
+	k.reported = c.allowance(resp.Header.Get(loadHeader))
 	k.mu.Unlock()
 	wait, waitOK := retryAfter(resp)
 	if wait > 0 {
@@ -495,7 +495,7 @@
 	k.mu.Lock()
 	first := !p.over
 	p.over = true
-	told := k.told
+	told := k.reported
 	k.mu.Unlock()
 	if !first {
 		return
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -395,7 +395,7 @@
 		o.reply <- err
 		return
 	}
-	if e != nil && e.barred.Swap(o.out) != o.out {
+	if e != nil && e.excluded.Swap(o.out) != o.out {
 		e.pool.CloseIdle() // it is about to be restarted, or has been
 	}
 	l.batch = append(l.batch, policy.Ordered{Endpoint: id, Out: o.out}) // the module may know one that is gone
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -246,7 +246,7 @@
 			continue
 		}
 		if e := l.endpoints[policy.EndpointID(hash(name))]; e != nil {
-			e.barred.Store(true)
+			e.excluded.Store(true)
 			l.batch = append(l.batch, policy.Ordered{Endpoint: e.id, Out: true})
 		}
 	}
--- a/internal/deliverynode/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -473,8 +473,8 @@
 		}
 		known.Members = append(known.Members, m)
 	}
-	l.take(known)
-	l.take(leaving)
+	l.handle(known)
+	l.handle(leaving)
 }
 
 // successor is the new process's side of the link to the old one.
@@ -531,7 +531,7 @@
 			if p.Ended.Wait > 0 {
 				k.endpoint.waits.wait(time.Now().Add(p.Ended.Wait))
 			}
-			k.told = p.Ended.Told
+			k.reported = p.Ended.Told
 			h.caller.endAll(k, p.Ended.Outcome, p.Ended.Wait, p.Ended.Over)
 		}
 	case p.Order != nil:
--- a/internal/deliverynode/node/loop.go
+++ b/internal/deliverynode/node/loop.go
@@ -92,7 +92,7 @@
 			}
 			continue
 		case e := <-l.events:
-			l.take(e)
+			l.handle(e)
 		case <-timer.C:
 			l.batch = append(l.batch, policy.Woken{})
 		}
@@ -103,7 +103,7 @@
 		for more := true; more; {
 			select {
 			case e := <-l.events:
-				l.take(e)
+				l.handle(e)
 			default:
 				more = false
 			}
@@ -125,8 +125,8 @@
 	}
 }
 
-// take turns what has come into an event of the module.
-func (l *loop) take(e any) {
+// handle turns what has come into an event of the module.
+func (l *loop) handle(e any) {
 	switch e := e.(type) {
 	case *journal.Message:
 		l.held[e.Number()] = e
@@ -152,10 +152,10 @@
 			l.forgetRemoved(to)
 		}
 		l.batch = append(l.batch, e)
-	case heardNews:
-		l.hear(e.message)
+	case groupMessage:
+		l.handleGroupMessage(e.message)
 	case newcomers:
-		l.welcome()
+		l.notifyNewcomers()
 	case stateAsk:
 		e.reply <- l.memberState()
 	case *inheritance:
@@ -286,7 +286,7 @@
 	}
 	l.endpoints[id] = e
 	if l.journal.TakenOut(e.name) {
-		e.barred.Store(true)
+		e.excluded.Store(true)
 		l.orders = append(l.orders, policy.Ordered{Endpoint: id, Out: true})
 	}
 	return e
@@ -374,7 +374,7 @@
 // staff and told waits go.
 func (e *endpoint) mayCall() bool {
 	now := time.Now()
-	return !e.barred.Load() && e.leaves.open(now) && e.waits.open(now)
+	return !e.excluded.Load() && e.leaves.open(now) && e.waits.open(now)
 }
 
 // mayWarm tells whether a connection may be opened there that no call needs yet.
--- a/internal/deliverynode/node/loop_test.go
+++ b/internal/deliverynode/node/loop_test.go
@@ -42,11 +42,11 @@
 		endpoints: map[policy.EndpointID]*endpoint{}, waits: map[int]*gate{}}
 	outcomes := make(chan policy.Event, 8)
 	l.caller = newCaller(Config{Settings: settings, IdleClose: time.Minute}, quietLog(), func(e policy.Event) { outcomes <- e })
-	l.take(list{Complete: true, Members: []member{{ID: "s1", HostPort: addr, Locality: "a", Flavor: "major", Cell: 7, Phase: "active"}}})
+	l.handle(list{Complete: true, Members: []member{{ID: "s1", HostPort: addr, Locality: "a", Flavor: "major", Cell: 7, Phase: "active"}}})
 	for i := range 5 {
 		m := newMessage(fmt.Sprint("m", i), 10)
 		must(t, j.Accept(m))
-		l.take(m)
+		l.handle(m)
 	}
 	l.step(context.Background())
 	select {
@@ -95,7 +95,7 @@
 		t.Errorf("%d endpoints, %d waits and %d pools are left, want the busy one, its gate and that of the told wait",
 			len(l.endpoints), len(l.waits), len(l.caller.pools.Stats(9).Pools))
 	}
-	l.take(policy.Ended{Endpoint: busy})
+	l.handle(policy.Ended{Endpoint: busy})
 	if len(l.endpoints) != 0 || len(l.waits) != 1 {
 		t.Errorf("%d endpoints and %d waits are left, want the told wait alone", len(l.endpoints), len(l.waits))
 	}
--- a/internal/deliverynode/node/process.go
+++ b/internal/deliverynode/node/process.go
@@ -167,7 +167,7 @@
 func (p *process) recall() {
 	p.known = p.recallEndpoints()
 	if p.cohort != nil || p.copies != nil { // nothing is sent before there is a lease
-		p.loop.take(policy.Shared{Whole: group.Whole})
+		p.loop.handle(policy.Shared{Whole: group.Whole})
 	}
 	if p.estate.before != nil {
 		p.before = &successor{link: p.estate.before, intake: p.intake, caller: p.loop.caller, loop: p.loop, log: p.log,
@@ -193,7 +193,7 @@
 				list.Members[i].Phase = "leaving"
 			}
 		}
-		p.loop.take(list)
+		p.loop.handle(list)
 		if list.Complete {
 			return list.Revision
 		}
@@ -214,7 +214,7 @@
 		return
 	}
 	p.intake.accepted(m.ID)
-	p.loop.take(m)
+	p.loop.handle(m)
 }
 
 // start starts the goroutines of the loop, the notices, discovery, the fleet and the peers.
--- a/internal/deliverynode/node/process_group_discovery.go
+++ b/internal/deliverynode/node/process_group_discovery.go
@@ -92,7 +92,7 @@
 	}
 	if !asked {
 		select {
-		case co.loop.events <- heardNews{m}:
+		case co.loop.events <- groupMessage{m}:
 			return nil, nil
 		default:
 			return nil, errors.New("too busy to hear") // it is told again
--- a/internal/deliverynode/node/process_group_loop.go
+++ b/internal/deliverynode/node/process_group_loop.go
@@ -56,8 +56,8 @@
 	l.cohort.notify(newsList, "", list{Revision: l.revision, Complete: true, Members: l.table()})
 }
 
-// hear takes in what another member tells.
-func (l *loop) hear(m group.Message) {
+// handleGroupMessage takes in what another member tells.
+func (l *loop) handleGroupMessage(m group.Message) {
 	l.cohort.stale.add(m.Kind, group.Clock()-m.At)
 	bad := func(err error) { l.log.Warn("group: news without meaning", "kind", m.Kind, "from", m.From, "err", err) }
 	e := l.endpoints[policy.EndpointID(hash(m.Key))]
@@ -70,7 +70,7 @@
 		}
 		if m.At > l.listAt {
 			l.listAt, l.hearing = m.At, true
-			l.take(in)
+			l.handle(in)
 			l.hearing = false
 		}
 	case newsWait:
@@ -113,9 +113,9 @@
 	return s
 }
 
-// welcome tells all what those that have just come did not hear: between what they asked for and
+// notifyNewcomers tells all what those that have just come did not hear: between what they asked for and
 // now, something may have changed. Who has heard it passes it over.
-func (l *loop) welcome() {
+func (l *loop) notifyNewcomers() {
 	s := l.memberState()
 	if l.listAt > 0 {
 		l.cohort.notifyAt(l.listAt, newsList, "", list{Revision: s.Revision, Complete: true, Members: s.Members})
@@ -152,7 +152,7 @@
 			l.intake.ended(m.ID)
 			continue
 		}
-		l.take(m)
+		l.handle(m)
 	}
 }
 
--- a/internal/deliverynode/node/process_group_messages.go
+++ b/internal/deliverynode/node/process_group_messages.go
@@ -55,7 +55,7 @@
 
 // What comes from other members on its way through the loop.
 type (
-	heardNews struct {
+	groupMessage struct {
 		message group.Message
 	}
 	stateAsk struct{ reply chan memberState }
--- a/internal/deliverynode/replica/work.go
+++ b/internal/deliverynode/replica/work.go
@@ -113,7 +113,7 @@
 		var n note
 		var end held
 		if elsewhere == "" {
-			n, end = w.hold(ctx, l, token)
+			n, end = w.workUnder(ctx, l, token)
 		} else {
 			n.Writer, end = elsewhere, isElsewhere
 		}
@@ -232,9 +232,9 @@
 	}
 }
 
-// hold works on the log under a token until the lease is lost. It begins with the note that the last holder has left, which
+// workUnder works on the log under a token until the lease is lost. It begins with the note that the last holder has left, which
 // it returns.
-func (w *Work) hold(ctx context.Context, l *lease.Lease, token uint64) (note, held) {
+func (w *Work) workUnder(ctx context.Context, l *lease.Lease, token uint64) (note, held) {
 	k := w.keeper
 	n, noted := readNote(l.Note())
 	if noted && (n.Writer != k.options.Name || n.Done) && !w.isResolved() {
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -124,8 +124,8 @@
 	return &c.windows[i]
 }
 
-// Take reads one record.
-func (c *Counter) Take(r trace.Record) {
+// Observe reads one record.
+func (c *Counter) Observe(r trace.Record) {
 	switch r.What {
 	case trace.Born:
 		c.figures.Tries++
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -36,7 +36,7 @@
 		born(5, "d", "d", 1, 1), {At: sec(5.2), What: End, ID: "d", Status: 200}, // nobody heard that it is taken on
 		born(6, "e", "e", 1, 0.1), {What: Taken, ID: "e"}, {At: sec(6.1), What: End, ID: "e", Status: 429},
 	} {
-		c.Take(r)
+		c.Observe(r)
 	}
 	f := c.Finish()
 	near(t, "whole", f.Whole, (1+0.65+1)/4.1)
@@ -50,8 +50,8 @@
 func TestTheMostInAWindow(t *testing.T) {
 	c := New(classes, 0, Goal{}, sec(20), []float64{4, 1})
 	for _, at := range []float64{1, 1.5, 2, 2.9, 3.2, 3.3, 3.4, 9} { // within 2 s: 1.5 to 3.4, six of eight
-		c.Take(Record{At: sec(at), What: Call, ID: "x"})
-		c.Take(Record{At: sec(at), What: Call, ID: "x", Dest: 1}) // too few to say anything
+		c.Observe(Record{At: sec(at), What: Call, ID: "x"})
+		c.Observe(Record{At: sec(at), What: Call, ID: "x", Dest: 1}) // too few to say anything
 	}
 	near(t, "most", c.Finish().InWindow, 6.0/8)
 }
--- a/internal/lab/insim/insim_test.go
+++ b/internal/lab/insim/insim_test.go
@@ -46,7 +46,7 @@
 			t.Fatalf("%v comes after %v", r.At, last)
 		}
 		last = r.At
-		k.Take(r)
+		k.Observe(r)
 		if err := enc.Encode(r); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -145,8 +145,8 @@
 	defer r.mu.Unlock()
 	rec.At = max(rec.At, r.last) // of records that are seen at once, the order is the trace's
 	r.last = rec.At
-	r.check.Take(rec)
-	r.count.Take(rec)
+	r.check.Observe(rec)
+	r.count.Observe(rec)
 	if r.out != nil {
 		r.out.Add(rec)
 	}
--- a/internal/lab/rules/fleet_test.go
+++ b/internal/lab/rules/fleet_test.go
@@ -44,7 +44,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			k := New(limits)
 			for _, r := range c.trace {
-				k.Take(r)
+				k.Observe(r)
 			}
 			broken, _ := k.Finish(at(100))
 			if c.rule == "" && len(broken) > 0 || c.rule != "" && (len(broken) == 0 || broken[0].Rule != c.rule || len(broken[0].Lines) == 0) {
@@ -59,7 +59,7 @@
 	for _, r := range []Record{ready(0, 0), ready(0, 1), ready(0, 2), sees(0.25, 0, 1, "alive", 1), sees(0.5, 1, 0, "alive", 1), sees(0.5, 0, 2, "alive", 1),
 		sees(50, 0, 1, "suspect", 1), sees(52, 0, 1, "alive", 1), {At: at(60), What: Stop, Node: 2, Result: "SIGKILL"}, sees(64, 0, 2, "suspect", 1),
 		sees(66, 1, 2, "suspect", 1), {At: at(70), What: Start, Node: 2}, ready(70.5, 2), sees(70.75, 0, 2, "alive", 2)} {
-		k.Take(r)
+		k.Observe(r)
 	}
 	a := k.Fleet()
 	if a.FalseSuspicions != 1 || a.Nodes != 3 || a.Calm != 30 || a.Known["death"] != (Known{2, 6, 6, 6}) || a.Known["start"].Count != 4 || a.Known["start"].Most != 0.5 {
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// Take reads one record. They come in the order of time.
-func (c *Checker) Take(r trace.Record) {
+// Observe reads one record. They come in the order of time.
+func (c *Checker) Observe(r trace.Record) {
 	c.line++
 	c.overdue(r.At)
 	c.fleet.record(r)
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -97,7 +97,7 @@
 			k := New(limits)
 			last := time.Duration(0)
 			for _, r := range c.trace {
-				k.Take(r)
+				k.Observe(r)
 				last = r.At
 			}
 			broken, _ := k.Finish(last)
@@ -122,7 +122,7 @@
 		born(3, "e", status), call(3.01, "e", 2), end(3.05, "e", 2, 200, ""), taken(3.1, "e"), // delivered before its client heard
 		born(4, "f", charge), taken(4, "f"), {At: at(5), What: Stop, Result: "lost"},
 		born(6, "g", status), taken(6, "g")} {
-		k.Take(r)
+		k.Observe(r)
 	}
 	broken, a := k.Finish(at(7))
 	if len(broken) > 0 {
@@ -140,7 +140,7 @@
 		s := float64(i) / 100
 		id := string(rune('a'+i%26)) + time.Duration(i).String()
 		for _, r := range []Record{born(s, id, status), taken(s, id), call(s, id, uint64(i+1)), end(s, id, uint64(i+1), 200, "")} {
-			k.Take(r)
+			k.Observe(r)
 		}
 	}
 	if n := len(k.messages); n > 5000 {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -312,7 +312,7 @@
 		w.refuse(c, wait)
 		return
 	}
-	if ok, wait := w.room(spec.Dest, e.busy >= spec.Cores && len(e.waiting) >= spec.Depth); !ok {
+	if ok, wait := w.hasCapacity(spec.Dest, e.busy >= spec.Cores && len(e.waiting) >= spec.Depth); !ok {
 		w.refuse(c, wait)
 		return
 	}
@@ -383,9 +383,9 @@
 // limit is how many calls a second a destination takes now, and how long its spans are.
 func (w *World) limit(dest int) float64 { return w.Day.Dests[dest].Limit * w.dests[dest].factor }
 
-// room asks the limit of a destination. A call that finds the queue full uses the limit
+// hasCapacity asks the limit of a destination. A call that finds the queue full uses the limit
 // up where refused calls do.
-func (w *World) room(n int, full bool) (bool, time.Duration) {
+func (w *World) hasCapacity(n int, full bool) (bool, time.Duration) {
 	spec, d := &w.Day.Dests[n], &w.dests[n]
 	limit := w.limit(n)
 	if limit == 0 {
