--- a/internal/control/keeper/certificates_test.go
+++ b/internal/control/keeper/certificates_test.go
@@ -1,12 +1,10 @@
 package keeper
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -19,24 +17,6 @@
 
 const certificatesTTL = time.Second
 
-// memoryLog keeps log lines in memory.
-type memoryLog struct {
-	mu     sync.Mutex
-	buffer bytes.Buffer
-}
-
-func (l *memoryLog) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buffer.Write(b)
-}
-
-func (l *memoryLog) text() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buffer.String()
-}
-
 func certificatesBody(t *testing.T, version uint64, endpoints ...string) []byte {
 	t.Helper()
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
@@ -117,7 +97,7 @@
 		t.Errorf("%v", a)
 	}
 	for _, line := range []string{"certificates put: version=9", "certificate added: version=9 endpoint=e2 regime=fin", "certificates in force: version=9 before=5"} {
-		if !strings.Contains(log.text(), line) {
+		if log.count(line) == 0 {
 			t.Errorf("the log lacks %q", line)
 		}
 	}
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -33,29 +32,11 @@
 	return r.running[i].keeper.registers.storedSlotNumbers()[0] - 1
 }
 
-// countingLog counts the log lines that contain given words.
-type countingLog struct {
-	mu   sync.Mutex
-	text strings.Builder
-}
-
-func (l *countingLog) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(b)
-}
-
-func (l *countingLog) count(words string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), words)
-}
-
 // TestOneFullDisk: while the disk of one of three keepers is full, changes go on, and that keeper doesn't count as
 // having stored them. It stores them by itself once there is free space.
 func TestOneFullDisk(t *testing.T) {
 	r := newRig(t, 3)
-	log := &countingLog{}
+	log := &memoryLog{}
 	r.log = hclog.New(&hclog.LoggerOptions{Output: log})
 	r.startAll()
 	r.untilConnected(0, 1, 2)
--- a/internal/control/keeper/peers_test.go
+++ b/internal/control/keeper/peers_test.go
@@ -15,7 +15,7 @@
 	for _, c := range []struct {
 		what       string
 		peer       string
-		dialed    [2]bool
+		dialed     [2]bool
 		used       int
 		firstEnds  bool
 		secondEnds bool
--- a/internal/control/keeper/rig_test.go
+++ b/internal/control/keeper/rig_test.go
@@ -383,3 +383,22 @@
 	}
 	return v
 }
+
+// memoryLog keeps the lines of a log.
+type memoryLog struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (l *memoryLog) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
+}
+
+// count counts how often the words stand in the log.
+func (l *memoryLog) count(words string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Count(l.text.String(), words)
+}
