--- a/internal/batch/diskfailure_test.go
+++ b/internal/batch/diskfailure_test.go
@@ -74,8 +74,8 @@
 		t.Fatal(err)
 	}
 	id := s.ID()
-	promise := func(s *Store, part int, ballot uint64) {
-		s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, part, ballot)) })
+	promise := func(s *Store, index int, term uint64) {
+		s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, index, term)) })
 	}
 	promise(s, 3, 7)
 	s.enqueue(func() { folder.full.Store(true) })
@@ -97,7 +97,8 @@
 	defer func() { s.Close(); <-s.Stopped() }()
 	read := make(chan [3]uint64, 1)
 	s.enqueue(func() {
-		read <- [3]uint64{s.core.partition(3).promisedTerm, s.core.partition(4).promisedTerm, s.core.partition(5).promisedTerm}
+		promised := func(index int) uint64 { return s.core.partition(index).promisedTerm }
+		read <- [3]uint64{promised(3), promised(4), promised(5)}
 	})
 	if promised := <-read; s.ID() != id || promised != [3]uint64{7, 0, 0} {
 		t.Errorf("identity %d after %d, promises %v", s.ID(), id, promised)
--- a/internal/batch/dispatch_test.go
+++ b/internal/batch/dispatch_test.go
@@ -120,8 +120,18 @@
 // remaining time sends the time of day.
 func TestAssignmentOfAnOlderVersionUsesTheTimeOfDay(t *testing.T) {
 	due := time.Now().Add(time.Hour).Truncate(time.Millisecond)
-	message := assignMessage{item: itemKey{1, "job", 2}, epoch: 3, dueMs: due.UnixMilli(), maxAttempts: 4, route: "r", host: "h", itemID: "id",
-		tokens: 5, request: encodeRequest("/x", nil, []byte("body")), remainingMs: 60_000}
+	message := assignMessage{
+		item:        itemKey{1, "job", 2},
+		epoch:       3,
+		dueMs:       due.UnixMilli(),
+		maxAttempts: 4,
+		route:       "r",
+		host:        "h",
+		itemID:      "id",
+		tokens:      5,
+		request:     encodeRequest("/x", nil, []byte("body")),
+		remainingMs: 60_000,
+	}
 	body := message.encode()
 	if got := time.Until(workerDue(t, body)); got > time.Minute {
 		t.Errorf("due in %v by the time left", got)
@@ -131,7 +141,8 @@
 		t.Errorf("due at %v, should be %v", got, due)
 	}
 	decoded, err := decodeAssignMessage(older)
-	if err != nil || decoded.hasRemaining || decoded.item != message.item || decoded.epoch != 3 || decoded.maxAttempts != 4 || decoded.itemID != "id" || decoded.tokens != 5 {
+	if err != nil || decoded.hasRemaining || decoded.item != message.item || decoded.epoch != 3 ||
+		decoded.maxAttempts != 4 || decoded.itemID != "id" || decoded.tokens != 5 {
 		t.Errorf("%+v, %v", decoded, err)
 	}
 }
@@ -142,7 +153,8 @@
 func TestTransferredJobKeepsItsAge(t *testing.T) {
 	donor := newCore(1, &simDisk{})
 	donor.nowMs = 1000
-	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), append([]byte{opAcceptJob}, encodedJob("job", 1, hourMs)...)...))
+	accept := encodeAcceptJob(encodedJob("job", 1, hourMs))
+	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), accept...))
 	donor.nowMs = 5000
 	whole, err := donor.encodeWholeJob(donor.partition(3).jobs["job"])
 	if err != nil {
--- a/internal/batch/draining_test.go
+++ b/internal/batch/draining_test.go
@@ -66,8 +66,10 @@
 		s.start()
 		sim.run(1500)
 		for no, row := range sim.table.Partitions {
-			if p := s.core.partition(no); slices.Contains(row.Replicas, self) && (epochOfTerm(p.position.term) != row.Epoch || p.primary == nil && p.followedPrimary == nil) {
-				t.Errorf("seed %d: after 1.5 s it is no copy of part %d: claim %x, epoch %d", seed, no, p.position.term, row.Epoch)
+			p := s.core.partition(no)
+			upToDate := epochOfTerm(p.position.term) == row.Epoch && (p.primary != nil || p.followedPrimary != nil)
+			if slices.Contains(row.Replicas, self) && !upToDate {
+				t.Errorf("seed %d: after 1.5 s it is no replica of partition %d: position %x, epoch %d", seed, no, p.position.term, row.Epoch)
 			}
 		}
 		sim.run(6500)
@@ -99,7 +101,7 @@
 				for no, row := range cur.Partitions {
 					other := slices.ContainsFunc(row.Replicas, func(id uint64) bool { return !cur.Stopping[id] })
 					if other && cur.Stopping[row.Primary] {
-						t.Fatalf("f %d, %d stores, %d stop: part %d: %v", f, n, stopping, no, row)
+						t.Fatalf("f %d, %d stores, %d stop: partition %d: %v", f, n, stopping, no, row)
 					}
 				}
 				for id := 1; id <= stopping; id++ {
@@ -192,7 +194,12 @@
 		t.Cleanup(func() { _ = listener.Close() })
 		go func() { _ = link.Serve(listener, s, link.DefaultOptions) }()
 		g.stores = append(g.stores, s)
-		g.all = append(g.all, snapshot.Store{ID: s.ID(), Name: fmt.Sprint("s", i), Addr: listener.Addr().String(), Zone: fmt.Sprint("z", i)})
+		g.all = append(g.all, snapshot.Store{
+			ID:   s.ID(),
+			Name: fmt.Sprint("s", i),
+			Addr: listener.Addr().String(),
+			Zone: fmt.Sprint("z", i),
+		})
 	}
 	g.change(func(*snapshot.PartitionTable) (*snapshot.PartitionTable, bool) {
 		return AssignPartitions(nil, g.all, none, 8, 1)
@@ -212,7 +219,7 @@
 	g.mu.Lock()
 	for no, row := range g.table.Partitions {
 		if row.Primary == g.stores[0].ID() {
-			t.Errorf("part %d is still led by the store that stops", no)
+			t.Errorf("partition %d is still led by the store that stops", no)
 		}
 	}
 	g.mu.Unlock()
--- a/internal/batch/frozen_table_test.go
+++ b/internal/batch/frozen_table_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// readAllJobs reads all jobs that were taken, as far as the primary of their part is there, and
+// readAllJobs reads all accepted jobs whose primary is there, and
 // tells how many could be read.
 func (sim *simulation) readAllJobs() (read, led int) {
 	for _, id := range sim.jobIDs {
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -23,7 +23,7 @@
 // as the sources of faf8ea2 wrote them. The sender has to write these bytes, and the receiver is
 // given them and must read the same values.
 
-var updateGolden = flag.Bool("update-golden", false, "write the files in testdata/golden; only for a kind of message that is new")
+var updateGolden = flag.Bool("update-golden", false, "write testdata/golden; only for a kind of message that is new")
 
 // golden compares what was written with a golden file and returns the file's bytes.
 func golden(t *testing.T, name string, written []byte) []byte {
@@ -88,16 +88,24 @@
 
 // TestGoldenKinds fixes the numbers of the kinds of messages and of the codes, operations and records.
 func TestGoldenKinds(t *testing.T) {
-	kinds := []link.Kind{kindHello, kindAcceptJob, kindReadResults, kindReadItemBody, kindEndJob, kindAttachWorker, kindReportRunning, kindRunningNoted, kindPauseStarts, kindAssignItem, kindItemResult, kindResultStored, kindCancelJob,
-		kindJobCancelled, kindReturnItem, kindPrepare, kindPromise, kindFetchJob, kindJobContents, kindInstallJob, kindJobInstalled, kindStartTerm, kindOperation, kindOperationAck, kindStaleTerm, kindConfirm, kindConfirmed, kindReserveTokens,
-		kindReservationReply, kindUsageReport, kindUsageRequest}
+	kinds := []link.Kind{
+		kindHello, kindAcceptJob, kindReadResults, kindReadItemBody, kindEndJob,
+		kindAttachWorker, kindReportRunning, kindRunningNoted, kindPauseStarts, kindAssignItem, kindItemResult,
+		kindResultStored, kindCancelJob, kindJobCancelled, kindReturnItem,
+		kindPrepare, kindPromise, kindFetchJob, kindJobContents, kindInstallJob, kindJobInstalled, kindStartTerm,
+		kindOperation, kindOperationAck, kindStaleTerm, kindConfirm, kindConfirmed,
+		kindReserveTokens, kindReservationReply, kindUsageReport, kindUsageRequest,
+	}
 	for i, kind := range kinds {
 		if kind != link.Kind(100+i) {
 			t.Errorf("kind %d of the list is %d, want %d", i, kind, 100+i)
 		}
 	}
-	bytesOf := []uint8{codeOK, codeNotFound, codeQuotaFull, codeUnavailable, codeUnknown, codeLogFull, opAcceptJob, opAddResult, opEndJob, opDropJob,
-		recordIdentity, recordPromise, recordTermStart, recordOperation, recordJob}
+	bytesOf := []uint8{
+		codeOK, codeNotFound, codeQuotaFull, codeUnavailable, codeUnknown, codeLogFull,
+		opAcceptJob, opAddResult, opEndJob, opDropJob,
+		recordIdentity, recordPromise, recordTermStart, recordOperation, recordJob,
+	}
 	if want := []uint8{1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 1, 2, 3, 4, 5}; !bytes.Equal(bytesOf, want) {
 		t.Errorf("codes, operations and records are %v, want %v", bytesOf, want)
 	}
@@ -106,17 +114,37 @@
 const (
 	goldenJobID = "job-41"
 	goldenPart  = 5
-	goldenBatch = 0x2_0003 // a ballot in epoch 2
+	goldenTerm  = 0x2_0003 // a term in epoch 2
 )
 
 // goldenJob is a job whose fields all have values of their own.
 func goldenJob() *Job {
 	return &Job{
-		ID: goldenJobID, Route: "nightly", Host: "batch.example", PathPrefix: "/bulk/", SentMs: 1_700_000_000_101, DueMs: 60_102, MaxAttempts: 3,
-		MaxWaitMs: 600_104, MaxQueuedTokens: 90_105, ConfigVersion: 106,
+		ID:              goldenJobID,
+		Route:           "nightly",
+		Host:            "batch.example",
+		PathPrefix:      "/bulk/",
+		SentMs:          1_700_000_000_101,
+		DueMs:           60_102,
+		MaxAttempts:     3,
+		MaxWaitMs:       600_104,
+		MaxQueuedTokens: 90_105,
+		ConfigVersion:   106,
 		Items: []JobItem{
-			{ID: "item-a", Path: "/bulk/a", Headers: [][2]string{{"Accept", "text/event-stream"}, {"X-Kind", "renewal"}}, Body: []byte("body of a"), Tokens: 207},
-			{ID: "item-b", Path: "/bulk/b", Headers: [][2]string{{"X-Other", "review"}}, Body: []byte{0, 1, 0xfe, 0xff}, Tokens: 308},
+			{
+				ID:      "item-a",
+				Path:    "/bulk/a",
+				Headers: [][2]string{{"Accept", "text/event-stream"}, {"X-Kind", "renewal"}},
+				Body:    []byte("body of a"),
+				Tokens:  207,
+			},
+			{
+				ID:      "item-b",
+				Path:    "/bulk/b",
+				Headers: [][2]string{{"X-Other", "review"}},
+				Body:    []byte{0, 1, 0xfe, 0xff},
+				Tokens:  308,
+			},
 		},
 	}
 }
@@ -128,8 +156,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := Job{ID: j.id, Route: j.route, Host: j.host, PathPrefix: j.pathPrefix, SentMs: j.sentMs, DueMs: j.dueMs, MaxAttempts: j.maxAttempts,
-		MaxWaitMs: j.maxWaitMs, MaxQueuedTokens: j.maxQueuedTokens, ConfigVersion: j.configVersion}
+	again := Job{
+		ID:              j.id,
+		Route:           j.route,
+		Host:            j.host,
+		PathPrefix:      j.pathPrefix,
+		SentMs:          j.sentMs,
+		DueMs:           j.dueMs,
+		MaxAttempts:     j.maxAttempts,
+		MaxWaitMs:       j.maxWaitMs,
+		MaxQueuedTokens: j.maxQueuedTokens,
+		ConfigVersion:   j.configVersion,
+	}
 	for i := range j.items {
 		it := &j.items[i]
 		path, headers, body, err := decodeRequest(enc[it.offset : it.offset+it.length])
@@ -145,10 +183,13 @@
 func TestGoldenJob(t *testing.T) {
 	enc := golden(t, "call-accept.bin", goldenJob().encode())
 	golden(t, "call-accept.bin", encodedAgain(t, enc))
-	golden(t, "item-segment.bin", encodeRequest("/bulk/a", [][2]string{{"Accept", "text/event-stream"}, {"X-Kind", "renewal"}}, []byte("body of a")))
+	golden(t, "item-segment.bin", encodeRequest("/bulk/a", [][2]string{
+		{"Accept", "text/event-stream"},
+		{"X-Kind", "renewal"},
+	}, []byte("body of a")))
 }
 
-// goldenTable has six parts; all but the one of the tests are led by owner.
+// goldenTable has six partitions; all but the one of the tests are led by owner.
 func goldenTable(primary, owner uint64) *snapshot.PartitionTable {
 	table := &snapshot.PartitionTable{Version: 12, Stores: map[uint64]snapshot.Store{}}
 	for no := range 6 {
@@ -199,45 +240,62 @@
 	return c
 }
 
-// TestGoldenReplication plays how a primary takes a part over, brings a new replica up to date and
+// TestGoldenReplication plays how a primary takes a partition over, brings a new replica up to date and
 // replicates operations. Each message goes to its receiver in its golden form.
 func TestGoldenReplication(t *testing.T) {
 	const leaderID, followerID, joinerID = 0x1101, 0x1202, 0x1303
-	leader, follower, joiner := goldenCore(leaderID, leaderID, leaderID), goldenCore(followerID, leaderID, leaderID), goldenCore(joinerID, leaderID, leaderID)
+	leader := goldenCore(leaderID, leaderID, leaderID)
+	follower := goldenCore(followerID, leaderID, leaderID)
+	joiner := goldenCore(joinerID, leaderID, leaderID)
 	toFollower, toJoiner, fromFollower, fromJoiner := &goldenPipe{}, &goldenPipe{}, &goldenPipe{}, &goldenPipe{}
 	leader.peers[followerID], leader.peers[joinerID] = toFollower, toJoiner
 	leader.appendRecord(encodeRecord(recordIdentity, 0, leaderID))
 	golden(t, "record-identity.bin", lastRecord(t, leader))
 	wantValue(t, "record-identity", replayed(t, lastRecord(t, leader)).self, uint64(leaderID))
 
-	// The follower has the job, under an older ballot.
+	// The follower has the job, in an older term.
 	part := follower.partition(goldenPart)
 	follower.appendRecord(encodeRecord(recordTermStart, goldenPart, firstTerm(1)+7, 30))
-	follower.appendRecord(append(encodeRecord(recordOperation, goldenPart, firstTerm(1)+7, 31), append([]byte{opAcceptJob}, goldenJob().encode()...)...))
+	accept := encodeAcceptJob(goldenJob().encode())
+	follower.appendRecord(append(encodeRecord(recordOperation, goldenPart, firstTerm(1)+7, 31), accept...))
 	rec := golden(t, "record-operation-accept.bin", lastRecord(t, follower))
 	checkOperation(t, replayed(t, rec), 31)
-	follower.appendRecord(append(encodeRecord(recordOperation, goldenPart, firstTerm(1)+7, 32), encodeAddResult(goldenJobID, 1, true, []byte("text of b"))...))
+	result := encodeAddResult(goldenJobID, 1, true, []byte("text of b"))
+	follower.appendRecord(append(encodeRecord(recordOperation, goldenPart, firstTerm(1)+7, 32), result...))
 	golden(t, "record-operation-list.bin", lastRecord(t, follower))
 	syncAll(follower)
 	digest := part.jobs[goldenJobID].digest()
 
 	// The primary asks the follower for its promise.
 	p := leader.partition(goldenPart)
-	p.epoch, p.promisedTerm = 2, goldenBatch
-	p.primary = &primaryState{term: goldenBatch, incarnation: goldenBatch, stage: stageCollecting, selfSynced: -1, committed: -1, replicas: []uint64{leaderID, followerID},
-		nextReplicas: []uint64{leaderID, joinerID}, progress: map[uint64]*replicaProgress{}, usage: map[string]*routeUsage{}, reservations: map[uint64]*reservation{},
-		accounts: map[string]*quotaAccount{}, incomingJobs: map[string]*incomingJob{}, confirmedAt: -1 << 60}
+	p.epoch, p.promisedTerm = 2, goldenTerm
+	p.primary = &primaryState{
+		term:         goldenTerm,
+		incarnation:  goldenTerm,
+		stage:        stageCollecting,
+		selfSynced:   -1,
+		committed:    -1,
+		replicas:     []uint64{leaderID, followerID},
+		nextReplicas: []uint64{leaderID, joinerID},
+		progress:     map[uint64]*replicaProgress{},
+		usage:        map[string]*routeUsage{},
+		reservations: map[uint64]*reservation{},
+		accounts:     map[string]*quotaAccount{},
+		incomingJobs: map[string]*incomingJob{},
+		confirmedAt:  -1 << 60,
+	}
 	leader.maxLostReplicas = 0 // all replicas have to answer
 	leader.lastSession = 0x2100
 	leader.sendPrepare(p, followerID)
 	follower.handleMessage(fromFollower, nil, kindPrepare, toFollower.next(t, kindPrepare, "replication-ask.bin"))
 	rec = golden(t, "record-promise.bin", lastRecord(t, follower))
-	wantValue(t, "record-promise", replayed(t, rec).partition(goldenPart).promisedTerm, uint64(goldenBatch))
-	wantValue(t, "replication-ask", []uint64{part.promisedTerm, part.session}, []uint64{goldenBatch, 0x2101})
+	wantValue(t, "record-promise", replayed(t, rec).partition(goldenPart).promisedTerm, uint64(goldenTerm))
+	wantValue(t, "replication-ask", []uint64{part.promisedTerm, part.session}, []uint64{goldenTerm, 0x2101})
 	syncAll(follower)
 	leader.handleMessage(toFollower, nil, kindPromise, fromFollower.next(t, kindPromise, "replication-have.bin"))
 	q := p.primary.progress[followerID]
-	wantValue(t, "replication-have", []any{q.position.term, q.position.sequence, q.digests}, []any{firstTerm(1) + 7, uint64(32), map[string]uint64{goldenJobID: digest}})
+	wantValue(t, "replication-have", q.position, logPosition{firstTerm(1) + 7, 32})
+	wantValue(t, "replication-have", q.digests, map[string]uint64{goldenJobID: digest})
 
 	// It has the newest state: the primary fetches the job, and marks what it has.
 	follower.nowMs = 50_901 // the job's age
@@ -252,14 +310,15 @@
 	checkWholeJob(t, replayed(t, golden(t, "record-job.bin", put)), digest, 900)
 	rec = golden(t, "record-mark.bin", lastRecord(t, leader))
 	again := replayed(t, rec).partition(goldenPart)
-	wantValue(t, "record-mark", []uint64{again.promisedTerm, again.position.term, again.position.sequence}, []uint64{goldenBatch, goldenBatch, 32})
+	wantValue(t, "record-mark", again.promisedTerm, uint64(goldenTerm))
+	wantValue(t, "record-mark", again.position, logPosition{goldenTerm, 32})
 	wantValue(t, "sequence", p.primary.lastSequence, uint64(32))
 
 	// The follower is up to date, the one that joins gets the job whole.
 	follower.logFull = true
 	mark := toFollower.next(t, kindStartTerm, "replication-mark.bin")
 	follower.handleMessage(fromFollower, nil, kindStartTerm, mark)
-	wantValue(t, "replication-mark", []uint64{part.position.term, part.position.sequence}, []uint64{goldenBatch, 32})
+	wantValue(t, "replication-mark", []uint64{part.position.term, part.position.sequence}, []uint64{goldenTerm, 32})
 	syncAll(follower)
 	leader.handleMessage(toFollower, nil, kindOperationAck, fromFollower.next(t, kindOperationAck, "replication-ack.bin"))
 	wantValue(t, "replication-ack", []any{q.acknowledged, q.logFull}, []any{int64(32), true})
@@ -281,28 +340,30 @@
 	// An operation of each other kind.
 	syncAll(leader)
 	leader.replicate(p, encodeJobOperation(opEndJob, goldenJobID), func(bool) {})
-	follower.handleMessage(fromFollower, nil, kindOperation, toFollower.next(t, kindOperation, "replication-operation-end.bin"))
+	end := toFollower.next(t, kindOperation, "replication-operation-end.bin")
+	follower.handleMessage(fromFollower, nil, kindOperation, end)
 	if !part.jobs[goldenJobID].ended || part.position.sequence != 33 {
 		t.Errorf("the job has not ended at the replica, which has all up to %d", part.position.sequence)
 	}
 	golden(t, "record-operation-end.bin", lastRecord(t, leader))
 	golden(t, "record-operation-end.bin", lastRecord(t, follower))
 	leader.replicate(p, encodeJobOperation(opDropJob, goldenJobID), func(bool) {})
-	follower.handleMessage(fromFollower, nil, kindOperation, toFollower.next(t, kindOperation, "replication-operation-drop.bin"))
+	drop := toFollower.next(t, kindOperation, "replication-operation-drop.bin")
+	follower.handleMessage(fromFollower, nil, kindOperation, drop)
 	if len(part.jobs) != 0 {
 		t.Errorf("the job is not dropped at the replica")
 	}
 	golden(t, "record-operation-drop.bin", lastRecord(t, leader))
 
-	// Confirmations, and the refusal of a ballot that is stale.
+	// Confirmations, and the refusal of a stale term.
 	leader.requestConfirmations(p)
 	syncAll(follower)
 	fromFollower.kinds, fromFollower.bodies = nil, nil
 	follower.handleMessage(fromFollower, nil, kindConfirm, toFollower.next(t, kindConfirm, "replication-confirm.bin"))
 	leader.handleMessage(toFollower, nil, kindConfirmed, fromFollower.next(t, kindConfirmed, "replication-confirmed.bin"))
 	wantValue(t, "replication-confirmed", []any{q.confirmedAt, q.logFull}, []any{int64(50_001), true})
-	if part.promisedTerm++; !follower.rejectStaleTerm(part, goldenBatch, fromFollower) {
-		t.Error("a stale ballot counts")
+	if part.promisedTerm++; !follower.rejectStaleTerm(part, goldenTerm, fromFollower) {
+		t.Error("a stale term counts")
 	}
 	leader.handleMessage(toFollower, nil, kindStaleTerm, fromFollower.next(t, kindStaleTerm, "replication-stale.bin"))
 	if !p.primary.superseded {
@@ -342,7 +403,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantValue(t, "whole job", []any{j.results[0].itemIndex, j.results[0].abandoned, string(text), j.digest(), c.nowMs - j.knownSinceMs},
+	first := j.results[0]
+	wantValue(t, "whole job", []any{first.itemIndex, first.abandoned, string(text), j.digest(), c.nowMs - j.knownSinceMs},
 		[]any{int32(1), true, "text of b", digest, age})
 	whole, err := c.encodeWholeJob(j)
 	if err != nil {
@@ -361,16 +423,25 @@
 	if quotaPart == goldenPart {
 		t.Fatal("the quota's part is the job's")
 	}
-	newLead := func(ballot uint64) *primaryState {
-		return &primaryState{term: ballot, incarnation: ballot, stage: stageReplicating, serving: true, progress: map[uint64]*replicaProgress{}, usage: map[string]*routeUsage{},
-			reservations: map[uint64]*reservation{}, accounts: map[string]*quotaAccount{}, incomingJobs: map[string]*incomingJob{}}
+	servingState := func(term uint64) *primaryState {
+		return &primaryState{
+			term:         term,
+			incarnation:  term,
+			stage:        stageReplicating,
+			serving:      true,
+			progress:     map[uint64]*replicaProgress{},
+			usage:        map[string]*routeUsage{},
+			reservations: map[uint64]*reservation{},
+			accounts:     map[string]*quotaAccount{},
+			incomingJobs: map[string]*incomingJob{},
+		}
 	}
 	p := primary.partition(goldenPart)
-	p.epoch, p.promisedTerm = 2, goldenBatch
-	p.primary = newLead(goldenBatch)
+	p.epoch, p.promisedTerm = 2, goldenTerm
+	p.primary = servingState(goldenTerm)
 	p.primary.lastReservation, p.primary.usageVersion = 40, 50
 	p.primary.usageOf(route).tokens = 1234
-	owner.partition(quotaPart).primary = newLead(0x2_0009)
+	owner.partition(quotaPart).primary = servingState(0x2_0009)
 	account := owner.ownedAccount(route)
 	for no := range owner.table.Partitions {
 		if no != goldenPart {
@@ -382,20 +453,33 @@
 	p.primary.incomingJobs[goldenJobID] = in
 	primary.reserveTokens(p, in)
 	owner.handleMessage(toPrimary, nil, kindReserveTokens, toOwner.next(t, kindReserveTokens, "quota-reserve.bin"))
-	wantValue(t, "quota-reserve", account.pending, []pendingReservation{{pipe: toPrimary, partition: goldenPart, incarnation: goldenBatch, number: 41, tokens: 515,
-		maxTokens: 90_105, deadline: 50_001 + reservationWaitMs}})
+	wantValue(t, "quota-reserve", account.pending, []pendingReservation{{
+		pipe:        toPrimary,
+		partition:   goldenPart,
+		incarnation: goldenTerm,
+		number:      41,
+		tokens:      515,
+		maxTokens:   90_105,
+		deadline:    50_001 + reservationWaitMs,
+	}})
 	primary.handleMessage(toOwner, nil, kindUsageRequest, toPrimary.next(t, kindUsageRequest, "quota-usage-ask.bin"))
 	wantValue(t, "quota-usage-ask", p.quotaOwnerIncarnations[route], uint64(0x2_0009))
 	owner.handleMessage(toPrimary, nil, kindUsageReport, toOwner.next(t, kindUsageReport, "quota-usage.bin"))
-	wantValue(t, "quota-usage", *account.usage[goldenPart], partitionUsage{incarnation: goldenBatch, epoch: 2, version: 51, tokens: 1234, resolvedReservations: 40,
-		grants: []tokenGrant{{41, 515}}})
+	wantValue(t, "quota-usage", *account.usage[goldenPart], partitionUsage{
+		incarnation:          goldenTerm,
+		epoch:                2,
+		version:              51,
+		tokens:               1234,
+		resolvedReservations: 40,
+		grants:               []tokenGrant{{41, 515}},
+	})
 	primary.handleMessage(toOwner, nil, kindReservationReply, toPrimary.next(t, kindReservationReply, "quota-grant.bin"))
 	if len(p.primary.reservations) != 0 || p.jobs[goldenJobID] == nil {
 		t.Error("the job is not accepted with the granted tokens")
 	}
 }
 
-// goldenPrimary is a store that leads the part of the tests and has the job, of which the second
+// goldenPrimary is a store that leads the partition of the tests and has the job, of which the second
 // item is listed.
 func goldenPrimary(t *testing.T) (*core, *partition, *job) {
 	t.Helper()
@@ -407,10 +491,22 @@
 	c.maxLostReplicas = 0
 	no := c.table.PartitionOf(goldenJobID)
 	p := c.partition(no)
-	p.epoch, p.promisedTerm = 2, goldenBatch
-	p.primary = &primaryState{term: goldenBatch, incarnation: goldenBatch, stage: stageReplicating, serving: true, committed: -1, replicas: []uint64{id}, progress: map[uint64]*replicaProgress{},
-		usage: map[string]*routeUsage{}, reservations: map[uint64]*reservation{}, accounts: map[string]*quotaAccount{}, incomingJobs: map[string]*incomingJob{}, confirmedAt: c.nowMs}
-	p.position.term = goldenBatch
+	p.epoch, p.promisedTerm = 2, goldenTerm
+	p.primary = &primaryState{
+		term:         goldenTerm,
+		incarnation:  goldenTerm,
+		stage:        stageReplicating,
+		serving:      true,
+		committed:    -1,
+		replicas:     []uint64{id},
+		progress:     map[uint64]*replicaProgress{},
+		usage:        map[string]*routeUsage{},
+		reservations: map[uint64]*reservation{},
+		accounts:     map[string]*quotaAccount{},
+		incomingJobs: map[string]*incomingJob{},
+		confirmedAt:  c.nowMs,
+	}
+	p.position.term = goldenTerm
 	accepted := goldenJob()
 	accepted.MaxQueuedTokens = 0
 	reply := &goldenReply{}
@@ -472,7 +568,10 @@
 	no := c.table.PartitionOf(goldenJobID)
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Table: c.table})
-	edge := &Proxy{options: ProxyOptions{Snapshots: holder}, stores: &storeConnections{byID: map[uint64]*storeConnection{c.table.Partitions[no].Primary: {conn: l.conn}}}}
+	edge := &Proxy{
+		options: ProxyOptions{Snapshots: holder},
+		stores:  &storeConnections{byID: map[uint64]*storeConnection{c.table.Partitions[no].Primary: {conn: l.conn}}},
+	}
 
 	// answer gives a store the golden call and sends its golden reply back.
 	answer := func(kind link.Kind, call, reply string) {
@@ -489,7 +588,10 @@
 			t.Errorf("accept: %d", outcome)
 		}
 		reading, found := edge.ReadResults(t.Context(), goldenJobID, 0, 77*time.Millisecond)
-		wantValue(t, "reply-read", []any{reading, found}, []any{ResultPage{Total: 2, Results: []ItemResult{{ID: "item-b", Abandoned: true, Message: []byte("text of b")}}}, Found})
+		wantValue(t, "reply-read", []any{reading, found}, []any{
+			ResultPage{Total: 2, Results: []ItemResult{{ID: "item-b", Abandoned: true, Message: []byte("text of b")}}},
+			Found,
+		})
 		if _, found := edge.ReadResults(t.Context(), goldenJobID, 1, 0); found != Found {
 			t.Errorf("second read: %d", found)
 		}
@@ -553,15 +655,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantValue(t, "worker-give", []any{given.item, given.epoch, given.dueMs, given.maxAttempts, given.route, given.host, given.itemID, given.tokens, given.remainingMs, given.hasRemaining},
-		[]any{itemKey{p.index, goldenJobID, 0}, uint64(2), int64(1_700_000_000_101 + 60_102), 3, "nightly", "batch.example", "item-a", int64(207), int64(60_102), true})
+	wantValue(t, "worker-give", given, assignMessage{
+		item:         itemKey{p.index, goldenJobID, 0},
+		epoch:        2,
+		dueMs:        1_700_000_000_101 + 60_102,
+		maxAttempts:  3,
+		route:        "nightly",
+		host:         "batch.example",
+		itemID:       "item-a",
+		tokens:       207,
+		request:      encodeRequest("/bulk/a", goldenJob().Items[0].Headers, []byte("body of a")),
+		remainingMs:  60_102,
+		hasRemaining: true,
+	})
 	golden(t, "worker-give.bin", given.encode())
 	item, err := given.toItem(time.UnixMilli(5000))
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantValue(t, "worker-give", item, &Item{Job: goldenJobID, ID: "item-a", Route: "nightly", Host: "batch.example", Path: "/bulk/a",
-		Headers: goldenJob().Items[0].Headers, Body: []byte("body of a"), Tokens: 207, Due: time.UnixMilli(65_102)})
+	wantValue(t, "worker-give", item, &Item{
+		Job:     goldenJobID,
+		ID:      "item-a",
+		Route:   "nightly",
+		Host:    "batch.example",
+		Path:    "/bulk/a",
+		Headers: goldenJob().Items[0].Headers,
+		Body:    []byte("body of a"),
+		Tokens:  207,
+		Due:     time.UnixMilli(65_102),
+	})
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindAssignItem, Body: body})
 	if side.runningCount() != 1 {
 		t.Fatal("the item is not in hand")
@@ -570,23 +692,36 @@
 	// It says what it has in hand.
 	key := itemKey{partition: p.index, jobID: goldenJobID, index: 0}
 	side.mu.Lock()
-	side.running[itemKey{partition: goldenPart + 1, jobID: "job-of-another-part", index: 3}] = &runningItem{cancel: func() {}}
+	side.running[itemKey{
+		partition: goldenPart + 1,
+		jobID:     "job-of-another-part",
+		index:     3,
+	}] = &runningItem{cancel: func() {}}
 	side.reportRunningOf(goldenPart+1, l.conn, 0x2002)
 	side.mu.Unlock()
 	_, body = l.next(t, kindReportRunning, "worker-hold.bin")
 	c.handleMessage(toWorker, nil, kindReportRunning, body)
-	wantValue(t, "worker-hold", w.reported[goldenPart+1], runningReport{0x2002, []itemKey{{goldenPart + 1, "job-of-another-part", 3}}})
+	other := itemKey{goldenPart + 1, "job-of-another-part", 3}
+	wantValue(t, "worker-hold", w.reported[goldenPart+1], runningReport{0x2002, []itemKey{other}})
 	w.reported[p.index] = runningReport{2, []itemKey{key}}
 	side.setContact(p.index, &primaryContact{conn: l.conn, epoch: 2})
 	c.adoptRunning(p, w)
-	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindRunningNoted, Body: toWorker.next(t, kindRunningNoted, "worker-held.bin")})
+	side.handleMessage(&link.Message{
+		Conn: l.conn,
+		Kind: kindRunningNoted,
+		Body: toWorker.next(t, kindRunningNoted, "worker-held.bin"),
+	})
 	wantValue(t, "worker-held", side.contact(p.index), primaryContact{conn: l.conn, epoch: 2, runningNoted: true})
 
 	// The store is not sure to lead.
 	p.primary.confirmedAt = c.nowMs - 2000
 	c.maxLostReplicas = 1
 	c.superviseWorkers(p)
-	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindPauseStarts, Body: toWorker.next(t, kindPauseStarts, "worker-unsure.bin")})
+	side.handleMessage(&link.Message{
+		Conn: l.conn,
+		Kind: kindPauseStarts,
+		Body: toWorker.next(t, kindPauseStarts, "worker-unsure.bin"),
+	})
 	if !side.contact(p.index).startsPaused {
 		t.Error("the worker goes on")
 	}
@@ -594,7 +729,11 @@
 
 	// Results.
 	side.mu.Lock()
-	sendResult(l.conn, &runningItem{key: itemKey{goldenPart, "job-of-another-part", 6}, abandoned: true, text: []byte("its text")})
+	sendResult(l.conn, &runningItem{
+		key:       itemKey{goldenPart, "job-of-another-part", 6},
+		abandoned: true,
+		text:      []byte("its text"),
+	})
 	sendResult(l.conn, &runningItem{key: key, text: []byte("text of a")})
 	side.mu.Unlock()
 	l.next(t, kindItemResult, "worker-result-given-up.bin")
@@ -605,8 +744,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantValue(t, "worker-result", []any{j.results[1].itemIndex, j.results[1].abandoned, string(text)}, []any{int32(0), false, "text of a"})
-	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindResultStored, Body: toWorker.next(t, kindResultStored, "worker-listed.bin")})
+	second := j.results[1]
+	wantValue(t, "worker-result", []any{second.itemIndex, second.abandoned, string(text)}, []any{int32(0), false, "text of a"})
+	side.handleMessage(&link.Message{
+		Conn: l.conn,
+		Kind: kindResultStored,
+		Body: toWorker.next(t, kindResultStored, "worker-listed.bin"),
+	})
 	if side.runs(key) {
 		t.Error("the worker keeps what is listed")
 	}
@@ -614,7 +758,11 @@
 	// Ends, and what is given back.
 	sendCancel(w, goldenPart+1, "job-of-another-part")
 	side.setContact(goldenPart+1, nil)
-	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindCancelJob, Body: toWorker.next(t, kindCancelJob, "worker-cancel.bin")})
+	side.handleMessage(&link.Message{
+		Conn: l.conn,
+		Kind: kindCancelJob,
+		Body: toWorker.next(t, kindCancelJob, "worker-cancel.bin"),
+	})
 	if side.runningCount() != 0 {
 		t.Error("the job goes on")
 	}
@@ -624,8 +772,8 @@
 	if len(w.assigned) != 0 {
 		t.Error("the store believes that the worker has the job")
 	}
-	other := newGoldenLink(t)
-	side.setContact(p.index, &primaryContact{conn: other.conn, epoch: 9})
+	another := newGoldenLink(t)
+	side.setContact(p.index, &primaryContact{conn: another.conn, epoch: 9})
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindAssignItem, Body: given.encode()})
 	_, body = l.next(t, kindReturnItem, "worker-put-back.bin")
 	w.assigned[key] = true
@@ -660,17 +808,33 @@
 // TestGoldenJSON fixes the JSON bodies of clients: the job that comes in, and the results that go out.
 func TestGoldenJSON(t *testing.T) {
 	want := goldenJob()
-	route := &operatorconfig.Route{Name: want.Route, Host: want.Host, PathPrefix: want.PathPrefix, DueMs: int(want.DueMs), MaxAttempts: want.MaxAttempts,
-		MaxWaitMs: int(want.MaxWaitMs), MaxQueuedTokens: want.MaxQueuedTokens}
+	route := &operatorconfig.Route{
+		Name:            want.Route,
+		Host:            want.Host,
+		PathPrefix:      want.PathPrefix,
+		DueMs:           int(want.DueMs),
+		MaxAttempts:     want.MaxAttempts,
+		MaxWaitMs:       int(want.MaxWaitMs),
+		MaxQueuedTokens: want.MaxQueuedTokens,
+	}
 	body := golden(t, "client-job.json", []byte(`{"requests":[{"id":"item-a","path":"/bulk/a","headers":{"X-Kind":"renewal","Accept":"text/event-stream"},"body":"Ym9keSBvZiBh","tokens":207},{"id":"item-b","path":"/bulk/b","headers":{"X-Other":"review"},"body":"AAH+/w==","tokens":308}]}`))
-	got, ok := parseJob(&Call{Header: func(name string) string { return map[string]string{"X-Dunetide-Request-Id": goldenJobID}[name] }, Body: body}, route)
+	got, ok := parseJob(&Call{
+		Header: func(name string) string { return map[string]string{"X-Dunetide-Request-Id": goldenJobID}[name] },
+		Body:   body,
+	}, route)
 	if !ok {
 		t.Fatal("the job is refused")
 	}
 	want.SentMs, want.ConfigVersion = 0, 0 // set by the caller
 	wantValue(t, "client-job", got, want)
 
-	reading := ResultPage{Total: 9, Results: []ItemResult{{ID: "item-a", Message: []byte("text \"of\" a\n<b>")}, {ID: "item-b", Abandoned: true, Message: []byte("why")}}}
+	reading := ResultPage{
+		Total: 9,
+		Results: []ItemResult{
+			{ID: "item-a", Message: []byte("text \"of\" a\n<b>")},
+			{ID: "item-b", Abandoned: true, Message: []byte("why")},
+		},
+	}
 	answer := resultsResponse(reading, 4, Found)
 	body = golden(t, "client-results.json", answer.Body)
 	wantValue(t, "client-results", []any{answer.Status, answer.ContentType}, []any{200, "application/json"})
@@ -690,7 +854,11 @@
 	}
 	again := ResultPage{Total: read.Total}
 	for _, r := range read.Results {
-		again.Results = append(again.Results, ItemResult{ID: r.ID, Abandoned: r.State == "given_up", Message: []byte(r.Message)})
+		again.Results = append(again.Results, ItemResult{
+			ID:        r.ID,
+			Abandoned: r.State == "given_up",
+			Message:   []byte(r.Message),
+		})
 	}
 	wantValue(t, "client-results", again, reading)
 	golden(t, "client-results.json", resultsResponse(again, read.NextToken-len(read.Results), Found).Body)
--- a/internal/batch/idempotence_test.go
+++ b/internal/batch/idempotence_test.go
@@ -45,7 +45,8 @@
 	c, p := primaryOfJob(t, g)
 	var codes []uint8
 	for range 3 {
-		c.handleMessage(nil, callerFunc(func(b []byte) { codes = append(codes, b[0]) }), kindAcceptJob, encodedJob("job", 2, 0))
+		caller := callerFunc(func(b []byte) { codes = append(codes, b[0]) })
+		c.handleMessage(nil, caller, kindAcceptJob, encodedJob("job", 2, 0))
 	}
 	for range 40 {
 		g.now += 25_000
@@ -120,7 +121,8 @@
 		return n
 	}
 	if g.stored-before != 4 || acknowledged(newer) != 2 || acknowledged(other) != 2 {
-		t.Errorf("acknowledged %d, %d and %d times, want 4, 2 and 2", g.stored-before, acknowledged(newer), acknowledged(other))
+		t.Errorf("acknowledged %d, %d and %d times, want 4, 2 and 2",
+			g.stored-before, acknowledged(newer), acknowledged(other))
 	}
 }
 
@@ -148,7 +150,8 @@
 		t.Errorf("answered with %v", pipe.kinds)
 	}
 	silent := &recordingPipe{}
-	owner.handleStoreMessage(silent, kindReserveTokens, reservationOf(p.index, p.primary.incarnation, resolved, asked, 1<<30))
+	owner.handleStoreMessage(silent, kindReserveTokens,
+		reservationOf(p.index, p.primary.incarnation, resolved, asked, 1<<30))
 	if got := countedTokens(g) - before; got != asked || len(silent.kinds) != 0 {
 		t.Errorf("one that is resolved: %d tokens, answered with %v", got, silent.kinds)
 	}
--- a/internal/batch/linkbreaks_test.go
+++ b/internal/batch/linkbreaks_test.go
@@ -65,28 +65,28 @@
 	}
 }
 
-func (b *linkBreaker) message(deliver func(*simPipe, Caller, link.Kind, []byte), side *simPipe, m Caller, kind link.Kind, body []byte) {
+func (b *linkBreaker) message(deliver simReceiver, side *simPipe, caller Caller, kind link.Kind, body []byte) {
 	if b.simulation.beforeStep == nil { // the scenario is over: the rest checks it
-		deliver(side, m, kind, body)
+		deliver(side, caller, kind, body)
 		return
 	}
 	b.seen++
 	if b.seen != b.breakAt {
-		deliver(side, m, kind, body)
+		deliver(side, caller, kind, body)
 		return
 	}
 	b.hit = kind
 	if b.kind != breakBefore {
-		deliver(side, m, kind, body)
+		deliver(side, caller, kind, body)
 	}
 	side.end(0)
 	if b.kind == breakAndRepeat {
-		b.broken = &brokenMessage{side.peer.from, side.from, m != nil, kind, body}
+		b.broken = &brokenMessage{side.peer.from, side.from, caller != nil, kind, body}
 	}
 }
 
 // repeat delivers the message at which a link broke once more, over the next link between the two.
-func (b *linkBreaker) repeat(side *simPipe, deliver func(*simPipe, Caller, link.Kind, []byte)) {
+func (b *linkBreaker) repeat(side *simPipe, deliver simReceiver) {
 	again := b.broken
 	if again == nil || side.from != again.to || side.to != again.from || !sentAgain(again.kind) {
 		return
--- a/internal/batch/placement_test.go
+++ b/internal/batch/placement_test.go
@@ -11,7 +11,12 @@
 // someStores are n stores in three zones.
 func someStores(n int) (all []snapshot.Store) {
 	for i := range n {
-		all = append(all, snapshot.Store{ID: uint64(i + 1), Name: fmt.Sprint("s", i), Addr: fmt.Sprint("a", i), Zone: fmt.Sprint("z", i%3)})
+		all = append(all, snapshot.Store{
+			ID:   uint64(i + 1),
+			Name: fmt.Sprint("s", i),
+			Addr: fmt.Sprint("a", i),
+			Zone: fmt.Sprint("z", i%3),
+		})
 	}
 	return all
 }
@@ -31,7 +36,7 @@
 			lead, held := map[uint64]int{}, map[uint64]int{}
 			for no, row := range next.Partitions {
 				if len(row.Replicas) != min(f+2, n) || !slices.Contains(row.Replicas, row.Primary) || row.Epoch != 1 {
-					t.Fatalf("f %d, %d stores: part %d: %v", f, n, no, row)
+					t.Fatalf("f %d, %d stores: partition %d: %v", f, n, no, row)
 				}
 				zones := map[string]bool{}
 				for _, id := range row.Replicas {
@@ -39,7 +44,7 @@
 					held[id]++
 				}
 				if len(zones) != min(f+2, n, 3) {
-					t.Fatalf("f %d, %d stores: part %d lies in %d zones", f, n, no, len(zones))
+					t.Fatalf("f %d, %d stores: partition %d lies in %d zones", f, n, no, len(zones))
 				}
 				lead[row.Primary]++
 			}
@@ -69,18 +74,23 @@
 				end := assignUntilStable(t, cur, rest, lost, f)
 				for no, row := range end.Partitions {
 					if lost(row.Primary) {
-						t.Fatalf("f %d, %d stores: part %d is led by the lost one", f, n, no)
+						t.Fatalf("f %d, %d stores: partition %d is led by the lost one", f, n, no)
 					}
 					if n > f+2 && slices.ContainsFunc(row.Replicas, lost) {
-						t.Fatalf("f %d, %d stores: part %d still counts on the lost one: %v", f, n, no, row)
+						t.Fatalf("f %d, %d stores: partition %d still counts on the lost one: %v", f, n, no, row)
 					}
 				}
 				// The same machine comes back with an empty disk.
-				back := append(slices.Clone(rest), snapshot.Store{ID: 100, Name: all[away].Name, Addr: all[away].Addr, Zone: all[away].Zone})
+				back := append(slices.Clone(rest), snapshot.Store{
+					ID:   100,
+					Name: all[away].Name,
+					Addr: all[away].Addr,
+					Zone: all[away].Zone,
+				})
 				end = assignUntilStable(t, end, back, lost, f)
 				for no, row := range end.Partitions {
 					if len(row.Replicas) != f+2 || slices.ContainsFunc(row.Replicas, lost) {
-						t.Fatalf("f %d, %d stores: part %d after the return: %v", f, n, no, row)
+						t.Fatalf("f %d, %d stores: partition %d after the return: %v", f, n, no, row)
 					}
 				}
 				// Another retires.
@@ -101,7 +111,10 @@
 	}
 }
 
-func assignUntilStable(t *testing.T, cur *snapshot.PartitionTable, alive []snapshot.Store, lost func(uint64) bool, f int) *snapshot.PartitionTable {
+// assignUntilStable assigns and switches until nothing changes any more, and checks each step.
+func assignUntilStable(
+	t *testing.T, cur *snapshot.PartitionTable, alive []snapshot.Store, lost func(uint64) bool, f int,
+) *snapshot.PartitionTable {
 	t.Helper()
 	for range 200 {
 		next, changed := AssignPartitions(cur, alive, lost, 8, f)
--- a/internal/batch/proxy_test.go
+++ b/internal/batch/proxy_test.go
@@ -37,7 +37,19 @@
 }
 
 func bulkConfig(most int64) *operatorconfig.Config {
-	return &operatorconfig.Config{Version: 1, Routes: []operatorconfig.Route{{Name: "b", Host: "h.example", PathPrefix: "/b/", Kind: operatorconfig.Bulk, DueMs: 5000, MaxAttempts: 2, MaxWaitMs: 60000, MaxQueuedTokens: most}}}
+	return &operatorconfig.Config{
+		Version: 1,
+		Routes: []operatorconfig.Route{{
+			Name:            "b",
+			Host:            "h.example",
+			PathPrefix:      "/b/",
+			Kind:            operatorconfig.Bulk,
+			DueMs:           5000,
+			MaxAttempts:     2,
+			MaxWaitMs:       60000,
+			MaxQueuedTokens: most,
+		}},
+	}
 }
 
 // TestJobsAreRunAndReadOverRealLinks: a job is submitted, run and read over real connections, also
@@ -73,7 +85,12 @@
 		go func() { _ = link.Serve(l, st, link.DefaultOptions) }()
 		stores = append(stores, st)
 		listeners = append(listeners, l)
-		all = append(all, snapshot.Store{ID: st.ID(), Name: fmt.Sprint("s", i), Addr: l.Addr().String(), Zone: fmt.Sprint("z", i)})
+		all = append(all, snapshot.Store{
+			ID:   st.ID(),
+			Name: fmt.Sprint("s", i),
+			Addr: l.Addr().String(),
+			Zone: fmt.Sprint("z", i),
+		})
 	}
 	mu.Lock()
 	tab, ok := AssignPartitions(nil, all, func(uint64) bool { return false }, 8, 1)
@@ -88,11 +105,20 @@
 	call := func(method, path, query string, header map[string]string, body string) Response {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		return e.Serve(ctx, &Call{Method: method, Host: "h.example", Path: path, Query: query, Body: []byte(body), Header: func(n string) string { return header[n] }})
+		return e.Serve(ctx, &Call{
+			Method: method,
+			Host:   "h.example",
+			Path:   path,
+			Query:  query,
+			Body:   []byte(body),
+			Header: func(n string) string { return header[n] },
+		})
 	}
 	post := func(id string, tokens int) Response {
 		return call("POST", "/b/x", "", map[string]string{"X-Dunetide-Request-Id": id},
-			fmt.Sprintf(`{"requests":[{"id":"i1","path":"/b/1","headers":{"A":"b"},"body":"aGVsbG8=","tokens":%d},{"id":"i2","path":"/b/2","headers":{},"body":"eW91","tokens":5}]}`, tokens))
+			fmt.Sprintf(`{"requests":[
+				{"id":"i1","path":"/b/1","headers":{"A":"b"},"body":"aGVsbG8=","tokens":%d},
+				{"id":"i2","path":"/b/2","headers":{},"body":"eW91","tokens":5}]}`, tokens))
 	}
 	if a := post("j1", 40); a.Status != 202 {
 		t.Fatalf("accept: %+v", a)
@@ -111,7 +137,8 @@
 		t.Logf("%s", a.Body)
 	}
 	a := call("GET", "/lots/j1", "start_after=0", nil, "")
-	if want := "h\\ne\\nl\\nl\\no"; a.Status != 200 || !strings.Contains(string(a.Body), want) || !strings.Contains(string(a.Body), "y\\no\\nu") {
+	body := string(a.Body)
+	if a.Status != 200 || !strings.Contains(body, "h\\ne\\nl\\nl\\no") || !strings.Contains(body, "y\\no\\nu") {
 		t.Fatalf("read all: %d %s", a.Status, a.Body)
 	}
 	if a := call("GET", "/lots/none", "", nil, ""); a.Status != 404 {
@@ -125,13 +152,14 @@
 			t.Fatalf("end: %+v", a)
 		}
 	}
-	// The primary of its part dies; another takes over, and the first comes back with its disk.
+	// The primary of its partition ends; another takes over, and the first comes back with its disk.
 	row := tab.Partitions[tab.PartitionOf("j1")]
 	for i, st := range stores {
 		if st.ID() == row.Primary {
 			st.Close()
 			listeners[i].Close()
-			tab, _ = AssignPartitions(tab, slices.Delete(slices.Clone(all), i, i+1), func(id uint64) bool { return id == row.Primary }, 8, 1)
+			isLost := func(id uint64) bool { return id == row.Primary }
+			tab, _ = AssignPartitions(tab, slices.Delete(slices.Clone(all), i, i+1), isLost, 8, 1)
 			publish(tab)
 			if a := call("GET", "/lots/j1", "start_after=0", nil, ""); a.Status != 200 || !strings.Contains(string(a.Body), "h\\ne") {
 				t.Fatalf("read after the takeover: %d %s", a.Status, a.Body)
@@ -139,7 +167,13 @@
 			if a := post("j3", 40); a.Status != 202 {
 				t.Fatalf("accept after the takeover: %+v", a)
 			}
-			again, err := NewStore(StoreOptions{Zone: "z", MaxLostMachines: 1, RetentionMs: 60000, Open: OpenIn(vfs.Dir(dirs[i])), Logf: t.Logf})
+			again, err := NewStore(StoreOptions{
+				Zone:            "z",
+				MaxLostMachines: 1,
+				RetentionMs:     60000,
+				Open:            OpenIn(vfs.Dir(dirs[i])),
+				Logf:            t.Logf,
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -211,8 +245,16 @@
 		text    string
 		givenUp bool
 	}{
-		"broken, goes on":      {runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "3")}, "1\n2\n3", false},
-		"wrong join":           {runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "4"), play(RunCompleted, "after", "", "1", "2")}, "1\n2", false},
+		"broken, goes on": {
+			runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "3")},
+			"1\n2\n3",
+			false,
+		},
+		"wrong join": {
+			runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "4"), play(RunCompleted, "after", "", "1", "2")},
+			"1\n2",
+			false,
+		},
 		"turned away":          {runs{play(RunNotStarted), play(RunCompleted, "1")}, "1", false},
 		"failed, then done":    {runs{play(RunFailed), play(RunCompleted, "after", "", "1")}, "1", false},
 		"failed too often":     {runs{play(RunFailed), play(RunFailed)}, "", true},
--- a/internal/batch/retirement_test.go
+++ b/internal/batch/retirement_test.go
@@ -174,7 +174,10 @@
 // TestRetirementNeedsEnoughOtherReplicas: no retirement is finished while too few other replicas
 // are left, or the store is still joining a group.
 func TestRetirementNeedsEnoughOtherReplicas(t *testing.T) {
-	table := &snapshot.PartitionTable{Stores: map[uint64]snapshot.Store{1: {ID: 1, Name: "a"}, 2: {ID: 2, Name: "b"}, 3: {ID: 3, Name: "c"}}, Retiring: map[uint64]bool{1: true}}
+	table := &snapshot.PartitionTable{
+		Stores:   map[uint64]snapshot.Store{1: {ID: 1, Name: "a"}, 2: {ID: 2, Name: "b"}, 3: {ID: 3, Name: "c"}},
+		Retiring: map[uint64]bool{1: true},
+	}
 	for _, c := range []struct {
 		part     snapshot.Partition
 		finished bool
--- a/internal/batch/rig_test.go
+++ b/internal/batch/rig_test.go
@@ -288,7 +288,15 @@
 // BenchmarkJobs measures what an item costs three stores together, from the submission of its job
 // until its result is stored. Run it with -benchtime=1x.
 func BenchmarkJobs(b *testing.B) {
-	for _, s := range []struct{ jobs, items int }{{1, 1414}, {71, 1414}, {2000, 50}, {1, 6750}, {1, 13500}, {1, 27000}, {1, 54000}} {
+	for _, s := range []struct{ jobs, items int }{
+		{1, 1414},
+		{71, 1414},
+		{2000, 50},
+		{1, 6750},
+		{1, 13500},
+		{1, 27000},
+		{1, 54000},
+	} {
 		b.Run(fmt.Sprintf("%dx%d", s.jobs, s.items), func(b *testing.B) {
 			for b.Loop() {
 				g := newStoreRig(3, 400, 4, 3*475)
--- a/internal/batch/scenarios_test.go
+++ b/internal/batch/scenarios_test.go
@@ -339,15 +339,15 @@
 	for no := range sim.table.Partitions {
 		row := &sim.table.Partitions[no]
 		if len(row.Joining)+len(row.Leaving) > 0 {
-			return fmt.Sprintf("part %d is on its way: %v", no, *row)
+			return fmt.Sprintf("partition %d is on its way: %v", no, *row)
 		}
 		for _, id := range row.Replicas {
 			s := sim.storeNamed(sim.table.Stores[id].Name)
 			if s == nil || s.core == nil || s.core.self != id {
-				return fmt.Sprintf("part %d has a copy at %d, which is not there: %v", no, id, *row)
+				return fmt.Sprintf("partition %d has a replica at %d, which is not there: %v", no, id, *row)
 			}
 			if id == row.Primary && (s.core.partitions[no].primary == nil || !s.core.partitions[no].primary.serving) {
-				return fmt.Sprintf("part %d is not led: %v", no, *row)
+				return fmt.Sprintf("partition %d is not led: %v", no, *row)
 			}
 		}
 	}
--- a/internal/batch/segments_test.go
+++ b/internal/batch/segments_test.go
@@ -89,7 +89,8 @@
 			if n > 0 {
 				first = slices.Index(appended, log.payloads[0])
 			}
-			if first > removed || first < 0 || n == 0 && durable > removed || first+n < durable || !slices.Equal(log.payloads, appended[first:first+n]) {
+			if first > removed || first < 0 || n == 0 && durable > removed || first+n < durable ||
+				!slices.Equal(log.payloads, appended[first:first+n]) {
 				t.Fatalf("step %d, kept %d: %q of %q, %d durable, %d removed", step, kept, log.payloads, appended, durable, removed)
 			}
 			checkUse(t, log)
--- a/internal/batch/simclients_test.go
+++ b/internal/batch/simclients_test.go
@@ -104,7 +104,8 @@
 		if contact != nil && contact.epoch > row.Epoch {
 			continue
 		}
-		if p := proxy.pipes[row.Primary]; p != nil && p.open && (contact == nil || contact.pipe != p || contact.epoch < row.Epoch) {
+		p := proxy.pipes[row.Primary]
+		if p != nil && p.open && (contact == nil || contact.pipe != p || contact.epoch < row.Epoch) {
 			proxy.reportRunningOf(index, p, row.Epoch)
 		}
 	}
@@ -156,7 +157,8 @@
 		sim.after(sim.rng.Float64()*60, func() { proxy.startRun(key, run) })
 	case kindRunningNoted:
 		epoch := r.U64()
-		if contact := proxy.contacts[key.partition]; contact != nil && contact.pipe == p && (contact.epoch == epoch || epoch == 0) {
+		contact := proxy.contacts[key.partition]
+		if contact != nil && contact.pipe == p && (contact.epoch == epoch || epoch == anyEpoch) {
 			contact.runningNoted, contact.startsPaused = true, false
 			partition := key.partition
 			for _, key := range proxy.assignedKeys() {
@@ -507,7 +509,8 @@
 		}
 		sim.resultsRead += len(j.positions)
 		body := ""
-		sim.workers[0].call(id, kindReadItemBody, encodeReadItemBody(id, j.items[0]), 1000, func(b []byte, _ bool) { body = string(b) })
+		request := encodeReadItemBody(id, j.items[0])
+		sim.workers[0].call(id, kindReadItemBody, request, 1000, func(b []byte, _ bool) { body = string(b) })
 		sim.run(1500)
 		if want := string([]byte{codeOK}) + "body of " + j.items[0]; body != want {
 			sim.violation("job %s: body %q", id, body)
--- a/internal/batch/simulation_test.go
+++ b/internal/batch/simulation_test.go
@@ -213,6 +213,9 @@
 	cutFromKeepers bool // no message between it and keepers arrives
 }
 
+// simReceiver is the event of a message at a side of a connection. The caller is nil if no reply is awaited.
+type simReceiver func(side *simPipe, caller Caller, kind link.Kind, body []byte)
+
 // simPipe is one side of a connection. Messages arrive at the other side in order, unless either has died.
 type simPipe struct {
 	simulation  *simulation
@@ -221,7 +224,7 @@
 	peer        *simPipe
 	open        bool
 	lastArrival int64
-	deliver     func(p *simPipe, m Caller, kind link.Kind, body []byte) // to the owner of this side
+	deliver     simReceiver // to the owner of this side
 	closed      func(p *simPipe)
 }
 
@@ -375,7 +378,7 @@
 		}
 		sim.after(sim.delay()*3, func() {
 			if next, ok := SwitchReplicas(sim.table, index, epoch); ok {
-				sim.logf("switch part %d from epoch %d: %v", index, epoch, next.Partitions[index])
+				sim.logf("switch partition %d from epoch %d: %v", index, epoch, next.Partitions[index])
 				sim.publish(next)
 			}
 		})
@@ -483,13 +486,13 @@
 	sim.after(50+sim.rng.Float64()*20, func() { s.connectPeers(incarnation) })
 }
 
-func (s *simStore) receiver(incarnation int) func(*simPipe, Caller, link.Kind, []byte) {
+func (s *simStore) receiver(incarnation int) simReceiver {
 	return func(p *simPipe, m Caller, kind link.Kind, body []byte) {
 		s.runEvent(incarnation, func() { s.core.handleMessage(p, m, kind, body) })
 	}
 }
 
-func (sim *simulation) connect(a, b string, fa, fb func(*simPipe, Caller, link.Kind, []byte)) *simPipe {
+func (sim *simulation) connect(a, b string, fa, fb simReceiver) *simPipe {
 	p := &simPipe{simulation: sim, from: a, to: b, open: true, deliver: fa}
 	q := &simPipe{simulation: sim, from: b, to: a, open: true, deliver: fb, peer: p}
 	p.peer = q
--- a/internal/batch/space_test.go
+++ b/internal/batch/space_test.go
@@ -107,7 +107,8 @@
 	t.Helper()
 	c := g.primaryOf(id)
 	var answer []byte
-	c.handleMessage(nil, callerFunc(func(b []byte) { answer = bytes.Clone(b) }), kindReadResults, encodeReadResults(id, 0, 0))
+	caller := callerFunc(func(b []byte) { answer = bytes.Clone(b) })
+	c.handleMessage(nil, caller, kindReadResults, encodeReadResults(id, 0, 0))
 	for range 5 {
 		g.deliverAll()
 	}
@@ -215,9 +216,9 @@
 		}
 		for no, p := range c.partitions {
 			q := again.partition(no)
-			if p.position.term != q.position.term || p.position.sequence != q.position.sequence || p.promisedTerm != q.promisedTerm || len(p.jobs) != len(q.jobs) {
-				t.Fatalf("store %d, part %d: claim (%x, %d), promise %x, %d jobs; again (%x, %d), %x, %d", c.self, no,
-					p.position.term, p.position.sequence, p.promisedTerm, len(p.jobs), q.position.term, q.position.sequence, q.promisedTerm, len(q.jobs))
+			if p.position != q.position || p.promisedTerm != q.promisedTerm || len(p.jobs) != len(q.jobs) {
+				t.Fatalf("store %d, partition %d: position %+v, promise %x, %d jobs; again %+v, %x, %d",
+					c.self, no, p.position, p.promisedTerm, len(p.jobs), q.position, q.promisedTerm, len(q.jobs))
 			}
 			for id, j := range p.jobs {
 				if other := q.jobs[id]; other == nil || other.digest() != j.digest() {
@@ -240,8 +241,13 @@
 	e := NewProxy(ProxyOptions{Snapshots: views, Name: "p", Zone: "z"})
 	defer e.Close()
 	header := map[string]string{"X-Dunetide-Request-Id": "job"}
-	call := &Call{Method: http.MethodPost, Host: "h.example", Path: "/b/x", Header: func(name string) string { return header[name] },
-		Body: []byte(`{"requests":[{"id":"i","path":"/b/x","body":"eHl6","tokens":5}]}`)}
+	call := &Call{
+		Method: http.MethodPost,
+		Host:   "h.example",
+		Path:   "/b/x",
+		Header: func(name string) string { return header[name] },
+		Body:   []byte(`{"requests":[{"id":"i","path":"/b/x","body":"eHl6","tokens":5}]}`),
+	}
 	for begin := time.Now(); ; {
 		asked := time.Now()
 		a := e.Serve(t.Context(), call)
