--- a/internal/batch/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -35,7 +35,13 @@
 	t.Helper()
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
 	for _, e := range endpoints {
-		d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: e, Regime: "fin", NotBefore: at.Add(-time.Hour), NotAfter: at.Add(time.Hour), Issuer: "x"})
+		d.Certificates = append(d.Certificates, certification.Certificate{
+			Endpoint:  e,
+			Regime:    "fin",
+			NotBefore: at.Add(-time.Hour),
+			NotAfter:  at.Add(time.Hour),
+			Issuer:    "x",
+		})
 	}
 	b, err := json.Marshal(d)
 	must(t, err)
@@ -43,7 +49,14 @@
 }
 
 func run(id, endpoint string, version uint64, after time.Duration) Run {
-	return Run{ID: id, Route: "q", Regime: "fin", Endpoint: endpoint, CertificatesVersion: version, StartedAt: at.Add(after)}
+	return Run{
+		ID:                  id,
+		Route:               "q",
+		Regime:              "fin",
+		Endpoint:            endpoint,
+		CertificatesVersion: version,
+		StartedAt:           at.Add(after),
+	}
 }
 
 // direct is a connection to a store of this process. It can be cut.
@@ -95,7 +108,12 @@
 	for i := range stores {
 		g.open(i, fileBytes)
 	}
-	g.r = NewRecorder(RecorderOptions{NodeName: "p", Incarnation: 7, RequiredStores: need, MaxPending: held, Now: func() time.Time { return at },
+	g.r = NewRecorder(RecorderOptions{
+		NodeName:       "p",
+		Incarnation:    7,
+		RequiredStores: need,
+		MaxPending:     held,
+		Now:            func() time.Time { return at },
 		Stores: func() (all []snapshot.Store) {
 			for i := range stores {
 				all = append(all, snapshot.Store{Name: fmt.Sprint("s", i), Addr: fmt.Sprint(i)})
@@ -220,7 +238,8 @@
 		}
 	}
 	rows := r.Rows()
-	if len(rows) != 1 || rows[0].Date != "2026-06-01" || rows[0].Regime != "fin" || rows[0].Requests != 1000 || rows[0].Answered != 1000 || rows[0].Outcomes[Answered] != 1000 {
+	if len(rows) != 1 || rows[0].Date != "2026-06-01" || rows[0].Regime != "fin" ||
+		rows[0].Requests != 1000 || rows[0].Answered != 1000 || rows[0].Outcomes[Answered] != 1000 {
 		t.Errorf("%+v", rows)
 	}
 }
@@ -267,7 +286,8 @@
 	}
 }
 
-// Files are rotated and bounded; a store that starts again goes on with its chain, also right after a file was put aside.
+// Files are rotated and bounded; a store that starts again goes on with its chain, also right after a file was put
+// aside.
 func TestChainContinuesOverFilesAndRestarts(t *testing.T) {
 	g := newRig(t, 1, 1, 0, 8<<10)
 	d := text(t, 3, "e1")
@@ -279,7 +299,8 @@
 		if i == 200 {
 			g.stores[0].Close()
 			full := g.stores[0].file.number
-			must(t, os.Rename(filepath.Join(g.dirs[0], FileName), filepath.Join(g.dirs[0], fullFileName(full)))) // power was lost in a rotation
+			// Power was lost in a rotation.
+			must(t, os.Rename(filepath.Join(g.dirs[0], FileName), filepath.Join(g.dirs[0], fullFileName(full))))
 			g.open(0, 8<<10)
 			g.r.conns = map[string]*storeConn{} // nobody sends now
 		}
@@ -408,8 +429,8 @@
 	}
 }
 
-// newest is the file that is appended to: records at its end may be taken off without a trace in itself, as there is no
-// later record; that they are on other stores too is what shows it.
+// newest is the file that is appended to: records at its end may be taken off without a trace in itself, as there is
+// no later record; that they are on other stores too is what shows it.
 func newest(files []auditFile) int {
 	return slices.IndexFunc(files, func(f auditFile) bool { return strings.HasSuffix(f.name, "/"+FileName) })
 }
--- a/internal/batch/audit/diskfull_test.go
+++ b/internal/batch/audit/diskfull_test.go
@@ -33,8 +33,8 @@
 	return <-answer
 }
 
-// TestFullDiskIsRetried fills the disk at each of many places, also in the middle of a change of files. What was acknowledged is
-// there, the chain holds, and records are taken again as soon as there is room, which is logged once.
+// TestFullDiskIsRetried fills the disk at each of many places, also in the middle of a change of files. What was
+// acknowledged is there, the chain holds, and records are taken again as soon as there is room, which is logged once.
 func TestFullDiskIsRetried(t *testing.T) {
 	const messages, fileBytes = 12, 1 << 10
 	whole := vfstest.New()
--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -34,7 +34,17 @@
 		ResumeAfter:         "event-17",
 		StartedAt:           time.Date(2026, 6, 1, 23, 4, 5, 678, time.UTC),
 	}
-	goldenEnd = time.Date(2026, 6, 2, 1, 2, 3, 456, time.UTC)
+	goldenEnd      = time.Date(2026, 6, 2, 1, 2, 3, 456, time.UTC)
+	goldenOtherRun = Run{
+		ID:                  "b",
+		Route:               "r",
+		Regime:              "g",
+		Endpoint:            "e",
+		CertificatesVersion: 72,
+		Idempotent:          true,
+		ResumeAfter:         "x",
+		StartedAt:           goldenEnd,
+	}
 )
 
 const (
@@ -152,11 +162,14 @@
 func goldenBatch(t *testing.T) (link.Kind, []byte) {
 	t.Helper()
 	c := &caught{}
-	r := NewRecorder(RecorderOptions{NodeName: goldenKey.proxy, Incarnation: goldenKey.incarnation, RequiredStores: 1, Now: func() time.Time { return goldenEnd },
-		Stores: func() []snapshot.Store { return []snapshot.Store{{Name: "s", Addr: "a"}} },
-		Dial:   func(context.Context, string) (Conn, error) { return c, nil }})
-	other := Run{ID: "b", Route: "r", Regime: "g", Endpoint: "e", CertificatesVersion: 72, Idempotent: true, ResumeAfter: "x", StartedAt: goldenEnd}
-	r.Begin(other, []byte("text of 72"))
+	r := NewRecorder(RecorderOptions{
+		NodeName:       goldenKey.proxy,
+		Incarnation:    goldenKey.incarnation,
+		RequiredStores: 1,
+		Now:            func() time.Time { return goldenEnd },
+		Stores:         func() []snapshot.Store { return []snapshot.Store{{Name: "s", Addr: "a"}} },
+		Dial:           func(context.Context, string) (Conn, error) { return c, nil }})
+	r.Begin(goldenOtherRun, []byte("text of 72"))
 	n, _ := r.Begin(goldenRun, goldenText)
 	r.End(n, NotRun)
 	must(t, r.deliver(context.Background()))
@@ -181,7 +194,7 @@
 	r := check([]auditFile{{FileName, d.File(FileName)}}, CheckOptions{})
 	want := []RecordedRun{
 		{Run: goldenRun, Proxy: goldenKey.proxy, Number: 2, EndedAt: goldenEnd, Outcome: NotRun},
-		{Run: Run{ID: "b", Route: "r", Regime: "g", Endpoint: "e", CertificatesVersion: 72, Idempotent: true, ResumeAfter: "x", StartedAt: goldenEnd}, Proxy: goldenKey.proxy, Number: 1},
+		{Run: goldenOtherRun, Proxy: goldenKey.proxy, Number: 1},
 	}
 	if !reflect.DeepEqual(r.Runs, want) || !slices.Equal(r.Versions, []uint64{71, 72}) {
 		t.Errorf("%+v, certificates %v, want %+v", r.Runs, r.Versions, want)
@@ -343,8 +356,13 @@
 		l, err := recordlog.Open(d, "f", func([]byte, int64) error { return nil })
 		must(t, err)
 		var last recordHash
-		for _, e := range [][]byte{fileStartEntry(uint64(i+1), 1), certificatesEntry(goldenVersion, c.text), runStartedEntry(goldenKey, c.run),
-			runEndedEntry(goldenKey, goldenEnd, c.end)} {
+		entries := [][]byte{
+			fileStartEntry(uint64(i+1), 1),
+			certificatesEntry(goldenVersion, c.text),
+			runStartedEntry(goldenKey, c.run),
+			runEndedEntry(goldenKey, goldenEnd, c.end),
+		}
+		for _, e := range entries {
 			var b []byte
 			b, last = chainRecord(last, e)
 			_, err := l.Append(b)
@@ -362,8 +380,17 @@
 
 // A row in the JSON of the lab's reports.
 func TestGoldenRow(t *testing.T) {
-	row := Row{Regime: "solvency", Date: "2026-06-01", Runs: 11, Requests: 12, BatchItems: 13, Answered: 14, Reanswered: 15, Endpoints: 16,
-		Outcomes: [outcomeCount]int{21, 22, 23, 24, 25, 26, 27}}
+	row := Row{
+		Regime:     "solvency",
+		Date:       "2026-06-01",
+		Runs:       11,
+		Requests:   12,
+		BatchItems: 13,
+		Answered:   14,
+		Reanswered: 15,
+		Endpoints:  16,
+		Outcomes:   [outcomeCount]int{21, 22, 23, 24, 25, 26, 27},
+	}
 	written, err := json.Marshal(row)
 	must(t, err)
 	b := golden.Read(t, "row.json")
--- a/internal/control/certification/certification_test.go
+++ b/internal/control/certification/certification_test.go
@@ -30,7 +30,8 @@
 				return err.Error()
 			}
 			s = got
-			return fmt.Sprintf("version %d: %d routes, %d certificates, demanding %v", s.Version, len(s.Routes), len(s.Certificates), len(s.Routes) > 0)
+			return fmt.Sprintf("version %d: %d routes, %d certificates, demanding %v",
+				s.Version, len(s.Routes), len(s.Certificates), len(s.Routes) > 0)
 		case "regime":
 			return fmt.Sprintf("%q", s.Regime(arg("route")))
 		case "certified":
@@ -77,7 +78,11 @@
 
 func TestGateFailsClosed(t *testing.T) {
 	now, confirmed := noon, time.Time{}
-	g := NewGate(GateOptions{Now: func() time.Time { return now }, LastConfirmed: func() time.Time { return confirmed }, ConfirmationTTL: 2 * time.Second})
+	g := NewGate(GateOptions{
+		Now:             func() time.Time { return now },
+		LastConfirmed:   func() time.Time { return confirmed },
+		ConfirmationTTL: 2 * time.Second,
+	})
 	expect := func(what, route, endpoint, regime string, ok bool) {
 		t.Helper()
 		if r, _, got := g.Allows(route, endpoint); r != regime || got != ok {
--- a/internal/platform/recordlog/golden_test.go
+++ b/internal/platform/recordlog/golden_test.go
@@ -14,7 +14,8 @@
 
 // The golden files were written by the sources of faf8ea2.
 
-// framed is a record as it stands in a file: the offset up to which the file was synced when it was written, and its payload.
+// framed is a record as it stands in a file: the offset up to which the file was synced when it was written, and its
+// payload.
 type framed struct {
 	synced  uint64
 	payload string
--- a/internal/platform/upstream/golden_test.go
+++ b/internal/platform/upstream/golden_test.go
@@ -11,7 +11,8 @@
 	"dunetide/internal/lab/golden"
 )
 
-// The overview of pools, as the delivery node's console writes it. The golden files were written by the sources of faf8ea2.
+// The overview of pools, as the delivery node's console writes it. The golden files were written by the sources of
+// faf8ea2.
 func TestGoldenOverview(t *testing.T) {
 	o := Overview{Open: 1, MaxOpen: 2, Waiting: 3, Omitted: 4, Pools: []Stat{
 		{"e", "a:1", 5, 6, 7, 8, 9, 10.5, 11, 12, 13, 14, 15, 16, true},
--- a/internal/platform/upstream/open_test.go
+++ b/internal/platform/upstream/open_test.go
@@ -15,12 +15,17 @@
 	"time"
 )
 
+// postHead is the head of a request with a body of a length.
+func postHead(length int) []byte {
+	return fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", length)
+}
+
 // open makes one call by Open and reads its answer to the end.
 func open(t *testing.T, p *Pool, deadline time.Time) (body string, reused bool, err error) {
 	t.Helper()
 	c, err := p.Acquire(t.Context())
 	must(t, err)
-	resp, err := c.Open(t.Context(), http.MethodPost, []byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n"), []byte("ab"), deadline)
+	resp, err := c.Open(t.Context(), http.MethodPost, postHead(2), []byte("ab"), deadline)
 	if err != nil {
 		c.Release(Broken)
 		return "", c.Reused(), err
@@ -67,7 +72,8 @@
 		}
 	}).Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	var broke *CallError
-	if _, _, err := open(t, p, time.Now().Add(20*time.Millisecond)); !errors.As(err, &broke) || !broke.Sent || !errors.Is(err, os.ErrDeadlineExceeded) {
+	_, _, err := open(t, p, time.Now().Add(20*time.Millisecond))
+	if !errors.As(err, &broke) || !broke.Sent || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
 	if _, _, err := open(t, p, time.Now().Add(patience)); err != nil || !last.deadline.IsZero() {
@@ -178,8 +184,9 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Endpoints that forget idle connections and reset them at the next byte: a call whose end is delayed was surely
-// not received, at whatever age of the connection. One that an endpoint has read completely is never reported as not sent.
+// Endpoints that forget idle connections and reset them at the next byte: a call whose end is delayed was surely not
+// received, at whatever age of the connection. One that an endpoint has read completely is never reported as not
+// sent.
 func TestDelayedEndFindsForgottenConnection(t *testing.T) {
 	for _, end := range []string{"reset", "close"} {
 		t.Run(end, func(t *testing.T) {
@@ -213,7 +220,7 @@
 						c.idleBefore = freshIdle // as if it had been idle
 					}
 					c.DelayEnd()
-					resp, err := c.Open(t.Context(), "POST", []byte(fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body))), []byte(body), time.Now().Add(patience))
+					resp, err := c.Open(t.Context(), "POST", postHead(len(body)), []byte(body), time.Now().Add(patience))
 					if call == 0 {
 						must(t, err)
 						_, err := io.Copy(io.Discard, resp.Body)
@@ -248,7 +255,7 @@
 			c.idleBefore = freshIdle
 		}
 		c.DelayEnd()
-		resp, err := c.Open(t.Context(), "POST", []byte("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n"), []byte("ab"), time.Now().Add(patience))
+		resp, err := c.Open(t.Context(), "POST", postHead(2), []byte("ab"), time.Now().Add(patience))
 		must(t, err)
 		_, err = io.Copy(io.Discard, resp.Body)
 		must(t, err)
@@ -270,7 +277,8 @@
 	c.DelayEnd()
 	cancel()
 	var broke *CallError
-	if _, err := c.Open(ctx, "POST", []byte("POST / HTTP/1.1\r\nHost: h\r\n\r\n"), nil, time.Time{}); !errors.As(err, &broke) || broke.Sent {
+	head := []byte("POST / HTTP/1.1\r\nHost: h\r\n\r\n")
+	if _, err := c.Open(ctx, "POST", head, nil, time.Time{}); !errors.As(err, &broke) || broke.Sent {
 		t.Errorf("%v, want a call that was not sent", err)
 	}
 	c.Release(Canceled)
--- a/internal/platform/upstream/pools_test.go
+++ b/internal/platform/upstream/pools_test.go
@@ -413,7 +413,10 @@
 func newFleet(t *testing.T, senders, holds int) *fleet {
 	t.Helper()
 	f := &fleet{endpoint: &fakeEndpoint{holds: holds}, now: newClock(), rng: rand.New(rand.NewPCG(1, 2))}
-	f.pools, f.out, f.until, f.queue = make([]*Pools, senders), make([][]*Conn, senders), make([][]int, senders), make([][]int, senders)
+	f.pools = make([]*Pools, senders)
+	f.out = make([][]*Conn, senders)
+	f.until = make([][]int, senders)
+	f.queue = make([][]int, senders)
 	for i := range f.pools {
 		f.restart(t, i)
 	}
--- a/internal/proxy/attempt/attempt_test.go
+++ b/internal/proxy/attempt/attempt_test.go
@@ -82,7 +82,13 @@
 				want := strings.TrimSpace(alternatives[0])
 				for _, v := range alternatives[1:] {
 					missing, other, _ := strings.Cut(strings.TrimSpace(v), ": ")
-					if map[string]bool{"may run once": !h.Idempotent, "not resumable": !h.Resumable, "no tries": !h.AttemptsLeft, "no turns": !h.ReroutesLeft}[missing] {
+					lacks := map[string]bool{
+						"may run once":  !h.Idempotent,
+						"not resumable": !h.Resumable,
+						"no tries":      !h.AttemptsLeft,
+						"no turns":      !h.ReroutesLeft,
+					}
+					if lacks[missing] {
 						want = other
 					}
 				}
