--- a/internal/consensus/paxos/cluster_test.go
+++ b/internal/consensus/paxos/cluster_test.go
@@ -316,7 +316,7 @@
 	for i := range s.Slot {
 		id := binary.BigEndian.Uint64(s.Value[8*i:]) & (1<<32 - 1)
 		if at, ok := c.slotOf[id]; ok && at != i+1 {
-			simulation.Failf("operation %d stands at slots %d and %d", id, at, i+1)
+			simulation.Failf("operation %d is at slots %d and %d", id, at, i+1)
 		}
 		c.slotOf[id] = i + 1
 	}
@@ -329,7 +329,7 @@
 
 var errConflict = errors.New("conflict")
 
-// propose starts an operation; change nil: one that only writes.
+// propose starts a change; with a nil change it writes its operation and nothing else.
 func (c *cluster) propose(m *machine, timeout time.Duration, change func(State) (State, error)) *op {
 	o := &op{id: uint64(len(c.ops) + 1), machine: m.index, write: true, acknowledgedBefore: c.acknowledged}
 	c.ops[o.id] = o
@@ -434,7 +434,7 @@
 	}
 }
 
-// readOnAll has every machine read, and fails if one can't within the time, or reads something old.
+// readOnAll reads on every machine. It fails where one can't within the time, or reads something old.
 func (c *cluster) readOnAll(within time.Duration) {
 	var all []*op
 	for _, m := range c.machines {
--- a/internal/consensus/paxos/exploration_test.go
+++ b/internal/consensus/paxos/exploration_test.go
@@ -52,7 +52,7 @@
 		},
 		Send: func(to Voter, msg []byte) {
 			if _, m, _ := decodeMessage(msg); m.kind == messageProgress && m.slot < 2 {
-				return // of slot 0: only noise here
+				return // they tell of slot 0, which all know
 			}
 			b.inFlight = append(b.inFlight, packet{i, int(to.ID) - 1, msg})
 		},
@@ -167,8 +167,8 @@
 	b.registers[i] = r
 }
 
-// explore goes on with every message that may come next, with one that is lost or comes twice, with a restart,
-// and with the clock.
+// explore plays each event that may come next: the arrival of each message, its loss or duplication, a restart, and the
+// next tick.
 func (o *explorer) explore(b *branch, depth int) {
 	defer func() {
 		switch x := recover().(type) {
@@ -215,7 +215,7 @@
 	try("tick", (*branch).tick)
 }
 
-// end goes on without faults, but for what is on the way, and looks at what came of it.
+// end delivers what is in flight, unless that is lost, goes on without faults, and checks the results.
 func (o *explorer) end(b *branch, lost bool) {
 	o.endings++
 	if lost {
@@ -254,8 +254,8 @@
 	simulation.Failf("no end: %v", b.results)
 }
 
-// TestEveryOrderOfMessages has two proposers on three voters, and every order of messages to a depth: from the start and from
-// where some messages were delivered in order; with one fault and without. PAXOS_DEPTH goes deeper.
+// TestEveryOrderOfMessages plays two proposers on three voters, in every order of messages to a depth: from the start, and
+// from where some messages were delivered in order; with one fault and without. PAXOS_DEPTH sets the depth.
 func TestEveryOrderOfMessages(t *testing.T) {
 	depth := 5
 	if n, err := strconv.Atoi(os.Getenv("PAXOS_DEPTH")); err == nil {
--- a/internal/consensus/paxos/faults_test.go
+++ b/internal/consensus/paxos/faults_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/lab/simulation"
 )
 
-// seedCount is how many a test plays: PAXOS_SEEDS, or what fits into a few seconds.
+// seedCount is how many seeds a test plays: PAXOS_SEEDS, or the usual number, which takes a few seconds.
 func seedCount(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("PAXOS_SEEDS")); err == nil {
 		return n
@@ -164,7 +164,7 @@
 	}
 }
 
-// fill leaves no room on a disk for a while, or now and then some.
+// fillDisk leaves no space on a disk for a while, or some now and then.
 func (m *machine) fillDisk(length time.Duration) {
 	m.fullShare = 1
 	if m.cluster.chance(.5) {
@@ -174,7 +174,8 @@
 	m.cluster.After(length, func() { m.fullShare = 0 })
 }
 
-// loseDisk has a machine start with an empty disk and ask to be a voter again until it is.
+// replaceDisk has a machine lose its disk and start with an empty one, and proposes it as a voter until it is one. Then
+// joined is called.
 func (c *cluster) replaceDisk(m *machine, joined func()) {
 	m.loseDisk()
 	id := m.id
@@ -252,8 +253,8 @@
 	})
 }
 
-// TestLastFault loses as many disks as may be lost right after something was acknowledged, while all others lose
-// power, or all are killed. Everybody reads it afterwards.
+// TestLastFault loses as many disks as may be lost right after an operation was acknowledged, while all other machines
+// lose power. Every machine reads it afterwards.
 func TestLastFault(t *testing.T) {
 	playSeeds(t, seedCount(2000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
@@ -315,9 +316,9 @@
 	})
 }
 
-// TestLastFaultAfterAdmit: a disk is lost, its voter is replaced, by the same machine or by another one while the
-// first stays away, and at the moment that this is done as many disks as may be are lost and all others lose power.
-// One process alone is asked afterwards.
+// TestLastFaultAfterAdmit loses a disk and replaces its voter, by the same machine or by another one while the first
+// stays away. When that is acknowledged, as many disks as may be are lost and all others lose power. One process alone
+// reads afterwards.
 func TestLastFaultAfterAdmit(t *testing.T) {
 	playSeeds(t, seedCount(2000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
@@ -387,14 +388,14 @@
 			}
 		}
 		c.RunUntil(c.Now() + 500*time.Millisecond)
-		asked := c.randomMachine()
-		for !asked.up {
-			asked = c.randomMachine()
+		reader := c.randomMachine()
+		for !reader.up {
+			reader = c.randomMachine()
 		}
-		o := c.read(asked, 10*time.Second)
+		o := c.read(reader, 10*time.Second)
 		c.RunUntil(c.Now() + 12*time.Second)
 		if o.result != "ok" {
-			simulation.Failf("%s can't read: %q", asked.name, o.result)
+			simulation.Failf("%s can't read: %q", reader.name, o.result)
 		}
 		c.checkOperations()
 	})
--- a/internal/consensus/paxos/golden_test.go
+++ b/internal/consensus/paxos/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 // testGolden compares the encoding of a value with the bytes of a file, decodes those bytes and encodes the result again.
-// The files are what running nodes send and what disks hold: they never change.
+// The files are what running nodes send and what is on disks: they never change.
 func testGolden(t *testing.T, name string, encode func() []byte, again func(b []byte) []byte) {
 	t.Helper()
 	file := name + ".hex"
--- a/internal/consensus/paxos/kill_test.go
+++ b/internal/consensus/paxos/kill_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestKilledAtEachPoint plays short runs of two proposers and a change of voters, and kills the process that is
-// at point k, for each k: before and after each Save, and before each Send. It comes back at once or later with
-// its disk, or with an empty one. More seeds are other links.
+// TestKilledAtEachPoint plays short runs of two proposers and a change of voters, and kills the process that is at point
+// k, for each k: before and after each Save, and before each Send. It restarts at once or later on its disk, or on an
+// empty one. More seeds have other delays of messages.
 func TestKilledAtEachPoint(t *testing.T) {
 	type shape struct {
 		sz    clusterSize
--- a/internal/consensus/paxos/quorum_test.go
+++ b/internal/consensus/paxos/quorum_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestQuorumsIntersect enumerates: any two majorities meet; and whatever a majority holds is with one of any majority of
-// those that are left when f disks are lost, where there are 2f+1 voters at least.
+// TestQuorumsIntersect enumerates all sets of voters: any two quorums have a voter in common; and where there are 2f+1
+// voters or more, any quorum of those that are left when f disks are lost has one of the quorum that wrote.
 func TestQuorumsIntersect(t *testing.T) {
 	majority := func(n int) int {
 		r := Register{state: State{Voters: make([]Voter, n)}}
--- a/internal/consensus/paxos/register_test.go
+++ b/internal/consensus/paxos/register_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestThreeVotersDecideInOrder has three voters over links that lose nothing.
+// Three voters over links that lose nothing decide each operation, and read it.
 func TestThreeVotersDecideInOrder(t *testing.T) {
 	var voters []Voter
 	for i := range 3 {
--- a/internal/consensus/paxos/steps_test.go
+++ b/internal/consensus/paxos/steps_test.go
@@ -13,7 +13,9 @@
 )
 
 // kindNames are the words of testdata/steps.
-var kindNames = []string{"", "query", "query-reply", "prepare", "promise", "accept", "accepted", "reject", "decided", "progress"}
+var kindNames = []string{
+	"", "query", "query-reply", "prepare", "promise", "accept", "accepted", "reject", "decided", "progress",
+}
 
 // stepTable has nodes n1, n2 and so on, whose messages wait until a step delivers or drops them.
 type stepTable struct {
@@ -98,7 +100,7 @@
 	return out
 }
 
-// TestSteps plays the tables of testdata/steps, in which every message and Save stands.
+// TestSteps plays the tables of testdata/steps, which list every message and Save.
 func TestSteps(t *testing.T) {
 	datadriven.Walk(t, "testdata/steps", func(t *testing.T, path string) {
 		t.Helper()
@@ -232,7 +234,7 @@
 
 func (tb *stepTable) propose(i int, value string) {
 	tb.nodes[i].register.Propose(tb.now, operationTimeout, func(cur State) (State, error) {
-		tb.printf("  %s is asked at slot %d", value, cur.Slot)
+		tb.printf("  %s is called with slot %d", value, cur.Slot)
 		cur.Value = append(cur.Value, value...)
 		return cur, nil
 	}, tb.done(value))
--- a/internal/consensus/paxos/storage_test.go
+++ b/internal/consensus/paxos/storage_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// saver is a register of one voter, and what it has saved.
+// singleVoter is a register of one voter, and what it has saved.
 type singleVoter struct {
 	*Register
 	disk     [][]byte
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestStateIsSavedOnce has a State on the disk once, not twice, and files of before are read as they were.
+// A State is written to the disk once: its decision is a short record. Records of earlier versions, which wrote it twice,
+// are still read.
 func TestStateIsSavedOnce(t *testing.T) {
 	s := newSingleVoter(t, nil)
 	s.Bootstrap([]Voter{{ID: 1, Name: "n1"}}, nil)
@@ -78,7 +79,7 @@
 	}
 }
 
-// TestStateIsStoredOnceADiskHasSpace has a State that found no room on the disk as soon as there is some, and no vote before.
+// A State that found no space on the disk is stored as soon as there is some, and the node does not vote before.
 func TestStateIsStoredOnceADiskHasSpace(t *testing.T) {
 	s := newSingleVoter(t, nil)
 	s.Bootstrap([]Voter{{ID: 1, Name: "n1"}}, nil)
--- a/internal/consensus/paxos/voters_test.go
+++ b/internal/consensus/paxos/voters_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// admitVoter gives the State with v among its voters: in the place of one with the same identity, the same name, the same
-// address, or of a dead one, or added where there are fewer than most. The simulations draw changes with it that are
-// wilder than those that package reconfigure decides on. False: nothing to change.
-func admitVoter(cur State, v Voter, dead func(Voter) bool, most int) (State, bool) {
+// admitVoter returns the State with v among its voters: in the place of one with the same identity, the same name, the
+// same address, or of a dead one, or added where there are fewer than maxVoters. The simulations make random changes with
+// it that go beyond those that package reconfigure decides on. False: nothing to change.
+func admitVoter(cur State, v Voter, dead func(Voter) bool, maxVoters int) (State, bool) {
 	if v.ID == 0 || slices.Contains(cur.Voters, v) {
 		return cur, false
 	}
@@ -23,16 +23,16 @@
 			return cur.WithReplacement(cur.Voters[i].ID, v)
 		}
 	}
-	if len(cur.Voters) >= most {
+	if len(cur.Voters) >= maxVoters {
 		return cur, false
 	}
 	return cur.WithVoter(v)
 }
 
-// expelVoter gives the State without one dead voter, where more than least are left. False: nothing to change.
-func expelVoter(cur State, dead func(Voter) bool, least int) (State, bool) {
+// expelVoter returns the State without one dead voter, where there are more than minVoters. False: nothing to change.
+func expelVoter(cur State, dead func(Voter) bool, minVoters int) (State, bool) {
 	i := slices.IndexFunc(cur.Voters, dead)
-	if i < 0 || len(cur.Voters) <= least {
+	if i < 0 || len(cur.Voters) <= minVoters {
 		return cur, false
 	}
 	return cur.WithoutVoter(cur.Voters[i].ID)
@@ -82,10 +82,10 @@
 	none := func(Voter) bool { return false }
 	dead := func(name string) func(Voter) bool { return func(v Voter) bool { return v.Name == name } }
 	for i, c := range []struct {
-		in   Voter
-		dead func(Voter) bool
-		most int
-		want string
+		in        Voter
+		dead      func(Voter) bool
+		maxVoters int
+		want      string
 	}{
 		{v(9, "b", "B"), none, 3, "1a 9b 3c"},
 		{v(9, "b", "D"), dead("a"), 9, "1a 9b 3c"},
@@ -97,7 +97,7 @@
 		{v(2, "e", "E"), dead("a"), 9, "1a 2e 3c"}, // it moved
 		{v(0, "d", "D"), dead("a"), 9, ""},
 	} {
-		next, ok := admitVoter(cur, c.in, c.dead, c.most)
+		next, ok := admitVoter(cur, c.in, c.dead, c.maxVoters)
 		got := ""
 		if ok {
 			got = describeVoters(next)
@@ -106,7 +106,8 @@
 			t.Errorf("%d: %q, not %q", i, got, c.want)
 		}
 	}
-	if next, ok := expelVoter(cur, dead("b"), 2); !ok || describeVoters(next) != "1a 3c" || describeVoters(cur) != "1a 2b 3c" {
+	next, ok := expelVoter(cur, dead("b"), 2)
+	if !ok || describeVoters(next) != "1a 3c" || describeVoters(cur) != "1a 2b 3c" {
 		t.Error(describeVoters(next), ok)
 	}
 	if _, ok := expelVoter(cur, dead("b"), 3); ok {
@@ -125,7 +126,7 @@
 	return out[min(1, len(out)):]
 }
 
-// TestAdmitChangesOneVoterAtMost: whatever admitVoter makes, one voter at most is new, and one at most is gone.
+// Whatever admitVoter changes, one voter at most joins, and one at most is removed.
 func TestAdmitChangesOneVoterAtMost(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		var cur State
@@ -135,18 +136,18 @@
 		for _, in := range append(slices.Clone(cur.Voters), Voter{99, "new", "new"}) {
 			in.ID += 100
 			next, _ := admitVoter(cur, in, func(v Voter) bool { return v.ID%2 == 0 }, 8)
-			gone, come := 0, 0
+			removed, joined := 0, 0
 			for _, v := range cur.Voters {
 				if !next.HasVoter(v.ID) {
-					gone++
+					removed++
 				}
 			}
 			for _, v := range next.Voters {
 				if !cur.HasVoter(v.ID) {
-					come++
+					joined++
 				}
 			}
-			if gone > 1 || come > 1 {
+			if removed > 1 || joined > 1 {
 				t.Error(describeVoters(cur), "to", describeVoters(next))
 			}
 		}
--- a/internal/consensus/quorum/model_faults_test.go
+++ b/internal/consensus/quorum/model_faults_test.go
@@ -45,11 +45,11 @@
 
 // partition cuts a keeper off from all others: what it sends, what it is sent, or both.
 func (m *model) partition(k *modelKeeper, from, to bool, length time.Duration) {
-	set := func(cut bool) {
+	set := func(active bool) {
 		for j := range m.keepers {
 			if j != k.index {
-				m.partitioned[k.index][j] = from && cut
-				m.partitioned[j][k.index] = to && cut
+				m.partitioned[k.index][j] = from && active
+				m.partitioned[j][k.index] = to && active
 			}
 		}
 	}
@@ -70,8 +70,8 @@
 	})
 }
 
-// wipeAfterConfirmation plays the loss of a disk that wipeAtConfirmation asked for: what the keeper has sent is on its way,
-// and the others restart.
+// wipeAfterConfirmation loses the disk right after a confirmation, where wipeAtConfirmation is set: what the keeper has
+// sent is in flight, and the others restart.
 func (k *modelKeeper) wipeAfterConfirmation() {
 	m := k.model
 	if !m.wipeAtConfirmation || m.changePending {
@@ -88,7 +88,7 @@
 	})
 }
 
-// restart kills a keeper, which is there again on its disk after a while.
+// restart kills a keeper, which starts again on its disk after a while.
 func (k *modelKeeper) restart(after time.Duration) {
 	k.kill()
 	incarnation := k.incarnation
--- a/internal/consensus/quorum/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -42,8 +42,8 @@
 	processCount int
 	states       []modelState // each that was decided, by its slot
 	lastIdentity uint64       // of the newest voter
-	// changePending is set while a disk that was wiped, or a change of the voters, has not been followed by a decision: another
-	// one might take the last copy of what was confirmed.
+	// changePending is set while a disk that was wiped, or a change of the voters, has not been followed by a decision:
+	// another one might take the last copy of what was confirmed.
 	changePending bool
 	// wipeAtConfirmation has the next keeper that confirms a value lose its disk at once.
 	wipeAtConfirmation bool
@@ -139,10 +139,14 @@
 	for j := range k.received {
 		k.received[j] = -time.Hour
 	}
-	register, err := paxos.New(paxos.Options{Name: "r", ID: k.id, ProposerID: k.model.rng.Uint64() | 1, Rand: k.model.rng.Float64,
-		Save:      func(b []byte) error { k.records = append(k.records, bytes.Clone(b)); return nil },
-		Send:      k.transmit,
-		OnDecided: k.recordDecided,
+	register, err := paxos.New(paxos.Options{
+		Name:       "r",
+		ID:         k.id,
+		ProposerID: k.model.rng.Uint64() | 1,
+		Rand:       k.model.rng.Float64,
+		Save:       func(b []byte) error { k.records = append(k.records, bytes.Clone(b)); return nil },
+		Send:       k.transmit,
+		OnDecided:  k.recordDecided,
 	}, k.records)
 	if err != nil {
 		simulation.Failf("keeper %d: %v", k.index, err)
--- a/internal/consensus/quorum/quorum_test.go
+++ b/internal/consensus/quorum/quorum_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// trackerStep is made at a moment in milliseconds; what must be so right after it stands beside it.
+// trackerStep is a step at a time in milliseconds, with the state that is expected right after it.
 type trackerStep struct {
 	at           time.Duration
 	do           func(t *Tracker, now time.Duration)
@@ -153,9 +153,9 @@
 		t.Fatal("no read for who has attached")
 	}
 	g.Attach("late")
-	g.Attach("gone")
+	g.Attach("detached")
 	g.EndRead(true)
-	g.Detach("gone")
+	g.Detach("detached")
 	if g.MayPush(0, "a") {
 		t.Fatal("pushed without contact")
 	}
@@ -170,11 +170,14 @@
 	if g.MayPush(AttachReadInterval, "late") || !g.MayPush(AttachReadInterval, "a") {
 		t.Fatal("a read that failed")
 	}
-	if delay, ok := g.ReadDelay(AttachReadInterval); !ok || delay != AttachReadInterval || !g.BeginRead(2*AttachReadInterval) {
+	delay, ok := g.ReadDelay(AttachReadInterval)
+	if !ok || delay != AttachReadInterval || !g.BeginRead(2*AttachReadInterval) {
 		t.Fatal("a read that failed is not made again")
 	}
 	g.EndRead(true)
-	if !g.MayPush(2*AttachReadInterval, "late") || g.MayPush(2*AttachReadInterval, "gone") || g.MayPush(ContactTimeout, "a") {
+	if !g.MayPush(2*AttachReadInterval, "late") ||
+		g.MayPush(2*AttachReadInterval, "detached") ||
+		g.MayPush(ContactTimeout, "a") {
 		t.Fatal("after the second read")
 	}
 	if _, ok := g.ReadDelay(time.Hour); ok {
--- a/internal/consensus/reconfigure/cluster_test.go
+++ b/internal/consensus/reconfigure/cluster_test.go
@@ -21,7 +21,7 @@
 	contactTime     = 3 * time.Second         // after a fault
 	keeperTick      = 200 * time.Millisecond  // from one tick of a keeper to the next
 	linkTimeout     = 1300 * time.Millisecond // a link on which nothing comes is closed
-	leaveTimeout    = 2 * time.Second         // a process that was told to end does so
+	leaveTimeout    = 2 * time.Second         // a process ends after SIGTERM
 	leaveRetry      = 50 * time.Millisecond   // from one step of leaving to the next
 	maxBehind       = 500 * time.Millisecond  // a voter that is behind for longer grants no lease
 	maxMessageDelay = 10 * time.Millisecond
@@ -179,7 +179,7 @@
 	}
 }
 
-// transmit has f run at another machine, unless the message is lost.
+// transmit runs f at another machine after the delay of a message, unless that is lost.
 func (m *machine) transmit(to *machine, f func()) {
 	c := m.cluster
 	if c.rng.Float64() < c.loss {
@@ -225,8 +225,8 @@
 	})
 }
 
-// stored is the newest slot that is stored, as reports tell it.
-func (m *machine) stored() uint64 {
+// nextSlot is the slot after the newest that is stored, as reports have it.
+func (m *machine) nextSlot() uint64 {
 	if !m.known {
 		return 0
 	}
@@ -234,7 +234,7 @@
 }
 
 func (m *machine) report() Report {
-	report := Report{Keeper: m.voter(), Connected: []uint64{m.id}, NextSlot: m.stored(), Leaving: m.leaving}
+	report := Report{Keeper: m.voter(), Connected: []uint64{m.id}, NextSlot: m.nextSlot(), Leaving: m.leaving}
 	for id := range m.reports {
 		report.Connected = append(report.Connected, id)
 	}
@@ -242,7 +242,7 @@
 	return report
 }
 
-// allReports are the own one and those of the keepers that are connected.
+// allReports are the machine's own report and those of the keepers that are connected.
 func (m *machine) allReports() []Report {
 	reports := []Report{m.report()}
 	for _, r := range m.reports {
@@ -266,7 +266,7 @@
 		return // its link has ended
 	}
 	m.reports[report.Keeper.ID] = &receivedReport{report, from, m.cluster.Now()}
-	if report.NextSlot > m.stored() {
+	if report.NextSlot > m.nextSlot() {
 		m.step(func() { m.register.RequestState(m.cluster.Now(), report.Keeper) })
 	}
 }
@@ -303,7 +303,7 @@
 func (m *machine) recordBehind() {
 	behind := false
 	for _, r := range m.reports {
-		behind = behind || r.NextSlot > m.stored()
+		behind = behind || r.NextSlot > m.nextSlot()
 	}
 	switch {
 	case !behind:
@@ -400,7 +400,7 @@
 
 // terminate is SIGTERM: the machine gives up its vote, where it can, and ends.
 func (m *machine) terminate(ended func()) {
-	m.cluster.tracef("%s is told to end", m.name)
+	m.cluster.tracef("%s gets SIGTERM", m.name)
 	m.leaving = true
 	m.candidate.Stop()
 	m.sendReports()
--- a/internal/consensus/reconfigure/enumeration_test.go
+++ b/internal/consensus/reconfigure/enumeration_test.go
@@ -112,8 +112,8 @@
 	return s
 }
 
-// afterChange returns the models that the next change of voters may lead to: it is done when some majority of the new voters
-// has stored it.
+// afterChange returns the models that the next change of voters may lead to: it is done when some majority of the new
+// voters has stored it.
 func (w model) afterChange(s Situation) []model {
 	change, found := NextChange(s)
 	if !found {
@@ -140,7 +140,9 @@
 
 // dropRemoved drops machines that neither come back nor vote.
 func (w *model) dropRemoved() {
-	w.machines = slices.DeleteFunc(w.machines, func(m modelMachine) bool { return m.removed && !m.voter && m.lostVoters == 0 })
+	w.machines = slices.DeleteFunc(w.machines, func(m modelMachine) bool {
+		return m.removed && !m.voter && m.lostVoters == 0
+	})
 }
 
 // afterWrite returns a model for each least majority that may have stored a write when it is acknowledged.
@@ -324,7 +326,7 @@
 		return fmt.Sprintf("%d of %d voters are connected", connected, voters)
 	}
 	if complete == 0 {
-		return "no voter that is connected holds all that was acknowledged"
+		return "no voter that is connected has stored all that was acknowledged"
 	}
 	if more := w.maxFailures - w.losses(); repaired && connected-more < paxos.QuorumSize(voters) {
 		return fmt.Sprintf("%d of %d voters are connected, and %d more may be lost", connected, voters, more)
@@ -360,7 +362,7 @@
 
 // TestEveryOrderOfEvents plays every order of losses, losses of disks, partitions, returns, restarts, replacements, planned
 // replacements, writes and changes of voters within what may be lost. A majority is connected at each moment, with a
-// holder of all that was acknowledged, and after each repair as many more may be lost as the rules allow.
+// voter that has stored all that was acknowledged, and after each repair as many more may be lost as the rules allow.
 func TestEveryOrderOfEvents(t *testing.T) {
 	for _, c := range []struct{ machines, maxFailures, depth int }{
 		{3, 1, 12}, {4, 1, 10}, {5, 1, 8}, {5, 2, 7}, {8, 1, 5}, {8, 2, 5}, {9, 1, 5}, {9, 2, 5},
@@ -402,7 +404,8 @@
 		}
 		level = following
 	}
-	t.Logf("%d events deep: %d steps, %d states, %d of them first reached by the last event", depth, steps, len(seen), len(level))
+	t.Logf("%d events deep: %d steps, %d states, %d of them first reached by the last event",
+		depth, steps, len(seen), len(level))
 }
 
 // eventPath is an event and those before it.
--- a/internal/consensus/reconfigure/fence_test.go
+++ b/internal/consensus/reconfigure/fence_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// replacedWhileAway has the voter that is the lease holder partitioned until another machine has replaced it.
+// replacedWhileAway partitions the lease holder until another machine has replaced it as a voter.
 func replacedWhileAway(t *testing.T) (c *cluster, old *machine) {
 	t.Helper()
 	c = newCluster(1, 3, 1)
@@ -35,8 +35,8 @@
 	return c, old
 }
 
-// TestFencedVoter: a voter that was replaced while it was away has its old state when it wakes. It decides nothing with
-// that, its vote counts for nothing, and nobody who knows of its replacement grants it a lease.
+// A voter that was replaced while it was partitioned comes back with its old state. It decides nothing with that, its vote
+// does not count, and no voter that knows of its replacement grants it a lease.
 func TestFencedVoter(t *testing.T) {
 	t.Run("lease", func(t *testing.T) {
 		c, old := replacedWhileAway(t)
@@ -67,7 +67,7 @@
 		old.change(change, stale, orderTimeout, func(err error) { ended = err == nil })
 		c.RunUntil(c.Now() + time.Second)
 		if !ended {
-			t.Fatal("it was not told that others vote")
+			t.Fatal("it was not notified that others vote")
 		}
 		for _, m := range c.machines {
 			if m.known && len(m.state.Voters) < 3 {
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// trouble draws one that is allowed now, and what passes until the next.
+// injectRandomFault injects a fault that is allowed now, and lets a random time pass until the next.
 func (c *cluster) injectRandomFault() {
 	kinds := []func(){c.loseOne, c.loseOne, c.loseOne, c.loseOne, c.replacePlanned, c.restart}
 	kinds[c.rng.IntN(len(kinds))]()
@@ -113,7 +113,7 @@
 	return n
 }
 
-// waitUntilFewerCount passes time until fewer machines count as lost than may be.
+// waitUntilOneMoreMayBeLost passes time until fewer machines count as lost than may be lost.
 func (c *cluster) waitUntilOneMoreMayBeLost() {
 	for end := c.Now() + time.Minute; c.countedLosses() >= c.maxFailures && c.Now() < end; {
 		c.RunUntil(c.Now() + 10*time.Millisecond)
@@ -123,12 +123,12 @@
 	}
 }
 
-// anyLeaving reports whether a machine hands over.
+// anyLeaving reports whether a machine is shutting down.
 func (c *cluster) anyLeaving() bool {
 	return slices.ContainsFunc(c.machines, func(m *machine) bool { return m.up && m.leaving })
 }
 
-// running is a machine that is connected and does not count as lost, drawn at random; nil: there is none.
+// randomRunning is a random machine that is connected and does not count as lost; nil: there is none.
 func (c *cluster) randomRunning() *machine {
 	var all []*machine
 	for _, m := range c.machines {
@@ -142,7 +142,7 @@
 	return all[c.rng.IntN(len(all))]
 }
 
-// troubled notes that something happens now.
+// recordFault notes that something happens now.
 func (c *cluster) recordFault(format string, args ...any) {
 	c.lastFault = c.Now()
 	c.tracef(format, args...)
@@ -184,7 +184,7 @@
 	}
 }
 
-// back notes that a machine is back, or new.
+// recordReturn notes that a machine is back, or new.
 func (m *machine) recordReturn() {
 	m.cluster.recordFault("%s is there", m.name)
 	m.lostUntil = m.cluster.Now() + repairTime
@@ -229,10 +229,12 @@
 	m.terminate(func() { c.After(away, func() { m.start(); m.recordReturn() }) })
 }
 
-// returnAll waits until nothing counts as lost but what is new.
+// returnAll waits until all machines are back.
 func (c *cluster) returnAll() {
 	for end := c.Now() + time.Minute; c.Now() < end; c.RunUntil(c.Now() + 10*time.Millisecond) {
-		away := slices.ContainsFunc(c.machines, func(m *machine) bool { return !m.removed && (!m.connected() || m.leaving) })
+		away := slices.ContainsFunc(c.machines, func(m *machine) bool {
+			return !m.removed && (!m.connected() || m.leaving)
+		})
 		if !away {
 			return
 		}
@@ -249,7 +251,7 @@
 			continue
 		}
 		wanted++
-		if newest == nil || m.stored() > newest.stored() {
+		if newest == nil || m.nextSlot() > newest.nextSlot() {
 			newest = m
 		}
 	}
--- a/internal/consensus/reconfigure/rules_test.go
+++ b/internal/consensus/reconfigure/rules_test.go
@@ -138,10 +138,10 @@
 	kinds := []Voter{{Reachable: true}, {}, {UnreachableFor: time.Second}, {UnreachableFor: 9 * time.Second}}
 	situations := 0
 	for voters := 1; voters <= 5; voters++ {
-		for drawn := range pow(len(kinds), voters) {
+		for combination := range pow(len(kinds), voters) {
 			for flags := range 1 << (voters + 4) {
 				s := Situation{Limits: Limits{1 + flags>>(voters+3)&1, 5, testUnresponsiveTimeout}}
-				rest := drawn
+				rest := combination
 				for i := range voters {
 					voter := kinds[rest%len(kinds)]
 					rest /= len(kinds)
--- a/internal/consensus/singleton/singleton_test.go
+++ b/internal/consensus/singleton/singleton_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// cluster has voters that are candidates too, on a clock of its own.
+// cluster is a simulation of voters that are candidates too.
 type cluster struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -95,12 +95,12 @@
 	for seed := range uint64(300) {
 		n := []int{3, 4, 5, 8}[seed%4]
 		c := newCluster(seed, n)
-		cut := map[[2]int]bool{}
-		c.partitioned = func(a, b int) bool { return a != b && cut[[2]int{a, b}] }
+		cutLinks := map[[2]int]bool{}
+		c.partitioned = func(a, b int) bool { return a != b && cutLinks[[2]int{a, b}] }
 		for range 3000 {
 			c.step()
 			if h := c.leaseHolders(); len(h) > 1 {
-				t.Fatalf("seed %d at %v: %v hold it", seed, c.now, h)
+				t.Fatalf("seed %d at %v: %v have the lease", seed, c.now, h)
 			}
 			switch c.rng.IntN(150) {
 			case 0: // a node restarts
@@ -109,9 +109,9 @@
 			case 1:
 				c.frozenUntil[c.rng.IntN(n)] = c.now + time.Duration(c.rng.IntN(4000))*time.Millisecond
 			case 2:
-				cut[[2]int{c.rng.IntN(n), c.rng.IntN(n)}] = true
+				cutLinks[[2]int{c.rng.IntN(n), c.rng.IntN(n)}] = true
 			case 3:
-				clear(cut)
+				clear(cutLinks)
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 		}
 		first := c.leaseHolders()
 		if len(first) != 1 {
-			t.Fatalf("seed %d: after %v %v hold it, want one", seed, c.now, first)
+			t.Fatalf("seed %d: after %v %v have the lease, want one", seed, c.now, first)
 		}
 		without := 0
 		for range 1000 {
@@ -135,7 +135,7 @@
 			}
 		}
 		if without > 100 {
-			t.Errorf("seed %d: for %d of 1,000 steps nobody holds it", seed, without)
+			t.Errorf("seed %d: for %d of 1,000 steps nobody has the lease", seed, without)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 			c.step()
 		}
 		if h := c.leaseHolders(); len(h) != 1 || h[0] == old {
-			t.Errorf("seed %d: %v after its holder froze %v hold it", seed, c.now-at, h)
+			t.Errorf("seed %d: %v after its holder froze %v have the lease", seed, c.now-at, h)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-// A candidate that stops holds nothing, whatever grants are still under way.
+// A candidate that stops has no lease, whatever grants are still under way.
 func TestStoppedCandidateHoldsNoLease(t *testing.T) {
 	c := NewCandidate(func() float64 { return 0 })
 	_, round := c.Step(0, 1)
@@ -178,7 +178,7 @@
 	}
 	c.Stop()
 	if c.HasLease(2) {
-		t.Error("it holds the lease that it stopped using")
+		t.Error("it has the lease that it stopped using")
 	}
 	action, round := c.Step(3, 2)
 	if action != ActionRequest {
@@ -192,7 +192,7 @@
 	}
 }
 
-// A round ends as soon as no majority can grant it, so that it does not stand in the way of another candidate's.
+// A round ends as soon as no majority can grant it, so that it does not delay another candidate's.
 func TestRefusedRoundEndsAtOnce(t *testing.T) {
 	c := NewCandidate(func() float64 { return 0 })
 	_, round := c.Step(0, 3)
