--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -28,17 +28,17 @@
 	maxStalled   = 60
 )
 
-// playFaults plays all troubles of the plan at their times, side by side, and returns when the last one has ended.
+// playFaults plays all faults of the plan at their times, side by side, and returns when the last one has ended.
 func (p *play) playFaults(ctx context.Context) {
 	var all sync.WaitGroup
-	for _, t := range p.plan.Faults {
+	for _, fault := range p.plan.Faults {
 		all.Go(func() {
-			if !wait.For(ctx, time.Until(p.began.Add(t.At))) {
+			if !wait.For(ctx, time.Until(p.began.Add(fault.At))) {
 				return
 			}
-			p.options.Logf("%5.1f s  %v", time.Since(p.began).Seconds(), t)
-			if err := p.playFault(ctx, t); err != nil {
-				p.options.Logf("%5.1f s  trouble %d: %v", time.Since(p.began).Seconds(), t.Number, err)
+			p.options.Logf("%5.1f s  %v", time.Since(p.began).Seconds(), fault)
+			if err := p.playFault(ctx, fault); err != nil {
+				p.options.Logf("%5.1f s  trouble %d: %v", time.Since(p.began).Seconds(), fault.Number, err)
 			}
 		})
 	}
@@ -46,56 +46,58 @@
 	wait.For(ctx, time.Until(p.began.Add(p.plan.Length)))
 }
 
-// playFault plays one.
-func (p *play) playFault(ctx context.Context, t Fault) error {
-	role, variant, _ := strings.Cut(t.How, " ")
-	switch t.Kind {
+// playFault plays one fault and returns when it has ended.
+func (p *play) playFault(ctx context.Context, fault Fault) error {
+	role, variant, _ := strings.Cut(fault.How, " ")
+	switch fault.Kind {
 	case Kill:
-		return p.down(ctx, t, p.processes(t, cluster.Role(role), 1), (*cluster.Process).Kill, nil)
+		return p.down(ctx, fault, p.processes(fault, cluster.Role(role), 1), (*cluster.Process).Kill, nil)
 	case WipeDisk:
-		return p.down(ctx, t, p.processes(t, cluster.Role(role), 1), (*cluster.Process).Kill, (*cluster.Process).Wipe)
+		chosen := p.processes(fault, cluster.Role(role), 1)
+		return p.down(ctx, fault, chosen, (*cluster.Process).Kill, (*cluster.Process).Wipe)
 	case KillKeepers:
-		return p.down(ctx, t, p.keepers(), (*cluster.Process).Kill, nil)
+		return p.down(ctx, fault, p.keepers(), (*cluster.Process).Kill, nil)
 	case Term:
-		return p.down(ctx, t, p.processes(t, cluster.Role(role), 1), func(process *cluster.Process) error { return terminate(process, variant) }, nil)
+		end := func(process *cluster.Process) error { return terminate(process, variant) }
+		return p.down(ctx, fault, p.processes(fault, cluster.Role(role), 1), end, nil)
 	case TermStores:
-		return p.down(ctx, t, p.ofRole(cluster.Store), (*cluster.Process).Term, nil)
+		return p.down(ctx, fault, p.ofRole(cluster.Store), (*cluster.Process).Term, nil)
 	case RollProxies:
-		return p.rollProxies(ctx, t)
+		return p.rollProxies(ctx, fault)
 	case Freeze:
-		return p.freeze(ctx, t, p.processes(t, cluster.Role(role), 2))
+		return p.freeze(ctx, fault, p.processes(fault, cluster.Role(role), 2))
 	case Hangup:
-		return p.hangup(t)
+		return p.hangup(fault)
 	case CutOff, CutOneWay:
-		return p.cut(ctx, t, addressesOf(p.processes(t, cluster.Role(role), 1)), t.Kind == CutOneWay)
+		return p.cut(ctx, fault, addressesOf(p.processes(fault, cluster.Role(role), 1)), fault.Kind == CutOneWay)
 	case LoseAnswers:
-		machines := addressesOf(p.processes(t, cluster.Role(role), 2))
-		return p.separate(ctx, t, machines, []string{faults.Outside}, true, machines)
+		machines := addressesOf(p.processes(fault, cluster.Role(role), 2))
+		return p.separate(ctx, fault, machines, []string{faults.Outside}, true, machines)
 	case Halves:
-		return p.halves(ctx, t)
+		return p.halves(ctx, fault)
 	case Leave:
-		return p.leave(ctx, t)
+		return p.leave(ctx, fault)
 	case CrashServer:
-		return p.crashEndpoint(ctx, t)
+		return p.crashEndpoint(ctx, fault)
 	case DarkServer:
-		return p.darkEndpoint(ctx, t)
+		return p.darkEndpoint(ctx, fault)
 	case CorruptAnswers:
-		return p.corrupt(ctx, t)
+		return p.corrupt(ctx, fault)
 	case Misbehave:
-		return p.misbehave(ctx, t)
+		return p.misbehave(ctx, fault)
 	case Race:
-		p.orders.race(t.For)
+		p.orders.race(fault.For)
 		return nil
 	case Twin:
-		return p.processes(t, cluster.Role(role), 1)[0].StartTwin(twinWait)
+		return p.processes(fault, cluster.Role(role), 1)[0].StartTwin(twinWait)
 	}
-	return fmt.Errorf("no trouble is of kind %q", t.Kind)
+	return fmt.Errorf("no trouble is of kind %q", fault.Kind)
 }
 
-// processes are those of a role that the targets choose, up to so many.
-func (p *play) processes(t Fault, role cluster.Role, most int) (chosen []*cluster.Process) {
+// processes returns those of a role that the targets choose, at most so many.
+func (p *play) processes(fault Fault, role cluster.Role, limit int) (chosen []*cluster.Process) {
 	all := p.ofRole(role)
-	for _, target := range t.Targets[:min(most, len(t.Targets))] {
+	for _, target := range fault.Targets[:min(limit, len(fault.Targets))] {
 		if process := all[target%len(all)]; !slices.Contains(chosen, process) {
 			chosen = append(chosen, process)
 		}
@@ -103,10 +105,12 @@
 	return chosen
 }
 
-// down ends processes in the way that is named, and starts them again after a while. A process that another trouble has down is left
-// alone.
-func (p *play) down(ctx context.Context, t Fault, processes []*cluster.Process, end, then func(*cluster.Process) error) error {
-	failed := make([]error, len(processes))
+// down ends processes by end, does then with each that has ended (nil: nothing), and starts them again after a while.
+// A process that another fault has ended is left alone.
+func (p *play) down(
+	ctx context.Context, fault Fault, processes []*cluster.Process, end, then func(*cluster.Process) error,
+) error {
+	failures := make([]error, len(processes))
 	var all sync.WaitGroup
 	for i, process := range processes {
 		all.Go(func() {
@@ -115,17 +119,17 @@
 				return
 			}
 			defer lock.(*sync.Mutex).Unlock()
-			defer p.timeline.begin(string(t.Kind), process)()
-			failed[i] = end(process)
+			defer p.timeline.begin(string(fault.Kind), process)()
+			failures[i] = end(process)
 			if then != nil {
-				failed[i] = errors.Join(failed[i], then(process))
+				failures[i] = errors.Join(failures[i], then(process))
 			}
-			wait.For(ctx, min(t.For, backAfter+t.For/2))
-			failed[i] = errors.Join(failed[i], process.Start())
+			wait.For(ctx, min(fault.For, backAfter+fault.For/2))
+			failures[i] = errors.Join(failures[i], process.Start())
 		})
 	}
 	all.Wait()
-	return errors.Join(failed...)
+	return errors.Join(failures...)
 }
 
 // terminate is SIGTERM, or two of them.
@@ -136,10 +140,12 @@
 	return process.Term()
 }
 
-func (p *play) rollProxies(ctx context.Context, t Fault) error {
+// rollProxies ends the proxies as planned one after another, each started again before the next one ends.
+func (p *play) rollProxies(ctx context.Context, fault Fault) error {
 	var failed error
 	for _, process := range p.ofRole(cluster.Proxy) {
-		failed = errors.Join(failed, p.down(ctx, Fault{Kind: t.Kind, For: rollPause}, []*cluster.Process{process}, (*cluster.Process).Term, nil))
+		one := Fault{Kind: fault.Kind, For: rollPause}
+		failed = errors.Join(failed, p.down(ctx, one, []*cluster.Process{process}, (*cluster.Process).Term, nil))
 		if !wait.For(ctx, rollPause) {
 			break
 		}
@@ -147,115 +153,124 @@
 	return failed
 }
 
-func (p *play) freeze(ctx context.Context, t Fault, processes []*cluster.Process) error {
+// freeze stops the threads of processes for a while.
+func (p *play) freeze(ctx context.Context, fault Fault, processes []*cluster.Process) error {
 	var failed error
 	for _, process := range processes {
-		defer p.timeline.begin(string(t.Kind), process)()
+		defer p.timeline.begin(string(fault.Kind), process)()
 		failed = errors.Join(failed, process.Freeze())
 	}
-	wait.For(ctx, t.For)
+	wait.For(ctx, fault.For)
 	for _, process := range processes {
 		failed = errors.Join(failed, process.Thaw())
 	}
 	return failed
 }
 
-// hangup has all processes read their settings anew, of which the seeds have another order.
-func (p *play) hangup(t Fault) error {
+// hangup has all processes reload their settings, in which the seeds have another order.
+func (p *play) hangup(fault Fault) error {
 	var failed error
 	for _, process := range p.cluster.Processes() {
-		defer p.timeline.touch(string(t.Kind), process)
-		failed = errors.Join(failed, process.Rewrite(t.Targets[0]), process.Hangup())
+		defer p.timeline.touch(string(fault.Kind), process)
+		failed = errors.Join(failed, process.Rewrite(fault.Targets[0]), process.Hangup())
 	}
-	if t.How == "stopping" {
-		process := p.cluster.Processes()[t.Targets[0]%len(p.cluster.Processes())]
-		return errors.Join(failed, p.down(context.Background(), Fault{Kind: Term, For: backAfter}, []*cluster.Process{process}, (*cluster.Process).Term, nil))
+	if fault.How == "stopping" {
+		process := p.cluster.Processes()[fault.Targets[0]%len(p.cluster.Processes())]
+		term := Fault{Kind: Term, For: backAfter}
+		stopped := p.down(context.Background(), term, []*cluster.Process{process}, (*cluster.Process).Term, nil)
+		return errors.Join(failed, stopped)
 	}
 	return failed
 }
 
-// cut keeps machines from all others for a while. Clients, operators and endpoints reach all.
-func (p *play) cut(ctx context.Context, t Fault, machines []string, oneWay bool) error {
+// cut separates machines from all others for a while. Clients, operators and endpoints reach all.
+func (p *play) cut(ctx context.Context, fault Fault, machines []string, oneWay bool) error {
 	var others []string
 	for _, address := range addressesOf(p.cluster.Processes()) {
 		if !slices.Contains(machines, address) {
 			others = append(others, address)
 		}
 	}
-	return p.separate(ctx, t, machines, others, oneWay, machines)
+	return p.separate(ctx, fault, machines, others, oneWay, machines)
 }
 
-// halves keeps one half of the machines with disks from the other one. Machines without disks reach both.
-func (p *play) halves(ctx context.Context, t Fault) error {
+// halves separates one half of the machines with disks from the other one. Machines without disks reach both.
+func (p *play) halves(ctx context.Context, fault Fault) error {
 	machines := addressesOf(p.keepers())
 	machines = append(machines, addressesOf(p.ofRole(cluster.Store))...)
-	rng := rand.New(rand.NewPCG(p.plan.Seed, uint64(t.Number)))
+	rng := rand.New(rand.NewPCG(p.plan.Seed, uint64(fault.Number)))
 	rng.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
-	return p.separate(ctx, t, machines[:len(machines)/2], machines[len(machines)/2:], false, machines)
+	return p.separate(ctx, fault, machines[:len(machines)/2], machines[len(machines)/2:], false, machines)
 }
 
-func (p *play) separate(ctx context.Context, t Fault, from, to []string, oneWay bool, hurt []string) error {
-	for _, address := range hurt {
-		defer p.timeline.beginAt(string(t.Kind), address)()
+// separate has nothing pass from some machines to others for a while, nor back unless it is one way. The machines in
+// affected count as faulty meanwhile.
+func (p *play) separate(
+	ctx context.Context, fault Fault, from, to []string, oneWay bool, affected []string,
+) error {
+	for _, address := range affected {
+		defer p.timeline.beginAt(string(fault.Kind), address)()
 	}
 	heal, err := p.cluster.Separate(from, to, oneWay)
 	if err != nil {
 		return err
 	}
 	p.decoy.to(from)
-	wait.For(ctx, t.For)
+	wait.For(ctx, fault.For)
 	p.decoy.to(nil)
 	heal()
 	return nil
 }
 
-// leave has an endpoint end, while another one takes its place elsewhere soon.
-func (p *play) leave(ctx context.Context, t Fault) error {
-	if strings.Contains(t.How, "lured") {
+// leave has an endpoint end as planned; a new incarnation then starts in its place.
+func (p *play) leave(ctx context.Context, fault Fault) error {
+	if strings.Contains(fault.How, "lured") {
 		wait.For(ctx, lureDelay)
 	}
-	e, at, there := p.removeEndpoint(t.Targets[0])
+	e, at, there := p.removeEndpoint(fault.Targets[0])
 	if !there {
 		return nil
 	}
-	if strings.Contains(t.How, "lured") {
+	if strings.Contains(fault.How, "lured") {
 		p.decoy.endpoint(true)
 		defer p.decoy.endpoint(false)
 	}
 	end := e.Leave
-	if strings.Contains(t.How, "silent") {
+	if strings.Contains(fault.How, "silent") {
 		end = e.Depart
 	}
 	p.drains.watch(e.ID(), end(ctx))
 	return p.startEndpoint(at)
 }
 
-func (p *play) crashEndpoint(ctx context.Context, t Fault) error {
-	e, at, there := p.removeEndpoint(t.Targets[0])
+// crashEndpoint ends an endpoint without notice; a new incarnation starts in its place after a while.
+func (p *play) crashEndpoint(ctx context.Context, fault Fault) error {
+	e, at, there := p.removeEndpoint(fault.Targets[0])
 	if !there {
 		return nil
 	}
 	e.Crash()
-	wait.For(ctx, t.For/2)
+	wait.For(ctx, fault.For/2)
 	return p.startEndpoint(at)
 }
 
-func (p *play) darkEndpoint(ctx context.Context, t Fault) error {
+// darkEndpoint has nothing move on the connections of an endpoint for a while.
+func (p *play) darkEndpoint(ctx context.Context, fault Fault) error {
 	all := p.running()
 	if len(all) == 0 {
 		return nil
 	}
-	e := all[t.Targets[0]%len(all)]
+	e := all[fault.Targets[0]%len(all)]
 	e.Dark(true)
-	wait.For(ctx, t.For)
+	wait.For(ctx, fault.For)
 	e.Dark(false)
 	return nil
 }
 
-// corrupt has endpoints spoil answers in turn.
-func (p *play) corrupt(ctx context.Context, t Fault) error {
+// corrupt has endpoints give corrupt answers, each in its turn.
+func (p *play) corrupt(ctx context.Context, fault Fault) error {
 	kinds := []engine.Fault{engine.Garble, engine.Surplus, engine.Lost, engine.Broken}
-	for n, until := 0, time.Now().Add(t.For); time.Now().Before(until) && wait.For(ctx, corruptEvery); n++ {
+	for n, until := 0, time.Now().Add(fault.For); time.Now().Before(until) && wait.For(ctx, corruptEvery); n++ {
 		if all := p.running(); len(all) > 0 {
 			all[n%len(all)].Break(kinds[n/len(all)%len(kinds)])
 		}
@@ -263,27 +278,33 @@
 	return nil
 }
 
+// incompleteRequests are the beginnings of requests that stall in the header, in a body and in a chunk.
+var incompleteRequests = []string{
+	"POST /talk/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\nContent-Le",
+	"POST /save/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\n" +
+		"Content-Length: 100000\r\n\r\nhalf of it",
+	"POST /bulk/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\n" +
+		"Content-Length: 100000\r\n\r\n{\"requests\":[",
+	"POST /save/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\n" +
+		"Transfer-Encoding: chunked\r\n\r\nff\r\nx",
+}
+
 // misbehave opens connections that stall in the middle of a header or a body, or close there.
-func (p *play) misbehave(ctx context.Context, t Fault) error {
+func (p *play) misbehave(ctx context.Context, fault Fault) error {
 	var stalled []net.Conn
 	defer func() {
 		for _, conn := range stalled {
 			_ = conn.Close()
 		}
 	}()
-	pieces := []string{
-		"POST /talk/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\nContent-Le",
-		"POST /save/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\nContent-Length: 100000\r\n\r\nhalf of it",
-		"POST /bulk/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\nContent-Length: 100000\r\n\r\n{\"requests\":[",
-		"POST /save/1 HTTP/1.1\r\nHost: tier.example\r\nX-Dunetide-Request-Id: stalled\r\nTransfer-Encoding: chunked\r\n\r\nff\r\nx",
-	}
 	fronts := p.ofRole(cluster.Proxy)
-	for n, until := t.Targets[0], time.Now().Add(t.For); time.Now().Before(until) && wait.For(ctx, stallEvery); n++ {
+	until := time.Now().Add(fault.For)
+	for n := fault.Targets[0]; time.Now().Before(until) && wait.For(ctx, stallEvery); n++ {
 		conn, err := net.DialTimeout("tcp", fronts[n%len(fronts)].ReachedFront(), time.Second)
 		if err != nil {
 			continue
 		}
-		_, _ = conn.Write([]byte(pieces[n%len(pieces)]))
+		_, _ = conn.Write([]byte(incompleteRequests[n%len(incompleteRequests)]))
 		if n%3 == 0 || len(stalled) >= maxStalled {
 			_ = conn.Close()
 			continue
@@ -293,7 +314,7 @@
 	return nil
 }
 
-// playFinal plays what happens at the end, and tells when.
+// playFinal plays what happens at the end, and returns when it began; zero: the plan has no final.
 func (p *play) playFinal(ctx context.Context) time.Time {
 	p.orders.awaitAcknowledged(ctx)
 	at := time.Now()
--- a/internal/lab/soak/orders.go
+++ b/internal/lab/soak/orders.go
@@ -22,7 +22,7 @@
 	readEvery   = 120 * time.Millisecond
 	readWait    = 2 * time.Second
 	ackedWait   = 4 * time.Second
-	raceVersion = 2 // the versions of two rivals differ, or not, by turns
+	raceVersion = 2 // two rivals use the same version, or different ones, by turns
 )
 
 // document is a configuration that was sent.
@@ -31,11 +31,13 @@
 	text    []byte
 }
 
-// orders are what the operators sent and what they were told, and what readers of the configuration saw.
+// orders is what the operators sent and which answers they got, and what readers of the configuration observed. The
+// rules: of two configurations on top of one version at most one is acknowledged, and no read is older than what was
+// acknowledged or read before.
 type orders struct {
 	mu         sync.Mutex
-	current    document // acknowledged, or read back
-	successors map[uint64]uint64
+	current    document            // acknowledged, or read back
+	successors map[uint64]uint64   // by version: the one that was acknowledged on top of it
 	sent       map[uint64][][]byte // all that were sent under a version
 	racing     time.Time           // until when two operators race
 	acked      int
@@ -44,38 +46,43 @@
 	refused    int
 }
 
-// start is the first configuration, before it is sent.
+// start notes the first configuration, before it is sent.
 func (o *orders) start(text []byte) {
 	o.current = document{version: 3, text: text}
 	o.successors = map[uint64]uint64{0: 3}
 	o.sent = map[uint64][][]byte{3: {text}}
 }
 
+// newest returns the newest configuration that is known to be in force.
 func (o *orders) newest() document {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.current
 }
 
+// race has two operators send at the same time for so long.
 func (o *orders) race(length time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.racing = time.Now().Add(length)
 }
 
+// isRacing reports whether two operators send at the same time at present.
 func (o *orders) isRacing() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return time.Now().Before(o.racing)
 }
 
+// violated notes a violation of the rules of configurations.
 func (o *orders) violated(form string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.violations = append(o.violations, fmt.Sprintf(form, args...))
 }
 
-// successor makes an order on top of a document. The number tells two rivals' apart, also where both take the same version.
+// successor makes an order on top of a document. The rival's number makes the texts of two rivals differ, also where
+// both use the same version.
 func (o *orders) successor(base document, rival int) (document, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(base.text, &fields); err != nil {
@@ -86,7 +93,8 @@
 		version += (base.version % raceVersion) * uint64(rival)
 	}
 	fields["version"] = fmt.Append(nil, version)
-	fields["limits"] = fmt.Appendf(nil, `{"max_header_bytes":16384,"max_body_bytes":4194304,"header_wait_ms":%d,"idle_ms":15000}`, 3000+2*int(version%500)+rival)
+	const limits = `{"max_header_bytes":16384,"max_body_bytes":4194304,"header_wait_ms":%d,"idle_ms":15000}`
+	fields["limits"] = fmt.Appendf(nil, limits, 3000+2*int(version%500)+rival)
 	text, err := json.Marshal(fields)
 	if err != nil {
 		return document{}, err
@@ -97,13 +105,14 @@
 	return document{version, text}, nil
 }
 
-// acknowledged notes that an order was; two on top of one version break what is promised.
+// acknowledged notes the acknowledgement of an order. Two on top of one version are a violation.
 func (o *orders) acknowledged(base uint64, d document) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.acked++
 	if other, there := o.successors[base]; there && other != d.version {
-		o.violations = append(o.violations, fmt.Sprintf("versions %d and %d are both acknowledged on top of %d", other, d.version, base))
+		o.violations = append(o.violations,
+			fmt.Sprintf("versions %d and %d are both acknowledged on top of %d", other, d.version, base))
 	}
 	o.successors[base] = d.version
 	if d.version > o.current.version {
@@ -129,7 +138,9 @@
 				return
 			}
 			sending.Go(func() {
-				results[i] = wait.Within(ctx, orderWait, func(ctx context.Context) error { return rival.Put(ctx, base.version, order.text) })
+				results[i] = wait.Within(ctx, orderWait, func(ctx context.Context) error {
+					return rival.Put(ctx, base.version, order.text)
+				})
 				if results[i] == nil {
 					p.orders.acknowledged(base.version, order)
 				}
@@ -140,15 +151,19 @@
 	}
 }
 
-// resolve finds out what is in place where an order got no clear answer, or another version was in the way.
+// resolve finds out what is in force after an order that got no clear answer, or that met another version.
 func (o *orders) resolve(ctx context.Context, operator *operator.Operator, results []error) {
 	for _, err := range results {
 		if err == nil {
 			continue
 		}
 		var text []byte
-		if wait.Within(ctx, orderWait, func(ctx context.Context) (err error) { text, err = operator.Config(ctx); return err }) != nil {
-			return // the next order is tried on what is known
+		err := wait.Within(ctx, orderWait, func(ctx context.Context) (err error) {
+			text, err = operator.Config(ctx)
+			return err
+		})
+		if err != nil {
+			return // the next order is tried on top of what is known
 		}
 		if d, err := o.identify(text); err == nil {
 			o.mu.Lock()
@@ -161,7 +176,7 @@
 	}
 }
 
-// identify finds the order that a configuration is; one that nobody sent breaks what is promised.
+// identify returns the order that a configuration came from. One that nobody sent is a violation.
 func (o *orders) identify(text []byte) (document, error) {
 	var head struct {
 		Version uint64 `json:"version"`
@@ -180,8 +195,8 @@
 	return document{}, errors.New("nobody sent it")
 }
 
-// readConfig reads the configuration at one keeper again and again. What is answered is not older than what was acknowledged to
-// anybody, or read by anybody, before the read was sent.
+// readConfig reads the configuration at one keeper again and again. What is answered is not older than what was
+// acknowledged to anybody, or read by anybody, before the read was sent.
 func (p *play) readConfig(ctx context.Context, keeper *cluster.Process) {
 	client := &http.Client{Timeout: readWait, Transport: &http.Transport{DisableKeepAlives: true}}
 	for wait.For(ctx, readEvery) {
@@ -222,7 +237,8 @@
 	defer o.mu.Unlock()
 	o.reads++
 	if d.version < floor {
-		o.violations = append(o.violations, fmt.Sprintf("%v answers version %d to a read that was sent after %d was acknowledged or read", keeper, d.version, floor))
+		o.violations = append(o.violations, fmt.Sprintf(
+			"%v answers version %d to a read that was sent after %d was acknowledged or read", keeper, d.version, floor))
 	}
 	if d.version > o.current.version {
 		o.current = d
@@ -237,7 +253,8 @@
 		return o.acked
 	}
 	before := count()
-	for until := time.Now().Add(ackedWait); count() == before && time.Now().Before(until) && wait.For(ctx, time.Millisecond); {
+	until := time.Now().Add(ackedWait)
+	for count() == before && time.Now().Before(until) && wait.For(ctx, time.Millisecond) {
 		continue
 	}
 }
--- a/internal/lab/soak/timeline.go
+++ b/internal/lab/soak/timeline.go
@@ -8,11 +8,12 @@
 	"dunetide/internal/lab/tier/cluster"
 )
 
-// machine is an address and whether it counts for the core: its keeper or store has a disk.
+// machine is one address of the tier. It belongs to the core when its keeper or store has a disk.
 type machine struct {
 	core bool
 }
 
+// machinesOf returns the machines of a cluster by their addresses.
 func machinesOf(c *cluster.Cluster) map[string]machine {
 	all := map[string]machine{}
 	for _, p := range c.Processes() {
@@ -23,7 +24,7 @@
 	return all
 }
 
-// span is a trouble at a machine.
+// span is the time in which a machine had a fault.
 type span struct {
 	what     string
 	address  string
@@ -37,11 +38,12 @@
 	spans    []*span
 }
 
-// begin notes a trouble at the machine of a process; what it returns ends it.
+// begin notes a fault at the machine of a process; the function that it returns ends it.
 func (t *timeline) begin(what string, p *cluster.Process) (end func()) {
 	return t.beginAt(what, p.Address())
 }
 
+// beginAt is begin for the machine at an address.
 func (t *timeline) beginAt(what, address string) (end func()) {
 	s := &span{what: what, address: address, from: time.Now()}
 	t.mu.Lock()
@@ -54,17 +56,17 @@
 	}
 }
 
-// touch notes a trouble of a moment.
+// touch notes a fault that is over at once.
 func (t *timeline) touch(what string, p *cluster.Process) { t.begin(what, p)() }
 
-// inTouch reports whether a machine had no trouble of its own in the time before a moment, and the core was stable then: none of its
-// machines came into trouble or out of it, and more than half of them were without.
+// inTouch reports whether a machine had no fault of its own in the time inTouch before a moment, and the core was
+// stable then: no fault began or ended at one of its machines, and more than half of them had none.
 func (t *timeline) inTouch(address string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	since := at.Add(-inTouch)
 	within := func(moment time.Time) bool { return !moment.IsZero() && moment.After(since) && !moment.After(at) }
-	troubled := map[string]bool{}
+	faulty := map[string]bool{}
 	for _, s := range t.spans {
 		overlaps := !s.from.After(at) && (s.to.IsZero() || s.to.After(since))
 		if s.address == address && overlaps {
@@ -76,7 +78,7 @@
 		if within(s.from) || within(s.to) {
 			return false
 		}
-		troubled[s.address] = true
+		faulty[s.address] = true
 	}
 	core := 0
 	for _, m := range t.machines {
@@ -84,10 +86,10 @@
 			core++
 		}
 	}
-	return 2*len(troubled) < core
+	return 2*len(faulty) < core
 }
 
-// before describes what happened around a moment, for people.
+// before describes the faults in the time before a moment, for people.
 func (t *timeline) before(at time.Time, reach time.Duration) (all []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,72 +101,3 @@
 	slices.Sort(all)
 	return slices.Compact(all)
 }
-
-// drains are endpoints whose end was acknowledged.
-type drains struct {
-	mu    sync.Mutex
-	acked map[string]time.Time
-}
-
-// watch notes when an endpoint's end was acknowledged; zero: never.
-func (d *drains) watch(id string, acked time.Time) {
-	if acked.IsZero() {
-		return
-	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.acked == nil {
-		d.acked = map[string]time.Time{}
-	}
-	d.acked[id] = acked
-}
-
-func (d *drains) of(id string) (time.Time, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	acked, there := d.acked[id]
-	return acked, there
-}
-
-// misdirected has endpoints that leave report to machines that are cut off.
-type misdirected struct {
-	mu       sync.Mutex
-	machines []string // that are cut off
-	leaving  int      // endpoints that are lured
-}
-
-func (l *misdirected) to(machines []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.machines = machines
-}
-
-func (l *misdirected) endpoint(begins bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if begins {
-		l.leaving++
-	} else {
-		l.leaving--
-	}
-}
-
-// controls orders the addresses that take heartbeats: those of machines that are cut off first while an endpoint is lured.
-func (l *misdirected) controls(c *cluster.Cluster) func() []string {
-	return func() []string {
-		l.mu.Lock()
-		cut, leaving := l.machines, l.leaving
-		l.mu.Unlock()
-		var first, rest []string
-		for _, p := range c.Processes() {
-			switch {
-			case p.Role != cluster.Keeper:
-			case leaving > 0 && slices.Contains(cut, p.Address()):
-				first = append(first, p.ReachedControl())
-			default:
-				rest = append(rest, p.ReachedControl())
-			}
-		}
-		return append(first, rest...)
-	}
-}
