--- a/cmd/dunetide/batchcalls_test.go
+++ b/cmd/dunetide/batchcalls_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-func TestInHand(t *testing.T) {
+func TestItemLimit(t *testing.T) {
 	endpoint := func(capacity int, state snapshot.State) *snapshot.Endpoint {
 		return &snapshot.Endpoint{Capacity: capacity, State: state}
 	}
--- a/cmd/dunetide/certify_test.go
+++ b/cmd/dunetide/certify_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestWrongUsesEndBeforeAnyCall(t *testing.T) {
+func TestInvalidUsesEndBeforeAnyCall(t *testing.T) {
 	k, at := serve(t)
 	path := filepath.Join(t.TempDir(), "x")
 	if err := os.WriteFile(path, []byte("{}"), 0o600); err != nil {
--- a/cmd/dunetide/condition_test.go
+++ b/cmd/dunetide/condition_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestKeepersAreToldOfAFullDisk: a process that is out of service as its disk is full tells keepers so, passing over one
+// TestFullDiskIsReportedToKeepers: a process that is out of service as its disk is full tells keepers so, passing over one
 // that does not answer, and tells when that is over.
-func TestKeepersAreToldOfAFullDisk(t *testing.T) {
+func TestFullDiskIsReportedToKeepers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dunetide/cut_wrong_test.go
+++ b/cmd/dunetide/cut_mutants_test.go
@@ -13,9 +13,9 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrongCuts are lines that would break what a keeper without contact promises, one at a time. Keepers that are built with one of
+// cutMutants are lines that would break what a keeper without contact promises, one at a time. Keepers that are built with one of
 // them have to be found out from outside.
-var wrongCuts = []mutation.Mutant{
+var cutMutants = []mutation.Mutant{
 	{
 		Name: "acknowledged without contact",
 		File: "../../internal/control/keeper/endpoints.go",
@@ -72,27 +72,27 @@
 	},
 }
 
-// TestWrongCutsStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongCutsStand(t *testing.T) { mutation.CheckPresent(t, wrongCuts) }
+// TestCutMutantsStand fails when a line of the list no longer stands once in the file that it names.
+func TestCutMutantsStand(t *testing.T) { mutation.CheckPresent(t, cutMutants) }
 
-// Each wrong line can still be put where it belongs.
-func TestWrongLinesStand(t *testing.T) {
-	mutation.CheckPresent(t, wrongCuts)
+// Each mutant can still be put where it belongs.
+func TestMutantsStand(t *testing.T) {
+	mutation.CheckPresent(t, cutMutants)
 }
 
-// Each wrong line is found. This takes minutes, so it is asked for: CUT_WRONG=1, or a part of a name.
-func TestWrongCutsAreFound(t *testing.T) {
+// Each mutant is found. This takes minutes, so it is requested by CUT_WRONG=1, or a part of a name.
+func TestCutMutantsAreFound(t *testing.T) {
 	only := os.Getenv("CUT_WRONG")
 	if only == "" {
 		t.Skip("CUT_WRONG is not set")
 	}
-	for _, line := range wrongCuts {
-		if only != "1" && !strings.Contains(line.Name, only) {
+	for _, mutant := range cutMutants {
+		if only != "1" && !strings.Contains(mutant.Name, only) {
 			continue
 		}
-		t.Run(line.Name, func(t *testing.T) {
+		t.Run(mutant.Name, func(t *testing.T) {
 			dir := t.TempDir()
-			if err := buildRelayed(dir, line); err != nil {
+			if err := buildRelayed(dir, mutant); err != nil {
 				t.Fatal(err)
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 6*time.Minute)
--- a/cmd/dunetide/diskspace_test.go
+++ b/cmd/dunetide/diskspace_test.go
@@ -14,7 +14,7 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-func TestWhenRoom(t *testing.T) {
+func TestRunWithDiskSpace(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	p := &process{log: hclog.NewNullLogger(), ctx: ctx}
 	disk := vfstest.New()
--- a/cmd/dunetide/stalled_test.go
+++ b/cmd/dunetide/stalled_test.go
@@ -35,7 +35,7 @@
 
 // A client that stalls in the body of a call about batch jobs is answered, and its connection ended, when its time is up: it must not
 // hold the connection, its descriptor and what came of the body for as long as it likes.
-func TestStalledCallAboutJobs(t *testing.T) {
+func TestStalledBatchCall(t *testing.T) {
 	j := jobsUnderTest(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { j.serveCall(w, r, nil) }))
 	defer server.Close()
@@ -75,7 +75,7 @@
 func (d *deadlines) SetReadDeadline(time.Time) error { return nil }
 
 // A client that does not read its answer is let go.
-func TestAnswersAboutJobsHaveADeadline(t *testing.T) {
+func TestBatchAnswersHaveADeadline(t *testing.T) {
 	j := jobsUnderTest(t)
 	w := &deadlines{ResponseRecorder: httptest.NewRecorder()}
 	j.serveCall(w, httptest.NewRequest(http.MethodGet, "/lots/a?start_after=0", nil), nil)
--- a/internal/proxy/dispatch/certified_test.go
+++ b/internal/proxy/dispatch/certified_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRegulatedWorkWaitsInTheHoldAndIsRefusedPlainly(t *testing.T) {
+func TestRegulatedWorkQueuesAndIsRefusedWithItsReason(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1", "e2")
 	var certified []string
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestAllOutMeansAllCertifiedOnes(t *testing.T) {
+func TestLeastEjectedEndpointIsCertified(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1", "e2")
 	certified := []string{"e1"}
@@ -84,7 +84,7 @@
 	expect(t, b, "")
 }
 
-func TestHeldRegulatedWorkBlocksNobodyElse(t *testing.T) {
+func TestQueuedRegulatedWorkBlocksNobodyElse(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1", "e2")
 	var certified []string
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestHomesAreWithinTheCertifiedSet(t *testing.T) {
+func TestPreferredEndpointsAreCertified(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1", "e2", "e3", "e4", "e5", "e6")
 	certified := []string{"e2", "e5"}
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestAHeldItemGoesWhenItsCertificateComes(t *testing.T) {
+func TestQueuedItemRunsWhenItsCertificateArrives(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
 	d.Update(snapshotOf(1, &snapshot.Endpoint{ID: "e1", Service: "s", Address: "e1:1", Zone: "a", Capacity: 4}))
--- a/internal/proxy/dispatch/dispatcher_test.go
+++ b/internal/proxy/dispatch/dispatcher_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAcquireLeavesTheHoldWithItsContext(t *testing.T) {
+func TestAcquireLeavesTheQueueWithItsContext(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestHeldBulkGoesWhenAnEndpointComes(t *testing.T) {
+func TestQueuedBulkRunsWhenAnEndpointArrives(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
 	r := request(time.Now())
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestCloseRefusesWhatWaitsAndComes(t *testing.T) {
+func TestCloseRefusesPendingAndNewRequests(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	r := request(time.Now())
 	r.Bulk = true
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestMany lets many ask at once, for the race detector.
-func TestMany(t *testing.T) {
+// TestConcurrentAcquires lets many ask at once, for the race detector.
+func TestConcurrentAcquires(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
 	var eps []*snapshot.Endpoint
--- a/internal/proxy/dispatch/estimate_test.go
+++ b/internal/proxy/dispatch/estimate_test.go
@@ -28,7 +28,7 @@
 }
 
 // What was measured in a queue does not make a sender refuse all that comes when the queue is gone.
-func TestEstimatesOfABadMomentDoNotLast(t *testing.T) {
+func TestEstimatesRecoverAfterOverload(t *testing.T) {
 	b := newBench(Settings{})
 	b.snap.Proxies = 20
 	slowStart(b, 6)
@@ -56,7 +56,7 @@
 }
 
 // Where all would be refused by an estimate, one request in a while tests it.
-func TestAnEstimateThatNobodyTestsRefusesNobody(t *testing.T) {
+func TestStaleEstimateRefusesNobody(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
 	b.c.pool("s").firstTokenFit = linearFit{weight: 100, sumX: 100, sumY: 100 * 8000, sumXX: 200, sumXY: 100 * 8000} // 8 s to the first word
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/platform/invariant/invarianttest"
 )
 
-func TestGrantsOfOtherEndpointsAreFound(t *testing.T) {
+func TestInvariantFindsGrantsOfIneligibleEndpoints(t *testing.T) {
 	w := &waiter{request: &Request{ID: "r1"}}
 	checkGrant(w, &endpoint{state: snapshot.Ready})
 	for name, e := range map[string]*endpoint{"draining": {state: snapshot.Draining}, "not listed": {state: snapshot.Ready, unlisted: true}} {
--- a/internal/proxy/dispatch/lies_test.go
+++ b/internal/proxy/dispatch/load_test.go
@@ -22,7 +22,7 @@
 }
 
 // An endpoint that lies about its load neither draws much more than its part nor starves those beside it.
-func TestLoadsThatAreLies(t *testing.T) {
+func TestImplausibleLoadReports(t *testing.T) {
 	layout := wideLayout()
 	layout.senders, layout.endpoints = 12, 15
 	kinds := func() []*fleetKind { return mixture(70, 15, 30) }
@@ -56,7 +56,7 @@
 }
 
 // A capacity that is announced with a heartbeat is believed within bounds, too.
-func TestCapacitiesThatAreLies(t *testing.T) {
+func TestImplausibleCapacities(t *testing.T) {
 	for _, capacity := range []int{-5, 0, 1 << 30} {
 		b := newBench(Settings{})
 		b.add("e1", "e2", "e3")
--- a/internal/proxy/dispatch/place_test.go
+++ b/internal/proxy/dispatch/place_test.go
@@ -38,7 +38,7 @@
 	return refusals, served
 }
 
-func TestCountsBindAfterRefusals(t *testing.T) {
+func TestRateLimitBindsAfterRefusals(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
 	refusals, _ := b.limited(t, 1000, 30, 10*time.Second)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestOneRefusalThrottlesNotForLong(t *testing.T) {
+func TestRateLimitRecoversAfterOneRefusal(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
 	b.c.endRun(b.ask(&Request{ID: "1"}).granted, NotRun, Load{})
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestRefusalOfCallsThatWereOutCutsOnce(t *testing.T) {
+func TestRefusalsOfRunsInFlightReduceTheRateLimitOnce(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
 	for i := range 8 {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestSliceFollowsTheNumberOfSenders(t *testing.T) {
+func TestRateLimitFollowsTheNumberOfSenders(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
 	for i := range 8 {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestToldRoomLiftsTheSlice(t *testing.T) {
+func TestReportedFreeSlotsLiftTheRateLimit(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
 	b.ask(&Request{ID: "0"})
@@ -144,7 +144,7 @@
 	return n
 }
 
-func TestHomesAreStableAndTheSameForAllSenders(t *testing.T) {
+func TestPreferredEndpointsAreStableAndTheSameForAllSenders(t *testing.T) {
 	var ids []string
 	for i := range 12 {
 		ids = append(ids, fmt.Sprint("e", i))
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestAFullHomeIsPassedBy(t *testing.T) {
+func TestFullPreferredEndpointIsAvoided(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1", "e2", "e3")
 	places := map[string]int{}
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestModelOfKeptParts(t *testing.T) {
+func TestPrefixCacheEvictsTheLeastRecentlyUsed(t *testing.T) {
 	var c prefixCache
 	add := func(most int64, parts ...PromptPart) {
 		c.recordPrompt(0, hashPrefixes("m", parts), parts, 1, most, 100)
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestSpeedIsLearnt(t *testing.T) {
+func TestPrefillSpeedIsLearnt(t *testing.T) {
 	l := initialFit()
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 500 {
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestTheHoldIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	b := newBench(Settings{MaxQueued: 5})
 	for i := range 20 {
 		b.ask(&Request{ID: fmt.Sprint(i), Bulk: true})
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestWhatIsListedNoMoreIsForgottenWhenItsRunsEnd(t *testing.T) {
+func TestUnlistedEndpointIsRemovedWhenItsRunsEnd(t *testing.T) {
 	b := newBench(Settings{})
 	b.add("e1")
 	w := b.ask(&Request{ID: "1"})
@@ -279,7 +279,7 @@
 }
 
 // Homes are the endpoints with the highest scores, in their order, whatever the order in which they are listed.
-func TestHomesAreTheFirstOfTheCommonOrder(t *testing.T) {
+func TestPreferredEndpointsAreTheFirstOfTheCommonOrder(t *testing.T) {
 	for n := range 8 {
 		b := newBench(Settings{})
 		for i := range n {
--- a/internal/proxy/dispatch/prefixcache_test.go
+++ b/internal/proxy/dispatch/prefixcache_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLifetimeOfKeptParts(t *testing.T) {
+func TestLifetimeOfCachedParts(t *testing.T) {
 	var c prefixCache
 	if c.lifetime(0, 10, 400_000) != maxCacheLifetime || c.lifetime(0, 10, 0) != maxCacheLifetime {
 		t.Error("what nothing flows into keeps its parts for the longest time")
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestKeptPartsAgeOut(t *testing.T) {
+func TestCachedPartsExpire(t *testing.T) {
 	var c prefixCache
 	parts := []PromptPart{{1, 100}, {2, 50}}
 	chains := hashPrefixes("m", parts)
--- a/internal/proxy/dispatch/world_test.go
+++ b/internal/proxy/dispatch/world_test.go
@@ -339,7 +339,7 @@
 	return earned / owed
 }
 
-func TestAnOrdinaryDayIsInAimAndReadsSharedPartsOnce(t *testing.T) {
+func TestOrdinaryLoadMeetsItsTargetAndPrefillsSharedPartsOnce(t *testing.T) {
 	for _, scale := range []float64{1, 4} {
 		t.Run(fmt.Sprint(scale), func(t *testing.T) {
 			w := newWorld(10, 18, 4, Settings{})
@@ -356,7 +356,7 @@
 	}
 }
 
-func TestOverloadIsServedInAim(t *testing.T) {
+func TestOverloadMeetsItsTarget(t *testing.T) {
 	w := newWorld(10, 18, 4, Settings{})
 	w.kinds = ordinary(14)
 	w.play(8 * time.Second)
@@ -382,7 +382,7 @@
 	}
 }
 
-func TestABurstIsOverSoon(t *testing.T) {
+func TestBurstDrainsSoon(t *testing.T) {
 	w := newWorld(10, 18, 4, Settings{})
 	w.kinds = ordinary(4)
 	w.play(2 * time.Second)
@@ -400,7 +400,7 @@
 	}
 }
 
-func TestSickEndpointsCostLittle(t *testing.T) {
+func TestUnhealthyEndpointsCostLittle(t *testing.T) {
 	for name, ill := range map[string]func(*engine, bool){
 		"broken": func(e *engine, on bool) { e.broken = on },
 		"dark":   func(e *engine, on bool) { e.dark = on },
--- a/internal/proxy/forward/account/settle_test.go
+++ b/internal/proxy/forward/account/settle_test.go
@@ -6,7 +6,7 @@
 )
 
 // Each rule is found broken where it is, and only that one.
-func TestEachBreachIsFound(t *testing.T) {
+func TestScenarioCheckFindsEachBreach(t *testing.T) {
 	const id, service = "call-1", "alpha"
 	one := run{ID: id, Kind: writeCall, Asked: service, Instance: "i-1", Service: service}
 	two := one
@@ -53,7 +53,7 @@
 }
 
 // An answer is judged by its id, its seal and its body.
-func TestWrongBodies(t *testing.T) {
+func TestInvalidBodies(t *testing.T) {
 	right := answerBody("alpha", "call-1")
 	for name, c := range map[string]struct {
 		call  sentCall
--- a/internal/proxy/forward/budget_test.go
+++ b/internal/proxy/forward/budget_test.go
@@ -12,7 +12,7 @@
 
 // A request runs at no more endpoints than its route's tries, whatever they answer; those that reject it, or that take no
 // connection, don't count.
-func TestTriesBoundTheEndpointsThatRunARequest(t *testing.T) {
+func TestAttemptsBoundTheEndpointsThatRunARequest(t *testing.T) {
 	for name, answer := range map[string]func(id string, after int) string{
 		"closed":        func(string, int) string { return "" },
 		"500":           failureAnswer.of,
--- a/internal/proxy/forward/certified_test.go
+++ b/internal/proxy/forward/certified_test.go
@@ -79,7 +79,7 @@
 	return b
 }
 
-func TestNothingIsSentToWhoIsNotCertified(t *testing.T) {
+func TestUncertifiedEndpointsAreNotGranted(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2) // its admission knows nothing of certificates, as one whose grant is late
 	b := g.certify("e2")
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestWhereNobodyIsCertifiedItIsRefusedWithItsReason(t *testing.T) {
+func TestRefusalStatesThatNoEndpointIsCertified(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
 	for _, kind := range []operatorconfig.RouteKind{operatorconfig.Writes, operatorconfig.ReadOnly} {
 		g := newRig(t, route(kind, 2), e1, e2)
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestWhatAdmissionRefusesForWantOfCertificatesIsCounted(t *testing.T) {
+func TestRefusalsForWantOfCertificatesAreCounted(t *testing.T) {
 	g := newRig(t, route(operatorconfig.Writes, 1))
 	g.certify()
 	g.a.refuse = &dispatch.RefusedError{Reason: "no certified node for regime fin is free", RetryAfter: 70 * time.Millisecond, Regime: "fin"}
@@ -129,7 +129,7 @@
 }
 
 // The first certificates come while a request is on its way to an endpoint that was granted before.
-func TestARouteThatIsRegulatedMeanwhile(t *testing.T) {
+func TestRouteThatBecomesRegulatedInFlight(t *testing.T) {
 	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2)
 	b := g.certify("e2")
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestARecordThatIsFullStopsRegulatedWork(t *testing.T) {
+func TestFullRecordStopsRegulatedWork(t *testing.T) {
 	e1 := newEndpoint(t, "e1", says(sealed, "one"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1)
 	b := g.certify("e1")
--- a/internal/proxy/forward/client_test.go
+++ b/internal/proxy/forward/client_test.go
@@ -139,7 +139,7 @@
 }
 
 // A body that does not arrive in time is not waited for beyond the route's timeout.
-func TestSlowBodyIsNotHeldBeyondTheTimeout(t *testing.T) {
+func TestSlowBodyIsNotAwaitedBeyondTheTimeout(t *testing.T) {
 	r := route(operatorconfig.Writes, 1)
 	r.TimeoutMs = 100
 	g := newRig(t, r, newEndpoint(t, "e1", says(sealed, "ok")))
--- a/internal/proxy/forward/enumerate_test.go
+++ b/internal/proxy/forward/enumerate_test.go
@@ -356,7 +356,7 @@
 
 // Whatever an endpoint does at any byte of any answer: no answer goes to the wrong caller, nothing that must not be repeated runs
 // twice, and nothing that was cut looks complete.
-func TestEveryMisdeedAtEveryByte(t *testing.T) {
+func TestEveryFaultAtEveryByte(t *testing.T) {
 	var plays atomic.Int64
 	t.Cleanup(func() { t.Logf("%d plays of two requests each", plays.Load()) })
 	for _, k := range requestKinds {
@@ -376,7 +376,7 @@
 }
 
 // An endpoint that falls silent at any byte: the request ends at its deadline, and nothing else changes.
-func TestSilenceAtEveryByte(t *testing.T) {
+func TestUnresponsiveEndpointAtEveryByte(t *testing.T) {
 	silence := misdeed{"silence", func(c *net.TCPConn, answer, _ string, at int) bool {
 		write(c, answer[:at])
 		untilClosed(c)
--- a/internal/proxy/forward/forgotten_test.go
+++ b/internal/proxy/forward/forgotten_test.go
@@ -37,7 +37,7 @@
 }
 
 // A request that may be repeated is not lost where every endpoint has forgotten its connections: the end of its last try is held back.
-func TestEveryConnectionIsForgotten(t *testing.T) {
+func TestRequestsWhereEveryConnectionIsForgotten(t *testing.T) {
 	for _, tries := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint(tries, " tries"), func(t *testing.T) {
 			all := []*endpoint{newForgetfulEndpoint(t, false), newForgetfulEndpoint(t, false), newForgetfulEndpoint(t, false)}
--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -495,7 +495,7 @@
 	}
 }
 
-func TestStreamIsPassedOnEventByEvent(t *testing.T) {
+func TestStreamIsForwardedEventByEvent(t *testing.T) {
 	step := make(chan string)
 	e := newEndpoint(t, "e1", func(c net.Conn, r call) bool {
 		_, _ = io.WriteString(c, streamHead(r.Header.Get(headerID)))
@@ -609,7 +609,7 @@
 	}
 }
 
-func TestWhatIsNotForwarded(t *testing.T) {
+func TestRequestsThatAreNotForwarded(t *testing.T) {
 	e := newEndpoint(t, "e1", says(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
 	if a := g.do("GET /other/ HTTP/1.1|Host: h.example", ""); a.status != 404 {
@@ -676,7 +676,7 @@
 }
 
 // At its time's end a request that was sent is answered 504, and its run is ended.
-func TestTimeIsUp(t *testing.T) {
+func TestDeadlineExceeded(t *testing.T) {
 	gone := make(chan error, 1)
 	e := newEndpoint(t, "e1", func(c net.Conn, _ call) bool {
 		_, err := c.Read(make([]byte, 1))
@@ -860,7 +860,7 @@
 	}
 }
 
-func TestServiceIsDrawnByWeight(t *testing.T) {
+func TestServiceIsChosenByWeight(t *testing.T) {
 	g := newRig(t, route(operatorconfig.ReadOnly, 1))
 	r := &operatorconfig.Route{Shares: []operatorconfig.Share{{Service: "none", Weight: 0}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "never", Weight: 0}}}
 	drawn := map[string]int{}
@@ -899,7 +899,7 @@
 }
 
 // An endpoint that turns every request away is asked only so often; a client's body goes out whole or not at all.
-func TestTurnedAwayByAll(t *testing.T) {
+func TestRejectedByAllEndpoints(t *testing.T) {
 	var all []*endpoint
 	for n := range 9 {
 		all = append(all, newEndpoint(t, fmt.Sprint("e", n), says("503 X|X-Dunetide-Not-Run: 1|Retry-After: 0.5", "")))
--- a/internal/proxy/forward/invariants_test.go
+++ b/internal/proxy/forward/invariants_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-func TestWhatMayHaveRunIsAccountedFor(t *testing.T) {
+func TestRequestsThatMayHaveRunAreRecorded(t *testing.T) {
 	once := &operatorconfig.Route{Name: "save", Kind: operatorconfig.Writes}
 	request := func() *exchange { return &exchange{request: dispatch.Request{ID: "r1", Route: once}} }
 	for name, sending := range map[string]struct {
--- a/internal/proxy/forward/item_test.go
+++ b/internal/proxy/forward/item_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestItemIsGivenUp(t *testing.T) {
+func TestItemEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan error, 1)
 	e := newEndpoint(t, "e1", func(conn net.Conn, _ call) bool {
--- a/internal/proxy/forward/wrong_test.go
+++ b/internal/proxy/forward/mutants_test.go
@@ -9,8 +9,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that are wrong, for TestBusyNights to find.
-var wrong = []mutation.Mutant{
+// certificateMutants break what certificates promise, for TestRandomizedRegulatedScenarios to find.
+var certificateMutants = []mutation.Mutant{
 	{
 		Name: "nothing is asked right before a send",
 		File: "certified.go",
@@ -79,21 +79,21 @@
 	},
 }
 
-// TestWrongLinesStand fails when a line of the lists no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) {
-	mutation.CheckPresent(t, wrong)
-	mutation.CheckPresent(t, wrongCalls)
+// TestMutantsStand fails when a line of the lists no longer stands once in the file that it names.
+func TestMutantsStand(t *testing.T) {
+	mutation.CheckPresent(t, certificateMutants)
+	mutation.CheckPresent(t, callMutants)
 }
 
-// Each wrong line is found by drawn nights. This takes minutes, so it is asked for: CERTIFIED_WRONG=1, or a part of a name.
-func TestWrongLinesAreFound(t *testing.T) {
+// Each mutant is found by randomized scenarios. This takes minutes, so it is requested by CERTIFIED_WRONG=1, or a part of a name.
+func TestCertificateMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "CERTIFIED_WRONG")
-	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "TestBusyNights", "-timeout", "150s"},
+	mutation.Find(t, certificateMutants, mutation.Options{Only: only, Args: []string{"-run", "TestRandomizedRegulatedScenarios", "-timeout", "150s"},
 		Env: []string{"CERTIFIED_WRONG=", "CERTIFIED_NIGHTS_S=25"}, Within: 3 * time.Minute})
 }
 
-// wrongCalls are lines that would send an answer to the wrong caller, or a request twice.
-var wrongCalls = []mutation.Mutant{
+// callMutants would send an answer to the wrong client, or a request twice.
+var callMutants = []mutation.Mutant{
 	{
 		Name: "a broken try is repeated",
 		File: "../attempt/attempt.go",
@@ -294,9 +294,9 @@
 	},
 }
 
-// Each wrong line is found by the tests of calls. This takes minutes, so it is asked for: CALLS_WRONG=1, or a part of a name.
-func TestWrongCallsAreFound(t *testing.T) {
+// Each mutant is found by the tests of calls. This takes minutes, so it is requested by CALLS_WRONG=1, or a part of a name.
+func TestCallMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "CALLS_WRONG")
-	mutation.Find(t, wrongCalls, mutation.Options{Only: only, Args: []string{"-p", "2", "-skip", "TestBusyNights|TestFleet|TestCapGrows", "-timeout", "150s", "../attempt", "../../platform/upstream"},
+	mutation.Find(t, callMutants, mutation.Options{Only: only, Args: []string{"-p", "2", "-skip", "TestRandomizedRegulatedScenarios|TestFleet|TestCapGrows", "-timeout", "150s", "../attempt", "../../platform/upstream"},
 		Env: []string{"CALLS_WRONG="}, Within: 3 * time.Minute})
 }
--- a/internal/proxy/forward/night_test.go
+++ b/internal/proxy/forward/night_test.go
@@ -656,8 +656,8 @@
 	}
 }
 
-// TestBusyNights plays as many drawn nights as fit in 20 s, or in as many seconds as CERTIFIED_NIGHTS_S says.
-func TestBusyNights(t *testing.T) {
+// TestRandomizedRegulatedScenarios plays as many drawn nights as fit in 20 s, or in as many seconds as CERTIFIED_NIGHTS_S says.
+func TestRandomizedRegulatedScenarios(t *testing.T) {
 	most := 20.0
 	if v, err := strconv.ParseFloat(os.Getenv("CERTIFIED_NIGHTS_S"), 64); err == nil {
 		most = v
