--- a/cmd/deliverynode/bench_test.go
+++ b/cmd/deliverynode/bench_test.go
@@ -56,6 +56,7 @@
 
 // measure hands messages in, and reports the time to the 202 and the share that was taken on.
 func (p *platform) measure(b *testing.B, clients int, classes []string) {
+	b.Helper()
 	took := make([][]time.Duration, clients)
 	var running sync.WaitGroup
 	for c := range clients {
--- a/cmd/deliverynode/build_test.go
+++ b/cmd/deliverynode/build_test.go
@@ -32,7 +32,7 @@
 	}
 	f, err := elf.Open(out + "deliverynode")
 	must(t, err)
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	libraries, err := f.ImportedLibraries()
 	must(t, err)
 	if !slices.Contains(libraries, "libc.so.6") {
--- a/cmd/deliverynode/copies_test.go
+++ b/cmd/deliverynode/copies_test.go
@@ -45,16 +45,16 @@
 	return s
 }
 
-func (r *fleetRig) awaitCopies(i int, what string, ok func(replica.Status) bool) (s replica.Status) {
+func (r *fleetRig) awaitCopies(i int, what string, ok func(replica.Status) bool) {
 	r.t.Helper()
+	var s replica.Status
 	for end := time.Now().Add(fleetPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if s = r.copies(i); ok(s) {
-			return s
+			return
 		}
 	}
 	text, _ := json.MarshalIndent(s, "", " ")
 	r.t.Fatalf("%s has never shown: %s; the last %s; its log:\n%s", r.nodes[i].name, what, text, r.nodes[i].proc.log.String())
-	return s
 }
 
 // own is a node's own log, where it is shown.
--- a/cmd/deliverynode/group_test.go
+++ b/cmd/deliverynode/group_test.go
@@ -27,6 +27,7 @@
 
 // groupPlatform has a console address that all members share.
 func groupPlatform(t *testing.T, members int) (*platform, string) {
+	t.Helper()
 	p := newPlatform(t)
 	p.settings, p.flags = groupSettings, []string{"-group", fmt.Sprint(members)}
 	host, _, err := net.SplitHostPort(p.listen)
--- a/cmd/deliverynode/main_test.go
+++ b/cmd/deliverynode/main_test.go
@@ -66,6 +66,7 @@
 }
 
 func newPlatform(t testing.TB) *platform {
+	t.Helper()
 	p := &platform{t: t, dir: t.TempDir(), settings: settings, calls: map[string]int{}, finals: map[string]string{},
 		answer: func(string) int { return http.StatusOK }}
 	p.discovery = httptest.NewServer(http.HandlerFunc(p.serveDiscovery))
--- a/cmd/deliverynode/upgrade_test.go
+++ b/cmd/deliverynode/upgrade_test.go
@@ -22,6 +22,7 @@
 }
 
 func newUpgrades(t *testing.T) *upgrades {
+	t.Helper()
 	u := &upgrades{platform: newPlatform(t)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
@@ -138,16 +139,16 @@
 // A second process takes over and a third one from that: a call that is out goes on in
 // the process that made it, what still reaches the old one is taken on by the new one,
 // and no connection of a client breaks.
-func TestUpgrade(t *testing.T) { bothWays(t, upgrade) }
+func TestUpgrade(t *testing.T) { testBothWays(t, testUpgrade) }
 
-// bothWays runs a test without syncs and with them.
-func bothWays(t *testing.T, test func(*testing.T, []string)) {
+// testBothWays runs a test without syncs and with them.
+func testBothWays(t *testing.T, test func(*testing.T, []string)) {
 	for _, flags := range [][]string{nil, {"-sync"}} {
 		t.Run(strings.Join(append([]string{"flags"}, flags...), " "), func(t *testing.T) { test(t, flags) })
 	}
 }
 
-func upgrade(t *testing.T, flags []string) {
+func testUpgrade(t *testing.T, flags []string) {
 	u := newUpgrades(t)
 	u.flags = flags
 	release := u.hang("out")
@@ -207,9 +208,11 @@
 
 // Wherever the old process is killed, the new one has everything: what was out may
 // have run, and is repeated where that is allowed.
-func TestUpgradeWithTheOldProcessKilled(t *testing.T) { bothWays(t, upgradeWithTheOldProcessKilled) }
+func TestUpgradeWithTheOldProcessKilled(t *testing.T) {
+	testBothWays(t, testUpgradeWithTheOldProcessKilled)
+}
 
-func upgradeWithTheOldProcessKilled(t *testing.T, flags []string) {
+func testUpgradeWithTheOldProcessKilled(t *testing.T, flags []string) {
 	for _, step := range []string{"before", "old: asked", "old: told", "old: acknowledged", "old: unlocked", "old: let go", "after"} {
 		t.Run(strings.ReplaceAll(step, ": ", "-"), func(t *testing.T) {
 			t.Parallel()
@@ -250,9 +253,11 @@
 
 // A new process that dies before it has everything leaves the old one at work, and the
 // next one takes over from that.
-func TestUpgradeWithTheNewProcessKilled(t *testing.T) { bothWays(t, upgradeWithTheNewProcessKilled) }
+func TestUpgradeWithTheNewProcessKilled(t *testing.T) {
+	testBothWays(t, testUpgradeWithTheNewProcessKilled)
+}
 
-func upgradeWithTheNewProcessKilled(t *testing.T, flags []string) {
+func testUpgradeWithTheNewProcessKilled(t *testing.T, flags []string) {
 	for _, step := range []string{"new: told", "new: replayed"} {
 		t.Run(strings.TrimPrefix(step, "new: "), func(t *testing.T) {
 			t.Parallel()
@@ -290,13 +295,13 @@
 	p := newPlatform(t)
 	plain, err := os.Create(filepath.Join(t.TempDir(), "plain"))
 	must(t, err)
-	defer plain.Close()
+	defer func() { _ = plain.Close() }() // the test is over
 	conn, err := net.Dial("tcp", p.endpoint.Listener.Addr().String())
 	must(t, err)
 	defer conn.Close()
 	socket, err := conn.(*net.TCPConn).File()
 	must(t, err)
-	defer socket.Close()
+	defer func() { _ = socket.Close() }() // the test is over
 	for name, c := range map[string]struct {
 		files []*os.File
 		fd    string
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -42,6 +42,7 @@
 }
 
 func newWorld(t *testing.T, n, seeds int) *world {
+	t.Helper()
 	w := &world{t: t, net: faults.NewMemory(n, 1), log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	if os.Getenv("FLEET_LOG") != "" {
 		w.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
--- a/internal/deliverynode/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -87,6 +87,7 @@
 
 // receiveGolden reads the messages of the golden stream.
 func receiveGolden(t *testing.T, c *framed) error {
+	t.Helper()
 	var h hello
 	var one, two frame
 	for _, v := range []any{&h, &one, &two} {
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -27,6 +27,7 @@
 
 // simulated is a world in a bubble of simulated time.
 func simulated(t *testing.T, n, seeds int) *world {
+	t.Helper()
 	w := newWorld(t, n, seeds)
 	w.patience = time.Minute
 	return w
--- a/internal/deliverynode/journal/bench_test.go
+++ b/internal/deliverynode/journal/bench_test.go
@@ -60,6 +60,7 @@
 func BenchmarkStart(b *testing.B) {
 	const limit = 3e6
 	build := func(b *testing.B, on bool, written int64, live int) *disk {
+		b.Helper()
 		d := newDisk()
 		j, _, err := Open(Options{Folder: d, Limit: limit, Sync: on})
 		if err != nil {
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -20,6 +20,7 @@
 
 // goldenScript is the script that the version in service wrote testdata/v1 with.
 func goldenScript(t *testing.T, j *Journal) {
+	t.Helper()
 	at := time.UnixMicro(1764600000123456)
 	msg := func(i, size int) *Message {
 		m := &Message{ID: fmt.Sprint("id", i), Key: fmt.Sprint("k", i), Class: i % 2, Dest: i, Deadline: at.Add(24 * time.Hour), Body: make([]byte, size)}
@@ -124,6 +125,7 @@
 
 // small is a journal of two charges and a safe message, in each state, in one segment.
 func small(t *testing.T, sync bool) (d *disk, j *Journal) {
+	t.Helper()
 	d = newDisk()
 	j, _, err := Open(Options{Folder: d, Limit: MinDisk, Sync: sync})
 	must(t, err)
@@ -208,34 +210,40 @@
 		aside   int
 	}{
 		"sound":            {func(*testing.T, string) {}, false, 12, 0},
-		"zeros at the end": {func(t *testing.T, dir string) { grow(t, dir, 4, make([]byte, 5000)) }, false, 12, 0},
+		"zeros at the end": {func(t *testing.T, dir string) { t.Helper(); grow(t, dir, 4, make([]byte, 5000)) }, false, 12, 0},
 		"absurd length": {func(t *testing.T, dir string) {
+			t.Helper()
 			grow(t, dir, 4, append(binary.LittleEndian.AppendUint32(nil, 1<<31), make([]byte, 8)...))
 		}, true, 12, 1},
-		"garbage at the end":   {func(t *testing.T, dir string) { grow(t, dir, 4, bytes.Repeat([]byte("garbage"), 99)) }, true, 12, 1},
-		"half a record":        {func(t *testing.T, dir string) { shorten(t, dir, 4, 7) }, false, 11, 0},
-		"half a middle record": {func(t *testing.T, dir string) { shorten(t, dir, 2, 7) }, true, 11, 1},
-		"missing in the middle": {func(t *testing.T, dir string) { must(t, os.Remove(filepath.Join(dir, segmentPath(2)))) },
+		"garbage at the end":   {func(t *testing.T, dir string) { t.Helper(); grow(t, dir, 4, bytes.Repeat([]byte("garbage"), 99)) }, true, 12, 1},
+		"half a record":        {func(t *testing.T, dir string) { t.Helper(); shorten(t, dir, 4, 7) }, false, 11, 0},
+		"half a middle record": {func(t *testing.T, dir string) { t.Helper(); shorten(t, dir, 2, 7) }, true, 11, 1},
+		"missing in the middle": {func(t *testing.T, dir string) { t.Helper(); must(t, os.Remove(filepath.Join(dir, segmentPath(2)))) },
 			true, 9, 0},
 		"two missing": {func(t *testing.T, dir string) {
+			t.Helper()
 			must(t, os.Remove(filepath.Join(dir, segmentPath(2))))
 			must(t, os.Remove(filepath.Join(dir, segmentPath(3))))
 		}, true, 6, 0},
 		"another's number": {func(t *testing.T, dir string) {
+			t.Helper()
 			data, err := os.ReadFile(filepath.Join(dir, segmentPath(2)))
 			must(t, err)
 			must(t, os.WriteFile(filepath.Join(dir, segmentPath(3)), data, 0o600))
 		}, true, 9, 1},
 		"foreign files": {func(t *testing.T, dir string) {
+			t.Helper()
 			for _, n := range []string{"journal-1", "journal-00000000000000020", "journal-x", "notes", "damaged-x", "journal-0000000000000000"} {
 				must(t, os.WriteFile(filepath.Join(dir, n), []byte("x"), 0o600))
 			}
 			must(t, os.Mkdir(filepath.Join(dir, "folder"), 0o700))
 		}, false, 12, 0},
 		"too large": {func(t *testing.T, dir string) {
+			t.Helper()
 			must(t, os.Truncate(filepath.Join(dir, segmentPath(3)), 1<<40))
 		}, true, 9, 0},
 		"a checkpoint begun": {func(t *testing.T, dir string) {
+			t.Helper()
 			must(t, os.WriteFile(filepath.Join(dir, checkpointName), []byte("wingj"), 0o600))
 		}, false, 12, 0},
 	} {
@@ -276,6 +284,7 @@
 }
 
 func names(t *testing.T, dir string) string {
+	t.Helper()
 	files, err := os.ReadDir(dir)
 	must(t, err)
 	var names []string
@@ -287,6 +296,7 @@
 
 // four writes 12 messages, three in each of four segments.
 func four(t *testing.T, dir string) {
+	t.Helper()
 	for s := range 4 {
 		j, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true})
 		must(t, err)
@@ -298,6 +308,7 @@
 }
 
 func grow(t *testing.T, dir string, n uint64, b []byte) {
+	t.Helper()
 	f, err := os.OpenFile(filepath.Join(dir, segmentPath(n)), os.O_WRONLY|os.O_APPEND, 0)
 	must(t, err)
 	_, err = f.Write(b)
@@ -305,6 +316,7 @@
 }
 
 func shorten(t *testing.T, dir string, n uint64, by int64) {
+	t.Helper()
 	path := filepath.Join(dir, segmentPath(n))
 	info, err := os.Stat(path)
 	must(t, err)
@@ -356,7 +368,7 @@
 // Of two checkpoints the newer one that is whole counts; with the newer spoilt, what the
 // older one and the segments say does, and nothing is sent that may have run.
 func TestTwoCheckpoints(t *testing.T) {
-	make2 := func() (*disk, *world) {
+	make2 := func() *disk {
 		d, w := newDisk(), newWorld(t)
 		j, _, err := openSmall(d, true)
 		must(t, err)
@@ -374,9 +386,9 @@
 			w = newWorld(t) // ids come again in the second round
 		}
 		must(t, j.Close())
-		return d, w
+		return d
 	}
-	d, _ := make2()
+	d := make2()
 	j, owed, err := openSmall(d.after(kept), true)
 	must(t, err)
 	want := state(j, owed)
@@ -384,7 +396,7 @@
 	if newest == 0 || len(j.segments) != 3 || len(j.recovery.report.Problems) > 0 {
 		t.Fatalf("checkpoint %d, %+v, %v", newest, j.segments, j.recovery.report.Problems)
 	}
-	d, _ = make2()
+	d = make2()
 	d = d.after(kept)
 	f := d.names[segmentPath(newest)]
 	f.data[len(f.data)/2] ^= 4
--- a/internal/deliverynode/journal/power_test.go
+++ b/internal/deliverynode/journal/power_test.go
@@ -272,6 +272,7 @@
 }
 
 func newWorld(t *testing.T) *world {
+	t.Helper()
 	return &world{t: t, taken: map[string]bool{}, done: map[string]bool{}, sent: map[string]int{}, out: map[string]bool{}, orders: map[string]bool{}}
 }
 
@@ -451,11 +452,11 @@
 // of the recovery.
 func TestLossOfPowerAtEveryOperation(t *testing.T) {
 	for name, p := range plays {
-		t.Run(name, func(t *testing.T) { losePower(t, p) })
+		t.Run(name, func(t *testing.T) { testLossOfPower(t, p) })
 	}
 }
 
-func losePower(t *testing.T, p play) {
+func testLossOfPower(t *testing.T, p play) {
 	d := newDisk()
 	j, _, err := openSmall(d, true)
 	must(t, err)
--- a/internal/deliverynode/lease/explore_test.go
+++ b/internal/deliverynode/lease/explore_test.go
@@ -350,7 +350,7 @@
 			if start.voters[0].applied == 0 {
 				start.landed = nil
 			}
-			everyOrder(t, start, depth)
+			testEveryOrder(t, start, depth)
 		})
 	}
 }
@@ -360,8 +360,8 @@
 	trail []string
 }
 
-// everyOrder goes through the levels, each of them by all cores.
-func everyOrder(t *testing.T, start *model, depth int) {
+// testEveryOrder goes through the levels, each of them by all cores.
+func testEveryOrder(t *testing.T, start *model, depth int) {
 	seen := map[uint64]bool{start.digest(): true}
 	level := []path{{start, nil}}
 	for d := range depth {
--- a/internal/deliverynode/lease/wrong_test.go
+++ b/internal/deliverynode/lease/mutants_test.go
@@ -7,9 +7,9 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that would break what the page promises, one at a time. The steps have to find
+// mutants are lines that would break what the page promises, one at a time. The steps have to find
 // each of them.
-var wrong = []mutation.Mutant{
+var mutants = []mutation.Mutant{
 	{
 		Name: "counted from after the answer",
 		File: "client.go",
@@ -174,13 +174,13 @@
 	},
 }
 
-// TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { mutation.CheckPresent(t, wrong) }
+// TestMutantsStand fails when a line of the list no longer stands once in the file that it names.
+func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
 // Each wrong line is found by the steps that CI plays, or by more of them. This takes minutes and
 // all cores, so it is asked for: LEASE_WRONG=1, or a part of a name.
-func TestWrongLinesAreFound(t *testing.T) {
+func TestMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "LEASE_WRONG")
-	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-run", "TestDisk|TestEveryOrder"},
+	mutation.Find(t, mutants, mutation.Options{Only: only, Args: []string{"-run", "TestDisk|TestEveryOrder"},
 		Env: []string{"LEASE_WRONG=", "LEASE_SEEDS=100", "LEASE_STEPS=100000", "LEASE_DEPTH=7"}, Within: 4 * time.Minute, Parallel: true})
 }
--- a/internal/deliverynode/lease/state_machine_test.go
+++ b/internal/deliverynode/lease/state_machine_test.go
@@ -36,7 +36,7 @@
 	if o := put(long("n", 0, 64), op{Do: opTake, Name: "one more", Length: time.Hour})[0]; o.Mine || o.No == "" {
 		t.Errorf("one more: %+v", o)
 	}
-	if _, _, err := b.applyRequest(&request{Node: "another", Incarnation: 1, Number: 1}); err != errFull {
+	if _, _, err := b.applyRequest(&request{Node: "another", Incarnation: 1, Number: 1}); err != errFull { //nolint:errorlint // the error itself
 		t.Errorf("another node: %v", err)
 	}
 	text, err := b.snapshot()
@@ -65,7 +65,7 @@
 	if o := put("another", op{Do: opTake, Name: "one more", Length: time.Hour})[0]; !o.Mine {
 		t.Errorf("with room again: %+v", o)
 	}
-	if _, _, err := b.applyRequest(&request{Node: long("n", 0, 64), Incarnation: 1, Number: 1}); err != errFull {
+	if _, _, err := b.applyRequest(&request{Node: long("n", 0, 64), Incarnation: 1, Number: 1}); err != errFull { //nolint:errorlint // the error itself
 		t.Errorf("the one that made room: %v", err)
 	}
 }
--- a/internal/deliverynode/lease/step_test.go
+++ b/internal/deliverynode/lease/step_test.go
@@ -89,6 +89,7 @@
 }
 
 func newSim(t testing.TB, seed uint64, voters, askers int) *sim {
+	t.Helper()
 	s := &sim{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, names: []string{"a", "b", "c"},
 		long:    []time.Duration{3 * time.Second, 8 * time.Second}[seed%2], // less, and more, than an election takes
 		granted: map[string]tenured{}, agreed: map[string]uint64{}, stats: map[string]int{}, now: time.Hour}
--- a/internal/deliverynode/node/calls_test.go
+++ b/internal/deliverynode/node/calls_test.go
@@ -30,6 +30,7 @@
 }
 
 func newCallRig(t *testing.T, addr string) *callRig {
+	t.Helper()
 	r := &callRig{t: t, outcomes: make(chan policy.Ended, 16)}
 	r.journal, _ = mustOpen(t, t.TempDir(), journal.MinDisk)
 	c := Config{IdleClose: 15 * time.Second}
--- a/internal/deliverynode/node/intake_test.go
+++ b/internal/deliverynode/node/intake_test.go
@@ -24,6 +24,7 @@
 
 // newIntake has one keyed class and remembers what it accepts.
 func newIntake(t *testing.T, accepted *[]*journal.Message) *intake {
+	t.Helper()
 	j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
 	return &intake{names: names{classes: map[string]int{"note": 0}}, keyed: []bool{true}, journal: j, over: journal.NewIDRing(0),
 		log: quietLog(), maxHeld: 2, held: map[string]bool{}, accept: func(m *journal.Message) { *accepted = append(*accepted, m) }}
--- a/internal/deliverynode/node/peers_test.go
+++ b/internal/deliverynode/node/peers_test.go
@@ -15,10 +15,10 @@
 func TestNotesBetweenNodes(t *testing.T) {
 	other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must(t, err)
-	defer other.Close()
+	defer func() { _ = other.Close() }() // the test is over
 	stranger, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must(t, err)
-	defer stranger.Close()
+	defer func() { _ = stranger.Close() }() // the test is over
 	addr := other.LocalAddr().(*net.UDPAddr).AddrPort()
 	told := make(chan policy.Event, 8)
 	p, err := openPeers(Config{PeerBind: "127.0.0.1:0", PeersAll: addr.String(), Me: 1,
--- a/internal/deliverynode/replica/wrong_test.go
+++ b/internal/deliverynode/replica/mutants_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// wrong are lines that would break what the page promises, one at a time. The tests have to find each.
-var wrong = []mutation.Mutant{
+// mutants are lines that would break what the page promises, one at a time. The tests have to find each.
+var mutants = []mutation.Mutant{
 	{
 		Name: "the earlier of two versions stands",
 		File: "entry.go",
@@ -149,12 +149,12 @@
 	},
 }
 
-// TestWrongLinesStand fails when a line of the list no longer stands once in the file that it names.
-func TestWrongLinesStand(t *testing.T) { mutation.CheckPresent(t, wrong) }
+// TestMutantsStand fails when a line of the list no longer stands once in the file that it names.
+func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
 // Each wrong line is found by the tests. This takes minutes and all cores, so it is asked for:
 // COPIES_WRONG=1, or a part of a name.
-func TestWrongLinesAreFound(t *testing.T) {
+func TestMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "COPIES_WRONG")
-	mutation.Find(t, wrong, mutation.Options{Only: only, Args: []string{"-timeout", "150s"}, Env: []string{"COPIES_WRONG=", "COPIES_SEEDS=120"}, Within: 3 * time.Minute})
+	mutation.Find(t, mutants, mutation.Options{Only: only, Args: []string{"-timeout", "150s"}, Env: []string{"COPIES_WRONG=", "COPIES_SEEDS=120"}, Within: 3 * time.Minute})
 }
--- a/internal/deliverynode/replica/source_test.go
+++ b/internal/deliverynode/replica/source_test.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -21,6 +22,7 @@
 }
 
 func newPair(t *testing.T, want int, names ...string) *pair {
+	t.Helper()
 	p := &pair{t: t, s: NewSource("a", 1, want, time.Minute), disks: map[string]*vfstest.Disk{}, copies: map[string]*Copy{}}
 	for _, name := range names {
 		p.disks[name] = vfstest.New()
@@ -37,7 +39,7 @@
 func (p *pair) open(name string) {
 	p.t.Helper()
 	c, err := OpenCopy(p.options(name), p.now)
-	if err == errNoCopy {
+	if errors.Is(err, errNoCopy) {
 		c, err = NewCopy(p.options(name), "a", 1, p.now)
 	}
 	if err != nil {
--- a/internal/deliverynode/replica/world_disk_test.go
+++ b/internal/deliverynode/replica/world_disk_test.go
@@ -20,7 +20,7 @@
 
 func newWdisk() *wdisk {
 	d := &wdisk{folders: map[string]*vfstest.Disk{}, places: map[string]int{}}
-	d.Open("")
+	_, _ = d.Open("") // it never fails
 	return d
 }
 
--- a/internal/deliverynode/replica/world_test.go
+++ b/internal/deliverynode/replica/world_test.go
@@ -426,7 +426,7 @@
 	}
 }
 
-func playWorld(t *testing.T, seed uint64, o worldOptions, steps int) (w *world) {
+func testWorld(t *testing.T, seed uint64, o worldOptions, steps int) (w *world) {
 	w = &world{t: t, seed: seed, rand: rand.New(rand.NewPCG(seed, 7)), o: o, cuts: map[[2]int]bool{}, truth: map[string]*account{}}
 	synctest.Test(t, func(t *testing.T) { w.run(steps) })
 	return w
@@ -453,7 +453,7 @@
 		}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := playWorld(t, seed, o, steps)
+			w := testWorld(t, seed, o, steps)
 			acked, done, finals, lost := 0, 0, 0, 0
 			for _, a := range w.truth {
 				switch {
--- a/internal/deliverynode/wire/wire_test.go
+++ b/internal/deliverynode/wire/wire_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -220,12 +221,12 @@
 		{"destination no number", frame(t, "", strings.Replace(ingressRec, "00006442", "0000c07f", 1))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if b, err := ReadBatch(bytes.NewReader(c.in)); err == nil || err == io.EOF {
+			if b, err := ReadBatch(bytes.NewReader(c.in)); err == nil || errors.Is(err, io.EOF) {
 				t.Errorf("got %+v, %v", b, err)
 			}
 		})
 	}
-	if _, err := ReadBatch(bytes.NewReader(nil)); err != io.EOF {
+	if _, err := ReadBatch(bytes.NewReader(nil)); err != io.EOF { //nolint:errorlint // the error itself, as io.Reader has it
 		t.Errorf("end of input: %v, want io.EOF", err)
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 
 func TestMistakesAreToldWithTheirLine(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{"name = \"x\"\nlenght_s = [1, 2]\n", `line 2: unknown key "lenght_s"`},
+		{"name = \"x\"\nlenght_s = [1, 2]\n", `line 2: unknown key "lenght_s"`}, //nolint:misspell // an unknown key
 		{"[load]\nlevel = [2, 1]\n", "line 2: load.level: the range [2 1] goes backwards"},
 		{"length_s = [9, 9]\n\n[[fault]]\nwhat = \"flood\"\n", `line 4: fault[0].what: "flood" is no fault`},
 		{"length_s = [9, 9]\n[[fault]]\nwhat = \"down\"\nat_s = [3, 20]\nfor_s = [1, 1]\n", "line 4: fault[0].at_s: the range [3 20] has to lie within 0 and 9"},
--- a/internal/lab/soak/wrong_test.go
+++ b/internal/lab/soak/mutants_test.go
@@ -11,9 +11,9 @@
 	"dunetide/internal/lab/overlay"
 )
 
-// wrongPrograms are built with lines that break a promise. A play with the troubles that bring it about has to find each: the rule
+// mutantPrograms are built with lines that break a promise. A play with the troubles that bring it about has to find each: the rule
 // named is broken, as seen from outside, or the invariant from inside.
-var wrongPrograms = []struct {
+var mutantPrograms = []struct {
 	name    string
 	mutants []mutation.Mutant
 	plan    Plan
@@ -60,9 +60,9 @@
 		Plan{Seed: 5, Shape: shapes[0], Length: 12 * time.Second, Final: FinalNone, Load: 2, LeaveShare: 0.6}, []string{ruleClientLeft}},
 }
 
-// TestMutantsArePresent fails when a line of a program that is to be found no longer stands once in the file that is named.
-func TestMutantsArePresent(t *testing.T) {
-	for _, w := range wrongPrograms {
+// TestMutantsStand fails when a line of a program that is to be found no longer stands once in the file that is named.
+func TestMutantsStand(t *testing.T) {
+	for _, w := range mutantPrograms {
 		texts := overlay.Texts{}
 		for _, m := range w.mutants {
 			if err := texts.Replace(filepath.Join("..", "..", ".."), m); err != nil {
@@ -73,12 +73,12 @@
 }
 
 // Each wrong program is found. This takes minutes, so it is asked for: SOAK_WRONG=1, or a part of a name.
-func TestWrongProgramsAreFound(t *testing.T) {
+func TestMutantProgramsAreFound(t *testing.T) {
 	only := os.Getenv("SOAK_WRONG")
 	if only == "" {
 		t.Skip("SOAK_WRONG is not set")
 	}
-	for _, w := range wrongPrograms {
+	for _, w := range mutantPrograms {
 		if only != "1" && !strings.Contains(w.name, only) {
 			continue
 		}
--- a/internal/lab/tier/engine/engine_test.go
+++ b/internal/lab/tier/engine/engine_test.go
@@ -217,6 +217,7 @@
 }
 
 func newControl(t *testing.T, to string) *control {
+	t.Helper()
 	c := &control{heard: make(chan string, 1000), to: to}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var said struct {
--- a/internal/lab/tier/operator/operator_test.go
+++ b/internal/lab/tier/operator/operator_test.go
@@ -11,6 +11,7 @@
 )
 
 func node(t *testing.T, h http.HandlerFunc) string {
+	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
--- a/policy/fast_test.go
+++ b/policy/fast_test.go
@@ -8,6 +8,7 @@
 
 // fastBench has a path with a listed rate of 5,000 calls a second.
 func fastBench(t *testing.T) *bench {
+	t.Helper()
 	set := testSettings()
 	set.Senders, set.Listing, set.Slots, set.MaxHeld = 1, RateNominal, 400, 8000
 	return with(t, set, 0, 1, 5000)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -20,6 +20,7 @@
 
 // with starts a sender with one destination 0 of so many endpoints 1, 2, ...
 func with(t *testing.T, set Settings, kind, endpoints int, rate float64) *bench {
+	t.Helper()
 	b := &bench{t: t, s: New(set, 1), now: time.Hour}
 	var list []Entry
 	for i := range endpoints {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -304,6 +304,7 @@
 }
 
 func newLegal(t *testing.T, seed uint64) *legal {
+	t.Helper()
 	l := &legal{t: t, rng: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), dests: 6, now: time.Hour,
 		told: map[EndpointID]Time{}, waits: map[int]Time{}, messages: map[MessageID]*tracked{},
 		order: map[uint64][]*tracked{}, rest: map[uint64]Time{}}
--- a/policy/share_test.go
+++ b/policy/share_test.go
@@ -7,6 +7,7 @@
 
 // shareBench has a path with a listed rate of 10 calls a second.
 func shareBench(t *testing.T) *bench {
+	t.Helper()
 	set := testSettings()
 	set.Senders, set.Listing, set.Slots, set.MaxHeld = 1, RateNominal, 40, 200
 	return with(t, set, 0, 1, 10)
