--- a/cmd/dunetide-lab/tier_test.go
+++ b/cmd/dunetide-lab/tier_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("broken %v, ended %v, read back %q", a.Violations, a.Ends, a.ReadBack)
 	}
 	for _, k := range a.Kinds {
-		if served := k.InAim + k.Late; 2*served < k.Asked || served+k.Refused+k.Failed != k.Asked {
+		if served := k.WithinTarget + k.Late; 2*served < k.Requested || served+k.Refused+k.Failed != k.Requested {
 			t.Errorf("%+v", k)
 		}
 	}
--- a/internal/lab/soak/account.go
+++ b/internal/lab/soak/account.go
@@ -33,7 +33,7 @@
 
 // violated notes a violation.
 func (a *Account) violated(rule, id, form string, args ...any) {
-	a.Violations = append(a.Violations, load.Broken{Rule: rule, ID: id, Detail: fmt.Sprintf(form, args...)})
+	a.Violations = append(a.Violations, load.Violation{Rule: rule, ID: id, Detail: fmt.Sprintf(form, args...)})
 }
 
 // Save writes the account as account.json into the folder of the play.
@@ -56,7 +56,7 @@
 		a.ClientsLeft, a.AbandonedRuns, a.ContinuedRuns, a.Checks, a.Scraped)
 	for _, k := range a.Kinds {
 		fmt.Fprintf(&out, "  %-8s asked %d: %d in aim, %d late, %d refused, %d failed\n",
-			k.Kind, k.Asked, k.InAim, k.Late, k.Refused, k.Failed)
+			k.Kind, k.Requested, k.WithinTarget, k.Late, k.Refused, k.Failed)
 	}
 	for _, b := range a.Violations {
 		fmt.Fprintf(&out, "  BROKEN %v\n", b)
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -79,7 +79,7 @@
 				a.ContinuedRuns++
 			}
 		}
-		if try.Kept && try.End == "closed" && run.Whole && p.timeline.inTouch(machine, run.Ended) {
+		if try.Persistent && try.End == "closed" && run.Whole && p.timeline.inTouch(machine, run.Ended) {
 			lost = append(lost, run)
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // story returns what happened around a violation, for people: faults, and the log lines that name its request.
-func (p *play) story(b load.Broken) (lines []string) {
+func (p *play) story(b load.Violation) (lines []string) {
 	lines = append(lines, b.String())
 	if b.ID == "" {
 		return lines
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -20,7 +20,7 @@
 	inTouch        = 3 * time.Second
 	drainFor       = 2 * time.Second
 	recoverFor     = 12 * time.Second
-	settleTime     = time.Second
+	visibleWithin  = time.Second
 	cancelAfter    = 3 * time.Second
 	finishBy       = 10 * time.Second
 	grace          = 3 * time.Second
@@ -184,19 +184,19 @@
 		batchJobs[i].Route.MaxWaitMs = int((length + finishBy) / time.Millisecond)
 	}
 	return load.Run(ctx, load.Options{
-		Seed:     p.plan.Seed,
-		Length:   length,
-		Clients:  clients,
-		Zones:    p.cluster.Zones(),
-		Front:    p.cluster.Front,
-		Traffic:  traffic,
-		Jobs:     batchJobs,
-		Stride:   stride,
-		FinishBy: finishBy,
-		Settle:   settleTime,
-		Cancel:   cancelAfter,
-		Runs:     p.runs,
-		GiveUp:   p.plan.LeaveShare,
+		Seed:          p.plan.Seed,
+		Length:        length,
+		Clients:       clients,
+		Zones:         p.cluster.Zones(),
+		Front:         p.cluster.Front,
+		Traffic:       traffic,
+		Jobs:          batchJobs,
+		Stride:        stride,
+		FinishBy:      finishBy,
+		VisibleWithin: visibleWithin,
+		Cancel:        cancelAfter,
+		Runs:          p.runs,
+		LeaveShare:    p.plan.LeaveShare,
 	})
 }
 
--- a/internal/lab/tier/certification.go
+++ b/internal/lab/tier/certification.go
@@ -48,16 +48,16 @@
 // certificationRun is a busy night: twice the traffic, with a certified engine down for good, another frozen, one whose
 // certificate is withdrawn, and a keeper cut off.
 type certificationRun struct {
-	seed      uint64
-	document  certification.Document
-	certified map[string]bool
-	withdrawn map[string]time.Time // by when it had to be in force
-	down      string
-	broken    []load.Broken
-	runs      int // regulated ones, at endpoints
-	rows      []audit.Row
-	copies    int // the fewest files that a run is in
-	again     []string
+	seed       uint64
+	document   certification.Document
+	certified  map[string]bool
+	withdrawn  map[string]time.Time // by when it had to be in force
+	down       string
+	violations []load.Violation
+	runs       int // regulated ones, at endpoints
+	rows       []audit.Row
+	copies     int // the fewest files that a run is in
+	repeated   []string
 }
 
 // CertificationAccount is what became of a night.
@@ -66,24 +66,24 @@
 	Regulated int         `json:"regulated_runs"`
 	Rows      []audit.Row `json:"rows"`
 	Copies    int         `json:"copies"`
-	Again     []string    `json:"again"` // items that ran whole more than once
+	Repeated  []string    `json:"again"` // items that ran whole more than once
 }
 
 // PlayCertification plays a busy night with certified nodes.
 func PlayCertification(ctx context.Context, o Options) (CertificationAccount, error) {
 	n := &certificationRun{seed: o.Seed, certified: map[string]bool{}, withdrawn: map[string]time.Time{}}
-	o.night, o.Faults = n, nil
+	o.certification, o.Faults = n, nil
 	o.Load = cmp.Or(o.Load, 1) * certificationLoad
 	a, err := Play(ctx, o)
-	for _, id := range n.again {
-		n.broke(ruleOnce, id, "ran whole more than once")
+	for _, id := range n.repeated {
+		n.violated(ruleOnce, id, "ran whole more than once")
 	}
-	a.Violations = append(a.Violations, n.broken...)
-	return CertificationAccount{Account: a, Regulated: n.runs, Rows: n.rows, Copies: n.copies, Again: n.again}, err
+	a.Violations = append(a.Violations, n.violations...)
+	return CertificationAccount{Account: a, Regulated: n.runs, Rows: n.rows, Copies: n.copies, Repeated: n.repeated}, err
 }
 
-func (n *certificationRun) broke(rule, id, format string, args ...any) {
-	n.broken = append(n.broken, load.Broken{Rule: rule, ID: id, Detail: fmt.Sprintf(format, args...)})
+func (n *certificationRun) violated(rule, id, format string, args ...any) {
+	n.violations = append(n.violations, load.Violation{Rule: rule, ID: id, Detail: fmt.Sprintf(format, args...)})
 }
 
 // begin certifies some engines and one plain endpoint, before clients come.
@@ -216,18 +216,18 @@
 		by, withdrawn := n.withdrawn[run.Instance]
 		switch {
 		case !n.certified[run.Instance]:
-			n.broke(ruleCertified, run.Request, "%s ran at %s, which was never certified", run.URI, run.Instance)
+			n.violated(ruleCertified, run.Request, "%s ran at %s, which was never certified", run.URI, run.Instance)
 		case withdrawn && run.Arrived.After(by):
-			n.broke(ruleCertified, run.Request, "%s reached %s %v after the withdrawal of its certificate had to be in force", run.URI, run.Instance, run.Arrived.Sub(by))
+			n.violated(ruleCertified, run.Request, "%s reached %s %v after the withdrawal of its certificate had to be in force", run.URI, run.Instance, run.Arrived.Sub(by))
 		}
 		if run.Whole && strings.HasPrefix(run.URI, "/bulk/") {
 			if whole[run.Request]++; whole[run.Request] == 2 {
-				n.again = append(n.again, run.Request)
+				n.repeated = append(n.repeated, run.Request)
 			}
 		}
 	}
 	if n.runs == 0 {
-		n.broke(ruleAudit, "-", "no regulated work ran")
+		n.violated(ruleAudit, "-", "no regulated work ran")
 	}
 	var problems []string
 	for until := time.Now().Add(recordedIn); ; {
@@ -262,7 +262,7 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	for _, p := range problems {
-		n.broke(ruleAudit, "-", "%s", p)
+		n.violated(ruleAudit, "-", "%s", p)
 	}
 }
 
@@ -317,8 +317,8 @@
 			return err
 		}
 	}
-	if len(a.Again) > 0 {
-		if _, err := fmt.Fprintf(w, "items that ran whole more than once (each is listed once): %v\n", a.Again); err != nil {
+	if len(a.Repeated) > 0 {
+		if _, err := fmt.Fprintf(w, "items that ran whole more than once (each is listed once): %v\n", a.Repeated); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/tier/load/client.go
+++ b/internal/lab/tier/load/client.go
@@ -26,8 +26,8 @@
 	maxTry   = 4
 	// peekFor is how long a kept connection is looked at for bytes that nobody asked for.
 	peekFor = 200 * time.Microsecond
-	// keepSlack is how long before the told end a client stops using a kept connection.
-	keepSlack = 500 * time.Millisecond
+	// idleSlack is how long before the told end a client stops using a kept connection.
+	idleSlack = 500 * time.Millisecond
 )
 
 // Front names the address that the platform hands a client's new connection to; a retry meets another.
@@ -41,7 +41,7 @@
 	front  Front
 
 	mu   sync.Mutex
-	kept []*conn
+	idle []*conn
 }
 
 type conn struct {
@@ -64,16 +64,16 @@
 	return &conn{Conn: c, br: bufio.NewReader(c)}, nil
 }
 
-// receive gives a kept connection that is still good.
-func (c *client) receive() *conn {
+// takeIdle gives a kept connection that is still good.
+func (c *client) takeIdle() *conn {
 	for {
 		c.mu.Lock()
-		if len(c.kept) == 0 {
+		if len(c.idle) == 0 {
 			c.mu.Unlock()
 			return nil
 		}
-		last := c.kept[len(c.kept)-1]
-		c.kept = c.kept[:len(c.kept)-1]
+		last := c.idle[len(c.idle)-1]
+		c.idle = c.idle[:len(c.idle)-1]
 		c.mu.Unlock()
 		if !last.until.IsZero() && time.Now().After(last.until) {
 			_ = last.Close()
@@ -86,25 +86,25 @@
 			return last
 		}
 		if len(stray) > 0 {
-			c.ledger.broke(Mixed, last.RemoteAddr().String(), "bytes on a connection where no request waits")
+			c.ledger.violated(Mixed, last.RemoteAddr().String(), "bytes on a connection where no request waits")
 		}
 		_ = last.Close()
 	}
 }
 
-func (c *client) put(k *conn) {
+func (c *client) putIdle(k *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kept = append(c.kept, k)
+	c.idle = append(c.idle, k)
 }
 
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.kept {
+	for _, k := range c.idle {
 		_ = k.Close()
 	}
-	c.kept = nil
+	c.idle = nil
 }
 
 // request is what a client wants, over all its tries.
@@ -161,10 +161,10 @@
 // do plays a request with its retries and counts how it ended.
 func (c *client) do(ctx context.Context, r *request) {
 	deadline := r.born.Add(time.Duration(r.route.TimeoutMs) * time.Millisecond)
-	c.ledger.count(r.kind, func(f *Figures) { f.Asked++ })
+	c.ledger.count(r.kind, func(f *Figures) { f.Requested++ })
 	var o outcome
 	for try := range maxTry {
-		o = c.try(r, uint64(try), deadline)
+		o = c.attempt(r, uint64(try), deadline)
 		c.ledger.count(r.kind, func(f *Figures) { f.Tries++; f.Ends[o.String()]++ })
 		if o.whole || o.left || !c.again(r, o) {
 			break
@@ -179,8 +179,8 @@
 	}
 	c.ledger.count(r.kind, func(f *Figures) {
 		switch {
-		case o.whole && r.inAim(time.Now()):
-			f.InAim++
+		case o.whole && r.withinTarget(time.Now()):
+			f.WithinTarget++
 		case o.whole:
 			f.Late++
 		case promises(o.status):
@@ -191,7 +191,7 @@
 	})
 }
 
-func (r *request) inAim(now time.Time) bool {
+func (r *request) withinTarget(now time.Time) bool {
 	aim := time.Duration(r.route.LatencyTargetMs) * time.Millisecond
 	if r.events == 0 {
 		return now.Sub(r.born) <= aim
@@ -209,16 +209,16 @@
 	return o.unsent || promises(o.status) || r.route.Idempotent()
 }
 
-// silence is how long a client waits for the next byte.
-func (r *request) silence() time.Duration {
+// readTimeout is how long a client waits for the next byte.
+func (r *request) readTimeout() time.Duration {
 	aim, gap := time.Duration(r.route.LatencyTargetMs)*time.Millisecond, time.Duration(r.route.EventGapTargetMs)*time.Millisecond
 	return max(2*time.Second, 4*aim, 8*gap)
 }
 
-func (c *client) try(r *request, try uint64, deadline time.Time) (o outcome) {
+func (c *client) attempt(r *request, try uint64, deadline time.Time) (o outcome) {
 	var k *conn
 	if try == 0 {
-		k = c.receive()
+		k = c.takeIdle()
 	}
 	kept := k != nil
 	if k == nil {
@@ -233,7 +233,7 @@
 	for _, share := range r.route.Shares {
 		s.services = append(s.services, share.Service)
 	}
-	s.front, s.kept, s.events = k.RemoteAddr().String(), kept, r.events
+	s.front, s.persistent, s.events = k.RemoteAddr().String(), kept, r.events
 	c.ledger.send(s)
 	keep := false
 	leave := c.leaveLater(r, s, k)
@@ -244,7 +244,7 @@
 		s.status, s.end = o.status, o.String()
 		c.ledger.mu.Unlock()
 		if keep {
-			c.put(k)
+			c.putIdle(k)
 		} else {
 			_ = k.Close()
 		}
@@ -254,7 +254,7 @@
 		return outcome{err: err} // it may have been read
 	}
 	wait := func() {
-		if end := time.Now().Add(r.silence()); r.events > 0 && end.Before(deadline) {
+		if end := time.Now().Add(r.readTimeout()); r.events > 0 && end.Before(deadline) {
 			_ = k.SetReadDeadline(end)
 		}
 	}
@@ -262,13 +262,13 @@
 	if head, err := k.br.Peek(5); err != nil && len(head) == 0 {
 		return outcome{err: err}
 	} else if !strings.HasPrefix("HTTP/", string(head)) {
-		c.ledger.broke(Mixed, s.id, "bytes that are no answer: %q", head)
+		c.ledger.violated(Mixed, s.id, "bytes that are no answer: %q", head)
 		return outcome{err: errors.New("no answer")}
 	}
 	resp, err := http.ReadResponse(k.br, nil) //nolint:bodyclose // the connection is read on, or closed
 	if err != nil {
 		if !errors.Is(err, io.ErrUnexpectedEOF) && !isNet(err) {
-			c.ledger.broke(Mixed, s.id, "no answer of HTTP: %v", err)
+			c.ledger.violated(Mixed, s.id, "no answer of HTTP: %v", err)
 		}
 		return outcome{err: err}
 	}
@@ -277,7 +277,7 @@
 		o.wait = time.Duration(v * float64(time.Second))
 	}
 	if id := resp.Header.Get(engine.HeaderRequest); id != "" && id != s.id {
-		c.ledger.broke(Mixed, s.id, "the answer is that of %s", id)
+		c.ledger.violated(Mixed, s.id, "the answer is that of %s", id)
 	}
 	switch {
 	case o.status/100 != 2:
@@ -292,14 +292,14 @@
 		return o
 	}
 	if k.br.Buffered() > 0 {
-		c.ledger.broke(Mixed, s.id, "bytes behind the answer")
+		c.ledger.violated(Mixed, s.id, "bytes behind the answer")
 		return o
 	}
 	keep = !resp.Close
 	if _, v, ok := strings.Cut(resp.Header.Get("Keep-Alive"), "timeout="); ok {
 		v, _, _ = strings.Cut(v, ",")
 		if seconds, err := strconv.Atoi(v); err == nil {
-			k.until = time.Now().Add(time.Duration(seconds)*time.Second - keepSlack)
+			k.until = time.Now().Add(time.Duration(seconds)*time.Second - idleSlack)
 		}
 	}
 	return o
@@ -343,10 +343,10 @@
 	s.seal = resp.Header.Get(engine.HeaderSeal)
 	c.ledger.mu.Unlock()
 	if s.seal == "" {
-		c.ledger.broke(Mixed, s.id, "a success without a stamp")
+		c.ledger.violated(Mixed, s.id, "a success without a stamp")
 	}
 	if e := resp.Header.Get("Content-Encoding"); e != "" {
-		c.ledger.broke(Mixed, s.id, "a body that is encoded: %s", e)
+		c.ledger.violated(Mixed, s.id, "a body that is encoded: %s", e)
 	}
 }
 
@@ -357,7 +357,7 @@
 	}
 	c.success(s, resp)
 	if !bytes.Equal(body, engine.PlainBody(s.id)) {
-		c.ledger.broke(Mixed, s.id, "the body of %d bytes is not the endpoint's", len(body))
+		c.ledger.violated(Mixed, s.id, "the body of %d bytes is not the endpoint's", len(body))
 	}
 	return nil
 }
@@ -377,7 +377,7 @@
 		}
 		if err != nil {
 			if r.last < r.events || line != "" {
-				c.ledger.broke(Order, s.id, "the stream ends as complete after event %d of %d", r.last, r.events)
+				c.ledger.violated(Order, s.id, "the stream ends as complete after event %d of %d", r.last, r.events)
 				return errOrder
 			}
 			return nil
@@ -386,12 +386,12 @@
 		switch field {
 		case "id":
 			if id, err = strconv.Atoi(value); err != nil || id != r.last+1 {
-				c.ledger.broke(Order, s.id, "event %q after event %d", value, r.last)
+				c.ledger.violated(Order, s.id, "event %q after event %d", value, r.last)
 				return errOrder
 			}
 		case "data":
 			if id != r.last+1 || value != engine.Event(s.id, id) {
-				c.ledger.broke(Order, s.id, "event %d has other data", id)
+				c.ledger.violated(Order, s.id, "event %d has other data", id)
 				return errOrder
 			}
 			now := time.Now()
--- a/internal/lab/tier/load/jobs.go
+++ b/internal/lab/tier/load/jobs.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	readEvery  = 500 * time.Millisecond
-	holdFor    = time.Second // what a read may be held for
-	holdSlack  = 1500 * time.Millisecond
-	dueSlack   = 700 * time.Millisecond
-	largestGot = 4 << 20
+	readEvery     = 500 * time.Millisecond
+	longPoll      = time.Second // what a read may be held for
+	longPollSlack = 1500 * time.Millisecond
+	dueSlack      = 700 * time.Millisecond
+	largestGot    = 4 << 20
 )
 
 // item of a batch job, as it is handed in.
@@ -119,11 +119,11 @@
 // play hands the job in, reads it to its end or until it is to be over, and checks what it is told.
 func (j *job) play(ctx context.Context, until time.Time) {
 	j.born = time.Now()
-	j.ledger.count(j.route.Name, func(f *Figures) { f.Asked += len(j.order) })
+	j.ledger.count(j.route.Name, func(f *Figures) { f.Requested += len(j.order) })
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	defer j.account()
-	if !j.handIn(ctx) {
+	if !j.submit(ctx) {
 		return
 	}
 	for n := 0; len(j.results) < len(j.order); n++ {
@@ -145,7 +145,7 @@
 	}
 	if ctx.Err() != nil { // its time is up: it still has to be readable
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(context.WithoutCancel(ctx), 2*holdSlack)
+		ctx, stop = context.WithTimeout(context.WithoutCancel(ctx), 2*longPollSlack)
 		defer stop()
 	}
 	for range 10 { // all of it, from the start
@@ -153,11 +153,11 @@
 			return
 		}
 	}
-	j.ledger.broke(Lost, j.id, "can't be read at the end")
+	j.ledger.violated(Lost, j.id, "can't be read at the end")
 }
 
-// handIn tries until the job is taken on.
-func (j *job) handIn(ctx context.Context) bool {
+// submit tries until the job is taken on.
+func (j *job) submit(ctx context.Context) bool {
 	text, err := json.Marshal(map[string]any{"requests": j.order})
 	if err != nil {
 		panic(fmt.Errorf("a job can be written as JSON: %w", err))
@@ -193,7 +193,7 @@
 // read asks for the results from a position on, and tells whether it was answered.
 func (j *job) read(ctx context.Context, from int) bool {
 	asked := time.Now()
-	status, _, body, err := j.call(ctx, holdFor+holdSlack, http.MethodGet, fmt.Sprintf("/lots/%s?start_after=%d", j.id, from), nil, "X-Dunetide-Wait-Ms", strconv.Itoa(int(holdFor/time.Millisecond)))
+	status, _, body, err := j.call(ctx, longPoll+longPollSlack, http.MethodGet, fmt.Sprintf("/lots/%s?start_after=%d", j.id, from), nil, "X-Dunetide-Wait-Ms", strconv.Itoa(int(longPoll/time.Millisecond)))
 	j.ledger.count(j.route.Name, func(f *Figures) {
 		if err != nil {
 			f.Ends["read no answer"]++
@@ -201,8 +201,8 @@
 			f.Ends[fmt.Sprint("read ", status)]++
 		}
 	})
-	if err == nil && (status == http.StatusNotFound || status == http.StatusGone) && asked.Sub(j.accepted) > j.options.Settle {
-		j.ledger.broke(Lost, j.id, "is answered %d %v after it was accepted", status, asked.Sub(j.accepted))
+	if err == nil && (status == http.StatusNotFound || status == http.StatusGone) && asked.Sub(j.accepted) > j.options.VisibleWithin {
+		j.ledger.violated(Lost, j.id, "is answered %d %v after it was accepted", status, asked.Sub(j.accepted))
 		return true
 	}
 	if err != nil || status != http.StatusOK {
@@ -214,37 +214,37 @@
 		Next    int      `json:"next_token"`
 	}
 	if err := json.Unmarshal(body, &got); err != nil {
-		j.ledger.broke(Mixed, j.id, "a read can't be understood: %v", err)
+		j.ledger.violated(Mixed, j.id, "a read can't be understood: %v", err)
 		return false
 	}
 	if got.Total != len(j.order) {
-		j.ledger.broke(Mixed, j.id, "total is %d of %d items", got.Total, len(j.order))
+		j.ledger.violated(Mixed, j.id, "total is %d of %d items", got.Total, len(j.order))
 	}
 	if got.Next != from+len(got.Results) {
-		j.ledger.broke(Mixed, j.id, "next_token is %d after %d results from %d", got.Next, len(got.Results), from)
+		j.ledger.violated(Mixed, j.id, "next_token is %d after %d results from %d", got.Next, len(got.Results), from)
 	}
-	if len(got.Results) == 0 && from < len(j.results) && asked.Sub(j.seen[from]) > j.options.Settle {
-		j.ledger.broke(Lost, j.id, "position %d was read and is no longer there", from)
+	if len(got.Results) == 0 && from < len(j.results) && asked.Sub(j.seen[from]) > j.options.VisibleWithin {
+		j.ledger.violated(Lost, j.id, "position %d was read and is no longer there", from)
 	}
 	for i, r := range got.Results {
-		j.take(from+i, r)
+		j.checkResult(from+i, r)
 	}
 	return true
 }
 
-// take checks one result at its position.
-func (j *job) take(position int, r result) {
+// checkResult checks one result at its position.
+func (j *job) checkResult(position int, r result) {
 	if position < len(j.results) {
 		if j.results[position] != r {
-			j.ledger.broke(Twice, j.id, "position %d held %s (%s) and holds %s (%s)", position, j.results[position].ID, j.results[position].State, r.ID, r.State)
+			j.ledger.violated(Twice, j.id, "position %d held %s (%s) and holds %s (%s)", position, j.results[position].ID, j.results[position].State, r.ID, r.State)
 		}
 		return
 	}
 	it := j.items[r.ID]
 	if it == nil {
-		j.ledger.broke(Mixed, j.id, "position %d names %q, which is not an item of it", position, r.ID)
+		j.ledger.violated(Mixed, j.id, "position %d names %q, which is not an item of it", position, r.ID)
 	} else if was, ok := j.at[r.ID]; ok {
-		j.ledger.broke(Twice, j.id, "item %s stands at %d and at %d", r.ID, was, position)
+		j.ledger.violated(Twice, j.id, "item %s stands at %d and at %d", r.ID, was, position)
 	}
 	j.at[r.ID] = position
 	j.results, j.seen = append(j.results, r), append(j.seen, time.Now())
@@ -252,12 +252,12 @@
 	case it == nil:
 	case r.State == "given_up":
 		if wait := time.Duration(j.route.MaxWaitMs) * time.Millisecond; time.Since(j.born) < wait {
-			j.ledger.broke(Mixed, r.ID, "was given up %v after its job's first send, before %v", time.Since(j.born), wait)
+			j.ledger.violated(Mixed, r.ID, "was given up %v after its job's first send, before %v", time.Since(j.born), wait)
 		}
 	case r.State != "finished":
-		j.ledger.broke(Mixed, r.ID, "its state is %q", r.State)
+		j.ledger.violated(Mixed, r.ID, "its state is %q", r.State)
 	case r.Message != engine.Text(r.ID, 0, it.events):
-		j.ledger.broke(Mixed, r.ID, "its text of %d bytes is not its whole output of %d events", len(r.Message), it.events)
+		j.ledger.violated(Mixed, r.ID, "its text of %d bytes is not its whole output of %d events", len(r.Message), it.events)
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 	status, _, got, err := j.call(ctx, 2*time.Second, http.MethodGet, fmt.Sprintf("/items/%s?id=%s", j.id, it.ID), nil)
 	if err == nil && status == http.StatusOK && !bytes.Equal(got, it.Body) {
-		j.ledger.broke(Mixed, it.ID, "its body came back as other %d bytes of %d", len(got), len(it.Body))
+		j.ledger.violated(Mixed, it.ID, "its body came back as other %d bytes of %d", len(got), len(it.Body))
 	}
 	end := strconv.Itoa(status)
 	if err != nil {
@@ -286,8 +286,8 @@
 			j.ended = time.Now()
 			return
 		}
-		if err == nil && status == http.StatusNotFound && time.Since(j.accepted) > j.options.Settle {
-			j.ledger.broke(Lost, j.id, "its end is answered 404")
+		if err == nil && status == http.StatusNotFound && time.Since(j.accepted) > j.options.VisibleWithin {
+			j.ledger.violated(Lost, j.id, "its end is answered 404")
 			return
 		}
 		if !wait.For(ctx, 200*time.Millisecond) {
@@ -307,13 +307,13 @@
 			case j.seen[i].After(due) || j.accepted.Sub(j.born) > time.Duration(j.route.LatencyTargetMs)*time.Millisecond:
 				f.Late++
 			default:
-				f.InAim++
+				f.WithinTarget++
 			}
 		}
 		rest := len(j.order) - len(j.results)
 		switch {
 		case !j.ended.IsZero(): // nothing is owed for what its client ended
-			f.Asked -= rest
+			f.Requested -= rest
 		case j.never:
 			f.Refused += rest
 		default:
@@ -324,19 +324,19 @@
 
 // Job is what became of a batch job.
 type Job struct {
-	ID     string  `json:"id"`
-	Items  int     `json:"items"`
-	Taken  float64 `json:"taken_s"` // from its first send to its 202; negative: never
-	Listed int     `json:"listed"`  // items that were read as listed
-	Last   float64 `json:"last_s"`  // from its first send to the newest of these
-	Missed int     `json:"missed"`  // items that ran whole and were not read as listed
-	Ended  bool    `json:"ended"`   // by its client
+	ID        string  `json:"id"`
+	Items     int     `json:"items"`
+	AcceptedS float64 `json:"taken_s"` // from its first send to its 202; negative: never
+	Listed    int     `json:"listed"`  // items that were read as listed
+	Last      float64 `json:"last_s"`  // from its first send to the newest of these
+	Missed    int     `json:"missed"`  // items that ran whole and were not read as listed
+	Ended     bool    `json:"ended"`   // by its client
 }
 
 func (j *job) sum(whole map[string]bool) Job {
-	out := Job{ID: j.id, Items: len(j.order), Taken: -1, Listed: len(j.results), Ended: !j.ended.IsZero()}
+	out := Job{ID: j.id, Items: len(j.order), AcceptedS: -1, Listed: len(j.results), Ended: !j.ended.IsZero()}
 	if !j.accepted.IsZero() {
-		out.Taken = j.accepted.Sub(j.born).Seconds()
+		out.AcceptedS = j.accepted.Sub(j.born).Seconds()
 	}
 	for id := range j.items {
 		if _, listed := j.at[id]; !listed && whole[id] {
@@ -352,10 +352,10 @@
 // String returns the job in one line.
 func (j Job) String() string {
 	out := fmt.Sprintf("%s of %d items", j.ID, j.Items)
-	if j.Taken < 0 {
+	if j.AcceptedS < 0 {
 		return out + ": never taken on"
 	}
-	out += fmt.Sprintf(": taken on after %.2f s", j.Taken)
+	out += fmt.Sprintf(": taken on after %.2f s", j.AcceptedS)
 	if j.Listed > 0 {
 		out += fmt.Sprintf(", the newest of %d read after %.2f s", j.Listed, j.Last)
 	}
--- a/internal/lab/tier/load/ledger.go
+++ b/internal/lab/tier/load/ledger.go
@@ -24,26 +24,26 @@
 	Lost    = "LOST"
 )
 
-// Broken is a rule that was broken.
-type Broken struct {
+// Violation is a rule that was broken.
+type Violation struct {
 	Rule   string `json:"rule"`
 	ID     string `json:"id"` // of the request, the item or the job
 	Detail string `json:"detail"`
 }
 
 // String returns the broken rule in one line.
-func (b Broken) String() string { return fmt.Sprintf("%-8s %s: %s", b.Rule, b.ID, b.Detail) }
+func (b Violation) String() string { return fmt.Sprintf("%-8s %s: %s", b.Rule, b.ID, b.Detail) }
 
 // Figures are the account of one kind of request.
 type Figures struct {
-	Kind    string         `json:"kind"`
-	Asked   int            `json:"asked"`
-	InAim   int            `json:"in_aim"`
-	Late    int            `json:"late"`
-	Refused int            `json:"refused"`
-	Failed  int            `json:"failed"`
-	Tries   int            `json:"tries"`
-	Ends    map[string]int `json:"ends"` // of the tries: a status, or what went wrong
+	Kind         string         `json:"kind"`
+	Requested    int            `json:"asked"`
+	WithinTarget int            `json:"in_aim"`
+	Late         int            `json:"late"`
+	Refused      int            `json:"refused"`
+	Failed       int            `json:"failed"`
+	Tries        int            `json:"tries"`
+	Ends         map[string]int `json:"ends"` // of the tries: a status, or what went wrong
 }
 
 // sent is one try of a client, or an item of a batch job.
@@ -56,7 +56,7 @@
 	seal       string // of a success
 	job        *job   // of an item
 	front      string // the address that the try went to
-	kept       bool   // on a connection that was kept
+	persistent bool   // on a connection that was kept
 	left       time.Time
 	events     int    // of the whole stream
 	end        string // how the try ended
@@ -64,11 +64,11 @@
 
 // Try is one request of a client as the client saw it.
 type Try struct {
-	ID    string    `json:"id"`
-	Front string    `json:"front"` // the address that it went to
-	Kept  bool      `json:"kept"`  // on a connection that was kept
-	End   string    `json:"end"`   // a status, or what went wrong
-	Left  time.Time `json:"left"`  // when its client closed the connection, having had enough; zero: it did not
+	ID         string    `json:"id"`
+	Front      string    `json:"front"` // the address that it went to
+	Persistent bool      `json:"kept"`  // on a connection that was kept
+	End        string    `json:"end"`   // a status, or what went wrong
+	Left       time.Time `json:"left"`  // when its client closed the connection, having had enough; zero: it did not
 	// Events are those of the whole stream; 0: it is none.
 	Events int `json:"events"`
 	// Idempotent tells whether it may run more than once.
@@ -85,7 +85,7 @@
 	all := make(map[string]Try, len(b.sent))
 	for id, s := range b.sent {
 		if s.job == nil {
-			all[id] = Try{ID: id, Front: s.front, Kept: s.kept, End: s.end, Left: s.left, Events: s.events, Idempotent: s.idempotent}
+			all[id] = Try{ID: id, Front: s.front, Persistent: s.persistent, End: s.end, Left: s.left, Events: s.events, Idempotent: s.idempotent}
 		}
 	}
 	return all
@@ -93,20 +93,20 @@
 
 // ledger keeps what the clients did and saw.
 type ledger struct {
-	mu      sync.Mutex
-	sent    map[string]*sent
-	broken  []Broken
-	figures map[string]*Figures
-	jobs    []*job
-	late    int // requests that the lab itself sent late
+	mu         sync.Mutex
+	sent       map[string]*sent
+	violations []Violation
+	figures    map[string]*Figures
+	jobs       []*job
+	late       int // requests that the lab itself sent late
 }
 
 func newLedger() *ledger { return &ledger{sent: map[string]*sent{}, figures: map[string]*Figures{}} }
 
-func (b *ledger) broke(rule, id, form string, args ...any) {
+func (b *ledger) violated(rule, id, form string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.broken = append(b.broken, Broken{rule, id, fmt.Sprintf(form, args...)})
+	b.violations = append(b.violations, Violation{rule, id, fmt.Sprintf(form, args...)})
 }
 
 func (b *ledger) send(s *sent) {
@@ -136,12 +136,12 @@
 }
 
 // check holds what was sent and answered against what ran.
-func (b *ledger) check(runs []engine.Run, cancel time.Duration) []Broken {
+func (b *ledger) check(runs []engine.Run, cancel time.Duration) []Violation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := slices.Clone(b.broken)
+	out := slices.Clone(b.violations)
 	broke := func(rule, id, form string, args ...any) {
-		out = append(out, Broken{rule, id, fmt.Sprintf(form, args...)})
+		out = append(out, Violation{rule, id, fmt.Sprintf(form, args...)})
 	}
 	count := map[string]int{}
 	seals := map[string]engine.Run{}
@@ -188,7 +188,7 @@
 			broke(Mixed, s.id, "a success bears the stamp %q of %q, status %d", s.seal, r.Request, r.Status)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Broken) int {
+	slices.SortStableFunc(out, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.ID, b.ID))
 	})
 	return out
--- a/internal/lab/tier/load/load.go
+++ b/internal/lab/tier/load/load.go
@@ -34,30 +34,30 @@
 
 // Options of a run.
 type Options struct {
-	Seed     uint64
-	Length   time.Duration
-	Clients  int
-	Zones    []string
-	Front    Front
-	Traffic  []Traffic
-	Jobs     []Jobs
-	Stride   int // tokens an event of the engines
-	FinishBy time.Duration
-	Settle   time.Duration
-	Cancel   time.Duration
-	Runs     *engine.Runs
-	// GiveUp is the share of requests whose client closes its connection within half of the aim.
-	GiveUp float64
+	Seed          uint64
+	Length        time.Duration
+	Clients       int
+	Zones         []string
+	Front         Front
+	Traffic       []Traffic
+	Jobs          []Jobs
+	Stride        int // tokens an event of the engines
+	FinishBy      time.Duration
+	VisibleWithin time.Duration
+	Cancel        time.Duration
+	Runs          *engine.Runs
+	// LeaveShare is the share of requests whose client closes its connection within half of the aim.
+	LeaveShare float64
 }
 
 // Account is what became of all.
 type Account struct {
-	Kinds      []Figures `json:"kinds"`
-	Violations []Broken  `json:"broken"`
-	Runs       int       `json:"runs"`
-	Cut        int       `json:"cut"` // runs that were not answered whole
-	Late       int       `json:"sent_late"`
-	Jobs       []Job     `json:"jobs"`
+	Kinds      []Figures   `json:"kinds"`
+	Violations []Violation `json:"broken"`
+	Runs       int         `json:"runs"`
+	Cut        int         `json:"cut"` // runs that were not answered whole
+	Late       int         `json:"sent_late"`
+	Jobs       []Job       `json:"jobs"`
 	// Tries are all requests of clients, by their ids.
 	Tries map[string]Try `json:"-"`
 }
@@ -126,7 +126,7 @@
 		rng := world.Random(o.Seed, "request", number, n)
 		r := draw(t, rng, o.Stride)
 		r.born = began.Add(at)
-		if o.GiveUp > 0 && rng.Float64() < o.GiveUp {
+		if o.LeaveShare > 0 && rng.Float64() < o.LeaveShare {
 			r.leaves = time.Duration(rng.Float64() * float64(t.Route.LatencyTargetMs) / 2 * float64(time.Millisecond))
 		}
 		c := clients[rng.IntN(len(clients))]
--- a/internal/lab/tier/load/load_test.go
+++ b/internal/lab/tier/load/load_test.go
@@ -72,10 +72,10 @@
 
 func options(p *proxy, runs *engine.Runs) Options {
 	return Options{Seed: 1, Length: 300 * time.Millisecond, Clients: 4, Zones: []string{"a"}, Front: p.front, Stride: stride,
-		FinishBy: 5 * time.Second, Settle: time.Second, Cancel: time.Second, Runs: runs}
+		FinishBy: 5 * time.Second, VisibleWithin: time.Second, Cancel: time.Second, Runs: runs}
 }
 
-func names(broken []Broken) (out []string) {
+func names(broken []Violation) (out []string) {
 	for _, b := range broken {
 		if !slices.Contains(out, b.Rule) {
 			out = append(out, b.Rule)
@@ -98,7 +98,7 @@
 		t.Fatalf("kinds %+v", a.Kinds)
 	}
 	for _, k := range a.Kinds {
-		if k.Asked == 0 || k.InAim+k.Late != k.Asked {
+		if k.Requested == 0 || k.WithinTarget+k.Late != k.Requested {
 			t.Errorf("%+v", k)
 		}
 	}
@@ -209,22 +209,22 @@
 }
 
 func TestAJobThatChangesOrGoesIsFound(t *testing.T) {
-	o := Options{Settle: 0, Stride: stride}
+	o := Options{VisibleWithin: 0, Stride: stride}
 	b := newLedger()
 	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
 	first := result{j.order[0].ID, "finished", engine.Text(j.order[0].ID, 0, j.order[0].events)}
-	j.take(0, first)
-	j.take(0, first)
-	if len(b.broken) > 0 {
-		t.Fatalf("broken %v", b.broken)
+	j.checkResult(0, first)
+	j.checkResult(0, first)
+	if len(b.violations) > 0 {
+		t.Fatalf("broken %v", b.violations)
 	}
 	changed := first
 	changed.State = "given_up"
-	j.take(0, changed)
-	if got := names(b.broken); !slices.Equal(got, []string{Twice}) {
+	j.checkResult(0, changed)
+	if got := names(b.violations); !slices.Equal(got, []string{Twice}) {
 		t.Errorf("a position that changes broke %v", got)
 	}
-	b.broken = nil
+	b.violations = nil
 	j.ended = time.Now()
 	run := engine.Run{Request: j.order[1].ID, Service: "gen", Sum: b.sent[j.order[1].ID].sum}
 	run.Arrived = j.ended.Add(2 * time.Second)
@@ -242,12 +242,12 @@
 	runs := &engine.Runs{}
 	p := newProxy(t, runs)
 	o := options(p, runs)
-	o.Settle = 0
+	o.VisibleWithin = 0
 	b := newLedger()
 	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
 	j.accepted = time.Now()
 	j.read(t.Context(), 0)
-	if got := names(b.broken); !slices.Equal(got, []string{Lost}) {
+	if got := names(b.violations); !slices.Equal(got, []string{Lost}) {
 		t.Errorf("broken %v", got)
 	}
 }
@@ -277,7 +277,7 @@
 		cl.do(t.Context(), r)
 		cl.close()
 		f := b.figures["web"]
-		if f.Tries != c.tries || f.InAim != c.inAim || f.Refused != 1-c.inAim {
+		if f.Tries != c.tries || f.WithinTarget != c.inAim || f.Refused != 1-c.inAim {
 			t.Errorf("Retry-After %s: %+v", c.wait, f)
 		}
 		if c.tries == 2 && times[1].Sub(times[0]) < 50*time.Millisecond {
@@ -330,8 +330,8 @@
 	r := draw(traffic(route("gen", "gen", operatorconfig.Streaming, true))[0], world.Random(1, "test"), stride)
 	r.events, r.born = 4, time.Now()
 	cl.do(t.Context(), r)
-	if f := b.figures["gen"]; f.InAim != 1 || f.Tries != 2 || f.Ends["broken off"] != 1 || len(b.broken) > 0 {
-		t.Errorf("%+v, broken %v", f, b.broken)
+	if f := b.figures["gen"]; f.WithinTarget != 1 || f.Tries != 2 || f.Ends["broken off"] != 1 || len(b.violations) > 0 {
+		t.Errorf("%+v, broken %v", f, b.violations)
 	}
 }
 
@@ -350,8 +350,8 @@
 	r := draw(traffic(route("web", "web", operatorconfig.Writes, false))[0], world.Random(1, "test"), stride)
 	r.born = time.Now()
 	cl.do(t.Context(), r)
-	if got := names(b.broken); !slices.Equal(got, []string{Mixed}) {
-		t.Errorf("broken %v", b.broken)
+	if got := names(b.violations); !slices.Equal(got, []string{Mixed}) {
+		t.Errorf("broken %v", b.violations)
 	}
 }
 
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -21,20 +21,20 @@
 	"dunetide/internal/lab/wait"
 )
 
-// ReplacementDay is a day on which voters are replaced while another one is cut off in silence. Its times are counted
+// ReplacementScenario is a day on which voters are replaced while another one is cut off in silence. Its times are counted
 // from when the tier is ready. Which machines are met is drawn by the seed of the play.
-type ReplacementDay struct {
+type ReplacementScenario struct {
 	Machines      int           // with disks, and so voters
 	FirstReplaced time.Duration // a new machine starts
-	HandOver      time.Duration // from the start of a new machine to the SIGTERM of the one that it replaces
+	TransferAfter time.Duration // from the start of a new machine to the SIGTERM of the one that it replaces
 	CutFrom       time.Duration // a voter that is not replaced is cut off
 	SecondStarts  time.Duration // the next new machine starts
 	CutTo         time.Duration
 	Length        time.Duration
 }
 
-// DefaultReplacementDay is the day that a former program did not pass: it took no order from the second replacement on.
-var DefaultReplacementDay = ReplacementDay{Machines: 3, FirstReplaced: 2 * time.Second, HandOver: 5 * time.Second, CutFrom: 17 * time.Second,
+// DefaultReplacementScenario is the day that a former program did not pass: it took no order from the second replacement on.
+var DefaultReplacementScenario = ReplacementScenario{Machines: 3, FirstReplaced: 2 * time.Second, TransferAfter: 5 * time.Second, CutFrom: 17 * time.Second,
 	SecondStarts: 23 * time.Second, CutTo: 37 * time.Second, Length: 40 * time.Second}
 
 const (
@@ -59,18 +59,18 @@
 // replacements is such a day under way.
 type replacements struct {
 	*rig
-	day      ReplacementDay
+	day      ReplacementScenario
 	operator *operator.Operator
 	config   []byte // of the version that was acknowledged last
 	version  uint64
 
 	mu     sync.Mutex
 	began  time.Time
-	events []DayEvent
+	events []ScenarioEvent
 }
 
 // Replacements plays such a day. The program has to be one that cluster.BuildRelayed has made.
-func Replacements(ctx context.Context, o Options, day ReplacementDay) (out ReplacementAccount, err error) {
+func Replacements(ctx context.Context, o Options, day ReplacementScenario) (out ReplacementAccount, err error) {
 	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: o.Dir, Zones: day.Machines, Edges: 1, Keepers: 1, Spares: replacementSpares, Stores: 3,
 		Relayed: true, BeatEvery: heartbeatEvery, Grace: grace, Rules: "base,drain,config,batch,engine"})
 	if err != nil {
@@ -110,7 +110,7 @@
 	d.began = time.Now()
 	var failed [3]error
 	var running sync.WaitGroup
-	running.Go(func() { failed[0] = d.troubles(ctx) })
+	running.Go(func() { failed[0] = d.injectFaults(ctx) })
 	running.Go(func() { out.Orders, failed[1] = d.orders(ctx) })
 	running.Go(func() { out.SlowestSync, failed[2] = d.watchDisk(ctx) })
 	out.Account = d.jobs(ctx, jobs)
@@ -120,7 +120,7 @@
 
 // account takes down what became of all.
 func (d *replacements) account(ctx context.Context, out *ReplacementAccount) error {
-	slices.SortFunc(d.events, func(a, b DayEvent) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(d.events, func(a, b ScenarioEvent) int { return cmp.Compare(a.At, b.At) })
 	out.Events = d.events
 	for i := range out.Orders {
 		out.Orders[i].Calm = longestCalm(out.Orders[i], d.events)
@@ -137,7 +137,7 @@
 func (d *replacements) event(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := DayEvent{time.Since(d.began), fmt.Sprintf(format, args...)}
+	e := ScenarioEvent{time.Since(d.began), fmt.Sprintf(format, args...)}
 	d.events = append(d.events, e)
 	d.options.Logf("%5.1f s  %s", e.At.Seconds(), e.What)
 }
@@ -161,7 +161,7 @@
 		slowest = max(slowest, took)
 		if took > stalledSync {
 			d.mu.Lock()
-			d.events = append(d.events, DayEvent{began, "the disk of this computer stalls"})
+			d.events = append(d.events, ScenarioEvent{began, "the disk of this computer stalls"})
 			d.mu.Unlock()
 			d.event("a sync of the lab's own took %v", took.Round(time.Millisecond))
 		}
@@ -184,8 +184,8 @@
 	return keeper
 }
 
-// troubles plays what the day does to machines.
-func (d *replacements) troubles(ctx context.Context) error {
+// injectFaults plays what the day does to machines.
+func (d *replacements) injectFaults(ctx context.Context) error {
 	cut := d.cutKeeper()
 	var replaced [2]error
 	var replacing sync.WaitGroup
@@ -225,7 +225,7 @@
 	if err := errors.Join(newKeeper.Start(), newProxy.Start()); err != nil {
 		return err
 	}
-	if !wait.For(ctx, d.day.HandOver) {
+	if !wait.For(ctx, d.day.TransferAfter) {
 		return ctx.Err()
 	}
 	d.event("%s is told to end", oldKeeper.Machine)
@@ -253,12 +253,12 @@
 		if err != nil {
 			return all, err
 		}
-		order := Order{Version: d.version + 1, Asked: time.Since(d.began)}
+		order := Order{Version: d.version + 1, SentAt: time.Since(d.began)}
 		err = wait.Within(ctx, orderWait, func(ctx context.Context) error { return d.operator.Put(ctx, d.version, text) })
-		order.Took = time.Since(d.began) - order.Asked
+		order.Took = time.Since(d.began) - order.SentAt
 		all = append(all, order)
 		if err != nil {
-			return all, fmt.Errorf("version %d, sent at %v: %w", order.Version, order.Asked, err)
+			return all, fmt.Errorf("version %d, sent at %v: %w", order.Version, order.SentAt, err)
 		}
 		d.version, d.config = order.Version, text
 	}
@@ -280,7 +280,7 @@
 	jobs.Count, jobs.Items, jobs.EndEvery = int(d.day.Length/jobEvery), jobItems, 0
 	// Jobs begin in the first half of a length.
 	return load.Run(ctx, load.Options{Seed: d.options.Seed, Length: 2 * d.day.Length, Zones: d.cluster.Zones(), Front: d.cluster.Front, Jobs: []load.Jobs{jobs},
-		Stride: stride, FinishBy: jobsFinishBy - d.day.Length, Settle: settleTime, Cancel: cancelAfter, Runs: d.runs})
+		Stride: stride, FinishBy: jobsFinishBy - d.day.Length, VisibleWithin: visibleWithin, Cancel: cancelAfter, Runs: d.runs})
 }
 
 // readBack reads the configuration, which has to be the one that was acknowledged last.
@@ -299,7 +299,7 @@
 // readJobs reads all jobs that were accepted, and tells which could not be read.
 func (d *replacements) readJobs(ctx context.Context, jobs []load.Job) (accepted int, unread []string) {
 	for _, job := range jobs {
-		if job.Taken < 0 {
+		if job.AcceptedS < 0 {
 			continue
 		}
 		accepted++
--- a/internal/lab/tier/replacements_test.go
+++ b/internal/lab/tier/replacements_test.go
@@ -16,10 +16,10 @@
 const ackMost = 4 * time.Second
 
 // shortDay has the events of the whole one in their order, within a few seconds.
-var shortDay = ReplacementDay{Machines: 3, HandOver: 2 * time.Second, CutFrom: 2500 * time.Millisecond, SecondStarts: 5 * time.Second, CutTo: 8 * time.Second,
+var shortDay = ReplacementScenario{Machines: 3, TransferAfter: 2 * time.Second, CutFrom: 2500 * time.Millisecond, SecondStarts: 5 * time.Second, CutTo: 8 * time.Second,
 	Length: 9 * time.Second}
 
-func playReplacements(t *testing.T, program string, seed uint64, day ReplacementDay) ReplacementAccount {
+func playReplacements(t *testing.T, program string, seed uint64, day ReplacementScenario) ReplacementAccount {
 	t.Helper()
 	a, err := Replacements(t.Context(), Options{Program: program, Dir: t.TempDir(), Seed: seed, Logf: t.Logf}, day)
 	if err != nil {
@@ -61,11 +61,11 @@
 	for _, machines := range []int{3, 4} {
 		for seed := range plays {
 			t.Run(fmt.Sprintf("%d machines, seed %d", machines, seed), func(t *testing.T) {
-				day := DefaultReplacementDay
+				day := DefaultReplacementScenario
 				day.Machines = machines
 				a := playReplacements(t, program, uint64(seed), day)
 				if late := a.LongestCalm(); late.Calm > ackMost {
-					t.Errorf("version %d, sent at %v, had no acknowledgement for %v of calm", late.Version, late.Asked, late.Calm)
+					t.Errorf("version %d, sent at %v, had no acknowledgement for %v of calm", late.Version, late.SentAt, late.Calm)
 				}
 			})
 		}
@@ -74,7 +74,7 @@
 
 func TestLongestCalm(t *testing.T) {
 	const s = time.Second
-	events := []DayEvent{{At: 10 * s}, {At: 12 * s}, {At: 30 * s}}
+	events := []ScenarioEvent{{At: 10 * s}, {At: 12 * s}, {At: 30 * s}}
 	for _, c := range []struct{ asked, took, want time.Duration }{
 		{1 * s, 2 * s, 2 * s},
 		{8 * s, 3 * s, 2 * s},
@@ -84,7 +84,7 @@
 		{13 * s, 30 * s, 15 * s},
 		{16 * s, 1 * s, 1 * s},
 	} {
-		if got := max(0, longestCalm(Order{Asked: c.asked, Took: c.took}, events)); got != c.want {
+		if got := max(0, longestCalm(Order{SentAt: c.asked, Took: c.took}, events)); got != c.want {
 			t.Errorf("asked at %v for %v: %v, not %v", c.asked, c.took, got, c.want)
 		}
 	}
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -33,7 +33,7 @@
 	finishBy       = 10 * time.Second
 	host           = "tier.example"
 	gen, web       = "gen", "web"
-	settleTime     = time.Second
+	visibleWithin  = time.Second
 	cancelAfter    = 3 * time.Second
 	configVersion  = 3
 )
@@ -49,7 +49,7 @@
 	Load           float64                          // over the usual rates; 0: 1
 	Logf           func(format string, args ...any) // what happens, as it happens
 
-	night *certificationRun // nil: nothing is regulated
+	certification *certificationRun // nil: nothing is regulated
 }
 
 // DefaultTraffic is what the clients of a play ask for.
@@ -180,7 +180,7 @@
 	r := newRig(o, c)
 	defer r.close()
 	models := engines
-	if o.night != nil {
+	if o.certification != nil {
 		models = certificationEngines
 	}
 	for n := range models + plain {
@@ -210,8 +210,8 @@
 		return out, explain(err, c)
 	}
 	out.ReadyS = time.Since(began).Seconds()
-	if o.night != nil {
-		if err := o.night.begin(ctx, r, op); err != nil {
+	if o.certification != nil {
+		if err := o.certification.begin(ctx, r, op); err != nil {
 			return out, explain(err, c)
 		}
 	}
@@ -220,8 +220,8 @@
 	var wg sync.WaitGroup
 	var failed error
 	wg.Go(func() {
-		if o.night != nil {
-			failed = o.night.injectFaults(ctx, r, op)
+		if o.certification != nil {
+			failed = o.certification.injectFaults(ctx, r, op)
 			return
 		}
 		failed = r.faults(ctx)
@@ -232,7 +232,7 @@
 	}
 	asked := time.Now()
 	out.Account = load.Run(ctx, load.Options{Seed: o.Seed, Length: o.Length, Clients: 24, Zones: c.Zones(), Front: c.Front, Traffic: ts, Jobs: js,
-		Stride: stride, FinishBy: finishBy, Settle: settleTime, Cancel: cancelAfter, Runs: r.runs})
+		Stride: stride, FinishBy: finishBy, VisibleWithin: visibleWithin, Cancel: cancelAfter, Runs: r.runs})
 	stop()
 	wg.Wait()
 	out.Services = services(r.runs, asked, o.Length)
@@ -246,8 +246,8 @@
 	default:
 		out.ReadBack = fmt.Sprintf("another one, of %d bytes", len(got))
 	}
-	if o.night != nil {
-		o.night.account(ctx, r)
+	if o.certification != nil {
+		o.certification.account(ctx, r)
 	}
 	out.Ends = c.Ends()
 	return out, errors.Join(failed, ctx.Err())
--- a/internal/lab/tier/tier_test.go
+++ b/internal/lab/tier/tier_test.go
@@ -144,10 +144,10 @@
 		t.Fatalf("kinds %+v", a.Kinds)
 	}
 	for _, k := range a.Kinds {
-		if k.Asked == 0 || k.InAim+k.Late+k.Refused+k.Failed != k.Asked {
+		if k.Requested == 0 || k.WithinTarget+k.Late+k.Refused+k.Failed != k.Requested {
 			t.Errorf("%+v does not add up", k)
 		}
-		if k.InAim == 0 {
+		if k.WithinTarget == 0 {
 			t.Errorf("%+v: none in aim", k)
 		}
 	}
