--- a/cmd/dunetide/certify_test.go
+++ b/cmd/dunetide/certify_test.go
@@ -66,6 +66,7 @@
 }
 
 func serve(t *testing.T) (*fakeKeeper, keeperAddress) {
+	t.Helper()
 	k := &fakeKeeper{}
 	s := httptest.NewServer(k)
 	t.Cleanup(s.Close)
--- a/cmd/dunetide/condition_test.go
+++ b/cmd/dunetide/condition_test.go
@@ -90,7 +90,7 @@
 	told.await(t, "s1: "+diskFullReason)
 	makeRoom.Store(true)
 	told.await(t, "s1: ")
-	if err := <-ended; err != other {
+	if err := <-ended; err != other { //nolint:errorlint // this very error, not one that wraps it
 		t.Error(err)
 	}
 	cancel()
--- a/cmd/dunetide/cut_test.go
+++ b/cmd/dunetide/cut_test.go
@@ -38,6 +38,7 @@
 
 // cutLength is how long a cut lasts: CUT_SECONDS, or 5 s.
 func cutLength(t *testing.T) time.Duration {
+	t.Helper()
 	text := os.Getenv("CUT_SECONDS")
 	if text == "" {
 		return 5 * time.Second
@@ -72,6 +73,7 @@
 
 // newCutTest starts keepers, with a store in the zone of each, and has something confirmed of each kind.
 func newCutTest(t *testing.T, keepers int) *cutTest {
+	t.Helper()
 	c := &cutTest{keeperProcesses: newKeeperProcesses(t, keepers), bodies: map[uint64][]byte{}}
 	c.startAll()
 	for i := range keepers {
@@ -197,7 +199,7 @@
 }
 
 // checkAttached has a process attach to a keeper without contact, and plays the rows of links.
-func (c *cutTest) checkAttached(i int) *observer {
+func (c *cutTest) checkAttached(i int) {
 	c.t.Helper()
 	o := c.observe(i, fmt.Sprint("late", c.beats.Add(1)), 0)
 	if o.helloInContact {
@@ -227,7 +229,6 @@
 	if seen, inContact, _ := o.now(); inContact || seen != (versions{}) {
 		c.t.Errorf("keeper %d hands out %+v, in contact: %v", i+1, seen, inContact)
 	}
-	return o
 }
 
 func inForceRequest(version uint64) []byte {
@@ -398,14 +399,14 @@
 // processes that are attached. All cases are played side by side, as most of their time is waiting. CUT_SECONDS makes the cuts longer.
 func TestCutOffKeeperProcess(t *testing.T) {
 	cases := map[string]func(t *testing.T){
-		"one of three":           func(t *testing.T) { playCutOff(t, 3, true, true) },
-		"one of five":            func(t *testing.T) { playCutOff(t, 5, true, true) },
-		"its words are lost":     func(t *testing.T) { playCutOff(t, 3, true, false) },
-		"it hears nothing":       func(t *testing.T) { playCutOff(t, 3, false, true) },
+		"one of three":           func(t *testing.T) { t.Helper(); playCutOff(t, 3, true, true) },
+		"one of five":            func(t *testing.T) { t.Helper(); playCutOff(t, 5, true, true) },
+		"its words are lost":     func(t *testing.T) { t.Helper(); playCutOff(t, 3, true, false) },
+		"it hears nothing":       func(t *testing.T) { t.Helper(); playCutOff(t, 3, false, true) },
 		"it comes and goes":      playCutThatComesAndGoes,
 		"another one is frozen":  playCutWhileAnotherIsFrozen,
-		"both sides are killed":  func(t *testing.T) { playCutWithRestarts(t, (*keeperProcesses).kill) },
-		"both sides are stopped": func(t *testing.T) { playCutWithRestarts(t, (*keeperProcesses).terminate) },
+		"both sides are killed":  func(t *testing.T) { t.Helper(); playCutWithRestarts(t, (*keeperProcesses).kill) },
+		"both sides are stopped": func(t *testing.T) { t.Helper(); playCutWithRestarts(t, (*keeperProcesses).terminate) },
 	}
 	var played sync.WaitGroup
 	for name, play := range cases {
@@ -416,6 +417,7 @@
 
 // playCutOff makes each call of the table in docs/control.md on both sides of a cut, again and again while it lasts.
 func playCutOff(t *testing.T, keepers int, from, to bool) {
+	t.Helper()
 	c := newCutTest(t, keepers)
 	stays, moves := c.observe(lone, "stays", 0), c.client("moves")
 	floor := c.floor()
@@ -455,6 +457,7 @@
 // playCutThatComesAndGoes cuts a keeper off each second: nobody is handed anything older than what was confirmed before, and no order
 // is lost.
 func playCutThatComesAndGoes(t *testing.T) {
+	t.Helper()
 	c := newCutTest(t, 3)
 	ended := make(chan struct{})
 	length := cutLength(t)
@@ -486,6 +489,7 @@
 // playCutWhileAnotherIsFrozen freezes another one of three while one is cut off, so that nobody has contact. The frozen one wakes
 // beyond a cut of its own: what was sent to it meanwhile is refused.
 func playCutWhileAnotherIsFrozen(t *testing.T) {
+	t.Helper()
 	c := newCutTest(t, 3)
 	without := c.cutOff(lone, true, true)
 	c.putNext(witness)
@@ -529,6 +533,7 @@
 
 // playCutWithRestarts has keepers on both sides end and start again during the cut. The lone one had no contact in its new life.
 func playCutWithRestarts(t *testing.T, end func(k *keeperProcesses, i int)) {
+	t.Helper()
 	c := newCutTest(t, 3)
 	c.cutOff(lone, true, true)
 	c.putNext(witness)
--- a/cmd/dunetide/diskspace_test.go
+++ b/cmd/dunetide/diskspace_test.go
@@ -26,7 +26,7 @@
 		}
 		return other
 	})
-	if err != other || calls != 2 {
+	if err != other || calls != 2 { //nolint:errorlint // this very error, not one that wraps it
 		t.Errorf("%v after %d calls", err, calls)
 	}
 	// A disk that stays full: it ends when the process is told to.
--- a/cmd/dunetide/golden_test.go
+++ b/cmd/dunetide/golden_test.go
@@ -221,6 +221,7 @@
 
 // writeInputs writes the files that the commands read.
 func writeInputs(t *testing.T) {
+	t.Helper()
 	writeGolden(t, "input/invalid", []byte("{}"))
 	writeGolden(t, "input/boot.conf", []byte("node_name=n1\nip=10.0.0.7\ninternal_ports=7000,7015\nzone=a\nrole=proxy\n"))
 	writeGolden(t, "input/config.json", []byte(`{"version":7,"services":[{"name":"a"},{"name":"b"}],"routes":[`+
@@ -241,6 +242,7 @@
 
 // auditLog is the record of some runs, one of which was sent to an endpoint without a certificate.
 func auditLog(t *testing.T, document []byte, at time.Time) []byte {
+	t.Helper()
 	dir := t.TempDir()
 	store, err := audit.OpenStore(audit.StoreOptions{Folder: vfs.Dir(dir), FileBytes: 1 << 20})
 	if err != nil {
--- a/cmd/dunetide/keepers_test.go
+++ b/cmd/dunetide/keepers_test.go
@@ -205,7 +205,11 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	defer log.Close()
+	defer func() {
+		if err := log.Close(); err != nil {
+			k.t.Error(err)
+		}
+	}()
 	p := &keeperProcess{cmd: exec.Command(k.program, "keeper"), exited: make(chan struct{})}
 	p.cmd.Env = []string{settingsVar + "=" + file, relaysVar + "=" + k.dialled[i], "HOME=" + os.Getenv("HOME"), "PATH=" + os.Getenv("PATH")}
 	if processors := os.Getenv("GOMAXPROCS"); processors != "" {
--- a/cmd/dunetide/stalled_test.go
+++ b/cmd/dunetide/stalled_test.go
@@ -25,6 +25,7 @@
 
 // jobsUnderTest serves calls about batch jobs with no stores.
 func jobsUnderTest(t *testing.T) *batchCalls {
+	t.Helper()
 	holder := &snapshot.Latest{}
 	holder.Set(&snapshot.Snapshot{Config: &operatorconfig.Config{Version: 1}})
 	j := &batchCalls{snapshots: holder, runner: &forwardRunner{snapshots: holder}}
@@ -68,7 +69,9 @@
 	write time.Time
 }
 
-// SetWriteDeadline is of http.ResponseController.
+// SetWriteDeadline is for http.ResponseController.
+//
+//nolint:unparam // its error is part of what http.ResponseController calls
 func (d *deadlines) SetWriteDeadline(at time.Time) error { d.write = at; return nil }
 
 // SetReadDeadline is of http.ResponseController.
--- a/internal/proxy/dispatch/ablation_test.go
+++ b/internal/proxy/dispatch/ablation_test.go
@@ -31,14 +31,14 @@
 	{"memory of what was sent where", Settings{MaxCacheEntries: 1}},
 }
 
-// TestAblationTable prints what each mechanism is worth in the worlds of worlds_test.go: ABLATION=1 go test -v -run AblationTable.
+// TestAblationTable prints what each mechanism is worth in the scenarios of scenarios_test.go: ABLATION=1 go test -v -run AblationTable.
 func TestAblationTable(t *testing.T) {
 	if os.Getenv("ABLATION") == "" {
 		t.Skip("ABLATION is not set")
 	}
 	const seeds = 3
 	var names []string
-	for name := range fleetWorlds {
+	for name := range fleetScenarios {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -51,9 +51,9 @@
 				for _, name := range names {
 					sum, squares, over := 0.0, 0.0, 0.0
 					for seed := range seeds {
-						w := fleetWorlds[name]
+						w := fleetScenarios[name]
 						w.layout.seed = uint64(seed)
-						worth, missed := playWorld(t, w, off.settings, false)
+						worth, missed := playScenario(t, w, off.settings, false)
 						sum, squares, over = sum+worth, squares+worth*worth, over+missed
 					}
 					mean := sum / seeds
--- a/internal/proxy/dispatch/certified_test.go
+++ b/internal/proxy/dispatch/certified_test.go
@@ -17,20 +17,20 @@
 	return &Request{ID: id, Regime: "r", Certified: func(e string) bool { return slices.Contains(*certified, e) }}
 }
 
-func expect(t *testing.T, b *bench, want string) {
+func expect(t *testing.T, b *harness, want string) {
 	t.Helper()
-	if got := strings.Join(b.said, ", "); got != want {
+	if got := strings.Join(b.decisions, ", "); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	b.said = nil
+	b.decisions = nil
 }
 
 func TestOnlyCertifiedEndpointsGetRegulatedWork(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1", "e2", "e3", "e4")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1", "e2", "e3", "e4")
 	certified := []string{"e2", "e3"}
 	for range 200 {
-		b.ask(regulated("q", &certified))
+		b.submit(regulated("q", &certified))
 		b.pass(10 * time.Millisecond)
 		for _, r := range b.runs {
 			if r.target.ID != "e2" && r.target.ID != "e3" {
@@ -43,19 +43,19 @@
 }
 
 func TestRegulatedWorkQueuesAndIsRefusedWithItsReason(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1", "e2")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1", "e2")
 	var certified []string
-	b.ask(regulated("1", &certified))
+	b.submit(regulated("1", &certified))
 	expect(t, b, "") // nobody is certified: it waits
-	b.ask(&Request{ID: "2"})
+	b.submit(&Request{ID: "2"})
 	expect(t, b, "2 to "+b.runs["2"].target.ID) // and nobody waits behind it
 	b.pass(50 * time.Millisecond)
 	certified = []string{"e2"}
 	b.pass(10 * time.Millisecond)
 	expect(t, b, "1 to e2")
 	certified = nil
-	w := b.ask(regulated("3", &certified))
+	w := b.submit(regulated("3", &certified))
 	b.pass(99 * time.Millisecond)
 	expect(t, b, "")
 	b.pass(time.Millisecond)
@@ -66,49 +66,49 @@
 }
 
 func TestLeastEjectedEndpointIsCertified(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1", "e2")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1", "e2")
 	certified := []string{"e1"}
 	for range 2 { // e1 is sick from here on
-		w := b.ask(regulated("s", &certified))
+		w := b.submit(regulated("s", &certified))
 		b.c.endRun(w.granted, Broken, Load{})
 	}
-	if b.endpoint("e1").ejectedUntil == 0 {
+	if b.firstEndpoint().ejectedUntil == 0 {
 		t.Fatal("e1 is not out")
 	}
-	b.said = nil
-	b.ask(regulated("1", &certified))
+	b.decisions = nil
+	b.submit(regulated("1", &certified))
 	expect(t, b, "1 to e1") // the least bad of those that are certified, though e2 is sound
 	certified = nil
-	b.ask(regulated("2", &certified))
+	b.submit(regulated("2", &certified))
 	expect(t, b, "")
 }
 
 func TestQueuedRegulatedWorkBlocksNobodyElse(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1", "e2")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1", "e2")
 	var certified []string
 	for i := range 3 * maxFailedPlacements {
 		w := regulated("held"+string(rune('a'+i)), &certified)
 		w.Bulk = true
-		b.ask(w)
+		b.submit(w)
 		u := regulated("int"+string(rune('a'+i)), &certified)
 		u.Route = &operatorconfig.Route{LatencyTargetMs: 4000}
-		b.ask(u)
+		b.submit(u)
 	}
 	expect(t, b, "")
-	b.ask(&Request{ID: "plain"})
-	b.ask(&Request{ID: "bulk", Bulk: true})
+	b.submit(&Request{ID: "plain"})
+	b.submit(&Request{ID: "bulk", Bulk: true})
 	if b.runs["plain"] == nil || b.runs["bulk"] == nil {
-		t.Errorf("%q: they wait for what is of no use to them", b.said)
+		t.Errorf("%q: they wait for what is of no use to them", b.decisions)
 	}
-	b.said = nil
+	b.decisions = nil
 	b.c.endRun(b.runs["plain"], Served, Load{})
 	b.c.endRun(b.runs["bulk"], Served, Load{})
 	// Fill all, hold another plain one, and see that it goes when a place comes free, past those that are held.
 	b.runs = map[string]*run{}
 	for i := range 20 {
-		b.ask(&Request{ID: "f" + string(rune('a'+i)), Bulk: true})
+		b.submit(&Request{ID: "f" + string(rune('a'+i)), Bulk: true})
 	}
 	ran := len(b.runs)
 	if ran == 20 {
@@ -124,14 +124,14 @@
 }
 
 func TestPreferredEndpointsAreCertified(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1", "e2", "e3", "e4", "e5", "e6")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1", "e2", "e3", "e4", "e5", "e6")
 	certified := []string{"e2", "e5"}
 	homes := map[string]int{}
 	for i := range 40 {
 		r := prompt(7, uint64(i))
 		r.ID, r.Regime, r.Certified = "h", "r", func(e string) bool { return slices.Contains(certified, e) }
-		w := b.ask(r)
+		w := b.submit(r)
 		if w.granted == nil {
 			t.Fatal("not granted")
 		}
--- a/internal/proxy/dispatch/estimate_test.go
+++ b/internal/proxy/dispatch/estimate_test.go
@@ -8,14 +8,14 @@
 
 // slowStart plays a sender that starts while its endpoints are full of what others held back: the first words take seconds, and the
 // endpoints, once heard, tell that nobody waits any more.
-func slowStart(b *bench, endpoints int) {
+func slowStart(b *harness, endpoints int) {
 	for i := range endpoints {
-		b.add(fmt.Sprintf("e%d", i))
+		b.addEndpoints(fmt.Sprintf("e%d", i))
 	}
 	var first []string
 	for i := range 2 * endpoints {
 		id := fmt.Sprint("first", i)
-		b.ask(&Request{ID: id, TokensIn: 700})
+		b.submit(&Request{ID: id, TokensIn: 700})
 		first = append(first, id)
 	}
 	b.pass(3 * time.Second)
@@ -29,13 +29,13 @@
 
 // What was measured in a queue does not make a sender refuse all that comes when the queue is gone.
 func TestEstimatesRecoverAfterOverload(t *testing.T) {
-	b := newBench(Settings{})
+	b := newHarness(Settings{})
 	b.snap.Proxies = 20
 	slowStart(b, 6)
 	var all []*waiter
 	for i := range 200 { // 10 s of one request in 50 ms, each answered in 20
 		id := fmt.Sprint("later", i)
-		all = append(all, b.ask(&Request{ID: id, TokensIn: 700}))
+		all = append(all, b.submit(&Request{ID: id, TokensIn: 700}))
 		b.pass(20 * time.Millisecond)
 		if r := b.runs[id]; r != nil {
 			b.c.recordFirstToken(r, Load{Running: 4, Waiting: 1, Slots: 4, Known: true}) // full of what may wait, but quick
@@ -57,15 +57,15 @@
 
 // Where all would be refused by an estimate, one request in a while tests it.
 func TestStaleEstimateRefusesNobody(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1")
 	b.c.pool("s").firstTokenFit = linearFit{weight: 100, sumX: 100, sumY: 100 * 8000, sumXX: 200, sumXY: 100 * 8000} // 8 s to the first word
 	b.c.pool("s").lastFirstToken = b.c.now
-	if w := b.ask(&Request{ID: "at once"}); w.granted != nil {
+	if w := b.submit(&Request{ID: "at once"}); w.granted != nil {
 		t.Fatal("granted, though its answer is expected after its deadline")
 	}
 	b.pass(b.c.settings.MaxEstimateAge + time.Millisecond)
-	if w := b.ask(&Request{ID: "later"}); w.granted == nil {
+	if w := b.submit(&Request{ID: "later"}); w.granted == nil {
 		t.Error("not granted because of an estimate that is old")
 	}
 }
--- a/internal/proxy/dispatch/fleet_test.go
+++ b/internal/proxy/dispatch/fleet_simulation_test.go
@@ -12,10 +12,10 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// fleet plays many senders before the endpoints of one service in steps of a ms, with what the worlds of world_test.go leave out: zones
+// fleetSimulation plays many senders before the endpoints of one service in steps of a ms, with what the worlds of world_test.go leave out: zones
 // and their delay, prompts and answers of drawn sizes, prompts that are read in pieces between the tokens of others, so that a long
 // prompt holds up the streams beside it, pauses that make an answer late, and endpoints of different speed.
-type fleet struct {
+type fleetSimulation struct {
 	layout fleetLayout
 	rng    *rand.Rand
 	now    time.Duration
@@ -24,7 +24,7 @@
 	senders   []*fleetSender
 	endpoints []*fleetEndpoint
 	byID      map[string]*fleetEndpoint
-	kinds     []*fleetKind
+	kinds     []*requestKind
 	mail      map[time.Duration][]func() // what arrives at a ms
 	counted   time.Duration              // requests count that came later
 }
@@ -49,7 +49,7 @@
 }
 
 // fleetKind is a kind of requests. Sizes are drawn from log-normal distributions.
-type fleetKind struct {
+type requestKind struct {
 	name               string
 	perSecond          float64
 	subjects           int
@@ -86,7 +86,7 @@
 
 // fleetTask is a request of a client.
 type fleetTask struct {
-	kind    *fleetKind
+	kind    *requestKind
 	request *Request
 	sender  *fleetSender
 	born    time.Duration
@@ -115,8 +115,8 @@
 	down     bool
 }
 
-func newFleet(l fleetLayout, kinds ...*fleetKind) *fleet {
-	f := &fleet{layout: l, rng: rand.New(rand.NewPCG(7, l.seed)), kinds: kinds, mail: map[time.Duration][]func(){}, byID: map[string]*fleetEndpoint{}}
+func newFleetSimulation(l fleetLayout, kinds ...*requestKind) *fleetSimulation {
+	f := &fleetSimulation{layout: l, rng: rand.New(rand.NewPCG(7, l.seed)), kinds: kinds, mail: map[time.Duration][]func(){}, byID: map[string]*fleetEndpoint{}}
 	for i := range l.endpoints {
 		id := fmt.Sprintf("endpoint-%03d", i)
 		e := &fleetEndpoint{id: id, zone: i % l.zones, speed: l.speeds[i/l.zones%len(l.speeds)]}
@@ -139,7 +139,7 @@
 }
 
 // snapshot lists all endpoints.
-func (f *fleet) snapshot() *snapshot.Snapshot {
+func (f *fleetSimulation) snapshot() *snapshot.Snapshot {
 	l := f.layout
 	snap := &snapshot.Snapshot{Proxies: l.senders, Endpoints: map[string][]*snapshot.Endpoint{},
 		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConnections: l.maxConns,
@@ -153,12 +153,12 @@
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", n) }
 
 // after calls something later.
-func (f *fleet) after(d time.Duration, call func()) {
+func (f *fleetSimulation) after(d time.Duration, call func()) {
 	at := (f.now + max(d, time.Millisecond)).Round(time.Millisecond)
 	f.mail[at] = append(f.mail[at], call)
 }
 
-func (f *fleet) submit(k *fleetKind) {
+func (f *fleetSimulation) submit(k *requestKind) {
 	f.ids++
 	subject := f.rng.IntN(k.subjects)
 	own := max(1, int(k.own.draw(f.rng)))
@@ -170,11 +170,11 @@
 		Prefix: []PromptPart{{uint64(len(k.name))<<40 + uint64(subject), k.sharedOf[subject]}, {1<<60 + f.ids, own}}}
 	k.asked++
 	t.kind.weight += f.worthOf(t)
-	f.ask(t)
+	f.request(t)
 }
 
-// reveal tells a sender the true load of each endpoint.
-func (f *fleet) reveal(c *core) {
+// reveal reports to a sender the true load of each endpoint.
+func (f *fleetSimulation) reveal(c *core) {
 	for id, e := range c.endpoints {
 		e.otherLoad = max(0, float64(len(f.byID[id].tasks)-len(e.running)))
 		e.loadReportedAt, e.loadReported = f.now, true
@@ -182,14 +182,14 @@
 }
 
 // worthOf is what a request in time earns: larger ones earn more.
-func (f *fleet) worthOf(t *fleetTask) float64 {
+func (f *fleetSimulation) worthOf(t *fleetTask) float64 {
 	k := t.kind
 	mean := k.shared.mean + k.own.mean + 10*k.out.mean*f.layout.tokensPerEvent
 	size := float64(t.request.TokensIn + 10*t.request.TokensOut)
 	return k.worth * min(4, 0.3+0.7*size/mean)
 }
 
-func (f *fleet) ask(t *fleetTask) {
+func (f *fleetSimulation) request(t *fleetTask) {
 	c := t.sender.core
 	c.now = f.now
 	f.ids++
@@ -206,38 +206,38 @@
 			return
 		}
 		if t.tries++; t.tries > 1 {
-			f.lose(t)
+			f.recordLost(t)
 			return
 		}
 		f.after(w.refused.RetryAfter, func() {
 			t.sender = f.senders[f.rng.IntN(len(f.senders))]
-			f.ask(t)
+			f.request(t)
 		})
 	}
 	t.waiter = w
 	c.admit(w)
 }
 
-func (f *fleet) delay(s *fleetSender, e *fleetEndpoint) time.Duration {
+func (f *fleetSimulation) delay(s *fleetSender, e *fleetEndpoint) time.Duration {
 	if s.zone == e.zone {
 		return 0
 	}
 	return f.layout.zoneDelay
 }
 
-func (f *fleet) arrive(t *fleetTask, e *fleetEndpoint) {
+func (f *fleetSimulation) arrive(t *fleetTask, e *fleetEndpoint) {
 	if len(e.tasks) >= 4*f.layout.slots {
-		load := f.told(e)
+		load := f.reportedLoad(e)
 		f.after(f.delay(t.sender, e), func() {
 			c := t.sender.core
 			c.now = f.now
 			c.endRun(t.grant, NotRun, load)
 			t.request.Avoid = append(t.request.Avoid, e.id)
 			if len(t.request.Avoid) > 3 {
-				f.lose(t)
+				f.recordLost(t)
 				return
 			}
-			f.ask(t)
+			f.request(t)
 		})
 		return
 	}
@@ -246,7 +246,7 @@
 }
 
 // told is the load that an endpoint tells.
-func (f *fleet) told(e *fleetEndpoint) Load {
+func (f *fleetSimulation) reportedLoad(e *fleetEndpoint) Load {
 	if !f.layout.tellsLoad {
 		return Load{}
 	}
@@ -260,12 +260,12 @@
 	return load
 }
 
-func (f *fleet) loadOf(e *fleetEndpoint) Load {
+func (f *fleetSimulation) loadOf(e *fleetEndpoint) Load {
 	running := min(len(e.tasks), f.layout.slots)
 	return Load{Running: running, Waiting: len(e.tasks) - running, Slots: f.layout.slots, Known: true}
 }
 
-func (f *fleet) play(d time.Duration) {
+func (f *fleetSimulation) play(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += time.Millisecond
 		for _, k := range f.kinds {
@@ -297,7 +297,7 @@
 }
 
 // run plays a ms of an endpoint: as many steps as fit into it.
-func (f *fleet) run(e *fleetEndpoint) {
+func (f *fleetSimulation) run(e *fleetEndpoint) {
 	if e.down {
 		return
 	}
@@ -334,7 +334,7 @@
 	}
 }
 
-func (f *fleet) begin(e *fleetEndpoint, t *fleetTask) {
+func (f *fleetSimulation) begin(e *fleetEndpoint, t *fleetTask) {
 	t.running = true
 	chains := hashPrefixes(t.request.Model, t.request.Prefix)
 	t.read = float64(t.request.TokensIn)
@@ -349,12 +349,12 @@
 }
 
 // write gives a request its next token. The client sees whole events.
-func (f *fleet) write(e *fleetEndpoint, t *fleetTask) {
+func (f *fleetSimulation) write(e *fleetEndpoint, t *fleetTask) {
 	t.left--
 	t.written++
 	if t.first == 0 {
 		t.first, t.lastOut = f.now, f.now
-		load := f.told(e)
+		load := f.reportedLoad(e)
 		f.after(f.delay(t.sender, e), func() {
 			t.sender.core.now = f.now
 			t.sender.core.recordFirstToken(t.grant, load)
@@ -367,7 +367,7 @@
 	}
 }
 
-func (f *fleet) finish(e *fleetEndpoint, t *fleetTask) {
+func (f *fleetSimulation) finish(e *fleetEndpoint, t *fleetTask) {
 	f.count(t)
 	f.after(f.delay(t.sender, e), func() {
 		t.sender.core.now = f.now
@@ -376,7 +376,7 @@
 }
 
 // count takes the end of a request into the account.
-func (f *fleet) count(t *fleetTask) {
+func (f *fleetSimulation) count(t *fleetTask) {
 	if t.born <= f.counted {
 		return
 	}
@@ -401,15 +401,15 @@
 	}
 }
 
-// lose takes a request into the account that is never served.
-func (f *fleet) lose(t *fleetTask) {
+// recordLost takes a request into the account that is never served.
+func (f *fleetSimulation) recordLost(t *fleetTask) {
 	if t.born > f.counted {
 		t.kind.lost++
 	}
 }
 
-// forget begins the account anew.
-func (f *fleet) forget() {
+// resetCounts begins the account anew.
+func (f *fleetSimulation) resetCounts() {
 	f.counted = f.now
 	for _, k := range f.kinds {
 		k.asked, k.inAim, k.over, k.lost, k.pauses, k.lateFirst, k.reread = 0, 0, 0, 0, 0, 0, 0
@@ -418,7 +418,7 @@
 }
 
 // worth is the share of what was owed that was earned.
-func (f *fleet) worth() float64 {
+func (f *fleetSimulation) worth() float64 {
 	earned, owed := 0.0, 0.0
 	for _, k := range f.kinds {
 		earned += k.earned
@@ -427,7 +427,7 @@
 	return earned / owed
 }
 
-func (f *fleet) report(t *testing.T) {
+func (f *fleetSimulation) report(t *testing.T) {
 	t.Helper()
 	for _, k := range f.kinds {
 		slices.Sort(k.firsts)
--- a/internal/proxy/dispatch/core_test.go
+++ b/internal/proxy/dispatch/harness_test.go
@@ -15,24 +15,24 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// bench steps a core by hand.
-type bench struct {
-	c    *core
-	snap *snapshot.Snapshot
-	seq  uint64
-	runs map[string]*run
-	wait map[string]*waiter
-	said []string
+// harness steps a core by hand.
+type harness struct {
+	c         *core
+	snap      *snapshot.Snapshot
+	seq       uint64
+	runs      map[string]*run
+	waiters   map[string]*waiter
+	decisions []string
 }
 
-func newBench(set Settings) *bench {
+func newHarness(set Settings) *harness {
 	rng := rand.New(rand.NewPCG(1, 2))
-	return &bench{c: newCore(set, "a", rng.Float64), runs: map[string]*run{}, wait: map[string]*waiter{},
+	return &harness{c: newCore(set, "a", rng.Float64), runs: map[string]*run{}, waiters: map[string]*waiter{},
 		snap: &snapshot.Snapshot{Proxies: 1, Endpoints: map[string][]*snapshot.Endpoint{},
 			Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s"}}}}}
 }
 
-func (b *bench) add(ids ...string) {
+func (b *harness) addEndpoints(ids ...string) {
 	for _, id := range ids {
 		b.snap.Endpoints["s"] = append(b.snap.Endpoints["s"],
 			&snapshot.Endpoint{ID: id, Service: "s", Address: id + ":1", Zone: "a", Capacity: 4})
@@ -40,8 +40,8 @@
 	b.c.applySnapshot(b.snap)
 }
 
-// ask steps a request in. Without Arrived, Deadline and Due of its own it has 4 s, with an aim of 400 ms.
-func (b *bench) ask(r *Request) *waiter {
+// submit steps a request in. Without Arrived, Deadline and Due of its own it has 4 s, with an aim of 400 ms.
+func (b *harness) submit(r *Request) *waiter {
 	b.seq++
 	if r.Service == "" {
 		r.Service = "s"
@@ -57,19 +57,19 @@
 	w.decided = func(w *waiter) {
 		if w.granted != nil {
 			b.runs[r.ID] = w.granted
-			b.said = append(b.said, r.ID+" to "+w.granted.target.ID)
+			b.decisions = append(b.decisions, r.ID+" to "+w.granted.target.ID)
 		} else {
-			b.said = append(b.said, r.ID+" refused")
+			b.decisions = append(b.decisions, r.ID+" refused")
 		}
 	}
-	b.wait[r.ID] = w
+	b.waiters[r.ID] = w
 	b.c.admit(w)
 	return w
 }
 
-func (b *bench) pass(d time.Duration) { b.c.now += d; b.c.serveAllQueues() }
+func (b *harness) pass(d time.Duration) { b.c.now += d; b.c.serveAllQueues() }
 
-func (b *bench) endpoint(id string) *endpoint { return b.c.endpoints[id] }
+func (b *harness) firstEndpoint() *endpoint { return b.c.endpoints["e1"] }
 
 var outcomes = map[string]Outcome{"served": Served, "notrun": NotRun, "wrong": Misdirected, "failed": Failed,
 	"broken": Broken, "silent": TimedOut, "left": Canceled, "unsent": NotSent}
@@ -77,21 +77,24 @@
 // TestStepped plays the tables of testdata.
 func TestStepped(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var b *bench
+		t.Helper()
+		var b *harness
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+			t.Helper()
 			b = b.play(t, d)
-			said := strings.Join(b.said, "\n")
-			b.said = nil
+			said := strings.Join(b.decisions, "\n")
+			b.decisions = nil
 			return said
 		})
 	})
 }
 
-func (b *bench) play(t *testing.T, d *datadriven.TestData) *bench {
+func (b *harness) play(t *testing.T, d *datadriven.TestData) *harness {
+	t.Helper()
 	c := command{t, d}
 	switch d.Cmd {
 	case "new":
-		b = newBench(Settings{})
+		b = newHarness(Settings{})
 		b.c.senders = c.number("senders", 1)
 		b.snap.Proxies = b.c.senders
 		b.snap.Config.Services["s"].MaxConnections = c.number("conns", 0)
@@ -102,9 +105,9 @@
 			func(o *snapshot.Endpoint) bool { return o.ID == d.CmdArgs[0].Key })
 		b.c.applySnapshot(b.snap)
 	case "ask":
-		b.playAsk(c)
+		b.playSubmit(c)
 	case "deadline": // moves that of one in the hold
-		w := b.wait[d.CmdArgs[0].Key]
+		w := b.waiters[d.CmdArgs[0].Key]
 		p := b.c.pool("s")
 		p.queue = slices.DeleteFunc(p.queue, func(o *waiter) bool { return o == w })
 		w.deadline = b.c.now + time.Duration(c.number("ms", 0))*time.Millisecond
@@ -153,7 +156,7 @@
 }
 
 // playEndpoint adds an endpoint to the snapshot, or replaces it.
-func (b *bench) playEndpoint(c command) {
+func (b *harness) playEndpoint(c command) {
 	v := &snapshot.Endpoint{ID: c.CmdArgs[0].Key, Service: "s", Zone: "a", Capacity: c.number("slots", 4), RemainingWarmupMs: c.number("cold", 0)}
 	if zone := c.arg("zone"); zone != "" {
 		v.Zone = zone
@@ -173,7 +176,7 @@
 }
 
 // playAsk asks for each request that the command names.
-func (b *bench) playAsk(c command) {
+func (b *harness) playSubmit(c command) {
 	for _, a := range c.CmdArgs {
 		if len(a.Vals) > 0 {
 			continue
@@ -183,12 +186,12 @@
 		if avoid := c.arg("avoid"); avoid != "" {
 			r.Avoid = strings.Split(avoid, "+")
 		}
-		b.ask(r)
+		b.submit(r)
 	}
 }
 
 // playEnd ends the runs that the command names.
-func (b *bench) playEnd(c command) {
+func (b *harness) playEnd(c command) {
 	outcome, load := Served, Load{}
 	for name, v := range outcomes {
 		if slices.ContainsFunc(c.CmdArgs, func(a datadriven.CmdArg) bool { return a.Key == name }) {
--- a/internal/proxy/dispatch/load_test.go
+++ b/internal/proxy/dispatch/load_test.go
@@ -25,12 +25,12 @@
 func TestImplausibleLoadReports(t *testing.T) {
 	layout := wideLayout()
 	layout.senders, layout.endpoints = 12, 15
-	kinds := func() []*fleetKind { return mixture(70, 15, 30) }
-	honest := newFleet(layout, kinds()...)
+	kinds := func() []*requestKind { return mixture(70, 15, 30) }
+	honest := newFleetSimulation(layout, kinds()...)
 	honest.play(6 * time.Second)
 	for name, lie := range lies {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(layout, kinds()...)
+			f := newFleetSimulation(layout, kinds()...)
 			f.endpoints[0].lie = lie
 			f.play(6 * time.Second)
 			f.report(t)
@@ -58,12 +58,12 @@
 // A capacity that is announced with a heartbeat is believed within bounds, too.
 func TestImplausibleCapacities(t *testing.T) {
 	for _, capacity := range []int{-5, 0, 1 << 30} {
-		b := newBench(Settings{})
-		b.add("e1", "e2", "e3")
+		b := newHarness(Settings{})
+		b.addEndpoints("e1", "e2", "e3")
 		b.snap.Config.Services["s"].Engine = engineOf(4)
 		b.snap.Endpoints["s"][0].Capacity = capacity
 		b.c.applySnapshot(b.snap)
-		if n := b.endpoint("e1").slots(); n < 1 || n > 4*maxSlotsFactor {
+		if n := b.firstEndpoint().slots(); n < 1 || n > 4*maxSlotsFactor {
 			t.Errorf("capacity %d counts as %d slots", capacity, n)
 		}
 	}
--- a/internal/proxy/dispatch/place_test.go
+++ b/internal/proxy/dispatch/placement_test.go
@@ -12,13 +12,14 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// limited is an endpoint that takes so many starts in a second and turns the others away.
-func (b *bench) limited(t *testing.T, perSecond, offered int, d time.Duration) (refusals, served int) {
+// offerToLimited offers 30 requests a second to an endpoint that accepts so many and rejects the others.
+func (b *harness) offerToLimited(t *testing.T, perSecond int, d time.Duration) (refusals, served int) {
 	t.Helper()
 	var taken []time.Duration
-	gap := time.Second / time.Duration(offered)
+	const offeredPerSecond = 30
+	gap := time.Second / offeredPerSecond
 	for end := b.c.now + d; b.c.now < end; {
-		b.ask(&Request{ID: fmt.Sprint(b.seq)})
+		b.submit(&Request{ID: fmt.Sprint(b.seq)})
 		for id, r := range b.runs { // also those that were held
 			delete(b.runs, id)
 			for len(taken) > 0 && b.c.now-taken[0] >= time.Second {
@@ -39,33 +40,33 @@
 }
 
 func TestRateLimitBindsAfterRefusals(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1")
-	refusals, _ := b.limited(t, 1000, 30, 10*time.Second)
-	if refusals != 0 || !math.IsInf(b.endpoint("e1").rateLimit, 1) {
-		t.Fatalf("%d refusals, slice %v, before there was a limit", refusals, b.endpoint("e1").rateLimit)
-	}
-	b.limited(t, 20, 30, 10*time.Second)
-	first, _ := b.limited(t, 10, 30, 5*time.Second) // the limit is halved
-	later, served := b.limited(t, 10, 30, 5*time.Second)
+	b := newHarness(Settings{})
+	b.addEndpoints("e1")
+	refusals, _ := b.offerToLimited(t, 1000, 10*time.Second)
+	if refusals != 0 || !math.IsInf(b.firstEndpoint().rateLimit, 1) {
+		t.Fatalf("%d refusals, slice %v, before there was a limit", refusals, b.firstEndpoint().rateLimit)
+	}
+	b.offerToLimited(t, 20, 10*time.Second)
+	first, _ := b.offerToLimited(t, 10, 5*time.Second) // the limit is halved
+	later, served := b.offerToLimited(t, 10, 5*time.Second)
 	t.Logf("%d refusals in the narrow window after the limit was halved, %d in the next, %d served", first, later, served)
 	if first > 30 || later > 20 || served < 45 { // of 150 that are offered, 50 fit
 		t.Errorf("%d refusals after the limit was halved, then %d, with %d served", first, later, served)
 	}
-	refusals, served = b.limited(t, 1000, 30, 3*time.Second) // the limit is gone: so is the slice, soon
+	refusals, served = b.offerToLimited(t, 1000, 3*time.Second) // the limit is gone: so is the slice, soon
 	if refusals > 0 || served < 60 {
 		t.Errorf("recovering: %d refusals, %d of 90 served", refusals, served)
 	}
-	if _, served := b.limited(t, 1000, 30, 2*time.Second); served < 58 {
+	if _, served := b.offerToLimited(t, 1000, 2*time.Second); served < 58 {
 		t.Errorf("three seconds later %d of 60 are served", served)
 	}
 }
 
 func TestRateLimitRecoversAfterOneRefusal(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1")
-	b.c.endRun(b.ask(&Request{ID: "1"}).granted, NotRun, Load{})
-	if w := b.ask(&Request{ID: "2", Bulk: true}); w.granted != nil {
+	b := newHarness(Settings{})
+	b.addEndpoints("e1")
+	b.c.endRun(b.submit(&Request{ID: "1"}).granted, NotRun, Load{})
+	if w := b.submit(&Request{ID: "2", Bulk: true}); w.granted != nil {
 		t.Error("granted right after the refusal")
 	}
 	b.pass(2 * time.Second)
@@ -75,43 +76,43 @@
 }
 
 func TestRefusalsOfRunsInFlightReduceTheRateLimitOnce(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1")
 	for i := range 8 {
-		b.ask(&Request{ID: fmt.Sprint(i)})
+		b.submit(&Request{ID: fmt.Sprint(i)})
 	}
 	b.pass(10 * time.Millisecond)
 	for i := range 8 {
 		b.c.endRun(b.runs[fmt.Sprint(i)], NotRun, Load{})
 	}
-	if s := b.endpoint("e1").rateLimit; s != 8 {
+	if s := b.firstEndpoint().rateLimit; s != 8 {
 		t.Errorf("slice %v, want the count at the first refusal, 8", s)
 	}
 }
 
 func TestRateLimitFollowsTheNumberOfSenders(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1")
 	for i := range 8 {
-		b.ask(&Request{ID: fmt.Sprint(i)})
+		b.submit(&Request{ID: fmt.Sprint(i)})
 	}
 	b.c.endRun(b.runs["0"], NotRun, Load{})
 	b.snap.Proxies = 2
 	b.c.applySnapshot(b.snap)
-	if s := b.endpoint("e1").rateLimit; s != 4 {
+	if s := b.firstEndpoint().rateLimit; s != 4 {
 		t.Errorf("slice %v of two senders, want 4", s)
 	}
 }
 
 func TestReportedFreeSlotsLiftTheRateLimit(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1")
-	b.ask(&Request{ID: "0"})
-	b.ask(&Request{ID: "1"})
+	b := newHarness(Settings{})
+	b.addEndpoints("e1")
+	b.submit(&Request{ID: "0"})
+	b.submit(&Request{ID: "1"})
 	b.c.endRun(b.runs["0"], NotRun, Load{})
 	b.pass(100 * time.Millisecond)
 	b.c.recordFirstToken(b.runs["1"], Load{Running: 1, Slots: 4, Known: true})
-	if !math.IsInf(b.endpoint("e1").rateLimit, 1) {
+	if !math.IsInf(b.firstEndpoint().rateLimit, 1) {
 		t.Error("still bound though three of four slots are free")
 	}
 }
@@ -121,11 +122,14 @@
 		Prefix: []PromptPart{{subject, 13300}, {1<<32 + own, 3700}}}
 }
 
-// homes asks once about each subject and tells where it went.
-func (b *bench) homes(n int, round uint64) map[int]string {
+// subjects is the number of shared prefixes in the tests of preferred endpoints.
+const subjects = 60
+
+// placements submits one request on each subject and returns where it went.
+func (b *harness) placements(round uint64) map[int]string {
 	out := map[int]string{}
-	for i := range n {
-		w := b.ask(prompt(uint64(i+1), round<<16+uint64(i)))
+	for i := range subjects {
+		w := b.submit(prompt(uint64(i+1), round<<16+uint64(i)))
 		out[i] = w.granted.target.ID
 		b.pass(5*time.Millisecond + time.Duration(w.granted.prefillTokens/130*float64(time.Millisecond)))
 		b.c.recordFirstToken(w.granted, Load{})
@@ -149,22 +153,21 @@
 	for i := range 12 {
 		ids = append(ids, fmt.Sprint("e", i))
 	}
-	b, other := newBench(Settings{}), newBench(Settings{})
+	b, other := newHarness(Settings{}), newHarness(Settings{})
 	other.c.zone = "b"
 	other.c.random = rand.New(rand.NewPCG(7, 8)).Float64
-	b.add(ids...)
-	other.add(ids...)
-	const subjects = 60
-	was := b.homes(subjects, 1)
-	if n := moved(was, b.homes(subjects, 2)); n != 0 {
+	b.addEndpoints(ids...)
+	other.addEndpoints(ids...)
+	was := b.placements(1)
+	if n := moved(was, b.placements(2)); n != 0 {
 		t.Errorf("%d of %d subjects moved for no reason", n, subjects)
 	}
-	if n := moved(was, other.homes(subjects, 3)); n > subjects/20 {
+	if n := moved(was, other.placements(3)); n > subjects/20 {
 		t.Errorf("another sender has other homes for %d of %d subjects", n, subjects)
 	}
 	b.snap.Endpoints["s"] = b.snap.Endpoints["s"][1:] // e0 leaves
 	b.c.applySnapshot(b.snap)
-	now := b.homes(subjects, 4)
+	now := b.placements(4)
 	for i, home := range was {
 		if home != "e0" && now[i] != home {
 			t.Errorf("subject %d went from %s to %s though e0 left", i, home, now[i])
@@ -173,11 +176,11 @@
 }
 
 func TestFullPreferredEndpointIsAvoided(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1", "e2", "e3")
+	b := newHarness(Settings{})
+	b.addEndpoints("e1", "e2", "e3")
 	places := map[string]int{}
 	for i := range 12 {
-		w := b.ask(prompt(1, uint64(i)))
+		w := b.submit(prompt(1, uint64(i)))
 		if w.granted == nil {
 			t.Fatalf("request %d was not let through", i)
 		}
@@ -236,9 +239,9 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	b := newBench(Settings{MaxQueued: 5})
+	b := newHarness(Settings{MaxQueued: 5})
 	for i := range 20 {
-		b.ask(&Request{ID: fmt.Sprint(i), Bulk: true})
+		b.submit(&Request{ID: fmt.Sprint(i), Bulk: true})
 	}
 	if b.c.queued != 5 || len(b.c.pool("s").queue) != 5 {
 		t.Errorf("%d are held", b.c.queued)
@@ -246,11 +249,11 @@
 }
 
 func TestRetryAfterHasMeaning(t *testing.T) {
-	b := newBench(Settings{})
+	b := newHarness(Settings{})
 	b.snap.Config.Services["s"].MaxConnections = 1
-	b.add("e1")
-	b.ask(&Request{ID: "1"})
-	w := b.ask(&Request{ID: "2"})
+	b.addEndpoints("e1")
+	b.submit(&Request{ID: "1"})
+	w := b.submit(&Request{ID: "2"})
 	b.pass(100 * time.Millisecond)
 	if w.refused == nil {
 		t.Fatal("not refused at a quarter of its aim")
@@ -264,16 +267,16 @@
 }
 
 func TestUnlistedEndpointIsRemovedWhenItsRunsEnd(t *testing.T) {
-	b := newBench(Settings{})
-	b.add("e1")
-	w := b.ask(&Request{ID: "1"})
+	b := newHarness(Settings{})
+	b.addEndpoints("e1")
+	w := b.submit(&Request{ID: "1"})
 	b.snap = &snapshot.Snapshot{Proxies: 1, Config: b.snap.Config}
 	b.c.applySnapshot(b.snap)
-	if b.endpoint("e1") == nil {
+	if b.firstEndpoint() == nil {
 		t.Error("forgotten though a request runs there")
 	}
 	b.c.endRun(w.granted, Served, Load{})
-	if b.endpoint("e1") != nil || len(b.c.pool("s").endpoints) != 0 {
+	if b.firstEndpoint() != nil || len(b.c.pool("s").endpoints) != 0 {
 		t.Error("not forgotten")
 	}
 }
@@ -281,9 +284,9 @@
 // Homes are the endpoints with the highest scores, in their order, whatever the order in which they are listed.
 func TestPreferredEndpointsAreTheFirstOfTheCommonOrder(t *testing.T) {
 	for n := range 8 {
-		b := newBench(Settings{})
+		b := newHarness(Settings{})
 		for i := range n {
-			b.add(fmt.Sprint("e", i))
+			b.addEndpoints(fmt.Sprint("e", i))
 		}
 		for subject := range uint64(20) {
 			w := &waiter{request: prompt(subject, 1)}
--- a/internal/proxy/dispatch/worlds_test.go
+++ b/internal/proxy/dispatch/scenarios_test.go
@@ -14,8 +14,8 @@
 }
 
 // mixture is short requests, long prompts with a shared prefix, and bulk, at so many a second.
-func mixture(short, long, bulk float64) []*fleetKind {
-	return []*fleetKind{
+func mixture(short, long, bulk float64) []*requestKind {
+	return []*requestKind{
 		{name: "short", perSecond: short, subjects: 40, shared: fleetSize{103, 0.4, 257}, own: fleetSize{612, 0.89, 2500},
 			out: fleetSize{13.3, 0.7, 45}, aim: 300 * time.Millisecond, pause: 400 * time.Millisecond, deadline: 5 * time.Second, worth: 2, late: 0.3},
 		{name: "long", perSecond: long, subjects: 170, shared: fleetSize{13300, 0.7, 39900}, own: fleetSize{3720, 1.1, 53200},
@@ -26,50 +26,50 @@
 }
 
 // fleetWorld is a fleet with its traffic: a warm-up, and then a rush of bulk with what follows it.
-type fleetWorld struct {
+type fleetScenario struct {
 	layout fleetLayout
-	kinds  func() []*fleetKind
+	kinds  func() []*requestKind
 	rush   float64 // by so much bulk is multiplied for a second
 }
 
 // Worlds that no bench has, and one like the widest that is known.
-var fleetWorlds = map[string]fleetWorld{
-	"many senders, many endpoints": {wideLayout(), func() []*fleetKind { return mixture(200, 45, 120) }, 6},
+var fleetScenarios = map[string]fleetScenario{
+	"many senders, many endpoints": {wideLayout(), func() []*requestKind { return mixture(200, 45, 120) }, 6},
 	"few senders, large endpoints": {func() fleetLayout {
 		l := wideLayout()
 		l.senders, l.endpoints, l.zones, l.slots, l.cacheTokens, l.stepMs = 4, 10, 2, 48, 900_000, 3.1
 		return l
-	}(), func() []*fleetKind { return mixture(120, 20, 90) }, 5},
+	}(), func() []*requestKind { return mixture(120, 20, 90) }, 5},
 	"two endpoints": {func() fleetLayout {
 		l := wideLayout()
 		l.senders, l.endpoints, l.zones, l.slots, l.cacheTokens = 20, 2, 2, 64, 4_000_000
 		return l
-	}(), func() []*fleetKind { return mixture(40, 4, 15) }, 5},
+	}(), func() []*requestKind { return mixture(40, 4, 15) }, 5},
 	"loads told late": {func() fleetLayout {
 		l := wideLayout()
 		l.tellsLate = 400 * time.Millisecond
 		return l
-	}(), func() []*fleetKind { return mixture(180, 40, 100) }, 6},
+	}(), func() []*requestKind { return mixture(180, 40, 100) }, 6},
 	"loads never told": {func() fleetLayout {
 		l := wideLayout()
 		l.tellsLoad = false
 		return l
-	}(), func() []*fleetKind { return mixture(180, 40, 60) }, 4},
+	}(), func() []*requestKind { return mixture(180, 40, 60) }, 4},
 	"one zone, slow steps, short answers": {func() fleetLayout {
 		l := wideLayout()
 		l.zones, l.stepMs, l.readPerMs, l.speeds = 1, 4, 60, []float64{1}
 		return l
-	}(), func() []*fleetKind { return mixture(90, 15, 50) }, 4},
+	}(), func() []*requestKind { return mixture(90, 15, 50) }, 4},
 }
 
-// playWorld returns what was earned of what was owed, and the share of interactive requests that were not served in time.
-func playWorld(t *testing.T, w fleetWorld, settings Settings, oracle bool) (worth, missed float64) {
+// playScenario returns what was earned of what was owed, and the share of interactive requests that were not served in time.
+func playScenario(t *testing.T, w fleetScenario, settings Settings, oracle bool) (worth, missed float64) {
 	t.Helper()
 	layout := w.layout
 	layout.settings, layout.oracle = settings, oracle
-	f := newFleet(layout, w.kinds()...)
+	f := newFleetSimulation(layout, w.kinds()...)
 	f.play(4 * time.Second)
-	f.forget()
+	f.resetCounts()
 	bulk := f.kinds[2]
 	bulk.perSecond *= w.rush
 	f.play(time.Second)
@@ -90,11 +90,11 @@
 var everywhere = Settings{SendersPerEndpoint: 1e6}
 
 func TestSubsetsInManyWorlds(t *testing.T) {
-	for name, w := range fleetWorlds {
+	for name, w := range fleetScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			worth, missed := playWorld(t, w, Settings{}, false)
-			without, missedWithout := playWorld(t, w, everywhere, false)
+			worth, missed := playScenario(t, w, Settings{}, false)
+			without, missedWithout := playScenario(t, w, everywhere, false)
 			t.Logf("worth %.4f, %.4f not in time; without subsets %.4f, %.4f", worth, missed, without, missedWithout)
 			if worth < without-0.01 || missed > missedWithout+0.01 {
 				t.Errorf("subsets cost: worth %.4f against %.4f, not in time %.4f against %.4f", worth, without, missed, missedWithout)
@@ -105,10 +105,10 @@
 
 // With many senders, knowing few endpoints well is worth most of what knowing all of them would be.
 func TestSubsetsKeepInteractiveRequestsInTimeInARush(t *testing.T) {
-	w := fleetWorlds["many senders, many endpoints"]
-	_, missed := playWorld(t, w, Settings{}, false)
-	_, without := playWorld(t, w, everywhere, false)
-	_, limit := playWorld(t, w, everywhere, true)
+	w := fleetScenarios["many senders, many endpoints"]
+	_, missed := playScenario(t, w, Settings{}, false)
+	_, without := playScenario(t, w, everywhere, false)
+	_, limit := playScenario(t, w, everywhere, true)
 	t.Logf("not in time: %.4f, without subsets %.4f, with all loads known %.4f", missed, without, limit)
 	if missed > without/2 {
 		t.Errorf("%.4f of interactive requests are not served in time, %.4f without subsets", missed, without)
@@ -118,7 +118,7 @@
 func TestSubsetsCoverAllEndpoints(t *testing.T) {
 	l := wideLayout()
 	l.endpoints, l.senders = 100, 200
-	f := newFleet(l, mixture(1, 1, 1)...)
+	f := newFleetSimulation(l, mixture(1, 1, 1)...)
 	shared := map[string]int{}
 	for _, s := range f.senders {
 		chosen := 0
@@ -145,7 +145,7 @@
 
 // An endpoint that comes or goes leaves the rest of a subset as it is.
 func TestSubsetsChangeLittle(t *testing.T) {
-	f := newFleet(wideLayout(), mixture(1, 1, 1)...)
+	f := newFleetSimulation(wideLayout(), mixture(1, 1, 1)...)
 	c := f.senders[0].core
 	before := map[string]bool{}
 	gone := ""
@@ -179,7 +179,7 @@
 	layout := wideLayout()
 	layout.senders = 100
 	busy := func() (*core, []*endpoint) {
-		f := newFleet(layout, mixture(1, 1, 1)...)
+		f := newFleetSimulation(layout, mixture(1, 1, 1)...)
 		c := f.senders[0].core
 		c.now = time.Minute
 		p := c.pool("s")
--- a/internal/proxy/dispatch/world_test.go
+++ b/internal/proxy/dispatch/simulation_test.go
@@ -11,20 +11,20 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// world plays several senders and model endpoints in steps of a ms.
-type world struct {
+// simulation plays several senders and model endpoints in steps of a ms.
+type simulation struct {
 	rng   *rand.Rand
 	now   time.Duration
 	cores []*core
 	eps   []*engine
 	snap  *snapshot.Snapshot
 	next  uint64
-	kinds []*kindOf
+	kinds []*simulationKind
 
 	backOff []later
 }
 
-type kindOf struct {
+type simulationKind struct {
 	name         string
 	perSecond    float64
 	groups       int // of shared parts
@@ -50,7 +50,7 @@
 
 // task is a request of a client.
 type task struct {
-	kind    *kindOf
+	kind    *simulationKind
 	r       *Request
 	born    time.Duration
 	core    int
@@ -81,8 +81,8 @@
 	cacheTokens = 400_000
 )
 
-func newWorld(senders, endpoints, zones int, set Settings) *world {
-	w := &world{rng: rand.New(rand.NewPCG(3, 4)), snap: &snapshot.Snapshot{Proxies: senders,
+func newSimulation(senders, endpoints, zones int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(3, 4)), snap: &snapshot.Snapshot{Proxies: senders,
 		Endpoints: map[string][]*snapshot.Endpoint{},
 		Config: &operatorconfig.Config{Services: map[string]*operatorconfig.Service{"s": {Name: "s", MaxConnections: 220,
 			Engine: &operatorconfig.Engine{Capacity: 24, CacheTokens: cacheTokens}}}}}}
@@ -93,14 +93,14 @@
 			&snapshot.Endpoint{ID: id, Service: "s", Zone: fmt.Sprint(i % zones), Capacity: 24})
 	}
 	for i := range senders {
-		c := newCore(set, fmt.Sprint(i%zones), w.rng.Float64)
+		c := newCore(Settings{}, fmt.Sprint(i%zones), w.rng.Float64)
 		c.applySnapshot(w.snap)
 		w.cores = append(w.cores, c)
 	}
 	return w
 }
 
-func (w *world) submit(k *kindOf) {
+func (w *simulation) submit(k *simulationKind) {
 	w.next++
 	group := uint64(w.rng.IntN(max(k.groups, 1))) + 1
 	t := &task{kind: k, born: w.now, core: w.rng.IntN(len(w.cores))}
@@ -109,10 +109,10 @@
 		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: k.aim, Priority: k.priority},
 		Prefix: []PromptPart{{uint64(len(k.name))<<32 + group, k.shared}, {1<<60 + w.next, own}}}
 	k.asked++
-	w.ask(t)
+	w.request(t)
 }
 
-func (w *world) ask(t *task) {
+func (w *simulation) request(t *task) {
 	c := w.cores[t.core]
 	c.now = w.now
 	w.next++
@@ -134,14 +134,14 @@
 	c.admit(t.w)
 }
 
-func (w *world) load(e *engine) Load {
+func (w *simulation) load(e *engine) Load {
 	l := Load{Slots: e.slots, Known: true}
 	l.Running = min(len(e.tasks), e.slots)
 	l.Waiting = len(e.tasks) - l.Running
 	return l
 }
 
-func (w *world) arrive(t *task, r *run) {
+func (w *simulation) arrive(t *task, r *run) {
 	i := slices.IndexFunc(w.eps, func(e *engine) bool { return e.id == r.target.ID })
 	e := w.eps[i]
 	if len(e.tasks) >= e.slots+e.queue {
@@ -154,7 +154,7 @@
 	e.tasks = append(e.tasks, t)
 }
 
-func (w *world) read(e *engine, t *task) {
+func (w *simulation) prefill(e *engine, t *task) {
 	chains := hashPrefixes(t.r.Model, t.r.Prefix)
 	t.toRead = float64(t.r.TokensIn)
 	cached := e.cache.cachedParts(chains, 0, maxCacheLifetime)
@@ -171,11 +171,11 @@
 	t.running = true
 }
 
-func (e *engine) anyRead(w *world, h prefixHash) bool {
+func (e *engine) anyRead(w *simulation, h prefixHash) bool {
 	return slices.ContainsFunc(w.eps, func(o *engine) bool { return o.everRead[h] })
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += time.Millisecond
 	for _, k := range w.kinds {
 		for k.acc += k.perSecond / 1000; k.acc > 0 && w.rng.Float64() < k.acc; k.acc-- {
@@ -199,11 +199,11 @@
 				t.kind.failed++
 				continue
 			}
-			w.ask(t)
+			w.request(t)
 		default:
 			l.task.core = l.core
 			l.task.r.Avoid = nil
-			w.ask(l.task)
+			w.request(l.task)
 		}
 	}
 	for _, e := range w.eps {
@@ -220,7 +220,7 @@
 const patience = 500 * time.Millisecond // of a caller that hears no word
 
 // lose ends calls without an answer.
-func (w *world) lose(e *engine, o Outcome, which func(*task) bool) {
+func (w *simulation) failRuns(e *engine, o Outcome, which func(*task) bool) {
 	for _, t := range slices.Clone(e.tasks) {
 		if !which(t) {
 			continue
@@ -236,13 +236,13 @@
 	}
 }
 
-func (w *world) run(e *engine) {
+func (w *simulation) run(e *engine) {
 	switch {
 	case e.broken:
-		w.lose(e, Broken, func(*task) bool { return true })
+		w.failRuns(e, Broken, func(*task) bool { return true })
 		return
 	case e.dark:
-		w.lose(e, TimedOut, func(t *task) bool { return w.now-t.w.granted.sent > patience })
+		w.failRuns(e, TimedOut, func(t *task) bool { return w.now-t.w.granted.sent > patience })
 		return
 	}
 	budget := readSpeed * e.speed
@@ -255,7 +255,7 @@
 	for _, t := range e.tasks[:n] {
 		c := w.cores[t.core]
 		if !t.running {
-			w.read(e, t)
+			w.prefill(e, t)
 		}
 		if t.toRead > 0 {
 			used := min(budget, t.toRead)
@@ -288,7 +288,7 @@
 	}
 }
 
-func (w *world) play(d time.Duration) {
+func (w *simulation) play(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.step()
 	}
@@ -302,7 +302,8 @@
 	return sorted[int(share*float64(len(sorted)-1))]
 }
 
-func (w *world) report(t *testing.T) {
+func (w *simulation) report(t *testing.T) {
+	t.Helper()
 	reread := 0.0
 	most := 0
 	for _, e := range w.eps {
@@ -320,8 +321,8 @@
 	t.Logf("reread %.0f tokens a second; the fullest has %d", reread/w.now.Seconds(), most)
 }
 
-func ordinary(scale float64) []*kindOf {
-	return []*kindOf{
+func ordinary(scale float64) []*simulationKind {
+	return []*simulationKind{
 		{name: "chat", perSecond: 141 * scale, groups: 40, shared: 172, own: 543, out: 72, aim: 200, deadline: 6 * time.Second},
 		{name: "review", perSecond: 19.6 * scale, groups: 12, shared: 13300, own: 3720, out: 28, aim: 300, deadline: 4 * time.Second},
 		{name: "letters", perSecond: 10 * scale, groups: 4, shared: 432, own: 768, out: 160, aim: 10000, deadline: 60 * time.Second, bulk: true},
@@ -329,7 +330,7 @@
 }
 
 // worth is what was earned of what was owed.
-func (w *world) worth() float64 {
+func (w *simulation) worth() float64 {
 	earned, owed := 0.0, 0.0
 	for i, k := range w.kinds {
 		worth := []float64{2, 3, 2.2}[i%3]
@@ -342,7 +343,7 @@
 func TestOrdinaryLoadMeetsItsTargetAndPrefillsSharedPartsOnce(t *testing.T) {
 	for _, scale := range []float64{1, 4} {
 		t.Run(fmt.Sprint(scale), func(t *testing.T) {
-			w := newWorld(10, 18, 4, Settings{})
+			w := newSimulation(10, 18, 4)
 			w.kinds = ordinary(scale)
 			w.play(20 * time.Second)
 			w.report(t)
@@ -357,7 +358,7 @@
 }
 
 func TestOverloadMeetsItsTarget(t *testing.T) {
-	w := newWorld(10, 18, 4, Settings{})
+	w := newSimulation(10, 18, 4)
 	w.kinds = ordinary(14)
 	w.play(8 * time.Second)
 	w.report(t)
@@ -372,7 +373,7 @@
 }
 
 func TestBulkIsNotStarvedByOverload(t *testing.T) {
-	w := newWorld(4, 6, 2, Settings{})
+	w := newSimulation(4, 6, 2)
 	w.kinds = ordinary(14.0 / 3)
 	w.kinds[2].aim = 4000
 	w.play(20 * time.Second)
@@ -383,7 +384,7 @@
 }
 
 func TestBurstDrainsSoon(t *testing.T) {
-	w := newWorld(10, 18, 4, Settings{})
+	w := newSimulation(10, 18, 4)
 	w.kinds = ordinary(4)
 	w.play(2 * time.Second)
 	w.kinds[0].perSecond *= 6
@@ -406,7 +407,7 @@
 		"dark":   func(e *engine, on bool) { e.dark = on },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(6, 18, 4, Settings{})
+			w := newSimulation(6, 18, 4)
 			w.kinds = ordinary(2)
 			w.play(3 * time.Second)
 			for _, e := range w.eps[:3] {
--- a/internal/proxy/forward/bench_test.go
+++ b/internal/proxy/forward/bench_test.go
@@ -11,7 +11,7 @@
 
 // One request after the other on one connection, from a client over the proxy to an endpoint and back.
 func BenchmarkPlain(b *testing.B) {
-	e := newEndpoint(b, "e1", says(sealed, "the body"))
+	e := newEndpoint(b, "e1", answers(sealed, "the body"))
 	benchmark(b, newRig(b, route(operatorconfig.ReadOnly, 2), e))
 }
 
@@ -29,13 +29,14 @@
 }
 
 func benchmark(b *testing.B, g *rig) {
+	b.Helper()
 	c := g.dial()
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := c.ask(plainCall+"|X-Dunetide-Time-Left-Ms: 4000", "body"); err != nil {
+		if err := c.send(plainCall+"|X-Dunetide-Time-Left-Ms: 4000", "body"); err != nil {
 			b.Fatal(err)
 		}
-		if a, err := c.answer(); err != nil || a.status != http.StatusOK || a.err != nil {
+		if a, err := c.receive(); err != nil || a.status != http.StatusOK || a.err != nil {
 			b.Fatal(a, err)
 		}
 	}
--- a/internal/proxy/forward/budget_test.go
+++ b/internal/proxy/forward/budget_test.go
@@ -26,7 +26,7 @@
 		for tries := 1; tries <= 3; tries++ {
 			t.Run(fmt.Sprintf("%s/%d", name, tries), func(t *testing.T) {
 				endpoints := []*endpoint{
-					newEndpoint(t, "rejects", says("503 X|X-Dunetide-Not-Run: full", "")),
+					newEndpoint(t, "rejects", answers("503 X|X-Dunetide-Not-Run: full", "")),
 					{id: "dark", addr: "127.0.0.1:1"},
 				}
 				for n := range 5 {
--- a/internal/proxy/forward/certified_test.go
+++ b/internal/proxy/forward/certified_test.go
@@ -18,15 +18,15 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// book is a record in memory.
-type book struct {
+// runRecord is a record in memory.
+type runRecord struct {
 	mu   sync.Mutex
 	runs []audit.Run
 	ends map[uint64]audit.Outcome
 	full bool
 }
 
-func (b *book) Begin(r audit.Run, _ []byte) (uint64, bool) {
+func (b *runRecord) Begin(r audit.Run, _ []byte) (uint64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.full {
@@ -36,7 +36,7 @@
 	return uint64(len(b.runs)), true
 }
 
-func (b *book) End(n uint64, o audit.Outcome) {
+func (b *runRecord) End(n uint64, o audit.Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, twice := b.ends[n]; twice {
@@ -46,7 +46,7 @@
 }
 
 // said is each run's endpoint and outcome, in order.
-func (b *book) said() string {
+func (b *runRecord) summary() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -71,8 +71,8 @@
 }
 
 // certify regulates the rig's route; the gate is confirmed all the time.
-func (g *rig) certify(endpoints ...string) *book {
-	b := &book{ends: map[uint64]audit.Outcome{}}
+func (g *rig) certify(endpoints ...string) *runRecord {
+	b := &runRecord{ends: map[uint64]audit.Outcome{}}
 	g.p.options.Certificates = certification.NewGate(certification.GateOptions{LastConfirmed: time.Now, ConfirmationTTL: time.Second})
 	g.p.options.Certificates.Update(certificates(g.t, 1, endpoints...))
 	g.p.options.Recorder = b
@@ -80,14 +80,14 @@
 }
 
 func TestUncertifiedEndpointsAreNotGranted(t *testing.T) {
-	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
+	e1, e2 := newEndpoint(t, "e1", answers(sealed, "one")), newEndpoint(t, "e2", answers(sealed, "two"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2) // its admission knows nothing of certificates, as one whose grant is late
 	b := g.certify("e2")
 	a := g.do(plainCall, "body")
 	if a.status != 200 || a.body != "two" || len(e1.got()) != 0 {
 		t.Errorf("%+v, %d calls at e1", a, len(e1.got()))
 	}
-	if got := b.said(); got != "e2 answered" {
+	if got := b.summary(); got != "e2 answered" {
 		t.Error(got)
 	}
 	if r := b.runs[0]; r.Regime != "fin" || r.CertificatesVersion != 1 || r.Route != "r" || r.Idempotent || r.BatchItem || r.ID == "" {
@@ -96,13 +96,13 @@
 	if !slices.Equal(g.a.outcomes(), []dispatch.Outcome{dispatch.Canceled, dispatch.Served}) {
 		t.Errorf("%v: a certificate that is gone tells nothing of the endpoint's health", g.a.outcomes())
 	}
-	if q := g.a.asked[0]; q.Regime != "fin" || q.Certified("e1") || !q.Certified("e2") {
+	if q := g.a.requests[0]; q.Regime != "fin" || q.Certified("e1") || !q.Certified("e2") {
 		t.Errorf("%+v", q)
 	}
 }
 
 func TestRefusalStatesThatNoEndpointIsCertified(t *testing.T) {
-	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
+	e1, e2 := newEndpoint(t, "e1", answers(sealed, "one")), newEndpoint(t, "e2", answers(sealed, "two"))
 	for _, kind := range []operatorconfig.RouteKind{operatorconfig.Writes, operatorconfig.ReadOnly} {
 		g := newRig(t, route(kind, 2), e1, e2)
 		g.certify()
@@ -130,7 +130,7 @@
 
 // The first certificates come while a request is on its way to an endpoint that was granted before.
 func TestRouteThatBecomesRegulatedInFlight(t *testing.T) {
-	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
+	e1, e2 := newEndpoint(t, "e1", answers(sealed, "one")), newEndpoint(t, "e2", answers(sealed, "two"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1, e2)
 	b := g.certify("e2")
 	set := g.p.options.Certificates.Current()
@@ -157,7 +157,7 @@
 }
 
 func TestFullRecordStopsRegulatedWork(t *testing.T) {
-	e1 := newEndpoint(t, "e1", says(sealed, "one"))
+	e1 := newEndpoint(t, "e1", answers(sealed, "one"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e1)
 	b := g.certify("e1")
 	b.full = true
@@ -169,8 +169,8 @@
 		t.Errorf("%+v", res)
 	}
 	b.full = false
-	if a := g.do(plainCall, "body"); a.status != 200 || b.said() != "e1 answered" {
-		t.Errorf("%+v, %s", a, b.said())
+	if a := g.do(plainCall, "body"); a.status != 200 || b.summary() != "e1 answered" {
+		t.Errorf("%+v, %s", a, b.summary())
 	}
 }
 
@@ -192,15 +192,15 @@
 		last  func(net.Conn, call) bool
 		want  string
 	}{
-		"turned away":    {route(operatorconfig.Writes, 1), says("503 X|X-Dunetide-Not-Run: 1", ""), says(sealed, "fine"), "e1 not-run, e3 answered"},
-		"another one":    {route(operatorconfig.Writes, 1), says("421 X", ""), says(sealed, "fine"), "e1 not-run, e3 answered"},
-		"500":            {route(operatorconfig.Writes, 1), says("500 X", "x"), nil, "e1 failed"},
-		"500, repeated":  {route(operatorconfig.ReadOnly, 2), says("500 X", "x"), says(sealed, "fine"), "e1 failed, e3 answered"},
+		"turned away":    {route(operatorconfig.Writes, 1), answers("503 X|X-Dunetide-Not-Run: 1", ""), answers(sealed, "fine"), "e1 not-run, e3 answered"},
+		"another one":    {route(operatorconfig.Writes, 1), answers("421 X", ""), answers(sealed, "fine"), "e1 not-run, e3 answered"},
+		"500":            {route(operatorconfig.Writes, 1), answers("500 X", "x"), nil, "e1 failed"},
+		"500, repeated":  {route(operatorconfig.ReadOnly, 2), answers("500 X", "x"), answers(sealed, "fine"), "e1 failed, e3 answered"},
 		"closed":         {route(operatorconfig.Writes, 1), func(net.Conn, call) bool { return false }, nil, "e1 broken"},
 		"resumed stream": {resumed, cut, rest, "e1 broken, e3 answered"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e1, e2 := newEndpoint(t, "e1", c.first), newEndpoint(t, "e2", says(sealed, "not certified"))
+			e1, e2 := newEndpoint(t, "e1", c.first), newEndpoint(t, "e2", answers(sealed, "not certified"))
 			all := []*endpoint{e1, e2}
 			if c.last != nil {
 				all = append(all, newEndpoint(t, "e3", c.last))
@@ -208,10 +208,10 @@
 			g := newRig(t, c.route, all...)
 			b := g.certify("e1", "e3")
 			g.do(plainCall, "body")
-			for until := time.Now().Add(patience); len(b.said()) != len(c.want) && time.Now().Before(until); {
+			for until := time.Now().Add(patience); len(b.summary()) != len(c.want) && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
 			}
-			if got := b.said(); got != c.want || len(e2.got()) != 0 {
+			if got := b.summary(); got != c.want || len(e2.got()) != 0 {
 				t.Errorf("%q, want %q; %d calls where nobody is certified", got, c.want, len(e2.got()))
 			}
 			if name == "resumed stream" && b.runs[1].ResumeAfter != "1" {
@@ -222,11 +222,11 @@
 }
 
 func TestItemsGoOnOnlyAtCertifiedEndpoints(t *testing.T) {
-	e1, e2 := newEndpoint(t, "e1", says(sealed, "one")), newEndpoint(t, "e2", says(sealed, "two"))
+	e1, e2 := newEndpoint(t, "e1", answers(sealed, "one")), newEndpoint(t, "e2", answers(sealed, "two"))
 	g := newRig(t, route(operatorconfig.Bulk, 2), e1, e2)
 	b := g.certify("e2")
 	res := g.p.RunItem(t.Context(), item(&g.config.Routes[0]), "3", func(string, []byte) {})
-	if res.State != ItemDone || len(e1.got()) != 0 || b.said() != "e2 answered" || !b.runs[0].BatchItem || b.runs[0].ResumeAfter != "3" || !b.runs[0].Idempotent {
+	if res.State != ItemDone || len(e1.got()) != 0 || b.summary() != "e2 answered" || !b.runs[0].BatchItem || b.runs[0].ResumeAfter != "3" || !b.runs[0].Idempotent {
 		t.Errorf("%+v, %+v", res, b.runs)
 	}
 }
@@ -239,7 +239,7 @@
 			if !on {
 				r.Name = "other"
 			}
-			e := newEndpoint(b, "e1", says(sealed, "the body"))
+			e := newEndpoint(b, "e1", answers(sealed, "the body"))
 			g := newRig(b, r, e)
 			g.certify("e1")
 			benchmark(b, g)
--- a/internal/proxy/forward/client_test.go
+++ b/internal/proxy/forward/client_test.go
@@ -40,14 +40,14 @@
 		"an older protocol":           {strings.Replace(start, "1.1", "1.0", 1) + "Content-Length: 0\r\n\r\n", "-", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, "e1", says(sealed, "ok"))
+			e := newEndpoint(t, "e1", answers(sealed, "ok"))
 			g := newRig(t, route(operatorconfig.Writes, 1), e)
 			client := g.dial()
 			_, err := io.WriteString(client, c.bytes)
 			must(t, err)
 			answers := 0
 			if !c.cut { // a client that half-closes before its answer ends what runs, and would see nothing of a second run
-				if _, err := client.answer(); err == nil {
+				if _, err := client.receive(); err == nil {
 					answers++
 				}
 			}
@@ -69,18 +69,18 @@
 
 // Chunked requests that are clear keep their connection, also behind requests with a length.
 func TestClearRequestsKeepTheirConnection(t *testing.T) {
-	e := newEndpoint(t, "e1", says(sealed, "ok"))
+	e := newEndpoint(t, "e1", answers(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	c := g.dial()
 	for n := range 6 {
 		if n%2 == 0 {
-			must(t, c.ask(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d", n), "body"))
+			must(t, c.send(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d", n), "body"))
 		} else {
-			must(t, c.ask(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d|Transfer-Encoding: chunked", n), ""))
+			must(t, c.send(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d|Transfer-Encoding: chunked", n), ""))
 			_, err := io.WriteString(c, chunked("bo", "dy", ""))
 			must(t, err)
 		}
-		a, err := c.answer()
+		a, err := c.receive()
 		if err != nil || a.status != 200 || a.closes || a.header.Get(headerID) != fmt.Sprint("id", n) {
 			t.Fatalf("%d: %+v, %v", n, a, err)
 		}
@@ -97,10 +97,10 @@
 	c := g.dial()
 	const requests = 20
 	for n := range requests {
-		must(t, c.ask(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d", n), fmt.Sprint("body", n)))
+		must(t, c.send(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d", n), fmt.Sprint("body", n)))
 	}
 	for n := range requests {
-		a, err := c.answer()
+		a, err := c.receive()
 		if err != nil || a.header.Get(headerID) != fmt.Sprint("id", n) || a.body != fmt.Sprint("of body", n) {
 			t.Fatalf("%d: %+v, %v", n, a, err)
 		}
@@ -109,7 +109,7 @@
 
 // A client that is cut off at any byte of its request: nothing of it runs before its last byte.
 func TestRequestCutAtEveryByte(t *testing.T) {
-	e := newEndpoint(t, "e1", says(sealed, "ok"))
+	e := newEndpoint(t, "e1", answers(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	for name, whole := range map[string]string{
 		"length": "POST /r/x HTTP/1.1\r\nHost: h.example\r\nX-Dunetide-Request-Id: id1\r\nContent-Length: 4\r\n\r\nbody",
@@ -125,7 +125,7 @@
 					_ = c.Close()
 				} else {
 					must(t, c.Conn.(*net.TCPConn).CloseWrite())
-					if a, err := c.answer(); err == nil && a.status < 400 {
+					if a, err := c.receive(); err == nil && a.status < 400 {
 						t.Errorf("%s cut at %d: %+v", name, cut, a)
 					}
 					_ = c.Close()
@@ -142,12 +142,12 @@
 func TestSlowBodyIsNotAwaitedBeyondTheTimeout(t *testing.T) {
 	r := route(operatorconfig.Writes, 1)
 	r.TimeoutMs = 100
-	g := newRig(t, r, newEndpoint(t, "e1", says(sealed, "ok")))
+	g := newRig(t, r, newEndpoint(t, "e1", answers(sealed, "ok")))
 	c := g.dial()
 	began := time.Now()
 	_, err := io.WriteString(c, "POST /r/x HTTP/1.1\r\nHost: h.example\r\nX-Dunetide-Request-Id: id1\r\nContent-Length: 4\r\n\r\nbo")
 	must(t, err)
-	a, err := c.answer()
+	a, err := c.receive()
 	if err != nil || a.status != 408 || !a.closes {
 		t.Errorf("%+v, %v", a, err)
 	}
@@ -189,7 +189,7 @@
 	f.Add([]byte("GET http://h.example/r/%2f?a#b HTTP/1.1\nHost: h.example\nX-Dunetide-Request-Id: id1\nConnection: x-dunetide-request-id\n\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		// Of its own: a call may reach the endpoint after its client has left.
-		e := newEndpoint(t, "e1", says(sealed, "ok"))
+		e := newEndpoint(t, "e1", answers(sealed, "ok"))
 		g := newRig(t, route(operatorconfig.Writes, 1), e)
 		c, err := net.Dial("tcp", g.addr)
 		must(t, err)
--- a/internal/proxy/forward/early_test.go
+++ b/internal/proxy/forward/early_test.go
@@ -66,7 +66,7 @@
 						untilClosed(c)
 					}
 				})
-				good := newEndpoint(t, "good", says(sealed, "fine"))
+				good := newEndpoint(t, "good", answers(sealed, "fine"))
 				g := newRig(t, route(operatorconfig.Writes, 2), early, good)
 				a := g.do(plainCall, body)
 				calls := good.got()
@@ -106,7 +106,7 @@
 				part.Store(int64(at))
 				id := fmt.Sprint("id", at)
 				conn := g.dial()
-				must(t, conn.ask(method+" /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: "+id, ""))
+				must(t, conn.send(method+" /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: "+id, ""))
 				resp, err := http.ReadResponse(conn.br, &http.Request{Method: method})
 				must(t, err)
 				body, err := io.ReadAll(resp.Body)
@@ -176,6 +176,7 @@
 // newForgetfulEndpoint answers the first request on each connection. At the next byte it resets the connection; or, if it is to
 // read, after the next request.
 func newForgetfulEndpoint(t *testing.T, read bool) *endpoint {
+	t.Helper()
 	return newRawEndpoint(t, "forgetful", func(conn *net.TCPConn) {
 		br := bufio.NewReader(conn)
 		for n := 0; ; n++ {
@@ -218,7 +219,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			forgetful := newForgetfulEndpoint(t, c.read)
-			good := newEndpoint(t, "good", says(sealed, "fine"))
+			good := newEndpoint(t, "good", answers(sealed, "fine"))
 			var later atomic.Int64
 			g := newRigWith(t, route(c.kind, 2), func(o *Options) {
 				o.Now = func() time.Time { return time.Now().Add(time.Duration(later.Load())) }
@@ -265,7 +266,7 @@
 	})
 	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
 	conn := g.dial()
-	must(t, conn.ask("HEAD /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id1", ""))
+	must(t, conn.send("HEAD /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id1", ""))
 	resp, err := http.ReadResponse(conn.br, &http.Request{Method: http.MethodHead})
 	must(t, err)
 	if resp.StatusCode != http.StatusBadGateway {
--- a/internal/proxy/forward/enumerate_test.go
+++ b/internal/proxy/forward/enumerate_test.go
@@ -86,8 +86,8 @@
 	return []answerKind{plainAnswer, chunkedAnswer, failureAnswer, rejectedAnswer}
 }
 
-// misdeed is what an endpoint does at a byte of its answer. It tells whether the connection goes on.
-type misdeed struct {
+// fault is what an endpoint does at a byte of its answer. It tells whether the connection goes on.
+type fault struct {
 	name string
 	do   func(c *net.TCPConn, answer, foreign string, at int) bool
 }
@@ -99,7 +99,7 @@
 
 func untilClosed(c *net.TCPConn) { _, _ = io.Copy(io.Discard, c) }
 
-var misdeeds = []misdeed{
+var faults = []fault{
 	{"close", func(c *net.TCPConn, answer, _ string, at int) bool { write(c, answer[:at]); return false }},
 	{"reset", func(c *net.TCPConn, answer, _ string, at int) bool {
 		write(c, answer[:at])
@@ -175,12 +175,13 @@
 	*rig
 	kind    requestKind
 	answer  answerKind
-	misdeed misdeed
+	misdeed fault
 	account account
 	next    atomic.Int64
 }
 
-func newEnumeration(t *testing.T, k requestKind, a answerKind, m misdeed) *enumeration {
+func newEnumeration(t *testing.T, k requestKind, a answerKind, m fault) *enumeration {
+	t.Helper()
 	n := &enumeration{kind: k, answer: a, misdeed: m, account: account{runs: map[string][]string{}, gave: map[string][]int{}}}
 	bad := newEndpoint(t, "bad", func(c net.Conn, r call) bool { return n.serve("bad", c.(*net.TCPConn), r) })
 	good := newEndpoint(t, "good", func(c net.Conn, r call) bool { return n.serve("good", c.(*net.TCPConn), r) })
@@ -213,7 +214,7 @@
 
 // received is what came of a request, as its caller sees it.
 type received struct {
-	got
+	clientAnswer
 	broken error // no whole head came
 	item   Result
 	events string
@@ -235,7 +236,7 @@
 	if n.kind.method == "HEAD" {
 		body = ""
 	}
-	err = c.ask(n.kind.method+" /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: "+id+timeLeft, body)
+	err = c.send(n.kind.method+" /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: "+id+timeLeft, body)
 	if err != nil {
 		return received{broken: err}
 	}
@@ -244,7 +245,7 @@
 		return received{broken: err}
 	}
 	b, err := io.ReadAll(resp.Body)
-	return received{got: got{resp.StatusCode, resp.Header, string(b), err, resp.Close}}
+	return received{clientAnswer: clientAnswer{resp.StatusCode, resp.Header, string(b), err, resp.Close}}
 }
 
 func (n *enumeration) askItem(id string) (r received) {
@@ -258,6 +259,7 @@
 
 // check holds what was received against the account.
 func (n *enumeration) check(t *testing.T, id string, r received, must200 bool) {
+	t.Helper()
 	runs, gave := n.account.of(id)
 	broke := func(rule string) {
 		t.Errorf("%s: %s broke %s: ran at %v, which gave %v; got %+v", n.misdeed.name, id, rule, runs, gave, r)
@@ -345,6 +347,7 @@
 // play asks for one misdeed at one byte, and then for a request that nothing happens to: on the same connection to the
 // endpoint, if that was kept.
 func (n *enumeration) play(t *testing.T, at int) {
+	t.Helper()
 	serial := n.next.Add(1)
 	id := fmt.Sprintf("bad-%d-%d", at, serial)
 	n.check(t, id, n.ask(id, ""), false)
@@ -361,7 +364,7 @@
 	t.Cleanup(func() { t.Logf("%d plays of two requests each", plays.Load()) })
 	for _, k := range requestKinds {
 		for _, a := range k.answers() {
-			for _, m := range misdeeds {
+			for _, m := range faults {
 				t.Run(k.name+"/"+a.name+"/"+m.name, func(t *testing.T) {
 					t.Parallel()
 					n := newEnumeration(t, k, a, m)
@@ -377,7 +380,7 @@
 
 // An endpoint that falls silent at any byte: the request ends at its deadline, and nothing else changes.
 func TestUnresponsiveEndpointAtEveryByte(t *testing.T) {
-	silence := misdeed{"silence", func(c *net.TCPConn, answer, _ string, at int) bool {
+	silence := fault{"silence", func(c *net.TCPConn, answer, _ string, at int) bool {
 		write(c, answer[:at])
 		untilClosed(c)
 		return false
--- a/internal/proxy/forward/forgotten_test.go
+++ b/internal/proxy/forward/forgotten_test.go
@@ -22,6 +22,7 @@
 
 // newForgetfulRig is a proxy whose connections count as idle from the second request on, and wait long for a reset.
 func newForgetfulRig(t *testing.T, r operatorconfig.Route, endpoints ...*endpoint) (g *rig, idle func()) {
+	t.Helper()
 	var later atomic.Int64
 	g = newRigWith(t, r, func(o *Options) {
 		o.Now = func() time.Time { return time.Now().Add(time.Duration(later.Load())) }
@@ -51,7 +52,7 @@
 					t.Fatalf("%+v", a)
 				}
 			}
-			g.a.all = append(all, newEndpoint(t, "good", says(sealed, "fine")))
+			g.a.all = append(all, newEndpoint(t, "good", answers(sealed, "fine")))
 			idle()
 			if a := g.do(plainCall, "x"); a.status != 200 || a.err != nil {
 				t.Errorf("%+v", a)
@@ -62,6 +63,7 @@
 
 // unread is how many bytes have arrived on a connection that nobody has read.
 func unread(t *testing.T, conn *net.TCPConn) (count int) {
+	t.Helper()
 	raw, err := conn.SyscallConn()
 	must(t, err)
 	must(t, raw.Control(func(fd uintptr) { count, err = unix.IoctlGetInt(int(fd), unix.SIOCINQ) }))
@@ -91,7 +93,7 @@
 				}
 				_ = conn.SetLinger(0)
 			})
-			good := newEndpoint(t, "good", says(sealed, "fine"))
+			good := newEndpoint(t, "good", answers(sealed, "fine"))
 			g := newRigWith(t, route(operatorconfig.Writes, 2), func(*Options) {}, late, good)
 			if a := g.do(plainCall, "x"); a.body != "first" {
 				t.Fatalf("%+v", a)
@@ -121,6 +123,7 @@
 
 // awaitUnread waits until a whole request has arrived and leaves it unread.
 func awaitUnread(t *testing.T, conn *net.TCPConn, body string) bool {
+	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		held := make([]byte, unread(t, conn))
 		raw, err := conn.SyscallConn()
--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -120,8 +120,8 @@
 	return e
 }
 
-// says answers with a head and a length. Lines are parted by "|".
-func says(lines, body string) func(net.Conn, call) bool {
+// answers answers with a head and a length. Lines are parted by "|".
+func answers(lines, body string) func(net.Conn, call) bool {
 	return func(c net.Conn, r call) bool {
 		_, err := io.WriteString(c, answerOf(r.Header.Get(headerID), lines, body))
 		return err == nil
@@ -159,12 +159,12 @@
 
 // admission grants the first endpoint that is not to be avoided.
 type admission struct {
-	mu     sync.Mutex
-	all    []*endpoint
-	asked  []dispatch.Request
-	ends   []ended
-	firsts int
-	refuse error
+	mu       sync.Mutex
+	all      []*endpoint
+	requests []dispatch.Request
+	ends     []ended
+	firsts   int
+	refuse   error
 }
 
 type grant struct {
@@ -181,7 +181,7 @@
 	}
 	asked := *r
 	asked.Avoid = slices.Clone(r.Avoid)
-	a.asked = append(a.asked, asked)
+	a.requests = append(a.requests, asked)
 	if a.refuse != nil {
 		return nil, a.refuse
 	}
@@ -217,7 +217,7 @@
 func (a *admission) forget() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked, a.ends = nil, nil
+	a.requests, a.ends = nil, nil
 }
 
 func (a *admission) outcomes() []dispatch.Outcome {
@@ -300,7 +300,7 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-func (c *client) ask(lines, body string) error {
+func (c *client) send(lines, body string) error {
 	length := ""
 	if body != "" {
 		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -309,8 +309,8 @@
 	return err
 }
 
-// got is an answer as a client sees it.
-type got struct {
+// clientAnswer is an answer as a client sees it.
+type clientAnswer struct {
 	status int
 	header http.Header
 	body   string
@@ -318,37 +318,37 @@
 	closes bool  // the connection
 }
 
-func (c *client) answer() (got, error) {
+func (c *client) receive() (clientAnswer, error) {
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		return got{}, err
+		return clientAnswer{}, err
 	}
 	body, err := io.ReadAll(resp.Body)
-	return got{resp.StatusCode, resp.Header, string(body), err, resp.Close}, nil
+	return clientAnswer{resp.StatusCode, resp.Header, string(body), err, resp.Close}, nil
 }
 
 const plainCall = "POST /r/x?q=1%2f HTTP/1.1|Host: H.example:80|X-Dunetide-Request-Id: id1"
 
-func (g *rig) do(lines, body string) got {
+func (g *rig) do(lines, body string) clientAnswer {
 	g.t.Helper()
 	c := g.dial()
-	must(g.t, c.ask(lines, body))
-	a, err := c.answer()
+	must(g.t, c.send(lines, body))
+	a, err := c.receive()
 	if err != nil {
-		return got{err: err}
+		return clientAnswer{err: err}
 	}
 	return a
 }
 
 func TestRequestAndAnswerGoUnchanged(t *testing.T) {
-	e := newEndpoint(t, "e1", says(sealed+"|X-Any: 1|Keep-Alive: timeout=9|X-Dunetide-Server-Load: 3,1,8", "the body"))
+	e := newEndpoint(t, "e1", answers(sealed+"|X-Any: 1|Keep-Alive: timeout=9|X-Dunetide-Server-Load: 3,1,8", "the body"))
 	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	c := g.dial()
 	for range 2 {
-		must(t, c.ask("PUT /r/a%20b/%2F?q=1&&x HTTP/1.1|Host: H.example:80|X-Dunetide-Request-Id: id1|X-Mine: a|X-Mine: b|"+
+		must(t, c.send("PUT /r/a%20b/%2F?q=1&&x HTTP/1.1|Host: H.example:80|X-Dunetide-Request-Id: id1|X-Mine: a|X-Mine: b|"+
 			"Connection: X-Hop|X-Hop: 1|Te: trailers|X-Dunetide-Time-Left-Ms: 4000|X-Dunetide-Target-Instance: other|Last-Event-Id: 4|"+
 			"X-Dunetide-Model: m|X-Dunetide-Token-Count: 14,80|X-Dunetide-Prompt-Prefix: ff:8,a:6", "hello"))
-		a, err := c.answer()
+		a, err := c.receive()
 		must(t, err)
 		if a.status != 200 || a.body != "the body" || a.err != nil {
 			t.Fatalf("%+v", a)
@@ -382,7 +382,7 @@
 	if r.Header.Get(headerTarget) != "e1" || len(r.Header["X-Mine"]) != 2 || r.Header.Get(headerLastEvent) != "4" {
 		t.Errorf("%v", r.Header)
 	}
-	q := g.a.asked[0]
+	q := g.a.requests[0]
 	if q.ID != "id1" || q.Model != "m" || q.TokensIn != 14 || q.TokensOut != 80 || q.Service != "svc" || q.Bulk ||
 		!slices.Equal(q.Prefix, []dispatch.PromptPart{{ID: 255, Tokens: 8}, {ID: 10, Tokens: 6}}) {
 		t.Errorf("%+v", q)
@@ -439,7 +439,7 @@
 					_, _ = io.WriteString(conn, c.bytes)
 					return false
 				})
-				good := newEndpoint(t, "good", says(sealed, "fine"))
+				good := newEndpoint(t, "good", answers(sealed, "fine"))
 				g := newRig(t, route(kind, 2), bad, good)
 				a := g.do(plainCall, "body")
 				if a.status != status || a.err != nil {
@@ -473,7 +473,7 @@
 				_, _ = io.WriteString(conn, whole[:cut])
 				return false
 			})
-			good := newEndpoint(t, "good", says(sealed, "fine"))
+			good := newEndpoint(t, "good", answers(sealed, "fine"))
 			g := newRig(t, route(operatorconfig.Writes, 2), bad, good)
 			if name == "stream" {
 				g.config.Routes[0].Kind = operatorconfig.Streaming
@@ -508,7 +508,7 @@
 	})
 	g := newRig(t, route(operatorconfig.Streaming, 1), e)
 	c := g.dial()
-	must(t, c.ask(plainCall, "body"))
+	must(t, c.send(plainCall, "body"))
 	var resp *http.Response
 	for n := 1; n <= 3; n++ {
 		step <- chunked(oneEvent(n)[:3])
@@ -583,7 +583,7 @@
 
 func TestLargeBodies(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 64<<10) // 1 MB
-	e := newEndpoint(t, "e1", func(c net.Conn, r call) bool { return says(sealed, r.body)(c, r) })
+	e := newEndpoint(t, "e1", func(c net.Conn, r call) bool { return answers(sealed, r.body)(c, r) })
 	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	if a := g.do(plainCall, body); a.status != 200 || a.body != body || a.err != nil {
 		t.Errorf("%d, %d bytes, %v", a.status, len(a.body), a.err)
@@ -601,16 +601,16 @@
 	}
 	// A body in chunks becomes one with a length.
 	c := g.dial()
-	must(t, c.ask(plainCall+"|Transfer-Encoding: chunked", ""))
+	must(t, c.send(plainCall+"|Transfer-Encoding: chunked", ""))
 	_, err := io.WriteString(c, chunked("ab", "c", ""))
 	must(t, err)
-	if a, err := c.answer(); err != nil || a.body != "abc" {
+	if a, err := c.receive(); err != nil || a.body != "abc" {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
 
 func TestRequestsThatAreNotForwarded(t *testing.T) {
-	e := newEndpoint(t, "e1", says(sealed, "ok"))
+	e := newEndpoint(t, "e1", answers(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
 	if a := g.do("GET /other/ HTTP/1.1|Host: h.example", ""); a.status != 404 {
 		t.Errorf("%+v", a)
@@ -636,7 +636,7 @@
 
 // A parsed configuration finds its routes itself, also while none, and then another one, is in force.
 func TestParsedConfiguration(t *testing.T) {
-	e := newEndpoint(t, "e1", says(sealed, "ok"))
+	e := newEndpoint(t, "e1", answers(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.ReadOnly, 1), e)
 	g.p.options.Match = New(Options{Snapshots: &snapshot.Latest{}}).options.Match
 	for _, c := range []struct {
@@ -662,7 +662,7 @@
 	must(t, err)
 	dead := &endpoint{id: "dead", addr: l.Addr().String()}
 	must(t, l.Close())
-	g := newRig(t, route(operatorconfig.Writes, 1), dead, newEndpoint(t, "e1", says(sealed, "ok")))
+	g := newRig(t, route(operatorconfig.Writes, 1), dead, newEndpoint(t, "e1", answers(sealed, "ok")))
 	if a := g.do(plainCall, "x"); a.status != 200 {
 		t.Errorf("%+v", a)
 	}
@@ -709,7 +709,7 @@
 	})
 	g := newRig(t, route(operatorconfig.Writes, 1), e)
 	c := g.dial()
-	must(t, c.ask(plainCall, "x"))
+	must(t, c.send(plainCall, "x"))
 	<-came
 	must(t, c.Close())
 	if err := <-gone; err == nil {
@@ -725,7 +725,7 @@
 	came, step := make(chan bool), make(chan bool)
 	e := newEndpoint(t, "e1", func(c net.Conn, r call) bool {
 		if r.URL.Path == "/r/quick" {
-			return says(sealed, "ok")(c, r)
+			return answers(sealed, "ok")(c, r)
 		}
 		_, _ = io.WriteString(c, streamHead(r.Header.Get(headerID))+chunked(oneEvent(1)))
 		came <- true
@@ -744,7 +744,7 @@
 		t.Errorf("%d before", s)
 	}
 	c := g.dial()
-	must(t, c.ask(plainCall, "x"))
+	must(t, c.send(plainCall, "x"))
 	<-came
 	done := make(chan error, 1)
 	go func() { done <- g.p.Shutdown(patience) }()
@@ -755,7 +755,7 @@
 		t.Errorf("%+v", a)
 	}
 	close(step)
-	if a, err := c.answer(); err != nil || a.err != nil || a.body != oneEvent(1)+oneEvent(2) {
+	if a, err := c.receive(); err != nil || a.err != nil || a.body != oneEvent(1)+oneEvent(2) {
 		t.Errorf("%+v, %v", a, err)
 	}
 	must(t, <-done)
@@ -820,7 +820,7 @@
 func TestBytesOnAnIdleConnection(t *testing.T) {
 	spoil, spoilt := make(chan bool), make(chan bool)
 	e := newEndpoint(t, "e1", func(conn net.Conn, r call) bool {
-		says(sealed, "ok")(conn, r)
+		answers(sealed, "ok")(conn, r)
 		if r.Header.Get(headerID) == "id1" {
 			<-spoil
 			_, _ = io.WriteString(conn, answerOf("id2", sealed, "not it"))
@@ -879,7 +879,7 @@
 
 // Connections to endpoints that are no longer listed are closed, others are kept.
 func TestTidy(t *testing.T) {
-	e1, e2 := newEndpoint(t, "e1", says(sealed, "ok")), newEndpoint(t, "e2", says(sealed, "ok"))
+	e1, e2 := newEndpoint(t, "e1", answers(sealed, "ok")), newEndpoint(t, "e2", answers(sealed, "ok"))
 	g := newRig(t, route(operatorconfig.ReadOnly, 1), e1)
 	g.do(plainCall, "x")
 	g.a.all = []*endpoint{e2}
@@ -902,7 +902,7 @@
 func TestRejectedByAllEndpoints(t *testing.T) {
 	var all []*endpoint
 	for n := range 9 {
-		all = append(all, newEndpoint(t, fmt.Sprint("e", n), says("503 X|X-Dunetide-Not-Run: 1|Retry-After: 0.5", "")))
+		all = append(all, newEndpoint(t, fmt.Sprint("e", n), answers("503 X|X-Dunetide-Not-Run: 1|Retry-After: 0.5", "")))
 	}
 	g := newRig(t, route(operatorconfig.Writes, 2), all...)
 	if a := g.do(plainCall, "x"); a.status != 503 || a.header.Get("Retry-After") != "0.500" {
@@ -918,7 +918,7 @@
 	gone := make(chan bool)
 	e := newEndpoint(t, "e1", func(conn net.Conn, r call) bool {
 		if r.Header.Get(headerID) == "id2" {
-			return says(sealed, "ok")(conn, r)
+			return answers(sealed, "ok")(conn, r)
 		}
 		_, err := io.WriteString(conn, streamHead("id1"))
 		for n := 1; err == nil; n++ {
@@ -929,12 +929,12 @@
 	})
 	g := newRig(t, route(operatorconfig.Streaming, 1), e)
 	c := g.dial()
-	must(t, c.ask(plainCall+"|X-Dunetide-Time-Left-Ms: 300", "x"))
+	must(t, c.send(plainCall+"|X-Dunetide-Time-Left-Ms: 300", "x"))
 	if a := g.do("POST /r/ HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id2", "x"); a.body != "ok" {
 		t.Errorf("%+v", a)
 	}
 	<-gone
-	if a, err := c.answer(); err == nil && a.err == nil {
+	if a, err := c.receive(); err == nil && a.err == nil {
 		t.Errorf("%d, %d bytes: it looks complete", a.status, len(a.body))
 	}
 }
--- a/internal/proxy/forward/golden_test.go
+++ b/internal/proxy/forward/golden_test.go
@@ -56,6 +56,7 @@
 }
 
 func newRecordedEndpoint(t *testing.T, id, answer string) *recordedEndpoint {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	e := &recordedEndpoint{endpoint: &endpoint{id: id, addr: l.Addr().String()}, goOn: make(chan struct{}, strings.Count(answer, pause))}
@@ -173,7 +174,7 @@
 			g.a.refuse = c.refuse
 			g.p.draining.Store(c.draining)
 			client := g.dial()
-			must(t, client.ask(c.request, c.body))
+			must(t, client.send(c.request, c.body))
 			var begin []byte // up to the last pause
 			for n := range strings.Count(c.answer, pause) {
 				for bytes.Count(begin, []byte("data: ")) <= n || !bytes.HasSuffix(begin, []byte("\n\n\r\n")) {
--- a/internal/proxy/forward/item_test.go
+++ b/internal/proxy/forward/item_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e1 := newEndpoint(t, "e1", func(conn net.Conn, _ call) bool { _, _ = io.WriteString(conn, c.bytes); return false })
-			e2 := newEndpoint(t, "e2", says(sealed, "fine"))
+			e2 := newEndpoint(t, "e2", answers(sealed, "fine"))
 			g := newRig(t, route(operatorconfig.Bulk, 2), e1, e2)
 			var text []string
 			res := g.p.RunItem(t.Context(), item(&g.config.Routes[0]), "2", func(id string, data []byte) { text = append(text, id+"="+string(data)) })
@@ -58,7 +58,7 @@
 				r.Header.Get(headerTarget) != "e1" || r.Header.Get(headerTimeLeft) != "" || r.Host != "h.example" {
 				t.Errorf("%+v", r)
 			}
-			if q := g.a.asked[0]; !q.Bulk || q.TokensIn != 10 || q.TokensOut != 20 || !q.Deadline.IsZero() {
+			if q := g.a.requests[0]; !q.Bulk || q.TokensIn != 10 || q.TokensOut != 20 || !q.Deadline.IsZero() {
 				t.Errorf("%+v", q)
 			}
 		})
@@ -92,7 +92,7 @@
 
 func TestItemThatIsNoRequest(t *testing.T) {
 	r := route(operatorconfig.Bulk, 1)
-	g := newRig(t, r, newEndpoint(t, "e1", says(sealed, "x")))
+	g := newRig(t, r, newEndpoint(t, "e1", answers(sealed, "x")))
 	for name, change := range map[string]func(*Item){
 		"path":         func(i *Item) { i.Path = "/r/ HTTP/1.1\r\nHost: x\r\n\r\nGET /" },
 		"relative":     func(i *Item) { i.Path = "r" },
@@ -103,7 +103,7 @@
 	} {
 		it := item(&r)
 		change(it)
-		if res := g.p.RunItem(t.Context(), it, "", nil); res.State != ItemNotRun || res.Err == nil || len(g.a.asked) > 0 {
+		if res := g.p.RunItem(t.Context(), it, "", nil); res.State != ItemNotRun || res.Err == nil || len(g.a.requests) > 0 {
 			t.Errorf("%s: %+v", name, res)
 		}
 	}
@@ -122,7 +122,7 @@
 	var script atomic.Pointer[[]byte]
 	bad := newEndpoint(f, "bad", func(conn net.Conn, r call) bool {
 		if r.Header.Get(headerID) != "id1" {
-			return says(sealed, "next")(conn, r)
+			return answers(sealed, "next")(conn, r)
 		}
 		_, _ = conn.Write(*script.Load())
 		return false
@@ -138,9 +138,9 @@
 		g.a.forget()
 		c := g.dial()
 		must(t, c.SetDeadline(time.Now().Add(patience)))
-		must(t, c.ask(plainCall, "x"))
+		must(t, c.send(plainCall, "x"))
 		began := time.Now()
-		a, err := c.answer()
+		a, err := c.receive()
 		if took := time.Since(began); took > patience/4 {
 			t.Errorf("it took %v: %+v, %v", took, a, err)
 		}
--- a/internal/proxy/forward/prepare_test.go
+++ b/internal/proxy/forward/prepare_test.go
@@ -15,20 +15,21 @@
 
 // unprepared is a proxy that has just started: it knows no configuration.
 func unprepared(t *testing.T, e ...*endpoint) (*rig, *snapshot.Latest) {
+	t.Helper()
 	holder := &snapshot.Latest{}
 	return newRigWith(t, route(operatorconfig.Writes, 1), func(o *Options) { o.Snapshots = holder }, e...), holder
 }
 
 func TestRequestsWaitForAProxyThatHasJustStarted(t *testing.T) {
-	e := newEndpoint(t, "e1", says(sealed, "the body"))
+	e := newEndpoint(t, "e1", answers(sealed, "the body"))
 	g, holder := unprepared(t, e)
 	const clients = 8
-	answers := make(chan got, clients)
+	answers := make(chan clientAnswer, clients)
 	for i := range clients {
 		c := g.dial()
-		must(t, c.ask(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d|X-Dunetide-Time-Left-Ms: 9000", i), strings.Repeat("b", 9000)))
+		must(t, c.send(fmt.Sprintf("POST /r/x HTTP/1.1|Host: h.example|X-Dunetide-Request-Id: id%d|X-Dunetide-Time-Left-Ms: 9000", i), strings.Repeat("b", 9000)))
 		go func() {
-			a, err := c.answer()
+			a, err := c.receive()
 			if err != nil {
 				a.err = err
 			}
@@ -57,7 +58,7 @@
 
 // The wait ends while the client can still come again, with the promise that the request has not run.
 func TestRequestIsRefusedWhereAProxyStaysUnprepared(t *testing.T) {
-	e := newEndpoint(t, "e1", says(sealed, "x"))
+	e := newEndpoint(t, "e1", answers(sealed, "x"))
 	g, _ := unprepared(t, e)
 	a := g.do(plainCall+"|X-Dunetide-Time-Left-Ms: 90", "b")
 	if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || len(e.got()) > 0 {
@@ -79,7 +80,7 @@
 func TestRequestWhoseClientLeavesNoLongerWaits(t *testing.T) {
 	g, _ := unprepared(t)
 	c := g.dial()
-	must(t, c.ask(plainCall+"|X-Dunetide-Time-Left-Ms: 60000", "b"))
+	must(t, c.send(plainCall+"|X-Dunetide-Time-Left-Ms: 60000", "b"))
 	for g.p.unprepared.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/proxy/forward/night_check_test.go
+++ b/internal/proxy/forward/scenario_check_test.go
@@ -18,13 +18,13 @@
 const onTime = 10 * time.Millisecond
 
 // certifiedAt tells whether an engine was certified by a document that was the newest a moment ago.
-func (n *night) certifiedAt(engine string, at time.Time) bool {
+func (n *scenario) certifiedAt(engine string, at time.Time) bool {
 	for i, s := range n.puts {
 		until := at.Add(time.Hour)
 		if i+1 < len(n.puts) {
 			until = n.putAt[i+1]
 		}
-		if !n.putAt[i].After(at) && !until.Add(nightStale+onTime).Before(at) &&
+		if !n.putAt[i].After(at) && !until.Add(scenarioConfirmationTTL+onTime).Before(at) &&
 			slices.ContainsFunc(s.Certificates, func(c certification.Certificate) bool {
 				return c.Endpoint == engine && c.Regime == "fin" && !at.Before(c.NotBefore) && at.Before(c.NotAfter)
 			}) {
@@ -37,12 +37,12 @@
 // place is where a request ran.
 type place struct{ id, engine string }
 
-func (n *night) fail(format string, args ...any) {
+func (n *scenario) breach(format string, args ...any) {
 	n.t.Errorf("seed %d: %s", n.seed, fmt.Sprintf(format, args...))
 }
 
 // check holds what ran against the documents, the clients' answers and the record.
-func (n *night) check() (regulated int) {
+func (n *scenario) check() (regulated int) {
 	seen := n.checkEngines()
 	n.checkRepeats()
 	n.checkItems()
@@ -56,7 +56,7 @@
 }
 
 // checkEngines holds where each request ran against the certificates, and tells where regulated ones did.
-func (n *night) checkEngines() (seen map[place]int) {
+func (n *scenario) checkEngines() (seen map[place]int) {
 	seen = map[place]int{}
 	openElsewhere := false
 	for _, run := range n.runs {
@@ -66,35 +66,35 @@
 		}
 		seen[place{run.id, run.engine}]++
 		if !n.certifiedAt(run.engine, run.began) {
-			n.fail("%s began at %s, %v after the start, and it was not certified", run.id, run.engine, run.began.Sub(n.putAt[0]))
+			n.breach("%s began at %s, %v after the start, and it was not certified", run.id, run.engine, run.began.Sub(n.putAt[0]))
 		} else if !run.by.knewCertified(run.engine, run.began) {
-			n.fail("%s was sent to %s, %v after the start, and its proxy knew that it was not certified", run.id, run.engine, run.began.Sub(n.putAt[0]))
+			n.breach("%s was sent to %s, %v after the start, and its proxy knew that it was not certified", run.id, run.engine, run.began.Sub(n.putAt[0]))
 		}
 	}
 	if !openElsewhere {
-		n.fail("what demands nothing never ran elsewhere")
+		n.breach("what demands nothing never ran elsewhere")
 	}
 	return seen
 }
 
 // checkRepeats finds second runs of what may run once, and runs of what was refused.
-func (n *night) checkRepeats() {
+func (n *scenario) checkRepeats() {
 	times := map[string]int{}
 	for _, run := range n.runs {
 		times[run.id]++
 	}
 	for id, count := range times {
 		if (strings.HasPrefix(id, "save-") || strings.HasPrefix(id, "open-")) && count > 1 {
-			n.fail("%s ran %d times", id, count)
+			n.breach("%s ran %d times", id, count)
 		}
 		if status, asked := n.answers[id]; asked && status == http.StatusServiceUnavailable && !strings.HasPrefix(id, "look-") && !strings.HasPrefix(id, "talk-") {
-			n.fail("%s was refused and ran", id)
+			n.breach("%s was refused and ran", id)
 		}
 	}
 }
 
 // checkItems finds items that were not listed once after one whole run, or given up and not listed.
-func (n *night) checkItems() {
+func (n *scenario) checkItems() {
 	whole := map[string]int{}
 	for _, run := range n.runs {
 		if run.whole {
@@ -107,35 +107,35 @@
 		case n.listed[id] == 1 && whole[id] == 1 && !n.givenUp[id]:
 		case n.listed[id] == 0 && n.givenUp[id]:
 		default:
-			n.fail("%s was listed %d times, ran whole %d times, given up: %v", id, n.listed[id], whole[id], n.givenUp[id])
+			n.breach("%s was listed %d times, ran whole %d times, given up: %v", id, n.listed[id], whole[id], n.givenUp[id])
 		}
 	}
 }
 
 // checkStopped bounds the grants that the last look before a run stopped.
-func (n *night) checkStopped() {
+func (n *scenario) checkStopped() {
 	for _, p := range n.proxies {
 		for _, c := range p.gate.CountsByRegime() {
 			if c.Stopped > 20+c.Runs/10 {
-				n.fail("%d grants were for engines that were not certified, and %d runs began", c.Stopped, c.Runs)
+				n.breach("%d grants were for engines that were not certified, and %d runs began", c.Stopped, c.Runs)
 			}
 		}
 	}
 }
 
 // checkAudit reads the record and finds what is wrong with it by itself.
-func (n *night) checkAudit() *audit.Report {
+func (n *scenario) checkAudit() *audit.Report {
 	files, err := filepath.Glob(filepath.Join(n.dir, "s*", "audit*.log"))
 	must(n.t, err)
-	report, err := audit.CheckFiles(files, audit.CheckOptions{WithdrawalBound: nightStale})
+	report, err := audit.CheckFiles(files, audit.CheckOptions{WithdrawalBound: scenarioConfirmationTTL})
 	must(n.t, err)
 	for _, p := range report.Problems {
-		n.fail("the audit tells %v", p)
+		n.breach("the audit tells %v", p)
 	}
 	newest := map[string]uint64{} // of each proxy
 	for _, run := range report.Runs {
 		if run.CertificatesVersion < newest[run.Proxy] {
-			n.fail("%s goes back from certificates %d to %d", run.Proxy, newest[run.Proxy], run.CertificatesVersion)
+			n.breach("%s goes back from certificates %d to %d", run.Proxy, newest[run.Proxy], run.CertificatesVersion)
 		}
 		newest[run.Proxy] = run.CertificatesVersion
 	}
@@ -143,22 +143,22 @@
 }
 
 // checkRecord holds the record against the runs that were seen.
-func (n *night) checkRecord(report *audit.Report, seen map[place]int) {
+func (n *scenario) checkRecord(report *audit.Report, seen map[place]int) {
 	recorded := map[place]int{}
 	for _, run := range report.Runs {
 		if run.Outcome.MayHaveRun() {
 			recorded[place{run.ID, run.Endpoint}]++
 		}
 		if run.Outcome == audit.Open {
-			n.fail("the run of %s at %s has no end in the record", run.ID, run.Endpoint)
+			n.breach("the run of %s at %s has no end in the record", run.ID, run.Endpoint)
 		}
 		if run.Outcome == audit.Answered && seen[place{run.ID, run.Endpoint}] == 0 {
-			n.fail("%s is recorded as answered by %s, where it never ran", run.ID, run.Endpoint)
+			n.breach("%s is recorded as answered by %s, where it never ran", run.ID, run.Endpoint)
 		}
 	}
 	for k, count := range seen {
 		if recorded[k] < count {
-			n.fail("%s ran %d times at %s, and the record has %d", k.id, count, k.engine, recorded[k])
+			n.breach("%s ran %d times at %s, and the record has %d", k.id, count, k.engine, recorded[k])
 		}
 	}
 }
--- a/internal/proxy/forward/night_test.go
+++ b/internal/proxy/forward/scenario_test.go
@@ -37,25 +37,25 @@
 // A busy night: proxies with their dispatchers, gates and records, engines, stores with disks, and clients, in simulated time.
 // Keepers are played: they push documents and answer questions late, out of order or not at all.
 const (
-	nightLength  = 20 * time.Second
-	nightStale   = 2 * time.Second
-	nightProxies = 3
-	nightEngines = 7
-	nightEvents  = 6
-	nightItems   = 60
-	itemWait     = 12 * time.Second // after which an item that waits is given up
+	nightLength             = 20 * time.Second
+	scenarioConfirmationTTL = 2 * time.Second
+	scenarioProxyCount      = 3
+	nightEngines            = 7
+	nightEvents             = 6
+	nightItems              = 60
+	itemWait                = 12 * time.Second // after which an item that waits is given up
 )
 
 // trueRun is a run as an engine saw it.
-type trueRun struct {
+type actualRun struct {
 	id, engine, path string
-	by               *nightProxy
+	by               *scenarioProxy
 	began            time.Time // when it was there: a frozen engine works on it later
 	from             int
 	whole            bool
 }
 
-type night struct {
+type scenario struct {
 	t    *testing.T
 	seed uint64
 	mu   sync.Mutex
@@ -65,9 +65,9 @@
 	document certification.Document
 	puts     []*certification.Set // in the order in which they were put
 	putAt    []time.Time
-	runs     []*trueRun
-	proxies  []*nightProxy
-	engines  map[string]*nightEngine
+	runs     []*actualRun
+	proxies  []*scenarioProxy
+	engines  map[string]*scenarioEngine
 	stores   []*audit.Store
 	lost     []bool // stores
 	config   *operatorconfig.Config
@@ -80,17 +80,19 @@
 	dir      string
 }
 
-func (n *night) draw(most int) int {
+func (n *scenario) random(most int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.IntN(most)
 }
 
-func (n *night) ms(most int) time.Duration { return time.Duration(n.draw(most)) * time.Millisecond }
+func (n *scenario) ms(most int) time.Duration {
+	return time.Duration(n.random(most)) * time.Millisecond
+}
 
-// nightProxy is one proxy.
-type nightProxy struct {
-	n         *night
+// scenarioProxy is one proxy.
+type scenarioProxy struct {
+	n         *scenario
 	holder    *snapshot.Latest
 	dispatch  *dispatch.Dispatcher
 	gate      *certification.Gate
@@ -99,27 +101,27 @@
 	mu        sync.Mutex
 	cut       bool // from all keepers
 	confirmed time.Time
-	known     []known
+	known     []knownSet
 }
 
 // known is a document that a proxy had from a moment on.
-type known struct {
+type knownSet struct {
 	at  time.Time
 	set *certification.Set
 }
 
 // learn has the proxy take a document in.
-func (p *nightProxy) learn(s *certification.Set) {
+func (p *scenarioProxy) learn(s *certification.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gate.Update(s)
 	if now := p.gate.Current(); len(p.known) == 0 || p.known[len(p.known)-1].set != now {
-		p.known = append(p.known, known{time.Now(), now})
+		p.known = append(p.known, knownSet{time.Now(), now})
 	}
 }
 
 // knewCertified tells whether an engine was certified by what the proxy knew at a moment, or right before it.
-func (p *nightProxy) knewCertified(engine string, at time.Time) bool {
+func (p *scenarioProxy) knewCertified(engine string, at time.Time) bool {
 	for i, k := range p.known {
 		over := i+1 < len(p.known) && p.known[i+1].at.Before(at.Add(-onTheWay))
 		if !over && !k.at.After(at) && slices.ContainsFunc(k.set.Certificates, func(c certification.Certificate) bool { return c.Endpoint == engine }) {
@@ -132,20 +134,20 @@
 // onTheWay is how long a request may take from the last check to its engine.
 const onTheWay = 2 * time.Millisecond
 
-func (p *nightProxy) isCut() bool {
+func (p *scenarioProxy) isCut() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cut
 }
 
-func (p *nightProxy) setCut(on bool) {
+func (p *scenarioProxy) setCut(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut = on
 }
 
 // ask asks a keeper whether what is known is the newest: the answer is that of a read which begins after the question.
-func (p *nightProxy) ask() {
+func (p *scenarioProxy) ask() {
 	asked := time.Now()
 	time.Sleep(p.n.ms(20))
 	if p.isCut() {
@@ -164,7 +166,7 @@
 	p.mu.Unlock()
 }
 
-func (n *night) newest() *certification.Set {
+func (n *scenario) newest() *certification.Set {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.puts) == 0 {
@@ -174,7 +176,7 @@
 }
 
 // put agrees on a document and pushes it, late and in any order.
-func (n *night) put(change func(d *certification.Document)) {
+func (n *scenario) put(change func(d *certification.Document)) {
 	n.mu.Lock()
 	change(&n.document)
 	n.document.Version++
@@ -194,9 +196,9 @@
 	}
 }
 
-// nightEngine is an endpoint in memory.
-type nightEngine struct {
-	n    *night
+// scenarioEngine is an endpoint in memory.
+type scenarioEngine struct {
+	n    *scenario
 	id   string
 	mu   sync.Mutex
 	down bool
@@ -207,8 +209,8 @@
 
 const engineSlots = 5
 
-func (e *nightEngine) dial(by *nightProxy) (net.Conn, error) {
-	time.Sleep(time.Duration(1+e.n.draw(80)) * time.Millisecond)
+func (e *scenarioEngine) dial(by *scenarioProxy) (net.Conn, error) {
+	time.Sleep(time.Duration(1+e.n.random(80)) * time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
@@ -220,7 +222,7 @@
 	return a, nil
 }
 
-func (e *nightEngine) end() {
+func (e *scenarioEngine) end() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = true
@@ -230,7 +232,7 @@
 }
 
 // pause lets time pass, and more if it is frozen.
-func (e *nightEngine) pause(d time.Duration) {
+func (e *scenarioEngine) pause(d time.Duration) {
 	time.Sleep(d)
 	for {
 		e.mu.Lock()
@@ -243,7 +245,7 @@
 	}
 }
 
-func (e *nightEngine) serve(c net.Conn, by *nightProxy) {
+func (e *scenarioEngine) serve(c net.Conn, by *scenarioProxy) {
 	defer func() {
 		_ = c.Close()
 		e.mu.Lock()
@@ -265,7 +267,7 @@
 	}
 }
 
-func (e *nightEngine) answer(c net.Conn, r *http.Request, by *nightProxy) bool {
+func (e *scenarioEngine) answer(c net.Conn, r *http.Request, by *scenarioProxy) bool {
 	id, arrived := r.Header.Get(headerID), time.Now()
 	e.pause(0)
 	e.mu.Lock()
@@ -287,12 +289,12 @@
 		e.busy--
 		e.mu.Unlock()
 	}()
-	run := &trueRun{id: id, engine: e.id, path: r.URL.Path, began: arrived, by: by}
+	run := &actualRun{id: id, engine: e.id, path: r.URL.Path, began: arrived, by: by}
 	run.from, _ = strconv.Atoi(r.Header.Get(headerLastEvent))
 	e.n.mu.Lock()
 	e.n.runs = append(e.n.runs, run)
 	e.n.mu.Unlock()
-	e.pause(time.Duration(5+e.n.draw(20)) * time.Millisecond)
+	e.pause(time.Duration(5+e.n.random(20)) * time.Millisecond)
 	if !strings.HasPrefix(r.URL.Path, "/bulk/") && !strings.HasPrefix(r.URL.Path, "/talk/") {
 		_, err := io.WriteString(c, answerOf(id, sealed, "fine"))
 		e.whole(run, err)
@@ -302,11 +304,11 @@
 		return false
 	}
 	for k := run.from + 1; k <= nightEvents; k++ {
-		e.pause(time.Duration(10+e.n.draw(40)) * time.Millisecond)
+		e.pause(time.Duration(10+e.n.random(40)) * time.Millisecond)
 		if _, err := io.WriteString(c, chunked(oneEvent(k))); err != nil {
 			return false
 		}
-		if e.n.draw(60) == 0 { // breaks off
+		if e.n.random(60) == 0 { // breaks off
 			return false
 		}
 	}
@@ -315,7 +317,7 @@
 	return err == nil
 }
 
-func (e *nightEngine) whole(run *trueRun, err error) {
+func (e *scenarioEngine) whole(run *actualRun, err error) {
 	e.n.mu.Lock()
 	defer e.n.mu.Unlock()
 	run.whole = err == nil
@@ -336,7 +338,7 @@
 
 // toStore is a connection of a record to a store.
 type toStore struct {
-	n *night
+	n *scenario
 	i int
 }
 
@@ -361,7 +363,7 @@
 func (s toStore) Close()                {}
 
 // nightRoutes: all but the last demand the regime.
-var nightRoutes = []operatorconfig.Route{
+var scenarioRoutes = []operatorconfig.Route{
 	{Name: "save", Kind: operatorconfig.Writes, TimeoutMs: 2000, LatencyTargetMs: 400, MaxAttempts: 2},
 	{Name: "look", Kind: operatorconfig.ReadOnly, TimeoutMs: 2000, LatencyTargetMs: 400, MaxAttempts: 3},
 	{Name: "talk", Kind: operatorconfig.Streaming, TimeoutMs: 4000, LatencyTargetMs: 400, MaxAttempts: 3, Resumable: true},
@@ -369,18 +371,19 @@
 	{Name: "open", Kind: operatorconfig.Writes, TimeoutMs: 2000, LatencyTargetMs: 400, MaxAttempts: 2},
 }
 
-func newNight(t *testing.T, seed uint64) *night {
-	n := &night{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), engines: map[string]*nightEngine{}, lost: make([]bool, 3),
+func newScenario(t *testing.T, seed uint64) *scenario {
+	t.Helper()
+	n := &scenario{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), engines: map[string]*scenarioEngine{}, lost: make([]bool, 3),
 		listed: map[string]int{}, givenUp: map[string]bool{}, answers: map[string]int{}}
 	n.config = &operatorconfig.Config{Version: 1, Services: map[string]*operatorconfig.Service{"svc": {Name: "svc"}}}
-	for _, r := range nightRoutes {
+	for _, r := range scenarioRoutes {
 		r.Host, r.PathPrefix, r.Shares = "h.example", "/"+r.Name+"/", []operatorconfig.Share{{Service: "svc", Weight: 1}}
 		n.config.Routes = append(n.config.Routes, r)
 	}
 	endpoints := []*snapshot.Endpoint{}
 	for i := range nightEngines {
 		id := fmt.Sprint("e", i)
-		n.engines[id] = &nightEngine{n: n, id: id, open: map[net.Conn]bool{}}
+		n.engines[id] = &scenarioEngine{n: n, id: id, open: map[net.Conn]bool{}}
 		endpoints = append(endpoints, &snapshot.Endpoint{ID: id, Service: "svc", Address: id, Zone: "z", Capacity: engineSlots})
 	}
 	n.dir = t.TempDir()
@@ -391,10 +394,10 @@
 		must(t, err)
 		n.stores = append(n.stores, s)
 	}
-	for i := range nightProxies {
-		p := &nightProxy{n: n, holder: &snapshot.Latest{}}
-		p.holder.Set(&snapshot.Snapshot{Config: n.config, Proxies: nightProxies, EndpointsComplete: true, Endpoints: map[string][]*snapshot.Endpoint{"svc": endpoints}})
-		p.gate = certification.NewGate(certification.GateOptions{ConfirmationTTL: nightStale, LastConfirmed: func() time.Time {
+	for i := range scenarioProxyCount {
+		p := &scenarioProxy{n: n, holder: &snapshot.Latest{}}
+		p.holder.Set(&snapshot.Snapshot{Config: n.config, Proxies: scenarioProxyCount, EndpointsComplete: true, Endpoints: map[string][]*snapshot.Endpoint{"svc": endpoints}})
+		p.gate = certification.NewGate(certification.GateOptions{ConfirmationTTL: scenarioConfirmationTTL, LastConfirmed: func() time.Time {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.confirmed
@@ -420,10 +423,10 @@
 }
 
 // certify certifies some engines, one of them only until the middle of the night, one from then on.
-func (n *night) certify() {
+func (n *scenario) certify() {
 	now := time.Now()
 	n.put(func(d *certification.Document) {
-		for _, r := range nightRoutes[:len(nightRoutes)-1] {
+		for _, r := range scenarioRoutes[:len(scenarioRoutes)-1] {
 			d.Routes = append(d.Routes, certification.Route{Name: r.Name, Regime: "fin"})
 		}
 		for i := range 5 {
@@ -440,7 +443,7 @@
 }
 
 // interactive sends a request, again only after a promise.
-func (n *night) interactive(k int, route *operatorconfig.Route) {
+func (n *scenario) interactive(k int, route *operatorconfig.Route) {
 	deadline := time.Now().Add(time.Duration(route.TimeoutMs) * time.Millisecond)
 	for try := range 3 {
 		left := time.Until(deadline)
@@ -453,7 +456,7 @@
 		r.Header.Set(headerID, id)
 		r.Header.Set(headerTimeLeft, strconv.FormatInt(left.Milliseconds(), 10))
 		w := httptest.NewRecorder()
-		aborted := n.serve(n.proxies[n.draw(nightProxies)].proxy, w, r)
+		aborted := n.serveCall(n.proxies[n.random(scenarioProxyCount)].proxy, w, r)
 		n.mu.Lock()
 		n.answers[id] = w.Code
 		if aborted {
@@ -494,7 +497,7 @@
 	return all
 }
 
-func (n *night) serve(p *Proxy, w http.ResponseWriter, r *http.Request) (aborted bool) {
+func (n *scenario) serveCall(p *Proxy, w http.ResponseWriter, r *http.Request) (aborted bool) {
 	defer func() {
 		if v := recover(); v != nil {
 			if err, ok := v.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
@@ -508,7 +511,7 @@
 }
 
 // item is run until it is whole or has waited for too long, each attempt by another proxy, as stores and workers would.
-func (n *night) item(k int) {
+func (n *scenario) item(k int) {
 	id := fmt.Sprintf("bulk-%d", k)
 	due := time.Now().Add(itemWait)
 	ctx, cancel := context.WithDeadline(n.ctx, due)
@@ -520,7 +523,7 @@
 		if last > 0 {
 			from = strconv.Itoa(last)
 		}
-		p := n.proxies[n.draw(nightProxies)]
+		p := n.proxies[n.random(scenarioProxyCount)]
 		// A store takes an item back from a proxy that does not begin it.
 		turn, end := context.WithTimeout(ctx, 3*time.Second)
 		res := p.proxy.RunItem(turn, it, from, func(id string, data []byte) {
@@ -551,10 +554,10 @@
 }
 
 // troubles are drawn: what happens to whom, and when.
-func (n *night) troubles() {
+func (n *scenario) injectFaults() {
 	at := func(d time.Duration, do func()) { n.wg.Go(func() { time.Sleep(d); do() }) }
 	when := func() time.Duration { return nightLength/10 + n.ms(int(nightLength/time.Millisecond)*6/10) }
-	engine := func(i int) *nightEngine { return n.engines[fmt.Sprint("e", i)] }
+	engine := func(i int) *scenarioEngine { return n.engines[fmt.Sprint("e", i)] }
 	order := n.rng.Perm(3) // of those that are certified from the start, to the end
 	at(when(), engine(order[0]).end)
 	at(when(), func() {
@@ -568,7 +571,7 @@
 		time.Sleep(n.ms(300))
 		n.put(func(d *certification.Document) { *d, _ = d.Without(fmt.Sprint("e", order[2]), "fin"); d.Version-- })
 	})
-	if n.draw(2) == 0 { // and it is certified again
+	if n.random(2) == 0 { // and it is certified again
 		at(nightLength*8/10, func() {
 			n.put(func(d *certification.Document) {
 				d.Certificates = append(d.Certificates, certification.Certificate{Endpoint: fmt.Sprint("e", order[2]), Regime: "fin",
@@ -576,17 +579,17 @@
 			})
 		})
 	}
-	if n.draw(4) == 0 { // nobody is certified any more
+	if n.random(4) == 0 { // nobody is certified any more
 		at(nightLength/4, func() { n.put(func(d *certification.Document) { d.Certificates = nil }) })
 	}
-	for range 1 + n.draw(2) {
-		p := n.proxies[n.draw(nightProxies)]
+	for range 1 + n.random(2) {
+		p := n.proxies[n.random(scenarioProxyCount)]
 		at(when(), func() { p.setCut(true); time.Sleep(n.ms(6000)); p.setCut(false) })
 	}
-	store := n.draw(3)
+	store := n.random(3)
 	at(when(), func() {
 		n.setLost(store, true)
-		if n.draw(3) == 0 { // two at once: nothing can be recorded
+		if n.random(3) == 0 { // two at once: nothing can be recorded
 			n.setLost((store+1)%3, true)
 			time.Sleep(n.ms(4000))
 			n.setLost((store+1)%3, false)
@@ -596,14 +599,14 @@
 	})
 }
 
-func (n *night) setLost(i int, lost bool) {
+func (n *scenario) setLost(i int, lost bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lost[i] = lost
 }
 
 // play plays the night, in a bubble.
-func (n *night) play() {
+func (n *scenario) play() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.ctx = ctx
 	began := time.Now()
@@ -614,11 +617,11 @@
 		n.wg.Go(func() {
 			for ctx.Err() == nil {
 				n.wg.Go(p.ask)
-				time.Sleep(nightStale / 5)
+				time.Sleep(scenarioConfirmationTTL / 5)
 			}
 		})
 	}
-	n.troubles()
+	n.injectFaults()
 	var clients sync.WaitGroup
 	for i := range nightItems {
 		at := n.ms(int(nightLength / 2 / time.Millisecond))
@@ -630,7 +633,7 @@
 			mean = 15 // twice the traffic
 		}
 		time.Sleep(n.ms(2 * mean))
-		route := &n.config.Routes[[]int{0, 1, 2, 4}[n.draw(4)]]
+		route := &n.config.Routes[[]int{0, 1, 2, 4}[n.random(4)]]
 		clients.Go(func() { n.interactive(k, route) })
 	}
 	clients.Wait()
@@ -672,7 +675,7 @@
 	for began := time.Now(); nights == 0 || time.Since(began).Seconds() < most && !t.Failed(); nights++ {
 		seed := first + uint64(nights)
 		synctest.Test(t, func(t *testing.T) {
-			n := newNight(t, seed)
+			n := newScenario(t, seed)
 			n.play()
 			runs += n.check()
 			served, refused, listed, givenUp = served+n.served, refused+n.refused, listed+len(n.listed), givenUp+len(n.givenUp)
