--- a/cmd/dunetide/reload_test.go
+++ b/cmd/dunetide/reload_test.go
@@ -190,7 +190,7 @@
 // proxy that carries it stops.
 func TestRequestsSeeNothingOfASignal(t *testing.T) {
 	c, err := cluster.New(cluster.Options{Program: buildProgram(t), Dir: t.TempDir(), Zones: 1, Edges: 1, Keepers: 1, Stores: 1,
-		BeatEvery: 500 * time.Millisecond, Grace: 8 * time.Second, Rules: "base"})
+		HeartbeatInterval: 500 * time.Millisecond, Grace: 8 * time.Second, Rules: "base"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -79,17 +79,17 @@
 	out := Account{Plan: o.Plan}
 	shape := o.Plan.Shape
 	c, err := cluster.New(cluster.Options{
-		Program:   o.Program,
-		Dir:       o.Dir,
-		Zones:     shape.Zones,
-		Edges:     shape.Edges,
-		Keepers:   shape.Keepers,
-		Stores:    shape.Stores,
-		Survive:   shape.Survive,
-		Relayed:   true,
-		BeatEvery: heartbeatEvery,
-		Grace:     grace,
-		Rules:     rules,
+		Program:           o.Program,
+		Dir:               o.Dir,
+		Zones:             shape.Zones,
+		Edges:             shape.Edges,
+		Keepers:           shape.Keepers,
+		Stores:            shape.Stores,
+		Survive:           shape.Survive,
+		Relayed:           true,
+		HeartbeatInterval: heartbeatEvery,
+		Grace:             grace,
+		Rules:             rules,
 	})
 	if err != nil {
 		return out, err
--- a/internal/lab/tier/account.go
+++ b/internal/lab/tier/account.go
@@ -26,17 +26,17 @@
 
 // Service is what the endpoints of a service saw.
 type Service struct {
-	Name   string  `json:"name"`
-	Runs   int     `json:"runs"`
-	Turned int     `json:"turned"` // requests turned away because an endpoint was full
-	Busy   float64 `json:"busy"`   // part of the places that runs took, over the time in which clients asked
+	Name     string  `json:"name"`
+	Runs     int     `json:"runs"`
+	Rejected int     `json:"turned"` // requests turned away because an endpoint was full
+	Busy     float64 `json:"busy"`   // part of the places that runs took, over the time in which clients asked
 }
 
 // services counts the runs of the time in which clients asked.
 func services(runs *engine.Runs, from time.Time, length time.Duration) (out []Service) {
-	turned := runs.Turned()
+	turned := runs.Rejected()
 	for _, name := range []string{gen, web} {
-		s := Service{Name: name, Turned: turned[name]}
+		s := Service{Name: name, Rejected: turned[name]}
 		var busy time.Duration
 		end := from.Add(length)
 		for _, r := range runs.All() {
@@ -74,7 +74,7 @@
 		fmt.Fprintf(&out, "%-8s %7d %7d %7d %7d %7d   %d: %v\n", k.Kind, k.Requested, k.WithinTarget, k.Late, k.Refused, k.Failed, k.Tries, k.Ends)
 	}
 	for _, s := range a.Services {
-		fmt.Fprintf(&out, "endpoints of %s: %d runs, %.2f of the places taken, %d requests turned away\n", s.Name, s.Runs, s.Busy, s.Turned)
+		fmt.Fprintf(&out, "endpoints of %s: %d runs, %.2f of the places taken, %d requests turned away\n", s.Name, s.Runs, s.Busy, s.Rejected)
 	}
 	for _, j := range a.Jobs {
 		fmt.Fprintf(&out, "job %v\n", j)
--- a/internal/lab/tier/cluster/cluster.go
+++ b/internal/lab/tier/cluster/cluster.go
@@ -33,11 +33,11 @@
 	// Relayed has all that the lab and the processes dial led through relays, so that a machine can be cut off. It
 	// takes a program that BuildRelayed has made.
 	Relayed bool
-	// BeatEvery and Grace go into the settings.
-	BeatEvery time.Duration
-	Grace     time.Duration
-	Rules     string // the parts in force, joined by commas
-	Survive   int    // machines whose loss is to be borne at once; 0: 1
+	// HeartbeatInterval and Grace go into the settings.
+	HeartbeatInterval time.Duration
+	Grace             time.Duration
+	Rules             string // the parts in force, joined by commas
+	Survive           int    // machines whose loss is to be borne at once; 0: 1
 }
 
 // Role of a process.
@@ -68,7 +68,7 @@
 	procs   []*Process
 	first   atomic.Bool // it is the first start of all
 	wg      sync.WaitGroup
-	life    context.Context
+	ctx     context.Context
 	cancel  context.CancelFunc
 
 	hub *faults.Hub // nil: nothing is relayed
@@ -98,7 +98,7 @@
 func New(o Options) (*Cluster, error) {
 	c := &Cluster{options: o, net: 1 + rand.IntN(maxNets)}
 	c.first.Store(true)
-	c.life, c.cancel = context.WithCancel(context.Background())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for z := range o.Zones {
 		c.zones = append(c.zones, fmt.Sprintf("z%d", z))
 	}
@@ -243,7 +243,7 @@
 	for {
 		began := time.Now()
 		ok := false
-		if req, err := http.NewRequestWithContext(c.life, http.MethodGet, "http://"+f.ready+"/ready", nil); err == nil {
+		if req, err := http.NewRequestWithContext(c.ctx, http.MethodGet, "http://"+f.ready+"/ready", nil); err == nil {
 			if resp, err := client.Do(req); err == nil {
 				_ = resp.Body.Close()
 				ok = resp.StatusCode == http.StatusOK
@@ -261,7 +261,7 @@
 		c.mu.Unlock()
 		select {
 		case <-time.After(wait):
-		case <-c.life.Done():
+		case <-c.ctx.Done():
 			return
 		}
 	}
@@ -398,7 +398,7 @@
 	}
 	set("discovery", "self_register")
 	set("entry", "shared_ip")
-	set("beat_every_ms", c.options.BeatEvery.Milliseconds())
+	set("beat_every_ms", c.options.HeartbeatInterval.Milliseconds())
 	set("rules_in_force", c.options.Rules)
 	set("survive.machines", cmp.Or(c.options.Survive, 1))
 	set("survive.zones", 0)
--- a/internal/lab/tier/cluster/cluster_test.go
+++ b/internal/lab/tier/cluster/cluster_test.go
@@ -44,7 +44,7 @@
 
 func started(t *testing.T) *Cluster {
 	t.Helper()
-	c, err := New(Options{Program: os.Args[0], Dir: t.TempDir(), Zones: 2, Edges: 2, Keepers: 1, Stores: 3, BeatEvery: time.Second, Grace: 2 * time.Second, Rules: "base"})
+	c, err := New(Options{Program: os.Args[0], Dir: t.TempDir(), Zones: 2, Edges: 2, Keepers: 1, Stores: 3, HeartbeatInterval: time.Second, Grace: 2 * time.Second, Rules: "base"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/tier/cluster/process.go
+++ b/internal/lab/tier/cluster/process.go
@@ -113,7 +113,7 @@
 	}
 	select {
 	case <-time.After(restartAfter):
-	case <-p.cluster.life.Done():
+	case <-p.cluster.ctx.Done():
 		return
 	}
 	if err := p.Start(); err != nil {
--- a/internal/lab/tier/cluster/relayed_test.go
+++ b/internal/lab/tier/cluster/relayed_test.go
@@ -29,7 +29,7 @@
 
 // A machine that is cut off is taken for one that is not ready, and is ready again after the cut; a spare counts from its start to its removal.
 func TestCutOffAndSpares(t *testing.T) {
-	c, err := New(Options{Program: os.Args[0], Dir: t.TempDir(), Zones: 1, Edges: 2, Keepers: 2, Spares: 1, Relayed: true, BeatEvery: time.Second,
+	c, err := New(Options{Program: os.Args[0], Dir: t.TempDir(), Zones: 1, Edges: 2, Keepers: 2, Spares: 1, Relayed: true, HeartbeatInterval: time.Second,
 		Grace: 2 * time.Second, Rules: "base"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/tier/engine/batch.go
+++ b/internal/lab/tier/engine/batch.go
@@ -32,17 +32,17 @@
 
 // cache keeps prompt parts; the least recently used give way.
 type cache struct {
-	tokens int
-	kept   map[string]*list.Element
-	order  *list.List // of part, the newest first
+	tokens  int
+	entries map[string]*list.Element
+	order   *list.List // of part, the newest first
 }
 
-func newCache() *cache { return &cache{kept: map[string]*list.Element{}, order: list.New()} }
+func newCache() *cache { return &cache{entries: map[string]*list.Element{}, order: list.New()} }
 
 // hit tells how many tokens of a prompt need no prefill, and marks their parts as used.
 func (c *cache) hit(prompt []part) (tokens int) {
 	for _, p := range prompt {
-		e := c.kept[p.key]
+		e := c.entries[p.key]
 		if e == nil {
 			break
 		}
@@ -56,18 +56,18 @@
 func (c *cache) shrink(most int) {
 	for c.tokens > most && c.order.Len() > 0 {
 		p := c.order.Remove(c.order.Back()).(part)
-		delete(c.kept, p.key)
+		delete(c.entries, p.key)
 		c.tokens -= p.tokens
 	}
 }
 
-func (c *cache) keep(prompt []part, most int) {
+func (c *cache) add(prompt []part, most int) {
 	for _, p := range slices.Backward(prompt) { // the first part is the newest: the others need it
-		if e := c.kept[p.key]; e != nil {
+		if e := c.entries[p.key]; e != nil {
 			c.order.MoveToFront(e)
 			continue
 		}
-		c.kept[p.key] = c.order.PushFront(p)
+		c.entries[p.key] = c.order.PushFront(p)
 		c.tokens += p.tokens
 	}
 	c.shrink(most)
@@ -75,16 +75,16 @@
 
 // job is one request at a model endpoint.
 type job struct {
-	prompt  []part
-	out     int    // tokens
-	next    int    // the event that comes next
-	count   int    // events of the whole stream
-	prefill int    // tokens still to be read
-	holds   int    // tokens of memory that it takes while it runs
-	begin   func() // called at its first token
-	begun   bool
-	events  chan int // as many fit as there are; closed at the end
-	running bool
+	prompt   []part
+	out      int    // tokens
+	next     int    // the event that comes next
+	count    int    // events of the whole stream
+	prefill  int    // tokens still to be read
+	reserved int    // tokens of memory that it takes while it runs
+	begin    func() // called at its first token
+	begun    bool
+	events   chan int // as many fit as there are; closed at the end
+	running  bool
 }
 
 func (j *job) size() int {
@@ -124,7 +124,7 @@
 			return
 		}
 		b.waiting = b.waiting[1:]
-		j.prefill, j.holds, j.running = prompt-hit, need, true
+		j.prefill, j.reserved, j.running = prompt-hit, need, true
 		b.used += need
 		b.cache.shrink(b.options.CacheTokens - b.used)
 		b.running = append(b.running, j)
@@ -159,7 +159,7 @@
 	if !j.begun {
 		j.begun = true
 		j.begin()
-		b.cache.keep(j.prompt, b.options.CacheTokens-b.used)
+		b.cache.add(j.prompt, b.options.CacheTokens-b.used)
 	}
 	if j.next <= j.count {
 		j.events <- j.next
@@ -178,6 +178,6 @@
 	if j.running {
 		j.running = false
 		b.running = slices.DeleteFunc(b.running, is)
-		b.used -= j.holds
+		b.used -= j.reserved
 	}
 }
--- a/internal/lab/tier/engine/batch_test.go
+++ b/internal/lab/tier/engine/batch_test.go
@@ -77,10 +77,10 @@
 func TestCacheDropsTheLeastRecentlyUsed(t *testing.T) {
 	c := newCache()
 	a, b, d := part{"a", 40}, part{"b", 40}, part{"d", 40}
-	c.keep([]part{a}, 100)
-	c.keep([]part{b}, 100)
+	c.add([]part{a}, 100)
+	c.add([]part{b}, 100)
 	c.hit([]part{a})
-	c.keep([]part{d}, 100)
+	c.add([]part{d}, 100)
 	if c.hit([]part{a}) != 40 || c.hit([]part{b}) != 0 || c.hit([]part{d}) != 40 || c.tokens != 80 {
 		t.Errorf("a, b, d hit %d, %d, %d of %d tokens", c.hit([]part{a}), c.hit([]part{b}), c.hit([]part{d}), c.tokens)
 	}
--- a/internal/lab/tier/engine/engine.go
+++ b/internal/lab/tier/engine/engine.go
@@ -58,7 +58,7 @@
 	options  Options
 	server   *http.Server
 	listener *listener
-	life     context.Context
+	ctx      context.Context
 	end      context.CancelFunc
 	mute     context.CancelFunc // ends the heartbeats
 	wg       sync.WaitGroup
@@ -82,7 +82,7 @@
 	o.Address = l.Addr().String()
 	o.Stride, o.Piece = max(1, o.Stride), max(1, o.Piece)
 	life, end := context.WithCancel(context.Background())
-	e := &Endpoint{options: o, life: life, end: end, listener: newListener(l, o.MaxConns), batch: batch{options: o, cache: newCache()}, work: make(chan struct{}, 1)}
+	e := &Endpoint{options: o, ctx: life, end: end, listener: newListener(l, o.MaxConns), batch: batch{options: o, cache: newCache()}, work: make(chan struct{}, 1)}
 	e.server = &http.Server{Handler: e, IdleTimeout: 10 * time.Second, ReadHeaderTimeout: 5 * time.Second}
 	e.wg.Go(func() { _ = e.server.Serve(e.listener) }) // it ends with Crash
 	if o.Work == 0 {
@@ -91,7 +91,7 @@
 	if o.Heartbeats.Controls != nil {
 		var beats context.Context
 		beats, e.mute = context.WithCancel(life)
-		e.wg.Go(func() { e.beat(beats) })
+		e.wg.Go(func() { e.sendHeartbeats(beats) })
 	}
 	return e, nil
 }
@@ -151,14 +151,14 @@
 			select {
 			case <-e.work:
 				continue
-			case <-e.life.Done():
+			case <-e.ctx.Done():
 				return
 			}
 		}
 		timer.Reset(took)
 		select {
 		case <-timer.C:
-		case <-e.life.Done():
+		case <-e.ctx.Done():
 			return
 		}
 		e.mu.Lock()
@@ -240,7 +240,7 @@
 // plain works on a request for a while and answers with its body.
 func (e *Endpoint) plain(ctx context.Context, w http.ResponseWriter, run Run) {
 	if !e.acquire(ctx) {
-		e.options.Runs.turn(e.options.Service)
+		e.options.Runs.reject(e.options.Service)
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -253,7 +253,7 @@
 		e.answer(w, begun, "application/octet-stream", PlainBody(run.Request))
 	case <-ctx.Done():
 		e.expire(ctx, w, begun)
-	case <-e.life.Done():
+	case <-e.ctx.Done():
 		e.options.Runs.end(begun, 0, false)
 		panic(http.ErrAbortHandler)
 	}
@@ -289,7 +289,7 @@
 	case <-turn:
 		return true
 	case <-ctx.Done():
-	case <-e.life.Done():
+	case <-e.ctx.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -379,7 +379,7 @@
 	taken := e.batch.offer(j)
 	e.mu.Unlock()
 	if !taken {
-		e.options.Runs.turn(e.options.Service)
+		e.options.Runs.reject(e.options.Service)
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -396,7 +396,7 @@
 	fault := e.fault()
 	if fault != None {
 		defer func() { // the stream was made before it is spoilt
-			if begun != nil && ctx.Err() == nil && e.life.Err() == nil {
+			if begun != nil && ctx.Err() == nil && e.ctx.Err() == nil {
 				w.Header().Set(HeaderSeal, begun.Seal)
 				w.Header().Set("Content-Type", "text/event-stream")
 				var body strings.Builder
@@ -437,13 +437,13 @@
 			}
 			continue
 		case <-ctx.Done():
-		case <-e.life.Done():
+		case <-e.ctx.Done():
 		}
 		e.mu.Lock()
 		e.batch.drop(j) // from here on it can't begin
 		e.mu.Unlock()
 		switch {
-		case e.life.Err() != nil || sent:
+		case e.ctx.Err() != nil || sent:
 			if begun != nil {
 				e.options.Runs.end(begun, http.StatusOK, false)
 			}
--- a/internal/lab/tier/engine/engine_test.go
+++ b/internal/lab/tier/engine/engine_test.go
@@ -127,8 +127,8 @@
 	if got, want := <-waits, fmt.Sprint(string(PlainBody("r1")), nil); got != want || len(PlainBody("r1")) != 800 {
 		t.Errorf("what waited got %q", got)
 	}
-	if runs := o.Runs.All(); len(runs) != 1 || o.Runs.Turned()["s"] != 1 {
-		t.Errorf("%d runs, turned away %v", len(runs), o.Runs.Turned())
+	if runs := o.Runs.All(); len(runs) != 1 || o.Runs.Rejected()["s"] != 1 {
+		t.Errorf("%d runs, turned away %v", len(runs), o.Runs.Rejected())
 	}
 }
 
--- a/internal/lab/tier/engine/heartbeats.go
+++ b/internal/lab/tier/engine/heartbeats.go
@@ -29,8 +29,8 @@
 	afterDrain       = 300 * time.Millisecond
 )
 
-// beat sends heartbeats until the context ends.
-func (e *Endpoint) beat(ctx context.Context) {
+// sendHeartbeats sends heartbeats until the context ends.
+func (e *Endpoint) sendHeartbeats(ctx context.Context) {
 	client := &http.Client{Timeout: heartbeatWait, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	tick := time.NewTicker(e.options.Heartbeats.Every)
--- a/internal/lab/tier/engine/listener.go
+++ b/internal/lab/tier/engine/listener.go
@@ -8,15 +8,15 @@
 // listener takes a bounded number of connections and may fall silent with all of them.
 type listener struct {
 	net.Listener
-	most int
-	mu   sync.Mutex
-	cond *sync.Cond
-	mute bool
-	open int
+	limit int
+	mu    sync.Mutex
+	cond  *sync.Cond
+	mute  bool
+	open  int
 }
 
 func newListener(l net.Listener, most int) *listener {
-	out := &listener{Listener: l, most: most}
+	out := &listener{Listener: l, limit: most}
 	out.cond = sync.NewCond(&out.mu)
 	return out
 }
@@ -44,7 +44,7 @@
 			return nil, err
 		}
 		l.mu.Lock()
-		if l.most == 0 || l.open < l.most {
+		if l.limit == 0 || l.open < l.limit {
 			l.open++
 			l.mu.Unlock()
 			return &conn{Conn: c, listener: l}, nil
--- a/internal/lab/tier/engine/runs.go
+++ b/internal/lab/tier/engine/runs.go
@@ -76,26 +76,26 @@
 
 // Runs is the account of all endpoints of a tier: every run there was.
 type Runs struct {
-	mu     sync.Mutex
-	all    []*Run
-	turned map[string]int
+	mu       sync.Mutex
+	all      []*Run
+	rejected map[string]int
 }
 
-// turn counts a request that was turned away because the endpoint was full.
-func (r *Runs) turn(service string) {
+// reject counts a request that was turned away because the endpoint was full.
+func (r *Runs) reject(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.turned == nil {
-		r.turned = map[string]int{}
+	if r.rejected == nil {
+		r.rejected = map[string]int{}
 	}
-	r.turned[service]++
+	r.rejected[service]++
 }
 
-// Turned tells how many requests the endpoints of each service turned away.
-func (r *Runs) Turned() map[string]int {
+// Rejected tells how many requests the endpoints of each service turned away.
+func (r *Runs) Rejected() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return maps.Clone(r.turned)
+	return maps.Clone(r.rejected)
 }
 
 func (r *Runs) begin(run Run) *Run {
--- a/internal/lab/tier/hollow/endpoint.go
+++ b/internal/lab/tier/hollow/endpoint.go
@@ -32,18 +32,18 @@
 
 // endpoints are all of them.
 type endpoints struct {
-	controls func() []string
-	every    time.Duration
-	client   *http.Client
-	read     atomic.Int64 // bytes on all their connections
-	written  atomic.Int64
-	writes   atomic.Int64
-	beats    atomic.Int64
-	known    atomic.Int64 // that a keeper has taken a heartbeat of
-	missed   atomic.Int64 // heartbeats that no keeper took
-	wg       sync.WaitGroup
-	cancel   context.CancelFunc
-	all      []*endpoint
+	controls   func() []string
+	every      time.Duration
+	client     *http.Client
+	read       atomic.Int64 // bytes on all their connections
+	written    atomic.Int64
+	writes     atomic.Int64
+	heartbeats atomic.Int64
+	known      atomic.Int64 // that a keeper has taken a heartbeat of
+	missed     atomic.Int64 // heartbeats that no keeper took
+	wg         sync.WaitGroup
+	cancel     context.CancelFunc
+	all        []*endpoint
 }
 
 // startEndpoints starts so many, spread over models and zones.
@@ -62,7 +62,7 @@
 	for i := range n {
 		e := &endpoint{id: fmt.Sprintf("i-%08x-%04d", life, i), service: service(i % models), address: fmt.Sprintf("127.0.%d.%d:9000", 110+i/200, 1+i%200), zone: zones[i%len(zones)]}
 		f.all = append(f.all, e)
-		f.wg.Go(func() { f.beat(ctx, e) })
+		f.wg.Go(func() { f.sendHeartbeats(ctx, e) })
 	}
 	return f
 }
@@ -73,8 +73,8 @@
 	f.client.CloseIdleConnections()
 }
 
-// beat sends heartbeats until the context ends; the first comes at a moment of chance.
-func (f *endpoints) beat(ctx context.Context, e *endpoint) {
+// sendHeartbeats sends heartbeats until the context ends; the first comes at a moment of chance.
+func (f *endpoints) sendHeartbeats(ctx context.Context, e *endpoint) {
 	select {
 	case <-time.After(rand.N(f.every)):
 	case <-ctx.Done():
@@ -137,7 +137,7 @@
 	case resp.StatusCode/100 != 2:
 		return "", fmt.Errorf("a heartbeat of %s at %s: %s", e.id, addr, resp.Status)
 	}
-	f.beats.Add(1)
+	f.heartbeats.Add(1)
 	var told struct {
 		BeatTo string `json:"beat_to"`
 	}
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	maxSettle  = 60 * time.Second
-	maxInForce = 12 * time.Second
-	maxDrain   = 5 * time.Second
-	maxAttach  = 30 * time.Second
-	maxPut     = 10 * time.Second
-	drains     = 4
-	lookEvery  = 10 * time.Millisecond
-	calm       = 2 * time.Second // between phases
-	grace      = 3 * time.Second
+	maxConverge = 60 * time.Second
+	maxInForce  = 12 * time.Second
+	maxDrain    = 5 * time.Second
+	maxAttach   = 30 * time.Second
+	maxPut      = 10 * time.Second
+	drains      = 4
+	lookEvery   = 10 * time.Millisecond
+	calm        = 2 * time.Second // between phases
+	grace       = 3 * time.Second
 )
 
 // Size is how many hollow ones there are.
@@ -111,7 +111,7 @@
 
 func one(ctx context.Context, o Options, size Size) ([]Figure, error) {
 	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: filepath.Join(o.Dir, fmt.Sprintf("%dx%d", size.Proxies, size.Endpoints)), Zones: o.Zones,
-		Edges: o.Keepers, Keepers: o.Keepers, Stores: o.Stores, BeatEvery: o.HeartbeatInterval, Grace: grace, Rules: "base,drain,config,cost,recover,batch,stream,engine"})
+		Edges: o.Keepers, Keepers: o.Keepers, Stores: o.Stores, HeartbeatInterval: o.HeartbeatInterval, Grace: grace, Rules: "base,drain,config,cost,recover,batch,stream,engine"})
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 	}
 	r.endpoints = startEndpoints(size.Endpoints, o.Models, o.HeartbeatInterval, c.Zones(), c.Controls)
 	defer r.endpoints.close()
-	if !await(ctx, maxSettle, func() bool { return r.endpoints.known.Load() == int64(size.Endpoints) }) {
+	if !await(ctx, maxConverge, func() bool { return r.endpoints.known.Load() == int64(size.Endpoints) }) {
 		return nil, errors.Join(ctx.Err(), errors.New("not all endpoints were taken by a keeper"), ended(c))
 	}
 	wait.For(ctx, calm)
@@ -136,7 +136,7 @@
 		return nil, err
 	}
 	defer r.proxies.close()
-	if !await(ctx, maxSettle, func() bool { return r.proxies.settled(size.Endpoints) }) {
+	if !await(ctx, maxConverge, func() bool { return r.proxies.converged(size.Endpoints) }) {
 		return nil, errors.Join(ctx.Err(), errors.New("not all are attached twice with the whole list"), ended(c))
 	}
 	r.note("attached and listed after", "s", time.Since(began).Seconds())
@@ -181,15 +181,15 @@
 
 // reading is what all have used at a moment.
 type reading struct {
-	at        time.Time
-	roles     map[cluster.Role][]usage
-	disks     map[cluster.Role][]int64
-	self      usage // of hollow proxies and endpoints together
-	beats     usage // the part of heartbeats in its bytes and calls
-	beatCount int64
-	views     int64
-	datagrams uint64
-	dataBytes uint64
+	at             time.Time
+	roles          map[cluster.Role][]usage
+	disks          map[cluster.Role][]int64
+	self           usage // of hollow proxies and endpoints together
+	heartbeats     usage // the part of heartbeats in its bytes and calls
+	heartbeatCount int64
+	views          int64
+	datagrams      uint64
+	dataBytes      uint64
 }
 
 func (r *rig) read() (reading, error) {
@@ -215,8 +215,8 @@
 		return out, fmt.Errorf("%d MB are in use, over half of the machine's", (total+out.self.rss)>>20)
 	}
 	e := r.endpoints
-	out.beats = usage{read: e.read.Load(), written: e.written.Load(), writes: e.writes.Load()}
-	out.beatCount, out.views = e.beats.Load(), r.proxies.views.Load()
+	out.heartbeats = usage{read: e.read.Load(), written: e.written.Load(), writes: e.writes.Load()}
+	out.heartbeatCount, out.views = e.heartbeats.Load(), r.proxies.views.Load()
 	out.datagrams, out.dataBytes = r.proxies.datagrams()
 	return out, nil
 }
@@ -274,7 +274,7 @@
 		r.note(name+"sent", "KB/s", float64(u.written)/1e3/s)
 		r.note(name+"writes", "1/s", float64(u.writes)/s)
 	}
-	self, beats := b.self.sub(a.self), b.beats.sub(a.beats)
+	self, beats := b.self.sub(a.self), b.heartbeats.sub(a.heartbeats)
 	r.note("lab: processor, proxies and endpoints", "ms/s", self.cpu.Seconds()*1e3/s)
 	r.note("lab: resident", "MB", float64(self.rss)/1e6)
 	r.note("hollow proxy: processor, heartbeats counted in", "ms/s", self.cpu.Seconds()*1e3/s/n)
@@ -284,8 +284,8 @@
 	r.note("hollow proxy: new views", "1/s", float64(b.views-a.views)/s/n)
 	r.note("hollow proxy: datagrams sent", "1/s", float64(b.datagrams-a.datagrams)/s/n)
 	r.note("hollow proxy: datagrams sent", "KB/s", float64(b.dataBytes-a.dataBytes)/1e3/s/n)
-	r.note("heartbeats taken", "1/s", float64(b.beatCount-a.beatCount)/s)
-	r.note("a heartbeat on the wire, both ways", "B", float64(beats.read+beats.written)/max(1, float64(b.beatCount-a.beatCount)))
+	r.note("heartbeats taken", "1/s", float64(b.heartbeatCount-a.heartbeatCount)/s)
+	r.note("a heartbeat on the wire, both ways", "B", float64(beats.read+beats.written)/max(1, float64(b.heartbeatCount-a.heartbeatCount)))
 	return nil
 }
 
@@ -305,8 +305,8 @@
 
 // forget drops sightings of before.
 func (f *proxies) forget() {
-	for len(f.news) > 0 {
-		<-f.news
+	for len(f.sightings) > 0 {
+		<-f.sightings
 	}
 }
 
@@ -316,7 +316,7 @@
 	defer t.Stop()
 	for len(at) < len(f.all) {
 		select {
-		case s := <-f.news:
+		case s := <-f.sightings:
 			if is(s) {
 				at = append(at, s.at)
 			}
@@ -405,7 +405,7 @@
 	n := float64(len(r.proxies.all))
 	r.note("change: a hollow proxy's processor", "ms", over(func(a, b reading) float64 { return b.self.sub(a.self).cpu.Seconds() * 1e3 })/n)
 	r.note("change: a hollow proxy's received", "KB", over(func(a, b reading) float64 {
-		return float64(b.self.sub(a.self).read-b.beats.sub(a.beats).read) / 1e3
+		return float64(b.self.sub(a.self).read-b.heartbeats.sub(a.heartbeats).read) / 1e3
 	})/n)
 	return nil
 }
--- a/internal/lab/tier/hollow/proxy.go
+++ b/internal/lab/tier/hollow/proxy.go
@@ -24,7 +24,7 @@
 type proxy struct {
 	client  *controlclient.Client
 	members *membership.Service
-	holder  snapshot.Latest
+	latest  snapshot.Latest
 	fleet   *proxies
 	// version and left are what was seen last, so that each is told once.
 	version uint64
@@ -33,12 +33,12 @@
 
 // proxies are all of them, and what they see.
 type proxies struct {
-	wg     sync.WaitGroup
-	cancel context.CancelFunc
-	all    []*proxy
-	views  atomic.Int64 // snapshots that were made
-	watch  atomic.Pointer[leaving]
-	news   chan sighting
+	wg        sync.WaitGroup
+	cancel    context.CancelFunc
+	all       []*proxy
+	views     atomic.Int64 // snapshots that were made
+	watch     atomic.Pointer[leaving]
+	sightings chan sighting
 }
 
 // leaving is the endpoint whose end is looked for.
@@ -54,7 +54,7 @@
 // startProxies starts so many, spread over the zones, each with an address of its own.
 func startProxies(n int, zones, seeds []string) (*proxies, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &proxies{cancel: cancel, news: make(chan sighting, 16*(n+1))}
+	f := &proxies{cancel: cancel, sightings: make(chan sighting, 16*(n+1))}
 	for i := range n {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 100+byte(i/200), 1+byte(i%200))})
 		if err != nil {
@@ -72,7 +72,7 @@
 			return nil, err
 		}
 		p.client = controlclient.New(controlclient.Options{Self: controlclient.Node{Name: name, Role: controlclient.RoleProxy, Zone: zone, Incarnation: life},
-			Seeds: seeds, KnownKeepers: p.keepers, WantEndpoints: true, Snapshots: &p.holder, OnSnapshot: p.changed, Log: hclog.NewNullLogger()})
+			Seeds: seeds, KnownKeepers: p.keepers, WantEndpoints: true, Snapshots: &p.latest, OnSnapshot: p.changed, Log: hclog.NewNullLogger()})
 		f.all = append(f.all, p)
 		f.wg.Go(func() { p.client.Run(ctx) })
 		time.Sleep(startEvery) // they share processors that real ones would not
@@ -113,15 +113,15 @@
 		return
 	}
 	select {
-	case p.fleet.news <- saw:
+	case p.fleet.sightings <- saw:
 	default: // nobody looks: it is counted as not seen
 	}
 }
 
-// settled tells whether all are attached twice and know as many endpoints as there are.
-func (f *proxies) settled(endpoints int) bool {
+// converged tells whether all are attached twice and know as many endpoints as there are.
+func (f *proxies) converged(endpoints int) bool {
 	for _, p := range f.all {
-		s := p.holder.Get()
+		s := p.latest.Get()
 		if len(p.client.KeeperConns()) < 2 || s == nil || !s.EndpointsComplete || s.Config == nil {
 			return false
 		}
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -72,7 +72,7 @@
 // Replacements plays such a day. The program has to be one that cluster.BuildRelayed has made.
 func Replacements(ctx context.Context, o Options, day ReplacementScenario) (out ReplacementAccount, err error) {
 	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: o.Dir, Zones: day.Machines, Edges: 1, Keepers: 1, Spares: replacementSpares, Stores: 3,
-		Relayed: true, BeatEvery: heartbeatEvery, Grace: grace, Rules: "base,drain,config,batch,engine"})
+		Relayed: true, HeartbeatInterval: heartbeatEvery, Grace: grace, Rules: "base,drain,config,batch,engine"})
 	if err != nil {
 		return out, err
 	}
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -171,7 +171,7 @@
 			return out, fmt.Errorf("no fault is named %q; there are %s", name, strings.Join(Faults(), ", "))
 		}
 	}
-	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: o.Dir, Zones: zones, Edges: 2, Keepers: 2, Stores: 3, BeatEvery: heartbeatEvery, Grace: grace,
+	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: o.Dir, Zones: zones, Edges: 2, Keepers: 2, Stores: 3, HeartbeatInterval: heartbeatEvery, Grace: grace,
 		Rules: "base,drain,config,cost,recover,batch,stream,engine"})
 	if err != nil {
 		return out, err
--- a/internal/lab/tier/tiertest/proxy.go
+++ b/internal/lab/tier/tiertest/proxy.go
@@ -37,7 +37,7 @@
 	once   sync.Once
 	client http.Client
 	mu     sync.Mutex
-	lots   map[string]*job
+	jobs   map[string]*job
 }
 
 type job struct {
@@ -74,7 +74,7 @@
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.once.Do(func() {
 		p.client.Transport = &http.Transport{DisableCompression: true}
-		p.lots = map[string]*job{}
+		p.jobs = map[string]*job{}
 	})
 	if p.Refuse != nil {
 		if status, wait := p.Refuse(r); status != 0 {
@@ -91,7 +91,7 @@
 		p.read(w, r)
 		return
 	case strings.HasPrefix(r.URL.Path, "/bulk/"):
-		p.handIn(w, r, body)
+		p.submit(w, r, body)
 		return
 	case p.Endpoint(r.URL.Path) == "":
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -145,7 +145,7 @@
 	}
 }
 
-func (p *Proxy) handIn(w http.ResponseWriter, r *http.Request, body []byte) {
+func (p *Proxy) submit(w http.ResponseWriter, r *http.Request, body []byte) {
 	var asked struct{ Requests []item }
 	if err := json.Unmarshal(body, &asked); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -154,12 +154,12 @@
 	id := r.Header.Get(engine.HeaderRequest)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lots[id] == nil {
+	if p.jobs[id] == nil {
 		l := &job{items: map[string][]byte{}}
 		for _, it := range asked.Requests {
 			l.items[it.ID] = it.Body
 		}
-		p.lots[id] = l
+		p.jobs[id] = l
 		go p.run(l, asked.Requests)
 	}
 	w.WriteHeader(http.StatusAccepted)
@@ -215,7 +215,7 @@
 func (p *Proxy) read(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.lots[r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]]
+	l := p.jobs[r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]]
 	switch {
 	case l == nil:
 		w.WriteHeader(http.StatusNotFound)
--- a/internal/proxy/forward/account/jobs_test.go
+++ b/internal/proxy/forward/account/jobs_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	c, err := cluster.New(cluster.Options{Program: program(t), Dir: filepath.Join(dir, "tier"), Zones: 1, Edges: proxies, Keepers: 2, Stores: 3,
-		BeatEvery: beatEvery, Grace: 3 * time.Second, Rules: "base,batch"})
+		HeartbeatInterval: beatEvery, Grace: 3 * time.Second, Rules: "base,batch"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/forward/account/play_test.go
+++ b/internal/proxy/forward/account/play_test.go
@@ -141,7 +141,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	c, err := cluster.New(cluster.Options{Program: program(t), Dir: filepath.Join(dir, "tier"), Zones: 1, Edges: proxies, Keepers: 2, Stores: 1,
-		BeatEvery: beatEvery, Grace: 3 * time.Second, Rules: "base,stream"})
+		HeartbeatInterval: beatEvery, Grace: 3 * time.Second, Rules: "base,stream"})
 	if err != nil {
 		t.Fatal(err)
 	}
