--- a/internal/lab/tier/account.go
+++ b/internal/lab/tier/account.go
@@ -68,13 +68,17 @@
 // Print writes the account for people.
 func (a Account) Print(w io.Writer) error {
 	var out strings.Builder
-	fmt.Fprintf(&out, "seed %d: configuration after %.1f s, ready after %.1f s; %d runs at endpoints, %d of them cut\n\n", a.Seed, a.ConfigS, a.ReadyS, a.Runs, a.Cut)
-	fmt.Fprintf(&out, "%-8s %7s %7s %7s %7s %7s   tries, by their end\n", "kind", "asked", "in aim", "late", "refused", "failed")
+	fmt.Fprintf(&out, "seed %d: configuration after %.1f s, ready after %.1f s; %d runs at endpoints, %d of them cut\n\n",
+		a.Seed, a.ConfigS, a.ReadyS, a.Runs, a.Cut)
+	fmt.Fprintf(&out, "%-8s %7s %7s %7s %7s %7s   tries, by their end\n",
+		"kind", "asked", "in aim", "late", "refused", "failed")
 	for _, k := range a.Kinds {
-		fmt.Fprintf(&out, "%-8s %7d %7d %7d %7d %7d   %d: %v\n", k.Kind, k.Requested, k.WithinTarget, k.Late, k.Refused, k.Failed, k.Tries, k.Ends)
+		fmt.Fprintf(&out, "%-8s %7d %7d %7d %7d %7d   %d: %v\n",
+			k.Kind, k.Requested, k.WithinTarget, k.Late, k.Refused, k.Failed, k.Tries, k.Ends)
 	}
 	for _, s := range a.Services {
-		fmt.Fprintf(&out, "endpoints of %s: %d runs, %.2f of the places taken, %d requests turned away\n", s.Name, s.Runs, s.Busy, s.Rejected)
+		fmt.Fprintf(&out, "endpoints of %s: %d runs, %.2f of the places taken, %d requests turned away\n",
+			s.Name, s.Runs, s.Busy, s.Rejected)
 	}
 	for _, j := range a.Jobs {
 		fmt.Fprintf(&out, "job %v\n", j)
--- a/internal/lab/tier/certification.go
+++ b/internal/lab/tier/certification.go
@@ -11,6 +11,7 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"sync"
 	"time"
 
 	"dunetide/internal/batch/audit"
@@ -33,20 +34,22 @@
 	// recordedIn is within which all is handed to the stores once clients have ended.
 	recordedIn = 5 * time.Second
 	putWait    = 10 * time.Second
+	// auditEvery is how often the audit logs are read until they are complete.
+	auditEvery = 200 * time.Millisecond
 )
 
 // regulatedRoutes demand the regime; essay and lookup demand nothing and go on meanwhile.
 var regulatedRoutes = []string{"talk", "save", "bulk"}
 
-// The rules of a night, beside the others.
+// The rules of a certification run, beside the others.
 const (
 	ruleCertified = "CERTIFIED" // regulated work at an endpoint that was not certified
 	ruleOnce      = "ONCE"      // an item that ran whole more than once
 	ruleAudit     = "AUDIT"     // the record does not say what was seen
 )
 
-// certificationRun is a busy night: twice the traffic, with a certified engine down for good, another frozen, one whose
-// certificate is withdrawn, and a keeper cut off.
+// certificationRun is the busy night of docs/certified.md: twice the traffic, with a certified engine down for good,
+// another frozen, one whose certificate is withdrawn, and a keeper cut off.
 type certificationRun struct {
 	seed       uint64
 	document   certification.Document
@@ -60,7 +63,7 @@
 	repeated   []string
 }
 
-// CertificationAccount is what became of a night.
+// CertificationAccount is the account of such a run.
 type CertificationAccount struct {
 	Account
 	Regulated int         `json:"regulated_runs"`
@@ -98,14 +101,19 @@
 	all := r.ordered()
 	r.mu.Unlock()
 	for _, e := range all {
-		most := certifiedEngines
+		limit := certifiedEngines
 		if e.Service() == web {
-			most = 1
+			limit = 1
 		}
-		if count[e.Service()]++; count[e.Service()] <= most {
+		if count[e.Service()]++; count[e.Service()] <= limit {
 			n.certified[e.ID()] = true
-			n.document.Certificates = append(n.document.Certificates, certification.Certificate{Endpoint: e.ID(), Regime: regime,
-				NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour), Issuer: "the lab"})
+			n.document.Certificates = append(n.document.Certificates, certification.Certificate{
+				Endpoint:  e.ID(),
+				Regime:    regime,
+				NotBefore: now.Add(-time.Hour),
+				NotAfter:  now.Add(time.Hour),
+				Issuer:    "the lab",
+			})
 		}
 	}
 	return n.put(ctx, op, func(inForce bool) {
@@ -115,6 +123,7 @@
 	})
 }
 
+// put sends the document of certificates, and calls then with whether it is in force everywhere.
 func (n *certificationRun) put(ctx context.Context, op *operator.Operator, then func(inForce bool)) error {
 	text, err := json.Marshal(n.document)
 	if err != nil {
@@ -130,48 +139,17 @@
 	})
 }
 
-// injectFaults come spread over the night, in an order that the seed draws.
+// injectFaults injects the faults of the scenario, spread over its length, in an order from the seed, and returns
+// when all have ended.
 func (n *certificationRun) injectFaults(ctx context.Context, r *rig, op *operator.Operator) error {
-	r.mu.Lock()
-	var engines []*engine.Endpoint
-	for _, e := range r.ordered() {
-		if e.Service() == gen && n.certified[e.ID()] {
-			engines = append(engines, e)
-		}
-	}
-	r.mu.Unlock()
+	engines := n.certifiedEngines(r)
 	rng := world.Random(n.seed, "night")
 	rng.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
 	keeper := r.cluster.Find(cluster.Keeper, rng.IntN(zones*2))
 	steps := []func() error{
-		func() error {
-			r.options.Logf("%s is down for good", engines[0].ID())
-			n.down = engines[0].ID()
-			r.mu.Lock()
-			delete(r.all, engines[0])
-			r.mu.Unlock()
-			engines[0].Crash()
-			return nil
-		},
-		func() error {
-			r.options.Logf("%s is frozen for %v", engines[1].ID(), frozenFor)
-			engines[1].Dark(true)
-			time.Sleep(frozenFor)
-			engines[1].Dark(false)
-			return nil
-		},
-		func() error {
-			r.options.Logf("the certificate of %s is withdrawn", engines[2].ID())
-			n.document, _ = n.document.Without(engines[2].ID(), regime)
-			return n.put(ctx, op, func(inForce bool) {
-				by := time.Now()
-				if !inForce {
-					by = by.Add(drainFor)
-				}
-				r.options.Logf("withdrawn, in force everywhere: %v", inForce)
-				n.withdrawn[engines[2].ID()] = by.Add(onTheWay)
-			})
-		},
+		func() error { return n.crashForGood(r, engines[0]) },
+		func() error { return freezeEndpoint(r, engines[1]) },
+		func() error { return n.withdraw(ctx, r, op, engines[2].ID()) },
 		func() error {
 			r.options.Logf("%v is cut off for %v", keeper, frozenFor)
 			return r.freeze(keeper)
@@ -179,46 +157,109 @@
 	}
 	rng.Shuffle(len(steps), func(i, j int) { steps[i], steps[j] = steps[j], steps[i] })
 	began := time.Now()
-	var all []error
-	done := make(chan error, len(steps))
+	failures := make([]error, len(steps))
+	var running sync.WaitGroup
+	defer running.Wait()
 	for i, step := range steps {
 		at := time.Duration(float64(r.options.Length) * (0.15 + 0.6*float64(i)/float64(len(steps))))
-		t := time.NewTimer(time.Until(began.Add(at)))
-		select {
-		case <-t.C:
-		case <-ctx.Done():
-			t.Stop()
+		if !wait.For(ctx, time.Until(began.Add(at))) {
 			return ctx.Err()
 		}
-		go func() { done <- step() }()
+		running.Go(func() { failures[i] = step() })
 	}
-	for range steps {
-		all = append(all, <-done)
+	running.Wait()
+	return errors.Join(failures...)
+}
+
+// certifiedEngines returns the model endpoints that have a certificate, in the order of their starts.
+func (n *certificationRun) certifiedEngines(r *rig) (engines []*engine.Endpoint) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, e := range r.ordered() {
+		if e.Service() == gen && n.certified[e.ID()] {
+			engines = append(engines, e)
+		}
 	}
-	return errors.Join(all...)
+	return engines
+}
+
+// crashForGood ends an endpoint without notice; nothing starts in its place.
+func (n *certificationRun) crashForGood(r *rig, e *engine.Endpoint) error {
+	r.options.Logf("%s is down for good", e.ID())
+	n.down = e.ID()
+	r.mu.Lock()
+	delete(r.all, e)
+	r.mu.Unlock()
+	e.Crash()
+	return nil
+}
+
+// freezeEndpoint has nothing move on an endpoint's connections for frozenFor.
+func freezeEndpoint(r *rig, e *engine.Endpoint) error {
+	r.options.Logf("%s is frozen for %v", e.ID(), frozenFor)
+	e.Dark(true)
+	time.Sleep(frozenFor)
+	e.Dark(false)
+	return nil
 }
 
+// withdraw withdraws the certificate of an endpoint, and notes by when that has to be in force.
+func (n *certificationRun) withdraw(ctx context.Context, r *rig, op *operator.Operator, endpoint string) error {
+	r.options.Logf("the certificate of %s is withdrawn", endpoint)
+	n.document, _ = n.document.Without(endpoint, regime)
+	return n.put(ctx, op, func(inForce bool) {
+		by := time.Now()
+		if !inForce {
+			by = by.Add(drainFor)
+		}
+		r.options.Logf("withdrawn, in force everywhere: %v", inForce)
+		n.withdrawn[endpoint] = by.Add(onTheWay)
+	})
+}
+
+// regulated reports whether a request to this URI demands the regime.
 func regulated(uri string) bool {
 	return slices.ContainsFunc(regulatedRoutes, func(name string) bool { return strings.HasPrefix(uri, "/"+name+"/") })
 }
 
-// account holds what ran at the endpoints against the certificates, and the record against what ran.
+// requestAt is a request and an endpoint at which it ran.
+type requestAt struct{ id, endpoint string }
+
+// account checks what ran at the endpoints against the certificates, and the audit log against what ran.
 func (n *certificationRun) account(ctx context.Context, r *rig) {
-	type at struct{ id, endpoint string }
-	ran := map[at]int{}
+	ran := n.checkCertified(r.runs.All())
+	if n.runs == 0 {
+		n.violated(ruleAudit, "-", "no regulated work ran")
+	}
+	until := time.Now().Add(recordedIn)
+	problems := n.auditProblems(r, ran)
+	for len(problems) > 0 && !time.Now().After(until) && ctx.Err() == nil {
+		time.Sleep(auditEvery)
+		problems = n.auditProblems(r, ran)
+	}
+	for _, problem := range problems {
+		n.violated(ruleAudit, "-", "%s", problem)
+	}
+}
+
+// checkCertified checks that regulated requests ran at certified endpoints only, and returns how often each ran where.
+func (n *certificationRun) checkCertified(runs []engine.Run) map[requestAt]int {
+	ran := map[requestAt]int{}
 	whole := map[string]int{}
-	for _, run := range r.runs.All() {
+	for _, run := range runs {
 		if !regulated(run.URI) {
 			continue
 		}
 		n.runs++
-		ran[at{run.Request, run.Instance}]++
+		ran[requestAt{run.Request, run.Instance}]++
 		by, withdrawn := n.withdrawn[run.Instance]
 		switch {
 		case !n.certified[run.Instance]:
 			n.violated(ruleCertified, run.Request, "%s ran at %s, which was never certified", run.URI, run.Instance)
 		case withdrawn && run.Arrived.After(by):
-			n.violated(ruleCertified, run.Request, "%s reached %s %v after the withdrawal of its certificate had to be in force", run.URI, run.Instance, run.Arrived.Sub(by))
+			n.violated(ruleCertified, run.Request,
+				"%s reached %s %v after the withdrawal of its certificate had to be in force",
+				run.URI, run.Instance, run.Arrived.Sub(by))
 		}
 		if run.Whole && strings.HasPrefix(run.URI, "/bulk/") {
 			if whole[run.Request]++; whole[run.Request] == 2 {
@@ -226,48 +267,43 @@
 			}
 		}
 	}
-	if n.runs == 0 {
-		n.violated(ruleAudit, "-", "no regulated work ran")
+	return ran
+}
+
+// auditProblems returns what is wrong with the audit logs of all stores, and where they don't say what ran.
+func (n *certificationRun) auditProblems(r *rig, ran map[requestAt]int) (problems []string) {
+	problem := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
+	report := n.audit(r, problem)
+	if report == nil {
+		return problems
 	}
-	var problems []string
-	for until := time.Now().Add(recordedIn); ; {
-		problems = problems[:0]
-		n.audit(r, func(form string, args ...any) { problems = append(problems, fmt.Sprintf(form, args...)) }, func(report *audit.Report) {
-			recorded := map[at]int{}
-			answered := map[at]bool{}
-			for _, run := range report.Runs {
-				k := at{run.ID, run.Endpoint}
-				if run.Outcome.MayHaveRun() {
-					recorded[k]++
-				}
-				answered[k] = answered[k] || run.Outcome == audit.Answered
-				if run.Outcome == audit.Open {
-					problems = append(problems, fmt.Sprintf("the run of %s at %s has no end", run.ID, run.Endpoint))
-				}
-			}
-			for k, times := range ran {
-				if recorded[k] < times {
-					problems = append(problems, fmt.Sprintf("%s ran %d times at %s, and %d runs are in the record", k.id, times, k.endpoint, recorded[k]))
-				}
-			}
-			for k := range answered {
-				if answered[k] && ran[k] == 0 {
-					problems = append(problems, fmt.Sprintf("%s is recorded as answered at %s, where it never ran", k.id, k.endpoint))
-				}
-			}
-		})
-		if len(problems) == 0 || time.Now().After(until) || ctx.Err() != nil {
-			break
+	recorded := map[requestAt]int{}
+	answered := map[requestAt]bool{}
+	for _, run := range report.Runs {
+		key := requestAt{run.ID, run.Endpoint}
+		if run.Outcome.MayHaveRun() {
+			recorded[key]++
+		}
+		answered[key] = answered[key] || run.Outcome == audit.Answered
+		if run.Outcome == audit.Open {
+			problem("the run of %s at %s has no end", run.ID, run.Endpoint)
+		}
+	}
+	for key, times := range ran {
+		if recorded[key] < times {
+			problem("%s ran %d times at %s, and %d runs are in the record", key.id, times, key.endpoint, recorded[key])
 		}
-		time.Sleep(200 * time.Millisecond)
 	}
-	for _, p := range problems {
-		n.violated(ruleAudit, "-", "%s", p)
+	for key := range answered {
+		if answered[key] && ran[key] == 0 {
+			problem("%s is recorded as answered at %s, where it never ran", key.id, key.endpoint)
+		}
 	}
+	return problems
 }
 
-// audit reads the files of all stores.
-func (n *certificationRun) audit(r *rig, problem func(form string, args ...any), check func(*audit.Report)) {
+// audit reads the audit logs of all stores; nil: they can't be read.
+func (n *certificationRun) audit(r *rig, problem func(format string, args ...any)) *audit.Report {
 	var all []string
 	copies := map[string]int{}
 	for _, p := range r.cluster.Processes() {
@@ -291,7 +327,7 @@
 	report, err := audit.CheckFiles(all, audit.CheckOptions{WithdrawalBound: drainFor})
 	if err != nil {
 		problem("%v", err)
-		return
+		return nil
 	}
 	for _, p := range report.Problems {
 		problem("%v", p)
@@ -303,7 +339,7 @@
 	if n.copies < 2 { // survive.machines + 1
 		problem("a run is in %d files", n.copies)
 	}
-	check(report)
+	return report
 }
 
 // Print writes the account for people.
@@ -312,16 +348,20 @@
 		return err
 	}
 	for _, row := range a.Rows {
-		if _, err := fmt.Fprintf(w, "regime %s, night of %s: %d runs, %d requests, %d items, %d answered whole, %d of them again, at %d endpoints\n",
-			row.Regime, row.Date, row.Runs, row.Requests, row.BatchItems, row.Answered, row.Reanswered, row.Endpoints); err != nil {
+		_, err := fmt.Fprintf(w, "regime %s, night of %s: %d runs, %d requests, %d items, %d answered whole, "+
+			"%d of them again, at %d endpoints\n",
+			row.Regime, row.Date, row.Runs, row.Requests, row.BatchItems, row.Answered, row.Reanswered, row.Endpoints)
+		if err != nil {
 			return err
 		}
 	}
 	if len(a.Repeated) > 0 {
-		if _, err := fmt.Fprintf(w, "items that ran whole more than once (each is listed once): %v\n", a.Repeated); err != nil {
+		_, err := fmt.Fprintf(w, "items that ran whole more than once (each is listed once): %v\n", a.Repeated)
+		if err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "%d regulated runs were seen at endpoints; each is in the files of %d stores or more\n", a.Regulated, a.Copies)
+	_, err := fmt.Fprintf(w, "%d regulated runs were seen at endpoints; each is in the files of %d stores or more\n",
+		a.Regulated, a.Copies)
 	return err
 }
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -21,8 +21,8 @@
 	"dunetide/internal/lab/wait"
 )
 
-// ReplacementScenario is a day on which voters are replaced while another one is cut off in silence. Its times are counted
-// from when the tier is ready. Which machines are met is drawn by the seed of the play.
+// ReplacementScenario is a day on which voters are replaced while another one is cut off in silence. Its times are
+// counted from when the tier is ready. Which machines are met is drawn by the seed of the play.
 type ReplacementScenario struct {
 	Machines      int           // with disks, and so voters
 	FirstReplaced time.Duration // a new machine starts
@@ -33,9 +33,17 @@
 	Length        time.Duration
 }
 
-// DefaultReplacementScenario is the day that a former program did not pass: it took no order from the second replacement on.
-var DefaultReplacementScenario = ReplacementScenario{Machines: 3, FirstReplaced: 2 * time.Second, TransferAfter: 5 * time.Second, CutFrom: 17 * time.Second,
-	SecondStarts: 23 * time.Second, CutTo: 37 * time.Second, Length: 40 * time.Second}
+// DefaultReplacementScenario is the day that a former program did not pass: it took no order from the second
+// replacement on.
+var DefaultReplacementScenario = ReplacementScenario{
+	Machines:      3,
+	FirstReplaced: 2 * time.Second,
+	TransferAfter: 5 * time.Second,
+	CutFrom:       17 * time.Second,
+	SecondStarts:  23 * time.Second,
+	CutTo:         37 * time.Second,
+	Length:        40 * time.Second,
+}
 
 const (
 	replacementSpares  = 2
@@ -44,7 +52,8 @@
 	orderWait          = 30 * time.Second
 	jobEvery           = 2 * time.Second
 	jobItems           = 4
-	// jobsFinishBy bounds, from the end of the day, how long a job may still be handed in and read; most have ended long before.
+	// jobsFinishBy bounds, from the end of the day, how long a job may still be handed in and read; most have ended
+	// long before.
 	jobsFinishBy = 30 * time.Second
 	readWait     = 20 * time.Second
 	// unrest is how long after an event of the day no time is calm: in_touch_ms.
@@ -71,14 +80,31 @@
 
 // Replacements plays such a day. The program has to be one that cluster.BuildRelayed has made.
 func Replacements(ctx context.Context, o Options, day ReplacementScenario) (out ReplacementAccount, err error) {
-	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: o.Dir, Zones: day.Machines, Edges: 1, Keepers: 1, Spares: replacementSpares, Stores: 3,
-		Relayed: true, HeartbeatInterval: heartbeatEvery, Grace: grace, Rules: "base,drain,config,batch,engine"})
+	c, err := cluster.New(cluster.Options{
+		Program:           o.Program,
+		Dir:               o.Dir,
+		Zones:             day.Machines,
+		Edges:             1,
+		Keepers:           1,
+		Spares:            replacementSpares,
+		Stores:            3,
+		Relayed:           true,
+		HeartbeatInterval: heartbeatEvery,
+		Grace:             grace,
+		Rules:             "base,drain,config,batch,engine",
+	})
 	if err != nil {
 		return out, err
 	}
 	defer c.Close()
 	traffic, jobs := DefaultTraffic()
-	d := &replacements{rig: newRig(o, c), day: day, operator: operator.New(c.Controls), config: Configuration(traffic, jobs), version: configVersion}
+	d := &replacements{
+		rig:      newRig(o, c),
+		day:      day,
+		operator: operator.New(c.Controls),
+		config:   Configuration(traffic, jobs),
+		version:  configVersion,
+	}
 	defer d.close()
 	if err := d.start(ctx); err != nil {
 		return out, explain(err, c)
@@ -99,7 +125,8 @@
 	if err := d.cluster.Start(); err != nil {
 		return err
 	}
-	if err := wait.Within(ctx, configWait, func(ctx context.Context) error { return d.operator.Put(ctx, 0, d.config) }); err != nil {
+	err := wait.Within(ctx, configWait, func(ctx context.Context) error { return d.operator.Put(ctx, 0, d.config) })
+	if err != nil {
 		return fmt.Errorf("the first configuration: %w", err)
 	}
 	return wait.Within(ctx, readyWait, d.cluster.AwaitReady)
@@ -279,14 +306,27 @@
 func (d *replacements) jobs(ctx context.Context, jobs load.Jobs) load.Account {
 	jobs.Count, jobs.Items, jobs.EndEvery = int(d.day.Length/jobEvery), jobItems, 0
 	// Jobs begin in the first half of a length.
-	return load.Run(ctx, load.Options{Seed: d.options.Seed, Length: 2 * d.day.Length, Zones: d.cluster.Zones(), Front: d.cluster.Front, Jobs: []load.Jobs{jobs},
-		Stride: stride, FinishBy: jobsFinishBy - d.day.Length, VisibleWithin: visibleWithin, Cancel: cancelAfter, Runs: d.runs})
+	return load.Run(ctx, load.Options{
+		Seed:          d.options.Seed,
+		Length:        2 * d.day.Length,
+		Zones:         d.cluster.Zones(),
+		Front:         d.cluster.Front,
+		Jobs:          []load.Jobs{jobs},
+		Stride:        stride,
+		FinishBy:      jobsFinishBy - d.day.Length,
+		VisibleWithin: visibleWithin,
+		Cancel:        cancelAfter,
+		Runs:          d.runs,
+	})
 }
 
 // readBack reads the configuration, which has to be the one that was acknowledged last.
 func (d *replacements) readBack(ctx context.Context) string {
 	var got []byte
-	err := wait.Within(ctx, configWait, func(ctx context.Context) (err error) { got, err = d.operator.Config(ctx); return err })
+	err := wait.Within(ctx, configWait, func(ctx context.Context) (err error) {
+		got, err = d.operator.Config(ctx)
+		return err
+	})
 	switch {
 	case err != nil:
 		return err.Error()
@@ -325,7 +365,8 @@
 	if !ready {
 		return errors.New("no machine is ready")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/lots/%s?start_after=0", front, job.ID), nil)
+	url := fmt.Sprintf("http://%s/lots/%s?start_after=0", front, job.ID)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/tier/replacements_account.go
+++ b/internal/lab/tier/replacements_account.go
@@ -57,12 +57,14 @@
 	return longest
 }
 
-// Failed tells whether anything acknowledged was lost, a rule was broken, a process ended by itself, or the cut was none.
+// Failed tells whether anything acknowledged was lost, a rule was broken, a process ended by itself, or the cut was
+// none.
 func (a ReplacementAccount) Failed() bool {
 	return !a.CutFelt || len(a.Violations) > 0 || len(a.Ends) > 0 || a.ReadBack != "same" || len(a.Unread) > 0
 }
 
-// longestCalm is the longest stretch, from the asking for an order to its acknowledgement, in which nothing had happened for unrest.
+// longestCalm is the longest stretch, from the asking for an order to its acknowledgement, in which nothing had
+// happened for unrest.
 func longestCalm(o Order, events []ScenarioEvent) (longest time.Duration) {
 	calmFrom := o.SentAt
 	for _, e := range events {
@@ -82,9 +84,13 @@
 	for _, job := range a.Jobs {
 		listed += job.Listed
 	}
-	_, err := fmt.Fprintf(w, "%d orders; the longest without an acknowledgement in calm: %v (version %d); the longest at all: %v, sent at %v\n"+
-		"%d of %d jobs accepted, %d unread at the end, %d items listed; read back: %s; broken %v, ended %v; slowest sync of the lab's own %v\n", len(a.Orders), calm.Calm.Round(time.Millisecond),
-		calm.Version, longest.Took.Round(time.Millisecond), longest.SentAt.Round(time.Millisecond), a.Accepted, len(a.Jobs), len(a.Unread), listed,
+	_, err := fmt.Fprintf(w, "%d orders; the longest without an acknowledgement in calm: %v (version %d); "+
+		"the longest at all: %v, sent at %v\n"+
+		"%d of %d jobs accepted, %d unread at the end, %d items listed; read back: %s; broken %v, "+
+		"ended %v; slowest sync of the lab's own %v\n",
+		len(a.Orders), calm.Calm.Round(time.Millisecond), calm.Version,
+		longest.Took.Round(time.Millisecond), longest.SentAt.Round(time.Millisecond),
+		a.Accepted, len(a.Jobs), len(a.Unread), listed,
 		cmp.Or(a.ReadBack, "nothing"), a.Violations, a.Ends, a.SlowestSync.Round(time.Millisecond))
 	return err
 }
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -24,7 +24,8 @@
 	zones          = 2
 	engines        = 4
 	plain          = 2
-	stride         = 10
+	stride         = 10 // tokens an event
+	clients        = 24
 	heartbeatEvery = 500 * time.Millisecond
 	grace          = 3 * time.Second
 	drainFor       = 2 * time.Second
@@ -54,9 +55,17 @@
 
 // DefaultTraffic is what the clients of a play ask for.
 func DefaultTraffic() ([]load.Traffic, []load.Jobs) {
-	route := func(name, service string, kind config.RouteKind, timeout, aim int) *config.Route {
-		return &config.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: kind, TimeoutMs: timeout, LatencyTargetMs: aim, MaxAttempts: 2,
-			Shares: []config.Share{{Service: service, Weight: 1}}}
+	route := func(name, service string, kind config.RouteKind, timeout, target int) *config.Route {
+		return &config.Route{
+			Name:            name,
+			Host:            host,
+			PathPrefix:      "/" + name + "/",
+			Kind:            kind,
+			TimeoutMs:       timeout,
+			LatencyTargetMs: target,
+			MaxAttempts:     2,
+			Shares:          []config.Share{{Service: service, Weight: 1}},
+		}
 	}
 	talk, essay := route("talk", gen, config.Streaming, 5000, 400), route("essay", gen, config.Streaming, 6000, 600)
 	for _, r := range []*config.Route{talk, essay} {
@@ -78,11 +87,25 @@
 
 // Configuration is what the operator sends: all the routes of the traffic.
 func Configuration(ts []load.Traffic, js []load.Jobs) []byte {
-	kinds := map[config.RouteKind]string{config.ReadOnly: "read_only", config.Writes: "writes", config.Streaming: "streaming", config.Bulk: "bulk"}
+	kinds := map[config.RouteKind]string{
+		config.ReadOnly:  "read_only",
+		config.Writes:    "writes",
+		config.Streaming: "streaming",
+		config.Bulk:      "bulk",
+	}
 	var routes []map[string]any
 	add := func(r *config.Route) {
-		out := map[string]any{"name": r.Name, "host": r.Host, "path_start": r.PathPrefix, "kind": kinds[r.Kind], "timeout_ms": r.TimeoutMs,
-			"target_ms": r.LatencyTargetMs, "priority": r.Priority, "service": r.Shares[0].Service, "tries": r.MaxAttempts}
+		out := map[string]any{
+			"name":       r.Name,
+			"host":       r.Host,
+			"path_start": r.PathPrefix,
+			"kind":       kinds[r.Kind],
+			"timeout_ms": r.TimeoutMs,
+			"target_ms":  r.LatencyTargetMs,
+			"priority":   r.Priority,
+			"service":    r.Shares[0].Service,
+			"tries":      r.MaxAttempts,
+		}
 		switch r.Kind {
 		case config.Streaming:
 			out["sticky"], out["resume"], out["gap_aim_ms"] = r.Sticky, r.Resumable, r.EventGapTargetMs
@@ -101,12 +124,19 @@
 	text, err := json.Marshal(map[string]any{
 		"version": configVersion, "routes": routes,
 		"services": []map[string]any{
-			{"name": gen, "health_path": "/health", "max_conns": o.MaxConns, "protocol": "h1", "tls": false, "engine": map[string]any{
-				"capacity": o.Capacity, "cache_tokens": o.CacheTokens, "token_bytes": 327680, "network_mbps": 4400000.0, "stride": stride,
-				"models": []map[string]any{{"name": "m"}}}},
+			{
+				"name": gen, "health_path": "/health", "max_conns": o.MaxConns, "protocol": "h1", "tls": false,
+				"engine": map[string]any{
+					"capacity": o.Capacity, "cache_tokens": o.CacheTokens, "token_bytes": 327680,
+					"network_mbps": 4400000.0, "stride": stride,
+					"models": []map[string]any{{"name": "m"}},
+				},
+			},
 			{"name": web, "health_path": "/health", "max_conns": EndpointOptions(web).MaxConns, "protocol": "h1", "tls": false},
 		},
-		"limits": map[string]any{"max_header_bytes": 16384, "max_body_bytes": 4194304, "header_wait_ms": 3000, "idle_ms": 15000},
+		"limits": map[string]any{
+			"max_header_bytes": 16384, "max_body_bytes": 4194304, "header_wait_ms": 3000, "idle_ms": 15000,
+		},
 	})
 	if err != nil {
 		panic(fmt.Errorf("a configuration can be written as JSON: %w", err))
@@ -126,7 +156,7 @@
 	return o
 }
 
-// rig is what stands around the tier.
+// rig is a tier with the endpoints that a play starts around it. Its owner ends the endpoints by close.
 type rig struct {
 	options Options
 	cluster *cluster.Cluster
@@ -146,7 +176,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts++
-	o.ID, o.Address, o.Zone, o.Runs = fmt.Sprintf("i-%08x", r.options.Seed<<16+uint64(r.starts)), addr, r.cluster.Zones()[zone], r.runs
+	o.ID = fmt.Sprintf("i-%08x", r.options.Seed<<16+uint64(r.starts))
+	o.Address, o.Zone = addr, r.cluster.Zones()[zone]
+	o.Runs = r.runs
 	o.Heartbeats = engine.Heartbeats{Controls: r.cluster.Controls, Every: heartbeatEvery, DrainFor: drainFor}
 	e, err := engine.Start(o)
 	if err == nil {
@@ -163,7 +195,8 @@
 	}
 }
 
-// Play starts the tier and all around it, lets clients ask, and accounts for what they got.
+// Play starts the tier and all around it, has clients send requests, and accounts for what became of them. An error
+// says that the play itself failed, not that a rule was violated.
 func Play(ctx context.Context, o Options) (Account, error) {
 	out := Account{Seed: o.Seed}
 	for _, name := range o.Faults {
@@ -171,86 +204,139 @@
 			return out, fmt.Errorf("no fault is named %q; there are %s", name, strings.Join(Faults(), ", "))
 		}
 	}
-	c, err := cluster.New(cluster.Options{Program: o.Program, Dir: o.Dir, Zones: zones, Edges: 2, Keepers: 2, Stores: 3, HeartbeatInterval: heartbeatEvery, Grace: grace,
-		Rules: "base,drain,config,cost,recover,batch,stream,engine"})
+	c, err := cluster.New(cluster.Options{
+		Program:           o.Program,
+		Dir:               o.Dir,
+		Zones:             zones,
+		Edges:             2,
+		Keepers:           2,
+		Stores:            3,
+		HeartbeatInterval: heartbeatEvery,
+		Grace:             grace,
+		Rules:             "base,drain,config,cost,recover,batch,stream,engine",
+	})
 	if err != nil {
 		return out, err
 	}
 	defer c.Close()
 	r := newRig(o, c)
 	defer r.close()
-	models := engines
+	traffic, jobs := DefaultTraffic()
+	for i := range traffic {
+		traffic[i].Rate *= cmp.Or(o.Load, 1)
+	}
+	text := Configuration(traffic, jobs)
+	op := operator.New(c.Controls)
+	if err := r.start(ctx, op, text, &out); err != nil {
+		return out, err
+	}
+	o.Logf("ready after %.1f s; %v of clients begin", out.ReadyS, o.Length)
+	failed := r.run(ctx, op, traffic, jobs, &out)
+	out.ReadBack = readBack(ctx, op, text)
 	if o.certification != nil {
-		models = certificationEngines
+		o.certification.account(ctx, r)
 	}
-	for n := range models + plain {
-		service := gen
-		if n >= models {
-			service = web
-		}
-		if err := r.startEndpoint(service, c.EndpointAddress(n%zones, n/zones), n%zones); err != nil {
-			return out, err
-		}
+	out.Ends = c.Ends()
+	return out, errors.Join(failed, ctx.Err())
+}
+
+// start starts the endpoints and the processes, sends the configuration, and waits until the tier is ready.
+func (r *rig) start(ctx context.Context, op *operator.Operator, config []byte, out *Account) error {
+	if err := r.startEndpoints(); err != nil {
+		return err
 	}
 	began := time.Now()
-	if err := c.Start(); err != nil {
-		return out, err
-	}
-	ts, js := DefaultTraffic()
-	for i := range ts {
-		ts[i].Rate *= cmp.Or(o.Load, 1)
+	if err := r.cluster.Start(); err != nil {
+		return err
 	}
-	text := Configuration(ts, js)
-	op := operator.New(c.Controls)
-	if err := wait.Within(ctx, configWait, func(ctx context.Context) error { return op.Put(ctx, 0, text) }); err != nil {
-		return out, explain(fmt.Errorf("the first configuration: %w", err), c)
+	err := wait.Within(ctx, configWait, func(ctx context.Context) error { return op.Put(ctx, 0, config) })
+	if err != nil {
+		return explain(fmt.Errorf("the first configuration: %w", err), r.cluster)
 	}
 	out.ConfigS = time.Since(began).Seconds()
-	if err := wait.Within(ctx, readyWait, c.AwaitReady); err != nil {
-		return out, explain(err, c)
+	if err := wait.Within(ctx, readyWait, r.cluster.AwaitReady); err != nil {
+		return explain(err, r.cluster)
 	}
 	out.ReadyS = time.Since(began).Seconds()
-	if o.certification != nil {
-		if err := o.certification.begin(ctx, r, op); err != nil {
-			return out, explain(err, c)
+	if r.options.certification != nil {
+		if err := r.options.certification.begin(ctx, r, op); err != nil {
+			return explain(err, r.cluster)
 		}
 	}
-	o.Logf("ready after %.1f s; %v of clients begin", out.ReadyS, o.Length)
+	return nil
+}
+
+// startEndpoints starts the model endpoints and then the plain ones, over the zones in turn.
+func (r *rig) startEndpoints() error {
+	models := engines
+	if r.options.certification != nil {
+		models = certificationEngines
+	}
+	for n := range models + plain {
+		service := gen
+		if n >= models {
+			service = web
+		}
+		zone := n % zones
+		if err := r.startEndpoint(service, r.cluster.EndpointAddress(zone, n/zones), zone); err != nil {
+			return err
+		}
+	}
+	return nil
+}
 
-	var wg sync.WaitGroup
-	var failed error
-	wg.Go(func() {
-		if o.certification != nil {
-			failed = o.certification.injectFaults(ctx, r, op)
+// run has clients send requests while faults are injected, and returns the error of the faults.
+func (r *rig) run(
+	ctx context.Context, op *operator.Operator, traffic []load.Traffic, jobs []load.Jobs, out *Account,
+) (failed error) {
+	var injecting sync.WaitGroup
+	injecting.Go(func() {
+		if r.options.certification != nil {
+			failed = r.options.certification.injectFaults(ctx, r, op)
 			return
 		}
 		failed = r.faults(ctx)
 	})
-	spoiling, stop := context.WithCancel(ctx)
-	if o.CorruptAnswers {
-		wg.Go(func() { r.corrupt(spoiling) })
+	corrupting, stop := context.WithCancel(ctx)
+	defer stop()
+	if r.options.CorruptAnswers {
+		injecting.Go(func() { r.corrupt(corrupting) })
 	}
-	asked := time.Now()
-	out.Account = load.Run(ctx, load.Options{Seed: o.Seed, Length: o.Length, Clients: 24, Zones: c.Zones(), Front: c.Front, Traffic: ts, Jobs: js,
-		Stride: stride, FinishBy: finishBy, VisibleWithin: visibleWithin, Cancel: cancelAfter, Runs: r.runs})
+	began := time.Now()
+	out.Account = load.Run(ctx, load.Options{
+		Seed:          r.options.Seed,
+		Length:        r.options.Length,
+		Clients:       clients,
+		Zones:         r.cluster.Zones(),
+		Front:         r.cluster.Front,
+		Traffic:       traffic,
+		Jobs:          jobs,
+		Stride:        stride,
+		FinishBy:      finishBy,
+		VisibleWithin: visibleWithin,
+		Cancel:        cancelAfter,
+		Runs:          r.runs,
+	})
 	stop()
-	wg.Wait()
-	out.Services = services(r.runs, asked, o.Length)
+	injecting.Wait()
+	out.Services = services(r.runs, began, r.options.Length)
+	return failed
+}
+
+// readBack reads the configuration at the end: "same" as the one that was sent, or what came instead.
+func readBack(ctx context.Context, op *operator.Operator, sent []byte) string {
 	var got []byte
-	err = wait.Within(ctx, configWait, func(ctx context.Context) (err error) { got, err = op.Config(ctx); return err })
+	err := wait.Within(ctx, configWait, func(ctx context.Context) (err error) {
+		got, err = op.Config(ctx)
+		return err
+	})
 	switch {
 	case err != nil:
-		out.ReadBack = err.Error()
-	case operator.Same(got, text):
-		out.ReadBack = "same"
-	default:
-		out.ReadBack = fmt.Sprintf("another one, of %d bytes", len(got))
-	}
-	if o.certification != nil {
-		o.certification.account(ctx, r)
+		return err.Error()
+	case operator.Same(got, sent):
+		return "same"
 	}
-	out.Ends = c.Ends()
-	return out, errors.Join(failed, ctx.Err())
+	return fmt.Sprintf("another one, of %d bytes", len(got))
 }
 
 // explain adds what the processes logged that ended by themselves.
