--- a/internal/proxy/forward/certified_test.go
+++ b/internal/proxy/forward/certified_test.go
@@ -208,9 +208,7 @@
 			g := newRig(t, c.route, all...)
 			b := g.certify("e1", "e3")
 			g.do(plainCall, "body")
-			for until := time.Now().Add(patience); len(b.summary()) != len(c.want) && time.Now().Before(until); {
-				time.Sleep(time.Millisecond)
-			}
+			eventually(t, patience, "all runs are recorded with their ends", func() bool { return len(b.summary()) == len(c.want) })
 			if got := b.summary(); got != c.want || len(e2.got()) != 0 {
 				t.Errorf("%q, want %q; %d calls where nobody is certified", got, c.want, len(e2.got()))
 			}
--- a/internal/proxy/forward/enumerate_test.go
+++ b/internal/proxy/forward/enumerate_test.go
@@ -114,13 +114,13 @@
 	}},
 	{"delay", func(c *net.TCPConn, answer, _ string, at int) bool {
 		write(c, answer[:at])
-		time.Sleep(100 * time.Microsecond)
+		time.Sleep(100 * time.Microsecond) // the fault itself: what comes after is read apart
 		return write(c, answer[at:])
 	}},
 	{"bytes behind", func(c *net.TCPConn, answer, _ string, at int) bool { return write(c, answer+answer[:at]) }},
 	{"late bytes behind", func(c *net.TCPConn, answer, _ string, at int) bool {
 		write(c, answer)
-		time.Sleep(100 * time.Microsecond)
+		time.Sleep(100 * time.Microsecond) // the fault itself: the answer has been read by then
 		return write(c, answer[:at])
 	}},
 	{"foreign part before", func(c *net.TCPConn, answer, foreign string, at int) bool {
--- a/internal/proxy/forward/forward_test.go
+++ b/internal/proxy/forward/forward_test.go
@@ -29,7 +29,17 @@
 	}
 }
 
-// call is a request as an endpoint got it.
+// eventually waits until a condition holds, so long at most.
+func eventually(t testing.TB, within time.Duration, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(within); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("not within %v: %s", within, what)
+		}
+	}
+}
+
+// call is a request as an endpoint received it.
 type call struct {
 	*http.Request
 	body string
--- a/internal/proxy/forward/prepare_test.go
+++ b/internal/proxy/forward/prepare_test.go
@@ -36,9 +36,7 @@
 			answers <- a
 		}()
 	}
-	for g.p.unprepared.Load() < clients { // each has been read and waits
-		time.Sleep(time.Millisecond)
-	}
+	eventually(t, patience, "all requests have been read and wait", func() bool { return g.p.unprepared.Load() >= clients })
 	holder.Set(&snapshot.Snapshot{Proxies: 1, EndpointsComplete: true}) // not enough
 	if n := g.p.unprepared.Load(); n != clients {
 		t.Errorf("%d of %d requests wait for a configuration", n, clients)
@@ -81,15 +79,9 @@
 	g, _ := unprepared(t)
 	c := g.dial()
 	must(t, c.send(plainCall+"|X-Dunetide-Time-Left-Ms: 60000", "b"))
-	for g.p.unprepared.Load() == 0 {
-		time.Sleep(time.Millisecond)
-	}
+	eventually(t, patience, "the request waits", func() bool { return g.p.unprepared.Load() > 0 })
 	must(t, c.Close())
-	for end := time.Now().Add(maxUnpreparedWait / 2); g.p.unprepared.Load() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("it still waits")
-		}
-	}
+	eventually(t, maxUnpreparedWait/2, "the request no longer waits", func() bool { return g.p.unprepared.Load() == 0 })
 }
 
 func TestUnpreparedWait(t *testing.T) {
