--- a/cmd/deliverynode/console_test.go
+++ b/cmd/deliverynode/console_test.go
@@ -111,7 +111,7 @@
 
 // The order holds from the yes, against what discovery says, over an upgrade, whichever
 // process is called, and over a restart; it may come twice, and one call back ends it.
-func TestMaintenance(t *testing.T) {
+func TestOrderOutlastsUpgradesAndRestarts(t *testing.T) {
 	u := newUpgrades(t)
 	first, console := u.begin()
 	u.ready(first, console)
@@ -167,7 +167,7 @@
 }
 
 // Callers who are stuck keep nobody waiting, however many they are.
-func TestStuckCallersKeepNobodyOut(t *testing.T) {
+func TestStuckConsoleCallersBlockNobody(t *testing.T) {
 	u := newUpgrades(t)
 	n, console := u.begin()
 	u.ready(n, console)
--- a/cmd/deliverynode/copies_test.go
+++ b/cmd/deliverynode/copies_test.go
@@ -167,7 +167,7 @@
 }
 
 // Without the flag there is nothing of it, whatever the fleet's file says.
-func TestNoCopies(t *testing.T) {
+func TestNothingOfReplicasWithoutTheFlag(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 3, 1, fleet.Copies{LeaseS: 2})
 	for _, n := range r.nodes {
--- a/cmd/deliverynode/fleet_test.go
+++ b/cmd/deliverynode/fleet_test.go
@@ -217,7 +217,7 @@
 }
 
 // Without -fleet there is nothing of it: no file, no address, no byte, no call of the console.
-func TestNoFleet(t *testing.T) {
+func TestNothingOfTheFleetWithoutTheFlag(t *testing.T) {
 	r := newFleet(t, 1, 1)
 	n := r.nodes[0]
 	n.flags = nil
@@ -304,7 +304,7 @@
 }
 
 // A node whose incarnation can't be written serves, and joins when it can.
-func TestNoRoomForTheIncarnation(t *testing.T) {
+func TestNodeServesWithoutDiskSpaceForItsIncarnation(t *testing.T) {
 	t.Parallel()
 	r := newFleet(t, 2, 2)
 	r.launch(0)
--- a/cmd/deliverynode/main_test.go
+++ b/cmd/deliverynode/main_test.go
@@ -272,7 +272,7 @@
 }
 
 // A message is taken, delivered once, and costs no notice.
-func TestDelivers(t *testing.T) {
+func TestMessageIsDeliveredOnceWithoutNotice(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
 	if resp := p.send("a", 5*time.Second); resp.StatusCode != http.StatusAccepted {
@@ -397,7 +397,7 @@
 
 // The watch comes again within 200 ms of an answer, or changes in between would
 // not count as told; and a silent agent must not stall it.
-func TestWatchGoesOn(t *testing.T) {
+func TestWatchIsRenewedInTime(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
 	p.eventually("watches", func() bool { return len(p.watches) >= 4 && len(p.answered) >= 3 })
@@ -505,7 +505,7 @@
 
 // A full hold turns away with a time to come again; a message that comes twice
 // under one id is taken once.
-func TestFullHoldTurnsAway(t *testing.T) {
+func TestFullNodeRejectsWithRetryAfter(t *testing.T) {
 	p := newPlatform(t)
 	p.answer = func(string) int { return 0 }
 	p.start()
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestEventsThatMeanNothing(t *testing.T) {
+func TestEventsWithoutMeaningAreErrors(t *testing.T) {
 	for name, events := range map[string][]wire.Event{
 		"no select":        {{Code: wire.CodeWakeup}},
 		"not running":      {{Code: wire.CodeSelect, Instance: 1}, {Code: wire.CodeWakeup}},
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -187,7 +187,7 @@
 
 // Whole lives over and over, in real time: joins, questions, news, kills, and a member that
 // leaves, for the race detector to see.
-func TestOverAndOver(t *testing.T) {
+func TestRepeatedJoinsMessagesAndKills(t *testing.T) {
 	w := newWorld(t, 3, 2)
 	serve := func(f *fleet.Fleet) {
 		f.OnAsk("q", func(_ context.Context, _ fleet.Peer, body []byte) ([]byte, error) { return body, nil })
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -2,7 +2,7 @@
 
 // In simulated time the runtime's own timers crash now and then under the race detector (a
 // ticker whose tick is due is run by whoever selects on it). What these tests play, it sees
-// in TestOverAndOver and in the real processes of cmd/deliverynode.
+// in TestRepeatedJoinsMessagesAndKills and in the real processes of cmd/deliverynode.
 
 package fleet_test
 
@@ -252,7 +252,7 @@
 }
 
 // Restarts, flapping and loss: never gone without a word, and whole when it ends.
-func TestFlapping(t *testing.T) {
+func TestFlappingLinksRemoveNobody(t *testing.T) {
 	for _, period := range []time.Duration{300 * time.Millisecond, 1100 * time.Millisecond, 5 * time.Second, 9 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -458,9 +458,9 @@
 	})
 }
 
-// TestTimeToKnow tells how long it takes until all know of a join, a leaving and a death, and what
+// TestTimeUntilAllKnowOfAChange tells how long it takes until all know of a join, a leaving and a death, and what
 // that costs. FLEET_NODES and FLEET_LOSS (shares, as 300 and 0.05) make it a measurement.
-func TestTimeToKnow(t *testing.T) {
+func TestTimeUntilAllKnowOfAChange(t *testing.T) {
 	n, loss, rounds := 8, 0.05, 3
 	if v, err := strconv.Atoi(os.Getenv("FLEET_NODES")); err == nil {
 		n, rounds = v, 5
--- a/internal/deliverynode/fleet/table_test.go
+++ b/internal/deliverynode/fleet/table_test.go
@@ -121,7 +121,7 @@
 	want(704, 3) // b is no current member any more; a itself has seen three of late
 }
 
-func TestNewsOfOneself(t *testing.T) {
+func TestRecordsOfTheNodeItself(t *testing.T) {
 	own := Record{Name: "a", Incarnation: 5, Start: 9, Address: "A"}
 	for _, c := range []struct {
 		what string
--- a/internal/deliverynode/group/core_test.go
+++ b/internal/deliverynode/group/core_test.go
@@ -281,7 +281,7 @@
 }
 
 // Members that keep in touch come to use all of the node, with each number of them.
-func TestAllIsSharedOut(t *testing.T) {
+func TestSharesAddUpToTheWholeNode(t *testing.T) {
 	for n := 1; n <= 3; n++ {
 		m := &machine{}
 		for range n {
@@ -348,7 +348,7 @@
 }
 
 // What is of another version, of an older epoch, or for somebody else is refused.
-func TestWhatIsRefused(t *testing.T) {
+func TestLeasesOfAnotherVersionEpochOrMemberAreRefused(t *testing.T) {
 	m := NewMember("a")
 	if err := m.Hear(0, Lease{Version: Version, Epoch: 5, Member: "a", Parts: 3, Until: time.Hour}); err != nil {
 		t.Fatal(err)
@@ -391,7 +391,7 @@
 
 // A coordinator that dies or is stopped costs nobody what it kept, and one that joins gets
 // nothing of it at once.
-func TestWhatIsKept(t *testing.T) {
+func TestMembersKeepTheirShareOverANewCoordinator(t *testing.T) {
 	m := &machine{}
 	m.start()
 	m.start()
@@ -427,7 +427,7 @@
 
 // What others were given meanwhile is not kept: neither where that is known, nor where the last
 // view is torn and it may be.
-func TestWhatIsNotKept(t *testing.T) {
+func TestShareGivenToOthersIsNotKept(t *testing.T) {
 	now, c := time.Duration(0), NewCoordinator(0, nil, 0, false)
 	leases := func(hello ...ID) map[ID]Lease {
 		t.Helper()
--- a/internal/deliverynode/group/group_test.go
+++ b/internal/deliverynode/group/group_test.go
@@ -183,7 +183,7 @@
 
 // All members die at once, their last view is torn, foreign files lie around: the next one
 // goes on above every epoch, and has all after one lease.
-func TestOneIsBackAfterAllDied(t *testing.T) {
+func TestGroupResumesAfterAllDied(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "group")
 	a := join(t, dir)
 	a.share(t, Whole)
--- a/internal/deliverynode/group/messages_test.go
+++ b/internal/deliverynode/group/messages_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestNewsReachAllOthers(t *testing.T) {
+func TestNotificationsReachAllOtherMembers(t *testing.T) {
 	dir := t.TempDir()
 	a, b, c := talk(t, dir, nil), talk(t, dir, nil), talk(t, dir, nil)
 	a.meets(t, 2)
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestAsking(t *testing.T) {
+func TestRequestsBetweenMembersAreAnswered(t *testing.T) {
 	dir := t.TempDir()
 	a, b := talk(t, dir, nil), talk(t, dir, func(c *Config) {
 		c.Hear = func(Message, bool) (any, error) { return nil, errors.New("not now") }
@@ -195,8 +195,8 @@
 	}
 }
 
-// TestGarbage: peers that say nothing, half a message, rubbish, or one of another version.
-func TestGarbage(t *testing.T) {
+// TestMalformedMessagesAreDropped: peers that say nothing, half a message, rubbish, or one of another version.
+func TestMalformedMessagesAreDropped(t *testing.T) {
 	dir := t.TempDir()
 	a, b := talk(t, dir, nil), talk(t, dir, nil)
 	path := a.dir.path(socketName + string(a.ID()))
@@ -219,8 +219,8 @@
 	}
 }
 
-// TestMet: who was there before is told of each that comes, after which it hears what is told.
-func TestMet(t *testing.T) {
+// TestNewMembersAreReported: who was there before is told of each that comes, after which it hears what is told.
+func TestNewMembersAreReported(t *testing.T) {
 	dir := t.TempDir()
 	var a *talker
 	met := make(chan struct{}, 10)
@@ -247,8 +247,8 @@
 func (lateContext) AfterFunc(func()) func() bool { return func() bool { return true } }
 func (lateContext) Value(any) any                { return nil }
 
-// TestLeavingEnds: what waits for others to ask is ended by the leaving itself.
-func TestLeavingEnds(t *testing.T) {
+// TestLeavingEndsPendingRequests: what waits for others to ask is ended by the leaving itself.
+func TestLeavingEndsPendingRequests(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	g, err := Join(Config{Dir: t.TempDir(), Clock: Clock, Log: slog.New(slog.DiscardHandler), Share: func(int, int) { cancel() }})
 	must(t, err)
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -413,7 +413,7 @@
 }
 
 // Copies of damaged segments make room for work, the oldest first.
-func TestCopiesMakeRoom(t *testing.T) {
+func TestSetAsideCopiesAreDroppedForSpace(t *testing.T) {
 	d := newDisk()
 	for range 3 {
 		j, _, err := openSmall(d, true)
--- a/internal/deliverynode/lease/fence_test.go
+++ b/internal/deliverynode/lease/fence_test.go
@@ -9,7 +9,7 @@
 
 // Whatever fails, and whether the power goes then: an act that passed keeps lower tokens out for
 // good, and the same token and later ones pass.
-func TestFence(t *testing.T) {
+func TestFenceRefusesLowerTokensThroughFailures(t *testing.T) {
 	for failAt := range 30 {
 		d := vfstest.New()
 		f, err := OpenFence(d, "fence")
--- a/internal/deliverynode/lease/note_test.go
+++ b/internal/deliverynode/lease/note_test.go
@@ -8,7 +8,7 @@
 
 // A note outlasts its lease, is its holder's alone to set, and of too many the oldest goes whose
 // name nobody holds.
-func TestNotes(t *testing.T) {
+func TestNoteOutlastsItsLease(t *testing.T) {
 	const maxNotes = 20
 	b := newStateMachine(0, time.Minute, maxNotes, nil)
 	b.applyLapses([]lapse{{blocked, 1, 0}})
@@ -59,7 +59,7 @@
 }
 
 // A node's next incarnation takes what an earlier one has only where it says that this one has ended.
-func TestSuccession(t *testing.T) {
+func TestNextIncarnationTakesOnlyWhatHasEnded(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		holder, asker      string
--- a/internal/deliverynode/node/calls_test.go
+++ b/internal/deliverynode/node/calls_test.go
@@ -238,7 +238,7 @@
 }
 
 // Every answer has its meaning, and one that makes no sense may have run.
-func TestAnswers(t *testing.T) {
+func TestEachAnswerHasItsOutcome(t *testing.T) {
 	const wait = "X-Backoff-Ms: 250\r\n"
 	for name, c := range map[string]struct {
 		answer string
--- a/internal/deliverynode/node/intake_test.go
+++ b/internal/deliverynode/node/intake_test.go
@@ -55,7 +55,7 @@
 
 // An id that was taken once is answered so and not taken again, also when its message
 // is over and in the next life of the node: a charge would run twice.
-func TestIDIsTakenOnce(t *testing.T) {
+func TestMessageIDIsAcceptedOnce(t *testing.T) {
 	dir := t.TempDir()
 	hand := func(in *intake, id string) int {
 		w := httptest.NewRecorder()
@@ -133,7 +133,7 @@
 
 // Who holds a connection without a request that comes in whole is let go within 3 s:
 // strangers must not fill the places of the clients.
-func TestStrangersAreLetGo(t *testing.T) {
+func TestConnectionsWithoutARequestAreClosed(t *testing.T) {
 	head := "POST /note HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nX-Priority-Class: note\r\n" +
 		"X-Timeout-Ms: 5000\r\nIdempotency-Key: k\r\nX-Route-To: dest=7\r\n"
 	for name, text := range map[string]string{
@@ -286,7 +286,7 @@
 
 // While two processes share the limits of one node, the new one keeps to what the old
 // one leaves.
-func TestFewerPlacesWhileAnotherProcessHasSome(t *testing.T) {
+func TestLimitsAreSharedWithTheProcessBefore(t *testing.T) {
 	c := newClients(4)
 	var conns []net.Conn
 	come := func() net.Conn {
--- a/internal/deliverynode/node/journal_test.go
+++ b/internal/deliverynode/node/journal_test.go
@@ -36,7 +36,7 @@
 
 // The list that a start begins with may be older than what the life before was told: an
 // endpoint that drained then must get nothing new.
-func TestTheNextLifeKnowsWhatDrains(t *testing.T) {
+func TestNextIncarnationKnowsDrainingEndpoints(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, journal.MinDisk)
 	l := &loop{names: names{kinds: map[string]int{"m": 0}, zones: map[string]int{"a": 0}}, log: quietLog(), journal: j,
--- a/internal/deliverynode/outbox/outbox_test.go
+++ b/internal/deliverynode/outbox/outbox_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestTheOldestMakesRoom(t *testing.T) {
+func TestPushDropsTheOldest(t *testing.T) {
 	q := New[int](2, 0)
 	for i, key := range []string{"a", "b", "a", "c"} {
 		q.Push(key, i, 0)
--- a/internal/deliverynode/replica/merge_test.go
+++ b/internal/deliverynode/replica/merge_test.go
@@ -95,7 +95,7 @@
 }
 
 // What a message has behind it, over the holders of its log.
-func TestPast(t *testing.T) {
+func TestPastCombinesTheTenuresOfAllLeaseHolders(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		tenures []Tenure
--- a/internal/deliverynode/replica/source_test.go
+++ b/internal/deliverynode/replica/source_test.go
@@ -104,7 +104,7 @@
 
 // A lease that ran out by its holder's clock alone comes back under the same token: versions go on, or a
 // copy would take what is new for what it has.
-func TestTheSameTokenAgain(t *testing.T) {
+func TestVersionsGoOnUnderARegainedToken(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
 	p.s.Begin(7, 0)
@@ -126,7 +126,7 @@
 }
 
 // A copy is caught up from wherever it was cut off, in batches, and gets no body twice.
-func TestCatchUpGoesOn(t *testing.T) {
+func TestCatchUpResumesWithoutResendingBodies(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
 	p.s.Begin(1, 0)
@@ -182,7 +182,7 @@
 
 // What is wrong in a copy, whatever it is, is found by the next comparison and is right after it. Until
 // then the copy does not count.
-func TestComparedAndMended(t *testing.T) {
+func TestDamagedReplicaIsRepairedByComparison(t *testing.T) {
 	for name, spoil := range map[string]func(p *pair, c *Copy){
 		"a message is missing": func(_ *pair, c *Copy) { must0(t, c.drop(40)) },
 		"one is there that is over": func(p *pair, c *Copy) {
@@ -277,7 +277,7 @@
 }
 
 // Of two holders of a log, a copy listens to the later one, on whatever way the earlier one's words come.
-func TestTheLaterHolderIsHeard(t *testing.T) {
+func TestReplicaFollowsTheLaterLeaseHolder(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
 	p.s.Begin(5, 0)
@@ -350,7 +350,7 @@
 
 // What is over is known to a copy for as long as its client may hand it in again, also in its next life,
 // whether or not it ever had the message.
-func TestWhatIsOverIsKnown(t *testing.T) {
+func TestReplicaRemembersEndedMessages(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
 	p.s.Begin(1, 0)
@@ -415,7 +415,7 @@
 }
 
 // Who should hold copies: spread over places, few of them moved by a change, each node with about its part.
-func TestRank(t *testing.T) {
+func TestReplicasAreSpreadOverLocalities(t *testing.T) {
 	var nodes []string
 	for i := range 60 {
 		nodes = append(nodes, fmt.Sprint("n", i))
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// TestWorth: full inside the aim, evenly less to the deadline, once for all tries, and only
+// TestValueFallsFromTheTargetToTheDeadline: full inside the aim, evenly less to the deadline, once for all tries, and only
 // where its client heard that it was taken on.
-func TestWorth(t *testing.T) {
+func TestValueFallsFromTheTargetToTheDeadline(t *testing.T) {
 	c := New(classes, 2, Goal{Whole: 1}, sec(20), []float64{4})
 	born := func(at float64, id, origin string, tenant int, worth float64) Record {
 		return Record{At: sec(at), What: Born, ID: id, Origin: origin, Tenant: tenant, Share: worth}
--- a/internal/lab/insim/insim_test.go
+++ b/internal/lab/insim/insim_test.go
@@ -57,8 +57,8 @@
 	return a, broken, h.Sum64()
 }
 
-// TestDaysKeepTheRules plays each kind of day with restarts, outages and drains.
-func TestDaysKeepTheRules(t *testing.T) {
+// TestScenariosKeepTheRules plays each kind of day with restarts, outages and drains.
+func TestScenariosKeepTheRules(t *testing.T) {
 	for _, name := range []string{"quiet", "roll", "herd", "lowered", "cold", "split", "troubles"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestAStorm hands all messages of a day in at one instant.
-func TestAStorm(t *testing.T) {
+// TestAllMessagesSubmittedAtOnce hands all messages of a day in at one instant.
+func TestAllMessagesSubmittedAtOnce(t *testing.T) {
 	d := day(t, "quiet", 1, nil)
 	for i := range d.Messages {
 		d.Messages[i].At = 5 * time.Second
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestAClockThatStandsStill is told, not hung on.
-func TestAClockThatStandsStill(t *testing.T) {
+// TestStalledClockIsReported is told, not hung on.
+func TestStalledClockIsReported(t *testing.T) {
 	s, err := newSim(day(t, "quiet", 1, nil), func(trace.Record) {})
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestStopping(t *testing.T) {
+func TestRunEndsWhenItIsStopped(t *testing.T) {
 	last := time.Duration(0)
 	err := Run(day(t, "quiet", 1, nil), func(r trace.Record) { last = r.At }, func(now time.Duration) bool { return now > 3*time.Second })
 	if err == nil || last > 3*time.Second {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -17,8 +17,8 @@
 	"dunetide/internal/lab/world"
 )
 
-// TestADoor is refused, silent and open in turn, as the kernel shows it to a node.
-func TestADoor(t *testing.T) {
+// TestListenerRefusesOrTimesOutOrAccepts is refused, silent and open in turn, as the kernel shows it to a node.
+func TestListenerRefusesOrTimesOutOrAccepts(t *testing.T) {
 	life, stop := context.WithCancel(context.Background())
 	r := &run{options: Options{Day: world.Draw(scenario.Default(), 1), Note: func(trace.Record) {}}, do: make(chan func(), 10), ended: make(chan struct{})}
 	d := &door{run: r}
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAnAccountOfEachTry(t *testing.T) {
+func TestEachAttemptIsAccountedFor(t *testing.T) {
 	k := New(limits)
 	for _, r := range []Record{born(1, "a", status), taken(1, "a"), call(1, "a", 1), end(1.1, "a", 1, 200, ""),
 		born(1, "b", status), {At: at(1.1), What: Turned, ID: "b", Status: 503},
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestTheLibraryIsSound(t *testing.T) {
+func TestAllScenarioFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../scenarios/*.toml")
 	fleets, err2 := filepath.Glob("../../../scenarios/fleet/*.toml")
 	if err != nil || err2 != nil || len(files) == 0 || len(fleets) == 0 {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestInTouch(t *testing.T) {
+func TestMachineHasContactAfterItsFaults(t *testing.T) {
 	now := time.Now()
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	line := &timeline{machines: map[string]machine{"a": {core: true}, "b": {core: true}, "c": {core: true}, "p": {}}}
--- a/internal/lab/wait/wait_test.go
+++ b/internal/lab/wait/wait_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestFor(t *testing.T) {
+func TestForEndsWithTheTimeOrTheContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	if !For(ctx, time.Millisecond) || !For(ctx, 0) || !For(ctx, -time.Second) {
 		t.Error("the time has not gone by")
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestWithin(t *testing.T) {
+func TestWithinEndsTheWorkWithAnError(t *testing.T) {
 	err := Within(t.Context(), time.Millisecond, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() })
 	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("it ended with %v", err)
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestADayIsItsSeed(t *testing.T) {
+func TestSeedDeterminesTheRun(t *testing.T) {
 	s := scenario.Default()
 	if a, b := Draw(s, 5), Draw(s, 5); !reflect.DeepEqual(a, b) {
 		t.Error("two days of one seed differ")
--- a/policy/coldreturn_test.go
+++ b/policy/coldreturn_test.go
@@ -213,7 +213,7 @@
 }
 
 // Where notes are lost, all who told of an outage would lead and try each fall window.
-func TestNobodyLeadsWithoutNotes(t *testing.T) {
+func TestTrialsWithoutNotesAreBounded(t *testing.T) {
 	b := with(t, toldSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	e.out, e.lead, e.troubled, b.s.now = true, true, b.now-10*time.Second, b.now
--- a/policy/fast_test.go
+++ b/policy/fast_test.go
@@ -51,7 +51,7 @@
 }
 
 // A path is not bound to one call a step.
-func TestManyCallsAStep(t *testing.T) {
+func TestSeveralCallsPerStep(t *testing.T) {
 	for _, rate := range []float64{100, 1000, 4500} {
 		if n := fastBench(t).passed(rate, 4*time.Second, 0); float64(n) < 0.97*4*rate {
 			t.Errorf("%d of %v a second for 4 s", n, rate)
@@ -78,7 +78,7 @@
 }
 
 // A full among many successes costs what it proves; where many are, the logs close.
-func TestALoneFull(t *testing.T) {
+func TestSingleRefusalAmongManySuccesses(t *testing.T) {
 	for _, rate := range []float64{300, 1000, 4000} {
 		if n := fastBench(t).passed(rate, 8*time.Second, 100); float64(n) < 0.95*8*rate {
 			t.Errorf("%d of %v a second for 8 s, with one refused in 100", n, rate)
--- a/policy/forget_test.go
+++ b/policy/forget_test.go
@@ -6,7 +6,7 @@
 )
 
 // Endpoints that come and go leave nothing behind, once nothing of them counts any more.
-func TestWhatIsGoneIsForgotten(t *testing.T) {
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	set := testSettings()
 	b := with(t, set, 0, 1, 10)
 	keep := set.Classes[0].Deadline
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -117,7 +117,7 @@
 
 // What one sender may send beyond an even part of the limit is room that others leave. It
 // grows while the answers tell of much room, and is given back while they tell of little.
-func TestBorrowedRoomIsGivenBack(t *testing.T) {
+func TestBorrowedCapacityIsReturned(t *testing.T) {
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 4
 	b := with(t, set, 0, 1, 4) // an even slice is 2 calls in 2 s
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -159,7 +159,7 @@
 
 // A call that was never sent, as its message was over or no slot was free, leaves the
 // room that it had taken to the next.
-func TestMootCallsUseNoRoom(t *testing.T) {
+func TestCallsNeverSentUseNoCapacity(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 1
@@ -566,7 +566,7 @@
 	}
 }
 
-func TestHoldKeepsRoom(t *testing.T) {
+func TestMessagesAreRefusedBeforeTheLimitIsReached(t *testing.T) {
 	set := testSettings()
 	set.MaxHeld = 20
 	b := with(t, set, 0, 1, 0)
--- a/policy/share_test.go
+++ b/policy/share_test.go
@@ -99,7 +99,7 @@
 
 // What a process kept over a time without a share it uses again at once, as far as it used it
 // before: what it only waited for it waits for anew.
-func TestShareThatWasKept(t *testing.T) {
+func TestRetainedShareIsUsedAtOnce(t *testing.T) {
 	b := shareBench(t)
 	b.step(Shared{Parts: 210, Whole: 840})
 	b.step(Shared{Parts: 840, Whole: 840})
@@ -126,7 +126,7 @@
 }
 
 // What another process of the node has seen binds this one, but for what it has seen since.
-func TestHearsay(t *testing.T) {
+func TestObservationsOfAnotherProcessCount(t *testing.T) {
 	b := shareBench(t)
 	e := b.s.endpoints[1]
 	if b.step(Hearsay{Endpoint: 9, News: Down, At: b.now}); e.out {
@@ -187,7 +187,7 @@
 }
 
 // Verdicts are told the others of a group, and to nobody where there is none.
-func TestVerdicts(t *testing.T) {
+func TestVerdictsGoToTheGroupOnly(t *testing.T) {
 	for _, group := range []bool{false, true} {
 		b := shareBench(t)
 		if group {
