--- a/internal/lab/tier/engine/engine.go
+++ b/internal/lab/tier/engine/engine.go
@@ -81,8 +81,15 @@
 	}
 	o.Address = l.Addr().String()
 	o.Stride, o.Piece = max(1, o.Stride), max(1, o.Piece)
-	life, end := context.WithCancel(context.Background())
-	e := &Endpoint{options: o, ctx: life, end: end, listener: newListener(l, o.MaxConns), batch: batch{options: o, cache: newCache()}, work: make(chan struct{}, 1)}
+	ctx, end := context.WithCancel(context.Background())
+	e := &Endpoint{
+		options:  o,
+		ctx:      ctx,
+		end:      end,
+		listener: newListener(l, o.MaxConns),
+		batch:    batch{options: o, cache: newCache()},
+		work:     make(chan struct{}, 1),
+	}
 	e.server = &http.Server{Handler: e, IdleTimeout: 10 * time.Second, ReadHeaderTimeout: 5 * time.Second}
 	e.wg.Go(func() { _ = e.server.Serve(e.listener) }) // it ends with Crash
 	if o.Work == 0 {
@@ -90,7 +97,7 @@
 	}
 	if o.Heartbeats.Controls != nil {
 		var beats context.Context
-		beats, e.mute = context.WithCancel(life)
+		beats, e.mute = context.WithCancel(ctx)
 		e.wg.Go(func() { e.sendHeartbeats(beats) })
 	}
 	return e, nil
@@ -203,8 +210,14 @@
 	if err != nil {
 		return // the caller went
 	}
-	run := Run{Request: r.Header.Get(HeaderRequest), Service: e.options.Service, Instance: e.options.ID, Arrived: time.Now(), URI: r.URL.RequestURI(),
-		Sum: Sum(r.Method, r.URL.RequestURI(), body)}
+	run := Run{
+		Request:  r.Header.Get(HeaderRequest),
+		Service:  e.options.Service,
+		Instance: e.options.ID,
+		Arrived:  time.Now(),
+		URI:      r.URL.RequestURI(),
+		Sum:      Sum(r.Method, r.URL.RequestURI(), body),
+	}
 	ctx := r.Context()
 	if ms, err := strconv.Atoi(r.Header.Get(HeaderTimeLeft)); err == nil {
 		var cancel context.CancelFunc
@@ -358,102 +371,154 @@
 	e.options.Runs.end(run, http.StatusOK, err == nil && f == Surplus)
 }
 
-// generate has the batch make a stream of events and passes them on.
+// stream is one request at a model endpoint, from its place in the batch to its end.
+type stream struct {
+	run   Run
+	job   *job
+	begun *Run // nil until the first token; guarded by Endpoint.mu, read freely once an event came or the job was dropped
+}
+
+// generate has the batch make a stream of events and sends them to the caller.
 func (e *Endpoint) generate(ctx context.Context, w http.ResponseWriter, r *http.Request, run Run) {
-	in, out, ok := tokens(r.Header.Get(HeaderTokens))
+	s, ok := e.newStream(r, run)
 	if !ok {
 		refuse(w, http.StatusBadRequest)
 		return
 	}
+	if !e.offer(s.job) {
+		e.options.Runs.reject(e.options.Service)
+		refuse(w, http.StatusServiceUnavailable)
+		return
+	}
+	defer e.drop(s.job)
+	if fault := e.fault(); fault != None {
+		e.sendCorrupt(ctx, w, s, fault)
+		return
+	}
+	e.sendEvents(ctx, w, s)
+}
+
+// newStream reads what a request asks for; false: its headers can't be understood.
+func (e *Endpoint) newStream(r *http.Request, run Run) (*stream, bool) {
+	in, out, ok := tokens(r.Header.Get(HeaderTokens))
+	if !ok {
+		return nil, false
+	}
 	if last, err := strconv.Atoi(r.Header.Get(HeaderLast)); err == nil {
 		run.From = last
 	}
-	j := &job{prompt: parts(r.Header.Get(HeaderModel), r.Header.Get(HeaderPrefix)), out: out, next: run.From + 1, count: Events(out, e.options.Stride)}
+	j := &job{
+		prompt: parts(r.Header.Get(HeaderModel), r.Header.Get(HeaderPrefix)),
+		out:    out,
+		next:   run.From + 1,
+		count:  Events(out, e.options.Stride),
+	}
 	if len(j.prompt) == 0 {
 		j.prompt = []part{{run.Request, in}}
 	}
 	j.events = make(chan int, max(1, j.count-run.From))
-	var begun *Run
-	j.begin = func() { begun = e.options.Runs.begin(run) } // under the lock, before the first event
+	s := &stream{run: run, job: j}
+	j.begin = func() { s.begun = e.options.Runs.begin(s.run) } // under the lock, before the first event
+	return s, true
+}
+
+// offer gives a job to the batch and wakes the loop; false: the endpoint is full.
+func (e *Endpoint) offer(j *job) bool {
 	e.mu.Lock()
-	taken := e.batch.offer(j)
+	accepted := e.batch.offer(j)
 	e.mu.Unlock()
-	if !taken {
-		e.options.Runs.reject(e.options.Service)
-		refuse(w, http.StatusServiceUnavailable)
-		return
+	if !accepted {
+		return false
 	}
 	select {
 	case e.work <- struct{}{}:
-	default:
-	}
-	defer func() {
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		e.batch.drop(j)
-	}()
-
-	fault := e.fault()
-	if fault != None {
-		defer func() { // the stream was made before it is spoilt
-			if begun != nil && ctx.Err() == nil && e.ctx.Err() == nil {
-				w.Header().Set(HeaderSeal, begun.Seal)
-				w.Header().Set("Content-Type", "text/event-stream")
-				var body strings.Builder
-				for n := run.From + 1; n <= j.count; n++ {
-					body.WriteString(frame(run.Request, n))
-				}
-				e.corrupt(w, begun, fault, []byte(body.String()))
-			}
-		}()
+	default: // the loop is to wake anyway
 	}
+	return true
+}
+
+// drop takes a job out of the batch. From then on it can't begin.
+func (e *Endpoint) drop(j *job) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.batch.drop(j)
+}
+
+// sendEvents sends the events as the batch makes them.
+func (e *Endpoint) sendEvents(ctx context.Context, w http.ResponseWriter, s *stream) {
 	flush := http.NewResponseController(w)
 	sent := false
 	for {
 		select {
-		case n, more := <-j.events:
-			if fault != None {
-				if !more {
-					return
-				}
-				continue
-			}
+		case n, more := <-s.job.events:
 			if !sent {
 				sent = true
-				w.Header().Set(HeaderSeal, begun.Seal)
+				w.Header().Set(HeaderSeal, s.begun.Seal)
 				w.Header().Set("Content-Type", "text/event-stream")
 			}
 			if !more {
-				e.options.Runs.end(begun, http.StatusOK, true)
+				e.options.Runs.end(s.begun, http.StatusOK, true)
 				return
 			}
-			_, err := io.WriteString(w, frame(run.Request, n))
+			_, err := io.WriteString(w, frame(s.run.Request, n))
 			if err == nil {
 				err = flush.Flush()
 			}
 			if err != nil {
-				e.options.Runs.end(begun, http.StatusOK, false)
+				e.options.Runs.end(s.begun, http.StatusOK, false)
 				panic(http.ErrAbortHandler)
 			}
 			continue
 		case <-ctx.Done():
 		case <-e.ctx.Done():
 		}
-		e.mu.Lock()
-		e.batch.drop(j) // from here on it can't begin
-		e.mu.Unlock()
-		switch {
-		case e.ctx.Err() != nil || sent:
-			if begun != nil {
-				e.options.Runs.end(begun, http.StatusOK, false)
+		e.abandon(ctx, w, s, sent)
+		return
+	}
+}
+
+// sendCorrupt waits until the stream was made, and then plays a fault instead of sending it.
+func (e *Endpoint) sendCorrupt(ctx context.Context, w http.ResponseWriter, s *stream, fault Fault) {
+	for {
+		select {
+		case _, more := <-s.job.events:
+			if more {
+				continue
 			}
-			panic(http.ErrAbortHandler)
-		case begun != nil:
-			e.expire(ctx, w, begun)
-		default:
-			refuse(w, http.StatusServiceUnavailable)
+		case <-ctx.Done():
+			e.abandon(ctx, w, s, false)
+			return
+		case <-e.ctx.Done():
+			e.abandon(ctx, w, s, false)
+			return
 		}
-		return
+		break
+	}
+	if s.begun == nil || ctx.Err() != nil || e.ctx.Err() != nil {
+		return // nobody is there any more
+	}
+	w.Header().Set(HeaderSeal, s.begun.Seal)
+	w.Header().Set("Content-Type", "text/event-stream")
+	var body strings.Builder
+	for n := s.run.From + 1; n <= s.job.count; n++ {
+		body.WriteString(frame(s.run.Request, n))
+	}
+	e.corrupt(w, s.begun, fault, []byte(body.String()))
+}
+
+// abandon ends a stream whose caller went, whose time is up, or whose endpoint crashes.
+func (e *Endpoint) abandon(ctx context.Context, w http.ResponseWriter, s *stream, sent bool) {
+	e.drop(s.job)
+	switch {
+	case e.ctx.Err() != nil || sent:
+		if s.begun != nil {
+			e.options.Runs.end(s.begun, http.StatusOK, false)
+		}
+		panic(http.ErrAbortHandler)
+	case s.begun != nil:
+		e.expire(ctx, w, s.begun)
+	default:
+		refuse(w, http.StatusServiceUnavailable)
 	}
 }
 
--- a/internal/lab/tier/engine/heartbeats.go
+++ b/internal/lab/tier/engine/heartbeats.go
@@ -48,7 +48,8 @@
 
 // register sends one heartbeat to the first node that takes it, and tells where the next one goes.
 func (e *Endpoint) register(ctx context.Context, client *http.Client, follow string) (string, error) {
-	return FirstToAccept(e.options.Heartbeats.Controls(), follow, func(addr string) (string, error) { return e.put(ctx, client, addr) })
+	put := func(addr string) (string, error) { return e.put(ctx, client, addr) }
+	return FirstToAccept(e.options.Heartbeats.Controls(), follow, put)
 }
 
 // FirstToAccept puts a heartbeat to the address that is followed, if any, and then to the others in turn, until one
@@ -144,8 +145,8 @@
 	return acked
 }
 
-// Depart ends it without saying that it drains: it says that it is gone to the first node that takes that, serves on for a while, and
-// ends. It tells when that was acknowledged; zero: never.
+// Depart ends it without saying that it drains: it says that it is gone to the first node that takes that, serves on
+// for a while, and ends. It tells when that was acknowledged; zero: never.
 func (e *Endpoint) Depart(ctx context.Context) (acked time.Time) {
 	e.mute()
 	client := &http.Client{Timeout: heartbeatWait, Transport: &http.Transport{}}
--- a/internal/lab/tier/load/client.go
+++ b/internal/lab/tier/load/client.go
@@ -211,39 +211,38 @@
 
 // readTimeout is how long a client waits for the next byte.
 func (r *request) readTimeout() time.Duration {
-	aim, gap := time.Duration(r.route.LatencyTargetMs)*time.Millisecond, time.Duration(r.route.EventGapTargetMs)*time.Millisecond
-	return max(2*time.Second, 4*aim, 8*gap)
+	target := time.Duration(r.route.LatencyTargetMs) * time.Millisecond
+	gap := time.Duration(r.route.EventGapTargetMs) * time.Millisecond
+	return max(2*time.Second, 4*target, 8*gap)
 }
 
+// attempt sends a request once, at first on an idle connection if there is one, and reads its answer.
 func (c *client) attempt(r *request, try uint64, deadline time.Time) (o outcome) {
-	var k *conn
-	if try == 0 {
-		k = c.takeIdle()
-	}
-	kept := k != nil
-	if k == nil {
-		ctx, cancel := context.WithDeadline(context.Background(), deadline)
-		defer cancel()
-		var err error
-		if k, err = dial(ctx, c.front, c.zone, c.hash+try); err != nil {
-			return outcome{unsent: true, err: err}
-		}
+	k, persistent, err := c.connect(try, deadline)
+	if err != nil {
+		return outcome{unsent: true, err: err}
+	}
+	s := &sent{
+		id:         fmt.Sprintf("%016x", r.ids.Uint64()),
+		sum:        engine.Sum(r.method, r.uri, r.body),
+		idempotent: r.route.Idempotent(),
+		front:      k.RemoteAddr().String(),
+		persistent: persistent,
+		events:     r.events,
 	}
-	s := &sent{id: fmt.Sprintf("%016x", r.ids.Uint64()), sum: engine.Sum(r.method, r.uri, r.body), idempotent: r.route.Idempotent()}
 	for _, share := range r.route.Shares {
 		s.services = append(s.services, share.Service)
 	}
-	s.front, s.persistent, s.events = k.RemoteAddr().String(), kept, r.events
 	c.ledger.send(s)
-	keep := false
-	leave := c.leaveLater(r, s, k)
+	reusable := false
+	stopLeaving := c.leaveLater(r, s, k)
 	defer func() {
-		leave()
+		stopLeaving()
 		c.ledger.mu.Lock()
 		o.left = !s.left.IsZero() && !o.whole
 		s.status, s.end = o.status, o.String()
 		c.ledger.mu.Unlock()
-		if keep {
+		if reusable {
 			c.putIdle(k)
 		} else {
 			_ = k.Close()
@@ -253,28 +252,67 @@
 	if _, err := k.Write(r.bytes(s.id, deadline)); err != nil {
 		return outcome{err: err} // it may have been read
 	}
-	wait := func() {
+	extend := func() {
 		if end := time.Now().Add(r.readTimeout()); r.events > 0 && end.Before(deadline) {
 			_ = k.SetReadDeadline(end)
 		}
 	}
-	wait()
-	if head, err := k.br.Peek(5); err != nil && len(head) == 0 {
+	extend()
+	resp, err := c.readHead(s, k)
+	if err != nil {
 		return outcome{err: err}
+	}
+	o = c.readBody(s, r, resp, extend)
+	if o.err != nil {
+		return o
+	}
+	if k.br.Buffered() > 0 {
+		c.ledger.violated(Mixed, s.id, "bytes behind the answer")
+		return o
+	}
+	reusable = !resp.Close
+	k.keepAlive(resp)
+	return o
+}
+
+// connect returns an idle connection for a first try, else a new one to the front that the number of the try chooses.
+func (c *client) connect(try uint64, deadline time.Time) (k *conn, persistent bool, err error) {
+	if try == 0 {
+		if k = c.takeIdle(); k != nil {
+			return k, true, nil
+		}
+	}
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	defer cancel()
+	k, err = dial(ctx, c.front, c.zone, c.hash+try)
+	return k, false, err
+}
+
+var errNoAnswer = errors.New("no answer")
+
+// readHead reads the head of an answer. Bytes that are no answer of HTTP are a violation.
+func (c *client) readHead(s *sent, k *conn) (*http.Response, error) {
+	if head, err := k.br.Peek(5); err != nil && len(head) == 0 {
+		return nil, err
 	} else if !strings.HasPrefix("HTTP/", string(head)) {
 		c.ledger.violated(Mixed, s.id, "bytes that are no answer: %q", head)
-		return outcome{err: errors.New("no answer")}
+		return nil, errNoAnswer
 	}
 	resp, err := http.ReadResponse(k.br, nil) //nolint:bodyclose // the connection is read on, or closed
 	if err != nil {
 		if !errors.Is(err, io.ErrUnexpectedEOF) && !isNet(err) {
 			c.ledger.violated(Mixed, s.id, "no answer of HTTP: %v", err)
 		}
-		return outcome{err: err}
+		return nil, err
 	}
+	return resp, nil
+}
+
+// readBody reads the rest of an answer and checks it. Before each read of a stream it calls extend.
+func (c *client) readBody(s *sent, r *request, resp *http.Response, extend func()) (o outcome) {
 	o.status = resp.StatusCode
-	if v, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		o.wait = time.Duration(v * float64(time.Second))
+	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
+		o.wait = time.Duration(seconds * float64(time.Second))
 	}
 	if id := resp.Header.Get(engine.HeaderRequest); id != "" && id != s.id {
 		c.ledger.violated(Mixed, s.id, "the answer is that of %s", id)
@@ -285,24 +323,22 @@
 	case r.events == 0:
 		o.err = c.plain(s, resp)
 	default:
-		o.err = c.events(s, r, resp, wait)
+		o.err = c.events(s, r, resp, extend)
 	}
 	o.whole = o.err == nil && o.status/100 == 2
-	if o.err != nil {
-		return o
-	}
-	if k.br.Buffered() > 0 {
-		c.ledger.violated(Mixed, s.id, "bytes behind the answer")
-		return o
+	return o
+}
+
+// keepAlive notes until when the node keeps the connection open, if an answer says so.
+func (k *conn) keepAlive(resp *http.Response) {
+	_, value, ok := strings.Cut(resp.Header.Get("Keep-Alive"), "timeout=")
+	if !ok {
+		return
 	}
-	keep = !resp.Close
-	if _, v, ok := strings.Cut(resp.Header.Get("Keep-Alive"), "timeout="); ok {
-		v, _, _ = strings.Cut(v, ",")
-		if seconds, err := strconv.Atoi(v); err == nil {
-			k.until = time.Now().Add(time.Duration(seconds)*time.Second - idleSlack)
-		}
+	value, _, _ = strings.Cut(value, ",")
+	if seconds, err := strconv.Atoi(value); err == nil {
+		k.until = time.Now().Add(time.Duration(seconds)*time.Second - idleSlack)
 	}
-	return o
 }
 
 // leaveLater closes the connection of a try when its client has had enough. What it returns ends that.
@@ -326,7 +362,8 @@
 
 func (r *request) bytes(id string, deadline time.Time) []byte {
 	var out bytes.Buffer
-	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n%s: %s\r\n%s: %d\r\n", r.method, r.uri, r.route.Host, len(r.body),
+	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n%s: %s\r\n%s: %d\r\n",
+		r.method, r.uri, r.route.Host, len(r.body),
 		engine.HeaderRequest, id, engine.HeaderTimeLeft, max(1, time.Until(deadline).Milliseconds()))
 	if r.last > 0 {
 		fmt.Fprintf(&out, "%s: %d\r\n", engine.HeaderLast, r.last)
--- a/internal/lab/tier/load/jobs.go
+++ b/internal/lab/tier/load/jobs.go
@@ -63,20 +63,39 @@
 }
 
 func newJob(o Options, b *ledger, js Jobs, rng *rand.Rand, n int) *job {
-	j := &job{options: o, ledger: b, route: js.Route, rng: rng, id: fmt.Sprintf("%016x", rng.Uint64()), items: map[string]*item{}, at: map[string]int{},
-		early: js.EndEvery > 0 && n%js.EndEvery == js.EndEvery-1}
+	j := &job{
+		options: o,
+		ledger:  b,
+		route:   js.Route,
+		rng:     rng,
+		id:      fmt.Sprintf("%016x", rng.Uint64()),
+		items:   map[string]*item{},
+		at:      map[string]int{},
+		early:   js.EndEvery > 0 && n%js.EndEvery == js.EndEvery-1,
+	}
 	var services []string
 	for _, s := range js.Route.Shares {
 		services = append(services, s.Service)
 	}
 	for range js.Items {
-		it := &item{ID: fmt.Sprintf("%016x", rng.Uint64()), Path: fmt.Sprintf("%s%x", js.Route.PathPrefix, rng.Uint32()), Headers: map[string]string{}, Body: bytesOf(rng, 100+rng.IntN(400))}
+		it := &item{
+			ID:      fmt.Sprintf("%016x", rng.Uint64()),
+			Path:    fmt.Sprintf("%s%x", js.Route.PathPrefix, rng.Uint32()),
+			Headers: map[string]string{},
+			Body:    bytesOf(rng, 100+rng.IntN(400)),
+		}
 		out := prompt(func(k, v string) { it.Headers[k] = v }, rng, js.In, js.Out, 4)
 		in, _, _ := cutTokens(it.Headers[engine.HeaderTokens])
 		it.Tokens, it.events = in+out, engine.Events(out, o.Stride)
 		j.items[it.ID] = it
 		j.order = append(j.order, it)
-		b.send(&sent{id: it.ID, sum: engine.Sum(http.MethodPost, it.Path, it.Body), idempotent: true, services: services, job: j})
+		b.send(&sent{
+			id:         it.ID,
+			sum:        engine.Sum(http.MethodPost, it.Path, it.Body),
+			idempotent: true,
+			services:   services,
+			job:        j,
+		})
 	}
 	b.jobs = append(b.jobs, j)
 	return j
@@ -88,7 +107,9 @@
 }
 
 // call makes one call on a new connection, at whichever node is met.
-func (j *job) call(ctx context.Context, wait time.Duration, method, uri string, body []byte, header ...string) (int, http.Header, []byte, error) {
+func (j *job) call(
+	ctx context.Context, wait time.Duration, method, uri string, body []byte, header ...string,
+) (status int, answer http.Header, text []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	c, err := dial(ctx, j.options.Front, j.options.Zones[j.rng.IntN(len(j.options.Zones))], j.rng.Uint64())
@@ -193,7 +214,9 @@
 // read asks for the results from a position on, and tells whether it was answered.
 func (j *job) read(ctx context.Context, from int) bool {
 	asked := time.Now()
-	status, _, body, err := j.call(ctx, longPoll+longPollSlack, http.MethodGet, fmt.Sprintf("/lots/%s?start_after=%d", j.id, from), nil, "X-Dunetide-Wait-Ms", strconv.Itoa(int(longPoll/time.Millisecond)))
+	uri := fmt.Sprintf("/lots/%s?start_after=%d", j.id, from)
+	status, _, body, err := j.call(ctx, longPoll+longPollSlack, http.MethodGet, uri, nil,
+		"X-Dunetide-Wait-Ms", strconv.Itoa(int(longPoll/time.Millisecond)))
 	j.ledger.count(j.route.Name, func(f *Figures) {
 		if err != nil {
 			f.Ends["read no answer"]++
@@ -201,7 +224,8 @@
 			f.Ends[fmt.Sprint("read ", status)]++
 		}
 	})
-	if err == nil && (status == http.StatusNotFound || status == http.StatusGone) && asked.Sub(j.accepted) > j.options.VisibleWithin {
+	unknown := err == nil && (status == http.StatusNotFound || status == http.StatusGone)
+	if unknown && asked.Sub(j.accepted) > j.options.VisibleWithin {
 		j.ledger.violated(Lost, j.id, "is answered %d %v after it was accepted", status, asked.Sub(j.accepted))
 		return true
 	}
@@ -236,7 +260,8 @@
 func (j *job) checkResult(position int, r result) {
 	if position < len(j.results) {
 		if j.results[position] != r {
-			j.ledger.violated(Twice, j.id, "position %d held %s (%s) and holds %s (%s)", position, j.results[position].ID, j.results[position].State, r.ID, r.State)
+			j.ledger.violated(Twice, j.id, "position %d held %s (%s) and holds %s (%s)",
+				position, j.results[position].ID, j.results[position].State, r.ID, r.State)
 		}
 		return
 	}
--- a/internal/lab/tier/load/ledger.go
+++ b/internal/lab/tier/load/ledger.go
@@ -85,7 +85,15 @@
 	all := make(map[string]Try, len(b.sent))
 	for id, s := range b.sent {
 		if s.job == nil {
-			all[id] = Try{ID: id, Front: s.front, Persistent: s.persistent, End: s.end, Left: s.left, Events: s.events, Idempotent: s.idempotent}
+			all[id] = Try{
+				ID:         id,
+				Front:      s.front,
+				Persistent: s.persistent,
+				End:        s.end,
+				Left:       s.left,
+				Events:     s.events,
+				Idempotent: s.idempotent,
+			}
 		}
 	}
 	return all
@@ -129,67 +137,89 @@
 // promises tells whether a status says that the request has not run and never will.
 func promises(status int) bool {
 	switch status {
-	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
+		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
 	}
 	return false
 }
 
-// check holds what was sent and answered against what ran.
+// check checks what was sent and answered against what ran, and returns all violations in the order of rules and ids.
 func (b *ledger) check(runs []engine.Run, cancel time.Duration) []Violation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := slices.Clone(b.violations)
-	broke := func(rule, id, form string, args ...any) {
-		out = append(out, Violation{rule, id, fmt.Sprintf(form, args...)})
+	violated := func(rule, id, format string, args ...any) {
+		out = append(out, Violation{rule, id, fmt.Sprintf(format, args...)})
 	}
-	count := map[string]int{}
-	seals := map[string]engine.Run{}
-	for _, r := range runs {
-		seals[r.Seal] = r
-		s := b.sent[r.Request]
-		if s == nil {
-			broke(Unasked, r.Request, "ran at %s and no client sent it", r.Instance)
+	count := map[string]int{}        // runs of a request
+	seals := map[string]engine.Run{} // runs by their seals
+	for _, run := range runs {
+		seals[run.Seal] = run
+		request := b.sent[run.Request]
+		if request == nil {
+			violated(Unasked, run.Request, "ran at %s and no client sent it", run.Instance)
 			continue
 		}
-		count[s.id]++
-		if r.Sum != s.sum {
-			broke(Unasked, s.id, "ran at %s with another method, path or body", r.Instance)
-		}
-		if !slices.Contains(s.services, r.Service) {
-			broke(Route, s.id, "ran at service %s, its route names %v", r.Service, s.services)
+		count[request.id]++
+		checkRun(run, request, violated)
+		if count[request.id] == 2 && !request.idempotent {
+			violated(Twice, request.id, "runs again at %s", run.Instance)
 		}
-		if r.From > 0 && !s.idempotent {
-			broke(Order, s.id, "may not be resumed and was asked for after event %d", r.From)
-		}
-		if count[s.id] == 2 && !s.idempotent {
-			broke(Twice, s.id, "runs again at %s", r.Instance)
-		}
-		if j := s.job; j != nil {
-			if !j.ended.IsZero() && r.Arrived.Sub(j.ended) > cancel {
-				broke(Unasked, s.id, "reached %s %v after the end of its job %s", r.Instance, r.Arrived.Sub(j.ended), j.id)
-			}
-			if j.never {
-				broke(Refused, s.id, "ran although every try at its job %s was refused", j.id)
-			}
+		if request.job != nil {
+			checkJobRun(run, request, cancel, violated)
 		}
 	}
-	for _, s := range b.sent {
-		if s.job == nil && !s.idempotent && promises(s.status) && count[s.id] > 0 {
-			broke(Refused, s.id, "was answered %d and ran", s.status)
-		}
-		if s.seal == "" {
-			continue
-		}
-		if !s.left.IsZero() && seals[s.seal].Request == s.id && seals[s.seal].Ended.IsZero() {
-			continue // its client has left, and it has no status yet
-		}
-		if r, ok := seals[s.seal]; !ok || r.Request != s.id || r.Status/100 != 2 {
-			broke(Mixed, s.id, "a success bears the stamp %q of %q, status %d", s.seal, r.Request, r.Status)
+	for _, request := range b.sent {
+		if request.job == nil && !request.idempotent && promises(request.status) && count[request.id] > 0 {
+			violated(Refused, request.id, "was answered %d and ran", request.status)
 		}
+		checkSeal(request, seals, violated)
 	}
 	slices.SortStableFunc(out, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.Rule, b.Rule), cmp.Compare(a.ID, b.ID))
 	})
 	return out
 }
+
+// violate notes a violation of a rule by a request, an item or a job.
+type violate func(rule, id, format string, args ...any)
+
+// checkRun checks one run against the request that it claims to be for.
+func checkRun(run engine.Run, request *sent, violated violate) {
+	if run.Sum != request.sum {
+		violated(Unasked, request.id, "ran at %s with another method, path or body", run.Instance)
+	}
+	if !slices.Contains(request.services, run.Service) {
+		violated(Route, request.id, "ran at service %s, its route names %v", run.Service, request.services)
+	}
+	if run.From > 0 && !request.idempotent {
+		violated(Order, request.id, "may not be resumed and was asked for after event %d", run.From)
+	}
+}
+
+// checkJobRun checks the run of an item: its job was accepted, and had not ended for longer than cancel.
+func checkJobRun(run engine.Run, request *sent, cancel time.Duration, violated violate) {
+	j := request.job
+	if !j.ended.IsZero() && run.Arrived.Sub(j.ended) > cancel {
+		violated(Unasked, request.id, "reached %s %v after the end of its job %s",
+			run.Instance, run.Arrived.Sub(j.ended), j.id)
+	}
+	if j.never {
+		violated(Refused, request.id, "ran although every try at its job %s was refused", j.id)
+	}
+}
+
+// checkSeal checks that an answer with success bears the seal of a run of this request that ended with success.
+func checkSeal(request *sent, seals map[string]engine.Run, violated violate) {
+	if request.seal == "" {
+		return
+	}
+	run, known := seals[request.seal]
+	if !request.left.IsZero() && run.Request == request.id && run.Ended.IsZero() {
+		return // its client has left, and it has no status yet
+	}
+	if !known || run.Request != request.id || run.Status/100 != 2 {
+		violated(Mixed, request.id, "a success bears the stamp %q of %q, status %d", request.seal, run.Request, run.Status)
+	}
+}
--- a/internal/lab/tier/load/load.go
+++ b/internal/lab/tier/load/load.go
@@ -71,7 +71,12 @@
 	began := time.Now()
 	clients := make([]*client, max(1, o.Clients))
 	for i := range clients {
-		clients[i] = &client{ledger: b, zone: o.Zones[i%len(o.Zones)], hash: world.Random(o.Seed, "client", uint64(i)).Uint64(), front: o.Front}
+		clients[i] = &client{
+			ledger: b,
+			zone:   o.Zones[i%len(o.Zones)],
+			hash:   world.Random(o.Seed, "client", uint64(i)).Uint64(),
+			front:  o.Front,
+		}
 		defer clients[i].close()
 	}
 	var wg sync.WaitGroup
@@ -136,8 +141,15 @@
 
 // draw makes a request.
 func draw(t Traffic, rng *rand.Rand, stride int) *request {
-	r := &request{route: t.Route, kind: t.Route.Name, method: http.MethodPost, ids: rng, header: http.Header{},
-		uri: fmt.Sprintf("%s%x?q=%x", t.Route.PathPrefix, rng.Uint32(), rng.Uint32N(100)), body: bytesOf(rng, 40+rng.IntN(200))}
+	r := &request{
+		route:  t.Route,
+		kind:   t.Route.Name,
+		method: http.MethodPost,
+		ids:    rng,
+		header: http.Header{},
+		uri:    fmt.Sprintf("%s%x?q=%x", t.Route.PathPrefix, rng.Uint32(), rng.Uint32N(100)),
+		body:   bytesOf(rng, 40+rng.IntN(200)),
+	}
 	if t.Route.Kind == operatorconfig.Streaming {
 		out := prompt(r.header.Set, rng, t.In, t.Out, t.Sessions)
 		r.events = engine.Events(out, stride)
@@ -151,7 +163,8 @@
 	session := rng.IntN(max(1, sessions))
 	set(engine.HeaderModel, "m")
 	set(engine.HeaderTokens, fmt.Sprintf("%d,%d", in, out))
-	set(engine.HeaderPrefix, fmt.Sprintf("%x:%d,%x:%d,%x:%d", 0xa0+session%4, in/3, 0xb000+session, in/3, rng.Uint32(), in-in/3*2))
+	set(engine.HeaderPrefix, fmt.Sprintf("%x:%d,%x:%d,%x:%d",
+		0xa0+session%4, in/3, 0xb000+session, in/3, rng.Uint32(), in-in/3*2))
 	return out
 }
 
