--- a/internal/control/keeper/attached_processes_test.go
+++ b/internal/control/keeper/attached_processes_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"dunetide/internal/consensus/quorum"
 	"dunetide/internal/control/controlclient"
 	"dunetide/internal/control/snapshot"
 	"dunetide/internal/platform/link"
@@ -45,6 +46,29 @@
 	}
 }
 
+// TestChangeOfContactIsPushed: a process is pushed that its keeper has lost contact with a majority, and that it is in
+// contact again, though nothing else has changed.
+func TestChangeOfContactIsPushed(t *testing.T) {
+	k := newIdleKeeper(t, "k1")
+	conns, far := dialSink(t, 1)
+	k.handleHello(&link.Message{Conn: conns[0], Body: encodeHello("p", controlclient.RoleProxy)})
+	check := func(inContact bool) {
+		t.Helper()
+		k.pushAll()
+		u, err := controlclient.ReadUpdate(receive(t, far.messages, "a push").Body)
+		if err != nil || u.InContact != inContact {
+			t.Errorf("pushed %+v, %v, and contact is %v", u, err, inContact)
+		}
+	}
+	confirmContact(t, k)
+	check(true)
+	k.contact = quorum.NewGate[*link.Conn]()
+	k.contact.Attach(conns[0])
+	check(false)
+	confirmContact(t, k)
+	check(true)
+}
+
 // TestNewAttachmentReplacesOlder: a process whose link broke attaches anew before this side knows that the old link has
 // ended.
 func TestNewAttachmentReplacesOlder(t *testing.T) {
--- a/internal/control/keeper/mutants_test.go
+++ b/internal/control/keeper/mutants_test.go
@@ -106,6 +106,6 @@
 	only := mutation.Requested(t, "KEEPER_MUTANTS")
 	mutation.Find(t, mutants, mutation.Options{Only: only,
 		Args: []string{"-run", "TestCallsWithoutContact/both|TestProcessesMove|TestHeartbeatTarget|TestContactLost|" +
-			"TestLeaseNeedsContact|TestDrainAtJustPartitionedKeeper|TestVoterAcks"},
+			"TestLeaseNeedsContact|TestDrainAtJustPartitionedKeeper|TestVoterAcks|TestChangeOfContactIsPushed"},
 		Env: []string{"KEEPER_MUTANTS="}, Within: 2 * time.Minute})
 }
