--- a/internal/deliverynode/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -13,20 +13,13 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// goldenCBOR tests the encoding of what goes over links and in gossip.
-func goldenCBOR[T any](t *testing.T, name string) {
-	t.Helper()
-	golden.Codec(t, name, func(v T) ([]byte, error) { return encoding.Marshal(v) },
-		func(text []byte, v *T) error { return decoding.Unmarshal(text, v) })
-}
-
 // Bytes of every message between nodes, written by an earlier version, mean the same and are written again.
 func TestGoldenMessages(t *testing.T) {
-	goldenCBOR[hello](t, "hello.cbor")
-	goldenCBOR[welcome](t, "welcome.cbor")
-	goldenCBOR[frame](t, "frame.cbor")
-	goldenCBOR[meta](t, "gossip-meta.cbor")
-	goldenCBOR[gossipRecords](t, "gossip-records.cbor")
+	golden.By[hello](t, "hello.cbor", encoding, decoding)
+	golden.By[welcome](t, "welcome.cbor", encoding, decoding)
+	golden.By[frame](t, "frame.cbor", encoding, decoding)
+	golden.By[meta](t, "gossip-meta.cbor", encoding, decoding)
+	golden.By[gossipRecords](t, "gossip-records.cbor", encoding, decoding)
 	golden.JSON[Status](t, "status.json")
 	golden.JSON[File](t, "fleet-file.json")
 }
--- a/internal/deliverynode/lease/golden_test.go
+++ b/internal/deliverynode/lease/golden_test.go
@@ -10,21 +10,14 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// goldenCBOR tests the encoding of a message between nodes, or of a part of a file.
-func goldenCBOR[T any](t *testing.T, name string) {
-	t.Helper()
-	golden.Codec(t, name, func(v T) ([]byte, error) { return encoding.Marshal(v) },
-		func(text []byte, v *T) error { return decoding.Unmarshal(text, v) })
-}
-
 // Bytes of every message, record and snapshot, written by an earlier version, mean the same and are written again.
 func TestGoldenMessagesAndSnapshots(t *testing.T) {
-	goldenCBOR[request](t, "ask.cbor")
-	goldenCBOR[answer](t, "answer.cbor")
-	goldenCBOR[message](t, "message.cbor")
-	goldenCBOR[command](t, "command.cbor")
-	goldenCBOR[record](t, "record.cbor")
-	goldenCBOR[machineState](t, "snapshot.cbor")
+	golden.By[request](t, "ask.cbor", encoding, decoding)
+	golden.By[answer](t, "answer.cbor", encoding, decoding)
+	golden.By[message](t, "message.cbor", encoding, decoding)
+	golden.By[command](t, "command.cbor", encoding, decoding)
+	golden.By[record](t, "record.cbor", encoding, decoding)
+	golden.By[machineState](t, "snapshot.cbor", encoding, decoding)
 	golden.JSON[Status](t, "status.json")
 }
 
--- a/internal/deliverynode/replica/golden_test.go
+++ b/internal/deliverynode/replica/golden_test.go
@@ -12,23 +12,16 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// goldenCBOR tests the encoding of a message between nodes, or of a part of a file.
-func goldenCBOR[T any](t *testing.T, name string) {
-	t.Helper()
-	golden.Codec(t, name, func(v T) ([]byte, error) { return encoding.Marshal(v) },
-		func(text []byte, v *T) error { return decoding.Unmarshal(text, v) })
-}
-
 // Bytes of every message between nodes, written by an earlier version, mean the same and are written again.
 func TestGoldenMessages(t *testing.T) {
-	goldenCBOR[Entry](t, "entry.cbor")
-	goldenCBOR[Batch](t, "batch.cbor")
-	goldenCBOR[Ack](t, "ack.cbor")
-	goldenCBOR[note](t, "note.cbor")
-	goldenCBOR[fetch](t, "fetch.cbor")
-	goldenCBOR[fetched](t, "fetched.cbor")
-	goldenCBOR[have](t, "have.cbor")
-	goldenCBOR[who](t, "who.cbor")
+	golden.By[Entry](t, "entry.cbor", encoding, decoding)
+	golden.By[Batch](t, "batch.cbor", encoding, decoding)
+	golden.By[Ack](t, "ack.cbor", encoding, decoding)
+	golden.By[note](t, "note.cbor", encoding, decoding)
+	golden.By[fetch](t, "fetch.cbor", encoding, decoding)
+	golden.By[fetched](t, "fetched.cbor", encoding, decoding)
+	golden.By[have](t, "have.cbor", encoding, decoding)
+	golden.By[who](t, "who.cbor", encoding, decoding)
 	golden.JSON[Status](t, "status.json")
 }
 
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -88,6 +88,23 @@
 	})
 }
 
+// Encoder encodes values by reflection; cbor.EncMode is one.
+type Encoder interface {
+	Marshal(v any) ([]byte, error)
+}
+
+// Decoder decodes what an Encoder has encoded; cbor.DecMode is one.
+type Decoder interface {
+	Unmarshal(text []byte, v any) error
+}
+
+// By tests the encoding of a type by an Encoder and a Decoder, as Codec does.
+func By[T any](t *testing.T, name string, encoder Encoder, decoder Decoder) {
+	t.Helper()
+	Codec(t, name, func(v T) ([]byte, error) { return encoder.Marshal(v) },
+		func(text []byte, v *T) error { return decoder.Unmarshal(text, v) })
+}
+
 // JSON tests the JSON encoding of a type by Codec, indented as the consoles show it.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
