--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -25,7 +25,7 @@
 	ruleEnded      = "ENDED" // a process ended by itself
 )
 
-// Bounds of the rules, and of what an account tells.
+// Bounds of the rules, and of what an account says.
 const (
 	// cancelBound is how long after its client has left a request may reach an endpoint or go on there.
 	cancelBound = 500 * time.Millisecond
--- a/internal/lab/soak/orders.go
+++ b/internal/lab/soak/orders.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// checkRead takes the answer to a checkRead in.
+// checkRead checks the answer to a read.
 func (o *orders) checkRead(keeper *cluster.Process, floor uint64, status int, text []byte) {
 	if status != http.StatusOK {
 		o.mu.Lock()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -174,7 +174,7 @@
 	traffic, batchJobs := tier.DefaultTraffic()
 	for i := range traffic {
 		traffic[i].Rate *= p.plan.Load
-		if traffic[i].Out > 0 { // streams of some seconds, so that troubles meet them
+		if traffic[i].Out > 0 { // streams of some seconds, so that faults meet them
 			traffic[i].Out *= longerStreams
 			traffic[i].Rate /= longerStreams / 2
 		}
--- a/internal/lab/tier/account.go
+++ b/internal/lab/tier/account.go
@@ -24,7 +24,7 @@
 	Ends     []string  `json:"ends"`      // processes that ended by themselves
 }
 
-// Service is what the endpoints of a service saw.
+// Service is what the endpoints of a service observed.
 type Service struct {
 	Name     string  `json:"name"`
 	Runs     int     `json:"runs"`
@@ -32,7 +32,7 @@
 	Busy     float64 `json:"busy"`   // part of the places that runs took, over the time in which clients asked
 }
 
-// services counts the runs of the time in which clients asked.
+// services counts the runs of the time in which clients sent requests.
 func services(runs *engine.Runs, from time.Time, length time.Duration) (out []Service) {
 	turned := runs.Rejected()
 	for _, name := range []string{gen, web} {
@@ -60,7 +60,7 @@
 	return out
 }
 
-// Failed tells whether a rule was broken or a process ended by itself.
+// Failed reports whether a rule was broken or a process ended by itself.
 func (a Account) Failed() bool {
 	return len(a.Violations) > 0 || len(a.Ends) > 0 || a.ReadBack != "same"
 }
--- a/internal/lab/tier/certification.go
+++ b/internal/lab/tier/certification.go
@@ -31,7 +31,7 @@
 	regime               = "night"
 	// onTheWay is how long after a check a request may still reach its endpoint on a busy machine.
 	onTheWay = 500 * time.Millisecond
-	// recordedIn is within which all is handed to the stores once clients have ended.
+	// recordedIn is within which all has reached the stores once clients have ended.
 	recordedIn = 5 * time.Second
 	putWait    = 10 * time.Second
 	// auditEvery is how often the audit logs are read until they are complete.
@@ -72,7 +72,7 @@
 	Repeated  []string    `json:"again"` // items that ran whole more than once
 }
 
-// PlayCertification plays a busy night with certified nodes.
+// PlayCertification plays the certification scenario.
 func PlayCertification(ctx context.Context, o Options) (CertificationAccount, error) {
 	n := &certificationRun{seed: o.Seed, certified: map[string]bool{}, withdrawn: map[string]time.Time{}}
 	o.certification, o.Faults = n, nil
@@ -85,6 +85,7 @@
 	return CertificationAccount{Account: a, Regulated: n.runs, Rows: n.rows, Copies: n.copies, Repeated: n.repeated}, err
 }
 
+// violated notes a violation.
 func (n *certificationRun) violated(rule, id, format string, args ...any) {
 	n.violations = append(n.violations, load.Violation{Rule: rule, ID: id, Detail: fmt.Sprintf(format, args...)})
 }
@@ -270,7 +271,7 @@
 	return ran
 }
 
-// auditProblems returns what is wrong with the audit logs of all stores, and where they don't say what ran.
+// auditProblems returns what is wrong with the audit logs of all stores, and where they lack what ran.
 func (n *certificationRun) auditProblems(r *rig, ran map[requestAt]int) (problems []string) {
 	problem := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	report := n.audit(r, problem)
--- a/internal/lab/tier/cluster/cluster.go
+++ b/internal/lab/tier/cluster/cluster.go
@@ -1,5 +1,6 @@
 // Package cluster runs a small serving tier of real processes on loopback addresses, one address a
-// machine, with settings as the platform writes them.
+// machine, with settings as the platform writes them. Packages tier, soak and hollow and tests of cmd/dunetide start
+// clusters; Close ends all processes that one has started. docs/tier-lab.md describes it.
 package cluster
 
 import (
@@ -84,7 +85,7 @@
 	misses            int
 }
 
-// expected tells whether the machine is one of the tier at present.
+// expected reports whether the machine is one of the tier at present.
 func (f *front) expected() bool { return f.proxy == nil || !f.proxy.absent() }
 
 // address is that of a machine of a zone: edges from 10 on, stores from 50 on, endpoints from 100 on. Each cluster
@@ -183,6 +184,7 @@
 	portEndpoint     = 30
 )
 
+// drawPorts chooses a first port at random until all ports of the machines are free.
 func (c *Cluster) drawPorts() error {
 	for range portTries {
 		c.port = 12000 + rand.IntN(400)*machinePort // below what the kernel draws
@@ -217,7 +219,7 @@
 	return fmt.Sprintf("%s:%d", c.address(zone, 100+n), c.port+portEndpoint)
 }
 
-// Controls are the addresses that take heartbeats and the operator's calls.
+// Controls are the addresses that accept heartbeats and the operator's calls.
 func (c *Cluster) Controls() (out []string) {
 	for _, p := range c.procs {
 		if p.Role == Keeper {
@@ -267,7 +269,7 @@
 	return nil
 }
 
-// watch asks an edge machine once a second whether it is ready.
+// watch polls once a second whether an edge machine is ready.
 func (c *Cluster) watch(f *front) {
 	client := &http.Client{Timeout: readyEvery, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -297,7 +299,7 @@
 	}
 }
 
-// Front is the front address that a connection of a client in a zone is handed to.
+// Front is the front address that the platform gives a new connection of a client in a zone to.
 func (c *Cluster) Front(zone string, hash uint64) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -367,7 +369,7 @@
 // Processes are all of them.
 func (c *Cluster) Processes() []*Process { return slices.Clone(c.procs) }
 
-// Ends tells of processes that ended by themselves, with the end of what they logged.
+// Ends names the processes that ended by themselves, with the end of what they logged.
 func (c *Cluster) Ends() (out []string) {
 	for _, p := range c.procs {
 		out = append(out, p.ends()...)
--- a/internal/lab/tier/cluster/process.go
+++ b/internal/lab/tier/cluster/process.go
@@ -50,6 +50,7 @@
 // String returns the role and the machine of the process.
 func (p *Process) String() string { return fmt.Sprintf("%s on %s", p.Role, p.Machine) }
 
+// at returns an address of the process by its port's offset.
 func (p *Process) at(port int) string { return fmt.Sprintf("%s:%d", p.ip, p.cluster.port+port) }
 
 func (p *Process) data() string { return filepath.Join(p.dir, "data") }
@@ -101,7 +102,7 @@
 
 func (p *Process) log() string { return filepath.Join(p.dir, "log") }
 
-// wait is told when a process has ended; one that did so by itself is started again.
+// wait waits for the end of a process; one that did so by itself is started again.
 func (p *Process) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -128,6 +129,7 @@
 	}
 }
 
+// tail returns the end of the log.
 func (p *Process) tail() []byte {
 	text, err := os.ReadFile(p.log())
 	if err != nil {
@@ -136,6 +138,7 @@
 	return bytes.TrimSpace(text[max(0, len(text)-tailBytes):])
 }
 
+// ends returns a text for each time that the process ended by itself.
 func (p *Process) ends() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,7 +185,7 @@
 // Kill ends it at once and waits for that; it stays down until Start.
 func (p *Process) Kill() error { return p.end(syscall.SIGKILL, 0) }
 
-// Term asks it to end, and ends it by force after the grace.
+// Term sends SIGTERM, and ends it by force after the grace.
 func (p *Process) Term() error { return p.end(syscall.SIGTERM, p.cluster.options.Grace) }
 
 // Remove is Term for the last time: its machine is taken out of the tier.
@@ -193,13 +196,14 @@
 	return p.Term()
 }
 
-// absent tells whether it is a spare that was not started yet, or was removed.
+// absent reports whether it is a spare that was not started yet, or was removed.
 func (p *Process) absent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.spare && !p.started || p.removed
 }
 
+// end sends a signal and waits for the end; after the grace, if there is one, it kills the process.
 func (p *Process) end(s syscall.Signal, grace time.Duration) error {
 	p.mu.Lock()
 	p.planned = true
@@ -249,7 +253,7 @@
 	_ = p.Term()                  // it may have ended
 }
 
-// Hangup says that the settings file has changed.
+// Hangup sends SIGHUP: the settings are read anew.
 func (p *Process) Hangup() error { return p.signal(syscall.SIGHUP) }
 
 // SettingsFile is where its settings stand.
@@ -264,7 +268,7 @@
 // Address is that of its machine.
 func (p *Process) Address() string { return p.ip }
 
-// HasDisk tells whether its machine has a disk.
+// HasDisk reports whether its machine has a disk.
 func (p *Process) HasDisk() bool { return p.disk }
 
 // Zone is that of its machine.
@@ -276,7 +280,7 @@
 // ReachedControl is where operators and endpoints reach a keeper.
 func (p *Process) ReachedControl() string { return p.reached(portControl) }
 
-// SecondTerm sends one more SIGTERM to a process that has been told to end.
+// SecondTerm sends one more SIGTERM to a process that is ending.
 func (p *Process) SecondTerm() error { return p.signal(syscall.SIGTERM) }
 
 // Rewrite writes its settings file anew, with the seeds in another order.
--- a/internal/lab/tier/cluster/relayed.go
+++ b/internal/lab/tier/cluster/relayed.go
@@ -121,7 +121,7 @@
 	return entry
 }
 
-// relayedEnvironment tells a process where it dials.
+// relayedEnvironment gives a process the address that it dials through.
 func (p *Process) relayedEnvironment() []string {
 	if p.cluster.hub == nil {
 		return nil
--- a/internal/lab/tier/engine/batch.go
+++ b/internal/lab/tier/engine/batch.go
@@ -30,7 +30,7 @@
 	return out
 }
 
-// cache keeps prompt parts; the least recently used give way.
+// cache keeps prompt parts; the least recently used are evicted.
 type cache struct {
 	tokens  int
 	entries map[string]*list.Element
@@ -39,7 +39,7 @@
 
 func newCache() *cache { return &cache{entries: map[string]*list.Element{}, order: list.New()} }
 
-// hit tells how many tokens of a prompt need no prefill, and marks their parts as used.
+// hit returns how many tokens of a prompt need no prefill, and marks their parts as used.
 func (c *cache) hit(prompt []part) (tokens int) {
 	for _, p := range prompt {
 		e := c.entries[p.key]
@@ -52,7 +52,7 @@
 	return tokens
 }
 
-// shrink drops parts until no more than this many tokens are kept.
+// shrink drops parts until no more than this many tokens are cached.
 func (c *cache) shrink(most int) {
 	for c.tokens > most && c.order.Len() > 0 {
 		p := c.order.Remove(c.order.Back()).(part)
@@ -61,6 +61,7 @@
 	}
 }
 
+// add caches the parts of a prompt, and evicts others down to so many tokens.
 func (c *cache) add(prompt []part, most int) {
 	for _, p := range slices.Backward(prompt) { // the first part is the newest: the others need it
 		if e := c.entries[p.key]; e != nil {
@@ -87,6 +88,7 @@
 	running  bool
 }
 
+// size returns the tokens of the prompt and of the output.
 func (j *job) size() int {
 	sum := j.out
 	for _, p := range j.prompt {
@@ -101,10 +103,10 @@
 	cache   *cache
 	waiting []*job
 	running []*job
-	used    int // tokens that can't give way
+	used    int // tokens that can't be evicted
 }
 
-// offer takes a job on, or says that the endpoint is full.
+// offer accepts a job, or reports that the endpoint is full.
 func (b *batch) offer(j *job) bool {
 	if len(b.waiting) >= b.options.Queue+max(0, b.options.Capacity-len(b.running)) || j.size() > b.options.CacheTokens {
 		return false
@@ -155,6 +157,7 @@
 	}
 }
 
+// emit makes the next event of a job; with the last one the job leaves the batch.
 func (b *batch) emit(j *job) {
 	if !j.begun {
 		j.begun = true
--- a/internal/lab/tier/engine/engine.go
+++ b/internal/lab/tier/engine/engine.go
@@ -1,5 +1,6 @@
 // Package engine is the lab's stand-in for the endpoints of a serving tier: model endpoints, which
-// work in batches, and plain ones. It is written from the platform's pages.
+// work in batches, and plain ones. It is written from the platform's pages. Each answer is computed
+// from the id of its request, so that clients can check it; Runs records every run. docs/tier-lab.md describes it.
 package engine
 
 import (
@@ -69,7 +70,7 @@
 	active     int             // plain requests that run
 	draining   bool
 	faults     []Fault
-	work       chan struct{} // tells that there is something to do
+	work       chan struct{} // wakes the loop
 	heartbeats uint64
 }
 
@@ -120,7 +121,7 @@
 	e.wg.Wait()
 }
 
-// Dark has it fall silent, or speak again: connections come up and nothing moves on them.
+// Dark has nothing move on its connections, or move again; new ones are still accepted.
 func (e *Endpoint) Dark(on bool) { e.listener.dark(on) }
 
 // Break has the next run that would be answered with success do something else.
@@ -130,6 +131,7 @@
 	e.faults = append(e.faults, f)
 }
 
+// fault returns the fault of the next run, and forgets it.
 func (e *Endpoint) fault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,23 +194,34 @@
 		refuse(w, http.StatusMisdirectedRequest)
 		return
 	}
+	if !e.serveControl(w, r, draining) {
+		e.serveRequest(w, r)
+	}
+}
+
+// serveControl answers health checks and reports, and refuses what is no request; false: it is a request.
+func (e *Endpoint) serveControl(w http.ResponseWriter, r *http.Request, draining bool) bool {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/health":
-		h.Set(HeaderInstance, e.options.ID)
+		w.Header().Set(HeaderInstance, e.options.ID)
 		if draining {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		return
 	case r.Method == http.MethodGet && r.URL.Path == "/report":
 		e.report(w)
-		return
 	case r.Header.Get(HeaderRequest) == "":
 		refuse(w, http.StatusBadRequest)
-		return
+	default:
+		return false
 	}
+	return true
+}
+
+// serveRequest runs a request of a client, within the time that its header leaves.
+func (e *Endpoint) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the caller went
+		return // the caller closed the connection
 	}
 	run := Run{
 		Request:  r.Header.Get(HeaderRequest),
@@ -231,15 +244,18 @@
 	e.generate(ctx, w, r, run)
 }
 
+// refuse answers that a request has not run and will not.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(HeaderNotRun, "1")
 	w.WriteHeader(status)
 }
 
+// counts returns how many requests run and wait. The caller holds mu.
 func (e *Endpoint) counts() (running, waiting int) {
 	return len(e.batch.running) + e.active, len(e.batch.waiting) + len(e.slots)
 }
 
+// report answers what the platform asks a model endpoint for.
 func (e *Endpoint) report(w http.ResponseWriter) {
 	e.mu.Lock()
 	running, waiting := e.counts()
@@ -247,7 +263,7 @@
 		"active": running, "cache_used": e.batch.used, "cache_total": e.options.CacheTokens, "handles": 0}
 	e.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(out) // the caller may have closed the connection
 }
 
 // plain works on a request for a while and answers with its body.
@@ -272,7 +288,7 @@
 	}
 }
 
-// expire ends a run whose caller went or whose time is up.
+// expire ends a run whose caller closed the connection or whose time is up.
 func (e *Endpoint) expire(ctx context.Context, w http.ResponseWriter, run *Run) {
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		e.options.Runs.end(run, 0, false)
@@ -316,12 +332,14 @@
 	return false
 }
 
+// release gives a slot of a plain endpoint back.
 func (e *Endpoint) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.next()
 }
 
+// next passes a slot to the request that waits longest, or frees it. The caller holds mu.
 func (e *Endpoint) next() {
 	if len(e.slots) == 0 {
 		e.active--
@@ -506,7 +524,7 @@
 	e.corrupt(w, s.begun, fault, []byte(body.String()))
 }
 
-// abandon ends a stream whose caller went, whose time is up, or whose endpoint crashes.
+// abandon ends a stream whose caller closed the connection, whose time is up, or whose endpoint crashes.
 func (e *Endpoint) abandon(ctx context.Context, w http.ResponseWriter, s *stream, sent bool) {
 	e.drop(s.job)
 	switch {
@@ -522,6 +540,7 @@
 	}
 }
 
+// frame returns event n as it stands in the stream.
 func frame(request string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", n, Event(request, n))
 }
@@ -529,6 +548,7 @@
 // Events is how many events a stream of so many tokens has.
 func Events(tokens, stride int) int { return (tokens + stride - 1) / max(1, stride) }
 
+// tokens reads a header of tokens, IN,OUT.
 func tokens(header string) (in, out int, ok bool) {
 	a, b, ok := strings.Cut(header, ",")
 	in, err1 := strconv.Atoi(strings.TrimSpace(a))
--- a/internal/lab/tier/engine/heartbeats.go
+++ b/internal/lab/tier/engine/heartbeats.go
@@ -13,9 +13,9 @@
 	"dunetide/internal/lab/wait"
 )
 
-// Heartbeats tells how an endpoint registers.
+// Heartbeats configures how an endpoint registers.
 type Heartbeats struct {
-	Controls func() []string // the addresses that take heartbeats; nil: it does not register
+	Controls func() []string // the addresses that accept heartbeats; nil: it does not register
 	Every    time.Duration
 	DrainFor time.Duration // it serves on for so long after draining was acknowledged
 }
@@ -37,7 +37,7 @@
 	defer tick.Stop()
 	follow := ""
 	for {
-		follow, _ = e.register(ctx, client, follow) // a beat that nobody took: the next one may be
+		follow, _ = e.register(ctx, client, follow) // a heartbeat that no node accepted: the next one may be
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -46,14 +46,14 @@
 	}
 }
 
-// register sends one heartbeat to the first node that takes it, and tells where the next one goes.
+// register sends one heartbeat to the first node that accepts it, and returns where the next one goes.
 func (e *Endpoint) register(ctx context.Context, client *http.Client, follow string) (string, error) {
 	put := func(addr string) (string, error) { return e.put(ctx, client, addr) }
 	return FirstToAccept(e.options.Heartbeats.Controls(), follow, put)
 }
 
 // FirstToAccept puts a heartbeat to the address that is followed, if any, and then to the others in turn, until one
-// takes it; it tells where the next one goes.
+// takes it; it returns where the next one goes.
 func FirstToAccept(addrs []string, follow string, put func(addr string) (follow string, err error)) (string, error) {
 	if follow != "" {
 		addrs = append([]string{follow}, addrs...)
@@ -107,6 +107,7 @@
 	return ack.NextAddr, nil
 }
 
+// call makes one call about an endpoint, and returns the body of its answer. Only a 2xx is no error.
 func call(ctx context.Context, client *http.Client, method, addr, id string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/instances/"+id, bytes.NewReader(body))
 	if err != nil {
@@ -130,8 +131,8 @@
 	return answer, nil
 }
 
-// Leave ends it as planned: it says that it drains, serves on for a while, says that it is gone, and
-// ends. It tells when draining was acknowledged; zero: never.
+// Leave ends it as planned: it reports that it drains, serves on for a while, deregisters, and
+// ends. It returns when draining was acknowledged; zero: never.
 func (e *Endpoint) Leave(ctx context.Context) (acked time.Time) {
 	e.mu.Lock()
 	e.draining = true
@@ -156,8 +157,8 @@
 	return acked
 }
 
-// Depart ends it without saying that it drains: it says that it is gone to the first node that takes that, serves on
-// for a while, and ends. It tells when that was acknowledged; zero: never.
+// Depart ends it without reporting that it drains: it deregisters at the first node that accepts that, serves on
+// for a while, and ends. It returns when that was acknowledged; zero: never.
 func (e *Endpoint) Depart(ctx context.Context) (acked time.Time) {
 	e.mute()
 	client := &http.Client{Timeout: heartbeatWait, Transport: &http.Transport{}}
--- a/internal/lab/tier/engine/listener.go
+++ b/internal/lab/tier/engine/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// listener takes a bounded number of connections and may fall silent with all of them.
+// listener takes a bounded number of connections and may stop moving bytes on all of them.
 type listener struct {
 	net.Listener
 	limit int
@@ -21,6 +21,7 @@
 	return out
 }
 
+// dark stops all reads and writes on the connections, or has them go on.
 func (l *listener) dark(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,6 +29,7 @@
 	l.cond.Broadcast()
 }
 
+// wait waits until the listener is not dark.
 func (l *listener) wait() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/tier/engine/runs.go
+++ b/internal/lab/tier/engine/runs.go
@@ -32,9 +32,9 @@
 	Service  string
 	Instance string
 	Seal     string
-	Sum      string // of what was asked, by Sum
+	Sum      string // of the request, by Sum
 	URI      string // path with query
-	From     int    // the Last-Event-Id it was asked with
+	From     int    // the Last-Event-Id of the request
 	Arrived  time.Time
 	Began    time.Time
 	Ended    time.Time // zero while it runs
@@ -42,7 +42,7 @@
 	Whole    bool // the whole answer was written
 }
 
-// Sum is a digest of what a request asks: method, path with query, and body.
+// Sum is a digest of a request: method, path with query, and body.
 func Sum(method, uri string, body []byte) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s %s\n", method, uri)
@@ -81,7 +81,7 @@
 	rejected map[string]int
 }
 
-// reject counts a request that was turned away because the endpoint was full.
+// reject counts a request that was rejected because the endpoint was full.
 func (r *Runs) reject(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,13 +91,14 @@
 	r.rejected[service]++
 }
 
-// Rejected tells how many requests the endpoints of each service turned away.
+// Rejected returns how many requests the endpoints of each service rejected.
 func (r *Runs) Rejected() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.rejected)
 }
 
+// begin notes that a run begins, and gives it its seal.
 func (r *Runs) begin(run Run) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,6 +108,7 @@
 	return &run
 }
 
+// end notes that a run has ended.
 func (r *Runs) end(run *Run, status int, whole bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/tier/faults.go
+++ b/internal/lab/tier/faults.go
@@ -36,7 +36,7 @@
 // Faults names all of them.
 func Faults() []string { return slices.Sorted(maps.Keys(losses)) }
 
-// faults plays the faults that were asked for, spread over the play.
+// faults plays the faults that are named in the options, spread over the play.
 func (r *rig) faults(ctx context.Context) error {
 	began := time.Now()
 	for i, name := range r.options.Faults {
@@ -70,6 +70,7 @@
 	return p.Start()
 }
 
+// killAll kills all processes at once, and starts them again after a while.
 func (r *rig) killAll() error {
 	all := r.cluster.Processes()
 	for _, p := range all {
@@ -86,6 +87,7 @@
 	return nil
 }
 
+// freeze stops the threads of a process for frozenFor.
 func (r *rig) freeze(p *cluster.Process) error {
 	if err := p.Freeze(); err != nil {
 		return err
@@ -118,6 +120,7 @@
 	return err
 }
 
+// crash ends an engine without notice, and starts another in its place.
 func (r *rig) crash() error {
 	e := r.victim()
 	e.Crash()
@@ -133,6 +136,7 @@
 	return r.replace(e)
 }
 
+// dark has nothing move on an engine's connections for frozenFor.
 func (r *rig) dark() error {
 	e := r.victim()
 	e.Dark(true)
@@ -141,7 +145,7 @@
 	return nil
 }
 
-// corrupt has endpoints spoil answers, each in its turn.
+// corrupt has endpoints give corrupt answers, each in its turn.
 func (r *rig) corrupt(ctx context.Context) {
 	tick := time.NewTicker(corruptEvery)
 	defer tick.Stop()
--- a/internal/lab/tier/hollow/endpoint.go
+++ b/internal/lab/tier/hollow/endpoint.go
@@ -39,8 +39,8 @@
 	written    atomic.Int64
 	writes     atomic.Int64
 	heartbeats atomic.Int64
-	known      atomic.Int64 // that a keeper has taken a heartbeat of
-	missed     atomic.Int64 // heartbeats that no keeper took
+	known      atomic.Int64 // of which a keeper has accepted a heartbeat
+	missed     atomic.Int64 // heartbeats that no keeper accepted
 	wg         sync.WaitGroup
 	cancel     context.CancelFunc
 	all        []*endpoint
@@ -108,7 +108,7 @@
 	}
 }
 
-// register sends one heartbeat to the first keeper that takes it, and tells where the next one goes.
+// register sends one heartbeat to the first keeper that accepts it, and returns where the next one goes.
 func (f *endpoints) register(ctx context.Context, e *endpoint, follow string) (string, error) {
 	addrs := f.controls()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
@@ -164,7 +164,7 @@
 	return ack.NextAddr, nil
 }
 
-// drain says that one drains, and tells when that was acknowledged.
+// drain has one report that it drains, and returns when that was acknowledged.
 func (f *endpoints) drain(ctx context.Context, e *endpoint) (time.Time, error) {
 	e.mu.Lock()
 	e.draining = true
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -72,7 +72,7 @@
 	Load    string     // of the machine, before the first size
 }
 
-// Run measures each size with processes of its own. A size that failed is left out, and told in the error.
+// Run measures each size with processes of its own. A size that failed is left out, and named in the error.
 func Run(ctx context.Context, o Options) (Report, error) {
 	var out Report
 	out.Config = len(configuration(1, o.Tenants, o.Models))
@@ -134,36 +134,61 @@
 	if _, _, err := r.put(ctx); err != nil {
 		return nil, err
 	}
+	if err := r.startParticipants(ctx, size); err != nil {
+		return nil, err
+	}
+	defer r.close()
+	for _, phase := range []func(context.Context) error{r.quiet, r.changes, r.drains, r.loss} {
+		if err := phase(ctx); err != nil {
+			return nil, err
+		}
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+	}
+	return r.figures, ended(c)
+}
+
+// startParticipants starts the endpoints and then the proxies, and waits until all know all. On an error it ends what
+// it started.
+func (r *rig) startParticipants(ctx context.Context, size Size) (err error) {
+	defer func() {
+		if err != nil {
+			r.close()
+		}
+	}()
+	c, o := r.cluster, r.options
 	r.endpoints = startEndpoints(size.Endpoints, o.Models, o.HeartbeatInterval, c.Zones(), c.Controls)
-	defer r.endpoints.close()
 	if !await(ctx, maxConverge, func() bool { return r.endpoints.known.Load() == int64(size.Endpoints) }) {
-		return nil, errors.Join(ctx.Err(), errors.New("not all endpoints were taken by a keeper"), ended(c))
+		return errors.Join(ctx.Err(), errors.New("not all endpoints were taken by a keeper"), ended(c))
 	}
 	wait.For(ctx, calm)
 	before := heap()
 	began := time.Now()
 	r.proxies, err = startProxies(size.Proxies, c.Zones(), controlclient.SeedLinkAddrs(c.Seeds(), c.InternalFirst()))
 	if err != nil {
-		return nil, err
+		return err
 	}
-	defer r.proxies.close()
 	if !await(ctx, maxConverge, func() bool { return r.proxies.converged(size.Endpoints) }) {
-		return nil, errors.Join(ctx.Err(), errors.New("not all are attached twice with the whole list"), ended(c))
+		return errors.Join(ctx.Err(), errors.New("not all are attached twice with the whole list"), ended(c))
 	}
 	r.note("attached and listed after", "s", time.Since(began).Seconds())
 	wait.For(ctx, calm)
 	r.note("hollow proxy: heap", "KB", max(0, heap()-before)/1e3/float64(size.Proxies))
-	for _, phase := range []func(context.Context) error{r.quiet, r.changes, r.drains, r.loss} {
-		if err := phase(ctx); err != nil {
-			return nil, err
-		}
-		if ctx.Err() != nil {
-			return nil, ctx.Err()
-		}
+	return nil
+}
+
+// close ends the hollow proxies, and then the endpoints.
+func (r *rig) close() {
+	if r.proxies != nil {
+		r.proxies.close()
+	}
+	if r.endpoints != nil {
+		r.endpoints.close()
 	}
-	return r.figures, ended(c)
 }
 
+// ended returns an error if processes ended by themselves.
 func ended(c *cluster.Cluster) error {
 	if ends := c.Ends(); len(ends) > 0 {
 		return errors.New(strings.Join(ends, "\n"))
@@ -204,6 +229,7 @@
 	dataBytes      uint64
 }
 
+// read returns what all processes have used so far. Over half of the machine's memory in use is an error.
 func (r *rig) read() (reading, error) {
 	out := reading{at: time.Now(), roles: map[cluster.Role][]usage{}, disks: map[cluster.Role][]int64{}}
 	var total int64
@@ -233,7 +259,7 @@
 	return out, nil
 }
 
-// memory is the machine's, 0 where that isn't told.
+// memory is the machine's, 0 where it is unknown.
 func memory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -305,7 +331,7 @@
 	return nil
 }
 
-// put sends the next configuration, and tells how long its acknowledgement took.
+// put sends the next configuration, and returns how long its acknowledgement took.
 func (r *rig) put(ctx context.Context) (took time.Duration, acked time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxPut)
 	defer cancel()
@@ -326,7 +352,7 @@
 	}
 }
 
-// seen waits until all have seen something, and tells when each did; the last ones may be missing.
+// seen waits until all have seen something, and returns when each did; the last ones may be missing.
 func (f *proxies) seen(ctx context.Context, most time.Duration, is func(sighting) bool) (at []time.Time) {
 	t := time.NewTimer(most)
 	defer t.Stop()
@@ -449,7 +475,7 @@
 	})/n)
 }
 
-// drains has endpoints say that they drain.
+// drains has endpoints report that they drain.
 func (r *rig) drains(ctx context.Context) error {
 	var after []float64
 	missing := 0
@@ -508,6 +534,7 @@
 	return out.Error()
 }
 
+// rows returns the table of the figures: a head, then one row a figure.
 func (r Report) rows() (rows [][]string) {
 	head := []string{"figure", "unit"}
 	for _, s := range r.Sizes {
--- a/internal/lab/tier/hollow/proc.go
+++ b/internal/lab/tier/hollow/proc.go
@@ -21,6 +21,7 @@
 	writes  int64 // calls of write(2)
 }
 
+// sub returns what was used since an earlier reading. The memory is that of now.
 func (u usage) sub(v usage) usage {
 	return usage{u.cpu - v.cpu, u.rss, u.read - v.read, u.written - v.written, u.writes - v.writes}
 }
@@ -39,6 +40,7 @@
 	return parseUsage(stat, io)
 }
 
+// parseUsage reads the files stat and io of a process in /proc.
 func parseUsage(stat, io []byte) (u usage, err error) {
 	// The name of the program is in parentheses and may hold anything; the numbers begin behind it.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
--- a/internal/lab/tier/hollow/proxy.go
+++ b/internal/lab/tier/hollow/proxy.go
@@ -26,7 +26,7 @@
 	members *membership.Service
 	latest  snapshot.Latest
 	fleet   *proxies
-	// version and left are what was seen last, so that each is told once.
+	// version and left are what was observed last, so that each is reported once.
 	version uint64
 	left    string
 }
@@ -44,7 +44,7 @@
 // leaving is the endpoint whose end is looked for.
 type leaving struct{ service, id string }
 
-// sighting tells that one proxy has a configuration in force, or knows that an endpoint leaves.
+// sighting says that one proxy has a configuration in force, or knows that an endpoint leaves.
 type sighting struct {
 	at      time.Time
 	version uint64
@@ -99,6 +99,7 @@
 	return f, nil
 }
 
+// close ends all proxies and waits for their goroutines.
 func (f *proxies) close() {
 	f.cancel()
 	f.wg.Wait()
@@ -107,6 +108,7 @@
 	}
 }
 
+// keepers returns the keepers that membership knows.
 func (p *proxy) keepers() (nodes []controlclient.Node) {
 	for _, k := range p.members.Keepers() {
 		nodes = append(nodes, controlclient.Node{
@@ -144,7 +146,7 @@
 	}
 }
 
-// converged tells whether all are attached twice and know as many endpoints as there are.
+// converged reports whether all are attached twice and know as many endpoints as there are.
 func (f *proxies) converged(endpoints int) bool {
 	for _, p := range f.all {
 		s := p.latest.Get()
--- a/internal/lab/tier/load/client.go
+++ b/internal/lab/tier/load/client.go
@@ -24,9 +24,9 @@
 const (
 	dialWait = time.Second
 	maxTry   = 4
-	// peekFor is how long a kept connection is looked at for bytes that nobody asked for.
+	// peekFor is how long an idle connection is looked at for bytes that nobody asked for.
 	peekFor = 200 * time.Microsecond
-	// idleSlack is how long before the told end a client stops using a kept connection.
+	// idleSlack is how long before the announced end a client stops using an idle connection.
 	idleSlack = 500 * time.Millisecond
 )
 
@@ -64,8 +64,8 @@
 	return &conn{Conn: c, br: bufio.NewReader(c)}, nil
 }
 
-// takeIdle gives a kept connection that is still good.
-func (c *client) takeIdle() *conn {
+// popIdle returns an idle connection that is still good.
+func (c *client) popIdle() *conn {
 	for {
 		c.mu.Lock()
 		if len(c.idle) == 0 {
@@ -92,12 +92,14 @@
 	}
 }
 
+// putIdle keeps a connection for later requests.
 func (c *client) putIdle(k *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, k)
 }
 
+// close closes the idle connections.
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,6 +193,7 @@
 	})
 }
 
+// withinTarget reports whether a whole answer that ended now met the latency targets of its route.
 func (r *request) withinTarget(now time.Time) bool {
 	aim := time.Duration(r.route.LatencyTargetMs) * time.Millisecond
 	if r.events == 0 {
@@ -200,7 +203,7 @@
 	return r.first.Sub(r.born) <= aim && (gap == 0 || r.worstGap <= gap)
 }
 
-// again tells whether a client tries once more.
+// again reports whether a client tries once more.
 func (c *client) again(r *request, o outcome) bool {
 	switch o.status {
 	case 400, 401, 404, 413, 431:
@@ -222,17 +225,7 @@
 	if err != nil {
 		return outcome{unsent: true, err: err}
 	}
-	s := &sent{
-		id:         fmt.Sprintf("%016x", r.ids.Uint64()),
-		sum:        engine.Sum(r.method, r.uri, r.body),
-		idempotent: r.route.Idempotent(),
-		front:      k.RemoteAddr().String(),
-		persistent: persistent,
-		events:     r.events,
-	}
-	for _, share := range r.route.Shares {
-		s.services = append(s.services, share.Service)
-	}
+	s := r.newAttempt(k, persistent)
 	c.ledger.send(s)
 	reusable := false
 	stopLeaving := c.leaveLater(r, s, k)
@@ -271,14 +264,30 @@
 		return o
 	}
 	reusable = !resp.Close
-	k.keepAlive(resp)
+	k.noteIdleTimeout(resp)
 	return o
 }
 
+// newAttempt returns the record of one attempt, under a new id.
+func (r *request) newAttempt(k *conn, persistent bool) *sent {
+	s := &sent{
+		id:         fmt.Sprintf("%016x", r.ids.Uint64()),
+		sum:        engine.Sum(r.method, r.uri, r.body),
+		idempotent: r.route.Idempotent(),
+		front:      k.RemoteAddr().String(),
+		persistent: persistent,
+		events:     r.events,
+	}
+	for _, share := range r.route.Shares {
+		s.services = append(s.services, share.Service)
+	}
+	return s
+}
+
 // connect returns an idle connection for a first try, else a new one to the front that the number of the try chooses.
 func (c *client) connect(try uint64, deadline time.Time) (k *conn, persistent bool, err error) {
 	if try == 0 {
-		if k = c.takeIdle(); k != nil {
+		if k = c.popIdle(); k != nil {
 			return k, true, nil
 		}
 	}
@@ -329,8 +338,8 @@
 	return o
 }
 
-// keepAlive notes until when the node keeps the connection open, if an answer says so.
-func (k *conn) keepAlive(resp *http.Response) {
+// noteIdleTimeout notes until when the node keeps the connection open, if an answer says so.
+func (k *conn) noteIdleTimeout(resp *http.Response) {
 	_, value, ok := strings.Cut(resp.Header.Get("Keep-Alive"), "timeout=")
 	if !ok {
 		return
@@ -355,11 +364,13 @@
 	return func() { timer.Stop() }
 }
 
+// isNet reports whether a read failed for the connection, not for what was read.
 func isNet(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) || errors.Is(err, io.EOF)
 }
 
+// bytes returns one attempt at the request as it goes over the connection.
 func (r *request) bytes(id string, deadline time.Time) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n%s: %s\r\n%s: %d\r\n",
@@ -374,7 +385,7 @@
 	return out.Bytes()
 }
 
-// success keeps the stamp of an answer, to be held against the runs.
+// success keeps the stamp of an answer, to be checked against the runs.
 func (c *client) success(s *sent, resp *http.Response) {
 	c.ledger.mu.Lock()
 	s.seal = resp.Header.Get(engine.HeaderSeal)
@@ -387,6 +398,7 @@
 	}
 }
 
+// plain checks the answer of a plain endpoint.
 func (c *client) plain(s *sent, resp *http.Response) error {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -443,6 +455,7 @@
 	}
 }
 
+// sorted returns the figures by their kinds.
 func sorted(m map[string]*Figures) (out []Figures) {
 	for _, f := range m {
 		out = append(out, *f)
--- a/internal/lab/tier/load/jobs.go
+++ b/internal/lab/tier/load/jobs.go
@@ -24,7 +24,7 @@
 	largestGot    = 4 << 20
 )
 
-// item of a batch job, as it is handed in.
+// item of a batch job, as it is submitted.
 type item struct {
 	ID      string            `json:"id"`
 	Path    string            `json:"path"`
@@ -62,6 +62,7 @@
 	at       map[string]int
 }
 
+// newJob makes a job with random items, and notes them in the ledger.
 func newJob(o Options, b *ledger, js Jobs, rng *rand.Rand, n int) *job {
 	j := &job{
 		options: o,
@@ -101,12 +102,13 @@
 	return j
 }
 
+// cutTokens reads a header of tokens, IN,OUT.
 func cutTokens(s string) (in, out int, err error) {
 	_, err = fmt.Sscanf(s, "%d,%d", &in, &out)
 	return in, out, err
 }
 
-// call makes one call on a new connection, at whichever node is met.
+// call makes one call on a new connection, at whichever node the platform sends it to.
 func (j *job) call(
 	ctx context.Context, wait time.Duration, method, uri string, body []byte, header ...string,
 ) (status int, answer http.Header, text []byte, err error) {
@@ -137,7 +139,7 @@
 	return resp.StatusCode, resp.Header, got, err
 }
 
-// play hands the job in, reads it to its end or until it is to be over, and checks what it is told.
+// play hands the job in, reads it to its end or until it is to be over, and checks the answers.
 func (j *job) play(ctx context.Context, until time.Time) {
 	j.born = time.Now()
 	j.ledger.count(j.route.Name, func(f *Figures) { f.Requested += len(j.order) })
@@ -177,7 +179,7 @@
 	j.ledger.violated(Lost, j.id, "can't be read at the end")
 }
 
-// submit tries until the job is taken on.
+// submit sends the job until it is accepted or refused for good.
 func (j *job) submit(ctx context.Context) bool {
 	text, err := json.Marshal(map[string]any{"requests": j.order})
 	if err != nil {
@@ -211,7 +213,7 @@
 	}
 }
 
-// read asks for the results from a position on, and tells whether it was answered.
+// read asks for the results from a position on, and reports whether it was answered.
 func (j *job) read(ctx context.Context, from int) bool {
 	asked := time.Now()
 	uri := fmt.Sprintf("/lots/%s?start_after=%d", j.id, from)
@@ -358,6 +360,7 @@
 	Ended     bool    `json:"ended"`   // by its client
 }
 
+// sum returns what became of the job; whole are the items that ran whole.
 func (j *job) sum(whole map[string]bool) Job {
 	out := Job{ID: j.id, Items: len(j.order), AcceptedS: -1, Listed: len(j.results), Ended: !j.ended.IsZero()}
 	if !j.accepted.IsZero() {
--- a/internal/lab/tier/load/ledger.go
+++ b/internal/lab/tier/load/ledger.go
@@ -1,5 +1,5 @@
 // Package load is the lab's clients of a serving tier: streams, plain requests and batch jobs, with
-// an account of each and a checker of the rules.
+// an account of each and a checker of the rules. Packages tier and soak play it; docs/tier-lab.md lists the rules.
 package load
 
 import (
@@ -56,13 +56,13 @@
 	seal       string // of a success
 	job        *job   // of an item
 	front      string // the address that the try went to
-	persistent bool   // on a connection that was kept
+	persistent bool   // on a connection that was reused
 	left       time.Time
 	events     int    // of the whole stream
 	end        string // how the try ended
 }
 
-// Try is one request of a client as the client saw it.
+// Try is one request of a client as the client observed it.
 type Try struct {
 	ID         string    `json:"id"`
 	Front      string    `json:"front"` // the address that it went to
@@ -71,7 +71,7 @@
 	Left       time.Time `json:"left"`  // when its client closed the connection, having had enough; zero: it did not
 	// Events are those of the whole stream; 0: it is none.
 	Events int `json:"events"`
-	// Idempotent tells whether it may run more than once.
+	// Idempotent reports whether it may run more than once.
 	Idempotent bool `json:"idempotent"`
 }
 
@@ -99,7 +99,7 @@
 	return all
 }
 
-// ledger keeps what the clients did and saw.
+// ledger keeps what the clients sent and observed.
 type ledger struct {
 	mu         sync.Mutex
 	sent       map[string]*sent
@@ -111,18 +111,21 @@
 
 func newLedger() *ledger { return &ledger{sent: map[string]*sent{}, figures: map[string]*Figures{}} }
 
+// violated notes a violation.
 func (b *ledger) violated(rule, id, form string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.violations = append(b.violations, Violation{rule, id, fmt.Sprintf(form, args...)})
 }
 
+// send notes a request before it is sent.
 func (b *ledger) send(s *sent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent[s.id] = s
 }
 
+// count changes the figures of a kind of request.
 func (b *ledger) count(kind string, change func(*Figures)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -134,7 +137,7 @@
 	change(f)
 }
 
-// promises tells whether a status says that the request has not run and never will.
+// promises reports whether a status says that the request has not run and never will.
 func promises(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
--- a/internal/lab/tier/load/load.go
+++ b/internal/lab/tier/load/load.go
@@ -168,6 +168,7 @@
 	return out
 }
 
+// bytesOf returns n random bytes.
 func bytesOf(rng *rand.Rand, n int) []byte {
 	out := make([]byte, n)
 	for i := range out {
--- a/internal/lab/tier/operator/operator.go
+++ b/internal/lab/tier/operator/operator.go
@@ -1,4 +1,5 @@
-// Package operator is the lab's operator of a serving tier: it sends configurations and reads them back.
+// Package operator is the lab's operator of a serving tier: it sends configurations and reads them back,
+// as docs/control.md says. Packages tier, soak and hollow use it. An Operator is for one goroutine at a time.
 package operator
 
 import (
@@ -26,7 +27,7 @@
 type Operator struct {
 	Controls func() []string // their addresses
 	client   http.Client
-	next     int // the node that is asked next
+	next     int // the node that is called next
 }
 
 // Refusal is an answer that ends a call.
@@ -63,7 +64,7 @@
 	return o.call(ctx, http.MethodGet, "/config", nil)
 }
 
-// PutCertificates sends a document of certificates that builds on a version. It tells whether the node says that all
+// PutCertificates sends a document of certificates that builds on a version. It reports whether the node says that all
 // processes have it in force.
 func (o *Operator) PutCertificates(ctx context.Context, base uint64, document []byte) (inForce bool, err error) {
 	text, err := o.call(ctx, http.MethodPut, "/certificates", document, "If-Match", strconv.FormatUint(base, 10))
@@ -103,12 +104,14 @@
 	return said.State, nil
 }
 
-// Same tells whether two configurations say the same.
+// Same reports whether two configurations say the same.
 func Same(a, b []byte) bool {
 	var x, y any
 	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && reflect.DeepEqual(x, y)
 }
 
+// call repeats a call at the nodes in turn, with growing pauses, until one gives a clear answer or the context ends.
+// An answer that ends it otherwise is a Refusal.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, header ...string) ([]byte, error) {
 	last := errors.New("no control address")
 	others := 0
@@ -141,6 +144,7 @@
 	}
 }
 
+// once makes one call at the next node.
 func (o *Operator) once(ctx context.Context, method, path string, body []byte, header []string) (int, []byte, error) {
 	addrs := o.Controls()
 	o.next++
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -21,7 +21,7 @@
 	"dunetide/internal/lab/wait"
 )
 
-// ReplacementScenario is a day on which voters are replaced while another one is cut off in silence. Its times are
+// ReplacementScenario is a day on which voters are replaced while another one is cut off without a reset. Its times are
 // counted from when the tier is ready. Which machines are met is drawn by the seed of the play.
 type ReplacementScenario struct {
 	Machines      int           // with disks, and so voters
@@ -52,13 +52,13 @@
 	orderWait          = 30 * time.Second
 	jobEvery           = 2 * time.Second
 	jobItems           = 4
-	// jobsFinishBy bounds, from the end of the day, how long a job may still be handed in and read; most have ended
+	// jobsFinishBy bounds, from the end of the day, how long a job may still be submitted and read; most have ended
 	// long before.
 	jobsFinishBy = 30 * time.Second
 	readWait     = 20 * time.Second
 	// unrest is how long after an event of the day no time is calm: in_touch_ms.
 	unrest = 3 * time.Second
-	// A sync of the lab's own that takes longer than stalledSync is trouble with the disk, of which no tier is free.
+	// A sync of the lab's own that takes longer than stalledSync is a fault of the disk, of which no tier is free.
 	stalledSync = 300 * time.Millisecond
 	syncEvery   = 50 * time.Millisecond
 	// contactLost is what a keeper logs that has lost its contact with a majority.
@@ -132,7 +132,7 @@
 	return wait.Within(ctx, readyWait, d.cluster.AwaitReady)
 }
 
-// play plays the day: troubles, orders and jobs.
+// play plays the day: faults, orders and jobs.
 func (d *replacements) play(ctx context.Context, jobs load.Jobs, out *ReplacementAccount) error {
 	d.began = time.Now()
 	var failed [3]error
@@ -145,7 +145,7 @@
 	return errors.Join(failed[:]...)
 }
 
-// account takes down what became of all.
+// account writes down what became of all.
 func (d *replacements) account(ctx context.Context, out *ReplacementAccount) error {
 	slices.SortFunc(d.events, func(a, b ScenarioEvent) int { return cmp.Compare(a.At, b.At) })
 	out.Events = d.events
@@ -206,6 +206,7 @@
 	return int((d.options.Seed + uint64(n)) % uint64(d.day.Machines))
 }
 
+// cutKeeper returns the keeper that is cut off.
 func (d *replacements) cutKeeper() *cluster.Process {
 	_, keeper := d.machine(d.met(1))
 	return keeper
@@ -266,6 +267,7 @@
 	return errors.Join(failed[:]...)
 }
 
+// sleepUntil waits until a time of the scenario; false: the context has ended.
 func (d *replacements) sleepUntil(ctx context.Context, at time.Duration) bool {
 	return wait.For(ctx, at-time.Since(d.began))
 }
@@ -302,7 +304,7 @@
 	return json.Marshal(fields)
 }
 
-// jobs has clients hand in batch jobs throughout the day and read them.
+// jobs has clients submit batch jobs throughout the day and read them.
 func (d *replacements) jobs(ctx context.Context, jobs load.Jobs) load.Account {
 	jobs.Count, jobs.Items, jobs.EndEvery = int(d.day.Length/jobEvery), jobItems, 0
 	// Jobs begin in the first half of a length.
@@ -336,7 +338,7 @@
 	return "same"
 }
 
-// readJobs reads all jobs that were accepted, and tells which could not be read.
+// readJobs reads all jobs that were accepted, and returns which could not be read.
 func (d *replacements) readJobs(ctx context.Context, jobs []load.Job) (accepted int, unread []string) {
 	for _, job := range jobs {
 		if job.AcceptedS < 0 {
--- a/internal/lab/tier/replacements_account.go
+++ b/internal/lab/tier/replacements_account.go
@@ -57,7 +57,7 @@
 	return longest
 }
 
-// Failed tells whether anything acknowledged was lost, a rule was broken, a process ended by itself, or the cut was
+// Failed reports whether anything acknowledged was lost, a rule was broken, a process ended by itself, or the cut was
 // none.
 func (a ReplacementAccount) Failed() bool {
 	return !a.CutFelt || len(a.Violations) > 0 || len(a.Ends) > 0 || a.ReadBack != "same" || len(a.Unread) > 0
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -46,7 +46,7 @@
 	Seed           uint64
 	Length         time.Duration
 	Faults         []string                         // of Faults, in their order, spread over the play
-	CorruptAnswers bool                             // endpoints spoil an answer now and then
+	CorruptAnswers bool                             // endpoints give a corrupt answer now and then
 	Load           float64                          // over the usual rates; 0: 1
 	Logf           func(format string, args ...any) // what happens, as it happens
 
@@ -87,33 +87,8 @@
 
 // Configuration is what the operator sends: all the routes of the traffic.
 func Configuration(ts []load.Traffic, js []load.Jobs) []byte {
-	kinds := map[config.RouteKind]string{
-		config.ReadOnly:  "read_only",
-		config.Writes:    "writes",
-		config.Streaming: "streaming",
-		config.Bulk:      "bulk",
-	}
 	var routes []map[string]any
-	add := func(r *config.Route) {
-		out := map[string]any{
-			"name":       r.Name,
-			"host":       r.Host,
-			"path_start": r.PathPrefix,
-			"kind":       kinds[r.Kind],
-			"timeout_ms": r.TimeoutMs,
-			"target_ms":  r.LatencyTargetMs,
-			"priority":   r.Priority,
-			"service":    r.Shares[0].Service,
-			"tries":      r.MaxAttempts,
-		}
-		switch r.Kind {
-		case config.Streaming:
-			out["sticky"], out["resume"], out["gap_aim_ms"] = r.Sticky, r.Resumable, r.EventGapTargetMs
-		case config.Bulk:
-			out["sticky"], out["due_ms"], out["max_wait_s"], out["max_queued"] = r.Sticky, r.DueMs, r.MaxWaitMs/1000, 0
-		}
-		routes = append(routes, out)
-	}
+	add := func(r *config.Route) { routes = append(routes, routeFields(r)) }
 	for _, t := range ts {
 		add(t.Route)
 	}
@@ -144,6 +119,36 @@
 	return text
 }
 
+// routeKinds are the names of the kinds in a configuration.
+var routeKinds = map[config.RouteKind]string{
+	config.ReadOnly:  "read_only",
+	config.Writes:    "writes",
+	config.Streaming: "streaming",
+	config.Bulk:      "bulk",
+}
+
+// routeFields returns a route as it stands in a configuration.
+func routeFields(r *config.Route) map[string]any {
+	out := map[string]any{
+		"name":       r.Name,
+		"host":       r.Host,
+		"path_start": r.PathPrefix,
+		"kind":       routeKinds[r.Kind],
+		"timeout_ms": r.TimeoutMs,
+		"target_ms":  r.LatencyTargetMs,
+		"priority":   r.Priority,
+		"service":    r.Shares[0].Service,
+		"tries":      r.MaxAttempts,
+	}
+	switch r.Kind {
+	case config.Streaming:
+		out["sticky"], out["resume"], out["gap_aim_ms"] = r.Sticky, r.Resumable, r.EventGapTargetMs
+	case config.Bulk:
+		out["sticky"], out["due_ms"], out["max_wait_s"], out["max_queued"] = r.Sticky, r.DueMs, r.MaxWaitMs/1000, 0
+	}
+	return out
+}
+
 // EndpointOptions are those of the endpoints of a service of the default configuration.
 func EndpointOptions(service string) engine.Options {
 	o := engine.Options{Service: service, Capacity: 8, Queue: 8, MaxConns: 60}
@@ -166,6 +171,7 @@
 	all     map[*engine.Endpoint]bool
 }
 
+// newRig returns a rig without endpoints.
 func newRig(o Options, c *cluster.Cluster) *rig {
 	return &rig{options: o, cluster: c, runs: &engine.Runs{}, all: map[*engine.Endpoint]bool{}}
 }
@@ -187,6 +193,7 @@
 	return err
 }
 
+// close ends all endpoints.
 func (r *rig) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/tier/tiertest/proxy.go
+++ b/internal/lab/tier/tiertest/proxy.go
@@ -1,5 +1,5 @@
-// Package tiertest has a trivial tier for the lab's own tests: one handler that passes requests on and
-// runs batch jobs in memory, right or wrong as a test asks.
+// Package tiertest has a trivial tier for the lab's own tests: one handler that forwards requests and
+// runs batch jobs in memory, right or wrong as a test needs it.
 package tiertest
 
 import (
@@ -22,7 +22,7 @@
 	Message string `json:"message"`
 }
 
-// Proxy passes each request on to one endpoint. Paths under /bulk/ hand jobs in.
+// Proxy forwards each request to one endpoint. Paths under /bulk/ submit jobs.
 type Proxy struct {
 	Endpoint func(path string) (addr string) // for a path; empty: none is known
 
@@ -53,6 +53,7 @@
 	Body    []byte
 }
 
+// send forwards a request with a body to the endpoint of its path.
 func (p *Proxy) send(r *http.Request, body []byte) (*http.Response, error) {
 	url := "http://" + p.Endpoint(r.URL.Path) + r.URL.RequestURI()
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, url, bytes.NewReader(body))
@@ -64,6 +65,7 @@
 	return p.client.Do(out)
 }
 
+// drain forwards a request and drops its answer.
 func (p *Proxy) drain(r *http.Request, body []byte) {
 	if resp, err := p.send(r, body); err == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
@@ -118,6 +120,7 @@
 	p.answer(w, resp)
 }
 
+// answer sends an answer on as it comes, or as Rewrite makes it.
 func (p *Proxy) answer(w http.ResponseWriter, resp *http.Response) {
 	for k, v := range resp.Header {
 		w.Header()[k] = v
@@ -146,6 +149,7 @@
 	}
 }
 
+// submit accepts a job and runs it; a job that is known already is acknowledged again.
 func (p *Proxy) submit(w http.ResponseWriter, r *http.Request, body []byte) {
 	var asked struct{ Requests []item }
 	if err := json.Unmarshal(body, &asked); err != nil {
@@ -232,6 +236,6 @@
 		from, _ := strconv.Atoi(r.URL.Query().Get("start_after"))
 		listed = listed[min(from, len(listed)):]
 		answer := map[string]any{"total": len(l.items), "results": listed, "next_token": from + len(listed)}
-		_ = json.NewEncoder(w).Encode(answer) // the caller may have gone
+		_ = json.NewEncoder(w).Encode(answer) // the caller may have closed the connection
 	}
 }
