--- a/internal/lab/soak/mutants_test.go
+++ b/internal/lab/soak/mutants_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Each wrong program is found. This takes minutes, so it is asked for: SOAK_WRONG=1, or a part of a name.
+// TestMutantProgramsAreFound runs each mutant until it is found. This takes minutes, so it is asked for: SOAK_WRONG=1, or a part of a name.
 func TestMutantProgramsAreFound(t *testing.T) {
 	only := os.Getenv("SOAK_WRONG")
 	if only == "" {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -20,7 +20,7 @@
 	firstShort  = 3
 )
 
-func TestPlanIsDrawnAgain(t *testing.T) {
+func TestSameSeedGivesTheSamePlan(t *testing.T) {
 	kinds := map[Kind]bool{}
 	for seed := range uint64(200) {
 		p := RandomPlan(seed, time.Minute)
--- a/internal/lab/tier/cluster/cluster_test.go
+++ b/internal/lab/tier/cluster/cluster_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestClientsMeetWhoIsReadyInTheirZone(t *testing.T) {
+func TestClientsReachReadyMachinesOfTheirZone(t *testing.T) {
 	c := &Cluster{fronts: []*front{{zone: "a", addr: "a1", in: true}, {zone: "a", addr: "a2"}, {zone: "a", addr: "a3"}, {zone: "b", addr: "b1", in: true}}}
 	met := func() (out string) {
 		for h := range uint64(3) {
--- a/internal/lab/tier/cluster/relayed.go
+++ b/internal/lab/tier/cluster/relayed.go
@@ -38,7 +38,7 @@
 }
 
 // BuildRelayed builds the command as it is, but for the one line that dials links: it dials through the hub of a
-// cluster that is relayed. Further lines may be replaced, to build a program that does something wrong; their files
+// cluster that is relayed. Further lines may be replaced, to build a mutant; their files
 // count from the module's root. Nothing in the source folder is changed.
 func BuildRelayed(ctx context.Context, program string, further ...overlay.Replacement) error {
 	root, err := moduleRoot(ctx)
--- a/internal/lab/tier/engine/batch_test.go
+++ b/internal/lab/tier/engine/batch_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestBatchReadsAKeptPromptPartOnce(t *testing.T) {
+func TestCachedPromptPartIsPrefilledOnce(t *testing.T) {
 	b := batch{options: options(), cache: newCache()}
 	shared := part{"m/s", 90}
 	b.offer(newJob([]part{shared, {"m/s/1", 10}}, 1))
--- a/internal/lab/tier/engine/engine_test.go
+++ b/internal/lab/tier/engine/engine_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestWhatHasNotRunIsSaid(t *testing.T) {
+func TestRefusalsSayThatNothingRan(t *testing.T) {
 	o := options()
 	e := start(t, o)
 	for _, c := range []struct {
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestDarkSaysNothingUntilItIsLight(t *testing.T) {
+func TestDarkEndpointSendsNothingMeanwhile(t *testing.T) {
 	o := options()
 	o.Work = time.Millisecond
 	e := start(t, o)
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestConnectionsBeyondTheMostAreReset(t *testing.T) {
+func TestConnectionsBeyondTheLimitAreReset(t *testing.T) {
 	o := options()
 	o.MaxConns = 1
 	e := start(t, o)
@@ -234,7 +234,7 @@
 
 func (c *control) addr() string { return c.Listener.Addr().String() }
 
-func TestHeartbeatsFollowAndSayWhenTheyLeave(t *testing.T) {
+func TestHeartbeatsFollowRedirectionAndReportDraining(t *testing.T) {
 	second := newControl(t, "")
 	first := newControl(t, second.addr())
 	o := options()
--- a/internal/lab/tier/hollow/hollow_test.go
+++ b/internal/lab/tier/hollow/hollow_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestConfigurationsAreTaken(t *testing.T) {
+func TestConfigurationsAreAccepted(t *testing.T) {
 	c, err := operatorconfig.Parse(configuration(3, 230, 22))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/tier/load/load_test.go
+++ b/internal/lab/tier/load/load_test.go
@@ -84,7 +84,7 @@
 	return out
 }
 
-func TestAllIsServedThroughATrivialProxy(t *testing.T) {
+func TestCorrectProxyHasNoViolations(t *testing.T) {
 	runs := &engine.Runs{}
 	p := newProxy(t, runs)
 	o := options(p, runs)
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestEachWrongIsFound(t *testing.T) {
+func TestEachViolationIsFound(t *testing.T) {
 	stream, web := route("gen", "gen", operatorconfig.Streaming, false), route("web", "web", operatorconfig.Writes, false)
 	for _, c := range []struct {
 		name  string
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestEachWrongOfAJobIsFound(t *testing.T) {
+func TestEachViolationOfAJobIsFound(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		wrong func([]tiertest.Result) []tiertest.Result
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestAJobThatChangesOrGoesIsFound(t *testing.T) {
+func TestChangedOrLostJobIsFound(t *testing.T) {
 	o := Options{VisibleWithin: 0, Stride: stride}
 	b := newLedger()
 	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
@@ -286,7 +286,7 @@
 	}
 }
 
-func TestOnlyWhatMayRepeatIsTriedAgainAfterABreak(t *testing.T) {
+func TestOnlyIdempotentRequestsAreRetriedAfterABreak(t *testing.T) {
 	for _, c := range []struct {
 		route *operatorconfig.Route
 		tries int
@@ -355,7 +355,7 @@
 	}
 }
 
-func TestItemsAreWrittenAsThePagesSay(t *testing.T) {
+func TestItemsFollowTheDocumentedFormat(t *testing.T) {
 	j := newJob(Options{Stride: stride}, newLedger(), Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 1, In: 60, Out: 60}, world.Random(1, "test"), 0)
 	text, err := json.Marshal(j.order[0])
 	if err != nil {
--- a/internal/lab/tier/operator/operator_test.go
+++ b/internal/lab/tier/operator/operator_test.go
@@ -19,7 +19,7 @@
 
 func of(addrs ...string) func() []string { return func() []string { return addrs } }
 
-func TestACallGoesOnPastFailuresAndFollows(t *testing.T) {
+func TestCallRetriesAfterFailuresAndFollowsRedirections(t *testing.T) {
 	const config = `{"version":7}`
 	owner := node(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
--- a/internal/lab/tier/tier_test.go
+++ b/internal/lab/tier/tier_test.go
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestATrivialTierIsPlayedToItsEnd(t *testing.T) {
+func TestTrivialTierIsPlayedToItsEnd(t *testing.T) {
 	a, err := Play(t.Context(), Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 1, Length: 1500 * time.Millisecond, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/tier/tiertest/proxy.go
+++ b/internal/lab/tier/tiertest/proxy.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -140,7 +141,7 @@
 		n, err := resp.Body.Read(buf)
 		_, _ = w.Write(buf[:n])
 		_ = flush.Flush()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
