--- a/cmd/deliverynode/upgrade_test.go
+++ b/cmd/deliverynode/upgrade_test.go
@@ -163,9 +163,14 @@
 	u.eventually("the calls", func() bool { return u.calls["out"] == 1 && u.calls["before"] == 1 })
 	second, console2 := u.begin()
 	u.ready(second, console2)
-	if resp, err := http.Get("http://" + console + "/ops/readiness"); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("the old process still says that it takes clients: %v %v", resp, err)
-	}
+	u.eventually("the old process says that it takes no clients", func() bool {
+		resp, err := http.Get("http://" + console + "/ops/readiness")
+		if err != nil {
+			return false
+		}
+		_ = resp.Body.Close()
+		return resp.StatusCode == http.StatusServiceUnavailable
+	})
 	if status, closes := u.hand(a, "passed-on"); status != http.StatusAccepted || !closes {
 		t.Errorf("a kept connection: answered %d, closes %v", status, closes)
 	}
