--- a/internal/control/certification/certification_test.go
+++ b/internal/control/certification/certification_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestDocument plays the tables of testdata: parse, regime, certified, without.
+// TestDocument runs the commands of testdata/document: parse, regime, certified, without.
 func TestDocument(t *testing.T) {
 	var s *Set
 	datadriven.RunTest(t, "testdata/document", func(t *testing.T, d *datadriven.TestData) string {
@@ -56,7 +56,8 @@
 	})
 }
 
-// document certifies e1 and e2 for r, which route "a" demands, around noon.
+// document returns a document in which route "a" requires regime "r", with certificates of the endpoints for "r" from
+// one hour before noon to one hour after.
 func document(t testing.TB, version uint64, endpoints ...string) *Set {
 	t.Helper()
 	d := Document{Version: version, Routes: []Route{{"a", "r"}}}
@@ -89,41 +90,41 @@
 			t.Errorf("%s: %s at %s: regime %q, allowed %v", what, route, endpoint, r, got)
 		}
 	}
-	expect("nothing was ever put", "a", "e1", "", true)
+	expect("no document was put", "a", "e1", "", true)
 	g.Update(nil)
-	expect("nothing was ever put", "a", "e1", "", true)
+	expect("no document was put, after nil", "a", "e1", "", true)
 	g.Update(document(t, 5, "e1", "e2"))
-	expect("nobody has confirmed it", "a", "e1", "r", false)
-	expect("a route that demands nothing", "b", "e9", "", true)
+	expect("not confirmed yet", "a", "e1", "r", false)
+	expect("unregulated route", "b", "e9", "", true)
 	confirmed = now
 	expect("confirmed", "a", "e1", "r", true)
 	expect("another endpoint", "a", "e3", "r", false)
 	now = now.Add(2 * time.Second)
-	expect("confirmed a moment ago", "a", "e1", "r", true)
+	expect("confirmed within the TTL", "a", "e1", "r", true)
 	now = now.Add(time.Millisecond)
-	expect("confirmed too long ago", "a", "e1", "r", false)
-	expect("a route that demands nothing, unconfirmed", "b", "e9", "", true)
+	expect("confirmation expired", "a", "e1", "r", false)
+	expect("unregulated route, confirmation expired", "b", "e9", "", true)
 	confirmed = now
 	expect("confirmed again", "a", "e1", "r", true)
 	g.Update(document(t, 4, "e1", "e3"))
-	expect("an older version came", "a", "e3", "r", false)
+	expect("older version received", "a", "e3", "r", false)
 	g.Update(document(t, 6, "e2"))
 	expect("withdrawn", "a", "e1", "r", false)
 	expect("not withdrawn", "a", "e2", "r", true)
 	g.Update(document(t, 5, "e1", "e2"))
-	expect("the version before came late", "a", "e1", "r", false)
+	expect("previous version received late", "a", "e1", "r", false)
 	now = noon.Add(time.Hour - ClockMargin)
 	confirmed = now
-	expect("expired but for the margin", "a", "e2", "r", false)
+	expect("within the clock margin of expiry", "a", "e2", "r", false)
 }
 
-func TestNoGateMeansNothingIsRegulated(t *testing.T) {
+func TestNilGateRegulatesNothing(t *testing.T) {
 	var g *Gate
 	if g.Current() != nil || g.Current().Regime("a") != "" {
-		t.Error("something is regulated")
+		t.Error("route a is regulated without a gate")
 	}
 	if g.Current().Certified("e", "r", noon) {
-		t.Error("nobody said that e is certified")
+		t.Error("endpoint e is certified without a gate")
 	}
 }
 
@@ -137,7 +138,7 @@
 	}
 }
 
-// The check of a request, off and on.
+// BenchmarkGate measures the check of a request without certificates and with 400 of them.
 func BenchmarkGate(b *testing.B) {
 	run := func(name string, g *Gate) {
 		b.Run(name, func(b *testing.B) {
@@ -163,7 +164,7 @@
 	run("on", on)
 }
 
-func TestProblemsOfAnInvalidDocumentAreListedUpToABound(t *testing.T) {
+func TestListedProblemsAreBounded(t *testing.T) {
 	_, err := Parse([]byte(`{"version":1,"routes":[` + strings.Repeat(`{"name":"","regime":""},`, 20) + `{"name":"a","regime":"b"}]}`))
 	if err == nil || strings.Count(err.Error(), "\n") != maxProblems || !strings.Contains(err.Error(), "more") {
 		t.Errorf("%v", err)
--- a/internal/control/certification/counts.go
+++ b/internal/control/certification/counts.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Counts of the regulated work of one regime, since the process started.
+// Counts are counters of the regulated requests of one regime since the process started.
 type Counts struct {
-	Runs      uint64 // sent to an endpoint
-	Refused   uint64 // interactive requests for which no certified endpoint was free in time
-	Waited    uint64 // turns of batch items that waited for a certified endpoint
-	Abandoned uint64 // such turns that ended without one: the item was abandoned, or taken back
-	Stopped   uint64 // grants that weren't used, as the certificate had ended before the request was sent
+	Runs      uint64 // requests and batch items sent to an endpoint
+	Refused   uint64 // interactive requests refused because no certified endpoint was free in time
+	Waited    uint64 // dispatch attempts of batch items that waited for a certified endpoint
+	Abandoned uint64 // such attempts that ended without an endpoint: the item was abandoned or withdrawn
+	Stopped   uint64 // grants not used because the certificate was no longer valid when the request was to be sent
 }
 
-// RegimeCounts are a regime and its counts.
+// RegimeCounts are the counts of a regime.
 type RegimeCounts struct {
 	Regime string
 	Counts
 }
 
-// Count changes the counts of a regime.
+// Count updates the counts of a regime by a function.
 func (g *Gate) Count(regime string, change func(*Counts)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -32,7 +32,7 @@
 	change(c)
 }
 
-// CountsByRegime lists all counts, in order of the regimes' names.
+// CountsByRegime returns the counts of all regimes, sorted by regime.
 func (g *Gate) CountsByRegime() []RegimeCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/control/certification/doc.go
+++ b/internal/control/certification/doc.go
@@ -1,16 +1,16 @@
-// Package certification holds the agreed certificates: which incarnations of endpoints are certified for which
-// regime, and which routes of the configuration demand one.
+// Package certification implements the certificates document: which incarnations of endpoints are certified for which
+// regime, and which routes of the configuration require a certified endpoint.
 //
-// The control plane owns the document, as one more register that a majority agrees on; this package has its form, its
-// checks and the questions that are asked of it. Every proxy has a Gate: dispatch asks it for each candidate, and the
-// proxy again right before a request is written.
+// The control plane stores the document in a register that is replicated by consensus; this package defines its format,
+// validation and queries. Every proxy has a Gate, which dispatch queries for each candidate endpoint, and the proxy
+// again immediately before it writes a request.
 //
 // # Invariants
 //
-//   - A Set is never changed once it was parsed, so it is shared without a lock.
-//   - The version that a gate knows only grows.
-//   - A gate fails closed: where no keeper has confirmed lately that the known document is the newest one, no
-//     endpoint counts as certified. As long as no document was ever put, no route is regulated.
+//   - A Set is immutable once it has been parsed, so it is shared without a lock.
+//   - The version that a Gate holds only increases.
+//   - A Gate fails closed: unless a keeper has recently confirmed that the Gate's document is the newest, no endpoint
+//     counts as certified. Until a first document is put, no route is regulated.
 //
-// docs/certified.md says what is guaranteed and what isn't.
+// docs/certified.md lists what is guaranteed and what is not.
 package certification
--- a/internal/control/certification/example_test.go
+++ b/internal/control/certification/example_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestExampleOfTheDocsIsValid(t *testing.T) {
+func TestDocumentationExampleIsValid(t *testing.T) {
 	b, err := os.ReadFile("../../../docs/example-certificates.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/certification/gate.go
+++ b/internal/control/certification/gate.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Gate decides in a proxy where requests of regulated routes may go. It fails closed: where no keeper has confirmed
-// lately that the known certificates are the newest, nobody is certified. It is safe for concurrent use.
+// Gate decides in a proxy which endpoints may receive requests of regulated routes. It fails closed: unless a keeper
+// has recently confirmed that the Gate's certificates are the newest, no endpoint counts as certified. It is safe for
+// concurrent use.
 type Gate struct {
 	options GateOptions
 	current atomic.Pointer[Set]
@@ -18,16 +19,16 @@
 
 // GateOptions are the options of a Gate.
 type GateOptions struct {
-	// Now is the clock; nil: time.Now.
+	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// LastConfirmed returns when the newest question was sent to which a keeper answered that the known certificates
-	// are the newest; zero if there was none.
+	// LastConfirmed returns when the latest request was sent to which a keeper replied that the Gate's certificates are
+	// the newest; zero if no keeper has.
 	LastConfirmed func() time.Time
-	// ConfirmationTTL is how long such an answer counts, from when its question was sent.
+	// ConfirmationTTL is how long a confirmation is valid, counted from when its request was sent.
 	ConfirmationTTL time.Duration
 }
 
-// NewGate returns a gate that knows of no certificates.
+// NewGate returns a Gate without certificates.
 func NewGate(options GateOptions) *Gate {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -35,7 +36,7 @@
 	return &Gate{options: options, counts: map[string]*Counts{}}
 }
 
-// Update tells the gate of certificates. Older ones than those that it knows, and nil, are ignored.
+// Update replaces the gate's certificates unless s is nil or not newer.
 func (g *Gate) Update(s *Set) {
 	if s == nil {
 		return
@@ -48,7 +49,7 @@
 	}
 }
 
-// Current returns the newest certificates that are known; nil if none were ever put.
+// Current returns the newest known certificates, nil if none were ever put. The receiver may be nil.
 func (g *Gate) Current() *Set {
 	if g == nil {
 		return nil
@@ -56,17 +57,17 @@
 	return g.current.Load()
 }
 
-// Regime returns the regime that a route demands now; empty if it is not regulated.
+// Regime returns the regime that a route currently requires, empty if it is not regulated.
 func (g *Gate) Regime(route string) string { return g.Current().Regime(route) }
 
-// Confirmed reports whether a keeper has confirmed the certificates lately enough for them to count.
+// Confirmed reports whether a keeper has confirmed the certificates within ConfirmationTTL.
 func (g *Gate) Confirmed() bool {
 	at := g.options.LastConfirmed()
 	return !at.IsZero() && g.options.Now().Sub(at) <= g.options.ConfirmationTTL
 }
 
-// Allows reports whether a request of a route may be sent to an incarnation of an endpoint now, with the regime that
-// the route demands and the certificates by which this was decided.
+// Allows reports whether a request of a route may be sent to an incarnation of an endpoint now. It also returns the
+// regime that the route requires and the certificates on which the decision is based.
 func (g *Gate) Allows(route, endpoint string) (regime string, certificates *Set, ok bool) {
 	s := g.Current()
 	if regime = s.Regime(route); regime == "" {
--- a/internal/control/certification/golden_test.go
+++ b/internal/control/certification/golden_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/lab/golden"
 )
 
-// The golden files were written by the sources of faf8ea2.
+// goldenDocument returns the content of the golden files, which commit faf8ea2 wrote.
 func goldenDocument() Document {
 	at := func(day, nanos int) time.Time { return time.Date(2026, 6, day, 12, 13, 14, nanos, time.UTC) }
 	return Document{
@@ -23,7 +23,8 @@
 	}
 }
 
-// The form in which documents are put and pushed, and the one that "dunetide certify withdraw" sends.
+// TestGoldenDocument pins the compact JSON in which documents are put and pushed, and the indented JSON that
+// "dunetide certify withdraw" sends.
 func TestGoldenDocument(t *testing.T) {
 	encode := map[string]func(Document) ([]byte, error){
 		"document.json":          func(d Document) ([]byte, error) { return json.Marshal(d) },
@@ -49,7 +50,7 @@
 			t.Errorf("%s: the text of the document was changed", file)
 		}
 		if got := written(s.Document); !bytes.Equal(got, b) {
-			t.Errorf("%s: written again as %s", file, got)
+			t.Errorf("%s: re-encoded as %s", file, got)
 		}
 	}
 }
@@ -59,7 +60,7 @@
 	next, n := goldenDocument().Without("i-0b", "border")
 	got, err := json.MarshalIndent(next, "", "  ")
 	if err != nil || n != 1 || !bytes.Equal(got, b) {
-		t.Errorf("%d taken out, %v: %s", n, err, got)
+		t.Errorf("%d certificates removed, %v: %s", n, err, got)
 	}
 	s, err := Parse(b)
 	if err != nil || s.Version != 72 || len(s.Certificates) != 1 || len(s.Routes) != 2 {
--- a/internal/control/certification/parse.go
+++ b/internal/control/certification/parse.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxNameBytes bounds names of routes, regimes, endpoints and issuers.
+	// maxNameBytes is the maximum length of the name of a route, regime, endpoint or issuer.
 	maxNameBytes = 256
-	// maxProblems is how many problems of a document are listed one by one.
+	// maxProblems is the number of problems of a document that are listed; the others are only counted.
 	maxProblems = 8
 )
 
-// Parse reads the text of a document and checks it, but for whether its version is higher than the one in force. It
-// fails with ErrInvalid, and then lists up to eight problems.
+// Parse decodes and validates a document. It does not check that the version is higher than the one in force. It fails
+// with ErrInvalid, which lists up to eight problems.
 func Parse(raw []byte) (*Set, error) {
 	s := &Set{
 		Raw:          bytes.Clone(raw),
@@ -51,7 +51,7 @@
 	return s, nil
 }
 
-// decode reads one JSON object without unknown fields, and nothing behind it.
+// decode decodes a single JSON object. It rejects unknown fields and trailing data.
 func decode(raw []byte, document *Document) error {
 	in := json.NewDecoder(bytes.NewReader(raw))
 	in.DisallowUnknownFields()
@@ -67,12 +67,12 @@
 // checker collects the problems of a document.
 type checker struct{ problems []error }
 
-// problem notes what is wrong with the field at a path.
+// problem records a problem with the field at a path.
 func (c *checker) problem(path, format string, args ...any) {
 	c.problems = append(c.problems, fmt.Errorf("%s: %s", path, fmt.Sprintf(format, args...)))
 }
 
-// err joins the problems, one a line; those over maxProblems are only counted.
+// err joins the problems, one per line; those beyond maxProblems are only counted.
 func (c *checker) err() error {
 	listed := c.problems
 	if rest := len(listed) - maxProblems; rest > 0 {
@@ -101,7 +101,7 @@
 	}
 }
 
-// checkName checks a name that stands in headers and log lines.
+// checkName checks a name, which must be printable as it appears in headers and log lines.
 func (c *checker) checkName(path, name string) {
 	unprintable := func(b byte) bool { return b <= ' ' || b >= 0x7f }
 	if name == "" || len(name) > maxNameBytes || slices.ContainsFunc([]byte(name), unprintable) {
--- a/internal/control/certification/set.go
+++ b/internal/control/certification/set.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Set is a document that was checked, in a form that is quick to ask. It is never changed. A nil Set is that of a
-// deployment to which no document was ever put: it regulates nothing and certifies nobody.
+// Set is a validated document with indexes for lookups. It is immutable. A nil Set stands for a deployment in which no
+// document was ever put: no route is regulated and no endpoint is certified.
 type Set struct {
 	Document
-	Raw []byte // the text as it was put
+	Raw []byte // the JSON text as the operator put it
 
-	regimes      map[string]string // by the name of the route
+	regimes      map[string]string // by route name
 	certificates map[certifiedFor][]*Certificate
 }
 
-// certifiedFor is what a certificate certifies: an incarnation of an endpoint, for a regime.
+// certifiedFor is the subject of a certificate: an incarnation of an endpoint and a regime.
 type certifiedFor struct{ endpoint, regime string }
 
-// Regime returns the regime that a route demands; empty if it is not regulated.
+// Regime returns the regime that a route requires, empty if the route is not regulated.
 func (s *Set) Regime(route string) string {
 	if s == nil {
 		return ""
@@ -23,7 +23,7 @@
 	return s.regimes[route]
 }
 
-// Certified reports whether an incarnation of an endpoint has a certificate for a regime that is valid at a moment.
+// Certified reports whether an incarnation of an endpoint has a certificate for a regime that is valid now.
 func (s *Set) Certified(endpoint, regime string, now time.Time) bool {
 	if s == nil {
 		return false
