--- a/internal/control/snapshot/golden_test.go
+++ b/internal/control/snapshot/golden_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestHashIsStable pins the hash that places batch jobs, services and endpoints: processes of several versions must
-// agree on it, and what is stored was placed by it.
+// TestHashIsStable pins the hash that places batch jobs, services and endpoints: processes of different versions must
+// agree on it, and the placement of stored data depends on it.
 func TestHashIsStable(t *testing.T) {
 	for text, want := range map[string]uint64{
 		"":                0xefd01f60ba992926,
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestPartOfJobIsStable pins the partition of a batch job.
-func TestPartOfJobIsStable(t *testing.T) {
+// TestPartitionOfJobIsStable pins the partition of a batch job.
+func TestPartitionOfJobIsStable(t *testing.T) {
 	table := &PartitionTable{Partitions: make([]Partition, 48)}
 	for job, want := range map[string]int{"job-1": 5, "job-2": 2, "a": 11, "": 38} {
 		if got := table.PartitionOf(job); got != want {
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestStatesAreStable pins the numbers of the states, which go between processes.
+// TestStatesAreStable pins the numeric values of the states, which are part of the wire format.
 func TestStatesAreStable(t *testing.T) {
 	for state, want := range map[State]uint8{Ready: 0, Draining: 1, Removed: 2} {
 		if uint8(state) != want {
--- a/internal/control/snapshot/hash.go
+++ b/internal/control/snapshot/hash.go
@@ -1,6 +1,6 @@
 package snapshot
 
-// Constants of FNV-1a with 64 bits, and of the finalizer of MurmurHash3 (fmix64).
+// Constants of 64-bit FNV-1a and of the MurmurHash3 finalizer (fmix64).
 const (
 	fnvOffset     = 14695981039346656037
 	fnvPrime      = 1099511628211
@@ -8,8 +8,8 @@
 	murmurFactor2 = 0xc4ceb9fe1a85ec53
 )
 
-// Hash returns the FNV-1a hash of a string, finished with fmix64 so that its low bits may be used for placement.
-// Stored data and other processes depend on its values.
+// Hash returns the 64-bit FNV-1a hash of a string, finalized with fmix64 so that its low bits are uniform enough for
+// placement. Stored data and other processes depend on its values, so it must not change.
 func Hash(s string) uint64 {
 	h := uint64(fnvOffset)
 	for i := 0; i < len(s); i++ {
--- a/internal/control/snapshot/latest.go
+++ b/internal/control/snapshot/latest.go
@@ -11,13 +11,13 @@
 	current atomic.Pointer[Snapshot]
 
 	mu   sync.Mutex
-	next chan struct{} // closed by the next Set; nil while nobody waits for it
+	next chan struct{} // closed by the next Set; nil while no Await waits for it
 }
 
 // Get returns the newest snapshot, nil before the first one. It takes no lock.
 func (l *Latest) Get() *Snapshot { return l.current.Load() }
 
-// Set replaces the newest snapshot and wakes those that wait for a new one.
+// Set replaces the newest snapshot and wakes all pending calls of Await.
 func (l *Latest) Set(s *Snapshot) {
 	l.current.Store(s)
 	l.mu.Lock()
@@ -28,8 +28,8 @@
 	}
 }
 
-// Await waits until ready accepts the newest snapshot, which may be nil. It returns the context's error if that ends
-// first.
+// Await waits until ready returns true for the newest snapshot, which may be nil. It returns the context's error if the
+// context ends first.
 func (l *Latest) Await(ctx context.Context, ready func(*Snapshot) bool) error {
 	for {
 		next := l.nextSet()
--- a/internal/control/snapshot/partition.go
+++ b/internal/control/snapshot/partition.go
@@ -1,31 +1,31 @@
 package snapshot
 
-// Store is a storage machine, identified by its disk.
+// Store is a storage node, identified by its disk.
 type Store struct {
-	ID   uint64 // drawn at random when its disk was first used; an emptied disk has another one
+	ID   uint64 // random, generated at the first use of the disk; a disk that was erased gets a new one
 	Name string // of the node
-	Addr string // ip:port of its links
+	Addr string // ip:port on which it accepts links
 	Zone string
 }
 
-// Partition is one partition of the batch jobs, and the stores that hold it, by Store.ID.
+// Partition is one partition of the batch jobs with the stores that replicate it, given by Store.ID.
 type Partition struct {
-	Epoch    uint64   // fencing token: grows with each change of Primary or Replicas
+	Epoch    uint64   // fencing token: increases with each change of Primary or Replicas
 	Primary  uint64   // 0: none
 	Replicas []uint64 // the primary included; an acknowledged write is on f+1 of them
-	Joining  []uint64 // receive the partition, and do not count towards a quorum yet
-	Leaving  []uint64 // replicas that are dropped when all that join have the partition
+	Joining  []uint64 // still copying the partition; they do not count towards a quorum yet
+	Leaving  []uint64 // replicas that are removed once all Joining stores have the partition
 }
 
-// PartitionTable says which stores hold which partition. The keepers decide it by consensus.
+// PartitionTable assigns partitions to stores. The keepers agree on it by consensus.
 type PartitionTable struct {
-	Version    uint64 // grows with each change
+	Version    uint64 // increases with each change
 	Partitions []Partition
 	Stores     map[uint64]Store
-	// Retiring are the stores that an operator takes out of service: their partitions move away.
+	// Retiring are the stores that an operator decommissions: their partitions move to other stores.
 	Retiring map[uint64]bool
-	// Stopping are the stores that have announced that they are about to stop: they become primary of nothing until they
-	// announce that they run.
+	// Stopping are the stores that have announced that they are about to stop: they become primary of no partition until
+	// they announce that they run again.
 	Stopping map[uint64]bool
 }
 
--- a/internal/control/snapshot/snapshot.go
+++ b/internal/control/snapshot/snapshot.go
@@ -5,16 +5,18 @@
 	"dunetide/internal/control/operatorconfig"
 )
 
-// Snapshot is the state of the system as one process knows it. It must not be changed once it is shared.
+// Snapshot is the state of the system as one process knows it. It must not be modified once it is shared.
 type Snapshot struct {
-	Config    *operatorconfig.Config // nil: none is known, so nothing is known about routes
+	Config    *operatorconfig.Config // nil: not received yet, so no routes are known
 	Endpoints map[string][]*Endpoint // by service, without removed ones
 	Proxies   int                    // proxies that share the endpoints, this one included; at least 1
-	Table     *PartitionTable        // nil: unknown
-	// EndpointsComplete reports that the endpoints come from a keeper that has listened for a whole round of heartbeats.
+	Table     *PartitionTable        // nil: not received yet
+	// EndpointsComplete reports that the list of endpoints comes from a keeper that has listened long enough to have
+	// received a heartbeat of every endpoint.
 	EndpointsComplete bool
-	// Certificates say which endpoints may have regulated work; nil: there are none, and no work is regulated.
+	// Certificates determine which endpoints may receive regulated requests; nil: there are none, and no route is
+	// regulated.
 	Certificates *certification.Set
-	// CertificatesKnown reports that a keeper has said whether there are certificates.
+	// CertificatesKnown reports that a keeper has reported whether there are certificates.
 	CertificatesKnown bool
 }
