--- a/internal/control/registry/changes.go
+++ b/internal/control/registry/changes.go
@@ -18,8 +18,8 @@
 func BucketOf(service string) int { return int(snapshot.Hash(service) % DigestBuckets) }
 
 // Changes returns the entries that changed after the change number since, oldest first, and the number for the next
-// call. If the table cannot tell (since is 0, older than a dropped tombstone, or newer than the table), complete is
-// true and the entries are all live ones. Numbers are valid for one Table only.
+// call. If the table cannot determine the changes (since is 0, older than a dropped tombstone, or newer than the
+// table), complete is true and the entries are all live ones. Numbers are valid for one Table only.
 func (t *Table) Changes(now time.Duration, since uint64) (entries []Entry, to uint64, complete bool) {
 	if since == 0 || since < t.droppedChange || since > t.lastChange {
 		for element := t.changes.Front(); element != nil; element = element.Next() {
@@ -32,7 +32,7 @@
 	return t.changesAfter(now, since), t.lastChange, false
 }
 
-// changesAfter returns the entries with a change after the number since, oldest first.
+// changesAfter returns the entries whose newest change number is above since, oldest first.
 func (t *Table) changesAfter(now time.Duration, since uint64) (entries []Entry) {
 	for element := t.changes.Back(); element != nil; element = element.Prev() {
 		stored := element.Value.(*record)
@@ -57,7 +57,8 @@
 	return stored.exportEntry(now), true
 }
 
-// Entries returns all entries of a bucket, dead ones included, for another keeper. AllBuckets means all of them.
+// Entries returns all entries of a bucket, dead ones included, for another keeper. With AllBuckets it returns those of
+// all buckets.
 func (t *Table) Entries(now time.Duration, bucket int) (entries []Entry) {
 	for element := t.changes.Front(); element != nil; element = element.Next() {
 		if stored := element.Value.(*record); bucket < 0 || BucketOf(stored.entry.Service) == bucket {
--- a/internal/control/registry/codec.go
+++ b/internal/control/registry/codec.go
@@ -70,7 +70,7 @@
 	return l, r.Err
 }
 
-// appendAge appends an age in whole milliseconds, limited to the range of 32 bits.
+// appendAge appends an age in whole milliseconds, clamped to 32 bits.
 func appendAge(w *link.Writer, age time.Duration) {
 	w.U32(uint32(min(max(age.Milliseconds(), 0), math.MaxUint32)))
 }
--- a/internal/control/registry/convergence_test.go
+++ b/internal/control/registry/convergence_test.go
@@ -13,8 +13,8 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// TestTablesConverge has tables receive the same messages, in any order and any number of times, from endpoints or from
-// each other: they come to the same entries.
+// TestTablesConverge checks that tables reach the same entries after they have exchanged them, whatever messages each
+// has received from endpoints and other tables, in any order and any number of times.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{New(0, Options{}), New(0, Options{}), New(0, Options{})}
@@ -77,8 +77,9 @@
 	return fmt.Sprintf("%+v", entries)
 }
 
-// TestSubscribersFollowTheTable has a subscriber apply changes: it has what the table has, whatever it missed.
-func TestSubscribersFollowTheTable(t *testing.T) {
+// TestSubscribersConvergeWithTable checks that a subscriber that applies the changes has the table's live endpoints,
+// however many changes happened since its last update.
+func TestSubscribersConvergeWithTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New(0, Options{MaxTombstones: 2, TombstoneLifetime: 10 * time.Second})
 		now := time.Duration(0)
@@ -111,13 +112,13 @@
 	})
 }
 
-// subscriber has the states of the live endpoints by ID, as of a change number.
+// subscriber holds the states of the live endpoints by ID, as of a change number.
 type subscriber struct {
 	states map[string]snapshot.State
 	number uint64
 }
 
-// update applies the changes of a table, and checks that the subscriber has the table's live endpoints then.
+// update applies the changes of a table, and checks that the subscriber then has the table's live endpoints.
 func (s *subscriber) update(t *rapid.T, table *Table, now time.Duration) {
 	entries, to, complete := table.Changes(now, s.number)
 	if to < s.number {
--- a/internal/control/registry/entry.go
+++ b/internal/control/registry/entry.go
@@ -13,27 +13,27 @@
 
 // Bounds of an endpoint's fields.
 const (
-	maxFieldBytes = 256     // of a text field
+	maxFieldBytes = 256     // length of a text field
 	maxModels     = 64      // models of one endpoint
 	maxNumber     = 1 << 40 // a capacity, a model version, a time in ms
 )
 
-// Entry is what a keeper knows of one incarnation of an endpoint. Entries of one ID form a join semilattice under Join.
+// Entry is a keeper's state of one incarnation of an endpoint. Entries of one ID form a join semilattice under Join.
 type Entry struct {
-	// Endpoint is the content of the newest heartbeat, which CallCount numbers. State is Removed only if the
-	// incarnation itself, or the one that took over its address, reported it; that is final.
+	// Endpoint is the content of the newest heartbeat, whose sequence number is CallCount. State is Removed only if the
+	// incarnation itself, or its successor at its address, reported it; that is final.
 	snapshot.Endpoint
-	// HeartbeatCount is the highest call count that any keeper is known to have received. TimedOut says that no
-	// heartbeat followed it within the table's HeartbeatTimeout; a higher call count undoes that.
+	// HeartbeatCount is the highest call count that any keeper is known to have received. TimedOut reports that no
+	// heartbeat followed it within the table's HeartbeatTimeout; a higher call count resets it.
 	HeartbeatCount uint64
 	TimedOut       bool
-	// Age is the time since the last heartbeat or, if the incarnation is dead, since it died. Join takes the smaller
-	// one; Age is not part of the semilattice.
+	// Age is the time since the last heartbeat or, for a dead incarnation, since it was marked dead. Join takes the
+	// smaller one; Age is not part of the semilattice.
 	Age time.Duration
 }
 
-// Dead reports whether the incarnation must be left out of endpoint lists: it is removed, or its heartbeats have timed
-// out.
+// Dead reports whether the incarnation must be excluded from endpoint lists, because it is removed or its heartbeats
+// have timed out.
 func (e *Entry) Dead() bool { return e.State == snapshot.Removed || e.TimedOut }
 
 // EffectiveEndpoint returns the endpoint as proxies should see it: one that has timed out is Removed.
@@ -63,8 +63,8 @@
 	return out
 }
 
-// compareContent orders entries by call count, and then by content. Each call count should have one content only, but
-// an endpoint that violates this must not break the semilattice.
+// compareContent orders entries by call count and then by content. A call count should have one content only, but an
+// endpoint that violates this must not break the semilattice.
 func compareContent(a, b *Entry) int {
 	return cmp.Or(
 		cmp.Compare(a.CallCount, b.CallCount),
@@ -92,7 +92,7 @@
 // Validate returns an error that names the first field of an endpoint that is out of bounds.
 func Validate(e *snapshot.Endpoint) error {
 	if e.ID == "" {
-		return errors.New("an endpoint without an id")
+		return errors.New("endpoint has no id")
 	}
 	for _, field := range []string{e.ID, e.Service, e.Address, e.Zone, e.Version} {
 		if len(field) > maxFieldBytes {
@@ -107,11 +107,11 @@
 			e.ID, e.Capacity, e.RemainingWarmupMs)
 	}
 	if len(e.Models) > maxModels {
-		return fmt.Errorf("endpoint %q: %d models, at most %d are taken", e.ID, len(e.Models), maxModels)
+		return fmt.Errorf("endpoint %q: %d models, at most %d are allowed", e.ID, len(e.Models), maxModels)
 	}
 	for _, model := range e.Models {
 		if len(model.Name) > maxFieldBytes || model.Version < -maxNumber || model.Version > maxNumber {
-			return fmt.Errorf("endpoint %q: model %.40q is out of bounds", e.ID, model.Name)
+			return fmt.Errorf("endpoint %q: name or version of model %.40q is out of bounds", e.ID, model.Name)
 		}
 	}
 	return nil
--- a/internal/control/registry/entry_test.go
+++ b/internal/control/registry/entry_test.go
@@ -89,12 +89,12 @@
 		{ID: "i", Models: make([]snapshot.Model, 65)},
 	} {
 		if Validate(&e) == nil {
-			t.Errorf("%.60v is valid", e)
+			t.Errorf("%.60v is accepted by Validate", e)
 		}
 		var w link.Writer
 		AppendEntry(&w, &Entry{Endpoint: e})
 		if _, err := ReadEntry(&link.Reader{Buf: w.Buf}); err == nil {
-			t.Errorf("%.60v is read", e)
+			t.Errorf("%.60v is accepted by ReadEntry", e)
 		}
 	}
 }
--- a/internal/control/registry/expiry.go
+++ b/internal/control/registry/expiry.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Expire marks endpoints as timed out that sent no heartbeat for HeartbeatTimeout, drops old tombstones, and returns
-// the entries that changed. It must be called several times per heartbeat interval: after a longer break the table
-// starts to listen anew, because this keeper itself may have been unresponsive. For the same reason no endpoint expires
-// while the table receives nothing at all, neither from endpoints nor from keepers.
+// Expire marks endpoints without a heartbeat for HeartbeatTimeout as timed out, drops old tombstones, and returns the
+// entries that changed. It must be called several times per heartbeat interval: after a longer pause the table restarts
+// its listening period, because this keeper itself may have been unresponsive. For the same reason no endpoint expires
+// while the table receives no messages at all, neither from endpoints nor from other keepers.
 func (t *Table) Expire(now time.Duration) (changed []Entry) {
 	if now-t.expiredAt > max(t.options.HeartbeatInterval, time.Second) {
 		t.listeningSince = now
@@ -17,7 +17,7 @@
 	}
 	before := t.lastChange
 	for _, stored := range t.byID {
-		if !stored.entry.Dead() && now-max(stored.heardAt, t.listeningSince) > t.heartbeatTimeout {
+		if !stored.entry.Dead() && now-max(stored.heartbeatAt, t.listeningSince) > t.heartbeatTimeout {
 			t.timeOut(now, stored)
 		}
 	}
@@ -31,14 +31,14 @@
 	t.join(now, entry)
 }
 
-// updateTombstone adds the tombstone of a record that the received entry has made dead, and removes that of one it has
-// revived.
+// updateTombstone adds a tombstone if the received entry made the record dead, and removes it if the entry made the
+// record live again.
 func (t *Table) updateTombstone(now time.Duration, stored *record, wasDead bool, received *Entry) {
 	switch dead := stored.entry.Dead(); {
 	case dead && !wasDead:
-		stored.diedAt = now
+		stored.deadSince = now
 		if received.Dead() {
-			stored.diedAt = now - received.Age
+			stored.deadSince = now - received.Age
 		}
 		t.addTombstone(stored)
 		t.releaseAddress(stored.entry.Address, stored.entry.ID)
@@ -48,10 +48,10 @@
 	}
 }
 
-// addTombstone inserts a record into the tombstones, which are ordered by the time at which the endpoints died.
+// addTombstone inserts a record into the tombstones, which are ordered by deadSince.
 func (t *Table) addTombstone(stored *record) {
 	earlier := t.tombstones.Back()
-	for earlier != nil && earlier.Value.(*record).diedAt > stored.diedAt {
+	for earlier != nil && earlier.Value.(*record).deadSince > stored.deadSince {
 		earlier = earlier.Prev()
 	}
 	if earlier == nil {
@@ -61,12 +61,12 @@
 	}
 }
 
-// dropTombstones drops the records of endpoints that have been dead for Options.TombstoneLifetime, and the oldest of
-// those over Options.MaxTombstones.
+// dropTombstones drops the records of endpoints that have been dead for Options.TombstoneLifetime, and the oldest ones
+// in excess of Options.MaxTombstones.
 func (t *Table) dropTombstones(now time.Duration) {
 	for t.tombstones.Len() > 0 {
 		stored := t.tombstones.Front().Value.(*record)
-		if t.tombstones.Len() <= t.options.MaxTombstones && now-stored.diedAt < t.options.TombstoneLifetime {
+		if t.tombstones.Len() <= t.options.MaxTombstones && now-stored.deadSince < t.options.TombstoneLifetime {
 			return
 		}
 		t.tombstones.Remove(stored.tombstone)
--- a/internal/control/registry/golden_test.go
+++ b/internal/control/registry/golden_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// goldenEntry has a distinct value other than zero in each field.
+// goldenEntry returns an entry with a distinct non-zero value in each field.
 func goldenEntry() Entry {
 	return Entry{
 		Endpoint: snapshot.Endpoint{
@@ -34,16 +34,17 @@
 	}
 }
 
-// TestEntryBytes pins the bytes of an Entry between keepers and their clients.
+// TestEntryBytes pins the encoding of an Entry between keepers and their clients.
 func TestEntryBytes(t *testing.T) { testCodec(t, "entry", goldenEntry(), AppendEntry, ReadEntry) }
 
-// TestLivenessBytes pins the bytes of a Liveness between keepers.
+// TestLivenessBytes pins the encoding of a Liveness between keepers.
 func TestLivenessBytes(t *testing.T) {
 	want := Liveness{ID: "incarnation-1", HeartbeatCount: 2_000_000_000_003, Age: 4_005 * time.Millisecond}
 	testCodec(t, "heard", want, AppendLiveness, ReadLiveness)
 }
 
-// testCodec checks that a value is encoded to a golden file's bytes, decoded from them, and encoded to them again.
+// testCodec checks that a value is encoded to a golden file's bytes, decoded from them, and re-encoded to the same
+// bytes.
 func testCodec[T any](t *testing.T, file string, want T, appendTo func(*link.Writer, *T), read func(*link.Reader) (T, error)) {
 	t.Helper()
 	encode := func(value *T) []byte {
@@ -63,8 +64,8 @@
 	golden.Compare(t, file, encode(&got))
 }
 
-// TestBucketOfServiceIsStable pins which bucket of the table a service belongs to: keepers of several versions compare
-// their checksums bucket by bucket.
+// TestBucketOfServiceIsStable pins the assignment of services to buckets: keepers of different versions compare their
+// checksums bucket by bucket.
 func TestBucketOfServiceIsStable(t *testing.T) {
 	for service, want := range map[string]int{"": 6, "a": 11, "chat": 6, "service-2": 5} {
 		if got := BucketOf(service); got != want {
@@ -73,7 +74,7 @@
 	}
 }
 
-// TestDigestIsStable pins the checksum that keepers compare.
+// TestDigestIsStable pins the checksum that keepers compare with each other.
 func TestDigestIsStable(t *testing.T) {
 	table := New(0, Options{})
 	e := goldenEntry()
--- a/internal/control/registry/liveness.go
+++ b/internal/control/registry/liveness.go
@@ -8,20 +8,20 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// Liveness is the last heartbeat of one incarnation. Keepers exchange it in place of a whole Entry.
+// Liveness is the last heartbeat of one incarnation. Keepers exchange it instead of a full Entry.
 type Liveness struct {
 	ID             string
 	HeartbeatCount uint64        // the call count of the last heartbeat
-	Age            time.Duration // since that heartbeat
+	Age            time.Duration // time since that heartbeat
 }
 
-// Liveness returns the live incarnations whose last heartbeat is younger than HeartbeatTimeout, ordered by ID, for the
-// other keepers: heartbeats that this keeper received or, with relay, that any keeper did.
+// Liveness returns the live incarnations whose last heartbeat is at most HeartbeatTimeout old, ordered by ID, for the
+// other keepers. It considers only heartbeats that this keeper received itself or, with relay, those of all keepers.
 func (t *Table) Liveness(now time.Duration, relay bool) (live []Liveness) {
 	for _, stored := range t.byID {
-		at, received := stored.heardLocallyAt, stored.heardLocally
+		at, received := stored.localHeartbeatAt, stored.hasLocalHeartbeat
 		if relay {
-			at, received = stored.heardAt, true
+			at, received = stored.heartbeatAt, true
 		}
 		if received && !stored.entry.Dead() && now-at <= t.heartbeatTimeout {
 			live = append(live, Liveness{stored.entry.ID, stored.entry.HeartbeatCount, now - at})
@@ -31,8 +31,8 @@
 	return live
 }
 
-// MergeLiveness applies the Liveness of another keeper. It returns the entries that changed, and the IDs that are
-// unknown here: the caller should request that keeper's Entries.
+// MergeLiveness applies the Liveness of another keeper. It returns the entries that changed, and the IDs that this
+// table does not have: if there are any, the caller should request that keeper's Entries.
 func (t *Table) MergeLiveness(now time.Duration, live []Liveness) (changed []Entry, missing []string) {
 	before := t.lastChange
 	t.receivedAt = now
--- a/internal/control/registry/table.go
+++ b/internal/control/registry/table.go
@@ -11,9 +11,9 @@
 // Options configures a Table. A zero field takes its default.
 type Options struct {
 	HeartbeatInterval time.Duration // between heartbeats of an endpoint; default 1.2 s
-	TombstoneLifetime time.Duration // how long a dead endpoint is remembered; default 60 s
-	MaxTombstones     int           // dead endpoints that are remembered, the oldest are dropped first; default 4,096
-	MaxEndpoints      int           // live endpoints, further ones are rejected; default 8,192
+	TombstoneLifetime time.Duration // how long the tombstone of a dead endpoint is kept; default 60 s
+	MaxTombstones     int           // maximum number of tombstones, the oldest are dropped first; default 4,096
+	MaxEndpoints      int           // maximum number of live endpoints, further ones are rejected; default 8,192
 }
 
 // Defaults of Options.
@@ -24,34 +24,34 @@
 	defaultMaxEndpoints      = 8192
 )
 
-// minHeartbeatTimeout is the least time without a heartbeat after which an endpoint counts as dead.
+// minHeartbeatTimeout is the lower limit of the time without a heartbeat after which an endpoint counts as dead.
 const minHeartbeatTimeout = 3 * time.Second
 
-// warmupSlack is the difference between the reported remaining warm-up and the value expected from the last report up
-// to which a heartbeat does not count as a change.
+// warmupSlack is the tolerated difference between the reported remaining warm-up and the value expected from the last
+// report. Up to it, a heartbeat does not count as a change.
 const warmupSlack = 500 * time.Millisecond
 
 // Stats counts the messages that a Table did not accept.
 type Stats struct {
-	Stale        uint64 // heartbeats with a call count that is not newer than the known one
+	Stale        uint64 // heartbeats whose call count is not higher than the known one
 	AfterRemoval uint64 // heartbeats of incarnations that were removed
 	Rejected     uint64 // entries that exceed a bound
 }
 
-// record is an entry with the times and list positions that the table keeps of it.
+// record is an entry with its times and its positions in the lists of the table.
 type record struct {
-	entry          Entry
-	heardAt        time.Duration // the last heartbeat at any keeper
-	heardLocallyAt time.Duration // the last heartbeat at this keeper, if heardLocally
-	heardLocally   bool
-	warmupAt       time.Duration // the time at which entry.RemainingWarmupMs held
-	diedAt         time.Duration // when it died, if entry.Dead()
-	changeNumber   uint64        // of its newest change
-	change         *list.Element // its element in Table.changes
-	tombstone      *list.Element // its element in Table.tombstones, nil while it is live
+	entry             Entry
+	heartbeatAt       time.Duration // the last heartbeat received by any keeper
+	localHeartbeatAt  time.Duration // the last heartbeat received by this keeper, if hasLocalHeartbeat
+	hasLocalHeartbeat bool
+	warmupAt          time.Duration // the time at which entry.RemainingWarmupMs was current
+	deadSince         time.Duration // if entry.Dead()
+	changeNumber      uint64        // of its newest change
+	change            *list.Element // its element in Table.changes
+	tombstone         *list.Element // its element in Table.tombstones, nil while it is live
 }
 
-// remainingWarmupMs returns the milliseconds that are left of the warm-up at now.
+// remainingWarmupMs returns the remaining milliseconds of the warm-up at now.
 func (r *record) remainingWarmupMs(now time.Duration) int {
 	return max(0, r.entry.RemainingWarmupMs-int((now-r.warmupAt).Milliseconds()))
 }
@@ -61,15 +61,15 @@
 	entry := r.entry
 	entry.RemainingWarmupMs = r.remainingWarmupMs(now)
 	entry.Models = slices.Clone(entry.Models)
-	entry.Age = now - r.heardAt
+	entry.Age = now - r.heartbeatAt
 	if entry.Dead() {
-		entry.Age = now - r.diedAt
+		entry.Age = now - r.deadSince
 	}
 	entry.Age = max(entry.Age, 0)
 	return entry
 }
 
-// currentEntry returns the entry with its remaining warm-up at now and age 0, to be changed and joined again.
+// currentEntry returns the entry with its remaining warm-up at now and age 0, for the caller to modify and join.
 func (r *record) currentEntry(now time.Duration) Entry {
 	entry := r.entry
 	entry.RemainingWarmupMs, entry.Age = r.remainingWarmupMs(now), 0
@@ -80,19 +80,19 @@
 type Table struct {
 	options          Options
 	heartbeatTimeout time.Duration
-	listeningSince   time.Duration // start of the current period without a break in Expire
-	expiredAt        time.Duration // the last Expire
-	receivedAt       time.Duration // the last message from an endpoint or another keeper
+	listeningSince   time.Duration // start of the current period of regular Expire calls
+	expiredAt        time.Duration // time of the last Expire
+	receivedAt       time.Duration // time of the last message from an endpoint or another keeper
 	byID             map[string]*record
 	byAddress        map[string]string // address to the ID of the incarnation that has it
-	changes          *list.List        // of *record, in the order of their change numbers
-	tombstones       *list.List        // of *record, the longest dead first
+	changes          *list.List        // of *record, ordered by change number
+	tombstones       *list.List        // of *record, ordered by deadSince
 	lastChange       uint64            // number of the newest change
-	droppedChange    uint64            // the highest change number of a tombstone that was dropped
+	droppedChange    uint64            // the highest change number among dropped tombstones
 	stats            Stats
 }
 
-// New returns an empty table that listens from now.
+// New returns an empty table that starts to listen at now.
 func New(now time.Duration, options Options) *Table {
 	options.setDefaults()
 	return &Table{
@@ -127,8 +127,8 @@
 // intervals, at least 3 s.
 func (t *Table) HeartbeatTimeout() time.Duration { return t.heartbeatTimeout }
 
-// Listening reports whether the table has listened without a break for two heartbeat intervals: one heartbeat, and the
-// time an endpoint takes to find this keeper. Until then, an endpoint that the table lacks may exist.
+// Listening reports whether the table has listened without interruption for two heartbeat intervals: one for a
+// heartbeat and one for an endpoint to find this keeper. Until then, live endpoints may be missing from the table.
 func (t *Table) Listening(now time.Duration) bool {
 	return now-t.listeningSince >= 2*t.options.HeartbeatInterval
 }
@@ -140,7 +140,7 @@
 func (t *Table) Live() int { return len(t.byID) - t.tombstones.Len() }
 
 // Heartbeat applies a heartbeat and reports whether the other keepers and subscribers must be notified of a change. A
-// heartbeat that is out of bounds, stale, or of a removed incarnation changes nothing and is counted in Stats.
+// heartbeat that is out of bounds, stale, or of a removed incarnation has no effect and is counted in Stats.
 func (t *Table) Heartbeat(now time.Duration, endpoint snapshot.Endpoint) (changed bool) {
 	if Validate(&endpoint) != nil {
 		t.stats.Rejected++
@@ -156,7 +156,7 @@
 	}
 	changed = t.join(now, Entry{Endpoint: endpoint, HeartbeatCount: endpoint.CallCount})
 	stored := t.byID[endpoint.ID]
-	stored.heardLocallyAt, stored.heardLocally = now, true
+	stored.localHeartbeatAt, stored.hasLocalHeartbeat = now, true
 	if id := t.byAddress[endpoint.Address]; id != endpoint.ID {
 		if predecessor := t.byID[id]; predecessor != nil && known == nil {
 			// A new incarnation replaces the one at its address.
@@ -169,8 +169,8 @@
 	return changed
 }
 
-// acceptsHeartbeat reports whether a heartbeat with a call count applies to a record, which is nil for a new
-// incarnation. One that does not is counted.
+// acceptsHeartbeat reports whether a heartbeat with a call count is to be applied to a record, which is nil for a new
+// incarnation. A rejected heartbeat is counted.
 func (t *Table) acceptsHeartbeat(known *record, callCount uint64) bool {
 	switch {
 	case known == nil:
@@ -188,7 +188,7 @@
 	return true
 }
 
-// Remove marks an incarnation as removed for good, as reported by itself or by its successor at its address, and
+// Remove marks an incarnation as permanently removed, as reported by itself or by its successor at its address, and
 // reports whether that is a change.
 func (t *Table) Remove(now time.Duration, id string) (changed bool) {
 	removed := Entry{Endpoint: snapshot.Endpoint{ID: id, State: snapshot.Removed}}
@@ -211,8 +211,8 @@
 			continue
 		}
 		if t.byID[entry.ID] == nil {
-			if t.outlived(&entry) {
-				continue // it was dropped here, or would be at once
+			if t.exceedsRetention(&entry) {
+				continue // its tombstone was dropped here, or would be dropped immediately
 			}
 			if !entry.Dead() && t.Live() >= t.options.MaxEndpoints {
 				t.stats.Rejected++
@@ -227,20 +227,21 @@
 	return t.changesAfter(now, before)
 }
 
-// outlived reports whether a received entry is older than the table keeps entries.
-func (t *Table) outlived(entry *Entry) bool {
+// exceedsRetention reports whether a received entry is older than the time for which the table keeps such entries.
+func (t *Table) exceedsRetention(entry *Entry) bool {
 	if entry.Dead() {
 		return entry.Age >= t.options.TombstoneLifetime
 	}
 	return entry.Age >= t.heartbeatTimeout
 }
 
-// join merges an entry into its record and reports whether that is a change. All changes of entries are made here.
+// join merges an entry into its record and reports whether that is a change. It is the only function that modifies
+// entries.
 func (t *Table) join(now time.Duration, received Entry) (changed bool) {
 	stored := t.byID[received.ID]
 	added := stored == nil
 	if added {
-		stored = &record{entry: received, heardAt: now - received.Age, warmupAt: now}
+		stored = &record{entry: received, heartbeatAt: now - received.Age, warmupAt: now}
 		t.byID[received.ID] = stored
 	}
 	old := stored.entry
@@ -250,7 +251,7 @@
 	stored.entry = Join(old, received)
 	stored.warmupAt = now
 	if !received.Dead() {
-		stored.heardAt = max(stored.heardAt, now-received.Age)
+		stored.heartbeatAt = max(stored.heartbeatAt, now-received.Age)
 	}
 	if old.Address != stored.entry.Address {
 		t.releaseAddress(old.Address, received.ID)
@@ -274,7 +275,7 @@
 		compareDescription(&before, &after) != 0
 }
 
-// logChange gives the newest change number to a record.
+// logChange assigns the next change number to a record.
 func (t *Table) logChange(stored *record) {
 	t.lastChange++
 	stored.changeNumber = t.lastChange
@@ -285,8 +286,8 @@
 	}
 }
 
-// claimAddress assigns the address of a record to one incarnation. Of two live ones the one heard last gets it and the
-// other is marked as timed out, which its next heartbeat undoes.
+// claimAddress assigns the address of a record to one incarnation. If two live incarnations claim it, the one with the
+// later heartbeat gets it and the other is marked as timed out, which its next heartbeat reverts.
 func (t *Table) claimAddress(now time.Duration, stored *record) {
 	if stored.entry.Address == "" {
 		return
@@ -294,7 +295,7 @@
 	id, claimed := t.byAddress[stored.entry.Address]
 	if other := t.byID[id]; claimed && other != nil && other != stored && !other.entry.Dead() {
 		loser := other
-		if other.heardAt > stored.heardAt || other.heardAt == stored.heardAt && other.entry.ID > stored.entry.ID {
+		if other.heartbeatAt > stored.heartbeatAt || other.heartbeatAt == stored.heartbeatAt && other.entry.ID > stored.entry.ID {
 			loser = stored
 		}
 		t.timeOut(now, loser)
@@ -305,7 +306,7 @@
 	t.byAddress[stored.entry.Address] = stored.entry.ID
 }
 
-// releaseAddress frees an address if an incarnation has it.
+// releaseAddress frees an address if it is assigned to an incarnation.
 func (t *Table) releaseAddress(address, id string) {
 	if t.byAddress[address] == id {
 		delete(t.byAddress, address)
--- a/internal/control/registry/table_test.go
+++ b/internal/control/registry/table_test.go
@@ -80,7 +80,7 @@
 	return e
 }
 
-// printEntries writes entries, one a line.
+// printEntries writes entries, one per line.
 func printEntries(out *strings.Builder, entries []Entry) {
 	for _, entry := range entries {
 		e := entry.EffectiveEndpoint()
