--- a/internal/control/membership/contact.go
+++ b/internal/control/membership/contact.go
@@ -12,29 +12,28 @@
 	maxLost     = 8  // lost keepers among the contacts
 
 	fastInterval = 300 * time.Millisecond // between the first requests to a seed
-	fastAttempts = 33                     // requests at that interval, before it doubles each time
-	maxInterval  = 32 * time.Second       // the longest interval between requests to one contact
+	fastAttempts = 33                     // requests at that interval, before it doubles with each request
+	maxInterval  = 32 * time.Second       // the maximum interval between requests to one contact
 	lostAttempts = 45                     // further requests after which a lost keeper is abandoned; a seed never is
 )
 
-// contact is an address that gets requests while the view does not show a live process there: a seed, or a keeper that
-// left the view because it did not respond.
+// contact is an address that gets requests while the view has no live entry for it: a seed, or a keeper that was
+// removed from the view because it did not respond.
 type contact struct {
-	addr     string
-	seed     bool
-	attempts int           // requests sent since it was added or last heard
-	interval time.Duration // before the next attempt, which doubles after fastAttempts
-	dueAt    time.Duration // when the next attempt is due
-	heardAt  time.Duration // the last datagram from it, if heard
-	heard    bool
+	addr       string
+	seed       bool
+	attempts   int           // requests sent since it was added, or since the last datagram from it
+	interval   time.Duration // before the next attempt; doubles after fastAttempts
+	dueAt      time.Duration // when the next attempt is due
+	receivedAt time.Duration // time of the last datagram from it, if received
+	received   bool
 }
 
-// abandoned reports whether no further request is sent to a contact.
+// abandoned reports whether no further requests are to be sent to a contact.
 func (k *contact) abandoned() bool { return !k.seed && k.attempts >= fastAttempts+lostAttempts }
 
-// AddSeeds adds addresses of keepers that may be alive. They get requests at the next Tick, and again with growing
-// intervals while the view does not show enough keepers. Addresses that are not ip:port, and the process's own, are
-// ignored.
+// AddSeeds adds addresses of possible keepers. They get requests at the next Tick, and again at growing intervals while
+// the view has too few live keepers. Addresses that are not ip:port, and the process's own, are ignored.
 func (c *Core) AddSeeds(now time.Duration, addrs []string) {
 	for _, addr := range addrs {
 		if _, err := netip.ParseAddrPort(addr); err == nil && addr != c.self.Addr {
@@ -43,7 +42,8 @@
 	}
 }
 
-// SetSeeds replaces the seeds. One that is no longer named is treated as a lost keeper, which is abandoned in the end.
+// SetSeeds replaces the seeds. A former seed is treated as a lost keeper, which is abandoned after lostAttempts
+// requests.
 func (c *Core) SetSeeds(now time.Duration, addrs []string) {
 	for i := range c.contacts {
 		known := &c.contacts[i]
@@ -54,7 +54,8 @@
 	c.AddSeeds(now, addrs)
 }
 
-// addSeed adds a seed, in place of the first lost keeper if there are too many contacts. With seeds only it is ignored.
+// addSeed adds a seed. With maxContacts contacts, it replaces the first lost keeper; if all contacts are seeds, the new
+// seed is ignored.
 func (c *Core) addSeed(now time.Duration, addr string) {
 	if i := c.contactIndex(addr); i >= 0 {
 		c.contacts[i].seed = true
@@ -68,7 +69,7 @@
 	}
 }
 
-// addLostKeeper adds a keeper that left the view, in place of the first one if there are maxLost of them.
+// addLostKeeper adds a keeper that was removed from the view. With maxLost lost keepers, it replaces the first one.
 func (c *Core) addLostKeeper(now time.Duration, addr string) {
 	if c.contactIndex(addr) >= 0 {
 		return
@@ -94,15 +95,15 @@
 	return slices.IndexFunc(c.contacts, func(known contact) bool { return known.addr == addr })
 }
 
-// dropFirstLost drops the keeper that was lost first, if there is one.
+// dropFirstLost drops the lost keeper that was added first, if there is one.
 func (c *Core) dropFirstLost() {
 	if i := slices.IndexFunc(c.contacts, func(known contact) bool { return !known.seed }); i >= 0 {
 		c.contacts = slices.Delete(c.contacts, i, i+1)
 	}
 }
 
-// requestContacts sends requests to the contacts that are due, drops those that are abandoned, and returns when the
-// next one is due.
+// requestContacts sends requests to the contacts that are due, drops abandoned contacts, and returns when the next
+// request is due.
 func (c *Core) requestContacts(now time.Duration, startsRound bool) (next time.Duration) {
 	next = math.MaxInt64
 	isolated := c.isolated()
@@ -126,15 +127,16 @@
 	return next
 }
 
-// contactDue reports whether it is time for the next request to a contact. An interval of a round or longer ends with
-// a round, so that it needs no wake-up of its own.
+// contactDue reports whether the next request to a contact is due. An interval of at least a round ends at the start of
+// a round, so that it needs no separate wake-up.
 func (c *Core) contactDue(now time.Duration, known *contact, startsRound bool) bool {
 	round := c.options.RoundInterval
 	return known.dueAt <= now || startsRound && known.interval >= round && known.dueAt <= now+round/2
 }
 
-// wantsContact reports whether a contact should get requests: the view has no live entry at its address, and the
-// process knows too few keepers, or is a keeper itself and has not heard the contact for maxInterval.
+// wantsContact reports whether a contact should get requests. It should before the process has joined and while it is
+// isolated. Otherwise it should if the view has no live entry for its address, and the process either knows too few
+// live keepers, or is a keeper itself and has received nothing from the contact for maxInterval.
 func (c *Core) wantsContact(now time.Duration, known *contact, isolated bool) bool {
 	if !c.joined || isolated {
 		return true
@@ -146,14 +148,14 @@
 			}
 		}
 	}
-	if c.self.Role == RoleKeeper { // keepers look for keepers, so that the sides of a healed network partition meet again
-		return !known.heard || now-known.heardAt >= maxInterval
+	if c.self.Role == RoleKeeper { // keepers contact each other anyway, so that views reconnect after a network partition
+		return !known.received || now-known.receivedAt >= maxInterval
 	}
-	return c.liveKeepers() < enoughLiveKeepers
+	return c.liveKeepers() < sufficientLiveKeepers
 }
 
-// requestContact sends a request to a contact and sets the time of the next one. The interval doubles after
-// fastAttempts, up to maxInterval, or to a round while the process knows no live one.
+// requestContact sends a request to a contact and schedules the next one. The interval doubles after fastAttempts, up
+// to maxInterval, or up to a round interval while the process is isolated.
 func (c *Core) requestContact(now time.Duration, known *contact, isolated bool) {
 	known.attempts++
 	if known.attempts > fastAttempts {
@@ -167,14 +169,14 @@
 	c.sendRequest(now, Peer{Addr: known.addr})
 }
 
-// contactHeard restarts the intervals of the contact at an address that a datagram came from.
-func (c *Core) contactHeard(now time.Duration, addr string) {
+// resetContact resets the request interval of the contact from whose address a datagram was received.
+func (c *Core) resetContact(now time.Duration, addr string) {
 	i := c.contactIndex(addr)
 	if i < 0 {
 		return
 	}
 	known := &c.contacts[i]
-	known.heardAt, known.heard = now, true
+	known.receivedAt, known.received = now, true
 	known.attempts, known.interval = fastAttempts, c.options.RoundInterval/2
 	known.dueAt = now + c.options.RoundInterval
 }
--- a/internal/control/membership/contact_test.go
+++ b/internal/control/membership/contact_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func TestProcessJoinsWithSomeSeedsDead(t *testing.T) {
-	for _, dead := range []int{1, 2} {
+func TestProcessJoinsWithSomeSeedsDown(t *testing.T) {
+	for _, down := range []int{1, 2} {
 		sim := newSimulation(t, 3)
 		seeds := sim.startAll(30, 8)
 		sim.runUntil(20 * time.Second)
-		for i := range dead {
+		for i := range down {
 			sim.byAddr[seeds[i]].up = false
 		}
 		newcomer := sim.start(30, "proxy", 9000, seeds)
@@ -27,7 +27,7 @@
 			}
 		}
 		if !newcomer.Joined() || live < 2 {
-			t.Errorf("%d of 3 seeds dead: joined %v, %d live keepers after 3 s", dead, newcomer.Joined(), live)
+			t.Errorf("%d of 3 seeds down: joined %v, %d live keepers after 3 s", down, newcomer.Joined(), live)
 		}
 		sim.runFor(time.Minute)
 		sim.expectConnected()
@@ -40,13 +40,13 @@
 	p := sim.start(9, "proxy", 1, seeds)
 	sim.runUntil(5 * time.Second)
 	if sent := p.Stats().Sent; sent < 40 || sent > 75 {
-		t.Errorf("%d datagrams to 3 seeds in 5 s: 300 ms apart are 50", sent)
+		t.Errorf("%d datagrams to 3 seeds in 5 s, want about 50 (one per 300 ms and seed)", sent)
 	}
 	sim.runUntil(10 * time.Minute)
 	before := p.Stats().Sent
 	sim.runUntil(20 * time.Minute)
 	if sent := p.Stats().Sent - before; sent > 3*10*60 || sent < 3*60 {
-		t.Errorf("%d datagrams in 10 minutes to seeds that stay dead", sent)
+		t.Errorf("%d datagrams in 10 minutes to seeds that stay down", sent)
 	}
 	for i := range 3 {
 		sim.start(i, RoleKeeper, 2, seeds)
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestSeedsAreReplaced changes the seeds many times: the newest always get requests, and the old ones are
-// abandoned.
+// TestSeedsAreReplaced changes the seeds many times, and checks that the newest always get requests and that the former
+// ones are abandoned.
 func TestSeedsAreReplaced(t *testing.T) {
 	sim := newSimulation(t, 8)
 	seedsOf := func(turn int) []string { return []string{address(10 + 2*turn), address(11 + 2*turn)} }
@@ -69,7 +69,7 @@
 		p.SetSeeds(sim.now, seedsOf(turn))
 		for _, seed := range seedsOf(turn) {
 			if !slices.ContainsFunc(p.contacts, func(known contact) bool { return known.addr == seed && known.seed }) {
-				t.Fatalf("turn %d: %s is no seed", turn, seed)
+				t.Fatalf("turn %d: %s is not a seed", turn, seed)
 			}
 		}
 		if len(p.contacts) > maxContacts {
--- a/internal/control/membership/core.go
+++ b/internal/control/membership/core.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// maxPending is the number of requests without a response that a Core remembers.
+// maxPending is the maximum number of pending requests of a Core.
 const maxPending = 64
 
 // Stats counts the datagrams of a Core since New.
 type Stats struct {
 	Sent, SentBytes, Received, Malformed uint64
-	Unsolicited                          uint64 // responses to no pending request: not requested, or too late
-	Unanswered                           uint64 // requests to neighbours that got no response in time
+	Unsolicited                          uint64 // responses without a pending request: never requested, or too late
+	Unanswered                           uint64 // requests to neighbours without a response in time
 }
 
-// pendingRequest is a request that has no response yet.
+// pendingRequest is a request that awaits its response.
 type pendingRequest struct {
 	seq    uint32
 	sentAt time.Duration
-	to     Peer   // of a contact only Addr is known
-	sent   []Peer // the entries that were sent with it
+	to     Peer   // for a contact, only Addr is set
+	sent   []Peer // the entries in the request
 }
 
-// Core is the protocol without clock, socket and goroutine: now is the reading of a monotonic clock. It is not safe
-// for concurrent use.
+// Core is the protocol without clock, socket and goroutines: the parameter now of its methods is the reading of a
+// monotonic clock. It is not safe for concurrent use.
 type Core struct {
 	options      Options
 	self         Peer
@@ -34,21 +34,21 @@
 	incarnations incarnations
 	contacts     []contact
 	pending      []pendingRequest
-	seq          uint32        // of the last request
-	nextRoundAt  time.Duration // when the next round is due
+	seq          uint32 // of the last request
+	nextRoundAt  time.Duration
 	started      bool
-	joined       bool // a request was answered
+	joined       bool // whether any request was answered
 	buffer       []byte
 	stats        Stats
 }
 
-// New returns a Core with an empty view. It fails if Self is out of bounds or Send is missing.
+// New returns a Core with an empty view. It fails if Self is invalid or Send is missing.
 func New(options Options) (*Core, error) {
 	if err := options.Self.validate(); err != nil {
 		return nil, err
 	}
 	if options.Send == nil {
-		return nil, errors.New("membership: Send is missing")
+		return nil, errors.New("membership: Options.Send is missing")
 	}
 	options.setDefaults()
 	c := &Core{options: options, self: options.Self, seq: options.Rand.Uint32()}
@@ -56,7 +56,7 @@
 	return c, nil
 }
 
-// View returns all entries that are known, each process once.
+// View returns all entries of the view, one per process.
 func (c *Core) View() []Peer {
 	view := slices.Clone(c.peers)
 	for i := range c.keepers {
@@ -67,14 +67,15 @@
 	return view
 }
 
-// Keepers returns the entries of keepers that are known, the youngest first.
+// Keepers returns the entries of known keepers, ordered by age, the youngest first.
 func (c *Core) Keepers() []Peer {
 	keepers := slices.Clone(c.keepers)
 	slices.SortStableFunc(keepers, func(a, b Peer) int { return int(a.Age) - int(b.Age) })
 	return keepers
 }
 
-// Self returns this process's own entry. Its Incarnation is raised when another process knows a later one of it.
+// Self returns the entry of this process. Its Incarnation is raised if another process has an entry of it with a higher
+// one.
 func (c *Core) Self() Peer { return c.self }
 
 // Stats returns the counts since New.
@@ -83,12 +84,12 @@
 // Joined reports whether any request was ever answered.
 func (c *Core) Joined() bool { return c.joined }
 
-// Tick starts a round and sends requests to contacts if they are due, and returns the time by which it must be called
+// Tick starts a round and sends requests to contacts, if they are due. It returns the time by which it must be called
 // again.
 func (c *Core) Tick(now time.Duration) (next time.Duration) {
 	if !c.started {
 		c.started = true
-		// Processes that start together must not run in step.
+		// A random delay keeps processes that start together from running their rounds in lockstep.
 		c.nextRoundAt = now + c.jitter(c.options.RoundInterval, 2)
 	}
 	startsRound := now >= c.nextRoundAt
@@ -100,7 +101,7 @@
 	return min(c.nextRoundAt, c.requestContacts(now, startsRound))
 }
 
-// Receive handles a datagram that arrived from an address. A malformed one is counted and otherwise ignored.
+// Receive handles a datagram from an address. A malformed datagram is counted and otherwise ignored.
 func (c *Core) Receive(now time.Duration, from string, msg []byte) {
 	c.stats.Received++
 	received, err := decode(msg)
@@ -127,11 +128,11 @@
 	peers := c.randomPeers(count, sender)
 	keepers := c.randomKeepers(sender, request.needsKeepers)
 	sent := c.send(from, message{kind: kindResponse, seq: request.seq}, peers, keepers)
-	c.contactHeard(now, from)
+	c.resetContact(now, from)
 	c.merge(append([]Peer{*sender}, request.peers...), request.keepers, sent)
 }
 
-// receiveResponse adds the entries of a response to the view, if it is to a pending request.
+// receiveResponse adds the entries of a response to the view if the response belongs to a pending request.
 func (c *Core) receiveResponse(now time.Duration, from string, response *message) {
 	i := slices.IndexFunc(c.pending, func(request pendingRequest) bool { return request.seq == response.seq })
 	if i < 0 {
@@ -141,9 +142,9 @@
 	sent := c.pending[i].sent
 	c.pending = slices.Delete(c.pending, i, i+1)
 	c.joined = true
-	c.contactHeard(now, from)
+	c.resetContact(now, from)
 	c.merge(response.peers, response.keepers, sent)
-	// The entry of the responding process was removed from the view by shuffle; there may be space for it again.
+	// shuffle removed the entry of the responding process from the view; add it again if there is space.
 	if c.admit(&response.from) {
 		c.addKeeper(response.from)
 		if len(c.peers) < c.maxPeers() && indexOf(c.peers, &response.from) < 0 {
@@ -152,7 +153,7 @@
 	}
 }
 
-// sendRequest sends a request with entries of this view. The oldest pending request is dropped if there are too many.
+// sendRequest sends a request with entries of this view. With maxPending pending requests, it drops the oldest one.
 func (c *Core) sendRequest(now time.Duration, to Peer) {
 	if len(c.pending) >= maxPending {
 		c.pending = slices.Delete(c.pending, 0, 1)
@@ -163,7 +164,7 @@
 	c.pending = append(c.pending, pendingRequest{seq: c.seq, sentAt: now, to: to, sent: sent})
 }
 
-// send sends a message with as many of the entries as fit, and returns which of peers did.
+// send sends a message with as many of the entries as fit, and returns the peers that were included.
 func (c *Core) send(addr string, m message, peers, keepers []Peer) (sent []Peer) {
 	m.from = c.self
 	c.buffer, sent = m.encode(c.buffer[:0], peers, keepers)
@@ -173,7 +174,7 @@
 	return sent
 }
 
-// expirePending drops the requests that have had no response for half a round.
+// expirePending drops the requests that have had no response for half a round interval.
 func (c *Core) expirePending(now time.Duration) {
 	c.pending = slices.DeleteFunc(c.pending, func(request pendingRequest) bool {
 		if now-request.sentAt < c.options.RoundInterval/2 {
@@ -187,7 +188,7 @@
 	})
 }
 
-// jitter returns a random duration below limit, or below least if that is longer.
+// jitter returns a random duration below limit or least, whichever is longer.
 func (c *Core) jitter(limit, least time.Duration) time.Duration {
 	return time.Duration(c.options.Rand.Int64N(int64(max(limit, least, 1))))
 }
--- a/internal/control/membership/core_test.go
+++ b/internal/control/membership/core_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// newTestCore returns a Core whose datagrams are lost.
+// newTestCore returns a Core whose sent datagrams are discarded.
 func newTestCore(t testing.TB) *Core {
 	t.Helper()
 	c, err := New(Options{
@@ -20,7 +20,7 @@
 	return c
 }
 
-// receiveFrom has a Core receive a request of a process.
+// receiveFrom delivers a request from a process to a Core.
 func receiveFrom(c *Core, sender Peer) {
 	m := message{kind: kindRequest, from: sender}
 	datagram, _ := m.encode(nil, nil, nil)
@@ -87,7 +87,7 @@
 		c := newTestCore(t)
 		c.Receive(0, "10.0.0.2:7660", datagram)
 		if len(c.View()) > c.options.ViewSize {
-			t.Errorf("%d in view", len(c.View()))
+			t.Errorf("%d entries exceed the view size", len(c.View()))
 		}
 	})
 }
--- a/internal/control/membership/golden_test.go
+++ b/internal/control/membership/golden_test.go
@@ -7,12 +7,12 @@
 	"dunetide/internal/lab/golden"
 )
 
-// goldenPeer has a distinct value other than zero in each field.
-func goldenPeer(name string, life uint64, age uint16) Peer {
-	return Peer{Name: name, Role: "role-of-" + name, Zone: "zone-of-" + name, Addr: "10.0.0.1:" + name[len(name)-4:], Incarnation: life, Age: age}
+// goldenPeer returns a peer with a distinct non-zero value in each field.
+func goldenPeer(name string, incarnation uint64, age uint16) Peer {
+	return Peer{Name: name, Role: "role-of-" + name, Zone: "zone-of-" + name, Addr: "10.0.0.1:" + name[len(name)-4:], Incarnation: incarnation, Age: age}
 }
 
-// TestMessageBytes pins the bytes of each kind of datagram between processes.
+// TestMessageBytes pins the encoding of each kind of datagram.
 func TestMessageBytes(t *testing.T) {
 	for file, want := range map[string]message{
 		"ask": {
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestLargestMessage pins the size of a datagram, which all versions of the program accept and none exceeds.
+// TestLargestMessage pins the maximum size of a datagram, which all versions of the program accept and none exceeds.
 func TestLargestMessage(t *testing.T) {
 	m := message{kind: kindRequest, seq: 1, from: goldenPeer("sender-7001", 1, 0)}
 	var peers []Peer
--- a/internal/control/membership/incarnations.go
+++ b/internal/control/membership/incarnations.go
@@ -1,18 +1,18 @@
 package membership
 
-// maxIncarnations is the number of processes and addresses whose newest incarnation is remembered.
+// maxIncarnations is the maximum number of processes and addresses whose newest incarnation is remembered.
 const maxIncarnations = 512
 
-// incarnations remembers the newest incarnation of the processes and addresses that were admitted last, so that a
-// delayed entry does not bring back an older one after the newer one has left the view. It has at most maxIncarnations
+// incarnations records the newest incarnation of recently admitted processes and addresses, so that a delayed entry
+// does not re-add an older incarnation after the newer one was removed from the view. It has at most maxIncarnations
 // keys. The zero value is empty.
 type incarnations struct {
 	newest map[string]uint64
-	ring   []string // the keys of newest, in the order in which they were added
+	ring   []string // the keys of newest, in insertion order
 	next   int      // index in ring of the key to replace next, once the ring is full
 }
 
-// admit records the incarnation of an entry, unless a newer one of its process or address is known.
+// admit records the incarnation of an entry and returns true, unless a newer one of its process or address is known.
 func (n *incarnations) admit(p *Peer) bool {
 	process := p.Role + "/" + p.Name
 	if n.newest[process] > p.Incarnation || n.newest[p.Addr] > p.Incarnation {
@@ -23,7 +23,7 @@
 	return true
 }
 
-// set records the newest incarnation of a process or address, in place of the oldest key if there are too many.
+// set records the newest incarnation of a process or address. It replaces the oldest key if there are maxIncarnations.
 func (n *incarnations) set(key string, incarnation uint64) {
 	if n.newest == nil {
 		n.newest = map[string]uint64{}
--- a/internal/control/membership/message.go
+++ b/internal/control/membership/message.go
@@ -6,14 +6,14 @@
 	"dunetide/internal/platform/link"
 )
 
-// A datagram has these fields in turn: magic, kind, sequence number of the request, whether the sender needs keepers,
-// the sender, the entries that are exchanged, the keepers that are copied.
+// A datagram consists of these fields, in this order: magic, kind, sequence number of the request, whether the sender
+// needs keepers, the sender, the exchanged entries, the copied keepers.
 const (
-	magic        = 0x4d31 // "M1"; it changes with the format
+	magic        = 0x4d31 // "M1"; changes with the format
 	kindRequest  = 1
 	kindResponse = 2
 
-	maxMessageBytes = 1180        // fits into one packet on any path
+	maxMessageBytes = 1180        // fits into one unfragmented packet on any path
 	minPeerBytes    = 4*4 + 8 + 4 // encoded size of a peer whose text fields are empty
 	listCountBytes  = 2 * 4       // encoded size of the lengths of both lists
 )
@@ -27,8 +27,8 @@
 	seq          uint32 // of the request, repeated in its response
 	needsKeepers bool   // the sender knows too few live keepers
 	from         Peer
-	peers        []Peer // entries that are exchanged
-	keepers      []Peer // entries of keepers that are copied
+	peers        []Peer // exchanged entries
+	keepers      []Peer // copied entries of keepers
 }
 
 // peerBytes returns the encoded size of a peer.
--- a/internal/control/membership/options.go
+++ b/internal/control/membership/options.go
@@ -8,11 +8,11 @@
 // Options configures a Core. A zero field other than Self and Send takes its default.
 type Options struct {
 	Self          Peer          // this process; its Age is ignored
-	ViewSize      int           // most entries of the view; default 12
-	ShuffleSize   int           // most entries of one exchange, the sender's own included; default 6
+	ViewSize      int           // maximum number of entries of the view; default 12
+	ShuffleSize   int           // maximum number of entries in one exchange, the sender's own included; default 6
 	RoundInterval time.Duration // between rounds; default 2 s
 	KeeperSlots   int           // entries of the view that are reserved for keepers; default 6, at most ViewSize-1
-	Rand          *rand.Rand    // default: seeded at random
+	Rand          *rand.Rand    // default: randomly seeded
 	// Send sends a datagram. It is called from Tick and Receive and must not retain msg.
 	Send func(addr string, msg []byte)
 }
--- a/internal/control/membership/service.go
+++ b/internal/control/membership/service.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// errorPause is the wait after a read error that may persist, so that the goroutine does not spin.
+// errorPause is the pause after a read error, which may persist, so that the goroutine does not spin.
 const errorPause = 10 * time.Millisecond
 
 // Service runs a Core on a UDP socket, with one goroutine. It is safe for concurrent use.
@@ -22,14 +22,14 @@
 	done  chan struct{}
 }
 
-// Start runs a Core over conn, which must be bound to Self.Addr, until ctx ends, and then closes conn; Done tells when
-// that is complete. It sets Send in the options. Seeds are addresses of keepers' internal ports (ip:port). It fails if
-// the options are invalid; conn stays open then.
+// Start runs a Core over conn, which must be bound to Self.Addr, until ctx ends, and then closes conn and the channel
+// returned by Done. It sets Send in the options. Seeds are addresses of keepers' internal ports (ip:port). It fails if
+// the options are invalid; conn stays open in that case.
 func Start(ctx context.Context, conn *net.UDPConn, options Options, seeds []string) (*Service, error) {
 	s := &Service{conn: conn, start: time.Now(), done: make(chan struct{})}
 	options.Send = func(addr string, msg []byte) {
 		if to, err := netip.ParseAddrPort(addr); err == nil {
-			_, _ = conn.WriteToUDPAddrPort(msg, to) // the protocol allows for datagrams that are lost
+			_, _ = conn.WriteToUDPAddrPort(msg, to) // the protocol tolerates lost datagrams
 		}
 	}
 	var err error
@@ -46,7 +46,8 @@
 	return s, nil
 }
 
-// closeConn closes the socket, which may be closed already; a UDP socket loses nothing by that.
+// closeConn closes the socket, which may already be closed. Closing a UDP socket loses no data, so the error is
+// ignored.
 func (s *Service) closeConn() { _ = s.conn.Close() }
 
 // run reads datagrams until the socket is closed. The read deadline of the socket is the timer of the next Tick.
@@ -73,14 +74,14 @@
 	}
 }
 
-// tick runs the Core's Tick and returns when the next one is due, as time since the start.
+// tick runs the Core's Tick and returns when the next one is due, as the time since the start.
 func (s *Service) tick() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Tick(time.Since(s.start))
 }
 
-// receive hands a datagram to the Core.
+// receive passes a datagram to the Core.
 func (s *Service) receive(from netip.AddrPort, msg []byte) {
 	addr := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
 	s.mu.Lock()
@@ -88,7 +89,7 @@
 	s.core.Receive(time.Since(s.start), addr, msg)
 }
 
-// AddSeeds adds addresses of keepers that may be alive. They get requests within a round. See Core.AddSeeds.
+// AddSeeds adds addresses of possible keepers, which get requests within a round. See Core.AddSeeds.
 func (s *Service) AddSeeds(addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,21 +103,21 @@
 	s.core.SetSeeds(time.Since(s.start), addrs)
 }
 
-// View returns all entries that are known, each process once.
+// View returns all entries of the view, one per process.
 func (s *Service) View() []Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.View()
 }
 
-// Keepers returns the entries of keepers that are known, the youngest first.
+// Keepers returns the entries of known keepers, ordered by age, the youngest first.
 func (s *Service) Keepers() []Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Keepers()
 }
 
-// Self returns this process's own entry.
+// Self returns the entry of this process.
 func (s *Service) Self() Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/membership/service_test.go
+++ b/internal/control/membership/service_test.go
@@ -39,9 +39,9 @@
 	for _, service := range services {
 		for len(service.View()) < 3 {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s knows %v", service.Self().Name, service.View())
+				t.Fatalf("%s has a view of %v", service.Self().Name, service.View())
 			}
-			time.Sleep(time.Millisecond) // a Service over sockets has no event to wait for
+			time.Sleep(time.Millisecond) // a Service offers no event to wait for
 		}
 	}
 	cancel()
--- a/internal/control/membership/simulation_test.go
+++ b/internal/control/membership/simulation_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// simulation is a simulated network of Cores. Datagrams are lost and duplicated at random, by seed.
+// simulation is a simulated network of Cores. Datagrams are lost and duplicated at random, determined by a seed.
 type simulation struct {
 	t          testing.TB
 	rand       *rand.Rand
@@ -17,9 +17,9 @@
 	queue      eventQueue
 	processes  []*process
 	byAddr     map[string]*process
-	loss       float64 // share of datagrams
-	duplicates float64 // share of the others
-	// partitioned reports whether datagrams between two processes are dropped; nil: none are.
+	loss       float64 // share of lost datagrams
+	duplicates float64 // share of duplicated datagrams among the others
+	// partitioned reports whether datagrams between two processes are dropped; nil means none are.
 	partitioned     func(from, to *process) bool
 	largestDatagram int // bytes
 	lastOrder       int
@@ -30,12 +30,12 @@
 	*Core
 	addr   string
 	up     bool
-	starts int // a timer of an earlier start is ignored
+	starts int // number of starts; timers of earlier starts are ignored
 }
 
 type event struct {
 	at    time.Duration
-	order int // of events at one time
+	order int // among events at the same time
 	run   func()
 }
 
@@ -121,7 +121,7 @@
 	}
 	next := p.Tick(s.now)
 	if next <= s.now {
-		s.t.Fatalf("%s wants its next tick at %v, it is %v", p.addr, next, s.now)
+		s.t.Fatalf("%s: next tick requested for %v, which is not after %v", p.addr, next, s.now)
 	}
 	s.after(next-s.now, func() { s.tick(p, start) })
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// startAll starts n processes within 0.3 s, of which the first are keepers; the first three of these are the seeds.
+// startAll starts n processes within 0.3 s. The first ones are keepers, and the first three keepers are the seeds.
 func (s *simulation) startAll(n, keepers int) (seeds []string) {
 	for i := range min(3, keepers) {
 		seeds = append(seeds, address(i))
@@ -163,7 +163,7 @@
 	return seeds
 }
 
-// up returns the processes that are up.
+// up returns the running processes.
 func (s *simulation) up() (up []*process) {
 	for _, p := range s.processes {
 		if p.up {
@@ -173,8 +173,8 @@
 	return up
 }
 
-// reached counts the processes that can be reached from the first one that is up over views, taken one way, and over
-// views taken both ways.
+// reached counts the processes that are reachable from the first running process in the directed graph of the views,
+// and in the same graph with undirected edges.
 func (s *simulation) reached() (oneWay, bothWays int) {
 	directed, undirected := map[string][]string{}, map[string][]string{}
 	up := s.up()
@@ -190,7 +190,7 @@
 	return countReachable(directed, up[0].addr), countReachable(undirected, up[0].addr)
 }
 
-// countReachable counts the nodes of a graph that can be reached from one, itself included.
+// countReachable counts the nodes of a graph that are reachable from one node, itself included.
 func countReachable(edges map[string][]string, from string) int {
 	seen := map[string]bool{from: true}
 	unvisited := []string{from}
@@ -217,7 +217,7 @@
 	return n
 }
 
-// fewestKeepers returns the fewest keepers that are up which a process knows.
+// fewestKeepers returns the minimum, over all running processes, of the number of running keepers that a process knows.
 func (s *simulation) fewestKeepers() int {
 	fewest := 1 << 30
 	for _, p := range s.up() {
@@ -232,11 +232,11 @@
 	return fewest
 }
 
-// expectConnected checks that every process is reached over views.
+// expectConnected checks that the graph of the views connects all running processes.
 func (s *simulation) expectConnected() {
 	s.t.Helper()
 	up := len(s.up())
 	if oneWay, bothWays := s.reached(); oneWay != up || bothWays != up {
-		s.t.Errorf("of %d processes, %d are reached over views, %d over views taken both ways", up, oneWay, bothWays)
+		s.t.Errorf("of %d processes, %d are reachable over directed views, %d over undirected views", up, oneWay, bothWays)
 	}
 }
--- a/internal/control/membership/view.go
+++ b/internal/control/membership/view.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	staleAge          = 60 // rounds after which a keeper's entry is dropped if it was not refreshed
-	liveAge           = 30 // rounds up to which an entry counts as live
-	minKeepers        = 3  // keepers that are retained at any age
-	enoughLiveKeepers = 2  // live keepers with which a process does not contact the seeds
+	staleAge              = 60 // rounds after which a keeper's entry is dropped if it was not refreshed
+	liveAge               = 30 // rounds up to which an entry counts as live
+	minKeepers            = 3  // keepers that are retained at any age
+	sufficientLiveKeepers = 2  // live keepers that suffice for a process not to contact the seeds
 )
 
-// maxPeers returns the most neighbours that the view may have. Slots that are reserved but not used by keepers count.
+// maxPeers returns the maximum number of neighbours. Slots that are reserved for keepers but unused are available to
+// neighbours.
 func (c *Core) maxPeers() int { return c.options.ViewSize - len(c.keepers) }
 
-// liveKeepers returns the number of keepers whose entries count as live.
+// liveKeepers returns the number of keepers with live entries.
 func (c *Core) liveKeepers() (n int) {
 	for i := range c.keepers {
 		if c.keepers[i].Age <= liveAge {
@@ -29,8 +30,9 @@
 // isolated reports whether the view has no neighbour and no live keeper.
 func (c *Core) isolated() bool { return len(c.peers) == 0 && c.liveKeepers() == 0 }
 
-// shuffle runs a round: it ages all entries and asks the neighbour with the oldest entry to exchange entries. That
-// entry leaves this view, and the neighbour gets this process's own, so all processes appear in about as many views.
+// shuffle runs a round: it ages all entries and requests an exchange from the neighbour with the oldest entry. That
+// entry is removed from this view, and the neighbour gets the entry of this process, so all processes appear in about
+// as many views.
 func (c *Core) shuffle(now time.Duration) {
 	c.expirePending(now)
 	c.ageEntries()
@@ -56,7 +58,7 @@
 	}
 }
 
-// dropStaleKeepers drops the keepers whose entries were not refreshed for staleAge, but for the last minKeepers.
+// dropStaleKeepers drops keepers whose entries were not refreshed for staleAge rounds, except the last minKeepers.
 func (c *Core) dropStaleKeepers(now time.Duration) {
 	for len(c.keepers) > minKeepers {
 		i := c.oldest(c.keepers)
@@ -68,8 +70,8 @@
 	}
 }
 
-// dropUnresponsive drops the entry of a process that did not respond. Of the last few keepers it only raises the age,
-// so that they no longer count as live.
+// dropUnresponsive drops the entry of a process that did not respond. The last minKeepers keepers stay, but their age
+// is raised so that they no longer count as live.
 func (c *Core) dropUnresponsive(now time.Duration, process *Peer) {
 	i := indexOf(c.peers, process)
 	if i >= 0 && c.peers[i].Incarnation == process.Incarnation && c.peers[i].Age > process.Age {
@@ -88,18 +90,18 @@
 }
 
 // exchangeSize returns the number of entries to send in a shuffle, the own one included: at most half of the
-// neighbours, because exchanging all entries would swap two views in place of mixing them.
+// neighbours, because exchanging all entries would swap two views instead of mixing them.
 func (c *Core) exchangeSize() int { return min(c.options.ShuffleSize, len(c.peers)/2+1) }
 
-// randomPeers returns up to n random neighbours other than one.
+// randomPeers returns up to n random neighbours, excluding one peer.
 func (c *Core) randomPeers(n int, except *Peer) []Peer {
 	return c.sample(c.peers, n, func(peer *Peer) bool {
 		return !peer.sameProcess(except) && peer.Addr != except.Addr
 	})
 }
 
-// randomKeepers returns random keepers other than one that are not stale: up to half of the reserved share, or up to
-// the whole one with all.
+// randomKeepers returns random keepers that are not stale, excluding one peer: up to half of the reserved share, or up
+// to all of it if all is set.
 func (c *Core) randomKeepers(except *Peer, all bool) []Peer {
 	n := c.options.KeeperSlots
 	if !all {
@@ -123,7 +125,7 @@
 	return chosen
 }
 
-// merge adds received entries to the view: in free slots first, then in place of the entries that were sent.
+// merge adds received entries to the view: to free slots first, then in place of the entries that were sent.
 func (c *Core) merge(peers, keepers, sent []Peer) {
 	for _, keeper := range keepers {
 		if c.admit(&keeper) {
@@ -174,12 +176,12 @@
 	}
 }
 
-// admit reports whether an entry may enter the view. The process's own entry may not, nor one that is older than a
-// known incarnation of the same process or of another at the same address. A newer incarnation removes the older ones
-// from the view.
+// admit reports whether an entry may be added to the view. The process's own entry may not, nor one that is older than
+// a known incarnation of the same process or of another process at the same address. A newer incarnation removes the
+// older ones from the view.
 func (c *Core) admit(peer *Peer) bool {
 	if peer.Addr == c.self.Addr || peer.sameProcess(&c.self) {
-		c.outbidOwnEntry(peer)
+		c.raiseOwnIncarnation(peer)
 		return false
 	}
 	if !c.incarnations.admit(peer) {
@@ -190,22 +192,22 @@
 	}
 	c.peers = slices.DeleteFunc(c.peers, older)
 	c.keepers = slices.DeleteFunc(c.keepers, older)
-	// Of one incarnation at two addresses, or two processes of one incarnation at one address, the entry in the view
-	// stays.
+	// Two entries of equal incarnation conflict if one process has two addresses or one address has two processes. The
+	// entry in the view stays.
 	clash := func(known Peer) bool { return known.sameProcess(peer) != (known.Addr == peer.Addr) }
 	return !slices.ContainsFunc(c.peers, clash) && !slices.ContainsFunc(c.keepers, clash)
 }
 
-// outbidOwnEntry raises the own incarnation above that of a received entry of this process: the clock, from which
-// incarnations are numbered, went back between two starts.
-func (c *Core) outbidOwnEntry(received *Peer) {
+// raiseOwnIncarnation raises the own incarnation above that of a received entry of this process. Incarnations are
+// numbered by the clock, so a received one is higher if the clock was set back between two starts.
+func (c *Core) raiseOwnIncarnation(received *Peer) {
 	own := received.sameProcess(&c.self) && received.Addr == c.self.Addr
 	if own && received.Incarnation > c.self.Incarnation && received.Incarnation < math.MaxUint64 {
 		c.self.Incarnation = received.Incarnation + 1
 	}
 }
 
-// oldest returns the index of the entry with the highest age, a random one of several.
+// oldest returns the index of the entry with the highest age, a random one if several have it.
 func (c *Core) oldest(entries []Peer) int {
 	best, equal := 0, 0
 	for i := range entries {
--- a/internal/control/membership/view_test.go
+++ b/internal/control/membership/view_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// keepersOf returns how many of n processes are keepers.
+// keepersOf returns the number of keepers among n processes.
 func keepersOf(n int) int { return min(8, (n+1)/2) }
 
 func TestTrafficIsIndependentOfSize(t *testing.T) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// testTraffic checks the traffic of a process among n, and how soon all are reached.
+// testTraffic checks the traffic of a process among n, and the time until all processes are reachable.
 func testTraffic(t *testing.T, n int) {
 	sim := newSimulation(t, uint64(n))
 	sim.startAll(n, keepersOf(n))
@@ -56,7 +56,7 @@
 		"%.2f datagrams; largest %d bytes; every process knows %d keepers at least, oldest entry %d rounds",
 		n, allReachedAt, datagramRate, byteRate, busiestRate, sim.largestDatagram, sim.fewestKeepers(), oldest)
 	if datagramRate > 1.1 || byteRate > 1000 {
-		t.Errorf("%d processes: %.2f datagrams, %.0f bytes a second: load must not grow", n, datagramRate, byteRate)
+		t.Errorf("%d processes: %.2f datagrams, %.0f bytes a second: traffic must not grow with the number of processes", n, datagramRate, byteRate)
 	}
 	if busiestRate > 2.5 {
 		t.Errorf("%d processes: the busiest sends %.2f datagrams a second", n, busiestRate)
@@ -65,14 +65,14 @@
 		t.Errorf("%d processes: all reached after %v", n, allReachedAt)
 	}
 	if fewest := sim.fewestKeepers(); fewest < min(3, keepersOf(n)-1) {
-		t.Errorf("%d processes: one knows %d keepers", n, fewest)
+		t.Errorf("%d processes: one knows only %d keepers", n, fewest)
 	}
 	if sim.largestDatagram >= 1200 {
-		t.Errorf("a datagram of %d bytes", sim.largestDatagram)
+		t.Errorf("largest datagram has %d bytes, want less than 1200", sim.largestDatagram)
 	}
 }
 
-func TestNewProcessSpreads(t *testing.T) {
+func TestNewProcessReachesOtherViews(t *testing.T) {
 	for _, n := range []int{10, 100, 1000} {
 		if testing.Short() && n > 100 {
 			continue
@@ -93,9 +93,9 @@
 				inFiveViewsAfter = sim.now - begin
 			}
 		}
-		t.Logf("%d processes: a new one is reached from everywhere after %v, in 5 views after %v", n, reachedAfter, inFiveViewsAfter)
+		t.Logf("%d processes: a new one is reachable from all after %v, in 5 views after %v", n, reachedAfter, inFiveViewsAfter)
 		if reachedAfter == 0 || inFiveViewsAfter == 0 || reachedAfter > 2*time.Second || inFiveViewsAfter > 25*time.Second {
-			t.Errorf("%d processes: a new one is reached after %v, in 5 views after %v", n, reachedAfter, inFiveViewsAfter)
+			t.Errorf("%d processes: a new one is reachable after %v, in 5 views after %v", n, reachedAfter, inFiveViewsAfter)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		}
 		oneWay, bothWays := sim.reached()
 		sim.runFor(30 * time.Second)
-		t.Logf("of %d left, at once %d are reached over views, %d both ways; every process knows %d live keepers at least after 30 s",
+		t.Logf("of %d left, %d are reachable immediately over directed views, %d over undirected; every process knows at least %d live keepers after 30 s",
 			len(sim.up()), oneWay, bothWays, sim.fewestKeepers())
 		if bothWays != len(sim.up()) {
 			t.Errorf("the views are not connected: %d of %d", bothWays, len(sim.up()))
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestOlderIncarnationDoesNotComeBack(t *testing.T) {
+func TestOlderIncarnationIsNotReadmitted(t *testing.T) {
 	sim := newSimulation(t, 5)
 	seeds := sim.startAll(60, 8)
 	sim.runUntil(20 * time.Second)
@@ -134,9 +134,9 @@
 			sim.after(2*time.Second, func() { sim.start(i, role, 100_000+uint64(i), seeds) })
 		}
 	}
-	// Once a view has had the new incarnation, it never has the old one.
+	// A view that has had the new incarnation never contains the old one again.
 	type observation struct{ observer, observed string }
-	newer := map[observation]int{} // to the observer's starts at that time
+	newer := map[observation]int{} // the observer's number of starts at that time
 	for end := sim.now + time.Minute; sim.now < end; {
 		sim.runFor(100 * time.Millisecond)
 		for _, p := range sim.up() {
@@ -146,7 +146,7 @@
 				case entry.Incarnation >= 100_000:
 					newer[key] = p.starts
 				case newer[key] == p.starts:
-					t.Fatalf("%s: an older incarnation of %s came back", p.addr, entry.Name)
+					t.Fatalf("%s: an older incarnation of %s is in the view again", p.addr, entry.Name)
 				}
 			}
 		}
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestPartitionedSidesMeetAgain(t *testing.T) {
+func TestViewsReconnectAfterPartition(t *testing.T) {
 	sim := newSimulation(t, 6)
 	sim.startAll(40, 8)
 	sim.runUntil(20 * time.Second)
@@ -167,7 +167,7 @@
 	sim.partitioned = func(a, b *process) bool { return side(a) != side(b) }
 	sim.runFor(10 * time.Minute)
 	if _, bothWays := sim.reached(); bothWays != 20 {
-		t.Errorf("%d are reached on a side of 20", bothWays)
+		t.Errorf("%d processes are reachable on one side of the partition, want 20", bothWays)
 	}
 	sim.partitioned = nil
 	begin := sim.now
@@ -193,12 +193,12 @@
 	sim.partitioned = func(a, b *process) bool { return a == isolated || b == isolated }
 	sim.runFor(5 * time.Minute)
 	if len(isolated.Keepers()) == 0 {
-		t.Error("it has forgotten all keepers")
+		t.Error("the isolated process has no keepers left")
 	}
 	sim.partitioned = nil
 	sim.runFor(5 * time.Second)
 	if isolated.liveKeepers() == 0 || sim.viewsWith(isolated.addr, isolated.self.Incarnation) == 0 {
-		t.Errorf("5 s after the partition it knows %d live keepers and is in %d views",
+		t.Errorf("5 s after the partition the process knows %d live keepers and is in %d views",
 			isolated.liveKeepers(), sim.viewsWith(isolated.addr, isolated.self.Incarnation))
 	}
 }
