--- a/internal/control/controlclient/attach.go
+++ b/internal/control/controlclient/attach.go
@@ -8,30 +8,31 @@
 	"dunetide/internal/platform/link"
 )
 
-// Attaching: a client has attachedKeepers slots, each of which one goroutine keeps filled with a link to a keeper.
+// Attaching: a client has attachedKeepers slots. One goroutine per slot keeps it filled with a link to a keeper.
 //
-//  1. fillSlot dials the candidates in turn, until one accepts the process (Hello). At this point it doesn't matter
-//     whether the keeper is in contact with a majority: the client has what there is as soon as there is contact.
-//  2. watchAttachment watches the link. While the keeper has no contact with a majority, it looks for one that has, and
-//     attaches to that before it leaves the old one.
-//  3. When the link ends, the slot is filled again, after a pause that grows with the failures in a row.
+//  1. fillSlot dials the candidates in turn, until one accepts the process (Hello). The keeper need not be in contact
+//     with a majority at this point: it sends the state as soon as it regains contact.
+//  2. watchAttachment watches the link. While the keeper has no contact with a majority, it searches for one that has,
+//     and attaches to that keeper before it closes the old link.
+//  3. When the link ends, the slot is filled again, after a pause that grows with the number of consecutive failures.
 //
-// An address is reserved while a slot dials it or is attached to it, so that two slots never use one keeper.
+// An address is reserved while a slot is dialling or attached to it, so that two slots never use the same keeper.
 const (
-	// attachPause is the least mean pause between attempts to fill a slot, maxAttachPause the greatest.
+	// attachPause is the initial mean pause between attempts to fill a slot, maxAttachPause its limit.
 	attachPause    = 100 * time.Millisecond
 	maxAttachPause = time.Second
 	// quickAttaches is the number of attempts after which the pause begins to double. When all machines start at once,
-	// keepers listen some tenths of a second after the others first ask, and nobody serves until it is attached.
+	// keepers begin to listen some tenths of a second after the first attempts of the other processes, which can't serve
+	// until they are attached.
 	quickAttaches = 5
-	// movePause is the mean pause before another keeper is looked for in place of one that has lost contact with a
-	// majority; it doubles up to maxMovePause. It is random, so that the processes of one keeper don't move at once.
+	// movePause is the mean pause before a search for a replacement of a keeper that has lost contact with a majority; it
+	// doubles up to maxMovePause. It is jittered, so that the processes attached to one keeper don't move simultaneously.
 	movePause    = 300 * time.Millisecond
 	maxMovePause = 2 * time.Second
-	// helloTimeout limits the time that a keeper takes to answer a Hello.
+	// helloTimeout is the time in which a keeper must reply to a Hello.
 	helloTimeout = time.Second
-	// probeTimeout limits the time to connect to a keeper and to ask it for its contact, where the slot is attached to
-	// another one meanwhile.
+	// probeTimeout is the time in which a keeper must accept a connection and report whether it is in contact, if the slot
+	// is attached to another keeper meanwhile.
 	probeTimeout = 500 * time.Millisecond
 )
 
@@ -43,7 +44,7 @@
 	source *source
 }
 
-// jitter returns a random duration between a half of a pause and one and a half of it.
+// jitter returns a random duration between 0.5 and 1.5 times a pause.
 func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
 
 // fillSlot keeps one slot filled until the context ends.
@@ -62,7 +63,7 @@
 	}
 }
 
-// pauseAfter returns the mean pause after so many attempts in a row to fill a slot.
+// pauseAfter returns the mean pause after a number of consecutive attempts to fill a slot.
 func pauseAfter(attempts int) time.Duration {
 	pause := attachPause
 	for range attempts - quickAttaches {
@@ -74,7 +75,8 @@
 	return pause
 }
 
-// attachAny attaches to the first candidate that accepts, in contact with a majority or not; nil: none does.
+// attachAny attaches to the first candidate that accepts, in contact with a majority or not. It returns nil if none
+// does.
 func (c *Client) attachAny(ctx context.Context, slot int) *attachment {
 	for _, addr := range c.candidates(slot) {
 		if a := c.attach(ctx, addr, false); a != nil {
@@ -85,14 +87,14 @@
 }
 
 // watchAttachment returns when the link to the keeper has ended. While the keeper has no contact with a majority, it
-// moves the slot to one that has, if there is any.
+// tries to move the slot to one that has.
 func (c *Client) watchAttachment(ctx context.Context, slot int, a *attachment) {
-	defer func() { c.detach(a) }() // a is the newest one then
+	defer func() { c.detach(a) }() // evaluates a on return: a move replaces it
 	pause := movePause
 	for {
-		var lookAround <-chan time.Time
+		var searchDue <-chan time.Time
 		if !c.inContact(a) {
-			lookAround = time.After(jitter(pause))
+			searchDue = time.After(jitter(pause))
 		}
 		select {
 		case <-a.conn.Done():
@@ -101,10 +103,10 @@
 			return
 		case <-a.source.contactChanged:
 			pause = movePause
-		case <-lookAround:
+		case <-searchDue:
 			pause = min(2*pause, maxMovePause)
 			if better := c.attachInContact(ctx, slot, a); better != nil {
-				c.options.Log.Info("moved to a keeper in contact", "from", a.node.Name, "to", better.node.Name)
+				c.options.Log.Info("moved to a keeper in contact with a majority", "from", a.node.Name, "to", better.node.Name)
 				c.detach(a)
 				a, pause = better, movePause
 			}
@@ -112,11 +114,11 @@
 	}
 }
 
-// attachInContact attaches to a candidate that is in contact with a majority, unless the present keeper is in contact
-// again; nil: there is none.
-func (c *Client) attachInContact(ctx context.Context, slot int, present *attachment) *attachment {
+// attachInContact attaches to a candidate that is in contact with a majority. It returns nil if there is none, or if
+// the current keeper is in contact again.
+func (c *Client) attachInContact(ctx context.Context, slot int, current *attachment) *attachment {
 	for _, addr := range c.candidates(slot) {
-		if ctx.Err() != nil || c.inContact(present) {
+		if ctx.Err() != nil || c.inContact(current) {
 			return nil
 		}
 		if a := c.attach(ctx, addr, true); a != nil {
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// inContact reports whether the keeper of an attachment is in contact with a majority, as it reported last.
+// inContact reports whether the keeper of an attachment last reported to be in contact with a majority.
 func (c *Client) inContact(a *attachment) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +143,7 @@
 }
 
 // attach attaches to a keeper; with onlyInContact, only if it is in contact with a majority. It returns nil if the
-// keeper can't be reached, doesn't accept, or belongs to the other slot.
+// keeper can't be reached, refuses the process, or is in use by the other slot.
 func (c *Client) attach(ctx context.Context, addr string, onlyInContact bool) *attachment {
 	if !c.reserve(addr) {
 		return nil
@@ -163,7 +165,7 @@
 	}
 	conn, err := link.Dial(dialCtx, addr, c, link.DefaultOptions)
 	if err != nil {
-		return nil // the next candidate is tried, and this one again later
+		return nil // the caller tries the next candidate
 	}
 	a := &attachment{addr: addr, conn: conn}
 	if onlyInContact && !queryInContact(dialCtx, conn) || !c.sendHello(ctx, a) {
@@ -173,15 +175,15 @@
 	return a
 }
 
-// queryInContact asks a keeper whether it is in contact with a majority, without attaching to it.
+// queryInContact reports whether a keeper is in contact with a majority, without attaching to it.
 func queryInContact(ctx context.Context, conn *link.Conn) bool {
 	body, err := conn.Call(ctx, KindInContact, nil)
 	r := link.Reader{Buf: body}
 	return r.Bool() && err == nil && r.Err == nil
 }
 
-// sendHello attaches over a link. It reports false if the keeper doesn't accept, or the client is attached to it
-// already.
+// sendHello attaches to a keeper over a link. It returns false if the keeper refuses the process or the client is
+// already attached to it.
 func (c *Client) sendHello(ctx context.Context, a *attachment) bool {
 	var hello link.Writer
 	c.options.Self.Append(&hello)
@@ -191,22 +193,22 @@
 	body, err := a.conn.Call(ctx, KindHello, hello.Buf)
 	r := link.Reader{Buf: body}
 	a.node = ReadNode(&r)
-	r.Bool() // whether the keeper has a disk, which is of no use here
+	r.Bool() // whether the keeper has a disk; unused
 	inContact := r.Bool()
-	if err != nil || r.Err != nil || a.node.Role != RoleKeeper || !c.adopt(a.conn, a.node, inContact) {
+	if err != nil || r.Err != nil || a.node.Role != RoleKeeper || !c.addSource(a.conn, a.node, inContact) {
 		return false
 	}
 	a.source = sourceOf(a.conn, inContact)
 	return true
 }
 
-// adopt adds an accepted link to the sources of the snapshot. It reports false if the link has ended, or another one
-// leads to the same keeper.
-func (c *Client) adopt(conn *link.Conn, node Node, inContact bool) bool {
+// addSource adds an accepted link to the sources of the snapshot. It returns false if the link has ended, or if another
+// link leads to the same keeper.
+func (c *Client) addSource(conn *link.Conn, node Node, inContact bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-conn.Done(): // Closed has found nothing to remove, or will find nothing
+	case <-conn.Done(): // Closed would not remove a source that is added now
 		return false
 	default:
 	}
@@ -219,7 +221,7 @@
 	s.node = node
 	c.sources[conn] = s
 	c.rebuild(true)
-	c.confirmNow()
+	c.wakeConfirmLoop()
 	c.options.Log.Info("keeper attached", "keeper", node.Name, "in_contact", s.inContact)
 	return true
 }
--- a/internal/control/controlclient/attach_test.go
+++ b/internal/control/controlclient/attach_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// The attempts that follow a start come close together, and those that go on failing ever more seldom.
+// TestPauseDoublesAfterQuickAttempts checks that the pause is short for the first attempts after a start, and then
+// doubles up to its limit.
 func TestPauseDoublesAfterQuickAttempts(t *testing.T) {
 	total := time.Duration(0)
 	for attempts := 1; attempts <= quickAttaches; attempts++ {
 		total += pauseAfter(attempts)
 	}
 	if total != quickAttaches*attachPause {
-		t.Errorf("the first attempts take %v", total)
+		t.Errorf("pauses of the quick attempts add up to %v", total)
 	}
 	last := pauseAfter(quickAttaches)
 	for attempts := quickAttaches + 1; attempts < 40; attempts++ {
--- a/internal/control/controlclient/candidates.go
+++ b/internal/control/controlclient/candidates.go
@@ -7,10 +7,10 @@
 	"sort"
 )
 
-// maxFormerKeepers limits the keepers that are remembered beside those in the newest update.
+// maxFormerKeepers is the maximum number of remembered keepers that are not in the newest update.
 const maxFormerKeepers = 64
 
-// reserve reserves a keeper's address for a slot. It reports false if it is reserved.
+// reserve reserves a keeper's address for a slot. It returns false if the address is already reserved.
 func (c *Client) reserve(addr string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,8 +28,8 @@
 }
 
 // candidates returns the addresses of keepers to try, in random order: for the first slot those of the own zone first,
-// for the second those of other zones, so that the loss of a zone leaves a link. Keepers that an earlier update named,
-// and the newest does not, come last: the sender of the newest may be cut off from them.
+// for the second those of other zones first, so that one link survives the loss of a zone. Keepers that are only in
+// earlier updates come last. They are still tried because the sender of the newest update may be partitioned from them.
 func (c *Client) candidates(slot int) []string {
 	c.mu.Lock()
 	nodes := slices.Clone(c.keepers)
@@ -48,7 +48,8 @@
 	return append(c.shuffled(nodes, slot, excluded), c.shuffled(former, slot, excluded)...)
 }
 
-// shuffled returns the addresses of nodes in the order for a slot, without those that are excluded, and excludes them.
+// shuffled returns the addresses of nodes in random order with the preferred zones of a slot first. It skips excluded
+// addresses, and adds the returned ones to excluded.
 func (c *Client) shuffled(nodes []Node, slot int, excluded map[string]bool) []string {
 	zones := map[string]string{}
 	var addrs []string
@@ -68,7 +69,7 @@
 	return addrs
 }
 
-// setKeepers accepts the keepers of an update, and remembers those that were named before and are not any more.
+// setKeepers stores the keepers of an update, and remembers those that are no longer listed as former keepers.
 func (c *Client) setKeepers(keepers []Node) {
 	former := slices.Concat(c.formerKeepers, c.keepers)
 	c.keepers = keepers
--- a/internal/control/controlclient/certificates_test.go
+++ b/internal/control/controlclient/certificates_test.go
@@ -10,13 +10,13 @@
 	"dunetide/internal/platform/link"
 )
 
-// confirmInterval is that of the clients of these tests.
+// confirmInterval is the ConfirmInterval of the clients in these tests.
 const confirmInterval = 20 * time.Millisecond
 
-// roundsToSettle is how many confirmations a test waits for, after which nothing that came before is under way.
+// roundsToSettle is the number of confirmation requests after which no earlier request or update is still in flight.
 const roundsToSettle = 5
 
-// certificateTest is a client that is attached to a keeper, which pushes certificates.
+// certificateTest is a client that is attached to a fake keeper, which pushes certificates.
 type certificateTest struct {
 	t         *testing.T
 	keeper    *fakeKeeper
@@ -35,7 +35,6 @@
 	return c
 }
 
-// push pushes certificates.
 func (c *certificateTest) push(version uint64, certificates []byte) {
 	c.t.Helper()
 	c.sequence++
@@ -51,7 +50,7 @@
 	}
 }
 
-// version returns the version of the certificates in force; 0: there are none.
+// version returns the version of the certificates in force, 0 if there are none.
 func (c *certificateTest) version() uint64 {
 	if s := c.snapshots.Get(); s != nil && s.Certificates != nil {
 		return s.Certificates.Version
@@ -72,29 +71,29 @@
 	return text
 }
 
-// unknownCertificates are of a version that this program can't parse.
-var unknownCertificates = []byte(`{"version":4,"new_field":1}`)
+// unparsableCertificates is a document with a field that this program does not know.
+var unparsableCertificates = []byte(`{"version":4,"new_field":1}`)
 
-func TestCertificatesAreKnownOnceAKeeperSaysThereAreNone(t *testing.T) {
+func TestCertificatesAreKnownOnceKeeperReportsNone(t *testing.T) {
 	c := newCertificateTest(t)
 	if s := c.snapshots.Get(); s == nil || s.CertificatesKnown {
-		t.Error("known before a keeper has said it")
+		t.Error("certificates count as known before a keeper has reported them")
 	}
 	c.push(0, nil)
 	await(t, "known", func() bool { return c.snapshots.Get().CertificatesKnown })
 	if c.snapshots.Get().Certificates != nil || !c.client.CertificatesConfirmedAt().IsZero() {
-		t.Error("there are none")
+		t.Error("certificates are set or confirmed though the keeper reported none")
 	}
 }
 
-func TestCertificateVersionsOnlyGrowAndOnlyAnAnswerConfirms(t *testing.T) {
+func TestCertificateVersionsIncreaseAndOnlyRepliesConfirm(t *testing.T) {
 	c := newCertificateTest(t)
 	c.keeper.refuseConfirmations(true)
 	c.push(3, certificatesText(t, 3))
 	await(t, "in force", func() bool { return c.version() == 3 })
 	c.keeper.awaitConfirmations(t, roundsToSettle)
 	if !c.client.CertificatesConfirmedAt().IsZero() {
-		t.Error("nobody has confirmed it")
+		t.Error("certificates count as confirmed though the keeper refused to confirm them")
 	}
 	c.keeper.refuseConfirmations(false)
 	await(t, "confirmed", func() bool { return !c.client.CertificatesConfirmedAt().IsZero() })
@@ -111,16 +110,17 @@
 	}
 }
 
-// What can't be parsed may withdraw what is in force.
-func TestUnknownCertificatesEndTheConfirmation(t *testing.T) {
+// TestUnparsableCertificatesClearConfirmation checks that certificates in force no longer count as confirmed after a
+// newer version was pushed that can't be parsed, because that version may withdraw them.
+func TestUnparsableCertificatesClearConfirmation(t *testing.T) {
 	c := newCertificateTest(t)
 	c.push(3, certificatesText(t, 3))
 	await(t, "confirmed", func() bool { return !c.client.CertificatesConfirmedAt().IsZero() })
-	c.push(4, unknownCertificates)
+	c.push(4, unparsableCertificates)
 	await(t, "no longer confirmed", func() bool { return c.client.CertificatesConfirmedAt().IsZero() })
 	c.keeper.awaitConfirmations(t, roundsToSettle)
 	if !c.client.CertificatesConfirmedAt().IsZero() || c.snapshots.Get().Certificates.Version != 3 {
-		t.Error("confirmed again by the old ones")
+		t.Error("the old certificates were confirmed again or replaced")
 	}
 	c.push(6, certificatesText(t, 6))
 	await(t, "confirmed by newer ones", func() bool {
@@ -128,12 +128,12 @@
 	})
 }
 
-func TestFirstCertificatesThatAreUnknownDoNotCountAsNone(t *testing.T) {
+func TestUnparsableFirstCertificatesDoNotCountAsNone(t *testing.T) {
 	c := newCertificateTest(t)
-	c.push(4, unknownCertificates)
+	c.push(4, unparsableCertificates)
 	c.keeper.awaitEnd(t)
 	await(t, "detached", func() bool { return len(c.client.KeeperConns()) == 0 })
 	if s := c.snapshots.Get(); s == nil || s.CertificatesKnown {
-		t.Error("it counts as known")
+		t.Error("certificates count as known though they could not be parsed")
 	}
 }
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -19,73 +19,72 @@
 const (
 	// attachedKeepers is the number of keepers to which a process is attached.
 	attachedKeepers = 2
-	// callTimeout limits the time that a keeper takes to answer CallKeeper.
+	// callTimeout is the time in which one keeper must reply to CallKeeper before the next one is tried.
 	callTimeout = time.Second
 )
 
 // Options of a Client.
 type Options struct {
-	// Self is the process that is attached.
+	// Self describes the process that runs the Client.
 	Self Node
-	// Seeds are the addresses of keepers' links from the settings.
+	// Seeds are the link addresses of keepers from the settings.
 	Seeds []string
-	// KnownKeepers returns the keepers that gossip of members has found; nil: there is no gossip.
+	// KnownKeepers returns the keepers that the membership protocol has found; nil if it does not run.
 	KnownKeepers func() []Node
-	// WantEndpoints has keepers push the list of endpoints.
+	// WantEndpoints requests the list of endpoints from the keepers.
 	WantEndpoints bool
 	// Snapshots is where each new snapshot is published.
 	Snapshots *snapshot.Latest
-	// OnSnapshot is called after each new snapshot, one call at a time. It must not call the Client. nil: nothing is
-	// called.
+	// OnSnapshot, unless nil, is called after each new snapshot, one call at a time. It must not call the Client.
 	OnSnapshot func(*snapshot.Snapshot)
-	// ConfirmInterval is how often keepers are asked whether the certificates are the newest, once there are any; 0:
-	// never.
+	// ConfirmInterval is the interval at which keepers are asked to confirm that the certificates are the newest, once
+	// there are any; 0 means never.
 	ConfirmInterval time.Duration
 	Log             hclog.Logger
 }
 
-// Client attaches a process to keepers and publishes what they push. While the process lives, no version in force is
-// replaced by an older one.
+// Client attaches a process to keepers and publishes snapshots of their updates. As long as the process runs, no
+// version in force is replaced by an older one.
 //
-// Run owns the goroutines of a client and waits for them. Message and Closed run in the reading goroutines of the
+// Run owns the goroutines of a Client and waits for them. Message and Closed run in the reading goroutines of the
 // links; each link is closed by the slot that dialled it, before Run returns.
 type Client struct {
 	options     Options
 	parseConfig func([]byte) (*operatorconfig.Config, error)
-	// parsing is held while a configuration is parsed and put in force. Both keepers push one at the same time, and
-	// parsing takes long: the second one finds the version in force and is not parsed.
+	// parsing is held while a configuration is parsed and put in force. Both keepers push a new configuration at about
+	// the same time, and parsing is slow: the second push waits, finds the version in force and skips the parsing.
 	parsing sync.Mutex
-	// confirmed is the time that CertificatesConfirmedAt returns; nil: none.
+	// confirmed is the time that CertificatesConfirmedAt returns; nil if there was no confirmation.
 	confirmed atomic.Pointer[time.Time]
-	// confirmWake wakes confirmLoop before its interval is over.
+	// confirmWake wakes confirmLoop before its interval has elapsed.
 	confirmWake chan struct{}
-	// seeds take the place of those of the options; nil: they have not been replaced.
+	// seeds replace Options.Seeds unless nil.
 	seeds atomic.Pointer[[]string]
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 
-	// The keepers.
+	// Keepers.
 	sources       map[*link.Conn]*source // the attached keepers
-	lastSource    *source                // the last keeper, while no attached one knows the endpoints
-	reserved      map[string]bool        // addresses that a slot dials or is attached to
-	keepers       []Node                 // those named by the newest update that names them
-	formerKeepers []Node                 // those named by earlier updates only, the latest last
+	lastSource    *source                // the last keeper with a complete list, while no attached keeper has one
+	reserved      map[string]bool        // addresses that a slot is dialling or attached to
+	keepers       []Node                 // from the newest update with a list of keepers
+	formerKeepers []Node                 // from earlier updates only, the latest last
 
-	// What is in force.
+	// State in force.
 	config            *operatorconfig.Config
 	table             *snapshot.PartitionTable
 	proxies           int
 	endpoints         map[string][]*snapshot.Endpoint // merged, by service; shared with the newest snapshot
-	endpointsComplete bool                            // whether endpoints come from a keeper that knows all
+	endpointsComplete bool                            // whether endpoints come from a keeper with a complete list
 	certificates      *certification.Set
 	certificatesKnown bool
-	// unreadableCertificates is the newest version of certificates that was pushed and can't be parsed by this program.
+	// unreadableCertificates is the newest pushed version of certificates that this program cannot parse.
 	unreadableCertificates uint64
-	// ended are the endpoints that a keeper has reported as draining or ended, by ID.
-	ended map[string]endedState
+	// unready are the endpoints that a keeper has reported as draining or removed, by ID.
+	unready map[string]unreadyState
 }
 
-// New returns a client that is not attached yet; Run attaches it.
+// New returns a Client that is not attached yet; Run attaches it.
 func New(o Options) *Client {
 	return &Client{
 		options:     o,
@@ -93,12 +92,12 @@
 		confirmWake: make(chan struct{}, 1),
 		sources:     map[*link.Conn]*source{},
 		reserved:    map[string]bool{},
-		ended:       map[string]endedState{},
+		unready:     map[string]unreadyState{},
 	}
 }
 
-// SetSeeds replaces the addresses of keepers' links that are tried beside those that gossip and updates name. Links
-// that are attached stay attached.
+// SetSeeds replaces the seeds, which are tried in addition to the keepers from membership and updates. Attached links
+// stay attached.
 func (c *Client) SetSeeds(addrs []string) { c.seeds.Store(&addrs) }
 
 func (c *Client) currentSeeds() []string {
@@ -131,8 +130,8 @@
 	return conns
 }
 
-// CallKeeper sends a call to one attached keeper after the other, until one answers without an error. It returns the
-// last keeper's error, or link.ErrClosed if no keeper is attached. A keeper that failed may have carried the call out.
+// CallKeeper sends a call to the attached keepers in turn, until one replies without an error. It returns the last
+// keeper's error, or link.ErrClosed if no keeper is attached. A keeper whose call failed may have executed it.
 func (c *Client) CallKeeper(ctx context.Context, kind link.Kind, body []byte) error {
 	err := error(link.ErrClosed)
 	for _, conn := range c.KeeperConns() {
@@ -146,8 +145,8 @@
 	return err
 }
 
-// SeedLinkAddrs returns the addresses of keepers' links, given the seeds of the settings, which are control addresses,
-// and the port of links. A seed that is not an address is left out.
+// SeedLinkAddrs returns the link addresses of keepers, given the seeds of the settings, which are control addresses,
+// and the port of links. Seeds that are not host:port are skipped.
 func SeedLinkAddrs(seeds []string, port int) []string {
 	var addrs []string
 	for _, seed := range seeds {
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -21,17 +21,17 @@
 
 var stateNames = []string{"ready", "draining", "gone"}
 
-// player is a client whose keepers are played: their links lead nowhere.
-type player struct {
-	c      *Client
-	holder snapshot.Latest
-	conns  map[string]*link.Conn
-	number uint64
+// testClient is a client with simulated keepers: their links are not connected.
+type testClient struct {
+	c         *Client
+	snapshots snapshot.Latest
+	conns     map[string]*link.Conn // by keeper
+	number    uint64                // sequence number of the newest update
 }
 
-func newPlayer() *player {
-	p := &player{conns: map[string]*link.Conn{}}
-	p.c = New(Options{Snapshots: &p.holder, WantEndpoints: true, Log: hclog.NewNullLogger()})
+func newTestClient() *testClient {
+	p := &testClient{conns: map[string]*link.Conn{}}
+	p.c = New(Options{Snapshots: &p.snapshots, WantEndpoints: true, Log: hclog.NewNullLogger()})
 	return p
 }
 
@@ -40,21 +40,21 @@
 		`"max_body_bytes":4194304,"header_wait_ms":3000,"idle_ms":15000}}`, version)
 }
 
-// push plays a push: words of the command, and a line for each entry.
-func (p *player) push(t *testing.T, name string, words []datadriven.CmdArg, lines string) {
+// push delivers an update from a keeper: args are the arguments of the command, lines has an entry per line.
+func (p *testClient) push(t *testing.T, name string, args []datadriven.CmdArg, lines string) {
 	t.Helper()
 	u := &Update{InContact: true}
 	p.number++
 	u.Sequence = p.number
-	for _, w := range words {
+	for _, arg := range args {
 		number := func() uint64 {
-			n, err := strconv.ParseUint(w.Vals[0], 10, 64)
+			n, err := strconv.ParseUint(arg.Vals[0], 10, 64)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return n
 		}
-		switch w.Key {
+		switch arg.Key {
 		case "whole":
 			u.FullSync = true
 		case "listed":
@@ -66,16 +66,16 @@
 		case "table":
 			u.Table = &snapshot.PartitionTable{Version: number()}
 		case "keepers":
-			for _, k := range w.Vals {
+			for _, k := range arg.Vals {
 				u.Keepers = append(u.Keepers, Node{Name: k, Addr: k + ":1"})
 			}
 		}
 	}
 	for line := range strings.Lines(lines) {
-		f := strings.Fields(line)
-		e := registry.Entry{Endpoint: snapshot.Endpoint{ID: f[0], Service: "s"}}
-		for _, w := range f[1:] {
-			switch name, value, _ := strings.Cut(w, "="); name {
+		fields := strings.Fields(line)
+		e := registry.Entry{Endpoint: snapshot.Endpoint{ID: fields[0], Service: "s"}}
+		for _, arg := range fields[1:] {
+			switch name, value, _ := strings.Cut(arg, "="); name {
 			case "ready":
 			case "draining":
 				e.State = snapshot.Draining
@@ -88,7 +88,7 @@
 			case "capacity":
 				e.Capacity, _ = strconv.Atoi(value)
 			default:
-				t.Fatalf("%q is unknown", w)
+				t.Fatalf("unknown field %q", arg)
 			}
 		}
 		u.Entries = append(u.Entries, e)
@@ -99,8 +99,9 @@
 	p.c.Message(&link.Message{Conn: p.conns[name], Kind: KindUpdate, Body: u.Encode()})
 }
 
-func (p *player) show() string {
-	s := p.holder.Get()
+// formatSnapshot returns the newest snapshot and the keepers as text.
+func (p *testClient) formatSnapshot() string {
+	s := p.snapshots.Get()
 	if s == nil {
 		return "nothing\n"
 	}
@@ -128,12 +129,13 @@
 	return b.String()
 }
 
-// TestClientScenarios has three commands, each with the name of a keeper: attach; push, with what is in it (whole,
-// listed, senders=, config=, table=, keepers=) and a line for each entry; detach. Each shows the snapshot.
+// TestClientScenarios runs the files of testdata/client. Each command takes the name of a keeper and prints the
+// resulting snapshot: attach, detach, and push, which also takes the content of the update (whole: full sync, listed:
+// endpoints complete, senders=, config=, table=, keepers=) and an entry per line.
 func TestClientScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/client", func(t *testing.T, path string) {
 		t.Helper()
-		p := newPlayer()
+		p := newTestClient()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			t.Helper()
 			name := d.CmdArgs[0].Key
@@ -142,7 +144,7 @@
 				if p.conns[name] == nil {
 					p.conns[name] = new(link.Conn)
 				}
-				if !p.c.adopt(p.conns[name], Node{Name: strings.TrimRight(name, "'"), Addr: name + ":1"}, true) {
+				if !p.c.addSource(p.conns[name], Node{Name: strings.TrimRight(name, "'"), Addr: name + ":1"}, true) {
 					return "refused\n"
 				}
 			case "push":
@@ -153,34 +155,35 @@
 			default:
 				d.Fatalf(t, "unknown command")
 			}
-			return p.show()
+			return p.formatSnapshot()
 		})
 	})
 }
 
-// The draining and ended endpoints that are remembered are bounded, and the newest stay.
-func TestEndedEndpointsThatAreRememberedAreBounded(t *testing.T) {
-	p := newPlayer()
+// TestUnreadyEndpointsAreBounded checks that the number of remembered draining and removed endpoints is bounded, and
+// that the newest are kept.
+func TestUnreadyEndpointsAreBounded(t *testing.T) {
+	p := newTestClient()
 	at := time.Now()
-	for i := range 3 * maxEnded {
+	for i := range 3 * maxUnready {
 		at = at.Add(time.Millisecond)
-		p.c.ended[fmt.Sprint("i", i)] = endedState{snapshot.Draining, at}
-		p.c.trimEnded(at)
-		if len(p.c.ended) > maxEnded {
-			t.Fatalf("%d are remembered", len(p.c.ended))
+		p.c.unready[fmt.Sprint("i", i)] = unreadyState{snapshot.Draining, at}
+		p.c.trimUnready(at)
+		if len(p.c.unready) > maxUnready {
+			t.Fatalf("%d endpoints are remembered, which exceeds the limit", len(p.c.unready))
 		}
-		if _, there := p.c.ended[fmt.Sprint("i", max(0, i-maxEnded/4))]; !there {
-			t.Fatalf("a drain among the newest is forgotten, after %d", i)
+		if _, found := p.c.unready[fmt.Sprint("i", max(0, i-maxUnready/4))]; !found {
+			t.Fatalf("a recently reported draining endpoint was dropped, after %d", i)
 		}
 	}
 }
 
-// The slots don't dial one keeper at the same time.
+// TestOneSlotPerAddress checks that two slots never dial the same keeper at the same time.
 func TestOneSlotPerAddress(t *testing.T) {
-	c := newPlayer().c
+	c := newTestClient().c
 	c.options.Seeds = []string{"a:1", "b:1"}
 	if !c.reserve("a:1") || c.reserve("a:1") {
-		t.Fatal("reserved twice, or not at all")
+		t.Fatal("an address must be reservable once, and only once")
 	}
 	if got := fmt.Sprint(c.candidates(1)); got != "[b:1]" {
 		t.Fatal(got)
@@ -191,44 +194,45 @@
 	}
 }
 
-// nobody ignores what it receives.
-type nobody struct{}
+// discardHandler ignores all messages.
+type discardHandler struct{}
 
-func (nobody) Message(*link.Message) {}
-func (nobody) Closed(*link.Conn)     {}
+func (discardHandler) Message(*link.Message) {}
+func (discardHandler) Closed(*link.Conn)     {}
 
-// A link that ends before it is adopted, or meanwhile, does not stay a source.
-func TestLinkThatHasEndedIsNotAdopted(t *testing.T) {
+// TestClosedLinkDoesNotStayASource closes a link before or while it is added as a source.
+func TestClosedLinkDoesNotStayASource(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go func() { _ = link.Serve(l, nobody{}, link.DefaultOptions) }()
-	c := newPlayer().c
+	go func() { _ = link.Serve(l, discardHandler{}, link.DefaultOptions) }()
+	c := newTestClient().c
 	for range 200 {
 		conn, err := link.Dial(context.Background(), l.Addr().String(), c, link.DefaultOptions)
 		if err != nil {
 			t.Fatal(err)
 		}
 		go conn.Close()
-		adopted := c.adopt(conn, Node{Name: "a"}, true)
+		added := c.addSource(conn, Node{Name: "a"}, true)
 		<-conn.Done()
-		for held := adopted; held; {
+		for isSource := added; isSource; {
 			c.mu.Lock()
-			held = len(c.sources) > 0
+			isSource = len(c.sources) > 0
 			c.mu.Unlock()
 			runtime.Gosched()
 		}
-		if c.adopt(conn, Node{Name: "a"}, true) || len(c.KeeperConns()) != 0 {
-			t.Fatal("a link that has ended is held")
+		if c.addSource(conn, Node{Name: "a"}, true) || len(c.KeeperConns()) != 0 {
+			t.Fatal("a closed link is still a source")
 		}
 	}
 }
 
-// A keeper that is cut off names itself alone. The others that it named before are tried all the same, last.
+// TestFormerKeepersAreCandidatesLast guards against losing track of the other keepers: a keeper that is partitioned
+// lists only itself, and the keepers that it listed before must still be candidates, after all others.
 func TestFormerKeepersAreCandidatesLast(t *testing.T) {
-	c := newPlayer().c
+	c := newTestClient().c
 	nodes := func(names ...string) (list []Node) {
 		for _, n := range names {
 			list = append(list, Node{Name: n, Addr: n + ":1"})
--- a/internal/control/controlclient/condition.go
+++ b/internal/control/controlclient/condition.go
@@ -6,14 +6,14 @@
 	"dunetide/internal/platform/link"
 )
 
-// Condition is what keeps a process from its work, such as a full disk. The process reports it to a keeper at intervals
-// while it lasts, and that keeper forwards it to the others.
+// Condition is a fault that prevents a process from operating, such as a full disk. The process reports it to a keeper
+// periodically while it lasts, and that keeper forwards the report to the other keepers.
 type Condition struct {
-	// Node is the process that can't do its work.
+	// Node is the affected process.
 	Node Node
-	// Reason is for operators; empty: the condition is over.
+	// Reason is a message for operators; empty if the condition has ended.
 	Reason string
-	// Relayed says that a keeper forwards the report of a process.
+	// Relayed is set if the report was forwarded by a keeper.
 	Relayed bool
 }
 
@@ -33,8 +33,8 @@
 	return c, r.Err
 }
 
-// ReportCondition sends a condition to the keeper whose links are at an address, over a link of its own: the process
-// need not be attached to that keeper. It fails if the keeper doesn't answer before the context ends.
+// ReportCondition sends a condition to the keeper that accepts links at addr, over a separate link: the process need
+// not be attached to that keeper. It fails if the keeper does not reply before the context ends.
 func ReportCondition(ctx context.Context, addr string, condition Condition) error {
 	conn, err := link.Dial(ctx, addr, callerOnly{}, link.DefaultOptions)
 	if err != nil {
--- a/internal/control/controlclient/confirm.go
+++ b/internal/control/controlclient/confirm.go
@@ -8,9 +8,10 @@
 	"dunetide/internal/platform/link"
 )
 
-// CertificatesConfirmedAt returns the time of the newest request to which a keeper has answered that a majority knew of
-// no newer certificates than those that it had pushed before; zero: none was answered yet. The time is that of this
-// process's own clock when it sent the request, so neither the keepers' clocks nor the delay of the answer matter.
+// CertificatesConfirmedAt returns when the latest confirmed request was sent: a keeper has replied to it that a
+// majority knew no newer certificates than those that the keeper had pushed before. It returns zero if there was no
+// confirmation. The time is read from this process's own clock, so neither the keepers' clocks nor the delay of the
+// reply affect it.
 func (c *Client) CertificatesConfirmedAt() time.Time {
 	if at := c.confirmed.Load(); at != nil {
 		return *at
@@ -18,10 +19,11 @@
 	return time.Time{}
 }
 
-// confirmLoop has all attached keepers confirm the certificates at each interval, once there are any.
+// confirmLoop requests a confirmation of the certificates from all attached keepers at each interval, once there are
+// any certificates.
 func (c *Client) confirmLoop(ctx context.Context) {
 	var pending sync.WaitGroup
-	defer pending.Wait() // the context ends them
+	defer pending.Wait() // they end with the context
 	ticker := time.NewTicker(c.options.ConfirmInterval)
 	defer ticker.Stop()
 	for {
@@ -42,7 +44,7 @@
 	}
 }
 
-// awaitConfirmation waits for a keeper's answer to a request.
+// awaitConfirmation waits for a keeper's reply to a request.
 func (c *Client) awaitConfirmation(ctx context.Context, reply <-chan link.Reply, requestedAt time.Time) {
 	select {
 	case r := <-reply:
@@ -53,8 +55,8 @@
 	}
 }
 
-// setConfirmed moves the time of the newest confirmation forward, unless a version has been pushed that can't be
-// parsed.
+// setConfirmed advances the time of the latest confirmation, unless a newer version was pushed that this program cannot
+// parse.
 func (c *Client) setConfirmed(requestedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,9 +71,9 @@
 	}
 }
 
-// distrustCertificates has the certificates in force no longer count as confirmed, as a newer version that can't be
-// parsed may withdraw them. It reports whether there are any in force.
-func (c *Client) distrustCertificates(unreadableVersion uint64) bool {
+// clearConfirmation clears the confirmation of the certificates in force, because a newer version that cannot be parsed
+// may withdraw some of them. It reports whether any certificates are in force.
+func (c *Client) clearConfirmation(unreadableVersion uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.certificates == nil {
@@ -84,10 +86,10 @@
 	return true
 }
 
-// confirmNow has the keepers confirm the certificates before the interval is over.
-func (c *Client) confirmNow() {
+// wakeConfirmLoop requests a confirmation of the certificates before the interval has elapsed.
+func (c *Client) wakeConfirmLoop() {
 	select {
 	case c.confirmWake <- struct{}{}:
-	default: // they are to be confirmed already
+	default: // a wake-up is already pending
 	}
 }
--- a/internal/control/controlclient/golden_test.go
+++ b/internal/control/controlclient/golden_test.go
@@ -17,14 +17,14 @@
 	"dunetide/internal/platform/link"
 )
 
-// checkGolden compares encoded bytes with those of a golden file, which it returns.
+// checkGolden compares encoded bytes with a golden file, and returns the bytes of the file.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	golden.Compare(t, name+".bin", encoded)
 	return golden.Read(t, name+".bin")
 }
 
-// goldenMessage is a message with a value in each of its fields.
+// goldenMessage is a message with non-zero fields, and its encoder and decoder.
 type goldenMessage struct {
 	name   string
 	value  any
@@ -32,7 +32,7 @@
 	decode func(body []byte) (any, error)
 }
 
-// message binds the two directions of one type of message.
+// message returns a goldenMessage of a typed value, encoder and decoder.
 func message[T any](name string, value T, encode func(T) []byte, decode func([]byte) (T, error)) goldenMessage {
 	return goldenMessage{
 		name:   name,
@@ -42,8 +42,9 @@
 	}
 }
 
-// appended is the encoding of what appends itself to a message, and its decoding.
-func appended[T any](write func(T, *link.Writer), read func(*link.Reader) T) (func(T) []byte, func([]byte) (T, error)) {
+// codec returns an encoder and a decoder of whole messages for a type that is appended to and read from messages. The
+// decoder fails if bytes are left over.
+func codec[T any](write func(T, *link.Writer), read func(*link.Reader) T) (func(T) []byte, func([]byte) (T, error)) {
 	encode := func(v T) []byte {
 		var w link.Writer
 		write(v, &w)
@@ -116,10 +117,10 @@
 }
 
 func goldenMessages() []goldenMessage {
-	encodeNode, decodeNode := appended(Node.Append, ReadNode)
-	encodeNodes, decodeNodes := appended(func(nodes []Node, w *link.Writer) { AppendNodes(w, nodes) }, ReadNodes)
-	encodeTable, decodeTable := appended(func(table *snapshot.PartitionTable, w *link.Writer) { AppendTable(w, table) }, ReadTable)
-	encodeReport, decodeReport := appended(KeeperReport.Append, ReadKeeperReport)
+	encodeNode, decodeNode := codec(Node.Append, ReadNode)
+	encodeNodes, decodeNodes := codec(func(nodes []Node, w *link.Writer) { AppendNodes(w, nodes) }, ReadNodes)
+	encodeTable, decodeTable := codec(func(table *snapshot.PartitionTable, w *link.Writer) { AppendTable(w, table) }, ReadTable)
+	encodeReport, decodeReport := codec(KeeperReport.Append, ReadKeeperReport)
 	encodeCondition := func(c Condition) []byte { return c.Encode() }
 	report := KeeperReport{InContact: true, DecidedSlots: []uint64{51, 52}, ConnectedVoters: []uint64{53, 54, 55}}
 	stopping := KeeperReport{Stopping: true, DecidedSlots: []uint64{56}}
@@ -138,7 +139,7 @@
 	}
 }
 
-// The bytes of each message stay, as processes of two versions run in one tier while one is rolled out.
+// TestGoldenMessages pins the encoding of each message: during a rollout, processes of two versions run in one tier.
 func TestGoldenMessages(t *testing.T) {
 	for _, m := range goldenMessages() {
 		t.Run(m.name, func(t *testing.T) {
@@ -148,13 +149,13 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, m.value) {
-				t.Errorf("read as\n%+v\nwant\n%+v", got, m.value)
+				t.Errorf("decoded as\n%+v\nwant\n%+v", got, m.value)
 			}
 			if again := m.encode(got); !bytes.Equal(again, body) {
-				t.Errorf("what was read is encoded as\n%x\nit was\n%x", again, body)
+				t.Errorf("re-encoded as\n%x\nwant\n%x", again, body)
 			}
 			if _, err := m.decode(body[:len(body)-1]); err == nil {
-				t.Error("a message that was cut off is read")
+				t.Error("a truncated message was decoded")
 			}
 		})
 	}
@@ -166,7 +167,7 @@
 	checkGolden(t, "update_renumbered", body)
 }
 
-// The numbers of the kinds of messages stay.
+// TestGoldenKinds pins the numbers of the kinds of messages and the names of the roles.
 func TestGoldenKinds(t *testing.T) {
 	kinds := map[link.Kind]link.Kind{
 		KindHello: 1, KindUpdate: 2, KindAck: 3, KindConsensus: 4, KindEndpoints: 5, KindLiveness: 6, KindAttached: 7,
@@ -178,19 +179,19 @@
 	}
 	for got, want := range kinds {
 		if got != want {
-			t.Errorf("kind %d is %d", want, got)
+			t.Errorf("want kind %d, got %d", want, got)
 		}
 	}
 	if RoleProxy != "proxy" || RoleKeeper != "keeper" || RoleStore != "store" {
-		t.Error("the roles have other names")
+		t.Error("the name of a role has changed")
 	}
 }
 
-// readFrame reads one frame with so long a body as a peer would that knows nothing of this program.
+// readFrame reads one frame with a body of bodySize bytes from a raw connection, without package link.
 func readFrame(t *testing.T, raw net.Conn, bodySize int) []byte {
 	t.Helper()
 	frame := make([]byte, 9+bodySize)
-	if err := raw.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := raw.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(raw, frame); err != nil {
@@ -199,8 +200,8 @@
 	return frame
 }
 
-// What goes over a new link: the question whether the keeper is in contact, the greeting and its answer, a push, what
-// acknowledges it, and the question whether the certificates are the newest.
+// TestGoldenConversation pins the frames on a new link: the InContact call and its reply, the Hello call and its reply,
+// an update, its acknowledgement, and the call that confirms the certificates, with its reply.
 func TestGoldenConversation(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -244,7 +245,7 @@
 	var a *attachment
 	select {
 	case a = <-attached:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 	}
 	if a == nil || a.node != keeper {
 		t.Fatalf("attached as %+v", a)
@@ -273,7 +274,7 @@
 	await(t, "confirmed", func() bool { return !c.CertificatesConfirmedAt().IsZero() })
 }
 
-// What a process sends that can't do its work.
+// TestGoldenConditionCall pins the frame in which a process reports a condition.
 func TestGoldenConditionCall(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/control/controlclient/helpers_test.go
+++ b/internal/control/controlclient/helpers_test.go
@@ -13,33 +13,33 @@
 	"dunetide/internal/platform/link"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 20 * time.Second
+// waitTimeout is how long a test waits for a condition or message.
+const waitTimeout = 20 * time.Second
 
 // await waits until a condition holds.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("%s: not within %v", what, patience)
+		if time.Since(began) > waitTimeout {
+			t.Fatalf("%s: condition not met within %v", what, waitTimeout)
 		}
 	}
 }
 
-// fakeKeeper is a keeper that pushes and answers what a test wants. It accepts one link, as a client wants another
-// keeper for its second slot.
+// fakeKeeper is a keeper whose updates and replies are controlled by a test. It accepts one link, because a client must
+// use another keeper for its second slot.
 type fakeKeeper struct {
 	address string
-	links   chan *link.Conn // the accepted one
+	links   chan *link.Conn // receives the accepted link
 
 	mu                   sync.Mutex
 	accepted             *link.Conn
 	ended                bool // whether the accepted link has ended
 	refusesConfirmations bool
-	confirmations        int // that were requested
+	confirmations        int // number of requested confirmations
 }
 
-// startFakeKeeper returns a keeper that listens until the test ends.
+// startFakeKeeper starts a keeper that listens until the test ends.
 func startFakeKeeper(t *testing.T) *fakeKeeper {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -66,14 +66,14 @@
 	switch m.Kind {
 	case KindHello:
 		if k.accepted != nil {
-			m.Fail("one link is enough")
+			m.Fail("the fake keeper accepts one link only")
 			return
 		}
 		k.accepted = m.Conn
 		var reply link.Writer
 		Node{Name: "k", Role: RoleKeeper}.Append(&reply)
-		reply.Bool(true) // it has a disk
-		reply.Bool(true) // it is in contact with a majority
+		reply.Bool(true) // has a disk
+		reply.Bool(true) // in contact with a majority
 		m.Reply(reply.Buf)
 		k.links <- m.Conn
 	case KindConfirm:
@@ -95,14 +95,14 @@
 	}
 }
 
-// refuseConfirmations has requests to confirm the certificates refused, or not any more.
+// refuseConfirmations sets whether requests to confirm the certificates are refused.
 func (k *fakeKeeper) refuseConfirmations(refuse bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.refusesConfirmations = refuse
 }
 
-// awaitConfirmations waits until so many further requests to confirm the certificates have been answered.
+// awaitConfirmations waits for a number of further requests to confirm the certificates.
 func (k *fakeKeeper) awaitConfirmations(t *testing.T, further int) {
 	t.Helper()
 	requested := func() int {
@@ -114,18 +114,17 @@
 	await(t, "confirmations", func() bool { return requested() >= before+further })
 }
 
-// awaitEnd waits until the client has ended the link.
+// awaitEnd waits until the client has closed the link.
 func (k *fakeKeeper) awaitEnd(t *testing.T) {
 	t.Helper()
-	await(t, "the end of the link", func() bool {
+	await(t, "link closed by the client", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.ended
 	})
 }
 
-// runClient runs a client that is attached to a keeper until the test ends. It fills in the options that a test leaves
-// out.
+// runClient runs a client until the test ends, with the keeper as its only seed. It sets the options that are missing.
 func runClient(t *testing.T, k *fakeKeeper, o Options) *Client {
 	t.Helper()
 	o.Self = Node{Name: "p", Role: RoleProxy}
--- a/internal/control/controlclient/invariants_test.go
+++ b/internal/control/controlclient/invariants_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/invariant/invarianttest"
 )
 
-func TestSnapshotsThatGoBackViolateInvariants(t *testing.T) {
+func TestRegressingSnapshotsViolateInvariants(t *testing.T) {
 	endpoints := func(states ...snapshot.State) map[string][]*snapshot.Endpoint {
 		var list []*snapshot.Endpoint
 		for i, state := range states {
--- a/internal/control/controlclient/keeper_report.go
+++ b/internal/control/controlclient/keeper_report.go
@@ -2,18 +2,18 @@
 
 import "dunetide/internal/platform/link"
 
-// KeeperReport is what a keeper reports of itself to the others, at least once per heartbeat interval, and at once
-// after each change.
+// KeeperReport is the state that a keeper reports to the other keepers, at least once per heartbeat interval, and
+// immediately after each change.
 type KeeperReport struct {
-	// InContact says that a majority of the voters has answered the sender recently enough for it to serve.
+	// InContact reports that a majority of the voters has replied to the sender recently enough for it to serve.
 	InContact bool
-	// Stopping says that the sender has been told to stop and transfers its seats as a voter.
+	// Stopping reports that the sender is shutting down and transfers its voter roles to other keepers.
 	Stopping bool
-	// DecidedSlots are the newest decided slots that the sender has stored, in the order in which the registers are
-	// declared: the slot plus one, and 0 where it knows none.
+	// DecidedSlots are the newest decided slots that the sender has stored, by register in the order of their
+	// declaration: the slot plus one, or 0 if it has none.
 	DecidedSlots []uint64
-	// ConnectedVoters are the IDs of the voters to which the sender has a link, and its own if it votes. Other keepers are
-	// left out: nothing depends on them, and there may be many.
+	// ConnectedVoters are the IDs of the voters to which the sender has a link, and its own if it is a voter. Keepers that
+	// are not voters are omitted: nothing depends on them, and there may be many.
 	ConnectedVoters []uint64
 }
 
@@ -25,7 +25,7 @@
 	appendNumbers(w, report.ConnectedVoters)
 }
 
-// ReadKeeperReport reads a report from a message. The reader's Err says whether it is whole.
+// ReadKeeperReport decodes a report from a message. The reader's Err is set if the message is truncated.
 func ReadKeeperReport(r *link.Reader) KeeperReport {
 	return KeeperReport{
 		InContact:       r.Bool(),
--- a/internal/control/controlclient/merge.go
+++ b/internal/control/controlclient/merge.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// endedRetention is how long an endpoint that drains or has ended is remembered, whichever keeper reported it.
-	endedRetention = 2 * time.Minute
-	// maxEnded limits the endpoints that are remembered so.
-	maxEnded = 8192
+	// unreadyRetention is how long a draining or removed endpoint is remembered, whichever keeper reported it.
+	unreadyRetention = 2 * time.Minute
+	// maxUnready is the maximum number of remembered draining and removed endpoints.
+	maxUnready = 8192
 )
 
-// endedState says that an endpoint is draining or has ended.
-type endedState struct {
+// unreadyState is the state of a draining or removed endpoint.
+type unreadyState struct {
 	state      snapshot.State
 	reportedAt time.Time
 }
 
-// applyConfig puts a configuration in force unless a newer one is; nil: nothing.
+// applyConfig puts a configuration in force unless it is nil or not newer than the one in force.
 func (c *Client) applyConfig(config *operatorconfig.Config) {
 	if config == nil || c.config != nil && config.Version <= c.config.Version {
 		return
@@ -34,16 +34,16 @@
 	c.options.Log.Info("configuration in force", "version", config.Version)
 }
 
-// applyTable puts the partition table of an update in force unless a newer one is.
+// applyTable puts the partition table of an update in force unless it is missing or not newer than the one in force.
 func (c *Client) applyTable(u *Update) {
 	if u.Table == nil || c.table != nil && u.Table.Version <= c.table.Version {
 		return
 	}
 	c.table = u.Table
-	c.options.Log.Info("table in force", "number", u.Table.Version, "stores", len(u.Table.Stores))
+	c.options.Log.Info("partition table in force", "number", u.Table.Version, "stores", len(u.Table.Stores))
 }
 
-// applyCertificates puts certificates in force unless newer ones are; nil: nothing.
+// applyCertificates puts certificates in force unless they are nil or not newer than those in force.
 func (c *Client) applyCertificates(certificates *certification.Set) {
 	if certificates == nil || c.certificates != nil && certificates.Version <= c.certificates.Version {
 		return
@@ -64,27 +64,27 @@
 		s.entries = map[string]registry.Entry{}
 		s.synced = true
 	}
-	// A keeper that begins anew to collect heartbeats, after a freeze, removes no endpoint before it knows all again: what
-	// it pushed before stays valid.
+	// After a freeze, a keeper restarts its listening period and removes no endpoint until its list is complete again: the
+	// list that it pushed before stays valid.
 	s.endpointsComplete = s.endpointsComplete || u.EndpointsComplete
 	now := time.Now()
 	for _, e := range u.Entries {
 		c.applyEntry(s, before, e, now)
 	}
-	c.trimEnded(now)
+	c.trimUnready(now)
 	return changed
 }
 
-// applyEntry stores one endpoint in the keeper's source. An entry with an older heartbeat than the one that the keeper
-// pushed before changes the state only.
+// applyEntry stores one endpoint in the keeper's source. If the keeper has already pushed a newer heartbeat of the
+// endpoint, only the state is updated.
 func (c *Client) applyEntry(s *source, before map[string]registry.Entry, e registry.Entry, now time.Time) {
 	if known, found := before[e.ID]; found && known.CallCount > e.CallCount && !e.Dead() {
 		known.State = max(known.State, e.State)
 		e = known
 	}
 	if e.State != snapshot.Ready {
-		if known, found := c.ended[e.ID]; !found || known.state < e.State {
-			c.ended[e.ID] = endedState{e.State, now}
+		if known, found := c.unready[e.ID]; !found || known.state < e.State {
+			c.unready[e.ID] = unreadyState{e.State, now}
 		}
 	}
 	if e.Dead() {
@@ -94,23 +94,23 @@
 	s.entries[e.ID] = e
 }
 
-// trimEnded limits the draining and ended endpoints that are remembered: where there are too many, the old ones are
-// forgotten, and of the others the oldest.
-func (c *Client) trimEnded(now time.Time) {
-	if len(c.ended) <= maxEnded {
+// trimUnready bounds the remembered draining and removed endpoints. If there are more than maxUnready, it drops those
+// older than unreadyRetention and keeps at most the newest half of maxUnready.
+func (c *Client) trimUnready(now time.Time) {
+	if len(c.unready) <= maxUnready {
 		return
 	}
-	ids := slices.Collect(maps.Keys(c.ended))
-	slices.SortFunc(ids, func(a, b string) int { return c.ended[a].reportedAt.Compare(c.ended[b].reportedAt) })
+	ids := slices.Collect(maps.Keys(c.unready))
+	slices.SortFunc(ids, func(a, b string) int { return c.unready[a].reportedAt.Compare(c.unready[b].reportedAt) })
 	for i, id := range ids {
-		if i < len(ids)-maxEnded/2 || now.Sub(c.ended[id].reportedAt) > endedRetention {
-			delete(c.ended, id)
+		if i < len(ids)-maxUnready/2 || now.Sub(c.unready[id].reportedAt) > unreadyRetention {
+			delete(c.unready, id)
 		}
 	}
 }
 
-// rebuild publishes a new snapshot. Where the list of endpoints can't have changed, the snapshot shares the one before:
-// most updates at a start of all processes are about something else, and the list is long.
+// rebuild publishes a new snapshot. If the list of endpoints cannot have changed, the snapshot shares the list of its
+// predecessor: when all processes start, most updates do not concern endpoints, and the list is long.
 func (c *Client) rebuild(endpointsChanged bool) {
 	if endpointsChanged || c.endpoints == nil {
 		c.mergeEndpoints()
@@ -131,14 +131,14 @@
 	}
 }
 
-// mergeEndpoints makes one list of what the keepers have pushed. An endpoint is in it as long as one source has it;
-// draining or ended counts whichever keeper reported it.
+// mergeEndpoints merges the lists of the keepers. An endpoint is included as long as one source has it; it is draining
+// or removed if any keeper has reported it so.
 func (c *Client) mergeEndpoints() {
 	newest := newestEntries(c.mergedSources())
-	c.endpoints = map[string][]*snapshot.Endpoint{} // a new map, as snapshots share the one before
+	c.endpoints = map[string][]*snapshot.Endpoint{} // a new map, because snapshots share the previous one
 	for id, e := range newest {
-		if ended := c.ended[id]; ended.state > e.State {
-			e.State = ended.state
+		if unready := c.unready[id]; unready.state > e.State {
+			e.State = unready.state
 		}
 		if e.State == snapshot.Removed {
 			continue
@@ -151,8 +151,8 @@
 	}
 }
 
-// mergedSources returns the sources that have pushed a complete list, and sets endpointsComplete. While none of them
-// knows all endpoints, the last source that did is one of them.
+// mergedSources returns the sources that have pushed a full list, and sets endpointsComplete. While none of them knows
+// all endpoints, it includes the last source that did.
 func (c *Client) mergedSources() []*source {
 	c.endpointsComplete = false
 	var sources []*source
@@ -173,7 +173,7 @@
 	return sources
 }
 
-// newestEntries returns, of each endpoint, the entry with the newest heartbeat.
+// newestEntries returns the entry with the newest heartbeat of each endpoint.
 func newestEntries(sources []*source) map[string]registry.Entry {
 	newest := map[string]registry.Entry{}
 	for _, s := range sources {
--- a/internal/control/controlclient/merge_test.go
+++ b/internal/control/controlclient/merge_test.go
@@ -15,22 +15,23 @@
 	"dunetide/internal/platform/link"
 )
 
-// The list of endpoints is made anew only when it may have changed, and one that was shared never changes.
-func TestEndpointListIsSharedWhileOtherThingsChange(t *testing.T) {
+// TestEndpointListIsSharedUntilEndpointsChange checks that the list of endpoints is rebuilt only if it may have
+// changed, and that a list never changes once it is part of a snapshot.
+func TestEndpointListIsSharedUntilEndpointsChange(t *testing.T) {
 	keeper := startFakeKeeper(t)
 	seen := make(chan *snapshot.Snapshot, 64)
 	runClient(t, keeper, Options{WantEndpoints: true, OnSnapshot: func(s *snapshot.Snapshot) { seen <- s }})
 	conn := <-keeper.links
 	awaitSnapshot := func(what string, is func(*snapshot.Snapshot) bool) *snapshot.Snapshot {
 		t.Helper()
-		late := time.After(10 * time.Second)
+		timeout := time.After(10 * time.Second)
 		for {
 			select {
 			case s := <-seen:
 				if is(s) {
 					return s
 				}
-			case <-late:
+			case <-timeout:
 				t.Fatalf("no snapshot with %s", what)
 			}
 		}
@@ -60,7 +61,7 @@
 	push(Update{Sequence: 2, InContact: true, EndpointsComplete: true, Proxies: 7})
 	two := awaitSnapshot("seven proxies", func(s *snapshot.Snapshot) bool { return s.Proxies == 7 })
 	if !two.EndpointsComplete || !same(one, two) {
-		t.Error("the list was made anew though nothing of it changed")
+		t.Error("the list of endpoints was rebuilt although no endpoint changed")
 	}
 	push(Update{
 		Sequence: 3, InContact: true, EndpointsComplete: true,
@@ -71,7 +72,7 @@
 		t.Errorf("%d proxies, %+v", three.Proxies, three.Endpoints["s"][0])
 	}
 	if len(two.Endpoints["s"]) != 1 || two.Endpoints["s"][0].State != snapshot.Ready {
-		t.Error("a shared list changed")
+		t.Error("the list of an earlier snapshot changed")
 	}
 	push(Update{
 		Sequence: 4, InContact: true, EndpointsComplete: true,
@@ -80,24 +81,24 @@
 	awaitSnapshot("one endpoint left", func(s *snapshot.Snapshot) bool {
 		return len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "b"
 	})
-	// A keeper that begins anew to collect heartbeats removes no endpoint: its list stays complete.
+	// A keeper that restarts its listening period removes no endpoint: its list stays complete.
 	push(Update{Sequence: 5, InContact: true, EndpointsComplete: false, Proxies: 9})
 	five := awaitSnapshot("nine proxies", func(s *snapshot.Snapshot) bool { return s.Proxies == 9 })
 	if !five.EndpointsComplete || len(five.Endpoints["s"]) != 1 || five.Endpoints["s"][0].ID != "b" {
-		t.Errorf("complete %v, %d endpoints after a keeper began to collect heartbeats anew",
+		t.Errorf("complete %v, %d endpoints after a keeper restarted its listening period",
 			five.EndpointsComplete, len(five.Endpoints["s"]))
 	}
 	push(Update{
 		Sequence: 6, InContact: true, FullSync: true, EndpointsComplete: true,
 		Entries: []registry.Entry{entry("c", 1, snapshot.Ready)},
 	})
-	awaitSnapshot("another whole list", func(s *snapshot.Snapshot) bool {
+	awaitSnapshot("another full list", func(s *snapshot.Snapshot) bool {
 		return s.EndpointsComplete && len(s.Endpoints["s"]) == 1 && s.Endpoints["s"][0].ID == "c"
 	})
 }
 
-// A configuration that two keepers push at once is parsed once.
-func TestConfigurationIsParsedOnce(t *testing.T) {
+// TestConcurrentPushesParseConfigurationOnce has two keepers push the same configuration at the same time.
+func TestConcurrentPushesParseConfigurationOnce(t *testing.T) {
 	keeper := startFakeKeeper(t)
 	c := New(Options{
 		Self:      Node{Name: "p", Role: RoleProxy},
@@ -107,7 +108,7 @@
 	var parsed atomic.Int64
 	c.parseConfig = func([]byte) (*operatorconfig.Config, error) {
 		parsed.Add(1)
-		time.Sleep(100 * time.Millisecond) // the other push arrives meanwhile, and can't be seen to wait
+		time.Sleep(100 * time.Millisecond) // the other push arrives meanwhile; its wait for the lock can't be observed
 		return &operatorconfig.Config{Version: 3}, nil
 	}
 	u := Update{
@@ -129,6 +130,6 @@
 	}
 	wg.Wait()
 	if n := parsed.Load(); n != 1 || c.options.Snapshots.Get().Config.Version != 3 {
-		t.Errorf("it was parsed %d times", n)
+		t.Errorf("the configuration was parsed %d times, or is not in force", n)
 	}
 }
--- a/internal/control/controlclient/messages_test.go
+++ b/internal/control/controlclient/messages_test.go
@@ -107,7 +107,7 @@
 			u.CertificatesVersion = rapid.Uint64().Draw(t, "certificates' version")
 			u.Certificates = rapid.SliceOfN(rapid.Byte(), 0, 9).Draw(t, "certificates")
 			if len(u.Certificates) == 0 {
-				u.Certificates = nil // only their version
+				u.Certificates = nil // an update with the version only
 			}
 		}
 		if rapid.Bool().Draw(t, "has table") {
@@ -123,7 +123,7 @@
 	})
 }
 
-// What is not in an update is not in what is read of it, either.
+// TestUpdateRoundTrip checks that decoding returns the encoded update, in which any fields may be absent.
 func TestUpdateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := updates().Draw(t, "update")
@@ -133,10 +133,10 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(u, got) {
-			t.Fatalf("%+v\nwas read as\n%+v", u, got)
+			t.Fatalf("%+v\nwas decoded as\n%+v", u, got)
 		}
 		if _, err := ReadUpdate(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")]); err == nil {
-			t.Fatal("what was cut off was read")
+			t.Fatal("a truncated update was decoded")
 		}
 	})
 }
--- a/internal/control/controlclient/node.go
+++ b/internal/control/controlclient/node.go
@@ -2,14 +2,14 @@
 
 import "dunetide/internal/platform/link"
 
-// Roles of processes, as they are on the wire and in statuses.
+// Roles of processes, as encoded on the wire and shown in statuses.
 const (
 	RoleProxy  = "proxy"
 	RoleKeeper = "keeper"
 	RoleStore  = "store"
 )
 
-// minNodeSize is the least size of an encoded Node, in bytes: five empty strings and two numbers.
+// minNodeSize is the minimum size of an encoded Node in bytes: five empty strings and two numbers.
 const minNodeSize = 5*4 + 2*8
 
 // Node is a process of the system.
@@ -17,13 +17,13 @@
 	Name string
 	Role string
 	Zone string
-	// Addr is the address of its links; empty: it has none, as a proxy.
+	// Addr is the address at which it accepts links; empty if it accepts none, like a proxy.
 	Addr string
 	// ControlAddr is a keeper's address for endpoints and operators.
 	ControlAddr string
-	// ID is the identity on its disk, as a voter or as a store; 0: it has no disk.
+	// ID is the identity on its disk, as a voter or as a store; 0 if it has no disk.
 	ID uint64
-	// Incarnation grows with each start of the process.
+	// Incarnation increases with each start of the process.
 	Incarnation uint64
 }
 
@@ -38,7 +38,7 @@
 	w.U64(n.Incarnation)
 }
 
-// ReadNode reads a node from a message. The reader's Err says whether it is whole.
+// ReadNode decodes a node from a message. The reader's Err is set if the message is truncated.
 func ReadNode(r *link.Reader) Node {
 	return Node{
 		Name:        r.String(),
@@ -59,7 +59,8 @@
 	}
 }
 
-// ReadNodes reads a list of nodes from a message; nil: it is empty. The reader's Err says whether it is whole.
+// ReadNodes decodes a list of nodes from a message; an empty list is nil. The reader's Err is set if the message is
+// truncated.
 func ReadNodes(r *link.Reader) (nodes []Node) {
 	for range r.Count(minNodeSize) {
 		nodes = append(nodes, ReadNode(r))
--- a/internal/control/controlclient/receive.go
+++ b/internal/control/controlclient/receive.go
@@ -6,9 +6,9 @@
 	"dunetide/internal/platform/link"
 )
 
-// Message implements link.Handler: it puts an update in force and acknowledges it then. An update that can't be decoded
-// closes the link. A configuration or certificates that can't be parsed leave those before in force, and the update
-// counts as received.
+// Message implements link.Handler: it puts an update in force and then acknowledges it. If the update can't be decoded,
+// it closes the link. If its configuration or certificates can't be parsed, the previous ones stay in force and the
+// update is acknowledged.
 func (c *Client) Message(m *link.Message) {
 	if m.Kind != KindUpdate {
 		m.Fail("no such call here: both sides must run the same version")
@@ -16,7 +16,7 @@
 	}
 	u, err := ReadUpdate(m.Body)
 	if err != nil {
-		c.options.Log.Error("push unreadable", "err", err)
+		c.options.Log.Error("decoding an update failed, closing the link to the keeper", "err", err)
 		m.Conn.Close()
 		return
 	}
@@ -36,15 +36,15 @@
 	}
 	c.apply(m.Conn, u, config, certificates)
 	if certificates != nil {
-		c.confirmNow()
+		c.wakeConfirmLoop()
 	}
 	var ack link.Writer
 	ack.U64(u.Sequence)
-	_ = m.Conn.Send(KindAck, ack.Buf) // an error means that the link has ended: the keeper pushes all over the next one
+	_ = m.Conn.Send(KindAck, ack.Buf) // it fails if the link has ended; the keeper pushes everything on the next one
 }
 
-// Closed implements link.Handler: it removes the keeper's source. What it said of endpoints stays in force until
-// another keeper knows all endpoints.
+// Closed implements link.Handler: it removes the keeper's source. If its list of endpoints was complete, the list stays
+// in force until another keeper has a complete one.
 func (c *Client) Closed(conn *link.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,33 +60,33 @@
 	c.rebuild(true)
 }
 
-// inheritNewerEntries gives the other sources the newer heartbeats of a source that ends, so that no endpoint goes back
-// to an older one.
-func (c *Client) inheritNewerEntries(ended *source) {
+// inheritNewerEntries copies the newer heartbeats of a closed source to the other sources, so that no endpoint reverts
+// to an older heartbeat.
+func (c *Client) inheritNewerEntries(closed *source) {
 	for _, other := range c.sources {
 		for id, e := range other.entries {
-			if known, found := ended.entries[id]; found && known.CallCount > e.CallCount {
+			if known, found := closed.entries[id]; found && known.CallCount > e.CallCount {
 				other.entries[id] = known
 			}
 		}
 	}
 }
 
-// parseNewerConfig parses the configuration of an update if it is newer than the one in force; nil: it isn't, or it
-// can't be parsed.
+// parseNewerConfig parses the configuration of an update. It returns nil if the configuration is not newer than the one
+// in force or can't be parsed.
 func (c *Client) parseNewerConfig(u *Update) *operatorconfig.Config {
 	if c.configVersion() >= u.ConfigVersion {
 		return nil
 	}
 	config, err := c.parseConfig(u.Config)
 	if err != nil {
-		c.options.Log.Error("configuration unreadable", "version", u.ConfigVersion, "err", err)
+		c.options.Log.Error("parsing the pushed configuration failed, the previous one stays in force", "version", u.ConfigVersion, "err", err)
 		return nil
 	}
 	return config
 }
 
-// configVersion returns the version of the configuration in force; 0: there is none.
+// configVersion returns the version of the configuration in force, 0 if there is none.
 func (c *Client) configVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,16 +96,16 @@
 	return c.config.Version
 }
 
-// parseCertificates parses the certificates of an update. If they can't be parsed, those in force stay, but don't count
-// as confirmed any more. It reports false if there are none in force either: then this process doesn't know what is
-// regulated, and must not use the update.
+// parseCertificates parses the certificates of an update. If they can't be parsed, those in force stay, but no longer
+// count as confirmed. It returns usable false if there are none in force either: this process then doesn't know which
+// routes are regulated, and must not apply the update.
 func (c *Client) parseCertificates(u *Update) (certificates *certification.Set, usable bool) {
 	certificates, err := certification.Parse(u.Certificates)
 	if err == nil {
 		return certificates, true
 	}
-	c.options.Log.Error("certificates unreadable", "version", u.CertificatesVersion, "err", err)
-	return nil, c.distrustCertificates(u.CertificatesVersion)
+	c.options.Log.Error("parsing the pushed certificates failed", "version", u.CertificatesVersion, "err", err)
+	return nil, c.clearConfirmation(u.CertificatesVersion)
 }
 
 // apply puts an update in force.
--- a/internal/control/controlclient/report_test.go
+++ b/internal/control/controlclient/report_test.go
@@ -22,7 +22,7 @@
 		}
 		short := link.Reader{Buf: w.Buf[:len(w.Buf)-1]}
 		if ReadKeeperReport(&short); short.Err == nil {
-			t.Errorf("%+v was read from a message that was cut", want)
+			t.Errorf("%+v was decoded from a truncated message", want)
 		}
 	}
 }
--- a/internal/control/controlclient/source.go
+++ b/internal/control/controlclient/source.go
@@ -5,18 +5,18 @@
 	"dunetide/internal/platform/link"
 )
 
-// source is what one keeper has pushed over one link. Client.mu guards it.
+// source is the state that one keeper has pushed over one link. Client.mu guards it.
 type source struct {
 	node              Node
-	inContact         bool          // whether the keeper is in contact with a majority, as it reported last
-	contactChanged    chan struct{} // wakes the slot after inContact has changed
-	endpointsComplete bool          // whether the keeper has ever said that it knows all endpoints
-	synced            bool          // whether the keeper has pushed its whole list
+	inContact         bool          // whether the keeper last reported to be in contact with a majority
+	contactChanged    chan struct{} // wakes the slot after a change of inContact
+	endpointsComplete bool          // whether the keeper has ever reported that it knows all endpoints
+	synced            bool          // whether the keeper has pushed its full list
 	entries           map[string]registry.Entry
 }
 
-// sourceOf returns the source of a link, which it makes if it isn't there: the first update may arrive before the
-// answer to Hello.
+// sourceOf returns the source of a link. It creates the source if necessary, because the first update may arrive before
+// the reply to Hello.
 func sourceOf(conn *link.Conn, inContact bool) *source {
 	s, _ := conn.Tag.Load().(*source)
 	if s == nil {
@@ -30,7 +30,7 @@
 	return s
 }
 
-// setInContact notes whether the keeper is in contact with a majority.
+// setInContact records whether the keeper is in contact with a majority, and wakes the slot if that has changed.
 func (s *source) setInContact(inContact bool) {
 	if s.inContact == inContact {
 		return
@@ -38,6 +38,6 @@
 	s.inContact = inContact
 	select {
 	case s.contactChanged <- struct{}{}:
-	default: // the slot is to wake up already
+	default: // a wake-up is already pending
 	}
 }
--- a/internal/control/controlclient/store_reports.go
+++ b/internal/control/controlclient/store_reports.go
@@ -2,9 +2,10 @@
 
 import "dunetide/internal/platform/link"
 
-// PartitionJoined is the body of a KindPartitionJoined call: the next replicas of a partition have all of it.
+// PartitionJoined is the body of a KindPartitionJoined call: the next replicas of a partition have copied it
+// completely.
 type PartitionJoined struct {
-	// Partition is the partition's index in the table, Epoch the one in which it was copied.
+	// Partition is the partition's index in the table, Epoch the epoch in which it was copied.
 	Partition int
 	Epoch     uint64
 }
@@ -24,7 +25,7 @@
 	return p, r.Err
 }
 
-// StoreStopping is the body of a KindStoreStopping call: whether a store is about to stop.
+// StoreStopping is the body of a KindStoreStopping call. It reports whether a store is about to stop.
 type StoreStopping struct {
 	// Store is the ID of the store.
 	Store    uint64
--- a/internal/control/controlclient/table.go
+++ b/internal/control/controlclient/table.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minPartitionSize is the least size of an encoded partition, in bytes: two numbers and three empty lists.
+	// minPartitionSize is the minimum size of an encoded partition in bytes: two numbers and three empty lists.
 	minPartitionSize = 2*8 + 3*4
-	// minStoreSize is the least size of an encoded store, in bytes: a number, three empty strings and the flags.
+	// minStoreSize is the minimum size of an encoded store in bytes: a number, three empty strings and the flags.
 	minStoreSize = 8 + 3*4 + 1
 )
 
@@ -21,8 +21,8 @@
 	flagStopping
 )
 
-// AppendTable appends the encoding of a partition table to a message: its number, the partitions in their order, and
-// the stores in the order of their IDs.
+// AppendTable appends the encoding of a partition table to a message: its version, the partitions in order, and the
+// stores sorted by ID.
 func AppendTable(w *link.Writer, t *snapshot.PartitionTable) {
 	w.U64(t.Version)
 	w.U32(uint32(len(t.Partitions)))
@@ -56,7 +56,7 @@
 	return flags
 }
 
-// ReadTable reads a partition table from a message. The reader's Err says whether it is whole.
+// ReadTable decodes a partition table from a message. The reader's Err is set if the message is truncated.
 func ReadTable(r *link.Reader) *snapshot.PartitionTable {
 	t := &snapshot.PartitionTable{
 		Version:  r.U64(),
--- a/internal/control/controlclient/update.go
+++ b/internal/control/controlclient/update.go
@@ -8,42 +8,42 @@
 	"dunetide/internal/platform/link"
 )
 
-// minEntrySize is a lower bound of the size of an encoded entry, in bytes.
+// minEntrySize is a lower bound of the size of an encoded entry in bytes.
 const minEntrySize = 16
 
-// Update is a change that a keeper pushes to an attached process. What is not in it stays as it was.
+// Update is a change that a keeper pushes to an attached process. Fields that are absent leave the state unchanged.
 type Update struct {
-	// Sequence grows by one with each update of one incarnation of the keeper.
+	// Sequence increases by one with each update of one incarnation of the keeper.
 	Sequence uint64
-	// FullSync says that Entries are all that the keeper has, rather than those that have changed.
+	// FullSync is set if Entries are all entries of the keeper rather than the changed ones.
 	FullSync bool
-	// InContact says that a majority has answered the keeper recently. Without, the update says nothing of what the
-	// registers hold: no configuration, no table and no certificates.
+	// InContact reports that a majority has replied to the keeper recently. If it is false, the update has no content of
+	// registers: no configuration, no table and no certificates.
 	InContact bool
-	// EndpointsComplete says that the keeper has heard heartbeats for two heartbeat intervals without a break, so that an
-	// endpoint missing in its list has ended.
+	// EndpointsComplete reports that the keeper has listened to heartbeats for two heartbeat intervals without
+	// interruption, so that an endpoint that is not in its list is no longer live.
 	EndpointsComplete bool
-	// Proxies is the number of processes that send requests to endpoints; 0: not in it.
+	// Proxies is the number of processes that send requests to endpoints; 0 if absent.
 	Proxies int
-	// Config is the configuration as the operator sent it; nil: not in it. ConfigVersion is its version.
+	// Config is the configuration as the operator sent it; nil if absent. ConfigVersion is its version.
 	Config        []byte
 	ConfigVersion uint64
-	// Table is the partition table; nil: not in it.
+	// Table is the partition table; nil if absent.
 	Table *snapshot.PartitionTable
-	// Entries are endpoints that have changed, or all.
+	// Entries are the changed endpoints or, with FullSync, all of them.
 	Entries []registry.Entry
-	// Keepers are all keepers; nil: not in it.
+	// Keepers are all keepers; nil if absent.
 	Keepers []Node
-	// CertificatesVersion is set by a keeper in contact; 0: there never were any certificates.
+	// CertificatesVersion is set by a keeper in contact; 0 if there never were any certificates.
 	CertificatesVersion uint64
-	// Certificates are as the operator sent them; nil: not in it.
+	// Certificates are the certificates as the operator sent them; nil if absent.
 	Certificates []byte
 }
 
 // Encode returns the encoding of an update.
 func (u *Update) Encode() []byte {
 	w := link.Writer{}
-	w.U64(u.Sequence) // first, where SetSequence finds it
+	w.U64(u.Sequence) // first, because SetSequence overwrites it there
 	w.Bool(u.FullSync)
 	w.Bool(u.InContact)
 	w.Bool(u.EndpointsComplete)
@@ -64,11 +64,11 @@
 	return w.Buf
 }
 
-// SetSequence replaces the sequence number of an encoded update, so that one encoding serves many processes.
+// SetSequence replaces the sequence number of an encoded update, so that one encoding can be sent to many processes.
 func SetSequence(update []byte, sequence uint64) { binary.BigEndian.PutUint64(update, sequence) }
 
-// ReadUpdate decodes an update, which shares the memory of the message. It fails if the message is too short or an
-// entry is out of bounds.
+// ReadUpdate decodes an update, which shares memory with the message. It fails if the message is truncated or an entry
+// is out of bounds.
 func ReadUpdate(b []byte) (*Update, error) {
 	r := link.Reader{Buf: b}
 	u := &Update{
@@ -96,7 +96,7 @@
 	return u, r.Err
 }
 
-// nilIfEmpty returns nil for what is not in an update.
+// nilIfEmpty returns nil for an empty field, which is absent from the update.
 func nilIfEmpty(b []byte) []byte {
 	if len(b) == 0 {
 		return nil
