--- a/internal/consensus/quorum/barrier.go
+++ b/internal/consensus/quorum/barrier.go
@@ -3,24 +3,24 @@
 import "time"
 
 // ReadBarrier batches linearizable reads: each key waits for a read that begins after the key was added, and one read
-// serves all keys that were there when it began. One read is under way at a time.
+// serves all keys added before it began. One read is in progress at a time.
 type ReadBarrier[K comparable] struct {
-	interval   time.Duration // from the beginning of a read to that of the next
+	interval   time.Duration // minimum time between the starts of two reads
 	nextBegin  time.Duration
-	pending    []K // they wait for the next read
-	reading    []K // the read under way serves them
+	pending    []K // keys that wait for the next read
+	reading    []K // keys served by the read in progress
 	inProgress bool
 }
 
-// NewReadBarrier returns a barrier whose reads begin at least an interval apart.
+// NewReadBarrier returns a barrier whose reads begin at least interval apart.
 func NewReadBarrier[K comparable](interval time.Duration) *ReadBarrier[K] {
 	return &ReadBarrier[K]{interval: interval}
 }
 
-// Add has keys wait for the next read.
+// Add queues keys for the next read.
 func (b *ReadBarrier[K]) Add(keys ...K) { b.pending = append(b.pending, keys...) }
 
-// Delay is how long it takes until a read may begin. Not ok: no key waits for one, or one is under way.
+// Delay returns the time until a read may begin; false if no key waits for a read, or if one is in progress.
 func (b *ReadBarrier[K]) Delay(now time.Duration) (delay time.Duration, ok bool) {
 	if b.inProgress || len(b.pending) == 0 {
 		return 0, false
@@ -28,7 +28,8 @@
 	return max(0, b.nextBegin-now), true
 }
 
-// Begin is called right before a read begins, for all keys that have been added. False: none may begin now.
+// Begin must be called immediately before a read, which serves all pending keys. It returns false if no read may begin
+// now.
 func (b *ReadBarrier[K]) Begin(now time.Duration) bool {
 	if delay, ok := b.Delay(now); !ok || delay > 0 {
 		return false
@@ -38,7 +39,7 @@
 	return true
 }
 
-// End ends the read, and returns the keys it was for.
+// End ends the read in progress and returns the keys that it served.
 func (b *ReadBarrier[K]) End() []K {
 	keys := b.reading
 	b.reading, b.inProgress = nil, false
--- a/internal/consensus/quorum/model_faults_test.go
+++ b/internal/consensus/quorum/model_faults_test.go
@@ -6,7 +6,7 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// injectFaults plays one fault after the other.
+// injectFaults injects one random fault, and schedules the next.
 func (m *model) injectFaults() {
 	k := m.anyKeeper()
 	length := 300*ms + m.upTo(6*time.Second)
@@ -43,7 +43,8 @@
 	m.After(m.upTo(4*time.Second), m.injectFaults)
 }
 
-// partition cuts a keeper off from all others: what it sends, what it is sent, or both.
+// partition drops the messages between a keeper and all others: those that it sends (from), those sent to it (to), or
+// both.
 func (m *model) partition(k *modelKeeper, from, to bool, length time.Duration) {
 	set := func(active bool) {
 		for j := range m.keepers {
@@ -65,13 +66,13 @@
 	k.frozen = true
 	m.After(length, func() {
 		if k.incarnation == incarnation {
-			k.thaw()
+			k.unfreeze()
 		}
 	})
 }
 
-// wipeAfterConfirmation loses the disk right after a confirmation, where wipeAtConfirmation is set: what the keeper has
-// sent is in flight, and the others restart.
+// wipeAfterConfirmation wipes the disk right after a confirmation if wipeAtConfirmation is set. The keeper's messages
+// are still in flight, and the other keepers restart.
 func (k *modelKeeper) wipeAfterConfirmation() {
 	m := k.model
 	if !m.wipeAtConfirmation || m.changePending {
@@ -88,7 +89,7 @@
 	})
 }
 
-// restart kills a keeper, which starts again on its disk after a while.
+// restart kills a keeper and starts it again on its disk after the given time.
 func (k *modelKeeper) restart(after time.Duration) {
 	k.kill()
 	incarnation := k.incarnation
@@ -100,7 +101,7 @@
 	})
 }
 
-// wipe empties a keeper's disk. It comes back as another voter, which takes the place of the one that it was.
+// wipe empties a keeper's disk. The keeper restarts with a new voter ID, which replaces its old one among the voters.
 func (k *modelKeeper) wipe() {
 	if k.model.changePending {
 		return
@@ -119,7 +120,7 @@
 	})
 }
 
-// changeVoters has any keeper propose a change until one is notified that it is decided, or not needed.
+// changeVoters has random keepers propose a change until a proposal ends without an error.
 func (m *model) changeVoters(change func(cur paxos.State) (next paxos.State, changed bool)) {
 	m.changePending = true
 	proposer, decided := m.anyKeeper(), false
@@ -142,7 +143,7 @@
 	})
 }
 
-// replaceVoter has a keeper vote in the place of another one, besides the others, or no longer.
+// replaceVoter proposes a random change of voters: a replacement, a removal or an addition.
 func (m *model) replaceVoter() {
 	if m.changePending {
 		return
@@ -160,7 +161,7 @@
 	})
 }
 
-// stepWallClock sets the wall clock of a machine, back or forward.
+// stepWallClock steps the wall clock of a machine by up to an hour, back or forward.
 func (m *model) stepWallClock(k *modelKeeper) {
 	k.wallClockOffset += m.upTo(2*time.Hour) - time.Hour
 	m.clockSteps++
--- a/internal/consensus/quorum/model_test.go
+++ b/internal/consensus/quorum/model_test.go
@@ -15,81 +15,81 @@
 	"dunetide/internal/lab/simulation"
 )
 
-// The model has keepers with a gate and a register each, on one simulated clock. They are partitioned from each other in
-// one direction or both, for long or each second, frozen, killed and restarted, their disks are wiped, the voters are
-// changed and wall clocks are set, while operators put values, processes attach and heartbeats come. Two things must hold
-// at each moment:
+// The model has keepers with a gate and a register each, on one simulated clock. Faults: keepers are partitioned from
+// each other in one direction or both, for seconds or for half of each second, frozen, killed and restarted; disks are
+// wiped, voters are changed and wall clocks are stepped. Meanwhile operators put values, processes attach and
+// heartbeats arrive. Two invariants must hold at all times:
 //
-//   - what a process is pushed first is not older than the newest value that was confirmed before it attached;
-//   - what is acknowledged or pushed is backed by a majority of those who were the voters no longer than ContactTimeout
-//     ago, each of which has answered something that was sent no longer than ContactTimeout ago.
+//   - the first value pushed to a process is not older than the newest value confirmed before the process attached;
+//   - an acknowledgement or push is backed by a majority of the voters of a state that was current no longer than
+//     ContactTimeout ago, each of which has answered a message sent no longer than ContactTimeout ago.
 
 const (
-	modelVoters  = 3 // at first
+	modelVoters  = 3 // initially
 	modelKeepers = 4
 	modelTime    = 40 * time.Second
-	// acknowledgeWait is how long an acknowledgement waits for pushes, after which contact is looked at again.
+	// acknowledgeWait is how long an acknowledgement waits for pushes, after which contact is checked again.
 	acknowledgeWait = 250 * time.Millisecond
 )
 
-// model is a simulation by seed. Checks that fail end it with a simulation.Violation.
+// model is a simulation determined by its seed. Checks that fail end it with a simulation.Violation.
 type model struct {
 	simulation.Scheduler
 	rng          *rand.Rand
 	keepers      []*modelKeeper
 	partitioned  [modelKeepers][modelKeepers]bool // from, to
-	confirmed    uint64                           // the newest value that was confirmed to an operator
+	confirmed    uint64                           // the newest value confirmed to an operator
 	processCount int
-	states       []modelState // each that was decided, by its slot
-	lastIdentity uint64       // of the newest voter
-	// changePending is set while a disk that was wiped, or a change of the voters, has not been followed by a decision:
-	// another one might take the last copy of what was confirmed.
+	states       []modelState // decided states by slot
+	lastIdentity uint64       // ID of the newest voter
+	// changePending is set from the wiping of a disk or the proposal of a change of voters until the change is decided:
+	// another wipe or change before that might destroy the last copy of a confirmed value.
 	changePending bool
-	// wipeAtConfirmation has the next keeper that confirms a value lose its disk at once.
+	// wipeAtConfirmation makes the next keeper that confirms a value lose its disk at once.
 	wipeAtConfirmation bool
 
-	// Counts of what was played, so that a run that shows nothing is seen.
+	// Event counts, which expose a run that does not exercise the invariants.
 	pushed, acknowledged, refused, confirmedCount, wiped, changed, clockSteps int
 }
 
-// modelState is the voters by a decided state, and when the first keeper knew it.
+// modelState is the voters of a decided state and the time at which the first keeper knew the state.
 type modelState struct {
 	voters  []paxos.Voter
 	decided time.Duration
 }
 
-// clockReading is what a machine reads from its clocks, as time.Now does: the monotonic one, which nothing sets, and the
-// wall clock.
+// clockReading is a reading of a machine's clocks, like that of time.Now: the monotonic clock, which is never stepped,
+// and the wall clock.
 type clockReading struct{ monotonic, wall time.Duration }
 
-// sub is the time from another reading, as time.Time.Sub gives it.
+// sub returns the time elapsed since another reading, like time.Time.Sub.
 func (a clockReading) sub(b clockReading) time.Duration { return a.monotonic - b.monotonic }
 
 type modelKeeper struct {
 	model           *model
 	index           int
-	id              uint64 // as a voter; a wiped disk has another one
+	id              uint64 // voter ID; changes when the disk is wiped
 	startedAt       clockReading
-	wallClockOffset time.Duration // by how much the wall clock is off
+	wallClockOffset time.Duration // offset of the wall clock from the simulated clock
 	incarnation     int
 	up              bool
 	frozen          bool
-	delayed         []func() // steps that came while it was frozen
+	delayed         []func() // steps that arrived while it was frozen
 	records         [][]byte
 	register        *paxos.Register
 	gate            *Gate[int]
 	value           uint64
 	attached        map[int]*modelProcess
 	ticks           int
-	// received is the time at which the newest message from another keeper was sent, in this incarnation.
+	// received is, by keeper, the send time of the newest message received from it in this incarnation.
 	received [modelKeepers]time.Duration
-	// answered is, by voter, when the newest of the own messages was sent that it had received before it sent something
-	// that has arrived here.
+	// answered is, by voter, the send time of the newest of this keeper's messages that the voter is known to have
+	// received, from the echo in the messages received from it.
 	answered map[uint64]time.Duration
 }
 
 type modelProcess struct {
-	confirmedBefore uint64 // the newest value that was confirmed before it attached
+	confirmedBefore uint64 // the newest value confirmed before it attached
 	value           uint64
 }
 
@@ -129,7 +129,7 @@
 	return clockReading{k.model.Now(), k.model.Now() + k.wallClockOffset}
 }
 
-// clock is the time since the start of this incarnation.
+// clock returns the time since the start of this incarnation.
 func (k *modelKeeper) clock() time.Duration { return k.readClocks().sub(k.startedAt) }
 
 func (k *modelKeeper) start() {
@@ -158,7 +158,7 @@
 	k.requestStateFromAny(k.incarnation)
 }
 
-// requestStateFromAny is what a keeper does that knows no state yet.
+// requestStateFromAny requests the state from random keepers until the keeper knows one.
 func (k *modelKeeper) requestStateFromAny(incarnation int) {
 	if k.incarnation != incarnation || !k.up {
 		return
@@ -175,7 +175,7 @@
 	k.up, k.frozen, k.delayed, k.incarnation = false, false, nil, k.incarnation+1
 }
 
-func (k *modelKeeper) thaw() {
+func (k *modelKeeper) unfreeze() {
 	k.frozen = false
 	waiting := k.delayed
 	k.delayed = nil
@@ -184,7 +184,7 @@
 	}
 }
 
-// run makes a step, or has it wait while the keeper is frozen.
+// run runs a step, or delays it while the keeper is frozen.
 func (k *modelKeeper) run(f func()) {
 	if !k.up {
 		return
@@ -197,7 +197,7 @@
 	k.step()
 }
 
-// after makes a step of this incarnation.
+// after runs a step after a time if the keeper is still in the same incarnation.
 func (k *modelKeeper) after(d time.Duration, f func()) {
 	incarnation := k.incarnation
 	k.model.After(d, func() {
@@ -207,7 +207,7 @@
 	})
 }
 
-// step does what is due after each event, as a keeper's owner does.
+// step performs the work that is due after each event, as the owner of a Gate does.
 func (k *modelKeeper) step() {
 	now := k.clock()
 	if k.gate.CheckDue(now) {
@@ -243,7 +243,7 @@
 	tick, incarnation := k.ticks, k.incarnation
 	k.model.After(max(next-k.clock(), ms), func() {
 		if k.ticks != tick || k.incarnation != incarnation {
-			return // another step came before
+			return // superseded by another step
 		}
 		k.run(func() {
 			if k.register.NextTick() <= k.clock() {
@@ -262,8 +262,8 @@
 	}
 }
 
-// transmit sends a message. It carries when it was sent, and when the newest one was sent that has come from the other
-// side.
+// transmit sends a message to another keeper. It carries its send time and the send time of the newest message received
+// from that keeper (echo).
 func (k *modelKeeper) transmit(to paxos.Voter, b []byte) {
 	j, _ := strconv.Atoi(to.Addr)
 	if k.model.partitioned[k.index][j] {
@@ -285,39 +285,39 @@
 	})
 }
 
-// requireBacking fails unless a majority of those who were the voters no longer than ContactTimeout ago has answered
-// something that was sent no longer than ContactTimeout ago.
-func (k *modelKeeper) requireBacking(what string) {
+// requireBacking fails unless, for a state that was current no longer than ContactTimeout ago, a majority of the voters
+// has answered a message sent no longer than ContactTimeout ago.
+func (k *modelKeeper) requireBacking(action string) {
 	from := k.model.Now() - ContactTimeout
 	for slot := len(k.model.states) - 1; slot >= 0; slot-- {
 		if k.backedBy(k.model.states[slot].voters, from) {
 			return
 		}
 		if k.model.states[slot].decided < from {
-			break // it had followed the one before by then
+			break // older states were superseded before the period
 		}
 	}
-	simulation.Failf("%v: keeper %d, without a majority: %s", k.model.Now(), k.index, what)
+	simulation.Failf("%v: keeper %d: %s without a majority", k.model.Now(), k.index, action)
 }
 
 func (k *modelKeeper) backedBy(voters []paxos.Voter, from time.Duration) bool {
 	backing := 0
 	for _, voter := range voters {
-		if answeredAt, there := k.answered[voter.ID]; voter.ID == k.id || there && answeredAt >= from {
+		if answeredAt, found := k.answered[voter.ID]; voter.ID == k.id || found && answeredAt >= from {
 			backing++
 		}
 	}
 	return backing > len(voters)/2
 }
 
-// push sends the newest value that is known to all processes that may have it.
+// push sends the newest known value to all processes that may have it.
 func (k *modelKeeper) push() {
 	for id, p := range k.attached {
 		if p.value >= k.value || !k.gate.MayPush(k.clock(), id) {
 			continue
 		}
 		if p.value == 0 && k.value < p.confirmedBefore {
-			simulation.Failf("%v: keeper %d pushes %d first, and %d was confirmed before",
+			simulation.Failf("%v: keeper %d first pushes %d, but %d was confirmed before the process attached",
 				k.model.Now(), k.index, k.value, p.confirmedBefore)
 		}
 		k.requireBacking("a push")
@@ -326,7 +326,7 @@
 	}
 }
 
-// put is an operator's call.
+// put is an operator's call that writes the next value.
 func (k *modelKeeper) put() {
 	k.register.Propose(k.clock(), 900*ms, func(cur paxos.State) (paxos.State, error) {
 		value := uint64(0)
@@ -356,7 +356,7 @@
 	})
 }
 
-// heartbeat is a process's heartbeat; with an update to push, it is acknowledged after a wait.
+// heartbeat handles a process's heartbeat. If there is an update to push, the acknowledgement is delayed.
 func (k *modelKeeper) heartbeat(update bool) {
 	if !k.gate.InContact(k.clock()) {
 		k.model.refused++
@@ -378,7 +378,8 @@
 	k.model.acknowledged++
 }
 
-// callFromOutside plays calls that no partition between keepers keeps away.
+// callFromOutside makes a random call of an operator or a process, and schedules the next. Partitions between keepers
+// don't affect these calls.
 func (m *model) callFromOutside() {
 	k := m.anyKeeper()
 	switch m.rng.IntN(4) {
@@ -394,7 +395,7 @@
 	m.After(m.upTo(60*ms), m.callFromOutside)
 }
 
-// playSeed runs a model, and returns what was violated.
+// playSeed runs a model and returns the violation that it found.
 func playSeed(seed uint64) (m *model, violated error) {
 	found := simulation.Play(func() {
 		m = newModel(seed)
@@ -442,6 +443,6 @@
 	fewest := min(total.pushed, total.acknowledged, total.refused, total.confirmedCount,
 		total.wiped, total.changed, total.clockSteps)
 	if fewest == 0 {
-		t.Error("the model does not play what it is there for")
+		t.Error("the model did not exercise every kind of event")
 	}
 }
--- a/internal/consensus/quorum/mutants_test.go
+++ b/internal/consensus/quorum/mutants_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// mutants each break a guarantee of the package. The model alone has to find each of them.
+// mutants are changes that each break a guarantee of the package. The model alone has to detect all of them.
 var mutants = []mutation.Mutant{
 	{
 		Name: "contact counted from the answer",
@@ -16,7 +16,7 @@
 		New:  "	until := now + ContactTimeout\n",
 	},
 	{
-		Name: "contact not looked at again after a freeze",
+		Name: "contact not checked again after a freeze",
 		File: "tracker.go",
 		Old:  "return t.advance(now) < t.until }",
 		New:  "return t.until != 0 && (t.latest < t.until || t.checking) }",
@@ -46,13 +46,13 @@
 		New:  "	return g.InContact(now)\n",
 	},
 	{
-		Name: "a read that failed counts for who has attached",
+		Name: "a failed read counts for attached processes",
 		File: "gate.go",
 		Old:  "		case ok:\n",
 		New:  "		case ok || confirmed == ok:\n",
 	},
 	{
-		Name: "a read that had begun before counts",
+		Name: "a read that began before the process attached counts",
 		File: "barrier.go",
 		Old:  "	keys := b.reading\n	b.reading, b.inProgress = nil, false\n",
 		New:  "	keys := append(b.reading, b.pending...)\n	b.reading, b.pending, b.inProgress = nil, nil, false\n",
@@ -64,19 +64,19 @@
 		New:  "return t.advance(now) >= 0 }",
 	},
 	{
-		Name: "time since the start by the time of day",
+		Name: "time since the start by the wall clock",
 		File: "model_test.go",
 		Old:  "return a.monotonic - b.monotonic }",
 		New:  "return a.wall - b.wall }",
 	},
 	{
-		Name: "a wiped disk is the voter that it was",
+		Name: "a wiped disk keeps its voter ID",
 		File: "model_faults_test.go",
 		Old:  "	k.id = k.model.nextIdentity()\n",
 		New:  "",
 	},
 	{
-		Name: "the value is not kept over a change of voters",
+		Name: "a change of voters drops the value",
 		File: "../paxos/voters.go",
 		Old:  "	next.Voters[i] = joiner\n",
 		New:  "	next.Voters[i], next.Value = joiner, nil\n",
@@ -94,7 +94,7 @@
 		New:  "return (voters + 1) / 2",
 	},
 	{
-		Name: "asked for a state that has been followed",
+		Name: "requests for a decided slot are not answered with its state",
 		File: "../paxos/acceptor.go",
 		Old:  "	case r.known && r.state.Slot >= m.slot:\n		r.sendState(from)\n		return\n",
 		New:  "",
@@ -107,13 +107,13 @@
 	},
 }
 
-// TestMutantsStand fails when the text of a mutant is not found once in the file that it names.
+// TestMutantsStand fails if the old text of a mutant does not occur exactly once in its file.
 func TestMutantsStand(t *testing.T) {
 	mutation.CheckPresent(t, mutants)
 }
 
-// TestMutantsAreFound runs the model over each mutant. That takes a while, so it has to be requested: QUORUM_MUTANTS=1,
-// or a part of a name.
+// TestMutantsAreFound runs the model over each mutant. That takes a while, so it has to be requested: QUORUM_MUTANTS=1
+// runs all mutants, another value those whose name contains it.
 func TestMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "QUORUM_MUTANTS")
 	mutation.Find(t, mutants, mutation.Options{
--- a/internal/consensus/quorum/quorum_test.go
+++ b/internal/consensus/quorum/quorum_test.go
@@ -8,13 +8,13 @@
 
 const ms = time.Millisecond
 
-// trackerStep is a step at a time in milliseconds, with the state that is expected right after it.
+// trackerStep is a step at a time in milliseconds, with the expected state right after it.
 type trackerStep struct {
 	at           time.Duration
 	do           func(t *Tracker, now time.Duration)
 	inContact    bool
 	due          bool
-	nextDeadline time.Duration // -1: none before the check ends
+	nextDeadline time.Duration // -1: no deadline before the check ends
 	duration     time.Duration // of contact
 }
 
@@ -42,7 +42,7 @@
 			{1509, nothing, true, false, 1510, 1479},
 			{1510, nothing, false, false, -1, 0},
 		},
-		"a check that fails is repeated soon, and takes no contact away": {
+		"a failed check is retried after RetryDelay, and does not end contact": {
 			{0, checkStarted, false, false, -1, 0},
 			{10, checkEnded(0, true), true, false, 1500, 0},
 			{400, checkStarted, true, false, 1500, 390},
@@ -64,18 +64,18 @@
 			{1, checkEnded(0, true), true, false, 1500, 0},
 			{20000, nothing, false, true, 350, 0},
 		},
-		"an answer that comes after contact has ended begins it anew": {
+		"an answer after the end of contact starts contact again": {
 			{0, checkStarted, false, false, -1, 0},
 			{1, checkEnded(0, true), true, false, 1500, 0},
 			{400, checkStarted, true, false, 1500, 399},
 			{1600, checkEnded(400, true), true, true, 1900, 0},
 			{1700, nothing, true, true, 1900, 100},
 		},
-		"an answer that is too old is none": {
+		"an answer to a check that is too old does not count": {
 			{0, checkStarted, false, false, -1, 0},
 			{1500, checkEnded(0, true), false, true, 350, 0},
 		},
-		"other operations count from when they began, and never shorten contact": {
+		"other operations count from their start, and never shorten contact": {
 			{0, checkStarted, false, false, -1, 0},
 			{900, confirmed(100), true, false, 1600, 0},
 			{950, confirmed(50), true, false, 1600, 50},
@@ -90,7 +90,7 @@
 			{100, checkStarted, false, false, -1, 0},
 			{100, checkEnded(100, true), true, false, 1600, 0},
 		},
-		"no majority for long: no contact, and check after check": {
+		"no majority for a long time: no contact, and repeated checks": {
 			{0, checkStarted, false, false, -1, 0},
 			{700, checkEnded(0, false), false, false, 800, 0},
 			{800, checkStarted, false, false, -1, 0},
@@ -122,15 +122,15 @@
 func TestReadBarrier(t *testing.T) {
 	b := NewReadBarrier[string](100 * ms)
 	if b.Begin(0) {
-		t.Fatal("a read for nobody")
+		t.Fatal("a read began without pending keys")
 	}
 	b.Add("a", "b")
 	if !b.Begin(0) || b.Begin(0) {
-		t.Fatal("not one read")
+		t.Fatal("want exactly one read to begin")
 	}
 	b.Add("c") // the read has begun already
 	if _, ok := b.Delay(500 * ms); ok {
-		t.Fatal("two reads at once")
+		t.Fatal("a second read is due while one is in progress")
 	}
 	if got := b.End(); !slices.Equal(got, []string{"a", "b"}) {
 		t.Fatalf("the read was for %v", got)
@@ -139,7 +139,7 @@
 		t.Fatalf("the next read is due in %v, %v", delay, ok)
 	}
 	if !b.Begin(100 * ms) {
-		t.Fatal("no read for who came during the one before")
+		t.Fatal("no read for a key added during the previous read")
 	}
 	if got := b.End(); !slices.Equal(got, []string{"c"}) || len(b.End()) != 0 {
 		t.Fatalf("the read was for %v", got)
@@ -150,7 +150,7 @@
 	g := NewGate[string]()
 	g.Attach("a")
 	if g.MayPush(0, "a") || !g.BeginRead(0) {
-		t.Fatal("no read for who has attached")
+		t.Fatal("pushed before a read, or no read begins after an attach")
 	}
 	g.Attach("late")
 	g.Attach("detached")
@@ -161,26 +161,26 @@
 	}
 	g.Confirmed(0, 0)
 	if !g.MayPush(0, "a") || g.MayPush(0, "late") || g.MayPush(0, "stranger") {
-		t.Fatal("pushed to others than those that were attached when the read began")
+		t.Fatal("want pushes only to processes that were attached when the read began")
 	}
 	if !g.BeginRead(AttachReadInterval) {
-		t.Fatal("no read for who came late")
+		t.Fatal("no read for a process that attached during the previous one")
 	}
 	g.EndRead(false)
 	if g.MayPush(AttachReadInterval, "late") || !g.MayPush(AttachReadInterval, "a") {
-		t.Fatal("a read that failed")
+		t.Fatal("a failed read changed which processes may be pushed to")
 	}
 	delay, ok := g.ReadDelay(AttachReadInterval)
 	if !ok || delay != AttachReadInterval || !g.BeginRead(2*AttachReadInterval) {
-		t.Fatal("a read that failed is not made again")
+		t.Fatal("a failed read is not retried")
 	}
 	g.EndRead(true)
 	if !g.MayPush(2*AttachReadInterval, "late") ||
 		g.MayPush(2*AttachReadInterval, "detached") ||
 		g.MayPush(ContactTimeout, "a") {
-		t.Fatal("after the second read")
+		t.Fatal("wrong processes may be pushed to after the second read")
 	}
 	if _, ok := g.ReadDelay(time.Hour); ok {
-		t.Fatal("a read for nobody")
+		t.Fatal("a read is due without pending keys")
 	}
 }
