--- a/internal/consensus/singleton/candidate.go
+++ b/internal/consensus/singleton/candidate.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// LeaseDuration is how long a granted lease is used, from before it was requested, on its holder's clock. The
-	// difference to GrantDuration is more than monotonic clocks drift in that time.
+	// LeaseDuration is how long a holder uses a lease, on its own clock and counted from its request. It is shorter than
+	// GrantDuration by more than monotonic clocks drift in that time.
 	LeaseDuration = 1200 * time.Millisecond
-	// RenewBefore is how long before its end a lease is requested again.
+	// RenewBefore is how long before the end of a lease its holder requests a renewal.
 	RenewBefore = 700 * time.Millisecond
 	// requestTimeout is how long a candidate waits for grants.
 	requestTimeout = 300 * time.Millisecond
-	// minBackoff is the least pause of a candidate after it has failed; a random part of up to twice that is added.
+	// minBackoff is the minimum pause of a candidate after a failed round; a random time of up to twice that is added.
 	minBackoff = 200 * time.Millisecond
 )
 
-// Action is what a Candidate's owner does after a step.
+// Action is what the owner of a Candidate has to do after a step.
 type Action uint8
 
 const (
-	// ActionNone asks for nothing.
+	// ActionNone requires no action.
 	ActionNone Action = iota
-	// ActionRequest asks to request grants from all voters, in the round that Step returned.
+	// ActionRequest requires a request for a grant to all voters, in the round that Step returned.
 	ActionRequest
-	// ActionRelease asks to release what voters have granted in that round.
+	// ActionRelease requires the release of all grants of that round.
 	ActionRelease
 )
 
@@ -34,27 +34,27 @@
 type Candidate struct {
 	rand func() float64
 
-	// The round of requests under way, or the newest.
+	// The round of requests in progress, or else the latest one.
 	round       uint64
 	requestedAt time.Duration
 	requesting  bool // the round waits for grants
 	quorum      int
-	maxRefusals int // how many voters may refuse a round that can still be granted
+	maxRefusals int // number of refusals up to which the round can still reach a quorum
 	granted     map[string]bool
 	refused     map[string]bool
 
-	until       time.Duration // of the lease; 0: none
-	since       time.Duration // the lease was held without a break from then on
+	until       time.Duration // end of the lease; 0: no lease
+	since       time.Duration // start of the current uninterrupted lease
 	nextRequest time.Duration
 }
 
-// NewCandidate returns a candidate without a lease; rand is in [0, 1).
+// NewCandidate returns a candidate without a lease; rand returns numbers in [0, 1).
 func NewCandidate(rand func() float64) *Candidate { return &Candidate{rand: rand} }
 
-// HasLease reports whether the holder may act in the role now. It is to be called right before each act.
+// HasLease reports whether the candidate may act in the role now. Callers check it immediately before each act.
 func (c *Candidate) HasLease(now time.Duration) bool { return now < c.until }
 
-// LeaseAge is for how long the lease has been held without a break; 0 without one.
+// LeaseAge returns how long the lease has been held without interruption; 0 without a lease.
 func (c *Candidate) LeaseAge(now time.Duration) time.Duration {
 	if !c.HasLease(now) {
 		return 0
@@ -62,7 +62,7 @@
 	return now - c.since
 }
 
-// Step returns what to do now, and the round for it.
+// Step returns the action to take now and the round that it applies to.
 func (c *Candidate) Step(now time.Duration, voters int) (action Action, round uint64) {
 	if c.until != 0 && now >= c.until {
 		c.until = 0
@@ -82,11 +82,11 @@
 	return ActionRequest, c.round
 }
 
-// Stop ends the use of the lease and of grants that are under way.
+// Stop gives up the lease and ignores grants that are still in flight.
 func (c *Candidate) Stop() { c.until, c.requesting = 0, false }
 
-// RecordRefusal notes that a voter has refused a round, or can't be reached. True: no majority can grant the round any
-// more, and what was granted is to be released at once, as other candidates may request it.
+// RecordRefusal records that a voter has refused a round or is unreachable. It returns true if no majority can grant
+// the round any more; its grants must then be released at once, since other candidates may be requesting them.
 func (c *Candidate) RecordRefusal(now time.Duration, round uint64, voter string) (release bool) {
 	if round != c.round || !c.requesting || c.granted[voter] {
 		return false
@@ -103,8 +103,8 @@
 	return true
 }
 
-// RecordGrant notes a voter's grant of a round. The lease counts from the request, as nothing is known of when voters
-// granted it.
+// RecordGrant records a voter's grant in a round. The lease counts from the request, because the voters may have
+// granted it at any moment since then.
 func (c *Candidate) RecordGrant(now time.Duration, round uint64, voter string) {
 	if round != c.round || !c.requesting {
 		return
@@ -130,7 +130,7 @@
 	c.granted, c.refused = map[string]bool{}, map[string]bool{}
 }
 
-// backOff has the next round wait, so that candidates don't keep each other out.
+// backOff delays the next round by a random time, so that competing candidates don't block each other repeatedly.
 func (c *Candidate) backOff(now time.Duration) {
 	c.nextRequest = now + minBackoff + time.Duration(c.rand()*float64(2*minBackoff))
 }
--- a/internal/consensus/singleton/doc.go
+++ b/internal/consensus/singleton/doc.go
@@ -1,14 +1,15 @@
-// Package singleton elects who has a singleton role, such as the placement of batch partitions: a Candidate that a
-// majority of voters has granted a lease, and that stops before the lease ends.
+// Package singleton elects the holder of a singleton role, such as the placement of batch partitions. The holder is a
+// Candidate to which a majority of the voters has granted a lease; it stops acting in the role before the grants
+// expire.
 //
-// Each keeper is a voter (Granter) and, for each role, a Candidate; package keeper carries the requests and the answers
-// between them, and acts in a role only while HasLease.
+// Each keeper is a voter (Granter) and, for each role, a Candidate. Package keeper carries requests and answers between
+// them, and acts in a role only while HasLease returns true.
 //
-// Invariants, argued in docs/control.md: no two Candidates hold the lease of one role at a time, while monotonic clocks
-// drift by less than the difference of GrantDuration and LeaseDuration in that time. Nothing is on disk, as a voter
-// that has just started grants nothing until what it may have granted before has ended. What the role changes is fenced
-// by other means (compare-and-swap on a register), so that a holder that was frozen in the middle of an act does no
-// harm.
+// Invariant, argued in docs/control.md: no two Candidates hold the lease of one role at the same time, provided that
+// monotonic clocks drift by less than GrantDuration - LeaseDuration over the duration of a grant. Nothing is stored on
+// disk: a restarted voter grants nothing until every grant that it may have made earlier has expired. The changes that
+// a role makes are fenced separately (compare-and-swap on a register), so that a holder that is frozen in the middle of
+// a change does no harm.
 //
-// The package is stepped: it has no clock, no links and no goroutines.
+// The caller drives the package step by step: it has no clock, no connections and no goroutines.
 package singleton
--- a/internal/consensus/singleton/granter.go
+++ b/internal/consensus/singleton/granter.go
@@ -5,9 +5,9 @@
 // GrantDuration is how long a grant lasts on a voter's clock.
 const GrantDuration = 1500 * time.Millisecond
 
-// Granter is one voter: it has what it has granted, of all roles.
+// Granter is one voter; it keeps the grants that it has made, for all roles.
 type Granter struct {
-	grantsFrom time.Duration // before that it may have granted something in an earlier incarnation
+	grantsFrom time.Duration // until then, grants of an earlier incarnation may still be valid
 	byRole     map[string]grant
 }
 
@@ -16,12 +16,13 @@
 	until       time.Duration
 }
 
-// NewGranter returns a voter that starts now. It grants nothing for GrantDuration.
+// NewGranter returns a voter that starts now. It refuses all requests for GrantDuration.
 func NewGranter(now time.Duration) *Granter {
 	return &Granter{grantsFrom: now + GrantDuration, byRole: map[string]grant{}}
 }
 
-// Grant grants or renews the lease of a role, unless another candidate has it by this voter.
+// Grant grants or renews the lease of a role, and reports whether it did. It refuses while another candidate holds this
+// voter's grant.
 func (g *Granter) Grant(now time.Duration, role, candidate string) bool {
 	if now < g.grantsFrom {
 		return false
@@ -33,14 +34,14 @@
 	return true
 }
 
-// Release takes back a grant that its candidate does not use.
+// Release revokes a grant that the candidate does not use.
 func (g *Granter) Release(role, candidate string) {
 	if g.byRole[role].leaseHolder == candidate {
 		delete(g.byRole, role)
 	}
 }
 
-// LeaseHolder is the candidate that has the lease of a role by this voter; "": none.
+// LeaseHolder returns the candidate to which this voter has granted the lease of a role; "" if there is none.
 func (g *Granter) LeaseHolder(now time.Duration, role string) string {
 	if current := g.byRole[role]; now < current.until {
 		return current.leaseHolder
--- a/internal/consensus/singleton/singleton_test.go
+++ b/internal/consensus/singleton/singleton_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// cluster is a simulation of voters that are candidates too.
+// cluster simulates nodes that are each a voter and a candidate.
 type cluster struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -100,7 +100,7 @@
 		for range 3000 {
 			c.step()
 			if h := c.leaseHolders(); len(h) > 1 {
-				t.Fatalf("seed %d at %v: %v have the lease", seed, c.now, h)
+				t.Fatalf("seed %d at %v: %v hold the lease at the same time", seed, c.now, h)
 			}
 			switch c.rng.IntN(150) {
 			case 0: // a node restarts
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestALeaseIsGrantedSoonAndKept(t *testing.T) {
+func TestLeaseIsGrantedSoonAndKept(t *testing.T) {
 	for seed := range uint64(200) {
 		c := newCluster(seed, 3+int(seed%6))
 		for c.now < 6*time.Second {
@@ -125,7 +125,7 @@
 		}
 		first := c.leaseHolders()
 		if len(first) != 1 {
-			t.Fatalf("seed %d: after %v %v have the lease, want one", seed, c.now, first)
+			t.Fatalf("seed %d: after %v %v hold the lease, want one holder", seed, c.now, first)
 		}
 		without := 0
 		for range 1000 {
@@ -135,7 +135,7 @@
 			}
 		}
 		if without > 100 {
-			t.Errorf("seed %d: for %d of 1,000 steps nobody has the lease", seed, without)
+			t.Errorf("seed %d: %d of 1,000 steps without a lease holder", seed, without)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 			c.step()
 		}
 		if h := c.leaseHolders(); len(h) != 1 || h[0] == old {
-			t.Errorf("seed %d: %v after its holder froze %v have the lease", seed, c.now-at, h)
+			t.Errorf("seed %d: %v after the holder froze %v hold the lease", seed, c.now-at, h)
 		}
 	}
 }
@@ -161,14 +161,14 @@
 func TestRestartedVoterGrantsNothing(t *testing.T) {
 	g := NewGranter(0)
 	if g.Grant(GrantDuration-1, "d", "a") {
-		t.Error("granted what it may have granted to another before it started")
+		t.Error("granted a lease while a grant from before the start may be valid")
 	}
 	if !g.Grant(GrantDuration, "d", "a") || g.Grant(GrantDuration+1, "d", "b") || !g.Grant(2*GrantDuration, "d", "b") {
-		t.Error("one holder at a time, until its end")
+		t.Error("want one holder at a time, until its grant expires")
 	}
 }
 
-// A candidate that stops has no lease, whatever grants are still under way.
+// A candidate that stops has no lease, even if grants are still in flight.
 func TestStoppedCandidateHoldsNoLease(t *testing.T) {
 	c := NewCandidate(func() float64 { return 0 })
 	_, round := c.Step(0, 1)
@@ -178,42 +178,42 @@
 	}
 	c.Stop()
 	if c.HasLease(2) {
-		t.Error("it has the lease that it stopped using")
+		t.Error("the candidate still has its lease after Stop")
 	}
 	action, round := c.Step(3, 2)
 	if action != ActionRequest {
-		t.Fatal("it does not ask again")
+		t.Fatal("no new request")
 	}
 	c.RecordGrant(4, round, "a")
 	c.Stop()
 	c.RecordGrant(5, round, "b")
 	if c.HasLease(6) {
-		t.Error("a late grant gave it a lease")
+		t.Error("a grant after Stop gave the candidate a lease")
 	}
 }
 
-// A round ends as soon as no majority can grant it, so that it does not delay another candidate's.
+// A round ends as soon as no majority can grant it, so that it does not delay the rounds of other candidates.
 func TestRefusedRoundEndsAtOnce(t *testing.T) {
 	c := NewCandidate(func() float64 { return 0 })
 	_, round := c.Step(0, 3)
 	c.RecordGrant(1, round, "a")
 	if c.RecordRefusal(2, round, "a") || c.RecordRefusal(2, round+1, "b") ||
 		c.RecordRefusal(2, round, "b") || c.RecordRefusal(2, round, "b") {
-		t.Error("a round ended that can be granted")
+		t.Error("a round ended that can still be granted")
 	}
 	if !c.RecordRefusal(3, round, "c") {
-		t.Error("a round goes on that can't be granted")
+		t.Error("a round continues that can't be granted any more")
 	}
 	c.RecordGrant(4, round, "c")
 	if c.HasLease(5) {
-		t.Error("a round that has ended was granted")
+		t.Error("a grant in a round that has ended gave a lease")
 	}
 	if action, _ := c.Step(3+minBackoff-1, 3); action != ActionNone {
-		t.Error("it asks again at once")
+		t.Error("a new request before the end of the pause")
 	}
 	action, round := c.Step(3+minBackoff, 3)
 	if action != ActionRequest {
-		t.Fatal("it does not ask again")
+		t.Fatal("no new request after the pause")
 	}
 	c.RecordGrant(3+minBackoff, round, "a")
 	c.RecordGrant(3+minBackoff, round, "b")
@@ -223,6 +223,6 @@
 	_, round = c.Step(3+minBackoff+LeaseDuration-RenewBefore, 3)
 	c.RecordRefusal(3+minBackoff+LeaseDuration-RenewBefore, round, "a")
 	if c.RecordRefusal(3+minBackoff+LeaseDuration-RenewBefore, round, "b") {
-		t.Error("a lease that is held is released because it is not renewed")
+		t.Error("a refused renewal releases the lease that is held")
 	}
 }
