--- a/internal/consensus/reconfigure/cluster_test.go
+++ b/internal/consensus/reconfigure/cluster_test.go
@@ -14,23 +14,23 @@
 	"dunetide/internal/lab/simulation"
 )
 
-// Times of the simulation, as keepers have them.
+// Times of the simulation; those of keepers are the same as in production.
 const (
-	repairTime      = 5 * time.Second         // within it the voters are as many as they should be
-	orderTimeout    = 4 * time.Second         // within it an order is accepted while there are no faults
-	contactTime     = 3 * time.Second         // after a fault
-	keeperTick      = 200 * time.Millisecond  // from one tick of a keeper to the next
-	linkTimeout     = 1300 * time.Millisecond // a link on which nothing comes is closed
-	leaveTimeout    = 2 * time.Second         // a process ends after SIGTERM
-	leaveRetry      = 50 * time.Millisecond   // from one step of leaving to the next
+	repairTime      = 5 * time.Second         // within which the voters reach their intended number again
+	orderTimeout    = 4 * time.Second         // within which an order is accepted while there are no faults
+	contactTime     = 3 * time.Second         // time to regain contact after a fault
+	keeperTick      = 200 * time.Millisecond  // interval between the ticks of a keeper
+	linkTimeout     = 1300 * time.Millisecond // idle time after which a link is closed
+	leaveTimeout    = 2 * time.Second         // within which a process ends after SIGTERM
+	leaveRetry      = 50 * time.Millisecond   // interval between two steps of leaving
 	maxBehind       = 500 * time.Millisecond  // a voter that is behind for longer grants no lease
 	maxMessageDelay = 10 * time.Millisecond
 
 	votersRole = "voters" // the singleton role of changing the voters
 )
 
-// cluster is some machines with a register and the singleton role of changing its voters, on one clock. Checks
-// that fail end it with a simulation.Violation.
+// cluster simulates machines with a register and the singleton role of changing its voters, on one clock. Checks that
+// fail end it with a simulation.Violation.
 type cluster struct {
 	simulation.Scheduler
 	rng          *rand.Rand
@@ -41,7 +41,7 @@
 
 	decided   map[uint64][]byte // the decided state of each slot
 	orders    map[uint64]*operatorOrder
-	lastFault time.Duration // when a machine was last lost, came back, started or ended
+	lastFault time.Duration // when a machine was last lost, returned, started or ended
 	trace     simulation.Trace
 }
 
@@ -59,19 +59,19 @@
 	disk            [][]byte
 	up, partitioned bool
 	removed         bool
-	lostUntil       time.Duration // until then it counts as lost, though it is up
+	lostUntil       time.Duration // until then it counts as lost even if it is up
 
 	incarnation int
 	register    *paxos.Register
-	state       paxos.State // the newest that is stored
+	state       paxos.State // the newest stored state
 	known       bool
 	grants      *singleton.Granter
 	candidate   *singleton.Candidate
 	observer    *Observer
-	reports     map[uint64]*receivedReport // by identity
+	reports     map[uint64]*receivedReport // by voter ID
 	changing    bool
 	leaving     bool
-	behindSince time.Duration // others have reported newer states since then; 0: they have not
+	behindSince time.Duration // since when others have reported newer states; 0 if they have not
 	tickDue     time.Duration // when the register's next tick is due
 }
 
@@ -137,7 +137,7 @@
 	})
 }
 
-// start starts the machine's process on the disk that it has.
+// start starts the machine's process on its present disk.
 func (m *machine) start() {
 	c := m.cluster
 	m.up, m.leaving, m.changing = true, false, false
@@ -174,12 +174,12 @@
 	m.incarnation++
 	for _, other := range m.cluster.machines {
 		if other.connected() && !m.partitioned {
-			delete(other.reports, m.id) // its links are reset
+			delete(other.reports, m.id) // the links of the machine are reset
 		}
 	}
 }
 
-// transmit runs f at another machine after the delay of a message, unless that is lost.
+// transmit runs f at another machine after a random message delay, unless the message is lost.
 func (m *machine) transmit(to *machine, f func()) {
 	c := m.cluster
 	if c.rng.Float64() < c.loss {
@@ -225,7 +225,7 @@
 	})
 }
 
-// nextSlot is the slot after the newest that is stored, as reports have it.
+// nextSlot returns Report.NextSlot: the slot after the newest stored one.
 func (m *machine) nextSlot() uint64 {
 	if !m.known {
 		return 0
@@ -242,7 +242,7 @@
 	return report
 }
 
-// allReports are the machine's own report and those of the keepers that are connected.
+// allReports returns the machine's own report and those of the connected keepers.
 func (m *machine) allReports() []Report {
 	reports := []Report{m.report()}
 	for _, r := range m.reports {
@@ -263,7 +263,7 @@
 
 func (m *machine) receiveReport(from *machine, report Report) {
 	if !from.up || from.id != report.Keeper.ID {
-		return // its link has ended
+		return // the link has been closed
 	}
 	m.reports[report.Keeper.ID] = &receivedReport{report, from, m.cluster.Now()}
 	if report.NextSlot > m.nextSlot() {
@@ -275,7 +275,7 @@
 	return Limits{MaxFailures: m.cluster.maxFailures, MaxVoters: 9, UnresponsiveTimeout: UnresponsiveTimeout(repairTime)}
 }
 
-// tick is what a keeper does at each interval: reports, observations, the lease, the singleton role.
+// tick runs a keeper's periodic work: reports, observations, the lease and the singleton role.
 func (m *machine) tick() {
 	m.after(keeperTick, m.tick)
 	c := m.cluster
@@ -357,7 +357,7 @@
 	}
 }
 
-// peer is the machine with an identity that is connected; nil: it is not.
+// peer returns the connected machine with a voter ID; nil if it is not connected.
 func (m *machine) peer(id uint64) *machine {
 	if r, connected := m.reports[id]; connected {
 		return r.from
@@ -398,9 +398,9 @@
 	return m.known && state.HasVoter(m.id) && state.HasVoter(holder) && upToDate
 }
 
-// terminate is SIGTERM: the machine gives up its vote, where it can, and ends.
+// terminate simulates SIGTERM: the machine removes itself from the voters if it can, and ends.
 func (m *machine) terminate(ended func()) {
-	m.cluster.tracef("%s gets SIGTERM", m.name)
+	m.cluster.tracef("%s receives SIGTERM", m.name)
 	m.leaving = true
 	m.candidate.Stop()
 	m.sendReports()
@@ -450,14 +450,14 @@
 func (c *cluster) observe(state paxos.State) {
 	if earlier, known := c.decided[state.Slot]; known {
 		if !bytes.Equal(earlier, encoded(state)) {
-			simulation.Failf("slot %d has two states", state.Slot)
+			simulation.Failf("slot %d has two different states", state.Slot)
 		}
 		return
 	}
 	c.tracef("slot %d is decided, %d bytes, voters %v", state.Slot, len(state.Value), state.Voters)
 	c.decided[state.Slot] = encoded(state)
 	if before, known := c.decided[state.Slot-1]; known && !bytes.HasPrefix(state.Value, valueOf(before)) {
-		simulation.Failf("slot %d does not carry on from the one before", state.Slot)
+		simulation.Failf("slot %d does not extend the value of the slot before", state.Slot)
 	}
 }
 
@@ -468,7 +468,7 @@
 
 func valueOf(b []byte) []byte { return b[4+binary.BigEndian.Uint32(b):] }
 
-// operatorOrder is a change of an operator, who sends it again to another machine until it is accepted.
+// operatorOrder is an operator's change. The operator resends it, to a random machine each time, until it is accepted.
 type operatorOrder struct {
 	id       uint64
 	started  time.Duration
@@ -512,12 +512,12 @@
 	c.After(200*time.Millisecond, func() { c.sendOrder(o) })
 }
 
-// faultFreeFor is for how long there have been no faults, in the latest part of a time.
+// faultFreeFor returns how long there have been no faults, counted from contactTime after the last one; at most length.
 func (c *cluster) faultFreeFor(length time.Duration) time.Duration {
 	return min(length, c.Now()-c.lastFault-contactTime)
 }
 
-// checkOrders reads every machine that is connected, and compares with all orders that were acknowledged.
+// checkOrders reads on every connected machine and checks that each accepted order is in the value exactly once.
 func (c *cluster) checkOrders() {
 	type reading struct {
 		m     *machine
@@ -554,7 +554,7 @@
 		}
 		for _, id := range accepted {
 			if occurrences[id] != 1 {
-				simulation.Failf("%s: order %d was acknowledged and is there %d times", r.m.name, id, occurrences[id])
+				simulation.Failf("%s: accepted order %d occurs %d times, want once", r.m.name, id, occurrences[id])
 			}
 		}
 	}
--- a/internal/consensus/reconfigure/enumeration_test.go
+++ b/internal/consensus/reconfigure/enumeration_test.go
@@ -11,16 +11,16 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// modelMachine is a machine with a disk in the enumeration, or what is left of one among the voters.
+// modelMachine is a machine with a disk in the enumeration, or a removed machine that is still among the voters.
 type modelMachine struct {
-	voter       bool  // its present identity is a voter
-	lostVoters  uint8 // voters under its name whose disks are lost
+	voter       bool  // its present ID is a voter
+	lostVoters  uint8 // number of voters under its name whose disks are lost
 	up          bool
 	partitioned bool
-	removed     bool // it never comes back
-	storedAll   bool // it has stored all that was acknowledged
-	recovering  bool // it is back or new, and counts as lost until the repair
-	spare       bool // it came ahead of a planned replacement, and no machine has left for it yet
+	removed     bool // it never returns
+	storedAll   bool // it has stored all acknowledged writes
+	recovering  bool // it has returned or is new, and counts as lost until the repair
+	spare       bool // it was started for a planned replacement, and the machine that it replaces has not ended yet
 }
 
 func (m modelMachine) connected() bool    { return m.up && !m.partitioned }
@@ -37,7 +37,7 @@
 	return w
 }
 
-// key is the same for models that differ only in the order of their machines.
+// key returns a key that is equal for models that differ only in the order of their machines.
 func (w model) key() string {
 	texts := make([]string, len(w.machines))
 	for i, m := range w.machines {
@@ -65,8 +65,8 @@
 	return n
 }
 
-// countVoters counts the voters, those that are connected, and the connected ones that have stored all that was
-// acknowledged.
+// countVoters counts the voters, the connected voters, and the connected voters that have stored all acknowledged
+// writes.
 func (w model) countVoters() (voters, connected, complete int) {
 	for _, m := range w.machines {
 		voters += int(m.lostVoters)
@@ -84,7 +84,8 @@
 	return voters, connected, complete
 }
 
-// situation is what the connected keepers know. Identities are in the order of the machines, or in the reverse one.
+// situation returns the Situation that the connected keepers see. Voter IDs are in the order of the machines, or in
+// reverse order.
 func (w model) situation(unreachableFor time.Duration, reverse bool, leaver int) Situation {
 	s := Situation{Limits: Limits{w.maxFailures, 9, testUnresponsiveTimeout}}
 	for i, m := range w.machines {
@@ -101,9 +102,9 @@
 			s.Voters = append(s.Voters, voter)
 		}
 		for g := range m.lostVoters {
-			ghost := identity
-			ghost.ID += uint64(g) + 1
-			s.Voters = append(s.Voters, Voter{Voter: ghost, UnreachableFor: unreachableFor})
+			lost := identity
+			lost.ID += uint64(g) + 1
+			s.Voters = append(s.Voters, Voter{Voter: lost, UnreachableFor: unreachableFor})
 		}
 		if m.connected() {
 			s.Keepers = append(s.Keepers, Keeper{Voter: identity, CaughtUp: m.storedAll, Leaving: i == leaver})
@@ -112,8 +113,8 @@
 	return s
 }
 
-// afterChange returns the models that the next change of voters may lead to: it is done when some majority of the new
-// voters has stored it.
+// afterChange returns the models to which the next change of voters may lead, one for each majority of the new voters
+// that may have stored the change.
 func (w model) afterChange(s Situation) []model {
 	change, found := NextChange(s)
 	if !found {
@@ -138,14 +139,14 @@
 	return next.afterWrite()
 }
 
-// dropRemoved drops machines that neither come back nor vote.
+// dropRemoved drops removed machines that are no longer among the voters.
 func (w *model) dropRemoved() {
 	w.machines = slices.DeleteFunc(w.machines, func(m modelMachine) bool {
 		return m.removed && !m.voter && m.lostVoters == 0
 	})
 }
 
-// afterWrite returns a model for each least majority that may have stored a write when it is acknowledged.
+// afterWrite returns a model for each minimal majority that may have stored a write when it is acknowledged.
 func (w model) afterWrite() []model {
 	voters, _, _ := w.countVoters()
 	var connected []int
@@ -184,7 +185,7 @@
 	return next
 }
 
-// afterRepair passes the time that a repair may take.
+// afterRepair returns the model after the maximum time of a repair.
 func (w model) afterRepair(reverse bool) model {
 	next := w.afterSpread()
 	for range 100 {
@@ -202,7 +203,8 @@
 	return next
 }
 
-// afterLeaving is SIGTERM to a machine: it changes the voters with itself as leaving until it is none, before it ends.
+// afterLeaving returns the models after SIGTERM to a machine: with itself as leaving, it applies changes of voters
+// until it is not a voter or no change is possible.
 func (w model) afterLeaving(leaver int, reverse bool) []model {
 	var after []model
 	if w.machines[leaver].voter {
@@ -218,13 +220,13 @@
 	return models
 }
 
-// successor is a model that follows, and the event that led to it.
+// successor is a model and the event that leads to it.
 type successor struct {
 	event string
 	model model
 }
 
-// successors are all models that may follow.
+// successors returns all models that one event may lead to.
 func (w model) successors() []successor {
 	var steps []successor
 	add := func(event string, models ...model) {
@@ -288,7 +290,7 @@
 	return slices.IndexFunc(w.machines, func(m modelMachine) bool { return m.spare })
 }
 
-// afterRestart returns the models after SIGTERM to a machine that will come back.
+// afterRestart returns the models after SIGTERM to a machine that will return.
 func (w model) afterRestart(i int) []model {
 	var models []model
 	for _, reverse := range []bool{false, true} {
@@ -300,7 +302,7 @@
 	return models
 }
 
-// afterPlannedEnd returns the models after SIGTERM to a machine whose successor came before and has caught up.
+// afterPlannedEnd returns the models after SIGTERM to a machine whose replacement is already running and has caught up.
 func (w model) afterPlannedEnd(i int) []model {
 	spare := w.spareMachine()
 	if spare < 0 || !w.machines[spare].connected() || !w.machines[spare].storedAll || w.machines[i].recovering {
@@ -319,14 +321,15 @@
 	return models
 }
 
-// check returns what is wrong with a model; "": nothing. Repaired: the time that a repair may take has passed.
+// check returns the violation in a model, or "". The parameter repaired is true if the maximum time of a repair has
+// passed.
 func (w model) check(repaired bool) string {
 	voters, connected, complete := w.countVoters()
 	if connected < paxos.QuorumSize(voters) {
 		return fmt.Sprintf("%d of %d voters are connected", connected, voters)
 	}
 	if complete == 0 {
-		return "no voter that is connected has stored all that was acknowledged"
+		return "no connected voter has stored all acknowledged writes"
 	}
 	if more := w.maxFailures - w.losses(); repaired && connected-more < paxos.QuorumSize(voters) {
 		return fmt.Sprintf("%d of %d voters are connected, and %d more may be lost", connected, voters, more)
@@ -337,7 +340,7 @@
 	return ""
 }
 
-// unfilled returns what the voters lack where nothing is lost any more; "": nothing.
+// unfilled returns in what way the voters differ from the machines when no machine counts as lost, or "".
 func (w model) unfilled() string {
 	voters, connected, _ := w.countVoters()
 	wanted := 0
@@ -347,22 +350,23 @@
 		}
 	}
 	if voters != connected || voters != min(wanted, 9) {
-		return fmt.Sprintf("%d of %d voters are connected, and there are %d machines", connected, voters, wanted)
+		return fmt.Sprintf("%d of %d voters are connected, with %d machines connected", connected, voters, wanted)
 	}
 	return ""
 }
 
-// enumerationDepth is how many events are played in a row: RECONFIGURE_DEPTH, or what takes a few seconds.
-func enumerationDepth(usual int) int {
+// enumerationDepth returns the length of the event sequences: RECONFIGURE_DEPTH, or a default that takes a few seconds.
+func enumerationDepth(defaultDepth int) int {
 	if n, err := strconv.Atoi(os.Getenv("RECONFIGURE_DEPTH")); err == nil {
 		return n
 	}
-	return usual
+	return defaultDepth
 }
 
-// TestEveryOrderOfEvents plays every order of losses, losses of disks, partitions, returns, restarts, replacements, planned
-// replacements, writes and changes of voters within what may be lost. A majority is connected at each moment, with a
-// voter that has stored all that was acknowledged, and after each repair as many more may be lost as the rules allow.
+// TestEveryOrderOfEvents enumerates all sequences of crashes, disk losses, partitions, returns, restarts, replacements,
+// planned replacements, writes and changes of voters with at most maxFailures losses at a time. At each moment a
+// majority of the voters must be connected, including one that has stored all acknowledged writes; after each repair,
+// the voters must survive as many further losses as maxFailures allows.
 func TestEveryOrderOfEvents(t *testing.T) {
 	for _, c := range []struct{ machines, maxFailures, depth int }{
 		{3, 1, 12}, {4, 1, 10}, {5, 1, 8}, {5, 2, 7}, {8, 1, 5}, {8, 2, 5}, {9, 1, 5}, {9, 2, 5},
@@ -408,7 +412,7 @@
 		depth, steps, len(seen), len(level))
 }
 
-// eventPath is an event and those before it.
+// eventPath is a sequence of events as a list, the last event first.
 type eventPath struct {
 	event  string
 	before *eventPath
--- a/internal/consensus/reconfigure/fence_test.go
+++ b/internal/consensus/reconfigure/fence_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// replacedWhileAway partitions the lease holder until another machine has replaced it as a voter.
-func replacedWhileAway(t *testing.T) (c *cluster, old *machine) {
+// replacedWhilePartitioned partitions the lease holder until another machine has replaced it as a voter.
+func replacedWhilePartitioned(t *testing.T) (c *cluster, old *machine) {
 	t.Helper()
 	c = newCluster(1, 3, 1)
 	c.loss = 0
@@ -20,7 +20,7 @@
 		}
 	}
 	if old == nil {
-		t.Fatal("nobody has the lease")
+		t.Fatal("no machine holds the lease")
 	}
 	old.partitioned = true
 	joiner := c.addMachine()
@@ -30,18 +30,18 @@
 		t.Fatalf("the voters are %v", joiner.state.Voters)
 	}
 	if !old.state.HasVoter(old.id) {
-		t.Fatal("the one that was partitioned knows what it can't know")
+		t.Fatal("the partitioned machine knows of its replacement")
 	}
 	return c, old
 }
 
-// A voter that was replaced while it was partitioned comes back with its old state. It decides nothing with that, its vote
-// does not count, and no voter that knows of its replacement grants it a lease.
+// A voter that was replaced while it was partitioned returns with its old state. It can't decide a change from that
+// state, its vote does not count, and no voter that knows of its replacement grants it a lease.
 func TestFencedVoter(t *testing.T) {
 	t.Run("lease", func(t *testing.T) {
-		c, old := replacedWhileAway(t)
+		c, old := replacedWhilePartitioned(t)
 		if old.candidate.HasLease(c.Now()) {
-			t.Error("it still has the lease")
+			t.Error("the replaced voter still has the lease")
 		}
 		for _, m := range c.machines {
 			if m != old && m.mayGrant(old.id) {
@@ -51,15 +51,15 @@
 		old.partitioned = false
 		c.RunUntil(c.Now() + keeperTick)
 		if old.candidate.HasLease(c.Now()) {
-			t.Error("it has the lease again")
+			t.Error("the replaced voter has the lease again")
 		}
 		c.RunUntil(c.Now() + repairTime)
 		if !old.state.HasVoter(old.id) {
-			t.Error("it is no voter once it has caught up")
+			t.Error("the replaced voter is not added again after it has caught up")
 		}
 	})
 	t.Run("change of voters", func(t *testing.T) {
-		c, old := replacedWhileAway(t)
+		c, old := replacedWhilePartitioned(t)
 		old.partitioned = false
 		stale := old.state
 		change := Change{Reason: ReasonUnresponsive, Old: &stale.Voters[(indexOf(stale, old.id)+1)%3]}
@@ -67,7 +67,7 @@
 		old.change(change, stale, orderTimeout, func(err error) { ended = err == nil })
 		c.RunUntil(c.Now() + time.Second)
 		if !ended {
-			t.Fatal("it was not notified that others vote")
+			t.Fatal("the stale change did not end as unchanged")
 		}
 		for _, m := range c.machines {
 			if m.known && len(m.state.Voters) < 3 {
@@ -76,8 +76,9 @@
 		}
 	})
 	t.Run("vote", func(t *testing.T) {
-		// Of the three new voters two are lost, beyond what may be: the old one must not make a majority with the third.
-		c, old := replacedWhileAway(t)
+		// Two of the three new voters are lost, more than maxFailures: the old voter and the third one must not make a
+		// majority.
+		c, old := replacedWhilePartitioned(t)
 		newest := c.machines[len(c.machines)-1]
 		for _, m := range c.machines {
 			if m != old && m != newest {
@@ -93,7 +94,7 @@
 		})
 		c.RunUntil(c.Now() + 1500*time.Millisecond)
 		if decided {
-			t.Error("a majority was made with the vote of one that was replaced")
+			t.Error("the vote of a replaced voter counted towards a majority")
 		}
 	})
 }
--- a/internal/consensus/reconfigure/history_test.go
+++ b/internal/consensus/reconfigure/history_test.go
@@ -12,22 +12,23 @@
 	"dunetide/internal/lab/simulation"
 )
 
-// histories is how many a test plays: RECONFIGURE_HISTORIES, or what fits into a few seconds.
-func histories(usual int) int {
+// historyCount returns how many histories a test plays: RECONFIGURE_HISTORIES, or a default that takes a few seconds.
+func historyCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("RECONFIGURE_HISTORIES")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
-// TestHistories plays randomized histories of losses, losses of disks, partitions, restarts, replacements and planned
-// replacements within what may be lost, often at the first moment that is allowed. Checked are: one chain, nothing
-// acknowledged is lost, orders are accepted within orderTimeout while there are no faults, and the voters are as many as
-// they should be within repairTime. RECONFIGURE_SEED plays one history, and prints its trace.
+// TestHistories plays randomized histories of crashes, disk losses, partitions, restarts, replacements and planned
+// replacements with at most maxFailures losses at a time, often with the next fault as soon as one is allowed. It
+// checks that all slots form one chain, that no acknowledged order is lost, that orders are accepted within
+// orderTimeout while there are no faults, and that all machines are voters again within repairTime. RECONFIGURE_SEED
+// plays a single history and prints its trace.
 func TestHistories(t *testing.T) {
 	for _, c := range []struct{ machines, maxFailures int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {8, 2}, {9, 2}} {
 		t.Run(fmt.Sprintf("%d machines, %d lost", c.machines, c.maxFailures), func(t *testing.T) {
-			playHistories(t, histories(20), c.machines, c.maxFailures)
+			playHistories(t, historyCount(20), c.machines, c.maxFailures)
 		})
 	}
 }
@@ -50,7 +51,7 @@
 	t.Logf("%d histories played", played.Load())
 }
 
-// playHistory returns what failed; "": nothing.
+// playHistory plays one history and returns the violation found, or "".
 func playHistory(seed uint64, machines, maxFailures int, tracing bool) (failed string) {
 	var c *cluster
 	found := simulation.Play(func() {
@@ -74,14 +75,14 @@
 	return fmt.Sprintf("seed %d at %v: %s\n%s", seed, c.Now(), found, c.trace.String())
 }
 
-// TestHistoriesThatBroke plays the histories that found faults, each of which is fixed.
-func TestHistoriesThatBroke(t *testing.T) {
+// TestHistoriesOfFixedFaults plays histories that each reproduced a fault that has been fixed.
+func TestHistoriesOfFixedFaults(t *testing.T) {
 	for _, c := range []struct {
 		seed                  uint64
 		machines, maxFailures int
 	}{
 		{335, 9, 2},  // candidates never caught up under a stream of orders
-		{1761, 3, 1}, // two candidates for the lease kept each other out
+		{1761, 3, 1}, // two candidates for the lease blocked each other
 		{8585, 3, 1}, // a keeper that had left became a voter again
 	} {
 		if failed := playHistory(c.seed, c.machines, c.maxFailures, false); failed != "" {
@@ -90,7 +91,7 @@
 	}
 }
 
-// injectRandomFault injects a fault that is allowed now, and lets a random time pass until the next.
+// injectRandomFault injects a random fault if one is allowed now, and runs until a random time for the next one.
 func (c *cluster) injectRandomFault() {
 	kinds := []func(){c.loseOne, c.loseOne, c.loseOne, c.loseOne, c.replacePlanned, c.restart}
 	kinds[c.rng.IntN(len(kinds))]()
@@ -98,7 +99,7 @@
 	case 0: // at once
 	case 1:
 		c.RunUntil(c.Now() + c.upTo(time.Second))
-	default: // the first moment at which one more may be lost
+	default: // the first moment at which one more machine may be lost
 		c.waitUntilOneMoreMayBeLost()
 	}
 }
@@ -113,7 +114,7 @@
 	return n
 }
 
-// waitUntilOneMoreMayBeLost passes time until fewer machines count as lost than may be lost.
+// waitUntilOneMoreMayBeLost runs until fewer than maxFailures machines count as lost.
 func (c *cluster) waitUntilOneMoreMayBeLost() {
 	for end := c.Now() + time.Minute; c.countedLosses() >= c.maxFailures && c.Now() < end; {
 		c.RunUntil(c.Now() + 10*time.Millisecond)
@@ -128,7 +129,8 @@
 	return slices.ContainsFunc(c.machines, func(m *machine) bool { return m.up && m.leaving })
 }
 
-// randomRunning is a random machine that is connected and does not count as lost; nil: there is none.
+// randomRunning returns a random machine that is connected, is not leaving and does not count as lost; nil if there is
+// none.
 func (c *cluster) randomRunning() *machine {
 	var all []*machine
 	for _, m := range c.machines {
@@ -142,40 +144,40 @@
 	return all[c.rng.IntN(len(all))]
 }
 
-// recordFault notes that something happens now.
+// recordFault records the time of a fault, a return, a start or an end, and traces it.
 func (c *cluster) recordFault(format string, args ...any) {
 	c.lastFault = c.Now()
 	c.tracef(format, args...)
 }
 
-// loseOne loses a machine in one of the ways there are, and has it or its successor come back.
+// loseOne loses a machine by a random kind of fault, and schedules its return or that of its replacement.
 func (c *cluster) loseOne() {
 	m := c.randomRunning()
 	if m == nil || c.countedLosses() >= c.maxFailures {
 		return
 	}
-	away := c.upTo(6 * time.Second)
+	downtime := c.upTo(6 * time.Second)
 	switch c.rng.IntN(4) {
 	case 0:
-		c.recordFault("%s is partitioned for %v", m.name, away)
+		c.recordFault("%s is partitioned for %v", m.name, downtime)
 		m.partitioned = true
-		c.After(away, func() {
+		c.After(downtime, func() {
 			m.partitioned = false
 			m.recordReturn()
 		})
 	case 1:
-		c.recordFault("%s is killed for %v", m.name, away)
+		c.recordFault("%s is killed and down for %v", m.name, downtime)
 		m.stop()
-		c.After(away, func() { m.start(); m.recordReturn() })
+		c.After(downtime, func() { m.start(); m.recordReturn() })
 	case 2:
-		c.recordFault("%s loses its disk, for %v", m.name, away)
+		c.recordFault("%s loses its disk and is down for %v", m.name, downtime)
 		m.stop()
 		m.emptyDisk()
-		c.After(away, func() { m.start(); m.recordReturn() })
+		c.After(downtime, func() { m.start(); m.recordReturn() })
 	case 3:
-		c.recordFault("%s is lost for good, its successor comes in %v", m.name, away)
+		c.recordFault("%s is lost permanently, its replacement starts in %v", m.name, downtime)
 		m.stop()
-		c.After(away, func() {
+		c.After(downtime, func() {
 			m.removed = true
 			next := c.addMachine()
 			next.start()
@@ -184,13 +186,14 @@
 	}
 }
 
-// recordReturn notes that a machine is back, or new.
+// recordReturn records that a machine has returned or is new: it counts as lost for repairTime.
 func (m *machine) recordReturn() {
-	m.cluster.recordFault("%s is there", m.name)
+	m.cluster.recordFault("%s is up", m.name)
 	m.lostUntil = m.cluster.Now() + repairTime
 }
 
-// replacePlanned starts a machine and, once that stopped counting as lost or at any moment before, ends another one.
+// replacePlanned starts a machine and terminates another one, either once the new one no longer counts as lost or at a
+// random time before.
 func (c *cluster) replacePlanned() {
 	if c.countedLosses() >= c.maxFailures {
 		return
@@ -217,7 +220,7 @@
 	}
 }
 
-// restart is SIGTERM to a machine that comes back at once.
+// restart terminates a machine and starts it again up to a second later.
 func (c *cluster) restart() {
 	m := c.randomRunning()
 	if m == nil || c.countedLosses() >= c.maxFailures {
@@ -225,24 +228,24 @@
 	}
 	c.recordFault("%s is restarted", m.name)
 	m.lostUntil = c.Now() + time.Hour
-	away := c.upTo(time.Second)
-	m.terminate(func() { c.After(away, func() { m.start(); m.recordReturn() }) })
+	downtime := c.upTo(time.Second)
+	m.terminate(func() { c.After(downtime, func() { m.start(); m.recordReturn() }) })
 }
 
-// returnAll waits until all machines are back.
+// returnAll runs until all machines have returned.
 func (c *cluster) returnAll() {
 	for end := c.Now() + time.Minute; c.Now() < end; c.RunUntil(c.Now() + 10*time.Millisecond) {
-		away := slices.ContainsFunc(c.machines, func(m *machine) bool {
+		missing := slices.ContainsFunc(c.machines, func(m *machine) bool {
 			return !m.removed && (!m.connected() || m.leaving)
 		})
-		if !away {
+		if !missing {
 			return
 		}
 	}
-	simulation.Failf("a machine stays away")
+	simulation.Failf("a machine did not return within a minute")
 }
 
-// checkVoters checks that the voters are all machines that are there, and no others.
+// checkVoters checks that the voters are exactly the running machines, up to the limit of nine.
 func (c *cluster) checkVoters() {
 	var newest *machine
 	wanted := 0
@@ -263,7 +266,7 @@
 		}
 	}
 	if connected != len(state.Voters) || connected != min(wanted, 9) {
-		simulation.Failf("%d of %d voters are connected, and %d machines are there: %v",
+		simulation.Failf("%d of %d voters are connected, want all of %d machines up to the limit: %v",
 			connected, len(state.Voters), wanted, state.Voters)
 	}
 }
--- a/internal/consensus/reconfigure/mutants_test.go
+++ b/internal/consensus/reconfigure/mutants_test.go
@@ -7,16 +7,16 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// mutants each break a guarantee of the package. The tests have to find each of them.
+// mutants are changes that each break a guarantee of the package. The tests have to detect all of them.
 var mutants = []mutation.Mutant{
 	{
-		Name: "nobody is removed",
+		Name: "no voter is removed",
 		File: "rules.go",
 		Old:  "	if len(s.Voters)-1 < s.minVoters() || !s.quorumReachableWithout(voter.ID, 0) {",
 		New:  "	if true {",
 	},
 	{
-		Name: "a leaver below the least removes itself",
+		Name: "a leaver removes itself below the minimum number of voters",
 		File: "rules.go",
 		Old:  "	if len(s.Voters)-1 < s.minVoters() || !s.quorumReachableWithout(voter.ID, 0) {",
 		New:  "	if !s.quorumReachableWithout(voter.ID, 0) {",
@@ -34,19 +34,19 @@
 		New:  "&& !keeper.Leaving {",
 	},
 	{
-		Name: "a candidate that leaves",
+		Name: "a leaving keeper counts as a candidate",
 		File: "situation.go",
 		Old:  "&& keeper.CaughtUp && !keeper.Leaving {",
 		New:  "&& keeper.CaughtUp {",
 	},
 	{
-		Name: "a candidate without a disk",
+		Name: "a keeper without a disk counts as a candidate",
 		File: "situation.go",
 		Old:  "if keeper.ID != 0 && !s.isVoter(keeper.ID)",
 		New:  "if !s.isVoter(keeper.ID)",
 	},
 	{
-		Name: "one is added while another is unreachable",
+		Name: "a voter is added while another is unreachable",
 		File: "rules.go",
 		Old:  "	unreachable := slices.ContainsFunc(s.Voters, func(v Voter) bool { return !v.Reachable })\n",
 		New:  "	unreachable := false\n",
@@ -58,7 +58,7 @@
 		New:  " {",
 	},
 	{
-		Name: "nobody is added",
+		Name: "no voter is added",
 		File: "rules.go",
 		Old:  "{moved, diskLost, leaving, unresponsive, expansion}",
 		New:  "{moved, diskLost, leaving, unresponsive}",
@@ -82,13 +82,13 @@
 		New:  "voter.UnreachableFor < s.UnresponsiveTimeout && !voter.Reachable {",
 	},
 	{
-		Name: "a seat is taken from a reachable voter",
+		Name: "a reachable voter is replaced as one with a lost disk",
 		File: "rules.go",
 		Old:  "		if voter.Reachable {\n			continue\n		}\n",
 		New:  "",
 	},
 	{
-		Name: "a leaver relies on one that has just started",
+		Name: "a leaver prefers a candidate that has just started to its removal",
 		File: "rules.go",
 		Old:  "s.remove, s.substitute)",
 		New:  "s.substitute, s.remove)",
@@ -100,7 +100,7 @@
 		New:  "return (voters + 1) / 2",
 	},
 	{
-		Name: "the newest voters are not compared",
+		Name: "a change is applied to other voters than decided for",
 		File: "change.go",
 		Old:  "	if !slices.Equal(current.Voters, decidedFor) {",
 		New:  "	if false && !slices.Equal(current.Voters, decidedFor) {",
@@ -118,19 +118,19 @@
 		New:  "func(v paxos.Voter) bool { return true }) {",
 	},
 	{
-		Name: "the time unreachable never starts anew",
+		Name: "the unreachable time never restarts",
 		File: "observer.go",
 		Old:  "	o.unreachableSince = unreachableSince\n",
 		New:  "	if o.unreachableSince == nil {\n		o.unreachableSince = unreachableSince\n	}\n",
 	},
 	{
-		Name: "the state before counts as caught up",
+		Name: "a keeper one slot behind the required one counts as caught up",
 		File: "observer.go",
 		Old:  "caughtUp := report.NextSlot > o.requiredSlot(state.Slot)\n",
 		New:  "caughtUp := report.NextSlot >= o.requiredSlot(state.Slot)\n",
 	},
 	{
-		Name: "only who has the very newest state counts as caught up",
+		Name: "only a keeper with the newest state counts as caught up",
 		File: "observer.go",
 		Old:  "	return o.knownSlots[0].slot\n",
 		New:  "	return newest\n",
@@ -154,7 +154,7 @@
 		New:  "	_ = observed\n",
 	},
 	{
-		Name: "a keeper that was a voter meanwhile counts as a non-voter all the while",
+		Name: "a keeper that was a voter in between counts as a continuous non-voter",
 		File: "observer.go",
 		Old:  "		if state.HasVoter(id) {\n			continue\n		}\n",
 		New:  "",
@@ -178,18 +178,18 @@
 		New:  "	if false {",
 	},
 	{
-		Name: "a leaver waits for one that leaves, too",
+		Name: "a leaver waits for a keeper that is leaving, too",
 		File: "leave.go",
 		Old:  "!keeper.CaughtUp && !keeper.Leaving {",
 		New:  "!keeper.CaughtUp {",
 	},
 }
 
-// TestMutantsStand fails when the text of a mutant is not found once in the file that it names.
+// TestMutantsStand fails if the old text of a mutant does not occur exactly once in its file.
 func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
 // TestMutantsAreFound runs the tests over each mutant. That takes minutes, so it has to be requested:
-// RECONFIGURE_MUTANTS=1, or a part of a name.
+// RECONFIGURE_MUTANTS=1 runs all mutants, another value those whose name contains it.
 func TestMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "RECONFIGURE_MUTANTS")
 	tests := "TestNext|TestApply|TestEvery|TestReachability|TestUnreachable|TestCaughtUp|TestRemoved|TestHistories|TestFenced"
--- a/internal/consensus/reconfigure/observer.go
+++ b/internal/consensus/reconfigure/observer.go
@@ -7,45 +7,47 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// CatchUpLag is how far a keeper may be behind and still count as caught up. What it has stored is known by reports, so
-// with many changes a second it would never be reported to have the newest state. It is sent that by the change that
-// makes it a voter, which ends only when a majority of the new voters has it.
+// CatchUpLag is how far a keeper may lag behind and still count as caught up. Its stored slot is known from its reports
+// only, which are always out of date when there are many changes per second; without this allowance such a keeper would
+// never count as caught up. The change that makes it a voter sends it the newest state, and completes only when a
+// majority of the new voters has stored that.
 const CatchUpLag = time.Second
 
-// Report is what a keeper with a disk reports of itself.
+// Report is what a keeper with a disk reports about itself.
 type Report struct {
 	Keeper paxos.Voter
-	// Connected are the identities of the keepers to which it is connected.
+	// Connected lists the IDs of the keepers to which it is connected.
 	Connected []uint64
-	// NextSlot is the slot after the newest one of the register that it has stored; 0: it has stored none.
+	// NextSlot is the slot after the newest one of the register that it has stored; 0 if it has stored none.
 	NextSlot uint64
-	// Leaving says that it is shutting down.
+	// Leaving is true if it is shutting down.
 	Leaving bool
 }
 
-// Observer follows which voters of one register the others can reach. Each keeper has one, so that whichever takes over
-// the decision on changes knows already for how long a voter has been unreachable. Times are on the monotonic clock of
-// the keeper's incarnation.
+// Observer tracks which voters of one register are reachable by the others. Every keeper has one, so that a keeper that
+// takes over the decision on changes already knows how long each voter has been unreachable. Times are read from the
+// monotonic clock of the keeper's incarnation.
 type Observer struct {
 	unreachableSince map[uint64]time.Duration
-	// knownSlots are the newest slots that were known, oldest first; the first is CatchUpLag old, or the first known.
+	// knownSlots are the newest known slots over time, oldest first. The first entry is the latest that is at least
+	// CatchUpLag old, or else the first one known.
 	knownSlots []knownSlot
-	// nonVoterSince is, for each keeper that reports and is no voter, the first slot that was known by which it is
-	// none.
+	// nonVoterSince is, by the ID of a reporting keeper that is not a voter, the first slot observed at which it was
+	// not a voter.
 	nonVoterSince map[uint64]uint64
 }
 
-// knownSlot is the newest slot that was known at a time.
+// knownSlot is the newest slot known at a time.
 type knownSlot struct {
 	at   time.Duration
 	slot uint64
 }
 
-// reachability says whether a majority of the voters is connected to one of them, itself included, and whether a
-// majority reports not to be. Neither may be so, where reports are missing.
+// reachability states whether a majority of the voters (including the voter itself) is connected to a voter, and
+// whether a majority reports that it is not. Both are false if too many reports are missing.
 type reachability struct{ reachable, unreachable bool }
 
-// Observe takes in the newest reports of the keepers that are connected, the own one included.
+// Observe processes the newest reports of the connected keepers, including this keeper's own report.
 func (o *Observer) Observe(now time.Duration, state paxos.State, reports []Report) {
 	o.recordSlot(now, state.Slot)
 	o.recordNonVoters(state, reports)
@@ -62,7 +64,7 @@
 	o.unreachableSince = unreachableSince
 }
 
-// Situation is what is known for a decision on the voters of a state.
+// Situation returns the input of a decision on the voters of a state.
 func (o *Observer) Situation(now time.Duration, state paxos.State, reports []Report, limits Limits) Situation {
 	s := Situation{Limits: limits}
 	reported := reachabilities(state.Voters, reports)
@@ -83,7 +85,7 @@
 	return s
 }
 
-// recordSlot notes the newest slot that is known.
+// recordSlot records the newest known slot.
 func (o *Observer) recordSlot(now time.Duration, slot uint64) {
 	o.knownSlots = append(o.knownSlots, knownSlot{now, slot})
 	for len(o.knownSlots) > 1 && now-o.knownSlots[1].at >= CatchUpLag {
@@ -91,7 +93,7 @@
 	}
 }
 
-// recordNonVoters notes which keepers are no voters, and from which slot on.
+// recordNonVoters records which reporting keepers are not voters, and since which slot.
 func (o *Observer) recordNonVoters(state paxos.State, reports []Report) {
 	nonVoterSince := map[uint64]uint64{}
 	for _, report := range reports {
@@ -107,9 +109,9 @@
 	o.nonVoterSince = nonVoterSince
 }
 
-// storedAsNonVoter reports whether a keeper that is no voter made its report after it had stored a state by which it is
-// none. An earlier report may not say yet that the keeper leaves, for which it was removed: such a keeper must not
-// become a voter again.
+// storedAsNonVoter reports whether a keeper that is not a voter sent its report after it had stored a state without
+// itself among the voters. A keeper that is shutting down is removed from the voters, and a report from before the
+// removal may not have Leaving set yet: by such a report the keeper must not become a voter again.
 func (o *Observer) storedAsNonVoter(state paxos.State, report Report) bool {
 	since, observed := o.nonVoterSince[report.Keeper.ID]
 	if !observed {
@@ -118,7 +120,7 @@
 	return report.NextSlot > since
 }
 
-// requiredSlot is the slot that a keeper must have stored to count as caught up.
+// requiredSlot returns the slot that a keeper must have stored to count as caught up.
 func (o *Observer) requiredSlot(newest uint64) uint64 {
 	if len(o.knownSlots) == 0 {
 		return newest
@@ -126,7 +128,7 @@
 	return o.knownSlots[0].slot
 }
 
-// reachabilities are those of all voters, by identity. Only reports of voters count.
+// reachabilities returns the reachability of all voters by ID. Only reports of voters count.
 func reachabilities(voters []paxos.Voter, reports []Report) map[uint64]reachability {
 	var byVoters []Report
 	for _, report := range reports {
--- a/internal/consensus/reconfigure/observer_test.go
+++ b/internal/consensus/reconfigure/observer_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// reportsOf reads reports such as "1:123 2:12": who reports, and to whom it is connected.
+// reportsOf parses reports such as "1:123 2:12": the ID of the reporting keeper and those to which it is connected.
 func reportsOf(text string) []Report {
 	var reports []Report
 	for _, field := range strings.Fields(text) {
@@ -32,15 +32,15 @@
 	return voters
 }
 
-// No voter is unreachable by the report of one, nor by those of keepers that do not vote.
+// A voter does not count as unreachable because of the report of one voter, nor because of reports of non-voters.
 func TestReachability(t *testing.T) {
 	for _, c := range []struct {
-		what    string
+		name    string
 		voters  int
 		reports string
 		want    string // of each voter: reachable, unreachable or unknown
 	}{
-		{"all is well", 3, "1:123 2:123 3:123", "reachable reachable reachable"},
+		{"all are connected", 3, "1:123 2:123 3:123", "reachable reachable reachable"},
 		{"one is partitioned", 3, "1:12 2:12", "reachable reachable unreachable"},
 		{"only one is not connected to it", 3, "1:12 2:123", "reachable reachable reachable"},
 		{"only one reports", 3, "1:1", "unknown unknown unknown"},
@@ -50,7 +50,7 @@
 		{"two of four are not connected to it", 4, "1:123 2:123 3:1234", "reachable reachable reachable unknown"},
 		{"three of four are not connected to it", 4, "1:123 2:123 3:123", "reachable reachable reachable unreachable"},
 		{"two of five are partitioned", 5, "1:123 2:123 3:123", "reachable reachable reachable unreachable unreachable"},
-		{"alone", 1, "1:1", "reachable"},
+		{"a single voter", 1, "1:1", "reachable"},
 	} {
 		var got []string
 		all := reachabilities(numbered(c.voters), reportsOf(c.reports))
@@ -67,12 +67,12 @@
 			}
 		}
 		if strings.Join(got, " ") != c.want {
-			t.Errorf("%s: %v, not %s", c.what, got, c.want)
+			t.Errorf("%s: %v, not %s", c.name, got, c.want)
 		}
 	}
 }
 
-// The time counts from the first report of a majority, and starts anew when the voter is reachable in between.
+// UnreachableFor counts from the first reports of a majority, and restarts at 0 if the voter is reachable in between.
 func TestUnreachableFor(t *testing.T) {
 	state := paxos.State{Voters: numbered(3)}
 	partitioned, connected := reportsOf("1:12 2:12"), reportsOf("1:123 2:123 3:123")
@@ -99,26 +99,27 @@
 	}
 }
 
-// A keeper is caught up when it has stored the slot that was the newest a while ago, however many are decided a second.
+// A keeper is caught up if it has stored the slot that was the newest one CatchUpLag ago, regardless of how many slots
+// are decided per second.
 func TestCaughtUp(t *testing.T) {
 	type observed struct {
 		at   time.Duration
 		slot uint64
 	}
 	for _, c := range []struct {
-		what   string
+		name   string
 		slots  []observed
 		stored uint64 // plus one
 		want   bool
 	}{
-		{"it knows nothing", []observed{{0, 0}}, 0, false},
-		{"it has the first", []observed{{0, 0}}, 1, true},
-		{"it has the one before", []observed{{0, 5}}, 5, false},
-		{"it has the newest", []observed{{0, 5}}, 6, true},
-		{"it lacks one that was decided a moment ago", []observed{{0, 5}, {CatchUpLag - 1, 6}}, 6, true},
-		{"it lacks what has long been decided", []observed{{0, 5}, {1, 6}, {1 + CatchUpLag, 7}}, 6, false},
-		{"it lags behind many", []observed{{0, 5}, {CatchUpLag / 2, 8}, {CatchUpLag, 11}, {CatchUpLag * 3 / 2, 14}}, 9, true},
-		{"it lags too far behind many", []observed{{0, 5}, {CatchUpLag / 2, 8}, {CatchUpLag, 11}, {CatchUpLag * 3 / 2, 14}}, 8, false},
+		{"it has stored no slot", []observed{{0, 0}}, 0, false},
+		{"it has the first slot", []observed{{0, 0}}, 1, true},
+		{"it has the slot before the newest", []observed{{0, 5}}, 5, false},
+		{"it has the newest slot", []observed{{0, 5}}, 6, true},
+		{"it lacks a slot known for less than CatchUpLag", []observed{{0, 5}, {CatchUpLag - 1, 6}}, 6, true},
+		{"it lacks a slot known for CatchUpLag", []observed{{0, 5}, {1, 6}, {1 + CatchUpLag, 7}}, 6, false},
+		{"it lags behind many slots", []observed{{0, 5}, {CatchUpLag / 2, 8}, {CatchUpLag, 11}, {CatchUpLag * 3 / 2, 14}}, 9, true},
+		{"it lags too far behind many slots", []observed{{0, 5}, {CatchUpLag / 2, 8}, {CatchUpLag, 11}, {CatchUpLag * 3 / 2, 14}}, 8, false},
 	} {
 		var o Observer
 		reports := reportsOf("7:")
@@ -130,13 +131,13 @@
 			o.Observe(now, state, reports)
 		}
 		if got := o.Situation(now, state, reports, Limits{}).Keepers[0].CaughtUp; got != c.want {
-			t.Errorf("%s: %v", c.what, got)
+			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
-// A keeper that leaves is removed by a change that others may learn of before the report that it leaves. By what it
-// reported before, it does not become a voter again; by a report of a keeper that has stored its removal, it does.
+// Other keepers may learn of the removal of a leaving keeper before they receive its report that it leaves. An older
+// report must not make it a voter again; a report from after it has stored its removal may.
 func TestRemovedKeeperIsNoCandidateByAnOlderReport(t *testing.T) {
 	with := paxos.State{Slot: 77, Voters: numbered(4)}
 	without := paxos.State{Slot: 78, Voters: numbered(3)}
@@ -150,7 +151,7 @@
 	leaves := append([]Report(nil), stored...)
 	leaves[3].Leaving = true
 	for _, c := range []struct {
-		what     string
+		name     string
 		observed []paxos.State
 		reports  []Report
 		added    bool
@@ -159,7 +160,7 @@
 		{"the removal comes after the newest observation", []paxos.State{with}, older, false},
 		{"the first observation is that of the removal", []paxos.State{without}, older, false},
 		{"it has stored the removal and leaves", []paxos.State{with, without}, leaves, false},
-		{"it has stored the removal and was started again", []paxos.State{with, without}, stored, true},
+		{"it has stored the removal and has restarted", []paxos.State{with, without}, stored, true},
 		{"it was removed, added and removed again", []paxos.State{{Slot: 70, Voters: numbered(3)}, with, without}, older, false},
 	} {
 		var o Observer
@@ -168,7 +169,7 @@
 		}
 		change, found := NextChange(o.Situation(time.Duration(len(c.observed)), without, c.reports, limits))
 		if found != c.added {
-			t.Errorf("%s: %v, %v", c.what, change, found)
+			t.Errorf("%s: %v, %v", c.name, change, found)
 		}
 	}
 }
--- a/internal/consensus/reconfigure/reason_test.go
+++ b/internal/consensus/reconfigure/reason_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestReasonWords pins the words that keepers log; whoever reads recorded logs looks for them.
+// TestReasonWords pins the names of reasons in the logs of keepers, because readers of recorded logs search for them.
 func TestReasonWords(t *testing.T) {
 	words := map[Reason]string{
 		0:                  "none",
--- a/internal/consensus/reconfigure/rules.go
+++ b/internal/consensus/reconfigure/rules.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// rules are tried in this order; the first that finds a change decides.
+// rules are tried in this order; the first that returns a change wins.
 var rules = []func(Situation) (Change, bool){moved, diskLost, leaving, unresponsive, expansion}
 
-// NextChange returns the change of voters that comes next; false: none.
+// NextChange returns the next change of voters; false if none is needed or possible.
 func NextChange(s Situation) (Change, bool) {
 	for _, rule := range rules {
 		if change, found := rule(s); found {
@@ -18,7 +18,7 @@
 	return Change{}, false
 }
 
-// moved updates how a voter is reached.
+// moved updates the name and the address of a voter.
 func moved(s Situation) (Change, bool) {
 	for _, voter := range s.Voters {
 		for _, keeper := range s.Keepers {
@@ -30,15 +30,15 @@
 	return Change{}, false
 }
 
-// diskLost replaces a voter by the keeper that came back in its place with another disk.
+// diskLost replaces an unreachable voter by a candidate that has its name or address but a new disk.
 func diskLost(s Situation) (Change, bool) {
 	for _, voter := range s.Voters {
 		if voter.Reachable {
 			continue
 		}
 		for _, candidate := range s.candidates() {
-			samePlace := candidate.Name == voter.Name || candidate.Addr == voter.Addr
-			if samePlace && s.quorumReachableWithout(voter.ID, 1) {
+			successor := candidate.Name == voter.Name || candidate.Addr == voter.Addr
+			if successor && s.quorumReachableWithout(voter.ID, 1) {
 				return replace(ReasonDiskLost, voter, candidate), true
 			}
 		}
@@ -53,8 +53,8 @@
 		if !announced {
 			continue
 		}
-		// A candidate may be a machine that has just started, and may be lost with others: it is not relied on where
-		// enough voters remain without it.
+		// Removal comes before substitution: a candidate may be a machine that has just started, and may be lost along
+		// with others, so it is not relied on if enough voters remain without it.
 		if change, found := firstChange(ReasonLeaving, voter, s.remove, s.substitute); found {
 			return change, true
 		}
@@ -62,7 +62,7 @@
 	return Change{}, false
 }
 
-// unresponsive replaces or removes the voter that has been unreachable for longest.
+// unresponsive replaces or removes the voter that has been unreachable for the longest time.
 func unresponsive(s Situation) (Change, bool) {
 	longestFirst := slices.Clone(s.Voters)
 	slices.SortStableFunc(longestFirst, func(a, b Voter) int { return cmp.Compare(b.UnreachableFor, a.UnreachableFor) })
@@ -77,8 +77,8 @@
 	return Change{}, false
 }
 
-// expansion adds a voter. While one is unreachable, another would raise the quorum, but not the losses that the voters
-// can bear.
+// expansion adds a voter if all voters are reachable. While one is unreachable, another voter could raise the quorum
+// without raising the number of failures that the voters tolerate.
 func expansion(s Situation) (Change, bool) {
 	candidates := s.candidates()
 	unreachable := slices.ContainsFunc(s.Voters, func(v Voter) bool { return !v.Reachable })
@@ -88,17 +88,17 @@
 	return Change{Reason: ReasonExpansion, New: &candidates[0].Voter}, true
 }
 
-// firstChange returns the change of the first way to give up a voter's seat that is possible.
-func firstChange(reason Reason, voter Voter, ways ...func(Reason, Voter) (Change, bool)) (Change, bool) {
-	for _, way := range ways {
-		if change, found := way(reason, voter); found {
+// firstChange returns the change of the first option that is possible for a voter that has to go.
+func firstChange(reason Reason, voter Voter, options ...func(Reason, Voter) (Change, bool)) (Change, bool) {
+	for _, option := range options {
+		if change, found := option(reason, voter); found {
 			return change, true
 		}
 	}
 	return Change{}, false
 }
 
-// substitute replaces a voter by a candidate.
+// substitute replaces a voter by the first candidate.
 func (s Situation) substitute(reason Reason, voter Voter) (Change, bool) {
 	candidates := s.candidates()
 	if len(candidates) == 0 || !s.quorumReachableWithout(voter.ID, 1) {
@@ -107,7 +107,7 @@
 	return replace(reason, voter, candidates[0]), true
 }
 
-// remove takes a voter out where enough remain.
+// remove removes a voter if at least minVoters and a reachable quorum remain.
 func (s Situation) remove(reason Reason, voter Voter) (Change, bool) {
 	if len(s.Voters)-1 < s.minVoters() || !s.quorumReachableWithout(voter.ID, 0) {
 		return Change{}, false
--- a/internal/consensus/reconfigure/rules_test.go
+++ b/internal/consensus/reconfigure/rules_test.go
@@ -12,9 +12,8 @@
 
 const testUnresponsiveTimeout = 2500 * time.Millisecond
 
-// parse reads voters and keepers, such as "1a 2b! 3c?9" and "1a 4d 5e~": ! is a voter that is not reachable, ?9 one
-// that has been unreachable for 9 seconds, ~ a keeper that lacks the newest state, - one that is leaving, @ one at
-// another address.
+// parse parses voters and keepers, such as "1a 2b! 3c?9" and "1a 4d 5e~". For voters, ! means not reachable and ?9
+// unreachable for 9 seconds; for keepers, ~ means not caught up, - leaving and @ at another address.
 func parse(voters, keepers string) Situation {
 	s := Situation{Limits: Limits{1, 9, testUnresponsiveTimeout}}
 	identity := func(text string) paxos.Voter {
@@ -61,34 +60,34 @@
 		maxVoters       int
 		want            string
 	}{
-		{"all is well", "1a 2b 3c", "1a 2b 3c", 1, 9, ""},
+		{"no change is needed", "1a 2b 3c", "1a 2b 3c", 1, 9, ""},
 		{"a voter moved", "1a 2b 3c", "1a 2b@ 3c", 1, 9, "moved: 1a 2b 3c"},
 		{"its disk was lost", "1a 2b! 3c", "1a 3c 9b", 1, 9, "disk lost: 1a 9b 3c"},
-		{"its disk was lost, its successor lacks the state", "1a 2b! 3c", "1a 3c 9b~", 1, 9, ""},
+		{"its disk was lost, its successor has not caught up", "1a 2b! 3c", "1a 3c 9b~", 1, 9, ""},
 		{"two processes under one name", "1a 2b 3c", "1a 2b 3c 9b", 1, 3, ""},
-		{"its disk was lost, and another is lost beyond what may be", "1a 2b! 3c! 4d!", "1a 9b", 1, 9, ""},
+		{"its disk was lost, and too many voters are unreachable", "1a 2b! 3c! 4d!", "1a 9b", 1, 9, ""},
 		{"leaving, with a candidate", "1a 2b 3c", "1a- 2b 3c 4d", 1, 9, "leaving: 4d 2b 3c"},
-		{"leaving, the candidate lacks the state", "1a 2b 3c", "1a- 2b 3c 4d~", 1, 9, ""},
-		{"leaving, as is the candidate", "1a 2b 3c", "1a- 2b 3c 4d-", 1, 9, ""},
+		{"leaving, the candidate has not caught up", "1a 2b 3c", "1a- 2b 3c 4d~", 1, 9, ""},
+		{"leaving, the candidate is leaving, too", "1a 2b 3c", "1a- 2b 3c 4d-", 1, 9, ""},
 		{"leaving, with voters to spare", "1a 2b 3c 4d", "1a- 2b 3c 4d", 1, 9, "leaving: 2b 3c 4d"},
 		{"leaving, with voters to spare and a candidate", "1a 2b 3c 4d", "1a- 2b 3c 4d 5e", 1, 9, "leaving: 2b 3c 4d"},
 		{"leaving, with none to spare for two losses", "1a 2b 3c 4d 5e", "1a- 2b 3c 4d 5e", 2, 9, ""},
 		{"leaving, while another is unreachable", "1a 2b 3c 4d!", "1a- 2b 3c", 1, 9, "leaving: 2b 3c 4d"},
 		{"leaving, while too many are unreachable", "1a 2b 3c! 4d!", "1a- 2b", 1, 9, ""},
-		{"unreachable for a moment", "1a 2b 3c?2", "1a 2b 4d", 1, 9, ""},
+		{"unreachable for less than the timeout", "1a 2b 3c?2", "1a 2b 4d", 1, 9, ""},
 		{"unresponsive, with a candidate", "1a 2b 3c?2.5", "1a 2b 4d", 1, 9, "given up: 1a 2b 4d"},
-		{"unresponsive, without one", "1a 2b 3c?9", "1a 2b", 1, 9, ""},
+		{"unresponsive, without a candidate", "1a 2b 3c?9", "1a 2b", 1, 9, ""},
 		{"unresponsive, with voters to spare", "1a 2b 3c?9 4d", "1a 2b 4d", 1, 9, "given up: 1a 2b 4d"},
 		{"unresponsive, with none to spare for two losses", "1a 2b 3c 4d 5e?9", "1a 2b 3c 4d", 2, 9, ""},
-		{"the one unreachable for longest goes first", "1a 2b 3c 4d?4 5e?9", "1a 2b 3c 6f", 2, 9, "given up: 1a 2b 3c 4d 6f"},
+		{"the voter unreachable for longest is replaced first", "1a 2b 3c 4d?4 5e?9", "1a 2b 3c 6f", 2, 9, "given up: 1a 2b 3c 4d 6f"},
 		{"no majority is reachable", "1a 2b?9 3c?9", "1a 4d", 1, 9, "given up: 1a 4d 3c"},
 		{"no majority would be reachable", "1a 2b?9 3c?9 4d?9", "1a 5e", 1, 9, ""},
-		{"one more", "1a 2b 3c", "1a 2b 3c 4d", 1, 9, "expansion: 1a 2b 3c 4d"},
-		{"one more, which lacks the state", "1a 2b 3c", "1a 2b 3c 4d~", 1, 9, ""},
-		{"one more, without a disk", "1a 2b 3c", "1a 2b 3c 0d", 1, 9, ""},
-		{"one more, while a voter is unreachable", "1a 2b 3c!", "1a 2b 4d", 1, 9, ""},
-		{"one more than the maximum", "1a 2b 3c", "1a 2b 3c 4d", 1, 3, ""},
-		{"two more come one at a time", "1a 2b 3c", "1a 2b 3c 5e 4d", 1, 9, "expansion: 1a 2b 3c 4d"},
+		{"one more keeper", "1a 2b 3c", "1a 2b 3c 4d", 1, 9, "expansion: 1a 2b 3c 4d"},
+		{"one more keeper, which has not caught up", "1a 2b 3c", "1a 2b 3c 4d~", 1, 9, ""},
+		{"one more keeper, without a disk", "1a 2b 3c", "1a 2b 3c 0d", 1, 9, ""},
+		{"one more keeper, while a voter is unreachable", "1a 2b 3c!", "1a 2b 4d", 1, 9, ""},
+		{"one more keeper than the maximum of voters", "1a 2b 3c", "1a 2b 3c 4d", 1, 3, ""},
+		{"two more keepers are added one at a time", "1a 2b 3c", "1a 2b 3c 5e 4d", 1, 9, "expansion: 1a 2b 3c 4d"},
 		{"leaving precedes unresponsive", "1a 2b 3c?9", "1a- 2b 4d", 1, 9, "leaving: 4d 2b 3c"},
 	} {
 		s := parse(c.voters, c.keepers)
@@ -107,7 +106,7 @@
 	}
 }
 
-// A change that was decided for other voters than those of the newest state does not apply.
+// A change that was decided for other voters than those of the newest state is not applied.
 func TestApplyComparesVoters(t *testing.T) {
 	s := parse("1a 2b 3c", "1a 2b 3c 4d")
 	change, found := NextChange(s)
@@ -116,7 +115,7 @@
 	}
 	newer := parse("1a 2b 5e", "").state()
 	if _, applied := change.Apply(newer, s.state().Voters); applied {
-		t.Error("the change was made to other voters")
+		t.Error("the change was applied to other voters")
 	}
 }
 
@@ -132,8 +131,8 @@
 	}
 }
 
-// Whatever the situation is, a change adds one voter at most and removes one at most, leaves a quorum that is reachable,
-// and never removes a voter below those that are needed.
+// In all situations, a change adds and removes at most one voter each, leaves a reachable quorum, and never reduces the
+// voters below the required minimum.
 func TestEveryChangeIsSmall(t *testing.T) {
 	kinds := []Voter{{Reachable: true}, {}, {UnreachableFor: time.Second}, {UnreachableFor: 9 * time.Second}}
 	situations := 0
