--- a/internal/consensus/paxos/acceptor.go
+++ b/internal/consensus/paxos/acceptor.go
@@ -1,17 +1,18 @@
 package paxos
 
-// acceptor is what this node has promised and accepted for the slot after the newest decided one. It is on disk before
-// any other node is answered.
+// acceptor is the acceptor role of a Register: its promise and accepted proposal for the slot after the newest decided
+// one. Both are on disk before any other node is answered.
 type acceptor struct {
-	// promised is the highest proposal number of a prepare or an accept that was answered positively.
+	// promised is the highest proposal number of a prepare or accept request that was answered positively.
 	promised ProposalNumber
-	// acceptedNumber and acceptedState are the proposal that was accepted last; zero: none was.
+	// acceptedNumber and acceptedState are the proposal accepted last; zero if there is none.
 	acceptedNumber ProposalNumber
 	acceptedState  State
 }
 
-// receiveRequest is the acceptor's part of the algorithm. A request for a slot that is decided here, or that is not the
-// next one here, is answered with what lets its sender, or this node, catch up.
+// receiveRequest processes a request to the acceptor. If the slot is already decided here, the answer is the decided
+// State, from which the sender catches up; if it is beyond the next slot, the answer is this node's progress, to which
+// the sender replies with a newer State.
 func (r *Register) receiveRequest(from Voter, m message) {
 	switch {
 	case r.fatalError != nil || r.options.ID == 0 || m.slot == 0:
@@ -30,8 +31,8 @@
 	}
 }
 
-// answerRequest returns the answer to a request for the next slot; false: the disk does not take what it would say, so
-// nothing is answered.
+// answerRequest returns the answer to a request for the next slot. It returns false if the promise or the proposal
+// could not be stored, in which case no answer may be sent.
 //
 // A request with a number below the promised one is rejected: "An acceptor can accept a proposal numbered n iff it has
 // not responded to a prepare request having a number greater than n" (P1a of "Paxos Made Simple").
@@ -56,7 +57,7 @@
 	}
 }
 
-// promise stores the promise that a prepare asks for, and reports whether it is on disk.
+// promise stores the promise for a prepare request and reports whether it is on disk.
 func (r *Register) promise(m message) bool {
 	if m.number == r.promised {
 		return true
@@ -68,7 +69,7 @@
 	return true
 }
 
-// accept stores the proposal of an accept request, and reports whether it is on disk.
+// accept stores the proposal of an accept request and reports whether it is on disk.
 func (r *Register) accept(m message) bool {
 	if m.state.Slot != m.slot {
 		return false
--- a/internal/consensus/paxos/cluster_test.go
+++ b/internal/consensus/paxos/cluster_test.go
@@ -13,8 +13,8 @@
 	"dunetide/internal/platform/link"
 )
 
-// cluster is a simulation by seed: machines with disks, links between them, clients, and one clock. Checks that fail end
-// it with a simulation.Violation.
+// cluster is a simulation determined by its seed: machines with disks, the network between them, clients, and one
+// clock. Checks that fail end it with a simulation.Violation.
 type cluster struct {
 	simulation.Scheduler
 	rng      *rand.Rand
@@ -22,22 +22,22 @@
 
 	loss, duplicate float64
 	maxDelay        time.Duration // of most messages
-	lateShare       float64       // share of messages that come seconds late
+	lateShare       float64       // share of messages that arrive up to 3 s late
 	partitioned     map[[2]int]bool
 	maxSaveTime     time.Duration
 
-	// What must hold.
+	// The observed decisions and results, which the checks compare.
 	decided      map[uint64][]byte // the decided State of each slot
 	values       map[uint64][]byte
 	newest       uint64
-	slotOf       map[uint64]uint64 // operation -> slot
-	acknowledged uint64            // the newest slot that an operation ended with
+	slotOf       map[uint64]uint64 // slot of each operation
+	acknowledged uint64            // the newest slot with which an operation has ended
 	ops          map[uint64]*op
 	doneCount    int
 	onDone       func(*op, State)
 
-	killPoints int // how many points at which a kill may hit were passed
-	killAt     int
+	killPoints int // number of kill points passed so far
+	killAt     int // number of the kill point at which the process is killed
 	onKill     func(*machine)
 
 	trace simulation.Trace
@@ -51,7 +51,7 @@
 	machine            int
 	write              bool
 	acknowledgedBefore uint64
-	result             string // "", ok, none, doubt
+	result             string // "", ok, none (nothing written) or unknown
 }
 
 // machine has a disk and, while it is up, a process with a Register.
@@ -67,10 +67,10 @@
 	clock        time.Duration // inside a step
 	busyUntil    time.Duration
 	ticks        int
-	lastNotified uint64 // the newest slot that OnDecided was called with in this incarnation
+	lastNotified uint64 // the newest slot passed to OnDecided in this incarnation
 	known        bool
-	failingSaves int     // Saves that will fail
-	fullShare    float64 // how likely a Save finds no space, and leaves the disk as it was
+	failingSaves int     // number of the next Saves that fail
+	fullShare    float64 // probability that a Save fails for lack of space and leaves the disk unchanged
 	storedSlot   uint64
 }
 
@@ -113,7 +113,7 @@
 
 type killed struct{}
 
-// killPoint is where a kill may hit.
+// killPoint marks a point at which the process may be killed.
 func (m *machine) killPoint() {
 	m.cluster.killPoints++
 	if m.cluster.killPoints == m.cluster.killAt {
@@ -121,7 +121,7 @@
 	}
 }
 
-// step runs a step of the process, as soon as the machine has time for it.
+// step runs a step of the process once the machine is no longer busy.
 func (m *machine) step(f func()) {
 	if !m.up {
 		return
@@ -172,7 +172,7 @@
 		if m.ticks == tick {
 			m.step(func() {
 				if next := m.register.Tick(m.clock); next <= m.clock && m.clock == m.cluster.Now() {
-					simulation.Failf("%s: Tick at %v wants to come again at %v", m.name, m.clock, next)
+					simulation.Failf("%s: Tick at %v returned the next tick %v", m.name, m.clock, next)
 				}
 			})
 		}
@@ -207,7 +207,7 @@
 		m.known, m.lastNotified = true, s.Slot
 	}
 	if m.known && m.lastNotified < m.storedSlot || !m.known && m.storedSlot > 0 {
-		simulation.Failf("%s forgot slot %d", m.name, m.storedSlot)
+		simulation.Failf("%s lost the stored slot %d", m.name, m.storedSlot)
 	}
 	m.requestStateFromAny(incarnation)
 	m.step(func() { m.register.Tick(m.clock) })
@@ -240,7 +240,7 @@
 	m.cluster.observe(m.name, s)
 }
 
-// requestStateFromAny is what a process does that knows no State yet.
+// requestStateFromAny requests the State from random machines until the process knows one.
 func (m *machine) requestStateFromAny(incarnation int) {
 	if m.incarnation != incarnation || !m.up || m.known {
 		return
@@ -256,7 +256,7 @@
 		m.up, m.incarnation = false, m.incarnation+1
 		for _, o := range m.cluster.ops {
 			if o.machine == m.index && o.result == "" {
-				o.result = "doubt"
+				o.result = "unknown"
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 	c := m.cluster
 	i := slices.IndexFunc(c.machines, func(o *machine) bool { return o.addr == to.Addr })
 	if i < 0 {
-		simulation.Failf("a message to %v", to)
+		simulation.Failf("a message to the unknown address of %v", to)
 	}
 	copies := 1
 	if c.chance(c.duplicate) {
@@ -293,22 +293,22 @@
 	}
 	if c.trace.Enabled {
 		_, sent, _ := decodeMessage(b)
-		c.tracef("%s -> n%d kind %d slot %d ballot %d.%x other %d", m.name, i, sent.kind, sent.slot,
+		c.tracef("%s -> n%d kind %d slot %d number %d.%x reported %d", m.name, i, sent.kind, sent.slot,
 			sent.number.Round, sent.number.Proposer>>48, sent.reported.Round)
 	}
 }
 
-// observe checks every State that a process takes for decided.
-func (c *cluster) observe(who string, s State) {
+// observe checks a State that a process has learned as decided.
+func (c *cluster) observe(node string, s State) {
 	e := &link.Writer{}
 	s.Append(e)
 	if b, ok := c.decided[s.Slot]; ok {
 		if !bytes.Equal(b, e.Buf) {
-			simulation.Failf("slot %d is two things: %s has %x, others %x", s.Slot, who, s.Value, c.values[s.Slot])
+			simulation.Failf("slot %d has two States: %s has value %x, others %x", s.Slot, node, s.Value, c.values[s.Slot])
 		}
 		return
 	}
-	c.tracef("%s is first to know slot %d, voters %v", who, s.Slot, s.Voters)
+	c.tracef("%s is the first to learn slot %d, voters %v", node, s.Slot, s.Voters)
 	c.decided[s.Slot], c.values[s.Slot], c.newest = e.Buf, s.Value, max(c.newest, s.Slot)
 	if len(s.Value) != 8*int(s.Slot) {
 		simulation.Failf("slot %d has %d operations", s.Slot, len(s.Value)/8)
@@ -322,14 +322,14 @@
 	}
 	for slot, v := range c.values {
 		if !bytes.HasPrefix(s.Value, v) && !bytes.HasPrefix(v, s.Value) {
-			simulation.Failf("slots %d and %d are no chain", slot, s.Slot)
+			simulation.Failf("the values of slots %d and %d do not extend each other", slot, s.Slot)
 		}
 	}
 }
 
 var errConflict = errors.New("conflict")
 
-// propose starts a change; with a nil change it writes its operation and nothing else.
+// propose starts a change that also writes the operation; with a nil change it writes only the operation.
 func (c *cluster) propose(m *machine, timeout time.Duration, change func(State) (State, error)) *op {
 	o := &op{id: uint64(len(c.ops) + 1), machine: m.index, write: true, acknowledgedBefore: c.acknowledged}
 	c.ops[o.id] = o
@@ -339,7 +339,7 @@
 		m.register.Propose(m.clock, timeout, func(cur State) (State, error) {
 			c.observe(m.name, cur)
 			if cur.Slot < o.acknowledgedBefore {
-				simulation.Failf("operation %d started at slot %d or later, and was called with %d",
+				simulation.Failf("operation %d started at slot %d or later, but its change was called with slot %d",
 					o.id, o.acknowledgedBefore, cur.Slot)
 			}
 			if change != nil {
@@ -350,7 +350,7 @@
 				cur = next
 			}
 			calls++
-			cur.Value = binary.BigEndian.AppendUint64(cur.Value, o.id|calls<<32) // each call makes another value
+			cur.Value = binary.BigEndian.AppendUint64(cur.Value, o.id|calls<<32) // each call returns a distinct value
 			return cur, nil
 		}, func(s State, err error) { c.done(m, o, s, err) })
 	})
@@ -377,16 +377,16 @@
 		o.result = "ok"
 		c.observe(m.name, s)
 		if s.Slot < o.acknowledgedBefore {
-			simulation.Failf("operation %d started at slot %d or later and is answered with %d",
+			simulation.Failf("operation %d started at slot %d or later, but ended with slot %d",
 				o.id, o.acknowledgedBefore, s.Slot)
 		}
-		at, there := c.slotOf[o.id]
+		at, found := c.slotOf[o.id]
 		switch {
-		case o.write && there && at != s.Slot:
-			simulation.Failf("operation %d is at slot %d and is answered with %d", o.id, at, s.Slot)
-		case o.write && there && s.Slot <= o.acknowledgedBefore:
+		case o.write && found && at != s.Slot:
+			simulation.Failf("operation %d is at slot %d, but ended with slot %d", o.id, at, s.Slot)
+		case o.write && found && s.Slot <= o.acknowledgedBefore:
 			simulation.Failf("operation %d was written before it started", o.id)
-		case o.write && !there:
+		case o.write && !found:
 			o.result = "none" // unchanged
 		}
 		c.acknowledged = max(c.acknowledged, s.Slot)
@@ -395,9 +395,9 @@
 			c.onDone(o, s)
 		}
 	case ErrOutcomeUnknown.Has(err):
-		o.result = "doubt"
+		o.result = "unknown"
 		if !o.write {
-			simulation.Failf("a read in doubt")
+			simulation.Failf("a read ended with ErrOutcomeUnknown")
 		}
 	default:
 		o.result = "none"
@@ -407,12 +407,12 @@
 // checkOperations compares the results of all operations with the decided States.
 func (c *cluster) checkOperations() {
 	for _, o := range c.ops {
-		at, there := c.slotOf[o.id]
+		at, found := c.slotOf[o.id]
 		switch {
-		case o.result == "none" && there:
-			simulation.Failf("operation %d was refused and is at slot %d", o.id, at)
-		case o.result == "ok" && o.write && !there:
-			simulation.Failf("operation %d was acknowledged and is nowhere", o.id)
+		case o.result == "none" && found:
+			simulation.Failf("operation %d ended as not written, but is at slot %d", o.id, at)
+		case o.result == "ok" && o.write && !found:
+			simulation.Failf("operation %d was acknowledged, but is in no slot", o.id)
 		}
 	}
 }
@@ -426,7 +426,7 @@
 	for _, m := range c.machines {
 		m.failingSaves, m.fullShare = 0, 0
 		if m.register.FatalError() != nil {
-			m.kill() // as a process whose disk fails does
+			m.kill() // as a process ends when its disk fails
 		}
 		if !m.up {
 			m.start()
@@ -434,7 +434,7 @@
 	}
 }
 
-// readOnAll reads on every machine. It fails where one can't within the time, or reads something old.
+// readOnAll reads on every machine. It fails if a read does not succeed within the time, or returns a stale State.
 func (c *cluster) readOnAll(within time.Duration) {
 	var all []*op
 	for _, m := range c.machines {
@@ -444,7 +444,7 @@
 	c.RunWhile(until, func() bool { return slices.ContainsFunc(all, func(o *op) bool { return o.result == "" }) })
 	for _, o := range all {
 		if o.result != "ok" {
-			simulation.Failf("%s can't read at the end: %q", c.machines[o.machine].name, o.result)
+			simulation.Failf("%s: the final read failed: %q", c.machines[o.machine].name, o.result)
 		}
 	}
 }
--- a/internal/consensus/paxos/exploration_test.go
+++ b/internal/consensus/paxos/exploration_test.go
@@ -15,7 +15,7 @@
 	"dunetide/internal/lab/simulation"
 )
 
-// branch is one state of a simulation that forks: branches differ in the order of messages.
+// branch is one state of a simulation that forks: branches differ in the order of messages and in faults.
 type branch struct {
 	now          time.Duration
 	registers    []*Register
@@ -24,7 +24,7 @@
 	results      []string
 	decided      map[uint64]string
 	incarnations uint64
-	faultsLeft   int // that may still come
+	faultsLeft   int // number of faults that may still occur
 	path         []string
 }
 
@@ -52,13 +52,13 @@
 		},
 		Send: func(to Voter, msg []byte) {
 			if _, m, _ := decodeMessage(msg); m.kind == messageProgress && m.slot < 2 {
-				return // they tell of slot 0, which all know
+				return // it reports slot 0, which all nodes know
 			}
 			b.inFlight = append(b.inFlight, packet{i, int(to.ID) - 1, msg})
 		},
 		OnDecided: func(s State) {
 			if was, ok := b.decided[s.Slot]; ok && was != string(s.Value) {
-				simulation.Failf("slot %d is %q and %q", s.Slot, was, s.Value)
+				simulation.Failf("slot %d has the values %q and %q", s.Slot, was, s.Value)
 			}
 			b.decided[s.Slot] = string(s.Value)
 		},
@@ -81,17 +81,17 @@
 		case err == nil:
 			b.results[i] = "ok"
 			if n := bytes.Count(s.Value, []byte{byte('a' + i)}); n != 1 {
-				simulation.Failf("%d times in %q", n, s.Value)
+				simulation.Failf("an operation occurs %d times in %q, want once", n, s.Value)
 			}
 		case ErrOutcomeUnknown.Has(err):
-			b.results[i] = "doubt"
+			b.results[i] = "unknown"
 		default:
 			b.results[i] = "none"
 		}
 	}
 }
 
-// clone makes a branch of its own.
+// clone returns a copy of a branch that shares no mutable state with it.
 func (o *explorer) clone(b *branch) *branch {
 	c := *b
 	c.registers, c.disks, c.inFlight = slices.Clone(b.registers), slices.Clone(b.disks), slices.Clone(b.inFlight)
@@ -158,7 +158,7 @@
 func (o *explorer) restart(b *branch, i int) {
 	b.incarnations++
 	if b.results[i] == "" {
-		b.results[i] = "doubt"
+		b.results[i] = "unknown"
 	}
 	r, err := New(o.options(b, i, b.incarnations), b.disks[i])
 	if err != nil {
@@ -167,8 +167,8 @@
 	b.registers[i] = r
 }
 
-// explore plays each event that may come next: the arrival of each message, its loss or duplication, a restart, and the
-// next tick.
+// explore plays each possible next event: the arrival of each message, its loss or duplication, a restart of each node,
+// and the next tick.
 func (o *explorer) explore(b *branch, depth int) {
 	defer func() {
 		switch x := recover().(type) {
@@ -192,9 +192,9 @@
 		o.end(o.clone(b), true)
 		return
 	}
-	try := func(what string, f func(c *branch)) {
+	try := func(event string, f func(c *branch)) {
 		c := o.clone(b)
-		c.path = append(c.path, what)
+		c.path = append(c.path, event)
 		f(c)
 		o.explore(c, depth-1)
 	}
@@ -215,7 +215,7 @@
 	try("tick", (*branch).tick)
 }
 
-// end delivers what is in flight, unless that is lost, goes on without faults, and checks the results.
+// end delivers the messages in flight, unless lost is set, continues without faults, and checks the results.
 func (o *explorer) end(b *branch, lost bool) {
 	o.endings++
 	if lost {
@@ -248,14 +248,14 @@
 					b.tick()
 				}
 			}
-			simulation.Failf("no read at the end")
+			simulation.Failf("the final read did not end")
 		}
 	}
-	simulation.Failf("no end: %v", b.results)
+	simulation.Failf("operations did not end: %v", b.results)
 }
 
-// TestEveryOrderOfMessages plays two proposers on three voters, in every order of messages to a depth: from the start, and
-// from where some messages were delivered in order; with one fault and without. PAXOS_DEPTH sets the depth.
+// TestEveryOrderOfMessages plays two proposers on three voters in every order of messages to a depth: from the start,
+// and after a number of messages delivered in order; with one fault and without. PAXOS_DEPTH sets the depth.
 func TestEveryOrderOfMessages(t *testing.T) {
 	depth := 5
 	if n, err := strconv.Atoi(os.Getenv("PAXOS_DEPTH")); err == nil {
@@ -298,5 +298,5 @@
 	if found != "" {
 		t.Error("BROKEN", found)
 	}
-	t.Logf("depth %d: %d branches, %d ends", depth, len(o.seen), o.endings)
+	t.Logf("depth %d: %d branches, %d complete runs", depth, len(o.seen), o.endings)
 }
--- a/internal/consensus/paxos/faults_test.go
+++ b/internal/consensus/paxos/faults_test.go
@@ -10,15 +10,16 @@
 	"dunetide/internal/lab/simulation"
 )
 
-// seedCount is how many seeds a test plays: PAXOS_SEEDS, or the usual number, which takes a few seconds.
-func seedCount(usual int) int {
+// seedCount returns how many seeds a test plays: PAXOS_SEEDS, or a default that takes a few seconds.
+func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("PAXOS_SEEDS")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
-// playSeeds runs f for each seed on all cores; PAXOS_SEED plays one, and prints its trace. F passes its cluster to started.
+// playSeeds runs f for each seed on all cores; PAXOS_SEED plays a single seed and prints its trace. The function f must
+// pass its cluster to started.
 func playSeeds(t *testing.T, n int, f func(seed uint64, started func(*cluster))) {
 	t.Helper()
 	if seed, err := strconv.ParseUint(os.Getenv("PAXOS_SEED"), 10, 64); err == nil {
@@ -41,7 +42,7 @@
 	})
 }
 
-// clusterSize is how many voters there are at first, and how many of their disks may be lost.
+// clusterSize is the initial number of voters and the number of their disks that may be lost.
 type clusterSize struct{ voters, maxLost int }
 
 var clusterSizes = []clusterSize{{3, 1}, {4, 1}, {5, 2}, {8, 2}}
@@ -68,7 +69,7 @@
 		in := joiner.voter()
 		c.propose(m, timeout, func(cur State) (State, error) {
 			if in.ID != joiner.id {
-				return cur, ErrUnchanged // it lost its disk meanwhile
+				return cur, ErrUnchanged // joiner has lost its disk meanwhile
 			}
 			next, ok := admitVoter(cur, in, func(v Voter) bool { return v.Name == dead }, sz.voters+1)
 			if !ok {
@@ -90,7 +91,7 @@
 	}
 }
 
-// injectRandomFault begins a fault, and schedules its end.
+// injectRandomFault starts a random fault and schedules its end.
 func (c *cluster) injectRandomFault() {
 	m, o := c.randomMachine(), c.randomMachine()
 	length := 50*time.Millisecond + c.upTo(1500*time.Millisecond)
@@ -164,7 +165,7 @@
 	}
 }
 
-// fillDisk leaves no space on a disk for a while, or some now and then.
+// fillDisk makes a disk full for a time, either completely or for a random share of the Saves.
 func (m *machine) fillDisk(length time.Duration) {
 	m.fullShare = 1
 	if m.cluster.chance(.5) {
@@ -174,8 +175,8 @@
 	m.cluster.After(length, func() { m.fullShare = 0 })
 }
 
-// replaceDisk has a machine lose its disk and start with an empty one, and proposes it as a voter until it is one. Then
-// joined is called.
+// replaceDisk makes a machine lose its disk and start with an empty one, proposes it as a voter until it is one, and
+// then calls joined.
 func (c *cluster) replaceDisk(m *machine, joined func()) {
 	m.loseDisk()
 	id := m.id
@@ -216,15 +217,16 @@
 	c.maxDelay = time.Millisecond + c.upTo(40*time.Millisecond)
 }
 
-// TestChaos plays all faults at once: one chain, nothing acknowledged is lost, reads are linearizable; and where
-// no more disks were lost than may be, everything works afterwards.
+// TestChaos plays all faults at once. It checks that all slots form one chain, that no acknowledged operation is lost
+// and that reads are linearizable; and, if no more than maxLost disks were lost, that reads and writes succeed
+// afterwards.
 func TestChaos(t *testing.T) {
 	playSeeds(t, seedCount(1000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
 		c := newCluster(seed, sz.voters, 2)
 		started(c)
 		c.makeNetworkUnreliable()
-		losses, all := 0, seed%5 == 0 // all: disks are lost beyond what may be
+		losses, excessive := 0, seed%5 == 0 // excessive: more than maxLost disks may be lost
 		for c.Now() < 4*time.Second {
 			for range 1 + c.rng.IntN(3) {
 				c.After(c.upTo(50*time.Millisecond), func() { c.startRandomOperation(sz) })
@@ -232,7 +234,7 @@
 			if c.chance(.5) {
 				c.injectRandomFault()
 			}
-			if c.chance(.05) && (all || losses < sz.maxLost) {
+			if c.chance(.05) && (excessive || losses < sz.maxLost) {
 				losses++
 				c.replaceDisk(c.randomMachine(), nil)
 			}
@@ -240,12 +242,12 @@
 		}
 		c.endFaults()
 		c.RunUntil(c.Now() + 4*time.Second)
-		if !all {
+		if !excessive {
 			c.readOnAll(20 * time.Second)
 			o := c.propose(c.randomMachine(), 10*time.Second, nil)
 			c.RunUntil(c.Now() + 10*time.Second)
 			if o.result != "ok" {
-				simulation.Failf("no write after all: %q", o.result)
+				simulation.Failf("a write after the end of all faults failed: %q", o.result)
 			}
 			c.readOnAll(20 * time.Second)
 		}
@@ -253,8 +255,8 @@
 	})
 }
 
-// TestLastFault loses as many disks as may be lost right after an operation was acknowledged, while all other machines
-// lose power. Every machine reads it afterwards.
+// TestLastFault loses maxLost disks immediately after an operation was acknowledged, while most other machines lose
+// power. Afterwards every machine must read the operation.
 func TestLastFault(t *testing.T) {
 	playSeeds(t, seedCount(2000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
@@ -264,7 +266,7 @@
 		joining, after := 0, 1+c.rng.IntN(25)
 		hit, clear := false, uint64(0)
 		c.onDone = func(o *op, s State) {
-			// A disk that was lost before has been replaced, and none that was lost can still be voted in.
+			// Disks that were lost before must have been replaced, and no lost disk can still be admitted as a voter.
 			if after--; after > 0 || joining > 0 || hit || s.Slot < clear {
 				return
 			}
@@ -316,9 +318,9 @@
 	})
 }
 
-// TestLastFaultAfterAdmit loses a disk and replaces its voter, by the same machine or by another one while the first
-// stays away. When that is acknowledged, as many disks as may be are lost and all others lose power. One process alone
-// reads afterwards.
+// TestLastFaultAfterAdmit loses a disk and replaces its voter, by the same machine with an empty disk or by another
+// machine while the first stays down. When the replacement is acknowledged, maxLost disks are lost and all other
+// machines lose power. Afterwards a single process must be able to read.
 func TestLastFaultAfterAdmit(t *testing.T) {
 	playSeeds(t, seedCount(2000), func(seed uint64, started func(*cluster)) {
 		sz := clusterSizes[seed%4]
@@ -326,7 +328,7 @@
 		started(c)
 		c.loss, c.duplicate, c.maxDelay = .2*c.rng.Float64(), .1*c.rng.Float64(), 40*time.Millisecond
 		c.RunUntil(time.Second)
-		if seed%3 == 0 { // disks that are full until the fault, and not after it
+		if seed%3 == 0 { // some disks are full until the fault, and not after it
 			for _, m := range c.machines {
 				if c.chance(.4) {
 					m.fillDisk(time.Hour)
@@ -395,7 +397,7 @@
 		o := c.read(reader, 10*time.Second)
 		c.RunUntil(c.Now() + 12*time.Second)
 		if o.result != "ok" {
-			simulation.Failf("%s can't read: %q", reader.name, o.result)
+			simulation.Failf("%s: the final read failed: %q", reader.name, o.result)
 		}
 		c.checkOperations()
 	})
--- a/internal/consensus/paxos/golden_test.go
+++ b/internal/consensus/paxos/golden_test.go
@@ -10,8 +10,8 @@
 	"dunetide/internal/platform/link"
 )
 
-// testGolden compares the encoding of a value with the bytes of a file, decodes those bytes and encodes the result again.
-// The files are what running nodes send and what is on disks: they never change.
+// testGolden compares the encoding of a value with the bytes of a file, and checks that the decoded bytes encode to the
+// same bytes again. The files never change: they are the formats that running nodes send and have on their disks.
 func testGolden(t *testing.T, name string, encode func() []byte, again func(b []byte) []byte) {
 	t.Helper()
 	file := name + ".hex"
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestGoldenState reads a state, as it is encoded within messages, saved records and the keeper's files.
+// TestGoldenState pins the encoding of a State within messages, saved records and the keeper's files.
 func TestGoldenState(t *testing.T) {
 	encode := func(s State) []byte {
 		w := &link.Writer{}
@@ -56,7 +56,7 @@
 	})
 }
 
-// TestGoldenMessages reads each kind of message between registers.
+// TestGoldenMessages pins the encoding of each kind of message between registers.
 func TestGoldenMessages(t *testing.T) {
 	files := map[messageKind]string{
 		messageQuery:      "query",
@@ -105,7 +105,7 @@
 	})
 }
 
-// TestGoldenRecords reads each kind of record that Save stores, as a node does at its start.
+// TestGoldenRecords pins the encoding of each kind of saved record, and loads it as a node does at its start.
 func TestGoldenRecords(t *testing.T) {
 	low := ProposalNumber{0xa1a2a3a4a5a6a7a8, 0xb1b2b3b4b5b6b7b8}
 	high := ProposalNumber{0xc1c2c3c4c5c6c7c8, 0xd1d2d3d4d5d6d7d8}
--- a/internal/consensus/paxos/kill_test.go
+++ b/internal/consensus/paxos/kill_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// TestKilledAtEachPoint plays short runs of two proposers and a change of voters, and kills the process that is at point
-// k, for each k: before and after each Save, and before each Send. It restarts at once or later on its disk, or on an
-// empty one. More seeds have other delays of messages.
+// TestKilledAtEachPoint plays short runs of two proposers and a change of voters, and kills the process that reaches
+// kill point k, for each k: before and after each Save, and before each Send. The process restarts at once or later on
+// its disk, or on an empty one. Additional seeds vary the message delays.
 func TestKilledAtEachPoint(t *testing.T) {
 	type shape struct {
 		sz    clusterSize
 		empty bool
-		away  time.Duration
+		down  time.Duration
 	}
 	var shapes []shape
 	for _, sz := range clusterSizes[:3] {
 		shapes = append(shapes, shape{sz, false, 0}, shape{sz, false, 200 * time.Millisecond}, shape{sz, true, 0})
 	}
-	const pointsMost = 300
-	var unused atomic.Int64
-	playSeeds(t, max(seedCount(0), len(shapes)*pointsMost), func(seed uint64, started func(*cluster)) {
-		sh, at, links := shapes[int(seed)%len(shapes)], int(seed)/len(shapes)%pointsMost+1, int(seed)/len(shapes)/pointsMost
-		c := newCluster(uint64(sh.sz.voters+10*links), sh.sz.voters, 1)
+	const maxPoints = 300
+	var notKilled atomic.Int64
+	playSeeds(t, max(seedCount(0), len(shapes)*maxPoints), func(seed uint64, started func(*cluster)) {
+		sh, at, delays := shapes[int(seed)%len(shapes)], int(seed)/len(shapes)%maxPoints+1, int(seed)/len(shapes)/maxPoints
+		c := newCluster(uint64(sh.sz.voters+10*delays), sh.sz.voters, 1)
 		started(c)
 		c.RunUntil(time.Second)
 		c.killPoints, c.killAt = 0, at
@@ -34,7 +34,7 @@
 				c.replaceDisk(m, nil)
 				return
 			}
-			c.After(sh.away, m.start)
+			c.After(sh.down, m.start)
 		}
 		c.propose(c.machines[0], 2*time.Second, nil)
 		c.propose(c.machines[1], 2*time.Second, nil)
@@ -56,8 +56,8 @@
 		c.readOnAll(10 * time.Second)
 		c.checkOperations()
 		if !hit {
-			unused.Add(1)
+			notKilled.Add(1)
 		}
 	})
-	t.Logf("%d runs ended before their point", unused.Load())
+	t.Logf("%d runs ended before their kill point", notKilled.Load())
 }
--- a/internal/consensus/paxos/learner.go
+++ b/internal/consensus/paxos/learner.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// learnerSendInterval is the pause after the first sending of a State to its learners; it doubles from one to the
-	// next, up to maxLearnerSendInterval.
+	// learnerSendInterval is the pause after a State is first sent to its learners; it doubles with each resend, up to
+	// maxLearnerSendInterval.
 	learnerSendInterval    = minResendInterval
 	maxLearnerSendInterval = 2 * time.Second
 	maxLearnerSendDoubling = 5
-	// maxLearnerSends bounds how often a State is sent to learners that don't confirm it.
+	// maxLearnerSends is how many times a State is sent to learners that don't confirm it.
 	maxLearnerSends = 6
 
-	// The first announcements after a start come at pauses that double, beginning with firstAnnounceInterval. From then
-	// on they are announceInterval apart, on average.
+	// The first initialAnnouncements after a start are sent at intervals that double from firstAnnounceInterval on.
+	// Later ones are announceInterval apart on average.
 	firstAnnounceInterval = 500 * time.Millisecond
 	initialAnnouncements  = 4
 	announceInterval      = 5 * time.Second
 )
 
-// learner has decided States reach those that have to know them.
+// learner is the learner role of a Register. It also distributes decided States to the nodes that need them.
 type learner struct {
-	storedBy map[uint64]bool // voters that are known to have stored the newest State
+	storedBy map[uint64]bool // voters known to have stored the newest State
 
-	// The newest State is sent to learners until they confirm that they have stored it.
+	// learners are the nodes to which the newest State is sent until they confirm that they have stored it.
 	learners      []Voter
 	learnerSends  int
 	learnerSendAt time.Duration
@@ -34,25 +34,25 @@
 	announcements int
 }
 
-// Bootstrap makes slot 0 known, for the very first start, with the same voters and value on all of them. It does
-// nothing where a State is known.
+// Bootstrap sets slot 0 at the very first start; it must be called with the same voters and value on all voters. It has
+// no effect if a State is known.
 func (r *Register) Bootstrap(voters []Voter, value []byte) {
 	if !r.known {
 		r.step(r.now, func() { r.learn(State{Voters: voters, Value: value}.Clone()) })
 	}
 }
 
-// Learn takes in a State that is decided; only decided ones may be given.
+// Learn processes a decided State. The caller must not pass a State that is not decided.
 func (r *Register) Learn(now time.Duration, s State) {
 	r.step(now, func() { r.learn(s.Clone()) })
 }
 
-// RequestState requests the newest State that a node knows.
+// RequestState requests the newest State known to a node.
 func (r *Register) RequestState(now time.Duration, from Voter) {
 	r.step(now, func() { r.sendProgress(from) })
 }
 
-// learn takes in a decided State. It ends all that the Register was doing for the slots up to it.
+// learn processes a decided State. It ends all work of the Register on slots up to that State's slot.
 func (r *Register) learn(s State) {
 	if r.known && s.Slot <= r.state.Slot {
 		r.checkSameValue(s)
@@ -73,14 +73,15 @@
 	}
 }
 
-// installState makes a decided State the one whose voters decide the next slot. Promises were for that slot alone.
+// installState makes a decided State the current one, whose voters decide the next slot. It resets the acceptor, whose
+// promise and accepted proposal applied only to the slot that is now decided.
 func (r *Register) installState(s State) {
 	r.known, r.state = true, s
 	r.acceptor = acceptor{}
 }
 
-// sendProgress reports which slot is known here. Only with this node's identity does it say that the slot is on disk.
-// A node that knows a newer State answers with it.
+// sendProgress reports the newest slot known to this node. The message carries this node's ID only if that slot is on
+// disk. A node that knows a newer State answers with it.
 func (r *Register) sendProgress(to Voter) {
 	if r.fatalError != nil {
 		return
@@ -98,7 +99,7 @@
 
 func (r *Register) sendState(to Voter) { r.send(to, message{kind: messageDecided, state: r.state}) }
 
-// receiveProgress brings whoever is behind up to date: its sender, or this node.
+// receiveProgress brings the node that is behind up to date, which may be the sender or this node.
 func (r *Register) receiveProgress(from Voter, m message) {
 	switch {
 	case m.slot == 0 && !r.known:
@@ -113,8 +114,7 @@
 	}
 }
 
-// notifyLearners sends the newest State to nodes that have to know it, until they have confirmed it or it was sent
-// often enough.
+// notifyLearners sends the newest State to the given nodes, until they have confirmed it or maxLearnerSends is reached.
 func (r *Register) notifyLearners(learners ...Voter) {
 	r.learners, r.learnerSends = nil, 0
 	for _, learner := range learners {
@@ -139,8 +139,8 @@
 	}
 }
 
-// announce reports what is known here, to all voters after a start, later to one of them now and then: a node that is
-// behind then catches up even if nobody proposes.
+// announce reports the newest known slot to the other voters: to all of them after a start, later periodically to a
+// random one. This lets a node that is behind catch up even if there are no proposals.
 func (r *Register) announce() {
 	var others []Voter
 	for _, voter := range r.state.Voters {
--- a/internal/consensus/paxos/message.go
+++ b/internal/consensus/paxos/message.go
@@ -2,8 +2,8 @@
 
 import "dunetide/internal/platform/link"
 
-// ProposalNumber orders the attempts at one slot. No two attempts have the same: a Round is used once by an incarnation
-// of a process, and no two incarnations have the same Proposer.
+// ProposalNumber orders the attempts at one slot. It is unique to an attempt: an incarnation of a process uses a Round
+// once, and no two incarnations have the same Proposer.
 type ProposalNumber struct{ Round, Proposer uint64 }
 
 // Less reports whether n is lower than other.
@@ -11,7 +11,7 @@
 	return n.Round < other.Round || n.Round == other.Round && n.Proposer < other.Proposer
 }
 
-// IsZero reports whether n is the number of no attempt.
+// IsZero reports whether n is the zero number, which no attempt has.
 func (n ProposalNumber) IsZero() bool { return n == ProposalNumber{} }
 
 func (n ProposalNumber) append(w *link.Writer) {
@@ -23,42 +23,45 @@
 	return ProposalNumber{Round: r.U64(), Proposer: r.U64()}
 }
 
-// messageKind says what a message is. The numbers are on the wire.
+// messageKind is the type of a message. The numbers are used on the wire.
 type messageKind uint8
 
 const (
-	// messageQuery asks whether slot-1 is the newest, with nothing accepted for slot. Its answer promises nothing.
+	// messageQuery asks whether slot-1 is the newest decided slot and nothing is accepted for slot. The answer implies
+	// no promise.
 	messageQuery messageKind = iota + 1
-	// messageQueryReply: slot-1 is the newest here. Reported is the number of the proposal accepted for slot, or zero.
+	// messageQueryReply confirms that slot-1 is the newest decided slot of the sender. The field reported is the number
+	// of the proposal accepted for slot, or zero.
 	messageQueryReply
-	// messagePrepare asks for the promise to accept nothing below number at slot.
+	// messagePrepare requests the promise to accept no proposal numbered below number at slot.
 	messagePrepare
-	// messagePromise gives it. Reported and state are the proposal accepted for slot; reported is zero where none was.
+	// messagePromise gives the promise. The fields reported and state are the proposal accepted for slot; reported is
+	// zero if there is none.
 	messagePromise
-	// messageAccept asks to accept state for slot at number.
+	// messageAccept requests the acceptance of state for slot with number.
 	messageAccept
-	// messageAccepted: the proposal is accepted, and on disk.
+	// messageAccepted confirms that the proposal is accepted and on disk.
 	messageAccepted
-	// messageReject: number is too low. Reported is the promised number.
+	// messageReject rejects a request whose number is too low. The field reported is the promised number.
 	messageReject
-	// messageDecided: state is decided.
+	// messageDecided reports that state is decided.
 	messageDecided
-	// messageProgress: slot is the one after the newest that the sender knows, and has stored where it names itself; 0:
-	// it knows none.
+	// messageProgress reports the slot after the newest one that the sender knows; 0 if it knows none. If sender is set,
+	// that newest slot is on the sender's disk.
 	messageProgress
 )
 
-// message is what goes between registers of one name.
+// message is a message between registers of the same name.
 type message struct {
 	kind     messageKind
-	sender   uint64 // identity of the sender; 0: it has none, and counts in no quorum
+	sender   uint64 // ID of the sender; 0 if it has none and counts in no quorum
 	slot     uint64
 	number   ProposalNumber
 	reported ProposalNumber
 	state    State
 }
 
-// encode puts the register's name first, so that registers can share a link.
+// encode encodes the message after the register's name, so that several registers can share a connection.
 func (m message) encode(name string) []byte {
 	w := &link.Writer{}
 	w.String(name)
@@ -100,7 +103,7 @@
 	return name, m, r.Err
 }
 
-// RegisterName is the name of the register that a message is for; false: it is no message of a register.
+// RegisterName returns the name of the register that a message is for; false if the message is too short to have one.
 func RegisterName(msg []byte) (string, bool) {
 	r := &link.Reader{Buf: msg}
 	name := r.String()
--- a/internal/consensus/paxos/mutants_test.go
+++ b/internal/consensus/paxos/mutants_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// mutants each break a guarantee of docs/agreement.md. The tests have to find each of them.
+// mutants are changes that each break a guarantee in docs/agreement.md. The tests have to detect all of them.
 var mutants = []mutation.Mutant{
 	{
 		Name: "a promise is not saved",
@@ -16,13 +16,13 @@
 		New:  "if false {",
 	},
 	{
-		Name: "what is accepted is not saved",
+		Name: "an accepted proposal is not saved",
 		File: "acceptor.go",
 		Old:  "if !r.save(encodeAccepted(m.number, m.state)) {",
 		New:  "if false {",
 	},
 	{
-		Name: "what is decided is not saved",
+		Name: "a decided state is not saved",
 		File: "storage.go",
 		Old:  "	if r.save(r.pendingRecord) {",
 		New:  "	if true {",
@@ -46,31 +46,31 @@
 		New:  "case m.kind == messageAccept && m.number.Less(r.promised):",
 	},
 	{
-		Name: "a promise does not report what was accepted",
+		Name: "a promise does not report the accepted proposal",
 		File: "acceptor.go",
 		Old:  "answer.kind, answer.reported, answer.state = messagePromise, r.acceptedNumber, r.acceptedState",
 		New:  "answer.kind = messagePromise",
 	},
 	{
-		Name: "what was accepted is forgotten at a restart",
+		Name: "the accepted proposal is lost at a restart",
 		File: "storage.go",
 		Old:  "		r.acceptedNumber, r.acceptedState = record.number, record.state\n",
 		New:  "		_ = record.state\n",
 	},
 	{
-		Name: "promises are forgotten at a restart",
+		Name: "promises are lost at a restart",
 		File: "storage.go",
 		Old:  "	r.promised = record.number\n	if record",
 		New:  "	if record",
 	},
 	{
-		Name: "a promise for one slot stands for the next",
+		Name: "a promise for one slot is kept for the next",
 		File: "learner.go",
 		Old:  "	r.known, r.state = true, s\n	r.acceptor = acceptor{}\n",
 		New:  "	r.known, r.state = true, s\n",
 	},
 	{
-		Name: "a node that is no voter votes",
+		Name: "a node that is not a voter votes",
 		File: "acceptor.go",
 		Old:  "case !r.stateStored, !r.state.HasVoter(r.options.ID):",
 		New:  "case !r.stateStored:",
@@ -82,7 +82,7 @@
 		New:  "case !r.known:",
 	},
 	{
-		Name: "a proposer counts who is no voter",
+		Name: "a proposer counts answers of non-voters",
 		File: "proposer.go",
 		Old:  " || !r.state.HasVoter(m.sender) {",
 		New:  " {",
@@ -94,13 +94,13 @@
 		New:  "return (voters + 1) / 2",
 	},
 	{
-		Name: "the lowest proposal that was accepted",
+		Name: "the lowest accepted proposal is proposed",
 		File: "proposer.go",
 		Old:  "		if r.highestAccepted.Less(m.reported) {\n			r.highestAccepted, r.proposedState",
 		New:  "		if !m.reported.IsZero() && (r.highestAccepted.IsZero() || m.reported.Less(r.highestAccepted)) {\n			r.highestAccepted, r.proposedState",
 	},
 	{
-		Name: "what was accepted is not finished first",
+		Name: "an accepted proposal is not completed first",
 		File: "proposer.go",
 		Old:  "		if nothingAccepted && !r.makeProposal() {",
 		New:  "		if (nothingAccepted || !r.current.read) && !r.makeProposal() {",
@@ -124,13 +124,13 @@
 		New:  "case (m.kind == messageAccepted || m.kind == messagePromise) && r.phase == phaseAccept:",
 	},
 	{
-		Name: "a read of what is known here",
+		Name: "a read returns the locally known state",
 		File: "proposer.go",
 		Old:  "case r.current.read && r.current.attempts == 0:",
 		New:  "case r.current.read && r.current.attempts == 0 && r.known && r.options.ID != 0:\n\t\tr.finishOperation(r.state, nil)\n\tcase r.current.read && r.current.attempts == 0:",
 	},
 	{
-		Name: "a read does not look at what is accepted",
+		Name: "a read ignores accepted proposals",
 		File: "proposer.go",
 		Old:  "		if nothingAccepted {\n			r.finish",
 		New:  "		if nothingAccepted || r.current.read {\n			r.finish",
@@ -148,25 +148,25 @@
 		New:  "	if true {\n		attempt",
 	},
 	{
-		Name: "refused though it may be in force",
+		Name: "an operation that may be decided ends as not written",
 		File: "operation.go",
 		Old:  "	case op.proposed:\n		return ErrOutcomeUnknown",
 		New:  "	case false:\n		return ErrOutcomeUnknown",
 	},
 	{
-		Name: "what lost its slot is answered for",
+		Name: "a proposal that lost its slot ends as decided",
 		File: "proposer.go",
 		Old:  "		op.proposed, op.proposal = false, State{}\n		r.startOperation()\n",
 		New:  "		r.finishOperation(op.proposal, nil)\n",
 	},
 	{
-		Name: "done before the new voters have it",
+		Name: "a change of voters ends before the new voters have stored it",
 		File: "proposer.go",
 		Old:  "case r.state.Slot > op.proposal.Slot || !op.changesVoters:",
 		New:  "case true:",
 	},
 	{
-		Name: "nobody announces what it knows",
+		Name: "nodes do not announce the newest known slot",
 		File: "learner.go",
 		Old:  "	for _, voter := range others {\n		r.sendProgress(voter)\n	}\n",
 		New:  "	_ = others\n",
@@ -178,7 +178,7 @@
 		New:  "	if false {\n",
 	},
 	{
-		Name: "a snapshot without what is accepted",
+		Name: "a snapshot without the accepted proposal",
 		File: "storage.go",
 		Old:  "	if !r.acceptedNumber.IsZero() {\n		records",
 		New:  "	if false {\n		records",
@@ -196,19 +196,19 @@
 		New:  "case !r.state.HasVoter(r.options.ID):",
 	},
 	{
-		Name: "reported as stored and not stored",
+		Name: "a state is reported as stored before it is",
 		File: "learner.go",
 		Old:  "	if !r.stateStored {\n		sender = 0\n	}\n",
 		New:  "	_ = sender\n",
 	},
 	{
-		Name: "it counts itself before the State is stored",
+		Name: "a voter counts itself before it has stored the State",
 		File: "storage.go",
 		Old:  "	r.stateStored = false\n	if r.save(r.pendingRecord) {",
 		New:  "	r.stateStored = false\n	r.storedBy[r.options.ID] = true\n	if r.save(r.pendingRecord) {",
 	},
 	{
-		Name: "a short record for another state than was accepted",
+		Name: "a short record for another state than the accepted one",
 		File: "storage.go",
 		Old:  " && r.acceptedState.equal(s) {",
 		New:  " {",
@@ -220,13 +220,13 @@
 		New:  "r.state.HasVoter(r.options.ID) {",
 	},
 	{
-		Name: "a short record is not read",
+		Name: "a short record is ignored at load",
 		File: "storage.go",
 		Old:  "		r.installState(r.acceptedState)\n		return nil\n",
 		New:  "		return nil\n",
 	},
 	{
-		Name: "a state that found no space is never stored",
+		Name: "a state that was not saved on a full disk is never stored",
 		File: "register.go",
 		Old:  "		if r.storeDue() && r.now >= r.saveNotBefore {\n			r.retryStore()\n		}\n",
 		New:  "",
@@ -245,11 +245,11 @@
 	},
 }
 
-// TestMutantsStand fails when the text of a mutant is not found once in the file that it names.
+// TestMutantsStand fails if the old text of a mutant does not occur exactly once in its file.
 func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
 // TestMutantsAreFound runs the tests over each mutant. That takes minutes and all cores, so it has to be requested:
-// PAXOS_MUTANTS=1, or a part of a name.
+// PAXOS_MUTANTS=1 runs all mutants, another value those whose name contains it.
 func TestMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "PAXOS_MUTANTS")
 	tests := "TestChaos|TestLastFault|TestKilled|TestEveryOrder|TestAnswersOfNonVoters|TestNonVoters|TestSnapshot"
--- a/internal/consensus/paxos/operation.go
+++ b/internal/consensus/paxos/operation.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// maxQueuedOperations bounds the operations that wait for the one under way.
+// maxQueuedOperations is the maximum number of operations that wait for the current one.
 const maxQueuedOperations = 256
 
-// operation is one Propose or Read.
+// operation is one call of Propose or Read.
 type operation struct {
 	read     bool
 	change   func(State) (State, error)
 	done     func(State, error)
 	deadline time.Duration
 	id       uint64 // unique in this process
-	attempts int    // that ended in a conflict
+	attempts int    // number of attempts that ended in a conflict
 
-	// What was proposed, and may be decided by whichever proposer finds it. For one slot an operation proposes one
-	// State.
+	// The proposal of this operation, which any proposer that finds it accepted may complete. An operation proposes only
+	// one State for a slot.
 	proposed      bool
 	proposal      State
 	changesVoters bool // the proposal has other voters than the slot before
 }
 
-// Propose is a linearizable change: it finds the newest State, calls change with it, and has what change returns
-// decided as the next one. Change is called once for a slot, and again when another proposal took the slot. Its error
-// ends the proposal; ErrUnchanged ends it with the State it was called with. The new State's Slot is set here.
+// Propose is a linearizable change: it finds the newest State, calls change with it, and proposes the State that change
+// returns for the next slot. The change function is called once for a slot, and again if another proposal was chosen
+// for that slot. An error from it ends the proposal; ErrUnchanged ends it successfully with the State that change was
+// called with. Propose sets the Slot of the new State.
 //
-// Done is called once, at the latest by the Tick that follows the timeout: with the decided State, an error of change,
-// or one of ErrOutcomeUnknown, ErrNoQuorum, ErrNoState, ErrQueueFull and ErrInvalidVoters.
+// The done function is called exactly once, at the latest by the first Tick after the timeout, with the decided State
+// or an error: that of change, or one of ErrOutcomeUnknown, ErrNoQuorum, ErrNoState, ErrQueueFull and ErrInvalidVoters.
 func (r *Register) Propose(
 	now, timeout time.Duration, change func(current State) (next State, err error), done func(State, error),
 ) {
 	r.step(now, func() { r.enqueue(&operation{change: change, done: done, deadline: r.now + timeout}) })
 }
 
-// Read is a linearizable read: a majority confirms that there is nothing newer. Done is called as for Propose, with one
-// of ErrNoQuorum, ErrNoState and ErrQueueFull where it fails.
+// Read is a linearizable read: a majority confirms that there is no newer State. The done function is called as in
+// Propose; its error is one of ErrNoQuorum, ErrNoState and ErrQueueFull.
 func (r *Register) Read(now, timeout time.Duration, done func(State, error)) {
 	r.step(now, func() { r.enqueue(&operation{read: true, done: done, deadline: r.now + timeout}) })
 }
 
 func (r *Register) enqueue(op *operation) {
 	if len(r.queue) >= maxQueuedOperations {
-		op.done(State{}, ErrQueueFull.New("register %s has %d", r.options.Name, len(r.queue)))
+		op.done(State{}, ErrQueueFull.New("register %s, %d operations queued", r.options.Name, len(r.queue)))
 		return
 	}
 	r.lastOperation++
@@ -60,7 +61,7 @@
 	}
 }
 
-// finishOperation ends the operation under way, and starts the next one.
+// finishOperation ends the current operation and starts the next one.
 func (r *Register) finishOperation(s State, err error) {
 	op := r.current
 	r.current, r.phase = nil, phaseIdle
@@ -71,7 +72,7 @@
 	r.startNextOperation()
 }
 
-// expireQueued ends the queued operations whose time is over.
+// expireQueued ends the queued operations whose deadline has passed.
 func (r *Register) expireQueued() {
 	for i := 0; i < len(r.queue); i++ {
 		if op := r.queue[i]; r.now >= op.deadline {
@@ -82,7 +83,7 @@
 	}
 }
 
-// timeoutError says what is known of an operation whose time is over.
+// timeoutError returns the error of an operation whose deadline has passed.
 func (r *Register) timeoutError(op *operation) error {
 	switch {
 	case op.proposed:
--- a/internal/consensus/paxos/proposer.go
+++ b/internal/consensus/paxos/proposer.go
@@ -7,57 +7,58 @@
 )
 
 const (
-	// Requests are sent again to voters that have not answered, at pauses that double between these bounds.
+	// Requests are resent to voters that have not answered, at intervals that double between these bounds.
 	minResendInterval = 150 * time.Millisecond
 	maxResendInterval = 600 * time.Millisecond
 
-	// The pause after a conflict is minBackoff and a random part of a window. The window is as long as two phases take
-	// on these disks, initialBackoffWindow at least; it doubles from attempt to attempt, up to maxBackoff.
+	// The pause after a conflict is minBackoff plus a random part of a window. The window is twice slowestPhase (the time
+	// that two phases take on the present disks), but at least initialBackoffWindow; it doubles with each attempt, up to
+	// maxBackoff.
 	minBackoff           = 10 * time.Millisecond
 	initialBackoffWindow = 50 * time.Millisecond
 	maxBackoffDoubling   = 5
-	// maxBackoff is well below the time that callers give an operation (0.9 s), so that one that begins in a conflict
-	// is tried again within it, also where a partition has made a phase look slow.
+	// maxBackoff is well below the timeout that callers give an operation (0.9 s), so that an operation that starts with
+	// a conflict is retried within it, even if a partition has inflated slowestPhase.
 	maxBackoff = 400 * time.Millisecond
 )
 
-// phase is what the proposer is doing for the operation under way.
+// phase is the state of the proposer for the current operation.
 type phase uint8
 
 const (
 	phaseIdle      phase = iota // there is no operation
 	phaseNoState                // no State is known yet
-	phaseBackoff                // until retryAt, after a conflict
-	phaseQuery                  // a read asks whether there is something newer
+	phaseBackoff                // pause until retryAt, after a conflict
+	phaseQuery                  // a read queries the voters for a newer proposal or State
 	phasePrepare                // phase 1 of Paxos
 	phaseAccept                 // phase 2 of Paxos
-	phaseNewVoters              // the proposal is decided; a majority of its own voters has to store it
+	phaseNewVoters              // the proposal is decided; a majority of the voters in it has yet to store it
 )
 
-// proposer is the part of a Register that sends requests to the voters, for one operation at a time.
+// proposer is the proposer role of a Register. It sends requests to the voters, for one operation at a time.
 type proposer struct {
 	queue         []*operation
 	current       *operation
-	lastOperation uint64 // the newest operation's id
+	lastOperation uint64 // id of the newest operation
 
 	phase      phase
 	phaseStart time.Duration
-	// slowestPhase is how long a phase has taken lately; from phase to phase an eighth of it is forgotten.
+	// slowestPhase is the longest recent duration of a phase; it decays by an eighth with each phase.
 	slowestPhase time.Duration
 
-	// The attempt under way: for a slot, with a proposal number of its own.
+	// The current attempt: its slot and its unique proposal number.
 	slot         uint64
 	number       ProposalNumber
-	highestRound uint64 // used here or heard of from others
+	highestRound uint64 // highest round used here or received from others
 	// The voters that have answered the requests of this phase.
 	acknowledged map[uint64]bool
 	rejected     map[uint64]bool
-	// highestAccepted is the highest number of a proposal that a voter reported to have accepted.
+	// highestAccepted is the highest number of an accepted proposal that a voter has reported.
 	highestAccepted ProposalNumber
-	// proposedState is that proposal's, or what this operation proposes where there is none.
+	// proposedState is the State of that proposal, or this operation's own proposal if no voter reported one.
 	proposedState State
 
-	// decidedLearners have to learn the State that this proposer has just found to be decided.
+	// decidedLearners are the nodes that have to learn the State that this proposer has just decided.
 	decidedLearners []Voter
 
 	retryAt        time.Duration
@@ -65,7 +66,7 @@
 	resendInterval time.Duration
 }
 
-// startOperation sends the first request of the operation to the voters of the newest State that is known.
+// startOperation starts the first phase of the current operation, with the voters of the newest known State.
 func (r *Register) startOperation() {
 	switch {
 	case !r.known:
@@ -77,7 +78,7 @@
 	}
 }
 
-// startAttempt begins an attempt with a proposal number that nobody has used.
+// startAttempt begins an attempt with an unused proposal number.
 func (r *Register) startAttempt(first phase) {
 	r.highestRound++
 	r.slot, r.number = r.state.Slot+1, ProposalNumber{r.highestRound, r.options.ProposerID}
@@ -126,7 +127,7 @@
 
 func (r *Register) quorum() int { return QuorumSize(len(r.state.Voters)) }
 
-// receiveAnswer counts a voter's answer to the request of this phase, and ignores all others.
+// receiveAnswer counts a voter's answer to the current request, and ignores all other answers.
 func (r *Register) receiveAnswer(m message) {
 	r.highestRound = max(r.highestRound, m.reported.Round)
 	if r.current == nil || r.slot != r.state.Slot+1 {
@@ -160,11 +161,11 @@
 	}
 }
 
-// completePhase goes on after a majority of the voters has answered the requests of this phase.
+// completePhase proceeds after a majority of the voters has answered the requests of this phase.
 //
-// After phase 1 the proposer is bound to the proposal with the highest number that a voter of its majority has
-// accepted, and free to propose its own State only where there is none: that keeps P2c of "Paxos Made Simple". If a
-// proposal was chosen, any majority has a voter that accepted it.
+// After phase 1 the proposer must propose the highest-numbered proposal that a voter of its majority has accepted, and
+// may propose its own State only if there is none. This maintains P2c of "Paxos Made Simple": if a proposal was chosen,
+// any majority contains a voter that accepted it.
 func (r *Register) completePhase() {
 	r.slowestPhase = max(r.slowestPhase*7/8, r.now-r.phaseStart)
 	nothingAccepted := r.highestAccepted.IsZero()
@@ -174,7 +175,7 @@
 			r.finishOperation(r.state, nil)
 			return
 		}
-		r.startAttempt(phasePrepare) // what is accepted may be decided: it is finished first
+		r.startAttempt(phasePrepare) // an accepted proposal may be decided: complete it first
 	case phasePrepare:
 		if nothingAccepted && r.current.read {
 			r.finishOperation(r.state, nil)
@@ -191,15 +192,15 @@
 	}
 }
 
-// makeProposal sets the State to propose for a slot for which no majority can have accepted one. False: the operation
-// has ended, or another one is under way.
+// makeProposal sets the State to propose for a slot for which no proposal can have been chosen. It returns false if the
+// operation has ended, or if another operation or attempt has started meanwhile.
 func (r *Register) makeProposal() bool {
 	op := r.current
 	if !op.proposed {
 		attempt := r.number
 		next, err := op.change(r.state.Clone())
 		if r.current != op || r.number != attempt {
-			return false // change has called the Register
+			return false // the change has called the Register, which has moved on
 		}
 		if errors.Is(err, ErrUnchanged) {
 			r.finishOperation(r.state, nil)
@@ -221,7 +222,7 @@
 	return true
 }
 
-// backOff ends an attempt: the next one begins after a random pause, so that proposers don't preempt each other again.
+// backOff ends an attempt. The next one begins after a random pause, so that proposers don't preempt each other again.
 func (r *Register) backOff() {
 	r.current.attempts++
 	window := max(initialBackoffWindow, 2*r.slowestPhase) << min(r.current.attempts-1, maxBackoffDoubling)
@@ -229,8 +230,8 @@
 	r.retryAt = r.now + minBackoff + time.Duration(r.options.Rand()*float64(min(window, maxBackoff)))
 }
 
-// resumeAfterLearning goes on with the operation under way after a newer State is known: what it proposed for that
-// State's slot, or one before, is decided, or is not and never will be.
+// resumeAfterLearning continues the current operation after a newer State has been learned. A proposal of the operation
+// for that State's slot or an earlier one has then either been decided or never will be.
 func (r *Register) resumeAfterLearning() {
 	op := r.current
 	if op == nil {
@@ -243,13 +244,13 @@
 	decided, found := r.state.operationAt(op.proposal.Slot)
 	switch {
 	case !found:
-		r.finishOperation(State{}, ErrOutcomeUnknown.New("register %s is at slot %d, and slot %d was proposed here",
+		r.finishOperation(State{}, ErrOutcomeUnknown.New("register %s is at slot %d, too far past the proposed slot %d",
 			r.options.Name, r.state.Slot, op.proposal.Slot))
 	case decided != operationID{r.options.ProposerID, op.id}:
 		op.proposed, op.proposal = false, State{}
 		r.startOperation()
 	case r.state.Slot > op.proposal.Slot || !op.changesVoters:
-		// Where the voters have changed, a majority of the new ones stored the State before they decided the next one.
+		// If the voters have changed, a majority of the new voters stored the State before they decided the next slot.
 		r.finishOperation(op.proposal, nil)
 	default:
 		r.phase = phaseNewVoters
@@ -260,7 +261,7 @@
 	}
 }
 
-// finishIfNewVotersStored ends a proposal that has changed the voters when a majority of the new ones has stored it.
+// finishIfNewVotersStored ends a proposal that changes the voters once a majority of the new voters has stored it.
 func (r *Register) finishIfNewVotersStored() {
 	if r.current == nil || r.phase != phaseNewVoters {
 		return
--- a/internal/consensus/paxos/quorum_test.go
+++ b/internal/consensus/paxos/quorum_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestQuorumsIntersect enumerates all sets of voters: any two quorums have a voter in common; and where there are 2f+1
-// voters or more, any quorum of those that are left when f disks are lost has one of the quorum that wrote.
+// TestQuorumsIntersect enumerates all sets of voters: any two quorums have a voter in common; and with at least 2f+1
+// voters, after the loss of f disks any quorum of the remaining voters includes a voter of the quorum that wrote.
 func TestQuorumsIntersect(t *testing.T) {
 	majority := func(n int) int {
 		r := Register{state: State{Voters: make([]Voter, n)}}
@@ -20,7 +20,7 @@
 			}
 			for read := range 1 << c.n {
 				if bits.OnesCount(uint(read)) == q && wrote&read == 0 {
-					t.Fatalf("%d voters: %b and %b do not meet", c.n, wrote, read)
+					t.Fatalf("%d voters: quorums %b and %b do not intersect", c.n, wrote, read)
 				}
 			}
 			for lost := range 1 << c.n {
@@ -29,17 +29,17 @@
 				}
 				left := (1<<c.n - 1) &^ lost
 				if bits.OnesCount(uint(left)) < q || wrote&left == 0 {
-					t.Fatalf("%d voters: %b wrote, %b are left", c.n, wrote, left)
+					t.Fatalf("%d voters: %b wrote, only %b are left", c.n, wrote, left)
 				}
 				for read := range 1 << c.n {
 					if read&^left == 0 && bits.OnesCount(uint(read)) == q && read&wrote&left == 0 {
-						t.Fatalf("%d voters: %b wrote, %b is lost, %b misses it", c.n, wrote, lost, read)
+						t.Fatalf("%d voters: %b wrote, %b are lost, quorum %b misses the write", c.n, wrote, lost, read)
 					}
 				}
 			}
 		}
 	}
-	// One voter fewer than 2f+1 has no majority left.
+	// With one voter fewer than 2f+1, no majority is left.
 	for f := 1; f <= 3; f++ {
 		if n := 2 * f; n-f >= majority(n) {
 			t.Fatal(n, f)
--- a/internal/consensus/paxos/register.go
+++ b/internal/consensus/paxos/register.go
@@ -9,27 +9,27 @@
 	"github.com/zeebo/errs"
 )
 
-// Options are what a Register needs of its process.
+// Options configure a Register and connect it to its process.
 type Options struct {
 	// Name is the register's name, the same on all nodes.
 	Name string
-	// ID is the identity on this process's disk; 0: it has no disk, and never votes.
+	// ID is the identity stored on this process's disk; 0 for a process without a disk, which never votes.
 	ID uint64
-	// ProposerID makes proposal numbers unique. It is drawn at random at each start of the process, and is not 0.
+	// ProposerID makes proposal numbers unique. It is drawn at random at each start of the process and must not be 0.
 	ProposerID uint64
-	// Save has the record on disk, durably, when it returns; nil saves nothing. After an ErrNotSaved the disk is as it
-	// was, and Save is called again. After any other error it is not known what the disk holds: the Register does not
-	// vote any more.
+	// Save makes the record durable before it returns; nil saves nothing. An ErrNotSaved means that the disk is
+	// unchanged, and Save is called again. After any other error the contents of the disk are unknown, and the Register
+	// stops voting.
 	Save func(record []byte) error
-	// Send may lose, duplicate, delay and reorder messages. A Voter here is an address; it may have no ID.
+	// Send may lose, duplicate, delay and reorder messages. The Voter serves as an address; its ID may be 0.
 	Send func(to Voter, msg []byte)
-	// OnDecided is called with each decided State that is newer than the one before; nil: nobody is notified.
+	// OnDecided is called with each decided State that is newer than the one before; nil disables it.
 	OnDecided func(State)
-	// Rand returns numbers in [0, 1); nil: math/rand.
+	// Rand returns numbers in [0, 1); nil selects math/rand.
 	Rand func() float64
 }
 
-// Never is the NextTick of a Register that has nothing to do.
+// Never is the NextTick of a Register that has no timer set.
 const Never = time.Duration(math.MaxInt64)
 
 // Register is one replicated register, as one process sees it.
@@ -37,7 +37,7 @@
 	options Options
 	now     time.Duration
 
-	// The newest decided State, if any is known. Its voters decide the slot after it.
+	// The newest decided State, if known is set. Its voters decide the next slot.
 	known bool
 	state State
 
@@ -47,11 +47,11 @@
 	proposer
 
 	inStep   bool
-	loopback [][]byte // messages of this node to itself
+	loopback [][]byte // messages from this node to itself
 }
 
-// New makes a Register of the records that Save stored, in order; an ErrCorrupt says which of them can't be read.
-// OnDecided isn't called for what they hold: see State.
+// New returns a Register with the state of the records that Save stored, in order; an ErrCorrupt names the record that
+// can't be read. OnDecided is not called for the State in these records: see State.
 func New(options Options, saved [][]byte) (*Register, error) {
 	if options.Save == nil {
 		options.Save = func([]byte) error { return nil }
@@ -63,12 +63,12 @@
 		options.Rand = rand.Float64
 	}
 	if options.ProposerID == 0 {
-		return nil, errs.New("agree: no ProposerID: draw one at each start")
+		return nil, errs.New("agree: ProposerID is 0: draw a random one at each start")
 	}
 	r := &Register{options: options, learner: learner{storedBy: map[uint64]bool{}}}
 	for i, b := range saved {
 		if err := r.load(b); err != nil {
-			err = fmt.Errorf("payload %d of %d of register %s: %w", i+1, len(saved), options.Name, err)
+			err = fmt.Errorf("record %d of %d of register %s: %w", i+1, len(saved), options.Name, err)
 			return nil, ErrCorrupt.Wrap(err)
 		}
 	}
@@ -78,15 +78,16 @@
 	return r, nil
 }
 
-// State is the newest decided State that is known here; false: none is.
+// State returns the newest decided State known to this node; false if none is known.
 func (r *Register) State() (State, bool) { return r.state.Clone(), r.known }
 
-// Receive takes a message of another node. Answers go to the address of from; its identity stands in the message.
+// Receive processes a message from another node. Answers go to the address in from; the sender's ID is taken from the
+// message.
 func (r *Register) Receive(now time.Duration, from Voter, msg []byte) {
 	r.step(now, func() { r.receive(from, msg) })
 }
 
-// Tick does what is due, and returns NextTick.
+// Tick performs the work that is due and returns NextTick.
 func (r *Register) Tick(now time.Duration) (next time.Duration) {
 	r.step(now, func() {
 		if r.storeDue() && r.now >= r.saveNotBefore {
@@ -98,7 +99,7 @@
 	return r.NextTick()
 }
 
-// NextTick is when Tick has something to do, if there is no other step before. It may change with each step.
+// NextTick returns the time at which Tick next has work to do; Never if there is none. Any step may change it.
 func (r *Register) NextTick() time.Duration {
 	next := min(r.nextProposerTick(), r.nextLearnerTick())
 	if r.storeDue() {
@@ -107,7 +108,8 @@
 	return next
 }
 
-// step runs f, and delivers the messages that this node then sends to itself. Time never goes back.
+// step runs f, then delivers the messages that this node has sent to itself. Times never decrease from one step to the
+// next.
 func (r *Register) step(now time.Duration, f func()) {
 	r.now = max(r.now, now)
 	if r.inStep {
@@ -126,7 +128,7 @@
 
 func (r *Register) send(to Voter, m message) { r.sendAs(r.options.ID, to, m) }
 
-// sendAs names the sender: 0 is one without a disk, which no quorum counts.
+// sendAs sends a message with the given sender ID; with 0 the message counts in no quorum.
 func (r *Register) sendAs(sender uint64, to Voter, m message) {
 	m.sender = sender
 	b := m.encode(r.options.Name)
@@ -140,7 +142,7 @@
 func (r *Register) receive(from Voter, msg []byte) {
 	name, m, err := decodeMessage(msg)
 	if err != nil || name != r.options.Name {
-		return // as if it were lost
+		return // treated as a lost message
 	}
 	from.ID = m.sender
 	switch m.kind {
--- a/internal/consensus/paxos/register_test.go
+++ b/internal/consensus/paxos/register_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Three voters over links that lose nothing decide each operation, and read it.
+// Three voters on a network without message loss decide each operation in order, and each decision can be read.
 func TestThreeVotersDecideInOrder(t *testing.T) {
 	var voters []Voter
 	for i := range 3 {
@@ -61,8 +61,8 @@
 	}
 }
 
-// An answer of an identity that is no voter is no vote. Nodes that are no voters don't give such answers either, so no
-// simulation sees one.
+// An answer from an ID that is not a voter does not count. The simulations don't cover this, because nodes that are not
+// voters send no such answers.
 func TestAnswersOfNonVotersDoNotCount(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}, {ID: 3, Name: "c", Addr: "c"}}
 	r, err := New(Options{Name: "r", ID: 1, ProposerID: 7, Send: func(Voter, []byte) {}}, nil)
@@ -71,14 +71,14 @@
 	}
 	r.Bootstrap(voters, nil)
 	r.Propose(0, time.Second, func(State) (State, error) {
-		t.Fatal("a majority of one")
+		t.Fatal("one vote of three counted as a majority")
 		return State{}, nil
 	}, func(State, error) {})
 	r.Receive(0, voters[1], message{kind: messagePromise, sender: 99, slot: 1, number: r.number}.encode("r"))
 	r.Receive(0, voters[1], message{kind: messagePromise, sender: 1, slot: 1, number: r.number}.encode("r"))
 }
 
-// A node that is not among the voters of the newest State that it knows doesn't answer requests for the next slot.
+// A node that is not a voter in the newest State that it knows does not answer requests for the next slot.
 func TestNonVotersDoNotVote(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}}
 	for _, id := range []uint64{0, 9} {
@@ -109,12 +109,12 @@
 			r.Receive(0, voters[0], request.encode("r"))
 		}
 		if answers+saves != 0 {
-			t.Fatalf("identity %d: %d messages, %d saves", id, answers, saves)
+			t.Fatalf("ID %d: %d messages, %d saves, want none", id, answers, saves)
 		}
 	}
 }
 
-// Operations run one at a time, in order; their number is bounded, and each ends at its timeout.
+// Operations run one at a time and in order; their number is bounded, and each ends at its timeout.
 func TestOperationsAreQueuedAndBounded(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}}
 	r, err := New(Options{Name: "r", ID: 1, ProposerID: 7, Send: func(Voter, []byte) {}}, nil)
@@ -156,8 +156,8 @@
 	}
 }
 
-// A Register that is made of a snapshot equals the one that is made of all records.
-func TestSnapshotHoldsWhatTheRecordsHold(t *testing.T) {
+// A Register loaded from a snapshot equals one loaded from all records.
+func TestSnapshotIsEquivalentToTheRecords(t *testing.T) {
 	voters := []Voter{{ID: 1, Name: "a", Addr: "a"}, {ID: 2, Name: "b", Addr: "b"}, {ID: 3, Name: "c", Addr: "c"}}
 	var saved [][]byte
 	options := Options{
@@ -183,7 +183,7 @@
 			}
 			got := []any{loaded.known, loaded.state, loaded.acceptor}
 			if want := []any{r.known, r.state, r.acceptor}; !reflect.DeepEqual(got, want) {
-				t.Fatalf("%+v is not %+v", loaded, r)
+				t.Fatalf("loaded %+v, want %+v", loaded, r)
 			}
 		}
 	}
@@ -206,7 +206,7 @@
 	}
 	for i := range saved[1] {
 		if _, err := New(options, [][]byte{saved[0], saved[1][:i]}); !ErrCorrupt.Has(err) {
-			t.Fatal("a record that ends early is accepted:", i, err)
+			t.Fatal("a truncated record was accepted:", i, err)
 		}
 	}
 }
--- a/internal/consensus/paxos/state.go
+++ b/internal/consensus/paxos/state.go
@@ -7,24 +7,24 @@
 	"dunetide/internal/platform/link"
 )
 
-// State is the whole of a register at one slot. The Voters of a slot decide the next one.
+// State is the complete contents of a register at one slot. The Voters of a slot decide the next slot.
 type State struct {
 	Slot   uint64
 	Voters []Voter
 	Value  []byte
 
-	// recentOperations are those that were decided at this slot and the ones before, the newest last: by them a
-	// proposer that lost sight of its own proposal knows whether it was decided. Slot 0 is nobody's.
+	// recentOperations are the operations decided at this slot and the slots before, newest last. A proposer that missed
+	// the decision on its own proposal finds out from them whether it was chosen. Slot 0 has no operation.
 	recentOperations []operationID
 }
 
 // operationID identifies one operation of one incarnation of a process.
 type operationID struct{ proposer, operation uint64 }
 
-// maxRecentOperations bounds how many slots a proposer may fall behind and still learn what became of its proposal.
+// maxRecentOperations is how many slots a proposer may fall behind and still find out whether its proposal was chosen.
 const maxRecentOperations = 64
 
-// HasVoter reports whether a voter with this identity is among the Voters.
+// HasVoter reports whether id is the ID of one of the Voters.
 func (s State) HasVoter(id uint64) bool { return s.voterIndex(id) >= 0 }
 
 func (s State) equal(other State) bool {
@@ -34,7 +34,7 @@
 		slices.Equal(s.recentOperations, other.recentOperations)
 }
 
-// Clone shares no memory with s.
+// Clone returns a copy that shares no memory with s.
 func (s State) Clone() State {
 	s.Voters = slices.Clone(s.Voters)
 	s.Value = bytes.Clone(s.Value)
@@ -42,7 +42,7 @@
 	return s
 }
 
-// operationAt is the operation that was decided at a slot that is not newer than s; false: it is too long ago.
+// operationAt returns the operation decided at a slot that is not newer than s; false if the slot is too old.
 func (s State) operationAt(slot uint64) (operationID, bool) {
 	back := s.Slot - slot
 	count := uint64(len(s.recentOperations))
@@ -52,19 +52,20 @@
 	return s.recentOperations[count-1-back], true
 }
 
-// operationsAnd is recentOperations with one more.
+// operationsAnd returns recentOperations with newest appended, cut to maxRecentOperations.
 func (s State) operationsAnd(newest operationID) []operationID {
 	all := append(slices.Clone(s.recentOperations), newest)
 	return all[max(0, len(all)-maxRecentOperations):]
 }
 
-// minVoterBytes and minOperationBytes are the least sizes of an encoded element, by which a damaged count is refused.
+// minVoterBytes and minOperationBytes are the minimum sizes of an encoded element. They bound element counts, so that a
+// corrupt count is rejected.
 const (
 	minVoterBytes     = 16
 	minOperationBytes = 16
 )
 
-// Append encodes s, with what is needed to go on from it. The form is on the wire and on disk.
+// Append encodes s, including recentOperations, which later slots need. The format is used on the wire and on disk.
 func (s State) Append(w *link.Writer) {
 	w.U64(s.Slot)
 	w.U32(uint32(len(s.Voters)))
@@ -81,8 +82,8 @@
 	}
 }
 
-// ReadState decodes a State that Append encoded. It shares no memory with the message. The reader's Err says whether it
-// was one.
+// ReadState decodes a State encoded by Append. The result shares no memory with the message. The reader's Err is set if
+// the input is not a valid State.
 func ReadState(r *link.Reader) State {
 	s := State{Slot: r.U64()}
 	for range r.Count(minVoterBytes) {
--- a/internal/consensus/paxos/steps_test.go
+++ b/internal/consensus/paxos/steps_test.go
@@ -12,12 +12,13 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// kindNames are the words of testdata/steps.
+// kindNames are the names of message kinds in testdata/steps.
 var kindNames = []string{
 	"", "query", "query-reply", "prepare", "promise", "accept", "accepted", "reject", "decided", "progress",
 }
 
-// stepTable has nodes n1, n2 and so on, whose messages wait until a step delivers or drops them.
+// stepTable runs the commands of one file. It has nodes n1, n2 and so on, whose messages wait until a command delivers
+// or drops them.
 type stepTable struct {
 	nodes        []*stepNode
 	inFlight     []packet
@@ -100,7 +101,7 @@
 	return out
 }
 
-// TestSteps plays the tables of testdata/steps, which list every message and Save.
+// TestSteps runs the files of testdata/steps, whose expected output lists every message and Save.
 func TestSteps(t *testing.T) {
 	datadriven.Walk(t, "testdata/steps", func(t *testing.T, path string) {
 		t.Helper()
@@ -114,7 +115,7 @@
 	})
 }
 
-// run plays one command of a table.
+// run runs one command of a file.
 func (tb *stepTable) run(t *testing.T, d *datadriven.TestData) {
 	t.Helper()
 	arg := func(i int) string {
@@ -135,7 +136,7 @@
 		tb.admit(tb.node(t, arg(0)), tb.nodes[tb.node(t, arg(1))].voter, arg(2))
 	case "read":
 		tb.nodes[tb.node(t, arg(0))].register.Read(tb.now, operationTimeout, tb.done("read"))
-	case "deliver", "drop", "double": // all there is; of a node; of a node to a node: no answers to these
+	case "deliver", "drop", "double": // all messages in flight, or those from a node (to a node), but not their answers
 		selected := tb.takeInFlight(t, arg(0), arg(1))
 		if d.Cmd == "double" {
 			selected = append(selected, selected...)
@@ -146,7 +147,7 @@
 				tb.deliver(p)
 			}
 		}
-	case "finish": // until nothing is on the way
+	case "finish": // deliver until no message is in flight
 		for len(tb.inFlight) > 0 {
 			p := tb.inFlight[0]
 			tb.inFlight = tb.inFlight[1:]
@@ -166,24 +167,24 @@
 	case "state":
 		tb.printStates()
 	default:
-		t.Fatalf("%q?", d.Cmd)
+		t.Fatalf("unknown command %q", d.Cmd)
 	}
 }
 
-// operationTimeout is longer than any table.
+// operationTimeout is longer than the simulated time of any file.
 const operationTimeout = 5 * time.Second
 
-// node is the index of a node by its name.
+// node returns the index of a node by its name.
 func (tb *stepTable) node(t *testing.T, name string) int {
 	t.Helper()
 	i := slices.IndexFunc(tb.nodes, func(n *stepNode) bool { return n.voter.Name == name })
 	if i < 0 {
-		t.Fatalf("no %q", name)
+		t.Fatalf("no node %q", name)
 	}
 	return i
 }
 
-// count reads a number of nodes; "" is 0.
+// count parses a number of nodes; "" is 0.
 func count(t *testing.T, text string) int {
 	t.Helper()
 	if text == "" {
@@ -221,7 +222,7 @@
 	tb.output.Reset()
 }
 
-// done prints how an operation ends.
+// done returns a callback that prints how an operation ends.
 func (tb *stepTable) done(operation string) func(State, error) {
 	return func(s State, err error) {
 		if err != nil {
@@ -250,7 +251,7 @@
 	}, tb.done("admit "+joiner.Name))
 }
 
-// takeInFlight takes out the messages from a node to a node; "": any.
+// takeInFlight removes and returns the messages in flight from one node to another; "" stands for any node.
 func (tb *stepTable) takeInFlight(t *testing.T, from, to string) []packet {
 	t.Helper()
 	var rest, selected []packet
@@ -283,7 +284,7 @@
 	}
 }
 
-// restart prints the error of a start that fails.
+// restart starts a node again. It prints the error if that fails.
 func (tb *stepTable) restart(i int) {
 	if err := tb.start(i); err != nil {
 		tb.output.Reset()
--- a/internal/consensus/paxos/storage.go
+++ b/internal/consensus/paxos/storage.go
@@ -7,48 +7,50 @@
 	"dunetide/internal/platform/link"
 )
 
-// saveRetryDelay is how long nothing is saved after an ErrNotSaved.
+// saveRetryDelay is the pause before the next Save after an ErrNotSaved.
 const saveRetryDelay = 250 * time.Millisecond
 
-// recordKind stands at the beginning of each saved record.
+// recordKind is the first byte of a saved record.
 type recordKind uint8
 
-// The kinds of records. Their numbers are on disk.
+// Kinds of records. The numbers are stored on disk.
 const (
 	recordPromise recordKind = iota + 1
 	recordAccepted
 	recordDecided
-	recordChosen // the proposal accepted for a slot at a number is the decided one
+	recordChosen // the proposal accepted for a slot with a number is the decided one
 )
 
-// storage is what is known of this node's disk.
+// storage tracks the contents of this node's disk.
 type storage struct {
-	// stateStored: the newest decided State is on disk. While it is not, this node does not vote, as a record of a slot
-	// is read back only behind the State of the slot before, and reports to nobody that it has the State.
+	// stateStored is true if the newest decided State is on disk. While it is false, this node does not vote, because
+	// the records of a slot can be loaded only after the State of the slot before, and it does not report to have the
+	// State.
 	stateStored   bool
-	pendingRecord []byte // what has to be saved for that
+	pendingRecord []byte // the record to save for the newest decided State
 
-	storedSlot    uint64 // the newest State that is on disk, if any is
+	storedSlot    uint64 // slot of the newest State on disk, if anySlotStored is set
 	anySlotStored bool
 
-	saveError     error         // of the newest Save, if it left the disk as it was
-	saveNotBefore time.Duration // after a saveError
+	saveError     error         // error of the latest Save, if it left the disk unchanged
+	saveNotBefore time.Duration // time of the next Save after a saveError
 
-	fatalError error // of a Save after which it is not known what the disk holds: no votes any more
+	fatalError error // error of a Save that left the disk in an unknown state; voting has stopped
 }
 
-// FatalError is the error of the Save that ended this node's votes. The process has to start again: what was saved
-// decides.
+// FatalError returns the error of the Save after which this node stopped voting; nil if it has not. The process has to
+// restart and continue from the records on disk.
 func (r *Register) FatalError() error { return r.fatalError }
 
-// SaveError is the error of the newest Save if that left the disk as it was: this node gives no votes that have to be
-// saved until a Save succeeds.
+// SaveError returns the error of the latest Save if it left the disk unchanged. Until a Save succeeds, this node gives
+// no votes that have to be saved.
 func (r *Register) SaveError() error { return r.saveError }
 
-// StoredSlot is the newest decided slot that is on disk here, or known where there is no disk; false: there is none.
+// StoredSlot returns the newest decided slot on this node's disk, or the newest known one if it has no disk; false if
+// there is none.
 func (r *Register) StoredSlot() (slot uint64, found bool) { return r.storedSlot, r.anySlotStored }
 
-// Snapshot returns the records that replace all that Save has stored.
+// Snapshot returns records that replace all records saved so far.
 func (r *Register) Snapshot() [][]byte {
 	if !r.known || r.fatalError != nil {
 		return nil
@@ -63,8 +65,8 @@
 	return records
 }
 
-// save reports whether the record is on disk. Where the disk was left as it was, it may be saved later. Any other error
-// ends this node's votes: what the disk holds is not known.
+// save saves a record and reports whether it is on disk. After an ErrNotSaved the disk is unchanged, and the record may
+// be saved later. After any other error this node stops voting, because the contents of the disk are unknown.
 func (r *Register) save(record []byte) bool {
 	if r.options.ID == 0 {
 		return true
@@ -81,7 +83,7 @@
 	return err == nil
 }
 
-// storeState puts the decided State on disk, if the disk takes it.
+// storeState tries to save the newest decided State.
 func (r *Register) storeState() {
 	r.stateStored = false
 	if r.save(r.pendingRecord) {
@@ -89,7 +91,7 @@
 	}
 }
 
-// markStored notes that the State is on disk.
+// markStored records that the newest decided State is on disk.
 func (r *Register) markStored() {
 	r.stateStored, r.pendingRecord = true, nil
 	r.storedSlot, r.anySlotStored = r.state.Slot, true
@@ -98,7 +100,7 @@
 	}
 }
 
-// retryStore repeats a storeState that failed, and reports success to those who may wait for it.
+// retryStore repeats a storeState that failed, and reports success to the other voters, which may be waiting for it.
 func (r *Register) retryStore() {
 	r.storeState()
 	if !r.stateStored {
@@ -112,10 +114,11 @@
 	r.finishIfNewVotersStored()
 }
 
-// storeDue reports whether the State has still to be stored.
+// storeDue reports whether the newest decided State still has to be stored.
 func (r *Register) storeDue() bool { return r.known && !r.stateStored && r.fatalError == nil }
 
-// decidedRecord is what has to be saved for a decided State: a short record where the disk holds it as accepted.
+// decidedRecord returns the record to save for a decided State: a short one if the State is on disk as the accepted
+// proposal.
 func (r *Register) decidedRecord(s State) []byte {
 	if s.Slot == r.state.Slot+1 && !r.acceptedNumber.IsZero() && r.acceptedState.equal(s) {
 		return encodeChosen(s.Slot, r.acceptedNumber)
@@ -123,7 +126,7 @@
 	return encodeDecided(s)
 }
 
-// load takes in a record that was saved earlier.
+// load applies a saved record.
 func (r *Register) load(b []byte) error {
 	record, err := decodeRecord(b)
 	if err != nil {
@@ -136,11 +139,11 @@
 		}
 		return nil
 	case !r.known || record.slot > r.state.Slot+1:
-		return fmt.Errorf("it is about slot %d, and the one before is not there", record.slot)
+		return fmt.Errorf("record for slot %d without the state of the slot before", record.slot)
 	case record.slot <= r.state.Slot:
 		return nil
 	case record.kind == recordChosen && record.number != r.acceptedNumber:
-		return fmt.Errorf("it says that slot %d is decided, and something else is accepted", record.slot)
+		return fmt.Errorf("slot %d is decided with another proposal than the accepted one", record.slot)
 	case record.kind == recordChosen:
 		r.installState(r.acceptedState)
 		return nil
@@ -154,8 +157,8 @@
 	return nil
 }
 
-// savedRecord is a record as read back. The number is that of all kinds but recordDecided; the state is that of
-// recordDecided and recordAccepted.
+// savedRecord is a decoded record. All kinds but recordDecided have a number; only recordDecided and recordAccepted
+// have a state.
 type savedRecord struct {
 	kind   recordKind
 	slot   uint64
@@ -180,7 +183,7 @@
 		return savedRecord{}, in.Err
 	}
 	if record.kind < recordPromise || record.kind > recordChosen {
-		return savedRecord{}, fmt.Errorf("kind %d is unknown", record.kind)
+		return savedRecord{}, fmt.Errorf("unknown record kind %d", record.kind)
 	}
 	return record, nil
 }
@@ -206,7 +209,7 @@
 	return w.Buf
 }
 
-// encodeRecord encodes what all records but a recordDecided begin with.
+// encodeRecord encodes the common header of all records but recordDecided.
 func encodeRecord(kind recordKind, slot uint64, number ProposalNumber) *link.Writer {
 	w := &link.Writer{}
 	w.U8(uint8(kind))
--- a/internal/consensus/paxos/storage_test.go
+++ b/internal/consensus/paxos/storage_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// singleVoter is a register of one voter, and what it has saved.
+// singleVoter is a register with a single voter, and its saved records.
 type singleVoter struct {
 	*Register
 	disk     [][]byte
@@ -50,8 +50,8 @@
 	}
 }
 
-// A State is written to the disk once: its decision is a short record. Records of earlier versions, which wrote it twice,
-// are still read.
+// A State is written to disk once: its decision adds only a short record. Records of earlier versions, which wrote the
+// State twice, can still be loaded.
 func TestStateIsSavedOnce(t *testing.T) {
 	s := newSingleVoter(t, nil)
 	s.Bootstrap([]Voter{{ID: 1, Name: "n1"}}, nil)
@@ -62,7 +62,7 @@
 		bytesSaved += len(b)
 	}
 	if bytesSaved > len(long)+1000 {
-		t.Errorf("%d bytes for a value of %d", bytesSaved, len(long))
+		t.Errorf("%d bytes saved for a value of %d bytes", bytesSaved, len(long))
 	}
 	again := newSingleVoter(t, s.disk)
 	if got, _ := again.State(); !got.equal(s.state) {
@@ -71,15 +71,15 @@
 	last := len(s.disk) - 1
 	before := append(append([][]byte(nil), s.disk[:last]...), encodeDecided(s.state))
 	if got, _ := newSingleVoter(t, before).State(); !got.equal(s.state) {
-		t.Errorf("slot %d of a file that has the State twice", got.Slot)
+		t.Errorf("slot %d from records with the State twice", got.Slot)
 	}
 	other := append(append([][]byte(nil), s.disk[:last]...), encodeChosen(1, ProposalNumber{77, 7}))
 	if _, err := New(Options{Name: "r", ID: 1, ProposerID: 9}, other); !ErrCorrupt.Has(err) {
-		t.Errorf("another ballot is decided than was accepted: %v", err)
+		t.Errorf("a decision on another proposal number than the accepted one was loaded: %v", err)
 	}
 }
 
-// A State that found no space on the disk is stored as soon as there is some, and the node does not vote before.
+// A State that does not fit on a full disk is stored once the disk has space; until then the node does not vote.
 func TestStateIsStoredOnceADiskHasSpace(t *testing.T) {
 	s := newSingleVoter(t, nil)
 	s.Bootstrap([]Voter{{ID: 1, Name: "n1"}}, nil)
@@ -88,8 +88,8 @@
 	s.diskFull = true
 	next := State{Slot: 2, Voters: s.state.Voters, Value: []byte("b")}
 	s.Learn(s.now, next)
-	if slot, there := s.StoredSlot(); slot != 1 || !there || s.SaveError() == nil || s.FatalError() != nil {
-		t.Fatalf("slot %d, %v, %v, %v", slot, there, s.SaveError(), s.FatalError())
+	if slot, found := s.StoredSlot(); slot != 1 || !found || s.SaveError() == nil || s.FatalError() != nil {
+		t.Fatalf("slot %d, %v, %v, %v", slot, found, s.SaveError(), s.FatalError())
 	}
 	if got, _ := s.State(); got.Slot != 2 || s.storedBy[1] {
 		t.Errorf("knows slot %d, counts itself %v", got.Slot, s.storedBy[1])
@@ -98,10 +98,10 @@
 	s.diskFull = false
 	s.receiveRequest(Voter{ID: 2}, message{kind: messagePrepare, slot: 3, number: ProposalNumber{9, 9}})
 	if len(s.disk) != saved {
-		t.Error("a vote before the State of the slot before is stored")
+		t.Error("a vote was saved before the State of the slot before")
 	}
 	if due := s.NextTick(); due > s.now+saveRetryDelay {
-		t.Errorf("tried again after %v", due-s.now)
+		t.Errorf("the next Save is due after %v", due-s.now)
 	}
 	s.Tick(s.now + saveRetryDelay)
 	if slot, _ := s.StoredSlot(); slot != 2 || s.SaveError() != nil || !s.storedBy[1] {
--- a/internal/consensus/paxos/voters.go
+++ b/internal/consensus/paxos/voters.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Voter is a node that takes part in decisions. Its ID is drawn at random when its disk is first used and kept there:
-// an emptied disk is another voter. Name and Addr say how to reach it, and whose place it has.
+// Voter is a node that votes on the next slot. Its ID is drawn at random when its disk is first used and stored on the
+// disk, so an emptied disk is another voter. Name and Addr say how to reach it; a new disk under the same Name or Addr
+// replaces the voter.
 type Voter struct {
 	ID         uint64
 	Name, Addr string
 }
 
-// WithVoter returns the state with one more voter. False: it has no identity, or is a voter already.
+// WithVoter returns the state with joiner added to the voters; false if joiner has no ID or is already a voter.
 func (s State) WithVoter(joiner Voter) (State, bool) {
 	if joiner.ID == 0 || s.HasVoter(joiner.ID) {
 		return s, false
@@ -19,7 +20,7 @@
 	return next, true
 }
 
-// WithoutVoter returns the state without a voter. False: it is none, or the only one.
+// WithoutVoter returns the state with a voter removed; false if the ID is not that of a voter, or that of the only one.
 func (s State) WithoutVoter(id uint64) (State, bool) {
 	i := s.voterIndex(id)
 	if i < 0 || len(s.Voters) == 1 {
@@ -30,8 +31,8 @@
 	return next, true
 }
 
-// WithReplacement returns the state with a joiner in the place of a voter, which may be the same identity at another
-// address. False: the old one is no voter, or the joiner is one already or has no identity.
+// WithReplacement returns the state with a voter replaced by joiner, which may have the same ID with another name or
+// address. It returns false if old is not a voter, if joiner is already one or has no ID, or if nothing would change.
 func (s State) WithReplacement(old uint64, joiner Voter) (State, bool) {
 	i := s.voterIndex(old)
 	if i < 0 || joiner.ID == 0 || joiner.ID != old && s.HasVoter(joiner.ID) || s.Voters[i] == joiner {
@@ -46,17 +47,17 @@
 	return slices.IndexFunc(s.Voters, func(v Voter) bool { return v.ID == id })
 }
 
-// validateVoters returns an ErrInvalidVoters where these voters can't decide.
+// validateVoters returns an ErrInvalidVoters if there are no voters, or if one has no ID or a duplicate one.
 func validateVoters(voters []Voter) error {
 	seen := map[uint64]bool{}
 	for _, v := range voters {
 		if v.ID == 0 || seen[v.ID] {
-			return ErrInvalidVoters.New("%q at %s has identity %d", v.Name, v.Addr, v.ID)
+			return ErrInvalidVoters.New("voter %q at %s has missing or duplicate ID %d", v.Name, v.Addr, v.ID)
 		}
 		seen[v.ID] = true
 	}
 	if len(voters) == 0 {
-		return ErrInvalidVoters.New("there are none")
+		return ErrInvalidVoters.New("no voters")
 	}
 	return nil
 }
--- a/internal/consensus/paxos/voters_test.go
+++ b/internal/consensus/paxos/voters_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// admitVoter returns the State with v among its voters: in the place of one with the same identity, the same name, the
-// same address, or of a dead one, or added where there are fewer than maxVoters. The simulations make random changes with
-// it that go beyond those that package reconfigure decides on. False: nothing to change.
+// admitVoter returns the State with v among its voters: it replaces a voter with the same ID, the same name or the same
+// address, or else a dead one, or is added if there are fewer than maxVoters. It returns false if there is nothing to
+// change. The simulations use it for random changes beyond those that package reconfigure decides on.
 func admitVoter(cur State, v Voter, dead func(Voter) bool, maxVoters int) (State, bool) {
 	if v.ID == 0 || slices.Contains(cur.Voters, v) {
 		return cur, false
@@ -29,7 +29,8 @@
 	return cur.WithVoter(v)
 }
 
-// expelVoter returns the State without one dead voter, where there are more than minVoters. False: nothing to change.
+// expelVoter returns the State without one dead voter if there are more than minVoters; false if there is nothing to
+// change.
 func expelVoter(cur State, dead func(Voter) bool, minVoters int) (State, bool) {
 	i := slices.IndexFunc(cur.Voters, dead)
 	if i < 0 || len(cur.Voters) <= minVoters {
@@ -38,9 +39,9 @@
 	return cur.WithoutVoter(cur.Voters[i].ID)
 }
 
-// The three changes of voters leave the state alone that they start from, and refuse what would leave no voters, a
-// voter without an identity, or one twice.
-func TestChangesOfVotersLeaveTheirStateAlone(t *testing.T) {
+// The three changes of voters don't modify the State that they are applied to. They are refused if the result would
+// have no voters, a voter without an ID or a duplicate voter.
+func TestChangesOfVotersDoNotModifyTheirState(t *testing.T) {
 	cur := State{Slot: 4, Voters: []Voter{{1, "a", "A"}, {2, "b", "B"}}}
 	joiner, moved := Voter{9, "d", "D"}, Voter{2, "b", "E"}
 	one := State{Voters: cur.Voters[:1]}
@@ -94,7 +95,7 @@
 		{v(9, "d", "D"), none, 4, "1a 2b 3c 9d"},
 		{v(9, "d", "D"), none, 3, ""},
 		{v(2, "b", "B"), dead("a"), 9, ""},
-		{v(2, "e", "E"), dead("a"), 9, "1a 2e 3c"}, // it moved
+		{v(2, "e", "E"), dead("a"), 9, "1a 2e 3c"}, // the voter has moved
 		{v(0, "d", "D"), dead("a"), 9, ""},
 	} {
 		next, ok := admitVoter(cur, c.in, c.dead, c.maxVoters)
@@ -111,10 +112,10 @@
 		t.Error(describeVoters(next), ok)
 	}
 	if _, ok := expelVoter(cur, dead("b"), 3); ok {
-		t.Error("too few are left")
+		t.Error("a voter was removed although only minVoters are left")
 	}
 	if _, ok := expelVoter(cur, none, 0); ok {
-		t.Error("nobody is dead")
+		t.Error("a voter was removed although none is dead")
 	}
 }
 
@@ -126,7 +127,7 @@
 	return out[min(1, len(out)):]
 }
 
-// Whatever admitVoter changes, one voter at most joins, and one at most is removed.
+// admitVoter adds at most one voter and removes at most one.
 func TestAdmitChangesOneVoterAtMost(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		var cur State
