--- a/internal/platform/upstream/acquire.go
+++ b/internal/platform/upstream/acquire.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// maxWaiting bounds the calls that wait for a connection to one endpoint.
+// maxWaiting bounds the number of calls that wait for a connection to one endpoint.
 const maxWaiting = 64
 
-// Acquire returns a connection for one call: the one that was used last, if its far side has not closed it, or a new
-// one. It waits for a free one no longer than MaxWait, DialTimeout and the context allow. The connection has to be
-// given back by Release.
+// Acquire returns a connection for one call: the most recently used one that the endpoint has not closed, or a new
+// one. It waits for a connection no longer than MaxWait, DialTimeout and the context allow. The connection must be
+// returned with Release.
 func (p *Pool) Acquire(ctx context.Context) (*Conn, error) { return p.AcquireBefore(ctx, time.Time{}) }
 
-// AcquireBefore is Acquire with a deadline of the call, if that is not zero: neither the wait for a connection nor
-// the dial outlasts it.
+// AcquireBefore is Acquire with a deadline, unless it is zero: neither the wait for a connection nor the dial exceeds
+// it.
 func (p *Pool) AcquireBefore(ctx context.Context, deadline time.Time) (*Conn, error) {
 	ps := p.pools
 	a := acquisition{ctx: ctx, dialCtx: ctx}
@@ -66,15 +66,15 @@
 	}
 }
 
-// acquisition has the contexts of one Acquire, which are made once it has to dial or to wait.
+// acquisition holds the contexts of one Acquire, which are created when it has to dial or to wait.
 type acquisition struct {
 	ctx     context.Context // of waits
 	dialCtx context.Context // of the dial, which may last longer than a wait
 
-	cancelDial, cancelWait context.CancelFunc // nil: not bounded yet
+	cancelDial, cancelWait context.CancelFunc // nil until the context is bounded
 }
 
-// bound ends both after the timeout of a dial, or at the call's deadline if that is sooner.
+// bound limits both contexts to the dial timeout, or to the call's deadline if that is earlier.
 func (a *acquisition) bound(dialTimeout time.Duration, deadline, now time.Time) {
 	if a.cancelDial != nil {
 		return
@@ -87,7 +87,7 @@
 	a.dialCtx = a.ctx
 }
 
-// boundWait ends the waits of this acquisition, all of them together, after a time; 0: not before the dial would.
+// boundWait limits the total waiting time of this acquisition; 0 means the limit of the dial applies.
 func (a *acquisition) boundWait(maxWait time.Duration) {
 	if a.cancelWait == nil && maxWait > 0 {
 		a.ctx, a.cancelWait = context.WithTimeout(a.ctx, maxWait)
@@ -103,8 +103,8 @@
 	}
 }
 
-// reuse takes the idle connection out of the pool that was used last and is still good. The others that it meets are
-// to be closed. With the lock.
+// reuse removes the most recently used idle connection that is still usable from the pool. The caller must close the
+// stale connections that it returns. It is called with the lock held.
 func (p *Pool) reuse(now time.Time) (c *Conn, stale []*Conn) {
 	limit := p.maxIdle(now)
 	for len(p.idle) > 0 {
@@ -120,8 +120,8 @@
 	return nil, stale
 }
 
-// reserveSlot looks whether one connection more may be opened. If not, it returns the queue to wait in. Where
-// another's idle connection has to make way, that is to be closed. With the lock.
+// reserveSlot checks whether one more connection may be opened. If not, it returns the queue to wait in. If an idle
+// connection of another pool was evicted for it, the caller must close that one. It is called with the lock held.
 func (p *Pool) reserveSlot(now time.Time) (queue *[]chan struct{}, evicted *Conn) {
 	ps := p.pools
 	if open := p.inUse + p.dialing + len(p.idle); open >= p.maxConns(now) {
@@ -136,7 +136,7 @@
 	return &ps.waiting, nil
 }
 
-// await unlocks, waits in a queue for its turn, and locks again. After an error the lock is free.
+// await unlocks, waits in the queue until it is woken, and locks again. If it returns an error, the lock is released.
 func (p *Pool) await(ctx context.Context, queue *[]chan struct{}, stale []*Conn) error {
 	ps := p.pools
 	turn := make(chan struct{})
@@ -153,7 +153,7 @@
 	defer ps.mu.Unlock()
 	if i := slices.Index(*queue, turn); i >= 0 {
 		*queue = slices.Delete(*queue, i, i+1)
-	} else if queue == &p.waiting { // its turn came too late, and goes to the next
+	} else if queue == &p.waiting { // it was woken too late: wake the next one instead
 		p.wake()
 	} else {
 		ps.wakeForSpace()
@@ -161,7 +161,7 @@
 	return fmt.Errorf("%w: %w", ErrBusy, ctx.Err())
 }
 
-// dial opens a connection, which is counted already as one that is being opened.
+// dial opens a connection that the caller has already counted in p.dialing.
 func (p *Pool) dial(ctx context.Context, startedAt time.Time) (*Conn, error) {
 	ps := p.pools
 	ps.mu.Lock()
@@ -169,8 +169,8 @@
 	ps.mu.Unlock()
 	netConn, err := ps.config.Dial(ctx, addr)
 	if errors.Is(err, syscall.ECONNRESET) {
-		// Nobody refused it: it got lost on the way. Nothing was sent, and an endpoint that is down shows at the
-		// second attempt as well as at the first.
+		// A reset during the handshake is not a refusal but a loss on the way. Nothing was sent, and an endpoint that
+		// is down fails the second attempt too.
 		netConn, err = ps.config.Dial(ctx, addr)
 	}
 	ps.mu.Lock()
@@ -178,7 +178,7 @@
 	now := ps.config.Now()
 	p.dialing--
 	if err == nil && (p.removed || p.epoch != epoch) {
-		_ = netConn.Close() // it leads to where the endpoint was; nothing was sent on it
+		_ = netConn.Close() // it is connected to the endpoint's previous address; nothing was sent on it
 		err = ErrRemoved
 	}
 	if err != nil {
@@ -187,7 +187,7 @@
 	return p.dialed(netConn, startedAt, now), nil
 }
 
-// dialed counts a new connection, and returns it. With the lock.
+// dialed counts a new connection and returns it. It is called with the lock held.
 func (p *Pool) dialed(netConn net.Conn, startedAt, now time.Time) *Conn {
 	p.sizing.opened(now)
 	p.counts.opened++
@@ -197,8 +197,8 @@
 	return c
 }
 
-// dialFailed counts a dial that failed, unless this side ended it, which says nothing about the endpoint's health.
-// With the lock.
+// dialFailed counts a failed dial, unless this side ended it, which indicates nothing about the endpoint's health. It
+// is called with the lock held.
 func (p *Pool) dialFailed(ctx context.Context, addr string, err error, now time.Time) error {
 	deadlinePassed := errors.Is(context.Cause(ctx), ErrDeadline)
 	if deadlinePassed {
--- a/internal/platform/upstream/answer.go
+++ b/internal/platform/upstream/answer.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// maxAnswerBytes bounds what one call may read: header lines, interim answers and body. That of an opened call's
-	// body is its caller's to bound.
+	// maxAnswerBytes bounds what is read for one call: header lines, interim responses and body. The caller bounds
+	// the body of an opened call itself.
 	maxAnswerBytes = 128 << 10
-	// firstLineBytes is how much of an answer is retained to see what its first line says.
+	// firstLineBytes is how many bytes of a response are retained for parsing its status line.
 	firstLineBytes = 128
-	// keepAliveMargin is how long before the far side closes an idle connection it is no longer used.
+	// keepAliveMargin is how long before the endpoint closes an idle connection it is no longer used.
 	keepAliveMargin = 400 * time.Millisecond
-	// maxKeepAlive is the longest time, in seconds, that is taken from a Keep-Alive header.
+	// maxKeepAlive bounds the timeout, in seconds, that is accepted from a Keep-Alive header.
 	maxKeepAlive = 1e6
 )
 
-// answerReader bounds an answer and retains how it begins.
+// answerReader limits the size of a response and retains its first bytes.
 type answerReader struct {
 	netConn   net.Conn
 	remaining int    // bytes that may still be read
 	head      []byte // the first bytes, up to firstLineBytes
 }
 
-// begin prepares for the next answer.
+// begin prepares for the next response.
 func (r *answerReader) begin() { r.remaining, r.head = maxAnswerBytes, r.head[:0] }
 
-// Read reads from the connection, up to the bound.
+// Read reads from the connection, up to the limit.
 func (r *answerReader) Read(b []byte) (int, error) {
 	if r.remaining <= 0 {
 		return 0, errTooLong
@@ -41,15 +41,16 @@
 	return n, err
 }
 
-// delivered reports whether the first line of the answer says 200. That is so also if the rest can't be read.
+// delivered reports whether the response has a complete status line with status 200, even if the rest can't be read.
 func (r *answerReader) delivered() bool {
-	line, _, complete := strings.Cut(string(r.head), "\n") // a line that was cut off proves nothing
+	line, _, complete := strings.Cut(string(r.head), "\n") // a truncated line proves nothing
 	version, status, _ := strings.Cut(line, " ")
 	status, _, _ = strings.Cut(strings.TrimSuffix(status, "\r"), " ")
 	return complete && (version == "HTTP/1.1" || version == "HTTP/1.0") && status == "200"
 }
 
-// parseKeepAlive returns for how long the far side keeps an idle connection, less a margin; 0 if it doesn't say.
+// parseKeepAlive returns how long the endpoint keeps an idle connection open, less a margin; 0 if the header has no
+// timeout.
 func parseKeepAlive(h http.Header) time.Duration {
 	for _, line := range h["Keep-Alive"] {
 		for field := range strings.SplitSeq(line, ",") {
--- a/internal/platform/upstream/call.go
+++ b/internal/platform/upstream/call.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// maxInterimAnswers is how many 1xx answers may come before the one that counts.
+	// maxInterimAnswers is how many 1xx responses may precede the final one.
 	maxInterimAnswers = 5
-	// maxInlineWrite is how many bytes a request may have that is written before its answer is read: any kernel
-	// buffers that much of a connection on which nothing is in flight. A longer one is written beside the reading, as
-	// its answer may come early.
+	// maxInlineWrite is the largest request, in bytes, that is written before its response is read: the kernel's send
+	// buffer holds that much on a connection with nothing in flight. A longer request is written concurrently with
+	// reading, as the endpoint may respond early.
 	maxInlineWrite = 8 << 10
-	// readAfterWriteError is how long an answer may still come once the request can't be written.
+	// readAfterWriteError is how long to wait for a response after writing the request has failed.
 	readAfterWriteError = 200 * time.Millisecond
-	// minProbe and maxProbe bound how long the end of a request is delayed. A reset takes a round trip, which a
-	// handshake takes too.
+	// minProbe and maxProbe bound how long the end of a request is delayed. A reset takes one round trip, as a
+	// handshake does.
 	minProbe = time.Millisecond
 	maxProbe = 5 * time.Millisecond
 )
 
-// Send writes a call and reads the head of its answer, once: nothing is ever sent again. It ends with the context.
-// Its error is a *CallError.
+// Send writes a request and reads the head of its response. It never retries. It is interrupted when the context
+// ends. Its error is a *CallError.
 func (c *Conn) Send(ctx context.Context, req *http.Request) (*http.Response, error) {
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
@@ -38,13 +38,14 @@
 	return c.send(ctx, req, out.Bytes(), nil)
 }
 
-// Open is Send for a call that is already encoded, in two pieces of which the second may be empty, and whose answer
-// the caller reads as it comes, without a bound on its body. It ends at a deadline, if that is not zero, and with the
-// context. Both pieces are in use until Release. Once the body was read to its end, MarkComplete has to be called.
+// Open is Send for a request that is already encoded, in two pieces of which the second may be empty. The caller
+// reads the response as a stream, without a bound on its body. It ends at the deadline, if that is not zero, and with
+// the context. Both pieces must not be modified until Release. After reading the body to its end, the caller must
+// call MarkComplete.
 func (c *Conn) Open(ctx context.Context, method string, head, body []byte, deadline time.Time) (*http.Response, error) {
 	c.hasDeadline, c.deadline = !deadline.IsZero(), deadline
 	if c.hasDeadline {
-		_ = c.netConn.SetDeadline(deadline) // on a closed connection the write below fails, too
+		_ = c.netConn.SetDeadline(deadline) // on a closed connection the write below fails too
 	}
 	c.request = http.Request{Method: method}
 	resp, err := c.send(ctx, &c.request, head, body)
@@ -54,8 +55,8 @@
 	return resp, err
 }
 
-// NextAnswer reads one more answer to an opened call, after the body of the one before was read to its end. No other
-// call follows on the connection.
+// NextAnswer reads one more response to an opened call, after the body of the previous one was read to its end. The
+// connection is not reused afterwards.
 func (c *Conn) NextAnswer() (*http.Response, error) {
 	c.readSurplus = true
 	c.answer.begin()
@@ -68,14 +69,14 @@
 	return resp, nil
 }
 
-// MarkComplete says that an opened call's answer was read to its end: another call may follow if the far side keeps
-// the connection.
+// MarkComplete reports that the response to an opened call was read to its end: the connection may be reused if the
+// endpoint keeps it open.
 func (c *Conn) MarkComplete(resp *http.Response) {
 	c.complete = !resp.Close && !c.readSurplus
 	c.keepAlive = parseKeepAlive(resp.Header)
 }
 
-// Body reads the rest of an answer, up to a number of bytes, while the context lasts.
+// Body reads the rest of a response, up to maxBytes bytes, until the context ends.
 func (c *Conn) Body(ctx context.Context, resp *http.Response, maxBytes int) ([]byte, error) {
 	stop := context.AfterFunc(ctx, c.interrupt)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(maxBytes)+1))
@@ -92,10 +93,10 @@
 	return body, err
 }
 
-// interrupt ends all reading and writing. On a closed connection that is so already.
+// interrupt fails all pending and later I/O. SetDeadline fails only on a closed connection, where I/O fails anyway.
 func (c *Conn) interrupt() { _ = c.netConn.SetDeadline(longAgo) }
 
-// send writes a call of two pieces and reads the head of its answer.
+// send writes a request given in two pieces and reads the head of its response.
 func (c *Conn) send(ctx context.Context, req *http.Request, first, second []byte) (*http.Response, error) {
 	c.inCall, c.sent, c.complete, c.readSurplus, c.written = true, false, false, false, nil
 	c.answer.begin()
@@ -119,7 +120,7 @@
 	return resp, nil
 }
 
-// writeRest writes what is left of a request, beside the reading of its answer if it is long.
+// writeRest writes the rest of a request; a long one is written concurrently with reading its response.
 func (c *Conn) writeRest(first, second []byte) error {
 	size := len(first) + len(second)
 	if size <= maxInlineWrite {
@@ -132,18 +133,18 @@
 	}
 	written := make(chan bool, 1)
 	c.written = written
-	go func() { // awaitWrite waits for its end
+	go func() { // awaitWrite waits for this goroutine
 		n, err := c.write(first, second)
-		if err != nil { // what the endpoint said before may still be read
-			_ = c.netConn.SetReadDeadline(time.Now().Add(readAfterWriteError)) // on a closed connection reads fail, too
+		if err != nil { // a response that the endpoint sent before may still be read
+			_ = c.netConn.SetReadDeadline(time.Now().Add(readAfterWriteError)) // on a closed connection reads fail too
 		}
 		written <- n == size
 	}()
 	return nil
 }
 
-// writeStart writes a request without its end, which it returns, and looks whether the connection is alive. The end
-// is the request's body, or its last byte if it has none.
+// writeStart writes a request without its end, which it returns, and checks that the connection is alive. The end is
+// the request's body, or its last byte if it has no body.
 func (c *Conn) writeStart(ctx context.Context, first, second []byte) (end []byte, err error) {
 	start, end := first, second
 	if len(end) == 0 {
@@ -155,17 +156,17 @@
 	return end, c.probe(ctx)
 }
 
-// probe waits for a reset or a close by the far side, for the time of a round trip or two. It returns nil if none
-// comes, or if the far side says something.
+// probe waits one or two round-trip times for the endpoint to reset or close the connection. It returns nil if
+// neither happens, or if the endpoint sends data.
 func (c *Conn) probe(ctx context.Context) error {
-	// Errors of setting deadlines are those of a closed connection, which Peek and the write that follows return.
+	// SetReadDeadline fails only on a closed connection, which Peek and the following write report.
 	_ = c.netConn.SetReadDeadline(time.Now().Add(min(max(2*c.dialTime, minProbe), maxProbe)))
 	_, err := c.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		err = nil
 	}
 	_ = c.netConn.SetReadDeadline(c.deadline)
-	if ctx.Err() != nil { // its end may have come before that line, which has then undone the interrupt
+	if ctx.Err() != nil { // the context may have ended before the line above, which then undid the interrupt
 		c.interrupt()
 		return context.Cause(ctx)
 	}
@@ -181,19 +182,19 @@
 	return int(n), err
 }
 
-// awaitWrite ends the writing of a request, and leaves in c.sent whether all of it went out.
+// awaitWrite stops writing a request and sets c.sent to whether it was written completely.
 func (c *Conn) awaitWrite() {
 	if c.written == nil {
 		return
 	}
-	_ = c.netConn.SetWriteDeadline(longAgo) // there is no answer, or one that did not wait for the rest
+	_ = c.netConn.SetWriteDeadline(longAgo) // there is no response, or one that did not wait for the rest of the request
 	c.sent, c.written = <-c.written, nil
 	if c.sent {
-		_ = c.netConn.SetWriteDeadline(time.Time{}) // if that fails the next call's write does
+		_ = c.netConn.SetWriteDeadline(time.Time{}) // if this fails, the next call's write fails too
 	}
 }
 
-// readHead reads up to the body of the answer that counts.
+// readHead reads the head of the final response, skipping interim ones.
 func (c *Conn) readHead(req *http.Request) (*http.Response, error) {
 	for range maxInterimAnswers + 1 {
 		resp, err := http.ReadResponse(c.reader, req)
@@ -202,15 +203,15 @@
 		}
 		switch {
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errors.New("the endpoint wants another protocol")
+			return nil, errors.New("the endpoint switched to another protocol (status 101)")
 		case resp.StatusCode >= 200:
 			return resp, nil
 		}
 		c.answer.head = c.answer.head[:0]
-		if n := c.reader.Buffered(); n > 0 { // the next answer came with it
-			ahead, _ := c.reader.Peek(min(n, firstLineBytes)) // no error: so much is buffered
+		if n := c.reader.Buffered(); n > 0 { // the next response arrived with this one
+			ahead, _ := c.reader.Peek(min(n, firstLineBytes)) // can't fail: these bytes are buffered
 			c.answer.head = append(c.answer.head, ahead...)
 		}
 	}
-	return nil, errors.New("too many interim answers")
+	return nil, errors.New("too many interim (1xx) responses")
 }
--- a/internal/platform/upstream/conn.go
+++ b/internal/platform/upstream/conn.go
@@ -13,39 +13,40 @@
 const (
 	// readBuffer is the size of a connection's read buffer, in bytes.
 	readBuffer = 2 << 10
-	// maxCarriedIDs is how many ids a connection remembers; it is closed rather than forget one.
+	// maxCarriedIDs is how many request IDs a connection records; when that is exceeded, the connection is closed
+	// instead.
 	maxCarriedIDs = 8
 )
 
-// longAgo is a deadline that ends all I/O at once.
+// longAgo is a deadline that fails all I/O at once.
 var longAgo = time.Unix(1, 0)
 
-// Conn is one connection to an endpoint, lent to one call. It is not safe for concurrent use.
+// Conn is a connection to an endpoint, in use by one call at a time. It is not safe for concurrent use.
 type Conn struct {
 	pool       *Pool
 	netConn    net.Conn
 	answer     *answerReader
-	reader     *bufio.Reader // of answer
-	epoch      int           // of the endpoint's process that it leads to
+	reader     *bufio.Reader // reads from answer
+	epoch      int           // the pool's epoch when it was dialed
 	dialedAt   time.Time     // when its dial began
 	dialTime   time.Duration // how long the dial took: about one round trip
-	idleSince  time.Time     // when it was released last
-	idleBefore time.Duration // how long it was idle before this call; negative if it is new
-	keepAlive  time.Duration // for how long the far side said that it keeps an idle connection; 0: it said nothing
-	carriedIDs []string      // of earlier calls that may be sent again under the same id
-	closeAfter bool          // it is closed after this call, whatever happens
-
-	// Of this call.
-	inCall      bool         // a call was sent, or its sending was tried
-	sent        bool         // its last byte was written
-	complete    bool         // the answer was read to its end, and the far side keeps the connection
-	stopCancel  func() bool  // ends the watch over the call's context
-	written     chan bool    // gets whether all of the call was written, once; nil where that is known
-	request     http.Request // of an opened call, for reading its answers
-	readSurplus bool         // an answer came that was not this call's
+	idleSince  time.Time     // when it was last released
+	idleBefore time.Duration // how long it was idle before this call; negative if new
+	keepAlive  time.Duration // how long the endpoint keeps an idle connection open, by its Keep-Alive header; 0: unknown
+	carriedIDs []string      // IDs of earlier calls that may be retried with the same ID
+	closeAfter bool          // close after this call, whatever its outcome
+
+	// State of the current call.
+	inCall      bool         // sending a request was attempted
+	sent        bool         // the last byte of the request was written
+	complete    bool         // the response was read to its end, and the endpoint keeps the connection open
+	stopCancel  func() bool  // stops watching the call's context
+	written     chan bool    // receives once whether the request was written completely; nil if that is known
+	request     http.Request // of an opened call, for reading its responses
+	readSurplus bool         // NextAnswer has read a second response
 	hasDeadline bool         // deadlines are set on the connection
 	deadline    time.Time    // of an opened call; zero: none
-	delayEnd    bool         // the end of this call waits until the connection has shown that it is alive
+	delayEnd    bool         // hold back the end of the request until the connection was probed
 }
 
 func newConn(p *Pool, netConn net.Conn, dialedAt time.Time) *Conn {
@@ -61,8 +62,8 @@
 	}
 }
 
-// Remember notes the id of a call that has ended on this connection and may be sent again under the same id: a late
-// duplicate of its answer could not be told from the answer to the next sending.
+// Remember records the ID of a call that has ended on this connection and may be retried with the same ID: a late
+// duplicate of its response could not be distinguished from the response to the retry.
 func (c *Conn) Remember(id string) {
 	if len(c.carriedIDs) == maxCarriedIDs {
 		c.closeAfter = true
@@ -71,21 +72,22 @@
 	c.carriedIDs = append(c.carriedIDs, id)
 }
 
-// HasCarried reports whether an id was remembered: a call with that id has to go over another connection.
+// HasCarried reports whether an ID was recorded: a call with that ID must use another connection.
 func (c *Conn) HasCarried(id string) bool { return slices.Contains(c.carriedIDs, id) }
 
-// Retire has the connection closed when it is released.
+// Retire makes Release close the connection.
 func (c *Conn) Retire() { c.closeAfter = true }
 
-// DelayEnd is for a call that may not run twice. On a connection that was idle for long the end of the request
-// follows its start only after the time of a round trip or two. If the far side has forgotten the connection, its
-// reset comes first, and the call was surely not received completely: it may be sent again.
+// DelayEnd is for a call that must not run twice. On a connection that was idle for freshIdle or longer, the end of
+// the request is sent only one or two round-trip times after its start. If the other side no longer has the
+// connection, its reset arrives first, which proves that the request was not received completely: it can be retried
+// safely.
 func (c *Conn) DelayEnd() { c.delayEnd = c.idleBefore >= freshIdle }
 
-// Reused reports whether the connection was there before this call.
+// Reused reports whether the connection was open before this call.
 func (c *Conn) Reused() bool { return c.idleBefore >= 0 }
 
-// maxIdle returns how long the connection may stand idle: a limit, or less where the far side has said less.
+// maxIdle returns how long the connection may stay idle: limit, or less if the endpoint's Keep-Alive header says so.
 func (c *Conn) maxIdle(limit time.Duration) time.Duration {
 	if c.keepAlive > 0 {
 		return min(limit, c.keepAlive)
@@ -93,8 +95,8 @@
 	return limit
 }
 
-// endCall ends the call and reports whether another may follow on the connection: the request was written and the
-// answer read, each to its end, and nothing came behind it.
+// endCall ends the call and reports whether the connection can be reused: the request was written and the response
+// read, both completely, and no data followed.
 func (c *Conn) endCall() bool {
 	if !c.inCall {
 		return !c.closeAfter
@@ -111,7 +113,7 @@
 	return true
 }
 
-// close closes the connection. An error would tell nothing: no byte of a call is pending on it.
+// close closes the connection. Errors are ignored: no data of a call is pending on it.
 func (c *Conn) close() { _ = c.netConn.Close() }
 
 func closeAll(conns []*Conn) {
@@ -120,12 +122,12 @@
 	}
 }
 
-// quiet reports, without waiting, whether the far side has said nothing since the last answer: it has neither closed
-// the connection nor sent bytes that nobody asked for.
+// quiet reports, without blocking, whether the endpoint has sent nothing since the last response: it has neither
+// closed the connection nor sent unsolicited data.
 func (c *Conn) quiet() bool {
 	sc, ok := c.netConn.(syscall.Conn)
 	if !ok {
-		return true // it can't be looked at
+		return true // the socket can't be inspected
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
--- a/internal/platform/upstream/conn_test.go
+++ b/internal/platform/upstream/conn_test.go
@@ -25,18 +25,18 @@
 	}
 }
 
-// standIn is an endpoint on loopback that serves each connection by a function.
-type standIn struct {
+// testServer is an endpoint on loopback that calls serve for each connection.
+type testServer struct {
 	addr  string
-	conns atomic.Int64 // so far
+	conns atomic.Int64 // accepted so far
 	open  atomic.Int64
 }
 
-func newStandIn(t *testing.T, serve func(n int64, conn net.Conn, r *bufio.Reader)) *standIn {
+func newTestServer(t *testing.T, serve func(n int64, conn net.Conn, r *bufio.Reader)) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	s := &standIn{addr: l.Addr().String()}
+	s := &testServer{addr: l.Addr().String()}
 	var running sync.WaitGroup
 	var mu sync.Mutex
 	all := map[net.Conn]bool{} // nil: the test has ended
@@ -52,7 +52,7 @@
 				all[conn] = true
 			}
 			mu.Unlock()
-			if ended { // nobody would close it, and its server would wait for ever
+			if ended { // the clean-up would not close it, and its server would wait forever
 				_ = conn.Close()
 				return
 			}
@@ -89,7 +89,7 @@
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// answers serves calls with the same answer for as long as they come.
+// answers returns a server that sends the same response to each request.
 func answers(answer string) func(int64, net.Conn, *bufio.Reader) {
 	return func(_ int64, conn net.Conn, r *bufio.Reader) {
 		for readCall(r) == nil {
@@ -123,7 +123,7 @@
 	return req
 }
 
-// call makes one call and gives its connection back.
+// call makes one call and releases its connection.
 func call(t *testing.T, p *Pool, body int) (status int, reused bool, err error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -144,7 +144,7 @@
 	return resp.StatusCode, reused, nil
 }
 
-// wantStats compares what the pools count with open, idle, opened, reused and broken.
+// wantStats compares the counts of the pools with open, idle, opened, reused and broken.
 func wantStats(t *testing.T, ps *Pools, open, idle int, opened, reused, broken int64) {
 	t.Helper()
 	o := ps.Stats(10)
@@ -154,30 +154,30 @@
 	}
 }
 
-// After each answer, whether another call may follow on its connection.
+// A connection is reused only after a complete and well-formed response with nothing following it.
 func TestConnectionIsReusedOnlyAfterACleanEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		status int
 		keep   bool
 	}{
-		"clean":           {ok200, 200, true},
-		"empty":           {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", 503, true},
-		"chunked":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 200, true},
-		"interim":         {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n" + ok200, 200, true},
-		"says close":      {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 200, false},
-		"old":             {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", 200, false},
-		"bytes behind":    {ok200 + "x", 200, false},
-		"answer behind":   {ok200 + ok200, 200, false},
-		"too long":        {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), 200, false},
-		"endless":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20), 200, false},
-		"endless head":    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: "+strings.Repeat("x", 1000)+"\r\n", 300), 0, false},
-		"endless interim": {strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 50) + ok200, 0, false},
-		"switching":       {"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", 0, false},
-		"spoilt":          {"what?\r\n\r\n", 0, false},
+		"clean":                    {ok200, 200, true},
+		"empty":                    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", 503, true},
+		"chunked":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 200, true},
+		"interim":                  {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n" + ok200, 200, true},
+		"Connection: close":        {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 200, false},
+		"HTTP/1.0":                 {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", 200, false},
+		"bytes after the response": {ok200 + "x", 200, false},
+		"second response":          {ok200 + ok200, 200, false},
+		"too long":                 {"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), 200, false},
+		"endless":                  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20), 200, false},
+		"endless head":             {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: "+strings.Repeat("x", 1000)+"\r\n", 300), 0, false},
+		"endless interim":          {strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 50) + ok200, 0, false},
+		"switching":                {"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", 0, false},
+		"malformed":                {"what?\r\n\r\n", 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandIn(t, answers(c.answer))
+			s := newTestServer(t, answers(c.answer))
 			ps := newPools(t, nil)
 			p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 			status, _, err := call(t, p, 10)
@@ -187,7 +187,7 @@
 			if idle := ps.Stats(1).Pools[0].Idle; idle == 1 != c.keep {
 				t.Errorf("%d connections retained, want retained: %v", idle, c.keep)
 			}
-			// The next call never gets what came behind the answer before.
+			// The next call must not receive data that followed this response.
 			if _, reused, _ := call(t, p, 10); reused != c.keep {
 				t.Errorf("reused: %v", reused)
 			}
@@ -195,9 +195,9 @@
 	}
 }
 
-// The first line tells of a delivery also when the rest can't be read; that of an
-// interim answer tells nothing.
-func TestFirstLineOfABrokenAnswer(t *testing.T) {
+// A complete status line proves delivery even if the rest of the response can't be read; that of an interim response
+// doesn't.
+func TestStatusLineOfABrokenResponse(t *testing.T) {
 	for answer, want := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Len": true,
 		"HTTP/1.1 200":                   false,
@@ -205,35 +205,35 @@
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Len": true,
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 20":                    false,
 	} {
-		s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			if readCall(r) == nil {
 				_, _ = io.WriteString(conn, answer)
 			}
 		})
 		_, _, err := call(t, newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr}), 10)
-		var broke *CallError
-		if !errors.As(err, &broke) || !broke.Sent || broke.Delivered != want {
-			t.Errorf("%q: %+v, want sent, delivered %v", answer, broke, want)
+		var callErr *CallError
+		if !errors.As(err, &callErr) || !callErr.Sent || callErr.Delivered != want {
+			t.Errorf("%q: %+v, want sent, delivered %v", answer, callErr, want)
 		}
 	}
 }
 
-// Whatever the far side has said of an idle connection is seen at the moment of use.
+// A connection that was closed, was reset, or has received data while idle is detected before it is reused.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
-		"closed": func(c net.Conn) { _ = c.Close() },
-		"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
-		"spoke":  func(c net.Conn) { _, _ = io.WriteString(c, ok200) },
+		"closed":    func(c net.Conn) { _ = c.Close() },
+		"reset":     func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
+		"sent data": func(c net.Conn) { _, _ = io.WriteString(c, ok200) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			ended := make(chan struct{})
-			s := newStandIn(t, func(n int64, conn net.Conn, r *bufio.Reader) {
+			s := newTestServer(t, func(n int64, conn net.Conn, r *bufio.Reader) {
 				for readCall(r) == nil {
 					_, _ = io.WriteString(conn, ok200)
 					if n == 1 {
 						end(conn)
 						close(ended)
-						_, _ = r.ReadByte() // until the other side closes
+						_, _ = r.ReadByte() // until the client closes
 						return
 					}
 				}
@@ -253,26 +253,26 @@
 	}
 }
 
-// A call that breaks before its last byte never ran; after that it may have, and its
-// bytes go out once.
-func TestBrokenCallSaysWhetherItWasSent(t *testing.T) {
+// A call that breaks before its last byte is reported as not sent; after that it may have been executed, and it is
+// not sent again.
+func TestBrokenCallReportsWhetherItWasSent(t *testing.T) {
 	t.Run("reset half way", func(t *testing.T) {
-		s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = r.ReadByte()
 			_ = conn.(*net.TCPConn).SetLinger(0)
 		})
 		ps := newPools(t, nil)
 		_, _, err := call(t, ps.Endpoint(Endpoint{Name: "e", Addr: s.addr}), 32<<20) // more than any buffer holds
-		var broke *CallError
-		if !errors.As(err, &broke) || broke.Sent {
-			t.Errorf("%v, want a call that was not written", err)
+		var callErr *CallError
+		if !errors.As(err, &callErr) || callErr.Sent {
+			t.Errorf("%v, want a call that was not sent", err)
 		}
 		wantStats(t, ps, 0, 0, 1, 0, 0)
 	})
 	for name, body := range map[string]int{"short": 10, "long": 60 << 10} {
 		t.Run("reset after the last byte, "+name, func(t *testing.T) {
 			var copies atomic.Int64
-			s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+			s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 				for i := 0; readCall(r) == nil; i++ {
 					copies.Add(1)
 					if i == 1 {
@@ -287,33 +287,33 @@
 			_, _, err := call(t, p, body)
 			must(t, err)
 			_, reused, err := call(t, p, body)
-			var broke *CallError
-			if !errors.As(err, &broke) || !broke.Sent || broke.Delivered || !reused {
+			var callErr *CallError
+			if !errors.As(err, &callErr) || !callErr.Sent || callErr.Delivered || !reused {
 				t.Errorf("%v, reused %v; want a sent call that broke on a reused connection", err, reused)
 			}
 			if n := copies.Load(); n != 2 {
-				t.Errorf("%d requests came for 2 calls", n)
+				t.Errorf("%d requests were received for 2 calls", n)
 			}
 			wantStats(t, ps, 0, 0, 1, 1, 1)
 		})
 	}
 	t.Run("accepted and closed at once", func(t *testing.T) {
-		s := newStandIn(t, func(int64, net.Conn, *bufio.Reader) {})
+		s := newTestServer(t, func(int64, net.Conn, *bufio.Reader) {})
 		ps := newPools(t, nil)
 		for range 3 {
 			if _, _, err := call(t, ps.Endpoint(Endpoint{Name: "e", Addr: s.addr}), 10); err == nil {
-				t.Error("a call went well")
+				t.Error("a call succeeded")
 			}
 		}
 		wantStats(t, ps, 0, 0, 3, 0, 0)
 	})
 }
 
-// An endpoint may answer without reading to the end. The answer counts, the connection
-// does not, and nothing goes on writing.
-func TestAnswerBeforeTheRequestIsWritten(t *testing.T) {
+// An endpoint may respond without reading the whole request. The response counts, the connection is not reused, and
+// writing stops.
+func TestResponseBeforeTheRequestIsWritten(t *testing.T) {
 	release := make(chan struct{})
-	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+	s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 		<-release
@@ -321,15 +321,15 @@
 	ps := newPools(t, nil)
 	status, _, err := call(t, ps.Endpoint(Endpoint{Name: "e", Addr: s.addr}), 32<<20)
 	if status != 503 || err != nil {
-		t.Errorf("%d, %v, want the early answer", status, err)
+		t.Errorf("%d, %v, want the early response", status, err)
 	}
 	wantStats(t, ps, 0, 0, 1, 0, 0)
 	close(release)
 }
 
-// A long request whose answer comes when it has been read keeps its connection.
+// The connection of a long request is reused if the response follows the complete request.
 func TestLongRequestKeepsItsConnection(t *testing.T) {
-	s := newStandIn(t, answers(ok200))
+	s := newTestServer(t, answers(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	for range 20 {
@@ -339,11 +339,10 @@
 	wantStats(t, ps, 1, 1, 1, 19, 0)
 }
 
-// A machine that says nothing any more holds a call no longer than its time, and its
-// connection is closed then.
+// A call to an unresponsive endpoint ends with its context, and its connection is closed.
 func TestUnresponsiveEndpointTimesOut(t *testing.T) {
 	closed := make(chan struct{})
-	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+	s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		_, _ = io.Copy(io.Discard, r)
 		close(closed)
 	})
@@ -361,9 +360,9 @@
 	wantStats(t, ps, 0, 0, 1, 0, 0)
 }
 
-// A body that comes too slowly ends with its context; its connection is not retained.
+// Reading a body that arrives too slowly ends with the context; the connection is not retained.
 func TestSlowBodyTimesOut(t *testing.T) {
-	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+	s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		if readCall(r) == nil {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			_, _ = r.ReadByte()
@@ -378,17 +377,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(0, cancel)
 	if _, err := c.Body(ctx, resp, 100); err == nil {
-		t.Error("half a body was read as a whole")
+		t.Error("an incomplete body was read without an error")
 	}
 	c.Release(Broken)
 	wantStats(t, ps, 0, 0, 1, 0, 0)
 }
 
-// The answer to one call never reaches the next, however fast the connection changes
-// hands: an endpoint that sends its answers twice delivers nothing that it did not read.
-func TestAnswersNeverGoToTheNextCall(t *testing.T) {
+// The response to one call never reaches the next call, even if connections are reused at once: an endpoint that
+// sends each response twice never completes more calls than it has read.
+func TestResponsesNeverReachTheNextCall(t *testing.T) {
 	var read atomic.Int64
-	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+	s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		for readCall(r) == nil {
 			read.Add(1)
 			_, _ = fmt.Fprint(conn, ok200, ok200)
@@ -402,6 +401,6 @@
 		}
 	}
 	if n := read.Load(); n < good {
-		t.Errorf("%d calls were answered and %d were read", good, n)
+		t.Errorf("%d calls got a response, but only %d were read", good, n)
 	}
 }
--- a/internal/platform/upstream/decay.go
+++ b/internal/platform/upstream/decay.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// decayingSum is a sum in which a summand counts for half after a half-life, and for less and less later.
+// decayingSum is a sum whose summands decay exponentially with a half-life.
 type decayingSum struct {
 	sum       float64
 	decayedAt time.Time
--- a/internal/platform/upstream/doc.go
+++ b/internal/platform/upstream/doc.go
@@ -1,18 +1,18 @@
-// Package upstream keeps the connections to endpoints. It lends one to each call and takes it back, and learns from
-// how calls end how long a connection may stand idle and how many an endpoint holds. It never decides on a call, and
-// never sends one again.
+// Package upstream pools the connections to endpoints. It hands out one connection per call and, from the outcomes of
+// calls, learns how long a connection may stay idle and how many connections an endpoint accepts. It makes no decision
+// about a call and never retries one.
 //
-// The proxy of the tier has Pools for the endpoints of its configuration, the delivery node for its destinations. A
-// Pool has the connections to one endpoint; a Conn belongs to one call from Acquire to Release.
+// The tier's proxy uses Pools for the endpoints of its configuration, the delivery node for its destinations. A Pool
+// holds the connections to one endpoint; a Conn belongs to one call from Acquire to Release.
 //
 // # Invariants
 //
-//   - Another call follows on a connection only if the request before it was written and its answer read, each to its
-//     end, and nothing came behind the answer.
-//   - A CallError whose Sent is false proves that the endpoint has not received the call completely, so that it can't
-//     run.
-//   - Pools never have more connections than Config.MaxOpen, those that are being opened among them.
-//   - Nothing that was learnt about an endpoint outlives its address or its process.
+//   - A connection is reused only if its last request was written and the response read, both completely, and no data
+//     followed the response.
+//   - A CallError with Sent false proves that the endpoint has not received the complete request, so that it can't
+//     execute it.
+//   - Pools never have more than Config.MaxOpen connections, including those being opened.
+//   - State learned about an endpoint is dropped when its address changes or its process restarts.
 //
-// docs/upstream.md says how connections are kept; docs/calls.md says what proves that a request was not received.
+// docs/upstream.md describes the pooling; docs/calls.md describes what proves that a request was not received.
 package upstream
--- a/internal/platform/upstream/errors.go
+++ b/internal/platform/upstream/errors.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// The errors of Acquire, for errors.Is. Errors of dialing are passed on as they are, with the endpoint's address.
+// Errors of Acquire, for errors.Is. Errors of dialing are wrapped with the endpoint's address.
 var (
-	// ErrRemoved says that the endpoint is no longer listed, or has moved since the call was decided.
-	ErrRemoved = errors.New("the endpoint is gone")
-	// ErrBusy says that no connection became free in time, or that too many calls wait for one.
-	ErrBusy = errors.New("no connection to spare")
-	// ErrDeadline says that the call's deadline came before a connection did.
-	ErrDeadline = errors.New("no connection before the deadline")
+	// ErrRemoved is returned when the endpoint is no longer listed, or its address has changed during the dial.
+	ErrRemoved = errors.New("the endpoint was removed or has moved")
+	// ErrBusy is returned when no connection became free in time, or too many calls wait for one.
+	ErrBusy = errors.New("no free connection")
+	// ErrDeadline is returned when the call's deadline passes before a connection is available.
+	ErrDeadline = errors.New("no connection before the call's deadline")
 )
 
-var errTooLong = errors.New("the answer is too long")
+var errTooLong = errors.New("the response is too long")
 
-// CallError says how a call broke.
+// CallError describes why a call failed.
 type CallError struct {
-	Sent      bool // its last byte was written: it may have run. If not, it never will
-	Delivered bool // the first line of its answer says 200
-	Stale     bool // the connection had ended while it was idle, which says nothing about the endpoint
+	Sent      bool // the last byte was written: the request may have been executed; if false, it can't be
+	Delivered bool // a complete status line with status 200 was received
+	Stale     bool // the connection ended while it was idle, which indicates nothing about the endpoint
 	Err       error
 }
 
-// Error says whether the call was written, and what went wrong.
+// Error returns whether the request was written, and the cause.
 func (e *CallError) Error() string {
 	if !e.Sent {
-		return fmt.Sprintf("the call was not written: %v", e.Err)
+		return fmt.Sprintf("the request was not written completely: %v", e.Err)
 	}
-	return fmt.Sprintf("no answer that can be read: %v", e.Err)
+	return fmt.Sprintf("no readable response: %v", e.Err)
 }
 
 // Unwrap returns the cause.
--- a/internal/platform/upstream/golden_test.go
+++ b/internal/platform/upstream/golden_test.go
@@ -11,8 +11,8 @@
 	"dunetide/internal/lab/golden"
 )
 
-// The overview of pools, as the delivery node's console writes it. The golden files were written by the sources of
-// faf8ea2.
+// The JSON encoding of the overview, which the delivery node's console serves. The golden files were written by the
+// sources of faf8ea2.
 func TestGoldenOverview(t *testing.T) {
 	o := Overview{Open: 1, MaxOpen: 2, Waiting: 3, Omitted: 4, Pools: []Stat{
 		{"e", "a:1", 5, 6, 7, 8, 9, 10.5, 11, 12, 13, 14, 15, 16, true},
@@ -30,7 +30,7 @@
 	}
 }
 
-// What one process tells the next: it goes over as gob, whose names are those of the fields.
+// The gob encoding of the learned state, which one process passes to the next; gob uses the names of the fields.
 func TestGoldenMemory(t *testing.T) {
 	at := time.Date(2026, 6, 1, 12, 13, 14, 15, time.UTC)
 	memory := []Learnt{
--- a/internal/platform/upstream/idle.go
+++ b/internal/platform/upstream/idle.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// freshIdle is the idle time up to which a connection counts as good as new.
+	// freshIdle is the idle time below which a connection counts as fresh.
 	freshIdle = 75 * time.Millisecond
-	// idleSpans is how many spans of idle time are told apart, each twice as long as the one before.
+	// idleSpans is the number of idle time spans, each twice as long as the previous one.
 	idleSpans = 8
-	// idleDecay is after how long an observation counts for half. No more than maxUses count, so that connections of
-	// a span are tried again soon after they were given up.
+	// idleDecay is the half-life of an observation. At most maxUses count per span, so that connections of a span are
+	// tried again soon after the span was found bad.
 	idleDecay = 5 * time.Second
 	maxUses   = 16
-	// A span is bad when brokenShare more connections break in it than fresh ones do. In both, assumedGoodUses that
-	// went well are taken to have come before: one break tells nothing, and what has nearly decayed does not outweigh
-	// the next use.
+	// A span is bad when its break rate exceeds that of fresh connections by more than brokenShare. assumedGoodUses
+	// successful uses are added to both as a prior: a single break is not significant, and an almost decayed
+	// observation does not outweigh the next use.
 	assumedGoodUses = 6
 	brokenShare     = 0.15
-	// minOwnUses of one endpoint in a span weigh more than what all endpoints show.
+	// minOwnUses is how many uses of one endpoint in a span take precedence over the statistics of all endpoints.
 	minOwnUses = 4
 )
 
-// idleLimit learns how long a connection may stand idle and still be used. The settings say when the far side closes
-// it at the latest; where something on the way forgets it sooner, that shows only when a call on it breaks, and a
-// call that broke may have run. So it is learnt from calls on connections that were idle for longer or shorter.
+// idleLimit learns how long a connection may stay idle and still be used. The settings give when the endpoint closes
+// it at the latest. If a middlebox drops it earlier, that shows only when a call on it breaks, and such a call may
+// have been executed. The limit is therefore learned from calls on connections with shorter and longer idle times.
 type idleLimit struct {
-	configured time.Duration // by the settings
+	configured time.Duration // limit from the settings
 
 	decayedAt time.Time // when the counts last decayed
 	spans     [idleSpans]spanCounts
 }
 
-// spanCounts are the calls on connections that were idle for times of one span. They decay.
+// spanCounts counts the calls on connections whose idle time was in one span. The counts decay.
 type spanCounts struct{ uses, broken float64 }
 
-// spanOf returns the span that an idle time falls in; the last one has no end.
+// spanOf returns the span of an idle time; the last span has no end.
 func spanOf(idle time.Duration) int {
 	span := 0
 	for end := freshIdle; span < idleSpans-1 && idle >= end; span++ {
@@ -45,7 +45,7 @@
 	return span
 }
 
-// observe notes how a call ended on a connection that was idle for a time.
+// observe records the outcome of a call on a connection that had been idle for some time.
 func (l *idleLimit) observe(idle time.Duration, broken bool, now time.Time) {
 	l.decay(now)
 	s := &l.spans[spanOf(idle)]
@@ -70,15 +70,16 @@
 	}
 }
 
-// isBad reports whether connections of a span break more than fresh ones do. It is known once there were enough uses.
+// isBad reports whether connections of a span break more often than fresh ones. known is false if there were fewer
+// than enough uses.
 func (l *idleLimit) isBad(span int, enough float64) (bad, known bool) {
 	fresh, old := l.spans[0], l.spans[span]
 	bad = old.broken/(old.uses+assumedGoodUses) > fresh.broken/(fresh.uses+assumedGoodUses)+brokenShare
 	return bad, old.uses >= enough
 }
 
-// limit returns the longest idle time at which connections are no worse than fresh ones. Where the endpoint itself
-// has shown little about a span, all endpoints together decide.
+// limit returns the longest idle time at which connections break no more often than fresh ones. For a span in which
+// this endpoint has too few uses, the statistics of all endpoints decide.
 func (l *idleLimit) limit(all *idleLimit, now time.Time) time.Duration {
 	l.decay(now)
 	all.decay(now)
--- a/internal/platform/upstream/idle_test.go
+++ b/internal/platform/upstream/idle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Connections that break when they were idle for long are not used at that age any
-// more, for a while; those that break at any age tell nothing of idle times.
+// If connections break after a long idle time, they are for a while not reused at that idle time; if they break at
+// any idle time, the limit doesn't change.
 func TestIdleLimitIsLearnt(t *testing.T) {
 	const configured = 12 * time.Second
 	now := time.Now()
@@ -31,15 +31,15 @@
 	}
 	now = now.Add(2 * idleDecay)
 	if got := l.limit(l, now); got != configured {
-		t.Errorf("limit %v long after, want the configured one", got)
+		t.Errorf("limit %v after two half-lives, want the configured one", got)
 	}
 	l.observe(200*time.Millisecond, false, now)
 	if got := l.limit(l, now); got != configured {
-		t.Errorf("limit %v after another good use, want the configured one", got)
+		t.Errorf("limit %v after another successful use, want the configured one", got)
 	}
 }
 
-// What one endpoint shows outweighs what all show, once it has shown enough.
+// The statistics of one endpoint take precedence over those of all endpoints once it has enough uses.
 func TestIdleLimitOfOneEndpoint(t *testing.T) {
 	const configured = 12 * time.Second
 	now := time.Now()
@@ -48,13 +48,13 @@
 		all.observe(200*time.Millisecond, true, now)
 	}
 	if got := own.limit(all, now); got != 2*freshIdle {
-		t.Errorf("limit %v with nothing of its own, want that of all, %v", got, 2*freshIdle)
+		t.Errorf("limit %v without uses of its own, want that of all endpoints, %v", got, 2*freshIdle)
 	}
 	for range minOwnUses {
 		own.observe(200*time.Millisecond, false, now)
 	}
 	if got := own.limit(all, now); got != configured {
-		t.Errorf("limit %v though its own connections are sound, want %v", got, configured)
+		t.Errorf("limit %v though its own connections don't break, want %v", got, configured)
 	}
 	now = now.Add(4 * idleDecay)
 	all.observe(200*time.Millisecond, false, now)
--- a/internal/platform/upstream/memory.go
+++ b/internal/platform/upstream/memory.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Learnt is what one process tells the next, which replaces it, about an endpoint's connections. That without a name
-// is what all endpoints show about idle ones.
+// Learnt is what a process passes to its replacement about an endpoint's connections. The entry without a name holds
+// the idle statistics of all endpoints together.
 //
-// It goes over as gob, which knows the names of the type and of its fields alone: they must not change.
+// It is encoded with gob, which identifies types and fields by name: the names must not change.
 type Learnt struct {
 	Name   string
 	Addr   string
 	Since  int64
 	Cap    float64
 	GrowAt time.Time
-	IdleAt time.Time // when the next two decayed last
-	Uses   []float64 // by span of idle time
+	IdleAt time.Time // when Uses and Broken were last decayed
+	Uses   []float64 // by idle time span
 	Broken []float64
 }
 
-// Memory returns what was learnt, for the process that replaces this one.
+// Memory returns the learned state, for the process that replaces this one.
 func (ps *Pools) Memory() []Learnt {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -36,7 +36,7 @@
 	return all
 }
 
-// Inherit takes over what another process had learnt. It has to be called before the first call of Endpoint.
+// Inherit loads the state that another process has learned. It must be called before the first call of Endpoint.
 func (ps *Pools) Inherit(memory []Learnt) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// inherit takes over what was learnt about this endpoint, if it still is the same one.
+// inherit loads the state learned about this endpoint if its address and its start time are unchanged.
 func (p *Pool) inherit(learnt Learnt) {
 	if learnt.Addr != p.endpoint.Addr || learnt.Since != p.endpoint.Since {
 		return
@@ -59,7 +59,7 @@
 	p.idleLimit.inherit(learnt)
 }
 
-// export adds the counts of idle times.
+// export adds the idle statistics to learnt.
 func (l *idleLimit) export(learnt Learnt) Learnt {
 	learnt.IdleAt = l.decayedAt
 	for _, s := range l.spans {
--- a/internal/platform/upstream/open_test.go
+++ b/internal/platform/upstream/open_test.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// postHead is the head of a request with a body of a length.
+// postHead returns the head of a POST request with a body of the given length.
 func postHead(length int) []byte {
 	return fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", length)
 }
 
-// open makes one call by Open and reads its answer to the end.
+// open makes one call with Open and reads its response to the end.
 func open(t *testing.T, p *Pool, deadline time.Time) (body string, reused bool, err error) {
 	t.Helper()
 	c, err := p.Acquire(t.Context())
@@ -38,10 +38,10 @@
 	return string(b), c.Reused(), err
 }
 
-// An opened call's answer has no bound, and its connection carries the next call if it ended well.
+// The response to an opened call has no size limit, and the connection is reused after a complete one.
 func TestOpenedCall(t *testing.T) {
 	long := strings.Repeat("0123456789", 100<<10)
-	s := newStandIn(t, answers(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)))
+	s := newTestServer(t, answers(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)))
 	p := newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	for n := range 3 {
 		body, reused, err := open(t, p, time.Now().Add(patience))
@@ -51,9 +51,9 @@
 	}
 }
 
-// A deadline ends a call, and leaves none on a connection that is retained.
+// A deadline ends a call, and is cleared on a connection that is retained.
 func TestDeadlineOfAnOpenedCall(t *testing.T) {
-	s := newStandIn(t, func(n int64, conn net.Conn, r *bufio.Reader) {
+	s := newTestServer(t, func(n int64, conn net.Conn, r *bufio.Reader) {
 		if n == 1 {
 			_, _ = io.Copy(io.Discard, r)
 			return
@@ -71,10 +71,10 @@
 			return last, nil
 		}
 	}).Endpoint(Endpoint{Name: "e", Addr: s.addr})
-	var broke *CallError
-	// Long enough that the request is written before it even on a machine with a load of a hundred.
+	var callErr *CallError
+	// One second is long enough that the request is written before the deadline even at a load average of 100.
 	_, _, err := open(t, p, time.Now().Add(time.Second))
-	if !errors.As(err, &broke) || !broke.Sent || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if !errors.As(err, &callErr) || !callErr.Sent || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
 	if _, _, err := open(t, p, time.Now().Add(patience)); err != nil || !last.deadline.IsZero() {
@@ -85,7 +85,7 @@
 	}
 }
 
-// timedConn remembers its deadline.
+// timedConn records its deadline.
 type timedConn struct {
 	*net.TCPConn
 	deadline time.Time
@@ -96,9 +96,9 @@
 	return c.TCPConn.SetDeadline(t)
 }
 
-// What belongs to an earlier call is read over, and the connection ends with this one.
-func TestAnswerToAnEarlierCallIsReadOver(t *testing.T) {
-	s := newStandIn(t, answers(ok200+strings.Replace(ok200, "ok", "me", 1)))
+// NextAnswer skips a response that belongs to an earlier call, and the connection is then not reused.
+func TestNextAnswerSkipsEarlierResponse(t *testing.T) {
+	s := newTestServer(t, answers(ok200+strings.Replace(ok200, "ok", "me", 1)))
 	p := newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	c := acquire(t, p)
 	resp, err := c.Open(t.Context(), http.MethodGet, []byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), nil, time.Time{})
@@ -117,7 +117,7 @@
 	}
 }
 
-// A connection is not used when the far side is about to close it, by its Keep-Alive header.
+// A connection is not reused shortly before the endpoint closes it according to its Keep-Alive header.
 func TestKeepAliveHeaderBoundsIdleTime(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"timeout=5":          5*time.Second - keepAliveMargin,
@@ -131,7 +131,7 @@
 			t.Errorf("%q: %v, want %v", header, got, want)
 		}
 	}
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	c := acquire(t, p)
@@ -145,13 +145,13 @@
 	endCallAs(c, Answered)
 	now.tick(4600 * time.Millisecond)
 	if acquire(t, p).Reused() {
-		t.Error("it was used when the far side closes it")
+		t.Error("it was reused when the endpoint closes it")
 	}
 }
 
-// No more connections than the list says; a call that gets none soon fails with ErrBusy.
+// A pool never exceeds MaxConns of its list entry; a call that gets no connection in time fails with ErrBusy.
 func TestListedMaxConnsIsNotExceeded(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, func(c *Config) { c.MaxWait = time.Millisecond })
 	p := ps.Endpoint(Endpoint{Name: "e", MaxConns: 2})
 	one, two := acquire(t, p), acquire(t, p)
@@ -159,8 +159,8 @@
 		t.Errorf("%v", err)
 	}
 	endCallAs(one, Answered)
-	if one = acquire(t, p); !one.Reused() || f.most != 2 {
-		t.Errorf("reused %v, %d at the most", one.Reused(), f.most)
+	if one = acquire(t, p); !one.Reused() || f.maxOpen != 2 {
+		t.Errorf("reused %v, %d at most", one.Reused(), f.maxOpen)
 	}
 	if ps.Endpoint(Endpoint{Name: "e", MaxConns: 3}) != p {
 		t.Fatal("another pool")
@@ -175,7 +175,7 @@
 	}
 }
 
-// patientConn makes reads wait longer than asked, so that a reset is in time on a busy machine too.
+// patientConn extends read deadlines, so that a reset arrives in time on a busy machine too.
 type patientConn struct{ *net.TCPConn }
 
 func (c patientConn) SetReadDeadline(t time.Time) error {
@@ -185,14 +185,13 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Endpoints that forget idle connections and reset them at the next byte: a call whose end is delayed was surely not
-// received, at whatever age of the connection. One that an endpoint has read completely is never reported as not
-// sent.
+// Some endpoints drop idle connections and reset them at the next byte: a call with DelayEnd is then reported as not
+// sent, whatever its size. A call that an endpoint has read completely is never reported as not sent.
 func TestDelayedEndFindsForgottenConnection(t *testing.T) {
 	for _, end := range []string{"reset", "close"} {
 		t.Run(end, func(t *testing.T) {
 			var whole atomic.Int64
-			s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+			s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 				if readCall(r) != nil {
 					return
 				}
@@ -230,8 +229,8 @@
 						c.Release(Answered)
 						continue
 					}
-					var broke *CallError
-					if !errors.As(err, &broke) || broke.Sent || !broke.Stale {
+					var callErr *CallError
+					if !errors.As(err, &callErr) || callErr.Sent || !callErr.Stale {
 						t.Errorf("%v, want a call that was not sent", err)
 					}
 					c.Release(Broken)
@@ -244,9 +243,9 @@
 	}
 }
 
-// An end that was held back follows, and the answer comes, also where the endpoint speaks before it.
+// With DelayEnd the end of the request follows, and the response arrives.
 func TestDelayedEndFollows(t *testing.T) {
-	s := newStandIn(t, answers(ok200))
+	s := newTestServer(t, answers(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	for call := range 20 {
@@ -266,9 +265,9 @@
 	wantStats(t, ps, 1, 1, 1, 19, 0)
 }
 
-// A call that is given up while its end is held back was not sent.
+// A call cancelled while its end is held back was not sent.
 func TestCancelBeforeTheDelayedEnd(t *testing.T) {
-	s := newStandIn(t, answers(ok200))
+	s := newTestServer(t, answers(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -277,9 +276,9 @@
 	c.idleBefore = freshIdle
 	c.DelayEnd()
 	cancel()
-	var broke *CallError
+	var callErr *CallError
 	head := []byte("POST / HTTP/1.1\r\nHost: h\r\n\r\n")
-	if _, err := c.Open(ctx, "POST", head, nil, time.Time{}); !errors.As(err, &broke) || broke.Sent {
+	if _, err := c.Open(ctx, "POST", head, nil, time.Time{}); !errors.As(err, &callErr) || callErr.Sent {
 		t.Errorf("%v, want a call that was not sent", err)
 	}
 	c.Release(Canceled)
--- a/internal/platform/upstream/partial_test.go
+++ b/internal/platform/upstream/partial_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// partialConn takes some bytes of what is written, and then it is reset.
+// partialConn writes some bytes and is then reset.
 type partialConn struct {
 	net.Conn
 	left int
@@ -31,9 +31,9 @@
 	return n, err
 }
 
-// A call of which a part was written, but not its last byte, was not sent, however long that part is.
-func TestPartThatWasWrittenIsNotTheWhole(t *testing.T) {
-	s := newStandIn(t, answers(ok200))
+// A request that was written only in part was not sent, even if just its last byte is missing.
+func TestPartlyWrittenRequestIsNotSent(t *testing.T) {
+	s := newTestServer(t, answers(ok200))
 	for _, body := range []string{"", "a body", strings.Repeat("b", 2*maxInlineWrite)} {
 		head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body))
 		size := len(head) + len(body)
@@ -53,12 +53,12 @@
 			c, err := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr}).Acquire(t.Context())
 			must(t, err)
 			resp, err := c.Open(t.Context(), "POST", []byte(head), []byte(body), time.Now().Add(patience/4))
-			var broke *CallError
+			var callErr *CallError
 			switch {
 			case err == nil:
 				_, _ = io.Copy(io.Discard, resp.Body)
-				t.Errorf("%d of %d bytes were written, and an answer came", part, size)
-			case !errors.As(err, &broke) || broke.Sent:
+				t.Errorf("%d of %d bytes were written, but a response arrived", part, size)
+			case !errors.As(err, &callErr) || callErr.Sent:
 				t.Errorf("%d of %d bytes were written: %v, want a call that was not sent", part, size, err)
 			}
 			c.Release(Broken)
--- a/internal/platform/upstream/pool.go
+++ b/internal/platform/upstream/pool.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// Outcome says how a call ended, as far as its connection shows it.
+// Outcome is how a call ended, as far as its connection shows.
 type Outcome int
 
 // The outcomes of a call.
 const (
 	Unused   Outcome = iota // nothing was sent
-	Answered                // whatever the answer says
-	Rejected                // turned away without a time to wait: by a limit, a full queue, or too many connections
+	Answered                // a response was received, whatever its status
+	Rejected                // rejected without a retry time: by a limit, a full queue, or too many connections
 	Broken                  // reset, closed or unreadable
 	Canceled                // by this side
 )
 
-// Pool has the connections to one endpoint.
+// Pool holds the connections to one endpoint.
 type Pool struct {
 	pools *Pools
 
-	// The lock of pools guards the rest.
+	// The fields below are guarded by pools.mu.
 	endpoint      Endpoint
-	epoch         int     // grows when the endpoint is another one: it was listed again or has moved
-	removed       bool    // no longer listed: nothing is opened or retained
-	idle          []*Conn // the longest idle first
+	epoch         int     // incremented when the endpoint is listed again or its address changes
+	removed       bool    // no longer listed: no connection is opened or retained
+	idle          []*Conn // longest idle first
 	inUse         int
 	dialing       int
-	waiting       []chan struct{} // for a connection under the cap, the longest first
+	waiting       []chan struct{} // calls that wait for a connection under the cap, longest first
 	idleLimit     idleLimit
 	sizing        sizing
 	demand        demand
-	uses          decayingSum // of late
-	preconnecting bool        // a connection is being opened before it is needed
+	uses          decayingSum // recent calls
+	preconnecting bool        // a connection is being opened ahead of demand
 	failedAt      time.Time
 	counts        counts
 }
 
-// counts are since the pool was made.
+// counts holds totals since the pool was created.
 type counts struct{ opened, reused, broken, refused, preconnected int64 }
 
-// update takes over what a list says of the endpoint. It returns connections to be closed. With the lock.
+// update applies a new list entry of the endpoint. It returns connections for the caller to close. It is called with
+// the lock held.
 func (p *Pool) update(e Endpoint) (outdated []*Conn) {
 	p.endpoint.MayPreconnect = e.MayPreconnect
 	if !p.removed && p.endpoint.Addr == e.Addr && p.endpoint.Since == e.Since && p.endpoint.MaxConns == e.MaxConns {
@@ -54,7 +55,7 @@
 		p.epoch++
 		outdated = p.removeIdle()
 		p.resetLearnt()
-	case p.endpoint.Since < e.Since: // what was opened since then leads to the new process
+	case p.endpoint.Since < e.Since: // connections opened since then are to the new process
 		p.endpoint.Since = e.Since
 		p.idle = slices.DeleteFunc(p.idle, func(c *Conn) bool {
 			if !p.isOutdated(c) {
@@ -67,24 +68,25 @@
 		p.resetLearnt()
 	}
 	p.endpoint.Addr, p.endpoint.Since = e.Addr, e.Since
-	p.wakeAll() // their address may be another one
+	p.wakeAll() // the endpoint's address may have changed
 	return outdated
 }
 
-// isOutdated reports whether a connection leads to where, or to what, the endpoint was before. With the lock.
+// isOutdated reports whether a connection is to a previous address or process of the endpoint. It is called with the
+// lock held.
 func (p *Pool) isOutdated(c *Conn) bool {
 	return p.removed || c.epoch != p.epoch || c.dialedAt.Before(time.UnixMilli(p.endpoint.Since))
 }
 
-// resetLearnt drops what was learnt about the endpoint, and has it count as one that failed: it may be warming up.
-// With the lock.
+// resetLearnt drops the state learned about the endpoint and counts it as failed, because it may be warming up. It is
+// called with the lock held.
 func (p *Pool) resetLearnt() {
 	p.idleLimit = idleLimit{configured: p.pools.config.MaxIdle}
 	p.sizing = sizing{}
 	p.failedAt = p.pools.config.Now()
 }
 
-// Remove says that the endpoint is no longer listed. Its pool ends with its last call.
+// Remove marks the endpoint as no longer listed. Its pool is removed when its last call ends.
 func (p *Pool) Remove() {
 	p.pools.mu.Lock()
 	p.removed = true
@@ -103,7 +105,8 @@
 	closeAll(idle)
 }
 
-// removeIdle takes the idle connections out of the pool, and returns them to be closed. With the lock.
+// removeIdle removes the idle connections from the pool and returns them for the caller to close. It is called with
+// the lock held.
 func (p *Pool) removeIdle() []*Conn {
 	idle := p.idle
 	p.idle = nil
@@ -111,7 +114,8 @@
 	return idle
 }
 
-// wake wakes the call that has waited longest for a connection of this pool, to look again. With the lock.
+// wake wakes the call that has waited longest for a connection of this pool; it then checks again. It is called with
+// the lock held.
 func (p *Pool) wake() {
 	if len(p.waiting) > 0 {
 		close(p.waiting[0])
@@ -125,20 +129,20 @@
 	}
 }
 
-// countUse counts a call. With the lock.
+// countUse counts a call. It is called with the lock held.
 func (p *Pool) countUse(now time.Time) {
 	p.uses.add(1, now, useDecay)
 	p.demand.observe(p.inUse+p.dialing, now)
 }
 
-// usedLessThan compares the uses of two pools, which have decayed to the same moment; among equals names decide. With
-// the lock.
+// usedLessThan compares the recent uses of two pools, which must have been decayed to the same time; the name breaks
+// ties. It is called with the lock held.
 func (p *Pool) usedLessThan(other *Pool) bool {
 	return p.uses.sum < other.uses.sum || p.uses.sum == other.uses.sum && p.endpoint.Name < other.endpoint.Name
 }
 
-// maxConns returns how many connections the pool may have, by what the list says and by what was learnt. With the
-// lock.
+// maxConns returns how many connections the pool may have, by its list entry and by what was learned. It is called
+// with the lock held.
 func (p *Pool) maxConns(now time.Time) int {
 	learnt := p.sizing.maxConns(now, &p.pools.config)
 	if p.endpoint.MaxConns > 0 {
@@ -147,18 +151,18 @@
 	return learnt
 }
 
-// maxIdle returns how long a connection of the pool may stand idle. With the lock.
+// maxIdle returns how long a connection of the pool may stay idle. It is called with the lock held.
 func (p *Pool) maxIdle(now time.Time) time.Duration {
 	return p.idleLimit.limit(&p.pools.idleLimit, now)
 }
 
-// Release gives a connection back, with how its call ended. It is retained if another call may follow on it.
+// Release returns a connection together with the outcome of its call. The connection is retained if it can be reused.
 func (c *Conn) Release(outcome Outcome) {
 	p, ps := c.pool, c.pool.pools
 	called := c.inCall
 	reusable := c.endCall()
 	if !reusable {
-		c.close() // before others learn of the outcome: the endpoint must be rid of this call by then
+		c.close() // before the outcome is visible to others: by then the endpoint must no longer hold this call
 	}
 	ps.mu.Lock()
 	now := ps.config.Now()
@@ -172,7 +176,7 @@
 	if retain {
 		c.idleSince = now
 		p.idle = append(p.idle, c)
-		if ps.open >= ps.config.MaxOpen { // a call that waits for a connection among all may evict it
+		if ps.open >= ps.config.MaxOpen { // a call that waits for a connection in any pool may evict this one
 			ps.wakeForSpace()
 		}
 	} else {
@@ -187,7 +191,7 @@
 	}
 }
 
-// learn notes how a call ended. With the lock.
+// learn records the outcome of a call. It is called with the lock held.
 func (p *Pool) learn(c *Conn, outcome Outcome, now time.Time) {
 	ps := p.pools
 	broken := outcome == Broken
--- a/internal/platform/upstream/pools.go
+++ b/internal/platform/upstream/pools.go
@@ -8,43 +8,42 @@
 	"time"
 )
 
-// useDecay is after how long a use of an endpoint counts for half, where connections are short.
+// useDecay is the half-life of a use of an endpoint when comparing pools for eviction.
 const useDecay = 10 * time.Second
 
-// Config is what pools are made of. Dial and Endpoint.MayPreconnect are called with no lock held, Now and Rand with
-// one.
+// Config configures pools. Dial and Endpoint.MayPreconnect are called without a lock held, Now and Rand with one.
 type Config struct {
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 	Now  func() time.Time
-	Rand func() float64 // from 0 to 1
-
-	Senders     int           // how many processes share what an endpoint holds
-	MaxOpen     int           // connections of all pools together
-	MaxIdle     time.Duration // the longest that any connection may stand idle
-	DialTimeout time.Duration // for a connection to be opened, with the wait for a free one
-	MaxWait     time.Duration // for a free connection; 0: as DialTimeout
-	// Preconnect opens connections before they are needed, but none to an endpoint that failed within WarmUp.
+	Rand func() float64 // in [0, 1)
+
+	Senders     int           // how many processes share an endpoint's capacity for connections
+	MaxOpen     int           // limit on the connections of all pools together
+	MaxIdle     time.Duration // how long any connection may stay idle
+	DialTimeout time.Duration // for opening a connection, including the wait for a free one
+	MaxWait     time.Duration // for waiting for a free connection; 0: DialTimeout
+	// Preconnect opens connections ahead of demand, except to an endpoint that failed within WarmUp.
 	Preconnect bool
 	WarmUp     time.Duration
 }
 
-// Pools are the connections of one process to all its endpoints. It is safe for concurrent use.
+// Pools holds the connections of one process to all its endpoints. It is safe for concurrent use.
 type Pools struct {
 	config     Config
-	ctx        context.Context // of what is opened in the background
+	ctx        context.Context // for dials in the background
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
 	mu        sync.Mutex
 	byName    map[string]*Pool
-	open      int // connections, those that are being opened among them
+	open      int // connections, including those being opened
 	idleLimit idleLimit
-	waiting   []chan struct{}   // for one connection more among all, the longest first
-	inherited map[string]Learnt // what another process had learnt, until its endpoint is listed
+	waiting   []chan struct{}   // calls that wait for MaxOpen to allow a connection, longest first
+	inherited map[string]Learnt // state from another process, until its endpoint is listed
 	retired   bool
 }
 
-// New returns pools with no endpoints.
+// New returns pools without endpoints.
 func New(config Config) *Pools {
 	config.Senders = max(1, config.Senders)
 	config.MaxOpen = max(1, config.MaxOpen)
@@ -57,17 +56,17 @@
 	return ps
 }
 
-// Endpoint is what a list of endpoints says of one.
+// Endpoint is the entry of an endpoint in a list of endpoints.
 type Endpoint struct {
 	Name          string
 	Addr          string
-	Since         int64       // when its process last started (Unix milliseconds), as far as the list says
-	MayPreconnect func() bool // false while nothing may be opened there; nil for never
-	MaxConns      int         // connections that this process may have to it; 0: not said
+	Since         int64       // when its process last started (Unix milliseconds), if the list has that
+	MayPreconnect func() bool // whether a connection may be opened ahead of demand; nil: never
+	MaxConns      int         // how many connections this process may have to it; 0: not specified
 }
 
-// Endpoint returns the pool of an endpoint, after what a list says of it. One that was removed, is at a new address
-// or was started anew gets fresh connections, and nothing that was learnt about the one before.
+// Endpoint returns the pool of an endpoint and applies its list entry. If the endpoint was removed before, has a new
+// address or was restarted, connections are opened afresh and the learned state is dropped.
 func (ps *Pools) Endpoint(e Endpoint) *Pool {
 	ps.mu.Lock()
 	p := ps.byName[e.Name]
@@ -82,7 +81,7 @@
 	return p
 }
 
-// add adds the pool of an endpoint that was not listed, with mu locked.
+// add adds a pool for a new endpoint, with mu locked.
 func (ps *Pools) add(e Endpoint) *Pool {
 	p := &Pool{pools: ps, endpoint: e}
 	p.resetLearnt()
@@ -95,15 +94,15 @@
 	return p
 }
 
-// removeEnded removes a pool that has ended, with mu locked.
+// removeEnded removes a pool whose endpoint was removed and whose last call has ended, with mu locked.
 func (ps *Pools) removeEnded(p *Pool) {
 	if p.removed && p.inUse+p.dialing == 0 && ps.byName[p.endpoint.Name] == p {
 		delete(ps.byName, p.endpoint.Name)
 	}
 }
 
-// SetMaxOpen changes how many connections all pools together may have. Idle ones over that are closed, as far as
-// there are any.
+// SetMaxOpen changes the limit on the connections of all pools together. Idle connections beyond it are closed;
+// connections in use are not.
 func (ps *Pools) SetMaxOpen(maxOpen int) {
 	ps.mu.Lock()
 	ps.config.MaxOpen = max(1, maxOpen)
@@ -115,14 +114,14 @@
 		}
 		surplus = append(surplus, c)
 	}
-	for len(ps.waiting) > 0 && ps.open < ps.config.MaxOpen { // all look again
+	for len(ps.waiting) > 0 && ps.open < ps.config.MaxOpen { // each checks again
 		ps.wakeForSpace()
 	}
 	ps.mu.Unlock()
 	closeAll(surplus)
 }
 
-// Retire closes the idle connections and retains none from now on. Calls that are in flight end as they would have.
+// Retire closes the idle connections and retains none from now on. Calls in flight are not affected.
 func (ps *Pools) Retire() {
 	ps.mu.Lock()
 	ps.retired = true
@@ -134,15 +133,15 @@
 	closeAll(idle)
 }
 
-// Close retires the pools and waits for what they open in the background. Calls must have ended.
+// Close retires the pools and waits for dials in the background. All calls must have ended.
 func (ps *Pools) Close() {
 	ps.Retire()
 	ps.cancel()
 	ps.background.Wait()
 }
 
-// Sweep closes the connections that have been idle for too long or whose far side has closed them. It has to be
-// called every second or so.
+// Sweep closes the connections that have been idle for too long or that the endpoint has closed. It must be called
+// about once a second.
 func (ps *Pools) Sweep() {
 	ps.mu.Lock()
 	now := ps.config.Now()
@@ -163,7 +162,7 @@
 	closeAll(expired)
 }
 
-// freed counts connections as closed, and wakes as many calls that wait for one among all. With mu locked.
+// freed counts n connections as closed and wakes as many calls that wait for MaxOpen, with mu locked.
 func (ps *Pools) freed(n int) {
 	ps.open -= n
 	for range n {
@@ -171,7 +170,8 @@
 	}
 }
 
-// wakeForSpace wakes the call that has waited longest for a connection among all, to look again. With mu locked.
+// wakeForSpace wakes the call that has waited longest for MaxOpen to allow a connection; it then checks again. It is
+// called with mu locked.
 func (ps *Pools) wakeForSpace() {
 	if len(ps.waiting) > 0 {
 		close(ps.waiting[0])
@@ -179,8 +179,8 @@
 	}
 }
 
-// evictLeastUsed takes the longest idle connection out of the pool that is used least, and returns it to be closed;
-// nil if none is idle. With mu locked.
+// evictLeastUsed removes the longest idle connection of the least used pool and returns it for the caller to close;
+// nil if none is idle. It is called with mu locked.
 func (ps *Pools) evictLeastUsed(now time.Time) *Conn {
 	var least *Pool
 	for _, p := range ps.byName {
--- a/internal/platform/upstream/pools_test.go
+++ b/internal/platform/upstream/pools_test.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// fakeEndpoint is an endpoint without sockets: it holds up to a number of connections.
+// fakeEndpoint is an endpoint without sockets that accepts a limited number of connections.
 type fakeEndpoint struct {
-	holds, open, most, refused int
-	err                        error // in place of connections, while it is set
+	limit, open, maxOpen, refused int
+	err                           error // if set, every dial fails with it
 }
 
 type fakeConn struct {
-	net.Conn // nil: nothing is read or written on it
+	net.Conn // nil: no I/O happens on it
 	endpoint *fakeEndpoint
 	closed   bool
 }
@@ -38,16 +38,16 @@
 	if f.err != nil {
 		return nil, f.err
 	}
-	if f.open >= f.holds {
+	if f.open >= f.limit {
 		f.refused++
 		return nil, syscall.ECONNREFUSED
 	}
 	f.open++
-	f.most = max(f.most, f.open)
+	f.maxOpen = max(f.maxOpen, f.open)
 	return &fakeConn{endpoint: f}, nil
 }
 
-// clock is a time that moves by tick alone.
+// clock is a clock that only tick advances.
 type clock struct{ now time.Time }
 
 func newClock() *clock { return &clock{time.Unix(1e9, 0)} }
@@ -64,14 +64,14 @@
 	})
 }
 
-// canceledContext is a context that has ended: a call that has to wait is rejected at once.
+// canceledContext returns a context that has ended: a call that has to wait fails at once.
 func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// endCallAs ends a call as one that was answered completely, without any bytes.
+// endCallAs releases a connection as after a complete call, without any I/O.
 func endCallAs(c *Conn, end Outcome) {
 	c.inCall, c.sent, c.complete, c.stopCancel = true, true, true, func() bool { return true }
 	c.Release(end)
@@ -84,9 +84,9 @@
 	return c
 }
 
-// The connection that was used last comes first, so that the surplus ages and closes.
+// The most recently used connection is reused first, so that surplus ones stay idle until they expire.
 func TestSurplusConnectionsExpire(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, func(c *Config) { c.MaxIdle = 10 * time.Second })
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	a, b, c := acquire(t, p), acquire(t, p), acquire(t, p)
@@ -98,27 +98,27 @@
 		ps.Sweep()
 		conn := acquire(t, p)
 		if conn != c {
-			t.Fatal("not the connection that was used last")
+			t.Fatal("not the most recently used connection")
 		}
 		endCallAs(conn, Answered)
 	}
 	wantStats(t, ps, 1, 1, 3, 4, 0)
 	now.tick(10 * time.Second)
 	if conn := acquire(t, p); conn == c {
-		t.Error("a connection was used that had been idle for its limit")
+		t.Error("a connection was reused after the idle limit")
 	}
 }
 
-// A list that names another address or a newer start gives fresh connections, and what
-// was learnt is forgotten; what was opened since that start is retained.
+// An endpoint with a new address or a newer start time gets fresh connections, and its learned state is dropped;
+// connections opened since that start are retained.
 func TestMovedOrRestartedEndpointGetsFreshConnections(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, nil)
 	at := Endpoint{Name: "e", Addr: "1", Since: now.now.UnixMilli()}
 	p := ps.Endpoint(at)
 	endCallAs(acquire(t, p), Answered)
 	p.sizing.cap = 3
-	out := acquire(t, p) // out while the list comes
+	out := acquire(t, p) // in use while the list changes
 	old := acquire(t, p)
 	now.tick(time.Second)
 	at.Since = now.now.UnixMilli()
@@ -136,41 +136,41 @@
 	at.Addr = "2"
 	ps.Endpoint(at)
 	if f.open != 0 {
-		t.Errorf("%d connections to the address before", f.open)
+		t.Errorf("%d connections to the previous address", f.open)
 	}
 	ps.Endpoint(at)
 	if c := acquire(t, p); c.Reused() {
-		t.Error("a connection to the address before was used")
+		t.Error("a connection to the previous address was reused")
 	}
 }
 
-// A pool ends with its last call, and what comes back under its name starts afresh.
+// The pool of a removed endpoint ends with its last call, and an endpoint of the same name gets a new pool.
 func TestPoolEndsWithItsLastCall(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	c := acquire(t, p)
 	endCallAs(acquire(t, p), Answered)
 	p.Remove()
 	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrRemoved) {
-		t.Errorf("%v, want that it is gone", err)
+		t.Errorf("%v, want ErrRemoved", err)
 	}
 	if o := ps.Stats(9); o.Open != 1 || len(o.Pools) != 1 {
-		t.Errorf("%+v, want the call that is out", o)
+		t.Errorf("%+v, want the connection of the call in flight", o)
 	}
 	endCallAs(c, Answered)
 	if o := ps.Stats(9); o.Open != 0 || len(o.Pools) != 0 || f.open != 0 {
-		t.Errorf("%+v and %d open, want nothing", o, f.open)
+		t.Errorf("%+v and %d open, want none", o, f.open)
 	}
 	if q := ps.Endpoint(Endpoint{Name: "e"}); q == p || acquire(t, q).Reused() {
-		t.Error("it came back with what it was")
+		t.Error("the new pool has state of the old one")
 	}
 }
 
-// At the bound of all connections the idle one of the endpoint that is used least goes;
-// where none is idle, calls wait, and the first of them gets the next that is free.
+// At the limit for all pools the idle connection of the least used endpoint is evicted; if none is idle, calls wait,
+// and the first of them gets the next free connection.
 func TestMaxOpenIsSharedByAllPools(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, func(c *Config) { c.MaxOpen = 3 })
 	busy, rare, third := ps.Endpoint(Endpoint{Name: "a"}), ps.Endpoint(Endpoint{Name: "b"}), ps.Endpoint(Endpoint{Name: "c"})
 	for range 3 {
@@ -179,14 +179,14 @@
 	endCallAs(acquire(t, rare), Answered)
 	one, two := acquire(t, third), acquire(t, third)
 	if len(rare.idle) != 0 || len(busy.idle) != 1 {
-		t.Errorf("%d idle to the one that is used least, %d to the other", len(rare.idle), len(busy.idle))
+		t.Errorf("%d idle to the least used endpoint, %d to the other", len(rare.idle), len(busy.idle))
 	}
 	three := acquire(t, rare)
-	if f.open != 3 || f.most != 3 {
-		t.Errorf("%d open, %d at the most, want 3", f.open, f.most)
+	if f.open != 3 || f.maxOpen != 3 {
+		t.Errorf("%d open, %d at most, want 3", f.open, f.maxOpen)
 	}
 	if _, err := busy.Acquire(canceledContext()); !errors.Is(err, ErrBusy) {
-		t.Errorf("%v, want that no connection is free", err)
+		t.Errorf("%v, want ErrBusy", err)
 	}
 	got := make(chan *Conn)
 	go func() {
@@ -212,10 +212,9 @@
 	}
 }
 
-// A lower bound closes what is idle, the least used first; a higher one lets calls go on
-// that wait.
+// A lower limit closes idle connections, of the least used endpoint first; a higher limit lets waiting calls proceed.
 func TestSetMaxOpen(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, func(c *Config) { c.MaxOpen = 4 })
 	busy, rare := ps.Endpoint(Endpoint{Name: "a"}), ps.Endpoint(Endpoint{Name: "b"})
 	out := acquire(t, busy)
@@ -225,7 +224,7 @@
 	endCallAs(acquire(t, rare), Answered)
 	ps.SetMaxOpen(2)
 	if f.open != 2 || len(rare.idle) != 0 {
-		t.Errorf("%d open, %d of them to the endpoint that is used least; want 2 and none", f.open, len(rare.idle))
+		t.Errorf("%d open, %d of them to the least used endpoint; want 2 and none", f.open, len(rare.idle))
 	}
 	ps.SetMaxOpen(1)
 	got := make(chan error)
@@ -241,10 +240,10 @@
 	out.Release(Unused)
 }
 
-// Calls that wait for a capped endpoint are few, and end with their time; the first of
-// them gets the connection that comes back.
+// Only maxWaiting calls wait for a capped endpoint, and they end with their contexts; the first of them gets the
+// connection that is released.
 func TestWaitingIsBounded(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	p.sizing.cap, p.sizing.growAt = 1, now.now.Add(time.Hour)
@@ -261,16 +260,16 @@
 		runtime.Gosched()
 	}
 	if _, err := p.Acquire(t.Context()); !errors.Is(err, ErrBusy) {
-		t.Errorf("%v, want that too many wait", err)
+		t.Errorf("%v, want ErrBusy, as too many calls wait", err)
 	}
 	endCallAs(c, Answered)
 	if err := <-ends; err != nil {
-		t.Errorf("nobody got what came back: %v", err)
+		t.Errorf("no call got the released connection: %v", err)
 	}
 	cancel()
 	for range maxWaiting - 1 {
 		if err := <-ends; !errors.Is(err, ErrBusy) || !errors.Is(err, context.Canceled) {
-			t.Errorf("%v, want the end of its time", err)
+			t.Errorf("%v, want ErrBusy and the cancelled context", err)
 		}
 	}
 	if s := ps.Stats(1).Pools[0]; s.Waiting != 0 || s.InUse != 1 || f.open != 1 {
@@ -278,8 +277,8 @@
 	}
 }
 
-// Whoever gives up while dialling leaves nothing behind, and it says nothing of the
-// endpoint; SYNs that are never answered end with the time to connect.
+// A cancelled dial leaves nothing behind and doesn't count against the endpoint; a dial whose SYNs are never answered
+// ends with DialTimeout.
 func TestDialThatTimesOut(t *testing.T) {
 	ps := newPools(t, func(c *Config) {
 		c.DialTimeout = time.Millisecond
@@ -290,26 +289,26 @@
 	})
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	if _, err := p.Acquire(canceledContext()); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v, want that it was given up", err)
+		t.Errorf("%v, want context.Canceled", err)
 	}
 	if s := ps.Stats(1).Pools[0]; s.Refused != 0 || s.Open != 0 {
 		t.Errorf("%+v, want nothing counted and nothing open", s)
 	}
 	if _, err := p.Acquire(t.Context()); !errors.Is(err, context.DeadlineExceeded) || errors.Is(err, ErrBusy) {
-		t.Errorf("%v, want the time to connect", err)
+		t.Errorf("%v, want context.DeadlineExceeded", err)
 	}
 	if s := ps.Stats(1).Pools[0]; s.Refused != 1 || s.Open != 0 || s.Dialing != 0 {
 		t.Errorf("%+v, want one refused and nothing open", s)
 	}
 }
 
-// A connection that comes up when its endpoint is gone or has moved is closed.
+// A connection that is established after its endpoint was removed or has moved is closed.
 func TestDialToARemovedOrMovedEndpoint(t *testing.T) {
 	for name, change := range map[string]func(*Pools, *Pool){
 		"gone":  func(_ *Pools, p *Pool) { p.Remove() },
 		"moved": func(ps *Pools, _ *Pool) { ps.Endpoint(Endpoint{Name: "e", Addr: "2"}) },
 	} {
-		f := &fakeEndpoint{holds: 1}
+		f := &fakeEndpoint{limit: 1}
 		var ps *Pools
 		var p *Pool
 		ps = newPools(t, func(c *Config) {
@@ -325,22 +324,22 @@
 	}
 }
 
-// A connect that fails tells of a crowded endpoint only if that was up all along.
-func TestSignsOfACrowdedEndpoint(t *testing.T) {
+// A failed dial is a sign of too many connections only if the endpoint was up the whole time.
+func TestFailedDialsLowerTheCap(t *testing.T) {
 	type step struct {
-		ends string // a take and answer, f a connect that fails, o an answer on an old connection, s a second's rest
+		ends string // a: acquire and response, f: failed dial, O: acquire the old connection, o: response on it, s: a pause of 1 s
 		cap  float64
 	}
 	for name, c := range map[string]step{
 		"outage":                     {"afffsfff", 0},
 		"outage that ends":           {"afffsfffaa", 0},
-		"one connect lost":           {"Ofos", 0},
-		"crowd, seen by others":      {"Offo", 1},
-		"no proof without answers":   {"Offs", 0},
-		"proof that came too late":   {"Offsssso", 0},
-		"connects lost now and then": {"OfossssssssssssssssfoO", 0},
+		"one dial lost":              {"Ofos", 0},
+		"at the connection limit":    {"Offo", 1},
+		"no proof without responses": {"Offs", 0},
+		"proof after proofWindow":    {"Offsssso", 0},
+		"dials lost occasionally":    {"OfossssssssssssssssfoO", 0},
 	} {
-		f, now := &fakeEndpoint{holds: 100}, newClock()
+		f, now := &fakeEndpoint{limit: 100}, newClock()
 		ps := fakePools(t, f, now, nil)
 		p := ps.Endpoint(Endpoint{Name: "e"})
 		var old *Conn
@@ -350,7 +349,7 @@
 				now.tick(time.Second)
 			case 'O':
 				old = acquire(t, p)
-			case 'o': // an answer on it, and it is out again
+			case 'o': // a response on it, then it is acquired again
 				endCallAs(old, Answered)
 				old = acquire(t, p)
 			case 'a':
@@ -359,7 +358,7 @@
 			case 'f':
 				f.err = syscall.ECONNREFUSED
 				if _, err := p.Acquire(t.Context()); err == nil {
-					t.Fatal("a connect went well that should fail")
+					t.Fatal("a dial succeeded that should fail")
 				}
 				f.err = nil
 			}
@@ -371,13 +370,13 @@
 	}
 }
 
-// First calls that are turned away tell of too many connections, unless others are too.
-func TestRejectedFirstCallsAreSignsOfACrowd(t *testing.T) {
+// Rejected first calls on connections are a sign of too many connections, unless other calls are rejected too.
+func TestRejectedFirstCallsLowerTheCap(t *testing.T) {
 	for name, c := range map[string]struct {
 		others Outcome
 		capped bool
 	}{"connections": {Answered, true}, "limit": {Rejected, false}} {
-		f, now := &fakeEndpoint{holds: 100}, newClock()
+		f, now := &fakeEndpoint{limit: 100}, newClock()
 		ps := fakePools(t, f, now, nil)
 		p := ps.Endpoint(Endpoint{Name: "e"})
 		endCallAs(acquire(t, p), Answered)
@@ -389,7 +388,7 @@
 			endCallAs(fresh, Rejected)
 			endCallAs(old, c.others)
 			p.idle = p.idle[:0]
-			p.idle = append(p.idle, old) // the other one is closed
+			p.idle = append(p.idle, old) // drops the other connection
 			ps.open--
 			now.tick(100 * time.Millisecond)
 		}
@@ -399,20 +398,20 @@
 	}
 }
 
-// fleet is many nodes with one pool each to one endpoint, driven by one clock.
+// fleet is a number of nodes with one pool each to the same endpoint, driven by one clock.
 type fleet struct {
 	endpoint *fakeEndpoint
 	now      *clock
 	pools    []*Pools
-	out      [][]*Conn // by pool, with the step at which each ends
+	out      [][]*Conn // by pool: connections in use; until has the step at which each call ends
 	until    [][]int
-	queue    [][]int // by pool, the steps until which calls wait
+	queue    [][]int // by pool: the steps until which calls wait
 	rng      *rand.Rand
 }
 
-func newFleet(t *testing.T, senders, holds int) *fleet {
+func newFleet(t *testing.T, senders, limit int) *fleet {
 	t.Helper()
-	f := &fleet{endpoint: &fakeEndpoint{holds: holds}, now: newClock(), rng: rand.New(rand.NewPCG(1, 2))}
+	f := &fleet{endpoint: &fakeEndpoint{limit: limit}, now: newClock(), rng: rand.New(rand.NewPCG(1, 2))}
 	f.pools = make([]*Pools, senders)
 	f.out = make([][]*Conn, senders)
 	f.until = make([][]int, senders)
@@ -434,13 +433,12 @@
 	}
 	f.pools[i] = fakePools(t, f.endpoint, f.now, func(c *Config) {
 		c.Senders, c.Rand, c.MaxIdle = len(f.pools), f.rng.Float64, 12*time.Second
-		c.DialTimeout = 1 // who has to wait is turned away at once
+		c.DialTimeout = 1 // a call that has to wait fails at once
 	})
 }
 
-// run plays so long, with so many calls a second from all senders, each of 0.2 s, and
-// tells how many connects a second were refused, and the share of calls that found a
-// connection within a second.
+// run simulates a duration with rate calls a second from all senders together, each of 0.2 s. It returns how many
+// dials a second were refused, and the share of calls that got a connection within a second.
 func (f *fleet) run(t *testing.T, d time.Duration, rate float64) (refused, share float64) {
 	t.Helper()
 	const step = 10 * time.Millisecond
@@ -463,7 +461,7 @@
 				f.queue[i] = f.queue[i][1:]
 			}
 			if len(f.queue[i]) == 0 || n%10 != i%10 && f.queue[i][0] != n+100 {
-				continue // it looks again every tenth of a second
+				continue // it retries every tenth of a second
 			}
 			c, err := f.pools[i].Endpoint(Endpoint{Name: "e"}).Acquire(context.Background())
 			if err == nil {
@@ -473,7 +471,7 @@
 			}
 		}
 	}
-	for i := range f.until { // the steps of the next run begin anew
+	for i := range f.until { // the next run counts its steps from 0
 		for k := range f.until[i] {
 			f.until[i][k] = 0
 		}
@@ -482,26 +480,26 @@
 	return float64(f.endpoint.refused-before) / d.Seconds(), float64(found) / float64(calls)
 }
 
-// Many pools settle under what one endpoint holds, with few senders and with many,
-// after a common restart too, and when it holds half as many from one moment on.
+// Many pools converge below the limit of one endpoint, with few senders and with many, also after all restart at
+// once, and after the limit is halved.
 func TestFleetSettlesUnderACap(t *testing.T) {
 	for name, c := range map[string]struct {
-		senders, holds int
-		rate           float64 // so that 0.2 times it are in use at a time
+		senders, limit int
+		rate           float64 // calls a second; 0.2 times as many are in flight
 	}{
-		"2 senders":                      {2, 12, 12},
-		"300 senders":                    {300, 700, 600},
-		"300 senders, and room for them": {300, 10000, 600},
+		"2 senders":                   {2, 12, 12},
+		"300 senders":                 {300, 700, 600},
+		"300 senders below the limit": {300, 10000, 600},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, c.senders, c.holds)
+			f := newFleet(t, c.senders, c.limit)
 			check := func(when string) {
 				t.Helper()
 				f.run(t, 20*time.Second, c.rate) // to settle
 				refused, found := f.run(t, 20*time.Second, c.rate)
 				t.Logf("%s: %.2f refused a second of %.0f calls, %.3f of the calls found a connection", when, refused, c.rate, found)
 				if refused > 0.025*c.rate {
-					t.Errorf("%s: %.2f connects a second are refused", when, refused)
+					t.Errorf("%s: %.2f dials a second are refused", when, refused)
 				}
 				if found < 0.95 {
 					t.Errorf("%s: only %.3f of the calls found a connection", when, found)
@@ -512,13 +510,13 @@
 				f.restart(t, i)
 			}
 			check("after a common restart")
-			f.endpoint.holds /= 2
-			check("with half of the places")
+			f.endpoint.limit /= 2
+			check("with half the limit")
 		})
 	}
 }
 
-// A cap grows back at a time of each sender's own, and is forgotten when it binds nobody.
+// Senders raise their caps at different times, and a cap that has no effect is removed.
 func TestCapGrowsBackOutOfStep(t *testing.T) {
 	now := newClock()
 	at := map[time.Duration]int{}
@@ -541,13 +539,13 @@
 		s.maxConns(now.now, &cfg)
 	}
 	if s.cap != 0 {
-		t.Errorf("cap %v after long, want none", s.cap)
+		t.Errorf("cap %v after a long time, want none", s.cap)
 	}
 }
 
-// What was learnt goes along to the next process, for the same endpoint only.
+// The learned state is passed to the next process, for the same endpoint only.
 func TestLearntStateIsInherited(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, nil)
 	for _, name := range []string{"a", "b"} {
 		p := ps.Endpoint(Endpoint{Name: name, Addr: "1", Since: 7})
@@ -561,16 +559,16 @@
 	next.Inherit(ps.Memory())
 	a, b := next.Endpoint(Endpoint{Name: "a", Addr: "1", Since: 7}), next.Endpoint(Endpoint{Name: "b", Addr: "2", Since: 7})
 	if got := a.maxIdle(now.now); a.sizing.cap != 3 || got != 2*freshIdle {
-		t.Errorf("cap %v and idle limit %v went along, want 3 and %v", a.sizing.cap, got, 2*freshIdle)
+		t.Errorf("inherited cap %v and idle limit %v, want 3 and %v", a.sizing.cap, got, 2*freshIdle)
 	}
 	if got := b.maxIdle(now.now); b.sizing.cap != 0 || got != 8*freshIdle {
-		t.Errorf("cap %v and idle limit %v of another address, want none and that of all, %v", b.sizing.cap, got, 8*freshIdle)
+		t.Errorf("cap %v and idle limit %v at another address, want none and that of all endpoints, %v", b.sizing.cap, got, 8*freshIdle)
 	}
 }
 
-// A thousand endpoints that come and go leave no goroutine, descriptor or entry behind.
-func TestEndpointsComeAndGo(t *testing.T) {
-	s := newStandIn(t, answers(ok200))
+// A thousand endpoints that are added and removed leave no goroutine, descriptor or entry behind.
+func TestRemovedEndpointsLeaveNothingBehind(t *testing.T) {
+	s := newTestServer(t, answers(ok200))
 	ps := newPools(t, nil)
 	before := runtime.NumGoroutine()
 	for n := range 1000 {
@@ -583,29 +581,29 @@
 		c.Release(Unused)
 	}
 	if o := ps.Stats(9); o.Open != 0 || len(o.Pools) != 0 || len(ps.inherited) != 0 {
-		t.Errorf("%+v is left", o)
+		t.Errorf("%+v remains", o)
 	}
 	for end := time.Now().Add(patience); s.open.Load() > 0 && time.Now().Before(end); {
 		runtime.Gosched()
 	}
 	if n := s.open.Load(); n != 0 {
-		t.Errorf("%d connections are left at the endpoint", n)
+		t.Errorf("%d connections remain open at the endpoint", n)
 	}
 	if n := runtime.NumGoroutine(); n > before+5 {
 		t.Errorf("%d goroutines, %d before", n, before)
 	}
 }
 
-// Retired pools close what is idle, and what is out when its call ends.
+// Retired pools close idle connections at once, and those in use when their calls end.
 func TestRetire(t *testing.T) {
-	f, now := &fakeEndpoint{holds: 10}, newClock()
+	f, now := &fakeEndpoint{limit: 10}, newClock()
 	ps := fakePools(t, f, now, nil)
 	p := ps.Endpoint(Endpoint{Name: "e"})
 	c := acquire(t, p)
 	endCallAs(acquire(t, p), Answered)
 	ps.Retire()
 	if f.open != 1 {
-		t.Errorf("%d open, want the one that is out", f.open)
+		t.Errorf("%d open, want the one in use", f.open)
 	}
 	endCallAs(c, Answered)
 	if f.open != 0 {
@@ -613,8 +611,8 @@
 	}
 }
 
-// One connection is opened ahead for demand that was seen, where it is asked for, and
-// none where it might do harm.
+// Connections are opened ahead of demand one at a time up to the recent demand, but not where that is disabled or
+// could do harm.
 func TestPreconnect(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Config)
@@ -622,16 +620,16 @@
 		before func(*Pool, *clock)
 		want   int
 	}{
-		"demand":             {nil, func() bool { return true }, nil, 3},
-		"off":                {func(c *Config) { c.Preconnect = false }, func() bool { return true }, nil, 0},
-		"nothing may go":     {nil, func() bool { return false }, nil, 0},
-		"nobody says it may": {nil, nil, nil, 0},
-		"failed of late":     {nil, func() bool { return true }, func(p *Pool, c *clock) { p.failedAt = c.now }, 0},
-		"capped":             {nil, func() bool { return true }, func(p *Pool, c *clock) { p.sizing.cap, p.sizing.growAt = 2, c.now.Add(time.Hour) }, 2},
-		"no room":            {func(c *Config) { c.MaxOpen = 1 }, func() bool { return true }, nil, 1},
-		"demand of long ago": {nil, func() bool { return true }, func(_ *Pool, c *clock) { c.tick(2 * demandSpan) }, 0},
+		"demand":                 {nil, func() bool { return true }, nil, 3},
+		"off":                    {func(c *Config) { c.Preconnect = false }, func() bool { return true }, nil, 0},
+		"MayPreconnect is false": {nil, func() bool { return false }, nil, 0},
+		"MayPreconnect is nil":   {nil, nil, nil, 0},
+		"failed recently":        {nil, func() bool { return true }, func(p *Pool, c *clock) { p.failedAt = c.now }, 0},
+		"capped":                 {nil, func() bool { return true }, func(p *Pool, c *clock) { p.sizing.cap, p.sizing.growAt = 2, c.now.Add(time.Hour) }, 2},
+		"at MaxOpen":             {func(c *Config) { c.MaxOpen = 1 }, func() bool { return true }, nil, 1},
+		"old demand":             {nil, func() bool { return true }, func(_ *Pool, c *clock) { c.tick(2 * demandSpan) }, 0},
 	} {
-		f, now := &fakeEndpoint{holds: 10}, newClock()
+		f, now := &fakeEndpoint{limit: 10}, newClock()
 		ps := fakePools(t, f, now, func(cfg *Config) {
 			cfg.Preconnect, cfg.WarmUp = true, 14*time.Second
 			if c.change != nil {
@@ -646,7 +644,7 @@
 		for range 6 {
 			ps.Sweep()
 			ps.background.Wait()
-			for len(p.idle) > 0 { // in use: the next is opened ahead
+			for len(p.idle) > 0 { // acquired: the next one is opened ahead
 				acquire(t, p)
 				ps.background.Wait()
 			}
@@ -657,10 +655,10 @@
 	}
 }
 
-// The look at a socket sees what has come, and nothing on one that is quiet.
-func TestQuietSeesWhatHasCome(t *testing.T) {
+// quiet detects data that has arrived on a socket, and nothing on a socket without data.
+func TestQuietDetectsReceivedData(t *testing.T) {
 	hold := make(chan struct{})
-	s := newStandIn(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+	s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		_, _ = r.ReadByte()
 		_, _ = io.WriteString(conn, "x")
 		<-hold
@@ -671,7 +669,7 @@
 	defer nc.Close()
 	c := &Conn{netConn: nc}
 	if !c.quiet() {
-		t.Error("something was seen on a quiet connection")
+		t.Error("data was reported on a connection without data")
 	}
 	_, err = nc.Write([]byte("x"))
 	must(t, err)
@@ -679,6 +677,6 @@
 		runtime.Gosched()
 	}
 	if c.quiet() {
-		t.Error("unasked bytes were not seen")
+		t.Error("unsolicited data was not reported")
 	}
 }
--- a/internal/platform/upstream/preconnect.go
+++ b/internal/platform/upstream/preconnect.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// demandSpan is how far back concurrent calls are looked for, and up to twice that.
+// demandSpan is the length of a span of demand. The peak covers the current span and the one before.
 const demandSpan = 10 * time.Second
 
-// demand is how many calls an endpoint had at once of late.
+// demand tracks the recent peak of concurrent calls to an endpoint.
 type demand struct {
-	start             time.Time // of the current span
-	current, previous int       // the maximum of this span, and of the one before
+	start             time.Time // start of the current span
+	current, previous int       // the maxima of the current and the previous span
 }
 
 func (d *demand) observe(concurrent int, now time.Time) {
@@ -19,7 +19,7 @@
 	d.current = max(d.current, concurrent)
 }
 
-// advance begins a new span where the current one is over.
+// advance starts a new span if the current one is over.
 func (d *demand) advance(now time.Time) {
 	switch elapsed := now.Sub(d.start); {
 	case elapsed < demandSpan:
@@ -35,9 +35,9 @@
 	return max(d.current, d.previous)
 }
 
-// preconnect opens one connection in the background where fewer are in use than there were concurrent calls of late
-// and none is idle. It evicts no other connection, and an endpoint that failed is left alone for as long as it may be
-// warming up. With the lock.
+// preconnect opens one connection in the background if fewer are in use than the recent peak of concurrent calls and
+// none is idle. It evicts no other connection, and opens none to an endpoint that has failed within WarmUp, as it may
+// be warming up. It is called with the lock held.
 func (p *Pool) preconnect(now time.Time) {
 	ps := p.pools
 	if !p.shouldPreconnect(now) {
@@ -63,7 +63,7 @@
 	return p.inUse+p.dialing < min(p.demand.peak(now), p.maxConns(now)) && ps.open < ps.config.MaxOpen
 }
 
-// preconnectOne opens a connection, which is counted already as one that is being opened, and leaves it idle.
+// preconnectOne opens a connection, already counted in p.dialing, and leaves it idle.
 func (p *Pool) preconnectOne(mayPreconnect func() bool, startedAt time.Time) {
 	ps := p.pools
 	defer func() {
@@ -84,7 +84,7 @@
 	defer cancel()
 	c, err := p.dial(ctx, startedAt)
 	if err != nil {
-		return // the pool has counted it
+		return // dial has counted the failure
 	}
 	ps.mu.Lock()
 	p.counts.preconnected++
--- a/internal/platform/upstream/stats.go
+++ b/internal/platform/upstream/stats.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Stat is what the console shows of one endpoint's pool.
+// Stat is the state of one endpoint's pool, as the console shows it.
 type Stat struct {
 	Endpoint     string  `json:"endpoint"`
 	Address      string  `json:"address"`
-	Open         int     `json:"open"` // the next three together
+	Open         int     `json:"open"` // Idle, InUse and Dialing together
 	Idle         int     `json:"idle"`
 	InUse        int     `json:"in_use"`
 	Dialing      int     `json:"dialling"`
-	Waiting      int     `json:"waiting"` // calls
-	Cap          float64 `json:"cap"`     // connections; 0 while none is learnt
+	Waiting      int     `json:"waiting"` // calls that wait for a connection
+	Cap          float64 `json:"cap"`     // connections; 0 if no cap was learned
 	MaxIdleMs    int64   `json:"idle_limit_ms"`
 	Opened       int64   `json:"opened"`
 	Reused       int64   `json:"reused"`
-	Broken       int64   `json:"broken"` // calls on a connection that had been idle
+	Broken       int64   `json:"broken"` // calls that broke on a reused connection
 	Refused      int64   `json:"refused"`
 	Preconnected int64   `json:"warmed"`
-	Removed      bool    `json:"gone,omitempty"` // it ends with its last call
+	Removed      bool    `json:"gone,omitempty"` // the pool is removed with its last call
 }
 
-// Overview is what the console shows of all pools.
+// Overview is the state of all pools, as the console shows it.
 type Overview struct {
 	Open    int    `json:"open"`
 	MaxOpen int    `json:"max_open"`
-	Waiting int    `json:"waiting"` // calls, for a connection among all
+	Waiting int    `json:"waiting"` // calls that wait for MaxOpen to allow a connection
 	Pools   []Stat `json:"pools"`
-	Omitted int    `json:"left_out"` // pools over the number that was asked for
+	Omitted int    `json:"left_out"` // pools beyond the requested number
 }
 
-// Stats returns the state of up to maxPools pools, in order of their names.
+// Stats returns the state of up to maxPools pools, sorted by name.
 func (ps *Pools) Stats(maxPools int) Overview {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -59,9 +59,9 @@
 	return o
 }
 
-// stat returns the state of a pool. With the lock.
+// stat returns the state of a pool. It is called with the lock held.
 func (p *Pool) stat(now time.Time) Stat {
-	p.sizing.maxConns(now, &p.pools.config) // the cap may have grown since
+	p.sizing.maxConns(now, &p.pools.config) // updates the cap, which may have grown
 	return Stat{
 		Endpoint:     strings.ToValidUTF8(p.endpoint.Name, "?"),
 		Address:      p.endpoint.Addr,
