--- a/internal/platform/link/bench_test.go
+++ b/internal/platform/link/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// benchmarkPair returns the two ends of a link over loopback; the far end answers each call with its body.
+// benchmarkPair returns one end of a link over loopback; the other end replies to each call with its body.
 func benchmarkPair(b *testing.B) *Conn {
 	b.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -24,7 +24,7 @@
 	return c
 }
 
-// BenchmarkCall is the cost of a call and its reply, both ends together.
+// BenchmarkCall measures a call and its reply, both ends together.
 func BenchmarkCall(b *testing.B) {
 	c := benchmarkPair(b)
 	body := make([]byte, 256)
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkCallsInFlight is the cost of a call where 64 are pending at a time.
+// BenchmarkCallsInFlight measures a call while 64 are in flight.
 func BenchmarkCallsInFlight(b *testing.B) {
 	c := benchmarkPair(b)
 	body := make([]byte, 256)
--- a/internal/platform/link/codec.go
+++ b/internal/platform/link/codec.go
@@ -5,13 +5,14 @@
 	"errors"
 )
 
-// ErrTruncated says that a message ends before all of its fields have been read: its sender runs another version.
-var ErrTruncated = errors.New("a message that is too short: both sides must run the same version")
+// ErrTruncated is returned for a message that ends before all of its fields have been read: its sender runs another
+// version.
+var ErrTruncated = errors.New("message truncated: both sides must run the same version")
 
-// Writer encodes the fields of a message one after the other: numbers big endian, strings and byte slices after their
-// length in 4 bytes. Its zero value is ready to use.
+// Writer encodes the fields of a message in sequence: numbers in big endian, strings and byte slices with a length
+// prefix of 4 bytes. Its zero value is ready to use.
 type Writer struct {
-	// Buf is the message so far.
+	// Buf is the encoded message.
 	Buf []byte
 }
 
@@ -48,17 +49,16 @@
 	w.Buf = append(w.Buf, b...)
 }
 
-// Reader decodes the fields of a message in the order in which a Writer appended them. The first field that is not
-// whole sets Err to ErrTruncated; it and all later ones read as zero values, so that a caller checks Err once, at the
-// end.
+// Reader decodes the fields of a message in the order in which a Writer encoded them. The first incomplete field sets
+// Err to ErrTruncated; it and all later fields read as zero values, so that a caller can check Err once, at the end.
 type Reader struct {
-	// Buf is what has not been read yet.
+	// Buf is the unread rest of the message.
 	Buf []byte
 	// Err is nil or ErrTruncated.
 	Err error
 }
 
-// next removes so many bytes from the message; nil: they are not there.
+// next consumes size bytes of the message; nil: the message is shorter.
 func (r *Reader) next(size int) []byte {
 	if r.Err != nil || size < 0 || len(r.Buf) < size {
 		r.Err = ErrTruncated
@@ -105,8 +105,8 @@
 // Bytes reads a byte slice, which shares the message's memory.
 func (r *Reader) Bytes() []byte { return r.next(int(r.U32())) }
 
-// Count reads the number of elements of a list, each of which takes at least size bytes. More elements than the rest of
-// the message can hold set Err, so that a caller may allocate as many.
+// Count reads the number of elements of a list, each of which takes at least size bytes. If the rest of the message
+// is too short for that many, it sets Err, so that a caller may allocate as many.
 func (r *Reader) Count(size int) int {
 	count := int(r.U32())
 	if r.Err == nil && count*max(size, 1) > len(r.Buf) {
--- a/internal/platform/link/codec_test.go
+++ b/internal/platform/link/codec_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// What was written is read; what is cut off anywhere is short.
+// Encoded fields decode to the same values; a message truncated anywhere yields ErrTruncated.
 func TestCodecRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w Writer
@@ -48,7 +48,7 @@
 			}
 		}
 		if len(r.Buf) != 0 {
-			t.Fatalf("%d bytes are left", len(r.Buf))
+			t.Fatalf("%d bytes remain", len(r.Buf))
 		}
 		if len(w.Buf) > 0 {
 			r := Reader{Buf: w.Buf[:rapid.IntRange(0, len(w.Buf)-1).Draw(t, "cut")]}
@@ -62,7 +62,8 @@
 	})
 }
 
-// FuzzReader reads any bytes as any fields: no panic, nothing that was not there, nothing after the first error.
+// FuzzReader decodes arbitrary bytes as arbitrary fields: it must not panic, return more than the input has, or
+// return anything after the first error.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5}, []byte{0, 0, 0, 1, 9})
 	f.Add([]byte{6, 4}, []byte{255, 255, 255, 255})
--- a/internal/platform/link/conn.go
+++ b/internal/platform/link/conn.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// maxQueued limits the bytes that wait to be written to a peer that doesn't read.
+	// maxQueued limits the bytes queued for a peer that doesn't read.
 	maxQueued = 64 << 20
-	// maxSpare limits the buffer that is kept for the next write.
+	// maxSpare limits the size of a buffer that is retained for the next write.
 	maxSpare = 64 << 10
 )
 
-// ErrClosed says that the connection has ended. A call that ends with it may have been carried out.
-var ErrClosed = errors.New("the link is closed; ask again on a new one")
+// ErrClosed is returned when the connection has ended. A call that ends with it may have been executed.
+var ErrClosed = errors.New("the link is closed; retry on a new one")
 
-var errPeerNotReading = errors.New("the peer does not read")
+var errPeerNotReading = errors.New("the peer does not read: write queue full")
 
 // Conn is a persistent connection to another process. Its methods may be called from any goroutine.
 type Conn struct {
-	// Tag is for the handler, which may store there who the peer is.
+	// Tag is for the handler, which may store the identity of the peer in it.
 	Tag atomic.Value
 
 	netConn   net.Conn
@@ -39,12 +39,12 @@
 	lastWrite atomic.Int64  // Unix time in nanoseconds
 	wake      chan struct{} // wakes the writing goroutine
 
-	mu         sync.Mutex            // guards what follows; never held over I/O
-	err        error                 // why the connection has ended; nil: it has not
+	mu         sync.Mutex            // guards the fields below; never held over I/O
+	err        error                 // why the connection ended; nil: it is open
 	queued     []byte                // frames to be written
-	spare      []byte                // empty; takes the place of queued while that is written
-	calls      map[uint32]chan Reply // calls without a reply, by number; nil: the connection has ended
-	lastCall   uint32                // the number given to a call last
+	spare      []byte                // empty buffer; replaces queued while queued is written
+	calls      map[uint32]chan Reply // pending calls by number; nil: the connection has ended
+	lastCall   uint32                // the number of the most recent call
 	probeTimer *time.Timer
 }
 
@@ -64,7 +64,7 @@
 	now := time.Now().UnixNano()
 	c.lastRead.Store(now)
 	c.lastWrite.Store(now)
-	c.mu.Lock() // a first probe that comes at once waits until the timer is there
+	c.mu.Lock() // a first probe that fires at once waits until probeTimer is set
 	c.probeTimer = time.AfterFunc(o.ProbeInterval, c.probe)
 	c.mu.Unlock()
 	go c.readLoop()
@@ -72,9 +72,9 @@
 	return c
 }
 
-// setTCPOptions has small frames sent at once, and has the kernel end a connection whose data the peer's host does not
-// acknowledge in time. Errors are ignored: without these options, the connection is slower, and probes still find a
-// dead peer.
+// setTCPOptions disables Nagle's algorithm, so that small frames are sent at once, and sets TCP_USER_TIMEOUT, so that
+// the kernel ends a connection whose data the peer's host does not acknowledge in time. Errors are ignored: without
+// these options the connection is slower, and probes still detect a dead peer.
 func setTCPOptions(tcp *net.TCPConn, userTimeout time.Duration) {
 	_ = tcp.SetNoDelay(true)
 	raw, err := tcp.SyscallConn()
@@ -95,7 +95,7 @@
 // Close ends the connection. Pending calls end with ErrClosed. It doesn't wait for Handler.Closed.
 func (c *Conn) Close() { c.end(ErrClosed) }
 
-// end ends the connection for a reason. The first reason counts.
+// end ends the connection. If it is called more than once, the first reason counts.
 func (c *Conn) end(reason error) {
 	c.closeOnce.Do(func() {
 		c.mu.Lock()
@@ -105,14 +105,14 @@
 		c.probeTimer.Stop()
 		c.mu.Unlock()
 		close(c.closed)
-		_ = c.netConn.Close() // the connection has ended, whatever the outcome
+		_ = c.netConn.Close() // the connection has ended whatever this returns
 		for _, pending := range calls {
 			pending <- Reply{Err: ErrClosed}
 		}
 	})
 }
 
-// Send sends a one-way message. It doesn't wait for the network. An error says that the body is too long, or that the
+// Send sends a one-way message without blocking on the network. An error means that the body is too long, or that the
 // connection has ended; without an error, the message may still be lost with the connection.
 func (c *Conn) Send(kind Kind, body []byte) error { return c.write(kind, 0, body) }
 
@@ -122,8 +122,8 @@
 	return pending
 }
 
-// Call sends a call and waits for its reply, or until the context ends. After an error other than RemoteError, the call
-// may have been carried out.
+// Call sends a call and waits for its reply or the end of the context. After an error other than RemoteError, the
+// call may have been executed.
 func (c *Conn) Call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
 	pending, number := c.startCall(kind, body)
 	select {
@@ -135,9 +135,9 @@
 	}
 }
 
-// startCall sends a call. It returns the channel for its reply and its number; 0: it was not sent.
+// startCall sends a call. It returns the channel for its reply and its number, which is 0 if it was not sent.
 func (c *Conn) startCall(kind Kind, body []byte) (<-chan Reply, uint32) {
-	pending := make(chan Reply, 1) // so that a reply that nobody waits for blocks nobody
+	pending := make(chan Reply, 1) // buffered, so that an abandoned reply doesn't block the reader
 	if len(body) > maxBody {
 		pending <- Reply{Err: errFrameTooLong}
 		return pending, 0
@@ -153,7 +153,7 @@
 	return pending, number
 }
 
-// addCall gives a call a number that no pending call has. It reports false if the connection has ended.
+// addCall registers a call under a number that no pending call has. It returns false if the connection has ended.
 func (c *Conn) addCall(pending chan Reply) (number uint32, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 	for inUse := true; inUse; _, inUse = c.calls[c.lastCall] {
 		c.lastCall++
-		if c.lastCall == 0 { // the number of one-way messages
+		if c.lastCall == 0 { // 0 is the number of one-way messages
 			c.lastCall = 1
 		}
 	}
@@ -170,14 +170,14 @@
 	return c.lastCall, true
 }
 
-// abandonCall has a late reply to a call ignored.
+// abandonCall makes a late reply to a call be ignored.
 func (c *Conn) abandonCall(number uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.calls, number)
 }
 
-// completeCall passes the reply to a call on. A call that was abandoned or already has a reply is not there any more.
+// completeCall delivers the reply to a call. It ignores a call that was abandoned or already has a reply.
 func (c *Conn) completeCall(number uint32, reply Reply) {
 	c.mu.Lock()
 	pending := c.calls[number]
@@ -188,7 +188,7 @@
 	}
 }
 
-// write queues a frame for the writing goroutine. It ends the connection if too much is queued.
+// write queues a frame for the writing goroutine. It ends the connection if more than maxQueued bytes are queued.
 func (c *Conn) write(kind Kind, call uint32, body []byte) error {
 	if len(body) > maxBody {
 		return errFrameTooLong
@@ -207,12 +207,12 @@
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
-	default: // it is to wake up already
+	default: // a wake-up is already pending
 	}
 	return nil
 }
 
-// writeLoop writes what is queued until the connection ends.
+// writeLoop writes queued frames until the connection ends.
 func (c *Conn) writeLoop() {
 	for {
 		select {
@@ -233,7 +233,7 @@
 	}
 }
 
-// dequeue returns the frames that are queued, and has later ones queued in the spare buffer.
+// dequeue returns the queued frames, and makes the spare buffer the queue for later ones.
 func (c *Conn) dequeue() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,7 +243,7 @@
 	return frames
 }
 
-// reuse keeps the buffer of written frames for later ones, unless it is large.
+// reuse retains the buffer of written frames for later ones, unless it is large.
 func (c *Conn) reuse(frames []byte) {
 	if cap(frames) > maxSpare {
 		frames = nil
@@ -253,12 +253,13 @@
 	c.spare = frames
 }
 
-// probe ends a connection on which nothing has been read for too long, and queues a probe if nothing has been written
-// for a while. It runs on a timer, not in the writing goroutine, which may be blocked by a peer that doesn't read.
+// probe ends a connection on which nothing has been read for PeerTimeout, and queues a probe if nothing has been
+// written for a while. It runs on a timer rather than in the writing goroutine, which a peer that doesn't read may
+// block.
 func (c *Conn) probe() {
 	now := time.Now().UnixNano()
 	if now-c.lastRead.Load() > int64(c.options.PeerTimeout) {
-		c.end(fmt.Errorf("nothing heard for %v", c.options.PeerTimeout))
+		c.end(fmt.Errorf("peer timeout: nothing received for %v", c.options.PeerTimeout))
 		return
 	}
 	writeDue := now-c.lastWrite.Load() >= int64(c.options.ProbeInterval)/2
@@ -272,7 +273,7 @@
 	}
 }
 
-// timedReader notes the time of each read, also in the middle of a long frame.
+// timedReader records the time of each read, including reads in the middle of a long frame.
 type timedReader struct{ conn *Conn }
 
 // Read implements io.Reader.
@@ -284,7 +285,7 @@
 	return n, err
 }
 
-// readLoop reads frames until the connection ends, and passes them on.
+// readLoop reads frames until the connection ends, and dispatches them.
 func (c *Conn) readLoop() {
 	defer c.handler.Closed(c)
 	frames := newFrameReader(timedReader{c})
--- a/internal/platform/link/frame.go
+++ b/internal/platform/link/frame.go
@@ -7,33 +7,33 @@
 	"io"
 )
 
-// Kinds of the link's own frames.
+// Kinds of frames used by the link itself.
 const (
 	kindReply Kind = 250 // the reply to a call; its body is the caller's
-	kindError Kind = 251 // the error that a call ended with; its body is the error's text
-	kindProbe Kind = 252 // nothing; it shows that the sender is alive
+	kindError Kind = 251 // the error of a call; its body is the error text
+	kindProbe Kind = 252 // a probe, which shows that the sender is alive
 )
 
-// A frame on the wire, numbers big endian:
+// Encoding of a frame, numbers big endian:
 //
-//	4 bytes  length of what follows
+//	4 bytes  length of the rest
 //	1 byte   kind
 //	4 bytes  number of the call; 0: a one-way message
 //	n bytes  body
 const (
 	lengthSize = 4
-	// frameOverhead is what the length counts beside the body.
+	// frameOverhead is the part of the length that is not the body.
 	frameOverhead = 1 + 4
 	headerSize    = lengthSize + frameOverhead
-	// maxFrame is the greatest size of a frame, in bytes.
+	// maxFrame is the maximum size of a frame, in bytes.
 	maxFrame = 16 << 20
 	maxBody  = maxFrame - headerSize
-	// initialBody limits the memory that a frame takes before its bytes have arrived.
+	// initialBody limits the memory that is allocated for a body before its bytes have arrived.
 	initialBody = 256 << 10
 	readBuffer  = 4 << 10
 )
 
-var errFrameTooLong = errors.New("a frame longer than any that is sent")
+var errFrameTooLong = errors.New("frame length out of bounds")
 
 // appendFrame appends the encoding of a frame.
 func appendFrame(b []byte, kind Kind, call uint32, body []byte) []byte {
@@ -43,7 +43,7 @@
 	return append(b, body...)
 }
 
-// frame is one frame as it was read.
+// frame is a decoded frame.
 type frame struct {
 	kind Kind
 	call uint32
@@ -81,7 +81,8 @@
 	return f, err
 }
 
-// readBody reads a body. Its memory grows with what has arrived, so that a peer can't claim much by a header alone.
+// readBody reads a body. The buffer grows with the bytes that have arrived, so that a peer can't claim much memory
+// with a header alone.
 func readBody(source io.Reader, size int) ([]byte, error) {
 	body := make([]byte, min(size, initialBody))
 	for read := 0; ; {
--- a/internal/platform/link/golden_test.go
+++ b/internal/platform/link/golden_test.go
@@ -12,14 +12,14 @@
 	"dunetide/internal/lab/golden"
 )
 
-// checkGolden compares encoded bytes with those of a golden file, which it returns.
+// checkGolden compares encoded bytes with those of a golden file, and returns the latter.
 func checkGolden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	golden.Compare(t, name+".bin", encoded)
 	return golden.Read(t, name+".bin")
 }
 
-// readFrames reads so many bytes as a peer would that knows nothing of this package.
+// readFrames reads size bytes from a connection without using this package's decoder.
 func readFrames(t *testing.T, raw net.Conn, size int) []byte {
 	t.Helper()
 	frames := make([]byte, size)
@@ -29,7 +29,7 @@
 	return frames
 }
 
-// The bytes of each kind of frame stay, as processes of two versions run in one tier while one is rolled out.
+// The encoding of each kind of frame must not change: during a rollout, processes of two versions run in one tier.
 func TestGoldenFrames(t *testing.T) {
 	t.Run("one-way message", func(t *testing.T) {
 		raw, nc := net.Pipe()
@@ -68,7 +68,7 @@
 	})
 }
 
-// The bytes of a reply and of a refusal stay, and end the calls that they answer.
+// The encoding of a reply and of an error must not change, and each must end the call that it belongs to.
 func TestGoldenReplies(t *testing.T) {
 	raw, nc := net.Pipe()
 	s := newSide()
@@ -100,7 +100,7 @@
 	}
 }
 
-// receive returns the message that a link reads out of a frame.
+// receive returns the message that a link decodes from a frame.
 func receive(t *testing.T, frame []byte) *Message {
 	t.Helper()
 	raw, nc := net.Pipe()
@@ -113,7 +113,7 @@
 	return get(t, s.messages, "the message")
 }
 
-// The encoding of each kind of field stays, which all messages between processes are made of.
+// The encoding of each kind of field must not change, as all messages between processes consist of them.
 func TestGoldenFields(t *testing.T) {
 	var w Writer
 	w.U8(0xfe)
@@ -131,11 +131,11 @@
 	got := []any{r.U8(), r.U32(), r.U64(), r.Int(), r.Bool(), r.Bool(), r.String(), r.Bytes(), r.Count(8), r.U64(), r.U64()}
 	want := []any{uint8(0xfe), uint32(0x01020304), uint64(0x1112131415161718), -2, true, false, "zwölf", []byte{9, 8, 7}, 2, uint64(21), uint64(22)}
 	if r.Err != nil || len(r.Buf) != 0 || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %v, %v, %d bytes are left", got, r.Err, len(r.Buf))
+		t.Errorf("read as %v, %v, %d bytes remain", got, r.Err, len(r.Buf))
 	}
 }
 
-// Numbers that both sides must agree on.
+// Both sides of a link must agree on these numbers.
 func TestGoldenLimits(t *testing.T) {
 	if kindReply != 250 || kindError != 251 || kindProbe != 252 || maxFrame != 16<<20 || headerSize != 9 {
 		t.Error("a peer of another version would end the link")
@@ -146,7 +146,7 @@
 	c := start(first(net.Pipe()), newSide(), steady)
 	defer c.Close()
 	if _, err := c.Call(context.Background(), 1, make([]byte, 16<<20-8)); err == nil || errors.Is(err, ErrClosed) {
-		t.Errorf("a message longer than a peer reads is sent: %v", err)
+		t.Errorf("a message longer than the peer's limit was sent: %v", err)
 	}
 }
 
--- a/internal/platform/link/helpers_test.go
+++ b/internal/platform/link/helpers_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// patience is how long a test waits for what must come.
+// patience is how long a test waits for an expected event.
 const patience = 20 * time.Second
 
-// steady options probe so seldom that no test meets a probe.
+// steady is options with which no probe is sent during a test.
 var steady = Options{ProbeInterval: time.Hour, PeerTimeout: 2 * time.Hour}
 
-// side is a handler that passes on what it gets.
+// side is a handler that puts what it receives into channels.
 type side struct {
 	messages chan *Message
 	closed   chan *Conn
-	act      func(m *Message) // in place of messages
+	act      func(m *Message) // called instead of sending to messages
 }
 
 func newSide() *side {
@@ -33,7 +33,7 @@
 
 func (s *side) Closed(c *Conn) { s.closed <- c }
 
-// transport makes the two ends of one connection.
+// transport creates the two ends of a connection.
 type transport struct {
 	name string
 	pair func(t *testing.T) (a, b net.Conn)
@@ -60,7 +60,7 @@
 	{"pipe", func(*testing.T) (net.Conn, net.Conn) { return net.Pipe() }},
 }
 
-// startPair starts the two ends of a link over a transport. They are closed at the end of the test.
+// startPair starts a link over a transport. Its two ends are closed at the end of the test.
 func startPair(t *testing.T, tr transport, o Options) (a, b *Conn, aSide, bSide *side) {
 	t.Helper()
 	aConn, bConn := tr.pair(t)
@@ -70,13 +70,13 @@
 	return a, b, aSide, bSide
 }
 
-// get receives a value that must come.
+// get receives an expected value.
 func get[T any](t *testing.T, ch <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-ch:
 	case <-time.After(patience):
-		t.Fatalf("%s did not come", what)
+		t.Fatalf("%s did not arrive", what)
 	}
 	return v
 }
--- a/internal/platform/link/link.go
+++ b/internal/platform/link/link.go
@@ -2,21 +2,20 @@
 // one-way messages, and probes by which each side detects a dead peer.
 //
 // All roles use it: proxies and stores to reach keepers, keepers to reach each other, proxies and stores for batch
-// jobs. The package knows nothing of what the messages mean; their kinds are declared by the packages that exchange
-// them.
+// jobs. The package doesn't interpret messages; the packages that exchange them declare their kinds.
 //
 // # Ordering and delivery
 //
-// Messages of one connection arrive in the order in which they were sent, each at most once. A connection that ends
-// takes with it what was not delivered; nothing is sent again on another connection. A caller whose call ends with an
-// error other than RemoteError doesn't know whether the call was carried out.
+// Messages of one connection arrive in the order in which they were sent, each at most once. Messages that are not
+// delivered when a connection ends are lost; none is retransmitted on another connection. If a call ends with an error
+// other than RemoteError, it may or may not have been executed.
 //
 // # Goroutines
 //
 // Each connection has a reading goroutine, which also runs the Handler, a writing goroutine, and a timer for probes.
-// They belong to the connection and end with it, whichever side ends it. Close doesn't wait for them, as a handler may
-// call it; Handler.Closed is the last thing that the reading goroutine does. Sending never waits for the network: a
-// message is appended to a queue that the writing goroutine empties.
+// They end with the connection, whichever side ends it. Close doesn't wait for them, as a handler may call it; the last
+// action of the reading goroutine is to call Handler.Closed. Sending never blocks on the network: a message is appended
+// to a queue that the writing goroutine drains.
 //
 // docs/control.md describes links between processes and keepers.
 package link
@@ -31,8 +30,8 @@
 const (
 	// dialTimeout limits the time that opening a connection takes.
 	dialTimeout = 800 * time.Millisecond
-	// acceptRetryDelay is the pause after a connection could not be accepted, which mostly means that the process has no
-	// file descriptors left.
+	// acceptRetryDelay is the pause after accepting a connection has failed, which usually means that the process has
+	// no file descriptors left.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
@@ -40,20 +39,20 @@
 type Options struct {
 	// ProbeInterval is the time without a write after which a side writes a probe.
 	ProbeInterval time.Duration
-	// PeerTimeout is the time without a read after which a side takes the peer for dead and ends the connection.
+	// PeerTimeout is the time without a read after which a side considers the peer dead and closes the connection.
 	PeerTimeout time.Duration
 }
 
-// DefaultOptions detect a dead peer in little over a second.
+// DefaultOptions detect a dead peer little later than 1.3 s after its last write.
 var DefaultOptions = Options{
 	ProbeInterval: 400 * time.Millisecond,
 	PeerTimeout:   1300 * time.Millisecond,
 }
 
-// Handler receives what the peers of its connections send.
+// Handler receives the messages of its connections.
 type Handler interface {
 	// Message is called for each message and call, in the order of their arrival, from one goroutine per connection.
-	// It must not block for long, as nothing more is read meanwhile: a call that takes time is replied to later, from
+	// It must not block for long, as nothing else is read meanwhile: it replies to a call that takes time later, from
 	// another goroutine.
 	Message(m *Message)
 	// Closed is called once, after the last message of a connection.
@@ -65,7 +64,7 @@
 func Dial(ctx context.Context, addr string, h Handler, o Options) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	d := net.Dialer{KeepAlive: -1} // probes take the place of TCP's own keepalives
+	d := net.Dialer{KeepAlive: -1} // probes replace TCP keepalives
 	nc, err := d.DialContext(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, err
@@ -73,8 +72,8 @@
 	return start(nc, h, o), nil
 }
 
-// Serve accepts connections until the listener is closed, and returns the listener's error then. The connections
-// accepted before stay open.
+// Serve accepts connections until the listener is closed, and then returns the listener's error. Connections accepted
+// before stay open.
 func Serve(l net.Listener, h Handler, o Options) error {
 	for {
 		nc, err := l.Accept()
--- a/internal/platform/link/link_test.go
+++ b/internal/platform/link/link_test.go
@@ -54,7 +54,7 @@
 				} else {
 					m.Reply([]byte{m.Body[0], 1})
 				}
-				m.Reply([]byte("once more")) // is for nobody
+				m.Reply([]byte("once more")) // is ignored
 			}
 			for i, ch := range replies {
 				r := get(t, ch, "a reply")
@@ -66,14 +66,14 @@
 					t.Fatalf("call %d: %q", i, r.Body)
 				}
 			}
-			if left := remembered(a); left != 0 {
-				t.Fatalf("%d calls are remembered", left)
+			if left := pendingCalls(a); left != 0 {
+				t.Fatalf("%d calls are still pending", left)
 			}
 		})
 	}
 }
 
-func remembered(c *Conn) int {
+func pendingCalls(c *Conn) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.calls)
@@ -101,7 +101,7 @@
 	}
 }
 
-// A call that nobody waits for any more is not remembered.
+// A call whose context has ended is removed from the pending calls, and the link remains usable.
 func TestAbandonedCallIsForgotten(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
@@ -114,8 +114,8 @@
 			if err := get(t, ended, "the call's end"); !errors.Is(err, context.Canceled) {
 				t.Fatal(err)
 			}
-			if left := remembered(a); left != 0 {
-				t.Fatalf("%d calls are remembered", left)
+			if left := pendingCalls(a); left != 0 {
+				t.Fatalf("%d calls are still pending", left)
 			}
 			m.Reply(nil)
 			go func() { get(t, bSide.messages, "a second call").Reply([]byte("yes")) }()
@@ -126,8 +126,8 @@
 	}
 }
 
-// A frame that is too long is refused to its sender, and the link goes on.
-func TestTooLongBodyIsRejectedAndLinkStays(t *testing.T) {
+// A message that is too long is rejected at its sender, and the link stays open.
+func TestTooLongBodyIsRejectedAndLinkStaysOpen(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
 			a, _, _, bSide := startPair(t, tr, steady)
@@ -172,7 +172,7 @@
 	}
 }
 
-// What waits for a peer that does not read is bounded.
+// The write queue for a peer that does not read is bounded.
 func TestQueueForPeerThatDoesNotReadIsBounded(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
@@ -184,7 +184,7 @@
 			sent := 0
 			for a.Send(7, body) == nil {
 				if sent++; sent > 4*maxQueued>>20 {
-					t.Fatal("more and more waits")
+					t.Fatal("the write queue grows without bound")
 				}
 			}
 			get(t, aSide.closed, "the end")
@@ -192,7 +192,7 @@
 	}
 }
 
-// A peer that says nothing is found, also while the writer is stuck with it.
+// A peer that sends nothing is detected, even while the writing goroutine is blocked on it.
 func TestUnresponsivePeerEndsLink(t *testing.T) {
 	for _, tr := range transports {
 		for _, stuck := range []bool{false, true} {
@@ -215,7 +215,7 @@
 	}
 }
 
-// Probes hold a link on which nobody has anything to say.
+// Probes keep a link open on which no messages are sent.
 func TestProbesKeepIdleLinkOpen(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
@@ -228,7 +228,7 @@
 						n, last = n+1, at
 					}
 					if time.Now().After(deadline) {
-						t.Fatal("no probe is heard")
+						t.Fatal("no probe arrived")
 					}
 					select {
 					case <-c.Done():
@@ -241,7 +241,7 @@
 	}
 }
 
-// A frame that takes longer than the silence allowed is heard all the while.
+// Each read of a frame counts as a sign of life, so a frame may take longer than PeerTimeout.
 func TestSlowLongFrameCountsAsAlive(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
@@ -250,7 +250,7 @@
 			aSide := newSide()
 			a := start(na, aSide, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 300 * time.Millisecond})
 			defer a.Close()
-			go func() { // reads the probes away
+			go func() { // discards the probes
 				b := make([]byte, 1<<10)
 				for {
 					if _, err := raw.Read(b); err != nil {
@@ -278,7 +278,7 @@
 	}
 }
 
-// Many write at once, both ways, and all arrives, in each writer's order.
+// With concurrent writers in both directions, all messages arrive, those of each writer in order.
 func TestConcurrentWritersKeepTheirOrder(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
@@ -299,7 +299,7 @@
 				for range writers * each {
 					m := get(t, s.messages, "a message")
 					if got := binary.BigEndian.Uint32(m.Body); got != next[m.Kind] {
-						t.Fatalf("writer %d: %d in place of %d", m.Kind, got, next[m.Kind])
+						t.Fatalf("writer %d: got %d, want %d", m.Kind, got, next[m.Kind])
 					}
 					next[m.Kind]++
 				}
@@ -309,7 +309,8 @@
 	}
 }
 
-// FuzzFrames reads any bytes: no panic, no memory beyond what came, and Closed is called last, once.
+// FuzzFrames decodes arbitrary bytes: it must not panic or allocate more than what was received, and Closed is called
+// once, last.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 5, 7, 0, 0, 0, 1})
 	f.Add([]byte{0, 0, 0, 6, 250, 0, 0, 0, 1, 9})
@@ -329,13 +330,13 @@
 		get(t, s.closed, "the end")
 		c.Close()
 		if bytes > len(b) {
-			t.Fatalf("%d bytes out of %d", bytes, len(b))
+			t.Fatalf("%d bytes decoded from %d", bytes, len(b))
 		}
 	})
 }
 
-// firstReplies reads frames as the format says, apart from the code under test: the first reply to each of some calls before
-// anything that ends the link.
+// firstReplies decodes frames independently of the code under test. It returns the first reply to each of the calls
+// that precedes anything that ends the link.
 func firstReplies(b []byte, calls uint32) map[uint32]Reply {
 	first := map[uint32]Reply{}
 	for len(b) >= headerSize {
@@ -358,7 +359,8 @@
 	return first
 }
 
-// readCalls reads some calls without bodies: then no write is under way that a close would end before a reply is read.
+// readCalls reads calls without bodies, so that no write is pending that could fail and close the link before a reply
+// is read.
 func readCalls(t *testing.T, raw net.Conn, calls int64) {
 	t.Helper()
 	if _, err := io.CopyN(io.Discard, raw, calls*headerSize); err != nil {
@@ -366,7 +368,8 @@
 	}
 }
 
-// FuzzReplies reads any bytes while calls wait: each call gets the first reply with its number, or ErrClosed, once.
+// FuzzReplies decodes arbitrary bytes while calls are pending: each call gets the first reply with its number, or
+// ErrClosed, once.
 func FuzzReplies(f *testing.F) {
 	reply := func(kind Kind, call byte, body ...byte) []byte {
 		return append([]byte{0, 0, 0, byte(5 + len(body)), byte(kind), 0, 0, 0, call}, body...)
@@ -396,9 +399,9 @@
 			expected, replied := want[uint32(n+1)]
 			switch {
 			case !replied && !errors.Is(got.Err, ErrClosed):
-				t.Fatalf("call %d: %+v though nobody replied", n+1, got)
+				t.Fatalf("call %d: %+v without a reply", n+1, got)
 			case replied && (string(got.Body) != string(expected.Body) || !reflect.DeepEqual(got.Err, expected.Err)):
-				t.Fatalf("call %d: %+v in place of %+v", n+1, got, expected)
+				t.Fatalf("call %d: got %+v, want %+v", n+1, got, expected)
 			}
 		}
 		get(t, s.closed, "the end")
@@ -411,8 +414,8 @@
 	})
 }
 
-// A link that breaks at any byte of two replies: what came whole counts, the other call ends with ErrClosed, and the next link,
-// whose calls have the same numbers, gets nothing of it.
+// If a link breaks at any byte of two replies, complete replies count, the other calls end with ErrClosed, and the
+// next link, whose calls have the same numbers, receives nothing of the replies.
 func TestLinkCutAtEachByteOfReplies(t *testing.T) {
 	reply := func(call byte, body string) []byte {
 		return append([]byte{0, 0, 0, byte(5 + len(body)), byte(kindReply), 0, 0, 0, call}, body...)
@@ -441,13 +444,13 @@
 	}
 }
 
-// A reply to a question that came over an older link ends no call of a newer one, though both have the same number.
+// A reply to a call on an old link ends no call on a newer link, even if both calls have the same number.
 func TestReplyOnOldLinkEndsNoCallOnNewLink(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
 			a, _, _, bSide := startPair(t, tr, steady)
 			old := a.Go(1, []byte("old"))
-			question := get(t, bSide.messages, "the old question")
+			oldCall := get(t, bSide.messages, "the old call")
 			a.Close()
 			if r := get(t, old, "the end of the old call"); !errors.Is(r.Err, ErrClosed) {
 				t.Errorf("%+v", r)
@@ -456,13 +459,13 @@
 				t.Run(tr.name, func(t *testing.T) {
 					newer, _, _, newerSide := startPair(t, tr, steady)
 					now := newer.Go(1, []byte("new"))
-					next := get(t, newerSide.messages, "the new question")
-					if next.call != question.call {
-						t.Fatalf("numbers %d and %d", question.call, next.call)
+					next := get(t, newerSide.messages, "the new call")
+					if next.call != oldCall.call {
+						t.Fatalf("numbers %d and %d", oldCall.call, next.call)
 					}
-					question.Reply([]byte("to the old one"))
-					next.Reply([]byte("to the new one"))
-					if r := get(t, now, "a reply"); string(r.Body) != "to the new one" || r.Err != nil {
+					oldCall.Reply([]byte("to the old call"))
+					next.Reply([]byte("to the new call"))
+					if r := get(t, now, "a reply"); string(r.Body) != "to the new call" || r.Err != nil {
 						t.Errorf("%+v", r)
 					}
 				})
--- a/internal/platform/link/linktest/cuts.go
+++ b/internal/platform/link/linktest/cuts.go
@@ -2,47 +2,47 @@
 
 import "sync"
 
-// Cuts are the directions in which nothing passes for now. Its zero value has none.
+// Cuts is the set of directions in which traffic is blocked. Its zero value is empty.
 type Cuts struct {
 	mu     sync.Mutex
-	healed map[Direction]chan struct{} // by each direction that is cut; closed when it is healed
+	healed map[Direction]chan struct{} // by direction that is cut; closed when the direction is healed
 }
 
-// Cut stops some directions. What is held back meanwhile comes late.
-func (c *Cuts) Cut(ways ...Direction) {
+// Cut blocks some directions. Data that is held back meanwhile is delivered late, not lost.
+func (c *Cuts) Cut(directions ...Direction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.healed == nil {
 		c.healed = map[Direction]chan struct{}{}
 	}
-	for _, way := range ways {
-		if c.healed[way] == nil {
-			c.healed[way] = make(chan struct{})
+	for _, direction := range directions {
+		if c.healed[direction] == nil {
+			c.healed[direction] = make(chan struct{})
 		}
 	}
 }
 
-// Heal ends the cuts of some directions; without any, of all.
-func (c *Cuts) Heal(ways ...Direction) {
+// Heal unblocks some directions; without arguments, all.
+func (c *Cuts) Heal(directions ...Direction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(ways) == 0 {
-		for way := range c.healed {
-			ways = append(ways, way)
+	if len(directions) == 0 {
+		for direction := range c.healed {
+			directions = append(directions, direction)
 		}
 	}
-	for _, way := range ways {
-		if healed := c.healed[way]; healed != nil {
+	for _, direction := range directions {
+		if healed := c.healed[direction]; healed != nil {
 			close(healed)
-			delete(c.healed, way)
+			delete(c.healed, direction)
 		}
 	}
 }
 
-// Await returns once a direction is not cut. It reports false if done is closed before.
-func (c *Cuts) Await(way Direction, done <-chan struct{}) bool {
+// Await blocks until a direction is not cut. It returns false if done is closed first.
+func (c *Cuts) Await(direction Direction, done <-chan struct{}) bool {
 	c.mu.Lock()
-	healed := c.healed[way]
+	healed := c.healed[direction]
 	c.mu.Unlock()
 	if healed == nil {
 		return true
--- a/internal/platform/link/linktest/linktest_test.go
+++ b/internal/platform/link/linktest/linktest_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// echo returns the address of a server that sends back what it reads.
+// echo starts a server that echoes what it reads, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -55,17 +55,17 @@
 func TestCutHoldsBytesBackUntilItIsHealed(t *testing.T) {
 	var cuts Cuts
 	var relays *Relays
-	relays = New(t, func(way Direction, n int) (int, bool) { return n, cuts.Await(way, relays.Done()) })
-	way := Direction{From: 1, To: 2}
+	relays = New(t, func(direction Direction, n int) (int, bool) { return n, cuts.Await(direction, relays.Done()) })
+	direction := Direction{From: 1, To: 2}
 	target := echo(t)
-	address := relays.Address(way, target)
-	if again := relays.Address(way, target); again != address {
+	address := relays.Address(direction, target)
+	if again := relays.Address(direction, target); again != address {
 		t.Errorf("%s and %s for one direction", address, again)
 	}
 	conn := dial(t, address)
 	exchange(t, conn, "before")
-	cuts.Cut(way.Reverse())
-	cuts.Cut(way.Reverse()) // once more is no other cut
+	cuts.Cut(direction.Reverse())
+	cuts.Cut(direction.Reverse()) // cutting again has no effect
 	if _, err := io.WriteString(conn, "meanwhile"); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Fatal("a byte passes a direction that is cut")
+		t.Fatal("a byte passed in a direction that is cut")
 	}
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
@@ -86,27 +86,27 @@
 	exchange(t, conn, "after")
 }
 
-func TestGateBreaksAConnectionBehindAByte(t *testing.T) {
-	relays := New(t, func(way Direction, n int) (int, bool) { return min(n, 3), n <= 3 || way.From != 1 })
+func TestGateBreaksAConnectionAfterAByte(t *testing.T) {
+	relays := New(t, func(direction Direction, n int) (int, bool) { return min(n, 3), n <= 3 || direction.From != 1 })
 	conn := dial(t, relays.Address(Direction{From: 1, To: 2}, echo(t)))
 	if _, err := io.WriteString(conn, "abcdef"); err != nil {
 		t.Fatal(err)
 	}
 	if text, _ := io.ReadAll(conn); len(text) > 3 {
-		t.Errorf("%q passes", text)
+		t.Errorf("%q passed", text)
 	}
 }
 
-// A cut that is never healed must not keep a test from its end.
+// A cut that is never healed must not block the end of a test.
 func TestRelaysEndWhileADirectionIsCut(t *testing.T) {
 	var cuts Cuts
 	t.Run("cut", func(t *testing.T) {
 		var relays *Relays
-		relays = New(t, func(way Direction, n int) (int, bool) { return n, cuts.Await(way, relays.Done()) })
-		way := Direction{From: 1, To: 2}
-		conn := dial(t, relays.Address(way, echo(t)))
+		relays = New(t, func(direction Direction, n int) (int, bool) { return n, cuts.Await(direction, relays.Done()) })
+		direction := Direction{From: 1, To: 2}
+		conn := dial(t, relays.Address(direction, echo(t)))
 		exchange(t, conn, "before")
-		cuts.Cut(way)
+		cuts.Cut(direction)
 		if _, err := io.WriteString(conn, "held back"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/link/linktest/relays.go
+++ b/internal/platform/link/linktest/relays.go
@@ -1,5 +1,5 @@
-// Package linktest has relays for tests of what processes do over links that are cut, delayed or broken. It is for
-// tests only: those of links, of keepers, and of the command.
+// Package linktest provides TCP relays for tests of processes whose links are cut, delayed or broken. Only tests use it:
+// those of links, of keepers, and of the command.
 package linktest
 
 import (
@@ -10,20 +10,20 @@
 	"testing"
 )
 
-// Direction is the way from one process to another, by the numbers that a test gives them.
+// Direction is a direction of traffic between two processes, which a test identifies by numbers.
 type Direction struct{ From, To int }
 
-// Reverse returns the way back.
+// Reverse returns the opposite direction.
 func (d Direction) Reverse() Direction { return Direction{From: d.To, To: d.From} }
 
-// Gate decides what a relay carries in a direction, and may block to hold it back. It is called for each n bytes that
-// have been read: the first passed of them go on, and unless keep the connection ends behind them. With n = 0 it is
-// called before a connection to the target is opened and before its end is passed on; unless keep, the connection ends.
-// It must return once Relays.Done is closed.
-type Gate func(way Direction, n int) (passed int, keep bool)
+// Gate decides what a relay forwards in a direction, and may block to hold data back. It is called for each n bytes
+// that have been read: the first passed of them are forwarded, and if keep is false the connection is closed after
+// them. It is called with n = 0 before a connection to the target is opened and before the end of a connection is
+// forwarded; if keep is false, the connection is closed. It must return once Relays.Done is closed.
+type Gate func(direction Direction, n int) (passed int, keep bool)
 
-// Relays stand between processes: each direction in which one dials another has a listener, whose connections go on to
-// the target. They end with the test.
+// Relays forwards TCP connections between processes: each direction in which one process dials another has a
+// listener, whose connections are forwarded to the target. They end with the test.
 type Relays struct {
 	t       testing.TB
 	gate    Gate
@@ -31,16 +31,16 @@
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	ended     bool
 	addresses map[Direction]string
 	open      map[io.Closer]bool
 }
 
-// New returns relays without a listener.
+// New returns relays without listeners.
 func New(t testing.TB, gate Gate) *Relays {
 	t.Helper()
-	// The context of the test would end before the processes that a test ends in its clean-up.
+	// The test's own context would end before the processes that the test stops in its clean-up.
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relays{
 		t:         t,
@@ -57,49 +57,49 @@
 // Done returns a channel that is closed when the test ends.
 func (r *Relays) Done() <-chan struct{} { return r.ctx.Done() }
 
-// Address returns the address at which one process dials another, whose own is target. It is the same at each call for
-// a direction.
-func (r *Relays) Address(way Direction, target string) string {
+// Address returns the address at which one process dials another one, whose own address is target. Each call for a
+// direction returns the same address.
+func (r *Relays) Address(direction Direction, target string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if address, found := r.addresses[way]; found {
+	if address, found := r.addresses[direction]; found {
 		return address
 	}
 	listener, err := new(net.ListenConfig).Listen(r.ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
-		r.t.Errorf("a relay: %v", err)
+		r.t.Errorf("listening for a relay: %v", err)
 		return target
 	}
 	if r.ended {
 		_ = listener.Close()
 		return target
 	}
-	r.addresses[way] = listener.Addr().String()
+	r.addresses[direction] = listener.Addr().String()
 	r.open[listener] = true
-	r.running.Go(func() { r.accept(listener, way, target) })
-	return r.addresses[way]
+	r.running.Go(func() { r.accept(listener, direction, target) })
+	return r.addresses[direction]
 }
 
 // accept accepts connections until the test ends.
-func (r *Relays) accept(listener net.Listener, way Direction, target string) {
+func (r *Relays) accept(listener net.Listener, direction Direction, target string) {
 	for {
 		near, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		r.running.Go(func() { r.connect(near, way, target) })
+		r.running.Go(func() { r.connect(near, direction, target) })
 	}
 }
 
-// connect joins a connection to one to the target, and carries bytes both ways until it ends.
-func (r *Relays) connect(near net.Conn, way Direction, target string) {
+// connect connects a connection to the target, and forwards bytes in both directions until it ends.
+func (r *Relays) connect(near net.Conn, direction Direction, target string) {
 	defer near.Close()
-	if _, keep := r.gate(way, 0); !keep {
+	if _, keep := r.gate(direction, 0); !keep {
 		return
 	}
 	far, err := new(net.Dialer).DialContext(r.ctx, "tcp4", target)
 	if err != nil {
-		return // the target has ended: so does the connection
+		return // the target is down: close the connection
 	}
 	defer far.Close()
 	if !r.track(near, far) {
@@ -107,26 +107,26 @@
 	}
 	defer r.untrack(near, far)
 	var back sync.WaitGroup
-	back.Go(func() { r.carry(far, near, way.Reverse()) })
-	r.carry(near, far, way)
+	back.Go(func() { r.carry(far, near, direction.Reverse()) })
+	r.carry(near, far, direction)
 	back.Wait()
 }
 
-// carry passes bytes on, and in the end the end, as far as the gate allows.
-func (r *Relays) carry(in, out net.Conn, way Direction) {
+// carry forwards bytes, and finally the end of the connection, as far as the gate allows.
+func (r *Relays) carry(in, out net.Conn, direction Direction) {
 	defer in.Close()
 	defer out.Close()
 	buffer := make([]byte, 64<<10)
 	for {
 		n, readErr := in.Read(buffer)
-		passed, keep := r.gate(way, n)
+		passed, keep := r.gate(direction, n)
 		if _, err := out.Write(buffer[:passed]); err != nil || readErr != nil || !keep {
 			return
 		}
 	}
 }
 
-// track has connections closed at the end of the test. It reports false if the test has ended.
+// track makes the end of the test close connections. It returns false if the test has ended.
 func (r *Relays) track(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// close ends all connections and waits for all goroutines.
+// close closes all listeners and connections and waits for all goroutines.
 func (r *Relays) close() {
 	r.mu.Lock()
 	r.ended = true
--- a/internal/platform/link/mutants_test.go
+++ b/internal/platform/link/mutants_test.go
@@ -7,22 +7,22 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// mutants are changes that would give a reply to the wrong call, or lose one.
+// mutants are source changes that would deliver a reply to the wrong call, or lose one.
 var mutants = []mutation.Mutant{
 	{
-		Name: "a call is answered twice",
+		Name: "a call is replied to twice",
 		File: "conn.go",
 		Old:  "	pending := c.calls[number]\n	delete(c.calls, number)\n",
 		New:  "	pending := c.calls[number]\n",
 	},
 	{
-		Name: "a call that was given up is kept",
+		Name: "an abandoned call stays pending",
 		File: "conn.go",
 		Old:  "	defer c.mu.Unlock()\n	delete(c.calls, number)\n}",
 		New:  "	defer c.mu.Unlock()\n	_ = number\n}",
 	},
 	{
-		Name: "a refusal looks like a reply",
+		Name: "an error is delivered as a reply",
 		File: "conn.go",
 		Old:  "Reply{Err: RemoteError(f.body)}",
 		New:  "Reply{Body: f.body}",
@@ -34,7 +34,7 @@
 		New:  "			_ = pending\n		}\n	})",
 	},
 	{
-		Name: "all calls have one number",
+		Name: "all calls have the same number",
 		File: "conn.go",
 		Old:  "		c.lastCall++\n",
 		New:  "",
@@ -53,10 +53,11 @@
 	},
 }
 
-// TestMutantsStand fails if a line that a mutant replaces no longer stands once in its file.
+// TestMutantsStand fails if the source text that a mutant replaces does not occur exactly once in its file.
 func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
-// TestMutantsAreFound runs the tests over each mutant, which takes minutes: LINK_MUTANTS is 1 or a part of a name.
+// TestMutantsAreFound runs the tests against each mutant, which takes minutes: it runs if LINK_MUTANTS is 1 or part
+// of a mutant's name.
 func TestMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "LINK_MUTANTS")
 	mutation.Find(t, mutants, mutation.Options{
--- a/internal/platform/link/resend/calls_test.go
+++ b/internal/platform/link/resend/calls_test.go
@@ -11,7 +11,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// cuts are the bytes at which a text of a length is cut, its end among them.
+// cuts returns the offsets at which a text of some length is cut, including its end.
 func cuts(length, step int) (at []int) {
 	if everyByte() {
 		step = 1
@@ -22,22 +22,23 @@
 	return append(at, length)
 }
 
-// configuration is one under a number; the mark tells two of the same number apart.
+// configuration returns a configuration with a version; the mark distinguishes configurations of the same version.
 func configuration(version int, mark string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","host":"h.example","path_start":"/%s/","kind":"writes","timeout_ms":100,"service":"s"}],`+
 		`"services":[{"name":"s","health_path":"/health","max_conns":1}]}`, version, mark)
 }
 
-// heartbeat is one of an endpoint.
+// heartbeat returns the body of an endpoint's heartbeat.
 func heartbeat(state string, count int) string {
 	return fmt.Sprintf(`{"service":"s","address":"10.0.0.1:80","zone":"z","version":"v","capacity":4,"state":%q,"cold_left_ms":0,"call_count":%d}`, state, count)
 }
 
-// partsOfAnswer are how many bytes of an answer are read before its connection ends.
+// partsOfAnswer are the numbers of bytes of a response that are read before the connection is closed.
 var partsOfAnswer = []int{1, 20, 1000}
 
-// A part of an order is none. The whole one, sent again unchanged after a cut at any of its bytes or in its answer, is
-// taken once: it gets 200 at each keeper, and another one under its number 412.
+// An incomplete order has no effect. A complete one that is retried unchanged after a cut, at any of its bytes or in
+// the response, takes effect once: each keeper responds with 200 to it, and with 412 to another order of the same
+// version.
 func TestOrderCutAtEachByte(t *testing.T) {
 	k := startKeepers(t)
 	version := 0
@@ -71,8 +72,8 @@
 	t.Logf("%d orders", version)
 }
 
-// A part of a heartbeat is none. The whole one counts once, by its call_count: sent again after a cut, also by another
-// keeper, it is acknowledged, and one that is late takes nothing back.
+// An incomplete heartbeat has no effect. A complete one counts once, by its call_count: a retry after a cut, to the
+// same or another keeper, is acknowledged, and a late heartbeat reverts nothing.
 func TestHeartbeatCutAtEachByte(t *testing.T) {
 	k := startKeepers(t)
 	latest, _ := k.attach()
@@ -91,9 +92,9 @@
 		k.cutCall(at, drain, cutAt, read, count%2 == 0)
 		if !complete {
 			k.untilStatus(at, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1))
-			eventually(t, "it is known", func() bool { return stateOf(latest, id) != snapshot.Removed })
+			eventually(t, "the endpoint is known", func() bool { return stateOf(latest, id) != snapshot.Removed })
 			if got := stateOf(latest, id); got != snapshot.Ready {
-				t.Fatalf("cut at %d: it is %v", cutAt, got)
+				t.Fatalf("cut at %d: the endpoint is %v", cutAt, got)
 			}
 		}
 		for range 2 {
@@ -103,14 +104,14 @@
 			}
 		}
 		if got := stateOf(latest, id); got != snapshot.Draining {
-			t.Fatalf("cut at %d: acknowledged to drain, and it is %v", cutAt, got)
+			t.Fatalf("cut at %d: draining was acknowledged, but the endpoint is %v", cutAt, got)
 		}
 		for i := range keeperCount {
 			k.untilStatus(i, http.StatusOK, http.MethodDelete, path, "", "")
 			k.untilStatus(i, http.StatusOK, http.MethodPut, path, "", heartbeat("ready", 1)) // a late one
 		}
 		if got := stateOf(latest, id); got != snapshot.Removed {
-			t.Fatalf("acknowledged to be gone, and it is %v", got)
+			t.Fatalf("removal was acknowledged, but the endpoint is %v", got)
 		}
 	}
 	length := len(requestText(http.MethodPut, "/instances/i-1", "", heartbeat("draining", 2)))
@@ -123,8 +124,8 @@
 	t.Logf("%d endpoints", count)
 }
 
-// Messages of the registers are sent again where a link between keepers breaks at any byte, from or to the keeper that
-// takes an order: the order is decided once, and each keeper tells the same.
+// Messages of the registers are retransmitted if a link between keepers breaks at any byte, from or to the keeper
+// that receives an order: the order is decided once, and all keepers return the same configuration.
 func TestRegisterMessagesOverBrokenLinks(t *testing.T) {
 	k := startKeepers(t)
 	version := 0
@@ -154,7 +155,7 @@
 	t.Logf("%d orders, %d links broken", version, k.relays.brokenLinks())
 }
 
-// follow watches the versions that are in force at an attached process, until it is stopped: they never go back.
+// follow checks until it is stopped that the version in force at an attached process never decreases.
 func follow(t *testing.T, latest *snapshot.Latest) (newest func() uint64, stop func()) {
 	t.Helper()
 	var inForce atomic.Uint64
@@ -179,8 +180,8 @@
 	return inForce.Load, func() { close(stopped); <-ended }
 }
 
-// A push that a broken link cuts at any byte comes whole over the next link; a process that attaches has each version
-// soon, and goes back to none.
+// A push that is cut by a broken link at any byte arrives completely over the next link; an attached process gets
+// each version soon, and never reverts to an older one.
 func TestPushOverABrokenLink(t *testing.T) {
 	k := startKeepers(t)
 	k.untilStatus(0, http.StatusOK, http.MethodPut, "/config", "0", configuration(1, "a"))
--- a/internal/platform/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -1,5 +1,5 @@
-// Package resend breaks the connections and links of real keepers at each byte, sends again what was under way, and
-// checks that it counts once. It has tests only.
+// Package resend tests that a request or message that is retried after its connection broke at any byte takes effect
+// once, with real keepers. It has tests only.
 package resend
 
 import (
@@ -26,20 +26,21 @@
 )
 
 const (
-	// patience is how long a test waits for what must come.
+	// patience is how long a test waits for an expected event.
 	patience   = 30 * time.Second
 	keeperZone = "z"
-	// service is that of all endpoints.
+	// service is the service of all endpoints.
 	service = "s"
-	// keeperCount is how many keepers there are; one of them may be lost.
+	// keeperCount is the number of keepers, of which one may fail.
 	keeperCount = 3
 	poll        = 10 * time.Millisecond
 )
 
-// everyByte tells whether all bytes are tried, which takes minutes: RESEND_EVERY_BYTE=1. Otherwise a test tries some.
+// everyByte reports whether to cut at every byte, which takes minutes: RESEND_EVERY_BYTE=1. Otherwise a test cuts at
+// some of them.
 func everyByte() bool { return os.Getenv("RESEND_EVERY_BYTE") != "" }
 
-// keepers are some in one process, each on a loopback address of its own, with relays between them.
+// keepers runs several keepers in one process, each on its own loopback address, with relays between them.
 type keepers struct {
 	t           *testing.T
 	network     string
@@ -48,7 +49,7 @@
 	relays      *relays
 }
 
-// startKeepers starts them and waits until each is in contact with all.
+// startKeepers starts the keepers and waits until each is in contact with all.
 func startKeepers(t *testing.T) *keepers {
 	t.Helper()
 	k := &keepers{t: t, network: fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(250))}
@@ -124,7 +125,7 @@
 				k.t.Errorf("keeper %d: %v", i, err)
 			}
 		case <-time.After(patience):
-			k.t.Errorf("keeper %d does not end", i)
+			k.t.Errorf("keeper %d does not stop", i)
 		}
 	})
 }
@@ -139,11 +140,11 @@
 	return addr
 }
 
-// attached is the number of the process that attaches, among the relays.
+// attached is the number of the attached process among the relays.
 const attached = keeperCount
 
-// attach attaches a process to keepers through relays, until it is stopped. The addresses that keepers push lead it
-// past the relays later.
+// attach attaches a process to the keepers through relays, until it is stopped. Later the process uses the addresses
+// that keepers push, which bypass the relays.
 func (k *keepers) attach() (latest *snapshot.Latest, stop func()) {
 	latest = &snapshot.Latest{}
 	var seeds []string
@@ -170,7 +171,7 @@
 	return latest, stop
 }
 
-// stateOf returns the state of an endpoint in the newest snapshot of an attached process.
+// stateOf returns the state of an endpoint in the latest snapshot of an attached process.
 func stateOf(latest *snapshot.Latest, id string) snapshot.State {
 	s := latest.Get()
 	if s == nil {
@@ -189,18 +190,18 @@
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(poll) {
 		if time.Now().After(end) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out: %s", what)
 		}
 	}
 }
 
-// answer is the response of a keeper; status 0: it did not arrive complete.
+// answer is the response of a keeper; status 0: no complete response.
 type answer struct {
 	status int
 	body   string
 }
 
-// requestText returns a request as it is on the wire.
+// requestText returns the encoding of a request.
 func requestText(method, path, match, body string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: keeper\r\nContent-Length: %d\r\nConnection: close\r\n", method, path, len(body))
@@ -210,7 +211,7 @@
 	return text.String() + "\r\n" + body
 }
 
-// call calls a keeper, once.
+// call sends a request to a keeper, once.
 func (k *keepers) call(i int, method, path, match, body string) answer {
 	conn, err := net.Dial("tcp4", k.controlAddress(i))
 	if err != nil {
@@ -232,7 +233,8 @@
 	return answer{response.StatusCode, string(text)}
 }
 
-// untilStatus repeats a call, unchanged, until a keeper answers it with a status; any other than 503 ends the test.
+// untilStatus retries a request, unchanged, until a keeper responds with a status; any other status than 503 fails
+// the test.
 func (k *keepers) untilStatus(i, want int, method, path, match, body string) answer {
 	k.t.Helper()
 	var last answer
@@ -246,7 +248,8 @@
 	return last
 }
 
-// cutCall sends a part of a call, or all of it and reads a part of its answer, and resets or closes the connection.
+// cutCall sends a part of a request, or all of it and then reads a part of the response, and resets or closes the
+// connection.
 func (k *keepers) cutCall(i int, text string, sent, read int, reset bool) {
 	k.t.Helper()
 	conn, err := net.Dial("tcp4", k.controlAddress(i))
@@ -258,7 +261,7 @@
 		k.t.Fatal(err)
 	}
 	if read > 0 {
-		_, _ = io.ReadFull(conn, make([]byte, read)) // the answer may be shorter
+		_, _ = io.ReadFull(conn, make([]byte, read)) // the response may be shorter
 	}
 	if reset {
 		_ = conn.(*net.TCPConn).SetLinger(0)
--- a/internal/platform/link/resend/relay_test.go
+++ b/internal/platform/link/resend/relay_test.go
@@ -7,20 +7,20 @@
 	"dunetide/internal/platform/link/linktest"
 )
 
-// The sides of a keeper, for breakAfter.
+// The directions of a keeper's traffic, for breakAfter.
 const (
 	bytesFrom = "from"
 	bytesTo   = "to"
 )
 
-// relays stand between keepers. They pass all bytes on, until they are told to break a link.
+// relays forwards the links of keepers, and can break one after a number of bytes.
 type relays struct {
 	*linktest.Relays
 
 	mu          sync.Mutex
-	counted     int            // the keeper whose bytes, and those to whom, are counted
-	left        map[string]int // bytes that may still pass, by side; missing: any number
-	brokenCount int            // links that broke at a byte
+	counted     int            // the process whose traffic is counted
+	left        map[string]int // bytes that may still pass, by side; absent: unlimited
+	brokenCount int            // links that were broken
 }
 
 func newRelays(t *testing.T) *relays {
@@ -30,34 +30,34 @@
 	return r
 }
 
-// breakAfter breaks the next link that carries a keeper's bytes, from it or to it, behind so many of them.
+// breakAfter breaks the next link that carries a process's traffic, from it or to it, after so many bytes.
 func (r *relays) breakAfter(keeper int, side string, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counted, r.left = keeper, map[string]int{side: bytes}
 }
 
-// brokenLinks returns how many links broke at a byte, until now.
+// brokenLinks returns how many links have been broken.
 func (r *relays) brokenLinks() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.brokenCount
 }
 
-// address returns where a keeper dials another one.
+// address returns the relay address at which one process dials another.
 func (r *relays) address(from, to int, target string) string {
 	return r.Address(linktest.Direction{From: from, To: to}, target)
 }
 
-// pass is a linktest.Gate: it passes bytes until a link is to break.
-func (r *relays) pass(way linktest.Direction, n int) (passed int, keep bool) {
+// pass is a linktest.Gate: it forwards bytes until a link is to be broken.
+func (r *relays) pass(direction linktest.Direction, n int) (passed int, keep bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	side := ""
 	switch r.counted {
-	case way.From:
+	case direction.From:
 		side = bytesFrom
-	case way.To:
+	case direction.To:
 		side = bytesTo
 	}
 	left, limited := r.left[side]
