--- a/internal/platform/frame/format.go
+++ b/internal/platform/frame/format.go
@@ -1,10 +1,10 @@
-// Package frame is the encoding of records in append-only files: a file begins with a header, which stands twice, and each
-// Record has a head with its length and checksums. In the keyed form a checksum covers the place of the record too, so that
-// a record is valid at one offset of one file only: what a disk returns from another place, or from a file that was there
-// before, is found out.
+// Package frame is the encoding of records in append-only files: a file begins with two copies of a header, and each
+// record has a head with its length and checksums. In the keyed form the checksums also cover the record's offset and the
+// file's salt, so that a record is valid at one offset of one file only: data that a disk returns from another offset, or
+// from an older file, is detected.
 //
-// The delivery node's journal and the tier's record logs (recordlog) are written so. The package has no files and no state.
-// Its bytes are pinned by golden files of its callers.
+// The delivery node's journal and the tier's record logs (recordlog) use this encoding. The package does no I/O and keeps
+// no state. Golden files of its callers pin the encoding.
 package frame
 
 import (
@@ -19,11 +19,12 @@
 	PlainHeadSize = 8
 	// KeyedHeadSize is the size of a record's head in the keyed form: the length, its checksum, and that of the payload.
 	KeyedHeadSize = 12
-	// HeaderSize is the size of a file's header, which stands twice at its beginning.
+	// HeaderSize is the size of a file's header, which is written twice at its beginning.
 	HeaderSize = 32
 	// HeadersSize is the size of both headers: the offset of the first record.
 	HeadersSize = 2 * HeaderSize
-	// magic begins each header. It is stored data from the first version on, and has the delivery node's former name.
+	// magic begins each header. It is stored data from the first version on, and contains the delivery node's former
+	// name.
 	magic = "wingjrnl"
 	// Version is the newest version of the format that this program reads.
 	Version       = 2
@@ -33,38 +34,39 @@
 )
 
 var (
-	// ErrNewer is returned for a file that a newer program has written.
+	// ErrNewer is returned for a file that a newer version of the program has written.
 	ErrNewer = errors.New("written by a newer program")
-	// ErrTorn is returned for a record that was not written to its end: it reaches the end of the file, or ends in zeros up
-	// to there. A loss of power does that to the last record of a file.
+	// ErrTorn is returned for a record that was not written completely: it extends beyond the end of the file, or the
+	// file is zero from some point in it to the end. A power loss does that to the last record of a file.
 	ErrTorn = errors.New("torn tail")
 	// ErrBad is returned for any other damaged record.
-	ErrBad = errors.New("a record that does not check")
+	ErrBad = errors.New("invalid record: bad length or checksum")
 
-	errNoHeader = errors.New("both headers are spoilt")
+	errNoHeader = errors.New("both headers are damaged")
 	crcTable    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Format is the encoding of a file's records. The zero value is the plain form without headers, in which the checksum covers
-// the payload only; in the keyed form it also covers the place of the record.
+// Format is the encoding of a file's records. The zero value is the plain form without headers, in which the checksum
+// covers only the payload; in the keyed form it also covers the record's offset and the file's salt.
 type Format struct {
-	// Keyed is set in the form whose checksums cover the place of a record.
+	// Keyed selects the form whose checksums cover the offset of a record.
 	Keyed bool
-	// Checkpoint marks a file that holds the state up to its number, in place of the files before it.
+	// Checkpoint marks a file that holds the state up to its number and replaces the files before it.
 	Checkpoint bool
-	// Number is the file's own: one that carries another number is not the file that its name says.
+	// Number identifies the file. If the number in the header differs from that in the file's name, the file has a
+	// wrong name.
 	Number uint64
-	// Salt has to be drawn at random for each file.
+	// Salt must be random for each file.
 	Salt uint64
 }
 
-// NewFormat returns the keyed form of a new file. Salt has to be drawn at random for each file.
+// NewFormat returns the keyed form of a new file. The salt must be random for each file.
 func NewFormat(number, salt uint64) Format {
 	return Format{Keyed: true, Number: number, Salt: salt}
 }
 
-// ReadFormat returns the format that the beginning of a file in the keyed form describes. It fails if both headers are
-// damaged, or with ErrNewer if a newer program wrote the file.
+// ReadFormat returns the format that the beginning of a file in the keyed form describes. It fails if both headers
+// are damaged, or with ErrNewer if a newer version of the program wrote the file.
 func ReadFormat(b []byte) (Format, error) {
 	for len(b) >= HeaderSize {
 		if f, version, ok := readHeader(b); ok && version > Version {
@@ -77,7 +79,7 @@
 	return Format{}, errNoHeader
 }
 
-// Header returns the beginning of a file: the header twice, so that one may be damaged.
+// Header returns the beginning of a file: two copies of the header, so that one may be damaged.
 func (f Format) Header() []byte {
 	b := append([]byte(nil), magic...)
 	b = binary.LittleEndian.AppendUint16(b, Version)
@@ -106,8 +108,8 @@
 		Salt: binary.LittleEndian.Uint64(b[20:])}, binary.LittleEndian.Uint16(b[8:]), true
 }
 
-// FormatOf returns the Format of a segment and the offset of its first record, which is 0 in the plain form. If one header
-// is damaged, it also returns an error. If the segment cannot be used at all, the offset is 0 and the error is set.
+// FormatOf returns the Format of a segment and the offset of its first record, which is 0 in the plain form. If one
+// header is damaged, it also returns an error. If the segment is unusable, the offset is 0 and the error is set.
 func FormatOf(data []byte, number uint64) (f Format, at int, err error) {
 	one, version, ok := readHeader(data)
 	two, version2, ok2 := Format{}, uint16(0), false
@@ -115,9 +117,9 @@
 		two, version2, ok2 = readHeader(data[HeaderSize:])
 	}
 	if !ok && !ok2 {
-		if begun := data[:min(len(data), HeadersSize)]; len(begun) < HeadersSize && likeHeader(begun) || len(data) > 0 && zeros(data) {
-			return Format{Keyed: true, Number: number}, 0, ErrTorn // its header was not written to the end
-		} else if likeHeader(begun) {
+		if begun := data[:min(len(data), HeadersSize)]; len(begun) < HeadersSize && looksLikeHeader(begun) || len(data) > 0 && zeros(data) {
+			return Format{Keyed: true, Number: number}, 0, ErrTorn // its header was not written completely
+		} else if looksLikeHeader(begun) {
 			return Format{Keyed: true, Number: number}, 0, errNoHeader
 		}
 		return Format{}, 0, nil
@@ -127,20 +129,20 @@
 	}
 	switch {
 	case version > Version:
-		return one, 0, fmt.Errorf("%w: format %d, this one reads up to %d", ErrNewer, version, Version)
+		return one, 0, fmt.Errorf("%w: format %d, this program reads up to %d", ErrNewer, version, Version)
 	case one.Number != number:
-		return one, 0, fmt.Errorf("it carries the number %d", one.Number)
+		return one, 0, fmt.Errorf("its header has the number %d", one.Number)
 	case len(data) < HeadersSize && ok:
 		return one, 0, ErrTorn
 	case !ok || !ok2 || version2 != version:
-		return one, HeadersSize, errors.New("one of its headers is spoilt")
+		return one, HeadersSize, errors.New("one of its headers is damaged")
 	}
 	return one, HeadersSize, nil
 }
 
-// likeHeader reports whether a segment was probably written with headers: the beginning of either one matches the magic,
-// as far as it is there, up to two bytes.
-func likeHeader(data []byte) bool {
+// looksLikeHeader reports whether a segment was probably written with headers: the beginning of either header matches the
+// magic, as far as it is present, in all but two bytes.
+func looksLikeHeader(data []byte) bool {
 	like := func(b []byte) bool {
 		n := min(len(b), len(magic))
 		same := 0
@@ -164,14 +166,14 @@
 	return true
 }
 
-// keyedSum returns a checksum of bytes at an offset of this segment, which differs at any other place.
+// keyedSum returns a checksum of bytes that depends on their offset and on the file's salt.
 func (f Format) keyedSum(at int64, b []byte) uint32 {
 	key := binary.LittleEndian.AppendUint64(nil, f.Salt)
 	key = binary.LittleEndian.AppendUint64(key, uint64(at))
 	return crc32.Update(crc32.Checksum(key, crcTable), crcTable, b)
 }
 
-// AppendRecord appends the encoding of a record for the offset at in the segment.
+// AppendRecord appends the encoding of a record at offset at of the segment.
 func (f Format) AppendRecord(b, payload []byte, at int64) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	if !f.Keyed {
@@ -183,14 +185,14 @@
 	return append(b, payload...)
 }
 
-// PayloadSize returns the length of the payload of the record with a head at an offset, and whether the head is sound. It is
-// for the keyed form.
+// PayloadSize returns the payload length of the record whose head is at an offset, and whether the checksum of the
+// head is valid. It is for the keyed form.
 func (f Format) PayloadSize(head []byte, at int64) (n int64, ok bool) {
 	ok = f.keyedSum(at, head[:4]) == binary.LittleEndian.Uint32(head[4:])
 	return int64(binary.LittleEndian.Uint32(head)), ok
 }
 
-// Matches reports whether a payload belongs to the head of a record at an offset. It is for the keyed form.
+// Matches reports whether a payload matches the head of a record at an offset. It is for the keyed form.
 func (f Format) Matches(head, payload []byte, at int64) bool {
 	return f.keyedSum(at, payload) == binary.LittleEndian.Uint32(head[8:])
 }
@@ -203,8 +205,8 @@
 	return PlainHeadSize
 }
 
-// Record returns the payload of the record at an offset, and the offset of the next one. If the record is damaged, next is
-// the offset where the next one should be, or 0 if that is unknown; Resume must be used to go on from there.
+// Record returns the payload of the record at an offset, and the offset of the next one. If the record is damaged,
+// next is where the next record should be, or 0 if that is unknown; Resume finds the offset to continue from.
 func (f Format) Record(data []byte, at int) (payload []byte, next int, err error) {
 	rest, head := data[at:], f.HeadSize()
 	if len(rest) < head {
@@ -239,8 +241,8 @@
 	return payload, next, nil
 }
 
-// tornAt reports whether a loss of power interrupted the writing of the record from at to end: the file has zeros from
-// the beginning of some disk block within the record up to its end.
+// tornAt reports whether a power loss interrupted the write of the record from at to end: the file is zero from the
+// beginning of some disk block within the record to its end.
 func tornAt(data []byte, at, end int) bool {
 	last := len(data)
 	for last > at && data[last-1] == 0 {
@@ -250,8 +252,8 @@
 	return last == at || block < end && block < len(data)
 }
 
-// Resume returns the offset of the next sound record after a damaged one, or -1 if there is none. In the plain form only
-// the offset next is tried, because a client's data might look like a record elsewhere.
+// Resume returns the offset of the next valid record after a damaged one, or -1 if there is none. In the plain form
+// only the offset next is tried, because a client's data might look like a record elsewhere.
 func (f Format) Resume(data []byte, at, next int) int {
 	if !f.Keyed {
 		if next > 0 && next < len(data) {
--- a/internal/platform/recordlog/doc.go
+++ b/internal/platform/recordlog/doc.go
@@ -1,28 +1,27 @@
-// Package recordlog keeps an append-only file of checksummed records, which its owner rewrites (compacts) when it has
-// grown long.
+// Package recordlog implements an append-only file of checksummed records, which its owner rewrites (compacts) when it
+// has grown large.
 //
-// The control-plane server's log, the segments of batch jobs and the audit files are such files. A Log owns its file:
-// nothing else may write to it while the log is open.
+// The control-plane server's log, the segments of batch jobs and the audit files use it. A Log owns its file: nothing
+// else may write to the file while the log is open.
 //
 // # Format
 //
-// The file begins with a header that is written twice, and holds the position at which the file begins and a random
-// salt. Each record is a frame of package frame (length, checksum of the length, checksum of the payload, all keyed
-// by salt and offset) whose payload begins with the synced offset: 8 bytes, little endian, that say up to where the
-// file was known to be synced when the record was written. The caller's payload follows.
+// The file begins with two copies of a header, which holds the position at which the file begins and a random salt. Each
+// record is a frame of package frame (length, checksum of the length, checksum of the payload, all keyed by salt and
+// offset). Its payload begins with the synced offset: 8 bytes, little endian, the offset up to which the file was known
+// to be synced when the record was written. The caller's payload follows.
 //
 // # Invariants
 //
-//   - What was synced is replayed, whole and in order, or Open fails with ErrDamaged. A record that does not check is
-//     either a write that a loss of power tore, which was never acknowledged and is cut off, or a disk that lost what
-//     it had promised. The synced offsets tell them apart: if a later record says that the place had been synced, the
-//     disk is at fault. Damage behind the highest synced offset that any record holds can't be told from a torn
+//   - Synced records are replayed completely and in order, or Open fails with ErrDamaged. An invalid record is either a
+//     write torn by a power loss, which was never acknowledged and is truncated, or synced data that the disk has lost
+//     or changed. The synced offsets distinguish the two: if the synced offset of a later record is beyond the invalid
+//     one, the disk is at fault. Damage after the highest synced offset of any record can't be distinguished from a torn
 //     write.
-//   - Positions only grow, also over rewrites, so a position from before a rewrite is never mistaken for a newer one.
-//   - After a failed sync nothing in the file is trusted any more: every call fails with ErrUnusable, until the
-//     process starts again and Open reads what the disk has. The kernel may have dropped the pages of the failed
-//     write and report the next sync as a success (Rebello et al., "Can Applications Recover from fsync Failures?",
-//     USENIX ATC 2020).
+//   - Positions only increase, even across rewrites, so a position from before a rewrite never denotes a newer record.
+//   - After a failed sync the content of the file is not trusted: every call fails with ErrUnusable until the process
+//     restarts and Open reads what is on the disk. The kernel may have dropped the pages of the failed write and report
+//     the next sync as successful (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020).
 //
-// docs/agreement.md and docs/batch.md say what is kept in such files.
+// docs/agreement.md and docs/batch.md describe the content of such files.
 package recordlog
--- a/internal/platform/recordlog/errors.go
+++ b/internal/platform/recordlog/errors.go
@@ -7,24 +7,24 @@
 	"github.com/zeebo/errs"
 )
 
-// The classes of errors that callers tell apart, with their method Has.
+// Classes of errors, which callers distinguish with the method Has.
 var (
-	// ErrDamaged: the disk has lost or changed what was synced. The file is left as it is, for whoever looks into it.
+	// ErrDamaged: the disk has lost or changed synced data. The file is left unchanged for inspection.
 	ErrDamaged = errs.Class("damaged records")
-	// ErrUnusable: the disk failed under the log, or the log was closed. All calls fail with it from then on.
-	ErrUnusable = errs.Class("the log is out of use")
-	// ErrNoRecord: the position is one that a Rewrite has left behind, or was never that of a record.
-	ErrNoRecord = errs.Class("no record there")
+	// ErrUnusable: a disk operation of the log has failed, or the log was closed. All later calls fail with it.
+	ErrUnusable = errs.Class("the log is unusable")
+	// ErrNoRecord: the position is from before a Rewrite, or was never that of a record.
+	ErrNoRecord = errs.Class("no record at this position")
 )
 
-var errClosed = errors.New("it was closed")
+var errClosed = errors.New("the log was closed")
 
-// IsDiskFull reports whether an error came from a disk or a quota that is full. The log is usable still.
+// IsDiskFull reports whether an error means that the disk or a quota is full. The log remains usable.
 func IsDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// unusable takes the log out of use for a reason, the first of which stays. It is called with mu locked.
+// unusable makes the log unusable; the first reason is kept. It is called with mu locked.
 func (l *Log) unusable(reason error) error {
 	if l.failure == nil {
 		l.failure = ErrUnusable.New("%s: %w", l.name, reason)
@@ -32,8 +32,8 @@
 	return l.failure
 }
 
-// damaged returns the error of a file whose disk has lost or changed what stood at an offset.
+// damaged returns the error for a disk that has lost or changed the data at an offset of the file.
 func (l *Log) damaged(offset int64, reason string) error {
-	return ErrDamaged.New("%s at byte %d: %s; move the file away and start again: the node then begins with "+
-		"an empty disk, and takes what it held from the others", l.name, offset, reason)
+	return ErrDamaged.New("%s at byte %d: %s; move the file away and restart: the node then starts with "+
+		"an empty disk and recovers its data from the other nodes", l.name, offset, reason)
 }
--- a/internal/platform/recordlog/golden_test.go
+++ b/internal/platform/recordlog/golden_test.go
@@ -14,14 +14,13 @@
 
 // The golden files were written by the sources of faf8ea2.
 
-// framed is a record as it stands in a file: the offset up to which the file was synced when it was written, and its
-// payload.
+// framed is a record of a file: its synced offset and its payload.
 type framed struct {
 	synced  uint64
 	payload string
 }
 
-// decodeFile reads a file by its format alone, without the package's own reading.
+// decodeFile decodes a file without the package's own reader.
 func decodeFile(t *testing.T, b []byte) (frames frame.Format, records []framed) {
 	t.Helper()
 	frames, err := frame.ReadFormat(b)
@@ -34,7 +33,7 @@
 		}
 		payload := b[at+frame.KeyedHeadSize : at+frame.KeyedHeadSize+n]
 		if !frames.Matches(head, payload, at) {
-			t.Fatalf("the record at byte %d does not check", at)
+			t.Fatalf("the record at byte %d is invalid", at)
 		}
 		records = append(records, framed{binary.LittleEndian.Uint64(payload), string(payload[8:])})
 		at += frame.KeyedHeadSize + n
@@ -42,7 +41,7 @@
 	return frames, records
 }
 
-// encodeFile writes records as Append and Rewrite do.
+// encodeFile encodes records as Append and Rewrite do.
 func encodeFile(frames frame.Format, records []framed) []byte {
 	l := &Log{}
 	b := frames.Header()
@@ -57,7 +56,7 @@
 	b := golden.Read(t, "appended.log")
 	d := vfstest.New()
 	d.Put(name, b)
-	k := reopen(t, d) // reads each record back, too
+	k := reopen(t, d) // also reads each record with ReadAt
 	if !slices.Equal(k.payloads, want) {
 		t.Errorf("%q, want %q", k.payloads, want)
 	}
@@ -69,12 +68,12 @@
 		t.Error("opening changed the file")
 	}
 	var scanned []string
-	whole, err := Scan(bytes.NewReader(b), int64(len(b)), name, func(payload []byte) error {
+	validSize, err := Scan(bytes.NewReader(b), int64(len(b)), name, func(payload []byte) error {
 		scanned = append(scanned, string(payload))
 		return nil
 	})
-	if err != nil || whole != int64(len(b)) || !slices.Equal(scanned, want) {
-		t.Errorf("scanned %q, %d bytes, %v", scanned, whole, err)
+	if err != nil || validSize != int64(len(b)) || !slices.Equal(scanned, want) {
+		t.Errorf("scanned %q, %d bytes, %v", scanned, validSize, err)
 	}
 	frames, records := decodeFile(t, b)
 	marks := []framed{{64, want[0]}, {64, want[1]}, {109, want[2]}, {137, want[3]}}
@@ -85,7 +84,7 @@
 		t.Error("the same records are written as other bytes")
 	}
 
-	// The same calls behind the same header write the same file.
+	// The same calls after the same header write the same file.
 	d.Put(name, frames.Header())
 	k = reopen(t, d)
 	k.add(t, want[:2]...)
--- a/internal/platform/recordlog/log.go
+++ b/internal/platform/recordlog/log.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	// MaxPayload is the longest payload of a record, in bytes.
+	// MaxPayload is the maximum size of a record's payload, in bytes.
 	MaxPayload = 64 << 20
 
-	// syncedOffsetSize is how many bytes the synced offset takes in front of each payload.
+	// syncedOffsetSize is the size in bytes of the synced offset before each payload.
 	syncedOffsetSize = 8
-	// recordOverhead is how many bytes a record takes beside its payload.
+	// recordOverhead is the size in bytes of a record without its payload.
 	recordOverhead = frame.KeyedHeadSize + syncedOffsetSize
-	// maxRetainedBuffer is the largest buffer, in bytes, that is retained for the next record.
+	// maxRetainedBuffer is the largest buffer, in bytes, that is reused for the next record.
 	maxRetainedBuffer = 1 << 20
 )
 
-// Log is an open file of records. A position is a count of bytes since the log was first made: that of a record is
-// the one behind its last byte. Log is safe for concurrent use.
+// Log is an open file of records. A position counts the bytes written since the log was created: the position of a
+// record is that of its end. Log is safe for concurrent use.
 type Log struct {
 	folder vfs.Folder
 	name   string
 
-	// The locks are taken in this order: appendMu, readMu, mu. The first two put operations on the file in order, and are
-	// held over them; mu is held over none but the closing of a file that nobody uses any more. The fields file, frames
+	// The locks are taken in this order: appendMu, readMu, mu. The first two serialize operations on the file and are
+	// held during I/O; mu is held during no I/O except closing a file that is no longer used. The fields file, frames
 	// and base of currentFile change under all three.
 
-	appendMu        sync.Mutex // held by each Append and over the whole of a Rewrite
+	appendMu        sync.Mutex // held by each Append and during all of a Rewrite
 	frameBuffer     []byte     // guarded by appendMu
 	payloadBuffer   []byte     // guarded by appendMu
-	rewriteLeftover bool       // guarded by appendMu: a file that was to replace the log's could not be removed
+	rewriteLeftover bool       // guarded by appendMu: the replacement file of a failed rewrite could not be removed
 
-	readMu sync.RWMutex // held over each reading of the file
+	readMu sync.RWMutex // held during each read of the file
 
 	mu          sync.Mutex
-	syncDone    *sync.Cond // signalled when a sync of the disk has ended
+	syncDone    *sync.Cond // signalled when a sync has ended
 	currentFile            // guarded by mu
 	syncedSize  int64      // guarded by mu: bytes of the file that are durable
-	syncing     bool       // guarded by mu: a sync of the disk runs
-	failure     error      // guarded by mu: why the log is out of use; nil while it is in use
+	syncing     bool       // guarded by mu: a sync is in progress
+	failure     error      // guarded by mu: why the log is unusable; nil while it is usable
 }
 
-// currentFile is a file and what is known of it.
+// currentFile is a file of the log and its state.
 type currentFile struct {
 	file   vfs.OpenFile
 	frames frame.Format
@@ -57,20 +57,20 @@
 	size   int64 // bytes
 }
 
-// end returns the position behind the last record.
+// end returns the position after the last record.
 func (f *currentFile) end() int64 { return f.base + f.size }
 
-// Open opens the log of a name in a folder, and makes it if it is missing. It calls replay with the payload of each
-// whole record, in order, and with the position of that record; the payload is valid until replay returns. What a
-// loss of power has torn behind the last whole record is cut off. All that was replayed is durable when Open returns.
+// Open opens a log in a folder, and creates it if it is missing. It calls replay with the payload and the position of
+// each complete record, in order; the payload is valid until replay returns. A torn write after the last complete
+// record is truncated. All replayed records are durable when Open returns.
 //
-// It fails with ErrDamaged if the disk has lost or changed what was synced, with frame.ErrNewer if a newer program
-// wrote the file, and with the first error of replay.
+// It fails with ErrDamaged if the disk has lost or changed synced data, with frame.ErrNewer if a newer version of the
+// program wrote the file, and with the first error of replay.
 func Open(folder vfs.Folder, name string, replay func(payload []byte, position int64) error) (*Log, error) {
 	l := &Log{folder: folder, name: name}
 	l.syncDone = sync.NewCond(&l.mu)
 	if err := folder.Remove(name + rewriteSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("removing what a rewrite left: %w", err)
+		return nil, fmt.Errorf("removing the leftover of a rewrite: %w", err)
 	}
 	size, exists, err := l.storedSize()
 	if err != nil {
@@ -87,7 +87,7 @@
 	return l, nil
 }
 
-// storedSize returns how many bytes the file has on disk.
+// storedSize returns the size of the file on disk, in bytes.
 func (l *Log) storedSize() (size int64, exists bool, err error) {
 	files, err := l.folder.List()
 	if err != nil {
@@ -101,7 +101,7 @@
 	return 0, false, nil
 }
 
-// create makes the file of a new log.
+// create creates the file of a new log.
 func (l *Log) create() (err error) {
 	if l.currentFile, err = l.createReplacement(0); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// load opens a file of some size and recovers what it has.
+// load opens an existing file and replays its records.
 func (l *Log) load(size int64, replay func(payload []byte, position int64) error) (err error) {
 	if l.file, err = l.folder.Open(l.name); err != nil {
 		return err
@@ -126,7 +126,7 @@
 	if err == nil && l.size < size {
 		err = l.folder.Cut(l.name, l.size)
 	}
-	if err == nil { // what a process that was killed had appended and not synced counts
+	if err == nil { // unsynced records of a killed process are kept, so sync them
 		err = l.file.Sync()
 	}
 	if err != nil {
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// Append writes a record behind the others and returns its position. The record is durable after a Sync, or a SyncTo
-// of that position. If the disk is full (see IsDiskFull) the record is not written, and the log remains usable.
+// Append appends a record and returns its position. The record is durable after a Sync, or a SyncTo that position. If
+// the disk is full (see IsDiskFull) the record is not written, and the log remains usable.
 func (l *Log) Append(payload []byte) (position int64, err error) {
 	if err := checkLength(payload); err != nil {
 		return 0, err
@@ -167,13 +167,13 @@
 
 func checkLength(payload []byte) error {
 	if len(payload) > MaxPayload {
-		return fmt.Errorf("a record of %d bytes, over %d", len(payload), MaxPayload)
+		return fmt.Errorf("a record of %d bytes exceeds the maximum of %d", len(payload), MaxPayload)
 	}
 	return nil
 }
 
-// encode returns a record as it stands at the end of a file. The bytes are valid until the next call; appendMu is
-// locked.
+// encode returns the encoding of a record at the end of a file. The bytes are valid until the next call. It is called
+// with appendMu locked.
 func (l *Log) encode(f currentFile, payload []byte, syncedSize int64) []byte {
 	l.payloadBuffer = binary.LittleEndian.AppendUint64(l.payloadBuffer[:0], uint64(syncedSize))
 	l.payloadBuffer = append(l.payloadBuffer, payload...)
@@ -185,11 +185,11 @@
 	return frame
 }
 
-// Sync returns when all that was appended before the call is durable. It fails with ErrUnusable alone.
+// Sync blocks until all records appended before the call are durable. It fails only with ErrUnusable.
 func (l *Log) Sync() error { return l.SyncTo(math.MaxInt64) }
 
-// SyncTo returns when all that was appended up to a position is durable. Callers that wait at the same time share
-// syncs of the disk (group commit). It fails with ErrUnusable alone.
+// SyncTo blocks until all records up to a position are durable. Concurrent callers share syncs of the file (group
+// commit). It fails only with ErrUnusable.
 func (l *Log) SyncTo(position int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,7 +206,7 @@
 		l.mu.Lock()
 		l.syncing = false
 		if err != nil {
-			_ = l.unusable(err) // the loop ends, and the failure is returned below
+			_ = l.unusable(err) // ends the loop; the failure is returned below
 		} else {
 			l.syncedSize = size
 		}
@@ -215,14 +215,14 @@
 	return l.failure
 }
 
-// Size returns how many bytes the file has.
+// Size returns the size of the file, in bytes.
 func (l *Log) Size() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.size
 }
 
-// Close syncs what was appended and ends the use of the log: all later calls fail with ErrUnusable.
+// Close syncs the file and closes the log: all later calls fail with ErrUnusable.
 func (l *Log) Close() error {
 	l.appendMu.Lock()
 	defer l.appendMu.Unlock()
@@ -239,6 +239,6 @@
 	}
 	err = errors.Join(err, l.file.Close())
 	l.file = nil
-	_ = l.unusable(errClosed) // that is for later calls; this one returns what went wrong in it
+	_ = l.unusable(errClosed) // for later calls; this one returns only its own errors
 	return err
 }
--- a/internal/platform/recordlog/recordlog_test.go
+++ b/internal/platform/recordlog/recordlog_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// replayedLog is a log and what its replay returned.
+// replayedLog is a log and the records that it replayed.
 type replayedLog struct {
 	*Log
 	payloads []string
@@ -64,7 +64,8 @@
 	return at
 }
 
-// picks counts through all that a loss of power may leave, torn writes in few places.
+// picks enumerates the outcomes of a power loss, with up to four choices each, so that torn writes end at a few
+// offsets only.
 type picks struct{ chosen, of []int }
 
 func (p *picks) begin() func(n int) int {
@@ -94,11 +95,11 @@
 	return false
 }
 
-// model is what a log may hold.
+// model is the expected state of a log.
 type model struct {
-	list    []string // appended, also what failed last
-	durable int      // of them
-	next    []string // of a rewrite that has not returned
+	list    []string // appended records, including the last one that failed
+	durable int      // how many of list are durable
+	next    []string // records of a rewrite that has not returned
 }
 
 func (m *model) allows(got []string) bool {
@@ -108,7 +109,7 @@
 	return len(got) >= m.durable && len(got) <= len(m.list) && slices.Equal(got, m.list[:len(got)])
 }
 
-// script runs until its end or the first error.
+// script uses a log until its end or the first error.
 func script(d *vfstest.Disk) (m model) {
 	k, err := open(d)
 	if err != nil {
@@ -161,12 +162,12 @@
 }
 
 func TestPowerLossAtEachDiskOperationKeepsSyncedRecords(t *testing.T) {
-	whole := vfstest.New()
-	if m := script(whole); m.durable != 6 {
+	reference := vfstest.New()
+	if m := script(reference); m.durable != 6 {
 		t.Fatalf("without losses: %+v", m)
 	}
 	cases := 0
-	for step := 1; step <= whole.Ops+1; step++ {
+	for step := 1; step <= reference.Ops+1; step++ {
 		for p := (picks{}); ; {
 			d := vfstest.New()
 			d.FailAt, d.Fails = step, 1<<30
@@ -185,7 +186,7 @@
 
 func checkLoss(t *testing.T, d *vfstest.Disk, m *model, again bool, what string) {
 	t.Helper()
-	for step := 1; again && step <= 4; step++ { // it goes again while the log is opened
+	for step := 1; again && step <= 4; step++ { // a second power loss while the log is opened
 		for _, all := range []int{0, 1} {
 			c := d.Copy()
 			c.FailAt, c.Fails = step, 1<<30
@@ -211,13 +212,13 @@
 }
 
 func TestOneFailingDiskOperationKeepsAppendedRecords(t *testing.T) {
-	whole := vfstest.New()
-	script(whole)
-	for step := 1; step <= whole.Ops; step++ {
+	reference := vfstest.New()
+	script(reference)
+	for step := 1; step <= reference.Ops; step++ {
 		d := vfstest.New()
 		d.FailAt = step
 		m := script(d)
-		if k := reopen(t, d); !m.allows(k.payloads) { // the process is killed, the disk has all
+		if k := reopen(t, d); !m.allows(k.payloads) { // the process is killed, but the disk retains all writes
 			t.Errorf("step %d: %q, model %+v", step, k.payloads, m)
 		}
 	}
@@ -277,7 +278,7 @@
 			t.Fatalf("damage at byte %d: %v", at, err)
 		}
 	}
-	for at := ends[1]; at < ends[2]; at++ { // nobody tells that this was there
+	for at := ends[1]; at < ends[2]; at++ { // no synced offset covers the last record
 		if k := reopen(t, flip(at)); len(k.payloads) != 2 {
 			t.Fatalf("damage at byte %d: %d records", at, len(k.payloads))
 		}
@@ -290,12 +291,12 @@
 	c := flip(3)
 	c.File(name)[frame.HeadersSize/2+20]++
 	if _, err := open(c); !ErrDamaged.Has(err) {
-		t.Errorf("both heads damaged: %v", err)
+		t.Errorf("both headers damaged: %v", err)
 	}
 	c = d.Copy()
 	c.Put(name, append(bytes.Clone(c.File(name)), "garbage, and more of it than a head"...))
 	if k := reopen(t, c); len(k.payloads) != 3 {
-		t.Errorf("garbage behind: %d records", len(k.payloads))
+		t.Errorf("garbage after the last record: %d records", len(k.payloads))
 	}
 	if _, err := Open(d.Copy(), name, func([]byte, int64) error { return errors.ErrUnsupported }); !errors.Is(err, errors.ErrUnsupported) {
 		t.Errorf("replay's error: %v", err)
@@ -338,7 +339,7 @@
 	}
 	for _, old := range at {
 		if _, err := k.ReadAt(old, 4); !ErrNoRecord.Has(err) {
-			t.Errorf("position of before: %v", err)
+			t.Errorf("position from before the rewrite: %v", err)
 		}
 		must(t, k.SyncTo(old))
 	}
@@ -352,7 +353,7 @@
 	}
 }
 
-// gate lets syncs of files wait.
+// gate is a disk on which syncs of files block until they are released.
 type gate struct {
 	*vfstest.Disk
 	armed   bool
@@ -408,7 +409,7 @@
 			must(t, <-ends)
 			synctest.Wait()
 			if len(ends) != 0 {
-				t.Errorf("%d return before their sync", len(ends))
+				t.Errorf("%d calls returned before their sync", len(ends))
 			}
 			g.release <- nil
 			for range 8 {
@@ -424,7 +425,7 @@
 func TestConcurrentAppendsReadsAndRewrites(t *testing.T) {
 	folder := vfs.Dir(t.TempDir())
 	k := reopen(t, folder)
-	var held sync.RWMutex // the index is its user's to guard against a rewrite
+	var held sync.RWMutex // the user of a log has to guard its index against a rewrite
 	index := map[string]int64{}
 	put := func(p string) (int64, error) {
 		held.Lock()
--- a/internal/platform/recordlog/recovery.go
+++ b/internal/platform/recordlog/recovery.go
@@ -11,10 +11,10 @@
 	"dunetide/internal/platform/frame"
 )
 
-// recoveryWindow is how many bytes of a file are read at once.
+// recoveryWindow is how many bytes of a file are read at a time.
 const recoveryWindow = 64 << 10
 
-// replayRecords replays the whole records of a file, and leaves in l.size how many bytes of it count.
+// replayRecords replays the complete records of a file, and sets l.size to the number of valid bytes.
 func (l *Log) replayRecords(size int64, replay func(payload []byte, position int64) error) error {
 	if err := l.readHeader(size); err != nil {
 		return err
@@ -40,12 +40,12 @@
 	if later, err := l.findProofOfSync(offset, size); err != nil {
 		return err
 	} else if later > 0 {
-		return l.damaged(offset, fmt.Sprintf("the record at byte %d was written when this was synced", later))
+		return l.damaged(offset, fmt.Sprintf("this was already synced when the record at byte %d was written", later))
 	}
 	return nil
 }
 
-// readHeader reads the beginning of a file: the encoding of its records, and its base.
+// readHeader reads the header of a file: the encoding of its records, and its base.
 func (l *Log) readHeader(size int64) error {
 	header := make([]byte, min(size, frame.HeadersSize))
 	if _, err := l.file.ReadAt(header, 0); err != nil && !errors.Is(err, io.EOF) {
@@ -55,19 +55,19 @@
 	if errors.Is(err, frame.ErrNewer) {
 		return fmt.Errorf("%s: %w", l.name, err)
 	}
-	// No file of this package has a base over half the range: positions could overflow behind it.
+	// This package creates no file with a base over half the range: positions could overflow after it.
 	if err != nil || frames.Number > math.MaxInt64/2 || size < frame.HeadersSize {
-		return l.damaged(0, "its head is spoilt, which was synced before the file had its name")
+		return l.damaged(0, "its header is damaged, which was synced before the file got its name")
 	}
 	l.frames, l.base = frames, int64(frames.Number)
 	return nil
 }
 
 // readRecord reads the record at an offset of a file of some size: its synced offset and its payload. It returns nil
-// if no record checks there. The result uses the buffer if that is large enough.
+// if there is no valid record. The result uses buffer if that is large enough.
 func (l *Log) readRecord(in io.Reader, buffer []byte, offset, size int64) ([]byte, error) {
 	var head [frame.KeyedHeadSize]byte
-	if ok, err := readWhole(in, head[:]); !ok {
+	if ok, err := readFull(in, head[:]); !ok {
 		return nil, err
 	}
 	n, ok := l.frames.PayloadSize(head[:], offset)
@@ -78,7 +78,7 @@
 		buffer = make([]byte, n)
 	}
 	buffer = buffer[:n]
-	if ok, err := readWhole(in, buffer); !ok {
+	if ok, err := readFull(in, buffer); !ok {
 		return nil, err
 	}
 	if !l.frames.Matches(head[:], buffer, offset) {
@@ -87,8 +87,8 @@
 	return buffer, nil
 }
 
-// readWhole fills a buffer. It returns false without an error if the input ends before.
-func readWhole(in io.Reader, buffer []byte) (bool, error) {
+// readFull fills a buffer. It returns false without an error if the input ends early.
+func readFull(in io.Reader, buffer []byte) (bool, error) {
 	_, err := io.ReadFull(in, buffer)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return false, nil
@@ -96,8 +96,8 @@
 	return err == nil, err
 }
 
-// findProofOfSync looks behind an offset at which no record checks for one that was written after that offset was
-// synced. It returns the offset of that record, or 0 if there is none.
+// findProofOfSync searches the file after an invalid record at offset from for a record that was written after from
+// was synced. It returns the offset of that record, or 0 if there is none.
 func (l *Log) findProofOfSync(from, size int64) (int64, error) {
 	window := make([]byte, min(recoveryWindow, size))
 	var record []byte
--- a/internal/platform/recordlog/rewrite.go
+++ b/internal/platform/recordlog/rewrite.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// rewriteSuffix stands behind the log's name in that of a file that is to replace the log's.
+	// rewriteSuffix is appended to the log's name for the file that is to replace the log's file.
 	rewriteSuffix = ".new"
-	// rewriteBuffer is how many bytes a rewrite collects for one write.
+	// rewriteBuffer is the size in bytes of the write buffer of a rewrite.
 	rewriteBuffer = 64 << 10
 )
 
-// Rewrite replaces all records by those that write passes to add, which returns the position of each. Appends wait
-// meanwhile; reads and syncs don't, and the old positions are valid until Rewrite returns. Write must not call
-// Append. After an error that isn't ErrUnusable the log is as it was.
+// Rewrite replaces all records by those that write passes to add, which returns the position of each. It blocks
+// appends but neither reads nor syncs, and the old positions are valid until it returns. write must not call Append.
+// After an error other than ErrUnusable the log is unchanged.
 func (l *Log) Rewrite(write func(add func(payload []byte) (position int64, err error)) error) error {
 	l.appendMu.Lock()
 	defer l.appendMu.Unlock()
@@ -49,7 +49,7 @@
 		err = out.Flush()
 	}
 	if err == nil {
-		err = next.file.Sync() // a full disk may show here, too
+		err = next.file.Sync() // a full disk may be reported only here
 	}
 	if err != nil {
 		return errors.Join(fmt.Errorf("rewriting: %w", err), next.file.Close(), l.removeReplacement())
@@ -57,7 +57,7 @@
 	return l.replaceBy(next)
 }
 
-// createReplacement creates a file that is to replace the log's, without any record.
+// createReplacement creates a replacement for the log's file, without any records.
 func (l *Log) createReplacement(base int64) (currentFile, error) {
 	name := l.name + rewriteSuffix
 	if l.rewriteLeftover {
@@ -84,15 +84,14 @@
 	return next, nil
 }
 
-// removeReplacement removes a file that was to replace the log's. If that fails it is tried again before the next
-// rewrite.
+// removeReplacement removes a replacement file. If that fails, the next rewrite retries it.
 func (l *Log) removeReplacement() error {
 	err := l.folder.Remove(l.name + rewriteSuffix)
 	l.rewriteLeftover = err != nil && !errors.Is(err, fs.ErrNotExist)
 	return err
 }
 
-// installReplacement gives a file of createReplacement, which is synced, the name of the log, durably.
+// installReplacement durably renames a synced file of createReplacement to the name of the log.
 func (l *Log) installReplacement() error {
 	if err := l.folder.Rename(l.name+rewriteSuffix, l.name); err != nil {
 		return err
@@ -100,14 +99,14 @@
 	return l.folder.Sync()
 }
 
-// replaceBy takes a file into use that is written and synced. If the rename fails the log is out of use, as nobody
-// can tell which of the two files has its name after a loss of power.
+// replaceBy switches the log to a file that is written and synced. If the rename fails the log becomes unusable, as
+// it is unknown which of the two files has its name after a power loss.
 func (l *Log) replaceBy(next currentFile) error {
 	l.mu.Lock()
 	for l.syncing {
 		l.syncDone.Wait()
 	}
-	l.syncing = true // keeps syncs of the old file from starting: they would acknowledge what the new one may not have
+	l.syncing = true // blocks syncs of the old file: they would acknowledge records that the new one may not contain
 	l.mu.Unlock()
 	err := l.installReplacement()
 
@@ -118,13 +117,13 @@
 	l.syncing = false
 	l.syncDone.Broadcast()
 	if l.failure == nil && err != nil {
-		_ = l.unusable(fmt.Errorf("rewriting: %w", err)) // it is returned below
+		_ = l.unusable(fmt.Errorf("rewriting: %w", err)) // returned below
 	}
 	if l.failure != nil {
 		return errors.Join(l.failure, next.file.Close())
 	}
 	old := l.file
 	l.currentFile, l.syncedSize = next, next.size
-	_ = old.Close() // nothing in it counts any more
+	_ = old.Close() // its content is obsolete
 	return nil
 }
--- a/internal/platform/vfs/vfs.go
+++ b/internal/platform/vfs/vfs.go
@@ -1,8 +1,8 @@
-// Package vfs is the file system below everything that a process keeps: a Folder of files whose writes, renames and
-// removals are made durable one by one. Logs and journals of both programs are written through it, so that tests can put a
-// simulated disk (vfstest) in its place, which fails, fills up, stalls, or loses what was not synced.
+// Package vfs abstracts the file system for all durable state of a process: a Folder of files whose writes, renames and
+// removals are made durable explicitly. The logs and journals of both programs are written through it, so that tests can
+// substitute a simulated disk (vfstest), which fails, fills up, stalls, or loses unsynced data.
 //
-// The package keeps nothing itself. Its callers own their folders; Lock keeps a second process out of one.
+// The package holds no state itself. Its callers own their folders; Lock excludes a second process from a folder.
 package vfs
 
 import (
@@ -15,20 +15,20 @@
 	"syscall"
 )
 
-// Folder is a directory. Names are of files in it. Implementations may be used by several goroutines at a time as far as
-// they name different files.
+// Folder is a directory. Names are those of files in it. Implementations may be used concurrently for different
+// files.
 type Folder interface {
-	// List returns the entries with their sizes. An entry that is no regular file has size 0.
+	// List returns the entries with their sizes. An entry that is not a regular file has size 0.
 	List() ([]FileInfo, error)
-	// Read returns the content of a file. It fails with ErrTooLarge if the file is longer than maxBytes.
+	// Read returns the content of a file. It fails with ErrTooLarge if the file is larger than maxBytes.
 	Read(name string, maxBytes int64) ([]byte, error)
 	// Head returns up to maxBytes bytes from the beginning of a file.
 	Head(name string, maxBytes int) ([]byte, error)
 	// Create creates a file for appending. It fails if the file exists.
 	Create(name string) (File, error)
-	// Open opens an existing file for appending, and for reading at any place.
+	// Open opens an existing file for appending, and for reading at any offset.
 	Open(name string) (OpenFile, error)
-	// Cut truncates a file to a size and makes that durable.
+	// Cut durably truncates a file to a size.
 	Cut(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
@@ -55,11 +55,11 @@
 	io.ReaderAt
 }
 
-// ErrTooLarge is returned by Folder.Read for a file over the limit: nothing of that size was written by this program.
-var ErrTooLarge = errors.New("larger than anything that was written here")
+// ErrTooLarge is returned by Folder.Read for a file over the limit: this program writes no file of that size.
+var ErrTooLarge = errors.New("larger than any file that this program writes")
 
-// Lock locks a folder and returns the file that holds the lock, or nil if another process has it. Closing the file, or
-// the end of the process, releases the lock.
+// Lock locks a folder and returns the file that holds the lock, or nil if another process holds it. Closing the file,
+// or the end of the process, releases the lock.
 func Lock(path string) (*os.File, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -107,7 +107,7 @@
 
 func (d dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// List implements Folder, as the methods that follow do.
+// List implements Folder, as do the methods below.
 func (d dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened only for reading
 	if info, err := f.Stat(); err != nil {
 		return nil, err
 	} else if info.Size() > maxBytes {
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened only for reading
 	return io.ReadAll(io.LimitReader(f, int64(maxBytes)))
 }
 
--- a/internal/platform/vfs/vfstest/vfstest.go
+++ b/internal/platform/vfs/vfstest/vfstest.go
@@ -1,5 +1,5 @@
-// Package vfstest has a folder in memory for tests: an operation of it can be made to fail, and
-// at a loss of power it forgets what was not synced, or a part of that.
+// Package vfstest provides an in-memory folder for tests: operations can be made to fail, and a simulated power loss
+// discards all or part of the unsynced data.
 package vfstest
 
 import (
@@ -14,24 +14,24 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// ErrFull is what a failing operation says.
+// ErrFull is the error of a failing operation.
 var ErrFull = fmt.Errorf("the disk is full: %w", syscall.ENOSPC)
 
-// Disk is a vfs.Folder. Each creation, write, sync, close, renaming and removal is one
-// operation. It is not safe for concurrent use.
+// Disk is a vfs.Folder. Each creation, write, sync, close, rename and removal is one operation. It is not safe for
+// concurrent use.
 type Disk struct {
-	// FailAt is the operation that fails, counted from 1, and Fails how many from there on; a
-	// write that fails has written half. 0: none does.
+	// FailAt is the operation that fails, counted from 1 (0: none), and Fails how many operations fail from it on (0
+	// is treated as 1). A write that fails writes half of its bytes.
 	FailAt, Fails int
-	// Ops counts operations.
+	// Ops is the number of operations so far.
 	Ops int
-	// Room is how many bytes all files may have; a write beyond writes what fits. 0: no limit.
+	// Room is the capacity for all files together, in bytes; a write beyond it writes what fits. 0: unlimited.
 	Room int
 	// Stall, if set, is called before each write and sync, and may block.
 	Stall func()
 
 	names, durable map[string]*inode
-	pending        []func(map[string]*inode) // changes of names since the last sync of the folder
+	pending        []func(map[string]*inode) // changes of directory entries since the last sync of the folder
 }
 
 type inode struct {
@@ -41,7 +41,7 @@
 
 func (f *inode) sync() { f.durable, f.writes = slices.Clone(f.data), nil }
 
-// New makes an empty one.
+// New returns an empty disk.
 func New() *Disk { return &Disk{names: map[string]*inode{}, durable: map[string]*inode{}} }
 
 func (d *Disk) op() error {
@@ -56,8 +56,8 @@
 	d.pending = append(d.pending, do)
 }
 
-// PowerLoss leaves what was synced, of what was written since a beginning that pick chooses,
-// and of the names' changes as many. Pick draws from 0 to n-1.
+// PowerLoss simulates a power loss: synced data survives, and of unsynced appends and directory changes a prefix
+// each, whose length pick chooses. pick(n) returns a number from 0 to n-1.
 func (d *Disk) PowerLoss(pick func(n int) int) {
 	d.powerLoss(pick, func(f *inode) []byte {
 		data := f.durable
@@ -68,9 +68,8 @@
 	})
 }
 
-// PowerLossEach is PowerLoss for a disk that orders nothing: pick chooses for each write since
-// the last sync whether it is missing, there, or torn, and where; zeros are where something is
-// missing before something that is there.
+// PowerLossEach is PowerLoss for a disk that reorders writes: for each write since the last sync, pick chooses
+// whether it is lost, complete, or torn, and where; lost data before surviving data reads as zeros.
 func (d *Disk) PowerLossEach(pick func(n int) int) {
 	d.powerLoss(pick, func(f *inode) []byte {
 		data := slices.Clone(f.durable)
@@ -91,24 +90,24 @@
 	})
 }
 
-func (d *Disk) powerLoss(pick func(n int) int, left func(*inode) []byte) {
+func (d *Disk) powerLoss(pick func(n int) int, surviving func(*inode) []byte) {
 	for _, do := range d.pending[:pick(len(d.pending)+1)] {
 		do(d.durable)
 	}
 	d.names, d.pending = map[string]*inode{}, nil
 	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
-		data := left(d.durable[name])
+		data := surviving(d.durable[name])
 		d.names[name] = newInode(data)
 	}
 	d.durable = maps.Clone(d.names)
 }
 
-// newInode is a file that is synced.
+// newInode returns a synced file.
 func newInode(data []byte) *inode {
 	return &inode{data: slices.Clone(data), durable: slices.Clone(data)}
 }
 
-// Copy is another disk with the same files, all of them synced.
+// Copy returns another disk with the same files, all of them synced.
 func (d *Disk) Copy() *Disk {
 	c := New()
 	for name, f := range d.names {
@@ -118,7 +117,7 @@
 	return c
 }
 
-// File is the contents of a file, to be looked at and changed in place; nil: there is none.
+// File returns the content of a file, which the caller may modify in place; nil: the file does not exist.
 func (d *Disk) File(name string) []byte {
 	if f := d.names[name]; f != nil {
 		return f.data
@@ -126,15 +125,15 @@
 	return nil
 }
 
-// Put makes a file, synced.
+// Put creates or replaces a file, synced.
 func (d *Disk) Put(name string, data []byte) {
 	f := newInode(data)
 	d.names[name], d.durable[name] = f, f
 }
 
-// The following are vfs.Folder's.
+// The methods below implement vfs.Folder.
 
-// List returns the files; vfs.Folder asks for it, as for the methods that follow.
+// List returns the files, sorted by name.
 func (d *Disk) List() (all []vfs.FileInfo, err error) {
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
 		all = append(all, vfs.FileInfo{Name: name, Size: int64(len(d.names[name].data))})
@@ -142,28 +141,28 @@
 	return all, nil
 }
 
-// Read returns the content of a file, with the damage that was planned.
-func (d *Disk) Read(name string, most int64) ([]byte, error) {
+// Read returns the content of a file.
+func (d *Disk) Read(name string, maxBytes int64) ([]byte, error) {
 	f := d.names[name]
 	if f == nil {
 		return nil, fs.ErrNotExist
 	}
-	if int64(len(f.data)) > most {
-		return nil, errors.New("larger than was asked for")
+	if int64(len(f.data)) > maxBytes {
+		return nil, errors.New("larger than the limit of the read")
 	}
 	return slices.Clone(f.data), nil
 }
 
 // Head returns the beginning of a file.
-func (d *Disk) Head(name string, most int) ([]byte, error) {
+func (d *Disk) Head(name string, maxBytes int) ([]byte, error) {
 	f := d.names[name]
 	if f == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(f.data[:min(most, len(f.data))]), nil
+	return slices.Clone(f.data[:min(maxBytes, len(f.data))]), nil
 }
 
-// Create creates a file. Its name is durable after Sync of the folder.
+// Create creates a file. Its name is durable after a Sync of the folder.
 func (d *Disk) Create(name string) (vfs.File, error) {
 	if err := d.op(); err != nil {
 		return nil, err
@@ -185,7 +184,7 @@
 	return &file{d, f}, nil
 }
 
-// Cut truncates a file durably.
+// Cut durably truncates a file.
 func (d *Disk) Cut(name string, size int64) error {
 	if err := d.op(); err != nil {
 		return err
@@ -196,7 +195,7 @@
 	return nil
 }
 
-// Rename renames a file. The new name is durable after Sync of the folder.
+// Rename renames a file. The new name is durable after a Sync of the folder.
 func (d *Disk) Rename(from, to string) error {
 	if err := d.op(); err != nil {
 		return err
@@ -213,7 +212,7 @@
 	return nil
 }
 
-// Remove removes a file. That is durable after Sync of the folder.
+// Remove removes a file. The removal is durable after a Sync of the folder.
 func (d *Disk) Remove(name string) error {
 	if err := d.op(); err != nil {
 		return err
@@ -225,7 +224,7 @@
 	return nil
 }
 
-// Sync makes the names of files durable.
+// Sync makes the directory entries durable.
 func (d *Disk) Sync() error {
 	if err := d.op(); err != nil {
 		return err
@@ -239,7 +238,7 @@
 	inode *inode
 }
 
-// Write appends bytes, which are durable after Sync.
+// Write appends bytes, which are durable after a Sync.
 func (w *file) Write(b []byte) (int, error) {
 	w.disk.stall()
 	if err := w.disk.op(); err != nil {
@@ -260,7 +259,7 @@
 	}
 }
 
-// fits tells how many of n bytes there is room for.
+// fits returns how many of n bytes fit on the disk.
 func (d *Disk) fits(n int) int {
 	if d.Room == 0 {
 		return n
@@ -268,7 +267,7 @@
 	return max(0, min(n, d.Room-d.Used()))
 }
 
-// Used is how many bytes all files have.
+// Used returns the total size of all files, in bytes.
 func (d *Disk) Used() (bytes int) {
 	for _, f := range d.names {
 		bytes += len(f.data)
