--- a/internal/platform/settings/diff.go
+++ b/internal/platform/settings/diff.go
@@ -2,19 +2,19 @@
 
 import "reflect"
 
-// Effect says when a changed field of the settings file counts.
+// Effect is when a changed field of the settings file takes effect.
 type Effect int
 
 const (
-	// Reloadable is for fields that a running process takes over.
+	// Reloadable fields take effect in a running process.
 	Reloadable Effect = iota
-	// NeedsRestart is for fields that count from the next start of the process on.
+	// NeedsRestart fields take effect at the next start of the process.
 	NeedsRestart
 )
 
-// Change is a field of the settings file that has another value than before.
+// Change is a field of the settings file whose value has changed.
 type Change struct {
-	Field  string // its key, or the first words of the keys of a group
+	Field  string // its key, or the common prefix of the keys of a group
 	Effect Effect
 }
 
@@ -25,8 +25,8 @@
 	value  func(*Settings) any
 }
 
-// fields are all fields that are compared. first_start is not among them: it is about the start alone, and the platform
-// changes it while the process runs.
+// fields are all fields that are compared. first_start is not among them: it concerns only the start of the process,
+// and the platform changes it while the process runs.
 var fields = []field{
 	{"seeds", Reloadable, func(s *Settings) any { return s.Seeds }},
 	{"limits.memory_mb", Reloadable, func(s *Settings) any { return s.Limits.MemoryMB }},
@@ -57,7 +57,7 @@
 	{"bounds", NeedsRestart, func(s *Settings) any { return s.Bounds }},
 }
 
-// Diff returns the fields whose values differ, in the order of fields.
+// Diff returns the fields whose values differ, in the order of the table fields.
 func Diff(before, after *Settings) []Change {
 	var changes []Change
 	for _, f := range fields {
@@ -68,7 +68,7 @@
 	return changes
 }
 
-// applyReloadable returns the settings in force with the Reloadable fields of a newer file.
+// applyReloadable returns the settings in force with the Reloadable fields replaced by those of a newer file.
 func applyReloadable(inForce, newer *Settings) *Settings {
 	merged := *inForce
 	merged.Seeds = newer.Seeds
--- a/internal/platform/settings/parse.go
+++ b/internal/platform/settings/parse.go
@@ -23,7 +23,7 @@
 	return Parse(text, path)
 }
 
-// readFile reads the file; its error says the remedy.
+// readFile reads the file; its error names the remedy.
 func readFile(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return text, nil
 }
 
-// Parse reads the text of a settings file; the errors give its name. Unknown keys are ignored, and of two lines with
-// one key the last one counts.
+// Parse parses the text of a settings file; errors contain its name. Unknown keys are ignored; if a key occurs more
+// than once, the last line counts.
 func Parse(text []byte, name string) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes(text)
@@ -51,7 +51,7 @@
 	return s, nil
 }
 
-// settings reads all keys but internal_ports. It is a table, one key a line.
+// settings reads all keys except internal_ports, as a table with one key per line.
 func (r *reader) settings() *Settings {
 	return &Settings{
 		NodeName:          r.required("node_name", "the node's name"),
@@ -101,7 +101,7 @@
 	}
 }
 
-// zones reads the regions of the zones, whose names are part of the keys.
+// zones reads the regions of the zones. The name of a zone is part of the key.
 func (r *reader) zones() map[string]string {
 	const prefix = "zones."
 	regions := map[string]string{}
@@ -117,7 +117,7 @@
 	return regions
 }
 
-// bounds reads the figures of the rules. It is a table of keys and defaults.
+// bounds reads the bounds of the rules, from a table of keys and defaults.
 func (r *reader) bounds() Bounds {
 	const ms = time.Millisecond
 	b := Bounds{QuotaExcess: r.number("bounds.quota_excess", 0, 0.1)}
@@ -149,7 +149,7 @@
 	return b
 }
 
-// duration reads a duration in the unit that ends its key: _ms or _s.
+// duration reads a duration whose unit is the suffix of its key: _ms or _s.
 func (r *reader) duration(key string, defaultValue time.Duration) time.Duration {
 	unit := time.Millisecond
 	if strings.HasSuffix(key, "_s") {
--- a/internal/platform/settings/reader.go
+++ b/internal/platform/settings/reader.go
@@ -10,7 +10,7 @@
 	"github.com/magiconair/properties"
 )
 
-// reader reads values by their keys and collects what is wrong with them.
+// reader reads values by key and collects the problems with them.
 type reader struct {
 	values   *properties.Properties
 	name     string // of the file
@@ -18,7 +18,7 @@
 	problems []error
 }
 
-// lineNumbers returns the line of each key; of several lines the last one.
+// lineNumbers returns the line number of each key; for a repeated key, that of the last line.
 func lineNumbers(text []byte) map[string]int {
 	numbers := map[string]int{}
 	number := 0
@@ -33,7 +33,7 @@
 	return numbers
 }
 
-// missing adds the problem that a key is absent or has no value.
+// missing reports that a key is absent or has no value.
 func (r *reader) missing(key, what string) {
 	if line := r.lines[key]; line > 0 {
 		r.problems = append(r.problems, fmt.Errorf("%s, line %d: %s is empty; write %s behind it", r.name, line, key, what))
@@ -42,16 +42,16 @@
 	r.problems = append(r.problems, fmt.Errorf("%s: %s is missing; add a line %s= with %s", r.name, key, key, what))
 }
 
-// invalid adds the problem that a key's value is not what it must be.
+// invalid reports that a key has an invalid value.
 func (r *reader) invalid(key, right string) {
 	r.problems = append(r.problems,
 		fmt.Errorf("%s, line %d: %s=%s; write %s", r.name, r.lines[key], key, r.text(key), right))
 }
 
-// text returns a value without surrounding space; default empty.
+// text returns a value without surrounding space; the default is empty.
 func (r *reader) text(key string) string { return strings.TrimSpace(r.values.GetString(key, "")) }
 
-// required returns a value that may not be empty.
+// required returns a value that must not be empty.
 func (r *reader) required(key, what string) string {
 	value := r.text(key)
 	if value == "" {
@@ -60,7 +60,7 @@
 	return value
 }
 
-// list returns the values between commas, without empty ones.
+// list returns a comma-separated list without its empty elements.
 func (r *reader) list(key string) (values []string) {
 	for value := range strings.SplitSeq(r.text(key), ",") {
 		if value = strings.TrimSpace(value); value != "" {
@@ -70,7 +70,7 @@
 	return values
 }
 
-// flag returns true or false; default false.
+// flag returns a boolean; the default is false.
 func (r *reader) flag(key string) bool {
 	value := r.text(key)
 	if value != "" && value != "true" && value != "false" {
@@ -79,7 +79,7 @@
 	return value == "true"
 }
 
-// address returns an ip:port; default empty.
+// address returns an ip:port; the default is empty.
 func (r *reader) address(key string) string {
 	value := r.text(key)
 	if _, err := netip.ParseAddrPort(value); value != "" && err != nil {
@@ -88,7 +88,7 @@
 	return value
 }
 
-// ports returns the first and the last port of a range, which is required.
+// ports returns the first and the last port of a required range.
 func (r *reader) ports(key string) (first, last int) {
 	const right = "the first and the last port, such as 7000,7015"
 	values := r.list(key)
@@ -106,13 +106,13 @@
 	return first, last
 }
 
-// parsePort returns 0 for what is no number, and the highest port for a number above it.
+// parsePort returns 0 if text is not a number, and the highest port if the number is too large.
 func parsePort(text string) int {
-	port, _ := strconv.ParseUint(text, 10, 16) // what it returns beside an error is what is wanted here
+	port, _ := strconv.ParseUint(text, 10, 16) // on an error ParseUint returns just that
 	return int(port)
 }
 
-// number returns a number from least to math.MaxInt32.
+// number returns a number between least and math.MaxInt32.
 func (r *reader) number(key string, least, defaultValue float64) float64 {
 	text := r.text(key)
 	if text == "" {
@@ -126,7 +126,7 @@
 	return value
 }
 
-// positive is number for what must be above 0.
+// positive is number for values that must be above 0.
 func (r *reader) positive(key string, defaultValue float64) float64 {
 	value := r.number(key, 0, defaultValue)
 	if value == 0 {
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestParse has two commands: parse for a whole file, and with, which adds lines to the required ones.
+// TestParse has two commands: parse for a complete file, and with, which appends lines to the required ones.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, d *datadriven.TestData) string {
 		t.Helper()
--- a/internal/platform/settings/watch.go
+++ b/internal/platform/settings/watch.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// pollInterval is the time between two reads of the file without a signal.
+	// pollInterval is the time between two reads of the file if no signal arrives.
 	pollInterval = 2 * time.Second
-	// startWait is how long the start of a process waits for a valid file.
+	// startWait is how long a starting process waits for a valid file.
 	startWait = time.Second
-	// startRetryInterval is the time between two reads of a file for which the start waits.
+	// startRetryInterval is the time between two attempts to read the file at the start.
 	startRetryInterval = 20 * time.Millisecond
 )
 
-// Watcher holds the settings in force in a running process, and takes over what a changed file allows. It is safe for
-// concurrent use. Settings that it has returned are not changed any more.
+// Watcher holds the settings in force in a running process, and applies changes of the file as far as they are
+// Reloadable. It is safe for concurrent use. Settings that it has returned are immutable.
 type Watcher struct {
 	path string
 	log  hclog.Logger
 
 	mu               sync.Mutex
 	inForce          *Settings
-	text             []byte // of the file when it was read last; nil: it could not be read
-	loggedProblem    string // empty: the file was valid
-	loggedForRestart string // fields that were logged last as needing a restart
+	text             []byte // content of the file when it was last read; nil: it could not be read
+	loggedProblem    string // last logged problem; empty: the file was valid
+	loggedForRestart string // fields that were last logged as needing a restart
 	subscribers      map[int]func(*Settings)
 	nextSubscriber   int // key of the next subscriber in subscribers
 }
 
-// NewWatcher reads the file for the start of a process. A file that is missing or invalid may be one that is being written: it
-// is read again for startWait. Its errors are of the class Invalid.
+// NewWatcher reads the file at the start of a process. A file that is missing or invalid may still be being written:
+// NewWatcher retries for startWait. Its errors are of the class Invalid.
 func NewWatcher(path string, log hclog.Logger) (*Watcher, error) {
 	w := &Watcher{path: path, log: log, subscribers: map[int]func(*Settings){}}
 	err := w.readFirst()
@@ -66,8 +66,8 @@
 	return w.inForce
 }
 
-// Subscribe has notify called with the settings in force, at once and after each change, one call at a time. notify
-// must not call the Watcher. The function that is returned ends the subscription.
+// Subscribe calls notify with the settings in force, immediately and after each change, one call at a time. notify
+// must not call the Watcher. The returned function ends the subscription.
 func (w *Watcher) Subscribe(notify func(*Settings)) (unsubscribe func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Run reads the file after each signal, and every pollInterval without one, until the context ends.
+// Run reads the file after each signal and every pollInterval until the context ends.
 func (w *Watcher) Run(ctx context.Context, signals <-chan os.Signal) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -97,7 +97,7 @@
 	}
 }
 
-// Reload reads the file once. An invalid file leaves the settings in force as they are.
+// Reload reads the file once. An invalid file leaves the settings in force unchanged.
 func (w *Watcher) Reload() {
 	text, err := readFile(w.path)
 	w.mu.Lock()
@@ -120,11 +120,11 @@
 	w.apply(newer)
 }
 
-// reject logs a problem unless it was logged last.
+// reject logs a problem unless it was the last one logged.
 func (w *Watcher) reject(err error) {
 	if problem := strings.ReplaceAll(err.Error(), "\n", "; "); problem != w.loggedProblem {
 		w.loggedProblem = problem
-		w.log.Error("settings file not taken over, the settings before stay in force: mend the file", "err", problem)
+		w.log.Error("settings file rejected, the previous settings stay in force: correct the file", "err", problem)
 	}
 }
 
@@ -149,13 +149,13 @@
 	}
 }
 
-// logForRestart logs the fields that need a restart unless they were logged last.
+// logForRestart logs the fields that need a restart unless the same fields were logged last.
 func (w *Watcher) logForRestart(fields string) {
 	if fields == w.loggedForRestart {
 		return
 	}
 	w.loggedForRestart = fields
 	if fields != "" {
-		w.log.Warn("settings changed that a running process keeps as they were: restart the process", "fields", fields)
+		w.log.Warn("changed settings take effect only at the next start: restart the process", "fields", fields)
 	}
 }
