--- a/internal/platform/link/bench_test.go
+++ b/internal/platform/link/bench_test.go
@@ -13,10 +13,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	far := newSide()
+	far := newChannelHandler()
 	far.act = func(m *Message) { m.Reply(m.Body) }
 	go func() { _ = Serve(l, far, DefaultOptions) }()
-	c, err := Dial(context.Background(), l.Addr().String(), newSide(), DefaultOptions)
+	c, err := Dial(context.Background(), l.Addr().String(), newChannelHandler(), DefaultOptions)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/platform/link/golden_test.go
+++ b/internal/platform/link/golden_test.go
@@ -33,7 +33,7 @@
 func TestGoldenFrames(t *testing.T) {
 	t.Run("one-way message", func(t *testing.T) {
 		raw, nc := net.Pipe()
-		c := start(nc, newSide(), steady)
+		c := start(nc, newChannelHandler(), noProbes)
 		defer c.Close()
 		if err := c.Send(7, []byte("notice")); err != nil {
 			t.Fatal(err)
@@ -46,7 +46,7 @@
 	})
 	t.Run("calls", func(t *testing.T) {
 		raw, nc := net.Pipe()
-		c := start(nc, newSide(), steady)
+		c := start(nc, newChannelHandler(), noProbes)
 		defer c.Close()
 		c.Go(8, []byte("first"))
 		c.Go(9, nil)
@@ -62,7 +62,7 @@
 	})
 	t.Run("probe", func(t *testing.T) {
 		raw, nc := net.Pipe()
-		c := start(nc, newSide(), Options{ProbeInterval: time.Millisecond, PeerTimeout: time.Hour})
+		c := start(nc, newChannelHandler(), Options{ProbeInterval: time.Millisecond, PeerTimeout: time.Hour})
 		defer c.Close()
 		checkGolden(t, "frame_probe", readFrames(t, raw, 9))
 	})
@@ -71,8 +71,8 @@
 // The encoding of a reply and of an error must not change, and each must end the call that it belongs to.
 func TestGoldenReplies(t *testing.T) {
 	raw, nc := net.Pipe()
-	s := newSide()
-	callee := start(nc, s, steady)
+	s := newChannelHandler()
+	callee := start(nc, s, noProbes)
 	defer callee.Close()
 	if _, err := raw.Write(golden.Read(t, "frame_call.bin")); err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	refusal := checkGolden(t, "frame_error", readFrames(t, raw, 9+10))
 
 	raw, nc = net.Pipe()
-	caller := start(nc, newSide(), steady)
+	caller := start(nc, newChannelHandler(), noProbes)
 	defer caller.Close()
 	firstReply, secondReply := caller.Go(8, nil), caller.Go(9, nil)
 	readFrames(t, raw, 2*9)
@@ -104,8 +104,8 @@
 func receive(t *testing.T, frame []byte) *Message {
 	t.Helper()
 	raw, nc := net.Pipe()
-	s := newSide()
-	c := start(nc, s, steady)
+	s := newChannelHandler()
+	c := start(nc, s, noProbes)
 	defer c.Close()
 	if _, err := raw.Write(frame); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	if DefaultOptions.ProbeInterval != 400*time.Millisecond || DefaultOptions.PeerTimeout != 1300*time.Millisecond {
 		t.Errorf("%+v: a peer of another version may count as dead", DefaultOptions)
 	}
-	c := start(first(net.Pipe()), newSide(), steady)
+	c := start(first(net.Pipe()), newChannelHandler(), noProbes)
 	defer c.Close()
 	if _, err := c.Call(context.Background(), 1, make([]byte, 16<<20-8)); err == nil || errors.Is(err, ErrClosed) {
 		t.Errorf("a message longer than the peer's limit was sent: %v", err)
--- a/internal/platform/link/helpers_test.go
+++ b/internal/platform/link/helpers_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// patience is how long a test waits for an expected event.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for an expected event.
+const testTimeout = 20 * time.Second
 
-// steady is options with which no probe is sent during a test.
-var steady = Options{ProbeInterval: time.Hour, PeerTimeout: 2 * time.Hour}
+// noProbes is options with which no probe is sent during a test.
+var noProbes = Options{ProbeInterval: time.Hour, PeerTimeout: 2 * time.Hour}
 
-// side is a handler that puts what it receives into channels.
-type side struct {
+// channelHandler is a handler that puts what it receives into channels.
+type channelHandler struct {
 	messages chan *Message
 	closed   chan *Conn
 	act      func(m *Message) // called instead of sending to messages
 }
 
-func newSide() *side {
-	return &side{messages: make(chan *Message, 1<<16), closed: make(chan *Conn, 16)}
+func newChannelHandler() *channelHandler {
+	return &channelHandler{messages: make(chan *Message, 1<<16), closed: make(chan *Conn, 16)}
 }
 
-func (s *side) Message(m *Message) {
+func (s *channelHandler) Message(m *Message) {
 	if s.act != nil {
 		s.act(m)
 		return
@@ -31,7 +31,7 @@
 	s.messages <- m
 }
 
-func (s *side) Closed(c *Conn) { s.closed <- c }
+func (s *channelHandler) Closed(c *Conn) { s.closed <- c }
 
 // transport creates the two ends of a connection.
 type transport struct {
@@ -61,10 +61,10 @@
 }
 
 // startPair starts a link over a transport. Its two ends are closed at the end of the test.
-func startPair(t *testing.T, tr transport, o Options) (a, b *Conn, aSide, bSide *side) {
+func startPair(t *testing.T, tr transport, o Options) (a, b *Conn, aSide, bSide *channelHandler) {
 	t.Helper()
 	aConn, bConn := tr.pair(t)
-	aSide, bSide = newSide(), newSide()
+	aSide, bSide = newChannelHandler(), newChannelHandler()
 	a, b = start(aConn, aSide, o), start(bConn, bSide, o)
 	t.Cleanup(func() { a.Close(); b.Close() })
 	return a, b, aSide, bSide
@@ -75,7 +75,7 @@
 	t.Helper()
 	select {
 	case v = <-ch:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("%s did not arrive", what)
 	}
 	return v
--- a/internal/platform/link/link_test.go
+++ b/internal/platform/link/link_test.go
@@ -17,7 +17,7 @@
 func TestMessagesArriveInOrder(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, _, _, bSide := startPair(t, tr, steady)
+			a, _, _, bSide := startPair(t, tr, noProbes)
 			const n = 5000
 			for i := range n {
 				if err := a.Send(7, fmt.Appendf(nil, "%d%0*d", i, i%300, 0)); err != nil {
@@ -37,7 +37,7 @@
 func TestRepliesInAnyOrderReachTheirCalls(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, _, _, bSide := startPair(t, tr, steady)
+			a, _, _, bSide := startPair(t, tr, noProbes)
 			const n = 50
 			var replies []<-chan Reply
 			for i := range n {
@@ -82,7 +82,7 @@
 func TestCloseFailsPendingCalls(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, b, aSide, bSide := startPair(t, tr, steady)
+			a, b, aSide, bSide := startPair(t, tr, noProbes)
 			ch := a.Go(7, nil)
 			get(t, bSide.messages, "the call")
 			b.Close()
@@ -105,7 +105,7 @@
 func TestAbandonedCallIsForgotten(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, _, _, bSide := startPair(t, tr, steady)
+			a, _, _, bSide := startPair(t, tr, noProbes)
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
 			go func() { _, err := a.Call(ctx, 7, nil); ended <- err }()
@@ -130,7 +130,7 @@
 func TestTooLongBodyIsRejectedAndLinkStaysOpen(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, _, _, bSide := startPair(t, tr, steady)
+			a, _, _, bSide := startPair(t, tr, noProbes)
 			long := make([]byte, maxFrame)
 			if err := a.Send(7, long); !errors.Is(err, errFrameTooLong) {
 				t.Fatal(err)
@@ -159,8 +159,8 @@
 		t.Run(tr.name, func(t *testing.T) {
 			raw, nb := tr.pair(t)
 			defer raw.Close()
-			bSide := newSide()
-			b := start(nb, bSide, steady)
+			bSide := newChannelHandler()
+			b := start(nb, bSide, noProbes)
 			defer b.Close()
 			_, _ = raw.Write(binary.BigEndian.AppendUint32(nil, maxFrame+1))
 			_, _ = raw.Write([]byte{7, 0, 0, 0, 0})
@@ -176,7 +176,7 @@
 func TestQueueForPeerThatDoesNotReadIsBounded(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, _, aSide, bSide := startPair(t, tr, steady)
+			a, _, aSide, bSide := startPair(t, tr, noProbes)
 			release := make(chan struct{})
 			bSide.act = func(*Message) { <-release }
 			defer close(release)
@@ -199,7 +199,7 @@
 			t.Run(fmt.Sprint(tr.name, "/stuck=", stuck), func(t *testing.T) {
 				na, raw := tr.pair(t)
 				defer raw.Close()
-				aSide := newSide()
+				aSide := newChannelHandler()
 				a := start(na, aSide, Options{ProbeInterval: 10 * time.Millisecond, PeerTimeout: 50 * time.Millisecond})
 				defer a.Close()
 				if stuck {
@@ -222,7 +222,7 @@
 			a, b, _, _ := startPair(t, tr, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 5 * time.Second})
 			began := time.Now().UnixNano()
 			for _, c := range []*Conn{a, b} {
-				deadline := time.Now().Add(patience)
+				deadline := time.Now().Add(testTimeout)
 				for n, last := 0, began; n < 5; {
 					if at := c.lastRead.Load(); at > last {
 						n, last = n+1, at
@@ -247,7 +247,7 @@
 		t.Run(tr.name, func(t *testing.T) {
 			na, raw := tr.pair(t)
 			defer raw.Close()
-			aSide := newSide()
+			aSide := newChannelHandler()
 			a := start(na, aSide, Options{ProbeInterval: 5 * time.Millisecond, PeerTimeout: 300 * time.Millisecond})
 			defer a.Close()
 			go func() { // discards the probes
@@ -282,7 +282,7 @@
 func TestConcurrentWritersKeepTheirOrder(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, b, aSide, bSide := startPair(t, tr, steady)
+			a, b, aSide, bSide := startPair(t, tr, noProbes)
 			const writers, each = 8, 300
 			var wg sync.WaitGroup
 			for _, c := range []*Conn{a, b} {
@@ -294,7 +294,7 @@
 					})
 				}
 			}
-			for _, s := range []*side{aSide, bSide} {
+			for _, s := range []*channelHandler{aSide, bSide} {
 				next := map[Kind]uint32{}
 				for range writers * each {
 					m := get(t, s.messages, "a message")
@@ -319,10 +319,10 @@
 	f.Add([]byte{255, 255, 255, 255, 252, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		raw, nb := net.Pipe()
-		s := newSide()
+		s := newChannelHandler()
 		bytes := 0
 		s.act = func(m *Message) { bytes += len(m.Body) + headerSize; m.Reply(nil) }
-		c := start(nb, s, steady)
+		c := start(nb, s, noProbes)
 		go func() {
 			_, _ = raw.Write(b)
 			_ = raw.Close()
@@ -381,9 +381,9 @@
 	const calls = 3
 	f.Fuzz(func(t *testing.T, b []byte) {
 		raw, nb := net.Pipe()
-		s := newSide()
+		s := newChannelHandler()
 		s.act = func(*Message) {}
-		c := start(nb, s, steady)
+		c := start(nb, s, noProbes)
 		var waiting []<-chan Reply
 		for range calls {
 			waiting = append(waiting, c.Go(1, nil))
@@ -424,7 +424,7 @@
 	both := slices.Concat(first, second)
 	for cut := range len(both) + 1 {
 		raw, nb := net.Pipe()
-		c := start(nb, newSide(), steady)
+		c := start(nb, newChannelHandler(), noProbes)
 		one, two := c.Go(1, nil), c.Go(1, nil)
 		readCalls(t, raw, 2)
 		if _, err := raw.Write(both[:cut]); err != nil {
@@ -448,7 +448,7 @@
 func TestReplyOnOldLinkEndsNoCallOnNewLink(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			a, _, _, bSide := startPair(t, tr, steady)
+			a, _, _, bSide := startPair(t, tr, noProbes)
 			old := a.Go(1, []byte("old"))
 			oldCall := get(t, bSide.messages, "the old call")
 			a.Close()
@@ -457,7 +457,7 @@
 			}
 			for _, tr := range transports {
 				t.Run(tr.name, func(t *testing.T) {
-					newer, _, _, newerSide := startPair(t, tr, steady)
+					newer, _, _, newerSide := startPair(t, tr, noProbes)
 					now := newer.Go(1, []byte("new"))
 					next := get(t, newerSide.messages, "the new call")
 					if next.call != oldCall.call {
--- a/internal/platform/link/resend/keepers_test.go
+++ b/internal/platform/link/resend/keepers_test.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// patience is how long a test waits for an expected event.
-	patience   = 30 * time.Second
-	keeperZone = "z"
+	// testTimeout is how long a test waits for an expected event.
+	testTimeout = 30 * time.Second
+	keeperZone  = "z"
 	// service is the service of all endpoints.
 	service = "s"
 	// keeperCount is the number of keepers, of which one may fail.
@@ -108,7 +108,7 @@
 		Settings:    s,
 		Folder:      vfstest.New(),
 		Log:         hclog.NewNullLogger(),
-		PushWait:    patience,
+		PushWait:    testTimeout,
 		DialAddress: func(addr string) string { return k.dialAddress(i, addr) },
 	})
 	if err != nil {
@@ -124,7 +124,7 @@
 			if err != nil {
 				k.t.Errorf("keeper %d: %v", i, err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			k.t.Errorf("keeper %d does not stop", i)
 		}
 	})
@@ -188,7 +188,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(poll) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(poll) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out: %s", what)
 		}
@@ -218,7 +218,7 @@
 		return answer{}
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, requestText(method, path, match, body)); err != nil {
 		return answer{}
 	}
@@ -256,7 +256,7 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, text[:sent]); err != nil {
 		k.t.Fatal(err)
 	}
--- a/internal/platform/sendlog/sendlog.go
+++ b/internal/platform/sendlog/sendlog.go
@@ -52,7 +52,7 @@
 	return l.Times[n-max(limit, 1)] + l.Window
 }
 
-// Remove removes one send at a time, if there is one.
+// Remove removes one entry with the given send time, if there is one.
 func (l *Log) Remove(at Time) {
 	if i := slices.Index(l.Times, at); i >= 0 {
 		l.Times = slices.Delete(l.Times, i, i+1)
--- a/internal/platform/upstream/answer.go
+++ b/internal/platform/upstream/answer.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxAnswerBytes bounds what is read for one call: header lines, interim responses and body. The caller bounds
+	// maxResponseBytes bounds what is read for one call: header lines, interim responses and body. The caller bounds
 	// the body of an opened call itself.
-	maxAnswerBytes = 128 << 10
+	maxResponseBytes = 128 << 10
 	// firstLineBytes is how many bytes of a response are retained for parsing its status line.
 	firstLineBytes = 128
 	// keepAliveMargin is how long before the endpoint closes an idle connection it is no longer used.
@@ -20,18 +20,18 @@
 	maxKeepAlive = 1e6
 )
 
-// answerReader limits the size of a response and retains its first bytes.
-type answerReader struct {
+// responseReader limits the size of a response and retains its first bytes.
+type responseReader struct {
 	netConn   net.Conn
 	remaining int    // bytes that may still be read
 	head      []byte // the first bytes, up to firstLineBytes
 }
 
 // begin prepares for the next response.
-func (r *answerReader) begin() { r.remaining, r.head = maxAnswerBytes, r.head[:0] }
+func (r *responseReader) begin() { r.remaining, r.head = maxResponseBytes, r.head[:0] }
 
 // Read reads from the connection, up to the limit.
-func (r *answerReader) Read(b []byte) (int, error) {
+func (r *responseReader) Read(b []byte) (int, error) {
 	if r.remaining <= 0 {
 		return 0, errTooLong
 	}
@@ -42,7 +42,7 @@
 }
 
 // delivered reports whether the response has a complete status line with status 200, even if the rest can't be read.
-func (r *answerReader) delivered() bool {
+func (r *responseReader) delivered() bool {
 	line, _, complete := strings.Cut(string(r.head), "\n") // a truncated line proves nothing
 	version, status, _ := strings.Cut(line, " ")
 	status, _, _ = strings.Cut(strings.TrimSuffix(status, "\r"), " ")
--- a/internal/platform/upstream/call.go
+++ b/internal/platform/upstream/call.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxInterimAnswers is how many 1xx responses may precede the final one.
-	maxInterimAnswers = 5
+	// maxInterimResponses is how many 1xx responses may precede the final one.
+	maxInterimResponses = 5
 	// maxInlineWrite is the largest request, in bytes, that is written before its response is read: the kernel's send
 	// buffer holds that much on a connection with nothing in flight. A longer request is written concurrently with
 	// reading, as the endpoint may respond early.
@@ -50,7 +50,7 @@
 	c.request = http.Request{Method: method}
 	resp, err := c.send(ctx, &c.request, head, body)
 	if err == nil {
-		c.answer.remaining = math.MaxInt
+		c.response.remaining = math.MaxInt
 	}
 	return resp, err
 }
@@ -59,13 +59,13 @@
 // connection is not reused afterwards.
 func (c *Conn) NextAnswer() (*http.Response, error) {
 	c.readSurplus = true
-	c.answer.begin()
+	c.response.begin()
 	resp, err := c.readHead(&c.request)
 	if err != nil {
 		c.awaitWrite()
 		return nil, &CallError{Sent: c.sent, Err: err}
 	}
-	c.answer.remaining = math.MaxInt
+	c.response.remaining = math.MaxInt
 	return resp, nil
 }
 
@@ -99,7 +99,7 @@
 // send writes a request given in two pieces and reads the head of its response.
 func (c *Conn) send(ctx context.Context, req *http.Request, first, second []byte) (*http.Response, error) {
 	c.inCall, c.sent, c.complete, c.readSurplus, c.written = true, false, false, false, nil
-	c.answer.begin()
+	c.response.begin()
 	c.stopCancel = context.AfterFunc(ctx, c.interrupt)
 	if c.delayEnd {
 		c.delayEnd = false
@@ -115,7 +115,7 @@
 	resp, err := c.readHead(req)
 	if err != nil {
 		c.awaitWrite()
-		return nil, &CallError{Sent: c.sent, Delivered: c.answer.delivered(), Err: err}
+		return nil, &CallError{Sent: c.sent, Delivered: c.response.delivered(), Err: err}
 	}
 	return resp, nil
 }
@@ -196,7 +196,7 @@
 
 // readHead reads the head of the final response, skipping interim ones.
 func (c *Conn) readHead(req *http.Request) (*http.Response, error) {
-	for range maxInterimAnswers + 1 {
+	for range maxInterimResponses + 1 {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, err
@@ -207,10 +207,10 @@
 		case resp.StatusCode >= 200:
 			return resp, nil
 		}
-		c.answer.head = c.answer.head[:0]
+		c.response.head = c.response.head[:0]
 		if n := c.reader.Buffered(); n > 0 { // the next response arrived with this one
 			ahead, _ := c.reader.Peek(min(n, firstLineBytes)) // can't fail: these bytes are buffered
-			c.answer.head = append(c.answer.head, ahead...)
+			c.response.head = append(c.response.head, ahead...)
 		}
 	}
 	return nil, errors.New("too many interim (1xx) responses")
--- a/internal/platform/upstream/conn.go
+++ b/internal/platform/upstream/conn.go
@@ -25,8 +25,8 @@
 type Conn struct {
 	pool       *Pool
 	netConn    net.Conn
-	answer     *answerReader
-	reader     *bufio.Reader // reads from answer
+	response   *responseReader
+	reader     *bufio.Reader // reads from response
 	epoch      int           // the pool's epoch when it was dialed
 	dialedAt   time.Time     // when its dial began
 	dialTime   time.Duration // how long the dial took: about one round trip
@@ -50,12 +50,12 @@
 }
 
 func newConn(p *Pool, netConn net.Conn, dialedAt time.Time) *Conn {
-	answer := &answerReader{netConn: netConn}
+	response := &responseReader{netConn: netConn}
 	return &Conn{
 		pool:       p,
 		netConn:    netConn,
-		answer:     answer,
-		reader:     bufio.NewReaderSize(answer, readBuffer),
+		response:   response,
+		reader:     bufio.NewReaderSize(response, readBuffer),
 		epoch:      p.epoch,
 		dialedAt:   dialedAt,
 		idleBefore: -1,
--- a/internal/platform/upstream/conn_test.go
+++ b/internal/platform/upstream/conn_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func must(t *testing.T, err error) {
 	t.Helper()
@@ -89,11 +89,11 @@
 
 const ok200 = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// answers returns a server that sends the same response to each request.
-func answers(answer string) func(int64, net.Conn, *bufio.Reader) {
+// respondWith returns a server that sends the same response to each request.
+func respondWith(response string) func(int64, net.Conn, *bufio.Reader) {
 	return func(_ int64, conn net.Conn, r *bufio.Reader) {
 		for readCall(r) == nil {
-			_, _ = io.WriteString(conn, answer)
+			_, _ = io.WriteString(conn, response)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 func newPools(t *testing.T, change func(*Config)) *Pools {
 	t.Helper()
 	c := Config{Dial: dialTCP, Now: time.Now, Rand: func() float64 { return 0.5 }, Senders: 1, MaxOpen: 100,
-		MaxIdle: time.Minute, DialTimeout: patience}
+		MaxIdle: time.Minute, DialTimeout: testTimeout}
 	if change != nil {
 		change(&c)
 	}
@@ -126,7 +126,7 @@
 // call makes one call and releases its connection.
 func call(t *testing.T, p *Pool, body int) (status int, reused bool, err error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := p.Acquire(ctx)
 	must(t, err)
@@ -157,9 +157,9 @@
 // A connection is reused only after a complete and well-formed response with nothing following it.
 func TestConnectionIsReusedOnlyAfterACleanEnd(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		status int
-		keep   bool
+		response string
+		status   int
+		keep     bool
 	}{
 		"clean":                    {ok200, 200, true},
 		"empty":                    {"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", 503, true},
@@ -177,7 +177,7 @@
 		"malformed":                {"what?\r\n\r\n", 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestServer(t, answers(c.answer))
+			s := newTestServer(t, respondWith(c.response))
 			ps := newPools(t, nil)
 			p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 			status, _, err := call(t, p, 10)
@@ -198,7 +198,7 @@
 // A complete status line proves delivery even if the rest of the response can't be read; that of an interim response
 // doesn't.
 func TestStatusLineOfABrokenResponse(t *testing.T) {
-	for answer, want := range map[string]bool{
+	for response, want := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nContent-Len": true,
 		"HTTP/1.1 200":                   false,
 		"HTTP/1.1 503 X\r\nContent-Len":  false,
@@ -207,13 +207,13 @@
 	} {
 		s := newTestServer(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			if readCall(r) == nil {
-				_, _ = io.WriteString(conn, answer)
+				_, _ = io.WriteString(conn, response)
 			}
 		})
 		_, _, err := call(t, newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr}), 10)
 		var callErr *CallError
 		if !errors.As(err, &callErr) || !callErr.Sent || callErr.Delivered != want {
-			t.Errorf("%q: %+v, want sent, delivered %v", answer, callErr, want)
+			t.Errorf("%q: %+v, want sent, delivered %v", response, callErr, want)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 
 // The connection of a long request is reused if the response follows the complete request.
 func TestLongRequestKeepsItsConnection(t *testing.T) {
-	s := newTestServer(t, answers(ok200))
+	s := newTestServer(t, respondWith(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	for range 20 {
--- a/internal/platform/upstream/open_test.go
+++ b/internal/platform/upstream/open_test.go
@@ -41,10 +41,10 @@
 // The response to an opened call has no size limit, and the connection is reused after a complete one.
 func TestOpenedCall(t *testing.T) {
 	long := strings.Repeat("0123456789", 100<<10)
-	s := newTestServer(t, answers(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)))
+	s := newTestServer(t, respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long)))
 	p := newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	for n := range 3 {
-		body, reused, err := open(t, p, time.Now().Add(patience))
+		body, reused, err := open(t, p, time.Now().Add(testTimeout))
 		if body != long || reused != (n > 0) || err != nil {
 			t.Fatalf("call %d: %d bytes, reused %v, %v", n, len(body), reused, err)
 		}
@@ -58,7 +58,7 @@
 			_, _ = io.Copy(io.Discard, r)
 			return
 		}
-		answers(ok200)(n, conn, r)
+		respondWith(ok200)(n, conn, r)
 	})
 	var last *timedConn
 	p := newPools(t, func(c *Config) {
@@ -77,7 +77,7 @@
 	if !errors.As(err, &callErr) || !callErr.Sent || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	if _, _, err := open(t, p, time.Now().Add(patience)); err != nil || !last.deadline.IsZero() {
+	if _, _, err := open(t, p, time.Now().Add(testTimeout)); err != nil || !last.deadline.IsZero() {
 		t.Errorf("%v, deadline %v", err, last.deadline)
 	}
 	if _, reused, err := open(t, p, time.Time{}); err != nil || !reused {
@@ -98,7 +98,7 @@
 
 // NextAnswer skips a response that belongs to an earlier call, and the connection is then not reused.
 func TestNextAnswerSkipsEarlierResponse(t *testing.T) {
-	s := newTestServer(t, answers(ok200+strings.Replace(ok200, "ok", "me", 1)))
+	s := newTestServer(t, respondWith(ok200+strings.Replace(ok200, "ok", "me", 1)))
 	p := newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	c := acquire(t, p)
 	resp, err := c.Open(t.Context(), http.MethodGet, []byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"), nil, time.Time{})
@@ -175,10 +175,10 @@
 	}
 }
 
-// patientConn extends read deadlines, so that a reset arrives in time on a busy machine too.
-type patientConn struct{ *net.TCPConn }
+// extendedDeadlineConn extends read deadlines, so that a reset arrives in time on a busy machine too.
+type extendedDeadlineConn struct{ *net.TCPConn }
 
-func (c patientConn) SetReadDeadline(t time.Time) error {
+func (c extendedDeadlineConn) SetReadDeadline(t time.Time) error {
 	if time.Until(t) > 0 {
 		t = t.Add(300 * time.Millisecond)
 	}
@@ -208,7 +208,7 @@
 					if err != nil {
 						return nil, err
 					}
-					return patientConn{conn.(*net.TCPConn)}, nil
+					return extendedDeadlineConn{conn.(*net.TCPConn)}, nil
 				}
 			})
 			p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
@@ -220,7 +220,7 @@
 						c.idleBefore = freshIdle // as if it had been idle
 					}
 					c.DelayEnd()
-					resp, err := c.Open(t.Context(), "POST", postHead(len(body)), []byte(body), time.Now().Add(patience))
+					resp, err := c.Open(t.Context(), "POST", postHead(len(body)), []byte(body), time.Now().Add(testTimeout))
 					if call == 0 {
 						must(t, err)
 						_, err := io.Copy(io.Discard, resp.Body)
@@ -245,7 +245,7 @@
 
 // With DelayEnd the end of the request follows, and the response arrives.
 func TestDelayedEndFollows(t *testing.T) {
-	s := newTestServer(t, answers(ok200))
+	s := newTestServer(t, respondWith(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	for call := range 20 {
@@ -255,7 +255,7 @@
 			c.idleBefore = freshIdle
 		}
 		c.DelayEnd()
-		resp, err := c.Open(t.Context(), "POST", postHead(2), []byte("ab"), time.Now().Add(patience))
+		resp, err := c.Open(t.Context(), "POST", postHead(2), []byte("ab"), time.Now().Add(testTimeout))
 		must(t, err)
 		_, err = io.Copy(io.Discard, resp.Body)
 		must(t, err)
@@ -267,7 +267,7 @@
 
 // A call cancelled while its end is held back was not sent.
 func TestCancelBeforeTheDelayedEnd(t *testing.T) {
-	s := newTestServer(t, answers(ok200))
+	s := newTestServer(t, respondWith(ok200))
 	ps := newPools(t, nil)
 	p := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/platform/upstream/partial_test.go
+++ b/internal/platform/upstream/partial_test.go
@@ -33,7 +33,7 @@
 
 // A request that was written only in part was not sent, even if just its last byte is missing.
 func TestPartlyWrittenRequestIsNotSent(t *testing.T) {
-	s := newTestServer(t, answers(ok200))
+	s := newTestServer(t, respondWith(ok200))
 	for _, body := range []string{"", "a body", strings.Repeat("b", 2*maxInlineWrite)} {
 		head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body))
 		size := len(head) + len(body)
@@ -52,7 +52,7 @@
 			})
 			c, err := ps.Endpoint(Endpoint{Name: "e", Addr: s.addr}).Acquire(t.Context())
 			must(t, err)
-			resp, err := c.Open(t.Context(), "POST", []byte(head), []byte(body), time.Now().Add(patience/4))
+			resp, err := c.Open(t.Context(), "POST", []byte(head), []byte(body), time.Now().Add(testTimeout/4))
 			var callErr *CallError
 			switch {
 			case err == nil:
--- a/internal/platform/upstream/pools_test.go
+++ b/internal/platform/upstream/pools_test.go
@@ -568,7 +568,7 @@
 
 // A thousand endpoints that are added and removed leave no goroutine, descriptor or entry behind.
 func TestRemovedEndpointsLeaveNothingBehind(t *testing.T) {
-	s := newTestServer(t, answers(ok200))
+	s := newTestServer(t, respondWith(ok200))
 	ps := newPools(t, nil)
 	before := runtime.NumGoroutine()
 	for n := range 1000 {
@@ -583,7 +583,7 @@
 	if o := ps.Stats(9); o.Open != 0 || len(o.Pools) != 0 || len(ps.inherited) != 0 {
 		t.Errorf("%+v remains", o)
 	}
-	for end := time.Now().Add(patience); s.open.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); s.open.Load() > 0 && time.Now().Before(end); {
 		runtime.Gosched()
 	}
 	if n := s.open.Load(); n != 0 {
@@ -673,7 +673,7 @@
 	}
 	_, err = nc.Write([]byte("x"))
 	must(t, err)
-	for end := time.Now().Add(patience); c.quiet() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); c.quiet() && time.Now().Before(end); {
 		runtime.Gosched()
 	}
 	if c.quiet() {
