--- a/internal/proxy/forward/answer.go
+++ b/internal/proxy/forward/answer.go
@@ -11,18 +11,18 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// maxRetryAfter is the longest time in a Retry-After header that is believed.
+// maxRetryAfter is the longest accepted Retry-After; longer ones are ignored.
 const maxRetryAfter = 60 * time.Second
 
-// answersThisRequest reports whether the answer carries the id of this request, and no other.
+// answersThisRequest reports whether the answer carries the id of this request and no other id.
 func (x *exchange) answersThisRequest() bool {
 	ids := x.response.Header[headerID]
 	return len(ids) == 1 && ids[0] == x.request.ID
 }
 
-// spliced reports whether the head of the answer has another status line inside: the endpoint broke
-// off the head of one answer and sent another one behind it. The status, and any header, may be of
-// either.
+// spliced reports whether the head of the answer contains another status line: the endpoint
+// truncated the head of one answer and sent another answer after it. The status and each header may
+// then belong to either.
 func (x *exchange) spliced() bool {
 	if hasStatusLine(x.response.Status) {
 		return true
@@ -35,7 +35,7 @@
 	return false
 }
 
-// hasStatusLine reports whether a text contains "HTTP/1.x NNN".
+// hasStatusLine reports whether s contains "HTTP/1.x NNN".
 func hasStatusLine(s string) bool {
 	const version, digits = "HTTP/1.", 3
 	for {
@@ -52,13 +52,13 @@
 
 func isNoDigit(r rune) bool { return r < '0' || r > '9' }
 
-// skippable reports whether an answer to another request can be skipped: it must have an id, and an
-// end that does not depend on the method of the request that it belongs to.
+// skippable reports whether an answer to another request can be skipped: it must have an id, and a
+// body whose end does not depend on the method of that request.
 func (x *exchange) skippable() bool {
 	return x.method != http.MethodHead && x.response.Header.Get(headerID) != "" && x.delimited()
 }
 
-// classify returns the event that the head of an answer is, and its outcome for the endpoint.
+// classify returns the event for the head of an answer, and the outcome for the endpoint.
 // docs/calls.md has the table.
 func (x *exchange) classify() (attempt.Event, dispatch.Outcome) {
 	h, status := x.response.Header, x.response.StatusCode
@@ -84,8 +84,8 @@
 	return attempt.Answered, dispatch.Served
 }
 
-// promisesNotRun reports whether a status promises that a request has not run, if the endpoint says
-// so in X-Dunetide-Not-Run too. Beside any other status that header is no proof.
+// promisesNotRun reports whether a status, together with X-Dunetide-Not-Run, proves that the request
+// has not run. With any other status that header proves nothing.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout:
@@ -94,7 +94,7 @@
 	return false
 }
 
-// unencoded reports whether a content coding is none.
+// unencoded reports whether a Content-Encoding means that the content is not encoded.
 func unencoded(encoding string) bool {
 	return encoding == "" || strings.EqualFold(encoding, "identity")
 }
@@ -105,14 +105,14 @@
 	return strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 }
 
-// delimited reports whether the end of the body can be told from a broken connection.
+// delimited reports whether the complete body can be told from one cut by a broken connection.
 func (x *exchange) delimited() bool {
 	return x.response.ContentLength >= 0 ||
 		slices.Contains(x.response.TransferEncoding, "chunked") ||
 		x.method == http.MethodHead
 }
 
-// reportedLoad returns the load that an answer reports as "running,waiting,slots".
+// reportedLoad parses the load that an answer reports as "running,waiting,slots".
 func reportedLoad(h http.Header) dispatch.Load {
 	line := h.Get(headerLoad)
 	if line == "" {
@@ -128,7 +128,7 @@
 	}
 }
 
-// retryAfterHeader returns the time of a Retry-After header; 0 if there is none that can be believed.
+// retryAfterHeader returns the time of a Retry-After header; 0 if it is missing or invalid.
 func retryAfterHeader(h http.Header) time.Duration {
 	s, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || s < 0 || s > maxRetryAfter.Seconds() {
--- a/internal/proxy/forward/certified.go
+++ b/internal/proxy/forward/certified.go
@@ -11,27 +11,27 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// Recorder keeps the record of regulated runs.
+// Recorder keeps the audit record of regulated runs.
 type Recorder interface {
 	// Begin records that a run is about to be sent under certificates, and returns its number.
-	// Without space for its end it returns false, and the run may not be sent.
+	// It returns false if there is no space for the record of its end; the run must not be sent then.
 	Begin(r audit.Run, certificates []byte) (number uint64, ok bool)
-	// End records how a run ended.
+	// End records the outcome of a run.
 	End(number uint64, o audit.Outcome)
 }
 
-// recordFullReason is why regulated work is refused while runs can't be recorded.
+// recordFullReason is the reason stated when regulated work is refused because runs can't be recorded.
 const recordFullReason = "the record of regulated runs is full, as too few stores take it"
 
-// countedWait is how long a batch item waits before that is counted.
-const countedWait = 100 * time.Millisecond
+// minCountedWait is the shortest wait of a batch item for a certified endpoint that is counted.
+const minCountedWait = 100 * time.Millisecond
 
 var (
-	errNotCertified = errors.New("the endpoint is no longer certified")
+	errNotCertified = errors.New("endpoint is no longer certified")
 	errRecordFull   = errors.New(recordFullReason)
 )
 
-// requireCertificate sets the regime that the route demands now.
+// requireCertificate sets the regime that the route requires now, and the check of endpoints.
 func (x *exchange) requireCertificate() {
 	gate, route := x.proxy.options.Certificates, x.request.Route.Name
 	x.request.Regime, x.request.Certified = gate.Regime(route), nil
@@ -43,9 +43,9 @@
 	}
 }
 
-// recheckCertificate is called right before a request is written to an endpoint: the certificate by
-// which it was chosen may have been withdrawn since. It begins the record of a regulated run. If
-// the request must not be sent, the sending is over: it returns false and the event.
+// recheckCertificate is called right before a request is written to an endpoint: the certificate with
+// which the endpoint was chosen may have been withdrawn since. It begins the record of a regulated
+// run. If the request must not be sent, it finishes the send and returns the event and false.
 func (x *exchange) recheckCertificate(endpoint string) (attempt.Event, bool) {
 	gate, route := x.proxy.options.Certificates, x.request.Route
 	regime, by, ok := gate.Allows(route.Name, endpoint)
@@ -72,7 +72,7 @@
 	return 0, true
 }
 
-// beginRecord begins the record of a regulated run, and reports whether there is space for it.
+// beginRecord begins the record of a regulated run and reports whether there is space for it.
 func (x *exchange) beginRecord(regime, endpoint string, by *certification.Set) (ok bool) {
 	recorder := x.proxy.options.Recorder
 	if recorder == nil {
@@ -93,7 +93,7 @@
 	return ok
 }
 
-// endRecord ends the record of a regulated run.
+// endRecord completes the record of a regulated run.
 func (x *exchange) endRecord(o dispatch.Outcome) {
 	outcome := recordOutcome(o)
 	if x.notWritten {
@@ -103,7 +103,7 @@
 	x.recordNumber, x.notWritten = 0, false
 }
 
-// recordOutcome returns the outcome of a run as it is recorded.
+// recordOutcome converts the outcome of a run to the one that is recorded.
 func recordOutcome(o dispatch.Outcome) audit.Outcome {
 	switch o {
 	case dispatch.Served:
@@ -140,7 +140,7 @@
 
 // countWait counts a batch item that waited for a certified endpoint.
 func (x *exchange) countWait(since time.Time, granted bool) {
-	if x.now().Sub(since) < countedWait {
+	if x.now().Sub(since) < minCountedWait {
 		return
 	}
 	x.proxy.options.Certificates.Count(x.request.Regime, func(c *certification.Counts) {
--- a/internal/proxy/forward/connections.go
+++ b/internal/proxy/forward/connections.go
@@ -15,15 +15,15 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// connectionTimeout is how long a request waits for a connection where there may be no more of
-	// them: another endpoint may have one to spare.
+	// connectionTimeout is how long a request waits for a connection if the limit is reached: another
+	// endpoint may have a free one.
 	connectionTimeout = 100 * time.Millisecond
 	// deadLinkTimeout is how long bytes may stay unacknowledged before a connection counts as dead
 	// (TCP_USER_TIMEOUT).
 	deadLinkTimeout = 2 * time.Second
-	// idleLimit is the longest that a connection to an endpoint is idle.
+	// idleLimit is how long a connection to an endpoint may be idle.
 	idleLimit = 20 * time.Second
-	// assumedSenders is how many senders are assumed to share an endpoint, where a pool tries to grow.
+	// assumedSenders is how many senders are assumed to share an endpoint when a pool tries to grow.
 	assumedSenders = 8
 )
 
@@ -39,7 +39,7 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Without it a network partition is found later, which is no reason not to connect.
+				// A failure is ignored: without the option a network partition is only detected later.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadLinkTimeout.Milliseconds()))
 			})
 		},
@@ -47,14 +47,14 @@
 	return d.DialContext(ctx, "tcp4", addr)
 }
 
-// endpointPool is the connections to one incarnation of an endpoint.
+// endpointPool has the connections to one incarnation of an endpoint.
 type endpointPool struct {
 	*upstream.Pool
 	addr    string
-	maxOpen int // connections of this proxy; 0: not bounded
+	maxOpen int // limit of this proxy's connections; 0: none
 }
 
-// poolFor returns the connections to an incarnation.
+// poolFor returns the connection pool of an endpoint's incarnation.
 func (p *Proxy) poolFor(t dispatch.Target) *upstream.Pool {
 	maxOpen := p.maxConnections(t.Service)
 	p.mu.Lock()
@@ -72,7 +72,7 @@
 }
 
 // maxConnections returns this proxy's share of the connections that an endpoint of a service
-// accepts; 0: not bounded.
+// accepts; 0: no limit.
 func (p *Proxy) maxConnections(service string) int {
 	s := p.options.Snapshots.Get()
 	if s == nil || s.Config == nil {
@@ -82,12 +82,12 @@
 	if configured == nil || configured.MaxConnections <= 0 {
 		return 0
 	}
-	// Some are left free, as not all senders see the same number of senders.
+	// A tenth is left unused, as not all proxies know the same number of proxies.
 	return max(1, configured.MaxConnections*9/10/max(1, s.Proxies))
 }
 
 // Tidy closes connections that have been idle for too long and drops endpoints that are no longer
-// listed. It is to be called every second or two.
+// listed. It should be called every second or two.
 func (p *Proxy) Tidy() {
 	if s := p.options.Snapshots.Get(); s != nil && s.EndpointsComplete {
 		for _, e := range p.removeUnlisted(s) {
--- a/internal/proxy/forward/doc.go
+++ b/internal/proxy/forward/doc.go
@@ -1,12 +1,12 @@
 // Package forward is the reverse proxy: it takes requests from clients and forwards them to
-// endpoints, and runs the items of batch jobs in the same way. It decides what may be answered at
-// each moment of a request, so that nothing runs twice, nothing that may have run is refused, and
-// no answer looks complete that is not.
+// endpoints, and runs the items of batch jobs in the same way. At each
+// step it decides which answers are still allowed, so that no request that may run once runs twice,
+// no request that may have run is refused, and no incomplete answer looks complete.
 //
-// The way of a request, by file:
+// How a request is processed, by file:
 //
 //   - listener.go accepts the connection; intake.go reads the request and finds its route;
-//   - prepare.go holds it until a process that has just started knows a configuration;
+//   - prepare.go holds it until a process that has just started has a configuration;
 //   - place.go describes it for package dispatch and acquires an endpoint;
 //   - send.go sends it over a connection to the endpoint (connections.go), with the head that
 //     head.go builds;
@@ -14,14 +14,14 @@
 //     next;
 //   - respond.go and stream.go forward the answer to the client; refuse.go answers with a status of
 //     the proxy's own;
-//   - finish.go ends the sending.
+//   - finish.go ends the send.
 //
-// item.go runs batch items, certified.go keeps to certificates and records regulated runs,
-// metrics.go has counters and log lines.
+// item.go runs batch items, certified.go enforces certificates and records regulated runs,
+// metrics.go has the counters and log lines.
 //
-// Invariants, which invariants.go checks while serving: a request that may run once is sent nowhere
-// after it may have run; 503 is answered only to what has not run; an answer carries the id of its
-// own request.
+// invariants.go checks these invariants while serving: a request that may run only once is not sent
+// again after it may have run; 503 is answered only to a request that has not run; an answer carries
+// the id of its own request.
 //
 // docs/calls.md gives the reasons.
 package forward
--- a/internal/proxy/forward/events.go
+++ b/internal/proxy/forward/events.go
@@ -7,38 +7,38 @@
 )
 
 var (
-	errOutOfOrder   = errors.New("an event is not the next one")
-	errEventTooLong = errors.New("an event is too long")
+	errOutOfOrder   = errors.New("event id is not greater than the previous one")
+	errEventTooLong = errors.New("event too long")
 )
 
-// eventStream parses a stream of server-sent events (WHATWG HTML, 9.2) as far as it must be known
-// where complete events end and what the last of them were called. Bytes are read into its buffer,
-// scanned, forwarded and discarded.
+// eventStream parses a stream of server-sent events (WHATWG HTML, 9.2) only as far as needed to find
+// the ends of complete events and their ids. Bytes are read into its buffer, scanned, forwarded and
+// discarded.
 type eventStream struct {
-	buffer     []byte // bytes that were read and not discarded
-	lineStart  int    // start of the line that is scanned next
-	eventStart int    // start of the event that this line belongs to
-	wholeEnd   int    // end of the last complete event
+	buffer      []byte // bytes read and not yet discarded
+	lineStart   int    // start of the line that is scanned next
+	eventStart  int    // start of the event that this line belongs to
+	completeEnd int    // end of the last complete event
 
-	id      string // of the event that is scanned
+	id      string // of the current event
 	hasID   bool   // it has an id
 	hasData bool   // it has data
 	onEvent func(id string, event []byte) error
 	lastID  string // of the last complete event that had one
-	// lastUnnamed is true if an event with data and without an id came since then: nobody can say
-	// where to resume.
+	// lastUnnamed is true if an event with data but without an id followed it: the stream can't be
+	// resumed from there.
 	lastUnnamed bool
 	minID       int64 // ids must be greater; -1: any
 	err         error
 }
 
-// reset forgets all but the buffer. Events must have ids greater than minID, where that is not
-// negative.
+// reset clears everything but the buffer's memory. If minID is not negative, the ids of events must
+// be greater than it.
 func (s *eventStream) reset(minID int64) {
 	*s = eventStream{buffer: s.buffer[:0], minID: minID}
 }
 
-// scan scans what was read since the last call. It returns how many bytes of the buffer belong to
+// scan scans the bytes read since the last call and returns how many bytes of the buffer belong to
 // complete events.
 func (s *eventStream) scan() (int, error) {
 	for s.err == nil {
@@ -63,10 +63,10 @@
 			s.hasData = true
 		}
 	}
-	return s.wholeEnd, s.err
+	return s.completeEnd, s.err
 }
 
-// endEvent ends the event that is scanned, and checks that its id is the next one.
+// endEvent ends the current event and checks that its id is greater than the previous one.
 func (s *eventStream) endEvent() {
 	switch {
 	case s.hasID:
@@ -84,15 +84,15 @@
 		s.err = s.onEvent(s.id, s.buffer[s.eventStart:s.lineStart])
 	}
 	s.id, s.hasID, s.hasData = "", false, false
-	s.eventStart, s.wholeEnd = s.lineStart, s.lineStart
+	s.eventStart, s.completeEnd = s.lineStart, s.lineStart
 }
 
-// discardWhole discards the complete events.
-func (s *eventStream) discardWhole() {
-	n := copy(s.buffer, s.buffer[s.wholeEnd:])
+// discardComplete discards the complete events from the buffer.
+func (s *eventStream) discardComplete() {
+	n := copy(s.buffer, s.buffer[s.completeEnd:])
 	s.buffer = s.buffer[:n]
-	s.lineStart -= s.wholeEnd
-	s.eventStart, s.wholeEnd = 0, 0
+	s.lineStart -= s.completeEnd
+	s.eventStart, s.completeEnd = 0, 0
 }
 
 // eventData joins the data lines of an event.
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -12,45 +12,44 @@
 )
 
 const (
-	// minTimeLeft is the time that must be left for another sending.
+	// minTimeLeft is the minimum time left for another send.
 	minTimeLeft = 5 * time.Millisecond
-	// answerMargin is how long before the client's deadline the client is answered that its time is
-	// up, and endpointMargin how much sooner an endpoint is told to stop.
+	// answerMargin is how long before the client's deadline a timeout is answered, and endpointMargin
+	// how much earlier than that the deadline passed to the endpoint is.
 	answerMargin   = 10 * time.Millisecond
 	endpointMargin = 10 * time.Millisecond
-	// bufferSize is the size of a new buffer, and maxPooledBuffer that of the largest one that is
-	// kept for reuse.
+	// bufferSize is the size of a new buffer, and maxPooledBuffer the largest size kept for reuse.
 	bufferSize      = 4 << 10
 	maxPooledBuffer = 64 << 10
 )
 
-// exchange is one request or item with all its sendings to endpoints. It belongs to the goroutine
-// that serves the request.
+// exchange is one request or item with all its sends to endpoints. Only the goroutine that serves the
+// request uses it.
 type exchange struct {
 	proxy    *Proxy
-	ctx      context.Context // ends when nobody waits any more
+	ctx      context.Context // ends when the client disconnects or the item's job cancels it
 	request  dispatch.Request
 	method   string
-	head     []byte // of the request; what each sending adds begins at sharedHeadLength
+	head     []byte // of the request; the fields that each send adds begin at sharedHeadLength
 	body     []byte
 	deadline time.Time // of the answer to the client; zero: none
 
 	sharedHeadLength int
-	lastEventID      string // of the event that was forwarded last, or that the client named
+	lastEventID      string // of the last event forwarded, or as stated by the client
 
 	state         attempt.State
 	headSent      bool // the head of an answer was forwarded to the client
-	mayHaveRun    bool // an endpoint had all of it and has not said that it did not run it
-	attempts      int  // endpoints that had it
-	rejections    int  // endpoints that refused it, or could not be reached
+	mayHaveRun    bool // an endpoint received all of it and did not state that it has not run it
+	attempts      int  // sends that may have run and failed
+	rejections    int  // sends that an endpoint rejected, or that did not reach one
 	retryAfter    time.Duration
-	err           error  // why the last sending failed
-	refusalReason string // why it was refused, where the client is told
+	err           error  // why the last send failed
+	refusalReason string // reason of a refusal, as stated to the client
 
-	// Of the sending in flight.
+	// The send in flight.
 	grant        dispatch.Grant
-	recordNumber uint64 // of a regulated run: its number in the record; 0: none
-	notWritten   bool   // nothing of it was written
+	recordNumber uint64 // number of a regulated run in the audit record; 0: none
+	notWritten   bool   // the request was not written completely
 	connection   *upstream.Conn
 	response     *http.Response
 	load         dispatch.Load
@@ -59,7 +58,7 @@
 
 func (x *exchange) now() time.Time { return x.proxy.options.Now() }
 
-// timeLeft returns the time until the deadline; an hour where there is none.
+// timeLeft returns the time until the deadline, or an hour if there is none.
 func (x *exchange) timeLeft() time.Duration {
 	if x.deadline.IsZero() {
 		return time.Hour
@@ -67,7 +66,7 @@
 	return x.deadline.Sub(x.now())
 }
 
-// buffers are reused by exchanges.
+// buffers is a pool of buffers for exchanges.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, bufferSize); return &b }}
 
 func getBuffer() *[]byte { return buffers.Get().(*[]byte) }
@@ -88,8 +87,8 @@
 	return head, stream
 }
 
-// releaseBuffers returns the buffers for reuse. Before, it ends a sending that is still in flight,
-// which happens where the handler panics.
+// releaseBuffers returns the buffers for reuse. It first finishes a send that is still in flight, which
+// happens if the handler panics.
 func (x *exchange) releaseBuffers(head, stream *[]byte) {
 	x.finish(dispatch.Canceled, upstream.Canceled)
 	*head, *stream = x.head, x.stream.buffer
--- a/internal/proxy/forward/finish.go
+++ b/internal/proxy/forward/finish.go
@@ -11,11 +11,11 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// maxDrained is how much of a useless answer is read so that its connection can be used again.
+// maxDrained limits how much of a discarded answer is read to make its connection reusable.
 const maxDrained = 4 << 10
 
-// finish ends a sending: it returns the connection, releases the endpoint and ends the record of a
-// regulated run. Without a sending in flight it has no effect.
+// finish ends the send in flight: it releases the connection and the endpoint and completes the audit
+// record of a regulated run. If no send is in flight it does nothing.
 func (x *exchange) finish(o dispatch.Outcome, end upstream.Outcome) {
 	if x.connection != nil {
 		x.connection.Release(end)
@@ -30,7 +30,7 @@
 	}
 }
 
-// finishFailed ends a sending that failed with an error, and returns the event that this is.
+// finishFailed ends a send that failed with an error and returns the event.
 func (x *exchange) finishFailed(err error) attempt.Event {
 	x.err = err
 	var call *upstream.CallError
@@ -45,7 +45,7 @@
 			x.state = max(x.state, attempt.Sent)
 		}
 		return attempt.DeadlineExceeded
-	case !sent && call.Stale: // the endpoint has closed a connection that was idle, which is no failure of it
+	case !sent && call.Stale: // the endpoint closed an idle connection, which is not a failure
 		x.notWritten = true
 		x.finish(dispatch.Canceled, upstream.Broken)
 		return attempt.NotWritten
@@ -59,22 +59,23 @@
 	}
 }
 
-// finishCut ends a sending whose body broke off, and returns the event that this is.
-func (x *exchange) finishCut(err error) attempt.Event {
+// finishTruncated ends a send whose answer's body was truncated and returns the event.
+func (x *exchange) finishTruncated(err error) attempt.Event {
 	if e := x.finishFailed(err); e != attempt.Broken && e != attempt.NotWritten {
 		return e
 	}
 	return attempt.BodyTruncated
 }
 
-// drainAndFinish ends a sending whose answer is of no use but for its connection.
+// drainAndFinish ends a send whose answer is discarded. It reads the rest of the answer so that the
+// connection can be reused.
 func (x *exchange) drainAndFinish(o dispatch.Outcome) {
 	end := upstream.Answered
 	if o == dispatch.Broken {
 		end = upstream.Broken
 	} else if x.drainBody(maxDrained) {
 		x.connection.MarkComplete(x.response)
-		if x.request.Bulk { // it may be sent here again under the same id
+		if x.request.Bulk { // the item may be sent here again with the same id
 			x.connection.Remember(x.request.ID)
 		}
 	}
@@ -84,8 +85,7 @@
 	x.finish(o, end)
 }
 
-// drainBody reads the rest of the answer's body, less than maxBytes, and reports whether it came to
-// its end.
+// drainBody reads the rest of the answer's body and reports whether it ended within less than maxBytes.
 func (x *exchange) drainBody(maxBytes int64) bool {
 	n, err := io.CopyN(io.Discard, x.response.Body, maxBytes)
 	return n < maxBytes && errors.Is(err, io.EOF)
--- a/internal/proxy/forward/head.go
+++ b/internal/proxy/forward/head.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Names of headers in their canonical form, as they are on the wire.
+// Names of headers in canonical form, as they are written on the wire.
 const (
 	headerID        = "X-Dunetide-Request-Id"
 	headerTimeLeft  = "X-Dunetide-Time-Left-Ms"
@@ -22,8 +22,7 @@
 	headerReason    = "X-Dunetide-Reason"
 )
 
-// buildHead begins the head of the request: what all sendings have in common. Fields that concern
-// the client's connection are dropped.
+// buildHead builds the part of the request's head that all sends share. Hop-by-hop fields are dropped.
 func (x *exchange) buildHead(target, host string, h http.Header, length int) {
 	b := append(x.head[:0], x.method...)
 	b = append(b, ' ')
@@ -47,7 +46,7 @@
 	x.head, x.sharedHeadLength = b, len(b)
 }
 
-// completeHead adds to the head what this sending alone has.
+// completeHead adds the fields of the current send to the head.
 func (x *exchange) completeHead(target string) {
 	h := x.head[:x.sharedHeadLength]
 	h = appendField(h, headerTarget, target)
@@ -72,7 +71,7 @@
 	return append(b, "\r\n"...)
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1), and those that the
+// hopByHop has the headers that apply to one connection only (RFC 9110, 7.6.1), and those that the
 // proxy writes itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
@@ -81,8 +80,8 @@
 	headerTarget: true, headerTimeLeft: true, headerLastEvent: true,
 }
 
-// connectionHeaders returns whether a header is named by the Connection header, and so concerns one
-// connection only.
+// connectionHeaders returns a function that reports whether the Connection header lists a header,
+// which makes it hop-by-hop.
 func connectionHeaders(h http.Header) func(name string) bool {
 	lines := h["Connection"]
 	if len(lines) == 0 {
--- a/internal/proxy/forward/intake.go
+++ b/internal/proxy/forward/intake.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// unpreparedRetryAfter is after what time a client may retry that a process refused which has
-	// just started.
+	// unpreparedRetryAfter is the Retry-After of a refusal by a process that has just started.
 	unpreparedRetryAfter = 3 * defaultRetryAfter
-	// writeMargin is how long after the deadline a client may still read its answer.
+	// writeMargin is how long after its deadline an answer may still be written to the client.
 	writeMargin = 150 * time.Millisecond
-	// headerMargin is by how many bytes the head of a request may grow while it is forwarded before
-	// it counts as too large: some fields are written otherwise than they came.
+	// headerMargin is how many bytes the forwarded head may exceed the limit by: some fields are
+	// written in a different form than they were received.
 	headerMargin = 256
 )
 
-// ServeHTTP answers a client.
+// ServeHTTP implements http.Handler.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := arrival{at: p.options.Now()}
 	closeIfAmbiguous(w, r)
@@ -57,14 +56,14 @@
 	p.forward(w, r, route, &config.Limits, target, arrived)
 }
 
-// arrival is when a request came.
+// arrival has the times at which a request arrived and was admitted.
 type arrival struct {
-	at       time.Time // its header was read
-	admitted time.Time // the process could serve it: later than at where the process had just started
+	at       time.Time // when its header was read
+	admitted time.Time // when the process could serve it: later than at if the process had just started
 }
 
 // requestTarget returns the target of a request as it is forwarded, with the query, and its path as
-// it was sent. A target that does not begin with a slash can't be forwarded.
+// the client sent it. A target that does not begin with a slash can't be forwarded.
 func requestTarget(r *http.Request) (target, path string) {
 	target, path = r.RequestURI, r.URL.EscapedPath()
 	if !strings.HasPrefix(target, "/") {
@@ -75,18 +74,18 @@
 	return target, path
 }
 
-// isBatchPath reports whether calls of a path concern batch jobs on any route.
+// isBatchPath reports whether a path belongs to the batch API, whatever the route.
 func isBatchPath(path string) bool {
 	return strings.HasPrefix(path, "/lots/") || strings.HasPrefix(path, "/items/")
 }
 
-// serveBatch answers a call of batch jobs.
+// serveBatch answers a call of the batch API.
 func (p *Proxy) serveBatch(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
 	p.closeWhenDraining(w.Header())
 	p.options.ServeBatch(w, r, route)
 }
 
-// forward answers a client's request of a route from an endpoint.
+// forward reads a client's request, sends it to an endpoint and forwards the answer.
 func (p *Proxy) forward(
 	w http.ResponseWriter, r *http.Request,
 	route *operatorconfig.Route, limits *operatorconfig.Limits, target string, arrived arrival,
@@ -99,7 +98,7 @@
 	timeout := clientTimeout(route, r.Header)
 	x := p.newExchange(r, route, arrived, timeout)
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(arrived.at.Add(timeout + writeMargin)) // without it a client that doesn't read is waited for
+	_ = rc.SetWriteDeadline(arrived.at.Add(timeout + writeMargin)) // otherwise a client that doesn't read would block the write
 	body := getBuffer()
 	defer putBuffer(body)
 	head, stream := x.acquireBuffers()
@@ -107,7 +106,7 @@
 	if r.ContentLength != 0 {
 		bodyLimits := clientbody.Limits{MaxBytes: limits.MaxBodyBytes, Deadline: x.deadline, Budget: p.options.BodyBudget}
 		if status := clientbody.Read(rc, r, bodyLimits, body); status != 0 {
-			w.Header().Set("Connection", "close") // what follows on it can't be told from the rest of the body
+			w.Header().Set("Connection", "close") // the rest of the body would be read as the next request
 			p.refuse(w, r, status, defaultRetryAfter, route)
 			return
 		}
@@ -122,11 +121,11 @@
 	p.answerFromEndpoints(x, w, r, rc)
 }
 
-// statusIfUnanswerable returns the status for a request whose answer could not be told from others,
-// or not from a part of itself; 0 for any other.
+// statusIfUnanswerable returns the status to refuse a request with if its answer could be confused
+// with another's, or a truncated answer with a complete one; 0 for any other request.
 func statusIfUnanswerable(r *http.Request) int {
 	switch {
-	case !r.ProtoAtLeast(1, 1): // a stream that is cut would look complete
+	case !r.ProtoAtLeast(1, 1): // a truncated stream would look complete
 		return http.StatusHTTPVersionNotSupported
 	case len(r.Header[headerID]) != 1 || r.Header[headerID][0] == "":
 		return http.StatusBadRequest
@@ -134,8 +133,8 @@
 	return 0
 }
 
-// clientTimeout returns how long a client waits for its answer: the route's time limit, or less if
-// the client says so.
+// clientTimeout returns how long a client waits for its answer: the route's timeout, or the time left
+// that the client states if that is less.
 func clientTimeout(route *operatorconfig.Route, header http.Header) time.Duration {
 	timeout := time.Duration(route.TimeoutMs) * time.Millisecond
 	ms, err := strconv.ParseInt(header.Get(headerTimeLeft), 10, 64)
--- a/internal/proxy/forward/invariants.go
+++ b/internal/proxy/forward/invariants.go
@@ -10,27 +10,27 @@
 )
 
 var (
-	// sentOnceInvariant: a request that may run once goes to no endpoint after one that may have run it.
+	// sentOnceInvariant: a request that may run only once is not sent again after an endpoint may have run it.
 	sentOnceInvariant = invariant.New("requests_that_run_once_are_sent_once")
-	// refusedNotRunInvariant: 503 is answered only to a request that no endpoint can have run.
+	// refusedNotRunInvariant: 503 is answered only if no endpoint can have run the request.
 	refusedNotRunInvariant = invariant.New("refused_requests_have_not_run")
-	// answersMatchInvariant: what a client gets from an endpoint carries the id of its own request.
+	// answersMatchInvariant: an endpoint's answer to a client carries the id of the client's request.
 	answersMatchInvariant = invariant.New("answers_belong_to_their_request")
 )
 
-// checkSend is called before a request is written to an endpoint. What may have run is recorded by
-// recordSent, independently of the states of package attempt, which decide.
+// checkSend is called before a request is written to an endpoint. recordSent tracks whether the request
+// may have run independently of package attempt, whose decisions are checked here.
 func (x *exchange) checkSend(target string) {
 	idempotent := x.request.Bulk || x.request.Route.Idempotent()
 	sentOnceInvariant.Check(idempotent || !x.mayHaveRun, func() string {
-		return fmt.Sprintf("request %s of route %s goes to %s after %v",
+		return fmt.Sprintf("request %s of route %s may have run and is sent to %s after %v",
 			x.request.ID, x.request.Route.Name, target, x.request.Avoid)
 	})
 }
 
-// recordSent records how a sending ended, by the error of its round trip or, without one, by the
-// event that its answer's head is. An endpoint that had all of the request may have run it, unless
-// it says that it has not.
+// recordSent records how a send ended: by the error of its round trip or, without one, by the event of
+// the answer's head. An endpoint that received the complete request may have run it, unless it states
+// that it has not.
 func (x *exchange) recordSent(err error, head attempt.Event) {
 	if err == nil {
 		x.mayHaveRun = x.mayHaveRun || head != attempt.Rejected
@@ -43,7 +43,7 @@
 // checkRefusal is called before 503 is answered.
 func (x *exchange) checkRefusal() {
 	refusedNotRunInvariant.Check(!x.mayHaveRun, func() string {
-		return fmt.Sprintf("request %s of route %s is refused after %v had it",
+		return fmt.Sprintf("request %s of route %s is refused after it was sent to %v and may have run",
 			x.request.ID, x.request.Route.Name, x.request.Avoid)
 	})
 }
@@ -51,6 +51,6 @@
 // checkAnswer is called before the head of an endpoint's answer is forwarded.
 func (x *exchange) checkAnswer() {
 	answersMatchInvariant.Check(x.answersThisRequest(), func() string {
-		return fmt.Sprintf("request %s gets an answer with the ids %v", x.request.ID, x.response.Header[headerID])
+		return fmt.Sprintf("answer to request %s carries the ids %v", x.request.ID, x.response.Header[headerID])
 	})
 }
--- a/internal/proxy/forward/item.go
+++ b/internal/proxy/forward/item.go
@@ -26,7 +26,7 @@
 	Route  *operatorconfig.Route
 	// MayStart is called right before the item is sent to an endpoint; nil: it always may.
 	MayStart func() bool
-	Due      time.Time // when its result should be there; zero: unknown
+	Due      time.Time // when its result is due; zero: unknown
 }
 
 // ItemState is how a run of an item ended.
@@ -35,21 +35,21 @@
 // States of an item.
 const (
 	ItemNotRun        ItemState = iota // no endpoint has run it
-	ItemDone                           // its complete output came
-	ItemBroken                         // it broke off; it may go on after the last event that came
+	ItemDone                           // its complete output was received
+	ItemBroken                         // its output was truncated; it may resume after the last event received
 	ItemFailed                         // the endpoint answered 500: a failed attempt
-	ItemUnprocessable                  // the endpoint answered 422: it can't be done
+	ItemUnprocessable                  // the endpoint answered 422: the item can't be processed
 )
 
 // Result is how a run of an item ended.
 type Result struct {
 	State ItemState
-	Err   error // why, where it is not done
+	Err   error // why it is not done
 }
 
 var (
-	errInvalidItem = errors.New("not an item that can be sent")
-	errMayNotStart = errors.New("its job may have ended")
+	errInvalidItem = errors.New("invalid batch item")
+	errMayNotStart = errors.New("item not started: its job may have ended")
 )
 
 // Check returns an error if an item can't be sent as a request.
@@ -61,11 +61,11 @@
 		return errInvalidItem
 	}
 	if !strings.HasPrefix(it.Path, "/") || strings.ContainsFunc(it.Path, isNotPrintable) {
-		return fmt.Errorf("%w: its path", errInvalidItem)
+		return fmt.Errorf("%w: malformed path", errInvalidItem)
 	}
 	for name, value := range it.Header {
 		if !httpguts.ValidHeaderFieldName(name) || !httpguts.ValidHeaderFieldValue(value) {
-			return fmt.Errorf("%w: header %q", errInvalidItem, name)
+			return fmt.Errorf("%w: malformed header %q", errInvalidItem, name)
 		}
 	}
 	return nil
@@ -73,9 +73,9 @@
 
 func isNotPrintable(c rune) bool { return c <= ' ' || c >= 0x7f }
 
-// RunItem runs an item at an endpoint, after the event lastEventID, if there is one. The function
-// event is called with each complete event as it comes; an answer that is no stream comes as one
-// event. The run ends with the context.
+// RunItem runs an item at an endpoint, resuming after the event lastEventID if that is not empty. The
+// function event is called with each complete event as it arrives; an answer that is no stream is
+// passed as one event. The run is canceled with the context.
 func (p *Proxy) RunItem(ctx context.Context, it *Item, lastEventID string, event func(id string, data []byte)) Result {
 	if err := it.Check(); err != nil {
 		return Result{State: ItemNotRun, Err: err}
@@ -104,8 +104,8 @@
 	return x.runItem(it, event)
 }
 
-// runItem sends an item until an endpoint has run it or none will. Only a sending that ran nowhere
-// is repeated here; what follows a run that broke off or failed is decided by its job.
+// runItem sends an item until an endpoint has run it or no endpoint accepts it. It retries only sends
+// that certainly did not run; the job decides what follows a truncated or failed run.
 func (x *exchange) runItem(it *Item, event func(id string, data []byte)) Result {
 	for {
 		e, granted := x.acquire()
@@ -136,7 +136,7 @@
 	}
 }
 
-// readItemAnswer reads the answer of an item, by its status.
+// readItemAnswer reads the answer to an item and returns the result, which depends on its status.
 func (x *exchange) readItemAnswer(event func(id string, data []byte)) Result {
 	status := x.response.StatusCode
 	switch {
@@ -148,7 +148,7 @@
 		return Result{State: ItemNotRun, Err: errInvalidItem}
 	case status >= 300:
 		x.drainAndFinish(dispatch.Failed)
-		return Result{State: ItemBroken, Err: fmt.Errorf("the endpoint answered %d", status)}
+		return Result{State: ItemBroken, Err: fmt.Errorf("endpoint answered with status %d", status)}
 	}
 	if isStream(x.response.Header) {
 		return x.readItemStream(event)
@@ -173,7 +173,7 @@
 	return Result{State: ItemDone}
 }
 
-// readItemBody reads an item's answer that is no stream.
+// readItemBody reads an item's answer that is not a stream.
 func (x *exchange) readItemBody(event func(id string, data []byte)) Result {
 	x.stream.reset(-1)
 	var body []byte
--- a/internal/proxy/forward/listener.go
+++ b/internal/proxy/forward/listener.go
@@ -10,39 +10,39 @@
 	"time"
 )
 
-// lengthHeaderName is the header that is counted on clients' connections, in lower case.
+// lengthHeaderName is the header counted on clients' connections, in lower case.
 const lengthHeaderName = "content-length"
 
 // clientConn counts the Content-Length headers that arrive on a client's connection. net/http drops
-// that header of a request with chunked transfer coding before any handler sees it, but such a
-// request may be an attempt to smuggle a second one behind it (RFC 9112, 6.1): its connection has
-// to be closed after the answer.
+// that header from a request with chunked transfer coding before any handler sees it, but such a
+// request may be an attempt at request smuggling (RFC 9112, 6.1): its connection has to be closed after
+// the answer.
 type clientConn struct {
 	net.Conn
-	lengthHeaders  atomic.Int64 // headers that were read
-	matchedBytes   int          // bytes of lengthHeaderName that the current line begins with; -1: it begins otherwise
-	handledLengths int64        // headers of the requests that were handled
+	lengthHeaders  atomic.Int64 // headers read
+	matchedBytes   int          // bytes of lengthHeaderName matched at the start of the current line; -1: no match
+	handledLengths int64        // headers of handled requests
 	idleTimeout    func() time.Duration
-	becameIdle     bool                      // the deadline of the wait for the next request has yet to be set
-	idleSince      atomic.Pointer[time.Time] // nil: it does not wait for the next request; read by the server's background reads too
+	becameIdle     bool                      // the deadline of the wait for the next request is not set yet
+	idleSince      atomic.Pointer[time.Time] // nil: not idle; also read by the server's background reads
 
-	// Of connectionStates.
+	// Used by connectionStates.
 	state   http.ConnState
-	counted bool // it is in the count of its state
+	counted bool // included in the count of its state
 	ended   bool
 }
 
 // Read implements net.Conn.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	for n == 0 && err != nil && c.idlesOn(err) {
+	for n == 0 && err != nil && c.extendsIdle(err) {
 		n, err = c.Conn.Read(b)
 	}
 	c.countLengthHeaders(b[:n])
 	return n, err
 }
 
-// countLengthHeaders counts the lines that begin with the header's name; those of bodies count too.
+// countLengthHeaders counts the lines that begin with the header's name, including lines of bodies.
 func (c *clientConn) countLengthHeaders(b []byte) {
 	for len(b) > 0 {
 		if c.matchedBytes < 0 {
@@ -67,9 +67,9 @@
 	}
 }
 
-// ambiguous records a request that is about to be handled. It reports whether the request is
-// chunked and may have had a Content-Length as well. Pipelined requests and bodies may be mistaken
-// for that, at the cost of a connection.
+// ambiguous records a request that is about to be handled. It reports whether the request is chunked
+// and may have had a Content-Length as well. Pipelined requests and bodies can cause false positives,
+// which only cost a connection.
 func (c *clientConn) ambiguous(r *http.Request) bool {
 	if len(r.Header["Content-Length"]) > 0 {
 		c.handledLengths++
@@ -77,7 +77,7 @@
 	return slices.Contains(r.TransferEncoding, "chunked") && c.lengthHeaders.Load() > c.handledLengths
 }
 
-// clientListener wraps the connections that it accepts.
+// clientListener wraps the connections that it accepts in a clientConn.
 type clientListener struct {
 	net.Listener
 	idleTimeout func() time.Duration
@@ -103,8 +103,7 @@
 // Serve accepts clients' connections until the server is shut down or closed.
 func (p *Proxy) Serve(l net.Listener) error { return p.server.Serve(clientListener{l, p.idleTimeout}) }
 
-// closeIfAmbiguous closes the connection after the answer if the length of the request could be
-// read in two ways.
+// closeIfAmbiguous has the connection closed after the answer if the request's length is ambiguous.
 func closeIfAmbiguous(w http.ResponseWriter, r *http.Request) {
 	if conn, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok && conn.ambiguous(r) {
 		w.Header().Set("Connection", "close")
--- a/internal/proxy/forward/metrics.go
+++ b/internal/proxy/forward/metrics.go
@@ -15,15 +15,15 @@
 )
 
 var (
-	// requestsByVerdict counts requests by how they ended.
+	// requestsByVerdict counts requests by their last verdict.
 	requestsByVerdict = newCounters("dunetide_proxy_requests_total", "verdict", int(attempt.Abort)+1, func(i int) string {
 		return attempt.Verdict(i).String()
 	})
-	// sendsByEvent counts sendings to endpoints by what came of them.
+	// sendsByEvent counts sends to endpoints by the event that followed.
 	sendsByEvent = newCounters("dunetide_proxy_sends_total", "event", int(attempt.BodyComplete)+1, func(i int) string {
 		return attempt.Event(i).String()
 	})
-	// closedConnections counts clients' connections by the state in which they ended.
+	// closedConnections counts closed client connections by their last state.
 	closedConnections = map[http.ConnState]*metrics.Counter{
 		http.StateNew:    telemetry.Counter("dunetide_proxy_client_connections_closed_total", "while", "new"),
 		http.StateActive: telemetry.Counter("dunetide_proxy_client_connections_closed_total", "while", "active"),
@@ -40,8 +40,8 @@
 	return all
 }
 
-// recordVerdict counts the end of a client's request. One that did not end with an endpoint's
-// complete answer is logged, with all endpoints that were tried.
+// recordVerdict counts the end of a client's request. A request that did not end with a complete answer
+// of an endpoint is logged, with all endpoints that were tried.
 func (x *exchange) recordVerdict(v attempt.Verdict, e attempt.Event) {
 	requestsByVerdict[v].Inc()
 	if v == attempt.Done || v == attempt.Forward {
@@ -69,8 +69,7 @@
 	})
 }
 
-// logOwnAnswer counts and logs a 4xx or 5xx of the proxy's own, behind which is neither an endpoint
-// nor a verdict.
+// logOwnAnswer counts and logs a 4xx or 5xx of the proxy's own for a request that was sent to no endpoint.
 func (p *Proxy) logOwnAnswer(r *http.Request, status int, route *operatorconfig.Route) {
 	telemetry.Counter("dunetide_proxy_own_answers_total", "status", http.StatusText(status)).Inc()
 	p.failures.Event("request not taken", func() []any {
@@ -89,7 +88,7 @@
 	})
 }
 
-// configVersion returns the version of the configuration in force; 0: there is none.
+// configVersion returns the version of the current configuration; 0 if there is none.
 func (p *Proxy) configVersion() uint64 {
 	if s := p.options.Snapshots.Get(); s != nil && s.Config != nil {
 		return s.Config.Version
@@ -97,9 +96,8 @@
 	return 0
 }
 
-// connectionStates counts clients' connections by their state, so that one that ends can be counted
-// by the state in which it was. Each connection keeps its own state, which its server changes one
-// call at a time.
+// connectionStates counts clients' connections by state, and closed ones by their last state. Each
+// connection stores its own state; the server makes the calls for one connection one at a time.
 type connectionStates struct {
 	open [http.StateClosed + 1]atomic.Int64
 }
@@ -128,7 +126,7 @@
 // count returns the number of connections in a state.
 func (c *connectionStates) count(state http.ConnState) int { return int(c.open[state].Load()) }
 
-// Observe registers the gauges of this proxy. There may be one in a process.
+// Observe registers the gauges of this proxy. At most one proxy of a process may be registered.
 func (p *Proxy) Observe() {
 	telemetry.GaugeFunc("dunetide_proxy_config_version", func() float64 { return float64(p.configVersion()) })
 	telemetry.GaugeFunc("dunetide_proxy_draining", func() float64 { return telemetry.Bool(p.draining.Load()) })
--- a/internal/proxy/forward/place.go
+++ b/internal/proxy/forward/place.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// describe sets what package dispatch has to know of a request, by the route and the header fields.
+// describe fills in the request for package dispatch from the route and the header fields.
 func (x *exchange) describe(route *operatorconfig.Route, get func(string) string) {
 	x.request.ID, x.request.Route = get(headerID), route
 	x.request.Model = get(headerModel)
@@ -44,7 +44,7 @@
 	return parts
 }
 
-// parseCount parses a number that is not negative; 0 if it is none.
+// parseCount parses a non-negative number; it returns 0 if s is none.
 func parseCount(s string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil || n < 0 {
@@ -53,7 +53,8 @@
 	return n
 }
 
-// chooseService chooses a service at random by the weights of a route, the same one for the same id.
+// chooseService chooses a service at random by the weights of a route, always the same one for the
+// same id.
 func (p *Proxy) chooseService(route *operatorconfig.Route, id string) string {
 	if len(route.Shares) == 1 {
 		return route.Shares[0].Service
@@ -80,7 +81,7 @@
 	return chosen
 }
 
-// acquire acquires an endpoint. It returns false and the event if none is granted.
+// acquire acquires an endpoint from admission. If none is granted, it returns the event and false.
 func (x *exchange) acquire() (attempt.Event, bool) {
 	if x.timeLeft() <= 0 {
 		return attempt.DeadlineExceeded, false
--- a/internal/proxy/forward/proxy.go
+++ b/internal/proxy/forward/proxy.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// DefaultMaxOpen bounds the connections to all endpoints together where nothing else does.
+	// DefaultMaxOpen is the default limit of connections to all endpoints together.
 	DefaultMaxOpen = 1024
 
 	defaultDrainWait     = 2200 * time.Millisecond
 	defaultIdleTimeout   = time.Minute
 	defaultHeaderTimeout = 10 * time.Second
 
-	// maxHeaderBytes bounds a client's header for net/http; what the configuration allows is
-	// checked with it.
+	// maxHeaderBytes is net/http's limit of a client's header; the configured limit is checked in
+	// addition.
 	maxHeaderBytes = 256 << 10
 )
 
@@ -43,37 +43,37 @@
 	// Match finds the route of a request by its Host header and its path as it was sent, without
 	// the query; nil: the configuration's own.
 	Match func(c *operatorconfig.Config, host, path string) *operatorconfig.Route
-	// ServeBatch answers calls of batch jobs: those of bulk routes, and of /lots/ and /items/ with
-	// no route; nil: there are none.
+	// ServeBatch answers calls of batch jobs: those of bulk routes, and those of /lots/ and /items/,
+	// for which route is nil; nil: there are no batch jobs.
 	ServeBatch func(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route)
-	// Certificates decides where regulated requests may go; nil: nothing is regulated.
+	// Certificates decides which endpoints may run regulated requests; nil: nothing is regulated.
 	Certificates *certification.Gate
 	// Recorder records regulated runs; nil: nothing is recorded.
 	Recorder Recorder
-	// Ready reports whether the process could serve; nil: it always could.
+	// Ready reports whether the process can serve; nil: it always can.
 	Ready func() bool
 	// Now returns the time; nil: time.Now.
 	Now func() time.Time
 	// Rand returns random numbers in [0, 1); nil: math/rand.
 	Rand func() float64
-	// Log may be nil: nothing is logged.
+	// Log receives log messages; nil: nothing is logged.
 	Log hclog.Logger
 	// Dial opens connections to endpoints; nil: TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// MaxOpen bounds the connections to all endpoints together; 0: DefaultMaxOpen.
+	// MaxOpen limits the connections to all endpoints together; 0: DefaultMaxOpen.
 	MaxOpen int
-	// DrainWait is how long new connections are still served after the process was told to stop; 0:
-	// 2.2 s.
+	// DrainWait is how long new connections are still accepted after Shutdown is called; 0: 2.2 s.
 	DrainWait time.Duration
-	// IdleTimeout is how long a client's connection may be idle; 0: 60 s. A longer idle_ms of the configuration counts.
+	// IdleTimeout is how long a client's connection may be idle; 0: 60 s. A longer idle_ms of the
+	// configuration takes precedence.
 	IdleTimeout time.Duration
-	// BodyBudget bounds the bytes of clients' bodies in memory; nil: nothing does.
+	// BodyBudget limits the bytes of clients' bodies in memory; nil: no limit.
 	BodyBudget *clientbody.Budget
-	// HeaderTimeout is how long a client may take for a header; 0: 10 s.
+	// HeaderTimeout is how long a client may take to send a header; 0: 10 s.
 	HeaderTimeout time.Duration
 }
 
-// withDefaults returns the options with defaults in place of zero fields that have one.
+// withDefaults returns the options with zero fields replaced by their defaults.
 func (o Options) withDefaults() Options {
 	if o.Match == nil {
 		o.Match = (*operatorconfig.Config).Match
@@ -111,7 +111,7 @@
 	connections      *upstream.Pools
 	server           *http.Server
 	draining         atomic.Bool
-	unprepared       atomic.Int32 // requests that wait for a configuration
+	unprepared       atomic.Int32 // requests waiting for a configuration
 	failures         *telemetry.EventLog
 	connectionStates connectionStates // of clients' connections
 
@@ -149,12 +149,11 @@
 	return p
 }
 
-// Server returns the server of clients' connections; it is the same one each time. Serve is the way
-// to start it.
+// Server returns the server of clients' connections, the same one on each call. It must be started
+// with Proxy.Serve.
 func (p *Proxy) Server() *http.Server { return p.server }
 
-// ServeReady answers whether clients should come here: 200, or 503 while the process is not ready
-// or drains.
+// ServeReady answers readiness checks: 200, or 503 while the process is not ready or is draining.
 func (p *Proxy) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusServiceUnavailable
 	if !p.draining.Load() && (p.options.Ready == nil || p.options.Ready()) {
@@ -166,13 +165,13 @@
 	w.WriteHeader(status)
 }
 
-// ErrGraceOver is the error of a Shutdown that broke off requests which were in flight at the end of
-// the grace.
-var ErrGraceOver = errors.New("requests were in flight at the end of the grace")
+// ErrGraceOver is returned by Shutdown if it aborted requests that were in flight at the end of the
+// grace period.
+var ErrGraceOver = errors.New("grace period expired with requests in flight")
 
-// Shutdown ends the serving of clients. First the process is no longer ready, while whatever still
-// comes is served; then no new requests are accepted, and those in flight may end within the grace.
-// It returns ErrGraceOver if it had to break off some of them.
+// Shutdown stops serving clients. It first reports the process as not ready, while new requests are
+// still served; then it accepts no more requests and waits for those in flight until the end of the
+// grace period. It returns ErrGraceOver if it had to abort some of them.
 func (p *Proxy) Shutdown(grace time.Duration) error {
 	began := p.options.Now()
 	p.draining.Store(true)
--- a/internal/proxy/forward/refuse.go
+++ b/internal/proxy/forward/refuse.go
@@ -8,10 +8,10 @@
 	"dunetide/internal/control/operatorconfig"
 )
 
-// defaultRetryAfter is after what time to retry where nothing better is known.
+// defaultRetryAfter is the Retry-After if no better estimate is known.
 const defaultRetryAfter = 100 * time.Millisecond
 
-// refuse answers a request that goes to no endpoint with a status; route is nil where none was found.
+// refuse answers a request that is sent to no endpoint with a status; route is nil if none matched.
 func (p *Proxy) refuse(
 	w http.ResponseWriter, r *http.Request,
 	status int, retryAfter time.Duration, route *operatorconfig.Route,
@@ -20,8 +20,8 @@
 	p.answerStatus(w, r, status, retryAfter)
 }
 
-// answerStatus answers a client with a status of the proxy's own, without a body. A 503 states when
-// to retry.
+// answerStatus answers a client with a status of the proxy's own, without a body. A 503 has a
+// Retry-After header.
 func (p *Proxy) answerStatus(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration) {
 	h := w.Header()
 	p.closeWhenDraining(h)
@@ -36,8 +36,7 @@
 	w.WriteHeader(status)
 }
 
-// retryAfterHint returns after what time a client that is refused should retry: a third of its time
-// at most.
+// retryAfterHint returns the Retry-After of a refusal: at most a third of the client's time left.
 func (x *exchange) retryAfterHint() time.Duration {
 	d := x.retryAfter
 	if d <= 0 {
@@ -46,8 +45,8 @@
 	return max(time.Millisecond, min(d, x.timeLeft()/3))
 }
 
-// closeWhenDraining asks the client for another connection, to another machine, once this process
-// is to be stopped.
+// closeWhenDraining has the connection closed after the answer while the process drains, so that the
+// client connects to another machine.
 func (p *Proxy) closeWhenDraining(h http.Header) {
 	if p.draining.Load() {
 		h["Connection"] = []string{"close"}
--- a/internal/proxy/forward/respond.go
+++ b/internal/proxy/forward/respond.go
@@ -11,10 +11,10 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// maxBuffered is how long a body may be that is read to its end before its head is forwarded.
+// maxBuffered is the longest body that is read completely before the head is forwarded.
 const maxBuffered = 256 << 10
 
-// forwardAnswer forwards an answer to the client, and returns the event by which that ended.
+// forwardAnswer forwards an answer to the client and returns the event that ended it.
 func (x *exchange) forwardAnswer(w http.ResponseWriter, rc *http.ResponseController) attempt.Event {
 	if x.response.StatusCode == http.StatusOK && isStream(x.response.Header) && x.method != http.MethodHead {
 		return x.forwardEvents(w, rc)
@@ -32,8 +32,7 @@
 	return x.forwardBody(w, outcome)
 }
 
-// writeHead forwards an answer's head, with the length of its body if that is known: if it is not
-// negative.
+// writeHead forwards an answer's head, with a Content-Length unless length is negative.
 func (x *exchange) writeHead(w http.ResponseWriter, length int64) {
 	x.checkAnswer()
 	h := w.Header()
@@ -57,8 +56,8 @@
 	x.headSent = true
 }
 
-// forwardBody forwards an answer that is no stream. Up to maxBuffered bytes are read before
-// anything is forwarded, so that an answer that breaks off there may still be replaced.
+// forwardBody forwards an answer that is not a stream. It reads up to maxBuffered bytes before it
+// forwards anything, so that an answer truncated within them can still be replaced.
 func (x *exchange) forwardBody(w http.ResponseWriter, outcome dispatch.Outcome) attempt.Event {
 	length := x.response.ContentLength
 	b := x.stream.buffer[:0]
@@ -73,7 +72,7 @@
 			return x.forwardEnd(w, b, outcome)
 		}
 		if err != nil {
-			return x.finishCut(err)
+			return x.finishTruncated(err)
 		}
 		if len(b) < cap(b) {
 			continue
@@ -93,7 +92,7 @@
 	}
 }
 
-// forwardEnd forwards the end of a body, with the head if that was not forwarded yet.
+// forwardEnd forwards the end of a body, and the head if that was not forwarded yet.
 func (x *exchange) forwardEnd(w http.ResponseWriter, end []byte, outcome dispatch.Outcome) attempt.Event {
 	x.connection.MarkComplete(x.response)
 	if !x.headSent {
@@ -103,7 +102,7 @@
 		}
 		x.writeHead(w, length)
 	}
-	x.finish(outcome, upstream.Answered) // before the client has it all, which may send its next request at once
+	x.finish(outcome, upstream.Answered) // before the last write: the client may send its next request right after it
 	if len(end) > 0 {
 		if _, err := w.Write(end); err != nil {
 			return attempt.ClientCanceled
@@ -112,7 +111,7 @@
 	return attempt.BodyComplete
 }
 
-// bodyAllowed reports whether answers with a status may have a body.
+// bodyAllowed reports whether an answer with this status may have a body.
 func bodyAllowed(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/proxy/forward/retry.go
+++ b/internal/proxy/forward/retry.go
@@ -7,11 +7,11 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// extraRejections is how many endpoints may refuse a request, beyond its attempts.
+// extraRejections is how many endpoints may reject a request in addition to its attempts.
 const extraRejections = 3
 
-// answerFromEndpoints sends a request to one endpoint after the other until there is an answer for
-// the client. Package attempt decides after each event what is next.
+// answerFromEndpoints sends a request to one endpoint after another until there is an answer for the
+// client. After each event package attempt decides what to do next.
 func (p *Proxy) answerFromEndpoints(x *exchange, w http.ResponseWriter, r *http.Request, rc *http.ResponseController) {
 	for {
 		event, granted := x.acquire()
@@ -43,7 +43,8 @@
 	}
 }
 
-// answerVerdict answers a client by a verdict without an endpoint's answer, or cuts its connection.
+// answerVerdict answers a client with the proxy's own status according to a verdict, or aborts its
+// connection.
 func (p *Proxy) answerVerdict(
 	x *exchange, w http.ResponseWriter, r *http.Request,
 	verdict attempt.Verdict, event attempt.Event,
@@ -64,11 +65,11 @@
 			x.drainAndFinish(dispatch.Failed)
 		}
 		panic(http.ErrAbortHandler)
-	default: // Done: nobody waits for an answer
+	default: // Done: the client is gone
 	}
 }
 
-// conditions returns what the next verdict depends on.
+// conditions returns the conditions that the next verdict depends on.
 func (x *exchange) conditions() attempt.Conditions {
 	r := x.request.Route
 	timeLeft := x.timeLeft() > minTimeLeft
@@ -80,7 +81,7 @@
 	}
 }
 
-// nextVerdict records an event and returns what is next.
+// nextVerdict records an event and returns the next verdict.
 func (x *exchange) nextVerdict(e attempt.Event) attempt.Verdict {
 	switch e {
 	case attempt.Rejected, attempt.NotWritten:
--- a/internal/proxy/forward/send.go
+++ b/internal/proxy/forward/send.go
@@ -8,15 +8,15 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// maxSurplus is how many answers that belong to earlier requests may come before the one that counts.
-const maxSurplus = 3
+// maxSkippedAnswers is how many answers to earlier requests are skipped before the answer to this one.
+const maxSkippedAnswers = 3
 
-// errForeign is the error of an answer that is not to this request.
-var errForeign = errors.New("the answer is not the endpoint's to this request")
+// errInvalidAnswer is the error of an answer that is invalid or belongs to another request.
+var errInvalidAnswer = errors.New("endpoint's answer is invalid or belongs to another request")
 
 // sendRequest sends the request to the endpoint of the grant and reads the head of its answer.
-// Unless it was answered, the sending is over then; a 500 that may have to be forwarded is left
-// open.
+// On return the send is finished unless the event is Answered or Failed: then the answer's body is
+// still to be read, as a 500 may have to be forwarded too.
 func (x *exchange) sendRequest() attempt.Event {
 	target := x.grant.Endpoint()
 	x.request.Avoid = append(x.request.Avoid, target.ID)
@@ -45,14 +45,14 @@
 		x.retryAfter = retryAfterHeader(x.response.Header)
 		x.drainAndFinish(outcome)
 	default:
-		x.err = errForeign
+		x.err = errInvalidAnswer
 		x.drainAndFinish(outcome)
 	}
 	return e
 }
 
-// connect acquires a connection to the endpoint. If there is none, or no time is left, the sending
-// is over: it returns false and the event.
+// connect acquires a connection to the endpoint. If there is none, or no time is left, it finishes the
+// send and returns the event and false.
 func (x *exchange) connect(target dispatch.Target) (attempt.Event, bool) {
 	conn, err := x.acquireConnection(target)
 	switch {
@@ -66,7 +66,7 @@
 		x.err = err
 		x.finish(dispatch.NotSent, upstream.Unused)
 		return attempt.NotWritten, false
-	default: // nobody accepts its connections
+	default: // the endpoint accepts no connections
 		x.err = err
 		x.finish(dispatch.Broken, upstream.Unused)
 		return attempt.NotWritten, false
@@ -78,8 +78,8 @@
 	return 0, true
 }
 
-// acquireConnection acquires a connection that has not carried this id before: an answer to the
-// earlier sending might come late.
+// acquireConnection acquires a connection that has not carried this id before: a late answer to the
+// earlier send could be taken for the answer to this one.
 func (x *exchange) acquireConnection(target dispatch.Target) (*upstream.Conn, error) {
 	pool := x.proxy.poolFor(target)
 	for {
@@ -92,10 +92,10 @@
 	}
 }
 
-// roundTrip writes the request and reads the head of its answer. Before it, duplicates of answers
-// to earlier requests on the connection may arrive: their ids differ, and they are skipped.
+// roundTrip writes the request and reads the head of its answer. Duplicates of answers to earlier
+// requests on the connection may arrive before it; they have other ids and are skipped.
 func (x *exchange) roundTrip() (err error) {
-	if x.delaysEnd() {
+	if x.shouldDelayEnd() {
 		x.connection.DelayEnd()
 	}
 	//nolint:bodyclose // finish releases the connection, which is what has an end
@@ -105,8 +105,8 @@
 		if matches && !spliced {
 			return nil
 		}
-		if spliced || skipped == maxSurplus || !x.skippable() || !x.drainBody(maxBuffered) {
-			return &upstream.CallError{Sent: true, Err: errForeign}
+		if spliced || skipped == maxSkippedAnswers || !x.skippable() || !x.drainBody(maxBuffered) {
+			return &upstream.CallError{Sent: true, Err: errInvalidAnswer}
 		}
 		//nolint:bodyclose // as above
 		x.response, err = x.connection.NextAnswer()
@@ -114,13 +114,12 @@
 	return err
 }
 
-// delaysEnd reports whether the request must not be lost on a connection that the endpoint has
-// closed: no other endpoint may have it after a reset, as it may run once or this is its last
-// attempt. Then the end of the request is written a round trip after its start, so that a reset
-// comes first (upstream.Conn.DelayEnd). A regulated request goes out at once: its certificate was
-// checked a moment ago, and may be withdrawn. An item goes out at once too: it comes back after a
-// pause.
-func (x *exchange) delaysEnd() bool {
+// shouldDelayEnd reports whether the end of the request is written a round trip after its start, so
+// that on a connection that the endpoint has closed the reset arrives first (upstream.Conn.DelayEnd).
+// This applies to requests that can't be retried after a reset: those that may run only once, and
+// those on their last attempt. Regulated requests are not delayed, as their certificate was checked
+// just before and may be withdrawn meanwhile. Items are not delayed, as their job retries them.
+func (x *exchange) shouldDelayEnd() bool {
 	if x.request.Regime != "" || x.request.Bulk {
 		return false
 	}
--- a/internal/proxy/forward/stream.go
+++ b/internal/proxy/forward/stream.go
@@ -11,15 +11,15 @@
 	"dunetide/internal/proxy/dispatch"
 )
 
-// maxEvent bounds one event of a stream.
+// maxEvent is the maximum size of one event of a stream.
 const maxEvent = 4 << 20
 
-// forwardEvents forwards a stream: each event as it comes, and only complete ones. After a retry
-// the events continue those that the client has.
+// forwardEvents forwards a stream: each event as soon as it is complete. After a retry the events
+// continue after the last one that the client received.
 func (x *exchange) forwardEvents(w http.ResponseWriter, rc *http.ResponseController) attempt.Event {
 	minID := int64(-1)
 	if x.headSent {
-		minID, _ = strconv.ParseInt(x.lastEventID, 10, 64) // an id that is no number can't be compared: 0
+		minID, _ = strconv.ParseInt(x.lastEventID, 10, 64) // 0 for an id that is not a number
 	}
 	lastID := x.stream.lastID
 	x.stream.reset(minID)
@@ -33,28 +33,27 @@
 				return err
 			}
 		}
-		if end { // goes out with the end of the body
+		if end { // flushed with the end of the body
 			return nil
 		}
 		return rc.Flush()
 	})
 }
 
-// readEvents reads the answer's body as events and calls a function with the bytes of those that
-// are complete, last with what remains at the end of the body, which the endpoint has ended
-// properly.
-func (x *exchange) readEvents(forward func(whole []byte, end bool) error) attempt.Event {
+// readEvents reads the answer's body as events and calls forward with the bytes of complete ones; at a
+// proper end of the body it calls forward with the remaining bytes and end set.
+func (x *exchange) readEvents(forward func(complete []byte, end bool) error) attempt.Event {
 	s := &x.stream
 	for {
 		if len(s.buffer) == cap(s.buffer) {
 			if len(s.buffer) > maxEvent {
-				return x.finishCut(errEventTooLong)
+				return x.finishTruncated(errEventTooLong)
 			}
 			s.buffer = append(s.buffer, 0)[:len(s.buffer)]
 		}
 		n, err := x.response.Body.Read(s.buffer[len(s.buffer):cap(s.buffer)])
 		s.buffer = s.buffer[:len(s.buffer)+n]
-		whole, invalid := s.scan()
+		complete, invalid := s.scan()
 		if errors.Is(err, io.EOF) && invalid == nil {
 			x.connection.MarkComplete(x.response)
 			x.finish(dispatch.Served, upstream.Answered)
@@ -63,18 +62,18 @@
 			}
 			return attempt.BodyComplete
 		}
-		if whole > 0 {
-			if forward(s.buffer[:whole], false) != nil {
+		if complete > 0 {
+			if forward(s.buffer[:complete], false) != nil {
 				x.finish(dispatch.Canceled, upstream.Canceled)
 				return attempt.ClientCanceled
 			}
-			s.discardWhole()
+			s.discardComplete()
 		}
-		if invalid != nil { // after what was valid before it, as lastID counts that
-			return x.finishCut(invalid)
+		if invalid != nil { // only now, as lastID covers the valid events before it
+			return x.finishTruncated(invalid)
 		}
 		if err != nil {
-			return x.finishCut(err)
+			return x.finishTruncated(err)
 		}
 	}
 }
