--- a/internal/proxy/forward/early_test.go
+++ b/internal/proxy/forward/early_test.go
@@ -83,7 +83,7 @@
 
 // An endpoint sends any part of an answer before it has received a request: it is never taken for the answer to the next request.
 func TestUnsolicitedAnswerAtEveryByte(t *testing.T) {
-	unsolicited := answerOf("foreign", sealed, "unsolicited")
+	unsolicited := answerOf("foreign", sealed, "not asked for")
 	for _, method := range []string{"POST", "HEAD"} {
 		t.Run(method, func(t *testing.T) {
 			t.Parallel()
