--- a/internal/proxy/forward/scenario_test.go
+++ b/internal/proxy/forward/scenario_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// These tests run in simulated time, which the race detector does not support (see internal/fleet/simulated_test.go).
+// These tests run in simulated time, which the race detector does not support (see internal/deliverynode/fleet/simulated_test.go).
 
 package forward
 
