--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost lets the simulator drive the decision module: it hosts one
-// sender for each instance and translates between the wire and the module.
+// Command simhost lets the simulator drive package policy: it runs one sender per
+// instance and translates between the wire protocol and the package.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run reads batches and writes a reply to each, until the input ends.
 func run(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, 1<<20), bufio.NewWriterSize(w, 1<<20)
 	h := newHost()
@@ -52,7 +52,7 @@
 	}
 }
 
-// instance is one sender and what is pending for it within a batch.
+// instance is one sender and its pending events within a batch.
 type instance struct {
 	sender *policy.Sender
 	events []policy.Event
@@ -61,7 +61,7 @@
 	reported []string // names of the values in a load report
 }
 
-// host holds the instances by number and the lists of the process.
+// host has the instances by number and the endpoint lists by number.
 type host struct {
 	instances map[uint16]*instance
 	lists     map[uint32][]policy.Entry
@@ -72,8 +72,8 @@
 	return &host{instances: map[uint16]*instance{}, lists: map[uint32][]policy.Entry{}}
 }
 
-// answer hands the events of a batch to their instances and collects the
-// actions. A panic of the module becomes a crash action.
+// answer passes the events of a batch to their instances and collects the
+// actions. A panic in package policy becomes a crash action.
 func (h *host) answer(b wire.Batch) (reply []wire.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -150,7 +150,7 @@
 	return reply, nil
 }
 
-// toEvent translates one event; nil where the module has no use for it.
+// toEvent translates one event. It returns nil if package policy has no use for it.
 func (h *host) toEvent(in *instance, e wire.Event) (policy.Event, error) {
 	switch e.Code {
 	case wire.CodeFleet:
@@ -159,7 +159,7 @@
 		}
 		list, ok := h.lists[e.List]
 		if !ok {
-			return nil, fmt.Errorf("list %d was never given", e.List)
+			return nil, fmt.Errorf("list %d is unknown: no page event defined it", e.List)
 		}
 		return policy.Listed{Whole: e.Kind != wire.FleetDelta, Entries: list}, nil
 	case wire.CodeIngress:
@@ -182,7 +182,7 @@
 	case wire.CodeFirst, wire.CodePingResult:
 		return nil, nil
 	}
-	return nil, fmt.Errorf("event code %d has no meaning for an instance", e.Code)
+	return nil, fmt.Errorf("event code %d is not valid for an instance", e.Code)
 }
 
 func toEntries(list []wire.Entry) []policy.Entry {
@@ -223,7 +223,7 @@
 	case wire.ResultMoot:
 		return policy.Moot
 	}
-	panic(fmt.Sprintf("result %d passed the decoder", result))
+	panic(fmt.Sprintf("unknown result %d: the decoder should have rejected it", result))
 }
 
 func toWire(a policy.Action) wire.Action {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -67,19 +67,19 @@
 	events := append([]wire.Event{{Code: wire.CodeSelect, Instance: 3}, {Code: wire.CodeStop}}, born(3)...)
 	answer(t, h, events...)
 	if h.instances[3].sender == old || h.instances[3].sender == nil {
-		t.Error("the sender of the killed instance lives on, or none came after it")
+		t.Error("the killed instance kept its sender, or got no new one")
 	}
 	if got := answer(t, h, wire.Event{Code: wire.CodeSelect, Instance: 3}, wire.Event{Code: wire.CodeStop}); len(got) != 0 {
-		t.Errorf("a killed instance acts: %v", got)
+		t.Errorf("actions of a killed instance: %v", got)
 	}
 }
 
-func TestEventsWithoutMeaningAreErrors(t *testing.T) {
+func TestInvalidEventsAreErrors(t *testing.T) {
 	for name, events := range map[string][]wire.Event{
-		"no select":        {{Code: wire.CodeWakeup}},
-		"not running":      {{Code: wire.CodeSelect, Instance: 1}, {Code: wire.CodeWakeup}},
-		"list never given": born(1),
-		"bad settings":     {{Code: wire.CodeSelect}, {Code: wire.CodeBorn, Data: []byte("{")}},
+		"no select":    {{Code: wire.CodeWakeup}},
+		"not running":  {{Code: wire.CodeSelect, Instance: 1}, {Code: wire.CodeWakeup}},
+		"unknown list": born(1),
+		"bad settings": {{Code: wire.CodeSelect}, {Code: wire.CodeBorn, Data: []byte("{")}},
 	} {
 		if _, err := newHost().answer(wire.Batch{Events: events}); err == nil {
 			t.Errorf("%s: no error", name)
@@ -105,11 +105,11 @@
 		t.Errorf("error %v, %d bytes of reply, want 12", err, out.Len())
 	}
 	if err := run(bytes.NewReader(empty[:15]), io.Discard); err == nil {
-		t.Error("a frame cut short is no error")
+		t.Error("no error for a truncated frame")
 	}
 }
 
-func TestEveryActionHasAForm(t *testing.T) {
+func TestEveryActionIsTranslated(t *testing.T) {
 	for _, c := range []struct {
 		action policy.Action
 		code   uint8
@@ -123,12 +123,12 @@
 	}
 }
 
-func TestReportsReachTheModule(t *testing.T) {
+func TestReportsReachThePolicy(t *testing.T) {
 	in := &instance{reported: []string{"depth", "x1", "x0"}}
 	done := wire.Event{Code: wire.CodeDone, Result: wire.ResultOK, Report: wire.Report{Count: 3, Values: [4]float32{9, 25, 0.5}}}
 	e, err := newHost().toEvent(in, done)
 	if ended, ok := e.(policy.Ended); err != nil || !ok || ended.Told != (policy.Allowance{Limit: 25, Left: 0.5}) {
-		t.Errorf("got %+v, %v; want the limit and the share that is left, by their names", e, err)
+		t.Errorf("got %+v, %v; want the limit and its unused fraction, assigned by name", e, err)
 	}
 	done.Report = wire.Report{Count: 200, Values: [4]float32{1, 2, 3, 4}}
 	if _, err := newHost().toEvent(in, done); err != nil {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,4 +1,4 @@
-// This file has the ordinary path: two sliding windows for each path.
+// This file has the rate limit of each path, enforced by two sliding windows.
 
 package policy
 
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/sendlog"
 )
 
-// newPath starts with an unbound slice, or with this sender's part of the
+// newPath returns a path with an infinite slice, or with this sender's part of the
 // listed rate.
 func (s *Sender) newPath(d *destination, kind Kind, entry Entry) *path {
 	p := &path{dest: d, kind: kind, slice: math.Inf(1),
@@ -29,17 +29,17 @@
 	return p
 }
 
-// hasRoom tells whether a path may be sent one more call now.
+// hasRoom reports whether a path may be sent one more call now.
 func (s *Sender) hasRoom(p *path) bool {
 	slice := max(1, p.slice)
 	gap := time.Duration(spread * float64(narrowWindow) / slice)
-	// So many calls in as many gaps: one, or what falls into some steps where many do.
-	some := 1
+	// At most this many calls in as many gaps: one, or those of spreadTicks steps if a gap is under a step.
+	burst := 1
 	if gap < s.set.Tick {
-		some = int(spreadTicks * s.set.Tick / max(1, gap))
+		burst = int(spreadTicks * s.set.Tick / max(1, gap))
 	}
 	n := len(p.narrow.Times)
-	if p.slice > 1 && n >= some && s.now-p.narrow.Times[n-some] < time.Duration(some)*gap {
+	if p.slice > 1 && n >= burst && s.now-p.narrow.Times[n-burst] < time.Duration(burst)*gap {
 		return false
 	}
 	calls := math.Ceil(slice)
@@ -50,12 +50,12 @@
 	return p.inFlight() < s.bound(p)
 }
 
-// resize sets a slice and the windows to it. With many senders a fair slice is one
-// call and a part of one, or less than one: the windows stretch until it is whole, or
-// the part would be nobody's. Where it is one, their lengths are drawn apart, or
-// senders that were refused together come back together.
+// resize sets the slice and adapts the windows to it. With many senders a fair slice has a
+// fraction of a call: the windows are stretched until it is a whole number of calls, or the
+// fraction would be lost. For slices of one call or less their lengths are randomized, or
+// senders that were rejected together would return together.
 func (s *Sender) resize(p *path, slice float64) {
-	slice = max(1/float64(s.set.Senders), slice) // one call in a window for all senders together
+	slice = max(1/float64(s.set.Senders), slice) // at least one call per window for all senders together
 	stretch := math.Ceil(slice) / slice
 	if slice <= 1 {
 		stretch = s.drawPhase() / slice
@@ -65,9 +65,9 @@
 	p.wide.Window = time.Duration(stretch * float64(wideWindow))
 }
 
-// bound is how many unanswered calls a path may hold. The logs count starts
-// only: a path that hangs or is much slower than its past, while others are
-// not, would take all slots.
+// bound returns how many calls a path may have in flight. The windows count only the
+// starts of calls: without a bound, a path that hangs or is much slower than its
+// baseline, while the others are not, would take all slots.
 func (s *Sender) bound(p *path) int {
 	if p.slow(s.pace) {
 		return max(1, s.set.Slots/4)
@@ -79,13 +79,13 @@
 	return p.baseline > 0 && float64(p.latency) > slowFactor*max(1, pace)*float64(p.baseline)
 }
 
-// full cuts a slice after a full, or sets it from the narrow count the first
-// time, and closes the logs for the told wait.
+// full handles a Full outcome: it cuts the slice, or sets it from the narrow count the
+// first time, and closes the path for the requested wait or a pause.
 func (s *Sender) full(p *path, e *endpoint, sent Time, wait time.Duration) {
 	gap, lone := s.lone(p)
-	// One right after another is not, but those that were out together are one.
+	// A consecutive Full is not isolated, but Fulls of calls in flight together count as one.
 	lone = lone && wait == 0 && (e.fullRun == 0 || sent < p.fullAt)
-	if sent >= p.fullAt { // calls that were out together count as one refusal
+	if sent >= p.fullAt { // calls in flight together count as one rejection
 		if math.IsInf(p.slice, 1) {
 			s.resize(p, max(1, float64(p.narrow.Count(s.now))))
 		} else {
@@ -121,9 +121,9 @@
 	p.closedUntil = max(p.closedUntil, s.now+pause+s.jitter(jitter))
 }
 
-// lone tells whether a full with no wait told proves no more than that one call was too many:
-// few calls are refused of late, and while the logs are closed many would be had. Then they
-// close for as long as one call takes of the slice, which loses that call.
+// lone reports whether a Full without a requested wait is isolated, so that it shows only that one
+// call was too many: few recent calls were rejected, and the usual pause would cost many calls.
+// It returns the interval of one call under the slice; a pause of that length costs one call.
 func (s *Sender) lone(p *path) (time.Duration, bool) {
 	if math.IsInf(p.slice, 1) || p.passes < loneAfter || p.refused > 1.0/loneAfter {
 		return 0, false
@@ -132,9 +132,9 @@
 	return gap, fullPause >= loneCost*gap
 }
 
-// jam closes the logs of all who send less than a call a window, each for a part
-// of a span that doubles while fulls go on: where refused calls use up the limit,
-// first calls alone keep it full. It tells whether the jam was news.
+// jam closes a path of which senders get a call per window or less, each for a random part of
+// a period that doubles while Fulls go on: if rejected calls count against the limit, the first
+// calls of many senders alone keep it exhausted. It reports whether this is a new jam.
 func (s *Sender) jam(p *path) bool {
 	since := s.now - p.jamAt
 	if p.jamFor > 0 && since < narrowWindow/2 {
@@ -150,7 +150,7 @@
 	return true
 }
 
-// follow keeps a slice the same part of the limit while answers tell of other limits.
+// follow scales the slice with the limit that responses report.
 func (s *Sender) follow(p *path, told Allowance) {
 	if told.Limit <= 0 {
 		return
@@ -159,12 +159,13 @@
 	if before == 0 {
 		before = p.listed * float64(s.set.Senders)
 	}
-	if p.told.Limit > 0 { // within a span the room falls from all to none: its mean tells
+	if p.told.Limit > 0 { // Left falls from 1 to 0 within a period: use its mean
 		told.Left = p.told.Left + (told.Left-p.told.Left)*roomGain
 	}
 	if p.told = told; before > 0 && !math.IsInf(p.slice, 1) {
 		slice := p.slice * told.Limit / before
-		if fair := s.fair(p); slice > fair && told.Left < evenRoom { // what is over it was others' room
+		// What exceeds the fair slice is capacity that other senders left unused.
+		if fair := s.fair(p); slice > fair && told.Left < evenRoom {
 			slice = max(fair, slice*(1+told.Left-evenRoom))
 		}
 		s.resize(p, slice)
@@ -189,7 +190,7 @@
 		s.resize(p, p.slice+min(most, share*p.slice))
 	}
 	if p.passes == 1 {
-		// One answer tells little: half of it is taken to be usual.
+		// One sample says little: average it with the initial estimate.
 		took = (took + firstLatency) / 2
 		p.latency, p.baseline, p.deviation = took, took, took
 		return
--- a/policy/answers.go
+++ b/policy/answers.go
@@ -1,10 +1,10 @@
-// This file has retries, and the answers to clients.
+// This file has retries and the answers to clients.
 
 package policy
 
 import "time"
 
-// mayRepeat decides whether a message may go to an endpoint after earlier attempts.
+// mayRepeat reports whether a message may be sent to an endpoint, given its earlier attempts.
 func (s *Sender) mayRepeat(m *message, e *endpoint) bool {
 	if m.call != nil || m.ended || s.neverAgain(m) {
 		return false
@@ -13,7 +13,7 @@
 	return free || m.class.GroupAll || m.class.GroupZone && e.zone == m.ranZone
 }
 
-// mayRefuse decides whether a client may be told that trying again is harmless.
+// mayRefuse reports whether the client may be told that a retry is safe.
 func (s *Sender) mayRefuse(m *message) bool {
 	return !m.ran || m.class.Repeat == Idempotent || m.class.Repeat == Deduplicated && m.class.GroupAll
 }
@@ -28,7 +28,7 @@
 	if c.left--; c.left == 0 {
 		c.endpoint.calls = remove(c.endpoint.calls, c)
 		s.inFlight--
-		if o.Outcome == Moot && !c.judged { // never sent: it used up nothing of the limit
+		if o.Outcome == Moot && !c.judged { // never sent: it does not count against the limit
 			c.endpoint.path.narrow.Remove(c.sent)
 			c.endpoint.path.wide.Remove(c.sent)
 		}
@@ -39,7 +39,7 @@
 		s.judge(c.endpoint, o.Outcome, o.Wait, c, o.Took)
 	}
 	if p := c.endpoint.path; o.Wait > 0 {
-		// Messages of one call may end apart, so each told wait is heeded.
+		// Messages of one call may end separately, so the wait of each applies.
 		p.closedUntil = max(p.closedUntil, s.now+o.Wait)
 	}
 	switch o.Outcome {
@@ -76,11 +76,11 @@
 
 // Answers
 
-// answerAt is when a message is answered at the latest: a tick before its time
-// is up, so that the answer is in time even if a step comes late.
+// answerAt returns when a message is answered at the latest: a tick before its deadline, so
+// that the answer is in time even if a step is late.
 func (s *Sender) answerAt(m *message) Time { return m.giveUpAt - s.set.Tick }
 
-// answerDue answers before the deadline, and at once what can't be sent again.
+// answerDue answers messages just before their deadline, and at once if no attempt is left.
 func (s *Sender) answerDue() {
 	for i := 0; i < len(s.open); i++ {
 		m := s.open[i]
@@ -92,14 +92,14 @@
 	}
 }
 
-// neverAgain tells that no endpoint may be sent the message any more.
+// neverAgain reports that the message must not be sent again to any endpoint.
 func (s *Sender) neverAgain(m *message) bool {
 	return m.ran && (m.class.Repeat == AtMostOnce ||
 		m.class.Repeat == Deduplicated && s.now-m.ranAt >= m.class.Window)
 }
 
-// answer refuses where that is allowed, since the client may come again, and
-// fails what can't be refused.
+// answer refuses a message if that is allowed, since the client may then retry, and fails
+// it otherwise.
 func (s *Sender) answer(m *message) {
 	if s.mayRefuse(m) {
 		var wait time.Duration
@@ -113,7 +113,7 @@
 	s.end(m)
 }
 
-// makeRoom keeps a little of the hold free: what comes to a full one is lost unseen.
+// makeRoom sheds load to keep part of MaxHeld free: messages beyond MaxHeld are lost without a decision.
 func (s *Sender) makeRoom() {
 	if s.set.MaxHeld <= 0 {
 		return
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,11 +1,11 @@
-// Package policy decides for one sender of a delivery service: which message
-// goes to which endpoint, when, with what time-out, and when to try again,
-// refuse or give up.
+// Package policy makes the delivery decisions of one sender of a delivery service:
+// which message goes to which endpoint, when, with what timeout, and when to
+// retry, refuse or give up.
 //
 // A [Sender] does no I/O, starts no goroutines and reads no clock. The node
-// that owns it hands in events with the time at which they were seen, and
-// carries out the actions that come back. The same events give the same
-// actions. A Sender is not safe for concurrent use.
+// that owns it passes in events with the time at which they were observed, and
+// carries out the returned actions. A Sender is deterministic: the same seed and
+// events give the same actions. It is not safe for concurrent use.
 package policy
 
 import (
@@ -16,94 +16,93 @@
 // Time is a reading of the node's clock, counted from any fixed origin.
 type Time = time.Duration
 
-// MessageID names a message. The node chooses it and never uses one twice.
+// MessageID identifies a message. The node assigns it and never reuses it.
 type MessageID uint64
 
-// EndpointID names an endpoint. It is the node's own name for it and carries
-// no meaning.
+// EndpointID identifies an endpoint. It is opaque and local to the node.
 type EndpointID uint64
 
-// Repeat says what a repeat of a message does at its destination.
+// Repeat describes the effect of delivering a message more than once.
 type Repeat int
 
-// The kinds of message, by what a repeat of them does.
+// Values of Repeat.
 const (
-	// Idempotent messages may be sent and refused at will.
+	// Idempotent messages may be resent and refused without restriction.
 	Idempotent Repeat = iota
-	// Deduplicated messages are dropped when repeated within a window, by
-	// the endpoints of a group.
+	// Deduplicated messages are dropped by the endpoints of a group when
+	// repeated within a window.
 	Deduplicated
 	// AtMostOnce messages must never take effect twice.
 	AtMostOnce
 )
 
-// Class is what the settings say of one class of message.
+// Class configures one class of messages.
 type Class struct {
 	Repeat    Repeat
-	GroupAll  bool          // Deduplicated: every endpoint of the destination drops repeats
-	GroupZone bool          // Deduplicated: the endpoints of one zone drop repeats
-	Window    time.Duration // Deduplicated: how long repeats are dropped
-	Ordered   bool          // messages with the same key go one at a time, in order
-	Aim       time.Duration // delivered within this time, a message earns its full worth
-	Deadline  time.Duration // a message is given up this long after it was first handed in
-	Worth     float64       // full worth
-	LateWorth float64       // the share of Worth that is left at the deadline
+	GroupAll  bool          // Deduplicated: all endpoints of the destination deduplicate together
+	GroupZone bool          // Deduplicated: the endpoints of one zone deduplicate together
+	Window    time.Duration // Deduplicated: how long duplicates are recognized
+	Ordered   bool          // messages with the same key are sent one at a time, in order
+	Aim       time.Duration // a message delivered within this time earns its full worth
+	Deadline  time.Duration // a message is given up this long after it was first submitted
+	Worth     float64       // worth of a message that is delivered within Aim
+	LateWorth float64       // fraction of Worth that remains at the deadline
 }
 
-// Kind is what the settings say of one kind of destination.
+// Kind configures one kind of destination.
 type Kind struct {
-	RoutesApart bool // each endpoint has its own limit, pace and outages
-	BundleMax   int  // messages in one call at most
+	RoutesApart bool // each endpoint has its own rate limit, latency and outages
+	BundleMax   int  // maximum number of messages in one call
 }
 
-// Listing says what the rate that the list gives for a destination is worth.
+// Listing states how accurate the rates in the endpoint list are.
 type Listing int
 
-// The ways in which rates are listed.
+// Values of Listing.
 const (
-	RateUnlisted Listing = iota // no rates are given
-	RateNominal                 // rates are right
-	RateRough                   // rates are up to half too high or too low
+	RateUnlisted Listing = iota // the list has no rates
+	RateNominal                 // rates are exact
+	RateRough                   // rates may be up to 50% too high or too low
 )
 
-// Settings is what a sender knows when it starts.
+// Settings is the configuration of a sender.
 type Settings struct {
-	Senders int // how many senders there are
+	Senders int // number of senders in the system
 	Classes []Class
 	Kinds   []Kind
-	// MustSubscribe says that changes to the list come only to who asked.
+	// MustSubscribe is set if list changes are sent only after a [Subscribe].
 	MustSubscribe bool
-	ZoneFee       []float64 // per zone: worth lost for each message that a route apart there takes
+	ZoneFee       []float64 // per zone: fraction of worth that a message loses on a separate route there
 	Listing       Listing
-	Reported      []string // names of the values in a load report, in their order
-
-	HalvesLate  bool          // worth halves with each aim after the first, instead of falling evenly
-	Slots       int           // calls that may be out at once
-	MaxHeld     int           // messages held at most, sent or not
-	MaxAttempts int           // attempts for a message at most
-	MayTell     bool          // senders may send each other notes
-	MaxWait     time.Duration // the longest wait that a client heeds
+	Reported      []string // names of the values in a load report, in order
+
+	HalvesLate  bool          // worth halves with each Aim past the first, instead of falling linearly
+	Slots       int           // maximum number of calls in flight
+	MaxHeld     int           // maximum number of messages held, whether sent or not
+	MaxAttempts int           // maximum number of attempts for a message
+	MayTell     bool          // senders may send notes to each other
+	MaxWait     time.Duration // the longest wait that clients honor
 	AdviseWait  bool          // clients are told how long to wait
-	// ConnectTimeout is when an attempt without a connection is Unreachable.
+	// ConnectTimeout is the time after which an attempt that has no connection ends as Unreachable.
 	ConnectTimeout time.Duration
-	Tick           time.Duration // how often the sender is called at most
-
-	DrainGrace   time.Duration // sends to a draining endpoint must cease within this time
-	ColdShare    float64       // the share of its capacity that a destination has after an outage
-	WarmUp       time.Duration // the time within which it is back to all of it
-	FallMultiple float64       // sent more than this multiple of its present capacity
-	FallWindow   time.Duration // for this long, it falls over
-	TurnGap      time.Duration // Ordered: how long a key rests after an attempt that may still run
+	Tick           time.Duration // minimum interval between steps
+
+	DrainGrace   time.Duration // sends to a draining endpoint must stop within this time
+	ColdShare    float64       // fraction of its capacity that a destination has right after an outage
+	WarmUp       time.Duration // time in which its capacity returns to normal
+	FallMultiple float64       // a destination that receives more than this multiple of its current capacity
+	FallWindow   time.Duration // for this long becomes overloaded and fails
+	TurnGap      time.Duration // Ordered: delay before the next message of a key after an attempt that may still run
 }
 
-// Event is something that the node has seen.
+// Event is an input to [Sender.Step]: something that the node observed.
 type Event interface{ event() }
 
-// EndpointState is what the list says of an endpoint. It tells nothing of its
+// EndpointState is the state of an endpoint in the list. It is independent of its
 // health.
 type EndpointState int
 
-// The states of an endpoint in the list.
+// Values of EndpointState.
 const (
 	Gone EndpointState = iota
 	Ready
@@ -117,64 +116,64 @@
 	Kind        int
 	Zone        int
 	State       EndpointState
-	Rate        float64 // see Settings.Listing: calls a second from all senders together
+	Rate        float64 // calls per second from all senders together; see Settings.Listing
 }
 
-// Listed brings the whole list of endpoints, or changes to it.
+// Listed is an event that carries the full list of endpoints, or changes to it.
 type Listed struct {
-	Whole   bool // endpoints that are missing are gone
+	Whole   bool // the list is complete: endpoints missing from it are gone
 	Entries []Entry
 }
 
-// ListFailed says that a [Subscribe] failed or was broken. The list stays.
+// ListFailed reports that a [Subscribe] failed or was interrupted. The current list remains in use.
 type ListFailed struct{}
 
-// Arrived brings a new message, or one that an earlier life of the node had.
+// Arrived is a new message, or one restored from a previous run of the node.
 type Arrived struct {
 	Message     MessageID
 	Destination int
 	Class       int
-	Key         uint64 // 0 where the message has none
+	Key         uint64 // 0 if the message has none
 	GiveUpAt    Time
-	Past        Past // what lies behind it; nothing for a new message
+	Past        Past // earlier attempts; zero for a new message
 }
 
-// Past is what a message has behind it from an earlier life of the node.
+// Past describes the attempts that a previous run of the node made for a message.
 type Past struct {
 	Attempts int
-	MayRun   bool // one of them may have run, or may run yet
+	MayRun   bool // one of them may have run, or may still run
 	RanAt    Time // when the first such attempt was sent
-	RanZone  int  // where it was sent
-	// Out says that the last attempt still waits for its outcome, in the process that
-	// had the message before; Settled that an earlier one may have run.
+	RanZone  int  // the zone it was sent to
+	// Out is set while the last attempt is still in flight in the process that owned the
+	// message before. Settled is set if an earlier, finished attempt may have run.
 	Out      bool
 	OutTo    EndpointID
 	OutSince Time
 	Settled  bool
 }
 
-// Outcome says how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome int
 
-// The outcomes. Full, Unreachable and Moot prove that the attempt never ran.
+// Values of Outcome. Full, Unreachable and Moot guarantee that the attempt never ran.
 const (
 	Delivered   Outcome = iota
 	Failed              // the destination answered with an error
-	Full                // turned away unseen
-	TimedOut            // no answer in time
-	Unreachable         // no connection could be made
+	Full                // rejected for lack of capacity, without being processed
+	TimedOut            // no response in time
+	Unreachable         // no connection could be established
 	Reset               // the connection broke
-	Cancelled           // called off
+	Cancelled           // cancelled by the node
 	Moot                // not sent at all
 )
 
-// Allowance is what a destination tells of its limit with an answer: late, and not exact.
+// Allowance is the rate limit that a destination reports with its responses. It is delayed and inexact.
 type Allowance struct {
-	Limit float64 // calls a second that it takes from all senders together; 0 if nothing was told
-	Left  float64 // the share of that which was left
+	Limit float64 // calls per second accepted from all senders together; 0 if not reported
+	Left  float64 // fraction of the limit that was unused
 }
 
-// Take takes in one value of a load report by its name, if that is about the limit.
+// Take stores one named value of a load report, if it concerns the rate limit.
 func (a *Allowance) Take(name string, value float64) {
 	switch {
 	case math.IsNaN(value) || value < 0:
@@ -185,75 +184,76 @@
 	}
 }
 
-// Ended tells how an attempt ended. Every [Send] has exactly one.
+// Ended reports how an attempt ended. Every [Send] has exactly one.
 type Ended struct {
 	Message  MessageID
 	Attempt  int // from 0
 	Endpoint EndpointID
 	Outcome  Outcome
-	Wait     time.Duration // the wait that was told, or 0
+	Wait     time.Duration // the wait that the destination asked for, or 0
 	Final    bool          // the message has concluded
 	Took     time.Duration
 	Told     Allowance
 }
 
-// Withdrawn says that nobody wants a message any more.
+// Withdrawn reports that a message is no longer wanted.
 type Withdrawn struct{ Message MessageID }
 
-// News is what one sender tells the others of an endpoint.
+// News is an observation of an endpoint that is shared with other senders.
 type News int
 
-// The news.
+// Values of News.
 const (
-	Down     News = iota // an outage is on
-	Back                 // it answers again
-	BackCold             // it answers again and is cold
-	Jam                  // it refuses calls as full
+	Down     News = iota // an outage began
+	Back                 // the endpoint answers again
+	BackCold             // the endpoint answers again and is cold: its capacity is reduced
+	Jam                  // the endpoint rejects calls as Full
 )
 
 // TagBits is the size of a [Tag].
 const TagBits = 22
 
-// Tag names an endpoint in a note, in few bits: notes are priced. Two endpoints
-// may, rarely, have the same one.
+// Tag identifies an endpoint in a note. It is short because notes have a cost, so
+// two endpoints may, rarely, have the same tag.
 type Tag uint32
 
-// Told brings a note of another sender. Notes may be lost or late.
+// Told is a note received from another sender. Notes may be lost or delayed.
 type Told struct {
 	Tag  Tag
 	News News
 }
 
-// Remembered tells what an earlier life of the node saw of an endpoint. It comes
-// before the first call to it.
+// Remembered is the history of an endpoint from a previous run of the node. It comes
+// before the first call to the endpoint.
 type Remembered struct {
 	Endpoint EndpointID
-	Sent     []Time // calls, oldest first
-	Runs     []Run  // of failures, oldest first
+	Sent     []Time // times of calls, oldest first
+	Runs     []Run  // runs of failures, oldest first
 }
 
-// Run is failures in a row, as an earlier life of the node saw them.
+// Run is a series of consecutive failures seen by a previous run of the node.
 type Run struct {
 	Outcomes []Outcome // the first few
-	FailedAt Time      // the last failure
-	Back     bool      // a success came after it
-	BackAt   Time      // the first such
+	FailedAt Time      // time of the last failure
+	Back     bool      // a success followed
+	BackAt   Time      // time of the first success after it
 }
 
-// Ordered brings the staff's order for an endpoint, whatever the list says of it. It is
-// Out from one such until the next, and then comes back cold.
+// Ordered is an operator's order for an endpoint, which overrides the list. With Out, the
+// endpoint gets no calls until an order without Out, after which it counts as cold.
 type Ordered struct {
 	Endpoint EndpointID
 	Out      bool
 }
 
-// Inherited brings what the process knew that had the node's messages until now, by
+// Inherited carries the memory of the process that owned the node's messages before, by
 // the same clock. It comes after the list and before the first message.
 type Inherited struct{ Memory Memory }
 
-// Memory is all that a sender knows beside its messages, the list and orders.
+// Memory is the state of a sender apart from its messages, the list and operator orders.
 //
-// It and the types below go to another process of the node as gob, which carries the names of types and fields: these stay.
+// Memory and the types below are sent to another process of the node as gob, which
+// encodes the names of types and fields: don't rename them.
 type Memory struct {
 	Started     Time
 	Usual, Pace float64
@@ -261,9 +261,9 @@
 	Endpoints   []EndpointMemory
 }
 
-// PathMemory is what a sender knows of what shares one limit.
+// PathMemory is the state of a path: the endpoints that share one rate limit.
 type PathMemory struct {
-	Endpoint                     EndpointID // one of those that share it
+	Endpoint                     EndpointID // any endpoint of the path
 	Narrow, Wide, Passed         []Time
 	Peak, Passes, Most           int
 	Slice, BeforeRun             float64
@@ -275,7 +275,7 @@
 	Told                         Allowance
 }
 
-// EndpointMemory is what a sender knows of the health of an endpoint.
+// EndpointMemory is the health state of an endpoint.
 type EndpointMemory struct {
 	Endpoint                                         EndpointID
 	Told, LastSent, LastOK, Since, WarmFrom, Trouble Time
@@ -286,30 +286,31 @@
 	ColdWindow                                       time.Duration
 }
 
-// Shared says which part of its node a sender may use, where several processes are one
-// node: of its slices, slots and hold. Without it, that is all. Kept is the part that it had
-// when it was last told, as far as nobody else has had it since. Alone says that there are no
-// others, and that all that was sent by those before is known here.
+// Shared assigns the sender a share of its node (Parts of Whole) where several processes form
+// one node: of its slices, slots and message limit. Without this event a sender uses the whole
+// node. Kept is the portion of its previous share that no other process has held since. Alone is
+// set if there are no other processes and everything that earlier ones sent is known here.
 type Shared struct {
 	Parts, Whole, Kept int
 	Alone              bool
 }
 
-// Hearsay brings what another process of the same node has seen of an endpoint: Down, Back or
-// BackCold. It comes only with [Shared], and what this one has seen since outweighs it.
+// Hearsay is an observation of an endpoint by another process of the same node: Down, Back or
+// BackCold. It comes only after [Shared]. Newer observations of this process take precedence.
 type Hearsay struct {
 	Endpoint EndpointID
 	News     News
 	At       Time
 }
 
-// HeardWait brings a wait that was told to another process of the same node. It binds all.
+// HeardWait is a wait that a destination requested from another process of the same node.
+// It applies to all processes of the node.
 type HeardWait struct {
 	Endpoint EndpointID
 	Until    Time
 }
 
-// Woken says that the time of a [Wake] has come.
+// Woken reports that the time of a [Wake] has come.
 type Woken struct{}
 
 func (Listed) event()     {}
@@ -326,27 +327,27 @@
 func (HeardWait) event()  {}
 func (Woken) event()      {}
 
-// Action is something that the node shall do, at once and in the order given.
+// Action is an output of [Sender.Step]. The node carries actions out at once, in order.
 type Action interface{ action() }
 
-// Send makes one attempt. Sends of one step to one endpoint travel as one call
-// as far as its kind allows.
+// Send makes one attempt. The Sends of one step to one endpoint are combined into calls
+// of at most Kind.BundleMax messages.
 type Send struct {
 	Message  MessageID
 	Endpoint EndpointID
 	Timeout  time.Duration
 }
 
-// Refuse ends a message undelivered. Its client may hand it in again.
+// Refuse ends a message undelivered. The client may submit it again.
 type Refuse struct {
 	Message MessageID
-	Wait    time.Duration // how long the client should stay away, or 0
+	Wait    time.Duration // how long the client should wait before it retries, or 0
 }
 
-// Fail ends a message with no promise about its effect.
+// Fail ends a message without any guarantee on whether it took effect.
 type Fail struct{ Message MessageID }
 
-// Subscribe asks for changes to the list from now on.
+// Subscribe requests list changes from now on.
 type Subscribe struct{}
 
 // CloseIdle closes the idle connections to an endpoint.
@@ -358,13 +359,14 @@
 	News News
 }
 
-// Verdict tells the other processes of the same node of an endpoint. It comes only after [Shared].
+// Verdict sends an observation of an endpoint to the other processes of the node. It is
+// used only after [Shared].
 type Verdict struct {
 	Endpoint EndpointID
 	News     News
 }
 
-// Wake asks for a [Woken] at the first step at or after a time.
+// Wake requests a [Woken] at the first step at or after a time.
 type Wake struct{ At Time }
 
 func (Send) action()      {}
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -1,4 +1,4 @@
-// This file chooses which message goes next, and to which endpoint.
+// This file selects the next message to send, and its endpoint.
 
 package policy
 
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// dispatch sends while there are slots and some message has a way: next the one
-// that would lose most worth for the slot time it takes, if it had to wait.
+// dispatch sends messages while slots are free and some message can be sent. The message
+// that would lose the most worth by waiting, for the slot time it takes, goes first.
 func (s *Sender) dispatch() {
 	if s.inFlight >= s.set.Slots {
 		return
@@ -27,7 +27,7 @@
 	heap.Init(&s.line)
 	for s.inFlight < s.set.Slots && len(s.line) > 0 {
 		m := heap.Pop(&s.line).(candidate).message
-		if !s.ready(m) || s.gathers(m) { // it went with another, or the others went
+		if !s.ready(m) || s.gathers(m) { // sent in a bundle meanwhile, or others of its queue were
 			continue
 		}
 		if e := s.choose(m); e != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// ready tells whether a message may be tried now as far as it goes itself.
+// ready reports whether the state of the message itself allows an attempt now.
 func (s *Sender) ready(m *message) bool {
 	if m.call != nil || m.ended || s.now < m.notBefore || m.attempts >= s.set.MaxAttempts {
 		return false
@@ -47,8 +47,8 @@
 	return m.turn == nil || m.turn.line[0] == m && (m.attempts > 0 || s.now >= m.turn.restUntil)
 }
 
-// gathers holds a message back for others to share its call, while a slice binds:
-// many senders get few messages each, and each call counts for the limit.
+// gathers reports whether a message waits for others to share its call, while the rate is
+// limited: many senders get few messages each, and each call counts against the limit.
 func (s *Sender) gathers(m *message) bool {
 	p := m.dest.paths[0]
 	if m.attempts > 0 || len(m.dest.queue) >= p.kind.BundleMax || math.IsInf(p.slice, 1) {
@@ -57,8 +57,8 @@
 	return s.now-m.born < time.Duration(gatherShare*float64(m.class.Aim))-p.latency/2
 }
 
-// score is the worth lost by waiting a window longer, for each second of a
-// slot; ties go to the message that has waited longest.
+// score returns the worth lost by waiting a narrow window longer, per second of slot
+// time. Ties go to the message that has waited longest.
 func (s *Sender) score(m *message) float64 {
 	latency := m.dest.paths[0].latency
 	age := s.now - m.born
@@ -66,8 +66,8 @@
 	return loss/latency.Seconds() + 1e-6*age.Seconds()
 }
 
-// choose picks the endpoint for a message, nil if it must wait. A path without
-// a fee comes first; one with a fee is taken when waiting would cost more.
+// choose returns the endpoint for a message, or nil if it must wait. Paths without a
+// fee are preferred; one with a fee is taken if waiting would cost more.
 func (s *Sender) choose(m *message) *endpoint {
 	var best *endpoint
 	free := s.freeWait(m)
@@ -90,8 +90,8 @@
 	return best
 }
 
-// freeWait guesses how long a message would wait for a path without a fee;
-// negative if there is none that may take it.
+// freeWait estimates how long a message would wait for a path without a fee. It is
+// negative if no such path can take the message.
 func (s *Sender) freeWait(m *message) time.Duration {
 	wait := time.Duration(-1)
 	for _, p := range m.dest.paths {
@@ -107,13 +107,13 @@
 	return wait
 }
 
-// scarce tells that messages wait for slots: then a slot's time is worth more
-// than a fee, and the faster route is taken.
+// scarce reports whether messages wait for slots: then slot time is worth more than
+// a fee, and the faster path is taken.
 func (s *Sender) scarce() bool { return len(s.open) > 2*s.set.Slots }
 
 func (s *Sender) better(a, b *endpoint, m *message) bool {
 	if x, y := a == m.failedAt, b == m.failedAt; x != y {
-		return y // leave out the endpoint that was just seen failing
+		return y // avoid the endpoint where the last attempt failed
 	}
 	if a.path.fee != b.path.fee {
 		if s.scarce() {
@@ -122,15 +122,15 @@
 		return a.path.fee < b.path.fee
 	}
 	if a.out != b.out {
-		return a.out // a trial that is due
+		return a.out // prefer a trial that is due
 	}
 	if len(a.calls) != len(b.calls) {
 		return len(a.calls) < len(b.calls)
 	}
-	return a.lastSent < b.lastSent // reuse of the last connection was tried: the uneven load costs more
+	return a.lastSent < b.lastSent // reuse of the last connection was tried: uneven load costs more
 }
 
-// usable tells whether an endpoint may take a message now.
+// usable reports whether an endpoint may be sent a message now.
 func (s *Sender) usable(e *endpoint, m *message) bool {
 	if !s.mayRepeat(m, e) || !s.listedFor(e) {
 		return false
@@ -146,8 +146,8 @@
 	return !e.out && !e.warming || s.coldRoom(e)
 }
 
-// listedFor keeps drains and orders: nothing goes to an endpoint from the notice on,
-// unless its destination has no other and the grace still runs.
+// listedFor reports whether the list and operator orders allow calls to an endpoint. A draining
+// one gets none, unless its destination has no ready endpoint, in the first half of the grace.
 func (s *Sender) listedFor(e *endpoint) bool {
 	if e.state == Ready || e.barred {
 		return !e.barred
@@ -158,7 +158,7 @@
 	return !slices.ContainsFunc(e.path.dest.paths, func(p *path) bool { return p.readyEndpoints() > 0 })
 }
 
-// sendCall makes one call to an endpoint, with all waiting messages that fit.
+// sendCall makes one call to an endpoint, with as many queued messages as fit.
 func (s *Sender) sendCall(m *message, e *endpoint) {
 	p := e.path
 	c := &call{endpoint: e, sent: s.now}
@@ -174,7 +174,7 @@
 	s.take(m, c)
 	room := p.kind.BundleMax
 	if e.out || e.suspect {
-		room = 1 // a trial risks one message only
+		room = 1 // a trial risks only one message
 	}
 	for c.size < room {
 		var best *message
@@ -194,7 +194,7 @@
 	}
 	e.phase = s.drawPhase() * bundleWork(c.size)
 	e.cold.Record(s.now)
-	var timeout time.Duration // one fate, so one time-out
+	var timeout time.Duration // the bundle ends together, so it has one timeout
 	for _, n := range bundle {
 		timeout = max(timeout, s.timeout(e, n, c.size))
 	}
--- a/policy/coldreturn_test.go
+++ b/policy/coldreturn_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// fleet is many senders before one destination that a script takes out and back.
+// fleet is many senders that share one destination, whose outages a script controls.
 type fleet struct {
 	set     Settings
 	senders []*Sender
 	now     Time
 	nextID  MessageID
 	out     []flight
-	notes   []Event // told in this step, heard by all others in the next
-	by      []int   // who told each
-	aware   []bool  // has seen a call fail
-	sent    []Time  // calls of senders that have
+	notes   []Event // sent in this step, received by all others in the next
+	by      []int   // the sender of each note
+	aware   []bool  // senders that have seen a call fail
+	sent    []Time  // calls of aware senders
 	told    func() Allowance
 }
 
@@ -28,7 +28,7 @@
 
 const answerTime = 100 * time.Millisecond
 
-// newFleet starts so many senders that know so many endpoints of one destination.
+// newFleet starts set.Senders senders, with a list of the given number of endpoints of one destination.
 func newFleet(set Settings, endpoints int, rate float64) *fleet {
 	f := &fleet{set: set, now: time.Hour, aware: make([]bool, set.Senders)}
 	for i := range set.Senders {
@@ -68,8 +68,8 @@
 	return f.told()
 }
 
-// run plays a span: messages come at a rate, one sender after the other, and
-// result tells how a call ends.
+// run simulates a span of time: messages arrive at a rate, spread over the senders, and
+// result returns how each call ends.
 func (f *fleet) run(span time.Duration, rate float64, loseNotes bool, result func() Outcome) {
 	const tick = 20 * time.Millisecond
 	due := 0.0
@@ -98,7 +98,7 @@
 		f.out = kept
 		for due += rate * tick.Seconds(); due >= 1; due-- {
 			f.nextID++
-			// A stride that is prime to the number of senders visits all of them.
+			// A stride coprime to the number of senders visits all of them.
 			i := int(f.nextID) * 7919 % len(f.senders)
 			events[i] = append(events[i], Arrived{Message: f.nextID, Class: 1,
 				GiveUpAt: f.now + f.set.Classes[1].Deadline})
@@ -109,8 +109,8 @@
 	}
 }
 
-// most is the largest share of its budget that the destination was sent in any fall
-// window that ends within the span, by senders that had seen a failure.
+// most returns the largest fraction of its budget that the destination received in any fall
+// window after back, from senders that had seen a failure.
 func (f *fleet) most(back Time, capacity float64) float64 {
 	worst, first := 0.0, 0
 	for i, at := range f.sent {
@@ -126,19 +126,19 @@
 	return worst
 }
 
-// Hundreds of senders that saw one outage each send a call at the return, and a
-// cold destination falls over. While it lasts a tenth of the calls passes, so the
-// outage seems to begin anew over and over.
+// If each of hundreds of senders that saw an outage sends a call at the return, the cold
+// destination is overloaded. In some cases one call in ten passes during the outage, so that
+// it seems to start again and again.
 func TestManySendersStayUnderTheBudgetOfAColdReturn(t *testing.T) {
 	const capacity, traffic = 80.0, 45.0
 	for _, c := range []struct {
 		name            string
 		tell, loseNotes bool
 		listing         Listing
-		passes          int // one call in so many passes in the outage, or none
+		passes          int // one call in this many passes in the outage; 0: none
 		endpoints       int
-		restarts        int // so many senders start anew within the outage
-		gone            int // so many are gone at the return
+		restarts        int // number of senders restarted during the outage
+		gone            int // number of senders stopped before the return
 	}{
 		{name: "notes, some calls pass", tell: true, passes: 10, endpoints: 1},
 		{name: "notes, rate listed", tell: true, listing: RateRough, passes: 10, endpoints: 1},
@@ -153,82 +153,83 @@
 			set := testSettings()
 			set.Senders, set.MayTell, set.Listing = 400, c.tell, c.listing
 			f := newFleet(set, c.endpoints, traffic)
-			well := func() Outcome { return Delivered }
-			f.run(8*time.Second, traffic, c.loseNotes, well)
+			healthy := func() Outcome { return Delivered }
+			f.run(8*time.Second, traffic, c.loseNotes, healthy)
 			calls := 0
-			ill := func() Outcome {
+			failing := func() Outcome {
 				if calls++; c.passes > 0 && calls%c.passes == 0 {
 					return Delivered
 				}
 				return Failed
 			}
-			f.run(6*time.Second, traffic, c.loseNotes, ill)
+			f.run(6*time.Second, traffic, c.loseNotes, failing)
 			for i := range c.restarts {
 				f.restart(i, c.endpoints, traffic)
 				f.aware[i] = false
 			}
 			f.out = slices.DeleteFunc(f.out, func(o flight) bool { return o.sender < c.restarts })
-			f.run(6*time.Second, traffic, c.loseNotes, ill)
+			f.run(6*time.Second, traffic, c.loseNotes, failing)
 			left := len(f.senders) - c.gone
 			f.senders = f.senders[:left]
 			f.out = slices.DeleteFunc(f.out, func(o flight) bool { return o.sender >= left })
 			f.notes, f.by = nil, nil
 			back := f.now
-			f.run(6*time.Second, traffic, c.loseNotes, well)
+			f.run(6*time.Second, traffic, c.loseNotes, healthy)
 			share := f.most(back, capacity)
-			t.Logf("%.2f of the budget; %d calls of %d by who saw failures, id %d, calls %d", share, len(f.sent), len(f.out), f.nextID, calls)
+			t.Logf("%.2f of the budget; %d calls by senders that saw failures, %d in flight, last message %d, %d calls in the outage", share, len(f.sent), len(f.out), f.nextID, calls)
 			if share > 1 {
 				t.Errorf("sent %.2f times the budget of a cold destination", share)
 			}
 			if share < 0.05 {
-				t.Errorf("sent %.2f of the budget: it does not reopen", share)
+				t.Errorf("sent %.2f of the budget: traffic does not resume", share)
 			}
 		})
 	}
 }
 
-// Senders that saw one failure each must not be let go by a note on something else.
+// One error without notes is an outage, and a note on another endpoint must not end it.
 func TestOneErrorWithoutNotesIsAnOutage(t *testing.T) {
-	b := with(t, toldSettings(), 0, 1, 0)
+	b := with(t, noteSettings(), 0, 1, 0)
 	b.arrive(1)
 	if n := count[Tell](b.finish(Failed, 0)); n != 0 {
-		t.Errorf("%d notes of an outage after one error", n)
+		t.Errorf("%d notes about an outage after one error", n)
 	}
 	e := b.path().endpoints[0]
 	if !e.out {
-		t.Fatal("an error where nothing ever passed, with no notes, is not taken for an outage")
+		t.Fatal("an error without any earlier success or notes is not treated as an outage")
 	}
 	b.step(Told{Tag: 1<<TagBits - 1, News: Down})
 	if b.wait(backoffBase); len(b.sent) != 0 {
-		t.Error("a note on something else let it go")
+		t.Error("a note on another endpoint ended the outage")
 	}
-	c := with(t, toldSettings(), 0, 1, 0)
+	c := with(t, noteSettings(), 0, 1, 0)
 	c.arrive(1)
 	c.finish(Delivered, 0)
 	c.arrive(1)
 	c.finish(Failed, 0)
 	if c.path().endpoints[0].out {
-		t.Error("one error right after a success is taken for an outage")
+		t.Error("one error right after a success is treated as an outage")
 	}
 }
 
-// Where notes are lost, all who told of an outage would lead and try each fall window.
-func TestTrialsWithoutNotesAreBounded(t *testing.T) {
-	b := with(t, toldSettings(), 0, 1, 0)
+// If notes are lost, every sender that announced an outage would lead and make a trial each
+// fall window.
+func TestTrialsWithoutNotesAreLimited(t *testing.T) {
+	b := with(t, noteSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	e.out, e.lead, e.troubled, b.s.now = true, true, b.now-10*time.Second, b.now
 	if gap := b.s.trialGap(e); gap < 2*b.s.set.FallWindow {
-		t.Errorf("tries again after %v though nobody is heard", gap)
+		t.Errorf("next trial after %v although no notes are received", gap)
 	}
 	b.step(Told{Tag: 1<<TagBits - 1, News: Jam})
 	if gap := b.s.trialGap(e); gap > 2*b.s.set.FallWindow {
-		t.Errorf("tries again after %v though it leads", gap)
+		t.Errorf("next trial after %v although it leads", gap)
 	}
 }
 
-// A call that passes in an outage must not make it look short: see h534eb0.
-func TestOutageCountsFromTheFirstTrouble(t *testing.T) {
-	b := with(t, toldSettings(), 0, 1, 0)
+// A call that passes during an outage must not restart the time since its first failure (h534eb0).
+func TestOutageCountsFromTheFirstFailure(t *testing.T) {
+	b := with(t, noteSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	start := b.now
 	for _, news := range []News{Down, BackCold, Down, BackCold} {
@@ -236,16 +237,16 @@
 		b.now += 4 * time.Second
 	}
 	if e.troubled != start {
-		t.Errorf("counts from %v after the first trouble", e.troubled-start)
+		t.Errorf("counts from %v after the first failure", e.troubled-start)
 	}
 	b.s.now = b.now
 	if short, long := b.s.coldBudget(e, 1), testSettings().FallWindow; short > coldMargin*2*long.Seconds()/12+1e-9 { // the longest deadline
-		t.Errorf("%.2f calls in a fall window after 16 s of trouble", short)
+		t.Errorf("%.2f calls per fall window after 16 s of failures", short)
 	}
 }
 
-// The best windows of many senders do not fall together, those of two nearly do.
-func TestOwnRatesSumToWhatPassed(t *testing.T) {
+// The peak windows of many senders do not coincide, those of two nearly do.
+func TestOwnRatesSumToTheAcceptedRate(t *testing.T) {
 	for _, c := range []struct {
 		senders, peak, passes int
 		most                  float64
@@ -257,31 +258,31 @@
 		p := b.path()
 		p.peak, p.passes = c.peak, c.passes
 		if mean, r := float64(c.passes)/60, b.s.ownRate(p); r < mean || r > c.most {
-			t.Errorf("%d senders, best of %d and %d in a minute: rate %.2f, want %.2f to %.2f",
+			t.Errorf("%d senders, peak %d and %d successes in a minute: rate %.2f, want %.2f to %.2f",
 				c.senders, c.peak, c.passes, r, mean, c.most)
 		}
 	}
 }
 
-// While notes are lost each of hundreds would tell all others of each outage.
-func TestNotesAreBoundedWhileNoneCome(t *testing.T) {
-	b := with(t, toldSettings(), 0, 1, 0)
+// While notes are lost, each of hundreds of senders would send notes to all others about each outage.
+func TestNotesAreLimitedWhileNoneAreReceived(t *testing.T) {
+	b := with(t, noteSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	b.s.now = b.now
 	if !b.s.tell(e, Down) {
-		t.Fatal("the first note is not told")
+		t.Fatal("the first note is not sent")
 	}
 	if b.s.tell(e, Down) {
-		t.Error("a second note at once though nobody is heard")
+		t.Error("a second note at once although no notes are received")
 	}
 	b.s.now += 400 * b.s.set.Tick
 	if !b.s.tell(e, Down) {
-		t.Error("no note after a tick for each sender")
+		t.Error("no note after one tick per sender")
 	}
 	b.step(Told{Tag: 1<<TagBits - 1, News: Jam})
 	for note := range 2 {
 		if !b.s.tell(e, Down) {
-			t.Errorf("note %d is held back though notes come", note)
+			t.Errorf("note %d is held back although notes are received", note)
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"dunetide/policy"
 )
 
-// A node hands in what it has seen and carries out what comes back.
+// A node passes in its observations and carries out the returned actions.
 func Example() {
 	s := policy.New(policy.Settings{
 		Senders: 1, Slots: 4, MaxHeld: 100, MaxAttempts: 5, Tick: 5 * time.Millisecond,
--- a/policy/fast_test.go
+++ b/policy/fast_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fastBench has a path with a listed rate of 5,000 calls a second.
+// fastBench has a path with a listed rate of 5,000 calls per second.
 func fastBench(t *testing.T) *bench {
 	t.Helper()
 	set := testSettings()
@@ -14,8 +14,8 @@
 	return with(t, set, 0, 1, 5000)
 }
 
-// passed tells how many of the messages that come at a rate are delivered within a time, where
-// each call is answered after two ticks, every so manieth as full.
+// passed returns how many of the messages that arrive at a rate are delivered within a time. Each
+// call is answered after two ticks, every fullEach-th one with Full (none if fullEach is 0).
 func (b *bench) passed(rate float64, d time.Duration, fullEach int) int {
 	type out struct {
 		at Time
@@ -50,17 +50,17 @@
 	return n
 }
 
-// A path is not bound to one call a step.
+// A path is not limited to one call per step.
 func TestSeveralCallsPerStep(t *testing.T) {
 	for _, rate := range []float64{100, 1000, 4500} {
 		if n := fastBench(t).passed(rate, 4*time.Second, 0); float64(n) < 0.97*4*rate {
-			t.Errorf("%d of %v a second for 4 s", n, rate)
+			t.Errorf("%d delivered of %v per second for 4 s", n, rate)
 		}
 	}
 }
 
-// They come to no more than the slice in any of its windows, nor much more in part of one.
-func TestManyCallsAStepKeepTheSlice(t *testing.T) {
+// Several calls per step must not exceed the slice in a window, nor bunch up much within it.
+func TestManyCallsPerStepKeepTheSlice(t *testing.T) {
 	b := fastBench(t)
 	b.passed(9000, 4*time.Second, 0)
 	if n := b.path().narrow.Count(b.now); float64(n) > math.Ceil(b.path().slice) || b.path().slice > 1.01*5000*narrowWindow.Seconds() {
@@ -73,30 +73,30 @@
 		}
 	}
 	if most := 5000 / spread * part.Seconds(); float64(n) > most {
-		t.Errorf("%d calls in %v, at most %v keep the slice spread", n, part, most)
+		t.Errorf("%d calls in %v, want at most %v for an evenly used slice", n, part, most)
 	}
 }
 
-// A full among many successes costs what it proves; where many are, the logs close.
+// An isolated Full among many successes costs little; many of them close the path.
 func TestSingleRefusalAmongManySuccesses(t *testing.T) {
 	for _, rate := range []float64{300, 1000, 4000} {
 		if n := fastBench(t).passed(rate, 8*time.Second, 100); float64(n) < 0.95*8*rate {
-			t.Errorf("%d of %v a second for 8 s, with one refused in 100", n, rate)
+			t.Errorf("%d delivered of %v per second for 8 s, with one Full in 100 calls", n, rate)
 		}
 	}
 	b := fastBench(t)
 	b.passed(1000, 4*time.Second, 100)
 	if n := b.passed(1000, 4*time.Second, 4); n > 2000 {
-		t.Errorf("%d calls in 4 s with one refused in four: the logs do not close", n)
+		t.Errorf("%d calls in 4 s with one Full in four calls: the path is not closed", n)
 	}
 }
 
-// Two failures in a row among hundreds of calls that are out together are no outage: the path goes
-// on. Where most calls fail, or nothing comes for longer than an answer takes, it is one.
+// Two consecutive failures among hundreds of calls in flight together are no outage. If most calls
+// fail, or there is no success for longer than a response takes, it is one.
 func TestTwoFailuresAmongMany(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fails func(n int) bool // of the calls as they end, from 0
+		fails func(n int) bool // whether the nth call to end fails, counted from 0
 		cold  bool
 	}{
 		{"none", func(int) bool { return false }, false},
@@ -117,7 +117,7 @@
 		var outs []out
 		next, ended, cold := MessageID(1), 0, false
 		for now := start; now < start+14*time.Second; now += 5 * time.Millisecond {
-			for range 5 { // 1,000 a second
+			for range 5 { // 1,000 per second
 				events = append(events, Arrived{Message: next, GiveUpAt: now + 8*time.Second})
 				next++
 			}
--- a/policy/forget_test.go
+++ b/policy/forget_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Endpoints that come and go leave nothing behind, once nothing of them counts any more.
+// The state of removed endpoints must be dropped once it no longer matters: it would grow
+// without bound otherwise.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	set := testSettings()
 	b := with(t, set, 0, 1, 10)
@@ -24,16 +25,16 @@
 	most := int(keep/time.Second) + 2
 	s := b.s
 	if n := len(s.endpoints); n > most || len(s.tags) != n || len(s.dests) > n || len(s.ordered) != len(s.dests) {
-		t.Errorf("%d endpoints, %d tags, %d and %d destinations, want %d at the most", n, len(s.tags), len(s.dests), len(s.ordered), most)
+		t.Errorf("%d endpoints, %d tags, %d and %d destinations, want %d at most", n, len(s.tags), len(s.dests), len(s.ordered), most)
 	}
 	b.now += keep
 	b.step(Listed{})
 	if len(s.endpoints) != 1 || len(s.dests) != 1 || s.dests[0] == nil {
-		t.Errorf("%d endpoints and %d destinations in the end, want the first of each", len(s.endpoints), len(s.dests))
+		t.Errorf("%d endpoints and %d destinations at the end, want only the first of each", len(s.endpoints), len(s.dests))
 	}
 }
 
-// Destinations that are named by messages alone go with these.
+// Destinations known only from messages are dropped with the messages.
 func TestUnknownDestinationsAreForgotten(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 10)
 	for i := range 1000 {
@@ -46,9 +47,9 @@
 	}
 }
 
-// An endpoint with a call out, or of which a message may still know, is not forgotten: its
-// calls count for the limit, and one that failed comes back as out.
-func TestWhatStillCountsIsKept(t *testing.T) {
+// The state of a removed endpoint is kept while a call is in flight or it was removed recently:
+// its calls count against the limit, and one that failed returns as down.
+func TestRelevantEndpointStateIsKept(t *testing.T) {
 	set := testSettings()
 	b := with(t, set, 0, 1, 10)
 	b.arrive(0)
@@ -57,14 +58,14 @@
 	b.now += time.Hour
 	b.step(Listed{})
 	if b.s.endpoints[1] == nil {
-		t.Fatal("forgotten with a call out")
+		t.Fatal("forgotten with a call in flight")
 	}
 	b.finish(Unreachable, 0)
 	b.now += time.Hour
-	b.step(gone) // told once more
+	b.step(gone) // listed as gone again
 	b.step(Listed{})
 	if b.s.endpoints[1] != nil {
-		t.Error("known still, long after")
+		t.Error("not forgotten long after its removal")
 	}
 
 	b = with(t, set, 0, 1, 10)
@@ -74,6 +75,6 @@
 	b.now += time.Second
 	b.step(Listed{Entries: []Entry{{Endpoint: 1, State: Ready}}})
 	if e := b.s.endpoints[1]; e == nil || !e.out {
-		t.Error("an endpoint that failed, was gone and is back at once counts as sound")
+		t.Error("an endpoint that failed, was gone and returned soon is treated as healthy")
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// The staff's order holds against the list, for what waits and for retries, and ends
-// with one call back, after which the endpoint is cold.
-func TestOrderHoldsAgainstTheList(t *testing.T) {
+// An operator's order to take an endpoint out overrides the list, for waiting messages and retries.
+// One opposite order ends it, and the endpoint is cold then.
+func TestOperatorOrderOverridesTheList(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	b.arrive(1)
 	b.step(Ordered{Endpoint: 1, Out: true}, Ordered{Endpoint: 1, Out: true})
-	b.finish(Failed, 0) // its retry is due soon
+	b.finish(Failed, 0) // its retry would be due soon
 	b.arrive(1)
 	for range 20 {
 		b.wait(100 * time.Millisecond)
@@ -22,23 +22,23 @@
 		b.step(Listed{Entries: []Entry{{Endpoint: 1, State: Ready}}})
 	}
 	if len(b.sent) > 0 {
-		t.Fatalf("%d calls to an endpoint that the staff took out", len(b.sent))
+		t.Fatalf("%d calls to an endpoint that an operator took out", len(b.sent))
 	}
 	b.step(Ordered{Endpoint: 1})
 	if !e.warming || e.warmFrom != b.now || e.out || len(b.sent) != 1 {
-		t.Errorf("called back: warming %v from %v, out %v, %d calls; want it cold, with one", e.warming, e.warmFrom, e.out, len(b.sent))
+		t.Errorf("back in service: warming %v from %v, down %v, %d calls; want it cold, with one call", e.warming, e.warmFrom, e.out, len(b.sent))
 	}
 	warm := e.warmFrom
 	b.wait(time.Second)
 	b.step(Ordered{Endpoint: 1})
 	if e.warmFrom != warm {
-		t.Error("a call back that changes nothing made it cold again")
+		t.Error("a repeated order made it cold again")
 	}
 }
 
-// Who takes over counts the calls that were sent, heeds the waits, and holds the slots
-// of calls that are out until it hears how they ended.
-func TestMemoryGoesOnInAnotherSender(t *testing.T) {
+// A process that takes over counts the calls already sent, honors requested waits, and keeps
+// slots for calls in flight until it learns how they ended.
+func TestMemoryIsRestoredInAnotherSender(t *testing.T) {
 	set := testSettings()
 	set.Slots = 3
 	b := with(t, set, 0, 2, 0)
@@ -60,15 +60,15 @@
 	next.id = 200
 	next.step(events...)
 	if got := next.s.Memory(); !reflect.DeepEqual(got, memory) {
-		t.Errorf("it knows\n%+v, want\n%+v", got, memory)
+		t.Errorf("restored memory\n%+v, want\n%+v", got, memory)
 	}
 	if next.s.inFlight != 1 || len(next.s.endpoints[2].calls) != 1 || len(next.sent) != 0 {
-		t.Errorf("%d slots held by %d calls, %d sent; want the one call that is out", next.s.inFlight, len(next.s.endpoints[2].calls), len(next.sent))
+		t.Errorf("%d slots in use by %d calls, %d sent; want the one call in flight", next.s.inFlight, len(next.s.endpoints[2].calls), len(next.sent))
 	}
 	next.arrive(1)
 	for next.now < told {
 		if len(next.sent) > 0 {
-			t.Fatal("a call went out within the wait that the process before was told")
+			t.Fatal("a call was sent during the wait that the previous process was asked for")
 		}
 		next.wait(20 * time.Millisecond)
 	}
@@ -81,6 +81,6 @@
 		}
 	}
 	if len(next.sent) == 0 || next.s.messages[100] != nil {
-		t.Errorf("%d calls after the wait; message 100 is %+v, want it gone", len(next.sent), next.s.messages[100])
+		t.Errorf("%d calls after the wait; message 100 is %+v, want it removed", len(next.sent), next.s.messages[100])
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,4 +1,4 @@
-// This file judges the health of endpoints: outages, trials, cold returns.
+// This file tracks the health of endpoints: outages, trials and cold returns.
 
 package policy
 
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stalled finds a hanging endpoint without waiting for time-outs, by a call
-// that is out for long with no success since. One late answer ends it.
+// stalled detects a hanging endpoint before its calls time out: a call has been in flight
+// for long, with no success since it was sent. One late response ends the state.
 func (s *Sender) stalled(e *endpoint) bool {
 	limit := stallFactor * max(1, s.pace) * float64(e.path.latency)
 	return slices.ContainsFunc(e.calls, func(c *call) bool {
@@ -17,8 +17,8 @@
 	})
 }
 
-// timeout is long enough not to throw away an answer under way. It doubles
-// with each time-out in a row, since slow and silent look the same at first.
+// timeout returns a timeout that is long enough not to lose a response that is still coming. It
+// doubles with each consecutive timeout: a slow endpoint looks the same as a dead one at first.
 func (s *Sender) timeout(e *endpoint, m *message, size int) time.Duration {
 	dev := max(e.path.deviation, e.path.latency/4)
 	if e.path.passes == 0 {
@@ -35,22 +35,23 @@
 	first := max(minTimeout, min(maxFloor, floor), time.Duration(t))
 	d := min(first<<min(e.timeouts, 4), max(first, (m.class.Deadline-m.class.Aim)/4))
 	if m.class.Repeat == AtMostOnce {
-		// A time-out is its end: it can be neither resent nor refused. That no
-		// connection was made proves that it never ran, and must come first.
+		// A timeout ends the message: it can be neither resent nor refused. A failure to connect
+		// guarantees that it never ran, so ConnectTimeout must expire first.
 		d = 2*d + s.set.ConnectTimeout
 	}
 	return d
 }
 
-// roomForDoubt leaves the slots to endpoints that answer, however many hang.
-// While half of them lie idle doubt may have the rest: calls may get lost anywhere.
+// roomForDoubt reports whether a slot may go to a suspect endpoint. It keeps slots for endpoints
+// that answer, however many others hang. While half of the slots are idle, suspect endpoints may
+// use up to half of them, since calls may get lost anywhere.
 func (s *Sender) roomForDoubt() bool {
 	n := s.doubtful()
 	return n < max(1, s.set.Slots/doubtShare) || n < s.set.Slots/2 && s.inFlight <= s.set.Slots/2
 }
 
-// joined starts an endpoint that is added to a path which is out as out too: a
-// cold replacement must not get the whole queue of the outage; it is tried first.
+// joined marks an endpoint that is added to a path in an outage as down too: a cold
+// replacement must not get the whole backlog of the outage, but first one trial.
 func (s *Sender) joined(e *endpoint) {
 	out := false
 	for _, o := range e.path.endpoints {
@@ -62,7 +63,8 @@
 	e.out, e.since = out, s.now
 }
 
-// trialDue allows one spaced trial for each path: refused calls push it too.
+// trialDue reports whether the path may make a trial: one at a time, with gaps, since rejected
+// calls add load too.
 func (s *Sender) trialDue(e *endpoint) bool {
 	if s.now < e.path.nextTrial {
 		return false
@@ -70,26 +72,26 @@
 	return !slices.ContainsFunc(e.path.endpoints, func(o *endpoint) bool { return o.out && len(o.calls) > 0 })
 }
 
-// fitForTrial keeps messages that a failure would end out of early trials. Where the
-// last call was turned away or found no connection, the next would not end its message.
+// fitForTrial keeps AtMostOnce messages out of early trials, as a failure would end them. If the
+// last call was rejected or found no connection, the next failure likely doesn't run the call either.
 func (s *Sender) fitForTrial(m *message, e *endpoint) bool {
 	return e.harmless || m.class.Repeat != AtMostOnce || s.now-m.born > m.class.Deadline/2
 }
 
-// coldBudget is how many calls in a fall window a path may get from this sender
-// while it may be cold. All senders' budgets together must stay under what it falls
-// over at, and none knows what the others do. Each takes the larger of two parts:
-//   - of what it surely takes, the listed or the least rate, over the number of
-//     senders, or its own rate of old: these sum to what the path takes;
-//   - one call for the time in which messages gathered. On as many senders wait as
-//     messages came in it at most: one call each is the rate at which they came.
+// coldBudget returns how many calls per fall window this sender may make to a path that may
+// be cold. The budgets of all senders together must stay under the overload limit, without
+// knowledge of the other senders. Each takes the larger of two rates:
+//   - its part of the rate that the path certainly sustains (listed rate or leastRate, over the
+//     number of senders) or its own rate before the outage: these sum to the path's capacity;
+//   - one call per time in which messages accumulated. At most as many senders have messages as
+//     messages arrived in that time, so one call each is the rate at which they arrived.
 //
-// With x messages expected for each sender in that time, 1-exp(-x) of them hold any,
-// and their larger parts come to (1-exp(-x))(x+exp(-x))/x of the sum: 1 at most.
-// Who is new has no rate of old, and counts the time from its first failure. Beyond
-// the settings this assumes the least rate, that a path can take when warm what came
-// to it of old, and that senders get messages alike. It needs nothing of the others:
-// if they are gone, their parts are not used.
+// With x messages expected per sender in that time, 1-exp(-x) of the senders hold any, and
+// the larger rates of these add up to (1-exp(-x))(x+exp(-x))/x of the sum: 1 at most.
+// A new sender has no earlier rate, and counts the time from its first failure. Beyond the
+// settings this assumes leastRate, that a warm path sustains its earlier traffic, and that
+// messages are spread evenly over senders. It doesn't depend on the other senders: if they
+// are gone, their parts stay unused.
 func (s *Sender) coldBudget(e *endpoint, warmth float64) float64 {
 	sure := max(e.path.sureRate, leastRate/float64(s.set.Senders))
 	gathered := min(s.longest, max(s.set.FallWindow, s.now-e.troubled)).Seconds()
@@ -97,9 +99,9 @@
 	return bears * max(sure, s.ownRate(e.path), 1/gathered)
 }
 
-// coldRoom tells whether an endpoint that may be cold may be sent a call: its part
-// of the budget by the most endpoints there ever were, for it may be back alone. The
-// budget is kept as one call in so long a time, so there is nothing to round up.
+// coldRoom reports whether an endpoint that may be cold may be sent a call. Its budget is the
+// path's divided by the highest number of endpoints so far, as it may be the only one back. The
+// budget is enforced as one call per interval, so no fraction of a call has to be rounded up.
 func (s *Sender) coldRoom(e *endpoint) bool {
 	from := s.now
 	if e.warming {
@@ -107,7 +109,7 @@
 	}
 	b := s.coldBudget(e, s.warmth(from)) / float64(e.path.most)
 	if b <= 0 {
-		return true // the settings tell of no such rule
+		return true // the settings define no overload limit
 	}
 	part := 1 / b
 	if b < 1 {
@@ -117,43 +119,43 @@
 	return e.cold.Count(s.now) < 1
 }
 
-// doubted tells that one error is taken for an outage: what passed before is too
-// old to tell, and without notes nobody else tells. The next call may be one of
-// hundreds by senders that saw one failure each; where its part is a call, it may.
+// doubted reports whether a single error counts as an outage: the last success is too old to
+// contradict it, no notes arrive that could, and the cold budget is under one call. The next
+// call could otherwise be one of hundreds, by senders that saw one failure each.
 func (s *Sender) doubted(e *endpoint) bool {
 	old := s.now-e.lastOK >= outageFalls*s.set.FallWindow
 	return e.broken && old && !s.notesCome() && s.coldBudget(e, s.warmth(s.now)) < 1
 }
 
-// mayTell bounds notes while none come: all senders together tell one a tick then.
-// Each note goes to all, and in an outage hundreds would tell what is lost anyway.
+// mayTell reports whether a note may be sent. While none are received, all senders together send
+// one per tick: each note goes to all, and in an outage hundreds would send notes that are lost anyway.
 func (s *Sender) mayTell() bool {
 	alone := s.now - s.toldAt
 	return s.set.MayTell && (s.notesCome() || alone >= time.Duration(s.set.Senders)*s.set.Tick)
 }
 
-// trialGap spaces the trials of one sender: by the fall window for a lead, by its
-// part of the cold budget of all endpoints for others.
+// trialGap returns the time between trials of this sender: about a fall window if it leads,
+// otherwise by its part of the cold budget.
 func (s *Sender) trialGap(e *endpoint) time.Duration {
 	gap := s.set.FallWindow + s.jitter(s.set.FallWindow/2)
 	if e.harmless {
-		gap /= harmlessPace // it ends no message and holds no slot for long
+		gap /= harmlessPace // such a trial ends no message and holds no slot for long
 	}
 	if b := s.coldBudget(e, s.warmth(s.now)); b > 0 && !(e.lead && s.notesCome()) {
 		part := time.Duration(float64(s.set.FallWindow) * s.drawPhase() / b)
 		if e.score >= outScore && !e.broken && e.timeouts == 0 {
-			return part // resets alone: connections get lost, and a reset holds no slot
+			return part // only resets: connections get lost, and a reset holds no slot
 		}
 		back := func(o *endpoint) bool { return o.state == Ready && !o.out }
 		if slices.ContainsFunc(e.path.endpoints, back) {
-			return part // others of the destination serve: this one may be back as well
+			return part // others of the destination serve, so this one may be back too
 		}
 		gap = max(gap, part)
 	}
 	return gap
 }
 
-// judge takes the outcome of a call into the health of its endpoint.
+// judge updates the health of an endpoint with the outcome of a call.
 func (s *Sender) judge(e *endpoint, outcome Outcome, wait time.Duration, c *call, took time.Duration) {
 	p := e.path
 	weight := 0.0
@@ -166,7 +168,7 @@
 		if e.fullRun >= shutRun || wait > narrowWindow {
 			weight = 1
 			if p.beforeRun > 0 && !e.out && wait > narrowWindow {
-				s.resize(p, p.beforeRun) // shut: its refusals told nothing of the limit
+				s.resize(p, p.beforeRun) // an outage: its rejections say nothing about the limit
 			}
 		}
 	default:
@@ -174,7 +176,7 @@
 	}
 	if outcome == TimedOut {
 		e.timeouts++
-		s.out = append(s.out, CloseIdle{Endpoint: e.id}) // what was silent may be the connection alone
+		s.out = append(s.out, CloseIdle{Endpoint: e.id}) // maybe only the connection is dead
 	}
 	if weight == 0 {
 		return
@@ -186,26 +188,26 @@
 	e.broken = e.broken || outcome != TimedOut && outcome != Reset
 	e.harmless = outcome == Unreachable || outcome == Full
 	if e.warming && c.sent >= e.warmFrom {
-		e.warmFrom = s.now // whatever failed was not back yet
+		e.warmFrom = s.now // it was not back yet: restart the warm-up
 	}
 	if sure := e.score >= outScore; !e.out && (sure || s.doubted(e)) {
 		e.lead = sure && s.tell(e, Down)
 		e.out, e.since = true, s.now
 		s.verdict(e, Down)
 		p.nextTrial = s.now
-		if outcome != Reset { // after a reset the next connection tells more
+		if outcome != Reset { // after a reset, try a new connection at once
 			p.nextTrial += s.trialGap(e)
 		}
 	}
 }
 
-// weights are what a failure adds to the failure score.
+// weights are the increments of the failure score by outcome.
 var weights = map[Outcome]float64{Failed: errorWeight, Unreachable: outScore, Reset: resetWeight,
 	TimedOut: timeoutWeight}
 
-// recall judges what an earlier life saw of an endpoint as that life did: what failed last is
-// out if that was an outage, so that a restored backlog waits for a trial, and what came back
-// from one less than a warm-up ago is cold. A lone failed answer is no outage.
+// recall rates the history of an endpoint from a previous run as that run did. If the last run of
+// failures was an outage and still lasts, the endpoint is down, so that a restored backlog waits for
+// a trial; if it ended less than a warm-up ago, it is cold. A single failed response is no outage.
 func (s *Sender) recall(e *endpoint, r Remembered) {
 	for _, run := range r.Runs {
 		score := 0.0
@@ -229,8 +231,9 @@
 	}
 }
 
-// heard takes in what another sender has seen; an own success of late weighs more.
-// Trials of an outage are left to who told it, but for rare ones: notes get lost.
+// heard applies a note of another sender, unless a recent success of this one contradicts it.
+// Trials of an outage are mostly left to the sender that announced it; this one makes rare
+// trials, since notes get lost.
 func (s *Sender) heard(n Told) {
 	e := s.tags[n.Tag]
 	s.heardAt = s.now
@@ -258,7 +261,7 @@
 func (s *Sender) wellDone(e *endpoint, took time.Duration) {
 	p := e.path
 	if e.out {
-		// A few lost calls between two answers are no outage.
+		// A few lost calls between two responses are no outage.
 		news, gap := Back, s.now-e.lastOK
 		together := !e.harmless && gap <= p.latency/2 && e.failing < failingShare
 		if e.broken && !together || gap >= outageFalls*s.set.FallWindow {
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// counted is a destination that takes a count of calls in each span of time; what it
-// refuses uses up to half of the next span too. What it tells of that is a quarter of a span old.
+// counted is a destination that accepts a fixed number of calls per period. Rejected calls use up
+// to half of the next period too. The limit that it reports is a quarter of a period old.
 type counted struct {
-	limit float64 // calls a second
+	limit float64 // calls per second
 	span  time.Duration
 	f     *fleet
 
@@ -41,9 +41,9 @@
 	return c.told
 }
 
-// play lets 80 senders share a limit that is halved for 9 s. It returns the share of the
-// halved limit that passed, the refusals for each call that passed meanwhile, and what
-// passed of the whole limit from 2 s after it was back on.
+// play lets 80 senders share a limit that is halved for 9 s. It returns the fraction of the
+// halved limit that passed, the rejections per call that passed meanwhile, and the fraction
+// of the full limit that passed from 2 s after it was restored.
 func play(reports bool) (used, refused, after float64) {
 	const limit, traffic = 46.0, 32.0
 	set := testSettings()
@@ -68,19 +68,19 @@
 	return p / (8 * limit / 2), r / p, q / (6 * limit)
 }
 
-// A sender of many meets a destination seldom: from its own refusals alone it learns of a
-// lowered limit, and of one that is back, after many seconds.
+// One of many senders calls a destination seldom: from its own rejections alone it would take many
+// seconds to detect that a limit was lowered or restored.
 func TestManySendersFollowALoweredLimit(t *testing.T) {
 	used, refused, after := play(true)
 	blind, blindRefused, blindAfter := play(false)
-	t.Logf("told of the limit: %.2f of it used, %.2f refused for each call that passed, %.2f after; not told: %.2f, %.2f, %.2f",
+	t.Logf("limit reported: %.2f of it used, %.2f rejections per call that passed, %.2f used after; not reported: %.2f, %.2f, %.2f",
 		used, refused, after, blind, blindRefused, blindAfter)
 	if refused > blindRefused/2 || used < blind {
-		t.Error("what answers tell of the limit spares no refusals")
+		t.Error("limits reported in responses do not reduce rejections")
 	}
 }
 
-func TestSliceFollowsTheToldLimit(t *testing.T) {
+func TestSliceFollowsTheReportedLimit(t *testing.T) {
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 4
 	b := with(t, set, 0, 1, 40) // a slice of 20 calls in 2 s
@@ -88,7 +88,7 @@
 		t.Helper()
 		b.arrive(0)
 		if len(b.sent) == 0 {
-			t.Fatal("nothing was sent")
+			t.Fatal("no call was sent")
 		}
 		s := b.sent[0]
 		b.sent = nil
@@ -103,11 +103,11 @@
 		told    Allowance
 		want    float64
 	}{
-		{"nothing told", Delivered, Allowance{}, 20},
+		{"no limit reported", Delivered, Allowance{}, 20},
 		{"the limit is halved", Delivered, Allowance{Limit: 20, Left: 0.3}, 10},
-		{"the limit is back", Delivered, Allowance{Limit: 40, Left: 0.3}, 20},
-		{"a full", Full, Allowance{Limit: 40}, 20 * sliceCut},
-		{"no limit at all", Delivered, Allowance{Limit: 1e-300}, 0.25},
+		{"the limit is restored", Delivered, Allowance{Limit: 40, Left: 0.3}, 20},
+		{"a Full", Full, Allowance{Limit: 40}, 20 * sliceCut},
+		{"a limit of nearly 0", Delivered, Allowance{Limit: 1e-300}, 0.25},
 	} {
 		if got := answer(c.outcome, c.told); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%s: slice %v, want %v", c.what, got, c.want)
@@ -115,8 +115,8 @@
 	}
 }
 
-// What one sender may send beyond an even part of the limit is room that others leave. It
-// grows while the answers tell of much room, and is given back while they tell of little.
+// What a sender sends beyond an even part of the limit is capacity that others leave unused. Its
+// slice grows while responses report much unused capacity, and shrinks while they report little.
 func TestBorrowedCapacityIsReturned(t *testing.T) {
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 4
@@ -137,21 +137,21 @@
 		return b.path().slice
 	}
 	if got := pass(0.5, 5); got != 2 {
-		t.Errorf("slice %v while the limit is used up, want an even one of 2", got)
+		t.Errorf("slice %v while the limit is used up, want the even one of 2", got)
 	}
 	high := pass(0.9, 2)
 	if high < 3.5 {
-		t.Errorf("slice %v after two answers that tell of much room, want nearly twice the even one", high)
+		t.Errorf("slice %v after two responses with much unused capacity, want nearly twice the even one", high)
 	}
 	if got := pass(0, 4); got != 2 {
-		t.Errorf("slice %v after four answers that tell of no room, from %v; want the even one of 2", got, high)
+		t.Errorf("slice %v after four responses without unused capacity, from %v; want the even one of 2", got, high)
 	}
 
-	// At the start of a span nearly all is left, even where it is used up long before its end.
+	// At the start of a period nearly all is unused, even if it is used up long before its end.
 	for range 6 {
 		pass(0.9, 1)
 		if got := pass(0, 1); got > 2.6 {
-			t.Fatalf("slice %v while answers tell of much room and of none in turn, want about the even one of 2", got)
+			t.Fatalf("slice %v while responses alternate between much unused capacity and none, want about the even one of 2", got)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,6 @@
-// This file and those beside it hold every decision of the sender. Read policy/api.go first: it has
-// the settings, events and actions. Then this file: the constants with their reasons, and the step. Then
-// admission.go (two sliding windows), choice.go, health.go, answers.go and share.go.
+// All decisions of the sender are in this file (constants with their reasons, and Step), admission.go
+// (rate limits by two sliding windows), choice.go, health.go, answers.go and share.go. Read api.go first:
+// it has the settings, events and actions.
 
 package policy
 
@@ -10,116 +10,117 @@
 )
 
 const (
-	// The two windows. One destination gets a few calls a second: the narrow one must
-	// span seconds; the wide one remembers what a slice let through before a cut.
+	// The two windows. A destination gets a few calls per second, so the narrow one must
+	// span seconds. The wide one still counts the calls that a slice allowed before a cut.
 	narrowWindow = 2 * time.Second
 	wideWindow   = 12 * time.Second
 
-	// A success under a slice that binds in either window adds this much of a call to it, a full
-	// takes this share away. A refusal costs little, unused room costs the
-	// messages that wait, so growth is quick and the cut mild.
+	// A success while the slice is the limiting factor in either window adds sliceGrowth calls to it;
+	// a Full multiplies it by sliceCut. A rejection costs little, while unused capacity delays
+	// waiting messages, so growth is fast and the cut is mild.
 	sliceGrowth = 0.25
 	sliceCut    = 0.85
-	// Small slices grow by this share at most: many senders with a small slice
-	// each would otherwise outgrow the limit together between two refusals.
+	// Small slices grow by at most this fraction: many senders with a small slice
+	// each would otherwise exceed the limit together between two rejections.
 	growthShare = 0.12
-	// Where answers tell of the room that is left, a slice moves by what is over or under
-	// this: half is left in the mean of a span that is just used up at its end.
+	// If responses report the unused fraction of the limit, a slice changes by its excess over
+	// this: a limit that is just used up at the end of a period is half unused on average over it.
 	evenRoom = 0.5
-	roomGain = 0.3 // of its moving average
-	// A full right after a full, no success between, cuts deeper: the destination
-	// is jammed, and where refused calls use up the limit it stays so.
+	roomGain = 0.3 // gain of the moving average of the unused fraction
+	// A Full directly after a Full, without a success between, cuts deeper: the destination
+	// is jammed, and stays jammed if rejected calls count against the limit.
 	jamCut = 0.75
-	// Calls under a binding slice keep this part of an even gap: a window's
-	// calls at once are refused by a destination that takes them at a rate.
+	// Calls under a slice keep this fraction of an even gap: a destination that limits
+	// the rate rejects a burst of all the calls of a window.
 	spread = 0.8
-	// Where a gap is shorter than a step, the calls of so many steps may go together: one call
-	// in each step would be all that a path ever gets.
+	// If a gap is shorter than a step, the calls of up to this many steps may be sent together:
+	// otherwise a path would get at most one call per step.
 	spreadTicks = 4
-	// So many fulls take a slice of one call to one for all senders; so many
-	// successes undo one full. Few outcomes are seen, so each counts for more.
+	// smallCuts Fulls reduce a slice of one call to one call for all senders; smallGrowth
+	// successes undo one Full. Such slices see few outcomes, so each counts for more.
 	smallCuts     = 3
 	smallGrowth   = 3
-	stretchSpread = 0.5 // such windows differ by up to this share of their length
+	stretchSpread = 0.5 // such windows vary by up to this fraction of their length
 
-	// A full that tells no wait closes the logs, for twice as long with each in turn.
+	// A Full without a requested wait closes the path, for twice as long with each consecutive one.
 	fullPause    = 200 * time.Millisecond
 	maxFullPause = 2 * time.Second
-	// A full where less than one call in so many is refused of late closes the logs for one
-	// call's time, if the pause would cost so many calls: a lone full costs what it proves.
+	// If fewer than 1 in loneAfter recent calls were rejected, a Full closes the path only for the
+	// interval of one call, provided that the usual pause would cost loneCost calls or more: an
+	// isolated Full shows only that one call was too many.
 	loneAfter   = 20
 	loneCost    = 10
-	refusedGain = 1.0 / 64 // of the refused share's moving average: some times loneAfter
-	// All senders hear a wait's end in the same instant: each adds up to this.
+	refusedGain = 1.0 / 64 // gain of the moving average of rejections; spans several times loneAfter
+	// Waits of all senders end at the same moment: each adds up to this, to avoid a thundering herd.
 	waitJitter = 250 * time.Millisecond
-	shutRun    = 3 // a told wait over a window, or so many refusals in turn: it is shut
+	shutRun    = 3 // so many consecutive Fulls, or a requested wait over a window: an outage
 
-	latencyGain  = 0.2 // of the latency's moving average
+	latencyGain  = 0.2 // gain of the moving average of latency
 	baselineGain = 0.02
-	firstLatency = 500 * time.Millisecond // before anything was seen
-	// A call unanswered for so many latencies stalls its endpoint: see stalled.
+	firstLatency = 500 * time.Millisecond // estimate before the first response
+	// An endpoint with a call unanswered for this many latencies is stalled: see stalled.
 	stallFactor = 4
 	minStall    = 500 * time.Millisecond
-	doubtShare  = 4 // one in so many slots, and at least one, may be held by calls in doubt
-	// The time-out is the latency and so many deviations, twice that while half
-	// of the slots are idle: an answer that comes too late was made in vain.
+	doubtShare  = 4 // 1 in doubtShare slots, and at least one, may hold calls to suspect endpoints
+	// The timeout is the latency plus this many deviations, and twice that while half of
+	// the slots are idle: the work for a response that arrives too late is wasted.
 	timeoutDeviations = 5
-	// It is no less than so many usual latencies: a lost call holds its slot for as long.
+	// It is at least this many mean latencies, up to maxFloor: a lost call holds its slot that long.
 	usualTimeout = 8
 	minTimeout   = 600 * time.Millisecond
 	maxFloor     = 1600 * time.Millisecond
-	gatherShare  = 0.25 // so much of its aim, less half a latency, a message waits for others
-	itemWork     = 0.2  // what each further message in a call is taken to add to its time
-	// Slower than its baseline by this, when the others are not, a destination
-	// gets a small part of the slots.
+	gatherShare  = 0.25 // a message waits for others to bundle for this fraction of Aim, less half a latency
+	itemWork     = 0.2  // assumed relative increase in latency for each further message in a call
+	// A destination that is slower than its baseline by this factor, while the others are
+	// not, gets a small part of the slots.
 	slowFactor = 3
 
-	// Failure score: a failure moves it towards 1, a success shrinks it; from outScore
-	// on the endpoint is out. Two errors in a row do that, a refused connection at once.
-	// Calls and connections get lost: silence and resets are judged slower, and few
-	// resets cast no doubt. Who is gone refuses the next.
+	// Failure score: a failure moves it towards 1, a success shrinks it. From outScore on the
+	// endpoint is down: after two consecutive errors, or one refused connection. Timeouts and
+	// resets weigh less, since single calls and connections get lost, and a few resets don't
+	// make an endpoint suspect: one that is down refuses the next connection.
 	outScore      = 0.5
 	suspectScore  = 0.4
 	errorWeight   = 0.35
 	timeoutWeight = 0.25
 	resetWeight   = 0.2
 	successShrink = 0.6
-	// Errors between two successes that are less than half a latency apart were out together with
-	// those: no outage, unless as many of the last calls failed as in the mildest outage of errors.
-	failingGain  = 1.0 / 16 // of the failed share's moving average: some calls of one latency
+	// Errors between two successes less than half a latency apart were in flight together with
+	// them: no outage, unless the recent failure rate is that of the mildest outage with errors.
+	failingGain  = 1.0 / 16 // gain of the moving average of failures; spans a few calls of one latency
 	failingShare = 0.3
 
-	harmlessPace = 4 // trials come so many times as often where the last failure did no harm
+	harmlessPace = 4 // trials are this many times as frequent if the last failure did not run the call
 
-	outageFalls = 2 // silence or resets for under so many fall windows are lost calls
-	// The rest is for calls in flight at the return, and who saw nothing of the outage.
+	outageFalls = 2 // timeouts or resets for less than this many fall windows count as lost calls
+	// The rest is left for calls in flight at the return and for senders that did not see the outage.
 	coldMargin     = 0.85
-	peakDeviations = 2 // the best window of a day is about so many over the mean,
-	fewPasses      = 2 // and more than that of fewer passes in the mean than these
-	// Any destination is taken to bear so many calls a second from all senders when
-	// warm. The settings don't tell; with less small ones would hardly be tried.
+	peakDeviations = 2 // the peak window is about this many standard deviations over the mean,
+	fewPasses      = 2 // and more if the mean is below this many successes
+	// Every destination is assumed to sustain this many calls per second from all senders when
+	// warm. No setting gives it; with a lower value small destinations would hardly be tried.
 	leastRate = 6
-	roughOver = 1.5 // a rough rate is up to half over the true one
+	roughOver = 1.5 // a rough rate is up to 50% over the true one
 
-	backoffBase = 200 * time.Millisecond // between attempts at one message, doubled each time
+	backoffBase = 200 * time.Millisecond // between attempts of a message, doubled each time
 	backoffMax  = 4 * time.Second
 
-	// The hold makes room when so little of it is left, by ending messages
-	// that are likely to earn less than this share of their worth.
+	// Load shedding starts when less than holdReserve of MaxHeld is free. It ends messages
+	// that are likely to earn less than shedBelow of their worth.
 	holdReserve = 0.15
 	shedBelow   = 0.9
 
-	lookAgain = 20 * time.Millisecond // while messages wait for room the sender looks again this often
+	lookAgain = 20 * time.Millisecond // interval of steps while messages wait for capacity
 )
 
-// Step takes in the events seen since the last step, decides, and appends the
-// actions to take now. Times must not go back.
+// Step processes the events since the last step, and appends the actions to take
+// now to actions. Times must not decrease.
 func (s *Sender) Step(now Time, events []Event, actions []Action) []Action {
 	s.now, s.out = now, actions
 	if s.started == 0 {
 		s.started = now
 	}
-	hearsay := len(events) > 0 // notes alone make no room: what waits has its wake
+	hearsay := len(events) > 0 // notes alone free no capacity: waiting messages have a wake
 	for _, e := range events {
 		_, note := e.(Told)
 		hearsay = hearsay && note
@@ -159,8 +160,8 @@
 	return actions
 }
 
-// wake arms the next look: soon while messages wait for room, else when the
-// next answer falls due.
+// wake requests the next wake: in lookAgain while messages wait for capacity, else
+// when the next answer is due.
 func (s *Sender) wake() {
 	next := Time(math.MaxInt64)
 	if len(s.share.grows) > 0 {
@@ -181,5 +182,3 @@
 		s.out = append(s.out, Wake{At: next})
 	}
 }
-
-// The share of one process of a node
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -9,16 +9,16 @@
 	"dunetide/internal/platform/sendlog"
 )
 
-// bench drives one sender by hand; calls end when a test says so.
+// bench drives one sender step by step; calls end when the test ends them.
 type bench struct {
 	t    *testing.T
 	s    *Sender
 	now  Time
 	id   MessageID
-	sent []Send // not yet ended
+	sent []Send // attempts in flight
 }
 
-// with starts a sender with one destination 0 of so many endpoints 1, 2, ...
+// with starts a sender with one destination 0, which has the given number of endpoints 1, 2, ...
 func with(t *testing.T, set Settings, kind, endpoints int, rate float64) *bench {
 	t.Helper()
 	b := &bench{t: t, s: New(set, 1), now: time.Hour}
@@ -45,11 +45,11 @@
 	return b.step(Arrived{Message: b.id, Class: class, GiveUpAt: b.now + b.s.set.Classes[class].Deadline})
 }
 
-// finish ends the oldest attempt that is out.
+// finish ends the oldest attempt in flight.
 func (b *bench) finish(o Outcome, wait time.Duration) []Action {
 	b.t.Helper()
 	if len(b.sent) == 0 {
-		b.t.Fatal("no attempt is out")
+		b.t.Fatal("no attempt is in flight")
 	}
 	s := b.sent[0]
 	b.sent = b.sent[1:]
@@ -71,7 +71,7 @@
 	return n
 }
 
-func TestSendLogDropsWhatIsAWindowOld(t *testing.T) {
+func TestSendLogDropsEntriesAfterAWindow(t *testing.T) {
 	l := sendlog.Log{Window: 2 * time.Second}
 	l.Record(10 * time.Second)
 	if n := l.Count(12*time.Second - 1); n != 1 {
@@ -86,21 +86,21 @@
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 4
 	if got := with(t, set, 0, 1, 12).path().slice; got != 6 {
-		t.Errorf("slice %v for 12 a second over 4 senders, want 6 in 2 s", got)
+		t.Errorf("slice %v for 12 calls per second over 4 senders, want 6 in 2 s", got)
 	}
-	// Four senders with a call each in 2 s would be twice the limit: one call in a longer window.
+	// One call in 2 s from each of four senders would be twice the limit: the window must be longer.
 	if p := with(t, set, 0, 1, 1).path(); p.slice != 0.5 || p.narrow.Window < 2*time.Second {
-		t.Errorf("slice %v in a window of %v for a low rate, want half a call, and a window in which it is one",
+		t.Errorf("slice %v in a window of %v for a low rate, want half a call, in a window stretched to a whole one",
 			p.slice, p.narrow.Window)
 	}
 	if got := with(t, testSettings(), 0, 1, 12).path().slice; !math.IsInf(got, 1) {
-		t.Errorf("slice %v without listed rates, want unbound", got)
+		t.Errorf("slice %v without listed rates, want infinite", got)
 	}
 }
 
-// With many senders a slice is a call and a part. What the logs let through in a
-// minute must come to the listed rate, not to the whole calls alone.
-func TestPartsOfACallAreNotLost(t *testing.T) {
+// With many senders a slice has a fraction of a call. What the windows allow in a minute
+// must match the listed rate, not the slice rounded down to whole calls.
+func TestFractionsOfACallAreNotLost(t *testing.T) {
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 80
 	for _, rate := range []float64{53, 81, 90, 210} {
@@ -115,12 +115,12 @@
 			}
 		}
 		if part := sent * 80 / 60 / rate; part < 0.93 || part > 1.1 {
-			t.Errorf("80 senders with all they can send come to %.2f of a limit of %v a second", part, rate)
+			t.Errorf("80 senders at full load send %.2f of a limit of %v per second", part, rate)
 		}
 	}
 }
 
-func TestBothWindowsBind(t *testing.T) {
+func TestBothWindowsLimitCalls(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 3
@@ -129,17 +129,17 @@
 	}
 	b.s.now = b.now + narrowWindow - 1
 	if b.s.hasRoom(p) {
-		t.Error("room with the narrow count at the slice")
+		t.Error("a call is allowed with the narrow count at the slice")
 	}
 	b.s.now++
 	if !b.s.hasRoom(p) {
-		t.Error("no room once the oldest entries are a window old")
+		t.Error("no call is allowed once the oldest entries are a window old")
 	}
 	for range 18 {
 		p.wide.Record(b.s.now)
 	}
 	if b.s.hasRoom(p) {
-		t.Error("room with the wide count at six slices")
+		t.Error("a call is allowed with the wide count at six slices")
 	}
 }
 
@@ -152,13 +152,13 @@
 	}
 	b.wait(time.Millisecond)
 	if len(b.sent) != 3 || len(p.narrow.Times) != 1 || len(p.wide.Times) != 1 || b.s.inFlight != 1 {
-		t.Errorf("%d sends, logs %d and %d, %d in flight; want one call with 3 messages", len(b.sent),
+		t.Errorf("%d sends, window counts %d and %d, %d in flight; want one call with 3 messages", len(b.sent),
 			len(p.narrow.Times), len(p.wide.Times), b.s.inFlight)
 	}
 }
 
-// A call that was never sent, as its message was over or no slot was free, leaves the
-// room that it had taken to the next.
+// A call that was never sent, because its message had ended or no slot was free, releases
+// the capacity that it had reserved.
 func TestCallsNeverSentUseNoCapacity(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	p := b.path()
@@ -166,14 +166,14 @@
 	for _, o := range []Outcome{Moot, Moot, Full} {
 		b.arrive(0)
 		if len(b.sent) != 1 {
-			t.Fatalf("no room after calls that were never sent: %d and %d in the logs", len(p.narrow.Times), len(p.wide.Times))
+			t.Fatalf("no capacity after calls that were never sent: %d and %d in the windows", len(p.narrow.Times), len(p.wide.Times))
 		}
 		s := b.sent[0]
 		b.sent = nil
 		b.step(Ended{Message: s.Message, Endpoint: s.Endpoint, Outcome: o, Final: o == Moot})
 	}
 	if len(p.narrow.Times) != 1 || len(p.wide.Times) != 1 {
-		t.Errorf("%d and %d in the logs, want the call that was refused", len(p.narrow.Times), len(p.wide.Times))
+		t.Errorf("%d and %d in the windows, want only the rejected call", len(p.narrow.Times), len(p.wide.Times))
 	}
 }
 
@@ -187,15 +187,15 @@
 	b.arrive(1)
 	b.finish(Full, 0)
 	if p.slice != 4 {
-		t.Fatalf("slice %v after the first full, want the narrow count 4", p.slice)
+		t.Fatalf("slice %v after the first Full, want the narrow count 4", p.slice)
 	}
 	b.wait(3 * time.Second)
 	b.finish(Full, 0)
 	if want := 4 * jamCut; math.Abs(p.slice-want) > 1e-9 {
-		t.Errorf("slice %v after a full right after a full, want %v", p.slice, want)
+		t.Errorf("slice %v after a second consecutive Full, want %v", p.slice, want)
 	}
 	p.slice, p.beforeRun = 1/float64(b.s.set.Senders), 0
-	p.wide.Times = nil // the wide window remembers what the cut slice let through
+	p.wide.Times = nil // the wide window still counts the calls from before the cut
 	b.wait(4 * time.Second)
 	b.finish(Full, 0)
 	if p.slice < 1/float64(b.s.set.Senders) {
@@ -203,9 +203,9 @@
 	}
 }
 
-// Calls that were out together tell of one full limit once, whichever of its endpoints
-// refused them.
-func TestFullsOfCallsOutTogetherCutOnce(t *testing.T) {
+// Calls in flight together that end as Full cut the slice once, whichever endpoints of the
+// destination rejected them.
+func TestFullsOfCallsInFlightTogetherCutOnce(t *testing.T) {
 	b := with(t, testSettings(), 0, 3, 0)
 	b.path().slice = 30
 	for range 3 {
@@ -220,18 +220,18 @@
 		b.step(Ended{Message: s.Message, Endpoint: s.Endpoint, Outcome: Full, Wait: time.Second})
 	}
 	if got, want := b.path().slice, 30*sliceCut; math.Abs(got-want) > 1e-9 {
-		t.Errorf("slice %v after three fulls of calls out together, want %v", got, want)
+		t.Errorf("slice %v after three Fulls of calls in flight together, want %v", got, want)
 	}
 }
 
-func TestSuccessGrowsABindingSliceOnly(t *testing.T) {
+func TestSuccessGrowsOnlyALimitingSlice(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 5
 	b.arrive(0)
 	b.finish(Delivered, 0)
 	if p.slice != 5 {
-		t.Errorf("slice %v grew though it does not bind", p.slice)
+		t.Errorf("slice grew to %v although it is not the limiting factor", p.slice)
 	}
 	p.slice = 1
 	b.wait(3 * time.Second)
@@ -242,9 +242,9 @@
 	}
 }
 
-// After a cut the wide window alone may bind for seconds: what passes then is success
-// under a binding slice too.
-func TestSuccessGrowsASliceThatBindsInTheWideWindow(t *testing.T) {
+// After a cut the wide window alone may limit the rate for seconds. Successes then must
+// grow the slice too.
+func TestSuccessGrowsASliceThatLimitsInTheWideWindow(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 10
@@ -258,7 +258,7 @@
 	}
 }
 
-func TestCallsUnderABindingSliceAreSpread(t *testing.T) {
+func TestCallsUnderALimitedSliceAreSpread(t *testing.T) {
 	b := with(t, testSettings(), 0, 2, 0)
 	b.path().slice = 4
 	b.arrive(0)
@@ -272,14 +272,14 @@
 	}
 }
 
-func TestToldWaitClosesAllOfTheDestination(t *testing.T) {
+func TestRequestedWaitClosesTheWholeDestination(t *testing.T) {
 	b := with(t, testSettings(), 0, 2, 0)
 	b.arrive(0)
 	b.finish(Full, time.Second)
 	b.arrive(0)
 	b.wait(time.Second - 1)
 	if len(b.sent) != 0 {
-		t.Fatal("a send during the told wait")
+		t.Fatal("a send during the requested wait")
 	}
 	b.wait(narrowWindow)
 	if len(b.sent) == 0 {
@@ -287,8 +287,8 @@
 	}
 }
 
-// A message of a bundle may time out before the others are told to wait.
-func TestWaitToldAfterTheFirstOutcomeOfABundle(t *testing.T) {
+// A message of a bundle may time out before the others end with a requested wait.
+func TestWaitAfterTheFirstOutcomeOfABundle(t *testing.T) {
 	b := with(t, testSettings(), 1, 1, 0)
 	b.path().closedUntil = b.now + 1
 	b.arrive(1)
@@ -297,7 +297,7 @@
 	b.finish(TimedOut, 0)
 	b.finish(Full, 3*time.Second)
 	if until := b.path().closedUntil; until < b.now+3*time.Second {
-		t.Errorf("closed until %v, told to wait from %v for 3 s", until, b.now)
+		t.Errorf("closed until %v, want 3 s from %v on", until, b.now)
 	}
 }
 
@@ -307,7 +307,7 @@
 	first := b.sent[0].Endpoint
 	b.finish(Full, 2*time.Second)
 	if len(b.sent) != 1 || b.sent[0].Endpoint == first {
-		t.Errorf("sends %v after a wait of route %d, want the other route", b.sent, first)
+		t.Errorf("sends %v after a wait on route %d, want the other route", b.sent, first)
 	}
 }
 
@@ -320,7 +320,7 @@
 	b.s.ordered[0].paths[1].closedUntil = b.now + 100*time.Millisecond
 	b.arrive(1)
 	if len(b.sent) != 1 {
-		t.Error("a fee was paid to save a short wait within the aim")
+		t.Error("a fee was paid to avoid a short wait within Aim")
 	}
 	b.s.ordered[0].paths[1].closedUntil = b.now + 10*time.Second
 	b.wait(time.Millisecond)
@@ -341,23 +341,24 @@
 	}
 }
 
-// Starts alone do not bound what a hanging destination holds.
+// The windows count only starts of calls, so they don't limit how many slots a hanging
+// destination occupies.
 func TestHangingDestinationLeavesSlots(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	for range 20 {
 		b.arrive(1)
 	}
 	if n := len(b.sent); n != 3 {
-		t.Errorf("%d of 6 slots for one destination, want half", n)
+		t.Errorf("%d of 6 slots in use by one destination, want half", n)
 	}
 	b.wait(4 * time.Second)
 	if !b.s.stalled(b.path().endpoints[0]) {
-		t.Error("not found hanging after 4 s without an answer")
+		t.Error("not detected as stalled after 4 s without a response")
 	}
 }
 
-// Many endpoints may hang at once; trials of them leave slots.
-func TestDoubtLeavesSlots(t *testing.T) {
+// Many endpoints may hang at once; their trials must not take all slots.
+func TestSuspectEndpointsLeaveSlots(t *testing.T) {
 	set := testSettings()
 	set.Slots = 8
 	s := New(set, 1)
@@ -375,7 +376,7 @@
 		arrivals = append(arrivals, Arrived{Message: MessageID(i + 1), Destination: i, GiveUpAt: now + 5*time.Second})
 	}
 	if n := count[Send](s.Step(now, arrivals, nil)); n != 4 {
-		t.Errorf("%d calls to endpoints in doubt with 8 slots, want 4", n)
+		t.Errorf("%d calls to suspect endpoints with 8 slots, want 4", n)
 	}
 }
 
@@ -385,7 +386,7 @@
 		min, max int // trials in ten seconds: a fall window is 2 s
 	}{
 		{Failed, 1, 5},
-		{Unreachable, 6, 20}, // a refused connection ends no message and holds no slot
+		{Unreachable, 6, 20}, // a refused connection ends no message and occupies no slot
 	} {
 		b := with(t, testSettings(), 0, 2, 0)
 		for range 8 {
@@ -405,7 +406,7 @@
 			b.wait(100 * time.Millisecond)
 			sends += len(b.sent)
 			if len(b.sent) > 1 {
-				t.Fatalf("%d trials at once", len(b.sent))
+				t.Fatalf("%d concurrent trials", len(b.sent))
 			}
 			for len(b.sent) > 0 {
 				b.finish(c.outcome, 0)
@@ -418,11 +419,12 @@
 	}
 }
 
-// A destination that returns cold is pushed over by what its queue would send.
-func TestColdReturnIsSentItsPart(t *testing.T) {
+// A destination that returns cold would be overloaded by the backlog, so the sender must
+// stay within its part of the reduced capacity.
+func TestColdReturnStaysWithinItsBudget(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	p, e := b.path(), b.path().endpoints[0]
-	p.peak = 24 // calls of this sender in a narrow window before
+	p.peak = 24 // calls of this sender in a narrow window before the outage
 	e.out, e.broken, e.since, e.troubled = true, true, b.now-10*time.Second, b.now-10*time.Second
 	e.score = 1
 	for range 30 {
@@ -430,7 +432,7 @@
 	}
 	b.finish(Delivered, 0) // the trial
 	if !e.warming {
-		t.Fatal("not taken for a cold return")
+		t.Fatal("not treated as a cold return")
 	}
 	start, set := b.now, b.s.set
 	sent := []Time{start}
@@ -447,13 +449,13 @@
 		}
 		bears := set.FallMultiple * b.s.warmth(start) * float64(p.peak) / narrowWindow.Seconds() * set.FallWindow.Seconds()
 		if float64(n) > bears {
-			t.Fatalf("%v after the return: %d calls in a fall window, it bears %.1f from this sender",
+			t.Fatalf("%v after the return: %d calls in a fall window, the limit for this sender is %.1f",
 				b.now-start, n, bears)
 		}
 		b.wait(20 * time.Millisecond)
 	}
 	if len(sent) < 6 {
-		t.Errorf("%d calls in two fall windows: it does not reopen", len(sent))
+		t.Errorf("%d calls in two fall windows: traffic does not resume", len(sent))
 	}
 	b.s.now = start + set.WarmUp
 	if w := b.s.warmth(start); w != 1 {
@@ -461,7 +463,7 @@
 	}
 }
 
-// Single lost calls are no outage, errors are.
+// A return after a few lost calls is not cold; after errors or a long silence it is.
 func TestShortSilenceIsNoColdReturn(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -485,21 +487,21 @@
 	}
 }
 
-func TestShutDestinationIsAnOutageAndKeepsItsSlice(t *testing.T) {
+func TestLongWaitIsAnOutageAndKeepsTheSlice(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	b.path().slice = 5
 	b.arrive(0)
 	b.finish(Full, 4*time.Second)
 	if e := b.path().endpoints[0]; !e.out {
-		t.Error("a wait longer than a window is not taken for a shut destination")
+		t.Error("a wait longer than a window is not treated as an outage")
 	}
 	if b.path().slice != 5 {
-		t.Errorf("slice %v, want the 5 from before", b.path().slice)
+		t.Errorf("slice %v, want 5 as before", b.path().slice)
 	}
 }
 
-// Trials of one endpoint must not be put off by sends to the others.
-func TestPartialOutageIsTried(t *testing.T) {
+// Sends to the other endpoints must not delay the trials of one that is down.
+func TestTrialsInAPartialOutage(t *testing.T) {
 	b := with(t, testSettings(), 0, 2, 0)
 	e := b.path().endpoints[0]
 	e.out, e.score = true, 1
@@ -514,11 +516,11 @@
 		b.wait(100 * time.Millisecond)
 	}
 	if !tried {
-		t.Error("an endpoint that is out was not tried in 4 s while the other works")
+		t.Error("no trial of an endpoint in an outage for 4 s while the other works")
 	}
 }
 
-func TestRetryLeavesOutTheEndpointThatFailed(t *testing.T) {
+func TestRetryAvoidsTheEndpointThatFailed(t *testing.T) {
 	b := with(t, testSettings(), 0, 2, 0)
 	b.arrive(0)
 	first := b.sent[0].Endpoint
@@ -529,7 +531,7 @@
 	}
 }
 
-func TestTimeoutsGrowWithBundlesAndInARow(t *testing.T) {
+func TestTimeoutsGrowWithBundlesAndConsecutively(t *testing.T) {
 	b := with(t, testSettings(), 1, 1, 0)
 	b.arrive(1)
 	b.finish(Delivered, 0)
@@ -538,31 +540,31 @@
 	m := &message{class: &b.s.set.Classes[1]}
 	one, five := b.s.timeout(e, m, 1), b.s.timeout(e, m, 5)
 	if five <= one {
-		t.Errorf("time-out %v for five messages, %v for one", five, one)
+		t.Errorf("timeout %v for five messages, %v for one", five, one)
 	}
 	p.latency, p.deviation = 10*time.Millisecond, 10*time.Millisecond
 	one = b.s.timeout(e, m, 1)
 	e.timeouts = 1
 	if next := b.s.timeout(e, m, 1); next <= one {
-		t.Errorf("time-out %v after a time-out, %v before: slow looks like silent", next, one)
+		t.Errorf("timeout %v after a timeout, %v before: a slow endpoint must get more time", next, one)
 	}
 	if one < minTimeout {
-		t.Errorf("time-out %v, want %v at least", one, minTimeout)
+		t.Errorf("timeout %v, want %v at least", one, minTimeout)
 	}
-	// Where all calls are quick, a lost one holds its slot for less.
+	// If all calls are quick, a lost one occupies its slot for less time.
 	e.timeouts, b.s.usual = 0, 0.1
 	if quick := b.s.timeout(e, m, 1); quick >= one || quick < minTimeout {
-		t.Errorf("time-out %v where calls take 0.1 s, %v where they take %v", quick, one, firstLatency)
+		t.Errorf("timeout %v with calls of 0.1 s, %v with calls of %v", quick, one, firstLatency)
 	}
 }
 
-func TestSlowIsJudgedAgainstTheOthers(t *testing.T) {
+func TestSlownessIsRelativeToTheOthers(t *testing.T) {
 	p := &path{latency: 4 * time.Second, baseline: time.Second}
 	if !p.slow(1) {
-		t.Error("four times its baseline is not slow while the others are at theirs")
+		t.Error("four times its baseline is not slow while the others are at their baselines")
 	}
 	if p.slow(3) {
-		t.Error("called slow though everything is")
+		t.Error("reported as slow although all destinations are")
 	}
 }
 
@@ -586,27 +588,28 @@
 	giveUp := b.s.open[0].giveUpAt
 	b.now = giveUp - b.s.set.Tick - 1
 	if n := count[Fail](b.step(Woken{})); n != 0 {
-		t.Error("failed before its time")
+		t.Error("failed too early")
 	}
 	b.now++
 	if n := count[Fail](b.step(Woken{})); n != 1 {
-		t.Error("no answer a tick before the deadline, with an attempt out that may run")
+		t.Error("no answer a tick before the deadline, with an attempt in flight that may run")
 	}
 }
 
-func TestNothingListedIsHeldAndAnswered(t *testing.T) {
+func TestMessageWithoutEndpointsIsHeldAndAnswered(t *testing.T) {
 	b := &bench{t: t, s: New(testSettings(), 1), now: time.Hour}
 	if n := len(b.arrive(0)); n != 1 {
 		t.Errorf("%d actions for a message without endpoints, want a wake", n)
 	}
 	b.wait(5 * time.Second)
 	if len(b.s.open) != 0 {
-		t.Error("not answered")
+		t.Error("not answered after its deadline")
 	}
 }
 
-// A crash resets calls, but so may a destination that is up.
-func TestResetIsTriedAtOnceAndNoColdReturn(t *testing.T) {
+// A reset may come from a crash or from a healthy destination: one reset leads to an immediate
+// trial, and its success is no cold return.
+func TestResetIsRetriedAtOnceAndIsNoColdReturn(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	b.arrive(0)
 	b.finish(Delivered, 0)
@@ -618,13 +621,13 @@
 	}
 	b.finish(Delivered, 0)
 	if b.path().endpoints[0].warming {
-		t.Error("taken for a cold return after one reset between two answers")
+		t.Error("treated as a cold return after one reset between two responses")
 	}
 }
 
-// Connections get lost between two answers: that keeps no message waiting. Many
-// resets in turn with no answer are an outage still.
-func TestLoneResetsCastNoDoubt(t *testing.T) {
+// Single connections get lost between responses: that must not delay any message. Several
+// consecutive resets without a response are still an outage.
+func TestSingleResetsDoNotMakeAnEndpointSuspect(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	for range 4 {
@@ -634,40 +637,40 @@
 		b.finish(Reset, 0)
 		b.arrive(3)
 		if len(b.sent) != 1 {
-			t.Fatalf("an unsafe message waits after one reset: out %v, suspect %v", e.out, e.suspect)
+			t.Fatalf("an AtMostOnce message waits after one reset: down %v, suspect %v", e.out, e.suspect)
 		}
 		b.finish(Delivered, 0)
 	}
 	b.arrive(0)
 	for n := 0; !e.out; n++ {
 		if n == 4 {
-			t.Fatal("four resets in turn are no outage")
+			t.Fatal("four consecutive resets are not treated as an outage")
 		}
 		b.finish(Reset, 0)
 		b.wait(time.Second)
 	}
 }
 
-func TestUnsafeMessagesKeepOffSuspectEndpoints(t *testing.T) {
+func TestAtMostOnceMessagesAvoidSuspectEndpoints(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	b.path().endpoints[0].suspect = true
 	b.arrive(3)
 	if len(b.sent) != 0 {
-		t.Error("a message that must not run twice was sent to an endpoint that just failed")
+		t.Error("an AtMostOnce message was sent to an endpoint that just failed")
 	}
 	b.arrive(0)
 	if len(b.sent) != 1 {
-		t.Fatal("the safe message was not sent")
+		t.Fatal("the idempotent message was not sent")
 	}
 	b.finish(Delivered, 0)
 	if len(b.sent) != 1 {
-		t.Error("the unsafe message still waits after a success")
+		t.Error("the AtMostOnce message still waits after a success")
 	}
 }
 
-// One endpoint that is back alone gets no more than its part of the budget, also
-// when the list names no others any more.
-func TestReturnedEndpointGetsItsPartOnly(t *testing.T) {
+// An endpoint that returns alone gets no more than its part of the cold budget, even if the
+// list no longer has the others.
+func TestReturnedEndpointStaysWithinItsBudget(t *testing.T) {
 	b := with(t, testSettings(), 0, 4, 0)
 	b.path().peak = 40
 	e := b.path().endpoints[0]
@@ -677,7 +680,7 @@
 	e.cold.Record(b.now)
 	b.s.coldRoom(e)
 	if got, want := e.cold.Window, time.Duration(4*float64(b.s.set.FallWindow)/whole); got < want-1 || got > want+1 {
-		t.Errorf("a call each %v to one of four endpoints, want %v", got, want)
+		t.Errorf("one call per %v to one of four endpoints, want %v", got, want)
 	}
 }
 
@@ -685,11 +688,12 @@
 	b := with(t, testSettings(), 0, 1, 0)
 	b.arrive(0)
 	if n := count[CloseIdle](b.finish(TimedOut, 0)); n != 1 {
-		t.Errorf("%d idle connections closed after a time-out, want those of its endpoint", n)
+		t.Errorf("%d CloseIdle actions after a timeout, want 1 for its endpoint", n)
 	}
 }
 
-// A replacement that joins during an outage would get the whole queue at once.
+// An endpoint added during an outage must get one trial first: it would otherwise get the
+// whole backlog at once.
 func TestEndpointThatJoinsAnOutageIsTriedFirst(t *testing.T) {
 	for _, state := range []EndpointState{Ready, Draining, Gone} {
 		b := with(t, testSettings(), 0, 1, 0)
@@ -702,7 +706,7 @@
 		b.step(Listed{Entries: []Entry{{Endpoint: 1, State: state}, {Endpoint: 9, State: Ready}}})
 		b.wait(time.Second)
 		if len(b.sent) != 1 {
-			t.Errorf("state %d of the old endpoint: %d sends to the new one, want a trial", state, len(b.sent))
+			t.Errorf("state %d of the old endpoint: %d sends to the new one, want one trial", state, len(b.sent))
 		}
 		b.sent = b.sent[len(b.sent):]
 	}
@@ -713,7 +717,7 @@
 	b.path().endpoints[0].out = true
 	b.step(Listed{Entries: []Entry{{Endpoint: 9, State: Ready}}})
 	if b.s.endpoints[9].out {
-		t.Error("taken to be out though another endpoint of the destination works")
+		t.Error("marked as down although another endpoint of the destination works")
 	}
 }
 
@@ -725,19 +729,19 @@
 		t.Fatalf("%d subscriptions at the start, want 1", n)
 	}
 	if n := count[Subscribe](b.step(ListFailed{})); n != 0 {
-		t.Error("asked again in the same instant")
+		t.Error("subscribed again immediately")
 	}
 	b.now += backoffMax
 	if n := count[Subscribe](b.step(Woken{})); n != 1 {
-		t.Error("not asked again after a failure")
+		t.Error("not subscribed again after a failure")
 	}
 	b.now += time.Hour
 	if n := count[Subscribe](b.step()); n != 0 {
-		t.Error("asked again though subscribed")
+		t.Error("subscribed again although subscribed")
 	}
 }
 
-// Where many senders share a small limit, one call a window from each jams it.
+// If many senders share a small limit, one call per window from each exceeds it.
 func TestSliceUnderOneCallStretchesBothWindows(t *testing.T) {
 	set := testSettings()
 	set.Senders = 400
@@ -746,26 +750,25 @@
 	b.s.now = b.now
 	b.s.resize(p, 0.25)
 	if least, most := 4*time.Second, 12*time.Second; p.narrow.Window < least || p.narrow.Window > most {
-		t.Errorf("narrow window of %v for a quarter of a call in 2 s, want %v to %v", p.narrow.Window, least, most)
+		t.Errorf("narrow window of %v for a quarter of a call per 2 s, want %v to %v", p.narrow.Window, least, most)
 	}
 	if ratio := float64(p.wide.Window) / float64(p.narrow.Window); math.Abs(ratio-6) > 1e-6 {
-		t.Errorf("windows of %v and %v, want the ratio kept", p.narrow.Window, p.wide.Window)
+		t.Errorf("windows of %v and %v, want an unchanged ratio", p.narrow.Window, p.wide.Window)
 	}
 	p.narrow.Record(b.now)
 	if b.s.now += p.narrow.Window - 1; b.s.hasRoom(p) {
-		t.Error("room before the stretched window has passed")
+		t.Error("a call is allowed before the stretched window has passed")
 	}
 	if b.s.now++; !b.s.hasRoom(p) {
-		t.Error("no room after it")
+		t.Error("no call is allowed after the stretched window")
 	}
 	b.s.full(p, p.endpoints[0], b.s.now, 0)
 	if want := 0.25 * b.s.smallCut; math.Abs(p.slice-want) > 1e-9 {
-		t.Errorf("slice %v after a full, want %v", p.slice, want)
+		t.Errorf("slice %v after a Full, want %v", p.slice, want)
 	}
 }
 
-// One call in each fall window from each of many senders pushes a cold
-// destination over.
+// One trial per fall window from each of many senders would overload a cold destination.
 func TestTrialsOfManySendersAreSpaced(t *testing.T) {
 	for _, senders := range []int{2, 400} {
 		set := testSettings()
@@ -778,13 +781,14 @@
 			least = 10 * time.Second // as long as the outage has lasted
 		}
 		if gap := b.s.trialGap(e); gap < least || senders == 2 && gap > 3*least {
-			t.Errorf("%d senders: trials %v apart, want %v at least", senders, gap, least)
+			t.Errorf("%d senders: %v between trials, want %v at least", senders, gap, least)
 		}
 	}
 }
 
-// An outage takes all endpoints of a destination as a rule, and all come back together. With
-// many senders each would find out for each endpoint alone, a fall window after the other.
+// Usually all endpoints of a destination fail and return together. The return of one must bring
+// the trials of the others forward: with many senders, each endpoint would otherwise be found
+// separately, a fall window after the other.
 func TestOneReturnBringsTheTrialsOfTheOthersForward(t *testing.T) {
 	set := testSettings()
 	set.Senders, set.Listing = 80, RateNominal
@@ -794,7 +798,7 @@
 		e.out, e.broken, e.harmless, e.score = true, true, true, 1
 		e.since, e.troubled = b.now-5*time.Second, b.now-5*time.Second
 	}
-	for range 6 { // that must never take effect twice: nothing ran in the outage, so they may be tried
+	for range 6 { // AtMostOnce: nothing ran in the outage, so they may be used for trials
 		b.arrive(3)
 	}
 	back := b.now
@@ -807,11 +811,11 @@
 	budget := b.s.coldBudget(p.endpoints[0], set.ColdShare)
 	most := time.Duration(2 * (1 + stretchSpread) * float64(set.FallWindow) / budget)
 	if took := b.now - back; took > most+100*time.Millisecond || most > 2*set.FallWindow {
-		t.Errorf("all are taken for back after %v, want %v at most: two parts of the cold budget", took, most)
+		t.Errorf("all endpoints are back after %v, want %v at most: two intervals of the cold budget", took, most)
 	}
 }
 
-// Where resets alone made an outage, trials come as the cold budget allows.
+// In an outage caused by resets only, trials are as frequent as the cold budget allows.
 func TestTrialsAfterResetsAloneAreQuick(t *testing.T) {
 	b := with(t, testSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
@@ -823,29 +827,29 @@
 	budget := b.s.coldBudget(e, b.s.warmth(b.now))
 	most := time.Duration((1 + stretchSpread) * float64(b.s.set.FallWindow) / budget)
 	if gap := b.s.trialGap(e); !e.out || gap > most || most >= b.s.set.FallWindow {
-		t.Errorf("out %v with trials %v apart, want %v at most", e.out, gap, most)
+		t.Errorf("down %v with %v between trials, want %v at most", e.out, gap, most)
 	}
 	e.broken = true
 	if gap := b.s.trialGap(e); gap < b.s.set.FallWindow {
-		t.Errorf("trials %v apart after a refusal, want a fall window", gap)
+		t.Errorf("%v between trials after an error, want a fall window at least", gap)
 	}
 }
 
-func toldSettings() Settings {
+func noteSettings() Settings {
 	set := testSettings()
 	set.Senders, set.MayTell = 400, true
 	return set
 }
 
-// What one sender sees of an outage the others would learn by a failure each.
-func TestOutageAndReturnAreTold(t *testing.T) {
-	b := with(t, toldSettings(), 0, 1, 0)
+// Without notes, every sender would need a failure of its own to detect an outage.
+func TestOutageAndReturnAreSentAsNotes(t *testing.T) {
+	b := with(t, noteSettings(), 0, 1, 0)
 	b.arrive(0)
 	told := b.finish(Unreachable, 0)
 	if count[Tell](told) != 1 {
 		t.Fatalf("%d notes for an outage, want 1", count[Tell](told))
 	}
-	c := with(t, toldSettings(), 0, 1, 0)
+	c := with(t, noteSettings(), 0, 1, 0)
 	for _, a := range told {
 		if n, ok := a.(Tell); ok {
 			c.step(Told(n))
@@ -853,56 +857,56 @@
 	}
 	e := c.path().endpoints[0]
 	if !e.out {
-		t.Fatal("an outage that was told is not heeded")
+		t.Fatal("a note about an outage is ignored")
 	}
 	if c.arrive(0); len(c.sent) != 0 {
-		t.Error("sent at once to an endpoint that was told to be down")
+		t.Error("sent at once to an endpoint that a note reported down")
 	}
 	c.step(Told{Tag: e.id.tag(), News: BackCold})
 	if e.out || !e.warming {
-		t.Error("a cold return that was told is not heeded")
+		t.Error("a note about a cold return is ignored")
 	}
 	c.step(Told{Tag: 1<<TagBits - 1, News: Down}) // an endpoint that is not listed
 }
 
-// First calls of many senders alone keep a limit full that refusals use up.
-func TestJamIsToldOnceAndClosesTheLogs(t *testing.T) {
-	b := with(t, toldSettings(), 0, 1, 0)
+// If rejected calls count against the limit, the first calls of many senders alone keep it exhausted.
+func TestJamIsSentOnceAndClosesThePath(t *testing.T) {
+	b := with(t, noteSettings(), 0, 1, 0)
 	b.arrive(1)
 	if n := count[Tell](b.finish(Full, 0)); n != 1 {
-		t.Errorf("%d notes for a full under one call a window, want 1", n)
+		t.Errorf("%d notes for a Full under one call per window, want 1", n)
 	}
 	p := b.path()
 	if b.s.jam(p) {
-		t.Error("a full right after a note is news again")
+		t.Error("a Full right after a note counts as a new jam")
 	}
 	first := p.jamFor
 	b.s.now = p.jamAt + first
 	if !b.s.jam(p) || p.jamFor != 2*first {
-		t.Errorf("closed for up to %v after %v, want twice as long while fulls go on", p.jamFor, first)
+		t.Errorf("closed for up to %v after %v, want twice as long while Fulls continue", p.jamFor, first)
 	}
 }
 
-func TestMessagesGatherWhileASliceBinds(t *testing.T) {
+func TestMessagesWaitForBundlesWhileTheSliceIsLimited(t *testing.T) {
 	b := with(t, testSettings(), 1, 1, 0)
 	if b.arrive(1); len(b.sent) != 1 {
-		t.Fatal("held back with no slice bound")
+		t.Fatal("held back without a limited slice")
 	}
 	b.finish(Delivered, 0)
 	b.s.resize(b.path(), 3)
 	b.wait(2 * time.Second)
 	if b.arrive(1); len(b.sent) != 0 {
-		t.Error("sent alone while a slice binds")
+		t.Error("sent alone while the slice is limited")
 	}
 	if b.wait(time.Second); len(b.sent) != 1 {
-		t.Error("held back beyond its share of the aim")
+		t.Error("held back beyond its part of Aim")
 	}
 }
 
-// A step for each note in hundreds of nodes is paid for hundreds of times.
-func TestNotesAloneDecideNothing(t *testing.T) {
-	b := with(t, toldSettings(), 0, 1, 0)
+// A note reaches hundreds of nodes, so a full step for each note would cost hundreds of times as much.
+func TestNotesAloneCauseNoActions(t *testing.T) {
+	b := with(t, noteSettings(), 0, 1, 0)
 	if actions := b.step(Told{Tag: 1, News: Jam}); len(actions) != 0 {
-		t.Errorf("%d actions on a note about nothing", len(actions))
+		t.Errorf("%d actions on a note about an unknown endpoint", len(actions))
 	}
 }
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// restartSettings has one keyed class and two senders under the rule on cold
+// restartSettings has one deduplicated class and two senders, and limits the traffic to cold
 // destinations.
 func restartSettings() Settings {
 	return Settings{
@@ -28,8 +28,8 @@
 	return sends
 }
 
-// A message that may have run in an earlier life goes to the same zone only, and
-// is given up once its key is forgotten.
+// A message that may have run in a previous run of the node is sent to the same zone only, and
+// fails once the deduplication window is over.
 func TestRestoredMessageKeepsItsZoneAndWindow(t *testing.T) {
 	start := time.Hour
 	both := Listed{Whole: true, Entries: []Entry{
@@ -50,11 +50,12 @@
 	actions = s.Step(start, []Event{both, Arrived{Message: 1, GiveUpAt: start + 20*time.Second,
 		Past: Past{Attempts: 6}}}, nil)
 	if _, ok := actions[0].(Refuse); !ok || len(sendsOf(actions)) > 0 {
-		t.Errorf("actions %v after all attempts, want a refusal alone", actions)
+		t.Errorf("actions %v after all attempts, want only a refusal", actions)
 	}
 }
 
-// What an earlier life saw fail last gets no backlog at the start: first one trial.
+// An endpoint that failed last in the previous run gets one trial at the start, not the restored
+// backlog.
 func TestRestoredBacklogWaitsForATrial(t *testing.T) {
 	start := time.Hour
 	events := []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 100}}},
@@ -72,14 +73,14 @@
 		sends, events = sends+n, nil
 	}
 	if first == 0 || first < start+time.Second {
-		t.Errorf("the first send came %v after the start, want a pause and then one", first-start)
+		t.Errorf("the first send came %v after the start, want a pause of a second at least, then one", first-start)
 	}
 	if sends != 1 {
-		t.Errorf("%d sends while the first has no outcome, want 1", sends)
+		t.Errorf("%d sends while the trial has no outcome, want 1", sends)
 	}
 }
 
-// The calls of an earlier life count in both logs.
+// The calls of a previous run count in both windows.
 func TestRestoredSendsCount(t *testing.T) {
 	start := time.Hour
 	s := New(restartSettings(), 1)
@@ -96,9 +97,9 @@
 	}
 }
 
-// What an earlier life saw counts as it did in that life: a failed answer among many good ones
-// is no outage, and an endpoint that came back from one is cold, whatever failed since.
-func TestARestartRemembersOutagesAlone(t *testing.T) {
+// The history from a previous run is rated as that run rated it: a failure among many successes
+// is no outage, and an endpoint that returned from an outage is cold, whatever failed since.
+func TestRestartRestoresOnlyOutages(t *testing.T) {
 	start := time.Hour
 	ago := func(s float64) Time { return start - Time(s*float64(time.Second)) }
 	lone := func(at float64) Run {
@@ -118,12 +119,12 @@
 		{"an outage, and a lone failure since", []Run{outage, lone(1)}, false, true, false},
 		{"a refused connection", []Run{{Outcomes: []Outcome{Unreachable}, FailedAt: ago(3), Back: true, BackAt: ago(1)}}, false, true, false},
 		{"an outage of long ago", []Run{{Outcomes: []Outcome{Failed, Failed}, FailedAt: ago(90), Back: true, BackAt: ago(80)}}, false, false, false},
-		{"out", []Run{{Outcomes: []Outcome{Failed, Failed}, FailedAt: ago(1)}}, true, false, true},
+		{"down", []Run{{Outcomes: []Outcome{Failed, Failed}, FailedAt: ago(1)}}, true, false, true},
 	} {
 		s := New(restartSettings(), 1)
 		s.Step(start, []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 100}}}, Remembered{Endpoint: 1, Runs: c.runs}}, nil)
 		if e := s.endpoints[1]; e.out != c.out || e.warming != c.cold || e.suspect != c.suspect {
-			t.Errorf("%s: out %v, cold %v, suspect %v", c.name, e.out, e.warming, e.suspect)
+			t.Errorf("%s: down %v, cold %v, suspect %v", c.name, e.out, e.warming, e.suspect)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// legal holds the state of a seeded stream of random but legal events, and
-// checks each action against the rules that one node's view can check.
+// legal generates a seeded stream of random but legal events, and checks each action
+// against the rules that can be checked from the view of one node.
 type legal struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -17,8 +17,8 @@
 	now      Time
 	dests    int
 	entries  []Entry
-	told     map[EndpointID]Time // when it was told to be draining or gone
-	waits    map[int]Time        // by path: the endpoint for routes apart, else the destination
+	told     map[EndpointID]Time // when it was listed as draining or gone
+	waits    map[int]Time        // end of the requested wait, by path
 	messages map[MessageID]*tracked
 	order    map[uint64][]*tracked
 	rest     map[uint64]Time
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// events makes the events of one step.
+// events generates the events of one step.
 func (l *legal) events(arrivals bool) []Event {
 	var events []Event
 	kept := l.out[:0]
@@ -124,7 +124,7 @@
 		}
 	}
 	l.out = kept
-	if l.rng.IntN(400) == 0 { // an endpoint drains, goes or comes back
+	if l.rng.IntN(400) == 0 { // an endpoint drains, is removed or returns
 		e := &l.entries[l.rng.IntN(len(l.entries))]
 		state := EndpointState(l.rng.IntN(3))
 		if state == Ready {
@@ -165,7 +165,7 @@
 		if m := l.messages[id]; m != nil && !m.ended {
 			l.end(m)
 		}
-		events = append(events, Withdrawn{Message: id}) // sometimes one that has ended
+		events = append(events, Withdrawn{Message: id}) // sometimes of a message that has ended
 	}
 	due := l.wakes[:0]
 	for _, w := range l.wakes {
@@ -217,7 +217,7 @@
 			}
 			m := l.messages[id]
 			if m == nil || m.ended {
-				l.t.Fatalf("%v: answer for message %d, which has ended", l.now, id)
+				l.t.Fatalf("%v: answer for message %d, which is unknown or has ended", l.now, id)
 			}
 			class := l.set.Classes[m.class]
 			ran := m.mayHaveRun || m.out != nil
@@ -237,30 +237,30 @@
 		l.t.Fatalf("%v: send of %d to %d: %s", l.now, a.Message, a.Endpoint, fmt.Sprintf(format, args...))
 	}
 	if m == nil || m.ended {
-		bad("it has ended")
+		bad("it is unknown or has ended")
 	}
 	if m.out != nil {
-		bad("an attempt is out")
+		bad("an attempt is in flight")
 	}
 	if e.Destination != m.dest {
 		bad("the endpoint belongs to another destination")
 	}
 	if told, ok := l.told[e.Endpoint]; ok && (e.State == Gone || l.now-told > l.set.DrainGrace) {
-		bad("state %d, told at %v", e.State, told)
+		bad("state %d, listed so at %v", e.State, told)
 	}
 	if until := l.waits[l.path(*e)]; l.now < until {
-		bad("told to wait until %v", until)
+		bad("wait requested until %v", until)
 	}
 	if m.attempts >= l.set.MaxAttempts {
-		bad("%d attempts before", m.attempts)
+		bad("%d earlier attempts", m.attempts)
 	}
 	if a.Timeout <= 0 || l.now+a.Timeout > m.giveUpAt {
-		bad("time-out %v with %v left", a.Timeout, m.giveUpAt-l.now)
+		bad("timeout %v with %v left", a.Timeout, m.giveUpAt-l.now)
 	}
 	class := l.set.Classes[m.class]
 	if m.mayHaveRun {
 		if class.Repeat == AtMostOnce {
-			bad("it may have run and must not twice")
+			bad("it may have run, and must not run twice")
 		}
 		if class.Repeat == Deduplicated && (l.now-m.ranAt >= class.Window || class.GroupZone && e.Zone != m.ranZone) {
 			bad("it may have run at %v in zone %d", m.ranAt, m.ranZone)
@@ -268,10 +268,10 @@
 	}
 	if m.key != 0 {
 		if l.order[m.key][0] != m {
-			bad("message %d of its key is before it", l.order[m.key][0].id)
+			bad("message %d of its key must go first", l.order[m.key][0].id)
 		}
 		if m.attempts == 0 && l.now < l.rest[m.key] {
-			bad("its key rests until %v", l.rest[m.key])
+			bad("its key is paused until %v", l.rest[m.key])
 		}
 	}
 	l.sends++
@@ -285,7 +285,7 @@
 		calls[o.call] = true
 	}
 	if len(calls) > l.set.Slots {
-		bad("%d calls are out, %d slots", len(calls), l.set.Slots)
+		bad("%d calls in flight, %d slots", len(calls), l.set.Slots)
 	}
 	at.result = Outcome(l.rng.IntN(int(Moot)))
 	if l.rng.IntN(3) > 0 {
@@ -316,8 +316,8 @@
 	return l
 }
 
-// TestRulesOnRandomStreams plays seeded streams with every outcome, drains,
-// whole lists and withdrawals, and checks all rules on every action.
+// TestRulesOnRandomStreams plays seeded streams with all outcomes, drains,
+// complete lists and withdrawals, and checks all rules on every action.
 func TestRulesOnRandomStreams(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -331,7 +331,7 @@
 				}
 				for _, m := range l.messages {
 					if !m.ended && l.now > m.giveUpAt+20*time.Millisecond {
-						t.Fatalf("%v: message %d of class %d is unanswered since %v", l.now, m.id, m.class, m.giveUpAt)
+						t.Fatalf("%v: message %d of class %d is unanswered, due at %v", l.now, m.id, m.class, m.giveUpAt)
 					}
 				}
 			}
@@ -339,14 +339,14 @@
 				t.Errorf("%d messages are open at the end, %d were sent", l.open(), l.sends)
 			}
 			if len(l.s.messages) > 0 || l.s.inFlight > 0 || len(l.s.open) > 0 {
-				t.Errorf("the sender keeps %d messages, %d calls", len(l.s.messages), l.s.inFlight)
+				t.Errorf("the sender still has %d messages, %d calls", len(l.s.messages), l.s.inFlight)
 			}
 		})
 	}
 }
 
-// TestSameEventsSameActions replays a stream: nothing but events and the seed
-// may matter.
+// TestSameEventsSameActions replays a stream: actions may depend only on the events
+// and the seed.
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() string {
 		l := newLegal(t, 7)
--- a/policy/share.go
+++ b/policy/share.go
@@ -1,12 +1,12 @@
-// This file has what the processes of one node share: parts of its slots, and what each has seen.
+// This file has what the processes of one node share: its slots and rates, and their observations.
 
 package policy
 
 import "math"
 
-// shared takes in a part of the node. A smaller one binds at once. What a larger one adds
-// may have been used up by another a moment ago, so that waits until a wide window of its
-// own length would be empty; but for what this one used and nobody else has had since.
+// shared applies a new share of the node. A decrease takes effect at once. An increase waits for
+// a wide window, since another process may just have used up that capacity; except for the part
+// that this process used before and no other has held since.
 func (s *Sender) shared(e Shared) {
 	whole := float64(max(1, e.Whole))
 	parts := max(0, float64(e.Parts)/whole)
@@ -15,9 +15,9 @@
 		now = parts
 	}
 	switch {
-	case !s.share.group: // before the first word of a share nothing was used
+	case !s.share.group: // before the first share nothing was used
 		s.share.had = now
-	case now > 0 || s.share.parts > 0: // what was used before there was none is remembered
+	case now > 0 || s.share.parts > 0: // a share used before a period without any is kept
 		s.share.had = max(now, s.share.parts)
 	}
 	s.resume(now)
@@ -30,12 +30,12 @@
 	s.share.group = true
 }
 
-// Share is the part of the node that is in use.
+// Share returns the fraction of the node that is in use.
 func (s *Sender) Share() float64 { return s.share.parts }
 
-// hearsay takes in what another process of the node has seen. The calls of all are one
-// node's, so an outage seen by one is an outage for all, and each goes on with its part of
-// the node's trials; an own success since then weighs more, and so does an own failure.
+// hearsay applies an observation of another process of the node. The calls of all processes are
+// those of one node, so an outage seen by one is an outage for all, and each makes its part of
+// the node's trials. A newer success or failure seen by this process takes precedence.
 func (s *Sender) hearsay(h Hearsay) {
 	e := s.endpoints[h.Endpoint]
 	switch {
@@ -50,14 +50,14 @@
 	}
 }
 
-// verdict passes on to the other processes of the node what was seen, where there are any.
+// verdict sends an observation to the other processes of the node, if there are any.
 func (s *Sender) verdict(e *endpoint, news News) {
 	if s.share.group {
 		s.out = append(s.out, Verdict{Endpoint: e.id, News: news})
 	}
 }
 
-// grow takes larger shares into use when their times have come.
+// grow applies increases of the share that are due.
 func (s *Sender) grow() {
 	for len(s.share.grows) > 0 && s.now >= s.share.grows[0].at {
 		if s.share.grows[0].parts > s.share.parts {
@@ -67,15 +67,16 @@
 	}
 }
 
-// resume uses a part of the node from now on: as one of so many more senders, with that part
-// of its slots and hold. A slice stays the same part of what the node may have.
+// resume sets the fraction of the node that is in use: the sender acts as one of
+// correspondingly more senders, with that fraction of the slots and of MaxHeld. Each slice
+// stays the same fraction of the node's.
 func (s *Sender) resume(parts float64) {
 	before := float64(s.set.Senders)
 	s.share.parts = parts
 	s.set.Slots = int(parts * float64(s.whole.Slots))
 	s.set.MaxHeld = s.whole.MaxHeld
 	if parts <= 0 {
-		return // nothing is sent without slots; what is held and known stays for a share to come
+		return // without slots nothing is sent; messages and state are kept for a later share
 	}
 	if s.whole.MaxHeld > 0 {
 		s.set.MaxHeld = max(1, int(parts*float64(s.whole.MaxHeld)))
--- a/policy/share_test.go
+++ b/policy/share_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// shareBench has a path with a listed rate of 10 calls a second.
+// shareBench has a path with a listed rate of 10 calls per second.
 func shareBench(t *testing.T) *bench {
 	t.Helper()
 	set := testSettings()
@@ -13,8 +13,8 @@
 	return with(t, set, 0, 1, 10)
 }
 
-// sent tells how many calls go out within a time, while messages wait and each call is
-// answered at once.
+// sentWithin returns how many calls are sent within a time, while messages wait and each call
+// is answered at once.
 func (b *bench) sentWithin(d time.Duration) int {
 	n := 0
 	for end := b.now + d; b.now < end; b.now += 20 * time.Millisecond {
@@ -30,8 +30,8 @@
 	return n
 }
 
-// A smaller share binds at once, a larger one after a wide window; what nobody else has
-// had is taken up again at once.
+// A decrease of the share takes effect at once, an increase after a wide window, except for a
+// part that no other process has held since, which is in use again at once.
 func TestShareShrinksAtOnceAndGrowsLate(t *testing.T) {
 	b := shareBench(t)
 	b.sentWithin(wideWindow)
@@ -44,7 +44,7 @@
 		t.Errorf("slice %v of %v, listed %v of %v at half of the node", p.slice, slice, p.listed, listed)
 	}
 	b.step(Shared{Parts: 840, Whole: 840})
-	for range 10 { // told again and again, that does not put it off
+	for range 10 { // repeated assignments must not delay the increase
 		b.sentWithin(wideWindow / 10)
 		b.step(Shared{Parts: 840, Whole: 840})
 	}
@@ -52,24 +52,24 @@
 		t.Errorf("%d slots a wide window after the share grew, want 40", b.s.set.Slots)
 	}
 	b.step(Shared{Parts: 0, Whole: 840})
-	for len(b.sent) > 0 { // what was out before
+	for len(b.sent) > 0 { // calls in flight from before
 		b.finish(Delivered, 0)
 	}
 	if n := b.sentWithin(2 * time.Second); n != 0 {
-		t.Errorf("%d calls with no share", n)
+		t.Errorf("%d calls without a share", n)
 	}
 	if n := b.s.set.MaxHeld; n != 200 {
-		t.Errorf("%d messages may be held with no share: what waits for a lease would be given up", n)
+		t.Errorf("%d messages may be held without a share, want 200: messages that wait for a lease would be given up", n)
 	}
 	b.step(Shared{Parts: 840, Whole: 840, Kept: 840})
 	if b.s.set.Slots != 40 || b.s.set.Senders != 1 {
-		t.Errorf("%d slots and %d senders, want what nobody else has had", b.s.set.Slots, b.s.set.Senders)
+		t.Errorf("%d slots and %d senders, want the kept share in use at once", b.s.set.Slots, b.s.set.Senders)
 	}
 }
 
-// A share that shrinks before it has grown does not grow further, and of one that is to grow
-// more each part waits a wide window of its own.
-func TestShareThatChangesItsMind(t *testing.T) {
+// A decrease caps the increases that are pending, and each of several pending increases waits for
+// a wide window of its own.
+func TestShareDecreaseWhileAnIncreaseIsPending(t *testing.T) {
 	b := shareBench(t)
 	slots := func(want int, when string) {
 		t.Helper()
@@ -87,18 +87,18 @@
 	b.wait(wideWindow / 2)
 	b.step(Shared{Parts: 840, Whole: 840})
 	b.wait(wideWindow / 2)
-	slots(30, "when the first part is due")
+	slots(30, "when the first increase is due")
 	b.wait(wideWindow/2 - time.Millisecond)
-	slots(30, "just before the second")
+	slots(30, "just before the second is due")
 	b.wait(time.Millisecond)
-	slots(40, "in the end")
+	slots(40, "at the end")
 	if b.s.wake(); len(b.s.share.grows) > 0 {
-		t.Errorf("%v is still to come", b.s.share.grows)
+		t.Errorf("increases still pending: %v", b.s.share.grows)
 	}
 }
 
-// What a process kept over a time without a share it uses again at once, as far as it used it
-// before: what it only waited for it waits for anew.
+// After a period without a share, a process uses its kept share at once, but only as much as was
+// in use before: a pending increase waits again.
 func TestRetainedShareIsUsedAtOnce(t *testing.T) {
 	b := shareBench(t)
 	b.step(Shared{Parts: 210, Whole: 840})
@@ -108,71 +108,71 @@
 	b.step(Shared{Whole: 840})
 	b.step(Shared{Parts: 840, Whole: 840, Kept: 840})
 	if got := b.s.Share(); got != 0.25 {
-		t.Errorf("%v of the node in use, want the quarter that was", got)
+		t.Errorf("%v of the node in use, want the quarter used before", got)
 	}
 	b.wait(wideWindow - time.Millisecond)
 	if got := b.s.Share(); got != 0.25 {
-		t.Errorf("%v of the node in use before a wide window", got)
+		t.Errorf("%v of the node in use before a wide window has passed", got)
 	}
 	b.step(Shared{Whole: 840})
 	b.step(Shared{Parts: 210, Whole: 840, Kept: 100})
 	if got := b.s.Share(); got != 100.0/840 {
-		t.Errorf("%v of the node in use, want what nobody else has had", got)
+		t.Errorf("%v of the node in use, want the kept share only", got)
 	}
 	b.step(Shared{Parts: 840, Whole: 840, Alone: true})
 	if got := b.s.Share(); got != 1 {
-		t.Errorf("%v of the node in use with nobody else there", got)
+		t.Errorf("%v of the node in use without other processes, want 1", got)
 	}
 }
 
-// What another process of the node has seen binds this one, but for what it has seen since.
+// Observations of another process of the node apply, unless this one has newer observations.
 func TestObservationsOfAnotherProcessCount(t *testing.T) {
 	b := shareBench(t)
 	e := b.s.endpoints[1]
 	if b.step(Hearsay{Endpoint: 9, News: Down, At: b.now}); e.out {
-		t.Error("news of another endpoint")
+		t.Error("an observation of another endpoint was applied")
 	}
 	b.sentWithin(time.Second) // it answers
 	seen := b.now
 	b.sentWithin(time.Second)
 	if b.step(Hearsay{Endpoint: 1, News: Down, At: seen}); e.out {
-		t.Error("an older failure outweighs an own success")
+		t.Error("an older failure overrides a success of this process")
 	}
 	b.step(Shared{Parts: 420, Whole: 840})
 	b.wait(time.Second)
 	b.step(Hearsay{Endpoint: 1, News: Down, At: b.now})
 	if !e.out {
-		t.Fatal("an outage that another has seen is none")
+		t.Fatal("an outage seen by another process is ignored")
 	}
-	b.sent = nil // what was out before
+	b.sent = nil // calls in flight from before
 	b.arrive(0)
 	if b.step(Woken{}); len(b.sent) > 0 {
-		t.Error("sent at once into an outage that another has seen")
+		t.Error("sent at once into an outage seen by another process")
 	}
 	if b.step(Hearsay{Endpoint: 1, News: BackCold, At: e.since - 1}); !e.out {
 		t.Error("an older success ends the outage")
 	}
 	b.wait(time.Second)
 	if b.step(Hearsay{Endpoint: 1, News: BackCold, At: b.now}); e.out || !e.warming {
-		t.Errorf("out %v, warming %v after another has seen it back and cold", e.out, e.warming)
+		t.Errorf("down %v, warming %v after another process saw it return cold", e.out, e.warming)
 	}
 }
 
-func TestAWaitThatAnotherWasTold(t *testing.T) {
+func TestWaitOfAnotherProcessApplies(t *testing.T) {
 	b := shareBench(t)
 	b.step(HeardWait{Endpoint: 1, Until: b.now + 3*time.Second})
-	b.step(HeardWait{Endpoint: 1, Until: b.now + time.Second}) // the longer one holds
+	b.step(HeardWait{Endpoint: 1, Until: b.now + time.Second}) // the longer one applies
 	b.step(HeardWait{Endpoint: 9, Until: b.now + time.Second})
 	if n := b.sentWithin(2900 * time.Millisecond); n > 0 {
-		t.Errorf("%d calls within a wait", n)
+		t.Errorf("%d calls during the wait", n)
 	}
 	if n := b.sentWithin(2 * time.Second); n == 0 {
 		t.Error("no call after the wait")
 	}
 }
 
-// Who joins has used nothing yet, whatever is said of its kept parts.
-func TestAShareThatIsNew(t *testing.T) {
+// A process that joins has used nothing yet, whatever its Kept says.
+func TestNewProcessHasNoKeptShare(t *testing.T) {
 	b := shareBench(t)
 	b.step(Shared{Whole: 840})
 	b.step(Shared{Parts: 280, Whole: 840})
@@ -186,7 +186,7 @@
 	}
 }
 
-// Verdicts are told the others of a group, and to nobody where there is none.
+// Verdicts are sent only if the node has several processes.
 func TestVerdictsGoToTheGroupOnly(t *testing.T) {
 	for _, group := range []bool{false, true} {
 		b := shareBench(t)
@@ -210,7 +210,7 @@
 			b.wait(100 * time.Millisecond)
 		}
 		if got := len(told) > 0; got != group || group && (told[0] != Down || told[len(told)-1] != BackCold) {
-			t.Errorf("in a group %v: told %v", group, told)
+			t.Errorf("in a group %v: verdicts %v", group, told)
 		}
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -9,50 +9,49 @@
 	"dunetide/internal/platform/sendlog"
 )
 
-// This file holds what a sender remembers, the plain handling of it, and the figures
-// that follow from it. It decides nothing: see policy.go.
+// This file has the state of a sender, its bookkeeping, and the estimates derived from it.
+// The decisions are in policy.go and the files that it lists.
 
-// Sender decides for one node. It is not safe for concurrent use.
+// Sender makes the decisions of one node. It is not safe for concurrent use.
 type Sender struct {
 	set   Settings
 	rng   *rand.Rand
 	now   Time
 	out   []Action
-	armed Time // the earliest wake that was asked for, or 0
+	armed Time // the earliest requested wake, or 0
 
 	endpoints map[EndpointID]*endpoint
 	tags      map[Tag]*endpoint
 	dests     map[int]*destination
-	ordered   []*destination // in order of first mention; maps are never ranged over
+	ordered   []*destination // in order of first use; maps are never ranged over, to stay deterministic
 	messages  map[MessageID]*message
-	open      []*message // not ended, in order of arrival
+	open      []*message // not yet ended, in order of arrival
 	turns     map[uint64]*turn
 
-	whole Settings // of the node, where this is one of its processes
+	whole Settings // of the whole node; set has this process's share of them
 	share struct {
-		group bool     // there are others: what is seen is told them
-		parts float64  // of the node, in use
-		had   float64  // in use before the last change
-		grows []growth // what is to be used from later moments on, the first one first
+		group bool     // the node has several processes, which exchange observations
+		parts float64  // fraction of the node in use
+		had   float64  // fraction in use before the last change
+		grows []growth // increases of the share that take effect later, earliest first
 	}
 
-	line candidates // of the step
+	line candidates // messages that may be sent in this step
 
-	subscribed  bool // changes to the list come, or the answer is on its way
-	subscribeAt Time // when to ask again
+	subscribed  bool // subscribed to list changes, or the request is in flight
+	subscribeAt Time // when to subscribe again
 
-	started  Time          // the first step
-	smallCut float64       // so many cuts take a slice of one call to one call for all senders
-	usual    float64       // mean latency of calls in seconds
-	heardAt  Time          // when the last note came
-	toldAt   Time          // when the last note was told
-	longest  time.Duration // the longest time that a message may wait
-	inFlight int           // calls out
-	pace     float64       // how much slower than their own estimates all destinations answer of late
+	started  Time          // time of the first step
+	smallCut float64       // factor of a cut: smallCuts of them reduce a slice of one call to one call for all senders
+	usual    float64       // moving average of call latency, in seconds
+	heardAt  Time          // when the last note was received
+	toldAt   Time          // when the last note was sent
+	longest  time.Duration // the longest deadline of any class, at least FallWindow
+	inFlight int           // calls in flight
+	pace     float64       // moving average, over all destinations, of latency relative to the path's estimate
 }
 
-// New returns a sender that knows nothing but its settings. All its randomness
-// comes from seed.
+// New returns a sender with empty state. All its randomness comes from seed.
 func New(settings Settings, seed uint64) *Sender {
 	settings.Senders = max(settings.Senders, 1)
 	settings.Slots = max(settings.Slots, 1)
@@ -74,16 +73,16 @@
 type candidate struct {
 	message *message
 	score   float64
-	place   int // among those held: of equals the first goes first
+	place   int // position among the open messages: breaks ties, oldest first
 }
 
-// candidates is a heap with the best on top.
+// candidates is a max-heap by score.
 type candidates []candidate
 
 // Len implements heap.Interface, as the methods that follow do.
 func (c candidates) Len() int { return len(c) }
 
-// Less orders by score, and by place where the scores are equal.
+// Less orders by score, highest first, and by place where the scores are equal.
 func (c candidates) Less(i, j int) bool {
 	return c[i].score > c[j].score || c[i].score == c[j].score && c[i].place < c[j].place
 }
@@ -101,19 +100,19 @@
 	return last
 }
 
-// growth is a larger share from some moment on.
+// growth is an increase of the share that takes effect at a later time.
 type growth struct {
 	at    Time
 	parts float64
 }
 
-// call is one call that is out: one message, or a bundle with one fate.
+// call is one call in flight: a message, or a bundle of messages.
 type call struct {
 	endpoint *endpoint
 	sent     Time
 	size     int  // messages sent with it
 	left     int  // messages without an outcome
-	judged   bool // its outcome has been taken into the endpoint's health
+	judged   bool // its outcome has been counted in the endpoint's health
 }
 
 // endpoint is one address of a destination.
@@ -122,94 +121,94 @@
 	path   *path
 	zone   int
 	state  EndpointState
-	told   Time // when it was told to be draining or gone
-	barred bool // by the staff's order, whatever the list says
+	told   Time // when the list last had it as Ready, or first as no longer Ready
+	barred bool // by an operator's order, which overrides the list
 
-	calls    []*call // out, oldest first
+	calls    []*call // in flight, oldest first
 	lastSent Time
 	lastOK   Time
-	score    float64     // failure score
-	failing  float64     // share of its calls that failed, of late
+	score    float64     // failure score: from outScore on, the endpoint is down
+	failing  float64     // moving average of the fraction of its calls that failed
 	suspect  bool        // its last outcome was a failure
-	out      bool        // an outage is on
-	since    Time        // when the outage was noticed
-	lead     bool        // this sender told the others of it
-	timeouts int         // time-outs in a row
-	broken   bool        // an error, a refusal or no connection came since its last success
-	harmless bool        // its last failure proved that the call had not run
-	fullRun  int         // fulls in a row, of calls sent after the one before was heard
-	warming  bool        // back from an outage
-	warmFrom Time        // when it was first seen back
-	cold     sendlog.Log // calls, while it may be cold
-	phase    float64     // drawn with each call: how long a stretched window is, about 1
-	troubled Time        // when it was first seen or heard to fail since it was sound, or 0
-}
-
-// path is what shares one limit: a destination, or a route where routes are
-// apart.
+	out      bool        // the endpoint is in an outage
+	since    Time        // when the outage was detected
+	lead     bool        // this sender announced the outage to the others and leads the trials
+	timeouts int         // consecutive timeouts
+	broken   bool        // an error, a rejection or a failed connection came since its last success
+	harmless bool        // its last failure guarantees that the call did not run
+	fullRun  int         // consecutive Full outcomes, each of a call sent after the previous one was received
+	warming  bool        // back from an outage and not yet warm
+	warmFrom Time        // start of the warm-up
+	cold     sendlog.Log // recent calls, to limit the rate while it may be cold
+	phase    float64     // random factor of the cold window, about 1, drawn with each call
+	troubled Time        // when it was first reported to fail since it was last healthy, or 0
+}
+
+// path is a set of endpoints that share one rate limit: those of a destination, or one
+// endpoint where each has its own limit (Kind.RoutesApart).
 type path struct {
 	dest      *destination
-	jamAt     Time          // when fulls were last told or heard of
-	jamFor    time.Duration // the span for which the logs closed then
+	jamAt     Time          // start of the last jam, seen here or reported by a note
+	jamFor    time.Duration // upper bound of the pause of that jam
 	kind      Kind
 	fee       float64
 	endpoints []*endpoint
 
 	narrow, wide sendlog.Log
-	passed       sendlog.Log // successes within the narrow window
-	peak         int         // the most of them that there ever were
+	passed       sendlog.Log // times of successes within a narrow window
+	peak         int         // the highest count of passed so far
 	passes       int         // successes so far
-	refused      float64     // share of its calls that were refused, of late
-	most         int         // the most endpoints that were ready at a time
-	slice        float64     // calls in a narrow window; infinite while unbound
-	beforeRun    float64     // the slice before the fulls in a row of late, or 0
-	listed       float64     // listed part of this sender in calls a second, or 0
-	sureRate     float64     // the least that listed may mean
-	told         Allowance   // what the last answer told of the limit, for all senders
-	closedUntil  Time        // told wait or pause
-	fullAt       Time        // when the last full was heard
-	nextTrial    Time        // during an outage
+	refused      float64     // moving average of the fraction of its calls that ended as Full
+	most         int         // the highest number of endpoints that were ready at one time
+	slice        float64     // calls allowed per narrow window; infinite while no limit is known
+	beforeRun    float64     // the slice before the last run of consecutive Fulls, or 0
+	listed       float64     // this sender's part of the listed rate in calls per second, or 0
+	sureRate     float64     // lower bound of the true rate, given the accuracy of listed
+	told         Allowance   // the limit for all senders that the last response reported
+	closedUntil  Time        // end of a requested wait or of a pause after a Full
+	fullAt       Time        // when the last Full was received
+	nextTrial    Time        // time of the next trial in an outage
 	latency      time.Duration
-	deviation    time.Duration // mean distance of an answer from latency
+	deviation    time.Duration // moving average of the absolute deviation from latency
 	baseline     time.Duration
 }
 
-// destination has the held messages of its paths.
+// destination has the paths of a destination and the messages queued for it.
 type destination struct {
 	number int
 	paths  []*path
-	queue  []*message // held, in order of arrival
-	room   bool       // a path has room, as this step begins
+	queue  []*message // messages not in flight, in order of arrival
+	room   bool       // some path could accept a call when dispatch began
 }
 
-// message is one message from its arrival until it has ended and no attempt
-// at it is out.
+// message is one message, kept from its arrival until it has ended and has no attempt
+// in flight.
 type message struct {
 	id       MessageID
 	class    *Class
 	dest     *destination
-	born     Time // when it was first handed in
+	born     Time // when it was first submitted
 	giveUpAt Time
 	turn     *turn
 
 	attempts  int
-	call      *call // the attempt that is out
+	call      *call // the call in flight that carries it, or nil
 	ended     bool
-	ran       bool // an attempt may have run, or is out
+	ran       bool // an attempt may have run, or is in flight
 	ranAt     Time // when the first such attempt was sent
-	ranZone   int  // where it was sent
-	settled   bool // some finished attempt may have run
+	ranZone   int  // the zone it was sent to
+	settled   bool // a finished attempt may have run
 	notBefore Time
-	failedAt  *endpoint // the endpoint that failed it last
+	failedAt  *endpoint // the endpoint of its last attempt, if that failed
 }
 
-// turn is the line of messages of one key.
+// turn is the queue of the messages of one key.
 type turn struct {
 	line      []*message
 	restUntil Time
 }
 
-// outSince tells whether all endpoints of a path are out or barred, and from when.
+// outSince reports whether all ready endpoints of a path are down or disabled, and since when.
 func (p *path) outSince() (Time, bool) {
 	from, any := Time(0), false
 	for _, e := range p.endpoints {
@@ -224,7 +223,7 @@
 	return from, any
 }
 
-// take moves a message from its queue into a call.
+// take moves a message from its queue to a call.
 func (s *Sender) take(m *message, c *call) {
 	c.size++
 	c.left++
@@ -244,14 +243,15 @@
 	return n
 }
 
-// trouble keeps the first time at which an endpoint was seen or heard to fail.
+// trouble records when an endpoint was first reported to fail.
 func (e *endpoint) trouble(now Time) {
 	if e.troubled == 0 {
 		e.troubled = now
 	}
 }
 
-// counted takes a note that all hear at once as a call, for a time that differs.
+// counted counts a note as a call to the endpoint. All senders receive a note at the same
+// time; the random phase keeps them from sending at the same time afterwards.
 func (s *Sender) counted(e *endpoint) {
 	e.phase = s.rng.Float64()
 	e.cold.Record(s.now)
@@ -277,8 +277,8 @@
 	return d
 }
 
-// end takes a message that has its final answer out of everything but the
-// attempt that may still be out.
+// end removes a message that has its final answer. It stays in messages while an attempt
+// is in flight.
 func (s *Sender) end(m *message) {
 	m.ended = true
 	s.open = remove(s.open, m)
@@ -296,7 +296,7 @@
 	}
 }
 
-// jitter is a random span below d.
+// jitter returns a random duration below d.
 func (s *Sender) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -304,7 +304,7 @@
 	return time.Duration(s.rng.Int64N(int64(d)))
 }
 
-// remove takes the first x out of a slice, in place.
+// remove deletes the first x from a slice, in place.
 func remove[T comparable](list []T, x T) []T {
 	for i, v := range list {
 		if v == x {
@@ -314,7 +314,7 @@
 	return list
 }
 
-// note takes in an event that calls for no judgement.
+// note applies an event that only changes state and needs no decision.
 func (s *Sender) note(e Event) {
 	switch e := e.(type) {
 	case Listed:
@@ -344,7 +344,7 @@
 		named[entry.Endpoint] = true
 		e := s.endpoints[entry.Endpoint]
 		if e == nil {
-			if entry.State != Ready { // it may have been told of before, and the grace be over
+			if entry.State != Ready { // its drain may have been announced earlier, and the grace be over
 				continue
 			}
 			e = s.addEndpoint(entry)
@@ -363,9 +363,9 @@
 	s.forgetGone()
 }
 
-// forgetGone drops the endpoints that have been gone for so long that nothing of them
-// counts any more: no message of then is left, and back under its name one would be warm.
-// With the last of a path its limit is forgotten, unless calls still count for it.
+// forgetGone drops the state of endpoints that have been gone for longer than it matters: no
+// message from then is left, and an endpoint that returned under the same ID would be warm.
+// A path without endpoints is dropped with its limit, unless recent calls still count.
 func (s *Sender) forgetGone() {
 	for _, d := range slices.Clone(s.ordered) {
 		for _, p := range d.paths {
@@ -387,7 +387,7 @@
 	}
 }
 
-// forgetUnknown drops a destination of which nothing is known and for which nothing waits.
+// forgetUnknown drops a destination that has no paths and no queued messages.
 func (s *Sender) forgetUnknown(d *destination) {
 	if len(d.paths) == 0 && len(d.queue) == 0 && s.dests[d.number] == d {
 		delete(s.dests, d.number)
@@ -446,7 +446,7 @@
 	return e
 }
 
-// worth is what a message of a class earns when it is delivered at an age.
+// worth returns what a message of a class earns if it is delivered at an age.
 func (s *Sender) worth(c *Class, age time.Duration) float64 {
 	switch {
 	case age >= c.Deadline:
@@ -459,7 +459,7 @@
 	return c.Worth * (1 - (1-c.LateWorth)*float64(age-c.Aim)/float64(c.Deadline-c.Aim))
 }
 
-// warmth is the share of its capacity that a destination has again, at least.
+// warmth returns the fraction of its capacity that a destination has regained, at least.
 func (s *Sender) warmth(from Time) float64 {
 	if s.set.WarmUp <= 0 {
 		return 1
@@ -468,12 +468,12 @@
 	return min(1, cold+(1-cold)*float64(s.now-from)/float64(s.set.WarmUp))
 }
 
-// drawPhase spreads what senders that saw the same would do at the same time.
+// drawPhase returns a random factor about 1 that desynchronizes senders that saw the same event.
 func (s *Sender) drawPhase() float64 {
 	return 1 - stretchSpread + 2*stretchSpread*s.rng.Float64()
 }
 
-// tell sends a note where senders may, and tells whether it did.
+// tell sends a note if mayTell allows it, and reports whether it did.
 func (s *Sender) tell(e *endpoint, news News) bool {
 	may := s.mayTell()
 	if may {
@@ -483,7 +483,7 @@
 	return may
 }
 
-// doubtful counts the messages that are out to endpoints that are out, suspect or
+// doubtful counts the messages in flight to endpoints that are down, suspect or
 // stalled.
 func (s *Sender) doubtful() int {
 	n := 0
@@ -498,13 +498,13 @@
 	return n
 }
 
-// tag spreads the ids of endpoints over the tags.
+// tag hashes the ID of an endpoint to a Tag.
 func (id EndpointID) tag() Tag {
 	return Tag(uint64(id) * 0x9e3779b97f4a7c15 >> (64 - TagBits))
 }
 
-// remembered takes over what an earlier life of the node saw of an endpoint: its
-// calls count for the logs still, and its failures for its health.
+// remembered restores the history of an endpoint from a previous run of the node: its
+// calls count in the windows, and its failures in its health.
 func (s *Sender) remembered(r Remembered) {
 	e := s.endpoints[r.Endpoint]
 	if e == nil {
@@ -519,8 +519,8 @@
 	s.recall(e, r)
 }
 
-// order bars an endpoint, or lets it serve again: it was restarted meanwhile, so it
-// counts as just back from an outage, and nothing that was seen before says how it is.
+// order disables or enables an endpoint. An enabled endpoint was restarted, so it counts
+// as just back from an outage, and earlier observations of its health are discarded.
 func (s *Sender) order(o Ordered) {
 	e := s.endpoints[o.Endpoint]
 	if e == nil || e.barred == o.Out {
@@ -538,8 +538,8 @@
 	s.returned(e, BackCold)
 }
 
-// stillOut takes over a call that another process waits for: it holds its slot. The
-// messages of a bundle were sent at the same time.
+// stillOut adopts a call that is in flight in another process, so that it occupies a slot.
+// Messages with the same endpoint and send time belong to one bundle.
 func (s *Sender) stillOut(m *message, e *endpoint, past Past) {
 	m.settled = past.Settled
 	i := slices.IndexFunc(e.calls, func(c *call) bool { return c.sent == past.OutSince })
@@ -553,7 +553,7 @@
 	m.call.left++
 }
 
-// Memory tells what the sender knows, for a process that goes on in its place.
+// Memory returns the sender's state, for a process that takes over from it.
 func (s *Sender) Memory() Memory {
 	out := Memory{Started: s.started, Usual: s.usual, Pace: s.pace}
 	for _, d := range s.ordered {
@@ -579,7 +579,7 @@
 	return out
 }
 
-// inherited takes over the memory of another process.
+// inherited restores the memory of another process.
 func (s *Sender) inherited(m Memory) {
 	s.started, s.usual, s.pace = m.Started, m.Usual, m.Pace
 	for _, r := range m.Paths {
@@ -607,7 +607,7 @@
 	}
 }
 
-// returned takes an endpoint out of its outage.
+// returned ends the outage of an endpoint.
 func (s *Sender) returned(e *endpoint, news News) {
 	e.out = false
 	e.path.nextTrial = min(e.path.nextTrial, s.now+s.trialGap(e))
@@ -616,10 +616,10 @@
 	}
 }
 
-// ownRate is how many calls a second a path has taken from this sender, such that
-// all senders' rates sum to what it took: its mean, or its best narrow window less
-// what is chance in it. The best windows of many do not fall together: each is so
-// many deviations over its mean, all together 1 over the root of their number of that.
+// ownRate estimates the calls per second that a path has accepted from this sender, such
+// that the rates of all senders sum to what the path accepted. It is the mean, or the peak
+// of a narrow window less its expected random excess. The peaks of many senders don't
+// coincide: each is peakDeviations above its mean, the peak of their sum 1/sqrt(Senders) of that.
 func (s *Sender) ownRate(p *path) float64 {
 	mean := float64(p.passes) / max(narrowWindow, s.now-s.started).Seconds()
 	apart := 1 - 1/math.Sqrt(float64(s.set.Senders))
@@ -627,16 +627,16 @@
 	return max(mean, (float64(p.peak)-chance)/narrowWindow.Seconds())
 }
 
-// fair is an even slice of the limit that was told.
+// fair returns an equal share of the reported limit, as a slice.
 func (s *Sender) fair(p *path) float64 {
 	return p.told.Limit / float64(s.set.Senders) * narrowWindow.Seconds()
 }
 
-// notesCome tells that notes of others were heard of late. Without, nobody knows
-// whether its own are heard, and none may lead.
+// notesCome reports whether a note was received recently. Otherwise the sender can't assume
+// that its own notes are received, and must not lead the trials of an outage.
 func (s *Sender) notesCome() bool { return s.heardAt > 0 && s.now-s.heardAt < s.set.FallWindow }
 
-// drain guesses how long a destination's queue takes.
+// drain estimates how long a destination's queue takes to drain.
 func (s *Sender) drain(d *destination) time.Duration {
 	rate, outage := 0.0, time.Duration(math.MaxInt64)
 	for _, p := range d.paths {
@@ -650,7 +650,7 @@
 	return outage + time.Duration(float64(len(d.queue))/rate*float64(time.Second))
 }
 
-// rate guesses how many calls a second a path takes from this sender.
+// rate estimates the messages per second that a path accepts from this sender.
 func (s *Sender) rate(p *path) float64 {
 	r := max(s.ownRate(p), p.listed, 1/narrowWindow.Seconds())
 	if !math.IsInf(p.slice, 1) {
@@ -659,8 +659,8 @@
 	return r * float64(p.kind.BundleMax)
 }
 
-// outage guesses how long a path stays closed: an outage that has lasted for
-// some time lasts as long again.
+// outage estimates how long a path stays closed. An outage is expected to last as long
+// again as it has lasted so far.
 func (s *Sender) outage(p *path) time.Duration {
 	wait := max(0, p.closedUntil-s.now)
 	if from, out := p.outSince(); out {
