--- a/policy/answers.go
+++ b/policy/answers.go
@@ -6,26 +6,26 @@
 
 // mayRepeat reports whether a message may be sent to an endpoint, given its earlier attempts.
 func (s *Sender) mayRepeat(m *message, e *endpoint) bool {
-	if m.call != nil || m.ended || s.neverAgain(m) {
+	if m.call != nil || m.ended || s.mustNotResend(m) {
 		return false
 	}
-	free := !m.ran || m.class.Repeat == Idempotent
+	free := !m.mayHaveRun || m.class.Repeat == Idempotent
 	return free || m.class.GroupAll || m.class.GroupZone && e.zone == m.ranZone
 }
 
 // mayRefuse reports whether the client may be told that a retry is safe.
 func (s *Sender) mayRefuse(m *message) bool {
-	return !m.ran || m.class.Repeat == Idempotent || m.class.Repeat == Deduplicated && m.class.GroupAll
+	return !m.mayHaveRun || m.class.Repeat == Idempotent || m.class.Repeat == Deduplicated && m.class.GroupAll
 }
 
-func (s *Sender) finished(o Ended) {
+func (s *Sender) attemptEnded(o Ended) {
 	m := s.messages[o.Message]
 	if m == nil || m.call == nil {
 		return
 	}
 	c := m.call
 	m.call = nil
-	if c.left--; c.left == 0 {
+	if c.pending--; c.pending == 0 {
 		c.endpoint.calls = remove(c.endpoint.calls, c)
 		s.inFlight--
 		if o.Outcome == Moot && !c.judged { // never sent: it does not count against the limit
@@ -35,8 +35,8 @@
 	}
 	if !c.judged && o.Outcome != Moot && o.Outcome != Cancelled {
 		c.judged = true
-		s.follow(c.endpoint.path, o.Told)
-		s.judge(c.endpoint, o.Outcome, o.Wait, c, o.Took)
+		s.followLimit(c.endpoint.path, o.Told)
+		s.recordOutcome(c.endpoint, o.Outcome, o.Wait, c, o.Took)
 	}
 	if p := c.endpoint.path; o.Wait > 0 {
 		// Messages of one call may end separately, so the wait of each applies.
@@ -44,16 +44,16 @@
 	}
 	switch o.Outcome {
 	case Full, Unreachable, Moot:
-		if !m.settled {
-			m.ran = false
+		if !m.finishedMayHaveRun {
+			m.mayHaveRun = false
 		}
 	case TimedOut, Reset, Cancelled:
-		m.settled = true
-		if m.turn != nil {
-			m.turn.restUntil = max(m.turn.restUntil, s.now+s.set.TurnGap)
+		m.finishedMayHaveRun = true
+		if m.keyQueue != nil {
+			m.keyQueue.pausedUntil = max(m.keyQueue.pausedUntil, s.now+s.set.TurnGap)
 		}
 	default:
-		m.settled = true
+		m.finishedMayHaveRun = true
 	}
 	if o.Final || o.Outcome == Delivered {
 		if !m.ended {
@@ -65,9 +65,9 @@
 		s.forget(m)
 		return
 	}
-	m.failedAt = nil
+	m.failedEndpoint = nil
 	if o.Outcome != Full && o.Outcome != Moot {
-		m.failedAt = c.endpoint
+		m.failedEndpoint = c.endpoint
 		backoff := min(backoffMax, backoffBase<<min(m.attempts-1, 10))
 		m.notBefore = s.now + backoff/2 + s.jitter(backoff/2)
 	}
@@ -84,7 +84,7 @@
 func (s *Sender) answerDue() {
 	for i := 0; i < len(s.open); i++ {
 		m := s.open[i]
-		hopeless := m.call == nil && (m.attempts >= s.set.MaxAttempts || s.neverAgain(m))
+		hopeless := m.call == nil && (m.attempts >= s.set.MaxAttempts || s.mustNotResend(m))
 		if s.now >= s.answerAt(m) || hopeless {
 			s.answer(m)
 			i--
@@ -92,9 +92,9 @@
 	}
 }
 
-// neverAgain reports that the message must not be sent again to any endpoint.
-func (s *Sender) neverAgain(m *message) bool {
-	return m.ran && (m.class.Repeat == AtMostOnce ||
+// mustNotResend reports that the message must not be sent again to any endpoint.
+func (s *Sender) mustNotResend(m *message) bool {
+	return m.mayHaveRun && (m.class.Repeat == AtMostOnce ||
 		m.class.Repeat == Deduplicated && s.now-m.ranAt >= m.class.Window)
 }
 
@@ -104,7 +104,7 @@
 	if s.mayRefuse(m) {
 		var wait time.Duration
 		if s.set.AdviseWait {
-			wait = min(s.set.MaxWait, s.drain(m.dest))
+			wait = min(s.set.MaxWait, s.drainTime(m.dest))
 		}
 		s.out = append(s.out, Refuse{Message: m.id, Wait: wait})
 	} else {
@@ -113,8 +113,8 @@
 	s.end(m)
 }
 
-// makeRoom sheds load to keep part of MaxHeld free: messages beyond MaxHeld are lost without a decision.
-func (s *Sender) makeRoom() {
+// shedLoad ends messages to keep part of MaxHeld free: messages beyond MaxHeld are lost without a decision.
+func (s *Sender) shedLoad() {
 	if s.set.MaxHeld <= 0 {
 		return
 	}
@@ -126,9 +126,9 @@
 			if m.call != nil || m.class.Worth <= 0 {
 				continue
 			}
-			v := s.worth(m.class, s.now-m.born+s.drain(m.dest)) / m.class.Worth
+			v := s.worth(m.class, s.now-m.submitted+s.drainTime(m.dest)) / m.class.Worth
 			if s.inFlight >= s.set.Slots && len(m.dest.paths) > 0 {
-				v *= min(1, s.usual/m.dest.paths[0].latency.Seconds())
+				v *= min(1, s.meanLatency/m.dest.paths[0].latency.Seconds())
 			}
 			if !s.mayRefuse(m) {
 				v += 0.1
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -15,19 +15,19 @@
 	if s.inFlight >= s.set.Slots {
 		return
 	}
-	for _, d := range s.ordered {
-		d.room = slices.ContainsFunc(d.paths, s.hasRoom)
+	for _, d := range s.destList {
+		d.sendable = slices.ContainsFunc(d.paths, s.hasCapacity)
 	}
-	s.line = s.line[:0]
+	s.sendQueue = s.sendQueue[:0]
 	for i, m := range s.open {
-		if m.dest.room && s.ready(m) && !s.gathers(m) {
-			s.line = append(s.line, candidate{m, s.score(m), i})
+		if m.dest.sendable && s.ready(m) && !s.waitsForBundle(m) {
+			s.sendQueue = append(s.sendQueue, candidate{m, s.score(m), i})
 		}
 	}
-	heap.Init(&s.line)
-	for s.inFlight < s.set.Slots && len(s.line) > 0 {
-		m := heap.Pop(&s.line).(candidate).message
-		if !s.ready(m) || s.gathers(m) { // sent in a bundle meanwhile, or others of its queue were
+	heap.Init(&s.sendQueue)
+	for s.inFlight < s.set.Slots && len(s.sendQueue) > 0 {
+		m := heap.Pop(&s.sendQueue).(candidate).message
+		if !s.ready(m) || s.waitsForBundle(m) { // sent in a bundle meanwhile, or others of its queue were
 			continue
 		}
 		if e := s.choose(m); e != nil {
@@ -44,24 +44,25 @@
 	if s.answerAt(m)-s.now <= 2*s.set.Tick {
 		return false
 	}
-	return m.turn == nil || m.turn.line[0] == m && (m.attempts > 0 || s.now >= m.turn.restUntil)
+	return m.keyQueue == nil || m.keyQueue.waiting[0] == m &&
+		(m.attempts > 0 || s.now >= m.keyQueue.pausedUntil)
 }
 
-// gathers reports whether a message waits for others to share its call, while the rate is
+// waitsForBundle reports whether a message waits for others to share its call, while the rate is
 // limited: many senders get few messages each, and each call counts against the limit.
-func (s *Sender) gathers(m *message) bool {
+func (s *Sender) waitsForBundle(m *message) bool {
 	p := m.dest.paths[0]
 	if m.attempts > 0 || len(m.dest.queue) >= p.kind.BundleMax || math.IsInf(p.slice, 1) {
 		return false
 	}
-	return s.now-m.born < time.Duration(gatherShare*float64(m.class.Aim))-p.latency/2
+	return s.now-m.submitted < time.Duration(bundleWaitShare*float64(m.class.Aim))-p.latency/2
 }
 
 // score returns the worth lost by waiting a narrow window longer, per second of slot
 // time. Ties go to the message that has waited longest.
 func (s *Sender) score(m *message) float64 {
 	latency := m.dest.paths[0].latency
-	age := s.now - m.born
+	age := s.now - m.submitted
 	loss := s.worth(m.class, age+latency) - s.worth(m.class, age+latency+narrowWindow)
 	return loss/latency.Seconds() + 1e-6*age.Seconds()
 }
@@ -72,11 +73,11 @@
 	var best *endpoint
 	free := s.freeWait(m)
 	for _, p := range m.dest.paths {
-		if !s.hasRoom(p) {
+		if !s.hasCapacity(p) {
 			continue
 		}
-		if p.fee > 0 && free >= 0 && !s.scarce() {
-			age := s.now - m.born + p.latency
+		if p.fee > 0 && free >= 0 && !s.slotsScarce() {
+			age := s.now - m.submitted + p.latency
 			if s.worth(m.class, age)-s.worth(m.class, age+free) < p.fee*m.class.Worth {
 				continue
 			}
@@ -98,7 +99,7 @@
 		if p.fee > 0 {
 			continue
 		}
-		w := s.outage(p) + time.Duration(float64(len(p.dest.queue))/s.rate(p)*float64(time.Second))
+		w := s.expectedOutage(p) + time.Duration(float64(len(p.dest.queue))/s.rate(p)*float64(time.Second))
 		may := func(e *endpoint) bool { return e.state == Ready && s.mayRepeat(m, e) }
 		if (wait < 0 || w < wait) && slices.ContainsFunc(p.endpoints, may) {
 			wait = w
@@ -107,16 +108,16 @@
 	return wait
 }
 
-// scarce reports whether messages wait for slots: then slot time is worth more than
+// slotsScarce reports whether messages wait for slots: then slot time is worth more than
 // a fee, and the faster path is taken.
-func (s *Sender) scarce() bool { return len(s.open) > 2*s.set.Slots }
+func (s *Sender) slotsScarce() bool { return len(s.open) > 2*s.set.Slots }
 
 func (s *Sender) better(a, b *endpoint, m *message) bool {
-	if x, y := a == m.failedAt, b == m.failedAt; x != y {
+	if x, y := a == m.failedEndpoint, b == m.failedEndpoint; x != y {
 		return y // avoid the endpoint where the last attempt failed
 	}
 	if a.path.fee != b.path.fee {
-		if s.scarce() {
+		if s.slotsScarce() {
 			return a.path.latency < b.path.latency
 		}
 		return a.path.fee < b.path.fee
@@ -132,25 +133,25 @@
 
 // usable reports whether an endpoint may be sent a message now.
 func (s *Sender) usable(e *endpoint, m *message) bool {
-	if !s.mayRepeat(m, e) || !s.listedFor(e) {
+	if !s.mayRepeat(m, e) || !s.acceptsCalls(e) {
 		return false
 	}
 	switch {
-	case s.stalled(e), (e.out || e.suspect) && !s.roomForDoubt():
+	case s.stalled(e), (e.out || e.suspect) && !s.slotsForSuspects():
 		return false
-	case e.out && !s.trialDue(e), (e.out || e.suspect) && !s.fitForTrial(m, e), e.suspect && len(e.calls) > 0:
+	case e.out && !s.trialDue(e), (e.out || e.suspect) && !s.suitsTrial(m, e), e.suspect && len(e.calls) > 0:
 		return false
-	case e.out && (e.lead || !s.notesCome()):
+	case e.out && (e.leadsTrials || !s.receivesNotes()):
 		return true
 	}
-	return !e.out && !e.warming || s.coldRoom(e)
+	return !e.out && !e.warming || s.mayCallCold(e)
 }
 
-// listedFor reports whether the list and operator orders allow calls to an endpoint. A draining
+// acceptsCalls reports whether the list and operator orders allow calls to an endpoint. A draining
 // one gets none, unless its destination has no ready endpoint, in the first half of the grace.
-func (s *Sender) listedFor(e *endpoint) bool {
-	if e.state == Ready || e.barred {
-		return !e.barred
+func (s *Sender) acceptsCalls(e *endpoint) bool {
+	if e.state == Ready || e.disabled {
+		return !e.disabled
 	}
 	if e.state == Gone || s.now-e.told >= s.set.DrainGrace/2 {
 		return false
@@ -171,7 +172,7 @@
 		p.nextTrial = s.now + s.trialGap(e)
 	}
 	bundle := []*message{m}
-	s.take(m, c)
+	s.addToCall(m, c)
 	room := p.kind.BundleMax
 	if e.out || e.suspect {
 		room = 1 // a trial risks only one message
@@ -190,10 +191,10 @@
 			break
 		}
 		bundle = append(bundle, best)
-		s.take(best, c)
+		s.addToCall(best, c)
 	}
-	e.phase = s.drawPhase() * bundleWork(c.size)
-	e.cold.Record(s.now)
+	e.phase = s.drawPhase() * bundleLatencyFactor(c.size)
+	e.coldCalls.Record(s.now)
 	var timeout time.Duration // the bundle ends together, so it has one timeout
 	for _, n := range bundle {
 		timeout = max(timeout, s.timeout(e, n, c.size))
@@ -204,4 +205,4 @@
 	}
 }
 
-func bundleWork(size int) float64 { return 1 + itemWork*float64(size-1) }
+func bundleLatencyFactor(size int) float64 { return 1 + messageLatencyShare*float64(size-1) }
--- a/policy/coldreturn_test.go
+++ b/policy/coldreturn_test.go
@@ -8,16 +8,16 @@
 
 // fleet is many senders that share one destination, whose outages a script controls.
 type fleet struct {
-	set     Settings
-	senders []*Sender
-	now     Time
-	nextID  MessageID
-	out     []flight
-	notes   []Event // sent in this step, received by all others in the next
-	by      []int   // the sender of each note
-	aware   []bool  // senders that have seen a call fail
-	sent    []Time  // calls of aware senders
-	told    func() Allowance
+	set         Settings
+	senders     []*Sender
+	now         Time
+	nextID      MessageID
+	out         []flight
+	notes       []Event // sent in this step, received by all others in the next
+	noteSenders []int   // the sender of each note
+	aware       []bool  // senders that have seen a call fail
+	sent        []Time  // calls of aware senders
+	reported    func() Allowance
 }
 
 type flight struct {
@@ -56,16 +56,16 @@
 				f.sent = append(f.sent, f.now)
 			}
 		case Tell:
-			f.notes, f.by = append(f.notes, Told(a)), append(f.by, i)
+			f.notes, f.noteSenders = append(f.notes, Told(a)), append(f.noteSenders, i)
 		}
 	}
 }
 
 func (f *fleet) allowance() Allowance {
-	if f.told == nil {
+	if f.reported == nil {
 		return Allowance{}
 	}
-	return f.told()
+	return f.reported()
 }
 
 // run simulates a span of time: messages arrive at a rate, spread over the senders, and
@@ -74,12 +74,12 @@
 	const tick = 20 * time.Millisecond
 	due := 0.0
 	for end := f.now + span; f.now < end; f.now += tick {
-		notes, by := f.notes, f.by
-		f.notes, f.by = nil, nil
+		notes, noteSenders := f.notes, f.noteSenders
+		f.notes, f.noteSenders = nil, nil
 		events := make([][]Event, len(f.senders))
 		for k, n := range notes {
 			for i := range f.senders {
-				if i != by[k] && !loseNotes {
+				if i != noteSenders[k] && !loseNotes {
 					events[i] = append(events[i], n)
 				}
 			}
@@ -172,7 +172,7 @@
 			left := len(f.senders) - c.gone
 			f.senders = f.senders[:left]
 			f.out = slices.DeleteFunc(f.out, func(o flight) bool { return o.sender >= left })
-			f.notes, f.by = nil, nil
+			f.notes, f.noteSenders = nil, nil
 			back := f.now
 			f.run(6*time.Second, traffic, c.loseNotes, healthy)
 			share := f.most(back, capacity)
@@ -189,7 +189,7 @@
 
 // One error without notes is an outage, and a note on another endpoint must not end it.
 func TestOneErrorWithoutNotesIsAnOutage(t *testing.T) {
-	b := with(t, noteSettings(), 0, 1, 0)
+	b := newBench(t, noteSettings(), 0, 1, 0)
 	b.arrive(1)
 	if n := count[Tell](b.finish(Failed, 0)); n != 0 {
 		t.Errorf("%d notes about an outage after one error", n)
@@ -202,7 +202,7 @@
 	if b.wait(backoffBase); len(b.sent) != 0 {
 		t.Error("a note on another endpoint ended the outage")
 	}
-	c := with(t, noteSettings(), 0, 1, 0)
+	c := newBench(t, noteSettings(), 0, 1, 0)
 	c.arrive(1)
 	c.finish(Delivered, 0)
 	c.arrive(1)
@@ -215,9 +215,9 @@
 // If notes are lost, every sender that announced an outage would lead and make a trial each
 // fall window.
 func TestTrialsWithoutNotesAreLimited(t *testing.T) {
-	b := with(t, noteSettings(), 0, 1, 0)
+	b := newBench(t, noteSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
-	e.out, e.lead, e.troubled, b.s.now = true, true, b.now-10*time.Second, b.now
+	e.out, e.leadsTrials, e.failingSince, b.s.now = true, true, b.now-10*time.Second, b.now
 	if gap := b.s.trialGap(e); gap < 2*b.s.set.FallWindow {
 		t.Errorf("next trial after %v although no notes are received", gap)
 	}
@@ -229,15 +229,15 @@
 
 // A call that passes during an outage must not restart the time since its first failure (h534eb0).
 func TestOutageCountsFromTheFirstFailure(t *testing.T) {
-	b := with(t, noteSettings(), 0, 1, 0)
+	b := newBench(t, noteSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	start := b.now
 	for _, news := range []News{Down, BackCold, Down, BackCold} {
 		b.step(Told{Tag: e.id.tag(), News: news})
 		b.now += 4 * time.Second
 	}
-	if e.troubled != start {
-		t.Errorf("counts from %v after the first failure", e.troubled-start)
+	if e.failingSince != start {
+		t.Errorf("counts from %v after the first failure", e.failingSince-start)
 	}
 	b.s.now = b.now
 	if short, long := b.s.coldBudget(e, 1), testSettings().FallWindow; short > coldMargin*2*long.Seconds()/12+1e-9 { // the longest deadline
@@ -248,40 +248,40 @@
 // The peak windows of many senders do not coincide, those of two nearly do.
 func TestOwnRatesSumToTheAcceptedRate(t *testing.T) {
 	for _, c := range []struct {
-		senders, peak, passes int
-		most                  float64
+		senders, peakSuccesses, successCount int
+		most                                 float64
 	}{{400, 2, 3, 0.1}, {400, 3, 6, 0.25}, {2, 12, 240, 6}, {1, 12, 240, 6}} {
 		set := testSettings()
 		set.Senders = c.senders
-		b := with(t, set, 0, 1, 0)
+		b := newBench(t, set, 0, 1, 0)
 		b.s.now = b.now + time.Minute
 		p := b.path()
-		p.peak, p.passes = c.peak, c.passes
-		if mean, r := float64(c.passes)/60, b.s.ownRate(p); r < mean || r > c.most {
+		p.peakSuccesses, p.successCount = c.peakSuccesses, c.successCount
+		if mean, r := float64(c.successCount)/60, b.s.ownRate(p); r < mean || r > c.most {
 			t.Errorf("%d senders, peak %d and %d successes in a minute: rate %.2f, want %.2f to %.2f",
-				c.senders, c.peak, c.passes, r, mean, c.most)
+				c.senders, c.peakSuccesses, c.successCount, r, mean, c.most)
 		}
 	}
 }
 
 // While notes are lost, each of hundreds of senders would send notes to all others about each outage.
 func TestNotesAreLimitedWhileNoneAreReceived(t *testing.T) {
-	b := with(t, noteSettings(), 0, 1, 0)
+	b := newBench(t, noteSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	b.s.now = b.now
-	if !b.s.tell(e, Down) {
+	if !b.s.sendNote(e, Down) {
 		t.Fatal("the first note is not sent")
 	}
-	if b.s.tell(e, Down) {
+	if b.s.sendNote(e, Down) {
 		t.Error("a second note at once although no notes are received")
 	}
 	b.s.now += 400 * b.s.set.Tick
-	if !b.s.tell(e, Down) {
+	if !b.s.sendNote(e, Down) {
 		t.Error("no note after one tick per sender")
 	}
 	b.step(Told{Tag: 1<<TagBits - 1, News: Jam})
 	for note := range 2 {
-		if !b.s.tell(e, Down) {
+		if !b.s.sendNote(e, Down) {
 			t.Errorf("note %d is held back although notes are received", note)
 		}
 	}
--- a/policy/fast_test.go
+++ b/policy/fast_test.go
@@ -11,12 +11,12 @@
 	t.Helper()
 	set := testSettings()
 	set.Senders, set.Listing, set.Slots, set.MaxHeld = 1, RateNominal, 400, 8000
-	return with(t, set, 0, 1, 5000)
+	return newBench(t, set, 0, 1, 5000)
 }
 
-// passed returns how many of the messages that arrive at a rate are delivered within a time. Each
+// delivered returns how many of the messages that arrive at a rate are delivered within a time. Each
 // call is answered after two ticks, every fullEach-th one with Full (none if fullEach is 0).
-func (b *bench) passed(rate float64, d time.Duration, fullEach int) int {
+func (b *bench) delivered(rate float64, d time.Duration, fullEach int) int {
 	type out struct {
 		at Time
 		s  Send
@@ -53,7 +53,7 @@
 // A path is not limited to one call per step.
 func TestSeveralCallsPerStep(t *testing.T) {
 	for _, rate := range []float64{100, 1000, 4500} {
-		if n := fastBench(t).passed(rate, 4*time.Second, 0); float64(n) < 0.97*4*rate {
+		if n := fastBench(t).delivered(rate, 4*time.Second, 0); float64(n) < 0.97*4*rate {
 			t.Errorf("%d delivered of %v per second for 4 s", n, rate)
 		}
 	}
@@ -62,11 +62,11 @@
 // Several calls per step must not exceed the slice in a window, nor bunch up much within it.
 func TestManyCallsPerStepKeepTheSlice(t *testing.T) {
 	b := fastBench(t)
-	b.passed(9000, 4*time.Second, 0)
+	b.delivered(9000, 4*time.Second, 0)
 	if n := b.path().narrow.Count(b.now); float64(n) > math.Ceil(b.path().slice) || b.path().slice > 1.01*5000*narrowWindow.Seconds() {
 		t.Errorf("%d calls in a window of %v", n, b.path().narrow.Window)
 	}
-	part, n := spreadTicks*b.s.set.Tick, 0
+	part, n := burstTicks*b.s.set.Tick, 0
 	for _, at := range b.path().narrow.Times {
 		if at > b.now-part {
 			n++
@@ -80,13 +80,13 @@
 // An isolated Full among many successes costs little; many of them close the path.
 func TestSingleRefusalAmongManySuccesses(t *testing.T) {
 	for _, rate := range []float64{300, 1000, 4000} {
-		if n := fastBench(t).passed(rate, 8*time.Second, 100); float64(n) < 0.95*8*rate {
+		if n := fastBench(t).delivered(rate, 8*time.Second, 100); float64(n) < 0.95*8*rate {
 			t.Errorf("%d delivered of %v per second for 8 s, with one Full in 100 calls", n, rate)
 		}
 	}
 	b := fastBench(t)
-	b.passed(1000, 4*time.Second, 100)
-	if n := b.passed(1000, 4*time.Second, 4); n > 2000 {
+	b.delivered(1000, 4*time.Second, 100)
+	if n := b.delivered(1000, 4*time.Second, 4); n > 2000 {
 		t.Errorf("%d calls in 4 s with one Full in four calls: the path is not closed", n)
 	}
 }
--- a/policy/forget_test.go
+++ b/policy/forget_test.go
@@ -9,7 +9,7 @@
 // without bound otherwise.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	set := testSettings()
-	b := with(t, set, 0, 1, 10)
+	b := newBench(t, set, 0, 1, 10)
 	keep := set.Classes[0].Deadline
 	for _, c := range set.Classes {
 		keep = max(keep, c.Deadline)
@@ -24,8 +24,8 @@
 	}
 	most := int(keep/time.Second) + 2
 	s := b.s
-	if n := len(s.endpoints); n > most || len(s.tags) != n || len(s.dests) > n || len(s.ordered) != len(s.dests) {
-		t.Errorf("%d endpoints, %d tags, %d and %d destinations, want %d at most", n, len(s.tags), len(s.dests), len(s.ordered), most)
+	if n := len(s.endpoints); n > most || len(s.tags) != n || len(s.dests) > n || len(s.destList) != len(s.dests) {
+		t.Errorf("%d endpoints, %d tags, %d and %d destinations, want %d at most", n, len(s.tags), len(s.dests), len(s.destList), most)
 	}
 	b.now += keep
 	b.step(Listed{})
@@ -36,13 +36,13 @@
 
 // Destinations known only from messages are dropped with the messages.
 func TestUnknownDestinationsAreForgotten(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 10)
+	b := newBench(t, testSettings(), 0, 1, 10)
 	for i := range 1000 {
 		b.id++
 		b.step(Arrived{Message: b.id, Destination: 1 + i, GiveUpAt: b.now + time.Second})
 		b.step(Withdrawn{Message: b.id})
 	}
-	if n := len(b.s.dests); n != 1 || len(b.s.ordered) != 1 {
+	if n := len(b.s.dests); n != 1 || len(b.s.destList) != 1 {
 		t.Errorf("%d destinations, want 1", n)
 	}
 }
@@ -51,7 +51,7 @@
 // its calls count against the limit, and one that failed returns as down.
 func TestRelevantEndpointStateIsKept(t *testing.T) {
 	set := testSettings()
-	b := with(t, set, 0, 1, 10)
+	b := newBench(t, set, 0, 1, 10)
 	b.arrive(0)
 	gone := Listed{Entries: []Entry{{Endpoint: 1, State: Gone}}}
 	b.step(gone)
@@ -68,7 +68,7 @@
 		t.Error("not forgotten long after its removal")
 	}
 
-	b = with(t, set, 0, 1, 10)
+	b = newBench(t, set, 0, 1, 10)
 	b.arrive(0)
 	b.finish(Unreachable, 0)
 	b.step(gone)
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -9,7 +9,7 @@
 // An operator's order to take an endpoint out overrides the list, for waiting messages and retries.
 // One opposite order ends it, and the endpoint is cold then.
 func TestOperatorOrderOverridesTheList(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	b.arrive(1)
 	b.step(Ordered{Endpoint: 1, Out: true}, Ordered{Endpoint: 1, Out: true})
@@ -25,13 +25,13 @@
 		t.Fatalf("%d calls to an endpoint that an operator took out", len(b.sent))
 	}
 	b.step(Ordered{Endpoint: 1})
-	if !e.warming || e.warmFrom != b.now || e.out || len(b.sent) != 1 {
-		t.Errorf("back in service: warming %v from %v, down %v, %d calls; want it cold, with one call", e.warming, e.warmFrom, e.out, len(b.sent))
+	if !e.warming || e.warmUpStart != b.now || e.out || len(b.sent) != 1 {
+		t.Errorf("back in service: warming %v from %v, down %v, %d calls; want it cold, with one call", e.warming, e.warmUpStart, e.out, len(b.sent))
 	}
-	warm := e.warmFrom
+	warm := e.warmUpStart
 	b.wait(time.Second)
 	b.step(Ordered{Endpoint: 1})
-	if e.warmFrom != warm {
+	if e.warmUpStart != warm {
 		t.Error("a repeated order made it cold again")
 	}
 }
@@ -41,7 +41,7 @@
 func TestMemoryIsRestoredInAnotherSender(t *testing.T) {
 	set := testSettings()
 	set.Slots = 3
-	b := with(t, set, 0, 2, 0)
+	b := newBench(t, set, 0, 2, 0)
 	b.arrive(1)
 	b.finish(Delivered, 0)
 	b.wait(time.Second)
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// counted is a destination that accepts a fixed number of calls per period. Rejected calls use up
+// countingDestination is a destination that accepts a fixed number of calls per period. Rejected calls use up
 // to half of the next period too. The limit that it reports is a quarter of a period old.
-type counted struct {
+type countingDestination struct {
 	limit float64 // calls per second
 	span  time.Duration
 	f     *fleet
 
-	from            Time
-	used            float64
-	passed, refused int
-	lookedAt        Time
-	looked, told    Allowance
+	from             Time
+	used             float64
+	passed, refused  int
+	lookedAt         Time
+	looked, reported Allowance
 }
 
-func (c *counted) call() Outcome {
+func (c *countingDestination) call() Outcome {
 	if c.f.now-c.from >= c.span {
 		c.from, c.used = c.f.now, min(c.limit*c.span.Seconds()/2, max(0, c.used-c.limit*c.span.Seconds()))
 	}
@@ -33,12 +33,12 @@
 	return Full
 }
 
-func (c *counted) tell() Allowance {
+func (c *countingDestination) tell() Allowance {
 	if c.f.now-c.lookedAt >= c.span/4 {
-		c.told, c.lookedAt = c.looked, c.f.now
+		c.reported, c.lookedAt = c.looked, c.f.now
 		c.looked = Allowance{Limit: c.limit, Left: max(0, 1-c.used/(c.limit*c.span.Seconds()))}
 	}
-	return c.told
+	return c.reported
 }
 
 // play lets 80 senders share a limit that is halved for 9 s. It returns the fraction of the
@@ -49,9 +49,9 @@
 	set := testSettings()
 	set.Senders, set.Listing = 80, RateNominal
 	f := newFleet(set, 1, limit)
-	c := &counted{limit: limit, span: 2 * time.Second, f: f, looked: Allowance{limit, 1}, told: Allowance{limit, 1}}
+	c := &countingDestination{limit: limit, span: 2 * time.Second, f: f, looked: Allowance{limit, 1}, reported: Allowance{limit, 1}}
 	if reports {
-		f.told = c.tell
+		f.reported = c.tell
 	}
 	span := func(d time.Duration) (passed, refused float64) {
 		c.passed, c.refused = 0, 0
@@ -83,7 +83,7 @@
 func TestSliceFollowsTheReportedLimit(t *testing.T) {
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 4
-	b := with(t, set, 0, 1, 40) // a slice of 20 calls in 2 s
+	b := newBench(t, set, 0, 1, 40) // a slice of 20 calls in 2 s
 	answer := func(o Outcome, told Allowance) float64 {
 		t.Helper()
 		b.arrive(0)
@@ -120,7 +120,7 @@
 func TestBorrowedCapacityIsReturned(t *testing.T) {
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 4
-	b := with(t, set, 0, 1, 4) // an even slice is 2 calls in 2 s
+	b := newBench(t, set, 0, 1, 4) // an even slice is 2 calls in 2 s
 	pass := func(left float64, times int) float64 {
 		for range times {
 			b.arrive(0)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -18,8 +18,8 @@
 	sent []Send // attempts in flight
 }
 
-// with starts a sender with one destination 0, which has the given number of endpoints 1, 2, ...
-func with(t *testing.T, set Settings, kind, endpoints int, rate float64) *bench {
+// newBench starts a sender with one destination 0, which has the given number of endpoints 1, 2, ...
+func newBench(t *testing.T, set Settings, kind, endpoints int, rate float64) *bench {
 	t.Helper()
 	b := &bench{t: t, s: New(set, 1), now: time.Hour}
 	var list []Entry
@@ -59,7 +59,7 @@
 
 func (b *bench) wait(d time.Duration) { b.now += d; b.step(Woken{}) }
 
-func (b *bench) path() *path { return b.s.ordered[0].paths[0] }
+func (b *bench) path() *path { return b.s.destList[0].paths[0] }
 
 func count[T Action](actions []Action) int {
 	n := 0
@@ -85,15 +85,15 @@
 func TestSliceFromListedRate(t *testing.T) {
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 4
-	if got := with(t, set, 0, 1, 12).path().slice; got != 6 {
+	if got := newBench(t, set, 0, 1, 12).path().slice; got != 6 {
 		t.Errorf("slice %v for 12 calls per second over 4 senders, want 6 in 2 s", got)
 	}
 	// One call in 2 s from each of four senders would be twice the limit: the window must be longer.
-	if p := with(t, set, 0, 1, 1).path(); p.slice != 0.5 || p.narrow.Window < 2*time.Second {
+	if p := newBench(t, set, 0, 1, 1).path(); p.slice != 0.5 || p.narrow.Window < 2*time.Second {
 		t.Errorf("slice %v in a window of %v for a low rate, want half a call, in a window stretched to a whole one",
 			p.slice, p.narrow.Window)
 	}
-	if got := with(t, testSettings(), 0, 1, 12).path().slice; !math.IsInf(got, 1) {
+	if got := newBench(t, testSettings(), 0, 1, 12).path().slice; !math.IsInf(got, 1) {
 		t.Errorf("slice %v without listed rates, want infinite", got)
 	}
 }
@@ -104,11 +104,11 @@
 	set := testSettings()
 	set.Listing, set.Senders = RateNominal, 80
 	for _, rate := range []float64{53, 81, 90, 210} {
-		b := with(t, set, 0, 1, rate)
+		b := newBench(t, set, 0, 1, rate)
 		p, sent := b.path(), 0.0
 		for end := b.now + time.Minute; b.now < end; b.now += 10 * time.Millisecond {
 			b.s.now = b.now
-			if b.s.hasRoom(p) {
+			if b.s.hasCapacity(p) {
 				p.narrow.Record(b.now)
 				p.wide.Record(b.now)
 				sent++
@@ -121,30 +121,30 @@
 }
 
 func TestBothWindowsLimitCalls(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 3
 	for range 3 {
 		p.narrow.Record(b.now)
 	}
 	b.s.now = b.now + narrowWindow - 1
-	if b.s.hasRoom(p) {
+	if b.s.hasCapacity(p) {
 		t.Error("a call is allowed with the narrow count at the slice")
 	}
 	b.s.now++
-	if !b.s.hasRoom(p) {
+	if !b.s.hasCapacity(p) {
 		t.Error("no call is allowed once the oldest entries are a window old")
 	}
 	for range 18 {
 		p.wide.Record(b.s.now)
 	}
-	if b.s.hasRoom(p) {
+	if b.s.hasCapacity(p) {
 		t.Error("a call is allowed with the wide count at six slices")
 	}
 }
 
 func TestCallsAreRecordedInBothWindowsOncePerBundle(t *testing.T) {
-	b := with(t, testSettings(), 1, 1, 0)
+	b := newBench(t, testSettings(), 1, 1, 0)
 	p := b.path()
 	p.closedUntil = b.now + 1
 	for range 3 {
@@ -160,7 +160,7 @@
 // A call that was never sent, because its message had ended or no slot was free, releases
 // the capacity that it had reserved.
 func TestCallsNeverSentUseNoCapacity(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 1
 	for _, o := range []Outcome{Moot, Moot, Full} {
@@ -178,7 +178,7 @@
 }
 
 func TestFirstFullSetsTheSliceLaterOnesCutIt(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	for range 3 {
 		b.arrive(1)
@@ -194,7 +194,7 @@
 	if want := 4 * jamCut; math.Abs(p.slice-want) > 1e-9 {
 		t.Errorf("slice %v after a second consecutive Full, want %v", p.slice, want)
 	}
-	p.slice, p.beforeRun = 1/float64(b.s.set.Senders), 0
+	p.slice, p.sliceBeforeFulls = 1/float64(b.s.set.Senders), 0
 	p.wide.Times = nil // the wide window still counts the calls from before the cut
 	b.wait(4 * time.Second)
 	b.finish(Full, 0)
@@ -206,7 +206,7 @@
 // Calls in flight together that end as Full cut the slice once, whichever endpoints of the
 // destination rejected them.
 func TestFullsOfCallsInFlightTogetherCutOnce(t *testing.T) {
-	b := with(t, testSettings(), 0, 3, 0)
+	b := newBench(t, testSettings(), 0, 3, 0)
 	b.path().slice = 30
 	for range 3 {
 		b.arrive(0)
@@ -225,7 +225,7 @@
 }
 
 func TestSuccessGrowsOnlyALimitingSlice(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 5
 	b.arrive(0)
@@ -245,7 +245,7 @@
 // After a cut the wide window alone may limit the rate for seconds. Successes then must
 // grow the slice too.
 func TestSuccessGrowsASliceThatLimitsInTheWideWindow(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	p := b.path()
 	p.slice = 10
 	for i := range 60 - 1 {
@@ -259,7 +259,7 @@
 }
 
 func TestCallsUnderALimitedSliceAreSpread(t *testing.T) {
-	b := with(t, testSettings(), 0, 2, 0)
+	b := newBench(t, testSettings(), 0, 2, 0)
 	b.path().slice = 4
 	b.arrive(0)
 	b.arrive(0)
@@ -273,7 +273,7 @@
 }
 
 func TestRequestedWaitClosesTheWholeDestination(t *testing.T) {
-	b := with(t, testSettings(), 0, 2, 0)
+	b := newBench(t, testSettings(), 0, 2, 0)
 	b.arrive(0)
 	b.finish(Full, time.Second)
 	b.arrive(0)
@@ -289,7 +289,7 @@
 
 // A message of a bundle may time out before the others end with a requested wait.
 func TestWaitAfterTheFirstOutcomeOfABundle(t *testing.T) {
-	b := with(t, testSettings(), 1, 1, 0)
+	b := newBench(t, testSettings(), 1, 1, 0)
 	b.path().closedUntil = b.now + 1
 	b.arrive(1)
 	b.arrive(1)
@@ -302,7 +302,7 @@
 }
 
 func TestWaitOfOneRouteLeavesTheOther(t *testing.T) {
-	b := with(t, testSettings(), 2, 2, 0)
+	b := newBench(t, testSettings(), 2, 2, 0)
 	b.arrive(0)
 	first := b.sent[0].Endpoint
 	b.finish(Full, 2*time.Second)
@@ -312,17 +312,17 @@
 }
 
 func TestFeeIsWeighedAgainstWaiting(t *testing.T) {
-	b := with(t, testSettings(), 2, 2, 0) // endpoint 1 has a fee, 2 has none
+	b := newBench(t, testSettings(), 2, 2, 0) // endpoint 1 has a fee, 2 has none
 	b.arrive(1)
 	if b.sent[0].Endpoint != 2 {
 		t.Fatalf("endpoint %d, want the route without a fee", b.sent[0].Endpoint)
 	}
-	b.s.ordered[0].paths[1].closedUntil = b.now + 100*time.Millisecond
+	b.s.destList[0].paths[1].closedUntil = b.now + 100*time.Millisecond
 	b.arrive(1)
 	if len(b.sent) != 1 {
 		t.Error("a fee was paid to avoid a short wait within Aim")
 	}
-	b.s.ordered[0].paths[1].closedUntil = b.now + 10*time.Second
+	b.s.destList[0].paths[1].closedUntil = b.now + 10*time.Second
 	b.wait(time.Millisecond)
 	if len(b.sent) != 2 || b.sent[1].Endpoint != 1 {
 		t.Errorf("sends %v, want the route with a fee where waiting costs more", b.sent)
@@ -332,7 +332,7 @@
 func TestNeverBeyondTheSlots(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
-	b := with(t, set, 0, 4, 0)
+	b := newBench(t, set, 0, 4, 0)
 	for range 5 {
 		b.arrive(0)
 	}
@@ -344,7 +344,7 @@
 // The windows count only starts of calls, so they don't limit how many slots a hanging
 // destination occupies.
 func TestHangingDestinationLeavesSlots(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	for range 20 {
 		b.arrive(1)
 	}
@@ -368,7 +368,7 @@
 		list = append(list, Entry{Endpoint: EndpointID(i + 1), Destination: i, State: Ready})
 	}
 	s.Step(now, []Event{Listed{Whole: true, Entries: list}}, nil)
-	for _, d := range s.ordered {
+	for _, d := range s.destList {
 		d.paths[0].endpoints[0].suspect = true
 	}
 	var arrivals []Event
@@ -388,7 +388,7 @@
 		{Failed, 1, 5},
 		{Unreachable, 6, 20}, // a refused connection ends no message and occupies no slot
 	} {
-		b := with(t, testSettings(), 0, 2, 0)
+		b := newBench(t, testSettings(), 0, 2, 0)
 		for range 8 {
 			b.arrive(0)
 		}
@@ -422,11 +422,11 @@
 // A destination that returns cold would be overloaded by the backlog, so the sender must
 // stay within its part of the reduced capacity.
 func TestColdReturnStaysWithinItsBudget(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	p, e := b.path(), b.path().endpoints[0]
-	p.peak = 24 // calls of this sender in a narrow window before the outage
-	e.out, e.broken, e.since, e.troubled = true, true, b.now-10*time.Second, b.now-10*time.Second
-	e.score = 1
+	p.peakSuccesses = 24 // calls of this sender in a narrow window before the outage
+	e.out, e.sawError, e.downSince, e.failingSince = true, true, b.now-10*time.Second, b.now-10*time.Second
+	e.failureScore = 1
 	for range 30 {
 		b.arrive(1)
 	}
@@ -447,7 +447,7 @@
 				n++
 			}
 		}
-		bears := set.FallMultiple * b.s.warmth(start) * float64(p.peak) / narrowWindow.Seconds() * set.FallWindow.Seconds()
+		bears := set.FallMultiple * b.s.warmth(start) * float64(p.peakSuccesses) / narrowWindow.Seconds() * set.FallWindow.Seconds()
 		if float64(n) > bears {
 			t.Fatalf("%v after the return: %d calls in a fall window, the limit for this sender is %.1f",
 				b.now-start, n, bears)
@@ -466,20 +466,20 @@
 // A return after a few lost calls is not cold; after errors or a long silence it is.
 func TestShortSilenceIsNoColdReturn(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		broken bool
-		silent time.Duration
-		cold   bool
+		name     string
+		sawError bool
+		silent   time.Duration
+		cold     bool
 	}{
 		{"a few lost calls", false, time.Second, false},
 		{"long silence", false, 10 * time.Second, true},
 		{"errors", true, time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := with(t, testSettings(), 0, 1, 0)
+			b := newBench(t, testSettings(), 0, 1, 0)
 			e := b.path().endpoints[0]
-			e.out, e.broken, e.lastOK = true, c.broken, b.now-c.silent
-			b.s.wellDone(e, 100*time.Millisecond)
+			e.out, e.sawError, e.lastOK = true, c.sawError, b.now-c.silent
+			b.s.recordSuccess(e, 100*time.Millisecond)
 			if e.warming != c.cold {
 				t.Errorf("warming %v, want %v", e.warming, c.cold)
 			}
@@ -488,7 +488,7 @@
 }
 
 func TestLongWaitIsAnOutageAndKeepsTheSlice(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	b.path().slice = 5
 	b.arrive(0)
 	b.finish(Full, 4*time.Second)
@@ -502,9 +502,9 @@
 
 // Sends to the other endpoints must not delay the trials of one that is down.
 func TestTrialsInAPartialOutage(t *testing.T) {
-	b := with(t, testSettings(), 0, 2, 0)
+	b := newBench(t, testSettings(), 0, 2, 0)
 	e := b.path().endpoints[0]
-	e.out, e.score = true, 1
+	e.out, e.failureScore = true, 1
 	b.path().nextTrial = b.now + b.s.set.FallWindow
 	tried := false
 	for range 40 {
@@ -521,7 +521,7 @@
 }
 
 func TestRetryAvoidsTheEndpointThatFailed(t *testing.T) {
-	b := with(t, testSettings(), 0, 2, 0)
+	b := newBench(t, testSettings(), 0, 2, 0)
 	b.arrive(0)
 	first := b.sent[0].Endpoint
 	b.finish(Failed, 0)
@@ -532,7 +532,7 @@
 }
 
 func TestTimeoutsGrowWithBundlesAndConsecutively(t *testing.T) {
-	b := with(t, testSettings(), 1, 1, 0)
+	b := newBench(t, testSettings(), 1, 1, 0)
 	b.arrive(1)
 	b.finish(Delivered, 0)
 	p, e := b.path(), b.path().endpoints[0]
@@ -552,9 +552,9 @@
 		t.Errorf("timeout %v, want %v at least", one, minTimeout)
 	}
 	// If all calls are quick, a lost one occupies its slot for less time.
-	e.timeouts, b.s.usual = 0, 0.1
+	e.timeouts, b.s.meanLatency = 0, 0.1
 	if quick := b.s.timeout(e, m, 1); quick >= one || quick < minTimeout {
-		t.Errorf("timeout %v with calls of 0.1 s, %v with calls of %v", quick, one, firstLatency)
+		t.Errorf("timeout %v with calls of 0.1 s, %v with calls of %v", quick, one, initialLatency)
 	}
 }
 
@@ -571,7 +571,7 @@
 func TestMessagesAreRefusedBeforeTheLimitIsReached(t *testing.T) {
 	set := testSettings()
 	set.MaxHeld = 20
-	b := with(t, set, 0, 1, 0)
+	b := newBench(t, set, 0, 1, 0)
 	b.path().closedUntil = b.now + time.Hour
 	refused := 0
 	for range 30 {
@@ -583,7 +583,7 @@
 }
 
 func TestAnswerComesBeforeTheDeadline(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	b.arrive(3)
 	giveUp := b.s.open[0].giveUpAt
 	b.now = giveUp - b.s.set.Tick - 1
@@ -610,7 +610,7 @@
 // A reset may come from a crash or from a healthy destination: one reset leads to an immediate
 // trial, and its success is no cold return.
 func TestResetIsRetriedAtOnceAndIsNoColdReturn(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	b.arrive(0)
 	b.finish(Delivered, 0)
 	b.arrive(0)
@@ -628,7 +628,7 @@
 // Single connections get lost between responses: that must not delay any message. Several
 // consecutive resets without a response are still an outage.
 func TestSingleResetsDoNotMakeAnEndpointSuspect(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	for range 4 {
 		b.arrive(0)
@@ -652,7 +652,7 @@
 }
 
 func TestAtMostOnceMessagesAvoidSuspectEndpoints(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	b.path().endpoints[0].suspect = true
 	b.arrive(3)
 	if len(b.sent) != 0 {
@@ -671,21 +671,21 @@
 // An endpoint that returns alone gets no more than its part of the cold budget, even if the
 // list no longer has the others.
 func TestReturnedEndpointStaysWithinItsBudget(t *testing.T) {
-	b := with(t, testSettings(), 0, 4, 0)
-	b.path().peak = 40
+	b := newBench(t, testSettings(), 0, 4, 0)
+	b.path().peakSuccesses = 40
 	e := b.path().endpoints[0]
 	whole := b.s.coldBudget(e, 1)
 	b.step(Listed{Entries: []Entry{{Endpoint: 2, State: Gone}, {Endpoint: 3, State: Gone}, {Endpoint: 4, State: Gone}}})
-	e.warming, e.warmFrom, b.s.now = true, b.now-b.s.set.WarmUp, b.now
-	e.cold.Record(b.now)
-	b.s.coldRoom(e)
-	if got, want := e.cold.Window, time.Duration(4*float64(b.s.set.FallWindow)/whole); got < want-1 || got > want+1 {
+	e.warming, e.warmUpStart, b.s.now = true, b.now-b.s.set.WarmUp, b.now
+	e.coldCalls.Record(b.now)
+	b.s.mayCallCold(e)
+	if got, want := e.coldCalls.Window, time.Duration(4*float64(b.s.set.FallWindow)/whole); got < want-1 || got > want+1 {
 		t.Errorf("one call per %v to one of four endpoints, want %v", got, want)
 	}
 }
 
 func TestSilentConnectionIsClosed(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	b.arrive(0)
 	if n := count[CloseIdle](b.finish(TimedOut, 0)); n != 1 {
 		t.Errorf("%d CloseIdle actions after a timeout, want 1 for its endpoint", n)
@@ -696,9 +696,9 @@
 // whole backlog at once.
 func TestEndpointThatJoinsAnOutageIsTriedFirst(t *testing.T) {
 	for _, state := range []EndpointState{Ready, Draining, Gone} {
-		b := with(t, testSettings(), 0, 1, 0)
+		b := newBench(t, testSettings(), 0, 1, 0)
 		e := b.path().endpoints[0]
-		e.out, e.suspect, e.score = true, true, 1
+		e.out, e.suspect, e.failureScore = true, true, 1
 		b.path().nextTrial = b.now + time.Second
 		for range 8 {
 			b.arrive(1)
@@ -713,7 +713,7 @@
 }
 
 func TestEndpointThatJoinsAHealthyDestinationIsUsed(t *testing.T) {
-	b := with(t, testSettings(), 0, 2, 0)
+	b := newBench(t, testSettings(), 0, 2, 0)
 	b.path().endpoints[0].out = true
 	b.step(Listed{Entries: []Entry{{Endpoint: 9, State: Ready}}})
 	if b.s.endpoints[9].out {
@@ -745,7 +745,7 @@
 func TestSliceUnderOneCallStretchesBothWindows(t *testing.T) {
 	set := testSettings()
 	set.Senders = 400
-	b := with(t, set, 0, 1, 0)
+	b := newBench(t, set, 0, 1, 0)
 	p := b.path()
 	b.s.now = b.now
 	b.s.resize(p, 0.25)
@@ -756,13 +756,13 @@
 		t.Errorf("windows of %v and %v, want an unchanged ratio", p.narrow.Window, p.wide.Window)
 	}
 	p.narrow.Record(b.now)
-	if b.s.now += p.narrow.Window - 1; b.s.hasRoom(p) {
+	if b.s.now += p.narrow.Window - 1; b.s.hasCapacity(p) {
 		t.Error("a call is allowed before the stretched window has passed")
 	}
-	if b.s.now++; !b.s.hasRoom(p) {
+	if b.s.now++; !b.s.hasCapacity(p) {
 		t.Error("no call is allowed after the stretched window")
 	}
-	b.s.full(p, p.endpoints[0], b.s.now, 0)
+	b.s.recordFull(p, p.endpoints[0], b.s.now, 0)
 	if want := 0.25 * b.s.smallCut; math.Abs(p.slice-want) > 1e-9 {
 		t.Errorf("slice %v after a Full, want %v", p.slice, want)
 	}
@@ -773,9 +773,9 @@
 	for _, senders := range []int{2, 400} {
 		set := testSettings()
 		set.Senders = senders
-		b := with(t, set, 0, 1, 0)
+		b := newBench(t, set, 0, 1, 0)
 		e := b.path().endpoints[0]
-		e.out, e.since, e.troubled, b.s.now = true, b.now-10*time.Second, b.now-10*time.Second, b.now
+		e.out, e.downSince, e.failingSince, b.s.now = true, b.now-10*time.Second, b.now-10*time.Second, b.now
 		least := set.FallWindow
 		if senders > 10 {
 			least = 10 * time.Second // as long as the outage has lasted
@@ -792,11 +792,11 @@
 func TestOneReturnBringsTheTrialsOfTheOthersForward(t *testing.T) {
 	set := testSettings()
 	set.Senders, set.Listing = 80, RateNominal
-	b := with(t, set, 0, 3, 300)
+	b := newBench(t, set, 0, 3, 300)
 	p := b.path()
 	for _, e := range p.endpoints {
-		e.out, e.broken, e.harmless, e.score = true, true, true, 1
-		e.since, e.troubled = b.now-5*time.Second, b.now-5*time.Second
+		e.out, e.sawError, e.notRun, e.failureScore = true, true, true, 1
+		e.downSince, e.failingSince = b.now-5*time.Second, b.now-5*time.Second
 	}
 	for range 6 { // AtMostOnce: nothing ran in the outage, so they may be used for trials
 		b.arrive(3)
@@ -817,7 +817,7 @@
 
 // In an outage caused by resets only, trials are as frequent as the cold budget allows.
 func TestTrialsAfterResetsAloneAreQuick(t *testing.T) {
-	b := with(t, testSettings(), 0, 1, 0)
+	b := newBench(t, testSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	b.arrive(0)
 	for range 4 {
@@ -829,7 +829,7 @@
 	if gap := b.s.trialGap(e); !e.out || gap > most || most >= b.s.set.FallWindow {
 		t.Errorf("down %v with %v between trials, want %v at most", e.out, gap, most)
 	}
-	e.broken = true
+	e.sawError = true
 	if gap := b.s.trialGap(e); gap < b.s.set.FallWindow {
 		t.Errorf("%v between trials after an error, want a fall window at least", gap)
 	}
@@ -843,13 +843,13 @@
 
 // Without notes, every sender would need a failure of its own to detect an outage.
 func TestOutageAndReturnAreSentAsNotes(t *testing.T) {
-	b := with(t, noteSettings(), 0, 1, 0)
+	b := newBench(t, noteSettings(), 0, 1, 0)
 	b.arrive(0)
 	told := b.finish(Unreachable, 0)
 	if count[Tell](told) != 1 {
 		t.Fatalf("%d notes for an outage, want 1", count[Tell](told))
 	}
-	c := with(t, noteSettings(), 0, 1, 0)
+	c := newBench(t, noteSettings(), 0, 1, 0)
 	for _, a := range told {
 		if n, ok := a.(Tell); ok {
 			c.step(Told(n))
@@ -871,7 +871,7 @@
 
 // If rejected calls count against the limit, the first calls of many senders alone keep it exhausted.
 func TestJamIsSentOnceAndClosesThePath(t *testing.T) {
-	b := with(t, noteSettings(), 0, 1, 0)
+	b := newBench(t, noteSettings(), 0, 1, 0)
 	b.arrive(1)
 	if n := count[Tell](b.finish(Full, 0)); n != 1 {
 		t.Errorf("%d notes for a Full under one call per window, want 1", n)
@@ -880,15 +880,15 @@
 	if b.s.jam(p) {
 		t.Error("a Full right after a note counts as a new jam")
 	}
-	first := p.jamFor
+	first := p.jamPause
 	b.s.now = p.jamAt + first
-	if !b.s.jam(p) || p.jamFor != 2*first {
-		t.Errorf("closed for up to %v after %v, want twice as long while Fulls continue", p.jamFor, first)
+	if !b.s.jam(p) || p.jamPause != 2*first {
+		t.Errorf("closed for up to %v after %v, want twice as long while Fulls continue", p.jamPause, first)
 	}
 }
 
 func TestMessagesWaitForBundlesWhileTheSliceIsLimited(t *testing.T) {
-	b := with(t, testSettings(), 1, 1, 0)
+	b := newBench(t, testSettings(), 1, 1, 0)
 	if b.arrive(1); len(b.sent) != 1 {
 		t.Fatal("held back without a limited slice")
 	}
@@ -905,7 +905,7 @@
 
 // A note reaches hundreds of nodes, so a full step for each note would cost hundreds of times as much.
 func TestNotesAloneCauseNoActions(t *testing.T) {
-	b := with(t, noteSettings(), 0, 1, 0)
+	b := newBench(t, noteSettings(), 0, 1, 0)
 	if actions := b.step(Told{Tag: 1, News: Jam}); len(actions) != 0 {
 		t.Errorf("%d actions on a note about an unknown endpoint", len(actions))
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// legal generates a seeded stream of random but legal events, and checks each action
+// ruleChecker generates a seeded stream of random but legal events, and checks each action
 // against the rules that can be checked from the view of one node.
-type legal struct {
-	t        *testing.T
-	rng      *rand.Rand
-	set      Settings
-	s        *Sender
-	now      Time
-	dests    int
-	entries  []Entry
-	told     map[EndpointID]Time // when it was listed as draining or gone
-	waits    map[int]Time        // end of the requested wait, by path
-	messages map[MessageID]*tracked
-	order    map[uint64][]*tracked
-	rest     map[uint64]Time
-	wakes    []Time
-	nextID   MessageID
-	out      []*attempt
-	sends    int
+type ruleChecker struct {
+	t           *testing.T
+	rng         *rand.Rand
+	set         Settings
+	s           *Sender
+	now         Time
+	dests       int
+	entries     []Entry
+	listedAt    map[EndpointID]Time // when it was listed as draining or gone
+	waits       map[int]Time        // end of the requested wait, by path
+	messages    map[MessageID]*tracked
+	order       map[uint64][]*tracked
+	pausedUntil map[uint64]Time
+	wakes       []Time
+	nextID      MessageID
+	out         []*attempt
+	sends       int
 }
 
 type tracked struct {
@@ -73,14 +73,14 @@
 	}
 }
 
-func (l *legal) path(e Entry) int {
+func (l *ruleChecker) path(e Entry) int {
 	if l.set.Kinds[e.Kind].RoutesApart {
 		return 1000 + int(e.Endpoint)
 	}
 	return e.Destination
 }
 
-func (l *legal) entry(id EndpointID) *Entry {
+func (l *ruleChecker) entry(id EndpointID) *Entry {
 	for i := range l.entries {
 		if l.entries[i].Endpoint == id {
 			return &l.entries[i]
@@ -90,7 +90,7 @@
 }
 
 // events generates the events of one step.
-func (l *legal) events(arrivals bool) []Event {
+func (l *ruleChecker) events(arrivals bool) []Event {
 	var events []Event
 	kept := l.out[:0]
 	for _, a := range l.out {
@@ -115,12 +115,12 @@
 			}
 		}
 		if a.result == TimedOut || a.result == Reset || a.result == Cancelled {
-			l.rest[m.key] = max(l.rest[m.key], l.now+l.set.TurnGap)
+			l.pausedUntil[m.key] = max(l.pausedUntil[m.key], l.now+l.set.TurnGap)
 		}
 		if final {
 			l.end(m)
 		} else if m.ended {
-			l.leaveTurn(m)
+			l.leaveKeyQueue(m)
 		}
 	}
 	l.out = kept
@@ -128,9 +128,9 @@
 		e := &l.entries[l.rng.IntN(len(l.entries))]
 		state := EndpointState(l.rng.IntN(3))
 		if state == Ready {
-			delete(l.told, e.Endpoint)
+			delete(l.listedAt, e.Endpoint)
 		} else if e.State == Ready {
-			l.told[e.Endpoint] = l.now
+			l.listedAt[e.Endpoint] = l.now
 		}
 		e.State = state
 		if l.rng.IntN(2) == 0 {
@@ -179,7 +179,7 @@
 	return events
 }
 
-func (l *legal) open() int {
+func (l *ruleChecker) open() int {
 	n := 0
 	for _, m := range l.messages {
 		if !m.ended {
@@ -189,16 +189,16 @@
 	return n
 }
 
-func (l *legal) end(m *tracked) {
+func (l *ruleChecker) end(m *tracked) {
 	m.ended = true
 	if m.out == nil {
-		l.leaveTurn(m)
+		l.leaveKeyQueue(m)
 	}
 }
 
-func (l *legal) leaveTurn(m *tracked) { l.order[m.key] = remove(l.order[m.key], m) }
+func (l *ruleChecker) leaveKeyQueue(m *tracked) { l.order[m.key] = remove(l.order[m.key], m) }
 
-func (l *legal) check(actions []Action) {
+func (l *ruleChecker) check(actions []Action) {
 	bundles := map[EndpointID]int{}
 	callOf := map[EndpointID]int{}
 	for _, a := range actions {
@@ -231,7 +231,7 @@
 	}
 }
 
-func (l *legal) checkSend(a Send, bundles, callOf map[EndpointID]int) {
+func (l *ruleChecker) checkSend(a Send, bundles, callOf map[EndpointID]int) {
 	m, e := l.messages[a.Message], l.entry(a.Endpoint)
 	bad := func(format string, args ...any) {
 		l.t.Fatalf("%v: send of %d to %d: %s", l.now, a.Message, a.Endpoint, fmt.Sprintf(format, args...))
@@ -245,8 +245,8 @@
 	if e.Destination != m.dest {
 		bad("the endpoint belongs to another destination")
 	}
-	if told, ok := l.told[e.Endpoint]; ok && (e.State == Gone || l.now-told > l.set.DrainGrace) {
-		bad("state %d, listed so at %v", e.State, told)
+	if listedAt, ok := l.listedAt[e.Endpoint]; ok && (e.State == Gone || l.now-listedAt > l.set.DrainGrace) {
+		bad("state %d, listed so at %v", e.State, listedAt)
 	}
 	if until := l.waits[l.path(*e)]; l.now < until {
 		bad("wait requested until %v", until)
@@ -270,8 +270,8 @@
 		if l.order[m.key][0] != m {
 			bad("message %d of its key must go first", l.order[m.key][0].id)
 		}
-		if m.attempts == 0 && l.now < l.rest[m.key] {
-			bad("its key is paused until %v", l.rest[m.key])
+		if m.attempts == 0 && l.now < l.pausedUntil[m.key] {
+			bad("its key is paused until %v", l.pausedUntil[m.key])
 		}
 	}
 	l.sends++
@@ -303,11 +303,11 @@
 	l.out = append(l.out, at)
 }
 
-func newLegal(t *testing.T, seed uint64) *legal {
+func newRuleChecker(t *testing.T, seed uint64) *ruleChecker {
 	t.Helper()
-	l := &legal{t: t, rng: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), dests: 6, now: time.Hour,
-		told: map[EndpointID]Time{}, waits: map[int]Time{}, messages: map[MessageID]*tracked{},
-		order: map[uint64][]*tracked{}, rest: map[uint64]Time{}}
+	l := &ruleChecker{t: t, rng: rand.New(rand.NewPCG(seed, 1)), set: testSettings(), dests: 6, now: time.Hour,
+		listedAt: map[EndpointID]Time{}, waits: map[int]Time{}, messages: map[MessageID]*tracked{},
+		order: map[uint64][]*tracked{}, pausedUntil: map[uint64]Time{}}
 	l.s = New(l.set, seed)
 	for i := range 12 {
 		l.entries = append(l.entries, Entry{Endpoint: EndpointID(100 + i), Destination: i % l.dests,
@@ -321,7 +321,7 @@
 func TestRulesOnRandomStreams(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			l := newLegal(t, seed)
+			l := newRuleChecker(t, seed)
 			l.check(l.s.Step(l.now, []Event{Listed{Whole: true, Entries: l.entries}}, nil))
 			for i := range 16000 {
 				l.now += l.set.Tick
@@ -349,7 +349,7 @@
 // and the seed.
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() string {
-		l := newLegal(t, 7)
+		l := newRuleChecker(t, 7)
 		log := fmt.Sprint(l.s.Step(l.now, []Event{Listed{Whole: true, Entries: l.entries}}, nil))
 		for range 4000 {
 			l.now += l.set.Tick
--- a/policy/share.go
+++ b/policy/share.go
@@ -4,34 +4,34 @@
 
 import "math"
 
-// shared applies a new share of the node. A decrease takes effect at once. An increase waits for
+// applyShare applies a new share of the node. A decrease takes effect at once. An increase waits for
 // a wide window, since another process may just have used up that capacity; except for the part
 // that this process used before and no other has held since.
-func (s *Sender) shared(e Shared) {
+func (s *Sender) applyShare(e Shared) {
 	whole := float64(max(1, e.Whole))
-	parts := max(0, float64(e.Parts)/whole)
-	now := min(parts, max(s.share.parts, min(s.share.had, float64(e.Kept)/whole)))
+	fraction := max(0, float64(e.Parts)/whole)
+	now := min(fraction, max(s.share.fraction, min(s.share.previous, float64(e.Kept)/whole)))
 	if e.Alone {
-		now = parts
+		now = fraction
 	}
 	switch {
 	case !s.share.group: // before the first share nothing was used
-		s.share.had = now
-	case now > 0 || s.share.parts > 0: // a share used before a period without any is kept
-		s.share.had = max(now, s.share.parts)
+		s.share.previous = now
+	case now > 0 || s.share.fraction > 0: // a share used before a period without any is kept
+		s.share.previous = max(now, s.share.fraction)
 	}
-	s.resume(now)
-	for i := range s.share.grows {
-		s.share.grows[i].parts = min(s.share.grows[i].parts, parts)
+	s.useShare(now)
+	for i := range s.share.pending {
+		s.share.pending[i].fraction = min(s.share.pending[i].fraction, fraction)
 	}
-	if n := len(s.share.grows); parts > now && (n == 0 || s.share.grows[n-1].parts < parts) {
-		s.share.grows = append(s.share.grows, growth{s.now + wideWindow, parts})
+	if n := len(s.share.pending); fraction > now && (n == 0 || s.share.pending[n-1].fraction < fraction) {
+		s.share.pending = append(s.share.pending, pendingShare{s.now + wideWindow, fraction})
 	}
 	s.share.group = true
 }
 
 // Share returns the fraction of the node that is in use.
-func (s *Sender) Share() float64 { return s.share.parts }
+func (s *Sender) Share() float64 { return s.share.fraction }
 
 // hearsay applies an observation of another process of the node. The calls of all processes are
 // those of one node, so an outage seen by one is an outage for all, and each makes its part of
@@ -41,52 +41,52 @@
 	switch {
 	case e == nil:
 	case h.News == Down && !e.out && e.lastOK < h.At:
-		e.out, e.since, e.suspect, e.broken, e.score = true, s.now, true, true, outScore
-		e.trouble(h.At)
+		e.out, e.downSince, e.suspect, e.sawError, e.failureScore = true, s.now, true, true, downScore
+		e.markFailing(h.At)
 		e.path.nextTrial = max(e.path.nextTrial, s.now+s.trialGap(e))
-	case (h.News == Back || h.News == BackCold) && e.out && e.since < h.At:
-		s.returned(e, h.News)
-		e.suspect, e.broken, e.timeouts, e.fullRun, e.score = false, false, 0, 0, 0
+	case (h.News == Back || h.News == BackCold) && e.out && e.downSince < h.At:
+		s.endOutage(e, h.News)
+		e.suspect, e.sawError, e.timeouts, e.consecutiveFulls, e.failureScore = false, false, 0, 0, 0
 	}
 }
 
-// verdict sends an observation to the other processes of the node, if there are any.
-func (s *Sender) verdict(e *endpoint, news News) {
+// sendVerdict sends an observation to the other processes of the node, if any.
+func (s *Sender) sendVerdict(e *endpoint, news News) {
 	if s.share.group {
 		s.out = append(s.out, Verdict{Endpoint: e.id, News: news})
 	}
 }
 
-// grow applies increases of the share that are due.
-func (s *Sender) grow() {
-	for len(s.share.grows) > 0 && s.now >= s.share.grows[0].at {
-		if s.share.grows[0].parts > s.share.parts {
-			s.resume(s.share.grows[0].parts)
+// applyPendingShares applies increases of the share that are due.
+func (s *Sender) applyPendingShares() {
+	for len(s.share.pending) > 0 && s.now >= s.share.pending[0].at {
+		if s.share.pending[0].fraction > s.share.fraction {
+			s.useShare(s.share.pending[0].fraction)
 		}
-		s.share.grows = s.share.grows[1:]
+		s.share.pending = s.share.pending[1:]
 	}
 }
 
-// resume sets the fraction of the node that is in use: the sender acts as one of
+// useShare sets the fraction of the node that is in use: the sender acts as one of
 // correspondingly more senders, with that fraction of the slots and of MaxHeld. Each slice
 // stays the same fraction of the node's.
-func (s *Sender) resume(parts float64) {
+func (s *Sender) useShare(fraction float64) {
 	before := float64(s.set.Senders)
-	s.share.parts = parts
-	s.set.Slots = int(parts * float64(s.whole.Slots))
-	s.set.MaxHeld = s.whole.MaxHeld
-	if parts <= 0 {
+	s.share.fraction = fraction
+	s.set.Slots = int(fraction * float64(s.nodeSettings.Slots))
+	s.set.MaxHeld = s.nodeSettings.MaxHeld
+	if fraction <= 0 {
 		return // without slots nothing is sent; messages and state are kept for a later share
 	}
-	if s.whole.MaxHeld > 0 {
-		s.set.MaxHeld = max(1, int(parts*float64(s.whole.MaxHeld)))
+	if s.nodeSettings.MaxHeld > 0 {
+		s.set.MaxHeld = max(1, int(fraction*float64(s.nodeSettings.MaxHeld)))
 	}
-	s.set.Senders = int(math.Ceil(float64(s.whole.Senders) / parts))
+	s.set.Senders = int(math.Ceil(float64(s.nodeSettings.Senders) / fraction))
 	ratio := before / float64(s.set.Senders)
-	for _, d := range s.ordered {
+	for _, d := range s.destList {
 		for _, p := range d.paths {
-			p.listed *= ratio
-			p.sureRate *= ratio
+			p.listedRate *= ratio
+			p.minRate *= ratio
 			if !math.IsInf(p.slice, 1) {
 				s.resize(p, p.slice*ratio)
 			}
--- a/policy/share_test.go
+++ b/policy/share_test.go
@@ -10,7 +10,7 @@
 	t.Helper()
 	set := testSettings()
 	set.Senders, set.Listing, set.Slots, set.MaxHeld = 1, RateNominal, 40, 200
-	return with(t, set, 0, 1, 10)
+	return newBench(t, set, 0, 1, 10)
 }
 
 // sentWithin returns how many calls are sent within a time, while messages wait and each call
@@ -35,13 +35,13 @@
 func TestShareShrinksAtOnceAndGrowsLate(t *testing.T) {
 	b := shareBench(t)
 	b.sentWithin(wideWindow)
-	slice, listed := b.path().slice, b.path().listed
+	slice, listedRate := b.path().slice, b.path().listedRate
 	b.step(Shared{Parts: 420, Whole: 840})
 	if b.s.set.Slots != 20 || b.s.set.MaxHeld != 100 || b.s.set.Senders != 2 {
 		t.Errorf("%d slots, %d held, %d senders at half of the node", b.s.set.Slots, b.s.set.MaxHeld, b.s.set.Senders)
 	}
-	if p := b.path(); p.slice != slice/2 || p.listed != listed/2 || p.sureRate != listed/2 {
-		t.Errorf("slice %v of %v, listed %v of %v at half of the node", p.slice, slice, p.listed, listed)
+	if p := b.path(); p.slice != slice/2 || p.listedRate != listedRate/2 || p.minRate != listedRate/2 {
+		t.Errorf("slice %v of %v, listed %v of %v at half of the node", p.slice, slice, p.listedRate, listedRate)
 	}
 	b.step(Shared{Parts: 840, Whole: 840})
 	for range 10 { // repeated assignments must not delay the increase
@@ -92,8 +92,8 @@
 	slots(30, "just before the second is due")
 	b.wait(time.Millisecond)
 	slots(40, "at the end")
-	if b.s.wake(); len(b.s.share.grows) > 0 {
-		t.Errorf("increases still pending: %v", b.s.share.grows)
+	if b.s.requestWake(); len(b.s.share.pending) > 0 {
+		t.Errorf("increases still pending: %v", b.s.share.pending)
 	}
 }
 
@@ -149,7 +149,7 @@
 	if b.step(Woken{}); len(b.sent) > 0 {
 		t.Error("sent at once into an outage seen by another process")
 	}
-	if b.step(Hearsay{Endpoint: 1, News: BackCold, At: e.since - 1}); !e.out {
+	if b.step(Hearsay{Endpoint: 1, News: BackCold, At: e.downSince - 1}); !e.out {
 		t.Error("an older success ends the outage")
 	}
 	b.wait(time.Second)
--- a/policy/state.go
+++ b/policy/state.go
@@ -14,66 +14,67 @@
 
 // Sender makes the decisions of one node. It is not safe for concurrent use.
 type Sender struct {
-	set   Settings
-	rng   *rand.Rand
-	now   Time
-	out   []Action
-	armed Time // the earliest requested wake, or 0
+	set    Settings
+	rng    *rand.Rand
+	now    Time
+	out    []Action
+	wakeAt Time // the earliest requested wake, or 0
 
 	endpoints map[EndpointID]*endpoint
 	tags      map[Tag]*endpoint
 	dests     map[int]*destination
-	ordered   []*destination // in order of first use; maps are never ranged over, to stay deterministic
+	destList  []*destination // in order of first use; maps are never ranged over, to stay deterministic
 	messages  map[MessageID]*message
 	open      []*message // not yet ended, in order of arrival
-	turns     map[uint64]*turn
+	keyQueues map[uint64]*keyQueue
 
-	whole Settings // of the whole node; set has this process's share of them
-	share struct {
-		group bool     // the node has several processes, which exchange observations
-		parts float64  // fraction of the node in use
-		had   float64  // fraction in use before the last change
-		grows []growth // increases of the share that take effect later, earliest first
+	nodeSettings Settings // of the whole node; set has this process's share of them
+	share        struct {
+		group    bool           // the node has several processes, which exchange observations
+		fraction float64        // fraction of the node in use
+		previous float64        // fraction in use before the last change
+		pending  []pendingShare // increases of the share that take effect later, earliest first
 	}
 
-	line candidates // messages that may be sent in this step
+	sendQueue candidates // messages that may be sent in this step
 
 	subscribed  bool // subscribed to list changes, or the request is in flight
 	subscribeAt Time // when to subscribe again
 
-	started  Time          // time of the first step
-	smallCut float64       // factor of a cut: smallCuts of them reduce a slice of one call to one call for all senders
-	usual    float64       // moving average of call latency, in seconds
-	heardAt  Time          // when the last note was received
-	toldAt   Time          // when the last note was sent
-	longest  time.Duration // the longest deadline of any class, at least FallWindow
-	inFlight int           // calls in flight
-	pace     float64       // moving average, over all destinations, of latency relative to the path's estimate
+	started         Time          // time of the first step
+	smallCut        float64       // factor of a cut: smallCuts of them reduce a slice of one call to one call for all senders
+	meanLatency     float64       // moving average of call latency, in seconds
+	noteReceivedAt  Time          // when the last note was received
+	noteSentAt      Time          // when the last note was sent
+	longestDeadline time.Duration // the longest deadline of any class, at least FallWindow
+	inFlight        int           // calls in flight
+	slowdown        float64       // moving average, over all destinations, of latency relative to the path's estimate
 }
 
 // New returns a sender with empty state. All its randomness comes from seed.
 func New(settings Settings, seed uint64) *Sender {
 	settings.Senders = max(settings.Senders, 1)
 	settings.Slots = max(settings.Slots, 1)
-	longest := settings.FallWindow
+	longestDeadline := settings.FallWindow
 	for _, c := range settings.Classes {
-		longest = max(longest, c.Deadline)
+		longestDeadline = max(longestDeadline, c.Deadline)
 	}
 	s := &Sender{
-		whole: settings, longest: longest, set: settings, smallCut: math.Pow(float64(settings.Senders), -1.0/smallCuts),
-		rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), pace: 1, usual: firstLatency.Seconds(),
+		nodeSettings: settings, longestDeadline: longestDeadline, set: settings,
+		smallCut: math.Pow(float64(settings.Senders), -1.0/smallCuts),
+		rng:      rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), slowdown: 1, meanLatency: initialLatency.Seconds(),
 		endpoints: map[EndpointID]*endpoint{}, tags: map[Tag]*endpoint{}, dests: map[int]*destination{},
-		messages: map[MessageID]*message{}, turns: map[uint64]*turn{},
+		messages: map[MessageID]*message{}, keyQueues: map[uint64]*keyQueue{},
 	}
-	s.share.parts, s.share.had = 1, 1
+	s.share.fraction, s.share.previous = 1, 1
 	return s
 }
 
 // candidate is a message that may be sent in this step.
 type candidate struct {
-	message *message
-	score   float64
-	place   int // position among the open messages: breaks ties, oldest first
+	message  *message
+	score    float64
+	position int // position among the open messages: breaks ties, oldest first
 }
 
 // candidates is a max-heap by score.
@@ -82,9 +83,9 @@
 // Len implements heap.Interface, as the methods that follow do.
 func (c candidates) Len() int { return len(c) }
 
-// Less orders by score, highest first, and by place where the scores are equal.
+// Less orders by score, highest first, and by position where the scores are equal.
 func (c candidates) Less(i, j int) bool {
-	return c[i].score > c[j].score || c[i].score == c[j].score && c[i].place < c[j].place
+	return c[i].score > c[j].score || c[i].score == c[j].score && c[i].position < c[j].position
 }
 
 // Swap exchanges two items.
@@ -100,10 +101,10 @@
 	return last
 }
 
-// growth is an increase of the share that takes effect at a later time.
-type growth struct {
-	at    Time
-	parts float64
+// pendingShare is an increase of the share that takes effect at a later time.
+type pendingShare struct {
+	at       Time
+	fraction float64
 }
 
 // call is one call in flight: a message, or a bundle of messages.
@@ -111,37 +112,37 @@
 	endpoint *endpoint
 	sent     Time
 	size     int  // messages sent with it
-	left     int  // messages without an outcome
+	pending  int  // messages without an outcome
 	judged   bool // its outcome has been counted in the endpoint's health
 }
 
 // endpoint is one address of a destination.
 type endpoint struct {
-	id     EndpointID
-	path   *path
-	zone   int
-	state  EndpointState
-	told   Time // when the list last had it as Ready, or first as no longer Ready
-	barred bool // by an operator's order, which overrides the list
-
-	calls    []*call // in flight, oldest first
-	lastSent Time
-	lastOK   Time
-	score    float64     // failure score: from outScore on, the endpoint is down
-	failing  float64     // moving average of the fraction of its calls that failed
-	suspect  bool        // its last outcome was a failure
-	out      bool        // the endpoint is in an outage
-	since    Time        // when the outage was detected
-	lead     bool        // this sender announced the outage to the others and leads the trials
-	timeouts int         // consecutive timeouts
-	broken   bool        // an error, a rejection or a failed connection came since its last success
-	harmless bool        // its last failure guarantees that the call did not run
-	fullRun  int         // consecutive Full outcomes, each of a call sent after the previous one was received
-	warming  bool        // back from an outage and not yet warm
-	warmFrom Time        // start of the warm-up
-	cold     sendlog.Log // recent calls, to limit the rate while it may be cold
-	phase    float64     // random factor of the cold window, about 1, drawn with each call
-	troubled Time        // when it was first reported to fail since it was last healthy, or 0
+	id       EndpointID
+	path     *path
+	zone     int
+	state    EndpointState
+	told     Time // when the list last had it as Ready, or first as no longer Ready
+	disabled bool // by an operator's order, which overrides the list
+
+	calls            []*call // in flight, oldest first
+	lastSent         Time
+	lastOK           Time
+	failureScore     float64     // from downScore on, the endpoint is down
+	failureRate      float64     // moving average of the fraction of its calls that failed
+	suspect          bool        // its last outcome was a failure
+	out              bool        // the endpoint is down: in an outage
+	downSince        Time        // when the outage was detected
+	leadsTrials      bool        // this sender announced the outage to the others and leads the trials
+	timeouts         int         // consecutive timeouts
+	sawError         bool        // an error, a rejection or a failed connection came since its last success
+	notRun           bool        // its last failure guarantees that the call did not run
+	consecutiveFulls int         // consecutive Full outcomes, each of a call sent after the previous one was received
+	warming          bool        // back from an outage and not yet warm
+	warmUpStart      Time        // start of the warm-up
+	coldCalls        sendlog.Log // recent calls, to limit the rate while it may be cold
+	phase            float64     // random factor of the cold window, about 1, drawn with each call
+	failingSince     Time        // when it was first reported to fail since it was last healthy, or 0
 }
 
 // path is a set of endpoints that share one rate limit: those of a destination, or one
@@ -149,88 +150,88 @@
 type path struct {
 	dest      *destination
 	jamAt     Time          // start of the last jam, seen here or reported by a note
-	jamFor    time.Duration // upper bound of the pause of that jam
+	jamPause  time.Duration // upper bound of the pause of that jam
 	kind      Kind
 	fee       float64
 	endpoints []*endpoint
 
-	narrow, wide sendlog.Log
-	passed       sendlog.Log // times of successes within a narrow window
-	peak         int         // the highest count of passed so far
-	passes       int         // successes so far
-	refused      float64     // moving average of the fraction of its calls that ended as Full
-	most         int         // the highest number of endpoints that were ready at one time
-	slice        float64     // calls allowed per narrow window; infinite while no limit is known
-	beforeRun    float64     // the slice before the last run of consecutive Fulls, or 0
-	listed       float64     // this sender's part of the listed rate in calls per second, or 0
-	sureRate     float64     // lower bound of the true rate, given the accuracy of listed
-	told         Allowance   // the limit for all senders that the last response reported
-	closedUntil  Time        // end of a requested wait or of a pause after a Full
-	fullAt       Time        // when the last Full was received
-	nextTrial    Time        // time of the next trial in an outage
-	latency      time.Duration
-	deviation    time.Duration // moving average of the absolute deviation from latency
-	baseline     time.Duration
+	narrow, wide     sendlog.Log
+	successes        sendlog.Log // times of successes within a narrow window
+	peakSuccesses    int         // the highest number of successes in a narrow window so far
+	successCount     int         // successes so far
+	rejectionRate    float64     // moving average of the fraction of its calls that ended as Full
+	maxReady         int         // the highest number of endpoints that were ready at one time
+	slice            float64     // calls allowed per narrow window; infinite while no limit is known
+	sliceBeforeFulls float64     // the slice before the last run of consecutive Fulls, or 0
+	listedRate       float64     // this sender's part of the listed rate in calls per second, or 0
+	minRate          float64     // lower bound of the true rate, given the accuracy of listedRate
+	told             Allowance   // the limit for all senders that the last response reported
+	closedUntil      Time        // end of a requested wait or of a pause after a Full
+	lastFull         Time        // when the last Full was received
+	nextTrial        Time        // time of the next trial in an outage
+	latency          time.Duration
+	deviation        time.Duration // moving average of the absolute deviation from latency
+	baseline         time.Duration
 }
 
 // destination has the paths of a destination and the messages queued for it.
 type destination struct {
-	number int
-	paths  []*path
-	queue  []*message // messages not in flight, in order of arrival
-	room   bool       // some path could accept a call when dispatch began
+	number   int
+	paths    []*path
+	queue    []*message // messages not in flight, in order of arrival
+	sendable bool       // some path could accept a call when dispatch began
 }
 
 // message is one message, kept from its arrival until it has ended and has no attempt
 // in flight.
 type message struct {
-	id       MessageID
-	class    *Class
-	dest     *destination
-	born     Time // when it was first submitted
-	giveUpAt Time
-	turn     *turn
-
-	attempts  int
-	call      *call // the call in flight that carries it, or nil
-	ended     bool
-	ran       bool // an attempt may have run, or is in flight
-	ranAt     Time // when the first such attempt was sent
-	ranZone   int  // the zone it was sent to
-	settled   bool // a finished attempt may have run
-	notBefore Time
-	failedAt  *endpoint // the endpoint of its last attempt, if that failed
-}
-
-// turn is the queue of the messages of one key.
-type turn struct {
-	line      []*message
-	restUntil Time
-}
-
-// outSince reports whether all ready endpoints of a path are down or disabled, and since when.
-func (p *path) outSince() (Time, bool) {
+	id        MessageID
+	class     *Class
+	dest      *destination
+	submitted Time // when it was first submitted
+	giveUpAt  Time
+	keyQueue  *keyQueue
+
+	attempts           int
+	call               *call // the call in flight that carries it, or nil
+	ended              bool
+	mayHaveRun         bool // an attempt may have run, or is in flight
+	ranAt              Time // when the first such attempt was sent
+	ranZone            int  // the zone it was sent to
+	finishedMayHaveRun bool // a finished attempt may have run
+	notBefore          Time
+	failedEndpoint     *endpoint // the endpoint of its last attempt, if that failed
+}
+
+// keyQueue is the queue of the messages of one key.
+type keyQueue struct {
+	waiting     []*message
+	pausedUntil Time
+}
+
+// allDownSince reports whether all ready endpoints of a path are down or disabled, and since when.
+func (p *path) allDownSince() (Time, bool) {
 	from, any := Time(0), false
 	for _, e := range p.endpoints {
 		if e.state != Ready {
 			continue
 		}
-		if !e.out && !e.barred {
+		if !e.out && !e.disabled {
 			return 0, false
 		}
-		from, any = max(from, e.since), true
+		from, any = max(from, e.downSince), true
 	}
 	return from, any
 }
 
-// take moves a message from its queue to a call.
-func (s *Sender) take(m *message, c *call) {
+// addToCall moves a message from its queue to a call.
+func (s *Sender) addToCall(m *message, c *call) {
 	c.size++
-	c.left++
+	c.pending++
 	m.call = c
 	m.attempts++
-	if !m.ran {
-		m.ran, m.ranAt, m.ranZone = true, s.now, c.endpoint.zone
+	if !m.mayHaveRun {
+		m.mayHaveRun, m.ranAt, m.ranZone = true, s.now, c.endpoint.zone
 	}
 	m.dest.queue = remove(m.dest.queue, m)
 }
@@ -243,24 +244,24 @@
 	return n
 }
 
-// trouble records when an endpoint was first reported to fail.
-func (e *endpoint) trouble(now Time) {
-	if e.troubled == 0 {
-		e.troubled = now
+// markFailing records when an endpoint was first reported to fail.
+func (e *endpoint) markFailing(now Time) {
+	if e.failingSince == 0 {
+		e.failingSince = now
 	}
 }
 
-// counted counts a note as a call to the endpoint. All senders receive a note at the same
+// countNote counts a note as a call to the endpoint. All senders receive a note at the same
 // time; the random phase keeps them from sending at the same time afterwards.
-func (s *Sender) counted(e *endpoint) {
+func (s *Sender) countNote(e *endpoint) {
 	e.phase = s.rng.Float64()
-	e.cold.Record(s.now)
+	e.coldCalls.Record(s.now)
 }
 
 func (p *path) readyEndpoints() int {
 	n := 0
 	for _, e := range p.endpoints {
-		if e.state == Ready && !e.barred {
+		if e.state == Ready && !e.disabled {
 			n++
 		}
 	}
@@ -272,7 +273,7 @@
 	if d == nil {
 		d = &destination{number: n}
 		s.dests[n] = d
-		s.ordered = append(s.ordered, d)
+		s.destList = append(s.destList, d)
 	}
 	return d
 }
@@ -291,8 +292,8 @@
 
 func (s *Sender) forget(m *message) {
 	delete(s.messages, m.id)
-	if m.turn != nil {
-		m.turn.line = remove(m.turn.line, m)
+	if m.keyQueue != nil {
+		m.keyQueue.waiting = remove(m.keyQueue.waiting, m)
 	}
 }
 
@@ -318,27 +319,27 @@
 func (s *Sender) note(e Event) {
 	switch e := e.(type) {
 	case Listed:
-		s.listed(e)
+		s.applyList(e)
 	case Arrived:
-		s.arrived(e)
+		s.addMessage(e)
 	case Withdrawn:
 		if m := s.messages[e.Message]; m != nil && !m.ended {
 			s.end(m)
 		}
 	case Remembered:
-		s.remembered(e)
+		s.applyHistory(e)
 	case Ordered:
-		s.order(e)
+		s.applyOrder(e)
 	case Inherited:
-		s.inherited(e.Memory)
+		s.restoreMemory(e.Memory)
 	case Woken:
-		if s.armed <= s.now {
-			s.armed = 0
+		if s.wakeAt <= s.now {
+			s.wakeAt = 0
 		}
 	}
 }
 
-func (s *Sender) listed(l Listed) {
+func (s *Sender) applyList(l Listed) {
 	named := map[EndpointID]bool{}
 	for _, entry := range l.Entries {
 		named[entry.Endpoint] = true
@@ -351,7 +352,7 @@
 		}
 		s.setState(e, entry.State)
 	}
-	for _, d := range s.ordered {
+	for _, d := range s.destList {
 		for _, p := range d.paths {
 			for _, e := range p.endpoints {
 				if l.Whole && !named[e.id] {
@@ -367,10 +368,10 @@
 // message from then is left, and an endpoint that returned under the same ID would be warm.
 // A path without endpoints is dropped with its limit, unless recent calls still count.
 func (s *Sender) forgetGone() {
-	for _, d := range slices.Clone(s.ordered) {
+	for _, d := range slices.Clone(s.destList) {
 		for _, p := range d.paths {
 			p.endpoints = slices.DeleteFunc(p.endpoints, func(e *endpoint) bool {
-				if e.state != Gone || len(e.calls) > 0 || s.now-e.told < s.longest+s.set.WarmUp {
+				if e.state != Gone || len(e.calls) > 0 || s.now-e.told < s.longestDeadline+s.set.WarmUp {
 					return false
 				}
 				delete(s.endpoints, e.id)
@@ -391,7 +392,7 @@
 func (s *Sender) forgetUnknown(d *destination) {
 	if len(d.paths) == 0 && len(d.queue) == 0 && s.dests[d.number] == d {
 		delete(s.dests, d.number)
-		s.ordered = remove(s.ordered, d)
+		s.destList = remove(s.destList, d)
 	}
 }
 
@@ -400,28 +401,28 @@
 		e.told = s.now
 	}
 	e.state = state
-	e.path.most = max(e.path.most, e.path.readyEndpoints())
+	e.path.maxReady = max(e.path.maxReady, e.path.readyEndpoints())
 }
 
-func (s *Sender) arrived(a Arrived) {
+func (s *Sender) addMessage(a Arrived) {
 	class := &s.set.Classes[a.Class]
 	m := &message{id: a.Message, class: class, dest: s.destination(a.Destination),
-		born: min(s.now, a.GiveUpAt-class.Deadline), giveUpAt: a.GiveUpAt,
-		attempts: a.Past.Attempts, ran: a.Past.MayRun, settled: a.Past.MayRun,
+		submitted: min(s.now, a.GiveUpAt-class.Deadline), giveUpAt: a.GiveUpAt,
+		attempts: a.Past.Attempts, mayHaveRun: a.Past.MayRun, finishedMayHaveRun: a.Past.MayRun,
 		ranAt: a.Past.RanAt, ranZone: a.Past.RanZone}
 	s.messages[m.id] = m
 	s.open = append(s.open, m)
 	if e := s.endpoints[a.Past.OutTo]; a.Past.Out && e != nil {
-		s.stillOut(m, e, a.Past)
+		s.adoptCall(m, e, a.Past)
 	} else {
 		m.dest.queue = append(m.dest.queue, m)
 	}
 	if class.Ordered && a.Key != 0 {
-		if s.turns[a.Key] == nil {
-			s.turns[a.Key] = &turn{}
+		if s.keyQueues[a.Key] == nil {
+			s.keyQueues[a.Key] = &keyQueue{}
 		}
-		m.turn = s.turns[a.Key]
-		m.turn.line = append(m.turn.line, m)
+		m.keyQueue = s.keyQueues[a.Key]
+		m.keyQueue.waiting = append(m.keyQueue.waiting, m)
 	}
 }
 
@@ -442,7 +443,7 @@
 	p.endpoints = append(p.endpoints, e)
 	s.endpoints[e.id] = e
 	s.tags[e.id.tag()] = e
-	s.joined(e)
+	s.inheritOutage(e)
 	return e
 }
 
@@ -473,19 +474,19 @@
 	return 1 - stretchSpread + 2*stretchSpread*s.rng.Float64()
 }
 
-// tell sends a note if mayTell allows it, and reports whether it did.
-func (s *Sender) tell(e *endpoint, news News) bool {
-	may := s.mayTell()
+// sendNote sends a note if maySendNote allows it, and reports whether it did.
+func (s *Sender) sendNote(e *endpoint, news News) bool {
+	may := s.maySendNote()
 	if may {
-		s.toldAt = s.now
+		s.noteSentAt = s.now
 		s.out = append(s.out, Tell{Tag: e.id.tag(), News: news})
 	}
 	return may
 }
 
-// doubtful counts the messages in flight to endpoints that are down, suspect or
+// countDoubtful counts the messages in flight to endpoints that are down, suspect or
 // stalled.
-func (s *Sender) doubtful() int {
+func (s *Sender) countDoubtful() int {
 	n := 0
 	for _, m := range s.open {
 		if m.call == nil {
@@ -503,9 +504,9 @@
 	return Tag(uint64(id) * 0x9e3779b97f4a7c15 >> (64 - TagBits))
 }
 
-// remembered restores the history of an endpoint from a previous run of the node: its
+// applyHistory restores the history of an endpoint from a previous run of the node: its
 // calls count in the windows, and its failures in its health.
-func (s *Sender) remembered(r Remembered) {
+func (s *Sender) applyHistory(r Remembered) {
 	e := s.endpoints[r.Endpoint]
 	if e == nil {
 		return
@@ -516,32 +517,32 @@
 		slices.Sort(log.Times)
 		log.Count(s.now)
 	}
-	s.recall(e, r)
+	s.restoreHealth(e, r)
 }
 
-// order disables or enables an endpoint. An enabled endpoint was restarted, so it counts
+// applyOrder disables or enables an endpoint. An enabled endpoint was restarted, so it counts
 // as just back from an outage, and earlier observations of its health are discarded.
-func (s *Sender) order(o Ordered) {
+func (s *Sender) applyOrder(o Ordered) {
 	e := s.endpoints[o.Endpoint]
-	if e == nil || e.barred == o.Out {
+	if e == nil || e.disabled == o.Out {
 		return
 	}
-	e.barred = o.Out
-	e.trouble(s.now)
+	e.disabled = o.Out
+	e.markFailing(s.now)
 	if o.Out {
 		if !e.out {
-			e.since = s.now
+			e.downSince = s.now
 		}
 		return
 	}
-	e.suspect, e.broken, e.timeouts, e.fullRun, e.score = false, false, 0, 0, 0
-	s.returned(e, BackCold)
+	e.suspect, e.sawError, e.timeouts, e.consecutiveFulls, e.failureScore = false, false, 0, 0, 0
+	s.endOutage(e, BackCold)
 }
 
-// stillOut adopts a call that is in flight in another process, so that it occupies a slot.
+// adoptCall adopts a call that is in flight in another process, so that it occupies a slot.
 // Messages with the same endpoint and send time belong to one bundle.
-func (s *Sender) stillOut(m *message, e *endpoint, past Past) {
-	m.settled = past.Settled
+func (s *Sender) adoptCall(m *message, e *endpoint, past Past) {
+	m.finishedMayHaveRun = past.Settled
 	i := slices.IndexFunc(e.calls, func(c *call) bool { return c.sent == past.OutSince })
 	if i < 0 {
 		i = len(e.calls)
@@ -550,38 +551,38 @@
 	}
 	m.call = e.calls[i]
 	m.call.size++
-	m.call.left++
+	m.call.pending++
 }
 
 // Memory returns the sender's state, for a process that takes over from it.
 func (s *Sender) Memory() Memory {
-	out := Memory{Started: s.started, Usual: s.usual, Pace: s.pace}
-	for _, d := range s.ordered {
+	out := Memory{Started: s.started, Usual: s.meanLatency, Pace: s.slowdown}
+	for _, d := range s.destList {
 		for _, p := range d.paths {
 			if len(p.endpoints) == 0 {
 				continue
 			}
 			out.Paths = append(out.Paths, PathMemory{Endpoint: p.endpoints[0].id,
-				Narrow: slices.Clone(p.narrow.Times), Wide: slices.Clone(p.wide.Times), Passed: slices.Clone(p.passed.Times),
-				Peak: p.peak, Passes: p.passes, Most: p.most, Slice: p.slice, BeforeRun: p.beforeRun,
-				NarrowWindow: p.narrow.Window, WideWindow: p.wide.Window, ClosedUntil: p.closedUntil, FullAt: p.fullAt,
-				NextTrial: p.nextTrial, JamAt: p.jamAt, JamFor: p.jamFor,
+				Narrow: slices.Clone(p.narrow.Times), Wide: slices.Clone(p.wide.Times), Passed: slices.Clone(p.successes.Times),
+				Peak: p.peakSuccesses, Passes: p.successCount, Most: p.maxReady, Slice: p.slice, BeforeRun: p.sliceBeforeFulls,
+				NarrowWindow: p.narrow.Window, WideWindow: p.wide.Window, ClosedUntil: p.closedUntil, FullAt: p.lastFull,
+				NextTrial: p.nextTrial, JamAt: p.jamAt, JamFor: p.jamPause,
 				Latency: p.latency, Deviation: p.deviation, Baseline: p.baseline, Told: p.told})
 			for _, e := range p.endpoints {
 				out.Endpoints = append(out.Endpoints, EndpointMemory{Endpoint: e.id, Told: e.told,
-					LastSent: e.lastSent, LastOK: e.lastOK, Since: e.since, WarmFrom: e.warmFrom, Trouble: e.troubled,
-					Score: e.score, Phase: e.phase, Suspect: e.suspect, Out: e.out, Lead: e.lead, Broken: e.broken, Harmless: e.harmless,
-					Warming: e.warming, Timeouts: e.timeouts, FullRun: e.fullRun,
-					Cold: slices.Clone(e.cold.Times), ColdWindow: e.cold.Window})
+					LastSent: e.lastSent, LastOK: e.lastOK, Since: e.downSince, WarmFrom: e.warmUpStart, Trouble: e.failingSince,
+					Score: e.failureScore, Phase: e.phase, Suspect: e.suspect, Out: e.out, Lead: e.leadsTrials, Broken: e.sawError, Harmless: e.notRun,
+					Warming: e.warming, Timeouts: e.timeouts, FullRun: e.consecutiveFulls,
+					Cold: slices.Clone(e.coldCalls.Times), ColdWindow: e.coldCalls.Window})
 			}
 		}
 	}
 	return out
 }
 
-// inherited restores the memory of another process.
-func (s *Sender) inherited(m Memory) {
-	s.started, s.usual, s.pace = m.Started, m.Usual, m.Pace
+// restoreMemory takes over the memory of another process.
+func (s *Sender) restoreMemory(m Memory) {
+	s.started, s.meanLatency, s.slowdown = m.Started, m.Usual, m.Pace
 	for _, r := range m.Paths {
 		e := s.endpoints[r.Endpoint]
 		if e == nil {
@@ -589,10 +590,10 @@
 		}
 		p := e.path
 		p.narrow, p.wide = sendlog.Log{Window: r.NarrowWindow, Times: r.Narrow}, sendlog.Log{Window: r.WideWindow, Times: r.Wide}
-		p.passed.Times = r.Passed
-		p.peak, p.passes, p.most, p.slice, p.beforeRun = r.Peak, r.Passes, r.Most, r.Slice, r.BeforeRun
-		p.closedUntil, p.fullAt, p.nextTrial = r.ClosedUntil, r.FullAt, r.NextTrial
-		p.jamAt, p.jamFor = r.JamAt, r.JamFor
+		p.successes.Times = r.Passed
+		p.peakSuccesses, p.successCount, p.maxReady, p.slice, p.sliceBeforeFulls = r.Peak, r.Passes, r.Most, r.Slice, r.BeforeRun
+		p.closedUntil, p.lastFull, p.nextTrial = r.ClosedUntil, r.FullAt, r.NextTrial
+		p.jamAt, p.jamPause = r.JamAt, r.JamFor
 		p.latency, p.deviation, p.baseline, p.told = r.Latency, r.Deviation, r.Baseline, r.Told
 	}
 	for _, r := range m.Endpoints {
@@ -600,19 +601,18 @@
 		if e == nil {
 			continue
 		}
-		e.told, e.lastSent, e.lastOK, e.since, e.warmFrom, e.troubled = r.Told, r.LastSent, r.LastOK, r.Since, r.WarmFrom, r.Trouble
-		e.score, e.phase, e.suspect, e.out, e.lead = r.Score, r.Phase, r.Suspect, r.Out, r.Lead
-		e.broken, e.harmless, e.warming, e.timeouts, e.fullRun = r.Broken, r.Harmless, r.Warming, r.Timeouts, r.FullRun
-		e.cold = sendlog.Log{Window: r.ColdWindow, Times: r.Cold}
+		e.told, e.lastSent, e.lastOK, e.downSince, e.warmUpStart, e.failingSince = r.Told, r.LastSent, r.LastOK, r.Since, r.WarmFrom, r.Trouble
+		e.failureScore, e.phase, e.suspect, e.out, e.leadsTrials = r.Score, r.Phase, r.Suspect, r.Out, r.Lead
+		e.sawError, e.notRun, e.warming, e.timeouts, e.consecutiveFulls = r.Broken, r.Harmless, r.Warming, r.Timeouts, r.FullRun
+		e.coldCalls = sendlog.Log{Window: r.ColdWindow, Times: r.Cold}
 	}
 }
 
-// returned ends the outage of an endpoint.
-func (s *Sender) returned(e *endpoint, news News) {
+func (s *Sender) endOutage(e *endpoint, news News) {
 	e.out = false
 	e.path.nextTrial = min(e.path.nextTrial, s.now+s.trialGap(e))
 	if news == BackCold {
-		e.warming, e.warmFrom = true, s.now
+		e.warming, e.warmUpStart = true, s.now
 	}
 }
 
@@ -621,49 +621,51 @@
 // of a narrow window less its expected random excess. The peaks of many senders don't
 // coincide: each is peakDeviations above its mean, the peak of their sum 1/sqrt(Senders) of that.
 func (s *Sender) ownRate(p *path) float64 {
-	mean := float64(p.passes) / max(narrowWindow, s.now-s.started).Seconds()
+	mean := float64(p.successCount) / max(narrowWindow, s.now-s.started).Seconds()
 	apart := 1 - 1/math.Sqrt(float64(s.set.Senders))
-	chance := peakDeviations * apart * math.Sqrt(max(fewPasses, mean*narrowWindow.Seconds()))
-	return max(mean, (float64(p.peak)-chance)/narrowWindow.Seconds())
+	chance := peakDeviations * apart * math.Sqrt(max(fewSuccesses, mean*narrowWindow.Seconds()))
+	return max(mean, (float64(p.peakSuccesses)-chance)/narrowWindow.Seconds())
 }
 
-// fair returns an equal share of the reported limit, as a slice.
-func (s *Sender) fair(p *path) float64 {
+// fairSlice returns an equal share of the reported limit, as a slice.
+func (s *Sender) fairSlice(p *path) float64 {
 	return p.told.Limit / float64(s.set.Senders) * narrowWindow.Seconds()
 }
 
-// notesCome reports whether a note was received recently. Otherwise the sender can't assume
+// receivesNotes reports whether a note was received recently. Otherwise the sender can't assume
 // that its own notes are received, and must not lead the trials of an outage.
-func (s *Sender) notesCome() bool { return s.heardAt > 0 && s.now-s.heardAt < s.set.FallWindow }
+func (s *Sender) receivesNotes() bool {
+	return s.noteReceivedAt > 0 && s.now-s.noteReceivedAt < s.set.FallWindow
+}
 
-// drain estimates how long a destination's queue takes to drain.
-func (s *Sender) drain(d *destination) time.Duration {
-	rate, outage := 0.0, time.Duration(math.MaxInt64)
+// drainTime estimates how long a destination's queue takes to drain.
+func (s *Sender) drainTime(d *destination) time.Duration {
+	rate, expectedOutage := 0.0, time.Duration(math.MaxInt64)
 	for _, p := range d.paths {
-		r, o := s.rate(p), s.outage(p)
+		r, o := s.rate(p), s.expectedOutage(p)
 		rate += r
-		outage = min(outage, o)
+		expectedOutage = min(expectedOutage, o)
 	}
 	if len(d.paths) == 0 {
 		return narrowWindow
 	}
-	return outage + time.Duration(float64(len(d.queue))/rate*float64(time.Second))
+	return expectedOutage + time.Duration(float64(len(d.queue))/rate*float64(time.Second))
 }
 
 // rate estimates the messages per second that a path accepts from this sender.
 func (s *Sender) rate(p *path) float64 {
-	r := max(s.ownRate(p), p.listed, 1/narrowWindow.Seconds())
+	r := max(s.ownRate(p), p.listedRate, 1/narrowWindow.Seconds())
 	if !math.IsInf(p.slice, 1) {
 		r = p.slice / narrowWindow.Seconds()
 	}
 	return r * float64(p.kind.BundleMax)
 }
 
-// outage estimates how long a path stays closed. An outage is expected to last as long
+// expectedOutage estimates how long a path stays closed. An outage is expected to last as long
 // again as it has lasted so far.
-func (s *Sender) outage(p *path) time.Duration {
+func (s *Sender) expectedOutage(p *path) time.Duration {
 	wait := max(0, p.closedUntil-s.now)
-	if from, out := p.outSince(); out {
+	if from, out := p.allDownSince(); out {
 		wait = max(wait, s.now-from, s.set.FallWindow)
 	}
 	return wait
