--- a/policy/answers.go
+++ b/policy/answers.go
@@ -74,8 +74,6 @@
 	m.dest.queue = append(m.dest.queue, m)
 }
 
-// Answers
-
 // answerAt returns when a message is answered at the latest: a tick before its deadline, so
 // that the answer is in time even if a step is late.
 func (s *Sender) answerAt(m *message) Time { return m.giveUpAt - s.set.Tick }
