--- a/internal/batch/audit/audit_test.go
+++ b/internal/batch/audit/audit_test.go
@@ -31,7 +31,7 @@
 
 var at = time.Date(2026, 6, 1, 23, 0, 0, 0, time.UTC)
 
-// text is a document that certifies endpoints for fin, which route q demands.
+// text returns a document that certifies endpoints for the regime fin, which route q requires.
 func text(t testing.TB, version uint64, endpoints ...string) []byte {
 	t.Helper()
 	d := certification.Document{Version: version, Routes: []certification.Route{{Name: "q", Regime: "fin"}}}
@@ -60,7 +60,7 @@
 	}
 }
 
-// direct is a connection to a store of this process. It can be cut.
+// direct is an in-process connection to a store. It can be cut.
 type direct struct {
 	s    *Store
 	mu   *sync.Mutex
@@ -87,7 +87,7 @@
 func (d direct) Done() <-chan struct{} { return d.done }
 func (d direct) Close()                {}
 
-// rig is stores with disks and a recorder before them.
+// rig has stores with disks and a recorder that delivers to them.
 type rig struct {
 	t      testing.TB
 	dirs   []string
@@ -165,7 +165,7 @@
 	g.cut[i] = cut
 }
 
-// files are all that the stores wrote, once they are closed.
+// files returns all files that the stores wrote, once they are closed.
 func (g *rig) files() (all []auditFile) {
 	for i, dir := range g.dirs {
 		names, err := filepath.Glob(filepath.Join(dir, "audit*.log"))
@@ -183,7 +183,7 @@
 	g.t.Helper()
 	n, ok := g.r.Begin(r, document)
 	if !ok {
-		g.t.Fatal("no room")
+		g.t.Fatal("no space for the run")
 	}
 	if o != Open {
 		g.r.End(n, o)
@@ -214,7 +214,7 @@
 		}
 	}
 	if !g.r.Drain(10 * time.Second) {
-		t.Fatal("not handed over")
+		t.Fatal("not delivered")
 	}
 	g.close()
 	copies := map[string]int{}
@@ -235,7 +235,7 @@
 	}
 	for id, n := range copies {
 		if n < 2 {
-			t.Errorf("%s is on %d stores", id, n)
+			t.Errorf("%s is on only %d stores", id, n)
 		}
 	}
 	rows := r.Rows()
@@ -258,20 +258,20 @@
 		open = append(open, n)
 	}
 	if len(open) != 5 {
-		t.Errorf("%d runs began in room for 10 entries", len(open))
+		t.Errorf("%d runs began with space for 10 entries", len(open))
 	}
-	for _, n := range open { // there was room for each end
+	for _, n := range open { // there is space for each end
 		g.r.End(n, Broken)
 	}
 	if g.r.Pending() != 10 {
-		t.Errorf("%d entries wait", g.r.Pending())
+		t.Errorf("%d entries are pending", g.r.Pending())
 	}
 	g.lose(1, false)
 	if !g.r.Drain(10 * time.Second) {
-		t.Fatal("not handed over later")
+		t.Fatal("not delivered once the store was reachable again")
 	}
 	if _, ok := g.r.Begin(run("again", "e1", 1, 0), d); !ok {
-		t.Error("there is room again, and none is given")
+		t.Error("a run was rejected although there is space again")
 	}
 	g.close()
 	if r := check(g.files(), CheckOptions{}); len(r.Problems) > 0 || len(r.Runs) < 5 {
@@ -287,27 +287,27 @@
 	}
 }
 
-// Files are rotated and bounded; a store that starts again goes on with its chain, also right after a file was put
-// aside.
+// Files are rotated and their number is limited. A restarted store continues its chain, even right
+// after a file was renamed.
 func TestChainContinuesOverFilesAndRestarts(t *testing.T) {
 	g := newRig(t, 1, 1, 0, 8<<10)
 	d := text(t, 3, "e1")
 	for i := range 400 {
 		g.do(run(fmt.Sprint("id", i), "e1", 3, 0), d, Answered)
 		if i%20 == 0 && !g.r.Drain(10*time.Second) {
-			t.Fatal("not handed over")
+			t.Fatal("not delivered")
 		}
 		if i == 200 {
 			g.stores[0].Close()
 			full := g.stores[0].file.number
-			// Power was lost in a rotation.
+			// Simulates a power failure during a rotation.
 			must(t, os.Rename(filepath.Join(g.dirs[0], FileName), filepath.Join(g.dirs[0], fullFileName(full))))
 			g.open(0, 8<<10)
-			g.r.conns = map[string]*storeConn{} // nobody sends now
+			g.r.conns = map[string]*storeConn{} // no delivery is in progress
 		}
 	}
 	if !g.r.Drain(10 * time.Second) {
-		t.Fatal("not handed over")
+		t.Fatal("not delivered")
 	}
 	g.close()
 	files := g.files()
@@ -315,8 +315,8 @@
 		t.Errorf("%d files", len(files))
 	}
 	r := check(files, CheckOptions{})
-	for _, p := range r.Problems { // the ends of runs whose beginnings were in files that are gone
-		if !strings.Contains(p.Detail, "a file before is missing") {
+	for _, p := range r.Problems { // ends of runs whose starts were in removed files
+		if !strings.Contains(p.Detail, "a previous file is missing") {
 			t.Error(p)
 		}
 	}
@@ -325,7 +325,7 @@
 	}
 	without := slices.Delete(slices.Clone(files), len(files)/2, len(files)/2+1)
 	if got := rules(check(without, CheckOptions{})); !strings.Contains(got, RuleBrokenChain) {
-		t.Errorf("a file between others is missing, and that is not told: %q", got)
+		t.Errorf("a missing file within a chain is not reported: %q", got)
 	}
 }
 
@@ -345,19 +345,19 @@
 		runs []one
 		want string
 	}{
-		"sound":                 {[]one{{run("a", "e1", 1, 0), d1, Answered}, {run("b", "e2", 1, 0), d1, Failed}}, ""},
-		"not certified":         {[]one{{run("a", "e3", 1, 0), d1, Answered}}, RuleUncertified},
-		"expired":               {[]one{{expired, d1, Answered}}, RuleUncertified},
-		"another regime":        {[]one{{other, d1, Answered}}, RuleUncertified},
-		"withdrawn":             {[]one{{run("a", "e2", 2, 0), d2, Answered}}, RuleUncertified},
-		"twice":                 {[]one{{run("a", "e1", 1, 0), d1, Broken}, {run("a", "e2", 1, time.Second), d1, Answered}}, RuleDuplicateRun},
-		"twice, one open":       {[]one{{run("a", "e1", 1, 0), d1, Open}, {run("a", "e2", 1, time.Second), d1, Answered}}, RuleDuplicateRun},
-		"turned away before":    {[]one{{run("a", "e1", 1, 0), d1, NotRun}, {run("a", "e2", 1, time.Second), d1, Answered}}, ""},
-		"not written before":    {[]one{{run("a", "e1", 1, 0), d1, Unsent}, {run("a", "e2", 1, time.Second), d1, Answered}}, ""},
-		"may repeat":            {[]one{{repeatable, d1, Answered}, {repeatable, d1, Answered}}, ""},
-		"old certificates":      {[]one{{run("a", "e1", 2, 0), d2, Answered}, {run("b", "e2", 1, 5*time.Second), d1, Answered}}, RuleWithdrawn},
-		"old ones for a moment": {[]one{{run("a", "e1", 2, 0), d2, Answered}, {run("b", "e2", 1, 3*time.Second), d1, Answered}}, ""},
-		"unreadable":            {[]one{{run("a", "e1", 1, 0), []byte("{}"), Answered}}, RuleUnknown},
+		"no problem":                 {[]one{{run("a", "e1", 1, 0), d1, Answered}, {run("b", "e2", 1, 0), d1, Failed}}, ""},
+		"not certified":              {[]one{{run("a", "e3", 1, 0), d1, Answered}}, RuleUncertified},
+		"expired":                    {[]one{{expired, d1, Answered}}, RuleUncertified},
+		"another regime":             {[]one{{other, d1, Answered}}, RuleUncertified},
+		"withdrawn":                  {[]one{{run("a", "e2", 2, 0), d2, Answered}}, RuleUncertified},
+		"twice":                      {[]one{{run("a", "e1", 1, 0), d1, Broken}, {run("a", "e2", 1, time.Second), d1, Answered}}, RuleDuplicateRun},
+		"twice, one open":            {[]one{{run("a", "e1", 1, 0), d1, Open}, {run("a", "e2", 1, time.Second), d1, Answered}}, RuleDuplicateRun},
+		"rejected before":            {[]one{{run("a", "e1", 1, 0), d1, NotRun}, {run("a", "e2", 1, time.Second), d1, Answered}}, ""},
+		"not written before":         {[]one{{run("a", "e1", 1, 0), d1, Unsent}, {run("a", "e2", 1, time.Second), d1, Answered}}, ""},
+		"may repeat":                 {[]one{{repeatable, d1, Answered}, {repeatable, d1, Answered}}, ""},
+		"outdated certificates":      {[]one{{run("a", "e1", 2, 0), d2, Answered}, {run("b", "e2", 1, 5*time.Second), d1, Answered}}, RuleWithdrawn},
+		"outdated, within the bound": {[]one{{run("a", "e1", 2, 0), d2, Answered}, {run("b", "e2", 1, 3*time.Second), d1, Answered}}, ""},
+		"unreadable":                 {[]one{{run("a", "e1", 1, 0), []byte("{}"), Answered}}, RuleUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1, 1, 0, 0)
@@ -377,7 +377,7 @@
 	}
 }
 
-// Any byte that is changed, cut off, put in or moved is found.
+// Any changed, truncated, inserted or moved byte is detected.
 func TestRandomCorruptionsAreReported(t *testing.T) {
 	g := newRig(t, 1, 1, 0, 6<<10)
 	d := text(t, 1, "e1")
@@ -425,13 +425,13 @@
 		bad[i].content = b
 		r := check(bad, CheckOptions{})
 		if len(r.Problems) == 0 && !(kind == "cut" && i == newest(files)) {
-			t.Errorf("%s of bytes %d to %d in %s is not found", kind, from, to, bad[i].name)
+			t.Errorf("%s of bytes %d to %d in %s is not detected", kind, from, to, bad[i].name)
 		}
 	}
 }
 
-// newest is the file that is appended to: records at its end may be taken off without a trace in itself, as there is
-// no later record; that they are on other stores too is what shows it.
+// newest returns the file that is appended to. Records at its end can be removed without a trace in
+// the file, as there is no later record; only the copies on other stores reveal that.
 func newest(files []auditFile) int {
 	return slices.IndexFunc(files, func(f auditFile) bool { return strings.HasSuffix(f.name, "/"+FileName) })
 }
@@ -441,20 +441,21 @@
 	d := text(t, 1, "e1")
 	g.do(run("a", "e1", 1, 0), d, Answered)
 	g.drain()
-	g.do(run("b", "e9", 1, 0), d, Answered) // what somebody would like to be gone
+	g.do(run("b", "e9", 1, 0), d, Answered) // a run that someone may want to hide
 	g.drain()
 	g.close()
 	files := g.files()
-	files = files[1:] // the whole file of one store is gone
+	files = files[1:] // the complete file of one store is removed
 	if got := rules(check(files, CheckOptions{})); got != RuleUncertified {
 		t.Errorf("%q", got)
 	}
 }
 
-// A store whose record can't be gone on with takes no more, and the store of batch jobs beside it goes on.
+// A store whose audit file is damaged accepts no more entries, and the batch store in the same
+// process keeps running.
 func TestDamagedFileAcceptsNoMoreEntries(t *testing.T) {
 	g := newRig(t, 1, 1, 0, 0)
-	for i := range 3 { // each is synced before the next is written
+	for i := range 3 { // each is synced before the next one is written
 		g.do(run(fmt.Sprint("id", i), "e1", 1, 0), text(t, 1, "e1"), Answered)
 		g.drain()
 	}
@@ -473,10 +474,10 @@
 	w.U32(0)
 	s.Append(w.Buf, func(err error) { answer <- err })
 	if err := <-answer; err == nil {
-		t.Error("it takes more")
+		t.Error("the store accepts more entries")
 	}
 	if after, err := os.ReadFile(name); err != nil || !bytes.Equal(after, b) {
-		t.Error("what the auditor has to see was changed")
+		t.Error("the damaged file was changed")
 	}
 }
 
@@ -488,29 +489,29 @@
 	g.drain()
 	g.close()
 	r := check(g.files(), CheckOptions{})
-	var csv, people bytes.Buffer
-	must(t, errors.Join(r.WriteCSV(&csv), r.WriteText(&people)))
+	var csv, plain bytes.Buffer
+	must(t, errors.Join(r.WriteCSV(&csv), r.WriteText(&plain)))
 	want := "regime,night,runs,requests,items,whole,again,endpoints,open,answered,failed,not-run,unsent,broken,left\n" +
 		"fin,2026-06-01,1,1,0,1,0,1,0,1,0,0,0,0,0\nfin,2026-06-02,1,1,0,0,0,1,0,0,0,0,0,0,1\n"
 	if csv.String() != want {
 		t.Errorf("%s", csv.String())
 	}
-	if !strings.Contains(people.String(), "UNCERTIFIED run of b at e1") || !strings.Contains(people.String(), "1 problems") {
-		t.Errorf("%s", people.String())
+	if !strings.Contains(plain.String(), "UNCERTIFIED run of b at e1") || !strings.Contains(plain.String(), "1 problems") {
+		t.Errorf("%s", plain.String())
 	}
 }
 
-// A message that ends early is rejected, also where its entries are missing as a whole: an empty reply would tell the
-// proxy that its records are on disk.
+// A truncated message is rejected, even if the list of entries is missing completely: an empty
+// reply would acknowledge to the proxy that its entries are on disk.
 func TestMessagesThatEndEarlyAreRejected(t *testing.T) {
 	s, err := OpenStore(StoreOptions{Folder: vfstest.New()})
 	must(t, err)
 	defer s.Close()
-	whole := goldenMessage(1)
-	for length := range whole {
-		if err := s.appendNow(slices.Clone(whole[:length])); err == nil {
-			t.Errorf("%d of %d bytes were acknowledged", length, len(whole))
+	message := goldenMessage(1)
+	for length := range message {
+		if err := s.appendNow(slices.Clone(message[:length])); err == nil {
+			t.Errorf("%d of %d bytes were acknowledged", length, len(message))
 		}
 	}
-	must(t, s.appendNow(whole))
+	must(t, s.appendNow(message))
 }
--- a/internal/batch/audit/chain.go
+++ b/internal/batch/audit/chain.go
@@ -5,14 +5,14 @@
 	"errors"
 )
 
-// recordHash is the hash of a record: of the hash of the record before and its entry.
+// recordHash is the hash of a record: over the hash of the previous record and the record's entry.
 type recordHash [sha256.Size]byte
 
-// errBrokenChain is about a record that does not follow the one before it.
-var errBrokenChain = errors.New("the record does not hold the hash of the one before")
+// errBrokenChain reports that a record does not hold the hash of the previous record.
+var errBrokenChain = errors.New("the record does not hold the hash of the previous record")
 
-// chainRecord returns a record as it stands in a file, the hash of the one before and then the entry, and its own
-// hash.
+// chainRecord returns a record in the form that files have, the previous record's hash followed by the entry, and the
+// record's own hash.
 func chainRecord(before recordHash, entry []byte) (record []byte, hash recordHash) {
 	record = make([]byte, 0, len(before)+len(entry))
 	record = append(record, before[:]...)
@@ -20,8 +20,7 @@
 	return record, sha256.Sum256(record)
 }
 
-// unchainRecord returns the entry of a record, which has to hold the hash of the one before, and the record's own
-// hash.
+// unchainRecord verifies that a record holds the hash of the previous one, and returns its entry and its own hash.
 func unchainRecord(before recordHash, record []byte) (entry []byte, hash recordHash, err error) {
 	if len(record) <= len(before) || recordHash(record[:len(before)]) != before {
 		return nil, before, errBrokenChain
@@ -29,7 +28,7 @@
 	return record[len(before):], sha256.Sum256(record), nil
 }
 
-// hashBefore returns the hash that the first record of a file holds: that of the last record of the file before.
+// hashBefore returns the hash that the first record of a file holds: that of the last record of the previous file.
 func hashBefore(record []byte) (recordHash, error) {
 	if len(record) < len(recordHash{}) {
 		return recordHash{}, errBrokenChain
--- a/internal/batch/audit/check.go
+++ b/internal/batch/audit/check.go
@@ -14,20 +14,20 @@
 	"dunetide/internal/platform/link"
 )
 
-// The rules that CheckFiles checks. Their names stand in reports.
+// The rules that CheckFiles checks. Reports print their names.
 const (
-	RuleBrokenChain  = "CHAIN"       // a file was changed, or one between others is missing
-	RuleConflict     = "DIFFERS"     // two files say different things of the same run or version
-	RuleUnknown      = "UNKNOWN"     // the certificates by which a run was sent are in no file
+	RuleBrokenChain  = "CHAIN"       // a file was changed, or a file within a chain is missing
+	RuleConflict     = "DIFFERS"     // two files disagree on the same run or version
+	RuleUnknown      = "UNKNOWN"     // the certificates by which a run was sent are in none of the files
 	RuleUncertified  = "UNCERTIFIED" // a run at an endpoint without a certificate that was valid when it began
 	RuleWithdrawn    = "WITHDRAWN"   // a run by older certificates, too long after newer ones were first used
-	RuleDuplicateRun = "TWICE"       // what may run once may have run twice
+	RuleDuplicateRun = "TWICE"       // a run that is not idempotent may have run more than once
 )
 
 // CheckOptions are the options of CheckFiles.
 type CheckOptions struct {
-	// WithdrawalBound is the time within which a withdrawal is in force everywhere. The clocks of proxies may differ
-	// by certification.ClockMargin beside it. 0: not checked.
+	// WithdrawalBound is the time within which a withdrawal takes effect everywhere. The clocks of proxies may in
+	// addition differ by certification.ClockMargin. 0: not checked.
 	WithdrawalBound time.Duration
 }
 
@@ -35,13 +35,13 @@
 type Report struct {
 	Files    []FileHead
 	Records  int           // in all files
-	Versions []uint64      // of certificates, in order
-	Runs     []RecordedRun // by their beginning
+	Versions []uint64      // of certificates, in ascending order
+	Runs     []RecordedRun // by start time
 	Problems []Problem     // by rule
 }
 
-// FileHead is a file with the hash of its last record. Whoever keeps the hash elsewhere can tell later that nothing
-// before it was changed, also by somebody who writes all files anew.
+// FileHead identifies a file with the hash of its last record. A copy of the hash that is kept elsewhere later proves
+// that nothing before it was changed, even by someone who rewrites all files.
 type FileHead struct {
 	Name     string
 	Chain    uint64
@@ -55,11 +55,11 @@
 	Run
 	Proxy   string
 	Number  uint64    // of the run in its proxy
-	EndedAt time.Time // zero: not known
+	EndedAt time.Time // zero: unknown
 	Outcome Outcome
 }
 
-// Problem is a breach of a rule.
+// Problem is a violation of a rule.
 type Problem struct {
 	Rule   string // one of the constants above
 	Where  string // a file, a run or an id
@@ -69,8 +69,8 @@
 // String returns the problem as a line of the report.
 func (p Problem) String() string { return fmt.Sprintf("%-11s %s: %s", p.Rule, p.Where, p.Detail) }
 
-// CheckFiles reads files of any stores and checks them, and the runs in them. An error is one of reading a file; what
-// is wrong with the files is in the report.
+// CheckFiles reads audit files of any stores, and checks the files and the runs in them. It returns an error if a file
+// can't be read; problems in the files are in the report.
 func CheckFiles(paths []string, options CheckOptions) (*Report, error) {
 	var files []auditFile
 	for _, path := range paths {
@@ -83,20 +83,20 @@
 	return check(files, options), nil
 }
 
-// auditFile is a file to be checked.
+// auditFile is a file to check.
 type auditFile struct {
 	name    string
 	content []byte
 }
 
-// checker gathers what files say.
+// checker collects the contents of the files.
 type checker struct {
 	options      CheckOptions
 	report       Report
 	started      map[runKey]*RecordedRun
-	ended        map[runKey]*RecordedRun       // with EndedAt and Outcome alone
+	ended        map[runKey]*RecordedRun       // only EndedAt and Outcome are set
 	texts        map[uint64][]byte             // of certificates, by version
-	certificates map[uint64]*certification.Set // by version; those whose text is valid
+	certificates map[uint64]*certification.Set // by version; only those with a valid text
 }
 
 func check(files []auditFile, options CheckOptions) *Report {
@@ -142,7 +142,7 @@
 	return scanned
 }
 
-// addEntry notes what an entry says. An entry that stands in several files, or several times in one, counts once.
+// addEntry adds an entry. An entry that occurs in several files, or several times in one, counts once.
 func (c *checker) addEntry(entry []byte) error {
 	in := link.Reader{Buf: entry}
 	switch kind := in.U8(); kind {
@@ -155,7 +155,7 @@
 	case entryRunEnded:
 		return c.addEnd(&in)
 	default:
-		return fmt.Errorf("an entry of kind %d, which this version does not know", kind)
+		return fmt.Errorf("unknown entry kind %d", kind)
 	}
 }
 
@@ -175,7 +175,7 @@
 	c.report.Versions = append(c.report.Versions, version)
 	s, err := certification.Parse(text)
 	if err != nil || s.Version != version {
-		c.problem(RuleUnknown, where, "their text can't be read, or is that of another version (%v)", err)
+		c.problem(RuleUnknown, where, "the text can't be parsed, or is that of another version (%v)", err)
 		return nil
 	}
 	c.certificates[version] = s
@@ -203,7 +203,7 @@
 		return in.Err
 	}
 	if end.Outcome >= outcomeCount || end.Outcome == Open {
-		return fmt.Errorf("an outcome that is none: %d", end.Outcome)
+		return fmt.Errorf("invalid outcome %d", end.Outcome)
 	}
 	if known := c.ended[key]; known == nil {
 		c.ended[key] = end
@@ -213,14 +213,14 @@
 	return nil
 }
 
-// checkChains checks that the files of each chain follow each other.
+// checkChains checks that consecutive files of each chain match.
 func (c *checker) checkChains(files []*scannedFile) {
 	slices.SortFunc(files, func(a, b *scannedFile) int {
 		return cmp.Or(cmp.Compare(a.chain, b.chain), cmp.Compare(a.number, b.number))
 	})
 	for i, f := range files {
 		if f.number == 1 && f.first != (recordHash{}) {
-			c.problem(RuleBrokenChain, f.name, "it is the first file of its chain and says that there was one before")
+			c.problem(RuleBrokenChain, f.name, "it is the first file of its chain, but holds the hash of a previous one")
 		}
 		if i > 0 && files[i-1].chain == f.chain {
 			c.checkSuccession(files[i-1], f)
@@ -228,8 +228,7 @@
 	}
 }
 
-// checkSuccession checks a file against the one before it in the same chain. Two copies of one file may both be
-// given.
+// checkSuccession checks a file against the previous one in the same chain. Two copies of the same file are allowed.
 func (c *checker) checkSuccession(before, f *scannedFile) {
 	switch {
 	case before.number == f.number:
@@ -241,18 +240,18 @@
 		c.problem(RuleBrokenChain, f.name, "it is file %d of chain %x, and the one before it here is file %d: "+
 			"give those between them too", f.number, f.chain, before.number)
 	case before.last != f.first:
-		c.problem(RuleBrokenChain, f.name, "it does not go on from the last record of %s", before.name)
+		c.problem(RuleBrokenChain, f.name, "it does not continue from the last record of %s", before.name)
 	}
 }
 
-// joinRuns joins runs with their ends, and puts them in order.
+// joinRuns combines runs with their ends, and sorts them.
 func (c *checker) joinRuns() {
 	for key, end := range c.ended {
 		if run := c.started[key]; run != nil {
 			run.EndedAt, run.Outcome = end.EndedAt, end.Outcome
-		} else if len(c.report.Problems) == 0 { // files that were changed lack more than this
+		} else if len(c.report.Problems) == 0 { // in files that were changed, missing starts are a consequence
 			c.problem(RuleBrokenChain, key.String(),
-				"its end is there and its beginning isn't: a file before is missing")
+				"its end is recorded, but not its start: a previous file is missing")
 		}
 	}
 	for _, run := range c.started {
@@ -270,7 +269,7 @@
 
 // checkCertificates checks each run against the certificates by which it was sent, and against newer ones.
 func (c *checker) checkCertificates() {
-	firstUsed := map[uint64]time.Time{} // by version, on the clock of the proxy that used it
+	firstUsed := map[uint64]time.Time{} // by version, according to the clock of the proxy that used it
 	for _, run := range c.report.Runs {
 		if at, ok := firstUsed[run.CertificatesVersion]; !ok || run.StartedAt.Before(at) {
 			firstUsed[run.CertificatesVersion] = run.StartedAt
@@ -280,7 +279,7 @@
 		where := fmt.Sprintf("run of %s at %s", run.ID, run.Endpoint)
 		certificates := c.certificates[run.CertificatesVersion]
 		if certificates == nil {
-			c.problem(RuleUnknown, where, "the certificates %d by which it was sent are in no file given",
+			c.problem(RuleUnknown, where, "the certificates %d by which it was sent are in none of the given files",
 				run.CertificatesVersion)
 			continue
 		}
@@ -289,7 +288,7 @@
 	}
 }
 
-// checkCertified checks that the endpoint of a run was certified for the regime that the route demanded.
+// checkCertified checks that the endpoint of a run was certified for the regime that the route requires.
 func (c *checker) checkCertified(where string, run RecordedRun, certificates *certification.Set) {
 	if regime := certificates.Regime(run.Route); regime != run.Regime {
 		c.problem(RuleUncertified, where, "it was sent for regime %q, and by certificates %d route %s demands %q",
@@ -314,9 +313,9 @@
 	}
 }
 
-// checkDuplicates checks that what is not idempotent ran once.
+// checkDuplicates checks that runs that are not idempotent occur once.
 func (c *checker) checkDuplicates() {
-	first := map[string]*RecordedRun{} // by the id of the request or item
+	first := map[string]*RecordedRun{} // by the ID of the request or item
 	for i := range c.report.Runs {
 		run := &c.report.Runs[i]
 		if run.Idempotent || !run.Outcome.MayHaveRun() {
--- a/internal/batch/audit/deliver.go
+++ b/internal/batch/audit/deliver.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// maxBatchEntries is how many entries are delivered at once.
+	// maxBatchEntries is the maximum number of entries in one delivery.
 	maxBatchEntries = 512
-	// callTimeout is how long a store may take to have a batch on disk.
+	// callTimeout is how long a store may take to sync a batch to disk.
 	callTimeout = time.Second
 )
 
-// Conn is a connection to a store. That of package link is one.
+// Conn is a connection to a store. *link.Conn implements it.
 type Conn interface {
 	Call(ctx context.Context, kind link.Kind, body []byte) ([]byte, error)
-	// Done is closed when the connection has ended.
+	// Done is closed when the connection has closed.
 	Done() <-chan struct{}
 	Close()
 }
 
-// rejectCalls answers calls by stores, of which there are none.
+// rejectCalls rejects calls by stores, which make none.
 type rejectCalls struct{}
 
 // Message rejects a call.
-func (rejectCalls) Message(m *link.Message) { m.Fail("no such call here") }
+func (rejectCalls) Message(m *link.Message) { m.Fail("unexpected call") }
 
-// Closed does nothing: a Recorder looks at Done before each use.
+// Closed does nothing: a Recorder checks Done before each use.
 func (rejectCalls) Closed(*link.Conn) {}
 
-// storeConn is a connection to a store, with what was sent over it.
+// storeConn is a connection to a store, and which certificates were sent over it.
 type storeConn struct {
 	Conn
 	sentCertificates map[uint64]bool // versions whose text the store has
 }
 
-// batch is what is delivered at once.
+// batch is the contents of one delivery.
 type batch struct {
 	entries      [][]byte
-	certificates map[uint64][]byte // texts of all versions that the entries name
+	certificates map[uint64][]byte // texts of all versions that the entries refer to
 }
 
 // nextBatch returns the oldest entries, which remain pending.
@@ -62,11 +62,11 @@
 	return b
 }
 
-// errTooFewStores says that an entry is on fewer stores than required.
-var errTooFewStores = errors.New("fewer stores than must have a record took it")
+// errTooFewStores reports that fewer stores than required have stored an entry.
+var errTooFewStores = errors.New("fewer stores than required stored the record")
 
-// deliver sends the oldest entries to as many stores as required, and to one more for each that fails. Stores that
-// have them from an earlier delivery may have them twice: CheckFiles accepts that.
+// deliver sends the oldest entries to as many stores as required, and to one more for each that fails. Stores that have
+// the entries from an earlier delivery may store them twice: CheckFiles accepts that.
 func (r *Recorder) deliver(ctx context.Context) error {
 	stores := r.preferredStores()
 	required := r.options.RequiredStores
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// preferredStores returns the stores in the order in which this proxy asks them: those of its own zone first, and
-// otherwise by a hash, so that proxies spread over the stores.
+// preferredStores returns the stores in this proxy's order of preference: those of its own zone first, then by a hash,
+// so that proxies spread over the stores.
 func (r *Recorder) preferredStores() []snapshot.Store {
 	stores := r.options.Stores()
 	otherZone := func(s snapshot.Store) int {
@@ -120,7 +120,7 @@
 	return slices.CompactFunc(stores, func(a, b snapshot.Store) bool { return a.Addr == b.Addr })
 }
 
-// conn returns a connection to the store at an address. It makes one if there is none, or if that has ended.
+// conn returns a connection to the store at an address. It opens one if there is none or if that has closed.
 func (r *Recorder) conn(ctx context.Context, addr string) (*storeConn, error) {
 	if c := r.conns[addr]; c != nil {
 		select {
@@ -137,8 +137,8 @@
 	return r.conns[addr], nil
 }
 
-// send sends a batch, with the certificates that the store does not have yet, and returns once it is on the store's
-// disk.
+// send sends a batch, with the certificates that the store does not have yet, and returns once the store has synced it
+// to disk.
 func (c *storeConn) send(ctx context.Context, b batch) error {
 	var versions []uint64
 	for version := range b.certificates {
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := c.Call(ctx, kindAppend, encodeAppend(b.certificates, versions, b.entries)); err != nil {
-		clear(c.sentCertificates) // the store may have forgotten their texts
+		clear(c.sentCertificates) // the store may have lost their texts
 		return err
 	}
 	for _, version := range versions {
--- a/internal/batch/audit/diskfull_test.go
+++ b/internal/batch/audit/diskfull_test.go
@@ -13,8 +13,8 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// handOver is a message with a run that has ended and the document that it names.
-func handOver(t *testing.T, number uint64) []byte {
+// endedRun encodes a message with a run that has ended and the certificates that it refers to.
+func endedRun(t *testing.T, number uint64) []byte {
 	t.Helper()
 	w := link.Writer{}
 	w.U32(1)
@@ -33,21 +33,22 @@
 	return <-answer
 }
 
-// TestFullDiskIsRetried fills the disk at each of many places, also in the middle of a change of files. What was
-// acknowledged is there, the chain holds, and records are taken again as soon as there is room, which is logged once.
+// TestFullDiskIsRetried fills the disk at many different points, including during a rotation.
+// Acknowledged entries remain, the chain is valid, and entries are accepted again as soon as there
+// is space. The rejection is logged once.
 func TestFullDiskIsRetried(t *testing.T) {
 	const messages, fileBytes = 12, 1 << 10
-	whole := vfstest.New()
-	s, err := OpenStore(StoreOptions{Folder: whole, FileBytes: fileBytes})
+	reference := vfstest.New()
+	s, err := OpenStore(StoreOptions{Folder: reference, FileBytes: fileBytes})
 	must(t, err)
 	for n := range messages {
-		must(t, s.appendNow(handOver(t, uint64(n))))
+		must(t, s.appendNow(endedRun(t, uint64(n))))
 	}
 	s.Close()
 	if s.file.number < 2 {
-		t.Fatal("the file was never changed")
+		t.Fatal("the file was never rotated")
 	}
-	for room := 1; room < whole.Used(); room += 23 {
+	for room := 1; room < reference.Used(); room += 23 {
 		var log bytes.Buffer
 		disk := vfstest.New()
 		disk.Room = room
@@ -55,22 +56,22 @@
 		must(t, err)
 		refused := 0
 		for n := range messages {
-			body := handOver(t, uint64(n))
+			body := endedRun(t, uint64(n))
 			if s.appendNow(body) == nil {
 				continue
 			}
 			refused++
 			if s.appendNow(body) == nil {
-				t.Fatalf("room %d: taken though nothing has changed", room)
+				t.Fatalf("room %d: accepted although the disk is still full", room)
 			}
 			disk.Room = 0
 			if err := s.appendNow(body); err != nil {
-				t.Fatalf("room %d: not taken though there is room: %v", room, err)
+				t.Fatalf("room %d: rejected although there is space: %v", room, err)
 			}
 		}
 		s.Close()
-		// The change of files may find no room right behind the last message.
-		if said := strings.Count(log.String(), "takes nothing"); refused > 1 || said > 1 || said < refused {
+		// The rotation may run out of space right after the last message.
+		if said := strings.Count(log.String(), "audit store rejects entries"); refused > 1 || said > 1 || said < refused {
 			t.Fatalf("room %d: refused %d times\n%s", room, refused, log.String())
 		}
 		var files []auditFile
@@ -86,7 +87,7 @@
 	}
 }
 
-// TestStalledDiskDoesNotBlockClose stops a store of records in the middle of a write.
+// TestStalledDiskDoesNotBlockClose closes a store during a write that does not return.
 func TestStalledDiskDoesNotBlockClose(t *testing.T) {
 	disk, reached, release := vfstest.New(), make(chan struct{}), make(chan struct{})
 	s, err := OpenStore(StoreOptions{Folder: disk})
@@ -97,12 +98,12 @@
 		<-release
 	}
 	answer := make(chan error, 1)
-	s.Append(handOver(t, 1), func(err error) { answer <- err })
+	s.Append(endedRun(t, 1), func(err error) { answer <- err })
 	<-reached
-	s.Close() // or the test takes too long
+	s.Close() // must return before the test's timeout
 	select {
 	case err := <-answer:
-		t.Errorf("answered before it was written: %v", err)
+		t.Errorf("answered before the entry was written: %v", err)
 	default:
 	}
 	close(release)
--- a/internal/batch/audit/entry.go
+++ b/internal/batch/audit/entry.go
@@ -6,13 +6,12 @@
 	"dunetide/internal/platform/link"
 )
 
-// The kinds of entries, which are their first byte. The form of each stands in files and messages and does not
-// change.
+// The kinds of entries, which are their first byte. Their encodings are in files and messages and must not change.
 const (
 	entryFileStart    = 1 // chain, number of the file in it, from 1
-	entryCertificates = 2 // version, the text of the certificates as it was put
+	entryCertificates = 2 // version, the text of the certificates as submitted
 	entryRunStarted   = 3 // key, run
-	entryRunEnded     = 4 // key, when (Unix nanoseconds), outcome
+	entryRunEnded     = 4 // key, end time (Unix nanoseconds), outcome
 )
 
 func fileStartEntry(chain, number uint64) []byte {
--- a/internal/batch/audit/files.go
+++ b/internal/batch/audit/files.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// FileName is the name of the file that is appended to. Full ones are audit-N.log, with their number in the
+	// FileName is the name of the file that is appended to. Full files are named audit-N.log, with their number in the
 	// chain.
 	FileName = "audit.log"
 	// maxFullFiles is how many full files are retained.
 	maxFullFiles = 8
 )
 
-// openFile is the file that is appended to, and its place in the chain.
+// openFile is the file that is appended to, and its position in the chain.
 type openFile struct {
 	log          *recordlog.Log  // nil: none is open
-	chain        uint64          // a random number, the same in all files of a chain; 0: there is no chain yet
+	chain        uint64          // a random number, the same in all files of a chain; 0: no chain yet
 	number       uint64          // of the file in the chain, from 1
 	lastHash     recordHash      // of the last record
-	certificates map[uint64]bool // versions whose text the file has
+	certificates map[uint64]bool // versions whose text is in the file
 }
 
 // append appends an entry, without a sync.
@@ -47,16 +47,16 @@
 		f.chain = binary.BigEndian.Uint64(b[:]) | 1
 	}
 	f.number++
-	clear(f.certificates) // each file has all texts that its runs name
+	clear(f.certificates) // each file has all texts that its runs refer to
 	return f.append(fileStartEntry(f.chain, f.number))
 }
 
-// open opens the file that is appended to, checks its chain, and begins it if it is new.
+// open opens the file that is appended to, verifies its chain, and begins the file if it is new.
 func (s *Store) open() error {
 	f := &s.file
 	empty := true
 	log, err := recordlog.Open(s.options.Folder, FileName, func(payload []byte, _ int64) error {
-		if empty { // nothing in this file tells whether the hash of the file before is right
+		if empty { // nothing in this file can verify the hash of the previous file
 			var err error
 			if f.lastHash, err = hashBefore(payload); err != nil {
 				return err
@@ -66,7 +66,7 @@
 		return s.replay(payload)
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w; move the file away for the auditor and start again", FileName, err)
+		return fmt.Errorf("%s: %w; keep the file elsewhere for the auditor and restart", FileName, err)
 	}
 	f.log = log
 	if !empty {
@@ -75,7 +75,7 @@
 	if f.number == 0 {
 		s.continueChain()
 	}
-	if err := f.begin(); err != nil { // a file without a record is of no use: the next attempt makes it again
+	if err := f.begin(); err != nil { // a file without a record is useless: the next attempt creates it again
 		f.number--
 		f.log = nil
 		return errors.Join(err, log.Close(), s.options.Folder.Remove(FileName))
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// replay learns from a record of the file that is opened.
+// replay applies a record of the file that is being opened.
 func (s *Store) replay(payload []byte) error {
 	f := &s.file
 	entry, hash, err := unchainRecord(f.lastHash, payload)
@@ -98,13 +98,13 @@
 	case entryCertificates:
 		version := in.U64()
 		f.certificates[version] = true
-		s.learnCertificates(version, in.Bytes())
+		s.cacheCertificates(version, in.Bytes())
 	}
 	return in.Err
 }
 
-// continueChain finds the newest full file, whose chain the next file continues. That is needed where power was lost
-// before that file was begun.
+// continueChain finds the newest full file, whose chain the next file continues. That is needed after a power failure
+// before the next file was begun.
 func (s *Store) continueChain() {
 	newest := s.newestFullFile()
 	if newest == 0 {
@@ -112,7 +112,7 @@
 	}
 	full, err := scanIn(s.options.Folder, fullFileName(newest))
 	if err != nil {
-		s.options.Log.Error("full audit record unreadable, so a new chain begins",
+		s.options.Log.Error("full audit file unreadable; starting a new chain",
 			"file", fullFileName(newest), "err", err)
 		s.file.number = newest
 		return
@@ -137,19 +137,19 @@
 
 func fullFileName(number uint64) string { return fmt.Sprintf("audit-%06d.log", number) }
 
-// rotate puts a full file aside, begins the next one, which continues its chain, and removes the oldest one.
+// rotate renames the full file, begins the next one, which continues its chain, and removes the oldest one.
 func (s *Store) rotate() {
 	if err := s.beginNextFile(); err != nil {
-		s.reject(fmt.Errorf("the record of regulated runs: %w", err))
+		s.reject(fmt.Errorf("rotating the audit file: %w", err))
 		return
 	}
 	full := s.file.number - 1
-	s.options.Log.Info("audit record rotated", "full", fullFileName(full))
+	s.options.Log.Info("audit file rotated", "full", fullFileName(full))
 	if full > maxFullFiles {
 		oldest := fullFileName(full - maxFullFiles)
-		// One that can't be removed is left: it only takes space, and may have been collected and removed already.
+		// A file that can't be removed is left: it only takes space, and may have been collected and removed already.
 		if err := s.options.Folder.Remove(oldest); err == nil {
-			s.options.Log.Warn("audit record removed", "file", oldest)
+			s.options.Log.Warn("audit file removed", "file", oldest)
 		}
 	}
 }
--- a/internal/batch/audit/golden_test.go
+++ b/internal/batch/audit/golden_test.go
@@ -55,7 +55,7 @@
 
 var goldenText = []byte(`{"version":71,"routes":[{"name":"quotes","regime":"solvency"}],"certificates":[]}`)
 
-// Each kind of entry, as it goes to stores and stands in their files.
+// Each kind of entry, in the form that messages and files have.
 func TestGoldenEntries(t *testing.T) {
 	repeatable := goldenRun
 	repeatable.BatchItem, repeatable.Idempotent = false, true
@@ -103,7 +103,7 @@
 	}
 }
 
-// The outcomes by their bytes, with the names that reports give them.
+// The outcomes by their byte values, with their names in reports.
 func TestGoldenOutcomes(t *testing.T) {
 	written := func() []byte {
 		var b []byte
@@ -120,7 +120,7 @@
 	}
 }
 
-// A record of a file: the hash of the one before, then the entry.
+// A record of a file: the hash of the previous record, then the entry.
 func TestGoldenChain(t *testing.T) {
 	written := func() []byte {
 		one, first := chainRecord(recordHash{}, fileStartEntry(goldenChain, 1))
@@ -145,23 +145,23 @@
 	}
 }
 
-// caught is a store that keeps what it is called with.
-type caught struct {
+// recordingConn is a connection that records the call made over it.
+type recordingConn struct {
 	kind link.Kind
 	body []byte
 }
 
-func (c *caught) Call(_ context.Context, kind link.Kind, body []byte) ([]byte, error) {
+func (c *recordingConn) Call(_ context.Context, kind link.Kind, body []byte) ([]byte, error) {
 	c.kind, c.body = kind, bytes.Clone(body)
 	return nil, nil
 }
-func (*caught) Done() <-chan struct{} { return nil }
-func (*caught) Close()                {}
+func (*recordingConn) Done() <-chan struct{} { return nil }
+func (*recordingConn) Close()                {}
 
-// goldenBatch hands two runs by two versions of the certificates over, and the end of one.
+// goldenBatch delivers two runs by two versions of the certificates, and the end of one.
 func goldenBatch(t *testing.T) (link.Kind, []byte) {
 	t.Helper()
-	c := &caught{}
+	c := &recordingConn{}
 	r := NewRecorder(RecorderOptions{
 		NodeName:       goldenKey.proxy,
 		Incarnation:    goldenKey.incarnation,
@@ -183,7 +183,7 @@
 		t.Errorf("kind %d, %x, want %x", kind, body, b)
 	}
 	if !Handles(200) || Handles(199) || Handles(201) {
-		t.Error("another kind of message")
+		t.Error("Handles accepts the wrong kinds of messages")
 	}
 
 	d := vfstest.New()
@@ -201,7 +201,7 @@
 	}
 }
 
-// goldenMessage is a message with the certificates and a whole run of a number.
+// goldenMessage encodes a message with the certificates and a complete run with the given number.
 func goldenMessage(number uint64) []byte {
 	key := goldenKey
 	key.number = number
@@ -212,7 +212,8 @@
 	)
 }
 
-// goldenFiles are a full file and the one that continues its chain, as a store wrote them for three messages.
+// goldenFiles returns a full file and the one that continues its chain, as a store wrote them for
+// three messages.
 func goldenFiles(t *testing.T) []auditFile {
 	t.Helper()
 	var files []auditFile
@@ -225,7 +226,7 @@
 // goldenFileBytes is the size at which the golden files were full.
 const goldenFileBytes = 900
 
-// appendMessages has a store append messages to the files of a disk.
+// appendMessages makes a store append messages to the files of a disk.
 func appendMessages(t *testing.T, d *vfstest.Disk, numbers ...uint64) {
 	t.Helper()
 	s, err := OpenStore(StoreOptions{Folder: d, FileBytes: goldenFileBytes})
@@ -236,7 +237,7 @@
 	s.Close()
 }
 
-// entriesOf returns what a scan of a file has seen, and the entries of the file.
+// entriesOf returns the scan of a file, and the entries of the file.
 func entriesOf(t *testing.T, f auditFile) (scanned *scannedFile, entries [][]byte) {
 	t.Helper()
 	scanned, err := scan(bytes.NewReader(f.content), int64(len(f.content)), f.name, func(e []byte) error {
@@ -269,16 +270,17 @@
 	for i, f := range files {
 		scanned, entries := entriesOf(t, f)
 		if scanned.number != uint64(i+1) || scanned.first != last {
-			t.Errorf("%s: file %d, goes on from %x", f.name, scanned.number, scanned.first)
+			t.Errorf("%s: file %d, continues from %x", f.name, scanned.number, scanned.first)
 		}
 		if got := rewritten(t, f.content, last, entries); !bytes.Equal(got, f.content) {
-			t.Errorf("%s: written again as other bytes", f.name)
+			t.Errorf("%s: rewritten with different bytes", f.name)
 		}
 		last = scanned.last
 	}
 }
 
-// A store that gets the same messages writes the same files, but for the salts and the chain, which are random.
+// A store that gets the same messages writes the same files, except for the salts and the chain,
+// which are random.
 func TestStoreWritesTheEntriesOfTheGoldenFiles(t *testing.T) {
 	d := vfstest.New()
 	appendMessages(t, d, 1, 2, 3)
@@ -300,14 +302,14 @@
 	}
 	appendMessages(t, d, 4)
 	if got := d.File(FileName); !bytes.HasPrefix(got, files[1].content) {
-		t.Error("the file was changed before its end")
+		t.Error("existing content of the file was changed")
 	}
 	if r := check([]auditFile{files[0], {FileName, d.File(FileName)}}, CheckOptions{}); len(r.Runs) != 4 {
 		t.Errorf("%d runs, %v", len(r.Runs), r.Problems)
 	}
 }
 
-// rewritten writes entries behind the header of a file, syncing where that file says that it was synced.
+// rewritten writes entries after the header of a file, with a sync wherever the file records one.
 func rewritten(t *testing.T, data []byte, last recordHash, entries [][]byte) []byte {
 	t.Helper()
 	d := vfstest.New()
@@ -342,7 +344,7 @@
 	}
 }
 
-// Two files that say other things of a run and of a version: the report names both, with all that each says.
+// Two files that disagree on a run and on a version: the report has both versions in full.
 func TestGoldenReportOfDifferences(t *testing.T) {
 	other := goldenRun
 	other.BatchItem, other.Idempotent, other.ResumeAfter = false, true, ""
--- a/internal/batch/audit/message.go
+++ b/internal/batch/audit/message.go
@@ -6,18 +6,17 @@
 	"dunetide/internal/platform/link"
 )
 
-// kindAppend is the one kind of message of the record of regulated runs on links to stores: a call by a proxy, with
-// texts of certificates and entries; its reply is empty, and comes once they are on disk. The numbers of batch jobs'
-// messages are lower.
+// kindAppend is the only kind of audit message on links to stores: a call by a proxy, with texts of certificates and
+// entries. Its reply is empty, and is sent once they are on disk. The kinds of batch job messages have lower numbers.
 const kindAppend link.Kind = 200
 
-// maxEntriesPerMessage is how many entries a store accepts in one message.
+// maxEntriesPerMessage is the maximum number of entries that a store accepts in one message.
 const maxEntriesPerMessage = 4096
 
 // Handles reports whether messages of a kind are for a Store of this package.
 func Handles(kind link.Kind) bool { return kind == kindAppend }
 
-// encodeAppend returns the body of a message: texts of certificates in the order of their versions, then entries.
+// encodeAppend encodes the body of a message: texts of certificates in version order, then entries.
 func encodeAppend(texts map[uint64][]byte, versions []uint64, entries [][]byte) []byte {
 	slices.Sort(versions)
 	w := link.Writer{}
--- a/internal/batch/audit/recorder.go
+++ b/internal/batch/audit/recorder.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// defaultMaxPending is how many entries a recorder has space for.
+	// defaultMaxPending is the default maximum number of entries in a recorder.
 	defaultMaxPending = 16384
-	// gatherDelay is how long entries are gathered before they are delivered together.
-	gatherDelay = 30 * time.Millisecond
+	// batchDelay is how long entries are collected before they are delivered together.
+	batchDelay = 30 * time.Millisecond
 	// retryDelay is the pause after a delivery that too few stores accepted.
 	retryDelay = 200 * time.Millisecond
 )
@@ -24,9 +24,9 @@
 // RecorderOptions are the options of a Recorder.
 type RecorderOptions struct {
 	NodeName       string
-	Incarnation    uint64 // of the proxy's process; with the name and a count it names a run
-	Zone           string // stores of the same zone are asked first
-	RequiredStores int    // stores that must have an entry on disk: the number of machines to survive, and one
+	Incarnation    uint64 // of the proxy's process; with the node name and a number it identifies a run
+	Zone           string // stores in the same zone are preferred
+	RequiredStores int    // stores that must have an entry on disk: one more than the number of machines that may be lost
 	Stores         func() []snapshot.Store
 	Dial           func(ctx context.Context, addr string) (Conn, error) // nil: over package link
 	Now            func() time.Time                                     // nil: time.Now
@@ -37,27 +37,27 @@
 // Recorder keeps the entries of a proxy's runs until enough stores have them on disk. It is safe for concurrent use.
 type Recorder struct {
 	options RecorderOptions
-	wake    chan struct{} // has a token once there is an entry to deliver
+	wake    chan struct{} // has a token when there are entries to deliver
 
 	mu           sync.Mutex
 	pending      []pendingEntry
-	certificates map[uint64][]byte // texts by version: those that pending entries name
-	openRuns     int               // runs that have begun and have no end yet
+	certificates map[uint64][]byte // texts by version: those that pending entries refer to
+	openRuns     int               // runs that have begun and not ended
 	lastNumber   uint64            // of a run
-	drained      chan struct{}     // closed when nothing is pending any more; nil while nobody waits for that
+	drained      chan struct{}     // closed when nothing is pending any more; nil unless Drain waits for it
 
 	// Only the goroutine of Run uses these.
 	conns    map[string]*storeConn // by address
 	retrying bool                  // the last delivery failed
 }
 
-// pendingEntry is an entry that too few stores have.
+// pendingEntry is an entry that not enough stores have yet.
 type pendingEntry struct {
 	entry               []byte
-	certificatesVersion uint64 // the version that the entry names; 0 if it names none
+	certificatesVersion uint64 // the version that the entry refers to; 0 if none
 }
 
-// NewRecorder returns a recorder. Its Run has to be called for entries to be delivered.
+// NewRecorder returns a recorder. Its Run must be called for entries to be delivered.
 func NewRecorder(options RecorderOptions) *Recorder {
 	if options.MaxPending == 0 {
 		options.MaxPending = defaultMaxPending
@@ -81,9 +81,9 @@
 	}
 }
 
-// Begin records that a run is about to be sent, by certificates whose text is given as it was put, and returns the
-// number of the run. It returns false if there is no space for the run's beginning and end: then the run must not be
-// sent.
+// Begin records that a run is about to be sent by the given certificates, whose text is passed as submitted, and
+// returns the number of the run. It returns false if there is no space for the run's start and end: then the run must
+// not be sent.
 func (r *Recorder) Begin(run Run, certificates []byte) (number uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +97,7 @@
 	return r.lastNumber, true
 }
 
-// End records how the run of a number ended. It has to be called once for each run that Begin accepted.
+// End records how the run with the given number ended. It must be called once for each run that Begin accepted.
 func (r *Recorder) End(number uint64, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,7 @@
 	return runKey{r.options.NodeName, r.options.Incarnation, number}
 }
 
-// add appends an entry, with mu locked.
+// add appends an entry. The caller holds mu.
 func (r *Recorder) add(entry pendingEntry) {
 	r.pending = append(r.pending, entry)
 	select {
@@ -118,14 +118,15 @@
 	}
 }
 
-// Pending returns how many entries too few stores have.
+// Pending returns how many entries not enough stores have yet.
 func (r *Recorder) Pending() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.pending)
 }
 
-// Run delivers entries to stores until the context ends, and then closes its connections. It is called once.
+// Run delivers entries to stores until the context is cancelled, and then closes its connections. It may be called only
+// once.
 func (r *Recorder) Run(ctx context.Context) {
 	defer func() {
 		for _, c := range r.conns {
@@ -138,7 +139,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if !sleep(ctx, gatherDelay) {
+		if !sleep(ctx, batchDelay) {
 			return
 		}
 		for r.Pending() > 0 && ctx.Err() == nil {
@@ -151,19 +152,19 @@
 	}
 }
 
-// logDelivery logs the first delivery that failed after one that did not, and the other way round.
+// logDelivery logs the first failed delivery after a successful one, and the first successful one after a failed one.
 func (r *Recorder) logDelivery(err error) {
 	switch {
 	case err != nil && !r.retrying:
-		r.options.Log.Warn("regulated runs not recorded yet", "waiting", r.Pending(), "err", err)
+		r.options.Log.Warn("delivery of audit entries failed; retrying", "waiting", r.Pending(), "err", err)
 	case err == nil && r.retrying:
-		r.options.Log.Info("regulated runs recorded again")
+		r.options.Log.Info("delivery of audit entries resumed")
 	}
 	r.retrying = err != nil
 }
 
-// Drain waits until enough stores have all entries, for a time at most, and reports whether they have. Run has to run
-// meanwhile.
+// Drain waits until enough stores have all entries, up to a timeout, and reports whether they have. Run must be running
+// in the meantime.
 func (r *Recorder) Drain(timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -186,7 +187,7 @@
 	}
 }
 
-// acknowledge drops the oldest entries, which enough stores have, and the certificates that no other entry names.
+// acknowledge drops the n oldest entries, which enough stores have, and the certificates that no other entry refers to.
 func (r *Recorder) acknowledge(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,7 +204,7 @@
 	}
 }
 
-// sleep waits for a time. It returns false if the context ends before.
+// sleep waits for a duration. It returns false if the context is cancelled first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/batch/audit/report.go
+++ b/internal/batch/audit/report.go
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// maxListedProblems is how many problems a report lists.
+// maxListedProblems is the maximum number of problems that a report lists.
 const maxListedProblems = 40
 
-// Row sums up the runs of a regime in a night, which lasts from noon to noon (UTC). The JSON names, and the columns
-// of reports, are those of the first version.
+// Row summarizes the runs of a regime in one night, which lasts from noon to noon (UTC). The JSON names, and the
+// columns of reports, are those of the first version.
 type Row struct {
 	Regime     string            `json:"Regime"`
 	Date       string            `json:"Night"` // the day on which the night begins, as 2006-01-02
 	Runs       int               `json:"Runs"`
-	Requests   int               `json:"Requests"` // ids of interactive requests
-	BatchItems int               `json:"Items"`    // ids of batch items
-	Answered   int               `json:"Whole"`    // ids with a run that was answered completely
-	Reanswered int               `json:"Again"`    // ids with more than one such run, which idempotent ones may have
+	Requests   int               `json:"Requests"` // IDs of interactive requests
+	BatchItems int               `json:"Items"`    // IDs of batch items
+	Answered   int               `json:"Whole"`    // IDs with a completely answered run
+	Reanswered int               `json:"Again"`    // IDs with more than one such run, which is allowed for idempotent ones
 	Endpoints  int               `json:"Endpoints"`
 	Outcomes   [outcomeCount]int `json:"Outcomes"` // runs by Outcome
 }
 
-// reportDate returns the day on which the night, from noon to noon, begins that a moment is in.
+// reportDate returns the day on which the night that contains a time begins.
 func reportDate(at time.Time) string { return at.UTC().Add(-12 * time.Hour).Format(time.DateOnly) }
 
-// rowSums gathers a row.
+// rowSums accumulates a row.
 type rowSums struct {
 	Row
 	requests, items, endpoints map[string]bool
-	answered                   map[string]int // runs, by id
+	answered                   map[string]int // number of runs, by ID
 }
 
 func newRowSums(regime, date string) *rowSums {
@@ -73,7 +73,7 @@
 	return r
 }
 
-// Rows sums up all runs, by regime and then by date.
+// Rows summarizes all runs, sorted by regime and then by date.
 func (r *Report) Rows() []Row {
 	type key struct{ regime, date string }
 	sums := map[key]*rowSums{}
@@ -114,7 +114,7 @@
 	return fields
 }
 
-// WriteCSV writes the rows.
+// WriteCSV writes the rows as CSV.
 func (r *Report) WriteCSV(w io.Writer) error {
 	out := csv.NewWriter(w)
 	if err := out.Write(columns()); err != nil {
@@ -129,10 +129,10 @@
 	return out.Error()
 }
 
-// WriteText writes the rows, the files and the problems for people.
+// WriteText writes the rows, the files and the problems as plain text.
 func (r *Report) WriteText(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(out, strings.Join(columns(), "\t")) // it goes to memory: Flush returns the error of writing
+	fmt.Fprintln(out, strings.Join(columns(), "\t")) // buffered: Flush returns write errors
 	for _, row := range r.Rows() {
 		fmt.Fprintln(out, strings.Join(row.fields(), "\t"))
 	}
@@ -153,7 +153,7 @@
 	return r.WriteProblems(w)
 }
 
-// WriteProblems writes the problems, up to a bound, and how many there are.
+// WriteProblems writes the problems, up to maxListedProblems, and their total number.
 func (r *Report) WriteProblems(w io.Writer) error {
 	for _, p := range r.Problems[:min(len(r.Problems), maxListedProblems)] {
 		if _, err := fmt.Fprintln(w, p); err != nil {
--- a/internal/batch/audit/scan.go
+++ b/internal/batch/audit/scan.go
@@ -13,7 +13,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// scannedFile is what a scan has seen of one file.
+// scannedFile is the result of scanning one file.
 type scannedFile struct {
 	name          string
 	chain, number uint64
@@ -21,10 +21,10 @@
 	last          recordHash // of its last record
 	records       int
 
-	each func(entry []byte) error // called for each entry; nil: none
+	each func(entry []byte) error // called for each entry; may be nil
 }
 
-// scanIn scans a file of a folder.
+// scanIn scans a file in a folder.
 func scanIn(folder vfs.Folder, name string) (*scannedFile, error) {
 	files, err := folder.List()
 	if err != nil {
@@ -43,11 +43,11 @@
 	return nil, os.ErrNotExist
 }
 
-// scan reads a file, and calls each for its entries. It returns what it has seen also with an error. All of the file
-// has to count: one that a store has closed, or has opened again, has no torn end.
+// scan reads a file, and calls each for its entries. It returns what it has read even with an error. The whole file
+// must be valid: a file that a store has closed, or has opened again, has no torn end.
 func scan(file io.ReaderAt, size int64, name string, each func(entry []byte) error) (*scannedFile, error) {
 	s := &scannedFile{name: name, each: each}
-	// A store needs one of the two copies of the header; that one of them was changed is for the auditor to know.
+	// A store needs only one of the two copies of the header, but the auditor must learn that one was changed.
 	header := make([]byte, frame.HeadersSize)
 	if _, err := file.ReadAt(header, 0); err != nil && !errors.Is(err, io.EOF) {
 		return s, err
@@ -62,13 +62,13 @@
 	case s.records == 0:
 		return s, fmt.Errorf("%s has no record", name)
 	case whole < size:
-		return s, fmt.Errorf("%s: %d bytes behind record %d are none: "+
+		return s, fmt.Errorf("%s: %d bytes after record %d are not a valid record: "+
 			"changed, or copied while it was written (copy it again)", name, size-whole, s.records)
 	}
 	return s, nil
 }
 
-// add checks the next record of the file.
+// add verifies the next record of the file.
 func (s *scannedFile) add(payload []byte) error {
 	if s.records == 0 {
 		var err error
@@ -84,7 +84,7 @@
 	in := link.Reader{Buf: entry}
 	kind := in.U8()
 	if (kind == entryFileStart) != (s.records == 0) {
-		return fmt.Errorf("record %d: a file begins with one record that names its chain, and has no other",
+		return fmt.Errorf("record %d: exactly the first record of a file must identify its chain",
 			s.records+1)
 	}
 	if kind == entryFileStart {
--- a/internal/batch/audit/store.go
+++ b/internal/batch/audit/store.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// defaultFileBytes is the size at which a file is full.
+	// defaultFileBytes is the default size at which a file is full.
 	defaultFileBytes = 4 << 20
-	// maxQueued is how many messages wait for the disk; those beyond are rejected.
+	// maxQueued is the maximum number of messages that wait for the disk; further ones are rejected.
 	maxQueued = 256
-	// maxKnownCertificates is how many versions' texts a store retains, the newest ones.
+	// maxKnownCertificates is the number of versions whose texts a store retains, the newest ones.
 	maxKnownCertificates = 16
 	// closeTimeout is how long Close waits for the disk.
 	closeTimeout = 2 * time.Second
 )
 
 var (
-	errQueueFull = errors.New("too much waits to be recorded here")
+	errQueueFull = errors.New("the queue of the audit store is full")
 	// errUnknownVersion makes the proxy send the text too.
-	errUnknownVersion = errors.New("the certificates of a version that a run names are not known here")
+	errUnknownVersion = errors.New("a run refers to a version of the certificates that is unknown here")
 )
 
 // StoreOptions are the options of a Store.
@@ -41,30 +41,31 @@
 	Log       hclog.Logger // nil: no log
 }
 
-// Store appends what recorders deliver to the audit files of a folder. Nothing is on its disk before the first entry.
-// Its methods are safe for concurrent use; one goroutine does all I/O.
+// Store appends entries that recorders deliver to the audit files of a folder. It creates no file before the first
+// entry. Its methods are safe for concurrent use; one goroutine does all I/O.
 type Store struct {
 	options  StoreOptions
 	queue    chan appendRequest
 	stopping chan struct{}
 	wg       sync.WaitGroup
 
-	// Only the goroutine of run uses what follows, and OpenStore before that begins.
+	// Used only by the goroutine of run, and by OpenStore before that starts.
 	file     openFile
 	known    map[uint64][]byte // texts of certificates, by version
-	failure  error             // why nothing is accepted until the next start; nil while entries are accepted
-	diskFull bool              // when the disk was written last
+	failure  error             // why no entries are accepted until the next start; nil while entries are accepted
+	diskFull bool              // whether the disk was full at the last write
 }
 
-// appendRequest is the body of a message, and the function that is called once its entries are on disk, or with why
+// appendRequest is the body of a message, and the function to call once its entries are on disk, or with the reason why
 // they aren't.
 type appendRequest struct {
 	body []byte
 	done func(error)
 }
 
-// OpenStore opens the audit files of a folder, if there are any, and checks the chain of the newest one. A file that
-// can't be continued is no error: the store accepts no entries then, so that the batch jobs beside it go on.
+// OpenStore opens the audit files of a folder, if there are any, and verifies the chain of the newest one. A file that
+// can't be continued is not an error: the store then accepts no entries, so that the batch store in the same process
+// can continue.
 func OpenStore(options StoreOptions) (*Store, error) {
 	if options.FileBytes == 0 {
 		options.FileBytes = defaultFileBytes
@@ -83,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A full file may be there without the one that is appended to, where power was lost between the two.
+	// A full file may exist without the current one, after a power failure between the rename and the creation.
 	if slices.ContainsFunc(files, func(f vfs.FileInfo) bool { return isAuditFile(f.Name) }) {
 		if err := s.open(); err != nil {
 			s.reject(err)
@@ -97,24 +98,23 @@
 	return name == FileName || strings.HasPrefix(name, "audit-") && strings.HasSuffix(name, ".log")
 }
 
-// reject ends the acceptance of entries until the next start. If the disk is merely full, the next message tries it
-// again.
+// reject stops the acceptance of entries until the next start. If the disk is merely full, the next message retries.
 func (s *Store) reject(err error) {
 	full := recordlog.IsDiskFull(err)
 	if !full {
 		s.failure = err
 	}
 	if !full || !s.diskFull {
-		s.options.Log.Error("audit record takes nothing", "until_restart", !full, "err", err)
+		s.options.Log.Error("audit store rejects entries", "until_restart", !full, "err", err)
 	}
 	s.diskFull = full
 }
 
-// Close ends the store. Entries that were not acknowledged come again, here or at another store.
+// Close stops the store. Entries that were not acknowledged are delivered again, here or to another store.
 func (s *Store) Close() {
 	close(s.stopping)
 	closed := make(chan struct{})
-	go func() { // it is left behind if the disk does not answer, and ends with the process
+	go func() { // if the disk does not respond, this goroutine remains until the process ends
 		defer close(closed)
 		s.wg.Wait()
 		if s.file.log != nil {
@@ -124,11 +124,11 @@
 	select {
 	case <-closed:
 	case <-time.After(closeTimeout):
-		s.options.Log.Error("the disk does not answer: ending without it", "file", FileName)
+		s.options.Log.Error("disk does not respond; closing without waiting for it", "file", FileName)
 	}
 }
 
-// HandleAppend accepts the message of a recorder, and replies once its entries are on disk. It doesn't wait.
+// HandleAppend accepts a message from a recorder, and replies once its entries are on disk. It does not block.
 func (s *Store) HandleAppend(m *link.Message) {
 	s.Append(m.Body, func(err error) {
 		if err != nil {
@@ -139,7 +139,7 @@
 	})
 }
 
-// Append accepts the body of a message. It doesn't wait: done is called, at most once, when the entries are on disk,
+// Append accepts the body of a message. It does not block: done is called, at most once, when the entries are on disk,
 // or with the reason why they aren't.
 func (s *Store) Append(body []byte, done func(error)) {
 	select {
@@ -149,7 +149,7 @@
 	}
 }
 
-// run appends what comes until the store is closed.
+// run appends queued requests until the store is closed.
 func (s *Store) run() {
 	for {
 		select {
@@ -161,7 +161,7 @@
 	}
 }
 
-// queuedBehind returns a request and those that wait behind it.
+// queuedBehind returns a request and those queued after it.
 func (s *Store) queuedBehind(first appendRequest) []appendRequest {
 	requests := []appendRequest{first}
 	for len(requests) < maxQueued {
@@ -175,7 +175,7 @@
 	return requests
 }
 
-// appendAll appends requests with one sync of the disk, and answers them.
+// appendAll appends requests with a single sync, and answers them.
 func (s *Store) appendAll(requests []appendRequest) {
 	results := make([]error, len(requests))
 	for i, r := range requests {
@@ -197,11 +197,11 @@
 	in := link.Reader{Buf: body}
 	s.readCertificates(&in)
 	n := in.Count(4)
-	if in.Err != nil { // an empty list is acknowledged, one that is cut short is not
+	if in.Err != nil { // an empty list is acknowledged, a truncated one is not
 		return in.Err
 	}
 	if n > maxEntriesPerMessage {
-		return fmt.Errorf("%d entries in a message, over %d", n, maxEntriesPerMessage)
+		return fmt.Errorf("%d entries in a message, more than %d", n, maxEntriesPerMessage)
 	}
 	if s.failure != nil {
 		return s.failure
@@ -227,32 +227,32 @@
 	}
 	if s.diskFull {
 		s.diskFull = false
-		s.options.Log.Info("audit record takes records again")
+		s.options.Log.Info("audit store accepts entries again")
 	}
 	return nil
 }
 
-// readCertificates reads the texts of certificates that come with a message.
+// readCertificates reads the texts of certificates in a message.
 func (s *Store) readCertificates(in *link.Reader) {
 	const minBytes = 12 // of a version and an empty text
 	for range in.Count(minBytes) {
 		version, text := in.U64(), in.Bytes()
 		if in.Err == nil {
-			s.learnCertificates(version, text)
+			s.cacheCertificates(version, text)
 		}
 	}
 }
 
-// learnCertificates retains a copy of the text of a version.
-func (s *Store) learnCertificates(version uint64, text []byte) {
+// cacheCertificates retains a copy of the text of a version.
+func (s *Store) cacheCertificates(version uint64, text []byte) {
 	s.known[version] = bytes.Clone(text)
 	for len(s.known) > maxKnownCertificates {
 		delete(s.known, slices.Min(slices.Collect(maps.Keys(s.known))))
 	}
 }
 
-// readEntries reads and checks n entries of a message. In front of the first run of each version that the file does
-// not have yet, it adds an entry with the text of that version; these versions are the second result.
+// readEntries reads and validates n entries of a message. Before the first run of each version that the file does not
+// have yet, it inserts an entry with the text of that version; these versions are the second result.
 func (s *Store) readEntries(in *link.Reader, n int) (entries [][]byte, added []uint64, err error) {
 	for range n {
 		entry := in.Bytes()
@@ -274,7 +274,7 @@
 			entries = append(entries, certificatesEntry(version, s.known[version]))
 		case entryRunEnded:
 		default:
-			return nil, nil, errors.New("an entry that is none")
+			return nil, nil, errors.New("invalid entry kind")
 		}
 		if fields.Err != nil {
 			return nil, nil, fields.Err
