--- a/internal/batch/assignment.go
+++ b/internal/batch/assignment.go
@@ -10,17 +10,17 @@
 type assignMessage struct {
 	item        itemKey
 	epoch       uint64
-	dueMs       int64 // time of day at which the result is due, for workers of versions that do not know remainingMs
+	dueMs       int64 // time of day at which the result is due, for workers of versions without remainingMs
 	maxAttempts int
 	route       string
 	host        string
 	itemID      string
 	tokens      int64
 	request     []byte // see encodeRequest
-	// remainingMs is how long after the message was sent the result is due. It counts in place of
-	// dueMs, as clocks may be stepped.
+	// remainingMs is the time from when the message is sent until the result is due. It takes
+	// precedence over dueMs, as clocks may be stepped.
 	remainingMs int64
-	// hasRemaining is false in messages of versions that do not know remainingMs.
+	// hasRemaining is false in messages of versions without remainingMs.
 	hasRemaining bool
 }
 
@@ -61,7 +61,7 @@
 	return m, r.Err
 }
 
-// toItem is what the worker is to run, if the message arrived just now.
+// toItem returns the item for the worker to run, given that the message was received at now.
 func (m *assignMessage) toItem(now time.Time) (*Item, error) {
 	path, headers, body, err := decodeRequest(m.request)
 	if err != nil {
--- a/internal/batch/calls.go
+++ b/internal/batch/calls.go
@@ -2,11 +2,11 @@
 
 import "dunetide/internal/platform/link"
 
-// replyCode replies with nothing but a code.
+// replyCode replies with a code and nothing else.
 func replyCode(caller Caller, code uint8) { caller.Reply([]byte{code}) }
 
-// handleCall is the event of a call that a proxy passes on for a client. It is refused if this
-// store does not serve the job's partition.
+// handleCall handles a call that a proxy forwards for a client. The call is refused if this store
+// is not the serving primary of the job's partition.
 func (c *core) handleCall(caller Caller, kind link.Kind, body []byte) {
 	r := link.Reader{Buf: body}
 	jobID := r.String() // an encoded job begins with its ID too
@@ -38,7 +38,7 @@
 		})
 	case kindReadItemBody:
 		itemID := r.String()
-		if r.Err != nil { // what it does not name it would be told not to exist
+		if r.Err != nil { // an empty item ID would be answered with codeNotFound
 			replyCode(caller, codeUnavailable)
 			return
 		}
@@ -56,8 +56,8 @@
 	}
 }
 
-// acceptJob accepts a job that was submitted, once. A call that comes again while the first one is
-// under way shares its outcome.
+// acceptJob accepts a submitted job, once. A repeated call shares the outcome of the first one
+// while that is in flight.
 func (c *core) acceptJob(p *partition, jobID string, encoded []byte, caller Caller) {
 	primary := p.primary
 	if j := p.jobs[jobID]; j != nil {
@@ -101,8 +101,8 @@
 	c.reserveTokens(p, incoming)
 }
 
-// replicateAccept orders a job whose tokens are granted. From here on it may be stored, whatever
-// becomes of this store, so no refusal is possible any more.
+// replicateAccept orders a job whose tokens are granted. From here on the job may be stored, even
+// if this store fails, so it can't be refused any more.
 func (c *core) replicateAccept(p *partition, incoming *incomingJob) {
 	c.addUsage(p, incoming.route, incoming.tokens)
 	callers := incoming.callers
@@ -119,7 +119,8 @@
 	})
 }
 
-// replyAccepted answers the submission of a job that was ordered: it is committed, or that can't be known.
+// replyAccepted answers the submission of a job that was ordered: it is committed, or its outcome
+// is unknown.
 func replyAccepted(caller Caller, committed bool) {
 	if committed {
 		replyCode(caller, codeOK)
--- a/internal/batch/condition.go
+++ b/internal/batch/condition.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// stalledAfter is how long an operation of the disk may take before the condition says that the
-// disk does not answer.
+// stalledAfter is how long a disk operation may take before Condition reports that the disk does
+// not respond.
 const stalledAfter = 2 * time.Second
 
 // conditionLogFull is the condition of a store whose log has no space for more jobs.
-const conditionLogFull = "the log has no room for more jobs"
+const conditionLogFull = "the log has no space for more jobs"
 
-// diskOperation is the operation of the disk that one goroutine waits for.
+// diskOperation tracks the disk operation that one goroutine waits for.
 type diskOperation struct {
-	startedAt atomic.Int64 // ns since the start of the store; 0: none is under way
+	startedAt atomic.Int64 // ns since the start of the store; 0: none in progress
 }
 
 func (o *diskOperation) begin(now time.Duration) { o.startedAt.Store(max(1, int64(now))) }
 func (o *diskOperation) end()                    { o.startedAt.Store(0) }
 
-// elapsed is for how long an operation has been under way.
+// elapsed returns how long the current operation has been in progress; 0 if there is none.
 func (o *diskOperation) elapsed(now time.Duration) time.Duration {
 	startedAt := o.startedAt.Load()
 	if startedAt == 0 {
@@ -30,7 +30,7 @@
 	return now - time.Duration(startedAt)
 }
 
-// Condition is what keeps the store from its work, for operators; empty: nothing.
+// Condition describes for operators why the store can't do its work; it is empty if the store can.
 func (s *Store) Condition() string {
 	now := time.Since(s.start)
 	if stalled := max(s.diskUse.elapsed(now), s.diskSync.elapsed(now)); stalled >= stalledAfter {
--- a/internal/batch/condition_test.go
+++ b/internal/batch/condition_test.go
@@ -9,7 +9,8 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// waitCondition waits until the condition of a store begins with a prefix; empty: until there is none.
+// waitCondition waits until the condition of a store begins with a prefix; if that is empty, until
+// there is no condition.
 func waitCondition(t *testing.T, s *Store, prefix string) {
 	t.Helper()
 	pace := time.NewTicker(10 * time.Millisecond)
@@ -20,12 +21,12 @@
 			return
 		}
 		if time.Since(began) > time.Minute {
-			t.Fatalf("the trouble is %q, should be %q", trouble, prefix)
+			t.Fatalf("condition is %q, want prefix %q", trouble, prefix)
 		}
 	}
 }
 
-// TestConditionOfAStalledDisk: a store whose disk does not answer says so until it does.
+// TestConditionOfAStalledDisk: a store reports a disk that does not respond, until it does.
 func TestConditionOfAStalledDisk(t *testing.T) {
 	folder := stalledFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
 	s, err := NewStore(StoreOptions{Open: OpenIn(folder), Logf: t.Logf})
@@ -43,7 +44,7 @@
 	waitCondition(t, s, "")
 }
 
-// TestConditionOfAStalledSync: a sync that does not return counts too.
+// TestConditionOfAStalledSync: a sync that does not return is reported too.
 func TestConditionOfAStalledSync(t *testing.T) {
 	s := &Store{start: time.Now().Add(-time.Hour)}
 	s.diskSync.begin(time.Hour - 10*stalledAfter)
@@ -52,7 +53,8 @@
 	waitCondition(t, s, "")
 }
 
-// TestConditionOfAFullLog: a store that accepts no jobs for want of space says so until it has space again.
+// TestConditionOfAFullLog: a store that rejects jobs for lack of space reports that until it has
+// space again.
 func TestConditionOfAFullLog(t *testing.T) {
 	s, err := NewStore(StoreOptions{Open: OpenIn(vfs.Dir(t.TempDir())), LogCapacityBytes: 1 << 20, Logf: t.Logf})
 	if err != nil {
--- a/internal/batch/confirmation.go
+++ b/internal/batch/confirmation.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// A primary reads out only what it has when f replicas have confirmed a moment ago that it has not
-// been replaced (as ReadIndex in etcd's raft). What a primary that has been replaced sends is
-// refused by its term.
+// A primary serves reads only if f replicas have recently confirmed that it has not been replaced
+// (as ReadIndex in etcd's raft). Messages of a replaced primary are rejected by their term.
 
-// rejectStaleTerm reports whether a term is too old to be followed, and tells its primary so.
+// rejectStaleTerm reports whether a term is too old to be followed. If so, it notifies that term's
+// primary.
 func (c *core) rejectStaleTerm(p *partition, term uint64, pipe Pipe) bool {
 	known := max(p.promisedTerm, firstTerm(p.epoch))
 	if term >= known {
@@ -21,8 +21,8 @@
 	return true
 }
 
-// reportStaleTerm counts the refusal of a stale term, and logs the first one of each term: a primary that was replaced
-// may send many messages before it hears of it.
+// reportStaleTerm counts a rejected stale term, and logs only the first rejection of each term: a
+// replaced primary may send many messages before it learns that it was replaced.
 func (c *core) reportStaleTerm(p *partition, term, known uint64, pipe Pipe) {
 	staleTermsRejected.Inc()
 	if p.rejectedTerm == term {
@@ -33,7 +33,7 @@
 	if connection, ok := pipe.(interface{ Addr() string }); ok {
 		sender = connection.Addr()
 	}
-	c.log("part %d: refused term %x of %s, as term %x is known", p.index, term, sender, known)
+	c.log("partition %d: rejected stale term %x from %s: term %x is known", p.index, term, sender, known)
 }
 
 // handleConfirm confirms to a primary that it has not been replaced as far as this store knows.
@@ -46,7 +46,7 @@
 	_ = pipe.Send(kindConfirmed, w.Buf)
 }
 
-// requestConfirmations asks the replicas whether this primary has been replaced, once at a time.
+// requestConfirmations asks the replicas whether this primary has been replaced, at most once per ms.
 func (c *core) requestConfirmations(p *partition) {
 	primary := p.primary
 	if primary.confirmationRequestedAt == c.nowMs && primary.confirmationRequestedAt != 0 {
@@ -65,9 +65,9 @@
 	c.countConfirmations(p)
 }
 
-// countConfirmations works out when this primary was last confirmed, and answers what waited for that. A primary that
-// knows that it was replaced is not confirmed any more: a replica's confirmation may have been under way when another
-// replica reported the newer term.
+// countConfirmations computes when this primary was last confirmed, and answers the reads that
+// waited for it. A primary that knows that it was replaced is no longer confirmed: a replica's
+// confirmation may have been in flight when another replica reported the newer term.
 func (c *core) countConfirmations(p *partition) {
 	primary := p.primary
 	if primary.superseded {
@@ -97,14 +97,14 @@
 	}
 }
 
-// isConfirmed reports whether a primary had not been replaced a moment ago.
+// isConfirmed reports whether a primary's newest confirmation is recent enough to rely on.
 func (c *core) isConfirmed(primary *primaryState) bool {
 	return c.nowMs-primary.confirmedAt <= confirmationMs
 }
 
-// superviseWorkers keeps this primary confirmed while workers run items of the partition. While it
-// is not confirmed they may start nothing: they would not hear of the end of a job that a successor
-// has acknowledged.
+// superviseWorkers requests confirmations for this primary while workers run items of the
+// partition. While it is not confirmed, workers may not start items: they would not be notified
+// when a successor acknowledges the end of a job.
 func (c *core) superviseWorkers(p *partition) {
 	primary := p.primary
 	var running []*worker
--- a/internal/batch/connections.go
+++ b/internal/batch/connections.go
@@ -10,22 +10,22 @@
 	"dunetide/internal/platform/link"
 )
 
-// How a connection to a store is opened again.
+// Delays and timeout for reopening a connection to a store.
 const (
 	minReconnectDelay = 50 * time.Millisecond
 	maxReconnectDelay = 500 * time.Millisecond
 	identityTimeout   = time.Second
 )
 
-// storeEvents are called by the goroutines of storeConnections.
+// storeEvents are callbacks that the goroutines of storeConnections call.
 type storeEvents struct {
 	connected    func(id uint64, conn *link.Conn)
 	disconnected func(id uint64, conn *link.Conn)
 	message      func(m *link.Message)
 }
 
-// storeConnections keeps a connection open to each store of the table. Each has a goroutine, for
-// which close waits. It is safe for concurrent use.
+// storeConnections keeps a connection open to each store in the table. Each has a goroutine; close
+// waits for them. It is safe for concurrent use.
 type storeConnections struct {
 	events     storeEvents
 	goroutines sync.WaitGroup
@@ -35,25 +35,26 @@
 	closed bool
 }
 
-// storeConnection is the connection to a store, by its identity in the table.
+// storeConnection is the connection to one store, which has the identity that the table gives.
 type storeConnection struct {
 	id     uint64
 	addr   string
 	cancel context.CancelFunc
-	conn   *link.Conn // nil: none now
+	conn   *link.Conn // nil while not connected
 }
 
 func newStoreConnections(events storeEvents) *storeConnections {
 	return &storeConnections{events: events, byID: map[uint64]*storeConnection{}}
 }
 
-// Message is the event of a message over one of the links.
+// Message handles a message that arrives over one of the links.
 func (s *storeConnections) Message(m *link.Message) { s.events.message(m) }
 
-// Closed is of link.Handler. The goroutine of the connection finds the end by itself.
+// Closed implements link.Handler. It does nothing: the goroutine of the connection watches
+// conn.Done.
 func (s *storeConnections) Closed(*link.Conn) {}
 
-// setStores says to which stores connections are kept: all but self. Connections to others are ended.
+// setStores sets the stores to connect to: all but self. Connections to other stores are closed.
 func (s *storeConnections) setStores(stores map[uint64]snapshot.Store, self uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// close ends all connections and waits for their goroutines.
+// close closes all connections and waits for their goroutines.
 func (s *storeConnections) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -88,7 +89,7 @@
 	s.goroutines.Wait()
 }
 
-// get is the connection to a store; nil if there is none now.
+// get returns the connection to a store; nil if there is none at the moment.
 func (s *storeConnections) get(id uint64) *link.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,8 @@
 	connection.conn = conn
 }
 
-// maintain opens the connection to a store again and again, with growing delays, until the context ends.
+// maintain reopens the connection to a store, with exponential backoff, until the context is
+// cancelled.
 func (s *storeConnections) maintain(ctx context.Context, connection *storeConnection) {
 	delay := minReconnectDelay
 	for ctx.Err() == nil {
@@ -120,12 +122,12 @@
 	}
 }
 
-// open opens a connection. It is nil if there is none now, or if another store answers than the one
-// of the table: its disk was emptied.
+// open opens a connection. It returns nil if that fails, or if the store that answers has another
+// identity than the table gives, because its disk was replaced or emptied.
 func (s *storeConnections) open(ctx context.Context, connection *storeConnection) *link.Conn {
 	conn, err := link.Dial(ctx, connection.addr, s, link.DefaultOptions)
 	if err != nil {
-		return nil // it is tried again
+		return nil // maintain retries
 	}
 	if !verifyIdentity(ctx, conn, connection.id) {
 		conn.Close()
@@ -134,7 +136,7 @@
 	return conn
 }
 
-// use makes a connection available until it or the context ends.
+// use makes a connection available until it closes or the context is cancelled.
 func (s *storeConnections) use(ctx context.Context, connection *storeConnection, conn *link.Conn) {
 	s.setConn(connection, conn)
 	s.events.connected(connection.id, conn)
@@ -147,7 +149,7 @@
 	s.events.disconnected(connection.id, conn)
 }
 
-// verifyIdentity reports whether a store has an identity.
+// verifyIdentity reports whether the store at the other end has the given identity.
 func verifyIdentity(ctx context.Context, conn *link.Conn, id uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, identityTimeout)
 	defer cancel()
--- a/internal/batch/core.go
+++ b/internal/batch/core.go
@@ -10,95 +10,95 @@
 )
 
 // Pipe is a connection to another process. Messages arrive in the order in which they were sent,
-// until it ends. The core drops the errors of Send: they say that the connection has ended, which is
-// an event of its own, and after which all that is still needed is sent again.
+// until it closes. The core ignores errors of Send: they mean that the connection has closed, which
+// is an event of its own, and everything still needed is sent again afterwards.
 type Pipe interface {
 	Send(kind link.Kind, body []byte) error
 }
 
-// Caller awaits the reply to a call.
+// Caller waits for the reply to a call.
 type Caller interface {
 	Reply(body []byte)
 }
 
 // Times of the core, in ms.
 const (
-	confirmationMs     = 600  // how old a confirmation that a primary has not been replaced may be
+	confirmationMs     = 600  // maximum age of a confirmation that a primary has not been replaced
 	confirmationWaitMs = 700  // how long a read waits for a confirmation
-	workerGraceMs      = 1500 // how old a confirmation may be before workers may start nothing more
+	workerGraceMs      = 1500 // maximum age of a confirmation after which workers may not start items
 	reservationWaitMs  = 1200 // how long a job waits for its tokens
 	cancelWaitMs       = 300  // how long the end of a job waits for workers
-	reconnectWaitMs    = 1000 // how long the items of a worker whose connection ended wait for it to come back
+	reconnectWaitMs    = 1000 // how long the items of a disconnected worker wait for it to reconnect
 	dispatchDelayMs    = 400  // how long a new primary waits for workers to report what they run
-	dispatchConfirmMs  = 100  // how often dispatch asks for a confirmation
-	maintenanceMs      = 500  // how often metrics are set, ages looked at and space is reclaimed
-	usageReportMs      = 50   // how often a change of a route's usage is reported at most
-	reservationRetryMs = 100  // how long after an owner was not available it is asked again
-	usageRequestMs     = 100  // how often usage that is missing is asked for
-	staleUsageMs       = 1000 // how often usage that an earlier primary reported is asked for
+	dispatchConfirmMs  = 100  // how often dispatch requests a confirmation
+	maintenanceMs      = 500  // how often metrics are set, jobs are checked for expiry and space is reclaimed
+	usageReportMs      = 50   // minimum interval between reports of a route's usage
+	reservationRetryMs = 100  // delay before a reservation is retried after the owner was unavailable
+	usageRequestMs     = 100  // how often missing usage is requested
+	staleUsageMs       = 1000 // how often usage reported by an earlier primary is requested again
 	dropMarginMs       = 3000 // how much longer than promised a job is retained
 	abandonMarginMs    = 1500 // how much later than promised items are abandoned
 )
 
 const (
-	// maxJobTransfers is how many jobs may be on their way to a replica that catches up.
+	// maxJobTransfers is how many jobs may be in flight to a replica that is catching up.
 	maxJobTransfers = 4
-	// maxReadBytes bounds the texts in one reply, unless the first one is longer.
+	// maxReadBytes bounds the result texts in one reply, except that one result is always included.
 	maxReadBytes = 800_000
-	// maxPartitions bounds the indices of partitions in messages and records.
+	// maxPartitions bounds the partition indices in messages and records.
 	maxPartitions = 1 << 12
-	// never lies before all times of the steady clock.
+	// never is earlier than any time on the monotonic clock.
 	never int64 = -1 << 60
 )
 
-// core is a store without goroutines, clock, network and disk. Each of its events is one call, and
-// all calls are made by one goroutine (Store.run). All it does to the outside is to append to the
-// disk, to send messages, and to reply to calls. So tests can play whole systems of cores step by
-// step (sim_test.go).
+// core is a store without goroutines, clock, network or disk access. Each event is one method call,
+// and one goroutine makes all of them (Store.run). Its only effects are to append to the disk, to
+// send messages, and to reply to calls. So tests can run whole systems of cores step by step
+// (simulation_test.go).
 //
-// Times are in ms on the steady clock of the process, unless a name says otherwise.
+// Times are in ms on the monotonic clock of the process, unless a name says otherwise.
 type core struct {
 	self              uint64 // identity of this store
 	zone              string
 	maxLostReplicas   int // f: how many replicas of a partition may be lost at once
 	retentionMs       int64
-	fixedSegmentBytes int64 // size of a segment of the log; 0: by logCapacity
-	logCapacity       int64 // bytes that the log may have; 0: no limit
+	fixedSegmentBytes int64 // size of a log segment; 0: derived from logCapacity
+	logCapacity       int64 // maximum size of the log in bytes; 0: no limit
 	nowMs             int64 // set before each event
 
 	disk             disk
-	onDiskFailure    func(error)                       // the disk can't be used any more
+	onDiskFailure    func(error)                       // called when the disk can no longer be used
 	reportReady      func(partition int, epoch uint64) // the next group of replicas is up to date
-	announceStopping func(stopping bool)               // the table should say whether this store is about to stop
+	announceStopping func(stopping bool)               // asks for the table to record whether this store is stopping
 	logf             func(format string, args ...any)  // may be nil
 
 	table         *snapshot.PartitionTable
 	config        *operatorconfig.Config
 	partitions    []*partition
 	peers         map[uint64]Pipe // connections to other stores, by identity
-	dispatchQueue []*job          // jobs led here with items left to run, the earliest due first
-	pendingEnds   []*pendingEnd   // ends of jobs that wait for workers
+	dispatchQueue []*job          // jobs led here with unfinished items, earliest due time first
+	pendingEnds   []*pendingEnd   // committed ends of jobs that wait for workers to cancel
 
 	workers             map[Pipe]*worker
 	attachedWorkers     []*worker         // in the order in which they attached
-	disconnectedWorkers map[*worker]int64 // workers whose connection ended, and until when they may come back
+	disconnectedWorkers map[*worker]int64 // disconnected workers with items, and until when they may reconnect
 
 	appendedRecords uint64
 	syncedRecords   uint64
-	syncWaiters     []syncWaiter // the oldest first
+	syncWaiters     []syncWaiter // oldest first
 	lastSession     uint64       // see replicaProgress.session
 
 	liveBytes          int64           // bytes of jobs that the log must keep
-	liveBytesBySegment map[int64]int64 // the same by the number of the segment
-	logFull            bool            // no job is accepted for want of space
-	diskFailed         bool            // nothing goes on
+	liveBytesBySegment map[int64]int64 // the same, by segment number
+	logFull            bool            // no job is accepted for lack of space
+	diskFailed         bool            // no more messages are handled and nothing is appended
 
-	stopping          bool         // it accepts no jobs, and others are to lead its partitions
+	stopping          bool         // it accepts no jobs, and its partitions are to move to other primaries
 	transferring      []*partition // the partitions that it led when it began to stop
 	nextMaintenanceMs int64
 }
 
-// syncWaiter is called when so many records are durable.
+// syncWaiter is a callback for when the given number of records is durable.
 type syncWaiter struct {
 	records  uint64
 	callback func()
@@ -126,7 +126,7 @@
 	}
 }
 
-// handleMessage is the event of a message. The caller is nil if no reply is awaited.
+// handleMessage handles a message. The caller is nil if the sender does not wait for a reply.
 func (c *core) handleMessage(pipe Pipe, caller Caller, kind link.Kind, body []byte) {
 	if c.diskFailed {
 		return
@@ -152,12 +152,12 @@
 		return
 	}
 	if err := c.replay(record, offset); err != nil {
-		c.log("a record of our own can't be read: %v", err)
+		c.log("replaying an appended record: %v", err)
 	}
 }
 
-// writeRecord appends a record to the log and returns the offset of its first byte. False: the
-// store can't go on.
+// writeRecord appends a record to the log and returns the offset of its first byte. It returns
+// false if the disk has failed.
 func (c *core) writeRecord(record []byte) (offset int64, ok bool) {
 	offset, err := c.disk.Append(record)
 	if err != nil {
@@ -168,13 +168,13 @@
 	return offset, true
 }
 
-// failDisk ends the store, as its disk can't be used any more.
+// failDisk stops the store because its disk can no longer be used.
 func (c *core) failDisk(err error) {
 	c.diskFailed = true
 	c.onDiskFailure(err)
 }
 
-// afterSync calls back once all that has been appended until now is durable.
+// afterSync calls back once everything appended so far is durable.
 func (c *core) afterSync(callback func()) {
 	if c.syncedRecords >= c.appendedRecords {
 		callback()
@@ -183,7 +183,7 @@
 	c.syncWaiters = append(c.syncWaiters, syncWaiter{c.appendedRecords, callback})
 }
 
-// recordsSynced is the event that so many records are durable.
+// recordsSynced handles the event that the given number of records is durable.
 func (c *core) recordsSynced(records uint64) {
 	c.syncedRecords = max(c.syncedRecords, records)
 	for len(c.syncWaiters) > 0 && c.syncWaiters[0].records <= c.syncedRecords {
@@ -193,7 +193,8 @@
 	}
 }
 
-// sortedKeys are the keys of a map in ascending order, so that events have the same effects in each run.
+// sortedKeys returns the keys of a map in ascending order, so that each run handles events in the
+// same order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/batch/diskfailure_test.go
+++ b/internal/batch/diskfailure_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// fullFolder is a folder whose files take half of each write, and no more, while it is full.
+// fullFolder is a folder whose files write only half of the data of each write while it is full.
 type fullFolder struct {
 	vfs.Folder
 	full *atomic.Bool
@@ -55,18 +55,18 @@
 	select {
 	case <-c:
 	case <-time.After(30 * time.Second):
-		t.Fatal("in vain: " + what)
+		t.Fatal("timeout waiting for " + what)
 	}
 }
 
-// TestFullDiskEndsTheStoreAndKeepsItsLog: a store whose disk is full ends with an error that says
-// so, and has what it had once it is opened again.
+// TestFullDiskEndsTheStoreAndKeepsItsLog: a store whose disk is full stops with ErrDiskFull, and
+// still has its previous records when it is opened again.
 func TestFullDiskEndsTheStoreAndKeepsItsLog(t *testing.T) {
 	folder := fullFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}}
 	options := StoreOptions{Open: OpenIn(folder), Logf: t.Logf}
 	folder.full.Store(true)
 	if _, err := NewStore(options); !ErrDiskFull.Has(err) {
-		t.Fatalf("an empty disk that is full: %v", err)
+		t.Fatalf("opened with an empty log on a full disk: %v", err)
 	}
 	folder.full.Store(false)
 	s, err := NewStore(options)
@@ -81,13 +81,13 @@
 	s.enqueue(func() { folder.full.Store(true) })
 	promise(s, 4, 9)
 	promise(s, 5, 11)
-	waitClosed(t, "the end of the store", s.Done())
-	waitClosed(t, "the end of what uses the log", s.Stopped())
+	waitClosed(t, "the store to stop", s.Done())
+	waitClosed(t, "the log to be released", s.Stopped())
 	if err := s.Err(); !ErrDiskFull.Has(err) {
 		t.Error(err)
 	}
 	if _, err := NewStore(options); !ErrDiskFull.Has(err) {
-		t.Errorf("opened while it is full: %v", err)
+		t.Errorf("opened on a full disk: %v", err)
 	}
 	folder.full.Store(false)
 	s, err = NewStore(options)
@@ -101,12 +101,12 @@
 		read <- [3]uint64{promised(3), promised(4), promised(5)}
 	})
 	if promised := <-read; s.ID() != id || promised != [3]uint64{7, 0, 0} {
-		t.Errorf("identity %d after %d, promises %v", s.ID(), id, promised)
+		t.Errorf("identity %d, was %d; promises %v", s.ID(), id, promised)
 	}
 }
 
-// stalledFolder is a folder whose writes do not return, from the first on that finds stalled set,
-// until they are released.
+// stalledFolder is a folder whose writes block until release is closed, from the first write after
+// stalled is set.
 type stalledFolder struct {
 	vfs.Folder
 	stalled *atomic.Bool
@@ -132,8 +132,8 @@
 	return f.OpenFile.Write(b)
 }
 
-// TestStalledDiskDoesNotDelayTheEnd: a store that is closed in the middle of a write ends at once,
-// and its log is in use until the write has returned.
+// TestStalledDiskDoesNotDelayTheEnd: a store that is closed during a write stops at once, and its
+// log stays in use until the write has returned.
 func TestStalledDiskDoesNotDelayTheEnd(t *testing.T) {
 	folder := stalledFolder{vfs.Dir(t.TempDir()), &atomic.Bool{}, make(chan struct{}), make(chan struct{})}
 	s, err := NewStore(StoreOptions{Open: OpenIn(folder), Logf: t.Logf})
@@ -144,13 +144,13 @@
 	s.enqueue(func() { s.core.appendRecord(encodeRecord(recordPromise, 3, 7)) })
 	waitClosed(t, "the write", folder.reached)
 	s.Close()
-	waitClosed(t, "the end of the store", s.Done())
+	waitClosed(t, "the store to stop", s.Done())
 	select {
 	case <-s.Stopped():
-		t.Error("the log is said to be free while it is written")
+		t.Error("Stopped is closed during a write")
 	default:
 	}
 	folder.stalled.Store(false)
 	close(folder.release)
-	waitClosed(t, "the end of what uses the log", s.Stopped())
+	waitClosed(t, "the log to be released", s.Stopped())
 }
--- a/internal/batch/dispatch.go
+++ b/internal/batch/dispatch.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Items are assigned to workers: those of the job that is due first, to the worker with the most
-// free slots, in the own zone first.
+// Dispatch assigns items to workers: the items of the job with the earliest due time first, each to
+// the worker with the most free slots, with workers in the store's own zone preferred.
 
-// enqueueJob puts a job into the dispatch queue, unless it has no items left to run.
+// enqueueJob adds a job to the dispatch queue, unless all its items have results.
 func (c *core) enqueueJob(j *job) {
 	if j.ended || j.queued {
 		return
@@ -27,15 +27,15 @@
 	c.dispatchQueue = slices.Insert(c.dispatchQueue, at, j)
 }
 
-// dueAt is when the results of a job are due, on the steady clock of this store.
+// dueAt returns when the results of a job are due, on the monotonic clock of this store.
 func (j *job) dueAt() int64 { return j.knownSinceMs + j.dueMs }
 
-// dueTimeOfDay is when the results of a job are due by the clock of the proxy that accepted it, in
-// ms since 1970.
+// dueTimeOfDay returns when the results of a job are due by the clock of the proxy that accepted
+// it, in ms since 1970.
 func (j *job) dueTimeOfDay() int64 { return j.sentMs + j.dueMs }
 
-// compareDue orders jobs by when they are due. The time of day only decides among jobs that became
-// known here at the same moment, as those that are read from the log at a start.
+// compareDue orders jobs by due time. The time of day only breaks ties among jobs that this process
+// learned about at the same moment, such as those replayed from the log at startup.
 func compareDue(a, b *job) int {
 	return cmp.Or(
 		cmp.Compare(a.dueAt(), b.dueAt()),
@@ -70,8 +70,8 @@
 	}
 }
 
-// mayDispatch reports whether items of a partition may be assigned: its primary is this store, and
-// that is confirmed.
+// mayDispatch reports whether items of a partition may be assigned: this store is its primary, and
+// is confirmed.
 func (c *core) mayDispatch(p *partition) bool {
 	primary := p.primary
 	if primary == nil || !primary.serving || c.nowMs < primary.dispatchFrom {
@@ -83,7 +83,7 @@
 	return c.isConfirmed(primary)
 }
 
-// dispatchJob assigns the waiting items of a job. False: no worker has a free slot.
+// dispatchJob assigns the waiting items of a job. It returns false if no worker has a free slot.
 func (c *core) dispatchJob(p *partition, j *job) bool {
 	for index := j.firstWaiting; index < len(j.items); index++ {
 		if j.items[index].state != itemWaiting {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// pickWorker is the worker that gets the next item; nil: none has a free slot.
+// pickWorker returns the worker that gets the next item; nil if none has a free slot.
 func (c *core) pickWorker() (best *worker) {
 	for _, w := range c.attachedWorkers {
 		if w.freeSlots() <= 0 {
@@ -121,12 +121,13 @@
 	return best
 }
 
-// assignItem assigns an item to a worker and sends it. An item that can't be read stays.
+// assignItem assigns an item to a worker and sends it. An item that can't be read from the log
+// remains waiting.
 func (c *core) assignItem(p *partition, j *job, index int, w *worker) {
 	it := &j.items[index]
 	request, err := c.itemRequest(j, index)
 	if err != nil {
-		c.log("reading an item of job %s: %v", j.id, err)
+		c.log("reading an item of job %s from the log: %v", j.id, err)
 		return
 	}
 	c.markAssigned(p, j, index, w)
@@ -145,7 +146,7 @@
 	_ = w.pipe.Send(kindAssignItem, message.encode())
 }
 
-// markAssigned notes that a worker has an item.
+// markAssigned records that a worker has an item.
 func (c *core) markAssigned(p *partition, j *job, index int, w *worker) {
 	j.items[index].state, j.items[index].worker = itemAssigned, w
 	j.waitingItems--
--- a/internal/batch/dispatch_test.go
+++ b/internal/batch/dispatch_test.go
@@ -13,7 +13,7 @@
 
 const hourMs = 3_600_000
 
-// idsOfOnePartition are IDs of jobs of one partition.
+// idsOfOnePartition returns IDs of jobs of one partition.
 func (g *storeRig) idsOfOnePartition(n int) (ids []string) {
 	table := g.cores[0].table
 	for i := 0; len(ids) < n; i++ {
@@ -24,7 +24,7 @@
 	return ids
 }
 
-// attachAndCollect attaches a worker to a store, and returns the messages with the items that it is assigned.
+// attachAndCollect attaches a worker to a store, and returns the messages that assign items to it.
 func (g *storeRig) attachAndCollect(c *core) (assigned [][]byte) {
 	worker := g.connect(func(_ *rigPipe, kind link.Kind, body []byte) {
 		if kind == kindAssignItem {
@@ -40,7 +40,7 @@
 }
 
 // TestSteppedClockDoesNotReorderJobs: jobs of one route are assigned in the order in which they
-// were submitted, also if the clock of the proxy was stepped in between.
+// were submitted, even if the proxy's clock is stepped in between.
 func TestSteppedClockDoesNotReorderJobs(t *testing.T) {
 	for _, step := range []int64{-hourMs, 0, hourMs} {
 		g := newStoreRig(4, 0, 0, 1)
@@ -55,12 +55,12 @@
 			order = append(order, itemOfAssignment(body).jobID)
 		}
 		if !slices.Equal(order, ids) {
-			t.Errorf("the clock was stepped by %d ms: came as %v, handed out as %v", step, ids, order)
+			t.Errorf("the clock was stepped by %d ms: submitted as %v, assigned as %v", step, ids, order)
 		}
 	}
 }
 
-// dueRunner is a Runner that passes on when items are due.
+// dueRunner is a Runner that reports the due time of each item.
 type dueRunner chan time.Time
 
 func (r dueRunner) Run(_ context.Context, item *Item, _ string, _ func(string, []byte)) RunResult {
@@ -68,7 +68,7 @@
 	return RunResult{End: RunImpossible}
 }
 
-// workerDue is when an item is due for the worker that it is assigned to.
+// workerDue returns the due time of an item at the worker that it is assigned to.
 func workerDue(t *testing.T, body []byte) time.Time {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestWorkersUseTheRemainingTime: a worker is told how long is left until an item is due, whatever
-// the time of day was when the job was submitted.
+// TestWorkersUseTheRemainingTime: a worker gets the time that remains until an item is due,
+// independently of the wall clock at the submission.
 func TestWorkersUseTheRemainingTime(t *testing.T) {
 	const dueMs, waitedMs = 600_000, 200_000
 	for _, step := range []int64{-hourMs, 0, hourMs} {
@@ -105,10 +105,10 @@
 		g.step(waitedMs)
 		given := g.attachAndCollect(primary)
 		if len(given) != 1 {
-			t.Fatalf("%d items handed out", len(given))
+			t.Fatalf("%d items assigned", len(given))
 		}
 		left := time.Until(workerDue(t, given[0]))
-		// A slow machine may take long between; the clock was stepped by far more.
+		// A slow machine may add delay, but far less than the clock step.
 		most := (dueMs - waitedMs) * time.Millisecond
 		if left > most || left < most-5*time.Minute {
 			t.Errorf("the clock was stepped by %d ms: due in %v, should be %v", step, left, most)
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestAssignmentOfAnOlderVersionUsesTheTimeOfDay: a store of a version that does not send the
-// remaining time sends the time of day.
+// TestAssignmentOfAnOlderVersionUsesTheTimeOfDay: a store of a version without the remaining time
+// sends only the time of day, which the worker then uses.
 func TestAssignmentOfAnOlderVersionUsesTheTimeOfDay(t *testing.T) {
 	due := time.Now().Add(time.Hour).Truncate(time.Millisecond)
 	message := assignMessage{
@@ -134,7 +134,7 @@
 	}
 	body := message.encode()
 	if got := time.Until(workerDue(t, body)); got > time.Minute {
-		t.Errorf("due in %v by the time left", got)
+		t.Errorf("due in %v according to the remaining time", got)
 	}
 	older := body[:len(body)-8]
 	if got := workerDue(t, older); !got.Equal(due) {
@@ -147,28 +147,28 @@
 	}
 }
 
-// TestTransferredJobKeepsItsAge: a replica that is sent a job whole knows its age, also after a
-// restart. Without the age, as from an older version, it counts from the moment at which the job
-// came.
+// TestTransferredJobKeepsItsAge: a replica that gets a job with its results knows the job's age,
+// even after a restart. Without the age, as from an older version, the age counts from the arrival
+// of the job.
 func TestTransferredJobKeepsItsAge(t *testing.T) {
 	donor := newCore(1, &simDisk{})
 	donor.nowMs = 1000
 	accept := encodeAcceptJob(encodedJob("job", 1, hourMs))
 	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), accept...))
 	donor.nowMs = 5000
-	whole, err := donor.encodeWholeJob(donor.partition(3).jobs["job"])
+	encoded, err := donor.encodeJobWithResults(donor.partition(3).jobs["job"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		name  string
-		whole []byte
-		age   int64
-	}{{"with its age", whole, 4000}, {"without", whole[:len(whole)-8], 0}} {
+		name    string
+		encoded []byte
+		age     int64
+	}{{"with its age", encoded, 4000}, {"without", encoded[:len(encoded)-8], 0}} {
 		log := &simDisk{}
 		receiver, restarted := newCore(2, log), newCore(2, log)
 		receiver.nowMs, restarted.nowMs = 70_000, 10
-		record := append(encodeRecord(recordJob, 3), c.whole...)
+		record := append(encodeRecord(recordJob, 3), c.encoded...)
 		receiver.appendRecord(record)
 		if err := restarted.replay(record, 0); err != nil {
 			t.Fatal(err)
--- a/internal/batch/draining.go
+++ b/internal/batch/draining.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// beginDraining is the event that the process was told to end. From here on no job is accepted, and
-// the table moves the lead of the partitions to other replicas, which have all that is committed.
-// Until then reads, ends and results are served as before.
+// beginDraining handles the event that the process is shutting down. From here on no job is
+// accepted, and the table moves the lead of the partitions to other replicas, which have everything
+// that is committed. Until then reads, ends and results are served as before.
 func (c *core) beginDraining() {
 	if c.stopping {
 		return
@@ -15,12 +15,12 @@
 			c.transferring = append(c.transferring, p)
 		}
 	}
-	c.log("stops: leads %d parts, which others are to lead", c.primaryCount())
+	c.log("draining: %d partitions to be moved to other primaries", c.primaryCount())
 	c.announceDraining()
 }
 
-// announceDraining announces whether this store is about to stop as long as the table says
-// otherwise. So a mark that an earlier process left, or that was set late, is removed.
+// announceDraining announces whether this store is stopping, as long as the table says otherwise.
+// This also removes a mark that an earlier process left or that was set late.
 func (c *core) announceDraining() {
 	if c.table == nil {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// primaryCount is how many partitions this store is the primary of.
+// primaryCount returns how many partitions this store is the primary of.
 func (c *core) primaryCount() (count int) {
 	for _, p := range c.partitions {
 		if p.primary != nil {
@@ -40,9 +40,8 @@
 	return count
 }
 
-// drained reports whether nothing depends on this process any more: it is about to stop, and the
-// new primaries of its partitions have taken over all that it had and brought its replica to their
-// state.
+// drained reports whether this process can end without loss: it is stopping, and the new primaries
+// of its partitions have taken over its state and brought its replica up to date.
 func (c *core) drained() bool {
 	if !c.stopping || c.primaryCount() > 0 {
 		return false
--- a/internal/batch/draining_test.go
+++ b/internal/batch/draining_test.go
@@ -15,7 +15,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// totalRuns is how often items were started, at all workers.
+// totalRuns returns how many times items were started, over all workers.
 func (sim *simulation) totalRuns() (n int) {
 	for _, proxy := range sim.workers {
 		n += proxy.runCount
@@ -23,9 +23,9 @@
 	return n
 }
 
-// TestDrainingStoreTransfersItsPartitions: a store that is told to end transfers its partitions
-// within half a second, in which another store accepts the jobs that are submitted. The items of
-// workers do not run twice. The store comes back as a replica, and the mark in the table goes.
+// TestDrainingStoreTransfersItsPartitions: a store that is terminated transfers its partitions
+// within half a second, during which another store accepts new jobs. Running items do not run
+// twice. When the store comes back, it is a replica, and its mark is removed from the table.
 func TestDrainingStoreTransfersItsPartitions(t *testing.T) {
 	for seed := range uint64(12) {
 		sim := newSimulation(seed, 3+int(seed%3), 1, 6)
@@ -53,11 +53,11 @@
 		case ended == 0 || ended-begin > 500:
 			t.Errorf("seed %d: %s ended after %d ms", seed, s.name, ended-begin)
 		case sim.drainedStores != 1:
-			t.Errorf("seed %d: %s had not handed over", seed, s.name)
+			t.Errorf("seed %d: %s had not transferred its partitions", seed, s.name)
 		case !late.accepted || late.acceptedAt-begin > 1000:
-			t.Errorf("seed %d: a job was taken after %d ms (taken: %v)", seed, late.acceptedAt-begin, late.accepted)
+			t.Errorf("seed %d: a job was accepted after %d ms (accepted: %v)", seed, late.acceptedAt-begin, late.accepted)
 		case slices.ContainsFunc(sim.table.Partitions, func(p snapshot.Partition) bool { return p.Primary == self }):
-			t.Errorf("seed %d: %s leads in the table: %v", seed, s.name, sim.table.Partitions)
+			t.Errorf("seed %d: %s is still a primary in the table: %v", seed, s.name, sim.table.Partitions)
 		}
 		sim.run(3000)
 		if runs, items := sim.totalRuns(), 3*len(jobs)+1; runs != items {
@@ -69,15 +69,15 @@
 			p := s.core.partition(no)
 			upToDate := epochOfTerm(p.position.term) == row.Epoch && (p.primary != nil || p.followedPrimary != nil)
 			if slices.Contains(row.Replicas, self) && !upToDate {
-				t.Errorf("seed %d: after 1.5 s it is no replica of partition %d: position %x, epoch %d", seed, no, p.position.term, row.Epoch)
+				t.Errorf("seed %d: after 1.5 s it is not up to date in partition %d: position %x, epoch %d", seed, no, p.position.term, row.Epoch)
 			}
 		}
 		sim.run(6500)
 		if bad := sim.findUnhealthy(); bad != "" {
-			t.Errorf("seed %d: after the return: %s", seed, bad)
+			t.Errorf("seed %d: after the restart: %s", seed, bad)
 		}
 		if sim.table.Stopping[self] {
-			t.Errorf("seed %d: %s is still marked", seed, s.name)
+			t.Errorf("seed %d: %s is still marked as stopping", seed, s.name)
 		}
 		sim.healAndCheck(3000)
 		if !reportViolations(t, sim, fmt.Sprint("seed ", seed)) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestStoppingStoresAreNotMadePrimaries: the table gives a store that is about to stop nothing to
-// lead as long as another replica is there, and becomes stable also if all stores stop.
+// TestStoppingStoresAreNotMadePrimaries: the table makes no stopping store a primary while another
+// replica is available, and becomes stable even if all stores are stopping.
 func TestStoppingStoresAreNotMadePrimaries(t *testing.T) {
 	for _, f := range []int{1, 2} {
 		for n := f + 2; n <= f+4; n++ {
@@ -107,20 +107,20 @@
 				for id := 1; id <= stopping; id++ {
 					next, changed := SetStopping(cur, uint64(id), false)
 					if _, again := SetStopping(next, uint64(id), false); !changed || again {
-						t.Fatalf("f %d, %d stores: the mark of %d does not go", f, n, id)
+						t.Fatalf("f %d, %d stores: the mark of %d is not removed once", f, n, id)
 					}
 					cur = next
 				}
 				if cur = assignUntilStable(t, cur, all, none, f); len(cur.Stopping) != 0 {
-					t.Fatalf("marks are left: %v", cur.Stopping)
+					t.Fatalf("marks remain: %v", cur.Stopping)
 				}
 			}
 		}
 	}
 }
 
-// TestRetiringPrimariesDoNotAlternate: if all replicas of a partition retire, the lead does not
-// move back and forth.
+// TestRetiringPrimariesDoNotAlternate: if all replicas of a partition are retiring, the lead does
+// not alternate between them.
 func TestRetiringPrimariesDoNotAlternate(t *testing.T) {
 	all := someStores(4)
 	cur, _ := AssignPartitions(nil, all, none, 8, 2)
@@ -130,8 +130,8 @@
 	assignUntilStable(t, cur, all, none, 2)
 }
 
-// TestStoppingStoreAcceptsNoNewJobs: a store that is about to stop refuses jobs that are new to it,
-// and acknowledges again those that it has.
+// TestStoppingStoreAcceptsNoNewJobs: a stopping store rejects new jobs, and acknowledges again
+// those that it has already accepted.
 func TestStoppingStoreAcceptsNoNewJobs(t *testing.T) {
 	g := newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
@@ -139,14 +139,14 @@
 		c.beginDraining()
 	}
 	if code := g.submit("job", 2); code != codeOK {
-		t.Errorf("a job that was taken: code %d", code)
+		t.Errorf("an accepted job: code %d", code)
 	}
 	if code := g.submit("another", 2); code != codeUnavailable {
 		t.Errorf("a new job: code %d", code)
 	}
 }
 
-// storeGroup is a few real stores on loopback, and a table that follows what they announce.
+// storeGroup is a group of real stores on loopback, and a table that follows what they announce.
 type storeGroup struct {
 	mu     sync.Mutex
 	table  *snapshot.PartitionTable
@@ -154,7 +154,7 @@
 	all    []snapshot.Store
 }
 
-// change changes the table and gives it to all stores.
+// change applies a change to the table and passes the new table to all stores.
 func (g *storeGroup) change(change func(cur *snapshot.PartitionTable) (*snapshot.PartitionTable, bool)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,7 +171,7 @@
 	}
 }
 
-// newStoreGroup starts three stores whose logs may have so many bytes; 0: no limit.
+// newStoreGroup starts three stores whose logs have the given capacity in bytes; 0: no limit.
 func newStoreGroup(t *testing.T, logCapacity int64) *storeGroup {
 	t.Helper()
 	g := &storeGroup{}
@@ -207,8 +207,8 @@
 	return g
 }
 
-// TestDrainOverRealLinks: a real store leads nothing when Drain returns. If nobody changes the
-// table, Drain returns the error of its context.
+// TestDrainOverRealLinks: a real store leads nothing when Drain returns. If the table does not
+// change, Drain returns the error of its context.
 func TestDrainOverRealLinks(t *testing.T) {
 	g := newStoreGroup(t, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -225,12 +225,12 @@
 	g.mu.Unlock()
 	g.stores[0].Close()
 
-	g.mu.Lock() // nobody changes the table from here on
+	g.mu.Lock() // prevents further changes of the table
 	short, cancelShort := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancelShort()
 	err := g.stores[1].Drain(short)
 	g.mu.Unlock()
 	if !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("without a table: %v", err)
+		t.Errorf("while the table can't change: %v", err)
 	}
 }
--- a/internal/batch/ends.go
+++ b/internal/batch/ends.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// pendingEnd is the end of a job, which is committed, that waits until the workers have cancelled
-// what they run of it.
+// pendingEnd is a committed end of a job that waits until the workers have cancelled the job's
+// items.
 type pendingEnd struct {
 	partition      *partition
 	jobID          string
 	callers        []Caller
 	awaitedWorkers map[*worker]bool
-	deadline       int64 // after which the end is acknowledged all the same
+	deadline       int64 // after which the end is acknowledged in any case
 }
 
 func (e *pendingEnd) reply(code uint8) {
@@ -19,12 +19,12 @@
 	e.callers = nil
 }
 
-// endJob ends a job: none of its items is assigned any more, and workers cancel those that they
-// have before the call is answered.
+// endJob ends a job: its items are no longer assigned, and workers cancel those that they have
+// before the call is answered.
 func (c *core) endJob(p *partition, jobID string, caller Caller) {
 	j := p.jobs[jobID]
 	if j == nil || !j.committed {
-		// It is not there, which may be said once that is confirmed.
+		// The job is not known here, which may be answered once this primary is confirmed.
 		c.readJob(p, pendingRead{caller: caller, jobID: jobID, endsJob: true, confirmBy: c.nowMs + confirmationWaitMs})
 		return
 	}
@@ -40,7 +40,7 @@
 		}
 		c.cancelOnWorkers(end)
 	}
-	if j.ended { // ordered, and not committed yet
+	if j.ended { // ordered, but not committed yet
 		p.primary.afterCommit(done)
 		return
 	}
@@ -54,7 +54,7 @@
 	})
 }
 
-// cancelOnWorkers has the workers cancel what they run of a job, and acknowledges its end once they have.
+// cancelOnWorkers makes the workers cancel a job's items, and acknowledges its end once they have.
 func (c *core) cancelOnWorkers(end *pendingEnd) {
 	for _, w := range c.attachedWorkers {
 		if w.runsJob(end.partition.index, end.jobID) {
@@ -70,7 +70,7 @@
 	c.pendingEnds = append(c.pendingEnds, end)
 }
 
-// jobCancelled notes that a worker starts none of a job's items any more.
+// jobCancelled records that a worker will not start any of a job's items.
 func (c *core) jobCancelled(p *partition, w *worker, jobID string) {
 	for key := range w.assigned {
 		if key.partition == p.index && key.jobID == jobID {
@@ -90,8 +90,8 @@
 	})
 }
 
-// finishOverdueEnds acknowledges the ends that have waited long enough: a worker that is out of
-// touch starts nothing by itself.
+// finishOverdueEnds acknowledges the ends whose wait has timed out: a disconnected worker does not
+// start items.
 func (c *core) finishOverdueEnds() {
 	c.pendingEnds = slices.DeleteFunc(c.pendingEnds, func(end *pendingEnd) bool {
 		if c.nowMs < end.deadline {
@@ -102,7 +102,8 @@
 	})
 }
 
-// rejectPendingEnds answers the ends of jobs of a partition that this store does not lead any more.
+// rejectPendingEnds rejects the pending ends of jobs of a partition that this store no longer
+// leads.
 func (c *core) rejectPendingEnds(p *partition) {
 	c.pendingEnds = slices.DeleteFunc(c.pendingEnds, func(end *pendingEnd) bool {
 		if end.partition != p {
--- a/internal/batch/expiry.go
+++ b/internal/batch/expiry.go
@@ -2,18 +2,18 @@
 
 import "dunetide/internal/control/operatorconfig"
 
-// Items of jobs that are too old are abandoned, and jobs are dropped some time after their end. The
-// age of a job is counted on the steady clock from the moment at which this process first knew of
-// the job: the job is at least that old, whatever the time of day is said to be. A job that is sent
-// whole to another store takes its age along. After a restart it counts as younger than it is, and
-// is abandoned and dropped later, which is allowed.
+// Items of jobs past their maximum wait are abandoned, and jobs are dropped some time after they
+// finish. The age of a job is measured on the monotonic clock from the moment at which this process
+// learned about the job: the job is at least that old, whatever the wall clock says. When a job is
+// transferred to another store, its age is sent along. After a restart a job counts as younger than
+// it is, so it is abandoned and dropped later, which is allowed.
 
-// expireJobs abandons and drops what is too old.
+// expireJobs abandons items and drops jobs that are past their age limits.
 func (c *core) expireJobs() {
 	for _, p := range c.partitions {
 		primary := p.primary
 		if primary != nil && primary.nextGroupReady {
-			c.reportReady(p.index, p.epoch) // again, until the table has changed
+			c.reportReady(p.index, p.epoch) // repeated until the table has changed
 		}
 		if primary == nil || !primary.serving {
 			continue
@@ -42,7 +42,7 @@
 	}
 }
 
-// abandonOpenItems gives each item that has no result the result that it was abandoned.
+// abandonOpenItems marks each item without a result as abandoned.
 func (c *core) abandonOpenItems(p *partition, j *job) {
 	for index := range j.items {
 		if j.items[index].state == itemDone {
@@ -58,15 +58,16 @@
 	}
 }
 
-// routeRemoved reports whether the configuration has the route no more by which a job came.
+// routeRemoved reports whether the configuration no longer has the route by which a job was
+// submitted.
 func (c *core) routeRemoved(j *job) bool {
 	if c.config == nil || c.config.Version < j.configVersion {
 		return false
 	}
 	for i := range c.config.Routes {
 		route := &c.config.Routes[i]
-		samePlace := route.Host == j.host && route.PathPrefix == j.pathPrefix
-		if route.Kind == operatorconfig.Bulk && (route.Name == j.route || samePlace) {
+		samePath := route.Host == j.host && route.PathPrefix == j.pathPrefix
+		if route.Kind == operatorconfig.Bulk && (route.Name == j.route || samePath) {
 			return false
 		}
 	}
--- a/internal/batch/expiry_test.go
+++ b/internal/batch/expiry_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// submitAged submits a job of one item that claims to have been submitted at a time of day, and may
-// be abandoned after a while.
+// submitAged submits a job of one item with the given wall clock time of submission and maximum
+// wait.
 func (g *storeRig) submitAged(t *testing.T, id string, sentMs, maxWaitMs int64) (primary *core) {
 	t.Helper()
 	job := Job{
@@ -25,8 +25,9 @@
 	return g.primaryOf(id)
 }
 
-// TestSteppedClockDoesNotAgeJobs: a job that seems to be an hour old, or not submitted yet, because
-// a clock was stepped, is abandoned after its time on the steady clock and not sooner.
+// TestSteppedClockDoesNotAgeJobs: a job whose submission time is an hour in the past or in the
+// future, because a clock was stepped, is abandoned after its maximum wait on the monotonic clock
+// and not sooner.
 func TestSteppedClockDoesNotAgeJobs(t *testing.T) {
 	const maxWaitMs = 3000
 	for _, sentMs := range []int64{-3_600_000, 0, 3_600_000} {
@@ -41,16 +42,17 @@
 		}
 		g.step(maxWaitMs - 100)
 		if n := results(); n != 0 {
-			t.Errorf("sent at %d: %d results before its time is over", sentMs, n)
+			t.Errorf("sent at %d: %d results before its maximum wait", sentMs, n)
 		}
 		g.step(100 + abandonMarginMs + 1000)
 		if n := results(); n != 1 {
-			t.Errorf("sent at %d: %d results after its time was over", sentMs, n)
+			t.Errorf("sent at %d: %d results after its maximum wait", sentMs, n)
 		}
 	}
 }
 
-// TestReplacedJobKeepsItsAge: a job that is installed again whole, as by a new primary, gets no younger.
+// TestReplacedJobKeepsItsAge: the age of a job does not decrease when it is installed again, as by
+// a new primary.
 func TestReplacedJobKeepsItsAge(t *testing.T) {
 	c := newCore(1, &simDisk{})
 	p := c.partition(0)
--- a/internal/batch/fencing_test.go
+++ b/internal/batch/fencing_test.go
@@ -12,8 +12,8 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// replacedPrimary is a rig in which the table has given a job's partition another primary, and the
-// old one has not heard of it.
+// replacedPrimary returns a rig in which the table has given a job's partition another primary, and
+// the old one has not received that table.
 func replacedPrimary(t *testing.T) (g *storeRig, index int, old, successor, third *core) {
 	t.Helper()
 	g = newStoreRig(3, 2, 2, 1000)
@@ -38,14 +38,14 @@
 	return g, index, old, successor, third
 }
 
-// TestReplicasRejectAStaleTerm: whatever a primary sends in a term that is known to be over changes
-// nothing at a replica and is not acknowledged. The answer has the newer term.
+// TestReplicasRejectAStaleTerm: messages of a primary in a stale term change nothing at a replica
+// and are not acknowledged. The replica answers with the newer term.
 func TestReplicasRejectAStaleTerm(t *testing.T) {
 	g, index, old, successor, third := replacedPrimary(t)
 	term := old.partition(index).primary.term
 	g.step(1000)
 	if primary := successor.partition(index).primary; primary == nil || !primary.serving {
-		t.Fatal("the successor does not serve")
+		t.Fatal("the successor is not serving")
 	}
 	p := third.partition(index)
 	for kind, body := range map[link.Kind][]byte{
@@ -71,13 +71,13 @@
 	}
 }
 
-// TestReplacedPrimaryAcknowledgesNothing: a primary that was replaced finds out at its first
-// message. What it orders before is not committed, and it is not confirmed.
+// TestReplacedPrimaryAcknowledgesNothing: a replaced primary learns that from the answer to its
+// first message. What it ordered before is not committed, and it is not confirmed.
 func TestReplacedPrimaryAcknowledgesNothing(t *testing.T) {
 	g, index, old, successor, _ := replacedPrimary(t)
 	g.step(1000)
 	if primary := old.partition(index).primary; primary != nil && old.isConfirmed(primary) {
-		t.Error("it is confirmed")
+		t.Error("the replaced primary is confirmed")
 	}
 	for kind, body := range map[link.Kind][]byte{
 		kindAcceptJob:   encodedJob("job", 2, 0),
@@ -92,12 +92,12 @@
 		}
 	}
 	if successor.partition(index).jobs["job"].ended {
-		t.Error("an end that a replaced primary ordered is in force")
+		t.Error("an end that a replaced primary ordered took effect")
 	}
 }
 
-// TestLateConfirmationDoesNotReviveAReplacedPrimary: a confirmation that was under way when the primary learned of a newer
-// term confirms nothing.
+// TestLateConfirmationDoesNotReviveAReplacedPrimary: a confirmation that was in flight when the
+// primary learned of a newer term is ignored.
 func TestLateConfirmationDoesNotReviveAReplacedPrimary(t *testing.T) {
 	g := newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
@@ -119,7 +119,7 @@
 		c.handleStoreMessage(pipe, kindConfirmed, late)
 	}
 	if c.isConfirmed(primary) {
-		t.Error("a late confirmation counts")
+		t.Error("a late confirmation was accepted")
 	}
 	var code uint8
 	read := encodeReadResults("job", 0, 0)
@@ -130,7 +130,8 @@
 	}
 }
 
-// TestRefusalsOfStaleTermsAreReported: each is counted, the first of a term is logged with partition and terms.
+// TestRefusalsOfStaleTermsAreReported: each rejection is counted, and the first of a term is logged
+// with partition and terms.
 func TestRefusalsOfStaleTermsAreReported(t *testing.T) {
 	g, index, old, _, third := replacedPrimary(t)
 	term := old.partition(index).primary.term
@@ -138,27 +139,27 @@
 	var lines []string
 	third.logf = func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	before := staleTermsRejected.Get()
-	third.partition(index).rejectedTerm = 0 // the rig may have had one refused already
+	third.partition(index).rejectedTerm = 0 // the rig may have rejected one already
 	for range 3 {
 		third.handleStoreMessage(addressedPipe{&recordingPipe{}}, kindConfirm, encodeNumbers(index, term, 1))
 	}
 	if n := staleTermsRejected.Get() - before; n != 3 {
-		t.Errorf("%d of 3 refusals are counted", n)
+		t.Errorf("%d of 3 rejections are counted", n)
 	}
 	known := third.partition(index).promisedTerm
-	want := fmt.Sprintf("part %d: refused term %x of 10.0.0.7:99, as term %x is known", index, term, known)
+	want := fmt.Sprintf("partition %d: rejected stale term %x from 10.0.0.7:99: term %x is known", index, term, known)
 	if !slices.Equal(lines, []string{want}) {
 		t.Errorf("%q, want only %q", lines, want)
 	}
 }
 
-// addressedPipe is a connection that knows its other end.
+// addressedPipe is a connection with a known remote address.
 type addressedPipe struct{ *recordingPipe }
 
 func (addressedPipe) Addr() string { return "10.0.0.7:99" }
 
-// TestQuotaOwnersAreFenced: grants of an owner that is older than the newest one are not used, and
-// what an earlier incarnation of a primary reports or asks for changes nothing at the owner.
+// TestQuotaOwnersAreFenced: grants of an owner older than the newest one are not used, and reports
+// and reservations of an earlier incarnation of a primary change nothing at the owner.
 func TestQuotaOwnersAreFenced(t *testing.T) {
 	g := newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
@@ -169,7 +170,7 @@
 
 	owner.handleStoreMessage(&recordingPipe{}, kindUsageReport, usageReportOf(p.index, older, 1, 1<<40, 0, 1<<40))
 	if now := account.usage[p.index]; now.incarnation != before.incarnation || now.tokens != before.tokens {
-		t.Errorf("a report of an older incarnation counts: %+v, before %+v", now, before)
+		t.Errorf("a report of an older incarnation was accepted: %+v, before %+v", now, before)
 	}
 	pipe := &recordingPipe{}
 	owner.handleStoreMessage(pipe, kindReserveTokens, reservationOf(p.index, older, 1<<30, 5, 1<<30))
@@ -193,8 +194,8 @@
 	}
 }
 
-// TestIncompleteTransferDoesNotMoveThePosition: jobs that a primary has sent, without the start of
-// its term behind them, do not move the position of a replica, also after a restart, so that a more
+// TestIncompleteTransferDoesNotMoveThePosition: jobs that a primary has sent without the subsequent
+// start of its term do not advance the position of a replica, even after a restart, so that a more
 // complete replica is preferred.
 func TestIncompleteTransferDoesNotMoveThePosition(t *testing.T) {
 	log := &simDisk{}
@@ -207,12 +208,12 @@
 	donor := newCore(1, &simDisk{})
 	accept := encodeAcceptJob(encodedJob("job", 1, 0))
 	donor.appendRecord(append(encodeRecord(recordOperation, 3, firstTerm(1)+1, 1), accept...))
-	whole, err := donor.encodeWholeJob(donor.partition(3).jobs["job"])
+	encoded, err := donor.encodeJobWithResults(donor.partition(3).jobs["job"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.handleStoreMessage(primary, kindInstallJob, append(encodeNumbers(3, firstTerm(2)+1, 5), whole...))
-	for _, what := range []string{"while it comes", "after a restart"} {
+	c.handleStoreMessage(primary, kindInstallJob, append(encodeNumbers(3, firstTerm(2)+1, 5), encoded...))
+	for _, what := range []string{"during the transfer", "after a restart"} {
 		p := c.partition(3)
 		if want := (logPosition{firstTerm(1) + 1, 4}); p.position != want {
 			t.Errorf("%s: the position is %+v, want %+v", what, p.position, want)
@@ -227,9 +228,9 @@
 	}
 }
 
-// TestRejoiningStoreServesNothing: a store that comes back, whatever its disk has, answers no call
-// and assigns nothing before the table and enough replicas have made it the primary. One with
-// another identity is not in the table at all.
+// TestRejoiningStoreServesNothing: a store that comes back, whatever is on its disk, answers no
+// call and assigns nothing before the table and enough replicas have made it the primary. A store
+// with another identity is not in the table at all.
 func TestRejoiningStoreServesNothing(t *testing.T) {
 	g, index, old, _, _ := replacedPrimary(t)
 	g.step(1000)
@@ -242,7 +243,7 @@
 			c.appendRecord(append(encodeRecord(recordOperation, index, firstTerm(1)+1, 1), accept...))
 		}
 		c.nowMs = 10_000
-		c.setTable(oldTable) // a keeper that lags may have an old table
+		c.setTable(oldTable) // a keeper that lags may send an old table
 		c.recordsSynced(c.appendedRecords)
 		worker := &recordingPipe{}
 		c.handleMessage(worker, nil, kindAttachWorker, encodeAttachWorker("w", "z0", 5))
@@ -251,7 +252,7 @@
 			c.tick()
 		}
 		if p := c.partition(index); p.primary != nil && p.primary.serving {
-			t.Errorf("%s: it serves alone", name)
+			t.Errorf("%s: it serves without its replicas", name)
 		}
 		var code uint8
 		c.handleMessage(nil, callerFunc(func(b []byte) { code = b[0] }), kindAcceptJob, encodedJob("job", 2, 0))
@@ -261,8 +262,8 @@
 	}
 }
 
-// TestStoreDoesNotStartOnADamagedLog: a store does not start on a log with a flipped byte in what
-// was synced. A torn tail is cut off, and what was synced is there.
+// TestStoreDoesNotStartOnADamagedLog: a store does not start if a byte of the synced log is
+// flipped. A torn tail is cut off, and the synced records remain.
 func TestStoreDoesNotStartOnADamagedLog(t *testing.T) {
 	build := func() *vfstest.Disk {
 		d := vfstest.New()
@@ -307,14 +308,14 @@
 	}
 }
 
-// kindsHandler passes on the kinds of messages that come over links.
+// kindsHandler receives the kinds of messages that arrive over links.
 type kindsHandler chan link.Kind
 
 func (h kindsHandler) Message(m *link.Message) { h <- m.Kind }
 func (h kindsHandler) Closed(*link.Conn)       {}
 
-// TestWorkersRejectAReplacedPrimary: an item that a replaced primary assigns is returned, and that
-// it cancels a job or pauses starts counts for nothing.
+// TestWorkersRejectAReplacedPrimary: a worker returns an item that a replaced primary assigns, and
+// ignores its cancellations and its pauses of starts.
 func TestWorkersRejectAReplacedPrimary(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/batch/frozen_table_test.go
+++ b/internal/batch/frozen_table_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// readAllJobs reads all accepted jobs whose primary is there, and
-// tells how many could be read.
+// readAllJobs reads all accepted jobs whose primary is running, and returns how many could be read
+// and how many were tried.
 func (sim *simulation) readAllJobs() (read, led int) {
 	for _, id := range sim.jobIDs {
 		j := sim.jobs[id]
@@ -27,9 +27,9 @@
 }
 
 // TestJobsStayReadableWhileTheTableCannotChange: the keepers have no majority for twenty seconds,
-// in which stores fail one after the other and one loses its disk. Accepted jobs can be read at
-// each primary that is there, and jobs are accepted while the quota has its owner. When the table
-// can change again, also at the worst moment, nothing is lost.
+// during which stores fail one after the other and one loses its disk. Accepted jobs can be read
+// from each running primary, and jobs are accepted while the quota has its owner. Once the table
+// can change again, even at the worst moment, nothing is lost.
 func TestJobsStayReadableWhileTheTableCannotChange(t *testing.T) {
 	counted := 0
 	for seed := range uint64(16) {
@@ -45,7 +45,8 @@
 		sim.tableFrozen = true
 		wiped := sim.stores[sim.rng.IntN(len(sim.stores))]
 		wipeIn := sim.rng.IntN(5)
-		// Without the owner of the quota, of which only a new table could make another one, no job is taken.
+		// If the owner of the quota is lost, no job is accepted, as only a new table could appoint
+		// another one.
 		ownerLost := sim.table.Partitions[sim.table.PartitionOf(quotaKey("b"))].Primary == wiped.core.self
 		for round := range 5 {
 			s := sim.stores[sim.rng.IntN(len(sim.stores))]
@@ -54,10 +55,10 @@
 				wiped.loseDisk()
 				sim.after(400, wiped.start)
 			case round > wipeIn:
-				s.kill() // one disk is lost already: no other one may be
+				s.kill() // one disk is lost already, so no other one may be
 				sim.after(500, s.start)
 			default:
-				disturbances[sim.rng.IntN(3)].do(sim, s)
+				faults[sim.rng.IntN(3)].do(sim, s)
 			}
 			sim.run(3600)
 			if read, led := sim.readAllJobs(); read < led {
@@ -71,13 +72,13 @@
 			}
 		}
 		if taken < 20 && !ownerLost {
-			sim.violation("only %d jobs were taken while the table could not change", taken)
+			sim.violation("only %d jobs were accepted while the table could not change", taken)
 		}
 		if !ownerLost {
 			counted++
 		}
 		sim.tableFrozen = false
-		if s := sim.nextStore(wiped); seed%2 == 0 { // the first change finds one more store down for a moment
+		if s := sim.nextStore(wiped); seed%2 == 0 { // at the first change of the table, another store is down for a moment
 			s.kill()
 			sim.after(300+sim.rng.Float64()*300, s.start)
 		}
@@ -91,6 +92,6 @@
 		}
 	}
 	if counted < 8 {
-		t.Errorf("only %d of the seeds keep the owner of the quota", counted)
+		t.Errorf("the owner of the quota survived with only %d seeds", counted)
 	}
 }
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -20,12 +20,12 @@
 )
 
 // The files in testdata/golden hold the bytes of each message, record and JSON body of batch jobs
-// as the sources of faf8ea2 wrote them. The sender has to write these bytes, and the receiver is
-// given them and must read the same values.
+// as the sources of faf8ea2 wrote them. The sender must write exactly these bytes, and the receiver
+// must decode them to the same values.
 
-var updateGolden = flag.Bool("update-golden", false, "write testdata/golden; only for a kind of message that is new")
+var updateGolden = flag.Bool("update-golden", false, "write testdata/golden; only for new kinds of messages")
 
-// golden compares what was written with a golden file and returns the file's bytes.
+// golden compares written bytes with a golden file and returns the file's bytes.
 func golden(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -55,7 +55,7 @@
 	}
 }
 
-// goldenPipe records what is sent over it.
+// goldenPipe records the messages that are sent over it.
 type goldenPipe struct {
 	kinds  []link.Kind
 	bodies [][]byte
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// next takes the oldest message that was sent, which must be of a kind, compares it with its golden
-// file and returns the file's bytes.
+// next removes the oldest recorded message, which must be of the given kind, compares it with its
+// golden file and returns the file's bytes.
 func (p *goldenPipe) next(t *testing.T, kind link.Kind, name string) []byte {
 	t.Helper()
 	if len(p.kinds) == 0 {
@@ -86,7 +86,7 @@
 
 func (r *goldenReply) Reply(body []byte) { r.body = bytes.Clone(body) }
 
-// TestGoldenKinds fixes the numbers of the kinds of messages and of the codes, operations and records.
+// TestGoldenKinds fixes the numbers of message kinds, codes, operations and records.
 func TestGoldenKinds(t *testing.T) {
 	kinds := []link.Kind{
 		kindHello, kindAcceptJob, kindReadResults, kindReadItemBody, kindEndJob,
@@ -117,7 +117,7 @@
 	goldenTerm  = 0x2_0003 // a term in epoch 2
 )
 
-// goldenJob is a job whose fields all have values of their own.
+// goldenJob returns a job whose fields all have distinct values.
 func goldenJob() *Job {
 	return &Job{
 		ID:              goldenJobID,
@@ -189,7 +189,7 @@
 	}, []byte("body of a")))
 }
 
-// goldenTable has six partitions; all but the one of the tests are led by owner.
+// goldenTable has six partitions; owner leads all of them except goldenPart.
 func goldenTable(primary, owner uint64) *snapshot.PartitionTable {
 	table := &snapshot.PartitionTable{Version: 12, Stores: map[uint64]snapshot.Store{}}
 	for no := range 6 {
@@ -202,7 +202,7 @@
 	return table
 }
 
-// goldenCore is a store with an empty disk, without a limit of room and with a table.
+// goldenCore returns a store with an empty disk, unlimited capacity and a table.
 func goldenCore(id, primary, owner uint64) *core {
 	c := newCore(id, &simDisk{})
 	c.nowMs = 50_001
@@ -211,10 +211,10 @@
 	return c
 }
 
-// sync makes all that was appended durable.
+// syncAll makes all appended records durable.
 func syncAll(c *core) { c.recordsSynced(c.appendedRecords) }
 
-// lastRecord is the newest record of a store's disk.
+// lastRecord returns the newest record on a store's disk.
 func lastRecord(t *testing.T, c *core) []byte {
 	t.Helper()
 	d := c.disk.(*simDisk)
@@ -226,7 +226,7 @@
 	return b
 }
 
-// replayed is what a store has that read only one record.
+// replayed returns a store that has replayed a single record.
 func replayed(t *testing.T, rec []byte) *core {
 	t.Helper()
 	c := goldenCore(0, 1, 1)
@@ -240,8 +240,8 @@
 	return c
 }
 
-// TestGoldenReplication plays how a primary takes a partition over, brings a new replica up to date and
-// replicates operations. Each message goes to its receiver in its golden form.
+// TestGoldenReplication plays a takeover by a primary that brings a new replica up to date and
+// replicates operations. Each message is passed to its receiver in its golden form.
 func TestGoldenReplication(t *testing.T) {
 	const leaderID, followerID, joinerID = 0x1101, 0x1202, 0x1303
 	leader := goldenCore(leaderID, leaderID, leaderID)
@@ -253,7 +253,7 @@
 	golden(t, "record-identity.bin", lastRecord(t, leader))
 	wantValue(t, "record-identity", replayed(t, lastRecord(t, leader)).self, uint64(leaderID))
 
-	// The follower has the job, in an older term.
+	// The follower has the job, from an older term.
 	part := follower.partition(goldenPart)
 	follower.appendRecord(encodeRecord(recordTermStart, goldenPart, firstTerm(1)+7, 30))
 	accept := encodeAcceptJob(goldenJob().encode())
@@ -266,7 +266,7 @@
 	syncAll(follower)
 	digest := part.jobs[goldenJobID].digest()
 
-	// The primary asks the follower for its promise.
+	// The primary requests the follower's promise.
 	p := leader.partition(goldenPart)
 	p.epoch, p.promisedTerm = 2, goldenTerm
 	p.primary = &primaryState{
@@ -297,24 +297,25 @@
 	wantValue(t, "replication-have", q.position, logPosition{firstTerm(1) + 7, 32})
 	wantValue(t, "replication-have", q.digests, map[string]uint64{goldenJobID: digest})
 
-	// It has the newest state: the primary fetches the job, and marks what it has.
+	// The follower has the newest state: the primary fetches the job and records the start of its
+	// term.
 	follower.nowMs = 50_901 // the job's age
 	follower.handleMessage(fromFollower, nil, kindFetchJob, toFollower.next(t, kindFetchJob, "replication-fetch.bin"))
 	leader.handleMessage(toFollower, nil, kindJobContents, fromFollower.next(t, kindJobContents, "replication-whole.bin"))
-	checkWholeJob(t, leader, digest, 900)
+	checkTransferredJob(t, leader, digest, 900)
 	d := leader.disk.(*simDisk)
 	put, err := d.ReadRaw(d.records[1].offset, d.records[1].length)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkWholeJob(t, replayed(t, golden(t, "record-job.bin", put)), digest, 900)
+	checkTransferredJob(t, replayed(t, golden(t, "record-job.bin", put)), digest, 900)
 	rec = golden(t, "record-mark.bin", lastRecord(t, leader))
 	again := replayed(t, rec).partition(goldenPart)
 	wantValue(t, "record-mark", again.promisedTerm, uint64(goldenTerm))
 	wantValue(t, "record-mark", again.position, logPosition{goldenTerm, 32})
 	wantValue(t, "sequence", p.primary.lastSequence, uint64(32))
 
-	// The follower is up to date, the one that joins gets the job whole.
+	// The follower is up to date; the joining replica gets the job with its results.
 	follower.logFull = true
 	mark := toFollower.next(t, kindStartTerm, "replication-mark.bin")
 	follower.handleMessage(fromFollower, nil, kindStartTerm, mark)
@@ -327,23 +328,23 @@
 	syncAll(joiner)
 	leader.handleMessage(toJoiner, nil, kindPromise, fromJoiner.next(t, kindPromise, "replication-have-nothing.bin"))
 	joiner.handleMessage(fromJoiner, nil, kindInstallJob, toJoiner.next(t, kindInstallJob, "replication-put.bin"))
-	checkWholeJob(t, joiner, digest, 900)
+	checkTransferredJob(t, joiner, digest, 900)
 	golden(t, "record-job.bin", lastRecord(t, joiner))
 	if inFlight := p.primary.progress[joinerID].transfersInFlight; inFlight != 1 {
-		t.Errorf("%d jobs are under way, want 1", inFlight)
+		t.Errorf("%d jobs are in flight, want 1", inFlight)
 	}
 	leader.handleMessage(toJoiner, nil, kindJobInstalled, fromJoiner.next(t, kindJobInstalled, "replication-put-ack.bin"))
 	if inFlight := p.primary.progress[joinerID].transfersInFlight; inFlight != 0 {
-		t.Errorf("%d jobs are under way, want none", inFlight)
+		t.Errorf("%d jobs are in flight, want none", inFlight)
 	}
 
-	// An operation of each other kind.
+	// An operation of each remaining kind.
 	syncAll(leader)
 	leader.replicate(p, encodeJobOperation(opEndJob, goldenJobID), func(bool) {})
 	end := toFollower.next(t, kindOperation, "replication-operation-end.bin")
 	follower.handleMessage(fromFollower, nil, kindOperation, end)
 	if !part.jobs[goldenJobID].ended || part.position.sequence != 33 {
-		t.Errorf("the job has not ended at the replica, which has all up to %d", part.position.sequence)
+		t.Errorf("the job has not ended at the replica, which is at operation %d", part.position.sequence)
 	}
 	golden(t, "record-operation-end.bin", lastRecord(t, leader))
 	golden(t, "record-operation-end.bin", lastRecord(t, follower))
@@ -355,7 +356,7 @@
 	}
 	golden(t, "record-operation-drop.bin", lastRecord(t, leader))
 
-	// Confirmations, and the refusal of a stale term.
+	// Confirmations, and the rejection of a stale term.
 	leader.requestConfirmations(p)
 	syncAll(follower)
 	fromFollower.kinds, fromFollower.bodies = nil, nil
@@ -363,7 +364,7 @@
 	leader.handleMessage(toFollower, nil, kindConfirmed, fromFollower.next(t, kindConfirmed, "replication-confirmed.bin"))
 	wantValue(t, "replication-confirmed", []any{q.confirmedAt, q.logFull}, []any{int64(50_001), true})
 	if part.promisedTerm++; !follower.rejectStaleTerm(part, goldenTerm, fromFollower) {
-		t.Error("a stale term counts")
+		t.Error("a stale term was accepted")
 	}
 	leader.handleMessage(toFollower, nil, kindStaleTerm, fromFollower.next(t, kindStaleTerm, "replication-stale.bin"))
 	if !p.primary.superseded {
@@ -378,7 +379,7 @@
 	wantValue(t, "record-operation", []uint64{p.position.term, p.position.sequence}, []uint64{firstTerm(1) + 7, seq})
 	j := p.jobs[goldenJobID]
 	if j == nil {
-		t.Fatal("the job is not there")
+		t.Fatal("the job is missing")
 	}
 	enc, err := c.disk.ReadRaw(j.offset, j.encodedLength)
 	if err != nil {
@@ -387,12 +388,13 @@
 	golden(t, "call-accept.bin", encodedAgain(t, enc))
 }
 
-// checkWholeJob checks a job that was sent whole, and sends it on whole.
-func checkWholeJob(t *testing.T, c *core, digest uint64, age int64) {
+// checkTransferredJob checks a job that was transferred with its results, and encodes it for
+// transfer again.
+func checkTransferredJob(t *testing.T, c *core, digest uint64, age int64) {
 	t.Helper()
 	j := c.partition(goldenPart).jobs[goldenJobID]
 	if j == nil {
-		t.Fatal("the job is not there")
+		t.Fatal("the job is missing")
 	}
 	enc, err := c.disk.ReadRaw(j.offset, j.encodedLength)
 	if err != nil {
@@ -404,13 +406,13 @@
 		t.Fatal(err)
 	}
 	first := j.results[0]
-	wantValue(t, "whole job", []any{first.itemIndex, first.abandoned, string(text), j.digest(), c.nowMs - j.knownSinceMs},
+	wantValue(t, "job with results", []any{first.itemIndex, first.abandoned, string(text), j.digest(), c.nowMs - j.knownSinceMs},
 		[]any{int32(1), true, "text of b", digest, age})
-	whole, err := c.encodeWholeJob(j)
+	encoded, err := c.encodeJobWithResults(j)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "job-whole.bin", whole)
+	golden(t, "job-whole.bin", encoded)
 }
 
 // TestGoldenQuota plays a reservation of tokens between a primary and the owner of the quota.
@@ -421,7 +423,7 @@
 	primary.peers[ownerID], owner.peers[primaryID] = toOwner, toPrimary
 	quotaPart, _ := primary.quotaOwner(route)
 	if quotaPart == goldenPart {
-		t.Fatal("the quota's part is the job's")
+		t.Fatal("the quota and the job have the same partition")
 	}
 	servingState := func(term uint64) *primaryState {
 		return &primaryState{
@@ -479,8 +481,8 @@
 	}
 }
 
-// goldenPrimary is a store that leads the partition of the tests and has the job, of which the second
-// item is listed.
+// goldenPrimary returns a store that leads the job's partition and has the job, whose second item
+// has a result.
 func goldenPrimary(t *testing.T) (*core, *partition, *job) {
 	t.Helper()
 	const id = 0x1101
@@ -519,7 +521,7 @@
 	return c, p, j
 }
 
-// goldenLink is a link between two ends of which this one is recorded.
+// goldenLink is a link to an end that records messages.
 type goldenLink struct {
 	messages chan *link.Message
 	conn     *link.Conn
@@ -528,7 +530,7 @@
 func (l *goldenLink) Message(m *link.Message) { l.messages <- m }
 func (l *goldenLink) Closed(*link.Conn)       {}
 
-// newGoldenLink is an end at which messages are recorded, and the connection to it.
+// newGoldenLink returns an end that records messages, and the connection to it.
 func newGoldenLink(t *testing.T) *goldenLink {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -546,7 +548,8 @@
 	return l
 }
 
-// next is the oldest message that arrived; it must be of a kind and as its golden file.
+// next returns the oldest received message, which must be of the given kind and match its golden
+// file.
 func (l *goldenLink) next(t *testing.T, kind link.Kind, name string) (*link.Message, []byte) {
 	t.Helper()
 	select {
@@ -573,7 +576,7 @@
 		stores:  &storeConnections{byID: map[uint64]*storeConnection{c.table.Partitions[no].Primary: {conn: l.conn}}},
 	}
 
-	// answer gives a store the golden call and sends its golden reply back.
+	// answer passes the golden call to a store and sends its golden reply back.
 	answer := func(kind link.Kind, call, reply string) {
 		m, body := l.next(t, kind, call)
 		r := &goldenReply{}
@@ -611,7 +614,7 @@
 		t.Error("the job has not ended")
 	}
 
-	// The start of a connection.
+	// The handshake of a connection.
 	is := make(chan bool)
 	go func() { is <- verifyIdentity(t.Context(), l.conn, 0x1101_2202_3303_4404) }()
 	m, _ := l.next(t, kindHello, "call-hello.bin")
@@ -640,7 +643,7 @@
 	side := newItemRunner(ProxyOptions{Name: "proxy-7", Zone: "zone-b", Runner: blockedRunner{}})
 	t.Cleanup(side.close)
 
-	// The worker attaches, with its share of the limit: two stores lead.
+	// The worker attaches with its share of the limit: two stores are primaries.
 	side.table = goldenTable(0x1101, 0x1202)
 	side.maxRunning = 17
 	side.connected(0x1101, l.conn)
@@ -649,7 +652,7 @@
 	w := c.workers[toWorker]
 	wantValue(t, "worker-attach", []any{w.name, w.zone, w.limit}, []any{"proxy-7", "zone-b", 9})
 
-	// It is given an item.
+	// The store assigns it an item.
 	body = toWorker.next(t, kindAssignItem, "worker-give.bin")
 	given, err := decodeAssignMessage(body)
 	if err != nil {
@@ -686,10 +689,10 @@
 	})
 	side.handleMessage(&link.Message{Conn: l.conn, Kind: kindAssignItem, Body: body})
 	if side.runningCount() != 1 {
-		t.Fatal("the item is not in hand")
+		t.Fatal("the item is not running")
 	}
 
-	// It says what it has in hand.
+	// The worker reports its items.
 	key := itemKey{partition: p.index, jobID: goldenJobID, index: 0}
 	side.mu.Lock()
 	side.running[itemKey{
@@ -713,7 +716,7 @@
 	})
 	wantValue(t, "worker-held", side.contact(p.index), primaryContact{conn: l.conn, epoch: 2, runningNoted: true})
 
-	// The store is not sure to lead.
+	// The store is not confirmed as the primary.
 	p.primary.confirmedAt = c.nowMs - 2000
 	c.maxLostReplicas = 1
 	c.superviseWorkers(p)
@@ -723,7 +726,7 @@
 		Body: toWorker.next(t, kindPauseStarts, "worker-unsure.bin"),
 	})
 	if !side.contact(p.index).startsPaused {
-		t.Error("the worker goes on")
+		t.Error("the worker may still start items")
 	}
 	c.maxLostReplicas = 0
 
@@ -752,10 +755,10 @@
 		Body: toWorker.next(t, kindResultStored, "worker-listed.bin"),
 	})
 	if side.runs(key) {
-		t.Error("the worker keeps what is listed")
+		t.Error("the worker keeps an item whose result is stored")
 	}
 
-	// Ends, and what is given back.
+	// Cancelled jobs, and returned items.
 	sendCancel(w, goldenPart+1, "job-of-another-part")
 	side.setContact(goldenPart+1, nil)
 	side.handleMessage(&link.Message{
@@ -764,13 +767,13 @@
 		Body: toWorker.next(t, kindCancelJob, "worker-cancel.bin"),
 	})
 	if side.runningCount() != 0 {
-		t.Error("the job goes on")
+		t.Error("the job still runs")
 	}
 	_, body = l.next(t, kindJobCancelled, "worker-cancelled.bin")
 	w.assigned[itemKey{goldenPart + 1, "job-of-another-part", 3}] = true
 	c.handleMessage(toWorker, nil, kindJobCancelled, body)
 	if len(w.assigned) != 0 {
-		t.Error("the store believes that the worker has the job")
+		t.Error("the job is still assigned to the worker")
 	}
 	another := newGoldenLink(t)
 	side.setContact(p.index, &primaryContact{conn: another.conn, epoch: 9})
@@ -779,17 +782,17 @@
 	w.assigned[key] = true
 	c.handleMessage(toWorker, nil, kindReturnItem, body)
 	if len(w.assigned) != 0 {
-		t.Error("the store believes that the worker has the item")
+		t.Error("the item is still assigned to the worker")
 	}
 }
 
-// TestGoldenAssignmentOfAnOlderVersion: a message of the versions that did not say how long is left
-// is read by its time of day.
+// TestGoldenAssignmentOfAnOlderVersion: a message of a version without the remaining time is
+// decoded with its time of day.
 func TestGoldenAssignmentOfAnOlderVersion(t *testing.T) {
 	body := readGolden(t, "worker-give.bin")
 	given, err := decodeAssignMessage(body[:len(body)-8])
 	if err != nil || given.hasRemaining {
-		t.Fatalf("%v, time left %v", err, given.hasRemaining)
+		t.Fatalf("%v, remaining time %v", err, given.hasRemaining)
 	}
 	if item, err := given.toItem(time.UnixMilli(5000)); err != nil || !item.Due.Equal(time.UnixMilli(1_700_000_060_203)) {
 		t.Errorf("due at %v, %v", item.Due, err)
@@ -805,7 +808,7 @@
 	return b
 }
 
-// TestGoldenJSON fixes the JSON bodies of clients: the job that comes in, and the results that go out.
+// TestGoldenJSON fixes the JSON bodies of the client API: the submitted job, and the results.
 func TestGoldenJSON(t *testing.T) {
 	want := goldenJob()
 	route := &operatorconfig.Route{
@@ -823,7 +826,7 @@
 		Body:   body,
 	}, route)
 	if !ok {
-		t.Fatal("the job is refused")
+		t.Fatal("the job is rejected")
 	}
 	want.SentMs, want.ConfigVersion = 0, 0 // set by the caller
 	wantValue(t, "client-job", got, want)
@@ -865,7 +868,7 @@
 	golden(t, "client-results-none.json", resultsResponse(ResultPage{Total: 3}, 0, Found).Body)
 }
 
-// openGolden opens a store's log and returns what it holds, and where each record ends in its file.
+// openGolden opens a store's log and returns its records, and where each record ends in its file.
 func openGolden(t *testing.T, d *vfstest.Disk) (log Log, payloads []string, ends []int) {
 	t.Helper()
 	log, err := OpenIn(d)(func(payload []byte, at int64) error {
@@ -888,7 +891,6 @@
 	}
 }
 
-// closeLog closes a log.
 func closeLog(t *testing.T, log Log) {
 	t.Helper()
 	if err := log.(*segmentedLog).Close(); err != nil {
@@ -897,14 +899,14 @@
 }
 
 // TestGoldenLogFiles fixes the names and bytes of the files of a store's log. Each file has a
-// random salt in its head, so records are appended to the golden files cut short, which has to
-// restore them.
+// random salt in its head, so records are appended to truncated golden files, which must restore
+// the complete files.
 func TestGoldenLogFiles(t *testing.T) {
 	const first, second = "lots.log", "lots.log.000001"
 	d := vfstest.New()
 	log, _, _ := openGolden(t, d)
 	appendTo(t, log, "first record")
-	if err := log.SyncTo(1<<segmentShift - 1); err != nil { // a record says how far the file was synced before it
+	if err := log.SyncTo(1<<segmentShift - 1); err != nil { // each record has the length up to which the file was synced before it
 		t.Fatal(err)
 	}
 	appendTo(t, log, "second record")
@@ -926,11 +928,11 @@
 	}
 	wantValue(t, "files", names, []string{first, second})
 
-	whole := vfstest.New()
+	complete := vfstest.New()
 	for _, name := range names {
-		whole.Put(name, readGolden(t, "file-"+name))
+		complete.Put(name, readGolden(t, "file-"+name))
 	}
-	log, payloads, ends := openGolden(t, whole)
+	log, payloads, ends := openGolden(t, complete)
 	wantValue(t, "records", payloads, []string{"first record", "second record", "third record"})
 	closeLog(t, log)
 
@@ -949,9 +951,9 @@
 	closeLog(t, log)
 	golden(t, "file-"+second, cut.File(second))
 
-	// The head of a segment: what was written now has the same payloads as the golden file.
+	// The head of a segment: the segment written now has the same payloads as the golden file.
 	var written, read [][]byte
-	for from, to := range map[*vfstest.Disk]*[][]byte{d: &written, whole: &read} {
+	for from, to := range map[*vfstest.Disk]*[][]byte{d: &written, complete: &read} {
 		file, err := recordlog.Open(from, second, func(payload []byte, _ int64) error {
 			*to = append(*to, bytes.Clone(payload))
 			return nil
@@ -974,7 +976,7 @@
 	return RunResult{End: RunNotStarted}
 }
 
-// runningCount is how many items are assigned to a worker.
+// runningCount returns how many items are assigned to a worker.
 func (r *itemRunner) runningCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -988,14 +990,14 @@
 	return r.running[key] != nil
 }
 
-// contact is what a worker knows of the primary of a partition.
+// contact returns a worker's contact with the primary of a partition.
 func (r *itemRunner) contact(partition int) primaryContact {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return *r.contacts[partition]
 }
 
-// setContact sets what a worker knows of the primary of a partition; nil: nothing.
+// setContact sets a worker's contact with the primary of a partition; nil removes it.
 func (r *itemRunner) setContact(partition int, contact *primaryContact) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batch/helpers_test.go
+++ b/internal/batch/helpers_test.go
@@ -10,12 +10,12 @@
 	return nil
 }
 
-// encodeNumbers is the begin of a message between stores, or all of it: a partition and some numbers.
+// encodeNumbers encodes a message between stores, or its beginning: a partition and numbers.
 func encodeNumbers(partition int, numbers ...uint64) []byte {
 	return encodeTermMessage(0, partition, numbers...).Buf
 }
 
-// reservationOf is a reservation of tokens of route "b".
+// reservationOf encodes a reservation of tokens of route "b".
 func reservationOf(partition int, incarnation, number uint64, tokens, maxTokens int) []byte {
 	w := encodeQuotaMessage("b", partition, incarnation, 24)
 	w.U64(number)
@@ -24,7 +24,7 @@
 	return w.Buf
 }
 
-// usageReportOf is a report of the usage of route "b".
+// usageReportOf encodes a report of the usage of route "b".
 func usageReportOf(partition int, incarnation, epoch, version uint64, tokens int, resolved uint64) []byte {
 	w := encodeQuotaMessage("b", partition, incarnation, 32)
 	w.U64(epoch)
@@ -34,7 +34,7 @@
 	return w.Buf
 }
 
-// reservationReplyOf is the owner's answer to a reservation of tokens of route "b".
+// reservationReplyOf encodes the owner's answer to a reservation of tokens of route "b".
 func reservationReplyOf(partition int, incarnation, number uint64, code uint8, owner uint64) []byte {
 	w := encodeQuotaMessage("b", partition, incarnation, 17)
 	w.U64(number)
--- a/internal/batch/http.go
+++ b/internal/batch/http.go
@@ -14,13 +14,13 @@
 	"dunetide/internal/control/operatorconfig"
 )
 
-// maxItems is the most items of a job.
+// maxItems is the maximum number of items of a job.
 const maxItems = 200
 
-// Names of the interface for clients.
+// Paths, headers and states of the client API.
 const (
-	pathJobs  = "/lots/"  // then the job's ID
-	pathItems = "/items/" // then the job's ID; the item's ID is in the query
+	pathJobs  = "/lots/"  // followed by the job's ID
+	pathItems = "/items/" // followed by the job's ID; the item's ID is in the query
 
 	headerRequestID = "X-Dunetide-Request-Id" // of a submission: the job's ID
 	headerWait      = "X-Dunetide-Wait-Ms"    // how long a read waits for a result
@@ -30,41 +30,43 @@
 	stateAbandoned = "given_up"
 )
 
-// How long a proxy goes on calling stores before it answers that nothing can be said now.
+// How long a proxy keeps calling stores before it answers that they are unavailable.
 const (
 	submitTimeout = 1500 * time.Millisecond
 	readTimeout   = 1200 * time.Millisecond
 	endTimeout    = 1500 * time.Millisecond
-	// maxReadWait is how long a read may wait for a result.
+	// maxReadWait is the maximum time that a read waits for a result.
 	maxReadWait = 10_000 * time.Millisecond
 )
 
-// Call is a client's call about batch jobs.
+// Call is a client call about batch jobs.
 type Call struct {
 	Method string
 	Host   string
 	Path   string // without the query
 	Query  string
 	Header func(name string) string
-	Body   []byte // whole
+	Body   []byte // the complete body
 }
 
-// Response to a call. Status 0: the connection has to be closed without an answer, as nothing can be promised.
+// Response is the response to a call. Status 0 means that the connection must be closed without a
+// response, as the outcome is unknown.
 type Response struct {
 	Status      int
-	RetryAfter  string // seconds; empty: no such header
+	RetryAfter  string // in seconds; empty: no such header
 	ContentType string
 	Body        []byte
 }
 
 var (
 	responseUnavailable = Response{Status: http.StatusServiceUnavailable, RetryAfter: "0.2"}
-	// responseStoresFull is the answer while logs are full: jobs leave them some time after they
-	// were submitted.
+	// responseStoresFull is the response while logs are full: jobs are dropped from them some time
+	// after submission.
 	responseStoresFull = Response{Status: http.StatusServiceUnavailable, RetryAfter: "2"}
 )
 
-// bulkRoute is the bulk route that a path under a host belongs to; nil: none. The longest one counts.
+// bulkRoute returns the bulk route for a path under a host; nil if there is none. The longest
+// prefix wins.
 func bulkRoute(c *operatorconfig.Config, host, path string) *operatorconfig.Route {
 	var best *operatorconfig.Route
 	for i := range c.Routes {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// hostOnly is a host without its port, in lower case.
+// hostOnly returns a host without its port, in lower case.
 func hostOnly(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -90,7 +92,7 @@
 	return strings.ToLower(host)
 }
 
-// TimeLeft returns how long a client says that it still waits, or 0 if it says nothing.
+// TimeLeft returns the time that a client states it will still wait, or 0 if it states none.
 func TimeLeft(header func(name string) string) time.Duration {
 	if ms, err := strconv.Atoi(header(headerTimeLeft)); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
@@ -98,7 +100,7 @@
 	return 0
 }
 
-// limitTimeout shortens a timeout to four fifths of the time that the client still waits.
+// limitTimeout limits a timeout to 80% of the time that the client will still wait.
 func (c *Call) limitTimeout(timeout time.Duration) time.Duration {
 	if left := TimeLeft(c.Header); left > 0 {
 		return min(timeout, left*8/10)
@@ -106,7 +108,7 @@
 	return timeout
 }
 
-// Serve answers a client's call.
+// Serve handles a client call.
 func (p *Proxy) Serve(ctx context.Context, call *Call) Response {
 	startedAt := time.Now()
 	response := p.serve(ctx, call)
@@ -134,9 +136,9 @@
 	return p.serveSubmit(ctx, call, v.Config)
 }
 
-// serveResults answers a read of results.
+// serveResults handles a read of results.
 func (p *Proxy) serveResults(ctx context.Context, call *Call, jobID string) Response {
-	query, _ := url.ParseQuery(call.Query) // what is not valid in it is left out
+	query, _ := url.ParseQuery(call.Query) // invalid parameters are ignored
 	startAfter, err := strconv.Atoi(query.Get("start_after"))
 	if query.Get("start_after") == "" {
 		startAfter, err = 0, nil
@@ -150,9 +152,10 @@
 	return resultsResponse(page, startAfter, outcome)
 }
 
-// readWait is how long a read waits for a result: half of the time that the client still waits at most.
+// readWait returns how long a read waits for a result: at most half of the time that the client
+// will still wait.
 func (c *Call) readWait() time.Duration {
-	ms, _ := strconv.Atoi(c.Header(headerWait)) // what is no number counts as 0
+	ms, _ := strconv.Atoi(c.Header(headerWait)) // an invalid number counts as 0
 	wait := min(time.Duration(max(ms, 0))*time.Millisecond, maxReadWait)
 	if left := TimeLeft(c.Header); left > 0 {
 		wait = min(wait, left/2)
@@ -160,7 +163,7 @@
 	return wait
 }
 
-// serveEnd answers the end of a job.
+// serveEnd handles the end of a job.
 func (p *Proxy) serveEnd(ctx context.Context, call *Call, jobID string) Response {
 	ctx, cancel := context.WithTimeout(ctx, call.limitTimeout(endTimeout))
 	defer cancel()
@@ -173,7 +176,7 @@
 	return responseUnavailable
 }
 
-// serveItemBody answers a read of an item's body.
+// serveItemBody handles a read of an item's body.
 func (p *Proxy) serveItemBody(ctx context.Context, call *Call, jobID string) Response {
 	query, err := url.ParseQuery(call.Query)
 	if err != nil || call.Method != http.MethodGet {
@@ -191,7 +194,7 @@
 	return responseUnavailable
 }
 
-// serveSubmit answers the submission of a job.
+// serveSubmit handles the submission of a job.
 func (p *Proxy) serveSubmit(ctx context.Context, call *Call, config *operatorconfig.Config) Response {
 	route := bulkRoute(config, hostOnly(call.Host), call.Path)
 	if route == nil {
@@ -221,7 +224,7 @@
 	return Response{}
 }
 
-// submission is the body of a submission.
+// submission is the JSON body of a submission.
 type submission struct {
 	Requests []submittedItem `json:"requests"`
 }
@@ -238,7 +241,8 @@
 	return i.ID != "" && i.Path != "" && i.Path[0] == '/' && i.Tokens >= 0
 }
 
-// parseJob reads the job that a client submits under a route. False: it is not valid.
+// parseJob parses the job that a client submits under a route. It returns false if the job is
+// invalid.
 func parseJob(call *Call, route *operatorconfig.Route) (*Job, bool) {
 	var body submission
 	jobID := call.Header(headerRequestID)
@@ -274,8 +278,8 @@
 	return j, true
 }
 
-// resultsResponse is the answer to a read of results. Its JSON is written field by field, so that
-// its bytes depend on no Go name.
+// resultsResponse is the response to a read of results. Its JSON is written field by field, so that
+// its bytes do not depend on Go names.
 func resultsResponse(page ResultPage, startAfter int, outcome CallOutcome) Response {
 	switch outcome {
 	case NotFound:
--- a/internal/batch/idempotence_mutants_test.go
+++ b/internal/batch/idempotence_mutants_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// repetitionMutants would count a message that is repeated, or one of an older incarnation, as something new.
+// repetitionMutants treat a repeated message, or one of an older incarnation, as a new one.
 var repetitionMutants = []mutation.Mutant{
 	{
 		Name: "a result is stored twice",
@@ -72,7 +72,7 @@
 		New:  "sequence, logFull",
 	},
 	{
-		Name: "a submission under way is accepted twice",
+		Name: "a submission in flight is accepted twice",
 		File: "calls.go",
 		Old:  "if incoming := primary.incomingJobs[jobID]; incoming != nil {",
 		New:  "if incoming := primary.incomingJobs[jobID]; incoming != nil && incoming.maxTokens < 0 {",
@@ -85,12 +85,12 @@
 	},
 }
 
-// TestRepetitionMutantsStand fails when the text of a mutant does not stand once in the file that it names.
+// TestRepetitionMutantsStand fails unless the text of each mutant occurs exactly once in its file.
 func TestRepetitionMutantsStand(t *testing.T) { mutation.CheckPresent(t, repetitionMutants) }
 
-// TestRepetitionMutantsAreFound puts each mutant into the sources and expects the tests of
-// idempotence_test.go to fail. It takes a minute or two, so it has to be requested:
-// REPEATS_WRONG=1, or a part of a name.
+// TestRepetitionMutantsAreFound applies each mutant to the sources and expects the tests of
+// idempotence_test.go to fail. It takes a minute or two, so it runs only on request:
+// REPEATS_WRONG=1, or a substring of a name.
 func TestRepetitionMutantsAreFound(t *testing.T) {
 	mutation.Find(t, repetitionMutants, mutation.Options{
 		Only:   mutation.Requested(t, "REPEATS_WRONG"),
--- a/internal/batch/idempotence_test.go
+++ b/internal/batch/idempotence_test.go
@@ -7,26 +7,26 @@
 	"dunetide/internal/platform/link"
 )
 
-// primaryOfJob is the store that serves the partition of the job "job".
+// primaryOfJob returns the store that serves the partition of the job "job".
 func primaryOfJob(t *testing.T, g *storeRig) (*core, *partition) {
 	t.Helper()
 	c := g.primaryOf("job")
 	p := c.partition(c.table.PartitionOf("job"))
 	if p.primary == nil || !p.primary.serving {
-		t.Fatal("nobody serves the partition of the job")
+		t.Fatal("no store serves the partition of the job")
 	}
 	return c, p
 }
 
-// quotaAccountOf is the account of route "b" at the owner of its quota.
+// quotaAccountOf returns the account of route "b" at the owner of its quota.
 func quotaAccountOf(g *storeRig) (owner *core, account *quotaAccount) {
 	index, store := g.cores[0].quotaOwner("b")
 	owner = g.cores[store-1]
 	return owner, owner.partition(index).primary.accounts["b"]
 }
 
-// countedTokens are the tokens of route "b" that the owner of its quota knows: those reported, and
-// those granted since.
+// countedTokens returns the tokens of route "b" that the owner of its quota counts: those reported,
+// and those granted since.
 func countedTokens(g *storeRig) (sum int64) {
 	_, account := quotaAccountOf(g)
 	for _, usage := range account.usage {
@@ -38,8 +38,8 @@
 	return sum
 }
 
-// TestSubmissionSentAgainIsAcceptedOnce: a job that is submitted again, while the first call is
-// under way and after it, is stored once and counts once against the quota.
+// TestSubmissionSentAgainIsAcceptedOnce: a job that is submitted again, during and after the first
+// call, is stored once and counts once against the quota.
 func TestSubmissionSentAgainIsAcceptedOnce(t *testing.T) {
 	g := newStoreRig(3, 1, 0, 1000)
 	c, p := primaryOfJob(t, g)
@@ -59,12 +59,12 @@
 	g.now += 200_000
 	g.deliverAll()
 	if sum := countedTokens(g); len(p.jobs) != 1 || sum != 200 {
-		t.Errorf("%d jobs are kept, and %d tokens counted, want 1 and 200", len(p.jobs), sum)
+		t.Errorf("%d jobs are stored, and %d tokens counted, want 1 and 200", len(p.jobs), sum)
 	}
 }
 
-// TestEndSentAgainCountsOnce: the end of a job that is sent again is answered again, and gives the
-// quota its tokens back once.
+// TestEndSentAgainCountsOnce: a repeated end of a job is answered again, and returns the job's
+// tokens to the quota once.
 func TestEndSentAgainCountsOnce(t *testing.T) {
 	g := newStoreRig(3, 1, 0, 1000)
 	g.accept(t, "other", 3)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestResultSentAgainIsStoredOnce: a result that is sent again, over the same link, over a newer
-// one of its worker, or by another worker that had the item from an earlier primary, is
-// acknowledged and changes nothing: the first one counts.
+// TestResultSentAgainIsStoredOnce: a repeated result, over the same link, over a newer one of the
+// same worker, or from another worker that had the item from an earlier primary, is acknowledged
+// and changes nothing: the first one counts.
 func TestResultSentAgainIsStoredOnce(t *testing.T) {
 	g := newStoreRig(3, 1, 4, 1000)
 	g.accept(t, "job", 1)
@@ -107,7 +107,7 @@
 	}
 	j := p.jobs["job"]
 	if len(j.results) != 1 || j.readableResults != 1 {
-		t.Fatalf("%d results, %d may be read", len(j.results), j.readableResults)
+		t.Fatalf("%d results, %d are readable", len(j.results), j.readableResults)
 	}
 	if text, err := c.resultText(j.results[0]); err != nil || string(text) != "the first text" {
 		t.Errorf("%q, %v", text, err)
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestReservationSentAgainIsCountedOnce: a reservation that is sent again is granted again and
-// counted once. One that is resolved is not answered any more.
+// TestReservationSentAgainIsCountedOnce: a repeated reservation is granted again and counted once.
+// A resolved one is not answered.
 func TestReservationSentAgainIsCountedOnce(t *testing.T) {
 	g := newStoreRig(3, 1, 0, 1000)
 	g.accept(t, "job", 2)
@@ -153,12 +153,12 @@
 	owner.handleStoreMessage(silent, kindReserveTokens,
 		reservationOf(p.index, p.primary.incarnation, resolved, asked, 1<<30))
 	if got := countedTokens(g) - before; got != asked || len(silent.kinds) != 0 {
-		t.Errorf("one that is resolved: %d tokens, answered with %v", got, silent.kinds)
+		t.Errorf("a resolved reservation: %d tokens, answered with %v", got, silent.kinds)
 	}
 }
 
-// TestUsageSentAgainChangesNothing: a report of usage that comes again, or after a newer one of the
-// same incarnation, changes nothing at the owner of the quota.
+// TestUsageSentAgainChangesNothing: a usage report that is repeated, or arrives after a newer one
+// of the same incarnation, changes nothing at the owner of the quota.
 func TestUsageSentAgainChangesNothing(t *testing.T) {
 	g := newStoreRig(3, 1, 0, 1000)
 	g.accept(t, "job", 2)
@@ -182,13 +182,13 @@
 	}
 	report(version+1, 9)
 	if now := account.usage[p.index]; now.tokens != 9 || now.version != version+1 {
-		t.Errorf("a newer report does not count: %+v", now)
+		t.Errorf("a newer report was ignored: %+v", now)
 	}
 }
 
-// TestGrantOfAnOlderIncarnationEndsNoNewerReservation: an answer to a reservation ends that one
-// alone. The answer to one of an older incarnation of the primary with the same number, and an
-// answer that comes twice, end no other.
+// TestGrantOfAnOlderIncarnationEndsNoNewerReservation: an answer resolves only its own reservation.
+// An answer to the same number in an older incarnation of the primary, and an answer that arrives
+// twice, resolve no other.
 func TestGrantOfAnOlderIncarnationEndsNoNewerReservation(t *testing.T) {
 	for name, code := range map[string]uint8{"granted": codeOK, "full": codeQuotaFull, "unavailable": codeUnavailable} {
 		t.Run(name, func(t *testing.T) {
@@ -225,10 +225,10 @@
 			} {
 				c.handleStoreMessage(&recordingPipe{}, kindReservationReply, body)
 				if r := primary.reservations[number]; r == nil || !r.sent || p.jobs["new"] != nil || answered != 0 {
-					t.Errorf("an answer %s counts", what)
+					t.Errorf("an answer %s was accepted", what)
 				}
 			}
-			for range 2 { // its own, twice
+			for range 2 { // its own answer, twice
 				body := reservationReplyOf(p.index, primary.incarnation, number, codeOK, owner)
 				c.handleStoreMessage(&recordingPipe{}, kindReservationReply, body)
 			}
@@ -240,15 +240,15 @@
 	}
 }
 
-// TestAcknowledgementOfAnOlderTermCountsForNothing: what replicas acknowledge and confirm in an
-// older term counts for nothing in the newer.
+// TestAcknowledgementOfAnOlderTermCountsForNothing: acknowledgements and confirmations of an older
+// term are ignored in the newer term.
 func TestAcknowledgementOfAnOlderTermCountsForNothing(t *testing.T) {
 	g := newStoreRig(3, 1, 0, 1000)
 	g.accept(t, "job", 1)
 	c, p := primaryOfJob(t, g)
 	primary := p.primary
 	if len(primary.progress) == 0 {
-		t.Fatal("it has no other replicas")
+		t.Fatal("the partition has no other replicas")
 	}
 	for _, replica := range primary.progress {
 		acknowledged, confirmedAt := replica.acknowledged, replica.confirmedAt
@@ -256,18 +256,18 @@
 		c.handleStoreMessage(replica.pipe, kindOperationAck, older)
 		c.handleStoreMessage(replica.pipe, kindConfirmed, older)
 		if replica.acknowledged != acknowledged || replica.confirmedAt != confirmedAt || replica.logFull {
-			t.Errorf("it counts: %d, %d before, stamp %d, %d before",
+			t.Errorf("accepted in an older term: acknowledged %d, %d before, stamp %d, %d before",
 				replica.acknowledged, acknowledged, replica.confirmedAt, confirmedAt)
 		}
 		again := append(encodeNumbers(p.index, primary.term, 0), 0) // of this term, and older than the newest
 		c.handleStoreMessage(replica.pipe, kindOperationAck, again)
 		if replica.acknowledged != acknowledged {
-			t.Errorf("an older acknowledgement counts: %d, %d before", replica.acknowledged, acknowledged)
+			t.Errorf("an older acknowledgement was accepted: %d, %d before", replica.acknowledged, acknowledged)
 		}
 	}
 }
 
-// TestOperationSentAgainChangesNothing: operations that come again, out of their order, in another
+// TestOperationSentAgainChangesNothing: operations that are repeated, out of order, in another
 // session or over another link change nothing at a replica.
 func TestOperationSentAgainChangesNothing(t *testing.T) {
 	g := newStoreRig(3, 1, 0, 1000)
@@ -288,7 +288,7 @@
 			c.handleStoreMessage(p.followedPrimary, kindOperation, body)
 		}
 		if p.position.sequence != before || p.jobs["job"].digest() != digest || c.appendedRecords != appended {
-			t.Errorf("an operation that does not follow counts: up to %d, %d before", p.position.sequence, before)
+			t.Errorf("an operation out of order was applied: up to %d, %d before", p.position.sequence, before)
 		}
 		for _, session := range []uint64{p.session - 1, p.session + 1} {
 			body := append(encodeNumbers(p.index, led.primary.term, session, before+1), result...)
@@ -297,10 +297,10 @@
 		next := append(encodeNumbers(p.index, led.primary.term, p.session, before+1), result...)
 		c.handleStoreMessage(&recordingPipe{}, kindOperation, next)
 		if p.position.sequence != before || p.jobs["job"].digest() != digest || c.appendedRecords != appended {
-			t.Errorf("an operation of another session or link counts: up to %d, %d before", p.position.sequence, before)
+			t.Errorf("an operation of another session or link was applied: up to %d, %d before", p.position.sequence, before)
 		}
 	}
 	if replicas == 0 {
-		t.Error("it has no other replicas")
+		t.Error("the partition has no other replicas")
 	}
 }
--- a/internal/batch/invariants.go
+++ b/internal/batch/invariants.go
@@ -8,17 +8,18 @@
 )
 
 var (
-	// commitsAreOnEnoughDisks: what counts as committed is durable at so many replicas that one is
-	// left after the losses to be survived.
+	// commitsAreOnEnoughDisks: an operation that counts as committed is durable on enough replicas
+	// that one remains after the maximum number of losses.
 	commitsAreOnEnoughDisks = invariant.New("commits_are_on_enough_disks")
-	// epochsNeverGoBack: a newer table has no partition in an older epoch.
+	// epochsNeverGoBack: no partition has an older epoch in a newer table.
 	epochsNeverGoBack = invariant.New("part_epochs_never_go_back")
-	// readersSeeDecidedPositions: no result may be read whose place in the list is not decided.
+	// readersSeeDecidedPositions: a result may be read only once its position in the list is
+	// decided.
 	readersSeeDecidedPositions = invariant.New("readable_results_have_positions")
 )
 
-// checkCommit checks what a primary takes for committed against what each replica of a group has
-// acknowledged. It counts them one by one, independently of replicatedUpTo, by which the primary
+// checkCommit checks what a primary considers committed against what each replica of a group has
+// acknowledged. It counts the replicas independently of replicatedUpTo, by which the primary
 // decides.
 func (c *core) checkCommit(p *partition, group []uint64) {
 	primary, durable := p.primary, 0
@@ -31,12 +32,12 @@
 		}
 	}
 	commitsAreOnEnoughDisks.Check(durable > c.maxLostReplicas, func() string {
-		return fmt.Sprintf("part %d, epoch %d: operation %d is on %d disks of %v, %d may be lost",
+		return fmt.Sprintf("partition %d, epoch %d: operation %d is durable on %d replicas of %v, %d may be lost",
 			p.index, p.epoch, primary.committed, durable, group, c.maxLostReplicas)
 	})
 }
 
-// checkEpochs checks a table against the one that it replaces.
+// checkEpochs checks a table against its predecessor.
 func checkEpochs(before, after *snapshot.PartitionTable) {
 	if before == nil {
 		return
@@ -48,15 +49,15 @@
 		}
 	}
 	epochsNeverGoBack.Check(older < 0, func() string {
-		return fmt.Sprintf("table %d has part %d in epoch %d, table %d had %d",
+		return fmt.Sprintf("table %d has partition %d in epoch %d, table %d had %d",
 			after.Version, older, after.Partitions[older].Epoch, before.Version, before.Partitions[older].Epoch)
 	})
 }
 
-// checkReadable is called when one more result may be read.
+// checkReadable is called after each increase of a job's readable results.
 func checkReadable(j *job) {
 	readersSeeDecidedPositions.Check(j.readableResults <= len(j.results), func() string {
-		return fmt.Sprintf("job %s: %d results may be read and %d have positions",
+		return fmt.Sprintf("job %s: %d results are readable, but only %d have positions",
 			j.id, j.readableResults, len(j.results))
 	})
 }
--- a/internal/batch/itemrun.go
+++ b/internal/batch/itemrun.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Delays between the runs of an item.
+// Backoff between the runs of an item.
 const (
 	minRunDelay = 50 * time.Millisecond
 	maxRunDelay = time.Second
 )
 
-// eventText is the text of an item as it grows. Its events are numbered, and a run goes on after
-// the newest event of the run before.
+// eventText accumulates the text of an item from its events. Events are numbered, and a run resumes
+// after the last event of the previous run.
 type eventText struct {
-	text      []byte // the data of the events, a line each
-	lastEvent int64  // number of the newest event; -1: none yet
-	invalid   bool   // an event is missing, or came again
+	text      []byte // the data of the events, one line each
+	lastEvent int64  // number of the last event; -1: none yet
+	invalid   bool   // an event is missing or repeated
 }
 
 func newEventText() *eventText { return &eventText{lastEvent: -1} }
 
-// addEvent adds an event if it is the next one. The first one may have any number.
+// addEvent adds an event if it is the next in sequence. The first one may have any number.
 func (t *eventText) addEvent(id string, data []byte) {
 	if t.invalid {
 		return
@@ -38,7 +38,8 @@
 	t.lastEvent = number
 }
 
-// lastEventID is the header Last-Event-Id of the next run; empty: it begins anew.
+// lastEventID returns the Last-Event-Id header for the next run; empty if that starts from the
+// beginning.
 func (t *eventText) lastEventID() string {
 	if t.lastEvent < 0 {
 		return ""
@@ -46,7 +47,7 @@
 	return strconv.FormatInt(t.lastEvent, 10)
 }
 
-// run runs an item until it has a result or is cancelled. It is a goroutine of its own.
+// run runs an item until it has a result or is cancelled. It runs in its own goroutine.
 func (r *itemRunner) run(running *runningItem) {
 	defer running.cancel()
 	text := newEventText()
@@ -57,7 +58,7 @@
 		if running.item.MayStart() {
 			result = r.runner.Run(running.ctx, running.item, text.lastEventID(), text.addEvent)
 		}
-		if text.invalid { // the text is thrown away, and the item begins anew
+		if text.invalid { // the text is discarded, and the item starts from the beginning
 			text = newEventText()
 			if result.End == RunCompleted {
 				result.End = RunInterrupted
@@ -76,7 +77,7 @@
 				return
 			}
 		case RunInterrupted:
-			if text.lastEvent >= 0 { // it got on
+			if text.lastEvent >= 0 { // the run made progress
 				delay = minRunDelay
 			}
 		}
--- a/internal/batch/itemrunner.go
+++ b/internal/batch/itemrunner.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// Item is an item of a job that a worker is to run.
+// Item is an item of a job for a worker to run.
 type Item struct {
 	Job     string // ID
 	ID      string
@@ -20,78 +20,81 @@
 	Body    []byte
 	Tokens  int64
 	Due     time.Time // when the result is due
-	// MayStart has to be asked right before the item is sent to an endpoint. False: its job may
-	// have ended, or this proxy is out of touch with the store; Run returns RunNotStarted then.
+	// MayStart must be called immediately before the item is sent to an endpoint. If it returns
+	// false, the job may have ended, or this proxy has lost contact with the store; Run returns
+	// RunNotStarted then.
 	MayStart func() bool
 }
 
 // Runner runs items. Run sends the item to an endpoint, with Last-Event-Id if that is not empty,
-// calls event for each event as it comes, and returns how the run ended. When the context ends, Run
-// stops.
+// calls event for each event as it arrives, and returns how the run ended. Run stops when the
+// context is cancelled.
 type Runner interface {
 	Run(ctx context.Context, item *Item, lastEventID string, event func(id string, data []byte)) RunResult
 }
 
-// RunResult is what a run came to.
+// RunResult is the result of a run.
 type RunResult struct {
 	End        RunEnd
-	RetryAfter time.Duration // of RunNotStarted: when to run it again
+	RetryAfter time.Duration // for RunNotStarted: the minimum delay before the next run
 }
 
 // RunEnd is how a run ended.
 type RunEnd uint8
 
-// The ends of runs.
+// The values of RunEnd.
 const (
-	RunCompleted   RunEnd = iota // the whole answer came
-	RunInterrupted               // the answer broke off; the item goes on after the newest event
-	RunFailed                    // the endpoint answered 500
-	RunImpossible                // the endpoint answered 422: the item can never be done
+	RunCompleted   RunEnd = iota // the response is complete
+	RunInterrupted               // the response was interrupted; the item resumes after the last event
+	RunFailed                    // the endpoint responded with 500
+	RunImpossible                // the endpoint responded with 422: the item can never succeed
 	RunNotStarted                // the item was not sent, or was rejected
 )
 
 // itemRunner is the worker of a proxy: it runs the items that stores assign to it. See worker for
-// how a store sees it.
+// the store's side.
 //
 // It may start items of a partition only while the primary of the partition is connected and has
-// noted what runs here. So the end of a job reaches it, or it stops by itself. Results are kept
-// until the primary has stored them, and go to the next primary if it changes.
+// acknowledged the report of what runs here. So it is notified of the end of a job, or else starts
+// nothing. Results are kept until the primary has stored them; if the primary changes, they are
+// sent to the new one.
 //
-// Errors of sending are dropped: they say that the connection has ended, which disconnected is told,
-// and all that is still needed is sent again over the next one.
+// Send errors are ignored: they mean that the connection has closed, for which disconnected is
+// called, and everything still needed is sent again over the next one.
 type itemRunner struct {
-	runner Runner // nil: no items are run
+	runner Runner // nil: this proxy runs no items
 	name   string // of the proxy
 	zone   string
 
 	mu              sync.Mutex
-	maxRunning      int                   // over all stores
-	announcedLimits map[uint64]int        // the limit that each store knows
+	maxRunning      int                   // across all stores
+	announcedLimits map[uint64]int        // the limit last sent to each store
 	conns           map[uint64]*link.Conn // to stores, by identity
 	running         map[itemKey]*runningItem
-	contacts        map[int]*primaryContact // by partition; nil: no item of it is here
+	contacts        map[int]*primaryContact // by partition; absent if no item of it is here
 	table           *snapshot.PartitionTable
 	closed          bool
 }
 
-// primaryContact says over which connection and under which epoch the primary of a partition was
-// told what runs here.
+// primaryContact records the connection and the epoch for which the primary of a partition was sent
+// the report of what runs here.
 type primaryContact struct {
 	conn         *link.Conn
 	epoch        uint64
-	runningNoted bool // the primary has noted it
+	runningNoted bool // the primary has acknowledged the report
 	startsPaused bool // the primary may have been replaced
 }
 
-// runningItem is an item that is assigned to this worker. Its goroutine (run) ends when its context does.
+// runningItem is an item that is assigned to this worker. Its goroutine (run) returns once its
+// context is cancelled.
 type runningItem struct {
 	key         itemKey
 	item        *Item
 	maxAttempts int
-	ctx         context.Context // ends when the item is cancelled or its result is stored
+	ctx         context.Context // cancelled with the item, or once its result is stored
 	cancel      context.CancelFunc
 
-	done      bool // the rest is its result, which the primary has not stored yet
+	done      bool // the fields below hold its result, which the primary has not stored yet
 	abandoned bool
 	text      []byte
 }
@@ -108,7 +111,8 @@
 	}
 }
 
-// close cancels all items. It does not wait for their runs, which end as soon as their Runner sees that.
+// close cancels all items. It does not wait for their runs, which return once their Runner notices
+// the cancellation.
 func (r *itemRunner) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,7 +132,7 @@
 	r.announceLimits()
 }
 
-// updateTable is the event of a newer table.
+// updateTable is called with the newest table.
 func (r *itemRunner) updateTable(t *snapshot.PartitionTable) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +144,7 @@
 	r.reportRunning()
 }
 
-// connected is the event of a new connection to a store.
+// connected is called when a connection to a store has opened.
 func (r *itemRunner) connected(id uint64, conn *link.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,7 +154,7 @@
 	r.reportRunning()
 }
 
-// disconnected is the event that a connection to a store has ended.
+// disconnected is called when a connection to a store has closed.
 func (r *itemRunner) disconnected(id uint64, conn *link.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,8 +168,8 @@
 	}
 }
 
-// limitPerStore is how many items one store may have assigned here: an equal share for each that
-// leads a partition.
+// limitPerStore returns how many items one store may assign here: an equal share for each store
+// that leads a partition.
 func (r *itemRunner) limitPerStore() int {
 	if r.table == nil || r.maxRunning <= 0 || r.runner == nil {
 		return 0
@@ -178,7 +182,7 @@
 	return (r.maxRunning + stores - 1) / stores
 }
 
-// announceLimits tells each store its limit, if it has changed.
+// announceLimits sends each store its limit, if that has changed.
 func (r *itemRunner) announceLimits() {
 	limit := r.limitPerStore()
 	for id, conn := range r.conns {
@@ -190,7 +194,8 @@
 	}
 }
 
-// reportRunning reports to each primary that does not know it what runs here of its partition.
+// reportRunning reports to each primary the items of its partition that run here, if the primary
+// does not know them yet.
 func (r *itemRunner) reportRunning() {
 	if r.table == nil {
 		return
@@ -199,7 +204,7 @@
 		row := &r.table.Partitions[partition]
 		contact := r.contacts[partition]
 		if contact != nil && contact.epoch > row.Epoch {
-			continue // its primary is newer than the table
+			continue // that primary is newer than the table
 		}
 		conn := r.conns[row.Primary]
 		if conn != nil && (contact == nil || contact.conn != conn || contact.epoch < row.Epoch) {
@@ -208,8 +213,8 @@
 	}
 }
 
-// reportRunningOf reports to the primary of a partition under an epoch what runs here of it. Until
-// it has noted that, nothing of the partition is started.
+// reportRunningOf reports the running items of a partition to its primary under an epoch. No item
+// of the partition is started until the primary has acknowledged the report.
 func (r *itemRunner) reportRunningOf(partition int, conn *link.Conn, epoch uint64) {
 	var keys []itemKey
 	for key := range r.running {
@@ -225,7 +230,7 @@
 	_ = conn.Send(kindReportRunning, encodeReportRunning(partition, epoch, keys))
 }
 
-// handleMessage is the event of a message of a store.
+// handleMessage handles a message from a store.
 func (r *itemRunner) handleMessage(m *link.Message) {
 	if m.Kind == kindAssignItem {
 		r.handleAssign(m)
@@ -257,7 +262,8 @@
 	}
 }
 
-// handleRunningNoted is the event that a primary has noted what runs here. Results go to it from now on.
+// handleRunningNoted is called when a primary has acknowledged the report. From now on results are
+// sent to it.
 func (r *itemRunner) handleRunningNoted(conn *link.Conn, partition int, epoch uint64) {
 	contact := r.contacts[partition]
 	if contact == nil || contact.conn != conn || contact.epoch != epoch && epoch != anyEpoch {
@@ -271,10 +277,11 @@
 	}
 }
 
-// handleCancel is the event that a job has ended. It counts only from the primary that knows what runs here.
+// handleCancel handles the end of a job. It is ignored unless it comes from the primary that the
+// report was sent to, or no primary is known for the partition.
 func (r *itemRunner) handleCancel(m *link.Message, partition int, jobID string) {
 	if contact := r.contacts[partition]; contact != nil && contact.conn != m.Conn {
-		return // from a primary that has been replaced
+		return // from a replaced primary
 	}
 	for key, item := range r.running {
 		if key.partition == partition && key.jobID == jobID {
@@ -285,7 +292,7 @@
 	_ = m.Conn.Send(kindJobCancelled, m.Body)
 }
 
-// handleAssign is the event that a store assigns an item.
+// handleAssign handles the assignment of an item by a store.
 func (r *itemRunner) handleAssign(m *link.Message) {
 	message, err := decodeAssignMessage(m.Body)
 	if err != nil {
@@ -298,7 +305,7 @@
 	r.acceptItem(m.Conn, message.epoch, message.item, item, message.maxAttempts)
 }
 
-// acceptItem starts the run of an item that the primary of its partition has assigned, once.
+// acceptItem starts an item that the primary of its partition has assigned, once.
 func (r *itemRunner) acceptItem(conn *link.Conn, epoch uint64, key itemKey, item *Item, maxAttempts int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -311,7 +318,7 @@
 		return
 	}
 	if contact != nil && contact.conn == conn {
-		contact.startsPaused = false // a primary that is not confirmed assigns nothing
+		contact.startsPaused = false // an unconfirmed primary assigns nothing
 	}
 	if known := r.running[key]; known == nil {
 		r.startItem(key, item, maxAttempts)
@@ -334,7 +341,8 @@
 }
 
 // mayStart reports whether an item may be sent to an endpoint: the primary of its partition knows
-// that it runs here, over a connection that is open, so the end of its job would be heard of.
+// that it runs here, and the connection is open, so this worker would be notified of the end of the
+// job.
 func (r *itemRunner) mayStart(running *runningItem) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -361,7 +369,7 @@
 		return
 	}
 	running.done, running.abandoned, running.text = true, abandoned, text
-	running.item.Body = nil // not needed any more
+	running.item.Body = nil // no longer needed
 	if contact := r.contacts[running.key.partition]; contact != nil && contact.runningNoted {
 		sendResult(contact.conn, running)
 	}
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -5,20 +5,22 @@
 // Job is a batch job as a proxy submits it. Its encoding is on the wire and on disk.
 type Job struct {
 	ID         string
-	Route      string // name of the bulk route by which it came
+	Route      string // name of the bulk route by which it was submitted
 	Host       string // of the route
 	PathPrefix string // of the route
-	// SentMs is the time of day, in ms since 1970, at which a proxy accepted the request. It only
-	// orders jobs that became known at the same moment, as the clocks of machines may be stepped.
+	// SentMs is the wall clock time, in ms since 1970, at which a proxy accepted the request. It
+	// only orders jobs that became known at the same moment, as the clocks of machines may be
+	// stepped.
 	SentMs int64
 	// DueMs is how long after the submission its results are due.
 	DueMs int64
-	// MaxAttempts is how often an item may fail at an endpoint (with a 500) before it is abandoned.
+	// MaxAttempts is how many runs of an item may fail at an endpoint (with a 500) before it is
+	// abandoned.
 	MaxAttempts int
-	// MaxWaitMs is the age at which items without a result are abandoned; 0: none.
+	// MaxWaitMs is the age at which items without a result are abandoned; 0: never.
 	MaxWaitMs int64
-	// MaxQueuedTokens is the route's quota: the most tokens of items without a result, over all of
-	// its jobs; 0: no limit.
+	// MaxQueuedTokens is the route's quota: the maximum number of tokens of items without a result,
+	// over all its jobs; 0: no limit.
 	MaxQueuedTokens int64
 	// ConfigVersion is the version of the configuration under which the proxy accepted it.
 	ConfigVersion uint64
@@ -31,11 +33,11 @@
 	Path    string
 	Headers [][2]string // name and value
 	Body    []byte
-	Tokens  int64 // what it counts against the quota of its route
+	Tokens  int64 // that count against the quota of its route
 }
 
 func (j *Job) encode() []byte {
-	const perItem = 200 // bytes of the ID, the path and the headers of most items
+	const perItem = 200 // typical size in bytes of an item's ID, path and headers
 	capacity := perItem
 	for i := range j.Items {
 		capacity += perItem + len(j.Items[i].Body)
@@ -61,7 +63,7 @@
 	return w.Buf
 }
 
-// encodeRequest encodes the request of an item: what a worker sends to an endpoint.
+// encodeRequest encodes the request of an item, which a worker sends to an endpoint.
 func encodeRequest(path string, headers [][2]string, body []byte) []byte {
 	var w link.Writer
 	w.String(path)
--- a/internal/batch/jobstate.go
+++ b/internal/batch/jobstate.go
@@ -6,8 +6,8 @@
 	"dunetide/internal/platform/link"
 )
 
-// job is what a store keeps in memory of a job. The requests of its items and the texts of its
-// results stay on disk.
+// job is a store's in-memory state of a job. The requests of its items and the texts of its results
+// stay on disk.
 type job struct {
 	id         string
 	route      string
@@ -21,26 +21,26 @@
 	configVersion   uint64
 	maxAttempts     int
 
-	// knownSinceMs is when the job was first known to this process, on its steady clock. The job is
-	// at least as old as that.
+	// knownSinceMs is when this process learned about the job, on its monotonic clock. The job is
+	// at least that old.
 	knownSinceMs int64
 
 	offset        int64  // of the encoded job in the log
 	encodedLength int    // bytes
 	logBytes      int64  // of the encoded job and the texts of its results
-	contentDigest uint64 // of the encoded job and its results in their order
+	contentDigest uint64 // of the encoded job and its results, in order
 	items         []item
 	results       []result // in the order in which clients read them
 	ended         bool     // a client ended it
-	dropped       bool     // it is not in the partition any more, or is about to be dropped
+	dropped       bool     // it has been removed from the partition, or a drop is in progress
 
-	// The rest is of the primary alone.
+	// The following fields are used by the primary only.
 
-	committed       bool // it is accepted for good
-	readableResults int  // how many results are committed, and so may be read
+	committed       bool // its acceptance is committed
+	readableResults int  // number of results that are committed and so may be read
 	endCommitted    bool
 	queued          bool // it is in the dispatch queue
-	waitingItems    int  // items that can be assigned to a worker
+	waitingItems    int  // items that may be assigned to a worker
 	firstWaiting    int  // no item before this one is waiting
 	pendingReads    []pendingRead
 }
@@ -56,35 +56,35 @@
 	worker   *worker // to which it is assigned; nil: none
 }
 
-// itemState says what is known of the run of an item.
+// itemState is the state of an item as a store knows it.
 type itemState uint8
 
 const (
 	itemWaiting  itemState = iota // for a worker
 	itemAssigned                  // to a worker
-	itemDone                      // it has a result
+	itemDone                      // the item has a result
 )
 
-// result is where the text of an item lies in the log.
+// result is the location of an item's result text in the log.
 type result struct {
 	itemIndex int32
-	abandoned bool // the item was given up; the text is empty
+	abandoned bool // the text is empty
 	offset    int64
 	length    int
 	checksum  uint32
 }
 
-// castagnoli is the polynomial of all checksums of this package.
+// castagnoli is the table for all checksums of this package.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// mixDigest folds a value into a digest. The order of the values counts.
+// mixDigest folds a value into a digest. The result depends on the order of the values.
 func mixDigest(digest, value uint64) uint64 {
 	digest ^= value + 0x9e3779b97f4a7c15 + digest<<6 + digest>>2
 	digest *= 0xff51afd7ed558ccd
 	return digest ^ digest>>32
 }
 
-// digest is the same at two replicas if they have the same of the job.
+// digest returns a value that is equal at two replicas if they have the same state of the job.
 func (j *job) digest() uint64 {
 	if j.ended {
 		return mixDigest(j.contentDigest, 1)
@@ -92,13 +92,13 @@
 	return j.contentDigest
 }
 
-// isOpen reports whether more results may come.
+// isOpen reports whether more results may be added.
 func (j *job) isOpen() bool { return !j.ended && !j.isComplete() }
 
 // isComplete reports whether each item has a result.
 func (j *job) isComplete() bool { return len(j.results) == len(j.items) }
 
-// openTokens are the tokens of the items without a result.
+// openTokens returns the tokens of the items without a result.
 func (j *job) openTokens() (tokens int64) {
 	for i := range j.items {
 		if j.items[i].state != itemDone {
@@ -108,10 +108,10 @@
 	return tokens
 }
 
-// hasItem reports whether an index is one of an item.
+// hasItem reports whether the job has an item with the given index.
 func (j *job) hasItem(index int) bool { return index >= 0 && index < len(j.items) }
 
-// decodeJob reads an encoded job whose first byte lies at an offset of the log.
+// decodeJob decodes a job whose first byte is at an offset of the log.
 func decodeJob(encoded []byte, offset int64) (*job, error) {
 	r := link.Reader{Buf: encoded}
 	j := &job{
@@ -143,8 +143,8 @@
 	return j, r.Err
 }
 
-// addResult adds the result of an item, whose text lies at an offset of the log. The first result
-// of an item counts.
+// addResult adds the result of an item, whose text is at an offset of the log. Only the first
+// result of an item counts.
 func (j *job) addResult(index int, abandoned bool, text []byte, offset int64) {
 	if !j.hasItem(index) || j.items[index].state == itemDone {
 		return
--- a/internal/batch/linkbreaks_test.go
+++ b/internal/batch/linkbreaks_test.go
@@ -8,19 +8,20 @@
 	"dunetide/internal/platform/link"
 )
 
-// repeatSteps is how many messages lie between those at which a link breaks, in the short test.
-// BATCH_REPEATS=1 breaks at each.
+// repeatSteps is the interval, in messages, between those at which a link breaks in the short test.
+// BATCH_REPEATS=1 breaks a link at each message.
 const repeatSteps = 23
 
 // breakKind is how a link breaks at a message.
 type breakKind int
 
 const (
-	// breakBefore loses the message with its link.
+	// breakBefore closes the link before the message is delivered.
 	breakBefore breakKind = iota
-	// breakAfter loses the link right behind the message, with all that it caused to be sent back.
+	// breakAfter closes the link right after the message, and loses all messages sent in response.
 	breakAfter
-	// breakAndRepeat is breakAfter, and the message comes once more over the next link between the two.
+	// breakAndRepeat is breakAfter, and the message is delivered again over the next link between
+	// the two.
 	breakAndRepeat
 )
 
@@ -30,12 +31,12 @@
 type linkBreaker struct {
 	simulation *simulation
 	kind       breakKind
-	breakAt    int // the message at which it breaks; 0: none
-	seen       int // messages until now
+	breakAt    int // the message at which it breaks; 0: never
+	seen       int // number of messages so far
 	known      map[*simPipe]bool
-	broken     *brokenMessage // nil: not yet, or repeated
+	broken     *brokenMessage // nil: not broken yet, or already repeated
 	repeats    int
-	hit        link.Kind // at which it broke
+	hit        link.Kind // kind of the message at which it broke
 }
 
 // brokenMessage is the message at which a link broke.
@@ -50,7 +51,7 @@
 	return &linkBreaker{simulation: sim, kind: kind, breakAt: at, known: map[*simPipe]bool{}}
 }
 
-// watch intercepts the messages of links that are new.
+// watch intercepts the messages of new links.
 func (b *linkBreaker) watch() {
 	for _, p := range b.simulation.connections {
 		if b.known[p] {
@@ -66,7 +67,7 @@
 }
 
 func (b *linkBreaker) message(deliver simReceiver, side *simPipe, caller Caller, kind link.Kind, body []byte) {
-	if b.simulation.beforeStep == nil { // the scenario is over: the rest checks it
+	if b.simulation.beforeStep == nil { // the scenario is over: only the final checks remain
 		deliver(side, caller, kind, body)
 		return
 	}
@@ -85,7 +86,7 @@
 	}
 }
 
-// repeat delivers the message at which a link broke once more, over the next link between the two.
+// repeat delivers the message at which a link broke again, over the next link between the two.
 func (b *linkBreaker) repeat(side *simPipe, deliver simReceiver) {
 	again := b.broken
 	if again == nil || side.from != again.to || side.to != again.from || !sentAgain(again.kind) {
@@ -97,7 +98,7 @@
 			return
 		}
 		b.repeats++
-		var nobody Caller // the caller has its answer, or waits no more
+		var nobody Caller // the caller has its answer, or no longer waits
 		if again.call {
 			nobody = callerFunc(func([]byte) {})
 		}
@@ -105,11 +106,11 @@
 	})
 }
 
-// sentAgain tells of the kinds that may be sent again or be late. An item that is handed out is
-// not: it would run again.
+// sentAgain reports whether messages of a kind may be repeated or late. The assignment of an item
+// may not: the item would run again.
 func sentAgain(kind link.Kind) bool { return kind != kindAssignItem }
 
-// playBroken plays the scenario with a link that breaks.
+// playBroken plays the scenario with one link that breaks.
 func playBroken(kind breakKind, at int) (*simulation, *linkBreaker) {
 	sim := newSimulation(uint64(at), 3+at%2, 1, 4)
 	b := newLinkBreaker(sim, kind, at)
@@ -118,19 +119,19 @@
 }
 
 // TestLinkBreaksAtEachMessage: the links between stores, and between stores and proxies, break at
-// each message of the scenario: before it, behind it, and so that it comes again over the next
-// link. No guarantee is broken: no job, result, end or grant counts twice.
+// each message of the scenario: before it, after it, and so that it is repeated over the next link.
+// No guarantee is violated: no job, result, end or grant counts twice.
 func TestLinkBreaksAtEachMessage(t *testing.T) {
 	step := repeatSteps
 	if os.Getenv("BATCH_REPEATS") != "" {
 		step = 1
 	}
 	_, counted := playBroken(breakBefore, 0)
-	lives, repeats, hits := 0, 0, map[link.Kind]int{}
+	runs, repeats, hits := 0, 0, map[link.Kind]int{}
 	for at := 1; at <= counted.seen; at += step {
 		for _, kind := range []breakKind{breakBefore, breakAfter, breakAndRepeat} {
 			sim, b := playBroken(kind, at)
-			lives++
+			runs++
 			repeats += b.repeats
 			hits[b.hit]++
 			if !reportViolations(t, sim, fmt.Sprintf("%v message %d, of kind %d", kind, at, b.hit)) {
@@ -141,5 +142,5 @@
 			}
 		}
 	}
-	t.Logf("%d lives of %d messages or so, %d of them with a repeat; by kind: %v", lives, counted.seen, repeats, hits)
+	t.Logf("%d runs of about %d messages, %d of them with a repeat; by kind: %v", runs, counted.seen, repeats, hits)
 }
--- a/internal/batch/malformed_test.go
+++ b/internal/batch/malformed_test.go
@@ -7,10 +7,10 @@
 	"dunetide/internal/platform/link"
 )
 
-// Messages that end early change nothing, and nothing is answered that a whole one would be: what is cut off must not be
-// taken for zero or for an empty list.
+// Truncated messages change nothing, and are not answered as complete ones are: missing fields must
+// not be read as zero or as an empty list.
 
-// storeState is what a message may change at a store.
+// storeState is the state of a store that a message may change.
 type storeState struct {
 	appended uint64
 	promised uint64
@@ -29,7 +29,7 @@
 	}
 }
 
-// followerOf is a rig in which a store follows the primary of a job's partition.
+// followerOf returns a rig in which a store follows the primary of a job's partition.
 func followerOf(t *testing.T) (g *storeRig, primary, follower *core, p *partition) {
 	t.Helper()
 	g = newStoreRig(3, 2, 2, 1000)
@@ -40,23 +40,23 @@
 			return g, primary, c, q
 		}
 	}
-	t.Fatal("nobody follows the primary")
+	t.Fatal("no store follows the primary")
 	return nil, nil, nil, nil
 }
 
 func TestMessagesToAReplicaThatEndEarly(t *testing.T) {
 	_, primary, c, p := followerOf(t)
 	term, next := p.promisedTerm, p.position.sequence+1
-	whole, err := primary.encodeWholeJob(primary.partition(p.index).jobs["job"])
+	jobWithResults, err := primary.encodeJobWithResults(primary.partition(p.index).jobs["job"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	const age = 8 // versions before it end a whole job without its age
+	const age = 8 // length of the age, which older versions do not send
 	operation := func(encoded []byte) []byte { return append(encodeNumbers(p.index, term, p.session, next), encoded...) }
 	for name, m := range map[string]struct {
 		kind link.Kind
 		body []byte
-		from int // the shortest that is whole, if that is not all
+		from int // another valid length, shorter than the body; 0: none
 	}{
 		"prepare":       {kind: kindPrepare, body: encodeNumbers(p.index, term+1, 7)},
 		"fetch":         {kind: kindFetchJob, body: append(encodeNumbers(p.index, term), 0, 0, 0, 3, 'j', 'o', 'b')},
@@ -65,10 +65,10 @@
 		"accept":        {kind: kindOperation, body: operation(encodeAcceptJob(encodedJob("new", 2, 0)))},
 		"end":           {kind: kindOperation, body: operation(encodeJobOperation(opEndJob, "job"))},
 		"drop":          {kind: kindOperation, body: operation(encodeJobOperation(opDropJob, "job"))},
-		"whole job": {
+		"job with results": {
 			kind: kindInstallJob,
-			body: append(encodeNumbers(p.index, term, p.session), whole...),
-			from: len(encodeNumbers(p.index, term, p.session)) + len(whole) - age,
+			body: append(encodeNumbers(p.index, term, p.session), jobWithResults...),
+			from: len(encodeNumbers(p.index, term, p.session)) + len(jobWithResults) - age,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 					continue
 				}
 				pipe := &recordingPipe{}
-				if m.kind != kindPrepare { // which any store may send
+				if m.kind != kindPrepare { // any store may send it
 					pipe, _ = p.followedPrimary.(*recordingPipe)
 					if pipe == nil {
 						pipe = &recordingPipe{}
@@ -105,7 +105,7 @@
 	c, p := primaryOfJob(t, g)
 	term := p.primary.term
 	for _, replica := range p.primary.progress {
-		// With the space that a cut message would be taken to report.
+		// A truncated message must not be read as reporting free space.
 		replica.logFull = true
 		for kind, body := range map[link.Kind][]byte{
 			kindOperationAck: append(encodeNumbers(p.index, term, 1<<40), 0),
@@ -124,7 +124,7 @@
 	}
 }
 
-// A call that ends early is refused: whoever asks again is told nothing that is not known.
+// A truncated call is rejected without any claim about the job.
 func TestCallsThatEndEarly(t *testing.T) {
 	g := newStoreRig(3, 2, 2, 1000)
 	g.accept(t, "job", 2)
@@ -135,10 +135,10 @@
 		kindReadItemBody: encodeReadItemBody("job", "item"),
 		kindEndJob:       encodeEndJob("job"),
 	} {
-		begin := len(encodeEndJob("job")) // from here on the call reaches the job
+		begin := len(encodeEndJob("job")) // from this length on the call identifies the job
 		for length := range len(body) {
 			if kind == kindAcceptJob && length >= begin {
-				break // the job is there already: its ID says all
+				break // the job exists already, so its ID suffices
 			}
 			var codes []uint8
 			c.handleMessage(nil, callerFunc(func(b []byte) { codes = append(codes, b[0]) }), kind, slices.Clone(body[:length]))
@@ -150,9 +150,10 @@
 	}
 }
 
-// FuzzMessages gives stores messages of every kind with any body. Whatever comes, a store goes on, and can replay all that it
-// has appended to its log. Messages of a primary to its replicas are given the term and session that a replica follows, as
-// most others are refused at once; only what comes after these is drawn.
+// FuzzMessages sends stores messages of every kind with arbitrary bodies. A store must keep working
+// and be able to replay its log. Messages of a primary to its replicas begin with the term and
+// session that a replica follows, as most others would be rejected at once; only the rest is
+// fuzzed.
 func FuzzMessages(f *testing.F) {
 	const index, term = 3, 1<<16 + 1
 	for kind, body := range map[link.Kind][]byte{
@@ -185,7 +186,7 @@
 					message = append(encodeNumbers(index, p.promisedTerm, p.session), body...)
 				}
 			}
-			for range 2 { // it may come again
+			for range 2 { // it may be repeated
 				c.handleMessage(pipe, callerFunc(func([]byte) {}), link.Kind(kind), slices.Clone(message))
 			}
 			c.recordsSynced(c.appendedRecords)
--- a/internal/batch/messages.go
+++ b/internal/batch/messages.go
@@ -3,11 +3,12 @@
 import "dunetide/internal/platform/link"
 
 // The kinds of messages between proxies, workers and stores. Their numbers and layouts are on the
-// wire and stay as they are; testdata/golden has an example of each. Fields are written with
-// link.Writer in the order given. "partition" is its index (u32), "term" see firstTerm, times are
+// wire and must not change; testdata/golden has an example of each. Fields are written with
+// link.Writer in the given order. "partition" is its index (u32), "term" see firstTerm, times are
 // in ms.
 const (
-	// Calls of a proxy to the primary of a partition. Each reply but the first one begins with a code.
+	// Calls of a proxy to the primary of a partition. Each reply except that to kindHello begins
+	// with a code.
 
 	kindHello     link.Kind = 100 + iota // (nothing) -> identity of the store
 	kindAcceptJob                        // encoded job -> code
@@ -18,59 +19,62 @@
 
 	// Between a worker, which runs items at a proxy, and a store.
 
-	kindAttachWorker // worker: name, zone, the most items that this store may have assigned to it at a time
-	// worker: partition, epoch, count, (job ID, item index): the items of the partition that it has, for a new primary
+	kindAttachWorker // worker: name, zone, the maximum number of items that this store may have assigned to it
+	// worker: partition, epoch, count, (job ID, item index): its items of the partition, for a new
+	// primary
 	kindReportRunning
-	// store: partition, epoch of the report (0: any): the report is noted, and ends of jobs since then have been sent
+	// store: partition, epoch of the report (0: any): the report is recorded, and ends of jobs
+	// since then have been sent
 	kindRunningNoted
-	// store: partition: it may have been replaced as the primary, so no item of the partition may be started
+	// store: partition: it may have been replaced as the primary, so no item of the partition may
+	// be started
 	kindPauseStarts
 	kindAssignItem   // store: assignMessage
 	kindItemResult   // worker: partition, job ID, item index, abandoned, text
-	kindResultStored // store: partition, job ID, item index: the result is stored, or is not needed any more
+	kindResultStored // store: partition, job ID, item index: the result is stored, or no longer needed
 	kindCancelJob    // store: partition, job ID: the job has ended
 	kindJobCancelled // worker: partition, job ID: none of its items will be started
 	kindReturnItem   // worker: partition, job ID, item index: it will not be run by this worker
 
 	// Between the primary of a partition and its replicas. All begin with partition and term.
 
-	kindPrepare      // session: promise to follow no older term, and report what you have
+	kindPrepare      // session: promise to reject older terms, and report your state
 	kindPromise      // session, logPosition, count, (job ID, digest)
 	kindFetchJob     // job ID: send the job with its results
-	kindJobContents  // job ID, found, whole job (see core.encodeWholeJob)
-	kindInstallJob   // session, whole job: replace what you have of it
+	kindJobContents  // job ID, found, job with results (see core.encodeJobWithResults)
+	kindInstallJob   // session, job with results: replace your state of the job
 	kindJobInstalled // session
-	kindStartTerm    // session, sequence number: you now have all up to that operation
+	kindStartTerm    // session, sequence number: your state now includes all operations up to that one
 	kindOperation    // session, sequence number (0: sent before kindStartTerm), operation
 	kindOperationAck // sequence number, log full: durable up to that operation; whether there is no space for more jobs
-	kindStaleTerm    // (no more fields): the term is the newer one that is known here; the receiver has been replaced
+	kindStaleTerm    // (no more fields): the term is a newer one that is known here; the receiver has been replaced
 	kindConfirm      // stamp: has this term been replaced?
 	kindConfirmed    // stamp, log full: no newer term is known here; whether there is no space for more jobs
 
-	// Between the primary of a partition and the owner of a route's quota: the primary of the
-	// partition that the route hashes to. All begin with route, partition, and the primary's
+	// Between the primary of a partition and the owner of a route's quota, which is the primary of
+	// the partition that the route hashes to. All begin with route, partition, and the primary's
 	// incarnation.
 
-	kindReserveTokens    // number, tokens, the most tokens that may wait
+	kindReserveTokens    // number, tokens, maximum tokens of items without a result
 	kindReservationReply // number, code, the owner's incarnation
-	kindUsageReport      // epoch, version, tokens, the reservation up to which all are resolved
-	kindUsageRequest     // (the incarnation is the owner's): report the usage
+	kindUsageReport      // epoch, version, tokens, the number up to which all reservations are resolved
+	kindUsageRequest     // (the incarnation is the owner's): report your usage
 )
 
-// Handles reports whether a kind of message is one of batch jobs.
+// Handles reports whether a message kind belongs to batch jobs.
 func Handles(k link.Kind) bool { return k >= kindHello && k <= kindUsageRequest }
 
-// Codes of replies. They are on the wire.
+// Reply codes. They are on the wire.
 const (
 	codeOK          uint8 = 1 + iota
 	codeNotFound          // there is no such job or item; confirmed by the replicas
-	codeQuotaFull         // not done: the route's quota of tokens is used up
-	codeUnavailable       // not done, and it will not be
+	codeQuotaFull         // not done: the route's token quota is exhausted
+	codeUnavailable       // not done, and will not be done
 	codeUnknown           // it may have been done
-	codeLogFull           // not done, and it will not be for some time: the log of this store or of a replica is full
+	codeLogFull           // not done, and retrying soon is no use: the log of this store or of a replica is full
 )
 
-// encodeReadResults is kindReadResults.
+// encodeReadResults encodes kindReadResults.
 func encodeReadResults(jobID string, startAfter int, waitMs int64) []byte {
 	w := link.Writer{Buf: make([]byte, 0, 4+len(jobID)+16)}
 	w.String(jobID)
@@ -79,7 +83,7 @@
 	return w.Buf
 }
 
-// encodeReadItemBody is kindReadItemBody.
+// encodeReadItemBody encodes kindReadItemBody.
 func encodeReadItemBody(jobID, itemID string) []byte {
 	w := link.Writer{Buf: make([]byte, 0, 8+len(jobID)+len(itemID))}
 	w.String(jobID)
@@ -87,14 +91,14 @@
 	return w.Buf
 }
 
-// encodeEndJob is kindEndJob.
+// encodeEndJob encodes kindEndJob.
 func encodeEndJob(jobID string) []byte {
 	var w link.Writer
 	w.String(jobID)
 	return w.Buf
 }
 
-// encodeAttachWorker is kindAttachWorker.
+// encodeAttachWorker encodes kindAttachWorker.
 func encodeAttachWorker(name, zone string, limit int) []byte {
 	w := link.Writer{Buf: make([]byte, 0, 16+len(name)+len(zone))}
 	w.String(name)
@@ -103,7 +107,7 @@
 	return w.Buf
 }
 
-// encodeReportRunning is kindReportRunning. The keys are those of items of the partition.
+// encodeReportRunning encodes kindReportRunning. The keys are those of items of the partition.
 func encodeReportRunning(partition int, epoch uint64, keys []itemKey) []byte {
 	w := encodeTermMessage(4, partition, epoch)
 	w.U32(uint32(len(keys)))
@@ -114,7 +118,7 @@
 	return w.Buf
 }
 
-// encodeItemResult is kindItemResult.
+// encodeItemResult encodes kindItemResult.
 func encodeItemResult(key itemKey, abandoned bool, text []byte) []byte {
 	w := link.Writer{Buf: make([]byte, 0, 17+len(key.jobID)+len(text))}
 	w.U32(uint32(key.partition))
@@ -125,10 +129,10 @@
 	return w.Buf
 }
 
-// encodeTermMessage begins a message between a primary and its replicas: a partition, a term and
-// more numbers. The capacity has space for so many more bytes.
-func encodeTermMessage(more, partition int, numbers ...uint64) link.Writer {
-	w := link.Writer{Buf: make([]byte, 0, 4+8*len(numbers)+more)}
+// encodeTermMessage begins a message between a primary and its replicas with a partition, a term
+// and further numbers. It reserves capacity for extraBytes more bytes.
+func encodeTermMessage(extraBytes, partition int, numbers ...uint64) link.Writer {
+	w := link.Writer{Buf: make([]byte, 0, 4+8*len(numbers)+extraBytes)}
 	w.U32(uint32(partition))
 	for _, n := range numbers {
 		w.U64(n)
@@ -136,7 +140,7 @@
 	return w
 }
 
-// encodeJobRef is the message that names a job: kindCancelJob.
+// encodeJobRef encodes kindCancelJob, which identifies a job.
 func encodeJobRef(partition int, jobID string) []byte {
 	w := link.Writer{Buf: make([]byte, 0, 8+len(jobID))}
 	w.U32(uint32(partition))
@@ -144,7 +148,7 @@
 	return w.Buf
 }
 
-// encodeItemRef is the message that names an item: kindResultStored and kindReturnItem.
+// encodeItemRef encodes kindResultStored and kindReturnItem, which identify an item.
 func encodeItemRef(key itemKey) []byte {
 	w := link.Writer{Buf: make([]byte, 0, 12+len(key.jobID))}
 	w.U32(uint32(key.partition))
@@ -153,10 +157,10 @@
 	return w.Buf
 }
 
-// encodeRunningNoted is kindRunningNoted. Epoch 0 answers reports under any epoch.
+// encodeRunningNoted encodes kindRunningNoted. Epoch 0 answers reports under any epoch.
 func encodeRunningNoted(partition int, epoch uint64) []byte {
 	return encodeTermMessage(0, partition, epoch).Buf
 }
 
-// encodeStartsPaused is kindPauseStarts.
+// encodeStartsPaused encodes kindPauseStarts.
 func encodeStartsPaused(partition int) []byte { return encodeTermMessage(0, partition).Buf }
--- a/internal/batch/metrics.go
+++ b/internal/batch/metrics.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/platform/telemetry"
 )
 
-// Gauges of a store. Its core sets them twice a second.
+// Gauges of a store. The core sets them twice a second.
 var gauges = struct{ led, jobs, open, workers, logBytes, full, table *telemetry.Gauge }{
 	led:      telemetry.NewGauge("dunetide_store_parts_led"),
 	jobs:     telemetry.NewGauge("dunetide_store_jobs"),
@@ -31,7 +31,7 @@
 	resultsCommitted   = telemetry.Counter("dunetide_store_items_listed_total")
 )
 
-// setMetrics sets the gauges to the state of this moment.
+// setMetrics sets the gauges to the current state.
 func (c *core) setMetrics() {
 	led, jobs := 0, 0
 	for _, p := range c.partitions {
@@ -51,11 +51,11 @@
 	}
 }
 
-// countedMethods are the methods that calls about batch jobs have. Clients may send any, which are
-// counted as one.
+// countedMethods are the methods that are valid for calls about batch jobs. Clients may send any;
+// the others are counted as one.
 var countedMethods = []string{http.MethodGet, http.MethodPost, http.MethodDelete}
 
-// newCallEvents logs the calls of clients that failed.
+// newCallEvents returns the log of failed client calls.
 func newCallEvents(log hclog.Logger) *telemetry.EventLog {
 	if log == nil {
 		log = hclog.NewNullLogger()
@@ -63,7 +63,7 @@
 	return telemetry.NewEventLog(log)
 }
 
-// recordCall counts a client's call by its status, and logs one that failed.
+// recordCall counts a client call by its status, and logs it if it failed.
 func (p *Proxy) recordCall(call *Call, response Response, startedAt time.Time) {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(call.Path, "/"), "/")
 	if kind != "lots" && kind != "items" {
--- a/internal/batch/mutants_test.go
+++ b/internal/batch/mutants_test.go
@@ -8,9 +8,9 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// Each mutant would break what docs/batch.md guarantees, and the tests have to find it.
+// Each mutant violates a guarantee of docs/batch.md. The tests must detect it.
 
-// replicationMutants are those that replicationTests have to find: tests of whole simulated systems.
+// replicationMutants must be detected by replicationTests, which simulate complete systems.
 var replicationMutants = []mutation.Mutant{
 	{
 		Name: "a replica follows a primary that has been replaced",
@@ -80,8 +80,8 @@
 	},
 }
 
-// membershipMutants are about stores that stop, retire, run full or start again. membershipTests
-// have to find them.
+// membershipMutants concern stores that stop, retire, become full or restart. membershipTests must
+// detect them.
 var membershipMutants = []mutation.Mutant{
 	{
 		Name: "a store that stops does not announce it",
@@ -163,25 +163,25 @@
 	},
 }
 
-var onlyMutants = flag.String("wrong", "1", "which mutants: a part of a name; 1 for all, nothing for none")
+var onlyMutants = flag.String("wrong", "1", "mutants to test: a substring of the name; 1: all; empty: none")
 
-// The tests that have to find the mutants of the two lists.
+// The tests that must detect the mutants of the two lists.
 const (
 	replicationTests = "TestPromisesHoldWithAFaultAtEachStep|TestUncommittedJob"
 	membershipTests  = "TestDrain|TestStopping|TestRetirement|TestTwoStoresRetire|TestStoreThatLosesItsDisk|TestSegments|" +
 		"TestDamagedSegments|TestStoreDoesNotStart|TestFull|TestJobIsRefusedWhile|TestClientsOfFull|TestPositionsAndPromises"
 )
 
-// TestMutantsStand fails when the text of a mutant does not stand once in the file that it names.
+// TestMutantsStand fails unless the text of each mutant occurs exactly once in its file.
 func TestMutantsStand(t *testing.T) {
 	mutation.CheckPresent(t, replicationMutants)
 	mutation.CheckPresent(t, membershipMutants)
 }
 
-// TestMutantsAreFound puts each mutant into the sources and expects its tests to fail.
+// TestMutantsAreFound applies each mutant to the sources and expects its tests to fail.
 func TestMutantsAreFound(t *testing.T) {
 	if testing.Short() || *onlyMutants == "" {
-		t.Skip("not asked for")
+		t.Skip("skipped in short mode and without -wrong")
 	}
 	find := func(mutants []mutation.Mutant, tests string) {
 		mutation.Find(t, mutants, mutation.Options{
--- a/internal/batch/operations.go
+++ b/internal/batch/operations.go
@@ -2,11 +2,11 @@
 
 import "dunetide/internal/platform/link"
 
-// Operations on the jobs of a partition, which its primary orders. The first byte of an operation
-// is one of these. They are on the wire and on disk.
+// Operations on the jobs of a partition, which its primary orders. Each begins with one of these
+// bytes. They are on the wire and on disk.
 const (
 	opAcceptJob uint8 = 1 + iota // encoded job
-	opAddResult                  // job ID, item index, abandoned, text up to the end
+	opAddResult                  // job ID, item index, abandoned, text (the remaining bytes)
 	opEndJob                     // job ID
 	opDropJob                    // job ID
 )
@@ -23,7 +23,7 @@
 	return w.Buf
 }
 
-// encodeJobOperation encodes an operation that has nothing but the job's ID.
+// encodeJobOperation encodes an operation that consists only of the job's ID.
 func encodeJobOperation(operation uint8, jobID string) []byte {
 	var w link.Writer
 	w.U8(operation)
@@ -31,15 +31,15 @@
 	return w.Buf
 }
 
-// jobOfOperation is the ID of the job that an operation is about. An encoded job begins with its ID too.
+// jobOfOperation returns the ID of an operation's job. An encoded job begins with its ID too.
 func jobOfOperation(operation []byte) string {
 	r := link.Reader{Buf: operation}
 	r.U8()
 	return r.String()
 }
 
-// validateOperation reports whether an operation that another store has sent can be read. What can't be read must not get
-// into the log, which could not be replayed with it.
+// validateOperation checks that an operation from another store can be decoded. An invalid one must
+// not be appended to the log, as the log could not be replayed then.
 func validateOperation(operation []byte) error {
 	r := link.Reader{Buf: operation}
 	switch r.U8() {
@@ -54,7 +54,7 @@
 	return r.Err
 }
 
-// applyOperation applies an operation whose first byte lies at an offset of the log.
+// applyOperation applies an operation whose first byte is at an offset of the log.
 func (c *core) applyOperation(p *partition, operation []byte, offset int64) error {
 	r := link.Reader{Buf: operation}
 	switch r.U8() {
@@ -91,8 +91,8 @@
 	}
 }
 
-// putJob adds a job that is at least so many ms old, or replaces what was known of it. A job that
-// is replaced gets no younger.
+// putJob adds a job that is at least ageMs old, or replaces what is known of it. The age of a
+// replaced job does not decrease.
 func (c *core) putJob(p *partition, j *job, ageMs int64) {
 	j.knownSinceMs = c.nowMs - ageMs
 	if known := p.jobs[j.id]; known != nil {
--- a/internal/batch/placement.go
+++ b/internal/batch/placement.go
@@ -8,14 +8,14 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// AssignPartitions places the replicas and primaries of partitions: what it returns is the next
-// table, or false if the present one is good. Alive are the stores that are heard of. Lost reports
-// that a store has been away for so long that others should take its place. F is how many replicas
-// of a partition may be lost at once; a partition has f+2 replicas, or as many as there are stores.
-// Each change of a partition has a new epoch.
+// AssignPartitions places the replicas and primaries of partitions. It returns the next table, or
+// false if the current one needs no change. Alive are the stores that currently send heartbeats.
+// Lost reports that a store has been silent for so long that it should be replaced. F is how many
+// replicas of a partition may be lost at once; a partition has f+2 replicas, or as many as there
+// are stores. Each change of a partition increases its epoch.
 //
-// The first table needs f+1 stores and should have all, so the caller asks for it when all that
-// start together have been heard of.
+// The first table needs f+1 stores and should include all, so the caller should wait until all
+// stores that start together are alive.
 func AssignPartitions(
 	current *snapshot.PartitionTable, alive []snapshot.Store, lost func(id uint64) bool, partitions, f int,
 ) (*snapshot.PartitionTable, bool) {
@@ -23,7 +23,7 @@
 		current = &snapshot.PartitionTable{}
 	}
 	a := newAssigner(current, alive, lost, f)
-	changed := a.noteStores(current, alive)
+	changed := a.addStores(current, alive)
 	if len(a.next.Partitions) == 0 {
 		if a.usableStores() < f+1 {
 			return current, false
@@ -38,20 +38,20 @@
 	if !changed {
 		changed = a.balancePrimaries()
 	}
-	changed = a.forgetStores() || changed
+	changed = a.removeUnusedStores() || changed
 	if !changed {
 		return current, false
 	}
 	return a.next, true
 }
 
-// assigner works out the next table.
+// assigner computes the next table.
 type assigner struct {
 	maxLost       int // f
 	alive         map[uint64]snapshot.Store
 	lost          func(uint64) bool
 	next          *snapshot.PartitionTable
-	replicaCounts map[uint64]int // of how many partitions a store is a replica, or is to be one
+	replicaCounts map[uint64]int // number of partitions for which a store is, or will be, a replica
 	primaryCounts map[uint64]int
 }
 
@@ -69,16 +69,16 @@
 		byName[store.Name] = store.ID
 	}
 	a.lost = func(id uint64) bool {
-		if now, ok := byName[current.Stores[id].Name]; ok && now != id && a.alive[id].ID != id {
-			return true // its disk was emptied
+		if currentID, ok := byName[current.Stores[id].Name]; ok && currentID != id && a.alive[id].ID != id {
+			return true // its disk was replaced or emptied
 		}
 		return lost(id)
 	}
 	return a
 }
 
-// noteStores adds the stores that are heard of to the table.
-func (a *assigner) noteStores(current *snapshot.PartitionTable, alive []snapshot.Store) (changed bool) {
+// addStores adds the stores that are alive to the table.
+func (a *assigner) addStores(current *snapshot.PartitionTable, alive []snapshot.Store) (changed bool) {
 	for _, store := range alive {
 		if current.Stores[store.ID] == store {
 			continue
@@ -92,8 +92,8 @@
 	return changed
 }
 
-// forgetStores removes the stores from the table that are lost and have no replica.
-func (a *assigner) forgetStores() (changed bool) {
+// removeUnusedStores removes the stores that are lost and have no replica from the table.
+func (a *assigner) removeUnusedStores() (changed bool) {
 	used := map[uint64]bool{}
 	for i := range a.next.Partitions {
 		row := &a.next.Partitions[i]
@@ -120,7 +120,7 @@
 	return ok && !a.lost(id) && !a.next.Retiring[id]
 }
 
-// usableStores is how many stores may get new replicas.
+// usableStores returns how many stores may get new replicas.
 func (a *assigner) usableStores() (count int) {
 	for id := range a.alive {
 		if a.usable(id) {
@@ -130,13 +130,13 @@
 	return count
 }
 
-// available reports whether a replica is there.
+// available reports whether a replica is alive.
 func (a *assigner) available(id uint64) bool {
 	_, ok := a.alive[id]
 	return ok && !a.lost(id)
 }
 
-// availableReplicas is how many replicas of a partition are there.
+// availableReplicas returns how many replicas of a partition are alive.
 func (a *assigner) availableReplicas(row *snapshot.Partition) (count int) {
 	for _, id := range row.Replicas {
 		if a.available(id) {
@@ -146,7 +146,8 @@
 	return count
 }
 
-// mustLeave reports whether a replica should leave its groups. One that is only silent for a moment should not.
+// mustLeave reports whether a replica should leave its groups. A replica that is only briefly
+// silent should not.
 func (a *assigner) mustLeave(id uint64) bool { return a.lost(id) || a.next.Retiring[id] }
 
 // placeAll places all partitions for the first time.
@@ -168,7 +169,8 @@
 	}
 }
 
-// countReplicas counts of how many partitions each store is the primary and a replica, or is to be one.
+// countReplicas counts for how many partitions each store is the primary, and for how many it is or
+// will be a replica.
 func (a *assigner) countReplicas() {
 	for i := range a.next.Partitions {
 		row := &a.next.Partitions[i]
@@ -199,8 +201,8 @@
 	return true
 }
 
-// movePrimary moves the lead of a partition to a replica that should rather lead, if enough
-// replicas are there for it to take over.
+// movePrimary moves the lead of a partition to a more suitable replica, if enough replicas are
+// alive for a takeover.
 func (a *assigner) movePrimary(row *snapshot.Partition) {
 	if a.reluctance(row.Primary) == reluctanceNone || a.availableReplicas(row) < max(len(row.Replicas)-a.maxLost, 1) {
 		return
@@ -212,7 +214,8 @@
 	}
 }
 
-// chooseJoining are the stores that are to join a group of which so many replicas stay.
+// chooseJoining returns the stores that are to join a group in which the given number of replicas
+// stay.
 func (a *assigner) chooseJoining(row *snapshot.Partition, staying int) []uint64 {
 	joining := slices.DeleteFunc(slices.Clone(row.Joining), func(id uint64) bool {
 		return !a.usable(id) && a.mustLeave(id)
@@ -235,9 +238,9 @@
 	return joining
 }
 
-// chooseLeaving are those of the replicas that must leave which may leave with the ones that join.
-// Those that retire leave first, and without another one in their place as long as f+1 are left.
-// Those that are lost leave only if there is another one: they may come back.
+// chooseLeaving returns which of the replicas that must leave may do so, given the ones that join.
+// Retiring replicas leave first, and without a replacement as long as f+1 are left. Lost replicas
+// leave only if they are replaced, as they may come back.
 func (a *assigner) chooseLeaving(row *snapshot.Partition, mustLeave []uint64) (leaving []uint64) {
 	retiringFirst := func(id uint64) int {
 		if a.next.Retiring[id] {
@@ -261,8 +264,8 @@
 	return leaving
 }
 
-// pickStore is the usable store with the fewest replicas, in a zone with none of the others if
-// there is one; 0: none.
+// pickStore returns the usable store with the fewest replicas, preferring zones that have none of
+// the others; 0 if there is none.
 func (a *assigner) pickStore(others []uint64) (best uint64) {
 	inZone := map[string]int{}
 	for _, id := range others {
@@ -282,7 +285,7 @@
 	return best
 }
 
-// How reluctantly a replica is made the primary. A lost one never is.
+// Reluctance to make a replica the primary. A lost one never becomes the primary.
 const (
 	reluctanceNone = iota
 	reluctanceRetiring
@@ -302,8 +305,8 @@
 	return reluctanceNone
 }
 
-// pickPrimary is the replica that should rather lead than the others, and of those the one that
-// leads the fewest partitions; 0: none is there.
+// pickPrimary returns the most suitable replica for the primary, and among equals the one that
+// leads the fewest partitions; 0 if none is alive.
 func (a *assigner) pickPrimary(row *snapshot.Partition) (best uint64) {
 	for reluctance := range reluctanceLost {
 		for _, id := range row.Replicas {
@@ -322,7 +325,7 @@
 }
 
 // balancePrimaries moves the lead of one partition to a store that leads at least two fewer, while
-// all replicas are there and no group changes.
+// all replicas are alive and no group changes.
 func (a *assigner) balancePrimaries() (changed bool) {
 	for i := range a.next.Partitions {
 		row := &a.next.Partitions[i]
--- a/internal/batch/placement_test.go
+++ b/internal/batch/placement_test.go
@@ -8,7 +8,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// someStores are n stores in three zones.
+// someStores returns n stores in three zones.
 func someStores(n int) (all []snapshot.Store) {
 	for i := range n {
 		all = append(all, snapshot.Store{
@@ -29,7 +29,7 @@
 			next, ok := AssignPartitions(nil, someStores(n), none, 16, f)
 			if n < f+1 {
 				if ok {
-					t.Fatalf("f %d, %d stores: a table", f, n)
+					t.Fatalf("f %d, %d stores: a table was created", f, n)
 				}
 				continue
 			}
@@ -44,24 +44,24 @@
 					held[id]++
 				}
 				if len(zones) != min(f+2, n, 3) {
-					t.Fatalf("f %d, %d stores: partition %d lies in %d zones", f, n, no, len(zones))
+					t.Fatalf("f %d, %d stores: partition %d is in %d zones", f, n, no, len(zones))
 				}
 				lead[row.Primary]++
 			}
 			for id := uint64(1); id <= uint64(n); id++ {
 				if most := (16+n-1)/n + 2; lead[id] > most {
-					t.Errorf("f %d, %d stores: %d leads %d parts of 16", f, n, id, lead[id])
+					t.Errorf("f %d, %d stores: %d leads %d partitions of 16", f, n, id, lead[id])
 				}
 			}
 			if again, changed := AssignPartitions(next, someStores(n), none, 16, f); changed && again.Version > next.Version+1 {
-				t.Errorf("f %d, %d stores: changes in a calm time", f, n)
+				t.Errorf("f %d, %d stores: the table changes without a cause", f, n)
 			}
 		}
 	}
 }
 
-// TestAssignmentsBecomeStable: whatever is lost, the tables that follow become stable, and no step
-// removes more replicas from a group than is safe.
+// TestAssignmentsBecomeStable: whatever store is lost, the subsequent tables become stable, and no
+// step removes more replicas from a group than is safe.
 func TestAssignmentsBecomeStable(t *testing.T) {
 	for _, f := range []int{1, 2} {
 		for n := f + 2; n <= 7; n++ {
@@ -74,10 +74,10 @@
 				end := assignUntilStable(t, cur, rest, lost, f)
 				for no, row := range end.Partitions {
 					if lost(row.Primary) {
-						t.Fatalf("f %d, %d stores: partition %d is led by the lost one", f, n, no)
+						t.Fatalf("f %d, %d stores: partition %d is led by the lost store", f, n, no)
 					}
 					if n > f+2 && slices.ContainsFunc(row.Replicas, lost) {
-						t.Fatalf("f %d, %d stores: partition %d still counts on the lost one: %v", f, n, no, row)
+						t.Fatalf("f %d, %d stores: partition %d still has the lost store as a replica: %v", f, n, no, row)
 					}
 				}
 				// The same machine comes back with an empty disk.
@@ -90,10 +90,10 @@
 				end = assignUntilStable(t, end, back, lost, f)
 				for no, row := range end.Partitions {
 					if len(row.Replicas) != f+2 || slices.ContainsFunc(row.Replicas, lost) {
-						t.Fatalf("f %d, %d stores: partition %d after the return: %v", f, n, no, row)
+						t.Fatalf("f %d, %d stores: partition %d after the machine's return: %v", f, n, no, row)
 					}
 				}
-				// Another retires.
+				// Another store retires.
 				name := all[(away+1)%n].Name
 				next, known, few := RetireStore(end, name, back, lost, f)
 				if !known || few != (n-1 < f+1) {
@@ -111,7 +111,8 @@
 	}
 }
 
-// assignUntilStable assigns and switches until nothing changes any more, and checks each step.
+// assignUntilStable assigns partitions and switches replicas until nothing changes, and checks each
+// step.
 func assignUntilStable(
 	t *testing.T, cur *snapshot.PartitionTable, alive []snapshot.Store, lost func(uint64) bool, f int,
 ) *snapshot.PartitionTable {
@@ -133,7 +134,7 @@
 		for no := range next.Partitions {
 			a, b := &cur.Partitions[no], &next.Partitions[no]
 			if !slices.Equal(a.Replicas, b.Replicas) {
-				t.Fatalf("Assign took a copy away: %v, %v", a, b)
+				t.Fatalf("AssignPartitions removed a replica: %v, %v", a, b)
 			}
 			if slices.Contains(b.Leaving, b.Primary) {
 				t.Fatalf("the primary leaves: %v", b)
@@ -147,6 +148,6 @@
 		}
 		cur = next
 	}
-	t.Fatalf("no rest: %v", cur.Partitions)
+	t.Fatalf("the table does not become stable: %v", cur.Partitions)
 	return nil
 }
--- a/internal/batch/primary.go
+++ b/internal/batch/primary.go
@@ -6,83 +6,83 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// primaryState is what the primary of a partition has besides the partition.
+// primaryState is the additional state of a partition at its primary.
 type primaryState struct {
 	term        uint64
-	incarnation uint64 // the first term of this lead; it stays through epochs that leave the primary in place
+	incarnation uint64 // the first term of this lead; it does not change in epochs that keep the primary
 	stage       takeoverStage
-	serving     bool // the takeover is done: clients and workers are served
+	serving     bool // the takeover is complete: clients and workers are served
 
-	replicas          []uint64 // the group by the table, this store included
-	nextReplicas      []uint64 // the group after the change that is under way; nil: none is
+	replicas          []uint64 // the group according to the table, including this store
+	nextReplicas      []uint64 // the group after the change in progress; nil: no change
 	nextGroupReady    bool     // the next group is up to date, so operations are committed by both groups
 	nextGroupReported bool
-	progress          map[uint64]*replicaProgress // of the other replicas that are connected, by identity
+	progress          map[uint64]*replicaProgress // of the other connected replicas, by identity
 	stateSource       uint64                      // the replica whose state is taken over
-	awaitedJobs       map[string]bool             // jobs that are still to come from it
+	awaitedJobs       map[string]bool             // jobs that have not yet arrived from it
 
 	lastSequence   uint64          // of the newest operation
 	startSequence  int64           // the operation up to which the state was taken over
-	selfSynced     int64           // durable on the own disk in this term; -1: not the start of the term yet
+	selfSynced     int64           // the operation up to which all are durable on the own disk; -1: not even the start of this term
 	committed      int64           // the operation up to which all are committed; -1: none yet
-	pendingCommits []pendingCommit // the oldest first
+	pendingCommits []pendingCommit // oldest first
 
-	confirmedAt             int64         // a moment at which this store had not been replaced, for sure
+	confirmedAt             int64         // a time at which this store was certainly not replaced
 	confirmationRequestedAt int64         // stamp of the newest request
 	superseded              bool          // a replica knows a newer term
-	startsPaused            bool          // workers have been told to start nothing
-	pendingReads            []pendingRead // that wait for a confirmation
-	dispatchFrom            int64         // when items are assigned first
+	startsPaused            bool          // workers were notified not to start items
+	pendingReads            []pendingRead // waiting for a confirmation
+	dispatchFrom            int64         // when the first items may be assigned
 
 	usage           map[string]*routeUsage   // by route
-	usageVersion    uint64                   // of the newest report of usage
+	usageVersion    uint64                   // of the newest usage report
 	reservations    map[uint64]*reservation  // by their numbers
 	lastReservation uint64                   // number
 	accounts        map[string]*quotaAccount // of the routes whose quota this primary owns
 	incomingJobs    map[string]*incomingJob  // jobs that wait for their tokens, by ID
 }
 
-// takeoverStage says how far a new primary is. The stages are passed in this order; stageFetching
-// falls back to stageCollecting when the replica that is fetched from is lost.
+// takeoverStage is the progress of a new primary. The stages follow in this order; stageFetching
+// falls back to stageCollecting when the replica that jobs are fetched from disconnects.
 type takeoverStage uint8
 
 const (
-	stagePromising   takeoverStage = iota // the own promise is not durable yet
-	stageCollecting                       // the promises of replicas are awaited
-	stageFetching                         // jobs that another replica has are awaited
+	stagePromising   takeoverStage = iota // waiting until the own promise is durable
+	stageCollecting                       // waiting for the promises of replicas
+	stageFetching                         // waiting for jobs from another replica
 	stageReplicating                      // operations are ordered and replicated
 )
 
-// replicaProgress is what a primary knows of another replica (as Progress in etcd's raft).
+// replicaProgress is a primary's state of another replica (as Progress in etcd's raft).
 type replicaProgress struct {
 	pipe              Pipe
-	session           uint64            // tells the messages under one connection and term from all others
+	session           uint64            // distinguishes messages of this connection and term from all others
 	digests           map[string]uint64 // of the jobs that it reported; nil: it has not reported yet
-	position          logPosition       // that it reported
-	outdatedJobs      map[string]bool   // jobs that have to be sent whole; nil: not known yet
-	transfersInFlight int               // jobs that were sent and not acknowledged
-	upToDate          bool              // it has been sent all, so operations may count on it
+	position          logPosition       // as it reported
+	outdatedJobs      map[string]bool   // jobs that have to be sent with their results; nil: not known yet
+	transfersInFlight int               // jobs that were sent and are not acknowledged
+	upToDate          bool              // it has been sent everything, so its acknowledgements count
 	acknowledged      int64             // the operation up to which all are durable there; -1: none
 	confirmedAt       int64             // stamp of its newest confirmation
 	logFull           bool              // it has no space for more jobs
 }
 
-// pendingCommit is called when an operation is committed, or, with false, when this store is not
-// the primary any more and can't know.
+// pendingCommit is a callback for when an operation is committed. It is called with false when this
+// store is no longer the primary and the outcome is unknown.
 type pendingCommit struct {
 	sequence int64
 	done     func(ok bool)
 }
 
-// becomePrimary begins a term. A primary of the epoch before, in the same process, continues
-// without a takeover: nobody else can have ordered anything.
+// becomePrimary begins a term. A primary of the previous epoch, in the same process, continues
+// without a takeover, as no other store can have ordered anything.
 func (c *core) becomePrimary(p *partition, row *snapshot.Partition, continues bool) {
 	if !continues {
 		c.stepDown(p)
 	}
 	term := max(p.promisedTerm, firstTerm(row.Epoch)) + 1
 	if epochOfTerm(term) != row.Epoch {
-		return // something newer is known already
+		return // a newer epoch is known already
 	}
 	if p.primary == nil {
 		termsStarted.Inc()
@@ -92,7 +92,7 @@
 	p.followedPrimary, p.session = nil, 0
 	primary.beginTerm(term, row)
 	if continues {
-		primary.confirmedAt = c.nowMs - confirmationMs - 1 // not confirmed, but workers have their grace
+		primary.confirmedAt = c.nowMs - confirmationMs - 1 // unconfirmed, but within workerGraceMs for workers
 	}
 	c.appendRecord(encodeRecord(recordPromise, p.index, term))
 	if continues {
@@ -123,7 +123,7 @@
 	}
 }
 
-// beginTerm forgets what was known of the replicas in the term before.
+// beginTerm resets what is known of the replicas from the previous term.
 func (s *primaryState) beginTerm(term uint64, row *snapshot.Partition) {
 	s.term = term
 	s.stage = stagePromising
@@ -142,7 +142,7 @@
 	s.superseded = false
 }
 
-// allReplicas are the replicas of the group and of the next one.
+// allReplicas returns the replicas of the group and of the next one.
 func (s *primaryState) allReplicas() []uint64 {
 	ids := slices.Clone(s.replicas)
 	for _, id := range s.nextReplicas {
@@ -166,7 +166,7 @@
 func (c *core) startServing(p *partition) {
 	primary := p.primary
 	primary.serving = true
-	c.log("part %d: leads under %x with %d jobs", p.index, primary.term, len(p.jobs))
+	c.log("partition %d: primary in term %x with %d jobs", p.index, primary.term, len(p.jobs))
 	primary.dispatchFrom = c.nowMs + dispatchDelayMs
 	for _, id := range sortedKeys(p.jobs) {
 		j := p.jobs[id]
@@ -184,8 +184,8 @@
 	c.adoptAllRunning(p)
 }
 
-// stepDown ends the lead of a partition, if this store has it. Whether operations that are not
-// committed yet count is open then, and their callers are told so.
+// stepDown ends the lead of a partition, if this store has it. The outcome of uncommitted
+// operations is then unknown, and their callbacks are called with false.
 func (c *core) stepDown(p *partition) {
 	primary := p.primary
 	if primary == nil {
@@ -205,7 +205,7 @@
 	for _, id := range sortedKeys(p.jobs) {
 		j := p.jobs[id]
 		rejectReads(j.pendingReads)
-		j.forgetPrimaryState()
+		j.resetPrimaryState()
 	}
 	for _, w := range c.attachedWorkers {
 		for key := range w.assigned {
@@ -218,8 +218,8 @@
 	c.rejectPendingEnds(p)
 }
 
-// forgetPrimaryState forgets what only the primary of the job's partition knows.
-func (j *job) forgetPrimaryState() {
+// resetPrimaryState clears the state of a job that only the primary of its partition has.
+func (j *job) resetPrimaryState() {
 	j.pendingReads = nil
 	j.committed = false
 	j.readableResults = 0
@@ -235,7 +235,7 @@
 	}
 }
 
-// peerConnected is the event of a new connection to another store.
+// peerConnected is called when a connection to another store has opened.
 func (c *core) peerConnected(id uint64, pipe Pipe) {
 	c.peers[id] = pipe
 	for _, p := range c.partitions {
@@ -253,7 +253,7 @@
 	}
 }
 
-// peerDisconnected is the event that such a connection has ended.
+// peerDisconnected is called when a connection to another store has closed.
 func (c *core) peerDisconnected(id uint64, pipe Pipe) {
 	if c.peers[id] != pipe {
 		return
--- a/internal/batch/proxy.go
+++ b/internal/batch/proxy.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// refreshInterval is how often the newest snapshot is looked at, besides at each Refresh.
+	// refreshInterval is how often the newest snapshot is checked, in addition to calls of Refresh.
 	refreshInterval = 200 * time.Millisecond
-	// callRetryDelay is how long after a call was not answered the primary is called again.
+	// callRetryDelay is the delay before an unanswered call to the primary is retried.
 	callRetryDelay = 40 * time.Millisecond
 )
 
 // ProxyOptions configure a Proxy.
 type ProxyOptions struct {
-	Snapshots *snapshot.Latest // what the proxy knows of the system
+	Snapshots *snapshot.Latest // the proxy's view of the cluster
 	Name      string           // of the proxy
 	Zone      string
-	Runner    Runner       // runs items; nil: this proxy runs none
-	Log       hclog.Logger // of calls that failed; nil: none
+	Runner    Runner       // nil: this proxy runs no items
+	Log       hclog.Logger // for failed calls; nil: no log
 }
 
-// Proxy is the proxy's side of batch jobs: it passes the calls of clients on to the primaries of
-// their jobs, and has the worker that runs items. It is safe for concurrent use.
+// Proxy is the proxy's side of batch jobs: it forwards client calls to the primaries of their jobs,
+// and has the worker that runs items. It is safe for concurrent use.
 type Proxy struct {
 	options    ProxyOptions
 	stores     *storeConnections
 	items      *itemRunner
-	callEvents *telemetry.EventLog // calls that failed
+	callEvents *telemetry.EventLog // failed calls
 
 	stop      chan struct{}
 	closeOnce sync.Once
 	watching  sync.WaitGroup
 
 	mu    sync.Mutex
-	table *snapshot.PartitionTable // the one whose stores are connected
+	table *snapshot.PartitionTable // the table whose stores are connected
 }
 
-// NewProxy begins to connect to the stores. Close ends it.
+// NewProxy starts a Proxy, which connects to the stores. Close stops it.
 func NewProxy(options ProxyOptions) *Proxy {
 	p := &Proxy{
 		options:    options,
@@ -61,7 +61,7 @@
 	return p
 }
 
-// Close ends the connections, and cancels the items that run.
+// Close closes the connections, and cancels the running items.
 func (p *Proxy) Close() {
 	p.closeOnce.Do(func() {
 		close(p.stop)
@@ -71,10 +71,10 @@
 	})
 }
 
-// SetMaxRunning says how many items this proxy wants to run at a time, for all stores together.
+// SetMaxRunning sets how many items this proxy runs at a time, for all stores together.
 func (p *Proxy) SetMaxRunning(items int) { p.items.setMaxRunning(items) }
 
-// Refresh looks at the newest snapshot. That is also done a few times a second.
+// Refresh checks for a newer snapshot. That is also done a few times a second.
 func (p *Proxy) Refresh() {
 	table := p.currentTable()
 	if table == nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// currentTable is the newest table; nil: none is known.
+// currentTable returns the newest table; nil if none is known.
 func (p *Proxy) currentTable() *snapshot.PartitionTable {
 	if v := p.options.Snapshots.Get(); v != nil {
 		return v.Table
@@ -111,7 +111,8 @@
 	return nil
 }
 
-// primary is the connection to the primary of a job's partition; nil if there is none now.
+// primary returns the connection to the primary of a job's partition; nil if there is none at the
+// moment.
 func (p *Proxy) primary(jobID string) *link.Conn {
 	table := p.currentTable()
 	partition := table.PartitionOf(jobID)
@@ -121,8 +122,9 @@
 	return p.stores.get(table.Partitions[partition].Primary)
 }
 
-// call calls the primary of a job's partition until one answers or the context ends; the reply is
-// nil then. MayBeDone reports that a primary may have done it although its answer is not known.
+// call calls the primary of a job's partition, with retries, until one answers or the context is
+// cancelled; the reply is nil then. MayBeDone reports that a primary may have executed the call
+// although its answer is not known.
 func (p *Proxy) call(ctx context.Context, jobID string, kind link.Kind, body []byte) (reply []byte, mayBeDone bool) {
 	for {
 		if conn := p.primary(jobID); conn != nil {
@@ -142,7 +144,7 @@
 	}
 }
 
-// codeOf is the code that a reply begins with; 0 if it is empty.
+// codeOf returns the code that a reply begins with; 0 if it is empty.
 func codeOf(reply []byte) uint8 {
 	if len(reply) == 0 {
 		return 0
@@ -150,19 +152,19 @@
 	return reply[0]
 }
 
-// SubmitOutcome is what the submission of a job came to.
+// SubmitOutcome is the result of submitting a job.
 type SubmitOutcome uint8
 
-// The outcomes of submissions.
+// The values of SubmitOutcome.
 const (
-	Accepted    SubmitOutcome = iota // the job is stored from now on
-	QuotaFull                        // not accepted: the quota of the route is used up
+	Accepted    SubmitOutcome = iota // the job is stored
+	QuotaFull                        // not accepted: the quota of the route is exhausted
 	Unavailable                      // not accepted
-	Unresolved                       // it may have been accepted: the answer must promise nothing
-	StoresFull                       // not accepted, and none will be for some time: logs are full
+	Unresolved                       // it may have been accepted: the response must promise nothing
+	StoresFull                       // not accepted, and retrying soon is no use: logs are full
 )
 
-// Submit submits a job. It tries until the context ends.
+// Submit submits a job, with retries until the context is cancelled.
 func (p *Proxy) Submit(ctx context.Context, j *Job) SubmitOutcome {
 	reply, mayBeDone := p.call(ctx, j.ID, kindAcceptJob, j.encode())
 	switch code := codeOf(reply); {
@@ -178,14 +180,14 @@
 	return Unavailable
 }
 
-// CallOutcome is what a call about a job came to.
+// CallOutcome is the result of a call about a job.
 type CallOutcome uint8
 
-// The outcomes of calls.
+// The values of CallOutcome.
 const (
-	Found        CallOutcome = iota // it was done
-	NotFound                        // there is no such job or item, for sure
-	NotConfirmed                    // nothing can be said now
+	Found        CallOutcome = iota // the call was executed
+	NotFound                        // there is certainly no such job or item
+	NotConfirmed                    // the outcome is unknown
 )
 
 func callOutcome(code uint8) CallOutcome {
@@ -198,20 +200,21 @@
 	return NotConfirmed
 }
 
-// ResultPage has results of a job from an index on.
+// ResultPage has the results of a job from an index on.
 type ResultPage struct {
-	Total   int // items of the job
+	Total   int // number of items of the job
 	Results []ItemResult
 }
 
 // ItemResult is the result of an item.
 type ItemResult struct {
 	ID        string
-	Abandoned bool // the item was given up
+	Abandoned bool // the message is empty
 	Message   []byte
 }
 
-// ReadResults reads the results of a job from an index on. If there is none yet it waits so long for one.
+// ReadResults reads the results of a job from an index on. If there are none yet it waits up to the
+// given time for one.
 func (p *Proxy) ReadResults(
 	ctx context.Context, jobID string, startAfter int, wait time.Duration,
 ) (ResultPage, CallOutcome) {
@@ -242,7 +245,7 @@
 	return reply[1:], Found
 }
 
-// EndJob ends a job: none of its items is started any more once it returns Found.
+// EndJob ends a job: once it returns Found, no more items of the job are started.
 func (p *Proxy) EndJob(ctx context.Context, jobID string) CallOutcome {
 	reply, _ := p.call(ctx, jobID, kindEndJob, encodeEndJob(jobID))
 	return callOutcome(codeOf(reply))
--- a/internal/batch/proxy_test.go
+++ b/internal/batch/proxy_test.go
@@ -16,7 +16,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// echo is a Runner whose text is the body of the item, an event for each byte.
+// echo is a Runner whose result text is the body of the item, one event per byte.
 type echo struct{ breakAt int }
 
 func (e *echo) Run(_ context.Context, it *Item, last string, event func(string, []byte)) RunResult {
@@ -152,7 +152,8 @@
 			t.Fatalf("end: %+v", a)
 		}
 	}
-	// The primary of its partition ends; another takes over, and the first comes back with its disk.
+	// The primary of the job's partition stops; another takes over, and the first store comes back
+	// with its disk.
 	row := tab.Partitions[tab.PartitionOf("j1")]
 	for i, st := range stores {
 		if st.ID() == row.Primary {
@@ -179,14 +180,14 @@
 			}
 			defer again.Close()
 			if again.ID() != st.ID() {
-				t.Errorf("it comes back as %d, and was %d", again.ID(), st.ID())
+				t.Errorf("it comes back with identity %d, was %d", again.ID(), st.ID())
 			}
 			break
 		}
 	}
 }
 
-// TestEventTextAcceptsOnlyTheNextEvent: a text goes on only with the event after its newest one.
+// TestEventTextAcceptsOnlyTheNextEvent: a text accepts only the event after its last one.
 func TestEventTextAcceptsOnlyTheNextEvent(t *testing.T) {
 	for _, c := range []struct {
 		ids   string
@@ -197,7 +198,7 @@
 			j.addEvent(id, []byte("d"+id))
 		}
 		if j.invalid != c.wrong {
-			t.Errorf("%s: wrong is %v", c.ids, j.invalid)
+			t.Errorf("%s: invalid is %v", c.ids, j.invalid)
 		}
 		if want := "d" + strings.ReplaceAll(c.ids, " ", "\nd"); !c.wrong && string(j.text) != want {
 			t.Errorf("%s: text %q", c.ids, j.text)
@@ -205,7 +206,7 @@
 	}
 }
 
-// script is a Runner that plays runs in order.
+// script is a Runner that plays scripted runs in order.
 type script struct {
 	mu   sync.Mutex
 	runs []func(last string, event func(string, []byte)) RunResult
@@ -222,14 +223,14 @@
 	return run(last, event)
 }
 
-// TestWorkerRetriesItemsByTheEndOfTheirRuns: runs that are interrupted, whose events do not join,
-// that fail, or that can never succeed.
+// TestWorkerRetriesItemsByTheEndOfTheirRuns: runs that are interrupted, whose events are not
+// consecutive, that fail, or that can never succeed.
 func TestWorkerRetriesItemsByTheEndOfTheirRuns(t *testing.T) {
 	play := func(end RunEnd, ids ...string) func(string, func(string, []byte)) RunResult {
 		return func(last string, event func(string, []byte)) RunResult {
 			if len(ids) > 0 && ids[0] == "after" {
 				if last != ids[1] {
-					t.Errorf("asked for what follows %q, not %q", last, ids[1])
+					t.Errorf("resumed after %q, want %q", last, ids[1])
 				}
 				ids = ids[2:]
 			}
@@ -241,25 +242,25 @@
 	}
 	type runs = []func(string, func(string, []byte)) RunResult
 	for name, c := range map[string]struct {
-		runs    runs
-		text    string
-		givenUp bool
+		runs          runs
+		text          string
+		wantAbandoned bool
 	}{
-		"broken, goes on": {
+		"interrupted, resumes": {
 			runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "3")},
 			"1\n2\n3",
 			false,
 		},
-		"wrong join": {
+		"events not consecutive": {
 			runs{play(RunInterrupted, "1", "2"), play(RunCompleted, "after", "2", "4"), play(RunCompleted, "after", "", "1", "2")},
 			"1\n2",
 			false,
 		},
-		"turned away":          {runs{play(RunNotStarted), play(RunCompleted, "1")}, "1", false},
-		"failed, then done":    {runs{play(RunFailed), play(RunCompleted, "after", "", "1")}, "1", false},
-		"failed too often":     {runs{play(RunFailed), play(RunFailed)}, "", true},
-		"can never be done":    {runs{play(RunImpossible)}, "", true},
-		"broken before events": {runs{play(RunInterrupted), play(RunCompleted, "after", "", "1")}, "1", false},
+		"rejected":                  {runs{play(RunNotStarted), play(RunCompleted, "1")}, "1", false},
+		"failed, then completed":    {runs{play(RunFailed), play(RunCompleted, "after", "", "1")}, "1", false},
+		"failed too often":          {runs{play(RunFailed), play(RunFailed)}, "", true},
+		"can never succeed":         {runs{play(RunImpossible)}, "", true},
+		"interrupted before events": {runs{play(RunInterrupted), play(RunCompleted, "after", "", "1")}, "1", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -270,8 +271,8 @@
 			r.item.MayStart = func() bool { return true }
 			w.running[r.key] = r
 			w.run(r)
-			if !r.done || string(r.text) != c.text || r.abandoned != c.givenUp {
-				t.Errorf("done %v, given up %v, text %q", r.done, r.abandoned, r.text)
+			if !r.done || string(r.text) != c.text || r.abandoned != c.wantAbandoned {
+				t.Errorf("done %v, abandoned %v, text %q", r.done, r.abandoned, r.text)
 			}
 		})
 	}
