--- a/internal/batch/quota.go
+++ b/internal/batch/quota.go
@@ -4,28 +4,29 @@
 
 // A route's quota bounds the tokens of its items that have no result, over all partitions. One
 // primary owns the quota of a route (quotaowner.go). The primary of a job's partition reserves the
-// tokens of a job there before it orders the job, and reports to the owner how many tokens wait in
-// its partition. This file is the side of that primary.
+// tokens of a job with the owner before it orders the job, and reports to the owner how many tokens
+// are in use in its partition. This file has that primary's side.
 
-// routeUsage is what the primary of a partition knows of the tokens that wait there on a route.
+// routeUsage is the number of tokens of a route that are in use in a partition, as its primary
+// knows it.
 type routeUsage struct {
 	tokens  int64
-	changed bool // since the newest report
+	changed bool // since the last report
 	sentAt  int64
 }
 
-// reservation is a request for tokens that has no answer yet.
+// reservation is an unanswered request for tokens.
 type reservation struct {
 	route    string
-	number   uint64 // in the incarnation of the primary
+	number   uint64 // unique in the incarnation of the primary
 	job      *incomingJob
 	deadline int64
 	sent     bool
 	sentTo   uint64 // the store
-	retryAt  int64  // if it was not sent, or the owner was not available
+	retryAt  int64  // if it was not sent, or the owner was unavailable
 }
 
-// incomingJob is a submitted job that waits for its tokens. It is on no disk yet.
+// incomingJob is a submitted job that waits for its tokens. It is not on any disk yet.
 type incomingJob struct {
 	encoded   []byte
 	id        string
@@ -42,10 +43,10 @@
 	j.callers = nil
 }
 
-// quotaKey is hashed to the partition whose primary owns the quota of a route.
+// quotaKey returns the key whose hash gives the partition whose primary owns a route's quota.
 func quotaKey(route string) string { return "quota:" + route }
 
-// quotaOwner is the partition whose primary owns a route's quota, and the store that is that
+// quotaOwner returns the partition whose primary owns a route's quota, and the store that is that
 // primary. The partition is -1 if there is none.
 func (c *core) quotaOwner(route string) (partition int, store uint64) {
 	partition = c.table.PartitionOf(quotaKey(route))
@@ -55,16 +56,17 @@
 	return partition, c.table.Partitions[partition].Primary
 }
 
-// encodeQuotaMessage begins a message between a primary and the owner of a quota.
-func encodeQuotaMessage(route string, partition int, incarnation uint64, more int) link.Writer {
-	w := link.Writer{Buf: make([]byte, 0, 4+len(route)+4+8+more)}
+// encodeQuotaMessage begins a message between a primary and the owner of a quota. It reserves
+// capacity for extraBytes more bytes.
+func encodeQuotaMessage(route string, partition int, incarnation uint64, extraBytes int) link.Writer {
+	w := link.Writer{Buf: make([]byte, 0, 4+len(route)+4+8+extraBytes)}
 	w.String(route)
 	w.U32(uint32(partition))
 	w.U64(incarnation)
 	return w
 }
 
-// sendQuotaMessage sends to another store, or to this one if the pipe is nil.
+// sendQuotaMessage sends a message to another store, or handles it here if the pipe is nil.
 func (c *core) sendQuotaMessage(pipe Pipe, kind link.Kind, body []byte) {
 	if pipe == nil {
 		r := link.Reader{Buf: body}
@@ -74,7 +76,7 @@
 	_ = pipe.Send(kind, body)
 }
 
-// handleQuotaMessage is the event of a message between a primary and the owner of a quota.
+// handleQuotaMessage handles a message between a primary and the owner of a quota.
 func (c *core) handleQuotaMessage(pipe Pipe, kind link.Kind, r *link.Reader) {
 	route, index, incarnation := r.String(), int(r.U32()), r.U64()
 	if r.Err != nil || c.table == nil || index < 0 || index >= len(c.table.Partitions) {
@@ -115,7 +117,7 @@
 	}
 }
 
-// reserveTokens asks the owner of the quota for a job's tokens.
+// reserveTokens requests a job's tokens from the owner of the quota.
 func (c *core) reserveTokens(p *partition, job *incomingJob) {
 	primary := p.primary
 	primary.lastReservation++
@@ -129,7 +131,7 @@
 	c.sendReservation(p, r)
 }
 
-// sendReservation sends a reservation, if the owner is connected; else tickQuota tries again.
+// sendReservation sends a reservation if the owner is connected; otherwise tickQuota retries.
 func (c *core) sendReservation(p *partition, r *reservation) {
 	_, store := c.quotaOwner(r.route)
 	pipe := c.peers[store]
@@ -144,7 +146,8 @@
 	c.sendQuotaMessage(pipe, kindReserveTokens, w.Buf)
 }
 
-// resendReservations has the reservations that were sent to a store over a connection that ended sent again.
+// resendReservations marks the reservations that were sent to a store over a closed connection for
+// sending again.
 func (s *primaryState) resendReservations(store uint64) {
 	for _, r := range s.reservations {
 		if r.sentTo == store {
@@ -153,9 +156,9 @@
 	}
 }
 
-// handleReservationReply is the event that the owner of a quota has answered a reservation. Owner
-// is its incarnation: a grant of an owner that is older than one that has asked for the usage does
-// not count, as the newer one does not know of it.
+// handleReservationReply handles the answer to a reservation. Owner is the incarnation of the
+// quota's owner: a grant is ignored if a newer owner has already requested the usage, as the newer
+// one does not know of the grant.
 func (c *core) handleReservationReply(p *partition, number uint64, code uint8, owner uint64) {
 	primary := p.primary
 	r := primary.reservations[number]
@@ -175,14 +178,14 @@
 	c.replicateAccept(p, r.job)
 }
 
-// resolveReservation ends a reservation, which the next report tells the owner.
+// resolveReservation completes a reservation. The next usage report includes this.
 func (s *primaryState) resolveReservation(r *reservation) {
 	delete(s.reservations, r.number)
 	delete(s.incomingJobs, r.job.id)
 	s.usageOf(r.route).changed = true
 }
 
-// resolvedReservations is the number up to which all reservations are resolved.
+// resolvedReservations returns the number up to which all reservations are resolved.
 func (s *primaryState) resolvedReservations() uint64 {
 	resolved := s.lastReservation
 	for number := range s.reservations {
@@ -200,7 +203,7 @@
 	return usage
 }
 
-// addUsage counts tokens that wait on a route from now on, or, with a negative number, no longer.
+// addUsage adds to the tokens of a route that are in use, or subtracts if the number is negative.
 func (c *core) addUsage(p *partition, route string, tokens int64) {
 	if primary := p.primary; primary != nil && tokens != 0 {
 		usage := primary.usageOf(route)
@@ -209,7 +212,7 @@
 	}
 }
 
-// sendUsage reports to the owner of a route's quota how many tokens wait here.
+// sendUsage reports to the owner of a route's quota how many tokens are in use here.
 func (c *core) sendUsage(p *partition, route string, pipe Pipe) {
 	primary := p.primary
 	usage := primary.usageOf(route)
@@ -232,7 +235,7 @@
 	}
 }
 
-// sendChangedUsage reports the usage that has changed, not too often.
+// sendChangedUsage reports the usage that has changed, at a limited rate.
 func (c *core) sendChangedUsage() {
 	for _, p := range c.partitions {
 		if p.primary == nil || !p.primary.serving {
@@ -251,8 +254,8 @@
 	}
 }
 
-// handleUsageRequest is the event that the owner of a quota asks for the usage. Grants of older
-// owners do not count from now on.
+// handleUsageRequest handles a usage request from the owner of a quota. From then on, grants of
+// older owners are ignored.
 func (c *core) handleUsageRequest(p *partition, route string, owner uint64, pipe Pipe) {
 	if p.primary == nil || !p.primary.serving || owner < p.quotaOwnerIncarnations[route] {
 		return
@@ -261,7 +264,7 @@
 	c.sendUsage(p, route, pipe)
 }
 
-// tickQuota sends again what was not answered, and refuses what has waited too long.
+// tickQuota retries what was not answered, and rejects what has timed out.
 func (c *core) tickQuota() {
 	for _, p := range c.partitions {
 		primary := p.primary
@@ -279,7 +282,7 @@
 	for _, number := range sortedKeys(primary.reservations) {
 		r := primary.reservations[number]
 		switch {
-		case r == nil: // answered meanwhile
+		case r == nil: // answered in the meantime
 		case c.nowMs >= r.deadline:
 			primary.resolveReservation(r)
 			r.job.reply(codeUnavailable)
--- a/internal/batch/quotaowner.go
+++ b/internal/batch/quotaowner.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// The owner of a route's quota is the primary of the partition that the route hashes to. It holds
-// nothing on disk: a new owner asks all primaries for their usage before it grants anything.
+// The owner of a route's quota is the primary of the partition that the route hashes to. It stores
+// nothing on disk: a new owner requests the usage of all primaries before it grants anything.
 
-// quotaAccount is what the owner of a route's quota knows: for each partition an upper bound of the
-// tokens that wait there.
+// quotaAccount is the owner's state of a route's quota: for each partition an upper bound of the
+// tokens in use there.
 type quotaAccount struct {
 	route            string
 	incarnation      uint64 // of this owner, as a primary
 	usage            map[int]*partitionUsage
-	pending          []pendingReservation // wait until the usage of all partitions is known
+	pending          []pendingReservation // waiting until the usage of all partitions is known
 	usageRequestedAt int64
-	requestingUsage  bool // the request may be answered at once by this store
+	requestingUsage  bool // guards against reentry, as this store may answer its own request synchronously
 }
 
-// partitionUsage is what the primary of a partition has reported, and what it was granted since.
+// partitionUsage is the last report of a partition's primary, and what it was granted since.
 type partitionUsage struct {
 	incarnation          uint64 // of the primary
 	epoch                uint64
-	version              uint64 // of the report, in the incarnation
+	version              uint64 // of the report, unique in the incarnation
 	tokens               int64
 	resolvedReservations uint64 // up to this number; the report includes their tokens if they were used
 	grants               []tokenGrant
@@ -32,9 +32,9 @@
 	tokens int64
 }
 
-// pendingReservation is a reservation that has not been answered.
+// pendingReservation is an unanswered reservation.
 type pendingReservation struct {
-	pipe        Pipe // nil: of this store
+	pipe        Pipe // nil: from this store
 	partition   int
 	incarnation uint64 // of the primary
 	number      uint64
@@ -43,8 +43,8 @@
 	deadline    int64
 }
 
-// ownedAccount is the account of a route, nil if this store does not own the quota or does not
-// serve the partition yet.
+// ownedAccount returns the account of a route; nil if this store does not own the quota, or does
+// not serve the owner's partition yet.
 func (c *core) ownedAccount(route string) *quotaAccount {
 	index, store := c.quotaOwner(route)
 	if index < 0 || store != c.self {
@@ -67,7 +67,7 @@
 	return account
 }
 
-// usageOf is the usage of a partition; an empty one if it has not reported any.
+// usageOf returns the usage of a partition; an empty one if none was reported.
 func (a *quotaAccount) usageOf(partition int) *partitionUsage {
 	usage := a.usage[partition]
 	if usage == nil {
@@ -77,7 +77,8 @@
 	return usage
 }
 
-// countedTokens are the tokens that may wait on the route: reported, or granted since.
+// countedTokens returns the upper bound of the tokens in use on the route: those reported, and
+// those granted since.
 func (a *quotaAccount) countedTokens() (tokens int64) {
 	for _, usage := range a.usage {
 		tokens += usage.tokens
@@ -88,7 +89,7 @@
 	return tokens
 }
 
-// partitionsWithoutUsage are the partitions whose usage is not known.
+// partitionsWithoutUsage returns the partitions whose usage is not known.
 func (a *quotaAccount) partitionsWithoutUsage(partitions int) (missing []int) {
 	for index := range partitions {
 		if a.usage[index] == nil {
@@ -98,7 +99,7 @@
 	return missing
 }
 
-// handleReservation is the event that a primary asks for tokens.
+// handleReservation handles a primary's request for tokens.
 func (c *core) handleReservation(route string, request pendingReservation) {
 	account := c.ownedAccount(route)
 	if account == nil {
@@ -109,8 +110,8 @@
 	c.answerPendingReservations(account)
 }
 
-// handleUsageReport is the event that a primary reports its usage. Reports that come again or late
-// change nothing.
+// handleUsageReport handles a usage report from a primary. Repeated and outdated reports are
+// ignored.
 func (c *core) handleUsageReport(route string, partition int, report partitionUsage) {
 	account := c.ownedAccount(route)
 	if account == nil {
@@ -130,7 +131,7 @@
 	c.answerPendingReservations(account)
 }
 
-// requestUsage asks the primaries of partitions for their usage.
+// requestUsage requests the usage of partitions from their primaries.
 func (c *core) requestUsage(account *quotaAccount, partitions []int) {
 	account.usageRequestedAt = c.nowMs
 	for _, index := range partitions {
@@ -144,7 +145,8 @@
 	}
 }
 
-// answerPendingReservations answers the reservations that wait, once the usage of all partitions is known.
+// answerPendingReservations answers the pending reservations, once the usage of all partitions is
+// known.
 func (c *core) answerPendingReservations(account *quotaAccount) {
 	if len(account.pending) == 0 || account.requestingUsage {
 		return
@@ -167,7 +169,8 @@
 	}
 }
 
-// answerReservation grants a reservation if the quota allows it, once.
+// answerReservation grants a reservation if the quota allows it. A repeated reservation is counted
+// once.
 func (c *core) answerReservation(account *quotaAccount, request pendingReservation) {
 	usage := account.usageOf(request.partition)
 	if request.incarnation < usage.incarnation ||
@@ -175,7 +178,8 @@
 		return // the primary has been replaced, or the reservation is resolved
 	}
 	if request.incarnation > usage.incarnation {
-		// A new primary, whose usage is not known. It reports it when it begins to serve, so it is on its way.
+		// The usage of this new primary is not known yet. It reports its usage when it begins to
+		// serve.
 		c.sendReservationReply(account.route, account.incarnation, request, codeUnavailable)
 		return
 	}
@@ -193,8 +197,8 @@
 	c.sendReservationReply(account.route, account.incarnation, request, codeOK)
 }
 
-// sendReservationReply answers a reservation. Owner is the incarnation of the owner; 0: this store
-// is not the owner.
+// sendReservationReply answers a reservation. Owner is the incarnation of the owner; 0 if this
+// store is not the owner.
 func (c *core) sendReservationReply(route string, owner uint64, request pendingReservation, code uint8) {
 	w := encodeQuotaMessage(route, request.partition, request.incarnation, 17)
 	w.U64(request.number)
@@ -203,7 +207,7 @@
 	c.sendQuotaMessage(request.pipe, kindReservationReply, w.Buf)
 }
 
-// rejectPending refuses the reservations that wait, as this store is the owner no longer.
+// rejectPending rejects the pending reservations, as this store is no longer the owner.
 func (a *quotaAccount) rejectPending(c *core) {
 	pending := a.pending
 	a.pending = nil
@@ -212,8 +216,9 @@
 	}
 }
 
-// refreshAccounts drops the reservations that have waited too long, answers the others if that is
-// possible now, and asks for usage that only a primary of an earlier epoch has reported.
+// refreshAccounts drops the reservations that have timed out, answers the others if that is now
+// possible, and requests the usage of partitions for which only a primary of an earlier epoch has
+// reported usage.
 func (c *core) refreshAccounts(primary *primaryState) {
 	for _, route := range sortedKeys(primary.accounts) {
 		account := primary.accounts[route]
--- a/internal/batch/reads.go
+++ b/internal/batch/reads.go
@@ -11,12 +11,12 @@
 type pendingRead struct {
 	caller     Caller
 	jobID      string
-	itemID     string // whose body is read
-	startAfter int    // index of the first result that is read
+	itemID     string // the item whose body is read
+	startAfter int    // index of the first result to read
 	deadline   int64  // until when it waits for a result
 	confirmBy  int64  // until when it waits for a confirmation after that
 	readsBody  bool
-	endsJob    bool // the call ends the job, which is not known here
+	endsJob    bool // the call ends a job that is not known here
 }
 
 func rejectReads(reads []pendingRead) {
@@ -25,7 +25,8 @@
 	}
 }
 
-// readJob answers a read as soon as there is something to read and this store is confirmed to be the primary.
+// readJob answers a read once there is something to read and this store is confirmed as the
+// primary.
 func (c *core) readJob(p *partition, read pendingRead) {
 	j := p.jobs[read.jobID]
 	if j != nil && !j.committed {
@@ -58,21 +59,23 @@
 	}
 }
 
-// awaitsResult reports whether a read of results has nothing to read yet, and time to wait for more.
+// awaitsResult reports whether a read of results has nothing to read yet and its deadline has not
+// passed.
 func (c *core) awaitsResult(j *job, read *pendingRead) bool {
 	readable := j.readable()
 	mayCome := readable < len(j.items) && !j.endCommitted
 	return !read.readsBody && read.startAfter >= readable && mayCome && c.nowMs < read.deadline
 }
 
-// readable is how many results of a job may be read: those whose place in the list is committed.
+// readable returns how many results of a job may be read: those whose position in the list is
+// committed.
 func (j *job) readable() int {
 	return j.readableResults
 }
 
 // replyResults replies with results from an index on, as many as fit.
 func (c *core) replyResults(j *job, read pendingRead) {
-	const perResult = 100 // bytes besides the text, roughly
+	const perResult = 100 // approximate overhead in bytes
 	end, size := read.startAfter, 0
 	for end < j.readable() && (end == read.startAfter || size+j.results[end].length < maxReadBytes) {
 		size += j.results[end].length + perResult
@@ -86,7 +89,7 @@
 		res := j.results[i]
 		text, err := c.resultText(res)
 		if err != nil {
-			c.log("reading a result of job %s: %v", j.id, err)
+			c.log("reading a result of job %s from the log: %v", j.id, err)
 			replyCode(read.caller, codeUnavailable)
 			return
 		}
@@ -105,7 +108,7 @@
 		}
 		body, err := c.itemBody(j, index)
 		if err != nil {
-			c.log("reading an item of job %s: %v", j.id, err)
+			c.log("reading an item of job %s from the log: %v", j.id, err)
 			replyCode(read.caller, codeUnavailable)
 			return
 		}
@@ -124,7 +127,7 @@
 	return body, err
 }
 
-// resumeReads answers the reads that wait for a result of a job, or lets them wait again.
+// resumeReads retries the reads that wait for a result of a job.
 func (c *core) resumeReads(p *partition, j *job) {
 	reads := j.pendingReads
 	j.pendingReads = nil
@@ -133,7 +136,7 @@
 	}
 }
 
-// resumeOverdueReads answers the reads that have waited long enough for a result.
+// resumeOverdueReads answers the reads whose wait for a result has timed out.
 func (c *core) resumeOverdueReads() {
 	for _, p := range c.partitions {
 		if p.primary == nil {
@@ -158,7 +161,7 @@
 	return slices.ContainsFunc(j.pendingReads, func(read pendingRead) bool { return nowMs >= read.deadline })
 }
 
-// retryConfirmations refuses the reads that have waited too long for a confirmation, and requests
+// retryConfirmations rejects the reads whose wait for a confirmation has timed out, and requests
 // one for the others.
 func (c *core) retryConfirmations() {
 	for _, p := range c.partitions {
--- a/internal/batch/records.go
+++ b/internal/batch/records.go
@@ -7,17 +7,17 @@
 	"dunetide/internal/platform/link"
 )
 
-// Records of a store's log. The first byte of a record is one of these, then comes the index of a
-// partition (u32). They are on disk.
+// Records of a store's log. A record begins with one of these bytes and the index of a partition
+// (u32). They are on disk.
 const (
 	recordIdentity  uint8 = 1 + iota // identity of the store; the partition is 0
 	recordPromise                    // term
 	recordTermStart                  // term, sequence number
 	recordOperation                  // term, sequence number (0: sent before the start of the term), operation
-	recordJob                        // whole job (see encodeWholeJob)
+	recordJob                        // job with results (see encodeJobWithResults)
 )
 
-// encodeRecord encodes a record, or its begin.
+// encodeRecord encodes a record, or its beginning.
 func encodeRecord(kind uint8, partition int, numbers ...uint64) []byte {
 	var w link.Writer
 	w.U8(kind)
@@ -28,7 +28,7 @@
 	return w.Buf
 }
 
-// replay applies a record whose first byte lies at an offset of the log.
+// replay applies a record whose first byte is at an offset of the log.
 func (c *core) replay(record []byte, offset int64) error {
 	r := link.Reader{Buf: record}
 	kind := r.U8()
@@ -54,14 +54,15 @@
 		}
 		return c.applyOperation(p, r.Buf, offset+int64(len(record)-len(r.Buf)))
 	case recordJob:
-		return c.replayWholeJob(p, &r, offset+int64(len(record)))
+		return c.replayJobWithResults(p, &r, offset+int64(len(record)))
 	}
 	return r.Err
 }
 
-// replayWholeJob replaces a job by one that encodeWholeJob wrote. The record ends at an offset of the log.
-func (c *core) replayWholeJob(p *partition, r *link.Reader, end int64) error {
-	j, ageMs, err := decodeWholeJob(r, end)
+// replayJobWithResults replaces a job by one that encodeJobWithResults wrote. The record ends at an
+// offset of the log.
+func (c *core) replayJobWithResults(p *partition, r *link.Reader, end int64) error {
+	j, ageMs, err := decodeJobWithResults(r, end)
 	if err != nil {
 		return err
 	}
@@ -69,16 +70,17 @@
 	return nil
 }
 
-// validateWholeJob reports whether another store has sent a whole job that can be read. What can't be read must not get
-// into the log, which could not be replayed with it.
-func validateWholeJob(encoded []byte) error {
-	_, _, err := decodeWholeJob(&link.Reader{Buf: encoded}, int64(len(encoded)))
+// validateJobWithResults checks that a job from another store can be decoded. An invalid one must
+// not be appended to the log, as the log could not be replayed then.
+func validateJobWithResults(encoded []byte) error {
+	_, _, err := decodeJobWithResults(&link.Reader{Buf: encoded}, int64(len(encoded)))
 	return err
 }
 
-// decodeWholeJob reads what encodeWholeJob wrote, which ends at an offset of the log, and the job's age in ms.
-func decodeWholeJob(r *link.Reader, end int64) (*job, int64, error) {
-	offset := func() int64 { return end - int64(len(r.Buf)) } // of what is read next
+// decodeJobWithResults decodes what encodeJobWithResults wrote, which ends at an offset of the log,
+// and the job's age in ms.
+func decodeJobWithResults(r *link.Reader, end int64) (*job, int64, error) {
+	offset := func() int64 { return end - int64(len(r.Buf)) } // of the next field
 	_ = r.String()                                            // the ID, which the encoded job has too
 	encoded := r.Bytes()
 	j, err := decodeJob(encoded, offset()-int64(len(encoded)))
@@ -92,15 +94,15 @@
 	}
 	j.ended = r.Bool()
 	ageMs := int64(0)
-	if len(r.Buf) > 0 { // records of older versions end before it
+	if len(r.Buf) > 0 { // absent in records of older versions
 		ageMs = max(0, int64(r.Int()))
 	}
 	return j, ageMs, r.Err
 }
 
-// encodeWholeJob encodes a job with its results: the ID, the encoded job, the results in their
-// order, whether it has ended, and its age in ms.
-func (c *core) encodeWholeJob(j *job) ([]byte, error) {
+// encodeJobWithResults encodes the ID, the encoded job, the results in order, whether the job has
+// ended, and its age in ms.
+func (c *core) encodeJobWithResults(j *job) ([]byte, error) {
 	const perResult = 16
 	w := link.Writer{Buf: make([]byte, 0, j.logBytes+int64(64+perResult*len(j.results)))}
 	w.String(j.id)
@@ -129,8 +131,8 @@
 	return w.Buf, nil
 }
 
-// errCorruptRead says that bytes of the log that were checked when they were written are others now.
-var errCorruptRead = errors.New("the disk gave back other bytes than were written")
+// errCorruptRead reports that bytes read from the log do not match their checksum in memory.
+var errCorruptRead = errors.New("the bytes read from disk do not match their checksum")
 
 // resultText reads the text of a result.
 func (c *core) resultText(res result) ([]byte, error) {
--- a/internal/batch/replication.go
+++ b/internal/batch/replication.go
@@ -7,10 +7,10 @@
 	"dunetide/internal/platform/link"
 )
 
-// Operations are ordered by the primary of a partition, sent to its replicas, and committed once
-// they are durable at enough of them.
+// The primary of a partition orders operations and sends them to its replicas. An operation is
+// committed once it is durable on enough of them.
 
-// handleStoreMessage is the event of a message of another store.
+// handleStoreMessage handles a message from another store.
 func (c *core) handleStoreMessage(pipe Pipe, kind link.Kind, body []byte) {
 	r := link.Reader{Buf: body}
 	switch kind {
@@ -47,9 +47,9 @@
 		}
 	case kindStaleTerm:
 		if primary := p.primary; primary != nil && primary.term < term {
-			// The table that says so is on its way. Until it is here this primary is not confirmed, so
-			// nothing is read from it. What it has ordered is still committed if enough replicas have
-			// it: the successor takes it over then.
+			// The table with the newer epoch has not arrived yet. Until it does, this primary is
+			// not confirmed, so nothing is read from it. What it has ordered is still committed if
+			// enough replicas have it: the successor takes it over then.
 			primary.confirmedAt, primary.superseded = never, true
 		}
 	default:
@@ -59,7 +59,7 @@
 	}
 }
 
-// handleReplicaMessage is the event of a message of a replica to the primary that it follows.
+// handleReplicaMessage handles a message from a replica to its primary.
 func (c *core) handleReplicaMessage(p *partition, kind link.Kind, r *link.Reader, pipe Pipe) {
 	primary := p.primary
 	switch kind {
@@ -97,12 +97,12 @@
 	}
 }
 
-// followPrimary applies a message of the primary that this replica has promised to follow.
+// followPrimary applies a message from the primary that this replica has promised to follow.
 func (c *core) followPrimary(p *partition, term uint64, kind link.Kind, r *link.Reader, pipe Pipe) {
 	switch kind {
 	case kindInstallJob:
-		if err := validateWholeJob(r.Buf); err != nil {
-			c.log("part %d: a job that the primary sent can't be read: %v", p.index, err)
+		if err := validateJobWithResults(r.Buf); err != nil {
+			c.log("partition %d: job from the primary can't be decoded: %v", p.index, err)
 			return
 		}
 		c.appendRecord(append(encodeRecord(recordJob, p.index), r.Buf...))
@@ -121,11 +121,11 @@
 			return
 		}
 		if sequence > 0 && (p.position.term != term || p.position.sequence+1 != sequence) {
-			c.log("part %d: operation %d does not follow %d", p.index, sequence, p.position.sequence)
+			c.log("partition %d: operation %d received out of order, after %d", p.index, sequence, p.position.sequence)
 			return
 		}
 		if err := validateOperation(r.Buf); err != nil {
-			c.log("part %d: operation %d can't be read: %v", p.index, sequence, err)
+			c.log("partition %d: operation %d can't be decoded: %v", p.index, sequence, err)
 			return
 		}
 		c.appendRecord(append(encodeRecord(recordOperation, p.index, term, sequence), r.Buf...))
@@ -145,7 +145,7 @@
 	c.afterSync(acknowledge)
 }
 
-// startCatchUp begins to bring a replica that has reported what it has to the state of this primary.
+// startCatchUp begins to bring a replica that has reported its state up to date with this primary.
 func (c *core) startCatchUp(p *partition, replica *replicaProgress) {
 	if replica.outdatedJobs != nil {
 		return
@@ -165,8 +165,8 @@
 	c.continueCatchUp(p, replica)
 }
 
-// continueCatchUp sends a replica the next jobs whole, a few at a time, and the start of the term
-// when it has them all.
+// continueCatchUp sends a replica the next outdated jobs with their results, a few at a time, and
+// the start of the term once it has them all.
 func (c *core) continueCatchUp(p *partition, replica *replicaProgress) {
 	primary := p.primary
 	if replica.upToDate || replica.outdatedJobs == nil {
@@ -180,13 +180,13 @@
 			c.sendOperation(p, replica, 0, encodeJobOperation(opDropJob, id))
 			continue
 		}
-		whole, err := c.encodeWholeJob(j)
+		encoded, err := c.encodeJobWithResults(j)
 		if err != nil {
 			c.failDisk(err)
 			return
 		}
-		w := encodeTermMessage(len(whole), p.index, primary.term, replica.session)
-		w.Buf = append(w.Buf, whole...)
+		w := encodeTermMessage(len(encoded), p.index, primary.term, replica.session)
+		w.Buf = append(w.Buf, encoded...)
 		replica.transfersInFlight++
 		_ = replica.pipe.Send(kindInstallJob, w.Buf)
 	}
@@ -198,17 +198,17 @@
 	_ = replica.pipe.Send(kindStartTerm, w.Buf)
 }
 
-// sendOperation sends a replica an operation. The sequence number is 0 for one that the start of
-// the term, which comes later, includes.
+// sendOperation sends a replica an operation. The sequence number is 0 for an operation that is
+// sent before the start of the term and included in it.
 func (c *core) sendOperation(p *partition, replica *replicaProgress, sequence uint64, operation []byte) {
 	w := encodeTermMessage(len(operation), p.index, p.primary.term, replica.session, sequence)
 	w.Buf = append(w.Buf, operation...)
 	_ = replica.pipe.Send(kindOperation, w.Buf)
 }
 
-// replicate orders an operation: gives it the next sequence number, appends it to the log and sends
-// it to the replicas. Done is called once it is committed, or, with false, when this store leads no
-// longer and can't know.
+// replicate orders an operation: it assigns the next sequence number, appends the operation to the
+// log and sends it to the replicas. Done is called with true once it is committed, or with false
+// when this store no longer leads and the outcome is unknown.
 func (c *core) replicate(p *partition, operation []byte, done func(ok bool)) {
 	primary := p.primary
 	primary.lastSequence++
@@ -230,13 +230,14 @@
 	c.noteSelfSynced(p, sequence)
 }
 
-// afterCommit calls once all operations ordered until now are committed, or, with false, when this
-// store leads no longer.
+// afterCommit calls done with true once all operations ordered so far are committed, or with false
+// when this store no longer leads.
 func (s *primaryState) afterCommit(done func(ok bool)) {
 	s.pendingCommits = append(s.pendingCommits, pendingCommit{int64(s.lastSequence), done})
 }
 
-// replicatedUpTo is the operation up to which all are durable at f+1 of a group; -1: at too few.
+// replicatedUpTo returns the operation up to which all are durable at f+1 replicas of a group; -1
+// if too few have any.
 func (c *core) replicatedUpTo(primary *primaryState, group []uint64) int64 {
 	var durable []int64
 	for _, id := range group {
@@ -254,7 +255,8 @@
 	return durable[need-1]
 }
 
-// advanceCommit commits the operations that are durable at enough replicas, and calls who waits for that.
+// advanceCommit commits the operations that are durable at enough replicas, and calls the callbacks
+// that wait for them.
 func (c *core) advanceCommit(p *partition) {
 	primary := p.primary
 	if primary == nil || primary.stage != stageReplicating {
@@ -288,15 +290,15 @@
 	}
 }
 
-// includeNextGroup reports that the next group is ready once it has all that is committed. From
-// then on operations are committed by both groups (joint consensus), so it returns the smaller of
-// both operations.
+// includeNextGroup reports that the next group is ready once it has everything committed. From then
+// on operations are committed by both groups (joint consensus), so it returns the lower of the two
+// groups' operations.
 func (c *core) includeNextGroup(p *partition, replicated int64) int64 {
 	primary := p.primary
 	next := c.replicatedUpTo(primary, primary.nextReplicas)
-	// If so many replicas are lost that nothing can be committed any more, the next group gets
-	// ready all the same: nothing has been committed in this term then, and the state that was
-	// taken over includes what was committed before.
+	// If so many replicas are lost that nothing more can be committed, the next group can still
+	// become ready: then nothing has been committed in this term, and the state that was taken over
+	// includes what was committed before.
 	if !primary.nextGroupReady && c.joinersUpToDate(primary) && next >= max(primary.committed, primary.startSequence) {
 		primary.nextGroupReady = true
 	}
@@ -310,7 +312,7 @@
 	return min(replicated, next)
 }
 
-// joinersUpToDate reports whether each replica that is to join the group has all that is committed.
+// joinersUpToDate reports whether each replica that is to join the group has everything committed.
 func (c *core) joinersUpToDate(primary *primaryState) bool {
 	for _, id := range primary.nextReplicas {
 		if id == c.self || slices.Contains(primary.replicas, id) {
--- a/internal/batch/retirement.go
+++ b/internal/batch/retirement.go
@@ -6,9 +6,9 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// RetireStore is the table in which the store of a name is to be emptied. Known reports whether
-// there is such a store, and tooFew that fewer than f+1 stores would be left, so that the table
-// stays.
+// RetireStore returns the table in which the store with the given name is retiring. Known reports
+// whether there is such a store. TooFew reports that fewer than f+1 stores would be left, in which
+// case the table does not change.
 func RetireStore(
 	current *snapshot.PartitionTable, name string, alive []snapshot.Store, lost func(id uint64) bool, f int,
 ) (next *snapshot.PartitionTable, known, tooFew bool) {
@@ -41,8 +41,8 @@
 	return next, true, false
 }
 
-// RetirementState reports whether there is a store of a name, and whether its retirement is
-// finished: nothing depends on it any more.
+// RetirementState reports whether there is a store with the given name, and whether its retirement
+// is finished: no partition depends on it any more.
 func RetirementState(t *snapshot.PartitionTable, name string, f int) (known, finished bool) {
 	if t == nil {
 		return false, false
@@ -67,7 +67,7 @@
 }
 
 // machineRetiring reports whether the machine of a store is retiring. A store that has lost its
-// disk since the order comes back as another one, with the same name and address.
+// disk since it was retired comes back with a new identity, and the same name and address.
 func machineRetiring(t *snapshot.PartitionTable, store snapshot.Store) bool {
 	for id, known := range t.Stores {
 		if t.Retiring[id] && known.Name == store.Name && known.Addr == store.Addr {
--- a/internal/batch/retirement_test.go
+++ b/internal/batch/retirement_test.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// submitSteadily submits jobs until a time.
+// submitSteadily submits jobs until the given time.
 func (sim *simulation) submitSteadily(until int64) {
 	n := len(sim.jobIDs) + 1
 	if sim.nowMs() > until {
@@ -19,7 +19,7 @@
 	sim.after(40+sim.rng.Float64()*80, func() { sim.submitSteadily(until) })
 }
 
-// whenRetired calls in the moment in which the retirement of a store is finished.
+// whenRetired calls a function at the moment at which the retirement of a store is finished.
 func (sim *simulation) whenRetired(name string, then func()) {
 	if _, finished := RetirementState(sim.table, name, sim.maxLost); finished {
 		then()
@@ -28,7 +28,7 @@
 	sim.after(5, func() { sim.whenRetired(name, then) })
 }
 
-// startRetiring orders the retirement of a store.
+// startRetiring starts the retirement of a store.
 func (sim *simulation) startRetiring(t *testing.T, name string) {
 	t.Helper()
 	next, known, few := RetireStore(sim.table, name, sim.aliveStores(), sim.isLost, sim.maxLost)
@@ -38,9 +38,9 @@
 	sim.publish(next)
 }
 
-// TestRetirementSurvivesLossesAtItsEnd: a store retires while another one lags behind or is away
-// for a while. In the moment in which the retirement is finished the store is removed, and yet
-// another one loses its disk. Each order is played for four stores, and a third of them for five.
+// TestRetirementSurvivesLossesAtItsEnd: a store retires while another one is slow or down for a
+// while. At the moment at which the retirement is finished the store is removed, and a third one
+// loses its disk. Every combination is played for four stores, and a third of them for five.
 func TestRetirementSurvivesLossesAtItsEnd(t *testing.T) {
 	type trouble struct {
 		name string
@@ -106,7 +106,8 @@
 	}
 }
 
-// newBusySimulation has five stores, of which one may be lost, a worker, and jobs that are submitted and run.
+// newBusySimulation has five stores, of which one may be lost, a worker, and jobs that are
+// submitted and run.
 func newBusySimulation(seed uint64) *simulation {
 	sim := newSimulation(seed, 5, 1, 4)
 	sim.start()
@@ -118,8 +119,8 @@
 	return sim
 }
 
-// TestTwoStoresRetireAtOnce: two stores retire at the same time, and the order is repeated. Both
-// retirements are finished, and both stores may be removed.
+// TestTwoStoresRetireAtOnce: two stores retire at the same time, and the requests are repeated.
+// Both retirements finish, and both stores may be removed.
 func TestTwoStoresRetireAtOnce(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newBusySimulation(seed)
@@ -144,9 +145,9 @@
 	}
 }
 
-// TestStoreThatLosesItsDiskRetiresStill: a store that loses its disk while it retires, and comes
-// back under its name, retires too: the order is about the machine.
-func TestStoreThatLosesItsDiskRetiresStill(t *testing.T) {
+// TestStoreThatLosesItsDiskStillRetires: a store that loses its disk while it retires, and comes
+// back under its name, still retires, as the retirement applies to the machine.
+func TestStoreThatLosesItsDiskStillRetires(t *testing.T) {
 	for seed := range uint64(6) {
 		sim := newBusySimulation(seed)
 		s := sim.stores[seed%5]
@@ -171,7 +172,7 @@
 	}
 }
 
-// TestRetirementNeedsEnoughOtherReplicas: no retirement is finished while too few other replicas
+// TestRetirementNeedsEnoughOtherReplicas: a retirement is not finished while too few other replicas
 // are left, or the store is still joining a group.
 func TestRetirementNeedsEnoughOtherReplicas(t *testing.T) {
 	table := &snapshot.PartitionTable{
--- a/internal/batch/rig_test.go
+++ b/internal/batch/rig_test.go
@@ -15,16 +15,16 @@
 	"dunetide/internal/platform/link"
 )
 
-// storeRig steps the cores of a few stores by hand, with many workers that run items at a fixed
-// rate. Nothing but the cores takes notable time, so what the process spends is theirs. Nothing
-// fails: see simulation for that.
+// storeRig steps the cores of several stores manually, with many workers that run items at a fixed
+// rate. Only the cores take notable time, so the CPU time of the process is theirs. Nothing fails:
+// see simulation for faults.
 type storeRig struct {
 	cores      []*core
-	queue      []func() // messages under way
-	running    []func() // ends of the items that run, the longest first
+	queue      []func() // messages in flight
+	running    []func() // ends of the running items, the longest running first
 	now        int64    // µs
-	itemMicros int64    // how long after an item the next one ends
-	stored     int      // results that stores have acknowledged
+	itemMicros int64    // interval between the ends of two items
+	stored     int      // number of results that stores have acknowledged
 	tickedAt   int64    // µs
 }
 
@@ -64,7 +64,7 @@
 	receive rigReceiver
 }
 
-// rigReceiver is the event of a message at a side of a connection.
+// rigReceiver handles a message at one side of a connection.
 type rigReceiver func(side *rigPipe, kind link.Kind, body []byte)
 
 func (p *rigPipe) Send(kind link.Kind, body []byte) error {
@@ -72,14 +72,14 @@
 	return nil
 }
 
-// connect makes a connection and returns its first side.
+// connect creates a connection and returns its first side.
 func (g *storeRig) connect(first, second rigReceiver) *rigPipe {
 	a, b := &rigPipe{rig: g, receive: first}, &rigPipe{rig: g, receive: second}
 	a.peer, b.peer = b, a
 	return a
 }
 
-// receiverOf gives messages to a store.
+// receiverOf passes messages to a store.
 func receiverOf(c *core) rigReceiver {
 	return func(side *rigPipe, kind link.Kind, body []byte) { c.handleMessage(side, nil, kind, body) }
 }
@@ -89,13 +89,13 @@
 
 func (f callerFunc) Reply(b []byte) { f(b) }
 
-// newStoreRig has so many stores in three zones, and for each of them so many workers with a limit
-// of items. PerSecond is how many items end in a second.
+// newStoreRig creates the given number of stores in three zones, and for each of them the given
+// number of workers with a limit of items. PerSecond is how many items end per second.
 func newStoreRig(stores, workers, limit int, perSecond int64) *storeRig {
 	return newStoreRigOn(stores, workers, limit, perSecond, func() disk { return &memoryDisk{} })
 }
 
-// newStoreRigOn is newStoreRig with disks of the caller's.
+// newStoreRigOn is newStoreRig with disks that the caller provides.
 func newStoreRigOn(stores, workers, limit int, perSecond int64, newDisk func() disk) *storeRig {
 	g := &storeRig{itemMicros: 1e6 / perSecond}
 	var all []snapshot.Store
@@ -128,8 +128,8 @@
 	return g
 }
 
-// runItems is the worker's side of a connection: an item ends, and its result goes to the store,
-// when the caller of the rig says so.
+// runItems is the worker's side of a connection. An item ends, and its result is sent to the store,
+// when the caller of the rig calls endOldestItem.
 func (g *storeRig) runItems(side *rigPipe, kind link.Kind, body []byte) {
 	switch kind {
 	case kindResultStored:
@@ -142,7 +142,7 @@
 	}
 }
 
-// itemOfAssignment is the item that a kindAssignItem is about.
+// itemOfAssignment returns the item of a kindAssignItem message.
 func itemOfAssignment(body []byte) itemKey {
 	r := link.Reader{Buf: body}
 	key := itemKey{partition: int(r.U32())}
@@ -154,7 +154,7 @@
 // rigBody is the body of each item, and rigText its text.
 var rigBody, rigText = bytes.Repeat([]byte("b"), 1000), bytes.Repeat([]byte("t"), 500)
 
-// endOldestItem ends the item that runs longest.
+// endOldestItem ends the item that has been running longest.
 func (g *storeRig) endOldestItem() {
 	end := g.running[0]
 	g.running = g.running[1:]
@@ -167,8 +167,7 @@
 	}
 }
 
-// deliverAll delivers all messages that are under way at this moment, and those that they cause.
-// Syncs take no time.
+// deliverAll delivers all messages in flight, and those sent in response. Syncs take no time.
 func (g *storeRig) deliverAll() {
 	g.setClocks()
 	if g.now-g.tickedAt >= fastTick.Microseconds() {
@@ -197,7 +196,7 @@
 	}
 }
 
-// encodedJob is a job of the route "b" with items of 100 tokens each.
+// encodedJob encodes a job of the route "b" with items of 100 tokens each.
 func encodedJob(id string, items int, sentMs int64) []byte {
 	j := Job{
 		ID:              id,
@@ -222,14 +221,14 @@
 	return j.encode()
 }
 
-// primaryOf is the store that the table names primary of a job's partition.
+// primaryOf returns the store that the table gives as the primary of a job's partition.
 func (g *storeRig) primaryOf(jobID string) *core {
 	table := g.cores[0].table
 	return g.cores[table.Partitions[table.PartitionOf(jobID)].Primary-1]
 }
 
-// call calls the primary of a job's partition and returns the code of the reply; 0: there was none
-// in half a second.
+// call calls the primary of a job's partition and returns the code of the reply; 0 if there was
+// none within half a second.
 func (g *storeRig) call(jobID string, kind link.Kind, body []byte) (code uint8) {
 	g.setClocks()
 	g.primaryOf(jobID).handleMessage(nil, callerFunc(func(b []byte) { code = b[0] }), kind, body)
@@ -248,7 +247,7 @@
 	return g.call(id, kindAcceptJob, encodedJob(id, items, g.now/1000))
 }
 
-// accept submits a job, which has to be accepted.
+// accept submits a job, which must be accepted.
 func (g *storeRig) accept(tb testing.TB, id string, items int) {
 	tb.Helper()
 	if code := g.submit(id, items); code != codeOK {
@@ -256,14 +255,14 @@
 	}
 }
 
-// runAll runs items until so many results are stored.
+// runAll runs items until the given number of results is stored.
 func (g *storeRig) runAll(tb testing.TB, items int) {
 	tb.Helper()
 	for g.stored < items {
 		g.deliverAll()
 		if len(g.running) == 0 {
 			if g.now += 25_000; g.now > 1e12 {
-				tb.Fatalf("%d of %d results are stored, and nothing goes on", g.stored, items)
+				tb.Fatalf("no progress: %d of %d results are stored", g.stored, items)
 			}
 			continue
 		}
@@ -285,8 +284,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkJobs measures what an item costs three stores together, from the submission of its job
-// until its result is stored. Run it with -benchtime=1x.
+// BenchmarkJobs measures the cost of an item for three stores together, from the submission of its
+// job until its result is stored. Run it with -benchtime=1x.
 func BenchmarkJobs(b *testing.B) {
 	for _, s := range []struct{ jobs, items int }{
 		{1, 1414},
@@ -323,7 +322,8 @@
 	}
 }
 
-// TestRigStoresEachResultOnce: the rig plays jobs to the end, with one result of each item at each replica.
+// TestRigStoresEachResultOnce: the rig runs jobs to completion, with one result of each item at
+// each replica.
 func TestRigStoresEachResultOnce(t *testing.T) {
 	g := newStoreRig(3, 6, 2, 1000)
 	for i := range 3 {
@@ -350,8 +350,8 @@
 	}
 }
 
-// TestDispatchContinuesAtTheFirstWaitingItem: items that are assigned are not looked at again, but
-// for those of a worker that is lost.
+// TestDispatchContinuesAtTheFirstWaitingItem: dispatch does not scan assigned items again, except
+// those of a lost worker.
 func TestDispatchContinuesAtTheFirstWaitingItem(t *testing.T) {
 	const items = 300
 	g := newStoreRig(3, 6, 2, 1000)
@@ -374,7 +374,7 @@
 	}
 	g.deliverAll()
 	if j.firstWaiting < items/2 {
-		t.Fatalf("%d results are stored, and items from %d on are looked at", g.stored, j.firstWaiting)
+		t.Fatalf("%d results are stored, but dispatch still scans from item %d on", g.stored, j.firstWaiting)
 	}
 	lost := c.attachedWorkers[0]
 	if len(lost.assigned) == 0 {
@@ -384,8 +384,8 @@
 	check()
 	g.deliverAll()
 	check()
-	// Results of the lost worker still come, to a store that does not know it any more. Its items
-	// wait for it to reconnect first.
+	// Results of the lost worker still arrive, at a store that no longer knows it. Its items first
+	// wait for it to reconnect.
 	for range 3*items + reconnectWaitMs {
 		if len(j.results) == items {
 			break
@@ -399,6 +399,6 @@
 		check()
 	}
 	if len(j.results) != items || j.readableResults != items {
-		t.Fatalf("%d of %d results are stored, %d can be read", len(j.results), items, j.readableResults)
+		t.Fatalf("%d of %d results are stored, %d are readable", len(j.results), items, j.readableResults)
 	}
 }
--- a/internal/batch/scenarios_test.go
+++ b/internal/batch/scenarios_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// playScenario is the life of a few jobs with everything that may be asked of them. Step is called
-// before each event.
+// playScenario plays several jobs with all kinds of calls. Hook is called before each event.
 func playScenario(sim *simulation, hook func()) {
 	sim.start()
 	for i := range 3 {
@@ -62,12 +61,12 @@
 	}
 }
 
-type disturbance struct {
+type fault struct {
 	name string
 	do   func(sim *simulation, s *simStore)
 }
 
-var disturbances = []disturbance{
+var faults = []fault{
 	{"kill", func(sim *simulation, s *simStore) { s.kill(); sim.after(400, s.start) }},
 	{"kill for long", func(sim *simulation, s *simStore) { s.kill(); sim.after(3000, s.start) }},
 	{"power", func(sim *simulation, s *simStore) { s.losePower(); sim.after(400, s.start) }},
@@ -98,7 +97,7 @@
 			o.terminate(func() { sim.after(300+sim.rng.Float64()*200, o.start) })
 		}
 	}},
-	{"terminate and a kill while it hands over", func(sim *simulation, s *simStore) {
+	{"terminate and a kill during the transfer", func(sim *simulation, s *simStore) {
 		s.terminate(func() {})
 		sim.after(60+sim.rng.Float64()*60, func() { s.kill(); sim.after(400, s.start) })
 	}},
@@ -127,7 +126,7 @@
 			}
 		}
 	}},
-	{"alone with clients who don't know", func(sim *simulation, s *simStore) {
+	{"isolated with clients that have an old table", func(sim *simulation, s *simStore) {
 		s.cutFromKeepers = true
 		sim.cutLinks = func(a, b string) bool { return (a == s.name || b == s.name) && a[0] == 's' && b[0] == 's' }
 		for _, proxy := range sim.workers {
@@ -140,7 +139,7 @@
 			}
 		})
 	}},
-	{"alone with one proxy that doesn't know", func(sim *simulation, s *simStore) {
+	{"isolated with one proxy that has an old table", func(sim *simulation, s *simStore) {
 		s.cutFromKeepers = true
 		sim.cutLinks = func(a, b string) bool { return (a == s.name || b == s.name) && a[0] == 's' && b[0] == 's' }
 		sim.workers[0].tableDelayMs = 3500
@@ -157,13 +156,13 @@
 		s.cutFromKeepers = true
 		sim.after(2600, func() { sim.cutLinks, s.cutFromKeepers = nil, false })
 	}},
-	{"a slow copy, then a disk", func(sim *simulation, s *simStore) {
+	{"a slow replica, then a lost disk", func(sim *simulation, s *simStore) {
 		o := sim.stores[(int(s.name[1]-'0')+1)%len(sim.stores)]
 		sim.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
 		sim.after(120+sim.rng.Float64()*300, func() { s.loseDisk(); sim.after(400, s.start) })
 		sim.after(900, func() { sim.slowLinks = nil })
 	}},
-	{"a slow copy, then a kill", func(sim *simulation, s *simStore) {
+	{"a slow replica, then a kill", func(sim *simulation, s *simStore) {
 		o := sim.stores[(int(s.name[1]-'0')+1)%len(sim.stores)]
 		sim.slowLinks = func(a, b string) bool { return b == o.name && a[0] == 's' }
 		sim.after(120+sim.rng.Float64()*300, func() { s.kill(); sim.after(3000, s.start) })
@@ -180,7 +179,7 @@
 	}},
 }
 
-// nextStore is the store after this one.
+// nextStore returns the store after this one.
 func (sim *simulation) nextStore(s *simStore) *simStore {
 	for i, o := range sim.stores {
 		if o == s {
@@ -190,11 +189,11 @@
 	return s
 }
 
-// disturbEachStep plays a scenario for each step, store and disturbance.
-func disturbEachStep(every int, report func(what string, sim *simulation) bool) {
+// injectFaultAtEachStep plays a scenario for each step, store and fault.
+func injectFaultAtEachStep(every int, report func(what string, sim *simulation) bool) {
 	for step := 1; step < 1400; step += every {
 		for s := range 4 {
-			for _, d := range disturbances {
+			for _, d := range faults {
 				seed := uint64(step*37 + s*5)
 				n := 3 + int(seed%2)
 				if s >= n {
@@ -222,15 +221,15 @@
 		every = 211
 	}
 	n := 0
-	disturbEachStep(every, func(what string, sim *simulation) bool {
+	injectFaultAtEachStep(every, func(what string, sim *simulation) bool {
 		n++
 		return reportViolations(t, sim, what)
 	})
-	t.Logf("%d lives", n)
+	t.Logf("%d runs", n)
 }
 
-// TestUncommittedJobIsAnsweredAsUnknown: a job that was ordered and not committed when its primary
-// is replaced is answered neither as accepted nor as refused.
+// TestUncommittedJobIsAnsweredAsUnknown: a job that was ordered but not committed when its primary
+// is replaced is answered neither as accepted nor as rejected.
 func TestUncommittedJobIsAnsweredAsUnknown(t *testing.T) {
 	sim := newSimulation(1, 3, 1, 1)
 	sim.start()
@@ -243,7 +242,7 @@
 	sim.workers[0].submit(j, func(c uint8) { code = c })
 	sim.run(50)
 	if code != 0 {
-		t.Fatalf("answered %d without a copy", code)
+		t.Fatalf("answered %d without a replica", code)
 	}
 	next := cloneTable(sim.table)
 	next.Partitions[0].Epoch++
@@ -255,8 +254,8 @@
 	}
 }
 
-// playStorm plays jobs for 24 s while stores are disturbed, f at a time at most, and retired.
-func playStorm(seed uint64, f int, retire bool) *simulation {
+// playRandomFaults plays jobs for 24 s while stores are disturbed, at most f at a time, and retired.
+func playRandomFaults(seed uint64, f int, retire bool) *simulation {
 	n := f + 2 + int(seed%3)
 	sim := newSimulation(seed, n, f, 6)
 	sim.maxQueuedTokens = 300
@@ -300,7 +299,7 @@
 		sim.run(200 + int64(sim.rng.IntN(1500)))
 		hit := sim.rng.Perm(n)
 		if f == 1 {
-			disturbances[sim.rng.IntN(len(disturbances)-1)].do(sim, sim.stores[hit[0]])
+			faults[sim.rng.IntN(len(faults)-1)].do(sim, sim.stores[hit[0]])
 		} else {
 			for i := range f {
 				switch s := sim.stores[hit[i]]; sim.rng.IntN(4) {
@@ -318,7 +317,7 @@
 				}
 			}
 		}
-		sim.run(9000) // until all is whole again
+		sim.run(9000) // until everything has recovered
 		if bad := sim.findUnhealthy(); bad != "" {
 			sim.violation("nine seconds after: %s", bad)
 			return sim
@@ -334,28 +333,29 @@
 	return sim
 }
 
-// findUnhealthy says which partition has no primary that serves it or misses a replica; empty: none.
+// findUnhealthy describes a partition that has no serving primary or lacks a replica; empty if
+// there is none.
 func (sim *simulation) findUnhealthy() string {
 	for no := range sim.table.Partitions {
 		row := &sim.table.Partitions[no]
 		if len(row.Joining)+len(row.Leaving) > 0 {
-			return fmt.Sprintf("partition %d is on its way: %v", no, *row)
+			return fmt.Sprintf("the replicas of partition %d are still changing: %v", no, *row)
 		}
 		for _, id := range row.Replicas {
 			s := sim.storeNamed(sim.table.Stores[id].Name)
 			if s == nil || s.core == nil || s.core.self != id {
-				return fmt.Sprintf("partition %d has a replica at %d, which is not there: %v", no, id, *row)
+				return fmt.Sprintf("partition %d has a replica at %d, which is down: %v", no, id, *row)
 			}
 			if id == row.Primary && (s.core.partitions[no].primary == nil || !s.core.partitions[no].primary.serving) {
-				return fmt.Sprintf("partition %d is not led: %v", no, *row)
+				return fmt.Sprintf("partition %d has no serving primary: %v", no, *row)
 			}
 		}
 	}
 	return ""
 }
 
-// retireStore retires a store. In the moment in which that is finished it is removed, and another store
-// loses its disk.
+// retireStore retires a store. At the moment at which that is finished the store is removed, and
+// another one loses its disk.
 func (sim *simulation) retireStore() {
 	s := sim.stores[sim.rng.IntN(len(sim.stores))]
 	next, known, few := RetireStore(sim.table, s.name, sim.aliveStores(), sim.isLost, sim.maxLost)
@@ -371,9 +371,9 @@
 	for range 100 {
 		sim.run(100)
 		if _, done := RetirementState(sim.table, s.name, sim.maxLost); done {
-			sim.logf("%s is finished", s.name)
+			sim.logf("retirement of %s is finished", s.name)
 			s.loseDisk()
-			s.name += "'" // the machine that comes in its place is another
+			s.name += "'" // a different machine replaces it
 			o := sim.stores[sim.rng.IntN(len(sim.stores))]
 			if o != s {
 				o.loseDisk()
@@ -388,19 +388,19 @@
 }
 
 var (
-	storms    = flag.Uint64("storms", 12, "how many storms")
-	firstSeed = flag.Uint64("storms.from", 0, "the seed of the first storm")
-	stepEvery = flag.Int("steps.every", 61, "how many steps lie between those that are disturbed")
+	randomRuns = flag.Uint64("storms", 12, "number of runs with random faults")
+	firstSeed  = flag.Uint64("storms.from", 0, "seed of the first run with random faults")
+	stepEvery  = flag.Int("steps.every", 61, "interval between the steps at which a fault is injected")
 )
 
 func TestPromisesHoldUnderRandomFaults(t *testing.T) {
-	seeds := *storms
+	seeds := *randomRuns
 	if testing.Short() {
 		seeds = 4
 	}
 	for _, f := range []int{1, 2} {
 		for seed := *firstSeed; seed < *firstSeed+seeds; seed++ {
-			sim := playStorm(seed, f, seed%2 == 0)
+			sim := playRandomFaults(seed, f, seed%2 == 0)
 			if !reportViolations(t, sim, fmt.Sprintf("f %d, seed %d", f, seed)) {
 				return
 			}
--- a/internal/batch/segments.go
+++ b/internal/batch/segments.go
@@ -13,33 +13,34 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// The log of a store is a row of segments, each a file of package recordlog. Records are appended to
-// the newest segment. The oldest segment is removed as a whole once nothing in it is live, so disk
-// space is given back without writing again what stays (see space.go).
+// The log of a store is a sequence of segments, each a file of package recordlog. Records are
+// appended to the newest segment. The oldest segment is removed as a whole once nothing in it is
+// live, so disk space is reclaimed without rewriting the live data of the other segments (see
+// space.go).
 //
-// An offset of the log is the number of a segment and an offset in its file. The first record of a
-// segment, its head, says how long the segment before it was when that was closed: a segment that
-// is shorter has lost what was synced.
+// An offset in the log consists of the number of a segment and an offset in its file. The first
+// record of a segment, its head, has the length of the previous segment when that was closed: if
+// the previous segment is shorter, synced data was lost.
 
 const (
-	// segmentShift is where the number of the segment begins in an offset.
+	// segmentShift is the position of the segment number in an offset, in bits.
 	segmentShift = 40
 	segmentMask  = 1<<segmentShift - 1
-	// segmentHeadBytes is the length of a head: the length of the segment before it.
+	// segmentHeadBytes is the length of a head, which has the length of the previous segment.
 	segmentHeadBytes = 8
 )
 
-// segmentOf is the number of the segment that an offset lies in.
+// segmentOf returns the number of the segment that an offset is in.
 func segmentOf(offset int64) int64 { return offset >> segmentShift }
 
-// segmentedLog is a Log in a folder. It is safe for concurrent use, but for Append, Rotate and
-// DropOldest, which one goroutine alone calls.
+// segmentedLog is a Log in a folder. It is safe for concurrent use, except that only one goroutine
+// may call Append, Rotate and DropOldest.
 type segmentedLog struct {
 	folder vfs.Folder
 	name   string
 
 	mu       sync.Mutex
-	segments []segment // the oldest first; never empty
+	segments []segment // oldest first; never empty
 }
 
 type segment struct {
@@ -47,8 +48,9 @@
 	*recordlog.Log
 }
 
-// OpenLog opens the log of a name in a folder and replays what it holds; end is the offset behind a
-// record. The error is of class recordlog.ErrDamaged if a segment is missing or is not what was written.
+// OpenLog opens the log with the given name in a folder and replays its records; end is the offset
+// of the end of a record. The error is of class recordlog.ErrDamaged if a segment is missing or
+// corrupt.
 func OpenLog(folder vfs.Folder, name string, replay func(record []byte, end int64) error) (Log, error) {
 	l := &segmentedLog{folder: folder, name: name}
 	numbers, err := l.listSegments()
@@ -63,8 +65,8 @@
 	return l, nil
 }
 
-// fileName is the name of a segment's file. The first one has the name of the log, as logs had
-// before there were segments.
+// fileName returns the name of a segment's file. The first one has the name of the log, as logs did
+// before segments were introduced.
 func (l *segmentedLog) fileName(number int64) string {
 	if number == 0 {
 		return l.name
@@ -72,7 +74,7 @@
 	return fmt.Sprintf("%s.%06d", l.name, number)
 }
 
-// numberOf is the number of the segment that a file is; false if it is none.
+// numberOf returns the segment number of a file; false if it is not a segment.
 func (l *segmentedLog) numberOf(file string) (number int64, ok bool) {
 	if file == l.name {
 		return 0, true
@@ -85,7 +87,8 @@
 	return number, err == nil && number > 0 && l.fileName(number) == file
 }
 
-// listSegments lists the numbers of the segments that there are, or the first one if there is none.
+// listSegments lists the numbers of the existing segments, or that of the first one if there are
+// none.
 func (l *segmentedLog) listSegments() (numbers []int64, err error) {
 	files, err := l.folder.List()
 	if err != nil {
@@ -99,7 +102,7 @@
 	slices.Sort(numbers)
 	for i, number := range numbers {
 		if i > 0 && number != numbers[i-1]+1 {
-			return nil, recordlog.ErrDamaged.New("%s: the segments %d and %d are there, and none between them",
+			return nil, recordlog.ErrDamaged.New("%s: no segment between %d and %d",
 				l.name, numbers[i-1], number)
 		}
 	}
@@ -124,7 +127,7 @@
 	}
 	if number > 0 && records == 0 {
 		if !newest {
-			err := recordlog.ErrDamaged.New("%s is empty, and there is a newer segment", l.fileName(number))
+			err := recordlog.ErrDamaged.New("%s is empty, but is not the newest segment", l.fileName(number))
 			return errors.Join(err, file.Close())
 		}
 		if err := l.writeHead(file); err != nil { // the process ended while it began the segment
@@ -147,30 +150,30 @@
 	return file.Sync()
 }
 
-// checkPrevious checks the length of the newest segment against what the head of the next one says.
+// checkPrevious checks the length of the newest segment against the head of the next one.
 func (l *segmentedLog) checkPrevious(head []byte) error {
 	if len(head) != segmentHeadBytes {
-		return recordlog.ErrDamaged.New("%s: a segment does not begin with its head", l.name)
+		return recordlog.ErrDamaged.New("%s: a segment has no valid head", l.name)
 	}
 	if len(l.segments) == 0 {
-		return nil // the one before it has been removed
+		return nil // the previous segment has been removed
 	}
 	last := l.segments[len(l.segments)-1]
 	if want := int64(binary.BigEndian.Uint64(head)); last.Size() < want {
-		return recordlog.ErrDamaged.New("%s: it has %d bytes of the %d that were synced",
+		return recordlog.ErrDamaged.New("%s is truncated: %d of %d synced bytes",
 			l.fileName(last.number), last.Size(), want)
 	}
 	return nil
 }
 
-// newest is the segment that records are appended to.
+// newest returns the segment that records are appended to.
 func (l *segmentedLog) newest() segment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.segments[len(l.segments)-1]
 }
 
-// byNumber is a segment by its number.
+// byNumber returns the segment with the given number.
 func (l *segmentedLog) byNumber(number int64) (segment, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,24 +184,25 @@
 	return l.segments[i], true
 }
 
-// Append appends a record to the newest segment. It returns the offset behind the record.
+// Append appends a record to the newest segment. It returns the offset of the record's end.
 func (l *segmentedLog) Append(payload []byte) (end int64, err error) {
 	s := l.newest()
 	end, err = s.Log.Append(payload)
 	return s.number<<segmentShift | end, err
 }
 
-// ReadRaw reads bytes inside a record without checking them. The error is of class recordlog.ErrNoRecord if
-// the segment has been removed.
+// ReadRaw reads bytes inside a record without verifying them. The error is of class
+// recordlog.ErrNoRecord if the segment has been removed.
 func (l *segmentedLog) ReadRaw(offset int64, length int) ([]byte, error) {
 	s, ok := l.byNumber(segmentOf(offset))
 	if !ok {
-		return nil, recordlog.ErrNoRecord.New("%s: segment %d is not there", l.name, segmentOf(offset))
+		return nil, recordlog.ErrNoRecord.New("%s: segment %d does not exist", l.name, segmentOf(offset))
 	}
 	return s.Log.ReadRaw(offset&segmentMask, length)
 }
 
-// SyncTo returns when all up to an offset is durable. Segments before the newest one always are.
+// SyncTo returns once everything up to an offset is durable. Segments before the newest one always
+// are.
 func (l *segmentedLog) SyncTo(end int64) error {
 	s := l.newest()
 	if segmentOf(end) < s.number {
@@ -206,12 +210,12 @@
 	}
 	err := s.SyncTo(end & segmentMask)
 	if _, there := l.byNumber(s.number); err != nil && !there {
-		return nil // it was closed and removed meanwhile, and so synced
+		return nil // it was synced, closed and removed in the meantime
 	}
 	return err
 }
 
-// Size is how many bytes all segments have.
+// Size returns the total size of all segments in bytes.
 func (l *segmentedLog) Size() (size int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,17 +225,17 @@
 	return size
 }
 
-// NewestSize is how many bytes the segment has that records are appended to.
+// NewestSize returns the size in bytes of the segment that records are appended to.
 func (l *segmentedLog) NewestSize() int64 { return l.newest().Size() }
 
-// Oldest is the number of the oldest segment, and whether there is a newer one.
+// Oldest returns the number of the oldest segment, and whether there is a newer one.
 func (l *segmentedLog) Oldest() (number int64, more bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.segments[0].number, len(l.segments) > 1
 }
 
-// Rotate makes all that was appended durable and begins a new segment.
+// Rotate makes all appended records durable and begins a new segment.
 func (l *segmentedLog) Rotate() error {
 	last := l.newest()
 	if err := last.Sync(); err != nil {
@@ -239,7 +243,7 @@
 	}
 	number := last.number + 1
 	file, err := recordlog.Open(l.folder, l.fileName(number), func([]byte, int64) error {
-		return recordlog.ErrDamaged.New("%s is there already", l.fileName(number))
+		return recordlog.ErrDamaged.New("%s exists already", l.fileName(number))
 	})
 	if err != nil {
 		return fmt.Errorf("beginning a segment: %w", err)
@@ -254,7 +258,8 @@
 	return nil
 }
 
-// DropOldest makes all that was appended durable and removes the oldest segment, unless it is the only one.
+// DropOldest makes all appended records durable and removes the oldest segment, unless it is the
+// only one.
 func (l *segmentedLog) DropOldest() error {
 	if err := l.newest().Sync(); err != nil {
 		return err
@@ -266,7 +271,7 @@
 	return errors.Join(oldest.Close(), l.folder.Remove(l.fileName(oldest.number)), l.folder.Sync())
 }
 
-// detachOldest takes the oldest segment out of the log, so that nothing is read from it any more.
+// detachOldest removes the oldest segment from the list, so that nothing more is read from it.
 func (l *segmentedLog) detachOldest() (oldest segment, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -278,7 +283,7 @@
 	return oldest, true
 }
 
-// Close syncs what was appended and ends the use of the log.
+// Close syncs the segments and closes them.
 func (l *segmentedLog) Close() error {
 	l.mu.Lock()
 	segments := slices.Clone(l.segments)
--- a/internal/batch/segments_test.go
+++ b/internal/batch/segments_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// openedLog is a log and what was replayed from it.
+// openedLog is a log and the records that were replayed from it.
 type openedLog struct {
 	*segmentedLog
 	payloads []string
@@ -29,8 +29,8 @@
 }
 
 // segmentScript appends three records to each of four segments, and removes the oldest segment
-// twice on the way. It ends at the first error. Appended is all that it has written, durable how
-// much of that is promised, and removed how much of it may be gone.
+// twice in between. It stops at the first error. Appended has all records written, durable is how
+// many of them are durable, and removed how many may have been removed.
 func segmentScript(d *vfstest.Disk) (appended []string, durable, removed int) {
 	log, err := openSegments(d)
 	if err != nil {
@@ -66,14 +66,14 @@
 	return appended, durable, removed
 }
 
-// TestSegmentsAfterPowerLoss: whatever a loss of power at any step leaves, what was durable is
-// there and in order, and the log can be appended to and read.
+// TestSegmentsAfterPowerLoss: whatever a power loss at any step leaves, the durable records remain
+// in order, and the log can be appended to and read.
 func TestSegmentsAfterPowerLoss(t *testing.T) {
-	whole := vfstest.New()
-	if _, durable, removed := segmentScript(whole); durable != 12 || removed != 6 {
+	reference := vfstest.New()
+	if _, durable, removed := segmentScript(reference); durable != 12 || removed != 6 {
 		t.Fatalf("without losses: %d durable, %d removed", durable, removed)
 	}
-	for step := 1; step <= whole.Ops+1; step++ {
+	for step := 1; step <= reference.Ops+1; step++ {
 		for kept := range 3 {
 			d := vfstest.New()
 			d.FailAt, d.Fails = step, 1<<30
@@ -98,7 +98,7 @@
 	}
 }
 
-// checkUse reads all records back, appends one and reads it.
+// checkUse reads all records, appends one and reads it.
 func checkUse(t *testing.T, log openedLog) {
 	t.Helper()
 	for i, at := range log.at {
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestDamagedSegmentsAreRefused: a segment that is missing, cut short or changed after it was
-// synced is found, and the log is not opened.
+// TestDamagedSegmentsAreRefused: a segment that is missing, truncated or changed after it was
+// synced is detected, and the log is not opened.
 func TestDamagedSegmentsAreRefused(t *testing.T) {
 	build := func() *vfstest.Disk {
 		d := vfstest.New()
@@ -165,7 +165,7 @@
 			t.Errorf("%s: %v, %d records", name, err, len(log.payloads))
 		}
 	}
-	// A log that was written before there were segments is the first segment.
+	// A log from before segments were introduced is the first segment.
 	d := vfstest.New()
 	old, err := recordlog.Open(d, "t.log", nil)
 	if err != nil {
@@ -179,7 +179,7 @@
 	}
 	log, err := openSegments(d)
 	if err != nil || !slices.Equal(log.payloads, []string{"old"}) {
-		t.Fatalf("an old log: %q, %v", log.payloads, err)
+		t.Fatalf("a log without segments: %q, %v", log.payloads, err)
 	}
 	checkUse(t, log)
 }
--- a/internal/batch/simclients_test.go
+++ b/internal/batch/simclients_test.go
@@ -9,26 +9,26 @@
 	"dunetide/internal/platform/link"
 )
 
-// clientJob is what clients know of a job.
+// clientJob is the clients' view of a job.
 type clientJob struct {
 	id           string
 	items        []string
 	tokens       []int64
-	extraMs      float64 // that each item takes besides
+	extraMs      float64 // additional duration of each item
 	attempts     int
-	refusals     int // answers of 429 or 503
+	refusals     int // responses of 429 or 503
 	acceptedAt   int64
 	accepted     bool
 	endRequested bool
 	endedAt      int64
 	ended        bool
-	positions    map[int]string // what was read
+	positions    map[int]string // the results that were read, by position
 	readAt       map[int]int64
-	started      map[string]bool // items that a worker began
-	finished     map[string]bool // items that a worker ended
+	started      map[string]bool // items that a worker started
+	finished     map[string]bool // items that a worker finished
 }
 
-// simWorker is a proxy: it runs items and passes calls of clients on.
+// simWorker is a simulated proxy: it runs items and forwards client calls.
 type simWorker struct {
 	simulation   *simulation
 	name         string
@@ -37,7 +37,7 @@
 	assigned     map[itemKey]*simRun
 	contacts     map[int]*simContact
 	runCount     int
-	tableDelayMs float64 // tables come that many ms later
+	tableDelayMs float64 // additional delay of tables
 }
 
 type simContact struct {
@@ -210,16 +210,16 @@
 	}
 	j := sim.jobs[key.jobID]
 	if j == nil {
-		sim.violation("an item of a job that nobody sent runs: %v", key)
+		sim.violation("an item of a job that was not submitted runs: %v", key)
 		return
 	}
 	item := j.items[key.index]
 	j.started[item] = true
 	if j.attempts > 0 && j.refusals == j.attempts {
-		sim.violation("%s runs, and all %d tries of its job were refused", item, j.attempts)
+		sim.violation("%s runs although all %d submissions of its job were rejected", item, j.attempts)
 	}
 	if j.ended && sim.nowMs() > j.endedAt+3000 {
-		sim.violation("%s begins %d ms after the end of its job was acknowledged", item, sim.nowMs()-j.endedAt)
+		sim.violation("%s starts %d ms after the end of its job was acknowledged", item, sim.nowMs()-j.endedAt)
 	}
 	proxy.runCount++
 	text := fmt.Sprintf("%s by %s run %d", item, proxy.name, proxy.runCount)
@@ -239,7 +239,7 @@
 	_ = p.Send(kindItemResult, encodeItemResult(key, false, []byte(run.text)))
 }
 
-// simCall is a call of a client; it is answered once, or cut.
+// simCall is a client call; it is answered at most once.
 type simCall struct {
 	simulation *simulation
 	handle     func([]byte)
@@ -255,8 +255,8 @@
 	r.simulation.after(r.simulation.delay(), func() { r.handle(b) })
 }
 
-// call calls the primary of a job's partition over a worker's connections. The reply is nil if there is
-// none within so many ms.
+// call calls the primary of a job's partition over a worker's connections. The reply is nil if none
+// arrives within the given ms.
 func (proxy *simWorker) call(job string, kind link.Kind, body []byte, ms float64, fn func(b []byte, sent bool)) {
 	sim := proxy.simulation
 	index := proxy.table.PartitionOf(job)
@@ -289,7 +289,7 @@
 	})
 }
 
-// newJob is a job that clients will send.
+// newJob adds a job for clients to submit.
 func (sim *simulation) newJob(id string, tokens ...int64) *clientJob {
 	j := &clientJob{
 		id:        id,
@@ -346,7 +346,7 @@
 		case codeQuotaFull, codeUnavailable:
 			j.refusals++
 			if j.refusals == j.attempts && len(j.started) > 0 {
-				sim.violation("job %s ran and all its tries were refused", j.id)
+				sim.violation("job %s ran although all its submissions were rejected", j.id)
 			}
 		}
 		if then != nil {
@@ -355,7 +355,7 @@
 	})
 }
 
-// checkQuota checks the quota when a job has been accepted.
+// checkQuota checks the quota after a job has been accepted.
 func (sim *simulation) checkQuota() {
 	var sum int64
 	for _, j := range sim.jobs {
@@ -369,11 +369,12 @@
 		}
 	}
 	if sim.maxQueuedTokens > 0 && sum > sim.maxQueuedTokens {
-		sim.violation("%d tokens wait, over %d", sum, sim.maxQueuedTokens)
+		sim.violation("%d tokens are in use, over the quota of %d", sum, sim.maxQueuedTokens)
 	}
 }
 
-// submitUntilAccepted submits a job over any worker until it is accepted, so many times at most.
+// submitUntilAccepted submits a job over random workers until it is accepted, at most the given
+// number of times.
 func (sim *simulation) submitUntilAccepted(j *clientJob, tries int) {
 	proxy := sim.workers[sim.rng.IntN(len(sim.workers))]
 	proxy.submit(j, func(code uint8) {
@@ -392,7 +393,7 @@
 		switch r.U8() {
 		case codeNotFound:
 			if j.accepted && sim.nowMs() > j.acceptedAt+1000 {
-				sim.violation("404 for job %s, taken %d ms ago", j.id, sim.nowMs()-j.acceptedAt)
+				sim.violation("404 for job %s, accepted %d ms ago", j.id, sim.nowMs()-j.acceptedAt)
 			}
 		case codeOK:
 			ok = true
@@ -412,18 +413,18 @@
 					sim.violation("job %s: position %d was %q and is %q", j.id, pos, old, what)
 				}
 				if p, ok := seen[id]; ok && p != pos {
-					sim.violation("job %s: %s stands at %d and at %d", j.id, id, p, pos)
+					sim.violation("job %s: %s is at positions %d and %d", j.id, id, p, pos)
 				}
 				seen[id] = pos
 				if !slices.Contains(j.items, id) {
-					sim.violation("job %s lists %s", j.id, id)
+					sim.violation("job %s has a result of unknown item %s", j.id, id)
 				}
 				if _, ok := j.positions[pos]; !ok {
 					j.positions[pos], j.readAt[pos] = what, sim.nowMs()
 				}
 			}
 			if at, ok := j.readAt[after]; ok && n == 0 && sim.nowMs() > at+1000 {
-				sim.violation("job %s: nothing at position %d, which was read %d ms ago", j.id, after, sim.nowMs()-at)
+				sim.violation("job %s: no result at position %d, which was read %d ms ago", j.id, after, sim.nowMs()-at)
 			}
 		}
 		if then != nil {
@@ -441,7 +442,7 @@
 	return what
 }
 
-// readRepeatedly reads the results of a job again and again until a time.
+// readRepeatedly reads the results of a job repeatedly until the given time.
 func (sim *simulation) readRepeatedly(j *clientJob, until int64) {
 	if sim.nowMs() > until {
 		return
@@ -455,7 +456,7 @@
 	sim.after(60+sim.rng.Float64()*100, func() { sim.readRepeatedly(j, until) })
 }
 
-// endUntilAcknowledged ends a job, until it is acknowledged.
+// endUntilAcknowledged ends a job, with retries until that is acknowledged.
 func (sim *simulation) endUntilAcknowledged(j *clientJob) {
 	proxy := sim.workers[sim.rng.IntN(len(sim.workers))]
 	j.endRequested = true
@@ -473,7 +474,7 @@
 	})
 }
 
-// healAndCheck ends all faults and checks that all that was acknowledged is there.
+// healAndCheck ends all faults and checks that nothing acknowledged was lost.
 func (sim *simulation) healAndCheck(ms int64) {
 	sim.cutLinks, sim.slowLinks = nil, nil
 	for _, s := range sim.stores {
--- a/internal/batch/simulation_test.go
+++ b/internal/batch/simulation_test.go
@@ -12,9 +12,9 @@
 	"dunetide/internal/platform/link"
 )
 
-// simulation is a whole system in one goroutine: stores, keepers, workers and clients on a clock
-// and links of its own. What is random is drawn from a seed. It checks each answer against what
-// clients know, and collects the violations.
+// simulation is a whole system in one goroutine: stores, keepers, workers and clients with a
+// simulated clock and simulated links. All randomness comes from a seed. It checks each answer
+// against the clients' view, and collects the violations.
 type simulation struct {
 	rng       *rand.Rand
 	now       int64 // in 1/10 ms
@@ -26,7 +26,7 @@
 	workers   []*simWorker
 	table     *snapshot.PartitionTable
 	config    *operatorconfig.Config
-	cutLinks  func(a, b string) bool // links that are cut
+	cutLinks  func(a, b string) bool // links that drop messages
 	slowLinks func(a, b string) bool // links on which messages take 0.9 s
 
 	lastHeard       map[uint64]int64
@@ -38,10 +38,10 @@
 	maxQueuedTokens int64
 	partitionCount  int
 	trace           func(format string, args ...any)
-	beforeStep      func() // before each step
+	beforeStep      func() // called before each step
 	tableFrozen     bool   // keepers have no majority: the table can't change
 	resultsRead     int
-	drainedStores   int // stores that ended when others led their partitions
+	drainedStores   int // stores that stopped after others had taken over the lead of their partitions
 	connections     []*simPipe
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// run plays for so many ms.
+// run plays the simulation for the given ms.
 func (sim *simulation) run(ms int64) {
 	end := sim.now + ms*10
 	for len(sim.queue) > 0 && sim.queue[0].at <= end {
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// powerLoss loses records that were not synced, as many as the caller picks.
+// powerLoss loses records that were not synced; pick chooses how many are kept.
 func (d *simDisk) powerLoss(pick func(int) int) {
 	n := d.synced + pick(len(d.records)-d.synced+1)
 	if n < len(d.records) {
@@ -201,22 +201,24 @@
 	name           string
 	zone           string
 	disk           *simDisk
-	core           *core // nil: down
+	core           *core // nil while down
 	incarnation    int
 	frozen         bool
-	frozenEvents   []func() // while frozen
-	syncRunning    bool     // a sync runs
+	frozenEvents   []func() // events that arrived while frozen
+	syncRunning    bool     // a sync is in progress
 	pipes          map[string]*simPipe
 	table          *snapshot.PartitionTable
 	lastHeartbeat  int64
 	removed        bool // for good
-	cutFromKeepers bool // no message between it and keepers arrives
+	cutFromKeepers bool // drops all messages between it and the keepers
 }
 
-// simReceiver is the event of a message at a side of a connection. The caller is nil if no reply is awaited.
+// simReceiver handles a message at one side of a connection. The caller is nil if no reply is
+// expected.
 type simReceiver func(side *simPipe, caller Caller, kind link.Kind, body []byte)
 
-// simPipe is one side of a connection. Messages arrive at the other side in order, unless either has died.
+// simPipe is one side of a connection. Messages arrive at the other side in order, unless either
+// side has closed.
 type simPipe struct {
 	simulation  *simulation
 	from        string
@@ -254,7 +256,7 @@
 	return sim.cutLinks != nil && (sim.cutLinks(a, b) || sim.cutLinks(b, a))
 }
 
-// end closes both sides: at once here, and there when it is noticed.
+// end closes both sides: this one at once, and the other one after ms.
 func (p *simPipe) end(ms float64) {
 	if !p.open {
 		return
@@ -307,7 +309,8 @@
 	return nil
 }
 
-// runEvent runs an event of an incarnation of a store: later if it is frozen, never if it has ended.
+// runEvent runs an event of an incarnation of a store: later if it is frozen, never if it has
+// stopped.
 func (s *simStore) runEvent(incarnation int, fn func()) {
 	if s.core == nil || s.incarnation != incarnation {
 		return
@@ -417,8 +420,8 @@
 	sim.after(20, func() { s.connectPeers(incarnation) })
 }
 
-// checkReady is called when a primary reports that the next group of a partition is ready: the replicas
-// that join have to have all that is committed.
+// checkReady is called when a primary reports that the next group of a partition is ready: the
+// joining replicas must have everything that is committed.
 func (sim *simulation) checkReady(primary *core, index int) {
 	state := primary.partition(index).primary
 	for _, other := range sim.stores {
@@ -428,13 +431,14 @@
 		}
 		position, committed := other.core.partition(index).position, max(state.committed, state.startSequence)
 		if position.term != state.term || int64(position.sequence) < committed {
-			sim.violation("partition %d is to get the replica %s, which has (%x, %d) of (%x, %d)",
+			sim.violation("partition %d is ready for replica %s, which is at (%x, %d) of (%x, %d)",
 				index, other.name, position.term, position.sequence, state.term, committed)
 		}
 	}
 }
 
-// pollTable gives a store the newest table now and then, as a keeper does that it has found.
+// pollTable passes a store the newest table regularly, as a keeper that the store has connected to
+// does.
 func (s *simStore) pollTable(incarnation int) {
 	if s.incarnation != incarnation || s.core == nil {
 		return
@@ -445,7 +449,7 @@
 	s.simulation.after(700, func() { s.pollTable(incarnation) })
 }
 
-// receiveTable is the event that a store gets a table.
+// receiveTable passes a table to a store.
 func (s *simStore) receiveTable(t *snapshot.PartitionTable, incarnation int) {
 	s.runEvent(incarnation, func() {
 		if s.table == nil || t.Version > s.table.Version {
@@ -456,12 +460,12 @@
 	})
 }
 
-// reachable reports whether a connection to a store of an identity can be opened.
+// reachable reports whether a connection to the store with the given identity can be opened.
 func (s *simStore) reachable(id uint64) bool {
 	return s != nil && s.core != nil && s.core.self == id && !s.frozen
 }
 
-// connectPeers keeps connections open to all other stores of the table.
+// connectPeers keeps connections open to all other stores in the table.
 func (s *simStore) connectPeers(incarnation int) {
 	if s.incarnation != incarnation || s.core == nil {
 		return
@@ -500,7 +504,7 @@
 	return p
 }
 
-// dropConnections ends all connections of a machine; the others notice after so many ms.
+// dropConnections closes all connections of a machine; the other sides notice after the given ms.
 func (sim *simulation) dropConnections(name string, ms float64) {
 	for _, p := range sim.connections {
 		if p.from == name {
@@ -512,7 +516,7 @@
 	sim.connections = slices.DeleteFunc(sim.connections, func(p *simPipe) bool { return !p.open })
 }
 
-// kill ends a store's process.
+// kill kills a store's process.
 func (s *simStore) kill() {
 	if s.core == nil {
 		return
@@ -523,7 +527,7 @@
 	s.simulation.dropConnections(s.name, 1)
 }
 
-// terminate drains a store, and ends it when that is done or after 2 s.
+// terminate drains a store, and stops it when that is done or after 2 s.
 func (s *simStore) terminate(then func()) {
 	sim, incarnation := s.simulation, s.incarnation
 	s.runEvent(incarnation, func() { s.core.beginDraining() })
@@ -547,20 +551,20 @@
 	sim.after(25, poll)
 }
 
-// losePower ends a store and loses records of its disk that were not synced.
+// losePower stops a store and loses unsynced records of its disk.
 func (s *simStore) losePower() {
 	s.kill()
 	s.disk.powerLoss(s.simulation.rng.IntN)
 }
 
-// loseDisk ends a store and gives it an empty disk.
+// loseDisk stops a store and gives it an empty disk.
 func (s *simStore) loseDisk() {
 	s.kill()
 	s.disk = &simDisk{}
 	s.simulation.logf("%s has lost its disk", s.name)
 }
 
-// freeze stops a store for so many ms. Others notice by a timeout.
+// freeze suspends a store for the given ms. Other stores detect that by a timeout.
 func (s *simStore) freeze(ms float64) {
 	if s.core == nil || s.frozen {
 		return
@@ -575,7 +579,7 @@
 	})
 	sim.after(ms, func() {
 		if s.incarnation == incarnation && s.frozen {
-			sim.logf("%s goes on", s.name)
+			sim.logf("%s resumes", s.name)
 			s.frozen = false
 			all := s.frozenEvents
 			s.frozenEvents = nil
@@ -586,7 +590,7 @@
 	})
 }
 
-// aliveStores are the stores whose heartbeats keepers get.
+// aliveStores returns the stores whose heartbeats keepers receive.
 func (sim *simulation) aliveStores() (alive []snapshot.Store) {
 	for _, s := range sim.stores {
 		if s.core != nil && (sim.nowMs()-s.lastHeartbeat < 400 || sim.nowMs() < 300) {
@@ -599,7 +603,7 @@
 // isLost reports whether a store has sent no heartbeat for a second.
 func (sim *simulation) isLost(id uint64) bool { return sim.nowMs()-sim.lastHeard[id] > 1000 }
 
-// runKeepers assigns the partitions, again and again.
+// runKeepers assigns the partitions periodically.
 func (sim *simulation) runKeepers() {
 	for _, s := range sim.stores {
 		if s.core != nil {
--- a/internal/batch/space.go
+++ b/internal/batch/space.go
@@ -1,23 +1,25 @@
 package batch
 
-// The space that a store's log takes. Jobs are dropped in about the order in which they came, so
-// little of the oldest segment of the log is live after a while. What is live is appended again,
-// and the segment is removed.
+// Reclaiming the space of a store's log. Jobs are dropped roughly in the order in which they
+// arrived, so after some time little of the oldest segment is live. Its live data is appended to
+// the log again, and the segment is removed.
 
 const (
-	// segmentsInLog is how many segments a log has that takes all of its capacity.
+	// segmentsInLog is the number of segments of a log at full capacity.
 	segmentsInLog = 24
-	// minSegmentBytes is how long a segment gets at least before a new one is begun.
+	// minSegmentBytes is the minimum length of a segment before a new one is begun.
 	minSegmentBytes = 1 << 20
-	// maxLivePercent of the capacity may be live; above it no job is accepted.
+	// maxLivePercent is the percentage of the capacity that may be live; above it no job is
+	// accepted.
 	maxLivePercent = 80
-	// reclaimPressurePercent of the capacity may be used before segments are reclaimed that are mostly live.
+	// reclaimPressurePercent is the percentage of the capacity above which even mostly live
+	// segments are reclaimed.
 	reclaimPressurePercent = 85
-	// resultsPerByte is how many bytes of results are expected for each byte of a job.
+	// resultsPerByte is the expected number of result bytes for each byte of a job.
 	resultsPerByte = 3
 )
 
-// addLiveBytes counts bytes at an offset of the log as live, or, with a negative number, as garbage.
+// addLiveBytes counts bytes at an offset of the log as live, or, if negative, as garbage.
 func (c *core) addLiveBytes(offset, bytes int64) {
 	c.liveBytes += bytes
 	c.liveBytesBySegment[segmentOf(offset)] += bytes
@@ -31,8 +33,8 @@
 	}
 }
 
-// hasCapacity reports whether the log can take a job of so many bytes with its results, and the
-// results to come of the jobs that it has.
+// hasCapacity reports whether the log has space for a job of the given size with its results, in
+// addition to the expected results of the jobs that it has.
 func (c *core) hasCapacity(bytes int) bool {
 	if c.logCapacity <= 0 {
 		return true
@@ -49,7 +51,7 @@
 	return needed <= c.logCapacity*maxLivePercent/100
 }
 
-// targetSegmentBytes is the length at which a segment is followed by a new one.
+// targetSegmentBytes returns the length at which a new segment is begun.
 func (c *core) targetSegmentBytes() int64 {
 	if c.fixedSegmentBytes > 0 {
 		return c.fixedSegmentBytes
@@ -58,7 +60,7 @@
 }
 
 // reclaimSpace begins a new segment when the newest one is long enough, and removes the oldest one
-// if that is worth it.
+// if that frees enough space.
 func (c *core) reclaimSpace() {
 	if c.diskFailed {
 		return
@@ -68,7 +70,7 @@
 			c.failDisk(err)
 			return
 		}
-		c.appendRecord(encodeRecord(recordIdentity, 0, c.self)) // so no older segment has to stay for it
+		c.appendRecord(encodeRecord(recordIdentity, 0, c.self)) // so that no older segment is needed for the identity
 	}
 	if oldest, more := c.disk.Oldest(); more && c.shouldReclaim(oldest) {
 		c.reclaimOldest(oldest)
@@ -77,7 +79,7 @@
 }
 
 // shouldReclaim reports whether the oldest segment should be removed: most of it is garbage, or
-// most of the log is, or space runs out and there is some garbage.
+// most of the log is, or space is running out and there is some garbage.
 func (c *core) shouldReclaim(oldest int64) bool {
 	size := c.disk.Size()
 	garbage := size - c.liveBytes
@@ -87,7 +89,7 @@
 	return c.logCapacity > 0 && size*100 > c.logCapacity*reclaimPressurePercent && garbage*8 > size
 }
 
-// reclaimOldest appends again what is live of the oldest segment, and removes the segment.
+// reclaimOldest appends the live data of the oldest segment again, and removes the segment.
 func (c *core) reclaimOldest(oldest int64) {
 	for _, p := range c.partitions {
 		for _, id := range sortedKeys(p.jobs) {
@@ -113,7 +115,7 @@
 	c.recordsSynced(c.appendedRecords)
 }
 
-// hasBytesIn reports whether anything of a job lies in a segment.
+// hasBytesIn reports whether a segment has any data of a job.
 func (j *job) hasBytesIn(segment int64) bool {
 	if segmentOf(j.offset) == segment {
 		return true
@@ -126,15 +128,15 @@
 	return false
 }
 
-// rewriteJob appends a job whole, so that what was written of it before is garbage. False: the
-// store can't go on.
+// rewriteJob appends a job with its results, which makes its earlier records garbage. It returns
+// false if the disk has failed.
 func (c *core) rewriteJob(p *partition, j *job) bool {
-	whole, err := c.encodeWholeJob(j)
+	encoded, err := c.encodeJobWithResults(j)
 	if err != nil {
 		c.failDisk(err)
 		return false
 	}
-	offset, ok := c.writeRecord(append(encodeRecord(recordJob, p.index), whole...))
+	offset, ok := c.writeRecord(append(encodeRecord(recordJob, p.index), encoded...))
 	if !ok {
 		return false
 	}
@@ -144,7 +146,8 @@
 	return true
 }
 
-// moveTo notes that a job lies whole, as encodeWholeJob writes it, in the record at an offset of the log.
+// moveTo updates the offsets of a job that encodeJobWithResults wrote into the record at an offset
+// of the log.
 func (j *job) moveTo(recordOffset int64) {
 	const (
 		recordHeader = 1 + 4 // kind, partition
@@ -161,12 +164,12 @@
 	}
 }
 
-// updateLogFull logs when the store begins to accept no more jobs for want of space, and when it
-// accepts some again.
+// updateLogFull updates logFull, and logs when the store begins to reject jobs for lack of space
+// and when it accepts jobs again.
 func (c *core) updateLogFull() {
 	if full := !c.hasCapacity(0); full != c.logFull {
 		c.logFull = full
-		c.log("full: %v; %d bytes must stay of the %d that the log may have, it has %d",
+		c.log("log full: %v; %d live bytes, capacity %d bytes, size %d bytes",
 			full, c.liveBytes, c.logCapacity, c.disk.Size())
 	}
 }
--- a/internal/batch/space_test.go
+++ b/internal/batch/space_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// boundedDisk is a simDisk that never holds more than its size.
+// boundedDisk is a simDisk with a limited size.
 type boundedDisk struct {
 	*simDisk
 	bytes    int64 // its size
@@ -31,14 +31,14 @@
 }
 
 const (
-	steadyDisk    = 1_400_000 // bytes of a store: a hundredth of the smallest that is known
+	steadyDisk    = 1_400_000 // bytes per store: a hundredth of the smallest known disk
 	steadyItems   = 3
-	steadyBody    = 210 // of an item: 960 bytes a job, with what else there is
-	steadyText    = 900 // of an item: 2,700 bytes a job
-	steadyEveryMs = 240 // 4.2 jobs a second
+	steadyBody    = 210 // of an item: 960 bytes per job, with the overhead
+	steadyText    = 900 // of an item: 2,700 bytes per job
+	steadyEveryMs = 240 // 4.2 jobs per second
 )
 
-// newSteadyRig has nine stores with small disks.
+// newSteadyRig creates nine stores with small disks.
 func newSteadyRig(t *testing.T) (*storeRig, []*boundedDisk) {
 	t.Helper()
 	body, text := rigBody, rigText
@@ -58,7 +58,7 @@
 	return g, disks
 }
 
-// step lets so many ms pass, in which items end at the rate of the rig.
+// step advances the time by the given ms, in which items end at the rate of the rig.
 func (g *storeRig) step(ms int64) {
 	for range ms / 10 {
 		g.now += 10_000
@@ -70,7 +70,7 @@
 }
 
 // TestSpaceIsReclaimedAtASteadyRate: at a steady rate the stores accept all jobs for ten minutes,
-// and their disks never have more than their capacity.
+// and their logs never exceed their capacity.
 func TestSpaceIsReclaimedAtASteadyRate(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	jobs, begin := 0, g.now
@@ -86,13 +86,13 @@
 	}
 	for i, d := range disks {
 		if d.droppedSegments == 0 || d.maxUsed > steadyDisk*85/100 {
-			t.Errorf("store %d held %d bytes at most, and gave %d segments back", i+1, d.maxUsed, d.droppedSegments)
+			t.Errorf("store %d used at most %d bytes, and removed %d segments", i+1, d.maxUsed, d.droppedSegments)
 		}
 		if jobs := g.cores[i].liveBytes; d.appended > 3*jobs*600/123 {
-			t.Errorf("store %d appended %d bytes, while %d bytes of jobs stayed", i+1, d.appended, jobs)
+			t.Errorf("store %d appended %d bytes for %d live bytes of jobs", i+1, d.appended, jobs)
 		}
 	}
-	t.Logf("%d jobs, the fullest disk held %d of %d bytes", jobs, fullest(disks), steadyDisk)
+	t.Logf("%d jobs, the fullest disk used %d of %d bytes", jobs, fullest(disks), steadyDisk)
 }
 
 func fullest(disks []*boundedDisk) (most int64) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestFullStoresRefuseJobsAndRecover: at three times the rate that the disks can bear, jobs are
-// refused at once with the code for a full log, no disk runs full, and what was accepted can be
+// TestFullStoresRefuseJobsAndRecover: at three times the rate that the disks can sustain, jobs are
+// rejected at once with the code for a full log, no disk becomes full, and accepted jobs can be
 // read. At the steady rate all jobs are accepted again.
 func TestFullStoresRefuseJobsAndRecover(t *testing.T) {
 	g, disks := newSteadyRig(t)
@@ -135,7 +135,7 @@
 			taken = fmt.Sprint("job-", jobs)
 		case codeLogFull:
 			if g.now-at > 100_000 {
-				t.Fatalf("job %d was refused after %d ms", jobs, (g.now-at)/1000)
+				t.Fatalf("job %d was rejected after %d ms", jobs, (g.now-at)/1000)
 			}
 		default:
 			t.Fatalf("job %d: code %d", jobs, code)
@@ -147,18 +147,18 @@
 	}
 	g.step(20_000)
 	g.checkReadable(t, taken, steadyItems)
-	t.Logf("answers %v, the fullest disk held %d of %d bytes", codes, fullest(disks), steadyDisk)
+	t.Logf("answers %v, the fullest disk used %d of %d bytes", codes, fullest(disks), steadyDisk)
 	g.step(130_000)
 	for range 200 {
 		jobs++
 		if code := g.submit(fmt.Sprint("job-", jobs), steadyItems); code != codeOK {
-			t.Fatalf("job %d, at the old rate: code %d", jobs, code)
+			t.Fatalf("job %d, at the steady rate again: code %d", jobs, code)
 		}
 		g.step(steadyEveryMs)
 	}
 }
 
-// TestJobIsRefusedWhileAReplicaIsFull: a job is refused also if the log of a replica is full.
+// TestJobIsRefusedWhileAReplicaIsFull: a job is also rejected if the log of a replica is full.
 func TestJobIsRefusedWhileAReplicaIsFull(t *testing.T) {
 	g, _ := newSteadyRig(t)
 	g.step(1000)
@@ -174,15 +174,15 @@
 	room := full.logCapacity
 	full.logCapacity = 1
 	g.step(1000)
-	g.read("job") // a read needs confirmations by the replicas, which say that their logs are full
+	g.read("job") // a read needs confirmations by the replicas, which report full logs
 	if code := g.submit("job", 1); code != codeLogFull {
-		t.Errorf("with a full copy: code %d", code)
+		t.Errorf("with a full replica: code %d", code)
 	}
 	full.logCapacity = room
 	g.step(1000)
 	g.read("job")
 	if code := g.submit("job", 1); code != codeOK {
-		t.Errorf("with room again: code %d", code)
+		t.Errorf("with space again: code %d", code)
 	}
 }
 
@@ -193,8 +193,8 @@
 	g.step(1000)
 }
 
-// TestPositionsAndPromisesOutliveSegments: the positions, promises and jobs of a store are the same
-// after each segment but the newest has been removed and the store has started again.
+// TestPositionsAndPromisesOutliveSegments: a store has the same positions, promises and jobs after
+// all segments but the newest have been removed and the store has been restarted.
 func TestPositionsAndPromisesOutliveSegments(t *testing.T) {
 	g, disks := newSteadyRig(t)
 	for i := range 40 {
@@ -222,18 +222,18 @@
 			}
 			for id, j := range p.jobs {
 				if other := q.jobs[id]; other == nil || other.digest() != j.digest() {
-					t.Fatalf("store %d: job %s is another one", c.self, id)
+					t.Fatalf("store %d: job %s differs after the restart", c.self, id)
 				}
 			}
 		}
 		if again.liveBytes != c.liveBytes {
-			t.Errorf("store %d: %d bytes of jobs, and %d again", c.self, c.liveBytes, again.liveBytes)
+			t.Errorf("store %d: %d live bytes, %d after the restart", c.self, c.liveBytes, again.liveBytes)
 		}
 	}
 }
 
-// TestClientsOfFullStoresAreToldWhenToRetry: a client whose job is refused for want of space is
-// told so at once, and when to retry.
+// TestClientsOfFullStoresAreToldWhenToRetry: a client whose job is rejected for lack of space gets
+// the response at once, with a Retry-After header.
 func TestClientsOfFullStoresAreToldWhenToRetry(t *testing.T) {
 	g := newStoreGroup(t, 10)
 	views := &snapshot.Latest{}
--- a/internal/batch/store.go
+++ b/internal/batch/store.go
@@ -18,43 +18,45 @@
 
 // StoreOptions configure a Store.
 type StoreOptions struct {
-	// Open opens the log and replays what it holds; end is the offset behind a record. See OpenIn.
+	// Open opens the log and replays its records; end is the offset of the end of a record. See
+	// OpenIn.
 	Open func(replay func(record []byte, end int64) error) (Log, error)
 	// Zone is the failure domain. Workers in it are preferred.
 	Zone string
 	// MaxLostMachines is how many machines may be lost at once (survive.machines in the settings).
 	MaxLostMachines int
-	// RetentionMs is how long a job is retained after it was submitted (bounds.status_every_s in the settings).
+	// RetentionMs is how long a job is retained after submission (bounds.status_every_s in the
+	// settings).
 	RetentionMs int64
-	// LogCapacityBytes is what the log may take of the disk; 0: no limit.
+	// LogCapacityBytes is the maximum size of the log on disk; 0: no limit.
 	LogCapacityBytes int64
-	// ReportReady is called, again and again, when the next group of a partition's replicas is up
-	// to date, so that SwitchReplicas should be applied to the table. It must not block.
+	// ReportReady is called, repeatedly, when the next group of a partition's replicas is up to
+	// date, so that SwitchReplicas should be applied to the table. It must not block.
 	ReportReady func(partition int, epoch uint64)
-	// AnnounceStopping is called, again and again, while the table does not say whether this store
-	// is about to stop, so that SetStopping should be applied to it. It must not block.
+	// AnnounceStopping is called, repeatedly, while the table does not have the right mark whether
+	// this store is stopping, so that SetStopping should be applied to it. It must not block.
 	AnnounceStopping func(store uint64, stopping bool)
-	// Logf logs; nil: nothing is logged.
+	// Logf logs a line; nil: no log.
 	Logf func(format string, args ...any)
 }
 
-// drainPollInterval is how often Drain looks whether other stores lead the partitions.
+// drainPollInterval is how often Drain checks whether other stores lead the partitions.
 const drainPollInterval = 25 * time.Millisecond
 
-// ErrDiskFull is the class of errors of a store whose disk takes no more. What the log held before
-// is intact: the store can be opened again once there is space.
-var ErrDiskFull = errs.Class("the disk of batch jobs takes no more, make room")
+// ErrDiskFull is the class of errors of a store whose disk is full. The existing log is intact: the
+// store can be opened again once there is space.
+var ErrDiskFull = errs.Class("the disk for batch jobs is full: free up space")
 
-// Store stores batch jobs: the core with its goroutines, clock, network and disk. It is the
+// Store stores batch jobs: it is the core with its goroutines, clock, network and disk. It is the
 // link.Handler of the connections that other processes open to it. It is safe for concurrent use.
 type Store struct {
-	core        *core // touched by run alone
+	core        *core // used only by run
 	log         Log
 	connections *storeConnections // to other stores
-	start       time.Time         // zero of the steady clock
+	start       time.Time         // zero of the monotonic clock
 
-	wake       chan struct{}  // for run: something is in the queue
-	done       chan struct{}  // closed when the store ends
+	wake       chan struct{}  // for run: the queue is not empty
+	done       chan struct{}  // closed when the store stops
 	stopped    chan struct{}  // closed once nothing uses the log any more
 	goroutines sync.WaitGroup // run and syncLoop
 
@@ -70,12 +72,12 @@
 	syncWake        chan struct{} // for syncLoop: records have been appended
 	syncMu          sync.Mutex
 	appendedRecords uint64
-	appendedEnd     int64 // offset behind the newest record
+	appendedEnd     int64 // offset of the end of the newest record
 }
 
-// NewStore opens a store's log and begins to serve. An empty disk gets a new identity. The error is
-// of class ErrDiskFull if there is no space, and of class recordlog.ErrDamaged if the log is not what was
-// written.
+// NewStore opens a store's log and starts to serve. An empty disk gets a new identity. The error is
+// of class ErrDiskFull if there is no space, and of class recordlog.ErrDamaged if the log is
+// corrupt.
 func NewStore(options StoreOptions) (*Store, error) {
 	s := &Store{
 		core:     newCore(0, nil),
@@ -115,7 +117,7 @@
 	c.onDiskFailure = func(err error) { s.end(fmt.Errorf("the log of batch jobs: %w", err)) }
 }
 
-// openLog opens the log and replays it, and makes sure that the store has an identity that is durable.
+// openLog opens the log and replays it, and ensures that the store has a durable identity.
 func (s *Store) openLog(options StoreOptions) error {
 	c := s.core
 	log, err := options.Open(func(record []byte, end int64) error { return c.replay(record, end-int64(len(record))) })
@@ -132,7 +134,8 @@
 			return err
 		}
 	}
-	// Also if the log has the identity already, so that all that was replayed is durable with it.
+	// Appended even if the log has the identity already, so that everything replayed is durable
+	// with it.
 	c.appendRecord(encodeRecord(recordIdentity, 0, c.self))
 	if c.diskFailed {
 		<-s.stopped
@@ -145,7 +148,7 @@
 	return nil
 }
 
-// newIdentity draws the identity of a store: 63 random bits, not zero.
+// newIdentity generates the identity of a store: 63 random bits, not zero.
 func newIdentity() (uint64, error) {
 	var b [8]byte
 	for {
@@ -158,11 +161,11 @@
 	}
 }
 
-// ID is the identity on this disk.
+// ID returns the identity stored on this disk.
 func (s *Store) ID() uint64 { return s.core.self }
 
-// Update gives the store a newer snapshot, with the newest table that is agreed. Nil, and what is
-// older than known, changes nothing.
+// Update passes a newer snapshot to the store, with the newest agreed table. A nil snapshot, and
+// anything older than what is known, is ignored.
 func (s *Store) Update(v *snapshot.Snapshot) {
 	if v == nil {
 		return
@@ -178,10 +181,10 @@
 	}
 }
 
-// Drain makes the store accept no more jobs and lets other replicas take the lead of its
-// partitions. It returns nil when the store leads nothing and nothing depends on it, Err when the
-// store has ended, and the context's error when that ends first: then others take over after they
-// have missed it.
+// Drain makes the store reject new jobs and lets other replicas take over the lead of its
+// partitions. It returns nil once the store leads nothing and can end without loss, Err when the
+// store has stopped, and the context's error when that is cancelled first: then others take over
+// once they detect that this store is gone.
 func (s *Store) Drain(ctx context.Context) error {
 	s.enqueue(s.core.beginDraining)
 	tick := time.NewTicker(drainPollInterval)
@@ -209,23 +212,23 @@
 	}
 }
 
-// Done is closed when the store has ended; Err says why.
+// Done is closed when the store has stopped; Err returns the reason.
 func (s *Store) Done() <-chan struct{} { return s.done }
 
-// Stopped is closed when nothing uses the store's log any more, some time after Done.
+// Stopped is closed, some time after Done, once nothing uses the store's log any more.
 func (s *Store) Stopped() <-chan struct{} { return s.stopped }
 
-// Err is why the store has ended, nil if it was closed or has not ended.
+// Err returns why the store has stopped; nil if it was closed or has not stopped.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.err
 }
 
-// Close ends the store. It does not wait for that: see Stopped.
+// Close stops the store. It does not wait: see Stopped.
 func (s *Store) Close() { s.end(nil) }
 
-// end ends the store once. It may be called by any goroutine, run among them.
+// end stops the store, once. Any goroutine may call it, including run.
 func (s *Store) end(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,20 +239,20 @@
 	}
 }
 
-// shutDown waits for all goroutines of the store, and closes the log then. What was not synced was
-// not acknowledged.
+// shutDown waits for all goroutines of the store, then closes the log. Records that were not synced
+// were not acknowledged.
 func (s *Store) shutDown() {
 	if s.connections != nil {
 		s.connections.close()
 	}
 	s.goroutines.Wait()
 	if closer, ok := s.log.(interface{ Close() error }); ok {
-		_ = closer.Close() // what was acknowledged is durable
+		_ = closer.Close() // everything acknowledged is durable
 	}
 	close(s.stopped)
 }
 
-// Message is the event of a message over a link.
+// Message handles a message over a link.
 func (s *Store) Message(m *link.Message) {
 	if m.Kind == kindHello {
 		m.Reply(binary.BigEndian.AppendUint64(nil, s.core.self))
@@ -264,5 +267,5 @@
 	})
 }
 
-// Closed is the event that a link has ended that another process opened.
+// Closed is called when a link that another process opened has closed.
 func (s *Store) Closed(c *link.Conn) { s.enqueue(func() { s.core.connectionClosed(c) }) }
--- a/internal/batch/storeloop.go
+++ b/internal/batch/storeloop.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// How often the core gets ticks.
+// Intervals between ticks of the core.
 const (
 	firstTickDelay = 200 * time.Millisecond
 	slowTick       = 250 * time.Millisecond
 	fastTick       = 25 * time.Millisecond
 )
 
-// enqueue has run call a function soon, with the clock set. After the end of the store it does nothing.
+// enqueue makes run call a function soon, with the clock set. It does nothing after the store has
+// stopped.
 func (s *Store) enqueue(event func()) {
 	s.mu.Lock()
 	if s.closed {
@@ -27,7 +28,7 @@
 	}
 }
 
-// run is the only goroutine that touches the core. It ends with the store.
+// run is the only goroutine that uses the core. It returns when the store stops.
 func (s *Store) run() {
 	timer := time.NewTimer(firstTickDelay)
 	defer timer.Stop()
@@ -57,7 +58,7 @@
 	}
 }
 
-// swapQueue returns the events that have been enqueued, and empties the queue.
+// swapQueue returns the queued events, and empties the queue.
 func (s *Store) swapQueue() []func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,8 @@
 	s.core.nowMs = time.Since(s.start).Milliseconds() + 1
 }
 
-// syncLoop makes durable what has been appended: all that waits, with one sync. It ends with the store.
+// syncLoop makes appended records durable, with one sync for all that are pending. It returns when
+// the store stops.
 func (s *Store) syncLoop() {
 	var syncedRecords uint64
 	for {
--- a/internal/batch/table.go
+++ b/internal/batch/table.go
@@ -7,12 +7,12 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// The table of partitions is agreed by the keepers. The functions of this file, of placement.go and
-// of retirement.go work out the next table from the present one; keepers write it by
-// compare-and-swap. They have no state and do no I/O.
+// The keepers agree on the partition table. The functions of this file, of placement.go and of
+// retirement.go compute the next table from the current one; keepers write it by compare-and-swap.
+// The functions have no state and do no I/O.
 
-// nextReplicas is the group of a partition once those that join are up to date and those that leave
-// are not counted any more.
+// nextReplicas returns the group of a partition after the joining replicas are added and the
+// leaving ones removed.
 func nextReplicas(row *snapshot.Partition) []uint64 {
 	next := slices.DeleteFunc(slices.Clone(row.Replicas), func(id uint64) bool {
 		return slices.Contains(row.Leaving, id)
@@ -25,7 +25,7 @@
 	return next
 }
 
-// cloneTable is a table that may be changed, with the next number.
+// cloneTable returns a modifiable copy of a table, with the next version.
 func cloneTable(t *snapshot.PartitionTable) *snapshot.PartitionTable {
 	next := &snapshot.PartitionTable{
 		Version:    t.Version + 1,
@@ -46,9 +46,9 @@
 	return next
 }
 
-// SwitchReplicas is the table in which the next group of a partition's replicas is its group. The
-// primary under that epoch has reported that the next group is up to date. False: the table has
-// changed since, and stays.
+// SwitchReplicas returns the table in which a partition's next group has become its group, after
+// the primary under the given epoch has reported that the next group is up to date. It returns
+// false if the table has changed since then; the table stays as it is.
 func SwitchReplicas(current *snapshot.PartitionTable, partition int, epoch uint64) (*snapshot.PartitionTable, bool) {
 	if current == nil || partition < 0 || partition >= len(current.Partitions) {
 		return current, false
@@ -64,8 +64,8 @@
 	return next, true
 }
 
-// SetStopping is the table in which a store is marked as one that is about to stop, or as one that
-// runs. A store that the table does not have can't be marked. False: the table stays.
+// SetStopping returns the table in which a store is marked as stopping, or the mark is removed. It
+// returns false if nothing changes: the mark is as requested, or the table does not have the store.
 func SetStopping(current *snapshot.PartitionTable, store uint64, stopping bool) (*snapshot.PartitionTable, bool) {
 	if current == nil || current.Stopping[store] == stopping {
 		return current, false
--- a/internal/batch/takeover.go
+++ b/internal/batch/takeover.go
@@ -2,11 +2,11 @@
 
 import "dunetide/internal/platform/link"
 
-// A new primary has R-f replicas promise to follow no older term, takes the state of the most
-// complete one over, and brings the others to that state. See docs/batch.md for why that finds all
-// that was committed.
+// A new primary obtains promises from R-f replicas not to follow older terms, takes over the state
+// of the most complete one, and brings the others up to date. See docs/batch.md for why that finds
+// everything committed.
 
-// sendPrepare asks a replica for its promise and for what it has. What was known of its progress is forgotten.
+// sendPrepare requests a replica's promise and state. Earlier progress of the replica is discarded.
 func (c *core) sendPrepare(p *partition, id uint64) {
 	pipe := c.peers[id]
 	if pipe == nil || id == c.self {
@@ -23,7 +23,8 @@
 	_ = pipe.Send(kindPrepare, w.Buf)
 }
 
-// handlePrepare promises to follow a term and reports what this store has, once the promise is durable.
+// handlePrepare promises to follow a term and reports the state of this store, once the promise is
+// durable.
 func (c *core) handlePrepare(p *partition, term, session uint64, pipe Pipe) {
 	if c.rejectStaleTerm(p, term, pipe) {
 		return
@@ -42,7 +43,8 @@
 	})
 }
 
-// encodePromise is kindPromise to the primary that is followed: the position, and the digest of each job.
+// encodePromise encodes kindPromise to the followed primary: the position, and the digest of each
+// job.
 func (p *partition) encodePromise() []byte {
 	w := encodeTermMessage(4, p.index, p.promisedTerm, p.session, p.position.term, p.position.sequence)
 	w.U32(uint32(len(p.jobs)))
@@ -53,7 +55,7 @@
 	return w.Buf
 }
 
-// handlePromise is the event that a replica has promised to follow this primary.
+// handlePromise handles a replica's promise to follow this primary.
 func (c *core) handlePromise(p *partition, r *link.Reader) {
 	primary := p.primary
 	session := r.U64()
@@ -79,40 +81,40 @@
 	}
 }
 
-// handleFetchJob sends a job whole to the new primary that this replica follows.
+// handleFetchJob sends a job with its results to the new primary that this replica follows.
 func (c *core) handleFetchJob(p *partition, term uint64, jobID string, pipe Pipe) {
 	if term != p.promisedTerm {
 		c.rejectStaleTerm(p, term, pipe)
 		return
 	}
-	var whole []byte
+	var encoded []byte
 	j := p.jobs[jobID]
 	if j != nil {
 		var err error
-		if whole, err = c.encodeWholeJob(j); err != nil {
-			c.log("reading job %s: %v", jobID, err)
+		if encoded, err = c.encodeJobWithResults(j); err != nil {
+			c.log("reading job %s from the log: %v", jobID, err)
 			return
 		}
 	}
-	w := encodeTermMessage(5+len(jobID)+len(whole), p.index, term)
+	w := encodeTermMessage(5+len(jobID)+len(encoded), p.index, term)
 	w.String(jobID)
 	w.Bool(j != nil)
-	w.Buf = append(w.Buf, whole...)
+	w.Buf = append(w.Buf, encoded...)
 	_ = pipe.Send(kindJobContents, w.Buf)
 }
 
-// handleJobContents is the event that the most complete replica has sent a job.
+// handleJobContents handles a job from the most complete replica.
 func (c *core) handleJobContents(p *partition, r *link.Reader) {
 	primary := p.primary
 	jobID, found := r.String(), r.Bool()
 	if primary.stage != stageFetching || !primary.awaitedJobs[jobID] || r.Err != nil {
 		return
 	}
-	if !found { // it reported the job, and can't lose it while it follows this term
+	if !found { // can't happen: it reported the job, and doesn't drop it while it follows this term
 		return
 	}
-	if err := validateWholeJob(r.Buf); err != nil {
-		c.log("part %d: job %s, which a replica sent, can't be read: %v", p.index, jobID, err)
+	if err := validateJobWithResults(r.Buf); err != nil {
+		c.log("partition %d: job %s from a replica can't be decoded: %v", p.index, jobID, err)
 		return
 	}
 	delete(primary.awaitedJobs, jobID)
@@ -152,7 +154,8 @@
 	c.fetchState(p, primary.progress[best])
 }
 
-// fetchState drops the jobs that the most complete replica does not have, and fetches those that differ.
+// fetchState drops the jobs that the most complete replica does not have, and fetches those that
+// differ.
 func (c *core) fetchState(p *partition, replica *replicaProgress) {
 	primary := p.primary
 	primary.stage = stageFetching
@@ -179,7 +182,8 @@
 	}
 }
 
-// adoptState starts the term with the state that this store has now, and brings the replicas to it.
+// adoptState starts the term with the current state of this store, and brings the replicas up to
+// date.
 func (c *core) adoptState(p *partition, sequence uint64) {
 	primary := p.primary
 	primary.lastSequence = sequence
@@ -192,7 +196,7 @@
 	c.advanceCommit(p)
 }
 
-// writeTermStart records that this store has all up to the newest operation in its term.
+// writeTermStart records that this store has everything up to the newest operation in its term.
 func (c *core) writeTermStart(p *partition) {
 	primary := p.primary
 	primary.stage, primary.startSequence = stageReplicating, int64(primary.lastSequence)
@@ -200,7 +204,8 @@
 	c.noteSelfSynced(p, primary.lastSequence)
 }
 
-// noteSelfSynced counts this store as one that has all up to an operation, once that is durable.
+// noteSelfSynced counts this store as a replica that has everything up to an operation, once that
+// is durable.
 func (c *core) noteSelfSynced(p *partition, sequence uint64) {
 	primary := p.primary
 	term := primary.term
--- a/internal/batch/timers.go
+++ b/internal/batch/timers.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// tick is the event that time has passed. It comes every 25 ms if needsFastTicks says so, and else
-// every 250 ms.
+// tick is called every 25 ms while needsFastTicks returns true, and otherwise every 250 ms.
 func (c *core) tick() {
 	if c.diskFailed || c.table == nil {
 		return
@@ -23,7 +22,7 @@
 	c.dispatchItems()
 }
 
-// needsFastTicks reports whether something waits for a time to come.
+// needsFastTicks reports whether a timeout or delay is pending.
 func (c *core) needsFastTicks() bool {
 	if len(c.pendingEnds)+len(c.disconnectedWorkers) > 0 {
 		return true
--- a/internal/batch/workers.go
+++ b/internal/batch/workers.go
@@ -6,30 +6,30 @@
 	"dunetide/internal/platform/link"
 )
 
-// worker is a proxy that runs items, as a store knows it. See itemRunner for its other side.
+// worker is a store's view of a proxy that runs items. See itemRunner for the proxy's side.
 type worker struct {
 	pipe     Pipe
 	name     string
 	zone     string
-	limit    int // the most items that this store may have assigned to it at a time
+	limit    int // the maximum number of items that this store may have assigned to it
 	assigned map[itemKey]bool
 	reported map[int]runningReport // by partition, until this store serves the partition as its primary
 }
 
-// runningReport is what a worker has of a partition by its own report.
+// runningReport is a worker's report of its items of a partition.
 type runningReport struct {
-	epoch uint64 // by the table of the worker
+	epoch uint64 // according to the worker's table
 	items []itemKey
 }
 
-// itemKey names an item.
+// itemKey identifies an item.
 type itemKey struct {
 	partition int
 	jobID     string
 	index     int // in the job
 }
 
-// anyEpoch is the epoch in a kindRunningNoted that answers no report in particular.
+// anyEpoch is the epoch in a kindRunningNoted that does not answer a particular report.
 const anyEpoch = 0
 
 func (w *worker) freeSlots() int { return w.limit - len(w.assigned) }
@@ -62,7 +62,7 @@
 	_ = w.pipe.Send(kindResultStored, encodeItemRef(key))
 }
 
-// handleWorkerMessage is the event of a message of a worker.
+// handleWorkerMessage handles a message from a worker.
 func (c *core) handleWorkerMessage(pipe Pipe, kind link.Kind, body []byte) {
 	r := link.Reader{Buf: body}
 	w := c.workers[pipe]
@@ -98,7 +98,7 @@
 	}
 }
 
-// attachWorker notes a worker that is new, or another limit of one that is known.
+// attachWorker adds a new worker, or updates the limit of a known one.
 func (c *core) attachWorker(pipe Pipe, r *link.Reader) {
 	name, zone, limit := r.String(), r.String(), r.Int()
 	if r.Err != nil {
@@ -113,7 +113,7 @@
 	w.name, w.zone, w.limit = name, zone, limit
 }
 
-// noteRunning notes the items of a partition that a worker reports to have.
+// noteRunning records the items of a partition that a worker reports.
 func (c *core) noteRunning(p *partition, w *worker, r *link.Reader) {
 	report := runningReport{epoch: r.U64()}
 	for n := r.Count(8); n > 0; n-- {
@@ -128,16 +128,16 @@
 	}
 }
 
-// adoptAllRunning adopts what each worker has reported of a partition.
+// adoptAllRunning adopts what each worker has reported for a partition.
 func (c *core) adoptAllRunning(p *partition) {
 	for _, w := range c.attachedWorkers {
 		c.adoptRunning(p, w)
 	}
 }
 
-// adoptRunning assigns to a worker the items of a partition that it has reported to have, which an
-// earlier primary assigned to it. This store is the primary; only once it is confirmed: one that
-// was replaced would take from the worker what its successor assigned to it.
+// adoptRunning assigns to a worker the items of a partition that it has reported and that an
+// earlier primary assigned to it. It requires this store to be the confirmed primary: a replaced
+// primary would take from the worker what its successor assigned to it.
 func (c *core) adoptRunning(p *partition, w *worker) {
 	report, reported := w.reported[p.index]
 	if !reported || report.epoch > p.epoch {
@@ -146,7 +146,7 @@
 	if !c.isConfirmed(p.primary) {
 		c.requestConfirmations(p)
 		if !c.isConfirmed(p.primary) {
-			return // countConfirmations comes back
+			return // countConfirmations calls it again
 		}
 	}
 	delete(w.reported, p.index)
@@ -157,7 +157,8 @@
 	c.advanceCommit(p)
 }
 
-// adoptItem assigns an item to a worker that has it already, or tells it that the item is not needed.
+// adoptItem assigns an item to a worker that has it already, or notifies the worker that the item
+// is not needed.
 func (c *core) adoptItem(p *partition, w *worker, key itemKey) {
 	j := p.jobs[key.jobID]
 	if j == nil || j.ended || !j.hasItem(key.index) {
@@ -166,7 +167,7 @@
 	}
 	it := &j.items[key.index]
 	if it.state == itemAssigned && it.worker != w && c.disconnectedWorkers[it.worker] != 0 {
-		c.unassignItem(it.worker, key) // most likely this worker itself, over its former connection
+		c.unassignItem(it.worker, key) // most likely this worker itself, over its previous connection
 	}
 	switch {
 	case it.state == itemWaiting && j.queued:
@@ -180,7 +181,7 @@
 	}
 }
 
-// handleResult is the event that a worker reports the result of an item. The first one counts.
+// handleResult handles a worker's result of an item. Only the first result counts.
 func (c *core) handleResult(p *partition, w *worker, key itemKey, abandoned bool, text []byte) {
 	primary := p.primary
 	if primary == nil || !primary.serving {
@@ -210,7 +211,7 @@
 	})
 }
 
-// addResult orders the result of an item. Its place among the results of the job is decided by that.
+// addResult orders the result of an item, which decides its position among the results of the job.
 func (c *core) addResult(p *partition, j *job, index int, abandoned bool, text []byte, done func(ok bool)) {
 	it := &j.items[index]
 	if it.worker != nil {
@@ -232,7 +233,8 @@
 	})
 }
 
-// connectionClosed is the event that a connection which another process opened to this store has ended.
+// connectionClosed is called when a connection that another process opened to this store has
+// closed.
 func (c *core) connectionClosed(pipe Pipe) {
 	w := c.workers[pipe]
 	if w == nil {
@@ -241,15 +243,15 @@
 	delete(c.workers, pipe)
 	c.attachedWorkers = slices.DeleteFunc(c.attachedWorkers, func(attached *worker) bool { return attached == w })
 	if len(w.assigned) > 0 {
-		// Its process may run on: then it comes back over another connection and reports what it has.
+		// Its process may still run: then it reconnects and reports its items.
 		c.disconnectedWorkers[w] = c.nowMs + reconnectWaitMs
 	}
-	// Ends of jobs that wait for it go on waiting: it is not known to have cancelled anything, but
-	// stops by itself.
+	// Ends of jobs keep waiting for this worker: it has not confirmed any cancellation, but starts
+	// no items while it is disconnected.
 	c.dispatchItems()
 }
 
-// unassignFromLostWorkers makes the items of workers that have not come back wait again.
+// unassignFromLostWorkers makes the items of workers that have not reconnected in time wait again.
 func (c *core) unassignFromLostWorkers() {
 	for w, until := range c.disconnectedWorkers {
 		if c.nowMs < until && len(w.assigned) > 0 {
--- a/internal/batch/workers_test.go
+++ b/internal/batch/workers_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestItemsWaitForTheirWorkerToReconnect: the items of a worker whose link breaks wait for it to
-// come back: it runs on, and they would run twice.
+// reconnect, as it keeps running them, and they would run twice.
 func TestItemsWaitForTheirWorkerToReconnect(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		g := newStoreRig(3, 1, 4, 1000)
@@ -22,7 +22,7 @@
 		p := c.partition(c.table.PartitionOf("j"))
 		it := &p.jobs["j"].items[0]
 		if it.state != itemAssigned {
-			t.Fatalf("the item is not handed out: state %d", it.state)
+			t.Fatalf("the item is not assigned: state %d", it.state)
 		}
 		old := it.worker
 		c.connectionClosed(old.pipe)
@@ -50,10 +50,10 @@
 			c.tick()
 		}
 		if given["again"] != 0 {
-			t.Fatalf("back %v: the item was handed out again within the wait", back)
+			t.Fatalf("back %v: the item was assigned again within the wait", back)
 		}
 		if back != (it.worker != old) {
-			t.Errorf("back %v: the item is still in the old link's hand: %v", back, it.worker == old)
+			t.Errorf("back %v: the item is still assigned over the old link: %v", back, it.worker == old)
 		}
 		for range 400 {
 			g.now += 1000
@@ -61,7 +61,7 @@
 			c.tick()
 		}
 		if want := map[bool]int{true: 0, false: 1}[back]; given["again"] != want {
-			t.Errorf("back %v: handed out again %d times, want %d", back, given["again"], want)
+			t.Errorf("back %v: assigned again %d times, want %d", back, given["again"], want)
 		}
 	}
 }
