--- a/internal/batch/audit/check.go
+++ b/internal/batch/audit/check.go
@@ -40,8 +40,8 @@
 	Problems []Problem     // by rule
 }
 
-// FileHead identifies a file with the hash of its last record. A copy of the hash that is kept elsewhere later proves
-// that nothing before it was changed, even by someone who rewrites all files.
+// FileHead identifies a file with the hash of its last record. With a copy of the hash that is kept elsewhere it can be
+// verified later that nothing before it was changed, even by someone who rewrites all files.
 type FileHead struct {
 	Name     string
 	Chain    uint64
--- a/internal/batch/doc.go
+++ b/internal/batch/doc.go
@@ -1,5 +1,5 @@
 // Package batch stores batch jobs, replicated across stores, and dispatches their items to proxies,
-// which run them. docs/batch.md has the guarantees and their proofs; docs/architecture.md describes
+// which run them. docs/batch.md has the guarantees and why they hold; docs/architecture.md describes
 // how the processes interact.
 //
 // # Concepts
