--- a/internal/control/keeper/ack_waiters.go
+++ b/internal/control/keeper/ack_waiters.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// majorityWait is how long, after Options.PushWait, an acknowledgement that needs a majority of the voters waits for
-// it. Both together are below the second after which an endpoint goes on to another keeper.
+// majorityWait is how much longer than Options.PushWait an acknowledgement waits if it needs a majority of the voters.
+// The sum is below the 1 s after which an endpoint retries at another keeper.
 const majorityWait = 450 * time.Millisecond
 
-// ackWaiter is an acknowledgement that waits until the attached processes, and the other keepers where that is asked
-// for, have a change. The owner goroutine owns it until done is closed.
+// ackWaiter is a pending acknowledgement of a change. It waits until the attached processes and, where required, the
+// other keepers have the change. The owner goroutine owns it until done is closed.
 type ackWaiter struct {
 	deadline time.Time // set by addWaiter
 
-	// What an attached process must have in force; 0: it doesn't matter.
+	// Minimum versions that every attached process must have in force; 0: no requirement.
 
 	listRevision        uint64
 	configVersion       uint64
 	certificatesVersion uint64
 
-	pendingPeers int           // keepers that have yet to answer that they have the change
-	voters       *voterAcks    // the voters of which a majority must know the change, or noVoterAcks
-	enoughAcked  bool          // whether enough voters knew it in time; to be read once done is closed
-	done         chan struct{} // closed once there is nothing more to wait for
+	pendingPeers int           // keepers that haven't confirmed the change yet
+	voters       *voterAcks    // confirmations by a majority of the voters, or noVoterAcks
+	enoughAcked  bool          // whether enough voters confirmed in time; valid once done is closed
+	done         chan struct{} // closed when the wait ends
 }
 
 func newAckWaiter() *ackWaiter {
@@ -33,9 +33,8 @@
 	close(w.done)
 }
 
-// finished reports whether there is nothing more to wait for: all have the change, or the time is over. Where a
-// majority is needed and hasn't answered, the wait goes on for majorityWait while there are keepers that may still
-// answer.
+// finished reports whether the wait is over: all have the change, or the deadline has passed. If a required majority
+// hasn't confirmed yet, the wait is extended by majorityWait as long as replies of keepers are pending.
 func (w *ackWaiter) finished(now time.Time, inForce bool) bool {
 	if w.pendingPeers == 0 && inForce {
 		return true
@@ -46,8 +45,8 @@
 	return w.voters.enough() || w.pendingPeers == 0 || !now.Before(w.deadline.Add(majorityWait))
 }
 
-// addWaiter begins a wait of Options.PushWait, and completes it at once if nothing is missing. What the attached
-// processes lack is pushed before the owner goroutine runs its next command.
+// addWaiter starts a wait of Options.PushWait, and completes it immediately if nothing is missing. The owner goroutine
+// pushes what the attached processes lack when it has run its queued commands.
 func (k *Keeper) addWaiter(w *ackWaiter) {
 	now := time.Now()
 	w.deadline = now.Add(k.options.PushWait)
@@ -72,7 +71,7 @@
 	k.waiters = pending
 }
 
-// inForceEverywhere reports whether all attached processes have acknowledged what a waiter asks for.
+// inForceEverywhere reports whether all attached processes have acknowledged the versions that a waiter requires.
 func (k *Keeper) inForceEverywhere(w *ackWaiter) bool {
 	for _, process := range k.attached {
 		mark := process.acknowledged()
--- a/internal/control/keeper/attached_processes.go
+++ b/internal/control/keeper/attached_processes.go
@@ -11,17 +11,17 @@
 // maxAttached bounds the processes attached to one keeper.
 const maxAttached = 1024
 
-// attachedProcess is a proxy or a store that is attached to this keeper, and what it was pushed.
+// attachedProcess is a proxy or a store that is attached to this keeper, with the state of its pushes.
 type attachedProcess struct {
 	node           controlclient.Node
 	conn           *link.Conn
-	wantsEndpoints bool // it is pushed the endpoint list
+	wantsEndpoints bool // whether it is pushed the endpoint list
 
 	pushedNumber uint64     // of the last push
-	ackedNumber  uint64     // of the last push that it has acknowledged
-	pushMarks    []pushMark // what is in force there, and then each unacknowledged push, oldest first
+	ackedNumber  uint64     // of the last acknowledged push
+	pushMarks    []pushMark // the state in force at the process, followed by the unacknowledged pushes, oldest first
 
-	// What it has once it has received the last push.
+	// The state of the process after the last push.
 
 	fullListSent        bool
 	listComplete        bool
@@ -47,14 +47,14 @@
 		return
 	}
 	if node.Name == k.self.Name {
-		m.Fail("that is this keeper itself")
+		m.Fail("this link leads from the keeper to itself")
 		return
 	}
 	m.Reply(k.encodeHelloReply())
 	k.adoptLink(m.Conn, node, false)
 }
 
-// encodeHelloReply encodes this keeper, whether it has a disk, and whether it is in contact with a majority.
+// encodeHelloReply encodes this keeper's node, whether it has a disk, and whether it is in contact with a majority.
 func (k *Keeper) encodeHelloReply() []byte {
 	w := link.Writer{}
 	k.self.Append(&w)
@@ -63,28 +63,28 @@
 	return w.Buf
 }
 
-// attach attaches a process in place of its older attachment, if there is one.
+// attach attaches a process and replaces its older attachment, if there is one.
 func (k *Keeper) attach(m *link.Message, node controlclient.Node, wantsEndpoints bool) {
 	reply := k.encodeHelloReply()
 	if k.shuttingDown {
-		m.Fail("this keeper ends: go to another keeper")
+		m.Fail("this keeper is shutting down: attach to another keeper")
 		return
 	}
 	k.closeOlderAttachments(node, m.Conn)
 	if len(k.attached) >= maxAttached {
-		m.Fail("%d processes are attached: go to another keeper", len(k.attached))
+		m.Fail("limit of %d attached processes reached: attach to another keeper", len(k.attached))
 		return
 	}
 	m.Reply(reply)
 	k.attached[m.Conn] = &attachedProcess{node: node, conn: m.Conn, wantsEndpoints: wantsEndpoints}
 	k.contact.Attach(m.Conn)
-	k.log.Info("attached", "node", node.Name, "role", node.Role, "zone", node.Zone)
+	k.log.Info("process attached", "node", node.Name, "role", node.Role, "zone", node.Zone)
 	k.attachmentsChanged()
 	k.pushNeeded = true
 }
 
-// closeOlderAttachments ends the other attachments of a process: their links broke unnoticed by this side, or the
-// process has started again.
+// closeOlderAttachments ends the other attachments of a process: their links broke without this side noticing, or the
+// process has restarted.
 func (k *Keeper) closeOlderAttachments(node controlclient.Node, newest *link.Conn) {
 	for conn, process := range k.attached {
 		if process.node.Name == node.Name && process.node.Role == node.Role && conn != newest {
@@ -94,14 +94,14 @@
 	}
 }
 
-// dropAttached forgets the process at the other end of a link that has ended.
+// dropAttached removes the process whose link has ended.
 func (k *Keeper) dropAttached(conn *link.Conn) {
 	process := k.attached[conn]
 	if process == nil {
 		return
 	}
 	k.detach(conn)
-	k.log.Info("detached", "node", process.node.Name, "role", process.node.Role)
+	k.log.Info("process detached", "node", process.node.Name, "role", process.node.Role)
 	k.attachmentsChanged()
 }
 
@@ -117,12 +117,12 @@
 	k.completeWaiters(time.Now())
 }
 
-// broadcastAttached sends the attached processes to all other keepers.
+// broadcastAttached sends the list of attached processes to all other keepers.
 func (k *Keeper) broadcastAttached() {
 	body := k.encodeAttached()
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.KindAttached, body) // a link that has ended is sent them when it is replaced
+			_ = p.conn.Send(controlclient.KindAttached, body) // if the link has ended, its replacement is sent the list
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	return w.Buf
 }
 
-// handleAttached takes the processes that are attached to another keeper.
+// handleAttached stores the list of processes that are attached to another keeper.
 func (k *Keeper) handleAttached(m *link.Message) {
 	r := link.Reader{Buf: m.Body}
 	nodes := controlclient.ReadNodes(&r)
@@ -146,15 +146,15 @@
 	}
 	l := k.peerLinks[m.Conn]
 	if l == nil {
-		m.Conn.Tag.Store(nodes) // until the keeper at the other end is known, see adoptLink
+		m.Conn.Tag.Store(nodes) // the keeper at the other end isn't known yet, see adoptLink
 		return
 	}
 	l.peer.attached = nodes
 	k.countProxies()
 }
 
-// eachAttached calls visit with each process that is attached to this keeper or to one that is connected. A process
-// that is attached to two keepers is visited twice.
+// eachAttached calls visit with each process that is attached to this keeper or to a connected one. A process that is
+// attached to two keepers is visited twice.
 func (k *Keeper) eachAttached(visit func(controlclient.Node)) {
 	for _, process := range k.attached {
 		visit(process.node)
@@ -169,7 +169,7 @@
 	}
 }
 
-// countProxies counts the proxies that are attached to any keeper: they share quotas and endpoints' capacities.
+// countProxies counts the proxies attached to any keeper. Quotas and endpoints' capacities are divided among them.
 func (k *Keeper) countProxies() {
 	names := map[string]bool{}
 	k.eachAttached(func(node controlclient.Node) {
@@ -183,7 +183,7 @@
 	}
 }
 
-// attachedStores returns the stores that are attached to any keeper, by the identities of their disks.
+// attachedStores returns the stores that are attached to any keeper, keyed by the identity of their disk.
 func (k *Keeper) attachedStores() map[uint64]snapshot.Store {
 	stores := map[uint64]snapshot.Store{}
 	k.eachAttached(func(node controlclient.Node) {
--- a/internal/control/keeper/bodies.go
+++ b/internal/control/keeper/bodies.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// largeBodyBytes is above the size of everyday documents. Parsing and deciding a larger one takes several times
-	// its size, so that is done with no more than maxLargeBodies of them at once: eight documents of 8 MB would take
-	// a keeper over the memory of its machine.
+	// largeBodyBytes is above the size of typical documents. Parsing and deciding a larger one takes several times its
+	// size in memory, so at most maxLargeBodies are processed at once: eight documents of 8 MB would exceed the memory
+	// of a keeper's machine.
 	largeBodyBytes = 1 << 20
 	maxLargeBodies = 2
-	// maxReceivedBytes bounds the parts of large bodies that have been received. A sender that stalls holds no more
-	// than what it has sent.
+	// maxReceivedBytes bounds the memory for received bytes of large bodies. A sender that stalls occupies only as
+	// much as it has sent.
 	maxReceivedBytes = maxLargeBodies * maxConfigBody
-	// minBodyRate is how many bytes a second of a large body have to come: a hundredth of the slowest machine's link.
-	// A sender that is slower is given up after two seconds, and sends its request again.
+	// minBodyRate is the minimum rate of a large body in bytes per second: a hundredth of the slowest machine's link.
+	// A request that is slower is aborted after two seconds, and its sender retries.
 	minBodyRate = 32 << 10
-	// discardTimeout bounds the reading of a body that is refused.
+	// discardTimeout bounds reading the rest of a refused body.
 	discardTimeout = time.Second
 )
 
-// readBody reads the body of a call, which release gives back. A status other than 0 is that of a refusal, see
-// refuseBody. A body of unknown length counts as large where it may be.
+// readBody reads the body of a call. The caller must call release when it is done with the body. A status other than 0
+// is a refusal, see refuseBody. A body of unknown length counts as large if the route allows large ones.
 func (k *Keeper) readBody(
 	w http.ResponseWriter, r *http.Request, route route,
 ) (body []byte, release func(), status int) {
@@ -53,7 +53,7 @@
 	return body, releaseSlot, 0
 }
 
-// acquireLargeBodySlot waits until a large body may be parsed; false: others were for too long.
+// acquireLargeBodySlot waits until a large body may be parsed; false: no slot became free in time.
 func (k *Keeper) acquireLargeBodySlot(r *http.Request) bool {
 	timeout := time.NewTimer(proposeTimeout)
 	defer timeout.Stop()
@@ -67,23 +67,23 @@
 	return false
 }
 
-// refuseBody answers a call whose body could not be had, with a status of clientbody.Read.
+// refuseBody answers a call whose body could not be read, with the status that clientbody.Read returned.
 func refuseBody(w http.ResponseWriter, r *http.Request, route route, status int) {
 	switch status {
 	case http.StatusRequestEntityTooLarge:
 		discardBody(w, r, route)
-		refuse(w, status, fmt.Sprintf("the body is over %d bytes: send less", route.maxBody))
+		refuse(w, status, fmt.Sprintf("request body is larger than %d bytes: send a smaller one", route.maxBody))
 	case http.StatusServiceUnavailable:
 		discardBody(w, r, route)
-		refuse(w, status, "too many large bodies are in hand: send it again, or to another keeper")
+		refuse(w, status, "too many large bodies are being processed: retry, or use another keeper")
 	default:
-		// A part of a request says nothing about the whole one, which may have been accepted before.
-		refuse(w, http.StatusRequestTimeout, "the body was cut or came too slowly: send it again whole")
+		// A truncated request must not be rejected for good: the complete one may have been accepted before.
+		refuse(w, http.StatusRequestTimeout, "request body was truncated or too slow: send the complete request again")
 	}
 }
 
-// discardBody reads what is left of a body: unless it is read, the answer may be lost with the connection.
+// discardBody reads the rest of a body: while it is unread, the answer may be lost with the connection.
 func discardBody(w http.ResponseWriter, r *http.Request, route route) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTimeout)) // fails in tests without a connection
-	_, _ = io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, max(route.maxBody, 1))) // the rest is not waited for
+	_, _ = io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, max(route.maxBody, 1))) // bounded by the deadline
 }
--- a/internal/control/keeper/bootstrap.go
+++ b/internal/control/keeper/bootstrap.go
@@ -5,8 +5,8 @@
 	"dunetide/internal/control/controlclient"
 )
 
-// bootstrapFromSeeds makes the seeds that have a disk the first voters, at the very first start of the deployment and
-// once all seeds are connected. The owner goroutine calls it after each new connection.
+// bootstrapFromSeeds makes the seeds that have a disk the initial voters, on the first start of the deployment once all
+// seeds are connected. The owner goroutine calls it after each new connection.
 func (rs *registerSet) bootstrapFromSeeds() {
 	settings := rs.keeper.options.Settings
 	if !settings.FirstStart || rs.id == 0 {
@@ -14,12 +14,12 @@
 	}
 	voters, complete := rs.seedVoters(controlclient.SeedLinkAddrs(settings.Seeds, settings.FirstInternalPort))
 	if complete {
-		rs.trySubmit(func() { rs.bootstrap(voters) }) // if the queue is full: after the next connection
+		rs.trySubmit(func() { rs.bootstrap(voters) }) // if the queue is full, the next connection retries
 	}
 }
 
-// seedVoters returns the seeds that have a disk as voters. It is complete if all seeds are known and this keeper is
-// one.
+// seedVoters returns the seeds that have a disk, as voters. complete reports whether all seeds are known and this
+// keeper is a seed.
 func (rs *registerSet) seedVoters(seedAddrs []string) (voters []paxos.Voter, complete bool) {
 	selfIsSeed := false
 	for _, addr := range seedAddrs {
@@ -39,7 +39,7 @@
 	return voters, selfIsSeed
 }
 
-// peerAt returns the keeper whose links are served at an address; nil: it was never connected.
+// peerAt returns the keeper that serves links at an address; nil: it has never connected.
 func (k *Keeper) peerAt(addr string) (found *peer) {
 	for _, p := range k.peers {
 		if p.node.Addr == addr {
@@ -49,25 +49,25 @@
 	return found
 }
 
-// bootstrap decides slot 0 of each register. The voters are saved before the registers, each of which has a record of
-// its own, so that a process that ends between two of these records goes on where it was.
+// bootstrap decides slot 0 of each register. Each register is saved in a record of its own; the voters are saved first,
+// so that a process that crashes between two of these records can resume.
 func (rs *registerSet) bootstrap(voters []paxos.Voter) {
 	if rs.bootstrapped {
 		return
 	}
 	rs.bootstrapped = true
 	if err := rs.appendRecord(encodeFirstVotersRecord(voters)); err != nil {
-		rs.keeper.log.Error("first voters not saved", "err", err) // the registers are bootstrapped all the same
+		rs.keeper.log.Error("initial voters not saved", "err", err) // the registers are bootstrapped nevertheless
 	}
 	for _, name := range registerNames {
 		if _, known := rs.byName[name].State(); !known {
 			rs.byName[name].Bootstrap(voters, nil)
 		}
 	}
-	rs.keeper.log.Info("first voters", "count", len(voters))
+	rs.keeper.log.Info("registers bootstrapped with initial voters", "count", len(voters))
 }
 
-// resumeBootstrap bootstraps the registers that a former life of the process didn't come to.
+// resumeBootstrap bootstraps the registers that an interrupted bootstrap left out.
 func (rs *registerSet) resumeBootstrap() {
 	if len(rs.firstVoters) == 0 {
 		return
--- a/internal/control/keeper/bounded_operation.go
+++ b/internal/control/keeper/bounded_operation.go
@@ -7,19 +7,19 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// diskStallSlack is how much longer than its own timeout an operation on a register may take before its caller is
-// answered all the same: the registers' goroutine may be stuck in a write to a disk that has stalled.
+// diskStallSlack is how much longer than its own timeout an operation on a register may take before its caller gets an
+// error: the registers' goroutine may be blocked in a write to a stalled disk.
 const diskStallSlack = 50 * time.Millisecond
 
-// resultFunc takes the result of an operation on a register: the decided state with which it ended, or why it failed.
+// resultFunc receives the result of an operation on a register: the resulting decided state, or the error.
 type resultFunc func(paxos.State, error)
 
 // boundedOperation answers the caller of an operation on a register exactly once: with its result, or with an error
-// when its time is over.
+// when it times out.
 type boundedOperation struct {
 	mu      sync.Mutex
 	started bool
-	done    resultFunc // nil once it was called
+	done    resultFunc // nil once called
 	timer   *time.Timer
 }
 
@@ -31,7 +31,8 @@
 	return op
 }
 
-// start reports whether the operation is still wanted. It is called right before the operation begins.
+// start marks the operation as started, and reports whether it still has to run. It is called right before the
+// operation begins.
 func (op *boundedOperation) start() bool {
 	op.mu.Lock()
 	defer op.mu.Unlock()
@@ -47,20 +48,20 @@
 	}
 }
 
-// expire answers that the time is over. An operation that wasn't started never will be, so nothing was written.
+// expire answers with a timeout error. An operation that wasn't started never will be, so nothing was written.
 func (op *boundedOperation) expire(register string) {
 	done, started := op.claimDone()
 	if done == nil {
 		return
 	}
-	err := paxos.ErrNoQuorum.New("register %s, this keeper's disk does not answer", register)
+	err := paxos.ErrNoQuorum.New("register %s: this keeper's disk does not respond", register)
 	if started {
-		err = paxos.ErrOutcomeUnknown.New("register %s, this keeper's disk does not answer", register)
+		err = paxos.ErrOutcomeUnknown.New("register %s: this keeper's disk does not respond", register)
 	}
 	done(paxos.State{}, err)
 }
 
-// claimDone returns the callback at its first call, and nil from then on.
+// claimDone returns the callback on its first call, and nil afterwards.
 func (op *boundedOperation) claimDone() (done resultFunc, started bool) {
 	op.mu.Lock()
 	defer op.mu.Unlock()
--- a/internal/control/keeper/certificate_reads.go
+++ b/internal/control/keeper/certificate_reads.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// confirmReadTimeout bounds a read of the certificates' register for Confirm calls.
+	// confirmReadTimeout bounds a read of the certificates register for Confirm calls.
 	confirmReadTimeout = 700 * time.Millisecond
-	// confirmInterval is the least time between the starts of two such reads, however many processes call.
+	// confirmInterval is the minimum time between the starts of two such reads, regardless of the number of callers.
 	confirmInterval = 100 * time.Millisecond
 )
 
-// confirmCertificates has a majority confirm the newest certificates for all Confirm calls that came before its read
-// begins. They are pushed before the calls are answered, on the same links.
+// confirmCertificates reads the newest certificates from a majority, for all Confirm calls that arrive before the read
+// begins. The certificates are pushed before the calls are answered, on the same links.
 func (k *Keeper) confirmCertificates() {
 	delay, needed := k.certificateReads.Delay(k.sinceStart(time.Now()))
 	if !needed {
@@ -37,7 +37,7 @@
 	})
 }
 
-// certificatesRead answers the Confirm calls of a read that has ended, and begins the next one if there are calls.
+// certificatesRead answers the Confirm calls of a completed read, and begins the next one if calls are waiting.
 func (k *Keeper) certificatesRead(s paxos.State, err error) {
 	if err == nil {
 		k.applyDecided(certificatesRegister, s)
@@ -51,8 +51,9 @@
 	k.confirmCertificates()
 }
 
-// answerConfirm confirms that the certificates that the caller was pushed are the newest. A caller that wasn't pushed
-// them, as there is no contact or it has yet to acknowledge too much, must not take the answer for those it has.
+// answerConfirm confirms that the certificates pushed to the caller are the newest. It fails the call if the newest
+// ones weren't pushed, as there is no contact or the caller has too many unacknowledged pushes: the caller would apply
+// the confirmation to older certificates.
 func (k *Keeper) answerConfirm(m *link.Message, read bool) {
 	process := k.attached[m.Conn]
 	if !read || process == nil || !k.contact.MayPush(k.sinceStart(time.Now()), m.Conn) ||
--- a/internal/control/keeper/certificates.go
+++ b/internal/control/keeper/certificates.go
@@ -13,12 +13,12 @@
 
 const certificatesPath = "/certificates"
 
-// putCertificatesAnswer tells an operator how far a document has come.
+// putCertificatesAnswer is the body of the answer to PUT /certificates.
 type putCertificatesAnswer struct {
 	Version uint64 `json:"version"`
-	// InForce says that all processes that are attached to any connected keeper have the document in force.
+	// InForce reports whether all processes attached to any connected keeper have the document in force.
 	InForce bool `json:"in_force"`
-	// WithinMs is the time after which no other process uses an older document.
+	// WithinMs is the time after which no other process uses an older document either.
 	WithinMs int64 `json:"within_ms"`
 }
 
@@ -34,7 +34,7 @@
 		InForce:  k.awaitInForce(version),
 		WithinMs: k.options.Settings.Bounds.Drain.Milliseconds(),
 	}
-	b, _ := json.Marshal(answer) // numbers and a flag always marshal
+	b, _ := json.Marshal(answer) // numbers and booleans always marshal
 	answerJSON(w, b)
 }
 
@@ -53,8 +53,8 @@
 		"no certificates were ever put: nothing is regulated")
 }
 
-// awaitInForce waits until all processes that are attached to any connected keeper have a version of the certificates
-// in force, or until one of these keepers, or the time, says that they don't.
+// awaitInForce waits until all processes attached to any connected keeper have a version of the certificates in force.
+// It returns false when one of these keepers answers that they don't, or on a timeout.
 func (k *Keeper) awaitInForce(version uint64) bool {
 	answers := make(chan bool, maxPeers+1)
 	expected, _ := query(k, func() int { return k.requestInForce(version, answers) })
@@ -75,7 +75,7 @@
 }
 
 // requestInForce asks all connected keepers, and this one, whether their processes have a version in force. It returns
-// how many answers will come.
+// the number of answers to expect.
 func (k *Keeper) requestInForce(version uint64, answers chan<- bool) (expected int) {
 	request := link.Writer{}
 	request.U64(version)
@@ -95,7 +95,7 @@
 	return expected + 1
 }
 
-// handleInForce answers another keeper once the processes attached here have a version in force, or haven't in time.
+// handleInForce answers another keeper once the processes attached here have a version in force, or on a timeout.
 func (k *Keeper) handleInForce(m *link.Message) {
 	r := link.Reader{Buf: m.Body}
 	version := r.U64()
@@ -111,7 +111,7 @@
 }
 
 // whenInForce calls done, from another goroutine, once all processes attached here have a version of the certificates
-// in force, or once their time is over.
+// in force, or once the waiter times out.
 func (k *Keeper) whenInForce(version uint64, done func(inForce bool)) {
 	waiter := newAckWaiter()
 	waiter.certificatesVersion = version
@@ -126,7 +126,7 @@
 	}()
 }
 
-// logCertificateChange logs a change of the certificates: a line for the version, and one for each certificate and
+// logCertificateChange logs a change of the certificates: a line for the version, and a line for each certificate and
 // route that it removes or adds.
 func (k *Keeper) logCertificateChange(decided *document, slot uint64) {
 	set, err := certification.Parse(decided.raw)
@@ -141,12 +141,12 @@
 	}
 	old, err := certification.Parse(k.certificates.raw)
 	if err != nil {
-		return // logged when it came
+		return // logged when that version was applied
 	}
 	k.logCertificates("certificate withdrawn", decided.version, old.Certificates, set.Certificates)
 	k.logCertificates("certificate added", decided.version, set.Certificates, old.Certificates)
-	k.logRoutes("route no longer regulated so", decided.version, old.Routes, set.Routes)
-	k.logRoutes("route regulated", decided.version, set.Routes, old.Routes)
+	k.logRoutes("regulated route removed", decided.version, old.Routes, set.Routes)
+	k.logRoutes("regulated route added", decided.version, set.Routes, old.Routes)
 }
 
 // logCertificates logs the certificates that aren't among others.
--- a/internal/control/keeper/conditions.go
+++ b/internal/control/keeper/conditions.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// conditionTTL is how long a condition counts after its last report. Processes report theirs every second.
+	// conditionTTL is how long a condition is kept after its last report. Processes report every second.
 	conditionTTL = 5 * time.Second
-	// maxConditions bounds the processes whose conditions are kept.
+	// maxConditions bounds the number of conditions that are kept.
 	maxConditions = 1024
 	// maxReasonBytes bounds the text of a condition.
 	maxReasonBytes = 300
 )
 
-// processKey identifies a process of the deployment, over its incarnations.
+// processKey identifies a process of the deployment across its incarnations.
 type processKey struct{ role, node string }
 
-// processCondition is what keeps another process from its work, as that process reports it.
+// processCondition is a condition that impairs another process, such as a full disk, as that process reports it.
 type processCondition struct {
 	node            controlclient.Node
 	reason          string
@@ -32,7 +32,7 @@
 // conditionTable holds the conditions of other processes.
 type conditionTable map[processKey]*processCondition
 
-// update applies a report. Reports of former incarnations of a process don't count.
+// update applies a report. Reports of former incarnations of a process are ignored.
 func (t conditionTable) update(now time.Time, report controlclient.Condition) {
 	t.expire(now)
 	key := processKey{report.Node.Role, report.Node.Name}
@@ -55,7 +55,7 @@
 
 func truncateReason(reason string) string { return reason[:min(len(reason), maxReasonBytes)] }
 
-// expire removes the conditions that weren't reported again: the process has ended, or reaches no keeper.
+// expire removes the conditions that are no longer reported: the process has ended, or can't reach a keeper.
 func (t conditionTable) expire(now time.Time) {
 	for key, known := range t {
 		if now.Sub(known.lastReportedAt) > conditionTTL {
@@ -76,7 +76,7 @@
 	return all
 }
 
-// handleCondition takes the condition of another process, and relays it to the other keepers.
+// handleCondition stores the condition of another process, and relays it to the other keepers.
 func (k *Keeper) handleCondition(now time.Time, m *link.Message) {
 	report, err := controlclient.ReadCondition(m.Body)
 	if err != nil {
--- a/internal/control/keeper/contact.go
+++ b/internal/control/keeper/contact.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// contactReadTimeout bounds the read that probes the majority. Operations that are ahead of it in the register's
-	// queue are contact by themselves, see countingAsContact.
+	// contactReadTimeout bounds the read that probes the majority. Operations ahead of it in the register's queue
+	// establish contact themselves, see countingAsContact.
 	contactReadTimeout = 700 * time.Millisecond
 	// attachReadTimeout bounds the reads for processes that have attached.
 	attachReadTimeout = time.Second
@@ -17,13 +17,13 @@
 	minContactDelay = time.Millisecond
 )
 
-// inContact reports whether a majority of the voters has answered recently. Any goroutine may call it. It has to be
-// called right before each answer that depends on it, as contact runs out by itself.
+// inContact reports whether a majority of the voters has answered recently. Any goroutine may call it. Call it right
+// before each answer that depends on contact, because contact expires with time.
 func (k *Keeper) inContact() bool {
 	return time.Since(k.startedAt) < time.Duration(k.contactUntil.Load())
 }
 
-// stepContact probes the majority where that is due, reports a change of contact, and sets the timer for the next step.
+// stepContact probes the majority if that is due, reports a change of contact, and sets the timer for the next step.
 func (k *Keeper) stepContact() {
 	now := k.sinceStart(time.Now())
 	if k.contact.CheckDue(now) {
@@ -52,7 +52,7 @@
 	k.contactTimer.Reset(max(delay, minContactDelay))
 }
 
-// contactChanged reports that contact has begun or ended to the other keepers and the attached processes.
+// contactChanged reports to the other keepers and the attached processes that contact was established or lost.
 func (k *Keeper) contactChanged(now time.Duration) {
 	if k.reportedContact {
 		k.log.Info("contact with a majority", "after", now)
@@ -64,7 +64,7 @@
 	k.pushNeeded = true
 }
 
-// probeMajority checks contact by a linearizable read of the configuration's register.
+// probeMajority checks contact by a linearizable read of the configuration register.
 func (k *Keeper) probeMajority(beganAt time.Duration) {
 	k.contact.CheckStarted(beganAt)
 	k.registers.read(configRegister, contactReadTimeout, func(s paxos.State, err error) {
@@ -77,8 +77,8 @@
 	})
 }
 
-// countingAsContact wraps the callback of an operation on the configuration's register: an operation that a majority
-// took part in is contact, counted from before it began.
+// countingAsContact wraps the callback of an operation on the configuration register. A successful operation proves
+// contact with a majority, which counts from before the operation began.
 func (k *Keeper) countingAsContact(done resultFunc) resultFunc {
 	beganAt := k.sinceStart(time.Now())
 	return func(s paxos.State, err error) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// beginAttachRead reads all registers for the processes that have attached since the last such read began. Without it
-// a keeper that was partitioned a moment ago could push a configuration that has been replaced.
+// beginAttachRead reads all registers for the processes that have attached since the last such read began. Without it,
+// a keeper that was partitioned until a moment ago could push an outdated configuration.
 func (k *Keeper) beginAttachRead(now time.Duration) {
 	if !k.contact.BeginRead(now) {
 		return
@@ -112,7 +112,7 @@
 	}
 }
 
-// encodeContact encodes the answer to an InContact call: whether this keeper is in contact with a majority.
+// encodeContact encodes the reply to an InContact call: whether this keeper is in contact with a majority.
 func (k *Keeper) encodeContact() []byte {
 	w := link.Writer{}
 	w.Bool(k.contact.InContact(k.sinceStart(time.Now())))
--- a/internal/control/keeper/decided.go
+++ b/internal/control/keeper/decided.go
@@ -6,8 +6,8 @@
 	"dunetide/internal/consensus/paxos"
 )
 
-// applyDecided puts a newer decided state of a register in force at this keeper; the loop pushes it to the attached
-// processes. States may come again and out of order.
+// applyDecided applies a decided state of a register if it is newer; the loop then pushes it to the attached processes.
+// States may arrive repeatedly and out of order.
 func (k *Keeper) applyDecided(register string, s paxos.State) {
 	switch register {
 	case configRegister:
@@ -22,7 +22,7 @@
 func (k *Keeper) applyConfig(s paxos.State) {
 	decided, err := decodeDocument(s.Value)
 	if err != nil {
-		k.log.Error("configuration's register unreadable", "slot", s.Slot, "err", err)
+		k.log.Error("configuration register unreadable", "slot", s.Slot, "err", err)
 		return
 	}
 	k.newestDecided[configRegister].advance(configRegister, s.Slot, decided.version)
@@ -37,7 +37,7 @@
 func (k *Keeper) applyCertificates(s paxos.State) {
 	decided, err := decodeDocument(s.Value)
 	if err != nil {
-		k.log.Error("certificates' register unreadable", "slot", s.Slot, "err", err)
+		k.log.Error("certificates register unreadable", "slot", s.Slot, "err", err)
 		return
 	}
 	k.newestDecided[certificatesRegister].advance(certificatesRegister, s.Slot, decided.version)
@@ -51,7 +51,7 @@
 
 func (k *Keeper) applyPartitions(s paxos.State) {
 	decided, err := decodeTable(s)
-	if decided == nil || err != nil { // none yet, or unreadable: the table in force stays
+	if decided == nil || err != nil { // no table yet, or unreadable: keep the table in force
 		return
 	}
 	if k.partitions != nil && decided.Version <= k.partitions.Version {
@@ -59,7 +59,7 @@
 	}
 	k.partitions = decided
 	k.pushNeeded = true
-	if k.log.IsDebug() { // their texts are long
+	if k.log.IsDebug() { // formatting the table is expensive
 		k.log.Debug("table in force", "number", decided.Version, "parts", fmt.Sprint(decided.Partitions),
 			"stores", fmt.Sprint(decided.Stores))
 	}
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -16,24 +16,24 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// withDisk runs a change of a running keeper's disk in the goroutine that owns it.
+// withDisk changes a running keeper's disk on the goroutine that owns the disk.
 func (r *rig) withDisk(i int, change func()) {
 	done := make(chan struct{})
 	r.running[i].keeper.registers.submit(func() { change(); close(done) })
 	receive(r.t, done, "the change of the disk")
 }
 
-// fillDisk leaves no free space on a keeper's disk; freeDisk ends that.
+// fillDisk leaves no free space on a keeper's disk; freeDisk reverts that.
 func (r *rig) fillDisk(i int) { r.withDisk(i, func() { r.disks[i].Room = r.disks[i].Used() + 1 }) }
 func (r *rig) freeDisk(i int) { r.withDisk(i, func() { r.disks[i].Room = 0 }) }
 
-// storedSlot is the newest slot of the configuration's register on a keeper's disk.
+// storedSlot returns the newest slot of the configuration register on a keeper's disk.
 func (r *rig) storedSlot(i int) uint64 {
 	return r.running[i].keeper.registers.storedSlotNumbers()[0] - 1
 }
 
-// TestOneFullDisk: while the disk of one of three keepers is full, changes go on, and that keeper doesn't count as
-// having stored them. It stores them by itself once there is free space.
+// TestOneFullDisk: while the disk of one of three keepers is full, changes continue, and that keeper doesn't count as
+// having stored them. It stores them automatically once there is free space.
 func TestOneFullDisk(t *testing.T) {
 	r := newRig(t, 3)
 	log := &memoryLog{}
@@ -54,19 +54,19 @@
 		t.Errorf("disk %q, slot %d is stored", s.DiskCondition, stored())
 	}
 	if a := r.call(2, "GET", "/config", "", nil); a.status != 200 || !strings.Contains(a.body, `"version":19`) {
-		t.Errorf("it does not relay: %v", a)
+		t.Errorf("read at the keeper with the full disk: %v", a)
 	}
 	r.freeDisk(2)
 	eventually(t, "it has stored the newest", func() bool { return stored() == 19 && r.status(2).DiskCondition == "" })
-	if full, again := log.count("disk takes nothing"), log.count("disk takes records again"); full != 1 || again != 1 {
+	if full, again := log.count("disk rejects writes"), log.count("disk accepts writes again"); full != 1 || again != 1 {
 		t.Errorf("logged %d and %d times", full, again)
 	}
-	// Its vote counts: without it there is no majority.
+	// Its vote counts again: without it there is no majority.
 	r.kill(1)
 	r.untilCode(200, func() response { return r.putConfig(0, 20, 19, "a") })
 }
 
-// TestMajorityOfFullDisks: no put is confirmed until there is free space, and then all goes on.
+// TestMajorityOfFullDisks: while a majority of the disks is full, no put is confirmed. Puts resume with free space.
 func TestMajorityOfFullDisks(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
@@ -84,11 +84,11 @@
 			t.Errorf("keeper %d: %v", i+1, a)
 		}
 	}
-	// Nothing has to be saved to read.
+	// A read needs no write.
 	if a := r.call(1, "GET", "/config", "", nil); a.status != 200 && a.status != 503 {
 		t.Error(a)
 	}
-	// Power is lost while they are full: what was confirmed is there.
+	// Confirmed puts survive a loss of power on a full disk.
 	r.kill(2)
 	r.disks[2].PowerLoss(func(int) int { return 0 })
 	r.disks[2].Room = r.disks[2].Used() + 1
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestStalledDisk: if the writes of a keeper don't return, callers are answered within their bounds, what doesn't
-// need the disk goes on, and the keeper can be stopped.
+// TestStalledDisk: if the writes of a keeper don't return, calls are answered within their timeouts, work that doesn't
+// need the disk continues, and the keeper can be stopped.
 func TestStalledDisk(t *testing.T) {
 	r := newRig(t, 1)
 	r.startAll()
@@ -127,7 +127,7 @@
 	if !stalled.Load() {
 		t.Error("nothing was written")
 	}
-	// A keeper that waits for its disk has no contact with a majority: endpoints go on to another keeper.
+	// A keeper that waits for its disk has no contact with a majority: endpoints switch to another keeper.
 	if a := r.heartbeat(0, "1", "ready", 1); a.status != 503 {
 		t.Error(a)
 	}
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestBoundedOperation: the result and the timeout answer once, whichever comes first.
+// TestBoundedOperation: the caller is answered once, by the result or the timeout, whichever comes first.
 func TestBoundedOperation(t *testing.T) {
 	answers := make(chan error, 2)
 	done := func(_ paxos.State, err error) { answers <- err }
@@ -185,7 +185,7 @@
 			t.Errorf("disk %d, rewritten %d: %d, want %d", c.disk, c.rewritten, got, c.due)
 		}
 	}
-	// The log and the rewritten one fit together as long as twice the state does.
+	// The log and its rewritten copy fit on the disk together as long as twice the state does.
 	for kept := int64(0); kept <= 28*mb; kept += mb / 2 {
 		if due := (rewritePolicy{64 * mb}).rewriteSize(kept); due+kept > 64*mb {
 			t.Error(fmt.Sprint(kept, due))
@@ -193,25 +193,25 @@
 	}
 }
 
-// TestStartOnFullDisk starts a keeper with each amount of free space: the start fails with an error that says so, or
+// TestStartOnFullDisk starts a keeper with each amount of free space: either the start fails with a disk-full error, or
 // the keeper has an identity, and retains it.
 func TestStartOnFullDisk(t *testing.T) {
 	started := false
-	for room := 1; room < 200; room++ {
+	for freeBytes := 1; freeBytes < 200; freeBytes++ {
 		disk := vfstest.New()
-		disk.Room = room
-		first, err := openLone(t, disk)
+		disk.Room = freeBytes
+		first, err := openSingleVoter(t, disk)
 		if err != nil && (!recordlog.IsDiskFull(err) || started) {
-			t.Fatalf("room for %d: %v", room, err)
+			t.Fatalf("%d bytes free: %v", freeBytes, err)
 		}
 		started = started || err == nil
 		disk.Room = 0
 		again := mustOpen(t, disk)
 		if again.registers.id == 0 || first != nil && again.registers.id != first.registers.id {
-			t.Fatalf("room for %d: another identity", room)
+			t.Fatalf("%d bytes free: another identity", freeBytes)
 		}
 		if !again.change(configRegister, numberedValue(1, 100)) {
-			t.Fatalf("room for %d: no change", room)
+			t.Fatalf("%d bytes free: no change", freeBytes)
 		}
 	}
 	if !started {
@@ -219,19 +219,19 @@
 	}
 }
 
-// TestInterruptedFirstStart kills a keeper at each operation of its first start: afterwards it knows all registers or
-// none, as no later start tells it the first voters.
+// TestInterruptedFirstStart kills a keeper at each disk operation of its first start: afterwards it knows all registers
+// or none, as later starts don't get the initial voters.
 func TestInterruptedFirstStart(t *testing.T) {
-	whole := vfstest.New()
-	mustOpen(t, whole)
+	reference := vfstest.New()
+	mustOpen(t, reference)
 	seen := map[int]bool{}
-	for step := 1; step <= whole.Ops; step++ {
-		for _, trouble := range diskFaults()[:5] {
+	for step := 1; step <= reference.Ops; step++ {
+		for _, fault := range diskFaults()[:5] {
 			disk := vfstest.New()
-			trouble.hit(disk, step)
-			_, _ = openLone(t, disk) // whether it comes as far as that
+			fault.inject(disk, step)
+			_, _ = openSingleVoter(t, disk) // may fail at the fault
 			disk.FailAt = 0
-			trouble.after(disk)
+			fault.after(disk)
 			k, err := New(Options{Settings: &settings.Settings{
 				NodeName:          "k1",
 				IP:                "127.0.0.1",
@@ -240,25 +240,25 @@
 			},
 				Folder: disk, Log: hclog.NewNullLogger()})
 			if err != nil {
-				t.Fatalf("%s at operation %d: %v", trouble.name, step, err)
+				t.Fatalf("%s at operation %d: %v", fault.name, step, err)
 			}
 			known := 0
 			for _, reg := range k.registers.byName {
-				if _, there := reg.State(); there {
+				if _, ok := reg.State(); ok {
 					known++
 				}
 			}
 			if seen[known] = true; known != 0 && known != len(registerNames) {
-				t.Errorf("%s at operation %d: %d registers are known", trouble.name, step, known)
+				t.Errorf("%s at operation %d: %d registers are known", fault.name, step, known)
 			}
 		}
 	}
 	if len(seen) != 2 {
-		t.Errorf("known were %v", seen)
+		t.Errorf("numbers of known registers: %v", seen)
 	}
 }
 
-// TestFailedDisk: a keeper whose disk failed ends, and is a voter again when it starts on the disk as it was.
+// TestFailedDisk: a keeper whose disk fails ends, and is a voter again when it restarts on the same disk.
 func TestFailedDisk(t *testing.T) {
 	r := newRig(t, 3)
 	r.startAll()
--- a/internal/control/keeper/dispatch.go
+++ b/internal/control/keeper/dispatch.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/platform/link"
 )
 
-// Message takes a message that came over a link; it implements link.Handler. Messages of the registers go to the
+// Message handles a message received over a link; it implements link.Handler. Messages of the registers go to the
 // registers' goroutine, all others to the owner goroutine.
 func (k *Keeper) Message(m *link.Message) {
 	switch m.Kind {
@@ -20,7 +20,7 @@
 	}
 }
 
-// handleMessage dispatches a message by its kind: a table of all kinds that the owner goroutine takes.
+// handleMessage dispatches a message by its kind. It lists all kinds that the owner goroutine handles.
 func (k *Keeper) handleMessage(m *link.Message) {
 	now := time.Now()
 	switch m.Kind {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Closed forgets a link that has ended; it implements link.Handler.
+// Closed removes a link that has ended; it implements link.Handler.
 func (k *Keeper) Closed(conn *link.Conn) {
 	k.submit(func() {
 		k.dropAttached(conn)
--- a/internal/control/keeper/document.go
+++ b/internal/control/keeper/document.go
@@ -13,19 +13,19 @@
 	"dunetide/internal/platform/link"
 )
 
-// maxRememberedVersions is how many accepted versions of a document are remembered with their digests.
+// maxRememberedVersions is how many accepted versions of a document are kept, each with the digest of its bytes.
 const maxRememberedVersions = 1024
 
-// minAcceptedBytes bounds the encoded size of an accepted version from below.
+// minAcceptedBytes is a lower bound on the encoded size of an accepted version.
 const minAcceptedBytes = 12
 
-// Errors of the calls that put a document. Their messages name the remedy.
+// Errors of the calls that put a document. Their messages include the remedy.
 var (
-	// ErrInvalid says that a configuration can't be put in force: 400.
+	// ErrInvalid is the class of errors of an invalid configuration: 400.
 	ErrInvalid = errs.Class("invalid configuration")
-	// ErrVersion says that the version that a document builds on isn't in force: 412.
+	// ErrVersion reports that the base version of a document isn't the one in force: 412.
 	ErrVersion = errs.Class("another version is in place")
-	// ErrForgotten says that a version is older than all that are remembered, so it is unknown whether it was
+	// ErrForgotten reports that a version is older than all remembered ones, so it is unknown whether it was
 	// accepted: 503.
 	ErrForgotten = errs.Class("too old to tell whether it was taken")
 )
@@ -53,8 +53,8 @@
 	}
 )
 
-// documentPut is an operator's request to put a document in force on top of the version that it names. Requests with
-// the same version, base and bytes are the same request, however often and to whichever keeper they are sent.
+// documentPut is an operator's request to replace the document of version base by a new one. Requests with the same
+// version, base and bytes are the same request, no matter how often and to which keepers they are sent.
 type documentPut struct {
 	version, base uint64
 	raw           []byte
@@ -66,14 +66,14 @@
 	digest  [sha256.Size]byte // of the document's bytes
 }
 
-// document is the value of a register that holds a document. Its versions strictly rise.
+// document is the value of a register that holds a document. Its version strictly increases.
 type document struct {
-	version  uint64            // 0: none was put yet
+	version  uint64            // 0: no document has been put yet
 	raw      []byte            // as the operator sent it
-	accepted []acceptedVersion // the newest ones, oldest first, with the one in force
+	accepted []acceptedVersion // the newest accepted versions, oldest first, including the one in force
 }
 
-// encode is the register's value, which goes to disk and to other keepers.
+// encode returns the value of the register, as stored on disk and sent to other keepers.
 func (d *document) encode() []byte {
 	w := link.Writer{}
 	w.U64(d.version)
@@ -86,7 +86,7 @@
 	return w.Buf
 }
 
-// decodeDocument reads a register's value. An empty one is version 0.
+// decodeDocument decodes a register's value. An empty value is version 0.
 func decodeDocument(b []byte) (*document, error) {
 	d := &document{}
 	if len(b) == 0 {
@@ -106,8 +106,8 @@
 	return d, r.Err
 }
 
-// put decides on a request. If next is nil without an error, this very document was accepted before. An error is final
-// for the request: it was never accepted and never will be, but for ErrForgotten. docs/orders.md has the reasons.
+// put accepts or rejects a request. If next and err are nil, the same document was accepted before. An error other than
+// ErrForgotten is final: the request was never accepted and never will be. docs/orders.md explains why.
 func (d *document) put(request documentPut, kind documentKind) (next *document, err error) {
 	digest := sha256.Sum256(request.raw)
 	if d.hasAccepted(request.version, digest) {
@@ -130,12 +130,12 @@
 	return &document{version: request.version, raw: request.raw, accepted: accepted}, nil
 }
 
-// hasAccepted reports whether a document is remembered to be or have been in force.
+// hasAccepted reports whether a document is among the remembered accepted versions.
 func (d *document) hasAccepted(version uint64, digest [sha256.Size]byte) bool {
 	return slices.Contains(d.accepted, acceptedVersion{version, digest})
 }
 
-// acceptedAs returns the version under which a document with a digest was accepted, if it is remembered.
+// acceptedAs returns the version under which the document with a digest was accepted, if it is remembered.
 func (d *document) acceptedAs(digest [sha256.Size]byte) (version uint64, ok bool) {
 	at := slices.IndexFunc(d.accepted, func(a acceptedVersion) bool { return a.digest == digest })
 	if at < 0 {
@@ -144,13 +144,13 @@
 	return d.accepted[at].version, true
 }
 
-// mayHaveForgotten reports whether a version would no longer be remembered, had it been accepted. Versions only rise,
-// so those that were dropped are below the oldest that is left.
+// mayHaveForgotten reports whether a version, had it been accepted, may have been dropped since. Versions only
+// increase, so the dropped ones are lower than the oldest remembered one.
 func (d *document) mayHaveForgotten(version uint64, maxRemembered int) bool {
 	return len(d.accepted) >= maxRemembered && version < d.accepted[0].version
 }
 
-// change is the request as a change of its register. It is called with the decided state that the next one will follow.
+// change returns the request as a function that computes the next state of the register from the decided one.
 func (request documentPut) change(kind documentKind) func(current paxos.State) (paxos.State, error) {
 	return func(current paxos.State) (paxos.State, error) {
 		d, err := decodeDocument(current.Value)
@@ -169,8 +169,8 @@
 	}
 }
 
-// putStatus is the HTTP status of a request that ended with an error. Only what the register's decided state says is a
-// rejection; after any other error the request may have been accepted, or may be yet, and is answered 503.
+// putStatus maps the result of a request to an HTTP status. Only errors derived from the register's decided state are
+// rejections. After any other error the request may have been accepted, or may still be accepted, so the answer is 503.
 func putStatus(err error) int {
 	switch {
 	case err == nil:
--- a/internal/control/keeper/document_calls.go
+++ b/internal/control/keeper/document_calls.go
@@ -12,7 +12,7 @@
 )
 
 // putConfig answers PUT /config: 200 once a majority of the voters has the configuration on disk and the attached
-// processes have it in force, or have had Options.PushWait for that.
+// processes have it in force. It waits for the processes for Options.PushWait at most.
 func (k *Keeper) putConfig(w http.ResponseWriter, _ string, body []byte, r *http.Request) {
 	version, ok := k.putDocument(w, r, configDocument, body, parseConfigVersion)
 	if !ok {
@@ -23,7 +23,7 @@
 	k.submit(func() { k.addWaiter(waiter) })
 	select {
 	case <-waiter.done:
-	case <-k.ended: // it is decided all the same
+	case <-k.ended: // the configuration is decided nevertheless
 	}
 	answerJSON(w, []byte("{}"))
 }
@@ -39,10 +39,11 @@
 
 // getConfig answers GET /config with the newest configuration, as the operator sent it.
 func (k *Keeper) getConfig(w http.ResponseWriter, _ string, _ []byte, _ *http.Request) {
-	k.getDocument(w, configRegister, http.StatusServiceUnavailable, "no configuration was taken yet: put one first")
+	k.getDocument(w, configRegister, http.StatusServiceUnavailable, "no configuration has been put yet: put one first")
 }
 
-// putDocument has a document decided and returns its version. If it isn't ok, the call has been answered with an error.
+// putDocument proposes a document and returns its version once it is decided. If !ok, it has answered the call with an
+// error.
 func (k *Keeper) putDocument(
 	w http.ResponseWriter, r *http.Request, kind documentKind, body []byte, parse func([]byte) (uint64, error),
 ) (version uint64, ok bool) {
@@ -64,9 +65,10 @@
 	return version, true
 }
 
-// putInvalid answers a put of a document that this program does not accept. An earlier program with a less strict parser
-// may have: then this is a repeat, which is never refused, and the version that was accepted is returned. A keeper that
-// can't read the newest document rejects only what isn't JSON, which no program has accepted.
+// putInvalid handles a put of a document that the parser of this program version rejects. An earlier program version
+// with a less strict parser may have accepted it: then this is a repeat, which is never refused, and putInvalid returns
+// the accepted version. A keeper that can't read the newest document rejects only what isn't JSON, as no program
+// version has ever accepted that.
 func (k *Keeper) putInvalid(
 	w http.ResponseWriter, kind documentKind, body []byte, invalid error,
 ) (version uint64, ok bool) {
@@ -91,7 +93,8 @@
 	return strconv.ParseUint(strings.Trim(strings.TrimSpace(header), `"`), 10, 64)
 }
 
-// proposeDocument has a document decided by the voters. Without an error it is in force, or was before its successors.
+// proposeDocument proposes a document to the voters. If the error is nil, the document is in force, or was in force and
+// has been superseded.
 func (k *Keeper) proposeDocument(request documentPut, kind documentKind) error {
 	done := make(chan error, 1)
 	k.registers.propose(kind.register, proposeTimeout, request.change(kind), func(decided paxos.State, err error) {
@@ -113,7 +116,7 @@
 	}
 }
 
-// getDocument answers with the newest document of a register, or with a status and a reason if none was put yet.
+// getDocument answers with the newest document of a register, or with noneStatus and noneReason if none has been put.
 func (k *Keeper) getDocument(w http.ResponseWriter, register string, noneStatus int, noneReason string) {
 	known := k.registers.knownDocumentVersion(register)
 	newest, err := k.readNewestDocument(register)
--- a/internal/control/keeper/endpoint_exchange.go
+++ b/internal/control/keeper/endpoint_exchange.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// mismatchesBeforeRequest is how many liveness messages in a row have to differ in their digests before their
-	// sender is asked for its list. One may differ as a change is under way.
+	// mismatchesBeforeRequest is how many consecutive liveness messages must have differing digests before their
+	// sender is asked for its list. A single one may differ because a change is in flight.
 	mismatchesBeforeRequest = 2
-	// entriesRequestInterval is how often one keeper is asked for its list because of that.
+	// entriesRequestInterval is the minimum time between two such requests to the same keeper.
 	entriesRequestInterval = 3 * time.Second
-	// linkEndDelay is how long it takes at the most until the end of a link is known to the owner goroutine.
+	// linkEndDelay is an upper bound on the time until the owner goroutine learns that a link has ended.
 	linkEndDelay = 5 * time.Millisecond
-	// minLivenessBytes bounds the encoded size of a registry.Liveness from below.
+	// minLivenessBytes is a lower bound on the encoded size of a registry.Liveness.
 	minLivenessBytes = 9
 )
 
 // sendEntries sends entries of the endpoint list to a keeper. done, which may be nil, runs on the owner goroutine once
-// the keeper has answered, or never will.
+// the keeper has answered or the link has ended.
 func (k *Keeper) sendEntries(conn *link.Conn, entries []registry.Entry, done func(error)) {
 	reply := conn.Go(controlclient.KindEndpoints, encodeEntries(entries))
 	if done != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// broadcastEntries sends changes to all other keepers. The waiter counts those that have yet to answer.
+// broadcastEntries sends changed entries to all other keepers. The waiter counts the pending replies.
 func (k *Keeper) broadcastEntries(entries []registry.Entry, waiter *ackWaiter) {
 	for _, p := range k.peers {
 		if p.conn != nil {
@@ -43,7 +43,8 @@
 	}
 }
 
-// sendTrackedEntries sends changes to one keeper, and again if the link breaks and another one takes its place in time.
+// sendTrackedEntries sends changed entries to one keeper. If the link breaks and is replaced before the waiter's
+// deadline, it sends them again.
 func (k *Keeper) sendTrackedEntries(p *peer, entries []registry.Entry, waiter *ackWaiter) {
 	conn, id := p.conn, p.node.ID
 	var answered func(err error)
@@ -51,7 +52,7 @@
 		if errors.Is(err, link.ErrClosed) && p.conn != nil && time.Now().Before(waiter.deadline) {
 			if p.conn != conn {
 				k.sendTrackedEntries(p, entries, waiter)
-			} else { // the end of the link isn't known here yet
+			} else { // the owner goroutine hasn't processed the end of the link yet
 				time.AfterFunc(linkEndDelay, func() { k.submit(func() { answered(err) }) })
 			}
 			return
@@ -67,24 +68,24 @@
 	k.sendEntries(conn, entries, answered)
 }
 
-// broadcastLiveness sends the other keepers, twice per heartbeat interval, when which endpoint was heard from, the
-// digests of the endpoint list, and the report.
+// broadcastLiveness sends the other keepers the time of each endpoint's last heartbeat, the digests of the endpoint
+// list, and this keeper's report. It is called twice per heartbeat interval.
 func (k *Keeper) broadcastLiveness(now time.Time) {
 	body := k.encodeLiveness(now)
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.KindLiveness, body) // the next one comes soon
+			_ = p.conn.Send(controlclient.KindLiveness, body) // if it is lost, the next one follows soon
 		}
 	}
 	k.broadcastReport()
 }
 
 func (k *Keeper) encodeLiveness(now time.Time) []byte {
-	heard := k.endpoints.Liveness(k.sinceStart(now), true)
+	liveness := k.endpoints.Liveness(k.sinceStart(now), true)
 	w := link.Writer{}
-	w.U32(uint32(len(heard)))
-	for i := range heard {
-		registry.AppendLiveness(&w, &heard[i])
+	w.U32(uint32(len(liveness)))
+	for i := range liveness {
+		registry.AppendLiveness(&w, &liveness[i])
 	}
 	for _, digest := range k.endpointDigests() {
 		w.U64(digest)
@@ -92,39 +93,39 @@
 	return w.Buf
 }
 
-func decodeLiveness(body []byte) (heard []registry.Liveness, digests [registry.DigestBuckets]uint64, err error) {
+func decodeLiveness(body []byte) (liveness []registry.Liveness, digests [registry.DigestBuckets]uint64, err error) {
 	r := link.Reader{Buf: body}
 	for range r.Count(minLivenessBytes) {
 		h, err := registry.ReadLiveness(&r)
 		if err != nil {
 			return nil, digests, err
 		}
-		heard = append(heard, h)
+		liveness = append(liveness, h)
 	}
 	for i := range digests {
 		digests[i] = r.U64()
 	}
-	return heard, digests, r.Err
+	return liveness, digests, r.Err
 }
 
-// handleLiveness merges when another keeper has heard from which endpoint, and asks it for its list if it knows of
-// more, or has differed for too long.
+// handleLiveness merges the heartbeat times of another keeper, and requests that keeper's list if it has endpoints that
+// are missing here, or if the digests have differed for too long.
 func (k *Keeper) handleLiveness(now time.Time, m *link.Message) {
-	heard, digests, err := decodeLiveness(m.Body)
+	liveness, digests, err := decodeLiveness(m.Body)
 	if err != nil {
-		return // the next one comes soon
+		return // the next message follows soon
 	}
-	changed, missing := k.endpoints.MergeLiveness(k.sinceStart(now), heard)
+	changed, missing := k.endpoints.MergeLiveness(k.sinceStart(now), liveness)
 	if len(changed) > 0 {
 		k.pushNeeded = true
 	}
 	if len(missing) > 0 || k.needsEntries(now, m.Conn, digests) {
-		_ = m.Conn.Send(controlclient.KindEndpointsRequest, nil) // it is asked again after the next one
+		_ = m.Conn.Send(controlclient.KindEndpointsRequest, nil) // if it is lost, the next liveness message triggers another one
 	}
 }
 
-// needsEntries reports whether a keeper's list has differed for longer than a change takes to arrive, so that it
-// should be asked for its entries: changes may have been lost, and the keeper that sent them may be dead.
+// needsEntries reports whether a keeper's list has differed for longer than a change takes to propagate, so that its
+// entries should be requested: changes may have been lost, and the keeper that sent them may have crashed.
 func (k *Keeper) needsEntries(now time.Time, conn *link.Conn, digests [registry.DigestBuckets]uint64) bool {
 	l := k.peerLinks[conn]
 	if l == nil {
@@ -143,13 +144,13 @@
 	return true
 }
 
-// listDigests are the digests of the endpoint list at a revision.
+// listDigests holds the digests of the endpoint list at a revision.
 type listDigests struct {
 	revision uint64
 	digests  [registry.DigestBuckets]uint64
 }
 
-// endpointDigests returns the digests of the endpoint list, which are worked out once per revision.
+// endpointDigests returns the digests of the endpoint list, which are computed once per revision.
 func (k *Keeper) endpointDigests() [registry.DigestBuckets]uint64 {
 	if revision := k.endpoints.LastChange(); revision != k.digestCache.revision {
 		k.digestCache = listDigests{revision, k.endpoints.Digests()}
--- a/internal/control/keeper/endpoints.go
+++ b/internal/control/keeper/endpoints.go
@@ -11,11 +11,11 @@
 	"dunetide/internal/platform/link"
 )
 
-// minEntryBytes bounds the encoded size of an entry of the endpoint list from below.
+// minEntryBytes is a lower bound on the encoded size of an entry of the endpoint list.
 const minEntryBytes = 16
 
-// heartbeat is the body of PUT /instances/{id}: what an endpoint reports about itself. The name of this type, and that
-// the type of Models has none, are part of the answer to a body that can't be decoded.
+// heartbeat is the body of PUT /instances/{id}: what an endpoint reports about itself. Do not rename this type or name
+// the type of Models: decoding errors contain the type names and are sent to the client.
 type heartbeat struct {
 	Service      string  `json:"service"`
 	Address      string  `json:"address"`
@@ -37,7 +37,7 @@
 	stateDraining = "draining"
 )
 
-// endpoint checks the heartbeat of an endpoint. problem says what is wrong; empty: nothing.
+// endpoint validates a heartbeat and returns its endpoint. problem describes what is invalid; empty: nothing.
 func (h *heartbeat) endpoint(id string) (e snapshot.Endpoint, problem string) {
 	e = snapshot.Endpoint{
 		ID:                id,
@@ -68,7 +68,7 @@
 	return e, ""
 }
 
-// endpointChange is a change of the endpoint list that an endpoint has asked for.
+// endpointChange is a change of the endpoint list requested by an endpoint.
 type endpointChange struct {
 	id    string
 	zone  string // of the endpoint; empty: unknown
@@ -96,7 +96,7 @@
 	})
 }
 
-// deleteInstance answers DELETE /instances/{id}: an endpoint stops.
+// deleteInstance answers DELETE /instances/{id}: the removal of an endpoint that stops.
 func (k *Keeper) deleteInstance(w http.ResponseWriter, id string, _ []byte, _ *http.Request) {
 	if err := registry.Validate(&snapshot.Endpoint{ID: id}); err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
@@ -109,7 +109,7 @@
 	})
 }
 
-// changeResult is how far a change of the endpoint list has come.
+// changeResult is the result of applying a change to the endpoint list.
 type changeResult struct {
 	waiter          *ackWaiter // nil: there is nothing to wait for
 	heartbeatTarget string
@@ -118,11 +118,11 @@
 }
 
 // answerChange changes the list, and answers once the other keepers and the attached processes have acknowledged the
-// change, or have had Options.PushWait for that.
+// change. It waits for them for Options.PushWait at most.
 //
-// Without contact the change is made and sent all the same, which does no harm, but isn't acknowledged. Nor is the
-// end of an endpoint before a majority of the voters knows it: an endpoint that was acknowledged sends nothing more,
-// so what only this keeper knew would be lost with its contact.
+// Without contact the change is applied and sent nevertheless, which is harmless, but it isn't acknowledged. A drain or
+// removal is acknowledged only once a majority of the voters knows it: the endpoint sends nothing more after the
+// acknowledgement, so a change that only this keeper knows would be lost if the keeper lost contact.
 func (k *Keeper) answerChange(w http.ResponseWriter, change endpointChange) {
 	result, ok := query(k, func() changeResult { return k.applyChange(time.Now(), change) })
 	if ok && result.waiter != nil {
@@ -158,12 +158,12 @@
 	acknowledgeHeartbeat(w, result.heartbeatTarget)
 }
 
-// applyChange changes the list, and sends the change to the other keepers; the loop pushes it to the attached
+// applyChange changes the list and sends the change to the other keepers; the loop then pushes it to the attached
 // processes. It runs on the owner goroutine.
 func (k *Keeper) applyChange(now time.Time, change endpointChange) changeResult {
 	at := k.sinceStart(now)
 	revision := k.endpoints.LastChange()
-	// The list may also have changed by the end of another endpoint, whose address this one has.
+	// The change may also have removed another endpoint that had the same address.
 	changed := change.apply(at) || k.endpoints.LastChange() != revision
 	result := changeResult{
 		heartbeatTarget: k.heartbeatTarget(change.zone),
@@ -195,21 +195,21 @@
 
 // entriesToBroadcast returns the entries that the other keepers may lack after a change of an endpoint.
 func (k *Keeper) entriesToBroadcast(at time.Duration, id string, revision uint64, changed bool) []registry.Entry {
-	if !changed { // a repeat: the others may lack it all the same, as the keeper that took it first may be dead
+	if !changed { // a repeat: the others may lack it, as the keeper that handled it first may have crashed
 		if e, listed := k.endpoints.Get(at, id); listed {
 			return []registry.Entry{e}
 		}
 		return nil
 	}
-	entries, _, whole := k.endpoints.Changes(at, revision)
-	if whole { // the very first change, which may be an end
+	entries, _, full := k.endpoints.Changes(at, revision)
+	if full { // the first change of the list, which may be a removal
 		entries = k.endpoints.Entries(at, -1)
 	}
 	return entries
 }
 
-// acknowledgeHeartbeat answers 200, and names the keeper to which the endpoint should send its heartbeats from then on;
-// empty: none.
+// acknowledgeHeartbeat answers 200, with the address of the keeper to which the endpoint should send further
+// heartbeats; empty: none.
 func acknowledgeHeartbeat(w http.ResponseWriter, target string) {
 	if target == "" {
 		answerJSON(w, []byte("{}"))
@@ -223,7 +223,7 @@
 // heartbeats stay in the zone; empty: there is none.
 func (k *Keeper) heartbeatTarget(zone string) string {
 	if zone == "" || zone == k.self.Zone {
-		return k.self.ControlAddr // the answer is given in contact only
+		return k.self.ControlAddr // this keeper is in contact, or the answer isn't sent
 	}
 	var target controlclient.Node
 	for _, p := range k.peers {
@@ -237,8 +237,7 @@
 	return target.ControlAddr
 }
 
-// handleEntries merges what another keeper knows of endpoints, and answers once the processes attached here have it in
-// force.
+// handleEntries merges entries from another keeper, and replies once the processes attached here have them in force.
 func (k *Keeper) handleEntries(now time.Time, m *link.Message) {
 	entries, err := decodeEntries(m.Body)
 	if err != nil {
@@ -248,7 +247,7 @@
 	if len(k.endpoints.Merge(k.sinceStart(now), entries)) > 0 {
 		k.pushNeeded = true
 	}
-	// Also what was known already may still be on its way to the attached processes.
+	// Entries that were already known may still be in flight to the attached processes.
 	waiter := newAckWaiter()
 	waiter.listRevision = k.endpoints.LastChange()
 	k.addWaiter(waiter)
--- a/internal/control/keeper/http.go
+++ b/internal/control/keeper/http.go
@@ -14,10 +14,10 @@
 	// maxSmallBody and maxConfigBody bound request bodies, in bytes.
 	maxSmallBody  = 64 << 10
 	maxConfigBody = 8 << 20
-	// proposeTimeout bounds an operation on a register for a caller. It is below the second after which an operator
-	// goes on to another keeper.
+	// proposeTimeout bounds an operation on a register for a caller. It is below the 1 s after which an operator
+	// retries at another keeper.
 	proposeTimeout = 900 * time.Millisecond
-	// retryAfter is in how many seconds a call that was answered 503 may be sent again as it is.
+	// retryAfter is the Retry-After value of 503 answers, in seconds. The call may be sent again unchanged.
 	retryAfter = "0.2"
 )
 
@@ -30,26 +30,26 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// Errors that say nothing about what was asked: another keeper may answer.
+// Errors of this keeper that don't depend on the request: another keeper may be able to serve it.
 var (
-	errShuttingDown = errors.New("this keeper stops: ask another one")
-	errNoContact    = errors.New("no contact with a majority: ask another keeper")
-	// errNotAtMajority is about a change that was made here and sent to the keepers that are connected, so a repeat
-	// does no harm.
+	errShuttingDown = errors.New("this keeper is shutting down: use another keeper")
+	errNoContact    = errors.New("no contact with a majority: use another keeper")
+	// errNotAtMajority refuses a change that was applied here and sent to the connected keepers, so a repeat is
+	// harmless.
 	errNotAtMajority = errors.New(
-		"a majority has not confirmed in time that the endpoint ends: send it again, or to another keeper")
-	errListFull = errors.New("the list of endpoints is full: remove some")
+		"no majority has confirmed the drain or removal of the endpoint in time: retry, or use another keeper")
+	errListFull = errors.New("endpoint list is full: remove endpoints")
 )
 
-// route is a row of the table of all HTTP calls.
+// route is an entry in the table of all HTTP calls.
 type route struct {
 	method  string
-	path    string // one that ends with a slash takes a name behind it
+	path    string // a path that ends with a slash is followed by a name
 	maxBody int64  // in bytes
 	serve   func(k *Keeper, w http.ResponseWriter, name string, body []byte, r *http.Request)
 }
 
-// routes are the calls of endpoints, at /instances/, and of operators.
+// routes lists the calls of endpoints, at /instances/, and of operators.
 var routes = []route{
 	{http.MethodPut, "/instances/", maxSmallBody, (*Keeper).putInstance},
 	{http.MethodDelete, "/instances/", maxSmallBody, (*Keeper).deleteInstance},
@@ -116,13 +116,14 @@
 	k.recordAnswer(route, name, recorder.status, began)
 }
 
-// answerJSON answers a call that succeeded.
+// answerJSON answers a successful call.
 func answerJSON(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // the caller is gone
+	_, _ = w.Write(body) // fails only if the caller has gone
 }
 
-// refuse answers a call that didn't succeed. 503 says that nothing is known, here and now, about what was asked.
+// refuse answers a call that failed. 503 means that this keeper can't decide the request at present, not that the
+// request is rejected.
 func refuse(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
@@ -130,7 +131,7 @@
 	}
 	w.WriteHeader(status)
 	b, _ := json.Marshal(map[string]string{"error": reason}) // strings always marshal
-	_, _ = w.Write(b)                                        // the caller is gone
+	_, _ = w.Write(b)                                        // fails only if the caller has gone
 }
 
 // getStatus answers GET /status.
--- a/internal/control/keeper/keeper.go
+++ b/internal/control/keeper/keeper.go
@@ -27,9 +27,9 @@
 const (
 	// defaultPushWait is the default of Options.PushWait.
 	defaultPushWait = 250 * time.Millisecond
-	// httpShutdownTimeout is how long HTTP calls in flight may take once the keeper has ended.
+	// httpShutdownTimeout bounds the wait for in-flight HTTP calls once the keeper has ended.
 	httpShutdownTimeout = time.Second
-	// diskStallTimeout is how long the end of a keeper waits for a disk that doesn't answer.
+	// diskStallTimeout bounds how long the end of Run waits for a disk that doesn't respond.
 	diskStallTimeout = 2 * time.Second
 )
 
@@ -37,17 +37,17 @@
 type Options struct {
 	// Settings are the process's checked settings.
 	Settings *settings.Settings
-	// Folder holds keeper.log. With nil the keeper has no disk: it serves, but never votes.
+	// Folder holds keeper.log. If nil, the keeper has no disk: it serves, but never votes.
 	Folder vfs.Folder
 	// Known returns the keepers that gossip has found; their links are dialed. May be nil.
 	Known func() []controlclient.Node
-	// Log receives all messages of the keeper.
+	// Log receives all log messages of the keeper.
 	Log hclog.Logger
-	// PushWait is how long an acknowledgement waits until the attached processes and the other keepers have the
-	// change that it acknowledges; 0: 250 ms.
+	// PushWait bounds how long an acknowledgement waits for the attached processes and the other keepers to have the
+	// acknowledged change; 0: 250 ms.
 	PushWait time.Duration
-	// DialAddress maps the link address of another keeper to the address that is dialed; nil: the same. Tests use it to
-	// put relays between keepers.
+	// DialAddress maps the link address of another keeper to the address to dial; nil: the same. Tests use it to put
+	// relays between keepers.
 	DialAddress func(addr string) string
 }
 
@@ -60,8 +60,8 @@
 	registers *registerSet
 
 	commands   chan func()        // for the owner goroutine; bounded by maxQueuedCommands
-	ended      chan struct{}      // closed once the owner goroutine runs no more commands
-	runContext context.Context    // ends when the keeper does; all goroutines of Run end with it
+	ended      chan struct{}      // closed when the owner goroutine stops running commands
+	runContext context.Context    // canceled when the keeper ends; all goroutines of Run end with it
 	cancelRun  context.CancelFunc // ends the keeper without transferring its votes
 
 	// The fields down to conditions belong to the owner goroutine.
@@ -72,28 +72,28 @@
 	peerLinks     map[*link.Conn]*peerLink
 	dialing       map[string]bool          // link addresses of keepers that are being dialed
 	redialAt      map[string]time.Time     // link addresses of keepers: when each may be dialed again
-	config        *document                // the newest decided one known here; version 0: none was put yet
-	certificates  *document                // the newest decided ones known here; version 0: none were put yet
-	partitions    *snapshot.PartitionTable // the newest decided one known here; nil: none yet
+	config        *document                // the newest known decided one; version 0: none has been put
+	certificates  *document                // the newest known decided ones; version 0: none have been put
+	partitions    *snapshot.PartitionTable // the newest known decided one; nil: none yet
 	newestDecided map[string]*versionWatermark
-	// certificateReads collect the Confirm calls that one read of the certificates answers.
+	// certificateReads groups the Confirm calls that one read of the certificates answers.
 	certificateReads *quorum.ReadBarrier[*link.Message]
 
 	contact         *quorum.Gate[*link.Conn]
 	contactTimer    *time.Timer
-	reportedContact bool // the state of contact that was last reported to the others
+	reportedContact bool // the contact state last reported to the others
 
 	proxyCount         int    // proxies attached to any connected keeper, at least 1
 	keepersRevision    uint64 // counts changes of the set of connected keepers
-	pushNeeded         bool   // attached processes may lack something
+	pushNeeded         bool   // attached processes may lack an update
 	pushedListComplete bool   // whether the endpoint list was complete, as of the last push
 	pushedListRevision uint64 // the endpoint list's revision, as of the last push
 	waiters            []*ackWaiter
 
-	leaseGrants     *singleton.Granter // granted to keepers by this voter
+	leaseGrants     *singleton.Granter // leases that this voter has granted
 	assigner        partitionAssigner
 	voterManager    voterManager
-	shuttingDown    bool                       // it refuses attachments and transfers its votes
+	shuttingDown    bool                       // the keeper refuses attachments and transfers its votes
 	lastReport      controlclient.KeeperReport // as sent to the other keepers
 	heartbeatSentAt time.Time
 	digestCache     listDigests
@@ -103,17 +103,17 @@
 
 	peerSnapshot   atomic.Pointer[peerSnapshot]
 	seeds          atomic.Pointer[[]string] // control addresses of keepers, dialed until others are known
-	contactUntil   atomic.Int64             // the end of contact with a majority, in ns since startedAt
-	callEvents     *telemetry.EventLog      // rate-limited log of answers that a caller may ask about
-	largeBodySlots chan struct{}            // holds one element for each large request body that is parsed and decided
-	receivedBodies *clientbody.Budget       // of the large bodies that are received
+	contactUntil   atomic.Int64             // when contact with a majority expires, in ns since startedAt
+	callEvents     *telemetry.EventLog      // rate-limited log of answers, for callers' support requests
+	largeBodySlots chan struct{}            // semaphore: one element for each large request body in processing
+	receivedBodies *clientbody.Budget       // memory of large bodies being received
 
 	postsMu    sync.Mutex
 	posts      []func()      // for the owner goroutine; unbounded, see post
 	postsReady chan struct{} // signals that posts isn't empty
 }
 
-// New opens the keeper's log and returns a keeper that doesn't run yet. It fails if the log can't be read or written.
+// New opens the keeper's log and returns a keeper that isn't running. It fails if the log can't be read or written.
 func New(options Options) (*Keeper, error) {
 	k := &Keeper{
 		options:   options.withDefaults(),
@@ -166,7 +166,7 @@
 	return options
 }
 
-// selfNode is how a keeper presents itself to others.
+// selfNode returns the node that describes this keeper to others.
 func selfNode(s *settings.Settings, id uint64, startedAt time.Time) controlclient.Node {
 	return controlclient.Node{
 		Name:        s.NodeName,
@@ -179,11 +179,11 @@
 	}
 }
 
-// SetSeeds replaces the control addresses of keepers that are dialed until others are known. The voters of the very
-// first start stay those that the settings named then, as all processes have to mean the same ones.
+// SetSeeds replaces the control addresses of keepers that are dialed until others are known. It doesn't change the
+// initial voters: these are the seeds in the settings at the first start, as all processes must use the same ones.
 func (k *Keeper) SetSeeds(addrs []string) { k.seeds.Store(&addrs) }
 
-// linkAddress is where a keeper's links are served.
+// linkAddress returns the address at which a keeper serves links.
 func linkAddress(s *settings.Settings) string {
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.FirstInternalPort))
 }
@@ -192,12 +192,12 @@
 	return k.options.Settings.HeartbeatInterval
 }
 
-// sinceStart is a moment as the types without a clock of their own count it: the time since this process started, on
-// its monotonic clock.
+// sinceStart converts a time to the monotonic time since this process started. Types without a clock of their own use
+// that.
 func (k *Keeper) sinceStart(now time.Time) time.Duration { return now.Sub(k.startedAt) }
 
-// Run serves until the context ends, and then until the keeper's votes are transferred to others (2 s at most). It
-// returns once its goroutines have ended, with an error if an address can't be listened on or if the log failed.
+// Run serves until the context is canceled, and then until the keeper's votes are transferred to others (2 s at most).
+// It returns when its goroutines have ended, with an error if it can't listen on an address or if the log failed.
 func (k *Keeper) Run(ctx context.Context) error {
 	var listen net.ListenConfig
 	linkListener, err := listen.Listen(k.runContext, "tcp4", linkAddress(k.options.Settings))
@@ -216,16 +216,16 @@
 	defer context.AfterFunc(ctx, func() { defer k.cancelRun(); k.shutdown() })()
 
 	var servers sync.WaitGroup
-	servers.Go(func() { _ = link.Serve(linkListener, k, link.DefaultOptions) }) // it ends with its listener
-	servers.Go(func() { _ = server.Serve(httpListener) })                       // it ends with the server
+	servers.Go(func() { _ = link.Serve(linkListener, k, link.DefaultOptions) }) // returns when the listener is closed
+	servers.Go(func() { _ = server.Serve(httpListener) })                       // returns when the server is closed
 	servers.Go(func() { defer k.cancelRun(); k.registers.run(k.runContext) })
-	k.registers.bootstrapFromSeeds() // a single keeper is never connected to another one
+	k.registers.bootstrapFromSeeds() // a single keeper gets no connection that would trigger it
 	k.loop(k.runContext)
 	k.closeAll(linkListener, server)
 	return k.awaitServers(&servers)
 }
 
-// closeAll ends everything that serves, after the owner goroutine's loop.
+// closeAll closes the servers and links after the owner goroutine's loop has ended.
 func (k *Keeper) closeAll(linkListener net.Listener, server *http.Server) {
 	k.contactTimer.Stop()
 	close(k.ended)
@@ -236,15 +236,15 @@
 	for conn := range k.peerLinks {
 		conn.Close()
 	}
-	// Calls end by themselves, as ended is closed; a call whose body never comes doesn't.
+	// Closing ended makes calls return, except those whose body never arrives.
 	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
 	_ = server.Shutdown(ctx)
 	_ = server.Close()
 }
 
-// awaitServers waits for the goroutines of Run, but only for diskStallTimeout, as one of them may be stuck in a write.
-// The next start goes by what is on disk in any case.
+// awaitServers waits for the goroutines of Run for diskStallTimeout at most, as one of them may be blocked in a write.
+// Returning early is safe: the next start recovers from what is on disk.
 func (k *Keeper) awaitServers(servers *sync.WaitGroup) error {
 	ended := make(chan struct{})
 	go func() { servers.Wait(); close(ended) }()
@@ -252,7 +252,7 @@
 	case <-ended:
 		return k.registers.failure
 	case <-time.After(diskStallTimeout):
-		k.log.Error("the disk does not answer: ending without it", "file", logName)
+		k.log.Error("disk does not respond: ending without waiting for it", "file", logName)
 		return nil
 	}
 }
--- a/internal/control/keeper/leases.go
+++ b/internal/control/keeper/leases.go
@@ -9,10 +9,10 @@
 	"dunetide/internal/platform/link"
 )
 
-// leaseMessage is the body of a Lease call between keepers: a request for a grant, or the release of one.
+// leaseMessage is the body of a Lease call between keepers: a request for a grant, or its release.
 type leaseMessage struct {
 	role      string
-	candidate string // the name of the keeper that wants or has the lease
+	candidate string // name of the keeper that requests or holds the lease
 	release   bool
 }
 
@@ -30,7 +30,7 @@
 	return request, r.Err
 }
 
-// handleLease grants or refuses a lease to another keeper, or takes a grant back.
+// handleLease grants or refuses a lease to another keeper, or releases a grant.
 func (k *Keeper) handleLease(now time.Time, m *link.Message) {
 	request, err := decodeLeaseMessage(m.Body)
 	if err != nil {
@@ -51,15 +51,15 @@
 	m.Reply(w.Buf)
 }
 
-// grantLease grants a lease to another keeper if this one may, and nobody else has it.
+// grantLease grants a lease to another keeper if this keeper is allowed to grant it and no other keeper holds it.
 func (k *Keeper) grantLease(now time.Time, role, holder string, holderID uint64) bool {
 	at := k.sinceStart(now)
 	return k.contact.InContact(at) && k.mayGrant(now, holderID) && k.leaseGrants.Grant(at, role, holder)
 }
 
-// mayGrant reports whether this keeper may grant a lease to another, or to itself: both vote on the configuration by
-// the newest state that is known, and this keeper isn't behind. So a voter that was replaced neither grants a lease
-// nor is granted one by those that know of that.
+// mayGrant reports whether this keeper may grant a lease to another, or to itself: both must be voters of the
+// configuration register in the newest known state, and this keeper must not be behind. Therefore a replaced voter
+// neither grants a lease nor is granted one by keepers that know of the replacement.
 func (k *Keeper) mayGrant(now time.Time, holder uint64) bool {
 	voters := k.leaseVoters()
 	if !voters[k.registers.id] || !voters[holder] {
@@ -69,7 +69,7 @@
 	return behindSince.IsZero() || now.Sub(behindSince) < maxBehind
 }
 
-// leaseVoters returns the identities of the keepers that grant leases: the voters of the configuration.
+// leaseVoters returns the identities of the keepers that grant leases: the voters of the configuration register.
 func (k *Keeper) leaseVoters() map[uint64]bool {
 	voters := map[uint64]bool{}
 	for _, voter := range k.registers.registerVoters(configRegister) {
@@ -79,7 +79,7 @@
 }
 
 // maintainLease requests or renews the lease of a role while this keeper is in contact, and logs when it acquires or
-// loses the lease. It reports whether this keeper has the lease now.
+// loses the lease. It reports whether this keeper holds the lease now.
 func (k *Keeper) maintainLease(now time.Time, role string, lease *singleton.Candidate, hadLease bool) (hasLease bool) {
 	at := k.sinceStart(now)
 	if k.contact.InContact(at) {
@@ -87,12 +87,12 @@
 	}
 	hasLease = lease.HasLease(at)
 	if hasLease != hadLease {
-		k.log.Info("duty", "name", role, "held", hasLease)
+		k.log.Info("role lease changed", "name", role, "held", hasLease)
 	}
 	return hasLease
 }
 
-// stepLease requests or renews the lease of a role when that is due, or releases what was granted of it.
+// stepLease requests or renews the lease of a role when that is due, or releases its grants.
 func (k *Keeper) stepLease(now time.Time, role string, lease *singleton.Candidate) {
 	voters := k.leaseVoters()
 	if k.shuttingDown || !voters[k.registers.id] {
@@ -107,8 +107,8 @@
 	}
 }
 
-// requestGrants requests a lease from all voters. Those that aren't connected count as refusing. What was granted is
-// released as soon as the round can't succeed any more, as another keeper may want the lease.
+// requestGrants requests a lease from all voters. Voters that aren't connected count as refusing. The grants are
+// released as soon as the round can no longer succeed, so that another keeper can acquire the lease.
 func (k *Keeper) requestGrants(
 	now time.Time, role string, lease *singleton.Candidate, round uint64, voters map[uint64]bool,
 ) {
@@ -149,8 +149,8 @@
 	return granted && reply.Err == nil && r.Err == nil
 }
 
-// releaseGrants releases what was granted of a lease, here and at the other keepers, and returns where their answers
-// come.
+// releaseGrants releases the grants of a lease, here and at the other keepers, and returns the channels of their
+// replies.
 func (k *Keeper) releaseGrants(role string) (replies []<-chan link.Reply) {
 	k.leaseGrants.Release(role, k.self.Name)
 	body := leaseMessage{role: role, candidate: k.self.Name, release: true}.encode()
--- a/internal/control/keeper/loop.go
+++ b/internal/control/keeper/loop.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// maxQueuedCommands bounds the commands that wait for a goroutine. Whoever submits more waits, or is refused.
+	// maxQueuedCommands bounds the command queue of a goroutine. When it is full, submit blocks and trySubmit fails.
 	maxQueuedCommands = 4096
-	// maxCommandsPerTurn bounds the commands that run in a row before the goroutine looks at its timers again.
+	// maxCommandsPerTurn bounds the commands that run in a row before the goroutine checks its timers again.
 	maxCommandsPerTurn = 256
 	// tickInterval is the period of the owner goroutine's periodic work.
 	tickInterval = 200 * time.Millisecond
 )
 
-// loop is the owner goroutine: it alone reads and writes the state of the keeper, but for that of the registers.
+// loop is the owner goroutine: only it reads and writes the state of the keeper, except for that of the registers.
 func (k *Keeper) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -38,7 +38,7 @@
 	}
 }
 
-// tick does what is due periodically.
+// tick does the periodic work.
 func (k *Keeper) tick(now time.Time) {
 	k.dialKeepers(now)
 	k.expireEndpoints(now)
@@ -59,7 +59,7 @@
 // expireEndpoints removes endpoints whose heartbeats have stopped.
 func (k *Keeper) expireEndpoints(now time.Time) {
 	for _, e := range k.endpoints.Expire(k.sinceStart(now)) {
-		k.log.Info("endpoint silent", "id", e.ID, "service", e.Service, "address", e.Address)
+		k.log.Info("endpoint expired: heartbeats stopped", "id", e.ID, "service", e.Service, "address", e.Address)
 		k.pushNeeded = true
 	}
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// post queues a command for the owner goroutine and never waits. It is for the registers' goroutine: the owner
-// goroutine may wait for that one, so that one must not wait for the owner goroutine.
+// post queues a command for the owner goroutine without ever blocking. The registers' goroutine uses it, because it
+// must not wait for the owner goroutine.
 func (k *Keeper) post(command func()) {
 	k.postsMu.Lock()
 	k.posts = append(k.posts, command)
@@ -97,7 +97,7 @@
 	}
 }
 
-// runPosts runs what was posted.
+// runPosts runs the posted commands.
 func (k *Keeper) runPosts() {
 	k.postsMu.Lock()
 	posts := k.posts
@@ -108,7 +108,7 @@
 	}
 }
 
-// runQueued runs the commands that wait in a queue, up to maxCommandsPerTurn.
+// runQueued runs the queued commands, up to maxCommandsPerTurn.
 func runQueued(commands <-chan func()) {
 	for range maxCommandsPerTurn {
 		select {
--- a/internal/control/keeper/metrics.go
+++ b/internal/control/keeper/metrics.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/telemetry"
 )
 
-// gauges describe the state of the keeper; the owner goroutine sets them at each tick. Their names are part of the
+// gauges export the state of the keeper; the owner goroutine sets them at each tick. Their names are part of the public
 // interface.
 var gauges = struct {
 	inContact, config, certificates, table *telemetry.Gauge
@@ -28,7 +28,7 @@
 	diskCondition: telemetry.NewGauge("dunetide_keeper_disk_trouble"),
 }
 
-// contactLosses counts how often contact with a majority has ended.
+// contactLosses counts losses of contact with a majority.
 var contactLosses = telemetry.Counter("dunetide_keeper_contact_losses_total")
 
 // callsMetric counts the answers to HTTP calls, by call and status.
@@ -49,7 +49,7 @@
 	gauges.diskCondition.Set(telemetry.Bool(k.registers.diskCondition() != ""))
 }
 
-// statusWriter records the status of an answer.
+// statusWriter records the status of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
@@ -61,7 +61,7 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// recordAnswer counts an answer, and logs those that a caller may ask about: to operators' changes, and errors.
+// recordAnswer counts an answer, and logs answers to operators' changes and error answers.
 func (k *Keeper) recordAnswer(route route, target string, status int, began time.Time) {
 	name := route.method + " " + strings.Trim(route.path, "/")
 	telemetry.Counter(callsMetric, "call", name, "status", strconv.Itoa(status)).Inc()
@@ -69,7 +69,7 @@
 	if status < http.StatusBadRequest && !change {
 		return
 	}
-	k.callEvents.Event("call answered", func() []any {
+	k.callEvents.Event("HTTP call answered", func() []any {
 		return []any{
 			"method", route.method,
 			"path", route.path + target,
@@ -85,7 +85,7 @@
 	if result.waiter == nil {
 		return
 	}
-	k.callEvents.Event("endpoint ends", func() []any {
+	k.callEvents.Event("endpoint drain or removal", func() []any {
 		return []any{
 			"id", id,
 			"status", status,
--- a/internal/control/keeper/partition_assignment.go
+++ b/internal/control/keeper/partition_assignment.go
@@ -17,12 +17,12 @@
 	assignRole = "assign"
 	// partitionCount is the number of partitions of a new table.
 	partitionCount = 16
-	// storeLostAfter is how long a store may be attached nowhere before its partitions are assigned to others.
+	// storeLostAfter is how long a store may be unattached before its partitions are assigned to other stores.
 	storeLostAfter = 300 * time.Millisecond
-	// takeoverDelay is how long a keeper that has acquired the lease hears from all stores before it acts. A keeper
-	// that has just come into contact judges retirements no sooner.
+	// takeoverDelay is how long a keeper that has acquired the lease collects the attachments of all stores before it
+	// proposes tables. A keeper that has just gained contact waits as long before it decides on retirements.
 	takeoverDelay = time.Second
-	// assignInterval is the least time between two proposals of a table.
+	// assignInterval is the minimum time between two proposals of a table.
 	assignInterval = 100 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 	return partitionAssigner{lease: singleton.NewCandidate(rand.Float64), lastSeen: map[uint64]time.Time{}}
 }
 
-// stepAssigner keeps the lease and, while this keeper holds it, proposes better tables.
+// stepAssigner maintains the lease and, while this keeper holds it, proposes tables that fit the attached stores.
 func (k *Keeper) stepAssigner(now time.Time) {
 	a := &k.assigner
 	stores := k.attachedStores()
@@ -53,8 +53,8 @@
 	k.proposeAssignment(now, stores)
 }
 
-// proposeAssignment proposes the table that the attached stores call for, if it differs from the present one. A
-// keeper that has lost the lease does no harm: the table is changed by compare-and-swap.
+// proposeAssignment proposes the table that fits the attached stores, if it differs from the current one. A proposal
+// after the loss of the lease is harmless: the table is changed by compare-and-swap.
 func (k *Keeper) proposeAssignment(now time.Time, stores map[uint64]snapshot.Store) {
 	a := &k.assigner
 	alive, isLost := k.storeLiveness(now, stores)
@@ -67,15 +67,15 @@
 	a.proposing, a.proposedAt = true, now
 	k.changeTable(assign.asChange, func(err error) {
 		k.post(func() { a.proposing = false })
-		k.log.Info("table proposed", "err", err)
+		k.log.Info("partition table proposed", "err", err)
 		if err != nil && !errors.Is(err, paxos.ErrUnchanged) {
-			k.log.Warn("table not changed", "err", err)
+			k.log.Warn("partition table not changed", "err", err)
 		}
 	})
 }
 
-// storeLiveness returns the stores that are attached, by identity, and a function that reports whether a store of the
-// present table has been away for too long.
+// storeLiveness returns the attached stores, sorted by identity, and a function that reports whether a store of the
+// current table has been unattached for longer than storeLostAfter.
 func (k *Keeper) storeLiveness(
 	now time.Time, stores map[uint64]snapshot.Store,
 ) (alive []snapshot.Store, isLost func(uint64) bool) {
@@ -92,8 +92,8 @@
 	return alive, func(id uint64) bool { return lost[id] }
 }
 
-// queryStores is storeLiveness for other goroutines; !ok: this keeper ends, or hasn't been in contact for long enough
-// to have heard of all stores.
+// queryStores is storeLiveness for other goroutines; !ok: this keeper is shutting down, or hasn't been in contact for
+// long enough to know all attached stores.
 func (k *Keeper) queryStores() (alive []snapshot.Store, isLost func(uint64) bool, ok bool) {
 	type result struct {
 		alive  []snapshot.Store
--- a/internal/control/keeper/partition_table.go
+++ b/internal/control/keeper/partition_table.go
@@ -53,10 +53,10 @@
 	return table, r.Err
 }
 
-// tableStep computes the next table; !changed: it would be the same.
+// tableStep computes the next table; !changed: it would be equal to the current one.
 type tableStep func(current *snapshot.PartitionTable) (next *snapshot.PartitionTable, changed bool)
 
-// asChange is the step as a change that ends with agree.ErrUnchanged if nothing is to be done.
+// asChange adapts the step to a change that fails with paxos.ErrUnchanged if it changes nothing.
 func (step tableStep) asChange(current *snapshot.PartitionTable) (*snapshot.PartitionTable, error) {
 	next, changed := step(current)
 	if !changed {
@@ -65,7 +65,7 @@
 	return next, nil
 }
 
-// answerTableStep answers a store's call once the table is as the step makes it.
+// answerTableStep applies a step to the table, and answers a store's call once it is decided or changes nothing.
 func (k *Keeper) answerTableStep(m *link.Message, step tableStep) {
 	k.changeTable(step.asChange, func(err error) {
 		if err != nil && !errors.Is(err, paxos.ErrUnchanged) {
@@ -76,7 +76,7 @@
 	})
 }
 
-// handlePartitionJoined takes a store's message that the next replicas of a partition have all of it.
+// handlePartitionJoined handles a store's message that the joining replicas of a partition have all of its data.
 func (k *Keeper) handlePartitionJoined(m *link.Message) {
 	joined, err := controlclient.ReadPartitionJoined(m.Body)
 	if err != nil {
@@ -88,7 +88,7 @@
 	})
 }
 
-// handleStoreStopping takes a store's message that it is about to stop, or that it runs again.
+// handleStoreStopping handles a store's message that it is about to stop, or that it runs again.
 func (k *Keeper) handleStoreStopping(m *link.Message) {
 	report, err := controlclient.ReadStoreStopping(m.Body)
 	if err != nil {
--- a/internal/control/keeper/peers.go
+++ b/internal/control/keeper/peers.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// maxPeers bounds the other keepers that are known, and the dials at a time.
+	// maxPeers bounds the other keepers that are remembered, and the concurrent dials.
 	maxPeers = 64
 	// dialTimeout bounds a dial and the Hello call on the new link.
 	dialTimeout = 2 * time.Second
-	// redialDelay is how long after the start of a dial an address is dialed again.
+	// redialDelay is the minimum time between the starts of two dials to an address.
 	redialDelay = 300 * time.Millisecond
-	// forgetPeerAfter is how long a keeper that isn't connected is remembered, and forgetAddressAfter an address.
+	// forgetPeerAfter is how long a disconnected keeper is remembered; forgetAddressAfter is how long the dial time of
+	// an address is remembered.
 	forgetPeerAfter    = 10 * time.Minute
 	forgetAddressAfter = time.Minute
 )
@@ -26,22 +27,22 @@
 // peer is another keeper.
 type peer struct {
 	node               controlclient.Node
-	conn               *link.Conn // the link in use; nil: not connected at present
+	conn               *link.Conn // the link in use; nil: not connected
 	disconnectedAt     time.Time
-	attached           []controlclient.Node       // the processes attached to it
-	report             controlclient.KeeperReport // its newest one; zero before the first
-	digestMismatches   int                        // liveness messages in a row whose digests differ from this keeper's
-	entriesRequestedAt time.Time                  // because of these
+	attached           []controlclient.Node       // the processes attached to that keeper
+	report             controlclient.KeeperReport // its newest report; zero before the first
+	digestMismatches   int                        // consecutive liveness messages whose digests differ from this keeper's
+	entriesRequestedAt time.Time                  // when its list was last requested because of them
 }
 
-// peerLink is a link to another keeper. There may be two to the same one, see chooseLink.
+// peerLink is a link to another keeper. There may be two to the same keeper, see chooseLink.
 type peerLink struct {
 	peer        *peer
 	incarnation uint64 // of the keeper at the other end
 	dialed      bool   // by this keeper
 }
 
-// peerSnapshot has all other keepers that are remembered, for goroutines other than the owner. It is immutable.
+// peerSnapshot lists all remembered keepers, for goroutines other than the owner. It is immutable.
 type peerSnapshot []peerInfo
 
 type peerInfo struct {
@@ -53,7 +54,7 @@
 // knownPeers returns the newest snapshot.
 func (k *Keeper) knownPeers() peerSnapshot { return *k.peerSnapshot.Load() }
 
-// connTo returns the link to a voter; nil: there is none. The voter's identity counts more than its name.
+// connTo returns the link to a voter; nil: not connected. A match by identity takes precedence over one by name.
 func (peers peerSnapshot) connTo(v paxos.Voter) (conn *link.Conn) {
 	for _, p := range peers {
 		if p.conn != nil && v.ID != 0 && p.node.ID == v.ID {
@@ -66,7 +67,7 @@
 	return conn
 }
 
-// randomPeer returns a connected keeper.
+// randomPeer returns a random connected keeper.
 func (peers peerSnapshot) randomPeer() (node controlclient.Node, connected bool) {
 	for _, i := range rand.Perm(len(peers)) {
 		if peers[i].conn != nil {
@@ -76,7 +77,8 @@
 	return node, false
 }
 
-// connectedIDs returns the identities of the connected keepers and of this one. Keepers without a disk have none.
+// connectedIDs returns the identities of the connected keepers and of this one. Keepers without a disk have no
+// identity.
 func (peers peerSnapshot) connectedIDs(self uint64) map[uint64]bool {
 	connected := map[uint64]bool{self: true}
 	for _, p := range peers {
@@ -100,7 +102,7 @@
 	k.countProxies()
 }
 
-// dialKeepers dials the keepers that are known and not connected.
+// dialKeepers dials the known keepers that aren't connected.
 func (k *Keeper) dialKeepers(now time.Time) {
 	addrs := k.addressesToDial()
 	k.forgetOldPeers(now)
@@ -119,8 +121,8 @@
 	}
 }
 
-// addressesToDial returns the link addresses of the keepers that aren't connected: the seeds, those that gossip or the
-// registers know of, and those that were connected before.
+// addressesToDial returns the link addresses of the keepers that aren't connected: the seeds, those known from gossip
+// or the registers, and those that were connected before.
 func (k *Keeper) addressesToDial() map[string]bool {
 	addrs := map[string]bool{}
 	for _, addr := range controlclient.SeedLinkAddrs(*k.seeds.Load(), k.options.Settings.FirstInternalPort) {
@@ -146,7 +148,7 @@
 	return addrs
 }
 
-// forgetOldPeers forgets keepers that have been disconnected for long.
+// forgetOldPeers removes keepers that have been disconnected for longer than forgetPeerAfter.
 func (k *Keeper) forgetOldPeers(now time.Time) {
 	for name, p := range k.peers {
 		if p.conn == nil && now.Sub(p.disconnectedAt) > forgetPeerAfter {
@@ -173,11 +175,11 @@
 	k.submit(func() { k.adoptLink(conn, node, true) })
 }
 
-// callHello tells the process at the other end of a link who this keeper is, and returns who that process is.
+// callHello exchanges node descriptions with the process at the other end of a link, and returns that process's.
 func (k *Keeper) callHello(ctx context.Context, conn *link.Conn) (controlclient.Node, error) {
 	w := link.Writer{}
 	k.self.Append(&w)
-	w.Bool(false) // it wants no endpoint list
+	w.Bool(false) // no endpoint list wanted
 	reply, err := conn.Call(ctx, controlclient.KindHello, w.Buf)
 	if err != nil {
 		return controlclient.Node{}, err
@@ -188,7 +190,7 @@
 	return node, r.Err
 }
 
-// adoptLink adds a link to another keeper, which is then sent what it may lack.
+// adoptLink adds a link to another keeper, and sends that keeper the full state.
 func (k *Keeper) adoptLink(conn *link.Conn, node controlclient.Node, dialed bool) {
 	select {
 	case <-conn.Done():
@@ -204,7 +206,8 @@
 		p = &peer{}
 		k.peers[node.Name] = p
 	}
-	// A lower incarnation comes from a clock that was set back, unless the keeper's later one is connected.
+	// Incarnations are start times. While a newer incarnation is connected, a lower one is an outdated process.
+	// Otherwise it is accepted: the keeper's clock was set back.
 	if p.conn != nil && node.Incarnation < p.node.Incarnation {
 		conn.Close()
 		return
@@ -217,7 +220,7 @@
 	}
 	p.node = node
 	k.peerLinks[conn] = &peerLink{peer: p, incarnation: node.Incarnation, dialed: dialed}
-	if attached, ok := conn.Tag.Load().([]controlclient.Node); ok { // they came before, see handleAttached
+	if attached, ok := conn.Tag.Load().([]controlclient.Node); ok { // received before the Hello, see handleAttached
 		p.attached = attached
 	}
 	k.chooseLink(p, conn)
@@ -226,7 +229,7 @@
 	k.connectionsChanged()
 }
 
-// replaceIncarnation forgets what a keeper's former incarnation has reported, and closes the links to it.
+// replaceIncarnation discards what a keeper's former incarnation has reported, and closes the links to it.
 func (k *Keeper) replaceIncarnation(p *peer, newest *link.Conn) {
 	p.attached, p.digestMismatches, p.report = nil, 0, controlclient.KeeperReport{}
 	for conn, l := range k.peerLinks {
@@ -236,9 +239,9 @@
 	}
 }
 
-// chooseLink uses a new link to a keeper unless there is a better one to the same incarnation. Where two keepers have
-// dialed each other, the link that the keeper with the smaller name has dialed stays, and the one that dialed the other
-// link closes it.
+// chooseLink selects a new link to a keeper for use, unless there is a better one to the same incarnation. If two
+// keepers have dialed each other, both use the link dialed by the keeper with the smaller name; the other link is
+// closed by the keeper that dialed it.
 func (k *Keeper) chooseLink(p *peer, conn *link.Conn) {
 	better := func(conn *link.Conn) bool { return k.peerLinks[conn].dialed == (k.self.Name < p.node.Name) }
 	old := p.conn
@@ -258,12 +261,12 @@
 	}
 }
 
-// sendFullState sends a keeper all that it may lack.
+// sendFullState sends a keeper all state that it may lack.
 func (k *Keeper) sendFullState(conn *link.Conn) {
 	if entries := k.endpoints.Entries(k.sinceStart(time.Now()), -1); len(entries) > 0 {
 		k.sendEntries(conn, entries, nil)
 	}
-	// If a send fails, the link has ended, and all is sent again over the next one.
+	// If a send fails, the link has ended, and the full state is sent again over the next one.
 	for _, body := range k.registers.decidedMessages() {
 		_ = conn.Send(controlclient.KindDecided, body)
 	}
@@ -271,7 +274,7 @@
 	_ = conn.Send(controlclient.KindKeeperReport, encodeReport(k.currentReport()))
 }
 
-// dropLink forgets a link to a keeper. Another link to the same incarnation takes its place.
+// dropLink removes a link to a keeper. Another link to the same incarnation replaces it, if there is one.
 func (k *Keeper) dropLink(conn *link.Conn) {
 	l := k.peerLinks[conn]
 	if l == nil {
--- a/internal/control/keeper/pushes.go
+++ b/internal/control/keeper/pushes.go
@@ -7,11 +7,11 @@
 	"dunetide/internal/platform/link"
 )
 
-// maxUnackedPushes bounds the pushes that a process may have yet to acknowledge. Changes that come meanwhile go out
-// in one push.
+// maxUnackedPushes bounds the unacknowledged pushes to a process. While the bound is reached, changes accumulate and
+// are then sent in one push.
 const maxUnackedPushes = 64
 
-// pushMark is what is in force at a process once it has acknowledged the push with that number.
+// pushMark records the versions in force at a process once it has acknowledged the push with that number.
 type pushMark struct {
 	number              uint64
 	configVersion       uint64
@@ -28,8 +28,8 @@
 	return pushMark{}
 }
 
-// acknowledge takes the acknowledgement of a push and all before it. It reports whether the process may be pushed to
-// again.
+// acknowledge applies the acknowledgement of a push and all earlier ones. It reports whether that made space in a full
+// backlog, so that pushes can resume.
 func (p *attachedProcess) acknowledge(number uint64) (again bool) {
 	full := p.backlogFull()
 	p.ackedNumber = min(max(p.ackedNumber, number), p.pushedNumber)
@@ -43,7 +43,7 @@
 	return p.pushedNumber-p.ackedNumber >= maxUnackedPushes
 }
 
-// handleAck takes the acknowledgement of a push.
+// handleAck handles the acknowledgement of a push.
 func (k *Keeper) handleAck(now time.Time, m *link.Message) {
 	process := k.attached[m.Conn]
 	if process == nil {
@@ -60,7 +60,7 @@
 	k.completeWaiters(now)
 }
 
-// pushState is what a process has: those with the same state are pushed the same update.
+// pushState identifies the state of a process: processes with the same state are pushed the same update.
 type pushState struct {
 	fullListSent, listComplete, wantsEndpoints bool
 	inContact                                  bool
@@ -85,7 +85,8 @@
 	}
 }
 
-// lacksUpdate reports whether a process lacks something. Without contact nothing that the registers hold counts.
+// lacksUpdate reports whether a process lacks an update. Without contact, the contents of the registers are ignored, as
+// they aren't pushed.
 func (k *Keeper) lacksUpdate(p *attachedProcess, inContact bool) bool {
 	if !p.fullListSent || p.inContact != inContact || p.proxyCount != k.proxyCount ||
 		p.keepersRevision != k.keepersRevision {
@@ -102,14 +103,14 @@
 		k.partitions != nil && p.tableNumber < k.partitions.Version
 }
 
-// pushAll pushes to every attached process what it lacks. With contact, a process that has just attached is pushed
-// nothing before a majority has confirmed the registers for it; without contact, all are pushed endpoints alone.
+// pushAll pushes to every attached process what it lacks. With contact, a newly attached process is pushed nothing
+// until a majority has confirmed the registers for it. Without contact, no process is pushed contents of the registers.
 func (k *Keeper) pushAll() {
 	k.pushNeeded = false
 	now := time.Now()
 	inContact := k.contact.InContact(k.sinceStart(now))
 	k.pushedListComplete, k.pushedListRevision = k.endpoints.Listening(k.sinceStart(now)), k.endpoints.LastChange()
-	encoded := map[pushState]encodedUpdate{} // most processes lack the same
+	encoded := map[pushState]encodedUpdate{} // most processes need the same update
 	for conn, p := range k.attached {
 		if inContact && !k.contact.MayPush(k.sinceStart(now), conn) {
 			continue
@@ -127,7 +128,7 @@
 	}
 }
 
-// encodedUpdate is an update as it is sent, and the revision of the endpoint list that a process then has.
+// encodedUpdate is an encoded update, and the revision of the endpoint list that it brings a process to.
 type encodedUpdate struct {
 	body         []byte
 	listRevision uint64
@@ -138,7 +139,7 @@
 	return encodedUpdate{update.Encode(), listRevision}
 }
 
-// push sends an update to a process, and notes what the process then has.
+// push sends an update to a process, and records the resulting state of the process.
 func (k *Keeper) push(p *attachedProcess, update encodedUpdate, inContact bool) {
 	p.pushedNumber++
 	controlclient.SetSequence(update.body, p.pushedNumber)
@@ -158,12 +159,12 @@
 		certificatesVersion: p.certificatesVersion,
 	})
 	if err := p.conn.Send(controlclient.KindUpdate, update.body); err != nil {
-		k.log.Warn("push not sent", "node", p.node.Name, "err", err)
-		p.conn.Close() // it attaches anew, and is pushed everything
+		k.log.Warn("push failed", "node", p.node.Name, "err", err)
+		p.conn.Close() // the process attaches again, and is pushed the full state
 	}
 }
 
-// buildUpdate returns what a process lacks, and the revision of the endpoint list that it then has.
+// buildUpdate returns what a process lacks, and the revision of the endpoint list that the update brings it to.
 func (k *Keeper) buildUpdate(
 	p *attachedProcess, now time.Time, inContact bool,
 ) (u *controlclient.Update, listRevision uint64) {
@@ -187,7 +188,7 @@
 	return u, listRevision
 }
 
-// addRegisters adds to an update what a process lacks of the registers.
+// addRegisters adds the contents of the registers that a process lacks to an update.
 func (k *Keeper) addRegisters(u *controlclient.Update, p *attachedProcess) {
 	u.CertificatesVersion = k.certificates.version
 	if p.certificatesVersion < k.certificates.version {
--- a/internal/control/keeper/register_log.go
+++ b/internal/control/keeper/register_log.go
@@ -11,29 +11,29 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// logName is the file of the registers' log in the keeper's folder.
+// logName is the name of the registers' log in the keeper's folder.
 const logName = "keeper.log"
 
-// Kinds of records in the log; each record begins with its kind. They are on disk.
+// Kinds of records in the log; each record begins with its kind. The values are stored on disk.
 const (
 	recordIdentity    = 1 // this keeper's identity as a voter
-	recordRegister    = 2 // a register's name and a payload of it
-	recordFirstVoters = 3 // the voters of the very first start
+	recordRegister    = 2 // a register's name and one of its payloads
+	recordFirstVoters = 3 // the initial voters, of the first start
 )
 
 const (
-	// minRewriteSize is the least size at which the log is rewritten, in bytes.
+	// minRewriteSize is the minimum size at which the log is rewritten, in bytes.
 	minRewriteSize = 1 << 20
-	// rewriteRetryDelay is how long after a failed rewrite, or one that was to free space, the next one may come.
+	// rewriteRetryDelay is the minimum time until the next rewrite after a failed one, or after one on a full disk.
 	rewriteRetryDelay = 5 * time.Second
 	// minVoterBytes is the encoded size of a voter with an empty name and address.
 	minVoterBytes = 16
 )
 
-// Errors of the log that aren't of the disk.
+// Errors of the log that aren't I/O errors.
 var (
-	errNoDisk          = errors.New("no disk")
-	errRegistersUnread = errors.New("not all registers are there yet")
+	errNoDisk           = errors.New("this keeper has no disk")
+	errRegistersNotOpen = errors.New("not all registers are open yet")
 )
 
 // rewritePolicy decides when the log is rewritten. All sizes are in bytes.
@@ -42,7 +42,7 @@
 	diskBytes int64
 }
 
-// rewriteSize is the size at which a log is rewritten whose last rewrite left that many bytes.
+// rewriteSize returns the size at which the log is rewritten next; rewritten is its size after the last rewrite.
 func (p rewritePolicy) rewriteSize(rewritten int64) int64 {
 	size := max(minRewriteSize, 4*rewritten)
 	if p.diskBytes > 0 {
@@ -51,13 +51,13 @@
 	return size
 }
 
-// maxSize is the size beyond which the log doesn't grow as long as it can be rewritten: with the rewritten one beside
-// it, the disk is three quarters full. Where that leaves no space to grow, the log grows by a quarter.
+// maxSize is the maximum size of the log as long as it can be rewritten: the log and its rewritten copy together fill
+// three quarters of the disk. If that leaves no space to grow, the log may grow by a quarter.
 func (p rewritePolicy) maxSize(rewritten int64) int64 {
 	return max(p.diskBytes/4*3-rewritten, rewritten+rewritten/4)
 }
 
-// openLog reads the log, and starts it with a new identity if it is empty.
+// openLog replays the log, and writes a new identity if it is empty.
 func (rs *registerSet) openLog(folder vfs.Folder) error {
 	log, err := recordlog.Open(folder, logName, func(b []byte, _ int64) error { return rs.replayRecord(b) })
 	if err != nil {
@@ -67,7 +67,7 @@
 	if rs.id != 0 {
 		return nil
 	}
-	if rs.id, err = drawIdentity(); err != nil {
+	if rs.id, err = newIdentity(); err != nil {
 		return errors.Join(err, log.Close())
 	}
 	if err := rs.appendRecord(rs.identityRecord()); err != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// closeLog closes the log. Its error is of no use: what is on disk decides when the process starts again.
+// closeLog closes the log. The error is ignored: the next start recovers from what is on disk.
 func (rs *registerSet) closeLog() {
 	if rs.log != nil {
 		_ = rs.log.Close()
@@ -110,7 +110,7 @@
 	return w.Buf
 }
 
-// replayRecord takes a record of the log. Records of unknown kinds are skipped.
+// replayRecord applies a record of the log. Records of unknown kinds are skipped.
 func (rs *registerSet) replayRecord(b []byte) error {
 	r := link.Reader{Buf: bytes.Clone(b)}
 	switch r.U8() {
@@ -127,14 +127,14 @@
 	return r.Err
 }
 
-// appendRecord appends a record and syncs the log. After an agree.ErrNotSaved the log is as it was; after any other
-// error it is out of use.
+// appendRecord appends a record and syncs the log. After a paxos.ErrNotSaved the log is unchanged; after any other
+// error it is unusable.
 func (rs *registerSet) appendRecord(b []byte) error {
 	if rs.log == nil {
 		return errNoDisk
 	}
 	if rs.log.Size()+int64(len(b)) > rs.rewritePolicy.rewriteSize(rs.rewrittenSize) {
-		rs.rewriteLog() // the registers' state is that before b, so nothing of b is lost
+		rs.rewriteLog() // writes the registers' state without b, which is appended below
 	}
 	_, err := rs.log.Append(b)
 	if err != nil && !recordlog.ErrUnusable.Has(err) && rs.reclaimSpace() {
@@ -149,7 +149,7 @@
 	return rs.log.Sync()
 }
 
-// reclaimSpace rewrites the log on a disk that is full. It reports whether that freed space.
+// reclaimSpace rewrites the log on a full disk. It reports whether that freed space.
 func (rs *registerSet) reclaimSpace() bool {
 	before := rs.log.Size()
 	rs.rewriteLog()
@@ -157,35 +157,35 @@
 	return rs.log.Size() < before
 }
 
-// rewriteIfDue rewrites a log that has grown since its last rewrite.
+// rewriteIfDue rewrites the log if it has grown to its rewrite size.
 func (rs *registerSet) rewriteIfDue() {
 	if rs.log != nil && rs.log.Size() >= rs.rewritePolicy.rewriteSize(rs.rewrittenSize) {
 		rs.rewriteLog()
 	}
 }
 
-// rewriteLog replaces the log by one that holds only the present state. If that fails, the log is as it was, or out of
-// use, which the next append finds.
+// rewriteLog replaces the log by one that holds only the current state. If that fails, the log is unchanged, or
+// unusable, which the next append detects.
 func (rs *registerSet) rewriteLog() {
 	if time.Now().Before(rs.noRewriteBefore) {
 		return
 	}
 	if err := rs.log.Rewrite(rs.writeState); err != nil {
-		rs.keeper.log.Error("log not rewritten", "err", err)
+		rs.keeper.log.Error("log rewrite failed", "err", err)
 		rs.noRewriteBefore = time.Now().Add(rewriteRetryDelay)
 		return
 	}
 	rs.rewrittenSize = rs.log.Size()
 }
 
-// writeState adds the present state to a new log.
+// writeState writes the current state to a new log.
 func (rs *registerSet) writeState(add func([]byte) (int64, error)) error {
 	if _, err := add(rs.identityRecord()); err != nil {
 		return err
 	}
 	for _, name := range registerNames {
 		if rs.byName[name] == nil { // the log is being opened
-			return errRegistersUnread
+			return errRegistersNotOpen
 		}
 		for _, payload := range rs.byName[name].Snapshot() {
 			if _, err := add(encodeRegisterRecord(name, payload)); err != nil {
--- a/internal/control/keeper/register_log_test.go
+++ b/internal/control/keeper/register_log_test.go
@@ -19,16 +19,16 @@
 	changes = 400
 )
 
-// loneRegisters are the registers of a keeper that is the only voter, stepped by the test: a change has ended when it
-// returns.
-type loneRegisters struct {
+// singleVoterRegisters holds the registers of a keeper that is the only voter. The test steps them, so that change is
+// synchronous.
+type singleVoterRegisters struct {
 	t         testing.TB
 	disk      *vfstest.Disk
 	registers *registerSet
 	now       time.Duration
 }
 
-func openLone(t testing.TB, disk *vfstest.Disk) (*loneRegisters, error) {
+func openSingleVoter(t testing.TB, disk *vfstest.Disk) (*singleVoterRegisters, error) {
 	t.Helper()
 	s := &settings.Settings{
 		NodeName:          "k1",
@@ -42,22 +42,22 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &loneRegisters{t: t, disk: disk, registers: k.registers}
+	l := &singleVoterRegisters{t: t, disk: disk, registers: k.registers}
 	l.registers.bootstrap([]paxos.Voter{{ID: l.registers.id, Name: "k1"}})
 	return l, nil
 }
 
-func mustOpen(t testing.TB, disk *vfstest.Disk) *loneRegisters {
+func mustOpen(t testing.TB, disk *vfstest.Disk) *singleVoterRegisters {
 	t.Helper()
-	l, err := openLone(t, disk)
+	l, err := openSingleVoter(t, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-// change makes a value the newest of a register; false: that wasn't acknowledged.
-func (l *loneRegisters) change(name string, value []byte) bool {
+// change writes a value to a register; false: the write wasn't acknowledged.
+func (l *singleVoterRegisters) change(name string, value []byte) bool {
 	l.now += time.Second
 	reg, ended, done := l.registers.byName[name], false, false
 	reg.Propose(l.now, 2*time.Second, func(cur paxos.State) (paxos.State, error) {
@@ -69,9 +69,9 @@
 	return done
 }
 
-// tickUntil lets time pass until an operation has ended: after a restart a proposal number that was promised before
-// costs a second attempt.
-func (l *loneRegisters) tickUntil(reg *paxos.Register, ended *bool) {
+// tickUntil advances the clock until an operation has ended: after a restart, a proposal number promised earlier may
+// require a second attempt.
+func (l *singleVoterRegisters) tickUntil(reg *paxos.Register, ended *bool) {
 	for range 100 {
 		if *ended {
 			return
@@ -81,30 +81,32 @@
 	}
 }
 
-// value reads a register, which first completes what was accepted before a kill.
-func (l *loneRegisters) value(name string) (value []byte) {
+// value reads a register. The read first completes a proposal that was accepted before a kill.
+func (l *singleVoterRegisters) value(name string) (value []byte) {
 	reg, ended := l.registers.byName[name], false
 	reg.Read(l.now, 2*time.Second, func(s paxos.State, err error) { value, ended = s.Value, true })
 	l.tickUntil(reg, &ended)
 	return value
 }
 
-func (l *loneRegisters) failed() bool { return l.registers.byName[configRegister].FatalError() != nil }
+func (l *singleVoterRegisters) failed() bool {
+	return l.registers.byName[configRegister].FatalError() != nil
+}
 
-// numberedValue is a value of the given size with the number of its change.
+// numberedValue returns a value of the given size that contains the number of its change.
 func numberedValue(n, size int) []byte {
 	b := make([]byte, size)
 	copy(b, fmt.Sprintf("change %d ", n))
 	return b
 }
 
-// logUsage is what changes cost.
+// logUsage is the cost of changes.
 type logUsage struct {
-	peak, file, saved int
+	peak, file, saved int // bytes: the most used on the disk, the log at the end, and all that was appended
 	restart           time.Duration
 }
 
-// replayChanges makes changes of the given size on a disk of 64 MB and starts again.
+// replayChanges makes changes of the given size on a disk of 64 MB, and restarts.
 func replayChanges(t testing.TB, count, size int) (u logUsage) {
 	t.Helper()
 	disk := vfstest.New()
@@ -128,24 +130,24 @@
 	return u
 }
 
-// TestLogIsBounded makes hundreds of changes up to the largest that operators may send.
+// TestLogIsBounded: hundreds of changes, up to the largest that operators may send, leave a log of bounded size.
 func TestLogIsBounded(t *testing.T) {
 	for _, c := range []struct{ count, size int }{
 		{50, 4 << 10}, {200, 4 << 10}, {changes, 4 << 10}, {changes, 64 << 10}, {50, 1 << 20}, {100, 1 << 20}, {40, maxConfigBody},
 	} {
 		u := replayChanges(t, c.count, c.size)
-		t.Logf("%3d changes of %4d kB: file %6d kB, most on the disk %6d kB, restart %5.1f ms",
+		t.Logf("%3d changes of %4d kB: file %6d kB, peak on the disk %6d kB, restart %5.1f ms",
 			c.count, c.size>>10, u.file>>10, u.peak>>10, float64(u.restart.Microseconds())/1000)
-		state := c.size + 4<<10 // bytes; a change that is in progress has them twice
+		state := c.size + 4<<10 // bytes; twice as much while a change is in progress
 		if bound := max(minRewriteSize, 4*2*state) + 3*state; u.file > bound || u.peak > min(bound+2*state, diskMB<<20) {
-			t.Errorf("%d changes of %d bytes: file %d, most on the disk %d, bound %d",
+			t.Errorf("%d changes of %d bytes: file %d, peak on the disk %d, bound %d",
 				c.count, c.size, u.file, u.peak, bound)
 		}
 	}
 }
 
-// logNearRewrite is a disk whose log is rewritten with one of the next changes, after hundreds of changes, and the
-// number of the last one.
+// logNearRewrite returns a disk after hundreds of changes, whose log is rewritten within the next few ones, and the
+// number of the last change.
 func logNearRewrite(t *testing.T) (*vfstest.Disk, int) {
 	t.Helper()
 	disk := vfstest.New()
@@ -167,11 +169,11 @@
 	return disk, n - 1
 }
 
-// diskFault is what happens at one operation of the disk.
+// diskFault is a fault at one operation of the disk.
 type diskFault struct {
-	name string
-	hit  func(disk *vfstest.Disk, step int)
-	// after is done once the process has ended.
+	name   string
+	inject func(disk *vfstest.Disk, step int)
+	// after runs once the process has ended.
 	after func(disk *vfstest.Disk)
 }
 
@@ -179,24 +181,24 @@
 	kill := func(disk *vfstest.Disk, step int) { disk.FailAt, disk.Fails = step, 1<<30 }
 	return []diskFault{
 		{"kill", kill, func(*vfstest.Disk) {}},
-		{"loss of power, nothing stays", kill, func(d *vfstest.Disk) { d.PowerLossEach(func(int) int { return 0 }) }},
-		{"loss of power, all stays", kill, func(d *vfstest.Disk) { d.PowerLossEach(func(n int) int { return min(1, n-1) }) }},
-		{"loss of power, names stay", kill, func(d *vfstest.Disk) { d.PowerLoss(func(n int) int { return n - 1 }) }},
-		{"loss of power, some stays", kill, func(d *vfstest.Disk) { d.PowerLossEach(rand.IntN) }},
+		{"loss of power, nothing persists", kill, func(d *vfstest.Disk) { d.PowerLossEach(func(int) int { return 0 }) }},
+		{"loss of power, all persists", kill, func(d *vfstest.Disk) { d.PowerLossEach(func(n int) int { return min(1, n-1) }) }},
+		{"loss of power, names persist", kill, func(d *vfstest.Disk) { d.PowerLoss(func(n int) int { return n - 1 }) }},
+		{"loss of power, some persists", kill, func(d *vfstest.Disk) { d.PowerLossEach(rand.IntN) }},
 		{"one operation fails", func(d *vfstest.Disk, step int) { d.FailAt, d.Fails = step, 1 }, func(*vfstest.Disk) {}},
 		{"three operations fail, then power is lost", func(d *vfstest.Disk, step int) { d.FailAt, d.Fails = step, 3 },
 			func(d *vfstest.Disk) { d.PowerLossEach(rand.IntN) }},
 	}
 }
 
-// TestRewriteWithFaultAtEachStep injects a kill, a loss of power or a failed disk at each operation around a rewrite
-// after hundreds of changes: what was acknowledged of each register stays, and the log goes on.
+// TestRewriteWithFaultAtEachStep injects a kill, a loss of power or a disk failure at each operation around a rewrite
+// after hundreds of changes: the acknowledged values of all registers persist, and the log accepts further changes.
 func TestRewriteWithFaultAtEachStep(t *testing.T) {
 	base, last := logNearRewrite(t)
 	const more = 6
-	whole := base.Copy()
-	l := mustOpen(t, whole)
-	first := whole.Ops + 1
+	reference := base.Copy()
+	l := mustOpen(t, reference)
+	first := reference.Ops + 1
 	for n := 1; n <= more; n++ {
 		l.change(configRegister, numberedValue(last+n, 4<<10))
 	}
@@ -204,20 +206,20 @@
 		t.Fatalf("not rewritten: %d bytes", l.registers.log.Size())
 	}
 	cases := 0
-	for step := first; step <= whole.Ops; step++ {
-		for _, trouble := range diskFaults() {
+	for step := first; step <= reference.Ops; step++ {
+		for _, fault := range diskFaults() {
 			cases++
-			rewriteWithFault(t, base.Copy(), last, more, step, trouble)
+			rewriteWithFault(t, base.Copy(), last, more, step, fault)
 		}
 	}
 	t.Log(cases, "cases")
 }
 
-func rewriteWithFault(t *testing.T, disk *vfstest.Disk, last, more, step int, trouble diskFault) {
+func rewriteWithFault(t *testing.T, disk *vfstest.Disk, last, more, step int, fault diskFault) {
 	t.Helper()
-	what := fmt.Sprintf("%s at operation %d", trouble.name, step)
+	what := fmt.Sprintf("%s at operation %d", fault.name, step)
 	l := mustOpen(t, disk)
-	trouble.hit(disk, step)
+	fault.inject(disk, step)
 	acknowledged, proposed := last, last
 	for n := last + 1; n <= last+more && !l.failed(); n++ {
 		proposed = n
@@ -226,8 +228,8 @@
 		}
 	}
 	disk.FailAt = 0
-	trouble.after(disk)
-	again, err := openLone(t, disk)
+	fault.after(disk)
+	again, err := openSingleVoter(t, disk)
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
@@ -238,27 +240,27 @@
 		}
 	}
 	if found < 0 {
-		t.Fatalf("%s: change %d was acknowledged, and %.20q is there", what, acknowledged, again.value(configRegister))
+		t.Fatalf("%s: change %d was acknowledged, but the value is %.20q", what, acknowledged, again.value(configRegister))
 	}
 	if !bytes.Equal(again.value(partitionsRegister), numberedValue(last, 100)) {
-		t.Fatalf("%s: the other register has %.20q", what, again.value(partitionsRegister))
+		t.Fatalf("%s: the value of the other register is %.20q", what, again.value(partitionsRegister))
 	}
 	if !again.change(configRegister, numberedValue(proposed+1, 4<<10)) {
-		t.Fatalf("%s: no change after it", what)
+		t.Fatalf("%s: a later change is not acknowledged", what)
 	}
 	if third := mustOpen(t, disk); !bytes.Equal(third.value(configRegister), numberedValue(proposed+1, 4<<10)) {
-		t.Fatalf("%s: the change after it is lost", what)
+		t.Fatalf("%s: a later change is lost", what)
 	}
 }
 
-// TestRewriteWithoutSpace leaves space for a part of the rewritten log only: the process goes on, stores what fits, and
+// TestRewriteWithoutSpace leaves too little space for the rewritten log: the process continues, stores what fits, and
 // rewrites the log once there is space.
 func TestRewriteWithoutSpace(t *testing.T) {
 	base, last := logNearRewrite(t)
-	for room := 0; room < 12<<10; room += 500 {
+	for freeBytes := 0; freeBytes < 12<<10; freeBytes += 500 {
 		disk := base.Copy()
 		l := mustOpen(t, disk)
-		disk.Room = disk.Used() + 1 + room
+		disk.Room = disk.Used() + 1 + freeBytes
 		acknowledged := last
 		for n := last + 1; n <= last+6; n++ {
 			if l.change(configRegister, numberedValue(n, 4<<10)) {
@@ -266,24 +268,24 @@
 			}
 		}
 		if l.failed() {
-			t.Fatalf("room for %d: it ended: %v", room, l.registers.byName[configRegister].FatalError())
+			t.Fatalf("%d bytes free: registers failed: %v", freeBytes, l.registers.byName[configRegister].FatalError())
 		}
 		if again := mustOpen(t, disk.Copy()); bytes.Compare(again.value(configRegister)[:20], numberedValue(acknowledged, 20)) < 0 {
-			t.Fatalf("room for %d: change %d was acknowledged, and %.20q is there", room, acknowledged, again.value(configRegister))
+			t.Fatalf("%d bytes free: change %d was acknowledged, but the value is %.20q", freeBytes, acknowledged, again.value(configRegister))
 		}
 		disk.Room = 0
 		l.registers.noRewriteBefore = time.Time{}
 		if !l.change(configRegister, numberedValue(last+7, 4<<10)) {
-			t.Fatalf("room for %d: not taken once there is room", room)
+			t.Fatalf("%d bytes free: change not acknowledged once there is space", freeBytes)
 		}
 		l.registers.rewriteIfDue()
 		if l.registers.log.Size() > minRewriteSize {
-			t.Fatalf("room for %d: not rewritten once there is room", room)
+			t.Fatalf("%d bytes free: log not rewritten once there is space", freeBytes)
 		}
 	}
 }
 
-// BenchmarkRestart measures a keeper's start after many changes.
+// BenchmarkRestart measures the start of a keeper after many changes.
 func BenchmarkRestart(b *testing.B) {
 	for _, c := range []struct{ count, size int }{{100, 4 << 10}, {400, 4 << 10}, {400, 64 << 10}, {100, 1 << 20}, {24, maxConfigBody}} {
 		b.Run(fmt.Sprintf("%dx%dkB", c.count, c.size>>10), func(b *testing.B) {
--- a/internal/control/keeper/register_transport.go
+++ b/internal/control/keeper/register_transport.go
@@ -8,11 +8,11 @@
 	"dunetide/internal/platform/link"
 )
 
-// stateQueryInterval is how often another keeper is asked for a register of which nothing is known here.
+// stateQueryInterval is how often another keeper is queried for a register whose state is unknown here.
 const stateQueryInterval = 300 * time.Millisecond
 
-// send sends a register's message to a voter, which may be this keeper itself. A message may be lost: the registers
-// send again.
+// send sends a register's message to a voter, which may be this keeper itself. Messages may be lost: the registers
+// retransmit.
 func (rs *registerSet) send(name string, to paxos.Voter, msg []byte) {
 	envelope := rs.encodeEnvelope(name, msg)
 	if to.ID == rs.id && rs.id != 0 {
@@ -35,7 +35,8 @@
 	return w.Buf
 }
 
-// receive takes a register's message. It is dropped if the queue is full, as a link must not wait for the disk.
+// receive queues a received message of a register. It is dropped if the queue is full, as a link must not wait for the
+// disk.
 func (rs *registerSet) receive(envelope []byte) {
 	r := link.Reader{Buf: envelope}
 	name := r.String()
@@ -47,7 +48,7 @@
 	rs.trySubmit(func() { rs.byName[name].Receive(rs.now(), from, msg) })
 }
 
-// receiveDecided takes a decided state that another keeper has sent. It may be dropped, as by receive.
+// receiveDecided queues a decided state from another keeper. It may be dropped, as in receive.
 func (rs *registerSet) receiveDecided(body []byte) {
 	r := link.Reader{Buf: body}
 	name, state := r.String(), paxos.ReadState(&r)
@@ -78,18 +79,18 @@
 	return messages
 }
 
-// broadcastDecided sends a decided state to all other keepers, also to those that don't vote.
+// broadcastDecided sends a decided state to all other keepers, including those that don't vote.
 func (k *Keeper) broadcastDecided(name string, state paxos.State) {
 	body := encodeDecided(name, state)
 	for _, p := range k.knownPeers() {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.KindDecided, body) // a keeper that misses it asks for it after a report
+			_ = p.conn.Send(controlclient.KindDecided, body) // a keeper that misses it queries for it after a report
 		}
 	}
 }
 
-// queryIfUnknown asks another keeper for a register of which nothing is known here. It proposes nothing: the voters are
-// changed only by the lease holder of the voters role and by keepers that shut down.
+// queryIfUnknown asks a random keeper for a register whose state is unknown here. It proposes nothing: only the lease
+// holder of the voters role and keepers that shut down change the voters.
 func (rs *registerSet) queryIfUnknown(name string) {
 	if _, known := rs.byName[name].State(); known || time.Since(rs.queriedAt[name]) < stateQueryInterval {
 		return
@@ -100,8 +101,8 @@
 	}
 }
 
-// queryPeer asks a keeper for what it has of a register beyond what is known here. If the queue is full, the keeper is
-// asked after its next report.
+// queryPeer asks a keeper for its newer state of a register. If the queue is full, the keeper's next report triggers
+// the query again.
 func (rs *registerSet) queryPeer(name string, node controlclient.Node) {
 	rs.trySubmit(func() { rs.byName[name].RequestState(rs.now(), voterOf(node)) })
 }
--- a/internal/control/keeper/registers.go
+++ b/internal/control/keeper/registers.go
@@ -14,15 +14,15 @@
 	"dunetide/internal/platform/recordlog"
 )
 
-// Names of the registers. They are on the wire and on disk.
+// Names of the registers, as used on the wire and on disk.
 const (
 	configRegister = "config"
-	// partitionsRegister holds the partition table of batch jobs. Its name is from a time when jobs were called lots.
+	// partitionsRegister holds the partition table of batch jobs, which were formerly called lots.
 	partitionsRegister   = "lots"
 	certificatesRegister = "certificates"
 )
 
-// registerNames orders the registers, also in reports and records.
+// registerNames lists the registers in the order used in reports and records.
 var registerNames = []string{configRegister, partitionsRegister, certificatesRegister}
 
 const (
@@ -33,41 +33,41 @@
 	minRegisterIdle = 2 * time.Millisecond
 )
 
-// errBusy refuses an operation before it was queued: nothing was written.
-var errBusy = errors.New("too much waits for this keeper's disk: ask another keeper")
+// errBusy refuses an operation before it is queued: nothing was written.
+var errBusy = errors.New("disk queue of this keeper is full: use another keeper")
 
-// registerSet runs this keeper's replicas of the registers. Its goroutine, run, owns them and their log, and alone
-// waits for the disk. It never waits for the keeper's owner goroutine.
+// registerSet runs this keeper's replicas of the registers. Its goroutine, run, owns them and their log, and is the
+// only one that waits for the disk. It never waits for the keeper's owner goroutine.
 type registerSet struct {
 	keeper     *Keeper
-	id         uint64 // this keeper's identity as a voter, drawn when its disk was first used; 0: no disk
-	proposerID uint64 // of this process life
+	id         uint64 // this keeper's random identity as a voter, stored on its disk; 0: no disk
+	proposerID uint64 // random; new on each start of the process
 	startedAt  time.Time
 	commands   chan func() // bounded by maxQueuedCommands
 	ended      chan struct{}
 
-	// Owned by run.
+	// Owned by the goroutine of run.
 
 	byName          map[string]*paxos.Register
-	queriedAt       map[string]time.Time // when a peer was last asked for a register of which nothing is known
+	queriedAt       map[string]time.Time // when a peer was last queried for a register of unknown state
 	log             *recordlog.Log       // nil: no disk
-	replayed        map[string][][]byte  // payloads of the registers, while the log is opened
-	firstVoters     []paxos.Voter        // of the very first start, if the log has them
+	replayed        map[string][][]byte  // payloads of the registers, while opening the log
+	firstVoters     []paxos.Voter        // the initial voters, if the log has them
 	bootstrapped    bool
 	rewritePolicy   rewritePolicy
 	rewrittenSize   int64     // of the log after its last rewrite, in bytes
-	noRewriteBefore time.Time // a rewrite has failed or was in vain
+	noRewriteBefore time.Time // set after a rewrite that failed, or one on a full disk
 
 	mu          sync.Mutex // guards the fields below; held only for copies, never during I/O
 	allVoters   []paxos.Voter
 	states      map[string]paxos.State // the newest decided ones
 	storedSlots map[string]uint64      // the newest decided slots on disk, plus one
-	saveErr     error                  // why nothing can be saved at present
+	saveErr     error                  // why nothing can be saved currently; nil: the disk works
 
-	failure error // of the log; to be read once run has returned
+	failure error // of the log; valid once run has returned
 }
 
-// openRegisterSet opens the log and the registers. run has not begun, so it may touch everything.
+// openRegisterSet opens the log and the registers. run hasn't started yet, so it may access all fields.
 func openRegisterSet(k *Keeper) (*registerSet, error) {
 	rs := &registerSet{
 		keeper:        k,
@@ -98,7 +98,7 @@
 	return rs, nil
 }
 
-// openRegister opens a register from what the log had of it.
+// openRegister opens a register from its payloads in the log.
 func (rs *registerSet) openRegister(name string) error {
 	register, err := paxos.New(paxos.Options{
 		Name:       name,
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// drawIdentity draws an identity other than 0.
-func drawIdentity() (uint64, error) {
+// newIdentity returns a random identity other than 0.
+func newIdentity() (uint64, error) {
 	var b [8]byte
 	if _, err := crand.Read(b[:]); err != nil {
 		return 0, err
@@ -129,10 +129,10 @@
 	return binary.BigEndian.Uint64(b[:]) | 1, nil
 }
 
-// now is the registers' clock: the monotonic time since this process started.
+// now returns the registers' clock: the monotonic time since this process started.
 func (rs *registerSet) now() time.Duration { return time.Since(rs.startedAt) }
 
-// submit queues a command for run, and waits while the queue is full. Neither the keeper's owner goroutine, which must
+// submit queues a command for run, and blocks while the queue is full. Neither the keeper's owner goroutine, which must
 // not wait for a disk, nor run itself may call it.
 func (rs *registerSet) submit(command func()) {
 	select {
@@ -151,7 +151,8 @@
 	}
 }
 
-// run is the registers' goroutine. It returns when the context ends, or with failure set when the log has failed.
+// run is the registers' goroutine. It returns when the context is canceled, or with failure set when the log has
+// failed.
 func (rs *registerSet) run(ctx context.Context) {
 	defer close(rs.ended)
 	defer rs.closeLog()
@@ -177,8 +178,8 @@
 	}
 }
 
-// stepRegisters has each register do what is due, and returns how long nothing else is. After an error what is on disk
-// is unknown, so the process has to start again from there.
+// stepRegisters runs the due work of each register, and returns the time until more is due. After an error the contents
+// of the disk are unknown, so the process must restart and recover from it.
 func (rs *registerSet) stepRegisters() (next time.Duration, err error) {
 	next = maxRegisterIdle
 	for _, name := range registerNames {
@@ -195,7 +196,7 @@
 	return next, nil
 }
 
-// propose changes a register. done is called exactly once, from any goroutine, also if the disk has stalled.
+// propose changes a register. done is called exactly once, from any goroutine, even if the disk has stalled.
 func (rs *registerSet) propose(
 	name string, timeout time.Duration, change func(current paxos.State) (paxos.State, error), done resultFunc,
 ) {
@@ -204,14 +205,14 @@
 	})
 }
 
-// read reads a register from a majority. done is called as by propose.
+// read reads a register from a majority. done is called as in propose.
 func (rs *registerSet) read(name string, timeout time.Duration, done resultFunc) {
 	rs.operate(name, timeout, done, func(register *paxos.Register, finish resultFunc) {
 		register.Read(rs.now(), timeout, finish)
 	})
 }
 
-// operate queues an operation on a register, which begin starts.
+// operate queues an operation on a register; begin starts it on the registers' goroutine.
 func (rs *registerSet) operate(
 	name string, timeout time.Duration, done resultFunc,
 	begin func(register *paxos.Register, finish resultFunc),
@@ -230,7 +231,7 @@
 	}
 }
 
-// publishDecided publishes a newer decided state to the other goroutines. The registers call it.
+// publishDecided publishes a newer decided state to the other goroutines. The registers' goroutine calls it.
 func (rs *registerSet) publishDecided(name string, decided paxos.State) {
 	rs.mu.Lock()
 	rs.states[name] = decided
@@ -242,8 +243,8 @@
 	rs.keeper.post(func() { rs.keeper.applyDecided(name, decided) })
 }
 
-// publishStored publishes what is on disk, and logs when the disk begins to refuse records and when it takes them
-// again.
+// publishStored publishes which slots are on disk, and logs when the disk starts to reject records and when it accepts
+// them again.
 func (rs *registerSet) publishStored() {
 	var saveErr error
 	rs.mu.Lock()
@@ -260,14 +261,14 @@
 	rs.mu.Unlock()
 	switch {
 	case before == nil && saveErr != nil:
-		rs.keeper.log.Error("disk takes nothing: no votes and no promises until it does",
+		rs.keeper.log.Error("disk rejects writes: no votes and no promises until it accepts them",
 			"file", logName, "err", saveErr)
 	case before != nil && saveErr == nil:
-		rs.keeper.log.Info("disk takes records again", "file", logName)
+		rs.keeper.log.Info("disk accepts writes again", "file", logName)
 	}
 }
 
-// state returns the newest decided state of a register that is known here; false: none is.
+// state returns the newest known decided state of a register; false: none is known.
 func (rs *registerSet) state(name string) (paxos.State, bool) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -275,7 +276,7 @@
 	return state, known
 }
 
-// voters returns the voters of all registers, with repetitions.
+// voters returns the voters of all registers, with duplicates.
 func (rs *registerSet) voters() []paxos.Voter {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -301,8 +302,8 @@
 	return true
 }
 
-// storedSlotNumbers returns the newest decided slots that are on disk, each plus one, in the order of registerNames;
-// 0 where there is none.
+// storedSlotNumbers returns the newest decided slot on disk of each register, plus one, in the order of registerNames;
+// 0: no slot is stored.
 func (rs *registerSet) storedSlotNumbers() []uint64 {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -313,7 +314,7 @@
 	return slots
 }
 
-// diskCondition says why nothing can be saved at present; empty: the disk is well.
+// diskCondition returns why nothing can be saved currently; empty: the disk works.
 func (rs *registerSet) diskCondition() string {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
--- a/internal/control/keeper/reports.go
+++ b/internal/control/keeper/reports.go
@@ -8,20 +8,20 @@
 	"dunetide/internal/platform/link"
 )
 
-// currentReport is what this keeper reports about itself to the others, which decide by it who votes and who may grant
+// currentReport returns this keeper's report to the others. They use it to choose voters and to decide who may grant
 // leases.
 func (k *Keeper) currentReport() controlclient.KeeperReport {
-	connected, heard := k.knownPeers().connectedIDs(k.registers.id), map[uint64]bool{}
+	connected, connectedVoters := k.knownPeers().connectedIDs(k.registers.id), map[uint64]bool{}
 	for _, voter := range k.registers.voters() {
 		if connected[voter.ID] {
-			heard[voter.ID] = true
+			connectedVoters[voter.ID] = true
 		}
 	}
 	return controlclient.KeeperReport{
 		InContact:       k.inContact(),
 		Stopping:        k.shuttingDown,
 		DecidedSlots:    k.registers.storedSlotNumbers(),
-		ConnectedVoters: slices.Sorted(maps.Keys(heard)),
+		ConnectedVoters: slices.Sorted(maps.Keys(connectedVoters)),
 	}
 }
 
@@ -31,12 +31,12 @@
 	body := encodeReport(k.lastReport)
 	for _, p := range k.peers {
 		if p.conn != nil {
-			_ = p.conn.Send(controlclient.KindKeeperReport, body) // the next one comes within half a heartbeat interval
+			_ = p.conn.Send(controlclient.KindKeeperReport, body) // if it is lost, the next one follows within half a heartbeat interval
 		}
 	}
 }
 
-// broadcastChangedReport sends the report if it has changed since it was sent last.
+// broadcastChangedReport sends the report if it has changed since it was last sent.
 func (k *Keeper) broadcastChangedReport() {
 	if !sameReport(k.currentReport(), k.lastReport) {
 		k.broadcastReport()
@@ -54,7 +54,7 @@
 	return w.Buf
 }
 
-// handleReport takes the report of another keeper, and asks it for the registers' states that it has and this one
+// handleReport stores the report of another keeper, and queries that keeper for states of registers that this one
 // lacks.
 func (k *Keeper) handleReport(m *link.Message) {
 	r := link.Reader{Buf: m.Body}
@@ -64,7 +64,7 @@
 		return
 	}
 	if report.Stopping != l.peer.report.Stopping {
-		k.keepersRevision++ // the attached processes are pushed which keepers to go to
+		k.keepersRevision++ // pushes the new list of reachable keepers to the attached processes
 		k.pushNeeded = true
 	}
 	l.peer.report = report
--- a/internal/control/keeper/shutdown.go
+++ b/internal/control/keeper/shutdown.go
@@ -11,17 +11,16 @@
 )
 
 const (
-	// transferTimeout bounds how long a keeper that shuts down transfers its votes.
+	// transferTimeout bounds the transfer of votes during a shutdown.
 	transferTimeout = 2 * time.Second
-	// transferRetryDelay is the pause after a change of voters that could not be made.
+	// transferRetryDelay is the delay before a failed change of voters is retried.
 	transferRetryDelay = 50 * time.Millisecond
-	// releaseTimeout bounds how long the answers to releases of leases are awaited.
+	// releaseTimeout bounds the wait for replies to releases of leases.
 	releaseTimeout = 200 * time.Millisecond
 )
 
-// shutdown transfers what this keeper has before it ends: its leases, the processes that are attached to it, its
-// votes. It goes on answering calls meanwhile, as what it confirms is on the disks of a majority with it or without
-// it.
+// shutdown transfers the leases, the attached processes and the votes of this keeper to others before it ends.
+// Meanwhile the keeper continues to answer calls, as everything that it confirms is on the disks of a majority.
 func (k *Keeper) shutdown() {
 	releases, running := query(k, k.announceShutdown)
 	if !running {
@@ -39,10 +38,10 @@
 }
 
 // announceShutdown reports the shutdown to the other keepers, releases the leases, and closes the links of the attached
-// processes, which attach to other keepers. It returns where the answers to the releases come.
+// processes, which then attach to other keepers. It returns the channels of the replies to the releases.
 func (k *Keeper) announceShutdown() []<-chan link.Reply {
 	k.shuttingDown = true
-	k.log.Info("keeper leaves")
+	k.log.Info("keeper shutting down")
 	k.broadcastReport()
 	releases := k.relinquishLease(assignRole, k.assigner.lease)
 	releases = append(releases, k.relinquishLease(votersRole, k.voterManager.lease)...)
@@ -52,7 +51,7 @@
 	return releases
 }
 
-// relinquishLease ends the use of a lease, and releases it at all keepers that may have granted it.
+// relinquishLease stops using a lease, and releases it at all keepers that may have granted it.
 func (k *Keeper) relinquishLease(role string, lease *singleton.Candidate) []<-chan link.Reply {
 	if !lease.HasLease(k.sinceStart(time.Now())) {
 		return nil
@@ -61,7 +60,7 @@
 	return k.releaseGrants(role)
 }
 
-// awaitReleases waits until the keepers that granted leases have released them, but no longer than releaseTimeout.
+// awaitReleases waits until the keepers that granted leases have released them, for releaseTimeout at most.
 func (k *Keeper) awaitReleases(releases []<-chan link.Reply) {
 	timeout := time.After(releaseTimeout)
 	for _, release := range releases {
@@ -75,7 +74,7 @@
 	}
 }
 
-// transferVote changes the voters of a register until this keeper is none and a majority of the others has stored
+// transferVote changes the voters of a register until this keeper isn't a voter and a majority of the others has stored
 // that, or no change is possible, or the deadline has passed.
 func (k *Keeper) transferVote(name string, deadline time.Time) {
 	for time.Now().Before(deadline) {
@@ -105,7 +104,7 @@
 	}
 }
 
-// transferStep is what comes next for a register, and the voters for which that was decided.
+// transferStep is the next step of a register's vote transfer, and the voters for which it was determined.
 type transferStep struct {
 	step       reconfigure.LeaveStep
 	change     reconfigure.Change
@@ -118,7 +117,7 @@
 	return transferStep{step, change, state.Voters}
 }
 
-// applyTransferStep makes a change of voters. It reports whether the change was made.
+// applyTransferStep proposes a change of voters. It reports whether the change was made.
 func (k *Keeper) applyTransferStep(name string, next transferStep, deadline time.Time) bool {
 	done := make(chan error, 1)
 	k.registers.changeVoters(name, time.Until(deadline), next.change, next.decidedFor,
@@ -132,8 +131,8 @@
 	}
 }
 
-// removalStored reports whether a majority of the voters has stored a state by which this keeper is none. Until then
-// that state may be decided on the disks of this keeper and too few others.
+// removalStored reports whether a majority of the voters has stored a state in which this keeper isn't a voter. Until
+// then, the majority that decided that state may include this keeper's disk, and too few other disks have it.
 func (k *Keeper) removalStored(name string, deadline time.Time) bool {
 	type result struct {
 		state paxos.State
--- a/internal/control/keeper/status.go
+++ b/internal/control/keeper/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// status is the state of a keeper as GET /status and the Status call show it to operators. The keys are part of the
+// status is the state of a keeper as returned by GET /status and the Status call. The keys are part of the public
 // interface.
 type status struct {
 	Node                string            `json:"node"`
@@ -15,7 +15,7 @@
 	CertificatesVersion uint64            `json:"certificates_version"`
 	TableNumber         uint64            `json:"table_number"`
 	Proxies             int               `json:"proxies"`
-	AssignsPartitions   bool              `json:"assigns_parts"` // it holds the lease of that role
+	AssignsPartitions   bool              `json:"assigns_parts"` // whether it holds the lease of that role
 	Voters              []string          `json:"voters"`
 	Keepers             []string          `json:"keepers_met"`
 	Attached            []attachedStatus  `json:"attached"`
@@ -44,7 +44,7 @@
 // statusJSON encodes the status, with a newline.
 func (k *Keeper) statusJSON() []byte {
 	b, err := json.MarshalIndent(k.currentStatus(time.Now()), "", "  ")
-	if err != nil { // it has only fields that always marshal
+	if err != nil { // can't happen: all fields always marshal
 		return []byte("{}")
 	}
 	return append(b, '\n')
@@ -78,7 +78,7 @@
 	return s
 }
 
-// voterNames returns the voters of any register, each once.
+// voterNames returns the names of the voters of all registers, without duplicates.
 func (k *Keeper) voterNames() (names []string) {
 	listed := map[string]bool{}
 	for _, voter := range k.registers.voters() {
--- a/internal/control/keeper/store_retirement.go
+++ b/internal/control/keeper/store_retirement.go
@@ -13,14 +13,17 @@
 
 // Errors of a retirement.
 var (
-	// errUnknownStore and errTooFew are rejections: the decided partition table says so.
+	// errUnknownStore and errTooFewStores are rejections, derived from the decided partition table.
 	errUnknownStore = errors.New("no store has this name: GET /status tells of those that are there")
-	errTooFew       = errors.New("too few stores would be left: add one first")
-	// The others defer it: what this keeper hears of the stores differs from the decided table, or isn't enough.
-	errStoreJoins    = errors.New("the store has joined and is not in the agreed table yet: ask again in a second")
+	errTooFewStores = errors.New("too few stores would be left: add one first")
+	// The other errors defer the request: this keeper's view of the stores differs from the decided table, or is
+	// incomplete.
+	errStoreJoining = errors.New(
+		"store is attached but not in the decided partition table yet: retry in a second")
 	errStoresMissing = errors.New(
-		"too few stores are heard of here to spare one: ask again in a second, or another keeper")
-	errStoresUnheard = errors.New("this keeper has just started, or stops: ask another one, or again in a second")
+		"too few other stores are attached, as far as this keeper knows: retry in a second, or use another keeper")
+	errStoresUnknown = errors.New(
+		"this keeper has just started or is shutting down: use another keeper, or retry in a second")
 )
 
 // Values of "state" in the answer to GET /retire/{store}.
@@ -29,7 +32,8 @@
 	retireFinished   = "finished"
 )
 
-// retirement is a request to empty a store, and what the keeper that takes it knows of the stores.
+// retirement is a request to retire a store, that is, to move all its data to other stores, and the serving keeper's
+// view of the stores.
 type retirement struct {
 	name             string
 	alive            []snapshot.Store
@@ -37,19 +41,19 @@
 	survivableLosses int // stores that may be lost at the same time
 }
 
-// change decides on the table. A store that retires already stays as it is: the request was accepted before. The
-// request is rejected only by what the table says; a keeper's own view of the stores may be wrong, so that only
-// defers it.
+// change computes the next table. If the store is retiring already, the request was accepted before, and the table
+// stays unchanged. Only the contents of the table can reject the request; a keeper's own view of the stores may be
+// wrong, so it can only defer the request.
 func (r retirement) change(current *snapshot.PartitionTable) (*snapshot.PartitionTable, error) {
-	next, known, few := batch.RetireStore(current, r.name, r.alive, r.isLost, r.survivableLosses)
+	next, known, tooFew := batch.RetireStore(current, r.name, r.alive, r.isLost, r.survivableLosses)
 	switch {
 	case !known && r.isAttached():
-		return nil, errStoreJoins
+		return nil, errStoreJoining
 	case !known:
 		return nil, errUnknownStore
-	case few && r.tooFewAgreed(current):
-		return nil, errTooFew
-	case few:
+	case tooFew && r.tooFewInTable(current):
+		return nil, errTooFewStores
+	case tooFew:
 		return nil, errStoresMissing
 	case next == current:
 		return nil, paxos.ErrUnchanged
@@ -57,14 +61,14 @@
 	return next, nil
 }
 
-// isAttached reports whether a store of this name is attached, though no table may name it yet.
+// isAttached reports whether a store of this name is attached, even if it isn't in a table yet.
 func (r retirement) isAttached() bool {
 	return slices.ContainsFunc(r.alive, func(s snapshot.Store) bool { return s.Name == r.name })
 }
 
-// tooFewAgreed reports whether too few stores would be left even if all stores of the table and all that are attached
-// were there. A store whose retirement was accepted is not refused a second one, whatever disk it has by now.
-func (r retirement) tooFewAgreed(current *snapshot.PartitionTable) bool {
+// tooFewInTable reports whether too few stores would be left even if all stores in the table and all attached stores
+// were available. A store whose retirement was accepted isn't rejected on a repeat, even if it has a new disk since.
+func (r retirement) tooFewInTable(current *snapshot.PartitionTable) bool {
 	left := map[uint64]bool{}
 	for id, s := range current.Stores {
 		switch {
@@ -82,29 +86,29 @@
 	return len(left) < r.survivableLosses+1
 }
 
-// retireStatus is the HTTP status of a retirement that ended with an error.
+// retireStatus maps the result of a retirement to an HTTP status.
 func retireStatus(err error) int {
 	switch {
 	case err == nil, errors.Is(err, paxos.ErrUnchanged):
 		return http.StatusOK
 	case errors.Is(err, errUnknownStore):
 		return http.StatusNotFound
-	case errors.Is(err, errTooFew):
+	case errors.Is(err, errTooFewStores):
 		return http.StatusConflict
 	}
 	return http.StatusServiceUnavailable
 }
 
-// isRejection reports whether a status rejects a retirement for good.
+// isRejection reports whether a status rejects a retirement permanently.
 func isRejection(status int) bool {
 	return status == http.StatusNotFound || status == http.StatusConflict
 }
 
-// postRetire answers POST /retire/{store}: 200 once the table says that the store is to be emptied.
+// postRetire answers POST /retire/{store}: 200 once the decided table marks the store as retiring.
 func (k *Keeper) postRetire(w http.ResponseWriter, name string, _ []byte, _ *http.Request) {
 	alive, isLost, ok := k.queryStores()
 	if !ok {
-		refuse(w, http.StatusServiceUnavailable, errStoresUnheard.Error())
+		refuse(w, http.StatusServiceUnavailable, errStoresUnknown.Error())
 		return
 	}
 	request := retirement{
@@ -118,17 +122,17 @@
 	err := k.awaitResult(done)
 	status := retireStatus(err)
 	if isRejection(status) && !k.inContact() {
-		status = http.StatusServiceUnavailable // stores that are attached elsewhere may not be known here
+		status = http.StatusServiceUnavailable // stores attached to other keepers may be unknown here
 	}
 	if status != http.StatusOK {
-		k.log.Info("retirement not taken", "store", name, "code", status, "err", err)
+		k.log.Info("retirement refused", "store", name, "code", status, "err", err)
 		refuse(w, status, err.Error())
 		return
 	}
 	answerJSON(w, []byte("{}"))
 }
 
-// getRetire answers GET /retire/{store}: whether the store is empty.
+// getRetire answers GET /retire/{store}: whether the retirement has finished.
 func (k *Keeper) getRetire(w http.ResponseWriter, name string, _ []byte, _ *http.Request) {
 	table, err := k.readTable()
 	if err != nil {
@@ -148,12 +152,12 @@
 	answerJSON(w, b)
 }
 
-// refuseUnknownStore answers for a store that the decided table doesn't name.
+// refuseUnknownStore answers a call for a store that isn't in the decided table.
 func (k *Keeper) refuseUnknownStore(w http.ResponseWriter, name string) {
 	alive, _, _ := k.queryStores()
 	err := errUnknownStore
 	if (retirement{name: name, alive: alive}).isAttached() {
-		err = errStoreJoins
+		err = errStoreJoining
 	}
 	refuse(w, retireStatus(err), err.Error())
 }
--- a/internal/control/keeper/store_retirement_test.go
+++ b/internal/control/keeper/store_retirement_test.go
@@ -12,8 +12,8 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// TestOnlyTheTableRejectsRetirements: a retirement is rejected by what the decided table says, and deferred if only
-// this keeper's view of the stores stands against it.
+// TestOnlyTheTableRejectsRetirements: only the contents of the decided table reject a retirement. If only this keeper's
+// view of the stores prevents it, the retirement is deferred.
 func TestOnlyTheTableRejectsRetirements(t *testing.T) {
 	store := func(id uint64) snapshot.Store { return snapshot.Store{ID: id, Name: string(rune('a' + id - 1))} }
 	table := func(ids ...uint64) *snapshot.PartitionTable {
@@ -42,31 +42,31 @@
 		want  error
 	}{
 		{"enough are left", table(1, 2, 3), "a", []uint64{1, 2, 3}, nil},
-		{"one that is not heard of itself", table(1, 2, 3), "a", []uint64{2, 3}, nil},
-		{"no table yet, and nobody of this name", nil, "a", nil, errUnknownStore},
-		{"no table yet, and it is attached", nil, "a", []uint64{1}, errStoreJoins},
-		{"the table does not name it", table(1, 2, 3), "x", []uint64{1, 2, 3}, errUnknownStore},
-		{"it has joined and the table does not name it yet", table(1, 2, 3), "d", []uint64{1, 2, 3, 4}, errStoreJoins},
-		{"the table has too few", table(1, 2), "a", []uint64{1, 2}, errTooFew},
-		{"the table has too few and none is heard of", table(1, 2), "a", nil, errTooFew},
-		{"the others retire", retiring(table(1, 2, 3), 2), "a", []uint64{1, 2, 3}, errTooFew},
-		{"this keeper hears of too few", table(1, 2, 3), "a", []uint64{1, 3}, errStoresMissing},
-		{"one of those left is not in the table yet", table(1, 2), "a", []uint64{1, 2, 3}, nil},
+		{"the store itself is not attached", table(1, 2, 3), "a", []uint64{2, 3}, nil},
+		{"no table yet, and no store of this name", nil, "a", nil, errUnknownStore},
+		{"no table yet, and the store is attached", nil, "a", []uint64{1}, errStoreJoining},
+		{"the store is not in the table", table(1, 2, 3), "x", []uint64{1, 2, 3}, errUnknownStore},
+		{"the store is attached and not in the table yet", table(1, 2, 3), "d", []uint64{1, 2, 3, 4}, errStoreJoining},
+		{"the table has too few stores", table(1, 2), "a", []uint64{1, 2}, errTooFewStores},
+		{"the table has too few stores and none is attached", table(1, 2), "a", nil, errTooFewStores},
+		{"the others are retiring", retiring(table(1, 2, 3), 2), "a", []uint64{1, 2, 3}, errTooFewStores},
+		{"too few stores are attached", table(1, 2, 3), "a", []uint64{1, 3}, errStoresMissing},
+		{"one of the remaining stores is not in the table yet", table(1, 2), "a", []uint64{1, 2, 3}, nil},
 		{"a repeat", retiring(table(1, 2, 3), 1), "a", []uint64{1, 2, 3}, paxos.ErrUnchanged},
-		{"a repeat when too few are left by now", retiring(table(1, 2), 1), "a", nil, paxos.ErrUnchanged},
+		{"a repeat after the number of stores became too low", retiring(table(1, 2), 1), "a", nil, paxos.ErrUnchanged},
 		{"a repeat for a machine whose disk was emptied", replaced(), "a", []uint64{9, 2, 3}, nil},
-		{"such a repeat when too few are left by now", retiring(replaced(), 2), "a", []uint64{9, 3}, errStoresMissing},
+		{"such a repeat after the number of stores became too low", retiring(replaced(), 2), "a", []uint64{9, 3}, errStoresMissing},
 	} {
 		t.Run(test.what, func(t *testing.T) {
-			order := retirement{name: test.name, isLost: func(uint64) bool { return false }, survivableLosses: 1}
+			request := retirement{name: test.name, isLost: func(uint64) bool { return false }, survivableLosses: 1}
 			for _, id := range test.alive {
 				s := store(id)
 				if id == 9 {
 					s.Name = "a"
 				}
-				order.alive = append(order.alive, s)
+				request.alive = append(request.alive, s)
 			}
-			next, err := order.change(test.table)
+			next, err := request.change(test.table)
 			if !errors.Is(err, test.want) || err == nil && next == nil {
 				t.Fatalf("%v, %v", next, err)
 			}
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestOnlyTheDecidedStateRejects: only the decided state of a register rejects a request for good; all that may go
-// wrong on the way to it is 503.
+// TestOnlyTheDecidedStateRejects: only the decided state of a register rejects a request permanently; all other errors
+// are 503.
 func TestOnlyTheDecidedStateRejects(t *testing.T) {
 	for err, want := range map[error]int{
-		nil: 200, paxos.ErrUnchanged: 200, errUnknownStore: 404, errTooFew: 409, errStoreJoins: 503, errStoresMissing: 503, errStoresUnheard: 503,
+		nil: 200, paxos.ErrUnchanged: 200, errUnknownStore: 404, errTooFewStores: 409, errStoreJoining: 503, errStoresMissing: 503, errStoresUnknown: 503,
 	} {
 		if got := retireStatus(err); got != want {
 			t.Errorf("%v to a retirement: %d", err, got)
@@ -102,8 +102,7 @@
 	}
 }
 
-// TestRetirementIsDeferredWithoutKnowledge: an answer for lack of knowledge says when to call again; a rejection
-// doesn't.
+// TestRetirementIsDeferredWithoutKnowledge: a 503 answer has a Retry-After header; a rejection doesn't.
 func TestRetirementIsDeferredWithoutKnowledge(t *testing.T) {
 	for status, want := range map[int]string{http.StatusServiceUnavailable: retryAfter, http.StatusPreconditionFailed: "", http.StatusNotFound: ""} {
 		w := httptest.NewRecorder()
--- a/internal/control/keeper/voter_acks.go
+++ b/internal/control/keeper/voter_acks.go
@@ -2,17 +2,17 @@
 
 import "dunetide/internal/consensus/paxos"
 
-// voterAcks counts the voters that have confirmed to know a fact, by their identities.
+// voterAcks counts the voters, by identity, that have confirmed a change.
 type voterAcks struct {
 	pending  map[uint64]bool // voters that haven't confirmed yet
-	required int             // voters that have to confirm
-	acked    int             // voters that have confirmed
+	required int             // number of voters that must confirm
+	acked    int             // number of voters that have confirmed
 }
 
-// noVoterAcks is what a change waits for that no voter has to confirm.
+// noVoterAcks returns a voterAcks for a change that no voter must confirm.
 func noVoterAcks() *voterAcks { return &voterAcks{} }
 
-// newVoterAcks asks for a majority of voters, of which self is the first to know.
+// newVoterAcks returns a voterAcks that requires a majority of voters. If self is a voter, it has confirmed already.
 func newVoterAcks(voters []paxos.Voter, self uint64) *voterAcks {
 	acks := &voterAcks{pending: map[uint64]bool{}, required: paxos.QuorumSize(len(voters))}
 	for _, voter := range voters {
@@ -22,7 +22,7 @@
 	return acks
 }
 
-// confirm notes that a keeper knows the fact. A keeper that is no voter, or has confirmed before, changes nothing.
+// confirm records that a keeper has confirmed the change. It ignores keepers that don't vote or have confirmed before.
 func (acks *voterAcks) confirm(id uint64) {
 	if !acks.pending[id] {
 		return
@@ -31,6 +31,6 @@
 	acks.acked++
 }
 
-// enough reports whether all know the fact that have to: a majority of the voters, or nobody. Of no voters at all no
-// majority knows anything.
+// enough reports whether the required number of voters has confirmed: a majority, or none with noVoterAcks. If the list
+// of voters is empty, the requirement is never met.
 func (acks *voterAcks) enough() bool { return acks.acked >= acks.required }
--- a/internal/control/keeper/voter_changes.go
+++ b/internal/control/keeper/voter_changes.go
@@ -16,21 +16,23 @@
 	votersRole = "voters"
 	// voterChangeTimeout bounds one change of voters.
 	voterChangeTimeout = 2 * time.Second
-	// minSurvivableLosses is how many losses of machines the voters survive at least, where machines suffice.
+	// minSurvivableLosses is the minimum number of machine losses that the voters must survive, if there are enough
+	// machines.
 	minSurvivableLosses = 1
-	// maxBehind is how long this keeper may lack a state that another one has reported and still grant leases.
+	// maxBehind is how long this keeper may lack a state that another one has reported before it stops granting
+	// leases.
 	maxBehind = 500 * time.Millisecond
 )
 
-// voterManager is the singleton role that changes the voters of the registers, and what this keeper has observed of
-// them. All keepers observe, so that one that acquires the lease knows already which voters are unresponsive, and for
-// how long.
+// voterManager is the singleton role that changes the voters of the registers, with this keeper's observations of the
+// voters. All keepers observe them, so that a keeper that acquires the lease already knows which voters are
+// unresponsive, and for how long.
 type voterManager struct {
 	lease       *singleton.Candidate
 	hasLease    bool                             // as of the last step
 	changing    map[string]bool                  // registers whose voters are being changed
 	observers   map[string]*reconfigure.Observer // by register
-	behindSince time.Time                        // since when others have reported newer states; zero: they haven't
+	behindSince time.Time                        // since when this keeper has been behind; zero: it isn't
 }
 
 func newVoterManager() voterManager {
@@ -45,7 +47,7 @@
 	return m
 }
 
-// stepVoterManager observes the voters, keeps the lease and, while this keeper holds it, changes the voters.
+// stepVoterManager observes the voters, maintains the lease and, while this keeper holds it, changes the voters.
 func (k *Keeper) stepVoterManager(now time.Time) {
 	m := &k.voterManager
 	k.observeVoters(now)
@@ -78,7 +80,7 @@
 	})
 }
 
-// changeVoters makes a change of voters, unless the voters differ from those that it was decided for.
+// changeVoters applies a change of voters, unless the voters are no longer those that the change was determined for.
 func (rs *registerSet) changeVoters(
 	name string, timeout time.Duration, change reconfigure.Change, decidedFor []paxos.Voter, done resultFunc,
 ) {
@@ -98,11 +100,11 @@
 		}
 		return v.Name
 	}
-	k.log.Info("voters changed", "register", name, "reason", change.Reason,
+	k.log.Info("voter change", "register", name, "reason", change.Reason,
 		"old", voterName(change.Old), "new", voterName(change.New), "err", err)
 }
 
-// voterSituation is what is known of a register's voters, and of the keepers that could be voters.
+// voterSituation returns what is known about a register's voters and about the keepers that could become voters.
 func (k *Keeper) voterSituation(now time.Time, name string, state paxos.State) reconfigure.Situation {
 	settings := k.options.Settings
 	limits := reconfigure.Limits{
@@ -113,7 +115,7 @@
 	return k.voterManager.observers[name].Situation(k.sinceStart(now), state, k.registerReports(name), limits)
 }
 
-// registerReports returns what this keeper and the connected ones that have a disk report of a register.
+// registerReports returns the reports on a register by this keeper and by the connected ones, for those with a disk.
 func (k *Keeper) registerReports(name string) []reconfigure.Report {
 	register := slices.Index(registerNames, name)
 	var reports []reconfigure.Report
@@ -136,7 +138,7 @@
 	return reports
 }
 
-// observeVoters notes which voters are unresponsive, and since when this keeper has been behind.
+// observeVoters records which voters are unresponsive, and since when this keeper has been behind.
 func (k *Keeper) observeVoters(now time.Time) {
 	m := &k.voterManager
 	behind := false
@@ -154,7 +156,7 @@
 }
 
 // isBehind reports whether a connected keeper has stored a newer state of a register than this one, or this one has
-// stored none. The register is given by its index in registerNames.
+// stored none. The register is given as its index in registerNames.
 func (k *Keeper) isBehind(register int) bool {
 	stored := k.registers.storedSlotNumbers()[register]
 	for _, p := range k.peers {
