--- a/internal/control/keeper/bodies.go
+++ b/internal/control/keeper/bodies.go
@@ -77,7 +77,7 @@
 		discardBody(w, r, route)
 		refuse(w, status, "too many large bodies are being processed: retry, or use another keeper")
 	default:
-		// A truncated request must not be rejected for good: the complete one may have been accepted before.
+		// A truncated request must not be rejected permanently: the complete one may have been accepted before.
 		refuse(w, http.StatusRequestTimeout, "request body was truncated or too slow: send the complete request again")
 	}
 }
--- a/internal/control/keeper/history_check_test.go
+++ b/internal/control/keeper/history_check_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// played is a call in a hand-written history: its put, when it was sent and answered (0: never), and the answer.
-type played struct {
+// historyCall is a call in a hand-written history: its put, when it was sent and answered (0: never), and the answer.
+type historyCall struct {
 	put, sent, answered int
 	answer              registerAnswer
 }
@@ -22,29 +22,29 @@
 	)
 	for _, test := range []struct {
 		what  string
-		calls []played
+		calls []historyCall
 		holds bool
 	}{
-		{"one wins", []played{{first, 1, 4, accepted}, {rival, 2, 3, superseded}}, true},
-		{"both are confirmed", []played{{first, 1, 4, accepted}, {rival, 2, 3, accepted}}, false},
-		{"a conflict without a winner", []played{{rival, 1, 2, superseded}, {first, 3, 4, accepted}}, false},
-		{"a conflict while the winner is unanswered", []played{{first, 1, 0, none}, {rival, 2, 3, superseded}, {readCall, 4, 5, found(first)}}, true},
-		{"a repeat", []played{{first, 1, 2, accepted}, {first, 3, 4, accepted}}, true},
-		{"a repeat after a lost answer", []played{{first, 1, 0, none}, {first, 3, 4, accepted}}, true},
-		{"a repeat after its successor", []played{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {first, 5, 6, accepted}, {readCall, 7, 8, found(second)}}, true},
-		{"a repeat is rejected", []played{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {first, 5, 6, superseded}}, false},
-		{"a repeat is rejected as too low", []played{{first, 1, 2, accepted}, {first, 5, 6, low}}, false},
-		{"a repeat is rejected, the first is unanswered", []played{{first, 1, 0, none}, {readCall, 2, 3, found(first)}, {first, 5, 6, superseded}}, false},
-		{"a repeat reverts its successor", []played{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {first, 5, 6, accepted}, {readCall, 7, 8, found(first)}}, false},
-		{"a stale read", []played{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {readCall, 5, 6, found(first)}}, false},
-		{"two reads in reverse order", []played{{first, 1, 2, accepted}, {second, 3, 0, none}, {readCall, 4, 5, found(second)}, {readCall, 6, 7, found(first)}}, false},
-		{"an unanswered put takes effect late", []played{{first, 1, 0, none}, {readCall, 2, 3, found(noPut)}, {readCall, 4, 5, found(first)}}, true},
-		{"an unanswered put never takes effect", []played{{first, 1, 0, none}, {rival, 2, 3, accepted}}, true},
-		{"read before it was sent", []played{{readCall, 1, 2, found(first)}, {first, 3, 0, none}}, false},
-		{"a version too low", []played{{first, 1, 2, accepted}, {tooLow, 3, 4, low}}, true},
-		{"a version too low is accepted", []played{{first, 1, 2, accepted}, {tooLow, 3, 4, accepted}}, false},
-		{"a base that never existed is accepted", []played{{first, 1, 2, accepted}, {wrongBase, 3, 4, accepted}}, false},
-		{"an acknowledged put is lost", []played{{first, 1, 2, accepted}, {readCall, 3, 4, found(noPut)}}, false},
+		{"one wins", []historyCall{{first, 1, 4, accepted}, {rival, 2, 3, superseded}}, true},
+		{"both are confirmed", []historyCall{{first, 1, 4, accepted}, {rival, 2, 3, accepted}}, false},
+		{"a conflict without a winner", []historyCall{{rival, 1, 2, superseded}, {first, 3, 4, accepted}}, false},
+		{"a conflict while the winner is unanswered", []historyCall{{first, 1, 0, none}, {rival, 2, 3, superseded}, {readCall, 4, 5, found(first)}}, true},
+		{"a repeat", []historyCall{{first, 1, 2, accepted}, {first, 3, 4, accepted}}, true},
+		{"a repeat after a lost answer", []historyCall{{first, 1, 0, none}, {first, 3, 4, accepted}}, true},
+		{"a repeat after its successor", []historyCall{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {first, 5, 6, accepted}, {readCall, 7, 8, found(second)}}, true},
+		{"a repeat is rejected", []historyCall{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {first, 5, 6, superseded}}, false},
+		{"a repeat is rejected as too low", []historyCall{{first, 1, 2, accepted}, {first, 5, 6, low}}, false},
+		{"a repeat is rejected, the first is unanswered", []historyCall{{first, 1, 0, none}, {readCall, 2, 3, found(first)}, {first, 5, 6, superseded}}, false},
+		{"a repeat reverts its successor", []historyCall{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {first, 5, 6, accepted}, {readCall, 7, 8, found(first)}}, false},
+		{"a stale read", []historyCall{{first, 1, 2, accepted}, {second, 3, 4, accepted}, {readCall, 5, 6, found(first)}}, false},
+		{"two reads in reverse order", []historyCall{{first, 1, 2, accepted}, {second, 3, 0, none}, {readCall, 4, 5, found(second)}, {readCall, 6, 7, found(first)}}, false},
+		{"an unanswered put takes effect late", []historyCall{{first, 1, 0, none}, {readCall, 2, 3, found(noPut)}, {readCall, 4, 5, found(first)}}, true},
+		{"an unanswered put never takes effect", []historyCall{{first, 1, 0, none}, {rival, 2, 3, accepted}}, true},
+		{"read before it was sent", []historyCall{{readCall, 1, 2, found(first)}, {first, 3, 0, none}}, false},
+		{"a version too low", []historyCall{{first, 1, 2, accepted}, {tooLow, 3, 4, low}}, true},
+		{"a version too low is accepted", []historyCall{{first, 1, 2, accepted}, {tooLow, 3, 4, accepted}}, false},
+		{"a base that never existed is accepted", []historyCall{{first, 1, 2, accepted}, {wrongBase, 3, 4, accepted}}, false},
+		{"an acknowledged put is lost", []historyCall{{first, 1, 2, accepted}, {readCall, 3, 4, found(noPut)}}, false},
 	} {
 		t.Run(test.what, func(t *testing.T) {
 			h := newHistory()
--- a/internal/control/keeper/invariants_test.go
+++ b/internal/control/keeper/invariants_test.go
@@ -10,7 +10,7 @@
 func TestInvariantsFindViolations(t *testing.T) {
 	var newest versionWatermark
 	newest.advance(configRegister, 3, 10)
-	newest.advance(configRegister, 2, 8) // an older state that comes late
+	newest.advance(configRegister, 2, 8) // an older state that arrives late
 	newest.advance(configRegister, 4, 10)
 	invarianttest.Violates(t, "document_versions_rise_with_slots", func() { newest.advance(configRegister, 5, 9) })
 
--- a/internal/control/keeper/model_operators_test.go
+++ b/internal/control/keeper/model_operators_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// playOperators simulates the randomized history of a seed. At the end, without faults, it reads every machine and
+// simulateOperators simulates the randomized history of a seed. At the end, without faults, it reads every machine and
 // repeats every put.
-func playOperators(seed uint64) (*history, error) {
+func simulateOperators(seed uint64) (*history, error) {
 	voters := []int{3, 3, 4, 5}[seed%4]
 	remembered := []int{2, 4, maxRememberedVersions}[seed%3]
 	c := newModelCluster(seed, voters, remembered)
@@ -197,7 +197,7 @@
 // and prints its history.
 func TestOperatorHistoriesAreLinearizable(t *testing.T) {
 	if seed, err := strconv.ParseUint(os.Getenv("ORDERS_SEED"), 10, 64); err == nil {
-		h, err := playOperators(seed)
+		h, err := simulateOperators(seed)
 		t.Log(h)
 		if err != nil {
 			t.Fatal(err)
@@ -211,7 +211,7 @@
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		group.Go(func() {
 			for seed := next.Add(1); seed <= uint64(n) && !t.Failed(); seed = next.Add(1) {
-				h, err := playOperators(seed)
+				h, err := simulateOperators(seed)
 				if err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
