--- a/internal/proxy/dispatch/admission.go
+++ b/internal/proxy/dispatch/admission.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// never is a time that is never reached, of which sums don't overflow.
+// never is later than any time that occurs, and small enough that sums with it don't overflow.
 const never = Time(math.MaxInt64 / 4)
 
 // admit grants a request a run, adds it to the queue, or refuses it.
@@ -34,15 +34,15 @@
 		// A certificate may become valid while the request waits, but an endpoint that it must
 		// avoid stays excluded.
 		if w.request.Regime == "" && p.hasReadyEndpoint() && !p.hasEligibleEndpoint(w) {
-			return "no endpoint is left to ask"
+			return "no eligible endpoint is left"
 		}
 		wait := c.expectedWait(p, w)
 		if c.now+wait >= w.refuseAt && p.hasReadyEndpoint() || c.now >= w.refuseAt {
-			return "no endpoint has room in time"
+			return "no endpoint is expected to have capacity in time"
 		}
 	}
 	if c.queued >= c.settings.MaxQueued {
-		return "the hold is full"
+		return "the queue is full"
 	}
 	return ""
 }
@@ -52,10 +52,10 @@
 	return slices.ContainsFunc(p.endpoints, func(e *endpoint) bool { return e.eligible(w) })
 }
 
-// setTimes sets the times of a request, of which zero is none: when it arrived, when it is due,
-// when its answer must be complete, and when it is refused if it is still pending. That is after a
-// share of its route's latency target, or twice that if an endpoint was tried before, and at its
-// deadline at the latest.
+// setTimes sets the due time and the deadline of a request, and the time at which it is refused if
+// it is still pending: after a share of its route's latency target from its arrival, or twice that
+// if an endpoint was tried before, and at its deadline at the latest. A zero arrival time means now;
+// a zero due time or deadline means none.
 func (c *core) setTimes(w *waiter, arrived, due, deadline Time) {
 	w.due, w.deadline = due, deadline
 	if arrived == 0 {
@@ -109,7 +109,7 @@
 			ahead++
 		}
 	}
-	// Of the slots that become free, each sender gets an equal part.
+	// Each sender gets an equal share of the slots that become free.
 	each := time.Duration(p.runTime.value * float64(time.Millisecond) * float64(c.senders) / slots)
 	return soonest + time.Duration(ahead+1)*each
 }
--- a/internal/proxy/dispatch/affinity.go
+++ b/internal/proxy/dispatch/affinity.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Requests with a common prefix of their prompts should meet at the endpoints that have it in their
-// prefix cache. All senders rank the endpoints for a prefix by rendezvous hashing, and so prefer
-// the same few endpoints for it without talking to each other.
+// Requests whose prompts share a prefix should go to endpoints that have it in their prefix cache.
+// All senders rank the endpoints for a prefix by rendezvous hashing, and so prefer the same few
+// endpoints for it without coordination.
 
 // preferredCacheProbability is the probability that an endpoint has cached shared parts that this
-// sender has not sent there, by its rank among the preferred endpoints: other senders prefer the
-// same endpoints.
+// sender has not sent there, by its rank among the preferred endpoints. It is above zero because
+// other senders prefer the same endpoints.
 var preferredCacheProbability = [...]float64{0.9, 0.5, 0.2}
 
 // sharedParts returns the number of parts of a prompt that other requests may share: all but the
-// last, if there are more.
+// last, or the only one.
 func sharedParts(w *waiter) int { return max(len(w.request.Prefix)-1, min(len(w.request.Prefix), 1)) }
 
-// sharedTokens returns the tokens of a prompt's prefix that other requests may share.
+// sharedTokens returns the number of tokens in the shared parts of a prompt.
 func sharedTokens(w *waiter) float64 {
 	shared := 0.0
 	for _, part := range w.request.Prefix[:sharedParts(w)] {
@@ -24,7 +24,7 @@
 	return shared
 }
 
-// preferredEndpoints returns the preferred endpoints for a request, which are computed once for each
+// preferredEndpoints returns the preferred endpoints for a request. They are computed once per
 // snapshot.
 func (c *core) preferredEndpoints(p *pool, w *waiter) []*endpoint {
 	if w.preferredAsOf != c.snapshots {
@@ -33,9 +33,9 @@
 	return w.preferred
 }
 
-// rankPreferred returns the first endpoints in the common order of those that are ready and
-// certified for a request's regime: by rendezvous hashing of its shared parts, with the same result
-// at all senders.
+// rankPreferred returns the highest-ranked of the endpoints that are ready and certified for a
+// request's regime. The rank is by rendezvous hashing of the shared parts, with the same result at
+// all senders.
 func rankPreferred(p *pool, w *waiter) []*endpoint {
 	key := uint64(w.prefixHashes[sharedParts(w)-1])
 	var first [len(preferredCacheProbability)]*endpoint
--- a/internal/proxy/dispatch/capacity.go
+++ b/internal/proxy/dispatch/capacity.go
@@ -9,7 +9,7 @@
 // loadTolerance absorbs rounding where a load is compared with a whole number of slots.
 const loadTolerance = 1e-9
 
-// mayChoose asks whether the regime of the request allows an endpoint, and keeps the answer of this choice.
+// mayChoose reports whether the regime of the request allows an endpoint, and records an allowed one for choiceAllows.
 func (w *waiter) mayChoose(id string) bool {
 	if !w.request.mayUse(id) {
 		return false
@@ -20,7 +20,7 @@
 	return true
 }
 
-// choiceAllows reports whether the newest choice found that the regime of the request allows an endpoint.
+// choiceAllows reports whether the regime of the request allowed an endpoint at the newest choice.
 func (w *waiter) choiceAllows(id string) bool {
 	return w.request.Certified == nil || slices.Contains(w.certified, id)
 }
@@ -37,7 +37,7 @@
 // hasCapacity reports whether an endpoint can take a request now, by its connections, its rate
 // limit and its load.
 func (c *core) hasCapacity(e *endpoint, w *waiter) bool {
-	// A tenth of the connections is left free, as not all senders see the same number of senders.
+	// A tenth of the connections stays free, as senders may count different numbers of senders.
 	if m := e.pool.maxConns; m > 0 && len(e.running) >= max(1, m*9/10/c.senders) {
 		return false
 	}
@@ -53,8 +53,8 @@
 	return e.load(c) < float64(e.slots())*(1+c.settings.QueueOnTime)
 }
 
-// hasBulkCapacity reports whether the load of an endpoint allows a bulk request, which leaves a
-// headroom to interactive ones until it is near its due time.
+// hasBulkCapacity reports whether the load of an endpoint allows a bulk request. Bulk leaves
+// headroom for interactive requests until it is near its due time.
 func (c *core) hasBulkCapacity(e *endpoint, w *waiter) bool {
 	if c.awaitsFirstAnswer(e) {
 		return false
@@ -72,7 +72,7 @@
 // nearDue reports whether a bulk request is due soon, so that it may also use the headroom.
 func (c *core) nearDue(w *waiter) bool { return c.now+c.settings.BulkUrgency > w.due }
 
-// belowBulkFloor reports whether this sender runs less bulk than the share that is guaranteed to bulk.
+// belowBulkFloor reports whether this sender runs less bulk than its share of the slots that are guaranteed to bulk.
 func (c *core) belowBulkFloor(p *pool, w *waiter) bool {
 	slots := 0
 	for _, e := range p.endpoints {
@@ -84,8 +84,8 @@
 }
 
 // awaitsFirstAnswer reports whether this sender, one of several, runs bulk at an endpoint that has
-// never answered it. After a start of all senders nobody knows any load, and the bulk of all of
-// them would go out at once.
+// never answered it. When all senders start together, none of them knows any load, and all of them
+// would send their bulk at once.
 func (c *core) awaitsFirstAnswer(e *endpoint) bool {
 	if e.answered || c.senders == 1 {
 		return false
--- a/internal/proxy/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -25,7 +25,7 @@
 
 	endpoints map[string]*endpoint // by id, of all pools
 	pools     map[string]*pool     // by service
-	poolOrder []*pool              // in the order in which they were first named
+	poolOrder []*pool              // in the order of creation
 	queued    int                  // pending requests of all pools
 	snapshots uint64               // snapshots that were applied so far
 }
@@ -43,8 +43,8 @@
 	otherLoad      movingAverage // requests of other senders at an endpoint
 	bulkRunning    int           // bulk requests of this sender that are running
 	promptTokens   movingAverage // tokens of a prompt
-	lateness       movingAverage // ms by which recent first tokens came later than expected
-	lastFirstToken Time          // when the newest first token came
+	lateness       movingAverage // ms by which recent first tokens arrived later than expected
+	lastFirstToken Time          // when the newest first token arrived
 	queue          []*waiter     // pending requests, in the order of compareUrgency
 }
 
@@ -58,7 +58,7 @@
 	models       []snapshot.Model // empty: any
 	warmingUntil Time
 	inSubset     bool // it is in this sender's subset
-	answered     bool // this sender has had a first token or an end of a run from it
+	answered     bool // a run of this sender has had its first token or has ended there
 	unlisted     bool // not in the newest snapshot: it gets no requests, and is dropped when its runs have ended
 
 	// Adaptive rate limit (ratelimit.go).
@@ -67,7 +67,7 @@
 	rateLimit         float64     // maximal starts in the short window at refusedAt; infinite until a refusal
 	rateCutAt         Time        // the last refusal that reduced the rate limit
 	refusedAt         Time        // the last refusal, from which on the rate limit grows
-	recoveryJitter    float64     // random factor of the growth, so that senders do not return all at once
+	recoveryJitter    float64     // random factor of the growth, so that senders do not all return at once
 
 	// Load (load.go).
 	running        []*run        // granted and not ended, the oldest first
@@ -82,9 +82,9 @@
 	failureScore float64       // weighted failures since the last success
 	ejectedUntil Time          // 0 if it is not ejected
 	ejectedFor   time.Duration // length of the last ejection
-	probing      bool          // a probe is running
+	probing      bool          // a probe is in flight
 
-	cache prefixCache // what this sender believes to be cached there
+	cache prefixCache // this sender's model of what is cached there
 }
 
 // newCore returns a core without endpoints. The function random returns random numbers in [0, 1).
--- a/internal/proxy/dispatch/cost.go
+++ b/internal/proxy/dispatch/cost.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// The cost of an endpoint for a request is in ms: the expected time to the first token, and
-// penalties of what else speaks against the endpoint.
+// The cost of an endpoint for a request is in ms: the expected time to the first token plus
+// penalties, such as for load, another zone and recent failures.
 
 const (
-	// minExpectedMs is the least expected time to the first token that is compared with the time
-	// that has passed.
+	// minExpectedMs is the lower bound of the expected time to the first token when a run is checked
+	// for being overdue.
 	minExpectedMs = 20
 	// overdueFactor is how many times the expected time a run may take to its first token before it
 	// is overdue.
@@ -29,7 +29,7 @@
 	cost := r.expectedMs + c.penalty(e)
 	if common.sharedTokens > 0 {
 		cost += c.settings.RereadCost * common.msPerToken * min(common.sharedTokens, r.prefillTokens)
-		// An endpoint with the prefix takes no more than its part, unless all are as full.
+		// An endpoint that has cached the prefix gets no more than its share of the load, unless all are as loaded.
 		if load := e.load(c); load > common.loadBound && load > c.settings.PreferredLoadFloor*float64(e.slots()) {
 			cost += milliseconds(c.settings.LoadCost) * (load - common.loadBound)
 		}
@@ -50,7 +50,7 @@
 	return ms
 }
 
-// pendingPrefill returns the tokens of this sender's prompts that an endpoint has still to prefill.
+// pendingPrefill returns the number of tokens of this sender's prompts that an endpoint has yet to prefill.
 func (e *endpoint) pendingPrefill() float64 {
 	tokens := 0.0
 	for _, r := range e.running {
--- a/internal/proxy/dispatch/dispatch.go
+++ b/internal/proxy/dispatch/dispatch.go
@@ -13,17 +13,17 @@
 	ID        string // in the logs only
 	Route     *operatorconfig.Route
 	Service   string       // chosen at random by the route's weights
-	Model     string       // an endpoint must serve it; empty if any may
+	Model     string       // the endpoint must serve it; empty: any endpoint
 	TokensIn  int          // tokens of the prompt; 0 if unknown
 	TokensOut int          // upper bound of the answer's tokens; 0 if unknown
-	Prefix    []PromptPart // of the prompt, in order; the last part belongs to this request or its session only
-	Arrived   time.Time    // when it could first be admitted; zero: now
+	Prefix    []PromptPart // parts of the prompt, in order; the last belongs to this request or its session only
+	Arrived   time.Time    // when it was first ready for admission; zero: now
 	Deadline  time.Time    // when the answer must be complete; zero if there is none
-	Due       time.Time    // when the answer loses a part of its value; zero if it never does
+	Due       time.Time    // after which the answer is worth less; zero if there is none
 	Bulk      bool         // it waits until its context ends and is not refused; interactive requests go first
 	Avoid     []string     // ids of endpoint incarnations to which it must not be sent
 	// Regime is the certification that the route demands of endpoints, or empty. If it is set,
-	// Certified reports whether an endpoint has it, and is asked at each choice.
+	// Certified reports whether an endpoint has it, and is called at each choice.
 	Regime    string
 	Certified func(id string) bool
 }
@@ -53,7 +53,7 @@
 	Failed                     // the endpoint answered 500 or 504
 	Broken                     // the connection was reset or closed, or the answer was unreadable
 	TimedOut                   // no answer within the time limit
-	Canceled                   // the client disconnected first, which says nothing of the endpoint
+	Canceled                   // the client disconnected first, which says nothing about the endpoint
 	NotSent                    // the request was never written
 )
 
@@ -92,7 +92,7 @@
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("%s; come back in %v", e.Reason, e.RetryAfter)
+	return fmt.Sprintf("%s; retry after %v", e.Reason, e.RetryAfter)
 }
 
 // Admission grants requests an endpoint. Acquire waits until an endpoint has capacity. It fails
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -11,9 +11,9 @@
 
 // Options configures a Dispatcher.
 type Options struct {
-	Name      string           // of this sender, by which it chooses its subset of endpoints
+	Name      string           // of this sender, which determines its subset of endpoints
 	Zone      string           // of this machine
-	Snapshots *snapshot.Latest // whose newest snapshot it starts with; may be nil
+	Snapshots *snapshot.Latest // the source of the initial snapshot; may be nil
 	Now       func() time.Time // default time.Now
 	Rand      func() float64   // random numbers in [0, 1); default rand.Float64
 	Settings  Settings
@@ -21,8 +21,8 @@
 
 // Dispatcher is the Admission of a proxy. It is safe for concurrent use. One goroutine at a time
 // owns the core and runs the queue of commands: the goroutine that posts to an idle queue owns the
-// core until the queue is empty, so a request that need not wait is granted without a switch of
-// goroutines.
+// core until the queue is empty, so a request that need not wait is granted without a goroutine
+// switch.
 type Dispatcher struct {
 	now    func() time.Time
 	origin time.Time // time 0 of the core's clock
@@ -66,7 +66,7 @@
 }
 
 // closing is the reason for refusals after Close.
-const closing = "this node is closing"
+const closing = "this node is shutting down"
 
 // Close refuses all pending requests and all later ones.
 func (d *Dispatcher) Close() {
@@ -114,7 +114,7 @@
 	c.admit(w)
 }
 
-// abandon takes a request back whose context has ended.
+// abandon withdraws a request whose context has ended, and cancels its run if it was granted one.
 func (d *Dispatcher) abandon(w *waiter, answer chan struct{}) {
 	d.post(func(c *core) {
 		if c.dequeue(w) {
@@ -135,7 +135,7 @@
 	return t.Sub(d.origin)
 }
 
-// maxSpareCommands is the most commands for which a batch is kept for reuse.
+// maxSpareCommands is the capacity up to which a batch of commands is kept for reuse.
 const maxSpareCommands = 256
 
 // post queues a command, and runs the queue if no other goroutine does.
--- a/internal/proxy/dispatch/ejection.go
+++ b/internal/proxy/dispatch/ejection.go
@@ -8,11 +8,11 @@
 	brokenWeight = 1   // it did not answer, or its answer broke off
 )
 
-// runTimeShare is the share of a run in the mean run time of its pool.
+// runTimeShare is the weight of one run in the mean run time of its pool.
 const runTimeShare = 0.05
 
-// leastEjected returns the endpoint that may serve a request and is ejected for the shortest time;
-// nil if none may.
+// leastEjected returns, of the endpoints that may serve a request, the one whose ejection ends
+// first; nil if none may.
 func leastEjected(p *pool, w *waiter) *endpoint {
 	var least *endpoint
 	for _, e := range p.endpoints {
@@ -23,9 +23,9 @@
 	return least
 }
 
-// probeDue reports whether a request should try an ejected endpoint. One request at a time does:
-// from the end of the ejection on a request that may run twice, later also a small one, and later
-// still any.
+// probeDue reports whether a request should probe an ejected endpoint. One request at a time does:
+// from the end of the ejection a bulk request or one that may run twice, an ejection time later also
+// one with a prompt of no more than average length, and another ejection time later any.
 func (e *endpoint) probeDue(c *core, w *waiter) bool {
 	from := e.ejectedUntil
 	if !w.request.Bulk && (w.request.Route == nil || !w.request.Route.Idempotent()) {
@@ -45,20 +45,20 @@
 	e.servedLog.Record(c.now)
 }
 
-// recordRefusal records that an endpoint refused a run, which shows that it works.
+// recordRefusal records that an endpoint refused a run, which shows that it is working.
 func (c *core) recordRefusal(r *run, l Load) {
 	e := r.endpoint
 	e.failureScore = 0
 	if e.ejectedUntil != 0 {
 		e.ejectedUntil, e.ejectedFor = 0, 0
 	}
-	if c.now < r.deadline { // a refusal of a late request says nothing of the endpoint's limit
+	if c.now < r.deadline { // a refusal after the deadline says nothing about the endpoint's limit
 		c.reduceRateLimit(r, l)
 	}
 }
 
-// recordFailure adds to the failure score of an endpoint, and ejects it from a score on or if a
-// probe has failed.
+// recordFailure adds to the failure score of an endpoint, and ejects it if the score reaches
+// Settings.EjectionScore or a probe has failed.
 func (c *core) recordFailure(r *run, weight float64) {
 	e := r.endpoint
 	e.failureScore += weight
@@ -67,9 +67,9 @@
 	}
 }
 
-// eject lets no request but a probe go to an endpoint for a time, which doubles each time it is
-// ejected again. Least is a lower bound of that time. The time is randomized by a quarter, so that
-// senders do not probe all at once.
+// eject excludes an endpoint from all requests but probes for a time, which doubles each time it is
+// ejected again. Least is a lower bound of that time. The time is randomized by ±25 %, so that
+// senders do not all probe at once.
 func (c *core) eject(e *endpoint, least time.Duration) {
 	if e.ejectedUntil > c.now {
 		return
--- a/internal/proxy/dispatch/estimate.go
+++ b/internal/proxy/dispatch/estimate.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	fitDecay = 0.99 // weight of the older points of a fit at each new one
+	fitDecay = 0.99 // factor by which each new point of a fit reduces the weight of the older ones
 
-	// Estimates before anything is measured.
+	// Initial estimates, until something is measured.
 	initialRunTime    = 20 * time.Millisecond // from a grant to the end of the run
 	initialBaseMs     = 5.0                   // ms to the first token of a prompt without tokens
 	initialMsPerToken = 1.0 / 130             // ms for each token of a prompt
 
-	// initialPointWeight is the weight of each of the points of the first estimate.
+	// initialPointWeight is the weight of each point of the initial fit.
 	initialPointWeight = 5
 
-	// maxOutlier bounds a measured time, as a multiple of the expected one: a request that stood in
-	// a queue of which its sender knew nothing shows how long the queue was, not how fast prompts
-	// are prefilled. What lasts is learnt all the same, a little more slowly.
+	// maxOutlier bounds a measured time, as a multiple of the expected one: the time of a request
+	// that waited in a queue unknown to its sender measures the queue, not the speed of prefill. A
+	// lasting change is still learned, a little more slowly.
 	maxOutlier = 3
 
 	// Bounds of a fitted slope, in ms for each token.
 	minMsPerToken = 1.0 / 1000
 	maxMsPerToken = 1.0 / 5
 
-	// maxLatenessMs is the most ms by which one first token counts as late or early.
+	// maxLatenessMs bounds the ms by which one first token counts as late or early.
 	maxLatenessMs = 300
-	// minLatenessShare is the least share of a first token in the recent lateness.
+	// minLatenessShare is the minimum weight of one first token in the recent lateness.
 	minLatenessShare = 0.05
 )
 
-// linearFit is a least-squares fit of y = base + slope*x whose older points count less. It holds
-// the weighted sums.
+// linearFit is a least-squares fit of y = base + slope*x in which older points have less weight. It
+// holds the weighted sums.
 type linearFit struct{ weight, sumX, sumY, sumXX, sumXY float64 }
 
-// initialFit returns a fit of points on the first estimate.
+// initialFit returns a fit of points on the line of the initial estimates.
 func initialFit() linearFit {
 	var l linearFit
 	for _, x := range []float64{0, 1000, 4000, 16000} {
@@ -58,8 +58,7 @@
 	l.sumXY = fitDecay*l.sumXY + x*y
 }
 
-// addBounded adds a point, of which it believes no more than maxOutlier times what the fit expects
-// there.
+// addBounded adds a point whose y is limited to maxOutlier times the value of the fit at x.
 func (l *linearFit) addBounded(x, y float64) {
 	base, slope := l.fit()
 	l.add(x, min(y, maxOutlier*(base+slope*x)))
@@ -79,10 +78,10 @@
 // movingAverage is an exponentially weighted moving average.
 type movingAverage struct{ value float64 }
 
-// add adds a value with a share of the new average.
+// add adds a value, whose weight in the new average is share.
 func (m *movingAverage) add(x, share float64) { m.value += share * (x - m.value) }
 
-// recordLateness adds the ms by which a first token came later than expected to the recent average.
+// recordLateness adds the ms by which a first token arrived later than expected to the recent average.
 // Older values fade with a time constant.
 func (p *pool) recordLateness(now Time, ms float64, decay time.Duration) {
 	remaining := math.Exp(-float64(now-p.lastFirstToken) / float64(decay))
--- a/internal/proxy/dispatch/load.go
+++ b/internal/proxy/dispatch/load.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// Bounds of what an endpoint is believed about itself: one that reports nonsense must neither
-// attract all requests nor, by way of the mean of its pool, make all others look full.
+// Bounds of the values that an endpoint reports about itself: one that reports implausible values
+// must neither attract all requests nor, through the mean of its pool, make all others look full.
 const (
 	maxSlotsFactor = 2    // slots, as a multiple of those that are configured for its service
-	maxSlots       = 4096 // slots, where none are configured
+	maxSlots       = 4096 // slots, if none are configured
 	maxLoadFactor  = 8    // running and waiting requests, as a multiple of its slots
 )
 
 // defaultSlots is the number of slots of an endpoint whose capacity is unknown.
 const defaultSlots = 8
 
-// otherLoadShare is the share of a load report in the mean load that other senders cause.
+// otherLoadShare is the weight of one load report in the mean load that other senders cause.
 const otherLoadShare = 0.1
 
-// plausibleSlots returns a number of slots that an endpoint reports, or 0 if it cannot be believed.
+// plausibleSlots returns the number of slots that an endpoint reports, or 0 if it is implausible.
 func (e *endpoint) plausibleSlots(slots int) int {
 	limit := maxSlots
 	if e.pool.capacity > 0 {
@@ -39,8 +39,8 @@
 	return defaultSlots
 }
 
-// applyLoadReport applies a load that an endpoint reported. What is not this sender's belongs to
-// others.
+// applyLoadReport applies a load that an endpoint reported. Requests beyond this sender's own count
+// as those of other senders.
 func (c *core) applyLoadReport(e *endpoint, l Load) {
 	if !l.Known {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// loadOfOthers estimates the requests of other senders at an endpoint: by its last load report,
-// which fades to the mean of the pool.
+// loadOfOthers estimates the requests of other senders at an endpoint from its last load report,
+// which decays to the mean of the pool.
 func (e *endpoint) loadOfOthers(c *core) float64 {
 	if !e.loadReported {
 		return e.pool.otherLoad.value
@@ -75,9 +75,9 @@
 
 // loadUncertainty returns by how much an endpoint's load may exceed its estimate, in requests.
 // Within the subset the estimate is trusted; outside it the uncertainty grows with the age of the
-// last load report, up to UncertaintyDeviations of the spread of independent arrivals. A request
-// that no healthy endpoint of the subset may serve, by its model, its regime or what it must avoid,
-// takes the estimates as they are.
+// last load report, up to UncertaintyDeviations standard deviations of independent arrivals. There
+// is none for a request that no healthy endpoint of the subset may serve, because of its model, its
+// regime or the endpoints that it must avoid.
 func (c *core) loadUncertainty(e *endpoint, w *waiter) float64 {
 	if e.inSubset || !w.subsetServes {
 		return 0
--- a/internal/proxy/dispatch/prefixcache.go
+++ b/internal/proxy/dispatch/prefixcache.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// rateWindow is the time over which the rate of tokens into an endpoint's cache is measured.
+	// rateWindow is the time constant with which the rate of tokens into an endpoint's cache is averaged.
 	rateWindow = 5 * time.Second
-	// maxCacheLifetime bounds the belief that something is still cached.
+	// maxCacheLifetime is the longest time for which a part is assumed to stay cached.
 	maxCacheLifetime = 2 * time.Minute
 )
 
-// prefixHash is the hash of a part of a prompt with all the parts before it: a cached part is only
-// of use with them.
+// prefixHash is the hash of a part of a prompt with all the parts before it, because a cached part
+// is only usable after the same parts.
 type prefixHash uint64
 
 // hashPrefixes returns the hash of each prefix of a prompt for a model.
@@ -47,18 +47,18 @@
 	entries   map[prefixHash]*list.Element
 	byRecency *list.List   // of *cacheEntry, the most recently sent first
 	tokens    int64        // of all entries
-	tokenRate decayingRate // tokens that this sender brings there
+	tokenRate decayingRate // tokens per second that this sender adds
 }
 
 // cacheEntry is a part of a prompt.
 type cacheEntry struct {
 	hash     prefixHash
-	tokens   int64 // that it takes in the cache, with those that other senders bring meanwhile
+	tokens   int64 // in the cache, including those that other senders add meanwhile
 	lastSent Time
 }
 
-// lifetime returns how long what nobody requests again is believed to stay in a cache of so many
-// tokens; 0 tokens: unknown.
+// lifetime estimates how long a part that is not requested again stays in a cache of cacheTokens
+// tokens, where 0 is an unknown size.
 func (c *prefixCache) lifetime(now Time, senders int, cacheTokens int64) time.Duration {
 	rate := c.tokenRate.perSecond(now) * float64(max(senders, 1))
 	if cacheTokens <= 0 || rate < float64(cacheTokens)/maxCacheLifetime.Seconds() {
@@ -67,7 +67,7 @@
 	return time.Duration(float64(cacheTokens) / rate * float64(time.Second))
 }
 
-// cachedParts returns how many of the parts, from the first on, were sent there within a lifetime.
+// cachedParts returns how many leading parts were sent there within a lifetime.
 func (c *prefixCache) cachedParts(hashes []prefixHash, now Time, lifetime time.Duration) int {
 	for i, h := range hashes {
 		if element := c.entries[h]; element == nil || now-element.Value.(*cacheEntry).lastSent > lifetime {
@@ -78,15 +78,15 @@
 }
 
 // recordPrompt records that a prompt was sent there, and evicts what exceeds maxEntries or the size
-// of the cache. The last part belongs to one request: each of the senders brings such a part
-// meanwhile, so it counts for all of them.
+// of the cache. The last part belongs to one request only; each of the other senders adds such a
+// part meanwhile, so it counts once for each sender.
 func (c *prefixCache) recordPrompt(
 	now Time, hashes []prefixHash, parts []PromptPart, senders int, cacheTokens int64, maxEntries int,
 ) {
 	if c.entries == nil {
 		c.entries, c.byRecency = map[prefixHash]*list.Element{}, list.New()
 	}
-	for i := len(hashes) - 1; i >= 0; i-- { // from the last, so that what other prompts begin with is evicted last
+	for i := len(hashes) - 1; i >= 0; i-- { // from the last, so that the shared beginning is evicted last
 		if element := c.entries[hashes[i]]; element != nil {
 			element.Value.(*cacheEntry).lastSent = now
 			c.byRecency.MoveToFront(element)
--- a/internal/proxy/dispatch/queue.go
+++ b/internal/proxy/dispatch/queue.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// waiter is a request that is pending in the queue of its pool, or is being decided on.
+// waiter is a request that is pending in the queue of its pool, or for which a decision is being made.
 type waiter struct {
 	request       *Request
 	prefixHashes  []prefixHash // of the prompt's parts
@@ -18,15 +18,15 @@
 	preferred     []*endpoint // for the prompt's prefix
 	preferredAsOf uint64      // the snapshot for which the preferred endpoints were computed
 	subsetServes  bool        // a healthy endpoint of the subset may serve it
-	certified     []string    // ids of endpoints that the newest choice found certified, of a request with a regime
+	certified     []string    // for a request with a regime: ids of the endpoints that were certified at the newest choice
 
-	// One of these two is set when decided is called, which is once.
+	// decided is called once, when either granted or refused is set.
 	granted *run
 	refused *RefusedError
 	decided func(*waiter)
 }
 
-// compareUrgency compares the places of two requests in a queue: first interactive ones by priority
+// compareUrgency compares the positions of two requests in a queue: first interactive ones by priority
 // and deadline, then bulk by due time. It returns a negative number if a goes first.
 func compareUrgency(a, b *waiter) int {
 	switch {
@@ -56,7 +56,7 @@
 	return r.Route.Priority
 }
 
-// mustWait reports whether a request that goes first is pending for the same endpoints.
+// mustWait reports whether a more urgent request is pending for the same endpoints.
 func (c *core) mustWait(p *pool, w *waiter) bool {
 	for _, first := range p.queue {
 		if compareUrgency(first, w) > 0 {
@@ -78,9 +78,9 @@
 	return false
 }
 
-// overlaps reports whether a pending request may go, by its regime, to all endpoints that another
-// one may go to. If not, the other one need not wait for it, because it may wait for endpoints that
-// the other one cannot use.
+// overlaps reports whether the regime of a pending request allows it all endpoints that another
+// request may use. If not, the other one need not wait for it, because the pending one may be
+// waiting for certified endpoints while others have capacity.
 func overlaps(pending, other *waiter) bool {
 	return pending.request.Regime == "" || pending.request.Regime == other.request.Regime
 }
@@ -128,7 +128,7 @@
 	failed := few[:0]
 	for _, w := range pending {
 		if !w.request.Bulk && c.now >= w.refuseAt {
-			c.refuse(p, w, "no endpoint had room in time")
+			c.refuse(p, w, "no endpoint had capacity in time")
 			decided = true
 			continue
 		}
@@ -163,8 +163,8 @@
 	return 0
 }
 
-// maxFailedPlacements is the number of requests without an endpoint after which the further ones of
-// the same kind are not tried in a pass over the queue.
+// maxFailedPlacements is the number of requests without an endpoint after which a pass over the
+// queue skips further ones of the same kind and regime.
 const maxFailedPlacements = 4
 
 // failedPlacements counts the pending requests of one kind and regime for which no endpoint had
@@ -186,8 +186,8 @@
 	return &(*all)[len(*all)-1].count
 }
 
-// interactiveBlocked reports whether no endpoint had capacity for interactive requests that may go
-// to all endpoints of a request.
+// interactiveBlocked reports whether no endpoint had capacity for interactive requests that may use
+// all endpoints that a request may use.
 func interactiveBlocked(all []failedPlacements, r *Request) bool {
 	for _, f := range all {
 		if !f.bulk && f.count > 0 && (f.regime == "" || f.regime == r.Regime) {
@@ -197,8 +197,8 @@
 	return false
 }
 
-// nextWake returns when serveAllQueues must be called even if nothing happens, and false if it need
-// not be.
+// nextWake returns when serveAllQueues must be called even if no other call is made, and false if it
+// need not be.
 func (c *core) nextWake() (Time, bool) {
 	at := Time(math.MaxInt64)
 	for _, p := range c.poolOrder {
@@ -223,7 +223,7 @@
 			continue
 		}
 		next := max(e.ejectedUntil, e.fullUntil, e.nextStartAt(c))
-		if next <= c.now { // it is full by its load, of which the part of others fades
+		if next <= c.now { // its load is too high, of which the estimate for other senders decays
 			next = c.now + c.settings.LoadReportDecay/10
 		}
 		soonest = min(soonest, next)
--- a/internal/proxy/dispatch/ratelimit.go
+++ b/internal/proxy/dispatch/ratelimit.go
@@ -7,8 +7,8 @@
 
 // The rate limit of an endpoint adapts to its refusals, as additive-increase congestion control
 // does: there is none until it refuses a request; then the starts in the short window are limited
-// to their present count. A further refusal reduces the limit, and time without refusals lets it
-// grow. The long window allows the same rate.
+// to their current count. A further refusal reduces the limit, and it grows with the time without
+// refusals. The long window allows the same rate.
 
 // currentRateLimit returns the maximal number of starts in the short window now: the rate limit
 // with its growth since the last refusal.
@@ -19,13 +19,13 @@
 	return e.rateLimit * (1 + float64(c.now-e.refusedAt)/(float64(c.settings.RateRecovery)*e.recoveryJitter))
 }
 
-// windowRatio returns how many short windows the long one has.
+// windowRatio returns the length of the long window in short windows.
 func (e *endpoint) windowRatio() float64 {
 	return float64(e.longLog.Window) / float64(e.shortLog.Window)
 }
 
-// withinRateLimit reports whether both send logs allow another start. It lifts a limit that was far
-// from being reached for a short window.
+// withinRateLimit reports whether both send logs allow another start. It lifts a limit that is far
+// above the current starts if there was no refusal for a short window.
 func (e *endpoint) withinRateLimit(c *core) bool {
 	limit := e.currentRateLimit(c)
 	short, long := float64(e.shortLog.Count(c.now)), float64(e.longLog.Count(c.now))
@@ -37,7 +37,7 @@
 }
 
 // nextStartAt returns the time by which both send logs allow another start: when enough old starts
-// have left them, or the rate limit has grown, whichever is first.
+// have left their windows, or the rate limit has grown enough, whichever is first.
 func (e *endpoint) nextStartAt(c *core) Time {
 	if e.withinRateLimit(c) {
 		return c.now
@@ -49,10 +49,10 @@
 	return max(c.now, min(logsAllow, e.refusedAt+growth))
 }
 
-// reduceRateLimit reduces the rate limit of an endpoint that refused a run: to the present count at
+// reduceRateLimit reduces the rate limit of an endpoint that refused a run: to the current count at
 // the first refusal, by a factor at further ones. Refusals of runs that were sent before the last
-// reduction are ignored. Where the refusal came with a load, that load is remembered as the one at
-// which the endpoint is full.
+// reduction are ignored. If the refusal came with a load of at least all slots, that load is
+// remembered as the one at which the endpoint is full.
 func (c *core) reduceRateLimit(r *run, l Load) {
 	e := r.endpoint
 	if !l.Known {
@@ -66,7 +66,7 @@
 		e.rateLimit = max(1, count)
 	case r.sent < e.rateCutAt:
 		return
-	case c.now-e.rateCutAt < c.settings.RateRecovery/2: // too soon to reduce again, but the growth is lost
+	case c.now-e.rateCutAt < c.settings.RateRecovery/2: // too soon to reduce again, but the growth restarts
 		e.refusedAt = c.now
 		return
 	default:
--- a/internal/proxy/dispatch/run.go
+++ b/internal/proxy/dispatch/run.go
@@ -3,17 +3,17 @@
 import "slices"
 
 const (
-	// promptShare is the share of a request in the mean number of prompt tokens of its pool.
+	// promptShare is the weight of one request in the mean number of prompt tokens of its pool.
 	promptShare = 0.02
-	// slownessShare is the share of a first token in its endpoint's slowness.
+	// slownessShare is the weight of one first token in its endpoint's slowness.
 	slownessShare = 0.1
-	// minSlownessSample and maxSlownessSample bound what one first token says of its endpoint's
-	// slowness, and minSlownessMs the expected time that it is compared with.
+	// minSlownessSample and maxSlownessSample bound the slowness that is derived from one first
+	// token, and minSlownessMs is the lower bound of the expected time that it is compared with.
 	minSlownessSample, maxSlownessSample = 0.25, 4
 	minSlownessMs                        = 0.5
 )
 
-// run is a request that was granted an endpoint, or may be.
+// run is a request that was granted an endpoint, or that a choice proposes to grant.
 type run struct {
 	endpoint       *endpoint
 	target         Target // of the endpoint at the grant
@@ -22,10 +22,10 @@
 	prefillTokens  float64 // tokens that the endpoint has to prefill
 	expectedMs     float64 // ms to the first token
 	onlyPrefill    bool    // no other prompt was being prefilled: its time to the first token shows the speed of prefill
-	firstTokenSeen bool    // the first token came
-	loadReported   bool    // the first token came with a load report
+	firstTokenSeen bool    // the first token has arrived
+	loadReported   bool    // the first token arrived with a load report
 	bulk           bool
-	probe          bool // it tries an ejected endpoint
+	probe          bool // it probes an ejected endpoint
 	ended          bool
 }
 
@@ -54,7 +54,7 @@
 	w.decided(w)
 }
 
-// recordFirstToken records that the first token of a run came, with a load report.
+// recordFirstToken records that the first token of a run arrived, with a load report.
 func (c *core) recordFirstToken(r *run, l Load) {
 	if r.ended || r.firstTokenSeen {
 		return
@@ -68,7 +68,7 @@
 	e.slowness.add(min(max(tookMs/max(r.expectedMs, minSlownessMs), minSlownessSample), maxSlownessSample), slownessShare)
 	lateMs := min(max(tookMs-r.expectedMs, -maxLatenessMs), maxLatenessMs)
 	e.pool.recordLateness(c.now, lateMs, c.settings.LatenessDecay)
-	queued := l.Known && 2*l.Running > l.Slots // by requests of others of which this sender did not know
+	queued := l.Known && 2*l.Running > l.Slots // behind requests of other senders that this sender did not know of
 	if r.onlyPrefill && !queued {
 		e.pool.firstTokenFit.addBounded(r.prefillTokens, tookMs)
 	}
--- a/internal/proxy/dispatch/selection.go
+++ b/internal/proxy/dispatch/selection.go
@@ -17,21 +17,21 @@
 // candidates are the endpoints that may serve a request.
 type candidates struct {
 	healthy   []*endpoint // not ejected
-	probe     *endpoint   // an ejected one with capacity, which the request should try; nil if there is none
+	probe     *endpoint   // an ejected one with capacity, which the request should probe; nil if there is none
 	totalLoad float64     // the sum of the loads of all, in requests
 	count     int
 }
 
-// placement is what the costs of all endpoints for one request have in common.
+// placement holds the inputs that the costs of all endpoints for one request share.
 type placement struct {
-	baseMs, msPerToken float64     // ms to the first token, and more for each token to prefill
+	baseMs, msPerToken float64     // ms to the first token: fixed, and for each token to prefill
 	loadBound          float64     // the load above which an endpoint is too full for further requests of a shared prefix
 	preferred          []*endpoint // the preferred endpoints of the shared prefix
 	sharedTokens       float64     // tokens of the prefix that other requests may share
 }
 
-// choose picks the endpoint for a request and returns the run that it would be, or nil if no
-// endpoint has capacity.
+// choose picks the endpoint for a request and returns the proposed run, or nil if no endpoint has
+// capacity.
 func (c *core) choose(p *pool, w *waiter) *run {
 	w.certified = w.certified[:0]
 	found := c.candidates(p, w)
@@ -47,7 +47,7 @@
 		return &probe
 	}
 	healthy := found.healthy
-	if len(healthy) == 0 { // all are ejected: the one that is ejected for the shortest time is better than none
+	if len(healthy) == 0 { // all are ejected: the one whose ejection ends first is better than none
 		least := leastEjected(p, w)
 		if least == nil {
 			return nil
@@ -87,8 +87,8 @@
 	return found
 }
 
-// cheapestRun returns the run at the endpoint with the lowest cost, a random one of those with a
-// similar cost, or nil if a run would be too late at each of them.
+// cheapestRun returns the run at the endpoint with the lowest cost, or at a random one of those with
+// a similar cost. It returns nil if the run would be too late at all of them.
 func (c *core) cheapestRun(available []*endpoint, w *waiter, common *placement) *run {
 	var best run
 	lowest, similar := math.Inf(1), 0
@@ -114,16 +114,16 @@
 	return &best
 }
 
-// estimateAllows reports whether a run is worth starting whose first token is expected after so
-// many ms. It must come before the deadline. If it comes after the due time, the load must be low,
-// the lower the less urgent the route is. An estimate that refuses all requests would never be
-// corrected, so it counts only as long as first tokens come.
+// estimateAllows reports whether to start a run whose first token is expected after ms milliseconds.
+// The first token must come before the deadline. If it comes after the due time, the load must be
+// low, and the lower, the less urgent the route is. An estimate that refuses all requests would
+// never be corrected, so it is ignored if no first token has come for Settings.MaxEstimateAge.
 func (c *core) estimateAllows(e *endpoint, w *waiter, ms float64) bool {
 	if w.request.Bulk {
 		return true
 	}
 	if c.now-e.pool.lastFirstToken > c.settings.MaxEstimateAge {
-		return true // nothing has tested the estimates for a while: a request does
+		return true // the estimate is stale: this request tests it
 	}
 	late := e.pool.lateness.value * math.Exp(-float64(c.now-e.pool.lastFirstToken)/float64(c.settings.LatenessDecay))
 	at := c.now + time.Duration((ms+max(0, late))*float64(time.Millisecond))
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Settings are the parameters of admission and placement. A zero field takes its default, which its
+// Settings are the parameters of admission and placement. A zero field means the default that its
 // comment gives. docs/placement.md has the measurements behind them.
 type Settings struct {
 	// Rate limits of an endpoint (ratelimit.go).
@@ -14,7 +14,7 @@
 	RateCut       float64       // factor by which a further refusal reduces a rate limit; 0.7
 	// MinServedShare is the lower bound of a reduced rate limit, as a share of the requests that
 	// were served in the short window; 0.9. Without it a burst of refusals would push the limit
-	// below what the endpoint really serves.
+	// below the rate that the endpoint serves.
 	MinServedShare float64
 
 	// Queueing of requests (admission.go, queue.go).
@@ -25,27 +25,27 @@
 
 	// Load of an endpoint (load.go, capacity.go).
 
-	// LoadReportDecay is the time constant with which a reported load of other senders fades to the
+	// LoadReportDecay is the time constant with which a reported load of other senders decays to the
 	// mean of the pool; 1.5 s.
 	LoadReportDecay time.Duration
-	FullBackoff     time.Duration // time for which an endpoint counts as full that refused without a load report; 60 ms
-	// QueueOnTime is how many capacities of requests may queue at an endpoint if the answer meets
-	// its latency target; 3.
+	FullBackoff     time.Duration // time for which an endpoint counts as full after a refusal without a load report; 60 ms
+	// QueueOnTime bounds the requests that queue at an endpoint, as a multiple of its slots, if the
+	// answer is expected to meet its latency target; 3.
 	QueueOnTime float64
-	// QueueLate is how many capacities of requests may run or queue at an endpoint if the answer
-	// misses its latency target; 1: only where a slot is free, because queues that make everybody
-	// late are worth less than refusals.
+	// QueueLate bounds the requests that run or queue at an endpoint, as a multiple of its slots, if
+	// the answer is expected to miss its latency target; 1: a slot must be free, because a queue
+	// that makes all requests late is worse than refusals.
 	QueueLate      float64
-	MaxEstimateAge time.Duration // time without a first token after which estimates refuse nobody; 1 s
-	LatenessDecay  time.Duration // time constant with which the lateness of first tokens fades; 300 ms
+	MaxEstimateAge time.Duration // time without a first token after which estimates refuse no request; 1 s
+	LatenessDecay  time.Duration // time constant with which the lateness of first tokens decays; 300 ms
 
 	// Subsets of endpoints (subset.go).
 
-	SendersPerEndpoint float64       // senders that should share an endpoint by their subsets; 4
+	SendersPerEndpoint float64       // target number of senders whose subsets have an endpoint; 4
 	MinSubsetSize      int           // endpoints of a subset; 3, as one may be ejected and one full
 	OutsideSubsetCost  time.Duration // cost of an endpoint outside the subset; 10 ms
-	// UncertaintyDeviations is by how many standard deviations of independent arrivals the load of
-	// an endpoint outside the subset may be underestimated; 3.
+	// UncertaintyDeviations is the number of standard deviations of independent arrivals that is
+	// added to the load of an endpoint outside the subset; 3.
 	UncertaintyDeviations float64
 
 	// Bulk requests (capacity.go).
@@ -60,22 +60,22 @@
 	// prefix (consistent hashing with bounded loads): one whose load exceeds factor x mean + slack
 	// costs more; 1.25 and 1 request.
 	PreferredLoadFactor, PreferredLoadSlack float64
-	// PreferredLoadFloor is the share of the capacity up to which a load is never too much; 0.25.
+	// PreferredLoadFloor is the share of the capacity up to which a load is never too high; 0.25.
 	PreferredLoadFloor float64
 	// RereadCost is the cost of prefilling a shared part again, as a multiple of the time it takes;
 	// 1.
 	RereadCost    float64
 	OtherZoneCost time.Duration // cost of an endpoint in another zone; 4 ms
 	LoadCost      time.Duration // cost of an endpoint that is fully loaded; 20 ms
-	WarmUpCost    float64       // cost of each ms that is left of a warm-up, in ms; 0.2
+	WarmUpCost    float64       // cost of each remaining ms of a warm-up, in ms; 0.2
 
 	// Ejection of outliers (ejection.go).
 
-	EjectionScore float64       // failure score from which an endpoint is ejected; 2, so that one failure does not
+	EjectionScore float64       // failure score from which an endpoint is ejected; 2, so that a single failure does not suffice
 	MinEjection   time.Duration // shortest ejection; 500 ms
 	MaxEjection   time.Duration // longest ejection; 5 s
 
-	MaxCacheEntries int // prompt parts that are remembered for each endpoint (prefixcache.go); 2048
+	MaxCacheEntries int // prompt parts that are recorded for each endpoint (prefixcache.go); 2048
 }
 
 // setDefault sets a value to a default if it is zero.
