--- a/internal/proxy/dispatch/ablation_test.go
+++ b/internal/proxy/dispatch/ablation_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// switchedOff are the settings without one mechanism each.
-var switchedOff = []struct {
+// disabledMechanisms has settings that disable one mechanism each.
+var disabledMechanisms = []struct {
 	name     string
 	settings Settings
 }{
 	{"(nothing)", Settings{}},
-	{"subsets of endpoints", everywhere},
+	{"subsets of endpoints", withoutSubsets},
 	{"doubt outside the subset", Settings{UncertaintyDeviations: 1e-9}},
 	{"cost outside the subset", Settings{OutsideSubsetCost: 1}},
 	{"estimates that end", Settings{MaxEstimateAge: time.Hour}},
@@ -31,7 +31,7 @@
 	{"memory of what was sent where", Settings{MaxCacheEntries: 1}},
 }
 
-// TestAblationTable prints what each mechanism is worth in the scenarios of scenarios_test.go: ABLATION=1 go test -v -run AblationTable.
+// TestAblationTable prints the results of the scenarios of scenarios_test.go without each mechanism: ABLATION=1 go test -v -run AblationTable.
 func TestAblationTable(t *testing.T) {
 	if os.Getenv("ABLATION") == "" {
 		t.Skip("ABLATION is not set")
@@ -42,9 +42,9 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	rows := make([]string, len(switchedOff))
-	t.Run("worlds", func(t *testing.T) {
-		for i, off := range switchedOff {
+	rows := make([]string, len(disabledMechanisms))
+	t.Run("scenarios", func(t *testing.T) {
+		for i, off := range disabledMechanisms {
 			t.Run(off.name, func(t *testing.T) {
 				t.Parallel()
 				row := "| " + off.name
--- a/internal/proxy/dispatch/bench_test.go
+++ b/internal/proxy/dispatch/bench_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// BenchmarkAcquireBySize is a request's admission and placement among so many endpoints of its service.
+// BenchmarkAcquireBySize measures the admission and placement of a request by the number of endpoints of its service.
 func BenchmarkAcquireBySize(b *testing.B) {
 	for _, n := range []int{27, 100, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/proxy/dispatch/certified_test.go
+++ b/internal/proxy/dispatch/certified_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// regulated is a request that only some endpoints may have; the list may change later.
+// regulated returns a request that only certified endpoints may serve. The list may change later.
 func regulated(id string, certified *[]string) *Request {
 	return &Request{ID: id, Regime: "r", Certified: func(e string) bool { return slices.Contains(*certified, e) }}
 }
@@ -25,7 +25,7 @@
 	b.decisions = nil
 }
 
-func TestOnlyCertifiedEndpointsGetRegulatedWork(t *testing.T) {
+func TestOnlyCertifiedEndpointsGetRegulatedRequests(t *testing.T) {
 	b := newHarness(Settings{})
 	b.addEndpoints("e1", "e2", "e3", "e4")
 	certified := []string{"e2", "e3"}
@@ -42,14 +42,14 @@
 	}
 }
 
-func TestRegulatedWorkQueuesAndIsRefusedWithItsReason(t *testing.T) {
+func TestRegulatedRequestsQueueAndAreRefusedWithTheirReason(t *testing.T) {
 	b := newHarness(Settings{})
 	b.addEndpoints("e1", "e2")
 	var certified []string
 	b.submit(regulated("1", &certified))
-	expect(t, b, "") // nobody is certified: it waits
+	expect(t, b, "") // no endpoint is certified: it waits
 	b.submit(&Request{ID: "2"})
-	expect(t, b, "2 to "+b.runs["2"].target.ID) // and nobody waits behind it
+	expect(t, b, "2 to "+b.runs["2"].target.ID) // a request without a regime does not wait behind it
 	b.pass(50 * time.Millisecond)
 	certified = []string{"e2"}
 	b.pass(10 * time.Millisecond)
@@ -69,27 +69,27 @@
 	b := newHarness(Settings{})
 	b.addEndpoints("e1", "e2")
 	certified := []string{"e1"}
-	for range 2 { // e1 is sick from here on
+	for range 2 { // so that e1 is ejected
 		w := b.submit(regulated("s", &certified))
 		b.c.endRun(w.granted, Broken, Load{})
 	}
 	if b.firstEndpoint().ejectedUntil == 0 {
-		t.Fatal("e1 is not out")
+		t.Fatal("e1 is not ejected")
 	}
 	b.decisions = nil
 	b.submit(regulated("1", &certified))
-	expect(t, b, "1 to e1") // the least bad of those that are certified, though e2 is sound
+	expect(t, b, "1 to e1") // the only certified one, though it is ejected and e2 is healthy
 	certified = nil
 	b.submit(regulated("2", &certified))
 	expect(t, b, "")
 }
 
-func TestQueuedRegulatedWorkBlocksNobodyElse(t *testing.T) {
+func TestQueuedRegulatedRequestsDoNotBlockOthers(t *testing.T) {
 	b := newHarness(Settings{})
 	b.addEndpoints("e1", "e2")
 	var certified []string
 	for i := range 3 * maxFailedPlacements {
-		w := regulated("held"+string(rune('a'+i)), &certified)
+		w := regulated("queued"+string(rune('a'+i)), &certified)
 		w.Bulk = true
 		b.submit(w)
 		u := regulated("int"+string(rune('a'+i)), &certified)
@@ -100,26 +100,26 @@
 	b.submit(&Request{ID: "plain"})
 	b.submit(&Request{ID: "bulk", Bulk: true})
 	if b.runs["plain"] == nil || b.runs["bulk"] == nil {
-		t.Errorf("%q: they wait for what is of no use to them", b.decisions)
+		t.Errorf("%q: requests without a regime wait behind regulated ones", b.decisions)
 	}
 	b.decisions = nil
 	b.c.endRun(b.runs["plain"], Served, Load{})
 	b.c.endRun(b.runs["bulk"], Served, Load{})
-	// Fill all, hold another plain one, and see that it goes when a place comes free, past those that are held.
+	// When all slots are in use and one becomes free, a queued request without a regime gets it, ahead of the regulated ones.
 	b.runs = map[string]*run{}
 	for i := range 20 {
 		b.submit(&Request{ID: "f" + string(rune('a'+i)), Bulk: true})
 	}
 	ran := len(b.runs)
 	if ran == 20 {
-		t.Fatal("nothing waits")
+		t.Fatal("none of the 20 requests is queued")
 	}
 	for _, r := range b.runs {
 		b.c.endRun(r, Served, Load{})
 		break
 	}
 	if len(b.runs) != ran+1 {
-		t.Error("a place came free, and none of those that wait for any endpoint got it")
+		t.Error("a slot became free, but no queued request without a regime got it")
 	}
 }
 
@@ -127,7 +127,7 @@
 	b := newHarness(Settings{})
 	b.addEndpoints("e1", "e2", "e3", "e4", "e5", "e6")
 	certified := []string{"e2", "e5"}
-	homes := map[string]int{}
+	grants := map[string]int{}
 	for i := range 40 {
 		r := prompt(7, uint64(i))
 		r.ID, r.Regime, r.Certified = "h", "r", func(e string) bool { return slices.Contains(certified, e) }
@@ -135,12 +135,12 @@
 		if w.granted == nil {
 			t.Fatal("not granted")
 		}
-		homes[w.granted.target.ID]++
+		grants[w.granted.target.ID]++
 		b.c.endRun(w.granted, Served, Load{})
 		b.pass(100 * time.Millisecond)
 	}
-	if homes["e2"]+homes["e5"] != 40 || max(homes["e2"], homes["e5"]) < 36 {
-		t.Errorf("%v", homes)
+	if grants["e2"]+grants["e5"] != 40 || max(grants["e2"], grants["e5"]) < 36 {
+		t.Errorf("%v", grants)
 	}
 }
 
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	if time.Now().Before(begin) {
-		t.Error("granted before it counted")
+		t.Error("granted before the certificate was valid")
 	}
 	g.End(Served, Load{})
 	_, err = d.Acquire(ctx, &Request{Service: "s", Route: &operatorconfig.Route{LatencyTargetMs: 100}, Arrived: time.Now(), Deadline: time.Now().Add(time.Second),
--- a/internal/proxy/dispatch/dispatcher_test.go
+++ b/internal/proxy/dispatch/dispatcher_test.go
@@ -32,13 +32,13 @@
 	}
 	g.FirstToken(Load{Running: 1, Slots: 2, Known: true})
 	g.End(Served, Load{})
-	g.End(Served, Load{}) // once more has no effect
+	g.End(Served, Load{}) // a second call has no effect
 	if n := len(d.core.endpoints["e1"].running); n != 0 {
-		t.Errorf("%d still run", n)
+		t.Errorf("%d runs have not ended", n)
 	}
 }
 
-func TestAcquireLeavesTheQueueWithItsContext(t *testing.T) {
+func TestCanceledAcquireLeavesTheQueue(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -54,7 +54,7 @@
 		t.Errorf("%v", err)
 	}
 	if d.core.queued != 0 {
-		t.Error("it is still held")
+		t.Error("the request is still queued")
 	}
 }
 
@@ -93,11 +93,11 @@
 		t.Errorf("%v", err)
 	}
 	if _, err := d.Acquire(context.Background(), r); !errors.As(err, &refused) {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("after Close: %v", err)
 	}
 }
 
-// TestConcurrentAcquires lets many ask at once, for the race detector.
+// TestConcurrentAcquires acquires from many goroutines at once, for the race detector.
 func TestConcurrentAcquires(t *testing.T) {
 	d := New(Options{Zone: "a"})
 	defer d.Close()
@@ -127,11 +127,11 @@
 	all.Wait()
 	for id, e := range d.core.endpoints {
 		if len(e.running) != 0 {
-			t.Errorf("%d run at %s", len(e.running), id)
+			t.Errorf("%d runs have not ended at %s", len(e.running), id)
 		}
 	}
 	if d.core.queued != 0 {
-		t.Errorf("%d are held", d.core.queued)
+		t.Errorf("%d requests are still queued", d.core.queued)
 	}
 }
 
--- a/internal/proxy/dispatch/estimate_test.go
+++ b/internal/proxy/dispatch/estimate_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// slowStart plays a sender that starts while its endpoints are full of what others held back: the first words take seconds, and the
-// endpoints, once heard, tell that nobody waits any more.
-func slowStart(b *harness, endpoints int) {
+// startDuringOverload plays the start of a sender while the endpoints work off requests that other senders had queued: the first tokens take
+// seconds, and the load reports that come with them show no waiting requests any more.
+func startDuringOverload(b *harness, endpoints int) {
 	for i := range endpoints {
 		b.addEndpoints(fmt.Sprintf("e%d", i))
 	}
@@ -27,18 +27,19 @@
 	}
 }
 
-// What was measured in a queue does not make a sender refuse all that comes when the queue is gone.
+// Guards against estimates that stay too high: times to the first token that are measured while endpoints have long queues must not
+// make a sender refuse all requests after the queues are empty.
 func TestEstimatesRecoverAfterOverload(t *testing.T) {
 	b := newHarness(Settings{})
 	b.snap.Proxies = 20
-	slowStart(b, 6)
+	startDuringOverload(b, 6)
 	var all []*waiter
-	for i := range 200 { // 10 s of one request in 50 ms, each answered in 20
+	for i := range 200 { // 10 s of one request every 50 ms, each answered in 20 ms
 		id := fmt.Sprint("later", i)
 		all = append(all, b.submit(&Request{ID: id, TokensIn: 700}))
 		b.pass(20 * time.Millisecond)
 		if r := b.runs[id]; r != nil {
-			b.c.recordFirstToken(r, Load{Running: 4, Waiting: 1, Slots: 4, Known: true}) // full of what may wait, but quick
+			b.c.recordFirstToken(r, Load{Running: 4, Waiting: 1, Slots: 4, Known: true}) // full of requests that may wait, but fast
 			b.c.endRun(r, Served, Load{})
 		}
 		b.pass(30 * time.Millisecond)
@@ -55,18 +56,18 @@
 	}
 }
 
-// Where all would be refused by an estimate, one request in a while tests it.
-func TestStaleEstimateRefusesNobody(t *testing.T) {
+// An estimate that refuses all requests is ignored once it is stale, so that a request can test it.
+func TestStaleEstimateRefusesNoRequest(t *testing.T) {
 	b := newHarness(Settings{})
 	b.addEndpoints("e1")
-	b.c.pool("s").firstTokenFit = linearFit{weight: 100, sumX: 100, sumY: 100 * 8000, sumXX: 200, sumXY: 100 * 8000} // 8 s to the first word
+	b.c.pool("s").firstTokenFit = linearFit{weight: 100, sumX: 100, sumY: 100 * 8000, sumXX: 200, sumXY: 100 * 8000} // 8 s to the first token
 	b.c.pool("s").lastFirstToken = b.c.now
 	if w := b.submit(&Request{ID: "at once"}); w.granted != nil {
 		t.Fatal("granted, though its answer is expected after its deadline")
 	}
 	b.pass(b.c.settings.MaxEstimateAge + time.Millisecond)
 	if w := b.submit(&Request{ID: "later"}); w.granted == nil {
-		t.Error("not granted because of an estimate that is old")
+		t.Error("not granted because of a stale estimate")
 	}
 }
 
@@ -78,7 +79,7 @@
 	if base, slope := l.fit(); base+700*slope > 40 {
 		t.Errorf("%.0f ms are expected for 700 tokens after three outliers", base+700*slope)
 	}
-	for range 400 { // what lasts is learnt
+	for range 400 { // a lasting change is learned
 		l.addBounded(700, 300)
 		l.addBounded(1400, 320)
 	}
--- a/internal/proxy/dispatch/fleet_simulation_test.go
+++ b/internal/proxy/dispatch/fleet_simulation_test.go
@@ -12,21 +12,21 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// fleetSimulation plays many senders before the endpoints of one service in steps of a ms, with what the worlds of world_test.go leave out: zones
-// and their delay, prompts and answers of drawn sizes, prompts that are read in pieces between the tokens of others, so that a long
-// prompt holds up the streams beside it, pauses that make an answer late, and endpoints of different speed.
+// fleetSimulation simulates many senders and the endpoints of one service in steps of 1 ms. Unlike simulation, it has zones with a delay
+// between them, random sizes of prompts and answers, chunked prefill, in which a long prompt delays the streams of other requests, pauses
+// that make an answer late, and endpoints of different speeds.
 type fleetSimulation struct {
 	layout fleetLayout
 	rng    *rand.Rand
 	now    time.Duration
 	ids    uint64
 
-	senders   []*fleetSender
-	endpoints []*fleetEndpoint
-	byID      map[string]*fleetEndpoint
-	kinds     []*requestKind
-	mail      map[time.Duration][]func() // what arrives at a ms
-	counted   time.Duration              // requests count that came later
+	senders     []*fleetSender
+	endpoints   []*fleetEndpoint
+	byID        map[string]*fleetEndpoint
+	kinds       []*requestKind
+	scheduled   map[time.Duration][]func() // calls by the ms at which they are due
+	countedFrom time.Duration              // only requests that were submitted later are counted
 }
 
 // fleetLayout is the shape of a fleet.
@@ -36,47 +36,47 @@
 	cacheTokens               int64
 	maxConns                  int
 	stepMs, stepPerSlotMs     float64 // a step gives each running request one token
-	readPerMs                 float64 // tokens of prompts
-	chunk                     float64 // tokens of prompts that are read in one step at most
+	prefillPerMs              float64 // prompt tokens that are prefilled in a ms
+	prefillChunk              float64 // maximal prompt tokens that are prefilled in one step
 	speeds                    []float64
 	tokensPerEvent            float64
 	zoneDelay                 time.Duration
-	tellsLoad                 bool
-	tellsLate                 time.Duration // how old the loads are that endpoints tell
+	reportsLoad               bool
+	reportAge                 time.Duration // age of the loads that endpoints report
 	settings                  Settings
 	seed                      uint64
-	oracle                    bool // senders know the true loads at each choice: the limit of what any policy could know
+	oracle                    bool // senders know the true loads at each choice: an upper bound for any policy
 }
 
-// fleetKind is a kind of requests. Sizes are drawn from log-normal distributions.
+// requestKind is a kind of requests. Sizes are drawn from log-normal distributions.
 type requestKind struct {
-	name               string
-	perSecond          float64
-	subjects           int
-	shared, own, out   fleetSize
-	aim, pause         time.Duration
-	deadline           time.Duration
-	worth, late        float64
-	bulk               bool
-	sharedOf           []int
-	acc                float64
-	asked, inAim, over int
-	lost               int
-	weight, earned     float64
-	firsts             []float64
-	pauses, reread     int
-	lateFirst          int
+	name                    string
+	perSecond               float64
+	prefixes                int
+	shared, own, out        fleetSize
+	latencyTarget, maxPause time.Duration
+	deadline                time.Duration
+	worth, lateShare        float64
+	bulk                    bool
+	sharedTokens            []int
+	pendingArrivals         float64
+	submitted, onTime, late int
+	lost                    int
+	weight, earned          float64
+	firstTokenMs            []float64
+	pauses, prefilledAgain  int
+	lateFirstTokens         int
 }
 
 // fleetSize is a distribution of sizes.
-type fleetSize struct{ mean, spread, most float64 }
+type fleetSize struct{ mean, spread, limit float64 }
 
 func (s fleetSize) draw(rng *rand.Rand) float64 {
 	if s.spread == 0 {
 		return s.mean
 	}
 	sigma := math.Sqrt(math.Log(1 + s.spread*s.spread))
-	return min(s.mean*math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2), s.most)
+	return min(s.mean*math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2), s.limit)
 }
 
 type fleetSender struct {
@@ -86,37 +86,37 @@
 
 // fleetTask is a request of a client.
 type fleetTask struct {
-	kind    *requestKind
-	request *Request
-	sender  *fleetSender
-	born    time.Duration
-	tries   int
-	waiter  *waiter
-	grant   *run
-	read    float64 // tokens that are left to read
-	left    float64 // tokens that are left to write
-	written float64
-	running bool
-	first   time.Duration
-	lastOut time.Duration
-	paused  time.Duration
+	kind         *requestKind
+	request      *Request
+	sender       *fleetSender
+	submittedAt  time.Duration
+	refusals     int
+	waiter       *waiter
+	grant        *run
+	toPrefill    float64 // tokens that are left to prefill
+	toGenerate   float64 // tokens that are left to generate
+	generated    float64
+	running      bool
+	firstTokenAt time.Duration
+	lastEventAt  time.Duration
+	longestPause time.Duration
 }
 
 type fleetEndpoint struct {
-	id       string
-	zone     int
-	speed    float64
-	tasks    []*fleetTask // in the order of their coming: the first of them run
-	cache    prefixCache
-	free     float64         // ms that the present step has left
-	loads    []Load          // of the last ms, the newest last
-	lie      func(Load) Load // what it tells in place of its load; nil: the truth
-	arrivals int
-	down     bool
+	id        string
+	zone      int
+	speed     float64
+	tasks     []*fleetTask // in the order of arrival: the first ones run
+	cache     prefixCache
+	budgetMs  float64         // ms that are left for steps
+	loads     []Load          // the loads of recent ms, the newest last
+	misreport func(Load) Load // the load report for an actual load; nil: the actual load
+	arrivals  int
+	down      bool
 }
 
 func newFleetSimulation(l fleetLayout, kinds ...*requestKind) *fleetSimulation {
-	f := &fleetSimulation{layout: l, rng: rand.New(rand.NewPCG(7, l.seed)), kinds: kinds, mail: map[time.Duration][]func(){}, byID: map[string]*fleetEndpoint{}}
+	f := &fleetSimulation{layout: l, rng: rand.New(rand.NewPCG(7, l.seed)), kinds: kinds, scheduled: map[time.Duration][]func(){}, byID: map[string]*fleetEndpoint{}}
 	for i := range l.endpoints {
 		id := fmt.Sprintf("endpoint-%03d", i)
 		e := &fleetEndpoint{id: id, zone: i % l.zones, speed: l.speeds[i/l.zones%len(l.speeds)]}
@@ -131,8 +131,8 @@
 		f.senders = append(f.senders, s)
 	}
 	for _, k := range kinds {
-		for range k.subjects {
-			k.sharedOf = append(k.sharedOf, int(k.shared.draw(f.rng)))
+		for range k.prefixes {
+			k.sharedTokens = append(k.sharedTokens, int(k.shared.draw(f.rng)))
 		}
 	}
 	return f
@@ -152,36 +152,36 @@
 
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-// after calls something later.
-func (f *fleetSimulation) after(d time.Duration, call func()) {
+// schedule queues a call for a later ms, 1 ms from now at the earliest.
+func (f *fleetSimulation) schedule(d time.Duration, call func()) {
 	at := (f.now + max(d, time.Millisecond)).Round(time.Millisecond)
-	f.mail[at] = append(f.mail[at], call)
+	f.scheduled[at] = append(f.scheduled[at], call)
 }
 
 func (f *fleetSimulation) submit(k *requestKind) {
 	f.ids++
-	subject := f.rng.IntN(k.subjects)
+	subject := f.rng.IntN(k.prefixes)
 	own := max(1, int(k.own.draw(f.rng)))
-	in := k.sharedOf[subject] + own
+	in := k.sharedTokens[subject] + own
 	out := int(math.Ceil(k.out.draw(f.rng) * f.layout.tokensPerEvent))
-	t := &fleetTask{kind: k, sender: f.senders[f.rng.IntN(len(f.senders))], born: f.now, left: float64(out)}
+	t := &fleetTask{kind: k, sender: f.senders[f.rng.IntN(len(f.senders))], submittedAt: f.now, toGenerate: float64(out)}
 	t.request = &Request{ID: fmt.Sprint(f.ids), Service: "s", TokensIn: in, TokensOut: out, Bulk: k.bulk,
-		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: int(k.aim.Milliseconds()), MaxAttempts: 1},
-		Prefix: []PromptPart{{uint64(len(k.name))<<40 + uint64(subject), k.sharedOf[subject]}, {1<<60 + f.ids, own}}}
-	k.asked++
+		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: int(k.latencyTarget.Milliseconds()), MaxAttempts: 1},
+		Prefix: []PromptPart{{uint64(len(k.name))<<40 + uint64(subject), k.sharedTokens[subject]}, {1<<60 + f.ids, own}}}
+	k.submitted++
 	t.kind.weight += f.worthOf(t)
 	f.request(t)
 }
 
-// reveal reports to a sender the true load of each endpoint.
-func (f *fleetSimulation) reveal(c *core) {
+// revealLoads sets the load estimates of a sender to the true loads of the endpoints.
+func (f *fleetSimulation) revealLoads(c *core) {
 	for id, e := range c.endpoints {
 		e.otherLoad = max(0, float64(len(f.byID[id].tasks)-len(e.running)))
 		e.loadReportedAt, e.loadReported = f.now, true
 	}
 }
 
-// worthOf is what a request in time earns: larger ones earn more.
+// worthOf returns the worth of a request that is served in time, which grows with its size.
 func (f *fleetSimulation) worthOf(t *fleetTask) float64 {
 	k := t.kind
 	mean := k.shared.mean + k.own.mean + 10*k.out.mean*f.layout.tokensPerEvent
@@ -193,23 +193,23 @@
 	c := t.sender.core
 	c.now = f.now
 	f.ids++
-	w := &waiter{request: t.request, sequence: f.ids, deadline: t.born + t.kind.deadline, due: t.born + t.kind.aim}
+	w := &waiter{request: t.request, sequence: f.ids, deadline: t.submittedAt + t.kind.deadline, due: t.submittedAt + t.kind.latencyTarget}
 	c.setTimes(w, f.now, w.due, w.deadline)
 	if f.layout.oracle {
-		f.reveal(c)
+		f.revealLoads(c)
 	}
 	w.decided = func(w *waiter) {
 		if w.refused == nil {
 			t.grant = w.granted
 			e := f.byID[w.granted.target.ID]
-			f.after(f.delay(t.sender, e), func() { f.arrive(t, e) })
+			f.schedule(f.delay(t.sender, e), func() { f.arrive(t, e) })
 			return
 		}
-		if t.tries++; t.tries > 1 {
+		if t.refusals++; t.refusals > 1 {
 			f.recordLost(t)
 			return
 		}
-		f.after(w.refused.RetryAfter, func() {
+		f.schedule(w.refused.RetryAfter, func() {
 			t.sender = f.senders[f.rng.IntN(len(f.senders))]
 			f.request(t)
 		})
@@ -228,7 +228,7 @@
 func (f *fleetSimulation) arrive(t *fleetTask, e *fleetEndpoint) {
 	if len(e.tasks) >= 4*f.layout.slots {
 		load := f.reportedLoad(e)
-		f.after(f.delay(t.sender, e), func() {
+		f.schedule(f.delay(t.sender, e), func() {
 			c := t.sender.core
 			c.now = f.now
 			c.endRun(t.grant, NotRun, load)
@@ -245,17 +245,17 @@
 	e.tasks = append(e.tasks, t)
 }
 
-// told is the load that an endpoint tells.
+// reportedLoad returns the load that an endpoint reports.
 func (f *fleetSimulation) reportedLoad(e *fleetEndpoint) Load {
-	if !f.layout.tellsLoad {
+	if !f.layout.reportsLoad {
 		return Load{}
 	}
 	load := f.loadOf(e)
 	if len(e.loads) > 0 {
 		load = e.loads[0]
 	}
-	if e.lie != nil {
-		load = e.lie(load)
+	if e.misreport != nil {
+		load = e.misreport(load)
 	}
 	return load
 }
@@ -269,20 +269,20 @@
 	for end := f.now + d; f.now < end; {
 		f.now += time.Millisecond
 		for _, k := range f.kinds {
-			for k.acc += k.perSecond / 1000; k.acc > 0 && f.rng.Float64() < k.acc; k.acc-- {
+			for k.pendingArrivals += k.perSecond / 1000; k.pendingArrivals > 0 && f.rng.Float64() < k.pendingArrivals; k.pendingArrivals-- {
 				f.submit(k)
 			}
 		}
-		arrived := f.mail[f.now]
-		delete(f.mail, f.now)
+		arrived := f.scheduled[f.now]
+		delete(f.scheduled, f.now)
 		for _, call := range arrived {
 			call()
 		}
 		for _, e := range f.endpoints {
 			f.run(e)
-			if f.layout.tellsLate > 0 {
+			if f.layout.reportAge > 0 {
 				e.loads = append(e.loads, f.loadOf(e))
-				if len(e.loads) > int(f.layout.tellsLate/time.Millisecond) {
+				if len(e.loads) > int(f.layout.reportAge/time.Millisecond) {
 					e.loads = e.loads[1:]
 				}
 			}
@@ -296,37 +296,37 @@
 	}
 }
 
-// run plays a ms of an endpoint: as many steps as fit into it.
+// run simulates an endpoint for 1 ms, with as many steps as fit into it.
 func (f *fleetSimulation) run(e *fleetEndpoint) {
 	if e.down {
 		return
 	}
-	e.free++
-	for e.free > 0 {
+	e.budgetMs++
+	for e.budgetMs > 0 {
 		n := min(len(e.tasks), f.layout.slots)
 		if n == 0 {
-			e.free = 0
+			e.budgetMs = 0
 			return
 		}
-		budget := f.layout.chunk
+		budget := f.layout.prefillChunk
 		var done []*fleetTask
 		for _, t := range e.tasks[:n] {
 			if !t.running {
-				f.begin(e, t)
+				f.startPrefill(e, t)
 			}
-			if t.read > 0 {
-				now := min(budget, t.read)
-				t.read -= now
+			if t.toPrefill > 0 {
+				now := min(budget, t.toPrefill)
+				t.toPrefill -= now
 				budget -= now
-				if t.read > 0 {
+				if t.toPrefill > 0 {
 					continue
 				}
 			}
-			if f.write(e, t); t.left <= 0 {
+			if f.generateToken(e, t); t.toGenerate <= 0 {
 				done = append(done, t)
 			}
 		}
-		e.free -= (f.layout.stepMs + f.layout.stepPerSlotMs*float64(n) + (f.layout.chunk-budget)/f.layout.readPerMs) * e.speed
+		e.budgetMs -= (f.layout.stepMs + f.layout.stepPerSlotMs*float64(n) + (f.layout.prefillChunk-budget)/f.layout.prefillPerMs) * e.speed
 		for _, t := range done {
 			e.tasks = slices.DeleteFunc(e.tasks, func(o *fleetTask) bool { return o == t })
 			f.finish(e, t)
@@ -334,90 +334,90 @@
 	}
 }
 
-func (f *fleetSimulation) begin(e *fleetEndpoint, t *fleetTask) {
+func (f *fleetSimulation) startPrefill(e *fleetEndpoint, t *fleetTask) {
 	t.running = true
 	chains := hashPrefixes(t.request.Model, t.request.Prefix)
-	t.read = float64(t.request.TokensIn)
+	t.toPrefill = float64(t.request.TokensIn)
 	kept := e.cache.cachedParts(chains, f.now, maxCacheLifetime)
 	for _, part := range t.request.Prefix[:kept] {
-		t.read -= float64(part.Tokens)
+		t.toPrefill -= float64(part.Tokens)
 	}
 	if kept == 0 {
-		t.kind.reread += t.request.Prefix[0].Tokens
+		t.kind.prefilledAgain += t.request.Prefix[0].Tokens
 	}
 	e.cache.recordPrompt(f.now, chains, t.request.Prefix, 1, f.layout.cacheTokens, 1<<20)
 }
 
-// write gives a request its next token. The client sees whole events.
-func (f *fleetSimulation) write(e *fleetEndpoint, t *fleetTask) {
-	t.left--
-	t.written++
-	if t.first == 0 {
-		t.first, t.lastOut = f.now, f.now
+// generateToken generates the next token of a request. The client receives tokens in events of several tokens.
+func (f *fleetSimulation) generateToken(e *fleetEndpoint, t *fleetTask) {
+	t.toGenerate--
+	t.generated++
+	if t.firstTokenAt == 0 {
+		t.firstTokenAt, t.lastEventAt = f.now, f.now
 		load := f.reportedLoad(e)
-		f.after(f.delay(t.sender, e), func() {
+		f.schedule(f.delay(t.sender, e), func() {
 			t.sender.core.now = f.now
 			t.sender.core.recordFirstToken(t.grant, load)
 		})
 		return
 	}
-	if math.Mod(t.written, f.layout.tokensPerEvent) < 1 {
-		t.paused = max(t.paused, f.now-t.lastOut)
-		t.lastOut = f.now
+	if math.Mod(t.generated, f.layout.tokensPerEvent) < 1 {
+		t.longestPause = max(t.longestPause, f.now-t.lastEventAt)
+		t.lastEventAt = f.now
 	}
 }
 
 func (f *fleetSimulation) finish(e *fleetEndpoint, t *fleetTask) {
 	f.count(t)
-	f.after(f.delay(t.sender, e), func() {
+	f.schedule(f.delay(t.sender, e), func() {
 		t.sender.core.now = f.now
 		t.sender.core.endRun(t.grant, Served, Load{})
 	})
 }
 
-// count takes the end of a request into the account.
+// count records the end of a request that was served.
 func (f *fleetSimulation) count(t *fleetTask) {
-	if t.born <= f.counted {
+	if t.submittedAt <= f.countedFrom {
 		return
 	}
 	k := t.kind
-	took := t.first - t.born
+	took := t.firstTokenAt - t.submittedAt
 	if k.bulk {
-		took = f.now - t.born
+		took = f.now - t.submittedAt
 	}
-	k.firsts = append(k.firsts, float64(took)/float64(time.Millisecond))
+	k.firstTokenMs = append(k.firstTokenMs, float64(took)/float64(time.Millisecond))
 	switch {
-	case took > k.aim:
-		k.over++
-		k.lateFirst++
-		k.earned += f.worthOf(t) * k.late
-	case !k.bulk && t.paused > k.pause:
-		k.over++
+	case took > k.latencyTarget:
+		k.late++
+		k.lateFirstTokens++
+		k.earned += f.worthOf(t) * k.lateShare
+	case !k.bulk && t.longestPause > k.maxPause:
+		k.late++
 		k.pauses++
-		k.earned += f.worthOf(t) * k.late
+		k.earned += f.worthOf(t) * k.lateShare
 	default:
-		k.inAim++
+		k.onTime++
 		k.earned += f.worthOf(t)
 	}
 }
 
-// recordLost takes a request into the account that is never served.
+// recordLost counts a request that is never served.
 func (f *fleetSimulation) recordLost(t *fleetTask) {
-	if t.born > f.counted {
+	if t.submittedAt > f.countedFrom {
 		t.kind.lost++
 	}
 }
 
-// resetCounts begins the account anew.
+// resetCounts resets all counts.
 func (f *fleetSimulation) resetCounts() {
-	f.counted = f.now
+	f.countedFrom = f.now
 	for _, k := range f.kinds {
-		k.asked, k.inAim, k.over, k.lost, k.pauses, k.lateFirst, k.reread = 0, 0, 0, 0, 0, 0, 0
-		k.weight, k.earned, k.firsts = 0, 0, nil
+		k.submitted, k.onTime, k.late, k.lost, k.pauses, k.lateFirstTokens, k.prefilledAgain = 0, 0, 0, 0, 0, 0, 0
+		k.weight, k.earned, k.firstTokenMs = 0, 0, nil
 	}
 }
 
-// worth is the share of what was owed that was earned.
+// worth is the earned share of the worth of all requests.
 func (f *fleetSimulation) worth() float64 {
 	earned, owed := 0.0, 0.0
 	for _, k := range f.kinds {
@@ -430,16 +430,16 @@
 func (f *fleetSimulation) report(t *testing.T) {
 	t.Helper()
 	for _, k := range f.kinds {
-		slices.Sort(k.firsts)
-		q := func(share float64) float64 { return quantile(k.firsts, share) }
-		t.Logf("%-9s %6d asked, worth %.3f; late %.4f by the first word, %.4f by a pause; lost %.4f; %8d tokens read anew; p50 %.0f p90 %.0f p99 %.0f",
-			k.name, k.asked, k.earned/k.weight, float64(k.lateFirst)/float64(k.asked), float64(k.pauses)/float64(k.asked),
-			float64(k.lost)/float64(k.asked), k.reread, q(0.5), q(0.9), q(0.99))
+		slices.Sort(k.firstTokenMs)
+		q := func(share float64) float64 { return quantile(k.firstTokenMs, share) }
+		t.Logf("%-9s %6d submitted, worth %.3f; late %.4f by the first token, %.4f by a pause; lost %.4f; %8d tokens prefilled again; p50 %.0f p90 %.0f p99 %.0f ms",
+			k.name, k.submitted, k.earned/k.weight, float64(k.lateFirstTokens)/float64(k.submitted), float64(k.pauses)/float64(k.submitted),
+			float64(k.lost)/float64(k.submitted), k.prefilledAgain, q(0.5), q(0.9), q(0.99))
 	}
 	running, most := 0, 0
 	for _, e := range f.endpoints {
 		running += len(e.tasks)
 		most = max(most, len(e.tasks))
 	}
-	t.Logf("worth %.4f; %d at the endpoints, %d at the fullest", f.worth(), running, most)
+	t.Logf("worth %.4f; %d requests at the endpoints, %d at the most loaded", f.worth(), running, most)
 }
--- a/internal/proxy/dispatch/harness_test.go
+++ b/internal/proxy/dispatch/harness_test.go
@@ -15,7 +15,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// harness steps a core by hand.
+// harness drives a core with a manual clock.
 type harness struct {
 	c         *core
 	snap      *snapshot.Snapshot
@@ -40,7 +40,7 @@
 	b.c.applySnapshot(b.snap)
 }
 
-// submit steps a request in. Without Arrived, Deadline and Due of its own it has 4 s, with an aim of 400 ms.
+// submit admits a request that is due after 400 ms, or 10 s for bulk, and has a deadline of 4 s.
 func (b *harness) submit(r *Request) *waiter {
 	b.seq++
 	if r.Service == "" {
@@ -74,7 +74,7 @@
 var outcomes = map[string]Outcome{"served": Served, "notrun": NotRun, "wrong": Misdirected, "failed": Failed,
 	"broken": Broken, "silent": TimedOut, "left": Canceled, "unsent": NotSent}
 
-// TestStepped plays the tables of testdata.
+// TestStepped runs the command files of testdata.
 func TestStepped(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		t.Helper()
@@ -82,9 +82,9 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			t.Helper()
 			b = b.play(t, d)
-			said := strings.Join(b.decisions, "\n")
+			output := strings.Join(b.decisions, "\n")
 			b.decisions = nil
-			return said
+			return output
 		})
 	})
 }
@@ -106,7 +106,7 @@
 		b.c.applySnapshot(b.snap)
 	case "ask":
 		b.playSubmit(c)
-	case "deadline": // moves that of one in the hold
+	case "deadline": // changes the deadline of a queued request
 		w := b.waiters[d.CmdArgs[0].Key]
 		p := b.c.pool("s")
 		p.queue = slices.DeleteFunc(p.queue, func(o *waiter) bool { return o == w })
@@ -126,7 +126,7 @@
 	return b
 }
 
-// command is one command of a test file.
+// command is one command of a file in testdata.
 type command struct {
 	t *testing.T
 	*datadriven.TestData
@@ -175,7 +175,7 @@
 	b.c.applySnapshot(b.snap)
 }
 
-// playAsk asks for each request that the command names.
+// playSubmit submits each request that the command names.
 func (b *harness) playSubmit(c command) {
 	for _, a := range c.CmdArgs {
 		if len(a.Vals) > 0 {
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// undecided is a regulated request on which nothing has been decided.
+// undecided returns a regulated request that is neither granted nor refused.
 func undecided(b *harness, certified *[]string) *waiter {
 	request := regulated("q", certified)
 	request.Service = "s"
@@ -60,7 +60,7 @@
 			invarianttest.Violates(t, "requests_are_granted_ready_endpoints", func() { checkGrant(w, e) })
 		}
 	}
-	// What an earlier choice found does not count for a later one.
+	// Certificates seen at an earlier choice do not count for a later one.
 	certified = []string{"e1"}
 	if later := b.c.choose(p, w); later == nil || later.endpoint.target.ID != "e1" {
 		t.Fatalf("chosen: %+v", later)
--- a/internal/proxy/dispatch/load_test.go
+++ b/internal/proxy/dispatch/load_test.go
@@ -8,8 +8,8 @@
 	"dunetide/internal/control/operatorconfig"
 )
 
-// lies are loads that an endpoint may tell whatever it has.
-var lies = map[string]func(Load) Load{
+// misreports are wrong load reports, by the correct one.
+var misreports = map[string]func(Load) Load{
 	"no slots":               func(Load) Load { return Load{Known: true} },
 	"huge slots, idle":       func(Load) Load { return Load{Slots: math.MaxInt32, Known: true} },
 	"huge load":              func(Load) Load { return Load{Running: math.MaxInt32, Waiting: math.MaxInt32, Slots: 12, Known: true} },
@@ -21,17 +21,17 @@
 	"one slot, many waiting": func(Load) Load { return Load{Running: 1, Waiting: 10_000, Slots: 1, Known: true} },
 }
 
-// An endpoint that lies about its load neither draws much more than its part nor starves those beside it.
+// An endpoint with wrong load reports neither attracts much more than its share of requests nor starves the other endpoints.
 func TestImplausibleLoadReports(t *testing.T) {
 	layout := wideLayout()
 	layout.senders, layout.endpoints = 12, 15
 	kinds := func() []*requestKind { return mixture(70, 15, 30) }
 	honest := newFleetSimulation(layout, kinds()...)
 	honest.play(6 * time.Second)
-	for name, lie := range lies {
+	for name, misreport := range misreports {
 		t.Run(name, func(t *testing.T) {
 			f := newFleetSimulation(layout, kinds()...)
-			f.endpoints[0].lie = lie
+			f.endpoints[0].misreport = misreport
 			f.play(6 * time.Second)
 			f.report(t)
 			mean := 0.0
@@ -39,10 +39,10 @@
 				mean += float64(e.arrivals) / float64(len(f.endpoints))
 			}
 			if n := float64(f.endpoints[0].arrivals); n > 3*mean {
-				t.Errorf("the endpoint that lies got %.0f requests, %.0f is the mean", n, mean)
+				t.Errorf("the endpoint with wrong load reports got %.0f requests, the mean is %.0f", n, mean)
 			}
 			if f.worth() < honest.worth()-0.03 {
-				t.Errorf("worth %.3f, %.3f where nobody lies", f.worth(), honest.worth())
+				t.Errorf("worth %.3f, want about %.3f as with correct load reports", f.worth(), honest.worth())
 			}
 			lost := 0
 			for _, k := range f.kinds {
@@ -55,7 +55,7 @@
 	}
 }
 
-// A capacity that is announced with a heartbeat is believed within bounds, too.
+// A capacity that is announced with a heartbeat is also accepted within bounds only.
 func TestImplausibleCapacities(t *testing.T) {
 	for _, capacity := range []int{-5, 0, 1 << 30} {
 		b := newHarness(Settings{})
--- a/internal/proxy/dispatch/placement_test.go
+++ b/internal/proxy/dispatch/placement_test.go
@@ -12,24 +12,24 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// offerToLimited offers 30 requests a second to an endpoint that accepts so many and rejects the others.
+// offerToLimited submits 30 requests a second to an endpoint that accepts perSecond of them a second and rejects the others.
 func (b *harness) offerToLimited(t *testing.T, perSecond int, d time.Duration) (refusals, served int) {
 	t.Helper()
-	var taken []time.Duration
+	var accepted []time.Duration
 	const offeredPerSecond = 30
 	gap := time.Second / offeredPerSecond
 	for end := b.c.now + d; b.c.now < end; {
 		b.submit(&Request{ID: fmt.Sprint(b.seq)})
-		for id, r := range b.runs { // also those that were held
+		for id, r := range b.runs { // also those that were queued
 			delete(b.runs, id)
-			for len(taken) > 0 && b.c.now-taken[0] >= time.Second {
-				taken = taken[1:]
+			for len(accepted) > 0 && b.c.now-accepted[0] >= time.Second {
+				accepted = accepted[1:]
 			}
-			if len(taken) >= perSecond {
+			if len(accepted) >= perSecond {
 				refusals++
 				b.c.endRun(r, NotRun, Load{})
 			} else {
-				taken = append(taken, b.c.now)
+				accepted = append(accepted, b.c.now)
 				served++
 				b.c.endRun(r, Served, Load{})
 			}
@@ -44,21 +44,21 @@
 	b.addEndpoints("e1")
 	refusals, _ := b.offerToLimited(t, 1000, 10*time.Second)
 	if refusals != 0 || !math.IsInf(b.firstEndpoint().rateLimit, 1) {
-		t.Fatalf("%d refusals, slice %v, before there was a limit", refusals, b.firstEndpoint().rateLimit)
+		t.Fatalf("%d refusals and rate limit %v, though the endpoint has no limit", refusals, b.firstEndpoint().rateLimit)
 	}
 	b.offerToLimited(t, 20, 10*time.Second)
-	first, _ := b.offerToLimited(t, 10, 5*time.Second) // the limit is halved
+	first, _ := b.offerToLimited(t, 10, 5*time.Second) // the endpoint's limit is halved
 	later, served := b.offerToLimited(t, 10, 5*time.Second)
-	t.Logf("%d refusals in the narrow window after the limit was halved, %d in the next, %d served", first, later, served)
-	if first > 30 || later > 20 || served < 45 { // of 150 that are offered, 50 fit
+	t.Logf("%d refusals in the short window after the limit was halved, %d in the next, %d served", first, later, served)
+	if first > 30 || later > 20 || served < 45 { // the endpoint accepts 50 of 150
 		t.Errorf("%d refusals after the limit was halved, then %d, with %d served", first, later, served)
 	}
-	refusals, served = b.offerToLimited(t, 1000, 3*time.Second) // the limit is gone: so is the slice, soon
+	refusals, served = b.offerToLimited(t, 1000, 3*time.Second) // without a limit of the endpoint, the rate limit is soon lifted
 	if refusals > 0 || served < 60 {
 		t.Errorf("recovering: %d refusals, %d of 90 served", refusals, served)
 	}
 	if _, served := b.offerToLimited(t, 1000, 2*time.Second); served < 58 {
-		t.Errorf("three seconds later %d of 60 are served", served)
+		t.Errorf("three seconds later: %d of 60 served", served)
 	}
 }
 
@@ -86,7 +86,7 @@
 		b.c.endRun(b.runs[fmt.Sprint(i)], NotRun, Load{})
 	}
 	if s := b.firstEndpoint().rateLimit; s != 8 {
-		t.Errorf("slice %v, want the count at the first refusal, 8", s)
+		t.Errorf("rate limit %v, want the count at the first refusal, 8", s)
 	}
 }
 
@@ -100,7 +100,7 @@
 	b.snap.Proxies = 2
 	b.c.applySnapshot(b.snap)
 	if s := b.firstEndpoint().rateLimit; s != 4 {
-		t.Errorf("slice %v of two senders, want 4", s)
+		t.Errorf("rate limit %v with two senders, want 4", s)
 	}
 }
 
@@ -113,22 +113,22 @@
 	b.pass(100 * time.Millisecond)
 	b.c.recordFirstToken(b.runs["1"], Load{Running: 1, Slots: 4, Known: true})
 	if !math.IsInf(b.firstEndpoint().rateLimit, 1) {
-		t.Error("still bound though three of four slots are free")
+		t.Error("still limited, though three of four slots are free")
 	}
 }
 
-func prompt(subject uint64, own uint64) *Request {
-	return &Request{ID: fmt.Sprint(subject, "/", own), TokensIn: 17000,
-		Prefix: []PromptPart{{subject, 13300}, {1<<32 + own, 3700}}}
+func prompt(sharedPrefix uint64, own uint64) *Request {
+	return &Request{ID: fmt.Sprint(sharedPrefix, "/", own), TokensIn: 17000,
+		Prefix: []PromptPart{{sharedPrefix, 13300}, {1<<32 + own, 3700}}}
 }
 
-// subjects is the number of shared prefixes in the tests of preferred endpoints.
-const subjects = 60
+// sharedPrefixes is the number of shared prefixes in the tests of preferred endpoints.
+const sharedPrefixes = 60
 
-// placements submits one request on each subject and returns where it went.
+// placements submits one request for each shared prefix and returns the endpoints that were granted.
 func (b *harness) placements(round uint64) map[int]string {
 	out := map[int]string{}
-	for i := range subjects {
+	for i := range sharedPrefixes {
 		w := b.submit(prompt(uint64(i+1), round<<16+uint64(i)))
 		out[i] = w.granted.target.ID
 		b.pass(5*time.Millisecond + time.Duration(w.granted.prefillTokens/130*float64(time.Millisecond)))
@@ -158,19 +158,19 @@
 	other.c.random = rand.New(rand.NewPCG(7, 8)).Float64
 	b.addEndpoints(ids...)
 	other.addEndpoints(ids...)
-	was := b.placements(1)
-	if n := moved(was, b.placements(2)); n != 0 {
-		t.Errorf("%d of %d subjects moved for no reason", n, subjects)
+	before := b.placements(1)
+	if n := moved(before, b.placements(2)); n != 0 {
+		t.Errorf("%d of %d shared prefixes moved without a change of endpoints", n, sharedPrefixes)
 	}
-	if n := moved(was, other.placements(3)); n > subjects/20 {
-		t.Errorf("another sender has other homes for %d of %d subjects", n, subjects)
+	if n := moved(before, other.placements(3)); n > sharedPrefixes/20 {
+		t.Errorf("another sender has other preferred endpoints for %d of %d shared prefixes", n, sharedPrefixes)
 	}
 	b.snap.Endpoints["s"] = b.snap.Endpoints["s"][1:] // e0 leaves
 	b.c.applySnapshot(b.snap)
 	now := b.placements(4)
-	for i, home := range was {
-		if home != "e0" && now[i] != home {
-			t.Errorf("subject %d went from %s to %s though e0 left", i, home, now[i])
+	for i, endpoint := range before {
+		if endpoint != "e0" && now[i] != endpoint {
+			t.Errorf("shared prefix %d moved from %s to %s, though only e0 left", i, endpoint, now[i])
 		}
 	}
 }
@@ -178,22 +178,22 @@
 func TestFullPreferredEndpointIsAvoided(t *testing.T) {
 	b := newHarness(Settings{})
 	b.addEndpoints("e1", "e2", "e3")
-	places := map[string]int{}
+	requestsAt := map[string]int{}
 	for i := range 12 {
 		w := b.submit(prompt(1, uint64(i)))
 		if w.granted == nil {
-			t.Fatalf("request %d was not let through", i)
+			t.Fatalf("request %d was not granted", i)
 		}
-		places[w.granted.target.ID]++
+		requestsAt[w.granted.target.ID]++
 		b.pass(time.Millisecond)
 	}
-	for id, n := range places {
+	for id, n := range requestsAt {
 		if n > 6 {
-			t.Errorf("%d of 12 are at %s", n, id)
+			t.Errorf("%d of 12 requests were sent to %s", n, id)
 		}
 	}
-	if len(places) < 3 {
-		t.Errorf("only %d endpoints are used", len(places))
+	if len(requestsAt) < 3 {
+		t.Errorf("only %d endpoints are used", len(requestsAt))
 	}
 }
 
@@ -202,30 +202,30 @@
 	add := func(most int64, parts ...PromptPart) {
 		c.recordPrompt(0, hashPrefixes("m", parts), parts, 1, most, 100)
 	}
-	kept := func(parts ...PromptPart) int { return c.cachedParts(hashPrefixes("m", parts), 0, maxCacheLifetime) }
+	cached := func(parts ...PromptPart) int { return c.cachedParts(hashPrefixes("m", parts), 0, maxCacheLifetime) }
 	a, x, y, z := PromptPart{1, 100}, PromptPart{2, 50}, PromptPart{3, 50}, PromptPart{4, 50}
 	add(250, a, x)
 	add(250, a, y)
-	if kept(a, x) != 2 || kept(a, y) != 2 || kept(a, z) != 1 || kept(x) != 0 {
-		t.Error("parts that were sent are not kept with those before them")
+	if cached(a, x) != 2 || cached(a, y) != 2 || cached(a, z) != 1 || cached(x) != 0 {
+		t.Error("a part is not cached in combination with the parts before it")
 	}
 	if c.cachedParts(hashPrefixes("n", []PromptPart{a}), 0, maxCacheLifetime) != 0 {
-		t.Error("a part is kept for another model")
+		t.Error("a part counts as cached for another model")
 	}
-	add(250, a, z) // over: the least recent gives way, and that is x
+	add(250, a, z) // exceeds the size: x is the least recently used and is evicted
 	add(250, a, PromptPart{5, 50})
-	if kept(a, x) != 1 || kept(a, z) != 2 || c.tokens > 250 {
-		t.Errorf("x %d, z %d, %d tokens", kept(a, x), kept(a, z), c.tokens)
+	if cached(a, x) != 1 || cached(a, z) != 2 || c.tokens > 250 {
+		t.Errorf("x %d, z %d, %d tokens", cached(a, x), cached(a, z), c.tokens)
 	}
 	for i := range 1000 {
 		c.recordPrompt(0, []prefixHash{prefixHash(i)}, []PromptPart{{uint64(i), 1}}, 1, 0, 100)
 	}
 	if c.byRecency.Len() != 100 || len(c.entries) != 100 {
-		t.Errorf("%d parts are remembered, want at most 100", c.byRecency.Len())
+		t.Errorf("%d parts are recorded, want 100", c.byRecency.Len())
 	}
 }
 
-func TestPrefillSpeedIsLearnt(t *testing.T) {
+func TestFitConvergesToThePrefillSpeed(t *testing.T) {
 	l := initialFit()
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 500 {
@@ -244,11 +244,11 @@
 		b.submit(&Request{ID: fmt.Sprint(i), Bulk: true})
 	}
 	if b.c.queued != 5 || len(b.c.pool("s").queue) != 5 {
-		t.Errorf("%d are held", b.c.queued)
+		t.Errorf("%d requests are queued, want 5", b.c.queued)
 	}
 }
 
-func TestRetryAfterHasMeaning(t *testing.T) {
+func TestRetryAfterIsWithinBounds(t *testing.T) {
 	b := newHarness(Settings{})
 	b.snap.Config.Services["s"].MaxConnections = 1
 	b.addEndpoints("e1")
@@ -256,13 +256,13 @@
 	w := b.submit(&Request{ID: "2"})
 	b.pass(100 * time.Millisecond)
 	if w.refused == nil {
-		t.Fatal("not refused at a quarter of its aim")
+		t.Fatal("not refused after a quarter of its latency target")
 	}
 	if d := w.refused.RetryAfter; d < 50*time.Millisecond || d > 4*time.Second/3 {
-		t.Errorf("come back in %v", d)
+		t.Errorf("retry after %v", d)
 	}
 	if n := len(b.c.pool("s").queue) + b.c.queued; n != 0 {
-		t.Errorf("%d are held still", n)
+		t.Errorf("%d requests are still queued", n)
 	}
 }
 
@@ -273,16 +273,16 @@
 	b.snap = &snapshot.Snapshot{Proxies: 1, Config: b.snap.Config}
 	b.c.applySnapshot(b.snap)
 	if b.firstEndpoint() == nil {
-		t.Error("forgotten though a request runs there")
+		t.Error("removed, though a request runs there")
 	}
 	b.c.endRun(w.granted, Served, Load{})
 	if b.firstEndpoint() != nil || len(b.c.pool("s").endpoints) != 0 {
-		t.Error("not forgotten")
+		t.Error("not removed after its last run")
 	}
 }
 
-// Homes are the endpoints with the highest scores, in their order, whatever the order in which they are listed.
-func TestPreferredEndpointsAreTheFirstOfTheCommonOrder(t *testing.T) {
+// Preferred endpoints are those with the highest scores, in the order of the scores, and do not depend on the order in the snapshot.
+func TestPreferredEndpointsAreTheHighestRanked(t *testing.T) {
 	for n := range 8 {
 		b := newHarness(Settings{})
 		for i := range n {
@@ -294,8 +294,8 @@
 			all := slices.Clone(b.c.pool("s").endpoints)
 			key := uint64(w.prefixHashes[0])
 			slices.SortFunc(all, func(x, y *endpoint) int { return cmp.Compare(mixHash(key, y.hash), mixHash(key, x.hash)) })
-			if homes := rankPreferred(b.c.pool("s"), w); !slices.Equal(homes, all[:min(n, len(preferredCacheProbability))]) {
-				t.Fatalf("%d endpoints, subject %d: other homes than the first of all", n, subject)
+			if preferred := rankPreferred(b.c.pool("s"), w); !slices.Equal(preferred, all[:min(n, len(preferredCacheProbability))]) {
+				t.Fatalf("%d endpoints, shared prefix %d: the preferred endpoints are not those with the highest scores", n, subject)
 			}
 		}
 	}
--- a/internal/proxy/dispatch/prefixcache_test.go
+++ b/internal/proxy/dispatch/prefixcache_test.go
@@ -8,9 +8,9 @@
 func TestLifetimeOfCachedParts(t *testing.T) {
 	var c prefixCache
 	if c.lifetime(0, 10, 400_000) != maxCacheLifetime || c.lifetime(0, 10, 0) != maxCacheLifetime {
-		t.Error("what nothing flows into keeps its parts for the longest time")
+		t.Error("the lifetime in a cache to which nothing is added is not maxCacheLifetime")
 	}
-	// One sender of ten brings 3,000 tokens a second: a memory of 400,000 is through in 13 s.
+	// Each of ten senders adds 3,000 tokens a second: a cache of 400,000 tokens is replaced in 13 s.
 	for now := Time(0); now < 30*time.Second; now += 100 * time.Millisecond {
 		c.tokenRate.add(now, 300)
 	}
--- a/internal/proxy/dispatch/simulation_test.go
+++ b/internal/proxy/dispatch/simulation_test.go
@@ -11,7 +11,7 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// simulation plays several senders and model endpoints in steps of a ms.
+// simulation simulates several senders and model endpoints in steps of 1 ms.
 type simulation struct {
 	rng   *rand.Rand
 	now   time.Duration
@@ -21,25 +21,25 @@
 	next  uint64
 	kinds []*simulationKind
 
-	backOff []later
+	delayed []later
 }
 
 type simulationKind struct {
-	name         string
-	perSecond    float64
-	groups       int // of shared parts
-	shared, own  int
-	out          int
-	aim          int
-	deadline     time.Duration
-	bulk         bool
-	priority     int
-	acc          float64
-	asked, inAim int
-	late, failed int
-	notRun       int
-	firsts       []float64
-	reread       int
+	name              string
+	perSecond         float64
+	groups            int // of shared parts
+	shared, own       int
+	out               int
+	latencyTargetMs   int
+	deadline          time.Duration
+	bulk              bool
+	priority          int
+	pendingArrivals   float64
+	submitted, onTime int
+	late, failed      int
+	rejected          int
+	firstTokenMs      []float64
+	prefilledAgain    int
 }
 
 type later struct {
@@ -50,35 +50,35 @@
 
 // task is a request of a client.
 type task struct {
-	kind    *simulationKind
-	r       *Request
-	born    time.Duration
-	core    int
-	tries   int
-	w       *waiter
-	toRead  float64
-	toWrite float64
-	firstAt time.Duration
-	running bool
+	kind         *simulationKind
+	r            *Request
+	submittedAt  time.Duration
+	core         int
+	refusals     int
+	w            *waiter
+	toPrefill    float64
+	toGenerate   float64
+	firstTokenAt time.Duration
+	running      bool
 }
 
 // engine is a model endpoint.
 type engine struct {
-	id       string
-	slots    int
-	queue    int
-	tasks    []*task // running first, then waiting
-	cache    prefixCache
-	reread   float64
-	everRead map[prefixHash]bool
-	speed    float64
-	broken   bool // breaks all calls off at once
-	dark     bool // gives no word
+	id             string
+	slots          int
+	queue          int
+	tasks          []*task // running first, then waiting
+	cache          prefixCache
+	prefilledAgain float64
+	everPrefilled  map[prefixHash]bool
+	speed          float64
+	broken         bool // fails all calls at once
+	silent         bool // does not answer
 }
 
 const (
-	readSpeed   = 128.0 // tokens a ms
-	cacheTokens = 400_000
+	prefillSpeed = 128.0 // tokens a ms
+	cacheTokens  = 400_000
 )
 
 func newSimulation(senders, endpoints, zones int) *simulation {
@@ -88,7 +88,7 @@
 			Engine: &operatorconfig.Engine{Capacity: 24, CacheTokens: cacheTokens}}}}}}
 	for i := range endpoints {
 		id := fmt.Sprintf("e%02d", i)
-		w.eps = append(w.eps, &engine{id: id, slots: 24, queue: 48, everRead: map[prefixHash]bool{}, speed: 1})
+		w.eps = append(w.eps, &engine{id: id, slots: 24, queue: 48, everPrefilled: map[prefixHash]bool{}, speed: 1})
 		w.snap.Endpoints["s"] = append(w.snap.Endpoints["s"],
 			&snapshot.Endpoint{ID: id, Service: "s", Zone: fmt.Sprint(i % zones), Capacity: 24})
 	}
@@ -103,12 +103,12 @@
 func (w *simulation) submit(k *simulationKind) {
 	w.next++
 	group := uint64(w.rng.IntN(max(k.groups, 1))) + 1
-	t := &task{kind: k, born: w.now, core: w.rng.IntN(len(w.cores))}
+	t := &task{kind: k, submittedAt: w.now, core: w.rng.IntN(len(w.cores))}
 	own := int(float64(k.own) * (0.5 + w.rng.Float64()))
 	t.r = &Request{ID: fmt.Sprint(w.next), Service: "s", TokensIn: k.shared + own, TokensOut: k.out, Bulk: k.bulk,
-		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: k.aim, Priority: k.priority},
+		Route:  &operatorconfig.Route{Name: k.name, Kind: operatorconfig.Streaming, LatencyTargetMs: k.latencyTargetMs, Priority: k.priority},
 		Prefix: []PromptPart{{uint64(len(k.name))<<32 + group, k.shared}, {1<<60 + w.next, own}}}
-	k.asked++
+	k.submitted++
 	w.request(t)
 }
 
@@ -116,17 +116,17 @@
 	c := w.cores[t.core]
 	c.now = w.now
 	w.next++
-	t.w = &waiter{request: t.r, sequence: w.next, deadline: t.born + t.kind.deadline,
-		due: t.born + time.Duration(t.kind.aim)*time.Millisecond}
+	t.w = &waiter{request: t.r, sequence: w.next, deadline: t.submittedAt + t.kind.deadline,
+		due: t.submittedAt + time.Duration(t.kind.latencyTargetMs)*time.Millisecond}
 	c.setTimes(t.w, w.now, t.w.due, t.w.deadline)
 	t.w.decided = func(x *waiter) {
 		if x.refused != nil {
-			t.tries++
-			if t.tries > 1 || w.now+x.refused.RetryAfter > t.w.deadline {
+			t.refusals++
+			if t.refusals > 1 || w.now+x.refused.RetryAfter > t.w.deadline {
 				t.kind.failed++
 				return
 			}
-			w.backOff = append(w.backOff, later{w.now + x.refused.RetryAfter, t, w.rng.IntN(len(w.cores))})
+			w.delayed = append(w.delayed, later{w.now + x.refused.RetryAfter, t, w.rng.IntN(len(w.cores))})
 			return
 		}
 		w.arrive(t, x.granted)
@@ -145,50 +145,50 @@
 	i := slices.IndexFunc(w.eps, func(e *engine) bool { return e.id == r.target.ID })
 	e := w.eps[i]
 	if len(e.tasks) >= e.slots+e.queue {
-		t.kind.notRun++
-		w.backOff = append(w.backOff, later{w.now + time.Millisecond, t, -1})
+		t.kind.rejected++
+		w.delayed = append(w.delayed, later{w.now + time.Millisecond, t, -1})
 		return
 	}
-	t.firstAt = 0
+	t.firstTokenAt = 0
 	t.running = false
 	e.tasks = append(e.tasks, t)
 }
 
 func (w *simulation) prefill(e *engine, t *task) {
 	chains := hashPrefixes(t.r.Model, t.r.Prefix)
-	t.toRead = float64(t.r.TokensIn)
+	t.toPrefill = float64(t.r.TokensIn)
 	cached := e.cache.cachedParts(chains, 0, maxCacheLifetime)
 	for i := range cached {
-		t.toRead -= float64(t.r.Prefix[i].Tokens)
+		t.toPrefill -= float64(t.r.Prefix[i].Tokens)
 	}
-	if shared := float64(t.r.Prefix[0].Tokens); cached == 0 && e.anyRead(w, chains[0]) {
-		e.reread += shared
-		t.kind.reread++
+	if shared := float64(t.r.Prefix[0].Tokens); cached == 0 && e.prefilledAnywhere(w, chains[0]) {
+		e.prefilledAgain += shared
+		t.kind.prefilledAgain++
 	}
-	e.everRead[chains[0]] = true
+	e.everPrefilled[chains[0]] = true
 	e.cache.recordPrompt(0, chains, t.r.Prefix, 1, cacheTokens, 1<<20)
-	t.toWrite = float64(t.r.TokensOut)
+	t.toGenerate = float64(t.r.TokensOut)
 	t.running = true
 }
 
-func (e *engine) anyRead(w *simulation, h prefixHash) bool {
-	return slices.ContainsFunc(w.eps, func(o *engine) bool { return o.everRead[h] })
+func (e *engine) prefilledAnywhere(w *simulation, h prefixHash) bool {
+	return slices.ContainsFunc(w.eps, func(o *engine) bool { return o.everPrefilled[h] })
 }
 
 func (w *simulation) step() {
 	w.now += time.Millisecond
 	for _, k := range w.kinds {
-		for k.acc += k.perSecond / 1000; k.acc > 0 && w.rng.Float64() < k.acc; k.acc-- {
+		for k.pendingArrivals += k.perSecond / 1000; k.pendingArrivals > 0 && w.rng.Float64() < k.pendingArrivals; k.pendingArrivals-- {
 			w.submit(k)
 		}
 	}
-	due := w.backOff
-	w.backOff = nil
+	due := w.delayed
+	w.delayed = nil
 	for _, l := range due {
 		switch {
 		case l.at > w.now:
-			w.backOff = append(w.backOff, l)
-		case l.core < 0: // the endpoint turned it away
+			w.delayed = append(w.delayed, l)
+		case l.core < 0: // the endpoint rejected it
 			c, t := w.cores[l.task.core], l.task
 			c.now = w.now
 			g := t.w.granted
@@ -217,9 +217,9 @@
 	}
 }
 
-const patience = 500 * time.Millisecond // of a caller that hears no word
+const callTimeout = 500 * time.Millisecond // for the first token
 
-// lose ends calls without an answer.
+// failRuns ends calls without an answer.
 func (w *simulation) failRuns(e *engine, o Outcome, which func(*task) bool) {
 	for _, t := range slices.Clone(e.tasks) {
 		if !which(t) {
@@ -228,8 +228,8 @@
 		e.tasks = slices.DeleteFunc(e.tasks, func(o *task) bool { return o == t })
 		w.cores[t.core].now = w.now
 		w.cores[t.core].endRun(t.w.granted, o, Load{})
-		if t.kind.bulk { // an item is handed out again
-			w.backOff = append(w.backOff, later{w.now + 50*time.Millisecond, t, t.core})
+		if t.kind.bulk { // a batch item is submitted again
+			w.delayed = append(w.delayed, later{w.now + 50*time.Millisecond, t, t.core})
 			continue
 		}
 		t.kind.failed++
@@ -241,11 +241,11 @@
 	case e.broken:
 		w.failRuns(e, Broken, func(*task) bool { return true })
 		return
-	case e.dark:
-		w.failRuns(e, TimedOut, func(t *task) bool { return w.now-t.w.granted.sent > patience })
+	case e.silent:
+		w.failRuns(e, TimedOut, func(t *task) bool { return w.now-t.w.granted.sent > callTimeout })
 		return
 	}
-	budget := readSpeed * e.speed
+	budget := prefillSpeed * e.speed
 	n := min(len(e.tasks), e.slots)
 	if n == 0 {
 		return
@@ -257,28 +257,28 @@
 		if !t.running {
 			w.prefill(e, t)
 		}
-		if t.toRead > 0 {
-			used := min(budget, t.toRead)
+		if t.toPrefill > 0 {
+			used := min(budget, t.toPrefill)
 			budget -= used
-			t.toRead -= used
+			t.toPrefill -= used
 			continue
 		}
-		t.toWrite -= rate
-		if t.firstAt == 0 {
-			t.firstAt = w.now
+		t.toGenerate -= rate
+		if t.firstTokenAt == 0 {
+			t.firstTokenAt = w.now
 			c.now = w.now
 			c.recordFirstToken(t.w.granted, w.load(e))
 		}
-		if t.toWrite <= 0 {
+		if t.toGenerate <= 0 {
 			done = append(done, t)
 		}
 	}
 	for _, t := range done {
 		e.tasks = slices.DeleteFunc(e.tasks, func(o *task) bool { return o == t })
-		ms := float64(t.firstAt-t.born) / float64(time.Millisecond)
-		t.kind.firsts = append(t.kind.firsts, ms)
-		if ms <= float64(t.kind.aim) {
-			t.kind.inAim++
+		ms := float64(t.firstTokenAt-t.submittedAt) / float64(time.Millisecond)
+		t.kind.firstTokenMs = append(t.kind.firstTokenMs, ms)
+		if ms <= float64(t.kind.latencyTargetMs) {
+			t.kind.onTime++
 		} else {
 			t.kind.late++
 		}
@@ -304,38 +304,38 @@
 
 func (w *simulation) report(t *testing.T) {
 	t.Helper()
-	reread := 0.0
+	prefilledAgain := 0.0
 	most := 0
 	for _, e := range w.eps {
-		reread += e.reread
+		prefilledAgain += e.prefilledAgain
 		most = max(most, len(e.tasks))
 	}
 	for _, k := range w.kinds {
-		slices.Sort(k.firsts)
-		q := func(share float64) float64 { return quantile(k.firsts, share) }
-		t.Logf("%s: %d asked, in aim %.3f, late %.3f, failed %.3f, turned away %d, reread %d, first p50 %.0f p90 %.0f p99 %.0f",
-			k.name, k.asked, float64(k.inAim)/float64(k.asked), float64(k.late)/float64(k.asked),
-			float64(k.failed)/float64(k.asked), k.notRun, k.reread, q(0.5), q(0.9), q(0.99))
+		slices.Sort(k.firstTokenMs)
+		q := func(share float64) float64 { return quantile(k.firstTokenMs, share) }
+		t.Logf("%s: %d submitted, on time %.3f, late %.3f, failed %.3f, rejected %d, prefilled again %d, first token p50 %.0f p90 %.0f p99 %.0f ms",
+			k.name, k.submitted, float64(k.onTime)/float64(k.submitted), float64(k.late)/float64(k.submitted),
+			float64(k.failed)/float64(k.submitted), k.rejected, k.prefilledAgain, q(0.5), q(0.9), q(0.99))
 	}
 	t.Logf("worth %.3f", w.worth())
-	t.Logf("reread %.0f tokens a second; the fullest has %d", reread/w.now.Seconds(), most)
+	t.Logf("%.0f tokens a second prefilled again; the most loaded endpoint has %d requests", prefilledAgain/w.now.Seconds(), most)
 }
 
-func ordinary(scale float64) []*simulationKind {
+func ordinaryLoad(scale float64) []*simulationKind {
 	return []*simulationKind{
-		{name: "chat", perSecond: 141 * scale, groups: 40, shared: 172, own: 543, out: 72, aim: 200, deadline: 6 * time.Second},
-		{name: "review", perSecond: 19.6 * scale, groups: 12, shared: 13300, own: 3720, out: 28, aim: 300, deadline: 4 * time.Second},
-		{name: "letters", perSecond: 10 * scale, groups: 4, shared: 432, own: 768, out: 160, aim: 10000, deadline: 60 * time.Second, bulk: true},
+		{name: "chat", perSecond: 141 * scale, groups: 40, shared: 172, own: 543, out: 72, latencyTargetMs: 200, deadline: 6 * time.Second},
+		{name: "review", perSecond: 19.6 * scale, groups: 12, shared: 13300, own: 3720, out: 28, latencyTargetMs: 300, deadline: 4 * time.Second},
+		{name: "letters", perSecond: 10 * scale, groups: 4, shared: 432, own: 768, out: 160, latencyTargetMs: 10000, deadline: 60 * time.Second, bulk: true},
 	}
 }
 
-// worth is what was earned of what was owed.
+// worth is the earned share of the worth of all requests.
 func (w *simulation) worth() float64 {
 	earned, owed := 0.0, 0.0
 	for i, k := range w.kinds {
 		worth := []float64{2, 3, 2.2}[i%3]
-		earned += worth * (float64(k.inAim) + 0.3*float64(k.late) - 0.3*float64(k.failed))
-		owed += worth * float64(k.asked)
+		earned += worth * (float64(k.onTime) + 0.3*float64(k.late) - 0.3*float64(k.failed))
+		owed += worth * float64(k.submitted)
 	}
 	return earned / owed
 }
@@ -344,14 +344,14 @@
 	for _, scale := range []float64{1, 4} {
 		t.Run(fmt.Sprint(scale), func(t *testing.T) {
 			w := newSimulation(10, 18, 4)
-			w.kinds = ordinary(scale)
+			w.kinds = ordinaryLoad(scale)
 			w.play(20 * time.Second)
 			w.report(t)
 			if v := w.worth(); v < 0.98 {
 				t.Errorf("worth %.3f", v)
 			}
-			if k := w.kinds[1]; k.reread > k.asked/20 {
-				t.Errorf("%d of %d reviews were read again", k.reread, k.asked)
+			if k := w.kinds[1]; k.prefilledAgain > k.submitted/20 {
+				t.Errorf("the shared parts of %d of %d reviews were prefilled again", k.prefilledAgain, k.submitted)
 			}
 		})
 	}
@@ -359,78 +359,78 @@
 
 func TestOverloadMeetsItsTarget(t *testing.T) {
 	w := newSimulation(10, 18, 4)
-	w.kinds = ordinary(14)
+	w.kinds = ordinaryLoad(14)
 	w.play(8 * time.Second)
 	w.report(t)
 	for _, k := range w.kinds[:2] {
-		if k.inAim < 3*k.late {
-			t.Errorf("%s: %d in aim, %d late", k.name, k.inAim, k.late)
+		if k.onTime < 3*k.late {
+			t.Errorf("%s: %d on time, %d late", k.name, k.onTime, k.late)
 		}
-		if 4*(k.inAim+k.late) < k.asked {
-			t.Errorf("%s starves: %d of %d served", k.name, k.inAim+k.late, k.asked)
+		if 4*(k.onTime+k.late) < k.submitted {
+			t.Errorf("%s starves: %d of %d served", k.name, k.onTime+k.late, k.submitted)
 		}
 	}
 }
 
 func TestBulkIsNotStarvedByOverload(t *testing.T) {
 	w := newSimulation(4, 6, 2)
-	w.kinds = ordinary(14.0 / 3)
-	w.kinds[2].aim = 4000
+	w.kinds = ordinaryLoad(14.0 / 3)
+	w.kinds[2].latencyTargetMs = 4000
 	w.play(20 * time.Second)
 	w.report(t)
-	if k := w.kinds[2]; 3*(k.inAim+k.late) < k.asked {
-		t.Errorf("%d of %d served", k.inAim+k.late, k.asked)
+	if k := w.kinds[2]; 3*(k.onTime+k.late) < k.submitted {
+		t.Errorf("%d of %d served", k.onTime+k.late, k.submitted)
 	}
 }
 
 func TestBurstDrainsSoon(t *testing.T) {
 	w := newSimulation(10, 18, 4)
-	w.kinds = ordinary(4)
+	w.kinds = ordinaryLoad(4)
 	w.play(2 * time.Second)
 	w.kinds[0].perSecond *= 6
 	w.play(2 * time.Second)
 	w.kinds[0].perSecond /= 6
 	w.play(2 * time.Second)
 	for _, k := range w.kinds {
-		k.asked, k.inAim, k.late, k.failed, k.firsts = 0, 0, 0, 0, nil
+		k.submitted, k.onTime, k.late, k.failed, k.firstTokenMs = 0, 0, 0, 0, nil
 	}
 	w.play(4 * time.Second)
 	w.report(t)
 	if v := w.worth(); v < 0.95 {
-		t.Errorf("worth %.3f two seconds after it", v)
+		t.Errorf("worth %.3f two seconds after the burst", v)
 	}
 }
 
 func TestUnhealthyEndpointsCostLittle(t *testing.T) {
-	for name, ill := range map[string]func(*engine, bool){
+	for name, setFault := range map[string]func(*engine, bool){
 		"broken": func(e *engine, on bool) { e.broken = on },
-		"dark":   func(e *engine, on bool) { e.dark = on },
+		"silent": func(e *engine, on bool) { e.silent = on },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newSimulation(6, 18, 4)
-			w.kinds = ordinary(2)
+			w.kinds = ordinaryLoad(2)
 			w.play(3 * time.Second)
 			for _, e := range w.eps[:3] {
-				ill(e, true)
+				setFault(e, true)
 			}
 			w.play(10 * time.Second)
 			for _, e := range w.eps[:3] {
-				ill(e, false)
+				setFault(e, false)
 			}
 			w.play(5 * time.Second)
 			before := w.cores[0].endpoints["e00"].longLog.Count(w.now)
 			w.play(6 * time.Second)
 			w.report(t)
-			// Two lost calls take an endpoint out for a sender; a third may have been out already.
+			// Two failed calls eject an endpoint at a sender; a third may have been in flight already.
 			lost := 0
 			for _, k := range w.kinds {
 				lost += k.failed
 			}
 			if lost > 3*3*len(w.cores) {
-				t.Errorf("%d requests lost", lost)
+				t.Errorf("%d requests failed", lost)
 			}
 			if w.cores[0].endpoints["e00"].longLog.Count(w.now) <= before {
-				t.Error("an endpoint that is sound again gets nothing")
+				t.Error("an endpoint that works again gets no requests")
 			}
 		})
 	}
