--- a/internal/proxy/attempt/attempt.go
+++ b/internal/proxy/attempt/attempt.go
@@ -7,17 +7,16 @@
 //
 //   - A request that is not idempotent is never sent again after an endpoint may have run it.
 //   - A request that may have run is never answered 503, which promises the client that it has not.
-//   - Once the head of an answer was passed on, that answer is continued, completed or visibly broken off, and no
+//   - Once the head of an answer was passed on, that answer is continued, completed or visibly aborted, and no
 //     other follows.
 //
 // docs/calls.md derives the table; RFC 9110 section 9.2.2 says which requests may be repeated.
 package attempt
 
-// State is how far a request has come. A request never returns to an earlier state.
+// State is the progress of a request. A request never returns to an earlier state.
 type State uint8
 
-// The states. A request of which only a part was written counts as NotSent: no endpoint can run it without its last
-// byte.
+// The states. A partially written request counts as NotSent: no endpoint can run it without its last byte.
 const (
 	NotSent  State = iota // no endpoint has received it completely, or each that did has rejected it without running it
 	Sent                  // an endpoint received it and may have run it; the client has received nothing
@@ -30,19 +29,19 @@
 	return [...]string{"not-sent", "sent", "head-sent", "ended"}[s]
 }
 
-// Event is what may happen to a request.
+// Event is an event in the life of a request.
 type Event uint8
 
 // The events. Those from Rejected on are about one attempt, at one endpoint.
 const (
 	NotAdmitted       Event = iota // admission found no endpoint for it
 	DeadlineExceeded               // its deadline has passed
-	ClientCanceled                 // nobody waits for the answer any more
+	ClientCanceled                 // the client no longer waits for the answer
 	Rejected                       // the endpoint states that it has not run it and never will
 	NotWritten                     // not all of it was written: the endpoint can't have received it completely
 	Broken                         // it was written; a reset, a close or an unusable answer followed
 	Failed                         // the endpoint answered 500: it has run
-	UnprovenRejection              // the status promises that it has not run, without proof: it may have run
+	UnprovenRejection              // the status says that it has not run, but without proof: it may have run
 	Answered                       // the head of the endpoint's own answer arrived
 	BodyTruncated                  // the answer's body ended early
 	BodyComplete                   // the answer's body was read to its end
@@ -71,10 +70,10 @@
 // The verdicts.
 const (
 	Done               Verdict = iota // nothing is left to do
-	Retry                             // ask admission for another endpoint
+	Retry                             // request another endpoint from admission
 	ServiceUnavailable                // answer 503 with Retry-After: it has not run and never will
-	BadGateway                        // answer 502, which promises nothing
-	GatewayTimeout                    // answer 504, which promises nothing
+	BadGateway                        // answer 502, which leaves open whether it has run
+	GatewayTimeout                    // answer 504, which leaves open whether it has run
 	Forward                           // pass on what the endpoint answers
 	Abort                             // close the client's connection, so that the answer can't look complete
 )
@@ -92,12 +91,12 @@
 	}[v]
 }
 
-// Conditions are what a verdict depends on beside the state and the event.
+// Conditions are what a verdict depends on besides the state and the event.
 type Conditions struct {
 	Idempotent   bool // it may run more than once
 	Resumable    bool // another endpoint may continue its answer from where it stopped
-	AttemptsLeft bool // another endpoint may have it, after one that may have run it
-	ReroutesLeft bool // another endpoint may have it, after one that has not run it
+	AttemptsLeft bool // another endpoint may be tried after one that may have run it
+	ReroutesLeft bool // another endpoint may be tried after one that has not run it
 }
 
 // Next returns the state after an event, and what to do.
@@ -135,8 +134,8 @@
 	}
 }
 
-// unserved returns the answer to a request that no endpoint will get any more. Only one that was never sent gets 503,
-// which promises that it has not run.
+// unserved returns the answer to a request that is sent to no further endpoint. Only one that was never sent gets
+// 503, which promises that it has not run.
 func unserved(s State, e Event) Verdict {
 	switch {
 	case s == NotSent:
@@ -148,7 +147,7 @@
 	}
 }
 
-// afterHead is Next once the client has the head of an answer: that answer is continued, completed or aborted.
+// afterHead is Next for a client that has received the head of an answer: that answer is continued, completed or aborted.
 func afterHead(e Event, c Conditions) (State, Verdict) {
 	retry := false
 	switch e {
--- a/internal/proxy/attempt/attempt_test.go
+++ b/internal/proxy/attempt/attempt_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// allConditions lists all that a verdict may depend on.
+// allConditions returns every combination of conditions.
 func allConditions() []Conditions {
 	var all []Conditions
 	for n := range 16 {
@@ -15,41 +15,41 @@
 	return all
 }
 
-// verdicts has every pair of a state and an event. A line names the verdict for a request that has everything,
-// then what is missing where that changes it.
+// verdicts has every pair of a state and an event. A line has the verdict if all conditions hold, then the verdicts if
+// a condition does not hold, where that changes the verdict.
 const verdicts = `
 not-sent refused        -> refuse
 not-sent deadline       -> refuse
 not-sent client-gone    -> abort
-not-sent rejected       -> retry; no turns: refuse
-not-sent not-written    -> retry; no turns: refuse
-not-sent broken         -> retry; may run once: bad-gateway; no tries: bad-gateway
-not-sent failed         -> retry; may run once: forward; no tries: forward
-not-sent false-refusal  -> retry; may run once: bad-gateway; no tries: bad-gateway
+not-sent rejected       -> retry; no reroutes: refuse
+not-sent not-written    -> retry; no reroutes: refuse
+not-sent broken         -> retry; not idempotent: bad-gateway; no attempts: bad-gateway
+not-sent failed         -> retry; not idempotent: forward; no attempts: forward
+not-sent false-refusal  -> retry; not idempotent: bad-gateway; no attempts: bad-gateway
 not-sent answered       -> forward
-not-sent body-cut       -> retry; may run once: bad-gateway; no tries: bad-gateway
+not-sent body-cut       -> retry; not idempotent: bad-gateway; no attempts: bad-gateway
 not-sent body-complete  -> done
 sent refused            -> bad-gateway
 sent deadline           -> gateway-timeout
 sent client-gone        -> abort
-sent rejected           -> retry; may run once: bad-gateway; no turns: bad-gateway
-sent not-written        -> retry; may run once: bad-gateway; no turns: bad-gateway
-sent broken             -> retry; may run once: bad-gateway; no tries: bad-gateway
-sent failed             -> retry; may run once: forward; no tries: forward
-sent false-refusal      -> retry; may run once: bad-gateway; no tries: bad-gateway
+sent rejected           -> retry; not idempotent: bad-gateway; no reroutes: bad-gateway
+sent not-written        -> retry; not idempotent: bad-gateway; no reroutes: bad-gateway
+sent broken             -> retry; not idempotent: bad-gateway; no attempts: bad-gateway
+sent failed             -> retry; not idempotent: forward; no attempts: forward
+sent false-refusal      -> retry; not idempotent: bad-gateway; no attempts: bad-gateway
 sent answered           -> forward
-sent body-cut           -> retry; may run once: bad-gateway; no tries: bad-gateway
+sent body-cut           -> retry; not idempotent: bad-gateway; no attempts: bad-gateway
 sent body-complete      -> done
 head-sent refused       -> abort
 head-sent deadline      -> abort
 head-sent client-gone   -> abort
-head-sent rejected      -> retry; not resumable: abort; no turns: abort
-head-sent not-written   -> retry; not resumable: abort; no turns: abort
-head-sent broken        -> retry; not resumable: abort; no tries: abort
-head-sent failed        -> retry; not resumable: abort; no tries: abort
-head-sent false-refusal -> retry; not resumable: abort; no tries: abort
+head-sent rejected      -> retry; not resumable: abort; no reroutes: abort
+head-sent not-written   -> retry; not resumable: abort; no reroutes: abort
+head-sent broken        -> retry; not resumable: abort; no attempts: abort
+head-sent failed        -> retry; not resumable: abort; no attempts: abort
+head-sent false-refusal -> retry; not resumable: abort; no attempts: abort
 head-sent answered      -> forward; not resumable: abort
-head-sent body-cut      -> retry; not resumable: abort; no tries: abort
+head-sent body-cut      -> retry; not resumable: abort; no attempts: abort
 head-sent body-complete -> done
 ended refused           -> done
 ended deadline          -> done
@@ -75,7 +75,7 @@
 			pair, rest, _ := strings.Cut(lines[n], "->")
 			n++
 			if got := strings.Fields(pair); got[0] != s.String() || got[1] != e.String() {
-				t.Fatalf("%q where %v %v is due", pair, s, e)
+				t.Fatalf("line %q, want one for %v %v", pair, s, e)
 			}
 			alternatives := strings.Split(rest, ";")
 			for _, h := range allConditions() {
@@ -83,10 +83,10 @@
 				for _, v := range alternatives[1:] {
 					missing, other, _ := strings.Cut(strings.TrimSpace(v), ": ")
 					lacks := map[string]bool{
-						"may run once":  !h.Idempotent,
-						"not resumable": !h.Resumable,
-						"no tries":      !h.AttemptsLeft,
-						"no turns":      !h.ReroutesLeft,
+						"not idempotent": !h.Idempotent,
+						"not resumable":  !h.Resumable,
+						"no attempts":    !h.AttemptsLeft,
+						"no reroutes":    !h.ReroutesLeft,
 					}
 					if lacks[missing] {
 						want = other
@@ -103,18 +103,18 @@
 	}
 }
 
-// Whatever happens, in any order: a request that may run once only is never sent on after it may have
-// run, one that may have run is never refused, and nothing is answered after a head was passed on.
-func TestNoSequenceOfEventsBreaksAPromise(t *testing.T) {
-	type at struct {
+// Checks the invariants over all sequences of events: a request that is not idempotent is never sent again after it may
+// have run, one that may have run is never answered 503, and no other answer follows a head that was passed on.
+func TestNoSequenceOfEventsViolatesAnInvariant(t *testing.T) {
+	type position struct {
 		s      State
 		mayRun bool // an endpoint may have run it
 		headed bool
 	}
 	for _, idempotent := range []bool{false, true} {
-		seen := map[at]bool{}
-		var walk func(a at, path string)
-		walk = func(a at, path string) {
+		seen := map[position]bool{}
+		var walk func(a position, path string)
+		walk = func(a position, path string) {
 			if seen[a] || a.s == Ended {
 				return
 			}
@@ -143,7 +143,7 @@
 						}
 					case ServiceUnavailable:
 						if b.mayRun || b.headed {
-							t.Errorf("%s: refused", here)
+							t.Errorf("%s: answered 503", here)
 						}
 					case BadGateway, GatewayTimeout:
 						if b.headed {
@@ -161,6 +161,6 @@
 				}
 			}
 		}
-		walk(at{}, "")
+		walk(position{}, "")
 	}
 }
--- a/internal/proxy/attempt/golden_test.go
+++ b/internal/proxy/attempt/golden_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/lab/golden"
 )
 
-// The names of states, events and verdicts; those of events and verdicts are labels of metrics. The golden file was
-// written by the sources of faf8ea2.
+// The names of states, events and verdicts do not change; those of events and verdicts are labels of metrics. The
+// golden file was written by the sources of faf8ea2.
 func TestGoldenNames(t *testing.T) {
 	var got []byte
 	for s := NotSent; s <= Ended; s++ {
