--- a/internal/deliverynode/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -23,21 +23,20 @@
 )
 
 const (
-	// maxAnswer bounds what is read of an answer.
+	// maxAnswer is the maximum number of bytes that are read of a response body.
 	maxAnswer = 64 << 10
-	// drainAnswer is how long the rest of an answer is read for.
+	// drainAnswer is the timeout for reading the rest of a response.
 	drainAnswer = 200 * time.Millisecond
 	waitHeader  = "X-Backoff-Ms"
 	loadHeader  = "X-Server-Load"
-	// manySockets is how many connections to endpoints there may be where no limit is told.
+	// manySockets is the maximum number of connections to endpoints where the configuration has no limit.
 	manySockets = 1024
-	// ownSockets are left for the listener, discovery, notices and the journal.
+	// ownSockets is the number of descriptors reserved for the listener, discovery, notices and the journal.
 	ownSockets = 24
 )
 
-// gate says from when, or until when, nothing may be sent. The module keeps both
-// rules; the gate is for a call that it sent before it was told and that is
-// dialling still: what counts is when its bytes go out.
+// gate holds the time from which, or until which, nothing may be sent. The module applies both rules itself; the gate
+// stops calls that it decided on earlier and that are still dialling: what counts is when their bytes are sent.
 type gate struct {
 	closedFrom  atomic.Int64 // Unix nanoseconds, 0 for never
 	closedUntil atomic.Int64
@@ -62,15 +61,15 @@
 	id       policy.EndpointID
 	name     string
 	addr     string // owned by the loop
-	last     member // as it was last listed; owned by the loop
+	last     member // the last list entry; owned by the loop
 	dest     int
 	kind     int
 	zone     int
-	leaves   *gate       // that it drains or is gone
-	excluded atomic.Bool // the staff have taken it out
-	waits    *gate       // of its route, or of its destination where routes share a limit
+	leaves   *gate       // closes when it drains or is gone
+	excluded atomic.Bool // taken out by an operator
+	waits    *gate       // requested waits of its route, or of its destination where routes share a limit
 	pool     *upstream.Pool
-	out      int // messages on their way to it; owned by the loop
+	out      int // messages in flight; owned by the loop
 }
 
 // part is one message of a call.
@@ -78,8 +77,8 @@
 	message *journal.Message
 	attempt int
 	timeout time.Duration
-	over    bool // its outcome has been told; guarded by the call
-	// attempted says that its attempt is on record: a call that is not can't be sent.
+	over    bool // its outcome has been reported; guarded by the call's mutex
+	// attempted is set once the attempt is journaled. A call is sent only after that.
 	attempted bool
 }
 
@@ -92,7 +91,7 @@
 
 	mu       sync.Mutex
 	parts    []*part
-	reported policy.Allowance // with the answer
+	reported policy.Allowance // load report of the response
 }
 
 // caller makes calls. Each runs in a goroutine of its own.
@@ -101,11 +100,11 @@
 	owner    *ownership
 	log      *slog.Logger
 	reported []string // names of the values in a load report
-	sync     bool     // attempts that may not be repeated are durable before they are made
-	once     []bool   // by class: it may not be repeated
+	sync     bool     // attempts that may not be repeated are made durable before they are sent
+	once     []bool   // by class: may not be repeated
 	notify   func(policy.Event)
 	cohort   *processGroup // the other processes of the node; nil where there are none
-	copies   *copies       // what other nodes have of the journals; nil where they have nothing
+	copies   *copies       // copies of the journals on other nodes; nil without copies
 	running  sync.WaitGroup
 }
 
@@ -124,13 +123,13 @@
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
 			Now:  time.Now, Rand: rand.Float64,
 			Senders: c.Settings.Senders * max(1, c.Members), MaxOpen: c.endpointSockets(), DialTimeout: connect,
-			// An endpoint closes an idle connection some time before the settings' limit
-			// at the latest; a request on its way then would end as a reset.
+			// An endpoint may close an idle connection some time before the settings' limit; a request that is in
+			// flight then ends as a reset.
 			MaxIdle: c.IdleClose * 4 / 5, Preconnect: c.Warm, WarmUp: c.Settings.WarmUp})}
 }
 
-// endpointSockets is how many descriptors are left for connections to endpoints, when
-// the clients, the journal, discovery, notices and the staff have theirs.
+// endpointSockets returns how many descriptors remain for connections to endpoints, after those for the clients, the
+// journal, discovery, notices and the console.
 func (c Config) endpointSockets() int {
 	if c.Sockets <= 0 {
 		return manySockets
@@ -151,7 +150,7 @@
 	}()
 }
 
-// run makes one call: it connects, records the attempts, sends, and takes in the answer.
+// run makes one call: it connects, records the attempts, sends, and handles the response.
 func (c *caller) run(ctx context.Context, k *call) {
 	ctx, cancel := context.WithDeadline(ctx, k.started.Add(k.limit))
 	defer cancel()
@@ -162,8 +161,8 @@
 		return
 	}
 	now := time.Now()
-	// The connection was made after the module's decision. What was learned in the meantime applies to this call too,
-	// because it has not been sent.
+	// The connection was made after the module's decision. Drains, waits and orders that arrived in the meantime apply to
+	// this call too, because it has not been sent.
 	if !c.mayCall(k.endpoint) || !c.copies.maySend(k) {
 		c.notSent(k, conn)
 		return
@@ -180,7 +179,7 @@
 	defer c.limitParts(k)()
 	req, err := k.request(ctx)
 	if err != nil {
-		c.log.Error("call: no request", "err", err)
+		c.log.Error("call: building the request failed", "err", err)
 		c.notSent(k, conn)
 		return
 	}
@@ -196,7 +195,7 @@
 func (c *caller) connect(ctx context.Context, k *call) *upstream.Conn {
 	conn, err := k.endpoint.pool.Acquire(ctx)
 	switch {
-	case errors.Is(err, upstream.ErrBusy), errors.Is(err, upstream.ErrRemoved): // it says nothing of the endpoint
+	case errors.Is(err, upstream.ErrBusy), errors.Is(err, upstream.ErrRemoved): // no evidence about the endpoint
 		c.log.Debug("call: not sent", "endpoint", k.endpoint.name, "err", err)
 		c.endAll(k, policy.Moot, 0, false)
 		return nil
@@ -208,7 +207,7 @@
 	return conn
 }
 
-// notSent gives back the connection of a call that was not sent, and ends the call.
+// notSent releases the connection of a call that was not sent, and ends the call.
 func (c *caller) notSent(k *call, conn *upstream.Conn) {
 	conn.Release(upstream.Unused)
 	c.endAll(k, policy.Moot, 0, false)
@@ -242,8 +241,8 @@
 	}
 }
 
-// broken ends a call that got no answer. The connection is given back before the outcome is told: the slot and the
-// endpoint must be free of this call when the next one goes out.
+// broken ends a call that got no response. It releases the connection before it reports the outcome, because the slot and
+// the endpoint must be free again when the next call is sent.
 func (c *caller) broken(ctx context.Context, k *call, conn *upstream.Conn, err error) {
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	if late {
@@ -261,24 +260,23 @@
 	case late:
 		c.endAll(k, policy.TimedOut, 0, false)
 	default:
-		c.log.Debug("call: broken", "endpoint", k.endpoint.name, "err", err)
+		c.log.Debug("call: connection failed", "endpoint", k.endpoint.name, "err", err)
 		c.endAll(k, policy.Reset, 0, false)
 	}
 }
 
-// mayCall tells whether a call may go out at this moment: a process that stood still may
-// find that its share of the node has run out.
+// mayCall reports whether a call may be sent now. After a suspension of the process, its share of the node may have expired.
 func (c *caller) mayCall(e *endpoint) bool {
 	return e.mayCall() && (c.cohort == nil || c.cohort.group.MaySend())
 }
 
-// settled makes the attempts at messages that may not be repeated durable, and has other nodes have
-// them, where that is asked for. What was told meanwhile binds the call still.
+// settled makes the attempts at messages that may not be repeated durable and waits for a copy of them, where the
+// configuration requires it. It fails if the call may no longer be sent after that.
 func (c *caller) settled(k *call) error {
 	if !c.sync && c.copies == nil || !c.anyOnce(k) {
 		return nil
 	}
-	all := homes(k.parts, func(p *part) *journal.Message { return p.message })
+	all := journalsOf(k.parts, func(p *part) *journal.Message { return p.message })
 	for _, j := range all {
 		if err := j.Sync(); err != nil {
 			return fmt.Errorf("the attempt is not durable: %w", err)
@@ -286,17 +284,17 @@
 	}
 	if c.copies != nil {
 		if err := c.copies.copied(all, 1); err != nil {
-			return fmt.Errorf("no copy has the attempt: %w", err)
+			return fmt.Errorf("no other node has a copy of the attempt: %w", err)
 		}
 	}
 	if !c.mayCall(k.endpoint) || !c.copies.maySend(k) {
-		return errors.New("the endpoint has closed meanwhile")
+		return errors.New("the endpoint no longer accepts calls")
 	}
 	return nil
 }
 
-// homes are the journals of some messages, each once.
-func homes[T any](of []T, message func(T) *journal.Message) (all []*journal.Journal) {
+// journalsOf returns the journals of some messages, each once.
+func journalsOf[T any](of []T, message func(T) *journal.Message) (all []*journal.Journal) {
 	for _, x := range of {
 		if j := message(x).Home(); !slices.Contains(all, j) {
 			all = append(all, j)
@@ -305,7 +303,7 @@
 	return all
 }
 
-// request writes the call.
+// request builds the HTTP request of the call.
 func (k *call) request(ctx context.Context) (*http.Request, error) {
 	path, body := "/events", k.parts[0].message.Body
 	if len(k.parts) > 1 {
@@ -337,15 +335,15 @@
 	return req, nil
 }
 
-// answered takes in an answer.
+// answered handles a response.
 func (c *caller) answered(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response) {
 	k.mu.Lock()
 	k.reported = c.allowance(resp.Header.Get(loadHeader))
 	k.mu.Unlock()
 	wait, waitOK := retryAfter(resp)
 	if wait > 0 {
-		// Not a moment longer than the module counts: a send that it decides on
-		// when the wait is over would be stopped here, and use up an attempt.
+		// The gate must not close for longer than the module counts: otherwise it would stop a send that the module
+		// decides on when the wait is over, which uses up an attempt.
 		k.endpoint.waits.wait(time.Now().Add(wait))
 		if c.cohort != nil {
 			c.cohort.notify(newsWait, k.endpoint.name, waitNews{group.Clock() + wait})
@@ -358,10 +356,10 @@
 	}
 }
 
-// answeredSingle takes in an answer that is one for all messages of a call.
+// answeredSingle handles a response that has one outcome for all messages of a call.
 func (c *caller) answeredSingle(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response, wait time.Duration, waitOK bool) {
 	outcome, over := c.single(k, resp)
-	if outcome == policy.Delivered { // whatever comes behind the first line
+	if outcome == policy.Delivered { // even if the rest of the response is broken
 		c.endAll(k, outcome, wait, over)
 	}
 	drain, cancel := context.WithTimeout(ctx, drainAnswer)
@@ -373,29 +371,28 @@
 	}
 	conn.Release(end)
 	if err != nil || !waitOK {
-		// Only an answer that can be read proves that nothing ran.
-		c.log.Debug("call: unreadable answer", "endpoint", k.endpoint.name, "status", resp.Status, "err", err)
+		// Only a readable response proves that nothing ran.
+		c.log.Debug("call: unreadable response", "endpoint", k.endpoint.name, "status", resp.Status, "err", err)
 		outcome, over = policy.Failed, false
 	}
 	c.endAll(k, outcome, wait, over)
 }
 
-// answeredBundle takes in an answer that has an end for each message of a bundle. Messages that it leaves out may have
-// run.
+// answeredBundle handles a response with a result for each message of a bundle. Messages without a result may have run.
 func (c *caller) answeredBundle(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response, wait time.Duration) {
-	var ends map[string]string // empty if the answer can't be read
+	var ends map[string]string // empty if the response can't be read
 	body, err := conn.Body(ctx, resp, maxAnswer)
 	if err == nil {
 		ends = readEnds(body)
 	}
 	conn.Release(endOf(err))
-	lost := policy.Failed // the outcome of messages that are left out
+	lost := policy.Failed // the outcome of messages without a result
 	if err != nil {
 		lost = policy.Reset
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			lost = policy.TimedOut
 		}
-		c.log.Warn("call: unreadable answer", "endpoint", k.endpoint.name, "err", err)
+		c.log.Warn("call: unreadable response", "endpoint", k.endpoint.name, "err", err)
 	}
 	for _, p := range k.parts {
 		outcome, over := bundledOutcome(ends[p.message.ID], lost)
@@ -403,7 +400,7 @@
 	}
 }
 
-// bundledOutcome returns what the end of a message in a bundle's answer means, and whether the message is over.
+// bundledOutcome maps the result of a message in a bundle's response to an outcome. Over: the message needs no further attempt.
 func bundledOutcome(end string, lost policy.Outcome) (outcome policy.Outcome, over bool) {
 	switch end {
 	case "done":
@@ -420,7 +417,7 @@
 	return lost, false
 }
 
-// endOf tells what reading an answer to its end says of the connection.
+// endOf returns how the use of a connection ended, by the error of reading the response to its end.
 func endOf(err error) upstream.Outcome {
 	if err != nil {
 		return upstream.Broken
@@ -428,7 +425,7 @@
 	return upstream.Answered
 }
 
-// single tells what a status means, and whether the message is over.
+// single maps the status of a response to an outcome. Over: the messages need no further attempt.
 func (c *caller) single(k *call, resp *http.Response) (outcome policy.Outcome, over bool) {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -447,11 +444,11 @@
 	case http.StatusInternalServerError:
 		return policy.Failed, false
 	}
-	c.log.Warn("call: unknown answer", "endpoint", k.endpoint.name, "status", resp.Status)
+	c.log.Warn("call: unexpected status", "endpoint", k.endpoint.name, "status", resp.Status)
 	return policy.Failed, false
 }
 
-// retryAfter reads the wait of a refusal. A 429 has one, or it is not readable.
+// retryAfter parses the wait that a response requests. A 429 without a valid one counts as unreadable.
 func retryAfter(resp *http.Response) (wait time.Duration, ok bool) {
 	ms, err := strconv.ParseInt(resp.Header.Get(waitHeader), 10, 32)
 	if err != nil || ms < 0 {
@@ -460,8 +457,8 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// allowance reads what an answer tells of its destination's limit: name=value, parted by
-// commas. What can't be read tells nothing.
+// allowance parses a load report, which has the destination's limit: name=value pairs, separated by commas. Fields that
+// can't be parsed are ignored.
 func (c *caller) allowance(header string) policy.Allowance {
 	var a policy.Allowance
 	for field := range strings.SplitSeq(header, ",") {
@@ -473,7 +470,7 @@
 	return a
 }
 
-// readEnds reads the ends of a bundle's messages.
+// readEnds parses the results of a bundle's messages by their ids.
 func readEnds(body []byte) map[string]string {
 	ends := map[string]string{}
 	for line := range strings.Lines(string(body)) {
@@ -490,7 +487,7 @@
 	}
 }
 
-// end journals and tells the outcome of one message, once.
+// end journals and reports the outcome of one message, once.
 func (c *caller) end(k *call, p *part, outcome policy.Outcome, wait time.Duration, over bool) {
 	k.mu.Lock()
 	first := !p.over
@@ -502,7 +499,7 @@
 	}
 	err := c.record(k, p, outcome, over)
 	for errors.Is(err, journal.ErrReleased) {
-		to, _ := c.owner.owner(context.Background()) // settled within handoverTimeout
+		to, _ := c.owner.owner(context.Background()) // decided within handoverTimeout
 		if to != nil {
 			c.passOn(to, endedCall{Message: p.message.Number(), Outcome: outcome, Wait: wait, Over: over, Told: told}, p.attempted)
 			return
@@ -510,8 +507,8 @@
 		err = c.record(k, p, outcome, over)
 	}
 	if err != nil {
-		// The attempt alone is on record then: after a restart it may have run.
-		c.log.Error("journal: outcome", "id", p.message.ID, "err", err)
+		// The journal then has the attempt only: after a restart the message counts as possibly run.
+		c.log.Error("journal: recording an outcome failed", "id", p.message.ID, "err", err)
 	}
 	c.notify(policy.Ended{Message: p.message.Number(), Attempt: p.attempt, Endpoint: k.endpoint.id, Outcome: outcome,
 		Wait: wait, Final: over || outcome == policy.Delivered, Took: time.Since(k.started), Told: told})
@@ -528,13 +525,13 @@
 	return p.message.Home().Outcome(p.message, outcome, k.endpoint.name, time.Now())
 }
 
-// passOn tells the process that owns the message now how its call ended. It knows
-// nothing of a call that never went out.
+// passOn forwards the outcome of a call to the process that now owns its message. That process has no record of a call
+// without a journaled attempt.
 func (c *caller) passOn(to *link, e endedCall, attempted bool) {
 	if !attempted {
 		return
 	}
 	if _, _, err := to.pass(passedOn{Ended: &e}); err != nil {
-		c.log.Error("handover: outcome", "message", e.Message, "err", err)
+		c.log.Error("handover: forwarding an outcome failed", "message", e.Message, "err", err)
 	}
 }
--- a/internal/deliverynode/node/calls_test.go
+++ b/internal/deliverynode/node/calls_test.go
@@ -66,12 +66,12 @@
 	case e := <-r.outcomes:
 		return e
 	case <-time.After(patience):
-		r.t.Fatal("no outcome came")
+		r.t.Fatal("no outcome within the time-out")
 		return policy.Ended{}
 	}
 }
 
-// rawServer serves each connection by a function of its own, and counts them.
+// rawServer calls serve with each connection and its number, from 1 on.
 func rawServer(t *testing.T, serve func(n int64, conn net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,10 +99,9 @@
 	return err
 }
 
-// http.Transport sends a request again by itself when a kept connection turns out
-// to be closed, and an Idempotency-Key makes it willing: a copy that the journal
-// knows nothing of. The calls must never do that.
-func TestCallIsNeverSentAgainUnseen(t *testing.T) {
+// http.Transport resends a request by itself when an idle connection turns out to be closed, also a POST with an
+// Idempotency-Key: that attempt would be missing in the journal. Calls must never be resent that way.
+func TestCallIsNeverResentByTransport(t *testing.T) {
 	var copies atomic.Int64
 	addr := rawServer(t, func(n int64, conn net.Conn) {
 		defer conn.Close()
@@ -113,7 +112,7 @@
 			}
 			copies.Add(1)
 			if n == 1 && i == 1 {
-				return // a kept connection, closed with the request read
+				return // closes a reused connection after it has read the request
 			}
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
@@ -126,16 +125,16 @@
 	r.caller.running.Wait()
 	r.start(5*time.Second, 1)
 	if e := r.next(); e.Outcome != policy.Reset {
-		t.Errorf("a call that was cut off ended as %v, want a reset", e.Outcome)
+		t.Errorf("a call on a closed connection ended as %v, want a reset", e.Outcome)
 	}
 	r.caller.running.Wait()
 	if n := copies.Load(); n != 2 {
-		t.Errorf("%d requests came for 2 calls", n)
+		t.Errorf("%d requests received for 2 calls", n)
 	}
 }
 
-// A kept connection carries the next call, and a closed one is not tried.
-func TestCallsReuseGoodConnectionsOnly(t *testing.T) {
+// An idle connection is reused for the next call, and a closed one is not tried.
+func TestCallsReuseOpenConnectionsOnly(t *testing.T) {
 	var conns atomic.Int64
 	closed := make(chan struct{}, 1)
 	addr := rawServer(t, func(n int64, conn net.Conn) {
@@ -169,7 +168,7 @@
 	}
 }
 
-func TestCallThatFindsNobodyNeverRan(t *testing.T) {
+func TestRefusedConnectionIsNoAttempt(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	addr := l.Addr().String()
@@ -180,11 +179,11 @@
 		t.Errorf("outcome %v, want unreachable", e.Outcome)
 	}
 	if m.Past.MayRun || m.Past.Attempts != 0 {
-		t.Errorf("the journal has %+v of a call that was never sent", m.Past)
+		t.Errorf("the journal has %+v for a call that was never sent", m.Past)
 	}
 }
 
-// A time-out ends the call and its connection: a silent endpoint holds no socket.
+// A time-out ends the call and closes its connection: an endpoint that does not respond must not use up sockets.
 func TestTimeOutClosesTheConnection(t *testing.T) {
 	gone := make(chan error, 1)
 	addr := rawServer(t, func(_ int64, conn net.Conn) {
@@ -206,27 +205,27 @@
 	}
 }
 
-// What is told while a call dials binds it: nothing has been sent yet.
-func TestCallHeedsWhatIsToldWhileItDials(t *testing.T) {
+// A drain or a wait that arrives while a call dials stops it, because nothing has been sent yet.
+func TestDrainOrWaitStopsADiallingCall(t *testing.T) {
 	var bytes atomic.Int64
 	addr := rawServer(t, func(_ int64, conn net.Conn) {
 		defer conn.Close()
 		n, _ := io.Copy(io.Discard, conn)
 		bytes.Add(n)
 	})
-	for name, tell := range map[string]func(*endpoint){
+	for name, stop := range map[string]func(*endpoint){
 		"drain": func(e *endpoint) { e.leaves.closedFrom.Store(time.Now().UnixNano()) },
 		"wait":  func(e *endpoint) { e.waits.wait(time.Now().Add(time.Minute)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newCallRig(t, addr)
-			tell(r.endpoint)
+			stop(r.endpoint)
 			m := r.start(5*time.Second, 1)[0]
 			if e := r.next(); e.Outcome != policy.Moot || e.Final {
 				t.Errorf("outcome %+v, want moot", e)
 			}
 			if m.Past.MayRun {
-				t.Error("it may have run, says the journal")
+				t.Error("the journal says that it may have run")
 			}
 			r.caller.running.Wait()
 			r.endpoint.pool.CloseIdle()
@@ -237,8 +236,8 @@
 	}
 }
 
-// Every answer has its meaning, and one that makes no sense may have run.
-func TestEachAnswerHasItsOutcome(t *testing.T) {
+// Each response maps to an outcome; a message with an invalid response may have run.
+func TestOutcomeOfEachResponse(t *testing.T) {
 	const wait = "X-Backoff-Ms: 250\r\n"
 	for name, c := range map[string]struct {
 		answer string
@@ -290,8 +289,8 @@
 	}
 }
 
-// TestTornAnswers has endpoints close the connection within the head of an answer.
-func TestTornAnswers(t *testing.T) {
+// Endpoints close the connection within the header of a response.
+func TestTruncatedResponses(t *testing.T) {
 	for answer, want := range map[string]policy.Outcome{
 		"what?\r\n\r\n":                  policy.Reset,
 		"HTTP/1.1 20":                    policy.Reset,
@@ -314,9 +313,9 @@
 	}
 }
 
-// The gate of a told wait opens when the module counts it over, not later: a send
-// that was stopped in between used up one of the message's attempts each tick.
-func TestWaitEndsWhenTheModuleCountsItOver(t *testing.T) {
+// The gate of a wait opens when the wait ends for the module, not later: otherwise the gate stops sends of the module in
+// between, each of which uses up one of the message's attempts.
+func TestGateOpensWhenTheWaitEndsForTheModule(t *testing.T) {
 	addr := rawServer(t, func(_ int64, conn net.Conn) {
 		defer conn.Close()
 		if readRequest(bufio.NewReader(conn)) == nil {
@@ -329,11 +328,11 @@
 	e := r.next()
 	over := time.Now().Add(e.Wait)
 	if e.Wait != time.Minute || !r.endpoint.waits.open(over) || r.endpoint.waits.open(before.Add(e.Wait)) {
-		t.Errorf("told %v, gate open at its end: %v", e.Wait, r.endpoint.waits.open(over))
+		t.Errorf("wait %v, gate open at its end: %v", e.Wait, r.endpoint.waits.open(over))
 	}
 }
 
-// Making a connection may take until the key is forgotten: then the call is not sent.
+// The idempotency window of a message may end while a connection is made: then the call is not sent.
 func TestCallIsNotSentAfterTheKeysWindow(t *testing.T) {
 	addr := rawServer(t, func(_ int64, conn net.Conn) {
 		defer conn.Close()
@@ -359,8 +358,8 @@
 	}
 }
 
-// The bundle's form is fixed by the protocol.
-func TestBundleForm(t *testing.T) {
+// The format of a bundle is fixed by the protocol.
+func TestBundleFormat(t *testing.T) {
 	a, b := newMessage("a", 0), newMessage("b", 0)
 	a.Body, a.Key, b.Body = []byte("hello"), "", []byte("x\r\ny")
 	k := &call{addr: "127.0.0.1:1", limit: time.Second, started: time.Now(), parts: []*part{{message: a}, {message: b}}}
@@ -373,8 +372,8 @@
 	}
 }
 
-// What an answer tells of a limit reaches the module; what can't be read tells nothing.
-func TestLoadReportIsRead(t *testing.T) {
+// The load report of a response reaches the module; fields that can't be parsed are ignored.
+func TestLoadReportIsParsed(t *testing.T) {
 	for header, want := range map[string]policy.Allowance{
 		"x0=0.4,x1=25":      {Left: 0.4, Limit: 25},
 		" x1=25 , x0=0.4":   {Left: 0.4, Limit: 25},
@@ -395,13 +394,13 @@
 		r.caller.reported = []string{"x0", "x1"}
 		r.start(patience, 1)
 		if got := r.next(); got.Outcome != policy.Full || got.Told != want {
-			t.Errorf("%q: outcome %v, told %+v, want %+v", header, got.Outcome, got.Told, want)
+			t.Errorf("%q: outcome %v, load report %+v, want %+v", header, got.Outcome, got.Told, want)
 		}
 	}
 }
 
-// Whatever the limit on descriptors, clients, endpoints and the node's own files fit in.
-func TestDescriptorsAreSharedOut(t *testing.T) {
+// Whatever the limit on descriptors, it covers those for clients, endpoints and the node's own files.
+func TestDescriptorBudget(t *testing.T) {
 	for sockets := 64; sockets <= 4096; sockets += 7 {
 		for _, console := range []string{"", "127.0.0.1:1"} {
 			c := Config{Sockets: sockets, Console: console}
--- a/internal/deliverynode/node/clients.go
+++ b/internal/deliverynode/node/clients.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// heardListener tells of each connection whether anything has come on it.
+// heardListener wraps its connections to record whether the client has sent anything.
 type heardListener struct{ net.Listener }
 
 type heardConn struct {
@@ -16,7 +16,7 @@
 	heard atomic.Bool
 }
 
-// Accept returns the next connection, whose reads are observed.
+// Accept returns the next connection, wrapped in a heardConn.
 func (l heardListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -25,7 +25,7 @@
 	return &heardConn{Conn: conn}, nil
 }
 
-// Read reads, and notes that the client has sent something.
+// Read reads, and records whether the client has sent anything.
 func (c *heardConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -34,13 +34,11 @@
 	return n, err
 }
 
-// clients keeps places free for new connections: while nearly all that clients may
-// hold are taken, one is closed for each that comes. The first to go is one on which
-// nothing ever came, then one that is idle, then one whose first request is not whole
-// yet; of these the oldest. Clients come again by themselves, and those that are at
-// work are never silent or idle for long.
+// clients keeps capacity free for new connections: at the limit, it closes an old connection for each new one. It prefers
+// a connection on which nothing was received, then an idle one, then one whose first request is incomplete; among these
+// the oldest. Clients reconnect by themselves, and active ones are never silent or idle for long.
 type clients struct {
-	max int // connections that there may be; 0 for any number
+	max int // maximum number of connections; 0 for no limit
 
 	mu     sync.Mutex
 	open   int
@@ -49,7 +47,7 @@
 	listed map[net.Conn]place
 }
 
-// place is where a connection is listed.
+// place is the position of a connection in a list.
 type place struct {
 	list *conns.List
 	at   *conns.Element
@@ -59,28 +57,28 @@
 	return &clients{max: max, fresh: conns.New(), idle: conns.New(), listed: map[net.Conn]place{}}
 }
 
-// count is how many connections there are.
+// count returns the number of connections.
 func (c *clients) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open
 }
 
-// limit sets how many there may be; who is over it goes as others come.
+// limit sets the maximum number of connections; those above it are closed as new ones arrive.
 func (c *clients) limit(max int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.max = max
 }
 
-// state follows a connection; it is the server's ConnState.
+// state handles a change of a connection's state; it is the server's ConnState.
 func (c *clients) state(conn net.Conn, s http.ConnState) {
 	if old := c.follow(conn, s); old != nil {
 		_ = old.Close() // the server notices
 	}
 }
 
-// follow returns a connection that has to go, or nil.
+// follow records a connection's state, and returns a connection to close, or nil.
 func (c *clients) follow(conn net.Conn, s http.ConnState) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,12 +92,12 @@
 	case http.StateClosed, http.StateHijacked:
 		c.open--
 	}
-	// What is closed counts until the server says so: one goes for each that comes.
+	// A connection that is closed here counts until the server reports StateClosed: one is closed for each new one.
 	if c.max <= 0 || c.open < c.max || s != http.StateNew && s != http.StateIdle {
 		return nil
 	}
 	if s == http.StateNew {
-		c.unlist(conn) // for now: it has only just come
+		c.unlist(conn) // for now, so that the new connection is not chosen
 		defer func() { c.listed[conn] = place{c.fresh, c.fresh.PushBack(conn)} }()
 	}
 	old := c.leastLoss()
@@ -114,7 +112,7 @@
 	}
 }
 
-// leastLoss is the connection whose end costs least, nil if all are at work.
+// leastLoss returns the connection to close first, nil if all are active.
 func (c *clients) leastLoss() net.Conn {
 	for e := c.fresh.Front(); e != nil; e = e.Next() {
 		if h, ok := e.Value.(*heardConn); ok && !h.heard.Load() {
--- a/internal/deliverynode/node/completion_reports.go
+++ b/internal/deliverynode/node/completion_reports.go
@@ -17,26 +17,25 @@
 )
 
 const (
-	// noticeTimeout is short: a notice must land 300 ms after the deadline at the
-	// latest, so there must be time for several tries. The agent answers at once, and
-	// a notice that is sent twice does no harm.
+	// noticeTimeout is short: a notice must arrive within 300 ms after the deadline, so there must be time for several
+	// tries. The agent answers at once, and a duplicate notice is harmless.
 	noticeTimeout = 60 * time.Millisecond
 	noticePause   = 10 * time.Millisecond
-	// pendingPause is how often it is looked whether what had to wait may be told.
+	// pendingPause is the interval at which postponed notices are checked again.
 	pendingPause = 50 * time.Millisecond
 	noticeBatch  = 64
 )
 
-// completionReports tells the platform of messages that ended undelivered, again and again
-// until it has answered: only then is nothing owed any more.
+// completionReports reports messages that ended undelivered to the platform. It retries until the platform has
+// acknowledged: until then the message stays in the journal.
 type completionReports struct {
 	agent  *agent
 	client *http.Client
 	log    *slog.Logger
 
-	sync   bool    // what can't be undone is durable first
-	once   []bool  // by class: it may not be repeated
-	copies *copies // what other nodes have of the journals; nil where they have nothing
+	sync   bool    // ends are made durable before they are reported as handed back
+	once   []bool  // by class: may not be repeated
+	copies *copies // copies of the journals on other nodes; nil without copies
 
 	mu    sync.Mutex
 	queue []*journal.Message
@@ -49,7 +48,7 @@
 		client: &http.Client{Timeout: noticeTimeout, Transport: &http.Transport{DisableCompression: true}}}
 }
 
-// add queues the notice of a message. It never waits.
+// add queues the notice of a message. It never blocks.
 func (f *completionReports) add(m *journal.Message) {
 	f.mu.Lock()
 	f.queue = append(f.queue, m)
@@ -68,8 +67,7 @@
 	return q
 }
 
-// run sends what is queued until the context ends. What is left then is owed
-// still, and the journal has it.
+// run sends the queued notices until the context ends. Those that are left then are still in the journal.
 func (f *completionReports) run(ctx context.Context) {
 	defer f.client.CloseIdleConnections()
 	var pending []*journal.Message
@@ -86,7 +84,7 @@
 		ready := f.ready(pending)
 		if ready == 0 {
 			select {
-			case <-f.more: // or one that waits may be told by then
+			case <-f.more: // a new notice may be ready to send
 			case <-time.After(pendingPause):
 			case <-ctx.Done():
 				return
@@ -97,7 +95,7 @@
 		f.resolve(batch)
 		status, err := f.post(ctx, batch)
 		if status == http.StatusBadRequest && len(batch) > 1 {
-			// One line that the platform can't read must not hold the others back.
+			// A single line that the platform rejects must not block the others.
 			batch = batch[:1]
 			status, err = f.post(ctx, batch)
 		}
@@ -106,10 +104,10 @@
 			for _, m := range batch {
 				err = m.Home().Closed(m, "", time.Now())
 				if errors.Is(err, journal.ErrReleased) {
-					break // whoever owns the journal then sends it again, which does no harm
+					break // the new owner of the journal sends it again, which is harmless
 				}
 				if err != nil {
-					f.log.Error("journal: notice answered", "id", m.ID, "err", err)
+					f.log.Error("journal: recording an acknowledged notice failed", "id", m.ID, "err", err)
 				}
 				closed++
 			}
@@ -118,8 +116,8 @@
 				continue
 			}
 		}
-		f.log.Warn("finals: not answered", "notices", len(batch), "status", status, "err", err)
-		if status == http.StatusBadRequest { // to the end of the line
+		f.log.Warn("finals: not acknowledged", "notices", len(batch), "status", status, "err", err)
+		if status == http.StatusBadRequest { // to the end of the queue
 			pending = append(append(pending[:0:0], pending[1:]...), pending[0])
 		}
 		select {
@@ -130,8 +128,8 @@
 	}
 }
 
-// ready puts first what may be told now, and counts it. What may be told only when its time is up, as
-// its log may be another node's, is given up then.
+// ready moves the notices that may be sent now to the front, and returns their number. Where another node may have the
+// lease on a message's log, the notice is postponed until the deadline, and then reports the message as not handed back.
 func (f *completionReports) ready(pending []*journal.Message) int {
 	if f.copies == nil {
 		return len(pending)
@@ -142,7 +140,7 @@
 		may[m] = now
 		if now && !again && m.Notice.HandedBack() {
 			if err := m.Home().Ended(m, journal.NewNotice(m.ID, false, 0)); err != nil {
-				f.log.Error("journal: end", "id", m.ID, "err", err)
+				f.log.Error("journal: recording the end of a message failed", "id", m.ID, "err", err)
 			}
 		}
 	}
@@ -164,30 +162,30 @@
 	return ready
 }
 
-// resolve makes it durable that messages are over whose clients are told to come again,
-// where that is asked for: after a loss of power such a charge would be owed here as well.
-// On a disk that fails they are not told so.
+// resolve makes the end of messages durable before they are reported as handed back, where the configuration requires it:
+// otherwise, after a power loss, this node would still send a message that its client sends again. If the disk or the
+// copies fail, messages that may not be repeated are reported as not handed back.
 func (f *completionReports) resolve(batch []*journal.Message) {
 	back := func(m *journal.Message) bool { return f.once[m.Class] && m.Notice.HandedBack() }
 	if f.copies == nil && (!f.sync || !slices.ContainsFunc(batch, back)) {
 		return
 	}
 	var err error
-	all := homes(batch, func(m *journal.Message) *journal.Message { return m })
+	all := journalsOf(batch, func(m *journal.Message) *journal.Message { return m })
 	for _, j := range all {
 		err = errors.Join(err, j.Sync())
 	}
-	if err == nil && f.copies != nil { // or whoever takes the log over sends what was told to have ended
+	if err == nil && f.copies != nil { // otherwise a node that takes the log over sends messages that were reported as ended
 		err = f.copies.copied(all, 1)
 	}
 	if err == nil {
 		return
 	}
-	f.log.Error("finals: charges are given up and not handed back", "err", err)
+	f.log.Error("finals: messages that may not be repeated are not handed back", "err", err)
 	for _, m := range batch {
 		if back(m) {
 			if err := m.Home().Ended(m, journal.NewNotice(m.ID, false, 0)); err != nil {
-				f.log.Error("journal: end", "id", m.ID, "err", err)
+				f.log.Error("journal: recording the end of a message failed", "id", m.ID, "err", err)
 			}
 		}
 	}
--- a/internal/deliverynode/node/completion_reports_test.go
+++ b/internal/deliverynode/node/completion_reports_test.go
@@ -14,8 +14,8 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// Connections to the agent may hang. A notice lands in time though three tries do.
-func TestNoticeLandsInTimeThoughTriesHang(t *testing.T) {
+// Requests to the agent may hang. A notice arrives in time even if three tries hang.
+func TestNoticeArrivesInTimeAfterHungTries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
 		f := newCompletionReports(newAgent("127.0.0.1:1"), quietLog())
--- a/internal/deliverynode/node/config.go
+++ b/internal/deliverynode/node/config.go
@@ -15,7 +15,7 @@
 	"dunetide/policy"
 )
 
-// Config is what a delivery node is told when it starts.
+// Config is the configuration of a delivery node.
 type Config struct {
 	Name      string
 	Listen    string
@@ -26,29 +26,29 @@
 	MemoryMB  int
 	Sockets   int
 	DiskBytes int64
-	PeerBind  string // empty where delivery nodes may not tell each other anything
+	PeerBind  string // empty where delivery nodes do not send each other notes
 	Peers     []netip.AddrPort
 	PeersAll  string
 	Me        int
-	Console   string // where the staff call; empty for nowhere
-	AcceptFD  int    // the clients' listening socket, where the platform holds it; else 0
+	Console   string // address of the operators' console; empty for none
+	AcceptFD  int    // descriptor of the clients' listening socket, if the platform passes it; else 0
 	Path      string // of the configuration file
-	Known     list   // the endpoints as this node last had them
+	Known     list   // the last list of endpoints that this node had
 	Settings  policy.Settings
 	Names     names
 	IdleClose time.Duration
-	Sync      bool        // what is taken on outlasts a loss of power too
-	Members   int         // processes at most that are this node together; 0 for this one alone
-	Fleet     *fleet.File // the nodes that are told of each other; nil for none
-	Copies    int         // other nodes that keep what this one has taken on; 0 for none
-	// CopyWait is how long a client's message, or a charge that is about to be sent, waits for its copies before it
-	// is refused. Clients should wait for longer. DefaultCopyWait if 0.
+	Sync      bool        // accepted messages survive a power loss
+	Members   int         // maximum number of processes that form this node; 0 for a single process without a group
+	Fleet     *fleet.File // the nodes of the fleet; nil for none
+	Copies    int         // number of other nodes that keep copies of this node's log; 0 for none
+	// CopyWait is how long a client's message, or a message that may not be repeated and is about to be sent, waits for
+	// its copies before it is refused. Clients should wait for longer. DefaultCopyWait if 0.
 	CopyWait time.Duration
-	Warm     bool          // connections are opened ahead, for demand that was seen
-	AskEvery time.Duration // a node that has not asked for so long counts as told; 0 if nothing is said
+	Warm     bool          // connections are opened ahead, based on recent demand
+	AskEvery time.Duration // a node that has not asked discovery for this long counts as informed; 0 if not specified
 }
 
-// names translates between the words of the settings and the module's numbers.
+// names maps the names in the settings to the module's numbers.
 type names struct {
 	classes, kinds, zones map[string]int
 }
@@ -61,7 +61,7 @@
 	return m
 }
 
-// configFile is the form of the configuration file.
+// configFile is the format of the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -97,9 +97,8 @@
 	} `json:"Obligations"`
 }
 
-// LoadConfig reads the file that PROXY_CONFIG names. The other variables of the
-// platform come first where both tell something, but for the address of discovery:
-// the platform moves it by a new file.
+// LoadConfig reads the file that PROXY_CONFIG names. The platform's other variables take precedence over the file, except
+// for the address of discovery: the platform changes it with a new file.
 func LoadConfig(env func(string) string) (Config, error) {
 	path := env("PROXY_CONFIG")
 	if path == "" {
@@ -141,7 +140,7 @@
 	return c, nil
 }
 
-// readEnvironment takes in the variables of the platform, and checks the addresses and the state folder.
+// readEnvironment applies the variables of the platform, and checks the addresses and the state folder.
 func (c *Config) readEnvironment(env func(string) string) (err error) {
 	for name, field := range map[string]*string{
 		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_CONSOLE": &c.Console} {
@@ -160,7 +159,7 @@
 	}
 	if value := env("PROXY_ACCEPT_FD"); value != "" {
 		if c.AcceptFD, err = strconv.Atoi(value); err != nil || c.AcceptFD < 3 {
-			return fmt.Errorf("PROXY_ACCEPT_FD: %q is no descriptor that can be inherited", value)
+			return fmt.Errorf("PROXY_ACCEPT_FD: %q is not an inheritable descriptor", value)
 		}
 	}
 	if c.State == "" {
@@ -169,10 +168,10 @@
 	return nil
 }
 
-// defaultIdleClose is how long a connection may be idle where the settings do not say it.
+// defaultIdleClose is how long a connection may be idle if the settings do not specify it.
 const defaultIdleClose = 15 * time.Second
 
-// readSettings takes in the settings, with the part of them that only a real node needs.
+// readSettings decodes the settings, with those that only a real node needs.
 func (c *Config) readSettings(text json.RawMessage) error {
 	var err error
 	if c.Settings, err = wire.DecodeSettings(text); err != nil {
@@ -211,7 +210,7 @@
 	return f, nil
 }
 
-// reloadDiscovery reads the address of discovery from a file that was replaced.
+// reloadDiscovery reads the address of discovery from a configuration file that may have been replaced.
 func reloadDiscovery(path string) (string, error) {
 	f, err := readConfig(path)
 	if err != nil {
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -21,37 +21,35 @@
 )
 
 const (
-	// consoleCallers is how many of the staff's callers are heard at a time; the one
-	// that has been there for longest makes room for the next. So many descriptors are
-	// left for them.
+	// consoleCallers is the maximum number of console connections; a new one above it replaces the oldest. That many
+	// descriptors are reserved for them.
 	consoleCallers = 16
-	// A call to the console must come in whole within consoleTimeout.
+	// consoleTimeout is the timeout for reading a request.
 	consoleTimeout = 2 * time.Second
-	// consoleAnswer is how long a caller may wait for the answer at most, with something
-	// to spare of the second that it has.
+	// consoleAnswer is the longest time for a response; callers time out after 1 s.
 	consoleAnswer = 800 * time.Millisecond
 	maxOrder      = 4 << 10
-	// maxPools bounds the answer that shows the connections to endpoints.
+	// maxPools is the maximum number of connection pools in a response.
 	maxPools = 1000
 )
 
-// console is where the staff call: a listener and a server of its own, so that
-// neither the clients' connections nor their limits touch it.
+// console serves the operators' requests. It has its own listener and server, so that the clients' connections and their
+// limits do not affect it.
 type console struct {
 	server *http.Server
 	log    *slog.Logger
-	ready  atomic.Bool // clients are taken
+	ready  atomic.Bool // clients are served
 
-	up     chan struct{} // closed when there is a loop
+	up     chan struct{} // closed when loop is set
 	loop   *loop
 	cohort *processGroup // the other processes of the node; nil where there are none
 	fleet  *fleet.Fleet
 	leases *lease.Leases
-	copies *copies // nil where there are none, or not yet
-	copied bool    // there are some
+	copies *copies // nil without copies, and until they are started
+	copied bool    // the node is configured with copies
 }
 
-// openConsole listens at once; calls that need the node's state wait for it.
+// openConsole listens at once; requests that need the node's state wait for it.
 func openConsole(ctx context.Context, addr string, c *console, log *slog.Logger) (net.Listener, error) {
 	listen := func() (net.Listener, error) { return (&net.ListenConfig{}).Listen(ctx, "tcp", addr) }
 	if c.cohort != nil {
@@ -59,30 +57,30 @@
 	}
 	listener, err := listen()
 	if err != nil {
-		return nil, fmt.Errorf("listening for the staff: %w", err)
+		return nil, fmt.Errorf("listening for console requests: %w", err)
 	}
 	c.log = log
 	c.server = &http.Server{Handler: c, ReadTimeout: consoleTimeout, WriteTimeout: consoleTimeout + consoleAnswer,
 		MaxHeaderBytes: maxHeader, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
-	c.server.SetKeepAlivesEnabled(false) // one call a connection
+	c.server.SetKeepAlivesEnabled(false) // one request per connection
 	return &newestCallers{Listener: listener, max: consoleCallers}, nil
 }
 
-// run serves until the context ends. A console that fails leaves the node at work.
+// run serves until the context ends. The node continues if the console fails.
 func (c *console) run(ctx context.Context, listener net.Listener) {
 	defer context.AfterFunc(ctx, func() { _ = c.server.Close() })()
 	if err := c.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		c.log.Error("console: no longer served", "err", err)
+		c.log.Error("console: serving failed", "err", err)
 	}
 }
 
-// serves lets the calls through that need the node's state.
+// serves sets the loop, and lets requests that need the node's state proceed.
 func (c *console) serves(l *loop) {
 	c.loop = l
 	close(c.up)
 }
 
-// consoleMethods are the methods of the console's calls by path.
+// consoleMethods has the methods of the console's requests by path.
 var consoleMethods = map[string]string{
 	"/ops/readiness": http.MethodGet,
 	"/ops/pools":     http.MethodGet,
@@ -101,7 +99,7 @@
 	"/ops/leases/give":    http.MethodPut,
 }
 
-// ServeHTTP answers one call: a status of 2xx means yes, any other no.
+// ServeHTTP handles one request: a 2xx status means success, any other failure.
 func (c *console) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	method, known := consoleMethods[r.URL.Path]
 	if !known {
@@ -123,7 +121,7 @@
 	fmt.Fprintln(w, text)
 }
 
-// show answers a call that asks for a part of the node's state.
+// show responds to a request for one of the status pages.
 func (c *console) show(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/ops/pools":
@@ -159,7 +157,7 @@
 	}
 }
 
-// carryOut answers readiness and the calls that change something.
+// carryOut handles the readiness check and the requests that change something.
 func (c *console) carryOut(w http.ResponseWriter, r *http.Request) (status int, text string) {
 	switch r.URL.Path {
 	case "/ops/leases/voters", "/ops/leases/recover", "/ops/leases/take", "/ops/leases/give":
@@ -178,18 +176,18 @@
 	return status, text
 }
 
-// shows answers with figures of the node, once it has any.
+// shows writes a status page as JSON, once the loop is set.
 func (c *console) shows(w http.ResponseWriter, figures func(*loop) any) {
 	select {
 	case <-c.up:
 	case <-time.After(consoleAnswer):
-		http.Error(w, "nothing to show yet", http.StatusServiceUnavailable)
+		http.Error(w, "no status available yet", http.StatusServiceUnavailable)
 		return
 	}
 	text, err := json.MarshalIndent(figures(c.loop), "", "  ")
 	if err != nil {
-		c.log.Error("console: figures", "err", err)
-		http.Error(w, "the figures can't be written", http.StatusInternalServerError)
+		c.log.Error("console: encoding a status page failed", "err", err)
+		http.Error(w, "the status can't be encoded", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -199,18 +197,18 @@
 func (c *console) readiness() (status int, text string) {
 	if !c.ready.Load() {
 		if c.cohort != nil && c.cohort.anyone(askReady, nil) {
-			return http.StatusOK, "clients are taken, by another process of this node"
+			return http.StatusOK, "clients are served by another process of this node"
 		}
-		return http.StatusServiceUnavailable, "no clients are taken"
+		return http.StatusServiceUnavailable, "no clients are served"
 	}
 	if err := c.loop.journal.Failed(); err != nil {
-		return http.StatusServiceUnavailable, "no clients are taken: " + err.Error()
+		return http.StatusServiceUnavailable, "no clients are served: " + err.Error()
 	}
-	return http.StatusOK, "clients are taken"
+	return http.StatusOK, "clients are served"
 }
 
-// removeMember says that a member of the fleet is gone. The yes means that this node knows it;
-// the others hear of it from here on.
+// removeMember marks a member of the fleet as removed. Success means that this node has recorded it; the other nodes learn
+// of it after that.
 func (c *console) removeMember(body io.Reader) (status int, text string) {
 	if c.fleet == nil {
 		return http.StatusNotFound, errNoFleet.Error()
@@ -220,7 +218,7 @@
 	}
 	err := readOrder(body, &o)
 	if err == nil && o.Name == "" {
-		err = errors.New(`the order names no "name"`)
+		err = errors.New(`the order has no "name"`)
 	}
 	if err != nil {
 		return http.StatusBadRequest, err.Error()
@@ -234,7 +232,7 @@
 	return status, text
 }
 
-// orderLeases carries out what the staff order of the leases.
+// orderLeases executes an operator's request that concerns leases.
 func (c *console) orderLeases(ctx context.Context, call string, body io.Reader) (status int, text string) {
 	if c.leases == nil {
 		return http.StatusNotFound, errNoLeases.Error()
@@ -290,7 +288,7 @@
 	return nil
 }
 
-// orderedHost reads the endpoint that an order names.
+// orderedHost decodes the endpoint of an order.
 func orderedHost(body io.Reader) (string, error) {
 	var o struct {
 		Host string `json:"host"`
@@ -299,7 +297,7 @@
 		return "", err
 	}
 	if o.Host == "" {
-		return "", errors.New(`the order names no "host"`)
+		return "", errors.New(`the order has no "host"`)
 	}
 	return o.Host, nil
 }
@@ -311,23 +309,22 @@
 	case <-c.up:
 		return c.loop.obey(ctx, id, out)
 	case <-ctx.Done():
-		return http.StatusServiceUnavailable, "the process before still has the orders"
+		return http.StatusServiceUnavailable, "the previous process still owns the orders"
 	}
 }
 
 var errUnknownHost = errors.New("no such endpoint")
 
-// order is a call of the staff on its way through the loop.
+// order is an operator's order to take an endpoint out or back in, as it is passed to the loop.
 type order struct {
 	host  string
 	out   bool
 	reply chan error
-	begun atomic.Bool // by the loop, or by a caller that no longer waits
+	begun atomic.Bool // set by the loop when it starts, or by a caller that has stopped waiting
 }
 
-// obey has an order carried out: by all processes of the node, or by the one that owns what
-// is owed. It is on record and known to the module before the yes, and nothing happens
-// after a no.
+// obey executes an order: on all processes of the group, or on the process that owns the journal. On success the order is
+// recorded and applied in the module; on failure nothing changes.
 func (l *loop) obey(ctx context.Context, host string, out bool) (status int, text string) {
 	if l.cohort != nil {
 		return l.cohort.order(ctx, host, out)
@@ -339,7 +336,7 @@
 	for {
 		to, err := l.owner.owner(ctx)
 		if err != nil {
-			return http.StatusServiceUnavailable, "no process has the orders just now"
+			return http.StatusServiceUnavailable, "no process owns the orders at the moment"
 		}
 		if to != nil {
 			a, _, err := to.pass(passedOn{Order: &staffOrder{Endpoint: host, Out: out}})
@@ -376,11 +373,11 @@
 		if o.begun.CompareAndSwap(false, true) {
 			return ctx.Err()
 		}
-		return <-o.reply // the loop is at it
+		return <-o.reply // the loop has started
 	}
 }
 
-// order carries out an order of the staff; the yes follows the next step.
+// order executes an operator's order; success is reported after the next step.
 func (l *loop) order(o *order) {
 	if !o.begun.CompareAndSwap(false, true) {
 		return
@@ -396,14 +393,14 @@
 		return
 	}
 	if e != nil && e.excluded.Swap(o.out) != o.out {
-		e.pool.CloseIdle() // it is about to be restarted, or has been
+		e.pool.CloseIdle() // the endpoint is about to be restarted, or has been
 	}
-	l.batch = append(l.batch, policy.Ordered{Endpoint: id, Out: o.out}) // the module may know one that is gone
+	l.batch = append(l.batch, policy.Ordered{Endpoint: id, Out: o.out}) // the module may still have an endpoint that is no longer listed
 	l.obeyed = append(l.obeyed, o)
 }
 
-// newestCallers is a listener that closes the oldest of its connections when there
-// are too many, so that callers who are stuck keep nobody out.
+// newestCallers is a listener that closes the oldest of its connections when there are too many, so that stuck callers do
+// not block others.
 type newestCallers struct {
 	net.Listener
 	max int
@@ -417,7 +414,7 @@
 	closed func()
 }
 
-// Close closes the connection, and takes it off the list of open ones.
+// Close closes the connection, and removes it from the list of open ones.
 func (c *caughtConn) Close() error {
 	c.closed()
 	return c.Conn.Close()
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -27,15 +27,15 @@
 const (
 	// DefaultCopyWait leaves 100 ms of the 400 ms that the platform's clients wait for an answer.
 	DefaultCopyWait = 300 * time.Millisecond
-	// lookTime is how much of a log's lease must be left when a call goes out: what is between that look and
-	// the call's last byte takes less than a millisecond, and is closed when the lease ends.
+	// lookTime is how much of a log's lease must be left when a call is sent: from this check to the call's last byte
+	// takes less than a millisecond, and the call is closed when the lease ends.
 	lookTime = 100 * time.Millisecond
-	// copyMeta is left for the files beside the journals.
+	// copyMeta is the disk space that is reserved for the files besides the journals.
 	copyMeta = 32 << 10
 )
 
-// copies is this node's part in its fleet's copies, as the rest of the node sees it. It is the host of
-// the logs that are worked on here.
+// copies connects the node to the replication of logs in its fleet. It is the replica.Host of the logs that this node
+// processes.
 type copies struct {
 	keeper *replica.Keeper
 	wanted int
@@ -47,11 +47,12 @@
 	works map[*journal.Journal]*replica.Work
 }
 
-// copySlots is how many journals lie beside a node's own: copies of others' logs, and logs that it has
-// taken over. Draws are uneven, so there is room for twice as many as each node has, and one to work on.
+// copySlots returns how many journals a node may have besides its own: copies of other nodes' logs, and logs that it has
+// taken over. Copies are distributed unevenly, so there are slots for twice as many as each node's log has, and one for a
+// log that is taken over.
 func (c Config) copySlots() int { return 2*c.Copies + 1 }
 
-// checkCopies tells why -copies can't be.
+// checkCopies returns an error if -copies can't be used with this configuration.
 func (c Config) checkCopies() error {
 	switch {
 	case c.Copies == 0:
@@ -63,21 +64,21 @@
 	case c.Fleet == nil || c.Fleet.Copies == nil:
 		return errors.New("-copies needs -fleet, with a file that has a part \"copies\"")
 	case c.Members > 0 || c.AcceptFD > 0:
-		return errors.New("-copies goes with neither -group nor PROXY_ACCEPT_FD yet")
+		return errors.New("-copies works with neither -group nor PROXY_ACCEPT_FD yet")
 	}
 	if each := c.copyLimit(); each < journal.MinDisk {
-		return fmt.Errorf("limits.disk_mb leaves %.2f MB to each of %d journals beside the fleet's %.2f: %.2f are needed", float64(each)/1e6,
+		return fmt.Errorf("limits.disk_mb leaves %.2f MB for each of %d journals besides the fleet's %.2f: %.2f are needed", float64(each)/1e6,
 			c.copySlots()+1, float64(c.fleetRoom())/1e6, float64(journal.MinDisk)/1e6)
 	}
 	return nil
 }
 
-// copyLimit is what each journal has of the disk: this node's own, a copy, a log that was taken over.
+// copyLimit returns the disk space of each journal: this node's own, a copy, a log that was taken over.
 func (c Config) copyLimit() int64 {
 	return (c.DiskBytes-c.fleetRoom()-copyMeta)/int64(c.copySlots()+1) - copyMeta
 }
 
-// joinCopies makes this node's part in its fleet's copies; nil where it has none.
+// joinCopies starts this node's participation in the replication of logs; nil without copies.
 func joinCopies(c Config, f *fleet.Fleet, l *loop, leases *lease.Leases, limit int64) (*copies, error) {
 	if c.Copies == 0 {
 		return nil, nil
@@ -108,13 +109,13 @@
 	return cs.works[j]
 }
 
-// maySend tells whether a call may go out: the logs of its messages are this node's to work on, for
-// longer than the call takes from this look to its last byte.
+// maySend reports whether a call may be sent: this node has the leases on the logs of its messages, for longer than the
+// call takes from this check to its last byte.
 func (cs *copies) maySend(k *call) bool {
 	if cs == nil {
 		return true
 	}
-	for _, j := range homes(k.parts, func(p *part) *journal.Message { return p.message }) {
+	for _, j := range journalsOf(k.parts, func(p *part) *journal.Message { return p.message }) {
 		if w := cs.work(j); w == nil || !w.MaySend(lookTime) {
 			return false
 		}
@@ -122,14 +123,14 @@
 	return true
 }
 
-// whileOurs ends with the context, with end, or when the log of one of a call's messages is not this node's
-// any more: the call is closed then, as another node may send them next.
+// whileOurs returns a context that ends with ctx, with end, or when this node loses the lease on the log of one of the
+// call's messages: the call is closed then, because another node may send them next.
 func (cs *copies) whileOurs(ctx context.Context, k *call) (ours context.Context, end context.CancelFunc) {
 	if cs == nil {
 		return ctx, func() {}
 	}
 	ours, end = context.WithCancel(ctx)
-	for _, j := range homes(k.parts, func(p *part) *journal.Message { return p.message }) {
+	for _, j := range journalsOf(k.parts, func(p *part) *journal.Message { return p.message }) {
 		if w := cs.work(j); w != nil {
 			lost := w.Lost()
 			go func() { // it ends with the call
@@ -144,19 +145,19 @@
 	return ours, end
 }
 
-// waitContext bounds how long a message waits for its copies.
+// waitContext returns a context that limits how long a message waits for its copies.
 func (cs *copies) waitContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), cs.wait)
 }
 
-// copied waits until copies have what was written of some messages, where staff want that first.
+// copied waits until at least so many copies have what was written to some journals.
 func (cs *copies) copied(all []*journal.Journal, least int) error {
 	ctx, cancel := cs.waitContext()
 	defer cancel()
 	return cs.copiedWithin(ctx, all, least)
 }
 
-// copiedWithin is copied, for as long as a context lasts.
+// copiedWithin is copied with the caller's context as the limit.
 func (cs *copies) copiedWithin(ctx context.Context, all []*journal.Journal, least int) error {
 	for _, j := range all {
 		w := cs.work(j)
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// mayTell tells whether the platform may be told now that a message has ended, and whether its client may
-// come again. While its log may be another node's, nothing is told before its time is up.
+// mayTell reports whether the end of a message may be reported to the platform now, and whether its client may be told to
+// retry. While another node may have the lease on its log, nothing is reported before the message's deadline.
 func (cs *copies) mayTell(m *journal.Message) (now, again bool) {
 	if cs == nil {
 		return true, true
@@ -182,7 +183,7 @@
 	return !time.Now().Before(m.Deadline), false
 }
 
-// Adopt is replica.Host's, as all that follows.
+// Adopt takes over the pending messages of a log. It and the exported methods below implement replica.Host.
 func (cs *copies) Adopt(w *replica.Work, owed []*journal.Message) {
 	cs.mu.Lock()
 	cs.works[w.Journal()] = w
@@ -197,7 +198,7 @@
 	cs.loop.post(&inheritance{journal: w.Journal(), owed: owed})
 }
 
-// Found takes over a message that was found in another replica of the log.
+// Found takes over a message of this node's own log that only a copy had.
 func (cs *copies) Found(w *replica.Work, m *journal.Message) { cs.inherit(w, []*journal.Message{m}) }
 
 // Forget drops messages that another node has ended, and those that may have run there.
@@ -205,10 +206,10 @@
 	cs.loop.post(&disowned{gone, doubted})
 }
 
-// Acts opens or closes the share of this node when it may work on its own log, or may not any more.
+// Acts sets the share of this node to all or nothing when it gains or loses the lease on its own log.
 func (cs *copies) Acts(w *replica.Work, may bool) {
 	if w != cs.keeper.Own() {
-		return // the module has one share for all; each call looks at its own log
+		return // the module has one share for all logs; each call checks the lease on its own log
 	}
 	parts := 0
 	if may {
@@ -217,7 +218,7 @@
 	cs.loop.post(policy.Shared{Parts: parts, Whole: group.Whole, Alone: true})
 }
 
-// Orders takes over the staff's orders for endpoints from a log.
+// Orders takes over the operators' orders for endpoints from a log.
 func (cs *copies) Orders(out []string) { cs.loop.post(adoptedOrders(out)) }
 
 // Once reports whether messages of a class may not be repeated.
@@ -230,15 +231,16 @@
 	return cs.loop.intake.knows(id)
 }
 
-// What comes from the copies on its way through the loop.
+// Events that copies posts to the loop.
 type (
-	// disowned are messages that are another node's, or over, and others that may have run and get their end.
+	// disowned has messages that another node has or that have ended (gone), and messages that may have run and are to
+	// be ended here (doubted).
 	disowned struct{ gone, doubted []*journal.Message }
-	// adoptedOrders are endpoints that the staff had taken out at a node whose log was taken over.
+	// adoptedOrders has the endpoints that operators took out at a node whose log was taken over.
 	adoptedOrders []string
 )
 
-// disown ends the work on messages whose log was another node's.
+// disown withdraws messages that this node must no longer send.
 func (l *loop) disown(d *disowned) {
 	for _, m := range d.gone {
 		l.batch = append(l.batch, policy.Withdrawn{Message: m.Number()})
@@ -247,21 +249,21 @@
 	}
 	for _, m := range d.doubted {
 		if l.held[m.Number()] == nil {
-			continue // it has its end
+			continue // it has ended
 		}
 		l.batch = append(l.batch, policy.Withdrawn{Message: m.Number()})
 		l.end(m.Number(), false, 0)
 	}
 }
 
-// adoptOrders makes orders hold here that held where an adopted log came from.
+// adoptOrders applies the orders of an adopted log at this node.
 func (l *loop) adoptOrders(names []string) {
 	for _, name := range names {
 		if l.journal.TakenOut(name) {
 			continue
 		}
 		if err := l.journal.Order(name, true, time.Now()); err != nil {
-			l.log.Error("an order of a node whose log was adopted", "endpoint", name, "err", err)
+			l.log.Error("recording an order from an adopted log failed", "endpoint", name, "err", err)
 			continue
 		}
 		if e := l.endpoints[policy.EndpointID(hash(name))]; e != nil {
@@ -271,7 +273,7 @@
 	}
 }
 
-// stateFolders are the folders in a state folder.
+// stateFolders is a state folder with the folders of replicas in it.
 type stateFolders string
 
 func (s stateFolders) path(name string) string { return filepath.Join(string(s), name) }
@@ -301,8 +303,8 @@
 // Top returns the state folder itself.
 func (s stateFolders) Top() vfs.Folder { return vfs.Dir(string(s)) }
 
-// Place is the run of this machine, and the folder by what the kernel knows of it: a copy of it, or the
-// same on another machine or after a loss of power, is another place. Empty: it can't be told.
+// Place identifies a folder on this boot of the machine, by the boot id, device and inode: a copy of the folder, or the
+// folder on another machine or after a power loss, is another place. It returns "" if that can't be determined.
 func (s stateFolders) Place(name string) string {
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	var st syscall.Stat_t
@@ -312,7 +314,7 @@
 	return fmt.Sprintf("%s %d %d", strings.TrimSpace(string(boot)), st.Dev, st.Ino)
 }
 
-// anyOnce tells whether some of a call's messages may not be repeated.
+// anyOnce reports whether any of a call's messages may not be repeated.
 func (c *caller) anyOnce(k *call) bool {
 	return slices.ContainsFunc(k.parts, func(p *part) bool { return c.once[p.message.Class] })
 }
--- a/internal/deliverynode/node/discovery.go
+++ b/internal/deliverynode/node/discovery.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// watchWait is how long one watch waits for news. It is short, so that a call
-	// which hangs in a silent agent is soon given up for a new one.
+	// watchWait is how long one watch waits for changes. It is short, so that a request to an agent that does not respond
+	// is soon replaced by a new one.
 	watchWait   = 2 * time.Second
 	watchMargin = time.Second
-	// watchPause must stay well under the 200 ms in which a watch goes on.
+	// watchPause must stay well under the 200 ms within which a watch must be continued.
 	watchPause = 50 * time.Millisecond
-	// maxPause bounds the pause after calls that failed in a row. What is to be told counts
-	// as told 6 s later, so there must be time for some tries.
+	// maxPause is the longest pause after consecutive failures. A change counts as received 6 s later, so there must be
+	// time for some tries.
 	maxPause = 1600 * time.Millisecond
-	// requestGap is how far apart the calls of all nodes together should come where each is
-	// work for discovery. Two nodes still ask within the 200 ms in which a watch goes on.
+	// requestGap is the intended interval between the requests of all nodes together, where each costs discovery work.
+	// With two nodes, each still asks within the 200 ms within which a watch must be continued.
 	requestGap = 80 * time.Millisecond
-	// turnsWatched is how many turns of all nodes a watch waits where that is longer.
+	// turnsWatched is how many turns (see discovery.turn) a watch waits if that is longer than watchWait.
 	turnsWatched = 5
 	maxList      = 4 << 20
 )
 
-// list is the endpoints, or what has changed of them, in discovery's form.
+// list is the list of endpoints, or the changes to it, in discovery's format.
 type list struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
@@ -48,14 +48,14 @@
 	Cell     int     `json:"cell"`
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"` // when it last started, in Unix time; 0 for long ago
+	UpSince  int64   `json:"up_since_ms"` // time of its last start, in Unix milliseconds; 0 for long ago
 }
 
-// agent is where discovery is spoken to. It may move while the node runs.
+// agent holds the address of the discovery agent, which may change while the node runs.
 type agent struct {
 	mu   sync.Mutex
 	addr string
-	here context.Context // ends when the address no longer holds
+	here context.Context // ends when the address changes
 	left context.CancelFunc
 }
 
@@ -78,8 +78,8 @@
 	a.here, a.left = context.WithCancel(context.Background())
 }
 
-// follow moves at each hangup to where the configuration file says, until the context
-// ends. A file that makes no sense changes nothing.
+// follow reads the address from the configuration file at each hangup, until the context ends. An invalid file changes
+// nothing.
 func (a *agent) follow(ctx context.Context, hangups <-chan os.Signal, path string, log *slog.Logger) {
 	for {
 		select {
@@ -89,7 +89,7 @@
 		}
 		addr, err := reloadDiscovery(path)
 		if err != nil {
-			log.Error("hangup: nothing changes", "err", err)
+			log.Error("hangup: configuration unchanged", "err", err)
 			continue
 		}
 		log.Info("hangup", "discovery", addr)
@@ -103,15 +103,15 @@
 	return a.addr, a.here
 }
 
-// discovery follows the list of endpoints.
+// discovery watches the list of endpoints.
 type discovery struct {
 	agent  *agent
 	client *http.Client
 	log    *slog.Logger
 	notify func(list)
-	known  int64 // the version of the list that is known at the start, or -1
-	// turn is the time in which each of all nodes may ask once: what many nodes would do
-	// at one moment they do at random within it. It is 0 where asking is no work.
+	known  int64 // the revision of the list that is known at the start, or -1
+	// turn is the time within which each of all nodes may ask once: nodes that would all ask at the same moment spread
+	// their requests over it at random. It is 0 where requests cost discovery no work.
 	turn time.Duration
 }
 
@@ -120,9 +120,8 @@
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 }
 
-// discoveryTurn follows from how many nodes there are. A node that has not asked for
-// AskEvery counts as told all the same, so its turn comes before, with room for two calls
-// that are slow to be answered.
+// discoveryTurn computes discovery.turn from the number of nodes. A node that has not asked for AskEvery counts as
+// informed all the same, so a turn is shorter than that, with time for two slow requests.
 func discoveryTurn(c Config) time.Duration {
 	turn := time.Duration(c.Settings.Senders) * requestGap
 	switch {
@@ -134,20 +133,20 @@
 	return turn
 }
 
-// partOf is a random part of a pause, three fifths of it at least.
+// partOf returns a random part of a pause, at least three fifths of it.
 func partOf(pause time.Duration) time.Duration { return pause*3/5 + rand.N(pause*2/5+1) }
 
-// run watches the list until the context ends, after fetching it whole where none is known.
+// run watches the list until the context ends. If no list is known, it fetches the complete one first.
 func (d *discovery) run(ctx context.Context) {
 	defer d.client.CloseIdleConnections()
 	at, failed := d.known, 0
 	last, here := d.agent.at()
-	if at >= 0 { // nodes that start together do not ask together; who knows when they last did
+	if at >= 0 { // spreads the requests of nodes that start together; when they last asked is unknown
 		rest(ctx, here, rand.N(d.turn/6+1))
 	}
 	for ctx.Err() == nil {
 		addr, here := d.agent.at()
-		if addr != last { // what was told before the move is asked for as a whole
+		if addr != last { // after a move the complete list is fetched again
 			at, last = -1, addr
 			d.client.CloseIdleConnections()
 		}
@@ -165,32 +164,32 @@
 		if err == nil && (l.Complete || at >= 0 && l.Revision > at) {
 			d.notify(l)
 			at, failed = l.Revision, 0
-			rest(ctx, here, partOf(d.turn)) // all nodes hear of a change at the same moment
+			rest(ctx, here, partOf(d.turn)) // all nodes receive a change at the same moment
 			continue
 		}
 		if err == nil && at < 0 {
-			err = errors.New("the whole list was asked for and a part came")
+			err = errors.New("got a partial list instead of the complete one")
 		}
 		pause := time.Duration(0)
 		switch {
 		case err != nil:
 			if ctx.Err() == nil {
-				d.log.Warn("discovery: no list", "err", err, "in a row", failed+1)
+				d.log.Warn("discovery: getting the list failed", "err", err, "in a row", failed+1)
 			}
 			pause = d.retryPause(failed)
 			failed++
-		case time.Since(asked) < watchPause: // no agent answers a watch at once with nothing
+		case time.Since(asked) < watchPause: // a working agent does not answer a watch at once without changes
 			pause = watchPause
 		default:
 			failed = 0
 		}
 		if rest(ctx, here, pause); here.Err() != nil {
-			failed = 0 // what failed there says nothing of the new place
+			failed = 0 // failures at the old address do not count for the new one
 		}
 	}
 }
 
-// rest waits, unless one of the contexts ends before.
+// rest sleeps until the pause or one of the contexts ends.
 func rest(ctx, here context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
@@ -204,9 +203,9 @@
 	}
 }
 
-// retryPause is how long to wait after so many failures before this one. The first try
-// of few nodes comes in time for a watch to go on; else all nodes that were turned away
-// together, as after a release, must not come back together, nor sooner than their turn.
+// retryPause returns how long to wait after a failure that follows so many others. With few nodes, the first retry is in
+// time to continue a watch. With many, nodes that were rejected together, as after a release, must not return together,
+// nor before their turn.
 func (d *discovery) retryPause(failed int) time.Duration {
 	if failed == 0 && d.turn < 4*watchPause {
 		return watchPause
@@ -217,7 +216,7 @@
 	return partOf(d.turn)
 }
 
-// get asks once; it gives up when the agent has moved from here.
+// get sends one request; it is cancelled when the agent's address changes.
 func (d *discovery) get(ctx, here context.Context, url string, limit time.Duration) (list, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/internal/deliverynode/node/discovery_test.go
+++ b/internal/deliverynode/node/discovery_test.go
@@ -14,25 +14,25 @@
 	"time"
 )
 
-// Nodes that are turned away together come back apart and ever more rarely, go on from
-// the list that they know, and ask as before once they were answered.
-func TestDiscoveryThatIsShortOfRoom(t *testing.T) {
+// Nodes that discovery rejects at the same moment retry at different moments and at growing intervals, continue from the
+// revision that they have, and return to the normal rate after a success.
+func TestRetriesWhenDiscoveryIsOverloaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 20
 		start := time.Now()
 		var mu sync.Mutex
 		asked := make([][]time.Duration, nodes)
-		told := make(chan list, nodes)
+		lists := make(chan list, nodes)
 		ctx, cancel := context.WithCancel(context.Background())
 		for n := range nodes {
-			d := newDiscovery(newAgent("127.0.0.1:1"), 41, 0, quietLog(), func(l list) { told <- l })
+			d := newDiscovery(newAgent("127.0.0.1:1"), 41, 0, quietLog(), func(l list) { lists <- l })
 			d.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 				mu.Lock()
 				asked[n] = append(asked[n], time.Since(start))
 				mu.Unlock()
 				if after := r.URL.Query().Get("index"); after != "41" {
 					if after != "42" {
-						t.Errorf("asked for %s, want what came after a version that is known", r.URL)
+						t.Errorf("requested %s, want the changes after a known revision", r.URL)
 					}
 					<-r.Context().Done()
 					return nil, r.Context().Err()
@@ -50,40 +50,39 @@
 		mu.Lock()
 		for _, times := range asked {
 			if len(times) < 8 || len(times) > 40 {
-				t.Errorf("asked %d times in 19 s, want some but not many", len(times))
+				t.Errorf("%d requests in 19 s, want between 8 and 40", len(times))
 			}
 			late = append(late, times[len(times)-1])
 		}
 		mu.Unlock()
 		slices.Sort(late)
 		if same := len(late) - len(slices.Compact(late)); same > 0 {
-			t.Errorf("%d of %d nodes ask at the same moment still", same, nodes)
+			t.Errorf("%d of %d nodes still ask at the same moment", same, nodes)
 		}
 		for range nodes {
-			if l := <-told; l.Revision != 42 {
-				t.Errorf("told version %d", l.Revision)
+			if l := <-lists; l.Revision != 42 {
+				t.Errorf("got revision %d, want 42", l.Revision)
 			}
 		}
 		if waited := time.Since(start); waited > 20*time.Second+maxPause {
-			t.Errorf("all told after %v", waited)
+			t.Errorf("all nodes had the list after %v", waited)
 		}
 		cancel()
 	})
 }
 
-// shortOfRoom is a discovery that works on one call after the other, answers a watch when
-// there is news, and turns a call away that it did not come to within 2 s; the work for it
-// is done all the same.
+// shortOfRoom is a discovery agent that processes one request at a time, answers a watch when there are changes, and rejects
+// a request that it could not start within 2 s; it still spends the work for that request.
 type shortOfRoom struct {
 	work time.Duration
 	born time.Time
 
 	mu     sync.Mutex
-	free   time.Time // when it comes to the next call
+	free   time.Time // when it can start the next request
 	failed int
 }
 
-// revision changes every 1.2 s from 10 s to 28 s.
+// revision returns a revision that changes every 1.2 s from 10 s to 28 s.
 func (s *shortOfRoom) revision() int64 {
 	return int64(max(0, min(15, (time.Since(s.born)-10*time.Second)/(1200*time.Millisecond))))
 }
@@ -113,9 +112,9 @@
 		fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, s.revision())))}, nil
 }
 
-// Many nodes hear of each change at one moment. If each asks again at once discovery comes
-// to none of them within its time, and does the work in vain.
-func TestManyNodesLeaveDiscoveryRoom(t *testing.T) {
+// Many nodes receive each change at the same moment. If all ask again at once, discovery can't answer them in time, and its
+// work is wasted.
+func TestManyNodesDoNotOverloadDiscovery(t *testing.T) {
 	const nodes, restarted, askEvery = 80, 56, 10 * time.Second
 	c := Config{AskEvery: askEvery}
 	c.Settings.Senders, c.Settings.MustSubscribe = nodes, true
@@ -150,29 +149,29 @@
 		}
 		calls, failed := fleet.calls, fleet.discovery.failures()
 		fleet.mu.Unlock()
-		t.Logf("%d calls, %d in vain, %d nodes lack the last change after 8 s; %.1f changes behind in the mean, %.0f at the most",
+		t.Logf("%d requests, %d rejected, %d nodes lack the last change after 8 s; %.1f changes behind in the mean, %.0f at the most",
 			calls, failed, late, behind, most)
 		if failed > calls/4 || late > nodes/20 {
-			t.Errorf("%d of %d calls in vain; %d of %d nodes lack the last change after 8 s", failed, calls, late, nodes)
+			t.Errorf("%d of %d requests rejected; %d of %d nodes lack the last change after 8 s", failed, calls, late, nodes)
 		}
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-// askingFleet is nodes that ask the same discovery.
+// askingFleet is a set of nodes that use the same discovery agent.
 type askingFleet struct {
 	t         *testing.T
 	config    Config
 	discovery *shortOfRoom
 
 	mu    sync.Mutex
-	knows []int64     // the revision that each node knows
-	last  []time.Time // when each node was answered last
+	knows []int64     // the revision that each node has
+	last  []time.Time // the time of the last response to each node
 	calls int
 }
 
-// start has a node ask until the context ends.
+// start runs the discovery of a node until the context ends.
 func (f *askingFleet) start(ctx context.Context, n int) {
 	f.mu.Lock()
 	known := f.knows[n]
@@ -186,7 +185,7 @@
 		f.mu.Lock()
 		f.calls++
 		if gap := time.Since(f.last[n]); gap > f.config.AskEvery {
-			f.t.Errorf("node %d asked after %v only", n, gap)
+			f.t.Errorf("node %d did not ask for %v", n, gap)
 		}
 		f.mu.Unlock()
 		resp, err := f.discovery.RoundTrip(r)
@@ -198,7 +197,7 @@
 	go one.run(ctx)
 }
 
-// watch looks every half second, so many times, how many changes the nodes are behind, in the mean and at the most.
+// watch samples every half second, so many times, how many changes the nodes are behind, and returns the mean and the maximum.
 func (f *askingFleet) watch(looks int) (behind, most float64) {
 	for range looks {
 		time.Sleep(500 * time.Millisecond)
@@ -213,7 +212,7 @@
 	return behind, most
 }
 
-// failures returns how many calls were refused.
+// failures returns how many requests were rejected.
 func (s *shortOfRoom) failures() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/deliverynode/node/ended_ids_test.go
+++ b/internal/deliverynode/node/ended_ids_test.go
@@ -8,8 +8,8 @@
 	"dunetide/internal/deliverynode/journal"
 )
 
-// The intake and the journal add to one set of ended ids at once: clients' messages end here while a log that was taken over is
-// finished. Neither loses an id of the other.
+// The intake and the journal add to the same set of ended ids concurrently: messages of clients end while the rest of a log
+// that was taken over is processed. No id may be lost.
 func TestIntakeAndJournalShareEndedIDs(t *testing.T) {
 	const each = 200
 	j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
@@ -33,7 +33,7 @@
 	for i := range each {
 		for _, id := range []string{fmt.Sprint("own", i), fmt.Sprint("inherited", i)} {
 			if !in.knows(id) {
-				t.Errorf("%s is not known to be over", id)
+				t.Errorf("%s is not recorded as ended", id)
 			}
 		}
 	}
--- a/internal/deliverynode/node/fleet.go
+++ b/internal/deliverynode/node/fleet.go
@@ -14,11 +14,10 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// fleetConns bounds the connections to other nodes where the descriptors are few: so many of
-// them, as a part of all.
+// fleetConns is the share of the descriptors that may be connections to other nodes, where descriptors are limited.
 const fleetConns = 0.125
 
-// fleetSockets is how many descriptors are the fleet's: its connections, and two that listen.
+// fleetSockets returns how many descriptors are reserved for the fleet: its connections and two listeners.
 func (c Config) fleetSockets() int {
 	if c.Fleet == nil {
 		return 0
@@ -33,7 +32,7 @@
 	return max(4, int(fleetConns*float64(c.Sockets)))
 }
 
-// joinFleet makes this node's part in its fleet; nil where there is none.
+// joinFleet makes this node a member of its fleet; nil without a fleet.
 func joinFleet(c Config, log *slog.Logger) (*fleet.Fleet, error) {
 	if c.Fleet == nil {
 		return nil, nil
@@ -43,8 +42,8 @@
 		Clock: func() time.Duration { return time.Since(origin) }, Seed: c.Seed, Conns: c.fleetConns(), Log: log})
 }
 
-// lastingClock never stops, also not while the machine sleeps: a lease that is held would seem to
-// last longer then.
+// lastingClock is the time since boot. It also runs while the machine is suspended: with a clock that stops, a lease
+// would seem to last longer.
 func lastingClock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -53,21 +52,21 @@
 	return time.Duration(t.Nano())
 }
 
-// joinLeases makes this node's part in the fleet's leases; nil where there are none.
+// joinLeases starts this node's participation in the fleet's leases; nil without leases.
 func joinLeases(c Config, f *fleet.Fleet, log *slog.Logger) *lease.Leases {
 	if f == nil || c.Fleet.Leases == nil {
 		return nil
 	}
 	l := lease.New(lease.Options{Net: f, Folder: vfs.Dir(c.State), Name: c.Name, Voters: c.Fleet.Leases.Voters,
 		Longest: c.Fleet.Leases.Longest(), Most: c.Fleet.Leases.MaxHeld(), Clock: lastingClock, Seed: c.Seed, Log: log,
-		// Above all that a log of this fleet may have granted before, as nothing is granted a million times a second.
+		// Above all tokens that a log of this fleet may have granted before: fewer than 2^20 are granted per second.
 		Above: func() uint64 { return uint64(time.Now().Unix()) << 20 }})
 	f.OnOld(l.Overtaken)
 	f.While(l.Run)
 	return l
 }
 
-// fleetRoom is what the parts of the fleet take of the disk.
+// fleetRoom returns the disk space that the fleet and its leases need.
 func (c Config) fleetRoom() int64 {
 	switch {
 	case c.Fleet == nil:
@@ -78,8 +77,8 @@
 	return fleet.DiskSpace + lease.DiskSpace(c.Fleet.Leases.MaxHeld(), c.Fleet.Copies != nil)
 }
 
-// runFleet takes part for as long as this process owns what the node owes. Of a group, the
-// member that coordinates speaks for the node. The node has left only if no process of it goes on.
+// runFleet runs the node's membership in the fleet for as long as this process owns the journal. In a group, the
+// coordinating member represents the node. The node leaves the fleet only if no other process of it continues.
 func runFleet(owned context.Context, f *fleet.Fleet, co *processGroup, o *ownership) {
 	if co == nil {
 		f.Run(owned, func() bool {
@@ -91,11 +90,11 @@
 	co.whileLeading(owned, func(ctx context.Context) { f.Run(ctx, co.alone) })
 }
 
-// errNoFleet answers the staff of a node that is in none.
+// errNoFleet is the response to console requests at a node without a fleet.
 var errNoFleet = errors.New("this node is in no fleet")
 
-// errNoCopies answers the staff of a node that keeps none.
+// errNoCopies is the response to console requests at a node without copies.
 var errNoCopies = errors.New("this node was started without -copies")
 
-// errNoLeases answers the staff where the fleet's file names no voters.
+// errNoLeases is the response to console requests where the fleet's file has no leases.
 var errNoLeases = errors.New("the fleet has no leases")
--- a/internal/deliverynode/node/golden_test.go
+++ b/internal/deliverynode/node/golden_test.go
@@ -15,14 +15,15 @@
 	"dunetide/policy"
 )
 
-// goldenJSON tests a body that the processes of a group send each other.
+// goldenJSON tests the body of a message between the processes of a group.
 func goldenJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	golden.Codec(t, name, func(v T) ([]byte, error) { return json.Marshal(v) },
 		func(text []byte, v *T) error { return json.Unmarshal(text, v) })
 }
 
-// Bytes of every message between the processes of a group, written by an earlier version, mean the same and are written again.
+// The messages between the processes of a group, as encoded by an earlier version, decode to the same values and encode to the
+// same bytes.
 func TestGoldenGroupMessages(t *testing.T) {
 	goldenJSON[waitNews](t, "wait.json")
 	goldenJSON[verdictNews](t, "verdict.json")
@@ -32,14 +33,14 @@
 	goldenJSON[memberState](t, "state.json")
 }
 
-// What discovery sends, and what the console shows.
+// The list that discovery sends, and the console's status pages.
 func TestGoldenDiscoveryAndConsole(t *testing.T) {
 	golden.JSON[list](t, "discovery-list.json")
 	golden.JSON[groupStatus](t, "ops-group.json")
 	golden.JSON[upstream.Overview](t, "ops-pools.json")
 }
 
-// goldenHandover is what the two processes of a handover send each other, in this order in one stream each way. It is
+// goldenHandover has the messages between the two processes of a handover, in this order in one stream each way. They are
 // encoded while the package is initialized, because gob numbers types in the order in which a process first encodes them.
 var goldenHandover = func() map[string]func() ([]byte, error) {
 	one, other := golden.Filled[passedOn](), golden.Filled[snapshot]()
@@ -96,7 +97,7 @@
 	}
 }
 
-// A configuration file with each key that is read, recorded earlier, is read as the same.
+// A recorded configuration file with each known key decodes to the same values.
 func TestGoldenConfig(t *testing.T) {
 	path := filepath.Join(golden.Dir, "config.json")
 	env := map[string]string{"PROXY_CONFIG": path, "PROXY_STATE": "state", "PROXY_ACCEPT_FD": "5"}
--- a/internal/deliverynode/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -20,42 +20,41 @@
 	"dunetide/policy"
 )
 
-// At an upgrade a second process takes over from the first. What is owned is the
-// journal: whoever may write it has the messages, the windows, slots, waits and
-// orders. docs/parts.md has the steps and what happens when either process dies.
+// At an upgrade a second process takes over from the first. The journal is what is owned: the process that may write it
+// has the messages, windows, slots, waits and orders. docs/parts.md describes the steps and what happens when either
+// process crashes.
 
 const (
 	handoverName = "handover" // the socket in the state folder
-	// handoverTimeout is how long the old process stands still for a new one that has
-	// asked and says nothing more. Its clients wait for 400 ms at the most.
+	// handoverTimeout is how long the old process pauses for a new one that has requested a handover and does not continue
+	// it. Its clients wait for 400 ms at the most.
 	handoverTimeout = 2 * time.Second
-	// linkTimeout is for one answer of the new process to the old one.
+	// linkTimeout is the timeout for one response of the new process to the old one.
 	linkTimeout = 3 * time.Second
-	// ownerPause is between two looks whether the old process can be asked or has died.
+	// ownerPause is the interval between attempts to lock the journal or to request a handover.
 	ownerPause = 10 * time.Millisecond
 )
 
-// HandoverStep is told of each step of a handover as it is reached. Tests end a
-// process there.
+// HandoverStep is called at each step of a handover. Tests end a process there.
 var HandoverStep = func(step string) {}
 
-// errNoOwner says that the process that took over has died since.
+// errNoOwner is returned if the process that took over has ended since.
 var errNoOwner = errors.New("the process that took over can't be reached")
 
 type ownerState int
 
 const (
-	owning  ownerState = iota // also where there never is a second process
-	waiting                   // for the process before this one
-	giving                    // stands still until it is known who goes on
+	owning  ownerState = iota // also where there is no second process
+	waiting                   // for the previous process
+	giving                    // paused until it is decided which process continues
 	given
 )
 
-// ownership says whether this process has what the node owes. A nil one has it.
+// ownership records whether this process owns the node's journal. A nil ownership means that it does.
 type ownership struct {
 	mu      sync.Mutex
 	state   ownerState
-	link    *link // to the process that has it, when it is given
+	link    *link // to the owner, in the state given
 	changed chan struct{}
 }
 
@@ -71,8 +70,8 @@
 	o.changed = make(chan struct{})
 }
 
-// owner waits until it is settled who has what is owed: nil for this process, else
-// the link to the one that has.
+// owner waits until it is decided which process owns the journal. It returns nil for this process, else the link to the
+// owner.
 func (o *ownership) owner(ctx context.Context) (*link, error) {
 	if o == nil {
 		return nil, nil
@@ -99,10 +98,10 @@
 // and of their fields: those of journal.AttemptOut, policy.Memory and upstream.Learnt too. They must stay as they are, because
 // the two processes may be of different versions (testdata/golden/handover-*.gob).
 
-// snapshot is what the journal does not hold of what the old process knows.
+// snapshot is the state of the old process that is not in the journal.
 type snapshot struct {
-	At        time.Time     // by the wall clock, for both read the same
-	Elapsed   time.Duration // on the module's clock then
+	At        time.Time     // by the wall clock, which both processes read
+	Elapsed   time.Duration // on the module's clock at that time
 	Revision  int64
 	Members   []member
 	Gates     []gateState
@@ -117,14 +116,14 @@
 	ClosedFrom, ClosedUntil int64
 }
 
-// passedOn is what the old process still gets and the new one has to know.
+// passedOn is what the old process still receives and forwards to the new one.
 type passedOn struct {
 	Message *handedIn
 	Ended   *endedCall
 	Order   *staffOrder
 }
 
-// handedIn is a message that a client handed in at the old process.
+// handedIn is a message that a client sent to the old process.
 type handedIn struct {
 	ID, Key     string
 	Class, Dest int
@@ -132,7 +131,7 @@
 	Body        []byte
 }
 
-// endedCall is how a call of the old process ended.
+// endedCall is the outcome of a call of the old process.
 type endedCall struct {
 	Message policy.MessageID
 	Outcome policy.Outcome
@@ -141,24 +140,24 @@
 	Told    policy.Allowance
 }
 
-// staffOrder is a call to the console of the old process.
+// staffOrder is an operator's order at the console of the old process.
 type staffOrder struct {
 	Endpoint string
 	Out      bool
 }
 
-// answer is what the new process says to it.
+// answer is the response of the new process to passedOn.
 type answer struct {
 	Status int
 	Text   string
 }
 
-// link carries what still reaches the old process to the new one, one at a time.
+// link forwards what still reaches the old process to the new one, one item at a time.
 type link struct {
 	conn   net.Conn
 	enc    *gob.Encoder
 	dec    *gob.Decoder
-	broken func() // called before the connection is closed for an error
+	broken func() // called before the connection is closed after an error
 
 	mu  sync.Mutex
 	err error
@@ -168,7 +167,7 @@
 	return &link{conn: conn, enc: gob.NewEncoder(conn), dec: gob.NewDecoder(conn)}
 }
 
-// pass hands something on. Sent tells whether the other side may have heard of it.
+// pass forwards an item. Sent reports whether the other side may have received it.
 func (l *link) pass(p passedOn) (a answer, sent bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,10 +187,10 @@
 	return a, true, nil
 }
 
-// inheritedListener makes the platform's listening socket one of this process.
+// inheritedListener returns a listener on the listening socket that the platform passes.
 func inheritedListener(fd int) (net.Listener, error) {
 	if on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil {
-		return nil, fmt.Errorf("PROXY_ACCEPT_FD: descriptor %d is no socket: %w", fd, err)
+		return nil, fmt.Errorf("PROXY_ACCEPT_FD: descriptor %d is not a socket: %w", fd, err)
 	} else if on == 0 {
 		return nil, fmt.Errorf("PROXY_ACCEPT_FD: the socket of descriptor %d does not listen", fd)
 	}
@@ -206,19 +205,19 @@
 	return l, nil
 }
 
-// inheritedState is what a process starts with.
+// inheritedState is the state that a process starts with.
 type inheritedState struct {
 	journal *journal.Journal
 	owed    []*journal.Message
-	lock    *os.File     // held while this process owns the journal and may give it away
-	hold    *os.File     // the same, held to its end where nothing is given away
-	before  *link        // to the process before this one, if it lives
-	told    *snapshot    // by that process
-	joined  *memberState // by another member of the group
+	lock    *os.File     // held while this process owns the journal and may hand it over
+	hold    *os.File     // the same lock where there is no handover, held until the process ends
+	before  *link        // to the previous process, if it runs
+	told    *snapshot    // from the previous process
+	joined  *memberState // from another member of the group
 }
 
-// acquire waits until what the node owes belongs to this process: at once where no
-// other one has it, else by asking that one for it, or when it has died.
+// acquire waits until this process owns the journal: at once where no other process does, else by a handover from that
+// process, or when it has ended.
 func acquire(ctx context.Context, c Config, log *slog.Logger) (*inheritedState, error) {
 	for {
 		lock, err := vfs.Lock(c.State)
@@ -236,17 +235,16 @@
 		if err == nil {
 			return e, nil
 		}
-		log.Debug("handover: not yet", "err", err)
+		log.Debug("handover: not possible yet", "err", err)
 		select {
 		case <-time.After(ownerPause):
 		case <-ctx.Done():
-			return nil, fmt.Errorf("told to stop while another process has the journal: %w", ctx.Err())
+			return nil, fmt.Errorf("stopped while another process owned the journal: %w", ctx.Err())
 		}
 	}
 }
 
-// requestHandover asks the process that has the journal for it. Nothing is written before that
-// process has let go.
+// requestHandover requests the journal from the process that owns it. Nothing is written before that process has released it.
 func requestHandover(c Config, log *slog.Logger) (*inheritedState, error) {
 	conn, err := dialHandover(c.State)
 	if err != nil {
@@ -257,22 +255,22 @@
 	}
 	l := newLink(conn)
 	if err := conn.SetDeadline(time.Now().Add(2 * handoverTimeout)); err != nil {
-		return fail("asking", err)
+		return fail("requesting the handover", err)
 	}
 	told := &snapshot{}
 	if err := l.enc.Encode(c.Name); err != nil {
-		return fail("asking", err)
+		return fail("requesting the handover", err)
 	}
 	if err := l.dec.Decode(told); err != nil {
-		return fail("what the old process tells", err)
+		return fail("reading the snapshot of the old process", err)
 	}
 	HandoverStep("new: told")
 	j, err := journal.Replay(c.journal(log))
 	if err != nil {
-		return fail("replaying", err)
+		return fail("replaying the journal", err)
 	}
 	HandoverStep("new: replayed")
-	if err := l.enc.Encode(true); err != nil { // from here on it may be this process's
+	if err := l.enc.Encode(true); err != nil { // from here on this process may own the journal
 		return fail("taking over", err)
 	}
 	var free bool
@@ -281,7 +279,7 @@
 	}
 	lock, err := vfs.Lock(c.State)
 	if err == nil && lock == nil {
-		err = errors.New("a third process came first")
+		err = errors.New("a third process locked the journal first")
 	}
 	if err != nil {
 		return fail("taking over", err)
@@ -291,12 +289,12 @@
 		return fail("taking over", errors.Join(err, lock.Close()))
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
-		log.Warn("handover: link", "err", err)
+		log.Warn("handover: clearing the deadline failed", "err", err)
 	}
 	return &inheritedState{journal: j, owed: owed, lock: lock, before: l, told: told}, nil
 }
 
-// handover gives what this process owns to the next one, when it asks.
+// handover transfers the journal to a successor process when that requests it.
 type handover struct {
 	listener *net.UnixListener
 	owner    *ownership
@@ -304,11 +302,11 @@
 	lock     *os.File // held while this process owns the journal
 	dir      string
 	log      *slog.Logger
-	retire   func() // ends what only an owner does
-	abandon  func() // ends the calls that are out
+	retire   func() // stops what only an owner does
+	abandon  func() // ends the calls in flight
 }
 
-// dialHandover connects to the process that has the journal in a state folder.
+// dialHandover connects to the process that owns the journal in a state folder.
 func dialHandover(dir string) (conn net.Conn, err error) {
 	err = group.AtSocket(filepath.Join(dir, handoverName), func(short string) error {
 		conn, err = net.DialTimeout("unix", short, handoverTimeout) //nolint:noctx // a local socket, within handoverTimeout
@@ -319,9 +317,9 @@
 
 func listenForHandover(dir string) (*net.UnixListener, error) {
 	path := filepath.Join(dir, handoverName)
-	// What lies there is of a process that has died or has given everything away.
+	// An existing socket belongs to a process that has ended or has handed over its journal.
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("listening for the next process: %w", err)
+		return nil, fmt.Errorf("listening for a successor process: %w", err)
 	}
 	var l *net.UnixListener
 	err := group.AtSocket(path, func(short string) (err error) {
@@ -329,13 +327,13 @@
 		return err
 	})
 	if err != nil {
-		return nil, fmt.Errorf("listening for the next process: %w", err)
+		return nil, fmt.Errorf("listening for a successor process: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // by then it may be the next process's
+	l.SetUnlinkOnClose(false) // by then the socket may belong to the successor
 	return l, nil
 }
 
-// run waits for a process to ask until the context ends or all is given away.
+// run accepts handover requests until the context ends or the journal has been transferred.
 func (h *handover) run(ctx context.Context) {
 	defer h.listener.Close()
 	defer context.AfterFunc(ctx, func() { _ = h.listener.Close() })()
@@ -343,7 +341,7 @@
 		conn, err := h.listener.Accept()
 		if err != nil {
 			if ctx.Err() == nil {
-				h.log.Error("handover: no process can ask any more", "err", err)
+				h.log.Error("handover: accepting requests failed", "err", err)
 			}
 			return
 		}
@@ -351,15 +349,15 @@
 		if err == nil {
 			return
 		}
-		h.log.Warn("handover: nothing was given away", "err", err)
-		_ = conn.Close() // of a process that has died or does not answer
+		h.log.Warn("handover: aborted", "err", err)
+		_ = conn.Close() // the other process has ended or does not respond
 	}
 }
 
-// transfer is the loop's part: it stands still from the snapshot until told how it ended.
+// transfer synchronizes the loop with a handover: the loop is paused from the snapshot until the result arrives.
 type transfer struct {
 	snapshot chan snapshot
-	gone     chan bool
+	gone     chan bool // whether another process now owns the journal
 }
 
 func (h *handover) transferTo(ctx context.Context, l *link) error {
@@ -368,14 +366,14 @@
 	}
 	var name string
 	if err := l.dec.Decode(&name); err != nil {
-		return fmt.Errorf("nothing was asked: %w", err)
+		return fmt.Errorf("reading the handover request: %w", err)
 	}
 	HandoverStep("old: asked")
 	g := &transfer{snapshot: make(chan snapshot, 1), gone: make(chan bool, 1)}
 	select {
 	case h.loop.giveaways <- g:
 	case <-h.loop.quieted:
-		return errors.New("stopping already")
+		return errors.New("already stopping")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -388,30 +386,30 @@
 	if err == nil {
 		err = h.letGo(l)
 	}
-	if err != nil { // it has written nothing
+	if err != nil { // the other process has written nothing
 		h.loop.journal.Reclaim()
 		h.owner.set(owning, nil)
 		g.gone <- false
 		return err
 	}
-	h.log.Info("given away", "owed", len(h.loop.held))
+	h.log.Info("handover: journal transferred", "owed", len(h.loop.held))
 	l.broken = h.abandon
 	h.loop.intake.close(false)
 	h.owner.set(given, l)
 	g.gone <- true
 	h.retire()
 	if err := h.loop.journal.Close(); err != nil {
-		h.log.Warn("handover: closing the journal", "err", err)
+		h.log.Warn("handover: closing the journal failed", "err", err)
 	}
 	return nil
 }
 
-// letGo opens the lock and says so. A process that can't be told has not begun to
-// write: the lock is taken again, or somebody else has it and goes on.
+// letGo releases the lock and notifies the successor. If the notification fails, the successor has not started to write:
+// this process takes the lock again, or another one holds it and continues.
 func (h *handover) letGo(l *link) error {
 	HandoverStep("old: acknowledged")
 	if err := h.lock.Close(); err != nil {
-		return fmt.Errorf("letting go of the lock: %w", err)
+		return fmt.Errorf("releasing the lock: %w", err)
 	}
 	HandoverStep("old: unlocked")
 	err := l.enc.Encode(true)
@@ -421,15 +419,15 @@
 	}
 	lock, again := vfs.Lock(h.dir)
 	if again != nil || lock == nil {
-		h.log.Error("handover: the next process died when it had everything", "err", errors.Join(err, again))
+		h.log.Error("handover: the successor ended after the journal was released", "err", errors.Join(err, again))
 		return nil
 	}
 	h.lock = lock
 	return err
 }
 
-// giveAway stands still until another process owns what is owed, or this one does
-// again. It tells whether all is given away.
+// giveAway pauses the loop until the successor owns the journal, or this process does again. It reports whether the
+// journal was transferred.
 func (l *loop) giveAway(g *transfer) bool {
 	l.owner.set(giving, nil)
 	s := snapshot{Out: l.journal.Release(), Memory: l.sender.Memory(), Revision: l.revision, Pools: l.caller.pools.Memory()}
@@ -445,10 +443,10 @@
 	return <-g.gone
 }
 
-// inherit takes over what the old process told, before the first message.
+// inherit applies the snapshot of the old process, before the first message.
 func (l *loop) inherit(s *snapshot) {
 	l.origin = time.Now().Add(clockStart - s.Elapsed - time.Since(s.At))
-	clear(l.journal.Memories) // the old process knows more
+	clear(l.journal.Memories) // the snapshot is newer
 	l.caller.pools.Inherit(s.Pools)
 	l.takeKnown(s.Revision, s.Members)
 	for _, g := range s.Gates {
@@ -462,14 +460,14 @@
 	l.batch = append(l.batch, policy.Inherited{Memory: s.Memory})
 }
 
-// takeKnown takes in a whole list that another process had.
+// takeKnown applies a complete list of another process.
 func (l *loop) takeKnown(revision int64, members []member) {
 	known := list{Revision: revision, Complete: true}
 	leaving := list{Revision: revision}
 	for _, m := range members {
 		if m.Phase != "active" {
 			leaving.Members = append(leaving.Members, m)
-			m.Phase = "active" // or it would be taken for one of which nothing was known
+			m.Phase = "active" // an endpoint that is first listed as leaving would be ignored
 		}
 		known.Members = append(known.Members, m)
 	}
@@ -477,7 +475,7 @@
 	l.handle(leaving)
 }
 
-// successor is the new process's side of the link to the old one.
+// successor is the new process's end of the link to the old one.
 type successor struct {
 	link   *link
 	intake *intake
@@ -485,17 +483,16 @@
 	loop   *loop
 	log    *slog.Logger
 	out    map[policy.MessageID]*call // of the old process
-	gone   func()                     // told when the old process has ended
+	gone   func()                     // called when the old process has ended
 }
 
-// expect keeps the call of a message that the old process waits for.
+// expect registers a call of the old process that is in flight.
 func (h *successor) expect(m *journal.Message, e *endpoint) {
 	e.out++
 	h.out[m.Number()] = &call{endpoint: e, started: m.Past.OutAt, parts: []*part{{message: m, attempted: true}}}
 }
 
-// run takes in what the old process passes on, until that has ended. Whatever it had
-// out then may have run.
+// run handles what the old process forwards, until that process has ended. Calls that it had in flight then may have run.
 func (h *successor) run(ctx context.Context) {
 	defer h.link.conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = h.link.conn.Close() })()
@@ -511,7 +508,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	h.log.Info("the process before has ended", "calls out", len(h.out))
+	h.log.Info("the previous process has ended", "calls out", len(h.out))
 	for _, k := range h.out {
 		h.caller.endAll(k, policy.Cancelled, 0, false)
 	}
--- a/internal/deliverynode/node/handover_test.go
+++ b/internal/deliverynode/node/handover_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// The state folder may lie deeper than the address of a Unix socket may be long.
+// The path of the state folder may be longer than the address of a Unix socket can be.
 func TestHandoverInAFolderWithALongPath(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	must(t, os.Mkdir(dir, 0o700))
-	for range 2 { // the second one in place of what the first one left
+	for range 2 { // the second listener replaces the socket of the first
 		l, err := listenForHandover(dir)
 		must(t, err)
 		conn, err := dialHandover(dir)
--- a/internal/deliverynode/node/intake.go
+++ b/internal/deliverynode/node/intake.go
@@ -17,14 +17,14 @@
 
 const (
 	maxID = 256
-	// fullRetry is what a client is told that finds the hold full.
+	// fullRetry is the Retry-After of a rejected message.
 	fullRetry = time.Second
-	// maxTimeout bounds what a client may ask for.
+	// maxTimeout is the longest time-out that a client may request.
 	maxTimeout = 24 * time.Hour
 )
 
-// intake takes messages from clients. A message is journaled before it is
-// answered, and from then on the node owes its end.
+// intake accepts messages from clients. A message is journaled before its request is answered; from then on the node must
+// deliver it or report that it was not delivered.
 type intake struct {
 	names   names
 	keyed   []bool // per class: a message needs a key
@@ -35,17 +35,17 @@
 	accept  func(*journal.Message)
 
 	mu      sync.Mutex
-	held    map[string]bool // ids of messages that have not ended; true once taken
-	over    *journal.IDRing // shared with the journal: ids of messages taken that are over
-	closing bool            // answers close their connections
-	refuse  bool            // nothing is taken any more
+	held    map[string]bool // ids of messages that have not ended; true once accepted
+	over    *journal.IDRing // shared with the journal: ids of accepted messages that have ended
+	closing bool            // responses close their connections
+	refuse  bool            // no more messages are accepted
 
-	copies  *copies       // what other nodes have of the journal; nil where they have nothing
+	copies  *copies       // copies of the journal on other nodes; nil without copies
 	cohort  *processGroup // the other processes of the node; nil where there are none
-	noShare bool          // none of the node's limits may be used just now
+	noShare bool          // this process has no share of the node's limits at the moment
 }
 
-// badRequest is a fault of the client.
+// badRequest is an error of the client.
 type badRequest struct {
 	status int
 	text   string
@@ -54,10 +54,10 @@
 // Error returns the text for the client.
 func (b badRequest) Error() string { return b.text }
 
-// ServeHTTP answers a client.
+// ServeHTTP handles the request of a client.
 func (in *intake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Where a request also gives a length, net/http drops it and ends the body at the
-	// last chunk; by that length, what follows is body still and no request.
+	// net/http ignores the Content-Length of a chunked request and ends the body at the last chunk. By that length, the
+	// bytes after it may still be body, so they must not be read as another request.
 	if in.isClosing() || len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
@@ -82,7 +82,7 @@
 	var bad badRequest
 	switch {
 	case errors.As(err, &bad):
-		// Who sends such a request may mean its end otherwise than it was read.
+		// The client may disagree on where such a request ends.
 		w.Header().Set("Connection", "close")
 		if bad.status == http.StatusMethodNotAllowed {
 			w.Header().Set("Allow", http.MethodPost)
@@ -91,12 +91,12 @@
 		http.Error(w, bad.text, bad.status)
 		return
 	case err != nil:
-		in.log.Warn("intake: half a request", "err", err)
+		in.log.Warn("intake: incomplete request", "err", err)
 		http.Error(w, "the body could not be read", http.StatusBadRequest)
 		return
 	}
-	// A context that has ended may mean a client that has only closed its sending
-	// side and waits for the answer, so it is not asked here.
+	// The request's context is not checked: it also ends when a client has only closed its sending side and waits for the
+	// response.
 	status, why := in.submit(m)
 	if in.isClosing() { // meanwhile
 		w.Header().Set("Connection", "close")
@@ -111,14 +111,14 @@
 	}
 }
 
-// submit takes a message on, here or in the process that has taken over.
+// submit accepts a message, here or in the process that has taken over.
 func (in *intake) submit(m *journal.Message) (status int, why string) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), linkTimeout)
 		to, err := in.owner.owner(ctx)
 		cancel()
 		if err != nil {
-			return http.StatusServiceUnavailable, "no process takes messages"
+			return http.StatusServiceUnavailable, "no process accepts messages"
 		}
 		if to != nil {
 			return in.passOn(to, m)
@@ -126,15 +126,15 @@
 		switch elsewhere, err := in.elsewhere(m); {
 		case elsewhere:
 			return http.StatusAccepted, ""
-		case err != nil && in.copies.Once(m.Class): // sent by both, it would be sent twice
+		case err != nil && in.copies.Once(m.Class): // another node may have it, and both would send it
 			return http.StatusServiceUnavailable, err.Error()
 		}
 		again, ok := in.reserve(m.ID)
-		if again { // sent once more by a client that did not hear the answer
+		if again { // resent by a client that did not receive the response
 			return http.StatusAccepted, ""
 		}
 		if !ok {
-			return http.StatusServiceUnavailable, "the hold is full"
+			return http.StatusServiceUnavailable, "too many messages are held"
 		}
 		switch err := in.journaled(m); {
 		case errors.Is(err, errNotReady): // nothing was written
@@ -145,23 +145,23 @@
 			in.accept(m)
 			return http.StatusAccepted, ""
 		case errors.Is(err, journal.ErrReleased):
-			in.ended(m.ID) // the next round knows who has it
-		case errors.Is(err, journal.ErrNotDurable): // that handing it in again does no harm can't be said
+			in.ended(m.ID) // the next iteration forwards it to the new owner
+		case errors.Is(err, journal.ErrNotDurable): // it may be sent, so a retry may not be safe
 			in.ended(m.ID)
-			in.log.Error("intake: not durable", "id", m.ID, "err", err)
-			return http.StatusInternalServerError, "not known to be taken on"
+			in.log.Error("intake: message not durable", "id", m.ID, "err", err)
+			return http.StatusInternalServerError, "unknown whether the message was accepted"
 		default:
 			in.ended(m.ID)
 			if !errors.Is(err, journal.ErrFull) && !errors.Is(err, journal.ErrFailed) {
-				in.log.Error("intake: not journaled", "id", m.ID, "err", err)
+				in.log.Error("intake: message not journaled", "id", m.ID, "err", err)
 			}
-			return http.StatusServiceUnavailable, "the journal takes no more"
+			return http.StatusServiceUnavailable, "the journal accepts no more messages"
 		}
 	}
 }
 
-// elsewhere reports whether another process of this machine or another node of the fleet has a message. It fails if that
-// can't be known.
+// elsewhere reports whether another process of this node or another node of the fleet has a message. It returns an error if
+// that can't be determined.
 func (in *intake) elsewhere(m *journal.Message) (bool, error) {
 	if in.cohort != nil && in.cohort.taken(m.ID) {
 		return true, nil
@@ -172,12 +172,12 @@
 	return in.copies.keeper.Elsewhere(m.ID)
 }
 
-// errNotReady says that a message was refused before anything of it was written.
-var errNotReady = errors.New("this node takes no messages now")
+// errNotReady is returned if a message was refused before anything of it was written.
+var errNotReady = errors.New("this node does not accept messages now")
 
-// journaled takes a message into the journal, and where staff want that first into its copies. It waits
-// until this node may work on its log and has its copies. A message that is written and does not get to
-// the copies in time is ended, as nobody can say whether they have it.
+// journaled writes a message to the journal, and with -copies waits until other nodes have copies of it. It waits first
+// until this node has the lease on its log and enough copies. A message that is written but not copied in time is ended,
+// because it is unknown whether the copies have it.
 func (in *intake) journaled(m *journal.Message) error {
 	if in.copies == nil {
 		return in.journal.Accept(m)
@@ -196,18 +196,18 @@
 	return nil
 }
 
-// passOn hands a message to the process that has taken over.
+// passOn forwards a message to the process that has taken over.
 func (in *intake) passOn(to *link, m *journal.Message) (status int, why string) {
 	a, sent, err := to.pass(passedOn{Message: &handedIn{ID: m.ID, Key: m.Key, Class: m.Class, Dest: m.Dest,
 		Deadline: m.Deadline, Body: m.Body}})
 	if err == nil {
 		return a.Status, a.Text
 	}
-	in.log.Error("handover: message", "id", m.ID, "err", err)
-	if sent { // it may have been taken on: that handing it in again does no harm can't be said
-		return http.StatusInternalServerError, "not known to be taken on"
+	in.log.Error("handover: forwarding a message failed", "id", m.ID, "err", err)
+	if sent { // it may have been accepted, so a retry may not be safe
+		return http.StatusInternalServerError, "unknown whether the message was accepted"
 	}
-	return http.StatusServiceUnavailable, "no process takes messages"
+	return http.StatusServiceUnavailable, "no process accepts messages"
 }
 
 // read checks a request and reads its message.
@@ -245,7 +245,7 @@
 		return nil, bad("Content-Length is missing")
 	}
 	if r.ContentLength > journal.MaxBody {
-		return nil, badRequest{http.StatusRequestEntityTooLarge, "over 64 KiB"}
+		return nil, badRequest{http.StatusRequestEntityTooLarge, "the body is larger than 64 KiB"}
 	}
 	m.Body = make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, m.Body); err != nil {
@@ -254,18 +254,18 @@
 	return m, nil
 }
 
-// validWord keeps ids and keys to what fits a header and a line of a bundle.
+// validWord reports whether an id or a key is valid in a header and in a line of a bundle.
 func validWord(s string) bool {
 	return s != "" && len(s) <= maxID && strings.IndexFunc(s, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
-// destination reads 'dest=7', among other fields or alone.
+// destination parses the field dest=7 of a header that may have other fields.
 func destination(s string) (int, error) {
 	for _, field := range strings.FieldsFunc(s, func(c rune) bool { return c == ',' || c == ';' || c == ' ' }) {
 		if v, ok := strings.CutPrefix(field, "dest="); ok {
 			n, err := strconv.ParseUint(v, 10, 16)
 			if err != nil {
-				return 0, errors.New("dest is no number of a destination")
+				return 0, errors.New("dest is not the number of a destination")
 			}
 			return int(n), nil
 		}
@@ -273,8 +273,8 @@
 	return 0, errors.New("dest is missing")
 }
 
-// reserve keeps a place in the hold. Again tells that the message was taken already:
-// it is held, or it is over, and whoever hands it in once more is owed nothing new.
+// reserve reserves capacity for a message. Again reports that the message was accepted before: it is held or has ended, and
+// is not accepted a second time.
 func (in *intake) reserve(id string) (again, ok bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -291,7 +291,7 @@
 	return false, true
 }
 
-// accepted tells that the journal has a message; one of an earlier life may come so.
+// accepted marks a message as journaled, by this process or an earlier one.
 func (in *intake) accepted(id string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -304,7 +304,7 @@
 	return len(in.held)
 }
 
-// ended frees the place of a message and keeps the id of one that was taken.
+// ended frees the capacity of a message, and keeps the id of one that was accepted.
 func (in *intake) ended(id string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -314,8 +314,8 @@
 	delete(in.held, id)
 }
 
-// inherits takes in a message that a dead member took on: whoever hands it in again is
-// owed nothing new.
+// inherits adds a message that another process or node accepted and that this one has taken over, so that it is not accepted
+// a second time.
 func (in *intake) inherits(id string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -324,29 +324,28 @@
 	}
 }
 
-// knows tells whether a message is held here, or is over.
+// knows reports whether a message is held here or has ended.
 func (in *intake) knows(id string) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.held[id] || in.over.Has(id)
 }
 
-// part sets which part of the node's hold is this process's.
+// part sets this process's share of the node's limit on held messages.
 func (in *intake) part(most int, none bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.maxHeld, in.noShare = most, none
 }
 
-// wasOver tells of a message that an earlier life of the node brought to its end.
+// wasOver adds the id of a message that ended in an earlier process of the node.
 func (in *intake) wasOver(id string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.over.Add(id)
 }
 
-// close makes every answer the last of its connection, so that clients go
-// elsewhere by themselves and no request is cut off.
+// close makes every response the last of its connection, so that clients reconnect elsewhere and no request is cut off.
 func (in *intake) close(refuse bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -365,7 +364,7 @@
 	return in.refuse
 }
 
-// turnAway refuses: handing the message in again is harmless.
+// turnAway rejects a request with a response that makes a retry safe.
 func (in *intake) turnAway(w http.ResponseWriter, why string) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(fullRetry.Seconds(), 'f', -1, 64))
 	http.Error(w, why, http.StatusServiceUnavailable)
--- a/internal/deliverynode/node/intake_test.go
+++ b/internal/deliverynode/node/intake_test.go
@@ -22,7 +22,7 @@
 	"dunetide/policy"
 )
 
-// newIntake has one keyed class and remembers what it accepts.
+// newIntake returns an intake with one class, which needs a key; it appends the messages that it accepts to accepted.
 func newIntake(t *testing.T, accepted *[]*journal.Message) *intake {
 	t.Helper()
 	j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
@@ -39,9 +39,9 @@
 	return r
 }
 
-// net/http ends a request's context also when the client has only closed its
-// sending side: it waits for the answer, and one without a message taken loses it.
-func TestEndedContextIsNoReasonToDrop(t *testing.T) {
+// net/http also ends a request's context when the client has only closed its sending side and waits for the response. The
+// message must still be accepted.
+func TestMessageIsAcceptedAfterItsContextEnds(t *testing.T) {
 	var accepted []*journal.Message
 	in := newIntake(t, &accepted)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,12 +49,12 @@
 	w := httptest.NewRecorder()
 	in.ServeHTTP(w, noteRequest(ctx, "a"))
 	if w.Code != http.StatusAccepted || len(accepted) != 1 || string(accepted[0].Body) != "body" {
-		t.Errorf("answered %d with %d messages taken, want 202 and one", w.Code, len(accepted))
+		t.Errorf("answered %d with %d messages accepted, want 202 and one", w.Code, len(accepted))
 	}
 }
 
-// An id that was taken once is answered so and not taken again, also when its message
-// is over and in the next life of the node: a charge would run twice.
+// A message whose id was accepted before is answered with 202 and not accepted again, also after it has ended and after a
+// restart of the node: otherwise it would run twice.
 func TestMessageIDIsAcceptedOnce(t *testing.T) {
 	dir := t.TempDir()
 	hand := func(in *intake, id string) int {
@@ -68,27 +68,27 @@
 	in.over = journal.NewIDRing(2)
 	for range 2 {
 		if code := hand(in, "a"); code != http.StatusAccepted || len(accepted) != 1 {
-			t.Fatalf("answered %d with %d messages taken, want 202 and one", code, len(accepted))
+			t.Fatalf("answered %d with %d messages accepted, want 202 and one", code, len(accepted))
 		}
 		must(t, in.journal.Closed(accepted[0], "e1", time.Now()))
 		in.ended("a")
 	}
 	next, owed := mustOpen(t, dir, journal.MinDisk)
 	if len(owed) != 0 || !next.Over.Has("a") {
-		t.Errorf("the next life is owed %d messages and knows %d ids", len(owed), next.Over.Len())
+		t.Errorf("after a restart there are %d pending messages and %d ended ids", len(owed), next.Over.Len())
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		hand(in, id)
 		in.ended(id)
 	}
 	if in.over.Has("b") || !in.over.Has("c") || !in.over.Has("d") || in.over.Len() != 2 {
-		t.Errorf("%d ids known, want the last two", in.over.Len())
+		t.Errorf("%d ended ids, want the last two", in.over.Len())
 	}
 }
 
-// What stands in the body of a request is no request, however its end is marked:
-// the connection ends with the answer to the first.
-func TestBodiesAreNoRequests(t *testing.T) {
+// Bytes in the body of a request must not be read as another request, however the end of the body is given: the connection
+// is closed after the first response.
+func TestBodyIsNotReadAsRequest(t *testing.T) {
 	head := "POST %s HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: note\r\n" +
 		"X-Timeout-Ms: 5000\r\nIdempotency-Key: k\r\nX-Route-To: dest=7\r\n"
 	inner := fmt.Sprintf(head, "/note", "inner") + "Content-Length: 0\r\n\r\n"
@@ -111,15 +111,15 @@
 			must(t, err)
 			must(t, conn.SetReadDeadline(time.Now().Add(patience)))
 			answers, err := io.ReadAll(conn)
-			must(t, err) // a deadline here means that the connection was kept
+			must(t, err) // an exceeded deadline means that the connection was kept open
 			if n := strings.Count(string(answers), "HTTP/1.1 "); n != 1 || in.count() != 0 {
-				t.Errorf("%d answers and %d messages taken, want one answer:\n%s", n, in.count(), answers)
+				t.Errorf("%d responses and %d messages accepted, want one response:\n%s", n, in.count(), answers)
 			}
 		})
 	}
 }
 
-// pipes is a listener without sockets, so that time can be a fake one.
+// pipes is a listener without sockets, for tests with a fake clock.
 type pipes chan net.Conn
 
 func (p pipes) Accept() (net.Conn, error) {
@@ -131,8 +131,7 @@
 func (p pipes) Close() error   { return nil }
 func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Who holds a connection without a request that comes in whole is let go within 3 s:
-// strangers must not fill the places of the clients.
+// A connection without a complete request is closed within 3 s: such connections must not use up the limit of the clients.
 func TestConnectionsWithoutARequestAreClosed(t *testing.T) {
 	head := "POST /note HTTP/1.1\r\nHost: x\r\nX-Request-ID: a\r\nX-Priority-Class: note\r\n" +
 		"X-Timeout-Ms: 5000\r\nIdempotency-Key: k\r\nX-Route-To: dest=7\r\n"
@@ -156,7 +155,7 @@
 				_, err = io.Copy(io.Discard, peer)
 				must(t, err)
 				if held := time.Since(start); held > 3*time.Second || len(accepted) != 0 {
-					t.Errorf("held for %v with %d messages taken, want 3 s and none at most", held, len(accepted))
+					t.Errorf("open for %v with %d messages accepted, want at most 3 s and none", held, len(accepted))
 				}
 				close(listener)
 			})
@@ -164,8 +163,8 @@
 	}
 }
 
-// Strangers that hold all places with a request each do not keep a client waiting.
-func TestIdleStrangersMakeRoom(t *testing.T) {
+// Idle connections that use up the limit do not delay a new client.
+func TestIdleConnectionsAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var accepted []*journal.Message
 		in := newIntake(t, &accepted)
@@ -183,16 +182,15 @@
 			synctest.Wait()
 		}
 		if waited := time.Since(start); waited > 0 {
-			t.Errorf("12 peers waited for %v in all", waited)
+			t.Errorf("12 connections waited for %v in total", waited)
 		}
 		close(inner)
 		must(t, server.Close())
 	})
 }
 
-// Strangers that send nothing or half a request do not keep a client out, though its
-// own request comes in pieces over more than 2 s.
-func TestSlowClientAmongStrangers(t *testing.T) {
+// Connections without a complete request do not displace a client whose request arrives in pieces over more than 2 s.
+func TestSlowClientAmongStuckConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var accepted []*journal.Message
 		in := newIntake(t, &accepted)
@@ -218,7 +216,7 @@
 			connect("")
 		}
 		if waited := time.Since(start); waited > 0 {
-			t.Errorf("30 strangers waited for %v in all", waited)
+			t.Errorf("30 connections waited for %v in total", waited)
 		}
 		time.Sleep(2300 * time.Millisecond) // of the fake clock
 		_, err := io.WriteString(client, "ass: note\r\nX-Timeout-Ms: 5000\r\nX-Route-To: dest=7\r\n"+
@@ -230,14 +228,14 @@
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		must(t, err)
 		if resp.StatusCode != http.StatusAccepted || len(accepted) != 1 {
-			t.Errorf("answered %s with %d messages taken", resp.Status, len(accepted))
+			t.Errorf("answered %s with %d messages accepted, want 202 and one", resp.Status, len(accepted))
 		}
 		close(inner)
 		must(t, server.Close())
 	})
 }
 
-// A journal that can't be written refuses, frees the place and never crashes.
+// If the journal can't be written, messages are refused and their capacity is freed.
 func TestFailedJournalRefuses(t *testing.T) {
 	var accepted []*journal.Message
 	in := newIntake(t, &accepted)
@@ -250,13 +248,12 @@
 		}
 	}
 	if len(accepted) != 0 || in.count() != 0 {
-		t.Errorf("%d messages accepted and %d places held, want none", len(accepted), in.count())
+		t.Errorf("%d messages accepted and %d held, want none", len(accepted), in.count())
 	}
 }
 
-// What discovery says that makes no sense changes nothing, and an endpoint that is
-// told to drain closes to calls that still dial.
-func TestListsThatMakeNoSense(t *testing.T) {
+// Invalid entries in discovery's lists change nothing, and the gate of an endpoint that drains closes for calls that dial.
+func TestInvalidListEntries(t *testing.T) {
 	l := &loop{names: names{kinds: map[string]int{"general": 0}, zones: map[string]int{"a": 0}}, log: quietLog(),
 		settings: policy.Settings{Kinds: []policy.Kind{{BundleMax: 1}}, DrainGrace: 1},
 		journal:  &journal.Journal{}, endpoints: map[policy.EndpointID]*endpoint{}, waits: map[int]*gate{},
@@ -273,20 +270,19 @@
 	}
 	got = l.listed(list{Complete: true, Members: []member{entry("s1", "sleeping"), entry("s2", "leaving")}})
 	if len(got.Entries) != 2 || got.Entries[0].State != policy.Ready || got.Entries[1].State != policy.Draining {
-		t.Errorf("entries %+v, want s1 ready still and s2 draining", got.Entries)
+		t.Errorf("entries %+v, want s1 still ready and s2 draining", got.Entries)
 	}
 	s1, s2 := l.endpoints[policy.EndpointID(hash("s1"))], l.endpoints[policy.EndpointID(hash("s2"))]
 	if s1.leaves.closedFrom.Load() != 0 || s2.leaves.closedFrom.Load() == 0 {
 		t.Error("the gate of s1 must be open and that of s2 must close")
 	}
 	if s1.waits != s2.waits {
-		t.Error("endpoints of one destination that share a limit share its waits")
+		t.Error("endpoints of one destination with a shared limit must share its waits")
 	}
 }
 
-// While two processes share the limits of one node, the new one keeps to what the old
-// one leaves.
-func TestLimitsAreSharedWithTheProcessBefore(t *testing.T) {
+// While two processes share the limits of one node, the new one uses only what the old one leaves.
+func TestLimitsAreSharedWithThePreviousProcess(t *testing.T) {
 	c := newClients(4)
 	var conns []net.Conn
 	come := func() net.Conn {
@@ -297,12 +293,12 @@
 	come()
 	c.limit(2)
 	if old := come(); old != conns[0] {
-		t.Errorf("of two places for both the oldest was not let go, but %v", old)
+		t.Errorf("at a limit of two connections %v was closed, want the oldest", old)
 	}
 	c.follow(conns[0], http.StateClosed)
 	c.limit(4)
 	if old := come(); old != nil {
-		t.Errorf("%v was let go though there are places again", old)
+		t.Errorf("%v was closed though the limit was raised again", old)
 	}
 }
 
@@ -325,10 +321,9 @@
 	return f.File.Sync()
 }
 
-// On a disk that fails a message is neither taken on nor refused, since it may come back;
-// from then on all are refused, also when the disk says that it is well, and readiness
-// says so.
-func TestDiskThatFails(t *testing.T) {
+// If a sync fails, the message of that request is answered with 500, because it may be in the journal after a restart. From
+// then on all messages are refused, even if the disk works again, and readiness fails.
+func TestDiskFailure(t *testing.T) {
 	var accepted []*journal.Message
 	in := newIntake(t, &accepted)
 	var err error
@@ -366,7 +361,7 @@
 	if a, b := ready(); a != 503 || b != 503 {
 		t.Errorf("ready: %d and %d, want 503", a, b)
 	}
-	// A charge is not sent any more, and its client is not told to hand it in again.
+	// A message that may not be repeated is no longer sent, and is not reported as handed back.
 	r := newCallRig(t, "127.0.0.1:1")
 	r.caller.sync, r.caller.once = true, []bool{true}
 	if err := r.caller.settled(&call{endpoint: r.endpoint, parts: []*part{{message: accepted[0]}}}); !errors.Is(err, journal.ErrFailed) {
@@ -377,6 +372,6 @@
 	must(t, in.journal.Ended(accepted[0], journal.NewNotice("a", true, 0)))
 	f.resolve(accepted)
 	if accepted[0].Notice.HandedBack() {
-		t.Error("a charge is handed back though its end is not on disk")
+		t.Error("a message that may not be repeated is handed back though its end is not on disk")
 	}
 }
--- a/internal/deliverynode/node/journal_test.go
+++ b/internal/deliverynode/node/journal_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// The list that a start begins with may be older than what the life before was told: an
-// endpoint that drained then must get nothing new.
-func TestNextIncarnationKnowsDrainingEndpoints(t *testing.T) {
+// The list that a process starts with may be older than what an earlier process received: an endpoint that was draining
+// then must get no new calls.
+func TestDrainingEndpointsAreKnownAfterARestart(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, journal.MinDisk)
 	l := &loop{names: names{kinds: map[string]int{"m": 0}, zones: map[string]int{"a": 0}}, log: quietLog(), journal: j,
@@ -57,7 +57,7 @@
 	j, _ = mustOpen(t, dir, journal.MinDisk)
 	for name, want := range map[string]bool{"a": true, "b": true, "c": false, "d": true, "e": false} {
 		if j.Left(name) != want {
-			t.Errorf("%s: known to leave is %v after a restart, want %v", name, !want, want)
+			t.Errorf("%s: leaving is %v after a restart, want %v", name, !want, want)
 		}
 	}
 }
--- a/internal/deliverynode/node/loop.go
+++ b/internal/deliverynode/node/loop.go
@@ -13,11 +13,11 @@
 	"dunetide/policy"
 )
 
-// clockStart keeps the module's clock away from zero, which means 'never' to it.
+// clockStart is the start of the module's clock: its zero means "never" there.
 const clockStart = time.Hour
 
-// loop owns the module: it hands in what has come, once a tick, and carries out
-// what the module wants, in order. It waits for nothing else.
+// loop owns the decision module: once a tick it passes the events that have arrived to the module, and carries out the
+// module's actions in order. It waits for nothing else.
 type loop struct {
 	sender    *policy.Sender
 	settings  policy.Settings
@@ -27,37 +27,37 @@
 	journal   *journal.Journal
 	finals    *completionReports
 	intake    *intake
-	peers     *peers // nil where notes are not allowed
+	peers     *peers // nil where the settings do not allow notes between nodes
 	origin    time.Time
 	events    chan any      // policy.Event, list, *order or *journal.Message
 	done      chan struct{} // closed when the loop has ended
-	quieted   chan struct{} // closed when no call is started any more
+	quieted   chan struct{} // closed when no more calls are started
 	owner     *ownership
 	giveaways chan *transfer
-	connected func() int     // clients' connections; nil where nobody asks
+	connected func() int     // returns the number of clients' connections; may be nil
 	revision  int64          // of the last list
 	cohort    *processGroup  // the other processes of the node; nil where there are none
-	known     atomic.Int64   // the revision, for who watches discovery next
-	listAt    time.Duration  // when the list was seen, by the machine's clock
-	inUse     float64        // the part of the node that the module uses
-	serving   bool           // it has had one
-	shared    bool           // a share was told
-	shareBits atomic.Uint64  // inUse, for who asks
-	hearing   bool           // what is taken in comes from another member
-	called    bool           // a call was made: what is known of endpoints is this process's
+	known     atomic.Int64   // revision, read when this process starts to watch discovery
+	listAt    time.Duration  // when the list was received, by the machine's clock
+	inUse     float64        // share of the node's limits that the module uses
+	serving   bool           // the share has been above 0
+	shared    bool           // a share has been assigned
+	shareBits atomic.Uint64  // bits of inUse, for other goroutines
+	hearing   bool           // the list being handled comes from another member
+	called    bool           // a call was made: the health of endpoints is this process's own observation
 	orders    []policy.Event // for endpoints that are listed for the first time
-	obeyed    []*order       // the module hears of them in the next step
+	obeyed    []*order       // recorded orders, confirmed after the next step
 	held      map[policy.MessageID]*journal.Message
 	endpoints map[policy.EndpointID]*endpoint
 	waits     map[int]*gate // by destination, where routes share a limit
 	batch     []policy.Event
 	actions   []policy.Action
-	quiet     bool // no call is started any more
+	quiet     bool // no more calls are started
 }
 
 func (l *loop) now() policy.Time { return clockStart + time.Since(l.origin) }
 
-// post hands an event to the loop.
+// post queues an event for the loop.
 func (l *loop) post(e any) {
 	select {
 	case l.events <- e:
@@ -65,8 +65,8 @@
 	}
 }
 
-// run steps the module until the context ends; calls is the context of what it sends.
-// Once quiet ends no new call is started; outcomes are still taken in.
+// run steps the module until the context ends; calls is the context of its calls.
+// Once quiet is closed no new call is started; outcomes are still handled.
 func (l *loop) run(ctx, calls context.Context, quiet <-chan struct{}) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -88,7 +88,7 @@
 		case g := <-l.giveaways:
 			if l.giveAway(g) {
 				l.quiet = true
-				l.caller.pools.Retire() // idle ones count for both processes together
+				l.caller.pools.Retire() // both processes share the limit on connections, idle ones included
 			}
 			continue
 		case e := <-l.events:
@@ -96,7 +96,7 @@
 		case <-timer.C:
 			l.batch = append(l.batch, policy.Woken{})
 		}
-		// What comes within a tick is taken together.
+		// Events that arrive within a tick are handled together.
 		if rest := l.settings.Tick - time.Since(last); rest > 0 {
 			time.Sleep(rest)
 		}
@@ -110,7 +110,7 @@
 		}
 		last = time.Now()
 		if l.cohort != nil && l.inUse > 0 && !l.cohort.group.MaySend() {
-			// It stood still: what is sent now would come back unsent, and use up attempts.
+			// This process was suspended and its share has expired: sends would end as not sent, and use up attempts.
 			l.batch = append(l.batch, policy.Shared{Whole: group.Whole})
 		}
 		if l.quiet {
@@ -119,13 +119,13 @@
 			timer.Reset(wake - l.now())
 		}
 		for _, o := range l.obeyed {
-			go func() { o.reply <- l.journal.Sync() }() // at once where nothing is made durable
+			go func() { o.reply <- l.journal.Sync() }() // returns at once without -sync
 		}
 		l.obeyed = l.obeyed[:0]
 	}
 }
 
-// handle turns what has come into an event of the module.
+// handle turns an event of the loop into one of the module.
 func (l *loop) handle(e any) {
 	switch e := e.(type) {
 	case *journal.Message:
@@ -180,7 +180,7 @@
 		if p.MayRun {
 			a.Past.RanAt = l.past(p.RanAt)
 		}
-		if p.Out { // by its wall clock, the same for all messages of a bundle
+		if p.Out { // by the recorded wall clock time, which is the same for all messages of a bundle
 			a.Past.Out, a.Past.OutTo = true, policy.EndpointID(hash(p.OutTo))
 			a.Past.OutSince, a.Past.Settled = min(l.now(), clockStart+p.OutAt.Sub(l.origin)), p.Settled
 		}
@@ -200,12 +200,12 @@
 	return h.Sum64()
 }
 
-// listed keeps the node's own table of endpoints and tells the module of it.
+// listed updates the node's table of endpoints from a list and returns the event for the module.
 func (l *loop) listed(in list) policy.Listed {
 	out := policy.Listed{Whole: in.Complete}
 	named := map[policy.EndpointID]bool{}
 	for _, m := range in.Members {
-		// The same at all nodes, so that they can tell each other of it.
+		// The id is the same at all nodes, so that they can refer to it in notes.
 		id := policy.EndpointID(hash(m.ID))
 		entry, ok := l.listedOne(id, m)
 		if !ok {
@@ -220,21 +220,21 @@
 	return out
 }
 
-// phases are the module's names of the phases in discovery's lists.
+// phases maps the phases in discovery's lists to the module's states.
 var phases = map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
 
-// listedOne takes in one entry of a list, and returns what the module is told of it, if anything.
+// listedOne applies one entry of a list, and returns the entry for the module, if any.
 func (l *loop) listedOne(id policy.EndpointID, m member) (policy.Entry, bool) {
 	e := l.endpoints[id]
 	state, known := phases[m.Phase]
 	if !known {
-		l.log.Warn("discovery: unknown phase, nothing changes", "id", m.ID, "phase", m.Phase)
+		l.log.Warn("discovery: unknown phase; endpoint unchanged", "id", m.ID, "phase", m.Phase)
 		return l.unchanged(e, m)
 	}
 	if e == nil {
 		if state != policy.Ready {
-			// An earlier process may have been told that it drains, and the grace
-			// may be over: one that is first heard of as leaving gets nothing.
+			// An earlier process may have learned that the endpoint drains, and the grace period may be over: an
+			// endpoint that is first listed as leaving gets no calls.
 			return policy.Entry{}, false
 		}
 		if e = l.newEndpoint(id, m); e == nil {
@@ -256,8 +256,8 @@
 	return entry, true
 }
 
-// unchanged returns the entry of an endpoint as the module knows it, because the module takes what a whole list leaves
-// out for gone.
+// unchanged returns the entry of an endpoint in its current state, because the module treats an endpoint that is missing
+// from a complete list as gone.
 func (l *loop) unchanged(e *endpoint, m member) (policy.Entry, bool) {
 	if e == nil {
 		return policy.Entry{}, false
@@ -269,12 +269,12 @@
 	return l.entry(e, m, state), true
 }
 
-// newEndpoint adds an endpoint that is listed for the first time; nil if its entry makes no sense.
+// newEndpoint adds an endpoint that is listed for the first time; nil if its entry is invalid.
 func (l *loop) newEndpoint(id policy.EndpointID, m member) *endpoint {
 	kind, okKind := l.names.kinds[m.Flavor]
 	zone, okZone := l.names.zones[m.Locality]
 	if !okKind || !okZone || m.ID == "" || m.Cell < 0 {
-		l.log.Warn("discovery: an endpoint that makes no sense", "id", m.ID, "flavor", m.Flavor, "locality", m.Locality)
+		l.log.Warn("discovery: invalid endpoint ignored", "id", m.ID, "flavor", m.Flavor, "locality", m.Locality)
 		return nil
 	}
 	e := &endpoint{id: id, name: m.ID, dest: m.Cell, kind: kind, zone: zone, leaves: &gate{}, waits: &gate{}}
@@ -292,7 +292,7 @@
 	return e
 }
 
-// leaveOut takes the endpoints that a whole list does not name for gone.
+// leaveOut marks the endpoints that a complete list does not name as gone.
 func (l *loop) leaveOut(named map[policy.EndpointID]bool) {
 	for id, e := range l.endpoints {
 		if !named[id] {
@@ -305,15 +305,15 @@
 	}
 }
 
-// forgetRemoved drops an endpoint that is no longer listed, once no call to it is out. The
-// journal still has what its next life must know.
+// forgetRemoved drops an endpoint that is no longer listed, once no call to it is in flight. The journal keeps what is
+// needed if it is listed again.
 func (l *loop) forgetRemoved(e *endpoint) {
 	if e.last.Phase != "left" || e.out > 0 {
 		return
 	}
 	delete(l.endpoints, e.id)
 	if w := l.waits[e.dest]; w == nil || w != e.waits || !w.open(time.Now()) {
-		return // a wait that was told holds for whoever comes next
+		return // the wait applies to endpoints of this destination that are listed later
 	}
 	for _, o := range l.endpoints {
 		if o.waits == e.waits {
@@ -323,10 +323,10 @@
 	delete(l.waits, e.dest)
 }
 
-// recordLeaving keeps what the list tells for the next life of the node.
+// recordLeaving records in the journal whether an endpoint leaves, for the next start of the node.
 func (l *loop) recordLeaving(e *endpoint, leaves bool) {
 	if err := l.journal.Leaves(e.name, leaves, time.Now()); err != nil {
-		l.log.Warn("journal: what the list tells", "endpoint", e.name, "err", err)
+		l.log.Warn("journal: recording the phase of an endpoint failed", "endpoint", e.name, "err", err)
 	}
 }
 
@@ -334,14 +334,13 @@
 	return policy.Entry{Endpoint: e.id, Destination: e.dest, Kind: e.kind, Zone: e.zone, State: state, Rate: m.Size}
 }
 
-// remind tells the module what an earlier life saw of the endpoints that it has
-// just been given: its backlog must not go to one that is out or cold, and the
-// calls of late count for the limits still.
+// remind passes the module what an earlier process observed of the endpoints that have just been listed: the backlog
+// must not go to an endpoint that is failing or cold, and recent calls still count towards the limits.
 func (l *loop) remind() {
 	l.remindOf(l.journal.Memories, true)
 }
 
-// remindOf tells of calls and, where nothing newer is known, of how endpoints were.
+// remindOf passes the module recorded calls and, where nothing newer is known, the recorded health of endpoints.
 func (l *loop) remindOf(memories map[string]*journal.Memory, health bool) {
 	for name, m := range memories {
 		id := policy.EndpointID(hash(name))
@@ -367,21 +366,20 @@
 	}
 }
 
-// past turns a time of the wall clock into one of the module's.
+// past converts a past wall clock time to the module's clock.
 func (l *loop) past(t time.Time) policy.Time { return min(l.now(), l.now()-time.Since(t)) }
 
-// mayCall tells whether anything may be sent to an endpoint now, as far as the list, the
-// staff and told waits go.
+// mayCall reports whether the list, the operators' orders and the endpoint's requested waits allow a call now.
 func (e *endpoint) mayCall() bool {
 	now := time.Now()
 	return !e.excluded.Load() && e.leaves.open(now) && e.waits.open(now)
 }
 
-// mayWarm tells whether a connection may be opened there that no call needs yet.
+// mayWarm reports whether a connection may be opened to the endpoint before a call needs it.
 func (e *endpoint) mayWarm() bool { return e.leaves.closedFrom.Load() == 0 && e.mayCall() }
 
-// setLeaving closes an endpoint's gate within the grace after it was first told to
-// drain or to be gone, and after the module has ceased to send to it.
+// setLeaving has an endpoint's gate close within the grace period after it was first listed as draining or gone, and after
+// the module has stopped sending to it.
 func (l *loop) setLeaving(e *endpoint, leaves bool) {
 	if !leaves {
 		e.leaves.closedFrom.Store(0)
@@ -390,8 +388,7 @@
 	}
 }
 
-// step hands the batch to the module and carries out what it wants. It returns
-// when the module wants to be woken, or 0.
+// step passes the batch to the module and carries out its actions. It returns when the module wants to be woken, or 0.
 func (l *loop) step(ctx context.Context) (wake policy.Time) {
 	l.actions = l.sender.Step(l.now(), l.batch, l.actions[:0])
 	clear(l.batch)
@@ -401,7 +398,7 @@
 	for _, a := range l.actions {
 		switch a := a.(type) {
 		case policy.Send:
-			// Sends of one step to one endpoint travel as one call.
+			// Sends of one step to one endpoint are combined into one call.
 			m, e := l.held[a.Message], l.endpoints[a.Endpoint]
 			k := open[a.Endpoint]
 			if k == nil || len(k.parts) >= l.bundleMax(e) {
@@ -447,7 +444,7 @@
 	return 1
 }
 
-// end gives a message its final answer: first on record, then to the platform.
+// end ends an undelivered message: it records the end, then reports it to the platform.
 func (l *loop) end(id policy.MessageID, back bool, wait time.Duration) {
 	m := l.held[id]
 	if m == nil {
@@ -455,7 +452,7 @@
 	}
 	n := journal.NewNotice(m.ID, back, wait)
 	if err := m.Home().Ended(m, n); err != nil {
-		l.log.Error("journal: end", "id", m.ID, "err", err)
+		l.log.Error("journal: recording the end of a message failed", "id", m.ID, "err", err)
 	}
 	l.log.Debug("ended", "id", m.ID, "dest", m.Dest, "outcome", n.Outcome, "left", time.Until(m.Deadline))
 	l.forget(m)
--- a/internal/deliverynode/node/loop_test.go
+++ b/internal/deliverynode/node/loop_test.go
@@ -14,8 +14,8 @@
 	"dunetide/policy"
 )
 
-// Sends of one step to one endpoint travel as one call, up to what its kind takes.
-func TestSendsOfOneStepTravelTogether(t *testing.T) {
+// Sends of one step to one endpoint are combined into one call, up to the bundle limit of its kind.
+func TestSendsOfOneStepAreBundled(t *testing.T) {
 	type seen struct {
 		path string
 		size int
@@ -27,7 +27,7 @@
 		if err != nil {
 			return
 		}
-		body, _ := io.ReadAll(req.Body) // a torn one shows in its size
+		body, _ := io.ReadAll(req.Body) // a truncated body shows in its size
 		calls <- seen{req.URL.Path, len(body)}
 		fmt.Fprint(conn, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 	})
@@ -55,7 +55,7 @@
 			t.Errorf("one call to %s of %d bytes, want a bundle of %d", c.path, c.size, want)
 		}
 	case <-time.After(patience):
-		t.Fatal("no call came")
+		t.Fatal("no call received")
 	}
 	for range 5 {
 		select {
@@ -72,9 +72,8 @@
 	}
 }
 
-// An endpoint that is gone leaves nothing behind, but for a call that is still out and a
-// wait that was told for its destination.
-func TestEndpointsThatAreGoneAreForgotten(t *testing.T) {
+// All state of an endpoint that is gone is dropped, except while a call to it is in flight or a wait for its destination lasts.
+func TestStateOfGoneEndpointsIsDropped(t *testing.T) {
 	j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
 	l := &loop{names: names{kinds: map[string]int{"m": 0}, zones: map[string]int{"a": 0}}, log: quietLog(), journal: j,
 		endpoints: map[policy.EndpointID]*endpoint{}, waits: map[int]*gate{}, caller: newCaller(Config{}, quietLog(), nil)}
@@ -92,15 +91,15 @@
 		come(n, "left")
 	}
 	if len(l.endpoints) != 1 || l.endpoints[busy] == nil || len(l.waits) != 2 || len(l.caller.pools.Stats(9).Pools) != 0 {
-		t.Errorf("%d endpoints, %d waits and %d pools are left, want the busy one, its gate and that of the told wait",
+		t.Errorf("%d endpoints, %d waits and %d pools are left, want the busy one, its gate and that of the wait",
 			len(l.endpoints), len(l.waits), len(l.caller.pools.Stats(9).Pools))
 	}
 	l.handle(policy.Ended{Endpoint: busy})
 	if len(l.endpoints) != 0 || len(l.waits) != 1 {
-		t.Errorf("%d endpoints and %d waits are left, want the told wait alone", len(l.endpoints), len(l.waits))
+		t.Errorf("%d endpoints and %d waits are left, want the wait alone", len(l.endpoints), len(l.waits))
 	}
 	come(1, "active")
 	if l.endpoints[waits].mayCall() {
-		t.Error("the told wait is forgotten")
+		t.Error("the wait was dropped")
 	}
 }
--- a/internal/deliverynode/node/node.go
+++ b/internal/deliverynode/node/node.go
@@ -18,30 +18,28 @@
 )
 
 const (
-	// Times from the word to stop on. New connections go on coming for up to 0.4 s
-	// and the process is killed after 3.7 s at the earliest: messages are taken and
-	// sent until stopTaking, and what is out then has until stopWaiting.
+	// Times since the stop signal. New connections may arrive for up to 0.4 s after it, and the process is killed
+	// after 3.7 s at the earliest: messages are accepted and sent until stopTaking, and calls in flight then have
+	// until stopWaiting.
 	stopTaking  = 2200 * time.Millisecond
 	stopWaiting = 3300 * time.Millisecond
-	// A request must come in whole within this time, head and body together: a true one
-	// may come in pieces and take over 2 s, while a peer that sends rubbish or nothing is
-	// owed an error or a close within 3 s of connecting.
+	// requestTimeout is for reading a request, header and body together: a legitimate one may arrive in pieces over
+	// more than 2 s, while a client that sends garbage or nothing must get an error or a close within 3 s of connecting.
 	requestTimeout = 2800 * time.Millisecond
 	answerTimeout  = 10 * time.Second
-	// Anyone may connect and hold a place among the clients' connections, so one
-	// without an open request is kept no longer than it has to be.
+	// keepAlive is short because anyone may connect, and an idle connection occupies one of the clients' limited connections.
 	keepAlive = 2 * time.Second
 	maxHeader = 16 << 10
-	// clientShare of the sockets may be held by clients' connections.
+	// clientShare is the share of the sockets that clients' connections may use.
 	clientShare = 0.6
 	eventQueue  = 4096
-	// lockPatience is how long a start waits for the lock on its folder: whoever looks into
-	// the folder has it for a moment.
+	// lockPatience is how long a start waits for the lock on its state folder: a process that inspects the folder
+	// holds the lock briefly.
 	lockPatience = 300 * time.Millisecond
 )
 
-// Run serves until the context ends and then stops in good order. At a hangup it
-// reads from its configuration file anew where discovery is.
+// Run serves until the context ends and then stops gracefully. At a hangup it re-reads the address of discovery
+// from its configuration file.
 func Run(ctx context.Context, c Config, hangups <-chan os.Signal, log *slog.Logger) error {
 	if err := c.checkCopies(); err != nil {
 		return err
@@ -58,7 +56,7 @@
 		}
 	}
 	c.limitMemory(1)
-	// The goroutines below run until the node has stopped, not until it is told to.
+	// The goroutines below run until the node has stopped, not until the stop signal.
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	owned, retire := context.WithCancel(life)
@@ -73,7 +71,7 @@
 			end()
 			p.running.Wait()
 			if err := co.close(); err != nil {
-				log.Warn("group: leaving", "err", err)
+				log.Warn("group: leaving failed", "err", err)
 			}
 		}()
 	}
@@ -103,28 +101,28 @@
 	return p.finish(err)
 }
 
-// shareDisk divides the disk between the copies of other nodes, the fleet, and the journal, which gets the rest.
+// shareDisk divides the disk between the copies of other nodes' logs, the fleet, and the journal, which gets the rest.
 func (c *Config) shareDisk(copyLimit int64) error {
 	if c.Copies > 0 {
 		c.DiskBytes = copyLimit + c.fleetRoom()
 	}
 	if c.DiskBytes -= c.fleetRoom(); c.DiskBytes < journal.MinDisk {
-		return fmt.Errorf("limits.disk_mb leaves %d bytes beside the fleet's %d, less than a journal needs", c.DiskBytes, c.fleetRoom())
+		return fmt.Errorf("limits.disk_mb leaves %d bytes besides the fleet's %d, less than a journal needs", c.DiskBytes, c.fleetRoom())
 	}
 	return nil
 }
 
-// begin opens the journal and the clients' listener: the platform's where it holds
-// one, and then another process may have the journal still.
+// begin opens the journal and the clients' listener. Where the platform passes a listener, another process may still
+// own the journal, and this one waits for it or takes over from that process.
 func begin(ctx context.Context, c Config, co *processGroup, log *slog.Logger) (*inheritedState, net.Listener, error) {
 	if co != nil {
 		return co.begin(ctx)
 	}
 	switch owed, err := owedByGroup(c.State, c.DiskBytes); {
 	case err != nil:
-		return nil, nil, fmt.Errorf("what a group has left in %s: %w", c.State, err)
+		return nil, nil, fmt.Errorf("reading the journals of a process group in %s: %w", c.State, err)
 	case owed > 0:
-		return nil, nil, fmt.Errorf("%s holds %d messages of a group: start with -group until they are worked off", c.State, owed)
+		return nil, nil, fmt.Errorf("%s holds %d messages of a group: start with -group until they have ended", c.State, owed)
 	}
 	if c.AcceptFD > 0 {
 		listener, err := inheritedListener(c.AcceptFD)
@@ -161,19 +159,19 @@
 	return &inheritedState{journal: j, owed: owed, hold: hold}, listener, nil
 }
 
-// journal says how the journal is kept.
+// journal returns the options of the journal.
 func (c Config) journal(log *slog.Logger) journal.Options {
 	return journal.Options{Folder: vfs.Dir(c.State), Limit: c.DiskBytes, Sync: c.Sync, Log: log}
 }
 
-// limitMemory keeps the heap to a part of the limit, where so many processes share it.
+// limitMemory limits the heap to 60 % of the memory limit, divided by the number of processes that share it.
 func (c Config) limitMemory(processes int) {
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10 / int64(processes))
 	}
 }
 
-// clientPlaces is how many connections clients may hold.
+// clientPlaces returns how many connections clients may have.
 func clientPlaces(sockets int) int { return max(1, int(clientShare*float64(sockets))) }
 
 func newServer(in *intake, connected *clients, log *slog.Logger) *http.Server {
@@ -183,9 +181,8 @@
 		ErrorLog:  slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
 }
 
-// stop lets go of the clients first, then of the endpoints. What is still owed
-// after that waits in the journal for the next start. Refusing is called when no
-// message is taken any more.
+// stop closes the clients' connections first, then those to the endpoints. Messages that have not ended by then stay in
+// the journal for the next start. It calls refusing when no more messages are accepted.
 func (l *loop) stop(server *http.Server, quiet chan<- struct{}, refusing func()) {
 	start := time.Now()
 	l.log.Info("stopping", "owed", l.intake.count())
@@ -199,7 +196,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), start.Add(stopWaiting))
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		l.log.Warn("stopping: clients are left", "err", err)
+		l.log.Warn("stopping: client connections still open", "err", err)
 	}
 	close(quiet)
 	<-l.quieted
@@ -212,6 +209,6 @@
 	select {
 	case <-calls:
 	case <-ctx.Done():
-		l.log.Warn("stopping: calls are out")
+		l.log.Warn("stopping: calls still in flight")
 	}
 }
--- a/internal/deliverynode/node/peers.go
+++ b/internal/deliverynode/node/peers.go
@@ -11,14 +11,14 @@
 	"dunetide/policy"
 )
 
-// maxNote is the longest datagram that delivery nodes may send each other.
+// maxNote is the maximum length in bytes of a datagram between delivery nodes.
 const maxNote = 256
 
-// peers carries the notes between delivery nodes.
+// peers sends and receives notes between delivery nodes, over UDP.
 type peers struct {
 	conn  *net.UDPConn
 	all   netip.AddrPort
-	known map[netip.AddrPort]bool // the others
+	known map[netip.AddrPort]bool // the other nodes
 	log   *slog.Logger
 	tell  func(policy.Event)
 }
@@ -45,7 +45,7 @@
 	return p, nil
 }
 
-// run takes in notes until the context ends.
+// run receives notes until the context ends.
 func (p *peers) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
@@ -55,23 +55,23 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err != nil { // such as a note of ours that found nobody
-			p.log.Debug("peers: reading", "err", err)
+		if err != nil { // such as an ICMP error for a note that could not be delivered
+			p.log.Debug("peers: reading failed", "err", err)
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		note, ok := wire.DecodeNote(buf[:n])
 		if !ok || !p.known[from] {
-			p.log.Warn("peers: a note without meaning", "from", from, "bytes", n)
+			p.log.Warn("peers: invalid note ignored", "from", from, "bytes", n)
 			continue
 		}
 		p.tell(note)
 	}
 }
 
-// send tells all others; a note may be lost.
+// send sends a note to all other nodes; it may be lost.
 func (p *peers) send(t policy.Tell) {
 	if _, err := p.conn.WriteToUDPAddrPort(wire.EncodeNote(t), p.all); err != nil {
-		p.log.Debug("peers: sending", "err", err)
+		p.log.Debug("peers: sending failed", "err", err)
 	}
 }
--- a/internal/deliverynode/node/peers_test.go
+++ b/internal/deliverynode/node/peers_test.go
@@ -10,8 +10,8 @@
 	"dunetide/policy"
 )
 
-// Notes reach the others in simhost's format; what a stranger sends, or what
-// has no meaning, is passed over and the next note still comes.
+// Notes reach the other nodes in simhost's format. Datagrams of unknown senders and invalid ones are ignored, and the next
+// note is still received.
 func TestNotesBetweenNodes(t *testing.T) {
 	other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	must(t, err)
@@ -46,14 +46,14 @@
 	select {
 	case e := <-told:
 		if e != (policy.Told{Tag: 77, News: policy.BackCold}) {
-			t.Errorf("told %+v", e)
+			t.Errorf("received %+v", e)
 		}
 	case <-time.After(patience):
-		t.Fatal("the note never came")
+		t.Fatal("no note received")
 	}
 	cancel()
 	<-done
 	if len(told) != 0 {
-		t.Errorf("told of %+v too", <-told)
+		t.Errorf("also received %+v", <-told)
 	}
 }
--- a/internal/deliverynode/node/process.go
+++ b/internal/deliverynode/node/process.go
@@ -19,34 +19,35 @@
 	"dunetide/policy"
 )
 
-// unknownRevision is the revision of a list of endpoints that discovery has not told yet.
+// unknownRevision is the revision before a list of endpoints has been received from discovery.
 const unknownRevision = int64(-1)
 
-// process is a running node process: its parts, which Run puts together, and the contexts in which they run.
+// process is a running node process: its components, which Run assembles, and the contexts in which they run.
 type process struct {
 	config Config
 	log    *slog.Logger
 
-	// ctx ends when the process stops, owned also when another process has taken over, calls when calls are abandoned.
+	// ctx ends when the process stops; owned ends then or when another process has taken over; calls ends when the calls
+	// in flight are abandoned.
 	ctx, owned, calls context.Context
 	retire, abandon   context.CancelFunc // they end owned and calls
 	running           sync.WaitGroup
 
 	cohort   *processGroup // the other processes of the node; nil where there are none
-	fleet    *fleet.Fleet  // nil if the node is in none
+	fleet    *fleet.Fleet  // nil if the node is in no fleet
 	staff    *console
 	estate   *inheritedState
 	listener net.Listener // for clients
-	places   int          // most connections of clients, 0 for no limit
+	places   int          // maximum number of client connections, 0 for no limit
 	owner    *ownership
 	intake   *intake
 	agent    *agent
 	loop     *loop
-	copies   *copies    // nil where there are none
-	before   *successor // receives what the process before this one passes on; nil where there is none
+	copies   *copies    // nil without copies
+	before   *successor // receives what the previous process forwards; nil where there is none
 	clients  *clients
-	known    int64      // the revision of the list of endpoints
-	served   chan error // the end of the serving of clients
+	known    int64      // revision of the list of endpoints at the start
+	served   chan error // result of serving clients
 }
 
 // startConsole joins the fleet and serves the console, if the configuration has them.
@@ -73,7 +74,7 @@
 	return errors.Join(err, p.listener.Close(), p.estate.journal.Close())
 }
 
-// unlock closes the lock files, again where they were closed at a handover.
+// unlock closes the lock files. They may have been closed already at a handover.
 func (e *inheritedState) unlock() {
 	for _, lock := range []*os.File{e.hold, e.lock} {
 		if lock != nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// build makes the intake, the event loop and the copies.
+// build creates the intake, the event loop and the copies.
 func (p *process) build(copyLimit int64) error {
 	if err := p.checkClasses(); err != nil {
 		return err
@@ -116,11 +117,11 @@
 	return nil
 }
 
-// checkClasses fails if the journal holds a message of a class that the settings lack.
+// checkClasses returns an error if the journal holds a message of a class that is not in the settings.
 func (p *process) checkClasses() error {
 	for _, m := range p.estate.owed {
 		if m.Class >= len(p.config.Settings.Classes) {
-			return fmt.Errorf("the journal holds a message of class %d, which the settings lack", m.Class)
+			return fmt.Errorf("the journal holds a message of class %d, which is not in the settings", m.Class)
 		}
 	}
 	return nil
@@ -137,7 +138,7 @@
 	return in
 }
 
-// newLoop returns the event loop with its caller, and has the intake post messages to it.
+// newLoop returns the event loop with its caller, and connects the intake to it.
 func (p *process) newLoop() *loop {
 	c := p.config
 	l := &loop{
@@ -158,15 +159,15 @@
 // closeCopies closes the copies that this node holds.
 func (p *process) closeCopies() {
 	if err := p.copies.keeper.Close(); err != nil {
-		p.log.Warn("copies: closing", "err", err)
+		p.log.Warn("copies: closing failed", "err", err)
 	}
 }
 
-// recall gives the loop what is known from before: the endpoints, from another process or from the configuration, and the
-// messages that are owed.
+// recall restores the state of the loop: the endpoints, from another process or from the configuration, and the messages
+// in the journal that have not ended.
 func (p *process) recall() {
 	p.known = p.recallEndpoints()
-	if p.cohort != nil || p.copies != nil { // nothing is sent before there is a lease
+	if p.cohort != nil || p.copies != nil { // nothing is sent before this process has a lease or a share
 		p.loop.handle(policy.Shared{Whole: group.Whole})
 	}
 	if p.estate.before != nil {
@@ -178,7 +179,7 @@
 	}
 }
 
-// recallEndpoints gives the loop the endpoints that are known, and returns the revision of their list.
+// recallEndpoints restores the loop's list of endpoints, and returns its revision.
 func (p *process) recallEndpoints() int64 {
 	switch list := p.config.Known; {
 	case p.estate.told != nil:
@@ -189,7 +190,7 @@
 		return p.estate.joined.Revision
 	case len(list.Members) > 0:
 		for i, m := range list.Members {
-			if p.estate.journal.Left(m.ID) { // an earlier process was told so; this list may be older
+			if p.estate.journal.Left(m.ID) { // an earlier process learned this; the list may be older
 				list.Members[i].Phase = "leaving"
 			}
 		}
@@ -201,7 +202,7 @@
 	return unknownRevision
 }
 
-// recallMessage hands a message that is owed to the loop, or its notice to the finals if it has ended.
+// recallMessage passes a message that has not ended to the loop, or the notice of one that has to the completion reports.
 func (p *process) recallMessage(m *journal.Message) {
 	if m.Past.Out {
 		if to := p.loop.endpoints[policy.EndpointID(hash(m.Past.OutTo))]; to != nil {
@@ -234,7 +235,7 @@
 	}
 }
 
-// startDiscovery watches the list of endpoints, in a group only while this process is the one to do so.
+// startDiscovery watches the list of endpoints; in a group only while this process coordinates.
 func (p *process) startDiscovery() {
 	turn := discoveryTurn(p.config)
 	p.loop.known.Store(p.known)
@@ -245,12 +246,12 @@
 		p.running.Go(func() { watch(p.owned, p.known) })
 		return
 	}
-	p.intake.part(0, true) // until there is a share
+	p.intake.part(0, true) // until a share is assigned
 	p.cohort.serves(p.loop)
 	p.running.Go(func() { p.cohort.follow(p.owned, watch) })
 }
 
-// limitConnections counts the clients' connections. While the process before this one lives, the limits are for both.
+// limitConnections counts and limits the clients' connections. While the previous process still runs, both share the limits.
 func (p *process) limitConnections() {
 	p.clients = newClients(p.places)
 	p.loop.connected = p.clients.count
@@ -262,7 +263,7 @@
 	if p.places > 0 {
 		p.clients.limit(max(p.places/4, p.places-p.estate.told.Connected))
 	}
-	pools.SetMaxOpen(p.config.endpointSockets() - p.config.Settings.Slots) // the process before may have as many calls out
+	pools.SetMaxOpen(p.config.endpointSockets() - p.config.Settings.Slots) // the previous process may have as many calls in flight
 	p.before.gone = func() {
 		p.config.limitMemory(1)
 		p.clients.limit(p.places)
@@ -270,7 +271,7 @@
 	}
 }
 
-// serve starts to serve clients and the staff, and lets a further process take over. In a group, clients are served once
+// serve starts to serve clients and console calls, and listens for a successor process. In a group, clients are served once
 // this process may send.
 func (p *process) serve() *http.Server {
 	p.limitConnections()
@@ -295,13 +296,13 @@
 	return server
 }
 
-// ready tells the staff and the log that clients are served.
+// ready reports on the console and in the log that clients are served.
 func (p *process) ready() {
 	p.staff.ready.Store(true)
 	p.log.Info("ready", "name", p.config.Name, "listen", p.config.Listen, "owed", len(p.estate.owed), "taken over", p.estate.told != nil)
 }
 
-// listenForSuccessor lets a further process take over from this one, if that is asked for.
+// listenForSuccessor accepts handover requests of a successor process, if the journal may be handed over.
 func (p *process) listenForSuccessor() {
 	if p.estate.lock == nil {
 		return
@@ -316,17 +317,17 @@
 	p.running.Go(func() { h.run(p.owned) })
 }
 
-// retireForSuccessor ends what only the owner of the journal does.
+// retireForSuccessor stops what only the owner of the journal does.
 func (p *process) retireForSuccessor() {
 	p.staff.ready.Store(false)
 	p.config.limitMemory(2)
 	p.loop.caller.pools.Retire()
 	p.retire()
-	_ = p.listener.Close() // the platform and the next process have it still
+	_ = p.listener.Close() // the platform and the successor keep the socket open
 }
 
-// wait waits until the context ends or the serving of clients fails. Where another process has taken over, the clients'
-// connections and the calls of this one go on until the context ends.
+// wait waits until the context ends or serving clients fails. After a handover, the clients' connections and the calls of
+// this process continue until the context ends.
 func (p *process) wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -347,7 +348,7 @@
 	p.loop.caller.pools.Close()
 	p.log.Info("stopped", "owed", len(p.loop.held))
 	if to, _ := p.owner.owner(context.Background()); to != nil {
-		_ = to.conn.Close() // it may have been closed for an error
+		_ = to.conn.Close() // it may have been closed after an error
 		return err
 	}
 	return errors.Join(err, p.estate.journal.Close())
--- a/internal/deliverynode/node/process_group.go
+++ b/internal/deliverynode/node/process_group.go
@@ -15,24 +15,24 @@
 	"dunetide/policy"
 )
 
-// processGroup is this process's part in a group.
+// processGroup is this process's membership in a group of processes that form one node.
 type processGroup struct {
 	group *group.Group
 	cfg   Config
 	log   *slog.Logger
 	slots int
 	mine  *slot
-	state *os.File // holds off processes without a group
+	state *os.File // shared lock that excludes processes without a group
 
-	up     chan struct{} // closed when there is a loop
-	usable chan struct{} // closed when there is a share that the module uses
+	up     chan struct{} // closed when loop is set
+	usable chan struct{} // closed when the module has a share to use
 	loop   *loop
-	shares chan [2]int // parts, kept; the newest
+	shares chan [2]int // parts and kept of the newest share
 	met    chan struct{}
 
 	mu        sync.Mutex
 	adopted   []*slot
-	looked    map[int]string // what lay in slots that owe nothing, or can't be read
+	looked    map[int]string // fingerprints of journals without pending messages, or that can't be read, by slot
 	owners    map[int]string
 	deathAt   time.Time
 	listeners map[string]*net.TCPListener
@@ -40,8 +40,7 @@
 	stale     staleness
 }
 
-// shareState holds the state folder together with the other members: a process without a
-// group wants it alone.
+// shareState takes a shared lock on the state folder, as all members do: a process without a group takes an exclusive one.
 func shareState(dir string) (*os.File, error) {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -57,8 +56,8 @@
 	return f, nil
 }
 
-// learn asks a member that serves what it knows; nil where there is none. Where others live
-// and none of them answers, joining is not safe.
+// learn gets the state of a member that serves; nil where there is none. It returns an error if other members run and none
+// of them answers, because joining is not safe then.
 func (co *processGroup) learn(ctx context.Context) (*memberState, error) {
 	for end := time.Now().Add(joinPatience); ; {
 		ids, err := co.group.Members()
@@ -69,7 +68,7 @@
 		for _, id := range ids {
 			var s memberState
 			if err := co.group.Ask(ctx, id, askState, nil, &s); err != nil {
-				co.log.Debug("group: a member tells nothing", "member", id, "err", err)
+				co.log.Debug("group: a member did not answer", "member", id, "err", err)
 				continue
 			}
 			if !s.Starting {
@@ -81,7 +80,7 @@
 			return nil, nil
 		}
 		if time.Now().After(end) {
-			return nil, fmt.Errorf("%d members live and none of them answers: the orders that they keep are not known here", len(ids))
+			return nil, fmt.Errorf("%d members run and none of them answers: their orders are unknown", len(ids))
 		}
 		select {
 		case <-time.After(joinPause):
@@ -91,7 +90,7 @@
 	}
 }
 
-// listen gives a listener that all members share: another's, or the first.
+// listen returns a listener that all members share: it gets that of another member, or opens the first.
 func (co *processGroup) listen(ctx context.Context, name, addr string) (net.Listener, error) {
 	var l net.Listener
 	for end := time.Now().Add(joinPatience); l == nil; {
@@ -106,7 +105,7 @@
 			}
 			l, err = net.FileListener(f)
 			if err := errors.Join(err, f.Close()); err != nil {
-				return nil, fmt.Errorf("the group's listener: %w", err)
+				return nil, fmt.Errorf("sharing the group's listener: %w", err)
 			}
 			break
 		}
@@ -114,7 +113,7 @@
 			break
 		}
 		if l, err = (&net.ListenConfig{}).Listen(ctx, "tcp", addr); err != nil {
-			l = nil // another member may have it, and not serve yet
+			l = nil // another member may have the address and not serve yet
 			if time.Now().After(end) || !errors.Is(err, syscall.EADDRINUSE) {
 				return nil, fmt.Errorf("listening for %s: %w", name, err)
 			}
@@ -131,7 +130,7 @@
 	return l, nil
 }
 
-// file is a listener for another member.
+// file returns a listener's descriptor for another member; nil if there is none.
 func (co *processGroup) file(name string) *os.File {
 	co.mu.Lock()
 	l := co.listeners[name]
@@ -140,13 +139,13 @@
 		return nil
 	}
 	f, err := l.File()
-	if err != nil { // it is closed: this member is leaving
+	if err != nil { // the listener is closed: this member is leaving
 		return nil
 	}
 	return f
 }
 
-// shared is told of the share; the newest counts.
+// shared receives this member's share from the group; it replaces one that has not been handled.
 func (co *processGroup) shared(parts, kept int) {
 	for {
 		select {
@@ -161,18 +160,18 @@
 	}
 }
 
-// serves lets the loop be told.
+// serves sets the loop; from then on the group's events are passed to it.
 func (co *processGroup) serves(l *loop) {
 	co.loop = l
 	close(co.up)
 }
 
-// run takes part in the group until the context ends.
+// run runs the membership in the group until the context ends.
 func (co *processGroup) run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() {
 		if err := co.group.Run(ctx); err != nil {
-			co.log.Warn("group: leaving", "err", err)
+			co.log.Warn("group: leaving failed", "err", err)
 		}
 	})
 	select {
@@ -187,7 +186,7 @@
 		case s := <-co.shares:
 			alone := false
 			if s[0] > 0 && co.adoptDead() && co.alone() {
-				alone = true // what the dead have sent is known: nobody else has used any of it
+				alone = true // no other member uses a share, and the calls of former members are known from their journals
 			}
 			co.loop.post(policy.Shared{Parts: s[0], Whole: group.Whole, Kept: s[1], Alone: alone})
 		case <-co.met:
@@ -205,7 +204,7 @@
 	return err == nil && len(ids) == 0
 }
 
-// wait waits until there is a share in use; false tells that the context has ended before.
+// wait waits until a share is in use. It returns false if the context ends before that.
 func (co *processGroup) wait(ctx context.Context) bool {
 	select {
 	case <-co.usable:
--- a/internal/deliverynode/node/process_group_adopt.go
+++ b/internal/deliverynode/node/process_group_adopt.go
@@ -12,8 +12,8 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// adoptDead takes over the journals that nobody has a lock on. It tells whether all there are
-// belong to somebody who lives.
+// adoptDead takes over the journals that no process has locked: those of former members. It returns false if one could not
+// be taken over.
 func (co *processGroup) adoptDead() (all bool) {
 	if !co.group.MaySend() {
 		return false
@@ -39,7 +39,7 @@
 		}
 		lock, err := co.lockDead(n, path)
 		if err != nil {
-			co.log.Error("group: a journal that can't be locked", "folder", path, "err", err)
+			co.log.Error("group: locking a journal failed", "folder", path, "err", err)
 			all = false
 		}
 		if lock == nil {
@@ -48,7 +48,7 @@
 		s := &slot{number: n, path: path, lock: lock}
 		owes, err := co.inherit(s)
 		if err != nil {
-			co.log.Error("group: a dead member's journal can't be adopted", "folder", path, "err", err)
+			co.log.Error("group: adopting the journal of a former member failed", "folder", path, "err", err)
 			all = false
 		}
 		if !owes {
@@ -59,8 +59,8 @@
 	return all
 }
 
-// lockDead locks a slot that nobody has. That of a node without a group lies in the folder
-// that all members share, so there is a file to lock.
+// lockDead locks a slot; it returns nil if another process has it. The journal of a node without a group is in the folder
+// that all members share, so a separate file is locked for it.
 func (co *processGroup) lockDead(n int, path string) (*os.File, error) {
 	if n >= 0 {
 		s, err := co.seize(n, path)
@@ -92,7 +92,7 @@
 	return false
 }
 
-// fingerprint tells whether a journal has changed; empty where there is none.
+// fingerprint returns the names and sizes of a journal's files, to detect changes; "" where there is no journal.
 func fingerprint(path string) string {
 	entries, err := os.ReadDir(path)
 	if err != nil {
@@ -107,8 +107,8 @@
 	return b.String()
 }
 
-// inherit adopts a journal, if it owes anything. Its ids are known here before a client can
-// hand one in again.
+// inherit adopts a journal if it has pending messages. It adds the journal's ids to the intake before a client can send one of
+// the messages again.
 func (co *processGroup) inherit(s *slot) (owes bool, err error) {
 	report, err := journal.Check(vfs.Dir(s.path), max(co.cfg.DiskBytes, 64<<20))
 	if err != nil {
@@ -125,7 +125,7 @@
 		}
 		return false, nil
 	}
-	if report.Owed == 0 { // for what it says of endpoints, and of calls of late
+	if report.Owed == 0 { // for its records of endpoints and of recent calls
 		j, err := journal.Replay(co.options(s))
 		if err != nil {
 			return false, err
@@ -141,11 +141,11 @@
 	co.pass(&inheritance{journal: j, owed: owed, alone: alone})
 	co.adopted = append(co.adopted, s)
 	co.adoptions++
-	co.log.Info("group: adopted a dead member's journal", "folder", s.path, "owed", len(owed))
+	co.log.Info("group: adopted the journal of a former member", "folder", s.path, "owed", len(owed))
 	return true, nil
 }
 
-// pass hands a dead member's estate to the loop.
+// pass passes a former member's journal to the loop.
 func (co *processGroup) pass(in *inheritance) {
 	for _, id := range in.journal.OverIDs() {
 		co.loop.intake.wasOver(id)
@@ -156,7 +156,7 @@
 	co.loop.post(in)
 }
 
-// letGo gives back the journals that owe nothing any more.
+// letGo closes the adopted journals that have no more pending messages.
 func (co *processGroup) letGo() {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -167,16 +167,16 @@
 			continue
 		}
 		if err := s.journal.Close(); err != nil {
-			co.log.Warn("group: closing a dead member's journal", "folder", s.path, "err", err)
+			co.log.Warn("group: closing an adopted journal failed", "folder", s.path, "err", err)
 		}
 		co.looked[s.number] = fingerprint(s.path)
-		co.log.Info("group: a dead member's journal is worked off", "folder", s.path)
-		_ = s.lock.Close() // the kernel lets go of it in any case
+		co.log.Info("group: all messages of an adopted journal have ended", "folder", s.path)
+		_ = s.lock.Close() // the kernel releases the lock in any case
 	}
 	co.adopted = keep
 }
 
-// close lets go of all that is adopted still; others go on with it.
+// close closes the journals that are still adopted; other members continue with them.
 func (co *processGroup) close() error {
 	co.mu.Lock()
 	defer co.mu.Unlock()
--- a/internal/deliverynode/node/process_group_discovery.go
+++ b/internal/deliverynode/node/process_group_discovery.go
@@ -16,9 +16,8 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// taken tells whether another member has, or had, a message that a client hands in. That
-// matters only soon after a member has died: its client sends once more on a new connection.
-// What the dead had, somebody has adopted first.
+// taken reports whether another member has, or had, a message that a client sends. That can be only soon after a member has
+// ended: its client retries on a new connection. By then a member has adopted the journal of the one that ended.
 func (co *processGroup) taken(id string) bool {
 	co.mu.Lock()
 	changed := false
@@ -34,7 +33,7 @@
 		if string(owner) == string(co.group.ID()) || co.isAdopted(n) {
 			continue
 		}
-		if lock, err := vfs.Lock(co.path(n)); err == nil && lock != nil { // its owner is dead
+		if lock, err := vfs.Lock(co.path(n)); err == nil && lock != nil { // its owner has ended
 			_ = lock.Close()
 			if print := fingerprint(co.path(n)); print != "" && co.looked[n] != print {
 				changed = true
@@ -58,7 +57,7 @@
 	return co.anyone(askHave, id)
 }
 
-// anyone tells whether any other member says yes to a question.
+// anyone reports whether any other member answers yes to a request.
 func (co *processGroup) anyone(kind string, v any) bool {
 	ids, err := co.group.Members()
 	if err != nil {
@@ -80,7 +79,7 @@
 	return yes.Load()
 }
 
-// hear takes in what another member tells or asks.
+// hear handles a notification or a request of another member.
 func (co *processGroup) hear(m group.Message, asked bool) (any, error) {
 	select {
 	case <-co.up:
@@ -95,7 +94,7 @@
 		case co.loop.events <- groupMessage{m}:
 			return nil, nil
 		default:
-			return nil, errors.New("too busy to hear") // it is told again
+			return nil, errors.New("the event queue is full") // the sender retries
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), consoleAnswer*3/4)
@@ -126,20 +125,19 @@
 	case askReady:
 		return yesNo{co.inUse()}, nil
 	}
-	return nil, fmt.Errorf("%q is no question", m.Kind)
+	return nil, fmt.Errorf("unknown request kind %q", m.Kind)
 }
 
-// notify lets the others know what this member has just seen.
+// notify notifies the other members of what this one has just observed.
 func (co *processGroup) notify(kind, key string, v any) { co.notifyAt(group.Clock(), kind, key, v) }
 
 func (co *processGroup) notifyAt(at time.Duration, kind, key string, v any) {
 	if err := co.group.NotifyAt(at, kind, key, v); err != nil {
-		co.log.Error("group: telling", "kind", kind, "err", err)
+		co.log.Error("group: notifying the other members failed", "kind", kind, "err", err)
 	}
 }
 
-// order has an order carried out by all members. A yes says that each that lives has it; after
-// a no none has.
+// order executes an order on all members. On success every running member has it; on failure none has.
 func (co *processGroup) order(ctx context.Context, host string, out bool) (status int, text string) {
 	status, text = co.loop.obeyHere(ctx, host, out)
 	if status != 200 {
@@ -163,7 +161,7 @@
 	}
 	asked.Wait()
 	for i, a := range answers {
-		// One that does not know the endpoint yet keeps the order for when it does.
+		// A member that does not have the endpoint yet keeps the order until it is listed.
 		if a.Status != 200 {
 			refused = fmt.Sprintf("member %s: %s", ids[i], a.Text)
 		}
@@ -174,18 +172,18 @@
 	undo, end := context.WithTimeout(context.Background(), undoTimeout)
 	defer end()
 	co.loop.obeyHere(undo, host, !out)
-	for i, id := range ids { // also those that may have heard of it and did not say so in time
+	for i, id := range ids { // also members that may have the order and did not answer in time
 		asked.Go(func() {
 			if err := co.group.Ask(undo, id, askOrder, orderAsk{host, !out}, nil); err != nil && answers[i].Status == 200 {
-				co.log.Error("group: an order that was refused could not be taken back", "member", id, "host", host, "err", err)
+				co.log.Error("group: rolling back a rejected order failed", "member", id, "host", host, "err", err)
 			}
 		})
 	}
 	asked.Wait()
-	return 503, "not all members have it, and none keeps it: " + refused
+	return 503, "rolled back, because not all members accepted it: " + refused
 }
 
-// inUse tells whether this member takes clients.
+// inUse reports whether this member serves clients.
 func (co *processGroup) inUse() bool {
 	select {
 	case <-co.usable:
@@ -195,12 +193,12 @@
 	}
 }
 
-// follow runs the watch of discovery while this member coordinates.
+// follow watches discovery while this member coordinates.
 func (co *processGroup) follow(ctx context.Context, watch func(ctx context.Context, known int64)) {
 	co.whileLeading(ctx, func(life context.Context) { watch(life, co.loop.known.Load()) })
 }
 
-// whileLeading runs what one process of the node does for all, while this member coordinates.
+// whileLeading runs f, which one process does for the whole node, while this member coordinates.
 func (co *processGroup) whileLeading(ctx context.Context, f func(ctx context.Context)) {
 	tick := time.NewTicker(joinPause)
 	defer tick.Stop()
@@ -229,7 +227,7 @@
 	}
 }
 
-// leaving closes this member's listeners, where others have them still.
+// leaving closes this member's listeners for clients if other members still serve.
 func (co *processGroup) leaving() {
 	if co.alone() {
 		return
@@ -238,7 +236,7 @@
 	defer co.mu.Unlock()
 	for name, l := range co.listeners {
 		if strings.HasPrefix(name, "clients ") {
-			_ = l.Close() // the others' stay
+			_ = l.Close() // the other members' listeners stay open
 		}
 	}
 }
--- a/internal/deliverynode/node/process_group_join.go
+++ b/internal/deliverynode/node/process_group_join.go
@@ -16,33 +16,31 @@
 	"dunetide/policy"
 )
 
-// With -group several processes of one machine are one node. This file wires the group to
-// the node: the shares, the journals of the dead, the listeners, and what members tell each
-// other. docs/group.md has the guarantees.
+// With -group several processes on one machine form one node. The process_group files connect the group to the node: the
+// shares, the journals of former members, the listeners, and the messages between members. docs/group.md has the guarantees.
 
 const (
 	groupFolder = "group"
 	slotForm    = "slot-%d" // a member's journal, in the state folder
-	// groupDisk is left for the group's locks and views.
+	// groupDisk is the disk space that is reserved for the group's locks and views.
 	groupDisk = 64 << 10
-	// joinPatience is how long a start waits for a journal of its own, for the listeners and
-	// for what the others know.
+	// joinPatience is how long a start waits for a free journal, for the listeners and for the state of the other members.
 	joinPatience = 4 * time.Second
 	joinPause    = 20 * time.Millisecond
-	// slotNumbers is how many messages a journal may number before two could be the same.
+	// slotNumbers is the size of each journal's range of message numbers: beyond it, two numbers could be equal.
 	slotNumbers = 1 << 40
-	// deathMatters is how long after a member's death a client may hand in again what that
-	// member had: it sends once more at once when its connection breaks.
+	// deathMatters is how long after the end of a member a client may resend a message that the member had: clients retry
+	// at once when their connection breaks.
 	deathMatters = 3 * time.Second
-	// haveTimeout is for asking the others for an id, well within a client's patience.
+	// haveTimeout is the timeout for asking the other members for an id, well within that of a client.
 	haveTimeout = 150 * time.Millisecond
-	// An order has so long with the others, and is then taken back: all within the second that
-	// a caller waits.
+	// An order times out on the other members after orderTimeout and is then rolled back: both within the second that a
+	// caller waits.
 	orderTimeout = 500 * time.Millisecond
 	undoTimeout  = 250 * time.Millisecond
 )
 
-// slot is a journal of a member, alive or dead.
+// slot is the journal of a current or former member.
 type slot struct {
 	number  int // -1 for that of a node without a group, in the state folder itself
 	path    string
@@ -50,8 +48,8 @@
 	journal *journal.Journal
 }
 
-// slotsOf is how many journals there are: one for each member, and one at least for a member
-// that comes while a dead one's is still being worked off.
+// slotsOf returns the number of journals: one for each member, and at least one more for a member that joins while the
+// journal of a former member still has pending messages.
 func (c Config) slotsOf() (int, error) {
 	most := int((c.DiskBytes - groupDisk) / journal.MinDisk)
 	if most < c.Members+1 {
@@ -61,13 +59,13 @@
 	return min(2*c.Members, most), nil
 }
 
-// joinGroup makes this process a member. Its configuration is then that of a part of the node.
+// joinGroup makes this process a member of the group. It reduces the limits in the configuration to those of one member.
 func joinGroup(ctx context.Context, c *Config, log *slog.Logger) (*processGroup, error) {
 	if c.Members > group.MaxMembers {
-		return nil, fmt.Errorf("-group %d: %d members at most", c.Members, group.MaxMembers)
+		return nil, fmt.Errorf("-group %d: the maximum is %d members", c.Members, group.MaxMembers)
 	}
 	if c.Settings.MayTell && c.PeerBind != "" {
-		return nil, errors.New("-group: the settings let nodes tell each other notes, which a group can't share")
+		return nil, errors.New("-group: the settings let nodes send each other notes, which a group does not support")
 	}
 	slots, err := c.slotsOf()
 	if err != nil {
@@ -79,7 +77,7 @@
 	}
 	co := &processGroup{log: log, slots: slots, state: state, up: make(chan struct{}), usable: make(chan struct{}),
 		shares: make(chan [2]int, 1), met: make(chan struct{}, 1), looked: map[int]string{}, owners: map[int]string{}, listeners: map[string]*net.TCPListener{}}
-	// None of these can shrink at once, so each has its part of the most members from the start.
+	// These limits can't be reduced at run time, so each member has the share for the maximum number of members from the start.
 	c.MemoryMB /= c.Members
 	c.Sockets /= c.Members
 	c.DiskBytes = (c.DiskBytes - groupDisk) / int64(slots)
@@ -88,7 +86,7 @@
 		Share: co.shared, Hear: co.hear, File: co.file, Met: func() {
 			select {
 			case co.met <- struct{}{}:
-			default: // one that waits stands for all
+			default: // a queued notification covers all new members
 			}
 		}})
 	if err != nil {
@@ -104,7 +102,7 @@
 	return filepath.Join(co.cfg.State, fmt.Sprintf(slotForm, n))
 }
 
-// claim takes a journal for this process: one with something in it before an empty one.
+// claim locks a free journal for this process: one with files before an empty one.
 func (co *processGroup) claim(ctx context.Context) (*slot, error) {
 	for end := time.Now().Add(joinPatience); ; {
 		for _, empty := range []bool{false, true} {
@@ -118,7 +116,7 @@
 					continue
 				}
 				if err != nil {
-					return nil, fmt.Errorf("a journal for this member: %w", err)
+					return nil, fmt.Errorf("claiming a journal: %w", err)
 				}
 				s, err := co.seize(n, path)
 				if s != nil || err != nil {
@@ -127,7 +125,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			return nil, fmt.Errorf("no journal is free: each of %d belongs to a member, or is being worked off by one", co.slots)
+			return nil, fmt.Errorf("no journal is free: each of %d belongs to a member, or has been adopted by one", co.slots)
 		}
 		select {
 		case <-time.After(joinPause):
@@ -137,14 +135,14 @@
 	}
 }
 
-// seize locks a slot, and writes down whose it is; nil if another has it.
+// seize locks a slot and records this member as its owner; it returns nil if another process has it.
 func (co *processGroup) seize(n int, path string) (*slot, error) {
 	lock, err := vfs.Lock(path)
 	if err != nil || lock == nil {
 		return nil, err
 	}
 	if err := os.WriteFile(filepath.Join(co.cfg.State, groupFolder, fmt.Sprintf("owner-%d", n)), []byte(co.group.ID()), 0o600); err != nil {
-		return nil, errors.Join(fmt.Errorf("a member's journal: %w", err), lock.Close())
+		return nil, errors.Join(fmt.Errorf("recording the owner of a journal: %w", err), lock.Close())
 	}
 	return &slot{number: n, path: path, lock: lock}, nil
 }
@@ -154,7 +152,7 @@
 		Sync: co.cfg.Sync, Log: co.log}
 }
 
-// begin opens this member's journal and the clients' listener, and learns what the others know.
+// begin opens this member's journal and the clients' listener, and gets the state of the other members.
 func (co *processGroup) begin(ctx context.Context) (*inheritedState, net.Listener, error) {
 	j, owed, err := journal.Open(co.options(co.mine))
 	if err != nil {
@@ -183,19 +181,19 @@
 	return &inheritedState{journal: j, owed: owed, hold: co.mine.lock, joined: state}, listener, nil
 }
 
-// adoptOrders makes a journal's orders those of the group.
+// adoptOrders sets a journal's orders to those of the group.
 func adoptOrders(j *journal.Journal, out []string) error {
 	want := map[string]bool{}
 	for _, name := range out {
 		want[name] = true
 		if err := j.Order(name, true, time.Now()); err != nil {
-			return fmt.Errorf("the group's orders: %w", err)
+			return fmt.Errorf("recording the group's orders: %w", err)
 		}
 	}
 	for _, name := range j.Orders() {
 		if !want[name] {
 			if err := j.Order(name, false, time.Now()); err != nil {
-				return fmt.Errorf("the group's orders: %w", err)
+				return fmt.Errorf("recording the group's orders: %w", err)
 			}
 		}
 	}
--- a/internal/deliverynode/node/process_group_loop.go
+++ b/internal/deliverynode/node/process_group_loop.go
@@ -10,19 +10,19 @@
 	"dunetide/policy"
 )
 
-// This file is the loop's side of a group: all of it runs in the loop.
+// The methods in this file handle the group's events in the loop. All but share run in the loop's goroutine.
 
-// share is the part of the node that is in use, for the staff.
+// share returns the share of the node's limits that is in use, for the console.
 func (l *loop) share() float64 { return math.Float64frombits(l.shareBits.Load()) }
 
-// useShare follows the part of the node that the module uses.
+// useShare applies the share of the node's limits that the module uses.
 func (l *loop) useShare() {
 	if l.cohort == nil {
 		return
 	}
 	part := l.sender.Share()
 	if part == l.inUse && l.serving || part == 1 && !l.shared {
-		return // none was ever told
+		return // unchanged, or none has been assigned
 	}
 	l.inUse = part
 	l.shareBits.Store(math.Float64bits(part))
@@ -37,7 +37,7 @@
 	}
 }
 
-// table is the whole list as this process knows it.
+// table returns the complete list of endpoints, as far as this process knows it.
 func (l *loop) table() (all []member) {
 	for _, e := range l.endpoints {
 		if e.last.Phase != "left" {
@@ -47,7 +47,7 @@
 	return all
 }
 
-// passListOn lets the other members know what discovery told this one.
+// passListOn sends the list that this member received from discovery to the other members.
 func (l *loop) passListOn() {
 	if l.cohort == nil || l.hearing {
 		return
@@ -56,10 +56,10 @@
 	l.cohort.notify(newsList, "", list{Revision: l.revision, Complete: true, Members: l.table()})
 }
 
-// handleGroupMessage takes in what another member tells.
+// handleGroupMessage handles a notification of another member.
 func (l *loop) handleGroupMessage(m group.Message) {
 	l.cohort.stale.add(m.Kind, group.Clock()-m.At)
-	bad := func(err error) { l.log.Warn("group: news without meaning", "kind", m.Kind, "from", m.From, "err", err) }
+	bad := func(err error) { l.log.Warn("group: invalid message", "kind", m.Kind, "from", m.From, "err", err) }
 	e := l.endpoints[policy.EndpointID(hash(m.Key))]
 	switch m.Kind {
 	case newsList:
@@ -92,7 +92,7 @@
 	}
 }
 
-// heardWait closes a destination until a moment of the machine's clock.
+// heardWait applies a wait that another member reports, until a time of the machine's clock.
 func (l *loop) heardWait(e *endpoint, until time.Duration) {
 	left := until - group.Clock()
 	if e == nil || left <= 0 {
@@ -102,7 +102,7 @@
 	l.batch = append(l.batch, policy.HeardWait{Endpoint: e.id, Until: l.now() + left})
 }
 
-// memberState is what a member that joins has to know.
+// memberState returns the state that a joining member needs.
 func (l *loop) memberState() memberState {
 	s := memberState{ListAt: l.listAt, Revision: l.known.Load(), Members: l.table(), Orders: l.journal.Orders()}
 	for _, e := range l.endpoints {
@@ -113,8 +113,8 @@
 	return s
 }
 
-// notifyNewcomers tells all what those that have just come did not hear: between what they asked for and
-// now, something may have changed. Who has heard it passes it over.
+// notifyNewcomers sends the list and the waits to all members again: they may have changed since a new member requested
+// the state. Members that already have them ignore them.
 func (l *loop) notifyNewcomers() {
 	s := l.memberState()
 	if l.listAt > 0 {
@@ -125,7 +125,7 @@
 	}
 }
 
-// join takes in what another member knew, before the first message.
+// join applies the state of another member, before the first message.
 func (l *loop) join(s *memberState) {
 	l.hearing = true
 	defer func() { l.hearing = false }()
@@ -136,10 +136,10 @@
 	}
 }
 
-// inheritDead goes on with what a dead member owed. Attempts that were out may have run.
+// inheritDead takes over the pending messages of a former member. Attempts that were in flight may have run.
 func (l *loop) inheritDead(in *inheritance) {
 	if in.alone {
-		l.adoptOrders(in.journal.Orders()) // out where any member said so
+		l.adoptOrders(in.journal.Orders()) // an endpoint is out if any member recorded that
 	}
 	l.remindOf(in.journal.Memories, in.alone && !l.called)
 	for _, m := range in.owed {
@@ -156,8 +156,8 @@
 	}
 }
 
-// only settles it where a client has handed in a message here that a dead member had as well:
-// the one that never was sent goes.
+// only resolves a duplicate: a message that a client sent to this member and that a former member had as well. It drops the
+// one that was never sent, and reports whether the former member's is kept.
 func (l *loop) only(m *journal.Message) bool {
 	for _, own := range l.held {
 		if own.ID != m.ID {
@@ -179,6 +179,6 @@
 
 func (l *loop) closed(m *journal.Message) {
 	if err := m.Home().Closed(m, "", time.Now()); err != nil {
-		l.log.Error("group: closing a message", "id", m.ID, "err", err)
+		l.log.Error("group: closing a message failed", "id", m.ID, "err", err)
 	}
 }
