--- a/internal/deliverynode/node/process_group_messages.go
+++ b/internal/deliverynode/node/process_group_messages.go
@@ -8,7 +8,7 @@
 	"dunetide/policy"
 )
 
-// What members tell and ask each other.
+// Kinds of notifications (news) and requests (ask) between members.
 const (
 	newsList    = "list"
 	newsWait    = "wait"
@@ -19,7 +19,7 @@
 	askReady    = "ready"
 )
 
-// toldWait, verdictTold and so on are the bodies of these.
+// Bodies of the messages between members.
 type (
 	waitNews struct {
 		Until time.Duration `json:"Until"` // by the machine's clock
@@ -38,9 +38,9 @@
 	yesNo struct {
 		Yes bool `json:"Yes"`
 	}
-	// memberState is what a member that joins has to know.
+	// memberState is the state that a joining member needs.
 	memberState struct {
-		Starting bool          `json:"Starting"` // this one knows nothing yet itself
+		Starting bool          `json:"Starting"` // this member has no state yet itself
 		ListAt   time.Duration `json:"ListAt"`
 		Revision int64         `json:"Revision"` // of the list; -1 where none is known yet
 		Members  []member      `json:"Members"`
@@ -53,18 +53,18 @@
 	}
 )
 
-// What comes from other members on its way through the loop.
+// Events of the group that are posted to the loop.
 type (
 	groupMessage struct {
 		message group.Message
 	}
 	stateAsk struct{ reply chan memberState }
-	// newcomers are members that have not heard what was told before.
+	// newcomers reports new members, which have not received earlier notifications.
 	newcomers struct{}
-	// inheritance is a dead member's journal.
+	// inheritance is the journal of a former member, or a log that was taken over from another node.
 	inheritance struct {
 		journal *journal.Journal
 		owed    []*journal.Message
-		alone   bool // no other member lives: what it says of endpoints is the newest there is
+		alone   bool // no other member runs: its records of endpoints are the newest
 	}
 )
--- a/internal/deliverynode/node/process_group_staleness.go
+++ b/internal/deliverynode/node/process_group_staleness.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// staleness is how old news were when they came, by their kind.
+// staleness records the age of notifications on arrival, by their kind.
 type staleness struct {
 	mu  sync.Mutex
 	all map[string]*age
@@ -14,13 +14,13 @@
 
 type age struct {
 	Count  int     `json:"count"`
-	Median float64 `json:"median_ms"` // of the last agesKept, as the 99th percentile
+	Median float64 `json:"median_ms"` // of the last maxAges, as the 99th percentile
 	P99    float64 `json:"p99_ms"`
 	Max    float64 `json:"max_ms"`
 	last   []float64
 }
 
-// maxAges bounds what the figures of staleness are taken from.
+// maxAges is how many of the last ages of each kind are kept for the percentiles.
 const maxAges = 1024
 
 func (s *staleness) add(kind string, d time.Duration) {
--- a/internal/deliverynode/node/process_group_status.go
+++ b/internal/deliverynode/node/process_group_status.go
@@ -11,7 +11,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// groupStatus is what the console shows.
+// groupStatus is the response to /ops/group.
 type groupStatus struct {
 	group.Status
 	Share     float64        `json:"share_in_use"`
@@ -39,7 +39,7 @@
 	return s
 }
 
-// MemberFolders are the journals of a group's members in a state folder.
+// MemberFolders returns the paths of the journals of a group's members in a state folder.
 func MemberFolders(dir string) (all []string) {
 	for n := range 2 * group.MaxMembers {
 		if path := filepath.Join(dir, fmt.Sprintf(slotForm, n)); fingerprint(path) != "" {
@@ -49,7 +49,8 @@
 	return all
 }
 
-// owedByGroup tells what members of a group owe in a folder, for a process without one.
+// owedByGroup returns how many pending messages the journals of a group in a state folder have, for a process without a
+// group.
 func owedByGroup(dir string, limit int64) (owed int, err error) {
 	if _, err := os.Stat(filepath.Join(dir, groupFolder)); errors.Is(err, os.ErrNotExist) {
 		return 0, nil
--- a/internal/deliverynode/node/process_group_test.go
+++ b/internal/deliverynode/node/process_group_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/deliverynode/journal"
 )
 
-// A member that knows no list yet says so: who joins and then leads fetches it whole.
-func TestAMemberThatKnowsNoList(t *testing.T) {
+// A member without a list reports revision -1, so that a joining member that then coordinates fetches the complete list.
+func TestStateOfAMemberWithoutAList(t *testing.T) {
 	j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
 	l := &loop{journal: j}
 	l.known.Store(-1)
@@ -31,12 +31,12 @@
 	if a := got["list"]; a.Count != 1 || a.Median != 1 || a.P99 != 1 || a.Max != 1 {
 		t.Errorf("%+v", a)
 	}
-	// Of the last: from two thirds on.
+	// The percentiles are those of the last third.
 	a := got["wait"]
 	if a.Count != 3*maxAges || a.Max != float64(3*maxAges-1)/1000 || a.Median < 2.5*maxAges/1000-0.01 || a.Median > 2.5*maxAges/1000+0.01 || a.P99 <= a.Median {
 		t.Errorf("%+v", a)
 	}
 	if n := len(s.all["wait"].last); n != maxAges {
-		t.Errorf("%d are kept", n)
+		t.Errorf("%d ages are kept, want %d", n, maxAges)
 	}
 }
