--- a/internal/deliverynode/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// maxAnswer is the maximum number of bytes that are read of a response body.
-	maxAnswer = 64 << 10
-	// drainAnswer is the timeout for reading the rest of a response.
-	drainAnswer = 200 * time.Millisecond
-	waitHeader  = "X-Backoff-Ms"
-	loadHeader  = "X-Server-Load"
-	// manySockets is the maximum number of connections to endpoints where the configuration has no limit.
-	manySockets = 1024
-	// ownSockets is the number of descriptors reserved for the listener, discovery, notices and the journal.
-	ownSockets = 24
+	// maxResponse is the maximum number of bytes that are read of a response body.
+	maxResponse = 64 << 10
+	// drainTimeout is the timeout for reading the rest of a response.
+	drainTimeout = 200 * time.Millisecond
+	waitHeader   = "X-Backoff-Ms"
+	loadHeader   = "X-Server-Load"
+	// defaultEndpointSockets is the maximum number of connections to endpoints where the configuration has no limit.
+	defaultEndpointSockets = 1024
+	// reservedSockets is the number of descriptors reserved for the listener, discovery, notices and the journal.
+	reservedSockets = 24
 )
 
 // gate holds the time from which, or until which, nothing may be sent. The module applies both rules itself; the gate
@@ -61,19 +61,19 @@
 	id       policy.EndpointID
 	name     string
 	addr     string // owned by the loop
-	last     member // the last list entry; owned by the loop
+	listed   member // the last list entry; owned by the loop
 	dest     int
 	kind     int
 	zone     int
-	leaves   *gate       // closes when it drains or is gone
+	leaving  *gate       // closes when it drains or is gone
 	excluded atomic.Bool // taken out by an operator
 	waits    *gate       // requested waits of its route, or of its destination where routes share a limit
 	pool     *upstream.Pool
-	out      int // messages in flight; owned by the loop
+	inFlight int // messages in flight; owned by the loop
 }
 
-// part is one message of a call.
-type part struct {
+// callMessage is one message of a call.
+type callMessage struct {
 	message *journal.Message
 	attempt int
 	timeout time.Duration
@@ -89,23 +89,23 @@
 	started  time.Time
 	limit    time.Duration
 
-	mu       sync.Mutex
-	parts    []*part
-	reported policy.Allowance // load report of the response
+	mu         sync.Mutex
+	messages   []*callMessage
+	loadReport policy.Allowance // load report of the response
 }
 
 // caller makes calls. Each runs in a goroutine of its own.
 type caller struct {
-	pools    *upstream.Pools
-	owner    *ownership
-	log      *slog.Logger
-	reported []string // names of the values in a load report
-	sync     bool     // attempts that may not be repeated are made durable before they are sent
-	once     []bool   // by class: may not be repeated
-	notify   func(policy.Event)
-	cohort   *processGroup // the other processes of the node; nil where there are none
-	copies   *copies       // copies of the journals on other nodes; nil without copies
-	running  sync.WaitGroup
+	pools         *upstream.Pools
+	owner         *ownership
+	log           *slog.Logger
+	loadNames     []string // names of the values in a load report
+	sync          bool     // attempts that may not be repeated are made durable before they are sent
+	nonRepeatable []bool   // by class: may not be repeated
+	notify        func(policy.Event)
+	processes     *processGroup // the other processes of the node; nil where there are none
+	copies        *copies       // copies of the journals on other nodes; nil without copies
+	running       sync.WaitGroup
 }
 
 func newCaller(c Config, log *slog.Logger, tell func(policy.Event)) *caller {
@@ -114,11 +114,11 @@
 		connect = time.Second
 	}
 	dialer := net.Dialer{KeepAlive: -1}
-	var once []bool
+	var nonRepeatable []bool
 	for _, k := range c.Settings.Classes {
-		once = append(once, k.Repeat != policy.Idempotent)
+		nonRepeatable = append(nonRepeatable, k.Repeat != policy.Idempotent)
 	}
-	return &caller{log: log, reported: c.Settings.Reported, sync: c.Sync, once: once, notify: tell,
+	return &caller{log: log, loadNames: c.Settings.Reported, sync: c.Sync, nonRepeatable: nonRepeatable, notify: tell,
 		pools: upstream.New(upstream.Config{
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
 			Now:  time.Now, Rand: rand.Float64,
@@ -132,13 +132,13 @@
 // journal, discovery, notices and the console.
 func (c Config) endpointSockets() int {
 	if c.Sockets <= 0 {
-		return manySockets
+		return defaultEndpointSockets
 	}
-	own := ownSockets + c.fleetSockets()
+	own := reservedSockets + c.fleetSockets()
 	if c.Console != "" {
-		own += consoleCallers
+		own += maxConsoleConns
 	}
-	return max(1, c.Sockets-clientPlaces(c.Sockets)-own)
+	return max(1, c.Sockets-maxClientConns(c.Sockets)-own)
 }
 
 // start makes a call in the background.
@@ -154,7 +154,7 @@
 func (c *caller) run(ctx context.Context, k *call) {
 	ctx, cancel := context.WithDeadline(ctx, k.started.Add(k.limit))
 	defer cancel()
-	ctx, end := c.copies.whileOurs(ctx, k)
+	ctx, end := c.copies.whileLeased(ctx, k)
 	defer end()
 	conn := c.connect(ctx, k)
 	if conn == nil {
@@ -171,24 +171,24 @@
 		c.notSent(k, conn)
 		return
 	}
-	if err := c.settled(k); err != nil {
+	if err := c.makeDurable(k); err != nil {
 		c.log.Warn("call: not sent", "endpoint", k.endpoint.name, "err", err)
 		c.notSent(k, conn)
 		return
 	}
-	defer c.limitParts(k)()
+	defer c.startTimers(k)()
 	req, err := k.request(ctx)
 	if err != nil {
 		c.log.Error("call: building the request failed", "err", err)
 		c.notSent(k, conn)
 		return
 	}
-	resp, err := conn.Send(ctx, req) //nolint:bodyclose // answered reads and closes it
+	resp, err := conn.Send(ctx, req) //nolint:bodyclose // handleResponse reads and closes it
 	if err != nil {
-		c.broken(ctx, k, conn, err)
+		c.endFailed(ctx, k, conn, err)
 		return
 	}
-	c.answered(ctx, k, conn, resp)
+	c.handleResponse(ctx, k, conn, resp)
 }
 
 // connect returns a connection to the endpoint of a call. Without one it ends the call and returns nil.
@@ -215,7 +215,7 @@
 
 // recordAttempts records an attempt at each message of a call, and reports whether all were recorded.
 func (c *caller) recordAttempts(k *call, at time.Time) bool {
-	for _, p := range k.parts {
+	for _, p := range k.messages {
 		if err := p.message.Home().Attempt(p.message, k.endpoint.name, k.endpoint.zone, at); err != nil {
 			c.log.Warn("call: not sent", "id", p.message.ID, "err", err)
 			return false
@@ -225,11 +225,11 @@
 	return true
 }
 
-// limitParts ends the messages of a call that time out before the call itself does. The function that it returns stops
+// startTimers ends the messages of a call that time out before the call itself does. The function that it returns stops
 // the timers.
-func (c *caller) limitParts(k *call) (stop func()) {
+func (c *caller) startTimers(k *call) (stop func()) {
 	var timers []*time.Timer
-	for _, p := range k.parts {
+	for _, p := range k.messages {
 		if p.timeout < k.limit {
 			timers = append(timers, time.AfterFunc(p.timeout-time.Since(k.started), func() { c.end(k, p, policy.TimedOut, 0, false) }))
 		}
@@ -241,9 +241,9 @@
 	}
 }
 
-// broken ends a call that got no response. It releases the connection before it reports the outcome, because the slot and
+// endFailed ends a call that got no response. It releases the connection before it reports the outcome, because the slot and
 // the endpoint must be free again when the next call is sent.
-func (c *caller) broken(ctx context.Context, k *call, conn *upstream.Conn, err error) {
+func (c *caller) endFailed(ctx context.Context, k *call, conn *upstream.Conn, err error) {
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	if late {
 		conn.Release(upstream.Canceled)
@@ -253,7 +253,7 @@
 	var broke *upstream.CallError
 	sent := !errors.As(err, &broke) || broke.Sent
 	switch {
-	case len(k.parts) == 1 && broke != nil && broke.Delivered:
+	case len(k.messages) == 1 && broke != nil && broke.Delivered:
 		c.endAll(k, policy.Delivered, 0, false)
 	case !sent:
 		c.endAll(k, policy.Unreachable, 0, false)
@@ -267,16 +267,16 @@
 
 // mayCall reports whether a call may be sent now. After a suspension of the process, its share of the node may have expired.
 func (c *caller) mayCall(e *endpoint) bool {
-	return e.mayCall() && (c.cohort == nil || c.cohort.group.MaySend())
+	return e.mayCall() && (c.processes == nil || c.processes.group.MaySend())
 }
 
-// settled makes the attempts at messages that may not be repeated durable and waits for a copy of them, where the
+// makeDurable makes the attempts at messages that may not be repeated durable and waits for a copy of them, where the
 // configuration requires it. It fails if the call may no longer be sent after that.
-func (c *caller) settled(k *call) error {
-	if !c.sync && c.copies == nil || !c.anyOnce(k) {
+func (c *caller) makeDurable(k *call) error {
+	if !c.sync && c.copies == nil || !c.anyNonRepeatable(k) {
 		return nil
 	}
-	all := journalsOf(k.parts, func(p *part) *journal.Message { return p.message })
+	all := journalsOf(k.messages, func(p *callMessage) *journal.Message { return p.message })
 	for _, j := range all {
 		if err := j.Sync(); err != nil {
 			return fmt.Errorf("the attempt is not durable: %w", err)
@@ -305,11 +305,11 @@
 
 // request builds the HTTP request of the call.
 func (k *call) request(ctx context.Context) (*http.Request, error) {
-	path, body := "/events", k.parts[0].message.Body
-	if len(k.parts) > 1 {
+	path, body := "/events", k.messages[0].message.Body
+	if len(k.messages) > 1 {
 		path = "/events/bundle"
 		var b bytes.Buffer
-		for _, p := range k.parts {
+		for _, p := range k.messages {
 			key := p.message.Key
 			if key == "" {
 				key = "-"
@@ -326,46 +326,46 @@
 	}
 	req.Header.Set("User-Agent", "") // leaves it out
 	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(1, (k.limit-time.Since(k.started)).Milliseconds()), 10))
-	if len(k.parts) == 1 {
-		req.Header.Set("X-Request-ID", k.parts[0].message.ID)
-		if key := k.parts[0].message.Key; key != "" {
+	if len(k.messages) == 1 {
+		req.Header.Set("X-Request-ID", k.messages[0].message.ID)
+		if key := k.messages[0].message.Key; key != "" {
 			req.Header.Set("Idempotency-Key", key)
 		}
 	}
 	return req, nil
 }
 
-// answered handles a response.
-func (c *caller) answered(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response) {
+// handleResponse handles a response.
+func (c *caller) handleResponse(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response) {
 	k.mu.Lock()
-	k.reported = c.allowance(resp.Header.Get(loadHeader))
+	k.loadReport = c.parseLoadReport(resp.Header.Get(loadHeader))
 	k.mu.Unlock()
 	wait, waitOK := retryAfter(resp)
 	if wait > 0 {
 		// The gate must not close for longer than the module counts: otherwise it would stop a send that the module
 		// decides on when the wait is over, which uses up an attempt.
 		k.endpoint.waits.wait(time.Now().Add(wait))
-		if c.cohort != nil {
-			c.cohort.notify(newsWait, k.endpoint.name, waitNews{group.Clock() + wait})
+		if c.processes != nil {
+			c.processes.notify(notifyWait, k.endpoint.name, waitMessage{group.Clock() + wait})
 		}
 	}
-	if len(k.parts) > 1 && resp.StatusCode == http.StatusOK {
-		c.answeredBundle(ctx, k, conn, resp, wait)
+	if len(k.messages) > 1 && resp.StatusCode == http.StatusOK {
+		c.handleBundleResponse(ctx, k, conn, resp, wait)
 	} else {
-		c.answeredSingle(ctx, k, conn, resp, wait, waitOK)
+		c.handleSingleResponse(ctx, k, conn, resp, wait, waitOK)
 	}
 }
 
-// answeredSingle handles a response that has one outcome for all messages of a call.
-func (c *caller) answeredSingle(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response, wait time.Duration, waitOK bool) {
-	outcome, over := c.single(k, resp)
+// handleSingleResponse handles a response that has one outcome for all messages of a call.
+func (c *caller) handleSingleResponse(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response, wait time.Duration, waitOK bool) {
+	outcome, over := c.statusOutcome(k, resp)
 	if outcome == policy.Delivered { // even if the rest of the response is broken
 		c.endAll(k, outcome, wait, over)
 	}
-	drain, cancel := context.WithTimeout(ctx, drainAnswer)
+	drain, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	_, err := conn.Body(drain, resp, maxAnswer)
-	end := endOf(err)
+	_, err := conn.Body(drain, resp, maxResponse)
+	end := connOutcome(err)
 	if err == nil && outcome == policy.Full && wait == 0 {
 		end = upstream.Rejected
 	}
@@ -378,14 +378,14 @@
 	c.endAll(k, outcome, wait, over)
 }
 
-// answeredBundle handles a response with a result for each message of a bundle. Messages without a result may have run.
-func (c *caller) answeredBundle(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response, wait time.Duration) {
+// handleBundleResponse handles a response with a result for each message of a bundle. Messages without a result may have run.
+func (c *caller) handleBundleResponse(ctx context.Context, k *call, conn *upstream.Conn, resp *http.Response, wait time.Duration) {
 	var ends map[string]string // empty if the response can't be read
-	body, err := conn.Body(ctx, resp, maxAnswer)
+	body, err := conn.Body(ctx, resp, maxResponse)
 	if err == nil {
-		ends = readEnds(body)
+		ends = parseBundleResults(body)
 	}
-	conn.Release(endOf(err))
+	conn.Release(connOutcome(err))
 	lost := policy.Failed // the outcome of messages without a result
 	if err != nil {
 		lost = policy.Reset
@@ -394,14 +394,14 @@
 		}
 		c.log.Warn("call: unreadable response", "endpoint", k.endpoint.name, "err", err)
 	}
-	for _, p := range k.parts {
-		outcome, over := bundledOutcome(ends[p.message.ID], lost)
+	for _, p := range k.messages {
+		outcome, over := bundleOutcome(ends[p.message.ID], lost)
 		c.end(k, p, outcome, wait, over)
 	}
 }
 
-// bundledOutcome maps the result of a message in a bundle's response to an outcome. Over: the message needs no further attempt.
-func bundledOutcome(end string, lost policy.Outcome) (outcome policy.Outcome, over bool) {
+// bundleOutcome maps the result of a message in a bundle's response to an outcome. Over: the message needs no further attempt.
+func bundleOutcome(end string, lost policy.Outcome) (outcome policy.Outcome, over bool) {
 	switch end {
 	case "done":
 		return policy.Delivered, false
@@ -417,16 +417,16 @@
 	return lost, false
 }
 
-// endOf returns how the use of a connection ended, by the error of reading the response to its end.
-func endOf(err error) upstream.Outcome {
+// connOutcome returns how the use of a connection ended, by the error of reading the response to its end.
+func connOutcome(err error) upstream.Outcome {
 	if err != nil {
 		return upstream.Broken
 	}
 	return upstream.Answered
 }
 
-// single maps the status of a response to an outcome. Over: the messages need no further attempt.
-func (c *caller) single(k *call, resp *http.Response) (outcome policy.Outcome, over bool) {
+// statusOutcome maps the status of a response to an outcome. Over: the messages need no further attempt.
+func (c *caller) statusOutcome(k *call, resp *http.Response) (outcome policy.Outcome, over bool) {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return policy.Delivered, false
@@ -457,21 +457,21 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// allowance parses a load report, which has the destination's limit: name=value pairs, separated by commas. Fields that
+// parseLoadReport parses a load report, which has the destination's limit: name=value pairs, separated by commas. Fields that
 // can't be parsed are ignored.
-func (c *caller) allowance(header string) policy.Allowance {
+func (c *caller) parseLoadReport(header string) policy.Allowance {
 	var a policy.Allowance
 	for field := range strings.SplitSeq(header, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(field), "=")
-		if value, err := strconv.ParseFloat(text, 64); err == nil && slices.Contains(c.reported, name) {
+		if value, err := strconv.ParseFloat(text, 64); err == nil && slices.Contains(c.loadNames, name) {
 			a.Take(name, value)
 		}
 	}
 	return a
 }
 
-// readEnds parses the results of a bundle's messages by their ids.
-func readEnds(body []byte) map[string]string {
+// parseBundleResults parses the results of a bundle's messages by their ids.
+func parseBundleResults(body []byte) map[string]string {
 	ends := map[string]string{}
 	for line := range strings.Lines(string(body)) {
 		if id, end, ok := strings.Cut(strings.TrimSpace(line), " "); ok {
@@ -482,17 +482,17 @@
 }
 
 func (c *caller) endAll(k *call, outcome policy.Outcome, wait time.Duration, over bool) {
-	for _, p := range k.parts {
+	for _, p := range k.messages {
 		c.end(k, p, outcome, wait, over)
 	}
 }
 
 // end journals and reports the outcome of one message, once.
-func (c *caller) end(k *call, p *part, outcome policy.Outcome, wait time.Duration, over bool) {
+func (c *caller) end(k *call, p *callMessage, outcome policy.Outcome, wait time.Duration, over bool) {
 	k.mu.Lock()
 	first := !p.over
 	p.over = true
-	told := k.reported
+	report := k.loadReport
 	k.mu.Unlock()
 	if !first {
 		return
@@ -501,7 +501,7 @@
 	for errors.Is(err, journal.ErrReleased) {
 		to, _ := c.owner.owner(context.Background()) // decided within handoverTimeout
 		if to != nil {
-			c.passOn(to, endedCall{Message: p.message.Number(), Outcome: outcome, Wait: wait, Over: over, Told: told}, p.attempted)
+			c.forwardOutcome(to, endedCall{Message: p.message.Number(), Outcome: outcome, Wait: wait, Over: over, Told: report}, p.attempted)
 			return
 		}
 		err = c.record(k, p, outcome, over)
@@ -511,11 +511,11 @@
 		c.log.Error("journal: recording an outcome failed", "id", p.message.ID, "err", err)
 	}
 	c.notify(policy.Ended{Message: p.message.Number(), Attempt: p.attempt, Endpoint: k.endpoint.id, Outcome: outcome,
-		Wait: wait, Final: over || outcome == policy.Delivered, Took: time.Since(k.started), Told: told})
+		Wait: wait, Final: over || outcome == policy.Delivered, Took: time.Since(k.started), Told: report})
 }
 
 // record journals the outcome of one message.
-func (c *caller) record(k *call, p *part, outcome policy.Outcome, over bool) error {
+func (c *caller) record(k *call, p *callMessage, outcome policy.Outcome, over bool) error {
 	switch {
 	case outcome == policy.Delivered:
 		return p.message.Home().Closed(p.message, k.endpoint.name, time.Now())
@@ -525,13 +525,13 @@
 	return p.message.Home().Outcome(p.message, outcome, k.endpoint.name, time.Now())
 }
 
-// passOn forwards the outcome of a call to the process that now owns its message. That process has no record of a call
+// forwardOutcome forwards the outcome of a call to the process that now owns its message. That process has no record of a call
 // without a journaled attempt.
-func (c *caller) passOn(to *link, e endedCall, attempted bool) {
+func (c *caller) forwardOutcome(to *link, e endedCall, attempted bool) {
 	if !attempted {
 		return
 	}
-	if _, _, err := to.pass(passedOn{Ended: &e}); err != nil {
+	if _, _, err := to.send(passedOn{Ended: &e}); err != nil {
 		c.log.Error("handover: forwarding an outcome failed", "message", e.Message, "err", err)
 	}
 }
--- a/internal/deliverynode/node/clients.go
+++ b/internal/deliverynode/node/clients.go
@@ -8,28 +8,28 @@
 	"sync/atomic"
 )
 
-// heardListener wraps its connections to record whether the client has sent anything.
-type heardListener struct{ net.Listener }
+// trackingListener wraps its connections to record whether the client has sent anything.
+type trackingListener struct{ net.Listener }
 
-type heardConn struct {
+type trackingConn struct {
 	net.Conn
-	heard atomic.Bool
+	received atomic.Bool
 }
 
-// Accept returns the next connection, wrapped in a heardConn.
-func (l heardListener) Accept() (net.Conn, error) {
+// Accept returns the next connection, wrapped in a trackingConn.
+func (l trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &heardConn{Conn: conn}, nil
+	return &trackingConn{Conn: conn}, nil
 }
 
 // Read reads, and records whether the client has sent anything.
-func (c *heardConn) Read(b []byte) (int, error) {
+func (c *trackingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.heard.Store(true)
+		c.received.Store(true)
 	}
 	return n, err
 }
@@ -44,17 +44,17 @@
 	open   int
 	fresh  *conns.List // of net.Conn before their first request, the oldest first
 	idle   *conns.List // of net.Conn, the longest idle first
-	listed map[net.Conn]place
+	listed map[net.Conn]listPosition
 }
 
-// place is the position of a connection in a list.
-type place struct {
+// listPosition is the position of a connection in a list.
+type listPosition struct {
 	list *conns.List
 	at   *conns.Element
 }
 
 func newClients(max int) *clients {
-	return &clients{max: max, fresh: conns.New(), idle: conns.New(), listed: map[net.Conn]place{}}
+	return &clients{max: max, fresh: conns.New(), idle: conns.New(), listed: map[net.Conn]listPosition{}}
 }
 
 // count returns the number of connections.
@@ -73,22 +73,22 @@
 
 // state handles a change of a connection's state; it is the server's ConnState.
 func (c *clients) state(conn net.Conn, s http.ConnState) {
-	if old := c.follow(conn, s); old != nil {
+	if old := c.update(conn, s); old != nil {
 		_ = old.Close() // the server notices
 	}
 }
 
-// follow records a connection's state, and returns a connection to close, or nil.
-func (c *clients) follow(conn net.Conn, s http.ConnState) net.Conn {
+// update records a connection's state, and returns a connection to close, or nil.
+func (c *clients) update(conn net.Conn, s http.ConnState) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unlist(conn)
 	switch s {
 	case http.StateNew:
 		c.open++
-		c.listed[conn] = place{c.fresh, c.fresh.PushBack(conn)}
+		c.listed[conn] = listPosition{c.fresh, c.fresh.PushBack(conn)}
 	case http.StateIdle:
-		c.listed[conn] = place{c.idle, c.idle.PushBack(conn)}
+		c.listed[conn] = listPosition{c.idle, c.idle.PushBack(conn)}
 	case http.StateClosed, http.StateHijacked:
 		c.open--
 	}
@@ -98,9 +98,9 @@
 	}
 	if s == http.StateNew {
 		c.unlist(conn) // for now, so that the new connection is not chosen
-		defer func() { c.listed[conn] = place{c.fresh, c.fresh.PushBack(conn)} }()
+		defer func() { c.listed[conn] = listPosition{c.fresh, c.fresh.PushBack(conn)} }()
 	}
-	old := c.leastLoss()
+	old := c.evictionCandidate()
 	c.unlist(old)
 	return old
 }
@@ -112,10 +112,10 @@
 	}
 }
 
-// leastLoss returns the connection to close first, nil if all are active.
-func (c *clients) leastLoss() net.Conn {
+// evictionCandidate returns the connection to close first, nil if all are active.
+func (c *clients) evictionCandidate() net.Conn {
 	for e := c.fresh.Front(); e != nil; e = e.Next() {
-		if h, ok := e.Value.(*heardConn); ok && !h.heard.Load() {
+		if h, ok := e.Value.(*trackingConn); ok && !h.received.Load() {
 			return h
 		}
 	}
--- a/internal/deliverynode/node/completion_reports.go
+++ b/internal/deliverynode/node/completion_reports.go
@@ -33,9 +33,9 @@
 	client *http.Client
 	log    *slog.Logger
 
-	sync   bool    // ends are made durable before they are reported as handed back
-	once   []bool  // by class: may not be repeated
-	copies *copies // copies of the journals on other nodes; nil without copies
+	sync          bool    // ends are made durable before they are reported as handed back
+	nonRepeatable []bool  // by class: may not be repeated
+	copies        *copies // copies of the journals on other nodes; nil without copies
 
 	mu    sync.Mutex
 	queue []*journal.Message
@@ -59,7 +59,7 @@
 	}
 }
 
-func (f *completionReports) next() []*journal.Message {
+func (f *completionReports) takeQueue() []*journal.Message {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	q := f.queue
@@ -72,7 +72,7 @@
 	defer f.client.CloseIdleConnections()
 	var pending []*journal.Message
 	for {
-		pending = append(pending, f.next()...)
+		pending = append(pending, f.takeQueue()...)
 		if len(pending) == 0 {
 			select {
 			case <-f.more:
@@ -92,7 +92,7 @@
 			continue
 		}
 		batch := pending[:min(ready, noticeBatch)]
-		f.resolve(batch)
+		f.syncEnds(batch)
 		status, err := f.post(ctx, batch)
 		if status == http.StatusBadRequest && len(batch) > 1 {
 			// A single line that the platform rejects must not block the others.
@@ -162,11 +162,11 @@
 	return ready
 }
 
-// resolve makes the end of messages durable before they are reported as handed back, where the configuration requires it:
+// syncEnds makes the end of messages durable before they are reported as handed back, where the configuration requires it:
 // otherwise, after a power loss, this node would still send a message that its client sends again. If the disk or the
 // copies fail, messages that may not be repeated are reported as not handed back.
-func (f *completionReports) resolve(batch []*journal.Message) {
-	back := func(m *journal.Message) bool { return f.once[m.Class] && m.Notice.HandedBack() }
+func (f *completionReports) syncEnds(batch []*journal.Message) {
+	back := func(m *journal.Message) bool { return f.nonRepeatable[m.Class] && m.Notice.HandedBack() }
 	if f.copies == nil && (!f.sync || !slices.ContainsFunc(batch, back)) {
 		return
 	}
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// consoleCallers is the maximum number of console connections; a new one above it replaces the oldest. That many
+	// maxConsoleConns is the maximum number of console connections; a new one above it replaces the oldest. That many
 	// descriptors are reserved for them.
-	consoleCallers = 16
+	maxConsoleConns = 16
 	// consoleTimeout is the timeout for reading a request.
 	consoleTimeout = 2 * time.Second
 	// consoleAnswer is the longest time for a response; callers time out after 1 s.
@@ -40,20 +40,20 @@
 	log    *slog.Logger
 	ready  atomic.Bool // clients are served
 
-	up     chan struct{} // closed when loop is set
-	loop   *loop
-	cohort *processGroup // the other processes of the node; nil where there are none
-	fleet  *fleet.Fleet
-	leases *lease.Leases
-	copies *copies // nil without copies, and until they are started
-	copied bool    // the node is configured with copies
+	loopReady chan struct{} // closed when loop is set
+	loop      *loop
+	processes *processGroup // the other processes of the node; nil where there are none
+	fleet     *fleet.Fleet
+	leases    *lease.Leases
+	copies    *copies // nil without copies, and until they are started
+	hasCopies bool    // the node is configured with copies
 }
 
 // openConsole listens at once; requests that need the node's state wait for it.
 func openConsole(ctx context.Context, addr string, c *console, log *slog.Logger) (net.Listener, error) {
 	listen := func() (net.Listener, error) { return (&net.ListenConfig{}).Listen(ctx, "tcp", addr) }
-	if c.cohort != nil {
-		listen = func() (net.Listener, error) { return c.cohort.listen(ctx, "staff", addr) }
+	if c.processes != nil {
+		listen = func() (net.Listener, error) { return c.processes.listen(ctx, "staff", addr) }
 	}
 	listener, err := listen()
 	if err != nil {
@@ -63,7 +63,7 @@
 	c.server = &http.Server{Handler: c, ReadTimeout: consoleTimeout, WriteTimeout: consoleTimeout + consoleAnswer,
 		MaxHeaderBytes: maxHeader, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
 	c.server.SetKeepAlivesEnabled(false) // one request per connection
-	return &newestCallers{Listener: listener, max: consoleCallers}, nil
+	return &evictingListener{Listener: listener, max: maxConsoleConns}, nil
 }
 
 // run serves until the context ends. The node continues if the console fails.
@@ -74,10 +74,10 @@
 	}
 }
 
-// serves sets the loop, and lets requests that need the node's state proceed.
-func (c *console) serves(l *loop) {
+// setLoop sets the loop, and lets requests that need the node's state proceed.
+func (c *console) setLoop(l *loop) {
 	c.loop = l
-	close(c.up)
+	close(c.loopReady)
 }
 
 // consoleMethods has the methods of the console's requests by path.
@@ -112,40 +112,40 @@
 		return
 	}
 	if method == http.MethodGet && r.URL.Path != "/ops/readiness" {
-		c.show(w, r)
+		c.serveStatus(w, r)
 		return
 	}
-	status, text := c.carryOut(w, r)
+	status, text := c.execute(w, r)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	fmt.Fprintln(w, text)
 }
 
-// show responds to a request for one of the status pages.
-func (c *console) show(w http.ResponseWriter, r *http.Request) {
+// serveStatus responds to a request for one of the status pages.
+func (c *console) serveStatus(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/ops/pools":
-		c.shows(w, func(l *loop) any { return l.caller.pools.Stats(maxPools) })
+		c.writeStatus(w, func(l *loop) any { return l.caller.pools.Stats(maxPools) })
 	case "/ops/journal":
-		c.shows(w, func(l *loop) any { return l.journal.Status() })
+		c.writeStatus(w, func(l *loop) any { return l.journal.Status() })
 	case "/ops/group":
-		if c.cohort == nil {
+		if c.processes == nil {
 			http.Error(w, "this process is in no group", http.StatusNotFound)
 			return
 		}
-		c.shows(w, func(*loop) any { return c.cohort.status() })
+		c.writeStatus(w, func(*loop) any { return c.processes.status() })
 	case "/ops/fleet":
 		if c.fleet == nil {
 			http.Error(w, errNoFleet.Error(), http.StatusNotFound)
 			return
 		}
-		c.shows(w, func(*loop) any { return c.fleet.Status() })
+		c.writeStatus(w, func(*loop) any { return c.fleet.Status() })
 	case "/ops/copies":
-		if !c.copied {
+		if !c.hasCopies {
 			http.Error(w, errNoCopies.Error(), http.StatusNotFound)
 			return
 		}
-		c.shows(w, func(*loop) any { return c.copies.keeper.Status() })
+		c.writeStatus(w, func(*loop) any { return c.copies.keeper.Status() })
 	case "/ops/leases":
 		if c.leases == nil {
 			http.Error(w, errNoLeases.Error(), http.StatusNotFound)
@@ -153,12 +153,12 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), consoleAnswer)
 		defer cancel()
-		c.shows(w, func(*loop) any { return c.leases.Status(ctx) })
+		c.writeStatus(w, func(*loop) any { return c.leases.Status(ctx) })
 	}
 }
 
-// carryOut handles the readiness check and the requests that change something.
-func (c *console) carryOut(w http.ResponseWriter, r *http.Request) (status int, text string) {
+// execute handles the readiness check and the requests that change something.
+func (c *console) execute(w http.ResponseWriter, r *http.Request) (status int, text string) {
 	switch r.URL.Path {
 	case "/ops/leases/voters", "/ops/leases/recover", "/ops/leases/take", "/ops/leases/give":
 		return c.orderLeases(r.Context(), r.URL.Path, http.MaxBytesReader(w, r.Body, maxOrder))
@@ -176,10 +176,10 @@
 	return status, text
 }
 
-// shows writes a status page as JSON, once the loop is set.
-func (c *console) shows(w http.ResponseWriter, figures func(*loop) any) {
+// writeStatus writes a status page as JSON, once the loop is set.
+func (c *console) writeStatus(w http.ResponseWriter, figures func(*loop) any) {
 	select {
-	case <-c.up:
+	case <-c.loopReady:
 	case <-time.After(consoleAnswer):
 		http.Error(w, "no status available yet", http.StatusServiceUnavailable)
 		return
@@ -196,7 +196,7 @@
 
 func (c *console) readiness() (status int, text string) {
 	if !c.ready.Load() {
-		if c.cohort != nil && c.cohort.anyone(askReady, nil) {
+		if c.processes != nil && c.processes.anyMember(requestReady, nil) {
 			return http.StatusOK, "clients are served by another process of this node"
 		}
 		return http.StatusServiceUnavailable, "no clients are served"
@@ -306,8 +306,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), consoleAnswer)
 	defer cancel()
 	select {
-	case <-c.up:
-		return c.loop.obey(ctx, id, out)
+	case <-c.loopReady:
+		return c.loop.executeOrder(ctx, id, out)
 	case <-ctx.Done():
 		return http.StatusServiceUnavailable, "the previous process still owns the orders"
 	}
@@ -317,29 +317,29 @@
 
 // order is an operator's order to take an endpoint out or back in, as it is passed to the loop.
 type order struct {
-	host  string
-	out   bool
-	reply chan error
-	begun atomic.Bool // set by the loop when it starts, or by a caller that has stopped waiting
+	host    string
+	out     bool
+	reply   chan error
+	started atomic.Bool // set by the loop when it starts, or by a caller that has stopped waiting
 }
 
-// obey executes an order: on all processes of the group, or on the process that owns the journal. On success the order is
+// executeOrder executes an order: on all processes of the group, or on the process that owns the journal. On success the order is
 // recorded and applied in the module; on failure nothing changes.
-func (l *loop) obey(ctx context.Context, host string, out bool) (status int, text string) {
-	if l.cohort != nil {
-		return l.cohort.order(ctx, host, out)
+func (l *loop) executeOrder(ctx context.Context, host string, out bool) (status int, text string) {
+	if l.processes != nil {
+		return l.processes.order(ctx, host, out)
 	}
-	return l.obeyHere(ctx, host, out)
+	return l.executeOrderLocally(ctx, host, out)
 }
 
-func (l *loop) obeyHere(ctx context.Context, host string, out bool) (status int, text string) {
+func (l *loop) executeOrderLocally(ctx context.Context, host string, out bool) (status int, text string) {
 	for {
 		to, err := l.owner.owner(ctx)
 		if err != nil {
 			return http.StatusServiceUnavailable, "no process owns the orders at the moment"
 		}
 		if to != nil {
-			a, _, err := to.pass(passedOn{Order: &staffOrder{Endpoint: host, Out: out}})
+			a, _, err := to.send(passedOn{Order: &staffOrder{Endpoint: host, Out: out}})
 			if err != nil {
 				return http.StatusServiceUnavailable, err.Error()
 			}
@@ -370,7 +370,7 @@
 	case err := <-o.reply:
 		return err
 	case <-ctx.Done():
-		if o.begun.CompareAndSwap(false, true) {
+		if o.started.CompareAndSwap(false, true) {
 			return ctx.Err()
 		}
 		return <-o.reply // the loop has started
@@ -379,7 +379,7 @@
 
 // order executes an operator's order; success is reported after the next step.
 func (l *loop) order(o *order) {
-	if !o.begun.CompareAndSwap(false, true) {
+	if !o.started.CompareAndSwap(false, true) {
 		return
 	}
 	id := policy.EndpointID(hash(o.host))
@@ -396,12 +396,12 @@
 		e.pool.CloseIdle() // the endpoint is about to be restarted, or has been
 	}
 	l.batch = append(l.batch, policy.Ordered{Endpoint: id, Out: o.out}) // the module may still have an endpoint that is no longer listed
-	l.obeyed = append(l.obeyed, o)
+	l.recordedOrders = append(l.recordedOrders, o)
 }
 
-// newestCallers is a listener that closes the oldest of its connections when there are too many, so that stuck callers do
+// evictingListener is a listener that closes the oldest of its connections when there are too many, so that stuck callers do
 // not block others.
-type newestCallers struct {
+type evictingListener struct {
 	net.Listener
 	max int
 
@@ -409,24 +409,24 @@
 	open []net.Conn // the oldest first
 }
 
-type caughtConn struct {
+type evictableConn struct {
 	net.Conn
 	closed func()
 }
 
 // Close closes the connection, and removes it from the list of open ones.
-func (c *caughtConn) Close() error {
+func (c *evictableConn) Close() error {
 	c.closed()
 	return c.Conn.Close()
 }
 
 // Accept returns the next connection, and closes the oldest one if there are too many.
-func (l *newestCallers) Accept() (net.Conn, error) {
+func (l *evictingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &caughtConn{Conn: conn}
+	c := &evictableConn{Conn: conn}
 	c.closed = func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -27,9 +27,9 @@
 const (
 	// DefaultCopyWait leaves 100 ms of the 400 ms that the platform's clients wait for an answer.
 	DefaultCopyWait = 300 * time.Millisecond
-	// lookTime is how much of a log's lease must be left when a call is sent: from this check to the call's last byte
+	// leaseMargin is how much of a log's lease must be left when a call is sent: from this check to the call's last byte
 	// takes less than a millisecond, and the call is closed when the lease ends.
-	lookTime = 100 * time.Millisecond
+	leaseMargin = 100 * time.Millisecond
 	// copyMeta is the disk space that is reserved for the files besides the journals.
 	copyMeta = 32 << 10
 )
@@ -68,14 +68,14 @@
 	}
 	if each := c.copyLimit(); each < journal.MinDisk {
 		return fmt.Errorf("limits.disk_mb leaves %.2f MB for each of %d journals besides the fleet's %.2f: %.2f are needed", float64(each)/1e6,
-			c.copySlots()+1, float64(c.fleetRoom())/1e6, float64(journal.MinDisk)/1e6)
+			c.copySlots()+1, float64(c.fleetDiskSpace())/1e6, float64(journal.MinDisk)/1e6)
 	}
 	return nil
 }
 
 // copyLimit returns the disk space of each journal: this node's own, a copy, a log that was taken over.
 func (c Config) copyLimit() int64 {
-	return (c.DiskBytes-c.fleetRoom()-copyMeta)/int64(c.copySlots()+1) - copyMeta
+	return (c.DiskBytes-c.fleetDiskSpace()-copyMeta)/int64(c.copySlots()+1) - copyMeta
 }
 
 // joinCopies starts this node's participation in the replication of logs; nil without copies.
@@ -93,7 +93,7 @@
 	var err error
 	cs.keeper, err = replica.New(replica.Options{Net: f, Leases: leases, Name: c.Name, Copies: c.Copies, Settings: c.Fleet.CopiesOf(),
 		Locality: c.Fleet.Locality, Folders: stateFolders(c.State), Limit: limit, Slots: c.copySlots(), Sync: c.Sync,
-		Clock: lastingClock, Now: time.Now, Seed: c.Seed, Host: cs, Log: l.log}, l.journal)
+		Clock: boottimeClock, Now: time.Now, Seed: c.Seed, Host: cs, Log: l.log}, l.journal)
 	if err != nil {
 		return nil, err
 	}
@@ -115,22 +115,22 @@
 	if cs == nil {
 		return true
 	}
-	for _, j := range journalsOf(k.parts, func(p *part) *journal.Message { return p.message }) {
-		if w := cs.work(j); w == nil || !w.MaySend(lookTime) {
+	for _, j := range journalsOf(k.messages, func(p *callMessage) *journal.Message { return p.message }) {
+		if w := cs.work(j); w == nil || !w.MaySend(leaseMargin) {
 			return false
 		}
 	}
 	return true
 }
 
-// whileOurs returns a context that ends with ctx, with end, or when this node loses the lease on the log of one of the
+// whileLeased returns a context that ends with ctx, with end, or when this node loses the lease on the log of one of the
 // call's messages: the call is closed then, because another node may send them next.
-func (cs *copies) whileOurs(ctx context.Context, k *call) (ours context.Context, end context.CancelFunc) {
+func (cs *copies) whileLeased(ctx context.Context, k *call) (ours context.Context, end context.CancelFunc) {
 	if cs == nil {
 		return ctx, func() {}
 	}
 	ours, end = context.WithCancel(ctx)
-	for _, j := range journalsOf(k.parts, func(p *part) *journal.Message { return p.message }) {
+	for _, j := range journalsOf(k.messages, func(p *callMessage) *journal.Message { return p.message }) {
 		if w := cs.work(j); w != nil {
 			lost := w.Lost()
 			go func() { // it ends with the call
@@ -193,9 +193,9 @@
 
 func (cs *copies) inherit(w *replica.Work, owed []*journal.Message) {
 	for _, m := range owed {
-		cs.loop.intake.inherits(m.ID)
+		cs.loop.intake.addInherited(m.ID)
 	}
-	cs.loop.post(&inheritance{journal: w.Journal(), owed: owed})
+	cs.loop.post(&adoptedJournal{journal: w.Journal(), owed: owed})
 }
 
 // Found takes over a message of this node's own log that only a copy had.
@@ -203,7 +203,7 @@
 
 // Forget drops messages that another node has ended, and those that may have run there.
 func (cs *copies) Forget(_ *replica.Work, gone, doubted []*journal.Message) {
-	cs.loop.post(&disowned{gone, doubted})
+	cs.loop.post(&withdrawnMessages{gone, doubted})
 }
 
 // Acts sets the share of this node to all or nothing when it gains or loses the lease on its own log.
@@ -223,31 +223,31 @@
 
 // Once reports whether messages of a class may not be repeated.
 func (cs *copies) Once(class int) bool {
-	return class >= len(cs.loop.caller.once) || cs.loop.caller.once[class]
+	return class >= len(cs.loop.caller.nonRepeatable) || cs.loop.caller.nonRepeatable[class]
 }
 
 // Knows reports whether this node has or had a message.
 func (cs *copies) Knows(id string) bool {
-	return cs.loop.intake.knows(id)
+	return cs.loop.intake.has(id)
 }
 
 // Events that copies posts to the loop.
 type (
-	// disowned has messages that another node has or that have ended (gone), and messages that may have run and are to
-	// be ended here (doubted).
-	disowned struct{ gone, doubted []*journal.Message }
+	// withdrawnMessages has messages that another node has or that have ended (gone), and messages that may have run and are to
+	// be ended here (mayHaveRun).
+	withdrawnMessages struct{ gone, mayHaveRun []*journal.Message }
 	// adoptedOrders has the endpoints that operators took out at a node whose log was taken over.
 	adoptedOrders []string
 )
 
-// disown withdraws messages that this node must no longer send.
-func (l *loop) disown(d *disowned) {
+// withdraw withdraws messages that this node must no longer send.
+func (l *loop) withdraw(d *withdrawnMessages) {
 	for _, m := range d.gone {
 		l.batch = append(l.batch, policy.Withdrawn{Message: m.Number()})
-		l.forget(m)
-		l.closed(m)
+		l.dropMessage(m)
+		l.closeMessage(m)
 	}
-	for _, m := range d.doubted {
+	for _, m := range d.mayHaveRun {
 		if l.held[m.Number()] == nil {
 			continue // it has ended
 		}
@@ -314,7 +314,7 @@
 	return fmt.Sprintf("%s %d %d", strings.TrimSpace(string(boot)), st.Dev, st.Ino)
 }
 
-// anyOnce reports whether any of a call's messages may not be repeated.
-func (c *caller) anyOnce(k *call) bool {
-	return slices.ContainsFunc(k.parts, func(p *part) bool { return c.once[p.message.Class] })
+// anyNonRepeatable reports whether any of a call's messages may not be repeated.
+func (c *caller) anyNonRepeatable(k *call) bool {
+	return slices.ContainsFunc(k.messages, func(p *callMessage) bool { return c.nonRepeatable[p.message.Class] })
 }
--- a/internal/deliverynode/node/discovery.go
+++ b/internal/deliverynode/node/discovery.go
@@ -53,10 +53,10 @@
 
 // agent holds the address of the discovery agent, which may change while the node runs.
 type agent struct {
-	mu   sync.Mutex
-	addr string
-	here context.Context // ends when the address changes
-	left context.CancelFunc
+	mu         sync.Mutex
+	addr       string
+	addrCtx    context.Context // ends when the address changes
+	cancelAddr context.CancelFunc
 }
 
 func newAgent(addr string) *agent {
@@ -71,11 +71,11 @@
 	if a.addr == addr {
 		return
 	}
-	if a.left != nil {
-		a.left()
+	if a.cancelAddr != nil {
+		a.cancelAddr()
 	}
 	a.addr = addr
-	a.here, a.left = context.WithCancel(context.Background())
+	a.addrCtx, a.cancelAddr = context.WithCancel(context.Background())
 }
 
 // follow reads the address from the configuration file at each hangup, until the context ends. An invalid file changes
@@ -97,10 +97,10 @@
 	}
 }
 
-func (a *agent) at() (addr string, here context.Context) {
+func (a *agent) at() (addr string, addrCtx context.Context) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.addr, a.here
+	return a.addr, a.addrCtx
 }
 
 // discovery watches the list of endpoints.
@@ -133,8 +133,8 @@
 	return turn
 }
 
-// partOf returns a random part of a pause, at least three fifths of it.
-func partOf(pause time.Duration) time.Duration { return pause*3/5 + rand.N(pause*2/5+1) }
+// jitter returns a random part of a pause, at least three fifths of it.
+func jitter(pause time.Duration) time.Duration { return pause*3/5 + rand.N(pause*2/5+1) }
 
 // run watches the list until the context ends. If no list is known, it fetches the complete one first.
 func (d *discovery) run(ctx context.Context) {
@@ -142,7 +142,7 @@
 	at, failed := d.known, 0
 	last, here := d.agent.at()
 	if at >= 0 { // spreads the requests of nodes that start together; when they last asked is unknown
-		rest(ctx, here, rand.N(d.turn/6+1))
+		sleep(ctx, here, rand.N(d.turn/6+1))
 	}
 	for ctx.Err() == nil {
 		addr, here := d.agent.at()
@@ -152,7 +152,7 @@
 		}
 		url, limit := "http://"+addr+"/v1/servers", watchMargin
 		if at >= 0 {
-			wait := max(watchWait, partOf(turnsWatched*d.turn))
+			wait := max(watchWait, jitter(turnsWatched*d.turn))
 			url = fmt.Sprintf("%s?index=%d&wait=%d", url, at, wait.Milliseconds())
 			limit += wait
 		}
@@ -164,7 +164,7 @@
 		if err == nil && (l.Complete || at >= 0 && l.Revision > at) {
 			d.notify(l)
 			at, failed = l.Revision, 0
-			rest(ctx, here, partOf(d.turn)) // all nodes receive a change at the same moment
+			sleep(ctx, here, jitter(d.turn)) // all nodes receive a change at the same moment
 			continue
 		}
 		if err == nil && at < 0 {
@@ -183,14 +183,14 @@
 		default:
 			failed = 0
 		}
-		if rest(ctx, here, pause); here.Err() != nil {
+		if sleep(ctx, here, pause); here.Err() != nil {
 			failed = 0 // failures at the old address do not count for the new one
 		}
 	}
 }
 
-// rest sleeps until the pause or one of the contexts ends.
-func rest(ctx, here context.Context, pause time.Duration) {
+// sleep sleeps until the pause or one of the contexts ends.
+func sleep(ctx, here context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
 	}
@@ -211,9 +211,9 @@
 		return watchPause
 	}
 	if d.turn < maxPause {
-		return partOf(min(maxPause, watchPause<<min(2*failed, 10)))
+		return jitter(min(maxPause, watchPause<<min(2*failed, 10)))
 	}
-	return partOf(d.turn)
+	return jitter(d.turn)
 }
 
 // get sends one request; it is cancelled when the agent's address changes.
--- a/internal/deliverynode/node/fleet.go
+++ b/internal/deliverynode/node/fleet.go
@@ -42,9 +42,9 @@
 		Clock: func() time.Duration { return time.Since(origin) }, Seed: c.Seed, Conns: c.fleetConns(), Log: log})
 }
 
-// lastingClock is the time since boot. It also runs while the machine is suspended: with a clock that stops, a lease
+// boottimeClock is the time since boot. It also runs while the machine is suspended: with a clock that stops, a lease
 // would seem to last longer.
-func lastingClock() time.Duration {
+func boottimeClock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // Linux has it since 2.6.39
@@ -58,7 +58,7 @@
 		return nil
 	}
 	l := lease.New(lease.Options{Net: f, Folder: vfs.Dir(c.State), Name: c.Name, Voters: c.Fleet.Leases.Voters,
-		Longest: c.Fleet.Leases.Longest(), Most: c.Fleet.Leases.MaxHeld(), Clock: lastingClock, Seed: c.Seed, Log: log,
+		Longest: c.Fleet.Leases.Longest(), Most: c.Fleet.Leases.MaxHeld(), Clock: boottimeClock, Seed: c.Seed, Log: log,
 		// Above all tokens that a log of this fleet may have granted before: fewer than 2^20 are granted per second.
 		Above: func() uint64 { return uint64(time.Now().Unix()) << 20 }})
 	f.OnOld(l.Overtaken)
@@ -66,8 +66,8 @@
 	return l
 }
 
-// fleetRoom returns the disk space that the fleet and its leases need.
-func (c Config) fleetRoom() int64 {
+// fleetDiskSpace returns the disk space that the fleet and its leases need.
+func (c Config) fleetDiskSpace() int64 {
 	switch {
 	case c.Fleet == nil:
 		return 0
@@ -79,15 +79,15 @@
 
 // runFleet runs the node's membership in the fleet for as long as this process owns the journal. In a group, the
 // coordinating member represents the node. The node leaves the fleet only if no other process of it continues.
-func runFleet(owned context.Context, f *fleet.Fleet, co *processGroup, o *ownership) {
-	if co == nil {
+func runFleet(owned context.Context, f *fleet.Fleet, pg *processGroup, o *ownership) {
+	if pg == nil {
 		f.Run(owned, func() bool {
 			to, err := o.owner(context.WithoutCancel(owned))
 			return err == nil && to == nil
 		})
 		return
 	}
-	co.whileLeading(owned, func(ctx context.Context) { f.Run(ctx, co.alone) })
+	pg.whileLeading(owned, func(ctx context.Context) { f.Run(ctx, pg.alone) })
 }
 
 // errNoFleet is the response to console requests at a node without a fleet.
--- a/internal/deliverynode/node/intake.go
+++ b/internal/deliverynode/node/intake.go
@@ -17,8 +17,8 @@
 
 const (
 	maxID = 256
-	// fullRetry is the Retry-After of a rejected message.
-	fullRetry = time.Second
+	// rejectedRetryAfter is the Retry-After of a rejected message.
+	rejectedRetryAfter = time.Second
 	// maxTimeout is the longest time-out that a client may request.
 	maxTimeout = 24 * time.Hour
 )
@@ -26,23 +26,23 @@
 // intake accepts messages from clients. A message is journaled before its request is answered; from then on the node must
 // deliver it or report that it was not delivered.
 type intake struct {
-	names   names
-	keyed   []bool // per class: a message needs a key
-	journal *journal.Journal
-	owner   *ownership
-	log     *slog.Logger
-	maxHeld int
-	accept  func(*journal.Message)
+	names       names
+	keyRequired []bool // per class: a message needs a key
+	journal     *journal.Journal
+	owner       *ownership
+	log         *slog.Logger
+	maxHeld     int
+	accept      func(*journal.Message)
 
-	mu      sync.Mutex
-	held    map[string]bool // ids of messages that have not ended; true once accepted
-	over    *journal.IDRing // shared with the journal: ids of accepted messages that have ended
-	closing bool            // responses close their connections
-	refuse  bool            // no more messages are accepted
+	mu       sync.Mutex
+	held     map[string]bool // ids of messages that have not ended; true once accepted
+	endedIDs *journal.IDRing // shared with the journal: ids of accepted messages that have ended
+	closing  bool            // responses close their connections
+	refuse   bool            // no more messages are accepted
 
-	copies  *copies       // copies of the journal on other nodes; nil without copies
-	cohort  *processGroup // the other processes of the node; nil where there are none
-	noShare bool          // this process has no share of the node's limits at the moment
+	copies    *copies       // copies of the journal on other nodes; nil without copies
+	processes *processGroup // the other processes of the node; nil where there are none
+	noShare   bool          // this process has no share of the node's limits at the moment
 }
 
 // badRequest is an error of the client.
@@ -68,11 +68,11 @@
 			return
 		}
 		if in.isRefusing() {
-			in.turnAway(w, "stopping")
+			in.sendUnavailable(w, "stopping")
 			return
 		}
 		if in.journal.Failed() != nil {
-			in.turnAway(w, "the disk failed")
+			in.sendUnavailable(w, "the disk failed")
 			return
 		}
 		_, _ = io.WriteString(w, "ok\n") // a client that has gone needs no answer
@@ -105,7 +105,7 @@
 	case http.StatusAccepted:
 		w.WriteHeader(status)
 	case http.StatusServiceUnavailable:
-		in.turnAway(w, why)
+		in.sendUnavailable(w, why)
 	default:
 		http.Error(w, why, status)
 	}
@@ -121,10 +121,10 @@
 			return http.StatusServiceUnavailable, "no process accepts messages"
 		}
 		if to != nil {
-			return in.passOn(to, m)
+			return in.forward(to, m)
 		}
-		switch elsewhere, err := in.elsewhere(m); {
-		case elsewhere:
+		switch acceptedElsewhere, err := in.acceptedElsewhere(m); {
+		case acceptedElsewhere:
 			return http.StatusAccepted, ""
 		case err != nil && in.copies.Once(m.Class): // another node may have it, and both would send it
 			return http.StatusServiceUnavailable, err.Error()
@@ -136,7 +136,7 @@
 		if !ok {
 			return http.StatusServiceUnavailable, "too many messages are held"
 		}
-		switch err := in.journaled(m); {
+		switch err := in.record(m); {
 		case errors.Is(err, errNotReady): // nothing was written
 			in.ended(m.ID)
 			return http.StatusServiceUnavailable, err.Error()
@@ -160,10 +160,10 @@
 	}
 }
 
-// elsewhere reports whether another process of this node or another node of the fleet has a message. It returns an error if
+// acceptedElsewhere reports whether another process of this node or another node of the fleet has a message. It returns an error if
 // that can't be determined.
-func (in *intake) elsewhere(m *journal.Message) (bool, error) {
-	if in.cohort != nil && in.cohort.taken(m.ID) {
+func (in *intake) acceptedElsewhere(m *journal.Message) (bool, error) {
+	if in.processes != nil && in.processes.hasMessage(m.ID) {
 		return true, nil
 	}
 	if in.copies == nil {
@@ -175,10 +175,10 @@
 // errNotReady is returned if a message was refused before anything of it was written.
 var errNotReady = errors.New("this node does not accept messages now")
 
-// journaled writes a message to the journal, and with -copies waits until other nodes have copies of it. It waits first
+// record writes a message to the journal, and with -copies waits until other nodes have copies of it. It waits first
 // until this node has the lease on its log and enough copies. A message that is written but not copied in time is ended,
 // because it is unknown whether the copies have it.
-func (in *intake) journaled(m *journal.Message) error {
+func (in *intake) record(m *journal.Message) error {
 	if in.copies == nil {
 		return in.journal.Accept(m)
 	}
@@ -196,9 +196,9 @@
 	return nil
 }
 
-// passOn forwards a message to the process that has taken over.
-func (in *intake) passOn(to *link, m *journal.Message) (status int, why string) {
-	a, sent, err := to.pass(passedOn{Message: &handedIn{ID: m.ID, Key: m.Key, Class: m.Class, Dest: m.Dest,
+// forward forwards a message to the process that has taken over.
+func (in *intake) forward(to *link, m *journal.Message) (status int, why string) {
+	a, sent, err := to.send(passedOn{Message: &handedIn{ID: m.ID, Key: m.Key, Class: m.Class, Dest: m.Dest,
 		Deadline: m.Deadline, Body: m.Body}})
 	if err == nil {
 		return a.Status, a.Text
@@ -227,10 +227,10 @@
 		return nil, bad("X-Priority-Class must name the class of the path")
 	}
 	m := &journal.Message{ID: r.Header.Get("X-Request-ID"), Key: r.Header.Get("Idempotency-Key"), Class: class}
-	if !validWord(m.ID) {
+	if !validToken(m.ID) {
 		return nil, bad("X-Request-ID is missing or malformed")
 	}
-	if in.keyed[class] && m.Key == "" || m.Key != "" && !validWord(m.Key) {
+	if in.keyRequired[class] && m.Key == "" || m.Key != "" && !validToken(m.Key) {
 		return nil, bad("Idempotency-Key is missing or malformed")
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64)
@@ -254,8 +254,8 @@
 	return m, nil
 }
 
-// validWord reports whether an id or a key is valid in a header and in a line of a bundle.
-func validWord(s string) bool {
+// validToken reports whether an id or a key is valid in a header and in a line of a bundle.
+func validToken(s string) bool {
 	return s != "" && len(s) <= maxID && strings.IndexFunc(s, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
@@ -278,13 +278,13 @@
 func (in *intake) reserve(id string) (again, ok bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.over.Has(id) {
+	if in.endedIDs.Has(id) {
 		return true, false
 	}
 	if taken, known := in.held[id]; known {
 		return taken, false
 	}
-	if in.refuse || in.noShare || in.cohort != nil && !in.cohort.group.MaySend() || in.maxHeld > 0 && len(in.held) >= in.maxHeld {
+	if in.refuse || in.noShare || in.processes != nil && !in.processes.group.MaySend() || in.maxHeld > 0 && len(in.held) >= in.maxHeld {
 		return false, false
 	}
 	in.held[id] = false
@@ -309,40 +309,40 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.held[id] {
-		in.over.Add(id)
+		in.endedIDs.Add(id)
 	}
 	delete(in.held, id)
 }
 
-// inherits adds a message that another process or node accepted and that this one has taken over, so that it is not accepted
+// addInherited adds a message that another process or node accepted and that this one has taken over, so that it is not accepted
 // a second time.
-func (in *intake) inherits(id string) {
+func (in *intake) addInherited(id string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if !in.over.Has(id) {
+	if !in.endedIDs.Has(id) {
 		in.held[id] = true
 	}
 }
 
-// knows reports whether a message is held here or has ended.
-func (in *intake) knows(id string) bool {
+// has reports whether a message is held here or has ended.
+func (in *intake) has(id string) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.held[id] || in.over.Has(id)
+	return in.held[id] || in.endedIDs.Has(id)
 }
 
-// part sets this process's share of the node's limit on held messages.
-func (in *intake) part(most int, none bool) {
+// share sets this process's share of the node's limit on held messages.
+func (in *intake) share(most int, none bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.maxHeld, in.noShare = most, none
 }
 
-// wasOver adds the id of a message that ended in an earlier process of the node.
-func (in *intake) wasOver(id string) {
+// addEnded adds the id of a message that ended in an earlier process of the node.
+func (in *intake) addEnded(id string) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.over.Add(id)
+	in.endedIDs.Add(id)
 }
 
 // close makes every response the last of its connection, so that clients reconnect elsewhere and no request is cut off.
@@ -364,8 +364,8 @@
 	return in.refuse
 }
 
-// turnAway rejects a request with a response that makes a retry safe.
-func (in *intake) turnAway(w http.ResponseWriter, why string) {
-	w.Header().Set("Retry-After", strconv.FormatFloat(fullRetry.Seconds(), 'f', -1, 64))
+// sendUnavailable rejects a request with a response that makes a retry safe.
+func (in *intake) sendUnavailable(w http.ResponseWriter, why string) {
+	w.Header().Set("Retry-After", strconv.FormatFloat(rejectedRetryAfter.Seconds(), 'f', -1, 64))
 	http.Error(w, why, http.StatusServiceUnavailable)
 }
--- a/internal/deliverynode/node/loop.go
+++ b/internal/deliverynode/node/loop.go
@@ -19,40 +19,40 @@
 // loop owns the decision module: once a tick it passes the events that have arrived to the module, and carries out the
 // module's actions in order. It waits for nothing else.
 type loop struct {
-	sender    *policy.Sender
-	settings  policy.Settings
-	names     names
-	log       *slog.Logger
-	caller    *caller
-	journal   *journal.Journal
-	finals    *completionReports
-	intake    *intake
-	peers     *peers // nil where the settings do not allow notes between nodes
-	origin    time.Time
-	events    chan any      // policy.Event, list, *order or *journal.Message
-	done      chan struct{} // closed when the loop has ended
-	quieted   chan struct{} // closed when no more calls are started
-	owner     *ownership
-	giveaways chan *transfer
-	connected func() int     // returns the number of clients' connections; may be nil
-	revision  int64          // of the last list
-	cohort    *processGroup  // the other processes of the node; nil where there are none
-	known     atomic.Int64   // revision, read when this process starts to watch discovery
-	listAt    time.Duration  // when the list was received, by the machine's clock
-	inUse     float64        // share of the node's limits that the module uses
-	serving   bool           // the share has been above 0
-	shared    bool           // a share has been assigned
-	shareBits atomic.Uint64  // bits of inUse, for other goroutines
-	hearing   bool           // the list being handled comes from another member
-	called    bool           // a call was made: the health of endpoints is this process's own observation
-	orders    []policy.Event // for endpoints that are listed for the first time
-	obeyed    []*order       // recorded orders, confirmed after the next step
-	held      map[policy.MessageID]*journal.Message
-	endpoints map[policy.EndpointID]*endpoint
-	waits     map[int]*gate // by destination, where routes share a limit
-	batch     []policy.Event
-	actions   []policy.Action
-	quiet     bool // no more calls are started
+	sender         *policy.Sender
+	settings       policy.Settings
+	names          names
+	log            *slog.Logger
+	caller         *caller
+	journal        *journal.Journal
+	reports        *completionReports
+	intake         *intake
+	peers          *peers // nil where the settings do not allow notes between nodes
+	origin         time.Time
+	events         chan any      // policy.Event, list, *order or *journal.Message
+	done           chan struct{} // closed when the loop has ended
+	drainStarted   chan struct{} // closed when no more calls are started
+	owner          *ownership
+	transfers      chan *transfer
+	connected      func() int     // returns the number of clients' connections; may be nil
+	revision       int64          // of the last list
+	processes      *processGroup  // the other processes of the node; nil where there are none
+	knownRevision  atomic.Int64   // revision, read when this process starts to watch discovery
+	listAt         time.Duration  // when the list was received, by the machine's clock
+	usedShare      float64        // share of the node's limits that the module uses
+	serving        bool           // the share has been above 0
+	shareAssigned  bool           // a share has been assigned
+	shareBits      atomic.Uint64  // bits of usedShare, for other goroutines
+	fromMember     bool           // the list being handled comes from another member
+	callMade       bool           // a call was made: the health of endpoints is this process's own observation
+	orders         []policy.Event // for endpoints that are listed for the first time
+	recordedOrders []*order       // recorded orders, confirmed after the next step
+	held           map[policy.MessageID]*journal.Message
+	endpoints      map[policy.EndpointID]*endpoint
+	waits          map[int]*gate // by destination, where routes share a limit
+	batch          []policy.Event
+	actions        []policy.Action
+	draining       bool // no more calls are started
 }
 
 func (l *loop) now() policy.Time { return clockStart + time.Since(l.origin) }
@@ -66,8 +66,8 @@
 }
 
 // run steps the module until the context ends; calls is the context of its calls.
-// Once quiet is closed no new call is started; outcomes are still handled.
-func (l *loop) run(ctx, calls context.Context, quiet <-chan struct{}) {
+// Once draining is closed no new call is started; outcomes are still handled.
+func (l *loop) run(ctx, calls context.Context, draining <-chan struct{}) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -78,16 +78,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-quiet:
-			l.quiet, quiet = true, nil
-			close(l.quieted)
+		case <-draining:
+			l.draining, draining = true, nil
+			close(l.drainStarted)
 			continue
 		case <-reaper.C:
 			l.caller.pools.Sweep()
 			continue
-		case g := <-l.giveaways:
-			if l.giveAway(g) {
-				l.quiet = true
+		case g := <-l.transfers:
+			if l.transferJournal(g) {
+				l.draining = true
 				l.caller.pools.Retire() // both processes share the limit on connections, idle ones included
 			}
 			continue
@@ -109,19 +109,19 @@
 			}
 		}
 		last = time.Now()
-		if l.cohort != nil && l.inUse > 0 && !l.cohort.group.MaySend() {
+		if l.processes != nil && l.usedShare > 0 && !l.processes.group.MaySend() {
 			// This process was suspended and its share has expired: sends would end as not sent, and use up attempts.
 			l.batch = append(l.batch, policy.Shared{Whole: group.Whole})
 		}
-		if l.quiet {
+		if l.draining {
 			l.batch = l.batch[:0]
 		} else if wake := l.step(calls); wake > 0 {
 			timer.Reset(wake - l.now())
 		}
-		for _, o := range l.obeyed {
+		for _, o := range l.recordedOrders {
 			go func() { o.reply <- l.journal.Sync() }() // returns at once without -sync
 		}
-		l.obeyed = l.obeyed[:0]
+		l.recordedOrders = l.recordedOrders[:0]
 	}
 }
 
@@ -130,55 +130,55 @@
 	switch e := e.(type) {
 	case *journal.Message:
 		l.held[e.Number()] = e
-		l.batch = append(l.batch, l.arrived(e))
+		l.batch = append(l.batch, l.arrivedEvent(e))
 	case list:
 		l.revision = e.Revision
-		l.known.Store(e.Revision)
-		l.batch = append(l.batch, l.listed(e))
+		l.knownRevision.Store(e.Revision)
+		l.batch = append(l.batch, l.applyList(e))
 		l.batch = append(l.batch, l.orders...)
 		l.orders = l.orders[:0]
-		l.remind()
-		l.passListOn()
+		l.restoreHistory()
+		l.publishList()
 	case *order:
 		l.order(e)
 	case policy.Ended:
 		if e.Final {
 			if m := l.held[e.Message]; m != nil {
-				l.forget(m)
+				l.dropMessage(m)
 			}
 		}
 		if to := l.endpoints[e.Endpoint]; to != nil {
-			to.out--
-			l.forgetRemoved(to)
+			to.inFlight--
+			l.dropRemoved(to)
 		}
 		l.batch = append(l.batch, e)
 	case groupMessage:
 		l.handleGroupMessage(e.message)
-	case newcomers:
-		l.notifyNewcomers()
-	case stateAsk:
+	case membersJoined:
+		l.notifyJoinedMembers()
+	case stateRequest:
 		e.reply <- l.memberState()
-	case *inheritance:
-		l.inheritDead(e)
-	case *disowned:
-		l.disown(e)
+	case *adoptedJournal:
+		l.adoptMessages(e)
+	case *withdrawnMessages:
+		l.withdraw(e)
 	case adoptedOrders:
 		l.adoptOrders(e)
 	case policy.Shared:
-		l.shared = true
+		l.shareAssigned = true
 		l.batch = append(l.batch, e)
 	case policy.Event:
 		l.batch = append(l.batch, e)
 	}
 }
 
-func (l *loop) arrived(m *journal.Message) policy.Arrived {
+func (l *loop) arrivedEvent(m *journal.Message) policy.Arrived {
 	now, class := l.now(), l.settings.Classes[m.Class]
 	a := policy.Arrived{Message: m.Number(), Destination: m.Dest, Class: m.Class, GiveUpAt: now + time.Until(m.Deadline)}
 	if p := m.Past; p.Attempts > 0 {
 		a.Past = policy.Past{Attempts: p.Attempts, MayRun: p.MayRun, RanZone: p.RanZone}
 		if p.MayRun {
-			a.Past.RanAt = l.past(p.RanAt)
+			a.Past.RanAt = l.moduleTime(p.RanAt)
 		}
 		if p.Out { // by the recorded wall clock time, which is the same for all messages of a bundle
 			a.Past.Out, a.Past.OutTo = true, policy.EndpointID(hash(p.OutTo))
@@ -200,14 +200,14 @@
 	return h.Sum64()
 }
 
-// listed updates the node's table of endpoints from a list and returns the event for the module.
-func (l *loop) listed(in list) policy.Listed {
+// applyList updates the node's table of endpoints from a list and returns the event for the module.
+func (l *loop) applyList(in list) policy.Listed {
 	out := policy.Listed{Whole: in.Complete}
 	named := map[policy.EndpointID]bool{}
 	for _, m := range in.Members {
 		// The id is the same at all nodes, so that they can refer to it in notes.
 		id := policy.EndpointID(hash(m.ID))
-		entry, ok := l.listedOne(id, m)
+		entry, ok := l.applyListEntry(id, m)
 		if !ok {
 			continue
 		}
@@ -215,7 +215,7 @@
 		out.Entries = append(out.Entries, entry)
 	}
 	if in.Complete {
-		l.leaveOut(named)
+		l.removeUnlisted(named)
 	}
 	return out
 }
@@ -223,8 +223,8 @@
 // phases maps the phases in discovery's lists to the module's states.
 var phases = map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
 
-// listedOne applies one entry of a list, and returns the entry for the module, if any.
-func (l *loop) listedOne(id policy.EndpointID, m member) (policy.Entry, bool) {
+// applyListEntry applies one entry of a list, and returns the entry for the module, if any.
+func (l *loop) applyListEntry(id policy.EndpointID, m member) (policy.Entry, bool) {
 	e := l.endpoints[id]
 	state, known := phases[m.Phase]
 	if !known {
@@ -243,15 +243,15 @@
 	}
 	if state != policy.Gone {
 		e.addr = m.HostPort
-		e.pool = l.caller.pools.Endpoint(upstream.Endpoint{Name: e.name, Addr: e.addr, Since: m.UpSince, MayPreconnect: e.mayWarm})
+		e.pool = l.caller.pools.Endpoint(upstream.Endpoint{Name: e.name, Addr: e.addr, Since: m.UpSince, MayPreconnect: e.mayPreconnect})
 	}
-	e.last = m
+	e.listed = m
 	l.setLeaving(e, state != policy.Ready)
 	l.recordLeaving(e, state != policy.Ready)
 	entry := l.entry(e, m, state)
 	if state == policy.Gone {
 		e.pool.Remove()
-		l.forgetRemoved(e)
+		l.dropRemoved(e)
 	}
 	return entry, true
 }
@@ -263,7 +263,7 @@
 		return policy.Entry{}, false
 	}
 	state := policy.Ready
-	if e.leaves.closedFrom.Load() != 0 {
+	if e.leaving.closedFrom.Load() != 0 {
 		state = policy.Draining
 	}
 	return l.entry(e, m, state), true
@@ -277,7 +277,7 @@
 		l.log.Warn("discovery: invalid endpoint ignored", "id", m.ID, "flavor", m.Flavor, "locality", m.Locality)
 		return nil
 	}
-	e := &endpoint{id: id, name: m.ID, dest: m.Cell, kind: kind, zone: zone, leaves: &gate{}, waits: &gate{}}
+	e := &endpoint{id: id, name: m.ID, dest: m.Cell, kind: kind, zone: zone, leaving: &gate{}, waits: &gate{}}
 	if kind >= len(l.settings.Kinds) || !l.settings.Kinds[kind].RoutesApart {
 		if l.waits[m.Cell] == nil {
 			l.waits[m.Cell] = e.waits
@@ -292,23 +292,23 @@
 	return e
 }
 
-// leaveOut marks the endpoints that a complete list does not name as gone.
-func (l *loop) leaveOut(named map[policy.EndpointID]bool) {
+// removeUnlisted marks the endpoints that a complete list does not name as gone.
+func (l *loop) removeUnlisted(named map[policy.EndpointID]bool) {
 	for id, e := range l.endpoints {
 		if !named[id] {
-			e.last.Phase = "left"
+			e.listed.Phase = "left"
 			l.setLeaving(e, true)
 			l.recordLeaving(e, true)
 			e.pool.Remove()
-			l.forgetRemoved(e)
+			l.dropRemoved(e)
 		}
 	}
 }
 
-// forgetRemoved drops an endpoint that is no longer listed, once no call to it is in flight. The journal keeps what is
+// dropRemoved drops an endpoint that is no longer listed, once no call to it is in flight. The journal keeps what is
 // needed if it is listed again.
-func (l *loop) forgetRemoved(e *endpoint) {
-	if e.last.Phase != "left" || e.out > 0 {
+func (l *loop) dropRemoved(e *endpoint) {
+	if e.listed.Phase != "left" || e.inFlight > 0 {
 		return
 	}
 	delete(l.endpoints, e.id)
@@ -324,8 +324,8 @@
 }
 
 // recordLeaving records in the journal whether an endpoint leaves, for the next start of the node.
-func (l *loop) recordLeaving(e *endpoint, leaves bool) {
-	if err := l.journal.Leaves(e.name, leaves, time.Now()); err != nil {
+func (l *loop) recordLeaving(e *endpoint, leaving bool) {
+	if err := l.journal.Leaves(e.name, leaving, time.Now()); err != nil {
 		l.log.Warn("journal: recording the phase of an endpoint failed", "endpoint", e.name, "err", err)
 	}
 }
@@ -334,14 +334,14 @@
 	return policy.Entry{Endpoint: e.id, Destination: e.dest, Kind: e.kind, Zone: e.zone, State: state, Rate: m.Size}
 }
 
-// remind passes the module what an earlier process observed of the endpoints that have just been listed: the backlog
+// restoreHistory passes the module what an earlier process observed of the endpoints that have just been listed: the backlog
 // must not go to an endpoint that is failing or cold, and recent calls still count towards the limits.
-func (l *loop) remind() {
-	l.remindOf(l.journal.Memories, true)
+func (l *loop) restoreHistory() {
+	l.restoreHistoryFrom(l.journal.Memories, true)
 }
 
-// remindOf passes the module recorded calls and, where nothing newer is known, the recorded health of endpoints.
-func (l *loop) remindOf(memories map[string]*journal.Memory, health bool) {
+// restoreHistoryFrom passes the module recorded calls and, where nothing newer is known, the recorded health of endpoints.
+func (l *loop) restoreHistoryFrom(memories map[string]*journal.Memory, health bool) {
 	for name, m := range memories {
 		id := policy.EndpointID(hash(name))
 		if l.endpoints[id] == nil {
@@ -349,42 +349,42 @@
 		}
 		r := policy.Remembered{Endpoint: id}
 		for _, at := range m.Sent {
-			r.Sent = append(r.Sent, l.past(at))
+			r.Sent = append(r.Sent, l.moduleTime(at))
 		}
 		for _, run := range m.Runs {
 			if !health {
 				break
 			}
-			told := policy.Run{Outcomes: run.Outcomes, FailedAt: l.past(run.FailedAt)}
+			failures := policy.Run{Outcomes: run.Outcomes, FailedAt: l.moduleTime(run.FailedAt)}
 			if !run.BackAt.IsZero() {
-				told.Back, told.BackAt = true, l.past(run.BackAt)
+				failures.Back, failures.BackAt = true, l.moduleTime(run.BackAt)
 			}
-			r.Runs = append(r.Runs, told)
+			r.Runs = append(r.Runs, failures)
 		}
 		l.batch = append(l.batch, r)
 		delete(memories, name)
 	}
 }
 
-// past converts a past wall clock time to the module's clock.
-func (l *loop) past(t time.Time) policy.Time { return min(l.now(), l.now()-time.Since(t)) }
+// moduleTime converts a moduleTime wall clock time to the module's clock.
+func (l *loop) moduleTime(t time.Time) policy.Time { return min(l.now(), l.now()-time.Since(t)) }
 
 // mayCall reports whether the list, the operators' orders and the endpoint's requested waits allow a call now.
 func (e *endpoint) mayCall() bool {
 	now := time.Now()
-	return !e.excluded.Load() && e.leaves.open(now) && e.waits.open(now)
+	return !e.excluded.Load() && e.leaving.open(now) && e.waits.open(now)
 }
 
-// mayWarm reports whether a connection may be opened to the endpoint before a call needs it.
-func (e *endpoint) mayWarm() bool { return e.leaves.closedFrom.Load() == 0 && e.mayCall() }
+// mayPreconnect reports whether a connection may be opened to the endpoint before a call needs it.
+func (e *endpoint) mayPreconnect() bool { return e.leaving.closedFrom.Load() == 0 && e.mayCall() }
 
 // setLeaving has an endpoint's gate close within the grace period after it was first listed as draining or gone, and after
 // the module has stopped sending to it.
-func (l *loop) setLeaving(e *endpoint, leaves bool) {
-	if !leaves {
-		e.leaves.closedFrom.Store(0)
+func (l *loop) setLeaving(e *endpoint, leaving bool) {
+	if !leaving {
+		e.leaving.closedFrom.Store(0)
 	} else {
-		e.leaves.closedFrom.CompareAndSwap(0, time.Now().Add(l.settings.DrainGrace*3/4).UnixNano())
+		e.leaving.closedFrom.CompareAndSwap(0, time.Now().Add(l.settings.DrainGrace*3/4).UnixNano())
 	}
 }
 
@@ -401,13 +401,13 @@
 			// Sends of one step to one endpoint are combined into one call.
 			m, e := l.held[a.Message], l.endpoints[a.Endpoint]
 			k := open[a.Endpoint]
-			if k == nil || len(k.parts) >= l.bundleMax(e) {
+			if k == nil || len(k.messages) >= l.bundleMax(e) {
 				k = &call{endpoint: e, addr: e.addr, started: time.Now()}
 				open[a.Endpoint] = k
 				calls = append(calls, k)
 			}
-			k.parts = append(k.parts, &part{message: m, timeout: a.Timeout})
-			e.out++
+			k.messages = append(k.messages, &callMessage{message: m, timeout: a.Timeout})
+			e.inFlight++
 			k.limit = max(k.limit, a.Timeout)
 		case policy.Refuse:
 			l.end(a.Message, true, a.Wait)
@@ -422,18 +422,18 @@
 				l.peers.send(a)
 			}
 		case policy.Verdict:
-			if e := l.endpoints[a.Endpoint]; e != nil && l.cohort != nil {
-				l.cohort.notify(newsVerdict, e.name, verdictNews{a.News})
+			if e := l.endpoints[a.Endpoint]; e != nil && l.processes != nil {
+				l.processes.notify(notifyVerdict, e.name, verdictMessage{a.News})
 			}
 		case policy.Wake:
 			wake = a.At
 		}
 	}
 	for _, k := range calls {
-		l.called = true
+		l.callMade = true
 		l.caller.start(ctx, k)
 	}
-	l.useShare()
+	l.applyShare()
 	return wake
 }
 
@@ -455,11 +455,11 @@
 		l.log.Error("journal: recording the end of a message failed", "id", m.ID, "err", err)
 	}
 	l.log.Debug("ended", "id", m.ID, "dest", m.Dest, "outcome", n.Outcome, "left", time.Until(m.Deadline))
-	l.forget(m)
-	l.finals.add(m)
+	l.dropMessage(m)
+	l.reports.add(m)
 }
 
-func (l *loop) forget(m *journal.Message) {
+func (l *loop) dropMessage(m *journal.Message) {
 	delete(l.held, m.Number())
 	l.intake.ended(m.ID)
 }
--- a/internal/deliverynode/node/peers.go
+++ b/internal/deliverynode/node/peers.go
@@ -16,14 +16,14 @@
 
 // peers sends and receives notes between delivery nodes, over UDP.
 type peers struct {
-	conn  *net.UDPConn
-	all   netip.AddrPort
-	known map[netip.AddrPort]bool // the other nodes
-	log   *slog.Logger
-	tell  func(policy.Event)
+	conn   *net.UDPConn
+	all    netip.AddrPort
+	known  map[netip.AddrPort]bool // the other nodes
+	log    *slog.Logger
+	notify func(policy.Event)
 }
 
-func openPeers(c Config, log *slog.Logger, tell func(policy.Event)) (*peers, error) {
+func openPeers(c Config, log *slog.Logger, notify func(policy.Event)) (*peers, error) {
 	bind, err := netip.ParseAddrPort(c.PeerBind)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening for notes: %w", err)
 	}
-	p := &peers{conn: conn, all: all, known: map[netip.AddrPort]bool{}, log: log, tell: tell}
+	p := &peers{conn: conn, all: all, known: map[netip.AddrPort]bool{}, log: log, notify: notify}
 	for i, a := range c.Peers {
 		if i != c.Me {
 			p.known[a] = true
@@ -65,7 +65,7 @@
 			p.log.Warn("peers: invalid note ignored", "from", from, "bytes", n)
 			continue
 		}
-		p.tell(note)
+		p.notify(note)
 	}
 }
 
--- a/internal/deliverynode/node/process_group.go
+++ b/internal/deliverynode/node/process_group.go
@@ -21,27 +21,27 @@
 	cfg   Config
 	log   *slog.Logger
 	slots int
-	mine  *slot
+	own   *slot
 	state *os.File // shared lock that excludes processes without a group
 
-	up     chan struct{} // closed when loop is set
-	usable chan struct{} // closed when the module has a share to use
-	loop   *loop
-	shares chan [2]int // parts and kept of the newest share
-	met    chan struct{}
+	loopReady    chan struct{} // closed when loop is set
+	shareReady   chan struct{} // closed when the module has a share to use
+	loop         *loop
+	shares       chan [2]int // parts and kept of the newest share
+	memberJoined chan struct{}
 
-	mu        sync.Mutex
-	adopted   []*slot
-	looked    map[int]string // fingerprints of journals without pending messages, or that can't be read, by slot
-	owners    map[int]string
-	deathAt   time.Time
-	listeners map[string]*net.TCPListener
-	adoptions int
-	stale     staleness
+	mu            sync.Mutex
+	adopted       []*slot
+	skipped       map[int]string // fingerprints of journals without pending messages, or that can't be read, by slot
+	owners        map[int]string
+	memberEndedAt time.Time
+	listeners     map[string]*net.TCPListener
+	adoptions     int
+	stale         staleness
 }
 
-// shareState takes a shared lock on the state folder, as all members do: a process without a group takes an exclusive one.
-func shareState(dir string) (*os.File, error) {
+// lockStateShared takes a shared lock on the state folder, as all members do: a process without a group takes an exclusive one.
+func lockStateShared(dir string) (*os.File, error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, fmt.Errorf("opening the state folder: %w", err)
@@ -56,19 +56,19 @@
 	return f, nil
 }
 
-// learn gets the state of a member that serves; nil where there is none. It returns an error if other members run and none
+// fetchState gets the state of a member that serves; nil where there is none. It returns an error if other members run and none
 // of them answers, because joining is not safe then.
-func (co *processGroup) learn(ctx context.Context) (*memberState, error) {
-	for end := time.Now().Add(joinPatience); ; {
-		ids, err := co.group.Members()
+func (pg *processGroup) fetchState(ctx context.Context) (*memberState, error) {
+	for end := time.Now().Add(joinTimeout); ; {
+		ids, err := pg.group.Members()
 		if err != nil {
 			return nil, fmt.Errorf("joining the group: %w", err)
 		}
 		unheard := len(ids) > 0
 		for _, id := range ids {
 			var s memberState
-			if err := co.group.Ask(ctx, id, askState, nil, &s); err != nil {
-				co.log.Debug("group: a member did not answer", "member", id, "err", err)
+			if err := pg.group.Ask(ctx, id, requestState, nil, &s); err != nil {
+				pg.log.Debug("group: a member did not answer", "member", id, "err", err)
 				continue
 			}
 			if !s.Starting {
@@ -91,15 +91,15 @@
 }
 
 // listen returns a listener that all members share: it gets that of another member, or opens the first.
-func (co *processGroup) listen(ctx context.Context, name, addr string) (net.Listener, error) {
+func (pg *processGroup) listen(ctx context.Context, name, addr string) (net.Listener, error) {
 	var l net.Listener
-	for end := time.Now().Add(joinPatience); l == nil; {
-		ids, err := co.group.Members()
+	for end := time.Now().Add(joinTimeout); l == nil; {
+		ids, err := pg.group.Members()
 		if err != nil {
 			return nil, err
 		}
 		for _, id := range ids {
-			f, err := co.group.File(ctx, id, name+" "+addr)
+			f, err := pg.group.File(ctx, id, name+" "+addr)
 			if err != nil || f == nil {
 				continue
 			}
@@ -124,17 +124,17 @@
 			}
 		}
 	}
-	co.mu.Lock()
-	co.listeners[name+" "+addr] = l.(*net.TCPListener)
-	co.mu.Unlock()
+	pg.mu.Lock()
+	pg.listeners[name+" "+addr] = l.(*net.TCPListener)
+	pg.mu.Unlock()
 	return l, nil
 }
 
-// file returns a listener's descriptor for another member; nil if there is none.
-func (co *processGroup) file(name string) *os.File {
-	co.mu.Lock()
-	l := co.listeners[name]
-	co.mu.Unlock()
+// listenerFile returns a listener's descriptor for another member; nil if there is none.
+func (pg *processGroup) listenerFile(name string) *os.File {
+	pg.mu.Lock()
+	l := pg.listeners[name]
+	pg.mu.Unlock()
 	if l == nil {
 		return nil
 	}
@@ -145,37 +145,37 @@
 	return f
 }
 
-// shared receives this member's share from the group; it replaces one that has not been handled.
-func (co *processGroup) shared(parts, kept int) {
+// receiveShare receives this member's share from the group; it replaces one that has not been handled.
+func (pg *processGroup) receiveShare(parts, kept int) {
 	for {
 		select {
-		case co.shares <- [2]int{parts, kept}:
+		case pg.shares <- [2]int{parts, kept}:
 			return
 		default:
 		}
 		select {
-		case <-co.shares:
+		case <-pg.shares:
 		default:
 		}
 	}
 }
 
-// serves sets the loop; from then on the group's events are passed to it.
-func (co *processGroup) serves(l *loop) {
-	co.loop = l
-	close(co.up)
+// setLoop sets the loop; from then on the group's events are passed to it.
+func (pg *processGroup) setLoop(l *loop) {
+	pg.loop = l
+	close(pg.loopReady)
 }
 
 // run runs the membership in the group until the context ends.
-func (co *processGroup) run(ctx context.Context) {
+func (pg *processGroup) run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() {
-		if err := co.group.Run(ctx); err != nil {
-			co.log.Warn("group: leaving failed", "err", err)
+		if err := pg.group.Run(ctx); err != nil {
+			pg.log.Warn("group: leaving failed", "err", err)
 		}
 	})
 	select {
-	case <-co.up:
+	case <-pg.loopReady:
 	case <-ctx.Done():
 	}
 	tick := time.NewTicker(group.HeartbeatEvery)
@@ -183,31 +183,31 @@
 	defer running.Wait()
 	for ctx.Err() == nil {
 		select {
-		case s := <-co.shares:
+		case s := <-pg.shares:
 			alone := false
-			if s[0] > 0 && co.adoptDead() && co.alone() {
+			if s[0] > 0 && pg.adoptAbandoned() && pg.alone() {
 				alone = true // no other member uses a share, and the calls of former members are known from their journals
 			}
-			co.loop.post(policy.Shared{Parts: s[0], Whole: group.Whole, Kept: s[1], Alone: alone})
-		case <-co.met:
-			co.loop.post(newcomers{})
+			pg.loop.post(policy.Shared{Parts: s[0], Whole: group.Whole, Kept: s[1], Alone: alone})
+		case <-pg.memberJoined:
+			pg.loop.post(membersJoined{})
 		case <-tick.C:
-			co.adoptDead()
-			co.letGo()
+			pg.adoptAbandoned()
+			pg.closeFinished()
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (co *processGroup) alone() bool {
-	ids, err := co.group.Members()
+func (pg *processGroup) alone() bool {
+	ids, err := pg.group.Members()
 	return err == nil && len(ids) == 0
 }
 
 // wait waits until a share is in use. It returns false if the context ends before that.
-func (co *processGroup) wait(ctx context.Context) bool {
+func (pg *processGroup) wait(ctx context.Context) bool {
 	select {
-	case <-co.usable:
+	case <-pg.shareReady:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/deliverynode/node/process_group_adopt.go
+++ b/internal/deliverynode/node/process_group_adopt.go
@@ -12,64 +12,64 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// adoptDead takes over the journals that no process has locked: those of former members. It returns false if one could not
+// adoptAbandoned takes over the journals that no process has locked: those of former members. It returns false if one could not
 // be taken over.
-func (co *processGroup) adoptDead() (all bool) {
-	if !co.group.MaySend() {
+func (pg *processGroup) adoptAbandoned() (all bool) {
+	if !pg.group.MaySend() {
 		return false
 	}
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	return co.adopt()
+	pg.mu.Lock()
+	defer pg.mu.Unlock()
+	return pg.adopt()
 }
 
-func (co *processGroup) adopt() (all bool) {
+func (pg *processGroup) adopt() (all bool) {
 	all = true
-	for n := -1; n < co.slots; n++ {
-		path := co.path(n)
+	for n := -1; n < pg.slots; n++ {
+		path := pg.path(n)
 		if n < 0 {
-			path = co.cfg.State
+			path = pg.cfg.State
 		}
-		if n == co.mine.number || co.isAdopted(n) {
+		if n == pg.own.number || pg.isAdopted(n) {
 			continue
 		}
 		print := fingerprint(path)
-		if print == "" || co.looked[n] == print {
+		if print == "" || pg.skipped[n] == print {
 			continue
 		}
-		lock, err := co.lockDead(n, path)
+		lock, err := pg.lockAbandoned(n, path)
 		if err != nil {
-			co.log.Error("group: locking a journal failed", "folder", path, "err", err)
+			pg.log.Error("group: locking a journal failed", "folder", path, "err", err)
 			all = false
 		}
 		if lock == nil {
 			continue
 		}
 		s := &slot{number: n, path: path, lock: lock}
-		owes, err := co.inherit(s)
+		owes, err := pg.adoptSlot(s)
 		if err != nil {
-			co.log.Error("group: adopting the journal of a former member failed", "folder", path, "err", err)
+			pg.log.Error("group: adopting the journal of a former member failed", "folder", path, "err", err)
 			all = false
 		}
 		if !owes {
-			co.looked[n] = fingerprint(path)
+			pg.skipped[n] = fingerprint(path)
 			_ = lock.Close() // nothing was written
 		}
 	}
 	return all
 }
 
-// lockDead locks a slot; it returns nil if another process has it. The journal of a node without a group is in the folder
+// lockAbandoned locks a slot; it returns nil if another process has it. The journal of a node without a group is in the folder
 // that all members share, so a separate file is locked for it.
-func (co *processGroup) lockDead(n int, path string) (*os.File, error) {
+func (pg *processGroup) lockAbandoned(n int, path string) (*os.File, error) {
 	if n >= 0 {
-		s, err := co.seize(n, path)
+		s, err := pg.lockSlot(n, path)
 		if s == nil {
 			return nil, err
 		}
 		return s.lock, nil
 	}
-	f, err := os.OpenFile(filepath.Join(co.cfg.State, groupFolder, "alone"), os.O_CREATE|os.O_RDWR, 0o600)
+	f, err := os.OpenFile(filepath.Join(pg.cfg.State, groupFolder, "alone"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -83,8 +83,8 @@
 	return f, nil
 }
 
-func (co *processGroup) isAdopted(n int) bool {
-	for _, s := range co.adopted {
+func (pg *processGroup) isAdopted(n int) bool {
+	for _, s := range pg.adopted {
 		if s.number == n {
 			return true
 		}
@@ -107,83 +107,83 @@
 	return b.String()
 }
 
-// inherit adopts a journal if it has pending messages. It adds the journal's ids to the intake before a client can send one of
+// adoptSlot adopts a journal if it has pending messages. It adds the journal's ids to the intake before a client can send one of
 // the messages again.
-func (co *processGroup) inherit(s *slot) (owes bool, err error) {
-	report, err := journal.Check(vfs.Dir(s.path), max(co.cfg.DiskBytes, 64<<20))
+func (pg *processGroup) adoptSlot(s *slot) (owes bool, err error) {
+	report, err := journal.Check(vfs.Dir(s.path), max(pg.cfg.DiskBytes, 64<<20))
 	if err != nil {
 		return false, err
 	}
-	alone := co.alone()
+	alone := pg.alone()
 	if report.Owed == 0 && !alone {
-		j, err := journal.Replay(co.options(s))
+		j, err := journal.Replay(pg.options(s))
 		if err != nil {
 			return false, err
 		}
 		for _, id := range j.OverIDs() {
-			co.loop.intake.wasOver(id)
+			pg.loop.intake.addEnded(id)
 		}
 		return false, nil
 	}
 	if report.Owed == 0 { // for its records of endpoints and of recent calls
-		j, err := journal.Replay(co.options(s))
+		j, err := journal.Replay(pg.options(s))
 		if err != nil {
 			return false, err
 		}
-		co.pass(&inheritance{journal: j, alone: true})
+		pg.postJournal(&adoptedJournal{journal: j, alone: true})
 		return false, nil
 	}
-	j, owed, err := journal.Open(co.options(s))
+	j, owed, err := journal.Open(pg.options(s))
 	if err != nil {
 		return false, err
 	}
 	s.journal = j
-	co.pass(&inheritance{journal: j, owed: owed, alone: alone})
-	co.adopted = append(co.adopted, s)
-	co.adoptions++
-	co.log.Info("group: adopted the journal of a former member", "folder", s.path, "owed", len(owed))
+	pg.postJournal(&adoptedJournal{journal: j, owed: owed, alone: alone})
+	pg.adopted = append(pg.adopted, s)
+	pg.adoptions++
+	pg.log.Info("group: adopted the journal of a former member", "folder", s.path, "owed", len(owed))
 	return true, nil
 }
 
-// pass passes a former member's journal to the loop.
-func (co *processGroup) pass(in *inheritance) {
+// postJournal passes a former member's journal to the loop.
+func (pg *processGroup) postJournal(in *adoptedJournal) {
 	for _, id := range in.journal.OverIDs() {
-		co.loop.intake.wasOver(id)
+		pg.loop.intake.addEnded(id)
 	}
 	for _, m := range in.owed {
-		co.loop.intake.inherits(m.ID)
+		pg.loop.intake.addInherited(m.ID)
 	}
-	co.loop.post(in)
+	pg.loop.post(in)
 }
 
-// letGo closes the adopted journals that have no more pending messages.
-func (co *processGroup) letGo() {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	keep := co.adopted[:0]
-	for _, s := range co.adopted {
+// closeFinished closes the adopted journals that have no more pending messages.
+func (pg *processGroup) closeFinished() {
+	pg.mu.Lock()
+	defer pg.mu.Unlock()
+	keep := pg.adopted[:0]
+	for _, s := range pg.adopted {
 		if s.journal.Status().Live > 0 {
 			keep = append(keep, s)
 			continue
 		}
 		if err := s.journal.Close(); err != nil {
-			co.log.Warn("group: closing an adopted journal failed", "folder", s.path, "err", err)
+			pg.log.Warn("group: closing an adopted journal failed", "folder", s.path, "err", err)
 		}
-		co.looked[s.number] = fingerprint(s.path)
-		co.log.Info("group: all messages of an adopted journal have ended", "folder", s.path)
+		pg.skipped[s.number] = fingerprint(s.path)
+		pg.log.Info("group: all messages of an adopted journal have ended", "folder", s.path)
 		_ = s.lock.Close() // the kernel releases the lock in any case
 	}
-	co.adopted = keep
+	pg.adopted = keep
 }
 
 // close closes the journals that are still adopted; other members continue with them.
-func (co *processGroup) close() error {
-	co.mu.Lock()
-	defer co.mu.Unlock()
+func (pg *processGroup) close() error {
+	pg.mu.Lock()
+	defer pg.mu.Unlock()
 	var errs []error
-	for _, s := range co.adopted {
+	for _, s := range pg.adopted {
 		errs = append(errs, s.journal.Close(), s.lock.Close())
 	}
-	co.adopted = nil
-	return errors.Join(append(errs, co.state.Close())...)
+	pg.adopted = nil
+	return errors.Join(append(errs, pg.state.Close())...)
 }
--- a/internal/deliverynode/node/process_group_messages.go
+++ b/internal/deliverynode/node/process_group_messages.go
@@ -10,24 +10,24 @@
 
 // Kinds of notifications (news) and requests (ask) between members.
 const (
-	newsList    = "list"
-	newsWait    = "wait"
-	newsVerdict = "verdict"
-	askState    = "state"
-	askOrder    = "order"
-	askHave     = "have"
-	askReady    = "ready"
+	notifyList    = "list"
+	notifyWait    = "wait"
+	notifyVerdict = "verdict"
+	requestState  = "state"
+	requestOrder  = "order"
+	requestHas    = "have"
+	requestReady  = "ready"
 )
 
 // Bodies of the messages between members.
 type (
-	waitNews struct {
+	waitMessage struct {
 		Until time.Duration `json:"Until"` // by the machine's clock
 	}
-	verdictNews struct {
+	verdictMessage struct {
 		News policy.News `json:"News"`
 	}
-	orderAsk struct {
+	orderRequest struct {
 		Host string `json:"Host"`
 		Out  bool   `json:"Out"`
 	}
@@ -58,11 +58,11 @@
 	groupMessage struct {
 		message group.Message
 	}
-	stateAsk struct{ reply chan memberState }
-	// newcomers reports new members, which have not received earlier notifications.
-	newcomers struct{}
-	// inheritance is the journal of a former member, or a log that was taken over from another node.
-	inheritance struct {
+	stateRequest struct{ reply chan memberState }
+	// membersJoined reports new members, which have not received earlier notifications.
+	membersJoined struct{}
+	// adoptedJournal is the journal of a former member, or a log that was taken over from another node.
+	adoptedJournal struct {
 		journal *journal.Journal
 		owed    []*journal.Message
 		alone   bool // no other member runs: its records of endpoints are the newest
--- a/internal/deliverynode/node/process_group_status.go
+++ b/internal/deliverynode/node/process_group_status.go
@@ -27,13 +27,13 @@
 	Owed    int    `json:"owed"`
 }
 
-func (co *processGroup) status() groupStatus {
-	s := groupStatus{Status: co.group.Status(), Share: co.loop.share(), Serves: co.inUse(), Journal: filepath.Base(co.mine.path),
-		Adopted: []adoptedState{}, Staleness: co.stale.show()}
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	s.Adoptions = co.adoptions
-	for _, a := range co.adopted {
+func (pg *processGroup) status() groupStatus {
+	s := groupStatus{Status: pg.group.Status(), Share: pg.loop.share(), Serves: pg.servesClients(), Journal: filepath.Base(pg.own.path),
+		Adopted: []adoptedState{}, Staleness: pg.stale.show()}
+	pg.mu.Lock()
+	defer pg.mu.Unlock()
+	s.Adoptions = pg.adoptions
+	for _, a := range pg.adopted {
 		s.Adopted = append(s.Adopted, adoptedState{filepath.Base(a.path), a.journal.Status().Live})
 	}
 	return s
@@ -42,7 +42,7 @@
 // MemberFolders returns the paths of the journals of a group's members in a state folder.
 func MemberFolders(dir string) (all []string) {
 	for n := range 2 * group.MaxMembers {
-		if path := filepath.Join(dir, fmt.Sprintf(slotForm, n)); fingerprint(path) != "" {
+		if path := filepath.Join(dir, fmt.Sprintf(slotFormat, n)); fingerprint(path) != "" {
 			all = append(all, path)
 		}
 	}
