--- a/internal/deliverynode/node/completion_reports.go
+++ b/internal/deliverynode/node/completion_reports.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (f *completionReports) takeQueue() []*journal.Message {
+func (f *completionReports) popAll() []*journal.Message {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	q := f.queue
@@ -72,7 +72,7 @@
 	defer f.client.CloseIdleConnections()
 	var pending []*journal.Message
 	for {
-		pending = append(pending, f.takeQueue()...)
+		pending = append(pending, f.popAll()...)
 		if len(pending) == 0 {
 			select {
 			case <-f.more:
@@ -136,7 +136,7 @@
 	}
 	may := map[*journal.Message]bool{}
 	for _, m := range pending {
-		now, again := f.copies.mayTell(m)
+		now, again := f.copies.mayReport(m)
 		may[m] = now
 		if now && !again && m.Notice.HandedBack() {
 			if err := m.Home().Ended(m, journal.NewNotice(m.ID, false, 0)); err != nil {
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -191,7 +191,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(text, '\n')) // a caller that has gone needs no answer
+	_, _ = w.Write(append(text, '\n')) // the client may have disconnected
 }
 
 func (c *console) readiness() (status int, text string) {
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -150,7 +150,7 @@
 	return context.WithTimeout(context.Background(), cs.wait)
 }
 
-// copied waits until at least so many copies have what was written to some journals.
+// copied waits until at least the given number of copies have what was written to some journals.
 func (cs *copies) copied(all []*journal.Journal, least int) error {
 	ctx, cancel := cs.waitContext()
 	defer cancel()
@@ -171,9 +171,9 @@
 	return nil
 }
 
-// mayTell reports whether the end of a message may be reported to the platform now, and whether its client may be told to
+// mayReport reports whether the end of a message may be reported to the platform now, and whether its client may be told to
 // retry. While another node may have the lease on its log, nothing is reported before the message's deadline.
-func (cs *copies) mayTell(m *journal.Message) (now, again bool) {
+func (cs *copies) mayReport(m *journal.Message) (now, again bool) {
 	if cs == nil {
 		return true, true
 	}
@@ -184,18 +184,18 @@
 }
 
 // Adopt takes over the pending messages of a log. It and the exported methods below implement replica.Host.
-func (cs *copies) Adopt(w *replica.Work, owed []*journal.Message) {
+func (cs *copies) Adopt(w *replica.Work, pending []*journal.Message) {
 	cs.mu.Lock()
 	cs.works[w.Journal()] = w
 	cs.mu.Unlock()
-	cs.inherit(w, owed)
+	cs.inherit(w, pending)
 }
 
-func (cs *copies) inherit(w *replica.Work, owed []*journal.Message) {
-	for _, m := range owed {
+func (cs *copies) inherit(w *replica.Work, pending []*journal.Message) {
+	for _, m := range pending {
 		cs.loop.intake.addInherited(m.ID)
 	}
-	cs.loop.post(&adoptedJournal{journal: w.Journal(), owed: owed})
+	cs.loop.post(&adoptedJournal{journal: w.Journal(), pending: pending})
 }
 
 // Found takes over a message of this node's own log that only a copy had.
@@ -233,16 +233,16 @@
 
 // Events that copies posts to the loop.
 type (
-	// withdrawnMessages has messages that another node has or that have ended (gone), and messages that may have run and are to
+	// withdrawnMessages has messages that another node has or that have ended (ended), and messages that may have run and are to
 	// be ended here (mayHaveRun).
-	withdrawnMessages struct{ gone, mayHaveRun []*journal.Message }
+	withdrawnMessages struct{ ended, mayHaveRun []*journal.Message }
 	// adoptedOrders has the endpoints that operators took out at a node whose log was taken over.
 	adoptedOrders []string
 )
 
 // withdraw withdraws messages that this node must no longer send.
 func (l *loop) withdraw(d *withdrawnMessages) {
-	for _, m := range d.gone {
+	for _, m := range d.ended {
 		l.batch = append(l.batch, policy.Withdrawn{Message: m.Number()})
 		l.dropMessage(m)
 		l.closeMessage(m)
--- a/internal/deliverynode/node/discovery.go
+++ b/internal/deliverynode/node/discovery.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// retryPause returns how long to wait after a failure that follows so many others. With few nodes, the first retry is in
+// retryPause returns how long to wait after a failure, by the number of failures before it. With few nodes, the first retry is in
 // time to continue a watch. With many, nodes that were rejected together, as after a release, must not return together,
 // nor before their turn.
 func (d *discovery) retryPause(failed int) time.Duration {
--- a/internal/deliverynode/node/discovery_test.go
+++ b/internal/deliverynode/node/discovery_test.go
@@ -197,7 +197,7 @@
 	go one.run(ctx)
 }
 
-// watch samples every half second, so many times, how many changes the nodes are behind, and returns the mean and the maximum.
+// watch samples every half second, looks times, how many changes the nodes are behind, and returns the mean and the maximum.
 func (f *discoveryFleet) watch(looks int) (behind, most float64) {
 	for range looks {
 		time.Sleep(500 * time.Millisecond)
--- a/internal/deliverynode/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -208,9 +208,9 @@
 // inheritedState is the state that a process starts with.
 type inheritedState struct {
 	journal          *journal.Journal
-	owed             []*journal.Message
+	pending          []*journal.Message
 	lock             *os.File     // held while this process owns the journal and may hand it over
-	hold             *os.File     // the same lock where there is no handover, held until the process ends
+	soleLock         *os.File     // the same lock where there is no handover, held until the process ends
 	predecessor      *link        // to the previous process, if it runs
 	predecessorState *snapshot    // from the previous process
 	groupState       *memberState // from another member of the group
@@ -225,11 +225,11 @@
 			return nil, err
 		}
 		if lock != nil {
-			j, owed, err := journal.Open(c.journal(log))
+			j, pending, err := journal.Open(c.journal(log))
 			if err != nil {
 				return nil, errors.Join(err, lock.Close())
 			}
-			return &inheritedState{journal: j, owed: owed, lock: lock}, nil
+			return &inheritedState{journal: j, pending: pending, lock: lock}, nil
 		}
 		e, err := requestHandover(c, log)
 		if err == nil {
@@ -284,14 +284,14 @@
 	if err != nil {
 		return fail("taking over", err)
 	}
-	owed, err := j.Begin(predecessorState.Out)
+	pending, err := j.Begin(predecessorState.Out)
 	if err != nil {
 		return fail("taking over", errors.Join(err, lock.Close()))
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		log.Warn("handover: clearing the deadline failed", "err", err)
 	}
-	return &inheritedState{journal: j, owed: owed, lock: lock, predecessor: l, predecessorState: predecessorState}, nil
+	return &inheritedState{journal: j, pending: pending, lock: lock, predecessor: l, predecessorState: predecessorState}, nil
 }
 
 // handover transfers the journal to a successor process when that requests it.
--- a/internal/deliverynode/node/intake.go
+++ b/internal/deliverynode/node/intake.go
@@ -75,7 +75,7 @@
 			in.sendUnavailable(w, "the disk failed")
 			return
 		}
-		_, _ = io.WriteString(w, "ok\n") // a client that has gone needs no answer
+		_, _ = io.WriteString(w, "ok\n") // the client may have disconnected
 		return
 	}
 	m, err := in.read(r)
--- a/internal/deliverynode/node/intake_test.go
+++ b/internal/deliverynode/node/intake_test.go
@@ -73,9 +73,9 @@
 		must(t, in.journal.Closed(accepted[0], "e1", time.Now()))
 		in.ended("a")
 	}
-	next, owed := mustOpen(t, dir, journal.MinDisk)
-	if len(owed) != 0 || !next.Over.Has("a") {
-		t.Errorf("after a restart there are %d pending messages and %d ended ids", len(owed), next.Over.Len())
+	next, pending := mustOpen(t, dir, journal.MinDisk)
+	if len(pending) != 0 || !next.Over.Has("a") {
+		t.Errorf("after a restart there are %d pending messages and %d ended ids", len(pending), next.Over.Len())
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		send(in, id)
--- a/internal/deliverynode/node/journal_test.go
+++ b/internal/deliverynode/node/journal_test.go
@@ -15,12 +15,12 @@
 
 func mustOpen(t *testing.T, dir string, limit int64) (*journal.Journal, []*journal.Message) {
 	t.Helper()
-	j, owed, err := journal.Open(journal.Options{Folder: vfs.Dir(dir), Limit: limit, Log: quietLog()})
+	j, pending, err := journal.Open(journal.Options{Folder: vfs.Dir(dir), Limit: limit, Log: quietLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = j.Close() })
-	return j, owed
+	return j, pending
 }
 
 func newMessage(id string, size int) *journal.Message {
--- a/internal/deliverynode/node/loop.go
+++ b/internal/deliverynode/node/loop.go
@@ -366,7 +366,7 @@
 	}
 }
 
-// moduleTime converts a moduleTime wall clock time to the module's clock.
+// moduleTime converts a past wall clock time to the module's clock.
 func (l *loop) moduleTime(t time.Time) policy.Time { return min(l.now(), l.now()-time.Since(t)) }
 
 // mayCall reports whether the list, the operators' orders and the endpoint's requested waits allow a call now.
--- a/internal/deliverynode/node/node.go
+++ b/internal/deliverynode/node/node.go
@@ -118,11 +118,11 @@
 	if pg != nil {
 		return pg.begin(ctx)
 	}
-	switch owed, err := owedByGroup(c.State, c.DiskBytes); {
+	switch pending, err := pendingInGroup(c.State, c.DiskBytes); {
 	case err != nil:
 		return nil, nil, fmt.Errorf("reading the journals of a process group in %s: %w", c.State, err)
-	case owed > 0:
-		return nil, nil, fmt.Errorf("%s holds %d messages of a group: start with -group until they have ended", c.State, owed)
+	case pending > 0:
+		return nil, nil, fmt.Errorf("%s holds %d messages of a group: start with -group until they have ended", c.State, pending)
 	}
 	if c.AcceptFD > 0 {
 		listener, err := inheritedListener(c.AcceptFD)
@@ -135,28 +135,28 @@
 		}
 		return e, listener, nil
 	}
-	var hold *os.File
+	var soleLock *os.File
 	for end := time.Now().Add(lockTimeout); ; time.Sleep(ownerPollInterval) {
 		var err error
-		if hold, err = vfs.Lock(c.State); err != nil {
+		if soleLock, err = vfs.Lock(c.State); err != nil {
 			return nil, nil, err
 		}
-		if hold != nil {
+		if soleLock != nil {
 			break
 		}
 		if time.Now().After(end) {
 			return nil, nil, fmt.Errorf("%s is in use by another process", c.State)
 		}
 	}
-	j, owed, err := journal.Open(c.journal(log))
+	j, pending, err := journal.Open(c.journal(log))
 	if err != nil {
-		return nil, nil, errors.Join(err, hold.Close())
+		return nil, nil, errors.Join(err, soleLock.Close())
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", c.Listen)
 	if err != nil {
-		return nil, nil, errors.Join(fmt.Errorf("listening for clients: %w", err), j.Close(), hold.Close())
+		return nil, nil, errors.Join(fmt.Errorf("listening for clients: %w", err), j.Close(), soleLock.Close())
 	}
-	return &inheritedState{journal: j, owed: owed, hold: hold}, listener, nil
+	return &inheritedState{journal: j, pending: pending, soleLock: soleLock}, listener, nil
 }
 
 // journal returns the options of the journal.
--- a/internal/deliverynode/node/process.go
+++ b/internal/deliverynode/node/process.go
@@ -76,7 +76,7 @@
 
 // unlock closes the lock files. They may have been closed already at a handover.
 func (e *inheritedState) unlock() {
-	for _, lock := range []*os.File{e.hold, e.lock} {
+	for _, lock := range []*os.File{e.soleLock, e.lock} {
 		if lock != nil {
 			_ = lock.Close() // it may be closed already, and was never written to
 		}
@@ -119,7 +119,7 @@
 
 // checkClasses returns an error if the journal holds a message of a class that is not in the settings.
 func (p *process) checkClasses() error {
-	for _, m := range p.inherited.owed {
+	for _, m := range p.inherited.pending {
 		if m.Class >= len(p.config.Settings.Classes) {
 			return fmt.Errorf("the journal holds a message of class %d, which is not in the settings", m.Class)
 		}
@@ -174,7 +174,7 @@
 		p.predecessor = &predecessorLink{link: p.inherited.predecessor, intake: p.intake, caller: p.loop.caller, loop: p.loop, log: p.log,
 			inFlight: map[policy.MessageID]*call{}}
 	}
-	for _, m := range p.inherited.owed {
+	for _, m := range p.inherited.pending {
 		p.restoreMessage(m)
 	}
 }
@@ -299,7 +299,7 @@
 // ready reports on the console and in the log that clients are served.
 func (p *process) ready() {
 	p.opsConsole.ready.Store(true)
-	p.log.Info("ready", "name", p.config.Name, "listen", p.config.Listen, "owed", len(p.inherited.owed), "taken over", p.inherited.predecessorState != nil)
+	p.log.Info("ready", "name", p.config.Name, "listen", p.config.Listen, "owed", len(p.inherited.pending), "taken over", p.inherited.predecessorState != nil)
 }
 
 // listenForSuccessor accepts handover requests of a successor process, if the journal may be handed over.
--- a/internal/deliverynode/node/process_group_adopt.go
+++ b/internal/deliverynode/node/process_group_adopt.go
@@ -12,8 +12,8 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// adoptAbandoned takes over the journals that no process has locked: those of former members. It returns false if one could not
-// be taken over.
+// adoptAbandoned takes over the journals that no process has locked: those of former members. It reports whether all
+// journals now belong to a running process.
 func (pg *processGroup) adoptAbandoned() (all bool) {
 	if !pg.group.MaySend() {
 		return false
@@ -133,15 +133,15 @@
 		pg.postJournal(&adoptedJournal{journal: j, alone: true})
 		return false, nil
 	}
-	j, owed, err := journal.Open(pg.options(s))
+	j, pending, err := journal.Open(pg.options(s))
 	if err != nil {
 		return false, err
 	}
 	s.journal = j
-	pg.postJournal(&adoptedJournal{journal: j, owed: owed, alone: alone})
+	pg.postJournal(&adoptedJournal{journal: j, pending: pending, alone: alone})
 	pg.adopted = append(pg.adopted, s)
 	pg.adoptions++
-	pg.log.Info("group: adopted the journal of a former member", "folder", s.path, "owed", len(owed))
+	pg.log.Info("group: adopted the journal of a former member", "folder", s.path, "owed", len(pending))
 	return true, nil
 }
 
@@ -150,7 +150,7 @@
 	for _, id := range in.journal.OverIDs() {
 		pg.loop.intake.addEnded(id)
 	}
-	for _, m := range in.owed {
+	for _, m := range in.pending {
 		pg.loop.intake.addInherited(m.ID)
 	}
 	pg.loop.post(in)
--- a/internal/deliverynode/node/process_group_discovery.go
+++ b/internal/deliverynode/node/process_group_discovery.go
@@ -16,8 +16,8 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// hasMessage reports whether another member has, or had, a message that a client sends. That can be only soon after a member has
-// ended: its client retries on a new connection. By then a member has adopted the journal of the one that ended.
+// hasMessage reports whether another member has, or had, a message that a client sends. That matters only soon after a member
+// has ended: its client retries on a new connection. By then a member has adopted the journal of the one that ended.
 func (pg *processGroup) hasMessage(id string) bool {
 	pg.mu.Lock()
 	changed := false
--- a/internal/deliverynode/node/process_group_join.go
+++ b/internal/deliverynode/node/process_group_join.go
@@ -77,7 +77,8 @@
 	}
 	pg := &processGroup{log: log, slots: slots, state: state, loopReady: make(chan struct{}), shareReady: make(chan struct{}),
 		shares: make(chan [2]int, 1), memberJoined: make(chan struct{}, 1), skipped: map[int]string{}, owners: map[int]string{}, listeners: map[string]*net.TCPListener{}}
-	// These limits can't be reduced at run time, so each member has the share for the maximum number of members from the start.
+	// These limits can't be reduced at once when a member joins, so each member starts with the share for the maximum number
+	// of members.
 	c.MemoryMB /= c.Members
 	c.Sockets /= c.Members
 	c.DiskBytes = (c.DiskBytes - groupDisk) / int64(slots)
@@ -154,7 +155,7 @@
 
 // begin opens this member's journal and the clients' listener, and gets the state of the other members.
 func (pg *processGroup) begin(ctx context.Context) (*inheritedState, net.Listener, error) {
-	j, owed, err := journal.Open(pg.options(pg.own))
+	j, pending, err := journal.Open(pg.options(pg.own))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -178,7 +179,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	return &inheritedState{journal: j, owed: owed, hold: pg.own.lock, groupState: state}, listener, nil
+	return &inheritedState{journal: j, pending: pending, soleLock: pg.own.lock, groupState: state}, listener, nil
 }
 
 // adoptOrders sets a journal's orders to those of the group.
--- a/internal/deliverynode/node/process_group_loop.go
+++ b/internal/deliverynode/node/process_group_loop.go
@@ -142,7 +142,7 @@
 		l.adoptOrders(in.journal.Orders()) // an endpoint is out if any member recorded that
 	}
 	l.restoreHistoryFrom(in.journal.Memories, in.alone && !l.callMade)
-	for _, m := range in.owed {
+	for _, m := range in.pending {
 		if m.Class >= len(l.settings.Classes) || !l.resolveDuplicate(m) {
 			l.closeMessage(m)
 			continue
--- a/internal/deliverynode/node/process_group_messages.go
+++ b/internal/deliverynode/node/process_group_messages.go
@@ -8,7 +8,7 @@
 	"dunetide/policy"
 )
 
-// Kinds of notifications (news) and requests (ask) between members.
+// Kinds of notifications and requests between members.
 const (
 	notifyList    = "list"
 	notifyWait    = "wait"
@@ -64,7 +64,7 @@
 	// adoptedJournal is the journal of a former member, or a log that was taken over from another node.
 	adoptedJournal struct {
 		journal *journal.Journal
-		owed    []*journal.Message
+		pending []*journal.Message
 		alone   bool // no other member runs: its records of endpoints are the newest
 	}
 )
--- a/internal/deliverynode/node/process_group_status.go
+++ b/internal/deliverynode/node/process_group_status.go
@@ -49,9 +49,9 @@
 	return all
 }
 
-// owedByGroup returns how many pending messages the journals of a group in a state folder have, for a process without a
+// pendingInGroup returns how many pending messages the journals of a group in a state folder have, for a process without a
 // group.
-func owedByGroup(dir string, limit int64) (owed int, err error) {
+func pendingInGroup(dir string, limit int64) (pending int, err error) {
 	if _, err := os.Stat(filepath.Join(dir, groupFolder)); errors.Is(err, os.ErrNotExist) {
 		return 0, nil
 	}
@@ -60,7 +60,7 @@
 		if err != nil {
 			return 0, err
 		}
-		owed += report.Owed
+		pending += report.Owed
 	}
-	return owed, nil
+	return pending, nil
 }
