--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -233,8 +233,8 @@
 
 // Events that copies posts to the loop.
 type (
-	// withdrawnMessages has messages that another node has or that have ended (ended), and messages that may have run and are to
-	// be ended here (mayHaveRun).
+	// withdrawnMessages has messages that this node must no longer send. Ended: another node has them, or they have ended.
+	// MayHaveRun: they may have run elsewhere, and are to be ended here.
 	withdrawnMessages struct{ ended, mayHaveRun []*journal.Message }
 	// adoptedOrders has the endpoints that operators took out at a node whose log was taken over.
 	adoptedOrders []string
