--- a/internal/deliverynode/fleet/claim.go
+++ b/internal/deliverynode/fleet/claim.go
@@ -12,14 +12,14 @@
 )
 
 // heardOfSelf takes in what another node tells of this one.
-func (f *Fleet) heardOfSelf(rec Record) {
+func (f *Fleet) handleOwnRecord(rec Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge(rec)
+	f.addClaim(rec)
 }
 
 // judge keeps what a record of this node asks for until the session settles it; f.mu is held.
-func (f *Fleet) judge(rec Record) {
+func (f *Fleet) addClaim(rec Record) {
 	claim := f.table.Mine(rec)
 	if claim == (Claim{}) {
 		return
@@ -28,13 +28,13 @@
 	if claim.Rival != "" {
 		f.claim.Rival = claim.Rival
 	}
-	f.rouse()
+	f.wakeSession()
 }
 
 // rouse tells the session's loop that there is a claim to settle.
-func (f *Fleet) rouse() {
+func (f *Fleet) wakeSession() {
 	select {
-	case f.changed <- struct{}{}:
+	case f.claimPending <- struct{}{}:
 	default:
 	}
 }
@@ -60,22 +60,22 @@
 // nameInUseAt looks for a rival at an address. A rival that was found before counts as gone only when
 // nobody was there rivalMisses times in a row.
 func (f *Fleet) nameInUseAt(ctx context.Context, address string) bool {
-	found := f.lookAt(ctx, address)
+	found := f.probeName(ctx, address)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rival != address {
-		f.missed = 0
+		f.rivalMisses = 0
 		return found == present
 	}
 	if found != absent {
-		f.missed = 0
+		f.rivalMisses = 0
 		return true
 	}
-	f.missed++
-	if f.missed < rivalMisses {
+	f.rivalMisses++
+	if f.rivalMisses < maxRivalMisses {
 		return true
 	}
-	f.rival, f.missed = "", 0
+	f.rival, f.rivalMisses = "", 0
 	return false
 }
 
@@ -109,7 +109,7 @@
 		f.mu.Lock()
 		f.claim.merge(claim)
 		f.mu.Unlock()
-		time.AfterFunc(againAfter, f.rouse)
+		time.AfterFunc(retryDelay, f.wakeSession)
 		return
 	}
 	f.stats.raised.Add(1)
@@ -121,8 +121,8 @@
 	f.mu.Unlock()
 	f.options.Log.Info("fleet: a new incarnation", "incarnation", claim.Raise, "removed", removed, "old folder", claim.Old)
 	if removed { // whoever builds on members hears it as of any other
-		f.inOrder.Lock()
-		defer f.inOrder.Unlock()
+		f.notifyMu.Lock()
+		defer f.notifyMu.Unlock()
 		f.notifyChanges([]Change{{f.options.Name, own, Alive, Removed}, {f.options.Name, claim.Raise, Removed, Alive}})
 	}
 }
@@ -132,7 +132,7 @@
 func (f *Fleet) saveIncarnation(claim Claim) error {
 	var err error
 	if claim.Old {
-		for _, hear := range f.onOld {
+		for _, hear := range f.onStaleFolder {
 			err = errors.Join(err, hear())
 		}
 	}
@@ -151,10 +151,10 @@
 // queryName asks up to askedSeeds seeds what they know of this node's name before it says its own: who has it,
 // and whether it was removed. Nobody waits for it but the joining itself.
 func (f *Fleet) queryName(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, askWho)
+	ctx, cancel := context.WithTimeout(ctx, nameQueryTimeout)
 	defer cancel()
 	var asked sync.WaitGroup
-	for _, s := range f.drawSeeds(askedSeeds) {
+	for _, s := range f.drawSeeds(maxQueriedSeeds) {
 		asked.Go(func() {
 			to, err := netip.ParseAddrPort(s.Address)
 			if err != nil {
@@ -166,7 +166,7 @@
 				return
 			}
 			_ = conn.Close()
-			f.meet(w)
+			f.mergeWelcome(w)
 		})
 	}
 	asked.Wait()
@@ -188,10 +188,10 @@
 }
 
 // meet takes in what a welcome tells.
-func (f *Fleet) meet(w welcome) {
-	f.learn(func(t *Table, now time.Duration) []Change { return t.Merge(w.Self, now) })
+func (f *Fleet) mergeWelcome(w welcome) {
+	f.updateTable(func(t *Table, now time.Duration) []Change { return t.Merge(w.Self, now) })
 	if w.Known.Name == f.options.Name {
-		f.heardOfSelf(w.Known)
+		f.handleOwnRecord(w.Known)
 	}
 }
 
@@ -205,12 +205,12 @@
 )
 
 // lookAt looks whether a process answers to this node's name at an address.
-func (f *Fleet) lookAt(ctx context.Context, address string) presence {
+func (f *Fleet) probeName(ctx context.Context, address string) presence {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil || to == f.address {
 		return absent
 	}
-	ctx, cancel := context.WithTimeout(ctx, greetTime)
+	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
 	f.mu.Lock()
 	candidate := f.gossip == nil
--- a/internal/deliverynode/fleet/claim_test.go
+++ b/internal/deliverynode/fleet/claim_test.go
@@ -61,7 +61,7 @@
 			var during []Record
 			node.OnOld(func() error {
 				for _, rec := range during {
-					node.heardOfSelf(rec)
+					node.handleOwnRecord(rec)
 				}
 				return nil
 			})
@@ -74,7 +74,7 @@
 			for _, s := range c.steps {
 				during = s.while
 				for _, rec := range s.hears {
-					node.heardOfSelf(rec)
+					node.handleOwnRecord(rec)
 				}
 				settle(s.what)
 			}
@@ -87,8 +87,8 @@
 				t.Errorf("incarnation %d, and others know %d", own, removed.Incarnation)
 			}
 			for range 3 { // others go on telling what they know
-				node.heardOfSelf(removed)
-				node.heardOfSelf(announced)
+				node.handleOwnRecord(removed)
+				node.handleOwnRecord(announced)
 				settle("told again")
 			}
 			if node.Self().Incarnation != own || len(*changes) != len(told) {
--- a/internal/deliverynode/fleet/connection.go
+++ b/internal/deliverynode/fleet/connection.go
@@ -9,7 +9,7 @@
 )
 
 // open is the transport of the session; memberlist may ask for it a moment longer.
-func (f *Fleet) open() (Transport, context.Context, error) {
+func (f *Fleet) currentTransport() (Transport, context.Context, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.transport == nil {
@@ -20,7 +20,7 @@
 
 // sendPacket sends a datagram.
 func (f *Fleet) sendPacket(payload []byte, to netip.AddrPort) error {
-	transport, _, err := f.open()
+	transport, _, err := f.currentTransport()
 	if err != nil {
 		return err
 	}
@@ -31,20 +31,20 @@
 }
 
 // place takes a place for a connection; false: there is none.
-func (f *Fleet) place() bool {
+func (f *Fleet) reserveConn() bool {
 	select {
 	case f.conns <- struct{}{}:
 		return true
 	default:
 	}
-	f.stats.crowded.Add(1)
+	f.stats.connsRefused.Add(1)
 	return false
 }
 
-var errCrowded = errors.New("no place for a further connection")
+var errTooManyConns = errors.New("no place for a further connection")
 
 // counted counts a connection's bytes, ends with the session and gives its place back.
-type counted struct {
+type trackedConn struct {
 	net.Conn
 	fleet *Fleet
 
@@ -53,8 +53,8 @@
 	closed bool
 }
 
-func (f *Fleet) counted(life context.Context, raw net.Conn) *counted {
-	c := &counted{Conn: raw, fleet: f}
+func (f *Fleet) trackedConn(life context.Context, raw net.Conn) *trackedConn {
+	c := &trackedConn{Conn: raw, fleet: f}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stop = context.AfterFunc(life, func() { _ = c.Close() })
@@ -62,21 +62,21 @@
 }
 
 // Read reads and counts the bytes.
-func (c *counted) Read(b []byte) (int, error) {
+func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.fleet.stats.bytesIn.Add(int64(n))
 	return n, err
 }
 
 // Write writes and counts the bytes.
-func (c *counted) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.fleet.stats.bytesOut.Add(int64(n))
 	return n, err
 }
 
 // Close closes the connection and frees its place among the fleet's connections, once.
-func (c *counted) Close() error {
+func (c *trackedConn) Close() error {
 	c.mu.Lock()
 	first := !c.closed
 	c.closed = true
--- a/internal/deliverynode/fleet/datagrams.go
+++ b/internal/deliverynode/fleet/datagrams.go
@@ -29,11 +29,11 @@
 		case errors.As(err, &version):
 			f.refuse(from.String(), err)
 			continue
-		case errors.Is(err, errSpoilt):
-			f.stats.spoilt.Add(1)
+		case errors.Is(err, errCorrupt):
+			f.stats.corrupt.Add(1)
 			continue
 		case err != nil:
-			f.stats.strangers.Add(1)
+			f.stats.foreign.Add(1)
 			continue
 		}
 		f.mu.Lock()
--- a/internal/deliverynode/fleet/fleet.go
+++ b/internal/deliverynode/fleet/fleet.go
@@ -15,25 +15,25 @@
 
 const (
 	// leaveTime bounds the leaving: SIGTERM leaves 3.5 s for all, and the calls have 3.3 of them.
-	leaveTime = 120 * time.Millisecond
+	leaveTimeout = 120 * time.Millisecond
 	// againAfter is the pause before what could not be begun is tried again: an address that is
 	// taken, a disk that is full.
-	againAfter = time.Second
+	retryDelay = time.Second
 	// rivalEvery is how often a node that stays outside looks whether the other one has ended.
-	rivalEvery = 2 * time.Second
+	rivalCheckInterval = 2 * time.Second
 	// rivalMisses is so often in a row nobody must be at a rival's address before it counts as gone.
-	rivalMisses = 2
+	maxRivalMisses = 2
 	// askWho bounds how long the seeds are asked about this node's name before it says its own.
-	askWho = 1500 * time.Millisecond
+	nameQueryTimeout = 1500 * time.Millisecond
 	// askedSeeds is how many seeds are asked.
-	askedSeeds = 3
+	maxQueriedSeeds = 3
 	// raiseEvery is the least time between two new incarnations, so that two who contend for
 	// a name, unseen by each other, cost little.
-	raiseEvery = 100 * time.Millisecond
+	minRaiseInterval = 100 * time.Millisecond
 	// seekRemoved is for how long one that was removed is looked for, where it is no seed.
-	seekRemoved = 10 * time.Minute
+	removedRejoinPeriod = 10 * time.Minute
 	// convergenceTime is for how long after a step of any member a node meets others by chance.
-	convergenceTime = 20 * time.Second
+	convergencePeriod = 20 * time.Second
 	// DefaultConns bounds the connections to and from other nodes where nothing is said.
 	DefaultConns = 256
 )
@@ -99,42 +99,42 @@
 	listen  netip.AddrPort
 	seeds   []Node
 
-	ctx       context.Context // of the session
-	transport Transport
-	id        identity
-	gossip    *gossip
-	conns     chan struct{} // a place for each connection
-	running   *sync.WaitGroup
-	changed   chan struct{} // there is something for the session's own loop
-
-	onNews   map[string]NewsFunc
-	onAsk    map[string]AskFunc
-	onChange []func(Change)
-	onOld    []func() error
-	parts    []func(context.Context)
-
-	inOrder sync.Mutex // changes are told in their order; taken before mu
-	mu      sync.Mutex // over what follows, and over life and transport
-	table   *Table
-	links   map[string]*link
-	state   string
-	why     string
-	claim   Claim
-	rival   string            // where another process of this name was found, until it is gone
-	missed  int               // so often in a row nobody was there
-	refused map[string]string // who was refused of late, and why
-	news    time.Duration     // when a member last took a step
-	rand    *rand.Rand
-	turn    int // of the seeds: which is tried next
+	ctx          context.Context // of the session
+	transport    Transport
+	id           identity
+	gossip       *gossip
+	conns        chan struct{} // a place for each connection
+	running      *sync.WaitGroup
+	claimPending chan struct{} // there is something for the session's own loop
+
+	updateHandlers  map[string]NewsFunc
+	requestHandlers map[string]AskFunc
+	changeHandlers  []func(Change)
+	onStaleFolder   []func() error
+	joinedTasks     []func(context.Context)
+
+	notifyMu    sync.Mutex // changes are told in their order; taken before mu
+	mu          sync.Mutex // over what follows, and over life and transport
+	table       *Table
+	links       map[string]*link
+	state       string
+	why         string
+	claim       Claim
+	rival       string            // where another process of this name was found, until it is gone
+	rivalMisses int               // so often in a row nobody was there
+	refused     map[string]string // who was refused of late, and why
+	lastChange  time.Duration     // when a member last took a step
+	rand        *rand.Rand
+	nextSeed    int // of the seeds: which is tried next
 
 	stats counters
 }
 
 // counters count since the start of the process.
 type counters struct {
-	packetsOut, packetsIn, bytesOut, bytesIn             atomic.Int64
-	spoilt, strangers, versions, dropped, crowded, dials atomic.Int64
-	raised                                               atomic.Int64
+	packetsOut, packetsIn, bytesOut, bytesIn                 atomic.Int64
+	corrupt, foreign, versions, dropped, connsRefused, dials atomic.Int64
+	raised                                                   atomic.Int64
 }
 
 // New checks nothing but what Parse has not: the file is whole and names this node.
@@ -152,34 +152,34 @@
 		o.Conns = DefaultConns
 	}
 	f := &Fleet{options: o, key: fleetKey(o.File.Fleet), address: address, listen: listen, conns: make(chan struct{}, o.Conns),
-		onNews: map[string]NewsFunc{}, onAsk: map[string]AskFunc{}, links: map[string]*link{}, state: Starting,
-		refused: map[string]string{}, changed: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
+		updateHandlers: map[string]NewsFunc{}, requestHandlers: map[string]AskFunc{}, links: map[string]*link{}, state: Starting,
+		refused: map[string]string{}, claimPending: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
 	for _, n := range o.File.Nodes {
 		if n.Seed && n.Name != o.Name {
 			f.seeds = append(f.seeds, n)
 		}
 	}
 	f.table = NewTable(Record{Name: o.Name, Address: own.Address}, o.Clock())
-	f.turn = f.rand.IntN(max(1, len(f.seeds))) // not all at the same one
+	f.nextSeed = f.rand.IntN(max(1, len(f.seeds))) // not all at the same one
 	return f, nil
 }
 
 // OnNews registers who hears news of a kind.
-func (f *Fleet) OnNews(kind string, hear NewsFunc) { f.onNews[kind] = hear }
+func (f *Fleet) OnNews(kind string, hear NewsFunc) { f.updateHandlers[kind] = hear }
 
 // OnAsk registers who answers questions of a kind.
-func (f *Fleet) OnAsk(kind string, answer AskFunc) { f.onAsk[kind] = answer }
+func (f *Fleet) OnAsk(kind string, answer AskFunc) { f.requestHandlers[kind] = answer }
 
 // OnChange registers who hears of members' steps, in their order.
-func (f *Fleet) OnChange(hear func(Change)) { f.onChange = append(f.onChange, hear) }
+func (f *Fleet) OnChange(hear func(Change)) { f.changeHandlers = append(f.changeHandlers, hear) }
 
 // OnOld registers who hears that others know a later start of this node than its folder does:
 // what the folder has is from before that. With an error it is told again.
-func (f *Fleet) OnOld(hear func() error) { f.onOld = append(f.onOld, hear) }
+func (f *Fleet) OnOld(hear func() error) { f.onStaleFolder = append(f.onStaleFolder, hear) }
 
 // While registers what runs whenever this node is joined, and has ended before another process
 // may have its place. It ends with its context.
-func (f *Fleet) While(run func(context.Context)) { f.parts = append(f.parts, run) }
+func (f *Fleet) While(run func(context.Context)) { f.joinedTasks = append(f.joinedTasks, run) }
 
 func (f *Fleet) random() float64 {
 	f.mu.Lock()
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -112,7 +112,7 @@
 }
 
 // sees is what one node has of another.
-func (w *world) sees(i, j int) fleet.State {
+func (w *world) stateSeen(i, j int) fleet.State {
 	for _, m := range w.nodes[i].Members() {
 		if m.Name == w.nodes[j].name {
 			return m.State
@@ -127,7 +127,7 @@
 	began := time.Now()
 	for !ok() {
 		if time.Since(began) > within {
-			w.t.Fatalf("not within %v: %s%s", within, what, w.missing())
+			w.t.Fatalf("not within %v: %s%s", within, what, w.describeDivergence())
 		}
 		time.Sleep(10 * time.Millisecond * time.Duration(1+len(w.nodes)/50))
 	}
@@ -135,7 +135,7 @@
 }
 
 // missing says, of up to 20 pairs, how one sees another that it does not see alive as it is.
-func (w *world) missing() string {
+func (w *world) describeDivergence() string {
 	var all strings.Builder
 	for i, n := range w.nodes {
 		if n.Fleet == nil {
@@ -159,7 +159,7 @@
 }
 
 // whole tells whether all of some nodes see all of them alive, as they are now.
-func (w *world) whole(among ...int) bool {
+func (w *world) converged(among ...int) bool {
 	for _, i := range among {
 		at := map[string]fleet.Member{}
 		for _, m := range w.nodes[i].Members() {
@@ -183,7 +183,7 @@
 
 // healTime is how long after the last fault all see all: a try to meet again comes after 5 s
 // at most, and word of it passes by gossip.
-const healTime = 20 * time.Second
+const convergenceTimeout = 20 * time.Second
 
 // Whole lives over and over, in real time: joins, questions, news, kills, and a member that
 // leaves, for the race detector to see.
@@ -197,7 +197,7 @@
 		w.start(i, serve)
 	}
 	for round := range 4 {
-		w.await(healTime, "a fleet", func() bool { return w.whole(0, 1, 2) })
+		w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1, 2) })
 		var asked sync.WaitGroup
 		for i := range 3 {
 			for j := range 3 {
@@ -221,5 +221,5 @@
 		w.end(round%3, round%2 == 0)
 		w.start(round%3, serve)
 	}
-	w.await(healTime, "a fleet", func() bool { return w.whole(0, 1, 2) })
+	w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1, 2) })
 }
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -29,16 +29,16 @@
 	// Now is every node's clock.
 	Now time.Duration
 	// Fate decides of questions; nil: all are answered.
-	Fate  func(from, to, kind string) Fate
-	nodes map[string]*Node
-	way   []*news
+	Fate     func(from, to, kind string) Fate
+	nodes    map[string]*Node
+	inFlight []*update
 }
 
 // New makes nodes that know of each other, alive under incarnation 1.
 func New(names ...string) *World {
 	w := &World{nodes: map[string]*Node{}}
 	for _, name := range names {
-		w.nodes[name] = &Node{world: w, name: name, news: map[string]fleet.NewsFunc{}, asks: map[string]fleet.AskFunc{},
+		w.nodes[name] = &Node{world: w, name: name, updateHandlers: map[string]fleet.NewsFunc{}, requestHandlers: map[string]fleet.AskFunc{},
 			table: fleet.NewTable(fleet.Record{Name: name, Incarnation: 1, Start: 1, Address: name}, 0)}
 	}
 	for _, a := range w.nodes {
@@ -84,11 +84,11 @@
 func (w *World) Restart(name string) {
 	n := w.nodes[name]
 	n.table.Raised(n.Self().Incarnation + 1)
-	w.way = slices.DeleteFunc(w.way, func(m *news) bool { return m.from == name || m.to == name })
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(m *update) bool { return m.from == name || m.to == name })
 }
 
 // news is on its way, the newest of its kind and key.
-type news struct {
+type update struct {
 	from, to, kind, key string
 	body                []byte
 	at                  time.Duration
@@ -96,7 +96,7 @@
 
 // OnItsWay tells what waits, by sender, receiver, kind and key, in a fixed order.
 func (w *World) OnItsWay() (all []string) {
-	for _, m := range w.way {
+	for _, m := range w.inFlight {
 		all = append(all, fmt.Sprint(m.from, " to ", m.to, ": ", m.kind, " ", m.key))
 	}
 	return all
@@ -105,11 +105,11 @@
 // Deliver lets the i-th of what waits arrive. With twice it stays on its way as well: its
 // acknowledgement was lost.
 func (w *World) Deliver(i int, twice bool) {
-	m := w.way[i]
+	m := w.inFlight[i]
 	if !twice {
-		w.way = slices.Delete(w.way, i, i+1)
+		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	}
-	if hear := w.nodes[m.to].news[m.kind]; hear != nil {
+	if hear := w.nodes[m.to].updateHandlers[m.kind]; hear != nil {
 		hear(w.peer(m.from), m.key, w.Now-m.at, m.body)
 	}
 }
@@ -117,7 +117,7 @@
 // DeliverAll lets all arrive, and what comes of that, up to a number of pieces.
 func (w *World) DeliverAll(most int) error {
 	for range most {
-		if len(w.way) == 0 {
+		if len(w.inFlight) == 0 {
 			return nil
 		}
 		w.Deliver(0, false)
@@ -131,12 +131,12 @@
 
 // Node is one node's fleet.Net.
 type Node struct {
-	world *World
-	name  string
-	table *fleet.Table
-	news  map[string]fleet.NewsFunc
-	asks  map[string]fleet.AskFunc
-	hears []func(fleet.Change)
+	world           *World
+	name            string
+	table           *fleet.Table
+	updateHandlers  map[string]fleet.NewsFunc
+	requestHandlers map[string]fleet.AskFunc
+	changeHandlers  []func(fleet.Change)
 }
 
 var _ fleet.Net = (*Node)(nil)
@@ -144,9 +144,9 @@
 func (n *Node) changed(all []fleet.Change) {
 	for _, c := range all {
 		if c.To.Departed() {
-			n.world.way = slices.DeleteFunc(n.world.way, func(m *news) bool { return m.from == n.name && m.to == c.Name })
+			n.world.inFlight = slices.DeleteFunc(n.world.inFlight, func(m *update) bool { return m.from == n.name && m.to == c.Name })
 		}
-		for _, hear := range n.hears {
+		for _, hear := range n.changeHandlers {
 			hear(c)
 		}
 	}
@@ -176,15 +176,15 @@
 	if err := n.reach(to); err != nil {
 		return err
 	}
-	m := &news{n.name, to, kind, key, body, n.world.Now}
-	for _, old := range n.world.way {
+	m := &update{n.name, to, kind, key, body, n.world.Now}
+	for _, old := range n.world.inFlight {
 		if old.from == m.from && old.to == m.to && old.kind == m.kind && old.key == m.key {
 			*old = *m
 			return nil
 		}
 	}
-	n.world.way = append(n.world.way, m)
-	slices.SortStableFunc(n.world.way, func(a, b *news) int {
+	n.world.inFlight = append(n.world.inFlight, m)
+	slices.SortStableFunc(n.world.inFlight, func(a, b *update) int {
 		return cmp.Or(cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
 	})
 	return nil
@@ -205,7 +205,7 @@
 	case Lost:
 		return nil, fleet.ErrMaybe
 	}
-	answer := n.world.nodes[to].asks[kind]
+	answer := n.world.nodes[to].requestHandlers[kind]
 	if answer == nil {
 		return nil, fleet.AnswerError(fmt.Sprintf("nothing is known of %q", kind))
 	}
@@ -220,10 +220,10 @@
 }
 
 // OnNews sets the function that receives news of a kind.
-func (n *Node) OnNews(kind string, f fleet.NewsFunc) { n.news[kind] = f }
+func (n *Node) OnNews(kind string, f fleet.NewsFunc) { n.updateHandlers[kind] = f }
 
 // OnAsk sets the function that answers questions of a kind.
-func (n *Node) OnAsk(kind string, f fleet.AskFunc) { n.asks[kind] = f }
+func (n *Node) OnAsk(kind string, f fleet.AskFunc) { n.requestHandlers[kind] = f }
 
 // OnChange adds a function that is called for each change of a member.
-func (n *Node) OnChange(f func(fleet.Change)) { n.hears = append(n.hears, f) }
+func (n *Node) OnChange(f func(fleet.Change)) { n.changeHandlers = append(n.changeHandlers, f) }
--- a/internal/deliverynode/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -42,20 +42,20 @@
 	answered := make(chan error, 1)
 	go func() {
 		tee := &teeConn{Conn: there, in: &sent}
-		purpose, err := greeted(tee, goldenKey)
-		if err == nil && purpose != forLink {
+		purpose, err := acceptGreeting(tee, goldenKey)
+		if err == nil && purpose != purposeLink {
 			t.Errorf("purpose %d", purpose)
 		}
 		if err == nil {
-			c := &framed{Conn: tee, key: goldenKey}
+			c := &framedConn{Conn: tee, key: goldenKey}
 			err = receiveGolden(t, c)
 		}
 		answered <- err
 	}()
-	if err := greet(here, goldenKey, forLink); err != nil {
+	if err := greet(here, goldenKey, purposeLink); err != nil {
 		t.Fatal(err)
 	}
-	c := &framed{Conn: here, key: goldenKey}
+	c := &framedConn{Conn: here, key: goldenKey}
 	for _, v := range []any{golden.Filled[hello](), golden.Filled[frame](), frame{Type: frameAck, ID: 3}} {
 		if err := c.send(v); err != nil {
 			t.Fatal(err)
@@ -68,18 +68,18 @@
 
 	// What an earlier version has sent is understood.
 	tee := &replayConn{Reader: bytes.NewReader(golden.Read(t, "link-stream"))}
-	purpose, err := greeted(tee, goldenKey)
-	if err != nil || purpose != forLink {
+	purpose, err := acceptGreeting(tee, goldenKey)
+	if err != nil || purpose != purposeLink {
 		t.Fatalf("purpose %d, %v", purpose, err)
 	}
 	golden.Compare(t, "link-greeting-answer", tee.out.Bytes())
-	if err := receiveGolden(t, &framed{Conn: tee, key: goldenKey}); err != nil {
+	if err := receiveGolden(t, &framedConn{Conn: tee, key: goldenKey}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // receiveGolden reads the messages of the golden stream.
-func receiveGolden(t *testing.T, c *framed) error {
+func receiveGolden(t *testing.T, c *framedConn) error {
 	t.Helper()
 	var h hello
 	var one, two frame
--- a/internal/deliverynode/fleet/gossip.go
+++ b/internal/deliverynode/fleet/gossip.go
@@ -17,13 +17,13 @@
 const (
 	// probeEvery and probeTime are memberlist's for one network: a death is seen after some
 	// seconds, and a node that is busy for one is not yet suspected.
-	probeEvery  = time.Second
-	probeTime   = 500 * time.Millisecond
-	gossipEvery = 200 * time.Millisecond
-	streamTime  = 2 * time.Second
+	probeInterval  = time.Second
+	probeTimeout   = 500 * time.Millisecond
+	gossipInterval = 200 * time.Millisecond
+	streamTimeout  = 2 * time.Second
 	// rejoinEvery is the pause between tries to reach one that is silent, or a seed. It doubles
 	// up to rejoinMost while nothing comes of them.
-	rejoinEvery    = time.Second
+	rejoinInterval = time.Second
 	maxRejoinPause = 5 * time.Second
 	packetQueue    = 256
 )
@@ -53,15 +53,15 @@
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 
-	mu   sync.RWMutex
-	over bool // memberlist may call back for a moment after its end, and is not heard any more
+	mu      sync.RWMutex
+	stopped bool // memberlist may call back for a moment after its end, and is not heard any more
 }
 
 // heard runs what memberlist calls back, unless it is over.
-func (g *gossip) heard(what func()) {
+func (g *gossip) ifRunning(what func()) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	if !g.over {
+	if !g.stopped {
 		what()
 	}
 }
@@ -69,7 +69,7 @@
 // end shuts memberlist down; when it returns nothing more is heard of it.
 func (g *gossip) end() {
 	g.mu.Lock()
-	g.over = true
+	g.stopped = true
 	g.mu.Unlock()
 	if err := g.list.Shutdown(); err != nil {
 		g.fleet.options.Log.Debug("fleet: gossip", "err", err)
@@ -78,17 +78,17 @@
 
 func (f *Fleet) startGossip() (*gossip, error) {
 	g := &gossip{fleet: f, packets: make(chan *memberlist.Packet, packetQueue), streams: make(chan net.Conn)}
-	g.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 4, NumNodes: func() int { return f.current() }}
+	g.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 4, NumNodes: func() int { return f.currentCount() }}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport = f.options.Name, g
 	c.AdvertiseAddr, c.AdvertisePort = f.address.Addr().String(), int(f.address.Port())
 	c.BindAddr, c.BindPort = c.AdvertiseAddr, c.AdvertisePort
-	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval, c.TCPTimeout = probeEvery, probeTime, gossipEvery, streamTime
-	c.UDPBufferSize = maxPacket - packetHead
+	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval, c.TCPTimeout = probeInterval, probeTimeout, gossipInterval, streamTimeout
+	c.UDPBufferSize = maxPacket - packetHeaderSize
 	c.DeadNodeReclaimTime = time.Second // the staff have moved it; its records say whether it may be
 	c.EnableCompression, c.RequireNodeNames, c.DNSConfigPath = false, true, ""
 	c.Delegate, c.Events, c.Alive = g, g, g
-	c.Logger = log.New(quiet{f.options.Log}, "", 0)
+	c.Logger = log.New(memberlistLog{f.options.Log}, "", 0)
 	var err error
 	if g.list, err = memberlist.Create(c); err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
@@ -97,10 +97,10 @@
 }
 
 // quiet is where memberlist's own log goes. Its warnings are about single packets.
-type quiet struct{ log *slog.Logger }
+type memberlistLog struct{ log *slog.Logger }
 
 // Write logs a line of memberlist's log at the debug level.
-func (q quiet) Write(b []byte) (int, error) {
+func (q memberlistLog) Write(b []byte) (int, error) {
 	q.log.Debug("fleet: gossip", "says", strings.TrimSpace(string(b)))
 	return len(b), nil
 }
@@ -141,7 +141,7 @@
 	}
 	ctx, cancel := context.WithTimeout(g.fleet.ctx, timeout)
 	defer cancel()
-	return g.fleet.dial(ctx, to, forGossip)
+	return g.fleet.dial(ctx, to, purposeGossip)
 }
 
 // DialAddressTimeout opens a connection for gossip; memberlist.NodeAwareTransport asks for it.
@@ -150,10 +150,10 @@
 }
 
 // record is what memberlist knows of a node.
-func record(n *memberlist.Node) (Record, meta, error) {
+func recordOf(n *memberlist.Node) (Record, meta, error) {
 	var m meta
 	if err := decoding.Unmarshal(n.Meta, &m); err != nil {
-		return Record{}, meta{}, fmt.Errorf("%w: %w", errSpoilt, err)
+		return Record{}, meta{}, fmt.Errorf("%w: %w", errCorrupt, err)
 	}
 	ip, _ := netip.AddrFromSlice(n.Addr)
 	return Record{Name: n.Name, Incarnation: m.Incarnation, Start: m.Start, Address: netip.AddrPortFrom(ip.Unmap(), n.Port).String()}, m, nil
@@ -161,24 +161,24 @@
 
 // NotifyAlive keeps out whom this node could not talk to, and hears of its own name.
 func (g *gossip) NotifyAlive(n *memberlist.Node) error {
-	rec, m, err := record(n)
+	rec, m, err := recordOf(n)
 	if err != nil {
 		return err
 	}
-	if _, err := common(m.Lowest, m.Highest); err != nil {
+	if _, err := commonVersion(m.Lowest, m.Highest); err != nil {
 		g.fleet.refuse(n.Name, err)
 		return err
 	}
 	if rec.Name == g.fleet.options.Name {
-		g.heard(func() { g.fleet.heardOfSelf(rec) })
+		g.ifRunning(func() { g.fleet.handleOwnRecord(rec) })
 	}
 	return nil
 }
 
 // NotifyJoin and the next two follow who is heard.
 func (g *gossip) NotifyJoin(n *memberlist.Node) {
-	if rec, _, err := record(n); err == nil && rec.Name != g.fleet.options.Name {
-		g.heard(func() { g.fleet.learn(func(t *Table, now time.Duration) []Change { return t.Hear(rec, now) }) })
+	if rec, _, err := recordOf(n); err == nil && rec.Name != g.fleet.options.Name {
+		g.ifRunning(func() { g.fleet.updateTable(func(t *Table, now time.Duration) []Change { return t.Hear(rec, now) }) })
 	}
 }
 
@@ -187,7 +187,9 @@
 
 // NotifyLeave is called when a member no longer answers or has left; memberlist.EventDelegate asks for it.
 func (g *gossip) NotifyLeave(n *memberlist.Node) {
-	g.heard(func() { g.fleet.learn(func(t *Table, now time.Duration) []Change { return t.Suspect(n.Name, now) }) })
+	g.ifRunning(func() {
+		g.fleet.updateTable(func(t *Table, now time.Duration) []Change { return t.Suspect(n.Name, now) })
+	})
 }
 
 // NodeMeta and the next four are memberlist's Delegate.
@@ -204,12 +206,12 @@
 func (g *gossip) NotifyMsg(b []byte) {
 	var w gossipRecords
 	if err := decoding.Unmarshal(b, &w); err != nil {
-		g.fleet.stats.spoilt.Add(1)
+		g.fleet.stats.corrupt.Add(1)
 		return
 	}
-	g.heard(func() {
+	g.ifRunning(func() {
 		for _, rec := range g.fleet.mergeRecords(w) {
-			g.spread(rec)
+			g.broadcastRecord(rec)
 		}
 	})
 }
@@ -221,7 +223,7 @@
 
 // LocalState returns all that this node knows, for a full exchange with another; memberlist.Delegate asks for it.
 func (g *gossip) LocalState(bool) []byte {
-	b, err := encoding.Marshal(g.fleet.known())
+	b, err := encoding.Marshal(g.fleet.fullState())
 	if err != nil {
 		return nil // records of plain values
 	}
@@ -232,7 +234,7 @@
 func (g *gossip) MergeRemoteState(b []byte, _ bool) { g.NotifyMsg(b) }
 
 // spread lets all hear of a record by and by.
-func (g *gossip) spread(rec Record) {
+func (g *gossip) broadcastRecord(rec Record) {
 	if b, err := encoding.Marshal(gossipRecords{Records: []Record{rec}}); err == nil {
 		g.queue.QueueBroadcast(broadcast{rec.Name, b})
 	}
@@ -265,25 +267,25 @@
 func (g *gossip) rejoin(ctx context.Context) {
 	pause, failed := time.Duration(0), time.Duration(0)
 	for ctx.Err() == nil {
-		to, lost := g.fleet.lost()
-		met := lost
-		if !lost || failed > 0 && g.fleet.random() < 0.5 { // those that can't be reached don't stand in the way
-			if other, ok := g.fleet.settling(); ok {
-				to, met, lost = other, true, false
+		to, unreachable := g.fleet.unreachable()
+		met := unreachable
+		if !unreachable || failed > 0 && g.fleet.random() < 0.5 { // those that can't be reached don't stand in the way
+			if other, ok := g.fleet.convergenceTarget(); ok {
+				to, met, unreachable = other, true, false
 			}
 		}
-		pause = rejoinEvery
+		pause = rejoinInterval
 		if met {
 			_, err := g.list.Join([]string{to})
 			switch {
 			case err != nil:
 				g.fleet.options.Log.Debug("fleet: not reached", "address", to, "err", err)
-				failed = min(max(2*failed, rejoinEvery), maxRejoinPause)
+				failed = min(max(2*failed, rejoinInterval), maxRejoinPause)
 				pause = failed
-			case lost:
-				pause, failed = rejoinEvery/4, 0 // there may be others
+			case unreachable:
+				pause, failed = rejoinInterval/4, 0 // there may be others
 			default:
-				pause = 2 * rejoinEvery
+				pause = 2 * rejoinInterval
 			}
 		}
 		wait(ctx, time.Duration(float64(pause)*(0.75+0.5*g.fleet.random())))
@@ -296,7 +298,7 @@
 	if err != nil {
 		return
 	}
-	g.spread(rec)
+	g.broadcastRecord(rec)
 	var sent sync.WaitGroup
 	few := 0
 	for _, n := range g.list.Members() {
--- a/internal/deliverynode/fleet/greeting.go
+++ b/internal/deliverynode/fleet/greeting.go
@@ -22,23 +22,23 @@
 }
 
 // dial connects, greets, and takes a place for the connection.
-func (f *Fleet) dial(ctx context.Context, to netip.AddrPort, purpose byte) (*framed, error) {
-	transport, life, err := f.open()
+func (f *Fleet) dial(ctx context.Context, to netip.AddrPort, purpose byte) (*framedConn, error) {
+	transport, life, err := f.currentTransport()
 	if err != nil {
 		return nil, err
 	}
-	if !f.place() {
-		return nil, errCrowded
+	if !f.reserveConn() {
+		return nil, errTooManyConns
 	}
 	f.stats.dials.Add(1)
-	ctx, cancel := context.WithTimeout(ctx, greetTime)
+	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
 	raw, err := transport.Dial(ctx, to)
 	if err != nil {
 		<-f.conns
 		return nil, err
 	}
-	conn := f.counted(life, raw)
+	conn := f.trackedConn(life, raw)
 	defer closeWith(ctx, conn)()
 	if err := greet(conn, f.key, purpose); err != nil {
 		_ = conn.Close()
@@ -49,18 +49,18 @@
 		}
 		return nil, err
 	}
-	return &framed{Conn: conn, key: f.key}, nil
+	return &framedConn{Conn: conn, key: f.key}, nil
 }
 
 // hello dials and says who this is.
-func (f *Fleet) hello(ctx context.Context, to netip.AddrPort, name string, candidate bool) (*framed, welcome, error) {
+func (f *Fleet) hello(ctx context.Context, to netip.AddrPort, name string, candidate bool) (*framedConn, welcome, error) {
 	var w welcome
-	conn, err := f.dial(ctx, to, forLink)
+	conn, err := f.dial(ctx, to, purposeLink)
 	if err != nil {
 		return nil, w, err
 	}
 	defer closeWith(ctx, conn)()
-	if err = conn.SetDeadline(time.Now().Add(greetTime)); err == nil {
+	if err = conn.SetDeadline(time.Now().Add(greetTimeout)); err == nil {
 		err = conn.send(hello{f.Self().Record, name, candidate})
 	}
 	if err == nil {
@@ -82,17 +82,17 @@
 		}
 		if err != nil { // no descriptors, say
 			f.options.Log.Debug("fleet: accepting", "err", err)
-			wait(f.ctx, dialLeast)
+			wait(f.ctx, minDialPause)
 			if f.ctx.Err() != nil {
 				return
 			}
 			continue
 		}
-		if !f.place() {
+		if !f.reserveConn() {
 			_ = raw.Close()
 			continue
 		}
-		conn := f.counted(f.ctx, raw)
+		conn := f.trackedConn(f.ctx, raw)
 		f.running.Go(func() { f.accept(conn) })
 	}
 }
@@ -104,24 +104,24 @@
 		switch {
 		case errors.As(err, &version):
 			f.refuse(raw.RemoteAddr().String(), err)
-		case errors.Is(err, errSpoilt):
-			f.stats.spoilt.Add(1)
+		case errors.Is(err, errCorrupt):
+			f.stats.corrupt.Add(1)
 		default:
-			f.stats.strangers.Add(1)
+			f.stats.foreign.Add(1)
 		}
 		f.options.Log.Debug("fleet: a connection", "from", raw.RemoteAddr(), "err", err)
 	}
-	if err := raw.SetDeadline(time.Now().Add(greetTime)); err != nil {
+	if err := raw.SetDeadline(time.Now().Add(greetTimeout)); err != nil {
 		bad(err)
 		return
 	}
-	purpose, err := greeted(raw, f.key)
+	purpose, err := acceptGreeting(raw, f.key)
 	if err != nil {
 		bad(err)
 		return
 	}
-	conn := &framed{Conn: raw, key: f.key}
-	if purpose == forGossip {
+	conn := &framedConn{Conn: raw, key: f.key}
+	if purpose == purposeGossip {
 		f.mu.Lock()
 		g := f.gossip
 		f.mu.Unlock()
@@ -133,7 +133,7 @@
 		case g.streams <- conn: // it has deadlines of its own from here on, and closes it
 		case <-f.ctx.Done():
 			bad(f.ctx.Err())
-		case <-time.After(greetTime):
+		case <-time.After(greetTimeout):
 			bad(errors.New("gossip is busy"))
 		}
 		return
@@ -173,7 +173,7 @@
 		w.Refused = "the name is in use here"
 		if !h.Candidate && f.gossip != nil {
 			f.claim.Rival = h.Self.Address
-			f.rouse()
+			f.wakeSession()
 		}
 	case h.Candidate:
 	case w.Known.Name != "" && h.Self.Incarnation <= max(w.Known.Removed, w.Known.Left):
@@ -184,7 +184,7 @@
 		w.Refused = "not joined"
 	default:
 		l := f.link(h.Self.Name)
-		if l.mine(h.Self) {
+		if l.keepsOwn(h.Self) {
 			w.Refused = "a link from here stands or is on its way"
 			return w, nil
 		}
--- a/internal/deliverynode/fleet/link.go
+++ b/internal/deliverynode/fleet/link.go
@@ -14,14 +14,14 @@
 	// maxHello bounds the first frame of a link, which may be anybody's.
 	maxHello = 1 << 10
 	// writeTime is how long a frame may take to go out.
-	writeTime = 2 * time.Second
+	writeTimeout = 2 * time.Second
 	// idleTime is how long a link that nobody uses stays.
-	idleTime = 60 * time.Second
+	idleTimeout = 60 * time.Second
 	// requestTime is a question's time where its asker names none.
-	requestTime = 2 * time.Second
+	defaultRequestTimeout = 2 * time.Second
 	// answering bounds the questions of one member that are being answered.
-	answering    = 64
-	dialLeast    = 100 * time.Millisecond
+	maxAnswering = 64
+	minDialPause = 100 * time.Millisecond
 	maxDialPause = 5 * time.Second
 )
 
@@ -34,16 +34,16 @@
 	ctx   context.Context
 	end   context.CancelFunc
 
-	mu       sync.Mutex
-	peer     *peer
-	conn     *framed
-	theirs   Record // who is at the other end
-	dialling bool
-	used     time.Duration
-	ackUpTo  uint64
-	answers  []frame
-	open     int // questions that are being answered, or whose answer waits
-	ended    bool
+	mu           sync.Mutex
+	peer         *peer
+	conn         *framedConn
+	remote       Record // who is at the other end
+	dialling     bool
+	lastUsed     time.Duration
+	ackUpTo      uint64
+	answers      []frame
+	openRequests int // questions that are being answered, or whose answer waits
+	ended        bool
 }
 
 // link is the one with a member; f.mu is held. It is ended when it was not used for long.
@@ -51,14 +51,14 @@
 	if l := f.links[name]; l != nil {
 		return l
 	}
-	l := &link{fleet: f, name: name, wake: make(chan struct{}, 1), peer: newPeer(), used: f.options.Clock()}
+	l := &link{fleet: f, name: name, wake: make(chan struct{}, 1), peer: newPeer(), lastUsed: f.options.Clock()}
 	l.ctx, l.end = context.WithCancel(f.ctx)
 	f.links[name] = l
 	f.running.Go(l.run)
 	return l
 }
 
-func (l *link) rouse() {
+func (l *link) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -69,22 +69,22 @@
 
 // mine tells whether this side's own link stands: of two that dial at the same time the one
 // with the lower name wins. A link that the other side no longer knows is looked after.
-func (l *link) mine(them Record) bool {
+func (l *link) keepsOwn(them Record) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fleet.options.Name > l.name {
 		return false
 	}
-	if l.conn != nil && l.theirs.Start == them.Start {
+	if l.conn != nil && l.remote.Start == them.Start {
 		_ = l.peer.enqueue("", "", nil, l.now()) // if nothing comes back, it is broken
-		l.rouse()
+		l.wakeUp()
 		return true
 	}
 	return l.conn == nil && l.dialling
 }
 
 // attach makes a connection the link's.
-func (l *link) attach(conn *framed, them Record) {
+func (l *link) attach(conn *framedConn, them Record) {
 	l.mu.Lock()
 	if l.ended {
 		l.mu.Unlock()
@@ -92,31 +92,31 @@
 		return
 	}
 	ends := l.detach()
-	l.conn, l.theirs, l.used, l.ackUpTo = conn, them, l.now(), 0
+	l.conn, l.remote, l.lastUsed, l.ackUpTo = conn, them, l.now(), 0
 	l.peer.connected()
 	l.mu.Unlock()
 	for _, end := range ends {
 		end()
 	}
 	l.fleet.running.Go(func() { l.read(conn, Peer{them.Name, them.Incarnation}) })
-	l.rouse()
+	l.wakeUp()
 }
 
 // detach lets go of the connection; l.mu is held.
-func (l *link) detach() []done {
+func (l *link) detach() []callback {
 	if l.conn == nil {
 		return nil
 	}
 	_ = l.conn.Close()
-	l.open -= len(l.answers)
+	l.openRequests -= len(l.answers)
 	l.conn, l.answers = nil, nil
-	return l.peer.broken()
+	return l.peer.disconnected()
 }
 
 // lost is told by whoever finds that a connection is broken.
-func (l *link) lost(conn *framed, err error) {
+func (l *link) fail(conn *framedConn, err error) {
 	l.mu.Lock()
-	var ends []done
+	var ends []callback
 	if l.conn == conn {
 		ends = l.detach()
 		l.fleet.options.Log.Debug("fleet: link", "with", l.name, "err", err)
@@ -126,7 +126,7 @@
 	for _, end := range ends {
 		end()
 	}
-	l.rouse()
+	l.wakeUp()
 }
 
 // close ends the link for good.
@@ -134,7 +134,7 @@
 	l.mu.Lock()
 	l.ended = true
 	ends := l.detach()
-	ends = append(ends, l.peer.closed()...)
+	ends = append(ends, l.peer.closeAll()...)
 	l.mu.Unlock()
 	l.end()
 	for _, end := range ends {
@@ -155,20 +155,20 @@
 			ends = append(ends, l.detach()...)
 			conn = nil
 		}
-		wants := l.peer.wants()
-		idle := now-l.used > idleTime && !wants && l.open == 0
+		hasUnsent := l.peer.hasUnsent()
+		idle := now-l.lastUsed > idleTimeout && !hasUnsent && l.openRequests == 0
 		if conn != nil && idle {
 			ends = append(ends, l.detach()...)
 			conn = nil
 		}
-		due, timed := l.peer.due()
+		nextDeadline, timed := l.peer.nextDeadline()
 		l.mu.Unlock()
 		for _, end := range ends {
 			end()
 		}
 		switch {
 		case conn == nil && idle:
-			if l.retire() {
+			if l.closeIfIdle() {
 				return
 			}
 		case conn != nil:
@@ -176,19 +176,19 @@
 			if l.write(conn) {
 				continue
 			}
-		case wants && now >= dialAt:
+		case hasUnsent && now >= dialAt:
 			if l.dial() {
 				continue
 			}
-			pause = min(max(2*pause, dialLeast), maxDialPause)
+			pause = min(max(2*pause, minDialPause), maxDialPause)
 			dialAt = l.now() + time.Duration(float64(pause)*(0.75+0.5*l.fleet.random()))
 			continue
 		}
-		next := idleTime
+		next := idleTimeout
 		if timed {
-			next = min(next, due-l.now())
+			next = min(next, nextDeadline-l.now())
 		}
-		if conn == nil && wants {
+		if conn == nil && hasUnsent {
 			next = min(next, dialAt-l.now())
 		}
 		t := time.NewTimer(max(next, time.Millisecond))
@@ -202,12 +202,12 @@
 }
 
 // retire ends a link that nobody uses.
-func (l *link) retire() bool {
+func (l *link) closeIfIdle() bool {
 	l.fleet.mu.Lock()
 	defer l.fleet.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.conn != nil || l.peer.wants() || len(l.peer.asks) > 0 || l.fleet.links[l.name] != l {
+	if l.conn != nil || l.peer.hasUnsent() || len(l.peer.requests) > 0 || l.fleet.links[l.name] != l {
 		return false
 	}
 	delete(l.fleet.links, l.name)
@@ -217,7 +217,7 @@
 }
 
 // write writes one frame; false: there is none.
-func (l *link) write(conn *framed) bool {
+func (l *link) write(conn *framedConn) bool {
 	l.mu.Lock()
 	var out frame
 	ok := false
@@ -229,22 +229,22 @@
 	case len(l.answers) > 0:
 		out, ok = l.answers[0], true
 		l.answers = l.answers[1:]
-		l.open--
+		l.openRequests--
 	default:
-		if out, ok = l.peer.next(l.now()); ok {
-			l.used = l.now()
+		if out, ok = l.peer.nextFrame(l.now()); ok {
+			l.lastUsed = l.now()
 		}
 	}
 	l.mu.Unlock()
 	if !ok {
 		return false
 	}
-	err := conn.SetWriteDeadline(time.Now().Add(writeTime))
+	err := conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err == nil {
 		err = conn.send(out)
 	}
 	if err != nil {
-		l.lost(conn, err)
+		l.fail(conn, err)
 	}
 	return true
 }
@@ -272,7 +272,7 @@
 	came := l.conn != nil
 	l.mu.Unlock()
 	if err == nil {
-		l.fleet.meet(w)
+		l.fleet.mergeWelcome(w)
 		switch {
 		case w.Refused != "":
 			err = RefusedError(w.Refused)
@@ -295,85 +295,85 @@
 }
 
 // read takes frames until the connection breaks.
-func (l *link) read(conn *framed, from Peer) {
+func (l *link) read(conn *framedConn, from Peer) {
 	for {
 		var in frame
 		err := conn.receive(&in, maxFrame)
 		if err == nil {
-			err = l.got(conn, from, in)
+			err = l.handleFrame(conn, from, in)
 		}
 		if err != nil {
-			if errors.Is(err, errSpoilt) {
-				l.fleet.stats.spoilt.Add(1)
+			if errors.Is(err, errCorrupt) {
+				l.fleet.stats.corrupt.Add(1)
 			}
 			if errors.Is(err, io.EOF) {
 				err = errors.New("the other side has closed")
 			}
-			l.lost(conn, err)
+			l.fail(conn, err)
 			return
 		}
 	}
 }
 
-func (l *link) got(conn *framed, from Peer, in frame) error {
+func (l *link) handleFrame(conn *framedConn, from Peer, in frame) error {
 	switch in.Type {
-	case frameNews:
-		if hear := l.fleet.onNews[in.Kind]; hear != nil {
+	case frameUpdate:
+		if hear := l.fleet.updateHandlers[in.Kind]; hear != nil {
 			hear(from, in.Key, in.Age, in.Body)
 		}
 		l.mu.Lock()
 		if l.conn == conn {
-			l.ackUpTo, l.used = max(l.ackUpTo, in.ID), l.now()
+			l.ackUpTo, l.lastUsed = max(l.ackUpTo, in.ID), l.now()
 		}
 		l.mu.Unlock()
-		l.rouse()
+		l.wakeUp()
 	case frameAsk:
-		l.asked(conn, from, in)
+		l.handleRequest(conn, from, in)
 	case frameAck, frameAnswer:
 		l.mu.Lock()
-		var ends []done
+		var ends []callback
 		if l.conn == conn {
-			ends, l.used = l.peer.got(in, l.now()), l.now()
+			ends, l.lastUsed = l.peer.handleFrame(in, l.now()), l.now()
 		}
 		l.mu.Unlock()
 		for _, end := range ends {
 			end()
 		}
 	default:
-		return fmt.Errorf("%w: a frame of type %d", errSpoilt, in.Type)
+		return fmt.Errorf("%w: a frame of type %d", errCorrupt, in.Type)
 	}
 	return nil
 }
 
 // asked answers a question, beside others.
-func (l *link) asked(conn *framed, from Peer, in frame) {
+func (l *link) handleRequest(conn *framedConn, from Peer, in frame) {
 	answer := func(body []byte, err error) {
 		out := frame{Type: frameAnswer, ID: in.ID, Body: body}
 		if err != nil {
-			out.Body, out.No = nil, err.Error()
+			out.Body, out.ErrorText = nil, err.Error()
 		}
 		l.mu.Lock()
 		if l.conn == conn {
 			l.answers = append(l.answers, out)
 		} else {
-			l.open--
+			l.openRequests--
 		}
 		l.mu.Unlock()
-		l.rouse()
+		l.wakeUp()
 	}
 	l.mu.Lock()
-	l.used = l.now()
-	busy := l.open >= answering
-	l.open++
-	full := l.open > 2*answering
+	l.lastUsed = l.now()
+	busy := l.openRequests >= maxAnswering
+	l.openRequests++
+	full := l.openRequests > 2*maxAnswering
 	l.mu.Unlock()
-	handle := l.fleet.onAsk[in.Kind]
+	handle := l.fleet.requestHandlers[in.Kind]
 	switch {
 	case full: // it asks, and reads no answers
 		l.mu.Lock()
-		l.open--
+		l.openRequests--
 		l.mu.Unlock()
-		l.lost(conn, errors.New("it reads no answers"))
+		l.fail(conn, errors.New("it reads no answers"))
 	case busy:
 		answer(nil, errors.New("too many questions at once"))
 	case handle == nil:
@@ -394,7 +394,7 @@
 }
 
 // reach is the link with a member that is not gone.
-func (f *Fleet) reach(name string) (*link, error) {
+func (f *Fleet) linkTo(name string) (*link, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m, there := f.table.Member(name); !there || m.State.Departed() || name == f.options.Name || f.gossip == nil {
@@ -405,7 +405,7 @@
 
 // Tell is Net's.
 func (f *Fleet) Tell(to, kind, key string, body []byte) error {
-	l, err := f.reach(to)
+	l, err := f.linkTo(to)
 	if err != nil {
 		return err
 	}
@@ -415,22 +415,22 @@
 		return fmt.Errorf("%w: %s", ErrUnknown, to)
 	}
 	err = l.peer.enqueue(kind, key, body, l.now())
-	l.rouse()
+	l.wakeUp()
 	return err
 }
 
 // Ask is Net's.
 func (f *Fleet) Ask(ctx context.Context, to, kind string, body []byte) ([]byte, error) {
-	l, err := f.reach(to)
+	l, err := f.linkTo(to)
 	if err != nil {
 		return nil, err
 	}
-	within := requestTime
+	within := defaultRequestTimeout
 	if at, ok := ctx.Deadline(); ok {
 		within = time.Until(at)
 	} else {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, requestTime)
+		ctx, cancel = context.WithTimeout(ctx, defaultRequestTimeout)
 		defer cancel()
 	}
 	type answer struct {
@@ -438,24 +438,24 @@
 		err  error
 	}
 	got := make(chan answer, 1)
-	q := &question{kind: kind, body: body, until: l.now() + within, answered: func(b []byte, err error) { got <- answer{b, err} }}
+	q := &request{kind: kind, body: body, deadline: l.now() + within, onDone: func(b []byte, err error) { got <- answer{b, err} }}
 	l.mu.Lock()
 	if l.ended {
 		err = fmt.Errorf("%w: %s", ErrUnknown, to)
 	} else {
-		err = l.peer.ask(q)
+		err = l.peer.enqueueRequest(q)
 	}
 	l.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	l.rouse()
+	l.wakeUp()
 	select {
 	case a := <-got:
 		return a.body, a.err
 	case <-ctx.Done():
 		l.mu.Lock()
-		end := l.peer.withdraw(q.id)
+		end := l.peer.cancelRequest(q.id)
 		l.mu.Unlock()
 		if end != nil {
 			end()
--- a/internal/deliverynode/fleet/members.go
+++ b/internal/deliverynode/fleet/members.go
@@ -6,13 +6,13 @@
 )
 
 // learn steps the table and tells what changed.
-func (f *Fleet) learn(step func(t *Table, now time.Duration) []Change) {
-	f.inOrder.Lock()
-	defer f.inOrder.Unlock()
+func (f *Fleet) updateTable(step func(t *Table, now time.Duration) []Change) {
+	f.notifyMu.Lock()
+	defer f.notifyMu.Unlock()
 	f.mu.Lock()
 	changes := step(f.table, f.options.Clock())
 	if len(changes) > 0 {
-		f.news = f.options.Clock()
+		f.lastChange = f.options.Clock()
 	}
 	var over []*link
 	for _, c := range changes {
@@ -31,7 +31,7 @@
 func (f *Fleet) notifyChanges(changes []Change) {
 	for _, c := range changes {
 		f.options.Log.Info("fleet: member", "name", c.Name, "incarnation", c.Incarnation, "was", c.From, "is", c.To)
-		for _, hear := range f.onChange {
+		for _, hear := range f.changeHandlers {
 			hear(c)
 		}
 	}
@@ -39,10 +39,10 @@
 
 // mergeRecords takes in words; those that it returns were new, and others should hear them.
 func (f *Fleet) mergeRecords(w gossipRecords) (fresh []Record) {
-	f.learn(func(t *Table, now time.Duration) (all []Change) {
+	f.updateTable(func(t *Table, now time.Duration) (all []Change) {
 		for _, rec := range w.Records {
 			if rec.Name == f.options.Name {
-				f.judge(rec)
+				f.addClaim(rec)
 			}
 			before, known := t.Member(rec.Name)
 			all = append(all, t.Merge(rec, now)...)
@@ -57,13 +57,13 @@
 }
 
 // known is all that others may know.
-func (f *Fleet) known() gossipRecords {
+func (f *Fleet) fullState() gossipRecords {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return gossipRecords{f.table.Records(), f.table.Sightings(f.options.Clock())}
 }
 
-func (f *Fleet) current() int {
+func (f *Fleet) currentCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Current()
@@ -95,7 +95,7 @@
 func (f *Fleet) Remove(name string) error {
 	var rec Record
 	var ok bool
-	f.learn(func(t *Table, now time.Duration) (all []Change) {
+	f.updateTable(func(t *Table, now time.Duration) (all []Change) {
 		rec, all, ok = t.Remove(name, now)
 		return all
 	})
@@ -106,7 +106,7 @@
 	g := f.gossip
 	f.mu.Unlock()
 	if g != nil {
-		g.spread(rec)
+		g.broadcastRecord(rec)
 	}
 	return nil
 }
--- a/internal/deliverynode/fleet/peer_test.go
+++ b/internal/deliverynode/fleet/peer_test.go
@@ -9,15 +9,15 @@
 
 // model is a real peer core, a link, and what the other side has seen.
 type model struct {
-	p       *peer
-	now     time.Duration
-	wire    []frame // on its way, in order
-	back    []frame
-	heard   int // the newest value that the other side has of the one key
-	told    int
-	handled map[string]int
-	ended   map[string][]error
-	asks    int
+	p        *peer
+	now      time.Duration
+	wire     []frame // on its way, in order
+	back     []frame
+	received int // the newest value that the other side has of the one key
+	sent     int
+	handled  map[string]int
+	ended    map[string][]error
+	requests int
 }
 
 // The events of the model. A link that breaks takes with it whatever is on its way, or, where
@@ -25,32 +25,32 @@
 var modelEvents = []string{"tell", "ask", "write", "arrive", "return", "break", "connect", "late", "withdraw"}
 
 func (m *model) step(event string) bool {
-	run := func(ends []done) {
+	run := func(ends []callback) {
 		for _, end := range ends {
 			end()
 		}
 	}
 	switch event {
 	case "tell":
-		if m.told >= 2 {
+		if m.sent >= 2 {
 			return false
 		}
-		m.told++
-		if err := m.p.enqueue("k", "x", []byte{byte(m.told)}, m.now); err != nil {
+		m.sent++
+		if err := m.p.enqueue("k", "x", []byte{byte(m.sent)}, m.now); err != nil {
 			panic(err)
 		}
 	case "ask":
-		if m.asks >= 2 {
+		if m.requests >= 2 {
 			return false
 		}
-		m.asks++
-		name := fmt.Sprint("q", m.asks)
-		q := &question{kind: "k", body: []byte(name), until: m.now + time.Second, answered: func(_ []byte, err error) { m.ended[name] = append(m.ended[name], err) }}
-		if err := m.p.ask(q); err != nil {
+		m.requests++
+		name := fmt.Sprint("q", m.requests)
+		q := &request{kind: "k", body: []byte(name), deadline: m.now + time.Second, onDone: func(_ []byte, err error) { m.ended[name] = append(m.ended[name], err) }}
+		if err := m.p.enqueueRequest(q); err != nil {
 			panic(err)
 		}
 	case "write":
-		f, ok := m.p.next(m.now)
+		f, ok := m.p.nextFrame(m.now)
 		if !ok {
 			return false
 		}
@@ -65,7 +65,7 @@
 			m.handled[string(f.Body)]++
 			m.back = append(m.back, frame{Type: frameAnswer, ID: f.ID})
 		} else {
-			m.heard = int(f.Body[0])
+			m.received = int(f.Body[0])
 			m.back = append(m.back, frame{Type: frameAck, ID: f.ID})
 		}
 	case "return":
@@ -74,13 +74,13 @@
 		}
 		f := m.back[0]
 		m.back = m.back[1:]
-		run(m.p.got(f, m.now))
+		run(m.p.handleFrame(f, m.now))
 	case "break":
 		if !m.p.up {
 			return false
 		}
 		m.wire, m.back = nil, nil
-		run(m.p.broken())
+		run(m.p.disconnected())
 	case "connect":
 		if m.p.up {
 			return false
@@ -92,13 +92,13 @@
 		run(ends)
 		if stuck {
 			m.wire, m.back = nil, nil
-			run(m.p.broken())
+			run(m.p.disconnected())
 		}
 	case "withdraw":
-		if len(m.p.asks) == 0 {
+		if len(m.p.requests) == 0 {
 			return false
 		}
-		run([]done{m.p.withdraw(m.p.asks[0].id)})
+		run([]callback{m.p.cancelRequest(m.p.requests[0].id)})
 	}
 	return true
 }
@@ -134,16 +134,16 @@
 			break
 		}
 	}
-	if m.heard != m.told {
-		return fmt.Errorf("the other side has %d, %d was the last", m.heard, m.told)
+	if m.received != m.sent {
+		return fmt.Errorf("the other side has %d, %d was the last", m.received, m.sent)
 	}
 	m.step("late")
 	m.step("late")
 	if err := m.check(); err != nil {
 		return err
 	}
-	if len(m.ended) != m.asks || m.p.bytes != 0 || len(m.p.news) != 0 || len(m.p.order) != 0 {
-		return fmt.Errorf("%d of %d questions ended, %d bytes and %d news are left", len(m.ended), m.asks, m.p.bytes, len(m.p.news))
+	if len(m.ended) != m.requests || m.p.bytes != 0 || len(m.p.pending) != 0 || len(m.p.order) != 0 {
+		return fmt.Errorf("%d of %d questions ended, %d bytes and %d news are left", len(m.ended), m.requests, m.p.bytes, len(m.p.pending))
 	}
 	return nil
 }
@@ -194,15 +194,15 @@
 	if err := p.enqueue("k", "3", big, 0); err != nil {
 		t.Error("a newer one of the same key needs no further room:", err)
 	}
-	if err := p.ask(&question{body: big}); !errors.Is(err, ErrQueueFull) {
+	if err := p.enqueueRequest(&request{body: big}); !errors.Is(err, ErrQueueFull) {
 		t.Error(err)
 	}
-	if p.Dropped != 11 || p.bytes > maxWaiting {
+	if p.Dropped != 11 || p.bytes > maxQueuedBytes {
 		t.Error(p.Dropped, p.bytes)
 	}
 	p = newPeer()
 	for i := range maxOutstanding + 1 {
-		if err := p.ask(&question{}); errors.Is(err, ErrQueueFull) != (i == maxOutstanding) {
+		if err := p.enqueueRequest(&request{}); errors.Is(err, ErrQueueFull) != (i == maxOutstanding) {
 			t.Fatal(i, err)
 		}
 	}
--- a/internal/deliverynode/fleet/session.go
+++ b/internal/deliverynode/fleet/session.go
@@ -29,7 +29,7 @@
 	id.Incarnation = max(id.Incarnation, f.id.Incarnation) + 1
 	if err := id.save(f.options.Folder); err != nil {
 		f.options.Log.Error("fleet: not joined, tried again", "err", errors.Join(err, transport.Close()))
-		f.stand(Waiting, err.Error())
+		f.setState(Waiting, err.Error())
 		return nil
 	}
 	f.mu.Lock()
@@ -43,16 +43,16 @@
 func (f *Fleet) Run(ctx context.Context, leave func() bool) {
 	for ctx.Err() == nil {
 		if err := f.Prepare(); err != nil {
-			f.stand(Waiting, err.Error())
+			f.setState(Waiting, err.Error())
 			f.options.Log.Error("fleet: not joined, tried again", "err", err)
 		}
 		if f.transport == nil {
-			wait(ctx, againAfter)
+			wait(ctx, retryDelay)
 			continue
 		}
 		f.session(ctx, leave)
 	}
-	f.stand(Ended, "")
+	f.setState(Ended, "")
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (f *Fleet) stand(state, why string) {
+func (f *Fleet) setState(state, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.state, f.why = state, why
@@ -98,23 +98,23 @@
 	f.queryName(ctx)
 	for ctx.Err() == nil {
 		if !f.resolveClaim(ctx) { // somebody has the name
-			wait(ctx, rivalEvery)
+			wait(ctx, rivalCheckInterval)
 			f.queryName(ctx) // outside nobody else tells of a removal
 			continue
 		}
 		g, err := f.startGossip()
 		if err != nil {
-			f.stand(Waiting, err.Error())
+			f.setState(Waiting, err.Error())
 			f.options.Log.Error("fleet: not joined, tried again", "err", err)
-			wait(ctx, againAfter)
+			wait(ctx, retryDelay)
 			continue
 		}
-		f.follow(ctx, g, leave)
+		f.runJoined(ctx, g, leave)
 	}
 }
 
 // follow takes part in gossip until the context ends or the name turns out to be another's too.
-func (f *Fleet) follow(ctx context.Context, g *gossip, leave func() bool) {
+func (f *Fleet) runJoined(ctx context.Context, g *gossip, leave func() bool) {
 	life, end := context.WithCancel(f.ctx)
 	f.mu.Lock()
 	f.gossip, f.state, f.why = g, Joined, ""
@@ -123,31 +123,31 @@
 	var meeting sync.WaitGroup
 	meeting.Go(func() { g.rejoin(life) })
 	working, rest := context.WithCancel(f.ctx)
-	var parts sync.WaitGroup
-	for _, run := range f.parts {
-		parts.Go(func() { run(working) })
+	var joinedTasks sync.WaitGroup
+	for _, run := range f.joinedTasks {
+		joinedTasks.Go(func() { run(working) })
 	}
 	fenced := false
 	for ctx.Err() == nil && !fenced {
 		select {
-		case <-f.changed:
+		case <-f.claimPending:
 			if !f.resolveClaim(ctx) {
 				fenced = true
 				break
 			}
-			if err := g.list.UpdateNode(streamTime); err != nil {
+			if err := g.list.UpdateNode(streamTimeout); err != nil {
 				f.options.Log.Debug("fleet: telling of an incarnation", "err", err)
 			}
-			wait(ctx, raiseEvery)
+			wait(ctx, minRaiseInterval)
 		case <-ctx.Done():
 		}
 	}
 	rest()
-	parts.Wait()
+	joinedTasks.Wait()
 	if !fenced && leave() {
 		rec := f.Self().Record
 		rec.Left = rec.Incarnation
-		g.leave(rec, leaveTime)
+		g.leave(rec, leaveTimeout)
 	}
 	f.mu.Lock()
 	f.gossip = nil
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -39,19 +39,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 6, 2)
 		w.startAll()
-		w.await(healTime, "a fleet", func() bool { return w.whole(upTo(6)...) })
+		w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(upTo(6)...) })
 		before := w.nodes[0].Self().Incarnation
 		w.net.Apply(faults.Pattern{What: faults.Split})
-		w.await(60*time.Second, "suspicion", func() bool { return w.sees(0, 3) == fleet.Suspect && w.sees(5, 0) == fleet.Suspect })
+		w.await(60*time.Second, "suspicion", func() bool { return w.stateSeen(0, 3) == fleet.Suspect && w.stateSeen(5, 0) == fleet.Suspect })
 		for j := range 3 {
 			if err := errors.Join(w.nodes[0].Remove(w.nodes[3+j].name), w.nodes[5].Remove(w.nodes[j].name)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		w.await(10*time.Second, "removed on both sides", func() bool { return w.sees(1, 4) == fleet.Removed && w.sees(4, 1) == fleet.Removed })
+		w.await(10*time.Second, "removed on both sides", func() bool { return w.stateSeen(1, 4) == fleet.Removed && w.stateSeen(4, 1) == fleet.Removed })
 		time.Sleep(30 * time.Second)
 		w.net.Heal()
-		w.await(healTime, "all together again", func() bool { return w.whole(upTo(6)...) })
+		w.await(convergenceTimeout, "all together again", func() bool { return w.converged(upTo(6)...) })
 		n := w.nodes[0]
 		if now := n.Self().Incarnation; now <= before {
 			t.Errorf("incarnation %d after %d", now, before)
@@ -74,22 +74,22 @@
 			w.start(i)
 		}
 		old := t.TempDir()
-		w.await(healTime, "a fleet", func() bool { return w.whole(0, 1, 2, 3) })
+		w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1, 2, 3) })
 		if err := os.CopyFS(old, os.DirFS(w.nodes[3].dir)); err != nil {
 			t.Fatal(err)
 		}
 		for range 3 {
 			w.kill(3)
 			w.start(3)
-			w.await(healTime, "it is back", func() bool { return w.whole(0, 1, 2, 3) })
+			w.await(convergenceTimeout, "it is back", func() bool { return w.converged(0, 1, 2, 3) })
 		}
 		was := w.nodes[3].Self().Incarnation
 		for _, dir := range []string{old, t.TempDir()} {
 			w.kill(3)
 			w.nodes[3].dir = dir
 			w.start(3)
-			w.await(healTime, "it is back under a later incarnation", func() bool {
-				return w.whole(0, 1, 2, 3) && w.nodes[3].Self().Incarnation > was
+			w.await(convergenceTimeout, "it is back under a later incarnation", func() bool {
+				return w.converged(0, 1, 2, 3) && w.nodes[3].Self().Incarnation > was
 			})
 			was = w.nodes[3].Self().Incarnation
 		}
@@ -105,16 +105,16 @@
 			t.Fatal(err)
 		}
 		w.start(4)
-		w.await(healTime, "the copy is refused", func() bool { return w.nodes[4].Status().State == fleet.Outside })
+		w.await(convergenceTimeout, "the copy is refused", func() bool { return w.nodes[4].Status().State == fleet.Outside })
 		time.Sleep(time.Minute)
-		if s := w.nodes[3].Status(); s.State != fleet.Joined || s.Incarnation != was || !w.whole(0, 1, 2, 3) {
+		if s := w.nodes[3].Status(); s.State != fleet.Joined || s.Incarnation != was || !w.converged(0, 1, 2, 3) {
 			t.Errorf("the first is harmed: %+v", s)
 		}
 		if s := w.nodes[4].Status(); s.State != fleet.Outside || !strings.Contains(s.Why, at3) {
 			t.Errorf("the copy: %+v", s)
 		}
 		w.kill(3)
-		w.await(time.Minute, "the copy comes in", func() bool { return w.nodes[4].Status().State == fleet.Joined && w.whole(0, 1, 2, 4) })
+		w.await(time.Minute, "the copy comes in", func() bool { return w.nodes[4].Status().State == fleet.Joined && w.converged(0, 1, 2, 4) })
 	})
 }
 
@@ -133,22 +133,22 @@
 		w.file.Nodes[2].Address = w.net.Address(5).String()
 		w.nodes[5].name = w.nodes[2].name
 		w.start(5)
-		w.await(healTime, "two halves", func() bool { return w.whole(0, 1, 2) && w.whole(3, 4, 5) })
+		w.await(convergenceTimeout, "two halves", func() bool { return w.converged(0, 1, 2) && w.converged(3, 4, 5) })
 		was := w.nodes[2].Self().Incarnation
 		if err := w.nodes[3].Remove(w.nodes[5].name); err != nil { // the other's word is also about the first
 			t.Fatal(err)
 		}
-		w.await(healTime, "the other is in again", func() bool { return w.whole(3, 4, 5) && w.nodes[5].Self().Incarnation > was })
+		w.await(convergenceTimeout, "the other is in again", func() bool { return w.converged(3, 4, 5) && w.nodes[5].Self().Incarnation > was })
 		w.net.Heal()
 		w.await(time.Minute, "both outside", func() bool {
 			return w.nodes[2].Status().State == fleet.Outside && w.nodes[5].Status().State == fleet.Outside
 		})
-		w.await(healTime, "the others are one", func() bool { return w.whole(0, 1, 3, 4) })
-		if s := w.sees(0, 2); s.Departed() {
+		w.await(convergenceTimeout, "the others are one", func() bool { return w.converged(0, 1, 3, 4) })
+		if s := w.stateSeen(0, 2); s.Departed() {
 			t.Errorf("the name is %s, and nobody said so", s)
 		}
 		w.kill(5)
-		w.await(2*time.Minute, "the other comes in", func() bool { return w.whole(0, 1, 2, 3, 4) })
+		w.await(2*time.Minute, "the other comes in", func() bool { return w.converged(0, 1, 2, 3, 4) })
 		n := w.nodes[2]
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -181,17 +181,17 @@
 		w.file.Nodes[1].Address = w.net.Address(3).String()
 		w.nodes[3].name = n.name
 		w.start(3)
-		w.await(healTime, "two halves", func() bool { return w.whole(0, 1) && w.whole(2, 3) })
+		w.await(convergenceTimeout, "two halves", func() bool { return w.converged(0, 1) && w.converged(2, 3) })
 		w.net.Heal()
 		w.await(time.Minute, "both outside", func() bool {
 			return n.Status().State == fleet.Outside && w.nodes[3].Status().State == fleet.Outside
 		})
-		w.await(healTime, "the others are one", func() bool { return w.whole(0, 2) })
+		w.await(convergenceTimeout, "the others are one", func() bool { return w.converged(0, 2) })
 		if err := w.nodes[2].Remove(n.name); err != nil {
 			t.Fatal(err)
 		}
 		w.kill(3)
-		w.await(2*time.Minute, "it comes in", func() bool { return w.whole(0, 1, 2) })
+		w.await(2*time.Minute, "it comes in", func() bool { return w.converged(0, 1, 2) })
 		if !toldAtStart.Load() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -208,20 +208,20 @@
 		for i := 1; i < 5; i++ {
 			w.start(i)
 		}
-		w.await(healTime, "a fleet without its first seed", func() bool { return w.whole(1, 2, 3, 4) })
+		w.await(convergenceTimeout, "a fleet without its first seed", func() bool { return w.converged(1, 2, 3, 4) })
 		w.net.Set(3, 4, faults.Fault{Cut: true})
 		for range 120 {
 			time.Sleep(time.Second)
 			for _, i := range []int{1, 2, 3, 4} {
 				for _, j := range []int{1, 2, 3, 4} {
-					if w.sees(i, j).Departed() {
+					if w.stateSeen(i, j).Departed() {
 						t.Fatalf("%d sees %d as gone", i, j)
 					}
 				}
 			}
 		}
 		w.net.Heal()
-		w.await(healTime, "all again", func() bool { return w.whole(1, 2, 3, 4) })
+		w.await(convergenceTimeout, "all again", func() bool { return w.converged(1, 2, 3, 4) })
 		if n := w.nodes[1].Count(); n != 4 {
 			t.Errorf("counted %d", n)
 		}
@@ -236,18 +236,18 @@
 		for i := range 8 {
 			w.start(i)
 		}
-		w.await(healTime, "a fleet", func() bool { return w.whole(upTo(8)...) })
+		w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(upTo(8)...) })
 		w.net.Apply(faults.Pattern{What: faults.Split, Parts: 3})
 		time.Sleep(10 * time.Minute)
 		w.start(8)
-		w.await(healTime, "one more, in the last part", func() bool { return w.sees(7, 8) == fleet.Alive })
+		w.await(convergenceTimeout, "one more, in the last part", func() bool { return w.stateSeen(7, 8) == fleet.Alive })
 		for i, want := range map[int]int{0: 8, 4: 8, 7: 9, 8: 9} {
 			if n := w.nodes[i].Count(); n != want {
 				t.Errorf("%d counts %d, want %d", i, n, want)
 			}
 		}
 		w.net.Heal()
-		w.await(healTime, "all", func() bool { return w.whole(upTo(9)...) })
+		w.await(convergenceTimeout, "all", func() bool { return w.converged(upTo(9)...) })
 	})
 }
 
@@ -258,17 +258,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := simulated(t, 6, 2)
 				w.startAll()
-				w.await(healTime, "a fleet", func() bool { return w.whole(upTo(6)...) })
+				w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(upTo(6)...) })
 				for began := time.Now(); time.Since(began) < 2*time.Minute; {
 					w.net.Apply(faults.Pattern{What: faults.Split})
 					time.Sleep(period)
 					w.net.Heal()
 					time.Sleep(period)
-					if s := w.sees(0, 5); s.Departed() {
+					if s := w.stateSeen(0, 5); s.Departed() {
 						t.Fatal(s)
 					}
 				}
-				w.await(healTime, "all", func() bool { return w.whole(upTo(6)...) })
+				w.await(convergenceTimeout, "all", func() bool { return w.converged(upTo(6)...) })
 			})
 		})
 	}
@@ -278,13 +278,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 4, 2)
 		w.startAll()
-		w.await(healTime, "a fleet", func() bool { return w.whole(upTo(4)...) })
+		w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(upTo(4)...) })
 		for range 50 { // all within the time that a suspicion takes
 			w.kill(3)
 			w.start(3)
 			time.Sleep(50 * time.Millisecond)
 		}
-		w.await(healTime, "all", func() bool { return w.whole(upTo(4)...) })
+		w.await(convergenceTimeout, "all", func() bool { return w.converged(upTo(4)...) })
 		if inc := w.nodes[3].Self().Incarnation; inc < 51 {
 			t.Errorf("incarnation %d", inc)
 		}
@@ -323,7 +323,7 @@
 							heard.Store(v)
 						})
 					})
-					w.await(healTime, "a fleet", func() bool { return w.whole(0, 1) })
+					w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1) })
 					from, to := 0, 1
 					if way == "back" {
 						from, to = 1, 0
@@ -382,7 +382,7 @@
 					asked.Wait()
 					t.Log(outcomes)
 					w.net.Heal()
-					w.await(healTime, "the last news", func() bool { return heard.Load() == 59 })
+					w.await(convergenceTimeout, "the last news", func() bool { return heard.Load() == 59 })
 					handled.Range(func(id, n any) bool {
 						if n := n.(*atomic.Int64).Load(); n > 1 {
 							t.Errorf("%s was handled %d times", id, n)
@@ -405,7 +405,7 @@
 					f.OnAsk("q", func(context.Context, fleet.Peer, []byte) ([]byte, error) { return []byte("a"), nil })
 				})
 			}
-			w.await(healTime, "a fleet", func() bool { return w.whole(0, 1) })
+			w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1) })
 			w.net.Apply(faults.Pattern{What: faults.All, Fault: faults.Fault{Delay: delay}})
 			var asked sync.WaitGroup
 			for i := range 2 {
@@ -419,7 +419,7 @@
 			}
 			asked.Wait()
 			// Well before a link that nobody uses is closed; now and then they meet for gossip's sake.
-			w.await(healTime, "one connection", func() bool {
+			w.await(convergenceTimeout, "one connection", func() bool {
 				return w.nodes[0].Status().Traffic.Connections == 1 && w.nodes[1].Status().Traffic.Connections == 1
 			})
 		})
@@ -432,13 +432,13 @@
 		w := simulated(t, 3, 2)
 		w.start(0)
 		w.start(1)
-		w.await(healTime, "two", func() bool { return w.whole(0, 1) })
+		w.await(convergenceTimeout, "two", func() bool { return w.converged(0, 1) })
 		time.Sleep(2 * time.Minute) // links that nobody uses are gone
 		synctest.Wait()
 		goroutines := runtime.NumGoroutine()
 		for i := range 1000 {
 			n := w.start(2)
-			w.await(healTime, "joined", func() bool { return n.Status().State == fleet.Joined && w.sees(0, 2) == fleet.Alive })
+			w.await(convergenceTimeout, "joined", func() bool { return n.Status().State == fleet.Joined && w.stateSeen(0, 2) == fleet.Alive })
 			if _, err := n.Ask(t.Context(), "n000", "q", nil); !errors.As(err, new(fleet.AnswerError)) {
 				t.Fatal(err)
 			}
@@ -473,7 +473,7 @@
 		w.net.Apply(faults.Pattern{What: faults.All, Fault: faults.Fault{Lose: loss, Delay: 2 * time.Millisecond, Jitter: 3 * time.Millisecond}})
 		began := time.Now()
 		w.startAll()
-		took := w.await(2*time.Minute, "a fleet", func() bool { return w.whole(upTo(n)...) })
+		took := w.await(2*time.Minute, "a fleet", func() bool { return w.converged(upTo(n)...) })
 		t.Logf("%d nodes, %v of what is sent lost: all know all %v after a start at one instant", n, loss, took)
 		time.Sleep(30 * time.Second)
 		traffic := func() (bytes, packets int64) {
@@ -513,10 +513,10 @@
 					w.end(j, true)
 					w.await(3*time.Minute, "leaving", func() bool { return w.allSee(j, fleet.Left) })
 				}
-				all = append(all, w.learnt(j, at)...)
+				all = append(all, w.changeDelays(j, at)...)
 				if what != "join" {
 					w.start(j)
-					w.await(3*time.Minute, "back", func() bool { return w.whole(upTo(n)...) })
+					w.await(3*time.Minute, "back", func() bool { return w.converged(upTo(n)...) })
 				}
 			}
 			slices.Sort(all)
@@ -531,7 +531,7 @@
 
 func (w *world) allSee(j int, s fleet.State) bool {
 	for i, n := range w.nodes {
-		if i != j && n.stop != nil && w.sees(i, j) != s {
+		if i != j && n.stop != nil && w.stateSeen(i, j) != s {
 			return false
 		}
 	}
@@ -539,7 +539,7 @@
 }
 
 // learnt is how long after a moment each other node's last step about one came.
-func (w *world) learnt(j int, since time.Time) (all []time.Duration) {
+func (w *world) changeDelays(j int, since time.Time) (all []time.Duration) {
 	for i, n := range w.nodes {
 		if i == j {
 			continue
--- a/internal/deliverynode/fleet/status.go
+++ b/internal/deliverynode/fleet/status.go
@@ -58,8 +58,8 @@
 		Incarnation: f.table.Self().Incarnation, Count: f.table.Count(now), Refused: map[string]string{},
 		Traffic: Traffic{BytesOut: f.stats.bytesOut.Load(), BytesIn: f.stats.bytesIn.Load(), PacketsOut: f.stats.packetsOut.Load(),
 			PacketsIn: f.stats.packetsIn.Load(), Dials: f.stats.dials.Load(), Connections: len(f.conns), MaxConns: cap(f.conns),
-			Crowded: f.stats.crowded.Load(), Dropped: f.stats.dropped.Load(), Spoilt: f.stats.spoilt.Load(),
-			Strangers: f.stats.strangers.Load(), Versions: f.stats.versions.Load(), Raised: f.stats.raised.Load(), NoRoom: f.table.Refused}}
+			Crowded: f.stats.connsRefused.Load(), Dropped: f.stats.dropped.Load(), Spoilt: f.stats.corrupt.Load(),
+			Strangers: f.stats.foreign.Load(), Versions: f.stats.versions.Load(), Raised: f.stats.raised.Load(), NoRoom: f.table.Refused}}
 	for who, why := range f.refused {
 		s.Refused[who] = why
 	}
@@ -72,7 +72,7 @@
 			if l.conn != nil {
 				ms.Link = "up"
 			}
-			ms.Waiting, ms.Bytes, ms.Unanswered, ms.Dropped = len(l.peer.news), l.peer.bytes, len(l.peer.asks), l.peer.Dropped
+			ms.Waiting, ms.Bytes, ms.Unanswered, ms.Dropped = len(l.peer.pending), l.peer.bytes, len(l.peer.requests), l.peer.Dropped
 			l.mu.Unlock()
 		}
 		s.Members = append(s.Members, ms)
--- a/internal/deliverynode/fleet/table.go
+++ b/internal/deliverynode/fleet/table.go
@@ -62,13 +62,13 @@
 
 type row struct {
 	Record
-	heard      bool
-	heardAs    uint64 // the incarnation that is heard
-	state      State
-	since      time.Duration
-	count      int           // what it has told that it sees
-	countAt    time.Duration // when
-	countKnown bool
+	reachable            bool
+	reachableIncarnation uint64 // the incarnation that is heard
+	state                State
+	since                time.Duration
+	reportedCount        int           // what it has told that it sees
+	reportedAt           time.Duration // when
+	countReported        bool
 }
 
 // Table is who is there, as one node knows it: pure, and driven by events with their times.
@@ -78,12 +78,12 @@
 	// memberSince is the node's first incarnation that no removal has made void.
 	memberSince uint64
 	rows        map[string]*row
-	seen        []sight // own counts of late, each greater than those after it
+	ownCounts   []sample // own counts of late, each greater than those after it
 	// Refused counts members for whom there was no room.
 	Refused int
 }
 
-type sight struct {
+type sample struct {
 	at    time.Duration
 	count int
 }
@@ -91,8 +91,8 @@
 // NewTable begins with the node itself.
 func NewTable(self Record, now time.Duration) *Table {
 	t := &Table{self: self.Name, memberSince: self.Incarnation, rows: map[string]*row{}}
-	t.rows[self.Name] = &row{Record: self, heard: true, heardAs: self.Incarnation, state: Alive, since: now}
-	t.sight(now)
+	t.rows[self.Name] = &row{Record: self, reachable: true, reachableIncarnation: self.Incarnation, state: Alive, since: now}
+	t.sample(now)
 	return t
 }
 
@@ -106,7 +106,7 @@
 		to = Removed
 	case r.Incarnation <= r.Left:
 		to = Left
-	case r.heard && r.heardAs >= r.Incarnation:
+	case r.reachable && r.reachableIncarnation >= r.Incarnation:
 		to = Alive
 	}
 	if to == r.state {
@@ -145,7 +145,7 @@
 		r.since = now
 		all = append(all, Change{r.Name, r.Incarnation, Alive, Alive})
 	}
-	t.sight(now)
+	t.sample(now)
 	return all
 }
 
@@ -179,7 +179,7 @@
 	if r == nil {
 		return nil
 	}
-	r.heard, r.heardAs = true, rec.Incarnation
+	r.reachable, r.reachableIncarnation = true, rec.Incarnation
 	return t.Merge(rec, now)
 }
 
@@ -189,7 +189,7 @@
 	if r == nil || name == t.self {
 		return nil
 	}
-	r.heard = false
+	r.reachable = false
 	if c, ok := r.updateState(now); ok {
 		return []Change{c}
 	}
@@ -235,7 +235,7 @@
 // Raised tells that the node has a new incarnation, which is on disk.
 func (t *Table) Raised(incarnation uint64) {
 	r := t.rows[t.self]
-	r.Incarnation, r.heardAs = incarnation, incarnation
+	r.Incarnation, r.reachableIncarnation = incarnation, incarnation
 }
 
 // Removes tells whether a claim holds a removal that the node has not been told of.
@@ -271,7 +271,7 @@
 	if r == nil {
 		return Member{}, false
 	}
-	return Member{r.Record, r.state, r.since, r.heard}, true
+	return Member{r.Record, r.state, r.since, r.reachable}, true
 }
 
 // Members are all rows, by name.
@@ -294,12 +294,12 @@
 	return n
 }
 
-func (t *Table) sight(now time.Duration) {
-	s := sight{now, t.Current()}
-	for len(t.seen) > 0 && t.seen[len(t.seen)-1].count <= s.count {
-		t.seen = t.seen[:len(t.seen)-1]
+func (t *Table) sample(now time.Duration) {
+	s := sample{now, t.Current()}
+	for len(t.ownCounts) > 0 && t.ownCounts[len(t.ownCounts)-1].count <= s.count {
+		t.ownCounts = t.ownCounts[:len(t.ownCounts)-1]
 	}
-	t.seen = append(t.seen, s)
+	t.ownCounts = append(t.ownCounts, s)
 }
 
 // Sighting is the largest count that a member has seen itself of late, so long ago as it said so.
@@ -317,26 +317,26 @@
 		if r == nil || s.Name == t.self || s.Count < 1 || s.Count > MaxMembers || s.Age < 0 || s.Age >= CountTime {
 			continue
 		}
-		if at := now - s.Age; !r.countKnown || at > r.countAt {
-			r.count, r.countAt, r.countKnown = s.Count, at, true
+		if at := now - s.Age; !r.countReported || at > r.reportedAt {
+			r.reportedCount, r.reportedAt, r.countReported = s.Count, at, true
 		}
 	}
 }
 
 // own is the largest count that this node has seen within CountTime.
-func (t *Table) own(now time.Duration) int {
-	for len(t.seen) > 1 && t.seen[1].at <= now-CountTime { // one holds until the next, smaller one
-		t.seen = t.seen[1:]
+func (t *Table) maxOwnCount(now time.Duration) int {
+	for len(t.ownCounts) > 1 && t.ownCounts[1].at <= now-CountTime { // one holds until the next, smaller one
+		t.ownCounts = t.ownCounts[1:]
 	}
-	return t.seen[0].count
+	return t.ownCounts[0].count
 }
 
 // Sightings are what is to be told of counts.
 func (t *Table) Sightings(now time.Duration) []Sighting {
-	all := []Sighting{{t.self, t.own(now), 0}}
+	all := []Sighting{{t.self, t.maxOwnCount(now), 0}}
 	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
-		if r := t.rows[name]; r.countKnown && !r.state.Departed() && now-r.countAt < CountTime {
-			all = append(all, Sighting{name, r.count, now - r.countAt})
+		if r := t.rows[name]; r.countReported && !r.state.Departed() && now-r.reportedAt < CountTime {
+			all = append(all, Sighting{name, r.reportedCount, now - r.reportedAt})
 		}
 	}
 	return all
--- a/internal/deliverynode/fleet/wire.go
+++ b/internal/deliverynode/fleet/wire.go
@@ -26,25 +26,25 @@
 //	magic (4), lowest, highest, what for, key of the fleet (8)
 //	magic (4), version or 0, length of the reason, the reason
 const (
-	magic        = "wmfl"
-	preambleSize = len(magic) + 3 + 8
-	forGossip    = 1
-	forLink      = 2
+	magic         = "wmfl"
+	preambleSize  = len(magic) + 3 + 8
+	purposeGossip = 1
+	purposeLink   = 2
 
 	// frameHead is the length and the checksum before each frame.
-	frameHead = 4 + 8
-	maxFrame  = 1 << 20
+	frameHeaderSize = 4 + 8
+	maxFrame        = 1 << 20
 	// packetHead begins a datagram: magic (2), lowest, highest, checksum.
-	packetHead  = 4 + 8
-	packetMagic = "wf"
+	packetHeaderSize = 4 + 8
+	packetMagic      = "wf"
 	// greetTime is how long the beginning of a connection may take, on either side.
-	greetTime = time.Second
+	greetTimeout = time.Second
 )
 
 var (
-	errStranger = errors.New("what came is not of this program")
-	errSpoilt   = errors.New("what came does not check")
-	errTooLong  = fmt.Errorf("longer than %d bytes", maxFrame)
+	errForeign = errors.New("what came is not of this program")
+	errCorrupt = errors.New("what came does not check")
+	errTooLong = fmt.Errorf("longer than %d bytes", maxFrame)
 )
 
 // VersionError says that a peer speaks no version that this program does.
@@ -61,7 +61,7 @@
 // Error returns the reason that the peer gave.
 func (e RefusedError) Error() string { return "refused: " + string(e) }
 
-func common(lowest, highest uint8) (version uint8, err error) {
+func commonVersion(lowest, highest uint8) (version uint8, err error) {
 	if version = min(highest, highestVersion); lowest > highest || version < max(lowest, lowestVersion) {
 		return 0, VersionError{lowest, highest}
 	}
@@ -82,7 +82,7 @@
 		return fmt.Errorf("no answer to the greeting: %w", err)
 	}
 	if string(head[:len(magic)]) != magic {
-		return errStranger
+		return errForeign
 	}
 	version, reason := head[len(magic)], make([]byte, head[len(magic)+1])
 	if _, err := io.ReadFull(conn, reason); err != nil {
@@ -98,13 +98,13 @@
 }
 
 // greeted reads the beginning of a connection that came and answers it.
-func greeted(conn net.Conn, key uint64) (purpose byte, err error) {
+func acceptGreeting(conn net.Conn, key uint64) (purpose byte, err error) {
 	b := make([]byte, preambleSize)
 	if _, err := io.ReadFull(conn, b); err != nil {
-		return 0, fmt.Errorf("%w: %w", errStranger, err)
+		return 0, fmt.Errorf("%w: %w", errForeign, err)
 	}
 	if string(b[:len(magic)]) != magic {
-		return 0, errStranger
+		return 0, errForeign
 	}
 	refuse := func(err error) (byte, error) {
 		reason := err.Error()
@@ -113,14 +113,14 @@
 		return 0, err
 	}
 	rest := b[len(magic):]
-	version, err := common(rest[0], rest[1])
+	version, err := commonVersion(rest[0], rest[1])
 	if err != nil {
 		return refuse(err)
 	}
 	if binary.BigEndian.Uint64(rest[3:]) != key {
 		return refuse(errors.New("another fleet"))
 	}
-	if rest[2] != forGossip && rest[2] != forLink {
+	if rest[2] != purposeGossip && rest[2] != purposeLink {
 		return refuse(fmt.Errorf("nothing is known of purpose %d", rest[2]))
 	}
 	_, err = conn.Write(append([]byte(magic), version, 0))
@@ -129,17 +129,17 @@
 
 // framed carries frames over a connection. Each has a checksum over the fleet, its place in
 // the stream and itself, so one that is spoilt, doubled or left out is found.
-type framed struct {
+type framedConn struct {
 	net.Conn
 	key uint64
 
 	wmu     sync.Mutex
 	written uint64
 	read    uint64
-	left    []byte // of a frame that Read has begun
+	unread  []byte // of a frame that Read has begun
 }
 
-func sum(key, place uint64, payload []byte) uint64 {
+func checksum(key, place uint64, payload []byte) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(key)
 	var at [8]byte
@@ -149,42 +149,42 @@
 	return d.Sum64()
 }
 
-func (c *framed) writeFrame(payload []byte) error {
+func (c *framedConn) writeFrame(payload []byte) error {
 	if len(payload) > maxFrame {
 		return errTooLong
 	}
 	c.wmu.Lock()
 	defer c.wmu.Unlock()
-	b := make([]byte, frameHead, frameHead+len(payload))
+	b := make([]byte, frameHeaderSize, frameHeaderSize+len(payload))
 	binary.BigEndian.PutUint32(b, uint32(len(payload)))
-	binary.BigEndian.PutUint64(b[4:], sum(c.key, c.written, payload))
+	binary.BigEndian.PutUint64(b[4:], checksum(c.key, c.written, payload))
 	c.written++
 	_, err := c.Conn.Write(append(b, payload...))
 	return err
 }
 
-func (c *framed) readFrame(most int) ([]byte, error) {
-	var head [frameHead]byte
+func (c *framedConn) readFrame(most int) ([]byte, error) {
+	var head [frameHeaderSize]byte
 	if _, err := io.ReadFull(c.Conn, head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if int64(n) > int64(most) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes", errSpoilt, n)
+		return nil, fmt.Errorf("%w: a frame of %d bytes", errCorrupt, n)
 	}
 	payload := make([]byte, n)
 	if _, err := io.ReadFull(c.Conn, payload); err != nil {
 		return nil, err
 	}
-	if binary.BigEndian.Uint64(head[4:]) != sum(c.key, c.read, payload) {
-		return nil, errSpoilt
+	if binary.BigEndian.Uint64(head[4:]) != checksum(c.key, c.read, payload) {
+		return nil, errCorrupt
 	}
 	c.read++
 	return payload, nil
 }
 
 // Write and Read make it a stream again, for gossip.
-func (c *framed) Write(b []byte) (n int, err error) {
+func (c *framedConn) Write(b []byte) (n int, err error) {
 	for len(b) > 0 {
 		piece := b[:min(len(b), maxFrame)]
 		if err := c.writeFrame(piece); err != nil {
@@ -196,16 +196,16 @@
 }
 
 // Read reads from the stream within the frames.
-func (c *framed) Read(b []byte) (int, error) {
-	for len(c.left) == 0 {
+func (c *framedConn) Read(b []byte) (int, error) {
+	for len(c.unread) == 0 {
 		payload, err := c.readFrame(maxFrame)
 		if err != nil {
 			return 0, err
 		}
-		c.left = payload
+		c.unread = payload
 	}
-	n := copy(b, c.left)
-	c.left = c.left[n:]
+	n := copy(b, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
@@ -224,7 +224,7 @@
 	return v
 }
 
-func (c *framed) send(v any) error {
+func (c *framedConn) send(v any) error {
 	b, err := encoding.Marshal(v)
 	if err != nil {
 		return err
@@ -232,36 +232,36 @@
 	return c.writeFrame(b)
 }
 
-func (c *framed) receive(v any, most int) error {
+func (c *framedConn) receive(v any, most int) error {
 	b, err := c.readFrame(most)
 	if err != nil {
 		return err
 	}
 	if err := decoding.Unmarshal(b, v); err != nil {
-		return fmt.Errorf("%w: %w", errSpoilt, err)
+		return fmt.Errorf("%w: %w", errCorrupt, err)
 	}
 	return nil
 }
 
 // sealPacket and openPacket frame a datagram.
 func sealPacket(key uint64, payload []byte) []byte {
-	b := append(make([]byte, 0, packetHead+len(payload)), packetMagic...)
+	b := append(make([]byte, 0, packetHeaderSize+len(payload)), packetMagic...)
 	b = append(b, lowestVersion, highestVersion)
-	b = binary.BigEndian.AppendUint64(b, sum(key, 0, payload))
+	b = binary.BigEndian.AppendUint64(b, checksum(key, 0, payload))
 	return append(b, payload...)
 }
 
 func openPacket(key uint64, b []byte) ([]byte, error) {
-	if len(b) < packetHead || string(b[:2]) != packetMagic {
-		return nil, errStranger
+	if len(b) < packetHeaderSize || string(b[:2]) != packetMagic {
+		return nil, errForeign
 	}
-	if _, err := common(b[2], b[3]); err != nil {
+	if _, err := commonVersion(b[2], b[3]); err != nil {
 		return nil, err
 	}
-	if binary.BigEndian.Uint64(b[4:]) != sum(key, 0, b[packetHead:]) {
-		return nil, errSpoilt
+	if binary.BigEndian.Uint64(b[4:]) != checksum(key, 0, b[packetHeaderSize:]) {
+		return nil, errCorrupt
 	}
-	return b[packetHead:], nil
+	return b[packetHeaderSize:], nil
 }
 
 // closeWith closes a connection when a context ends, until stop is called.
--- a/internal/deliverynode/group/core.go
+++ b/internal/deliverynode/group/core.go
@@ -29,7 +29,7 @@
 
 var (
 	// ErrOlder refuses what comes from an epoch that is over.
-	ErrOlder = errors.New("of an older epoch")
+	ErrStaleEpoch = errors.New("of an older epoch")
 	// ErrVersion refuses a member with another version of the messages.
 	ErrVersion = errors.New("another version of the group's messages")
 	// ErrFull refuses a member for which there is no place.
@@ -44,7 +44,7 @@
 	Member ID  `json:"Member"`
 	Parts  int `json:"Parts"`
 	// Had is what it had last, less what others were given of it since.
-	Had int `json:"Had,omitempty"`
+	Retained int `json:"Had,omitempty"`
 }
 
 // View is what a coordinator says of the group. It is sorted by member.
@@ -83,11 +83,11 @@
 
 // Member is one process's own side: the lease that it has.
 type Member struct {
-	id       ID
-	epoch    uint64 // the highest that it has seen
-	lease    Lease
-	heard    time.Duration // when a lease last came, or it last came back from standing still
-	tickedAt time.Duration // when it last did anything
+	id        ID
+	epoch     uint64 // the highest that it has seen
+	lease     Lease
+	lastHeard time.Duration // when a lease last came, or it last came back from standing still
+	lastTick  time.Duration // when it last did anything
 }
 
 // NewMember has no share.
@@ -96,24 +96,24 @@
 // Tick is to be called every BeatEvery. It tells whether the coordinator has been silent for
 // so long, while this member was at work all along, that another has to take its place.
 func (m *Member) Tick(now time.Duration) (leaderless bool) {
-	if now-m.tickedAt > SuspectAfter { // it stood still itself, and may just not have heard
-		m.heard = now
+	if now-m.lastTick > SuspectAfter { // it stood still itself, and may just not have heard
+		m.lastHeard = now
 	}
-	m.tickedAt = now
-	return now-m.heard > SuspectAfter+LeaseTime
+	m.lastTick = now
+	return now-m.lastHeard > SuspectAfter+LeaseTime
 }
 
 // Hear takes in a lease.
-func (m *Member) Hear(now time.Duration, l Lease) error {
+func (m *Member) Receive(now time.Duration, l Lease) error {
 	switch {
 	case l.Version != Version:
 		return fmt.Errorf("%w: %d, this one has %d", ErrVersion, l.Version, Version)
 	case l.Epoch < m.epoch:
-		return fmt.Errorf("lease of epoch %d: %w than %d", l.Epoch, ErrOlder, m.epoch)
+		return fmt.Errorf("lease of epoch %d: %w than %d", l.Epoch, ErrStaleEpoch, m.epoch)
 	case l.Member != m.id:
 		return fmt.Errorf("lease of %q came to %q", l.Member, m.id)
 	}
-	m.heard = now
+	m.lastHeard = now
 	if l.Epoch == m.epoch && l.Until < m.lease.Until {
 		return nil // it was overtaken on its way
 	}
@@ -134,10 +134,10 @@
 
 // peer is what a coordinator knows of a member.
 type peer struct {
-	heard time.Duration // when it last said anything
-	alive bool          // its lock is held
-	had   int           // what it was given last, less what others were given of that since
-	out   []grant       // leases that it may be using, the larger and older ones first
+	lastHeard time.Duration // when it last said anything
+	alive     bool          // its lock is held
+	retained  int           // what it was given last, less what others were given of that since
+	grants    []grant       // leases that it may be using, the larger and older ones first
 }
 
 // grant is a share until a moment.
@@ -148,15 +148,15 @@
 
 // grant notes a lease. Those that it outlasts and exceeds count no more.
 func (p *peer) grant(parts int, until time.Duration) {
-	p.out = slices.DeleteFunc(p.out, func(g grant) bool { return g.parts <= parts && g.until <= until })
-	p.out = append(p.out, grant{parts, until})
+	p.grants = slices.DeleteFunc(p.grants, func(g grant) bool { return g.parts <= parts && g.until <= until })
+	p.grants = append(p.grants, grant{parts, until})
 }
 
 // parts is the largest share that a member may be using.
 func (p *peer) parts(now time.Duration) int {
-	p.out = slices.DeleteFunc(p.out, func(g grant) bool { return now >= g.until })
+	p.grants = slices.DeleteFunc(p.grants, func(g grant) bool { return now >= g.until })
 	most := 0
-	for _, g := range p.out {
+	for _, g := range p.grants {
 		most = max(most, g.parts)
 	}
 	return most
@@ -188,7 +188,7 @@
 			p := c.peer(s.Member)
 			p.grant(s.Parts, now+LeaseTime)
 			if !torn {
-				p.had = s.Had
+				p.retained = s.Retained
 			}
 		}
 	}
@@ -211,14 +211,14 @@
 
 // Hear takes in what a member says. A member that has seen a higher epoch was led by a
 // coordinator that came after this one.
-func (c *Coordinator) Hear(now time.Duration, h Hello) error {
+func (c *Coordinator) Receive(now time.Duration, h Hello) error {
 	switch {
 	case h.Version != Version:
 		return fmt.Errorf("%w: %d, this one has %d", ErrVersion, h.Version, Version)
 	case h.Member == "":
 		return errors.New("a member without a name")
 	case h.Epoch > c.view.Epoch:
-		return fmt.Errorf("this coordinator is of epoch %d: %w than %d", c.view.Epoch, ErrOlder, h.Epoch)
+		return fmt.Errorf("this coordinator is of epoch %d: %w than %d", c.view.Epoch, ErrStaleEpoch, h.Epoch)
 	}
 	p := c.peers[h.Member]
 	if p == nil || !p.alive {
@@ -234,7 +234,7 @@
 		p = c.peer(h.Member)
 		p.alive = true
 	}
-	p.heard = now
+	p.lastHeard = now
 	return nil
 }
 
@@ -250,7 +250,7 @@
 }
 
 // Departed tells that a member's lock is free: it has died.
-func (c *Coordinator) Departed(id ID) {
+func (c *Coordinator) MarkDead(id ID) {
 	if p := c.peers[id]; p != nil {
 		p.alive = false
 	}
@@ -270,7 +270,7 @@
 	switch {
 	case !p.alive:
 		return Dead
-	case now-p.heard > SuspectAfter:
+	case now-p.lastHeard > SuspectAfter:
 		return Suspect
 	}
 	return Active
@@ -297,16 +297,16 @@
 		p := c.peers[id]
 		if p.state(now) == Active {
 			// Within what no other may be using.
-			parts := min(Whole/active, Whole-c.others(id, now))
-			kept := min(parts, p.had)
-			c.takes(id, parts-kept, now)
-			p.had = parts
+			parts := min(Whole/active, Whole-c.maxPartsOfOthers(id, now))
+			kept := min(parts, p.retained)
+			c.deductRetained(id, parts-kept, now)
+			p.retained = parts
 			p.grant(parts, now+LeaseTime)
 			leases = append(leases, Lease{Version: Version, Member: id, Parts: parts, Members: active, Kept: kept, Until: now + LeaseTime})
 		}
 	}
 	for _, id := range ids {
-		next.Shares = append(next.Shares, Share{Member: id, Parts: c.peers[id].parts(now), Had: c.peers[id].had})
+		next.Shares = append(next.Shares, Share{Member: id, Parts: c.peers[id].parts(now), Retained: c.peers[id].retained})
 	}
 	if changed = !slices.Equal(next.Shares, c.view.Shares); changed {
 		next.Epoch++
@@ -320,23 +320,23 @@
 
 // takes notes that a member is given more than it had: what nobody had goes first, then what
 // others had whose leases have run out. How much of whose is not known, so each loses all of it.
-func (c *Coordinator) takes(id ID, more int, now time.Duration) {
+func (c *Coordinator) deductRetained(id ID, more int, now time.Duration) {
 	free := Whole
 	for _, p := range c.peers {
-		free -= p.had
+		free -= p.retained
 	}
 	if more -= max(0, free); more <= 0 {
 		return
 	}
 	for o, p := range c.peers {
 		if o != id {
-			p.had = max(min(p.had, p.parts(now)), p.had-more)
+			p.retained = max(min(p.retained, p.parts(now)), p.retained-more)
 		}
 	}
 }
 
 // others is what all but one may be using.
-func (c *Coordinator) others(but ID, now time.Duration) int {
+func (c *Coordinator) maxPartsOfOthers(but ID, now time.Duration) int {
 	sum := 0
 	for id, p := range c.peers {
 		if id != but {
--- a/internal/deliverynode/group/core_test.go
+++ b/internal/deliverynode/group/core_test.go
@@ -12,14 +12,14 @@
 // machine is a small model of a machine: processes that are members, the kernel's locks,
 // the folder, and messages on their way. All decisions are those of the real code.
 type machine struct {
-	now    time.Duration
-	procs  []*proc
-	views  []View // on disk, in the order of writing
-	term   int    // of the last coordinator
-	lead   *proc  // that has the coordinator's lock of that term; nil when it is free
-	flight []message
-	torn   bool // the last view was torn when its writer died
-	next   int
+	now      time.Duration
+	procs    []*proc
+	views    []View // on disk, in the order of writing
+	term     int    // of the last coordinator
+	lead     *proc  // that has the coordinator's lock of that term; nil when it is free
+	inFlight []message
+	torn     bool // the last view was torn when its writer died
+	next     int
 	// What each process had in force, and used at once, at each moment so far.
 	force, used [][maxProcs]int16
 }
@@ -37,8 +37,8 @@
 	stopped bool
 	dead    bool
 	// As the module has it: what is used, and was before the last change; and what it was told.
-	use, had, told int
-	since          time.Duration
+	use, had, notified int
+	since              time.Duration
 }
 
 type message struct {
@@ -71,7 +71,7 @@
 
 // beat is what a process does when its time comes: lead if nobody does, look at the
 // locks, share, and say hello.
-func (m *machine) beat(p *proc) {
+func (m *machine) heartbeat(p *proc) {
 	if p.dead || p.stopped {
 		return
 	}
@@ -92,10 +92,10 @@
 	if c := p.lead; c != nil {
 		for _, o := range m.procs {
 			if o.dead {
-				c.Departed(o.id)
+				c.MarkDead(o.id)
 			}
 		}
-		_ = c.Hear(m.now, p.member.Hello())
+		_ = c.Receive(m.now, p.member.Hello())
 		view, changed, leases := c.Share(m.now)
 		if changed {
 			m.views = append(m.views, view)
@@ -103,26 +103,26 @@
 		for _, l := range leases {
 			for _, o := range m.procs {
 				if o.id == l.Member {
-					m.flight = append(m.flight, message{to: o, lease: &l})
+					m.inFlight = append(m.inFlight, message{to: o, lease: &l})
 				}
 			}
 		}
 	} else if m.lead != nil {
 		h := p.member.Hello()
-		m.flight = append(m.flight, message{to: m.lead, hello: &h})
+		m.inFlight = append(m.inFlight, message{to: m.lead, hello: &h})
 	}
 }
 
 // deliver lets a message arrive, late or out of turn.
 func (m *machine) deliver(i int) {
-	msg := m.flight[i]
-	m.flight = slices.Delete(m.flight, i, i+1)
+	msg := m.inFlight[i]
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	switch {
 	case msg.to.dead || msg.to.stopped:
 	case msg.lease != nil:
-		_ = msg.to.member.Hear(m.now, *msg.lease)
+		_ = msg.to.member.Receive(m.now, *msg.lease)
 	case msg.to.lead != nil:
-		_ = msg.to.lead.Hear(m.now, *msg.hello)
+		_ = msg.to.lead.Receive(m.now, *msg.hello)
 	}
 }
 
@@ -139,7 +139,7 @@
 	if sum > Whole {
 		t.Fatalf("%d of %d parts are in force after %v", sum, Whole, trail)
 	}
-	m.keep(t, trail)
+	m.checkRetained(t, trail)
 	for i := 1; i < len(m.views); i++ {
 		if m.views[i].Epoch <= m.views[i-1].Epoch {
 			t.Fatalf("epoch %d comes after %d: %v", m.views[i].Epoch, m.views[i-1].Epoch, trail)
@@ -149,7 +149,7 @@
 
 // keep follows what each process uses at once of what it is told that it kept: nobody else may
 // have had any of that since it last used as much.
-func (m *machine) keep(t *testing.T, trail []string) {
+func (m *machine) checkRetained(t *testing.T, trail []string) {
 	t.Helper()
 	var force, used [maxProcs]int16
 	for i, p := range m.procs {
@@ -158,18 +158,18 @@
 		}
 		parts := p.member.Parts(m.now)
 		force[i] = int16(parts)
-		if !p.stopped && parts != p.told {
-			p.told, p.since = parts, m.now
+		if !p.stopped && parts != p.notified {
+			p.notified, p.since = parts, m.now
 			now := min(parts, max(p.use, min(p.had, p.member.lease.Kept)))
 			if now > 0 || p.use > 0 {
 				p.had = max(now, p.use)
 			}
 			if now > p.use {
-				m.kept(t, i, now, trail)
+				m.checkRegained(t, i, now, trail)
 			}
 			p.use = now
 		}
-		if parts != p.told || p.stopped {
+		if parts != p.notified || p.stopped {
 			p.since = m.now
 		}
 		if parts > 0 && m.now-p.since >= window { // it has waited for what it got
@@ -180,7 +180,7 @@
 	m.force, m.used = append(m.force, force), append(m.used, used)
 }
 
-func (m *machine) kept(t *testing.T, who, parts int, trail []string) {
+func (m *machine) checkRegained(t *testing.T, who, parts int, trail []string) {
 	t.Helper()
 	for at := len(m.used) - 1; at >= 0 && int(m.used[at][who]) < parts; at-- {
 		others := 0
@@ -216,22 +216,22 @@
 	case kind == 2:
 		p.stopped = !p.stopped
 		return "stop or continue " + string(p.id)
-	case kind == 3 && len(m.flight) > 0: // lost
-		m.flight = slices.Delete(m.flight, of%len(m.flight), of%len(m.flight)+1)
+	case kind == 3 && len(m.inFlight) > 0: // lost
+		m.inFlight = slices.Delete(m.inFlight, of%len(m.inFlight), of%len(m.inFlight)+1)
 		return "lose"
 	case kind == 4:
 		m.now += []time.Duration{HeartbeatEvery, LeaseTime / 2, 3 * LeaseTime}[of%3]
 		return "wait"
-	case kind == 5 && len(m.flight) > 0:
-		m.deliver(of % len(m.flight))
+	case kind == 5 && len(m.inFlight) > 0:
+		m.deliver(of % len(m.inFlight))
 		return "deliver"
 	case kind == 6:
-		for len(m.flight) > 0 {
+		for len(m.inFlight) > 0 {
 			m.deliver(0)
 		}
 		return "deliver all"
 	}
-	m.beat(p)
+	m.heartbeat(p)
 	return "beat " + string(p.id)
 }
 
@@ -289,9 +289,9 @@
 		}
 		for range 16 {
 			for _, p := range m.procs {
-				m.beat(p)
+				m.heartbeat(p)
 			}
-			for len(m.flight) > 0 {
+			for len(m.inFlight) > 0 {
 				m.deliver(0)
 			}
 			m.now += HeartbeatEvery
@@ -310,37 +310,37 @@
 	m := &machine{}
 	m.start()
 	m.start()
-	play := func(d time.Duration) { m.play(t, d) }
-	play(4 * LeaseTime)
+	run := func(d time.Duration) { m.run(t, d) }
+	run(4 * LeaseTime)
 	first, second := m.procs[0], m.procs[1]
 	if m.lead != first {
 		t.Fatal("the first one does not lead")
 	}
 	first.stopped = true
-	play(8 * LeaseTime)
+	run(8 * LeaseTime)
 	if m.lead != second || second.member.Parts(m.now) != Whole || first.member.Parts(m.now) != 0 {
 		t.Errorf("led by %s, which has %d parts; the one that is stopped has %d", m.lead.id, second.member.Parts(m.now), first.member.Parts(m.now))
 	}
 	first.stopped = false
-	play(8 * LeaseTime)
+	run(8 * LeaseTime)
 	if first.lead != nil || first.member.Parts(m.now) != Whole/2 || second.member.Parts(m.now) != Whole/2 {
 		t.Errorf("%d and %d parts, want half each", first.member.Parts(m.now), second.member.Parts(m.now))
 	}
 	m.kill(second, true)
-	play(8 * LeaseTime)
+	run(8 * LeaseTime)
 	if m.lead != first || first.member.Parts(m.now) != Whole {
 		t.Errorf("%d parts after the other one died, want all", first.member.Parts(m.now))
 	}
 }
 
 // play lets all members beat and hear of each other for a time.
-func (m *machine) play(t *testing.T, d time.Duration) {
+func (m *machine) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	for end := m.now + d; m.now < end; m.now += HeartbeatEvery {
 		for _, p := range m.procs {
-			m.beat(p)
+			m.heartbeat(p)
 		}
-		for len(m.flight) > 0 {
+		for len(m.inFlight) > 0 {
 			m.deliver(0)
 		}
 		m.check(t, nil)
@@ -350,7 +350,7 @@
 // What is of another version, of an older epoch, or for somebody else is refused.
 func TestLeasesOfAnotherVersionEpochOrMemberAreRefused(t *testing.T) {
 	m := NewMember("a")
-	if err := m.Hear(0, Lease{Version: Version, Epoch: 5, Member: "a", Parts: 3, Until: time.Hour}); err != nil {
+	if err := m.Receive(0, Lease{Version: Version, Epoch: 5, Member: "a", Parts: 3, Until: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -358,28 +358,28 @@
 		want error
 	}{
 		{Lease{Version: Version + 1, Epoch: 9, Member: "a"}, ErrVersion},
-		{Lease{Version: Version, Epoch: 4, Member: "a"}, ErrOlder},
+		{Lease{Version: Version, Epoch: 4, Member: "a"}, ErrStaleEpoch},
 	} {
-		if err := m.Hear(0, c.l); !errors.Is(err, c.want) {
+		if err := m.Receive(0, c.l); !errors.Is(err, c.want) {
 			t.Errorf("%+v: %v, want %v", c.l, err, c.want)
 		}
 	}
-	if err := m.Hear(0, Lease{Version: Version, Epoch: 9, Member: "b"}); err == nil {
+	if err := m.Receive(0, Lease{Version: Version, Epoch: 9, Member: "b"}); err == nil {
 		t.Error("another's lease was taken")
 	}
 	c := NewCoordinator(0, []View{{Epoch: 7}}, 0, false)
-	if err := c.Hear(0, Hello{Version: Version + 1, Member: "a"}); !errors.Is(err, ErrVersion) {
+	if err := c.Receive(0, Hello{Version: Version + 1, Member: "a"}); !errors.Is(err, ErrVersion) {
 		t.Errorf("%v", err)
 	}
-	if err := c.Hear(0, Hello{Version: Version, Member: "a", Epoch: 99}); !errors.Is(err, ErrOlder) {
+	if err := c.Receive(0, Hello{Version: Version, Member: "a", Epoch: 99}); !errors.Is(err, ErrStaleEpoch) {
 		t.Errorf("%v", err)
 	}
 	for n := range MaxMembers {
-		if err := c.Hear(0, Hello{Version: Version, Member: ID(fmt.Sprint(n))}); err != nil {
+		if err := c.Receive(0, Hello{Version: Version, Member: ID(fmt.Sprint(n))}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Hear(0, Hello{Version: Version, Member: "one more"}); !errors.Is(err, ErrFull) {
+	if err := c.Receive(0, Hello{Version: Version, Member: "one more"}); !errors.Is(err, ErrFull) {
 		t.Errorf("%v, want that it is full", err)
 	}
 	for n := range MaxMembers {
@@ -395,31 +395,31 @@
 	m := &machine{}
 	m.start()
 	m.start()
-	play := func(d time.Duration) { m.play(t, d) }
-	play(4 * LeaseTime)
+	run := func(d time.Duration) { m.run(t, d) }
+	run(4 * LeaseTime)
 	first, second := m.procs[0], m.procs[1]
 	first.use, first.had, second.use, second.had = Whole/2, Whole/2, Whole/2, Whole/2 // a window later
 	m.check(t, nil)
 	second.stopped = true
-	play(LeaseTime / 2)
+	run(LeaseTime / 2)
 	second.stopped = false
-	play(LeaseTime)
+	run(LeaseTime)
 	if second.use != Whole/2 {
 		t.Errorf("%d parts in use after a short stop, want half", second.use)
 	}
 	m.kill(first, false)
-	play(HeartbeatEvery)
+	run(HeartbeatEvery)
 	if second.use != Whole/2 || second.member.Parts(m.now) != Whole/2 {
 		t.Errorf("%d parts in use when the coordinator has died, want half", second.use)
 	}
-	play(2 * LeaseTime)
+	run(2 * LeaseTime)
 	if second.use != Whole/2 || second.member.Parts(m.now) != Whole {
 		t.Errorf("%d of %d parts in use, want half of all: the rest was the dead one's", second.use, second.member.Parts(m.now))
 	}
 	second.use, second.had = Whole, Whole // a window later
 	m.check(t, nil)
 	m.start()
-	play(2 * LeaseTime)
+	run(2 * LeaseTime)
 	if third := m.procs[2]; third.use != 0 || third.member.Parts(m.now) != Whole/2 || second.use != Whole/2 {
 		t.Errorf("%d of %d parts in use by one that has joined", third.use, third.member.Parts(m.now))
 	}
@@ -432,7 +432,7 @@
 	leases := func(hello ...ID) map[ID]Lease {
 		t.Helper()
 		for _, id := range hello {
-			if err := c.Hear(now, Hello{Version: Version, Member: id}); err != nil {
+			if err := c.Receive(now, Hello{Version: Version, Member: id}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -458,7 +458,7 @@
 	if l := leases("a"); l["a"].Parts != Whole {
 		t.Fatalf("%+v", l)
 	}
-	c.Departed("a") // just when b goes on
+	c.MarkDead("a") // just when b goes on
 	now += LeaseTime
 	if l := leases("b"); l["b"].Parts != Whole || l["b"].Kept != 0 {
 		t.Errorf("it kept what a has had: %+v", l)
--- a/internal/deliverynode/group/files.go
+++ b/internal/deliverynode/group/files.go
@@ -16,8 +16,8 @@
 
 const (
 	memberPrefix = "member-"
-	leadForm     = "lead-%08d"
-	viewForm     = "view-%016x"
+	leadFormat   = "lead-%08d"
+	viewFormat   = "view-%016x"
 	newView      = "view.new"
 	// retainedViews is how many views stay: the last may be torn.
 	retainedViews = 2
@@ -116,7 +116,7 @@
 	last := 0
 	for _, e := range entries {
 		var n int
-		if _, err := fmt.Sscanf(e.Name(), leadForm, &n); err == nil && e.Name() == fmt.Sprintf(leadForm, n) {
+		if _, err := fmt.Sscanf(e.Name(), leadFormat, &n); err == nil && e.Name() == fmt.Sprintf(leadFormat, n) {
 			last = max(last, n)
 		}
 	}
@@ -124,8 +124,8 @@
 }
 
 // lead tries to lead a term, which nobody did before. Those before are over with it.
-func (d folder) lead(term int) (*os.File, error) {
-	f, err := d.lock(fmt.Sprintf(leadForm, term))
+func (d folder) acquireTerm(term int) (*os.File, error) {
+	f, err := d.lock(fmt.Sprintf(leadFormat, term))
 	if err != nil || f == nil {
 		return nil, err
 	}
@@ -133,7 +133,7 @@
 		return nil, errors.Join(err, f.Close())
 	}
 	for old := term - 1; old > 0; old-- {
-		if err := os.Remove(d.path(fmt.Sprintf(leadForm, old))); err != nil {
+		if err := os.Remove(d.path(fmt.Sprintf(leadFormat, old))); err != nil {
 			break // those before went with it
 		}
 	}
@@ -149,7 +149,7 @@
 	}
 	for _, name := range names {
 		var n uint64
-		_, _ = fmt.Sscanf(name, viewForm, &n) // its form was checked
+		_, _ = fmt.Sscanf(name, viewFormat, &n) // its form was checked
 		epoch = max(epoch, n)
 		v, err := d.readView(name)
 		if err != nil || v.Epoch != n {
@@ -173,7 +173,7 @@
 	var names []string
 	for _, e := range entries {
 		var n uint64
-		if _, err := fmt.Sscanf(e.Name(), viewForm, &n); err == nil && e.Name() == fmt.Sprintf(viewForm, n) {
+		if _, err := fmt.Sscanf(e.Name(), viewFormat, &n); err == nil && e.Name() == fmt.Sprintf(viewFormat, n) {
 			names = append(names, e.Name())
 		}
 	}
@@ -209,7 +209,7 @@
 	if err := os.WriteFile(d.path(newView), data, 0o600); err != nil {
 		return fmt.Errorf("writing a view: %w", err)
 	}
-	if err := os.Rename(d.path(newView), d.path(fmt.Sprintf(viewForm, v.Epoch))); err != nil {
+	if err := os.Rename(d.path(newView), d.path(fmt.Sprintf(viewFormat, v.Epoch))); err != nil {
 		return fmt.Errorf("writing a view: %w", err)
 	}
 	names, err := d.viewNames()
--- a/internal/deliverynode/group/golden_test.go
+++ b/internal/deliverynode/group/golden_test.go
@@ -52,7 +52,7 @@
 
 // goldenView is the view in the file of testdata/golden.
 func goldenView() View {
-	return View{Version: Version, Epoch: 0x1234, Shares: []Share{{Member: "aa", Parts: 420, Had: 105}, {Member: "bb", Parts: 419}}}
+	return View{Version: Version, Epoch: 0x1234, Shares: []Share{{Member: "aa", Parts: 420, Retained: 105}, {Member: "bb", Parts: 419}}}
 }
 
 func TestGoldenViewFile(t *testing.T) {
--- a/internal/deliverynode/group/group.go
+++ b/internal/deliverynode/group/group.go
@@ -64,9 +64,9 @@
 	lock     *os.File // the lock on its own file, for as long as it lives
 	listener *net.UnixListener
 
-	peersMu sync.Mutex
-	peers   map[ID]*outbox.Queue[Message]
-	endPeer map[ID]context.CancelFunc
+	peersMu    sync.Mutex
+	peers      map[ID]*outbox.Queue[Message]
+	cancelPeer map[ID]context.CancelFunc
 
 	mu            sync.Mutex
 	member        *Member
@@ -81,14 +81,14 @@
 	if err := os.Mkdir(c.Dir, 0o700); err != nil && !errors.Is(err, os.ErrExist) {
 		return nil, fmt.Errorf("joining the group: %w", err)
 	}
-	g := &Group{cfg: c, id: ID(rand.Text()[:16]), dir: folder(c.Dir), peers: map[ID]*outbox.Queue[Message]{}, endPeer: map[ID]context.CancelFunc{}}
+	g := &Group{cfg: c, id: ID(rand.Text()[:16]), dir: folder(c.Dir), peers: map[ID]*outbox.Queue[Message]{}, cancelPeer: map[ID]context.CancelFunc{}}
 	g.member = NewMember(g.id)
 	if _, _, _, err := g.dir.views(); err != nil {
 		return nil, fmt.Errorf("joining the group: %w", err)
 	}
 	hold, err := g.dir.lock(memberPrefix + string(g.id))
 	if err != nil || hold == nil {
-		return nil, fmt.Errorf("joining the group: its own lock: %w", errors.Join(err, errLock(hold)))
+		return nil, fmt.Errorf("joining the group: its own lock: %w", errors.Join(err, lockError(hold)))
 	}
 	g.lock = hold
 	err = AtSocket(g.dir.path(socketName+string(g.id)), func(short string) (err error) {
@@ -102,7 +102,7 @@
 	return g, nil
 }
 
-func errLock(f *os.File) error {
+func lockError(f *os.File) error {
 	if f == nil {
 		return errors.New("another has it")
 	}
@@ -142,7 +142,7 @@
 			g.cfg.Log.Warn("group: beat", "err", err)
 		}
 		g.notifyShare()
-		if err := g.meet(ctx, &running); err != nil {
+		if err := g.updatePeers(ctx, &running); err != nil {
 			g.cfg.Log.Warn("group: members", "err", err)
 		}
 		select {
@@ -162,12 +162,12 @@
 	now := g.cfg.Clock()
 	leaderless := g.member.Tick(now)
 	hello := g.member.Hello()
-	err := g.follow(now, leaderless)
+	err := g.updateLeadership(now, leaderless)
 	lead, term := g.coordinator, g.term
 	if lead != nil && err == nil {
 		var l Lease
-		if l, err = g.share(now, hello); err == nil {
-			err = g.member.Hear(now, l)
+		if l, err = g.grantLease(now, hello); err == nil {
+			err = g.member.Receive(now, l)
 		}
 	}
 	g.mu.Unlock()
@@ -180,11 +180,11 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.member.Hear(g.cfg.Clock(), l)
+	return g.member.Receive(g.cfg.Clock(), l)
 }
 
 // follow finds out who leads, and leads where nobody does or who does is out of touch.
-func (g *Group) follow(now time.Duration, leaderless bool) error {
+func (g *Group) updateLeadership(now time.Duration, leaderless bool) error {
 	term, err := g.dir.term()
 	if err != nil {
 		return err
@@ -202,14 +202,14 @@
 	}
 	held := false
 	if term > 0 {
-		if held, err = g.dir.locked(fmt.Sprintf(leadForm, term)); err != nil {
+		if held, err = g.dir.locked(fmt.Sprintf(leadFormat, term)); err != nil {
 			return err
 		}
 	}
 	if held && !leaderless {
 		return nil
 	}
-	f, err := g.dir.lead(term + 1)
+	f, err := g.dir.acquireTerm(term + 1)
 	if err != nil || f == nil { // another was first
 		return err
 	}
@@ -229,7 +229,7 @@
 
 // share answers a member, with the view on disk before. It reads the clock before it looks
 // whether it still leads: what it grants after standing still has run out already.
-func (g *Group) share(now time.Duration, h Hello) (Lease, error) {
+func (g *Group) grantLease(now time.Duration, h Hello) (Lease, error) {
 	if g.coordinator == nil {
 		return Lease{}, errors.New("this member does not lead")
 	}
@@ -248,7 +248,7 @@
 	}
 	for _, id := range g.coordinator.Members() {
 		if !there[id] {
-			g.coordinator.Departed(id)
+			g.coordinator.MarkDead(id)
 		}
 	}
 	for id, alive := range there {
@@ -261,7 +261,7 @@
 	if !there[h.Member] {
 		return Lease{}, fmt.Errorf("%q holds no lock of a member", h.Member)
 	}
-	if err := g.coordinator.Hear(now, h); err != nil {
+	if err := g.coordinator.Receive(now, h); err != nil {
 		return Lease{}, err
 	}
 	view, changed, leases := g.coordinator.Share(now)
@@ -308,7 +308,7 @@
 
 // requestLease exchanges a hello for a lease with who leads a term.
 func (g *Group) requestLease(ctx context.Context, term int, h Hello) (Lease, error) {
-	id, err := os.ReadFile(g.dir.path(fmt.Sprintf(leadForm, term)))
+	id, err := os.ReadFile(g.dir.path(fmt.Sprintf(leadFormat, term)))
 	if err != nil {
 		return Lease{}, err
 	}
@@ -342,7 +342,7 @@
 		case places <- struct{}{}:
 			running.Go(func() {
 				defer func() { <-places }()
-				g.answer(conn)
+				g.handleConn(conn)
 			})
 		default:
 			_ = conn.Close() // it asks again
@@ -350,7 +350,7 @@
 	}
 }
 
-func (g *Group) answer(conn net.Conn) {
+func (g *Group) handleConn(conn net.Conn) {
 	defer conn.Close()
 	if err := conn.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return
@@ -369,7 +369,7 @@
 		err = fmt.Errorf("%w: %d, this one has %d", ErrVersion, r.Version, Version)
 	case r.Hello != nil:
 		g.mu.Lock()
-		a.Lease, err = g.share(g.cfg.Clock(), *r.Hello)
+		a.Lease, err = g.grantLease(g.cfg.Clock(), *r.Hello)
 		g.mu.Unlock()
 	case r.File != "":
 		if err := g.sendFile(conn.(*net.UnixConn), r.File); err != nil {
@@ -377,7 +377,7 @@
 		}
 		return
 	case r.Tell != nil || r.Ask != nil:
-		a.Body, err = g.hear(r)
+		a.Body, err = g.handleMessage(r)
 	default:
 		err = errors.New("a message without meaning")
 	}
@@ -390,7 +390,7 @@
 }
 
 // hear passes on what another member tells or asks.
-func (g *Group) hear(r request) (json.RawMessage, error) {
+func (g *Group) handleMessage(r request) (json.RawMessage, error) {
 	m, asked := r.Tell, false
 	if m == nil {
 		m, asked = r.Ask, true
--- a/internal/deliverynode/group/group_test.go
+++ b/internal/deliverynode/group/group_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // TestMain lets the test binary be a member, so that tests can stop and kill real ones.
 func TestMain(m *testing.M) {
@@ -58,7 +58,7 @@
 	id    ID
 }
 
-func join(t *testing.T, dir string) *child {
+func startChild(t *testing.T, dir string) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command(os.Args[0]), lines: make(chan string, 1000)}
 	c.cmd.Env = append(os.Environ(), "GROUP_TEST_DIR="+dir, "GORACE=atexit_sleep_ms=0")
@@ -89,14 +89,14 @@
 	select {
 	case line := <-c.lines:
 		return line
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s says nothing more", c.id)
 		return ""
 	}
 }
 
 // share waits until a member has so many parts.
-func (c *child) share(t *testing.T, parts int) {
+func (c *child) waitForShare(t *testing.T, parts int) {
 	t.Helper()
 	want := fmt.Sprintf("share %d ", parts)
 	for line := c.next(t); !strings.HasPrefix(line, want); line = c.next(t) {
@@ -119,15 +119,15 @@
 	dir = filepath.Join(dir, "group")
 	var all []*child
 	for range 3 {
-		all = append(all, join(t, dir))
+		all = append(all, startChild(t, dir))
 	}
 	for _, c := range all {
-		c.share(t, Whole/3)
+		c.waitForShare(t, Whole/3)
 	}
 	leader := func() *child {
 		term, err := folder(dir).term()
 		must(t, err)
-		id, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf(leadForm, term)))
+		id, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf(leadFormat, term)))
 		must(t, err)
 		for _, c := range all {
 			if c.id == ID(id) {
@@ -148,26 +148,26 @@
 	stuck := leader()
 	stuck.signal(t, syscall.SIGSTOP)
 	for _, c := range others(stuck) { // another leads, and what it had is shared out
-		c.share(t, Whole/2)
+		c.waitForShare(t, Whole/2)
 	}
 	if leader() == stuck {
 		t.Error("it leads still")
 	}
 	stuck.signal(t, syscall.SIGCONT)
 	for _, c := range all {
-		c.share(t, Whole/3)
+		c.waitForShare(t, Whole/3)
 	}
 	dead := leader()
 	dead.signal(t, syscall.SIGKILL)
 	all = others(dead)
 	for _, c := range all {
-		c.share(t, Whole/2)
+		c.waitForShare(t, Whole/2)
 	}
 	must(t, all[0].in.Close())
 	must(t, all[0].cmd.Wait())
-	all[1].share(t, Whole)
-	again := join(t, dir)
-	again.share(t, Whole/2)
+	all[1].waitForShare(t, Whole)
+	again := startChild(t, dir)
+	again.waitForShare(t, Whole/2)
 	for _, c := range []*child{all[1], again} {
 		must(t, c.in.Close())
 		must(t, c.cmd.Wait())
@@ -185,10 +185,10 @@
 // goes on above every epoch, and has all after one lease.
 func TestGroupResumesAfterAllDied(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "group")
-	a := join(t, dir)
-	a.share(t, Whole)
-	b := join(t, dir)
-	b.share(t, Whole/2)
+	a := startChild(t, dir)
+	a.waitForShare(t, Whole)
+	b := startChild(t, dir)
+	b.waitForShare(t, Whole/2)
 	a.signal(t, syscall.SIGKILL)
 	b.signal(t, syscall.SIGKILL)
 	_, _ = a.cmd.Wait(), b.cmd.Wait() // killed
@@ -199,11 +199,11 @@
 	for _, name := range []string{"view-x", "lead-x", "notes", "view-00000000000000zz"} {
 		must(t, os.WriteFile(filepath.Join(dir, name), []byte("x"), 0o600))
 	}
-	c := join(t, dir)
-	c.share(t, Whole)
+	c := startChild(t, dir)
+	c.waitForShare(t, Whole)
 	views, epoch, _, err := folder(dir).views()
 	must(t, err)
-	if now := views[len(views)-1]; fmt.Sprintf(viewForm, now.Epoch) <= last || now.Epoch != epoch {
+	if now := views[len(views)-1]; fmt.Sprintf(viewFormat, now.Epoch) <= last || now.Epoch != epoch {
 		t.Errorf("epoch %x after %s", now.Epoch, last)
 	}
 }
@@ -211,8 +211,8 @@
 // Whoever connects and says nothing, or nonsense, or too much, keeps nobody out.
 func TestStrangersAtTheSocket(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "group")
-	a := join(t, dir)
-	a.share(t, Whole)
+	a := startChild(t, dir)
+	a.waitForShare(t, Whole)
 	for i := range 3 * maxCalls {
 		conn, err := net.Dial("unix", filepath.Join(dir, socketName+string(a.id)))
 		must(t, err)
@@ -226,8 +226,8 @@
 			_, _ = conn.Write([]byte{2, 0, 0, 0, '{', '}'})
 		}
 	}
-	b := join(t, dir)
-	b.share(t, Whole/2)
+	b := startChild(t, dir)
+	b.waitForShare(t, Whole/2)
 }
 
 // A view of a newer version, and a folder that can't be written, end a start with a line.
@@ -250,7 +250,7 @@
 	d := folder(t.TempDir())
 	v := View{Version: Version, Epoch: 0x17, Shares: []Share{{"a", 420, 0}, {"b", 420, 420}}}
 	must(t, d.writeView(v))
-	path := d.path(fmt.Sprintf(viewForm, v.Epoch))
+	path := d.path(fmt.Sprintf(viewFormat, v.Epoch))
 	data, err := os.ReadFile(path)
 	must(t, err)
 	for i := range data {
--- a/internal/deliverynode/group/messages.go
+++ b/internal/deliverynode/group/messages.go
@@ -142,8 +142,8 @@
 	return err
 }
 
-// meet keeps a queue for each other member that lives, and ends those of the dead.
-func (g *Group) meet(ctx context.Context, running *sync.WaitGroup) error {
+// updatePeers keeps a queue for each other member that lives, and ends those of the dead.
+func (g *Group) updatePeers(ctx context.Context, running *sync.WaitGroup) error {
 	live, err := g.Members()
 	if err != nil {
 		return err
@@ -163,14 +163,14 @@
 		}
 		q, life, end := outbox.New[Message](maxQueued, 0), context.Context(nil), context.CancelFunc(nil)
 		life, end = context.WithCancel(ctx)
-		g.peers[id], g.endPeer[id], met = q, end, true
+		g.peers[id], g.cancelPeer[id], met = q, end, true
 		running.Go(func() { g.notifyPeer(life, id, q) })
 	}
 	for id := range g.peers {
 		if !there[id] {
-			g.endPeer[id]()
+			g.cancelPeer[id]()
 			delete(g.peers, id)
-			delete(g.endPeer, id)
+			delete(g.cancelPeer, id)
 		}
 	}
 	return nil
@@ -284,7 +284,7 @@
 	states, ages := map[ID]State{}, map[ID]time.Duration{}
 	if g.coordinator != nil {
 		for id, p := range g.coordinator.peers {
-			states[id], ages[id] = p.state(now), now-p.heard
+			states[id], ages[id] = p.state(now), now-p.lastHeard
 		}
 	}
 	g.mu.Unlock()
--- a/internal/deliverynode/group/messages_test.go
+++ b/internal/deliverynode/group/messages_test.go
@@ -15,21 +15,21 @@
 )
 
 // talker is a member in this process that keeps what it hears.
-type talker struct {
+type testMember struct {
 	*Group
-	heard chan Message
-	stop  func()
+	received chan Message
+	stop     func()
 }
 
-func talk(t *testing.T, dir string, change func(*Config)) *talker {
+func joinInProcess(t *testing.T, dir string, change func(*Config)) *testMember {
 	t.Helper()
-	k := &talker{heard: make(chan Message, 10000)}
+	k := &testMember{received: make(chan Message, 10000)}
 	c := Config{Dir: dir, Clock: Clock, Log: slog.New(slog.DiscardHandler), Share: func(int, int) {},
 		Hear: func(m Message, asked bool) (any, error) {
 			if asked {
 				return map[string]string{"said": string(m.Body)}, nil
 			}
-			k.heard <- m
+			k.received <- m
 			return nil, nil
 		}}
 	if change != nil {
@@ -51,9 +51,9 @@
 }
 
 // meets waits until a member has a queue for so many others.
-func (k *talker) meets(t *testing.T, n int) {
+func (k *testMember) waitForPeers(t *testing.T, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		k.peersMu.Lock()
 		have := len(k.peers)
 		k.peersMu.Unlock()
@@ -66,12 +66,12 @@
 	}
 }
 
-func (k *talker) next(t *testing.T) Message {
+func (k *testMember) next(t *testing.T) Message {
 	t.Helper()
 	select {
-	case m := <-k.heard:
+	case m := <-k.received:
 		return m
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("nothing was heard")
 		return Message{}
 	}
@@ -79,20 +79,20 @@
 
 func TestNotificationsReachAllOtherMembers(t *testing.T) {
 	dir := t.TempDir()
-	a, b, c := talk(t, dir, nil), talk(t, dir, nil), talk(t, dir, nil)
-	a.meets(t, 2)
+	a, b, c := joinInProcess(t, dir, nil), joinInProcess(t, dir, nil), joinInProcess(t, dir, nil)
+	a.waitForPeers(t, 2)
 	must(t, a.Notify("wait", "e1", 7))
-	for _, k := range []*talker{b, c} {
+	for _, k := range []*testMember{b, c} {
 		if m := k.next(t); m.From != a.ID() || m.Kind != "wait" || m.Key != "e1" || string(m.Body) != "7" || m.At <= 0 {
 			t.Errorf("heard %+v", m)
 		}
 	}
-	if len(a.heard) > 0 {
+	if len(a.received) > 0 {
 		t.Error("it told itself")
 	}
 	// In order, and after one has left the others hear on.
 	c.stop()
-	a.meets(t, 1)
+	a.waitForPeers(t, 1)
 	for i := range 100 {
 		must(t, a.Notify("n", fmt.Sprint(i), i))
 	}
@@ -107,14 +107,14 @@
 func TestAMemberThatDoesNotListen(t *testing.T) {
 	dir := t.TempDir()
 	deaf := make(chan struct{})
-	b := talk(t, dir, nil)
+	b := joinInProcess(t, dir, nil)
 	hear := b.cfg.Hear
 	b.cfg.Hear = func(m Message, asked bool) (any, error) {
 		<-deaf
 		return hear(m, asked)
 	}
-	a := talk(t, dir, nil)
-	a.meets(t, 1)
+	a := joinInProcess(t, dir, nil)
+	a.waitForPeers(t, 1)
 	for i := range 5000 {
 		must(t, a.Notify("list", "", i))
 		must(t, a.Notify("wait", fmt.Sprint(i), i))
@@ -134,7 +134,7 @@
 
 func TestRequestsBetweenMembersAreAnswered(t *testing.T) {
 	dir := t.TempDir()
-	a, b := talk(t, dir, nil), talk(t, dir, func(c *Config) {
+	a, b := joinInProcess(t, dir, nil), joinInProcess(t, dir, func(c *Config) {
 		c.Hear = func(Message, bool) (any, error) { return nil, errors.New("not now") }
 	})
 	var got struct{ Said string }
@@ -155,7 +155,7 @@
 	dir := t.TempDir()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
-	a := talk(t, dir, func(c *Config) {
+	a := joinInProcess(t, dir, func(c *Config) {
 		c.File = func(name string) *os.File {
 			if name != "clients" {
 				return nil
@@ -167,7 +167,7 @@
 			return f
 		}
 	})
-	b := talk(t, dir, nil)
+	b := joinInProcess(t, dir, nil)
 	if f, err := b.File(t.Context(), a.ID(), "staff"); f != nil || err != nil {
 		t.Error(f, err)
 	}
@@ -198,7 +198,7 @@
 // TestMalformedMessagesAreDropped: peers that say nothing, half a message, rubbish, or one of another version.
 func TestMalformedMessagesAreDropped(t *testing.T) {
 	dir := t.TempDir()
-	a, b := talk(t, dir, nil), talk(t, dir, nil)
+	a, b := joinInProcess(t, dir, nil), joinInProcess(t, dir, nil)
 	path := a.dir.path(socketName + string(a.ID()))
 	for _, bytes := range []string{"", "\x05\x00", "\xff\xff\xff\x7f", "\x02\x00\x00\x00{}", "\x03\x00\x00\x00abc", "GET / HTTP/1.1\r\n\r\n"} {
 		conn, err := net.Dial("unix", path)
@@ -212,7 +212,7 @@
 		!strings.Contains(err.Error(), "another version") {
 		t.Error(err)
 	}
-	b.meets(t, 1)
+	b.waitForPeers(t, 1)
 	must(t, b.Notify("still", "", 1))
 	if m := a.next(t); m.Kind != "still" {
 		t.Errorf("heard %+v", m)
@@ -222,14 +222,14 @@
 // TestNewMembersAreReported: who was there before is told of each that comes, after which it hears what is told.
 func TestNewMembersAreReported(t *testing.T) {
 	dir := t.TempDir()
-	var a *talker
+	var a *testMember
 	met := make(chan struct{}, 10)
-	a = talk(t, dir, func(c *Config) { c.Met = func() { met <- struct{}{} } })
+	a = joinInProcess(t, dir, func(c *Config) { c.Met = func() { met <- struct{}{} } })
 	for range 2 {
-		b := talk(t, dir, nil)
+		b := joinInProcess(t, dir, nil)
 		select {
 		case <-met:
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("nobody was met")
 		}
 		must(t, a.NotifyAt(7, "list", "", 1))
@@ -237,7 +237,7 @@
 			t.Errorf("heard %+v", m)
 		}
 		b.stop()
-		a.meets(t, 0)
+		a.waitForPeers(t, 0)
 	}
 }
 
@@ -257,7 +257,7 @@
 	select {
 	case err := <-ended:
 		must(t, err)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("it does not end")
 	}
 }
