--- a/internal/deliverynode/fleet/claim.go
+++ b/internal/deliverynode/fleet/claim.go
@@ -20,7 +20,7 @@
 
 // judge keeps what a record of this node asks for until the session settles it; f.mu is held.
 func (f *Fleet) addClaim(rec Record) {
-	claim := f.table.Mine(rec)
+	claim := f.table.ClaimFor(rec)
 	if claim == (Claim{}) {
 		return
 	}
@@ -96,7 +96,7 @@
 func (f *Fleet) raise(claim Claim) {
 	own := f.Self().Incarnation
 	f.mu.Lock()
-	removed := f.table.Removes(claim)
+	removed := f.table.HasNewRemoval(claim)
 	f.mu.Unlock()
 	if removed { // also where the node was raised above the removed incarnation meanwhile
 		claim.Raise = max(claim.Raise, own+1)
@@ -114,9 +114,9 @@
 	}
 	f.stats.raised.Add(1)
 	f.mu.Lock()
-	f.table.Raised(claim.Raise)
+	f.table.SetIncarnation(claim.Raise)
 	if removed {
-		f.table.Renewed()
+		f.table.Rejoined()
 	}
 	f.mu.Unlock()
 	f.options.Log.Info("fleet: a new incarnation", "incarnation", claim.Raise, "removed", removed, "old folder", claim.Old)
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -43,7 +43,7 @@
 	}
 	for _, a := range w.nodes {
 		for _, b := range w.nodes {
-			a.table.Hear(b.Self().Record, 0)
+			a.table.MarkReachable(b.Self().Record, 0)
 		}
 	}
 	return w
@@ -53,9 +53,9 @@
 func (w *World) Node(name string) *Node { return w.nodes[name] }
 
 // Hear lets a node hear of another as it is now; Silence ends that.
-func (w *World) Hear(at, of string) {
+func (w *World) MarkReachable(at, of string) {
 	n := w.nodes[at]
-	n.changed(n.table.Hear(w.nodes[of].Self().Record, w.Now))
+	n.changed(n.table.MarkReachable(w.nodes[of].Self().Record, w.Now))
 }
 
 // Silence makes another a suspect of a node's.
@@ -83,7 +83,7 @@
 // it had to say, and it hears nothing that was on its way to it.
 func (w *World) Restart(name string) {
 	n := w.nodes[name]
-	n.table.Raised(n.Self().Incarnation + 1)
+	n.table.SetIncarnation(n.Self().Incarnation + 1)
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(m *update) bool { return m.from == name || m.to == name })
 }
 
@@ -95,7 +95,7 @@
 }
 
 // OnItsWay tells what waits, by sender, receiver, kind and key, in a fixed order.
-func (w *World) OnItsWay() (all []string) {
+func (w *World) InFlight() (all []string) {
 	for _, m := range w.inFlight {
 		all = append(all, fmt.Sprint(m.from, " to ", m.to, ": ", m.kind, " ", m.key))
 	}
--- a/internal/deliverynode/fleet/fleettest/fleettest_test.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	w.Now = time.Second
-	if got := w.OnItsWay(); !slices.Equal(got, []string{"a to b: k x"}) {
+	if got := w.InFlight(); !slices.Equal(got, []string{"a to b: k x"}) {
 		t.Error(got)
 	}
 	w.Deliver(0, true)
@@ -63,11 +63,11 @@
 		t.Error("a suspect is a member:", err)
 	}
 	w.Remove("a", "b")
-	if err := a.Tell("b", "k", "x", nil); !errors.Is(err, fleet.ErrUnknown) || len(w.OnItsWay()) != 0 {
-		t.Error(err, w.OnItsWay())
+	if err := a.Tell("b", "k", "x", nil); !errors.Is(err, fleet.ErrUnknown) || len(w.InFlight()) != 0 {
+		t.Error(err, w.InFlight())
 	}
 	w.Restart("b")
-	w.Hear("a", "b")
+	w.MarkReachable("a", "b")
 	w.Leave("a", "c")
 	if !slices.Equal(steps, []fleet.State{fleet.Suspect, fleet.Removed, fleet.Alive, fleet.Left}) {
 		t.Error(steps)
--- a/internal/deliverynode/fleet/gossip.go
+++ b/internal/deliverynode/fleet/gossip.go
@@ -178,7 +178,9 @@
 // NotifyJoin and the next two follow who is heard.
 func (g *gossip) NotifyJoin(n *memberlist.Node) {
 	if rec, _, err := recordOf(n); err == nil && rec.Name != g.fleet.options.Name {
-		g.ifRunning(func() { g.fleet.updateTable(func(t *Table, now time.Duration) []Change { return t.Hear(rec, now) }) })
+		g.ifRunning(func() {
+			g.fleet.updateTable(func(t *Table, now time.Duration) []Change { return t.MarkReachable(rec, now) })
+		})
 	}
 }
 
--- a/internal/deliverynode/fleet/status.go
+++ b/internal/deliverynode/fleet/status.go
@@ -33,20 +33,20 @@
 
 // Traffic counts since the process began.
 type Traffic struct {
-	BytesOut    int64 `json:"bytes_out"`
-	BytesIn     int64 `json:"bytes_in"`
-	PacketsOut  int64 `json:"packets_out"`
-	PacketsIn   int64 `json:"packets_in"`
-	Dials       int64 `json:"dials"`
-	Connections int   `json:"connections"`
-	MaxConns    int   `json:"max_connections"`
-	Crowded     int64 `json:"no_place"`  // connections for which there was no place
-	Dropped     int64 `json:"dropped"`   // datagrams for which there was no room
-	Spoilt      int64 `json:"spoilt"`    // what did not check, or came from another fleet
-	Strangers   int64 `json:"strangers"` // connections and datagrams of something else
-	Versions    int64 `json:"refused_versions"`
-	Raised      int64 `json:"raised"` // incarnations taken because of what others knew
-	NoRoom      int   `json:"members_without_room"`
+	BytesOut       int64 `json:"bytes_out"`
+	BytesIn        int64 `json:"bytes_in"`
+	PacketsOut     int64 `json:"packets_out"`
+	PacketsIn      int64 `json:"packets_in"`
+	Dials          int64 `json:"dials"`
+	Connections    int   `json:"connections"`
+	MaxConns       int   `json:"max_connections"`
+	Crowded        int64 `json:"no_place"`  // connections for which there was no place
+	Dropped        int64 `json:"dropped"`   // datagrams for which there was no room
+	Spoilt         int64 `json:"spoilt"`    // what did not check, or came from another fleet
+	Strangers      int64 `json:"strangers"` // connections and datagrams of something else
+	Versions       int64 `json:"refused_versions"`
+	Raised         int64 `json:"raised"` // incarnations taken because of what others knew
+	MembersRefused int   `json:"members_without_room"`
 }
 
 // Status tells all of it.
@@ -59,7 +59,7 @@
 		Traffic: Traffic{BytesOut: f.stats.bytesOut.Load(), BytesIn: f.stats.bytesIn.Load(), PacketsOut: f.stats.packetsOut.Load(),
 			PacketsIn: f.stats.packetsIn.Load(), Dials: f.stats.dials.Load(), Connections: len(f.conns), MaxConns: cap(f.conns),
 			Crowded: f.stats.connsRefused.Load(), Dropped: f.stats.dropped.Load(), Spoilt: f.stats.corrupt.Load(),
-			Strangers: f.stats.foreign.Load(), Versions: f.stats.versions.Load(), Raised: f.stats.raised.Load(), NoRoom: f.table.Refused}}
+			Strangers: f.stats.foreign.Load(), Versions: f.stats.versions.Load(), Raised: f.stats.raised.Load(), MembersRefused: f.table.Refused}}
 	for who, why := range f.refused {
 		s.Refused[who] = why
 	}
--- a/internal/deliverynode/fleet/table.go
+++ b/internal/deliverynode/fleet/table.go
@@ -23,7 +23,7 @@
 
 // CountTime is for how long a count that a member has seen holds against smaller ones: longer
 // than a death takes to be told to all, and than the longest restart in turn.
-const CountTime = 60 * time.Second
+const CountHoldTime = 60 * time.Second
 
 // Record is what nodes tell each other of a member. Records merge without order.
 type Record struct {
@@ -84,8 +84,8 @@
 }
 
 type sample struct {
-	at    time.Duration
-	count int
+	recordedAt time.Duration
+	count      int
 }
 
 // NewTable begins with the node itself.
@@ -168,7 +168,7 @@
 }
 
 // Hear tells that gossip reaches a member now, under this record.
-func (t *Table) Hear(rec Record, now time.Duration) []Change {
+func (t *Table) MarkReachable(rec Record, now time.Duration) []Change {
 	if rec.Name == t.self {
 		return nil
 	}
@@ -210,7 +210,7 @@
 }
 
 // Mine judges what somebody tells of the node itself.
-func (t *Table) Mine(rec Record) (c Claim) {
+func (t *Table) ClaimFor(rec Record) (c Claim) {
 	own := t.Self()
 	if word := max(rec.Removed, rec.Left); word >= own.Incarnation {
 		// No process says its own word under an incarnation that it goes on with.
@@ -233,17 +233,17 @@
 }
 
 // Raised tells that the node has a new incarnation, which is on disk.
-func (t *Table) Raised(incarnation uint64) {
+func (t *Table) SetIncarnation(incarnation uint64) {
 	r := t.rows[t.self]
 	r.Incarnation, r.reachableIncarnation = incarnation, incarnation
 }
 
 // Removes tells whether a claim holds a removal that the node has not been told of.
-func (t *Table) Removes(c Claim) bool { return c.Removed >= t.memberSince }
+func (t *Table) HasNewRemoval(c Claim) bool { return c.Removed >= t.memberSince }
 
 // Renewed tells that the node is a new member in its present incarnation: a removal of an earlier one
 // asks for nothing any more.
-func (t *Table) Renewed() { t.memberSince = t.Self().Incarnation }
+func (t *Table) Rejoined() { t.memberSince = t.Self().Incarnation }
 
 // Remove says that a member is gone, up to its present incarnation, by the staff's word.
 func (t *Table) Remove(name string, now time.Duration) (Record, []Change, bool) {
@@ -314,7 +314,7 @@
 func (t *Table) MergeSightings(all []Sighting, now time.Duration) {
 	for _, s := range all {
 		r := t.rows[s.Name]
-		if r == nil || s.Name == t.self || s.Count < 1 || s.Count > MaxMembers || s.Age < 0 || s.Age >= CountTime {
+		if r == nil || s.Name == t.self || s.Count < 1 || s.Count > MaxMembers || s.Age < 0 || s.Age >= CountHoldTime {
 			continue
 		}
 		if at := now - s.Age; !r.countReported || at > r.reportedAt {
@@ -325,7 +325,7 @@
 
 // own is the largest count that this node has seen within CountTime.
 func (t *Table) maxOwnCount(now time.Duration) int {
-	for len(t.ownCounts) > 1 && t.ownCounts[1].at <= now-CountTime { // one holds until the next, smaller one
+	for len(t.ownCounts) > 1 && t.ownCounts[1].recordedAt <= now-CountHoldTime { // one holds until the next, smaller one
 		t.ownCounts = t.ownCounts[1:]
 	}
 	return t.ownCounts[0].count
@@ -335,7 +335,7 @@
 func (t *Table) Sightings(now time.Duration) []Sighting {
 	all := []Sighting{{t.self, t.maxOwnCount(now), 0}}
 	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
-		if r := t.rows[name]; r.countReported && !r.state.Departed() && now-r.reportedAt < CountTime {
+		if r := t.rows[name]; r.countReported && !r.state.Departed() && now-r.reportedAt < CountHoldTime {
 			all = append(all, Sighting{name, r.reportedCount, now - r.reportedAt})
 		}
 	}
--- a/internal/deliverynode/fleet/table_test.go
+++ b/internal/deliverynode/fleet/table_test.go
@@ -54,21 +54,21 @@
 		want State
 		from State
 	}{
-		{"heard", func(now time.Duration) []Change { return tab.Hear(b, now) }, Alive, Suspect},
+		{"heard", func(now time.Duration) []Change { return tab.MarkReachable(b, now) }, Alive, Suspect},
 		{"silent", func(now time.Duration) []Change { return tab.Suspect("b", now) }, Suspect, Alive},
 		{"for a year", func(now time.Duration) []Change { return tab.Suspect("b", now+365*24*time.Hour) }, Suspect, ""},
 		{"heard under the incarnation before", func(now time.Duration) []Change {
 			old := b
 			old.Incarnation = 2
-			return tab.Hear(old, now)
+			return tab.MarkReachable(old, now)
 		}, Suspect, ""},
-		{"restarted", func(now time.Duration) []Change { b.Incarnation, b.Start = 4, 6; return tab.Hear(b, now) }, Alive, Suspect},
-		{"restarted unseen", func(now time.Duration) []Change { b.Incarnation, b.Start = 5, 7; return tab.Hear(b, now) }, Alive, Alive},
+		{"restarted", func(now time.Duration) []Change { b.Incarnation, b.Start = 4, 6; return tab.MarkReachable(b, now) }, Alive, Suspect},
+		{"restarted unseen", func(now time.Duration) []Change { b.Incarnation, b.Start = 5, 7; return tab.MarkReachable(b, now) }, Alive, Alive},
 		{"left", func(now time.Duration) []Change { w := b; w.Left = 5; return tab.Merge(w, now) }, Left, Alive},
 		{"an old word", func(now time.Duration) []Change { w := b; w.Removed = 4; return tab.Merge(w, now) }, Left, ""},
-		{"back", func(now time.Duration) []Change { b.Incarnation, b.Start = 6, 8; return tab.Hear(b, now) }, Alive, Left},
+		{"back", func(now time.Duration) []Change { b.Incarnation, b.Start = 6, 8; return tab.MarkReachable(b, now) }, Alive, Left},
 		{"removed while it is heard", func(now time.Duration) []Change { _, c, _ := tab.Remove("b", now); return c }, Removed, Alive},
-		{"new incarnation", func(now time.Duration) []Change { b.Incarnation = 7; return tab.Hear(b, now) }, Alive, Removed},
+		{"new incarnation", func(now time.Duration) []Change { b.Incarnation = 7; return tab.MarkReachable(b, now) }, Alive, Removed},
 	}
 	for i, s := range steps {
 		now := time.Duration(i) * time.Second
@@ -101,7 +101,7 @@
 	}
 	want(0, 1)
 	for _, name := range []string{"b", "c", "d"} {
-		tab.Hear(Record{Name: name, Incarnation: 1, Start: 2}, at(1))
+		tab.MarkReachable(Record{Name: name, Incarnation: 1, Start: 2}, at(1))
 	}
 	want(1, 4)
 	tab.Suspect("b", at(2))
@@ -141,7 +141,7 @@
 		{"it has left, in this life", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Left: 5}, Claim{Raise: 6, Old: true}},
 		{"removed before", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Removed: 4}, Claim{}},
 	} {
-		if got := NewTable(own, 0).Mine(c.rec); got != c.want {
+		if got := NewTable(own, 0).ClaimFor(c.rec); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.what, got, c.want)
 		}
 	}
@@ -158,7 +158,7 @@
 		if i%3 > 0 {
 			rec.Left = 1
 		}
-		tab.Hear(rec, time.Duration(i))
+		tab.MarkReachable(rec, time.Duration(i))
 	}
 	if n := len(tab.Members()); n != MaxMembers {
 		t.Errorf("%d rows", n)
