--- a/internal/deliverynode/fleet/claim.go
+++ b/internal/deliverynode/fleet/claim.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// heardOfSelf takes in what another node tells of this one.
+// handleOwnRecord processes another node's record of this node.
 func (f *Fleet) handleOwnRecord(rec Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.addClaim(rec)
 }
 
-// judge keeps what a record of this node asks for until the session settles it; f.mu is held.
+// addClaim records what another node's record of this node demands, for the session to resolve; f.mu is held.
 func (f *Fleet) addClaim(rec Record) {
 	claim := f.table.ClaimFor(rec)
 	if claim == (Claim{}) {
@@ -31,7 +31,7 @@
 	f.wakeSession()
 }
 
-// rouse tells the session's loop that there is a claim to settle.
+// wakeSession signals the session's loop that there is a claim to resolve.
 func (f *Fleet) wakeSession() {
 	select {
 	case f.claimPending <- struct{}{}:
@@ -39,8 +39,8 @@
 	}
 }
 
-// resolveClaim does what the claims heard so far ask for. It returns false while another process has the
-// name: the node stays outside, and the claims wait for the next call.
+// resolveClaim carries out the claims received so far. It returns false while another process uses the
+// name: the node then stays outside, and the claims are kept for the next call.
 func (f *Fleet) resolveClaim(ctx context.Context) bool {
 	f.mu.Lock()
 	claim := f.claim
@@ -57,8 +57,8 @@
 	return true
 }
 
-// nameInUseAt looks for a rival at an address. A rival that was found before counts as gone only when
-// nobody was there rivalMisses times in a row.
+// nameInUseAt checks for a rival at an address. A rival that was found before counts as gone only after
+// maxRivalMisses consecutive checks that found no process.
 func (f *Fleet) nameInUseAt(ctx context.Context, address string) bool {
 	found := f.probeName(ctx, address)
 	f.mu.Lock()
@@ -79,7 +79,7 @@
 	return false
 }
 
-// stayOutside keeps a claim until the rival at an address has ended.
+// stayOutside sets the state Outside and keeps the claim until the rival at an address has ended.
 func (f *Fleet) stayOutside(rival string, claim Claim) {
 	f.mu.Lock()
 	known := f.rival == rival
@@ -87,25 +87,25 @@
 	f.rival, f.state, f.why = rival, Outside, fmt.Sprintf("%s is in use at %s", f.options.Name, rival)
 	f.mu.Unlock()
 	if !known {
-		f.options.Log.Error("fleet: this node stays outside: its name is in use", "name", f.options.Name, "at", rival)
+		f.options.Log.Error("fleet: not joined: another process uses this node's name", "name", f.options.Name, "at", rival)
 	}
 }
 
-// raise takes the incarnation that a claim asks for. Where it can't be saved the claim is kept, and
-// settled again after a pause.
+// raise takes the incarnation that a claim demands. If it cannot be saved, the claim is kept and
+// resolved again after a pause.
 func (f *Fleet) raise(claim Claim) {
 	own := f.Self().Incarnation
 	f.mu.Lock()
 	removed := f.table.HasNewRemoval(claim)
 	f.mu.Unlock()
-	if removed { // also where the node was raised above the removed incarnation meanwhile
+	if removed { // even if the node has since been raised above the removed incarnation
 		claim.Raise = max(claim.Raise, own+1)
 	}
 	if claim.Raise <= own {
 		return
 	}
 	if err := f.saveIncarnation(claim); err != nil {
-		f.options.Log.Error("fleet: no new incarnation, tried again", "err", err)
+		f.options.Log.Error("fleet: saving a new incarnation failed; retrying", "err", err)
 		f.mu.Lock()
 		f.claim.merge(claim)
 		f.mu.Unlock()
@@ -119,21 +119,21 @@
 		f.table.Rejoined()
 	}
 	f.mu.Unlock()
-	f.options.Log.Info("fleet: a new incarnation", "incarnation", claim.Raise, "removed", removed, "old folder", claim.Old)
-	if removed { // whoever builds on members hears it as of any other
+	f.options.Log.Info("fleet: new incarnation", "incarnation", claim.Raise, "removed", removed, "old folder", claim.Old)
+	if removed { // handlers of changes get this node's removal like that of any member
 		f.notifyMu.Lock()
 		defer f.notifyMu.Unlock()
 		f.notifyChanges([]Change{{f.options.Name, own, Alive, Removed}, {f.options.Name, claim.Raise, Removed, Alive}})
 	}
 }
 
-// saveIncarnation puts the incarnation that a claim asks for on disk. Those who keep something in the
-// folder hear first that it is old, as the folder looks up to date afterwards.
+// saveIncarnation writes the incarnation that a claim demands to disk. For a stale state directory the
+// handlers of OnOld run first, because the directory looks up to date afterwards.
 func (f *Fleet) saveIncarnation(claim Claim) error {
 	var err error
 	if claim.Old {
-		for _, hear := range f.onStaleFolder {
-			err = errors.Join(err, hear())
+		for _, handle := range f.onStaleFolder {
+			err = errors.Join(err, handle())
 		}
 	}
 	if err != nil {
@@ -148,31 +148,31 @@
 	return nil
 }
 
-// queryName asks up to askedSeeds seeds what they know of this node's name before it says its own: who has it,
-// and whether it was removed. Nobody waits for it but the joining itself.
+// queryName asks up to maxQueriedSeeds seeds, before the node announces itself, which process uses its name
+// and whether the name was removed. It delays only the joining.
 func (f *Fleet) queryName(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, nameQueryTimeout)
 	defer cancel()
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, s := range f.drawSeeds(maxQueriedSeeds) {
-		asked.Go(func() {
+		queries.Go(func() {
 			to, err := netip.ParseAddrPort(s.Address)
 			if err != nil {
 				return
 			}
 			conn, w, err := f.hello(ctx, to, s.Name, true)
 			if err != nil {
-				f.options.Log.Debug("fleet: asking who has this name", "of", s.Name, "err", err)
+				f.options.Log.Debug("fleet: querying a seed for this node's name failed", "of", s.Name, "err", err)
 				return
 			}
 			_ = conn.Close()
 			f.mergeWelcome(w)
 		})
 	}
-	asked.Wait()
+	queries.Wait()
 }
 
-// drawSeeds draws so many seeds, or returns all where there are no more.
+// drawSeeds returns count random seeds, or all if there are no more.
 func (f *Fleet) drawSeeds(count int) []Node {
 	if len(f.seeds) <= count {
 		return f.seeds
@@ -187,7 +187,7 @@
 	return drawn
 }
 
-// meet takes in what a welcome tells.
+// mergeWelcome merges the records of a welcome into the table.
 func (f *Fleet) mergeWelcome(w welcome) {
 	f.updateTable(func(t *Table, now time.Duration) []Change { return t.Merge(w.Self, now) })
 	if w.Known.Name == f.options.Name {
@@ -195,7 +195,7 @@
 	}
 }
 
-// presence is what a look at another process of this name finds. Silence leaves it unknown.
+// presence is the result of a check for another process of this name. A timeout leaves it unknown.
 type presence int
 
 const (
@@ -204,7 +204,7 @@
 	absent
 )
 
-// lookAt looks whether a process answers to this node's name at an address.
+// probeName checks whether another process at an address uses this node's name.
 func (f *Fleet) probeName(ctx context.Context, address string) presence {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil || to == f.address {
@@ -221,7 +221,7 @@
 	case err != nil && (ctx.Err() != nil || errors.As(err, &timeout) && timeout.Timeout()):
 		return unknownPresence
 	case err != nil:
-		return absent // refused or reset: nobody of this program is there
+		return absent // refused or reset: no process of a fleet is there
 	}
 	_ = conn.Close()
 	if w.Self.Name == f.options.Name && w.Self.Start != f.Self().Start {
--- a/internal/deliverynode/fleet/config.go
+++ b/internal/deliverynode/fleet/config.go
@@ -1,8 +1,8 @@
 // Package fleet is the membership of delivery nodes and the links between them. docs/fleet.md describes it.
 //
-// The decisions are made by types without clock, goroutine or socket: Table has the members, peer the messages on their
-// way to one other member. Fleet runs them over sockets, timers and memberlist. It imports internal/deliverynode/journal for
-// the seam of the file system alone.
+// The decisions are made by types without clock, goroutine or socket: Table has the members, peer the messages in flight
+// to one other member. Fleet runs them over sockets, timers and memberlist. It imports internal/deliverynode/journal only
+// for the file system abstraction.
 package fleet
 
 import (
@@ -20,35 +20,35 @@
 )
 
 const (
-	// MaxMembers bounds a fleet: all tables, queues and counts are bounded by it.
+	// MaxMembers is the maximum size of a fleet; it bounds all tables, queues and counts.
 	MaxMembers = 1024
-	// maxName bounds names, so that a word about each fits its frame.
+	// maxName bounds names, so that a record of every member fits in a frame.
 	maxName = 64
 	maxFile = 1 << 20
 )
 
-// File is a fleet's file, the same on all its nodes.
+// File is the fleet file, which is the same on all nodes of the fleet.
 type File struct {
 	Fleet  string  `json:"fleet"`
 	Nodes  []Node  `json:"nodes"`
-	Leases *Leases `json:"leases,omitempty"` // nil: there are none
-	Copies *Copies `json:"copies,omitempty"` // nil: all as CopiesOf says
+	Leases *Leases `json:"leases,omitempty"` // nil: the fleet has no leases
+	Copies *Copies `json:"copies,omitempty"` // nil: the defaults of CopiesOf
 }
 
-// Copies says how nodes that are started with -copies keep copies of each other: see internal/deliverynode/replica.
+// Copies configures replication between nodes started with -copies: see internal/deliverynode/replica.
 type Copies struct {
-	// Mode is CopyAfter or CopyBefore: whether a message is taken on before its copies have it, or after.
+	// Mode is CopyAfter (a message is accepted before its copies have it) or CopyBefore (after).
 	Mode string `json:"mode,omitempty"`
-	// Short is RefuseWork or GoOn: what a node does in CopyBefore that has fewer copies in reach than asked for.
+	// Short is RefuseWork or GoOn: what a node does in CopyBefore while fewer copies are reachable than configured.
 	Short    string  `json:"short,omitempty"`
-	LeaseS   float64 `json:"lease_s,omitempty"`   // a node's own log is its own for so long; the longest lease if 0
-	SilenceS float64 `json:"silence_s,omitempty"` // so long nothing is heard of a log before another takes it over; DefaultSilence if 0
-	ScrubS   float64 `json:"scrub_s,omitempty"`   // copies are compared so often; DefaultScrub if 0
-	LagMost  int     `json:"lag_most,omitempty"`  // changes that a copy may lack in CopyAfter before its node says so; DefaultLag if 0
-	LagMs    float64 `json:"lag_ms,omitempty"`    // and how old the oldest of them may be; DefaultLagTime if 0
+	LeaseS   float64 `json:"lease_s,omitempty"`   // length of the lease on a node's own log; the longest lease if 0
+	SilenceS float64 `json:"silence_s,omitempty"` // how long a log's owner is silent before another node takes the log over; DefaultSilence if 0
+	ScrubS   float64 `json:"scrub_s,omitempty"`   // interval between comparisons of copies; DefaultScrub if 0
+	LagMost  int     `json:"lag_most,omitempty"`  // changes that a copy may lag behind in CopyAfter before its node reports it; DefaultLag if 0
+	LagMs    float64 `json:"lag_ms,omitempty"`    // maximum age of the oldest of these changes; DefaultLagTime if 0
 }
 
-// The words of Copies, and what holds where its file says nothing.
+// The values of Copies and their defaults.
 const (
 	CopyAfter  = "after"
 	CopyBefore = "before"
@@ -59,11 +59,11 @@
 	DefaultScrub   = 60 * time.Second
 	DefaultLag     = 256
 	DefaultLagTime = time.Second
-	// MaxCopies is how many copies of a log there may be.
+	// MaxCopies is the maximum number of copies of a log.
 	MaxCopies = 3
 )
 
-// CopiesOf is how copies are kept, all defaults filled in.
+// CopiesOf returns the replication settings with all defaults filled in.
 func (f File) CopiesOf() (c Copies) {
 	if f.Copies != nil {
 		c = *f.Copies
@@ -77,7 +77,7 @@
 	return c
 }
 
-// check tells what is wrong with the part about copies.
+// check reports the errors in the copies section.
 func (c Copies) check(f File, bad func(form string, args ...any)) {
 	if f.Leases == nil {
 		bad("copies need leases")
@@ -91,31 +91,31 @@
 		bad("short %q: it has to be %q or %q", c.Short, RefuseWork, GoOn)
 	}
 	if c.SilenceS < 0 || c.ScrubS < 0 || c.LagMost < 0 || c.LagMs < 0 {
-		bad("a negative figure of copies")
+		bad("copies: silence_s, scrub_s, lag_most and lag_ms must not be negative")
 	}
 }
 
-// Leases says who keeps the leases of a fleet: see internal/deliverynode/lease.
+// Leases configures the lease service of a fleet: see internal/deliverynode/lease.
 type Leases struct {
 	Voters   []string `json:"voters"`
-	LongestS float64  `json:"longest_s,omitempty"` // the greatest length of a lease; LongestLease if 0
-	Number   int      `json:"most,omitempty"`      // so many are held at a time at most; DefaultLeases if 0
+	LongestS float64  `json:"longest_s,omitempty"` // maximum length of a lease; LongestLease if 0
+	Number   int      `json:"most,omitempty"`      // maximum number of leases held at a time; DefaultLeases if 0
 }
 
-// LongestLease is the greatest length of a lease where the file names none, and MostLease is
-// what it may name.
+// LongestLease is the maximum length of a lease if the file sets none, and MaxLeaseLength is the
+// limit for that setting.
 const (
 	LongestLease   = 60 * time.Second
 	MaxLeaseLength = time.Hour
-	// DefaultLeases and MostLeases are the same for their number.
+	// DefaultLeases and MaxLeases are the same for the number of leases.
 	DefaultLeases = 200
 	MaxLeases     = 10000
 )
 
-// MaxHeld is how many leases may be held at a time.
+// MaxHeld returns the maximum number of leases held at a time.
 func (l Leases) MaxHeld() int { return cmp.Or(l.Number, DefaultLeases) }
 
-// Longest is the greatest length of a lease.
+// Longest returns the maximum length of a lease.
 func (l Leases) Longest() time.Duration {
 	if l.LongestS == 0 {
 		return LongestLease
@@ -123,14 +123,14 @@
 	return time.Duration(l.LongestS * float64(time.Second))
 }
 
-// check tells what is wrong with the part about leases.
+// check reports the errors in the leases section.
 func (l Leases) check(f File, bad func(form string, args ...any)) {
 	if err := CheckVoters(l.Voters); err != nil {
 		bad("%v", err)
 	}
 	for _, name := range l.Voters {
 		if f.node(name).Name == "" {
-			bad("%q is to be a voter and is no node", name)
+			bad("voter %q is not a node of the fleet", name)
 		}
 	}
 	if l.LongestS != 0 && !(l.LongestS >= 1 && l.LongestS <= MaxLeaseLength.Seconds()) {
@@ -141,50 +141,50 @@
 	}
 }
 
-// CheckVoters tells whether names may be all voters of a log: an even number of them survives no
-// more than one less.
+// CheckVoters checks a complete set of voters. An even number is rejected, as it tolerates no more
+// failures than one voter fewer.
 func CheckVoters(names []string) error {
 	if n := len(names); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("%d voters: 1, 3 or 5 are wanted", n)
+		return fmt.Errorf("%d voters: the number has to be 1, 3 or 5", n)
 	}
 	for i, name := range names {
 		if slices.Contains(names[:i], name) {
-			return fmt.Errorf("%q is named twice as a voter", name)
+			return fmt.Errorf("voter %q is listed twice", name)
 		}
 	}
 	return nil
 }
 
-// Node is a line of it. Others reach the node at Address; it listens at, and sends from,
-// Listen, or Address where that is empty.
+// Node is an entry of the fleet file. Other nodes reach the node at Address; it listens on and sends
+// from Listen, or Address if Listen is empty.
 type Node struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Listen  string `json:"listen,omitempty"`
 	Seed    bool   `json:"seed,omitempty"`
-	// Locality is where the node's machine stands: copies of one log lie in different ones, where they can.
+	// Locality is the location of the node's machine: copies of a log are placed in different localities if possible.
 	Locality string `json:"locality,omitempty"`
 }
 
-// ReadFile reads and checks a fleet's file for the node of a name.
+// ReadFile reads and checks the fleet file for the node named own.
 func ReadFile(path, own string) (File, error) {
 	r, err := os.Open(path)
 	if err != nil {
-		return File{}, fmt.Errorf("the fleet's file: %w", err)
+		return File{}, fmt.Errorf("fleet file: %w", err)
 	}
 	defer func() { _ = r.Close() }() // it was only read
 	text, err := io.ReadAll(io.LimitReader(r, maxFile+1))
 	if err != nil {
-		return File{}, fmt.Errorf("the fleet's file: %w", err)
+		return File{}, fmt.Errorf("fleet file: %w", err)
 	}
 	f, err := Parse(text, own)
 	if err != nil {
-		return File{}, fmt.Errorf("the fleet's file %s: %w", path, err)
+		return File{}, fmt.Errorf("fleet file %s: %w", path, err)
 	}
 	return f, nil
 }
 
-// Parse is ReadFile for a text. All mistakes come in one line.
+// Parse is ReadFile for text in memory. All mistakes are reported in one line.
 func Parse(text []byte, own string) (File, error) {
 	if len(text) > maxFile {
 		return File{}, fmt.Errorf("longer than %d bytes", maxFile)
@@ -201,10 +201,10 @@
 	var all []string
 	bad := func(form string, args ...any) { all = append(all, fmt.Sprintf(form, args...)) }
 	if f.Fleet == "" || len(f.Fleet) > maxName {
-		bad("%q is no name of a fleet (1 to %d bytes)", f.Fleet, maxName)
+		bad("invalid fleet name %q (1 to %d bytes)", f.Fleet, maxName)
 	}
 	if len(f.Nodes) > MaxMembers {
-		bad("%d nodes, over %d", len(f.Nodes), MaxMembers)
+		bad("%d nodes exceed the maximum of %d", len(f.Nodes), MaxMembers)
 	}
 	f.checkNodes(own, bad)
 	if f.Leases != nil {
@@ -219,14 +219,14 @@
 	return f, nil
 }
 
-// checkNodes finds names and addresses that can't be used or stand twice, and whether this node and a
-// seed are there.
+// checkNodes reports names and addresses that are invalid or duplicate, and a missing seed or entry for
+// this node.
 func (f File) checkNodes(own string, bad func(form string, args ...any)) {
 	names, addresses := map[string]bool{}, map[string]string{}
 	seeds := 0
 	for _, n := range f.Nodes {
 		if n.Name == "" || len(n.Name) > maxName || strings.ContainsAny(n.Name, "/ \t\r\n") {
-			bad("%q is no name of a node", n.Name)
+			bad("invalid node name %q", n.Name)
 		}
 		if names[n.Name] {
 			bad("two nodes are named %q", n.Name)
@@ -241,8 +241,8 @@
 		}
 		for _, a := range used {
 			if to, err := netip.ParseAddrPort(a); err != nil || to.Port() == 0 || !to.Addr().Is4() {
-				bad("%q of %s is no IPv4 address with a port", a, n.Name)
-			} else if before, there := addresses[a]; there {
+				bad("%q of %s is not an IPv4 address with a port", a, n.Name)
+			} else if before, found := addresses[a]; found {
 				bad("%s and %s are both at %s", before, n.Name, a)
 			}
 			addresses[a] = n.Name
@@ -256,7 +256,7 @@
 	}
 }
 
-// Locality is where a node of the file stands; empty: it does not say.
+// Locality returns the locality of a node, empty if the file has none.
 func (f File) Locality(name string) string { return f.node(name).Locality }
 
 func (f File) node(name string) Node {
--- a/internal/deliverynode/fleet/connection.go
+++ b/internal/deliverynode/fleet/connection.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// open is the transport of the session; memberlist may ask for it a moment longer.
+// currentTransport returns the transport of the session, or net.ErrClosed: memberlist may call briefly after its end.
 func (f *Fleet) currentTransport() (Transport, context.Context, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,7 +30,7 @@
 	return transport.SendTo(b, to)
 }
 
-// place takes a place for a connection; false: there is none.
+// reserveConn counts a connection towards the limit; it returns false if the limit is reached.
 func (f *Fleet) reserveConn() bool {
 	select {
 	case f.conns <- struct{}{}:
@@ -41,9 +41,9 @@
 	return false
 }
 
-var errTooManyConns = errors.New("no place for a further connection")
+var errTooManyConns = errors.New("connection limit reached")
 
-// counted counts a connection's bytes, ends with the session and gives its place back.
+// trackedConn counts a connection's bytes, closes it with the session and releases its slot.
 type trackedConn struct {
 	net.Conn
 	fleet *Fleet
@@ -53,11 +53,11 @@
 	closed bool
 }
 
-func (f *Fleet) trackedConn(life context.Context, raw net.Conn) *trackedConn {
+func (f *Fleet) trackedConn(ctx context.Context, raw net.Conn) *trackedConn {
 	c := &trackedConn{Conn: raw, fleet: f}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stop = context.AfterFunc(life, func() { _ = c.Close() })
+	c.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	return c
 }
 
@@ -75,7 +75,7 @@
 	return n, err
 }
 
-// Close closes the connection and frees its place among the fleet's connections, once.
+// Close closes the connection and, on the first call, releases its slot.
 func (c *trackedConn) Close() error {
 	c.mu.Lock()
 	first := !c.closed
--- a/internal/deliverynode/fleet/datagrams.go
+++ b/internal/deliverynode/fleet/datagrams.go
@@ -8,14 +8,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// receiveAll hands datagrams on until the transport closes.
+// receiveAll passes datagrams to gossip until the transport is closed.
 func (f *Fleet) receiveAll(transport Transport) {
 	for {
 		b, from, err := transport.Receive()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // a port that nobody had was hit before
+		if err != nil { // for example an ICMP error for an earlier datagram to a closed port
 			if f.ctx.Err() != nil {
 				return
 			}
--- a/internal/deliverynode/fleet/fleet.go
+++ b/internal/deliverynode/fleet/fleet.go
@@ -14,62 +14,62 @@
 )
 
 const (
-	// leaveTime bounds the leaving: SIGTERM leaves 3.5 s for all, and the calls have 3.3 of them.
+	// leaveTimeout bounds the announcement of leaving: SIGTERM allows 3.5 s in total, of which calls take 3.3 s.
 	leaveTimeout = 120 * time.Millisecond
-	// againAfter is the pause before what could not be begun is tried again: an address that is
-	// taken, a disk that is full.
+	// retryDelay is the pause before joining is retried, for example after an address in use or
+	// a full disk.
 	retryDelay = time.Second
-	// rivalEvery is how often a node that stays outside looks whether the other one has ended.
+	// rivalCheckInterval is how often a node outside the fleet checks whether the other process of its name has ended.
 	rivalCheckInterval = 2 * time.Second
-	// rivalMisses is so often in a row nobody must be at a rival's address before it counts as gone.
+	// maxRivalMisses is how many consecutive checks must find no process at a rival's address before it counts as gone.
 	maxRivalMisses = 2
-	// askWho bounds how long the seeds are asked about this node's name before it says its own.
+	// nameQueryTimeout bounds the query of the seeds about this node's name before the node announces itself.
 	nameQueryTimeout = 1500 * time.Millisecond
-	// askedSeeds is how many seeds are asked.
+	// maxQueriedSeeds is the number of seeds queried.
 	maxQueriedSeeds = 3
-	// raiseEvery is the least time between two new incarnations, so that two who contend for
-	// a name, unseen by each other, cost little.
+	// minRaiseInterval is the minimum time between two new incarnations. It limits the cost of two processes that
+	// contend for a name without finding each other.
 	minRaiseInterval = 100 * time.Millisecond
-	// seekRemoved is for how long one that was removed is looked for, where it is no seed.
+	// removedRejoinPeriod is how long the node tries to reach a removed member that is not a seed.
 	removedRejoinPeriod = 10 * time.Minute
-	// convergenceTime is for how long after a step of any member a node meets others by chance.
+	// convergencePeriod is how long after any member's change of state a node exchanges state with random members.
 	convergencePeriod = 20 * time.Second
-	// DefaultConns bounds the connections to and from other nodes where nothing is said.
+	// DefaultConns is the default limit of connections to and from other nodes.
 	DefaultConns = 256
 )
 
-// Net is what a part on top needs of the fleet. *Fleet is one, and fleettest has another.
+// Net is the interface of the fleet for packages built on it. *Fleet and fleettest.Node implement it.
 type Net interface {
 	Self() Member
 	Members() []Member
-	// Count is what limits are divided by.
+	// Count returns the number of members that limits are divided by.
 	Count() int
-	// Tell lets one member know, newest first of each kind and key, at least once while both
-	// are there. It never waits. Errors: ErrUnknown, ErrRoom.
+	// Tell sends an update to one member, at least once while both are members; an update replaces a queued
+	// one of the same kind and key. It never blocks. Errors: ErrUnknown, ErrQueueFull.
 	Tell(to, kind, key string, body []byte) error
-	// Ask puts a question, which is written once at most. Errors: ErrNotSent, ErrMaybe,
-	// ErrRoom, ErrUnknown, AnswerError. Without a deadline in ctx it has askTime.
+	// Ask sends a request, which is written at most once, and waits for its answer. Errors: ErrNotSent,
+	// ErrMaybe, ErrQueueFull, ErrUnknown, AnswerError. Without a deadline in ctx, defaultRequestTimeout applies.
 	Ask(ctx context.Context, to, kind string, body []byte) ([]byte, error)
-	// OnNews, OnAsk and OnChange come before Run. What they are given must not wait, but for
-	// an asked one, which has its context.
+	// OnNews, OnAsk and OnChange must be called before Run. Their functions must not block, except those
+	// of OnAsk, which have a context.
 	OnNews(kind string, f NewsFunc)
 	OnAsk(kind string, f AskFunc)
 	OnChange(f func(Change))
 }
 
-// NewsFunc hears news; age is how old they were when they were written.
+// NewsFunc handles an update; age is its age when it was written to the link.
 type NewsFunc func(from Peer, key string, age time.Duration, body []byte)
 
-// AskFunc answers a question. Its error's text is the answer that says no.
+// AskFunc answers a request. The sender gets an error as an AnswerError with its text.
 type AskFunc func(ctx context.Context, from Peer, body []byte) ([]byte, error)
 
-// Peer is who speaks on a link.
+// Peer is the member at the other end of a link.
 type Peer struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Options are what a fleet stands on.
+// Options has the configuration and dependencies of a Fleet.
 type Options struct {
 	File   File
 	Name   string
@@ -78,24 +78,24 @@
 	Listen func(netip.AddrPort) (Transport, error)
 	Clock  func() time.Duration // monotonic
 	Seed   uint64
-	Conns  int // connections at most, both ways
+	Conns  int // maximum number of connections, both directions
 	Log    *slog.Logger
 }
 
-// Where a node stands with its fleet.
+// The states of a node in its fleet.
 const (
 	Starting = "starting"
 	Joined   = "joined"
-	Outside  = "outside" // its name is in use elsewhere
-	Waiting  = "waiting" // for its address or its disk
+	Outside  = "outside" // another process uses its name
+	Waiting  = "waiting" // for its address or disk
 	Ended    = "ended"
 )
 
-// Fleet is one node's part in it.
+// Fleet runs one node's membership in its fleet.
 type Fleet struct {
 	options Options
 	key     uint64
-	address netip.AddrPort // where others reach it
+	address netip.AddrPort // where other nodes reach this one
 	listen  netip.AddrPort
 	seeds   []Node
 
@@ -103,9 +103,9 @@
 	transport    Transport
 	id           identity
 	gossip       *gossip
-	conns        chan struct{} // a place for each connection
+	conns        chan struct{} // one element per open connection
 	running      *sync.WaitGroup
-	claimPending chan struct{} // there is something for the session's own loop
+	claimPending chan struct{} // signals the session's loop that claim is set
 
 	updateHandlers  map[string]NewsFunc
 	requestHandlers map[string]AskFunc
@@ -113,31 +113,31 @@
 	onStaleFolder   []func() error
 	joinedTasks     []func(context.Context)
 
-	notifyMu    sync.Mutex // changes are told in their order; taken before mu
-	mu          sync.Mutex // over what follows, and over life and transport
+	notifyMu    sync.Mutex // keeps the notifications of changes in order; locked before mu
+	mu          sync.Mutex // guards the fields below, ctx and transport
 	table       *Table
 	links       map[string]*link
 	state       string
 	why         string
 	claim       Claim
-	rival       string            // where another process of this name was found, until it is gone
-	rivalMisses int               // so often in a row nobody was there
-	refused     map[string]string // who was refused of late, and why
-	lastChange  time.Duration     // when a member last took a step
+	rival       string            // address of another process with this name, until it is gone
+	rivalMisses int               // consecutive checks that found no process there
+	refused     map[string]string // the reason for each rejected peer
+	lastChange  time.Duration     // when a member's state last changed
 	rand        *rand.Rand
-	nextSeed    int // of the seeds: which is tried next
+	nextSeed    int // index of the seed to try next
 
 	stats counters
 }
 
-// counters count since the start of the process.
+// counters has counts since the start of the process.
 type counters struct {
 	packetsOut, packetsIn, bytesOut, bytesIn                 atomic.Int64
 	corrupt, foreign, versions, dropped, connsRefused, dials atomic.Int64
 	raised                                                   atomic.Int64
 }
 
-// New checks nothing but what Parse has not: the file is whole and names this node.
+// New returns a Fleet that is not joined yet. o.File must have passed Parse for the node o.Name.
 func New(o Options) (*Fleet, error) {
 	own := o.File.node(o.Name)
 	address, err := netip.ParseAddrPort(own.Address)
@@ -146,7 +146,7 @@
 	}
 	listen, err := netip.ParseAddrPort(own.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: where %s listens: %w", o.Name, err)
+		return nil, fmt.Errorf("fleet: the listen address of %s: %w", o.Name, err)
 	}
 	if o.Conns <= 0 {
 		o.Conns = DefaultConns
@@ -160,25 +160,25 @@
 		}
 	}
 	f.table = NewTable(Record{Name: o.Name, Address: own.Address}, o.Clock())
-	f.nextSeed = f.rand.IntN(max(1, len(f.seeds))) // not all at the same one
+	f.nextSeed = f.rand.IntN(max(1, len(f.seeds))) // random, so that nodes do not all begin with the same seed
 	return f, nil
 }
 
-// OnNews registers who hears news of a kind.
-func (f *Fleet) OnNews(kind string, hear NewsFunc) { f.updateHandlers[kind] = hear }
+// OnNews registers the handler for updates of a kind.
+func (f *Fleet) OnNews(kind string, handle NewsFunc) { f.updateHandlers[kind] = handle }
 
-// OnAsk registers who answers questions of a kind.
+// OnAsk registers the handler for requests of a kind.
 func (f *Fleet) OnAsk(kind string, answer AskFunc) { f.requestHandlers[kind] = answer }
 
-// OnChange registers who hears of members' steps, in their order.
-func (f *Fleet) OnChange(hear func(Change)) { f.changeHandlers = append(f.changeHandlers, hear) }
+// OnChange registers a handler for members' changes of state, called in their order.
+func (f *Fleet) OnChange(handle func(Change)) { f.changeHandlers = append(f.changeHandlers, handle) }
 
-// OnOld registers who hears that others know a later start of this node than its folder does:
-// what the folder has is from before that. With an error it is told again.
-func (f *Fleet) OnOld(hear func() error) { f.onStaleFolder = append(f.onStaleFolder, hear) }
+// OnOld registers a handler for a stale state directory: other nodes know a later start of this node
+// than its directory does. The handler is called again after an error.
+func (f *Fleet) OnOld(handle func() error) { f.onStaleFolder = append(f.onStaleFolder, handle) }
 
-// While registers what runs whenever this node is joined, and has ended before another process
-// may have its place. It ends with its context.
+// While registers a function that runs whenever this node is joined. It must return when its context ends;
+// the node stays a member until then, so that no other process takes its name before.
 func (f *Fleet) While(run func(context.Context)) { f.joinedTasks = append(f.joinedTasks, run) }
 
 func (f *Fleet) random() float64 {
@@ -187,12 +187,12 @@
 	return f.rand.Float64()
 }
 
-// refuse keeps whom this node can't talk to; each is said once.
+// refuse records a rejected peer with the reason, and logs it if the reason is new.
 func (f *Fleet) refuse(who string, why error) {
 	f.stats.versions.Add(1)
 	f.mu.Lock()
-	before, there := f.refused[who]
-	if !there && len(f.refused) >= MaxMembers {
+	before, known := f.refused[who]
+	if !known && len(f.refused) >= MaxMembers {
 		clear(f.refused)
 	}
 	f.refused[who] = why.Error()
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -111,7 +111,7 @@
 	n.stop = nil
 }
 
-// sees is what one node has of another.
+// stateSeen is what one node has of another.
 func (w *world) stateSeen(i, j int) fleet.State {
 	for _, m := range w.nodes[i].Members() {
 		if m.Name == w.nodes[j].name {
@@ -134,7 +134,7 @@
 	return time.Since(began)
 }
 
-// missing says, of up to 20 pairs, how one sees another that it does not see alive as it is.
+// describeDivergence says, of up to 20 pairs, how one sees another that it does not see alive as it is.
 func (w *world) describeDivergence() string {
 	var all strings.Builder
 	for i, n := range w.nodes {
@@ -158,7 +158,7 @@
 	return all.String()
 }
 
-// whole tells whether all of some nodes see all of them alive, as they are now.
+// converged tells whether all of some nodes see all of them alive, as they are now.
 func (w *world) converged(among ...int) bool {
 	for _, i := range among {
 		at := map[string]fleet.Member{}
@@ -181,7 +181,7 @@
 	return all
 }
 
-// healTime is how long after the last fault all see all: a try to meet again comes after 5 s
+// convergenceTimeout is how long after the last fault all see all: a try to meet again comes after 5 s
 // at most, and word of it passes by gossip.
 const convergenceTimeout = 20 * time.Second
 
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -52,7 +52,7 @@
 // Node is one of them.
 func (w *World) Node(name string) *Node { return w.nodes[name] }
 
-// Hear lets a node hear of another as it is now; Silence ends that.
+// MarkReachable lets a node hear of another as it is now; Silence ends that.
 func (w *World) MarkReachable(at, of string) {
 	n := w.nodes[at]
 	n.changed(n.table.MarkReachable(w.nodes[of].Self().Record, w.Now))
@@ -87,14 +87,14 @@
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(m *update) bool { return m.from == name || m.to == name })
 }
 
-// news is on its way, the newest of its kind and key.
+// update is on its way, the newest of its kind and key.
 type update struct {
 	from, to, kind, key string
 	body                []byte
 	at                  time.Duration
 }
 
-// OnItsWay tells what waits, by sender, receiver, kind and key, in a fixed order.
+// InFlight tells what waits, by sender, receiver, kind and key, in a fixed order.
 func (w *World) InFlight() (all []string) {
 	for _, m := range w.inFlight {
 		all = append(all, fmt.Sprint(m.from, " to ", m.to, ": ", m.kind, " ", m.key))
--- a/internal/deliverynode/fleet/gossip.go
+++ b/internal/deliverynode/fleet/gossip.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// probeEvery and probeTime are memberlist's for one network: a death is seen after some
+	// probeInterval and probeTime are memberlist's for one network: a death is seen after some
 	// seconds, and a node that is busy for one is not yet suspected.
 	probeInterval  = time.Second
 	probeTimeout   = 500 * time.Millisecond
 	gossipInterval = 200 * time.Millisecond
 	streamTimeout  = 2 * time.Second
-	// rejoinEvery is the pause between tries to reach one that is silent, or a seed. It doubles
+	// rejoinInterval is the pause between tries to reach one that is silent, or a seed. It doubles
 	// up to rejoinMost while nothing comes of them.
 	rejoinInterval = time.Second
 	maxRejoinPause = 5 * time.Second
@@ -57,7 +57,7 @@
 	stopped bool // memberlist may call back for a moment after its end, and is not heard any more
 }
 
-// heard runs what memberlist calls back, unless it is over.
+// ifRunning runs what memberlist calls back, unless it is over.
 func (g *gossip) ifRunning(what func()) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -96,7 +96,7 @@
 	return g, nil
 }
 
-// quiet is where memberlist's own log goes. Its warnings are about single packets.
+// memberlistLog is where memberlist's own log goes. Its warnings are about single packets.
 type memberlistLog struct{ log *slog.Logger }
 
 // Write logs a line of memberlist's log at the debug level.
@@ -149,7 +149,7 @@
 	return g.DialTimeout(addr.Addr, timeout)
 }
 
-// record is what memberlist knows of a node.
+// recordOf is what memberlist knows of a node.
 func recordOf(n *memberlist.Node) (Record, meta, error) {
 	var m meta
 	if err := decoding.Unmarshal(n.Meta, &m); err != nil {
@@ -235,7 +235,7 @@
 // MergeRemoteState takes in all that another node knows; memberlist.Delegate asks for it.
 func (g *gossip) MergeRemoteState(b []byte, _ bool) { g.NotifyMsg(b) }
 
-// spread lets all hear of a record by and by.
+// broadcastRecord lets all hear of a record by and by.
 func (g *gossip) broadcastRecord(rec Record) {
 	if b, err := encoding.Marshal(gossipRecords{Records: []Record{rec}}); err == nil {
 		g.queue.QueueBroadcast(broadcast{rec.Name, b})
--- a/internal/deliverynode/fleet/link.go
+++ b/internal/deliverynode/fleet/link.go
@@ -13,13 +13,13 @@
 const (
 	// maxHello bounds the first frame of a link, which may be anybody's.
 	maxHello = 1 << 10
-	// writeTime is how long a frame may take to go out.
+	// writeTimeout is how long a frame may take to go out.
 	writeTimeout = 2 * time.Second
-	// idleTime is how long a link that nobody uses stays.
+	// idleTimeout is how long a link that nobody uses stays.
 	idleTimeout = 60 * time.Second
-	// requestTime is a question's time where its asker names none.
+	// defaultRequestTimeout is a question's time where its asker names none.
 	defaultRequestTimeout = 2 * time.Second
-	// answering bounds the questions of one member that are being answered.
+	// maxAnswering bounds the questions of one member that are being answered.
 	maxAnswering = 64
 	minDialPause = 100 * time.Millisecond
 	maxDialPause = 5 * time.Second
@@ -67,7 +67,7 @@
 
 func (l *link) now() time.Duration { return l.fleet.options.Clock() }
 
-// mine tells whether this side's own link stands: of two that dial at the same time the one
+// keepsOwn tells whether this side's own link stands: of two that dial at the same time the one
 // with the lower name wins. A link that the other side no longer knows is looked after.
 func (l *link) keepsOwn(them Record) bool {
 	l.mu.Lock()
@@ -113,7 +113,7 @@
 	return l.peer.disconnected()
 }
 
-// lost is told by whoever finds that a connection is broken.
+// fail is told by whoever finds that a connection is broken.
 func (l *link) fail(conn *framedConn, err error) {
 	l.mu.Lock()
 	var ends []callback
@@ -201,7 +201,7 @@
 	}
 }
 
-// retire ends a link that nobody uses.
+// closeIfIdle ends a link that nobody uses.
 func (l *link) closeIfIdle() bool {
 	l.fleet.mu.Lock()
 	defer l.fleet.mu.Unlock()
@@ -345,7 +345,7 @@
 	return nil
 }
 
-// asked answers a question, beside others.
+// handleRequest answers a question, beside others.
 func (l *link) handleRequest(conn *framedConn, from Peer, in frame) {
 	answer := func(body []byte, err error) {
 		out := frame{Type: frameAnswer, ID: in.ID, Body: body}
@@ -393,7 +393,7 @@
 	return f.table.Member(name)
 }
 
-// reach is the link with a member that is not gone.
+// linkTo is the link with a member that is not gone.
 func (f *Fleet) linkTo(name string) (*link, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/deliverynode/fleet/members.go
+++ b/internal/deliverynode/fleet/members.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// learn steps the table and tells what changed.
+// updateTable steps the table and tells what changed.
 func (f *Fleet) updateTable(step func(t *Table, now time.Duration) []Change) {
 	f.notifyMu.Lock()
 	defer f.notifyMu.Unlock()
@@ -56,7 +56,7 @@
 	return fresh
 }
 
-// known is all that others may know.
+// fullState is all that others may know.
 func (f *Fleet) fullState() gossipRecords {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/deliverynode/fleet/peer.go
+++ b/internal/deliverynode/fleet/peer.go
@@ -7,34 +7,34 @@
 )
 
 var (
-	// ErrNotSent says that nothing of a question has left this node: it has no effect there.
+	// ErrNotSent reports that a request has not left this node, so it has had no effect.
 	ErrNotSent = errors.New("not sent")
-	// ErrMaybe says that a question may have arrived, and no answer will be taken any more.
+	// ErrMaybe reports that a request may have arrived, but its answer is no longer accepted.
 	ErrMaybe = errors.New("may have arrived")
-	// ErrQueueFull says that too much waits for that member already. Nothing was kept.
-	ErrQueueFull = errors.New("too much waits for this member")
-	// ErrUnknown says that the fleet has no such member now.
+	// ErrQueueFull reports that the member's queue is full. The message was not queued.
+	ErrQueueFull = errors.New("queue for this member is full")
+	// ErrUnknown reports that the fleet has no such member now.
 	ErrUnknown = errors.New("no such member")
 )
 
-// AnswerError is an answer that says no.
+// AnswerError is an error that a member returned as its answer.
 type AnswerError string
 
-// Error returns the text that the member answered.
+// Error returns the text of the member's error.
 func (e AnswerError) Error() string { return "answered: " + string(e) }
 
 const (
-	// maxWaiting bounds what waits for one member, in bytes; each piece counts pieceCost more.
+	// maxQueuedBytes bounds the queue for one member, in bytes; each message counts itemOverhead more.
 	maxQueuedBytes = 1 << 20
 	itemOverhead   = 64
-	// maxOutstanding bounds the questions to one member that have no answer yet.
+	// maxOutstanding bounds the requests to one member without an answer.
 	maxOutstanding = 1024
-	// ackTime is how long news may go without a word that they came. Then the link counts as
-	// broken: on a path that swallows bytes nothing else would show it.
+	// ackTimeout bounds the wait for the acknowledgement of an update. After that the link counts as
+	// broken: a path that silently drops bytes is not detected otherwise.
 	ackTimeout = 2 * time.Second
 )
 
-// What frames are.
+// The types of frames.
 const (
 	frameHello = iota + 1
 	frameWelcome
@@ -44,23 +44,23 @@
 	frameAnswer
 )
 
-// frame is what goes over a link.
+// frame is a message on a link.
 type frame struct {
 	Type      uint8         `cbor:"1,keyasint"`
-	ID        uint64        `cbor:"2,keyasint,omitempty"` // of a question; of news, counted on this link
+	ID        uint64        `cbor:"2,keyasint,omitempty"` // of a request; of an update, its number on this link
 	Kind      string        `cbor:"3,keyasint,omitempty"`
 	Key       string        `cbor:"4,keyasint,omitempty"`
-	Age       time.Duration `cbor:"5,keyasint,omitempty"` // of news, when written; of a question, the time left for it
+	Age       time.Duration `cbor:"5,keyasint,omitempty"` // of an update, when written; of a request, the time left
 	Body      []byte        `cbor:"6,keyasint,omitempty"`
-	ErrorText string        `cbor:"7,keyasint,omitempty"` // an answer that is an error
+	ErrorText string        `cbor:"7,keyasint,omitempty"` // the text of an error answer
 }
 
-// news is what a member is to be told, until it has said that it has it.
+// pending is an update for a member, until the member has acknowledged it.
 type pending struct {
 	kind, key string
 	body      []byte
 	createdAt time.Duration
-	sent      uint64 // the number on this link, 0: it was not written on it
+	sent      uint64 // its number on this link; 0: not written on this link
 }
 
 func (n *pending) cost() int { return len(n.kind) + len(n.key) + len(n.body) + itemOverhead }
@@ -71,23 +71,23 @@
 	body     []byte
 	deadline time.Duration
 	sent     bool
-	onDone   func(body []byte, err error) // once, and not under any lock of the peer's
+	onDone   func(body []byte, err error) // called once, without any lock of the peer held
 }
 
-// peer is what is on its way to one other member: pure, and stepped by events with their
-// times. Whoever steps it calls the functions that it returns, when no lock is held.
+// peer holds the messages queued or in flight to one other member. It is a pure state machine,
+// driven by events with their times. The caller runs the callbacks that it returns, without a lock held.
 type peer struct {
 	pending      map[string]*pending
-	order        []string // keys of news, the oldest first
+	order        []string // keys of pending, oldest first
 	requests     []*request
 	requestsByID map[uint64]*request // all of asks
 	bytes        int
 	lastID       uint64
 	up           bool
-	lastUpdateID uint64        // of the last news on this link
-	acked        uint64        // the other side has all up to this one
-	ackDeadline  time.Duration // when the next ack is due at the latest; 0: none is
-	// Dropped counts what found no room.
+	lastUpdateID uint64        // number of the last update on this link
+	acked        uint64        // the other side has acknowledged all up to this number
+	ackDeadline  time.Duration // deadline of the next acknowledgement; 0: none is due
+	// Dropped counts the messages rejected because the queue was full.
 	Dropped int
 }
 
@@ -95,12 +95,12 @@
 	return &peer{pending: map[string]*pending{}, requestsByID: map[uint64]*request{}}
 }
 
-// done is what a question's asker is to be told.
+// callback passes the outcome of a request to its sender.
 type callback func()
 
 func (q *request) completion(body []byte, err error) callback { return func() { q.onDone(body, err) } }
 
-// enqueue keeps news, in the place of older ones of their kind and key.
+// enqueue queues an update. It replaces an older one of the same kind and key.
 func (p *peer) enqueue(kind, key string, body []byte, createdAt time.Duration) error {
 	n := &pending{kind: kind, key: key, body: body, createdAt: createdAt}
 	k := kind + "\x00" + key
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// ask keeps a question until it was answered or its time is up.
+// enqueueRequest queues a request until it is answered or its deadline passes.
 func (p *peer) enqueueRequest(q *request) error {
 	cost := len(q.body) + len(q.kind) + itemOverhead
 	if p.bytes+cost > maxQueuedBytes || len(p.requests) >= maxOutstanding {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// wants tells whether there is anything to be written.
+// hasUnsent reports whether there is anything to write.
 func (p *peer) hasUnsent() bool {
 	for _, q := range p.requests {
 		if !q.sent {
@@ -151,7 +151,7 @@
 	return false
 }
 
-// next is the next frame to write. From here on it counts as sent.
+// nextFrame returns the next frame to write, and counts it as sent.
 func (p *peer) nextFrame(now time.Duration) (frame, bool) {
 	if !p.up {
 		return frame{}, false
@@ -175,11 +175,11 @@
 	return frame{}, false
 }
 
-// connected tells that there is a new link.
+// connected records a new link.
 func (p *peer) connected() { p.up, p.lastUpdateID, p.acked, p.ackDeadline = true, 0, 0, 0 }
 
-// broken tells that there is none any more. News that were not acknowledged go again;
-// questions that were written never do.
+// disconnected records that the link is gone. Updates without an acknowledgement are sent again;
+// requests that were written never are.
 func (p *peer) disconnected() (ends []callback) {
 	p.up, p.ackDeadline = false, 0
 	for _, n := range p.pending {
@@ -194,7 +194,7 @@
 	return ends
 }
 
-// got takes in an acknowledgement or an answer.
+// handleFrame processes an acknowledgement or an answer.
 func (p *peer) handleFrame(f frame, now time.Duration) (ends []callback) {
 	switch f.Type {
 	case frameAck:
@@ -202,7 +202,7 @@
 	case frameAnswer:
 		q := p.requestsByID[f.ID]
 		if q == nil || !q.sent {
-			return nil // its time is up, or nobody asked
+			return nil // it has timed out, or was never sent
 		}
 		var err error
 		if f.ErrorText != "" {
@@ -214,7 +214,7 @@
 	return ends
 }
 
-// ack takes out what the other side has, but for what is newer under the same key.
+// ack removes the acknowledged updates, except those replaced by a newer one of the same key.
 func (p *peer) ack(upTo uint64, now time.Duration) {
 	if upTo <= p.acked || upTo > p.lastUpdateID {
 		return
@@ -236,7 +236,7 @@
 	p.order = left
 }
 
-// tick ends the questions whose time is up; stuck tells that the link has to be given up.
+// tick ends the requests whose deadline has passed; stuck reports that the link has to be closed.
 func (p *peer) tick(now time.Duration) (ends []callback, stuck bool) {
 	p.removeRequests(func(q *request) bool {
 		if q.deadline > now {
@@ -252,7 +252,7 @@
 	return ends, p.up && p.ackDeadline > 0 && now >= p.ackDeadline
 }
 
-// withdraw takes out a question whose asker no longer waits.
+// cancelRequest removes a request whose sender no longer waits.
 func (p *peer) cancelRequest(id uint64) (completion callback) {
 	p.removeRequests(func(q *request) bool {
 		if q.id != id {
@@ -262,13 +262,13 @@
 		if q.sent {
 			err = ErrMaybe
 		}
-		completion = q.completion(nil, fmt.Errorf("%w: its asker has gone", err))
+		completion = q.completion(nil, fmt.Errorf("%w: canceled by its sender", err))
 		return true
 	})
 	return completion
 }
 
-// closed ends all: the member is gone, or this node stops.
+// closeAll ends all messages: the member is gone, or this node stops.
 func (p *peer) closeAll() (ends []callback) {
 	ends = p.disconnected()
 	p.removeRequests(func(q *request) bool {
@@ -292,7 +292,7 @@
 	p.requests = left
 }
 
-// next due: when tick has something to do.
+// nextDeadline returns when tick next has something to do.
 func (p *peer) nextDeadline() (at time.Duration, ok bool) {
 	for _, q := range p.requests {
 		if !ok || q.deadline < at {
--- a/internal/deliverynode/fleet/rejoin.go
+++ b/internal/deliverynode/fleet/rejoin.go
@@ -1,6 +1,6 @@
 package fleet
 
-// lost is the name and address, as memberlist takes them, of one that should be met again: it
+// unreachable is the name and address, as memberlist takes them, of one that should be met again: it
 // is silent, or a seed that is not heard. One that was removed may be alive behind a split, where it has removed this one.
 func (f *Fleet) unreachable() (address string, ok bool) {
 	f.mu.Lock()
@@ -30,7 +30,7 @@
 	return seeds[0], true
 }
 
-// settling is one to meet while news are fresh: gossip says a thing a few times, and whoever
+// convergenceTarget is one to meet while news are fresh: gossip says a thing a few times, and whoever
 // missed it would wait for memberlist's next round, which takes minutes in a large fleet.
 func (f *Fleet) convergenceTarget() (address string, ok bool) {
 	f.mu.Lock()
@@ -47,7 +47,7 @@
 	return f.pickOne(all)
 }
 
-// oneOf draws; f.mu is held.
+// pickOne draws; f.mu is held.
 func (f *Fleet) pickOne(all []string) (one string, ok bool) {
 	if len(all) == 0 {
 		return "", false
--- a/internal/deliverynode/fleet/session.go
+++ b/internal/deliverynode/fleet/session.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// follow takes part in gossip until the context ends or the name turns out to be another's too.
+// runJoined takes part in gossip until the context ends or the name turns out to be another's too.
 func (f *Fleet) runJoined(ctx context.Context, g *gossip, leave func() bool) {
 	life, end := context.WithCancel(f.ctx)
 	f.mu.Lock()
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -538,7 +538,7 @@
 	return true
 }
 
-// learnt is how long after a moment each other node's last step about one came.
+// changeDelays is how long after a moment each other node's last step about one came.
 func (w *world) changeDelays(j int, since time.Time) (all []time.Duration) {
 	for i, n := range w.nodes {
 		if i == j {
--- a/internal/deliverynode/fleet/status.go
+++ b/internal/deliverynode/fleet/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status is how the fleet looks from one node, for the staff.
+// Status is the state of the fleet as seen by one node, for operators.
 type Status struct {
 	Fleet       string            `json:"fleet"`
 	Name        string            `json:"name"`
@@ -10,28 +10,28 @@
 	State       string            `json:"state"`
 	Why         string            `json:"why,omitempty"`
 	Incarnation uint64            `json:"incarnation"`
-	Count       int               `json:"count"` // what limits would be divided by
+	Count       int               `json:"count"` // the number of members that limits are divided by
 	Members     []MemberStatus    `json:"members"`
 	Traffic     Traffic           `json:"traffic"`
-	Refused     map[string]string `json:"refused,omitempty"` // who, and why
+	Refused     map[string]string `json:"refused,omitempty"` // the reason by peer
 }
 
-// MemberStatus is one member, and what is on its way to it.
+// MemberStatus is the state of one member and of the messages queued for it.
 type MemberStatus struct {
 	Name        string  `json:"name"`
 	State       State   `json:"state"`
-	For         float64 `json:"for_s"` // in this state
+	For         float64 `json:"for_s"` // time in this state
 	Incarnation uint64  `json:"incarnation"`
 	Address     string  `json:"address"`
 	Heard       bool    `json:"heard"`
-	Link        string  `json:"link,omitempty"` // "up" or "down"; none where none was needed
+	Link        string  `json:"link,omitempty"` // "up" or "down"; empty if no link was needed
 	Waiting     int     `json:"waiting,omitempty"`
 	Bytes       int     `json:"waiting_bytes,omitempty"`
 	Unanswered  int     `json:"unanswered,omitempty"`
 	Dropped     int     `json:"dropped,omitempty"`
 }
 
-// Traffic counts since the process began.
+// Traffic has counters since the process started.
 type Traffic struct {
 	BytesOut       int64 `json:"bytes_out"`
 	BytesIn        int64 `json:"bytes_in"`
@@ -40,16 +40,16 @@
 	Dials          int64 `json:"dials"`
 	Connections    int   `json:"connections"`
 	MaxConns       int   `json:"max_connections"`
-	Crowded        int64 `json:"no_place"`  // connections for which there was no place
-	Dropped        int64 `json:"dropped"`   // datagrams for which there was no room
-	Spoilt         int64 `json:"spoilt"`    // what did not check, or came from another fleet
-	Strangers      int64 `json:"strangers"` // connections and datagrams of something else
+	Crowded        int64 `json:"no_place"`  // connections rejected by the connection limit
+	Dropped        int64 `json:"dropped"`   // datagrams dropped because the queue was full
+	Spoilt         int64 `json:"spoilt"`    // frames and datagrams with a wrong checksum, or from another fleet
+	Strangers      int64 `json:"strangers"` // connections and datagrams of another protocol
 	Versions       int64 `json:"refused_versions"`
-	Raised         int64 `json:"raised"` // incarnations taken because of what others knew
+	Raised         int64 `json:"raised"` // times the incarnation was raised because of other nodes' records
 	MembersRefused int   `json:"members_without_room"`
 }
 
-// Status tells all of it.
+// Status returns the state of the fleet as seen by this node.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/deliverynode/fleet/table.go
+++ b/internal/deliverynode/fleet/table.go
@@ -21,7 +21,7 @@
 // Departed tells whether one of the two words was said.
 func (s State) Departed() bool { return s == Left || s == Removed }
 
-// CountTime is for how long a count that a member has seen holds against smaller ones: longer
+// CountHoldTime is for how long a count that a member has seen holds against smaller ones: longer
 // than a death takes to be told to all, and than the longest restart in turn.
 const CountHoldTime = 60 * time.Second
 
@@ -167,7 +167,7 @@
 	return true
 }
 
-// Hear tells that gossip reaches a member now, under this record.
+// MarkReachable tells that gossip reaches a member now, under this record.
 func (t *Table) MarkReachable(rec Record, now time.Duration) []Change {
 	if rec.Name == t.self {
 		return nil
@@ -209,7 +209,7 @@
 	c.Raise, c.Removed, c.Old = max(c.Raise, o.Raise), max(c.Removed, o.Removed), c.Old || o.Old
 }
 
-// Mine judges what somebody tells of the node itself.
+// ClaimFor judges what somebody tells of the node itself.
 func (t *Table) ClaimFor(rec Record) (c Claim) {
 	own := t.Self()
 	if word := max(rec.Removed, rec.Left); word >= own.Incarnation {
@@ -232,16 +232,16 @@
 	return c
 }
 
-// Raised tells that the node has a new incarnation, which is on disk.
+// SetIncarnation tells that the node has a new incarnation, which is on disk.
 func (t *Table) SetIncarnation(incarnation uint64) {
 	r := t.rows[t.self]
 	r.Incarnation, r.reachableIncarnation = incarnation, incarnation
 }
 
-// Removes tells whether a claim holds a removal that the node has not been told of.
+// HasNewRemoval tells whether a claim holds a removal that the node has not been told of.
 func (t *Table) HasNewRemoval(c Claim) bool { return c.Removed >= t.memberSince }
 
-// Renewed tells that the node is a new member in its present incarnation: a removal of an earlier one
+// Rejoined tells that the node is a new member in its present incarnation: a removal of an earlier one
 // asks for nothing any more.
 func (t *Table) Rejoined() { t.memberSince = t.Self().Incarnation }
 
@@ -323,7 +323,7 @@
 	}
 }
 
-// own is the largest count that this node has seen within CountTime.
+// maxOwnCount is the largest count that this node has seen within CountTime.
 func (t *Table) maxOwnCount(now time.Duration) int {
 	for len(t.ownCounts) > 1 && t.ownCounts[1].recordedAt <= now-CountHoldTime { // one holds until the next, smaller one
 		t.ownCounts = t.ownCounts[1:]
--- a/internal/deliverynode/fleet/wire.go
+++ b/internal/deliverynode/fleet/wire.go
@@ -14,16 +14,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Versions of what goes over links and in datagrams. A peer whose range has none in common
-// is refused.
+// Versions of the link and datagram formats. A peer without a common version is rejected.
 const (
 	lowestVersion  = 1
 	highestVersion = 1
 )
 
-// The preamble is the same in all versions: it begins each connection, and its answer too.
+// The preamble and its answer begin each connection and are the same in all versions.
 //
-//	magic (4), lowest, highest, what for, key of the fleet (8)
+//	magic (4), lowest version, highest version, purpose, key of the fleet (8)
 //	magic (4), version or 0, length of the reason, the reason
 const (
 	magic         = "wmfl"
@@ -31,31 +30,31 @@
 	purposeGossip = 1
 	purposeLink   = 2
 
-	// frameHead is the length and the checksum before each frame.
+	// frameHeaderSize is the size of the length and checksum before each frame.
 	frameHeaderSize = 4 + 8
 	maxFrame        = 1 << 20
-	// packetHead begins a datagram: magic (2), lowest, highest, checksum.
+	// packetHeaderSize is the size of a datagram's header: magic (2), lowest version, highest version, checksum (8).
 	packetHeaderSize = 4 + 8
 	packetMagic      = "wf"
-	// greetTime is how long the beginning of a connection may take, on either side.
+	// greetTimeout bounds the handshake of a connection, on either side.
 	greetTimeout = time.Second
 )
 
 var (
-	errForeign = errors.New("what came is not of this program")
-	errCorrupt = errors.New("what came does not check")
+	errForeign = errors.New("not the fleet protocol")
+	errCorrupt = errors.New("corrupt frame")
 	errTooLong = fmt.Errorf("longer than %d bytes", maxFrame)
 )
 
-// VersionError says that a peer speaks no version that this program does.
+// VersionError reports that a peer has no protocol version in common with this node.
 type VersionError struct{ Lowest, Highest uint8 }
 
-// Error names the versions of both sides.
+// Error returns the version ranges of both sides.
 func (e VersionError) Error() string {
 	return fmt.Sprintf("it speaks versions %d to %d, this node %d to %d", e.Lowest, e.Highest, lowestVersion, highestVersion)
 }
 
-// RefusedError is the line with which a peer refuses.
+// RefusedError is the reason with which a peer rejects a connection.
 type RefusedError string
 
 // Error returns the reason that the peer gave.
@@ -68,10 +67,10 @@
 	return version, nil
 }
 
-// fleetKey keeps fleets apart.
+// fleetKey returns the key that tells the connections and datagrams of different fleets apart.
 func fleetKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// greet begins a connection that this node has dialled.
+// greet sends the preamble on a connection that this node has dialled, and reads the answer.
 func greet(conn net.Conn, key uint64, purpose byte) error {
 	b := append([]byte(magic), lowestVersion, highestVersion, purpose)
 	if _, err := conn.Write(binary.BigEndian.AppendUint64(b, key)); err != nil {
@@ -86,7 +85,7 @@
 	}
 	version, reason := head[len(magic)], make([]byte, head[len(magic)+1])
 	if _, err := io.ReadFull(conn, reason); err != nil {
-		return fmt.Errorf("half an answer to the greeting: %w", err)
+		return fmt.Errorf("incomplete answer to the greeting: %w", err)
 	}
 	if version == 0 {
 		return RefusedError(reason)
@@ -97,7 +96,7 @@
 	return nil
 }
 
-// greeted reads the beginning of a connection that came and answers it.
+// acceptGreeting reads and answers the preamble of an incoming connection.
 func acceptGreeting(conn net.Conn, key uint64) (purpose byte, err error) {
 	b := make([]byte, preambleSize)
 	if _, err := io.ReadFull(conn, b); err != nil {
@@ -109,7 +108,7 @@
 	refuse := func(err error) (byte, error) {
 		reason := err.Error()
 		answer := append([]byte(magic), 0, byte(len(reason)))
-		_, _ = conn.Write(append(answer, reason...)) // it is closed in any case
+		_, _ = conn.Write(append(answer, reason...)) // the connection is closed in any case
 		return 0, err
 	}
 	rest := b[len(magic):]
@@ -121,14 +120,14 @@
 		return refuse(errors.New("another fleet"))
 	}
 	if rest[2] != purposeGossip && rest[2] != purposeLink {
-		return refuse(fmt.Errorf("nothing is known of purpose %d", rest[2]))
+		return refuse(fmt.Errorf("unknown purpose %d", rest[2]))
 	}
 	_, err = conn.Write(append([]byte(magic), version, 0))
 	return rest[2], err
 }
 
-// framed carries frames over a connection. Each has a checksum over the fleet, its place in
-// the stream and itself, so one that is spoilt, doubled or left out is found.
+// framedConn carries frames over a connection. The checksum of each covers the fleet's key, the
+// frame's position in the stream and the payload, so a corrupt, duplicated or missing frame is detected.
 type framedConn struct {
 	net.Conn
 	key uint64
@@ -136,14 +135,14 @@
 	wmu     sync.Mutex
 	written uint64
 	read    uint64
-	unread  []byte // of a frame that Read has begun
+	unread  []byte // the unread rest of the current frame
 }
 
-func checksum(key, place uint64, payload []byte) uint64 {
+func checksum(key, position uint64, payload []byte) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(key)
 	var at [8]byte
-	binary.BigEndian.PutUint64(at[:], place)
+	binary.BigEndian.PutUint64(at[:], position)
 	_, _ = d.Write(at[:])
 	_, _ = d.Write(payload)
 	return d.Sum64()
@@ -170,7 +169,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if int64(n) > int64(most) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes", errCorrupt, n)
+		return nil, fmt.Errorf("%w: length of %d bytes", errCorrupt, n)
 	}
 	payload := make([]byte, n)
 	if _, err := io.ReadFull(c.Conn, payload); err != nil {
@@ -183,7 +182,7 @@
 	return payload, nil
 }
 
-// Write and Read make it a stream again, for gossip.
+// Write and Read carry a byte stream over the frames, for gossip.
 func (c *framedConn) Write(b []byte) (n int, err error) {
 	for len(b) > 0 {
 		piece := b[:min(len(b), maxFrame)]
@@ -195,7 +194,7 @@
 	return n, nil
 }
 
-// Read reads from the stream within the frames.
+// Read reads from the byte stream.
 func (c *framedConn) Read(b []byte) (int, error) {
 	for len(c.unread) == 0 {
 		payload, err := c.readFrame(maxFrame)
@@ -209,8 +208,7 @@
 	return n, nil
 }
 
-// Foreign bytes are read within bounds: nothing that comes is nested, or has long lists but
-// of records.
+// Decoding untrusted input is bounded: no message is deeply nested, and only lists of records are long.
 var (
 	encoding = must(cbor.CoreDetEncOptions().EncMode())
 	decoding = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 4 * MaxMembers,
@@ -243,7 +241,7 @@
 	return nil
 }
 
-// sealPacket and openPacket frame a datagram.
+// sealPacket adds the header to a datagram's payload; openPacket checks and removes it.
 func sealPacket(key uint64, payload []byte) []byte {
 	b := append(make([]byte, 0, packetHeaderSize+len(payload)), packetMagic...)
 	b = append(b, lowestVersion, highestVersion)
@@ -264,7 +262,7 @@
 	return b[packetHeaderSize:], nil
 }
 
-// closeWith closes a connection when a context ends, until stop is called.
+// closeWith closes a connection when a context ends, unless stop is called before.
 func closeWith(ctx context.Context, conn net.Conn) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = conn.Close() })
 }
--- a/internal/deliverynode/group/core.go
+++ b/internal/deliverynode/group/core.go
@@ -1,5 +1,5 @@
-// Package group lets several processes of one machine act as one delivery node: it decides who is a member, who
-// coordinates, and which share of the node's limits each may use. docs/group.md says what it guarantees.
+// Package group lets several processes of one machine act as one delivery node: it tracks the members, elects a
+// coordinator, and assigns each member a share of the node's limits. docs/group.md describes its guarantees.
 package group
 
 import (
@@ -11,50 +11,50 @@
 )
 
 const (
-	// MaxMembers is the most processes of a group.
+	// MaxMembers is the maximum number of processes in a group.
 	MaxMembers = 8
-	// Whole is what all shares come to, in parts: it can be shared out evenly among any number of members up to MaxMembers.
+	// Whole is the number of parts that a node is divided into. It is divisible by every member count up to MaxMembers.
 	Whole = 840
-	// Version is that of the messages and views. Members of another are refused.
+	// Version is the version of messages and views. Members with another version are rejected.
 	Version = 1
 
-	// LeaseTime is how long a share holds without being renewed: what a member that is
-	// stopped right after a renewal keeps from the others.
+	// LeaseTime is how long a share is valid without renewal. A member that is stopped right
+	// after a renewal blocks its share from the others for that long.
 	LeaseTime = time.Second
-	// HeartbeatEvery is how often leases are renewed: three may be lost before one runs out.
+	// HeartbeatEvery is the lease renewal interval: a lease survives three lost renewals.
 	HeartbeatEvery = LeaseTime / 4
-	// SuspectAfter is how long a member may say nothing before it gets no new lease.
+	// SuspectAfter is how long a member may be silent before it gets no new lease.
 	SuspectAfter = LeaseTime
 )
 
 var (
-	// ErrOlder refuses what comes from an epoch that is over.
-	ErrStaleEpoch = errors.New("of an older epoch")
-	// ErrVersion refuses a member with another version of the messages.
-	ErrVersion = errors.New("another version of the group's messages")
-	// ErrFull refuses a member for which there is no place.
+	// ErrStaleEpoch rejects a message of an epoch that has been superseded.
+	ErrStaleEpoch = errors.New("epoch is older")
+	// ErrVersion rejects a member, message or view of another version.
+	ErrVersion = errors.New("unsupported version of group messages")
+	// ErrFull rejects a member when the group already has MaxMembers.
 	ErrFull = errors.New("the group is full")
 )
 
-// ID names one life of one process.
+// ID identifies one run of a process; a restarted process has a new one.
 type ID string
 
-// Share is a member's part of the node, in parts of Whole.
+// Share is a member's share of the node, in parts out of Whole.
 type Share struct {
 	Member ID  `json:"Member"`
 	Parts  int `json:"Parts"`
-	// Had is what it had last, less what others were given of it since.
+	// Retained is the member's last share, less what has since been granted to others.
 	Retained int `json:"Had,omitempty"`
 }
 
-// View is what a coordinator says of the group. It is sorted by member.
+// View is the coordinator's record of the members and their shares, sorted by member.
 type View struct {
 	Version int     `json:"Version"`
 	Epoch   uint64  `json:"Epoch"`
 	Shares  []Share `json:"Shares"`
 }
 
-// Parts is what a view gives a member.
+// Parts returns a member's share in the view, 0 if it has none.
 func (v View) Parts(id ID) int {
 	i, ok := slices.BinarySearchFunc(v.Shares, id, func(s Share, id ID) int { return cmp.Compare(s.Member, id) })
 	if !ok {
@@ -63,65 +63,65 @@
 	return v.Shares[i].Parts
 }
 
-// Lease lets a member use its share until a moment of the machine's own clock.
+// Lease lets a member use its share until a time of the machine's clock (see Clock).
 type Lease struct {
 	Version int           `json:"Version"`
 	Epoch   uint64        `json:"Epoch"`
 	Member  ID            `json:"Member"`
 	Parts   int           `json:"Parts"`
-	Members int           `json:"Members"` // that the shares are meant for
-	Kept    int           `json:"Kept"`    // of Parts, what this member had and nobody else has had since
+	Members int           `json:"Members"` // active members that the node is divided among
+	Kept    int           `json:"Kept"`    // the portion of Parts that this member had before and no other member has had since
 	Until   time.Duration `json:"Until"`
 }
 
-// Hello is what a member tells the coordinator: that it is there, and what it last heard.
+// Hello is a member's heartbeat to the coordinator, with the highest epoch that it has seen.
 type Hello struct {
 	Version int    `json:"Version"`
 	Member  ID     `json:"Member"`
 	Epoch   uint64 `json:"Epoch"`
 }
 
-// Member is one process's own side: the lease that it has.
+// Member is the member's side of the protocol: it holds the process's current lease.
 type Member struct {
 	id        ID
-	epoch     uint64 // the highest that it has seen
+	epoch     uint64 // the highest seen
 	lease     Lease
-	lastHeard time.Duration // when a lease last came, or it last came back from standing still
-	lastTick  time.Duration // when it last did anything
+	lastHeard time.Duration // when a lease last arrived, or this process last resumed after a pause
+	lastTick  time.Duration // when Tick was last called
 }
 
-// NewMember has no share.
+// NewMember returns a member without a share.
 func NewMember(id ID) *Member { return &Member{id: id} }
 
-// Tick is to be called every BeatEvery. It tells whether the coordinator has been silent for
-// so long, while this member was at work all along, that another has to take its place.
+// Tick must be called every HeartbeatEvery. It reports whether the coordinator must be replaced:
+// it has been silent for SuspectAfter+LeaseTime, during which this process was not paused itself.
 func (m *Member) Tick(now time.Duration) (leaderless bool) {
-	if now-m.lastTick > SuspectAfter { // it stood still itself, and may just not have heard
+	if now-m.lastTick > SuspectAfter { // this process was paused: the silence may be its own
 		m.lastHeard = now
 	}
 	m.lastTick = now
 	return now-m.lastHeard > SuspectAfter+LeaseTime
 }
 
-// Hear takes in a lease.
+// Receive applies a lease from the coordinator.
 func (m *Member) Receive(now time.Duration, l Lease) error {
 	switch {
 	case l.Version != Version:
-		return fmt.Errorf("%w: %d, this one has %d", ErrVersion, l.Version, Version)
+		return fmt.Errorf("%w: %d, this process supports %d", ErrVersion, l.Version, Version)
 	case l.Epoch < m.epoch:
 		return fmt.Errorf("lease of epoch %d: %w than %d", l.Epoch, ErrStaleEpoch, m.epoch)
 	case l.Member != m.id:
-		return fmt.Errorf("lease of %q came to %q", l.Member, m.id)
+		return fmt.Errorf("lease for member %q received by member %q", l.Member, m.id)
 	}
 	m.lastHeard = now
 	if l.Epoch == m.epoch && l.Until < m.lease.Until {
-		return nil // it was overtaken on its way
+		return nil // delivered out of order: a later lease was applied
 	}
 	m.epoch, m.lease = l.Epoch, l
 	return nil
 }
 
-// Parts is the share that is in force: none without a lease that holds.
+// Parts returns the share in force, 0 without a valid lease.
 func (m *Member) Parts(now time.Duration) int {
 	if now >= m.lease.Until {
 		return 0
@@ -129,30 +129,30 @@
 	return m.lease.Parts
 }
 
-// Hello is what to tell the coordinator now.
+// Hello returns the heartbeat to send to the coordinator.
 func (m *Member) Hello() Hello { return Hello{Version: Version, Member: m.id, Epoch: m.epoch} }
 
-// peer is what a coordinator knows of a member.
+// peer is the coordinator's state of a member.
 type peer struct {
-	lastHeard time.Duration // when it last said anything
-	alive     bool          // its lock is held
-	retained  int           // what it was given last, less what others were given of that since
-	grants    []grant       // leases that it may be using, the larger and older ones first
+	lastHeard time.Duration // when its last hello arrived
+	alive     bool          // its lock file is locked
+	retained  int           // its last share, less what has since been granted to others
+	grants    []grant       // unexpired leases that it may be using, larger and older ones first
 }
 
-// grant is a share until a moment.
+// grant is a share and the time at which it expires.
 type grant struct {
 	parts int
 	until time.Duration
 }
 
-// grant notes a lease. Those that it outlasts and exceeds count no more.
+// grant records a lease and drops earlier ones that are no larger and expire no later.
 func (p *peer) grant(parts int, until time.Duration) {
 	p.grants = slices.DeleteFunc(p.grants, func(g grant) bool { return g.parts <= parts && g.until <= until })
 	p.grants = append(p.grants, grant{parts, until})
 }
 
-// parts is the largest share that a member may be using.
+// parts returns the largest share that a member may be using.
 func (p *peer) parts(now time.Duration) int {
 	p.grants = slices.DeleteFunc(p.grants, func(g grant) bool { return now >= g.until })
 	most := 0
@@ -162,25 +162,25 @@
 	return most
 }
 
-// Coordinator shares the node out. It decides; whoever drives it writes the views, sends
-// the leases and looks at the locks.
+// Coordinator divides the node among the members. It only decides; its caller writes the views,
+// sends the leases and checks the locks.
 type Coordinator struct {
 	view  View
 	peers map[ID]*peer
 }
 
-// NewCoordinator goes on above all epochs that there were. Told are the views on disk: what
-// the last one gave may be in use for one lease still. That counts for those before it as
-// well, as a view names the most that each may be using. Torn says that one could not be
-// read: then anything may be.
-func NewCoordinator(now time.Duration, told []View, epoch uint64, torn bool) *Coordinator {
+// NewCoordinator returns a coordinator whose epoch is above all earlier ones. The shares of the
+// latest of the stored views may stay in use for one more LeaseTime. Older views need not be
+// counted, as a view has the largest share that each member may be using. If torn is set, a view
+// was unreadable and all of the node may be in use.
+func NewCoordinator(now time.Duration, storedViews []View, epoch uint64, torn bool) *Coordinator {
 	c := &Coordinator{view: View{Version: Version, Epoch: epoch}, peers: map[ID]*peer{}}
 	last := uint64(0)
-	for _, v := range told {
+	for _, v := range storedViews {
 		last = max(last, v.Epoch)
 	}
 	c.view.Epoch = max(c.view.Epoch, last)
-	for _, v := range told {
+	for _, v := range storedViews {
 		if v.Epoch < last {
 			continue
 		}
@@ -209,14 +209,14 @@
 	return p
 }
 
-// Hear takes in what a member says. A member that has seen a higher epoch was led by a
-// coordinator that came after this one.
+// Receive processes a member's hello. It returns ErrStaleEpoch if the member has seen a higher epoch:
+// another coordinator has then replaced this one.
 func (c *Coordinator) Receive(now time.Duration, h Hello) error {
 	switch {
 	case h.Version != Version:
-		return fmt.Errorf("%w: %d, this one has %d", ErrVersion, h.Version, Version)
+		return fmt.Errorf("%w: %d, this process supports %d", ErrVersion, h.Version, Version)
 	case h.Member == "":
-		return errors.New("a member without a name")
+		return errors.New("hello without a member ID")
 	case h.Epoch > c.view.Epoch:
 		return fmt.Errorf("this coordinator is of epoch %d: %w than %d", c.view.Epoch, ErrStaleEpoch, h.Epoch)
 	}
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// Members are those that are taken to be alive.
+// Members returns the members considered alive.
 func (c *Coordinator) Members() []ID {
 	var ids []ID
 	for id, p := range c.peers {
@@ -249,21 +249,21 @@
 	return ids
 }
 
-// Departed tells that a member's lock is free: it has died.
+// MarkDead records that a member's lock is free, so its process has ended.
 func (c *Coordinator) MarkDead(id ID) {
 	if p := c.peers[id]; p != nil {
 		p.alive = false
 	}
 }
 
-// State is how a member stands, for the staff.
+// State is a member's state on the status page.
 type State string
 
 // The states of a member.
 const (
 	Active  State = "active"
-	Suspect State = "suspect" // alive and out of touch: it gets no new lease
-	Dead    State = "dead"    // its lease has not run out yet
+	Suspect State = "suspect" // alive but silent: it gets no new lease
+	Dead    State = "dead"    // ended, with a lease that has not expired
 )
 
 func (p *peer) state(now time.Duration) State {
@@ -276,8 +276,8 @@
 	return Active
 }
 
-// Share decides on the shares from now on. Where the view changes, it has to be on disk
-// before any of the leases is told.
+// Share computes the current shares. If the view has changed, it must be on disk before any of
+// the leases is sent.
 func (c *Coordinator) Share(now time.Duration) (view View, changed bool, leases []Lease) {
 	ids := make([]ID, 0, len(c.peers))
 	active := 0
@@ -296,7 +296,7 @@
 	for _, id := range ids {
 		p := c.peers[id]
 		if p.state(now) == Active {
-			// Within what no other may be using.
+			// At most what no other member may be using.
 			parts := min(Whole/active, Whole-c.maxPartsOfOthers(id, now))
 			kept := min(parts, p.retained)
 			c.deductRetained(id, parts-kept, now)
@@ -318,8 +318,9 @@
 	return next, changed, leases
 }
 
-// takes notes that a member is given more than it had: what nobody had goes first, then what
-// others had whose leases have run out. How much of whose is not known, so each loses all of it.
+// deductRetained accounts for a member that is granted more parts than it retained. Parts that no member
+// retains are used first, then those of members whose leases have expired. It is unknown whose
+// parts these are, so the full amount is deducted from each of the other members.
 func (c *Coordinator) deductRetained(id ID, more int, now time.Duration) {
 	free := Whole
 	for _, p := range c.peers {
@@ -335,11 +336,11 @@
 	}
 }
 
-// others is what all but one may be using.
-func (c *Coordinator) maxPartsOfOthers(but ID, now time.Duration) int {
+// maxPartsOfOthers returns the parts that all members but one may be using.
+func (c *Coordinator) maxPartsOfOthers(excluded ID, now time.Duration) int {
 	sum := 0
 	for id, p := range c.peers {
-		if id != but {
+		if id != excluded {
 			sum += p.parts(now)
 		}
 	}
--- a/internal/deliverynode/group/core_test.go
+++ b/internal/deliverynode/group/core_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// beat is what a process does when its time comes: lead if nobody does, look at the
+// heartbeat is what a process does when its time comes: lead if nobody does, look at the
 // locks, share, and say hello.
 func (m *machine) heartbeat(p *proc) {
 	if p.dead || p.stopped {
@@ -147,7 +147,7 @@
 	}
 }
 
-// keep follows what each process uses at once of what it is told that it kept: nobody else may
+// checkRetained follows what each process uses at once of what it is told that it kept: nobody else may
 // have had any of that since it last used as much.
 func (m *machine) checkRetained(t *testing.T, trail []string) {
 	t.Helper()
@@ -333,7 +333,7 @@
 	}
 }
 
-// play lets all members beat and hear of each other for a time.
+// run lets all members beat and hear of each other for a time.
 func (m *machine) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	for end := m.now + d; m.now < end; m.now += HeartbeatEvery {
--- a/internal/deliverynode/group/files.go
+++ b/internal/deliverynode/group/files.go
@@ -19,20 +19,20 @@
 	leadFormat   = "lead-%08d"
 	viewFormat   = "view-%016x"
 	newView      = "view.new"
-	// retainedViews is how many views stay: the last may be torn.
+	// retainedViews is the number of views kept on disk. More than one, as the last may be torn.
 	retainedViews = 2
 	maxView       = 64 << 10
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// folder is where a group keeps its locks and views.
+// folder is the path of the directory with the group's locks and views.
 type folder string
 
 func (d folder) path(name string) string { return filepath.Join(string(d), name) }
 
-// lock takes the lock on a file, which it makes if need be; nil if another has it. The
-// kernel lets go of it when its holder dies.
+// lock creates a file if needed and locks it; it returns nil if another process holds the lock.
+// The kernel releases the lock when its holder exits.
 func (d folder) lock(name string) (*os.File, error) {
 	for {
 		f, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_RDWR, 0o600)
@@ -46,12 +46,12 @@
 		if err != nil {
 			return nil, errors.Join(err, f.Close())
 		}
-		// Before it was locked it may have been taken for a dead one's, and removed.
-		mine, err := f.Stat()
+		// Between open and lock, another process may have removed it as a dead member's file.
+		opened, err := f.Stat()
 		if err != nil {
 			return nil, errors.Join(err, f.Close())
 		}
-		if there, err := os.Stat(d.path(name)); err == nil && os.SameFile(mine, there) {
+		if current, err := os.Stat(d.path(name)); err == nil && os.SameFile(opened, current) {
 			return f, nil
 		}
 		if err := f.Close(); err != nil {
@@ -60,10 +60,10 @@
 	}
 }
 
-// removeDead removes what a dead member has left.
+// removeDead removes the files of a dead member.
 func (d folder) removeDead(id ID) error {
 	f, err := d.lock(memberPrefix + string(id))
-	if err != nil || f == nil { // it lives, or another buries it
+	if err != nil || f == nil { // the member is alive, or another process is removing its files
 		return err
 	}
 	var errs []error
@@ -75,7 +75,7 @@
 	return errors.Join(append(errs, f.Close())...)
 }
 
-// locked tells whether anyone has the lock on a file that is there.
+// locked reports whether a file exists and is locked.
 func (d folder) locked(name string) (bool, error) {
 	f, err := os.Open(d.path(name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = f.Close() }() // it was only locked and not written
+	defer func() { _ = f.Close() }() // it was not written
 	err = syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return true, nil
@@ -92,7 +92,7 @@
 	return false, err
 }
 
-// members are the processes that have a file, dead or alive.
+// members returns the IDs that have a member file, alive or dead.
 func (d folder) members() ([]ID, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -107,7 +107,7 @@
 	return ids, nil
 }
 
-// term is the last term that anyone led, 0 for none.
+// term returns the latest term that has had a leader, 0 for none.
 func (d folder) term() (int, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -123,7 +123,7 @@
 	return last, nil
 }
 
-// lead tries to lead a term, which nobody did before. Those before are over with it.
+// acquireTerm tries to lock a term that has had no leader. On success it removes the lock files of earlier terms.
 func (d folder) acquireTerm(term int) (*os.File, error) {
 	f, err := d.lock(fmt.Sprintf(leadFormat, term))
 	if err != nil || f == nil {
@@ -134,14 +134,14 @@
 	}
 	for old := term - 1; old > 0; old-- {
 		if err := os.Remove(d.path(fmt.Sprintf(leadFormat, old))); err != nil {
-			break // those before went with it
+			break // earlier files have been removed already
 		}
 	}
 	return f, nil
 }
 
-// views reads the views that are there. Epoch is the highest that any was written for, and
-// torn tells that one of them can't be read.
+// views reads all views on disk. epoch is the highest in a view's file name, also of an unreadable
+// view; torn reports whether a view is unreadable.
 func (d folder) views() (views []View, epoch uint64, torn bool, err error) {
 	names, err := d.viewNames()
 	if err != nil {
@@ -149,7 +149,7 @@
 	}
 	for _, name := range names {
 		var n uint64
-		_, _ = fmt.Sscanf(name, viewFormat, &n) // its form was checked
+		_, _ = fmt.Sscanf(name, viewFormat, &n) // viewNames has checked the format
 		epoch = max(epoch, n)
 		v, err := d.readView(name)
 		if err != nil || v.Epoch != n {
@@ -157,14 +157,14 @@
 			continue
 		}
 		if v.Version > Version {
-			return nil, 0, false, fmt.Errorf("%s: %w: %d, this one has %d", name, ErrVersion, v.Version, Version)
+			return nil, 0, false, fmt.Errorf("%s: %w: %d, this process supports %d", name, ErrVersion, v.Version, Version)
 		}
 		views = append(views, v)
 	}
 	return views, epoch, torn, nil
 }
 
-// viewNames are the views' files, the oldest first.
+// viewNames returns the file names of the views, oldest first.
 func (d folder) viewNames() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -187,19 +187,19 @@
 		return View{}, err
 	}
 	if len(data) < 4 || len(data) > maxView || crc32.Checksum(data[4:], crcTable) != binary.LittleEndian.Uint32(data) {
-		return View{}, errors.New("the view does not check")
+		return View{}, errors.New("view checksum mismatch")
 	}
 	var v View
 	if err := json.Unmarshal(data[4:], &v); err != nil {
 		return View{}, err
 	}
 	if !slices.IsSortedFunc(v.Shares, func(a, b Share) int { return strings.Compare(string(a.Member), string(b.Member)) }) {
-		return View{}, errors.New("the view is not in order")
+		return View{}, errors.New("view is not sorted by member")
 	}
 	return v, nil
 }
 
-// writeView puts a view in place, whole or not at all, and removes the oldest.
+// writeView writes a view atomically and removes the oldest ones.
 func (d folder) writeView(v View) error {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/deliverynode/group/group.go
+++ b/internal/deliverynode/group/group.go
@@ -21,47 +21,47 @@
 )
 
 const (
-	// maxFrame bounds a request for a file, callTimeout one exchange, maxCalls those
-	// at a time.
+	// maxFrame is the maximum size of a request for a file, callTimeout bounds one exchange, and
+	// maxCalls the concurrent exchanges.
 	maxFrame    = 4 << 10
 	callTimeout = HeartbeatEvery / 2
 	maxCalls    = 2 * MaxMembers
 	socketName  = "s-"
 )
 
-// Clock reads the machine's own clock, which all its processes share and nobody sets.
+// Clock reads CLOCK_BOOTTIME, which all processes of the machine share and which cannot be set.
 func Clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(fmt.Sprintf("the machine has no clock: %v", err)) // it takes a clock that Linux always has
+		panic(fmt.Sprintf("reading CLOCK_BOOTTIME: %v", err)) // Linux always has this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// Config says how a process joins its group.
+// Config configures how a process joins its group.
 type Config struct {
-	Dir   string // of the group, in the state folder
+	Dir   string // of the group, in the state directory
 	Clock func() time.Duration
 	Log   *slog.Logger
-	// Share is told of the share to use, whenever it changes. Kept is what this process
-	// had and nobody else has had since. It must not wait.
+	// Share is called with the share to use, whenever it changes. kept is the portion that this
+	// process had before and no other member has had since. It must not block.
 	Share func(parts, kept int)
-	// Hear is handed what other members tell (the answer is dropped) and ask. It must not
-	// wait for long: whoever asks does.
+	// Hear is called with the notifications (whose answer is dropped) and requests (asked) of other
+	// members. It must not block for long, because the requesting member waits for it.
 	Hear func(m Message, asked bool) (answer any, err error)
-	// Met is told when others are there that were not: what was told before, they did not
-	// hear. It must not wait.
+	// Met is called when members have joined: they have not received earlier notifications. It must
+	// not block.
 	Met func()
-	// File gives what this process has open under a name, for another member; nil for none.
+	// File returns the open file of a name, to be passed to another member; nil if there is none.
 	File func(name string) *os.File
 }
 
-// Group is one process's part in its group.
+// Group runs one process's membership in its group.
 type Group struct {
 	cfg      Config
 	id       ID
 	dir      folder
-	lock     *os.File // the lock on its own file, for as long as it lives
+	lock     *os.File // on its own member file, for the lifetime of the process
 	listener *net.UnixListener
 
 	peersMu    sync.Mutex
@@ -72,11 +72,11 @@
 	member        *Member
 	coordinator   *Coordinator
 	term          int
-	leaderLock    *os.File // the lock on the term that it leads
-	notifiedShare int      // the share that was last told
+	leaderLock    *os.File // on the file of the term that it leads
+	notifiedShare int      // the share last passed to cfg.Share
 }
 
-// Join makes this process a member, with no share yet.
+// Join makes this process a member without a share.
 func Join(c Config) (*Group, error) {
 	if err := os.Mkdir(c.Dir, 0o700); err != nil && !errors.Is(err, os.ErrExist) {
 		return nil, fmt.Errorf("joining the group: %w", err)
@@ -88,7 +88,7 @@
 	}
 	hold, err := g.dir.lock(memberPrefix + string(g.id))
 	if err != nil || hold == nil {
-		return nil, fmt.Errorf("joining the group: its own lock: %w", errors.Join(err, lockError(hold)))
+		return nil, fmt.Errorf("joining the group: locking the member file: %w", errors.Join(err, lockError(hold)))
 	}
 	g.lock = hold
 	err = AtSocket(g.dir.path(socketName+string(g.id)), func(short string) (err error) {
@@ -98,21 +98,21 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("joining the group: %w", err), g.leave())
 	}
-	g.listener.SetUnlinkOnClose(false) // by its path, which may be a short one
+	g.listener.SetUnlinkOnClose(false) // it would unlink by the path given, which may be a /proc/self/fd one; leave removes the socket
 	return g, nil
 }
 
 func lockError(f *os.File) error {
 	if f == nil {
-		return errors.New("another has it")
+		return errors.New("held by another process")
 	}
 	return nil
 }
 
-// ID is this process's name in the group.
+// ID returns this process's ID in the group.
 func (g *Group) ID() ID { return g.id }
 
-// leave removes what this process has in the folder, and lets its lock go after that.
+// leave removes this process's files and releases its locks after that.
 func (g *Group) leave() error {
 	var errs []error
 	for _, name := range []string{socketName + string(g.id), memberPrefix + string(g.id)} {
@@ -126,10 +126,10 @@
 	return errors.Join(append(errs, g.lock.Close())...)
 }
 
-// Abandon leaves a group that was joined and never run.
+// Abandon leaves a group that was joined but not run.
 func (g *Group) Abandon() error { return errors.Join(g.listener.Close(), g.leave()) }
 
-// Run takes part in the group until the context ends, and leaves it then.
+// Run runs the membership until the context ends and then leaves the group.
 func (g *Group) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -137,26 +137,26 @@
 	tick := time.NewTicker(HeartbeatEvery)
 	defer tick.Stop()
 	for {
-		g.MaySend() // it may have stood still
+		g.MaySend() // detects a lease that expired while the process was paused
 		if err := g.heartbeat(ctx); err != nil {
-			g.cfg.Log.Warn("group: beat", "err", err)
+			g.cfg.Log.Warn("group: heartbeat failed", "err", err)
 		}
 		g.notifyShare()
 		if err := g.updatePeers(ctx, &running); err != nil {
-			g.cfg.Log.Warn("group: members", "err", err)
+			g.cfg.Log.Warn("group: updating members failed", "err", err)
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			// Here and not by context.AfterFunc: a return may come before that has begun, and
-			// whoever accepts would be waited for without end.
+			// Not by context.AfterFunc: Run may return before that function starts, and the deferred Wait
+			// would then wait forever for the goroutine blocked in Accept.
 			_ = g.listener.Close()
 			return g.leave()
 		}
 	}
 }
 
-// heartbeat renews this process's lease: from itself where it leads, else from who does.
+// heartbeat renews this process's lease, from the coordinator or, if this process leads, from itself.
 func (g *Group) heartbeat(ctx context.Context) error {
 	g.mu.Lock()
 	now := g.cfg.Clock()
@@ -176,14 +176,15 @@
 	}
 	l, err := g.requestLease(ctx, term, hello)
 	if err != nil {
-		return fmt.Errorf("asking the coordinator: %w", err)
+		return fmt.Errorf("requesting a lease from the coordinator: %w", err)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.member.Receive(g.cfg.Clock(), l)
 }
 
-// follow finds out who leads, and leads where nobody does or who does is out of touch.
+// updateLeadership looks up the current term, and takes over a new one if the current one has no leader or its
+// leader is silent.
 func (g *Group) updateLeadership(now time.Duration, leaderless bool) error {
 	term, err := g.dir.term()
 	if err != nil {
@@ -193,7 +194,7 @@
 		if term == g.term {
 			return nil
 		}
-		g.cfg.Log.Warn("group: another leads meanwhile", "term", term)
+		g.cfg.Log.Warn("group: another member has taken over as coordinator", "term", term)
 		err = g.leaderLock.Close()
 		g.coordinator, g.leaderLock = nil, nil
 	}
@@ -210,56 +211,57 @@
 		return nil
 	}
 	f, err := g.dir.acquireTerm(term + 1)
-	if err != nil || f == nil { // another was first
+	if err != nil || f == nil { // another member was first
 		return err
 	}
 	views, epoch, torn, err := g.dir.views()
 	if err == nil {
-		_, err = f.WriteAt([]byte(g.id), 0) // where to ask
+		_, err = f.WriteAt([]byte(g.id), 0) // the member that lease requests go to
 	}
 	if err != nil {
 		return errors.Join(err, f.Close())
 	}
 	g.term, g.leaderLock = term+1, f
-	// By its term in the upper half: one that led before and goes on is never above it.
+	// The term is the upper half of the epoch, so that an earlier leader that resumes never has a higher epoch.
 	g.coordinator = NewCoordinator(now, views, max(epoch, uint64(g.term)<<32), torn)
-	g.cfg.Log.Info("group: leads", "member", g.id, "term", g.term, "torn view", torn)
+	g.cfg.Log.Info("group: this member is the coordinator", "member", g.id, "term", g.term, "torn view", torn)
 	return nil
 }
 
-// share answers a member, with the view on disk before. It reads the clock before it looks
-// whether it still leads: what it grants after standing still has run out already.
+// grantLease answers a member's hello; a changed view is written first. The clock is read before the check
+// that this process still leads: if the process is paused in between, the leases that it grants have
+// already expired.
 func (g *Group) grantLease(now time.Duration, h Hello) (Lease, error) {
 	if g.coordinator == nil {
-		return Lease{}, errors.New("this member does not lead")
+		return Lease{}, errors.New("this member is not the coordinator")
 	}
 	if term, err := g.dir.term(); err != nil || term != g.term {
-		return Lease{}, errors.Join(errors.New("another leads"), err)
+		return Lease{}, errors.Join(errors.New("another member is the coordinator"), err)
 	}
 	ids, err := g.dir.members()
 	if err != nil {
 		return Lease{}, err
 	}
-	there := map[ID]bool{}
+	holdsLock := map[ID]bool{}
 	for _, id := range ids {
-		if there[id], err = g.dir.locked(memberPrefix + string(id)); err != nil {
+		if holdsLock[id], err = g.dir.locked(memberPrefix + string(id)); err != nil {
 			return Lease{}, err
 		}
 	}
 	for _, id := range g.coordinator.Members() {
-		if !there[id] {
+		if !holdsLock[id] {
 			g.coordinator.MarkDead(id)
 		}
 	}
-	for id, alive := range there {
+	for id, alive := range holdsLock {
 		if !alive {
 			if err := g.dir.removeDead(id); err != nil {
-				g.cfg.Log.Warn("group: what a dead member has left", "member", id, "err", err)
+				g.cfg.Log.Warn("group: removing the files of a dead member failed", "member", id, "err", err)
 			}
 		}
 	}
-	if !there[h.Member] {
-		return Lease{}, fmt.Errorf("%q holds no lock of a member", h.Member)
+	if !holdsLock[h.Member] {
+		return Lease{}, fmt.Errorf("member %q does not hold its lock", h.Member)
 	}
 	if err := g.coordinator.Receive(now, h); err != nil {
 		return Lease{}, err
@@ -267,7 +269,7 @@
 	view, changed, leases := g.coordinator.Share(now)
 	if changed {
 		if err := g.dir.writeView(view); err != nil {
-			// It can't be known to be there: nothing is told, and what it grants counts as out.
+			// The view may not be on disk: no lease is sent, but the grants count as in use.
 			return Lease{}, err
 		}
 	}
@@ -276,10 +278,10 @@
 			return l, nil
 		}
 	}
-	return Lease{}, errors.New("no share")
+	return Lease{}, errors.New("no share granted")
 }
 
-// notifyShare passes the share on that is in force.
+// notifyShare calls cfg.Share if the share in force has changed.
 func (g *Group) notifyShare() {
 	g.mu.Lock()
 	parts, kept := g.member.Parts(g.cfg.Clock()), g.member.lease.Kept
@@ -291,35 +293,35 @@
 	}
 }
 
-// MaySend tells whether a share is in force at this moment: a process that stood still
-// sends nothing on what it decided before.
+// MaySend reports whether a share is in force now, so that a process that was paused does not send on
+// the basis of earlier decisions.
 func (g *Group) MaySend() bool {
 	g.mu.Lock()
-	may, told := g.member.Parts(g.cfg.Clock()) > 0, g.notifiedShare
-	if !may { // so that it is told anew when a lease comes, also of as much as before
+	may, notified := g.member.Parts(g.cfg.Clock()) > 0, g.notifiedShare
+	if !may { // so that the next lease is notified even if its share is the same
 		g.notifiedShare = 0
 	}
 	g.mu.Unlock()
-	if !may && told > 0 {
+	if !may && notified > 0 {
 		g.cfg.Share(0, 0)
 	}
 	return may
 }
 
-// requestLease exchanges a hello for a lease with who leads a term.
+// requestLease sends a hello to the leader of a term and returns its lease.
 func (g *Group) requestLease(ctx context.Context, term int, h Hello) (Lease, error) {
 	id, err := os.ReadFile(g.dir.path(fmt.Sprintf(leadFormat, term)))
 	if err != nil {
 		return Lease{}, err
 	}
 	if len(id) == 0 || len(id) > 64 || filepath.Base(string(id)) != string(id) {
-		return Lease{}, errors.New("it has not said who it is")
+		return Lease{}, errors.New("the lock file of the term names no member")
 	}
 	a, err := g.exchange(ctx, ID(id), request{Version: Version, Hello: &h}, callTimeout)
 	return a.Lease, err
 }
 
-// reply is what a coordinator says to a hello.
+// reply answers a request.
 type reply struct {
 	Version int             `json:"Version"`
 	Lease   Lease           `json:"Lease"`
@@ -327,25 +329,25 @@
 	Refused string          `json:"Refused"`
 }
 
-// serve answers the other members, a bounded number at a time.
+// serve answers the other members, at most maxCalls at a time.
 func (g *Group) serve(ctx context.Context, running *sync.WaitGroup) {
-	places := make(chan struct{}, maxCalls)
+	slots := make(chan struct{}, maxCalls)
 	for {
 		conn, err := g.listener.Accept()
 		if err != nil {
 			if ctx.Err() == nil {
-				g.cfg.Log.Error("group: no member can ask any more", "err", err)
+				g.cfg.Log.Error("group: accepting connections failed; other members cannot reach this one", "err", err)
 			}
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 			running.Go(func() {
-				defer func() { <-places }()
+				defer func() { <-slots }()
 				g.handleConn(conn)
 			})
 		default:
-			_ = conn.Close() // it asks again
+			_ = conn.Close() // the member retries
 		}
 	}
 }
@@ -357,7 +359,7 @@
 	}
 	var r request
 	if err := readFrame(conn, &r, maxMessage); err != nil {
-		g.cfg.Log.Debug("group: a message without meaning", "err", err)
+		g.cfg.Log.Debug("group: reading a request failed", "err", err)
 		return
 	}
 	if err := conn.SetDeadline(time.Now().Add(fileTimeout)); err != nil {
@@ -366,37 +368,37 @@
 	a, err := reply{Version: Version}, error(nil)
 	switch {
 	case r.Version != Version:
-		err = fmt.Errorf("%w: %d, this one has %d", ErrVersion, r.Version, Version)
+		err = fmt.Errorf("%w: %d, this process supports %d", ErrVersion, r.Version, Version)
 	case r.Hello != nil:
 		g.mu.Lock()
 		a.Lease, err = g.grantLease(g.cfg.Clock(), *r.Hello)
 		g.mu.Unlock()
 	case r.File != "":
 		if err := g.sendFile(conn.(*net.UnixConn), r.File); err != nil {
-			g.cfg.Log.Warn("group: handing a file on", "name", r.File, "err", err)
+			g.cfg.Log.Warn("group: sending a file failed", "name", r.File, "err", err)
 		}
 		return
 	case r.Tell != nil || r.Ask != nil:
 		a.Body, err = g.handleMessage(r)
 	default:
-		err = errors.New("a message without meaning")
+		err = errors.New("request without content")
 	}
 	if err != nil {
 		a.Refused = err.Error()
 	}
 	if err := writeFrame(conn, a, maxMessage); err != nil {
-		g.cfg.Log.Debug("group: answering", "err", err)
+		g.cfg.Log.Debug("group: answering a request failed", "err", err)
 	}
 }
 
-// hear passes on what another member tells or asks.
+// handleMessage passes a notification or request of another member to cfg.Hear.
 func (g *Group) handleMessage(r request) (json.RawMessage, error) {
 	m, asked := r.Tell, false
 	if m == nil {
 		m, asked = r.Ask, true
 	}
 	if g.cfg.Hear == nil {
-		return nil, errors.New("nobody hears")
+		return nil, errors.New("this member handles no messages")
 	}
 	answer, err := g.cfg.Hear(*m, asked)
 	if err != nil || !asked || answer == nil {
@@ -405,20 +407,20 @@
 	return json.Marshal(answer)
 }
 
-// writeFrame writes a message with its length.
+// writeFrame writes a message preceded by its length.
 func writeFrame(w io.Writer, v any, most int) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
 	if len(text) > most {
-		return fmt.Errorf("a message of %d bytes", len(text))
+		return fmt.Errorf("message too long: %d bytes", len(text))
 	}
 	_, err = w.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...))
 	return err
 }
 
-// readFrame reads one, no longer than it may be.
+// readFrame reads a message of at most most bytes.
 func readFrame(r io.Reader, v any, most int) error {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -426,9 +428,9 @@
 	}
 	n := binary.LittleEndian.Uint32(head[:])
 	if n == 0 || int64(n) > int64(most) {
-		return fmt.Errorf("a message of %d bytes", n)
+		return fmt.Errorf("invalid message length: %d bytes", n)
 	}
-	text, err := io.ReadAll(io.LimitReader(r, int64(n))) // no more room than what comes
+	text, err := io.ReadAll(io.LimitReader(r, int64(n))) // allocates only for bytes received, not for the announced length
 	if err == nil && len(text) < int(n) {
 		err = io.ErrUnexpectedEOF
 	}
@@ -438,11 +440,11 @@
 	return json.Unmarshal(text, v)
 }
 
-// maxSocketPath is what the kernel takes as the address of a Unix socket.
+// maxSocketPath is the kernel's limit on the length of a Unix socket path.
 const maxSocketPath = 107
 
-// AtSocket gives a path to a socket that the kernel takes: one that is too long goes by
-// a descriptor of its folder.
+// AtSocket calls use with a path to the socket that is within the kernel's length limit: a longer path
+// is replaced by one through a descriptor of its directory.
 func AtSocket(path string, use func(short string) error) error {
 	if len(path) <= maxSocketPath {
 		return use(path)
--- a/internal/deliverynode/group/group_test.go
+++ b/internal/deliverynode/group/group_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// share waits until a member has so many parts.
+// waitForShare waits until a member has so many parts.
 func (c *child) waitForShare(t *testing.T, parts int) {
 	t.Helper()
 	want := fmt.Sprintf("share %d ", parts)
--- a/internal/deliverynode/group/messages.go
+++ b/internal/deliverynode/group/messages.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// maxMessage bounds what members tell each other beside leases: a whole list, say.
+	// maxMessage is the maximum size of a message other than a lease, for example a complete list.
 	maxMessage = 1 << 20
-	// maxQueued bounds what waits for one member; the newest of each key is kept.
+	// maxQueued is the maximum number of messages queued for one member; the newest of each key is kept.
 	maxQueued = 1024
-	// retryAfter is how long a member is left alone that could not be reached.
+	// retryAfter is the pause before a retry to a member that could not be reached.
 	retryAfter = HeartbeatEvery / 5
-	// fileTimeout is for handing on a file, and for an answer to a question.
+	// fileTimeout bounds the transfer of a file and the answer to a request.
 	fileTimeout = time.Second
 )
 
-// Message is what members tell and ask each other.
+// Message is a notification or request between members.
 type Message struct {
 	From ID              `json:"From"`
 	Kind string          `json:"Kind"`
-	Key  string          `json:"Key"` // of two of one kind that wait, the newer one replaces the older
-	At   time.Duration   `json:"At"`  // by the machine's own clock, when it was seen
+	Key  string          `json:"Key"` // a newer message of the same kind and key replaces a queued one
+	At   time.Duration   `json:"At"`  // when the event was observed, by the machine's clock
 	Body json.RawMessage `json:"Body"`
 }
 
-// ErrUnanswered says that a member has not answered a question.
-var ErrUnanswered = errors.New("a member has not answered")
+// ErrUnanswered reports that a member has not answered a request.
+var ErrUnanswered = errors.New("member did not answer")
 
-// Notify lets all other members know, those that join soon after not among them. It never
-// waits: to a member that is out of touch the newest of each key is told when it is back.
+// Notify sends a notification to all other known members, but not to those that join later. It never blocks:
+// an unreachable member gets the newest message of each key once it is reachable again.
 func (g *Group) Notify(kind, key string, v any) error { return g.NotifyAt(g.cfg.Clock(), kind, key, v) }
 
-// NotifyAt tells of something that was seen at another moment.
+// NotifyAt is Notify for an event observed at the given time.
 func (g *Group) NotifyAt(at time.Duration, kind, key string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return fmt.Errorf("group: telling %s: %w", kind, err)
+		return fmt.Errorf("group: encoding notification %s: %w", kind, err)
 	}
 	m := Message{From: g.id, Kind: kind, Key: key, At: at, Body: body}
 	g.peersMu.Lock()
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Members are the other processes that hold a member's lock now.
+// Members returns the other processes that hold a member lock now.
 func (g *Group) Members() ([]ID, error) {
 	ids, err := g.dir.members()
 	if err != nil {
@@ -77,11 +77,11 @@
 	return live, nil
 }
 
-// Ask puts a question to one member and waits for its answer.
+// Ask sends a request to one member and waits for its answer.
 func (g *Group) Ask(ctx context.Context, to ID, kind string, v, answer any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return fmt.Errorf("group: asking %s: %w", kind, err)
+		return fmt.Errorf("group: encoding request %s: %w", kind, err)
 	}
 	a, err := g.exchange(ctx, to, request{Version: Version, Ask: &Message{From: g.id, Kind: kind, At: g.cfg.Clock(), Body: body}}, fileTimeout)
 	if err != nil {
@@ -93,8 +93,8 @@
 	return json.Unmarshal(a.Body, answer)
 }
 
-// File asks a member for a file that it has open, such as a listening socket. Nil without
-// an error says that it has none of that name.
+// File requests an open file, such as a listening socket, from a member. It returns nil without
+// an error if the member has none of that name.
 func (g *Group) File(ctx context.Context, from ID, name string) (*os.File, error) {
 	conn, err := g.dial(ctx, from)
 	if err != nil {
@@ -117,17 +117,17 @@
 	}
 	messages, err := unix.ParseSocketControlMessage(oob[:oobn])
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errors.New("no file came"), err)
+		return nil, errors.Join(errors.New("no file descriptor received"), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("no file came"), err)
+		return nil, errors.Join(errors.New("no file descriptor received"), err)
 	}
 	unix.CloseOnExec(fds[0])
 	return os.NewFile(uintptr(fds[0]), name), nil
 }
 
-// sendFile gives a file on: a byte that says whether there is one, and the file with it.
+// sendFile sends a byte that says whether the file exists, with its descriptor attached.
 func (g *Group) sendFile(conn *net.UnixConn, name string) error {
 	var f *os.File
 	if g.cfg.File != nil {
@@ -142,32 +142,32 @@
 	return err
 }
 
-// updatePeers keeps a queue for each other member that lives, and ends those of the dead.
+// updatePeers starts a queue for each new live member and ends the queues of members that are gone.
 func (g *Group) updatePeers(ctx context.Context, running *sync.WaitGroup) error {
 	live, err := g.Members()
 	if err != nil {
 		return err
 	}
-	there, met := map[ID]bool{}, false
+	alive, joined := map[ID]bool{}, false
 	defer func() {
-		if met && g.cfg.Met != nil {
+		if joined && g.cfg.Met != nil {
 			g.cfg.Met()
 		}
 	}()
 	g.peersMu.Lock()
 	defer g.peersMu.Unlock()
 	for _, id := range live {
-		there[id] = true
+		alive[id] = true
 		if g.peers[id] != nil {
 			continue
 		}
-		q, life, end := outbox.New[Message](maxQueued, 0), context.Context(nil), context.CancelFunc(nil)
-		life, end = context.WithCancel(ctx)
-		g.peers[id], g.cancelPeer[id], met = q, end, true
-		running.Go(func() { g.notifyPeer(life, id, q) })
+		q, peerCtx, end := outbox.New[Message](maxQueued, 0), context.Context(nil), context.CancelFunc(nil)
+		peerCtx, end = context.WithCancel(ctx)
+		g.peers[id], g.cancelPeer[id], joined = q, end, true
+		running.Go(func() { g.notifyPeer(peerCtx, id, q) })
 	}
 	for id := range g.peers {
-		if !there[id] {
+		if !alive[id] {
 			g.cancelPeer[id]()
 			delete(g.peers, id)
 			delete(g.cancelPeer, id)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// notifyPeer tells one member what it is to know, in order, until it is gone.
+// notifyPeer sends the queued notifications to one member, in order, until the member is gone.
 func (g *Group) notifyPeer(ctx context.Context, id ID, q *outbox.Queue[Message]) {
 	for {
 		e, ok := q.First()
@@ -190,7 +190,7 @@
 			}
 		}
 		if _, err := g.exchange(ctx, id, request{Version: Version, Tell: &m}, callTimeout); err != nil {
-			g.cfg.Log.Debug("group: telling", "member", id, "kind", m.Kind, "err", err)
+			g.cfg.Log.Debug("group: sending a notification failed", "member", id, "kind", m.Kind, "err", err)
 			select {
 			case <-time.After(retryAfter):
 			case <-ctx.Done():
@@ -205,7 +205,7 @@
 	}
 }
 
-// request is what one member sends another: one of these.
+// request is what one member sends another. Exactly one of Hello, Tell, Ask and File is set.
 type request struct {
 	Version int      `json:"Version"`
 	Hello   *Hello   `json:"Hello,omitempty"`
@@ -251,7 +251,7 @@
 	return a, nil
 }
 
-// Status is how the group looks from here.
+// Status is the state of the group as seen by this process.
 type Status struct {
 	Member     ID             `json:"member"`
 	Leads      bool           `json:"leads"`
@@ -266,16 +266,16 @@
 	Unreadable bool           `json:"unreadable_views,omitempty"`
 }
 
-// MemberStatus is how one member stands, by the last view.
+// MemberStatus is the state of one member according to the last view.
 type MemberStatus struct {
 	ID    ID     `json:"id"`
-	Alive bool   `json:"alive"` // it holds its lock
+	Alive bool   `json:"alive"` // its lock is held
 	Parts int    `json:"parts"`
-	State State  `json:"state,omitempty"` // as the coordinator sees it; only there
+	State State  `json:"state,omitempty"` // set by the coordinator only
 	Age   string `json:"last_heard,omitempty"`
 }
 
-// Status tells of the group.
+// Status returns the state of the group.
 func (g *Group) Status() Status {
 	g.mu.Lock()
 	now := g.cfg.Clock()
@@ -292,7 +292,7 @@
 	s.Unreadable = torn || err != nil
 	if len(views) > 0 {
 		for _, v := range views[len(views)-1].Shares {
-			held, _ := g.dir.locked(memberPrefix + string(v.Member)) // one that can't be told counts as gone
+			held, _ := g.dir.locked(memberPrefix + string(v.Member)) // on an error it counts as not alive
 			m := MemberStatus{ID: v.Member, Alive: held, Parts: v.Parts, State: states[v.Member]}
 			if age, ok := ages[v.Member]; ok {
 				m.Age = age.Round(time.Millisecond).String()
@@ -310,7 +310,7 @@
 	return s
 }
 
-// Leads tells whether this process coordinates.
+// Leads reports whether this process is the coordinator.
 func (g *Group) Leads() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/deliverynode/group/messages_test.go
+++ b/internal/deliverynode/group/messages_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// talker is a member in this process that keeps what it hears.
+// testMember is a member in this process that keeps what it hears.
 type testMember struct {
 	*Group
 	received chan Message
@@ -50,7 +50,7 @@
 	return k
 }
 
-// meets waits until a member has a queue for so many others.
+// waitForPeers waits until a member has a queue for so many others.
 func (k *testMember) waitForPeers(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
