--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -1,6 +1,6 @@
-// Package fleettest is a simulated fleet for tests: the messages of its nodes wait until the test delivers, drops or
-// repeats them, and the test decides how each request ends. So a package on top of internal/deliverynode/fleet can be
-// driven through every order of events.
+// Package fleettest is a simulated fleet for tests: the messages of its nodes are queued until the test delivers, drops or
+// repeats them, and the test decides how each request ends. A package built on internal/deliverynode/fleet can thus be
+// tested with every order of events.
 package fleettest
 
 import (
@@ -13,10 +13,10 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// Fate is what becomes of a question.
+// Fate is the outcome of a request.
 type Fate int
 
-// A question is answered, never leaves, arrives with its answer lost, or is lost on its way.
+// A request is answered, is not sent, arrives but its answer is lost, or is lost itself.
 const (
 	Answered Fate = iota
 	NotSent
@@ -24,17 +24,17 @@
 	Lost
 )
 
-// World is all nodes and what is on its way between them. It is not safe for concurrent use.
+// World has all nodes and the messages in flight between them. It is not safe for concurrent use.
 type World struct {
-	// Now is every node's clock.
+	// Now is the time of every node's clock.
 	Now time.Duration
-	// Fate decides of questions; nil: all are answered.
+	// Fate decides the outcome of a request; nil: all are answered.
 	Fate     func(from, to, kind string) Fate
 	nodes    map[string]*Node
 	inFlight []*update
 }
 
-// New makes nodes that know of each other, alive under incarnation 1.
+// New returns a world of nodes that all have each other as alive members with incarnation 1.
 func New(names ...string) *World {
 	w := &World{nodes: map[string]*Node{}}
 	for _, name := range names {
@@ -49,22 +49,22 @@
 	return w
 }
 
-// Node is one of them.
+// Node returns the node of a name.
 func (w *World) Node(name string) *Node { return w.nodes[name] }
 
-// MarkReachable lets a node hear of another as it is now; Silence ends that.
+// MarkReachable makes a node reachable for another one under its current record; Silence ends that.
 func (w *World) MarkReachable(at, of string) {
 	n := w.nodes[at]
 	n.changed(n.table.MarkReachable(w.nodes[of].Self().Record, w.Now))
 }
 
-// Silence makes another a suspect of a node's.
+// Silence makes node at suspect node of.
 func (w *World) Silence(at, of string) {
 	n := w.nodes[at]
 	n.changed(n.table.Suspect(of, w.Now))
 }
 
-// Leave says a node's own word, as one other hears it.
+// Leave delivers node of's announcement of its leaving to node at.
 func (w *World) Leave(at, of string) {
 	rec := w.nodes[of].Self().Record
 	rec.Left = rec.Incarnation
@@ -72,29 +72,28 @@
 	n.changed(n.table.Merge(rec, w.Now))
 }
 
-// Remove says the staff's word at one node.
+// Remove removes node of at node at, as an operator does.
 func (w *World) Remove(at, of string) {
 	n := w.nodes[at]
 	_, changes, _ := n.table.Remove(of, w.Now)
 	n.changed(changes)
 }
 
-// Restart gives a node its next incarnation. Those whom it had not reached yet are not told what
-// it had to say, and it hears nothing that was on its way to it.
+// Restart gives a node its next incarnation. Updates in flight from it and to it are lost.
 func (w *World) Restart(name string) {
 	n := w.nodes[name]
 	n.table.SetIncarnation(n.Self().Incarnation + 1)
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(m *update) bool { return m.from == name || m.to == name })
 }
 
-// update is on its way, the newest of its kind and key.
+// update is an update in flight, the newest of its kind and key.
 type update struct {
 	from, to, kind, key string
 	body                []byte
 	at                  time.Duration
 }
 
-// InFlight tells what waits, by sender, receiver, kind and key, in a fixed order.
+// InFlight lists the updates in flight by sender, receiver, kind and key, in a fixed order.
 func (w *World) InFlight() (all []string) {
 	for _, m := range w.inFlight {
 		all = append(all, fmt.Sprint(m.from, " to ", m.to, ": ", m.kind, " ", m.key))
@@ -102,19 +101,19 @@
 	return all
 }
 
-// Deliver lets the i-th of what waits arrive. With twice it stays on its way as well: its
-// acknowledgement was lost.
+// Deliver delivers the i-th update in flight. With twice it stays in flight too, as if its
+// acknowledgement had been lost.
 func (w *World) Deliver(i int, twice bool) {
 	m := w.inFlight[i]
 	if !twice {
 		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	}
-	if hear := w.nodes[m.to].updateHandlers[m.kind]; hear != nil {
-		hear(w.peer(m.from), m.key, w.Now-m.at, m.body)
+	if handle := w.nodes[m.to].updateHandlers[m.kind]; handle != nil {
+		handle(w.peer(m.from), m.key, w.Now-m.at, m.body)
 	}
 }
 
-// DeliverAll lets all arrive, and what comes of that, up to a number of pieces.
+// DeliverAll delivers all updates, including those sent in response. It fails after most updates.
 func (w *World) DeliverAll(most int) error {
 	for range most {
 		if len(w.inFlight) == 0 {
@@ -122,14 +121,14 @@
 		}
 		w.Deliver(0, false)
 	}
-	return fmt.Errorf("%d pieces of news, and no end", most)
+	return fmt.Errorf("updates still in flight after %d deliveries", most)
 }
 
 func (w *World) peer(name string) fleet.Peer {
 	return fleet.Peer{Name: name, Incarnation: w.nodes[name].Self().Incarnation}
 }
 
-// Node is one node's fleet.Net.
+// Node implements fleet.Net for one node.
 type Node struct {
 	world           *World
 	name            string
@@ -146,13 +145,13 @@
 		if c.To.Departed() {
 			n.world.inFlight = slices.DeleteFunc(n.world.inFlight, func(m *update) bool { return m.from == n.name && m.to == c.Name })
 		}
-		for _, hear := range n.changeHandlers {
-			hear(c)
+		for _, handle := range n.changeHandlers {
+			handle(c)
 		}
 	}
 }
 
-// Self is fleet.Net's, as are the next six.
+// Self returns the node's own row.
 func (n *Node) Self() fleet.Member {
 	m, _ := n.table.Member(n.name)
 	return m
@@ -165,13 +164,13 @@
 func (n *Node) Count() int { return n.table.Count(n.world.Now) }
 
 func (n *Node) reach(to string) error {
-	if m, there := n.table.Member(to); !there || m.State.Departed() || to == n.name {
+	if m, known := n.table.Member(to); !known || m.State.Departed() || to == n.name {
 		return fmt.Errorf("%w: %s", fleet.ErrUnknown, to)
 	}
 	return nil
 }
 
-// Tell queues news for a member, as fleet.Fleet.Tell does.
+// Tell queues an update for a member, as fleet.Fleet.Tell does.
 func (n *Node) Tell(to, kind, key string, body []byte) error {
 	if err := n.reach(to); err != nil {
 		return err
@@ -207,7 +206,7 @@
 	}
 	answer := n.world.nodes[to].requestHandlers[kind]
 	if answer == nil {
-		return nil, fleet.AnswerError(fmt.Sprintf("nothing is known of %q", kind))
+		return nil, fleet.AnswerError(fmt.Sprintf("unknown kind of request %q", kind))
 	}
 	b, err := answer(ctx, n.world.peer(n.name), body)
 	switch {
@@ -219,11 +218,11 @@
 	return b, nil
 }
 
-// OnNews sets the function that receives news of a kind.
+// OnNews sets the handler for updates of a kind.
 func (n *Node) OnNews(kind string, f fleet.NewsFunc) { n.updateHandlers[kind] = f }
 
-// OnAsk sets the function that answers questions of a kind.
+// OnAsk sets the handler for requests of a kind.
 func (n *Node) OnAsk(kind string, f fleet.AskFunc) { n.requestHandlers[kind] = f }
 
-// OnChange adds a function that is called for each change of a member.
+// OnChange adds a handler for members' changes of state.
 func (n *Node) OnChange(f func(fleet.Change)) { n.changeHandlers = append(n.changeHandlers, f) }
--- a/internal/deliverynode/fleet/fleettest/fleettest_test.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest_test.go
@@ -11,7 +11,7 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// What the page says of news and questions holds of the fake.
+// The simulated fleet must deliver updates and requests as docs/fleet.md describes.
 func TestAStepAtATime(t *testing.T) {
 	w := New("a", "b", "c")
 	a, b := w.Node("a"), w.Node("b")
@@ -29,7 +29,7 @@
 	})
 	var steps []fleet.State
 	a.OnChange(func(c fleet.Change) { steps = append(steps, c.To) })
-	for _, v := range []string{"1", "2"} { // the newer takes the place of the older
+	for _, v := range []string{"1", "2"} { // the second replaces the first
 		if err := a.Tell("b", "k", "x", []byte(v)); err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 	}
 	w.Silence("a", "b")
 	if err := a.Tell("b", "k", "x", nil); err != nil || a.Count() != 3 {
-		t.Error("a suspect is a member:", err)
+		t.Error("a suspect is still a member:", err)
 	}
 	w.Remove("a", "b")
 	if err := a.Tell("b", "k", "x", nil); !errors.Is(err, fleet.ErrUnknown) || len(w.InFlight()) != 0 {
@@ -75,7 +75,7 @@
 	b.OnNews("loop", func(fleet.Peer, string, time.Duration, []byte) { _ = b.Tell("c", "loop", "x", nil) })
 	w.Node("c").OnNews("loop", func(fleet.Peer, string, time.Duration, []byte) { _ = w.Node("c").Tell("b", "loop", "x", nil) })
 	_ = b.Tell("c", "loop", "x", nil)
-	if err := w.DeliverAll(9); err == nil || !strings.Contains(err.Error(), "no end") {
+	if err := w.DeliverAll(9); err == nil || !strings.Contains(err.Error(), "still in flight") {
 		t.Error(err)
 	}
 }
--- a/internal/deliverynode/fleet/gossip.go
+++ b/internal/deliverynode/fleet/gossip.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// probeInterval and probeTime are memberlist's for one network: a death is seen after some
-	// seconds, and a node that is busy for one is not yet suspected.
+	// probeInterval and probeTime are memberlist's values for a local network: a failure is detected after
+	// some seconds, and a node that is busy for one second is not yet suspected.
 	probeInterval  = time.Second
 	probeTimeout   = 500 * time.Millisecond
 	gossipInterval = 200 * time.Millisecond
 	streamTimeout  = 2 * time.Second
-	// rejoinInterval is the pause between tries to reach one that is silent, or a seed. It doubles
-	// up to rejoinMost while nothing comes of them.
+	// rejoinInterval is the pause between attempts to reach a suspect member or a seed. It doubles
+	// up to maxRejoinPause while they fail.
 	rejoinInterval = time.Second
 	maxRejoinPause = 5 * time.Second
 	packetQueue    = 256
 )
 
-// meta is what gossip carries with each member; memberlist gives it 512 bytes.
+// meta is the metadata that gossip carries for each member; memberlist limits it to 512 bytes.
 type meta struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Start       uint64 `cbor:"2,keyasint"`
@@ -36,15 +36,15 @@
 	Highest     uint8  `cbor:"4,keyasint"`
 }
 
-// gossipRecords is what nodes exchange beside what memberlist does: all that they know when they
-// meet, one record when it is new.
+// gossipRecords is the payload that nodes exchange through memberlist: their full state when they
+// connect, and single records when they are new.
 type gossipRecords struct {
 	Records []Record   `cbor:"1,keyasint"`
 	Counts  []Sighting `cbor:"2,keyasint,omitempty"`
 }
 
-// gossip is memberlist over the fleet's transport. What it calls back comes under a lock of
-// its own: nothing below may call it again.
+// gossip runs memberlist over the fleet's transport. memberlist holds its own lock during callbacks, so
+// these must not call memberlist.
 type gossip struct {
 	fleet *Fleet
 	list  *memberlist.Memberlist
@@ -54,25 +54,25 @@
 	streams chan net.Conn
 
 	mu      sync.RWMutex
-	stopped bool // memberlist may call back for a moment after its end, and is not heard any more
+	stopped bool // callbacks are ignored from here on: memberlist may make some briefly after its shutdown
 }
 
-// ifRunning runs what memberlist calls back, unless it is over.
-func (g *gossip) ifRunning(what func()) {
+// ifRunning runs the work of a callback, unless gossip has been stopped.
+func (g *gossip) ifRunning(callback func()) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	if !g.stopped {
-		what()
+		callback()
 	}
 }
 
-// end shuts memberlist down; when it returns nothing more is heard of it.
+// end shuts memberlist down. After it returns, callbacks have no effect.
 func (g *gossip) end() {
 	g.mu.Lock()
 	g.stopped = true
 	g.mu.Unlock()
 	if err := g.list.Shutdown(); err != nil {
-		g.fleet.options.Log.Debug("fleet: gossip", "err", err)
+		g.fleet.options.Log.Debug("fleet: shutting gossip down failed", "err", err)
 	}
 }
 
@@ -85,7 +85,7 @@
 	c.BindAddr, c.BindPort = c.AdvertiseAddr, c.AdvertisePort
 	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval, c.TCPTimeout = probeInterval, probeTimeout, gossipInterval, streamTimeout
 	c.UDPBufferSize = maxPacket - packetHeaderSize
-	c.DeadNodeReclaimTime = time.Second // the staff have moved it; its records say whether it may be
+	c.DeadNodeReclaimTime = time.Second // the operators may have moved a node; the fleet's own records decide whether its name is free
 	c.EnableCompression, c.RequireNodeNames, c.DNSConfigPath = false, true, ""
 	c.Delegate, c.Events, c.Alive = g, g, g
 	c.Logger = log.New(memberlistLog{f.options.Log}, "", 0)
@@ -96,7 +96,7 @@
 	return g, nil
 }
 
-// memberlistLog is where memberlist's own log goes. Its warnings are about single packets.
+// memberlistLog receives memberlist's log. It is logged at the debug level, as its warnings concern single packets.
 type memberlistLog struct{ log *slog.Logger }
 
 // Write logs a line of memberlist's log at the debug level.
@@ -105,7 +105,7 @@
 	return len(b), nil
 }
 
-// FinalAdvertiseAddr is memberlist's, as are the next five.
+// FinalAdvertiseAddr returns this node's address; memberlist.Transport asks for it.
 func (g *gossip) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return g.fleet.address.Addr().AsSlice(), int(g.fleet.address.Port()), nil
 }
@@ -124,10 +124,10 @@
 	return g.WriteTo(b, addr.Addr)
 }
 
-// PacketCh returns the datagrams that came.
+// PacketCh returns the channel of received datagrams.
 func (g *gossip) PacketCh() <-chan *memberlist.Packet { return g.packets }
 
-// StreamCh returns the connections that came for gossip.
+// StreamCh returns the channel of incoming gossip connections.
 func (g *gossip) StreamCh() <-chan net.Conn { return g.streams }
 
 // Shutdown does nothing, because the fleet closes the transport.
@@ -149,7 +149,7 @@
 	return g.DialTimeout(addr.Addr, timeout)
 }
 
-// recordOf is what memberlist knows of a node.
+// recordOf returns memberlist's record and metadata of a node.
 func recordOf(n *memberlist.Node) (Record, meta, error) {
 	var m meta
 	if err := decoding.Unmarshal(n.Meta, &m); err != nil {
@@ -159,7 +159,7 @@
 	return Record{Name: n.Name, Incarnation: m.Incarnation, Start: m.Start, Address: netip.AddrPortFrom(ip.Unmap(), n.Port).String()}, m, nil
 }
 
-// NotifyAlive keeps out whom this node could not talk to, and hears of its own name.
+// NotifyAlive rejects nodes with an incompatible version, and passes on records of this node's own name.
 func (g *gossip) NotifyAlive(n *memberlist.Node) error {
 	rec, m, err := recordOf(n)
 	if err != nil {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// NotifyJoin and the next two follow who is heard.
+// NotifyJoin is called when a member becomes reachable; memberlist.EventDelegate asks for it.
 func (g *gossip) NotifyJoin(n *memberlist.Node) {
 	if rec, _, err := recordOf(n); err == nil && rec.Name != g.fleet.options.Name {
 		g.ifRunning(func() {
@@ -194,17 +194,17 @@
 	})
 }
 
-// NodeMeta and the next four are memberlist's Delegate.
+// NodeMeta returns this node's metadata; memberlist.Delegate asks for it.
 func (g *gossip) NodeMeta(limit int) []byte {
 	self := g.fleet.Self()
 	b, err := encoding.Marshal(meta{self.Incarnation, self.Start, lowestVersion, highestVersion})
 	if err != nil || len(b) > limit {
-		return nil // four numbers
+		return nil // cannot happen with four numbers
 	}
 	return b
 }
 
-// NotifyMsg takes in one word and passes on what is new in it.
+// NotifyMsg merges records and broadcasts those that are new; memberlist.Delegate asks for it.
 func (g *gossip) NotifyMsg(b []byte) {
 	var w gossipRecords
 	if err := decoding.Unmarshal(b, &w); err != nil {
@@ -223,26 +223,26 @@
 	return g.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns all that this node knows, for a full exchange with another; memberlist.Delegate asks for it.
+// LocalState returns this node's full state, for an exchange with another node; memberlist.Delegate asks for it.
 func (g *gossip) LocalState(bool) []byte {
 	b, err := encoding.Marshal(g.fleet.fullState())
 	if err != nil {
-		return nil // records of plain values
+		return nil // cannot happen with records of plain values
 	}
 	return b
 }
 
-// MergeRemoteState takes in all that another node knows; memberlist.Delegate asks for it.
+// MergeRemoteState merges another node's full state; memberlist.Delegate asks for it.
 func (g *gossip) MergeRemoteState(b []byte, _ bool) { g.NotifyMsg(b) }
 
-// broadcastRecord lets all hear of a record by and by.
+// broadcastRecord queues a record for gossip to all members.
 func (g *gossip) broadcastRecord(rec Record) {
 	if b, err := encoding.Marshal(gossipRecords{Records: []Record{rec}}); err == nil {
 		g.queue.QueueBroadcast(broadcast{rec.Name, b})
 	}
 }
 
-// broadcast is a record on its way; a newer one of the same member takes its place.
+// broadcast is a record queued for gossip; a newer record of the same member replaces it.
 type broadcast struct {
 	name    string
 	encoded []byte
@@ -251,7 +251,7 @@
 // Name returns the name of the member; memberlist.NamedBroadcast asks for it.
 func (w broadcast) Name() string { return w.name }
 
-// Invalidates reports whether this record replaces another one that waits to be sent.
+// Invalidates reports whether this record replaces another queued one.
 func (w broadcast) Invalidates(o memberlist.Broadcast) bool {
 	n, ok := o.(broadcast)
 	return ok && n.name == w.name
@@ -260,18 +260,18 @@
 // Message returns the encoded record.
 func (w broadcast) Message() []byte { return w.encoded }
 
-// Finished does nothing: nobody waits for the end of the sending.
+// Finished does nothing: no caller waits for the broadcast.
 func (w broadcast) Finished() {}
 
-// rejoin meets, now and then, one that is silent or a seed that was never heard: memberlist
-// forgets the dead, and the two halves of a split know nothing of each other any more. While
-// news are fresh it meets any.
+// rejoin periodically exchanges state with a suspect member or an unreachable seed: memberlist forgets dead
+// nodes, so the halves of a network partition would not find each other again. For convergencePeriod after
+// a change it also exchanges state with other members.
 func (g *gossip) rejoin(ctx context.Context) {
 	pause, failed := time.Duration(0), time.Duration(0)
 	for ctx.Err() == nil {
 		to, unreachable := g.fleet.unreachable()
 		met := unreachable
-		if !unreachable || failed > 0 && g.fleet.random() < 0.5 { // those that can't be reached don't stand in the way
+		if !unreachable || failed > 0 && g.fleet.random() < 0.5 { // unreachable members must not prevent the exchange with others
 			if other, ok := g.fleet.convergenceTarget(); ok {
 				to, met, unreachable = other, true, false
 			}
@@ -281,11 +281,11 @@
 			_, err := g.list.Join([]string{to})
 			switch {
 			case err != nil:
-				g.fleet.options.Log.Debug("fleet: not reached", "address", to, "err", err)
+				g.fleet.options.Log.Debug("fleet: member not reached", "address", to, "err", err)
 				failed = min(max(2*failed, rejoinInterval), maxRejoinPause)
 				pause = failed
 			case unreachable:
-				pause, failed = rejoinInterval/4, 0 // there may be others
+				pause, failed = rejoinInterval/4, 0 // there may be more unreachable members
 			default:
 				pause = 2 * rejoinInterval
 			}
@@ -294,7 +294,7 @@
 	}
 }
 
-// leave says that this node has ended its work: to all by gossip, and to a few for sure.
+// leave announces that this node has left: to all by gossip, and to up to three over a reliable stream.
 func (g *gossip) leave(rec Record, within time.Duration) {
 	b, err := encoding.Marshal(gossipRecords{Records: []Record{rec}})
 	if err != nil {
@@ -308,20 +308,20 @@
 			continue
 		}
 		few++
-		sent.Go(func() { _ = g.list.SendReliable(n, b) }) // those that hear pass it on
+		sent.Go(func() { _ = g.list.SendReliable(n, b) }) // the recipients pass it on
 	}
-	told := make(chan struct{})
+	allSent := make(chan struct{})
 	go func() {
 		sent.Wait()
-		close(told)
+		close(allSent)
 	}()
 	limit := time.NewTimer(within)
 	defer limit.Stop()
 	if err := g.list.Leave(within); err != nil {
-		g.fleet.options.Log.Debug("fleet: leaving", "err", err)
+		g.fleet.options.Log.Debug("fleet: leaving gossip failed", "err", err)
 	}
 	select {
-	case <-told:
+	case <-allSent:
 	case <-limit.C:
 	}
 }
--- a/internal/deliverynode/fleet/greeting.go
+++ b/internal/deliverynode/fleet/greeting.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// hello begins a link, welcome is its answer.
+// hello is the first message on a link; welcome is its answer.
 type hello struct {
 	Self      Record `cbor:"1,keyasint"`
 	To        string `cbor:"2,keyasint"`
-	Candidate bool   `cbor:"3,keyasint,omitempty"` // its sender was not announced yet, and will not use the link
+	Candidate bool   `cbor:"3,keyasint,omitempty"` // the sender has not joined yet, and will not use the link
 }
 
 type welcome struct {
 	Self    Record `cbor:"1,keyasint"`
-	Known   Record `cbor:"2,keyasint,omitempty"` // of who said hello
+	Known   Record `cbor:"2,keyasint,omitempty"` // this node's record of the sender of the hello
 	Refused string `cbor:"3,keyasint,omitempty"`
 }
 
-// dial connects, greets, and takes a place for the connection.
+// dial connects and greets; the connection counts towards the limit.
 func (f *Fleet) dial(ctx context.Context, to netip.AddrPort, purpose byte) (*framedConn, error) {
-	transport, life, err := f.currentTransport()
+	transport, sessionCtx, err := f.currentTransport()
 	if err != nil {
 		return nil, err
 	}
@@ -38,13 +38,13 @@
 		<-f.conns
 		return nil, err
 	}
-	conn := f.trackedConn(life, raw)
+	conn := f.trackedConn(sessionCtx, raw)
 	defer closeWith(ctx, conn)()
 	if err := greet(conn, f.key, purpose); err != nil {
 		_ = conn.Close()
 		var version VersionError
-		var no RefusedError
-		if errors.As(err, &version) || errors.As(err, &no) {
+		var refused RefusedError
+		if errors.As(err, &version) || errors.As(err, &refused) {
 			f.refuse(to.String(), err)
 		}
 		return nil, err
@@ -52,7 +52,7 @@
 	return &framedConn{Conn: conn, key: f.key}, nil
 }
 
-// hello dials and says who this is.
+// hello dials a node and exchanges hello and welcome.
 func (f *Fleet) hello(ctx context.Context, to netip.AddrPort, name string, candidate bool) (*framedConn, welcome, error) {
 	var w welcome
 	conn, err := f.dial(ctx, to, purposeLink)
@@ -69,19 +69,19 @@
 	if err != nil {
 		return nil, w, errors.Join(err, conn.Close())
 	}
-	_ = conn.SetDeadline(time.Time{}) // it may be closed already: whoever uses it will see
+	_ = conn.SetDeadline(time.Time{}) // if it is already closed, the next use fails
 	return conn, w, nil
 }
 
-// acceptAll takes connections until the transport closes.
+// acceptAll accepts connections until the transport is closed.
 func (f *Fleet) acceptAll(transport Transport) {
 	for {
 		raw, err := transport.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // no descriptors, say
-			f.options.Log.Debug("fleet: accepting", "err", err)
+		if err != nil { // for example, no free file descriptors
+			f.options.Log.Debug("fleet: accepting a connection failed", "err", err)
 			wait(f.ctx, minDialPause)
 			if f.ctx.Err() != nil {
 				return
@@ -109,7 +109,7 @@
 		default:
 			f.stats.foreign.Add(1)
 		}
-		f.options.Log.Debug("fleet: a connection", "from", raw.RemoteAddr(), "err", err)
+		f.options.Log.Debug("fleet: connection rejected", "from", raw.RemoteAddr(), "err", err)
 	}
 	if err := raw.SetDeadline(time.Now().Add(greetTimeout)); err != nil {
 		bad(err)
@@ -130,7 +130,7 @@
 			return
 		}
 		select {
-		case g.streams <- conn: // it has deadlines of its own from here on, and closes it
+		case g.streams <- conn: // gossip sets its own deadlines and closes the connection
 		case <-f.ctx.Done():
 			bad(f.ctx.Err())
 		case <-time.After(greetTimeout):
@@ -155,13 +155,13 @@
 	l.attach(conn, h.Self)
 }
 
-// welcome judges a hello. Who only asks gets no link.
+// welcome answers a hello. It returns a link unless the hello is rejected or from a candidate.
 func (f *Fleet) welcome(h hello) (welcome, *link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := f.table.Self()
 	w := welcome{Self: own}
-	if m, there := f.table.Member(h.Self.Name); there {
+	if m, known := f.table.Member(h.Self.Name); known {
 		w.Known = m.Record
 	}
 	switch {
@@ -170,14 +170,14 @@
 	case h.Self.Name == own.Name && h.Self.Start == own.Start:
 		w.Refused = "this is the same process"
 	case h.Self.Name == own.Name:
-		w.Refused = "the name is in use here"
+		w.Refused = "the name is in use by this process"
 		if !h.Candidate && f.gossip != nil {
 			f.claim.Rival = h.Self.Address
 			f.wakeSession()
 		}
 	case h.Candidate:
 	case w.Known.Name != "" && h.Self.Incarnation <= max(w.Known.Removed, w.Known.Left):
-		w.Refused = "it was said to be gone"
+		w.Refused = "this incarnation has left or was removed"
 	case w.Known.Name != "" && h.Self.Incarnation < w.Known.Incarnation:
 		w.Refused = "a later incarnation is known"
 	case f.gossip == nil:
@@ -185,7 +185,7 @@
 	default:
 		l := f.link(h.Self.Name)
 		if l.keepsOwn(h.Self) {
-			w.Refused = "a link from here stands or is on its way"
+			w.Refused = "this node has opened or is opening a link"
 			return w, nil
 		}
 		return w, l
--- a/internal/deliverynode/fleet/link.go
+++ b/internal/deliverynode/fleet/link.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// maxHello bounds the first frame of a link, which may be anybody's.
+	// maxHello bounds the first frame of a link, which comes from an unidentified peer.
 	maxHello = 1 << 10
-	// writeTimeout is how long a frame may take to go out.
+	// writeTimeout bounds the write of one frame.
 	writeTimeout = 2 * time.Second
-	// idleTimeout is how long a link that nobody uses stays.
+	// idleTimeout is how long an unused link stays open.
 	idleTimeout = 60 * time.Second
-	// defaultRequestTimeout is a question's time where its asker names none.
+	// defaultRequestTimeout bounds a request whose context has no deadline.
 	defaultRequestTimeout = 2 * time.Second
-	// maxAnswering bounds the questions of one member that are being answered.
+	// maxAnswering bounds the concurrent requests from one member.
 	maxAnswering = 64
 	minDialPause = 100 * time.Millisecond
 	maxDialPause = 5 * time.Second
 )
 
-// link is the connection with one member, or the wish for one. One goroutine writes, and dials
-// where there is something to write; one reads while there is a connection.
+// link is the connection to one member, which may not be open yet. One goroutine writes, and dials when
+// there is something to write; another reads while there is a connection.
 type link struct {
 	fleet *Fleet
 	name  string
@@ -37,16 +37,16 @@
 	mu           sync.Mutex
 	peer         *peer
 	conn         *framedConn
-	remote       Record // who is at the other end
+	remote       Record // the member at the other end
 	dialling     bool
 	lastUsed     time.Duration
 	ackUpTo      uint64
 	answers      []frame
-	openRequests int // questions that are being answered, or whose answer waits
+	openRequests int // requests that are being answered, or whose answer is queued
 	ended        bool
 }
 
-// link is the one with a member; f.mu is held. It is ended when it was not used for long.
+// link returns the link to a member, which it creates if needed; f.mu is held. An idle link is closed.
 func (f *Fleet) link(name string) *link {
 	if l := f.links[name]; l != nil {
 		return l
@@ -67,24 +67,25 @@
 
 func (l *link) now() time.Duration { return l.fleet.options.Clock() }
 
-// keepsOwn tells whether this side's own link stands: of two that dial at the same time the one
-// with the lower name wins. A link that the other side no longer knows is looked after.
-func (l *link) keepsOwn(them Record) bool {
+// keepsOwn reports whether this side's connection is kept instead of one that the other side has dialled: if
+// both dial at the same time, the one of the node with the lower name is kept. If the other side no longer
+// has the existing connection, the update queued here stays unacknowledged and the connection is closed.
+func (l *link) keepsOwn(remoteRecord Record) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fleet.options.Name > l.name {
 		return false
 	}
-	if l.conn != nil && l.remote.Start == them.Start {
-		_ = l.peer.enqueue("", "", nil, l.now()) // if nothing comes back, it is broken
+	if l.conn != nil && l.remote.Start == remoteRecord.Start {
+		_ = l.peer.enqueue("", "", nil, l.now()) // without an acknowledgement the link counts as broken
 		l.wakeUp()
 		return true
 	}
 	return l.conn == nil && l.dialling
 }
 
-// attach makes a connection the link's.
-func (l *link) attach(conn *framedConn, them Record) {
+// attach makes a connection the link's current one.
+func (l *link) attach(conn *framedConn, remoteRecord Record) {
 	l.mu.Lock()
 	if l.ended {
 		l.mu.Unlock()
@@ -92,17 +93,17 @@
 		return
 	}
 	ends := l.detach()
-	l.conn, l.remote, l.lastUsed, l.ackUpTo = conn, them, l.now(), 0
+	l.conn, l.remote, l.lastUsed, l.ackUpTo = conn, remoteRecord, l.now(), 0
 	l.peer.connected()
 	l.mu.Unlock()
 	for _, end := range ends {
 		end()
 	}
-	l.fleet.running.Go(func() { l.read(conn, Peer{them.Name, them.Incarnation}) })
+	l.fleet.running.Go(func() { l.read(conn, Peer{remoteRecord.Name, remoteRecord.Incarnation}) })
 	l.wakeUp()
 }
 
-// detach lets go of the connection; l.mu is held.
+// detach closes the connection and removes it from the link; l.mu is held.
 func (l *link) detach() []callback {
 	if l.conn == nil {
 		return nil
@@ -113,7 +114,7 @@
 	return l.peer.disconnected()
 }
 
-// fail is told by whoever finds that a connection is broken.
+// fail closes a connection that was found broken.
 func (l *link) fail(conn *framedConn, err error) {
 	l.mu.Lock()
 	var ends []callback
@@ -129,7 +130,7 @@
 	l.wakeUp()
 }
 
-// close ends the link for good.
+// close ends the link permanently.
 func (l *link) close() {
 	l.mu.Lock()
 	l.ended = true
@@ -142,7 +143,7 @@
 	}
 }
 
-// run writes what waits, and dials for it.
+// run writes the queued messages, and dials if necessary.
 func (l *link) run() {
 	pause := time.Duration(0)
 	var dialAt time.Duration
@@ -201,7 +202,7 @@
 	}
 }
 
-// closeIfIdle ends a link that nobody uses.
+// closeIfIdle ends an idle link.
 func (l *link) closeIfIdle() bool {
 	l.fleet.mu.Lock()
 	defer l.fleet.mu.Unlock()
@@ -216,7 +217,7 @@
 	return true
 }
 
-// write writes one frame; false: there is none.
+// write writes one frame; it returns false if there is none.
 func (l *link) write(conn *framedConn) bool {
 	l.mu.Lock()
 	var out frame
@@ -249,10 +250,10 @@
 	return true
 }
 
-// dial opens the link. It gives way to one that has come meanwhile.
+// dial opens the link, unless the other side has opened it meanwhile.
 func (l *link) dial() bool {
-	m, there := l.fleet.member(l.name)
-	if !there || m.State.Departed() {
+	m, known := l.fleet.member(l.name)
+	if !known || m.State.Departed() {
 		return false
 	}
 	to, err := netip.ParseAddrPort(m.Address)
@@ -269,7 +270,7 @@
 	conn, w, err := l.fleet.hello(l.ctx, to, l.name, false)
 	l.mu.Lock()
 	l.dialling = false
-	came := l.conn != nil
+	accepted := l.conn != nil
 	l.mu.Unlock()
 	if err == nil {
 		l.fleet.mergeWelcome(w)
@@ -277,24 +278,24 @@
 		case w.Refused != "":
 			err = RefusedError(w.Refused)
 		case w.Self.Name != l.name:
-			err = fmt.Errorf("%s is there", w.Self.Name)
+			err = fmt.Errorf("address belongs to node %s", w.Self.Name)
 		}
-		if err != nil || came {
+		if err != nil || accepted {
 			_ = conn.Close()
 		}
 	}
-	if came {
+	if accepted {
 		return true
 	}
 	if err != nil {
-		l.fleet.options.Log.Debug("fleet: dialling", "to", l.name, "err", err)
+		l.fleet.options.Log.Debug("fleet: dialling a member failed", "to", l.name, "err", err)
 		return false
 	}
 	l.attach(conn, w.Self)
 	return true
 }
 
-// read takes frames until the connection breaks.
+// read processes frames until the connection breaks.
 func (l *link) read(conn *framedConn, from Peer) {
 	for {
 		var in frame
@@ -307,7 +308,7 @@
 				l.fleet.stats.corrupt.Add(1)
 			}
 			if errors.Is(err, io.EOF) {
-				err = errors.New("the other side has closed")
+				err = errors.New("closed by the other side")
 			}
 			l.fail(conn, err)
 			return
@@ -318,8 +319,8 @@
 func (l *link) handleFrame(conn *framedConn, from Peer, in frame) error {
 	switch in.Type {
 	case frameUpdate:
-		if hear := l.fleet.updateHandlers[in.Kind]; hear != nil {
-			hear(from, in.Key, in.Age, in.Body)
+		if handle := l.fleet.updateHandlers[in.Kind]; handle != nil {
+			handle(from, in.Key, in.Age, in.Body)
 		}
 		l.mu.Lock()
 		if l.conn == conn {
@@ -340,12 +341,12 @@
 			end()
 		}
 	default:
-		return fmt.Errorf("%w: a frame of type %d", errCorrupt, in.Type)
+		return fmt.Errorf("%w: unknown frame type %d", errCorrupt, in.Type)
 	}
 	return nil
 }
 
-// handleRequest answers a question, beside others.
+// handleRequest answers a request, concurrently with others.
 func (l *link) handleRequest(conn *framedConn, from Peer, in frame) {
 	answer := func(body []byte, err error) {
 		out := frame{Type: frameAnswer, ID: in.ID, Body: body}
@@ -369,15 +370,15 @@
 	l.mu.Unlock()
 	handle := l.fleet.requestHandlers[in.Kind]
 	switch {
-	case full: // it asks, and reads no answers
+	case full: // the member sends requests without reading the answers
 		l.mu.Lock()
 		l.openRequests--
 		l.mu.Unlock()
-		l.fail(conn, errors.New("it reads no answers"))
+		l.fail(conn, errors.New("the other side does not read answers"))
 	case busy:
-		answer(nil, errors.New("too many questions at once"))
+		answer(nil, errors.New("too many concurrent requests"))
 	case handle == nil:
-		answer(nil, fmt.Errorf("nothing is known of %q", in.Kind))
+		answer(nil, fmt.Errorf("unknown kind of request %q", in.Kind))
 	default:
 		l.fleet.running.Go(func() {
 			ctx, cancel := context.WithTimeout(l.ctx, min(max(in.Age, 0), time.Minute))
@@ -393,17 +394,17 @@
 	return f.table.Member(name)
 }
 
-// linkTo is the link with a member that is not gone.
+// linkTo returns the link to a member that has not left or been removed.
 func (f *Fleet) linkTo(name string) (*link, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m, there := f.table.Member(name); !there || m.State.Departed() || name == f.options.Name || f.gossip == nil {
+	if m, known := f.table.Member(name); !known || m.State.Departed() || name == f.options.Name || f.gossip == nil {
 		return nil, fmt.Errorf("%w: %s", ErrUnknown, name)
 	}
 	return f.link(name), nil
 }
 
-// Tell is Net's.
+// Tell implements Net.
 func (f *Fleet) Tell(to, kind, key string, body []byte) error {
 	l, err := f.linkTo(to)
 	if err != nil {
@@ -419,7 +420,7 @@
 	return err
 }
 
-// Ask is Net's.
+// Ask implements Net.
 func (f *Fleet) Ask(ctx context.Context, to, kind string, body []byte) ([]byte, error) {
 	l, err := f.linkTo(to)
 	if err != nil {
@@ -460,7 +461,7 @@
 		if end != nil {
 			end()
 		}
-		a := <-got // it has ended one way or the other
+		a := <-got // the request has been answered or canceled
 		return a.body, a.err
 	}
 }
--- a/internal/deliverynode/fleet/members.go
+++ b/internal/deliverynode/fleet/members.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// updateTable steps the table and tells what changed.
+// updateTable applies a step to the table and notifies handlers of the changes.
 func (f *Fleet) updateTable(step func(t *Table, now time.Duration) []Change) {
 	f.notifyMu.Lock()
 	defer f.notifyMu.Unlock()
@@ -31,13 +31,13 @@
 func (f *Fleet) notifyChanges(changes []Change) {
 	for _, c := range changes {
 		f.options.Log.Info("fleet: member", "name", c.Name, "incarnation", c.Incarnation, "was", c.From, "is", c.To)
-		for _, hear := range f.changeHandlers {
-			hear(c)
+		for _, handle := range f.changeHandlers {
+			handle(c)
 		}
 	}
 }
 
-// mergeRecords takes in words; those that it returns were new, and others should hear them.
+// mergeRecords merges records of members. It returns those with a new departure, to be broadcast.
 func (f *Fleet) mergeRecords(w gossipRecords) (fresh []Record) {
 	f.updateTable(func(t *Table, now time.Duration) (all []Change) {
 		for _, rec := range w.Records {
@@ -56,7 +56,7 @@
 	return fresh
 }
 
-// fullState is all that others may know.
+// fullState returns all records and counts, for an exchange with another node.
 func (f *Fleet) fullState() gossipRecords {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +69,7 @@
 	return f.table.Current()
 }
 
-// Self is this node as the others should see it.
+// Self returns this node's own row.
 func (f *Fleet) Self() Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,21 +77,21 @@
 	return m
 }
 
-// Members are all that are known, the gone and this node among them, by name.
+// Members returns all known members, including departed ones and this node, sorted by name.
 func (f *Fleet) Members() []Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Members()
 }
 
-// Count is the largest number of members that any current one has seen within CountTime.
+// Count returns the largest number of members that any current one has observed within CountHoldTime.
 func (f *Fleet) Count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Count(f.options.Clock())
 }
 
-// Remove says, by the staff's word, that a member is gone in its present incarnation.
+// Remove removes a member, up to its current incarnation, on behalf of an operator.
 func (f *Fleet) Remove(name string) error {
 	var rec Record
 	var ok bool
--- a/internal/deliverynode/fleet/rejoin.go
+++ b/internal/deliverynode/fleet/rejoin.go
@@ -1,7 +1,7 @@
 package fleet
 
-// unreachable is the name and address, as memberlist takes them, of one that should be met again: it
-// is silent, or a seed that is not heard. One that was removed may be alive behind a split, where it has removed this one.
+// unreachable returns the name and address, in memberlist's format, of a suspect member or an unreachable seed to exchange state
+// with. A removed member may be alive on the other side of a network partition, where it has removed this node.
 func (f *Fleet) unreachable() (address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -13,10 +13,10 @@
 			silent = append(silent, m.Name+"/"+m.Address)
 		}
 	}
-	for i := range f.seeds { // in service or not, they are where all meet
+	for i := range f.seeds { // also if they are not members: partitioned nodes find each other through the seeds
 		at := (f.nextSeed + i) % len(f.seeds)
 		s := f.seeds[at]
-		if m, there := f.table.Member(s.Name); !there || !m.Heard {
+		if m, known := f.table.Member(s.Name); !known || !m.Heard {
 			if len(seeds) == 0 {
 				next = at + 1
 			}
@@ -26,12 +26,13 @@
 	if len(seeds) == 0 || len(silent) > 0 && f.rand.IntN(2) == 0 {
 		return f.pickOne(silent)
 	}
-	f.nextSeed = next // each in its turn: whoever begins while most are cut off must come to the one that is not
+	f.nextSeed = next // in turn, so that a node that starts while most seeds are unreachable finds the reachable one
 	return seeds[0], true
 }
 
-// convergenceTarget is one to meet while news are fresh: gossip says a thing a few times, and whoever
-// missed it would wait for memberlist's next round, which takes minutes in a large fleet.
+// convergenceTarget returns a random member to exchange state with for convergencePeriod after a change. Gossip repeats a
+// message only a few times, and a node that missed it would have to wait for memberlist's next full exchange, which
+// takes minutes in a large fleet.
 func (f *Fleet) convergenceTarget() (address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,7 +48,7 @@
 	return f.pickOne(all)
 }
 
-// pickOne draws; f.mu is held.
+// pickOne returns a random element; f.mu is held.
 func (f *Fleet) pickOne(all []string) (one string, ok bool) {
 	if len(all) == 0 {
 		return "", false
--- a/internal/deliverynode/fleet/session.go
+++ b/internal/deliverynode/fleet/session.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Prepare takes the next incarnation and listens. An error that a start should end with is one
-// of ErrOtherNode and those of Listen; a disk that takes nothing is none, Run tries again.
+// Prepare listens and takes the next incarnation. It returns the errors that should end a start: ErrOtherNode
+// and those of Listen. A failed write to the disk is not among them, because Run retries it.
 func (f *Fleet) Prepare() error {
 	if f.transport != nil {
 		return nil
 	}
-	transport, err := f.options.Listen(f.listen) // first: whoever has the address has the file too
+	transport, err := f.options.Listen(f.listen) // first, because the process that holds the address also owns the file
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	id, spoilt, err := loadIdentity(f.options.Folder, f.options.File.Fleet, f.options.Name)
+	id, unreadable, err := loadIdentity(f.options.Folder, f.options.File.Fleet, f.options.Name)
 	if err != nil {
 		return errors.Join(fmt.Errorf("fleet: %w", err), transport.Close())
 	}
-	if spoilt != nil {
-		f.options.Log.Warn("fleet: the incarnation is lost; others may know it", "err", spoilt)
+	if unreadable != nil {
+		f.options.Log.Warn("fleet: the saved incarnation is unreadable; other nodes may know it", "err", unreadable)
 	}
 	id.Incarnation = max(id.Incarnation, f.id.Incarnation) + 1
 	if err := id.save(f.options.Folder); err != nil {
-		f.options.Log.Error("fleet: not joined, tried again", "err", errors.Join(err, transport.Close()))
+		f.options.Log.Error("fleet: not joined; retrying", "err", errors.Join(err, transport.Close()))
 		f.setState(Waiting, err.Error())
 		return nil
 	}
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// Run takes part until the context ends. Leave tells, then, whether the node has ended its
-// work: it says so only in that case, and else is silent.
+// Run runs the membership until the context ends. leave then reports whether the node has finished its
+// work; only in that case does the node announce that it has left.
 func (f *Fleet) Run(ctx context.Context, leave func() bool) {
 	for ctx.Err() == nil {
 		if err := f.Prepare(); err != nil {
 			f.setState(Waiting, err.Error())
-			f.options.Log.Error("fleet: not joined, tried again", "err", err)
+			f.options.Log.Error("fleet: not joined; retrying", "err", err)
 		}
 		if f.transport == nil {
 			wait(ctx, retryDelay)
@@ -70,15 +70,15 @@
 	f.state, f.why = state, why
 }
 
-// session is one life in the fleet, under one incarnation or those that it is raised to.
+// session runs one membership: from listening to the end of the transport. The incarnation may be raised within it.
 func (f *Fleet) session(ctx context.Context, leave func() bool) {
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	sessionCtx, end := context.WithCancel(context.WithoutCancel(ctx))
 	self := Record{Name: f.options.Name, Incarnation: f.id.Incarnation, Start: rand.Uint64() | 1, Address: f.address.String()}
 	f.mu.Lock()
-	f.ctx, f.running, f.claim, f.state, f.why = life, &sync.WaitGroup{}, Claim{}, Starting, ""
+	f.ctx, f.running, f.claim, f.state, f.why = sessionCtx, &sync.WaitGroup{}, Claim{}, Starting, ""
 	old := f.table
 	f.table = NewTable(self, f.options.Clock())
-	for _, rec := range old.Records() { // what was known outlasts the session
+	for _, rec := range old.Records() { // the records of the last session are kept
 		f.table.Merge(rec, f.options.Clock())
 	}
 	f.mu.Unlock()
@@ -86,7 +86,7 @@
 	defer func() {
 		end()
 		if err := transport.Close(); err != nil {
-			f.options.Log.Debug("fleet: closing", "err", err)
+			f.options.Log.Debug("fleet: closing the transport failed", "err", err)
 		}
 		f.mu.Lock()
 		f.transport = nil
@@ -97,15 +97,15 @@
 	f.running.Go(func() { f.receiveAll(transport) })
 	f.queryName(ctx)
 	for ctx.Err() == nil {
-		if !f.resolveClaim(ctx) { // somebody has the name
+		if !f.resolveClaim(ctx) { // another process uses the name
 			wait(ctx, rivalCheckInterval)
-			f.queryName(ctx) // outside nobody else tells of a removal
+			f.queryName(ctx) // outside the fleet, only this query finds out about a removal
 			continue
 		}
 		g, err := f.startGossip()
 		if err != nil {
 			f.setState(Waiting, err.Error())
-			f.options.Log.Error("fleet: not joined, tried again", "err", err)
+			f.options.Log.Error("fleet: not joined; retrying", "err", err)
 			wait(ctx, retryDelay)
 			continue
 		}
@@ -113,19 +113,19 @@
 	}
 }
 
-// runJoined takes part in gossip until the context ends or the name turns out to be another's too.
+// runJoined runs gossip until the context ends or another process is found to use the name.
 func (f *Fleet) runJoined(ctx context.Context, g *gossip, leave func() bool) {
-	life, end := context.WithCancel(f.ctx)
+	gossipCtx, end := context.WithCancel(f.ctx)
 	f.mu.Lock()
 	f.gossip, f.state, f.why = g, Joined, ""
 	f.mu.Unlock()
 	f.options.Log.Info("fleet: joined", "fleet", f.options.File.Fleet, "name", f.options.Name, "incarnation", f.Self().Incarnation)
-	var meeting sync.WaitGroup
-	meeting.Go(func() { g.rejoin(life) })
-	working, rest := context.WithCancel(f.ctx)
+	var rejoining sync.WaitGroup
+	rejoining.Go(func() { g.rejoin(gossipCtx) })
+	tasksCtx, stopTasks := context.WithCancel(f.ctx)
 	var joinedTasks sync.WaitGroup
 	for _, run := range f.joinedTasks {
-		joinedTasks.Go(func() { run(working) })
+		joinedTasks.Go(func() { run(tasksCtx) })
 	}
 	fenced := false
 	for ctx.Err() == nil && !fenced {
@@ -136,13 +136,13 @@
 				break
 			}
 			if err := g.list.UpdateNode(streamTimeout); err != nil {
-				f.options.Log.Debug("fleet: telling of an incarnation", "err", err)
+				f.options.Log.Debug("fleet: announcing an incarnation failed", "err", err)
 			}
 			wait(ctx, minRaiseInterval)
 		case <-ctx.Done():
 		}
 	}
-	rest()
+	stopTasks()
 	joinedTasks.Wait()
 	if !fenced && leave() {
 		rec := f.Self().Record
@@ -155,7 +155,7 @@
 	f.closeLinks()
 	end()
 	g.end()
-	meeting.Wait()
+	rejoining.Wait()
 }
 
 func (f *Fleet) closeLinks() {
--- a/internal/deliverynode/fleet/table.go
+++ b/internal/deliverynode/fleet/table.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// State is how a member stands.
+// State is the state of a member.
 type State string
 
-// A suspect has not been heard of late, and that is all that is known: it may be at work.
+// The states of a member. A suspect is unreachable by gossip but may still be working.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspect"
-	Left    State = "left"    // by its own word: it has ended its work
-	Removed State = "removed" // by the staff's word
+	Left    State = "left"    // announced by the member itself: it has finished its work
+	Removed State = "removed" // removed by an operator
 )
 
-// Departed tells whether one of the two words was said.
+// Departed reports whether the member has left or been removed.
 func (s State) Departed() bool { return s == Left || s == Removed }
 
-// CountHoldTime is for how long a count that a member has seen holds against smaller ones: longer
-// than a death takes to be told to all, and than the longest restart in turn.
+// CountHoldTime is how long a member count takes precedence over smaller ones: longer than a failure takes to
+// spread to all nodes, and than the longest rolling restart.
 const CountHoldTime = 60 * time.Second
 
-// Record is what nodes tell each other of a member. Records merge without order.
+// Record is what nodes exchange about a member. Records can be merged in any order.
 type Record struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	Start       uint64 `cbor:"3,keyasint"` // drawn anew at each start
+	Start       uint64 `cbor:"3,keyasint"` // random, new at each start
 	Address     string `cbor:"4,keyasint"`
-	Left        uint64 `cbor:"5,keyasint,omitempty"` // all incarnations up to this one have left
+	Left        uint64 `cbor:"5,keyasint,omitempty"` // all incarnations up to this one have left; Removed likewise
 	Removed     uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Merge takes the later of each part. It is commutative, associative and idempotent.
+// Merge combines the later values of both records. It is commutative, associative and idempotent.
 func (r Record) Merge(o Record) Record {
 	later := cmp.Or(cmp.Compare(o.Incarnation, r.Incarnation), cmp.Compare(o.Start, r.Start), cmp.Compare(o.Address, r.Address))
 	if later > 0 {
@@ -45,41 +45,41 @@
 	return r
 }
 
-// Change is a member's step from one state to another. From is empty for a new one.
+// Change is a member's change of state. From is empty for a new member.
 type Change struct {
 	Name        string
 	Incarnation uint64
 	From, To    State
 }
 
-// Member is one row of the table. Times are the table's clock.
+// Member is one row of the table. Times are by the table's clock.
 type Member struct {
 	Record
 	State State
-	Since time.Duration // in this state
-	Heard bool          // gossip reaches it just now, whatever was said of it
+	Since time.Duration // when it entered this state
+	Heard bool          // gossip reaches it now, whatever its State
 }
 
 type row struct {
 	Record
 	reachable            bool
-	reachableIncarnation uint64 // the incarnation that is heard
+	reachableIncarnation uint64 // the incarnation that gossip reaches
 	state                State
 	since                time.Duration
-	reportedCount        int           // what it has told that it sees
+	reportedCount        int           // the member count that it reported
 	reportedAt           time.Duration // when
 	countReported        bool
 }
 
-// Table is who is there, as one node knows it: pure, and driven by events with their times.
-// It is not safe for concurrent use.
+// Table is one node's view of the members. It is a pure state machine, driven by events with their times,
+// and not safe for concurrent use.
 type Table struct {
 	self string
-	// memberSince is the node's first incarnation that no removal has made void.
+	// memberSince is the node's first incarnation since its last removal.
 	memberSince uint64
 	rows        map[string]*row
-	ownCounts   []sample // own counts of late, each greater than those after it
-	// Refused counts members for whom there was no room.
+	ownCounts   []sample // this node's recent counts, each greater than those after it
+	// Refused counts members rejected because the table was full.
 	Refused int
 }
 
@@ -88,7 +88,7 @@
 	count      int
 }
 
-// NewTable begins with the node itself.
+// NewTable returns a table that has only the node itself.
 func NewTable(self Record, now time.Duration) *Table {
 	t := &Table{self: self.Name, memberSince: self.Incarnation, rows: map[string]*row{}}
 	t.rows[self.Name] = &row{Record: self, reachable: true, reachableIncarnation: self.Incarnation, state: Alive, since: now}
@@ -96,7 +96,7 @@
 	return t
 }
 
-// Self is the node's own record.
+// Self returns the node's own record.
 func (t *Table) Self() Record { return t.rows[t.self].Record }
 
 func (r *row) updateState(now time.Duration) (Change, bool) {
@@ -117,8 +117,8 @@
 	return c, true
 }
 
-// Merge takes in what anybody tells of a member. News of the node itself are not taken in
-// here but by Mine, and only the words about earlier incarnations count.
+// Merge merges a record from any node. Of a record of the node itself it takes only the departures of earlier
+// incarnations; ClaimFor handles the rest.
 func (t *Table) Merge(rec Record, now time.Duration) (all []Change) {
 	if rec.Name == "" || len(rec.Name) > maxName || len(rec.Address) > maxName {
 		return nil
@@ -141,7 +141,7 @@
 	}
 	if c, ok := r.updateState(now); ok {
 		all = append(all, c)
-	} else if r.state == Alive && r.Incarnation > before { // it has started again
+	} else if r.state == Alive && r.Incarnation > before { // it has restarted
 		r.since = now
 		all = append(all, Change{r.Name, r.Incarnation, Alive, Alive})
 	}
@@ -149,7 +149,8 @@
 	return all
 }
 
-// hasCapacity makes some: the one that has been gone for longest is forgotten. Who is not gone stays.
+// hasCapacity makes room for a row if needed, by deleting the member that departed the longest time ago.
+// Members that have not departed stay.
 func (t *Table) hasCapacity() bool {
 	if len(t.rows) < MaxMembers {
 		return true
@@ -167,7 +168,7 @@
 	return true
 }
 
-// MarkReachable tells that gossip reaches a member now, under this record.
+// MarkReachable records that gossip reaches a member now, under this record.
 func (t *Table) MarkReachable(rec Record, now time.Duration) []Change {
 	if rec.Name == t.self {
 		return nil
@@ -183,7 +184,7 @@
 	return t.Merge(rec, now)
 }
 
-// Suspect tells that gossip no longer reaches a member.
+// Suspect records that gossip no longer reaches a member.
 func (t *Table) Suspect(name string, now time.Duration) []Change {
 	r := t.rows[name]
 	if r == nil || name == t.self {
@@ -196,56 +197,56 @@
 	return nil
 }
 
-// Claim is what news of the node's own name ask of it.
+// Claim is what other nodes' records of this node's name demand of it.
 type Claim struct {
-	Raise   uint64 // take at least this incarnation; 0: none
-	Removed uint64 // it was removed up to this incarnation, and has not been told; 0: it was not
-	Old     bool   // others know a later start than this one: the folder is from before it
-	Rival   string // the name is in use at this address, or was; empty: it is not
+	Raise   uint64 // take at least this incarnation; 0: no demand
+	Removed uint64 // a removal up to this incarnation that has not been handled; 0: none
+	Old     bool   // other nodes know a later start than this one: the state directory is stale
+	Rival   string // address of another process that uses the name or has used it; empty: none
 }
 
-// merge adds what another claim asks for besides; the rival is looked for, not kept.
+// merge adds the demands of another claim, except for Rival, which is checked separately.
 func (c *Claim) merge(o Claim) {
 	c.Raise, c.Removed, c.Old = max(c.Raise, o.Raise), max(c.Removed, o.Removed), c.Old || o.Old
 }
 
-// ClaimFor judges what somebody tells of the node itself.
+// ClaimFor returns what another node's record of this node demands.
 func (t *Table) ClaimFor(rec Record) (c Claim) {
 	own := t.Self()
-	if word := max(rec.Removed, rec.Left); word >= own.Incarnation {
-		// No process says its own word under an incarnation that it goes on with.
-		c.Raise, c.Old = word+1, word > own.Incarnation || rec.Left >= own.Incarnation
+	if departed := max(rec.Removed, rec.Left); departed >= own.Incarnation {
+		// A process never announces its leaving under an incarnation that it goes on using.
+		c.Raise, c.Old = departed+1, departed > own.Incarnation || rec.Left >= own.Incarnation
 	}
-	// Gossip may announce a later incarnation before it tells of the removal, so the node may have gone
-	// above the incarnation that was removed: the removal counts none the less.
+	// Gossip may announce a later incarnation before the removal, so the node may already be above the
+	// incarnation that was removed. The removal counts nevertheless.
 	if rec.Removed >= t.memberSince {
 		c.Raise, c.Removed = max(c.Raise, own.Incarnation+1), rec.Removed
 	}
 	if rec.Start != own.Start && rec.Incarnation >= own.Incarnation {
 		c.Raise, c.Old = max(c.Raise, rec.Incarnation+1), true
 	}
-	// At its own address nobody else can be. A copy of the folder begins above the one that it
-	// was taken from, so the incarnation tells nothing.
+	// No other process can have this node's own address. The incarnation does not show which process is
+	// newer: a copy of the state directory starts with a higher one than its original.
 	if rec.Start != own.Start && rec.Address != own.Address && rec.Incarnation > max(rec.Left, rec.Removed) {
 		c.Rival = rec.Address
 	}
 	return c
 }
 
-// SetIncarnation tells that the node has a new incarnation, which is on disk.
+// SetIncarnation records a new incarnation of the node, which is on disk.
 func (t *Table) SetIncarnation(incarnation uint64) {
 	r := t.rows[t.self]
 	r.Incarnation, r.reachableIncarnation = incarnation, incarnation
 }
 
-// HasNewRemoval tells whether a claim holds a removal that the node has not been told of.
+// HasNewRemoval reports whether a claim has a removal that has not been handled.
 func (t *Table) HasNewRemoval(c Claim) bool { return c.Removed >= t.memberSince }
 
-// Rejoined tells that the node is a new member in its present incarnation: a removal of an earlier one
-// asks for nothing any more.
+// Rejoined records that the node is a new member in its current incarnation: removals of earlier ones are
+// handled.
 func (t *Table) Rejoined() { t.memberSince = t.Self().Incarnation }
 
-// Remove says that a member is gone, up to its present incarnation, by the staff's word.
+// Remove records an operator's removal of a member, up to its current incarnation.
 func (t *Table) Remove(name string, now time.Duration) (Record, []Change, bool) {
 	r := t.rows[name]
 	if r == nil || name == t.self {
@@ -256,7 +257,7 @@
 	return rec, t.Merge(rec, now), true
 }
 
-// Records are all that is known, to be told.
+// Records returns all records, sorted by name.
 func (t *Table) Records() []Record {
 	all := make([]Record, 0, len(t.rows))
 	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
@@ -265,7 +266,7 @@
 	return all
 }
 
-// Member is one row.
+// Member returns the row of a member.
 func (t *Table) Member(name string) (Member, bool) {
 	r := t.rows[name]
 	if r == nil {
@@ -274,7 +275,7 @@
 	return Member{r.Record, r.state, r.since, r.reachable}, true
 }
 
-// Members are all rows, by name.
+// Members returns all rows, sorted by name.
 func (t *Table) Members() []Member {
 	all := make([]Member, 0, len(t.rows))
 	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
@@ -284,7 +285,7 @@
 	return all
 }
 
-// Current is how many are not gone now, the node itself and suspects among them.
+// Current returns the number of members that have not departed, including the node itself and suspects.
 func (t *Table) Current() (n int) {
 	for _, r := range t.rows {
 		if !r.state.Departed() {
@@ -302,15 +303,15 @@
 	t.ownCounts = append(t.ownCounts, s)
 }
 
-// Sighting is the largest count that a member has seen itself of late, so long ago as it said so.
+// Sighting is the largest member count that a member has recently observed itself, and its age.
 type Sighting struct {
 	Name  string        `cbor:"1,keyasint"`
 	Count int           `cbor:"2,keyasint"`
 	Age   time.Duration `cbor:"3,keyasint"`
 }
 
-// MergeSightings takes in the counts that members have seen. What others have told a member is not in
-// its own, or no count would ever fall.
+// MergeSightings merges the counts that members have observed. A member's own count excludes those
+// reported by others; otherwise no count would ever decrease.
 func (t *Table) MergeSightings(all []Sighting, now time.Duration) {
 	for _, s := range all {
 		r := t.rows[s.Name]
@@ -323,15 +324,15 @@
 	}
 }
 
-// maxOwnCount is the largest count that this node has seen within CountTime.
+// maxOwnCount returns the largest count that this node has observed within CountHoldTime.
 func (t *Table) maxOwnCount(now time.Duration) int {
-	for len(t.ownCounts) > 1 && t.ownCounts[1].recordedAt <= now-CountHoldTime { // one holds until the next, smaller one
+	for len(t.ownCounts) > 1 && t.ownCounts[1].recordedAt <= now-CountHoldTime { // a count is valid until the next, smaller one
 		t.ownCounts = t.ownCounts[1:]
 	}
 	return t.ownCounts[0].count
 }
 
-// Sightings are what is to be told of counts.
+// Sightings returns the counts to send to other nodes.
 func (t *Table) Sightings(now time.Duration) []Sighting {
 	all := []Sighting{{t.self, t.maxOwnCount(now), 0}}
 	for _, name := range slices.Sorted(maps.Keys(t.rows)) {
@@ -342,8 +343,8 @@
 	return all
 }
 
-// Count is what limits are divided by: the largest that the node itself or any current
-// member has seen within CountTime.
+// Count returns the number that limits are divided by: the largest count that the node or any current member
+// has observed within CountHoldTime.
 func (t *Table) Count(now time.Duration) (n int) {
 	for _, s := range t.Sightings(now) {
 		n = max(n, s.Count)
--- a/internal/deliverynode/fleet/transport.go
+++ b/internal/deliverynode/fleet/transport.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Transport is the one place where bytes leave a node for others of its fleet, and come in.
-// Sockets is the real one.
+// Transport carries all traffic between a node and the others of its fleet. Sockets returns the
+// implementation over UDP and TCP.
 type Transport interface {
-	// SendTo sends a datagram, which may be lost. It doesn't wait.
+	// SendTo sends a datagram, which may be lost. It does not block.
 	SendTo(b []byte, to netip.AddrPort) error
-	// Receive waits for a datagram; the bytes are the caller's until the next call.
+	// Receive waits for a datagram; the bytes are valid until the next call.
 	Receive() (b []byte, from netip.AddrPort, err error)
 	Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 	Accept() (net.Conn, error)
-	// Close ends Receive and Accept with net.ErrClosed.
+	// Close closes the transport; Receive and Accept then return net.ErrClosed.
 	Close() error
 }
 
 // maxPacket is the largest datagram that is read or written.
 const maxPacket = 1400
 
-// sockets are UDP and TCP at one address, which is also where connections come from.
+// sockets has UDP and TCP sockets at one address, which is also the source address of connections.
 type sockets struct {
 	udp *net.UDPConn
 	tcp *net.TCPListener
@@ -33,7 +33,7 @@
 	buf []byte
 }
 
-// Sockets listens at an address.
+// Sockets returns a Transport that listens at an address.
 func Sockets(addr netip.AddrPort) (Transport, error) {
 	tcp, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(addr))
 	if err != nil {
@@ -64,7 +64,7 @@
 	return d.DialContext(ctx, "tcp4", to.String())
 }
 
-// Accept returns the next connection that came.
+// Accept returns the next incoming connection.
 func (s *sockets) Accept() (net.Conn, error) { return s.tcp.Accept() }
 
 // Close closes both sockets.
