--- a/internal/deliverynode/fleet/claim_test.go
+++ b/internal/deliverynode/fleet/claim_test.go
@@ -9,8 +9,8 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// newClaimant returns a node "a" in incarnation 1 that nothing runs for: no transport, no clock. Its
-// changes are collected in the slice.
+// newClaimant returns a node "a" in incarnation 1 that is not running: it has no transport, and its clock stands
+// still. Its changes are collected in the slice.
 func newClaimant(t *testing.T) (*Fleet, *[]Change) {
 	t.Helper()
 	const address = "127.1.0.1:7000"
@@ -31,20 +31,20 @@
 	return node, changes
 }
 
-// Another process of the name that is gone by now; the name was removed in incarnation 1, and that
-// process has gone on in incarnation 2. Gossip announces a process without the words said of its name.
+// Records of another process of the same name, which has ended. The name was removed in incarnation 1, and that
+// process continued in incarnation 2. Gossip's announcement of a process does not include departures.
 var (
 	announced = Record{Name: "a", Incarnation: 2, Start: 7, Address: "127.1.0.2:7000"}
 	removed   = Record{Name: "a", Incarnation: 2, Start: 7, Address: "127.1.0.2:7000", Removed: 1}
 )
 
-// A removal counts also where the announcement of a later incarnation is heard first: before the node
-// has taken an incarnation above that one, while it takes it, and after that. It is told once.
-func TestRemovalHeardAfterLaterIncarnation(t *testing.T) {
+// A removal takes effect even if a later incarnation was announced first: whether it arrives before, while or
+// after the node takes an incarnation above the announced one. The handlers are notified once.
+func TestRemovalReceivedAfterLaterIncarnation(t *testing.T) {
 	type step struct {
-		what  string
-		hears []Record // before the claim is settled
-		while []Record // while the node takes its new incarnation
+		what     string
+		received []Record // received before the claim is resolved
+		while    []Record // received while the node takes its new incarnation
 	}
 	for _, c := range []struct {
 		what  string
@@ -65,34 +65,34 @@
 				}
 				return nil
 			})
-			settle := func(what string) {
+			resolve := func(what string) {
 				t.Helper()
 				if !node.resolveClaim(t.Context()) {
-					t.Fatalf("%s: it stays outside", what)
+					t.Fatalf("%s: the node stays outside", what)
 				}
 			}
 			for _, s := range c.steps {
 				during = s.while
-				for _, rec := range s.hears {
+				for _, rec := range s.received {
 					node.handleOwnRecord(rec)
 				}
-				settle(s.what)
+				resolve(s.what)
 			}
 			own := node.Self().Incarnation
-			told := slices.Clone(*changes)
-			if len(told) != 2 || told[0].To != Removed || told[1] != (Change{"a", own, Removed, Alive}) || told[0].Incarnation >= own {
-				t.Errorf("in incarnation %d it was told %v", own, told)
+			notified := slices.Clone(*changes)
+			if len(notified) != 2 || notified[0].To != Removed || notified[1] != (Change{"a", own, Removed, Alive}) || notified[0].Incarnation >= own {
+				t.Errorf("in incarnation %d its changes are %v", own, notified)
 			}
 			if own <= removed.Incarnation {
-				t.Errorf("incarnation %d, and others know %d", own, removed.Incarnation)
+				t.Errorf("incarnation %d, but other nodes know %d", own, removed.Incarnation)
 			}
-			for range 3 { // others go on telling what they know
+			for range 3 { // other nodes repeat their records
 				node.handleOwnRecord(removed)
 				node.handleOwnRecord(announced)
-				settle("told again")
+				resolve("repeated records")
 			}
-			if node.Self().Incarnation != own || len(*changes) != len(told) {
-				t.Errorf("told again: incarnation %d after %d, told %v", node.Self().Incarnation, own, *changes)
+			if node.Self().Incarnation != own || len(*changes) != len(notified) {
+				t.Errorf("repeated records: incarnation %d after %d, changes %v", node.Self().Incarnation, own, *changes)
 			}
 		})
 	}
--- a/internal/deliverynode/fleet/config_test.go
+++ b/internal/deliverynode/fleet/config_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func TestEachMistakeInAFile(t *testing.T) {
+func TestParseReportsEachMistake(t *testing.T) {
 	const two = `{"name":"a","address":"127.0.0.1:1","seed":true},{"name":"b","address":"127.0.0.2:1"}`
 	for _, c := range []struct{ name, text, wants string }{
 		{"good", `{"fleet":"f","nodes":[` + two + `]}`, ""},
-		{"a place of its own to listen", `{"fleet":"f","nodes":[` + two + `,{"name":"c","address":"127.0.0.3:1","listen":"127.0.0.4:1"}]}`, ""},
+		{"separate listen address", `{"fleet":"f","nodes":[` + two + `,{"name":"c","address":"127.0.0.3:1","listen":"127.0.0.4:1"}]}`, ""},
 		{"no JSON", `fleet = "f"`, "invalid character"},
 		{"unknown key", `{"fleet":"f","nodes":[` + two + `],"quorum":3}`, `unknown field "quorum"`},
 		{"unknown key of a node", `{"fleet":"f","nodes":[{"name":"a","addr":"127.0.0.1:1"}]}`, `unknown field "addr"`},
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestTheExampleInDocs(t *testing.T) {
+func TestExampleFileInDocs(t *testing.T) {
 	if _, err := ReadFile("../../../docs/example-fleet.json", "n0"); err != nil {
 		t.Error(err)
 	}
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -19,14 +19,14 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// world is a fleet in simulated time: the real code above a network in memory.
+// world is a fleet for tests: Fleets over a network in memory.
 type world struct {
 	t     *testing.T
 	net   *faults.Memory
 	file  fleet.File
 	nodes []*node
 	log   *slog.Logger
-	// patience is a pause at the end, of simulated time.
+	// patience is a pause in simulated time at the end of a test.
 	patience time.Duration
 }
 
@@ -58,12 +58,12 @@
 			w.kill(i)
 		}
 		w.net.Close()
-		time.Sleep(w.patience) // memberlist ends its last probes by their time-outs
+		time.Sleep(w.patience) // memberlist's last probes end by their timeouts
 	})
 	return w
 }
 
-// start starts a node, or a process at its place with another's name and folder.
+// start starts node i, which may have been given another node's name and state directory.
 func (w *world) start(i int, prepare ...func(*fleet.Fleet)) *node {
 	n := w.nodes[i]
 	origin := time.Now()
@@ -111,7 +111,7 @@
 	n.stop = nil
 }
 
-// stateSeen is what one node has of another.
+// stateSeen returns the state of node j in node i's table.
 func (w *world) stateSeen(i, j int) fleet.State {
 	for _, m := range w.nodes[i].Members() {
 		if m.Name == w.nodes[j].name {
@@ -121,7 +121,7 @@
 	return ""
 }
 
-// await lets simulated time pass until something holds.
+// await polls until a condition holds and returns the time that took.
 func (w *world) await(within time.Duration, what string, ok func() bool) time.Duration {
 	w.t.Helper()
 	began := time.Now()
@@ -134,7 +134,8 @@
 	return time.Since(began)
 }
 
-// describeDivergence says, of up to 20 pairs, how one sees another that it does not see alive as it is.
+// describeDivergence lists the pairs of nodes of which one does not have the other's current incarnation as alive. The
+// list ends after 4000 bytes.
 func (w *world) describeDivergence() string {
 	var all strings.Builder
 	for i, n := range w.nodes {
@@ -158,7 +159,7 @@
 	return all.String()
 }
 
-// converged tells whether all of some nodes see all of them alive, as they are now.
+// converged reports whether all of the given nodes have each other's current incarnations as alive.
 func (w *world) converged(among ...int) bool {
 	for _, i := range among {
 		at := map[string]fleet.Member{}
@@ -181,12 +182,11 @@
 	return all
 }
 
-// convergenceTimeout is how long after the last fault all see all: a try to meet again comes after 5 s
-// at most, and word of it passes by gossip.
+// convergenceTimeout bounds the time after the last fault until all nodes have converged: an attempt to rejoin
+// follows after at most 5 s, and gossip spreads the result.
 const convergenceTimeout = 20 * time.Second
 
-// Whole lives over and over, in real time: joins, questions, news, kills, and a member that
-// leaves, for the race detector to see.
+// Runs complete lifecycles in real time, for the race detector: joins, requests, updates, kills and leaves.
 func TestRepeatedJoinsMessagesAndKills(t *testing.T) {
 	w := newWorld(t, 3, 2)
 	serve := func(f *fleet.Fleet) {
@@ -210,7 +210,7 @@
 							t.Error(err)
 						}
 						if _, err := w.nodes[i].Ask(t.Context(), w.nodes[j].name, "q", []byte("x")); err != nil && !errors.Is(err, fleet.ErrMaybe) {
-							t.Error(err) // a link with the life before may just be breaking
+							t.Error(err) // a link to the previous process may be breaking
 						}
 						_ = w.nodes[i].Status()
 					}
--- a/internal/deliverynode/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -13,7 +13,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// Bytes of every message between nodes, written by an earlier version, mean the same and are written again.
+// Every message between nodes that an earlier version has encoded is decoded to the same value and encoded to the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	golden.By[hello](t, "hello.cbor", encoding, decoding)
 	golden.By[welcome](t, "welcome.cbor", encoding, decoding)
@@ -35,7 +35,7 @@
 	}
 }
 
-// The stream of a link: the greeting of the side that dialled, its hello, and two frames.
+// The bytes of a link: the greeting of the dialling side, its hello, and two frames.
 func TestGoldenLinkStream(t *testing.T) {
 	here, there := net.Pipe()
 	var sent bytes.Buffer
@@ -66,7 +66,7 @@
 	}
 	golden.Compare(t, "link-stream", sent.Bytes())
 
-	// What an earlier version has sent is understood.
+	// The bytes of an earlier version are decoded.
 	tee := &replayConn{Reader: bytes.NewReader(golden.Read(t, "link-stream"))}
 	purpose, err := acceptGreeting(tee, goldenKey)
 	if err != nil || purpose != purposeLink {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// teeConn keeps what is read from a connection.
+// teeConn records what is read from a connection.
 type teeConn struct {
 	net.Conn
 	in *bytes.Buffer
@@ -106,7 +106,7 @@
 	return n, err
 }
 
-// replayConn reads bytes that were recorded, and keeps what is written.
+// replayConn reads recorded bytes and records what is written.
 type replayConn struct {
 	net.Conn
 	io.Reader
@@ -127,8 +127,8 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, "fleet-node", written)
-	read, spoilt, err := loadIdentity(vfs.Dir(golden.Dir), want.Fleet, want.Name)
-	if err != nil || spoilt != nil || read != want {
-		t.Errorf("read %+v, %v, %v, want %+v", read, spoilt, err, want)
+	read, unreadable, err := loadIdentity(vfs.Dir(golden.Dir), want.Fleet, want.Name)
+	if err != nil || unreadable != nil || read != want {
+		t.Errorf("read %+v, %v, %v, want %+v", read, unreadable, err, want)
 	}
 }
--- a/internal/deliverynode/fleet/identity_test.go
+++ b/internal/deliverynode/fleet/identity_test.go
@@ -8,17 +8,17 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// Whatever operation fails, and whether power is lost then: an incarnation that was given out
-// is never given out again, and what was there can still be read.
-func TestNoIncarnationTwice(t *testing.T) {
+// Whichever file operation fails, with or without a power loss: an incarnation that was saved is never used
+// again, and the identity remains readable.
+func TestIncarnationsAreNeverReused(t *testing.T) {
 	for failAt := 0; failAt <= 40; failAt++ {
 		for _, power := range []bool{false, true} {
 			d := vfstest.New()
 			out := uint64(0)
 			for range 6 {
-				id, spoilt, err := loadIdentity(d, "f", "a")
-				if err != nil || spoilt != nil {
-					t.Fatalf("operation %d failed, power %v: %v, %v", failAt, power, spoilt, err)
+				id, unreadable, err := loadIdentity(d, "f", "a")
+				if err != nil || unreadable != nil {
+					t.Fatalf("operation %d failed, power %v: %v, %v", failAt, power, unreadable, err)
 				}
 				d.FailAt = failAt
 				id.Incarnation++
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestASpoiltOrForeignIdentity(t *testing.T) {
+func TestCorruptOrForeignIdentity(t *testing.T) {
 	d := vfstest.New()
 	if err := (identity{"f", "a", 7}).save(d); err != nil {
 		t.Fatal(err)
@@ -47,12 +47,12 @@
 	good := slices.Clone(d.File(identityName))
 	for i := range good {
 		for bit := range 8 {
-			spoilt := slices.Clone(good)
-			spoilt[i] ^= 1 << bit
-			d.Put(identityName, spoilt)
-			id, told, err := loadIdentity(d, "f", "a")
-			if err != nil || told == nil && id.Incarnation != 7 || told != nil && id.Incarnation != 0 {
-				t.Fatalf("bit %d of byte %d: %+v, %v, %v", bit, i, id, told, err)
+			corrupt := slices.Clone(good)
+			corrupt[i] ^= 1 << bit
+			d.Put(identityName, corrupt)
+			id, unreadable, err := loadIdentity(d, "f", "a")
+			if err != nil || unreadable == nil && id.Incarnation != 7 || unreadable != nil && id.Incarnation != 0 {
+				t.Fatalf("bit %d of byte %d: %+v, %v, %v", bit, i, id, unreadable, err)
 			}
 		}
 	}
--- a/internal/deliverynode/fleet/peer_test.go
+++ b/internal/deliverynode/fleet/peer_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// model is a real peer core, a link, and what the other side has seen.
+// model has a peer under test, a modelled link, and the state of the other side.
 type model struct {
 	p        *peer
 	now      time.Duration
-	wire     []frame // on its way, in order
+	wire     []frame // in flight, in order
 	back     []frame
-	received int // the newest value that the other side has of the one key
+	received int // the newest value of the single key that the other side has received
 	sent     int
 	handled  map[string]int
 	ended    map[string][]error
 	requests int
 }
 
-// The events of the model. A link that breaks takes with it whatever is on its way, or, where
-// it breaks after the other side has read, only what comes back.
+// The events of the model. When the link breaks, all frames in flight in both directions are lost. A break after
+// "arrive" loses only the answer.
 var modelEvents = []string{"tell", "ask", "write", "arrive", "return", "break", "connect", "late", "withdraw"}
 
 func (m *model) step(event string) bool {
@@ -103,7 +103,7 @@
 	return true
 }
 
-// check is what holds after any events. At the end of an order all faults end.
+// check checks the invariants after each event.
 func (m *model) check() error {
 	for name, ends := range m.ended {
 		if len(ends) > 1 {
@@ -122,7 +122,7 @@
 		}
 	}
 	if m.p.bytes < 0 {
-		return fmt.Errorf("%d bytes wait", m.p.bytes)
+		return fmt.Errorf("%d bytes are queued", m.p.bytes)
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 		}
 	}
 	if m.received != m.sent {
-		return fmt.Errorf("the other side has %d, %d was the last", m.received, m.sent)
+		return fmt.Errorf("the other side has %d, but the last value sent is %d", m.received, m.sent)
 	}
 	m.step("late")
 	m.step("late")
@@ -143,14 +143,14 @@
 		return err
 	}
 	if len(m.ended) != m.requests || m.p.bytes != 0 || len(m.p.pending) != 0 || len(m.p.order) != 0 {
-		return fmt.Errorf("%d of %d questions ended, %d bytes and %d news are left", len(m.ended), m.requests, m.p.bytes, len(m.p.pending))
+		return fmt.Errorf("%d of %d requests ended, %d bytes and %d updates are left", len(m.ended), m.requests, m.p.bytes, len(m.p.pending))
 	}
 	return nil
 }
 
-// TestEveryOrderOnALink plays every order of nine events to a stated depth through the real
-// core, and after each lets the faults end.
-func TestEveryOrderOnALink(t *testing.T) {
+// Plays every order of nine events up to a fixed depth through the peer. After each order the faults end, and
+// every message must be delivered or ended exactly once.
+func TestEveryOrderOfLinkEvents(t *testing.T) {
 	const depth = 8
 	played := 0
 	var order []string
@@ -159,7 +159,7 @@
 		m := &model{p: newPeer(), handled: map[string]int{}, ended: map[string][]error{}}
 		for _, e := range order {
 			if !m.step(e) {
-				return // it can't happen here, nor does anything after it
+				return // the event is impossible here
 			}
 			if err := m.check(); err != nil {
 				t.Fatalf("after %v: %v", order, err)
@@ -182,7 +182,7 @@
 	t.Logf("%d orders", played)
 }
 
-func TestWhatWaitsIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	p := newPeer()
 	big := make([]byte, 100<<10)
 	for i := range 20 {
@@ -192,7 +192,7 @@
 		}
 	}
 	if err := p.enqueue("k", "3", big, 0); err != nil {
-		t.Error("a newer one of the same key needs no further room:", err)
+		t.Error("a newer update of the same key needs no more space:", err)
 	}
 	if err := p.enqueueRequest(&request{body: big}); !errors.Is(err, ErrQueueFull) {
 		t.Error(err)
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// In simulated time the runtime's own timers crash now and then under the race detector (a
-// ticker whose tick is due is run by whoever selects on it). What these tests play, it sees
+// In simulated time the runtime's own timers occasionally crash under the race detector (a due tick
+// of a ticker is run by the goroutine that selects on it). The race detector covers the code of these tests
 // in TestRepeatedJoinsMessagesAndKills and in the real processes of cmd/deliverynode.
 
 package fleet_test
@@ -25,7 +25,7 @@
 	"dunetide/internal/lab/faults"
 )
 
-// simulated is a world in a bubble of simulated time.
+// simulated returns a world for a synctest bubble.
 func simulated(t *testing.T, n, seeds int) *world {
 	t.Helper()
 	w := newWorld(t, n, seeds)
@@ -33,9 +33,9 @@
 	return w
 }
 
-// A split, of which each half removes the other: all come together again, under new
-// incarnations, and who builds on members hears that it was removed.
-func TestASplitWithEachSideRemoved(t *testing.T) {
+// Each half of a partition removes the other. After the partition all nodes rejoin under new
+// incarnations, and the handlers of changes are notified of their own node's removal.
+func TestPartitionWithEachSideRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 6, 2)
 		w.startAll()
@@ -51,7 +51,7 @@
 		w.await(10*time.Second, "removed on both sides", func() bool { return w.stateSeen(1, 4) == fleet.Removed && w.stateSeen(4, 1) == fleet.Removed })
 		time.Sleep(30 * time.Second)
 		w.net.Heal()
-		w.await(convergenceTimeout, "all together again", func() bool { return w.converged(upTo(6)...) })
+		w.await(convergenceTimeout, "all joined again", func() bool { return w.converged(upTo(6)...) })
 		n := w.nodes[0]
 		if now := n.Self().Incarnation; now <= before {
 			t.Errorf("incarnation %d after %d", now, before)
@@ -61,13 +61,14 @@
 		if !slices.ContainsFunc(n.changes, func(c fleet.Change) bool {
 			return c.Name == n.name && c.To == fleet.Removed && c.Incarnation == before
 		}) {
-			t.Errorf("it was not told of its own removal: %v", n.changes)
+			t.Errorf("no notification of the node's own removal: %v", n.changes)
 		}
 	})
 }
 
-// Names: a folder that is an hour old, a folder that is lost, a copy of a folder.
-func TestOneProcessAName(t *testing.T) {
+// A node that starts with a stale or an empty state directory takes a later incarnation. One that starts with a copy
+// of another node's directory stays outside until that node has ended.
+func TestOneProcessPerName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 5, 2)
 		for i := range 4 {
@@ -81,21 +82,21 @@
 		for range 3 {
 			w.kill(3)
 			w.start(3)
-			w.await(convergenceTimeout, "it is back", func() bool { return w.converged(0, 1, 2, 3) })
+			w.await(convergenceTimeout, "the node is back", func() bool { return w.converged(0, 1, 2, 3) })
 		}
 		was := w.nodes[3].Self().Incarnation
 		for _, dir := range []string{old, t.TempDir()} {
 			w.kill(3)
 			w.nodes[3].dir = dir
 			w.start(3)
-			w.await(convergenceTimeout, "it is back under a later incarnation", func() bool {
+			w.await(convergenceTimeout, "the node is back under a later incarnation", func() bool {
 				return w.converged(0, 1, 2, 3) && w.nodes[3].Self().Incarnation > was
 			})
 			was = w.nodes[3].Self().Incarnation
 		}
 
-		// A copy at another address, while the first one lives: it stays outside, the first is
-		// unharmed; when that has ended, it comes in.
+		// A copy at another address while the original runs: the copy stays outside and the original is
+		// unaffected. The copy joins after the original has ended.
 		at4 := w.file.Nodes[4].Address
 		w.file.Nodes = slices.Clone(w.file.Nodes[:4])
 		at3 := w.file.Nodes[3].Address
@@ -105,25 +106,25 @@
 			t.Fatal(err)
 		}
 		w.start(4)
-		w.await(convergenceTimeout, "the copy is refused", func() bool { return w.nodes[4].Status().State == fleet.Outside })
+		w.await(convergenceTimeout, "the copy is outside", func() bool { return w.nodes[4].Status().State == fleet.Outside })
 		time.Sleep(time.Minute)
 		if s := w.nodes[3].Status(); s.State != fleet.Joined || s.Incarnation != was || !w.converged(0, 1, 2, 3) {
-			t.Errorf("the first is harmed: %+v", s)
+			t.Errorf("the original is affected: %+v", s)
 		}
 		if s := w.nodes[4].Status(); s.State != fleet.Outside || !strings.Contains(s.Why, at3) {
 			t.Errorf("the copy: %+v", s)
 		}
 		w.kill(3)
-		w.await(time.Minute, "the copy comes in", func() bool { return w.nodes[4].Status().State == fleet.Joined && w.converged(0, 1, 2, 4) })
+		w.await(time.Minute, "the copy has joined", func() bool { return w.nodes[4].Status().State == fleet.Joined && w.converged(0, 1, 2, 4) })
 	})
 }
 
-// Two of one name that are announced in the two halves of a split both stay outside when it heals,
-// until one has ended.
-func TestTwoOfOneNameMeet(t *testing.T) {
+// Two processes of one name that have joined in the two halves of a partition both leave the fleet when it heals.
+// Each joins again after the other has ended.
+func TestTwoProcessesOfOneNameAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 6, 3)
-		// Places 0 to 2 and 3 to 5; the name of 2 is also at 5, and each half has a seed.
+		// Nodes 0 to 2 and 3 to 5; 5 has the name of 2, and each half has a seed.
 		w.file.Nodes[1].Seed, w.file.Nodes[2].Seed, w.file.Nodes[3].Seed = false, false, true
 		w.net.Apply(faults.Pattern{What: faults.Split})
 		for i := range 5 {
@@ -135,34 +136,34 @@
 		w.start(5)
 		w.await(convergenceTimeout, "two halves", func() bool { return w.converged(0, 1, 2) && w.converged(3, 4, 5) })
 		was := w.nodes[2].Self().Incarnation
-		if err := w.nodes[3].Remove(w.nodes[5].name); err != nil { // the other's word is also about the first
+		if err := w.nodes[3].Remove(w.nodes[5].name); err != nil { // the removal also applies to the first process
 			t.Fatal(err)
 		}
-		w.await(convergenceTimeout, "the other is in again", func() bool { return w.converged(3, 4, 5) && w.nodes[5].Self().Incarnation > was })
+		w.await(convergenceTimeout, "the other process has rejoined", func() bool { return w.converged(3, 4, 5) && w.nodes[5].Self().Incarnation > was })
 		w.net.Heal()
 		w.await(time.Minute, "both outside", func() bool {
 			return w.nodes[2].Status().State == fleet.Outside && w.nodes[5].Status().State == fleet.Outside
 		})
 		w.await(convergenceTimeout, "the others are one", func() bool { return w.converged(0, 1, 3, 4) })
 		if s := w.stateSeen(0, 2); s.Departed() {
-			t.Errorf("the name is %s, and nobody said so", s)
+			t.Errorf("the name is %s without having left or been removed", s)
 		}
 		w.kill(5)
-		w.await(2*time.Minute, "the other comes in", func() bool { return w.converged(0, 1, 2, 3, 4) })
+		w.await(2*time.Minute, "the first process has joined", func() bool { return w.converged(0, 1, 2, 3, 4) })
 		n := w.nodes[2]
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if !slices.ContainsFunc(n.changes, func(c fleet.Change) bool { return c.Name == n.name && c.To == fleet.Removed }) {
-			t.Errorf("it was removed while it was outside, and not told: %v", n.changes)
+			t.Errorf("no notification of the removal while outside: %v", n.changes)
 		}
 	})
 }
 
-// A node whose name is removed while it is outside is told before it takes part again.
+// A node whose name is removed while it is outside notifies its handlers before the functions of While start again.
 func TestRemovedWhileOutside(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 4, 1)
-		// Places 0 and 1, 2 and 3: each half has a seed, and the name of 1 is also at 3.
+		// Nodes 0 and 1, 2 and 3: each half has a seed, and 3 has the name of 1.
 		w.file.Nodes[2].Seed = true
 		w.net.Apply(faults.Pattern{What: faults.Split})
 		var toldAtStart atomic.Bool
@@ -191,18 +192,18 @@
 			t.Fatal(err)
 		}
 		w.kill(3)
-		w.await(2*time.Minute, "it comes in", func() bool { return w.converged(0, 1, 2) })
+		w.await(2*time.Minute, "the node has joined", func() bool { return w.converged(0, 1, 2) })
 		if !toldAtStart.Load() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			t.Errorf("it took part again before it was told of its removal: %v", n.changes)
+			t.Errorf("the node's functions started before the notification of its removal: %v", n.changes)
 		}
 	})
 }
 
-// A seed that is down for ever costs nobody anything, and a node that can't be heard by one
-// other for longer than every time-out stays what it is: a member.
-func TestOneWayAndASeedThatIsDown(t *testing.T) {
+// A seed that is down permanently does not prevent the others from joining. A node that one other cannot receive
+// from, for longer than all timeouts, remains a member.
+func TestOneWayCutAndSeedDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 5, 2)
 		for i := 1; i < 5; i++ {
@@ -215,7 +216,7 @@
 			for _, i := range []int{1, 2, 3, 4} {
 				for _, j := range []int{1, 2, 3, 4} {
 					if w.stateSeen(i, j).Departed() {
-						t.Fatalf("%d sees %d as gone", i, j)
+						t.Fatalf("%d sees %d as departed", i, j)
 					}
 				}
 			}
@@ -228,8 +229,8 @@
 	})
 }
 
-// A half of a split fleet counts all, and so does a node that joins it meanwhile.
-func TestNobodyCountsTheSmallerHalf(t *testing.T) {
+// Each part of a partitioned fleet keeps counting all members, and so does a node that joins a part meanwhile.
+func TestPartitionDoesNotReduceTheCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 9, 3)
 		w.file.Nodes[6].Seed = true
@@ -240,7 +241,7 @@
 		w.net.Apply(faults.Pattern{What: faults.Split, Parts: 3})
 		time.Sleep(10 * time.Minute)
 		w.start(8)
-		w.await(convergenceTimeout, "one more, in the last part", func() bool { return w.stateSeen(7, 8) == fleet.Alive })
+		w.await(convergenceTimeout, "another node, in the last part", func() bool { return w.stateSeen(7, 8) == fleet.Alive })
 		for i, want := range map[int]int{0: 8, 4: 8, 7: 9, 8: 9} {
 			if n := w.nodes[i].Count(); n != want {
 				t.Errorf("%d counts %d, want %d", i, n, want)
@@ -251,7 +252,7 @@
 	})
 }
 
-// Restarts, flapping and loss: never gone without a word, and whole when it ends.
+// Flapping partitions: no member counts as departed, and the fleet converges when the flapping ends.
 func TestFlappingLinksRemoveNobody(t *testing.T) {
 	for _, period := range []time.Duration{300 * time.Millisecond, 1100 * time.Millisecond, 5 * time.Second, 9 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
@@ -279,7 +280,7 @@
 		w := simulated(t, 4, 2)
 		w.startAll()
 		w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(upTo(4)...) })
-		for range 50 { // all within the time that a suspicion takes
+		for range 50 { // all within the time before a suspicion is confirmed
 			w.kill(3)
 			w.start(3)
 			time.Sleep(50 * time.Millisecond)
@@ -291,16 +292,16 @@
 	})
 }
 
-// Asked and told over links that break in each way: what an asker hears is true, and the newest
-// news come.
-func TestLinksThatBreak(t *testing.T) {
+// Requests and updates over links with each kind of fault: the outcome reported for a request is correct, and the
+// newest update arrives.
+func TestFaultyLinks(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault faults.Fault
 	}{
-		{"whole", faults.Fault{}}, {"slow", faults.Fault{Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond}},
-		{"cut", faults.Fault{Cut: true}}, {"swallowed", faults.Fault{Swallow: true}}, {"reset in a frame", faults.Fault{Reset: 300}},
-		{"spoilt", faults.Fault{Corrupt: 0.2}}, {"a byte at a time", faults.Fault{Trickle: 1}}, {"lossy", faults.Fault{Lose: 0.2}},
+		{"no fault", faults.Fault{}}, {"slow", faults.Fault{Delay: 100 * time.Millisecond, Jitter: 100 * time.Millisecond}},
+		{"cut", faults.Fault{Cut: true}}, {"dropped silently", faults.Fault{Swallow: true}}, {"reset in a frame", faults.Fault{Reset: 300}},
+		{"corrupted", faults.Fault{Corrupt: 0.2}}, {"a byte at a time", faults.Fault{Trickle: 1}}, {"lossy", faults.Fault{Lose: 0.2}},
 	} {
 		for _, way := range []string{"there", "back"} {
 			t.Run(c.name+" "+way, func(t *testing.T) {
@@ -314,7 +315,7 @@
 							n, _ := handled.LoadOrStore(string(body), new(atomic.Int64))
 							n.(*atomic.Int64).Add(1)
 							if from.Name != "n000" {
-								return nil, errors.New("who is that")
+								return nil, errors.New("unexpected sender")
 							}
 							return append([]byte("re "), body...), nil
 						})
@@ -347,26 +348,26 @@
 							began := time.Now()
 							answer, err := f.Ask(ctx, "n001", "q", []byte(id))
 							if took := time.Since(began); took > time.Second {
-								t.Errorf("an asker waited %v", took)
+								t.Errorf("a request took %v", took)
 							}
 							n := int64(0)
 							if v, ok := handled.Load(id); ok {
 								n = v.(*atomic.Int64).Load()
 							}
-							how := ""
+							outcome := ""
 							switch {
 							case err == nil:
-								how = "answered"
+								outcome = "answered"
 								if string(answer) != "re "+id || n != 1 {
 									t.Errorf("%s: answered %q, handled %d times", id, answer, n)
 								}
 							case errors.Is(err, fleet.ErrNotSent):
-								how = "not sent"
+								outcome = "not sent"
 								if n != 0 {
-									t.Errorf("%s: not sent, and handled %d times", id, n)
+									t.Errorf("%s: reported as not sent, but handled %d times", id, n)
 								}
 							case errors.Is(err, fleet.ErrMaybe):
-								how = "maybe"
+								outcome = "maybe"
 								if n > 1 {
 									t.Errorf("%s: handled %d times", id, n)
 								}
@@ -375,14 +376,14 @@
 							}
 							mu.Lock()
 							defer mu.Unlock()
-							outcomes[how]++
+							outcomes[outcome]++
 						})
 						time.Sleep(200 * time.Millisecond)
 					}
 					asked.Wait()
 					t.Log(outcomes)
 					w.net.Heal()
-					w.await(convergenceTimeout, "the last news", func() bool { return heard.Load() == 59 })
+					w.await(convergenceTimeout, "the last update", func() bool { return heard.Load() == 59 })
 					handled.Range(func(id, n any) bool {
 						if n := n.(*atomic.Int64).Load(); n > 1 {
 							t.Errorf("%s was handled %d times", id, n)
@@ -395,8 +396,8 @@
 	}
 }
 
-// Two that turn to each other at the same instant get one connection, and lose nothing.
-func TestBothDialAtOnce(t *testing.T) {
+// Two nodes that dial each other at the same time end up with one connection, and lose no request.
+func TestSimultaneousDial(t *testing.T) {
 	for _, delay := range []time.Duration{0, 50 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			w := simulated(t, 2, 1)
@@ -418,7 +419,7 @@
 				}
 			}
 			asked.Wait()
-			// Well before a link that nobody uses is closed; now and then they meet for gossip's sake.
+			// Well before an idle link is closed. Gossip opens further connections occasionally.
 			w.await(convergenceTimeout, "one connection", func() bool {
 				return w.nodes[0].Status().Traffic.Connections == 1 && w.nodes[1].Status().Traffic.Connections == 1
 			})
@@ -426,14 +427,14 @@
 	}
 }
 
-// A thousand joins and leaves leave nothing behind.
-func TestNothingIsLeftOver(t *testing.T) {
+// A thousand joins and leaves leak no goroutines or connections.
+func TestJoinsAndLeavesLeakNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 3, 2)
 		w.start(0)
 		w.start(1)
 		w.await(convergenceTimeout, "two", func() bool { return w.converged(0, 1) })
-		time.Sleep(2 * time.Minute) // links that nobody uses are gone
+		time.Sleep(2 * time.Minute) // idle links are closed
 		synctest.Wait()
 		goroutines := runtime.NumGoroutine()
 		for i := range 1000 {
@@ -458,9 +459,9 @@
 	})
 }
 
-// TestTimeUntilAllKnowOfAChange tells how long it takes until all know of a join, a leaving and a death, and what
-// that costs. FLEET_NODES and FLEET_LOSS (shares, as 300 and 0.05) make it a measurement.
-func TestTimeUntilAllKnowOfAChange(t *testing.T) {
+// Logs how long a join, a leave and a failure take to reach all nodes, and the traffic. FLEET_NODES and FLEET_LOSS
+// (a number and a share, for example 300 and 0.05) set the size of the measurement.
+func TestTimeUntilAllNodesSeeAChange(t *testing.T) {
 	n, loss, rounds := 8, 0.05, 3
 	if v, err := strconv.Atoi(os.Getenv("FLEET_NODES")); err == nil {
 		n, rounds = v, 5
@@ -474,7 +475,7 @@
 		began := time.Now()
 		w.startAll()
 		took := w.await(2*time.Minute, "a fleet", func() bool { return w.converged(upTo(n)...) })
-		t.Logf("%d nodes, %v of what is sent lost: all know all %v after a start at one instant", n, loss, took)
+		t.Logf("%d nodes, loss %v: all nodes see each other %v after a simultaneous start", n, loss, took)
 		time.Sleep(30 * time.Second)
 		traffic := func() (bytes, packets int64) {
 			for _, n := range w.nodes {
@@ -489,7 +490,7 @@
 		restFrom := time.Now()
 		time.Sleep(rest)
 		b1, p1 := traffic()
-		t.Logf("at rest, a node a second: %.0f bytes, %.1f datagrams out; false suspicions: %d at the start, %d in %v", float64(b1-b0)/rest.Seconds()/float64(n),
+		t.Logf("idle, per node and second: %.0f bytes, %.1f datagrams sent; false suspicions: %d at the start, %d in %v", float64(b1-b0)/rest.Seconds()/float64(n),
 			float64(p1-p0)/rest.Seconds()/float64(n), false0, w.falseSuspicions(restFrom), rest)
 		r := rand.New(rand.NewPCG(1, 2))
 		for _, what := range []string{"death", "join", "leave"} {
@@ -499,7 +500,7 @@
 				switch what {
 				case "join":
 					w.kill(j)
-					w.await(3*time.Minute, "silent", func() bool { return w.allSee(j, fleet.Suspect) })
+					w.await(3*time.Minute, "suspected", func() bool { return w.allSee(j, fleet.Suspect) })
 				}
 				at := time.Now()
 				switch what {
@@ -521,9 +522,9 @@
 			}
 			slices.Sort(all)
 			if len(all) == 0 {
-				t.Fatal("nobody learnt of a", what)
+				t.Fatal("no node has seen a", what)
 			}
-			t.Logf("%s: known after median %v, 99th percentile %v, at most %v (%d)", what, all[len(all)/2].Round(time.Millisecond),
+			t.Logf("%s: seen after median %v, 99th percentile %v, maximum %v (%d)", what, all[len(all)/2].Round(time.Millisecond),
 				all[len(all)*99/100].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond), len(all))
 		}
 	})
@@ -538,7 +539,7 @@
 	return true
 }
 
-// changeDelays is how long after a moment each other node's last step about one came.
+// changeDelays returns, for each other node, the time from since to its last change of node j.
 func (w *world) changeDelays(j int, since time.Time) (all []time.Duration) {
 	for i, n := range w.nodes {
 		if i == j {
@@ -556,7 +557,7 @@
 	return all
 }
 
-// falseSuspicions counts steps from alive to suspect since a moment at which nobody had died.
+// falseSuspicions counts the changes from alive to suspect since a time after which no node was killed.
 func (w *world) falseSuspicions(since time.Time) (count int) {
 	for _, n := range w.nodes {
 		n.mu.Lock()
--- a/internal/deliverynode/fleet/table_test.go
+++ b/internal/deliverynode/fleet/table_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Records merge in any order and any number of times to the same.
+// Merging records is idempotent, commutative and associative.
 func TestRecordsMergeWithoutOrder(t *testing.T) {
 	var all []Record
 	for inc := range uint64(3) {
@@ -45,7 +45,7 @@
 	return m
 }
 
-func TestSilentIsNotGone(t *testing.T) {
+func TestUnreachableMemberIsNotDeparted(t *testing.T) {
 	tab := NewTable(Record{Name: "a", Incarnation: 1, Start: 1, Address: "A"}, 0)
 	b := Record{Name: "b", Incarnation: 3, Start: 5, Address: "B"}
 	steps := []struct {
@@ -54,20 +54,20 @@
 		want State
 		from State
 	}{
-		{"heard", func(now time.Duration) []Change { return tab.MarkReachable(b, now) }, Alive, Suspect},
-		{"silent", func(now time.Duration) []Change { return tab.Suspect("b", now) }, Suspect, Alive},
+		{"reachable", func(now time.Duration) []Change { return tab.MarkReachable(b, now) }, Alive, Suspect},
+		{"unreachable", func(now time.Duration) []Change { return tab.Suspect("b", now) }, Suspect, Alive},
 		{"for a year", func(now time.Duration) []Change { return tab.Suspect("b", now+365*24*time.Hour) }, Suspect, ""},
-		{"heard under the incarnation before", func(now time.Duration) []Change {
+		{"reachable under the previous incarnation", func(now time.Duration) []Change {
 			old := b
 			old.Incarnation = 2
 			return tab.MarkReachable(old, now)
 		}, Suspect, ""},
 		{"restarted", func(now time.Duration) []Change { b.Incarnation, b.Start = 4, 6; return tab.MarkReachable(b, now) }, Alive, Suspect},
-		{"restarted unseen", func(now time.Duration) []Change { b.Incarnation, b.Start = 5, 7; return tab.MarkReachable(b, now) }, Alive, Alive},
+		{"restarted without being suspected", func(now time.Duration) []Change { b.Incarnation, b.Start = 5, 7; return tab.MarkReachable(b, now) }, Alive, Alive},
 		{"left", func(now time.Duration) []Change { w := b; w.Left = 5; return tab.Merge(w, now) }, Left, Alive},
-		{"an old word", func(now time.Duration) []Change { w := b; w.Removed = 4; return tab.Merge(w, now) }, Left, ""},
+		{"an old removal", func(now time.Duration) []Change { w := b; w.Removed = 4; return tab.Merge(w, now) }, Left, ""},
 		{"back", func(now time.Duration) []Change { b.Incarnation, b.Start = 6, 8; return tab.MarkReachable(b, now) }, Alive, Left},
-		{"removed while it is heard", func(now time.Duration) []Change { _, c, _ := tab.Remove("b", now); return c }, Removed, Alive},
+		{"removed while it is reachable", func(now time.Duration) []Change { _, c, _ := tab.Remove("b", now); return c }, Removed, Alive},
 		{"new incarnation", func(now time.Duration) []Change { b.Incarnation = 7; return tab.MarkReachable(b, now) }, Alive, Removed},
 	}
 	for i, s := range steps {
@@ -77,20 +77,20 @@
 			t.Fatalf("%s: %s, want %s", s.what, got.State, s.want)
 		}
 		if i == 0 {
-			continue // two steps, from nothing
+			continue // the first step makes two changes
 		}
 		want := []Change{{"b", b.Incarnation, s.from, s.want}}
 		if s.from == "" {
 			want = nil
 		}
 		if !slices.Equal(changes, want) {
-			t.Errorf("%s: told %v, want %v", s.what, changes, want)
+			t.Errorf("%s: changes %v, want %v", s.what, changes, want)
 		}
 	}
 }
 
-// The count falls late, and is the largest that anybody current has seen.
-func TestTheLargestCountHolds(t *testing.T) {
+// The count is the largest that any current member has observed, and decreases only after CountHoldTime.
+func TestLargestCountIsHeld(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	tab := NewTable(Record{Name: "a", Incarnation: 1, Start: 1}, 0)
 	want := func(s float64, n int) {
@@ -110,15 +110,15 @@
 	want(559, 4)
 	want(561, 3)
 	tab.MergeSightings([]Sighting{{"b", 9, 10 * time.Second}, {"d", 1000000, 0}, {"a", 50, 0}, {"x", 7, 0}}, at(600))
-	want(649, 9) // b saw nine, until 60 s after it did
+	want(649, 9) // b observed nine; that is valid for 60 s after its observation
 	want(651, 3)
-	tab.MergeSightings([]Sighting{{"b", 9, 0}, {"b", 5, 30 * time.Second}}, at(700)) // an older word changes nothing
+	tab.MergeSightings([]Sighting{{"b", 9, 0}, {"b", 5, 30 * time.Second}}, at(700)) // an older sighting has no effect
 	want(701, 9)
 	if got := tab.Sightings(at(702)); !slices.Equal(got, []Sighting{{"a", 3, 0}, {"b", 9, 2 * time.Second}}) {
-		t.Errorf("passed on %v", got) // with its age, and without what others said as one's own
+		t.Errorf("passed on %v", got) // with its age; a's own count excludes what others have reported
 	}
 	tab.Remove("b", at(703))
-	want(704, 3) // b is no current member any more; a itself has seen three of late
+	want(704, 3) // b is no longer a current member; a itself has observed three recently
 }
 
 func TestRecordsOfTheNodeItself(t *testing.T) {
@@ -129,16 +129,16 @@
 		want Claim
 	}{
 		{"itself", own, Claim{}},
-		{"an earlier life", Record{Name: "a", Incarnation: 4, Start: 8, Address: "A"}, Claim{}},
-		{"an earlier life that has left", Record{Name: "a", Incarnation: 4, Start: 8, Address: "A", Left: 4}, Claim{}},
-		{"the folder is older than what others know", Record{Name: "a", Incarnation: 8, Start: 7, Address: "A"}, Claim{Raise: 9, Old: true}},
+		{"an earlier process", Record{Name: "a", Incarnation: 4, Start: 8, Address: "A"}, Claim{}},
+		{"an earlier process that has left", Record{Name: "a", Incarnation: 4, Start: 8, Address: "A", Left: 4}, Claim{}},
+		{"the state directory is older than the records of others", Record{Name: "a", Incarnation: 8, Start: 7, Address: "A"}, Claim{Raise: 9, Old: true}},
 		{"the same number, another start", Record{Name: "a", Incarnation: 5, Start: 7, Address: "A"}, Claim{Raise: 6, Old: true}},
-		{"somebody else", Record{Name: "a", Incarnation: 8, Start: 7, Address: "X"}, Claim{Raise: 9, Old: true, Rival: "X"}},
-		{"an earlier one, elsewhere", Record{Name: "a", Incarnation: 3, Start: 7, Address: "X"}, Claim{Rival: "X"}},
-		{"an earlier one, elsewhere, that has left", Record{Name: "a", Incarnation: 3, Start: 7, Address: "X", Left: 3}, Claim{}},
+		{"another process", Record{Name: "a", Incarnation: 8, Start: 7, Address: "X"}, Claim{Raise: 9, Old: true, Rival: "X"}},
+		{"an earlier incarnation, at another address", Record{Name: "a", Incarnation: 3, Start: 7, Address: "X"}, Claim{Rival: "X"}},
+		{"an earlier incarnation, at another address, that has left", Record{Name: "a", Incarnation: 3, Start: 7, Address: "X", Left: 3}, Claim{}},
 		{"removed", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Removed: 5}, Claim{Raise: 6, Removed: 5}},
-		{"removed in a later life", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Removed: 6}, Claim{Raise: 7, Removed: 6, Old: true}},
-		{"it has left, in this life", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Left: 5}, Claim{Raise: 6, Old: true}},
+		{"removed in a later incarnation", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Removed: 6}, Claim{Raise: 7, Removed: 6, Old: true}},
+		{"it has left, in this incarnation", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Left: 5}, Claim{Raise: 6, Old: true}},
 		{"removed before", Record{Name: "a", Incarnation: 5, Start: 9, Address: "A", Removed: 4}, Claim{}},
 	} {
 		if got := NewTable(own, 0).ClaimFor(c.rec); got != c.want {
@@ -147,8 +147,8 @@
 	}
 }
 
-// A table is bounded: who is gone makes room, who is not stays.
-func TestATableIsBounded(t *testing.T) {
+// A table is bounded: departed members make room for new ones, the others stay.
+func TestTableIsBounded(t *testing.T) {
 	tab := NewTable(Record{Name: "self", Incarnation: 1}, 0)
 	name := func(i int) string {
 		return string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
@@ -164,9 +164,9 @@
 		t.Errorf("%d rows", n)
 	}
 	if tab.Refused == 0 {
-		t.Error("nobody was refused")
+		t.Error("no member was refused")
 	}
 	if m, ok := tab.Member(name(0)); !ok || m.State != Alive {
-		t.Error("one that is not gone was forgotten")
+		t.Error("a member that has not departed was deleted")
 	}
 }
--- a/internal/deliverynode/group/core_test.go
+++ b/internal/deliverynode/group/core_test.go
@@ -10,23 +10,23 @@
 )
 
 // machine is a small model of a machine: processes that are members, the kernel's locks,
-// the folder, and messages on their way. All decisions are those of the real code.
+// the group's directory, and messages in flight. The decisions are made by the code under test.
 type machine struct {
 	now      time.Duration
 	procs    []*proc
 	views    []View // on disk, in the order of writing
 	term     int    // of the last coordinator
-	lead     *proc  // that has the coordinator's lock of that term; nil when it is free
+	lead     *proc  // the process that holds the lock of that term; nil if it is free
 	inFlight []message
-	torn     bool // the last view was torn when its writer died
+	torn     bool // the last view was torn when its writer was killed
 	next     int
-	// What each process had in force, and used at once, at each moment so far.
+	// What each process had in force, and what it used of that, after each step so far.
 	force, used [][maxProcs]int16
 }
 
 const maxProcs = 6
 
-// window stands for the module's wide window.
+// window models the policy's wide window, after which a member uses all of its share.
 const window = 2 * LeaseTime
 
 type proc struct {
@@ -36,7 +36,7 @@
 	term    int
 	stopped bool
 	dead    bool
-	// As the module has it: what is used, and was before the last change; and what it was told.
+	// As in the policy: the parts in use, those in use before the last change, and the share last notified.
 	use, had, notified int
 	since              time.Duration
 }
@@ -47,7 +47,7 @@
 	hello *Hello
 }
 
-// start starts a process, if there is room.
+// start starts a process unless the maximum is reached.
 func (m *machine) start() {
 	alive := 0
 	for _, p := range m.procs {
@@ -69,25 +69,25 @@
 	}
 }
 
-// heartbeat is what a process does when its time comes: lead if nobody does, look at the
-// locks, share, and say hello.
+// heartbeat does what a process does at each interval: take over if there is no leader, check the
+// locks, grant the shares, and send a hello.
 func (m *machine) heartbeat(p *proc) {
 	if p.dead || p.stopped {
 		return
 	}
 	if leaderless := p.member.Tick(m.now); m.lead == nil || leaderless && m.lead != p {
 		m.term++
-		told := m.views[max(0, len(m.views)-2):]
+		storedViews := m.views[max(0, len(m.views)-2):]
 		epoch := uint64(m.term) << 32
-		if m.torn { // its name has the epoch still
+		if m.torn { // its file name still has the epoch
 			epoch = max(epoch, m.views[len(m.views)-1].Epoch)
-			told = told[:len(told)-1]
+			storedViews = storedViews[:len(storedViews)-1]
 		}
-		p.lead, p.term = NewCoordinator(m.now, told, epoch, m.torn), m.term
+		p.lead, p.term = NewCoordinator(m.now, storedViews, epoch, m.torn), m.term
 		m.lead, m.torn = p, false
 	}
 	if p.lead != nil && p.term < m.term {
-		p.lead = nil // another took over meanwhile
+		p.lead = nil // another process has taken over
 	}
 	if c := p.lead; c != nil {
 		for _, o := range m.procs {
@@ -113,7 +113,7 @@
 	}
 }
 
-// deliver lets a message arrive, late or out of turn.
+// deliver delivers one message, which may be late or out of order.
 func (m *machine) deliver(i int) {
 	msg := m.inFlight[i]
 	m.inFlight = slices.Delete(m.inFlight, i, i+1)
@@ -126,8 +126,8 @@
 	}
 }
 
-// check is what has to hold at every moment: also a member that is stopped may be about
-// to send, and one that has died may have sent just now.
+// check checks the invariants after each step. A stopped member counts, because it may be about to send. A killed
+// one may have sent just before: checkRegained counts what it had until then.
 func (m *machine) check(t *testing.T, trail []string) {
 	t.Helper()
 	sum := 0
@@ -147,8 +147,8 @@
 	}
 }
 
-// checkRetained follows what each process uses at once of what it is told that it kept: nobody else may
-// have had any of that since it last used as much.
+// checkRetained models the parts that each process uses immediately because its lease says that it kept
+// them: no other process may have had any of these since it last used as many.
 func (m *machine) checkRetained(t *testing.T, trail []string) {
 	t.Helper()
 	var force, used [maxProcs]int16
@@ -172,7 +172,7 @@
 		if parts != p.notified || p.stopped {
 			p.since = m.now
 		}
-		if parts > 0 && m.now-p.since >= window { // it has waited for what it got
+		if parts > 0 && m.now-p.since >= window { // it has waited for a window before using the new parts
 			p.use, p.had = parts, parts
 		}
 		used[i] = int16(min(p.use, parts))
@@ -190,15 +190,15 @@
 			}
 		}
 		if others+parts > Whole {
-			t.Fatalf("%s takes %d parts up again; others have had %d since: %v", m.procs[who].id, parts, others, trail)
+			t.Fatalf("%s uses %d parts again; others have had %d since: %v", m.procs[who].id, parts, others, trail)
 		}
 		if at == 0 {
-			t.Fatalf("%s takes %d parts up that it never had: %v", m.procs[who].id, parts, trail)
+			t.Fatalf("%s uses %d parts that it never had: %v", m.procs[who].id, parts, trail)
 		}
 	}
 }
 
-// step does one of the things that may happen.
+// step plays one event, which what selects.
 func (m *machine) step(what int) string {
 	n := max(1, len(m.procs))
 	kind, of := what%8, what/8
@@ -235,10 +235,10 @@
 	return "beat " + string(p.id)
 }
 
-// Every way in which a few processes start, die, stop, go on, beat and hear of each other:
-// the shares in force never come to more than one node's.
+// In every order of starts, kills, stops, resumes, heartbeats and deliveries among a few processes,
+// the shares in force never exceed one node.
 func TestSharesInForceNeverExceedOneNode(t *testing.T) {
-	t.Run("each way of six steps", func(t *testing.T) {
+	t.Run("every order of six steps", func(t *testing.T) {
 		steps := []int{0, 1, 2, 4, 6, 7, 15, 20} // the first and second process, a short and a long wait
 		var walk func(trail []int)
 		walk = func(trail []int) {
@@ -257,7 +257,7 @@
 		}
 		walk(nil)
 	})
-	t.Run("long ones at random", func(t *testing.T) {
+	t.Run("random long orders", func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		used := 0
 		for range 3000 {
@@ -280,8 +280,8 @@
 	})
 }
 
-// Members that keep in touch come to use all of the node, with each number of them.
-func TestSharesAddUpToTheWholeNode(t *testing.T) {
+// Members that exchange messages regularly use all of the node together, for every number of members.
+func TestSharesAddUpToOneNode(t *testing.T) {
 	for n := 1; n <= 3; n++ {
 		m := &machine{}
 		for range n {
@@ -304,9 +304,9 @@
 	}
 }
 
-// The rest takes over from a coordinator that is stopped, and that does no harm when it
-// goes on; a member that has died gives its share back.
-func TestStuckCoordinator(t *testing.T) {
+// A stopped coordinator is replaced and causes no conflict when it resumes. The share of a killed member
+// goes to the others.
+func TestStoppedCoordinatorIsReplaced(t *testing.T) {
 	m := &machine{}
 	m.start()
 	m.start()
@@ -314,12 +314,12 @@
 	run(4 * LeaseTime)
 	first, second := m.procs[0], m.procs[1]
 	if m.lead != first {
-		t.Fatal("the first one does not lead")
+		t.Fatal("the first process is not the coordinator")
 	}
 	first.stopped = true
 	run(8 * LeaseTime)
 	if m.lead != second || second.member.Parts(m.now) != Whole || first.member.Parts(m.now) != 0 {
-		t.Errorf("led by %s, which has %d parts; the one that is stopped has %d", m.lead.id, second.member.Parts(m.now), first.member.Parts(m.now))
+		t.Errorf("coordinator %s has %d parts; the stopped process has %d", m.lead.id, second.member.Parts(m.now), first.member.Parts(m.now))
 	}
 	first.stopped = false
 	run(8 * LeaseTime)
@@ -329,11 +329,11 @@
 	m.kill(second, true)
 	run(8 * LeaseTime)
 	if m.lead != first || first.member.Parts(m.now) != Whole {
-		t.Errorf("%d parts after the other one died, want all", first.member.Parts(m.now))
+		t.Errorf("%d parts after the other process was killed, want all", first.member.Parts(m.now))
 	}
 }
 
-// run lets all members beat and hear of each other for a time.
+// run plays heartbeats and deliveries of all members for a time.
 func (m *machine) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	for end := m.now + d; m.now < end; m.now += HeartbeatEvery {
@@ -347,8 +347,8 @@
 	}
 }
 
-// What is of another version, of an older epoch, or for somebody else is refused.
-func TestLeasesOfAnotherVersionEpochOrMemberAreRefused(t *testing.T) {
+// Leases and hellos of another version or an older epoch, and leases for another member, are rejected.
+func TestLeasesOfAnotherVersionEpochOrMemberAreRejected(t *testing.T) {
 	m := NewMember("a")
 	if err := m.Receive(0, Lease{Version: Version, Epoch: 5, Member: "a", Parts: 3, Until: time.Hour}); err != nil {
 		t.Fatal(err)
@@ -365,7 +365,7 @@
 		}
 	}
 	if err := m.Receive(0, Lease{Version: Version, Epoch: 9, Member: "b"}); err == nil {
-		t.Error("another's lease was taken")
+		t.Error("a lease for another member was accepted")
 	}
 	c := NewCoordinator(0, []View{{Epoch: 7}}, 0, false)
 	if err := c.Receive(0, Hello{Version: Version + 1, Member: "a"}); !errors.Is(err, ErrVersion) {
@@ -380,18 +380,18 @@
 		}
 	}
 	if err := c.Receive(0, Hello{Version: Version, Member: "one more"}); !errors.Is(err, ErrFull) {
-		t.Errorf("%v, want that it is full", err)
+		t.Errorf("%v, want ErrFull", err)
 	}
 	for n := range MaxMembers {
 		if Whole%(n+1) != 0 {
-			t.Errorf("%d parts are not shared evenly among %d", Whole, n+1)
+			t.Errorf("%d parts are not divisible by %d", Whole, n+1)
 		}
 	}
 }
 
-// A coordinator that dies or is stopped costs nobody what it kept, and one that joins gets
-// nothing of it at once.
-func TestMembersKeepTheirShareOverANewCoordinator(t *testing.T) {
+// When the coordinator is killed or a member is stopped briefly, the others keep using their shares. A member
+// that joins does not use its share immediately.
+func TestMembersKeepTheirShareUnderANewCoordinator(t *testing.T) {
 	m := &machine{}
 	m.start()
 	m.start()
@@ -410,24 +410,24 @@
 	m.kill(first, false)
 	run(HeartbeatEvery)
 	if second.use != Whole/2 || second.member.Parts(m.now) != Whole/2 {
-		t.Errorf("%d parts in use when the coordinator has died, want half", second.use)
+		t.Errorf("%d parts in use after the coordinator was killed, want half", second.use)
 	}
 	run(2 * LeaseTime)
 	if second.use != Whole/2 || second.member.Parts(m.now) != Whole {
-		t.Errorf("%d of %d parts in use, want half of all: the rest was the dead one's", second.use, second.member.Parts(m.now))
+		t.Errorf("%d of %d parts in use, want half of all: the rest was the killed process's", second.use, second.member.Parts(m.now))
 	}
 	second.use, second.had = Whole, Whole // a window later
 	m.check(t, nil)
 	m.start()
 	run(2 * LeaseTime)
 	if third := m.procs[2]; third.use != 0 || third.member.Parts(m.now) != Whole/2 || second.use != Whole/2 {
-		t.Errorf("%d of %d parts in use by one that has joined", third.use, third.member.Parts(m.now))
+		t.Errorf("%d of %d parts in use by the new member", third.use, third.member.Parts(m.now))
 	}
 }
 
-// What others were given meanwhile is not kept: neither where that is known, nor where the last
-// view is torn and it may be.
-func TestShareGivenToOthersIsNotKept(t *testing.T) {
+// A lease does not count parts as kept that were granted to others meanwhile, or that may have been because
+// the last view is torn.
+func TestShareGrantedToOthersIsNotKept(t *testing.T) {
 	now, c := time.Duration(0), NewCoordinator(0, nil, 0, false)
 	leases := func(hello ...ID) map[ID]Lease {
 		t.Helper()
@@ -447,7 +447,7 @@
 		leases("a", "b")
 		now += HeartbeatEvery
 	}
-	told := c.view
+	stored := c.view
 	if l := leases("a", "b"); l["b"].Parts != Whole/2 || l["b"].Kept != Whole/2 {
 		t.Fatalf("%+v", l)
 	}
@@ -458,14 +458,14 @@
 	if l := leases("a"); l["a"].Parts != Whole {
 		t.Fatalf("%+v", l)
 	}
-	c.MarkDead("a") // just when b goes on
+	c.MarkDead("a") // just as b resumes
 	now += LeaseTime
 	if l := leases("b"); l["b"].Parts != Whole || l["b"].Kept != 0 {
-		t.Errorf("it kept what a has had: %+v", l)
+		t.Errorf("b kept parts that a has had: %+v", l)
 	}
 	for _, torn := range []bool{false, true} {
-		c = NewCoordinator(now, []View{told}, 1<<40, torn)
-		now += LeaseTime // in which everything may be in use
+		c = NewCoordinator(now, []View{stored}, 1<<40, torn)
+		now += LeaseTime // while all parts may be in use
 		want := Whole / 2
 		if torn {
 			want = 0
--- a/internal/deliverynode/group/golden_test.go
+++ b/internal/deliverynode/group/golden_test.go
@@ -20,7 +20,7 @@
 	}, func(text []byte, v *T) error { return readFrame(bytes.NewReader(text), v, maxMessage) })
 }
 
-// Bytes of every message between processes, written by an earlier version, mean the same and are written again.
+// Every message between processes that an earlier version has encoded is decoded to the same value and encoded to the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	goldenFrame[request](t, "request")
 	goldenFrame[Hello](t, "hello")
@@ -28,7 +28,7 @@
 	golden.JSON[View](t, "view.json")
 }
 
-// A reply is apart from the other messages: without a body it is read back as it was, but not with the zero version.
+// The reply is tested separately: its golden file without a body has the current version, not version zero.
 func TestGoldenReply(t *testing.T) {
 	var b bytes.Buffer
 	want := golden.Filled[reply]()
--- a/internal/deliverynode/group/group_test.go
+++ b/internal/deliverynode/group/group_test.go
@@ -19,7 +19,7 @@
 
 const waitTimeout = 20 * time.Second
 
-// TestMain lets the test binary be a member, so that tests can stop and kill real ones.
+// TestMain runs the test binary as a member if GROUP_TEST_DIR is set, so that tests can stop and kill real processes.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("GROUP_TEST_DIR"); dir != "" {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -30,7 +30,7 @@
 			os.Exit(1)
 		}
 		fmt.Println("id", g.ID(), 0)
-		go func() { // it leaves when its input ends
+		go func() { // leaves when stdin is closed
 			_, _ = io.Copy(io.Discard, os.Stdin)
 			cancel()
 		}()
@@ -50,7 +50,7 @@
 	}
 }
 
-// child is a member in a process of its own.
+// child is a member running in its own process.
 type child struct {
 	cmd   *exec.Cmd
 	in    io.Closer
@@ -78,7 +78,7 @@
 	line := c.next(t)
 	id, ok := strings.CutPrefix(line, "id ")
 	if !ok {
-		t.Fatalf("said %q", line)
+		t.Fatalf("first line of output is %q", line)
 	}
 	c.id = ID(strings.Fields(id)[0])
 	return c
@@ -90,12 +90,12 @@
 	case line := <-c.lines:
 		return line
 	case <-time.After(waitTimeout):
-		t.Fatalf("%s says nothing more", c.id)
+		t.Fatalf("no further output from %s", c.id)
 		return ""
 	}
 }
 
-// waitForShare waits until a member has so many parts.
+// waitForShare waits until a member has the given number of parts.
 func (c *child) waitForShare(t *testing.T, parts int) {
 	t.Helper()
 	want := fmt.Sprintf("share %d ", parts)
@@ -111,10 +111,10 @@
 	must(t, c.cmd.Process.Signal(s))
 }
 
-// Real processes join at one instant, die, stand still and leave; the others come to share
-// out what is left, and in the end nothing lies around.
+// Real processes join at the same time, are stopped and killed, and leave. The others take over their
+// shares, and no files are left at the end.
 func TestRealMembers(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("deep", 30)) // longer than a socket's address may be
+	dir := filepath.Join(t.TempDir(), strings.Repeat("deep", 30)) // longer than a socket path may be
 	must(t, os.Mkdir(dir, 0o700))
 	dir = filepath.Join(dir, "group")
 	var all []*child
@@ -134,26 +134,26 @@
 				return c
 			}
 		}
-		t.Fatalf("led by %s", id)
+		t.Fatalf("unknown coordinator %s", id)
 		return nil
 	}
-	others := func(but *child) (rest []*child) {
+	others := func(excluded *child) (rest []*child) {
 		for _, c := range all {
-			if c != but {
+			if c != excluded {
 				rest = append(rest, c)
 			}
 		}
 		return rest
 	}
-	stuck := leader()
-	stuck.signal(t, syscall.SIGSTOP)
-	for _, c := range others(stuck) { // another leads, and what it had is shared out
+	stopped := leader()
+	stopped.signal(t, syscall.SIGSTOP)
+	for _, c := range others(stopped) { // another member coordinates, and its share is divided among the others
 		c.waitForShare(t, Whole/2)
 	}
-	if leader() == stuck {
-		t.Error("it leads still")
+	if leader() == stopped {
+		t.Error("the stopped member is still the coordinator")
 	}
-	stuck.signal(t, syscall.SIGCONT)
+	stopped.signal(t, syscall.SIGCONT)
 	for _, c := range all {
 		c.waitForShare(t, Whole/3)
 	}
@@ -181,8 +181,8 @@
 	}
 }
 
-// All members die at once, their last view is torn, foreign files lie around: the next one
-// goes on above every epoch, and has all after one lease.
+// All members are killed at once, their last view is torn, and the directory has foreign files: the next
+// member continues with a higher epoch, and has the whole node after one lease time.
 func TestGroupResumesAfterAllDied(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "group")
 	a := startChild(t, dir)
@@ -208,8 +208,8 @@
 	}
 }
 
-// Whoever connects and says nothing, or nonsense, or too much, keeps nobody out.
-func TestStrangersAtTheSocket(t *testing.T) {
+// Connections that send nothing, garbage or an excessive length do not prevent other members from joining.
+func TestInvalidConnectionsDoNotBlockMembers(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "group")
 	a := startChild(t, dir)
 	a.waitForShare(t, Whole)
@@ -230,22 +230,22 @@
 	b.waitForShare(t, Whole/2)
 }
 
-// A view of a newer version, and a folder that can't be written, end a start with a line.
+// Join fails on a view of a newer version and on a directory that cannot be created.
 func TestJoinIsRefused(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "group")
 	must(t, os.Mkdir(dir, 0o700))
 	must(t, folder(dir).writeView(View{Version: Version + 1, Epoch: 3}))
 	if _, err := Join(Config{Dir: dir, Clock: Clock}); !errors.Is(err, ErrVersion) {
-		t.Errorf("%v, want that it is of another version", err)
+		t.Errorf("%v, want ErrVersion", err)
 	}
 	plain := filepath.Join(t.TempDir(), "plain")
 	must(t, os.WriteFile(plain, nil, 0o600))
 	if _, err := Join(Config{Dir: filepath.Join(plain, "group"), Clock: Clock}); err == nil {
-		t.Error("joined in a folder that can't be there")
+		t.Error("joined in a directory that cannot be created")
 	}
 }
 
-// A view is whole or not there: each byte that is spoilt or missing shows.
+// A view with any changed or missing byte is detected as torn.
 func TestTornViews(t *testing.T) {
 	d := folder(t.TempDir())
 	v := View{Version: Version, Epoch: 0x17, Shares: []Share{{"a", 420, 0}, {"b", 420, 420}}}
@@ -254,9 +254,9 @@
 	data, err := os.ReadFile(path)
 	must(t, err)
 	for i := range data {
-		spoilt := append([]byte(nil), data...)
-		spoilt[i] ^= 4
-		for _, b := range [][]byte{spoilt, data[:i]} {
+		corrupt := append([]byte(nil), data...)
+		corrupt[i] ^= 4
+		for _, b := range [][]byte{corrupt, data[:i]} {
 			must(t, os.WriteFile(path, b, 0o600))
 			if views, epoch, torn, err := d.views(); err != nil || !torn || len(views) != 0 || epoch != v.Epoch {
 				t.Errorf("byte %d: %v, epoch %d, torn %v, %v", i, views, epoch, torn, err)
@@ -265,10 +265,10 @@
 	}
 }
 
-// Messages are no longer than they may be, however long they say they are.
+// Messages over the size limit are not written, and malformed or overlong ones are not read.
 func TestFramesAreBounded(t *testing.T) {
 	if err := writeFrame(io.Discard, strings.Repeat("x", maxFrame), maxFrame); err == nil {
-		t.Error("a message that is too long was written")
+		t.Error("a message over the size limit was written")
 	}
 	for _, b := range []string{"", "\x01", "\x00\x00\x00\x00", "\xff\xff\xff\x7f{}", "\x05\x00\x00\x00{}", "\x02\x00\x00\x00{{"} {
 		var h Hello
--- a/internal/deliverynode/group/messages_test.go
+++ b/internal/deliverynode/group/messages_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// testMember is a member in this process that keeps what it hears.
+// testMember is a member in this process that records the notifications it receives.
 type testMember struct {
 	*Group
 	received chan Message
@@ -50,7 +50,7 @@
 	return k
 }
 
-// waitForPeers waits until a member has a queue for so many others.
+// waitForPeers waits until a member has queues for n others.
 func (k *testMember) waitForPeers(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
@@ -61,7 +61,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d others, want %d", have, n)
+			t.Fatalf("%d peers, want %d", have, n)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	case m := <-k.received:
 		return m
 	case <-time.After(waitTimeout):
-		t.Fatal("nothing was heard")
+		t.Fatal("no notification received")
 		return Message{}
 	}
 }
@@ -84,13 +84,13 @@
 	must(t, a.Notify("wait", "e1", 7))
 	for _, k := range []*testMember{b, c} {
 		if m := k.next(t); m.From != a.ID() || m.Kind != "wait" || m.Key != "e1" || string(m.Body) != "7" || m.At <= 0 {
-			t.Errorf("heard %+v", m)
+			t.Errorf("received %+v", m)
 		}
 	}
 	if len(a.received) > 0 {
-		t.Error("it told itself")
+		t.Error("a member notified itself")
 	}
-	// In order, and after one has left the others hear on.
+	// Notifications arrive in order, also after a member has left.
 	c.stop()
 	a.waitForPeers(t, 1)
 	for i := range 100 {
@@ -98,20 +98,21 @@
 	}
 	for i := range 100 {
 		if m := b.next(t); string(m.Body) != fmt.Sprint(i) {
-			t.Fatalf("heard %s as the %dth", m.Body, i)
+			t.Fatalf("received %s as notification %d", m.Body, i)
 		}
 	}
 }
 
-// TestAMemberThatDoesNotListen blocks nobody and is told the newest when it does.
-func TestAMemberThatDoesNotListen(t *testing.T) {
+// A member that does not process notifications does not block the sender, and gets the newest one once it
+// processes them again.
+func TestUnresponsiveMemberDoesNotBlockSender(t *testing.T) {
 	dir := t.TempDir()
-	deaf := make(chan struct{})
+	unblock := make(chan struct{})
 	b := joinInProcess(t, dir, nil)
-	hear := b.cfg.Hear
+	handle := b.cfg.Hear
 	b.cfg.Hear = func(m Message, asked bool) (any, error) {
-		<-deaf
-		return hear(m, asked)
+		<-unblock
+		return handle(m, asked)
 	}
 	a := joinInProcess(t, dir, nil)
 	a.waitForPeers(t, 1)
@@ -121,9 +122,9 @@
 	}
 	s := a.Status()
 	if s.Queued > maxQueued || s.Dropped == 0 {
-		t.Errorf("%d wait, %d were dropped", s.Queued, s.Dropped)
+		t.Errorf("%d are queued, %d were dropped", s.Queued, s.Dropped)
 	}
-	close(deaf)
+	close(unblock)
 	for {
 		m := b.next(t)
 		if m.Kind == "list" && string(m.Body) == "4999" {
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestAListenerIsHandedOn: the second accepts what was sent to the first, also when that is gone.
-func TestAListenerIsHandedOn(t *testing.T) {
+// A member that gets another one's listener accepts its connections, also after the other has closed it.
+func TestListenerIsPassedToAnotherMember(t *testing.T) {
 	dir := t.TempDir()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
@@ -195,7 +196,8 @@
 	}
 }
 
-// TestMalformedMessagesAreDropped: peers that say nothing, half a message, rubbish, or one of another version.
+// Connections that send nothing, an incomplete message or garbage, and messages of another version, do not affect
+// other members.
 func TestMalformedMessagesAreDropped(t *testing.T) {
 	dir := t.TempDir()
 	a, b := joinInProcess(t, dir, nil), joinInProcess(t, dir, nil)
@@ -209,17 +211,17 @@
 		}
 	}
 	if _, err := b.exchange(t.Context(), a.ID(), request{Version: Version + 1, Hello: &Hello{}}, fileTimeout); err == nil ||
-		!strings.Contains(err.Error(), "another version") {
+		!strings.Contains(err.Error(), "unsupported version") {
 		t.Error(err)
 	}
 	b.waitForPeers(t, 1)
 	must(t, b.Notify("still", "", 1))
 	if m := a.next(t); m.Kind != "still" {
-		t.Errorf("heard %+v", m)
+		t.Errorf("received %+v", m)
 	}
 }
 
-// TestNewMembersAreReported: who was there before is told of each that comes, after which it hears what is told.
+// Met is called for each member that joins, and notifications sent after that reach the new member.
 func TestNewMembersAreReported(t *testing.T) {
 	dir := t.TempDir()
 	var a *testMember
@@ -230,24 +232,24 @@
 		select {
 		case <-met:
 		case <-time.After(waitTimeout):
-			t.Fatal("nobody was met")
+			t.Fatal("Met was not called")
 		}
 		must(t, a.NotifyAt(7, "list", "", 1))
 		if m := b.next(t); m.Kind != "list" || m.At != 7 {
-			t.Errorf("heard %+v", m)
+			t.Errorf("received %+v", m)
 		}
 		b.stop()
 		a.waitForPeers(t, 0)
 	}
 }
 
-// lateContext ends and does not begin to call what is to be called then.
+// lateContext is a context that never runs the functions registered with AfterFunc.
 type lateContext struct{ context.Context }
 
 func (lateContext) AfterFunc(func()) func() bool { return func() bool { return true } }
 func (lateContext) Value(any) any                { return nil }
 
-// TestLeavingEndsPendingRequests: what waits for others to ask is ended by the leaving itself.
+// Leaving itself closes the listener, so that Run does not wait forever for the goroutine in Accept.
 func TestLeavingEndsPendingRequests(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	g, err := Join(Config{Dir: t.TempDir(), Clock: Clock, Log: slog.New(slog.DiscardHandler), Share: func(int, int) { cancel() }})
@@ -258,6 +260,6 @@
 	case err := <-ended:
 		must(t, err)
 	case <-time.After(waitTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("Run does not return")
 	}
 }
