--- a/internal/deliverynode/fleet/config.go
+++ b/internal/deliverynode/fleet/config.go
@@ -145,7 +145,7 @@
 // failures than one voter fewer.
 func CheckVoters(names []string) error {
 	if n := len(names); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("%d voters: the number has to be 1, 3 or 5", n)
+		return fmt.Errorf("%d voters: 1, 3 or 5 are required", n)
 	}
 	for i, name := range names {
 		if slices.Contains(names[:i], name) {
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -198,13 +198,13 @@
 	}
 	for round := range 4 {
 		w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1, 2) })
-		var asked sync.WaitGroup
+		var requests sync.WaitGroup
 		for i := range 3 {
 			for j := range 3 {
 				if i == j {
 					continue
 				}
-				asked.Go(func() {
+				requests.Go(func() {
 					for k := range 20 {
 						if err := w.nodes[i].Tell(w.nodes[j].name, "k", strconv.Itoa(k), nil); err != nil {
 							t.Error(err)
@@ -217,7 +217,7 @@
 				})
 			}
 		}
-		asked.Wait()
+		requests.Wait()
 		w.end(round%3, round%2 == 0)
 		w.start(round%3, serve)
 	}
--- a/internal/deliverynode/fleet/fleettest/fleettest_test.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest_test.go
@@ -15,9 +15,9 @@
 func TestAStepAtATime(t *testing.T) {
 	w := New("a", "b", "c")
 	a, b := w.Node("a"), w.Node("b")
-	var heard []string
+	var received []string
 	b.OnNews("k", func(from fleet.Peer, key string, age time.Duration, body []byte) {
-		heard = append(heard, from.Name+key+string(body)+age.String())
+		received = append(received, from.Name+key+string(body)+age.String())
 	})
 	handled := 0
 	b.OnAsk("q", func(_ context.Context, _ fleet.Peer, body []byte) ([]byte, error) {
@@ -42,8 +42,8 @@
 	if err := w.DeliverAll(5); err != nil {
 		t.Error(err)
 	}
-	if !slices.Equal(heard, []string{"ax21s", "ax21s"}) {
-		t.Error(heard)
+	if !slices.Equal(received, []string{"ax21s", "ax21s"}) {
+		t.Error(received)
 	}
 	for i, c := range []struct {
 		fate    Fate
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -308,7 +308,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					w := simulated(t, 2, 1)
 					var handled sync.Map
-					var heard atomic.Int64
+					var received atomic.Int64
 					w.start(0)
 					w.start(1, func(f *fleet.Fleet) {
 						f.OnAsk("q", func(_ context.Context, from fleet.Peer, body []byte) ([]byte, error) {
@@ -321,7 +321,7 @@
 						})
 						f.OnNews("k", func(_ fleet.Peer, _ string, _ time.Duration, body []byte) {
 							v, _ := strconv.ParseInt(string(body), 10, 64)
-							heard.Store(v)
+							received.Store(v)
 						})
 					})
 					w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1) })
@@ -334,14 +334,14 @@
 						t.Fatal(err)
 					}
 					w.net.Set(from, to, c.fault)
-					var asked sync.WaitGroup
+					var requests sync.WaitGroup
 					var mu sync.Mutex
 					outcomes := map[string]int{}
 					for i := range 60 {
 						if err := f.Tell("n001", "k", "x", []byte(strconv.Itoa(i))); err != nil {
 							t.Error(err)
 						}
-						asked.Go(func() {
+						requests.Go(func() {
 							ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 							defer cancel()
 							id := strconv.Itoa(i)
@@ -380,10 +380,10 @@
 						})
 						time.Sleep(200 * time.Millisecond)
 					}
-					asked.Wait()
+					requests.Wait()
 					t.Log(outcomes)
 					w.net.Heal()
-					w.await(convergenceTimeout, "the last update", func() bool { return heard.Load() == 59 })
+					w.await(convergenceTimeout, "the last update", func() bool { return received.Load() == 59 })
 					handled.Range(func(id, n any) bool {
 						if n := n.(*atomic.Int64).Load(); n > 1 {
 							t.Errorf("%s was handled %d times", id, n)
@@ -408,17 +408,17 @@
 			}
 			w.await(convergenceTimeout, "a fleet", func() bool { return w.converged(0, 1) })
 			w.net.Apply(faults.Pattern{What: faults.All, Fault: faults.Fault{Delay: delay}})
-			var asked sync.WaitGroup
+			var requests sync.WaitGroup
 			for i := range 2 {
 				for range 20 {
-					asked.Go(func() {
+					requests.Go(func() {
 						if _, err := w.nodes[i].Ask(t.Context(), w.nodes[1-i].name, "q", nil); err != nil {
 							t.Error(err)
 						}
 					})
 				}
 			}
-			asked.Wait()
+			requests.Wait()
 			// Well before an idle link is closed. Gossip opens further connections occasionally.
 			w.await(convergenceTimeout, "one connection", func() bool {
 				return w.nodes[0].Status().Traffic.Connections == 1 && w.nodes[1].Status().Traffic.Connections == 1
--- a/internal/deliverynode/fleet/table_test.go
+++ b/internal/deliverynode/fleet/table_test.go
@@ -12,8 +12,8 @@
 	for inc := range uint64(3) {
 		for start := range uint64(2) {
 			for _, address := range []string{"x", "y"} {
-				for word := range uint64(9) {
-					all = append(all, Record{"a", inc, start, address, word % 3, word / 3})
+				for departed := range uint64(9) {
+					all = append(all, Record{"a", inc, start, address, departed % 3, departed / 3})
 				}
 			}
 		}
