--- a/internal/deliverynode/fleet/config.go
+++ b/internal/deliverynode/fleet/config.go
@@ -1,8 +1,7 @@
 // Package fleet is the membership of delivery nodes and the links between them. docs/fleet.md describes it.
 //
 // The decisions are made by types without clock, goroutine or socket: Table has the members, peer the messages in flight
-// to one other member. Fleet runs them over sockets, timers and memberlist. It imports internal/deliverynode/journal only
-// for the file system abstraction.
+// to one other member. Fleet runs them over sockets, timers and memberlist. Files are accessed through internal/platform/vfs.
 package fleet
 
 import (
--- a/internal/deliverynode/fleet/gossip.go
+++ b/internal/deliverynode/fleet/gossip.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// probeInterval and probeTime are memberlist's values for a local network: a failure is detected after
+	// probeInterval and probeTimeout are memberlist's values for a local network: a failure is detected after
 	// some seconds, and a node that is busy for one second is not yet suspected.
 	probeInterval  = time.Second
 	probeTimeout   = 500 * time.Millisecond
--- a/internal/deliverynode/fleet/link.go
+++ b/internal/deliverynode/fleet/link.go
@@ -328,7 +328,7 @@
 		}
 		l.mu.Unlock()
 		l.wakeUp()
-	case frameAsk:
+	case frameRequest:
 		l.handleRequest(conn, from, in)
 	case frameAck, frameAnswer:
 		l.mu.Lock()
--- a/internal/deliverynode/fleet/peer.go
+++ b/internal/deliverynode/fleet/peer.go
@@ -40,7 +40,7 @@
 	frameWelcome
 	frameUpdate
 	frameAck
-	frameAsk
+	frameRequest
 	frameAnswer
 )
 
@@ -80,7 +80,7 @@
 	pending      map[string]*pending
 	order        []string // keys of pending, oldest first
 	requests     []*request
-	requestsByID map[uint64]*request // all of asks
+	requestsByID map[uint64]*request // all of requests, by ID
 	bytes        int
 	lastID       uint64
 	up           bool
@@ -159,7 +159,7 @@
 	for _, q := range p.requests {
 		if !q.sent && q.deadline > now {
 			q.sent = true
-			return frame{Type: frameAsk, ID: q.id, Kind: q.kind, Body: q.body, Age: q.deadline - now}, true
+			return frame{Type: frameRequest, ID: q.id, Kind: q.kind, Body: q.body, Age: q.deadline - now}, true
 		}
 	}
 	for _, k := range p.order {
--- a/internal/deliverynode/fleet/peer_test.go
+++ b/internal/deliverynode/fleet/peer_test.go
@@ -61,7 +61,7 @@
 		}
 		f := m.wire[0]
 		m.wire = m.wire[1:]
-		if f.Type == frameAsk {
+		if f.Type == frameRequest {
 			m.handled[string(f.Body)]++
 			m.back = append(m.back, frame{Type: frameAnswer, ID: f.ID})
 		} else {
