--- a/internal/deliverynode/fleet/fleettest/fleettest_test.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest_test.go
@@ -12,7 +12,7 @@
 )
 
 // The simulated fleet must deliver updates and requests as docs/fleet.md describes.
-func TestAStepAtATime(t *testing.T) {
+func TestSimulatedFleet(t *testing.T) {
 	w := New("a", "b", "c")
 	a, b := w.Node("a"), w.Node("b")
 	var received []string
