--- a/cmd/dunetide/audit.go
+++ b/cmd/dunetide/audit.go
@@ -15,8 +15,8 @@
 	Within time.Duration `default:"2s" help:"The time in which a withdrawal is in force everywhere: drain_ms of the deployment. 0: not checked."`
 }
 
-// Run implements the command: it prints a summary of the runs and the problems of the files and the
-// runs.
+// Run implements the command: it prints a summary of the runs and the problems found in the files
+// and the runs.
 func (c auditCmd) Run() error {
 	r, err := audit.CheckFiles(c.Files, audit.CheckOptions{WithdrawalBound: c.Within})
 	if err != nil {
--- a/cmd/dunetide/batchcalls.go
+++ b/cmd/dunetide/batchcalls.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// batchCallTimeout is how long a call of the batch interface may take.
+	// batchCallTimeout bounds a call to the batch interface.
 	batchCallTimeout = 4 * time.Second
-	// maxBatchBody bounds such a call's body where no configuration does.
+	// maxBatchBody bounds the body of such a call if no configuration does.
 	maxBatchBody = 8 << 20
-	// batchAnswerTimeout is how long a client may take to read the answer to such a call.
+	// batchAnswerTimeout is how long a client may take to read the response to such a call.
 	batchAnswerTimeout = 15 * time.Second
-	// bodyBudgetRetryAfter is after how many seconds to retry a call for whose body there was no budget.
+	// bodyBudgetRetryAfter is the Retry-After, in seconds, of a call refused because the body budget is used up.
 	bodyBudgetRetryAfter = "0.5"
-	// spareItems are running beyond the share, so that none has to be requested when one ends.
+	// spareItems is how many items run beyond the share, so that none has to be requested when one ends.
 	spareItems = 2
 )
 
-// batchCalls is the batch interface of a proxy: it answers clients' calls about jobs and runs items.
+// batchCalls is the batch interface of a proxy: it serves clients' calls about jobs and runs items.
 type batchCalls struct {
 	jobs      *batch.Proxy
 	snapshots *snapshot.Latest
 	runner    *forwardRunner
-	bodies    *clientbody.Budget // shared with the requests of clients
-	stopped   atomic.Bool        // no more items are started
+	bodies    *clientbody.Budget // shared with clients' requests
+	stopped   atomic.Bool        // no new items are started
 }
 
-// newBatchCalls returns the batch interface of a proxy. Items run after setProxy.
+// newBatchCalls returns the batch interface of a proxy. No item runs before setProxy.
 func newBatchCalls(p *process, snapshots *snapshot.Latest, bodies *clientbody.Budget) *batchCalls {
 	b := &batchCalls{snapshots: snapshots, bodies: bodies, runner: &forwardRunner{snapshots: snapshots}}
 	b.jobs = batch.NewProxy(batch.ProxyOptions{
@@ -52,7 +52,7 @@
 func (b *batchCalls) setProxy(p *forward.Proxy) { b.runner.proxy.Store(p) }
 
 // applySnapshot applies a new snapshot: a proxy runs as many items as its share of the endpoints'
-// slots, and a few more.
+// slots, plus spareItems.
 func (b *batchCalls) applySnapshot(snap *snapshot.Snapshot) {
 	if !b.stopped.Load() {
 		b.jobs.SetMaxRunning(itemLimit(snap))
@@ -60,7 +60,7 @@
 	b.jobs.Refresh()
 }
 
-// itemLimit returns how many items a proxy runs at once.
+// itemLimit returns how many items a proxy may run at once.
 func itemLimit(snap *snapshot.Snapshot) int {
 	if snap.Config == nil {
 		return 0
@@ -92,17 +92,17 @@
 	return services
 }
 
-// stop starts no more items. Those that run go on.
+// stop prevents new items from starting. Running items continue.
 func (b *batchCalls) stop() {
 	b.stopped.Store(true)
 	b.jobs.SetMaxRunning(0)
 }
 
-// serveCall answers a client's call of the batch interface.
+// serveCall serves a client's call to the batch interface.
 func (b *batchCalls) serveCall(w http.ResponseWriter, r *http.Request, route *operatorconfig.Route) {
 	body, status := b.readBody(w, r, route)
 	if status != 0 {
-		w.Header().Set("Connection", "close") // what follows on it can't be told from the rest of the body
+		w.Header().Set("Connection", "close") // a next request can't be distinguished from the rest of the body
 		if status == http.StatusServiceUnavailable {
 			w.Header().Set("Retry-After", bodyBudgetRetryAfter)
 		}
@@ -121,7 +121,7 @@
 		Body:   body,
 	})
 	if a.Status == 0 {
-		panic(http.ErrAbortHandler) // nothing can be promised
+		panic(http.ErrAbortHandler) // closes the connection: the outcome of the call is unknown
 	}
 	if a.RetryAfter != "" {
 		w.Header().Set("Retry-After", a.RetryAfter)
@@ -129,14 +129,14 @@
 	if a.ContentType != "" {
 		w.Header().Set("Content-Type", a.ContentType)
 	}
-	// Without the deadline a client that doesn't read is waited for. One that has left needs no answer.
+	// A client that doesn't read must not block the handler. Errors are ignored: a disconnected client needs no response.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(batchAnswerTimeout))
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
 
-// readBody reads the complete body of a call, in the time that the client has. It returns 0, or the
-// status to refuse it with.
+// readBody reads the complete body of a call within the client's time limit. The status is 0, or the
+// HTTP status with which to refuse the call.
 func (b *batchCalls) readBody(
 	w http.ResponseWriter, r *http.Request, route *operatorconfig.Route,
 ) (body []byte, status int) {
@@ -157,7 +157,7 @@
 	return body, status
 }
 
-// earlier returns a time, or the end of a wait from now where that is sooner.
+// earlier returns the earlier of a time and the end of a wait that starts now.
 func earlier(at time.Time, wait time.Duration) time.Time {
 	if end := time.Now().Add(wait); end.Before(at) {
 		return end
--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -15,14 +15,15 @@
 	"dunetide/internal/control/certification"
 )
 
-// certifyCmd changes the certificates by calls to a keeper. docs/certified.md says what each promises.
+// certifyCmd reads and changes the certificates by calls to a keeper. docs/certified.md describes the
+// guarantees of each call.
 type certifyCmd struct {
 	Put      certifyPutCmd      `cmd:"" help:"Put a whole document of certificates in force."`
 	Get      certifyGetCmd      `cmd:"" help:"Write the newest document to standard output."`
 	Withdraw certifyWithdrawCmd `cmd:"" help:"Take the certificates of an endpoint away, at once."`
 }
 
-// keeperAddress is the flag of the keeper that is called.
+// keeperAddress is the flag with the address of the keeper to call.
 type keeperAddress struct {
 	Control string `required:"" help:"A keeper's control address (host:port)."`
 }
@@ -30,12 +31,12 @@
 const (
 	// certifyTimeout bounds a command with all its calls.
 	certifyTimeout = 10 * time.Second
-	// maxWithdrawAttempts is how often a withdrawal is tried, as another document may come between
-	// its read and its write.
+	// maxWithdrawAttempts bounds the attempts of a withdrawal. An attempt fails if another document
+	// is put between its read and its write.
 	maxWithdrawAttempts = 10
 )
 
-// readCertificates reads a document of certificates and checks it. It returns its bytes too.
+// readCertificates reads and checks a document of certificates. It also returns the raw bytes.
 func readCertificates(path string) (*certification.Set, []byte, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -48,10 +49,10 @@
 	return s, b, nil
 }
 
-// errVersionConflict is the error of a document that builds on another version than the newest.
+// errVersionConflict is the error for a document that is based on another version than the newest.
 var errVersionConflict = errors.New("another version is in place")
 
-// call makes a call about certificates and returns the status and the body of its answer.
+// call calls the certificates API and returns the status and the body of the response.
 func (k keeperAddress) call(ctx context.Context, method string, base uint64, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+k.Control+"/certificates", bytes.NewReader(body))
 	if err != nil {
@@ -63,7 +64,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, nil, fmt.Errorf("no clear answer from %s; repeat the same command, there or at another keeper: %w",
+		return 0, nil, fmt.Errorf("no valid response from %s, outcome unknown: repeat the same command there or at another keeper: %w",
 			k.Control, err)
 	}
 	defer resp.Body.Close()
@@ -85,12 +86,12 @@
 	return certification.Parse(b)
 }
 
-// responseError returns the error of an answer that is no success.
+// responseError returns the error for a response that is not a success.
 func responseError(status int, b []byte) error {
 	var answer struct {
 		Error string `json:"error"`
 	}
-	_ = json.Unmarshal(b, &answer) // an answer that is no keeper's is shown as it is
+	_ = json.Unmarshal(b, &answer) // a response in another format is shown as is
 	if answer.Error == "" {
 		answer.Error = string(b)
 	}
@@ -101,7 +102,7 @@
 	return err
 }
 
-// put puts a document in force that builds on a version, and prints what the keeper promises.
+// put puts a document in force that is based on a version, and prints the keeper's guarantee.
 func (k keeperAddress) put(ctx context.Context, base uint64, body []byte) error {
 	status, b, err := k.call(ctx, http.MethodPut, base, body)
 	if err != nil {
@@ -116,7 +117,7 @@
 		WithinMs int64  `json:"within_ms"`
 	}
 	if err := json.Unmarshal(b, &answer); err != nil {
-		return fmt.Errorf("the keeper's answer can't be read: %w", err)
+		return fmt.Errorf("can't parse the keeper's response: %w", err)
 	}
 	if answer.InForce {
 		fmt.Printf("version %d is in force at all processes that are in touch", answer.Version)
@@ -178,7 +179,7 @@
 	Regime   string `help:"Only this regime's; without it, all of the endpoint's."`
 }
 
-// Run implements the command. It starts again from the newest document if another one came between.
+// Run implements the command. It retries from the newest document if another one was put meanwhile.
 func (c certifyWithdrawCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), certifyTimeout)
 	defer cancel()
@@ -195,7 +196,7 @@
 			if attempt == 0 {
 				return fmt.Errorf("version %d has no such certificate of %s: see dunetide certify get", s.Version, c.Endpoint)
 			}
-			fmt.Printf("version %d, which came meanwhile, has none of %s\n", s.Version, c.Endpoint)
+			fmt.Printf("version %d, put meanwhile, has no such certificate of %s\n", s.Version, c.Endpoint)
 			return nil
 		}
 		body, err := json.MarshalIndent(next, "", "  ")
@@ -206,5 +207,5 @@
 			return err
 		}
 	}
-	return fmt.Errorf("other documents came between %d times: try again", maxWithdrawAttempts)
+	return fmt.Errorf("the certificates changed during each of %d attempts: try again", maxWithdrawAttempts)
 }
--- a/cmd/dunetide/check.go
+++ b/cmd/dunetide/check.go
@@ -9,7 +9,7 @@
 )
 
 // checkCmd checks files offline. Its commands print one line, or exit with status 2 and an error
-// that names the place.
+// that names the location.
 type checkCmd struct {
 	Settings     checkSettingsCmd     `cmd:"" help:"Check the settings file of a process."`
 	Config       checkConfigCmd       `cmd:"" help:"Check a configuration as an operator would send it."`
--- a/cmd/dunetide/condition.go
+++ b/cmd/dunetide/condition.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// conditionInterval is how often the condition of the process is reported. Keepers forget it
-	// after 5 s.
+	// conditionInterval is how often the condition of the process is reported. Keepers discard a
+	// report after 5 s.
 	conditionInterval = time.Second
-	// conditionTimeout bounds the answer of one keeper.
+	// conditionTimeout bounds the response of one keeper.
 	conditionTimeout = time.Second
 )
 
 // conditionSource returns the condition that prevents the process from working; empty if there is none.
 type conditionSource func() string
 
-// processCondition has the source in force. The zero value has none.
+// processCondition holds the current condition source. The zero value has none.
 type processCondition struct {
 	source atomic.Pointer[conditionSource]
 }
@@ -28,7 +28,7 @@
 func (c *processCondition) set(source conditionSource) { c.source.Store(&source) }
 func (c *processCondition) clear()                     { c.source.Store(nil) }
 
-// reason returns the condition now; empty if there is none.
+// reason returns the current condition; empty if there is none.
 func (c *processCondition) reason() string {
 	if source := c.source.Load(); source != nil {
 		return (*source)()
@@ -36,8 +36,8 @@
 	return ""
 }
 
-// startConditionReports reports the condition of the process to the keepers that membership and the
-// settings know, until the process is told to stop.
+// startConditionReports starts to report the condition of the process to the keepers known from
+// membership and the settings, until shutdown is requested.
 func (p *process) startConditionReports(role string, port int, members *members) {
 	self := controlclient.Node{
 		Name:        p.settings.NodeName,
@@ -57,7 +57,7 @@
 }
 
 // reportConditions reports the condition of the process to keepers while there is one, and once
-// when it has ended.
+// after it has cleared.
 func (p *process) reportConditions(node controlclient.Node, keepers func() []string) {
 	tick := time.NewTicker(conditionInterval)
 	defer tick.Stop()
@@ -76,7 +76,7 @@
 	}
 }
 
-// reportCondition reports a condition to the first keeper that answers. It reports whether one did.
+// reportCondition reports a condition to the first keeper that answers. It returns whether one did.
 func (p *process) reportCondition(condition controlclient.Condition, keepers []string) bool {
 	for _, addr := range keepers {
 		ctx, cancel := context.WithTimeout(p.ctx, conditionTimeout)
@@ -85,7 +85,7 @@
 		if err == nil {
 			return true
 		}
-		p.log.Debug("trouble not reported", "keeper", addr, "err", err)
+		p.log.Debug("condition not reported", "keeper", addr, "err", err)
 	}
 	return false
 }
--- a/cmd/dunetide/diskspace.go
+++ b/cmd/dunetide/diskspace.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// diskProbeInterval is how often a full disk is tried again.
+	// diskProbeInterval is how often a full disk is probed for free space.
 	diskProbeInterval = 500 * time.Millisecond
-	// diskProbeFile is written for that, and removed.
+	// diskProbeFile is the file that a probe writes and removes.
 	diskProbeFile = "room.probe"
-	// diskProbeBytes must fit before the disk is used again.
+	// diskProbeBytes is the free space that is required before the disk is used again.
 	diskProbeBytes = 1 << 20
-	// diskFullReason is the condition that operators see of a full disk, in the log and in the
+	// diskFullReason is the condition that operators see for a full disk, in the log and in the
 	// status of keepers.
 	diskFullReason = "disk is full: out of service until there is room"
 )
 
-// runWithDiskSpace runs f, and again once there is disk space whenever it ends because the disk is
-// full. Nothing of f may be left when it returns. If the process is told to stop meanwhile, it
-// returns nil.
+// runWithDiskSpace runs f. Each time f fails because the disk is full, it waits for free space and
+// runs f again, so f must have released all its resources when it returns. If shutdown is requested
+// during the wait, runWithDiskSpace returns nil.
 func (p *process) runWithDiskSpace(folder vfs.Folder, f func() error) error {
 	for {
 		err := f()
@@ -37,12 +37,12 @@
 			return nil
 		}
 		p.condition.clear()
-		p.log.Info("disk has room again")
+		p.log.Info("disk has free space again")
 	}
 }
 
-// awaitDiskSpace waits until a file of diskProbeBytes fits. It reports false if the process is told
-// to stop before.
+// awaitDiskSpace waits until a file of diskProbeBytes fits. It returns false if shutdown is requested
+// first.
 func (p *process) awaitDiskSpace(folder vfs.Folder) bool {
 	tick := time.NewTicker(diskProbeInterval)
 	defer tick.Stop()
--- a/cmd/dunetide/forwardrunner.go
+++ b/cmd/dunetide/forwardrunner.go
@@ -11,13 +11,13 @@
 	"dunetide/internal/proxy/forward"
 )
 
-// itemRetryAfter is after what time an item that no endpoint has run is tried again.
+// itemRetryAfter is the delay before an item that no endpoint has run is retried.
 const itemRetryAfter = 200 * time.Millisecond
 
-// forwardRunner runs items of batch jobs through the proxy, and so through its admission.
+// forwardRunner runs items of batch jobs through the proxy, including its admission control.
 type forwardRunner struct {
 	snapshots *snapshot.Latest
-	proxy     atomic.Pointer[forward.Proxy] // nil until the proxy is there
+	proxy     atomic.Pointer[forward.Proxy] // nil until setProxy
 }
 
 // Run sends one item to an endpoint of its route's service. It implements batch.Runner.
@@ -59,12 +59,12 @@
 	}
 }
 
-// notStarted returns the result of an item that no endpoint has run.
+// notStarted returns the result for an item that no endpoint has run.
 func notStarted() batch.RunResult {
 	return batch.RunResult{End: batch.RunNotStarted, RetryAfter: itemRetryAfter}
 }
 
-// routeByName returns a route of a configuration; nil if there is none of that name.
+// routeByName returns a route of a configuration; nil if none has that name.
 func routeByName(config *operatorconfig.Config, name string) *operatorconfig.Route {
 	for i := range config.Routes {
 		if config.Routes[i].Name == name {
--- a/cmd/dunetide/keeper.go
+++ b/cmd/dunetide/keeper.go
@@ -10,7 +10,7 @@
 // keeperCmd runs a keeper, a server of the control plane.
 type keeperCmd struct{}
 
-// Run serves the role until the process is told to stop.
+// Run serves the role until shutdown is requested.
 func (keeperCmd) Run(c *cli) error {
 	p, err := start(c, controlclient.RoleKeeper)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	p.startConditionReports(controlclient.RoleKeeper, keeperPort, members)
 	var folder vfs.Folder
-	if p.settings.DataDir != "" { // without one its state is in memory only
+	if p.settings.DataDir != "" { // otherwise the state is in memory only
 		folder = p.dataFolder()
 	}
 	var k *keeper.Keeper
--- a/cmd/dunetide/main.go
+++ b/cmd/dunetide/main.go
@@ -1,10 +1,10 @@
-// Command dunetide is the serving tier: each role of it is a subcommand that runs until SIGTERM,
-// and operators have commands beside them. deploy/system.toml says which role runs where,
-// docs/architecture.md what each owns.
+// Command dunetide runs the serving tier. Each role is a subcommand that runs until SIGTERM; the
+// other subcommands are for operators. deploy/system.toml defines which role runs where;
+// docs/architecture.md describes what each role is responsible for.
 //
-// One file holds one role (proxy.go, keeper.go, store.go) or one operators' command (check.go,
-// status.go, certify.go, audit.go, version.go). process.go is what the roles share. Exit statuses:
-// 0, 1 for a failure, 2 for a wrong use.
+// Each role (proxy.go, keeper.go, store.go) and each operator command (check.go, status.go,
+// certify.go, audit.go, version.go) has its own file. process.go contains what the roles share. Exit
+// statuses: 0 for success, 1 for a failure, 2 for a usage error.
 package main
 
 import (
@@ -21,10 +21,10 @@
 	exitUsage   = 2
 )
 
-// errUsage is a wrong use: the process ends with one line and exitUsage.
+// errUsage marks usage errors: the process prints one line and exits with exitUsage.
 var errUsage = errs.Class("usage")
 
-// cli has all commands, for kong. Its commands' Run methods get it as their argument.
+// cli defines all commands for kong, which passes it to their Run methods.
 type cli struct {
 	LogLevel string `help:"Least level that is logged: trace, debug, info, warn or error." default:"info" enum:"trace,debug,info,warn,error" env:"DUNETIDE_LOG"`
 
@@ -42,7 +42,7 @@
 	var c cli
 	parser, err := kong.New(&c,
 		kong.Name("dunetide"),
-		kong.Description("A serving tier: proxies, keepers of control state, stores of batch jobs."),
+		kong.Description("A serving tier: proxies, keepers (control plane) and stores (batch jobs)."),
 		kong.UsageOnError())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dunetide:", err)
@@ -50,7 +50,7 @@
 	}
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "dunetide: %v (dunetide --help tells of all commands)\n", err)
+		fmt.Fprintf(os.Stderr, "dunetide: %v (run dunetide --help for a list of commands)\n", err)
 		os.Exit(exitUsage)
 	}
 	err = ctx.Run(&c)
--- a/cmd/dunetide/members.go
+++ b/cmd/dunetide/members.go
@@ -11,10 +11,10 @@
 	"dunetide/internal/platform/settings"
 )
 
-// members is the process's partial view of the other processes.
+// members is this process's partial view of the other processes.
 type members struct{ service *membership.Service }
 
-// joinMembership joins the gossip of members. It leaves when the process is told to stop.
+// joinMembership joins the membership gossip. The process leaves it when shutdown is requested.
 func (p *process) joinMembership(role string, port int) (*members, error) {
 	addr, err := net.ResolveUDPAddr("udp4", p.internalAddr(port))
 	if err != nil {
@@ -40,7 +40,7 @@
 	return &members{service}, nil
 }
 
-// keepers returns the keepers that the view has.
+// keepers returns the keepers in the view.
 func (m *members) keepers() []controlclient.Node {
 	var nodes []controlclient.Node
 	for _, peer := range m.service.Keepers() {
--- a/cmd/dunetide/metrics.go
+++ b/cmd/dunetide/metrics.go
@@ -14,24 +14,24 @@
 	"dunetide/internal/platform/telemetry"
 )
 
-// metricsPorts are the ports of the roles' metrics, which deploy/system.toml names too. Two roles
-// may share a machine.
+// metricsPorts are the metrics ports of the roles, as declared in deploy/system.toml. They differ
+// because two roles may share a machine.
 var metricsPorts = map[string]int{
 	controlclient.RoleProxy:  19101,
 	controlclient.RoleKeeper: 19102,
 	controlclient.RoleStore:  19103,
 }
 
-// metricsDelay is how long after its start a process begins to serve metrics, so that a port that
-// another role of the machine needs for its own work goes to that one.
+// metricsDelay is how long after its start a process begins to serve metrics, so that another role
+// on the machine that needs the same port for its own work can bind it first.
 const metricsDelay = 2 * time.Second
 
-// startMetrics serves the metrics of the process until it ends. A port that is in use is no reason
-// not to work: it is logged.
+// startMetrics serves the metrics of the process until it exits. A port that is in use is only
+// logged, as the process works without metrics.
 func (p *process) startMetrics(role string) {
 	port := metricsPorts[role]
 	if portIsUsed(p.settings, port) {
-		p.log.Warn("metrics not served: the settings give their port to something else", "port", port)
+		p.log.Warn("metrics not served: the settings assign the metrics port to another listener", "port", port)
 		return
 	}
 	p.goroutines.Go(func() {
@@ -47,19 +47,19 @@
 	})
 }
 
-// serveMetrics serves metrics at an address until the process ends.
+// serveMetrics serves metrics at an address until the process exits.
 func (p *process) serveMetrics(addr string) error {
 	listener, err := p.listen(addr)
 	if err != nil {
 		return err
 	}
 	server := telemetry.NewServer()
-	context.AfterFunc(p.background, func() { _ = server.Close() }) // at the end of the process
+	context.AfterFunc(p.background, func() { _ = server.Close() })
 	return server.Serve(listener)
 }
 
-// portIsUsed reports whether the settings give a port to something else of this process or between
-// nodes.
+// portIsUsed reports whether the settings assign a port to another listener of this process or
+// include it in the range of internal ports.
 func portIsUsed(s *settings.Settings, port int) bool {
 	if port >= s.FirstInternalPort && port <= s.LastInternalPort {
 		return true
--- a/cmd/dunetide/process.go
+++ b/cmd/dunetide/process.go
@@ -23,21 +23,21 @@
 // settingsVar is the environment variable with the path of the settings file.
 const settingsVar = "DUNETIDE_CONFIG"
 
-// Ports of the roles' links and datagrams, counted from the first internal port.
+// Ports of the roles' links and datagrams, as offsets from the first internal port.
 const (
 	keeperPort = 0
 	proxyPort  = 1
 	storePort  = 2
 )
 
-// process is what all roles start from. Its background goroutines end with close.
+// process holds what all roles share. Its background goroutines run until close.
 type process struct {
 	startedAt time.Time
-	settings  *settings.Settings // as they were at the start
+	settings  *settings.Settings // as read at the start
 	watcher   *settings.Watcher  // for settings that may change
 	log       hclog.Logger
-	ctx       context.Context  // ends when the process is told to stop
-	condition processCondition // what prevents it from working
+	ctx       context.Context  // ends when shutdown is requested
+	condition processCondition // what prevents the process from working
 
 	background context.Context // ends with close
 	cancel     context.CancelFunc
@@ -58,7 +58,7 @@
 		return nil, errUsage.Wrap(err)
 	}
 	watcher.Subscribe(setMemoryLimit)
-	// The signals stay caught to the end: one more of them is no reason to end sooner.
+	// The signals stay caught until the process exits: a second signal does not cut the shutdown short.
 	stopped, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	signal.Ignore(syscall.SIGPIPE)
 	p := &process{startedAt: time.Now(), settings: watcher.Current(), watcher: watcher, log: log}
@@ -70,21 +70,22 @@
 		cancelBackground()
 	}
 	p.goroutines.Go(func() { watcher.Run(p.background, reload.Requests()) })
-	p.logLife()
+	p.logLifecycle()
 	p.startMetrics(role)
 	return p, nil
 }
 
-// logLife logs the start of the process with the limits that can end it, and the first signal to stop. A life without a line
-// of its end was ended from outside, as by the limit of memory, or by a panic, whose trace follows on standard error.
-func (p *process) logLife() {
+// logLifecycle logs the start of the process with the limits that can end it, and the start of its shutdown. If the line that
+// close logs is missing, the process was killed from outside, for example at its memory limit, or panicked; the stack trace of
+// a panic is on standard error.
+func (p *process) logLifecycle() {
 	limits := p.settings.Limits
 	p.log.Info("process starts", "pid", os.Getpid(), "first_start", p.settings.FirstStart,
 		"memory_mb", limits.MemoryMB, "open_files", limits.OpenFiles, "disk_mb", limits.DiskMB)
-	context.AfterFunc(p.ctx, func() { p.log.Info("process is told to stop, or has failed") })
+	context.AfterFunc(p.ctx, func() { p.log.Info("shutdown begins: signal received or process failed") })
 }
 
-// close ends the background goroutines and waits for them.
+// close stops the background goroutines and waits for them.
 func (p *process) close() {
 	p.cancel()
 	p.goroutines.Wait()
@@ -102,8 +103,8 @@
 	})
 }
 
-// setMemoryLimit sets the limit of the Go runtime. It leaves space below the limit of the process
-// for what the collector has not freed yet.
+// setMemoryLimit sets the memory limit of the Go runtime below that of the process, to leave
+// headroom for memory that the garbage collector has not freed yet.
 func setMemoryLimit(s *settings.Settings) {
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryMB) << 20 * 7 / 10)
@@ -115,16 +116,16 @@
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.FirstInternalPort+port))
 }
 
-// listen accepts connections at an address of this machine.
+// listen listens at an address of this machine.
 func (p *process) listen(addr string) (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(p.background, "tcp4", addr)
 }
 
-// seedLinks returns the link addresses of the keepers that settings name as seeds.
+// seedLinks returns the link addresses of the keepers that the settings list as seeds.
 func seedLinks(s *settings.Settings) []string {
 	return controlclient.SeedLinkAddrs(s.Seeds, s.FirstInternalPort+keeperPort)
 }
 
-// dataFolder returns the folder of what the role stores on disk.
+// dataFolder returns the folder in which the role stores its data.
 func (p *process) dataFolder() vfs.Folder { return vfs.Dir(p.settings.DataDir) }
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// bodyMemoryFraction is the part of a proxy's memory, one in so many, that clients' bodies may take.
-	bodyMemoryFraction = 5
-	// confirmFraction is the part of the time in which a withdrawal must be in force, one in so
-	// many, after which the client has its certificates confirmed again.
-	confirmFraction = 5
-	// shutdownMargin is what is left of the grace for the end of the process.
+	// bodyMemoryDivisor is the divisor of a proxy's memory limit that gives the budget for clients' request bodies.
+	bodyMemoryDivisor = 5
+	// confirmDivisor is the divisor of the time within which a withdrawal must be in force that
+	// gives the interval at which the client has its certificates confirmed again.
+	confirmDivisor = 5
+	// shutdownMargin is the part of the grace period that is reserved for the exit of the process.
 	shutdownMargin = 500 * time.Millisecond
 	// Time limits of the readiness server.
 	readyHeaderTimeout = 3 * time.Second
@@ -33,7 +33,7 @@
 // proxyCmd runs a proxy.
 type proxyCmd struct{}
 
-// Run serves the role until the process is told to stop, and then the requests in flight.
+// Run serves the role until shutdown is requested, and then completes the requests in flight.
 func (proxyCmd) Run(c *cli) error {
 	p, err := start(c, controlclient.RoleProxy)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return r.serve()
 }
 
-// proxyRole is the parts of a proxy process.
+// proxyRole holds the components of a proxy process.
 type proxyRole struct {
 	process   *process
 	snapshots *snapshot.Latest
@@ -62,13 +62,13 @@
 	client    *controlclient.Client
 }
 
-// newProxyRole connects the parts of a proxy: the client receives snapshots and passes them to the
-// others.
+// newProxyRole creates and connects the components of a proxy: the client receives snapshots and
+// passes them to the others.
 func newProxyRole(p *process, members *members) *proxyRole {
 	s := p.settings
 	r := &proxyRole{process: p, snapshots: &snapshot.Latest{}, files: descriptors.NewBudget(s.Limits.OpenFiles)}
 	r.admission = dispatch.New(dispatch.Options{Name: s.NodeName, Zone: s.Zone, Snapshots: r.snapshots})
-	bodies := clientbody.NewBudget(int64(s.Limits.MemoryMB) << 20 / bodyMemoryFraction)
+	bodies := clientbody.NewBudget(int64(s.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
 	r.calls = newBatchCalls(p, r.snapshots, bodies)
 	r.regulated = newRegulatedWork(p, r.snapshots, func() time.Time { return r.client.CertificatesConfirmedAt() })
 	r.proxy = forward.New(forward.Options{
@@ -96,27 +96,28 @@
 		WantEndpoints:   true,
 		Snapshots:       r.snapshots,
 		Log:             p.log,
-		ConfirmInterval: s.Bounds.Drain / confirmFraction,
+		ConfirmInterval: s.Bounds.Drain / confirmDivisor,
 		OnSnapshot:      r.applySnapshot,
 	})
 	return r
 }
 
-// ready reports whether the process has received all that it needs to serve.
+// ready reports whether the process has received the configuration, all endpoints and the
+// certificates, which it needs to serve requests.
 func (r *proxyRole) ready() bool {
 	snap := r.snapshots.Get()
 	return snap != nil && snap.Config != nil && snap.EndpointsComplete && snap.CertificatesKnown
 }
 
-// applySnapshot applies a new snapshot, the certificates first: what they no longer allow must not
-// be admitted.
+// applySnapshot applies a new snapshot, starting with the certificates: requests that they no longer
+// allow must not be admitted.
 func (r *proxyRole) applySnapshot(snap *snapshot.Snapshot) {
 	r.regulated.gate.Update(snap.Certificates)
 	r.admission.Update(snap)
 	r.calls.applySnapshot(snap)
 }
 
-// serve listens and serves until the process is told to stop or can't serve.
+// serve listens and serves until shutdown is requested or serving fails.
 func (r *proxyRole) serve() error {
 	front, err := r.files.Listen(r.process.background, r.process.settings.FrontAddr)
 	if err != nil {
@@ -126,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	// The client outlasts the signal: requests in flight still have to be notified of drains.
+	// The client runs beyond the signal: requests in flight still have to be notified of drains.
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -139,16 +140,16 @@
 		ReadHeaderTimeout: readyHeaderTimeout,
 		IdleTimeout:       readyIdleTimeout,
 	}
-	defer func() { _ = readyServer.Close() }() // of no use any more: an error changes nothing
+	defer func() { _ = readyServer.Close() }() // no longer needed: an error has no effect
 	running.Go(func() {
 		if err := readyServer.Serve(ready); !errors.Is(err, http.ErrServerClosed) {
-			r.process.log.Error("readiness not served", "err", err)
+			r.process.log.Error("readiness server failed", "err", err)
 		}
 	})
 	return r.serveClients(front)
 }
 
-// serveClients serves clients until the process is told to stop, and then the requests in flight.
+// serveClients serves clients until shutdown is requested, and then completes the requests in flight.
 func (r *proxyRole) serveClients(front net.Listener) error {
 	served := make(chan error, 1)
 	go func() { served <- r.proxy.Serve(front) }() // ends with Shutdown
@@ -160,15 +161,15 @@
 	r.process.log.Info("stopping")
 	r.calls.stop()
 	err := r.proxy.Shutdown(r.process.settings.Bounds.Grace - shutdownMargin)
-	if errors.Is(err, forward.ErrGraceOver) { // a planned end all the same
-		r.process.log.Warn("the grace is over: connections closed", "err", err)
+	if errors.Is(err, forward.ErrGraceOver) { // still a planned shutdown
+		r.process.log.Warn("grace period over: connections closed", "err", err)
 		err = nil
 	}
 	r.regulated.recorder.Drain(recordDrainTimeout)
 	return err
 }
 
-// maintain does what a proxy has to do every second.
+// maintain runs the periodic tasks of a proxy.
 func (r *proxyRole) maintain() {
 	r.proxy.Tidy()
 	r.regulated.logCounts()
--- a/cmd/dunetide/regulatedwork.go
+++ b/cmd/dunetide/regulatedwork.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// recordDrainTimeout is how long a proxy that stops waits for stores to accept the record of
-	// its regulated runs.
+	// recordDrainTimeout is how long a proxy that shuts down waits for stores to accept the records
+	// of its regulated runs.
 	recordDrainTimeout = 300 * time.Millisecond
-	// regulatedLogInterval is how often the counts of regulated work are logged, where they have
-	// changed.
+	// regulatedLogInterval is the minimum interval between logs of the counts of regulated work,
+	// which are logged only if they have changed.
 	regulatedLogInterval = 10 * time.Second
 )
 
-// regulatedWork is the part of a proxy that keeps to certificates and records regulated runs.
+// regulatedWork is the component of a proxy that enforces certificates and records regulated runs.
 type regulatedWork struct {
 	process   *process
 	snapshots *snapshot.Latest
 	gate      *certification.Gate
 	recorder  *audit.Recorder
 
-	// Of the goroutine that calls logCounts.
+	// Used only by the goroutine that calls logCounts.
 	logged            map[string]certification.Counts // by regime
 	loggedAt          time.Time
 	certificatesFresh bool
 }
 
-// newRegulatedWork returns the regulated work of a proxy. The function lastConfirmed returns when a
-// keeper last confirmed the certificates.
+// newRegulatedWork returns a proxy's regulatedWork. The function lastConfirmed returns when a keeper
+// last confirmed the certificates.
 func newRegulatedWork(p *process, snapshots *snapshot.Latest, lastConfirmed func() time.Time) *regulatedWork {
 	r := &regulatedWork{process: p, snapshots: snapshots, logged: map[string]certification.Counts{}}
 	r.gate = certification.NewGate(certification.GateOptions{
@@ -63,7 +63,7 @@
 	return all
 }
 
-// logCounts logs whether the certificates are confirmed, where that has changed, and the counts of
+// logCounts logs whether the certificates are confirmed, if that has changed, and the counts of
 // regulated work.
 func (r *regulatedWork) logCounts() {
 	current := r.gate.Current()
@@ -75,7 +75,7 @@
 		if fresh {
 			r.process.log.Info("certificates confirmed", "version", current.Version)
 		} else {
-			r.process.log.Warn("no keeper confirms the certificates: nobody counts as certified",
+			r.process.log.Warn("certificates not confirmed by any keeper: no endpoint counts as certified",
 				"version", current.Version,
 				"for_longer_than", r.process.settings.Bounds.Drain)
 		}
--- a/cmd/dunetide/reload_test.go
+++ b/cmd/dunetide/reload_test.go
@@ -279,7 +279,7 @@
 	for _, end := range append(c.Ends(), proxy.Overdue()...) {
 		t.Error(end)
 	}
-	awaitLog(t, proxy, "the grace is over", 1)
+	awaitLog(t, proxy, "grace period over: connections closed", 1)
 }
 
 // startStream calls the tier and returns the answer's body once its first event is on the way.
--- a/cmd/dunetide/status.go
+++ b/cmd/dunetide/status.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// statusTimeout bounds the answer of the keeper.
+// statusTimeout bounds the keeper's response.
 const statusTimeout = 5 * time.Second
 
-// statusCmd prints what a keeper knows of the system.
+// statusCmd prints a keeper's view of the system.
 type statusCmd struct {
 	Control string `arg:"" help:"A keeper's control address (host:port)."`
 }
 
-// Run implements the command: it prints the JSON that the keeper answers.
+// Run implements the command: it prints the JSON of the keeper's response.
 func (s statusCmd) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -31,7 +31,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the keeper at %s answered %s: ask another one", s.Control, resp.Status)
+		return fmt.Errorf("the keeper at %s answered %s: try another one", s.Control, resp.Status)
 	}
 	_, err = io.Copy(os.Stdout, resp.Body)
 	return err
--- a/cmd/dunetide/store.go
+++ b/cmd/dunetide/store.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// batchLogPercent of the disk is for batch jobs. The rest is for the record of regulated runs,
-	// and for a segment of the log that is written before another one is removed.
+	// batchLogPercent is the share of the disk for the log of batch jobs. The rest is for the record
+	// of regulated runs and for a log segment that is written before an old one is removed.
 	batchLogPercent = 85
-	// recordFileFraction is the part of the disk, one in so many, that a file of the record of
-	// regulated runs may take.
-	recordFileFraction = 128
+	// recordFileDivisor is the divisor of the disk space that gives the maximum size of a file of
+	// the record of regulated runs.
+	recordFileDivisor = 128
 )
 
 // storeCmd runs a store, a server of batch jobs.
 type storeCmd struct{}
 
-// Run serves the role until the process is told to stop.
+// Run serves the role until shutdown is requested.
 func (storeCmd) Run(c *cli) error {
 	p, err := start(c, controlclient.RoleStore)
 	if err != nil {
@@ -42,7 +42,7 @@
 	folder := p.dataFolder()
 	records, err := audit.OpenStore(audit.StoreOptions{
 		Folder:    folder,
-		FileBytes: p.diskBytes() / recordFileFraction,
+		FileBytes: p.diskBytes() / recordFileDivisor,
 		Log:       p.log,
 	})
 	if err != nil {
@@ -52,12 +52,12 @@
 	return p.runWithDiskSpace(folder, func() error { return p.serveStore(members, folder, records) })
 }
 
-// diskBytes returns the disk space of the process.
+// diskBytes returns the disk space limit of the process.
 func (p *process) diskBytes() int64 { return int64(p.settings.Limits.DiskMB) << 20 }
 
-// serveStore serves until the process is told to stop, or the store can't go on.
+// serveStore serves until shutdown is requested or the store fails.
 func (p *process) serveStore(members *members, folder vfs.Folder, records *audit.Store) error {
-	// Reports to keepers outlast SIGTERM: the partitions of the store are transferred then.
+	// Reports to keepers continue after SIGTERM, when the partitions of the store are transferred.
 	attached, detach := context.WithCancel(context.WithoutCancel(p.ctx))
 	defer detach()
 	reports := &storeReports{ctx: attached, log: p.log}
@@ -68,7 +68,7 @@
 	}
 	p.condition.set(store.Condition)
 	defer p.condition.clear()
-	defer p.awaitStopped(store) // before the log is opened again
+	defer p.awaitStopped(store) // its log must not be in use when it is reopened
 	defer store.Close()
 	links, err := p.listen(p.internalAddr(storePort))
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// openStore opens the log of batch jobs. The store does nothing before its first snapshot.
+// openStore opens the log of batch jobs. The store is idle until its first snapshot.
 func (p *process) openStore(folder vfs.Folder, reports *storeReports) (*batch.Store, error) {
 	return batch.NewStore(batch.StoreOptions{
 		Open:             batch.OpenIn(folder),
@@ -129,7 +129,7 @@
 	})
 }
 
-// awaitStopped waits until a store does not use its log any more, or the process is to end anyway.
+// awaitStopped waits until a store no longer uses its log or shutdown is requested.
 func (p *process) awaitStopped(store *batch.Store) {
 	select {
 	case <-store.Stopped():
--- a/cmd/dunetide/storelinks.go
+++ b/cmd/dunetide/storelinks.go
@@ -8,17 +8,17 @@
 	"dunetide/internal/platform/link"
 )
 
-// storeLinkHandler passes messages to the batch store or to the record of regulated runs, and
-// closes the links with the store: who waits for a store that is out of service must notice that.
+// storeLinkHandler passes messages to the batch store or to the record of regulated runs. It closes
+// the links when the store closes, so that callers do not wait for a store that is out of service.
 type storeLinkHandler struct {
 	store   *batch.Store
 	records *audit.Store
 
 	mu    sync.Mutex
-	conns map[*link.Conn]bool // nil: all were closed
+	conns map[*link.Conn]bool // nil after closeAll
 }
 
-// newStoreLinkHandler returns the handler of a store's links.
+// newStoreLinkHandler returns the handler for a store's links.
 func newStoreLinkHandler(store *batch.Store, records *audit.Store) *storeLinkHandler {
 	return &storeLinkHandler{store: store, records: records, conns: map[*link.Conn]bool{}}
 }
@@ -36,7 +36,7 @@
 	l.store.Message(m)
 }
 
-// register records a link. It reports false if all were closed.
+// register records a link. It returns false after closeAll.
 func (l *storeLinkHandler) register(c *link.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +55,7 @@
 	l.store.Closed(c)
 }
 
-// closeAll closes all links, and those that come later at their first message.
+// closeAll closes all links. Links that are opened later are closed at their first message.
 func (l *storeLinkHandler) closeAll() {
 	l.mu.Lock()
 	conns := l.conns
--- a/cmd/dunetide/version.go
+++ b/cmd/dunetide/version.go
@@ -5,8 +5,8 @@
 	"runtime/debug"
 )
 
-// versionCmd prints the revision that the program was built from. It is unknown where the build left it out, as that of
-// deploy/system.toml does: a build must not depend on git and on who owns the checkout.
+// versionCmd prints the revision that the program was built from. It is unknown if the build does not record it, as the build
+// in deploy/system.toml: that must not depend on git or on the owner of the checkout.
 type versionCmd struct{}
 
 // Run implements the command.
