--- a/cmd/dunetide/batchcalls_test.go
+++ b/cmd/dunetide/batchcalls_test.go
@@ -24,11 +24,11 @@
 		snap *snapshot.Snapshot
 		want int
 	}{
-		{"nothing is known", &snapshot.Snapshot{}, 0},
-		{"no endpoint is known", &snapshot.Snapshot{Config: config, Proxies: 4}, 0},
-		{"alone", &snapshot.Snapshot{Config: config, Endpoints: endpoints, Proxies: 1}, 48 + spareItems},
+		{"empty snapshot", &snapshot.Snapshot{}, 0},
+		{"no endpoints", &snapshot.Snapshot{Config: config, Proxies: 4}, 0},
+		{"single proxy", &snapshot.Snapshot{Config: config, Endpoints: endpoints, Proxies: 1}, 48 + spareItems},
 		{"one of four", &snapshot.Snapshot{Config: config, Endpoints: endpoints, Proxies: 4}, 12 + spareItems},
-		{"more senders than places", &snapshot.Snapshot{Config: config, Endpoints: endpoints, Proxies: 100}, spareItems},
+		{"more proxies than slots", &snapshot.Snapshot{Config: config, Endpoints: endpoints, Proxies: 100}, spareItems},
 	} {
 		if got := itemLimit(c.snap); got != c.want {
 			t.Errorf("%s: %d items, want %d", c.name, got, c.want)
--- a/cmd/dunetide/certify_test.go
+++ b/cmd/dunetide/certify_test.go
@@ -15,7 +15,7 @@
 	"dunetide/internal/control/certification"
 )
 
-// fakeKeeper is a keeper's calls about certificates, in memory. Another document may come between.
+// fakeKeeper serves a keeper's certificates API from memory. The function between runs once, after a GET, to change the document.
 type fakeKeeper struct {
 	set     *certification.Set
 	between func()
@@ -46,7 +46,7 @@
 			_, _ = io.WriteString(w, `{"error":"another version is in place"}`)
 			return
 		}
-		body, _ := io.ReadAll(r.Body) // what is missing does not parse
+		body, _ := io.ReadAll(r.Body) // a truncated body does not parse
 		s, err := certification.Parse(body)
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
@@ -93,10 +93,10 @@
 func TestCertifyPutsGetsAndWithdraws(t *testing.T) {
 	k, at := serve(t)
 	if err := (certifyGetCmd{at}).Run(); err == nil {
-		t.Error("there is nothing to get")
+		t.Error("get succeeds without certificates")
 	}
 	if err := (certifyWithdrawCmd{keeperAddress: at, Endpoint: "e1"}).Run(); err == nil {
-		t.Error("there is nothing to withdraw")
+		t.Error("withdraw succeeds without certificates")
 	}
 	if err := (certifyPutCmd{keeperAddress: at, File: write(t, 3, "e1", "e2")}).Run(); err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 		t.Errorf("%v", err)
 	}
 	if err := (certifyWithdrawCmd{keeperAddress: at, Endpoint: "e9"}).Run(); err == nil {
-		t.Error("e9 has no certificate")
+		t.Error("withdraw succeeds for an endpoint without certificates")
 	}
 	other, _, err := readCertificates(write(t, 7, "e1", "e2", "e3"))
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestInvalidUsesEndBeforeAnyCall(t *testing.T) {
+func TestUsageErrorsMakeNoCall(t *testing.T) {
 	k, at := serve(t)
 	path := filepath.Join(t.TempDir(), "x")
 	if err := os.WriteFile(path, []byte("{}"), 0o600); err != nil {
@@ -143,9 +143,9 @@
 		t.Error(err)
 	}
 	if err := (auditCmd{Files: []string{path}}).Run(); err == nil {
-		t.Error("a file that is none is sound")
+		t.Error("audit accepts a file that is not an audit log")
 	}
 	if len(k.puts) != 0 {
-		t.Error("called")
+		t.Error("a call was made")
 	}
 }
--- a/cmd/dunetide/command_table_test.go
+++ b/cmd/dunetide/command_table_test.go
@@ -14,10 +14,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// runsMainVar makes TestRunsMain the program itself.
-const runsMainVar = "DUNETIDE_TEST_RUNS_MAIN"
+// runMainVar makes TestRunsMain run the program itself.
+const runMainVar = "DUNETIDE_TEST_RUNS_MAIN"
 
-// TestCommandTable has each command of dunetide with its arguments and flags, and their defaults.
+// TestCommandTable pins the commands of dunetide with their arguments, flags and defaults.
 func TestCommandTable(t *testing.T) {
 	parser, err := kong.New(new(cli), kong.Name("dunetide"))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return all
 }
 
-// TestExitStatuses has the exit status of each way in which a command ends: 0 done, 1 failed, 2 wrong use.
+// TestExitStatuses pins the exit statuses of the commands: 0 for success, 1 for a failure, 2 for a usage error.
 func TestExitStatuses(t *testing.T) {
 	folder := t.TempDir()
 	file := func(name, text string) string {
@@ -104,7 +104,7 @@
 	closed := closedAddress(t)
 	for _, c := range []struct {
 		status    int
-		stderr    string // how its standard error begins, but for the usage that may stand before it
+		stderr    string // prefix of standard error
 		variables []string
 		arguments []string
 	}{
@@ -161,12 +161,12 @@
 	return listener.Addr().String()
 }
 
-// runMain runs the program in a process of its own, without variables of the test's surroundings that it reads.
+// runMain runs the program in a child process, without the variables of the test's environment that it reads.
 func runMain(t *testing.T, variables, arguments []string) (status int, stderr string) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], append([]string{"-test.run=^TestRunsMain$", "--"}, arguments...)...)
 	cmd.Env = slices.DeleteFunc(os.Environ(), func(v string) bool { return strings.HasPrefix(v, "DUNETIDE_") })
-	cmd.Env = append(append(cmd.Env, runsMainVar+"=1"), variables...)
+	cmd.Env = append(append(cmd.Env, runMainVar+"=1"), variables...)
 	var output bytes.Buffer
 	cmd.Stderr = &output
 	err := cmd.Run()
@@ -179,9 +179,9 @@
 	return 0, output.String()
 }
 
-// TestRunsMain is no test, but the program, where runMain has started it.
+// TestRunsMain is not a test: it runs the program when started by runMain.
 func TestRunsMain(*testing.T) {
-	if os.Getenv(runsMainVar) == "" {
+	if os.Getenv(runMainVar) == "" {
 		return
 	}
 	os.Args = append([]string{"dunetide"}, os.Args[slices.Index(os.Args, "--")+1:]...)
--- a/cmd/dunetide/condition_test.go
+++ b/cmd/dunetide/condition_test.go
@@ -16,38 +16,38 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// troubleListener takes the place of a keeper.
-type troubleListener chan string
+// conditionListener is a fake keeper that receives the reported conditions.
+type conditionListener chan string
 
-func (l troubleListener) Message(m *link.Message) {
-	told, err := controlclient.ReadCondition(m.Body)
+func (l conditionListener) Message(m *link.Message) {
+	condition, err := controlclient.ReadCondition(m.Body)
 	if m.Kind != controlclient.KindCondition || err != nil {
 		m.Fail("kind %d, %v", m.Kind, err)
 		return
 	}
-	l <- told.Node.Name + ": " + told.Reason
+	l <- condition.Node.Name + ": " + condition.Reason
 	m.Reply(nil)
 }
 
-func (l troubleListener) Closed(*link.Conn) {}
+func (l conditionListener) Closed(*link.Conn) {}
 
-func (l troubleListener) await(t *testing.T, want string) {
+func (l conditionListener) await(t *testing.T, want string) {
 	t.Helper()
-	late := time.After(time.Minute)
+	timeout := time.After(time.Minute)
 	for last := ""; ; {
 		select {
 		case last = <-l:
 			if last == want {
 				return
 			}
-		case <-late:
-			t.Fatalf("keepers were told %q last, not %q", last, want)
+		case <-timeout:
+			t.Fatalf("the last report to keepers is %q, want %q", last, want)
 		}
 	}
 }
 
-// TestFullDiskIsReportedToKeepers: a process that is out of service as its disk is full tells keepers so, passing over one
-// that does not answer, and tells when that is over.
+// TestFullDiskIsReportedToKeepers checks that a process that is out of service because its disk is full reports this to
+// keepers, skipping one that does not answer, and reports when the condition has cleared.
 func TestFullDiskIsReportedToKeepers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -58,9 +58,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	none.Close() // nobody listens there
-	told := make(troubleListener, 1000)
-	go func() { _ = link.Serve(listener, told, link.DefaultOptions) }()
+	none.Close() // so that nothing listens there
+	reports := make(conditionListener, 1000)
+	go func() { _ = link.Serve(listener, reports, link.DefaultOptions) }()
 	ctx, cancel := context.WithCancel(t.Context())
 	p := &process{log: hclog.NewNullLogger(), ctx: ctx}
 	disk := vfstest.New()
@@ -87,9 +87,9 @@
 			return other
 		})
 	}()
-	told.await(t, "s1: "+diskFullReason)
+	reports.await(t, "s1: "+diskFullReason)
 	makeRoom.Store(true)
-	told.await(t, "s1: ")
+	reports.await(t, "s1: ")
 	if err := <-ended; err != other { //nolint:errorlint // this very error, not one that wraps it
 		t.Error(err)
 	}
--- a/cmd/dunetide/cut_mutants_test.go
+++ b/cmd/dunetide/cut_mutants_test.go
@@ -13,8 +13,8 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// cutMutants are lines that would break what a keeper without contact promises, one at a time. Keepers that are built with one of
-// them have to be found out from outside.
+// cutMutants are source changes that each break a guarantee of a keeper without contact. TestCutOffKeeperProcess, which observes
+// keepers from outside, must fail for a build with any of them.
 var cutMutants = []mutation.Mutant{
 	{
 		Name: "acknowledged without contact",
@@ -41,7 +41,7 @@
 		New:  "return k.mayGrant(now, holderID) && ",
 	},
 	{
-		Name: "contact for life",
+		Name: "contact never ends",
 		File: "../../internal/consensus/quorum/tracker.go",
 		Old:  "return t.advance(now) < t.until }",
 		New:  "return t.until != 0 }",
@@ -53,7 +53,7 @@
 		New:  "k.contact.CheckEnded(k.sinceStart(time.Now()), beganAt, err == nil || k.sinceStart(time.Now()) > 3*time.Second)",
 	},
 	{
-		Name: "what endpoints say without contact is not kept",
+		Name: "heartbeats of endpoints without contact are dropped",
 		File: "../../internal/control/keeper/endpoints.go",
 		Old:  "	revision := k.endpoints.LastChange()\n",
 		New:  "	revision := k.endpoints.LastChange()\n	if !k.contact.InContact(at) {\n		return changeResult{noContact: true}\n	}\n",
@@ -65,22 +65,23 @@
 		New:  "	return g.InContact(now)\n",
 	},
 	{
-		Name: "contact that lasts twice as long",
+		Name: "contact lasts twice as long",
 		File: "../../internal/consensus/quorum/tracker.go",
 		Old:  "	until := startedAt + ContactTimeout\n",
 		New:  "	until := startedAt + 2*ContactTimeout\n",
 	},
 }
 
-// TestCutMutantsStand fails when a line of the list no longer stands once in the file that it names.
+// TestCutMutantsStand fails if the text that a mutant replaces does not occur exactly once in its file.
 func TestCutMutantsStand(t *testing.T) { mutation.CheckPresent(t, cutMutants) }
 
-// Each mutant can still be put where it belongs.
+// TestMutantsStand makes the same check under the name that other packages use for it.
 func TestMutantsStand(t *testing.T) {
 	mutation.CheckPresent(t, cutMutants)
 }
 
-// Each mutant is found. This takes minutes, so it is requested by CUT_WRONG=1, or a part of a name.
+// TestCutMutantsAreFound checks that each mutant makes TestCutOffKeeperProcess fail. It takes minutes, so it runs only with
+// CUT_WRONG=1, or CUT_WRONG set to a part of a mutant's name.
 func TestCutMutantsAreFound(t *testing.T) {
 	only := os.Getenv("CUT_WRONG")
 	if only == "" {
@@ -97,19 +98,19 @@
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 6*time.Minute)
 			defer cancel()
-			play := exec.CommandContext(ctx, os.Args[0], "-test.run", "^TestCutOffKeeperProcess$", "-test.count=1")
-			play.Env = append(os.Environ(), programVar+"="+filepath.Join(dir, "dunetide"), patienceVar+"=30s")
-			play.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with this test, and its keepers with it
-			out, err := play.CombinedOutput()
+			test := exec.CommandContext(ctx, os.Args[0], "-test.run", "^TestCutOffKeeperProcess$", "-test.count=1")
+			test.Env = append(os.Environ(), programVar+"="+filepath.Join(dir, "dunetide"), timeoutVar+"=30s")
+			test.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it is killed with this test, and its keepers with it
+			out, err := test.CombinedOutput()
 			if ctx.Err() != nil {
-				t.Fatal("it takes too long")
+				t.Fatal("the test did not end within 6 min")
 			}
 			if err == nil || !strings.Contains(string(out), "--- FAIL: TestCutOffKeeperProcess") {
-				t.Fatalf("not found: %v\n%s", err, out)
+				t.Fatalf("mutant not detected: %v\n%s", err, out)
 			}
-			for said := range strings.Lines(string(out)) {
-				if strings.Contains(said, "    --- FAIL") {
-					t.Log(strings.TrimSpace(said))
+			for line := range strings.Lines(string(out)) {
+				if strings.Contains(line, "    --- FAIL") {
+					t.Log(strings.TrimSpace(line))
 				}
 			}
 		})
--- a/cmd/dunetide/cut_test.go
+++ b/cmd/dunetide/cut_test.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	// lone is the keeper that is cut off, witness one that stays with the majority, second another one of these.
-	lone, witness, second = 0, 1, 2
-	// refusedFrom are the numbers of configurations that are only put where they must not be taken.
-	refusedFrom = 1 << 20
-	retryAfter  = "0.2"
-	// promptly bounds a refusal, for which a keeper has 900 ms.
-	promptly = 10 * time.Second
-	// certificatesPath is where certificates are put and read.
+	// isolated is the keeper that is cut off; connected and otherConnected stay with the majority.
+	isolated, connected, otherConnected = 0, 1, 2
+	// firstRefusedVersion begins the versions of documents that are put only where they must be refused.
+	firstRefusedVersion = 1 << 20
+	retryAfter          = "0.2"
+	// refusalTimeout bounds a refusal, which a keeper must send within 900 ms.
+	refusalTimeout = 10 * time.Second
+	// certificatesPath is the HTTP path of the certificates.
 	certificatesPath = "/certificates"
 )
 
@@ -50,15 +50,15 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// cutTest is what goes on at keepers of which one is cut off from the rest.
+// cutTest is the state of a test in which one keeper is cut off from the rest.
 type cutTest struct {
 	*keeperProcesses
-	config, certificates atomic.Uint64 // the newest that was confirmed
+	config, certificates atomic.Uint64 // the newest confirmed versions
 	beats                atomic.Uint64
 	observers            []*observer
-	nodes                []controlclient.Node // the keepers, as they said who they are
-	bodies               map[uint64][]byte    // of the configurations that were confirmed
-	// Counts of what was seen, so that a run that shows nothing is seen.
+	nodes                []controlclient.Node // the keepers' descriptions of themselves
+	bodies               map[uint64][]byte    // the confirmed configurations by version
+	// Counts for the log, so that a run that checks nothing is noticed.
 	refused, acknowledged, attached int
 }
 
@@ -71,28 +71,28 @@
 	return b
 }
 
-// newCutTest starts keepers, with a store in the zone of each, and has something confirmed of each kind.
+// newCutTest starts keepers and attaches four stores, then has a configuration, certificates and a heartbeat confirmed.
 func newCutTest(t *testing.T, keepers int) *cutTest {
 	t.Helper()
 	c := &cutTest{keeperProcesses: newKeeperProcesses(t, keepers), bodies: map[uint64][]byte{}}
 	c.startAll()
 	for i := range keepers {
-		c.nodes = append(c.nodes, c.nodeOf(i))
+		c.nodes = append(c.nodes, c.keeperNode(i))
 	}
-	c.putNext(lone)
-	c.certifyNext(lone)
+	c.putNext(isolated)
+	c.certifyNext(isolated)
 	for id := uint64(1); id <= 4; id++ {
-		c.observe(witness+int(id)%2, fmt.Sprint("store", id), id)
+		c.observe(connected+int(id)%2, fmt.Sprint("store", id), id)
 	}
-	c.until("there is a table", func() bool { s, ok := c.status(witness); return ok && s.Table > 0 })
-	c.untilCode(http.StatusOK, "a heartbeat", func() answer { return c.beat(lone, "kept", "ready") })
+	c.until("there is a table", func() bool { s, ok := c.status(connected); return ok && s.Table > 0 })
+	c.untilCode(http.StatusOK, "a heartbeat", func() answer { return c.heartbeat(isolated, "kept", "ready") })
 	return c
 }
 
-// floor is what is confirmed by now.
+// floor returns the versions confirmed so far.
 func (c *cutTest) floor() versions { return versions{c.config.Load(), c.certificates.Load()} }
 
-// observe attaches a process that must never see anything older than what is confirmed by now.
+// observe attaches a process that must never be pushed an older version than those confirmed so far.
 func (c *cutTest) observe(i int, name string, store uint64) *observer {
 	c.t.Helper()
 	o := c.attach(i, name, store, c.floor)
@@ -101,7 +101,7 @@
 	return o
 }
 
-// putNext has the next configuration confirmed by a keeper.
+// putNext puts the next configuration at a keeper until it is confirmed.
 func (c *cutTest) putNext(i int) {
 	c.t.Helper()
 	base := c.config.Load()
@@ -115,7 +115,7 @@
 	return c.call(i, "PUT", "/config", fmt.Sprint(base), body)
 }
 
-// certifyNext has the next certificates confirmed by a keeper.
+// certifyNext puts the next certificates at a keeper until they are confirmed.
 func (c *cutTest) certifyNext(i int) {
 	c.t.Helper()
 	base := c.certificates.Load()
@@ -125,48 +125,48 @@
 	c.certificates.Store(base + 1)
 }
 
-// beat sends a heartbeat with the next call count.
-func (c *cutTest) beat(i int, id, state string) answer {
-	return c.beatAs(i, id, state, c.beats.Add(1))
+// heartbeat sends a heartbeat with the next call count.
+func (c *cutTest) heartbeat(i int, id, state string) answer {
+	return c.heartbeatWithCount(i, id, state, c.beats.Add(1))
 }
 
-func (c *cutTest) beatAs(i int, id, state string, count uint64) answer {
+func (c *cutTest) heartbeatWithCount(i int, id, state string, count uint64) answer {
 	return c.call(i, "PUT", "/instances/"+id, "", fmt.Appendf(nil,
 		`{"service":"s","address":"10.0.0.1:%d","zone":"z","version":"v","capacity":4,"state":%q,"cold_left_ms":0,"call_count":%d}`,
 		1+snapshot.Hash(id)%60000, state, count))
 }
 
-// tableRow is a call of the table in docs/control.md.
-type tableRow struct {
+// tableCall is a call from the table in docs/control.md.
+type tableCall struct {
 	name string
 	call func() answer
 }
 
-// refusedRows are the calls that a keeper without contact must answer with 503.
-func (c *cutTest) refusedRows(i int) []tableRow {
+// refusedRows returns the calls that a keeper without contact must answer with 503.
+func (c *cutTest) refusedRows(i int) []tableCall {
 	config, certificates := c.config.Load(), c.certificates.Load()
-	refused := configBody(refusedFrom+config, "refused")
-	return []tableRow{
+	refused := configBody(firstRefusedVersion+config, "refused")
+	return []tableCall{
 		{"PUT /config on the newest", func() answer { return c.putConfig(i, config, refused) }},
 		{"PUT /config on an old one", func() answer { return c.putConfig(i, 0, refused) }},
-		{"PUT /config of what was taken", func() answer { return c.putConfig(i, config-1, c.bodies[config]) }},
+		{"PUT /config of the confirmed one", func() answer { return c.putConfig(i, config-1, c.bodies[config]) }},
 		{"GET /config", func() answer { return c.call(i, "GET", "/config", "", nil) }},
 		{"PUT /certificates", func() answer {
-			return c.call(i, "PUT", certificatesPath, fmt.Sprint(certificates), certificatesBody(refusedFrom+certificates))
+			return c.call(i, "PUT", certificatesPath, fmt.Sprint(certificates), certificatesBody(firstRefusedVersion+certificates))
 		}},
 		{"GET /certificates", func() answer { return c.call(i, "GET", certificatesPath, "", nil) }},
-		{"heartbeat without news", func() answer { return c.beat(i, "kept", "ready") }},
-		{"heartbeat with news", func() answer { return c.beat(i, fmt.Sprint("new", c.beats.Add(1)), "ready") }},
-		{"heartbeat, draining", func() answer { return c.beat(i, "drains", "draining") }},
-		{"DELETE of one that is there", func() answer { return c.call(i, "DELETE", "/instances/ended", "", nil) }},
-		{"DELETE of one that is not known", func() answer { return c.call(i, "DELETE", fmt.Sprint("/instances/x", c.beats.Add(1)), "", nil) }},
+		{"heartbeat without a change", func() answer { return c.heartbeat(i, "kept", "ready") }},
+		{"heartbeat of a new endpoint", func() answer { return c.heartbeat(i, fmt.Sprint("new", c.beats.Add(1)), "ready") }},
+		{"heartbeat, draining", func() answer { return c.heartbeat(i, "drains", "draining") }},
+		{"DELETE of the same endpoint in each round", func() answer { return c.call(i, "DELETE", "/instances/ended", "", nil) }},
+		{"DELETE of an unknown endpoint", func() answer { return c.call(i, "DELETE", fmt.Sprint("/instances/x", c.beats.Add(1)), "", nil) }},
 		{"POST /retire", func() answer { return c.call(i, "POST", "/retire/store2", "", []byte(`{"over_s":10}`)) }},
-		{"POST /retire of nobody", func() answer { return c.call(i, "POST", "/retire/nobody", "", []byte(`{"over_s":10}`)) }},
+		{"POST /retire of an unknown store", func() answer { return c.call(i, "POST", "/retire/nobody", "", []byte(`{"over_s":10}`)) }},
 		{"GET /retire", func() answer { return c.call(i, "GET", "/retire/store1", "", nil) }},
 	}
 }
 
-// checkRefused makes all those calls at once. Each that is sent after a moment has to be refused.
+// checkRefused makes all calls of refusedRows concurrently. Each one sent after the given time must be refused.
 func (c *cutTest) checkRefused(i int, from time.Time) {
 	c.t.Helper()
 	var calls sync.WaitGroup
@@ -181,53 +181,53 @@
 			continue
 		}
 		c.refused++
-		if a.code != http.StatusServiceUnavailable || a.retryAfter != retryAfter || a.took > promptly {
+		if a.code != http.StatusServiceUnavailable || a.retryAfter != retryAfter || a.took > refusalTimeout {
 			c.t.Errorf("keeper %d without contact, %s, %v later: %v, Retry-After %q", i+1, rows[n].name, a.sentAt.Sub(from), a, a.retryAfter)
 		}
 	}
 	for what, a := range map[string]answer{
-		"a heartbeat that can't be read":     c.call(i, "PUT", "/instances/kept", "", []byte("{")),
-		"a configuration that can't be read": c.call(i, "PUT", "/config", "5", []byte("{")),
+		"a malformed heartbeat":     c.call(i, "PUT", "/instances/kept", "", []byte("{")),
+		"a malformed configuration": c.call(i, "PUT", "/config", "5", []byte("{")),
 	} {
 		if a.code != http.StatusBadRequest {
 			c.t.Errorf("keeper %d, %s: %v", i+1, what, a)
 		}
 	}
 	if s, ok := c.status(i); !ok || s.InContact {
-		c.t.Errorf("keeper %d: its status comes %v, and says %+v", i+1, ok, s)
+		c.t.Errorf("keeper %d without contact: status received: %v, %+v", i+1, ok, s)
 	}
 }
 
-// checkAttached has a process attach to a keeper without contact, and plays the rows of links.
+// checkAttached attaches a process to a keeper without contact and makes the calls over links of the table in docs/control.md.
 func (c *cutTest) checkAttached(i int) {
 	c.t.Helper()
 	o := c.observe(i, fmt.Sprint("late", c.beats.Add(1)), 0)
 	if o.helloInContact {
-		c.t.Errorf("keeper %d: the reply to Hello says that there is contact", i+1)
+		c.t.Errorf("keeper %d: the reply to Hello claims contact", i+1)
 	}
 	if b, err := o.call(controlclient.KindInContact, nil); err != nil || !bytes.Equal(b, []byte{0}) {
-		c.t.Errorf("keeper %d, asked whether it is in contact: %v, %v", i+1, b, err)
+		c.t.Errorf("keeper %d, call InContact: %v, %v", i+1, b, err)
 	}
 	if _, err := o.call(controlclient.KindConfirm, nil); err == nil {
-		c.t.Errorf("keeper %d confirms certificates", i+1)
+		c.t.Errorf("keeper %d without contact confirms certificates", i+1)
 	}
-	if b, err := c.askLeaseAs(c.nodes[(i+1)%len(c.nodes)], i); err != nil || !bytes.Equal(b, []byte{0}) {
-		c.t.Errorf("keeper %d, asked for a lease: %v, %v", i+1, b, err)
+	if b, err := c.requestLeaseAs(c.nodes[(i+1)%len(c.nodes)], i); err != nil || !bytes.Equal(b, []byte{0}) {
+		c.t.Errorf("keeper %d, lease request: %v, %v", i+1, b, err)
 	}
-	if b, err := o.call(controlclient.KindInForce, inForceRequest(refusedFrom)); err != nil || !bytes.Equal(b, []byte{0}) {
-		c.t.Errorf("keeper %d, asked for what nobody has in force: %v, %v", i+1, b, err)
+	if b, err := o.call(controlclient.KindInForce, inForceRequest(firstRefusedVersion)); err != nil || !bytes.Equal(b, []byte{0}) {
+		c.t.Errorf("keeper %d, call InForce for a version that no process has: %v, %v", i+1, b, err)
 	}
 	if b, err := o.call(controlclient.KindInForce, inForceRequest(0)); err != nil || !bytes.Equal(b, []byte{1}) {
-		c.t.Errorf("keeper %d, asked for what all have in force: %v, %v", i+1, b, err)
+		c.t.Errorf("keeper %d, call InForce for version 0: %v, %v", i+1, b, err)
 	}
 	id := fmt.Sprint("told", c.beats.Add(1))
-	if b, err := o.call(controlclient.KindEndpoints, entriesOf(id)); err != nil || len(b) != 0 {
-		c.t.Errorf("keeper %d, told of entries: %v, %v", i+1, b, err)
+	if b, err := o.call(controlclient.KindEndpoints, drainingEntry(id)); err != nil || len(b) != 0 {
+		c.t.Errorf("keeper %d, entries from another keeper: %v, %v", i+1, b, err)
 	}
-	c.until("entries of others are pushed", func() bool { return o.state(id) == snapshot.Draining })
-	c.until("what endpoints said is pushed", func() bool { return o.state("drains") == snapshot.Draining && o.state("kept") == snapshot.Ready })
-	if seen, inContact, _ := o.now(); inContact || seen != (versions{}) {
-		c.t.Errorf("keeper %d hands out %+v, in contact: %v", i+1, seen, inContact)
+	c.until("entries from other keepers are pushed", func() bool { return o.state(id) == snapshot.Draining })
+	c.until("states from heartbeats are pushed", func() bool { return o.state("drains") == snapshot.Draining && o.state("kept") == snapshot.Ready })
+	if seen, inContact, _ := o.received(); inContact || seen != (versions{}) {
+		c.t.Errorf("keeper %d without contact pushes %+v, in contact: %v", i+1, seen, inContact)
 	}
 }
 
@@ -237,116 +237,115 @@
 	return w.Buf
 }
 
-// entriesOf is what another keeper tells of an endpoint that drains.
-func entriesOf(id string) []byte {
+// drainingEntry returns the message in which another keeper reports a draining endpoint.
+func drainingEntry(id string) []byte {
 	w := link.Writer{}
 	w.U32(1)
 	registry.AppendEntry(&w, &registry.Entry{Endpoint: snapshot.Endpoint{ID: id, Service: "s", CallCount: 2, State: snapshot.Draining}, HeartbeatCount: 2})
 	return w.Buf
 }
 
-// checkMajority makes the calls of the table where there is contact: each is taken.
+// checkMajority makes the calls of the table at a keeper with contact, which accepts all of them.
 func (c *cutTest) checkMajority(i int) {
 	c.t.Helper()
 	c.putNext(i)
 	c.certifyNext(i)
-	taken := func(code int, what string, call func() answer) {
+	accepted := func(code int, what string, call func() answer) {
 		c.t.Helper()
 		c.untilCode(code, what, call)
 		c.acknowledged++
 	}
 	id := fmt.Sprint("major", c.beats.Add(1))
-	taken(200, "GET /config", func() answer { return c.call(i, "GET", "/config", "", nil) })
-	taken(200, "GET /certificates", func() answer { return c.call(i, "GET", certificatesPath, "", nil) })
-	taken(200, "a heartbeat with news", func() answer { return c.beat(i, id, "ready") })
-	taken(200, "a heartbeat without news", func() answer { return c.beat(i, id, "ready") })
-	taken(200, "a drain", func() answer { return c.beat(i, id, "draining") })
-	taken(200, "an end", func() answer { return c.call(i, "DELETE", "/instances/"+id, "", nil) })
-	taken(200, "POST /retire", func() answer { return c.call(i, "POST", "/retire/store1", "", []byte(`{"over_s":10}`)) })
-	taken(200, "GET /retire", func() answer { return c.call(i, "GET", "/retire/store1", "", nil) })
-	taken(404, "POST /retire of nobody", func() answer { return c.call(i, "POST", "/retire/nobody", "", []byte(`{"over_s":10}`)) })
-	taken(404, "GET /retire of nobody", func() answer { return c.call(i, "GET", "/retire/nobody", "", nil) })
+	accepted(200, "GET /config", func() answer { return c.call(i, "GET", "/config", "", nil) })
+	accepted(200, "GET /certificates", func() answer { return c.call(i, "GET", certificatesPath, "", nil) })
+	accepted(200, "a heartbeat of a new endpoint", func() answer { return c.heartbeat(i, id, "ready") })
+	accepted(200, "a heartbeat without a change", func() answer { return c.heartbeat(i, id, "ready") })
+	accepted(200, "a heartbeat, draining", func() answer { return c.heartbeat(i, id, "draining") })
+	accepted(200, "DELETE of the endpoint", func() answer { return c.call(i, "DELETE", "/instances/"+id, "", nil) })
+	accepted(200, "POST /retire", func() answer { return c.call(i, "POST", "/retire/store1", "", []byte(`{"over_s":10}`)) })
+	accepted(200, "GET /retire", func() answer { return c.call(i, "GET", "/retire/store1", "", nil) })
+	accepted(404, "POST /retire of an unknown store", func() answer { return c.call(i, "POST", "/retire/nobody", "", []byte(`{"over_s":10}`)) })
+	accepted(404, "GET /retire of an unknown store", func() answer { return c.call(i, "GET", "/retire/nobody", "", nil) })
 	floor := c.floor()
 	o := c.observe(i, fmt.Sprint("near", c.beats.Add(1)), 0)
-	c.until("a process of the majority is handed the newest", func() bool { seen, _, _ := o.now(); return seen == floor })
-	c.until("its certificates are confirmed", func() bool { _, err := o.call(controlclient.KindConfirm, nil); return err == nil })
-	c.until("they are in force", func() bool {
+	c.until("a process of the majority is pushed the newest versions", func() bool { seen, _, _ := o.received(); return seen == floor })
+	c.until("the keeper confirms its certificates", func() bool { _, err := o.call(controlclient.KindConfirm, nil); return err == nil })
+	c.until("the certificates are in force", func() bool {
 		b, err := o.call(controlclient.KindInForce, inForceRequest(floor.certificates))
 		return err == nil && bytes.Equal(b, []byte{1})
 	})
-	c.until("it says that it is in contact", func() bool {
+	c.until("the keeper reports contact", func() bool {
 		b, err := o.call(controlclient.KindInContact, nil)
 		return err == nil && bytes.Equal(b, []byte{1})
 	})
-	if b, err := o.call(controlclient.KindEndpoints, entriesOf(id+"told")); err != nil || len(b) != 0 {
-		c.t.Errorf("told of entries: %v, %v", b, err)
+	if b, err := o.call(controlclient.KindEndpoints, drainingEntry(id+"told")); err != nil || len(b) != 0 {
+		c.t.Errorf("entries from another keeper: %v, %v", b, err)
 	}
 }
 
-// dutyWithTheMajority waits until a keeper of the majority places the batch parts, and the lone one does not.
-func (c *cutTest) dutyWithTheMajority() {
+// untilMajorityHasDuty waits until one keeper of the majority assigns the batch partitions, and the isolated keeper does not.
+func (c *cutTest) untilMajorityHasDuty() {
 	c.t.Helper()
-	c.until("the duty is with the majority", func() bool {
-		placed := 0
+	c.until("only a keeper of the majority assigns partitions", func() bool {
+		assigning := 0
 		for i := range c.running {
 			if s, ok := c.status(i); ok && s.Duty {
-				if i == lone {
+				if i == isolated {
 					return false
 				}
-				placed++
+				assigning++
 			}
 		}
-		return placed == 1
+		return assigning == 1
 	})
 }
 
-// checkTogether heals all cuts. All keepers come into contact, read what was confirmed and push it, and know of what
-// endpoints said on either side.
-func (c *cutTest) checkTogether() {
+// checkHealed heals all cuts and checks that all keepers get into contact, read the confirmed documents and push them.
+func (c *cutTest) checkHealed() {
 	c.t.Helper()
 	c.relays.Heal()
 	var all []int
 	for i := range c.running {
 		all = append(all, i)
 	}
-	c.untilTogether(all...)
+	c.untilInContact(all...)
 	newest := c.config.Load()
 	for _, i := range all {
 		a := c.untilCode(200, "the newest configuration", func() answer { return c.call(i, "GET", "/config", "", nil) })
 		if a.body != string(c.bodies[newest]) {
-			c.t.Errorf("keeper %d has %v, and %d was confirmed", i+1, a, newest)
+			c.t.Errorf("keeper %d returns %v, confirmed is version %d", i+1, a, newest)
 		}
 		a = c.untilCode(200, "the newest certificates", func() answer { return c.call(i, "GET", certificatesPath, "", nil) })
 		if a.body != string(certificatesBody(c.certificates.Load())) {
-			c.t.Errorf("keeper %d has %v, and %d were confirmed", i+1, a, c.certificates.Load())
+			c.t.Errorf("keeper %d returns %v, confirmed is version %d of the certificates", i+1, a, c.certificates.Load())
 		}
-		c.untilCode(200, "a repeat", func() answer { return c.putConfig(i, newest-1, c.bodies[newest]) })
+		c.untilCode(200, "a repeated put of the newest configuration", func() answer { return c.putConfig(i, newest-1, c.bodies[newest]) })
 		floor := c.floor()
 		o := c.observe(i, fmt.Sprint("last", i), 0)
-		c.until("the newest is handed out", func() bool { seen, inContact, _ := o.now(); return inContact && seen == floor })
+		c.until("the newest versions are pushed", func() bool { seen, inContact, _ := o.received(); return inContact && seen == floor })
 	}
 	checkObservers(c.t, c.observers)
 }
 
-// checkDrains checks that drains that one side was told of are known at all keepers: the endpoints say now that they are ready,
-// which ends their silence, and are listed as draining all the same.
+// checkDrains checks that drains reported to one side are known at all keepers: the endpoints now send heartbeats as ready, so
+// that they are listed again, and are still listed as draining.
 func (c *cutTest) checkDrains(ids ...string) {
 	c.t.Helper()
 	for i := range c.running {
 		o := c.observe(i, fmt.Sprint("after", i), 0)
 		for _, id := range ids {
-			c.until(fmt.Sprintf("keeper %d lists %s, which drains", i+1, id), func() bool {
-				c.beat(i, id, "ready")
+			c.until(fmt.Sprintf("keeper %d lists the draining endpoint %s", i+1, id), func() bool {
+				c.heartbeat(i, id, "ready")
 				return o.state(id) != snapshot.Removed
 			})
 			if state := o.state(id); state != snapshot.Draining {
-				c.t.Errorf("keeper %d lists %s as %v, and it drains", i+1, id, state)
+				c.t.Errorf("keeper %d lists %s as %v, want draining", i+1, id, state)
 			}
 		}
 	}
 }
 
-// client attaches a process as proxies and stores are: it may move from keeper to keeper.
+// client attaches a process with the client of proxies and stores, which may move from keeper to keeper.
 func (c *cutTest) client(name string) *snapshot.Latest {
 	holder := &snapshot.Latest{}
 	var links []string
@@ -362,16 +361,16 @@
 	return holder
 }
 
-// configOf is the version of the configuration that a process has; 0: none.
-func configOf(holder *snapshot.Latest) uint64 {
+// configVersion returns the version of the configuration that a process has; 0: none.
+func configVersion(holder *snapshot.Latest) uint64 {
 	if s := holder.Get(); s != nil && s.Config != nil {
 		return s.Config.Version
 	}
 	return 0
 }
 
-// off are the directions between a keeper and the others.
-func (c *cutTest) off(i int, from, to bool) (ways []linktest.Direction) {
+// directions returns the directions between a keeper and the others: those from it, those to it or both.
+func (c *cutTest) directions(i int, from, to bool) (ways []linktest.Direction) {
 	for j := range c.running {
 		if j != i && from {
 			ways = append(ways, linktest.Direction{From: i, To: j})
@@ -383,9 +382,10 @@
 	return ways
 }
 
-// cutOff cuts a keeper off, and tells from when on it must have no contact: a question that was answered was asked before.
+// cutOff cuts a keeper off and returns the time from which it must have no contact: contact ends ContactTimeout after the start
+// of the last check that was answered, which precedes the cut.
 func (c *cutTest) cutOff(i int, from, to bool) (without time.Time) {
-	c.relays.Cut(c.off(i, from, to)...)
+	c.relays.Cut(c.directions(i, from, to)...)
 	return time.Now().Add(quorum.ContactTimeout)
 }
 
@@ -395,68 +395,69 @@
 	c.until("contact is lost", func() bool { s, ok := c.status(i); return ok && !s.InContact })
 }
 
-// Keepers as processes of their own, of which one is cut off from the rest in silence, while both sides are called over HTTP and by
-// processes that are attached. All cases are played side by side, as most of their time is waiting. CUT_SECONDS makes the cuts longer.
+// TestCutOffKeeperProcess runs keepers as separate processes and cuts one off from the rest without closing its connections, while
+// both sides are called over HTTP and by attached processes. All cases run concurrently, as they mostly wait. CUT_SECONDS makes the
+// cuts longer.
 func TestCutOffKeeperProcess(t *testing.T) {
 	cases := map[string]func(t *testing.T){
-		"one of three":           func(t *testing.T) { t.Helper(); playCutOff(t, 3, true, true) },
-		"one of five":            func(t *testing.T) { t.Helper(); playCutOff(t, 5, true, true) },
-		"its words are lost":     func(t *testing.T) { t.Helper(); playCutOff(t, 3, true, false) },
-		"it hears nothing":       func(t *testing.T) { t.Helper(); playCutOff(t, 3, false, true) },
-		"it comes and goes":      playCutThatComesAndGoes,
-		"another one is frozen":  playCutWhileAnotherIsFrozen,
-		"both sides are killed":  func(t *testing.T) { t.Helper(); playCutWithRestarts(t, (*keeperProcesses).kill) },
-		"both sides are stopped": func(t *testing.T) { t.Helper(); playCutWithRestarts(t, (*keeperProcesses).terminate) },
-	}
-	var played sync.WaitGroup
-	for name, play := range cases {
-		played.Go(func() { t.Run(name, play) })
-	}
-	played.Wait()
+		"one of three":             func(t *testing.T) { t.Helper(); runCutOff(t, 3, true, true) },
+		"one of five":              func(t *testing.T) { t.Helper(); runCutOff(t, 5, true, true) },
+		"its messages are lost":    func(t *testing.T) { t.Helper(); runCutOff(t, 3, true, false) },
+		"it receives nothing":      func(t *testing.T) { t.Helper(); runCutOff(t, 3, false, true) },
+		"it is cut off repeatedly": runRepeatedCuts,
+		"another one is frozen":    runCutWithFrozenKeeper,
+		"both sides are killed":    func(t *testing.T) { t.Helper(); runCutWithRestarts(t, (*keeperProcesses).kill) },
+		"both sides are stopped":   func(t *testing.T) { t.Helper(); runCutWithRestarts(t, (*keeperProcesses).terminate) },
+	}
+	var running sync.WaitGroup
+	for name, run := range cases {
+		running.Go(func() { t.Run(name, run) })
+	}
+	running.Wait()
 }
 
-// playCutOff makes each call of the table in docs/control.md on both sides of a cut, again and again while it lasts.
-func playCutOff(t *testing.T, keepers int, from, to bool) {
+// runCutOff makes each call of the table in docs/control.md on both sides of a cut, repeatedly while it lasts.
+func runCutOff(t *testing.T, keepers int, from, to bool) {
 	t.Helper()
 	c := newCutTest(t, keepers)
-	stays, moves := c.observe(lone, "stays", 0), c.client("moves")
+	stays, moves := c.observe(isolated, "stays", 0), c.client("moves")
 	floor := c.floor()
-	c.until("both processes have what is in force", func() bool {
-		seen, _, _ := stays.now()
-		return seen == floor && configOf(moves) == floor.config
+	c.until("both processes have the versions in force", func() bool {
+		seen, _, _ := stays.received()
+		return seen == floor && configVersion(moves) == floor.config
 	})
-	without := c.cutOff(lone, from, to)
+	without := c.cutOff(isolated, from, to)
 	end := time.Now().Add(cutLength(t))
 	time.Sleep(time.Until(without))
-	c.checkRefused(lone, without) // from the first moment on
-	c.checkMajority(witness)
+	c.checkRefused(isolated, without) // from the first instant without contact
+	c.checkMajority(connected)
 	for rounds := 0; rounds == 0 || time.Now().Before(end); rounds++ {
-		c.checkRefused(lone, without)
-		c.checkAttached(lone)
-		c.checkMajority(witness + rounds%2)
+		c.checkRefused(isolated, without)
+		c.checkAttached(isolated)
+		c.checkMajority(connected + rounds%2)
 	}
-	c.dutyWithTheMajority()
+	c.untilMajorityHasDuty()
 	newest := c.config.Load()
-	c.until("a process that can move has the newest during the cut", func() bool { return configOf(moves) == newest })
-	seen, _, keepersTold := stays.now()
-	if to && stays.stayed() && seen != floor { // else it may have heard of orders while it still had contact
-		t.Errorf("a process of the keeper that is cut off has %+v, and had %+v before", seen, floor)
+	c.until("a process that can move has the newest configuration during the cut", func() bool { return configVersion(moves) == newest })
+	seen, _, keepersPushed := stays.received()
+	if to && stays.neverDetached() && seen != floor { // otherwise it may have been pushed changes while the keeper still had contact
+		t.Errorf("a process of the keeper that is cut off has %+v, before the cut %+v", seen, floor)
 	}
-	if from && to && keepersTold != 1 {
-		t.Errorf("a process of the keeper that is cut off is told of %d keepers", keepersTold)
+	if from && to && keepersPushed != 1 {
+		t.Errorf("a process of the keeper that is cut off is pushed %d keepers, want 1", keepersPushed)
 	}
-	c.untilCode(http.StatusOK, "a drain", func() answer { return c.beat(witness, "majority", "draining") })
-	c.checkTogether()
+	c.untilCode(http.StatusOK, "a heartbeat, draining", func() answer { return c.heartbeat(connected, "majority", "draining") })
+	c.checkHealed()
 	c.checkDrains("drains", "majority")
 	last := c.floor()
-	c.until("who stayed has the newest", func() bool { seen, _, _ := stays.now(); return seen == last })
+	c.until("the process that stayed has the newest versions", func() bool { seen, _, _ := stays.received(); return seen == last })
 	checkObservers(t, c.observers)
 	t.Logf("%d calls refused, %d taken, %d processes attached", c.refused, c.acknowledged, c.attached)
 }
 
-// playCutThatComesAndGoes cuts a keeper off each second: nobody is handed anything older than what was confirmed before, and no order
-// is lost.
-func playCutThatComesAndGoes(t *testing.T) {
+// runRepeatedCuts alternately cuts a keeper off and heals the cut, each for 1 s: no process may be pushed an older version than one
+// confirmed before, and no confirmed change may be lost.
+func runRepeatedCuts(t *testing.T) {
 	t.Helper()
 	c := newCutTest(t, 3)
 	ended := make(chan struct{})
@@ -464,7 +465,7 @@
 	go func() {
 		defer close(ended)
 		for end := time.Now().Add(length); time.Now().Before(end); {
-			c.cutOff(lone, true, true)
+			c.cutOff(isolated, true, true)
 			time.Sleep(time.Second)
 			c.relays.Heal()
 			time.Sleep(time.Second)
@@ -474,85 +475,85 @@
 	for open := true; open; rounds++ {
 		c.putNext(rounds % 3)
 		c.certifyNext((rounds + 1) % 3)
-		c.observe(lone, fmt.Sprint("flap", rounds), 0)
-		c.observe(witness, fmt.Sprint("near", rounds), 0)
+		c.observe(isolated, fmt.Sprint("flap", rounds), 0)
+		c.observe(connected, fmt.Sprint("near", rounds), 0)
 		select {
 		case <-ended:
 			open = false
 		default:
 		}
 	}
-	c.checkTogether()
+	c.checkHealed()
 	t.Logf("%d rounds, %d processes attached", rounds, c.attached)
 }
 
-// playCutWhileAnotherIsFrozen freezes another one of three while one is cut off, so that nobody has contact. The frozen one wakes
-// beyond a cut of its own: what was sent to it meanwhile is refused.
-func playCutWhileAnotherIsFrozen(t *testing.T) {
+// runCutWithFrozenKeeper freezes another one of three keepers while one is cut off, so that no keeper has contact. The frozen
+// keeper is cut off as well before it resumes: it must refuse the calls that were sent to it meanwhile.
+func runCutWithFrozenKeeper(t *testing.T) {
 	t.Helper()
 	c := newCutTest(t, 3)
-	without := c.cutOff(lone, true, true)
-	c.putNext(witness)
-	c.awaitNoContact(lone)
-	c.freeze(second)
+	without := c.cutOff(isolated, true, true)
+	c.putNext(connected)
+	c.awaitNoContact(isolated)
+	c.freeze(otherConnected)
 	noMajority := time.Now().Add(quorum.ContactTimeout)
-	c.checkRefused(lone, without)
-	c.awaitNoContact(witness)
-	c.checkRefused(witness, noMajority)
-	c.checkAttached(witness)
-	alone := c.cutOff(second, true, true)
+	c.checkRefused(isolated, without)
+	c.awaitNoContact(connected)
+	c.checkRefused(connected, noMajority)
+	c.checkAttached(connected)
+	alone := c.cutOff(otherConnected, true, true)
 	time.Sleep(time.Until(alone))
 	ids := []string{"kept", "frozen"}
 	sent, answers := make(chan struct{}, len(ids)), make(chan answer, len(ids))
 	for _, id := range ids {
 		go func() {
 			sent <- struct{}{}
-			answers <- c.beat(second, id, "ready")
+			answers <- c.heartbeat(otherConnected, id, "ready")
 		}()
 	}
 	for range ids {
 		<-sent
 	}
 	time.Sleep(cutLength(t) / 5)
-	c.thaw(second)
+	c.thaw(otherConnected)
 	for range ids {
 		if a := <-answers; a.code != http.StatusServiceUnavailable {
-			t.Errorf("one that wakes without a majority: %v", a)
+			t.Errorf("a keeper that resumes without a majority: %v", a)
 		}
 	}
-	c.checkRefused(second, alone)
-	c.checkAttached(second)
-	c.relays.Heal(linktest.Direction{From: witness, To: second}, linktest.Direction{From: second, To: witness})
-	c.untilTogether(witness, second)
-	c.checkMajority(second)
-	c.checkRefused(lone, without)
-	c.checkAttached(lone)
-	c.checkTogether()
+	c.checkRefused(otherConnected, alone)
+	c.checkAttached(otherConnected)
+	c.relays.Heal(linktest.Direction{From: connected, To: otherConnected}, linktest.Direction{From: otherConnected, To: connected})
+	c.untilInContact(connected, otherConnected)
+	c.checkMajority(otherConnected)
+	c.checkRefused(isolated, without)
+	c.checkAttached(isolated)
+	c.checkHealed()
 	t.Logf("%d calls refused, %d taken, %d processes attached", c.refused, c.acknowledged, c.attached)
 }
 
-// playCutWithRestarts has keepers on both sides end and start again during the cut. The lone one had no contact in its new life.
-func playCutWithRestarts(t *testing.T, end func(k *keeperProcesses, i int)) {
+// runCutWithRestarts restarts keepers on both sides during the cut. The isolated keeper has had no contact since its restart.
+func runCutWithRestarts(t *testing.T, end func(k *keeperProcesses, i int)) {
 	t.Helper()
 	c := newCutTest(t, 3)
-	c.cutOff(lone, true, true)
-	c.putNext(witness)
-	end(c.keeperProcesses, lone)
+	c.cutOff(isolated, true, true)
+	c.putNext(connected)
+	end(c.keeperProcesses, isolated)
 	started := time.Now()
-	c.start(lone)
-	c.until("it answers again", func() bool { _, ok := c.status(lone); return ok })
+	c.start(isolated)
+	c.until("the isolated keeper answers again", func() bool { _, ok := c.status(isolated); return ok })
 	until := time.Now().Add(cutLength(t))
-	c.checkRefused(lone, started)
-	c.checkAttached(lone)
-	c.checkMajority(second)
-	end(c.keeperProcesses, second)
-	c.start(second)
-	c.untilTogether(witness, second)
+	c.checkRefused(isolated, started)
+	c.checkAttached(isolated)
+	c.checkMajority(otherConnected)
+	end(c.keeperProcesses, otherConnected)
+	c.start(otherConnected)
+	c.untilInContact(connected, otherConnected)
 	for rounds := 0; rounds == 0 || time.Now().Before(until); rounds++ {
-		c.checkMajority(witness + rounds%2)
-		c.checkRefused(lone, started)
-		c.checkAttached(lone)
+		c.checkMajority(connected + rounds%2)
+		c.checkRefused(isolated, started)
+		c.checkAttached(isolated)
 	}
-	c.checkTogether()
+	c.checkHealed()
 	t.Logf("%d calls refused, %d taken, %d processes attached", c.refused, c.acknowledged, c.attached)
 }
--- a/cmd/dunetide/descriptors_test.go
+++ b/cmd/dunetide/descriptors_test.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// descriptorsMost is limits.open_files of the process, idleClients are connections that send nothing, more than it may hold.
-	descriptorsMost = 400
-	idleClients     = 600
-	// settleFor is how long the number of descriptors has to stay within the bound.
-	settleFor = time.Second
+	// maxDescriptors is limits.open_files of the process. idleClients is the number of connections that send nothing; it exceeds
+	// that limit.
+	maxDescriptors = 400
+	idleClients    = 600
+	// observationTime is how long the number of descriptors must stay within the bound.
+	observationTime = time.Second
 )
 
-// Clients that open connections and send nothing must leave a process the descriptors that its own work takes: links to keepers,
-// connections to endpoints, files.
+// TestIdleClientsLeaveDescriptors guards against clients that open connections, send nothing and exhaust the descriptors that a
+// process needs for its own work: links to keepers, connections to endpoints, files.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	program := buildProgram(t)
 	for _, role := range []string{"proxy", "keeper"} {
 		t.Run(role, func(t *testing.T) {
 			dir := t.TempDir()
-			ip, port := freeMachine(t)
+			ip, port := freeAddress(t)
 			file := filepath.Join(dir, "boot.conf")
 			called := net.JoinHostPort(ip, strconv.Itoa(port+8))
 			text := fmt.Sprintf("node_name=n\nip=%s\ninternal_ports=%d,%d\nlisten_on.front=%s\nlisten_on.ready=%s:%d\nlisten_on.control=%s\ndata_dir=%s\n"+
-				"limits.open_files=%d\nseeds=%s:%d\nfirst_start=true\n", ip, port, port+7, called, ip, port+9, called, dir, descriptorsMost, ip, port+8)
+				"limits.open_files=%d\nseeds=%s:%d\nfirst_start=true\n", ip, port, port+7, called, ip, port+9, called, dir, maxDescriptors, ip, port+8)
 			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -43,26 +44,26 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = cmd.Process.Kill(); _ = cmd.Wait() }()
-			eventually(t, "it listens", func() bool { return listens(called) })
+			eventually(t, "the process listens", func() bool { return listens(called) })
 			for range idleClients {
 				conn, err := net.DialTimeout("tcp4", called, time.Second)
 				if err != nil {
-					break // its queue of new connections is full
+					break // the listen backlog is full
 				}
 				defer conn.Close()
 			}
-			pace := time.NewTicker(20 * time.Millisecond)
-			defer pace.Stop()
-			for until := time.Now().Add(settleFor); time.Now().Before(until); <-pace.C {
-				if open := openDescriptors(t, cmd.Process.Pid); open > descriptorsMost*3/4 {
-					t.Fatalf("%d descriptors are open, of %d, with %d idle clients", open, descriptorsMost, idleClients)
+			tick := time.NewTicker(20 * time.Millisecond)
+			defer tick.Stop()
+			for until := time.Now().Add(observationTime); time.Now().Before(until); <-tick.C {
+				if open := openDescriptors(t, cmd.Process.Pid); open > maxDescriptors*3/4 {
+					t.Fatalf("%d descriptors are open, of %d, with %d idle clients", open, maxDescriptors, idleClients)
 				}
 			}
 		})
 	}
 }
 
-// openDescriptors counts those of a process.
+// openDescriptors returns the number of open descriptors of a process.
 func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
--- a/cmd/dunetide/diskspace_test.go
+++ b/cmd/dunetide/diskspace_test.go
@@ -29,7 +29,7 @@
 	if err != other || calls != 2 { //nolint:errorlint // this very error, not one that wraps it
 		t.Errorf("%v after %d calls", err, calls)
 	}
-	// A disk that stays full: it ends when the process is told to.
+	// While the disk stays full, it returns when shutdown is requested.
 	disk.Room = diskProbeBytes / 2
 	probed := &atomic.Int32{}
 	err = p.runWithDiskSpace(countedFolder{disk, func() {
@@ -45,7 +45,7 @@
 	}
 }
 
-// countedFolder tells of each file that is made.
+// countedFolder calls a function for each file that is created.
 type countedFolder struct {
 	vfs.Folder
 	created func()
--- a/cmd/dunetide/golden_test.go
+++ b/cmd/dunetide/golden_test.go
@@ -27,7 +27,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// update writes the golden files anew. It is for the person who pins a changed format on purpose, never for CI.
+// update rewrites the golden files. It is for intended changes of a format, never for CI.
 var update = flag.Bool("update-golden", false, "write the golden files")
 
 // commandVar makes the test binary run as the command itself.
@@ -41,7 +41,7 @@
 	}
 }
 
-// commandResult is what a command printed and how it exited.
+// commandResult is the output and the exit status of a command.
 type commandResult struct {
 	stdout, stderr string
 	status         int
@@ -67,10 +67,10 @@
 	return commandResult{stdout.String(), stderr.String(), cmd.ProcessState.ExitCode()}
 }
 
-// goldenPath is the path of a file of testdata/golden.
+// goldenPath returns the path of a file in testdata/golden.
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// compareGolden compares text with a file of testdata/golden.
+// compareGolden compares text with a file in testdata/golden.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	if *update {
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s is not what is written down:\n--- got\n%s\n--- want\n%s", name, got, want)
+		t.Errorf("%s differs from the golden file:\n--- got\n%s\n--- want\n%s", name, got, want)
 	}
 }
 
@@ -143,7 +143,7 @@
 
 func (k *goldenKeeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var body bytes.Buffer
-	_, _ = body.ReadFrom(r.Body) // what is missing is missing in the record
+	_, _ = body.ReadFrom(r.Body) // a truncated body shows in the recorded call
 	k.calls = append(k.calls, fmt.Sprintf("%s %s If-Match=%q Content-Type=%q\n%s", r.Method, r.URL, r.Header.Get("If-Match"), r.Header.Get("Content-Type"), body.String()))
 	switch {
 	case r.URL.Path == "/status":
@@ -199,7 +199,7 @@
 	golden.CompareLines(t, golden.Dir, "metrics", initialMetrics)
 }
 
-// initialMetrics are the metrics before any test has run.
+// initialMetrics are the metrics that exist before any test has run.
 var initialMetrics = slices.DeleteFunc(metrics.ListMetricNames(), func(name string) bool { return !strings.HasPrefix(name, "dunetide_") })
 
 // storeConn is a connection to a store of this process.
@@ -219,7 +219,7 @@
 func (storeConn) Done() <-chan struct{} { return nil }
 func (storeConn) Close()                {}
 
-// writeInputs writes the files that the commands read.
+// writeInputs writes the input files of the commands.
 func writeInputs(t *testing.T) {
 	t.Helper()
 	writeGolden(t, "input/invalid", []byte("{}"))
@@ -240,7 +240,7 @@
 	writeGolden(t, "input/audit.log", auditLog(t, document, at))
 }
 
-// auditLog is the record of some runs, one of which was sent to an endpoint without a certificate.
+// auditLog returns the record of some runs, one of which was sent to an endpoint without a certificate.
 func auditLog(t *testing.T, document []byte, at time.Time) []byte {
 	t.Helper()
 	dir := t.TempDir()
@@ -262,14 +262,14 @@
 		}
 		number, ok := recorder.Begin(run, document)
 		if !ok {
-			t.Fatal("the record is full")
+			t.Fatal("the recorder is full")
 		}
 		if outcome != audit.Open {
 			recorder.End(number, outcome)
 		}
 	}
 	if !recorder.Drain(10 * time.Second) {
-		t.Error("not all was recorded")
+		t.Error("not all runs were recorded")
 	}
 	cancel()
 	<-ended
--- a/cmd/dunetide/keepers_test.go
+++ b/cmd/dunetide/keepers_test.go
@@ -23,33 +23,33 @@
 )
 
 const (
-	// optionsOf, in keeperFile, gets a dialler in buildRelayed: optionsWith stands there instead.
-	keeperFile   = "keeper.go"
-	optionsOf    = "keeper.New(keeper.Options{"
-	optionsWith  = "keeper.New(keeper.Options{DialAddress: relayedDial, "
-	relayedFile  = "relayed_dial.go"
-	relaysVar    = "DUNETIDE_TEST_KEEPER_RELAYS" // as in testdata/relayed
-	patienceVar  = "DUNETIDE_TEST_PATIENCE"
-	programVar   = "DUNETIDE_TEST_PROGRAM" // the program that is played, if it is built already
-	controlPort  = 20                      // from the first internal port on
-	internalSpan = 15
-	// callPatience is how long one call may take; most have to be answered within a second.
-	callPatience = 20 * time.Second
+	// In keeperFile, buildRelayed replaces keeperOptions by relayedOptions, which add a dialler.
+	keeperFile     = "keeper.go"
+	keeperOptions  = "keeper.New(keeper.Options{"
+	relayedOptions = "keeper.New(keeper.Options{DialAddress: relayedDial, "
+	relayedFile    = "relayed_dial.go"
+	relaysVar      = "DUNETIDE_TEST_KEEPER_RELAYS" // as in testdata/relayed
+	timeoutVar     = "DUNETIDE_TEST_PATIENCE"
+	programVar     = "DUNETIDE_TEST_PROGRAM" // the program to test, if it is already built
+	controlPort    = 20                      // offset from the first internal port
+	internalSpan   = 15
+	// callTimeout bounds one call; most must be answered within a second.
+	callTimeout = 20 * time.Second
 )
 
-// keepersPatience is how long a test waits for what must come of processes on a slow and busy machine. Tests of the tests, in which
-// much does not come, set patienceVar.
-var keepersPatience = func() time.Duration {
-	if set, err := time.ParseDuration(os.Getenv(patienceVar)); err == nil {
+// keepersTimeout is how long a test waits for a condition of the processes, on a slow and busy machine. Tests of mutants, in which
+// many conditions never hold, set timeoutVar.
+var keepersTimeout = func() time.Duration {
+	if set, err := time.ParseDuration(os.Getenv(timeoutVar)); err == nil {
 		return set
 	}
 	return 2 * time.Minute
 }()
 
-// relayedDir holds the program that relayedProgram has built; "": it was not needed.
+// relayedDir is the folder of the program that relayedProgram has built; empty if it has not built one.
 var relayedDir string
 
-// relayedProgram is built once for all tests that use it.
+// relayedProgram returns the path of the program with relays, which is built once for all tests that use it.
 var relayedProgram = sync.OnceValues(func() (program string, err error) {
 	if program := os.Getenv(programVar); program != "" {
 		return program, nil
@@ -70,11 +70,11 @@
 	os.Exit(code)
 }
 
-// buildRelayed builds this command into a folder with one change, laid over its sources: keepers dial each other where relaysVar
-// says. Further changes are for tests of the tests.
+// buildRelayed builds this command into a folder, with an overlay of its sources in which keepers dial each other at the addresses
+// in relaysVar. Further changes are mutants.
 func buildRelayed(dir string, further ...mutation.Mutant) error {
 	texts := overlay.Texts{}
-	dialled := mutation.Mutant{Name: "dialled through relays", File: keeperFile, Old: optionsOf, New: optionsWith}
+	dialled := mutation.Mutant{Name: "dial through relays", File: keeperFile, Old: keeperOptions, New: relayedOptions}
 	for _, change := range append([]mutation.Mutant{dialled}, further...) {
 		if err := texts.Replace(".", change); err != nil {
 			return err
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// keeperProcesses are keepers as processes of their own, on loopback addresses of their own, with relays between them.
+// keeperProcesses are keepers that run as separate processes, each on its own loopback address, with relays between them.
 type keeperProcesses struct {
 	t       *testing.T
 	program string
@@ -107,7 +107,7 @@
 	net     string
 	port    int // the first internal one
 	relays  *relays
-	dialled []string // by number, the value of relaysVar
+	dialled []string // value of relaysVar by keeper index
 	first   bool
 	running []*keeperProcess
 }
@@ -117,7 +117,7 @@
 	exited chan struct{}
 }
 
-// newKeeperProcesses lays keepers out with empty disks; none runs yet.
+// newKeeperProcesses prepares keepers with empty disks without starting them.
 func newKeeperProcesses(t *testing.T, keepers int) *keeperProcesses {
 	t.Helper()
 	program, err := relayedProgram()
@@ -144,12 +144,12 @@
 	return k
 }
 
-// drawAddresses draws a network of loopback and ports that are free in it.
+// drawAddresses draws a loopback network and a range of ports that are free in it.
 func (k *keeperProcesses) drawAddresses() {
 	k.t.Helper()
-	k.until("free ports", func() bool {
+	k.until("ports are free", func() bool {
 		k.net = fmt.Sprintf("127.%d.%d.", 2+rand.N(250), rand.N(256))
-		k.port = 12000 + 50*rand.N(400) // below what the kernel draws
+		k.port = 12000 + 50*rand.N(400) // below the kernel's ephemeral ports
 		for i := range k.running {
 			for port := range controlPort + 1 {
 				l, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", k.ip(i), k.port+port))
@@ -166,9 +166,9 @@
 // until waits for a condition.
 func (k *keeperProcesses) until(what string, holds func() bool) {
 	k.t.Helper()
-	for end := time.Now().Add(keepersPatience); !holds(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(keepersTimeout); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			k.t.Fatalf("in vain: %s", what)
+			k.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	return fmt.Sprintf("%s:%d", k.ip(i), k.port+controlPort)
 }
 
-// folder is where a keeper has its settings, its log and its disk.
+// folder returns the folder of a keeper's settings, log and data.
 func (k *keeperProcesses) folder(i int) string { return filepath.Join(k.dir, fmt.Sprint("k", i+1)) }
 
 func (k *keeperProcesses) settings(i int) string {
@@ -189,7 +189,7 @@
 	}
 	return fmt.Sprintf("node_name=k%d\nip=%s\nzone=z%d\ninternal_ports=%d,%d\nlisten_on.control=%s\ndata_dir=%s\nseeds=%s\nfirst_start=%v\n"+
 		"beat_every_ms=200\nsurvive.machines=1\nlimits.memory_mb=%d\nlimits.disk_mb=256\n",
-		i+1, k.ip(i), i+1, k.port, k.port+internalSpan, k.control(i), filepath.Join(k.folder(i), "data"), strings.Join(seeds, ","), k.first, memoryBound)
+		i+1, k.ip(i), i+1, k.port, k.port+internalSpan, k.control(i), filepath.Join(k.folder(i), "data"), strings.Join(seeds, ","), k.first, memoryLimitMB)
 }
 
 func (k *keeperProcesses) start(i int) {
@@ -232,14 +232,14 @@
 		all = append(all, i)
 	}
 	k.first = false
-	k.untilTogether(all...)
+	k.untilInContact(all...)
 }
 
-// untilTogether waits until some keepers have met each other and are in contact with a majority.
-func (k *keeperProcesses) untilTogether(keepers ...int) {
+// untilInContact waits until the given keepers have discovered each other and are in contact with a majority.
+func (k *keeperProcesses) untilInContact(keepers ...int) {
 	k.t.Helper()
 	for _, i := range keepers {
-		k.until(fmt.Sprintf("keeper %d has met all and is in contact", i+1), func() bool {
+		k.until(fmt.Sprintf("keeper %d has met all others and is in contact", i+1), func() bool {
 			s, ok := k.status(i)
 			return ok && s.InContact && len(s.Keepers) >= len(keepers)
 		})
@@ -248,10 +248,10 @@
 
 func (k *keeperProcesses) logFile(i int) string { return filepath.Join(k.folder(i), "log") }
 
-// kill ends a process at once, frozen or not.
+// kill ends a process immediately, even if it is frozen.
 func (k *keeperProcesses) kill(i int) { k.end(i, syscall.SIGKILL) }
 
-// terminate has a process end by itself.
+// terminate requests the shutdown of a process.
 func (k *keeperProcesses) terminate(i int) { k.end(i, syscall.SIGTERM) }
 
 func (k *keeperProcesses) end(i int, with syscall.Signal) {
@@ -263,8 +263,8 @@
 	k.signal(p, with)
 	select {
 	case <-p.exited:
-	case <-time.After(keepersPatience):
-		k.t.Errorf("keeper %d does not end", i+1)
+	case <-time.After(keepersTimeout):
+		k.t.Errorf("keeper %d does not exit", i+1)
 	}
 }
 
@@ -274,12 +274,12 @@
 	}
 }
 
-// freeze stops a process where it is, and returns once all its threads stand.
+// freeze stops a process with SIGSTOP and returns once all its threads are stopped.
 func (k *keeperProcesses) freeze(i int) {
 	k.t.Helper()
 	p := k.running[i]
 	k.signal(p, syscall.SIGSTOP)
-	k.until("the process stands", func() bool {
+	k.until("all threads of the process are stopped", func() bool {
 		threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 		if err != nil || len(threads) == 0 {
 			return false
@@ -294,10 +294,10 @@
 	})
 }
 
-// thaw lets a frozen process go on.
+// thaw resumes a frozen process.
 func (k *keeperProcesses) thaw(i int) { k.signal(k.running[i], syscall.SIGCONT) }
 
-// answer is what a keeper says to a call; code 0: nothing.
+// answer is a keeper's response to a call; code 0: none was received.
 type answer struct {
 	code       int
 	body       string
@@ -319,7 +319,7 @@
 	if match != "" {
 		req.Header.Set("If-Match", match)
 	}
-	client := http.Client{Timeout: callPatience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	a := answer{sentAt: time.Now()}
 	resp, err := client.Do(req)
 	if err == nil {
@@ -335,20 +335,20 @@
 	return a
 }
 
-// untilCode calls until the answer has a code.
+// untilCode repeats a call until the answer has the given code.
 func (k *keeperProcesses) untilCode(code int, what string, call func() answer) (last answer) {
 	k.t.Helper()
-	for end := time.Now().Add(keepersPatience); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(keepersTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if last = call(); last.code == code {
 			return last
 		}
 		if time.Now().After(end) {
-			k.t.Fatalf("%s: %d does not come, the last is %v", what, code, last)
+			k.t.Fatalf("%s: timed out waiting for %d, the last answer is %v", what, code, last)
 		}
 	}
 }
 
-// keeperStatus is what of GET /status is looked at.
+// keeperStatus has the fields of GET /status that the tests use.
 type keeperStatus struct {
 	InContact    bool           `json:"in_contact"`
 	Version      uint64         `json:"config_version"`
--- a/cmd/dunetide/memory_test.go
+++ b/cmd/dunetide/memory_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// largestOrder is how many bytes an order may have.
-	largestOrder = 8 << 20
-	// ordersAtOnce are under way at one keeper.
-	ordersAtOnce = 8
-	// memoryBound is limits.memory_mb of a keeper's process, in MB.
-	memoryBound = 256
+	// maxDocumentBytes is the maximum size of a configuration.
+	maxDocumentBytes = 8 << 20
+	// concurrentPuts is the number of calls in flight at one keeper.
+	concurrentPuts = 8
+	// memoryLimitMB is limits.memory_mb of a keeper process.
+	memoryLimitMB = 256
 )
 
-// peakMemory is the most that a process has had in memory (VmHWM), in MB.
+// peakMemory returns the peak resident memory (VmHWM) of a process, in MB.
 func (k *keeperProcesses) peakMemory(i int) (megabytes int) {
 	k.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", k.running[i].cmd.Process.Pid))
@@ -37,15 +37,16 @@
 	return megabytes >> 10
 }
 
-// largestBody is a configuration of as many bytes as are taken.
-func largestBody(version uint64, mark int) []byte {
+// largestConfig returns a configuration of the maximum size.
+func largestConfig(version uint64, mark int) []byte {
 	frame := len(configBody(version, ""))
-	return configBody(version, string(bytes.Repeat([]byte{byte('a' + mark)}, largestOrder-frame)))
+	return configBody(version, string(bytes.Repeat([]byte{byte('a' + mark)}, maxDocumentBytes-frame)))
 }
 
-// TestMemoryOfLargestOrders has eight orders of 8 MB under way at once at one of three keepers, round after round until each has
-// a clear answer, and fails where a keeper's peak of memory is over its bound. It is asked for: ORDERS_MEMORY=1, as it measures and takes half a minute.
-func TestMemoryOfLargestOrders(t *testing.T) {
+// TestMemoryOfLargestConfigs puts eight configurations of 8 MB at once at one of three keepers, in three rounds that each repeat
+// the calls until all have a definite answer, and fails if a keeper's peak memory exceeds its limit. It runs only with
+// ORDERS_MEMORY=1, as it is a measurement that takes half a minute.
+func TestMemoryOfLargestConfigs(t *testing.T) {
 	if os.Getenv("ORDERS_MEMORY") == "" {
 		t.Skip("ORDERS_MEMORY is not set")
 	}
@@ -61,10 +62,10 @@
 		var mu sync.Mutex
 		codes := map[int]int{}
 		began := time.Now()
-		for mark := range ordersAtOnce {
-			body := largestBody(base+1, mark)
+		for mark := range concurrentPuts {
+			body := largestConfig(base+1, mark)
 			group.Go(func() {
-				for end := time.Now().Add(keepersPatience); time.Now().Before(end); {
+				for end := time.Now().Add(keepersTimeout); time.Now().Before(end); {
 					a := k.call(0, "PUT", "/config", fmt.Sprint(base), body)
 					mu.Lock()
 					codes[a.code]++
@@ -73,14 +74,14 @@
 						return
 					}
 				}
-				t.Error("no clear answer")
+				t.Error("no definite answer")
 			})
 		}
 		group.Wait()
 		base++
 		for i := range k.running {
-			if peak := k.peakMemory(i); peak > memoryBound {
-				t.Errorf("keeper %d had %d MB in memory", i+1, peak)
+			if peak := k.peakMemory(i); peak > memoryLimitMB {
+				t.Errorf("peak memory of keeper %d is %d MB", i+1, peak)
 			}
 		}
 		peaks(fmt.Sprintf("round %d, answers %v in %v", round+1, codes, time.Since(began).Round(time.Millisecond)))
--- a/cmd/dunetide/metrics_test.go
+++ b/cmd/dunetide/metrics_test.go
@@ -10,8 +10,8 @@
 	"dunetide/internal/platform/telemetry"
 )
 
-// Where the deploy file says that a role tells its figures is where it does.
-func TestMetricsAreWhereTheDeployFileSays(t *testing.T) {
+// TestMetricsPortsMatchDeployFile checks that the metrics port and path of each role are those of deploy/system.toml.
+func TestMetricsPortsMatchDeployFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/system.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -25,11 +25,11 @@
 		t.Fatal(err)
 	}
 	if len(deploy.Roles) != len(metricsPorts) {
-		t.Errorf("%d roles in the deploy file, %d with a port", len(deploy.Roles), len(metricsPorts))
+		t.Errorf("%d roles in the deploy file, %d with a metrics port", len(deploy.Roles), len(metricsPorts))
 	}
 	for role, port := range metricsPorts {
 		if want := fmt.Sprintf("%d%s", port, telemetry.Path); deploy.Roles[role].Metrics != want {
-			t.Errorf("%s: the deploy file says %q, it is %q", role, deploy.Roles[role].Metrics, want)
+			t.Errorf("%s: the deploy file has %q, want %q", role, deploy.Roles[role].Metrics, want)
 		}
 	}
 }
--- a/cmd/dunetide/observer_test.go
+++ b/cmd/dunetide/observer_test.go
@@ -14,32 +14,32 @@
 	"dunetide/internal/platform/link"
 )
 
-// versions are numbers of documents of the two registers that operators change.
+// versions are the document versions of the two registers that operators change.
 type versions struct{ config, certificates uint64 }
 
-// observer is a process that is attached to one keeper alone, again whenever the link has ended, as on a machine that stands still
-// for a second. It acknowledges all, and takes note of what breaks the page on control: a push that goes back, a first one that is
-// older than what was confirmed before, one of registers without contact.
+// observer is a process that is attached to a single keeper and attaches again whenever the link has closed, as it does when the
+// machine stalls for a second. It acknowledges all pushes and records violations of docs/control.md: a push of an older version, a
+// first push that is older than what was confirmed before, a push of registers without contact.
 type observer struct {
 	address string
 	self    controlclient.Node
-	floorOf func() versions // what is confirmed by now
+	floorOf func() versions // the versions confirmed so far
 	stopped atomic.Bool
 
 	mu       sync.Mutex
 	conn     *link.Conn
-	attached int // how often
-	// keeper is the other side, and helloInContact what it said of contact in its first reply to Hello.
+	attached int // number of times
+	// keeper is the peer, and helloInContact the contact flag of its first reply to Hello.
 	keeper         controlclient.Node
 	helloInContact bool
-	floor          versions // confirmed before it attached
+	floor          versions // confirmed before the observer attached
 	seen           versions
 	table          uint64
 	inContact      bool
 	pushes         int
 	keepers        int
 	states         map[string]snapshot.State
-	violation      string // the first
+	violation      string // the first one
 }
 
 func (o *observer) Message(m *link.Message) {
@@ -49,17 +49,17 @@
 	update, err := controlclient.ReadUpdate(m.Body)
 	if err != nil {
 		o.mu.Lock()
-		o.violates("a push can't be read: %v", err)
+		o.recordViolation("can't decode a push: %v", err)
 		o.mu.Unlock()
 		return
 	}
-	o.take(update)
+	o.handleUpdate(update)
 	w := link.Writer{}
 	w.U64(update.Sequence)
 	_ = m.Conn.Send(controlclient.KindAck, w.Buf)
 }
 
-// Closed attaches it again.
+// Closed attaches the observer again.
 func (o *observer) Closed(*link.Conn) {
 	go func() {
 		for !o.stopped.Load() && o.attach() != nil {
@@ -68,16 +68,16 @@
 	}()
 }
 
-// attach attaches it once. What it was pushed before counts no more, as the keeper begins anew.
+// attach attaches the observer once. It discards what was pushed before, as the keeper pushes everything again.
 func (o *observer) attach() error {
 	floor := o.floorOf()
 	o.mu.Lock()
 	o.floor, o.seen, o.table = floor, versions{}, 0
 	o.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	// A link that ends before it is adopted below must not attach it twice.
-	handler := &adopted{observer: o}
+	// A link that closes before it is adopted below must not attach the observer twice.
+	handler := &attachHandler{observer: o}
 	conn, err := link.Dial(ctx, o.address, handler, link.DefaultOptions)
 	if err != nil {
 		return err
@@ -104,15 +104,15 @@
 	return nil
 }
 
-// adopted hands the end of a link on to its observer once the link is the observer's own.
-type adopted struct {
+// attachHandler passes the end of a link on to its observer once the observer has adopted the link.
+type attachHandler struct {
 	*observer
 	mu     sync.Mutex
 	own    bool
 	closed bool
 }
 
-func (a *adopted) adopt() {
+func (a *attachHandler) adopt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.own = true
@@ -122,7 +122,7 @@
 }
 
 // Closed is called at the end of the link.
-func (a *adopted) Closed(c *link.Conn) {
+func (a *attachHandler) Closed(c *link.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
@@ -131,7 +131,7 @@
 	}
 }
 
-// stop ends it.
+// stop detaches the observer for good.
 func (o *observer) stop() {
 	o.stopped.Store(true)
 	o.mu.Lock()
@@ -141,27 +141,27 @@
 	}
 }
 
-// stayed tells whether it has been attached without a break.
-func (o *observer) stayed() bool {
+// neverDetached reports whether the observer has been attached without interruption.
+func (o *observer) neverDetached() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.attached == 1
 }
 
-func (o *observer) violates(format string, args ...any) {
+func (o *observer) recordViolation(format string, args ...any) {
 	if o.violation == "" {
 		o.violation = fmt.Sprintf("%s, floor %+v, has %+v: ", o.self.Name, o.floor, o.seen) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (o *observer) take(u *controlclient.Update) {
+func (o *observer) handleUpdate(u *controlclient.Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.pushes++
 	if u.InContact {
-		o.takeRegisters(u)
+		o.handleRegisters(u)
 	} else if u.ConfigVersion != 0 || u.Config != nil || u.Table != nil || u.Certificates != nil || u.CertificatesVersion > o.seen.certificates {
-		o.violates("registers are pushed without contact: version %d, certificates %d", u.ConfigVersion, u.CertificatesVersion)
+		o.recordViolation("registers are pushed without contact: version %d, certificates %d", u.ConfigVersion, u.CertificatesVersion)
 	}
 	o.inContact = u.InContact
 	if u.Keepers != nil {
@@ -173,36 +173,36 @@
 	}
 }
 
-func (o *observer) takeRegisters(u *controlclient.Update) {
+func (o *observer) handleRegisters(u *controlclient.Update) {
 	if u.Config != nil {
 		if u.ConfigVersion <= o.seen.config {
-			o.violates("configuration %d is pushed", u.ConfigVersion)
+			o.recordViolation("configuration %d is pushed", u.ConfigVersion)
 		}
 		o.seen.config = u.ConfigVersion
 	}
 	if u.CertificatesVersion < o.seen.certificates {
-		o.violates("certificates %d are pushed", u.CertificatesVersion)
+		o.recordViolation("certificates %d are pushed", u.CertificatesVersion)
 	}
 	o.seen.certificates = u.CertificatesVersion
 	if u.Table != nil {
 		if u.Table.Version <= o.table {
-			o.violates("table %d is pushed, after %d", u.Table.Version, o.table)
+			o.recordViolation("table %d is pushed, after %d", u.Table.Version, o.table)
 		}
 		o.table = u.Table.Version
 	}
 	if o.seen.config < o.floor.config || o.seen.certificates < o.floor.certificates {
-		o.violates("something older is handed out")
+		o.recordViolation("an older version than the floor is pushed")
 	}
 }
 
-// now is what it has been pushed so far.
-func (o *observer) now() (seen versions, inContact bool, keepers int) {
+// received returns what has been pushed so far.
+func (o *observer) received() (seen versions, inContact bool, keepers int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.seen, o.inContact, o.keepers
 }
 
-// state of an endpoint; Gone where none was told of.
+// state returns the state of an endpoint; snapshot.Removed if it was not pushed.
 func (o *observer) state(id string) snapshot.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -212,15 +212,15 @@
 	return snapshot.Removed
 }
 
-func (o *observer) failed() string {
+func (o *observer) firstViolation() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.violation
 }
 
-// call calls the keeper, again where the link has ended.
+// call calls the keeper, again if the link has closed.
 func (o *observer) call(kind link.Kind, body []byte) (reply []byte, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
@@ -233,7 +233,7 @@
 	}
 }
 
-// attach attaches a process to a keeper, as a proxy or, with an identity, as a store.
+// attach attaches a process to a keeper, as a proxy or, if store is not 0, as the store with that ID.
 func (k *keeperProcesses) attach(i int, name string, store uint64, floorOf func() versions) *observer {
 	k.t.Helper()
 	o := &observer{address: k.links(i), floorOf: floorOf, states: map[string]snapshot.State{},
@@ -246,20 +246,20 @@
 	return o
 }
 
-// nodeOf is a keeper as it says itself who it is.
-func (k *keeperProcesses) nodeOf(i int) controlclient.Node {
+// keeperNode returns the node description that a keeper sends in its reply to Hello.
+func (k *keeperProcesses) keeperNode(i int) controlclient.Node {
 	k.t.Helper()
 	o := k.attach(i, "asks", 0, func() versions { return versions{} })
 	o.stop()
 	return o.keeper
 }
 
-// askLeaseAs asks a keeper for a lease in the name of another one, over a link like that of a later life of it.
-func (k *keeperProcesses) askLeaseAs(node controlclient.Node, i int) (granted []byte, err error) {
+// requestLeaseAs requests a lease from a keeper in the name of another keeper, over a link like that of a later incarnation of it.
+func (k *keeperProcesses) requestLeaseAs(node controlclient.Node, i int) (granted []byte, err error) {
 	k.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	conn, err := link.Dial(ctx, k.links(i), ignored{}, link.DefaultOptions)
+	conn, err := link.Dial(ctx, k.links(i), ignoringHandler{}, link.DefaultOptions)
 	if err != nil {
 		return nil, err
 	}
@@ -274,13 +274,13 @@
 	return conn.Call(ctx, controlclient.KindLease, leaseRequest(node.Name))
 }
 
-// ignored takes no notice of what comes over a link.
-type ignored struct{}
+// ignoringHandler ignores all messages of a link.
+type ignoringHandler struct{}
 
-func (ignored) Message(*link.Message) {}
-func (ignored) Closed(*link.Conn)     {}
+func (ignoringHandler) Message(*link.Message) {}
+func (ignoringHandler) Closed(*link.Conn)     {}
 
-// leaseRequest asks for the lease of a duty that nobody does, so that none but the keeper's own reasons refuse it.
+// leaseRequest requests the lease of a duty that no process holds, so that only the keeper's own state can refuse it.
 func leaseRequest(holder string) []byte {
 	w := link.Writer{}
 	w.String("observed")
@@ -289,11 +289,11 @@
 	return w.Buf
 }
 
-// checkObservers fails for each observer that saw what must not be.
+// checkObservers fails for each observer that has recorded a violation.
 func checkObservers(t *testing.T, observers []*observer) {
 	t.Helper()
 	for _, o := range observers {
-		if violation := o.failed(); violation != "" {
+		if violation := o.firstViolation(); violation != "" {
 			t.Error(violation)
 		}
 	}
--- a/cmd/dunetide/relays_test.go
+++ b/cmd/dunetide/relays_test.go
@@ -6,8 +6,8 @@
 	"dunetide/internal/platform/link/linktest"
 )
 
-// relays stand between keeper processes. A direction that is cut carries nothing, not even the end of a connection; what
-// was held back comes late.
+// relays forward connections between keeper processes. A direction that is cut carries nothing, not even the end of a
+// connection; what it holds back is delivered late, when the cut is healed.
 type relays struct {
 	*linktest.Relays
 	linktest.Cuts
--- a/cmd/dunetide/reload_test.go
+++ b/cmd/dunetide/reload_test.go
@@ -20,11 +20,11 @@
 	"dunetide/internal/lab/tier/operator"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 30 * time.Second
+// waitTimeout is how long a test waits for an expected event.
+const waitTimeout = 30 * time.Second
 
-// burst is how many signals are sent in a row.
-const burst = 100
+// signalBurst is how many signals are sent in a row.
+const signalBurst = 100
 
 // buildProgram builds this command as the deployment does.
 func buildProgram(t *testing.T) string {
@@ -39,9 +39,9 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); {
+	for end := time.Now().Add(waitTimeout); !holds(); {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -55,8 +55,8 @@
 	return conn.Close() == nil
 }
 
-// freeMachine draws an address and the first of some ports that are free there.
-func freeMachine(t *testing.T) (ip string, port int) {
+// freeAddress draws a loopback address and a free port on it. Callers also use the ports that follow, which are not checked.
+func freeAddress(t *testing.T) (ip string, port int) {
 	t.Helper()
 	ip = fmt.Sprintf("127.%d.%d.%d", 40+os.Getpid()%200, os.Getpid()/200%250, 1+time.Now().UnixNano()%250)
 	l, err := net.Listen("tcp4", ip+":0")
@@ -67,8 +67,9 @@
 	return ip, l.Addr().(*net.TCPAddr).Port
 }
 
-// TestSignalBeforeTheStartIsDone sends SIGHUPs while a process still waits for its settings, and while it stops.
-func TestSignalBeforeTheStartIsDone(t *testing.T) {
+// TestSighupDuringStartAndShutdown sends SIGHUPs while a process is still waiting for its settings, while it starts and while it
+// shuts down: none may end the process.
+func TestSighupDuringStartAndShutdown(t *testing.T) {
 	program := buildProgram(t)
 	for _, role := range []string{"proxy", "keeper", "store"} {
 		t.Run(role, func(t *testing.T) {
@@ -88,16 +89,16 @@
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
 			hangup := func() {
-				for range burst {
+				for range signalBurst {
 					if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 						t.Fatalf("%v: %v\n%s", err, <-ended, out.String())
 					}
 				}
 			}
-			awaitHandled(t, cmd.Process.Pid)
+			awaitSighupHandled(t, cmd.Process.Pid)
 			hangup()
 
-			ip, port := freeMachine(t)
+			ip, port := freeAddress(t)
 			text := fmt.Sprintf("node_name=n\nip=%s\ninternal_ports=%d,%d\nlisten_on.front=%s:%d\nlisten_on.ready=%s:%d\nlisten_on.control=%s:%d\ndata_dir=%s\n"+
 				"seeds=%s:%d\nfirst_start=true\n", ip, port, port+7, ip, port+8, ip, port+9, ip, port+10, dir, ip, port+10)
 			pipe, err := os.OpenFile(file, os.O_WRONLY, 0)
@@ -141,8 +142,8 @@
 	}
 }
 
-// awaitHandled waits until the process has taken SIGHUP's default action away.
-func awaitHandled(t *testing.T, pid int) {
+// awaitSighupHandled waits until the process has replaced the default action of SIGHUP.
+func awaitSighupHandled(t *testing.T, pid int) {
 	t.Helper()
 	eventually(t, "SIGHUP is caught or ignored", func() bool {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -166,13 +167,13 @@
 	})
 }
 
-// heldEndpoint streams one event, and the second once it is released.
-type heldEndpoint struct {
-	came    chan struct{}
+// blockingEndpoint streams one event, and a second one once it is released.
+type blockingEndpoint struct {
+	started chan struct{}
 	release chan struct{}
 }
 
-func (e *heldEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *blockingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health" {
 		return
 	}
@@ -181,15 +182,15 @@
 	w.Header().Set("X-Dunetide-Request-Id", r.Header.Get("X-Dunetide-Request-Id"))
 	_, _ = io.WriteString(w, "id: 1\ndata: a\n\n")
 	_ = http.NewResponseController(w).Flush()
-	e.came <- struct{}{}
+	e.started <- struct{}{}
 	<-e.release
 	_, _ = io.WriteString(w, "id: 2\ndata: b\n\n")
 }
 
-// TestRequestsSeeNothingOfASignal changes the settings of a whole tier, with signals and without, while a stream runs and while the
-// proxy that carries it stops.
-func TestRequestsSeeNothingOfASignal(t *testing.T) {
-	c, endpoint := startHeldTier(t, 8*time.Second)
+// TestReloadDoesNotAffectRequests changes the settings of all processes of a tier, with signals and without, during a stream and
+// during the shutdown of the proxy that forwards it.
+func TestReloadDoesNotAffectRequests(t *testing.T) {
+	c, endpoint := startTier(t, 8*time.Second)
 	answer := startStream(t, c, endpoint)
 
 	// A change with a burst of signals, and one without a signal.
@@ -202,7 +203,7 @@
 		changeSeeds(t, p, c.Seeds()[0])
 		awaitLog(t, p, "settings taken over", 2)
 	}
-	// An unsound file is refused once, and a field that can't be taken over is told of.
+	// An invalid file is rejected once, and a changed field that needs a restart is logged.
 	for _, p := range c.Processes() {
 		text := readSettings(t, p)
 		writeSettings(t, p, text+"ip=nowhere\n")
@@ -231,8 +232,8 @@
 	}
 }
 
-// startHeldTier starts a tier of one machine of each kind, whose one endpoint holds its streams.
-func startHeldTier(t *testing.T, grace time.Duration) (*cluster.Cluster, *heldEndpoint) {
+// startTier starts a tier with one machine of each kind and one endpoint, which blocks its streams.
+func startTier(t *testing.T, grace time.Duration) (*cluster.Cluster, *blockingEndpoint) {
 	t.Helper()
 	c, err := cluster.New(cluster.Options{Program: buildProgram(t), Dir: t.TempDir(), Zones: 1, Edges: 1, Keepers: 1, Stores: 1,
 		HeartbeatInterval: 500 * time.Millisecond, Grace: grace, Rules: "base"})
@@ -243,7 +244,7 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), 3*patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 3*waitTimeout)
 	t.Cleanup(cancel)
 	config := `{"version":1,"routes":[{"name":"r","host":"h.example","path_start":"/","kind":"streaming","timeout_ms":20000,"target_ms":300,"priority":0,` +
 		`"service":"s","tries":1,"sticky":false,"resume":false,"gap_aim_ms":250}],"services":[{"name":"s","health_path":"/health","max_conns":10,"protocol":"h1","tls":false}],` +
@@ -251,25 +252,26 @@
 	if err := operator.New(c.Controls).Put(ctx, 0, []byte(config)); err != nil {
 		t.Fatal(err)
 	}
-	endpoint := &heldEndpoint{make(chan struct{}, 1), make(chan struct{})}
+	endpoint := &blockingEndpoint{make(chan struct{}, 1), make(chan struct{})}
 	l, err := net.Listen("tcp4", c.EndpointAddress(0, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: endpoint, ReadHeaderTimeout: patience}
+	server := &http.Server{Handler: endpoint, ReadHeaderTimeout: waitTimeout}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
-	go beatUntil(ctx, c.Controls()[0], l.Addr().String())
+	go heartbeatUntil(ctx, c.Controls()[0], l.Addr().String())
 	if err := c.AwaitReady(ctx); err != nil {
 		t.Fatal(err, c.Ends())
 	}
 	return c, endpoint
 }
 
-// Guards against a planned end that looks like a crash: a proxy whose clients keep connections in use until the grace is over
-// ends with exit status 0 (cluster.Ends has any other end) and says what it broke off.
-func TestPlannedEndWithRequestsInFlight(t *testing.T) {
-	c, endpoint := startHeldTier(t, 4*time.Second)
+// TestShutdownWithRequestsInFlight guards against a planned shutdown that looks like a crash: a proxy whose clients keep
+// connections in use until the end of the grace period exits with status 0 (cluster.Ends lists any other end) and logs that it
+// closed them.
+func TestShutdownWithRequestsInFlight(t *testing.T) {
+	c, endpoint := startTier(t, 4*time.Second)
 	t.Cleanup(func() { close(endpoint.release) })
 	startStream(t, c, endpoint)
 	proxy := c.Find(cluster.Proxy, 0)
@@ -282,8 +284,8 @@
 	awaitLog(t, proxy, "grace period over: connections closed", 1)
 }
 
-// startStream calls the tier and returns the answer's body once its first event is on the way.
-func startStream(t *testing.T, c *cluster.Cluster, endpoint *heldEndpoint) io.Reader {
+// startStream calls the tier and returns the response body once the endpoint has sent the first event.
+func startStream(t *testing.T, c *cluster.Cluster, endpoint *blockingEndpoint) io.Reader {
 	t.Helper()
 	var body io.Reader
 	eventually(t, "a stream runs", func() bool {
@@ -306,12 +308,12 @@
 		body = resp.Body
 		return resp.StatusCode == http.StatusOK
 	})
-	<-endpoint.came
+	<-endpoint.started
 	return body
 }
 
-// beatUntil sends heartbeats of the endpoint until the context ends.
-func beatUntil(ctx context.Context, control, address string) {
+// heartbeatUntil sends heartbeats of the endpoint until the context ends.
+func heartbeatUntil(ctx context.Context, control, address string) {
 	for count := 1; ctx.Err() == nil; count++ {
 		beat := fmt.Sprintf(`{"service":"s","address":%q,"zone":"z0","version":"v1","capacity":4,"state":"ready","cold_left_ms":0,"call_count":%d}`, address, count)
 		if req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+control+"/instances/e1", strings.NewReader(beat)); err == nil {
@@ -328,7 +330,7 @@
 
 func hangup(t *testing.T, p *cluster.Process) {
 	t.Helper()
-	for range burst {
+	for range signalBurst {
 		if err := p.Hangup(); err != nil {
 			t.Fatal(err)
 		}
@@ -344,7 +346,7 @@
 	return string(text)
 }
 
-// writeSettings replaces the file at once.
+// writeSettings replaces the settings file atomically.
 func writeSettings(t *testing.T, p *cluster.Process, text string) {
 	t.Helper()
 	next := p.SettingsFile() + ".new"
@@ -361,7 +363,7 @@
 	writeSettings(t, p, readSettings(t, p)+"seeds="+seeds+"\n")
 }
 
-// awaitLog waits until a process has logged some words so many times, and no more.
+// awaitLog waits until a process has logged a text exactly the given number of times.
 func awaitLog(t *testing.T, p *cluster.Process, words string, times int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%v logs %q %d times", p, words, times), func() bool {
