--- a/cmd/dunetide/audit.go
+++ b/cmd/dunetide/audit.go
@@ -10,9 +10,9 @@
 
 // auditCmd checks the record of regulated runs offline. It exits with status 1 if it finds problems.
 type auditCmd struct {
-	Files  []string      `arg:"" name:"file" help:"Files of stores: audit.log and audit-N.log, of as many stores as there are." type:"existingfile"`
-	CSV    bool          `help:"Write the rows as CSV to standard output, and what is wrong to standard error."`
-	Within time.Duration `default:"2s" help:"The time in which a withdrawal is in force everywhere: drain_ms of the deployment. 0: not checked."`
+	Files  []string      `arg:"" name:"file" help:"Audit files (audit.log and audit-N.log) of as many stores as are available." type:"existingfile"`
+	CSV    bool          `help:"Write the rows as CSV to standard output and the problems to standard error."`
+	Within time.Duration `default:"2s" help:"The time within which a withdrawal must be in force everywhere: drain_ms of the deployment. 0 disables the check."`
 }
 
 // Run implements the command: it prints a summary of the runs and the problems found in the files
--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -18,9 +18,9 @@
 // certifyCmd reads and changes the certificates by calls to a keeper. docs/certified.md describes the
 // guarantees of each call.
 type certifyCmd struct {
-	Put      certifyPutCmd      `cmd:"" help:"Put a whole document of certificates in force."`
+	Put      certifyPutCmd      `cmd:"" help:"Put a complete document of certificates in force."`
 	Get      certifyGetCmd      `cmd:"" help:"Write the newest document to standard output."`
-	Withdraw certifyWithdrawCmd `cmd:"" help:"Take the certificates of an endpoint away, at once."`
+	Withdraw certifyWithdrawCmd `cmd:"" help:"Withdraw the certificates of an endpoint immediately."`
 }
 
 // keeperAddress is the flag with the address of the keeper to call.
@@ -132,7 +132,7 @@
 type certifyPutCmd struct {
 	keeperAddress
 	File string  `arg:"" help:"The certificates, as JSON." type:"path"`
-	Base *uint64 `help:"The version that it builds on, 0 for the first; without it, the newest."`
+	Base *uint64 `help:"The version that the document is based on, 0 for the first document; default: the newest."`
 }
 
 // Run implements the command.
@@ -175,8 +175,8 @@
 // certifyWithdrawCmd removes certificates of an endpoint.
 type certifyWithdrawCmd struct {
 	keeperAddress
-	Endpoint string `arg:"" help:"The incarnation's id."`
-	Regime   string `help:"Only this regime's; without it, all of the endpoint's."`
+	Endpoint string `arg:"" help:"The id of the endpoint's incarnation."`
+	Regime   string `help:"Withdraw only certificates for this regime; default: all of the endpoint."`
 }
 
 // Run implements the command. It retries from the newest document if another one was put meanwhile.
--- a/cmd/dunetide/main.go
+++ b/cmd/dunetide/main.go
@@ -26,16 +26,16 @@
 
 // cli defines all commands for kong, which passes it to their Run methods.
 type cli struct {
-	LogLevel string `help:"Least level that is logged: trace, debug, info, warn or error." default:"info" enum:"trace,debug,info,warn,error" env:"DUNETIDE_LOG"`
+	LogLevel string `help:"Minimum level to log: trace, debug, info, warn or error." default:"info" enum:"trace,debug,info,warn,error" env:"DUNETIDE_LOG"`
 
-	Proxy   proxyCmd   `cmd:"" help:"Serve clients: take requests and batch jobs, and send them to endpoints."`
-	Keeper  keeperCmd  `cmd:"" help:"Keep control state: the configuration, the endpoints, who is there."`
-	Store   storeCmd   `cmd:"" help:"Keep batch jobs and hand their items out."`
+	Proxy   proxyCmd   `cmd:"" help:"Serve clients: accept requests and batch jobs and send them to endpoints."`
+	Keeper  keeperCmd  `cmd:"" help:"Run a control-plane server: configuration, endpoints and membership."`
+	Store   storeCmd   `cmd:"" help:"Store batch jobs and distribute their items to proxies."`
 	Check   checkCmd   `cmd:"" help:"Check a settings file or a configuration, offline."`
-	Status  statusCmd  `cmd:"" help:"Ask a keeper what it knows of the system."`
-	Certify certifyCmd `cmd:"" help:"Say which endpoints are certified for which regimes, and which routes demand one."`
+	Status  statusCmd  `cmd:"" help:"Print a keeper's view of the system."`
+	Certify certifyCmd `cmd:"" help:"Manage the certificates: which endpoints are certified for which regimes, and which routes require one."`
 	Audit   auditCmd   `cmd:"" help:"Check the record of regulated runs, offline."`
-	Version versionCmd `cmd:"" help:"Tell the version."`
+	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
 func main() {
