--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -223,7 +223,7 @@
 	case wire.ResultMoot:
 		return policy.Moot
 	}
-	panic(fmt.Sprintf("unknown result %d: the decoder should have rejected it", result))
+	panic(fmt.Sprintf("result %d passed the decoder", result))
 }
 
 func toWire(a policy.Action) wire.Action {
--- a/internal/batch/audit/chain.go
+++ b/internal/batch/audit/chain.go
@@ -9,7 +9,7 @@
 type recordHash [sha256.Size]byte
 
 // errBrokenChain reports that a record does not hold the hash of the previous record.
-var errBrokenChain = errors.New("the record does not hold the hash of the previous record")
+var errBrokenChain = errors.New("the record does not hold the hash of the one before")
 
 // chainRecord returns a record in the form that files have, the previous record's hash followed by the entry, and the
 // record's own hash.
--- a/internal/batch/audit/check.go
+++ b/internal/batch/audit/check.go
@@ -155,7 +155,7 @@
 	case entryRunEnded:
 		return c.addEnd(&in)
 	default:
-		return fmt.Errorf("unknown entry kind %d", kind)
+		return fmt.Errorf("an entry of kind %d, which this version does not know", kind)
 	}
 }
 
@@ -175,7 +175,7 @@
 	c.report.Versions = append(c.report.Versions, version)
 	s, err := certification.Parse(text)
 	if err != nil || s.Version != version {
-		c.problem(RuleUnknown, where, "the text can't be parsed, or is that of another version (%v)", err)
+		c.problem(RuleUnknown, where, "their text can't be read, or is that of another version (%v)", err)
 		return nil
 	}
 	c.certificates[version] = s
@@ -203,7 +203,7 @@
 		return in.Err
 	}
 	if end.Outcome >= outcomeCount || end.Outcome == Open {
-		return fmt.Errorf("invalid outcome %d", end.Outcome)
+		return fmt.Errorf("an outcome that is none: %d", end.Outcome)
 	}
 	if known := c.ended[key]; known == nil {
 		c.ended[key] = end
@@ -220,7 +220,7 @@
 	})
 	for i, f := range files {
 		if f.number == 1 && f.first != (recordHash{}) {
-			c.problem(RuleBrokenChain, f.name, "it is the first file of its chain, but holds the hash of a previous one")
+			c.problem(RuleBrokenChain, f.name, "it is the first file of its chain and says that there was one before")
 		}
 		if i > 0 && files[i-1].chain == f.chain {
 			c.checkSuccession(files[i-1], f)
@@ -240,7 +240,7 @@
 		c.problem(RuleBrokenChain, f.name, "it is file %d of chain %x, and the one before it here is file %d: "+
 			"give those between them too", f.number, f.chain, before.number)
 	case before.last != f.first:
-		c.problem(RuleBrokenChain, f.name, "it does not continue from the last record of %s", before.name)
+		c.problem(RuleBrokenChain, f.name, "it does not go on from the last record of %s", before.name)
 	}
 }
 
@@ -251,7 +251,7 @@
 			run.EndedAt, run.Outcome = end.EndedAt, end.Outcome
 		} else if len(c.report.Problems) == 0 { // in files that were changed, missing starts are a consequence
 			c.problem(RuleBrokenChain, key.String(),
-				"its end is recorded, but not its start: a previous file is missing")
+				"its end is there and its beginning isn't: a file before is missing")
 		}
 	}
 	for _, run := range c.started {
@@ -279,7 +279,7 @@
 		where := fmt.Sprintf("run of %s at %s", run.ID, run.Endpoint)
 		certificates := c.certificates[run.CertificatesVersion]
 		if certificates == nil {
-			c.problem(RuleUnknown, where, "the certificates %d by which it was sent are in none of the given files",
+			c.problem(RuleUnknown, where, "the certificates %d by which it was sent are in no file given",
 				run.CertificatesVersion)
 			continue
 		}
--- a/internal/batch/audit/deliver.go
+++ b/internal/batch/audit/deliver.go
@@ -30,7 +30,7 @@
 type rejectCalls struct{}
 
 // Message rejects a call.
-func (rejectCalls) Message(m *link.Message) { m.Fail("unexpected call") }
+func (rejectCalls) Message(m *link.Message) { m.Fail("no such call here") }
 
 // Closed does nothing: a Recorder checks Done before each use.
 func (rejectCalls) Closed(*link.Conn) {}
--- a/internal/batch/audit/files.go
+++ b/internal/batch/audit/files.go
@@ -66,7 +66,7 @@
 		return s.replay(payload)
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w; keep the file elsewhere for the auditor and restart", FileName, err)
+		return fmt.Errorf("%s: %w; move the file away for the auditor and start again", FileName, err)
 	}
 	f.log = log
 	if !empty {
@@ -140,7 +140,7 @@
 // rotate renames the full file, begins the next one, which continues its chain, and removes the oldest one.
 func (s *Store) rotate() {
 	if err := s.beginNextFile(); err != nil {
-		s.reject(fmt.Errorf("rotating the audit file: %w", err))
+		s.reject(fmt.Errorf("the record of regulated runs: %w", err))
 		return
 	}
 	full := s.file.number - 1
--- a/internal/batch/audit/scan.go
+++ b/internal/batch/audit/scan.go
@@ -62,7 +62,7 @@
 	case s.records == 0:
 		return s, fmt.Errorf("%s has no record", name)
 	case whole < size:
-		return s, fmt.Errorf("%s: %d bytes after record %d are not a valid record: "+
+		return s, fmt.Errorf("%s: %d bytes behind record %d are none: "+
 			"changed, or copied while it was written (copy it again)", name, size-whole, s.records)
 	}
 	return s, nil
@@ -84,7 +84,7 @@
 	in := link.Reader{Buf: entry}
 	kind := in.U8()
 	if (kind == entryFileStart) != (s.records == 0) {
-		return fmt.Errorf("record %d: exactly the first record of a file must identify its chain",
+		return fmt.Errorf("record %d: a file begins with one record that names its chain, and has no other",
 			s.records+1)
 	}
 	if kind == entryFileStart {
--- a/internal/batch/audit/store.go
+++ b/internal/batch/audit/store.go
@@ -29,9 +29,9 @@
 )
 
 var (
-	errQueueFull = errors.New("the queue of the audit store is full")
+	errQueueFull = errors.New("too much waits to be recorded here")
 	// errUnknownVersion makes the proxy send the text too.
-	errUnknownVersion = errors.New("a run refers to a version of the certificates that is unknown here")
+	errUnknownVersion = errors.New("the certificates of a version that a run names are not known here")
 )
 
 // StoreOptions are the options of a Store.
@@ -201,7 +201,7 @@
 		return in.Err
 	}
 	if n > maxEntriesPerMessage {
-		return fmt.Errorf("%d entries in a message, more than %d", n, maxEntriesPerMessage)
+		return fmt.Errorf("%d entries in a message, over %d", n, maxEntriesPerMessage)
 	}
 	if s.failure != nil {
 		return s.failure
@@ -274,7 +274,7 @@
 			entries = append(entries, certificatesEntry(version, s.known[version]))
 		case entryRunEnded:
 		default:
-			return nil, nil, errors.New("invalid entry kind")
+			return nil, nil, errors.New("an entry that is none")
 		}
 		if fields.Err != nil {
 			return nil, nil, fields.Err
--- a/internal/batch/condition.go
+++ b/internal/batch/condition.go
@@ -11,7 +11,7 @@
 const stalledAfter = 2 * time.Second
 
 // conditionLogFull is the condition of a store whose log has no space for more jobs.
-const conditionLogFull = "the log has no space for more jobs"
+const conditionLogFull = "the log has no room for more jobs"
 
 // diskOperation tracks the disk operation that one goroutine waits for.
 type diskOperation struct {
--- a/internal/consensus/paxos/errors.go
+++ b/internal/consensus/paxos/errors.go
@@ -13,11 +13,11 @@
 	// process that can reach a majority.
 	ErrNoQuorum = errs.Class("agree: no majority answered, nothing written, try again")
 	// ErrNoState means that this process knows no decided State yet: request it from a voter, or wait for one.
-	ErrNoState = errs.Class("agree: no decided state known yet, request it from a voter")
+	ErrNoState = errs.Class("agree: nothing known of the register yet, ask a voter")
 	// ErrQueueFull means that too many operations are queued at this Register.
-	ErrQueueFull = errs.Class("agree: operation queue full, try again later")
+	ErrQueueFull = errs.Class("agree: too many proposals wait, try again later")
 	// ErrInvalidVoters means that a proposed State has no voters, a duplicate voter or a voter without an ID.
-	ErrInvalidVoters = errs.Class("agree: invalid voters, list each voter once with its ID")
+	ErrInvalidVoters = errs.Class("agree: voters that can't decide, name each once and with its identity")
 	// ErrUnchanged is returned by a change that has nothing to write: the proposal then ends without an error, with the
 	// State that was passed to the change.
 	ErrUnchanged = errs.New("agree: unchanged")
@@ -30,5 +30,5 @@
 	ErrCorrupt = errs.Class("agree: saved records are corrupt, empty this disk")
 	// ErrNotSaved is returned by Save if it failed without changing the disk, for example because the disk is full. Save
 	// is called again later.
-	ErrNotSaved = errs.Class("agree: record not saved, free space on the disk")
+	ErrNotSaved = errs.Class("agree: nothing was saved, make room on the disk")
 )
--- a/internal/consensus/paxos/operation.go
+++ b/internal/consensus/paxos/operation.go
@@ -45,7 +45,7 @@
 
 func (r *Register) enqueue(op *operation) {
 	if len(r.queue) >= maxQueuedOperations {
-		op.done(State{}, ErrQueueFull.New("register %s, %d operations queued", r.options.Name, len(r.queue)))
+		op.done(State{}, ErrQueueFull.New("register %s has %d", r.options.Name, len(r.queue)))
 		return
 	}
 	r.lastOperation++
--- a/internal/consensus/paxos/proposer.go
+++ b/internal/consensus/paxos/proposer.go
@@ -244,7 +244,7 @@
 	decided, found := r.state.operationAt(op.proposal.Slot)
 	switch {
 	case !found:
-		r.finishOperation(State{}, ErrOutcomeUnknown.New("register %s is at slot %d, too far past the proposed slot %d",
+		r.finishOperation(State{}, ErrOutcomeUnknown.New("register %s is at slot %d, and slot %d was proposed here",
 			r.options.Name, r.state.Slot, op.proposal.Slot))
 	case decided != operationID{r.options.ProposerID, op.id}:
 		op.proposed, op.proposal = false, State{}
--- a/internal/consensus/paxos/voters.go
+++ b/internal/consensus/paxos/voters.go
@@ -52,12 +52,12 @@
 	seen := map[uint64]bool{}
 	for _, v := range voters {
 		if v.ID == 0 || seen[v.ID] {
-			return ErrInvalidVoters.New("voter %q at %s has missing or duplicate ID %d", v.Name, v.Addr, v.ID)
+			return ErrInvalidVoters.New("%q at %s has identity %d", v.Name, v.Addr, v.ID)
 		}
 		seen[v.ID] = true
 	}
 	if len(voters) == 0 {
-		return ErrInvalidVoters.New("no voters")
+		return ErrInvalidVoters.New("there are none")
 	}
 	return nil
 }
--- a/internal/control/keeper/attached_processes.go
+++ b/internal/control/keeper/attached_processes.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if node.Name == k.self.Name {
-		m.Fail("this link leads from the keeper to itself")
+		m.Fail("that is this keeper itself")
 		return
 	}
 	m.Reply(k.encodeHelloReply())
@@ -67,12 +67,12 @@
 func (k *Keeper) attach(m *link.Message, node controlclient.Node, wantsEndpoints bool) {
 	reply := k.encodeHelloReply()
 	if k.shuttingDown {
-		m.Fail("this keeper is shutting down: attach to another keeper")
+		m.Fail("this keeper ends: go to another keeper")
 		return
 	}
 	k.closeOlderAttachments(node, m.Conn)
 	if len(k.attached) >= maxAttached {
-		m.Fail("limit of %d attached processes reached: attach to another keeper", len(k.attached))
+		m.Fail("%d processes are attached: go to another keeper", len(k.attached))
 		return
 	}
 	m.Reply(reply)
--- a/internal/control/keeper/bodies.go
+++ b/internal/control/keeper/bodies.go
@@ -72,13 +72,13 @@
 	switch status {
 	case http.StatusRequestEntityTooLarge:
 		discardBody(w, r, route)
-		refuse(w, status, fmt.Sprintf("request body is larger than %d bytes: send a smaller one", route.maxBody))
+		refuse(w, status, fmt.Sprintf("the body is over %d bytes: send less", route.maxBody))
 	case http.StatusServiceUnavailable:
 		discardBody(w, r, route)
-		refuse(w, status, "too many large bodies are being processed: retry, or use another keeper")
+		refuse(w, status, "too many large bodies are in hand: send it again, or to another keeper")
 	default:
 		// A truncated request must not be rejected permanently: the complete one may have been accepted before.
-		refuse(w, http.StatusRequestTimeout, "request body was truncated or too slow: send the complete request again")
+		refuse(w, http.StatusRequestTimeout, "the body was cut or came too slowly: send it again whole")
 	}
 }
 
--- a/internal/control/keeper/bounded_operation.go
+++ b/internal/control/keeper/bounded_operation.go
@@ -54,9 +54,9 @@
 	if done == nil {
 		return
 	}
-	err := paxos.ErrNoQuorum.New("register %s: this keeper's disk does not respond", register)
+	err := paxos.ErrNoQuorum.New("register %s, this keeper's disk does not answer", register)
 	if started {
-		err = paxos.ErrOutcomeUnknown.New("register %s: this keeper's disk does not respond", register)
+		err = paxos.ErrOutcomeUnknown.New("register %s, this keeper's disk does not answer", register)
 	}
 	done(paxos.State{}, err)
 }
--- a/internal/control/keeper/document_calls.go
+++ b/internal/control/keeper/document_calls.go
@@ -39,7 +39,7 @@
 
 // getConfig answers GET /config with the newest configuration, as the operator sent it.
 func (k *Keeper) getConfig(w http.ResponseWriter, _ string, _ []byte, _ *http.Request) {
-	k.getDocument(w, configRegister, http.StatusServiceUnavailable, "no configuration has been put yet: put one first")
+	k.getDocument(w, configRegister, http.StatusServiceUnavailable, "no configuration was taken yet: put one first")
 }
 
 // putDocument proposes a document and returns its version once it is decided. If !ok, it has answered the call with an
--- a/internal/control/keeper/http.go
+++ b/internal/control/keeper/http.go
@@ -32,13 +32,13 @@
 
 // Errors of this keeper that don't depend on the request: another keeper may be able to serve it.
 var (
-	errShuttingDown = errors.New("this keeper is shutting down: use another keeper")
-	errNoContact    = errors.New("no contact with a majority: use another keeper")
+	errShuttingDown = errors.New("this keeper stops: ask another one")
+	errNoContact    = errors.New("no contact with a majority: ask another keeper")
 	// errNotAtMajority refuses a change that was applied here and sent to the connected keepers, so a repeat is
 	// harmless.
 	errNotAtMajority = errors.New(
-		"no majority has confirmed the drain or removal of the endpoint in time: retry, or use another keeper")
-	errListFull = errors.New("endpoint list is full: remove endpoints")
+		"a majority has not confirmed in time that the endpoint ends: send it again, or to another keeper")
+	errListFull = errors.New("the list of endpoints is full: remove some")
 )
 
 // route is an entry in the table of all HTTP calls.
--- a/internal/control/keeper/registers.go
+++ b/internal/control/keeper/registers.go
@@ -34,7 +34,7 @@
 )
 
 // errBusy refuses an operation before it is queued: nothing was written.
-var errBusy = errors.New("disk queue of this keeper is full: use another keeper")
+var errBusy = errors.New("too much waits for this keeper's disk: ask another keeper")
 
 // registerSet runs this keeper's replicas of the registers. Its goroutine, run, owns them and their log, and is the
 // only one that waits for the disk. It never waits for the keeper's owner goroutine.
--- a/internal/control/keeper/store_retirement.go
+++ b/internal/control/keeper/store_retirement.go
@@ -19,11 +19,11 @@
 	// The other errors defer the request: this keeper's view of the stores differs from the decided table, or is
 	// incomplete.
 	errStoreJoining = errors.New(
-		"store is attached but not in the decided partition table yet: retry in a second")
+		"the store has joined and is not in the agreed table yet: ask again in a second")
 	errStoresMissing = errors.New(
-		"too few other stores are attached, as far as this keeper knows: retry in a second, or use another keeper")
+		"too few stores are heard of here to spare one: ask again in a second, or another keeper")
 	errStoresUnknown = errors.New(
-		"this keeper has just started or is shutting down: use another keeper, or retry in a second")
+		"this keeper has just started, or stops: ask another one, or again in a second")
 )
 
 // Values of "state" in the answer to GET /retire/{store}.
--- a/internal/control/registry/entry.go
+++ b/internal/control/registry/entry.go
@@ -92,7 +92,7 @@
 // Validate returns an error that names the first field of an endpoint that is out of bounds.
 func Validate(e *snapshot.Endpoint) error {
 	if e.ID == "" {
-		return errors.New("endpoint has no id")
+		return errors.New("an endpoint without an id")
 	}
 	for _, field := range []string{e.ID, e.Service, e.Address, e.Zone, e.Version} {
 		if len(field) > maxFieldBytes {
@@ -107,11 +107,11 @@
 			e.ID, e.Capacity, e.RemainingWarmupMs)
 	}
 	if len(e.Models) > maxModels {
-		return fmt.Errorf("endpoint %q: %d models, at most %d are allowed", e.ID, len(e.Models), maxModels)
+		return fmt.Errorf("endpoint %q: %d models, at most %d are taken", e.ID, len(e.Models), maxModels)
 	}
 	for _, model := range e.Models {
 		if len(model.Name) > maxFieldBytes || model.Version < -maxNumber || model.Version > maxNumber {
-			return fmt.Errorf("endpoint %q: name or version of model %.40q is out of bounds", e.ID, model.Name)
+			return fmt.Errorf("endpoint %q: model %.40q is out of bounds", e.ID, model.Name)
 		}
 	}
 	return nil
--- a/internal/platform/frame/format.go
+++ b/internal/platform/frame/format.go
@@ -40,9 +40,9 @@
 	// file is zero from some point in it to the end. A power loss does that to the last record of a file.
 	ErrTorn = errors.New("torn tail")
 	// ErrBad is returned for any other damaged record.
-	ErrBad = errors.New("invalid record: bad length or checksum")
+	ErrBad = errors.New("a record that does not check")
 
-	errNoHeader = errors.New("both headers are damaged")
+	errNoHeader = errors.New("both headers are spoilt")
 	crcTable    = crc32.MakeTable(crc32.Castagnoli)
 )
 
@@ -129,13 +129,13 @@
 	}
 	switch {
 	case version > Version:
-		return one, 0, fmt.Errorf("%w: format %d, this program reads up to %d", ErrNewer, version, Version)
+		return one, 0, fmt.Errorf("%w: format %d, this one reads up to %d", ErrNewer, version, Version)
 	case one.Number != number:
-		return one, 0, fmt.Errorf("its header has the number %d", one.Number)
+		return one, 0, fmt.Errorf("it carries the number %d", one.Number)
 	case len(data) < HeadersSize && ok:
 		return one, 0, ErrTorn
 	case !ok || !ok2 || version2 != version:
-		return one, HeadersSize, errors.New("one of its headers is damaged")
+		return one, HeadersSize, errors.New("one of its headers is spoilt")
 	}
 	return one, HeadersSize, nil
 }
--- a/internal/platform/link/codec.go
+++ b/internal/platform/link/codec.go
@@ -7,7 +7,7 @@
 
 // ErrTruncated is returned for a message that ends before all of its fields have been read: its sender runs another
 // version.
-var ErrTruncated = errors.New("message truncated: both sides must run the same version")
+var ErrTruncated = errors.New("a message that is too short: both sides must run the same version")
 
 // Writer encodes the fields of a message in sequence: numbers in big endian, strings and byte slices with a length
 // prefix of 4 bytes. Its zero value is ready to use.
--- a/internal/platform/link/message.go
+++ b/internal/platform/link/message.go
@@ -30,7 +30,7 @@
 	}
 	// Any other error means that the connection has ended, and the call with it.
 	if err := m.Conn.write(kindReply, m.call, body); errors.Is(err, errFrameTooLong) {
-		m.Fail("the reply of %d bytes is too long: request less", len(body))
+		m.Fail("the reply is %d bytes long: ask for less", len(body))
 	}
 }
 
--- a/internal/platform/recordlog/errors.go
+++ b/internal/platform/recordlog/errors.go
@@ -12,7 +12,7 @@
 	// ErrDamaged: the disk has lost or changed synced data. The file is left unchanged for inspection.
 	ErrDamaged = errs.Class("damaged records")
 	// ErrUnusable: a disk operation of the log has failed, or the log was closed. All later calls fail with it.
-	ErrUnusable = errs.Class("the log is unusable")
+	ErrUnusable = errs.Class("the log is out of use")
 	// ErrNoRecord: the position is from before a Rewrite, or was never that of a record.
 	ErrNoRecord = errs.Class("no record at this position")
 )
@@ -34,6 +34,6 @@
 
 // damaged returns the error for a disk that has lost or changed the data at an offset of the file.
 func (l *Log) damaged(offset int64, reason string) error {
-	return ErrDamaged.New("%s at byte %d: %s; move the file away and restart: the node then starts with "+
-		"an empty disk and recovers its data from the other nodes", l.name, offset, reason)
+	return ErrDamaged.New("%s at byte %d: %s; move the file away and start again: the node then begins with "+
+		"an empty disk, and takes what it held from the others", l.name, offset, reason)
 }
--- a/internal/platform/recordlog/log.go
+++ b/internal/platform/recordlog/log.go
@@ -70,7 +70,7 @@
 	l := &Log{folder: folder, name: name}
 	l.syncDone = sync.NewCond(&l.mu)
 	if err := folder.Remove(name + rewriteSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("removing the leftover of a rewrite: %w", err)
+		return nil, fmt.Errorf("removing what a rewrite left: %w", err)
 	}
 	size, exists, err := l.storedSize()
 	if err != nil {
@@ -167,7 +167,7 @@
 
 func checkLength(payload []byte) error {
 	if len(payload) > MaxPayload {
-		return fmt.Errorf("a record of %d bytes exceeds the maximum of %d", len(payload), MaxPayload)
+		return fmt.Errorf("a record of %d bytes, over %d", len(payload), MaxPayload)
 	}
 	return nil
 }
--- a/internal/platform/recordlog/recovery.go
+++ b/internal/platform/recordlog/recovery.go
@@ -40,7 +40,7 @@
 	if later, err := l.findProofOfSync(offset, size); err != nil {
 		return err
 	} else if later > 0 {
-		return l.damaged(offset, fmt.Sprintf("this was already synced when the record at byte %d was written", later))
+		return l.damaged(offset, fmt.Sprintf("the record at byte %d was written when this was synced", later))
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 	}
 	// This package creates no file with a base over half the range: positions could overflow after it.
 	if err != nil || frames.Number > math.MaxInt64/2 || size < frame.HeadersSize {
-		return l.damaged(0, "its header is damaged, which was synced before the file got its name")
+		return l.damaged(0, "its head is spoilt, which was synced before the file had its name")
 	}
 	l.frames, l.base = frames, int64(frames.Number)
 	return nil
--- a/internal/platform/vfs/vfs.go
+++ b/internal/platform/vfs/vfs.go
@@ -56,7 +56,7 @@
 }
 
 // ErrTooLarge is returned by Folder.Read for a file over the limit: this program writes no file of that size.
-var ErrTooLarge = errors.New("larger than any file that this program writes")
+var ErrTooLarge = errors.New("larger than anything that was written here")
 
 // Lock locks a folder and returns the file that holds the lock, or nil if another process holds it. Closing the file,
 // or the end of the process, releases the lock.
