--- a/internal/deliverynode/lease/client.go
+++ b/internal/deliverynode/lease/client.go
@@ -11,40 +11,39 @@
 )
 
 const (
-	// requestGap is the shortest time between two asks of a node.
+	// requestGap is the shortest time between two requests of a node.
 	requestGap = 50 * time.Millisecond
-	// backoffLeast and backoffMost bound the pause after an ask that failed.
-	backoffLeast = 100 * time.Millisecond
-	maxBackoff   = 2 * time.Second
-	// A lease is renewed after a renewAfter-th of its length, so that the rest is left for an election.
-	renewAfter = 3
-	// wantedLeast and wantedMost bound the pause before asking again for a lease that another node has, which is a
-	// wantedShare-th of its length. The leader also says when it becomes free.
-	wantedLeast = 250 * time.Millisecond
-	maxWanted   = 10 * time.Second
-	wantedShare = 8
-	// avoidFor is the time for which a voter that has not answered is not asked if there are others: as long as an
-	// election takes.
+	// minBackoff and maxBackoff bound the delay after a failed request.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// renewDivisor is the part of its length after which a lease is renewed, so that the rest is left for an election.
+	renewDivisor = 3
+	// minPoll and maxPoll bound the delay before requesting again a lease that another node has, which is a pollDivisor-th
+	// of its length. The leader also notifies waiting nodes when the lease becomes free.
+	minPoll     = 250 * time.Millisecond
+	maxPoll     = 10 * time.Second
+	pollDivisor = 8
+	// avoidFor is how long a voter that has not answered is avoided if there are others: as long as an election takes.
 	avoidFor = 3 * time.Second
 )
 
-// tenure is what an Asker knows of one name.
+// tenure is the state of one lease at a Client.
 type tenure struct {
 	length time.Duration
-	wanted bool          // otherwise it is to be given back
+	wanted bool          // if false, the lease is being released
 	token  uint64        // 0 if it is not held
-	giving uint64        // token of a lease that is to be given back before anything else, 0 if there is none
+	giving uint64        // token of a lease that must be released before anything else, 0 if there is none
 	until  time.Duration // when the lease of token or giving expires, by this node's clock
-	askAt  time.Duration // when the next ask for it is due
-	holder string        // its holder at the last ask
+	askAt  time.Duration // when the next request for it is due
+	holder string        // its holder at the last answer
 	since  uint64        // see op.Since
-	note   []byte        // the note of the name at the last ask
+	note   []byte        // the note of the name at the last answer
 	set    []byte        // the note to set, if toSet
 	toSet  bool
 	no     string // why it was not granted
 }
 
-// sentRequest is an ask that was sent and not answered yet.
+// sentRequest is a request that was sent and has not been answered yet.
 type sentRequest struct {
 	Number uint64
 	To     string // a voter
@@ -52,56 +51,56 @@
 	at     time.Duration // a time before it was sent
 }
 
-// patience returns how long to wait for the answer: a part of the shortest lease that is asked for, so that there is time
-// to ask another voter.
-func (r *sentRequest) patience() time.Duration {
+// timeout returns how long to wait for the answer: a part of the shortest requested lease, so that there is time to try
+// another voter.
+func (r *sentRequest) timeout() time.Duration {
 	shortest := 4 * requestTime
 	for _, o := range r.Ask.Ops {
 		if o.Do == opTake {
 			shortest = min(shortest, o.Length)
 		}
 	}
-	return max(shortest/4, backoffLeast)
+	return max(shortest/4, minBackoff)
 }
 
-// Client is the client of the leases at one node: it decides when to ask for what, and knows what the node holds. It has no
-// clock or goroutine: now is the reading of a monotonic clock that does not stop while the machine sleeps. It is not safe
-// for concurrent use.
+// Client is the client of the leases at one node: it decides when to send which requests, and tracks the leases that the
+// node holds. It has no clock or goroutine: now is the reading of a monotonic clock that does not stop while the machine
+// sleeps. It is not safe for concurrent use.
 type Client struct {
 	name        string
 	incarnation uint64
 	number      uint64
-	voters      []string // by the configuration
-	learnt      []string // by the last answer
-	leader      string   // the voter to ask next; empty for any
+	voters      []string // from the configuration
+	learnt      []string // voters named in the last answer
+	leader      string   // the voter for the next request; empty for any
 	avoid       string   // a voter that has not answered, which is avoided until avoidTo
 	avoidTo     time.Duration
 	log         logID
 	tenures     map[string]*tenure
-	out         *sentRequest
-	next        time.Duration // the earliest time of the next ask
+	out         *sentRequest  // the outstanding request, nil if there is none
+	next        time.Duration // the earliest time of the next request
 	backoff     time.Duration
 	random      func() float64
 	stats       ClientStats
 }
 
-// ClientStats counts the asks, those without an answer, and the leases lost, since the start.
+// ClientStats counts the requests, those without an answer, and the leases lost, since the start.
 type ClientStats struct {
 	Asks, NoAnswer, Lost int
 }
 
-// NewClient returns an Asker that wants no leases. The function random returns random numbers in [0, 1).
+// NewClient returns a Client that wants no leases. The function random returns random numbers in [0, 1).
 func NewClient(name string, voters []string, random func() float64) *Client {
 	return &Client{name: name, voters: voters, tenures: map[string]*tenure{}, random: random}
 }
 
-// Restart sets the incarnation of the node. If it has changed, the leases that were held and the ask without an answer are
-// lost.
+// Restart sets the incarnation of the node. If it has changed, the leases that were held and the outstanding request are
+// dropped.
 func (a *Client) Restart(incarnation uint64) {
 	if incarnation == a.incarnation {
 		return
 	}
-	a.incarnation, a.out = incarnation, nil // the numbers go on, because an incarnation may join twice
+	a.incarnation, a.out = incarnation, nil // the request numbers continue, because an incarnation may join twice
 	for name, t := range a.tenures {
 		t.toSet = false
 		t.token, t.giving = 0, 0
@@ -111,37 +110,36 @@
 	}
 }
 
-// Want asks for a lease from now on, and renews it, until Drop. It fails if the name or the length is invalid or there are
-// too many leases.
+// Want requests a lease, and renews it, until Drop. It fails if the name or the length is invalid or there are too many leases.
 func (a *Client) Want(name string, length, now time.Duration) error {
 	if name == blocked || len(name) > MaxName || !utf8.ValidString(name) {
-		return fmt.Errorf("%q is no name of a lease (1 to %d bytes)", name, MaxName)
+		return fmt.Errorf("invalid lease name %q: it must be UTF-8 of 1 to %d bytes", name, MaxName)
 	}
 	if length < Shortest {
-		return fmt.Errorf("a lease of %v: %v is the least", length, Shortest)
+		return fmt.Errorf("lease length %v is below the minimum of %v", length, Shortest)
 	}
 	t := a.tenures[name]
 	switch {
 	case t == nil && len(a.tenures) >= MaxLeases:
-		return fmt.Errorf("%d leases are asked for already", len(a.tenures))
+		return fmt.Errorf("this node already requests %d leases", len(a.tenures))
 	case t == nil:
 		t = &tenure{}
 		a.tenures[name] = t
 	case t.wanted:
 		return nil
 	}
-	t.length, t.wanted, t.askAt = length, true, min(t.askAt, now) // a lease that is being given back is given back first
+	t.length, t.wanted, t.askAt = length, true, min(t.askAt, now) // a release in progress is completed first
 	return nil
 }
 
-// Succeed allows a lease that is wanted to be taken from earlier incarnations of this node (op.Since).
+// Succeed allows a wanted lease to be taken over from earlier incarnations of this node (op.Since).
 func (a *Client) Succeed(name string, since uint64) {
 	if t := a.tenures[name]; t != nil {
 		t.since = since
 	}
 }
 
-// SetNote asks to replace the note of a lease that is held.
+// SetNote requests that the note of a held lease be replaced.
 func (a *Client) SetNote(name string, text []byte, now time.Duration) {
 	if t := a.tenures[name]; t != nil && t.token != 0 {
 		t.set, t.toSet, t.askAt = text, true, min(t.askAt, now)
@@ -157,7 +155,7 @@
 	return t.note, !t.toSet
 }
 
-// Drop gives a lease back. The caller must have ended its work under it.
+// Drop releases a lease. The caller must have ended its work under it.
 func (a *Client) Drop(name string, now time.Duration) {
 	t := a.tenures[name]
 	if t == nil {
@@ -172,7 +170,7 @@
 	}
 }
 
-// Forget stops renewing a lease without giving it back: it expires.
+// Forget stops renewing a lease without releasing it: it expires.
 func (a *Client) Forget(name string) { delete(a.tenures, name) }
 
 // Held returns the token of a lease that this node holds and the time until it expires, or zeros.
@@ -184,15 +182,15 @@
 	return t.token, t.until - now
 }
 
-// Freed makes the next ask for a name due at once, because it may be free.
+// Freed makes the next request for a lease due at once, because the lease may be free.
 func (a *Client) Freed(name string, now time.Duration) {
 	if t := a.tenures[name]; t != nil && t.wanted && t.token == 0 {
 		t.askAt = min(t.askAt, now)
 	}
 }
 
-// runOut ends the leases that have expired.
-func (a *Client) runOut(now time.Duration) {
+// expire ends the leases that have expired.
+func (a *Client) expire(now time.Duration) {
 	for name, t := range a.tenures {
 		if t.token == 0 && t.giving == 0 || now < t.until {
 			continue
@@ -202,14 +200,14 @@
 		}
 		t.token, t.giving, t.askAt, t.toSet = 0, 0, min(t.askAt, now), false
 		if !t.wanted {
-			delete(a.tenures, name) // no answer to the give; it expires at the voters too
+			delete(a.tenures, name) // the release was not answered, but the lease expires at the voters too
 		}
 	}
 }
 
-// Step returns the next ask, or nil if none is due.
+// Step returns the next request, or nil if none is due.
 func (a *Client) Step(now time.Duration) *sentRequest {
-	a.runOut(now)
+	a.expire(now)
 	if a.out != nil || now < a.next || a.incarnation == 0 || len(a.voters) == 0 {
 		return nil
 	}
@@ -222,14 +220,14 @@
 	if len(due) == 0 {
 		return nil
 	}
-	urgent := func(name string) time.Duration { // leases that expire first are asked for first
+	expiry := func(name string) time.Duration { // the leases that expire first come first
 		if t := a.tenures[name]; t.token != 0 {
 			return t.until
 		}
 		return now + a.tenures[name].length
 	}
 	slices.SortFunc(due, func(x, y string) int {
-		return cmp.Or(cmp.Compare(urgent(x), urgent(y)), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(expiry(x), expiry(y)), cmp.Compare(x, y))
 	})
 	a.number++
 	r := &sentRequest{Number: a.number, To: a.leader, Ask: request{Node: a.name, Incarnation: a.incarnation, Number: a.number}, at: now}
@@ -275,7 +273,7 @@
 	return at, ok
 }
 
-// NoAnswer reports that an ask was not answered. It may have had an effect.
+// NoAnswer reports that a request was not answered. The request may have had an effect.
 func (a *Client) NoAnswer(number uint64, now time.Duration) {
 	if a.out == nil || a.out.Number != number {
 		return
@@ -286,20 +284,20 @@
 	a.pause(now)
 }
 
-// pause delays the next ask by a random time whose mean doubles with each failed ask in a row.
+// pause delays the next request by a random time whose mean doubles with each consecutive failure.
 func (a *Client) pause(now time.Duration) {
-	a.backoff = min(max(2*a.backoff, backoffLeast), maxBackoff)
+	a.backoff = min(max(2*a.backoff, minBackoff), maxBackoff)
 	a.next = now + time.Duration(float64(a.backoff)*(0.5+a.random()))
 }
 
-// Answer handles the answer to an ask. An answer to any but the last ask is ignored.
+// Answer handles the answer to a request. Answers to any but the outstanding request are ignored.
 func (a *Client) Answer(number uint64, ans answer, now time.Duration) {
 	if a.out == nil || a.out.Number != number {
 		return
 	}
 	r := a.out
 	a.out = nil
-	if a.another(ans.Log, now) {
+	if a.ignoreLog(ans.Log, now) {
 		a.pause(now)
 		return
 	}
@@ -320,11 +318,11 @@
 	}
 }
 
-// another reports whether an answer must be ignored because of its log: it is of an earlier epoch, or of another log while
-// this node holds leases of the one that it knows.
-func (a *Client) another(log logID, now time.Duration) bool {
+// ignoreLog reports whether an answer must be ignored because of its log: the log is of an earlier epoch, or it is another
+// log while this node holds leases of the present one. Otherwise the log becomes the present one.
+func (a *Client) ignoreLog(log logID, now time.Duration) bool {
 	if log == (logID{}) {
-		return false // the voter is in no log, or only names the leader
+		return false // the voter has no log, or only names the leader
 	}
 	if log.ID != a.log.ID {
 		for _, t := range a.tenures {
@@ -354,7 +352,7 @@
 		}
 		return
 	}
-	if t.giving != 0 { // Drop was called after the ask: the give goes on
+	if t.giving != 0 { // Drop was called after the request: the release continues
 		t.until = max(t.until, asked+out.Length)
 		return
 	}
@@ -368,10 +366,10 @@
 			delete(a.tenures, o.Name)
 			return
 		}
-		pause := min(max(out.Length/wantedShare, wantedLeast), maxWanted)
+		pause := min(max(out.Length/pollDivisor, minPoll), maxPoll)
 		t.askAt = now + time.Duration(float64(pause)*(0.5+a.random()))
 		if o.Token != 0 && out.Token == 0 {
-			t.askAt = now // the lease of this node has expired: ask for a new one
+			t.askAt = now // the lease of this node has expired: request a new one
 		}
 		return
 	}
@@ -380,7 +378,7 @@
 		t.toSet = false
 	}
 	t.token, t.until = out.Token, asked+out.Length
-	t.askAt = asked + out.Length/renewAfter
+	t.askAt = asked + out.Length/renewDivisor
 	if t.toSet {
 		t.askAt = now
 	}
--- a/internal/deliverynode/lease/disk.go
+++ b/internal/deliverynode/lease/disk.go
@@ -15,42 +15,41 @@
 const (
 	logName   = "lease-log"
 	logNew    = "lease-log.new"
-	logAside  = "lease-log.aside" // the last that was set aside, for the staff to look at
+	logAside  = "lease-log.aside" // the file that was set aside last, kept for inspection by operators
 	frameSize = 2 + 4 + 8         // magic, length, checksum
 	magic     = "LV"
-	maxRecord = 3 << 20 // a snapshot and what is after it
+	maxRecord = 3 << 20 // a snapshot and the entries after it
 	maxLog    = 16 << 20
-	// growLog is by how much the file grows before it is written anew, and keptLog how much of what
-	// came before a snapshot stays, for whoever lacks a little.
+	// growLog is by how many bytes the file grows before it is rewritten. retainedLog is how many bytes of entries before
+	// a snapshot are kept, so that a voter that lacks only a few entries does not need the snapshot.
 	growLog     = 64 << 10
 	retainedLog = 32 << 10
-	// What a lease and a node take in a snapshot at the most.
+	// leaseCost and nodeCost are the most bytes of a lease and of a node in a snapshot.
 	leaseCost = 120
 	nodeCost  = 100
 )
 
-// DiskSpace is what a voter's files take in its folder, with so many leases at the most: the log, the
-// one that is to replace it, and one that was set aside. Notes: each lease may have one.
+// DiskSpace returns the most bytes that a voter's files take in its folder with up to most leases: the log, its replacement
+// while it is rewritten, and one log that was set aside. If notes is true, each lease may have a note.
 func DiskSpace(most int, notes bool) int64 {
 	cost := leaseCost
 	if notes {
 		cost += MaxName + MaxNote + 16
 	}
-	began := 2 * int64(most*cost+(fleet.MaxMembers+1)*nodeCost+retainedLog+4<<10) // records stand twice
+	began := 2 * int64(most*cost+(fleet.MaxMembers+1)*nodeCost+retainedLog+4<<10) // each record is stored twice
 	return began + 2*(began+growLog+2*maxProposed)
 }
 
-// errDamaged says that something that was promised can't be read: what is left of the log may
-// not vote.
-var errDamaged = errors.New("a part of the log is lost")
+// errDamaged is returned when a record that was synced cannot be read. A voter must not vote with the rest of the log.
+var errDamaged = errors.New("the log is damaged")
 
-// identity says whose part of which log a file is.
+// identity identifies the log and the voter that a file belongs to.
 type identity struct {
 	Log   logID  `cbor:"1,keyasint"`
 	Voter uint64 `cbor:"2,keyasint"`
 }
 
-// logID names a log. A later epoch of the same log replaces it.
+// logID identifies a log. A later epoch of the same log replaces it.
 type logID struct {
 	ID    uint64 `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
@@ -59,9 +58,9 @@
 // String returns the id in hexadecimal and the epoch.
 func (l logID) String() string { return fmt.Sprintf("%016x.%d", l.ID, l.Epoch) }
 
-// record is what is written at once. All but the first of a file hold what is new.
+// record is the unit of writing. The first record of a file holds the whole state, each later one only the changes.
 type record struct {
-	Place    uint64                 `cbor:"1,keyasint"` // in the file, from 1
+	Place    uint64                 `cbor:"1,keyasint"` // sequence number in the file, from 1
 	Self     *identity              `cbor:"2,keyasint,omitempty"`
 	Hard     []byte                 `cbor:"3,keyasint,omitempty"`
 	Entries  [][]byte               `cbor:"4,keyasint,omitempty"`
@@ -69,22 +68,23 @@
 	Seen     map[uint64]incarnation `cbor:"6,keyasint,omitempty"` // of other voters
 }
 
-// incarnation is one life of a voter: each process of it draws another start.
+// incarnation identifies a process of a voter. Start is a random number that each process draws.
 type incarnation struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Start       uint64 `cbor:"2,keyasint"`
 }
 
-// disk is a voter's file. Each record stands in it twice, so that one spoilt byte never takes
-// a promise away that looks, then, like a write that was cut off.
+// disk is a voter's file. Each record is stored twice: otherwise one damaged byte in the last record would look like a
+// torn write, and a synced record would be lost unnoticed.
 type disk struct {
 	folder vfs.Folder
-	file   vfs.File // nil: it has to be written anew
-	place  uint64
+	file   vfs.File // nil if the file must be rewritten before the next append
+	place  uint64   // the last record's
 	size   int64
-	began  int64 // its size when it was written anew
+	began  int64 // the size after the last rewrite
 }
 
+// frame encodes a record with its header, twice.
 func frame(payload []byte) []byte {
 	b := append(make([]byte, 0, 2*(frameSize+len(payload))), magic...)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
@@ -93,7 +93,7 @@
 	return append(b, b...)
 }
 
-// unframe finds the record that begins a text; 0: none does.
+// unframe decodes the record at the start of a text and returns its length, or 0 if there is no valid record.
 func unframe(text []byte) (rec record, n int) {
 	if len(text) < frameSize || string(text[:2]) != magic {
 		return rec, 0
@@ -109,8 +109,8 @@
 	return rec, frameSize + length
 }
 
-// load reads all records in their order. None: there is no log. What was cut off at the end was
-// promised to nobody; errDamaged: something before it is lost.
+// load returns all records in order, or none if there is no file. A torn write at the end is ignored, because nothing that
+// depends on it was sent. It fails with errDamaged if a record before the last is missing.
 func (d *disk) load() (all []record, err error) {
 	text, err := d.folder.Read(logName, maxLog)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -121,7 +121,7 @@
 	}
 	for at := 0; at < len(text); {
 		rec, n := unframe(text[at:])
-		if n == 0 { // spoilt, or cut off: look for whole ones after it
+		if n == 0 { // damaged or torn: search for the next valid record
 			at++
 			continue
 		}
@@ -135,16 +135,16 @@
 		}
 	}
 	if len(all) == 0 || all[0].Self == nil {
-		return nil, fmt.Errorf("%s: %w: it has no beginning", logName, errDamaged)
+		return nil, fmt.Errorf("%s: %w: the first record is missing", logName, errDamaged)
 	}
 	return all, nil
 }
 
-// append adds a record, synced. After an error nothing is known of the file: it is written
-// anew before anything else.
+// append appends a record and syncs the file. After an error the content of the file is unknown, and it must be rewritten
+// by renew before the next append.
 func (d *disk) append(rec record) error {
 	if d.file == nil {
-		return errors.New("the log has to be written anew")
+		return errors.New("the log must be rewritten after a failed write")
 	}
 	d.place++
 	rec.Place = d.place
@@ -157,13 +157,14 @@
 	return fmt.Errorf("writing %s: %w", logName, err)
 }
 
+// put writes a record to a file, syncs it, and returns the number of bytes written.
 func (d *disk) put(f vfs.File, rec record) (int64, error) {
 	payload, err := encoding.Marshal(rec)
 	if err != nil {
 		return 0, err
 	}
 	if len(payload) > maxRecord {
-		return 0, fmt.Errorf("a record of %d bytes", len(payload))
+		return 0, fmt.Errorf("record of %d bytes is too large", len(payload))
 	}
 	b := frame(payload)
 	if _, err := f.Write(b); err != nil {
@@ -172,7 +173,7 @@
 	return int64(len(b)), f.Sync()
 }
 
-// renew writes the file anew, with all that there is, in the place of the old one.
+// renew replaces the file by one with a single record that holds the whole state.
 func (d *disk) renew(rec record) error {
 	d.close()
 	rec.Place = 1
@@ -197,15 +198,15 @@
 		return nil
 	}()
 	if err != nil {
-		return fmt.Errorf("writing %s anew: %w", logName, err)
+		return fmt.Errorf("rewriting %s: %w", logName, err)
 	}
 	return nil
 }
 
-// full tells whether the file should be written anew, shorter.
+// full reports whether the file has grown enough to be compacted.
 func (d *disk) full() bool { return d.size > d.began+growLog }
 
-// setAside ends this part in the log for good, and keeps the file for the staff.
+// setAside renames the file, so that this node never votes with it again, and keeps it for inspection by operators.
 func (d *disk) setAside() error {
 	d.close()
 	err := d.folder.Rename(logName, logAside)
@@ -223,7 +224,7 @@
 
 func (d *disk) close() {
 	if d.file != nil {
-		_ = d.file.Close() // what was promised was synced
+		_ = d.file.Close() // all records that anything depends on are synced
 	}
 	d.file = nil
 }
--- a/internal/deliverynode/lease/explore_test.go
+++ b/internal/deliverynode/lease/explore_test.go
@@ -95,7 +95,7 @@
 		lease(v.book)
 		proposed(m.landed[v.applied:])
 		for name, c := range v.counts {
-			put(name, c.token, c.renewed, max(fastClock(m.now)-c.since, 0), min(fastClock(m.now)-c.said, sayAgain))
+			put(name, c.token, c.renewed, max(fastClock(m.now)-c.since, 0), min(fastClock(m.now)-c.said, reproposeAfter))
 		}
 	}
 	for _, a := range m.askers {
@@ -201,7 +201,7 @@
 	}
 	for _, v := range m.voters {
 		for name, c := range v.counts {
-			at((c.since + longer(v.book.state.Leases[name].Length)) * 100 / 101)
+			at((c.since + withDrift(v.book.state.Leases[name].Length)) * 100 / 101)
 		}
 	}
 	for _, a := range m.askers {
@@ -333,7 +333,7 @@
 			start := newModel()
 			for _, event := range script {
 				if event == "to its end" { // as the voters count it
-					start.now = start.voters[0].counts[modelName].since*100/101 + longer(Shortest)
+					start.now = start.voters[0].counts[modelName].since*100/101 + withDrift(Shortest)
 					continue
 				}
 				start = start.do(t, event)
--- a/internal/deliverynode/lease/lease.go
+++ b/internal/deliverynode/lease/lease.go
@@ -19,24 +19,24 @@
 const (
 	// kind is the kind of the messages about leases on the fleet's links.
 	kind = "lease"
-	// eventQueue is the most events that wait for the voter's loop; further ones are refused. An event takes some
+	// eventQueue is the most events that are queued for the voter's loop; further ones are refused. An event takes some
 	// microseconds, or as long as a sync of the disk.
 	eventQueue = 2048
 	// flushEvery is the most events before a Flush.
 	flushEvery = 256
-	// tookWindow is the number of asks whose times are kept for the staff.
-	tookWindow = 256
-	// voterPause is the pause before a voter that has failed is started again from its folder.
+	// latencyWindow is the number of requests whose latencies are kept for Status.
+	latencyWindow = 256
+	// voterPause is the delay before a failed voter is restarted from its folder.
 	voterPause = 5 * time.Second
-	// requestTime is how long to wait for an answer: a little longer than the leader waits.
+	// requestTime is the longest wait for an answer: a little longer than the leader waits for a commit.
 	requestTime = answerTime + 500*time.Millisecond
 )
 
 var (
-	// ErrNotHeld is returned when a lease is not held, or not for long enough.
-	ErrNotHeld = errors.New("the lease is not held for so long")
-	// ErrOutside is returned when this node is not joined to its fleet.
-	ErrOutside = errors.New("this node is not joined")
+	// ErrNotHeld is returned when a lease is not held, or expires too soon.
+	ErrNotHeld = errors.New("lease not held, or about to expire")
+	// ErrOutside is returned when this node has not joined its fleet.
+	ErrOutside = errors.New("this node has not joined its fleet")
 )
 
 // Options configures Leases.
@@ -49,42 +49,43 @@
 	Most    int
 	// Clock is a monotonic clock that does not stop while the machine sleeps.
 	Clock func() time.Duration
-	// Above returns a number that all tokens of a log that begins must exceed.
+	// Above returns a lower bound that all tokens of a new log must exceed.
 	Above func() uint64
 	Seed  uint64
 	Log   *slog.Logger
 }
 
-// Leases is the part of one node in the leases of its fleet: a client and, if it is one, a voter. It is safe for concurrent use.
+// Leases manages the leases of one node of a fleet: it runs a client and, if the node is one, a voter. It is safe for
+// concurrent use.
 type Leases struct {
 	options Options
 	events  chan func(v *Voter, now time.Duration) // for the voter's loop
 	ctx     sync.Mutex                             // held while the voter is started or stopped
-	votes   bool                                   // there is a voter; guarded by life
-	wake    chan struct{}                          // wakes the asker's loop
+	votes   bool                                   // there is a voter; guarded by ctx
+	wake    chan struct{}                          // wakes the client's loop
 
-	mu     sync.Mutex // guards the following
-	client *Client
-	leases map[string]*Lease
-	rand   *rand.Rand
-	start  uint64
-	took   []time.Duration // times of the last asks until their answers
-	joined bool
-	failed string        // why there is no voter
-	turn   chan struct{} // closed and replaced when a lease may have changed
+	mu      sync.Mutex // guards the following
+	client  *Client
+	leases  map[string]*Lease
+	rand    *rand.Rand
+	start   uint64
+	took    []time.Duration // latencies of the last answered requests
+	joined  bool
+	failed  string        // why there is no voter
+	changed chan struct{} // closed and replaced when a lease may have changed
 }
 
-// New registers the handlers of messages with the fleet. Run does the work.
+// New returns Leases and registers its message handlers with the fleet. Run does the work.
 func New(o Options) *Leases {
 	l := &Leases{options: o, events: make(chan func(*Voter, time.Duration), eventQueue), wake: make(chan struct{}, 1),
-		leases: map[string]*Lease{}, turn: make(chan struct{}), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
+		leases: map[string]*Lease{}, changed: make(chan struct{}), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
 	l.start = l.rand.Uint64()
 	l.client = NewClient(o.Name, o.Voters, l.rand.Float64)
 	o.Net.OnNews(kind, l.hear)
 	o.Net.OnAsk(kind, l.asked)
 	o.Net.OnChange(func(c fleet.Change) {
 		if c.Name == o.Name {
-			l.rouse() // it may be another incarnation
+			l.rouse() // the incarnation may have changed
 		}
 	})
 	return l
@@ -97,8 +98,8 @@
 	return l.rand.Uint64()
 }
 
-// Overtaken sets the log in the folder aside, because other nodes know a later start of this node than its folder does. If
-// it returns nil, the log is set aside.
+// Overtaken sets the log in the folder aside, because other nodes have seen a later start of this node than is recorded in
+// its folder. If it returns nil, the log is set aside.
 func (l *Leases) Overtaken() error {
 	l.ctx.Lock()
 	defer l.ctx.Unlock()
@@ -111,8 +112,8 @@
 	return errors.Join(err, out)
 }
 
-// Run runs the voter and the asker until the context ends. It must not run longer than this node is joined to its fleet,
-// because another process may have the folder afterwards.
+// Run runs the voter and the client until the context ends. The context must end before this node leaves its fleet, because
+// another process may use the folder afterwards.
 func (l *Leases) Run(ctx context.Context) {
 	l.mu.Lock()
 	l.joined, l.failed = true, ""
@@ -129,7 +130,7 @@
 	l.settle(l.options.Clock())
 }
 
-// rouse wakes the asker's loop.
+// rouse wakes the client's loop.
 func (l *Leases) rouse() {
 	select {
 	case l.wake <- struct{}{}:
@@ -137,7 +138,7 @@
 	}
 }
 
-// post queues an event for the voter's loop, and returns false if there is no room.
+// post queues an event for the voter's loop, and returns false if the queue is full.
 func (l *Leases) post(f func(v *Voter, now time.Duration)) bool {
 	select {
 	case l.events <- f:
@@ -149,14 +150,14 @@
 
 // fail records why there is no voter.
 func (l *Leases) fail(why string) {
-	l.options.Log.Error("leases: this node does not vote", "why", why)
+	l.options.Log.Error("leases: voter stopped", "why", why)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failed = why
 }
 
-// runVoter runs the voter, and starts it again after a pause when it fails. A panic of raft is such a failure: it means that
-// its state is inconsistent, for example because the folder is old.
+// runVoter runs the voter, and restarts it after a delay when it fails. A panic of raft counts as a failure: it means that
+// raft's state is inconsistent, for example because the folder is out of date.
 func (l *Leases) runVoter(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.stepVoter(ctx)
@@ -189,14 +190,14 @@
 		defer l.ctx.Unlock()
 		l.votes = false
 		v.Close()
-		for len(l.events) > 0 { // callers that wait for them have a time limit
+		for len(l.events) > 0 { // callers that wait for these events have a time limit
 			<-l.events
 		}
 	}()
 	defer func() {
 		if p := recover(); p != nil {
 			l.fail(fmt.Sprint(p))
-			l.options.Log.Error("leases: a panic of the log", "stack", string(debug.Stack()))
+			l.options.Log.Error("leases: voter panicked", "stack", string(debug.Stack()))
 		}
 	}()
 	tick := time.NewTicker(tickEvery / 2)
@@ -220,13 +221,13 @@
 			}
 		}
 		v.Tick(l.options.Clock())
-		for _, out := range v.Flush(l.options.Clock()) { // the time is read after the events
+		for _, out := range v.Flush(l.options.Clock()) { // the clock must be read after the events
 			l.tell(v, out)
 		}
 	}
 }
 
-// tell sends a message, or handles it if it is for this node.
+// tell sends a message, or handles it directly if it is addressed to this node.
 func (l *Leases) tell(v *Voter, out Outbound) {
 	if name, free := strings.CutPrefix(out.Key, freeKey); free && out.To == l.options.Name {
 		l.hearFree(name)
@@ -237,16 +238,16 @@
 	}
 }
 
-// hear handles a message of another node.
+// hear handles a message from another node.
 func (l *Leases) hear(from fleet.Peer, key string, _ time.Duration, body []byte) {
 	if name, free := strings.CutPrefix(key, freeKey); free {
 		l.hearFree(name)
 		return
 	}
-	l.post(func(v *Voter, now time.Duration) { v.Receive(now, from, body) }) // if there is no room, raft or the sender repeats it
+	l.post(func(v *Voter, now time.Duration) { v.Receive(now, from, body) }) // if the queue is full, raft or the sender repeats it
 }
 
-// hearFree handles the message that a lease may be free.
+// hearFree handles the message that a lease may have become free.
 func (l *Leases) hearFree(name string) {
 	l.mu.Lock()
 	l.client.Freed(name, l.options.Clock())
@@ -254,14 +255,14 @@
 	l.rouse()
 }
 
-// asked answers another node's ask.
+// asked answers a request from another node.
 func (l *Leases) asked(ctx context.Context, from fleet.Peer, body []byte) ([]byte, error) {
 	var a request
 	if err := decoding.Unmarshal(body, &a); err != nil {
-		return nil, fmt.Errorf("unreadable: %w", err)
+		return nil, fmt.Errorf("decoding a lease request: %w", err)
 	}
-	if a.Node != from.Name { // the incarnation may differ: that of the link is older
-		return nil, fmt.Errorf("%s asks as %s", from.Name, a.Node)
+	if a.Node != from.Name { // the incarnations may differ, because the link's may be older
+		return nil, fmt.Errorf("lease request from %s in the name of %s", from.Name, a.Node)
 	}
 	ans, err := l.put(ctx, a)
 	if err != nil {
@@ -270,7 +271,7 @@
 	return encoding.Marshal(ans)
 }
 
-// put lets this node's voter answer an ask.
+// put passes a request to this node's voter and waits for the answer.
 func (l *Leases) put(ctx context.Context, a request) (answer, error) {
 	return await(ctx, l, func(v *Voter, now time.Duration, reply func(answer)) { v.Ask(now, a, reply) })
 }
@@ -279,17 +280,17 @@
 func await[T any](ctx context.Context, l *Leases, f func(v *Voter, now time.Duration, reply func(T))) (out T, err error) {
 	got := make(chan T, 1)
 	if !l.post(func(v *Voter, now time.Duration) { f(v, now, func(t T) { got <- t }) }) {
-		return out, errors.New("too many asks at once")
+		return out, errors.New("too many requests queued for the voter")
 	}
 	select {
 	case out = <-got:
 		return out, nil
 	case <-ctx.Done():
-		return out, fmt.Errorf("no answer of the voter: %w", ctx.Err())
+		return out, fmt.Errorf("waiting for the voter: %w", ctx.Err())
 	}
 }
 
-// runClient sends the asks of the asker, one at a time.
+// runClient sends the requests of the client, one at a time.
 func (l *Leases) runClient(ctx context.Context) {
 	var asking sync.WaitGroup
 	defer asking.Wait()
@@ -309,7 +310,7 @@
 					l.client.NoAnswer(r.Number, now)
 				} else {
 					l.client.Answer(r.Number, ans, now)
-					if l.took = append(l.took, now-r.at); len(l.took) > tookWindow {
+					if l.took = append(l.took, now-r.at); len(l.took) > latencyWindow {
 						l.took = l.took[1:]
 					}
 				}
@@ -331,9 +332,9 @@
 	}
 }
 
-// ask sends an ask to a voter and returns the answer.
+// ask sends a request to a voter and returns the answer.
 func (l *Leases) ask(ctx context.Context, r *sentRequest) (ans answer, err error) {
-	ctx, cancel := context.WithTimeout(ctx, r.patience())
+	ctx, cancel := context.WithTimeout(ctx, r.timeout())
 	defer cancel()
 	if r.To == l.options.Name {
 		return l.put(ctx, r.Ask)
@@ -356,8 +357,8 @@
 	return l.client.names()
 }
 
-// Take wants a lease on behalf of the staff and waits for it. It is renewed until Give or the end of the process. If the
-// context ends first, the lease is not wanted any more.
+// Take acquires a lease on behalf of an operator and waits for it. The lease is renewed until Give or the end of the process.
+// If the context ends first, the lease is no longer requested.
 func (l *Leases) Take(ctx context.Context, name string, length time.Duration) (token uint64, err error) {
 	t, err := l.Want(name, length)
 	if err != nil {
@@ -371,35 +372,35 @@
 			err = fmt.Errorf("%w: %s", err, tenure.no)
 		}
 		l.mu.Unlock()
-		t.Release(context.Background()) // it has no acts
+		t.Release(context.Background()) // no operation can be in progress
 	}
 	return token, err
 }
 
-// Give gives back a lease that the staff have taken under a token.
+// Give releases a lease that an operator has acquired under a token.
 func (l *Leases) Give(ctx context.Context, name string, token uint64) error {
 	l.mu.Lock()
 	t := l.leases[name]
 	l.mu.Unlock()
 	if t == nil {
-		return fmt.Errorf("%w: %q is not wanted at this node", ErrNotHeld, name)
+		return fmt.Errorf("%w: this node has not requested %q", ErrNotHeld, name)
 	}
 	if have, _ := t.Held(); have != token {
-		return fmt.Errorf("%w: %q under token %d; it is %d", ErrNotHeld, name, token, have)
+		return fmt.Errorf("%w: %q under token %d; the present token is %d", ErrNotHeld, name, token, have)
 	}
 	t.Release(ctx)
 	return nil
 }
 
-// SetVoters sets which nodes should be voters. When it returns nil the order is committed; the voters are changed one by
-// one afterwards.
+// SetVoters sets which nodes should be voters. When it returns nil the change is committed; the voters are then replaced one
+// by one.
 func (l *Leases) SetVoters(ctx context.Context, names []string) error {
 	if err := fleet.CheckVoters(names); err != nil {
 		return err
 	}
 	for _, name := range names {
 		if !slices.ContainsFunc(l.options.Net.Members(), func(m fleet.Member) bool { return m.Name == name && m.State == fleet.Alive }) {
-			return fmt.Errorf("%w: %s, alive", fleet.ErrUnknown, name)
+			return fmt.Errorf("%w that is alive: %s", fleet.ErrUnknown, name)
 		}
 	}
 	ans, err := await(ctx, l, func(v *Voter, now time.Duration, reply func(answer)) { v.Want(now, names, reply) })
@@ -407,28 +408,28 @@
 	case err != nil:
 		return err
 	case ans.No == errNotLeader.Error() && ans.Leader != "":
-		return fmt.Errorf("the order is to be given at %s, which leads", ans.Leader)
+		return fmt.Errorf("not the leader: set the voters at %s, which leads", ans.Leader)
 	case ans.No != "":
 		return errors.New(ans.No)
 	}
 	return nil
 }
 
-// GivesUp is the text with which the staff must confirm the order to recover.
+// GivesUp is the text with which an operator must confirm Recover.
 const GivesUp = "what the lost voters alone have agreed on is void"
 
-// Recover begins a new epoch of the log with this node as the only voter (Voter.Recover). Log is the present log, as Status
-// shows it, and givesUp must be GivesUp. It fails if the log has a leader.
+// Recover begins a new epoch of the log with this node as the only voter (Voter.Recover). The parameter log is the present
+// log as Status shows it, and givesUp must be GivesUp. It fails if the log has a leader.
 func (l *Leases) Recover(ctx context.Context, log, givesUp string) error {
 	if givesUp != GivesUp {
-		return fmt.Errorf("the order has to say what it gives up, word for word: %q", GivesUp)
+		return fmt.Errorf("recovery must be confirmed by the exact text %q", GivesUp)
 	}
 	failed, err := await(ctx, l, func(v *Voter, now time.Duration, reply func(error)) {
 		switch {
 		case v.self.Log.String() != log:
-			reply(fmt.Errorf("the log of this node is %v, not %s", v.self.Log, log))
+			reply(fmt.Errorf("this node has log %v, not %s", v.self.Log, log))
 		case v.Leader() != "":
-			reply(fmt.Errorf("%s leads: there is a majority", v.Leader()))
+			reply(fmt.Errorf("%s leads: the log still has a majority", v.Leader()))
 		default:
 			reply(v.Recover(now))
 		}
--- a/internal/deliverynode/lease/lease_handle.go
+++ b/internal/deliverynode/lease/lease_handle.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Lease is a lease that this node wants, from Want until GiveBack. It is safe for concurrent use.
+// Lease is a lease that this node wants, from Want until Release. It is safe for concurrent use.
 type Lease struct {
 	leases *Leases
 	name   string
 
-	// Guarded by l.mu.
+	// Guarded by leases.mu.
 	token uint64
-	held  chan struct{} // closed while it is held
-	lost  chan struct{} // closed while it is not
+	held  chan struct{} // closed while the lease is held
+	lost  chan struct{} // closed while it is not held
 	acts  sync.WaitGroup
-	given bool
+	given bool // Release was called
 }
 
-// Want asks for a lease from now on, and renews it, until GiveBack. It fails if the name is wanted at this node already or
-// the length is out of bounds.
+// Want requests a lease, and renews it, until Release. It fails if this node already wants the name or the length is out of
+// bounds.
 func (l *Leases) Want(name string, length time.Duration) (*Lease, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if have := l.leases[name]; have != nil {
-		return nil, fmt.Errorf("%q is wanted at this node already", name)
+		return nil, fmt.Errorf("this node already requests the lease %q", name)
 	}
 	if length > l.options.Longest {
-		return nil, fmt.Errorf("a lease of %v: %v is the most", length, l.options.Longest)
+		return nil, fmt.Errorf("lease length %v exceeds the maximum of %v", length, l.options.Longest)
 	}
 	if err := l.client.Want(name, length, l.options.Clock()); err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	return t, nil
 }
 
-// settle updates the leases by what the asker holds and wakes those that wait for a change. l.mu is held.
+// settle updates the leases from the client's state and wakes the goroutines that wait for a change; l.mu is held.
 func (l *Leases) settle(now time.Duration) {
 	for _, t := range l.leases {
 		token, _ := l.client.Held(t.name, now)
@@ -60,12 +60,12 @@
 		l.options.Log.Info("leases: held", "name", t.name, "token", token, "was", t.token)
 		t.token = token
 	}
-	close(l.turn)
-	l.turn = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Succeed allows this lease to be taken from the earlier incarnations of this node from since on. The caller knows that all
-// of them have ended their work under it.
+// Succeed allows this lease to be taken over from earlier incarnations of this node, from the incarnation since on. The
+// caller must be sure that all of them have ended their work under it.
 func (t *Lease) Succeed(since uint64) {
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
@@ -73,7 +73,7 @@
 	t.leases.rouse()
 }
 
-// Note returns the note that the last holder left under this name, as it was when this node got the lease, or the one that
+// Note returns the note that the last holder stored under this name, as it was when this node got the lease, or the one that
 // this node has set since. An empty note may also mean that the log has dropped it.
 func (t *Lease) Note() []byte {
 	t.leases.mu.Lock()
@@ -82,11 +82,11 @@
 	return text
 }
 
-// SetNote leaves a note under this name for the next holder. When it returns nil the note is committed, at a time when this
+// SetNote stores a note under this name for the next holder. When it returns nil the note was committed at a time when this
 // node held the lease under the token.
 func (t *Lease) SetNote(ctx context.Context, token uint64, text []byte) error {
 	if len(text) > MaxNote {
-		return fmt.Errorf("a note of %d bytes, over %d", len(text), MaxNote)
+		return fmt.Errorf("note of %d bytes exceeds %d", len(text), MaxNote)
 	}
 	for first := true; ; first = false {
 		t.leases.mu.Lock()
@@ -96,26 +96,26 @@
 			t.leases.rouse()
 		}
 		is, settled := t.leases.client.Note(t.name)
-		turn := t.leases.turn
+		changed := t.leases.changed
 		held := have == token && !t.given
 		t.leases.mu.Unlock()
 		switch {
 		case !held:
-			return fmt.Errorf("%w: %q under %d", ErrNotHeld, t.name, token)
+			return fmt.Errorf("%w: %q under token %d", ErrNotHeld, t.name, token)
 		case settled && !bytes.Equal(is, text):
 			return fmt.Errorf("the log has no room for the note of %q", t.name)
 		case settled:
 			return nil
 		}
 		select {
-		case <-turn:
+		case <-changed:
 		case <-ctx.Done():
-			return fmt.Errorf("leaving a note under %q: %w", t.name, ctx.Err())
+			return fmt.Errorf("storing a note under %q: %w", t.name, ctx.Err())
 		}
 	}
 }
 
-// Holder returns the holder of the lease at the last ask, or an empty string if there was none or it is unknown.
+// Holder returns the holder of the lease at the last answer, or an empty string if there was none or it is unknown.
 func (t *Lease) Holder() string {
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
@@ -135,14 +135,14 @@
 	return t.leases.client.Held(t.name, t.leases.options.Clock())
 }
 
-// Wait waits until the lease is held and returns its token. It fails if the context ends or the lease was given back.
+// Wait waits until the lease is held and returns its token. It fails if the context ends or the lease was released.
 func (t *Lease) Wait(ctx context.Context) (token uint64, err error) {
 	for {
 		t.leases.mu.Lock()
 		held, given := t.held, t.given
 		t.leases.mu.Unlock()
 		if given {
-			return 0, fmt.Errorf("%w: it was given back", ErrNotHeld)
+			return 0, fmt.Errorf("%w: it was released", ErrNotHeld)
 		}
 		select {
 		case <-held:
@@ -162,15 +162,15 @@
 	}
 }
 
-// Lost returns a channel that is closed when the lease is not held, or when it is lost.
+// Lost returns a channel that is closed if the lease is not held, or as soon as it is lost.
 func (t *Lease) Lost() <-chan struct{} {
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
 	return t.lost
 }
 
-// Begin begins an act under the lease that takes up to longest. It fails with ErrNotHeld if the lease does not last that
-// long. The act must have ended, with its last byte sent, when its context ends, and End must be called then.
+// Begin begins an operation under the lease that takes up to longest. It fails with ErrNotHeld if the lease expires before.
+// When the operation's context ends, the operation must have ended, with its last byte sent, and End must be called.
 func (t *Lease) Begin(ctx context.Context, longest time.Duration) (act *Act, err error) {
 	t.leases.mu.Lock()
 	token, left := t.leases.client.Held(t.name, t.leases.options.Clock())
@@ -181,11 +181,11 @@
 	}
 	t.leases.mu.Unlock()
 	if !ok {
-		return nil, fmt.Errorf("%w: %q, for %v", ErrNotHeld, t.name, longest)
+		return nil, fmt.Errorf("%w: %q, needed for %v", ErrNotHeld, t.name, longest)
 	}
 	a := &Act{Token: token, lease: t}
 	a.Context, a.cancel = context.WithTimeout(ctx, longest)
-	go func() { // ended by End at the latest
+	go func() { // End terminates it at the latest
 		select {
 		case <-lost:
 			a.cancel()
@@ -195,7 +195,7 @@
 	return a, nil
 }
 
-// Act is a piece of work under a lease.
+// Act is an operation in progress under a lease.
 type Act struct {
 	Token   uint64
 	Context context.Context
@@ -204,7 +204,7 @@
 	once    sync.Once
 }
 
-// End reports that the act has ended. Further calls have no effect.
+// End reports that the operation has ended. Further calls have no effect.
 func (a *Act) End() {
 	a.once.Do(func() {
 		a.cancel()
@@ -212,8 +212,8 @@
 	})
 }
 
-// Release gives the lease back. No further act can begin; it waits for the acts that are under way and then releases the
-// lease. If the context ends first, the lease is no longer renewed, and expires.
+// Release releases the lease. No further operation can begin; Release waits for the operations in progress first. If the
+// context ends before they do, the lease is no longer renewed, and expires.
 func (t *Lease) Release(ctx context.Context) {
 	t.leases.mu.Lock()
 	if t.given {
@@ -223,7 +223,7 @@
 	t.given = true
 	t.leases.mu.Unlock()
 	ended := make(chan struct{})
-	go func() { // each act has a time limit
+	go func() { // each operation has a time limit
 		t.acts.Wait()
 		close(ended)
 	}()
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -23,7 +23,7 @@
 		v.leave("a later epoch of the log has begun: "+m.Log.String(), now)
 	}
 	if v.node != nil && m.Log.ID == v.self.Log.ID && m.Log.Epoch < v.self.Log.Epoch && m.What == sayRaft {
-		v.say(from.Name, "here", message{What: sayHere, From: v.self.Voter}) // so it leaves the old epoch
+		v.say(from.Name, "here", message{What: sayHere, From: v.self.Voter}) // makes the sender leave the old epoch
 		return
 	}
 	same := v.node != nil && m.Log == v.self.Log
@@ -31,7 +31,7 @@
 	case sayWho:
 		begins := m.Log == logID{}
 		if v.node != nil && !begins && !same && m.Log.ID != v.self.Log.ID && v.bare() {
-			v.leave("it has nothing of its log, and another asks it in", now)
+			v.leave("this voter has no entries of its log and is invited to another log", now)
 		}
 		if v.node == nil && !begins {
 			v.join(m.Log, now)
@@ -44,8 +44,8 @@
 	case sayHere:
 		v.here[from.Name] = sighting{identity{m.Log, m.From}, now}
 	case sayOld:
-		// What came late from an earlier life is answered so too: then the later one is this, or
-		// one before it.
+		// A delayed message of an earlier process of this node is answered by sayOld too. Then the later process that the
+		// sender has seen is this one, or one before it, and this voter stays.
 		if same && m.To == v.self.Voter && m.Seen.Incarnation >= v.options.Incarnation() && m.Seen.Start != v.options.Start {
 			v.leave("another voter has seen a later incarnation of this node", now)
 		}
@@ -53,7 +53,7 @@
 		if !same || m.To != v.self.Voter || v.stuck != nil {
 			return
 		}
-		// One process may speak under an earlier incarnation than before: its link began then.
+		// A process may send under an earlier incarnation than before, if its link was established then.
 		if last := v.seen[m.From]; m.Start != last.Start && from.Incarnation <= last.Incarnation {
 			v.say(from.Name, "old", message{What: sayOld, To: m.From, Seen: last})
 			return
@@ -64,7 +64,7 @@
 	}
 }
 
-// hear hands a message to raft, after recording a new incarnation of its sender.
+// hear passes a message to raft, after recording a new incarnation of its sender.
 func (v *Voter) hear(from fleet.Peer, m message) {
 	in := &raftpb.Message{}
 	if err := proto.Unmarshal(m.Raft, in); err != nil || in.GetFrom() != m.From || in.GetTo() != m.To || raft.IsLocalMsg(in.GetType()) {
@@ -72,24 +72,24 @@
 		return
 	}
 	if now := (incarnation{from.Incarnation, m.Start}); now.Incarnation > v.seen[m.From].Incarnation {
-		if len(v.seen) >= fleet.MaxMembers { // voters that were replaced
+		if len(v.seen) >= fleet.MaxMembers { // mostly voters that were replaced
 			clear(v.seen)
 		}
 		v.seen[m.From] = now
 		if err := v.disk.append(record{Seen: map[uint64]incarnation{m.From: now}}); err != nil {
-			v.options.Log.Error("leases: no part in the log until the disk takes it", "err", err)
+			v.options.Log.Error("leases: writing the log failed, voter suspended until a write succeeds", "err", err)
 			v.stuck, v.why = &raft.Ready{}, err.Error()
 			return
 		}
 	}
 	v.names[m.From] = from.Name
 	if err := v.node.Step(in); err != nil {
-		v.options.Log.Debug("leases: a message of raft", "from", from.Name, "err", err)
+		v.options.Log.Debug("leases: raft rejected a message", "from", from.Name, "err", err)
 	}
 }
 
-// bare reports whether this node has no entries of a log: a node that was invited to a log that was lost since must not
-// prevent a new one.
+// bare reports whether this node has no entries of a log. A node that was invited to a log that has been lost since must
+// not prevent a new one.
 func (v *Voter) bare() bool {
 	if v.node == nil {
 		return true
@@ -98,8 +98,8 @@
 	return err == nil && last == 0
 }
 
-// look asks other nodes for their identities: as the leader those that should be voters; before there is a log, the first
-// configured voter asks the others, and begins a log if none of them has one.
+// look queries the identities of other nodes. The leader queries the nodes that should be voters. Before there is a log, the
+// first configured voter queries the others, and begins a log if none of them has one.
 func (v *Voter) look(now time.Duration) {
 	begins := v.bare() && len(v.options.Voters) > 0 && v.options.Voters[0] == v.options.Name
 	if !begins && !v.leads() || now-v.looked < lookEvery {
@@ -110,7 +110,7 @@
 	if !begins {
 		ask = v.machine.state.Wanted
 	}
-	none := true // nobody has a log
+	none := true // all have answered recently, and none has a log
 	for _, name := range ask {
 		if name == v.options.Name {
 			continue
@@ -126,16 +126,16 @@
 	if begins && none && v.notAside == nil {
 		id := identity{logID{v.options.Random() | 1, 1}, v.options.Random() | 1}
 		if err := v.create(id, newStateMachine(v.options.Above(), v.options.Longest, v.options.Most, v.options.Voters), now); err != nil {
-			v.options.Log.Error("leases: beginning a log", "err", err)
+			v.options.Log.Error("leases: creating a log failed", "err", err)
 			v.empty()
 			return
 		}
-		v.options.Log.Info("leases: a log begins", "log", id.Log, "voters", v.options.Voters)
+		v.options.Log.Info("leases: log created", "log", id.Log, "voters", v.options.Voters)
 	}
 }
 
-// arrange changes the voters, one at a time, to those that should be voters: a missing one becomes a learner first, then
-// replaces the raft id that it had lost, and then the others are removed.
+// arrange changes the voters, one at a time, to those that should be voters: a missing one is first added as a learner, then
+// replaces the raft id that its node had before, and then the others are removed.
 func (v *Voter) arrange(now time.Duration) {
 	if now-v.changed < changeEvery {
 		return
@@ -148,14 +148,14 @@
 	if c.GetType() == raftpb.ConfChangeRemoveNode && c.GetNodeId() == v.self.Voter {
 		for _, id := range v.conf.GetVoters() {
 			if id != v.self.Voter && slices.Contains(v.machine.state.Wanted, v.machine.state.Voters[id]) {
-				v.node.TransferLeader(id) // the next leader removes this one
+				v.node.TransferLeader(id) // the next leader removes this voter
 				return
 			}
 		}
 		return
 	}
 	if err := v.node.ProposeConfChange(c); err != nil {
-		v.options.Log.Debug("leases: a change of the voters", "err", err)
+		v.options.Log.Debug("leases: raft rejected a change of the voters", "err", err)
 	}
 }
 
@@ -164,7 +164,7 @@
 	change := func(t raftpb.ConfChangeType, id uint64, name string) *raftpb.ConfChange {
 		return &raftpb.ConfChange{Type: &t, NodeId: &id, Context: []byte(name)}
 	}
-	numbers := func(name string, among []uint64) (all []uint64) {
+	idsOf := func(name string, among []uint64) (all []uint64) {
 		for _, id := range among {
 			if v.machine.state.Voters[id] == name {
 				all = append(all, id)
@@ -172,23 +172,23 @@
 		}
 		return all
 	}
-	whole := true
+	complete := true // all wanted nodes are voters
 	for _, name := range slices.Sorted(slices.Values(v.machine.state.Wanted)) {
 		s, there := v.here[name]
 		id := s.id.Voter
 		if name == v.options.Name {
 			id = v.self.Voter
 		} else if !there || now-s.at >= seenFor || s.id.Log != v.self.Log {
-			whole = whole && len(numbers(name, v.conf.GetVoters())) > 0
+			complete = complete && len(idsOf(name, v.conf.GetVoters())) > 0
 			continue
 		}
-		voting, learning := numbers(name, v.conf.GetVoters()), numbers(name, v.conf.GetLearners())
+		voting, learning := idsOf(name, v.conf.GetVoters()), idsOf(name, v.conf.GetLearners())
 		switch {
 		case slices.Contains(voting, id):
 		case !slices.Contains(learning, id):
 			return change(raftpb.ConfChangeAddLearnerNode, id, name)
 		case !v.caughtUp(id):
-			whole = false
+			complete = false
 			continue
 		case len(voting) > 0:
 			return change(raftpb.ConfChangeRemoveNode, voting[0], name)
@@ -201,7 +201,7 @@
 			}
 		}
 	}
-	if !whole {
+	if !complete {
 		return nil
 	}
 	for _, id := range append(slices.Clone(v.conf.GetVoters()), v.conf.GetLearners()...) {
@@ -219,11 +219,11 @@
 	return there && p.RecentActive && p.Match >= s.HardState.GetCommit()
 }
 
-// Recover begins a new epoch of the log with this node's state and this node as the only voter, for when a majority is
-// lost for good. Entries that only the lost voters had are void.
+// Recover begins a new epoch of the log with this node's state and this node as the only voter. It is for the permanent loss
+// of a majority. Entries that only the lost voters had are void.
 func (v *Voter) Recover(now time.Duration) error {
 	if v.node == nil {
-		return errors.New("this node has nothing of the log")
+		return errors.New("this node has no log")
 	}
 	data, err := v.machine.snapshot()
 	if err != nil {
@@ -234,9 +234,9 @@
 		return err
 	}
 	book.state.Token = max(book.state.Token+newEpoch, v.options.Above())
-	// Present leases are left to expire and are not renewed, because the lost voters may have granted them to others.
+	// Present leases are not renewed but left to expire, because the lost voters may have granted them to others.
 	book.state.Leases = map[string]grant{blocked: {Token: book.state.Token, Length: book.state.Longest}}
-	book.state.Notes = nil // the lost may have agreed on others
+	book.state.Notes = nil // the lost voters may have committed others
 	for i := range book.state.Nodes {
 		book.state.Nodes[i].Holds = 0
 	}
@@ -247,6 +247,6 @@
 	if err := v.create(id, book, now); err != nil {
 		return err
 	}
-	v.options.Log.Warn("leases: the next epoch begins, by the staff's word", "log", id.Log)
+	v.options.Log.Warn("leases: new epoch of the log begun by an operator", "log", id.Log)
 	return nil
 }
--- a/internal/deliverynode/lease/mutants_test.go
+++ b/internal/deliverynode/lease/mutants_test.go
@@ -109,7 +109,7 @@
 	{
 		Name: "the next epoch renews what the lost may have given to others",
 		File: "members.go",
-		Old:  "	book.state.Leases = map[string]grant{blocked: {Token: book.state.Token, Length: book.state.Longest}}\n	book.state.Notes = nil // the lost may have agreed on others\n	for i := range book.state.Nodes {\n		book.state.Nodes[i].Holds = 0\n	}\n	book.state.Nodes[0].Holds = 1\n",
+		Old:  "	book.state.Leases = map[string]grant{blocked: {Token: book.state.Token, Length: book.state.Longest}}\n	book.state.Notes = nil // the lost voters may have committed others\n	for i := range book.state.Nodes {\n		book.state.Nodes[i].Holds = 0\n	}\n	book.state.Nodes[0].Holds = 1\n",
 		New:  "\tbook.state.Leases[blocked] = grant{Token: book.state.Token, Length: book.state.Longest}\n",
 	},
 	{
--- a/internal/deliverynode/lease/raft_log.go
+++ b/internal/deliverynode/lease/raft_log.go
@@ -5,16 +5,16 @@
 	"log/slog"
 )
 
-// raftLog writes raft's messages to the node's log. A panic of raft ends the voter, not the process (Leases.runVoter).
+// raftLog writes raft's messages to the node's log. A panic of raft stops the voter, not the process (Leases.runVoter).
 type raftLog struct{ log *slog.Logger }
 
-// Debug implements raft.Logger, as the methods that follow do.
+// Debug implements raft.Logger, as the following methods do.
 func (l raftLog) Debug(v ...any) {}
 
-// Debugf drops what is for the debugging of raft itself.
+// Debugf drops messages for debugging raft itself.
 func (l raftLog) Debugf(string, ...any) {}
 
-// Info logs at this program's debug level, as Warning does: both are about single messages.
+// Info logs at this program's debug level, as Warning does, because both report single messages.
 func (l raftLog) Info(v ...any) { l.log.Debug("leases: raft", "says", fmt.Sprint(v...)) }
 
 // Infof logs at the debug level.
@@ -34,7 +34,7 @@
 // Errorf logs a warning.
 func (l raftLog) Errorf(f string, v ...any) { l.log.Warn("leases: raft", "says", fmt.Sprintf(f, v...)) }
 
-// Fatal panics, as raft expects that it does not return.
+// Fatal panics, because raft expects that it does not return.
 func (l raftLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
 // Fatalf panics.
--- a/internal/deliverynode/lease/state_machine.go
+++ b/internal/deliverynode/lease/state_machine.go
@@ -20,38 +20,38 @@
 )
 
 const (
-	// MaxLeases is the most leases that may be held at a time, so that a snapshot fits into a frame of a link.
+	// MaxLeases is the most leases that may be held at a time; it keeps a snapshot within one frame of a link.
 	MaxLeases = fleet.MaxLeases
 	// MaxName is the most bytes of a lease's name.
 	MaxName = 48
-	// maxOps is the most names in one ask.
+	// maxOps is the most names in one request.
 	maxOps = 256
 	// newEpoch is the distance between the tokens of two epochs of a log: more than the lost voters can have granted
-	// without the survivor knowing.
+	// without the survivor having the entries.
 	newEpoch = 1 << 30
 	// MaxNote is the most bytes of a note. The log keeps as many notes as leases may be held.
 	MaxNote = 256
-	// Shortest is the least length of a lease. The greatest is a setting of the log.
+	// Shortest is the least length of a lease. The greatest length is a setting of the log.
 	Shortest = 500 * time.Millisecond
 )
 
 // Kinds of op.
 const (
-	opTake = iota + 1 // take a lease, or renew it
-	opGive            // give a lease back
+	opTake = iota + 1 // acquire a lease, or renew it
+	opGive            // release a lease
 )
 
-// op is the operation of an ask on one name.
+// op is the operation of a request on one name.
 type op struct {
 	Do     uint8         `cbor:"1,keyasint"`
 	Name   string        `cbor:"2,keyasint"`
-	Token  uint64        `cbor:"3,keyasint,omitempty"` // give: the lease to give back; take: the only lease to renew, if not 0
-	Length time.Duration `cbor:"4,keyasint,omitempty"` // take
-	// SetNote replaces the name's note by Note, if the asker has the lease after a take or had it before a give.
+	Token  uint64        `cbor:"3,keyasint,omitempty"` // opGive: the lease to release; opTake: the only lease to renew, if not 0
+	Length time.Duration `cbor:"4,keyasint,omitempty"` // opTake
+	// SetNote replaces the name's note by Note, if the requester has the lease after opTake or had it before opGive.
 	SetNote bool   `cbor:"5,keyasint,omitempty"`
 	Note    []byte `cbor:"6,keyasint,omitempty"`
-	// Since, if not 0, is the first of the asker's earlier incarnations that are known to have ended their work under
-	// this name: the asker may take the lease from them.
+	// Since, if not 0, is the first of the requester's earlier incarnations that are known to have ended their work under
+	// this name: the requester may take the lease over from them.
 	Since uint64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -59,18 +59,18 @@
 type request struct {
 	Node        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	Number      uint64 `cbor:"3,keyasint"` // grows with each ask of an incarnation
+	Number      uint64 `cbor:"3,keyasint"` // grows with each request of an incarnation
 	Ops         []op   `cbor:"4,keyasint"`
 }
 
-// outcome is the result of one op. Token and Length are those of the lease after it; token 0 means that nobody has it.
+// outcome is the result of one op. Token and Length are those of the lease after it; a token of 0 means that it is free.
 type outcome struct {
 	Token  uint64        `cbor:"1,keyasint,omitempty"`
 	Holder string        `cbor:"2,keyasint,omitempty"`
-	Mine   bool          `cbor:"3,keyasint,omitempty"` // the asker has the lease, for Length from a time before this ask
+	Mine   bool          `cbor:"3,keyasint,omitempty"` // the requester has the lease, for Length from a time before this request
 	Length time.Duration `cbor:"4,keyasint,omitempty"`
-	No     string        `cbor:"5,keyasint,omitempty"` // why it was not granted, if nobody has it
-	Note   []byte        `cbor:"6,keyasint,omitempty"` // the note of the name, if the asker has the lease
+	No     string        `cbor:"5,keyasint,omitempty"` // why the lease was not granted although it is free
+	Note   []byte        `cbor:"6,keyasint,omitempty"` // the note of the name, if the requester has the lease
 }
 
 // lapse states that a lease has expired, if it was not renewed more often than Renewed.
@@ -85,44 +85,44 @@
 	Ask     *request `cbor:"1,keyasint,omitempty"`
 	Lapsed  []lapse  `cbor:"2,keyasint,omitempty"`
 	Wanted  []string `cbor:"3,keyasint,omitempty"` // names of the nodes that should be voters from now on
-	Request uint64   `cbor:"4,keyasint,omitempty"` // number of the order in Wanted
+	Request uint64   `cbor:"4,keyasint,omitempty"` // identifies the call that set Wanted
 }
 
 // grant is a lease in the log.
 type grant struct {
-	Node        uint32        `cbor:"1,keyasint"` // an index into the book's nodes
+	Node        uint32        `cbor:"1,keyasint"` // an index into machineState.Nodes
 	Incarnation uint64        `cbor:"2,keyasint"`
 	Token       uint64        `cbor:"3,keyasint"`
 	Renewed     uint64        `cbor:"4,keyasint"`
 	Length      time.Duration `cbor:"5,keyasint"`
 }
 
-// session is what the log keeps of a node that has asked, so that late and repeated asks have no effect.
+// session is the state that the log keeps for each client node, so that late and repeated requests have no effect.
 type session struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	Number      uint64 `cbor:"3,keyasint"` // of its last ask
-	At          uint64 `cbor:"4,keyasint"` // number of commands at its last ask
+	Number      uint64 `cbor:"3,keyasint"` // of its last request
+	At          uint64 `cbor:"4,keyasint"` // number of commands at its last request
 	Holds       int    `cbor:"5,keyasint"` // number of leases, under any incarnation
 }
 
-// blocked is the name of a lease without a holder. Until it expires, a log that has just begun grants nothing.
+// blocked is the name of a lease without a holder. Until it expires, a new log grants nothing.
 const blocked = ""
 
 var (
-	errOld  = errors.New("an older ask than one that has come")
-	errFull = errors.New("no room for another node's asks")
+	errOld  = errors.New("a later request of this node was applied before")
+	errFull = errors.New("no room for the session of another node")
 )
 
-// StateMachine is the replicated state machine: it is the same at all voters that have applied the same commands, and has no
-// notion of time. It is not safe for concurrent use.
+// StateMachine is the replicated state machine: it is the same at all voters that have applied the same commands, and does
+// not depend on time. It is not safe for concurrent use.
 type StateMachine struct {
 	state machineState
 	index map[string]uint32 // of sessions, by name
-	freed []string          // names whose leases have ended since the caller last emptied this
+	freed []string          // names whose leases have ended since the caller last cleared this
 }
 
-// machineState is the part of a Book that is in a snapshot.
+// machineState is the part of a StateMachine that is in a snapshot.
 type machineState struct {
 	Commands uint64            `cbor:"1,keyasint"`
 	Token    uint64            `cbor:"2,keyasint"` // of the last grant
@@ -135,21 +135,21 @@
 	Notes    map[string]note   `cbor:"9,keyasint,omitempty"`
 }
 
-// note is a text that the last holder of a name has left for the next one.
+// note is a text that the last holder of a name has stored for the next one.
 type note struct {
 	Text []byte `cbor:"1,keyasint"`
-	At   uint64 `cbor:"2,keyasint"` // so many commands had come then
+	At   uint64 `cbor:"2,keyasint"` // number of commands when it was stored
 }
 
-// newStateMachine returns the state of a log that begins: nothing is granted until a lease of the greatest length would have
-// expired, and all tokens are greater than above.
+// newStateMachine returns the state of a new log: nothing is granted until a lease of the greatest length would have expired,
+// and all tokens are greater than above.
 func newStateMachine(above uint64, longest time.Duration, most int, wanted []string) *StateMachine {
 	return &StateMachine{state: machineState{Token: above + 1, Leases: map[string]grant{blocked: {Token: above + 1, Length: longest}},
 		Nodes: []session{{Holds: 1}}, Voters: map[uint64]string{}, Wanted: wanted,
 		Longest: longest, Most: min(most, MaxLeases)}, index: map[string]uint32{}}
 }
 
-// Encoding of all messages and files. Decoding limits the sizes of what comes from disk and links.
+// encoding and decoding are the CBOR modes of all messages and files. Decoding limits the sizes of input from disk and links.
 var (
 	encoding = must(cbor.CoreDetEncOptions().EncMode())
 	decoding = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: 1 << 16,
@@ -170,17 +170,17 @@
 func readStateMachine(text []byte) (*StateMachine, error) {
 	b := &StateMachine{index: map[string]uint32{}}
 	if err := decoding.Unmarshal(text, &b.state); err != nil {
-		return nil, fmt.Errorf("the snapshot of the leases: %w", err)
+		return nil, fmt.Errorf("decoding the snapshot of the leases: %w", err)
 	}
 	if len(b.state.Nodes) == 0 {
-		return nil, errors.New("the snapshot of the leases has no nodes")
+		return nil, errors.New("snapshot of the leases has no nodes")
 	}
 	for i, s := range b.state.Nodes[1:] {
 		b.index[s.Name] = uint32(i + 1)
 	}
 	for name, h := range b.state.Leases {
 		if int(h.Node) >= len(b.state.Nodes) {
-			return nil, fmt.Errorf("the snapshot of the leases: %q is held by node %d of %d", name, h.Node, len(b.state.Nodes))
+			return nil, fmt.Errorf("snapshot of the leases: holder of %q is node %d of %d", name, h.Node, len(b.state.Nodes))
 		}
 	}
 	if b.state.Leases == nil {
@@ -192,8 +192,8 @@
 	return b, nil
 }
 
-// node returns the index of a node's session, a new one if there is none. If there are too many, the one that has no
-// leases and has not asked for longest is replaced.
+// node returns the index of a node's session, and creates the session if there is none. If there are too many, the least
+// recently used session without leases is replaced.
 func (b *StateMachine) node(name string) (uint32, error) {
 	if i, ok := b.index[name]; ok {
 		return i, nil
@@ -219,12 +219,12 @@
 	return uint32(oldest), nil
 }
 
-// applyRequest applies an ask. It returns the outcomes of its ops, and the names of the leases that were granted or renewed, whose
-// time starts anew. After an error the ask has had no effect.
+// applyRequest applies a request. It returns the outcomes of its ops, and the names of the leases that were granted or
+// renewed, whose timers must be restarted. After an error the request has had no effect.
 func (b *StateMachine) applyRequest(a *request) (all []outcome, changed []string, err error) {
 	b.state.Commands++
 	if len(a.Ops) > maxOps {
-		return nil, nil, fmt.Errorf("%d names in one ask, over %d", len(a.Ops), maxOps)
+		return nil, nil, fmt.Errorf("request for %d names exceeds %d", len(a.Ops), maxOps)
 	}
 	i, err := b.node(a.Node)
 	if err != nil {
@@ -255,7 +255,7 @@
 	mine := there && h.Node == i && h.Incarnation == incarnation
 	switch {
 	case o.Name == blocked || len(o.Name) > MaxName:
-		return outcome{No: "no name of a lease"}, false
+		return outcome{No: "invalid lease name"}, false
 	case o.Do == opGive:
 		if mine && h.Token == o.Token {
 			if o.SetNote {
@@ -265,7 +265,7 @@
 			return outcome{}, false
 		}
 	case o.Do != opTake:
-		return outcome{No: fmt.Sprintf("nothing is known of op %d", o.Do)}, false
+		return outcome{No: fmt.Sprintf("unknown operation %d", o.Do)}, false
 	case mine && (o.Token == 0 || o.Token == h.Token):
 		h.Renewed++
 		b.state.Leases[o.Name] = h
@@ -275,11 +275,11 @@
 		return outcome{Token: h.Token, Holder: b.state.Nodes[i].Name, Mine: true, Length: h.Length, Note: b.state.Notes[o.Name].Text}, true
 	case there || o.Token != 0:
 	case b.state.Leases[blocked].Token != 0:
-		return outcome{No: "the log has begun a moment ago: leases of one before it may not have run out"}, false
+		return outcome{No: "the log is new: leases of an earlier log may not have expired yet"}, false
 	case len(b.state.Leases) >= b.state.Most:
-		return outcome{No: fmt.Sprintf("%d leases are held", b.state.Most)}, false
+		return outcome{No: fmt.Sprintf("the maximum of %d leases is held", b.state.Most)}, false
 	case o.Length < Shortest || o.Length > b.state.Longest:
-		return outcome{No: fmt.Sprintf("a length of %v: it has to be %v to %v", o.Length, Shortest, b.state.Longest)}, false
+		return outcome{No: fmt.Sprintf("lease length %v is outside %v to %v", o.Length, Shortest, b.state.Longest)}, false
 	default:
 		b.state.Token++
 		b.state.Leases[o.Name] = grant{Node: i, Incarnation: incarnation, Token: b.state.Token, Length: o.Length}
@@ -292,8 +292,8 @@
 	return outcome{Token: h.Token, Holder: b.state.Nodes[h.Node].Name, Length: h.Length}, false
 }
 
-// note replaces the note of a name that is held; an empty or too long text removes it. If there are too many notes, the
-// oldest one whose name is not held is dropped, so the absence of a note does not prove that a name is new.
+// note replaces the note of a name that is held; a text that is empty or too long removes it. If there are too many notes,
+// the oldest one whose name is not held is dropped, so the absence of a note does not prove that a name is new.
 func (b *StateMachine) note(name string, text []byte) {
 	if len(text) == 0 || len(text) > MaxNote {
 		delete(b.state.Notes, name)
@@ -311,7 +311,7 @@
 			}
 		}
 		if oldest == "" {
-			return // the holder sees in its outcome that there is no note
+			return // the holder sees in its outcome that the note was not stored
 		}
 		delete(b.state.Notes, oldest)
 	}
@@ -325,7 +325,7 @@
 	b.state.Nodes[h.Node].Holds--
 }
 
-// applyLapses ends leases that have expired, except those that were renewed since.
+// applyLapses ends leases that have expired, except those that have been renewed since.
 func (b *StateMachine) applyLapses(all []lapse) {
 	b.state.Commands++
 	for _, l := range all {
@@ -341,7 +341,7 @@
 	b.state.Wanted = slices.Clone(names)
 }
 
-// Holding is a lease as it is shown to the staff.
+// Holding is a lease in a status.
 type Holding struct {
 	Name        string  `json:"name"`
 	Holder      string  `json:"holder"`
@@ -351,7 +351,7 @@
 	Length      float64 `json:"length_s"`
 }
 
-// holdings returns up to most leases in the order of their names.
+// holdings returns the first leases by name, up to most.
 func (b *StateMachine) holdings(most int) (all []Holding) {
 	for _, name := range slices.Sorted(maps.Keys(b.state.Leases)) {
 		h := b.state.Leases[name]
--- a/internal/deliverynode/lease/status.go
+++ b/internal/deliverynode/lease/status.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// maxListed bounds the leases that are shown.
+// maxListed is the most leases that are listed in a status.
 const maxListed = 200
 
-// Status is how leases look from one node, for the staff.
+// Status is the state of the leases as one node sees it, for operators.
 type Status struct {
-	Voter  *VoterStatus `json:"voter,omitempty"` // none: this node has no part in the log
-	Why    string       `json:"why,omitempty"`   // why it does not vote, or not now
+	Voter  *VoterStatus `json:"voter,omitempty"` // nil if this node is not a voter of the log
+	Why    string       `json:"why,omitempty"`   // why it does not vote at present
 	Client ClientStatus `json:"asker"`
-	Leases []Wish       `json:"wanted"` // at this node
+	Leases []Wish       `json:"wanted"` // the leases that this node wants
 }
 
-// VoterStatus is a voter's part in the log.
+// VoterStatus is the state of a voter.
 type VoterStatus struct {
 	Log      string      `json:"log"`
 	Number   string      `json:"number"` // of this voter
@@ -35,14 +35,14 @@
 	Blocked  bool        `json:"blocked"` // a log that has just begun grants nothing yet
 	Count    int         `json:"count"`
 	Leases   []Holding   `json:"leases"` // the first of them by name
-	Nodes    int         `json:"nodes"`  // that have asked
+	Nodes    int         `json:"nodes"`  // number of nodes that have sent requests
 	Pending  int         `json:"pending"`
 	Stats    VoterStats  `json:"since_start"`
-	Failed   string      `json:"failed,omitempty"` // of the disk
+	Failed   string      `json:"failed,omitempty"` // the last disk error
 	Here     []VoterSeen `json:"seen"`
 }
 
-// VoterSeen is what another has said that it is.
+// VoterSeen is the identity that another node has reported.
 type VoterSeen struct {
 	Name   string  `json:"name"`
 	Log    string  `json:"log,omitempty"`
@@ -50,14 +50,14 @@
 	Age    float64 `json:"age_s"`
 }
 
-// ClientStatus is what this node asks.
+// ClientStatus is the state of a node's client.
 type ClientStatus struct {
 	Incarnation uint64      `json:"incarnation"`
 	Requests    uint64      `json:"asks"`
-	Asking      string      `json:"asking,omitempty"` // whom, just now
+	Asking      string      `json:"asking,omitempty"` // the voter that has not answered the outstanding request yet
 	Leader      string      `json:"leader,omitempty"`
 	Stats       ClientStats `json:"since_start"`
-	// How long the last asks took that were answered, a tookRoom of them.
+	// Answered is the number of the last answered requests, up to latencyWindow; Median and P99 are their latencies.
 	Answered int     `json:"answered_of_late"`
 	Median   float64 `json:"median_ms"`
 	P99      float64 `json:"p99_ms"`
@@ -66,14 +66,14 @@
 // Wish is a lease that this node wants.
 type Wish struct {
 	Name   string  `json:"name"`
-	Token  uint64  `json:"token"` // 0: not held
+	Token  uint64  `json:"token"` // 0 if it is not held
 	Left   float64 `json:"left_s"`
 	Length float64 `json:"length_s"`
-	Holder string  `json:"holder,omitempty"` // as the log said last
+	Holder string  `json:"holder,omitempty"` // by the last answer
 	Why    string  `json:"why,omitempty"`
 }
 
-// Status tells all of it, within the context's time.
+// Status returns the state of the client and of the voter. If the voter does not answer before the context ends, Why says so.
 func (l *Leases) Status(ctx context.Context) Status {
 	var s Status
 	l.mu.Lock()
--- a/internal/deliverynode/lease/step_test.go
+++ b/internal/deliverynode/lease/step_test.go
@@ -301,7 +301,7 @@
 				n.v.Tick(n.clock(s))
 			}()
 		}
-		if n.a.out != nil && n.clock(s)-n.a.out.at > n.a.out.patience() {
+		if n.a.out != nil && n.clock(s)-n.a.out.at > n.a.out.timeout() {
 			n.a.NoAnswer(n.a.out.Number, n.clock(s))
 		}
 		s.settle(i)
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -13,57 +13,58 @@
 )
 
 const (
-	// tickEvery is the length of a raft tick. A leader sends heartbeats every beatTicks, and an election begins after
-	// electionTicks to twice as many without one: long enough for a slow sync and for a link that has to be dialled.
+	// tickEvery is the length of a raft tick. A leader sends heartbeats every heartbeatTicks, and an election begins after
+	// electionTicks to twice as many without one: long enough for a slow sync and for dialling a link.
 	tickEvery      = 100 * time.Millisecond
 	electionTicks  = 10
 	heartbeatTicks = 2
-	// lookEvery is how often the leader, or the node that may begin a log, asks other nodes for their identities.
-	// seenFor is how long an answer is valid.
+	// lookEvery is how often the leader, or the node that may begin a log, queries the identities of other nodes. seenFor
+	// is how long an answer is valid.
 	lookEvery = time.Second
 	seenFor   = 3 * time.Second
-	// snapshotTime is how long the transfer of a snapshot may take, which has up to 1 MiB.
+	// snapshotTime is the time limit for the transfer of a snapshot, which has up to 1 MiB.
 	snapshotTime = 2 * time.Second
 	// changeEvery is the shortest time between two changes of the voters.
 	changeEvery = 300 * time.Millisecond
-	// answerTime is how long an ask may wait to be committed.
+	// answerTime is how long a request may wait to be committed.
 	answerTime = 3 * time.Second
-	// maxPending is the most asks that wait to be committed.
+	// maxPending is the most requests that wait to be committed.
 	maxPending = 1024
 	// maxProposed is the most bytes of a leader's uncommitted proposals.
 	maxProposed = 64 << 10
-	// windowOf is how many messages with entries, or with their answers, may wait for one voter. Later ones replace them.
-	windowOf = 32
+	// maxQueued is the most messages with entries, or with their answers, that are queued for one voter. Later ones replace
+	// earlier ones.
+	maxQueued = 32
 )
 
-// errNotLeader is the answer to an ask at a voter that is not the leader.
+// errNotLeader is the answer to a request at a voter that is not the leader.
 var errNotLeader = errors.New("not the leader")
 
-// errNotProposed is the answer to an ask that raft has not accepted, for example because the leader has just stepped down.
+// errNotProposed is the answer to a request that raft has not accepted, for example because the leader has just stepped down.
 var errNotProposed = errors.New("not proposed")
 
 // VoterOptions configures a Voter.
 type VoterOptions struct {
 	Name  string
-	Start uint64 // a random number of the process
+	Start uint64 // a random number that identifies the process
 	// Incarnation returns the present incarnation of the node.
 	Incarnation func() uint64
 	Folder      vfs.Folder
-	Voters      []string // the first voters of a log; only the first of them begins one
-	// Longest and Most are the greatest length and number of leases of a log that begins.
+	Voters      []string // the initial voters of a log; only the first of them creates one
+	// Longest and Most are the greatest length and number of leases of a new log.
 	Longest time.Duration
 	Most    int
 	Random  func() uint64
-	// Above returns a number that all tokens of a log that begins must exceed.
+	// Above returns a lower bound that all tokens of a new log must exceed.
 	Above func() uint64
 	Log   *slog.Logger
 }
 
-// freeKey is the prefix of the key of a message that a lease, whose name follows, has become free.
+// freeKey is the prefix of the key of the message that a lease has become free; the lease's name follows.
 const freeKey = "free "
 
-// Voter is one member of the raft group: it has the raft node, the replicated state, the file of the log, and the times of
-// leases. It has no clock, goroutine or connection: the caller passes events to it, and calls Flush to carry out their
+// Voter is one member of the raft group: it has the raft node, the replicated state, the file of the log, and the timers of
+// the leases. It has no clock, goroutine or connection: the caller passes events to it, and calls Flush to carry out their
 // effects. It is not safe for concurrent use.
 type Voter struct {
 	options VoterOptions
@@ -77,21 +78,21 @@
 	conf    *raftpb.ConfState
 	machine *StateMachine
 	applied uint64
-	stuck   *raft.Ready // what could not be written yet, nil if there is nothing
-	why     string      // the last error of the disk
-	// notAside is why the file of a log that this voter has left is still in its place; nil: it is not. It was last tried to
-	// be set aside at triedAside.
+	stuck   *raft.Ready // the state whose write has failed, nil if there is none
+	why     string      // the last disk error
+	// notAside is the error of setting aside the file of a log that this voter has left, nil if that has succeeded. The last
+	// attempt was at triedAside.
 	notAside   error
 	triedAside time.Duration
 
 	counts  timekeeper
-	pending map[requestKey]waiting     // asks that are not committed yet
-	wanted  map[uint64]waiting         // orders of voters that are not committed yet
+	pending map[requestKey]waiting     // requests that are not committed yet
+	wanted  map[uint64]waiting         // calls of Want that are not committed yet
 	freed   map[string]map[string]bool // nodes that wait for each name
 	here    map[string]sighting        // identities of other nodes, by name
-	// snapshots are the times at which snapshots were sent that are not answered yet, by raft id.
+	// snapshots are the times at which unanswered snapshots were sent, by raft id.
 	snapshots map[uint64]time.Duration
-	looked    time.Duration // the last look
+	looked    time.Duration // the last query of identities
 	changed   time.Duration // the last change of the voters
 	ticked    time.Duration // the last raft tick
 	keys      uint64        // number of the last message with entries
@@ -104,7 +105,7 @@
 	Granted, Renewed, Lapsed, Refused, Syncs, Elections, Strangers int
 }
 
-// Tick applies the passing of time: raft ticks every tickEvery, but at most a few times after a break.
+// Tick handles the passage of time: raft ticks every tickEvery, but at most three times per call, also after a long gap.
 func (v *Voter) Tick(now time.Duration) {
 	if v.node == nil {
 		v.retryAside(now)
@@ -128,7 +129,7 @@
 		v.ticked = now
 	}
 	v.reportSnapshots()
-	late := answer{Log: v.self.Log, No: "no majority has agreed in time", Maybe: true}
+	late := answer{Log: v.self.Log, No: "the request was not committed in time", Maybe: true}
 	drop(v.pending, now, late)
 	drop(v.wanted, now, late)
 	if v.leads() {
@@ -150,7 +151,7 @@
 	return slices.Compact(all)
 }
 
-// no returns the answer to an ask that has no effect.
+// no returns the answer to a request that has no effect.
 func (v *Voter) no(err error) answer {
 	return answer{Leader: v.Leader(), Log: v.self.Log, No: err.Error(), Voters: v.Voters()}
 }
@@ -160,7 +161,7 @@
 	return v.node != nil && v.stuck == nil && v.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Leader returns the name of the leader that this voter knows, or an empty string.
+// Leader returns the name of the leader as far as this voter knows, or an empty string.
 func (v *Voter) Leader() string {
 	if v.node == nil {
 		return ""
@@ -171,7 +172,7 @@
 // expire proposes to end the leases that have expired.
 func (v *Voter) expire(now time.Duration) {
 	all := v.counts.due(v.machine, now)
-	if len(v.conf.GetVoters()) <= len(v.machine.state.Wanted)/2 { // a log grants nothing before a majority of its voters has joined
+	if len(v.conf.GetVoters()) <= len(v.machine.state.Wanted)/2 { // a new log grants nothing before a majority of its voters has joined
 		all = slices.DeleteFunc(all, func(l lapse) bool { return l.Name == blocked })
 	}
 	if len(all) > 0 {
@@ -189,19 +190,19 @@
 		err = v.node.Propose(b)
 	}
 	if err != nil {
-		v.options.Log.Debug("leases: not proposed", "err", err)
+		v.options.Log.Debug("leases: proposal rejected", "err", err)
 	}
 	return err == nil
 }
 
-// Ask proposes a node's ask. It calls reply once, at once or from a later Flush or Tick.
+// Ask proposes a node's request. It calls reply exactly once, immediately or from a later Flush or Tick.
 func (v *Voter) Ask(now time.Duration, a request, reply func(answer)) {
 	switch {
 	case !v.leads():
 		reply(v.no(errNotLeader))
 		return
 	case len(v.pending) >= maxPending:
-		reply(v.no(errors.New("too many asks at once")))
+		reply(v.no(errors.New("too many requests wait to be committed")))
 		return
 	}
 	key := requestKey{a.Node, a.Incarnation, a.Number}
@@ -212,7 +213,8 @@
 	v.pending[key] = waiting{reply, now + answerTime}
 }
 
-// Want proposes which nodes should be voters from now on. It calls reply once, at once or from a later Flush or Tick.
+// Want proposes which nodes should be voters from now on. It calls reply exactly once, immediately or from a later Flush or
+// Tick.
 func (v *Voter) Want(now time.Duration, names []string, reply func(answer)) {
 	if !v.leads() {
 		reply(v.no(errNotLeader))
@@ -226,8 +228,8 @@
 	v.wanted[request] = waiting{reply, now + answerTime}
 }
 
-// Close answers all asks that wait and closes the file.
+// Close answers all waiting requests and closes the file.
 func (v *Voter) Close() {
-	v.dropPending("this voter has ended")
+	v.dropPending("this voter has stopped")
 	v.disk.close()
 }
--- a/internal/deliverynode/lease/voter_log.go
+++ b/internal/deliverynode/lease/voter_log.go
@@ -14,8 +14,8 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// Flush carries out the effects of the events since the last Flush and returns the messages to send. Now must have been read
-// after these events.
+// Flush carries out the effects of the events since the last Flush and returns the messages to send. The clock reading now
+// must have been taken after these events.
 func (v *Voter) Flush(now time.Duration) []Outbound {
 	for v.node != nil && v.stuck == nil && v.node.HasReady() {
 		rd := v.node.Ready()
@@ -23,7 +23,7 @@
 			v.leave(err.Error(), now)
 			break
 		} else if err != nil {
-			v.options.Log.Error("leases: no part in the log until the disk takes it", "err", err)
+			v.options.Log.Error("leases: writing the log failed, voter suspended until a write succeeds", "err", err)
 			v.stuck, v.why = &rd, err.Error()
 			break
 		}
@@ -48,7 +48,7 @@
 	if err == nil && hard {
 		err = v.store.SetHardState(rd.HardState)
 	}
-	if err != nil { // not an error of the disk: it would occur again
+	if err != nil { // not a disk error: a retry would fail too
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	if snapshot {
@@ -64,8 +64,8 @@
 		return nil // a commit index alone need not be durable
 	}
 	// The HardState is written with every record, for its commit index: a voter that has the second of two changes of the
-	// voters must know after a restart that the first one is committed. Otherwise it could count a majority of the voters
-	// of two changes ago, which need not intersect one of today's.
+	// voters must see after a restart that the first one is committed. Otherwise it could count a majority of the voters
+	// before both changes, which need not intersect a majority of the present ones.
 	if rec.Hard, err = v.hard(); err != nil {
 		return err
 	}
@@ -73,8 +73,8 @@
 	return v.disk.append(rec)
 }
 
-// unstick rewrites the file after a failed write and resumes. A failed append is never followed by another one, because the
-// content of the file is unknown then.
+// unstick rewrites the file after a failed write and resumes. A failed append is never followed by another append, because
+// the content of the file is unknown.
 func (v *Voter) unstick(now time.Duration) {
 	if err := v.renew(); err != nil {
 		v.why = err.Error()
@@ -82,7 +82,7 @@
 	}
 	rd := *v.stuck
 	v.stuck, v.why = nil, ""
-	v.options.Log.Info("leases: the disk takes the log again")
+	v.options.Log.Info("leases: writing the log succeeded again, voter resumed")
 	if rd.Messages != nil || rd.CommittedEntries != nil || rd.Entries != nil || rd.HardState != nil || rd.Snapshot != nil {
 		v.carryOut(rd, now)
 	}
@@ -116,7 +116,7 @@
 	v.compact()
 }
 
-// compact makes a snapshot and shortens the log if the file is full.
+// compact makes a snapshot and truncates the log if the file is full.
 func (v *Voter) compact() {
 	first, err := v.store.FirstIndex()
 	if err != nil || v.applied < first || !v.disk.full() {
@@ -143,7 +143,7 @@
 		err = v.renew()
 	}
 	if err != nil {
-		v.options.Log.Error("leases: shortening the log", "err", err)
+		v.options.Log.Error("leases: compacting the log failed", "err", err)
 		v.why = err.Error()
 	}
 }
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// applyRequest applies an ask and answers it if it came to this voter.
+// applyRequest applies a request and answers it if this voter received it.
 func (v *Voter) applyRequest(a *request, now time.Duration) {
 	all, changed, err := v.machine.applyRequest(a)
 	for _, name := range changed {
@@ -232,7 +232,7 @@
 	w.reply(out)
 }
 
-// watch records that a node is to be told when a name becomes free.
+// watch records that a node must be notified when a name becomes free.
 func (v *Voter) watch(name, node string) {
 	if len(v.freed) >= MaxLeases && v.freed[name] == nil {
 		return
@@ -245,8 +245,8 @@
 	}
 }
 
-// notifyFreed removes the times of leases that have ended, and as the leader tells the nodes that wait for them. A node that
-// misses the message asks again by itself.
+// notifyFreed removes the timers of leases that have ended, and on the leader notifies the nodes that wait for them. A node
+// that misses the message still polls.
 func (v *Voter) notifyFreed() {
 	if v.machine == nil {
 		return
--- a/internal/deliverynode/lease/voter_message.go
+++ b/internal/deliverynode/lease/voter_message.go
@@ -10,28 +10,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Outbound is a message to another node. It replaces an earlier one of the same key that was not sent yet.
+// Outbound is a message to another node. It replaces an earlier message of the same key that has not been sent yet.
 type Outbound struct {
 	To, Key string
 	Body    []byte
 }
 
-// answer is the answer of a voter to an ask.
+// answer is the answer of a voter to a request.
 type answer struct {
 	Leader   string    `cbor:"1,keyasint,omitempty"` // the leader, if it is another voter
 	Log      logID     `cbor:"2,keyasint"`
 	Outcomes []outcome `cbor:"3,keyasint,omitempty"`
-	No       string    `cbor:"4,keyasint,omitempty"` // why the ask had no effect
-	Maybe    bool      `cbor:"5,keyasint,omitempty"` // it may have an effect later
+	No       string    `cbor:"4,keyasint,omitempty"` // why the request had no effect
+	Maybe    bool      `cbor:"5,keyasint,omitempty"` // the request may take effect later
 	Voters   []string  `cbor:"6,keyasint,omitempty"` // names of the voters
 }
 
 // Kinds of message.
 const (
 	sayRaft = iota + 1 // a message of raft
-	sayWho             // asks for the identity, and with a log invites to be a voter of it
-	sayHere            // the identity
-	sayOld             // says that a process of the receiver was seen that is no older than the one it answers
+	sayWho             // queries the identity; with a log, it invites the receiver to be a voter of it
+	sayHere            // the sender's identity
+	sayOld             // answers a stale process: the sender has seen another process of the receiver that is not older
 )
 
 // message is a message between voters.
@@ -41,7 +41,7 @@
 	From uint64 `cbor:"3,keyasint,omitempty"`
 	To   uint64 `cbor:"4,keyasint,omitempty"`
 	Raft []byte `cbor:"5,keyasint,omitempty"`
-	// Start is a random number of the sender's process. Two processes of one incarnation have different folders.
+	// Start is a random number that identifies the sender's process. Two processes of one incarnation have different folders.
 	Start uint64 `cbor:"6,keyasint,omitempty"`
 	// Seen is, in sayOld, the last process of the receiver that was seen.
 	Seen incarnation `cbor:"7,keyasint,omitempty"`
@@ -59,7 +59,7 @@
 	until time.Duration
 }
 
-// requestKey identifies an ask.
+// requestKey identifies a request.
 type requestKey struct {
 	node                string
 	incarnation, number uint64
@@ -77,8 +77,8 @@
 	return all, nil
 }
 
-// send queues a message of raft. A later message may replace an earlier one of its kind that was not sent yet (windowOf),
-// because raft repeats what is lost.
+// send queues a message of raft. A later message may replace an earlier one of its kind that has not been sent yet
+// (maxQueued), because raft repeats lost messages.
 func (v *Voter) send(m *raftpb.Message) {
 	name := cmp.Or(v.machine.state.Voters[m.GetTo()], v.names[m.GetTo()])
 	b, err := proto.Marshal(m)
@@ -89,7 +89,7 @@
 	key := fmt.Sprintf("%v %x", m.GetType(), m.GetTo()) // a name may have two raft ids for a while
 	if t := m.GetType(); t == raftpb.MsgApp || t == raftpb.MsgAppResp {
 		v.keys++
-		key = fmt.Sprint(key, " ", v.keys%windowOf)
+		key = fmt.Sprint(key, " ", v.keys%maxQueued)
 	}
 	v.say(name, key, message{What: sayRaft, From: v.self.Voter, To: m.GetTo(), Raft: b})
 	if m.GetType() == raftpb.MsgSnap {
@@ -97,7 +97,7 @@
 	}
 }
 
-// reportSnapshots reports the snapshots to raft as failed that were not answered in time, so that it tries again.
+// reportSnapshots reports snapshots that were not answered in time to raft as failed, so that it retries.
 func (v *Voter) reportSnapshots() {
 	for id, sent := range v.snapshots {
 		if v.ticked-sent >= snapshotTime {
@@ -107,7 +107,7 @@
 	}
 }
 
-// say queues a message with this voter's log.
+// say queues a message with this voter's log and process.
 func (v *Voter) say(to, key string, m message) {
 	m.Log, m.Start = v.self.Log, v.options.Start
 	v.put(to, key, m)
@@ -117,7 +117,7 @@
 func (v *Voter) put(to, key string, m message) {
 	b, err := encoding.Marshal(m)
 	if err != nil {
-		v.options.Log.Error("leases: a message", "err", err)
+		v.options.Log.Error("leases: encoding a message failed", "err", err)
 		return
 	}
 	v.out = append(v.out, Outbound{to, key, b})
--- a/internal/deliverynode/lease/voter_open.go
+++ b/internal/deliverynode/lease/voter_open.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// NewVoter returns a voter with the log in its folder. A damaged log is set aside, and the voter begins without one. It fails
+// NewVoter returns a voter with the log in its folder. A damaged log is set aside, and the voter starts without one. It fails
 // if the folder cannot be read.
 func NewVoter(o VoterOptions, now time.Duration) (*Voter, error) {
 	v := &Voter{options: o, disk: disk{folder: o.Folder}}
@@ -30,7 +30,7 @@
 	return v, err
 }
 
-// empty drops the state of the log.
+// empty discards the state of the log.
 func (v *Voter) empty() {
 	v.dropPending("this voter has left the log")
 	v.self, v.node, v.store, v.conf, v.machine, v.applied, v.stuck, v.why = identity{}, nil, nil, nil, nil, 0, nil, ""
@@ -39,7 +39,7 @@
 	v.pending, v.wanted, v.freed = map[requestKey]waiting{}, map[uint64]waiting{}, map[string]map[string]bool{}
 }
 
-// dropPending answers all callers that wait.
+// dropPending answers all waiting callers.
 func (v *Voter) dropPending(why string) {
 	all, ans := time.Duration(1<<63-1), answer{No: why, Maybe: true}
 	drop(v.pending, all, ans)
@@ -56,36 +56,36 @@
 	}
 }
 
-// leave ends the part in the log and sets its file aside for good, so that this node can join as a new voter. If the disk
-// does not allow that, it is tried again; until it is done this node joins no log.
+// leave abandons the log and sets its file aside permanently, so that this node can join as a new voter. If that fails it is
+// retried; until it succeeds this node joins no log.
 func (v *Voter) leave(why string, now time.Duration) {
-	v.options.Log.Error("leases: set aside, this node is to be a new voter", "why", why, "log", v.self.Log)
+	v.options.Log.Error("leases: log set aside, this node may rejoin as a new voter", "why", why, "log", v.self.Log)
 	v.empty()
 	v.setAside(now)
 }
 
-// setAside sets the file of a log that this voter has left aside. A process that found it would vote with it again.
+// setAside renames the file of a log that this voter has left, because a process that found it would vote with it again.
 func (v *Voter) setAside(now time.Duration) {
 	v.notAside, v.triedAside = v.disk.setAside(), now
 	if v.notAside != nil {
-		v.options.Log.Error("leases: this node votes on nothing until its old log is set aside", "err", v.notAside)
+		v.options.Log.Error("leases: setting the old log aside failed, this node joins no log until it succeeds", "err", v.notAside)
 	}
 }
 
-// retryAside tries again to set the file of a log aside, if that has failed.
+// retryAside retries a failed setAside.
 func (v *Voter) retryAside(now time.Duration) {
 	if v.notAside != nil && now-v.triedAside >= lookEvery {
 		v.setAside(now)
 	}
 }
 
-// Old sets the log aside because other nodes know a later incarnation of this node than its folder: the folder, and the log
-// in it, are out of date.
+// Old sets the log aside because other nodes have seen a later incarnation of this node than its folder records: the folder,
+// and the log in it, are out of date.
 func (v *Voter) Old(now time.Duration) error {
 	if v.node == nil {
 		v.setAside(now)
 	} else {
-		v.leave("the folder is older than what others know of this node", now)
+		v.leave("other nodes have seen a later incarnation of this node than its folder records", now)
 	}
 	return v.notAside
 }
@@ -138,7 +138,7 @@
 	}
 	last, err := v.store.LastIndex()
 	if err == nil && entries[0].GetIndex() > last+1 {
-		err = fmt.Errorf("%w: entry %d comes after %d", errDamaged, entries[0].GetIndex(), last)
+		err = fmt.Errorf("%w: entry %d follows entry %d", errDamaged, entries[0].GetIndex(), last)
 	}
 	if err == nil {
 		err = v.store.Append(entries)
@@ -146,7 +146,7 @@
 	return err
 }
 
-// begin starts raft with the store, and rewrites the file, because what was read may not be durable yet.
+// begin starts raft with the store, and rewrites the file, because the records that were read may not be durable yet.
 func (v *Voter) begin(now time.Duration) error {
 	snap, err := v.store.Snapshot()
 	if err != nil {
@@ -163,19 +163,19 @@
 		return err
 	}
 	if err := v.renew(); err != nil {
-		v.options.Log.Error("leases: no part in the log until the disk takes it", "err", err)
+		v.options.Log.Error("leases: writing the log failed, voter suspended until a write succeeds", "err", err)
 		v.stuck, v.why = &raft.Ready{}, err.Error()
 	}
 	return nil
 }
 
-// applySnapshot replaces the state by a snapshot. The times of all leases start anew.
+// applySnapshot replaces the state by a snapshot. The timers of all leases restart.
 func (v *Voter) applySnapshot(snap *raftpb.Snapshot, now time.Duration) error {
 	v.applied, v.conf, v.machine = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState(), nil
 	v.counts = timekeeper{}
 	if v.applied == 0 {
 		v.machine, v.conf = newStateMachine(0, 0, 0, nil), &raftpb.ConfState{}
-		delete(v.machine.state.Leases, blocked) // the log itself is still to come
+		delete(v.machine.state.Leases, blocked) // the state of the log has not been received yet
 		return nil
 	}
 	book, err := readStateMachine(snap.GetData())
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// create begins a log with this node as the only voter.
+// create creates a log with this node as the only voter.
 func (v *Voter) create(id identity, book *StateMachine, now time.Duration) error {
 	book.state.Voters = map[uint64]string{id.Voter: v.options.Name}
 	data, err := book.snapshot()
@@ -210,16 +210,16 @@
 // join joins the log of a leader that has invited this node.
 func (v *Voter) join(log logID, now time.Duration) {
 	if v.notAside != nil {
-		return // the leader asks again
+		return // the leader repeats the invitation
 	}
 	v.empty()
 	v.self, v.store = identity{log, v.options.Random() | 1}, raft.NewMemoryStorage()
 	if err := v.begin(now); err != nil {
-		v.options.Log.Error("leases: joining a log", "err", err)
+		v.options.Log.Error("leases: joining a log failed", "err", err)
 		v.empty()
 		return
 	}
-	v.options.Log.Info("leases: a new voter is to learn", "log", log, "voter", v.self.Voter)
+	v.options.Log.Info("leases: joined a log as a new voter", "log", log, "voter", v.self.Voter)
 }
 
 // hard returns the encoding of raft's HardState.
@@ -231,7 +231,7 @@
 	return proto.Marshal(hard)
 }
 
-// renew rewrites the file with the present state.
+// renew rewrites the file with the whole present state.
 func (v *Voter) renew() error {
 	rec := record{Self: &v.self, Seen: v.seen}
 	var err error
