--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -50,7 +50,7 @@
 			v.leave("another voter has seen a later incarnation of this node", now)
 		}
 	case sayRaft:
-		if !same || m.To != v.self.Voter || v.stuck != nil {
+		if !same || m.To != v.self.Voter || v.unsaved != nil {
 			return
 		}
 		// A process may send under an earlier incarnation than before, if its link was established then.
@@ -78,7 +78,7 @@
 		v.seen[m.From] = now
 		if err := v.disk.append(record{Seen: map[uint64]incarnation{m.From: now}}); err != nil {
 			v.options.Log.Error("leases: writing the log failed, voter suspended until a write succeeds", "err", err)
-			v.stuck, v.why = &raft.Ready{}, err.Error()
+			v.unsaved, v.why = &raft.Ready{}, err.Error()
 			return
 		}
 	}
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -78,7 +78,7 @@
 	conf    *raftpb.ConfState
 	machine *StateMachine
 	applied uint64
-	stuck   *raft.Ready // the state whose write has failed, nil if there is none
+	unsaved   *raft.Ready // the state whose write has failed, nil if there is none
 	why     string      // the last disk error
 	// notAside is the error of setting aside the file of a log that this voter has left, nil if that has succeeded. The last
 	// attempt was at triedAside.
@@ -112,9 +112,9 @@
 		v.look(now)
 		return
 	}
-	if v.stuck != nil {
+	if v.unsaved != nil {
 		v.unstick(now)
-		if v.stuck != nil {
+		if v.unsaved != nil {
 			return
 		}
 	}
@@ -158,7 +158,7 @@
 
 // leads reports whether this voter is the leader and can write to its disk.
 func (v *Voter) leads() bool {
-	return v.node != nil && v.stuck == nil && v.node.BasicStatus().RaftState == raft.StateLeader
+	return v.node != nil && v.unsaved == nil && v.node.BasicStatus().RaftState == raft.StateLeader
 }
 
 // Leader returns the name of the leader as far as this voter knows, or an empty string.
--- a/internal/deliverynode/lease/voter_log.go
+++ b/internal/deliverynode/lease/voter_log.go
@@ -17,14 +17,14 @@
 // Flush carries out the effects of the events since the last Flush and returns the messages to send. The clock reading now
 // must have been taken after these events.
 func (v *Voter) Flush(now time.Duration) []Outbound {
-	for v.node != nil && v.stuck == nil && v.node.HasReady() {
+	for v.node != nil && v.unsaved == nil && v.node.HasReady() {
 		rd := v.node.Ready()
 		if err := v.save(rd); errors.Is(err, errDamaged) {
 			v.leave(err.Error(), now)
 			break
 		} else if err != nil {
 			v.options.Log.Error("leases: writing the log failed, voter suspended until a write succeeds", "err", err)
-			v.stuck, v.why = &rd, err.Error()
+			v.unsaved, v.why = &rd, err.Error()
 			break
 		}
 		v.carryOut(rd, now)
@@ -80,8 +80,8 @@
 		v.why = err.Error()
 		return
 	}
-	rd := *v.stuck
-	v.stuck, v.why = nil, ""
+	rd := *v.unsaved
+	v.unsaved, v.why = nil, ""
 	v.options.Log.Info("leases: writing the log succeeded again, voter resumed")
 	if rd.Messages != nil || rd.CommittedEntries != nil || rd.Entries != nil || rd.HardState != nil || rd.Snapshot != nil {
 		v.carryOut(rd, now)
--- a/internal/deliverynode/lease/voter_open.go
+++ b/internal/deliverynode/lease/voter_open.go
@@ -33,7 +33,7 @@
 // empty discards the state of the log.
 func (v *Voter) empty() {
 	v.dropPending("this voter has left the log")
-	v.self, v.node, v.store, v.conf, v.machine, v.applied, v.stuck, v.why = identity{}, nil, nil, nil, nil, 0, nil, ""
+	v.self, v.node, v.store, v.conf, v.machine, v.applied, v.unsaved, v.why = identity{}, nil, nil, nil, nil, 0, nil, ""
 	v.seen, v.names, v.counts, v.here = map[uint64]incarnation{}, map[uint64]string{}, timekeeper{}, map[string]sighting{}
 	v.snapshots = map[uint64]time.Duration{}
 	v.pending, v.wanted, v.freed = map[requestKey]waiting{}, map[uint64]waiting{}, map[string]map[string]bool{}
@@ -164,7 +164,7 @@
 	}
 	if err := v.renew(); err != nil {
 		v.options.Log.Error("leases: writing the log failed, voter suspended until a write succeeds", "err", err)
-		v.stuck, v.why = &raft.Ready{}, err.Error()
+		v.unsaved, v.why = &raft.Ready{}, err.Error()
 	}
 	return nil
 }
--- a/internal/deliverynode/outbox/outbox.go
+++ b/internal/deliverynode/outbox/outbox.go
@@ -1,5 +1,6 @@
-// Package outbox is the queue of messages to one peer: the newest of each key, in the order in which the keys were first
-// added, bounded in number and in bytes. Adding never blocks: Put refuses what does not fit, Push drops the oldest instead.
+// Package outbox implements the queue of messages to one peer. It keeps the newest message of each key, in the order in which
+// the keys were added, and is bounded in number and in bytes. Adding never blocks: Put refuses a message that does not fit,
+// Push drops the oldest instead.
 package outbox
 
 import (
@@ -7,10 +8,10 @@
 	"sync"
 )
 
-// ErrFull says that there is no room for more.
-var ErrFull = errors.New("no room for more that waits")
+// ErrFull is returned when a message does not fit.
+var ErrFull = errors.New("outbox is full")
 
-// Queue is safe for concurrent use.
+// Queue is a bounded queue with one value for each key. It is safe for concurrent use.
 type Queue[T any] struct {
 	maxItems, maxBytes int
 	more               chan struct{}
@@ -29,26 +30,26 @@
 	version uint64
 }
 
-// Entry is what waits under a key.
+// Entry is the queued value of a key.
 type Entry[T any] struct {
 	Key     string
 	Value   T
 	version uint64
 }
 
-// New bounds a queue by number and, with maxBytes over 0, by the sizes that Put is told.
+// New returns a queue of at most maxItems values and, if maxBytes is positive, at most maxBytes in total by the sizes that Put
+// is given.
 func New[T any](maxItems, maxBytes int) *Queue[T] {
 	return &Queue[T]{maxItems: maxItems, maxBytes: maxBytes, waiting: map[string]item[T]{}, more: make(chan struct{}, 1)}
 }
 
-// More gets a signal when something was put.
+// More returns a channel that receives a signal after values were added.
 func (q *Queue[T]) More() <-chan struct{} { return q.more }
 
-// Put keeps a value, in the place of an older one of its key. ErrFull: nothing was kept, and
-// the older one stays.
+// Put adds a value, or replaces the present value of its key. If it fails with ErrFull, the present value is kept.
 func (q *Queue[T]) Put(key string, v T, size int) error { return q.put(key, v, size, false) }
 
-// Push keeps a value as Put does; where there is no room the oldest go.
+// Push adds a value as Put does, but drops the oldest values if there are too many.
 func (q *Queue[T]) Push(key string, v T, size int) { _ = q.put(key, v, size, true) }
 
 func (q *Queue[T]) put(key string, v T, size int, drop bool) error {
@@ -83,7 +84,7 @@
 	q.order = append(q.order[:i], q.order[i+1:]...)
 }
 
-// First is what is to be told next.
+// First returns the entry to send next, and false if the queue is empty.
 func (q *Queue[T]) First() (e Entry[T], ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -94,7 +95,7 @@
 	return Entry[T]{q.order[0], it.value, it.version}, true
 }
 
-// Done takes out what was told. Something newer that has taken its place meanwhile goes last.
+// Done removes an entry that was sent. If a newer value has replaced it meanwhile, that value moves to the end of the queue.
 func (q *Queue[T]) Done(e Entry[T]) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -108,7 +109,7 @@
 	q.order = append(q.order[1:], e.Key)
 }
 
-// Len is how many wait, how many bytes they have, and how many found no room so far.
+// Len returns the number of queued values, their total size in bytes, and the number of values refused or dropped so far.
 func (q *Queue[T]) Len() (items, bytes, dropped int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/deliverynode/outbox/outbox_test.go
+++ b/internal/deliverynode/outbox/outbox_test.go
@@ -20,7 +20,7 @@
 	if a.Key != "a" || a.Value != 4 {
 		t.Errorf("first %+v", a)
 	}
-	if err := q.Put("a", 6, 6); err != nil { // while it is being told
+	if err := q.Put("a", 6, 6); err != nil { // while the first entry is being sent
 		t.Error(err)
 	}
 	q.Done(a)
@@ -29,7 +29,7 @@
 		t.Errorf("then %+v", b)
 	}
 	q.Done(b)
-	q.Done(b) // a second time, nothing
+	q.Done(b) // a repeated call has no effect
 	if last, ok := q.First(); !ok || last.Value != 6 {
 		t.Errorf("last %+v", last)
 	}
--- a/internal/deliverynode/replica/copy.go
+++ b/internal/deliverynode/replica/copy.go
@@ -20,29 +20,30 @@
 )
 
 const (
-	// metaName is the file beside a copy's journal that says whose it is.
+	// metaName is the file beside a copy's journal that identifies its log.
 	metaName = "copy"
 	maxMeta  = 64 << 10
-	// displaced marks the number of a message that had to leave its own to another: a writer that lost
-	// its last messages with its power gave their numbers out again.
+	// displaced marks the number of a message that was renumbered because another message has its number: a writer that
+	// lost its last messages in a power failure assigned their numbers again.
 	displaced = 1 << 39
 )
 
-// meta says whose copy lies in a folder, and how far it may be trusted.
+// meta identifies the log of a copy and records how far the copy can be trusted.
 type meta struct {
 	Owner string `cbor:"1,keyasint"`
 	Log   uint64 `cbor:"2,keyasint"`
-	// Token is the highest that was seen: an act under a lower one is refused.
+	// Token is the highest token that was seen: batches under a lower one are refused.
 	Token uint64 `cbor:"3,keyasint"`
-	// Orders under it.
+	// Orders are the operators' orders under Token.
 	Orders Orders `cbor:"4,keyasint"`
-	// Complete: the copy once had all that its writer had under Token, and has lost nothing since.
+	// Complete is set if the copy has had all entries of its writer under Token, and has lost nothing since.
 	Complete bool `cbor:"5,keyasint"`
-	// Place is where that was: what was written there outlasts all but the machine's own end.
+	// Place is the folder and boot in which Complete was recorded: writes there survive everything except a restart or loss
+	// of the machine.
 	Place string `cbor:"6,keyasint"`
 }
 
-// Copy is a log of another node: its messages on this node's disk. It is not safe for concurrent use.
+// Copy is a copy of the log of another node on this node's disk. It is not safe for concurrent use.
 type Copy struct {
 	meta    meta
 	folder  vfs.Folder
@@ -53,16 +54,16 @@
 	held    map[uint64]*journal.Message
 	ids     map[string]uint64
 	over    *journal.IDRing
-	at      uint64 // all that the writer has said up to here, under meta.Token, is here
+	at      uint64 // the copy has all changes of the writer up to this version of meta.Token
 	place   string
-	dropped bool // it was dropped
-	// heard is when its writer was last heard, by this node's clock.
+	dropped bool
+	// heard is when the last batch of the writer arrived, by this node's clock.
 	heard time.Duration
-	// whole is when it was last found to be the same as its writer's.
+	// whole is when the copy was last found equal to its writer's log.
 	whole time.Duration
 }
 
-// CopyOptions say where and how a copy is kept.
+// CopyOptions configures a Copy.
 type CopyOptions struct {
 	Folder vfs.Folder
 	Place  string
@@ -72,9 +73,10 @@
 	Log    *slog.Logger
 }
 
+// errNoCopy is returned when a folder has no copy, or the copy was dropped.
 var errNoCopy = errors.New("there is no copy in the folder")
 
-// saveMeta replaces the file that says whose copy it is.
+// saveMeta replaces a metadata file.
 func saveMeta(folder vfs.Folder, name string, v any) error {
 	body, err := encoding.Marshal(v)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return vfs.Replace(folder, name, fmt.Appendf(nil, "%s\n%016x\n", text, xxhash.Sum64String(text)))
 }
 
-// loadMeta reads one; fs.ErrNotExist: there is none.
+// loadMeta reads a metadata file. It fails with fs.ErrNotExist if there is none.
 func loadMeta(folder vfs.Folder, name string, v any) error {
 	text, err := folder.Read(name, maxMeta)
 	if err != nil {
@@ -92,7 +94,7 @@
 	}
 	body, sum, _ := strings.Cut(string(text), "\n")
 	if fmt.Sprintf("%016x", xxhash.Sum64String(body)) != strings.TrimSpace(sum) {
-		return fmt.Errorf("%s does not check", name)
+		return fmt.Errorf("%s has a wrong checksum", name)
 	}
 	bytes, err := hex.DecodeString(body)
 	if err == nil {
@@ -101,17 +103,17 @@
 	return err
 }
 
-// NewCopy begins a copy in an empty folder.
+// NewCopy creates a copy in an empty folder.
 func NewCopy(o CopyOptions, owner string, log uint64, now time.Duration) (*Copy, error) {
 	m := meta{Owner: owner, Log: log}
 	if err := saveMeta(o.Folder, metaName, m); err != nil {
-		return nil, fmt.Errorf("beginning a copy: %w", err)
+		return nil, fmt.Errorf("creating a copy: %w", err)
 	}
 	return openCopy(o, m, now)
 }
 
-// OpenCopy reads one that an earlier life of this node has left. Without an error it has all that it
-// had; how far that is behind its writer, only the writer can tell.
+// OpenCopy opens a copy that an earlier process of this node has written. Entries that can't be read are skipped, and the copy
+// is then no longer complete. Only the writer can determine how far the copy is behind.
 func OpenCopy(o CopyOptions, now time.Duration) (*Copy, error) {
 	var m meta
 	err := loadMeta(o.Folder, metaName, &m)
@@ -138,13 +140,13 @@
 	for _, kept := range all {
 		var e Entry
 		if err := decoding.Unmarshal(kept.Body, &e); err != nil {
-			c.log.Error("copies: an entry that can't be read", "owner", m.Owner, "number", kept.Seq, "err", err)
+			c.log.Error("copies: decoding an entry failed", "owner", m.Owner, "number", kept.Seq, "err", err)
 			sound = false
 			continue
 		}
 		c.entries[e.Seq], c.held[e.Seq], c.ids[e.ID] = e, kept, e.Seq
 		if t, ok := e.tenure(m.Token); ok && sound {
-			c.at = max(c.at, t.Version) // they were written in this order
+			c.at = max(c.at, t.Version) // entries were written in the order of their versions
 		}
 	}
 	if !sound {
@@ -156,8 +158,8 @@
 	return c, nil
 }
 
-// Distrust tells that the copy may have lost something that it has acknowledged: until its writer has
-// compared it, it stands for nothing.
+// Distrust marks the copy as one that may have lost entries that it has acknowledged: it is not complete until its writer has
+// compared it.
 func (c *Copy) Distrust() error {
 	if !c.meta.Complete {
 		return nil
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// put writes an entry.
+// put writes an entry to the journal.
 func (c *Copy) put(e Entry) error {
 	body, err := encoding.Marshal(e)
 	if err != nil {
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// drop forgets an entry, and keeps its id as one that is over.
+// drop removes an entry, and records its id as ended.
 func (c *Copy) drop(seq uint64) error {
 	m := c.held[seq]
 	if m == nil {
@@ -202,8 +204,8 @@
 	return nil
 }
 
-// Apply takes in what the writer tells. What it acknowledges is on disk, and outlasts a loss of power
-// where that is asked for.
+// Apply applies a batch of the writer. Acknowledged changes are written to the journal, and survive a power failure if
+// CopyOptions.Sync is set.
 func (c *Copy) Apply(b Batch, now time.Duration) (Ack, error) {
 	if c.dropped {
 		return Ack{}, errNoCopy
@@ -214,7 +216,7 @@
 	if b.Token > c.meta.Token {
 		next := c.meta
 		next.Token, next.Complete = b.Token, false
-		if err := saveMeta(c.folder, metaName, next); err != nil { // before anything is done under it
+		if err := saveMeta(c.folder, metaName, next); err != nil { // the token must be durable before any change under it
 			return Ack{}, err
 		}
 		c.meta, c.at = next, 0
@@ -224,7 +226,7 @@
 		return Ack{At: c.at, Has: bodiesOf(maps.Keys(c.entries), func(seq uint64) Entry { return c.entries[seq] })}, nil
 	}
 	if b.From > c.at && len(b.Whole) == 0 {
-		return Ack{At: c.at}, nil // something in between is not here
+		return Ack{At: c.at}, nil // changes before the batch are missing
 	}
 	if err := c.write(b); err != nil {
 		return Ack{}, err
@@ -254,10 +256,11 @@
 	return a, nil
 }
 
+// write writes the changes of a batch to the journal.
 func (c *Copy) write(b Batch) error {
 	var unknown []string
 	for _, o := range b.Over {
-		if seq, here := c.ids[o.ID]; here { // whatever number it has here
+		if seq, here := c.ids[o.ID]; here { // the entry may have another number here
 			if err := c.drop(seq); err != nil {
 				return err
 			}
@@ -281,14 +284,14 @@
 		}
 		switch {
 		case there:
-			if slices.Contains(b.Whole, e.Seq/rangeSize) { // as the writer has it, whatever stands here
+			if slices.Contains(b.Whole, e.Seq/rangeSize) { // the writer's version replaces the one here
 				e = rewrite(old, e, b.Token)
 			} else {
 				e = Merge(old, e)
 			}
 			e = e.fold()
 		case e.Bare:
-			return fmt.Errorf("number %d is not here, and came without its text", e.Seq)
+			return fmt.Errorf("message %d was sent without its content, and the copy does not have it", e.Seq)
 		}
 		if err := c.put(e); err != nil {
 			return err
@@ -315,7 +318,8 @@
 	return nil
 }
 
-// rewrite takes what was taken, and the tenure of a token, from its writer, whatever stood there.
+// rewrite returns an entry with the content and the tenure of a token as the writer has sent them, and the other tenures of
+// the old entry.
 func rewrite(old, sent Entry, token uint64) Entry {
 	earlier := slices.DeleteFunc(slices.Clone(old.Tenures), func(t Tenure) bool { return t.Token == token })
 	own, _ := sent.tenure(token)
@@ -323,19 +327,20 @@
 	return sent
 }
 
-// elsewhere is the number of a message that was displaced.
-func elsewhere(id string) uint64 { return displaced | xxhash.Sum64String(id)>>26 }
+// displacedNumber returns the number of a displaced message.
+func displacedNumber(id string) uint64 { return displaced | xxhash.Sum64String(id)>>26 }
 
-// displace gives a message another number: its own is another one's, which is put there next.
+// displace renumbers a message whose number the writer has assigned to another one.
 func (c *Copy) displace(e Entry) error {
-	e.Seq = elsewhere(e.ID)
+	e.Seq = displacedNumber(e.ID)
 	if _, there := c.entries[e.Seq]; there {
 		return nil
 	}
 	return c.put(e)
 }
 
-// compare finds the ranges that are not as the writer has them, and what it has not at all.
+// compare returns the ranges whose digests differ from the writer's, and up to maxExtra entries without a tenure of the
+// writer.
 func (c *Copy) compare(theirs []Range) (wrong []uint64, extra []Entry) {
 	var ours []uint64
 	for _, seq := range slices.Sorted(maps.Keys(c.entries)) {
@@ -363,7 +368,7 @@
 	return wrong, extra
 }
 
-// Entries are all messages, in the order of their numbers.
+// Entries returns all entries in the order of their numbers.
 func (c *Copy) Entries() (all []Entry) {
 	for _, seq := range slices.Sorted(maps.Keys(c.entries)) {
 		all = append(all, c.entries[seq])
@@ -371,16 +376,16 @@
 	return all
 }
 
-// Knows tells whether a message is here, or was and is over.
+// Knows reports whether the copy has a message, or had it and it has ended.
 func (c *Copy) Knows(id string) bool {
 	_, here := c.ids[id]
 	return here || c.over.Has(id)
 }
 
-// Close ends the writing.
+// Close closes the copy's journal.
 func (c *Copy) Close() error { return c.journal.Close() }
 
-// Scrub reads the copy from its disk again and tells whether that is still what it should be.
+// Scrub reads the copy's files and returns an error if they differ from the entries in memory.
 func (c *Copy) Scrub() error {
 	seen := map[uint64]uint64{}
 	j, err := journal.Replay(journal.Options{Folder: c.folder, Limit: 1 << 40})
@@ -393,24 +398,24 @@
 	for _, m := range j.Owed() {
 		var e Entry
 		if err := decoding.Unmarshal(m.Body, &e); err != nil {
-			return fmt.Errorf("number %d: %w", m.Seq, err)
+			return fmt.Errorf("decoding message %d: %w", m.Seq, err)
 		}
 		seen[e.Seq] = e.digest()
 	}
 	for seq, e := range c.entries {
 		if seen[seq] != e.digest() {
-			return fmt.Errorf("number %d is not on disk as it should be", seq)
+			return fmt.Errorf("message %d is missing on disk or differs", seq)
 		}
 		delete(seen, seq)
 	}
 	for seq := range seen {
-		return fmt.Errorf("number %d is on disk and should not be", seq)
+		return fmt.Errorf("message %d is on disk but not in the copy", seq)
 	}
 	return nil
 }
 
-// Union makes one of what several copies of a log have, as a node does that takes it over: Merge by
-// message. What is over at any of them is over.
+// Union merges several copies of a log, message by message (Merge), for a node that takes the log over. It omits the messages
+// that over reports as ended.
 func Union(over func(id string) bool, copies ...[]Entry) (all []Entry) {
 	byID := map[string]Entry{}
 	for _, entries := range copies {
@@ -419,7 +424,7 @@
 				continue
 			}
 			if old, there := byID[e.ID]; there {
-				e.Seq = min(e.Seq, old.Seq) // it may be displaced in one of them
+				e.Seq = min(e.Seq, old.Seq) // the message may be displaced in one of the copies
 				old.Seq = e.Seq
 				e = Merge(old, e)
 			}
--- a/internal/deliverynode/replica/entry.go
+++ b/internal/deliverynode/replica/entry.go
@@ -1,9 +1,9 @@
 // Package replica replicates the log of a delivery node, that is the messages it has accepted, to other nodes of its fleet.
 // docs/copies.md describes it.
 //
-// The decisions are made by types without clock, goroutine or socket: Entry is a message in a replica, with the merging of
-// two versions of it; Source is the log at the node that works on it, with what its replicas lack; Copy is a replica at
-// another node. Keeper runs them over a fleet.Net and folders; a lease says which node works on a log.
+// The decisions are made by types without clock, goroutine or socket: Entry is a message in a replica, and defines how two
+// versions of it are merged; Source is the log at the node that works on it, and tracks what its replicas lack; Copy is a
+// replica at another node. Keeper runs them over a fleet.Net and folders; a lease decides which node works on a log.
 package replica
 
 import (
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxTenures is the most tenures of an entry. There are rarely several: a message lives for some seconds, and a
-	// takeover waits for longer than that. Of more, the oldest are merged into one.
+	// maxTenures is the most tenures of an entry. There are rarely several, because a message is outstanding for some seconds
+	// and a takeover happens only after a longer silence. If there are more, the oldest are merged into one.
 	maxTenures = 8
 	// rangeSize is the number of messages that one digest covers.
 	rangeSize = 32
@@ -25,9 +25,9 @@
 
 // Values of Tenure.End.
 const (
-	Runs       = iota
-	GivenUp    // the platform is to be told
-	HandedBack // the same, and its client may come again
+	Runs       = iota // delivery has not ended
+	GivenUp           // delivery has failed, and the platform must be notified
+	HandedBack        // as GivenUp, and the client may submit the message again
 )
 
 // Entry is a message in a replica: its content, which never changes, and the state of its delivery by tenure.
@@ -39,8 +39,8 @@
 	Dest     int      `cbor:"5,keyasint,omitempty"`
 	Deadline int64    `cbor:"6,keyasint,omitempty"` // Unix microseconds
 	Body     []byte   `cbor:"7,keyasint,omitempty"`
-	Bare     bool     `cbor:"8,keyasint,omitempty"` // Key to Body are left out, because the receiver has them
-	Tenures  []Tenure `cbor:"9,keyasint"`           // by token, each once
+	Bare     bool     `cbor:"8,keyasint,omitempty"` // Key to Body are omitted, because the receiver has them
+	Tenures  []Tenure `cbor:"9,keyasint"`           // sorted by token, one for each
 }
 
 // Tenure is the state of a message's delivery under one token, that is, by one holder of its log. Only that holder writes
@@ -48,12 +48,12 @@
 type Tenure struct {
 	Token    uint64 `cbor:"1,keyasint"`
 	Version  uint64 `cbor:"2,keyasint"`
-	Base     int    `cbor:"3,keyasint,omitempty"` // attempts that its holder knew of when it began
-	Attempts int    `cbor:"4,keyasint,omitempty"` // begun in it
+	Base     int    `cbor:"3,keyasint,omitempty"` // number of attempts recorded when the tenure began
+	Attempts int    `cbor:"4,keyasint,omitempty"` // number of attempts begun in this tenure
 	Settled  bool   `cbor:"5,keyasint,omitempty"` // a finished attempt may have run
-	Out      bool   `cbor:"6,keyasint,omitempty"` // the last one has no outcome yet
+	Out      bool   `cbor:"6,keyasint,omitempty"` // the last attempt has no outcome yet
 	MayRun   bool   `cbor:"7,keyasint,omitempty"`
-	RanAt    int64  `cbor:"8,keyasint,omitempty"` // when the first that may have run was begun; Unix microseconds
+	RanAt    int64  `cbor:"8,keyasint,omitempty"` // when the first attempt that may have run began; Unix microseconds
 	RanZone  int    `cbor:"9,keyasint,omitempty"`
 	End      int    `cbor:"10,keyasint,omitempty"`
 	RetryMs  int64  `cbor:"11,keyasint,omitempty"`
@@ -82,7 +82,7 @@
 	return v
 }
 
-// compare orders the versions of a tenure. Where a damaged replica has another content under the same version, the order is
+// compare orders the versions of a tenure. If a damaged replica has different content under the same version, the order is
 // arbitrary but the same at all nodes.
 func (t Tenure) compare(o Tenure) int {
 	if c := cmp.Compare(t.Version, o.Version); c != 0 {
@@ -111,13 +111,13 @@
 	return all
 }
 
-// content compares the contents of two entries, which differ only if a replica is damaged.
+// content returns the encoded content of an entry, without tenures. It differs between replicas only if one is damaged.
 func (e Entry) content() []byte {
 	e.Tenures, e.Bare = nil, false
 	return must(encoding.Marshal(e))
 }
 
-// Merge merges two entries of one message: the content that either has, and the latest version of each tenure. It is
+// Merge merges two entries of one message: the content, if either has it, and the latest version of each tenure. It is
 // commutative, associative and idempotent.
 func Merge(a, b Entry) Entry {
 	out := a
@@ -131,8 +131,8 @@
 	return out
 }
 
-// Past combines the tenures, the earliest first: the attempts of all are counted, and the message may have run if it may
-// have in any tenure, or if an attempt has no outcome. The first end counts.
+// Past combines the tenures, the earliest first: it counts the attempts of all, and the message may have run if it may have
+// run in any tenure, or if an attempt has no outcome. The first end counts.
 func (e Entry) Past() (p Past) {
 	for _, t := range e.Tenures {
 		p.Attempts = max(p.Attempts, t.Base) + t.Attempts
@@ -158,7 +158,7 @@
 	return e.Tenures[i], true
 }
 
-// under returns the entry with the tenure of one token only, which a holder compares with its replicas.
+// under returns the entry with only the tenure of one token, the form that a holder compares with its replicas.
 func (e Entry) under(token uint64) (Entry, bool) {
 	t, ok := e.tenure(token)
 	e.Tenures = []Tenure{t}
--- a/internal/deliverynode/replica/keeper.go
+++ b/internal/deliverynode/replica/keeper.go
@@ -22,7 +22,7 @@
 	"dunetide/policy"
 )
 
-// Kinds of questions between nodes.
+// Kinds of requests between nodes.
 const (
 	kindBatch = "copy/batch"
 	kindFetch = "copy/fetch"
@@ -35,12 +35,12 @@
 	stepEvery = 100 * time.Millisecond
 	// unfitFor is how long a node that cannot hold a copy is not chosen again.
 	unfitFor = 30 * time.Second
-	// batchTime is how long to wait for the answer of a copy.
+	// batchTime is the time limit for the answer of a copy to a batch.
 	batchTime = 1500 * time.Millisecond
-	// rankPause is the delay between the attempts of the holders of copies to take a log over, so that one is first.
+	// rankPause is the delay between the takeover attempts of successive holders of copies, so that they do not compete.
 	rankPause = time.Second
-	// gatherTime is how long a takeover waits for other copies of the log, settleTime how long it waits until its own new
-	// copies are complete.
+	// gatherTime is how long a takeover waits for other copies of the log, convergenceTime how long it waits until its own
+	// new copies are complete.
 	gatherTime      = 2 * time.Second
 	convergenceTime = 2 * time.Second
 	// writerTime is how long an owner waits for an answer of the node that took its log over, if that node no longer holds
@@ -48,13 +48,13 @@
 	writerTime = 10 * time.Second
 	// pageBytes is the most bytes of an answer to kindFetch.
 	pageBytes = 512 << 10
-	// maxQueried is the most ids in one question.
+	// maxQueried is the most ids in one kindHave request.
 	maxQueried = 2048
-	// whoEvery is how often the nodes are asked which of them have the messages of a silent member.
+	// whoEvery is how often all nodes are asked which of them have the messages of an unreachable member.
 	whoEvery = 5 * time.Second
-	// missingFor is for how long after a member fell silent other nodes are asked about each id that comes in.
+	// missingFor is how long after a member became unreachable other nodes are asked about each id that comes in.
 	missingFor = 5 * time.Minute
-	// haveTime is the time limit of such a question: well below that of a client.
+	// haveTime is the time limit of such a request: well below that of a client.
 	haveTime = 150 * time.Millisecond
 
 	copyFolder = "copy-"
@@ -64,14 +64,14 @@
 
 var (
 	// ErrShort is returned when there are fewer copies than configured.
-	ErrShort = errors.New("too few copies are in reach")
+	ErrShort = errors.New("too few copies are reachable")
 	// ErrNotOurs is returned when this node does not hold the lease of the log.
-	ErrNotOurs = errors.New("the log is not this node's to work on just now")
+	ErrNotOurs = errors.New("this node does not hold the lease of the log")
 )
 
 // Folders are the folders within the state folder.
 type Folders interface {
-	// Open returns a folder, and creates it if there is none.
+	// Open returns a folder, and creates it if it does not exist.
 	Open(name string) (vfs.Folder, error)
 	// List returns the names of the folders.
 	List() ([]string, error)
@@ -79,23 +79,23 @@
 	Remove(name string) error
 	// Top returns the state folder itself.
 	Top() vfs.Folder
-	// Place identifies the folder and the boot of the machine: another process in the same place has ended if this process
-	// has the folder's lock.
+	// Place identifies the folder and the boot of the machine: any other process in the same place has ended if this process
+	// holds the folder's lock.
 	Place(name string) string
 }
 
 // Host is the node that works on the logs. Its methods must be safe for concurrent use and must not wait for a Work's lock.
 type Host interface {
-	// Adopt starts the work on the live messages of a log that was taken over.
+	// Adopt starts the work on the messages of a log that was taken over that have not ended.
 	Adopt(w *Work, owed []*journal.Message)
 	// Found starts the work on a message of this node's own log that only a copy had.
 	Found(w *Work, m *journal.Message)
-	// Forget ends the work on messages that belong to another node now or have ended, without notices. Doubted are messages
-	// that may have run and must not be repeated: they end as such.
+	// Forget ends the work on the messages in gone, which belong to another node now or have ended, without notices. The
+	// messages in doubted may have run and must not be repeated: they end as such.
 	Forget(w *Work, gone, doubted []*journal.Message)
 	// Acts reports whether this node may work on a log.
 	Acts(w *Work, may bool)
-	// Orders passes on the staff's orders of the node whose log was taken over.
+	// Orders passes on the operators' orders of the node whose log was taken over.
 	Orders(out []string)
 	// Once reports whether messages of a class must not be sent again.
 	Once(class int) bool
@@ -141,10 +141,11 @@
 type note struct {
 	Writer  string   `cbor:"1,keyasint"`           // the node that works on the log, or did last
 	Token   uint64   `cbor:"2,keyasint"`           // the token under which Holders have all attempts of Writer
-	Holders []string `cbor:"3,keyasint,omitempty"` // of its copies
-	Done    bool     `cbor:"4,keyasint,omitempty"` // nothing is owed in the log any more
+	Holders []string `cbor:"3,keyasint,omitempty"` // the nodes with the copies that count
+	Done    bool     `cbor:"4,keyasint,omitempty"` // all messages of the log have ended
 }
 
+// readNote decodes a note, and returns false if there is no valid one.
 func readNote(text []byte) (n note, there bool) {
 	if len(text) == 0 || decoding.Unmarshal(text, &n) != nil {
 		return note{}, false
@@ -162,19 +163,19 @@
 	Log   uint64 `cbor:"1,keyasint"`
 	Place string `cbor:"2,keyasint"`
 	Since uint64 `cbor:"3,keyasint"` // the first incarnation in this place
-	Noted bool   `cbor:"4,keyasint"` // a note was left in the log's lease
+	Noted bool   `cbor:"4,keyasint"` // a note was stored in the log's lease
 }
 
-// New opens the copies and logs that earlier processes have left. The node's own journal must be open, and the work on its
+// New opens the copies and logs that earlier processes have stored. The node's own journal must be open, and the work on its
 // messages must not have begun.
 func New(o Options, own *journal.Journal) (*Keeper, error) {
 	k := &Keeper{options: o, copies: map[string]*storedCopy{}, works: map[string]*Work{},
 		unfit: map[string]time.Duration{}, missing: map[string]*missing{}, rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
 	var m ownMeta
-	spoilt := false
+	damaged := false
 	if err := loadMeta(o.Folders.Top(), ownName, &m); err != nil {
-		if spoilt = !errors.Is(err, fs.ErrNotExist); spoilt {
-			o.Log.Error("copies: whose log this is can't be read: what it owes is in doubt", "err", err)
+		if damaged = !errors.Is(err, fs.ErrNotExist); damaged {
+			o.Log.Error("copies: reading the identity of the own log failed, its messages may have run elsewhere", "err", err)
 		}
 		m = ownMeta{Log: k.rand.Uint64() | 1}
 	}
@@ -182,7 +183,7 @@
 		m.Place, m.Since = here, 0
 	}
 	k.own = k.newWork(o.Name, m.Log, own, m)
-	k.own.behind = spoilt || slices.ContainsFunc(own.Problems(), func(p journal.Problem) bool { return !p.Torn })
+	k.own.behind = damaged || slices.ContainsFunc(own.Problems(), func(p journal.Problem) bool { return !p.Torn })
 	k.works[k.own.key] = k.own
 	names, err := o.Folders.List()
 	if err != nil {
@@ -241,7 +242,7 @@
 	}
 }
 
-// Run works until the context ends. It must not run longer than this node is joined to its fleet.
+// Run works until the context ends. The context must end before this node leaves its fleet.
 func (k *Keeper) Run(ctx context.Context) {
 	k.mu.Lock()
 	k.joined = true
@@ -319,7 +320,7 @@
 	text, err := k.options.Net.Ask(ctx, to, kindBatch, body)
 	if err != nil {
 		var no fleet.AnswerError
-		if errors.As(err, &no) { // it has no copies at all
+		if errors.As(err, &no) { // the node does not replicate logs
 			return Ack{No: err.Error()}, nil
 		}
 		return a, err
@@ -327,6 +328,7 @@
 	return a, decoding.Unmarshal(text, &a)
 }
 
+// pass excludes a node from the candidates for unfitFor.
 func (k *Keeper) pass(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/deliverynode/replica/lookup.go
+++ b/internal/deliverynode/replica/lookup.go
@@ -12,20 +12,21 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// missing is a member that fell silent, so that its clients come to other nodes.
+// missing is a member that became unreachable, so that its clients turn to other nodes.
 type missing struct {
 	since   time.Duration
 	askedAt time.Duration // when the nodes were last asked which of them have its messages
-	holders []string      // the nodes that have
+	holders []string      // the nodes that have them
 }
 
-// fetch asks for a page of a copy. The answer is a fetched.
+// fetch requests a page of a copy. The answer is a fetched.
 type fetch struct {
 	Owner string `cbor:"1,keyasint"`
 	Log   uint64 `cbor:"2,keyasint"`
 	From  int    `cbor:"3,keyasint,omitempty"` // index of the first entry
 }
 
+// fetched is a page of a copy.
 type fetched struct {
 	Token    uint64   `cbor:"1,keyasint"`
 	Complete bool     `cbor:"2,keyasint,omitempty"`
@@ -36,10 +37,11 @@
 	Writer   string   `cbor:"7,keyasint,omitempty"`
 }
 
+// answerFetch handles kindFetch.
 func (k *Keeper) answerFetch(_ context.Context, _ fleet.Peer, body []byte) ([]byte, error) {
 	var q fetch
 	if err := decoding.Unmarshal(body, &q); err != nil {
-		return nil, fmt.Errorf("unreadable: %w", err)
+		return nil, fmt.Errorf("decoding a fetch request: %w", err)
 	}
 	k.mu.Lock()
 	h := k.copies[key(q.Owner, q.Log)]
@@ -70,18 +72,19 @@
 	return f
 }
 
-// have asks which of some messages a node has or had. The answer is their ids. With an owner, only that log counts: a copy of
-// it, or the log if it was taken over.
+// have asks which of the messages a node has or had. The answer is their ids. With an owner, only that log counts: a copy of
+// it, or the log itself if the node took it over.
 type have struct {
 	IDs   []string `cbor:"1,keyasint"`
 	Owner string   `cbor:"2,keyasint,omitempty"`
 	Log   uint64   `cbor:"3,keyasint,omitempty"`
 }
 
+// answerHave handles kindHave.
 func (k *Keeper) answerHave(_ context.Context, _ fleet.Peer, body []byte) ([]byte, error) {
 	var q have
 	if err := decoding.Unmarshal(body, &q); err != nil || len(q.IDs) > maxQueried {
-		return nil, fmt.Errorf("unreadable: %w", err)
+		return nil, fmt.Errorf("invalid query for message ids: %w", err)
 	}
 	only := ""
 	if q.Owner != "" {
@@ -96,7 +99,7 @@
 	return encoding.Marshal(a)
 }
 
-// knows reports whether a copy here, or only that of one log, has or had a message.
+// knows reports whether a copy or a log at this node has or had a message. If only is set, just the log with that key counts.
 func (k *Keeper) knows(id, only string) bool {
 	k.mu.Lock()
 	var held []*storedCopy
@@ -128,7 +131,7 @@
 	return false
 }
 
-// queryMessages asks a node which of some messages it has or had.
+// queryMessages asks a node which of the messages it has or had.
 func (k *Keeper) queryMessages(ctx context.Context, of string, q have) ([]string, error) {
 	body, err := encoding.Marshal(q)
 	if err != nil {
@@ -142,15 +145,16 @@
 	return a.IDs, decoding.Unmarshal(text, &a)
 }
 
-// who asks of which of some nodes a node has the messages, in copies or in logs that it works on. The answer is their names.
+// who asks a node which of the owners' messages it has, in copies or in logs that it works on. The answer is the owners' names.
 type who struct {
 	Owners []string `cbor:"1,keyasint"`
 }
 
+// answerWho handles kindWho.
 func (k *Keeper) answerWho(_ context.Context, _ fleet.Peer, body []byte) ([]byte, error) {
 	var q who
 	if err := decoding.Unmarshal(body, &q); err != nil {
-		return nil, fmt.Errorf("unreadable: %w", err)
+		return nil, fmt.Errorf("decoding a query for owners: %w", err)
 	}
 	var a who
 	for _, owner := range q.Owners {
@@ -161,6 +165,7 @@
 	return encoding.Marshal(a)
 }
 
+// hasOf reports whether this node has a log or a copy of a log of an owner.
 func (k *Keeper) hasOf(owner string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -177,7 +182,7 @@
 	return false
 }
 
-// dueMissing returns the silent members for which the nodes should be asked who has their messages.
+// dueMissing returns the unreachable members for which it is time to ask which nodes have their messages.
 func (k *Keeper) dueMissing() (names []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -193,12 +198,12 @@
 	return names
 }
 
-// queryOwners finds out which nodes have the messages of silent members. The nodes are asked periodically and not for each message
-// that comes in.
+// queryOwners finds out which nodes have the messages of unreachable members. The nodes are asked periodically, not for each
+// incoming message.
 func (k *Keeper) queryOwners(ctx context.Context, names []string) {
 	body, err := encoding.Marshal(who{names})
 	if err != nil {
-		k.options.Log.Error("copies: asking who has them", "err", err)
+		k.options.Log.Error("copies: encoding a query for owners failed", "err", err)
 		return
 	}
 	var mu sync.Mutex
@@ -221,19 +226,19 @@
 	defer k.mu.Unlock()
 	for _, name := range names {
 		if m := k.missing[name]; m != nil {
-			// A node that did not answer this time still has what it had.
+			// A node that did not answer this time is assumed to still have the messages.
 			kept := slices.DeleteFunc(m.holders, func(of string) bool { return answered[of] })
 			m.holders = append(kept, found[name]...)
 		}
 	}
 }
 
-// ErrUnknown says that it can't be known whether another node has a message, as one that may have it did not answer.
-var ErrUnknown = errors.New("whether another node has the message is not known")
+// ErrUnknown is returned when a node that may have a message did not answer.
+var ErrUnknown = errors.New("unknown whether another node has the message: a node did not answer")
 
-// Elsewhere reports whether another node has a message that a client hands in here, or a copy of it. It asks other nodes only
-// while some member is silent, because its clients come to other nodes then. It fails with ErrUnknown if no node says that it
-// has the message, and one that is alive and has messages of a silent member did not answer.
+// Elsewhere reports whether another node has a message that a client submits here, or a copy of it. It asks other nodes only
+// while some member is unreachable, because that member's clients then turn to other nodes. It fails with ErrUnknown if no
+// node has reported the message, and a node that is alive and has messages of an unreachable member did not answer.
 func (k *Keeper) Elsewhere(id string) (bool, error) {
 	k.mu.Lock()
 	var holders []string
@@ -282,7 +287,7 @@
 	return alive
 }
 
-// candidatesAnd returns the candidates with this node among them, the best first.
+// candidatesAnd returns the possible holders of a log's copies, including this node, the best first.
 func (k *Keeper) candidatesAnd(owner string, log uint64) []string {
 	all := []string{k.options.Name}
 	for _, m := range k.options.Net.Members() {
--- a/internal/deliverynode/replica/mutants_test.go
+++ b/internal/deliverynode/replica/mutants_test.go
@@ -42,7 +42,7 @@
 	{
 		Name: "a later token is not kept on disk",
 		File: "copy.go",
-		Old:  "\t\tif err := saveMeta(c.folder, metaName, next); err != nil { // before anything is done under it\n\t\t\treturn Ack{}, err\n\t\t}\n",
+		Old:  "\t\tif err := saveMeta(c.folder, metaName, next); err != nil { // the token must be durable before any change under it\n\t\t\treturn Ack{}, err\n\t\t}\n",
 		New:  "",
 	},
 	{
@@ -84,7 +84,7 @@
 	{
 		Name: "a copy that was told to go still counts",
 		File: "source.go",
-		Old:  "\t\tf.began, f.complete, f.at = false, false, 0 // it has none from here on, as far as is known\n",
+		Old:  "\t\tf.began, f.complete, f.at = false, false, 0 // from now on the copy counts as removed\n",
 		New:  "",
 	},
 	{
@@ -108,7 +108,7 @@
 	{
 		Name: "copies that do not answer stay",
 		File: "source.go",
-		Old:  "(well(name) || now-s.followers[name].heardAt <= holderPatience) {",
+		Old:  "(healthy(name) || now-s.followers[name].heardAt <= holderPatience) {",
 		New:  "true {",
 	},
 	{
--- a/internal/deliverynode/replica/source.go
+++ b/internal/deliverynode/replica/source.go
@@ -13,59 +13,59 @@
 )
 
 const (
-	// batchBytes bounds what one batch holds, but for a message that is longer by itself: some such fit
-	// a frame of a link, which 1 MiB bounds.
+	// batchBytes is the most bytes in one batch, unless a single message is longer. It is a fraction of the frame limit of a
+	// link, which is 1 MiB.
 	batchBytes = 256 << 10
-	// maxEnded is how many messages that are over are told still to a copy that was away: as many ids as
-	// a journal knows. One that was away for longer is compared whole.
+	// maxEnded is the most ended messages that are kept for copies that were unreachable: as many ids as a journal keeps. A
+	// copy that was unreachable for longer is compared completely.
 	maxEnded = 4096
-	// holderPatience is how long a copy that owes an answer stays one of those that count: longer than a
-	// client waits, as only a noted change lets it out.
+	// holderPatience is how long a copy that does not answer still counts as a holder. It is longer than a client waits,
+	// because a holder can be removed only by a committed change of the note.
 	holderPatience = time.Second
-	// HeartbeatEvery is how often a copy hears from its writer at least.
+	// HeartbeatEvery is the longest time between two batches to a copy.
 	HeartbeatEvery = time.Second
-	// entryOverhead is about what an entry takes beside its texts.
+	// entryOverhead is the approximate size of an entry without its texts, in bytes.
 	entryOverhead = 96
-	// maxExtra bounds what a copy tells at a time that its writer lacks.
+	// maxExtra is the most entries in one Ack that the writer lacks.
 	maxExtra = 64
-	// maxOrders bounds the staff's orders that are copied.
+	// maxOrders is the most operator orders that are replicated.
 	maxOrders = 4096
 )
 
-// Batch is what the holder of a log tells one copy: all that changed between two versions.
+// Batch is a message from the holder of a log to one copy, with all changes between two versions.
 type Batch struct {
 	Owner  string  `cbor:"1,keyasint"`
 	Log    uint64  `cbor:"2,keyasint"`
 	Token  uint64  `cbor:"3,keyasint"`
-	Begin  bool    `cbor:"4,keyasint,omitempty"` // only asks what the copy has
+	Begin  bool    `cbor:"4,keyasint,omitempty"` // only queries what the copy has
 	From   uint64  `cbor:"5,keyasint,omitempty"`
 	To     uint64  `cbor:"6,keyasint,omitempty"`
 	Items  []Entry `cbor:"7,keyasint,omitempty"`
 	Over   []Over  `cbor:"8,keyasint,omitempty"`
 	Orders *Orders `cbor:"9,keyasint,omitempty"`
-	// Whole are ranges of which Items has all that the writer has: what else a copy has under this
-	// token is not the writer's any more.
+	// Whole are ranges for which Items has all entries of the writer: the copy must remove any other entries that it has in
+	// them under this token.
 	Whole []uint64 `cbor:"10,keyasint,omitempty"`
-	// Check are the digests of all that the writer has, at version To.
+	// Check are the digests of all entries of the writer, at version To.
 	Check   []Range `cbor:"11,keyasint,omitempty"`
-	Checked bool    `cbor:"12,keyasint,omitempty"` // Check is told, and may be of nothing
-	// Drop: this node holds no copy of the log any more.
+	Checked bool    `cbor:"12,keyasint,omitempty"` // Check is set, possibly to an empty list
+	// Drop tells the receiver to remove its copy of the log.
 	Drop bool `cbor:"13,keyasint,omitempty"`
 }
 
-// Over is a message for which nothing is owed any more.
+// Over is a message that has ended: nothing remains to be delivered or reported.
 type Over struct {
 	Seq uint64 `cbor:"1,keyasint"`
 	ID  string `cbor:"2,keyasint"`
 }
 
-// Orders are endpoints that the staff have taken out; the later version counts.
+// Orders are endpoints that operators have taken out of service; the later version counts.
 type Orders struct {
 	Version uint64   `cbor:"1,keyasint"`
 	Out     []string `cbor:"2,keyasint"`
 }
 
-// Range is a digest of messages whose numbers are rangeSize times N and the next ones.
+// Range is a digest of the messages numbered from rangeSize*Number up to the next range.
 type Range struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
@@ -73,46 +73,46 @@
 
 // Ack answers a batch.
 type Ack struct {
-	At    uint64 `cbor:"1,keyasint"`           // the copy has all up to this version of the batch's token
-	Token uint64 `cbor:"2,keyasint,omitempty"` // a later one that it has seen: the writer is not the holder any more
-	No    string `cbor:"3,keyasint,omitempty"` // why nothing of it was kept
-	// Has are digests of what was taken, as the copy has it; it answers Begin.
+	At    uint64 `cbor:"1,keyasint"`           // the copy has all changes up to this version of the batch's token
+	Token uint64 `cbor:"2,keyasint,omitempty"` // a later token that the copy has seen: the writer no longer holds the log
+	No    string `cbor:"3,keyasint,omitempty"` // why the batch was rejected
+	// Has are digests of the contents that the copy has, without tenures, in the answer to Begin.
 	Has []Range `cbor:"4,keyasint,omitempty"`
-	// Differing are ranges that are not as the writer's.
+	// Differing are the ranges whose digests differ from the writer's.
 	Differing []uint64 `cbor:"5,keyasint,omitempty"`
-	// Extra are messages that the writer does not have, as far as this copy knows.
+	// Extra are entries without a tenure under the batch's token: as far as the copy can tell, the writer lacks them.
 	Extra []Entry `cbor:"6,keyasint,omitempty"`
 }
 
-// ErrFenced says that a copy has seen a later token.
+// ErrFenced is reported when a copy has seen a later token.
 var ErrFenced = errors.New("another node has taken this log over")
 
-// item is a message of a source, or, with gone, the end of one.
+// item is a message of a source, or, if gone is set, the end of one.
 type item struct {
 	entry   Entry
 	version uint64
-	known   uint64        // the version in which it came under this token
+	known   uint64        // the version at which it was added under this token
 	at      time.Duration // of its last change
 	gone    bool
 }
 
-// follower is a copy as its source sees it.
+// follower is the state of a copy at its source.
 type follower struct {
 	name     string
-	began    bool            // it has said what it has, under this token
-	at       uint64          // it has all up to here
-	bodies   map[uint64]bool // ranges whose bodies it surely has, from a tenure before
-	whole    []uint64        // ranges to be sent whole
+	began    bool            // it has answered Begin under this token
+	at       uint64          // it has all changes up to this version
+	bodies   map[uint64]bool // ranges whose contents it has from an earlier tenure, by their digests
+	whole    []uint64        // ranges to be sent completely
 	checkAt  time.Duration   // when it is compared next
-	complete bool            // it was compared, and nothing was wrong
-	out      *Batch
-	outAt    time.Duration // since when it owes an answer
-	heardAt  time.Duration
-	why      string
-	pauseTo  time.Duration
+	complete bool            // the last comparison found no difference
+	out      *Batch          // the outstanding batch, nil if there is none
+	outAt    time.Duration   // when out was sent
+	heardAt  time.Duration   // when it last answered
+	why      string          // the last error
+	pauseTo  time.Duration   // no batch is sent before
 }
 
-// Source is a log at the node that works on it. It is not safe for concurrent use.
+// Source is a log at the node that works on it, and tracks the state of its copies. It is not safe for concurrent use.
 type Source struct {
 	owner     string
 	log       uint64
@@ -120,34 +120,34 @@
 	scrub     time.Duration
 	token     uint64
 	version   uint64
-	items     map[uint64]*list.Element // of those that live, by number
+	items     map[uint64]*list.Element // the messages that have not ended, by number
 	ids       map[string]uint64
-	order     *list.List // of *item, by version; those that are over among them
-	gone      int
-	floor     uint64 // ends up to this version are forgotten
+	order     *list.List // of *item, by version, including ended messages
+	gone      int        // number of ended messages in order
+	floor     uint64     // ends up to this version have been dropped from order
 	orders    Orders
 	followers map[string]*follower
-	wanted    []string // who should hold copies
-	noted     []string // who does, as the log of the leases has it
-	fenced    uint64
-	// Found are messages that copies have and this node has not.
+	wanted    []string // the nodes that should hold copies
+	noted     []string // the nodes noted as holders in the log's lease
+	fenced    uint64   // a later token that a copy has seen, 0 if none has
+	// Found are messages that copies have and this node lacks.
 	Found []Entry
 	stats SourceStats
 }
 
-// SourceStats count since the start.
+// SourceStats counts events since the start.
 type SourceStats struct {
 	Batches, Bytes, Resent, Wrong, Checks int
 }
 
-// NewSource begins with nothing under no token. So many copies are wanted, and compared after each scrub.
+// NewSource returns a source without messages or token. It should have want copies, each compared every scrub.
 func NewSource(owner string, log uint64, want int, scrub time.Duration) *Source {
 	return &Source{owner: owner, log: log, want: want, scrub: scrub, items: map[uint64]*list.Element{}, ids: map[string]uint64{}, order: list.New(),
 		followers: map[string]*follower{}}
 }
 
-// Change takes in a message as it is now: its one tenure has all attempts so far. What of these is this
-// tenure's own, its token and its version are found here.
+// Change records the present state of a message. The single tenure of e has all attempts so far; Change sets its token and
+// version, and separates the attempts of this tenure from the earlier ones.
 func (s *Source) Change(e Entry, now time.Duration) {
 	s.version++
 	it := &item{known: s.version}
@@ -166,13 +166,13 @@
 	s.items[e.Seq], s.ids[e.ID] = s.order.PushBack(it), e.Seq
 }
 
-// has tells whether a message is in the log.
+// has reports whether a message is in the log and has not ended.
 func (s *Source) has(id string) bool {
 	_, there := s.ids[id]
 	return there
 }
 
-// Over takes in that nothing is owed for a message any more.
+// Over records that a message has ended.
 func (s *Source) Over(seq uint64, id string, now time.Duration) {
 	s.version++
 	if el := s.items[seq]; el != nil && el.Value.(*item).entry.ID == id {
@@ -193,16 +193,15 @@
 	}
 }
 
-// Order takes in the staff's orders as they are now.
+// Order records the present orders of the operators.
 func (s *Source) Order(out []string) {
 	s.version++
 	s.orders = Orders{s.version, out[:min(len(out), maxOrders)]}
 }
 
-// Begin goes on under a token. What was done before is told as far as it counts still, as what this
-// tenure began with.
+// Begin continues the log under a token. Attempts of earlier tenures become the base of the new one.
 func (s *Source) Begin(token uint64, now time.Duration) {
-	if again := token == s.token; again { // it had run out by this node's clock alone: versions go on
+	if again := token == s.token; again { // the lease had expired only by this node's clock: versions continue
 		s.fenced, s.noted = 0, nil
 		for _, f := range s.followers {
 			f.began, f.out = false, nil
@@ -223,7 +222,7 @@
 	s.restamp(now)
 }
 
-// restamp numbers all anew, in its order: versions are of one token.
+// restamp renumbers all versions in their order, because versions are relative to one token.
 func (s *Source) restamp(now time.Duration) {
 	s.version, s.floor = 0, 0
 	for el := s.order.Front(); el != nil; el = el.Next() {
@@ -243,7 +242,7 @@
 	}
 }
 
-// Choose takes in who could hold copies, the best first; the first ones should.
+// Choose sets the candidates for holding copies, the best first. The first ones are wanted as holders.
 func (s *Source) Choose(candidates []string, now time.Duration) {
 	s.wanted = slices.Clone(candidates[:min(len(candidates), s.want)])
 	for _, name := range s.wanted {
@@ -253,8 +252,8 @@
 	}
 }
 
-// Note takes in who holds the copies that count, as the log of the leases has it. Who neither does nor
-// should is told to drop its copy.
+// Note sets the holders of the copies that count, as noted in the log's lease. A node that is neither noted nor wanted is
+// told to drop its copy.
 func (s *Source) Note(holders []string, now time.Duration) {
 	s.noted = slices.Clone(holders)
 	for _, name := range holders {
@@ -264,30 +263,30 @@
 	}
 }
 
-// uses tells whether a node holds a copy that counts, or should hold one.
+// uses reports whether a node holds a copy that counts, or should hold one.
 func (s *Source) uses(name string) bool {
 	return slices.Contains(s.noted, name) || slices.Contains(s.wanted, name)
 }
 
-// Plan is who should be noted as holding the copies that count; ok: that is another set than is.
-// A complete copy is taken in, one that owes an answer for too long is let out, and one that is no
-// longer wanted goes only when there are enough without it.
+// Plan returns the nodes that should be noted as holders of the copies that count, and whether they differ from those noted.
+// A complete copy is added, a copy that has not answered for too long is removed, and a copy that is no longer wanted is
+// removed only if there are enough without it.
 func (s *Source) Plan(now time.Duration) (holders []string, ok bool) {
 	if s.token == 0 || s.fenced != 0 {
 		return nil, false
 	}
-	well := func(name string) bool {
+	healthy := func(name string) bool {
 		f := s.followers[name]
 		return f != nil && f.complete && !(f.out != nil && now-f.outAt > holderPatience) && !(f.why != "" && now-f.heardAt > holderPatience)
 	}
 	var next []string
 	for _, name := range s.wanted {
-		if well(name) {
+		if healthy(name) {
 			next = append(next, name)
 		}
 	}
 	for _, name := range s.noted {
-		if len(next) < s.want && !slices.Contains(next, name) && (well(name) || now-s.followers[name].heardAt <= holderPatience) {
+		if len(next) < s.want && !slices.Contains(next, name) && (healthy(name) || now-s.followers[name].heardAt <= holderPatience) {
 			next = append(next, name)
 		}
 	}
@@ -297,7 +296,7 @@
 	return next, !slices.Equal(next, was)
 }
 
-// Next is what one copy is told next; nil: nothing, or it owes an answer. To have it lost is no harm.
+// Next returns the next batch for a copy, or nil if there is none or a batch is outstanding. The loss of a batch does no harm.
 func (s *Source) Next(to string, now time.Duration) *Batch {
 	f := s.followers[to]
 	if f == nil || f.out != nil || now < f.pauseTo || s.token == 0 || s.fenced != 0 {
@@ -307,7 +306,7 @@
 	switch {
 	case !s.uses(to):
 		b.Drop = true
-		f.began, f.complete, f.at = false, false, 0 // it has none from here on, as far as is known
+		f.began, f.complete, f.at = false, false, 0 // from now on the copy counts as removed
 	case !f.began:
 		b.Begin = true
 	case !s.fill(f, b, now):
@@ -318,9 +317,10 @@
 	return b
 }
 
+// size returns the approximate encoded size of an entry.
 func size(e *Entry) int { return entryOverhead + len(e.ID) + len(e.Key) + len(e.Body) }
 
-// fill puts in what a copy lacks; false: it lacks nothing.
+// fill adds to a batch what a copy lacks, and returns false if there is nothing to send.
 func (s *Source) fill(f *follower, b *Batch, now time.Duration) bool {
 	b.From, b.To = f.at, s.version
 	bytes := 0
@@ -332,7 +332,7 @@
 		b.Items = append(b.Items, e)
 		bytes += size(&e)
 	}
-	if len(f.whole) > 0 { // what was wrong first: nothing else counts until it is right
+	if len(f.whole) > 0 { // differing ranges are repaired before anything else is sent
 		b.To = f.at
 		for len(f.whole) > 0 && bytes < batchBytes {
 			n := f.whole[0]
@@ -347,7 +347,7 @@
 		s.stats.Bytes += bytes
 		return true
 	}
-	// From the end back to the first that it has not: of a long log it mostly lacks the last few.
+	// The search for the first item that the copy lacks starts at the end: a copy mostly lacks only the last few of many.
 	el := s.order.Back()
 	for el != nil && el.Value.(*item).version > f.at {
 		el = el.Prev()
@@ -381,6 +381,7 @@
 	return b.To > b.From || b.Checked || now-f.heardAt >= HeartbeatEvery
 }
 
+// inRange returns the messages of one range.
 func (s *Source) inRange(n uint64) (all []*list.Element) {
 	for seq := n * rangeSize; seq < (n+1)*rangeSize; seq++ {
 		if el := s.items[seq]; el != nil {
@@ -390,11 +391,12 @@
 	return all
 }
 
+// digests returns the digests of all messages, by ranges.
 func (s *Source) digests() []Range {
 	return digests(maps.Keys(s.items), func(seq uint64) Entry { return s.items[seq].Value.(*item).entry })
 }
 
-// digests are of all entries by their ranges, in order.
+// digests returns the digests of entries by their ranges, in order.
 func digests(seqs func(func(uint64) bool), entry func(uint64) Entry) (all []Range) {
 	for _, seq := range slices.Sorted(seqs) {
 		n, d := seq/rangeSize, entry(seq).digest()
@@ -407,7 +409,7 @@
 	return all
 }
 
-// bodiesOf are digests of what was taken.
+// bodiesOf returns the digests of the contents of entries, without their tenures.
 func bodiesOf(seqs func(func(uint64) bool), entry func(uint64) Entry) []Range {
 	return digests(seqs, func(seq uint64) Entry {
 		e := entry(seq)
@@ -416,7 +418,7 @@
 	})
 }
 
-// Answer takes in a copy's answer.
+// Answer handles a copy's answer to a batch.
 func (s *Source) Answer(to string, b *Batch, a Ack, now time.Duration) {
 	f := s.followers[to]
 	if f == nil || f.out != b {
@@ -439,7 +441,7 @@
 	case b.Begin:
 		had := f.at
 		f.began, f.at, f.checkAt = true, min(a.At, s.version), 0
-		if a.At < s.floor { // ends that are forgotten here it may still take to live
+		if a.At < s.floor { // the copy may still have entries whose ends were dropped here: send everything
 			f.at = 0
 		}
 		f.complete = f.complete && f.at >= had
@@ -453,7 +455,7 @@
 		}
 		return
 	}
-	if a.At < b.To { // it has not what it is thought to have: it begins anew
+	if a.At < b.To { // the copy has less than recorded here: start over with Begin
 		f.began, f.complete = false, false
 		return
 	}
@@ -467,27 +469,27 @@
 	case len(a.Differing) > 0:
 		f.whole, f.complete = a.Differing, false
 		s.stats.Wrong += len(a.Differing)
-	case b.Checked && len(a.Extra) > 0: // until it is settled whose these are
+	case b.Checked && len(a.Extra) > 0: // compare again soon, until the extra entries are resolved
 		f.checkAt = now + holderPatience
 	case b.Checked:
 		f.complete, f.bodies, f.checkAt = true, nil, now+s.scrub
 	}
 }
 
-// NoAnswer tells that a batch came to nothing, as far as is known here.
+// NoAnswer reports that a batch was not answered. The copy may have applied it.
 func (s *Source) NoAnswer(to string, b *Batch, why error, now time.Duration) {
 	f := s.followers[to]
 	if f == nil || f.out != b {
 		return
 	}
 	f.out, f.why, f.pauseTo = nil, why.Error(), now+holderPatience/10
-	f.began = false // it may have been another process since
+	f.began = false // the copy's process may have restarted since
 	if b.Drop && now-f.heardAt > time.Minute && !s.uses(to) {
-		delete(s.followers, to) // it hears of it when it asks who holds what
+		delete(s.followers, to) // no longer told to drop its copy
 	}
 }
 
-// Copied is the version up to which all copies that count have the log, and how many these are.
+// Copied returns the version up to which all copies that count have the log, and the number of these copies.
 func (s *Source) Copied() (version uint64, copies int) {
 	version = s.version
 	for _, name := range s.noted {
@@ -499,7 +501,7 @@
 	return version, len(s.noted)
 }
 
-// Lag is how many changes the copies that count lack, and how old the oldest of these is.
+// Lag returns the number of changes that some copy that counts lacks, and the age of the oldest of them.
 func (s *Source) Lag(now time.Duration) (changes uint64, age time.Duration) {
 	at, _ := s.Copied()
 	el := s.order.Back()
@@ -510,11 +512,11 @@
 	return s.version - at, age
 }
 
-// Fenced is a later token that a copy has seen; 0: none has.
+// Fenced returns a later token that a copy has seen, or 0 if none has.
 func (s *Source) Fenced() uint64 { return s.fenced }
 
-// Rank orders nodes for the copies of a log: each pair has a draw of its own, so a change of members
-// moves few copies. Nodes of localities that are not there yet come first.
+// Rank orders nodes as holders of the copies of a log, by rendezvous hashing, so that a change of the members moves few
+// copies. The first node of each locality, other than the owner's, comes before the other nodes.
 func Rank(owner string, log uint64, locality func(string) string, nodes []string) []string {
 	weight := func(name string) uint64 { return xxhash.Sum64String(fmt.Sprintf("%s\n%016x\n%s", owner, log, name)) }
 	rest := slices.Clone(nodes)
--- a/internal/deliverynode/replica/status.go
+++ b/internal/deliverynode/replica/status.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Status is the state of the copies at one node as it is shown to the staff.
+// Status is the state of the copies at one node, for operators.
 type Status struct {
 	Mode    string       `json:"mode"`
 	Wanted  int          `json:"copies_wanted"`
 	Works   []WorkStatus `json:"logs"`
 	Copies  []CopyStatus `json:"copies_held"`
 	Slots   int          `json:"room_for"`
-	Missing []string     `json:"silent_members"` // other nodes are asked for the ids of their messages
-	// Known is, for each of these, the number of nodes that are known to have its messages.
+	Missing []string     `json:"silent_members"` // unreachable members: other nodes are asked about the ids of incoming messages
+	// Known is the number of nodes that have reported messages of each of these members.
 	Known map[string]int `json:"silent_members_copies"`
 }
 
@@ -26,7 +26,7 @@
 	Log     string           `json:"log"`
 	Own     bool             `json:"own"`
 	Acting  bool             `json:"acting"`
-	Why     string           `json:"why,omitempty"` // why it is not worked on
+	Why     string           `json:"why,omitempty"` // why this node does not work on it
 	Token   uint64           `json:"token"`
 	LeaseS  float64          `json:"lease_left_s"`
 	Live    int              `json:"owed"`
@@ -39,7 +39,7 @@
 	Told    []FollowerStatus `json:"told"`
 }
 
-// FollowerStatus is the state of one of its copies.
+// FollowerStatus is the state of one copy of a log that this node works on.
 type FollowerStatus struct {
 	Name     string  `json:"name"`
 	Complete bool    `json:"complete"`
--- a/internal/deliverynode/replica/stored_copy.go
+++ b/internal/deliverynode/replica/stored_copy.go
@@ -14,7 +14,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// storedCopy is a copy at this node.
+// storedCopy is a copy that this node holds.
 type storedCopy struct {
 	name  string // its folder
 	owner string
@@ -22,10 +22,11 @@
 	mu       sync.Mutex // guards the following
 	copy     *Copy
 	writer   string
-	taking   bool
-	scrubbed time.Duration // when it was last read from its disk
+	taking   bool          // this node is taking the log over
+	scrubbed time.Duration // when it was last compared with its files
 }
 
+// reopenCopy opens a copy that an earlier process has stored, or removes it if that fails.
 func (k *Keeper) reopenCopy(name string, now time.Duration) {
 	folder, err := k.options.Folders.Open(name)
 	if err == nil {
@@ -35,9 +36,9 @@
 			return
 		}
 	}
-	k.options.Log.Warn("copies: one that can't be used is removed", "folder", name, "err", err)
+	k.options.Log.Warn("copies: opening a copy failed, removing it", "folder", name, "err", err)
 	if err := k.options.Folders.Remove(name); err != nil {
-		k.options.Log.Error("copies: removing", "folder", name, "err", err)
+		k.options.Log.Error("copies: removing an unusable copy failed", "folder", name, "err", err)
 	}
 }
 
@@ -45,32 +46,33 @@
 	return CopyOptions{Folder: folder, Place: k.options.Folders.Place(name), Limit: k.options.Limit, Sync: k.options.Sync, Now: k.options.Now, Log: k.options.Log}
 }
 
-// answerBatch handles a batch of another node for the copy of its log.
+// answerBatch handles a batch from the node that works on a log for the copy here.
 func (k *Keeper) answerBatch(_ context.Context, from fleet.Peer, body []byte) ([]byte, error) {
 	var b Batch
 	if err := decoding.Unmarshal(body, &b); err != nil {
-		return nil, fmt.Errorf("unreadable: %w", err)
+		return nil, fmt.Errorf("decoding a batch: %w", err)
 	}
 	a, err := k.keep(from.Name, b)
 	if err != nil {
-		k.options.Log.Warn("copies: not kept", "owner", b.Owner, "from", from.Name, "err", err)
+		k.options.Log.Warn("copies: applying a batch failed", "owner", b.Owner, "from", from.Name, "err", err)
 		a = Ack{No: err.Error()}
 	}
 	return encoding.Marshal(a)
 }
 
+// keep applies a batch to the copy of its log, and creates the copy if there is none.
 func (k *Keeper) keep(writer string, b Batch) (Ack, error) {
 	id := key(b.Owner, b.Log)
 	k.mu.Lock()
 	w, h := k.works[id], k.copies[id]
 	var err error
 	switch {
-	case w != nil: // this node works on it itself, or did until a moment ago
+	case w != nil: // this node works on the log itself, or has just stopped
 		k.mu.Unlock()
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if b.Token > w.source.token {
-			return Ack{No: "this node has worked on the log until a moment ago"}, nil
+			return Ack{No: "this node has not released its own work on the log yet"}, nil
 		}
 		return Ack{Token: w.source.token}, nil
 	case b.Drop && h == nil:
@@ -97,7 +99,7 @@
 // newCopy creates a copy; k.mu is held.
 func (k *Keeper) newCopy(id string, b Batch) (*storedCopy, error) {
 	if len(k.copies)+len(k.works)-1 >= k.options.Slots {
-		return nil, fmt.Errorf("no room: %d copies and logs are here", k.options.Slots)
+		return nil, fmt.Errorf("no room for another copy: all %d slots are in use", k.options.Slots)
 	}
 	name := copyFolder + id
 	folder, err := k.options.Folders.Open(name)
@@ -113,7 +115,7 @@
 	return h, nil
 }
 
-// drop ends a copy; its lock is held. Other users of the copy see that it is gone.
+// drop closes a copy and marks it as dropped for its other users; h.mu is held.
 func (h *storedCopy) drop() error {
 	h.copy.dropped = true
 	return h.copy.Close()
@@ -148,7 +150,7 @@
 	if err == nil {
 		return
 	}
-	k.options.Log.Error("copies: one is spoilt on this node's disk, and is written anew", "owner", h.owner, "err", err)
+	k.options.Log.Error("copies: files of a copy are damaged, rewriting them", "owner", h.owner, "err", err)
 	entries, meta := h.copy.Entries(), h.copy.meta
 	over, writer, heard := h.copy.over, h.writer, h.copy.heard
 	meta.Complete = false
@@ -166,7 +168,7 @@
 		err = c.put(entries[i])
 	}
 	if err != nil {
-		k.options.Log.Error("copies: one that was spoilt is gone, until its writer tells it again", "owner", h.owner, "err", err)
+		k.options.Log.Error("copies: rewriting a damaged copy failed, it is dropped until its writer sends it again", "owner", h.owner, "err", err)
 		h.copy.dropped = true
 		return
 	}
@@ -174,8 +176,8 @@
 	h.copy, h.writer = c, writer
 }
 
-// begin reports, once, that this node should take over the log of this copy: its writer has been silent for the configured
-// time, or the staff have removed it.
+// begin reports whether this node should start a takeover of the copy's log, because its writer has been silent for the
+// configured time or was removed by an operator. It then returns false until the attempt has ended.
 func (h *storedCopy) begin(k *Keeper) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -197,7 +199,7 @@
 	case removed && quiet > HeartbeatEvery+rank:
 	case quiet < silence+rank:
 		return false
-	case !h.copy.meta.Complete && quiet < 2*silence+rank: // another has all of it, or nobody
+	case !h.copy.meta.Complete && quiet < 2*silence+rank: // a node with a complete copy, if there is one, goes first
 		return false
 	}
 	h.taking = true
--- a/internal/deliverynode/replica/takeover.go
+++ b/internal/deliverynode/replica/takeover.go
@@ -28,7 +28,7 @@
 	length := time.Duration(k.options.Settings.LeaseS * float64(time.Second))
 	l, err := k.options.Leases.Want("log/"+id, length)
 	if err != nil {
-		k.options.Log.Debug("copies: taking a log over", "owner", owner, "err", err)
+		k.options.Log.Debug("copies: requesting the lease for a takeover failed", "owner", owner, "err", err)
 		pause(ctx, time.Second)
 		return
 	}
@@ -48,35 +48,35 @@
 	n, noted := readNote(l.Note())
 	if noted && n.Done {
 		if err := k.dropCopy(h, id); err != nil {
-			k.options.Log.Error("copies: dropping", "owner", owner, "err", err)
+			k.options.Log.Error("copies: removing a copy failed", "owner", owner, "err", err)
 		}
 		return
 	}
 	w, owed, orders, err := k.assemble(ctx, h, n, noted, token)
 	if err != nil {
-		k.options.Log.Error("copies: a log can't be taken over", "owner", owner, "err", err)
+		k.options.Log.Error("copies: takeover of a log failed", "owner", owner, "err", err)
 		pause(ctx, time.Second)
 		return
 	}
 	if err := w.leave(ctx, l, token, note{Writer: k.options.Name, Token: token}, false); err != nil {
-		k.options.Log.Error("copies: a log can't be taken over", "owner", owner, "err", err)
+		k.options.Log.Error("copies: takeover of a log failed", "owner", owner, "err", err)
 		w.remove()
 		return
 	}
 	cancel()
 	if err := k.dropCopy(h, id); err != nil {
-		k.options.Log.Error("copies: dropping what was taken over", "owner", owner, "err", err)
+		k.options.Log.Error("copies: removing the copy of a taken-over log failed", "owner", owner, "err", err)
 	}
-	k.options.Log.Warn("copies: a log was taken over", "owner", owner, "token", token, "owed", len(owed), "in doubt", w.doubted)
+	k.options.Log.Warn("copies: log taken over", "owner", owner, "token", token, "owed", len(owed), "in doubt", w.doubted)
 	w.begin()
 	k.options.Host.Orders(orders)
 	k.options.Host.Adopt(w, owed)
 	keep = true
-	// From here on runUnder uses the same Lease, which goes on being renewed.
+	// From here on runUnder uses the same Lease, which stays renewed.
 	running.Go(func() { w.runUnder(ctx, l) })
 }
 
-// cancelWhenBack cancels the wait for a log's lease when the copy is gone or its writer is heard again.
+// cancelWhenBack cancels the wait for a log's lease when the copy is dropped or its writer sends batches again.
 func (k *Keeper) cancelWhenBack(waits context.Context, cancel context.CancelFunc, h *storedCopy) {
 	for pause(waits, stepEvery) {
 		h.mu.Lock()
@@ -96,11 +96,11 @@
 	return errors.Join(err, k.forget(h, id))
 }
 
-// gathered is what all reachable copies of a log have.
+// gathered is the content of all reachable copies of a log.
 type gathered struct {
 	entries [][]Entry       // of each copy
 	over    map[string]bool // ids of messages that have ended
-	orders  []string        // of the staff
+	orders  []string        // endpoints taken out of service by operators
 	current bool            // one of the copies has all attempts of the last holder of the log
 }
 
@@ -135,7 +135,7 @@
 	k.everywhere(ctx, func(ctx context.Context, name string) {
 		f, err := k.fetchAll(ctx, name, owner, log)
 		if err != nil {
-			k.options.Log.Debug("copies: not fetched", "from", name, "err", err)
+			k.options.Log.Debug("copies: fetching a copy failed", "from", name, "err", err)
 			return
 		}
 		mu.Lock()
@@ -145,7 +145,7 @@
 	return all
 }
 
-// combine combines copies. The note is that of the log's last holder, if noted.
+// combine combines copies. The note n is that of the log's last holder, if noted is set.
 func combine(all map[string]fetched, n note, noted bool) gathered {
 	found := gathered{over: map[string]bool{}}
 	for name, f := range all {
@@ -178,8 +178,8 @@
 	return w, folder, err
 }
 
-// fill writes what was gathered to the journal of a log, durably, and returns the live messages. Those that must not be
-// repeated count as possibly run unless a copy proves that they were not sent.
+// fill writes the gathered content durably to the journal of a log, and returns the messages that have not ended. Those that
+// must not be repeated count as possibly run unless a copy proves that they were not sent.
 func (k *Keeper) fill(w *Work, found *gathered) (owed []*journal.Message, err error) {
 	known := func(id string) bool { return found.over[id] || k.options.Host.Knows(id) }
 	for _, e := range Union(known, found.entries...) {
@@ -213,7 +213,7 @@
 		}
 		var page fetched
 		if err := decoding.Unmarshal(text, &page); err != nil {
-			return all, fmt.Errorf("unreadable: %w", err)
+			return all, fmt.Errorf("decoding a page of a copy: %w", err)
 		}
 		if len(all.Entries) == 0 {
 			all = page
--- a/internal/deliverynode/replica/work.go
+++ b/internal/deliverynode/replica/work.go
@@ -34,18 +34,19 @@
 	lagSince time.Duration // since when the lag has exceeded its bound, 0 if it does not
 	why      string
 	over     *journal.IDRing // ids of the messages of this log that have ended
-	// inherited says that the own log has recorded the ids in over.
+	// inherited is set once the node's own log has recorded the ids in over.
 	inherited bool
 	askedFrom time.Duration // since when the node that took the log over has not answered, 0 if it is not asked
-	doubted   int           // messages that count as possibly run because nothing proves the opposite
+	doubted   int           // number of messages that count as possibly run because nothing proves the opposite
 }
 
+// newWork returns the work on a log of this node; openWork adapts it for a log that was taken over.
 func (k *Keeper) newWork(owner string, log uint64, j *journal.Journal, place ownMeta) *Work {
 	return &Work{keeper: k, key: key(owner, log), owner: owner, log: log, own: true, journal: j, place: place,
 		source: k.newSource(owner, log), over: journal.NewIDRing(maxEnded), wake: make(chan struct{}, 1)}
 }
 
-// begin gives the source all messages of the journal and the ids of those that have ended.
+// begin passes all messages of the journal, and the ids of those that have ended, to the source.
 func (w *Work) begin() {
 	over := w.journal.OverIDs()
 	w.mu.Lock()
@@ -64,6 +65,7 @@
 	return w.over.Has(id) || w.source.has(id)
 }
 
+// newSource returns an empty source with the configured number of copies.
 func (k *Keeper) newSource(owner string, log uint64) *Source {
 	return NewSource(owner, log, k.options.Copies, time.Duration(k.options.Settings.ScrubS*float64(time.Second)))
 }
@@ -86,7 +88,7 @@
 // Journal returns the journal of the log.
 func (w *Work) Journal() *journal.Journal { return w.journal }
 
-// run works on the log whenever this node holds its lease, until the context ends or the log is done.
+// run works on the log whenever this node holds its lease, until the context ends or all messages of the log have ended.
 func (w *Work) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		l, err := w.wanted(ctx)
@@ -121,14 +123,14 @@
 		case isDone:
 			return false
 		case isElsewhere:
-			w.stop("the log is another node's")
+			w.stop("another node works on the log")
 			if !w.own {
 				l.Release(ctx)
 				w.abandon()
 				return false
 			}
 			if w.renew(ctx, n, elsewhere != "") {
-				l.Release(ctx) // the note remains, so that a node with an old copy sees that the log is done
+				l.Release(ctx) // the note stays in the lease, so that a node with an old copy learns that the log is done
 				return true
 			}
 			pause(ctx, convergenceTime/4)
@@ -136,11 +138,11 @@
 			w.stop("the lease of the log was lost")
 		}
 	}
-	w.stop("this node has no part in its fleet")
+	w.stop("this node has left its fleet")
 	w.mu.Lock()
 	w.lease = nil
 	w.mu.Unlock()
-	// The lease is not given back but expires: calls of this process may go on until then.
+	// The lease is not released but expires: calls of this process may continue until then.
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	l.Release(gone)
@@ -152,7 +154,7 @@
 
 const (
 	isLost      held = iota // the lease was lost
-	isDone                  // nothing is owed in the log any more
+	isDone                  // all messages of the log have ended
 	isElsewhere             // another node works on the log
 )
 
@@ -172,7 +174,7 @@
 	return 0, ""
 }
 
-// wanted asks for the log's lease, again until it is possible or the context ends.
+// wanted requests the log's lease. It retries until the request is accepted or the context ends.
 func (w *Work) wanted(ctx context.Context) (*lease.Lease, error) {
 	length := time.Duration(w.keeper.options.Settings.LeaseS * float64(time.Second))
 	for {
@@ -191,8 +193,8 @@
 	}
 }
 
-// since returns the first incarnation that used the state folder in this place. A later incarnation with a log's lease was
-// this process or one that has ended, because this process has the folder's lock.
+// since returns the first incarnation that used the state folder in this place. A later incarnation that holds a log's lease
+// is this process or one that has ended, because this process holds the folder's lock.
 func (w *Work) since() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,7 +215,7 @@
 
 // fail records why the log is not worked on.
 func (w *Work) fail(err error) {
-	w.keeper.options.Log.Error("copies: a log is not worked on", "owner", w.owner, "err", err)
+	w.keeper.options.Log.Error("copies: work on a log failed", "owner", w.owner, "err", err)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.why = err.Error()
@@ -227,13 +229,13 @@
 	w.answerAll(ErrNotOurs)
 	w.mu.Unlock()
 	if was {
-		w.keeper.options.Log.Warn("copies: a log rests", "owner", w.owner, "why", why)
+		w.keeper.options.Log.Warn("copies: work on a log stopped", "owner", w.owner, "why", why)
 		w.keeper.options.Host.Acts(w, false)
 	}
 }
 
-// workUnder works on the log under a token until the lease is lost. It begins with the note that the last holder has left, which
-// it returns.
+// workUnder works on the log under a token until the lease is lost. It starts from the note of the last holder, which it
+// returns.
 func (w *Work) workUnder(ctx context.Context, l *lease.Lease, token uint64) (note, held) {
 	k := w.keeper
 	n, noted := readNote(l.Note())
@@ -243,7 +245,7 @@
 	life, end := context.WithCancel(ctx)
 	defer end()
 	lost := l.Lost()
-	go func() { // it ends with the tenure
+	go func() { // ends with the tenure
 		select {
 		case <-lost:
 			end()
@@ -252,8 +254,8 @@
 	}()
 	w.mu.Lock()
 	w.source.Begin(token, k.options.Clock())
-	// A folder in another place may be out of date, and so may be one that is damaged or that others know to be old. A
-	// missing note was dropped, or was committed in an epoch that is void.
+	// A folder in another place may be out of date, and so may one that is damaged or whose recorded start is older than other
+	// nodes have seen. A missing note was dropped, or was committed in an epoch that is void.
 	behind := w.own && (w.behind || w.place.Since == 0 && noted || w.place.Noted && !noted)
 	w.mu.Unlock()
 	if behind {
@@ -272,7 +274,7 @@
 		l.Succeed(w.since())
 	}
 	if !noted || n.Writer != k.options.Name {
-		// The next holder must know that this node has worked on the log.
+		// The note must tell the next holder that this node has worked on the log.
 		if err := w.leave(life, l, token, note{Writer: k.options.Name, Token: token}, false); err != nil {
 			w.stop(err.Error())
 			return n, isLost
@@ -282,26 +284,26 @@
 	w.acting, w.why, w.behind = true, "", false
 	w.mu.Unlock()
 	log, _ := w.name()
-	k.options.Log.Info("copies: a log is worked on", "owner", w.owner, "log", fmt.Sprintf("%016x", log), "token", token)
+	k.options.Log.Info("copies: work on a log started", "owner", w.owner, "log", fmt.Sprintf("%016x", log), "token", token)
 	k.options.Host.Acts(w, true)
 	return n, w.follow(life, l, token)
 }
 
-// isResolved reports whether the note names this node and no other has held the lease since.
+// isResolved reports whether the note names this node and no other node has held the lease since.
 func (w *Work) isResolved() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.mine
 }
 
-// leave stores a note in the lease, and makes its holders the copies that count. Settled says that the holders are complete.
+// leave stores a note in the lease, and makes its holders the copies that count. If settled is set, the holders are final.
 func (w *Work) leave(ctx context.Context, l *lease.Lease, token uint64, n note, settled bool) error {
 	text, err := encoding.Marshal(n)
 	if err == nil {
 		err = l.SetNote(ctx, token, text)
 	}
 	if err != nil {
-		return fmt.Errorf("noting who holds copies: %w", err)
+		return fmt.Errorf("noting the holders of copies: %w", err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/deliverynode/replica/work_follow.go
+++ b/internal/deliverynode/replica/work_follow.go
@@ -11,10 +11,10 @@
 	"dunetide/internal/deliverynode/lease"
 )
 
-// follow sends changes to the copies until the lease is lost, or until nothing is owed in a log that was taken over.
+// follow sends changes to the copies until the lease is lost, or until all messages of a log that was taken over have ended.
 func (w *Work) follow(ctx context.Context, l *lease.Lease, token uint64) held {
-	var telling sync.WaitGroup
-	defer telling.Wait()
+	var sending sync.WaitGroup
+	defer sending.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	planned := make(chan error, 1)
@@ -25,11 +25,11 @@
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		now := w.keeper.options.Clock()
-		if now-chosen >= stepEvery { // the members do not change with each message
+		if now-chosen >= stepEvery { // the members change rarely: no need to choose on each wake-up
 			chosen = now
 			w.chooseCopies(now)
 		}
-		step := w.stepCopies(ctx, &telling, now, now-began > convergenceTime)
+		step := w.stepCopies(ctx, &sending, now, now-began > convergenceTime)
 		if step.fenced {
 			w.stop(ErrFenced.Error())
 			pause(ctx, time.Second)
@@ -38,7 +38,7 @@
 		w.resolveFound(step.found, false)
 		if step.change && !planning {
 			planning = true
-			telling.Go(func() {
+			sending.Go(func() {
 				planned <- w.leave(ctx, l, token, note{Writer: w.keeper.options.Name, Token: token, Holders: step.holders}, true)
 			})
 		}
@@ -51,7 +51,7 @@
 		case err := <-planned:
 			planning = false
 			if err != nil {
-				w.keeper.options.Log.Warn("copies: who holds them is not noted", "owner", w.owner, "err", err)
+				w.keeper.options.Log.Warn("copies: noting the holders in the lease failed", "owner", w.owner, "err", err)
 			}
 		case <-w.wake:
 		case <-tick.C:
@@ -61,7 +61,7 @@
 	return isLost
 }
 
-// chooseCopies chooses which nodes hold the copies, of those that are candidates now.
+// chooseCopies chooses the nodes that should hold copies from the present candidates.
 func (w *Work) chooseCopies(now time.Duration) {
 	log, _ := w.name()
 	candidates := w.keeper.candidates(w.owner, log)
@@ -72,15 +72,15 @@
 
 // copyStep is the result of one step of the source.
 type copyStep struct {
-	holders []string // nodes that are to be noted as holders of the copies
-	change  bool     // the note has to be changed
+	holders []string // nodes that should be noted as holders of the copies
+	change  bool     // the note must be changed
 	found   []Entry  // messages that only copies have
-	fenced  bool     // a copy has heard of a later writer
+	fenced  bool     // a copy has seen a later token
 }
 
-// stepCopies sends each copy what it lacks, and answers those who wait for the copies. PastSettleTime says that the log has had
-// time to find copies.
-func (w *Work) stepCopies(ctx context.Context, telling *sync.WaitGroup, now time.Duration, pastSettleTime bool) (step copyStep) {
+// stepCopies sends each copy the changes that it lacks, and answers the waiters whose changes are copied. PastConvergence
+// means that the log has had time to find copies.
+func (w *Work) stepCopies(ctx context.Context, sending *sync.WaitGroup, now time.Duration, pastConvergence bool) (step copyStep) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(w.source.followers)) {
@@ -88,11 +88,11 @@
 		if b == nil {
 			continue
 		}
-		telling.Go(func() { w.sendChanges(ctx, name, b) })
+		sending.Go(func() { w.sendChanges(ctx, name, b) })
 	}
 	step.holders, step.change = w.source.Plan(now)
-	if !w.resolved && !step.change && pastSettleTime {
-		step.change = true // there are none, and that has to be known
+	if !w.resolved && !step.change && pastConvergence {
+		step.change = true // there are no copies, and that must be recorded
 	}
 	step.found, step.fenced = w.source.Found, w.source.fenced != 0
 	w.source.Found = nil
@@ -101,7 +101,7 @@
 	return step
 }
 
-// sendChanges sends a copy one batch of changes and takes in its answer.
+// sendChanges sends a copy one batch of changes and handles its answer.
 func (w *Work) sendChanges(ctx context.Context, to string, b *Batch) {
 	within, cancel := context.WithTimeout(ctx, batchTime)
 	a, err := w.keeper.sendBatch(within, to, b)
@@ -133,16 +133,16 @@
 	switch {
 	case over && w.lagSince == 0:
 		w.lagSince = max(now, 1)
-		w.keeper.options.Log.Warn("copies: they lack more than staff allow: what this node has taken on may be lost with it",
+		w.keeper.options.Log.Warn("copies: lag exceeds the configured limit, accepted messages may be lost with this node",
 			"owner", w.owner, "changes", changes, "oldest", age, "copies", len(w.source.noted), "wanted", w.keeper.options.Copies)
 	case !over && w.lagSince != 0:
-		w.keeper.options.Log.Info("copies: they are as staff want them", "owner", w.owner, "after", now-w.lagSince)
+		w.keeper.options.Log.Info("copies: lag is within the configured limit again", "owner", w.owner, "after", now-w.lagSince)
 		w.lagSince = 0
 	}
 }
 
-// resolveFound adds messages that only a copy had, because they or their ends were lost here. Proven says that the copies have
-// all attempts at them; otherwise those that must not be repeated count as possibly run.
+// resolveFound adds messages that only a copy had, because they or their ends were lost here. If proven is set, the copies have
+// all attempts at them; otherwise the messages that must not be repeated count as possibly run.
 func (w *Work) resolveFound(found []Entry, proven bool) {
 	for _, e := range found {
 		if w.keeper.options.Host.Knows(e.ID) {
@@ -153,19 +153,19 @@
 		}
 		m := e.message()
 		if w.keeper.options.Host.Once(m.Class) && m.Notice == nil && !proven {
-			doubt(m) // it had ended here, or was lost with its attempts
+			doubt(m) // the message may have ended here, or was lost together with its attempts
 		}
 		if err := w.journal.Put(m); err != nil {
-			w.keeper.options.Log.Error("copies: a message that only a copy has", "id", m.ID, "err", err)
+			w.keeper.options.Log.Error("copies: restoring a message from a copy failed", "id", m.ID, "err", err)
 			continue
 		}
 		w.Changed(m)
-		w.keeper.options.Log.Warn("copies: a message that only a copy had", "id", m.ID, "attempts", m.Past.Attempts)
+		w.keeper.options.Log.Warn("copies: message restored from a copy", "id", m.ID, "attempts", m.Past.Attempts)
 		w.keeper.options.Host.Found(w, m)
 	}
 }
 
-// savePlace stores which log is in the state folder, and in which place that is.
+// savePlace stores the identity of the own log and the place of its state folder.
 func (w *Work) savePlace(noted bool) error {
 	w.mu.Lock()
 	was := w.place
@@ -179,7 +179,7 @@
 		return nil
 	}
 	if err := saveMeta(w.keeper.options.Folders.Top(), ownName, m); err != nil {
-		return fmt.Errorf("keeping whose log this is: %w", err)
+		return fmt.Errorf("storing the identity of the own log: %w", err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// everywhere asks all other members that are not gone, and waits for their answers, but no longer than gatherTime.
+// everywhere calls ask for all other members that have not departed, and waits for the calls, at most for gatherTime.
 func (k *Keeper) everywhere(ctx context.Context, ask func(ctx context.Context, name string)) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTime)
 	defer cancel()
--- a/internal/deliverynode/replica/work_recover.go
+++ b/internal/deliverynode/replica/work_recover.go
@@ -17,7 +17,7 @@
 )
 
 // catchUp adds the entries of this node's own log that copies have and the folder may lack. Messages that must not be
-// repeated count as possibly run if none of the copies that count can be asked, or in the mode "after", in which the copies
+// repeated count as possibly run if none of the copies that count is reachable, or in the mode "after", in which the copies
 // may lack the last attempts too.
 func (w *Work) catchUp(ctx context.Context, n note) error {
 	log, _ := w.name()
@@ -25,9 +25,9 @@
 	current := false
 	over := map[string]bool{}
 	copies := map[string]Entry{}
-	patience := convergenceTime // after a start, no other member may be connected yet
+	limit := convergenceTime // after a start, no other member may be connected yet
 	if len(n.Holders) > 0 {
-		patience = writerTime
+		limit = writerTime
 	}
 	for began := w.keeper.options.Clock(); ; {
 		w.keeper.everywhere(ctx, func(ctx context.Context, name string) {
@@ -51,7 +51,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if current || w.keeper.options.Clock()-began > patience {
+		if current || w.keeper.options.Clock()-began > limit {
 			break
 		}
 		pause(ctx, convergenceTime/4)
@@ -65,14 +65,14 @@
 			doubted = append(doubted, m)
 		}
 	}
-	w.keeper.options.Log.Warn("copies: the folder may be behind", "owed", len(w.journal.Owed()), "copies have", len(copies), "over", len(gone),
+	w.keeper.options.Log.Warn("copies: state folder may be out of date, log compared with its copies", "owed", len(w.journal.Owed()), "copies have", len(copies), "over", len(gone),
 		"in doubt", len(doubted), "a copy that counts was reached", current)
 	w.keeper.options.Host.Forget(w, gone, doubted)
 	here := map[string]bool{}
 	for _, m := range w.journal.Owed() {
 		here[m.ID] = true
 	}
-	// The nodes that have these messages may not hold copies in the future.
+	// These messages are added now, because the nodes that have them may not hold copies in the future.
 	known := func(id string) bool { return over[id] || here[id] || w.keeper.options.Host.Knows(id) }
 	w.resolveFound(Union(known, slices.Collect(maps.Values(copies))), current && w.keeper.before())
 	return nil
@@ -103,14 +103,14 @@
 }
 
 // renew begins another log for this node after its own was taken over, with the messages that no other node has or had. It
-// returns false if it must be tried again, because the node that took the log over has not answered: that node is waited for
+// returns false if it must be retried because the node that took the log over has not answered: renew waits for that node
 // without limit while it holds the log's lease, otherwise for writerTime.
 func (w *Work) renew(ctx context.Context, n note, held bool) bool {
 	live := w.journal.Owed()
 	known, answered := w.queryMembers(ctx, live)
 	waited := w.hasUnanswered()
 	if ctx.Err() != nil || !answered[n.Writer] && (held || waited < writerTime) {
-		return false // it may be working on any of the messages, or knows their ends
+		return false // that node may be working on any of the messages, or may have recorded their ends
 	}
 	var gone, doubted []*journal.Message
 	for _, m := range live {
@@ -123,16 +123,16 @@
 	}
 	w.keeper.options.Host.Forget(w, gone, doubted)
 	next := w.beginAnew()
-	w.keeper.options.Log.Warn("copies: this node's log was taken over, and another is begun", "by", n.Writer, "theirs", len(gone), "in doubt", len(doubted),
+	w.keeper.options.Log.Warn("copies: own log was taken over, new log begun", "by", n.Writer, "theirs", len(gone), "in doubt", len(doubted),
 		"kept", len(live)-len(gone)-len(doubted), "log", fmt.Sprintf("%016x", next))
 	if err := w.savePlace(false); err != nil {
-		w.fail(err) // hold stores it before any work on the log
+		w.fail(err) // workUnder stores it before any work on the log
 	}
 	return true
 }
 
-// queryMembers asks all other nodes which of some messages they have or had of this log. It returns the ids of these, and
-// the names of the nodes that answered.
+// queryMembers asks all other nodes which of the messages of this log they have or had. It returns the ids of these messages,
+// and the names of the nodes that answered.
 func (w *Work) queryMembers(ctx context.Context, live []*journal.Message) (known, answered map[string]bool) {
 	log, _ := w.name()
 	ids := make([]string, 0, len(live))
@@ -142,7 +142,7 @@
 	var mu sync.Mutex
 	known, answered = map[string]bool{}, map[string]bool{}
 	w.keeper.everywhere(ctx, func(ctx context.Context, name string) {
-		for some := range slices.Chunk(append(ids, ""), maxQueried) { // at least one question, also without messages
+		for some := range slices.Chunk(append(ids, ""), maxQueried) { // at least one request, also without messages
 			yes, err := w.keeper.queryMessages(ctx, name, have{IDs: some, Owner: w.owner, Log: log})
 			if err != nil {
 				return
@@ -187,12 +187,12 @@
 	return next
 }
 
-// abandon removes a log that this node had taken over, and that is done or another node's now.
+// abandon removes a log that this node had taken over, and that is done or was taken over by another node.
 func (w *Work) abandon() {
-	w.keeper.options.Log.Warn("copies: a log that was taken over here is done, or another node's now", "owner", w.owner)
+	w.keeper.options.Log.Warn("copies: taken-over log abandoned, it is done or held by another node", "owner", w.owner)
 	w.keeper.options.Host.Forget(w, w.journal.Owed(), nil)
 	if err := w.inherit(); err != nil {
-		w.keeper.options.Log.Error("copies: what is over of a log is forgotten here", "owner", w.owner, "err", err)
+		w.keeper.options.Log.Error("copies: recording the ended messages of a taken-over log failed", "owner", w.owner, "err", err)
 	}
 	w.remove()
 }
@@ -209,7 +209,7 @@
 	}
 	own := w.keeper.own
 	if err := own.journal.NoteOver(ids); err != nil {
-		return fmt.Errorf("noting what is over: %w", err)
+		return fmt.Errorf("recording ended messages: %w", err)
 	}
 	own.mu.Lock()
 	defer own.mu.Unlock()
@@ -217,18 +217,18 @@
 		own.over.Add(id)
 		own.source.Over(0, id, w.keeper.options.Clock())
 	}
-	w.inherited = true // only finish calls it again, from the same goroutine
+	w.inherited = true // no race: only finish calls inherit again, from the same goroutine
 	return nil
 }
 
-// finish ends a log that was taken over and in which nothing is owed any more.
+// finish ends a log that was taken over and all of whose messages have ended.
 func (w *Work) finish(ctx context.Context, l *lease.Lease, token uint64) bool {
 	if err := w.inherit(); err != nil {
 		w.fail(err)
 		return false
 	}
 	if err := w.leave(ctx, l, token, note{Writer: w.keeper.options.Name, Token: token, Done: true}, true); err != nil {
-		w.keeper.options.Log.Warn("copies: a log that is worked off is not noted", "owner", w.owner, "err", err)
+		w.keeper.options.Log.Warn("copies: noting that a log is done failed", "owner", w.owner, "err", err)
 		return false
 	}
 	w.mu.Lock()
@@ -241,14 +241,14 @@
 		}
 	}
 	w.mu.Unlock()
-	var told sync.WaitGroup
+	var sent sync.WaitGroup
 	for _, drop := range drops {
-		told.Go(drop)
+		sent.Go(drop)
 	}
-	told.Wait()
+	sent.Wait()
 	w.stop("")
 	l.Release(ctx)
-	w.keeper.options.Log.Info("copies: a log is worked off", "owner", w.owner)
+	w.keeper.options.Log.Info("copies: taken-over log is done", "owner", w.owner)
 	w.remove()
 	return true
 }
@@ -261,7 +261,7 @@
 	delete(k.works, w.key)
 	err := errors.Join(w.journal.Close(), k.options.Folders.Remove(w.folder))
 	if err != nil {
-		k.options.Log.Error("copies: removing a log", "folder", w.folder, "err", err)
+		k.options.Log.Error("copies: removing a log failed", "folder", w.folder, "err", err)
 	}
 }
 
@@ -285,17 +285,18 @@
 	}
 	if errors.Is(err, fs.ErrNotExist) { // the takeover was not completed
 		if err := k.options.Folders.Remove(name); err != nil {
-			k.options.Log.Error("copies: removing", "folder", name, "err", err)
+			k.options.Log.Error("copies: removing an incomplete log failed", "folder", name, "err", err)
 		}
 		return
 	}
 	if err != nil {
-		k.options.Log.Error("copies: a log that was taken over can't be opened", "folder", name, "err", err)
+		k.options.Log.Error("copies: opening a taken-over log failed", "folder", name, "err", err)
 		return
 	}
 	k.works[w.key] = w
 }
 
+// openWork opens the journal of a log that was taken over.
 func (k *Keeper) openWork(name string, folder vfs.Folder, m workMeta) (*Work, error) {
 	j, _, err := journal.Open(journal.Options{Folder: folder, Limit: k.options.Limit, Base: k.base(), Sync: k.options.Sync, Now: k.options.Now, Log: k.options.Log})
 	if err != nil {
@@ -306,7 +307,7 @@
 	return w, nil
 }
 
-// base returns what is added to the numbers of a journal's messages, so that those of different journals differ.
+// base returns an offset for the message numbers of a journal, so that the numbers of different journals differ.
 func (k *Keeper) base() policy.MessageID {
 	k.adopted++
 	return policy.MessageID(k.adopted+64) << 40
--- a/internal/deliverynode/replica/work_wait.go
+++ b/internal/deliverynode/replica/work_wait.go
@@ -8,14 +8,15 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
+// copyWaiter is a caller that waits until at least so many copies have a version.
 type copyWaiter struct {
 	version uint64
 	least   int
 	done    chan error
 }
 
-// MaySend reports whether this node may begin work on the log that takes up to longest, that is whether its lease lasts that
-// long. It reads the clock at each call, so a process that was suspended sees that its lease has expired.
+// MaySend reports whether this node may begin work on the log that takes up to longest, that is, whether its lease lasts that
+// long. It reads the clock at each call, so a process that was suspended detects that its lease has expired.
 func (w *Work) MaySend(longest time.Duration) bool {
 	w.mu.Lock()
 	acting, l := w.acting, w.lease
@@ -28,7 +29,7 @@
 	return have == token && left > longest
 }
 
-// Lost returns a channel that is closed when the log's lease is not held, or when it is lost.
+// Lost returns a channel that is closed if the log's lease is not held, or as soon as it is lost.
 func (w *Work) Lost() <-chan struct{} {
 	w.mu.Lock()
 	l := w.lease
@@ -47,7 +48,7 @@
 }()
 
 // Ready returns nil if a message may be accepted. In the mode "before" that needs the configured number of copies, unless the
-// configuration allows fewer; otherwise it fails with ErrShort or ErrNotOurs.
+// configuration allows fewer; if they are missing it fails with ErrShort or ErrNotOurs.
 func (w *Work) Ready() error {
 	if !w.keeper.before() || w.keeper.options.Settings.Short == fleet.GoOn {
 		return nil
@@ -63,10 +64,10 @@
 	return nil
 }
 
-// readyPoll is how often AwaitReady looks again.
+// readyPoll is how often AwaitReady calls Ready.
 const readyPoll = 10 * time.Millisecond
 
-// AwaitReady waits until a message may be accepted. When the context ends before, it fails with what Ready said last.
+// AwaitReady waits until a message may be accepted. If the context ends first, it returns the last error of Ready.
 func (w *Work) AwaitReady(ctx context.Context) error {
 	err := w.Ready()
 	if err == nil {
@@ -85,9 +86,9 @@
 	return nil
 }
 
-// Copied waits, in the mode "before", until at least so many copies have all that was written so far. When the context
-// ends before, it fails with ErrShort if there are fewer copies and the configuration does not allow that, and otherwise with
-// the context's error. It fails with ErrNotOurs once the log is another node's. In the other mode it does not wait.
+// Copied waits, in the mode "before", until at least so many copies have all changes that were written so far. If the context
+// ends first, it fails with ErrShort if there are fewer copies and the configuration does not allow that, and otherwise with
+// the context's error. It fails with ErrNotOurs if the lease of the log is lost. In the other mode it does not wait.
 func (w *Work) Copied(ctx context.Context, least int) error {
 	if !w.keeper.before() {
 		return nil
@@ -109,7 +110,7 @@
 	}
 }
 
-// waitError returns why a wait for copies came to nothing: they are too few, or the time is over.
+// waitError returns the error of a wait for copies whose context has ended: there are too few copies, or they are too slow.
 func (w *Work) waitError(wait copyWaiter, ended error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,16 +120,16 @@
 	return fmt.Errorf("waiting for the copies: %w", ended)
 }
 
-// short reports whether so many copies are too few for work to go on.
+// short reports whether so many copies are too few to continue.
 func (w *Work) short(copies, least int) bool {
 	return copies < least && w.keeper.options.Settings.Short != fleet.GoOn
 }
 
-// enough reports whether enough copies that count have the version of a waiter. A copy that is away for a moment may
-// come back, and another may take its place, so too few now says nothing of the end of the wait; w.mu is held.
+// enough reports whether enough copies that count have the version of a waiter; w.mu is held. If they are too few the wait
+// continues, because a copy that is briefly unreachable may return and another node may replace it.
 func (w *Work) enough(wait copyWaiter) bool {
 	if !w.resolved {
-		return false // it is not settled yet which copies count
+		return false // it is not determined yet which copies count
 	}
 	at, copies := w.source.Copied()
 	if w.short(copies, wait.least) {
--- a/internal/deliverynode/replica/work_watch.go
+++ b/internal/deliverynode/replica/work_watch.go
@@ -24,7 +24,7 @@
 		Body: m.Body, Tenures: []Tenure{t}}
 }
 
-// message converts an entry to a message for its next holder. Attempts without an outcome count as possibly run.
+// message converts an entry to a message for the next holder of its log. Attempts without an outcome count as possibly run.
 func (e Entry) message() *journal.Message {
 	p := e.Past()
 	m := &journal.Message{Seq: policy.MessageID(e.Seq), ID: e.ID, Key: e.Key, Class: e.Class, Dest: e.Dest,
@@ -39,7 +39,7 @@
 	return m
 }
 
-// doubt makes a message count as possibly run.
+// doubt marks a message as possibly run.
 func doubt(m *journal.Message) {
 	m.Past.Attempts, m.Past.Settled = max(m.Past.Attempts, 1), true
 	if !m.Past.MayRun {
@@ -72,5 +72,5 @@
 	w.rouse()
 }
 
-// before reports whether the mode is "before": messages are accepted, and charges sent, only when copies have them.
+// before reports whether the mode is "before", in which messages are accepted, and charges sent, only once copies have them.
 func (k *Keeper) before() bool { return k.options.Settings.Mode == fleet.CopyBefore }
--- a/internal/deliverynode/wire/note_test.go
+++ b/internal/deliverynode/wire/note_test.go
@@ -16,6 +16,6 @@
 		t.Errorf("note %+v came back as %+v, %v", want, got, ok)
 	}
 	if got, ok := DecodeNote([]byte("what?")); ok {
-		t.Errorf("a note of another size became %+v", got)
+		t.Errorf("a note of the wrong size was decoded as %+v", got)
 	}
 }
--- a/internal/deliverynode/wire/settings.go
+++ b/internal/deliverynode/wire/settings.go
@@ -9,8 +9,7 @@
 	"dunetide/policy"
 )
 
-// config is the part of the settings that the module acts on. Other keys are
-// disregarded.
+// config is the part of the settings that the decision module uses. Other keys are ignored.
 type config struct {
 	NInstances   *int          `json:"NInstances"`
 	Classes      []classConfig `json:"Classes"`
@@ -46,7 +45,7 @@
 	Discovery    string `json:"Discovery"`
 }
 
-// classConfig is the part of the settings about one class of messages.
+// classConfig is the settings of one class of messages.
 type classConfig struct {
 	AimUs       int64   `json:"AimUs"`
 	DeadlineUs  int64   `json:"DeadlineUs"`
@@ -58,9 +57,10 @@
 	LateWorth   float64 `json:"LateWorth"`
 }
 
+// us converts microseconds to a duration.
 func us(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// DecodeSettings reads the settings of an instance.
+// DecodeSettings decodes the settings of an instance.
 func DecodeSettings(text []byte) (policy.Settings, error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -122,7 +122,7 @@
 	return s, nil
 }
 
-// class returns the class as the decision module knows it, and false if its idempotency is unknown.
+// class returns the class in the form that the decision module uses, and false if its idempotency is unknown.
 func (k classConfig) class() (class policy.Class, ok bool) {
 	class = policy.Class{
 		Window:    us(k.WindowUs),
--- a/internal/deliverynode/wire/wire.go
+++ b/internal/deliverynode/wire/wire.go
@@ -1,8 +1,9 @@
-// Package wire reads and writes the frames of the simulator's wire.
+// Package wire encodes and decodes the frames of the simulator's protocol.
 //
 // A batch holds event records and one shared tail, a reply holds action
 // records and one shared tail; both are little-endian and unpadded between
-// fields. The package is strict: what it cannot account for is an error.
+// fields. Decoding is strict: any byte or value without a defined meaning is
+// an error.
 package wire
 
 import (
@@ -57,7 +58,7 @@
 	CodeFail      = 28
 )
 
-// AllPeers sends a tell to all other instances.
+// AllPeers is the recipient of a CodeTell action to all other instances.
 const AllPeers = math.MaxUint32
 
 // Kinds of a fleet event.
@@ -80,17 +81,17 @@
 	ResultMoot          = 409
 )
 
-// Endpoint is the address of an endpoint: four bytes, first byte first, and a
-// port, packed into one number.
+// Endpoint is the address of an endpoint: an IPv4 address in network byte
+// order and a port, packed into one number.
 type Endpoint uint64
 
-// Report is a load report; N values are told.
+// Report is a load report; the first Count values are set.
 type Report struct {
 	Count  uint8
 	Values [4]float32
 }
 
-// Allowance picks out what a report tells of a limit, by the names of its values.
+// Allowance returns the values of a report that describe a limit, by the names of the values.
 func (r Report) Allowance(names []string) policy.Allowance {
 	var a policy.Allowance
 	for i := range min(int(r.Count), len(names), len(r.Values)) {
@@ -110,7 +111,7 @@
 	ReadyAtUs   uint64
 }
 
-// Event is one event record. Code tells which of the fields are set.
+// Event is one event record. Code determines which of the fields are set.
 type Event struct {
 	Code     uint8
 	Instance uint16 // select
@@ -150,7 +151,7 @@
 	Events []Event
 }
 
-// Action is one action record. Code tells which of the fields are used.
+// Action is one action record. Code determines which of the fields are used.
 type Action struct {
 	Code     uint8
 	Instance uint16   // by
@@ -166,7 +167,7 @@
 	Data     []byte   // crash, say_log, tell
 }
 
-// field reads the fields of one record in turn.
+// field decodes the fields of one record in order, and records the first error.
 type field struct {
 	rest []byte
 	tail []byte
@@ -210,17 +211,17 @@
 		r.Values[i] = f.f32()
 	}
 	if int(r.Count) > len(r.Values) {
-		f.fail("report of %d values, at most %d fit", r.Count, len(r.Values))
+		f.fail("report of %d values exceeds %d", r.Count, len(r.Values))
 	}
 	return r
 }
 
-// span reads an offset and a length in units of size bytes, and returns that
-// part of the tail.
+// span reads an offset in bytes and a length in units of size bytes, and
+// returns that part of the tail.
 func (f *field) span(size uint64) []byte {
 	offset, n := uint64(f.u32()), uint64(f.u32())
 	if offset+n*size > uint64(len(f.tail)) {
-		f.fail("bytes %d to %d lie outside the tail of %d", offset, offset+n*size, len(f.tail))
+		f.fail("bytes %d to %d are outside the tail of %d bytes", offset, offset+n*size, len(f.tail))
 		return nil
 	}
 	return f.tail[offset : offset+n*size : offset+n*size]
@@ -245,14 +246,14 @@
 		e := Entry{Zone: g.u16(), Endpoint: g.endpoint(), Kind: g.u16(), Destination: g.u16(),
 			State: g.u8(), Share: g.f32(), ReadyAtUs: g.u64()}
 		if e.State > 2 {
-			f.fail("unknown state %d of an endpoint", e.State)
+			f.fail("unknown endpoint state %d", e.State)
 		}
 		list = append(list, e)
 	}
 	return list
 }
 
-// decodeEvent reads one record of eventSize bytes.
+// decodeEvent decodes one record of eventSize bytes.
 func decodeEvent(rec, tail []byte) (Event, error) {
 	f := field{rest: rec, tail: tail}
 	e := Event{Code: f.u8()}
@@ -262,7 +263,7 @@
 	case CodePage:
 		e.List, e.Entries = f.u32(), f.entries()
 		if e.List > maxList {
-			f.fail("list number %d is over %d", e.List, maxList)
+			f.fail("list number %d exceeds %d", e.List, maxList)
 		}
 	case CodeStop:
 	case CodeAborted:
@@ -278,7 +279,7 @@
 		e.Tid, e.Destination, e.Class, e.Key, e.Marks = f.u64(), f.f32(), f.u8(), f.u64(), f.u8()
 		e.GiveUpAtUs, e.WeightHintUs, e.Tenant = f.u64(), f.u32(), f.u32()
 		if d := e.Destination; !(d >= 0 && d <= math.MaxUint16) || d != float32(uint16(d)) {
-			f.fail("destination %v is no number of a destination", d)
+			f.fail("destination %v is not an integer from 0 to 65535", d)
 		}
 	case CodeBorn:
 		e.Seed, e.Data = f.u64(), f.span(1)
@@ -287,7 +288,7 @@
 	case CodeFleet:
 		e.Kind, e.Version, e.List = f.u8(), f.u64(), f.u32()
 		if e.Kind > FleetFailed {
-			f.fail("unknown kind %d of a fleet event", e.Kind)
+			f.fail("unknown fleet event kind %d", e.Kind)
 		}
 	case CodePingResult:
 		e.Endpoint, e.Result, e.TimeTakenUs, e.Report = f.endpoint(), f.result(), f.u32(), f.report()
@@ -303,7 +304,7 @@
 	return e, f.err
 }
 
-// DecodeBatch reads a batch from a whole frame.
+// DecodeBatch decodes a batch from a complete frame.
 func DecodeBatch(frame []byte) (Batch, error) {
 	if len(frame) < batchHeader {
 		return Batch{}, fmt.Errorf("batch of %d bytes is shorter than its header", len(frame))
@@ -314,10 +315,10 @@
 	b.NowUs = f.u64()
 	n := int(f.u32())
 	if int(size) != len(frame)-8 {
-		return Batch{}, fmt.Errorf("batch %d states %d bytes and has %d", b.Number, size, len(frame)-8)
+		return Batch{}, fmt.Errorf("batch %d declares %d bytes but has %d", b.Number, size, len(frame)-8)
 	}
 	if n > len(f.rest)/eventSize {
-		return Batch{}, fmt.Errorf("batch %d states %d records and has room for %d", b.Number, n, len(f.rest)/eventSize)
+		return Batch{}, fmt.Errorf("batch %d declares %d records but has room for %d", b.Number, n, len(f.rest)/eventSize)
 	}
 	tail := f.rest[n*eventSize:]
 	b.Events = make([]Event, n)
@@ -331,8 +332,8 @@
 	return b, nil
 }
 
-// ReadBatch reads the next batch. It returns io.EOF where the input ends
-// between two frames, and another error where it ends within one.
+// ReadBatch reads the next batch. It returns io.EOF if the input ends between
+// two frames, and another error if it ends within one.
 func ReadBatch(r io.Reader) (Batch, error) {
 	var head [8]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -343,9 +344,9 @@
 	}
 	size := binary.LittleEndian.Uint32(head[4:])
 	if size < batchHeader-8 || size > maxBatch {
-		return Batch{}, fmt.Errorf("batch states an impossible size of %d bytes", size)
+		return Batch{}, fmt.Errorf("batch declares an invalid size of %d bytes", size)
 	}
-	// Copying by the bytes that come keeps a false size from taking memory.
+	// The buffer grows with the bytes received, so that a false size does not allocate memory.
 	frame := append(make([]byte, 0, min(int(size)+8, 1<<20)), head[:]...)
 	rest, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
