--- a/internal/deliverynode/lease/aside_test.go
+++ b/internal/deliverynode/lease/aside_test.go
@@ -44,7 +44,7 @@
 	d.FailAt, d.Fails = d.Ops+1, 1<<20
 	now := 2 * lookEvery
 	next := logID{old.ID, old.Epoch + 1}
-	invitation, err := encoding.Marshal(message{What: sayWho, Log: next, Start: 9})
+	invitation, err := encoding.Marshal(message{What: messageQuery, Log: next, Start: 9})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deliverynode/lease/lease.go
+++ b/internal/deliverynode/lease/lease.go
@@ -81,11 +81,11 @@
 		leases: map[string]*Lease{}, changed: make(chan struct{}), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
 	l.start = l.rand.Uint64()
 	l.client = NewClient(o.Name, o.Voters, l.rand.Float64)
-	o.Net.OnNews(kind, l.hear)
-	o.Net.OnAsk(kind, l.asked)
+	o.Net.OnNews(kind, l.receive)
+	o.Net.OnAsk(kind, l.answerRequest)
 	o.Net.OnChange(func(c fleet.Change) {
 		if c.Name == o.Name {
-			l.rouse() // the incarnation may have changed
+			l.wakeClient() // the incarnation may have changed
 		}
 	})
 	return l
@@ -127,11 +127,11 @@
 	defer l.mu.Unlock()
 	l.joined = false
 	l.client.Restart(0)
-	l.settle(l.options.Clock())
+	l.updateLeases(l.options.Clock())
 }
 
-// rouse wakes the client's loop.
-func (l *Leases) rouse() {
+// wakeClient wakes the client's loop.
+func (l *Leases) wakeClient() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -222,15 +222,15 @@
 		}
 		v.Tick(l.options.Clock())
 		for _, out := range v.Flush(l.options.Clock()) { // the clock must be read after the events
-			l.tell(v, out)
+			l.send(v, out)
 		}
 	}
 }
 
-// tell sends a message, or handles it directly if it is addressed to this node.
-func (l *Leases) tell(v *Voter, out Outbound) {
+// send sends a message, or handles it directly if it is addressed to this node.
+func (l *Leases) send(v *Voter, out Outbound) {
 	if name, free := strings.CutPrefix(out.Key, freeKey); free && out.To == l.options.Name {
-		l.hearFree(name)
+		l.receiveFree(name)
 		return
 	}
 	if err := l.options.Net.Tell(out.To, kind, out.Key, out.Body); err != nil {
@@ -238,25 +238,25 @@
 	}
 }
 
-// hear handles a message from another node.
-func (l *Leases) hear(from fleet.Peer, key string, _ time.Duration, body []byte) {
+// receive handles a message from another node.
+func (l *Leases) receive(from fleet.Peer, key string, _ time.Duration, body []byte) {
 	if name, free := strings.CutPrefix(key, freeKey); free {
-		l.hearFree(name)
+		l.receiveFree(name)
 		return
 	}
 	l.post(func(v *Voter, now time.Duration) { v.Receive(now, from, body) }) // if the queue is full, raft or the sender repeats it
 }
 
-// hearFree handles the message that a lease may have become free.
-func (l *Leases) hearFree(name string) {
+// receiveFree handles the message that a lease may have become free.
+func (l *Leases) receiveFree(name string) {
 	l.mu.Lock()
 	l.client.Freed(name, l.options.Clock())
 	l.mu.Unlock()
-	l.rouse()
+	l.wakeClient()
 }
 
-// asked answers a request from another node.
-func (l *Leases) asked(ctx context.Context, from fleet.Peer, body []byte) ([]byte, error) {
+// answerRequest answers a request from another node.
+func (l *Leases) answerRequest(ctx context.Context, from fleet.Peer, body []byte) ([]byte, error) {
 	var a request
 	if err := decoding.Unmarshal(body, &a); err != nil {
 		return nil, fmt.Errorf("decoding a lease request: %w", err)
@@ -264,15 +264,15 @@
 	if a.Node != from.Name { // the incarnations may differ, because the link's may be older
 		return nil, fmt.Errorf("lease request from %s in the name of %s", from.Name, a.Node)
 	}
-	ans, err := l.put(ctx, a)
+	ans, err := l.askVoter(ctx, a)
 	if err != nil {
 		return nil, err
 	}
 	return encoding.Marshal(ans)
 }
 
-// put passes a request to this node's voter and waits for the answer.
-func (l *Leases) put(ctx context.Context, a request) (answer, error) {
+// askVoter passes a request to this node's voter and waits for the answer.
+func (l *Leases) askVoter(ctx context.Context, a request) (answer, error) {
 	return await(ctx, l, func(v *Voter, now time.Duration, reply func(answer)) { v.Ask(now, a, reply) })
 }
 
@@ -299,7 +299,7 @@
 		now := l.options.Clock()
 		l.client.Restart(l.options.Net.Self().Incarnation)
 		r := l.client.Step(now)
-		l.settle(now)
+		l.updateLeases(now)
 		at, timed := l.client.Wake()
 		l.mu.Unlock()
 		if r != nil {
@@ -315,7 +315,7 @@
 					}
 				}
 				l.mu.Unlock()
-				l.rouse()
+				l.wakeClient()
 			})
 			continue
 		}
@@ -337,7 +337,7 @@
 	ctx, cancel := context.WithTimeout(ctx, r.timeout())
 	defer cancel()
 	if r.To == l.options.Name {
-		return l.put(ctx, r.Ask)
+		return l.askVoter(ctx, r.Ask)
 	}
 	body, err := encoding.Marshal(r.Ask)
 	if err != nil {
--- a/internal/deliverynode/lease/lease_handle.go
+++ b/internal/deliverynode/lease/lease_handle.go
@@ -38,12 +38,12 @@
 	t := &Lease{leases: l, name: name, held: make(chan struct{}), lost: make(chan struct{})}
 	close(t.lost)
 	l.leases[name] = t
-	l.rouse()
+	l.wakeClient()
 	return t, nil
 }
 
-// settle updates the leases from the client's state and wakes the goroutines that wait for a change; l.mu is held.
-func (l *Leases) settle(now time.Duration) {
+// updateLeases updates the leases from the client's state and wakes the goroutines that wait for a change; l.mu is held.
+func (l *Leases) updateLeases(now time.Duration) {
 	for _, t := range l.leases {
 		token, _ := l.client.Held(t.name, now)
 		if token == t.token {
@@ -70,7 +70,7 @@
 	t.leases.mu.Lock()
 	defer t.leases.mu.Unlock()
 	t.leases.client.Succeed(t.name, since)
-	t.leases.rouse()
+	t.leases.wakeClient()
 }
 
 // Note returns the note that the last holder stored under this name, as it was when this node got the lease, or the one that
@@ -93,7 +93,7 @@
 		have, _ := t.leases.client.Held(t.name, t.leases.options.Clock())
 		if first && have == token && !t.given {
 			t.leases.client.SetNote(t.name, text, t.leases.options.Clock())
-			t.leases.rouse()
+			t.leases.wakeClient()
 		}
 		is, settled := t.leases.client.Note(t.name)
 		changed := t.leases.changed
@@ -149,7 +149,7 @@
 			if token, _ := t.Held(); token != 0 {
 				return token, nil
 			}
-			t.leases.rouse() // it has just expired
+			t.leases.wakeClient() // it has just expired
 			select {
 			case <-time.After(time.Millisecond):
 			case <-ctx.Done():
@@ -245,5 +245,5 @@
 		close(t.lost)
 		t.token = 0
 	}
-	t.leases.rouse()
+	t.leases.wakeClient()
 }
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -19,53 +19,53 @@
 		v.stats.Strangers++
 		return
 	}
-	if v.node != nil && m.Log.ID == v.self.Log.ID && m.Log.Epoch > v.self.Log.Epoch && m.What != sayOld {
+	if v.node != nil && m.Log.ID == v.self.Log.ID && m.Log.Epoch > v.self.Log.Epoch && m.What != messageStale {
 		v.leave("a later epoch of the log has begun: "+m.Log.String(), now)
 	}
-	if v.node != nil && m.Log.ID == v.self.Log.ID && m.Log.Epoch < v.self.Log.Epoch && m.What == sayRaft {
-		v.say(from.Name, "here", message{What: sayHere, From: v.self.Voter}) // makes the sender leave the old epoch
+	if v.node != nil && m.Log.ID == v.self.Log.ID && m.Log.Epoch < v.self.Log.Epoch && m.What == messageRaft {
+		v.enqueueFrom(from.Name, "here", message{What: messageIdentity, From: v.self.Voter}) // makes the sender leave the old epoch
 		return
 	}
 	same := v.node != nil && m.Log == v.self.Log
 	switch m.What {
-	case sayWho:
+	case messageQuery:
 		begins := m.Log == logID{}
-		if v.node != nil && !begins && !same && m.Log.ID != v.self.Log.ID && v.bare() {
+		if v.node != nil && !begins && !same && m.Log.ID != v.self.Log.ID && v.hasNoEntries() {
 			v.leave("this voter has no entries of its log and is invited to another log", now)
 		}
 		if v.node == nil && !begins {
 			v.join(m.Log, now)
 		}
-		if begins && v.bare() {
-			v.put(from.Name, "here", message{What: sayHere, Start: v.options.Start})
+		if begins && v.hasNoEntries() {
+			v.enqueue(from.Name, "here", message{What: messageIdentity, Start: v.options.Start})
 			return
 		}
-		v.say(from.Name, "here", message{What: sayHere, From: v.self.Voter})
-	case sayHere:
+		v.enqueueFrom(from.Name, "here", message{What: messageIdentity, From: v.self.Voter})
+	case messageIdentity:
 		v.here[from.Name] = sighting{identity{m.Log, m.From}, now}
-	case sayOld:
+	case messageStale:
 		// A delayed message of an earlier process of this node is answered by sayOld too. Then the later process that the
 		// sender has seen is this one, or one before it, and this voter stays.
 		if same && m.To == v.self.Voter && m.Seen.Incarnation >= v.options.Incarnation() && m.Seen.Start != v.options.Start {
 			v.leave("another voter has seen a later incarnation of this node", now)
 		}
-	case sayRaft:
+	case messageRaft:
 		if !same || m.To != v.self.Voter || v.unsaved != nil {
 			return
 		}
 		// A process may send under an earlier incarnation than before, if its link was established then.
 		if last := v.seen[m.From]; m.Start != last.Start && from.Incarnation <= last.Incarnation {
-			v.say(from.Name, "old", message{What: sayOld, To: m.From, Seen: last})
+			v.enqueueFrom(from.Name, "old", message{What: messageStale, To: m.From, Seen: last})
 			return
 		}
-		v.hear(from, m)
+		v.stepRaft(from, m)
 	default:
 		v.stats.Strangers++
 	}
 }
 
-// hear passes a message to raft, after recording a new incarnation of its sender.
-func (v *Voter) hear(from fleet.Peer, m message) {
+// stepRaft passes a message to raft, after recording a new incarnation of its sender.
+func (v *Voter) stepRaft(from fleet.Peer, m message) {
 	in := &raftpb.Message{}
 	if err := proto.Unmarshal(m.Raft, in); err != nil || in.GetFrom() != m.From || in.GetTo() != m.To || raft.IsLocalMsg(in.GetType()) {
 		v.stats.Strangers++
@@ -88,9 +88,9 @@
 	}
 }
 
-// bare reports whether this node has no entries of a log. A node that was invited to a log that has been lost since must
+// hasNoEntries reports whether this node has no entries of a log. A node that was invited to a log that has been lost since must
 // not prevent a new one.
-func (v *Voter) bare() bool {
+func (v *Voter) hasNoEntries() bool {
 	if v.node == nil {
 		return true
 	}
@@ -98,10 +98,10 @@
 	return err == nil && last == 0
 }
 
-// look queries the identities of other nodes. The leader queries the nodes that should be voters. Before there is a log, the
+// queryIdentities queries the identities of other nodes. The leader queries the nodes that should be voters. Before there is a log, the
 // first configured voter queries the others, and begins a log if none of them has one.
-func (v *Voter) look(now time.Duration) {
-	begins := v.bare() && len(v.options.Voters) > 0 && v.options.Voters[0] == v.options.Name
+func (v *Voter) queryIdentities(now time.Duration) {
+	begins := v.hasNoEntries() && len(v.options.Voters) > 0 && v.options.Voters[0] == v.options.Name
 	if !begins && !v.leads() || now-v.looked < lookEvery {
 		return
 	}
@@ -117,26 +117,26 @@
 		}
 		s, there := v.here[name]
 		none = none && there && now-s.at < seenFor && s.id.Log == (logID{})
-		who := message{What: sayWho, Start: v.options.Start}
+		who := message{What: messageQuery, Start: v.options.Start}
 		if !begins {
 			who.Log = v.self.Log
 		}
-		v.put(name, "who", who)
+		v.enqueue(name, "who", who)
 	}
 	if begins && none && v.notAside == nil {
 		id := identity{logID{v.options.Random() | 1, 1}, v.options.Random() | 1}
 		if err := v.create(id, newStateMachine(v.options.Above(), v.options.Longest, v.options.Most, v.options.Voters), now); err != nil {
 			v.options.Log.Error("leases: creating a log failed", "err", err)
-			v.empty()
+			v.reset()
 			return
 		}
 		v.options.Log.Info("leases: log created", "log", id.Log, "voters", v.options.Voters)
 	}
 }
 
-// arrange changes the voters, one at a time, to those that should be voters: a missing one is first added as a learner, then
+// changeVoters changes the voters, one at a time, to those that should be voters: a missing one is first added as a learner, then
 // replaces the raft id that its node had before, and then the others are removed.
-func (v *Voter) arrange(now time.Duration) {
+func (v *Voter) changeVoters(now time.Duration) {
 	if now-v.changed < changeEvery {
 		return
 	}
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -78,7 +78,7 @@
 	conf    *raftpb.ConfState
 	machine *StateMachine
 	applied uint64
-	unsaved   *raft.Ready // the state whose write has failed, nil if there is none
+	unsaved *raft.Ready // the state whose write has failed, nil if there is none
 	why     string      // the last disk error
 	// notAside is the error of setting aside the file of a log that this voter has left, nil if that has succeeded. The last
 	// attempt was at triedAside.
@@ -109,11 +109,11 @@
 func (v *Voter) Tick(now time.Duration) {
 	if v.node == nil {
 		v.retryAside(now)
-		v.look(now)
+		v.queryIdentities(now)
 		return
 	}
 	if v.unsaved != nil {
-		v.unstick(now)
+		v.retryWrite(now)
 		if v.unsaved != nil {
 			return
 		}
@@ -134,9 +134,9 @@
 	drop(v.wanted, now, late)
 	if v.leads() {
 		v.expire(now)
-		v.arrange(now)
+		v.changeVoters(now)
 	}
-	v.look(now)
+	v.queryIdentities(now)
 }
 
 // Voters returns the names of the voters, in order.
--- a/internal/deliverynode/lease/voter_log.go
+++ b/internal/deliverynode/lease/voter_log.go
@@ -27,7 +27,7 @@
 			v.unsaved, v.why = &rd, err.Error()
 			break
 		}
-		v.carryOut(rd, now)
+		v.applyReady(rd, now)
 	}
 	v.notifyFreed()
 	out := v.out
@@ -73,9 +73,9 @@
 	return v.disk.append(rec)
 }
 
-// unstick rewrites the file after a failed write and resumes. A failed append is never followed by another append, because
+// retryWrite rewrites the file after a failed write and resumes. A failed append is never followed by another append, because
 // the content of the file is unknown.
-func (v *Voter) unstick(now time.Duration) {
+func (v *Voter) retryWrite(now time.Duration) {
 	if err := v.renew(); err != nil {
 		v.why = err.Error()
 		return
@@ -84,12 +84,12 @@
 	v.unsaved, v.why = nil, ""
 	v.options.Log.Info("leases: writing the log succeeded again, voter resumed")
 	if rd.Messages != nil || rd.CommittedEntries != nil || rd.Entries != nil || rd.HardState != nil || rd.Snapshot != nil {
-		v.carryOut(rd, now)
+		v.applyReady(rd, now)
 	}
 }
 
-// carryOut applies a Ready of raft whose content is durable.
-func (v *Voter) carryOut(rd raft.Ready, now time.Duration) {
+// applyReady applies a Ready of raft whose content is durable.
+func (v *Voter) applyReady(rd raft.Ready, now time.Duration) {
 	if rd.SoftState != nil {
 		v.stats.Elections++
 		v.options.Log.Info("leases: leader", "is", v.machine.state.Voters[rd.SoftState.Lead], "this one", rd.SoftState.RaftState)
--- a/internal/deliverynode/lease/voter_message.go
+++ b/internal/deliverynode/lease/voter_message.go
@@ -28,10 +28,10 @@
 
 // Kinds of message.
 const (
-	sayRaft = iota + 1 // a message of raft
-	sayWho             // queries the identity; with a log, it invites the receiver to be a voter of it
-	sayHere            // the sender's identity
-	sayOld             // answers a stale process: the sender has seen another process of the receiver that is not older
+	messageRaft     = iota + 1 // a message of raft
+	messageQuery               // queries the identity; with a log, it invites the receiver to be a voter of it
+	messageIdentity            // the sender's identity
+	messageStale               // answers a stale process: the sender has seen another process of the receiver that is not older
 )
 
 // message is a message between voters.
@@ -91,7 +91,7 @@
 		v.keys++
 		key = fmt.Sprint(key, " ", v.keys%maxQueued)
 	}
-	v.say(name, key, message{What: sayRaft, From: v.self.Voter, To: m.GetTo(), Raft: b})
+	v.enqueueFrom(name, key, message{What: messageRaft, From: v.self.Voter, To: m.GetTo(), Raft: b})
 	if m.GetType() == raftpb.MsgSnap {
 		v.snapshots[m.GetTo()] = v.ticked
 	}
@@ -107,14 +107,14 @@
 	}
 }
 
-// say queues a message with this voter's log and process.
-func (v *Voter) say(to, key string, m message) {
+// enqueueFrom queues a message with this voter's log and process.
+func (v *Voter) enqueueFrom(to, key string, m message) {
 	m.Log, m.Start = v.self.Log, v.options.Start
-	v.put(to, key, m)
+	v.enqueue(to, key, m)
 }
 
-// put queues a message.
-func (v *Voter) put(to, key string, m message) {
+// enqueue queues a message.
+func (v *Voter) enqueue(to, key string, m message) {
 	b, err := encoding.Marshal(m)
 	if err != nil {
 		v.options.Log.Error("leases: encoding a message failed", "err", err)
--- a/internal/deliverynode/lease/voter_open.go
+++ b/internal/deliverynode/lease/voter_open.go
@@ -15,7 +15,7 @@
 // if the folder cannot be read.
 func NewVoter(o VoterOptions, now time.Duration) (*Voter, error) {
 	v := &Voter{options: o, disk: disk{folder: o.Folder}}
-	v.empty()
+	v.reset()
 	v.ticked, v.looked = now, now-lookEvery
 	all, err := v.disk.load()
 	if err == nil && len(all) > 0 {
@@ -30,8 +30,8 @@
 	return v, err
 }
 
-// empty discards the state of the log.
-func (v *Voter) empty() {
+// reset discards the state of the log.
+func (v *Voter) reset() {
 	v.dropPending("this voter has left the log")
 	v.self, v.node, v.store, v.conf, v.machine, v.applied, v.unsaved, v.why = identity{}, nil, nil, nil, nil, 0, nil, ""
 	v.seen, v.names, v.counts, v.here = map[uint64]incarnation{}, map[uint64]string{}, timekeeper{}, map[string]sighting{}
@@ -60,7 +60,7 @@
 // retried; until it succeeds this node joins no log.
 func (v *Voter) leave(why string, now time.Duration) {
 	v.options.Log.Error("leases: log set aside, this node may rejoin as a new voter", "why", why, "log", v.self.Log)
-	v.empty()
+	v.reset()
 	v.setAside(now)
 }
 
@@ -199,7 +199,7 @@
 	index, term := uint64(1), uint64(1)
 	snap := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: &index, Term: &term,
 		ConfState: raftpb.EnsureConfState(&raftpb.ConfState{Voters: []uint64{id.Voter}})}}
-	v.empty()
+	v.reset()
 	v.self, v.store = id, raft.NewMemoryStorage()
 	if err := v.store.ApplySnapshot(snap); err != nil {
 		return err
@@ -212,11 +212,11 @@
 	if v.notAside != nil {
 		return // the leader repeats the invitation
 	}
-	v.empty()
+	v.reset()
 	v.self, v.store = identity{log, v.options.Random() | 1}, raft.NewMemoryStorage()
 	if err := v.begin(now); err != nil {
 		v.options.Log.Error("leases: joining a log failed", "err", err)
-		v.empty()
+		v.reset()
 		return
 	}
 	v.options.Log.Info("leases: joined a log as a new voter", "log", log, "voter", v.self.Voter)
