--- a/internal/deliverynode/lease/disk_test.go
+++ b/internal/deliverynode/lease/disk_test.go
@@ -75,7 +75,7 @@
 							t.Fatalf("operation %d fails, %d times: it was written to what is not known", failAt, fails)
 						}
 					}
-					for tries := 0; err != nil && tries < 4; tries++ { // as Voter.unstick
+					for tries := 0; err != nil && tries < 4; tries++ { // as Voter.retryWrite
 						err = l.renew(record{Self: &identity{logID{7, 1}, 9}, Entries: all})
 					}
 					if err == nil {
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -44,7 +44,7 @@
 	case messageIdentity:
 		v.here[from.Name] = sighting{identity{m.Log, m.From}, now}
 	case messageStale:
-		// A delayed message of an earlier process of this node is answered by sayOld too. Then the later process that the
+		// A delayed message of an earlier process of this node is answered by messageStale too. Then the later process that the
 		// sender has seen is this one, or one before it, and this voter stays.
 		if same && m.To == v.self.Voter && m.Seen.Incarnation >= v.options.Incarnation() && m.Seen.Start != v.options.Start {
 			v.leave("another voter has seen a later incarnation of this node", now)
--- a/internal/deliverynode/lease/voter_message.go
+++ b/internal/deliverynode/lease/voter_message.go
@@ -43,7 +43,7 @@
 	Raft []byte `cbor:"5,keyasint,omitempty"`
 	// Start is a random number that identifies the sender's process. Two processes of one incarnation have different folders.
 	Start uint64 `cbor:"6,keyasint,omitempty"`
-	// Seen is, in sayOld, the last process of the receiver that was seen.
+	// Seen is, in messageStale, the last process of the receiver that was seen.
 	Seen incarnation `cbor:"7,keyasint,omitempty"`
 }
 
--- a/internal/deliverynode/replica/copy.go
+++ b/internal/deliverynode/replica/copy.go
@@ -289,7 +289,7 @@
 			} else {
 				e = Merge(old, e)
 			}
-			e = e.fold()
+			e = e.mergeOldest()
 		case e.Bare:
 			return fmt.Errorf("message %d was sent without its content, and the copy does not have it", e.Seq)
 		}
--- a/internal/deliverynode/replica/entry.go
+++ b/internal/deliverynode/replica/entry.go
@@ -168,8 +168,8 @@
 // digest returns a checksum of the content and the tenure of one token.
 func (e Entry) digest() uint64 { return xxhash.Sum64(must(encoding.Marshal(e))) }
 
-// fold merges the oldest tenures of an entry into one if there are more than maxTenures.
-func (e Entry) fold() Entry {
+// mergeOldest merges the oldest tenures of an entry into one if there are more than maxTenures.
+func (e Entry) mergeOldest() Entry {
 	if len(e.Tenures) <= maxTenures {
 		return e
 	}
--- a/internal/deliverynode/replica/keeper.go
+++ b/internal/deliverynode/replica/keeper.go
@@ -259,7 +259,7 @@
 		held := slices.Collect(maps.Values(k.copies))
 		k.mu.Unlock()
 		for _, h := range held {
-			if h.begin(k) {
+			if h.startTakeover(k) {
 				running.Go(func() { k.acquire(ctx, h, &running) })
 			}
 			k.scrub(h)
@@ -328,8 +328,8 @@
 	return a, decoding.Unmarshal(text, &a)
 }
 
-// pass excludes a node from the candidates for unfitFor.
-func (k *Keeper) pass(name string) {
+// markUnfit excludes a node from the candidates for unfitFor.
+func (k *Keeper) markUnfit(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.unfit[name] = k.options.Clock() + unfitFor
--- a/internal/deliverynode/replica/lookup.go
+++ b/internal/deliverynode/replica/lookup.go
@@ -209,7 +209,7 @@
 	var mu sync.Mutex
 	found := map[string][]string{}
 	answered := map[string]bool{}
-	k.everywhere(ctx, func(ctx context.Context, of string) {
+	k.forEachMember(ctx, func(ctx context.Context, of string) {
 		text, err := k.options.Net.Ask(ctx, of, kindWho, body)
 		var a who
 		if err != nil || decoding.Unmarshal(text, &a) != nil {
--- a/internal/deliverynode/replica/merge_test.go
+++ b/internal/deliverynode/replica/merge_test.go
@@ -121,7 +121,7 @@
 		many = append(many, Tenure{Token: token + 1, Base: int(token), Attempts: 1, MayRun: token == 2, RanAt: 3, End: map[bool]int{true: GivenUp}[token == 4]})
 	}
 	e := Entry{Tenures: many}
-	if f := e.fold(); len(f.Tenures) != maxTenures || f.Past() != e.Past() {
+	if f := e.mergeOldest(); len(f.Tenures) != maxTenures || f.Past() != e.Past() {
 		t.Errorf("folded: %+v, want %+v", f.Past(), e.Past())
 	}
 }
--- a/internal/deliverynode/replica/stored_copy.go
+++ b/internal/deliverynode/replica/stored_copy.go
@@ -176,9 +176,9 @@
 	h.copy, h.writer = c, writer
 }
 
-// begin reports whether this node should start a takeover of the copy's log, because its writer has been silent for the
+// startTakeover reports whether this node should start a takeover of the copy's log, because its writer has been silent for the
 // configured time or was removed by an operator. It then returns false until the attempt has ended.
-func (h *storedCopy) begin(k *Keeper) bool {
+func (h *storedCopy) startTakeover(k *Keeper) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.taking || h.copy.dropped {
--- a/internal/deliverynode/replica/takeover.go
+++ b/internal/deliverynode/replica/takeover.go
@@ -58,7 +58,7 @@
 		pause(ctx, time.Second)
 		return
 	}
-	if err := w.leave(ctx, l, token, note{Writer: k.options.Name, Token: token}, false); err != nil {
+	if err := w.setNote(ctx, l, token, note{Writer: k.options.Name, Token: token}, false); err != nil {
 		k.options.Log.Error("copies: takeover of a log failed", "owner", owner, "err", err)
 		w.remove()
 		return
@@ -132,7 +132,7 @@
 func (k *Keeper) fetchEverywhere(ctx context.Context, owner string, log uint64, mine fetched) map[string]fetched {
 	all := map[string]fetched{k.options.Name: mine}
 	var mu sync.Mutex
-	k.everywhere(ctx, func(ctx context.Context, name string) {
+	k.forEachMember(ctx, func(ctx context.Context, name string) {
 		f, err := k.fetchAll(ctx, name, owner, log)
 		if err != nil {
 			k.options.Log.Debug("copies: fetching a copy failed", "from", name, "err", err)
@@ -185,7 +185,7 @@
 	for _, e := range Union(known, found.entries...) {
 		msg := e.message()
 		if k.options.Host.Once(msg.Class) && !(found.current && k.before()) && msg.Notice == nil && !msg.Past.MayRun {
-			doubt(msg)
+			markPossiblyRun(msg)
 			w.doubted++
 		}
 		if err := w.journal.Put(msg); err != nil {
--- a/internal/deliverynode/replica/work.go
+++ b/internal/deliverynode/replica/work.go
@@ -77,8 +77,8 @@
 	return w.log, w.key
 }
 
-// rouse wakes follow.
-func (w *Work) rouse() {
+// wakeUp wakes follow.
+func (w *Work) wakeUp() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -113,16 +113,16 @@
 			break
 		}
 		var n note
-		var end held
+		var end tenureEnd
 		if elsewhere == "" {
 			n, end = w.workUnder(ctx, l, token)
 		} else {
-			n.Writer, end = elsewhere, isElsewhere
+			n.Writer, end = elsewhere, heldElsewhere
 		}
 		switch end {
-		case isDone:
+		case logDone:
 			return false
-		case isElsewhere:
+		case heldElsewhere:
 			w.stop("another node works on the log")
 			if !w.own {
 				l.Release(ctx)
@@ -149,13 +149,13 @@
 	return false
 }
 
-// held says how a tenure ended.
-type held int
+// tenureEnd says how a tenure ended.
+type tenureEnd int
 
 const (
-	isLost      held = iota // the lease was lost
-	isDone                  // all messages of the log have ended
-	isElsewhere             // another node works on the log
+	leaseLost     tenureEnd = iota // the lease was lost
+	logDone                        // all messages of the log have ended
+	heldElsewhere                  // another node works on the log
 )
 
 // await waits until this node holds the lease or another node does. It returns the token, or the other node's name.
@@ -236,11 +236,11 @@
 
 // workUnder works on the log under a token until the lease is lost. It starts from the note of the last holder, which it
 // returns.
-func (w *Work) workUnder(ctx context.Context, l *lease.Lease, token uint64) (note, held) {
+func (w *Work) workUnder(ctx context.Context, l *lease.Lease, token uint64) (note, tenureEnd) {
 	k := w.keeper
 	n, noted := readNote(l.Note())
 	if noted && (n.Writer != k.options.Name || n.Done) && !w.isResolved() {
-		return n, isElsewhere
+		return n, heldElsewhere
 	}
 	life, end := context.WithCancel(ctx)
 	defer end()
@@ -262,22 +262,22 @@
 		if err := w.catchUp(life, n); err != nil {
 			w.stop(err.Error())
 			pause(life, time.Second)
-			return n, isLost
+			return n, leaseLost
 		}
 	}
 	if w.own {
 		if err := w.savePlace(true); err != nil {
 			w.fail(err)
 			pause(life, time.Second)
-			return n, isLost
+			return n, leaseLost
 		}
 		l.Succeed(w.since())
 	}
 	if !noted || n.Writer != k.options.Name {
 		// The note must tell the next holder that this node has worked on the log.
-		if err := w.leave(life, l, token, note{Writer: k.options.Name, Token: token}, false); err != nil {
+		if err := w.setNote(life, l, token, note{Writer: k.options.Name, Token: token}, false); err != nil {
 			w.stop(err.Error())
-			return n, isLost
+			return n, leaseLost
 		}
 	}
 	w.mu.Lock()
@@ -296,8 +296,8 @@
 	return w.mine
 }
 
-// leave stores a note in the lease, and makes its holders the copies that count. If settled is set, the holders are final.
-func (w *Work) leave(ctx context.Context, l *lease.Lease, token uint64, n note, settled bool) error {
+// setNote stores a note in the lease, and makes its holders the copies that count. If settled is set, the holders are final.
+func (w *Work) setNote(ctx context.Context, l *lease.Lease, token uint64, n note, settled bool) error {
 	text, err := encoding.Marshal(n)
 	if err == nil {
 		err = l.SetNote(ctx, token, text)
--- a/internal/deliverynode/replica/work_follow.go
+++ b/internal/deliverynode/replica/work_follow.go
@@ -12,7 +12,7 @@
 )
 
 // follow sends changes to the copies until the lease is lost, or until all messages of a log that was taken over have ended.
-func (w *Work) follow(ctx context.Context, l *lease.Lease, token uint64) held {
+func (w *Work) follow(ctx context.Context, l *lease.Lease, token uint64) tenureEnd {
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	ctx, cancel := context.WithCancel(ctx)
@@ -33,18 +33,18 @@
 		if step.fenced {
 			w.stop(ErrFenced.Error())
 			pause(ctx, time.Second)
-			return isLost
+			return leaseLost
 		}
 		w.resolveFound(step.found, false)
 		if step.change && !planning {
 			planning = true
 			sending.Go(func() {
-				planned <- w.leave(ctx, l, token, note{Writer: w.keeper.options.Name, Token: token, Holders: step.holders}, true)
+				planned <- w.setNote(ctx, l, token, note{Writer: w.keeper.options.Name, Token: token, Holders: step.holders}, true)
 			})
 		}
 		if !w.own && !planning && w.journal.Status().Live == 0 && now-began > HeartbeatEvery { // no later note may follow the one that finish leaves
 			if w.finish(ctx, l, token) {
-				return isDone
+				return logDone
 			}
 		}
 		select {
@@ -58,7 +58,7 @@
 		case <-ctx.Done():
 		}
 	}
-	return isLost
+	return leaseLost
 }
 
 // chooseCopies chooses the nodes that should hold copies from the present candidates.
@@ -112,7 +112,7 @@
 	silent := err != nil && f != nil && now-f.heardAt > holderPatience && ctx.Err() == nil
 	w.mu.Unlock()
 	if silent || err == nil && a.No != "" && a.Token == 0 {
-		w.keeper.pass(to) // another can hold the copy meanwhile
+		w.keeper.markUnfit(to) // another can hold the copy meanwhile
 	}
 	w.mu.Lock()
 	if err != nil {
@@ -122,7 +122,7 @@
 	}
 	w.answer()
 	w.mu.Unlock()
-	w.rouse()
+	w.wakeUp()
 }
 
 // watchLag logs when the copies exceed the allowed lag and when they have caught up; w.mu is held.
@@ -153,7 +153,7 @@
 		}
 		m := e.message()
 		if w.keeper.options.Host.Once(m.Class) && m.Notice == nil && !proven {
-			doubt(m) // the message may have ended here, or was lost together with its attempts
+			markPossiblyRun(m) // the message may have ended here, or was lost together with its attempts
 		}
 		if err := w.journal.Put(m); err != nil {
 			w.keeper.options.Log.Error("copies: restoring a message from a copy failed", "id", m.ID, "err", err)
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// everywhere calls ask for all other members that have not departed, and waits for the calls, at most for gatherTime.
-func (k *Keeper) everywhere(ctx context.Context, ask func(ctx context.Context, name string)) {
+// forEachMember calls ask for all other members that have not departed, and waits for the calls, at most for gatherTime.
+func (k *Keeper) forEachMember(ctx context.Context, ask func(ctx context.Context, name string)) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTime)
 	defer cancel()
 	var asking sync.WaitGroup
--- a/internal/deliverynode/replica/work_recover.go
+++ b/internal/deliverynode/replica/work_recover.go
@@ -30,7 +30,7 @@
 		limit = writerTime
 	}
 	for began := w.keeper.options.Clock(); ; {
-		w.keeper.everywhere(ctx, func(ctx context.Context, name string) {
+		w.keeper.forEachMember(ctx, func(ctx context.Context, name string) {
 			f, err := w.keeper.fetchAll(ctx, name, w.owner, log)
 			if err != nil {
 				return
@@ -141,7 +141,7 @@
 	}
 	var mu sync.Mutex
 	known, answered = map[string]bool{}, map[string]bool{}
-	w.keeper.everywhere(ctx, func(ctx context.Context, name string) {
+	w.keeper.forEachMember(ctx, func(ctx context.Context, name string) {
 		for some := range slices.Chunk(append(ids, ""), maxQueried) { // at least one request, also without messages
 			yes, err := w.keeper.queryMessages(ctx, name, have{IDs: some, Owner: w.owner, Log: log})
 			if err != nil {
@@ -191,15 +191,15 @@
 func (w *Work) abandon() {
 	w.keeper.options.Log.Warn("copies: taken-over log abandoned, it is done or held by another node", "owner", w.owner)
 	w.keeper.options.Host.Forget(w, w.journal.Owed(), nil)
-	if err := w.inherit(); err != nil {
+	if err := w.recordEnded(); err != nil {
 		w.keeper.options.Log.Error("copies: recording the ended messages of a taken-over log failed", "owner", w.owner, "err", err)
 	}
 	w.remove()
 }
 
-// inherit records in this node's own log, and so in its copies, which messages of a log that was taken over have ended,
+// recordEnded records in this node's own log, and so in its copies, which messages of a log that was taken over have ended,
 // because the owner asks for them when it returns.
-func (w *Work) inherit() error {
+func (w *Work) recordEnded() error {
 	w.mu.Lock()
 	ids := w.over.IDs()
 	done := w.inherited
@@ -223,11 +223,11 @@
 
 // finish ends a log that was taken over and all of whose messages have ended.
 func (w *Work) finish(ctx context.Context, l *lease.Lease, token uint64) bool {
-	if err := w.inherit(); err != nil {
+	if err := w.recordEnded(); err != nil {
 		w.fail(err)
 		return false
 	}
-	if err := w.leave(ctx, l, token, note{Writer: w.keeper.options.Name, Token: token, Done: true}, true); err != nil {
+	if err := w.setNote(ctx, l, token, note{Writer: w.keeper.options.Name, Token: token, Done: true}, true); err != nil {
 		w.keeper.options.Log.Warn("copies: noting that a log is done failed", "owner", w.owner, "err", err)
 		return false
 	}
--- a/internal/deliverynode/replica/work_wait.go
+++ b/internal/deliverynode/replica/work_wait.go
@@ -101,7 +101,7 @@
 	}
 	w.waiting = append(w.waiting, wait)
 	w.mu.Unlock()
-	w.rouse()
+	w.wakeUp()
 	select {
 	case err := <-wait.done:
 		return err
--- a/internal/deliverynode/replica/work_watch.go
+++ b/internal/deliverynode/replica/work_watch.go
@@ -39,8 +39,8 @@
 	return m
 }
 
-// doubt marks a message as possibly run.
-func doubt(m *journal.Message) {
+// markPossiblyRun marks a message as possibly run.
+func markPossiblyRun(m *journal.Message) {
 	m.Past.Attempts, m.Past.Settled = max(m.Past.Attempts, 1), true
 	if !m.Past.MayRun {
 		m.Past.MayRun, m.Past.RanAt = true, time.UnixMicro(1)
@@ -52,7 +52,7 @@
 	w.mu.Lock()
 	w.source.Change(entryOf(m), w.keeper.options.Clock())
 	w.mu.Unlock()
-	w.rouse()
+	w.wakeUp()
 }
 
 // Over implements journal.Watcher.
@@ -61,7 +61,7 @@
 	w.over.Add(m.ID)
 	w.source.Over(uint64(m.Seq), m.ID, w.keeper.options.Clock())
 	w.mu.Unlock()
-	w.rouse()
+	w.wakeUp()
 }
 
 // Ordered implements journal.Watcher.
@@ -69,7 +69,7 @@
 	w.mu.Lock()
 	w.source.Order(out)
 	w.mu.Unlock()
-	w.rouse()
+	w.wakeUp()
 }
 
 // before reports whether the mode is "before", in which messages are accepted, and charges sent, only once copies have them.
