--- a/internal/deliverynode/lease/aside_test.go
+++ b/internal/deliverynode/lease/aside_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// votesIn makes a voter of its own on a disk, which has begun a log, and returns the log.
+// votesIn returns a voter on a disk that has created a log of which it is the only voter, and the log.
 func votesIn(t *testing.T, d *vfstest.Disk) (*Voter, logID) {
 	t.Helper()
 	random := uint64(100)
@@ -30,13 +30,13 @@
 	}
 	v.Tick(lookEvery)
 	if v.node == nil {
-		t.Fatal("no log has begun")
+		t.Fatal("no log was created")
 	}
 	return v, v.self.Log
 }
 
-// A voter whose old log could not be set aside neither begins nor joins another one, and sets it aside as soon as the disk
-// allows: a process that found the old log would vote with it again.
+// A voter whose old log could not be set aside neither creates nor joins another one, and retries until it succeeds: a process
+// that found the old log would vote with it again.
 func TestOldLogThatCannotBeSetAside(t *testing.T) {
 	d := vfstest.New()
 	v, old := votesIn(t, d)
@@ -49,14 +49,14 @@
 		t.Fatal(err)
 	}
 	if err := v.Old(now); err == nil {
-		t.Error("the log is said to be set aside")
+		t.Error("setting the log aside was reported as done")
 	}
 	for range 3 {
 		now += lookEvery
 		v.Tick(now)
 		v.Receive(now, fleet.Peer{Name: "n1", Incarnation: 1}, invitation)
 		if v.node != nil {
-			t.Fatalf("it takes part in %v while its old log is in place", v.self.Log)
+			t.Fatalf("the voter joined %v while its old log is in place", v.self.Log)
 		}
 	}
 	if string(d.File(logName)) != string(before) {
@@ -65,13 +65,13 @@
 	d.FailAt = 0
 	v.Tick(now + lookEvery/2)
 	if d.File(logName) == nil {
-		t.Error("tried again too soon")
+		t.Error("retried too soon")
 	}
 	v.Tick(now + lookEvery)
 	if string(d.File(logAside)) != string(before) {
-		t.Error("the old log was not set aside once the disk allowed that")
+		t.Error("the old log was not set aside once the disk worked again")
 	}
 	if v.node == nil || v.self.Log == old {
-		t.Errorf("it takes part in no other log after that: %v", v.self.Log)
+		t.Errorf("the voter has joined no other log after that: %v", v.self.Log)
 	}
 }
--- a/internal/deliverynode/lease/disk_test.go
+++ b/internal/deliverynode/lease/disk_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// entries are what the records of a disk hold, as texts.
+// entries returns the entries of records as strings.
 func entries(all []record) (texts []string) {
 	for _, rec := range all {
 		for _, e := range rec.Entries {
@@ -19,9 +19,9 @@
 	return texts
 }
 
-// One spoilt bit, wherever it is, takes nothing away; what is cut off anywhere is a beginning of
-// what was written, or known to be damaged.
-func TestDiskSpoilt(t *testing.T) {
+// A flipped bit at any position loses nothing. After a truncation at any position, or the loss of a block, the log is read as
+// a prefix of what was written, or reported as damaged.
+func TestDiskDamaged(t *testing.T) {
 	d := vfstest.New()
 	l := disk{folder: d}
 	if err := l.renew(record{Self: &identity{logID{7, 1}, 9}, Entries: [][]byte{[]byte("first")}}); err != nil {
@@ -45,20 +45,20 @@
 		d.Put(logName, good[:i])
 		all, err := l.load()
 		if got := entries(all); err == nil && !slices.Equal(got, want[:len(got)]) || err != nil && !errors.Is(err, errDamaged) {
-			t.Fatalf("cut at %d: %q, %v", i, got, err)
+			t.Fatalf("truncated at %d: %q, %v", i, got, err)
 		}
-		text := slices.Clone(good) // a block that was never written, in the middle
+		text := slices.Clone(good) // a block in the middle was never written
 		clear(text[i:min(len(text), i+60)])
 		d.Put(logName, text)
 		all, err = l.load()
 		if got := entries(all); err == nil && !slices.Equal(got, want) && i+60 < len(text)-60 || err != nil && !errors.Is(err, errDamaged) {
-			t.Fatalf("lost from %d: %q, %v", i, got, err)
+			t.Fatalf("60 bytes lost from %d: %q, %v", i, got, err)
 		}
 	}
 }
 
-// Whichever operation fails, once or from there on for a while, and whatever a loss of power
-// leaves: what was said to be written is there, in its order, and nothing is between.
+// Each disk operation fails once or up to three times, and then a power failure keeps a part of what was not synced: the
+// entries of acknowledged writes are still there, in order and without gaps.
 func TestDiskFails(t *testing.T) {
 	for failAt := 1; failAt <= 40; failAt++ {
 		for fails := 1; fails <= 3; fails++ {
@@ -66,20 +66,20 @@
 				d := vfstest.New()
 				l := disk{folder: d}
 				d.FailAt, d.Fails = failAt, fails
-				var all, promised [][]byte // in memory; and those that somebody has heard of
+				var all, acknowledged [][]byte // all entries in memory, and those whose write was acknowledged
 				for k := range 8 {
 					all = append(all, []byte(fmt.Sprint("entry ", k)))
 					err := errors.New("none yet")
 					if l.file != nil && k != 5 {
 						if err = l.append(record{Entries: all[len(all)-1:]}); err != nil && l.append(record{}) == nil {
-							t.Fatalf("operation %d fails, %d times: it was written to what is not known", failAt, fails)
+							t.Fatalf("operation %d fails, %d times: append after a failed write", failAt, fails)
 						}
 					}
 					for tries := 0; err != nil && tries < 4; tries++ { // as Voter.retryWrite
 						err = l.renew(record{Self: &identity{logID{7, 1}, 9}, Entries: all})
 					}
 					if err == nil {
-						promised = slices.Clone(all)
+						acknowledged = slices.Clone(all)
 					}
 				}
 				d.PowerLoss(func(n int) int { return min(kept*(n-1)/3, n-1) })
@@ -88,9 +88,9 @@
 					t.Fatalf("operation %d fails, %d times, %d thirds are kept: %v", failAt, fails, kept, err)
 				}
 				got := entries(loaded)
-				for i, text := range promised {
+				for i, text := range acknowledged {
 					if i >= len(got) || got[i] != string(text) {
-						t.Fatalf("operation %d fails, %d times, %d thirds are kept: %q, and %q was promised", failAt, fails, kept, got, promised)
+						t.Fatalf("operation %d fails, %d times, %d thirds are kept: %q, and %q was acknowledged", failAt, fails, kept, got, acknowledged)
 					}
 				}
 			}
--- a/internal/deliverynode/lease/fence_test.go
+++ b/internal/deliverynode/lease/fence_test.go
@@ -7,8 +7,8 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// Whatever fails, and whether the power goes then: an act that passed keeps lower tokens out for
-// good, and the same token and later ones pass.
+// Each disk operation fails, and a power failure follows: once a token has passed, lower tokens are refused permanently, and
+// the same token and later ones pass.
 func TestFenceRefusesLowerTokensThroughFailures(t *testing.T) {
 	for failAt := range 30 {
 		d := vfstest.New()
@@ -45,6 +45,6 @@
 	d := vfstest.New()
 	d.Put("fence", []byte("a0\n0000000000000000\n"))
 	if _, err := OpenFence(d, "fence"); err == nil {
-		t.Error("a spoilt one is taken for none")
+		t.Error("a damaged file was read as a missing one")
 	}
 }
--- a/internal/deliverynode/lease/note_test.go
+++ b/internal/deliverynode/lease/note_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// A note outlasts its lease, is its holder's alone to set, and of too many the oldest goes whose
-// name nobody holds.
+// A note outlasts its lease, only the holder can set it, and if there are too many, the oldest note of a free name is dropped.
 func TestNoteOutlastsItsLease(t *testing.T) {
 	const maxNotes = 20
 	b := newStateMachine(0, time.Minute, maxNotes, nil)
@@ -27,14 +26,14 @@
 	}
 	first := put("a", 1, took("x", ""))
 	if out := put("b", 1, took("x", "from b")); out.Mine || len(b.state.Notes) != 0 {
-		t.Errorf("who has not the lease sets its note: %+v", out)
+		t.Errorf("a node without the lease set its note: %+v", out)
 	}
 	if out := put("a", 1, took("x", "from a")); string(out.Note) != "from a" {
 		t.Errorf("%+v", out)
 	}
 	put("a", 1, op{Do: opGive, Name: "x", Token: first.Token})
 	if out := put("b", 1, took("x", "")); !out.Mine || string(out.Note) != "from a" {
-		t.Errorf("the next holder finds %+v", out)
+		t.Errorf("the next holder got %+v", out)
 	}
 	for i := range maxNotes + 5 {
 		name := fmt.Sprint("y", i)
@@ -43,7 +42,7 @@
 		put("c", 1, op{Do: opGive, Name: name, Token: out.Token})
 	}
 	if len(b.state.Notes) != maxNotes || string(b.state.Notes["x"].Text) != "from a" || b.state.Notes["y0"].Text != nil {
-		t.Errorf("%d notes, that of a held name is %q", len(b.state.Notes), b.state.Notes["x"].Text)
+		t.Errorf("%d notes, the note of a held name is %q", len(b.state.Notes), b.state.Notes["x"].Text)
 	}
 	text, err := b.snapshot()
 	if err != nil {
@@ -51,14 +50,14 @@
 	}
 	again, err := readStateMachine(text)
 	if err != nil || string(again.state.Notes["x"].Text) != "from a" {
-		t.Errorf("a snapshot has %q, %v", again.state.Notes["x"].Text, err)
+		t.Errorf("the snapshot has %q, %v", again.state.Notes["x"].Text, err)
 	}
 	if out := put("b", 1, op{Do: opGive, Name: "x", Token: b.state.Leases["x"].Token, SetNote: true}); out.Mine || b.state.Notes["x"].Text != nil {
-		t.Error("a note that was taken away is there still")
+		t.Error("a removed note is still there")
 	}
 }
 
-// A node's next incarnation takes what an earlier one has only where it says that this one has ended.
+// An incarnation takes a lease over from an earlier one of its node only if the request states that the earlier one has ended.
 func TestNextIncarnationTakesOnlyWhatHasEnded(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -66,10 +65,10 @@
 		was, is, since     uint64
 		succeeds, renewing bool
 	}{
-		{"the same place", "a", "a", 3, 4, 2, true, false},
-		{"from that very one on", "a", "a", 3, 4, 3, true, false},
-		{"an earlier place", "a", "a", 3, 5, 4, false, false},
-		{"nothing said", "a", "a", 3, 4, 0, false, false},
+		{"earlier incarnation has ended", "a", "a", 3, 4, 2, true, false},
+		{"the holder is the first that has ended", "a", "a", 3, 4, 3, true, false},
+		{"holder before the first that has ended", "a", "a", 3, 5, 4, false, false},
+		{"no incarnation has ended", "a", "a", 3, 4, 0, false, false},
 		{"another node", "b", "a", 3, 4, 1, false, false},
 		{"itself", "a", "a", 4, 4, 1, false, true},
 	} {
--- a/internal/deliverynode/lease/state_machine_test.go
+++ b/internal/deliverynode/lease/state_machine_test.go
@@ -11,9 +11,9 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// As many leases and nodes as there may be, with the longest names, fit a frame of a link and the room
-// on disk, and are read as they were written. One more is refused; nodes that hold nothing make room.
-func TestAsManyAsThereMayBe(t *testing.T) {
+// The maximum numbers of leases and nodes, with the longest names, fit into a frame of a link and into DiskSpace, and are read
+// as they were written. One more is refused; nodes without leases are replaced.
+func TestMaximumLeasesAndNodes(t *testing.T) {
 	b := newStateMachine(1<<62, time.Hour, MaxLeases, nil)
 	b.applyLapses([]lapse{{blocked, b.state.Token, 0}})
 	long := func(what string, i, length int) string {
@@ -44,38 +44,38 @@
 		t.Fatal(err)
 	}
 	if most := 1<<20 - 4<<10; len(text) > most {
-		t.Errorf("a snapshot of %d bytes, over %d", len(text), most)
+		t.Errorf("snapshot of %d bytes exceeds %d", len(text), most)
 	}
 	again, err := readStateMachine(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if back, err := again.snapshot(); err != nil || !bytes.Equal(back, text) {
-		t.Errorf("read and written again it is another: %v", err)
+		t.Errorf("the snapshot differs after reading and writing it: %v", err)
 	}
 	l := disk{folder: vfstest.New()}
 	if err := l.renew(record{Self: &identity{}, Snapshot: text}); err != nil || 3*l.size > DiskSpace(MaxLeases, false) {
 		t.Errorf("%d bytes on disk, of %d for three files: %v", l.size, DiskSpace(MaxLeases, false), err)
 	}
-	for i := range MaxLeases { // the first node gives all of its own back
+	for i := range MaxLeases { // the first node releases all of its leases
 		if i%fleet.MaxMembers == 0 {
 			put(long("n", 0, 64), op{Do: opGive, Name: long("l", i, MaxName), Token: b.state.Leases[long("l", i, MaxName)].Token})
 		}
 	}
 	if o := put("another", op{Do: opTake, Name: "one more", Length: time.Hour})[0]; !o.Mine {
-		t.Errorf("with room again: %+v", o)
+		t.Errorf("after leases were released: %+v", o)
 	}
 	if _, _, err := b.applyRequest(&request{Node: long("n", 0, 64), Incarnation: 1, Number: 1}); err != errFull { //nolint:errorlint // the error itself
-		t.Errorf("the one that made room: %v", err)
+		t.Errorf("the node that was replaced: %v", err)
 	}
 }
 
-// What could not be read again is not proposed, by a voter that would have to.
-func TestNoNameThatCannotBeRead(t *testing.T) {
+// The client refuses invalid lease names, and a voter does not propose a request that it could not decode again.
+func TestInvalidNamesAreNotProposed(t *testing.T) {
 	a := NewClient("n0", []string{"n0"}, func() float64 { return 0 })
 	for _, name := range []string{"", "\xff", strings.Repeat("x", MaxName+1)} {
 		if err := a.Want(name, time.Second, 0); err == nil {
-			t.Errorf("%q is a name", name)
+			t.Errorf("%q was accepted as a name", name)
 		}
 	}
 	s := newSim(t, 1, 1, 0)
--- a/internal/deliverynode/lease/step_test.go
+++ b/internal/deliverynode/lease/step_test.go
@@ -17,9 +17,8 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// sim steps the whole of leases, but for goroutines and sockets: voters over raft and disks, and
-// askers, each with a clock of its own, over a network that loses, doubles, delays and cuts.
-// All of it follows from the seed.
+// sim simulates leases without goroutines and sockets: voters with raft and disks, and clients, each with its own clock, over
+// a network that loses, duplicates and delays messages and has partitions. The seed determines all of it.
 type sim struct {
 	t     testing.TB
 	rng   *rand.Rand
@@ -30,12 +29,12 @@
 	names []string
 	seed  uint64
 
-	granted map[string]tenured // the last tenure of each name that anybody had
-	agreed  map[string]uint64  // digests of books, by log and place
+	granted map[string]tenured // the last tenure of each name
+	agreed  map[string]uint64  // digests of state machines, by log and index
 	done    []string           // the last events
 	stats   map[string]int
-	pending []string      // who should vote, as the staff have ordered and nobody has confirmed
-	busy    bool          // a disaster is on its way
+	pending []string      // the voters that operators have ordered, until the order is confirmed
+	busy    bool          // the recovery from a disaster is in progress
 	long    time.Duration // the greatest length
 }
 
@@ -49,18 +48,18 @@
 	votes   bool
 	up      bool
 	paused  bool
-	inc     uint64 // of this life
-	maxInc  uint64 // of all lives
+	inc     uint64 // the incarnation of this process
+	maxInc  uint64 // the greatest incarnation so far
 	start   uint64
 	disk    *vfstest.Disk
 	old     *vfstest.Disk // an earlier copy of it, under oldInc
 	oldInc  uint64
-	stale   bool // it runs on an old copy, and nobody has told it yet
+	stale   bool // it runs on an old copy, and has not been informed yet
 	v       *Voter
 	a       *Client
 	rate    float64
 	boot    time.Duration // true time of its start
-	offset  time.Duration // what its clock showed then
+	offset  time.Duration // its clock at boot
 	applied uint64
 }
 
@@ -71,10 +70,10 @@
 	body     []byte
 	ask      *request
 	number   uint64  // of an answer
-	ans      *answer // to the asker's life of fromInc
+	ans      *answer // to the client's incarnation fromInc
 }
 
-// clock is a node's own: its rate is wrong by up to 1%, and it means nothing beside another's.
+// clock returns a node's own clock: its rate is wrong by up to 1%, and it cannot be compared with other nodes' clocks.
 func (n *simNode) clock(s *sim) time.Duration {
 	return n.offset + time.Duration(n.rate*float64(s.now-n.boot))
 }
@@ -93,7 +92,7 @@
 	s := &sim{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]int]bool{}, names: []string{"a", "b", "c"},
 		long:    []time.Duration{3 * time.Second, 8 * time.Second}[seed%2], // less, and more, than an election takes
 		granted: map[string]tenured{}, agreed: map[string]uint64{}, stats: map[string]int{}, now: time.Hour}
-	crand.Reader = seeded{s.rng} // raft draws its elections' times from it
+	crand.Reader = seeded{s.rng} // raft draws its election timeouts from it
 	for i := range voters + askers {
 		n := &simNode{name: fmt.Sprint("n", i), votes: i < voters, disk: vfstest.New()}
 		s.nodes = append(s.nodes, n)
@@ -162,7 +161,7 @@
 	return slices.IndexFunc(s.nodes, func(n *simNode) bool { return n.name == name })
 }
 
-// guard ends a process on an old folder whose log contradicts what it hears, as Leases does.
+// guard ends a process on an old folder in which raft panics because its log contradicts received messages, as Leases does.
 func (s *sim) guard(i int) {
 	n := s.nodes[i]
 	if !n.stale {
@@ -175,7 +174,7 @@
 	}
 }
 
-// settle carries out what a node's events have led to.
+// settle carries out the effects of a node's events.
 func (s *sim) settle(i int) {
 	n := s.nodes[i]
 	if !n.up {
@@ -200,7 +199,7 @@
 	}
 }
 
-// agree checks that whoever is at the same place of the same log has the same book.
+// agree checks that all nodes at the same index of the same log have the same state.
 func (s *sim) agree(n *simNode) {
 	if n.v.node == nil || n.v.applied == n.applied {
 		return
@@ -214,12 +213,12 @@
 	_, _ = h.Write(text)
 	place := fmt.Sprint(n.v.self.Log, n.applied)
 	if was, there := s.agreed[place]; there && was != h.Sum64() {
-		s.fail("%s has another book at %s than another had", n.name, place)
+		s.fail("%s has another state at %s than another node had", n.name, place)
 	}
 	s.agreed[place] = h.Sum64()
 }
 
-// believe checks that of each name at most one node holds it, and that tokens grow.
+// believe checks that each name has at most one holder, and that tokens grow.
 func (s *sim) believe() {
 	for _, name := range s.names {
 		holder := ""
@@ -253,11 +252,11 @@
 	}
 }
 
-// arrive hands the k-th of what is on its way to its receiver.
+// arrive delivers the k-th message in flight to its receiver.
 func (s *sim) arrive(k int, twice bool) {
 	p := s.way[k]
 	n := s.nodes[p.to]
-	if !n.up || n.paused { // it waits for one that is stopped, and is lost with one that is down
+	if !n.up || n.paused { // the message waits for a paused receiver, and is lost if the receiver is down
 		if !n.up {
 			s.way = slices.Delete(s.way, k, k+1)
 		}
@@ -288,7 +287,7 @@
 	}
 }
 
-// pass lets time go on for all.
+// pass advances the time of all nodes.
 func (s *sim) pass(d time.Duration) {
 	s.now += d
 	for i, n := range s.nodes {
@@ -308,7 +307,7 @@
 	}
 }
 
-// whole tells whether each voter takes part under the number that the log has.
+// whole reports whether each voter votes under the raft id that the log has.
 func (s *sim) whole() bool {
 	for _, n := range s.nodes {
 		if n.votes && (!n.up || n.v.node == nil || n.stale || !slices.Contains(n.v.conf.GetVoters(), n.v.self.Voter) || len(n.v.conf.GetVoters()) != len(s.voters())) {
@@ -318,7 +317,7 @@
 	return true
 }
 
-// step is one event, drawn.
+// step carries out one random event.
 func (s *sim) step() {
 	i := s.pick(len(s.nodes))
 	n := s.nodes[i]
@@ -345,7 +344,7 @@
 	}
 }
 
-// deliver lets one of the messages that are on their way arrive, or be lost.
+// deliver delivers, duplicates or loses one of the messages in flight.
 func (s *sim) deliver() {
 	k := s.pick(min(len(s.way), 8))
 	if s.pick(10) == 0 {
@@ -359,11 +358,11 @@
 	s.arrive(k, s.pick(30) == 0)
 }
 
-// fault lets something go wrong at a node or on the network, or right again.
+// fault begins or ends a fault at a node or on the network.
 func (s *sim) fault(i, c int) {
 	n := s.nodes[i]
 	switch {
-	case c < 960 && s.pick(4) > 0: // faults are rarer than that: an election takes 200 steps
+	case c < 960 && s.pick(4) > 0: // faults are rarer, because an election takes 200 steps
 	case c < 890 && s.pick(4) == 0:
 		s.cut[[2]int{i, s.pick(len(s.nodes))}] = s.pick(3) > 0
 	case c < 893:
@@ -396,10 +395,10 @@
 	}
 }
 
-// fresh lets a node on an old folder hear that others know a later incarnation.
+// fresh informs a node on an old folder that others have seen a later incarnation.
 func (s *sim) fresh(i int) {
 	n := s.nodes[i]
-	s.note("%s hears that its folder is old", n.name)
+	s.note("%s is informed that its folder is old", n.name)
 	n.stale = false
 	if err := n.v.Old(n.clock(s)); err != nil {
 		n.stale = true
@@ -409,8 +408,8 @@
 	n.a.Restart(n.inc)
 }
 
-// kill ends a process: its folder is kept, loses what was not synced, is lost, or is an old one.
-// Of the last two there is one at a time, and not before all know the last life of it.
+// kill ends a process: its folder is kept, loses what was not synced, is lost, or is replaced by an old one. The last two
+// happen to one node at a time, and not before all others have seen that node's last incarnation.
 func (s *sim) kill(i int) {
 	n := s.nodes[i]
 	whole := s.whole() && n.votes
@@ -439,15 +438,15 @@
 		text := n.disk.File(logName)
 		text[s.pick(len(text))] ^= 1 << s.pick(8)
 		s.stats["spoilt"]++
-		s.note("%s: a bit of its log is spoilt", n.name)
+		s.note("%s: a bit of its log is flipped", n.name)
 	default:
 		s.note("%s is killed", n.name)
 	}
 	s.stats["kills"]++
 }
 
-// disaster takes the folders of all voters, or of a majority of them; then the staff let one that
-// is left go on alone, and order who should vote.
+// disaster loses the folders of all voters, or of a majority of them; then operators recover the log at one that is left, and
+// order who should vote.
 func (s *sim) disaster() {
 	if s.busy || !s.whole() {
 		return
@@ -457,7 +456,7 @@
 		lose = lose/2 + 1
 	}
 	order := s.rng.Perm(len(s.voters()))
-	if lose < len(order) { // the one that is left may lack what the others have agreed on since
+	if lose < len(order) { // the remaining voter may lack entries that the others have committed since
 		s.nodes[order[lose]].paused = true
 		s.busy = true
 		for range s.pick(600) {
@@ -474,12 +473,12 @@
 			n.v.Close()
 		}
 		n.up, n.paused, n.v, n.disk, n.old, n.stale = false, false, nil, vfstest.New(), nil, false
-		n.inc = n.maxInc // as the others of the fleet know
+		n.inc = n.maxInc // as the other nodes of the fleet have seen
 	}
 	s.note("%d of %d voters lose their folders", lose, len(order))
 	s.stats["disasters"]++
 	if lose == len(order) {
-		if s.pick(2) == 0 { // all are there again before what was held has run out
+		if s.pick(2) == 0 { // all are up again before the held leases have expired
 			clear(s.cut)
 			for _, i := range order {
 				s.launch(i)
@@ -489,7 +488,7 @@
 	}
 	n := s.nodes[order[lose]]
 	n.disk.FailAt, n.paused = 0, false
-	for k := 0; n.v.Leader() != ""; k++ { // it finds out that there is no majority
+	for k := 0; n.v.Leader() != ""; k++ { // until it detects that there is no majority
 		if k == 100 {
 			s.fail("%s still sees a leader", n.name)
 		}
@@ -497,13 +496,13 @@
 		s.believe()
 	}
 	if err := n.v.Recover(n.clock(s)); err != nil {
-		s.fail("the way out: %v", err)
+		s.fail("recovery: %v", err)
 	}
 	s.settle(order[lose])
 	s.pending = s.voters()
 }
 
-// wish gives the staff's order of who should vote to whoever leads, until it is answered.
+// wish sends the operators' order of who should vote to the present leader, until it is confirmed.
 func (s *sim) wish() {
 	for i, n := range s.nodes {
 		if s.pending != nil && n.up && !n.paused && n.v != nil && n.v.leads() && n.v.self.Log.Epoch > 1 {
@@ -517,7 +516,7 @@
 	}
 }
 
-// heal ends all faults, and checks that everybody who wants a lease gets it in time.
+// heal ends all faults, and checks that every node that wants a lease gets it in time.
 func (s *sim) heal() {
 	clear(s.cut)
 	for i, n := range s.nodes {
@@ -552,7 +551,7 @@
 		}
 	}
 	run("all vote", 60*time.Second, s.whole)
-	// In turn, each gets what it wants: the others give it back.
+	// Each node in turn gets all leases, because the others release them.
 	for i, n := range s.nodes {
 		for j, o := range s.nodes {
 			for _, name := range s.names {
@@ -576,7 +575,7 @@
 	s.stats["healed"]++
 }
 
-// number is an environment variable, for longer runs than CI's.
+// number returns an integer from an environment variable, for longer runs than in CI.
 func number(name string, usual int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -584,9 +583,9 @@
 	return usual
 }
 
-// Whatever comes in whatever order: nobody else holds what one holds, tokens grow, what was agreed
-// on stays so; and when faults end, everybody gets what it wants. LEASE_SEEDS and LEASE_STEPS
-// play more of it, LEASE_SEED one.
+// Under random orders of events and faults, a lease has at most one holder, tokens grow, and committed entries stay committed;
+// when the faults end, every node gets the leases that it wants. LEASE_SEEDS and LEASE_STEPS run more of it, LEASE_SEED a
+// single seed.
 func TestEveryOrderDrawn(t *testing.T) {
 	stats := map[string]int{}
 	steps := number("LEASE_STEPS", 30000)
@@ -624,6 +623,6 @@
 	}
 	t.Log(stats)
 	if steps >= 10000 && last-first >= 10 && min(stats["grants"], stats["kills"], stats["lost"], stats["old"], stats["lapsed"], stats["disasters"], stats["spoilt"]) == 0 {
-		t.Errorf("something never came: %v", stats)
+		t.Errorf("a kind of event never happened: %v", stats)
 	}
 }
--- a/internal/deliverynode/replica/mutants_test.go
+++ b/internal/deliverynode/replica/mutants_test.go
@@ -7,10 +7,10 @@
 	"dunetide/internal/lab/mutation"
 )
 
-// mutants are lines that would break what the page promises, one at a time. The tests have to find each.
+// mutants are changes of single lines that would break a documented guarantee. The tests must detect each of them.
 var mutants = []mutation.Mutant{
 	{
-		Name: "the earlier of two versions stands",
+		Name: "the earlier of two versions is kept",
 		File: "entry.go",
 		Old:  "if t.compare(b[0]) < 0 {",
 		New:  "if t.compare(b[0]) > 0 {",
@@ -22,37 +22,37 @@
 		New:  "p.Attempts = t.Base + t.Attempts",
 	},
 	{
-		Name: "what is out has not run",
+		Name: "an attempt without an outcome has not run",
 		File: "entry.go",
 		Old:  "if t.MayRun || t.Out || t.Settled {",
 		New:  "if t.MayRun && !t.Out || t.Settled {",
 	},
 	{
-		Name: "the last end stands",
+		Name: "the last end counts",
 		File: "entry.go",
 		Old:  "if p.End == Runs && t.End != Runs {",
 		New:  "if t.End != Runs {",
 	},
 	{
-		Name: "an earlier token is heard",
+		Name: "a batch under an earlier token is applied",
 		File: "copy.go",
 		Old:  "if b.Token < c.meta.Token {",
 		New:  "if b.Token < c.meta.Token-min(c.meta.Token, 100) {",
 	},
 	{
-		Name: "a later token is not kept on disk",
+		Name: "a later token is not stored",
 		File: "copy.go",
 		Old:  "\t\tif err := saveMeta(c.folder, metaName, next); err != nil { // the token must be durable before any change under it\n\t\t\treturn Ack{}, err\n\t\t}\n",
 		New:  "",
 	},
 	{
-		Name: "what is in between is not missed",
+		Name: "a gap before a batch is not noticed",
 		File: "copy.go",
 		Old:  "if b.From > c.at && len(b.Whole) == 0 {",
 		New:  "if false {",
 	},
 	{
-		Name: "whole without a comparison",
+		Name: "complete without a comparison",
 		File: "copy.go",
 		Old:  "complete := len(a.Differing) == 0 && len(a.Extra) == 0",
 		New:  "complete := true",
@@ -64,13 +64,13 @@
 		New:  "if !sound {",
 	},
 	{
-		Name: "what is over is not kept",
+		Name: "ended ids are not kept",
 		File: "copy.go",
 		Old:  "\t\tc.over.Add(o.ID)\n",
 		New:  "",
 	},
 	{
-		Name: "what is over at one is owed",
+		Name: "a message that has ended at one copy is delivered",
 		File: "copy.go",
 		Old:  "\t\t\tif over(e.ID) {\n\t\t\t\tcontinue\n\t\t\t}\n",
 		New:  "",
@@ -82,25 +82,25 @@
 		New:  "if again := false; again {",
 	},
 	{
-		Name: "a copy that was told to go still counts",
+		Name: "a dropped copy still counts",
 		File: "source.go",
 		Old:  "\t\tf.began, f.complete, f.at = false, false, 0 // from now on the copy counts as removed\n",
 		New:  "",
 	},
 	{
-		Name: "copies count that were not compared",
+		Name: "a copy counts that was not compared",
 		File: "source.go",
 		Old:  "\t\tif !s.followers[name].complete {\n\t\t\tversion = 0\n\t\t}\n",
 		New:  "",
 	},
 	{
-		Name: "an empty copy goes on where the lost one was",
+		Name: "an empty copy continues at the version of the lost one",
 		File: "source.go",
 		Old:  "true, min(a.At, s.version), 0\n",
 		New:  "true, max(f.at, min(a.At, s.version)), 0\n",
 	},
 	{
-		Name: "a fenced writer goes on",
+		Name: "a fenced writer continues",
 		File: "source.go",
 		Old:  "\t\ts.fenced = max(s.fenced, a.Token)\n",
 		New:  "",
@@ -124,36 +124,36 @@
 		New:  "return at >= 0\n",
 	},
 	{
-		Name: "the adopter forgets what is over",
+		Name: "a takeover does not record ended ids",
 		File: "takeover.go",
 		Old:  "\terr = w.journal.NoteOver(slices.Sorted(maps.Keys(found.over)))\n",
 		New:  "\t_ = slices.Sorted(maps.Keys(found.over))\n",
 	},
 	{
-		Name: "an owner keeps what another has",
+		Name: "an owner keeps messages that another node has",
 		File: "work_recover.go",
 		Old:  "\t\tcase known[m.ID]:\n\t\t\tgone = append(gone, m)\n\t\tcase !answered",
 		New:  "\t\tcase len(known) < 0:\n\t\tcase !answered",
 	},
 	{
-		Name: "a folder from before is taken for the last",
+		Name: "an old folder is used without catching up",
 		File: "work.go",
 		Old:  "behind := w.own && (w.behind || w.place.Since == 0 && noted || w.place.Noted && !noted)",
 		New:  "behind := false",
 	},
 	{
-		Name: "a log that was taken over is gone on with",
+		Name: "work continues on a log that was taken over",
 		File: "work.go",
 		Old:  "if noted && (n.Writer != k.options.Name || n.Done) && !w.isResolved() {",
 		New:  "if false {",
 	},
 }
 
-// TestMutantsStand fails when a line of the list no longer stands once in the file that it names.
+// TestMutantsStand fails if a line of the list does not occur exactly once in the file that it names.
 func TestMutantsStand(t *testing.T) { mutation.CheckPresent(t, mutants) }
 
-// Each wrong line is found by the tests. This takes minutes and all cores, so it is asked for:
-// COPIES_WRONG=1, or a part of a name.
+// Each mutant is detected by the tests. This takes minutes and all cores, so it runs only on request: COPIES_WRONG=1, or a
+// part of a mutant's name.
 func TestMutantsAreFound(t *testing.T) {
 	only := mutation.Requested(t, "COPIES_WRONG")
 	mutation.Find(t, mutants, mutation.Options{Only: only, Args: []string{"-timeout", "150s"}, Env: []string{"COPIES_WRONG=", "COPIES_SEEDS=120"}, Within: 3 * time.Minute})
--- a/internal/deliverynode/replica/work_recover.go
+++ b/internal/deliverynode/replica/work_recover.go
@@ -217,7 +217,7 @@
 		own.over.Add(id)
 		own.source.Over(0, id, w.keeper.options.Clock())
 	}
-	w.inherited = true // no race: only finish calls inherit again, from the same goroutine
+	w.inherited = true // no race: only finish calls recordEnded again, from the same goroutine
 	return nil
 }
 
