--- a/internal/deliverynode/lease/explore_test.go
+++ b/internal/deliverynode/lease/explore_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// model is the time of leases without raft: one log, in which what was proposed lands in any order,
-// twice or never; voters that apply it at their own pace, any of which may take itself for the
-// leader; and askers. Clocks are as far apart as is promised: a holder's is 1% slow, a voter's 1%
-// fast. Time goes on in the steps that matter: to the next end of a lease by some clock.
+// model is a model of the timing of leases without raft: one log, to which proposed commands are added in any order, twice or
+// never; voters that apply the log at their own pace, any of which may act as the leader; and clients. Clocks differ by the
+// allowed maximum: a holder's is 1% slow, a voter's 1% fast. Time advances only to the relevant moments: to the next end of a
+// lease by some clock.
 type model struct {
-	now    time.Duration // true time, in units of 100 ns, so that all clocks are whole
-	book   *StateMachine // all that has landed
+	now    time.Duration // true time, in units of 100 ns, so that all clock readings are integers
+	book   *StateMachine // the state after all commands of the log
 	landed []command
 	pool   []command // proposed
 	voters []modelVoter
@@ -74,7 +74,7 @@
 	return &c
 }
 
-// digest is what the future depends on, with times from now on.
+// digest returns a digest of the state that determines future behavior, with times relative to now.
 func (m *model) digest() uint64 {
 	h := fnv.New64a()
 	put := func(args ...any) { fmt.Fprintln(h, args...) }
@@ -111,7 +111,7 @@
 	return h.Sum64()
 }
 
-// next are all states that one event leads to.
+// next returns all states that are reachable by one event, and the names of the events.
 func (m *model) next() (all []*model, events []string) {
 	add := func(event string, do func(c *model)) {
 		c := m.clone()
@@ -121,12 +121,12 @@
 	m.nextOfVoters(add)
 	m.nextOfAskers(add)
 	for _, t := range m.moments() {
-		add(fmt.Sprint("time goes on by ", t-m.now), func(c *model) { c.now = t })
+		add(fmt.Sprint("time advances by ", t-m.now), func(c *model) { c.now = t })
 	}
 	return all, events
 }
 
-// nextOfVoters adds what may happen to the log and the voters.
+// nextOfVoters adds the possible events of the log and the voters.
 func (m *model) nextOfVoters(add func(event string, do func(c *model))) {
 	for i := range m.pool {
 		add(fmt.Sprint("lands ", i), func(c *model) { c.land(i, false) })
@@ -139,7 +139,7 @@
 			add(fmt.Sprint("applied by ", i), func(c *model) { c.apply(i) })
 		}
 		if due := cloneModelDue(v, m.now); len(due) > 0 && len(m.pool) < 3 {
-			add(fmt.Sprint("said to have run out by ", i), func(c *model) {
+			add(fmt.Sprint("expiry proposed by ", i), func(c *model) {
 				c.pool = append(c.pool, command{Lapsed: c.voters[i].counts.due(c.voters[i].book, fastClock(c.now))})
 			})
 		}
@@ -153,12 +153,12 @@
 	}
 }
 
-// nextOfAskers adds what may happen to the askers.
+// nextOfAskers adds the possible events of the clients.
 func (m *model) nextOfAskers(add func(event string, do func(c *model))) {
 	for i, a := range m.askers {
 		now := slowClock(m.now)
 		if probe := m.clone(); len(m.pool) < 3 && probe.askers[i].Step(now) != nil {
-			add(fmt.Sprint("ask of ", i), func(c *model) {
+			add(fmt.Sprint("request of ", i), func(c *model) {
 				r := c.askers[i].Step(now)
 				c.pool = append(c.pool, command{Ask: &r.Ask})
 			})
@@ -174,9 +174,9 @@
 			add(fmt.Sprint("no answer to ", i), func(c *model) { c.askers[i].NoAnswer(c.askers[i].out.Number, now) })
 		}
 		if t := a.tenures[modelName]; t != nil && t.wanted && t.token != 0 {
-			add(fmt.Sprint("given back by ", i), func(c *model) { c.askers[i].Drop(modelName, now) })
+			add(fmt.Sprint("released by ", i), func(c *model) { c.askers[i].Drop(modelName, now) })
 		} else if t == nil || !t.wanted {
-			add(fmt.Sprint("wanted by ", i), func(c *model) { _ = c.askers[i].Want(modelName, Shortest, now) })
+			add(fmt.Sprint("requested by ", i), func(c *model) { _ = c.askers[i].Want(modelName, Shortest, now) })
 		}
 		if i == 0 && a.incarnation < 2 {
 			add("another incarnation of 0", func(c *model) { c.askers[0].Restart(2) })
@@ -188,8 +188,8 @@
 	return maps.Clone(v.counts).due(v.book, fastClock(now))
 }
 
-// moments are when something may happen next: the ends of leases, just before and just at, by the
-// clocks of those who hold and of those who count, and when something may be asked.
+// moments returns the times of the next possible events: just before and at the ends of leases, by the clocks of holders and
+// of voters, and when a request is due.
 func (m *model) moments() (all []time.Duration) {
 	const unit = 10 * time.Microsecond
 	at := func(t time.Duration) {
@@ -260,7 +260,7 @@
 	v.book.freed = nil
 }
 
-// check tells what is broken; it notes who has the lease.
+// check returns which guarantee is violated, or an empty string, and records the holder.
 func (m *model) check() string {
 	holder := ""
 	for _, a := range m.askers {
@@ -300,7 +300,7 @@
 	return m
 }
 
-// do carries out one event by its name.
+// do carries out the first event whose name has a prefix.
 func (m *model) do(t *testing.T, event string) *model {
 	t.Helper()
 	all, events := m.next()
@@ -316,29 +316,30 @@
 	return nil
 }
 
-// starts are where the orders begin: each is reached by these events.
+// starts are the initial states of the exploration, each with the events that lead to it.
 var starts = map[string][]string{
 	"nothing is held": nil,
-	"one has it, as the log says and not yet the asker": {"ask of 0", "lands 0", "applied by 0", "applied by 1"},
-	"it was renewed, as one voter knows":                {"ask of 0", "lands 0", "applied by 0", "applied by 1", "answer to 0", "time goes on", "time goes on", "time goes on", "ask of 0", "lands 0", "applied by 0"},
-	"an old word that it ran out is on its way": {"ask of 0", "lands 0", "applied by 0", "applied by 1", "ask of 1", "lands 0", "answer to 1", "applied by 0", "applied by 1",
-		"to its end", "said to have run out by 0", "lands twice 0", "applied by 0", "applied by 1", "ask of 1", "lands 1", "answer to 1"},
+	"granted in the log, before the client has the answer": {"request of 0", "lands 0", "applied by 0", "applied by 1"},
+	"renewed, and one voter has applied the renewal":       {"request of 0", "lands 0", "applied by 0", "applied by 1", "answer to 0", "time advances", "time advances", "time advances", "request of 0", "lands 0", "applied by 0"},
+	"an outdated expiry is proposed": {"request of 0", "lands 0", "applied by 0", "applied by 1", "request of 1", "lands 0", "answer to 1", "applied by 0", "applied by 1",
+		"until it expires", "expiry proposed by 0", "lands twice 0", "applied by 0", "applied by 1", "request of 1", "lands 1", "answer to 1"},
 }
 
-// Every order of all events, to a depth; states that are alike are met once. LEASE_DEPTH goes deeper.
+// TestEveryOrderToADepth checks every order of all events up to a depth, and explores equal states once. LEASE_DEPTH sets the
+// depth.
 func TestEveryOrderToADepth(t *testing.T) {
 	depth := number("LEASE_DEPTH", 6)
 	for name, script := range starts {
 		t.Run(name, func(t *testing.T) {
 			start := newModel()
 			for _, event := range script {
-				if event == "to its end" { // as the voters count it
+				if event == "until it expires" { // by the voters' clocks
 					start.now = start.voters[0].counts[modelName].since*100/101 + withDrift(Shortest)
 					continue
 				}
 				start = start.do(t, event)
 			}
-			for i := range start.voters { // what both have applied need not be kept
+			for i := range start.voters { // commands that both have applied need not be kept
 				if start.voters[i].applied == len(start.landed) {
 					start.voters[i].applied = 0
 				} else if i > 0 {
@@ -360,7 +361,7 @@
 	trail []string
 }
 
-// testEveryOrder goes through the levels, each of them by all cores.
+// testEveryOrder explores the states breadth-first, each level on all cores.
 func testEveryOrder(t *testing.T, start *model, depth int) {
 	seen := map[uint64]bool{start.digest(): true}
 	level := []path{{start, nil}}
--- a/internal/deliverynode/lease/process_test.go
+++ b/internal/deliverynode/lease/process_test.go
@@ -31,7 +31,7 @@
 	nodeEnv      = "LEASE_TEST_NODE"
 )
 
-// TestMain is a node of the tests below, where the environment says so.
+// TestMain runs a node of the tests below if the environment requests it.
 func TestMain(m *testing.M) {
 	if os.Getenv(nodeEnv) != "" {
 		if err := actor(); err != nil {
@@ -43,8 +43,8 @@
 	os.Exit(m.Run())
 }
 
-// actor is a process of the fleet's and the lease's own code. It wants the lease "task", and while it
-// has it tells the witness: a line for each byte of its acts.
+// actor runs a process with the production code of fleet and leases. It requests the lease "task", and while it holds the
+// lease it reports to the witness: one line for each step of its operations.
 func actor() error {
 	name := os.Getenv(nodeEnv)
 	l, err := actorLeases(name)
@@ -73,7 +73,7 @@
 	}
 }
 
-// actorLeases joins the fleet that the environment names, and its leases.
+// actorLeases joins the fleet that the environment names, and returns its leases.
 func actorLeases(name string) (*lease.Leases, error) {
 	var file fleet.File
 	text, err := os.ReadFile(os.Getenv("FLEET_FILE"))
@@ -107,17 +107,17 @@
 	return l, nil
 }
 
-// actOnce waits for the task and acts on it for a while, if enough of the lease is left.
+// actOnce waits for the lease and performs one operation, if enough of the lease is left.
 func actOnce(task *lease.Lease, tell func(token uint64) error) error {
 	if _, err := task.Wait(context.Background()); err != nil {
 		return err
 	}
 	act, err := task.Begin(context.Background(), actTime)
 	if errors.Is(err, lease.ErrNotHeld) {
-		time.Sleep(5 * time.Millisecond) // too little of it is left
+		time.Sleep(5 * time.Millisecond) // too little of the lease is left
 		return nil
 	}
-	for range 4 { // it has ended well before its time, unless this process stands still
+	for range 4 { // the operation ends well before its time limit, unless this process is suspended
 		if act.Context.Err() != nil {
 			break
 		}
@@ -130,13 +130,13 @@
 	return nil
 }
 
-// court is the witness: it sees each byte of each act, in the order in which they come.
+// court is the witness: it receives each step of each operation, in the order of arrival.
 type court struct {
 	mu      sync.Mutex
 	fence   *lease.Fence
 	holder  map[uint64]string // of a token
 	refused map[string]int    // by process
-	last    string            // whose act was the last, and when
+	last    string            // the node of the last operation, and when it was
 	token   uint64
 	at      time.Time
 	tokens  int
@@ -167,7 +167,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if was := c.holder[token]; was != "" && was != process {
-		c.bad = append(c.bad, fmt.Sprintf("token %d is %s's and %s's", token, was, process))
+		c.bad = append(c.bad, fmt.Sprintf("token %d is held by %s and by %s", token, was, process))
 	}
 	c.holder[token] = process
 	if err := c.fence.Pass("task", token); err != nil {
@@ -196,7 +196,7 @@
 func newBench(t *testing.T, n, voters int) *bench {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("it takes 30 s")
+		t.Skip("takes 30 s")
 	}
 	net2, err := faults.NewRelays(n, 1)
 	if err != nil {
@@ -273,7 +273,7 @@
 	}
 }
 
-// await waits until the witness or a log shows something.
+// await waits until a condition on the witness or a log holds.
 func (b *bench) await(what string, within time.Duration, ok func() bool) time.Duration {
 	b.t.Helper()
 	for began := time.Now(); ; time.Sleep(2 * time.Millisecond) {
@@ -290,7 +290,7 @@
 	}
 }
 
-// acts waits for the next act under a token that is later than all before.
+// acts waits for the next operation under a token that is later than all before.
 func (b *bench) acts(what string, within time.Duration) time.Duration {
 	b.t.Helper()
 	b.court.mu.Lock()
@@ -303,14 +303,14 @@
 	})
 }
 
-// holder is who acted last.
+// holder returns the node that performed the last operation.
 func (b *bench) holder() int {
 	b.court.mu.Lock()
 	defer b.court.mu.Unlock()
 	return slices.Index(b.names, b.court.last)
 }
 
-// leader is who says so last; -1: nobody.
+// leader returns the node that was the last to log that it leads, or -1 if there is none.
 func (b *bench) leader() int {
 	for i, log := range b.logs {
 		text, err := os.ReadFile(log.Name())
@@ -330,7 +330,7 @@
 	return -1
 }
 
-// verdict is what the witness has seen: only who was stopped may have come too late.
+// verdict checks the observations of the witness: only operations of suspended processes may have been refused.
 func (b *bench) verdict(stopped map[string]bool) {
 	b.t.Helper()
 	b.court.mu.Lock()
@@ -344,16 +344,16 @@
 		}
 	}
 	if b.net.Stray.Load() != 0 {
-		b.t.Errorf("%d came from elsewhere", b.net.Stray.Load())
+		b.t.Errorf("%d messages came from unknown sources", b.net.Stray.Load())
 	}
 	b.t.Logf("%d tokens acted under, refused: %v", b.court.tokens, b.court.refused)
 }
 
 const patience = 60 * time.Second
 
-// Five processes, three of which vote, under faults; what each does under the lease is seen by a
-// witness. Nobody's act comes after a later holder's, but of one that was stopped in between, and
-// that is refused. When faults end there are grants again.
+// Five processes, three of which are voters, run under faults; a witness sees what each does under the lease. No operation
+// arrives after one of a later holder, except from a process that was suspended in between, and that one is refused. After
+// the faults the lease is granted again.
 func TestProcessesUnderAWitness(t *testing.T) {
 	b := newBench(t, 5, 3)
 	stopped := map[string]bool{}
@@ -361,8 +361,8 @@
 		text, _ := os.ReadFile(b.logs[0].Name())
 		return strings.Count(string(text), "change=ConfChangeAddNode") == 2
 	})
-	b.acts("the first act", patience)
-	old := b.t.TempDir() // the folder of a voter, of now
+	b.acts("the first operation", patience)
+	old := b.t.TempDir() // a copy of a voter's present folder
 	b.kill(2)
 	if err := os.CopyFS(old, os.DirFS(b.dirs[2])); err != nil {
 		t.Fatal(err)
@@ -372,41 +372,41 @@
 		var leader int
 		b.await("a leader", patience, func() bool { leader = b.leader(); return leader >= 0 })
 		b.kill(leader)
-		b.acts("an act after the leader's death", patience)
+		b.acts("an operation after the leader was killed", patience)
 		b.start(leader)
-		b.acts("an act with it back", patience)
+		b.acts("an operation with it back", patience)
 	}
 	for _, p := range []faults.Pattern{{What: faults.Split}, {What: faults.Deaf, Nodes: []int{0}}, {What: faults.Dumb, Nodes: []int{1}}, {What: faults.All, Fault: faults.Fault{Cut: true}}} {
 		b.net.Apply(p)
 		time.Sleep(2 * processLease) // a lease and more passes under it
 		b.net.Heal()
-		b.acts("an act after "+p.What, patience)
+		b.acts("an operation after "+p.What, patience)
 	}
-	for range 3 { // the holder stands still for longer than the lease, wherever it just is
+	for range 3 { // the holder is suspended at any point for longer than the lease
 		i := b.holder()
 		stopped[fmt.Sprint(b.names[i], " ", b.procs[i].Process.Pid)] = true
 		b.signal(i, syscall.SIGSTOP)
-		b.acts("an act of a successor", patience)
+		b.acts("an operation of a successor", patience)
 		b.signal(i, syscall.SIGCONT)
-		b.acts("an act after that", patience)
+		b.acts("an operation after that", patience)
 	}
 	b.replaceVoters(old)
-	b.kill(0) // so that it is needed
-	b.acts("an act with a majority that has the new voter in it", patience)
+	b.kill(0) // so that a majority needs the new voter
+	b.acts("an operation with a majority that includes the new voter", patience)
 	b.start(0)
-	b.holdersDie()
+	b.killHolders()
 	b.verdict(stopped)
 }
 
-// replaceVoters has a voter's folder lost, then another's replaced by one of long ago: each is set aside, learns, and takes
-// its old number's place.
+// replaceVoters loses a voter's folder, then replaces another's by an old copy: each of these nodes rejoins as a learner and
+// replaces its old raft id.
 func (b *bench) replaceVoters(old string) {
 	for _, c := range []struct {
 		voter  int
 		others [2]int
 		folder string
 	}{{1, [2]int{0, 2}, b.t.TempDir()}, {2, [2]int{0, 1}, old}} {
-		promoted := func() (n int) { // as the others have it
+		promoted := func() (n int) { // by the logs of the other voters
 			for _, i := range c.others {
 				text, _ := os.ReadFile(b.logs[i].Name())
 				n += strings.Count(string(text), "change=ConfChangeAddNode voter="+b.names[c.voter])
@@ -421,8 +421,8 @@
 	}
 }
 
-// holdersDie has holders die: each time there is a successor within the lease, the clocks' error and an election.
-func (b *bench) holdersDie() {
+// killHolders kills holders: each time there is a successor within the lease, the clock error and an election.
+func (b *bench) killHolders() {
 	var took []time.Duration
 	deaths := 6
 	if n, err := strconv.Atoi(os.Getenv("LEASE_DEATHS")); err == nil {
@@ -433,7 +433,7 @@
 		b.kill(i)
 		took = append(took, b.acts("a successor", patience))
 		b.start(i)
-		b.acts("an act with it back", patience)
+		b.acts("an operation with it back", patience)
 	}
 	slices.Sort(took)
 	b.t.Logf("a successor's first act after %v (median), %v (99th percentile), %v (most) of %d deaths; a lease is %v",
--- a/internal/deliverynode/replica/golden_test.go
+++ b/internal/deliverynode/replica/golden_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// Bytes of every message between nodes, written by an earlier version, mean the same and are written again.
+// Every message between nodes has the same encoding as in an earlier version.
 func TestGoldenMessages(t *testing.T) {
 	golden.By[Entry](t, "entry.cbor", encoding, decoding)
 	golden.By[Batch](t, "batch.cbor", encoding, decoding)
@@ -25,7 +25,7 @@
 	golden.JSON[Status](t, "status.json")
 }
 
-// The files beside the journals say whose they are.
+// The metadata files beside the journals have the same format as in an earlier version.
 func TestGoldenMetaFiles(t *testing.T) {
 	goldenMeta[meta](t, "copy")
 	goldenMeta[ownMeta](t, "own")
@@ -62,7 +62,7 @@
 	return []Entry{one, two}
 }
 
-// The folder of a copy that an earlier version has stored is read, and written again from what was read.
+// The folder of a copy that an earlier version has stored can be read, and writing its content gives the same files.
 func TestGoldenStoredCopy(t *testing.T) {
 	write := func() map[string][]byte {
 		dir := t.TempDir()
--- a/internal/deliverynode/replica/lookup_test.go
+++ b/internal/deliverynode/replica/lookup_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// stubNet is a fleet of which some members answer whether they have messages of the silent member "lost".
+// stubNet is a fleet of which some members answer whether they have messages of the unreachable member "lost".
 type stubNet struct {
 	fleet.Net
 	members []fleet.Member
@@ -52,8 +52,8 @@
 	}
 }
 
-// A message that a silent member may have accepted is not known to be new while a node that holds the member's
-// messages, and is alive, does not answer.
+// A message that an unreachable member may have accepted does not count as new while a node that has the member's messages,
+// and is alive, does not answer.
 func TestLookupAtHoldersThatDoNotAnswer(t *testing.T) {
 	alive, silent := member("a", fleet.Alive), member("a", fleet.Suspect)
 	for _, c := range []struct {
@@ -65,12 +65,12 @@
 		wantErr error
 	}{
 		{"a holder has it", alive, []string{"a"}, map[string][]string{"a": {"m"}}, true, nil},
-		{"a holder has it not", alive, []string{"a"}, map[string][]string{"a": nil}, false, nil},
+		{"a holder does not have it", alive, []string{"a"}, map[string][]string{"a": nil}, false, nil},
 		{"a holder does not answer", alive, []string{"a"}, nil, false, ErrUnknown},
-		{"a holder is silent too", silent, []string{"a"}, nil, false, nil},
+		{"a holder is unreachable too", silent, []string{"a"}, nil, false, nil},
 		{"one of two has it", alive, []string{"a", "b"}, map[string][]string{"b": {"m"}}, true, nil},
-		{"one of two has it not", alive, []string{"a", "b"}, map[string][]string{"b": nil}, false, ErrUnknown},
-		{"nobody holds copies", alive, nil, nil, false, nil},
+		{"one of two does not have it, the other does not answer", alive, []string{"a", "b"}, map[string][]string{"b": nil}, false, ErrUnknown},
+		{"no node holds copies", alive, nil, nil, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := newLookup(&stubNet{members: []fleet.Member{c.holder, member("b", fleet.Alive)}, has: c.has})
@@ -83,7 +83,7 @@
 	}
 }
 
-// Who holds messages of a silent member is not forgotten because it did not answer once.
+// A node that has messages of an unreachable member is still recorded as such after it did not answer once.
 func TestHolderThatDoesNotAnswerIsRemembered(t *testing.T) {
 	net := &stubNet{
 		members: []fleet.Member{member("a", fleet.Alive), member("b", fleet.Alive)},
--- a/internal/deliverynode/replica/merge_test.go
+++ b/internal/deliverynode/replica/merge_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawTenure is any, also one that no holder would write.
+// drawTenure draws any tenure, also one that no holder would write.
 func drawTenure(t *rapid.T, token uint64) Tenure {
 	return Tenure{Token: token, Version: rapid.Uint64Range(1, 3).Draw(t, "version"), Base: rapid.IntRange(0, 3).Draw(t, "base"),
 		Attempts: rapid.IntRange(0, 3).Draw(t, "attempts"), Settled: rapid.Bool().Draw(t, "settled"), Out: rapid.Bool().Draw(t, "out"),
@@ -29,7 +29,7 @@
 	return e
 }
 
-// Copies that differ have one rule, whoever meets whom first and however often.
+// Merge is commutative, associative and idempotent.
 func TestMergeLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawEntry(t, 1), drawEntry(t, 1), drawEntry(t, 1)
@@ -43,8 +43,8 @@
 		same("idempotent", Merge(a, a), a)
 		same("absorbs", Merge(Merge(a, b), b), Merge(a, b))
 		p, pa, pb := Merge(a, b).Past(), a.Past(), b.Past()
-		// What one holder wrote last outranks what it wrote before; beyond that nothing gets safer by a merge.
-		later := func(x, y Entry) bool { // y has a later word of some tenure of x
+		// A later version of a tenure replaces an earlier one; apart from that, a merge never makes a message appear safer.
+		later := func(x, y Entry) bool { // y has a later version of some tenure of x
 			for _, tx := range x.Tenures {
 				if ty, ok := y.tenure(tx.Token); ok && ty.compare(tx) > 0 {
 					return true
@@ -58,12 +58,12 @@
 			}
 		}
 		if (a.Bare && b.Bare) != Merge(a, b).Bare {
-			t.Fatal("taken if either has it")
+			t.Fatal("the content is missing although one of the entries has it")
 		}
 	})
 }
 
-// The same of whole copies: each message once, over at any is over, whichever comes first.
+// Union does not depend on the order of the copies, has each message once, and omits messages that have ended at any copy.
 func TestUnionLaws(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func() (all []Entry) {
@@ -88,13 +88,13 @@
 		same("idempotent", Union(over, a, a), Union(over, a))
 		for _, e := range Union(over, a, b, c) {
 			if over(e.ID) {
-				t.Fatalf("%s is over", e.ID)
+				t.Fatalf("%s has ended", e.ID)
 			}
 		}
 	})
 }
 
-// What a message has behind it, over the holders of its log.
+// Past combines the attempts and outcomes of all holders of a message's log.
 func TestPastCombinesTheTenuresOfAllLeaseHolders(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -104,11 +104,11 @@
 		{"nothing", nil, Past{}},
 		{"two attempts that surely did not run", []Tenure{{Token: 1, Attempts: 2}}, Past{Attempts: 2}},
 		{"one that is out", []Tenure{{Token: 1, Attempts: 1, Out: true, MayRun: true, RanAt: 7, RanZone: 1}}, Past{Attempts: 1, MayRun: true, RanAt: 7, RanZone: 1}},
-		{"a successor that knew of them", []Tenure{{Token: 1, Attempts: 2}, {Token: 2, Base: 2, Attempts: 1}}, Past{Attempts: 3}},
-		{"a successor that knew of fewer", []Tenure{{Token: 1, Attempts: 3, Out: true, MayRun: true, RanAt: 9}, {Token: 2, Base: 2, Attempts: 1}},
+		{"a successor with all of the attempts recorded", []Tenure{{Token: 1, Attempts: 2}, {Token: 2, Base: 2, Attempts: 1}}, Past{Attempts: 3}},
+		{"a successor with fewer attempts recorded", []Tenure{{Token: 1, Attempts: 3, Out: true, MayRun: true, RanAt: 9}, {Token: 2, Base: 2, Attempts: 1}},
 			Past{Attempts: 4, MayRun: true, RanAt: 9}},
 		{"a successor alone", []Tenure{{Token: 2, Base: 2, Attempts: 1}}, Past{Attempts: 3}},
-		{"the first end stands", []Tenure{{Token: 1, End: HandedBack, RetryMs: 5}, {Token: 2, End: GivenUp}}, Past{End: HandedBack, RetryMs: 5}},
+		{"the first end counts", []Tenure{{Token: 1, End: HandedBack, RetryMs: 5}, {Token: 2, End: GivenUp}}, Past{End: HandedBack, RetryMs: 5}},
 		{"the first that may have run", []Tenure{{Token: 1, Attempts: 1, MayRun: true, RanAt: 9, RanZone: 1}, {Token: 2, Base: 1, Attempts: 1, MayRun: true, RanAt: 4}},
 			Past{Attempts: 2, MayRun: true, RanAt: 4}},
 	} {
--- a/internal/deliverynode/replica/source_test.go
+++ b/internal/deliverynode/replica/source_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// pair is a log and its copies, stepped by hand.
+// pair is a log and its copies, without network or goroutines.
 type pair struct {
 	t      *testing.T
 	s      *Source
@@ -35,7 +35,7 @@
 	return CopyOptions{Folder: p.disks[name], Place: "here", Limit: 4 << 20, Now: time.Now, Log: slog.New(slog.DiscardHandler)}
 }
 
-// open begins a copy, or opens what is left of it.
+// open creates a copy, or opens the present one.
 func (p *pair) open(name string) {
 	p.t.Helper()
 	c, err := OpenCopy(p.options(name), p.now)
@@ -52,7 +52,7 @@
 	p.s.Change(Entry{Seq: seq, ID: fmt.Sprint("m", seq), Body: []byte{byte(seq)}, Tenures: []Tenure{{Attempts: attempts}}}, p.now)
 }
 
-// tell brings one batch to a copy; false: there is none.
+// tell sends one batch to a copy, and returns false if there is none.
 func (p *pair) tell(name string) bool {
 	p.t.Helper()
 	b := p.s.Next(name, p.now)
@@ -78,12 +78,12 @@
 			return
 		}
 		if n > 1000 {
-			p.t.Fatal("it never ends")
+			p.t.Fatal("batches never end")
 		}
 	}
 }
 
-// settle notes the copies that are whole.
+// settle notes the planned holders of the copies.
 func (p *pair) settle() {
 	p.tellAll()
 	if holders, ok := p.s.Plan(p.now); ok {
@@ -95,15 +95,15 @@
 	p.t.Helper()
 	c := p.copies[name]
 	if wrong, extra := c.compare(p.s.digests()); len(wrong)+len(extra) > 0 {
-		p.t.Errorf("%s: ranges %v are wrong, %d messages too many", name, wrong, len(extra))
+		p.t.Errorf("%s: ranges %v differ, %d extra messages", name, wrong, len(extra))
 	}
 	if len(c.entries) != len(p.s.items) {
 		p.t.Errorf("%s has %d of %d", name, len(c.entries), len(p.s.items))
 	}
 }
 
-// A lease that ran out by its holder's clock alone comes back under the same token: versions go on, or a
-// copy would take what is new for what it has.
+// A lease that expired only by its holder's clock is regained under the same token. The versions must continue, because a copy
+// would take new versions for ones that it has.
 func TestVersionsGoOnUnderARegainedToken(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
@@ -119,13 +119,13 @@
 	p.s.Begin(7, 0)
 	p.change(6, 1)
 	if at, n := p.s.Copied(); n > 0 && at >= p.s.version {
-		t.Error("a copy counts that was told nothing")
+		t.Error("a copy counts that has received nothing")
 	}
 	p.settle()
 	p.same("b")
 }
 
-// A copy is caught up from wherever it was cut off, in batches, and gets no body twice.
+// Catching a copy up resumes in batches from wherever it was interrupted, and sends no body twice.
 func TestCatchUpResumesWithoutResendingBodies(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
@@ -138,7 +138,7 @@
 	for n := 0; n < 100 && !p.copies["b"].meta.Complete; n++ {
 		b := p.s.Next("b", p.now)
 		if b == nil {
-			t.Fatal("it is told nothing more")
+			t.Fatal("no further batch is sent")
 		}
 		for _, e := range b.Items {
 			if !e.Bare {
@@ -149,7 +149,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n%2 == 1 { // its answer is lost, and the copy's process with it
+		if n%2 == 1 { // the answer is lost, and the copy's process ends
 			p.s.NoAnswer("b", b, errNoCopy, p.now)
 			p.now += holderPatience
 			p.open("b")
@@ -160,15 +160,15 @@
 	p.same("b")
 	for seq, n := range bodies {
 		if n != 1 {
-			t.Errorf("the body of %d came %d times", seq, n)
+			t.Errorf("the body of %d was sent %d times", seq, n)
 		}
 	}
-	// The next holder of the log has the bodies told to nobody again.
+	// The next holder of the log does not send the bodies again either.
 	p.s.Begin(2, p.now)
 	for b := p.s.Next("b", p.now); b != nil; b = p.s.Next("b", p.now) {
 		for _, e := range b.Items {
 			if !e.Bare {
-				t.Fatalf("the body of %d came again", e.Seq)
+				t.Fatalf("the body of %d was sent again", e.Seq)
 			}
 		}
 		a, err := p.copies["b"].Apply(*b, p.now)
@@ -180,12 +180,11 @@
 	p.same("b")
 }
 
-// What is wrong in a copy, whatever it is, is found by the next comparison and is right after it. Until
-// then the copy does not count.
+// The next comparison detects any damage of a copy and repairs it. Until then the copy does not count.
 func TestDamagedReplicaIsRepairedByComparison(t *testing.T) {
 	for name, spoil := range map[string]func(p *pair, c *Copy){
 		"a message is missing": func(_ *pair, c *Copy) { must0(t, c.drop(40)) },
-		"one is there that is over": func(p *pair, c *Copy) {
+		"a message is there that has ended": func(p *pair, c *Copy) {
 			p.s.Over(41, "m41", p.now)
 			p.s.followers["b"].at = p.s.version
 			c.at = p.s.version
@@ -197,7 +196,7 @@
 		},
 		"another body":                     func(_ *pair, c *Copy) { e := c.entries[43]; e.Body = []byte("x"); must0(t, c.put(e)) },
 		"another message under its number": func(_ *pair, c *Copy) { e := c.entries[44]; e.ID = "other"; must0(t, c.put(e)) },
-		"all of a range": func(_ *pair, c *Copy) {
+		"a whole range is missing": func(_ *pair, c *Copy) {
 			for seq := uint64(32); seq < 64; seq++ {
 				must0(t, c.drop(seq))
 			}
@@ -216,21 +215,21 @@
 			p.now += time.Minute
 			for p.copies["b"].meta.Complete { // until it is compared
 				if !p.tell("b") {
-					t.Fatal("it is not compared")
+					t.Fatal("the copy is not compared")
 				}
 			}
 			if at, _ := p.s.Copied(); at != 0 {
-				t.Error("a wrong copy counts")
+				t.Error("a damaged copy counts")
 			}
 			p.tellAll()
-			for _, e := range p.s.Found { // what only the copy has is over here
+			for _, e := range p.s.Found { // messages that only the copy has, have ended here
 				p.s.Over(e.Seq, e.ID, p.now)
 			}
 			p.now += holderPatience
 			p.tellAll()
 			p.same("b")
 			if !p.copies["b"].meta.Complete {
-				t.Error("it does not count again")
+				t.Error("the repaired copy does not count")
 			}
 		})
 	}
@@ -243,8 +242,8 @@
 	}
 }
 
-// A copy that lost what it has acknowledged, with its power or with its folder, does not count until it
-// has been compared; one that was told more than that keeps it.
+// A copy that lost acknowledged entries, by a power failure or with its folder, does not count until it has been compared; a
+// copy that has more than its writer recorded keeps it.
 func TestALostCopyDoesNotCount(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
@@ -267,7 +266,7 @@
 	p.now += holderPatience
 	p.tellAll()
 	p.same("b")
-	// Its next life is in another place: what it had acknowledged there may not be in the folder.
+	// The next process runs in another place: the folder may lack entries that were acknowledged.
 	o := p.options("b")
 	o.Place = "elsewhere"
 	c, err := OpenCopy(o, p.now)
@@ -276,7 +275,7 @@
 	}
 }
 
-// Of two holders of a log, a copy listens to the later one, on whatever way the earlier one's words come.
+// A copy follows the later of two holders of its log, also if batches of the earlier one arrive afterwards.
 func TestReplicaFollowsTheLaterLeaseHolder(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
@@ -298,20 +297,20 @@
 	}
 	p.s.Answer("b", old, a, 0)
 	if p.s.Fenced() != 6 || p.s.Next("b", time.Hour) != nil {
-		t.Error("the earlier one goes on")
+		t.Error("the earlier holder continues")
 	}
 	if _, ok := p.s.Plan(0); ok {
-		t.Error("it notes who holds copies")
+		t.Error("the fenced holder notes the holders of copies")
 	}
 	c, err := OpenCopy(p.options("b"), 0)
 	if err != nil || c.meta.Token != 6 {
-		t.Errorf("the next life of the copy knows token %d, %v", c.meta.Token, err)
+		t.Errorf("the reopened copy has token %d, %v", c.meta.Token, err)
 	}
 }
 
-// Each operation of the copy's disk failing, and each loss of power after it: what was acknowledged is
-// there, and the copy is caught up again.
-func TestTheCopysDiskFails(t *testing.T) {
+// Each operation of the copy's disk fails, and a power failure follows: acknowledged entries are still there, and the copy is
+// caught up again.
+func TestCopyDiskFails(t *testing.T) {
 	for at := 1; ; at++ {
 		p := newPair(t, 1, "b")
 		disk := p.disks["b"]
@@ -348,8 +347,8 @@
 	}
 }
 
-// What is over is known to a copy for as long as its client may hand it in again, also in its next life,
-// whether or not it ever had the message.
+// A copy remembers ended messages for as long as clients may submit them again, also after a restart, whether or not it ever
+// had the message.
 func TestReplicaRemembersEndedMessages(t *testing.T) {
 	p := newPair(t, 1, "b")
 	p.s.Choose([]string{"b"}, 0)
@@ -362,16 +361,16 @@
 	for life := range 2 {
 		for _, id := range []string{"m1", "another"} {
 			if !p.copies["b"].Knows(id) || !slices.Contains(p.copies["b"].page(0).Over, id) {
-				t.Errorf("%s is forgotten in life %d", id, life)
+				t.Errorf("%s is forgotten after %d restarts", id, life)
 			}
 		}
 		p.open("b")
 	}
 }
 
-// A copy that says nothing is let out of those that count, and another takes its place; one that comes
-// back takes it again, and nobody is told to go before there are enough.
-func TestACopyThatIsSilentIsLetOut(t *testing.T) {
+// A copy that does not answer is removed from those that count, and another replaces it; when it returns it is added again,
+// and no copy is dropped before there are enough others.
+func TestSilentCopyIsReplaced(t *testing.T) {
 	p := newPair(t, 1, "b", "c")
 	p.s.Choose([]string{"b", "c"}, 0)
 	p.s.Begin(1, 0)
@@ -384,7 +383,7 @@
 	b := p.s.Next("b", p.now)
 	p.now += holderPatience / 2
 	if next, ok := p.s.Plan(p.now); ok {
-		t.Errorf("%v is planned at once", next)
+		t.Errorf("%v is planned too soon", next)
 	}
 	p.now += holderPatience
 	p.s.NoAnswer("b", b, errNoCopy, p.now)
@@ -394,7 +393,7 @@
 	p.s.Choose([]string{"c"}, p.now)
 	for p.tell("c") {
 		if next, _ := p.s.Plan(p.now); slices.Contains(next, "c") && !p.copies["c"].meta.Complete {
-			t.Fatal("one that is not whole is to count")
+			t.Fatal("an incomplete copy is planned as a holder")
 		}
 	}
 	next, ok := p.s.Plan(p.now)
@@ -407,14 +406,14 @@
 	}
 	p.now += holderPatience
 	if b := p.s.Next("b", p.now); b == nil || !b.Drop {
-		t.Errorf("the one that is not wanted is told %+v", b)
+		t.Errorf("the copy that is not wanted gets %+v", b)
 	}
 	if b := p.s.Next("c", p.now); b != nil && b.Drop {
-		t.Error("the one that counts is told to go")
+		t.Error("a copy that counts is dropped")
 	}
 }
 
-// Who should hold copies: spread over places, few of them moved by a change, each node with about its part.
+// Rank spreads copies over localities and evenly over nodes, and a change of the members moves few of them.
 func TestReplicasAreSpreadOverLocalities(t *testing.T) {
 	var nodes []string
 	for i := range 60 {
