--- a/internal/deliverynode/lease/client.go
+++ b/internal/deliverynode/lease/client.go
@@ -337,7 +337,7 @@
 	return false
 }
 
-// resolve applies the outcome of one op. The time of a lease is counted from before the ask was sent.
+// resolve applies the outcome of one op. A lease is timed from before the request was sent.
 func (a *Client) resolve(o op, out outcome, asked, now time.Duration) {
 	t := a.tenures[o.Name]
 	if t == nil {
--- a/internal/deliverynode/lease/golden_test.go
+++ b/internal/deliverynode/lease/golden_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// Bytes of every message, record and snapshot, written by an earlier version, mean the same and are written again.
+// Every message, record and snapshot has the same encoding as in an earlier version.
 func TestGoldenMessagesAndSnapshots(t *testing.T) {
 	golden.By[request](t, "ask.cbor", encoding, decoding)
 	golden.By[answer](t, "answer.cbor", encoding, decoding)
@@ -47,7 +47,7 @@
 	if want := goldenRecords(); !reflect.DeepEqual(all, want) {
 		t.Errorf("read %+v, want %+v", all, want)
 	}
-	// What the program writes itself is the same.
+	// A file written by disk has the same bytes.
 	folder := t.TempDir()
 	w := disk{folder: vfs.Dir(folder)}
 	if err := w.renew(all[0]); err != nil {
--- a/internal/deliverynode/replica/world_disk_test.go
+++ b/internal/deliverynode/replica/world_disk_test.go
@@ -10,7 +10,7 @@
 	"dunetide/internal/platform/vfs/vfstest"
 )
 
-// wdisk is a disk that many may use, with folders on it.
+// wdisk is a simulated disk with folders, safe for concurrent use.
 type wdisk struct {
 	mu      sync.Mutex
 	folders map[string]*vfstest.Disk
@@ -61,7 +61,7 @@
 	return fmt.Sprint("place ", d.places[name])
 }
 
-// elsewhere makes all of it another place, as after a loss of power or on another machine.
+// elsewhere changes the place of all folders, as after a power failure or on another machine.
 func (d *wdisk) elsewhere() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/deliverynode/replica/world_process_test.go
+++ b/internal/deliverynode/replica/world_process_test.go
@@ -34,7 +34,7 @@
 	over  map[string]bool
 	works map[*journal.Journal]*Work
 	todo  []func()
-	acts  map[*Work]bool // serve's own
+	acts  map[*Work]bool // used only by serve
 }
 
 type wheld struct {
@@ -42,7 +42,7 @@
 	out bool
 }
 
-// Self is fleet.Net's, as what follows.
+// Self implements fleet.Net, as the following methods do.
 func (p *wproc) Self() fleet.Member {
 	return fleet.Member{Record: fleet.Record{Name: p.n.name, Incarnation: p.incarnation}, State: fleet.Alive, Heard: true}
 }
@@ -65,7 +65,7 @@
 
 func (p *wproc) Count() int { return len(p.n.w.nodes) }
 
-// way is the time that something takes from here to there.
+// way returns a random network delay.
 func (p *wproc) way() time.Duration { return time.Duration(1+p.n.w.draw(8)) * time.Millisecond }
 
 func (p *wproc) Tell(to, kind, key string, body []byte) error {
@@ -110,7 +110,7 @@
 	}
 	answer := q.asks[kind]
 	if answer == nil {
-		return nil, fleet.AnswerError("nothing is known of " + kind)
+		return nil, fleet.AnswerError("no handler for " + kind)
 	}
 	out, err := answer(ctx, fleet.Peer{Name: p.n.name, Incarnation: p.incarnation}, body)
 	if q.life.Err() != nil || !p.sleep(p.way()) || !p.n.w.reaches(other.i, p.n.i) {
@@ -126,7 +126,7 @@
 func (p *wproc) OnAsk(kind string, f fleet.AskFunc)   { p.asks[kind] = f }
 func (p *wproc) OnChange(f func(fleet.Change))        { p.changes = append(p.changes, f) }
 
-// sleep waits in the life of the process.
+// sleep waits, and returns false if the process has ended meanwhile.
 func (p *wproc) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -138,7 +138,8 @@
 	}
 }
 
-// gossip is what memberlist does, coarsely: who is heard is alive, who is not is suspect after a second.
+// gossip is a simplified failure detector in place of memberlist: a member that is reachable is alive, one that has been
+// unreachable for a second is suspect.
 func (p *wproc) gossip() {
 	since := map[string]time.Time{}
 	for p.sleep(200 * time.Millisecond) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// Adopt is Host's, as what follows.
+// Adopt implements Host, as the following methods do.
 func (p *wproc) Adopt(wk *Work, owed []*journal.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,7 +193,7 @@
 func (p *wproc) Forget(_ *Work, gone, doubted []*journal.Message) {
 	p.later(func() {
 		for _, m := range gone {
-			p.n.w.log("%s is another's, says %s", m.ID, p.n.name)
+			p.n.w.log("%s belongs to another node, according to %s", m.ID, p.n.name)
 			p.end(m, func() { _ = m.Home().Closed(m, "", time.Now()) })
 		}
 		for _, m := range doubted {
@@ -201,7 +202,7 @@
 	})
 }
 
-// later has something done by serve, in order, as a node's loop does.
+// later queues a function for serve, which runs them in order, as a node's loop does.
 func (p *wproc) later(do func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,7 +228,7 @@
 	return p.held[id] != nil || p.over[id]
 }
 
-// end forgets a message.
+// end removes a message that has ended.
 func (p *wproc) end(m *journal.Message, write func()) {
 	p.mu.Lock()
 	if h := p.held[m.ID]; h != nil && h.m == m {
@@ -238,7 +239,7 @@
 	write()
 }
 
-// handIn is a client's message.
+// handIn submits a client's message.
 func (p *wproc) handIn(id string, once bool, life time.Duration) bool {
 	elsewhere, err := p.keeper.Elsewhere(id)
 	if elsewhere || p.Knows(id) {
@@ -270,7 +271,7 @@
 	return true
 }
 
-// serve works off what is held.
+// serve works on the messages that the process holds.
 func (p *wproc) serve() {
 	for p.sleep(20 * time.Millisecond) {
 		p.mu.Lock()
@@ -298,7 +299,7 @@
 
 const lookTime = 50 * time.Millisecond
 
-// step does what is next for a message: it ends it, or sends it.
+// step carries out the next step for a message: it ends the message or sends it.
 func (p *wproc) step(h *wheld) {
 	w, m := p.n.w, h.m
 	wk := p.work(m)
@@ -331,7 +332,7 @@
 	if !p.acts[wk] || !wk.MaySend(lookTime) {
 		return
 	}
-	if w.chance(0.02) { // the module hands it back, unsent
+	if w.chance(0.02) { // the message is handed back without being sent
 		if !m.Past.MayRun {
 			_ = m.Home().Ended(m, journal.NewNotice(m.ID, true, time.Second))
 		}
@@ -344,7 +345,7 @@
 	p.running.Go(func() { p.call(h, wk) })
 }
 
-// call is one call to an endpoint.
+// call begins one call to an endpoint.
 func (p *wproc) call(h *wheld, wk *Work) {
 	m := h.m
 	if m.Class == 1 {
@@ -363,7 +364,7 @@
 	p.send(h, wk.Lost())
 }
 
-// settle records the outcome of a call that failed. Never: it is known that it has not run.
+// settle records the outcome of a failed call. If never is set, the call has certainly not run.
 func (p *wproc) settle(h *wheld, never bool) {
 	if p.life.Err() != nil {
 		return
@@ -378,7 +379,7 @@
 	p.mu.Unlock()
 }
 
-// send plays the endpoint: it takes a while to answer a call, refuses some and fails some.
+// send simulates the endpoint: it answers a call after a delay, and refuses or fails some calls.
 func (p *wproc) send(h *wheld, lost <-chan struct{}) {
 	w, m := p.n.w, h.m
 	w.mu.Lock()
@@ -416,15 +417,15 @@
 	p.settle(h, refused && !broken)
 }
 
-// sent accounts for a message that a node sends. It returns what is wrong with that, and who sent the message before.
+// sent records that a node sends a message. It returns which guarantee that violates, and the node that sent it before.
 func (a *account) sent(node string, refused bool) (bad, by string) {
 	switch {
 	case a.out > 0:
-		bad = "was sent by %s while %s had it out"
+		bad = "was sent by %s while a call of %s was in flight"
 	case a.once && a.ran > 0:
-		bad = "may not be repeated and was sent by %s after %s"
+		bad = "must not be repeated and was sent by %s after %s"
 	case a.back && a.once:
-		bad = "was sent by %s after its client was told to come again (by %s)"
+		bad = "was sent by %s after its client was told to submit it again (by %s)"
 	}
 	by = a.by
 	a.out++
--- a/internal/deliverynode/replica/world_test.go
+++ b/internal/deliverynode/replica/world_test.go
@@ -19,9 +19,9 @@
 	"dunetide/internal/deliverynode/lease"
 )
 
-// world is a fleet in simulated time: the real Keepers, leases, journals and copies of each node, over
-// disks in memory and a network that loses, doubles, delays and cuts. Nodes take messages and send them;
-// what is done to each message is seen from outside, by an account that no node has.
+// world is a fleet in simulated time: the production Keepers, leases, journals and copies of each node, on disks in memory and
+// over a network that loses, duplicates and delays messages and has partitions. Nodes accept messages and send them; an
+// account outside the nodes records what happens to each message.
 type world struct {
 	t      *testing.T
 	seed   uint64
@@ -47,35 +47,35 @@
 	silenceS      float64
 }
 
-// account is what became of one message.
+// account records what happened to one message.
 type account struct {
 	id       string
 	once     bool
 	owner    string
 	acked    bool
 	deadline time.Time
-	out      int    // calls that are out now
+	out      int    // calls in flight
 	ran      int    // attempts that may have run
 	done     bool   // delivered
-	finals   int    // notices
-	back     bool   // its client was told to come again
+	finals   int    // number of notices
+	back     bool   // its client was told to submit it again
 	excused  bool   // it may be lost
-	by       string // who sent it last
+	by       string // the node that sent it last
 }
 
-// wnode is a node: its disk, which lasts, and its process, which may not.
+// wnode is a node: its disk, which persists, and its process, which may end.
 type wnode struct {
 	w           *world
 	i           int
 	name        string
 	disk        *wdisk
-	incarnation uint64 // the last that was said
+	incarnation uint64 // the last incarnation
 	proc        *wproc // nil while it is down
 	removed     bool
 	saved       *wdisk   // a copy of its disk
-	held        []string // what its last process had
-	whole       bool     // and whether its copies were as many as wanted
-	old         bool     // its disk is from before, and the others know that
+	held        []string // ids of the messages that its last process had
+	whole       bool     // whether that process had as many copies as wanted
+	old         bool     // its disk is an old copy, and the other nodes have detected that
 }
 
 func (w *world) draw(n int) int {
@@ -105,7 +105,7 @@
 	}
 }
 
-// reaches tells whether a byte gets from one process to another now.
+// reaches reports whether the network connects two nodes now.
 func (w *world) reaches(a, b int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,7 +127,7 @@
 	return n.proc
 }
 
-// start begins a process on the node's disk.
+// start starts a process on the node's disk.
 func (n *wnode) start() {
 	w := n.w
 	w.mu.Lock()
@@ -162,7 +162,7 @@
 		p.held[m.ID] = &wheld{m: m}
 	}
 	p.mu.Unlock()
-	if n.old { // the fleet tells so before it lets the node in
+	if n.old { // the fleet reports it before the node joins
 		n.old = false
 		if err := errors.Join(p.leases.Overtaken(), p.keeper.Old()); err != nil {
 			w.breaks("%s: its old folder: %v", n.name, err)
@@ -207,7 +207,7 @@
 	return len(b), nil
 }
 
-// die ends a process as SIGKILL does: what it has written counts.
+// die ends a process as SIGKILL does: all of its writes are kept.
 func (n *wnode) die() {
 	w := n.w
 	w.mu.Lock()
@@ -227,11 +227,11 @@
 	}
 	p.mu.Unlock()
 	p.kill()
-	p.journal.Release() // nothing is written any more
+	p.journal.Release() // no further writes
 	p.running.Wait()
 	_ = errors.Join(p.keeper.Close(), p.journal.Close())
 	w.mu.Lock()
-	for _, a := range w.truth { // its calls break with it
+	for _, a := range w.truth { // the calls of the process break
 		if a.by == n.name && a.out > 0 {
 			a.out = 0
 		}
@@ -239,8 +239,8 @@
 	w.mu.Unlock()
 }
 
-// excuse tells that what a node had may be lost: its promise was off, or who has its copies may be cut off
-// for longer than it waits for them on an old folder.
+// excuse marks the messages of a node as ones that may be lost: it had too few copies, or the holders of its copies may be
+// unreachable for longer than it waits for them on an old folder.
 func (n *wnode) excuse() {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
@@ -249,7 +249,7 @@
 	}
 }
 
-// run plays one seed.
+// run runs one seed.
 func (w *world) run(steps int) {
 	w.began = time.Now()
 	for i := range w.o.nodes {
@@ -272,7 +272,7 @@
 		}
 	}
 	clients.Wait()
-	// All faults end; who is down for good stays so.
+	// All faults end; nodes that are permanently down stay down.
 	w.mu.Lock()
 	clear(w.cuts)
 	w.loss = 0
@@ -291,7 +291,7 @@
 	defer w.mu.Unlock()
 	for _, a := range w.truth {
 		if a.acked && !a.excused && !a.done && a.finals == 0 && w.broken == "" && w.o.mode == fleet.CopyBefore {
-			w.broken = fmt.Sprintf("%s, taken on by %s, has no end", a.id, a.owner)
+			w.broken = fmt.Sprintf("%s, accepted by %s, has not ended", a.id, a.owner)
 			w.events = append(w.events, "BROKEN: "+w.broken)
 		}
 	}
@@ -314,10 +314,10 @@
 	w.mu.Lock()
 	a.acked = acked
 	w.mu.Unlock()
-	w.log("%s taken on by %s: %v", a.id, n.name, acked)
+	w.log("%s submitted to %s, accepted: %v", a.id, n.name, acked)
 }
 
-// fault draws one.
+// fault begins a random fault.
 func (w *world) fault() {
 	n := w.nodes[w.draw(len(w.nodes))]
 	switch k := w.draw(300); {
@@ -325,7 +325,7 @@
 		w.machineFault(n, k)
 	case k < 54:
 		w.networkFault(n, k)
-	case k < 64: // a copy of its folder is made, and later takes its place
+	case k < 64: // a copy of the node's folder is made, which later replaces the folder
 		n.saved = n.disk.clone()
 	case k < 70:
 		w.oldFolder(n)
@@ -350,7 +350,7 @@
 	}
 }
 
-// machineFault kills or starts a node, or takes its disk or its power.
+// machineFault kills or starts a node, or loses its disk or its power.
 func (w *world) machineFault(n *wnode, k int) {
 	switch {
 	case k < 8:
@@ -361,7 +361,7 @@
 			n.start()
 		}
 	case k < 31:
-		if w.lost < w.o.copies && n.i >= 3 { // a lost voter has a page of its own
+		if w.lost < w.o.copies && n.i >= 3 { // the loss of voters is tested in package lease
 			w.lost++
 			w.log("%s is lost with its disk", n.name)
 			n.die()
@@ -381,7 +381,7 @@
 	}
 }
 
-// networkFault cuts nodes off from each other, loses messages, or heals all of that.
+// networkFault disconnects nodes, loses messages, or ends all network faults.
 func (w *world) networkFault(n *wnode, k int) {
 	switch {
 	case k < 40:
@@ -412,9 +412,9 @@
 	}
 }
 
-// oldFolder puts a node's folder of long ago in the place of its present one.
+// oldFolder replaces a node's folder by an old copy.
 func (w *world) oldFolder(n *wnode) {
-	if n.saved == nil || n.i < 3 { // old voters have a proof of their own
+	if n.saved == nil || n.i < 3 { // voters on old folders are tested in package lease
 		return
 	}
 	w.log("%s goes back to an old folder", n.name)
@@ -439,9 +439,9 @@
 	return or
 }
 
-// Drawn orders of handing in, sending, cutting, killing, losing power and machines, and returning:
-// nothing is sent twice that may not be, nothing by two at once, and in the mode before nothing that was
-// taken on is lost with as many machines as there are copies.
+// Under random orders of submitting and sending messages, partitions, kills, power failures, losses of machines and returns:
+// no message that must not be repeated is sent twice, no message is sent by two nodes at once, and in the mode "before" no
+// accepted message is lost when as many machines are lost as there are copies.
 func TestEveryOrderDrawn(t *testing.T) {
 	seeds, steps := envInt("COPIES_SEEDS", 6), envInt("COPIES_STEPS", 150)
 	first := envInt("COPIES_SEED", 1)
@@ -466,12 +466,12 @@
 					acked, lost = acked+1, lost+1
 				}
 			}
-			t.Logf("%+v: %d messages, %d taken on: %d delivered, %d ended, %d lost", o, len(w.truth), acked, done, finals, lost)
+			t.Logf("%+v: %d messages, %d accepted: %d delivered, %d ended, %d lost", o, len(w.truth), acked, done, finals, lost)
 			if w.broken != "" {
 				t.Errorf("%s\n%s", w.broken, strings.Join(w.events[max(0, len(w.events)-envInt("COPIES_SHOW", 120)):], "\n"))
 			}
 			if acked == 0 {
-				t.Error("nothing was taken on")
+				t.Error("no message was accepted")
 			}
 		})
 	}
--- a/internal/deliverynode/wire/golden_test.go
+++ b/internal/deliverynode/wire/golden_test.go
@@ -11,7 +11,7 @@
 	"dunetide/policy"
 )
 
-// goldenEvents has one event of each code. Each field of each of them differs from zero.
+// goldenEvents returns one event of each code, with every field nonzero.
 func goldenEvents() []Event {
 	report := Report{Count: 3, Values: [4]float32{1.5, 2.25, 3.125, 4.0625}}
 	const endpoint = 0x0a124a07_2bc3
@@ -36,7 +36,7 @@
 	}
 }
 
-// appendBatch writes a batch as the simulator does, which the program itself only reads.
+// appendBatch encodes a batch as the simulator does. The package itself only decodes batches.
 func appendBatch(b Batch) []byte {
 	le := binary.LittleEndian
 	var records, tail []byte
@@ -97,7 +97,7 @@
 	return append(append(head, records...), tail...)
 }
 
-// A batch with each kind of event, recorded earlier, is read as the same events.
+// A recorded batch with each kind of event is decoded to the same events.
 func TestGoldenBatch(t *testing.T) {
 	want := Batch{Number: 0x01020304, NowUs: 0x05060708090a0b0c, Events: goldenEvents()}
 	golden.Compare(t, "batch", appendBatch(want))
@@ -111,7 +111,7 @@
 	golden.Compare(t, "batch", appendBatch(got))
 }
 
-// A reply with each kind of action has the same bytes as earlier.
+// A reply with each kind of action has the same encoding as in an earlier version.
 func TestGoldenReplyOfAllActions(t *testing.T) {
 	var actions []Action
 	for code := uint8(CodeRetract); code <= CodeFail; code++ {
@@ -129,7 +129,7 @@
 	golden.Compare(t, "reply", got)
 }
 
-// A note to the other senders, written earlier, is read as the same, and written again.
+// A recorded note to the other senders is decoded to the same values and encoded to the same bytes.
 func TestGoldenNote(t *testing.T) {
 	want := policy.Tell{News: 2, Tag: 0x1234}
 	golden.Compare(t, "note", EncodeNote(want))
@@ -139,7 +139,7 @@
 	}
 }
 
-// Settings with each key that is read, recorded earlier, are read as the same.
+// Recorded settings with every key that is used are decoded to the same values.
 func TestGoldenSettings(t *testing.T) {
 	got, err := DecodeSettings(golden.Read(t, "settings.json"))
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// goldenSettings is what testdata/golden/settings.json says.
+// goldenSettings returns the content of testdata/golden/settings.json.
 func goldenSettings() policy.Settings {
 	return policy.Settings{
 		Senders: 2,
--- a/internal/deliverynode/wire/wire_test.go
+++ b/internal/deliverynode/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// record builds one record from the hex of its fields.
+// record returns a record of size bytes with fields given in hexadecimal.
 func record(t testing.TB, fields string, size int) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(fields, " ", ""))
@@ -21,7 +21,7 @@
 	return append(b, make([]byte, size-len(b))...)
 }
 
-// frame builds a batch from the hex of its records.
+// frame returns a batch with a tail and records given in hexadecimal.
 func frame(t testing.TB, tail string, records ...string) []byte {
 	t.Helper()
 	b := record(t, "0c000000 00000000 5a5c800000000000", 16)
@@ -35,7 +35,7 @@
 	return b
 }
 
-// The frames that the description of the wire prints.
+// The frames printed in the description of the protocol.
 const (
 	selectRec  = "14 0300"
 	ingressRec = "17 c4913a5d873c0f00 00006442 00 640ad2557c3bf091 01 da05840000000000 e02e0000 00000000"
@@ -170,7 +170,8 @@
 	}
 }
 
-func TestRestOfEvents(t *testing.T) {
+// TestOtherEvents checks the events that are not in the printed frames.
+func TestOtherEvents(t *testing.T) {
 	b, err := DecodeBatch(frame(t, "6162",
 		"10 0700000000000000 02 0a000000 01020304 0605",
 		"12",
@@ -193,10 +194,10 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
-	whole := frame(t, pageTail, selectRec, pageRec, fleetRec)
+func TestMalformedBatches(t *testing.T) {
+	valid := frame(t, pageTail, selectRec, pageRec, fleetRec)
 	patched := func(at int, v byte) []byte {
-		b := bytes.Clone(whole)
+		b := bytes.Clone(valid)
 		b[at] = v
 		return b
 	}
@@ -204,9 +205,9 @@
 		name string
 		in   []byte
 	}{
-		{"header cut", whole[:5]},
-		{"frame cut", whole[:len(whole)-1]},
-		{"size under a header", record(t, "01000000 04000000 00000000", 12)},
+		{"truncated header", valid[:5]},
+		{"truncated frame", valid[:len(valid)-1]},
+		{"size below that of a header", record(t, "01000000 04000000 00000000", 12)},
 		{"more records than bytes", patched(16, 200)},
 		{"unknown code", frame(t, "", "63")},
 		{"entries outside the tail", frame(t, pageTail, "11 00000000 00000000 03000000")},
@@ -215,10 +216,10 @@
 		{"unknown state", frame(t, strings.Replace(pageTail, "3900 01", "3900 07", 1), pageRec)},
 		{"unknown fleet kind", frame(t, "", "1a 09 2900000000000000 00000000")},
 		{"unknown result", frame(t, "", strings.Replace(doneRec, "c800", "c900", 1))},
-		{"Final is no flag", frame(t, "", strings.Replace(doneRec, "c32b 01", "c32b 02", 1))},
+		{"invalid flag Final", frame(t, "", strings.Replace(doneRec, "c32b 01", "c32b 02", 1))},
 		{"settings outside the tail", frame(t, "", "18 0900000000000000 00000000 01000000")},
 		{"padding", frame(t, "", selectRec+" 01")},
-		{"destination no number", frame(t, "", strings.Replace(ingressRec, "00006442", "0000c07f", 1))},
+		{"destination is not a number", frame(t, "", strings.Replace(ingressRec, "00006442", "0000c07f", 1))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if b, err := ReadBatch(bytes.NewReader(c.in)); err == nil || errors.Is(err, io.EOF) {
