--- a/internal/deliverynode/lease/aside_test.go
+++ b/internal/deliverynode/lease/aside_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Tick(lookEvery)
+	v.Tick(queryEvery)
 	if v.node == nil {
 		t.Fatal("no log was created")
 	}
@@ -42,7 +42,7 @@
 	v, old := votesIn(t, d)
 	before := d.File(logName)
 	d.FailAt, d.Fails = d.Ops+1, 1<<20
-	now := 2 * lookEvery
+	now := 2 * queryEvery
 	next := logID{old.ID, old.Epoch + 1}
 	invitation, err := encoding.Marshal(message{What: messageQuery, Log: next, Start: 9})
 	if err != nil {
@@ -52,7 +52,7 @@
 		t.Error("setting the log aside was reported as done")
 	}
 	for range 3 {
-		now += lookEvery
+		now += queryEvery
 		v.Tick(now)
 		v.Receive(now, fleet.Peer{Name: "n1", Incarnation: 1}, invitation)
 		if v.node != nil {
@@ -63,11 +63,11 @@
 		t.Error("the old log was changed")
 	}
 	d.FailAt = 0
-	v.Tick(now + lookEvery/2)
+	v.Tick(now + queryEvery/2)
 	if d.File(logName) == nil {
 		t.Error("retried too soon")
 	}
-	v.Tick(now + lookEvery)
+	v.Tick(now + queryEvery)
 	if string(d.File(logAside)) != string(before) {
 		t.Error("the old log was not set aside once the disk worked again")
 	}
--- a/internal/deliverynode/lease/client.go
+++ b/internal/deliverynode/lease/client.go
@@ -29,18 +29,18 @@
 
 // tenure is the state of one lease at a Client.
 type tenure struct {
-	length time.Duration
-	wanted bool          // if false, the lease is being released
-	token  uint64        // 0 if it is not held
-	giving uint64        // token of a lease that must be released before anything else, 0 if there is none
-	until  time.Duration // when the lease of token or giving expires, by this node's clock
-	askAt  time.Duration // when the next request for it is due
-	holder string        // its holder at the last answer
-	since  uint64        // see op.Since
-	note   []byte        // the note of the name at the last answer
-	set    []byte        // the note to set, if toSet
-	toSet  bool
-	no     string // why it was not granted
+	length  time.Duration
+	wanted  bool          // if false, the lease is being released
+	token   uint64        // 0 if it is not held
+	giving  uint64        // token of a lease that must be released before anything else, 0 if there is none
+	until   time.Duration // when the lease of token or giving expires, by this node's clock
+	askAt   time.Duration // when the next request for it is due
+	holder  string        // its holder at the last answer
+	since   uint64        // see op.Since
+	note    []byte        // the note of the name at the last answer
+	set     []byte        // the note to set, if toSet
+	toSet   bool
+	refusal string // why it was not granted
 }
 
 // sentRequest is a request that was sent and has not been answered yet.
@@ -356,7 +356,7 @@
 		t.until = max(t.until, asked+out.Length)
 		return
 	}
-	t.holder, t.no = out.Holder, out.No
+	t.holder, t.refusal = out.Holder, out.No
 	if !out.Mine {
 		if t.token != 0 {
 			a.stats.Lost++
--- a/internal/deliverynode/lease/lease.go
+++ b/internal/deliverynode/lease/lease.go
@@ -35,8 +35,8 @@
 var (
 	// ErrNotHeld is returned when a lease is not held, or expires too soon.
 	ErrNotHeld = errors.New("lease not held, or about to expire")
-	// ErrOutside is returned when this node has not joined its fleet.
-	ErrOutside = errors.New("this node has not joined its fleet")
+	// ErrNotJoined is returned when this node has not joined its fleet.
+	ErrNotJoined = errors.New("this node has not joined its fleet")
 )
 
 // Options configures Leases.
@@ -368,8 +368,8 @@
 		l.mu.Lock()
 		if tenure := l.client.tenures[name]; tenure != nil && tenure.holder != "" {
 			err = fmt.Errorf("%w: %s has it", err, tenure.holder)
-		} else if tenure != nil && tenure.no != "" {
-			err = fmt.Errorf("%w: %s", err, tenure.no)
+		} else if tenure != nil && tenure.refusal != "" {
+			err = fmt.Errorf("%w: %s", err, tenure.refusal)
 		}
 		l.mu.Unlock()
 		t.Release(context.Background()) // no operation can be in progress
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -102,10 +102,10 @@
 // first configured voter queries the others, and begins a log if none of them has one.
 func (v *Voter) queryIdentities(now time.Duration) {
 	begins := v.hasNoEntries() && len(v.options.Voters) > 0 && v.options.Voters[0] == v.options.Name
-	if !begins && !v.leads() || now-v.looked < lookEvery {
+	if !begins && !v.leads() || now-v.queried < queryEvery {
 		return
 	}
-	v.looked = now
+	v.queried = now
 	ask := v.options.Voters
 	if !begins {
 		ask = v.machine.state.Wanted
--- a/internal/deliverynode/lease/mutants_test.go
+++ b/internal/deliverynode/lease/mutants_test.go
@@ -169,7 +169,7 @@
 		Name: "a request is answered before it is committed",
 		File: "voter.go",
 		Old:  "\tv.pending[key] = waiting{reply, now + answerTime}\n",
-		New:  "\tif all, _, err := must(readStateMachine(must(v.machine.snapshot()))).applyRequest(&a); err == nil {\n\t\treply(answer{Log: v.self.Log, Outcomes: all})\n\t} else {\n\t\treply(v.no(err))\n\t}\n",
+		New:  "\tif all, _, err := must(readStateMachine(must(v.machine.snapshot()))).applyRequest(&a); err == nil {\n\t\treply(answer{Log: v.self.Log, Outcomes: all})\n\t} else {\n\t\treply(v.refusal(err))\n\t}\n",
 	},
 }
 
--- a/internal/deliverynode/lease/status.go
+++ b/internal/deliverynode/lease/status.go
@@ -80,7 +80,7 @@
 	now := l.options.Clock()
 	s.Why, s.Leases = l.failed, []Wish{}
 	if !l.joined {
-		s.Why = ErrOutside.Error()
+		s.Why = ErrNotJoined.Error()
 	}
 	s.Client = ClientStatus{Incarnation: l.client.incarnation, Requests: l.client.number, Leader: l.client.leader, Stats: l.client.stats}
 	if took := slices.Sorted(slices.Values(l.took)); len(took) > 0 {
@@ -93,7 +93,7 @@
 	for _, name := range l.client.names() {
 		t := l.client.tenures[name]
 		token, left := l.client.Held(name, now)
-		s.Leases = append(s.Leases, Wish{name, token, left.Seconds(), t.length.Seconds(), t.holder, t.no})
+		s.Leases = append(s.Leases, Wish{name, token, left.Seconds(), t.length.Seconds(), t.holder, t.refusal})
 	}
 	l.mu.Unlock()
 	if s.Why != "" {
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -18,10 +18,10 @@
 	tickEvery      = 100 * time.Millisecond
 	electionTicks  = 10
 	heartbeatTicks = 2
-	// lookEvery is how often the leader, or the node that may begin a log, queries the identities of other nodes. seenFor
+	// queryEvery is how often the leader, or the node that may begin a log, queries the identities of other nodes. seenFor
 	// is how long an answer is valid.
-	lookEvery = time.Second
-	seenFor   = 3 * time.Second
+	queryEvery = time.Second
+	seenFor    = 3 * time.Second
 	// snapshotTime is the time limit for the transfer of a snapshot, which has up to 1 MiB.
 	snapshotTime = 2 * time.Second
 	// changeEvery is the shortest time between two changes of the voters.
@@ -92,7 +92,7 @@
 	here    map[string]sighting        // identities of other nodes, by name
 	// snapshots are the times at which unanswered snapshots were sent, by raft id.
 	snapshots map[uint64]time.Duration
-	looked    time.Duration // the last query of identities
+	queried   time.Duration // the last query of identities
 	changed   time.Duration // the last change of the voters
 	ticked    time.Duration // the last raft tick
 	keys      uint64        // number of the last message with entries
@@ -130,8 +130,8 @@
 	}
 	v.reportSnapshots()
 	late := answer{Log: v.self.Log, No: "the request was not committed in time", Maybe: true}
-	drop(v.pending, now, late)
-	drop(v.wanted, now, late)
+	expireWaiting(v.pending, now, late)
+	expireWaiting(v.wanted, now, late)
 	if v.leads() {
 		v.expire(now)
 		v.changeVoters(now)
@@ -151,8 +151,8 @@
 	return slices.Compact(all)
 }
 
-// no returns the answer to a request that has no effect.
-func (v *Voter) no(err error) answer {
+// refusal returns the answer to a request that has refusal effect.
+func (v *Voter) refusal(err error) answer {
 	return answer{Leader: v.Leader(), Log: v.self.Log, No: err.Error(), Voters: v.Voters()}
 }
 
@@ -199,15 +199,15 @@
 func (v *Voter) Ask(now time.Duration, a request, reply func(answer)) {
 	switch {
 	case !v.leads():
-		reply(v.no(errNotLeader))
+		reply(v.refusal(errNotLeader))
 		return
 	case len(v.pending) >= maxPending:
-		reply(v.no(errors.New("too many requests wait to be committed")))
+		reply(v.refusal(errors.New("too many requests wait to be committed")))
 		return
 	}
 	key := requestKey{a.Node, a.Incarnation, a.Number}
 	if _, there := v.pending[key]; there || !v.propose(command{Ask: &a}) {
-		reply(v.no(errNotProposed))
+		reply(v.refusal(errNotProposed))
 		return
 	}
 	v.pending[key] = waiting{reply, now + answerTime}
@@ -217,12 +217,12 @@
 // Tick.
 func (v *Voter) Want(now time.Duration, names []string, reply func(answer)) {
 	if !v.leads() {
-		reply(v.no(errNotLeader))
+		reply(v.refusal(errNotLeader))
 		return
 	}
 	request := v.options.Random()
 	if !v.propose(command{Wanted: names, Request: request}) {
-		reply(v.no(errNotProposed))
+		reply(v.refusal(errNotProposed))
 		return
 	}
 	v.wanted[request] = waiting{reply, now + answerTime}
--- a/internal/deliverynode/lease/voter_log.go
+++ b/internal/deliverynode/lease/voter_log.go
@@ -221,7 +221,7 @@
 	delete(v.pending, key)
 	out := answer{Log: v.self.Log, Outcomes: all, Voters: v.Voters()}
 	if err != nil {
-		out = v.no(err)
+		out = v.refusal(err)
 	}
 	for i, o := range all {
 		if a.Ops[i].Do == opTake && !o.Mine {
--- a/internal/deliverynode/lease/voter_open.go
+++ b/internal/deliverynode/lease/voter_open.go
@@ -16,7 +16,7 @@
 func NewVoter(o VoterOptions, now time.Duration) (*Voter, error) {
 	v := &Voter{options: o, disk: disk{folder: o.Folder}}
 	v.reset()
-	v.ticked, v.looked = now, now-lookEvery
+	v.ticked, v.queried = now, now-queryEvery
 	all, err := v.disk.load()
 	if err == nil && len(all) > 0 {
 		if bad := v.restore(all, now); bad != nil {
@@ -42,12 +42,12 @@
 // dropPending answers all waiting callers.
 func (v *Voter) dropPending(why string) {
 	all, ans := time.Duration(1<<63-1), answer{No: why, Maybe: true}
-	drop(v.pending, all, ans)
-	drop(v.wanted, all, ans)
+	expireWaiting(v.pending, all, ans)
+	expireWaiting(v.wanted, all, ans)
 }
 
-// drop answers the callers that have waited for too long and removes them.
-func drop[K comparable](all map[K]waiting, now time.Duration, ans answer) {
+// expireWaiting answers the callers that have waited for too long and removes them.
+func expireWaiting[K comparable](all map[K]waiting, now time.Duration, ans answer) {
 	for key, w := range all {
 		if now >= w.until {
 			delete(all, key)
@@ -74,7 +74,7 @@
 
 // retryAside retries a failed setAside.
 func (v *Voter) retryAside(now time.Duration) {
-	if v.notAside != nil && now-v.triedAside >= lookEvery {
+	if v.notAside != nil && now-v.triedAside >= queryEvery {
 		v.setAside(now)
 	}
 }
--- a/internal/deliverynode/replica/copy.go
+++ b/internal/deliverynode/replica/copy.go
@@ -59,8 +59,8 @@
 	dropped bool
 	// heard is when the last batch of the writer arrived, by this node's clock.
 	heard time.Duration
-	// whole is when the copy was last found equal to its writer's log.
-	whole time.Duration
+	// comparedAt is when the copy was last found equal to its writer's log.
+	comparedAt time.Duration
 }
 
 // CopyOptions configures a Copy.
@@ -242,7 +242,7 @@
 		a.Differing, a.Extra = c.compare(b.Check)
 		complete := len(a.Differing) == 0 && len(a.Extra) == 0
 		if complete {
-			c.whole = now
+			c.comparedAt = now
 		}
 		if complete != c.meta.Complete {
 			next := c.meta
--- a/internal/deliverynode/replica/keeper.go
+++ b/internal/deliverynode/replica/keeper.go
@@ -63,8 +63,8 @@
 )
 
 var (
-	// ErrShort is returned when there are fewer copies than configured.
-	ErrShort = errors.New("too few copies are reachable")
+	// ErrTooFewCopies is returned when there are fewer copies than configured.
+	ErrTooFewCopies = errors.New("too few copies are reachable")
 	// ErrNotOurs is returned when this node does not hold the lease of the log.
 	ErrNotOurs = errors.New("this node does not hold the lease of the log")
 )
--- a/internal/deliverynode/replica/status.go
+++ b/internal/deliverynode/replica/status.go
@@ -81,8 +81,8 @@
 		c := h.copy
 		cs := CopyStatus{Owner: c.meta.Owner, Log: fmt.Sprintf("%016x", c.meta.Log), Writer: h.writer, Token: c.meta.Token,
 			Entries: len(c.entries), Bytes: c.journal.Status().Bytes, Complete: c.meta.Complete, Silent: (now - c.heard).Seconds(), Taking: h.taking}
-		if c.whole > 0 {
-			cs.Same = (now - c.whole).Seconds()
+		if c.comparedAt > 0 {
+			cs.Same = (now - c.comparedAt).Seconds()
 		}
 		h.mu.Unlock()
 		s.Copies = append(s.Copies, cs)
--- a/internal/deliverynode/replica/work_wait.go
+++ b/internal/deliverynode/replica/work_wait.go
@@ -59,7 +59,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, copies := w.source.Copied(); !w.resolved || copies < w.keeper.options.Copies {
-		return fmt.Errorf("%w: %d of %d", ErrShort, copies, w.keeper.options.Copies)
+		return fmt.Errorf("%w: %d of %d", ErrTooFewCopies, copies, w.keeper.options.Copies)
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, copies := w.source.Copied(); w.resolved && w.short(copies, wait.least) {
-		return fmt.Errorf("%w: %d of %d", ErrShort, copies, wait.least)
+		return fmt.Errorf("%w: %d of %d", ErrTooFewCopies, copies, wait.least)
 	}
 	return fmt.Errorf("waiting for the copies: %w", ended)
 }
--- a/internal/deliverynode/replica/world_process_test.go
+++ b/internal/deliverynode/replica/world_process_test.go
@@ -65,8 +65,10 @@
 
 func (p *wproc) Count() int { return len(p.n.w.nodes) }
 
-// way returns a random network delay.
-func (p *wproc) way() time.Duration { return time.Duration(1+p.n.w.draw(8)) * time.Millisecond }
+// networkDelay returns a random network delay.
+func (p *wproc) networkDelay() time.Duration {
+	return time.Duration(1+p.n.w.draw(8)) * time.Millisecond
+}
 
 func (p *wproc) Tell(to, kind, key string, body []byte) error {
 	other := p.n.w.named(to)
@@ -74,7 +76,7 @@
 		return fleet.ErrUnknown
 	}
 	p.running.Go(func() {
-		if !p.sleep(p.way()) || !p.n.w.reaches(p.n.i, other.i) {
+		if !p.sleep(p.networkDelay()) || !p.n.w.reaches(p.n.i, other.i) {
 			return
 		}
 		if q := other.alive(); q != nil && q.news[kind] != nil {
@@ -101,7 +103,7 @@
 		}
 		return nil, fleet.ErrMaybe
 	}
-	if !p.sleep(p.way()) || !p.n.w.reaches(p.n.i, other.i) {
+	if !p.sleep(p.networkDelay()) || !p.n.w.reaches(p.n.i, other.i) {
 		return lost()
 	}
 	q := other.alive()
@@ -113,7 +115,7 @@
 		return nil, fleet.AnswerError("no handler for " + kind)
 	}
 	out, err := answer(ctx, fleet.Peer{Name: p.n.name, Incarnation: p.incarnation}, body)
-	if q.life.Err() != nil || !p.sleep(p.way()) || !p.n.w.reaches(other.i, p.n.i) {
+	if q.life.Err() != nil || !p.sleep(p.networkDelay()) || !p.n.w.reaches(other.i, p.n.i) {
 		return lost()
 	}
 	if err != nil {
