--- a/internal/deliverynode/lease/client.go
+++ b/internal/deliverynode/lease/client.go
@@ -16,10 +16,10 @@
 	// minBackoff and maxBackoff bound the delay after a failed request.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// renewDivisor is the part of its length after which a lease is renewed, so that the rest is left for an election.
+	// renewDivisor divides the length of a lease to give the time after which it is renewed. The rest is left for an election.
 	renewDivisor = 3
-	// minPoll and maxPoll bound the delay before requesting again a lease that another node has, which is a pollDivisor-th
-	// of its length. The leader also notifies waiting nodes when the lease becomes free.
+	// minPoll and maxPoll bound the delay before a lease that another node has is requested again. The delay is the length
+	// divided by pollDivisor. The leader also notifies waiting nodes when the lease becomes free.
 	minPoll     = 250 * time.Millisecond
 	maxPoll     = 10 * time.Second
 	pollDivisor = 8
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// hasNoEntries reports whether this node has no entries of a log. A node that was invited to a log that has been lost since must
-// not prevent a new one.
+// hasNoEntries reports whether this node has no entries of a log. A node that was invited to a log that has been lost since
+// must not prevent a new one.
 func (v *Voter) hasNoEntries() bool {
 	if v.node == nil {
 		return true
@@ -98,8 +98,8 @@
 	return err == nil && last == 0
 }
 
-// queryIdentities queries the identities of other nodes. The leader queries the nodes that should be voters. Before there is a log, the
-// first configured voter queries the others, and begins a log if none of them has one.
+// queryIdentities queries the identities of other nodes. The leader queries the nodes that should be voters. Before there is
+// a log, the first configured voter queries the others, and begins a log if none of them has one.
 func (v *Voter) queryIdentities(now time.Duration) {
 	begins := v.hasNoEntries() && len(v.options.Voters) > 0 && v.options.Voters[0] == v.options.Name
 	if !begins && !v.leads() || now-v.queried < queryEvery {
@@ -134,8 +134,8 @@
 	}
 }
 
-// changeVoters changes the voters, one at a time, to those that should be voters: a missing one is first added as a learner, then
-// replaces the raft id that its node had before, and then the others are removed.
+// changeVoters changes the voters, one at a time, to those that should be voters: a missing one is first added as a learner,
+// then replaces the raft id that its node had before, and then the others are removed.
 func (v *Voter) changeVoters(now time.Duration) {
 	if now-v.changed < changeEvery {
 		return
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -151,7 +151,7 @@
 	return slices.Compact(all)
 }
 
-// refusal returns the answer to a request that has refusal effect.
+// refusal returns the answer to a request that has no effect.
 func (v *Voter) refusal(err error) answer {
 	return answer{Leader: v.Leader(), Log: v.self.Log, No: err.Error(), Voters: v.Voters()}
 }
--- a/internal/deliverynode/replica/source.go
+++ b/internal/deliverynode/replica/source.go
@@ -485,7 +485,7 @@
 	f.out, f.why, f.pauseTo = nil, why.Error(), now+holderPatience/10
 	f.began = false // the copy's process may have restarted since
 	if b.Drop && now-f.heardAt > time.Minute && !s.uses(to) {
-		delete(s.followers, to) // no longer told to drop its copy
+		delete(s.followers, to) // the node learns from the note in the log's lease that its copy does not count
 	}
 }
 
--- a/internal/deliverynode/replica/work.go
+++ b/internal/deliverynode/replica/work.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// runUnder works on the log as long as its lease can be obtained. It returns true if the log was begun anew under another
+// runUnder works on the log as long as its lease can be obtained. It returns true if a new log was begun under another
 // number.
 func (w *Work) runUnder(ctx context.Context, l *lease.Lease) (again bool) {
 	w.mu.Lock()
@@ -149,7 +149,7 @@
 	return false
 }
 
-// tenureEnd says how a tenure ended.
+// tenureEnd is the reason why a tenure ended.
 type tenureEnd int
 
 const (
