--- a/cmd/deliverynode/main.go
+++ b/cmd/deliverynode/main.go
@@ -1,4 +1,4 @@
-// Command deliverynode is one delivery node.
+// Command deliverynode runs a delivery node.
 package main
 
 import (
@@ -21,16 +21,16 @@
 	"dunetide/internal/platform/vfs"
 )
 
-const usage = `usage: deliverynode [flags]   a delivery node; PROXY_CONFIG and PROXY_STATE say how and where
-       deliverynode check DIR reads a state folder and changes nothing;
+const usage = `usage: deliverynode [flags]   runs a delivery node, configured by PROXY_CONFIG and PROXY_STATE
+       deliverynode check DIR checks a state folder without changing it;
                               exit 0: sound, 1: damaged, 2: not usable
 flags:
 `
 
-// largest is the largest file that check reads.
-const largest = 64 << 20
+// maxFileSize is the size in bytes of the largest file that check reads.
+const maxFileSize = 64 << 20
 
-// options are the parts that are switched on.
+// options are the values of the command-line flags.
 type options struct {
 	warm, sync bool
 	group      int
@@ -42,15 +42,15 @@
 func main() {
 	flags := flag.NewFlagSet("deliverynode", flag.ContinueOnError)
 	var o options
-	flags.BoolVar(&o.warm, "warm", false, "open connections to endpoints ahead, for as many calls at once as there were of late;\n"+
-		"each costs its endpoint a handshake and a place, in every node that does so")
-	flags.BoolVar(&o.sync, "sync", false, "take a message on, and make a call that may not be repeated, only when that outlasts\n"+
-		"a loss of power; the folder is then for this version or a newer one")
-	flags.IntVar(&o.group, "group", 0, "be one node together with up to so many processes, this one counted, that are started\n"+
-		"with the same environment on the same state folder")
-	flags.StringVar(&o.fleet, "fleet", "", "know of the other delivery nodes that this `file` names, and talk to them; docs/fleet.md")
-	flags.IntVar(&o.copies, "copies", 0, "have so many other nodes of the fleet keep what this one has taken on, and keep theirs; docs/copies.md")
-	flags.DurationVar(&o.copyWait, "copy-wait", node.DefaultCopyWait, "wait so long for the copies of a client's message before it is refused: less than clients wait")
+	flags.BoolVar(&o.warm, "warm", false, "open connections to endpoints in advance, for as many concurrent calls as there were recently;\n"+
+		"each costs its endpoint a handshake and a connection slot, for every node with this flag")
+	flags.BoolVar(&o.sync, "sync", false, "accept a message, and make a call that may not be repeated, only once its record survives\n"+
+		"a power loss; older versions cannot read the folder afterwards")
+	flags.IntVar(&o.group, "group", 0, "form one node of up to this many processes, including this one, that are started with\n"+
+		"the same environment on the same state folder")
+	flags.StringVar(&o.fleet, "fleet", "", "connect to the other delivery nodes that this `file` lists; see docs/fleet.md")
+	flags.IntVar(&o.copies, "copies", 0, "replicate accepted messages to this many other nodes of the fleet, and keep replicas for them; see docs/copies.md")
+	flags.DurationVar(&o.copyWait, "copy-wait", node.DefaultCopyWait, "how long to wait for the replicas of a client's message before refusing it; keep it below the clients' timeout")
 	flags.Usage = func() {
 		fmt.Fprint(flags.Output(), usage)
 		flags.PrintDefaults()
@@ -63,7 +63,7 @@
 	case flags.NArg() == 2 && flags.Arg(0) == "check" && flags.NFlag() == 0:
 		os.Exit(check(flags.Arg(1), os.Stdout))
 	case flags.NArg() > 0:
-		fmt.Fprintf(os.Stderr, "deliverynode: %q is neither a flag nor 'check DIR'\n", flags.Arg(0))
+		fmt.Fprintf(os.Stderr, "deliverynode: unexpected argument %q, want flags or 'check DIR'\n", flags.Arg(0))
 		os.Exit(1)
 	}
 	if o.group < 0 || o.group > group.MaxMembers {
@@ -75,7 +75,7 @@
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	hangups := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile
+	hangups := make(chan os.Signal, 1) // signals that arrive while one is pending are merged into it
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -102,13 +102,13 @@
 	return node.Run(ctx, c, hangups, log)
 }
 
-// debugRequested reports whether each failed call is to be logged. WINGMOUNT_DEBUG is the variable's name before the program
-// was renamed; it goes with cmd/wingmount.
+// debugRequested reports whether each failed call is to be logged. WINGMOUNT_DEBUG is the former name of the variable; it will
+// be removed together with cmd/wingmount.
 func debugRequested(getenv func(string) string) bool {
 	return getenv("DELIVERYNODE_DEBUG") != "" || getenv("WINGMOUNT_DEBUG") != ""
 }
 
-// check tells what is in a state folder; it returns the exit status.
+// check prints a report on a state folder and returns the exit status.
 func check(dir string, out io.Writer) int {
 	lock, err := vfs.Lock(dir)
 	if err != nil {
@@ -116,11 +116,11 @@
 		return 2
 	}
 	if lock == nil {
-		fmt.Fprintln(out, "in use by a running node: what is being written meanwhile may look torn")
+		fmt.Fprintln(out, "in use by a running node: records being written now may look torn")
 	} else {
 		_ = lock.Close() // a node may start meanwhile
 	}
-	report, err := journal.Check(vfs.Dir(dir), largest)
+	report, err := journal.Check(vfs.Dir(dir), maxFileSize)
 	if err != nil {
 		fmt.Fprintf(out, "not usable: %v\n", err)
 		return 2
--- a/cmd/winglab/main_test.go
+++ b/cmd/winglab/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The old name runs the lab and names the program that took its place.
+// The old name runs the lab and names the program that replaces it.
 func TestOldNameRunsSuccessor(t *testing.T) {
 	out, err := exec.CommandContext(t.Context(), "go", "run", ".", "--help").CombinedOutput()
 	if err != nil {
--- a/cmd/wingmount/main.go
+++ b/cmd/wingmount/main.go
@@ -1,5 +1,5 @@
-// Command wingmount is the former name of cmd/deliverynode. It starts the program deliverynode that lies beside it, with the same
-// arguments and environment, and says so on standard error. It stays for one version.
+// Command wingmount is the former name of cmd/deliverynode. It prints a deprecation notice on standard error and executes the
+// program deliverynode in the same folder, with the same arguments and environment. It is kept for one version.
 package main
 
 import (
@@ -9,18 +9,19 @@
 	"syscall"
 )
 
-// successor is the program that took this one's place.
+// successor is the program that replaces this one.
 const successor = "deliverynode"
 
 func main() {
-	fmt.Fprintf(os.Stderr, "wingmount: this program is now called %s; the old name goes with the next version\n", successor)
+	fmt.Fprintf(os.Stderr, "wingmount: this program is now called %s; the old name will be removed in the next version\n", successor)
 	if err := execSuccessor(os.Args[1:]); err != nil {
 		fmt.Fprintf(os.Stderr, "wingmount: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// execSuccessor replaces this process by the successor, so that signals, exit status and inherited sockets are the successor's own.
+// execSuccessor replaces this process by the successor, which thereby gets the signals and inherited sockets and sets the exit
+// status itself.
 func execSuccessor(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -28,7 +29,7 @@
 	}
 	program := filepath.Join(filepath.Dir(self), successor)
 	if err := syscall.Exec(program, append([]string{program}, args...), os.Environ()); err != nil {
-		return fmt.Errorf("starting %s, which has to lie beside this program: %w", program, err)
+		return fmt.Errorf("starting %s, which must be in the same folder as this program: %w", program, err)
 	}
 	return nil
 }
--- a/cmd/wingmount/main_test.go
+++ b/cmd/wingmount/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The old name hands arguments and exit status on, and names the program that took its place.
+// The old name passes on arguments and exit status, and names the program that replaces it.
 func TestOldNameStartsSuccessor(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", dir+"/", ".", "../deliverynode").CombinedOutput(); err != nil {
@@ -26,7 +26,7 @@
 	}
 }
 
-// Without the successor beside it, the old name fails and says what is missing.
+// Without the successor in the same folder, the old name fails and reports what is missing.
 func TestOldNameAloneFails(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "wingmount")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", program, ".").CombinedOutput(); err != nil {
@@ -34,7 +34,7 @@
 	}
 	out, err := exec.CommandContext(t.Context(), program, "check", "state").CombinedOutput()
 	var exit *exec.ExitError
-	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(string(out), "has to lie beside") {
-		t.Errorf("%v, want exit status 1 and the remedy:\n%s", err, out)
+	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(string(out), "must be in the same folder") {
+		t.Errorf("%v, want exit status 1 and the missing program:\n%s", err, out)
 	}
 }
--- a/internal/deliverynode/journal/apply.go
+++ b/internal/deliverynode/journal/apply.go
@@ -7,8 +7,8 @@
 	"dunetide/policy"
 )
 
-// apply applies one record of a segment to the state. With doubt, an outcome is no proof that the message has not run:
-// the attempt that it belongs to may be missing from the records that were read.
+// apply applies one record of a segment to the state. With doubt, an outcome does not prove that the message has not run:
+// the record of the attempt that it belongs to may be missing.
 func (j *Journal) apply(segment uint64, payload []byte, doubt bool) error {
 	r := reader{rest: payload}
 	kind, seq := r.u8(), policy.MessageID(r.uvarint())
@@ -29,11 +29,11 @@
 		j.applyClosed(&r, seq, message)
 	case recOrder:
 		j.applyOrder(&r, segment)
-	case recOver:
+	case recEndedIDs:
 		for _, id := range r.ids() {
 			j.Over.Add(id)
 		}
-	case recNext, recEnd: // the number of recNext has been applied above
+	case recNextNumber, recCheckpointEnd: // the number of recNextNumber has been applied above
 	default:
 		return fmt.Errorf("unknown kind %d", kind)
 	}
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// applyAccepted adds a message with its past, in place of what is known of it.
+// applyAccepted adds a message with the history of its attempts, and replaces the state from its earlier records.
 func (j *Journal) applyAccepted(r *reader, seq policy.MessageID, segment uint64) {
-	message := &Message{Seq: seq, home: j}
+	message := &Message{Seq: seq, holder: j}
 	message.ID, message.Key = string(r.bytes()), string(r.bytes())
 	message.Class, message.Dest = int(r.uvarint()), int(r.uvarint())
 	message.Deadline = r.time()
@@ -61,18 +61,18 @@
 	}
 	message.Body = append([]byte(nil), r.bytes()...)
 	if !r.bad {
-		j.live[seq], j.home[seq] = message, segment
+		j.live[seq], j.holder[seq] = message, segment
 	}
 }
 
-// applyAttempt adds an attempt to a message, if it is known, and to what is known of the endpoint.
+// applyAttempt adds an attempt to a message, if the message is known, and to the memory of the endpoint.
 func (j *Journal) applyAttempt(r *reader, message *Message) {
 	endpoint, zone, at := string(r.bytes()), int(r.uvarint()), r.time()
 	if r.bad {
 		return
 	}
-	// The messages of a bundle have one record each for the same call.
-	if memory := j.remember(endpoint); len(memory.Sent) == 0 || !memory.Sent[len(memory.Sent)-1].Equal(at) {
+	// Each message of a bundle has a record of its own for the same call.
+	if memory := j.memoryOf(endpoint); len(memory.Sent) == 0 || !memory.Sent[len(memory.Sent)-1].Equal(at) {
 		memory.Sent = append(memory.Sent, at)
 	}
 	if message != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyOutcome ends the last attempt at a message, if it is known, and adds a failure to what is known of the endpoint.
+// applyOutcome ends the last attempt at a message, if the message is known, and adds a failure to the memory of the endpoint.
 func (j *Journal) applyOutcome(r *reader, message *Message, doubt bool) {
 	outcome, endpoint, at := policy.Outcome(r.u8()), string(r.bytes()), r.time()
 	if r.bad {
@@ -90,24 +90,24 @@
 		message.Past.outcome(neverRan(outcome) && !doubt)
 	}
 	if failed(outcome) {
-		j.remember(endpoint).fail(outcome, at)
+		j.memoryOf(endpoint).addFailure(outcome, at)
 	}
 }
 
-// applyClosed removes a message and adds the success to what is known of the endpoint, if one is named.
+// applyClosed removes a message, and adds a success to the memory of the endpoint if the record names one.
 func (j *Journal) applyClosed(r *reader, seq policy.MessageID, message *Message) {
 	endpoint, at := string(r.bytes()), r.time()
-	if memory := j.remember(endpoint); endpoint != "" && !r.bad {
-		memory.back(at)
+	if memory := j.memoryOf(endpoint); endpoint != "" && !r.bad {
+		memory.addSuccess(at)
 	}
 	if message != nil {
 		j.Over.Add(message.ID)
 	}
 	delete(j.live, seq)
-	delete(j.home, seq)
+	delete(j.holder, seq)
 }
 
-// applyOrder adds or removes an order for an endpoint. One that may serve again counts as restarted.
+// applyOrder adds or removes an order for an endpoint. An endpoint that may serve again counts as restarted.
 func (j *Journal) applyOrder(r *reader, segment uint64) {
 	out, endpoint, at := r.u8() == 1, string(r.bytes()), r.time()
 	if r.bad {
@@ -118,5 +118,5 @@
 		return
 	}
 	delete(j.orders, endpoint)
-	j.remember(endpoint).restarted(at)
+	j.memoryOf(endpoint).restarted(at)
 }
--- a/internal/deliverynode/journal/begin.go
+++ b/internal/deliverynode/journal/begin.go
@@ -12,7 +12,7 @@
 	"dunetide/policy"
 )
 
-// Open replays the journal in a folder and begins to write it. It returns the live messages in the order in which they
+// Open replays the journal in a folder and opens it for writing. It returns the live messages in the order in which they
 // were accepted.
 func Open(options Options) (*Journal, []*Message, error) {
 	j, err := Replay(options)
@@ -27,7 +27,7 @@
 const segmentsOfLimit = 24
 
 // Replay reads the journal in a folder and writes nothing. It fails if a file cannot be read or was written by a newer
-// program (frame.ErrNewer); damage is no failure (Problems).
+// program (frame.ErrNewer). Damage is not an error; Problems reports it.
 func Replay(o Options) (*Journal, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -37,13 +37,13 @@
 	}
 	j := &Journal{fs: o.Folder, limit: o.Limit, base: o.Base, sync: o.Sync, log: o.Log, now: o.Now, next: 1,
 		segSize: max(o.Limit/segmentsOfLimit, MaxBody+4<<10),
-		live:    map[policy.MessageID]*Message{}, home: map[policy.MessageID]uint64{}, Memories: map[string]*Memory{},
-		Over: NewIDRing(maxOver), recentOver: NewIDRing(0), orders: map[string]uint64{}}
+		live:    map[policy.MessageID]*Message{}, holder: map[policy.MessageID]uint64{}, Memories: map[string]*Memory{},
+		Over: NewIDRing(maxEndedIDs), recentEndedIDs: NewIDRing(0), orders: map[string]uint64{}}
 	return j, j.replay()
 }
 
 // Begin makes this process the writer: it repairs the folder, starts a new segment, and returns the live messages in the
-// order in which they were accepted. Out are the attempts whose outcome another process still waits for; any other
+// order in which they were accepted. out lists the attempts whose outcome another process still waits for; any other
 // attempt without an outcome counts as possibly run.
 func (j *Journal) Begin(out []AttemptOut) ([]*Message, error) {
 	j.mu.Lock()
@@ -54,31 +54,31 @@
 			return nil, fmt.Errorf("opening the journal: %w", err)
 		}
 	}
-	// A new segment is started each time, so that nothing is written behind a torn tail.
+	// Each start begins a new segment, so that no record follows a torn tail.
 	if err := j.roll(); err != nil {
 		return nil, err
 	}
-	waits := map[policy.MessageID]AttemptOut{}
+	pending := map[policy.MessageID]AttemptOut{}
 	for _, a := range out {
-		waits[a.Message] = a
+		pending[a.Message] = a
 	}
 	owed := make([]*Message, 0, len(j.live))
 	for _, m := range j.live {
-		if a, ok := waits[m.Seq]; ok && m.Past.Out {
+		if a, ok := pending[m.Seq]; ok && m.Past.Out {
 			m.Past.OutTo, m.Past.OutAt = a.Endpoint, a.At
-		} else if m.Past.Out { // the process ended before the outcome; the message may have run, or may run yet
+		} else if m.Past.Out { // the process ended before the outcome; the message may have run or may still run
 			m.Past.Out, m.Past.Settled = false, true
 		}
 		owed = append(owed, m)
-		j.liveSize += cost(m)
+		j.liveSize += reservedSize(m)
 	}
 	for name := range j.orders {
-		j.liveSize += orderCost(name)
+		j.liveSize += orderReservedSize(name)
 	}
 	if j.sync {
-		j.recent, j.recentOver = cloneMemories(j.Memories), j.Over.clone()
+		j.recentMemories, j.recentEndedIDs = cloneMemories(j.Memories), j.Over.clone()
 	}
-	if err := errors.Join(j.tidy(), j.recovery.repair()); err != nil {
+	if err := errors.Join(j.removeObsolete(), j.recovery.repair()); err != nil {
 		return nil, errors.Join(err, j.file.Close())
 	}
 	j.logReport()
@@ -86,12 +86,12 @@
 	return owed, nil
 }
 
-// tidy removes an unfinished checkpoint and the segments that the last checkpoint replaces.
-func (j *Journal) tidy() error {
-	if err := j.removeStray(); err != nil {
+// removeObsolete removes an unfinished checkpoint and the segments that the last checkpoint replaces.
+func (j *Journal) removeObsolete() error {
+	if err := j.removeUnfinished(); err != nil {
 		return fmt.Errorf("recovering the journal: %w", err)
 	}
-	if len(j.replaced) > 0 { // the checkpoint's name must be durable before they are removed
+	if len(j.replaced) > 0 { // the checkpoint's file name must be durable before the segments are removed
 		if err := j.fs.Sync(); err != nil {
 			return fmt.Errorf("recovering the journal: %w", err)
 		}
@@ -113,25 +113,25 @@
 		level = slog.LevelWarn
 	}
 	for _, p := range r.Problems {
-		j.log.Warn("journal: recovery", "file", p.File, "at", p.At, "what", p.What)
+		j.log.Warn("journal: replay found a problem", "file", p.File, "at", p.At, "what", p.What)
 	}
 	if r.Damaged() {
-		j.log.Error("journal: damaged, what is in doubt counts as possibly run", "messages", strings.Join(r.Doubt, " "),
+		j.log.Error("journal: damaged; messages in doubt count as possibly run", "messages", strings.Join(r.Doubt, " "),
 			"lost numbers", r.Lost, "set aside", r.SetAside)
 	}
 	j.log.Log(context.Background(), level, "journal: recovered", "segments", r.Segments, "records", r.Records, "bytes", r.Bytes,
 		"owed", r.Owed, "in doubt", len(r.Doubt), "set aside", len(r.SetAside), "checkpoint", r.Checkpoint, "took", r.Took)
 }
 
-// AttemptOut is an attempt that has no outcome yet. It goes to the next process of the node as gob, by these names.
+// AttemptOut is an attempt that has no outcome yet. It is sent to the next process of the node as gob, under these names.
 type AttemptOut struct {
 	Message  policy.MessageID
 	Endpoint string
 	At       time.Time
 }
 
-// Release ends the writing by this process, so that another one can begin, and returns the attempts that have no
-// outcome yet. From then on writes fail with ErrGiven.
+// Release stops writes by this process, so that another process can begin to write, and returns the attempts that have
+// no outcome yet. Later writes fail with ErrReleased.
 func (j *Journal) Release() []AttemptOut {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -145,7 +145,7 @@
 	return out
 }
 
-// Reclaim resumes the writing after GiveAway. No other process may have begun to write.
+// Reclaim allows writes again after Release. No other process may have begun to write.
 func (j *Journal) Reclaim() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/deliverynode/journal/checkpoint.go
+++ b/internal/deliverynode/journal/checkpoint.go
@@ -16,10 +16,10 @@
 	// checkpointShare times the bytes reserved for live messages.
 	checkpointSegments = 4
 	checkpointShare    = 2
-	// overChunk is the most ids in one recOver.
-	overChunk = 256
-	// maxSent is the number of calls to an endpoint that are remembered: more than a node makes to one within any
-	// window. maxEndpoints is the number of endpoints: more than there are.
+	// endedIDsChunk is the largest number of ids in one recEndedIDs.
+	endedIDsChunk = 256
+	// maxSent is the number of calls that are remembered for each endpoint: more than a node makes to one endpoint within
+	// any window. maxEndpoints is the number of endpoints that are remembered: more than exist.
 	maxSent      = 256
 	maxEndpoints = 1024
 )
@@ -35,15 +35,15 @@
 	return sum
 }
 
-// checkpointDue reports whether a checkpoint should be written and the folder has room for it.
+// checkpointDue reports whether a checkpoint should be written and the folder has space for it.
 func (j *Journal) checkpointDue() bool {
 	since := j.sinceCheckpoint()
 	return j.sync && since > j.retryAt && since > checkpointSegments*j.segSize && since > checkpointShare*j.liveSize &&
-		j.diskSize()+j.liveSize+2*j.segSize+2*block <= j.limit
+		j.diskSize()+j.liveSize+2*j.segSize+2*blockSize <= j.limit
 }
 
-// writeCheckpoint writes the whole state into one segment, starts a new one after it, and removes the segments before.
-// An error from the renaming on makes the journal refuse messages.
+// writeCheckpoint writes the whole state into one segment, starts a new segment after it, and removes the earlier ones.
+// An error during or after the rename makes the journal refuse messages.
 func (j *Journal) writeCheckpoint() error {
 	if err := j.syncFile(); err != nil {
 		return err
@@ -54,8 +54,8 @@
 	if err != nil { // the next checkpoint, or the next start, removes the unfinished file
 		return fmt.Errorf("writing a checkpoint: %w", err)
 	}
-	// From the renaming on, a replay may begin with the checkpoint and not read the present segment: nothing more may
-	// be written to that one.
+	// Once the rename may have happened, a replay may start from the checkpoint and skip the current segment, so no more
+	// records may be written to that segment.
 	if err = j.fs.Rename(checkpointName, segmentPath(n)); err == nil {
 		err = j.fs.Sync()
 	}
@@ -65,33 +65,33 @@
 		err = j.roll()
 	}
 	if err != nil {
-		return j.fail(fmt.Errorf("taking a checkpoint into use: %w", err))
+		return j.fail(fmt.Errorf("activating a checkpoint: %w", err))
 	}
 	j.segments = slices.Delete(j.segments, 0, len(old))
-	j.checkpoint, j.checkedAt, j.retryAt = n, j.now(), 0
+	j.checkpoint, j.checkpointAt, j.retryAt = n, j.now(), 0
 	for seq := range j.live {
-		j.home[seq] = n
+		j.holder[seq] = n
 	}
 	for name := range j.orders {
 		j.orders[name] = n
 	}
 	j.replaced = append(j.replaced, old...)
-	if err := j.tidy(); err != nil { // diskSize counts them, and the next start removes them
-		j.log.Warn("journal: what a checkpoint replaces is still there", "err", err)
+	if err := j.removeObsolete(); err != nil { // diskSize counts the remaining segments, and the next start removes them
+		j.log.Warn("journal: segments replaced by a checkpoint could not be removed", "err", err)
 	}
 	return nil
 }
 
 // writeState writes the state to the temporary file of a checkpoint, makes it durable, and returns its size.
 func (j *Journal) writeState(f frame.Format) (size int64, err error) {
-	if err := j.removeStray(); err != nil {
+	if err := j.removeUnfinished(); err != nil {
 		return 0, err
 	}
 	file, err := j.fs.Create(checkpointName)
 	if err != nil {
 		return 0, err
 	}
-	j.stray = true
+	j.hasUnfinished = true
 	defer func() { err = errors.Join(err, file.Close()) }()
 	if _, err := file.Write(f.Header()); err != nil {
 		return 0, err
@@ -108,41 +108,41 @@
 			return 0, err
 		}
 	}
-	if err := put(record(recEnd, 0)); err != nil {
+	if err := put(record(recCheckpointEnd, 0)); err != nil {
 		return 0, err
 	}
 	if err := file.Sync(); err != nil {
 		return 0, err
 	}
-	j.stray = false // the caller renames it
+	j.hasUnfinished = false // the caller renames it
 	return size, nil
 }
 
-// removeStray removes an unfinished checkpoint, if there is one.
-func (j *Journal) removeStray() error {
-	if !j.stray {
+// removeUnfinished removes an unfinished checkpoint, if there is one.
+func (j *Journal) removeUnfinished() error {
+	if !j.hasUnfinished {
 		return nil
 	}
 	if err := j.fs.Remove(checkpointName); err != nil {
 		return err
 	}
-	j.stray = false
+	j.hasUnfinished = false
 	return nil
 }
 
-// state yields records that rebuild the present state.
+// state yields records that rebuild the current state.
 func (j *Journal) state() func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
-		if !yield(record(recNext, j.next)) {
+		if !yield(record(recNextNumber, j.next)) {
 			return
 		}
-		for ids := range slices.Chunk(j.recentOver.IDs(), overChunk) {
-			if !yield(overRecord(ids)) {
+		for ids := range slices.Chunk(j.recentEndedIDs.IDs(), endedIDsChunk) {
+			if !yield(endedIDsRecord(ids)) {
 				return
 			}
 		}
-		for _, name := range sorted(j.recent) {
-			for _, b := range j.recent[name].records(name) {
+		for _, name := range sorted(j.recentMemories) {
+			for _, b := range j.recentMemories[name].records(name) {
 				if !yield(b) {
 					return
 				}
@@ -161,7 +161,7 @@
 	}
 }
 
-// records returns records that rebuild a memory. They have the message number 0, which no message has.
+// records returns records that rebuild a memory. They have message number 0, which is never assigned to a message.
 func (m *Memory) records(endpoint string) [][]byte {
 	var out [][]byte
 	for _, at := range m.Sent {
@@ -192,24 +192,24 @@
 	return out
 }
 
-// note returns the memory of an endpoint for the next checkpoint, a new one if there is none, or nil without
-// Options.Sync. If there are too many endpoints, the one with the oldest call or failure is dropped.
-func (j *Journal) note(endpoint string) *Memory {
+// recentMemory returns the memory of an endpoint for the next checkpoint, creating it if needed, or nil without Options.Sync. If
+// there are too many endpoints, the one whose last call or failure is the oldest is evicted.
+func (j *Journal) recentMemory(endpoint string) *Memory {
 	if !j.sync {
 		return nil
 	}
-	m := j.recent[endpoint]
+	m := j.recentMemories[endpoint]
 	if m != nil {
 		return m
 	}
-	if len(j.recent) >= maxEndpoints {
-		oldest := slices.MinFunc(sorted(j.recent), func(a, b string) int {
-			return j.recent[a].last().Compare(j.recent[b].last())
+	if len(j.recentMemories) >= maxEndpoints {
+		oldest := slices.MinFunc(sorted(j.recentMemories), func(a, b string) int {
+			return j.recentMemories[a].last().Compare(j.recentMemories[b].last())
 		})
-		delete(j.recent, oldest)
+		delete(j.recentMemories, oldest)
 	}
 	m = &Memory{}
-	j.recent[endpoint] = m
+	j.recentMemories[endpoint] = m
 	return m
 }
 
@@ -227,40 +227,40 @@
 
 // noteSent records a call for the next checkpoint.
 func (j *Journal) noteSent(endpoint string, at time.Time) {
-	if m := j.note(endpoint); m != nil {
-		m.sentAt(at)
+	if m := j.recentMemory(endpoint); m != nil {
+		m.addCall(at)
 	}
 }
 
 // noteOutcome records a failure for the next checkpoint. It ignores other outcomes.
 func (j *Journal) noteOutcome(endpoint string, o policy.Outcome, at time.Time) {
-	if m := j.note(endpoint); m != nil {
+	if m := j.recentMemory(endpoint); m != nil {
 		if failed(o) {
-			m.fail(o, at)
+			m.addFailure(o, at)
 		}
 	}
 }
 
-// noteClosed records the end of a message, and a success if an endpoint is named, for the next checkpoint.
+// noteClosed records for the next checkpoint the end of a message, and a success if an endpoint is given.
 func (j *Journal) noteClosed(id, endpoint string, at time.Time) {
 	if !j.sync {
 		return
 	}
-	j.recentOver.Add(id)
-	if m := j.note(endpoint); m != nil && endpoint != "" {
-		m.back(at)
+	j.recentEndedIDs.Add(id)
+	if m := j.recentMemory(endpoint); m != nil && endpoint != "" {
+		m.addSuccess(at)
 	}
 }
 
-// noteOrder records for the next checkpoint that the staff let an endpoint serve again.
+// noteOrder records for the next checkpoint that an operator has put an endpoint back into service.
 func (j *Journal) noteOrder(endpoint string, out bool, at time.Time) {
-	if m := j.note(endpoint); m != nil && !out {
+	if m := j.recentMemory(endpoint); m != nil && !out {
 		m.restarted(at)
 	}
 }
 
-// sentAt adds a call. The oldest one is dropped if there are too many.
-func (m *Memory) sentAt(at time.Time) {
+// addCall adds a call. The oldest one is dropped if there are too many.
+func (m *Memory) addCall(at time.Time) {
 	if n := len(m.Sent); n > 0 && m.Sent[n-1].Equal(at) { // another message of the same bundle
 		return
 	}
@@ -270,9 +270,9 @@
 	m.Sent = append(m.Sent, at)
 }
 
-// Status is the state of a journal as it is shown to the staff.
+// Status is the state of a journal as the console shows it to operators.
 type Status struct {
-	Bytes      int64     `json:"bytes"` // on disk, with the copies of damaged segments
+	Bytes      int64     `json:"bytes"` // on disk, including the copies of damaged segments
 	Limit      int64     `json:"limit"`
 	Segments   int       `json:"segments"`
 	Live       int       `json:"live_messages"`
@@ -302,7 +302,7 @@
 	defer j.mu.Unlock()
 	s := Status{Bytes: j.diskSize(), Limit: j.limit, Segments: len(j.segments), Live: len(j.live), Orders: len(j.orders),
 		Sync: j.sync, Syncs: j.syncer.count, Waiting: len(j.syncer.waiting), Checkpoint: j.checkpoint,
-		CheckedAt: j.checkedAt, SetAside: len(j.aside)}
+		CheckedAt: j.checkpointAt, SetAside: len(j.damagedCopies)}
 	if j.syncer.failed != nil {
 		s.Failed = j.syncer.failed.Error()
 	}
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -262,7 +262,7 @@
 }
 
 // startTwice checks what a folder is reported to have, and that a second start finds the same as the first, and no problem.
-func startTwice(t *testing.T, dir string, damaged bool, owedThen, aside int) {
+func startTwice(t *testing.T, dir string, damaged bool, owedThen, damagedCopies int) {
 	t.Helper()
 	report, err := Check(vfs.Dir(dir), MinDisk)
 	must(t, err)
@@ -278,8 +278,8 @@
 		} else if second := state(j, owed); second != first || len(j.recovery.report.Problems) > 0 {
 			t.Errorf("then %s and %+v, first %s", second, j.recovery.report.Problems, first)
 		}
-		if len(owed) != owedThen || len(j.aside) != aside {
-			t.Errorf("%d owed and %d set aside, want %d and %d", len(owed), len(j.aside), owedThen, aside)
+		if len(owed) != owedThen || len(j.damagedCopies) != damagedCopies {
+			t.Errorf("%d owed and %d set aside, want %d and %d", len(owed), len(j.damagedCopies), owedThen, damagedCopies)
 		}
 		must(t, j.Close())
 	}
@@ -428,10 +428,10 @@
 	}
 	j, _, err := openSmall(d, true)
 	must(t, err)
-	if len(j.aside) != 3 {
-		t.Fatalf("%d copies, want 3", len(j.aside))
+	if len(j.damagedCopies) != 3 {
+		t.Fatalf("%d copies, want 3", len(j.damagedCopies))
 	}
-	for i := 0; len(j.aside) > 0 && i < 1000; i++ {
+	for i := 0; len(j.damagedCopies) > 0 && i < 1000; i++ {
 		m := &Message{ID: fmt.Sprint(i), Body: make([]byte, 900)}
 		must(t, j.Accept(m))
 		if i >= 8 {
@@ -441,7 +441,7 @@
 			t.Fatalf("%d bytes on disk, over %d", size, j.limit)
 		}
 	}
-	if len(j.aside) > 0 {
+	if len(j.damagedCopies) > 0 {
 		t.Error("a copy is kept at the cost of work")
 	}
 }
--- a/internal/deliverynode/journal/golden_test.go
+++ b/internal/deliverynode/journal/golden_test.go
@@ -35,9 +35,9 @@
 		closedRecord(301, "endpoint-2", goldenAt.Add(3*time.Second)),
 		orderRecord("endpoint-3", true, goldenAt.Add(4*time.Second)),
 		orderRecord("endpoint-4", false, goldenAt.Add(5*time.Second)),
-		overRecord([]string{"over-1", "over-2"}),
-		record(recNext, 900),
-		record(recEnd, 0),
+		endedIDsRecord([]string{"over-1", "over-2"}),
+		record(recNextNumber, 900),
+		record(recCheckpointEnd, 0),
 	}
 }
 
@@ -75,7 +75,7 @@
 		t.Run(name, func(t *testing.T) {
 			text := goldenSegment(f)
 			if f.Checkpoint {
-				text = f.AppendRecord(text, record(recEnd, 0), int64(len(text)))
+				text = f.AppendRecord(text, record(recCheckpointEnd, 0), int64(len(text)))
 			}
 			golden.Compare(t, filepath.Join(name, segmentPath(1)), text)
 			read, _, err := frame.FormatOf(golden.Read(t, filepath.Join(name, segmentPath(1))), 1)
@@ -98,7 +98,7 @@
 		t.Errorf("problems %v", problems)
 	}
 	want := goldenMessage()
-	want.home = j
+	want.holder = j
 	want.Past.attempt("endpoint-1", 6, goldenAt)
 	want.Past.outcome(false)
 	if got := j.Owed(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
--- a/internal/deliverynode/journal/idring.go
+++ b/internal/deliverynode/journal/idring.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// IDRing is a set of the ids that were added last, up to its size. It is safe for concurrent use.
+// IDRing is a bounded set of the most recently added ids. It is safe for concurrent use.
 type IDRing struct {
 	size int
 
 	mu    sync.Mutex
 	ids   []string
-	next  int // index in ids of the id to replace next, once it is full
+	next  int // index in ids of the id to replace next, once the set is full
 	known map[string]struct{}
 }
 
@@ -55,7 +55,7 @@
 	return len(r.ids)
 }
 
-// Add adds an id, in place of the one that was added first if the set is full.
+// Add adds an id. If the set is full, the oldest id is evicted.
 func (r *IDRing) Add(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/deliverynode/journal/journal_test.go
+++ b/internal/deliverynode/journal/journal_test.go
@@ -46,7 +46,7 @@
 	for _, f := range files {
 		info, err := f.Info()
 		must(t, err)
-		sum += onDisk(info.Size())
+		sum += diskUsage(info.Size())
 	}
 	return sum
 }
@@ -280,7 +280,7 @@
 	if m := again.Memories["back"]; m == nil || len(m.Runs) != 1 || m.Runs[0].BackAt.IsZero() {
 		t.Errorf("back is remembered as %+v, want it just back", m)
 	}
-	if again.liveSize != orderCost("out") {
+	if again.liveSize != orderReservedSize("out") {
 		t.Errorf("room kept for what is owed: %d, want that of one order", again.liveSize)
 	}
 }
--- a/internal/deliverynode/journal/memory.go
+++ b/internal/deliverynode/journal/memory.go
@@ -7,10 +7,10 @@
 	"dunetide/policy"
 )
 
-// Memory is what the records say of an endpoint's calls and failures, for the next process of the node.
+// Memory holds the recorded calls and failures of an endpoint, for the next process of the node.
 type Memory struct {
 	Sent []time.Time // when calls were made; the messages of a bundle share one
-	Runs []Run       // runs of failures, the oldest first
+	Runs []Run       // runs of failures, oldest first
 }
 
 // Run is a series of failures without a success in between.
@@ -20,15 +20,15 @@
 	BackAt   time.Time        // the first success after it, zero if there was none
 }
 
-// Bounds of a Memory. Of too many runs, the oldest that is one failed answer is dropped first, because it says least of
-// the endpoint.
+// Bounds of a Memory. When there are too many runs, the oldest run that is a single failed answer is evicted first, because
+// it is the weakest evidence about the endpoint.
 const (
 	maxOutcomes = 8 // of one run
 	maxRuns     = 8
 )
 
-// fail adds a failure to the current run, or to a new one if the endpoint has succeeded since.
-func (m *Memory) fail(outcome policy.Outcome, at time.Time) {
+// addFailure adds a failure to the current run, or to a new run if the endpoint has succeeded since.
+func (m *Memory) addFailure(outcome policy.Outcome, at time.Time) {
 	if n := len(m.Runs); n > 0 && m.Runs[n-1].BackAt.IsZero() {
 		run := &m.Runs[n-1]
 		run.FailedAt = at
@@ -45,20 +45,20 @@
 	m.Runs = append(m.Runs, Run{Outcomes: []policy.Outcome{outcome}, FailedAt: at})
 }
 
-// back ends the current run of failures, if there is one.
-func (m *Memory) back(at time.Time) {
+// addSuccess ends the current run of failures, if there is one.
+func (m *Memory) addSuccess(at time.Time) {
 	if n := len(m.Runs); n > 0 && m.Runs[n-1].BackAt.IsZero() {
 		m.Runs[n-1].BackAt = at
 	}
 }
 
-// restarted replaces the runs by one of an outage that has ended, for an endpoint that the staff let serve again.
+// restarted replaces all runs by a single outage that has ended, for an endpoint that an operator has put back into service.
 func (m *Memory) restarted(at time.Time) {
 	m.Runs = append(m.Runs[:0:0], Run{Outcomes: []policy.Outcome{policy.Unreachable}, FailedAt: at, BackAt: at})
 }
 
-// remember returns the memory of an endpoint, a new one if there is none.
-func (j *Journal) remember(endpoint string) *Memory {
+// memoryOf returns the memory of an endpoint, creating it if needed.
+func (j *Journal) memoryOf(endpoint string) *Memory {
 	if j.Memories[endpoint] == nil {
 		j.Memories[endpoint] = &Memory{}
 	}
--- a/internal/deliverynode/journal/message.go
+++ b/internal/deliverynode/journal/message.go
@@ -19,8 +19,8 @@
 	handedBack = "handed_back"
 )
 
-// NewNotice returns the notice of a message that is handed back to its client, which may retry after wait, or that is
-// given up.
+// NewNotice returns the notice of a message that is handed back to its client, which may retry after wait, or, with back
+// false, of one that the node has given up.
 func NewNotice(id string, back bool, wait time.Duration) *Notice {
 	if back {
 		return &Notice{Message: id, Outcome: handedBack, RetryInMs: wait.Milliseconds()}
@@ -29,14 +29,14 @@
 }
 
 // Home returns the journal that holds the message.
-func (m *Message) Home() *Journal { return m.home }
+func (m *Message) Home() *Journal { return m.holder }
 
-// Number returns the message's number among the messages of all journals of the process.
+// Number returns the message's number, which is unique among all journals of the process.
 func (m *Message) Number() policy.MessageID {
-	if m.home == nil {
+	if m.holder == nil {
 		return m.Seq
 	}
-	return m.home.base + m.Seq
+	return m.holder.base + m.Seq
 }
 
 // HandedBack reports whether the client may retry.
@@ -51,15 +51,15 @@
 	Dest     int
 	Deadline time.Time
 	Body     []byte
-	Window   time.Duration // how long the destination remembers its key, 0 if it has none
+	Window   time.Duration // how long the destination remembers the idempotency key, 0 if there is none
 
-	// The journal owns the following fields.
-	home   *Journal
+	// The journal that holds the message owns the following fields.
+	holder *Journal
 	Past   Past
-	Notice *Notice // the notice that is owed, nil until the message has ended undelivered
+	Notice *Notice // the notice to deliver, nil until the message has ended undelivered
 }
 
-// Past is the history of a message's attempts, as the decision module counts it.
+// Past is the history of a message's attempts, in the form that package policy uses.
 type Past struct {
 	Attempts int
 	Settled  bool // a finished attempt may have run
@@ -67,8 +67,8 @@
 	MayRun   bool // some attempt may have run
 	RanAt    time.Time
 	RanZone  int
-	// OutTo and OutAt are the endpoint and the time of the last attempt. They are not on disk: only the process that
-	// made the attempt, and one that it hands over to, know them.
+	// OutTo and OutAt are the endpoint and the time of the last attempt. They are not stored on disk: only the process
+	// that made the attempt, and the process that it hands over to, have them.
 	OutTo string
 	OutAt time.Time
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// outcome ends the last attempt. neverRan says that it is proven not to have run.
+// outcome ends the last attempt. neverRan means that the message provably did not run in that attempt.
 func (p *Past) outcome(neverRan bool) {
 	p.Out = false
 	if !neverRan {
@@ -92,5 +92,5 @@
 	}
 }
 
-// cost returns the bytes reserved for a message until nothing is owed for it.
-func cost(m *Message) int64 { return int64(len(m.Body)+len(m.ID)+len(m.Key)) + recordReserve }
+// reservedSize returns the bytes reserved for a message until it is closed.
+func reservedSize(m *Message) int64 { return int64(len(m.Body)+len(m.ID)+len(m.Key)) + recordReserve }
--- a/internal/deliverynode/journal/order.go
+++ b/internal/deliverynode/journal/order.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// staffOrders returns the endpoints that the staff have taken out, in order, without the records of Leaves.
-func (j *Journal) staffOrders() (out []string) {
+// operatorOrders returns the endpoints that operators have taken out of service, sorted, without the records of Leaves.
+func (j *Journal) operatorOrders() (out []string) {
 	for _, name := range sorted(j.orders) {
-		if !strings.HasPrefix(name, leavingMark) {
+		if !strings.HasPrefix(name, leavingPrefix) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// orderCost returns the bytes reserved for an order.
-func orderCost(endpoint string) int64 { return int64(len(endpoint)) + recordReserve }
+// orderReservedSize returns the bytes reserved for an order.
+func orderReservedSize(endpoint string) int64 { return int64(len(endpoint)) + recordReserve }
 
-// Order records that the staff take an endpoint out or let it serve again. An order that holds already is not written.
-// It fails with ErrGiven, or with ErrNoRoom.
+// Order records that an operator takes an endpoint out of service or puts it back. An order that is already in force is not
+// written again. It fails with ErrReleased or ErrFull.
 func (j *Journal) Order(endpoint string, out bool, at time.Time) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -31,8 +31,8 @@
 	if _, known := j.orders[endpoint]; known == out {
 		return nil
 	}
-	room := orderCost(endpoint)
-	if out && j.liveSize+room > j.limit-3*j.segSize {
+	size := orderReservedSize(endpoint)
+	if out && j.liveSize+size > j.limit-3*j.segSize {
 		return ErrFull
 	}
 	if err := j.append(orderRecord(endpoint, out, at), nil); err != nil {
@@ -41,25 +41,25 @@
 	j.noteOrder(endpoint, out, at)
 	if out {
 		j.orders[endpoint] = j.segments[len(j.segments)-1].number
-		j.liveSize += room
+		j.liveSize += size
 	} else {
 		delete(j.orders, endpoint)
-		j.liveSize -= room
+		j.liveSize -= size
 	}
-	if j.watch != nil && !strings.HasPrefix(endpoint, leavingMark) {
-		j.watch.Ordered(j.staffOrders())
+	if j.watcher != nil && !strings.HasPrefix(endpoint, leavingPrefix) {
+		j.watcher.Ordered(j.operatorOrders())
 	}
 	return nil
 }
 
-// Orders returns the names of all orders that hold, in order, the records of Leaves included.
+// Orders returns the names of all orders in force, sorted, including the records of Leaves.
 func (j *Journal) Orders() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Sorted(maps.Keys(j.orders))
 }
 
-// TakenOut reports whether the staff have taken an endpoint out.
+// TakenOut reports whether an operator has taken an endpoint out of service.
 func (j *Journal) TakenOut(endpoint string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -67,23 +67,23 @@
 	return out
 }
 
-// leavingMark is the prefix of an endpoint's name in a record of Leaves. No endpoint has a name that begins with it.
-const leavingMark = "\x00"
+// leavingPrefix is the prefix of an endpoint's name in a record of Leaves. No endpoint name begins with it.
+const leavingPrefix = "\x00"
 
-// maxLeaving is the number of orders from which on Leaves adds no further ones.
-const maxLeaving = 256
+// maxOrdersForLeaves is the number of orders at which Leaves stops adding records.
+const maxOrdersForLeaves = 256
 
-// Leaves records whether the last list had an endpoint as draining or gone, because the list with which the next process
-// starts may be older.
+// Leaves records whether the last discovery list had an endpoint as draining or gone, because the list with which the next
+// process starts may be older.
 func (j *Journal) Leaves(endpoint string, leaves bool, at time.Time) error {
 	j.mu.Lock()
-	full := len(j.orders) >= maxLeaving
+	full := len(j.orders) >= maxOrdersForLeaves
 	j.mu.Unlock()
 	if leaves && full {
 		return nil
 	}
-	return j.Order(leavingMark+endpoint, leaves, at)
+	return j.Order(leavingPrefix+endpoint, leaves, at)
 }
 
-// Left reports whether the last list had an endpoint as draining or gone.
-func (j *Journal) Left(endpoint string) bool { return j.TakenOut(leavingMark + endpoint) }
+// Left reports whether the last discovery list had an endpoint as draining or gone.
+func (j *Journal) Left(endpoint string) bool { return j.TakenOut(leavingPrefix + endpoint) }
--- a/internal/deliverynode/journal/record.go
+++ b/internal/deliverynode/journal/record.go
@@ -9,19 +9,19 @@
 
 // Kinds of record.
 const (
-	recAccepted = 1 // a message with its past; it replaces the earlier records of the message
+	recAccepted = 1 // a message with the history of its attempts; it replaces the earlier records of the message
 	recAttempt  = 2 // written before the first byte of an attempt is sent
 	recOutcome  = 3 // how the last attempt ended
-	recEnded    = 4 // the message ended undelivered, and its notice is owed
-	recClosed   = 5 // nothing is owed for the message; if it names an endpoint, that one accepted the message
-	recOrder    = 6 // the staff's order for an endpoint; it replaces the one before
-	// These are written to segments with a header, and when a damaged folder is repaired.
-	recOver = 7 // ids of messages that have ended
-	recNext = 8 // the lowest number that no message has had
-	recEnd  = 9 // the end of a checkpoint
+	recEnded    = 4 // the message ended undelivered, and its notice has yet to be delivered
+	recClosed   = 5 // nothing is left to do for the message; an endpoint that is named here accepted the message
+	recOrder    = 6 // an operator's order for an endpoint; it replaces the previous one
+	// The following are written to segments with a header, and when a damaged folder is repaired.
+	recEndedIDs      = 7 // ids of messages that have ended
+	recNextNumber    = 8 // the lowest message number that is not yet assigned
+	recCheckpointEnd = 9 // the end of a checkpoint
 )
 
-// Flags of a recTaken.
+// Flags of a recAccepted.
 const (
 	flagSettled = 1 << iota
 	flagOut
@@ -38,17 +38,17 @@
 	return binary.AppendUvarint(appendBytes(append(record(recOrder, 0), flag), []byte(endpoint)), uint64(at.UnixMicro()))
 }
 
-// record returns the beginning of every record: its kind and the number of its message, 0 if it has none.
+// record returns the prefix that all records have: the kind and the number of the message, 0 if there is none.
 func record(kind byte, seq policy.MessageID) []byte {
 	return binary.AppendUvarint([]byte{kind}, uint64(seq))
 }
 
-// appendBytes appends bytes after their length.
+// appendBytes appends data, prefixed with its length.
 func appendBytes(b, data []byte) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(data))), data...)
 }
 
-// acceptedRecord returns the encoding of a recTaken: a message with its past, and its notice if it has one.
+// acceptedRecord returns the encoding of a recAccepted: a message with the history of its attempts, and its notice if it has one.
 func acceptedRecord(m *Message) []byte {
 	b := record(recAccepted, m.Seq)
 	b = appendBytes(appendBytes(b, []byte(m.ID)), []byte(m.Key))
@@ -66,7 +66,7 @@
 	return appendBytes(b, m.Body)
 }
 
-// acceptedFlags returns the flags of a recTaken.
+// acceptedFlags returns the flags of a recAccepted.
 func acceptedFlags(m *Message) byte {
 	flags := byte(0)
 	if m.Past.Settled {
@@ -101,9 +101,9 @@
 	return binary.AppendUvarint(appendBytes(record(recClosed, seq), []byte(endpoint)), uint64(at.UnixMicro()))
 }
 
-// overRecord returns the encoding of a recOver.
-func overRecord(ids []string) []byte {
-	b := record(recOver, 0)
+// endedIDsRecord returns the encoding of a recEndedIDs.
+func endedIDsRecord(ids []string) []byte {
+	b := record(recEndedIDs, 0)
 	for _, id := range ids {
 		b = appendBytes(b, []byte(id))
 	}
@@ -119,7 +119,7 @@
 	return binary.AppendUvarint(append(b, kind), uint64(n.RetryInMs))
 }
 
-// reader reads the fields of a record in turn. After a field that does not fit, bad is set and all further fields
+// reader decodes the fields of a record in order. After a field that cannot be decoded, bad is set and all further fields
 // are zero.
 type reader struct {
 	rest []byte
@@ -137,7 +137,7 @@
 	return v
 }
 
-// time reads a time that is stored as microseconds since 1970.
+// time reads a time that is stored as microseconds since the Unix epoch.
 func (r *reader) time() time.Time { return time.UnixMicro(int64(r.uvarint())) }
 
 // uvarint reads an unsigned varint.
@@ -151,7 +151,7 @@
 	return v
 }
 
-// bytes reads bytes that stand after their length. The result shares memory with the record.
+// bytes reads length-prefixed bytes. The result shares memory with the record.
 func (r *reader) bytes() []byte {
 	n := r.uvarint()
 	if n > uint64(len(r.rest)) {
@@ -163,7 +163,7 @@
 	return v
 }
 
-// ids reads the rest of the record as ids.
+// ids reads the rest of the record as a list of ids.
 func (r *reader) ids() []string {
 	var ids []string
 	for len(r.rest) > 0 {
@@ -174,7 +174,7 @@
 	return ids
 }
 
-// notice reads a notice for the message of an id.
+// notice reads the notice of the message with the given id.
 func (r *reader) notice(id string) *Notice {
 	handedBack, retry := r.u8() == 1, r.uvarint()
 	return NewNotice(id, handedBack, time.Duration(retry)*time.Millisecond)
--- a/internal/deliverynode/journal/recover.go
+++ b/internal/deliverynode/journal/recover.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	segmentName = "journal-%016d"
-	damagedName = "damaged-%016d"
+	segmentName     = "journal-%016d"
+	damagedCopyName = "damaged-%016d"
 	// checkpointName is the file name of a checkpoint until it is complete.
 	checkpointName = "checkpoint.tmp"
-	// maxProblems is the most problems in a report.
+	// maxProblems is the largest number of problems in a report.
 	maxProblems = 64
 )
 
-// longAgo is the time assigned to attempts and ends whose time is unknown.
-var longAgo = time.UnixMicro(1)
+// unknownTime is the time assigned to attempts and ends whose time is unknown.
+var unknownTime = time.UnixMicro(1)
 
-// Problem is a place of a file that is damaged or torn.
+// Problem is a damaged or torn position in a file.
 type Problem struct {
 	File string
 	At   int // offset in bytes
 	What string
-	Torn bool // a record at the end that was not written completely, which is no damage
+	Torn bool // an incompletely written record at the end, which is not damage
 }
 
 // Report is the result of a replay.
@@ -58,20 +58,20 @@
 
 // recovery is the state of a replay.
 type recovery struct {
-	journal *Journal
-	report  Report
-	number  uint64                    // of the segment that is being read
-	cuts    map[uint64]int64          // sizes to cut segments to; a missing segment is created empty
-	keep    map[uint64]bool           // segments to copy before they are cut
-	doubt   map[policy.MessageID]bool // live messages whose records may be incomplete because of damage
-	trace   map[policy.MessageID]bool // messages that have records after damage, but are unknown
-	behind  behind
+	journal  *Journal
+	report   Report
+	number   uint64                    // of the segment that is being read
+	cuts     map[uint64]int64          // sizes to cut segments to; a missing segment is created empty
+	toCopy   map[uint64]bool           // segments to copy before they are cut
+	doubt    map[policy.MessageID]bool // live messages whose records may be incomplete because of damage
+	unknown  map[policy.MessageID]bool // unknown messages that have records after damage
+	afterCut afterCut
 }
 
-// behind is what the records after a cut say, which must be written anew because they are cut off.
-type behind struct {
-	on       bool // the records that are being read come after a cut
-	taken    map[policy.MessageID]bool
+// afterCut collects the content of the records after a cut, which must be written again because the cut removes them.
+type afterCut struct {
+	active   bool // the records being read come after a cut
+	accepted map[policy.MessageID]bool
 	attempts map[policy.MessageID]int
 	ended    map[policy.MessageID]bool
 	closed   map[policy.MessageID]bool
@@ -79,8 +79,8 @@
 	orders   map[string]bool
 }
 
-// numberOf returns the number in a file name of a form, and false if the name is not of that form.
-func numberOf(name, form string) (uint64, bool) {
+// parseNumber returns the number in a file name, and false if the name does not match the format form.
+func parseNumber(name, form string) (uint64, bool) {
 	var n uint64
 	if _, err := fmt.Sscanf(name, form, &n); err != nil || name != fmt.Sprintf(form, n) || n == 0 {
 		return 0, false
@@ -115,36 +115,36 @@
 
 // newRecovery returns a recovery that has read nothing yet.
 func newRecovery(j *Journal) *recovery {
-	return &recovery{journal: j, cuts: map[uint64]int64{}, keep: map[uint64]bool{}, doubt: map[policy.MessageID]bool{},
-		trace: map[policy.MessageID]bool{}, behind: behind{taken: map[policy.MessageID]bool{}, attempts: map[policy.MessageID]int{},
+	return &recovery{journal: j, cuts: map[uint64]int64{}, toCopy: map[uint64]bool{}, doubt: map[policy.MessageID]bool{},
+		unknown: map[policy.MessageID]bool{}, afterCut: afterCut{accepted: map[policy.MessageID]bool{}, attempts: map[policy.MessageID]int{},
 			ended: map[policy.MessageID]bool{}, closed: map[policy.MessageID]bool{}, orders: map[string]bool{}}}
 }
 
-// listFiles sorts the files of the folder into segments, copies of damaged ones, an unfinished checkpoint, and
-// others. The segments and the copies are in the order of their numbers.
+// listFiles classifies the files of the folder as segments, copies of damaged segments, an unfinished checkpoint, and other
+// files. The segments and the copies are sorted by number.
 func (j *Journal) listFiles() error {
 	files, err := j.fs.List()
 	if err != nil {
 		return fmt.Errorf("opening the journal: %w", err)
 	}
 	for _, file := range files {
-		if number, ok := numberOf(file.Name, segmentName); ok {
+		if number, ok := parseNumber(file.Name, segmentName); ok {
 			j.segments = append(j.segments, segment{number: number, size: file.Size})
 		} else if file.Name == checkpointName {
-			j.stray = true
-		} else if number, ok := numberOf(file.Name, damagedName); ok {
-			j.aside = append(j.aside, segment{number: number, size: file.Size})
+			j.hasUnfinished = true
+		} else if number, ok := parseNumber(file.Name, damagedCopyName); ok {
+			j.damagedCopies = append(j.damagedCopies, segment{number: number, size: file.Size})
 		} else {
-			j.foreign += onDisk(file.Size)
+			j.foreign += diskUsage(file.Size)
 		}
 	}
 	byNumber := func(a, b segment) int { return cmp.Compare(a.number, b.number) }
 	slices.SortFunc(j.segments, byNumber)
-	slices.SortFunc(j.aside, byNumber)
+	slices.SortFunc(j.damagedCopies, byNumber)
 	return nil
 }
 
-// findCheckpoints returns the indexes of the segments whose header says that they are checkpoints, in ascending order.
+// findCheckpoints returns the indexes of the segments whose header marks them as checkpoints, in ascending order.
 // It fails if a segment was written by a newer program.
 func (j *Journal) findCheckpoints() ([]int, error) {
 	var checkpoints []int
@@ -157,14 +157,14 @@
 		if errors.Is(err, frame.ErrNewer) {
 			return nil, fmt.Errorf("%s: %w", segmentPath(s.number), err)
 		}
-		if at > 0 && f.Checkpoint { // one spoilt header is enough to read it, and is reported when it is read
+		if at > 0 && f.Checkpoint { // one intact header is enough; a corrupt one is reported when the segment is read
 			checkpoints = append(checkpoints, i)
 		}
 	}
 	return checkpoints, nil
 }
 
-// skipReplaced finds the last checkpoint that is complete and leaves the segments before it out of the replay.
+// skipReplaced finds the last complete checkpoint and excludes the segments before it from the replay.
 func (r *recovery) skipReplaced(checkpoints []int) error {
 	j := r.journal
 	for _, i := range slices.Backward(checkpoints) {
@@ -173,7 +173,7 @@
 		if err != nil {
 			return err
 		}
-		if f, at, _ := frame.FormatOf(data, number); at == 0 || !whole(f, data, at) {
+		if f, at, _ := frame.FormatOf(data, number); at == 0 || !isComplete(f, data, at) {
 			continue
 		}
 		r.report.Checkpoint, j.checkpoint = number, number
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// readSegments replays the segments in order, one at a time because the folder may be larger than the memory.
+// readSegments replays the segments in order, one at a time because the folder may be larger than the available memory.
 func (r *recovery) readSegments() error {
 	segments := r.journal.segments
 	for i, s := range segments {
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// read returns the content of a segment. One that is larger than the journal could have written counts as damaged from
-// its beginning, and is not copied because no copy would fit.
+// read returns the content of a segment. A segment that is larger than the journal could have written counts as damaged
+// from its beginning, and is not copied because a copy would not fit.
 func (r *recovery) read(n uint64) ([]byte, error) {
 	j := r.journal
 	data, err := j.fs.Read(segmentPath(n), max(j.limit, 2*(MaxBody+4<<10)))
@@ -217,14 +217,14 @@
 	return data, nil
 }
 
-// whole reports whether a checkpoint is complete.
-func whole(f frame.Format, data []byte, at int) bool {
+// isComplete reports whether a checkpoint is complete.
+func isComplete(f frame.Format, data []byte, at int) bool {
 	for at < len(data) {
 		payload, next, err := f.Record(data, at)
 		if err != nil {
 			return false
 		}
-		if payload[0] == recEnd {
+		if payload[0] == recCheckpointEnd {
 			return next == len(data)
 		}
 		at = next
@@ -232,38 +232,38 @@
 	return false
 }
 
-// problem adds a problem to the report, if that has room.
+// problem adds a problem to the report, up to maxProblems.
 func (r *recovery) problem(file string, at int, what string, torn bool) {
 	if len(r.report.Problems) < maxProblems {
 		r.report.Problems = append(r.report.Problems, Problem{File: file, At: at, What: what, Torn: torn})
 	}
 }
 
-// missing reports segments that are missing between others, and plans to create them empty.
+// missing reports segments that are missing between others, and schedules their creation as empty files.
 func (r *recovery) missing(from, to uint64) {
 	what := "missing"
 	if to > from {
-		what = fmt.Sprintf("missing, as all up to %d", to)
+		what = fmt.Sprintf("missing, with all segments up to %d", to)
 	}
 	r.problem(segmentPath(from), 0, what, false)
-	r.inDoubt()
-	if to-from < maxProblems { // more are not created, and are reported at each start
+	r.markInDoubt()
+	if to-from < maxProblems { // a longer gap is not filled, and is reported at each start
 		for n := from; n <= to; n++ {
 			r.cuts[n] = 0
 		}
 	}
 }
 
-// inDoubt marks all live messages as possibly run, because records may be missing at this place.
-func (r *recovery) inDoubt() {
+// markInDoubt marks all live messages as in doubt, because some of their records may be missing at this position.
+func (r *recovery) markInDoubt() {
 	for seq := range r.journal.live {
 		r.doubt[seq] = true
 	}
 }
 
-// segment replays a segment up to its end or its torn tail. After damage it goes on with the next sound record.
+// segment replays a segment up to its end or its torn tail. After damage it resumes at the next valid record.
 func (r *recovery) segment(n uint64, data []byte, last bool) {
-	r.number, r.behind.on = n, false
+	r.number, r.afterCut.active = n, false
 	f, at, err := frame.FormatOf(data, n)
 	switch {
 	case errors.Is(err, frame.ErrTorn) && last:
@@ -272,9 +272,9 @@
 	case err != nil && at == 0:
 		r.damaged(n, 0, err)
 		return
-	case err != nil: // the other header is sound
+	case err != nil: // the other header is valid
 		r.problem(segmentPath(n), 0, err.Error(), false)
-		r.keep[n] = true
+		r.toCopy[n] = true
 	}
 	if f.Keyed {
 		r.report.Headed++
@@ -289,20 +289,20 @@
 			at = next
 			continue
 		}
-		if errors.Is(err, frame.ErrTorn) && (last || !f.Keyed) && !r.behind.on {
+		if errors.Is(err, frame.ErrTorn) && (last || !f.Keyed) && !r.afterCut.active {
 			r.torn(n, at, len(data))
 			if !f.Keyed && !(len(data) > at+frame.PlainHeadSize && data[at+frame.PlainHeadSize] == recAccepted) {
-				// Only the length says so, and a damaged length looks the same.
-				r.inDoubt()
+				// A plain segment shows a torn record only by its length, and a corrupt length looks the same.
+				r.markInDoubt()
 			}
 			return
 		}
-		if r.behind.on {
+		if r.afterCut.active {
 			r.problem(segmentPath(n), at, err.Error(), false)
-			r.inDoubt()
+			r.markInDoubt()
 		} else {
 			r.damaged(n, at, err)
-			r.behind.on = true
+			r.afterCut.active = true
 		}
 		if at = f.Resume(data, at, next); at < 0 {
 			return
@@ -310,21 +310,21 @@
 	}
 }
 
-// torn reports a torn tail and plans to cut it off.
+// torn reports a torn tail and schedules its truncation.
 func (r *recovery) torn(n uint64, at, size int) {
 	r.problem(segmentPath(n), at, fmt.Sprintf("torn tail of %d bytes", size-at), true)
 	r.cuts[n] = int64(at)
 }
 
-// damaged reports damage, and plans to copy the segment and to cut it there.
+// damaged reports damage, and schedules a copy of the segment and its truncation at that position.
 func (r *recovery) damaged(n uint64, at int, err error) {
 	r.problem(segmentPath(n), at, err.Error(), false)
 	r.cuts[n] = int64(at)
-	r.keep[n] = true
-	r.inDoubt()
+	r.toCopy[n] = true
+	r.markInDoubt()
 }
 
-// apply applies a record to the journal's state, and notes what has to be written anew if it comes after a cut.
+// apply applies a record to the journal's state, and collects what has to be written again if the record comes after a cut.
 func (r *recovery) apply(payload []byte) error {
 	rd := reader{rest: payload}
 	kind, seq := rd.u8(), policy.MessageID(rd.uvarint())
@@ -334,41 +334,41 @@
 		return err
 	}
 	switch kind {
-	case recAccepted, recClosed: // they replace all records before them
+	case recAccepted, recClosed: // these replace all earlier records of the message
 		delete(r.doubt, seq)
-		delete(r.trace, seq)
-		delete(r.behind.attempts, seq)
+		delete(r.unknown, seq)
+		delete(r.afterCut.attempts, seq)
 	case recAttempt, recOutcome, recEnded:
 		if m == nil && seq != 0 && r.report.Damaged() {
-			r.trace[seq] = true
+			r.unknown[seq] = true
 		}
 	}
-	if !r.behind.on {
+	if !r.afterCut.active {
 		return nil
 	}
 	switch kind {
 	case recAccepted:
-		r.behind.taken[seq] = true
-		delete(r.behind.closed, seq)
+		r.afterCut.accepted[seq] = true
+		delete(r.afterCut.closed, seq)
 	case recAttempt:
-		r.behind.attempts[seq]++
+		r.afterCut.attempts[seq]++
 	case recEnded:
-		r.behind.ended[seq] = true
+		r.afterCut.ended[seq] = true
 	case recClosed:
-		r.behind.closed[seq] = true
+		r.afterCut.closed[seq] = true
 		if m != nil {
-			r.behind.over = append(r.behind.over, m.ID)
+			r.afterCut.over = append(r.afterCut.over, m.ID)
 		}
-	case recOver:
-		r.behind.over = append(r.behind.over, rd.ids()...)
+	case recEndedIDs:
+		r.afterCut.over = append(r.afterCut.over, rd.ids()...)
 	case recOrder:
 		rd.u8()
-		r.behind.orders[string(rd.bytes())] = true
+		r.afterCut.orders[string(rd.bytes())] = true
 	}
 	return nil
 }
 
-// resolve makes the messages in doubt count as possibly run, and completes the report.
+// resolve marks the messages in doubt as possibly run, and completes the report.
 func (r *recovery) resolve() {
 	for _, seq := range sorted(r.doubt) {
 		m := r.journal.live[seq]
@@ -377,10 +377,10 @@
 			continue
 		}
 		r.report.Doubt = append(r.report.Doubt, m.ID)
-		m.Past.attempt("", 0, longAgo)
+		m.Past.attempt("", 0, unknownTime)
 		m.Past.outcome(false)
 	}
-	for seq := range r.trace {
+	for seq := range r.unknown {
 		if r.journal.live[seq] == nil {
 			r.report.Lost = append(r.report.Lost, uint64(seq))
 		}
@@ -390,25 +390,25 @@
 	r.report.Owed = len(r.journal.live)
 }
 
-// repair changes the folder so that the next replay finds the same state and no damage. What is to be cut off, and
-// which messages are in doubt, is written to the newest segment before any other file is changed.
+// repair changes the folder so that the next replay finds the same state and no damage. The records that truncation
+// removes, and the messages in doubt, are written to the newest segment before any other file is changed.
 func (r *recovery) repair() error {
 	j := r.journal
-	if len(r.cuts) == 0 && len(r.keep) == 0 && len(r.doubt) == 0 {
+	if len(r.cuts) == 0 && len(r.toCopy) == 0 && len(r.doubt) == 0 {
 		return nil
 	}
-	j.retryAt = math.MaxInt64 // no checkpoint may be written in the middle of the repair
+	j.retryAt = math.MaxInt64 // no checkpoint may be written during the repair
 	defer func() { j.retryAt = 0 }()
-	for _, n := range sorted(r.keep) {
+	for _, n := range sorted(r.toCopy) {
 		if i := slices.IndexFunc(j.segments, func(s segment) bool { return s.number == n }); i >= 0 {
-			if err := r.setAside(j.segments[i]); err != nil {
+			if err := r.copyDamaged(j.segments[i]); err != nil {
 				return err
 			}
 		}
 	}
 	err := r.rewrite()
 	if errors.Is(err, ErrFull) {
-		j.log.Error("journal: no room to mend the folder, the next start finds the same", "err", err)
+		j.log.Error("journal: no space to repair the folder; the next start will find the same damage", "err", err)
 		return nil
 	}
 	if err != nil {
@@ -418,7 +418,7 @@
 		return err
 	}
 	for _, n := range sorted(r.cuts) {
-		if err := r.cut(n, r.cuts[n]); err != nil {
+		if err := r.truncate(n, r.cuts[n]); err != nil {
 			return fmt.Errorf("recovering the journal: %w", err)
 		}
 	}
@@ -428,35 +428,35 @@
 	return nil
 }
 
-// rewrite writes records of all that the cuts remove, and of the messages in doubt.
+// rewrite writes again what the cuts remove, and records the messages in doubt as possibly run.
 func (r *recovery) rewrite() error {
 	j := r.journal
 	first := j.segments[len(j.segments)-1].number
 	var records [][]byte
-	for _, seq := range sorted(r.behind.closed) {
-		records = append(records, closedRecord(seq, "", longAgo))
+	for _, seq := range sorted(r.afterCut.closed) {
+		records = append(records, closedRecord(seq, "", unknownTime))
 	}
-	for _, name := range sorted(r.behind.orders) {
+	for _, name := range sorted(r.afterCut.orders) {
 		_, out := j.orders[name]
-		records = append(records, orderRecord(name, out, longAgo))
+		records = append(records, orderRecord(name, out, unknownTime))
 	}
-	for ids := range slices.Chunk(r.behind.over, overChunk) {
-		records = append(records, overRecord(ids))
+	for ids := range slices.Chunk(r.afterCut.over, endedIDsChunk) {
+		records = append(records, endedIDsRecord(ids))
 	}
-	records = append(records, record(recNext, j.next))
+	records = append(records, record(recNextNumber, j.next))
 	for _, b := range records {
 		if err := j.append(b, nil); err != nil {
 			return err
 		}
 	}
-	for _, name := range sorted(r.behind.orders) {
+	for _, name := range sorted(r.afterCut.orders) {
 		if _, out := j.orders[name]; out {
 			j.orders[name] = j.segments[len(j.segments)-1].number
 		}
 	}
 	for _, seq := range sorted(j.live) {
 		m := j.live[seq]
-		if r.behind.taken[seq] {
+		if r.afterCut.accepted[seq] {
 			if err := j.append(acceptedRecord(m), m); err != nil {
 				return err
 			}
@@ -464,17 +464,17 @@
 		}
 		var records [][]byte
 		if r.doubt[seq] {
-			b := attemptRecord(seq, "", 0, longAgo)
-			records = slices.Repeat([][]byte{b}, 1+r.behind.attempts[seq])
+			b := attemptRecord(seq, "", 0, unknownTime)
+			records = slices.Repeat([][]byte{b}, 1+r.afterCut.attempts[seq])
 		}
-		if r.behind.ended[seq] && m.Notice != nil {
+		if r.afterCut.ended[seq] && m.Notice != nil {
 			records = append(records, appendNotice(record(recEnded, seq), m.Notice))
 		}
 		for _, b := range records {
 			if err := j.freeSpace(int64(len(b) + j.format.HeadSize())); err != nil {
 				return err
 			}
-			if j.home[seq] >= first { // makeRoom has just copied the message, with all this
+			if j.holder[seq] >= first { // freeSpace has just copied the message, including this state
 				break
 			}
 			if err := j.write(b, nil); err != nil {
@@ -485,12 +485,12 @@
 	return nil
 }
 
-// cut shortens a segment to a size, or creates it empty if it is missing, so that the next replay does not report it
+// truncate shortens a segment to a size, or creates it empty if it is missing, so that the next replay does not report it
 // again.
-func (r *recovery) cut(n uint64, size int64) error {
+func (r *recovery) truncate(n uint64, size int64) error {
 	j := r.journal
 	if n < j.segments[0].number {
-		return nil // it has been removed by clean meanwhile
+		return nil // compact has removed it meanwhile
 	}
 	i := slices.IndexFunc(j.segments, func(s segment) bool { return s.number >= n })
 	if i >= 0 && j.segments[i].number == n {
@@ -505,64 +505,65 @@
 	return f.Close()
 }
 
-// sorted returns the keys of a map in order.
+// sorted returns the keys of a map in ascending order.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// setAside copies a damaged segment, if there is room. Older copies are removed to make room.
-func (r *recovery) setAside(s segment) error {
+// copyDamaged copies a damaged segment, if there is space for it. Older copies are removed to free space.
+func (r *recovery) copyDamaged(s segment) error {
 	j := r.journal
 	if s.size == 0 {
 		return nil
 	}
-	name := fmt.Sprintf(damagedName, s.number)
-	if slices.ContainsFunc(j.aside, func(a segment) bool { return a.number == s.number && a.size >= s.size }) {
+	name := fmt.Sprintf(damagedCopyName, s.number)
+	if slices.ContainsFunc(j.damagedCopies, func(a segment) bool { return a.number == s.number && a.size >= s.size }) {
 		return nil // an earlier start has made the copy
 	}
 	for {
-		i := slices.IndexFunc(j.aside, func(a segment) bool { return a.number == s.number })
-		if i < 0 && j.diskSize()+onDisk(s.size)+j.segSize+2*block > j.limit && len(j.aside) > 0 {
+		i := slices.IndexFunc(j.damagedCopies, func(a segment) bool { return a.number == s.number })
+		if i < 0 && j.diskSize()+diskUsage(s.size)+j.segSize+2*blockSize > j.limit && len(j.damagedCopies) > 0 {
 			i = 0
 		}
 		if i < 0 {
 			break
 		}
-		if err := j.dropAside(i); err != nil {
+		if err := j.dropDamagedCopy(i); err != nil {
 			return err
 		}
 	}
-	if j.diskSize()+onDisk(s.size)+j.segSize+2*block > j.limit {
-		j.log.Warn("journal: no room to set a damaged segment aside", "segment", s.number)
+	if j.diskSize()+diskUsage(s.size)+j.segSize+2*blockSize > j.limit {
+		j.log.Warn("journal: no space to keep a copy of a damaged segment", "segment", s.number)
 		return nil
 	}
 	data, err := j.fs.Read(segmentPath(s.number), s.size)
 	if err != nil {
-		return fmt.Errorf("setting a damaged segment aside: %w", err)
+		return fmt.Errorf("copying a damaged segment: %w", err)
 	}
 	f, err := j.fs.Create(name)
 	if err != nil {
-		return fmt.Errorf("setting a damaged segment aside: %w", err)
+		return fmt.Errorf("copying a damaged segment: %w", err)
 	}
 	_, err = f.Write(data)
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return fmt.Errorf("setting a damaged segment aside: %w", err)
+		return fmt.Errorf("copying a damaged segment: %w", err)
 	}
-	j.aside = append(j.aside, segment{number: s.number, size: int64(len(data))})
+	j.damagedCopies = append(j.damagedCopies, segment{number: s.number, size: int64(len(data))})
 	r.report.SetAside = append(r.report.SetAside, name)
 	return nil
 }
 
-// dropAside removes a copy of a damaged segment to make room.
-func (j *Journal) dropAside(i int) error {
-	name := fmt.Sprintf(damagedName, j.aside[i].number)
+// dropDamagedCopy removes a copy of a damaged segment to free space.
+func (j *Journal) dropDamagedCopy(i int) error {
+	name := fmt.Sprintf(damagedCopyName, j.damagedCopies[i].number)
 	if err := j.fs.Remove(name); err != nil {
-		return fmt.Errorf("making room: %w", err)
+		return fmt.Errorf("removing the copy of a damaged segment: %w", err)
 	}
-	j.log.Warn("journal: the copy of a damaged segment made room", "file", name)
-	j.aside = slices.Delete(j.aside, i, i+1)
+	j.log.Warn("journal: removed the copy of a damaged segment to free space", "file", name)
+	j.damagedCopies = slices.Delete(j.damagedCopies, i, i+1)
 	return nil
 }
 
-// Check replays the journal in a folder, with a limit in bytes, and returns the report. It writes nothing.
+// Check replays the journal in a folder and returns the report. limit is the limit of the folder in bytes (Options.Limit).
+// It writes nothing.
 func Check(fs vfs.Folder, limit int64) (*Report, error) {
 	j, err := Replay(Options{Folder: fs, Limit: limit})
 	if err != nil {
@@ -586,7 +587,7 @@
 		fmt.Fprintf(&b, "in doubt, counts as possibly run: %s\n", id)
 	}
 	for _, n := range r.Lost {
-		fmt.Fprintf(&b, "lost but for traces: message number %d\n", n)
+		fmt.Fprintf(&b, "lost, only later records are left: message number %d\n", n)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
--- a/internal/deliverynode/journal/runs_test.go
+++ b/internal/deliverynode/journal/runs_test.go
@@ -13,16 +13,16 @@
 func TestRunsOfFailures(t *testing.T) {
 	at := func(n int) time.Time { return time.UnixMicro(int64(1e12) + int64(n)*1e6) }
 	m := &Memory{}
-	m.fail(policy.Unreachable, at(0))
-	m.fail(policy.Failed, at(1))
-	m.back(at(2))
-	m.back(at(3)) // not the first success
+	m.addFailure(policy.Unreachable, at(0))
+	m.addFailure(policy.Failed, at(1))
+	m.addSuccess(at(2))
+	m.addSuccess(at(3)) // not the first success
 	for i := range 3 * maxRuns {
-		m.fail(policy.Failed, at(10+2*i))
-		m.back(at(11 + 2*i))
+		m.addFailure(policy.Failed, at(10+2*i))
+		m.addSuccess(at(11 + 2*i))
 	}
 	for i := range 2 * maxOutcomes {
-		m.fail(policy.TimedOut, at(100+i))
+		m.addFailure(policy.TimedOut, at(100+i))
 	}
 	if len(m.Runs) != maxRuns || len(m.Runs[0].Outcomes) != 2 || !m.Runs[0].FailedAt.Equal(at(1)) || !m.Runs[0].BackAt.Equal(at(2)) {
 		t.Fatalf("%+v", m.Runs)
--- a/internal/deliverynode/journal/segment.go
+++ b/internal/deliverynode/journal/segment.go
@@ -20,15 +20,15 @@
 // segmentPath returns the file name of a segment.
 func segmentPath(n uint64) string { return fmt.Sprintf(segmentName, n) }
 
-// onDisk returns the size that the platform counts for a file of n bytes.
-func onDisk(n int64) int64 { return (n + block - 1) / block * block }
+// diskUsage returns the disk usage that the platform counts for a file of n bytes.
+func diskUsage(n int64) int64 { return (n + blockSize - 1) / blockSize * blockSize }
 
-// append writes a record, after a checkpoint if one is due and after making room. If the record is a recTaken, taken is
-// its message. It fails with ErrNoRoom if there is no room.
-func (j *Journal) append(payload []byte, taken *Message) error {
+// append writes a checkpoint if one is due, frees space, and writes a record. If the record is a recAccepted, accepted is its
+// message. It fails with ErrFull if there is no space.
+func (j *Journal) append(payload []byte, accepted *Message) error {
 	if j.checkpointDue() {
 		if err := j.writeCheckpoint(); err != nil {
-			j.log.Error("journal: no checkpoint", "err", err)
+			j.log.Error("journal: checkpoint failed", "err", err)
 			j.retryAt = j.sinceCheckpoint() + j.segSize
 		}
 	}
@@ -36,11 +36,11 @@
 	if err := j.freeSpace(size); err != nil {
 		return err
 	}
-	return j.write(payload, taken)
+	return j.write(payload, accepted)
 }
 
-// write writes a record to the newest segment, or to a new one if that is full.
-func (j *Journal) write(payload []byte, taken *Message) error {
+// write writes a record to the newest segment, or to a new one if the newest is full.
+func (j *Journal) write(payload []byte, accepted *Message) error {
 	size := int64(len(payload) + j.format.HeadSize())
 	if last := &j.segments[len(j.segments)-1]; last.size > j.headSize() && last.size+size > j.segSize {
 		if err := j.roll(); err != nil {
@@ -50,7 +50,7 @@
 	last := &j.segments[len(j.segments)-1]
 	j.buf = j.format.AppendRecord(j.buf[:0], payload, last.size)
 	if n, err := j.file.Write(j.buf); err != nil {
-		// A part of the record may have been written. It must not hide the records that follow.
+		// The write may have been partial. The partial record must not make later records unreadable.
 		last.size += int64(n)
 		if n > 0 {
 			if t := j.file.Truncate(last.size - int64(n)); t == nil {
@@ -63,8 +63,8 @@
 	}
 	last.size += size
 	j.syncer.written += uint64(size)
-	if taken != nil {
-		j.home[taken.Seq] = last.number
+	if accepted != nil {
+		j.holder[accepted.Seq] = last.number
 	}
 	return nil
 }
@@ -77,8 +77,8 @@
 	return 0
 }
 
-// roll starts a new segment. With Options.Sync the last segment and the header of the new one are made durable first, so
-// a loss of power can only leave damage at the end of the last segment.
+// roll starts a new segment. With Options.Sync the previous segment and the header of the new one are made durable first, so
+// a power loss can only damage the end of the last segment.
 func (j *Journal) roll() error {
 	n := uint64(1)
 	if len(j.segments) > 0 {
@@ -97,7 +97,7 @@
 	}
 	if j.file != nil {
 		if err := j.file.Close(); err != nil {
-			j.log.Warn("journal: closing a segment", "err", err)
+			j.log.Warn("journal: could not close a segment", "err", err)
 		}
 	}
 	j.file, j.format = file, f
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// create creates a file. With a header, the header and the file's name are durable when it returns.
+// create creates a file. If the format has a header, the header and the file's name are durable when create returns.
 func (j *Journal) create(name string, f frame.Format) (vfs.File, error) {
 	file, err := j.fs.Create(name)
 	if err != nil || !f.Keyed {
@@ -123,21 +123,21 @@
 	return file, nil
 }
 
-// diskSize returns the bytes that all files of the folder take up on disk.
+// diskSize returns the disk usage of all files of the folder, in bytes.
 func (j *Journal) diskSize() int64 {
 	sum := j.foreign
-	for _, s := range slices.Concat(j.segments, j.aside, j.replaced) {
-		sum += onDisk(s.size)
+	for _, s := range slices.Concat(j.segments, j.damagedCopies, j.replaced) {
+		sum += diskUsage(s.size)
 	}
 	return sum
 }
 
-// freeSpace cleans the oldest segments until a record fits and a segment's size remains free: while a segment is cleaned
-// it and its copy are both on disk. It fails with ErrNoRoom.
+// freeSpace compacts the oldest segments until a record fits and the size of a segment remains free: during compaction a
+// segment and its copy are both on disk. It fails with ErrFull.
 func (j *Journal) freeSpace(size int64) error {
-	for tries := 2 * len(j.segments); j.diskSize()+size+j.segSize+2*block > j.limit; tries-- {
-		if len(j.aside) > 0 { // copies of damaged segments are dropped before messages are refused
-			if err := j.dropAside(0); err != nil {
+	for tries := 2 * len(j.segments); j.diskSize()+size+j.segSize+2*blockSize > j.limit; tries-- {
+		if len(j.damagedCopies) > 0 { // copies of damaged segments are dropped before messages are refused
+			if err := j.dropDamagedCopy(0); err != nil {
 				return err
 			}
 			continue
@@ -145,18 +145,18 @@
 		if tries <= 0 || len(j.segments) < 2 {
 			return ErrFull
 		}
-		if err := j.clean(); err != nil {
+		if err := j.compact(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// clean copies the records of the oldest segment that are still needed to the newest, and removes the oldest.
-func (j *Journal) clean() error {
+// compact copies the records of the oldest segment that are still needed to the newest, and removes the oldest.
+func (j *Journal) compact() error {
 	oldest := j.segments[0]
 	var move []*Message
-	for seq, n := range j.home {
+	for seq, n := range j.holder {
 		if n == oldest.number {
 			move = append(move, j.live[seq])
 		}
@@ -175,8 +175,8 @@
 			j.orders[name] = j.segments[len(j.segments)-1].number
 		}
 	}
-	// The copies must be durable before the segment is removed, and its removal before the next segment is: an older
-	// segment that came back alone would revive messages that have ended.
+	// The copies must be durable before the segment is removed, and its removal must be durable before the next segment is
+	// removed: an older segment that reappeared alone would revive messages that have ended.
 	err := j.syncFile()
 	if err == nil {
 		err = j.fs.Remove(segmentPath(oldest.number))
@@ -185,7 +185,7 @@
 		err = j.fs.Sync()
 	}
 	if err != nil {
-		return fmt.Errorf("cleaning the journal: %w", err)
+		return fmt.Errorf("compacting the journal: %w", err)
 	}
 	if j.segments = j.segments[1:]; oldest.number == j.checkpoint {
 		j.checkpoint = 0
