--- a/internal/deliverynode/journal/bench_test.go
+++ b/internal/deliverynode/journal/bench_test.go
@@ -11,9 +11,9 @@
 	"dunetide/internal/platform/vfs"
 )
 
-// BenchmarkTake takes messages on and ends them, by one caller and by many. It reports
-// the time to the answer and the syncs for each message.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkAccept accepts and closes messages, by one caller and by many. It reports the latency of Accept and the syncs per
+// message.
+func BenchmarkAccept(b *testing.B) {
 	for _, callers := range []int{1, 64} {
 		for _, on := range []bool{false, true} {
 			b.Run(fmt.Sprintf("callers=%d/sync=%v", callers, on), func(b *testing.B) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// BenchmarkStart reads folders of a life with few messages owed, by what was written in it,
-// and one that is full of owed messages.
+// BenchmarkStart replays folders with few live messages, by the amount that was written, and one that is full of live
+// messages.
 func BenchmarkStart(b *testing.B) {
 	const limit = 3e6
 	build := func(b *testing.B, on bool, written int64, live int) *disk {
@@ -70,7 +70,7 @@
 		for n := int64(0); n < written; n += 1200 {
 			m := &Message{ID: fmt.Sprint(n), Deadline: time.Now(), Body: bytes.Repeat([]byte{7}, 1000)}
 			if err := j.Accept(m); err != nil {
-				break // it is full
+				break // the journal is full
 			}
 			if open = append(open, m); len(open) > live {
 				if err := j.Closed(open[0], "", time.Now()); err != nil {
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -19,7 +19,7 @@
 	"dunetide/policy"
 )
 
-// goldenScript is the script that the version in service wrote testdata/v1 with.
+// goldenScript is the sequence of calls with which an earlier version wrote testdata/v1.
 func goldenScript(t *testing.T, j *Journal) {
 	t.Helper()
 	at := time.UnixMicro(1764600000123456)
@@ -52,7 +52,7 @@
 	must(t, j.Order("e4", true, at))
 	must(t, j.Order("e4", false, at.Add(time.Second)))
 	must(t, j.Leaves("e5", true, at))
-	for i := range 20 { // over two segments
+	for i := range 20 { // fills two segments
 		must(t, j.Closed(msg(100+i, 5000), "", at))
 	}
 }
@@ -70,8 +70,8 @@
 	return out
 }
 
-// Without syncs the folder is, byte for byte, what the version before wrote.
-func TestOffChangesNothingOnDisk(t *testing.T) {
+// Without Options.Sync the folder is byte for byte the same as that of the earlier version.
+func TestFormatWithoutSyncIsUnchanged(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, MinDisk)
 	goldenScript(t, j)
@@ -91,42 +91,42 @@
 	}
 }
 
-// A folder of the version before is read, with syncs and without, and what is then
-// written is read by either again.
+// A folder of the earlier version is readable with and without Options.Sync, and so is a folder that either mode has then
+// written to.
 //
-// It is read from memory: on a busy machine a sync of a real disk takes longer than the journal waits for one.
-func TestFolderOfTheVersionBefore(t *testing.T) {
+// The folder is in memory: on a busy machine a sync of a real disk takes longer than the journal waits for it.
+func TestFolderOfEarlierVersion(t *testing.T) {
 	for _, sync := range [][2]bool{{false, false}, {false, true}, {true, false}, {true, true}} {
 		folder := diskOf(t, filepath.Join("testdata", "v1"))
-		for life, on := range sync {
+		for start, on := range sync {
 			j, owed, err := Open(Options{Folder: folder, Limit: MinDisk, Sync: on})
 			must(t, err)
 			got := map[string]*Message{}
 			for _, m := range owed {
 				got[m.ID] = m
 			}
-			if len(got) != 7+life || got["id5"] != nil || got["id7"] != nil || len(got["id3"].Body) != 5000 || got["id3"].Dest != 3 {
-				t.Fatalf("sync %v, life %d: owed %d", sync, life, len(got))
+			if len(got) != 7+start || got["id5"] != nil || got["id7"] != nil || len(got["id3"].Body) != 5000 || got["id3"].Dest != 3 {
+				t.Fatalf("sync %v, start %d: owed %d", sync, start, len(got))
 			}
 			for id, run := range map[string]bool{"id0": false, "id1": true, "id2": false, "id3": true, "id4": true, "id8": false} {
 				if got[id].Past.MayRun != run {
-					t.Errorf("sync %v, life %d: %s came back with %+v", sync, life, id, got[id].Past)
+					t.Errorf("sync %v, start %d: %s was restored with %+v", sync, start, id, got[id].Past)
 				}
 			}
 			if n := got["id6"].Notice; n == nil || !n.HandedBack() || !j.TakenOut("e3") || j.TakenOut("e4") || !j.Left("e5") || !j.Over.Has("id5") {
-				t.Errorf("sync %v, life %d: notice %v, orders %v", sync, life, n, j.orders)
+				t.Errorf("sync %v, start %d: notice %v, orders %v", sync, start, n, j.orders)
 			}
 			if len(j.recovery.report.Problems) > 0 {
-				t.Errorf("sync %v, life %d: %v", sync, life, j.recovery.report.Problems)
+				t.Errorf("sync %v, start %d: %v", sync, start, j.recovery.report.Problems)
 			}
-			must(t, j.Accept(&Message{ID: fmt.Sprint("life", life), Deadline: time.Now(), Body: []byte("x")}))
+			must(t, j.Accept(&Message{ID: fmt.Sprint("start", start), Deadline: time.Now(), Body: []byte("x")}))
 			must(t, j.Close())
 		}
 	}
 }
 
-// small is a journal of two charges and a safe message, in each state, in one segment.
-func small(t *testing.T, sync bool) (d *disk, j *Journal) {
+// smallJournal returns a journal of one segment with charges in different states and a message that may be repeated.
+func smallJournal(t *testing.T, sync bool) (d *disk, j *Journal) {
 	t.Helper()
 	d = newDisk()
 	j, _, err := Open(Options{Folder: d, Limit: MinDisk, Sync: sync})
@@ -151,31 +151,30 @@
 	return d, j
 }
 
-// One flipped bit, wherever it is: the start goes on, says what it found, and sends no
-// charge again that was sent. What it has mended is sound at the next start; one of two
-// headers stays spoilt, and is told of again.
+// With any single bit flipped, a start succeeds, reports the damage, and does not resend a charge that was sent. The next
+// start finds the repaired folder undamaged, except that a corrupt one of the two headers stays and is reported again.
 func TestOneFlippedBit(t *testing.T) {
 	for _, sync := range []bool{false, true} {
-		d, j := small(t, sync)
+		d, j := smallJournal(t, sync)
 		must(t, j.Close())
 		sound := d.names[segmentPath(1)].data
 		for bit := range len(sound) * 8 {
-			spoilt := bytes.Clone(sound)
-			spoilt[bit/8] ^= 1 << (bit % 8)
-			for _, last := range []bool{true, false} { // or with a segment behind it
+			flipped := bytes.Clone(sound)
+			flipped[bit/8] ^= 1 << (bit % 8)
+			for _, last := range []bool{true, false} { // the damaged segment is the last one, or another follows
 				d := newDisk()
-				d.names[segmentPath(1)] = &inode{data: bytes.Clone(spoilt)}
+				d.names[segmentPath(1)] = &inode{data: bytes.Clone(flipped)}
 				if !last {
 					d.names[segmentPath(2)] = &inode{}
 				}
 				what := fmt.Sprintf("sync %v, bit %d of %d, last %v", sync, bit, len(sound)*8, last)
 				report, err := Check(d, MinDisk)
 				must(t, err)
-				if d.ops > 0 || !bytes.Equal(d.names[segmentPath(1)].data, spoilt) {
-					t.Fatalf("%s: check has changed something", what)
+				if d.ops > 0 || !bytes.Equal(d.names[segmentPath(1)].data, flipped) {
+					t.Fatalf("%s: check changed the folder", what)
 				}
 				if len(report.Problems) == 0 {
-					t.Errorf("%s: passed over in silence", what)
+					t.Errorf("%s: damage was not reported", what)
 				}
 				var first string
 				for start := range 2 {
@@ -191,7 +190,7 @@
 					if start == 0 {
 						first = state(j, owed)
 					} else if second := state(j, owed); second != first || len(j.recovery.report.Problems) > 0 && bit/8 >= frame.HeadersSize {
-						t.Errorf("%s: then %s and %+v, first %s", what, second, j.recovery.report.Problems, first)
+						t.Errorf("%s: the second start found %s and %+v, the first %s", what, second, j.recovery.report.Problems, first)
 					}
 					must(t, j.Close())
 				}
@@ -203,23 +202,26 @@
 	}
 }
 
-// What is wrong with a folder, what a start makes of it, and what it finds then.
+// For each kind of damage: what check reports, what a start recovers, and that the next start finds the same state.
 func TestDamagedFolders(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil   func(t *testing.T, dir string)
+		corrupt func(t *testing.T, dir string)
 		damaged bool
 		owed    int // of 12 messages in four segments
 		aside   int
 	}{
 		"sound":            {func(*testing.T, string) {}, false, 12, 0},
-		"zeros at the end": {func(t *testing.T, dir string) { t.Helper(); grow(t, dir, 4, make([]byte, 5000)) }, false, 12, 0},
+		"zeros at the end": {func(t *testing.T, dir string) { t.Helper(); appendToSegment(t, dir, 4, make([]byte, 5000)) }, false, 12, 0},
 		"absurd length": {func(t *testing.T, dir string) {
 			t.Helper()
-			grow(t, dir, 4, append(binary.LittleEndian.AppendUint32(nil, 1<<31), make([]byte, 8)...))
+			appendToSegment(t, dir, 4, append(binary.LittleEndian.AppendUint32(nil, 1<<31), make([]byte, 8)...))
 		}, true, 12, 1},
-		"garbage at the end":   {func(t *testing.T, dir string) { t.Helper(); grow(t, dir, 4, bytes.Repeat([]byte("garbage"), 99)) }, true, 12, 1},
-		"half a record":        {func(t *testing.T, dir string) { t.Helper(); shorten(t, dir, 4, 7) }, false, 11, 0},
-		"half a middle record": {func(t *testing.T, dir string) { t.Helper(); shorten(t, dir, 2, 7) }, true, 11, 1},
+		"garbage at the end": {func(t *testing.T, dir string) {
+			t.Helper()
+			appendToSegment(t, dir, 4, bytes.Repeat([]byte("garbage"), 99))
+		}, true, 12, 1},
+		"half a record":        {func(t *testing.T, dir string) { t.Helper(); shortenSegment(t, dir, 4, 7) }, false, 11, 0},
+		"half a middle record": {func(t *testing.T, dir string) { t.Helper(); shortenSegment(t, dir, 2, 7) }, true, 11, 1},
 		"missing in the middle": {func(t *testing.T, dir string) { t.Helper(); must(t, os.Remove(filepath.Join(dir, segmentPath(2)))) },
 			true, 9, 0},
 		"two missing": {func(t *testing.T, dir string) {
@@ -251,17 +253,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			four(t, dir)
-			c.spoil(t, dir)
+			writeFourSegments(t, dir)
+			c.corrupt(t, dir)
 			startTwice(t, dir, c.damaged, c.owed, c.aside)
-			if files := names(t, dir); strings.Contains(files, checkpointName) {
+			if files := fileNames(t, dir); strings.Contains(files, checkpointName) {
 				t.Errorf("left over: %s", files)
 			}
 		})
 	}
 }
 
-// startTwice checks what a folder is reported to have, and that a second start finds the same as the first, and no problem.
+// startTwice checks the report on a folder, and that a second start finds the same state as the first and no problem.
 func startTwice(t *testing.T, dir string, damaged bool, owedThen, damagedCopies int) {
 	t.Helper()
 	report, err := Check(vfs.Dir(dir), MinDisk)
@@ -276,28 +278,28 @@
 		if start == 0 {
 			first = state(j, owed)
 		} else if second := state(j, owed); second != first || len(j.recovery.report.Problems) > 0 {
-			t.Errorf("then %s and %+v, first %s", second, j.recovery.report.Problems, first)
+			t.Errorf("the second start found %s and %+v, the first %s", second, j.recovery.report.Problems, first)
 		}
 		if len(owed) != owedThen || len(j.damagedCopies) != damagedCopies {
-			t.Errorf("%d owed and %d set aside, want %d and %d", len(owed), len(j.damagedCopies), owedThen, damagedCopies)
+			t.Errorf("%d owed and %d copies of damaged segments, want %d and %d", len(owed), len(j.damagedCopies), owedThen, damagedCopies)
 		}
 		must(t, j.Close())
 	}
 }
 
-func names(t *testing.T, dir string) string {
+func fileNames(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := os.ReadDir(dir)
 	must(t, err)
-	var names []string
+	var fileNames []string
 	for _, f := range files {
-		names = append(names, f.Name())
+		fileNames = append(fileNames, f.Name())
 	}
-	return strings.Join(names, " ")
+	return strings.Join(fileNames, " ")
 }
 
-// four writes 12 messages, three in each of four segments.
-func four(t *testing.T, dir string) {
+// writeFourSegments writes 12 messages into four segments, three in each.
+func writeFourSegments(t *testing.T, dir string) {
 	t.Helper()
 	for s := range 4 {
 		j, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true})
@@ -309,7 +311,7 @@
 	}
 }
 
-func grow(t *testing.T, dir string, n uint64, b []byte) {
+func appendToSegment(t *testing.T, dir string, n uint64, b []byte) {
 	t.Helper()
 	f, err := os.OpenFile(filepath.Join(dir, segmentPath(n)), os.O_WRONLY|os.O_APPEND, 0)
 	must(t, err)
@@ -317,7 +319,7 @@
 	must(t, errors.Join(err, f.Close()))
 }
 
-func shorten(t *testing.T, dir string, n uint64, by int64) {
+func shortenSegment(t *testing.T, dir string, n uint64, by int64) {
 	t.Helper()
 	path := filepath.Join(dir, segmentPath(n))
 	info, err := os.Stat(path)
@@ -325,10 +327,10 @@
 	must(t, os.Truncate(path, info.Size()-by))
 }
 
-// A newer format ends the start with a plain message, and nothing is touched.
+// A segment of a newer format makes the start fail with a clear error and leaves the folder unchanged.
 func TestNewerFormatIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	four(t, dir)
+	writeFourSegments(t, dir)
 	path := filepath.Join(dir, segmentPath(3))
 	data, err := os.ReadFile(path)
 	must(t, err)
@@ -341,7 +343,7 @@
 	for _, sync := range []bool{false, true} {
 		_, _, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: sync})
 		if !errors.Is(err, frame.ErrNewer) || !strings.Contains(err.Error(), "format 3") {
-			t.Errorf("%v, want that it is newer", err)
+			t.Errorf("%v, want ErrNewer for format 3", err)
 		}
 	}
 	after := readFolder(t, dir)
@@ -355,28 +357,28 @@
 	}
 }
 
-// A folder that can't be written ends the start; one that is not there too.
+// A folder that cannot be written makes the start fail, and check fails for a folder that does not exist.
 func TestFolderThatCannotBeWritten(t *testing.T) {
 	d := newDisk()
 	d.failAt, d.fail = 1, os.ErrPermission
 	if _, _, err := Open(Options{Folder: d, Limit: MinDisk}); !errors.Is(err, os.ErrPermission) {
-		t.Errorf("%v, want that it is not permitted", err)
+		t.Errorf("%v, want os.ErrPermission", err)
 	}
 	if _, err := Check(vfs.Dir(filepath.Join(t.TempDir(), "none")), MinDisk); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v, want that it is not there", err)
+		t.Errorf("%v, want os.ErrNotExist", err)
 	}
 }
 
-// Of two checkpoints the newer one that is whole counts; with the newer spoilt, what the
-// older one and the segments say does, and nothing is sent that may have run.
+// Of two complete checkpoints the newer one is used. If it is corrupt, the older one and the later segments are used, and no
+// charge that may have run is sent again.
 func TestTwoCheckpoints(t *testing.T) {
 	make2 := func() *disk {
-		d, w := newDisk(), newWorld(t)
+		d, w := newDisk(), newObserved(t)
 		j, _, err := openSmall(d, true)
 		must(t, err)
 		for range 2 {
-			must(t, w.script(j, play{20, 6}))
-			old := d.after(kept) // the files before the checkpoint come back
+			must(t, w.script(j, workload{20, 6}))
+			old := d.afterLoss(kept) // the files from before the checkpoint are restored below
 			j.mu.Lock()
 			must(t, j.writeCheckpoint())
 			j.mu.Unlock()
@@ -385,13 +387,13 @@
 					d.names[name], d.durable[name] = f, f
 				}
 			}
-			w = newWorld(t) // ids come again in the second round
+			w = newObserved(t) // the second round uses the same ids
 		}
 		must(t, j.Close())
 		return d
 	}
 	d := make2()
-	j, owed, err := openSmall(d.after(kept), true)
+	j, owed, err := openSmall(d.afterLoss(kept), true)
 	must(t, err)
 	want := state(j, owed)
 	newest := j.recovery.report.Checkpoint
@@ -399,22 +401,22 @@
 		t.Fatalf("checkpoint %d, %+v, %v", newest, j.segments, j.recovery.report.Problems)
 	}
 	d = make2()
-	d = d.after(kept)
+	d = d.afterLoss(kept)
 	f := d.names[segmentPath(newest)]
 	f.data[len(f.data)/2] ^= 4
 	j, owed, err = openSmall(d, true)
 	must(t, err)
 	if r := j.recovery.report; !r.Damaged() || r.Checkpoint == newest {
-		t.Errorf("a spoilt checkpoint counts: %+v", r)
+		t.Errorf("a corrupt checkpoint was used: %+v", r)
 	}
 	for _, m := range owed {
-		if charge(m.ID) && !m.Past.MayRun && strings.Contains(want, m.ID+" ") && strings.Contains(want, m.ID+fmt.Sprintf(" %d true", len(m.Body))) {
+		if isCharge(m.ID) && !m.Past.MayRun && strings.Contains(want, m.ID+" ") && strings.Contains(want, m.ID+fmt.Sprintf(" %d true", len(m.Body))) {
 			t.Errorf("%s would be sent again", m.ID)
 		}
 	}
 }
 
-// Copies of damaged segments make room for work, the oldest first.
+// Copies of damaged segments are removed, oldest first, when the journal needs their space.
 func TestSetAsideCopiesAreDroppedForSpace(t *testing.T) {
 	d := newDisk()
 	for range 3 {
@@ -442,13 +444,12 @@
 		}
 	}
 	if len(j.damagedCopies) > 0 {
-		t.Error("a copy is kept at the cost of work")
+		t.Error("a copy of a damaged segment was kept although space is needed")
 	}
 }
 
-// Times on disk are compared with now alone: a clock that went back or far ahead changes
-// nothing of what is owed.
-func TestClockThatJumps(t *testing.T) {
+// A replay does not depend on the clock: a clock that jumps backwards or far ahead changes no live message.
+func TestClockJumps(t *testing.T) {
 	for _, jump := range []time.Duration{-48 * time.Hour, 300 * 24 * time.Hour} {
 		dir := t.TempDir()
 		now := time.Now()
@@ -469,8 +470,7 @@
 	}
 }
 
-// All that wait together are made durable by few syncs, and nothing is synced while
-// nothing waits.
+// Messages that wait at the same time share a sync, and there are no syncs while nothing waits.
 func TestSyncsAreGrouped(t *testing.T) {
 	d := &slowDisk{disk: newDisk(), release: make(chan struct{}), began: make(chan struct{}, 100)}
 	j, _, err := Open(Options{Folder: d, Limit: 1 << 20, Sync: true})
@@ -480,12 +480,12 @@
 	const n = 50
 	ends := make(chan error, n)
 	go func() { ends <- j.Accept(&Message{ID: "first"}) }()
-	<-d.began // the first sync is on its way; the others come meanwhile
+	<-d.began // the first sync is running; the other messages arrive meanwhile
 	for i := range n - 1 {
 		go func() { ends <- j.Accept(&Message{ID: fmt.Sprint(i)}) }()
 	}
 	for j.Status().Waiting < n {
-		time.Sleep(time.Millisecond) // they have nothing to tell of it
+		time.Sleep(time.Millisecond) // waiters give no signal that they have started to wait
 	}
 	close(d.release)
 	for range n {
@@ -496,11 +496,11 @@
 	}
 	must(t, j.Sync())
 	if syncs := j.Status().Syncs - before; syncs != 2 {
-		t.Errorf("%d syncs though nothing waits, want 2", syncs)
+		t.Errorf("%d syncs although nothing waits, want 2", syncs)
 	}
 }
 
-// slowDisk lets its syncs wait.
+// slowDisk is a disk whose syncs block until release is closed.
 type slowDisk struct {
 	*disk
 	slow    bool
@@ -526,24 +526,24 @@
 	return f.File.Sync()
 }
 
-// A disk that is too slow takes nothing on: the message is ended here.
-func TestWaitForTheDiskIsBounded(t *testing.T) {
+// If the disk is too slow to sync a message in time, Accept fails and the message is closed.
+func TestSyncWaitIsBounded(t *testing.T) {
 	d := &slowDisk{disk: newDisk(), release: make(chan struct{}), began: make(chan struct{}, 100)}
 	j, _, err := Open(Options{Folder: d, Limit: 1 << 20, Sync: true})
 	must(t, err)
 	d.slow = true
 	if err := j.Accept(&Message{ID: "a"}); !errors.Is(err, ErrNotDurable) {
-		t.Errorf("%v, want that it is not known to be durable", err)
+		t.Errorf("%v, want ErrNotDurable", err)
 	}
 	if s := j.Status(); s.Live != 0 {
 		t.Errorf("%d messages are owed", s.Live)
 	}
 	close(d.release)
 	must(t, j.Sync())
-	must(t, j.Accept(&Message{ID: "b"})) // slow is not failed
+	must(t, j.Accept(&Message{ID: "b"})) // a slow sync is not a disk failure
 }
 
-// The reader never panics on what it finds, and takes no more than there is.
+// A replay of arbitrary data does not panic, restores no more data than the segments have, and is stable over restarts.
 func FuzzReader(f *testing.F) {
 	for _, sync := range []bool{false, true} {
 		dir := f.TempDir()
@@ -584,7 +584,7 @@
 			size += len(m.Body) + len(m.ID)
 		}
 		if size > len(one)+len(two) || len(owed) != report.Owed {
-			t.Errorf("%d bytes and %d messages from %d bytes, check tells of %d", size, len(owed), len(one)+len(two), report.Owed)
+			t.Errorf("%d bytes and %d messages from %d bytes, check reports %d", size, len(owed), len(one)+len(two), report.Owed)
 		}
 		first := state(j, owed)
 		if err := j.Close(); err != nil {
@@ -594,30 +594,30 @@
 			t.Fatal(err)
 		}
 		if second := state(j, owed); second != first {
-			t.Errorf("then %s, first %s", second, first)
+			t.Errorf("the second start found %s, the first %s", second, first)
 		}
 	})
 }
 
-// onceBad is a disk on which the first sync that is waited for fails, late; the next one
-// of the same file says that all is well, as a kernel does.
-type onceBad struct {
+// failingSyncDisk is a disk on which one sync fails, after a delay, and the next sync of the same file succeeds: a kernel reports a
+// failure only once.
+type failingSyncDisk struct {
 	*disk
 	armed          bool
 	began, release chan struct{}
 }
 
-type onceBadFile struct {
+type failingSyncFile struct {
 	vfs.File
-	d *onceBad
+	d *failingSyncDisk
 }
 
-func (d *onceBad) Create(name string) (vfs.File, error) {
+func (d *failingSyncDisk) Create(name string) (vfs.File, error) {
 	f, err := d.disk.Create(name)
-	return &onceBadFile{f, d}, err
+	return &failingSyncFile{f, d}, err
 }
 
-func (f *onceBadFile) Sync() error {
+func (f *failingSyncFile) Sync() error {
 	if !f.d.armed {
 		return f.File.Sync()
 	}
@@ -627,9 +627,9 @@
 	return errors.New("input/output error")
 }
 
-// A failed sync counts, also when its segment was left meanwhile and a second one went well.
-func TestFailedSyncOfASegmentJustLeft(t *testing.T) {
-	d := &onceBad{disk: newDisk(), began: make(chan struct{}), release: make(chan struct{})}
+// A failed sync makes the journal fail even if a new segment was started meanwhile and a later sync succeeded.
+func TestFailedSyncOfClosedSegment(t *testing.T) {
+	d := &failingSyncDisk{disk: newDisk(), began: make(chan struct{}), release: make(chan struct{})}
 	j, _, err := Open(Options{Folder: d, Limit: MinDisk, Sync: true})
 	must(t, err)
 	m := &Message{ID: "a"}
@@ -653,11 +653,11 @@
 	}
 	j.mu.Unlock()
 	if err := j.Failed(); !errors.Is(err, ErrFailed) {
-		t.Errorf("%v, want that the disk failed", err)
+		t.Errorf("%v, want ErrFailed", err)
 	}
 }
 
-// diskOf is a disk in memory with the files of a folder.
+// diskOf returns an in-memory disk with the files of a folder.
 func diskOf(t *testing.T, folder string) *vfstest.Disk {
 	t.Helper()
 	d := vfstest.New()
--- a/internal/deliverynode/journal/golden_test.go
+++ b/internal/deliverynode/journal/golden_test.go
@@ -54,7 +54,7 @@
 	return b
 }
 
-// Each kind of record, written by an earlier version, has the same bytes.
+// The encoding of each kind of record is the same as in an earlier version.
 func TestGoldenRecords(t *testing.T) {
 	var text bytes.Buffer
 	for _, payload := range goldenRecordKinds() {
@@ -65,7 +65,7 @@
 	golden.JSON[Status](t, "status.json")
 }
 
-// Segments of both forms, written by an earlier version, are read and have the same bytes.
+// Segments of all forms that an earlier version wrote are readable, and their encoding is unchanged.
 func TestGoldenSegments(t *testing.T) {
 	for name, f := range map[string]frame.Format{
 		"plain":      {},
@@ -91,7 +91,7 @@
 	}
 }
 
-// checkGoldenState compares what was read of a golden segment with what was written.
+// checkGoldenState compares the state after a replay of a golden segment with the state that was written.
 func checkGoldenState(t *testing.T, j *Journal) {
 	t.Helper()
 	if problems := j.Problems(); len(problems) != 0 {
--- a/internal/deliverynode/journal/journal_test.go
+++ b/internal/deliverynode/journal/journal_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// dirSize counts a folder as the platform does.
+// dirSize returns the disk usage of a folder as the platform counts it.
 func dirSize(t *testing.T, dir string) int64 {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -51,8 +51,8 @@
 	return sum
 }
 
-// A new life finds what was taken, what lies behind it, and what is owed.
-func TestJournalRestoresWhatIsOwed(t *testing.T) {
+// A restart restores the accepted messages, the history of their attempts, and the notices that are not delivered yet.
+func TestJournalRestoresLiveMessages(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, MinDisk)
 	at := time.Now().Add(-3 * time.Second).Truncate(time.Microsecond)
@@ -74,7 +74,7 @@
 	must(t, j.Closed(done, "e3", at))
 	must(t, j.Close())
 
-	again, owed := mustOpen(t, dir, MinDisk)
+	reopened, owed := mustOpen(t, dir, MinDisk)
 	got := map[string]*Message{}
 	for _, m := range owed {
 		got[m.ID] = m
@@ -85,33 +85,33 @@
 	m := got["fresh"]
 	if string(m.Body) != string(fresh.Body) || m.Key != "k-fresh" || m.Dest != 7 || m.Past != (Past{}) ||
 		m.Deadline.UnixMicro() != fresh.Deadline.UnixMicro() {
-		t.Errorf("fresh came back as %+v", m)
+		t.Errorf("fresh was restored as %+v", m)
 	}
 	if p := got["tried"].Past; p.Attempts != 2 || !p.MayRun || !p.Settled || p.RanZone != 1 || !p.RanAt.Equal(at) {
-		t.Errorf("tried came back with %+v", p)
+		t.Errorf("tried was restored with %+v", p)
 	}
 	if p := got["out"].Past; p.Attempts != 1 || !p.MayRun || !p.Settled || p.Out {
-		t.Errorf("out came back with %+v: an attempt without an outcome may have run", p)
+		t.Errorf("out was restored with %+v: an attempt without an outcome may have run", p)
 	}
 	if p := got["turned"].Past; p.Attempts != 1 || p.MayRun {
-		t.Errorf("turned came back with %+v: it never ran", p)
+		t.Errorf("turned was restored with %+v: it never ran", p)
 	}
 	if n := got["over"].Notice; n == nil || !n.HandedBack() || n.RetryInMs != 500 {
-		t.Errorf("over came back with notice %+v", n)
+		t.Errorf("over was restored with notice %+v", n)
 	}
-	if e := again.Memories["e1"]; e == nil || len(e.Sent) != 2 || len(e.Runs) != 1 || !e.Runs[0].FailedAt.Equal(at) || !e.Runs[0].BackAt.IsZero() {
-		t.Errorf("e1 is remembered as %+v", e)
+	if e := reopened.Memories["e1"]; e == nil || len(e.Sent) != 2 || len(e.Runs) != 1 || !e.Runs[0].FailedAt.Equal(at) || !e.Runs[0].BackAt.IsZero() {
+		t.Errorf("memory of e1: %+v", e)
 	}
 	next := newMessage("next", 1)
-	must(t, again.Accept(next))
+	must(t, reopened.Accept(next))
 	if next.Seq <= done.Seq {
-		t.Errorf("number %d was given before", next.Seq)
+		t.Errorf("number %d was assigned before", next.Seq)
 	}
 }
 
-// A process that is killed may leave half a record, or a disk a broken one.
+// A killed process may leave a partial record, and a disk may corrupt one.
 func TestJournalSurvivesATornTail(t *testing.T) {
-	for name, spoil := range map[string]func([]byte) []byte{
+	for name, corrupt := range map[string]func([]byte) []byte{
 		"torn":    func(b []byte) []byte { return b[:len(b)-5] },
 		"head":    func(b []byte) []byte { return append(b, 9, 9, 9) },
 		"length":  func(b []byte) []byte { return append(b, 255, 255, 255, 255, 0, 0, 0, 0) },
@@ -126,23 +126,23 @@
 			path := filepath.Join(dir, segmentPath(1))
 			data, err := os.ReadFile(path)
 			must(t, err)
-			must(t, os.WriteFile(path, spoil(data), 0o600))
+			must(t, os.WriteFile(path, corrupt(data), 0o600))
 			j, owed := mustOpen(t, dir, MinDisk)
 			if len(owed) == 0 || owed[0].ID != "a" {
-				t.Fatalf("owed %v, want a at least", owed)
+				t.Fatalf("owed %v, want at least a", owed)
 			}
 			must(t, j.Accept(newMessage("c", 100)))
 			must(t, j.Close())
 			_, owed = mustOpen(t, dir, MinDisk)
 			if last := owed[len(owed)-1]; last.ID != "c" {
-				t.Errorf("what was written behind the torn tail is lost: last is %q", last.ID)
+				t.Errorf("the record written after the torn tail is lost: last is %q", last.ID)
 			}
 		})
 	}
 }
 
-// The folder stays within its limit at every moment, full bodies are refused before
-// it overflows, and nothing that is owed is lost by cleaning.
+// The folder stays within its limit at all times, messages are refused before it overflows, and compaction loses no live
+// message.
 func TestJournalKeepsItsLimit(t *testing.T) {
 	dir := t.TempDir()
 	const limit = 1 << 20
@@ -155,9 +155,9 @@
 		case errors.Is(err, ErrFull):
 			refused++
 			if len(open) == 0 {
-				t.Fatal("refused with nothing held")
+				t.Fatal("refused with no live message")
 			}
-			for range 3 { // the newest go, so that old ones must be moved on
+			for range 3 { // the newest end, so that compaction has to copy old ones
 				last := open[len(open)-1]
 				open = open[:len(open)-1]
 				must(t, j.Ended(last, NewNotice(last.ID, false, 0)))
@@ -185,27 +185,27 @@
 		t.Errorf("%d bytes in the folder after the next start", size)
 	}
 	if len(owed) != len(open) {
-		t.Fatalf("%d messages came back, want %d", len(owed), len(open))
+		t.Fatalf("%d messages were restored, want %d", len(owed), len(open))
 	}
 	for i, m := range owed {
 		if m.ID != open[i].ID || len(m.Body) != len(open[i].Body) || m.Past.Attempts != 6 {
-			t.Errorf("message %d came back as %s with %d bytes and %d attempts", i, m.ID, len(m.Body), m.Past.Attempts)
+			t.Errorf("message %d was restored as %s with %d bytes and %d attempts", i, m.ID, len(m.Body), m.Past.Attempts)
 		}
 	}
 }
 
-// A failed write refuses the message; the journal goes on when the disk does.
+// A failed write refuses the message; later writes succeed once the disk accepts them again.
 func TestJournalRefusesOnAFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, MinDisk)
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
-		t.Skip("no /dev/full here")
+		t.Skip("/dev/full does not exist")
 	}
 	good := j.file
 	j.file = full
 	if err := j.Accept(newMessage("a", 10)); err == nil || errors.Is(err, ErrFull) {
-		t.Fatalf("take on a full disk: %v", err)
+		t.Fatalf("Accept on a full disk: %v", err)
 	}
 	j.file = good
 	must(t, full.Close())
@@ -218,9 +218,8 @@
 	}
 }
 
-// A journal that refuses new messages still has room for all that the held ones
-// need until nothing is owed for them.
-func TestFullJournalCarriesItsMessagesToTheirEnd(t *testing.T) {
+// A journal that refuses new messages still has space for all records of the live messages until they are closed.
+func TestFullJournalCompletesItsMessages(t *testing.T) {
 	for _, size := range []int{0, 900, MaxBody} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			dir := t.TempDir()
@@ -255,8 +254,8 @@
 	}
 }
 
-// The staff's orders stay on record when their segment is cleaned, until they are
-// called back, and who comes back is cold.
+// Operators' orders survive the compaction of their segment until they are revoked, and an endpoint that returns counts as
+// just restarted.
 func TestJournalKeepsOrders(t *testing.T) {
 	dir := t.TempDir()
 	const limit = 1 << 20
@@ -273,21 +272,20 @@
 	}
 	must(t, j.Order("back", false, time.Now()))
 	must(t, j.Close())
-	again, _ := mustOpen(t, dir, limit)
-	if !again.TakenOut("out") || again.TakenOut("back") || again.TakenOut("other") {
-		t.Errorf("on record as out: %v, want one alone", again.orders)
+	reopened, _ := mustOpen(t, dir, limit)
+	if !reopened.TakenOut("out") || reopened.TakenOut("back") || reopened.TakenOut("other") {
+		t.Errorf("orders %v, want only that for out", reopened.orders)
 	}
-	if m := again.Memories["back"]; m == nil || len(m.Runs) != 1 || m.Runs[0].BackAt.IsZero() {
-		t.Errorf("back is remembered as %+v, want it just back", m)
+	if m := reopened.Memories["back"]; m == nil || len(m.Runs) != 1 || m.Runs[0].BackAt.IsZero() {
+		t.Errorf("memory of back: %+v, want one run that has ended", m)
 	}
-	if again.liveSize != orderReservedSize("out") {
-		t.Errorf("room kept for what is owed: %d, want that of one order", again.liveSize)
+	if reopened.liveSize != orderReservedSize("out") {
+		t.Errorf("%d bytes reserved, want those of one order", reopened.liveSize)
 	}
 }
 
-// From the moment that the journal is given away nothing more is written by this
-// process, until it is taken back.
-func TestGivenJournalIsNotWritten(t *testing.T) {
+// After Release this process writes nothing until Reclaim.
+func TestReleasedJournalIsNotWritten(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := mustOpen(t, dir, MinDisk)
 	held, out := newMessage("held", 10), newMessage("out", 10)
@@ -297,10 +295,10 @@
 	must(t, j.Attempt(out, "e1", 1, at))
 	size := dirSize(t, dir)
 	if given := j.Release(); len(given) != 1 || given[0] != (AttemptOut{Message: out.Seq, Endpoint: "e1", At: at}) {
-		t.Errorf("given away with %+v out, want the one attempt", given)
+		t.Errorf("released with the attempts %+v, want the one that is out", given)
 	}
 	for name, err := range map[string]error{
-		"take": j.Accept(newMessage("new", 1)), "attempt": j.Attempt(held, "e1", 1, at), "closed": j.Closed(held, "", at),
+		"accept": j.Accept(newMessage("new", 1)), "attempt": j.Attempt(held, "e1", 1, at), "closed": j.Closed(held, "", at),
 		"outcome": j.Outcome(out, policy.Full, "e1", at), "ended": j.Ended(held, NewNotice("held", true, 0)),
 		"order": j.Order("e1", true, at),
 	} {
@@ -309,11 +307,11 @@
 		}
 	}
 	if dirSize(t, dir) != size || held.Notice != nil || !out.Past.Out || !out.Past.MayRun {
-		t.Error("something changed though the journal was given away")
+		t.Error("something changed although the journal was released")
 	}
 	j.Reclaim()
 	must(t, j.Outcome(out, policy.Full, "e1", at))
 	if out.Past.Out || out.Past.MayRun {
-		t.Errorf("taken back: %+v", out.Past)
+		t.Errorf("after Reclaim: %+v", out.Past)
 	}
 }
--- a/internal/deliverynode/journal/power_test.go
+++ b/internal/deliverynode/journal/power_test.go
@@ -15,20 +15,20 @@
 	"dunetide/policy"
 )
 
-var errPower = errors.New("the power is gone")
+var errPower = errors.New("power loss")
 
-// disk is a folder that tells what is durable from what is not. Each write, sync,
-// rename, removal and so on is one operation; from one of them on all fail. It is safe for
-// concurrent use: a sync that the journal no longer waits for goes on beside the next write.
+// disk is an in-memory folder that tracks which data and names are durable. Each write, sync, rename, removal and so on is one
+// operation, and all operations from a chosen one on fail. It is safe for concurrent use: a sync that the journal no longer
+// waits for may run concurrently with the next write.
 type disk struct {
 	mu      sync.Mutex
 	names   map[string]*inode
 	durable map[string]*inode
-	pending []nameOp // since the last sync of the names
+	pending []nameOp // changes of names since the last sync of the folder
 	ops     int
 	failAt  int   // the operation that fails, and all after it; 0 for none
 	fail    error // errPower if nil
-	once    bool  // that operation alone fails
+	once    bool  // only that operation fails
 }
 
 type nameOp struct{ do func(map[string]*inode) }
@@ -72,7 +72,7 @@
 	defer d.mu.Unlock()
 	f := d.names[name]
 	if f == nil {
-		return nil, fmt.Errorf("%s is not there", name)
+		return nil, fmt.Errorf("%s does not exist", name)
 	}
 	if int64(len(f.data)) > most {
 		return nil, vfs.ErrTooLarge
@@ -85,7 +85,7 @@
 	defer d.mu.Unlock()
 	f := d.names[name]
 	if f == nil {
-		return nil, fmt.Errorf("%s is not there", name)
+		return nil, fmt.Errorf("%s does not exist", name)
 	}
 	return slices.Clone(f.data[:min(most, len(f.data))]), nil
 }
@@ -94,7 +94,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.names[name] != nil {
-		return nil, fmt.Errorf("%s is there", name)
+		return nil, fmt.Errorf("%s exists already", name)
 	}
 	if err := d.op(); err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 	defer d.mu.Unlock()
 	f := d.names[name]
 	if f == nil {
-		return nil, fmt.Errorf("%s is not there", name)
+		return nil, fmt.Errorf("%s does not exist", name)
 	}
 	return &diskFile{d, f}, nil
 }
@@ -207,17 +207,17 @@
 
 func (f *inode) sync() { f.durable, f.writes = slices.Clone(f.data), nil }
 
-// The ways in which a loss of power leaves what was not durable.
+// The possible effects of a power loss on data that is not durable.
 const (
 	kept      = iota
-	dropped   // all of it
-	cut       // in the middle of what was written last
-	reordered // what was written first is lost, what came later is there
+	dropped   // all of it is lost
+	cut       // half of it is lost
+	reordered // the first write is lost, later ones are kept
 	losses
 )
 
-// after is the disk as the next start finds it.
-func (d *disk) after(loss int) *disk {
+// afterLoss returns the disk as the next start finds it after a power loss.
+func (d *disk) afterLoss(loss int) *disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	names := maps.Clone(d.durable)
@@ -248,7 +248,7 @@
 	return next
 }
 
-// small makes segments short, so that a short script rolls, cleans and checks often.
+// smallSegment is a segment size at which a short script often starts segments, compacts and writes checkpoints.
 const smallSegment = 1500
 
 func openSmall(f vfs.Folder, sync bool) (*Journal, []*Message, error) {
@@ -261,30 +261,30 @@
 	return j, owed, err
 }
 
-// world is what the clients, endpoints and staff know.
-type world struct {
-	t      *testing.T
-	taken  map[string]bool // answered as taken on
-	done   map[string]bool // its end has been told, or it was delivered
-	sent   map[string]int  // times that it was sent
-	out    map[string]bool // orders that were answered yes
-	orders map[string]bool // that were called, whatever came of it
+// observed is the state that clients, endpoints and operators have observed.
+type observed struct {
+	t        *testing.T
+	accepted map[string]bool // the client got the confirmation
+	ended    map[string]bool // its end was reported, or it was delivered
+	sent     map[string]int  // number of times that the message was sent and may have run
+	out      map[string]bool // confirmed orders: whether the endpoint is out of service
+	orders   map[string]bool // endpoints with an attempted order, whatever its result
 }
 
-func newWorld(t *testing.T) *world {
+func newObserved(t *testing.T) *observed {
 	t.Helper()
-	return &world{t: t, taken: map[string]bool{}, done: map[string]bool{}, sent: map[string]int{}, out: map[string]bool{}, orders: map[string]bool{}}
+	return &observed{t: t, accepted: map[string]bool{}, ended: map[string]bool{}, sent: map[string]int{}, out: map[string]bool{}, orders: map[string]bool{}}
 }
 
-// A message whose id begins with c is a charge.
-func charge(id string) bool { return strings.HasPrefix(id, "c") }
+// isCharge reports whether a message is a charge, which must not be repeated: its id begins with c.
+func isCharge(id string) bool { return strings.HasPrefix(id, "c") }
 
-// try makes one attempt as the node does. Sent is told at the moment of the first byte.
-func (w *world) try(j *Journal, m *Message, at time.Time) error {
+// attempt makes one attempt as the node does. It counts the message as sent where the node would send the first byte.
+func (w *observed) attempt(j *Journal, m *Message, at time.Time) error {
 	if err := j.Attempt(m, "e1", 0, at); err != nil {
 		return err
 	}
-	if charge(m.ID) {
+	if isCharge(m.ID) {
 		if err := j.Sync(); err != nil {
 			return err
 		}
@@ -293,15 +293,15 @@
 	return nil
 }
 
-// play is how long a life is and how many messages are held at a time: with few, there
-// are checkpoints; with many, the oldest segments are cleaned.
-type play struct{ rounds, hold int }
+// workload is the length of a script and the number of messages that are live at a time: with few live messages the journal
+// writes checkpoints, with many it compacts the oldest segments.
+type workload struct{ rounds, hold int }
 
-var plays = map[string]play{"checkpoints": {60, 6}, "cleaning": {100, 25}}
+var workloads = map[string]workload{"checkpoints": {60, 6}, "cleaning": {100, 25}}
 
-// script is a life of the node: messages that are taken, tried, delivered, handed back,
-// orders, and segments that come and go. It ends with the first error.
-func (w *world) script(j *Journal, p play) error {
+// script runs the journal calls of a node: messages are accepted, attempted, delivered and handed back, there are orders, and
+// segments are started and removed. It stops at the first error.
+func (w *observed) script(j *Journal, p workload) error {
 	at := time.UnixMicro(1764600000000000)
 	var open []*Message
 	for i := range p.rounds {
@@ -309,16 +309,16 @@
 		if err := j.Accept(m); err != nil {
 			return err
 		}
-		w.taken[m.ID] = true
-		if i > 3 { // the first ones stay, and have to be moved on
+		w.accepted[m.ID] = true
+		if i > 3 { // the first ones stay live, so that compaction has to copy them
 			open = append(open, m)
 		}
 		at = at.Add(time.Second)
 		if i%5 != 4 {
-			if err := w.try(j, m, at); err != nil {
+			if err := w.attempt(j, m, at); err != nil {
 				return err
 			}
-			if i%3 == 0 { // turned away: it has not run, and may be tried again
+			if i%3 == 0 { // rejected: the message has not run and may be retried
 				if err := j.Outcome(m, policy.Full, "e1", at); err != nil {
 					return err
 				}
@@ -353,29 +353,29 @@
 	return m
 }
 
-// end ends a message: as delivered if it may have run, else with a notice that its client may come again.
-func (w *world) end(j *Journal, m *Message, at time.Time) error {
+// end ends a message: as delivered if it may have run, otherwise with a notice that its client may retry.
+func (w *observed) end(j *Journal, m *Message, at time.Time) error {
 	if m.Past.MayRun {
-		w.done[m.ID] = true // delivered; this is on record when it may
+		w.ended[m.ID] = true // delivered, whether or not the record becomes durable
 		return j.Closed(m, "e1", at)
 	}
 	if err := j.Ended(m, NewNotice(m.ID, true, 0)); err != nil {
 		return err
 	}
-	if charge(m.ID) { // its client may hand it in again
+	if isCharge(m.ID) { // its client may submit it again
 		if err := j.Sync(); err != nil {
 			return err
 		}
 	}
-	w.done[m.ID] = true
+	w.ended[m.ID] = true
 	return j.Closed(m, "", at)
 }
 
-// order has the staff take an endpoint out or let it serve again.
-func (w *world) order(j *Journal, round int, at time.Time) error {
+// order has an operator take an endpoint out of service or put it back.
+func (w *observed) order(j *Journal, round int, at time.Time) error {
 	name, out := fmt.Sprintf("e%d", round%3), round%2 == 0
 	w.orders[name] = true
-	delete(w.out, name) // until it is settled, either may hold
+	delete(w.out, name) // until the order is confirmed, either state is allowed
 	if err := j.Order(name, out, at); err != nil {
 		return err
 	}
@@ -386,8 +386,8 @@
 	return nil
 }
 
-// owes checks what a start finds against what the world knows.
-func (w *world) owes(j *Journal, owed []*Message, what string) {
+// check compares the state after a start with what was observed.
+func (w *observed) check(j *Journal, owed []*Message, what string) {
 	w.t.Helper()
 	found := map[string]*Message{}
 	for _, m := range owed {
@@ -395,16 +395,16 @@
 			w.t.Errorf("%s: %s is owed twice", what, m.ID)
 		}
 		found[m.ID] = m
-		if charge(m.ID) && !m.Past.MayRun && m.Notice == nil && w.sent[m.ID] > 0 {
+		if isCharge(m.ID) && !m.Past.MayRun && m.Notice == nil && w.sent[m.ID] > 0 {
 			w.t.Errorf("%s: charge %s would be sent again: %+v", what, m.ID, m.Past)
 		}
-		if charge(m.ID) && !m.Past.MayRun && m.Notice == nil && w.done[m.ID] {
-			w.t.Errorf("%s: charge %s is over and would be sent", what, m.ID)
+		if isCharge(m.ID) && !m.Past.MayRun && m.Notice == nil && w.ended[m.ID] {
+			w.t.Errorf("%s: charge %s has ended and would be sent", what, m.ID)
 		}
 	}
-	for id := range w.taken {
-		if !w.done[id] && found[id] == nil {
-			w.t.Errorf("%s: %s was taken on and is missing", what, id)
+	for id := range w.accepted {
+		if !w.ended[id] && found[id] == nil {
+			w.t.Errorf("%s: %s was accepted and is missing", what, id)
 		}
 	}
 	for name, out := range w.out {
@@ -414,7 +414,7 @@
 	}
 }
 
-// state tells all that a start found, to compare two of them.
+// state describes the state after a start, to compare two starts.
 func state(j *Journal, owed []*Message) string {
 	var b strings.Builder
 	for _, m := range owed {
@@ -424,15 +424,15 @@
 	return b.String()
 }
 
-// again starts on a disk twice: the second start finds the same and nothing to mend.
-func (w *world) again(d *disk, what string) {
+// startTwice starts twice on a disk and checks that the second start finds the same state and nothing to repair.
+func (w *observed) startTwice(d *disk, what string) {
 	w.t.Helper()
 	j, owed, err := openSmall(d, true)
 	if err != nil {
 		w.t.Errorf("%s: %v", what, err)
 		return
 	}
-	w.owes(j, owed, what)
+	w.check(j, owed, what)
 	first := state(j, owed)
 	if err := j.Close(); err != nil {
 		w.t.Errorf("%s: %v", what, err)
@@ -443,31 +443,30 @@
 		return
 	}
 	if second := state(j, owed); second != first || len(j.recovery.report.Problems) > 0 {
-		w.t.Errorf("%s: the second start finds\n%s and %v, the first one\n%s", what, second, j.recovery.report.Problems, first)
+		w.t.Errorf("%s: the second start found\n%s and %v, the first\n%s", what, second, j.recovery.report.Problems, first)
 	}
 }
 
-// At every operation of a life the power goes, and what was not durable is kept, dropped,
-// cut, or there without what came before it. Then it goes once more at every operation
-// of the recovery.
-func TestLossOfPowerAtEveryOperation(t *testing.T) {
-	for name, p := range plays {
-		t.Run(name, func(t *testing.T) { testLossOfPower(t, p) })
+// The power fails at every operation of a script, and data that is not durable is kept, dropped, cut, or kept without the
+// writes before it. Then the power fails again at every operation of the recovery.
+func TestPowerLossAtEveryOperation(t *testing.T) {
+	for name, p := range workloads {
+		t.Run(name, func(t *testing.T) { testPowerLoss(t, p) })
 	}
 }
 
-func testLossOfPower(t *testing.T, p play) {
+func testPowerLoss(t *testing.T, p workload) {
 	d := newDisk()
 	j, _, err := openSmall(d, true)
 	must(t, err)
-	must(t, newWorld(t).script(j, p))
-	if j.segments[0].number < 3 || (j.checkpoint > 0) != (p == plays["checkpoints"]) {
-		t.Fatalf("the script replaced no segment in the way that it should: checkpoint %d, %+v", j.checkpoint, j.segments)
+	must(t, newObserved(t).script(j, p))
+	if j.segments[0].number < 3 || (j.checkpoint > 0) != (p == workloads["checkpoints"]) {
+		t.Fatalf("the script did not replace segments by checkpoints or compaction as intended: checkpoint %d, %+v", j.checkpoint, j.segments)
 	}
 	ops := d.ops
 	t.Logf("%d operations", ops)
 	for at := 1; at <= ops; at++ {
-		d, w := newDisk(), newWorld(t)
+		d, w := newDisk(), newObserved(t)
 		d.failAt = at
 		if j, _, err := openSmall(d, true); err == nil {
 			if err := w.script(j, p); !errors.Is(err, errPower) && err != nil && !errors.Is(err, ErrFailed) {
@@ -476,16 +475,16 @@
 		}
 		for loss := range losses {
 			what := fmt.Sprintf("operation %d, loss %d", at, loss)
-			w.again(d.after(loss), what)
-			if at%31 != 7*loss { // at a part of them, for time's sake
+			w.startTwice(d.afterLoss(loss), what)
+			if at%31 != 7*loss { // only at some operations, to limit the running time
 				continue
 			}
 			for inner := 1; ; inner++ {
-				once := d.after(loss)
+				once := d.afterLoss(loss)
 				once.failAt = inner
 				_, _, err := openSmall(once, true)
 				for twice := range losses {
-					w.again(once.after(twice), fmt.Sprintf("%s, operation %d of the recovery, loss %d", what, inner, twice))
+					w.startTwice(once.afterLoss(twice), fmt.Sprintf("%s, operation %d of the recovery, loss %d", what, inner, twice))
 					if t.Failed() {
 						return
 					}
@@ -501,23 +500,23 @@
 	}
 }
 
-// A process that dies loses nothing that was written, with or without syncs.
-func TestProcessDeathAtEveryOperation(t *testing.T) {
+// A killed process loses nothing that it has written, with or without Options.Sync.
+func TestProcessKillAtEveryOperation(t *testing.T) {
 	for _, sync := range []bool{false, true} {
 		d := newDisk()
 		j, _, err := openSmall(d, sync)
 		must(t, err)
-		must(t, newWorld(t).script(j, plays["checkpoints"]))
+		must(t, newObserved(t).script(j, workloads["checkpoints"]))
 		for at := 1; at <= d.ops; at++ {
-			d, w := newDisk(), newWorld(t)
+			d, w := newDisk(), newObserved(t)
 			d.failAt = at
 			if j, _, err := openSmall(d, sync); err == nil {
-				_ = w.script(j, plays["checkpoints"]) // ends where the process does
+				_ = w.script(j, workloads["checkpoints"]) // stops where the process is killed
 			}
-			d = d.after(kept)
+			d = d.afterLoss(kept)
 			j, owed, err := openSmall(d, sync)
 			must(t, err)
-			w.owes(j, owed, fmt.Sprintf("sync %v, operation %d", sync, at))
+			w.check(j, owed, fmt.Sprintf("sync %v, operation %d", sync, at))
 			if j.recovery.report.Damaged() {
 				t.Errorf("sync %v, operation %d: %+v", sync, at, j.recovery.report.Problems)
 			}
@@ -525,28 +524,28 @@
 	}
 }
 
-// Each operation fails once, with a disk that is full or broken: the journal refuses, says
-// so, or goes on, and the next start owes what it should.
+// Each operation fails once, with the error of a full or a broken disk: the journal refuses messages, reports the failure, or
+// continues, and the next start restores the right messages.
 func TestFailureOfEachOperation(t *testing.T) {
 	whole := newDisk()
 	j, _, err := openSmall(whole, true)
 	must(t, err)
-	must(t, newWorld(t).script(j, plays["checkpoints"]))
+	must(t, newObserved(t).script(j, workloads["checkpoints"]))
 	for _, fail := range []error{errors.New("no space left on device"), errors.New("input/output error")} {
 		for at := 1; at <= whole.ops; at++ {
-			d, w := newDisk(), newWorld(t)
+			d, w := newDisk(), newObserved(t)
 			d.failAt, d.fail, d.once = at, fail, true
 			j, _, err := openSmall(d, true)
 			if err == nil {
-				err = w.script(j, plays["checkpoints"])
-				if j.Failed() != nil { // nothing is taken, however sound the disk says it is now
+				err = w.script(j, workloads["checkpoints"])
+				if j.Failed() != nil { // nothing is accepted, even if the disk now reports success
 					if err := j.Accept(&Message{ID: "late"}); !errors.Is(err, ErrFailed) {
-						t.Errorf("operation %d: taken on a failed disk: %v", at, err)
+						t.Errorf("operation %d: accepted on a failed disk: %v", at, err)
 					}
 				}
 			}
 			for loss := range losses {
-				w.again(d.after(loss), fmt.Sprintf("operation %d failed with %v (%v), loss %d", at, fail, err, loss))
+				w.startTwice(d.afterLoss(loss), fmt.Sprintf("operation %d failed with %v (%v), loss %d", at, fail, err, loss))
 			}
 			if t.Failed() {
 				return
--- a/internal/deliverynode/journal/runs_test.go
+++ b/internal/deliverynode/journal/runs_test.go
@@ -8,8 +8,8 @@
 	"dunetide/policy"
 )
 
-// Runs of failures come back as they were, from records and from a checkpoint alike, and are bounded;
-// of too many it is the lone failed answers that go.
+// Runs of failures are bounded, and a replay restores them from the records of a checkpoint. When there are too many,
+// runs of a single failed answer are evicted first.
 func TestRunsOfFailures(t *testing.T) {
 	at := func(n int) time.Time { return time.UnixMicro(int64(1e12) + int64(n)*1e6) }
 	m := &Memory{}
@@ -36,11 +36,11 @@
 		must(t, j.append(rec, nil))
 	}
 	must(t, j.Close())
-	again, _ := mustOpen(t, dir, 1<<20)
-	got := again.Memories["e"]
+	reopened, _ := mustOpen(t, dir, 1<<20)
+	got := reopened.Memories["e"]
 	if got == nil || !slices.EqualFunc(got.Runs, m.Runs, func(a, b Run) bool {
 		return slices.Equal(a.Outcomes, b.Outcomes) && a.FailedAt.Equal(b.FailedAt) && a.BackAt.Equal(b.BackAt)
 	}) {
-		t.Errorf("came back as %+v, want %+v", got, m)
+		t.Errorf("restored as %+v, want %+v", got, m)
 	}
 }
