--- a/cmd/deliverynode/bench_test.go
+++ b/cmd/deliverynode/bench_test.go
@@ -11,9 +11,9 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// BenchmarkHandIn hands messages in to a real node, by one client and by several. It
-// reports the time to the 202, and the share that was taken on.
-func BenchmarkHandIn(b *testing.B) {
+// BenchmarkSubmit submits messages to a real node, from one client and from several. It reports the latency of the 202 and
+// the share of messages that were accepted.
+func BenchmarkSubmit(b *testing.B) {
 	for _, clients := range []int{1, 16} {
 		for _, flags := range [][]string{nil, {"-sync"}} {
 			b.Run(fmt.Sprintf("clients=%d/flags=%v", clients, flags), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkCopies is the same on a node of a fleet, with its copies off and on, through relays.
+// BenchmarkCopies is the same benchmark on a node of a fleet, through relays, with replication off and on.
 func BenchmarkCopies(b *testing.B) {
 	for _, clients := range []int{1, 16} {
 		for _, c := range []struct {
@@ -54,7 +54,7 @@
 	}
 }
 
-// measure hands messages in, and reports the time to the 202 and the share that was taken on.
+// measure submits messages, and reports the latency of the 202 and the share of messages that were accepted.
 func (p *platform) measure(b *testing.B, clients int, classes []string) {
 	b.Helper()
 	took := make([][]time.Duration, clients)
@@ -63,7 +63,7 @@
 		running.Go(func() {
 			for i := c; i < b.N; i += clients {
 				began := time.Now()
-				if p.handIn(classes[i%2], fmt.Sprint("m", i)) == http.StatusAccepted {
+				if p.submit(classes[i%2], fmt.Sprint("m", i)) == http.StatusAccepted {
 					took[c] = append(took[c], time.Since(began))
 				}
 			}
@@ -72,7 +72,7 @@
 	running.Wait()
 	all := slices.Concat(took...)
 	if len(all) == 0 {
-		b.Fatal("nothing was taken on")
+		b.Fatal("no message was accepted")
 	}
 	slices.Sort(all)
 	b.ReportMetric(float64(all[len(all)/2].Microseconds()), "µs-median")
--- a/cmd/deliverynode/build_test.go
+++ b/cmd/deliverynode/build_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// The platform of the large fleet loads a library into the node, which only a program that
-// is linked dynamically against the C library lets it do; and it follows one process.
+// The platform of the large fleet preloads a library into the node, which requires a program that is dynamically linked
+// against the C library. It also tracks a single process, so the run command must exec the node.
 func TestDeployedNodeIsDynamic(t *testing.T) {
 	const root = "../.."
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -22,7 +22,7 @@
 		keys[m[1]] = m[2]
 	}
 	if run := keys["run"]; run != "exec bin/deliverynode" {
-		t.Errorf("run is %q, want the node by exec", run)
+		t.Errorf("run is %q, want an exec of the node", run)
 	}
 	out := t.TempDir() + "/"
 	build := exec.Command("sh", "-c", strings.ReplaceAll(keys["build"], "-o bin/", "-o "+out))
@@ -39,6 +39,6 @@
 		t.Errorf("the node needs the libraries %q, want the C library among them", libraries)
 	}
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the node names no dynamic linker")
+		t.Error("the node has no dynamic linker (PT_INTERP)")
 	}
 }
--- a/cmd/deliverynode/console_test.go
+++ b/cmd/deliverynode/console_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// call calls a console and returns the status, 0 where nobody answers.
+// call sends a request to a console and returns the status, or 0 if there is no response.
 func call(t *testing.T, console, method, path, body string) int {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+console+path, strings.NewReader(body))
@@ -24,17 +24,17 @@
 	}
 	defer resp.Body.Close()
 	if !resp.Close {
-		t.Errorf("%s %s: the connection is kept", method, path)
+		t.Errorf("%s %s: the response does not close the connection", method, path)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode
 }
 
-// What is no proper call is answered 4xx and changes nothing.
-func TestConsoleRefusesWhatIsNoCall(t *testing.T) {
+// Malformed requests are answered with 4xx and change nothing.
+func TestConsoleRejectsMalformedRequests(t *testing.T) {
 	u := newUpgrades(t)
 	n, console := u.begin()
-	u.ready(n, console)
+	u.awaitReady(n, console)
 	for name, c := range map[string]struct {
 		method, path, body string
 		want               int
@@ -61,23 +61,23 @@
 			t.Errorf("%s: answered %d, want %d", name, got, c.want)
 		}
 	}
-	if status, _ := u.hand(u.keep(), "a"); status != http.StatusAccepted {
+	if status, _ := u.submitOn(u.connect(), "a"); status != http.StatusAccepted {
 		t.Errorf("answered %d", status)
 	}
-	u.once("a")
+	u.awaitOneCallEach("a")
 }
 
-// The staff see what the connections to each endpoint do.
+// The console shows the connection pool of each endpoint.
 func TestPoolsAreShown(t *testing.T) {
 	u := newUpgrades(t)
 	n, console := u.begin()
-	u.ready(n, console)
-	k := u.keep()
+	u.awaitReady(n, console)
+	k := u.connect()
 	for _, id := range []string{"a", "b", "c"} {
-		if status, _ := u.hand(k, id); status != http.StatusAccepted {
+		if status, _ := u.submitOn(k, id); status != http.StatusAccepted {
 			t.Fatalf("%s: answered %d", id, status)
 		}
-		u.once(id)
+		u.awaitOneCallEach(id)
 	}
 	var got struct {
 		Open, MaxOpen int
@@ -87,7 +87,7 @@
 			IdleLimit                          int `json:"idle_limit_ms"`
 		}
 	}
-	u.eventually("three calls on one connection that is idle again", func() bool {
+	u.eventually("three calls, and all connections idle again", func() bool {
 		resp, err := http.Get("http://" + console + "/ops/pools")
 		must(t, err)
 		defer resp.Body.Close()
@@ -109,16 +109,16 @@
 	}
 }
 
-// The order holds from the yes, against what discovery says, over an upgrade, whichever
-// process is called, and over a restart; it may come twice, and one call back ends it.
-func TestOrderOutlastsUpgradesAndRestarts(t *testing.T) {
+// An order to take an endpoint out of service is in force from its confirmation on, even if discovery lists the endpoint as
+// active. It survives an upgrade and a restart, may be given at either process and more than once, and is revoked by one call.
+func TestOrderSurvivesUpgradesAndRestarts(t *testing.T) {
 	u := newUpgrades(t)
 	first, console := u.begin()
-	u.ready(first, console)
-	kept := u.keep()
-	u.eventually("a watch, so that the list is known", func() bool { return len(u.watches) > 0 })
+	u.awaitReady(first, console)
+	kept := u.connect()
+	u.eventually("a watch, which means that the node has the list", func() bool { return len(u.watches) > 0 })
 	if got := call(t, console, "PUT", "/ops/endpoints/up", `{"host":"s1"}`); got != 200 {
-		t.Errorf("up, when it is not out: answered %d", got)
+		t.Errorf("up for an endpoint in service: answered %d", got)
 	}
 	for range 2 {
 		if got := call(t, console, "PUT", "/ops/endpoints/down", `{"host":"s1"}`); got != 200 {
@@ -127,12 +127,12 @@
 	}
 	quiet := func(when, id string) {
 		t.Helper()
-		if status, _ := u.hand(kept, id); status != http.StatusAccepted {
+		if status, _ := u.submitOn(kept, id); status != http.StatusAccepted {
 			t.Fatalf("answered %d", status)
 		}
-		// A whole list comes, and lists the endpoint as active.
-		u.set(func() { u.watches = nil; u.whole++ })
-		u.eventually("a watch after that list", func() bool { return len(u.watches) >= 2 && u.whole == 0 })
+		// Discovery sends a full list, with the endpoint as active.
+		u.set(func() { u.watches = nil; u.fullList++ })
+		u.eventually("a watch after that list", func() bool { return len(u.watches) >= 2 && u.fullList == 0 })
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		if len(u.calls) > 0 {
@@ -141,13 +141,13 @@
 	}
 	quiet("out", "a")
 	second, console2 := u.begin()
-	u.ready(second, console2)
-	kept = u.keep()
+	u.awaitReady(second, console2)
+	kept = u.connect()
 	quiet("after an upgrade", "b")
 	if got := call(t, console, "PUT", "/ops/endpoints/up", `{"host":"s1"}`); got != 200 {
-		t.Errorf("up, at the old process: answered %d", got)
+		t.Errorf("up at the old process: answered %d", got)
 	}
-	u.once("a", "b")
+	u.awaitOneCallEach("a", "b")
 	must(t, first.cmd.Process.Signal(syscall.SIGTERM))
 	_ = first.wait(t)
 	if got := call(t, console2, "PUT", "/ops/endpoints/down", `{"host":"s1"}`); got != 200 {
@@ -156,21 +156,21 @@
 	must(t, second.cmd.Process.Kill())
 	_ = second.wait(t) // killed
 	third, console3 := u.begin()
-	u.ready(third, console3)
-	kept = u.keep()
+	u.awaitReady(third, console3)
+	kept = u.connect()
 	u.set(func() { clear(u.calls) })
 	quiet("after a kill", "c")
 	if got := call(t, console3, "PUT", "/ops/endpoints/up", `{"host":"s1"}`); got != 200 {
 		t.Errorf("up: answered %d", got)
 	}
-	u.once("c")
+	u.awaitOneCallEach("c")
 }
 
-// Callers who are stuck keep nobody waiting, however many they are.
-func TestStuckConsoleCallersBlockNobody(t *testing.T) {
+// Stuck connections to the console do not block other callers, however many there are.
+func TestStuckConsoleCallersDoNotBlockOthers(t *testing.T) {
 	u := newUpgrades(t)
 	n, console := u.begin()
-	u.ready(n, console)
+	u.awaitReady(n, console)
 	var stuck []net.Conn
 	for i := range 40 {
 		conn, err := net.Dial("tcp", console)
@@ -184,19 +184,19 @@
 	if got := call(t, console, "GET", "/ops/readiness", ""); got != 200 || time.Since(start) > time.Second {
 		t.Errorf("answered %d after %v", got, time.Since(start))
 	}
-	must(t, stuck[0].SetReadDeadline(start.Add(time.Second))) // its call would have 2 s
+	must(t, stuck[0].SetReadDeadline(start.Add(time.Second))) // the timeout of a request is 2 s
 	if _, err := stuck[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the first of 40 callers still holds its place: %v", err)
+		t.Errorf("the first of 40 stuck connections was not closed: %v", err)
 	}
 }
 
-// Without a place for it there is no console.
+// Without a console address there is no console.
 func TestNoConsoleUnlessNamed(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
 	conn, err := net.Dial("tcp", strings.Split(p.listen, ":")[0]+":12000")
 	if err == nil {
 		_ = conn.Close()
-		t.Error("something listens where a console would be")
+		t.Error("something listens at the console port")
 	}
 }
--- a/cmd/deliverynode/copies_test.go
+++ b/cmd/deliverynode/copies_test.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// copiesPatience is the time of the messages here: none runs out of it, also on a busy machine.
-	copiesPatience = 150 * time.Second
-	// copiesWait is -copy-wait of the nodes here, whose clients wait for copiesPatience.
+	// copiesTimeout is the timeout of messages in these tests: long enough that none expires, even on a busy machine.
+	copiesTimeout = 150 * time.Second
+	// copiesWait is the -copy-wait of the nodes in these tests, whose clients wait for copiesPatience.
 	copiesWait = 60 * time.Second
-	// copiesLeaseS and copiesSilenceS are after how many seconds a log may be taken over. On a machine whose processes
-	// are not run for seconds, shorter ones let a node lose its log that has not failed.
+	// copiesLeaseS and copiesSilenceS are the seconds after which a log may be taken over. On a machine that does not schedule
+	// processes for seconds, shorter times make a node lose its log although it has not failed.
 	copiesLeaseS, copiesSilenceS = 10, 10
 )
 
-// newCopies makes a fleet of n nodes, of which the first three vote, where each has so many copies.
+// newCopies makes a fleet of n nodes, of which the first three are voters, where each log has the given number of copies.
 func newCopies(t testing.TB, n, copies int, c fleet.Copies) *fleetRig {
 	t.Helper()
 	r := newLeases(t, n, 3, copiesLeaseS)
@@ -47,7 +47,7 @@
 	return r
 }
 
-// copies is what a node shows of them; empty where it does not answer.
+// copies returns the replication status that a node shows, or an empty one if it does not answer.
 func (r *fleetRig) copies(i int) (s replica.Status) {
 	r.ask(i, "/ops/copies", &s)
 	return s
@@ -56,17 +56,17 @@
 func (r *fleetRig) awaitCopies(i int, what string, ok func(replica.Status) bool) {
 	r.t.Helper()
 	var s replica.Status
-	for end := time.Now().Add(fleetPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if s = r.copies(i); ok(s) {
 			return
 		}
 	}
 	text, _ := json.MarshalIndent(s, "", " ")
-	r.t.Fatalf("%s has never shown: %s; the last %s; its log:\n%s", r.nodes[i].name, what, text, r.nodes[i].proc.log.String())
+	r.t.Fatalf("%s: timed out waiting for %s; last status %s; log:\n%s", r.nodes[i].name, what, text, r.nodes[i].proc.log.String())
 }
 
-// own is a node's own log, where it is shown.
-func own(s replica.Status) (w replica.WorkStatus) {
+// ownLog returns the status of a node's own log, or an empty one if it is not shown.
+func ownLog(s replica.Status) (w replica.WorkStatus) {
 	for _, w := range s.Works {
 		if w.Own {
 			return w
@@ -75,16 +75,16 @@
 	return w
 }
 
-// awaitCopied waits until a node works on its own log, with so many copies that lack nothing.
+// awaitCopied waits until a node is active on its own log with the given number of complete copies.
 func (r *fleetRig) awaitCopied(i, copies int) {
 	r.t.Helper()
-	r.awaitCopies(i, "its copies, whole", func(s replica.Status) bool {
-		w := own(s)
+	r.awaitCopies(i, "complete copies", func(s replica.Status) bool {
+		w := ownLog(s)
 		return w.Acting && len(w.Holders) == copies && w.Changes == 0 && w.Promise
 	})
 }
 
-// calls is how often a message was sent, by whichever node.
+// calls returns how often a message was sent, by any node.
 func (r *fleetRig) calls(id string) (sum int) {
 	for _, n := range r.nodes {
 		n.mu.Lock()
@@ -94,7 +94,7 @@
 	return sum
 }
 
-// final is the notice of a message, by whichever node; empty: there was none.
+// final returns the outcome in the notice of a message, from any node, or an empty string if there was no notice.
 func (r *fleetRig) final(id string) string {
 	for _, n := range r.nodes {
 		n.mu.Lock()
@@ -109,7 +109,7 @@
 
 func (r *fleetRig) eventually(what string, f func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(fleetPatience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if f() {
 			return
 		}
@@ -119,19 +119,19 @@
 			r.t.Logf("%s:\n%s", n.name, n.proc.log.String())
 		}
 	}
-	r.t.Fatalf("never seen: %s", what)
+	r.t.Fatalf("timed out waiting for %s", what)
 }
 
-// answers lets all endpoints answer so; 0: not at all.
-func (r *fleetRig) answers(status int) {
+// setAnswers sets the status with which all endpoints answer; 0 means no response.
+func (r *fleetRig) setAnswers(status int) {
 	for _, n := range r.nodes {
 		n.set(func() { n.answer = func(string) int { return status } })
 	}
 }
 
-// A node's machine is lost, with its folder. What it had taken on comes to its end by another: what may
-// be repeated is delivered; a charge that was out is not sent again; one that never was is.
-func TestCopiesOutlastAMachine(t *testing.T) {
+// A node and its folder are lost. Another node completes its messages: a message that may be repeated is delivered, and a charge
+// that was in flight is not sent again.
+func TestCopiesSurviveTheLossOfAMachine(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{fleet.CopyAfter, fleet.CopyBefore} {
 		t.Run(mode, func(t *testing.T) {
@@ -140,24 +140,24 @@
 			r.launchAll()
 			r.awaitVoters(0, "n0", "n1", "n2")
 			r.awaitCopied(3, 1)
-			r.answers(0)
+			r.setAnswers(0)
 			lost := r.nodes[3]
-			if resp := lost.send("m", copiesPatience); resp.StatusCode != http.StatusAccepted {
+			if resp := lost.send("m", copiesTimeout); resp.StatusCode != http.StatusAccepted {
 				t.Fatalf("a message is answered %s: %s", resp.Status, lost.proc.log.String())
 			}
-			if code := lost.chargeWithin("out", copiesPatience); code != http.StatusAccepted {
+			if code := lost.chargeWithin("out", copiesTimeout); code != http.StatusAccepted {
 				t.Fatalf("a charge is answered %d", code)
 			}
 			r.eventually("the calls", func() bool { return r.calls("m") == 1 && r.calls("out") == 1 })
 			r.awaitCopied(3, 1)
 			lost.proc.killed(t)
 			must(t, os.RemoveAll(lost.dir))
-			r.answers(http.StatusOK)
+			r.setAnswers(http.StatusOK)
 			r.eventually("the ends", func() bool { return r.calls("m") == 2 && r.final("out") != "" })
 			if n := r.calls("out"); n != 1 {
 				t.Errorf("the charge was sent %d times", n)
 			}
-			r.eventually("the log worked off", func() bool {
+			r.eventually("the adopted log completed", func() bool {
 				for i := range 3 {
 					for _, w := range r.copies(i).Works {
 						if !w.Own {
@@ -168,14 +168,14 @@
 				return true
 			})
 			if r.net.Stray.Load() != 0 {
-				t.Errorf("%d came from elsewhere", r.net.Stray.Load())
+				t.Errorf("%d connections or packets did not come through a relay", r.net.Stray.Load())
 			}
 		})
 	}
 }
 
-// Without the flag there is nothing of it, whatever the fleet's file says.
-func TestNothingOfReplicasWithoutTheFlag(t *testing.T) {
+// Without the flag there is no replication, whatever the fleet's file says.
+func TestNoReplicasWithoutTheFlag(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 3, 1, fleet.Copies{LeaseS: copiesLeaseS})
 	for _, n := range r.nodes {
@@ -201,11 +201,11 @@
 		}
 	}
 	if s := r.leases(0); len(s.Leases) != 0 {
-		t.Errorf("leases are wanted: %+v", s.Leases)
+		t.Errorf("leases are requested: %+v", s.Leases)
 	}
 }
 
-// A start that can't be right ends with one line and status 1.
+// A start with an invalid replication configuration fails with one line and status 1.
 func TestBadCopiesEndTheStart(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 3, 1, fleet.Copies{})
@@ -242,11 +242,11 @@
 	}
 }
 
-// takenOver waits until another node works on what one has taken on, or has worked it off.
-func (r *fleetRig) takenOver(i int) (by int) {
+// awaitTakeover waits until another node shows the log of node i, and returns that node.
+func (r *fleetRig) awaitTakeover(i int) (by int) {
 	r.t.Helper()
 	by = -1
-	r.eventually("the log taken over", func() bool {
+	r.eventually("the log to be taken over", func() bool {
 		for j := range r.nodes {
 			if j == i {
 				continue
@@ -262,22 +262,22 @@
 	return by
 }
 
-// host gives the staff's order for an endpoint.
+// host gives an operator's order for an endpoint.
 func (r *fleetRig) host(at int, call, host string) int {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+r.nodes[at].console+"/ops/endpoints/"+call, strings.NewReader(fmt.Sprintf(`{"host":%q}`, host)))
 	must(r.t, err)
 	req.Close = true
 	resp, err := http.DefaultClient.Do(req)
-	if err != nil { // it is starting
+	if err != nil { // the node is starting
 		return 0
 	}
 	_ = resp.Body.Close()
 	return resp.StatusCode
 }
 
-// The machine is lost at each step of a message's life, with an endpoint in maintenance: whoever goes on with
-// the log does not send there either, until the staff say so.
+// A node is lost with messages at each step of their processing, and with an endpoint in maintenance: the node that takes over the
+// log does not send to that endpoint either until an operator puts it back into service.
 func TestCopiesAtEachStep(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 4, 2, fleet.Copies{Mode: fleet.CopyBefore, LeaseS: copiesLeaseS, SilenceS: copiesSilenceS})
@@ -285,9 +285,9 @@
 	r.awaitVoters(0, "n0", "n1", "n2")
 	r.awaitCopied(3, 2)
 	lost := r.nodes[3]
-	// By the beginning of its id: what the endpoint answers before the loss. No notice is answered.
+	// Before the loss, the prefix of the id determines the response of the endpoint. Notices are answered with an error.
 	lost.set(func() {
-		lost.deaf = 1 << 30
+		lost.noticesToFail = 1 << 30
 		lost.answer = func(id string) int {
 			switch {
 			case strings.HasPrefix(id, "out"):
@@ -298,10 +298,10 @@
 			return http.StatusOK
 		}
 	})
-	handIn := func(ids ...string) {
+	submit := func(ids ...string) {
 		for _, id := range ids {
 			class := map[bool]string{true: "charge", false: "meter-message"}[strings.HasSuffix(id, "-c")]
-			resp, err := http.DefaultClient.Do(ofClass(lost.request(id, copiesPatience), class))
+			resp, err := http.DefaultClient.Do(ofClass(lost.request(id, copiesTimeout), class))
 			must(t, err)
 			_ = resp.Body.Close()
 			if resp.StatusCode != http.StatusAccepted {
@@ -310,27 +310,27 @@
 		}
 	}
 	sent := []string{"done-m", "done-c", "out-m", "out-c", "failed-c"}
-	handIn(sent...)
+	submit(sent...)
 	for _, id := range sent {
 		r.eventually("the call of "+id, func() bool { return r.calls(id) == 1 })
 	}
 	if code := r.host(3, "down", "s1"); code != http.StatusOK {
 		t.Fatalf("the order is answered %d", code)
 	}
-	handIn("waiting-m", "waiting-c")
-	r.awaitCopies(3, "all of it copied", func(s replica.Status) bool { return own(s).Live == 5 && own(s).Changes == 0 })
+	submit("waiting-m", "waiting-c")
+	r.awaitCopies(3, "all messages copied", func(s replica.Status) bool { return ownLog(s).Live == 5 && ownLog(s).Changes == 0 })
 	lost.proc.killed(t)
 	must(t, os.RemoveAll(lost.dir))
-	by := r.takenOver(3)
+	by := r.awaitTakeover(3)
 	r.eventually("the charges' ends", func() bool { return r.final("out-c") != "" && r.final("failed-c") != "" })
 	if r.calls("waiting-m")+r.calls("waiting-c") != 0 || r.calls("out-m") != 1 {
-		t.Error("something was sent to an endpoint in maintenance")
+		t.Error("a message was sent to an endpoint in maintenance")
 	}
 	if code := r.host(by, "up", "s1"); code != http.StatusOK {
-		t.Errorf("the order back is answered %d", code)
+		t.Errorf("the order that ends the maintenance is answered %d", code)
 	}
-	r.eventually("what can be is delivered", func() bool {
-		return r.calls("out-m") == 2 && r.calls("waiting-m") == 1 && r.calls("waiting-c") == 1 && r.isOver()
+	r.eventually("delivery of all messages that may be sent", func() bool {
+		return r.calls("out-m") == 2 && r.calls("waiting-m") == 1 && r.calls("waiting-c") == 1 && r.adoptedDone()
 	})
 	for _, id := range []string{"out-c", "failed-c", "done-m", "done-c"} {
 		if r.calls(id) != 1 {
@@ -339,31 +339,31 @@
 	}
 	for _, id := range []string{"done-m", "done-c", "waiting-m", "waiting-c", "out-m"} {
 		if end := r.final(id); end != "" {
-			t.Errorf("%s has the end %q", id, end)
+			t.Errorf("%s has a notice with the outcome %q", id, end)
 		}
 	}
 }
 
-// The holders of all copies stand still for a while: a message waits for them, as long as its client does, and is neither
-// refused nor lost.
+// The holders of all copies are stopped for a while: a message waits for them as long as its client does, and is neither refused
+// nor lost.
 func TestMessageWaitsForItsCopies(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 4, 2, fleet.Copies{Mode: fleet.CopyBefore, LeaseS: copiesLeaseS, SilenceS: copiesSilenceS})
 	r.launchAll()
 	r.awaitVoters(0, "n0", "n1", "n2")
 	r.awaitCopied(3, 2)
-	holders := own(r.copies(3)).Holders
+	holders := ownLog(r.copies(3)).Holders
 	for i, n := range r.nodes {
 		if slices.Contains(holders, n.name) {
 			r.signal(i, syscall.SIGSTOP)
 		}
 	}
 	status := make(chan int)
-	go func() { status <- r.nodes[3].chargeWithin("c", copiesPatience) }()
+	go func() { status <- r.nodes[3].chargeWithin("c", copiesTimeout) }()
 	select {
 	case code := <-status:
 		t.Errorf("answered %d without copies", code)
-	case <-time.After(2 * node.DefaultCopyWait): // longer than a message waits where nobody says so
+	case <-time.After(2 * node.DefaultCopyWait): // longer than the default wait of a message
 	}
 	for i, n := range r.nodes {
 		if slices.Contains(holders, n.name) {
@@ -376,32 +376,32 @@
 	r.eventually("the call", func() bool { return r.calls("c") == 1 })
 }
 
-// The owner is stopped through its take-over and goes on in the middle of calls: it sends nothing beside its
-// successor, finds its log taken over, and works on another.
+// The owner of a log is stopped during calls, another node takes the log over, and the owner resumes: it sends nothing in parallel
+// to its successor, detects the takeover, and starts a new log.
 func TestCopiesOfAStoppedOwner(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 4, 1, fleet.Copies{Mode: fleet.CopyBefore, LeaseS: copiesLeaseS, SilenceS: copiesSilenceS})
 	r.launchAll()
 	r.awaitVoters(0, "n0", "n1", "n2")
 	r.awaitCopied(3, 1)
-	r.answers(0)
+	r.setAnswers(0)
 	owner := r.nodes[3]
-	if resp := owner.send("m", copiesPatience); resp.StatusCode != http.StatusAccepted {
+	if resp := owner.send("m", copiesTimeout); resp.StatusCode != http.StatusAccepted {
 		t.Fatal(resp.Status)
 	}
-	if code := owner.chargeWithin("c", copiesPatience); code != http.StatusAccepted {
+	if code := owner.chargeWithin("c", copiesTimeout); code != http.StatusAccepted {
 		t.Fatal(code)
 	}
 	r.eventually("the calls", func() bool { return r.calls("m") == 1 && r.calls("c") == 1 })
 	r.signal(3, syscall.SIGSTOP)
-	r.answers(http.StatusOK)
-	r.takenOver(3)
+	r.setAnswers(http.StatusOK)
+	r.awaitTakeover(3)
 	r.eventually("the ends", func() bool { return r.calls("m") == 2 && r.final("c") != "" })
 	r.signal(3, syscall.SIGCONT)
-	r.awaitCopies(3, "another log", func(s replica.Status) bool {
-		return own(s).Acting && own(s).Live == 0 && len(own(s).Holders) == 1
+	r.awaitCopies(3, "a new log", func(s replica.Status) bool {
+		return ownLog(s).Acting && ownLog(s).Live == 0 && len(ownLog(s).Holders) == 1
 	})
-	if resp := owner.send("after", copiesPatience); resp.StatusCode != http.StatusAccepted {
+	if resp := owner.send("after", copiesTimeout); resp.StatusCode != http.StatusAccepted {
 		t.Errorf("a message after it is answered %s", resp.Status)
 	}
 	r.eventually("the next message", func() bool { return r.calls("after") == 1 })
@@ -410,22 +410,22 @@
 	}
 }
 
-// The owner is lost, then whoever has taken over, with its folder, until two nodes are left.
+// The owner and its folder are lost, then the node that took over and its folder, until the voter has taken over.
 func TestCopiesAdopterAfterAdopter(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 4, 2, fleet.Copies{Mode: fleet.CopyBefore, Short: fleet.GoOn, LeaseS: copiesLeaseS, SilenceS: copiesSilenceS})
 	text, err := os.ReadFile(r.file)
 	must(t, err)
-	// One voter, which is never lost: this is not about most of them being so.
+	// There is a single voter, which is never lost: this test is not about the loss of a majority.
 	must(t, os.WriteFile(r.file, []byte(strings.Replace(string(text), `"voters":["n0","n1","n2"]`, `"voters":["n0"]`, 1)), 0o600))
 	r.launchAll()
 	r.awaitVoters(0, "n0")
 	r.awaitCopied(3, 2)
-	r.answers(0)
-	if resp := r.nodes[3].send("m", copiesPatience); resp.StatusCode != http.StatusAccepted {
+	r.setAnswers(0)
+	if resp := r.nodes[3].send("m", copiesTimeout); resp.StatusCode != http.StatusAccepted {
 		t.Fatal(resp.Status)
 	}
-	if code := r.nodes[3].chargeWithin("c", copiesPatience); code != http.StatusAccepted {
+	if code := r.nodes[3].chargeWithin("c", copiesTimeout); code != http.StatusAccepted {
 		t.Fatal(code)
 	}
 	r.eventually("the calls", func() bool { return r.calls("m") == 1 && r.calls("c") == 1 })
@@ -433,9 +433,9 @@
 	for gone := 3; ; {
 		r.nodes[gone].proc.killed(t)
 		must(t, os.RemoveAll(r.nodes[gone].dir))
-		next := r.takenOver(3)
+		next := r.awaitTakeover(3)
 		if next == 0 {
-			break // the voter stays
+			break // the voter is never lost
 		}
 		sent := r.calls("m")
 		r.eventually("its call", func() bool { return r.calls("m") > sent || r.calls("m") > 1 })
@@ -450,15 +450,15 @@
 		gone = next
 	}
 	sent := r.calls("m")
-	r.answers(http.StatusOK)
-	r.eventually("the ends", func() bool { return r.calls("m") >= sent && r.final("c") != "" && r.isOver() })
+	r.setAnswers(http.StatusOK)
+	r.eventually("the ends", func() bool { return r.calls("m") >= sent && r.final("c") != "" && r.adoptedDone() })
 	if n := r.calls("c"); n != 1 {
 		t.Errorf("the charge was sent %d times", n)
 	}
 }
 
-// isOver tells that no node that answers owes anything for a log that was taken over.
-func (r *fleetRig) isOver() bool {
+// adoptedDone reports whether no responding node has live messages or an adopted log.
+func (r *fleetRig) adoptedDone() bool {
 	for i := range r.nodes {
 		for _, w := range r.copies(i).Works {
 			if w.Live > 0 || !w.Own {
@@ -469,7 +469,8 @@
 	return true
 }
 
-// A folder from before: what was sent since is not sent again, what was taken on since is delivered.
+// A node starts on an old copy of its folder: a charge that was sent since is not sent again, and a message that was accepted since
+// is delivered.
 func TestCopiesOfAnOldFolder(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 4, 1, fleet.Copies{Mode: fleet.CopyBefore, LeaseS: copiesLeaseS, SilenceS: 30})
@@ -480,23 +481,23 @@
 	if code := r.host(3, "down", "s1"); code != http.StatusOK {
 		t.Fatalf("the order is answered %d", code)
 	}
-	if code := owner.chargeWithin("c", copiesPatience); code != http.StatusAccepted {
+	if code := owner.chargeWithin("c", copiesTimeout); code != http.StatusAccepted {
 		t.Fatal(code)
 	}
 	r.awaitCopied(3, 1)
 	up := func() {
-		r.eventually("the endpoint back", func() bool { return r.host(3, "up", "s1") == http.StatusOK })
+		r.eventually("the endpoint to be put back into service", func() bool { return r.host(3, "up", "s1") == http.StatusOK })
 	}
-	owner.proc.killed(t) // the copy of its folder is of one moment
+	owner.proc.killed(t) // so that the copy of its folder is consistent
 	old := filepath.Join(t.TempDir(), "old")
 	must(t, os.CopyFS(old, os.DirFS(owner.dir)))
-	r.answers(0)
+	r.setAnswers(0)
 	r.launch(3)
 	up()
-	r.eventually("the charge is out", func() bool { return r.calls("c") == 1 })
+	r.eventually("the call of the charge", func() bool { return r.calls("c") == 1 })
 	var m *http.Response
-	r.eventually("a message taken on", func() bool {
-		m = owner.send("m", copiesPatience)
+	r.eventually("an accepted message", func() bool {
+		m = owner.send("m", copiesTimeout)
 		return m.StatusCode == http.StatusAccepted
 	})
 	r.eventually("its call", func() bool { return r.calls("m") == 1 })
@@ -504,7 +505,7 @@
 	owner.proc.killed(t)
 	must(t, os.RemoveAll(owner.dir))
 	must(t, os.CopyFS(owner.dir, os.DirFS(old)))
-	r.answers(http.StatusOK)
+	r.setAnswers(http.StatusOK)
 	r.launch(3)
 	up()
 	r.eventually("the ends", func() bool { return r.calls("m") == 2 && r.final("c") != "" })
@@ -513,20 +514,20 @@
 	}
 }
 
-// All nodes are killed and come back in another order: nothing is lost, nothing is sent twice that may not be.
-func TestCopiesOfAllThatWereGone(t *testing.T) {
+// All nodes are killed and restart in another order: no message is lost, and no charge is sent twice.
+func TestCopiesAfterAllNodesAreKilled(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 4, 1, fleet.Copies{Mode: fleet.CopyBefore, LeaseS: copiesLeaseS, SilenceS: copiesSilenceS})
 	r.launchAll()
 	r.awaitVoters(0, "n0", "n1", "n2")
-	r.answers(0)
+	r.setAnswers(0)
 	for i := range 4 {
 		r.awaitCopied(i, 1)
 		id := fmt.Sprint("m", i)
-		if resp := r.nodes[i].send(id, copiesPatience); resp.StatusCode != http.StatusAccepted {
+		if resp := r.nodes[i].send(id, copiesTimeout); resp.StatusCode != http.StatusAccepted {
 			t.Fatal(resp.Status)
 		}
-		if code := r.nodes[i].chargeWithin(fmt.Sprint("c", i), copiesPatience); code != http.StatusAccepted {
+		if code := r.nodes[i].chargeWithin(fmt.Sprint("c", i), copiesTimeout); code != http.StatusAccepted {
 			t.Fatal(code)
 		}
 		r.eventually("the calls", func() bool { return r.calls(id) == 1 && r.calls(fmt.Sprint("c", i)) == 1 })
@@ -534,7 +535,7 @@
 	for _, n := range r.nodes {
 		n.proc.killed(t)
 	}
-	r.answers(http.StatusOK)
+	r.setAnswers(http.StatusOK)
 	for i := range 4 {
 		r.launch(3 - i)
 	}
@@ -546,27 +547,27 @@
 	}
 }
 
-// A client hands the same message in at a third node, while its owner is lost.
-func TestCopiesAThirdNode(t *testing.T) {
+// A client submits the same message to a third node after the owner of the message is lost.
+func TestCopiesWithSubmissionToThirdNode(t *testing.T) {
 	t.Parallel()
 	r := newCopies(t, 4, 1, fleet.Copies{Mode: fleet.CopyBefore, LeaseS: copiesLeaseS, SilenceS: copiesSilenceS})
 	r.launchAll()
 	r.awaitVoters(0, "n0", "n1", "n2")
 	r.awaitCopied(3, 1)
-	r.answers(0)
-	if code := r.nodes[3].chargeWithin("c", copiesPatience); code != http.StatusAccepted {
+	r.setAnswers(0)
+	if code := r.nodes[3].chargeWithin("c", copiesTimeout); code != http.StatusAccepted {
 		t.Fatal(code)
 	}
 	r.eventually("the call", func() bool { return r.calls("c") == 1 })
-	holder := own(r.copies(3)).Holders[0]
+	holder := ownLog(r.copies(3)).Holders[0]
 	r.nodes[3].proc.killed(t)
-	r.answers(http.StatusOK)
+	r.setAnswers(http.StatusOK)
 	third := slices.IndexFunc(r.nodes, func(n *fleetNode) bool { return n.name != holder && n.name != "n3" })
-	r.awaitCopies(third, "that the owner is silent", func(s replica.Status) bool { return slices.Contains(s.Missing, "n3") })
-	r.eventually("the copy known", func() bool { // who has it is asked a moment later
+	r.awaitCopies(third, "the owner as missing", func(s replica.Status) bool { return slices.Contains(s.Missing, "n3") })
+	r.eventually("the copy to be known", func() bool { // the node asks for the holders of the copy a moment later
 		return r.copies(third).Known["n3"] > 0
 	})
-	if code := r.nodes[third].chargeWithin("c", copiesPatience); code != http.StatusAccepted {
+	if code := r.nodes[third].chargeWithin("c", copiesTimeout); code != http.StatusAccepted {
 		t.Errorf("answered %d", code)
 	}
 	r.eventually("its end", func() bool { return r.final("c") != "" })
@@ -575,11 +576,11 @@
 	}
 }
 
-// The owner is cut off from the fleet, not from its clients and endpoints: for less than its lease it serves,
-// for more it rests; healed, it goes on.
+// The owner is cut off from the fleet, but not from its clients and endpoints: it sends until its lease expires, then pauses, and
+// continues once the connection is healed.
 func TestCopiesOfAnOwnerCutOff(t *testing.T) {
 	t.Parallel()
-	for _, way := range []string{"both ways", "what it says", "what it hears"} {
+	for _, way := range []string{"both directions", "outgoing", "incoming"} {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
 			r := newCopies(t, 4, 1, fleet.Copies{Mode: fleet.CopyAfter, LeaseS: copiesLeaseS, SilenceS: copiesSilenceS})
@@ -587,24 +588,24 @@
 			r.awaitVoters(0, "n0", "n1", "n2")
 			r.awaitCopied(3, 1)
 			for i := range 3 {
-				if way != "what it hears" {
+				if way != "incoming" {
 					r.net.Set(3, i, faults.Fault{Cut: true})
 				}
-				if way != "what it says" {
+				if way != "outgoing" {
 					r.net.Set(i, 3, faults.Fault{Cut: true})
 				}
 			}
-			if code := r.nodes[3].chargeWithin("less", copiesPatience); code != http.StatusAccepted {
+			if code := r.nodes[3].chargeWithin("less", copiesTimeout); code != http.StatusAccepted {
 				t.Error(code)
 			}
-			r.eventually("a message under its lease", func() bool { return r.calls("less") == 1 })
-			r.takenOver(3)
-			r.awaitCopies(3, "that it rests", func(s replica.Status) bool { return !own(s).Acting && own(s).Owner != "" })
-			if resp := r.nodes[3].send("more", copiesPatience); resp.StatusCode != http.StatusAccepted {
+			r.eventually("a message sent under the lease", func() bool { return r.calls("less") == 1 })
+			r.awaitTakeover(3)
+			r.awaitCopies(3, "a paused owner", func(s replica.Status) bool { return !ownLog(s).Acting && ownLog(s).Owner != "" })
+			if resp := r.nodes[3].send("more", copiesTimeout); resp.StatusCode != http.StatusAccepted {
 				t.Error(resp.Status)
 			}
 			r.net.Heal()
-			r.eventually("what it took on while it rested", func() bool { return r.calls("more") == 1 })
+			r.eventually("the message accepted while the owner was paused", func() bool { return r.calls("more") == 1 })
 			if r.calls("less") != 1 {
 				t.Errorf("sent %d times", r.calls("less"))
 			}
--- a/cmd/deliverynode/fleet_test.go
+++ b/cmd/deliverynode/fleet_test.go
@@ -21,10 +21,10 @@
 	"dunetide/internal/lab/faults"
 )
 
-// fleetPatience is for what takes memberlist some of its periods, on a busy machine.
-const fleetPatience = 60 * time.Second
+// fleetTimeout is the timeout for changes that take memberlist several of its periods, on a busy machine.
+const fleetTimeout = 60 * time.Second
 
-// fleetRig is a fleet of real processes with a relay on each way from one to another.
+// fleetRig is a fleet of real processes with a relay in each direction between each two of them.
 type fleetRig struct {
 	t     testing.TB
 	net   *faults.Relays
@@ -39,7 +39,7 @@
 	proc    *process
 }
 
-// newFleet makes n nodes, so many of which are seeds. None is started.
+// newFleet makes n nodes, of which the first seeds nodes are seeds, and starts none of them.
 func newFleet(t testing.TB, n, seeds int) *fleetRig {
 	t.Helper()
 	r := &fleetRig{t: t, file: filepath.Join(t.TempDir(), "fleet.json")}
@@ -53,7 +53,7 @@
 		f.Nodes = append(f.Nodes, fleet.Node{Name: name, Address: r.net.Address(i).String(), Listen: r.net.Listen(i).String(), Seed: i < seeds})
 		p := newPlatform(t)
 		p.flags = []string{"-fleet", r.file}
-		// The address is this node's alone, so any port of it is free.
+		// No other process uses this address, so any port of it is free.
 		host, port := r.net.Listen(i).Addr(), 10000+os.Getpid()%20000
 		p.listen = fmt.Sprintf("%v:%d", host, port)
 		r.nodes = append(r.nodes, &fleetNode{platform: p, name: name, console: fmt.Sprintf("%v:%d", host, port+1)})
@@ -81,7 +81,7 @@
 	}
 }
 
-// ask fills in what a node's console shows, where it answers.
+// ask decodes the answer of a node's console into shows. It leaves shows unchanged if there is no answer.
 func (r *fleetRig) ask(i int, call string, shows any) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + r.nodes[i].console + call)
@@ -90,21 +90,21 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
-		_ = json.NewDecoder(resp.Body).Decode(shows) // it may be killed meanwhile
+		_ = json.NewDecoder(resp.Body).Decode(shows) // the node may be killed during the response
 	}
 }
 
-// view is what a node shows of the fleet; empty where it does not answer.
+// view returns the fleet status that a node shows, or an empty one if it does not answer.
 func (r *fleetRig) view(i int) (s fleet.Status) {
 	r.ask(i, "/ops/fleet", &s)
 	return s
 }
 
-// await waits until a node's view is as wanted.
+// await waits until ok holds for a node's view.
 func (r *fleetRig) await(i int, what string, ok func(fleet.Status) bool) fleet.Status {
 	r.t.Helper()
 	var v fleet.Status
-	for end := time.Now().Add(fleetPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if v = r.view(i); ok(v) {
 			return v
 		}
@@ -113,11 +113,11 @@
 		_ = r.nodes[i].proc.cmd.Process.Signal(syscall.SIGQUIT)
 		time.Sleep(500 * time.Millisecond)
 	}
-	r.t.Fatalf("%s has never shown: %s; the last view %+v; its log:\n%s", r.nodes[i].name, what, v, r.nodes[i].proc.log.String())
+	r.t.Fatalf("%s: timed out waiting for %s; last view %+v; log:\n%s", r.nodes[i].name, what, v, r.nodes[i].proc.log.String())
 	return v
 }
 
-// states are the members of a view in one line.
+// states formats the members of a view and their states in one line.
 func states(s fleet.Status) string {
 	var all []string
 	for _, m := range s.Members {
@@ -146,8 +146,8 @@
 
 const allAlive = "n0 alive, n1 alive, n2 alive"
 
-// Three start at one instant, each a seed of the others. One is killed, comes back and leaves:
-// silent is not gone, a restart has a new incarnation, and its own word is.
+// Three nodes start at the same time, all of them seeds. One is killed, restarts and leaves: an unresponsive node still counts as
+// a member, a restart has a new incarnation, and a node that announces that it leaves is marked as left.
 func TestFleetOfThree(t *testing.T) {
 	r := newFleet(t, 3, 3)
 	r.launchAll()
@@ -162,30 +162,30 @@
 	r.nodes[2].proc.killed(t)
 	for i := range 2 {
 		if s := r.awaitStates(i, "n0 alive, n1 alive, n2 suspect"); s.Count != 3 {
-			t.Errorf("a silent node is not counted: %+v", s)
+			t.Errorf("an unresponsive node is not counted: %+v", s)
 		}
 	}
 	r.launch(2)
 	for i := range 3 {
 		s := r.awaitStates(i, allAlive)
 		if s.Members[2].Incarnation <= first {
-			t.Errorf("a restart under incarnation %d, after %d", s.Members[2].Incarnation, first)
+			t.Errorf("a restart has incarnation %d, after %d", s.Members[2].Incarnation, first)
 		}
 	}
 	must(t, r.nodes[2].proc.cmd.Process.Signal(syscall.SIGTERM))
 	must(t, r.nodes[2].proc.wait(t))
 	for i := range 2 {
 		if s := r.awaitStates(i, "n0 alive, n1 alive, n2 left"); s.Count != 3 {
-			t.Errorf("the count falls before all can know: %+v", s)
+			t.Errorf("the count dropped too early: %+v", s)
 		}
 	}
 	if r.net.Stray.Load() != 0 {
-		t.Errorf("%d came from elsewhere", r.net.Stray.Load())
+		t.Errorf("%d connections or packets did not come through a relay", r.net.Stray.Load())
 	}
 }
 
-// awaitWhole waits until the nodes that run all see all alive.
-func (r *fleetRig) awaitWhole(among ...int) {
+// awaitAllAlive waits until each of the given nodes sees all of them alive in their current incarnations.
+func (r *fleetRig) awaitAllAlive(among ...int) {
 	r.t.Helper()
 	incarnations := func() map[string]uint64 {
 		own := map[string]uint64{}
@@ -196,7 +196,7 @@
 	}
 	own := incarnations()
 	for _, i := range among {
-		r.await(i, "all alive as they are now", func(s fleet.Status) bool {
+		r.await(i, "all alive in their current incarnations", func(s fleet.Status) bool {
 			seen := 0
 			for _, m := range s.Members {
 				if m.State == fleet.Alive && own[m.Name] == m.Incarnation && m.Incarnation > 0 {
@@ -204,7 +204,7 @@
 				}
 			}
 			if seen != len(among) {
-				own = incarnations() // one may have been raised meanwhile
+				own = incarnations() // an incarnation may have been raised meanwhile
 			}
 			return seen == len(among)
 		})
@@ -216,8 +216,9 @@
 	must(r.t, r.nodes[i].proc.cmd.Process.Signal(s))
 }
 
-// Without -fleet there is nothing of it: no file, no address, no byte, no call of the console.
-func TestNothingOfTheFleetWithoutTheFlag(t *testing.T) {
+// Without -fleet a node writes no fleet file, does not listen at the fleet address, logs nothing about a fleet, and has no console
+// call for it.
+func TestNoFleetWithoutTheFlag(t *testing.T) {
 	r := newFleet(t, 1, 1)
 	n := r.nodes[0]
 	n.flags = nil
@@ -237,7 +238,7 @@
 		t.Errorf("/ops/fleet answers %s", resp.Status)
 	}
 	if _, err := net.Dial("tcp", r.net.Listen(0).String()); err == nil {
-		t.Error("somebody listens at the fleet's address")
+		t.Error("something listens at the fleet address")
 	}
 	entries, err := os.ReadDir(n.dir)
 	must(t, err)
@@ -246,13 +247,13 @@
 			t.Errorf("%s is in the folder", e.Name())
 		}
 	}
-	n.proc.killed(t) // its log is whole then
+	n.proc.killed(t) // its log is complete then
 	if strings.Contains(n.proc.log.String(), "fleet") {
 		t.Error(n.proc.log.String())
 	}
 }
 
-// A start that can't be right ends with one line and status 1, before any client is taken.
+// A start with an invalid fleet configuration fails with one line and status 1, before any client is accepted.
 func TestBadFleetEndsTheStart(t *testing.T) {
 	t.Parallel()
 	r := newFleet(t, 2, 1)
@@ -279,13 +280,13 @@
 			t.Errorf("%s: %v, %s", c.name, err, n.log.String())
 		}
 		if strings.Contains(n.log.String(), "msg=ready") {
-			t.Errorf("%s: clients were taken", c.name)
+			t.Errorf("%s: clients were accepted", c.name)
 		}
 	}
 	must(t, os.WriteFile(r.file, good, 0o600))
 	r.launch(0)
 	first := r.awaitStates(0, "n0 alive")
-	r.nodes[1].dir = r.nodes[0].dir // the same folder again, at another address
+	r.nodes[1].dir = r.nodes[0].dir // the same folder at another address
 	second := r.launch(1)
 	_ = second.wait(t)
 	if second.cmd.ProcessState.ExitCode() != 1 || !strings.Contains(second.log.String(), "in use by another process") {
@@ -303,7 +304,7 @@
 	}
 }
 
-// A node whose incarnation can't be written serves, and joins when it can.
+// A node that cannot store its incarnation serves clients, and joins the fleet once it can.
 func TestNodeServesWithoutDiskSpaceForItsIncarnation(t *testing.T) {
 	t.Parallel()
 	r := newFleet(t, 2, 2)
@@ -311,22 +312,22 @@
 	obstacle := filepath.Join(r.nodes[1].dir, "fleet-node.new")
 	must(t, os.MkdirAll(filepath.Join(obstacle, "x"), 0o700))
 	r.launch(1)
-	r.await(1, "waits for its disk", func(s fleet.Status) bool { return s.State == fleet.Waiting && s.Why != "" })
+	r.await(1, "the state waiting, with a reason", func(s fleet.Status) bool { return s.State == fleet.Waiting && s.Why != "" })
 	if resp := r.nodes[1].send("a", 5*time.Second); resp.StatusCode != http.StatusAccepted {
 		t.Errorf("a message is answered %s", resp.Status)
 	}
 	r.nodes[1].eventually("delivery", func() bool { return r.nodes[1].calls["a"] == 1 })
 	must(t, os.RemoveAll(obstacle))
-	r.awaitWhole(0, 1)
+	r.awaitAllAlive(0, 1)
 }
 
-// A split in which each half removes the other, for longer than every time-out; then all is cut,
-// and healed at once. No byte passes but through the relays.
+// The fleet is split, and each half removes the other. Then all connections are cut and healed together. All traffic goes through
+// the relays.
 func TestFleetSplitInHalves(t *testing.T) {
 	t.Parallel()
 	r := newFleet(t, 4, 4)
 	r.launchAll()
-	r.awaitWhole(0, 1, 2, 3)
+	r.awaitAllAlive(0, 1, 2, 3)
 	r.net.Apply(faults.Pattern{What: faults.Split})
 	r.awaitStates(0, "n0 alive, n1 alive, n2 suspect, n3 suspect")
 	r.awaitStates(3, "n0 suspect, n1 suspect, n2 alive, n3 alive")
@@ -342,7 +343,7 @@
 	r.awaitStates(1, "n0 alive, n1 alive, n2 removed, n3 removed")
 	r.awaitStates(2, "n0 removed, n1 removed, n2 alive, n3 alive")
 	r.net.Apply(faults.Pattern{What: faults.All, Fault: faults.Fault{Cut: true}})
-	time.Sleep(time.Second) // what was on its way has come
+	time.Sleep(time.Second) // traffic in flight has arrived
 	in := func() (sum int64) {
 		for i := range 4 {
 			s := r.view(i).Traffic
@@ -351,14 +352,14 @@
 		return sum
 	}
 	before := in()
-	r.await(0, "its tries to reach somebody", func(s fleet.Status) bool { return s.Members[1].State == fleet.Suspect })
+	r.await(0, "its attempts to reach another node", func(s fleet.Status) bool { return s.Members[1].State == fleet.Suspect })
 	if after := in(); after != before || before == 0 {
-		t.Errorf("%d came in with all ways cut, after %d", after-before, before)
+		t.Errorf("%d bytes and packets received with all connections cut, %d before", after-before, before)
 	}
 	r.net.Heal()
-	r.awaitWhole(0, 1, 2, 3)
+	r.awaitAllAlive(0, 1, 2, 3)
 	if r.net.Stray.Load() != 0 {
-		t.Errorf("%d came from elsewhere", r.net.Stray.Load())
+		t.Errorf("%d connections or packets did not come through a relay", r.net.Stray.Load())
 	}
 	for i := range 4 {
 		if resp := r.nodes[i].send("after", 5*time.Second); resp.StatusCode != http.StatusAccepted {
@@ -367,13 +368,13 @@
 	}
 }
 
-// A third of the fleet is stopped for 30 s and goes on at once.
-func TestFleetOfTheStopped(t *testing.T) {
+// A third of the fleet is stopped for 30 s and resumes at the same time.
+func TestFleetWithStoppedNodes(t *testing.T) {
 	t.Parallel()
 	r := newFleet(t, 6, 3)
 	r.launchAll()
 	all := []int{0, 1, 2, 3, 4, 5}
-	r.awaitWhole(all...)
+	r.awaitAllAlive(all...)
 	r.signal(4, syscall.SIGSTOP)
 	r.signal(5, syscall.SIGSTOP)
 	stopped := time.Now()
@@ -382,15 +383,15 @@
 	r.awaitStates(3, "n0 alive, n1 alive, n2 alive, n3 alive, n4 suspect, n5 suspect")
 	r.signal(4, syscall.SIGCONT)
 	r.signal(5, syscall.SIGCONT)
-	r.awaitWhole(all...)
+	r.awaitAllAlive(all...)
 }
 
-// Peers that are none: each ends its own connection, and nothing else.
-func TestFleetAmongStrangers(t *testing.T) {
+// Connections from invalid peers are closed, and do not affect the fleet.
+func TestFleetRejectsInvalidPeers(t *testing.T) {
 	t.Parallel()
 	r := newFleet(t, 2, 2)
 	r.launchAll()
-	r.awaitWhole(0, 1)
+	r.awaitAllAlive(0, 1)
 	to := r.net.Listen(0).String()
 	other := func(lowest, highest, purpose byte, fleetName string) []byte {
 		b := append([]byte("wmfl"), lowest, highest, purpose)
@@ -416,7 +417,7 @@
 		must(t, err)
 		_, err = conn.Write(c.sends)
 		must(t, err)
-		must(t, conn.SetReadDeadline(time.Now().Add(patience)))
+		must(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 		answer, err := io.ReadAll(io.LimitReader(conn, 1<<16))
 		if errors.Is(err, os.ErrDeadlineExceeded) || !strings.Contains(string(answer), c.wants) {
 			t.Errorf("%s: answered %q, %v", c.name, answer, err)
@@ -424,7 +425,7 @@
 		_ = conn.Close()
 		r.await(0, c.name+" counted", func(s fleet.Status) bool { return c.counts(s.Traffic) > before })
 	}
-	// Datagrams of all sorts, and more connections than there are places, that read nothing.
+	// Invalid datagrams, and more connections than the limit, whose peers read nothing.
 	udp, err := net.Dial("udp", to)
 	must(t, err)
 	defer udp.Close()
@@ -439,28 +440,28 @@
 		_, _ = conn.Write(other(1, 1, 2, "test"))
 		stuck = append(stuck, conn)
 	}
-	r.await(0, "crowded", func(s fleet.Status) bool { return s.Traffic.Crowded > 0 && s.Traffic.Connections <= s.Traffic.MaxConns })
+	r.await(0, "connections rejected at the limit", func(s fleet.Status) bool { return s.Traffic.Crowded > 0 && s.Traffic.Connections <= s.Traffic.MaxConns })
 	if resp := r.nodes[0].send("m", 5*time.Second); resp.StatusCode != http.StatusAccepted {
-		t.Errorf("a message meanwhile is answered %s", resp.Status)
+		t.Errorf("a message during the flood is answered %s", resp.Status)
 	}
 	for _, conn := range stuck {
 		_ = conn.Close()
 	}
-	r.awaitWhole(0, 1)
+	r.awaitAllAlive(0, 1)
 	if s := r.view(0); states(s) != "n0 alive, n1 alive" || s.Traffic.Versions < 2 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Of a group, whoever coordinates speaks for the node; with its death another one does, under a
-// later incarnation of the same name.
+// The coordinator of a process group represents the node in the fleet. When it is killed, another member does, under a later
+// incarnation of the same name.
 func TestFleetOfAGroup(t *testing.T) {
 	r := newFleet(t, 2, 2)
 	g := r.nodes[1]
 	g.settings, g.flags = groupSettings, append(g.flags, "-group", "2")
 	r.launch(0)
 	a := r.launch(1)
-	r.awaitWhole(0, 1)
+	r.awaitAllAlive(0, 1)
 	was := r.view(0).Members[1].Incarnation
 	b := g.platform.launch(nil, "PROXY_NAME="+g.name, "PROXY_CONSOLE="+g.console)
 	g.awaitView(g.console, "two members", func(v groupView) bool { return v.alive() == 2 })
@@ -474,8 +475,8 @@
 	}
 }
 
-// An upgrade with a handed socket: the new process has the node's place in the fleet as soon as
-// the old one has given the journal away, and the node never was gone.
+// In an upgrade with an inherited socket, the new process represents the node in the fleet once the old one has handed over the
+// journal. The other nodes never see the node leave.
 func TestFleetAndAnUpgrade(t *testing.T) {
 	t.Parallel()
 	r := newFleet(t, 2, 2)
@@ -484,16 +485,16 @@
 	r.nodes[1].platform = u.platform
 	r.launch(0)
 	old, console := u.begin("PROXY_NAME=n1")
-	u.ready(old, console)
+	u.awaitReady(old, console)
 	r.nodes[1].proc, r.nodes[1].console = old, console
-	r.awaitWhole(0, 1)
+	r.awaitAllAlive(0, 1)
 	was := r.view(0).Members[1].Incarnation
 	next, console := u.begin("PROXY_NAME=n1")
-	u.ready(next, console)
+	u.awaitReady(next, console)
 	r.nodes[1].proc, r.nodes[1].console = next, console
 	s := r.await(0, "the node under a later incarnation", func(s fleet.Status) bool {
 		if states(s) == "n0 alive, n1 left" {
-			t.Error("it was gone by its own word meanwhile")
+			t.Error("the node announced that it left")
 		}
 		return states(s) == "n0 alive, n1 alive" && s.Members[1].Incarnation > was
 	})
@@ -502,5 +503,5 @@
 	}
 	must(t, old.cmd.Process.Signal(syscall.SIGTERM))
 	must(t, old.wait(t))
-	r.awaitWhole(0, 1)
+	r.awaitAllAlive(0, 1)
 }
--- a/cmd/deliverynode/golden_test.go
+++ b/cmd/deliverynode/golden_test.go
@@ -14,8 +14,8 @@
 	"dunetide/internal/lab/golden"
 )
 
-// State folders of nodes of an earlier version, each killed with 40 messages that it had taken on, are reported by check as
-// that version reported them. Check changes nothing in them.
+// The report of check on state folders of an earlier version, whose nodes were killed with 40 live messages each, is the same as
+// that of the earlier version. check does not change the folders.
 func TestGoldenCheckOfKilledNodes(t *testing.T) {
 	for name, flags := range map[string][]string{"plain": nil, "sync": {"-sync"}, "group": {"-group", "2", "-sync"}} {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// makeKilledNode runs a node whose endpoint never answers, hands it 40 messages, kills it, and copies its state folder.
+// makeKilledNode runs a node whose endpoint never answers, submits 40 messages, kills the node, and copies its state folder.
 func makeKilledNode(t *testing.T, to string, flags []string) {
 	t.Helper()
 	p := newPlatform(t)
@@ -53,11 +53,11 @@
 	n := p.start()
 	for i := range 40 {
 		class := []string{"charge", "status"}[i%2]
-		if status := p.handIn(class, fmt.Sprint(class, i)); status != http.StatusAccepted {
+		if status := p.submit(class, fmt.Sprint(class, i)); status != http.StatusAccepted {
 			t.Fatalf("message %d: status %d", i, status)
 		}
 	}
-	time.Sleep(200 * time.Millisecond) // some have attempts that are out; which ones does not matter
+	time.Sleep(200 * time.Millisecond) // some have attempts in flight; which ones does not matter
 	must(t, n.cmd.Process.Signal(syscall.SIGKILL))
 	_ = n.wait(t) // killed
 	for path, text := range folderContent(t, p.dir) {
--- a/cmd/deliverynode/group_test.go
+++ b/cmd/deliverynode/group_test.go
@@ -25,14 +25,14 @@
 	"RetryAfter":true,"MayTell":false,"IdleCloseUs":15000000},
 	"Obligations":{"DrainGraceUs":1000000,"WarmUpUs":14000000,"FallUs":1500000,"ColdFrom":0.21,"FallMultiple":2}}`
 
-// groupPlatform has a console address that all members share.
+// groupPlatform returns a platform for a process group, and the console address that all members share.
 func groupPlatform(t *testing.T, members int) (*platform, string) {
 	t.Helper()
 	p := newPlatform(t)
 	p.settings, p.flags = groupSettings, []string{"-group", fmt.Sprint(members)}
 	host, _, err := net.SplitHostPort(p.listen)
 	must(t, err)
-	held, err := net.Listen("tcp", p.listen) // or it might be given out again
+	held, err := net.Listen("tcp", p.listen) // so that its port is not assigned again
 	must(t, err)
 	l, err := net.Listen("tcp", host+":0")
 	must(t, err)
@@ -42,7 +42,7 @@
 	return p, console
 }
 
-// groupView is what /ops/group shows, of what the tests ask.
+// groupView has the fields of /ops/group that the tests use.
 type groupView struct {
 	Member  string  `json:"member"`
 	Leads   bool    `json:"leads"`
@@ -57,7 +57,7 @@
 	Adoptions int `json:"adoptions"`
 }
 
-// view asks whichever member answers.
+// view returns the view of whichever member accepts the request.
 func (p *platform) view(console string) (v groupView) {
 	resp, err := (&http.Client{Timeout: time.Second}).Get("http://" + console + "/ops/group")
 	if err != nil {
@@ -70,16 +70,16 @@
 	return v
 }
 
-// awaitView waits until a member's view is as wanted.
+// awaitView waits until ok holds for a member's view.
 func (p *platform) awaitView(console, what string, ok func(groupView) bool) groupView {
 	p.t.Helper()
 	var v groupView
-	for end := time.Now().Add(2 * patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(2 * testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if v = p.view(console); ok(v) {
 			return v
 		}
 	}
-	p.t.Fatalf("never seen: %s; the last view %+v", what, v)
+	p.t.Fatalf("timed out waiting for %s; last view %+v", what, v)
 	return v
 }
 
@@ -98,11 +98,11 @@
 	return r
 }
 
-// takenOn hands a message in until it is taken on. On a busy machine a lease may run out for a
-// moment: a message is then refused, and its client comes again.
-func (p *platform) takenOn(id string, timeout time.Duration) {
+// submitUntilAccepted submits a message until it is accepted. On a busy machine a lease may expire for a moment: the message is
+// then refused, and the client retries.
+func (p *platform) submitUntilAccepted(id string, timeout time.Duration) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		resp := p.send(id, timeout)
 		if resp.StatusCode == http.StatusAccepted {
 			return
@@ -130,15 +130,15 @@
 	_ = n.wait(t) // killed
 }
 
-// A member dies with messages out and waiting: the other goes on with its journal at once, a
-// charge that was out is not sent again, and an id that a client hands in again is the same message.
-func TestGroupAdoptsADeadMember(t *testing.T) {
+// A member is killed with messages in flight: the other one adopts its journal at once, a charge that was in flight is not sent
+// again, and an id that a client submits again is recognized as the same message.
+func TestGroupAdoptsAKilledMember(t *testing.T) {
 	p, console := groupPlatform(t, 2)
 	p.answer = func(string) int { return 0 }
 	a := p.start()
 	b := p.launch(nil)
 	p.awaitView(console, "two members", func(v groupView) bool { return v.alive() == 2 })
-	p.takenOn("s1", 20*time.Second)
+	p.submitUntilAccepted("s1", 20*time.Second)
 	if code := p.charge("c1"); code != http.StatusAccepted {
 		t.Fatal(code)
 	}
@@ -146,41 +146,41 @@
 	p.set(func() { p.answer = func(string) int { return http.StatusOK } })
 	a.killed(t)
 	http.DefaultClient.CloseIdleConnections()
-	var again int // as a client does whose connection breaks; the other accepts at the same address
-	for end := time.Now().Add(patience); again != http.StatusAccepted && time.Now().Before(end); {
+	var again int // retries like a client whose connection broke; the other member accepts at the same address
+	for end := time.Now().Add(testTimeout); again != http.StatusAccepted && time.Now().Before(end); {
 		if resp, err := http.DefaultClient.Do(ofClass(p.request("c1", 20*time.Second), "charge")); err == nil {
 			_ = resp.Body.Close()
 			again = resp.StatusCode
 		}
 	}
 	if again != http.StatusAccepted {
-		t.Fatalf("handed in again: %d; %s", again, b.log.String())
+		t.Fatalf("submitted again: %d; %s", again, b.log.String())
 	}
-	p.eventually("the one that may be repeated", func() bool { return p.calls["s1"] == 2 })
+	p.eventually("the repeated call of the message that may be repeated", func() bool { return p.calls["s1"] == 2 })
 	p.eventually("the charge's notice", func() bool { return p.finals["c1"] == "given_up" })
 	p.mu.Lock()
 	if p.calls["c1"] != 1 {
 		t.Errorf("the charge was sent %d times", p.calls["c1"])
 	}
 	p.mu.Unlock()
-	v := p.awaitView(console, "one member with all of the node", func(v groupView) bool { return v.Parts == 840 && v.Share == 1 })
+	v := p.awaitView(console, "one member with all parts", func(v groupView) bool { return v.Parts == 840 && v.Share == 1 })
 	if v.Adoptions != 1 || !v.Leads {
 		t.Errorf("%+v", v)
 	}
 	if resp := p.send("s2", 5*time.Second); resp.StatusCode != http.StatusAccepted {
-		t.Errorf("the survivor answers %s", resp.Status)
+		t.Errorf("the remaining member answers %s", resp.Status)
 	}
 	p.eventually("a new message", func() bool { return p.calls["s2"] == 1 })
 }
 
-// All members die at once, and one comes back: it owes what all owed.
-func TestGroupAllDieAndOneIsBack(t *testing.T) {
+// All members are killed at the same time, and one restarts: it resumes the messages of all members.
+func TestGroupOneRestartsAfterAllKilled(t *testing.T) {
 	p, console := groupPlatform(t, 3)
 	p.answer = func(string) int { return 0 }
 	members := []*process{p.start(), p.launch(nil), p.launch(nil)}
 	p.awaitView(console, "three members", func(v groupView) bool { return v.alive() == 3 })
 	for i := range 8 {
-		p.takenOn(fmt.Sprint("s", i), 20*time.Second)
+		p.submitUntilAccepted(fmt.Sprint("s", i), 20*time.Second)
 	}
 	p.eventually("calls", func() bool { return p.calls["s0"] == 1 })
 	for _, m := range members {
@@ -198,7 +198,7 @@
 	})
 	http.DefaultClient.CloseIdleConnections()
 	p.start()
-	p.eventually("all", func() bool {
+	p.eventually("a repeated call for each message", func() bool {
 		for i := range 8 {
 			if id := fmt.Sprint("s", i); p.calls[id] <= before[id] {
 				return false
@@ -208,7 +208,7 @@
 	})
 }
 
-// A member that leaves hands nothing out of order: no request fails, and the other goes on.
+// A member leaves after SIGTERM: no request fails, and the other member continues.
 func TestGroupMemberLeaves(t *testing.T) {
 	p, console := groupPlatform(t, 2)
 	a := p.start()
@@ -218,12 +218,12 @@
 	})
 	must(t, a.cmd.Process.Signal(syscall.SIGTERM))
 	sent := 0
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for ended := false; !ended; sent++ {
 		if time.Now().After(deadline) {
-			_ = a.cmd.Process.Signal(syscall.SIGQUIT) // for its goroutines
+			_ = a.cmd.Process.Signal(syscall.SIGQUIT) // dumps its goroutines
 			_ = a.wait(t)
-			t.Fatalf("the member does not end: %s", a.log.String())
+			t.Fatalf("the member did not exit: %s", a.log.String())
 		}
 		select {
 		case err := <-a.end:
@@ -236,11 +236,11 @@
 		if resp := p.send(fmt.Sprint("s", sent), 10*time.Second); resp.StatusCode != http.StatusAccepted && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("answered %s", resp.Status)
 		}
-		time.Sleep(20 * time.Millisecond) // a client's pace
+		time.Sleep(20 * time.Millisecond) // paces the client's requests
 	}
 	p.awaitView(console, "one member", func(v groupView) bool { return v.Leads && v.alive() == 1 })
 	if !strings.Contains(a.log.String(), "stopped") {
-		t.Error("it ended without a word")
+		t.Error("the log does not report the stop")
 	}
 }
 
@@ -256,7 +256,7 @@
 	return resp.StatusCode, string(text)
 }
 
-// An order's yes says that all members have it; with one that is stopped it is a no that leaves nothing.
+// An order is confirmed only when all members have applied it. With a stopped member it is refused and has no effect.
 func TestGroupOrders(t *testing.T) {
 	p, console := groupPlatform(t, 2)
 	a := p.start()
@@ -273,43 +273,43 @@
 	}
 	must(t, b.cmd.Process.Signal(syscall.SIGSTOP))
 	no := false
-	for range 20 { // a call that the stopped one accepted is never answered
+	for range 20 { // a request that the stopped member accepted is not answered
 		if status, _ := p.order(console, "down", "s1"); status == 503 {
 			no = true
 			break
 		}
 	}
 	if !no {
-		t.Error("no answer says that an order is not with all")
+		t.Error("no order was refused with 503 while a member is stopped")
 	}
 	must(t, b.cmd.Process.Signal(syscall.SIGCONT))
-	p.awaitView(console, "both again", func(v groupView) bool { return !v.Leads })
-	p.takenOn("after", 20*time.Second)
+	p.awaitView(console, "both members", func(v groupView) bool { return !v.Leads })
+	p.submitUntilAccepted("after", 20*time.Second)
 	p.eventually("a call after the order was refused", func() bool { return p.calls["after"] == 1 })
 	if status, text := p.order(console, "down", "s1"); status != 200 {
 		t.Fatal(status, text)
 	}
 	a.killed(t)
-	p.awaitView(console, "the survivor with all", func(v groupView) bool { return v.Share == 1 })
+	p.awaitView(console, "the remaining member with all parts", func(v groupView) bool { return v.Share == 1 })
 	http.DefaultClient.CloseIdleConnections()
-	p.takenOn("barred", 1500*time.Millisecond)
+	p.submitUntilAccepted("barred", 1500*time.Millisecond)
 	p.eventually("its notice", func() bool { return p.finals["barred"] != "" })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.calls["barred"] > 0 {
-		t.Error("the survivor sends to an endpoint that the staff took out")
+		t.Error("the remaining member sent to an endpoint that an operator took out of service")
 	}
 }
 
-// A coordinator that is stopped keeps its journal and messages; another leads; back, it goes on
-// and nothing was sent twice.
+// A stopped coordinator keeps its journal and messages, and another member becomes the coordinator. When the stopped one
+// resumes, it continues its messages, and no charge is sent twice.
 func TestGroupStoppedCoordinator(t *testing.T) {
 	p, console := groupPlatform(t, 2)
 	a := p.start()
 	b := p.launch(nil)
-	// Both have joined: a start whose coordinator stops before it has said what it knows ends, as it must.
+	// Waits until both have joined: a member whose coordinator stops before the join is complete exits, as it should.
 	seen := map[string]bool{}
-	p.awaitView(console, "two members, by each", func(v groupView) bool {
+	p.awaitView(console, "two members, in the view of each", func(v groupView) bool {
 		if v.alive() == 2 {
 			seen[v.Member] = true
 		}
@@ -326,9 +326,9 @@
 	}
 	p.eventually("the call", func() bool { return p.calls["c1"] == 1 })
 	must(t, a.cmd.Process.Signal(syscall.SIGSTOP))
-	v := p.awaitView(console, "another that leads", func(v groupView) bool { return v.Leads && v.Parts > 0 })
+	v := p.awaitView(console, "another coordinator", func(v groupView) bool { return v.Leads && v.Parts > 0 })
 	if v.Adoptions != 0 {
-		t.Errorf("it adopted what a living process holds: %+v", v)
+		t.Errorf("it adopted the journal of a process that is still running: %+v", v)
 	}
 	must(t, a.cmd.Process.Signal(syscall.SIGCONT))
 	p.set(func() { p.answer = func(string) int { return http.StatusOK } })
@@ -341,7 +341,7 @@
 	}
 }
 
-// Three started at one instant become one node, with shares that never come to more than that.
+// Three processes that start at the same time form one node, and their shares never exceed the whole.
 func TestGroupStartedTogether(t *testing.T) {
 	p, console := groupPlatform(t, 3)
 	for range 3 {
@@ -354,18 +354,18 @@
 			sum += m.Parts
 		}
 		if sum > 840 {
-			t.Errorf("shares come to %d", sum)
+			t.Errorf("the shares add up to %d", sum)
 		}
 		if v.alive() == 3 {
 			seen[v.Member] = true
 		}
-		return len(seen) == 3 // each answers calls
+		return len(seen) == 3 // each has answered a console call
 	})
-	p.takenOn("s", 20*time.Second)
+	p.submitUntilAccepted("s", 20*time.Second)
 	p.eventually("the call", func() bool { return p.calls["s"] == 1 })
 }
 
-// What can't be joined safely ends the start with a line that says why.
+// A start that cannot join the folder safely fails with a line that gives the reason.
 func TestGroupRefusals(t *testing.T) {
 	p, console := groupPlatform(t, 2)
 	refused := func(what, want string, flags ...string) {
@@ -389,7 +389,7 @@
 	p.flags = []string{"-group", "2"}
 	p.answer = func(string) int { return 0 }
 	n = p.start()
-	p.takenOn("s1", 25*time.Second)
+	p.submitUntilAccepted("s1", 25*time.Second)
 	p.eventually("the call", func() bool { return p.calls["s1"] == 1 })
 	refused("a process alone beside a member", "in use")
 	n.killed(t)
@@ -399,7 +399,7 @@
 	http.DefaultClient.CloseIdleConnections()
 	n = p.start()
 	p.eventually("the call again", func() bool { return p.calls["s1"] == 2 })
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) { // its outcome is on record
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) { // until the outcome is in the journal
 		resp, err := http.Get("http://" + console + "/ops/journal")
 		must(t, err)
 		var j struct {
@@ -414,14 +414,14 @@
 	alone()
 }
 
-// A group takes over what a node alone has left in the folder.
-func TestGroupAfterANodeAlone(t *testing.T) {
+// A group takes over the messages that a single process left in the folder.
+func TestGroupAfterASingleProcess(t *testing.T) {
 	p, _ := groupPlatform(t, 2)
 	flags := p.flags
 	p.flags = nil
 	p.answer = func(string) int { return 0 }
 	n := p.start()
-	p.takenOn("s1", 25*time.Second)
+	p.submitUntilAccepted("s1", 25*time.Second)
 	p.eventually("the call", func() bool { return p.calls["s1"] == 1 })
 	n.killed(t)
 	p.set(func() { p.answer = func(string) int { return http.StatusOK } })
@@ -431,8 +431,7 @@
 	p.eventually("the call again", func() bool { return p.calls["s1"] == 2 })
 }
 
-// Without the flag nothing of a group lies in the folder; with it, nothing is left behind by
-// members that come and go.
+// Without the flag there are no group files in the folder. With it, members that start and exit leave no files behind.
 func TestGroupFiles(t *testing.T) {
 	p, console := groupPlatform(t, 2)
 	flags := p.flags
@@ -455,15 +454,15 @@
 	p.flags = flags
 	http.DefaultClient.CloseIdleConnections()
 	p.start()
-	for range 4 { // the first stays, others come and go
+	for range 4 { // the first stays, others start and are killed
 		m := p.launch(nil)
 		p.awaitView(console, "two", func(v groupView) bool { return v.alive() == 2 })
 		m.killed(t)
 		p.awaitView(console, "one", func(v groupView) bool { return v.alive() == 1 })
 	}
-	p.awaitView(console, "all of the node in use again", func(v groupView) bool { return v.Share == 1 })
+	p.awaitView(console, "the full share in use again", func(v groupView) bool { return v.Share == 1 })
 	members, views := 0, 0
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		members, views = 0, 0
 		for _, name := range names(filepath.Join(p.dir, "group")) {
 			switch {
--- a/cmd/deliverynode/lease_test.go
+++ b/cmd/deliverynode/lease_test.go
@@ -15,7 +15,7 @@
 	"dunetide/internal/deliverynode/lease"
 )
 
-// newLeases makes a fleet of n nodes with leases, of which the first so many vote.
+// newLeases makes a fleet of n nodes with leases, of which the first voters nodes are voters.
 func newLeases(t testing.TB, n, voters int, longest float64) *fleetRig {
 	t.Helper()
 	r := newFleet(t, n, n)
@@ -31,7 +31,7 @@
 	return r
 }
 
-// leases is what a node shows of them; empty where it does not answer.
+// leases returns the lease status that a node shows, or an empty one if it does not answer.
 func (r *fleetRig) leases(i int) (s lease.Status) {
 	r.ask(i, "/ops/leases", &s)
 	return s
@@ -39,17 +39,17 @@
 
 func (r *fleetRig) awaitLeases(i int, what string, ok func(lease.Status) bool) (s lease.Status) {
 	r.t.Helper()
-	for end := time.Now().Add(fleetPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if s = r.leases(i); ok(s) {
 			return s
 		}
 	}
 	text, _ := json.Marshal(s)
-	r.t.Fatalf("%s has never shown: %s; the last %s; its log:\n%s", r.nodes[i].name, what, text, r.nodes[i].proc.log.String())
+	r.t.Fatalf("%s: timed out waiting for %s; last status %s; log:\n%s", r.nodes[i].name, what, text, r.nodes[i].proc.log.String())
 	return s
 }
 
-// awaitVoters waits until a node has these voters, a leader, and grants.
+// awaitVoters waits until a node shows these voters, a leader, and that leases can be granted.
 func (r *fleetRig) awaitVoters(i int, names ...string) lease.Status {
 	r.t.Helper()
 	return r.awaitLeases(i, fmt.Sprint("voters ", names), func(s lease.Status) bool {
@@ -58,7 +58,7 @@
 	})
 }
 
-// order is one order of the staff about leases.
+// order gives an operator's order about leases.
 func (r *fleetRig) order(at int, call, body string) (status int, text string) {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+r.nodes[at].console+"/ops/leases/"+call, strings.NewReader(body))
@@ -73,11 +73,11 @@
 	return resp.StatusCode, strings.TrimSpace(string(answer))
 }
 
-// take tries until a node has a lease.
+// take retries until a node has acquired a lease.
 func (r *fleetRig) take(at int, name string, seconds float64) (token uint64) {
 	r.t.Helper()
 	var text string
-	for end := time.Now().Add(fleetPatience); time.Now().Before(end); {
+	for end := time.Now().Add(fleetTimeout); time.Now().Before(end); {
 		var status int
 		if status, text = r.order(at, "take", fmt.Sprintf(`{"name":%q,"length_s":%g}`, name, seconds)); status == http.StatusOK {
 			token, err := strconv.ParseUint(text, 10, 64)
@@ -89,7 +89,7 @@
 		view, _ := json.Marshal(r.leases(i))
 		r.t.Logf("%s: %s", r.nodes[i].name, view)
 	}
-	r.t.Fatalf("%s does not get %s: %s", r.nodes[at].name, name, text)
+	r.t.Fatalf("%s could not acquire %s: %s", r.nodes[at].name, name, text)
 	return 0
 }
 
@@ -101,12 +101,12 @@
 			return i
 		}
 	}
-	r.t.Fatalf("%q leads", s.Voter.Leader)
+	r.t.Fatalf("the leader %q is not a node of the fleet", s.Voter.Leader)
 	return -1
 }
 
-// Three vote, a fourth asks. Whoever has a lease keeps it through the death of the leader, nobody
-// else gets it meanwhile, and the next token is greater.
+// Three nodes are voters, and a fourth acquires a lease. The holder keeps the lease when the leader is killed, no other node gets
+// it meanwhile, and the next fencing token is greater.
 func TestLeasesOfAFleet(t *testing.T) {
 	t.Parallel()
 	r := newLeases(t, 4, 3, 8)
@@ -114,7 +114,7 @@
 	r.awaitVoters(0, "n0", "n1", "n2")
 	first := r.take(3, "task", 8)
 	if status, text := r.order(0, "take", `{"name":"task","length_s":2}`); status != http.StatusConflict || !strings.Contains(text, "n3 has it") {
-		t.Errorf("a second holder: %d %s", status, text)
+		t.Errorf("request by a second holder: %d %s", status, text)
 	}
 	leader := r.leaderOf(1)
 	r.nodes[leader].proc.killed(t)
@@ -136,14 +136,14 @@
 	r.launch(leader)
 	r.awaitVoters(leader, "n0", "n1", "n2")
 	if r.net.Stray.Load() != 0 {
-		t.Errorf("%d came from elsewhere", r.net.Stray.Load())
+		t.Errorf("%d connections or packets did not come through a relay", r.net.Stray.Load())
 	}
 }
 
-// Two of three voters are lost for good: nothing is granted, and serving goes on. The way out needs
-// all its words; after it tokens are greater, other nodes vote, and a lost one that comes back
+// Two of three voters are lost permanently: no lease is granted, and the nodes continue to serve. Forced recovery is refused
+// unless all its parameters are right. After it, tokens are greater, other nodes can become voters, and a lost voter that returns
 // with its folder leaves the old epoch.
-func TestLeasesWayOut(t *testing.T) {
+func TestLeasesForcedRecovery(t *testing.T) {
 	t.Parallel()
 	r := newLeases(t, 5, 3, 2)
 	r.launchAll()
@@ -172,7 +172,7 @@
 		}
 	}
 	if status, text := r.order(0, "recover", fmt.Sprintf(`{"fleet":"test","log":%q,"gives_up":%q}`, log, lease.GivesUp)); status != http.StatusOK {
-		t.Fatalf("the way out: %d %s", status, text)
+		t.Fatalf("forced recovery: %d %s", status, text)
 	}
 	r.awaitVoters(0, "n0")
 	r.awaitStates(0, "n0 alive, n1 suspect, n2 suspect, n3 alive, n4 alive")
--- a/cmd/deliverynode/main_test.go
+++ b/cmd/deliverynode/main_test.go
@@ -23,10 +23,10 @@
 	"dunetide/internal/lab/tempdir"
 )
 
-const patience = 15 * time.Second
+const testTimeout = 15 * time.Second
 
-// TestMain lets the test binary be the node itself, so that the tests below can
-// stop and kill a real process.
+// TestMain makes the test binary run as a node if DELIVERYNODE_TEST_NODE is set, so that tests can stop and kill a real
+// process.
 func TestMain(m *testing.M) {
 	if os.Getenv("DELIVERYNODE_TEST_NODE") != "" {
 		if last := os.Getenv("DELIVERYNODE_TEST_LAST_STEP"); last != "" {
@@ -43,31 +43,31 @@
 	os.Exit(m.Run())
 }
 
-// platform stands for discovery and for one endpoint.
+// platform simulates discovery and one endpoint.
 type platform struct {
 	t         testing.TB
 	discovery *httptest.Server
 	endpoint  *httptest.Server
 	dir       string
 	listen    string
-	config    string // the file that the node was last started with
+	config    string // the configuration file of the last start
 	settings  string
-	disk      float64 // its limit in MB; 3 if 0
+	disk      float64 // the disk limit in MB; 0 means 3
 	flags     []string
 
-	mu       sync.Mutex
-	answer   func(id string) int // 0 for none
-	calls    map[string]int
-	finals   map[string]string
-	deaf     int // so many notices go unanswered
-	watches  []time.Time
-	answered []time.Time
-	silent   int // so many watches get no answer
-	whole    int // so many watches are answered with the whole list
+	mu            sync.Mutex
+	answer        func(id string) int // the status of a response, 0 for no response
+	calls         map[string]int
+	finals        map[string]string
+	noticesToFail int // number of notices to answer with an error
+	watches       []time.Time
+	answered      []time.Time
+	ignoreWatch   int // number of watches to leave unanswered
+	fullList      int // number of watches to answer with the full list
 }
 
-// memoryRoot is a file system in memory, where the machine has one: syncs of processes that hold limits in real time do not wait
-// there for a disk that other tests keep busy.
+// memoryRoot is a file system in memory, if the machine has one: there, syncs of processes with real-time limits do not wait for
+// a disk that other tests keep busy.
 const memoryRoot = "/dev/shm"
 
 func newPlatform(t testing.TB) *platform {
@@ -80,8 +80,8 @@
 	t.Cleanup(p.discovery.CloseClientConnections)
 	t.Cleanup(p.endpoint.Close)
 	t.Cleanup(p.endpoint.CloseClientConnections)
-	// The port is free again before the node binds it. At a loopback address of this
-	// process alone, nobody else is given it meanwhile.
+	// The port is released before the node binds it. The loopback address belongs to this process alone, so no other process
+	// can be assigned the port meanwhile.
 	pid := os.Getpid()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid>>16&63, pid>>8&255, 1+pid&127))
 	must(t, err)
@@ -101,8 +101,8 @@
 	if r.URL.Path == "/v2/finals" {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.deaf > 0 {
-			p.deaf--
+		if p.noticesToFail > 0 {
+			p.noticesToFail--
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
@@ -117,12 +117,12 @@
 		return
 	}
 	p.mu.Lock()
-	whole := r.URL.Query().Get("index") == "" || p.whole > 0
-	if p.whole > 0 {
-		p.whole--
+	fullList := r.URL.Query().Get("index") == "" || p.fullList > 0
+	if p.fullList > 0 {
+		p.fullList--
 	}
 	p.mu.Unlock()
-	if whole {
+	if fullList {
 		fmt.Fprintf(w, `{"revision":1,"complete":true,"members":[{"id":"s1","host_port":%q,"locality":"a",`+
 			`"flavor":"general","cell":7,"phase":"active","size":100},{"id":"odd","phase":"whatever"}]}`,
 			p.endpoint.Listener.Addr())
@@ -130,12 +130,12 @@
 	}
 	p.mu.Lock()
 	p.watches = append(p.watches, time.Now())
-	silent := p.silent > 0
-	if silent {
-		p.silent--
+	ignoreWatch := p.ignoreWatch > 0
+	if ignoreWatch {
+		p.ignoreWatch--
 	}
 	p.mu.Unlock()
-	if silent {
+	if ignoreWatch {
 		<-r.Context().Done()
 		return
 	}
@@ -170,10 +170,10 @@
 	f()
 }
 
-// eventually waits for something that the platform sees.
+// eventually waits until a condition on the state of the platform holds.
 func (p *platform) eventually(what string, f func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		p.mu.Lock()
 		ok := f()
 		p.mu.Unlock()
@@ -181,7 +181,7 @@
 			return
 		}
 	}
-	p.t.Fatalf("never seen: %s; calls %v, notices %v", what, p.calls, p.finals)
+	p.t.Fatalf("timed out waiting for %s; calls %v, notices %v", what, p.calls, p.finals)
 }
 
 const settings = `{"NInstances":1,"Me":0,"TickUs":5000,"Classes":[{"Name":"meter-message","AimUs":3000000,
@@ -208,7 +208,7 @@
 	must(p.t, os.WriteFile(p.config, []byte(text), 0o600))
 }
 
-// launch starts a process, with further variables and descriptors from 3 on.
+// launch starts a process with additional environment variables, and with files as descriptors from 3 on.
 func (p *platform) launch(files []*os.File, env ...string) *process {
 	p.t.Helper()
 	p.config = filepath.Join(p.t.TempDir(), "config.json")
@@ -216,7 +216,7 @@
 	n := &process{cmd: exec.Command(os.Args[0], p.flags...), end: make(chan error, 1)}
 	n.cmd.Env = append(os.Environ(), "DELIVERYNODE_TEST_NODE=1", "PROXY_CONFIG="+p.config, "PROXY_STATE="+p.dir,
 		"PROXY_DISCOVERY="+p.discovery.Listener.Addr().String(),
-		"GORACE=atexit_sleep_ms=0") // the race detector would add a second to each end
+		"GORACE=atexit_sleep_ms=0") // the race detector would add a second to each exit
 	n.cmd.Env = append(n.cmd.Env, env...)
 	n.cmd.ExtraFiles = files
 	n.cmd.Stderr = &n.log
@@ -230,7 +230,7 @@
 func (p *platform) start() *process {
 	p.t.Helper()
 	n := p.launch(nil)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		resp, err := http.Get("http://" + p.listen + "/healthz")
 		if err == nil {
 			_ = resp.Body.Close()
@@ -239,7 +239,7 @@
 			}
 		}
 	}
-	p.t.Fatalf("the node never got ready: %s", n.log.String())
+	p.t.Fatalf("the node did not become ready: %s", n.log.String())
 	return nil
 }
 
@@ -248,13 +248,13 @@
 	select {
 	case err := <-n.end:
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the process did not end")
 		return nil
 	}
 }
 
-// send hands in a message and returns the answer.
+// send submits a message and returns the response.
 func (p *platform) send(id string, timeout time.Duration) *http.Response {
 	p.t.Helper()
 	resp, err := http.DefaultClient.Do(p.request(id, timeout))
@@ -276,7 +276,7 @@
 	return req
 }
 
-// A message is taken, delivered once, and costs no notice.
+// A message is accepted and delivered once, and causes no notice.
 func TestMessageIsDeliveredOnceWithoutNotice(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
@@ -291,8 +291,8 @@
 	}
 }
 
-// SIGKILL: what was taken, and what was out, is picked up by the next life.
-func TestPicksUpAfterKill(t *testing.T) {
+// After a SIGKILL, the next process resumes the accepted messages, including those in flight.
+func TestResumesMessagesAfterKill(t *testing.T) {
 	p := newPlatform(t)
 	p.answer = func(string) int { return 0 }
 	n := p.start()
@@ -306,27 +306,27 @@
 	p.eventually("both calls again", func() bool { return p.calls["a"] == 2 && p.calls["b"] == 2 })
 }
 
-// A crash between the end of a message and the answer to its notice must not lose
-// the notice, and a message whose time ran out meanwhile gets one at once.
-func TestNoticesOutlastTheProcess(t *testing.T) {
+// A crash between the end of a message and the response to its notice must not lose the notice, and a message whose deadline
+// passed meanwhile gets a notice at once.
+func TestNoticesSurviveTheProcess(t *testing.T) {
 	p := newPlatform(t)
 	p.answer = func(string) int { return 0 }
-	p.deaf = 1 << 30
+	p.noticesToFail = 1 << 30
 	n := p.start()
 	p.send("a", 300*time.Millisecond)
-	p.eventually("a notice that goes unanswered", func() bool { return p.deaf < 1<<30 })
+	p.eventually("a notice that goes unanswered", func() bool { return p.noticesToFail < 1<<30 })
 	p.send("b", 300*time.Millisecond)
 	p.eventually("the call", func() bool { return p.calls["b"] == 1 })
 	must(t, n.cmd.Process.Signal(syscall.SIGKILL))
 	_ = n.wait(t) // killed
-	p.set(func() { p.deaf = 2 })
+	p.set(func() { p.noticesToFail = 2 })
 	p.start()
 	p.eventually("both notices", func() bool { return p.finals["a"] == "given_up" && p.finals["b"] == "given_up" })
 }
 
-// SIGTERM: what comes is still taken, calls out finish, no request goes unanswered
-// and the process ends well before it is killed.
-func TestStopsInGoodOrder(t *testing.T) {
+// After a SIGTERM, messages are still accepted for a while, calls in flight finish, every request is answered, and the process
+// exits well before it would be killed.
+func TestGracefulStop(t *testing.T) {
 	p := newPlatform(t)
 	p.answer = func(string) int { return 0 }
 	n := p.start()
@@ -337,7 +337,7 @@
 	p.set(func() { p.answer = func(string) int { return http.StatusOK } })
 	accepted := 0
 	for i := range 5 {
-		time.Sleep(80 * time.Millisecond) // clients that come over a while, not a wait for anything
+		time.Sleep(80 * time.Millisecond) // spreads the clients over time; it does not wait for a condition
 		switch resp := p.send(fmt.Sprint("late", i), 20*time.Second); resp.StatusCode {
 		case http.StatusAccepted:
 			accepted++
@@ -347,16 +347,16 @@
 		}
 	}
 	if accepted == 0 {
-		t.Error("nothing was taken while stopping")
+		t.Error("no message was accepted while stopping")
 	}
 	if err := n.wait(t); err != nil {
-		t.Errorf("ended with %v: %s", err, n.log.String())
+		t.Errorf("exited with %v: %s", err, n.log.String())
 	}
 	if took := time.Since(start); took > 3600*time.Millisecond {
-		t.Errorf("it took %v to stop", took)
+		t.Errorf("stopping took %v", took)
 	}
 	p.start()
-	p.eventually("the call that was cut off, once more, and an end for all that came late", func() bool {
+	p.eventually("the interrupted call, repeated, and the end of all late messages", func() bool {
 		late := len(p.finals)
 		for id := range p.calls {
 			if id != "a" && p.finals[id] == "" {
@@ -367,9 +367,9 @@
 	})
 }
 
-// SIGHUP: the list and the notices go to where the new file says, a file that makes
-// no sense changes nothing, and what was taken before goes on.
-func TestDiscoveryMoves(t *testing.T) {
+// After a SIGHUP, watches and notices go to the discovery address in the new configuration. An invalid file changes nothing, and
+// messages that were accepted before are not affected.
+func TestDiscoveryAddressChanges(t *testing.T) {
 	p := newPlatform(t)
 	p.answer = func(string) int { return 0 }
 	n := p.start()
@@ -396,12 +396,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.calls["a"] != 1 || p.finals["a"] != "" {
-		t.Errorf("%d calls and notice %q for what was out, want one and none", p.calls["a"], p.finals["a"])
+		t.Errorf("%d calls and notice %q for the message in flight, want one and none", p.calls["a"], p.finals["a"])
 	}
 }
 
-// The watch comes again within 200 ms of an answer, or changes in between would
-// not count as told; and a silent agent must not stall it.
+// The node renews its watch within 200 ms of a response: changes after a longer gap would not count as reported to the node. An
+// agent that does not answer must not stall the watch.
 func TestWatchIsRenewedInTime(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
@@ -409,16 +409,16 @@
 	p.mu.Lock()
 	for i := range 3 {
 		if gap := p.watches[i+1].Sub(p.answered[i]); gap > 200*time.Millisecond {
-			t.Errorf("the watch came again after %v", gap)
+			t.Errorf("the watch was renewed after %v", gap)
 		}
 	}
-	p.silent = 1
+	p.ignoreWatch = 1
 	before := len(p.answered)
 	p.mu.Unlock()
-	p.eventually("an answer after the silence", func() bool { return p.silent == 0 && len(p.answered) > before+1 })
+	p.eventually("a response after the unanswered watch", func() bool { return p.ignoreWatch == 0 && len(p.answered) > before+1 })
 }
 
-// Bad requests get the answer that the protocol names, and nothing is sent.
+// Invalid requests get the status that the protocol defines, and no call is made.
 func TestBadRequests(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
@@ -455,15 +455,15 @@
 			}
 		})
 	}
-	p.eventually("the good one's call", func() bool { return p.calls["id-good"] == 1 })
+	p.eventually("the call of the valid request", func() bool { return p.calls["id-good"] == 1 })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.calls) != 1 {
-		t.Errorf("calls %v, want the good one alone", p.calls)
+		t.Errorf("calls %v, want only that of the valid request", p.calls)
 	}
 }
 
-// raw sends bytes as they are and returns the first line of the answer.
+// raw sends bytes unchanged and returns the first line of the response.
 func (p *platform) raw(text string, closeSending bool) string {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.listen)
@@ -474,14 +474,14 @@
 	if closeSending {
 		must(p.t, conn.(*net.TCPConn).CloseWrite())
 	}
-	must(p.t, conn.SetReadDeadline(time.Now().Add(patience)))
+	must(p.t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	must(p.t, err)
 	return strings.TrimSpace(line)
 }
 
-// A request without a length is refused, and one whose client closes its sending
-// side is taken on like any other: a 200 without taking it would lose it.
+// A request without a length is rejected. A request whose client closes its sending side is handled like any other: a 200
+// without accepting the message would lose it.
 func TestOddRequests(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
@@ -503,13 +503,12 @@
 			t.Fatalf("sending side closed: %q", line)
 		}
 		if strings.Contains(line, " 202 ") {
-			p.eventually("its call or its notice", func() bool { return p.calls[id] == 1 || p.finals[id] != "" })
+			p.eventually("the call or the notice", func() bool { return p.calls[id] == 1 || p.finals[id] != "" })
 		}
 	}
 }
 
-// A full hold turns away with a time to come again; a message that comes twice
-// under one id is taken once.
+// A full node rejects messages with Retry-After, and a message that is submitted twice under one id is accepted once.
 func TestFullNodeRejectsWithRetryAfter(t *testing.T) {
 	p := newPlatform(t)
 	p.answer = func(string) int { return 0 }
@@ -526,21 +525,21 @@
 		}
 	}
 	if full == 0 {
-		t.Error("40 messages went into a hold of 4")
+		t.Error("40 messages were accepted by a node with room for 4")
 	}
-	// What the module gives up on is told at once, long before its time is up.
+	// The notice of a message that package policy gives up is sent at once, long before the deadline of the message.
 	p.eventually("an early notice", func() bool { return len(p.finals) > 0 })
 	if resp := p.send("m0", 20*time.Second); resp.StatusCode != http.StatusAccepted {
-		t.Errorf("a message that is held was answered %s", resp.Status)
+		t.Errorf("a message that is already accepted was answered %s", resp.Status)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.calls["m0"] > 1 {
-		t.Errorf("%d calls for a message that came twice", p.calls["m0"])
+		t.Errorf("%d calls for a message that was submitted twice", p.calls["m0"])
 	}
 }
 
-// A bad configuration ends the program with one clear line.
+// An invalid configuration makes the program exit with a single clear line.
 func TestBadConfiguration(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -553,7 +552,7 @@
 		cmd.Env = append(os.Environ(), "DELIVERYNODE_TEST_NODE=1", "PROXY_CONFIG="+path, "PROXY_STATE="+dir)
 		out, err := cmd.CombinedOutput()
 		if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "deliverynode: ") {
-			t.Errorf("%s: %v, said %q", name, err, out)
+			t.Errorf("%s: %v, output %q", name, err, out)
 		}
 	}
 }
--- a/cmd/deliverynode/recovery_test.go
+++ b/cmd/deliverynode/recovery_test.go
@@ -17,13 +17,13 @@
 	"dunetide/internal/deliverynode/node"
 )
 
-// chargeSettings have a class that may not be repeated and one that may.
+// chargeSettings have one class that must not be repeated and one that may be.
 var chargeSettings = strings.NewReplacer(`"Name":"meter-message"`, `"Name":"charge"`, `"Idempotency":"deduplicated"`, `"Idempotency":"at_most_once"`,
 	`"Worth":1,"LateWorth":0.5}],`, `"Worth":1,"LateWorth":0.5},{"Name":"status","AimUs":3000000,"DeadlineUs":28000000,`+
 		`"Idempotency":"idempotent","Worth":1,"LateWorth":0.5}],`, `"MaxOpen":4`, `"MaxOpen":200`).Replace(settings)
 
-// handIn hands in a message and tells the status, 0 where no answer came.
-func (p *platform) handIn(class, id string) int {
+// submit submits a message and returns the status, or 0 if there is no response.
+func (p *platform) submit(class, id string) int {
 	req := p.request(id, 4*time.Second)
 	req.URL.Path = "/" + class
 	req.Header.Set("X-Priority-Class", class)
@@ -36,15 +36,14 @@
 	return resp.StatusCode
 }
 
-// The node is killed some dozens of times, while clients hand in messages and the endpoint
-// answers well, badly or not at all. In the end each message that was taken on was
-// delivered or has its notice, and no charge was sent twice.
+// The node is killed repeatedly while a client submits messages and the endpoint answers some of them with errors. In the end
+// each accepted message was delivered or has a notice, and no charge ran twice.
 func TestEachMessageIsAccountedForThroughKills(t *testing.T) {
 	for _, flags := range [][]string{nil, {"-sync"}} {
 		t.Run(fmt.Sprint(flags), func(t *testing.T) {
 			p := newPlatform(t)
 			p.settings, p.flags = chargeSettings, flags
-			rng, kills := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4)) // the first with the platform's lock
+			rng, kills := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4)) // rng is used under the platform's lock
 			delivered, ran := map[string]bool{}, map[string]int{}
 			p.answer = func(id string) int {
 				answer := rng.IntN(80)
@@ -57,16 +56,16 @@
 				delivered[id] = true
 				return http.StatusOK
 			}
-			taken := map[string]bool{}
-			moments := make(chan struct{}) // one for each message that has been handed in
+			accepted := map[string]bool{}
+			moments := make(chan struct{}) // one for each message that has been submitted
 			stop, stopped := make(chan struct{}), make(chan struct{})
 			go func() {
 				defer close(stopped)
 				for i := 0; ; i++ {
 					class := []string{"charge", "status"}[i%2]
 					id := fmt.Sprint(class, i)
-					if p.handIn(class, id) == http.StatusAccepted {
-						p.set(func() { taken[id] = true })
+					if p.submit(class, id) == http.StatusAccepted {
+						p.set(func() { accepted[id] = true })
 					}
 					select {
 					case moments <- struct{}{}:
@@ -83,7 +82,7 @@
 				must(t, n.cmd.Process.Signal(syscall.SIGKILL))
 				_ = n.wait(t) // killed
 				drained := make(chan struct{})
-				go func() { // messages go on coming while it starts
+				go func() { // messages keep arriving while the node starts
 					for {
 						select {
 						case <-moments:
@@ -98,7 +97,7 @@
 			close(stop)
 			<-stopped
 			p.eventually("the end of each message", func() bool {
-				for id := range taken {
+				for id := range accepted {
 					if !delivered[id] && p.finals[id] == "" {
 						return false
 					}
@@ -112,23 +111,23 @@
 					t.Errorf("%s ran %d times", id, n)
 				}
 			}
-			if len(taken) < 100 {
-				t.Errorf("only %d messages were taken on", len(taken))
+			if len(accepted) < 100 {
+				t.Errorf("only %d messages were accepted", len(accepted))
 			}
-			t.Logf("%d messages taken on, %d delivered, %d notices", len(taken), len(delivered), len(p.finals))
+			t.Logf("%d messages accepted, %d delivered, %d notices", len(accepted), len(delivered), len(p.finals))
 		})
 	}
 }
 
-// A damaged folder: check says what and where, a start goes on without what is in doubt,
-// and says so; a folder in use and one that is none are told apart.
+// On a damaged folder, check reports the damage and its position, and a start continues, does not resend messages in doubt, and
+// logs the damage. check distinguishes a folder in use and a folder that does not exist.
 func TestCheckAndStartOnADamagedFolder(t *testing.T) {
 	p := newPlatform(t)
 	p.settings, p.flags = chargeSettings, []string{"-sync"}
 	p.answer = func(string) int { return 0 }
 	n := p.start()
 	for _, id := range []string{"charge0", "charge1"} {
-		if status := p.handIn("charge", id); status != http.StatusAccepted {
+		if status := p.submit("charge", id); status != http.StatusAccepted {
 			t.Fatalf("%s: %d", id, status)
 		}
 	}
@@ -157,15 +156,15 @@
 	must(t, n.cmd.Process.Signal(syscall.SIGTERM))
 	must(t, n.wait(t))
 	if log := n.log.String(); !strings.Contains(log, "journal: damaged") || !strings.Contains(log, "journal: recovered") {
-		t.Errorf("the log does not tell of it: %s", log)
+		t.Errorf("the log does not report the damage: %s", log)
 	}
 	p.set(func() {
 		if p.calls["charge0"]+p.calls["charge1"] != 2 {
-			t.Errorf("calls %v: one was sent again", p.calls)
+			t.Errorf("calls %v: a charge was sent again", p.calls)
 		}
 	})
 	if out, code := runCheck(t, p.dir); code != 0 {
-		t.Errorf("mended: exit %d, %s", code, out)
+		t.Errorf("repaired: exit %d, %s", code, out)
 	}
 	if out, code := runCheck(t, filepath.Join(p.dir, "none")); code != 2 || !strings.Contains(out, "not usable") {
 		t.Errorf("none: exit %d, %s", code, out)
@@ -176,11 +175,11 @@
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "check", dir)
 	cmd.Env = append(os.Environ(), "DELIVERYNODE_TEST_NODE=1")
-	out, _ := cmd.CombinedOutput() // its exit status tells
+	out, _ := cmd.CombinedOutput() // the exit status is checked by the caller
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// A second process on the same folder and a wrong command line end with a plain line.
+// A second process on the same folder, and an invalid command line, make the start fail with a message.
 func TestStartsThatAreRefused(t *testing.T) {
 	p := newPlatform(t)
 	p.start()
@@ -197,16 +196,16 @@
 	}
 }
 
-// The console shows the journal, also one that was synced.
+// The console shows the state of a journal with syncs.
 func TestJournalIsShown(t *testing.T) {
 	u := newUpgrades(t)
 	u.flags = []string{"-sync"}
 	n, console := u.begin()
-	u.ready(n, console)
-	if status, _ := u.hand(u.keep(), "a"); status != http.StatusAccepted {
+	u.awaitReady(n, console)
+	if status, _ := u.submitOn(u.connect(), "a"); status != http.StatusAccepted {
 		t.Fatalf("answered %d", status)
 	}
-	u.once("a")
+	u.awaitOneCallEach("a")
 	resp, err := http.Get("http://" + console + "/ops/journal")
 	must(t, err)
 	defer resp.Body.Close()
@@ -224,7 +223,7 @@
 	}
 }
 
-// The example that README names is a configuration that a node starts with.
+// The example configuration that the README refers to is valid.
 func TestExampleConfiguration(t *testing.T) {
 	c, err := node.LoadConfig(func(name string) string {
 		return map[string]string{"PROXY_CONFIG": "../../docs/example-config.json", "PROXY_STATE": t.TempDir()}[name]
--- a/cmd/deliverynode/upgrade_test.go
+++ b/cmd/deliverynode/upgrade_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// upgrades is a platform that holds the clients' listening socket.
+// upgrades is a platform that owns the listening socket for clients and passes it to successive processes.
 type upgrades struct {
 	*platform
 	socket *os.File
@@ -36,23 +36,23 @@
 
 var consoles atomic.Int32
 
-// newConsole is an address that nobody else has: each has a loopback address of its own.
+// newConsole returns an unused address for a console: each console has a loopback address of its own.
 func newConsole() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:12000", 64+pid>>16&63, pid>>8&255, 128+consoles.Add(1)%127)
 }
 
-// begin starts a process that inherits the socket; its console is returned too.
+// begin starts a process that inherits the socket, and returns the process and the address of its console.
 func (u *upgrades) begin(env ...string) (*process, string) {
 	u.t.Helper()
 	console := newConsole()
 	return u.launch([]*os.File{u.socket}, append(env, "PROXY_ACCEPT_FD=3", "PROXY_CONSOLE="+console)...), console
 }
 
-// ready waits until a process says that it takes clients.
-func (u *upgrades) ready(n *process, console string) {
+// awaitReady waits until a process reports that it accepts clients.
+func (u *upgrades) awaitReady(n *process, console string) {
 	u.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if resp, err := http.Get("http://" + console + "/ops/readiness"); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -60,25 +60,25 @@
 			}
 		}
 	}
-	u.t.Fatalf("never ready: %s", n.log.String())
+	u.t.Fatalf("the process did not become ready: %s", n.log.String())
 }
 
-// kept is a client's connection that is used again and again.
-type kept struct {
+// keepAlive is a client's keep-alive connection.
+type keepAlive struct {
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func (u *upgrades) keep() *kept {
+func (u *upgrades) connect() *keepAlive {
 	u.t.Helper()
 	conn, err := net.Dial("tcp", u.listen)
 	must(u.t, err)
 	u.t.Cleanup(func() { _ = conn.Close() })
-	return &kept{conn, bufio.NewReader(conn)}
+	return &keepAlive{conn, bufio.NewReader(conn)}
 }
 
-// hand hands in a message and returns the answer's status and whether it closes.
-func (u *upgrades) hand(k *kept, id string) (int, bool) {
+// submitOn submits a message, and returns the response status and whether the response closes the connection.
+func (u *upgrades) submitOn(k *keepAlive, id string) (int, bool) {
 	u.t.Helper()
 	must(u.t, u.request(id, 20*time.Second).Write(k.conn))
 	resp, err := http.ReadResponse(k.r, nil)
@@ -87,9 +87,9 @@
 	return resp.StatusCode, resp.Close
 }
 
-// hang lets the calls of some messages wait and answers the others; the returned
-// function lets the waiting ones go.
-func (u *upgrades) hang(prefix string) func() {
+// holdCalls makes the endpoint hold the calls of messages whose id has the prefix and answer the others. The returned function
+// releases the held calls.
+func (u *upgrades) holdCalls(prefix string) func() {
 	release := make(chan struct{})
 	u.t.Cleanup(func() {
 		select {
@@ -114,7 +114,7 @@
 	return func() { close(release) }
 }
 
-func (u *upgrades) once(ids ...string) {
+func (u *upgrades) awaitOneCallEach(ids ...string) {
 	u.t.Helper()
 	u.eventually("each call", func() bool {
 		for _, id := range ids {
@@ -136,9 +136,8 @@
 	}
 }
 
-// A second process takes over and a third one from that: a call that is out goes on in
-// the process that made it, what still reaches the old one is taken on by the new one,
-// and no connection of a client breaks.
+// A second process takes over from the first, and a third from the second: a call in flight continues in the process that made
+// it, messages that still reach an old process are accepted by the new one, and no client connection breaks.
 func TestUpgrade(t *testing.T) { testBothWays(t, testUpgrade) }
 
 // testBothWays runs a test without syncs and with them.
@@ -151,19 +150,19 @@
 func testUpgrade(t *testing.T, flags []string) {
 	u := newUpgrades(t)
 	u.flags = flags
-	release := u.hang("out")
+	release := u.holdCalls("out")
 	first, console := u.begin()
-	u.ready(first, console)
-	a, b := u.keep(), u.keep()
-	for k, id := range map[*kept]string{a: "out", b: "before"} {
-		if status, closes := u.hand(k, id); status != http.StatusAccepted || closes {
+	u.awaitReady(first, console)
+	a, b := u.connect(), u.connect()
+	for k, id := range map[*keepAlive]string{a: "out", b: "before"} {
+		if status, closes := u.submitOn(k, id); status != http.StatusAccepted || closes {
 			t.Fatalf("%s: answered %d, closes %v", id, status, closes)
 		}
 	}
 	u.eventually("the calls", func() bool { return u.calls["out"] == 1 && u.calls["before"] == 1 })
 	second, console2 := u.begin()
-	u.ready(second, console2)
-	u.eventually("the old process says that it takes no clients", func() bool {
+	u.awaitReady(second, console2)
+	u.eventually("the old process reports that it accepts no clients", func() bool {
 		resp, err := http.Get("http://" + console + "/ops/readiness")
 		if err != nil {
 			return false
@@ -171,48 +170,48 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
-	if status, closes := u.hand(a, "passed-on"); status != http.StatusAccepted || !closes {
+	if status, closes := u.submitOn(a, "passed-on"); status != http.StatusAccepted || !closes {
 		t.Errorf("a kept connection: answered %d, closes %v", status, closes)
 	}
-	u.once("out", "before", "passed-on")
+	u.awaitOneCallEach("out", "before", "passed-on")
 	third, console3 := u.begin()
-	u.ready(third, console3)
-	if status, closes := u.hand(b, "passed-on-twice"); status != http.StatusAccepted || !closes {
+	u.awaitReady(third, console3)
+	if status, closes := u.submitOn(b, "passed-on-twice"); status != http.StatusAccepted || !closes {
 		t.Errorf("a kept connection of the first process: answered %d, closes %v", status, closes)
 	}
-	release() // known to the third process through the second
-	if status, _ := u.hand(u.keep(), "after"); status != http.StatusAccepted {
+	release() // the outcome reaches the third process through the second
+	if status, _ := u.submitOn(u.connect(), "after"); status != http.StatusAccepted {
 		t.Errorf("a new connection: answered %d", status)
 	}
-	u.once("passed-on-twice", "after")
+	u.awaitOneCallEach("passed-on-twice", "after")
 	for name, n := range map[string]*process{"first": first, "second": second} {
 		must(t, n.cmd.Process.Signal(syscall.SIGTERM))
 		if err := n.wait(t); err != nil {
 			t.Errorf("the %s process ended with %v: %s", name, err, n.log.String())
 		}
 	}
-	if status, _ := u.hand(u.keep(), "alone"); status != http.StatusAccepted {
+	if status, _ := u.submitOn(u.connect(), "alone"); status != http.StatusAccepted {
 		t.Errorf("after the old ones ended: answered %d", status)
 	}
-	u.once("alone")
-	// How the first process's call ended is on record: it is not made again.
+	u.awaitOneCallEach("alone")
+	// The outcome of the first process's call is in the journal: the call is not repeated.
 	must(t, third.cmd.Process.Kill())
 	_ = third.wait(t) // killed
 	fourth, console4 := u.begin()
-	u.ready(fourth, console4)
-	if status, _ := u.hand(u.keep(), "last"); status != http.StatusAccepted {
+	u.awaitReady(fourth, console4)
+	if status, _ := u.submitOn(u.connect(), "last"); status != http.StatusAccepted {
 		t.Errorf("after a kill: answered %d", status)
 	}
 	u.eventually("the last call", func() bool { return u.calls["last"] == 1 })
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.calls["out"] != 1 {
-		t.Errorf("%d calls with what the first process had out, want one", u.calls["out"])
+		t.Errorf("%d calls for the message that was in flight in the first process, want one", u.calls["out"])
 	}
 }
 
-// Wherever the old process is killed, the new one has everything: what was out may
-// have run, and is repeated where that is allowed.
+// At whichever step the old process is killed, the new one has all messages: those in flight count as possibly run and are
+// repeated where that is allowed.
 func TestUpgradeWithTheOldProcessKilled(t *testing.T) {
 	testBothWays(t, testUpgradeWithTheOldProcessKilled)
 }
@@ -223,10 +222,10 @@
 			t.Parallel()
 			u := newUpgrades(t)
 			u.flags = flags
-			u.hang("out")
+			u.holdCalls("out")
 			old, console := u.begin("DELIVERYNODE_TEST_LAST_STEP=" + step)
-			u.ready(old, console)
-			if status, _ := u.hand(u.keep(), "out"); status != http.StatusAccepted {
+			u.awaitReady(old, console)
+			if status, _ := u.submitOn(u.connect(), "out"); status != http.StatusAccepted {
 				t.Fatalf("answered %d", status)
 			}
 			u.eventually("the call", func() bool { return u.calls["out"] == 1 })
@@ -235,15 +234,15 @@
 				kill()
 			}
 			next, console := u.begin()
-			u.ready(next, console)
+			u.awaitReady(next, console)
 			if step == "after" {
 				kill()
 			}
 			if err := old.wait(t); err == nil {
 				t.Error("the old process was not killed")
 			}
-			u.eventually("the call that was out, again", func() bool { return u.calls["out"] == 2 })
-			if status, _ := u.hand(u.keep(), "new"); status != http.StatusAccepted {
+			u.eventually("the call that was in flight, repeated", func() bool { return u.calls["out"] == 2 })
+			if status, _ := u.submitOn(u.connect(), "new"); status != http.StatusAccepted {
 				t.Errorf("answered %d", status)
 			}
 			u.eventually("its call", func() bool { return u.calls["new"] == 1 })
@@ -256,8 +255,8 @@
 	}
 }
 
-// A new process that dies before it has everything leaves the old one at work, and the
-// next one takes over from that.
+// If a new process is killed before the handover is complete, the old one continues to serve, and the next process takes over
+// from it.
 func TestUpgradeWithTheNewProcessKilled(t *testing.T) {
 	testBothWays(t, testUpgradeWithTheNewProcessKilled)
 }
@@ -268,11 +267,11 @@
 			t.Parallel()
 			u := newUpgrades(t)
 			u.flags = flags
-			release := u.hang("out")
+			release := u.holdCalls("out")
 			old, console := u.begin()
-			u.ready(old, console)
-			a := u.keep()
-			if status, _ := u.hand(a, "out"); status != http.StatusAccepted {
+			u.awaitReady(old, console)
+			a := u.connect()
+			if status, _ := u.submitOn(a, "out"); status != http.StatusAccepted {
 				t.Fatalf("answered %d", status)
 			}
 			u.eventually("the call", func() bool { return u.calls["out"] == 1 })
@@ -280,22 +279,22 @@
 			if err := failed.wait(t); err == nil {
 				t.Fatal("the new process was not killed")
 			}
-			if status, closes := u.hand(a, "still"); status != http.StatusAccepted || closes {
+			if status, closes := u.submitOn(a, "still"); status != http.StatusAccepted || closes {
 				t.Errorf("the old process: answered %d, closes %v", status, closes)
 			}
-			u.once("still")
+			u.awaitOneCallEach("still")
 			next, console := u.begin()
-			u.ready(next, console)
+			u.awaitReady(next, console)
 			release()
-			if status, _ := u.hand(u.keep(), "new"); status != http.StatusAccepted {
+			if status, _ := u.submitOn(u.connect(), "new"); status != http.StatusAccepted {
 				t.Errorf("answered %d", status)
 			}
-			u.once("new")
+			u.awaitOneCallEach("new")
 		})
 	}
 }
 
-// A descriptor that is no listener ends the start with one clear line.
+// A descriptor that is not a listener makes the start fail with a single clear line.
 func TestInheritedDescriptorIsNoListener(t *testing.T) {
 	p := newPlatform(t)
 	plain, err := os.Create(filepath.Join(t.TempDir(), "plain"))
@@ -314,10 +313,10 @@
 		t.Run(name, func(t *testing.T) {
 			n := p.launch(c.files, "PROXY_ACCEPT_FD="+c.fd)
 			if err := n.wait(t); err == nil {
-				t.Fatal("it started")
+				t.Fatal("the node started")
 			}
 			if said := n.log.String(); strings.Count(said, "\n") != 1 || !strings.Contains(said, "PROXY_ACCEPT_FD") {
-				t.Errorf("it said %q", said)
+				t.Errorf("log %q", said)
 			}
 		})
 	}
