--- a/internal/lab/soak/endpoints.go
+++ b/internal/lab/soak/endpoints.go
@@ -100,8 +100,8 @@
 	endpoints int      // endpoints whose reports are misdirected
 }
 
-// setMachines sets the machines that are cut off.
-func (m *misdirection) setMachines(machines []string) {
+// to sets the machines that are cut off, to which reports are misdirected.
+func (m *misdirection) to(machines []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.machines = machines
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -233,9 +233,9 @@
 	if err != nil {
 		return err
 	}
-	p.misdirect.setMachines(from)
+	p.misdirect.to(from)
 	wait.For(ctx, fault.For)
-	p.misdirect.setMachines(nil)
+	p.misdirect.to(nil)
 	heal()
 	return nil
 }
--- a/internal/lab/tier/account.go
+++ b/internal/lab/tier/account.go
@@ -13,30 +13,30 @@
 	"dunetide/internal/lab/tier/load"
 )
 
-// Account of a play.
+// Account is the result of a run of the lab.
 type Account struct {
 	load.Account
 	Seed     uint64    `json:"seed"`
-	ReadyS   float64   `json:"ready_s"`  // from the start of the processes
+	ReadyS   float64   `json:"ready_s"`  // from the start of the processes until the tier was ready
 	ConfigS  float64   `json:"config_s"` // until the configuration was acknowledged
 	Services []Service `json:"services"`
-	ReadBack string    `json:"read_back"` // same, or what came
-	Ends     []string  `json:"ends"`      // processes that ended by themselves
+	ReadBack string    `json:"read_back"` // "same", or what was read instead
+	Ends     []string  `json:"ends"`      // processes that exited unexpectedly
 }
 
-// Service is what the endpoints of a service observed.
+// Service summarizes the observations of the endpoints of a service.
 type Service struct {
 	Name     string  `json:"name"`
 	Runs     int     `json:"runs"`
 	Rejected int     `json:"turned"` // requests rejected because an endpoint was full
-	Busy     float64 `json:"busy"`   // part of the slots that runs used, over the time in which clients asked
+	Busy     float64 `json:"busy"`   // mean share of slots in use while clients sent requests
 }
 
-// services counts the runs of the time in which clients sent requests.
+// services summarizes the runs during the time in which clients sent requests.
 func services(runs *engine.Runs, from time.Time, length time.Duration) (out []Service) {
-	turned := runs.Rejected()
+	rejected := runs.Rejected()
 	for _, name := range []string{gen, web} {
-		s := Service{Name: name, Rejected: turned[name]}
+		s := Service{Name: name, Rejected: rejected[name]}
 		var busy time.Duration
 		end := from.Add(length)
 		for _, r := range runs.All() {
@@ -60,18 +60,18 @@
 	return out
 }
 
-// Failed reports whether a rule was broken or a process ended by itself.
+// Failed reports whether a rule was violated, a process exited unexpectedly, or the configuration read back differs.
 func (a Account) Failed() bool {
 	return len(a.Violations) > 0 || len(a.Ends) > 0 || a.ReadBack != "same"
 }
 
-// Print writes the account for people.
+// Print writes a human-readable summary of the account.
 func (a Account) Print(w io.Writer) error {
 	var out strings.Builder
-	fmt.Fprintf(&out, "seed %d: configuration after %.1f s, ready after %.1f s; %d runs at endpoints, %d of them cut\n\n",
+	fmt.Fprintf(&out, "seed %d: configuration acknowledged after %.1f s, ready after %.1f s; %d runs at endpoints, %d of them incomplete\n\n",
 		a.Seed, a.ConfigS, a.ReadyS, a.Runs, a.Cut)
-	fmt.Fprintf(&out, "%-8s %7s %7s %7s %7s %7s   tries, by their end\n",
-		"kind", "sent", "in time", "late", "refused", "failed")
+	fmt.Fprintf(&out, "%-8s %7s %7s %7s %7s %7s   attempts, by outcome\n",
+		"kind", "sent", "on time", "late", "refused", "failed")
 	for _, k := range a.Kinds {
 		fmt.Fprintf(&out, "%-8s %7d %7d %7d %7d %7d   %d: %v\n",
 			k.Kind, k.Requested, k.WithinTarget, k.Late, k.Refused, k.Failed, k.Tries, k.Ends)
@@ -97,9 +97,9 @@
 		}
 	}
 	if len(a.Violations) == 0 {
-		fmt.Fprintln(&out, "no rule was broken")
+		fmt.Fprintln(&out, "no rule was violated")
 	} else {
-		fmt.Fprintf(&out, "rules broken: %v\n", rules)
+		fmt.Fprintf(&out, "violations by rule: %v\n", rules)
 	}
 	_, err := io.WriteString(w, out.String())
 	return err
@@ -107,7 +107,7 @@
 
 const maxReported = 10
 
-// Save writes the account beside the logs.
+// Save writes the account as account.json into dir.
 func (a Account) Save(dir string) error {
 	text, err := json.MarshalIndent(a, "", " ")
 	if err != nil {
--- a/internal/lab/tier/certification.go
+++ b/internal/lab/tier/certification.go
@@ -26,71 +26,71 @@
 
 const (
 	certificationEngines = 6
-	certifiedEngines     = 4 // of the engines
+	certifiedEngines     = 4 // engines with a certificate
 	certificationLoad    = 2
 	regime               = "night"
-	// onTheWay is how long after a check a request may still reach its endpoint on a busy machine.
-	onTheWay = 500 * time.Millisecond
-	// recordedIn is within which all has reached the stores once clients have ended.
-	recordedIn = 5 * time.Second
-	putWait    = 10 * time.Second
-	// auditEvery is how often the audit logs are read until they are complete.
+	// deliverySlack is how long after its certificate was checked a request may still reach its endpoint on a busy machine.
+	deliverySlack = 500 * time.Millisecond
+	// auditTimeout bounds how long the audit records may take to reach the stores after the clients have finished.
+	auditTimeout = 5 * time.Second
+	putWait      = 10 * time.Second
+	// auditEvery is the interval at which the audit logs are read until they are complete.
 	auditEvery = 200 * time.Millisecond
 )
 
-// regulatedRoutes demand the regime; essay and lookup demand nothing and go on meanwhile.
+// regulatedRoutes are the routes that require the regime. The routes essay and lookup require none and carry traffic too.
 var regulatedRoutes = []string{"talk", "save", "bulk"}
 
-// The rules of a certification run, beside the others.
+// Additional rules of a certification run.
 const (
-	ruleCertified = "CERTIFIED" // regulated work at an endpoint that was not certified
-	ruleOnce      = "ONCE"      // an item that ran whole more than once
-	ruleAudit     = "AUDIT"     // the record does not say what was seen
+	ruleCertified = "CERTIFIED" // a regulated request executed at an endpoint without a certificate
+	ruleOnce      = "ONCE"      // a batch item executed completely more than once
+	ruleAudit     = "AUDIT"     // the audit log differs from what was observed
 )
 
-// certificationRun is the busy night of docs/certified.md: twice the traffic, with a certified engine down for good,
-// another frozen, one whose certificate is withdrawn, and a keeper cut off.
+// certificationRun is the night scenario of docs/certified.md: twice the traffic, while one certified engine crashes
+// permanently, another is frozen, the certificate of a third is withdrawn, and a keeper is frozen.
 type certificationRun struct {
 	seed       uint64
 	document   certification.Document
 	certified  map[string]bool
-	withdrawn  map[string]time.Time // by when it had to be in force
+	withdrawn  map[string]time.Time // by endpoint: when the withdrawal had to be in force
 	down       string
 	violations []load.Violation
-	runs       int // regulated ones, at endpoints
+	runs       int // regulated runs at endpoints
 	rows       []audit.Row
-	copies     int // the fewest files that a run is in
+	copies     int // the smallest number of files that contain a run
 	repeated   []string
 }
 
-// CertificationAccount is the account of such a run.
+// CertificationAccount is the account of a certification run.
 type CertificationAccount struct {
 	Account
 	Regulated int         `json:"regulated_runs"`
 	Rows      []audit.Row `json:"rows"`
 	Copies    int         `json:"copies"`
-	Repeated  []string    `json:"again"` // items that ran whole more than once
+	Repeated  []string    `json:"again"` // batch items that executed completely more than once
 }
 
-// PlayCertification plays the certification scenario.
+// PlayCertification runs the certification scenario.
 func PlayCertification(ctx context.Context, o Options) (CertificationAccount, error) {
 	n := &certificationRun{seed: o.Seed, certified: map[string]bool{}, withdrawn: map[string]time.Time{}}
 	o.certification, o.Faults = n, nil
 	o.Load = cmp.Or(o.Load, 1) * certificationLoad
 	a, err := Play(ctx, o)
 	for _, id := range n.repeated {
-		n.violated(ruleOnce, id, "ran whole more than once")
+		n.violated(ruleOnce, id, "executed completely more than once")
 	}
 	a.Violations = append(a.Violations, n.violations...)
 	return CertificationAccount{Account: a, Regulated: n.runs, Rows: n.rows, Copies: n.copies, Repeated: n.repeated}, err
 }
 
-// violated notes a violation.
+// violated records a violation.
 func (n *certificationRun) violated(rule, id, format string, args ...any) {
 	n.violations = append(n.violations, load.Violation{Rule: rule, ID: id, Detail: fmt.Sprintf(format, args...)})
 }
 
-// begin certifies some engines and one plain endpoint, before clients come.
+// begin certifies some engines and one plain endpoint before the clients start.
 func (n *certificationRun) begin(ctx context.Context, r *rig, op *operator.Operator) error {
 	now := time.Now().UTC()
 	n.document.Version = 1
@@ -119,12 +119,12 @@
 	}
 	return n.put(ctx, op, func(inForce bool) {
 		if !inForce {
-			r.options.Logf("the first certificates are not in force everywhere yet")
+			r.options.Logf("first certificates not yet in force at all processes")
 		}
 	})
 }
 
-// put sends the document of certificates, and calls then with whether it is in force everywhere.
+// put sends the certificate document and calls then with whether it is in force at all processes.
 func (n *certificationRun) put(ctx context.Context, op *operator.Operator, then func(inForce bool)) error {
 	text, err := json.Marshal(n.document)
 	if err != nil {
@@ -140,19 +140,19 @@
 	})
 }
 
-// injectFaults injects the faults of the scenario, spread over its length, in an order from the seed, and returns
-// when all have ended.
+// injectFaults injects the faults of the scenario spread over its length, in an order drawn from the seed, and returns when
+// all have ended.
 func (n *certificationRun) injectFaults(ctx context.Context, r *rig, op *operator.Operator) error {
 	engines := n.certifiedEngines(r)
 	rng := world.Random(n.seed, "night")
 	rng.Shuffle(len(engines), func(i, j int) { engines[i], engines[j] = engines[j], engines[i] })
 	keeper := r.cluster.Find(cluster.Keeper, rng.IntN(zones*2))
 	steps := []func() error{
-		func() error { return n.crashForGood(r, engines[0]) },
+		func() error { return n.crashPermanently(r, engines[0]) },
 		func() error { return freezeEndpoint(r, engines[1]) },
 		func() error { return n.withdraw(ctx, r, op, engines[2].ID()) },
 		func() error {
-			r.options.Logf("%v is cut off for %v", keeper, frozenFor)
+			r.options.Logf("freezing %v for %v", keeper, frozenFor)
 			return r.freeze(keeper)
 		},
 	}
@@ -172,7 +172,7 @@
 	return errors.Join(failures...)
 }
 
-// certifiedEngines returns the model endpoints that have a certificate, in the order of their starts.
+// certifiedEngines returns the model endpoints that have a certificate, in the order in which they started.
 func (n *certificationRun) certifiedEngines(r *rig) (engines []*engine.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,9 +184,9 @@
 	return engines
 }
 
-// crashForGood ends an endpoint without notice; nothing starts in its place.
-func (n *certificationRun) crashForGood(r *rig, e *engine.Endpoint) error {
-	r.options.Logf("%s is down for good", e.ID())
+// crashPermanently stops an endpoint abruptly without starting a replacement.
+func (n *certificationRun) crashPermanently(r *rig, e *engine.Endpoint) error {
+	r.options.Logf("crashing %s permanently", e.ID())
 	n.down = e.ID()
 	r.mu.Lock()
 	delete(r.all, e)
@@ -195,44 +195,44 @@
 	return nil
 }
 
-// freezeEndpoint has nothing move on an endpoint's connections for frozenFor.
+// freezeEndpoint stalls all reads and writes on an endpoint's connections for frozenFor.
 func freezeEndpoint(r *rig, e *engine.Endpoint) error {
-	r.options.Logf("%s is frozen for %v", e.ID(), frozenFor)
+	r.options.Logf("freezing %s for %v", e.ID(), frozenFor)
 	e.Dark(true)
 	time.Sleep(frozenFor)
 	e.Dark(false)
 	return nil
 }
 
-// withdraw withdraws the certificate of an endpoint, and notes by when that has to be in force.
+// withdraw withdraws the certificate of an endpoint and records by when the withdrawal has to be in force.
 func (n *certificationRun) withdraw(ctx context.Context, r *rig, op *operator.Operator, endpoint string) error {
-	r.options.Logf("the certificate of %s is withdrawn", endpoint)
+	r.options.Logf("withdrawing the certificate of %s", endpoint)
 	n.document, _ = n.document.Without(endpoint, regime)
 	return n.put(ctx, op, func(inForce bool) {
 		by := time.Now()
 		if !inForce {
 			by = by.Add(drainFor)
 		}
-		r.options.Logf("withdrawn, in force everywhere: %v", inForce)
-		n.withdrawn[endpoint] = by.Add(onTheWay)
+		r.options.Logf("certificate withdrawn; in force at all processes: %v", inForce)
+		n.withdrawn[endpoint] = by.Add(deliverySlack)
 	})
 }
 
-// regulated reports whether a request to this URI demands the regime.
+// regulated reports whether a request to this URI requires the regime.
 func regulated(uri string) bool {
 	return slices.ContainsFunc(regulatedRoutes, func(name string) bool { return strings.HasPrefix(uri, "/"+name+"/") })
 }
 
-// requestAt is a request and an endpoint at which it ran.
+// requestAt identifies a request and an endpoint that executed it.
 type requestAt struct{ id, endpoint string }
 
-// account checks what ran at the endpoints against the certificates, and the audit log against what ran.
+// account checks the runs at the endpoints against the certificates, and the audit logs against the runs.
 func (n *certificationRun) account(ctx context.Context, r *rig) {
 	ran := n.checkCertified(r.runs.All())
 	if n.runs == 0 {
-		n.violated(ruleAudit, "-", "no regulated work ran")
+		n.violated(ruleAudit, "-", "no regulated request was executed")
 	}
-	until := time.Now().Add(recordedIn)
+	until := time.Now().Add(auditTimeout)
 	problems := n.auditProblems(r, ran)
 	for len(problems) > 0 && !time.Now().After(until) && ctx.Err() == nil {
 		time.Sleep(auditEvery)
@@ -243,10 +243,11 @@
 	}
 }
 
-// checkCertified checks that regulated requests ran at certified endpoints only, and returns how often each ran where.
+// checkCertified checks that only certified endpoints executed regulated requests, and returns how often each request ran at
+// each endpoint.
 func (n *certificationRun) checkCertified(runs []engine.Run) map[requestAt]int {
 	ran := map[requestAt]int{}
-	whole := map[string]int{}
+	complete := map[string]int{}
 	for _, run := range runs {
 		if !regulated(run.URI) {
 			continue
@@ -263,7 +264,7 @@
 				run.URI, run.Instance, run.Arrived.Sub(by))
 		}
 		if run.Whole && strings.HasPrefix(run.URI, "/bulk/") {
-			if whole[run.Request]++; whole[run.Request] == 2 {
+			if complete[run.Request]++; complete[run.Request] == 2 {
 				n.repeated = append(n.repeated, run.Request)
 			}
 		}
@@ -271,7 +272,7 @@
 	return ran
 }
 
-// auditProblems returns what is wrong with the audit logs of all stores, and where they lack what ran.
+// auditProblems returns the errors in the audit logs of all stores and their differences from the observed runs.
 func (n *certificationRun) auditProblems(r *rig, ran map[requestAt]int) (problems []string) {
 	problem := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	report := n.audit(r, problem)
@@ -287,23 +288,23 @@
 		}
 		answered[key] = answered[key] || run.Outcome == audit.Answered
 		if run.Outcome == audit.Open {
-			problem("the run of %s at %s has no end", run.ID, run.Endpoint)
+			problem("the audit log has no end for the run of %s at %s", run.ID, run.Endpoint)
 		}
 	}
 	for key, times := range ran {
 		if recorded[key] < times {
-			problem("%s ran %d times at %s, and %d runs are in the record", key.id, times, key.endpoint, recorded[key])
+			problem("%s ran %d times at %s, but the audit log has %d runs", key.id, times, key.endpoint, recorded[key])
 		}
 	}
 	for key := range answered {
 		if answered[key] && ran[key] == 0 {
-			problem("%s is recorded as answered at %s, where it never ran", key.id, key.endpoint)
+			problem("the audit log has %s as answered at %s, where it never ran", key.id, key.endpoint)
 		}
 	}
 	return problems
 }
 
-// audit reads the audit logs of all stores; nil: they can't be read.
+// audit reads the audit logs of all stores. It returns nil if they cannot be read.
 func (n *certificationRun) audit(r *rig, problem func(format string, args ...any)) *audit.Report {
 	var all []string
 	copies := map[string]int{}
@@ -311,7 +312,7 @@
 		if p.Role != cluster.Store {
 			continue
 		}
-		files, _ := filepath.Glob(filepath.Join(p.Data(), "audit*.log")) // the pattern is sound
+		files, _ := filepath.Glob(filepath.Join(p.Data(), "audit*.log")) // the pattern is valid
 		if len(files) == 0 {
 			continue
 		}
@@ -338,31 +339,31 @@
 		n.copies = slices.Min(slices.Collect(maps.Values(copies)))
 	}
 	if n.copies < 2 { // survive.machines + 1
-		problem("a run is in %d files", n.copies)
+		problem("a run is in only %d files", n.copies)
 	}
 	return report
 }
 
-// Print writes the account for people.
+// Print writes a human-readable summary of the account.
 func (a CertificationAccount) Print(w io.Writer) error {
 	if err := a.Account.Print(w); err != nil {
 		return err
 	}
 	for _, row := range a.Rows {
-		_, err := fmt.Fprintf(w, "regime %s, night of %s: %d runs, %d requests, %d items, %d answered whole, "+
-			"%d of them again, at %d endpoints\n",
+		_, err := fmt.Fprintf(w, "regime %s, night of %s: %d runs, %d requests, %d items, %d answered completely, "+
+			"%d of them repeatedly, at %d endpoints\n",
 			row.Regime, row.Date, row.Runs, row.Requests, row.BatchItems, row.Answered, row.Reanswered, row.Endpoints)
 		if err != nil {
 			return err
 		}
 	}
 	if len(a.Repeated) > 0 {
-		_, err := fmt.Fprintf(w, "items that ran whole more than once (each is listed once): %v\n", a.Repeated)
+		_, err := fmt.Fprintf(w, "items that executed completely more than once (each is listed once): %v\n", a.Repeated)
 		if err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "%d regulated runs were seen at endpoints; each is in the files of %d stores or more\n",
+	_, err := fmt.Fprintf(w, "%d regulated runs observed at endpoints; each is in the files of at least %d stores\n",
 		a.Regulated, a.Copies)
 	return err
 }
--- a/internal/lab/tier/faults.go
+++ b/internal/lab/tier/faults.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	backAfter    = time.Second // what was killed starts again
+	backAfter    = time.Second // until a killed process or crashed endpoint is started again
 	corruptEvery = 100 * time.Millisecond
 	frozenFor    = 3 * time.Second
 )
 
-// losses are the faults that a play may have, one after another.
-var losses = map[string]func(*rig) error{
+// injectors has a function for each fault by its name. It injects the fault and returns when the fault has ended.
+var injectors = map[string]func(*rig) error{
 	"store":         func(r *rig) error { return r.kill(r.cluster.Find(cluster.Store, 0), false) },
 	"keeper":        func(r *rig) error { return r.kill(r.cluster.Find(cluster.Keeper, 0), false) },
 	"proxy":         func(r *rig) error { return r.kill(r.cluster.Find(cluster.Proxy, 0), false) },
@@ -29,14 +29,14 @@
 	"freeze-store":  func(r *rig) error { return r.freeze(r.cluster.Find(cluster.Store, 2)) },
 	"freeze-keeper": func(r *rig) error { return r.freeze(r.cluster.Find(cluster.Keeper, 2)) },
 	"kill-all":      (*rig).killAll,
-	"dark":          (*rig).dark,
+	"dark":          (*rig).stall,
 	"leave":         (*rig).leave,
 }
 
-// Faults names all of them.
-func Faults() []string { return slices.Sorted(maps.Keys(losses)) }
+// Faults returns the names of all faults.
+func Faults() []string { return slices.Sorted(maps.Keys(injectors)) }
 
-// faults plays the faults that are named in the options, spread over the play.
+// faults injects the faults named in the options one after another, spread over the length of the run.
 func (r *rig) faults(ctx context.Context) error {
 	began := time.Now()
 	for i, name := range r.options.Faults {
@@ -49,19 +49,19 @@
 			return nil
 		}
 		r.options.Logf("%4.1f s  %s", time.Since(began).Seconds(), name)
-		if err := losses[name](r); err != nil {
+		if err := injectors[name](r); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// kill kills a process and starts it again after a while.
-func (r *rig) kill(p *cluster.Process, disk bool) error {
+// kill kills a process, wipes its disk if asked to, and starts it again after backAfter.
+func (r *rig) kill(p *cluster.Process, wipe bool) error {
 	if err := p.Kill(); err != nil {
 		return err
 	}
-	if disk {
+	if wipe {
 		if err := p.Wipe(); err != nil {
 			return err
 		}
@@ -70,7 +70,7 @@
 	return p.Start()
 }
 
-// killAll kills all processes at once, and starts them again after a while.
+// killAll kills all processes at once and starts them again after backAfter.
 func (r *rig) killAll() error {
 	all := r.cluster.Processes()
 	for _, p := range all {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// freeze stops the threads of a process for frozenFor.
+// freeze stops a process with SIGSTOP for frozenFor.
 func (r *rig) freeze(p *cluster.Process) error {
 	if err := p.Freeze(); err != nil {
 		return err
@@ -96,21 +96,21 @@
 	return p.Thaw()
 }
 
-// victim is an engine that runs.
+// victim returns the running engine that faults are applied to.
 func (r *rig) victim() *engine.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ordered()[0]
 }
 
-// ordered are all endpoints in the order of their starts, the plain ones behind.
+// ordered returns all endpoints in the order in which they started, the plain ones last.
 func (r *rig) ordered() []*engine.Endpoint {
 	return slices.SortedFunc(maps.Keys(r.all), func(a, b *engine.Endpoint) int {
 		return cmp.Or(cmp.Compare(a.Service(), b.Service()), cmp.Compare(a.ID(), b.ID()))
 	})
 }
 
-// replace starts a new incarnation where one has ended.
+// replace starts a new incarnation of a stopped engine at its address.
 func (r *rig) replace(e *engine.Endpoint) error {
 	r.mu.Lock()
 	delete(r.all, e)
@@ -120,24 +120,24 @@
 	return err
 }
 
-// crash ends an engine without notice, and starts another in its place.
+// crash stops an engine abruptly and starts another at its address.
 func (r *rig) crash() error {
 	e := r.victim()
 	e.Crash()
 	return r.replace(e)
 }
 
-// leave has an engine end as planned.
+// leave shuts an engine down as planned.
 func (r *rig) leave() error {
 	e := r.victim()
 	if e.Leave(context.Background()).IsZero() {
-		r.options.Logf("nobody acknowledged that %s leaves", e.ID())
+		r.options.Logf("no keeper acknowledged the drain of %s", e.ID())
 	}
 	return r.replace(e)
 }
 
-// dark has nothing move on an engine's connections for frozenFor.
-func (r *rig) dark() error {
+// stall stalls all reads and writes on an engine's connections for frozenFor.
+func (r *rig) stall() error {
 	e := r.victim()
 	e.Dark(true)
 	time.Sleep(frozenFor)
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// corrupt has endpoints give corrupt answers, each in its turn.
+// corrupt makes endpoints send corrupt answers in turn.
 func (r *rig) corrupt(ctx context.Context) {
 	tick := time.NewTicker(corruptEvery)
 	defer tick.Stop()
--- a/internal/lab/tier/replacements.go
+++ b/internal/lab/tier/replacements.go
@@ -21,20 +21,20 @@
 	"dunetide/internal/lab/wait"
 )
 
-// ReplacementScenario is a day on which voters are replaced while another one is cut off without a reset. Its times are
-// counted from when the tier is ready. Which machines are met is drawn by the seed of the play.
+// ReplacementScenario replaces voters while another voter is cut off without its connections being reset. Its times are
+// relative to when the tier is ready. The seed determines which machines are affected.
 type ReplacementScenario struct {
-	Machines      int           // with disks, and so voters
-	FirstReplaced time.Duration // a new machine starts
+	Machines      int           // machines with disks, which are the voters
+	FirstReplaced time.Duration // the first new machine starts
 	TransferAfter time.Duration // from the start of a new machine to the SIGTERM of the one that it replaces
 	CutFrom       time.Duration // a voter that is not replaced is cut off
-	SecondStarts  time.Duration // the next new machine starts
+	SecondStarts  time.Duration // the second new machine starts
 	CutTo         time.Duration
 	Length        time.Duration
 }
 
-// DefaultReplacementScenario is the day that a former program did not pass: it took no order from the second
-// replacement on.
+// DefaultReplacementScenario reproduces a failure of an earlier version of the program, which accepted no configuration
+// after the second replacement began.
 var DefaultReplacementScenario = ReplacementScenario{
 	Machines:      3,
 	FirstReplaced: 2 * time.Second,
@@ -52,25 +52,26 @@
 	orderWait          = 30 * time.Second
 	jobEvery           = 2 * time.Second
 	jobItems           = 4
-	// jobsFinishBy bounds, from the end of the day, how long a job may still be submitted and read; most have ended
-	// long before.
+	// jobsFinishBy bounds how long after the end of the scenario a job may still be submitted and read; most finish much
+	// earlier.
 	jobsFinishBy = 30 * time.Second
 	readWait     = 20 * time.Second
-	// unrest is how long after an event of the day no time is calm: in_touch_ms.
-	unrest = 3 * time.Second
-	// A sync of the lab's own that takes longer than stalledSync is a fault of the disk, of which no tier is free.
+	// settleTime is how long after an event the tier does not count as calm (the setting in_touch_ms).
+	settleTime = 3 * time.Second
+	// stalledSync is the duration of an fsync by the lab itself beyond which the disk counts as stalled. Disk stalls affect
+	// any tier, so they are events of the scenario.
 	stalledSync = 300 * time.Millisecond
 	syncEvery   = 50 * time.Millisecond
-	// contactLost is what a keeper logs that has lost its contact with a majority.
+	// contactLost is the message that a keeper logs when it loses contact with a majority.
 	contactLost = "no contact with a majority"
 )
 
-// replacements is such a day under way.
+// replacements is the state of a running ReplacementScenario.
 type replacements struct {
 	*rig
-	day      ReplacementScenario
+	scenario ReplacementScenario
 	operator *operator.Operator
-	config   []byte // of the version that was acknowledged last
+	config   []byte // the version that was acknowledged last
 	version  uint64
 
 	mu     sync.Mutex
@@ -78,12 +79,12 @@
 	events []ScenarioEvent
 }
 
-// Replacements plays such a day. The program has to be one that cluster.BuildRelayed has made.
-func Replacements(ctx context.Context, o Options, day ReplacementScenario) (out ReplacementAccount, err error) {
+// Replacements runs a ReplacementScenario. The program must have been built by cluster.BuildRelayed.
+func Replacements(ctx context.Context, o Options, scenario ReplacementScenario) (out ReplacementAccount, err error) {
 	c, err := cluster.New(cluster.Options{
 		Program:           o.Program,
 		Dir:               o.Dir,
-		Zones:             day.Machines,
+		Zones:             scenario.Machines,
 		Edges:             1,
 		Keepers:           1,
 		Spares:            replacementSpares,
@@ -100,7 +101,7 @@
 	traffic, jobs := DefaultTraffic()
 	d := &replacements{
 		rig:      newRig(o, c),
-		day:      day,
+		scenario: scenario,
 		operator: operator.New(c.Controls),
 		config:   Configuration(traffic, jobs),
 		version:  configVersion,
@@ -109,7 +110,7 @@
 	if err := d.start(ctx); err != nil {
 		return out, explain(err, c)
 	}
-	if err := d.play(ctx, jobs[0], &out); err != nil {
+	if err := d.run(ctx, jobs[0], &out); err != nil {
 		return out, explain(err, c)
 	}
 	return out, errors.Join(d.account(ctx, &out), ctx.Err())
@@ -127,13 +128,13 @@
 	}
 	err := wait.Within(ctx, configWait, func(ctx context.Context) error { return d.operator.Put(ctx, 0, d.config) })
 	if err != nil {
-		return fmt.Errorf("the first configuration: %w", err)
+		return fmt.Errorf("sending the first configuration: %w", err)
 	}
 	return wait.Within(ctx, readyWait, d.cluster.AwaitReady)
 }
 
-// play plays the day: faults, orders and jobs.
-func (d *replacements) play(ctx context.Context, jobs load.Jobs, out *ReplacementAccount) error {
+// run runs the faults, configuration updates and jobs of the scenario concurrently.
+func (d *replacements) run(ctx context.Context, jobs load.Jobs, out *ReplacementAccount) error {
 	d.began = time.Now()
 	var failed [3]error
 	var running sync.WaitGroup
@@ -145,7 +146,7 @@
 	return errors.Join(failed[:]...)
 }
 
-// account writes down what became of all.
+// account fills in the results of the scenario.
 func (d *replacements) account(ctx context.Context, out *ReplacementAccount) error {
 	slices.SortFunc(d.events, func(a, b ScenarioEvent) int { return cmp.Compare(a.At, b.At) })
 	out.Events = d.events
@@ -160,7 +161,7 @@
 	return err
 }
 
-// event notes what happens now.
+// event records and logs an event that happens now.
 func (d *replacements) event(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -169,14 +170,15 @@
 	d.options.Logf("%5.1f s  %s", e.At.Seconds(), e.What)
 }
 
-// watchDisk syncs a small file throughout the day. A sync that stalls is an event, at its beginning and at its end.
+// watchDisk syncs a small file throughout the scenario. A sync that stalls is recorded as two events, at its start and at
+// its end.
 func (d *replacements) watchDisk(ctx context.Context) (slowest time.Duration, err error) {
 	file, err := os.Create(filepath.Join(d.options.Dir, "probe"))
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = file.Close() }() // a probe of the disk, of no further use
-	for time.Since(d.began) < d.day.Length && wait.For(ctx, syncEvery) {
+	defer func() { _ = file.Close() }() // its content is not used
+	for time.Since(d.began) < d.scenario.Length && wait.For(ctx, syncEvery) {
 		began := time.Since(d.began)
 		if _, err := file.WriteAt([]byte{1}, 0); err != nil {
 			return slowest, err
@@ -188,56 +190,56 @@
 		slowest = max(slowest, took)
 		if took > stalledSync {
 			d.mu.Lock()
-			d.events = append(d.events, ScenarioEvent{began, "the disk of this computer stalls"})
+			d.events = append(d.events, ScenarioEvent{began, "the disk of the lab's machine stalls"})
 			d.mu.Unlock()
-			d.event("a sync of the lab's own took %v", took.Round(time.Millisecond))
+			d.event("an fsync by the lab took %v", took.Round(time.Millisecond))
 		}
 	}
 	return slowest, nil
 }
 
-// machine n, from 0; the spares stand behind the others.
+// machine returns the processes of machine n, counted from 0; the spares come after the others.
 func (d *replacements) machine(n int) (proxy, keeper *cluster.Process) {
 	return d.cluster.Find(cluster.Proxy, n), d.cluster.Find(cluster.Keeper, n)
 }
 
-// met is the machine that something happens to: 0 and 2 are replaced, 1 is cut off.
-func (d *replacements) met(n int) int {
-	return int((d.options.Seed + uint64(n)) % uint64(d.day.Machines))
+// target returns the machine that an event n affects: the machines of events 0 and 2 are replaced, that of 1 is cut off.
+func (d *replacements) target(n int) int {
+	return int((d.options.Seed + uint64(n)) % uint64(d.scenario.Machines))
 }
 
 // cutKeeper returns the keeper that is cut off.
 func (d *replacements) cutKeeper() *cluster.Process {
-	_, keeper := d.machine(d.met(1))
+	_, keeper := d.machine(d.target(1))
 	return keeper
 }
 
-// injectFaults plays what the day does to machines.
+// injectFaults replaces machines and cuts one off as the scenario says.
 func (d *replacements) injectFaults(ctx context.Context) error {
 	cut := d.cutKeeper()
 	var replaced [2]error
 	var replacing sync.WaitGroup
 	replace := func(n int) func() error {
 		return func() error {
-			replacing.Go(func() { replaced[n] = d.replaceMachine(ctx, d.met(2*n), d.day.Machines+n) })
+			replacing.Go(func() { replaced[n] = d.replaceMachine(ctx, d.target(2*n), d.scenario.Machines+n) })
 			return nil
 		}
 	}
 	steps := []struct {
-		at time.Duration
-		do func() error
+		at  time.Duration
+		run func() error
 	}{
-		{d.day.FirstReplaced, replace(0)},
-		{d.day.CutFrom, func() error { d.event("%s is cut off", cut.Machine); return d.cluster.CutOff(cut) }},
-		{d.day.SecondStarts, replace(1)},
-		{d.day.CutTo, func() error { d.event("%s is connected again", cut.Machine); return d.cluster.Heal() }},
+		{d.scenario.FirstReplaced, replace(0)},
+		{d.scenario.CutFrom, func() error { d.event("%s is cut off", cut.Machine); return d.cluster.CutOff(cut) }},
+		{d.scenario.SecondStarts, replace(1)},
+		{d.scenario.CutTo, func() error { d.event("%s is connected again", cut.Machine); return d.cluster.Heal() }},
 	}
 	defer replacing.Wait()
 	for _, step := range steps {
 		if !d.sleepUntil(ctx, step.at) {
 			return ctx.Err()
 		}
-		if err := step.do(); err != nil {
+		if err := step.run(); err != nil {
 			return err
 		}
 	}
@@ -245,7 +247,7 @@
 	return errors.Join(replaced[:]...)
 }
 
-// replaceMachine starts a spare, and ends another machine as planned after a while.
+// replaceMachine starts a spare machine and shuts the old one down as planned after TransferAfter.
 func (d *replacements) replaceMachine(ctx context.Context, old, spare int) error {
 	newProxy, newKeeper := d.machine(spare)
 	oldProxy, oldKeeper := d.machine(old)
@@ -253,28 +255,28 @@
 	if err := errors.Join(newKeeper.Start(), newProxy.Start()); err != nil {
 		return err
 	}
-	if !wait.For(ctx, d.day.TransferAfter) {
+	if !wait.For(ctx, d.scenario.TransferAfter) {
 		return ctx.Err()
 	}
-	d.event("%s is told to end", oldKeeper.Machine)
+	d.event("%s gets SIGTERM", oldKeeper.Machine)
 	var failed [2]error
 	var ending sync.WaitGroup
 	for i, p := range []*cluster.Process{oldProxy, oldKeeper} {
 		ending.Go(func() { failed[i] = p.Remove() })
 	}
 	ending.Wait()
-	d.event("%s has ended", oldKeeper.Machine)
+	d.event("%s has shut down", oldKeeper.Machine)
 	return errors.Join(failed[:]...)
 }
 
-// sleepUntil waits until a time of the scenario; false: the context has ended.
+// sleepUntil waits until a time of the scenario. It returns false if the context ended before.
 func (d *replacements) sleepUntil(ctx context.Context, at time.Duration) bool {
 	return wait.For(ctx, at-time.Since(d.began))
 }
 
-// orders sends a configuration every second, one on top of the other.
+// orders sends a configuration every orderEvery, each based on the previous one.
 func (d *replacements) orders(ctx context.Context) (all []Order, err error) {
-	for next := time.Duration(0); next < d.day.Length; next = max(next+orderEvery, time.Since(d.began)) {
+	for next := time.Duration(0); next < d.scenario.Length; next = max(next+orderEvery, time.Since(d.began)) {
 		if !d.sleepUntil(ctx, next) {
 			return all, ctx.Err()
 		}
@@ -294,7 +296,7 @@
 	return all, nil
 }
 
-// withVersion is the same configuration under another version.
+// withVersion returns the same configuration with another version.
 func withVersion(text []byte, version uint64) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(text, &fields); err != nil {
@@ -304,25 +306,25 @@
 	return json.Marshal(fields)
 }
 
-// jobs has clients submit batch jobs throughout the day and read them.
+// jobs runs clients that submit batch jobs and read their results throughout the scenario.
 func (d *replacements) jobs(ctx context.Context, jobs load.Jobs) load.Account {
-	jobs.Count, jobs.Items, jobs.EndEvery = int(d.day.Length/jobEvery), jobItems, 0
-	// Jobs begin in the first half of a length.
+	jobs.Count, jobs.Items, jobs.EndEvery = int(d.scenario.Length/jobEvery), jobItems, 0
+	// load.Run starts jobs in the first half of its length.
 	return load.Run(ctx, load.Options{
 		Seed:          d.options.Seed,
-		Length:        2 * d.day.Length,
+		Length:        2 * d.scenario.Length,
 		Zones:         d.cluster.Zones(),
 		Front:         d.cluster.Front,
 		Jobs:          []load.Jobs{jobs},
 		Stride:        stride,
-		FinishBy:      jobsFinishBy - d.day.Length,
+		FinishBy:      jobsFinishBy - d.scenario.Length,
 		VisibleWithin: visibleWithin,
 		Cancel:        cancelAfter,
 		Runs:          d.runs,
 	})
 }
 
-// readBack reads the configuration, which has to be the one that was acknowledged last.
+// readBack reads the configuration and returns "same" if it is the one that was acknowledged last, or else what differs.
 func (d *replacements) readBack(ctx context.Context) string {
 	var got []byte
 	err := wait.Within(ctx, configWait, func(ctx context.Context) (err error) {
@@ -333,19 +335,19 @@
 	case err != nil:
 		return err.Error()
 	case !operator.Same(got, d.config):
-		return fmt.Sprintf("another one, of %d bytes", len(got))
+		return fmt.Sprintf("a different configuration of %d bytes", len(got))
 	}
 	return "same"
 }
 
-// readJobs reads all jobs that were accepted, and returns which could not be read.
+// readJobs reads all accepted jobs and returns their number and those that could not be read.
 func (d *replacements) readJobs(ctx context.Context, jobs []load.Job) (accepted int, unread []string) {
 	for _, job := range jobs {
 		if job.AcceptedS < 0 {
 			continue
 		}
 		accepted++
-		last := errors.New("not asked")
+		last := errors.New("not read")
 		_ = wait.Within(ctx, readWait, func(ctx context.Context) error {
 			for n := uint64(0); last != nil; n++ {
 				if last = d.readJob(ctx, job, n); last != nil && !wait.For(ctx, 100*time.Millisecond) {
@@ -365,7 +367,7 @@
 func (d *replacements) readJob(ctx context.Context, job load.Job, hash uint64) error {
 	front, ready := d.cluster.Front(d.cluster.Zones()[0], hash)
 	if !ready {
-		return errors.New("no machine is ready")
+		return errors.New("no front is ready")
 	}
 	url := fmt.Sprintf("http://%s/lots/%s?start_after=0", front, job.ID)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -388,13 +390,13 @@
 		Results []json.RawMessage
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the answer is %s", resp.Status)
+		return fmt.Errorf("unexpected status %s", resp.Status)
 	}
 	if err := json.Unmarshal(text, &got); err != nil {
 		return err
 	}
 	if got.Total != job.Items || len(got.Results) < job.Listed {
-		return fmt.Errorf("%d results of %d items, where %d were listed before", len(got.Results), got.Total, job.Listed)
+		return fmt.Errorf("got %d results of %d items, but %d were listed before", len(got.Results), got.Total, job.Listed)
 	}
 	return nil
 }
--- a/internal/lab/tier/replacements_account.go
+++ b/internal/lab/tier/replacements_account.go
@@ -9,35 +9,35 @@
 	"dunetide/internal/lab/tier/load"
 )
 
-// Order is one configuration of the operator. Times are counted from the beginning of the day.
+// Order is one configuration update by the operator. Times are relative to the start of the scenario.
 type Order struct {
 	Version uint64        `json:"version"`
 	SentAt  time.Duration `json:"asked"`
 	Took    time.Duration `json:"took"`
-	Calm    time.Duration `json:"calm"` // the longest calm stretch in which it lacked its acknowledgement
+	Calm    time.Duration `json:"calm"` // the longest calm period during which it was unacknowledged
 }
 
-// ScenarioEvent is what the day did to a machine.
+// ScenarioEvent is an event of the scenario, such as a machine starting, ending or being cut off.
 type ScenarioEvent struct {
 	At   time.Duration `json:"at"`
 	What string        `json:"what"`
 }
 
-// ReplacementAccount is what became of the orders and jobs of such a day.
+// ReplacementAccount is the result of a ReplacementScenario.
 type ReplacementAccount struct {
 	load.Account
 	Events   []ScenarioEvent `json:"events"`
 	Orders   []Order         `json:"orders"`
-	ReadBack string          `json:"read_back"` // same, or what came
+	ReadBack string          `json:"read_back"` // "same", or what was read instead
 	Accepted int             `json:"accepted"`  // jobs
 	Unread   []string        `json:"unread"`    // accepted jobs that could not be read at the end
-	// SlowestSync is what one small sync of the lab's own took at most, beside the disks of the processes.
+	// SlowestSync is the longest time that a small fsync by the lab itself took, on the disk that the processes use.
 	SlowestSync time.Duration `json:"slowest_sync"`
-	CutFelt     bool          `json:"cut_felt"` // the keeper that was cut off lost its contact with a majority, by its log
-	Ends        []string      `json:"ends"`     // processes that ended by themselves
+	CutFelt     bool          `json:"cut_felt"` // the keeper that was cut off logged that it lost contact with a majority
+	Ends        []string      `json:"ends"`     // processes that exited unexpectedly
 }
 
-// LongestCalm is the longest calm stretch in which an order lacked its acknowledgement.
+// LongestCalm returns the configuration update that was unacknowledged for the longest calm period.
 func (a ReplacementAccount) LongestCalm() (longest Order) {
 	for _, o := range a.Orders {
 		if longest.Version == 0 || o.Calm > longest.Calm {
@@ -47,7 +47,7 @@
 	return longest
 }
 
-// LongestOrder is the order that took longest, calm or not.
+// LongestOrder returns the configuration update that took longest to be acknowledged.
 func (a ReplacementAccount) LongestOrder() (longest Order) {
 	for _, o := range a.Orders {
 		if o.Took > longest.Took {
@@ -57,14 +57,14 @@
 	return longest
 }
 
-// Failed reports whether anything acknowledged was lost, a rule was broken, a process ended by itself, or the cut was
-// none.
+// Failed reports whether anything acknowledged was lost, a rule was violated, a process exited unexpectedly, or the cut had
+// no effect.
 func (a ReplacementAccount) Failed() bool {
 	return !a.CutFelt || len(a.Violations) > 0 || len(a.Ends) > 0 || a.ReadBack != "same" || len(a.Unread) > 0
 }
 
-// longestCalm is the longest stretch, from the asking for an order to its acknowledgement, in which nothing had
-// happened for unrest.
+// longestCalm returns the longest calm period between the sending of an order and its acknowledgement. A period is calm from
+// settleTime after an event until the next event.
 func longestCalm(o Order, events []ScenarioEvent) (longest time.Duration) {
 	calmFrom := o.SentAt
 	for _, e := range events {
@@ -72,22 +72,22 @@
 			break
 		}
 		longest = max(longest, e.At-calmFrom)
-		calmFrom = max(calmFrom, e.At+unrest)
+		calmFrom = max(calmFrom, e.At+settleTime)
 	}
 	return max(longest, o.SentAt+o.Took-calmFrom)
 }
 
-// Print writes the account for people.
+// Print writes a human-readable summary of the account.
 func (a ReplacementAccount) Print(w io.Writer) error {
 	calm, longest := a.LongestCalm(), a.LongestOrder()
 	listed := 0
 	for _, job := range a.Jobs {
 		listed += job.Listed
 	}
-	_, err := fmt.Fprintf(w, "%d orders; the longest without an acknowledgement in calm: %v (version %d); "+
-		"the longest at all: %v, sent at %v\n"+
-		"%d of %d jobs accepted, %d unread at the end, %d items listed; read back: %s; broken %v, "+
-		"ended %v; slowest sync of the lab's own %v\n",
+	_, err := fmt.Fprintf(w, "%d configuration updates; longest unacknowledged in a calm period: %v (version %d); "+
+		"longest overall: %v, sent at %v\n"+
+		"%d of %d jobs accepted, %d unread at the end, %d items listed; configuration read back: %s; violations %v, "+
+		"unexpected exits %v; slowest fsync by the lab %v\n",
 		len(a.Orders), calm.Calm.Round(time.Millisecond), calm.Version,
 		longest.Took.Round(time.Millisecond), longest.SentAt.Round(time.Millisecond),
 		a.Accepted, len(a.Jobs), len(a.Unread), listed,
--- a/internal/lab/tier/tier.go
+++ b/internal/lab/tier/tier.go
@@ -1,5 +1,5 @@
-// Package tier plays a small serving tier of real processes against the lab's endpoints, clients and
-// operator. `dunetide-lab tier` and tests of cmd/dunetide use it; docs/tier-lab.md describes it.
+// Package tier runs a small serving tier of real processes against the lab's simulated endpoints, clients and operator.
+// `dunetide-lab tier` and tests of cmd/dunetide-lab use it; docs/tier-lab.md describes it.
 package tier
 
 import (
@@ -24,7 +24,7 @@
 	zones          = 2
 	engines        = 4
 	plain          = 2
-	stride         = 10 // tokens an event
+	stride         = 10 // tokens per event
 	clients        = 24
 	heartbeatEvery = 500 * time.Millisecond
 	grace          = 3 * time.Second
@@ -39,21 +39,21 @@
 	configVersion  = 3
 )
 
-// Options of a play.
+// Options configure a run of the lab.
 type Options struct {
 	Program        string
 	Dir            string
 	Seed           uint64
 	Length         time.Duration
-	Faults         []string                         // of Faults, in their order, spread over the play
-	CorruptAnswers bool                             // endpoints give a corrupt answer now and then
-	Load           float64                          // over the usual rates; 0: 1
-	Logf           func(format string, args ...any) // what happens, as it happens
+	Faults         []string                         // names from Faults, injected in this order, spread over the run
+	CorruptAnswers bool                             // endpoints send occasional corrupt answers
+	Load           float64                          // factor on the default rates; 0 means 1
+	Logf           func(format string, args ...any) // logs progress
 
-	certification *certificationRun // nil: nothing is regulated
+	certification *certificationRun // nil if no route is regulated
 }
 
-// DefaultTraffic is what the clients of a play ask for.
+// DefaultTraffic returns the streams of requests and the batch jobs of the clients.
 func DefaultTraffic() ([]load.Traffic, []load.Jobs) {
 	route := func(name, service string, kind config.RouteKind, timeout, target int) *config.Route {
 		return &config.Route{
@@ -85,7 +85,7 @@
 		}
 }
 
-// Configuration is what the operator sends: all the routes of the traffic.
+// Configuration returns the configuration that the operator sends, with all routes of the traffic and the jobs.
 func Configuration(ts []load.Traffic, js []load.Jobs) []byte {
 	var routes []map[string]any
 	add := func(r *config.Route) { routes = append(routes, routeFields(r)) }
@@ -114,12 +114,12 @@
 		},
 	})
 	if err != nil {
-		panic(fmt.Errorf("a configuration can be written as JSON: %w", err))
+		panic(fmt.Errorf("encoding a configuration as JSON: %w", err))
 	}
 	return text
 }
 
-// routeKinds are the names of the kinds in a configuration.
+// routeKinds has the names of the route kinds in a configuration.
 var routeKinds = map[config.RouteKind]string{
 	config.ReadOnly:  "read_only",
 	config.Writes:    "writes",
@@ -127,7 +127,7 @@
 	config.Bulk:      "bulk",
 }
 
-// routeFields returns a route as it stands in a configuration.
+// routeFields returns the fields of a route in a configuration.
 func routeFields(r *config.Route) map[string]any {
 	out := map[string]any{
 		"name":       r.Name,
@@ -149,7 +149,7 @@
 	return out
 }
 
-// EndpointOptions are those of the endpoints of a service of the default configuration.
+// EndpointOptions returns the options of the endpoints of a service in the default configuration.
 func EndpointOptions(service string) engine.Options {
 	o := engine.Options{Service: service, Capacity: 8, Queue: 8, MaxConns: 60}
 	if service == web {
@@ -161,7 +161,7 @@
 	return o
 }
 
-// rig is a tier with the endpoints that a play starts around it. Its owner ends the endpoints by close.
+// rig is a tier with its simulated endpoints. Its owner stops the endpoints with close.
 type rig struct {
 	options Options
 	cluster *cluster.Cluster
@@ -193,7 +193,7 @@
 	return err
 }
 
-// close ends all endpoints.
+// close stops all endpoints.
 func (r *rig) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,13 +202,13 @@
 	}
 }
 
-// Play starts the tier and all around it, has clients send requests, and accounts for what became of them. An error
-// says that the play itself failed, not that a rule was violated.
+// Play starts the tier and its endpoints, runs clients against it, and returns an account of the results. An error means
+// that the run itself failed, not that a rule was violated.
 func Play(ctx context.Context, o Options) (Account, error) {
 	out := Account{Seed: o.Seed}
 	for _, name := range o.Faults {
-		if losses[name] == nil {
-			return out, fmt.Errorf("no fault is named %q; there are %s", name, strings.Join(Faults(), ", "))
+		if injectors[name] == nil {
+			return out, fmt.Errorf("unknown fault %q; known faults: %s", name, strings.Join(Faults(), ", "))
 		}
 	}
 	c, err := cluster.New(cluster.Options{
@@ -237,7 +237,7 @@
 	if err := r.start(ctx, op, text, &out); err != nil {
 		return out, err
 	}
-	o.Logf("ready after %.1f s; %v of clients begin", out.ReadyS, o.Length)
+	o.Logf("tier ready after %.1f s; running clients for %v", out.ReadyS, o.Length)
 	failed := r.run(ctx, op, traffic, jobs, &out)
 	out.ReadBack = readBack(ctx, op, text)
 	if o.certification != nil {
@@ -247,7 +247,7 @@
 	return out, errors.Join(failed, ctx.Err())
 }
 
-// start starts the endpoints and the processes, sends the configuration, and waits until the tier is ready.
+// start starts the endpoints and the processes, sends the configuration and waits until the tier is ready.
 func (r *rig) start(ctx context.Context, op *operator.Operator, config []byte, out *Account) error {
 	if err := r.startEndpoints(); err != nil {
 		return err
@@ -258,7 +258,7 @@
 	}
 	err := wait.Within(ctx, configWait, func(ctx context.Context) error { return op.Put(ctx, 0, config) })
 	if err != nil {
-		return explain(fmt.Errorf("the first configuration: %w", err), r.cluster)
+		return explain(fmt.Errorf("sending the first configuration: %w", err), r.cluster)
 	}
 	out.ConfigS = time.Since(began).Seconds()
 	if err := wait.Within(ctx, readyWait, r.cluster.AwaitReady); err != nil {
@@ -273,7 +273,7 @@
 	return nil
 }
 
-// startEndpoints starts the model endpoints and then the plain ones, over the zones in turn.
+// startEndpoints starts the model endpoints and then the plain ones, distributed over the zones in turn.
 func (r *rig) startEndpoints() error {
 	models := engines
 	if r.options.certification != nil {
@@ -292,7 +292,7 @@
 	return nil
 }
 
-// run has clients send requests while faults are injected, and returns the error of the faults.
+// run runs the clients while faults are injected, and returns the error of the fault injection.
 func (r *rig) run(
 	ctx context.Context, op *operator.Operator, traffic []load.Traffic, jobs []load.Jobs, out *Account,
 ) (failed error) {
@@ -330,7 +330,7 @@
 	return failed
 }
 
-// readBack reads the configuration at the end: "same" as the one that was sent, or what came instead.
+// readBack reads the configuration at the end and returns "same" if it equals the one that was sent, or else what differs.
 func readBack(ctx context.Context, op *operator.Operator, sent []byte) string {
 	var got []byte
 	err := wait.Within(ctx, configWait, func(ctx context.Context) (err error) {
@@ -343,10 +343,10 @@
 	case operator.Same(got, sent):
 		return "same"
 	}
-	return fmt.Sprintf("another one, of %d bytes", len(got))
+	return fmt.Sprintf("a different configuration of %d bytes", len(got))
 }
 
-// explain adds what the processes logged that ended by themselves.
+// explain adds the log output of processes that exited unexpectedly to an error.
 func explain(err error, c *cluster.Cluster) error {
 	if ends := c.Ends(); len(ends) > 0 {
 		return fmt.Errorf("%w\n%s", err, strings.Join(ends, "\n"))
--- a/internal/lab/tier/tier_test.go
+++ b/internal/lab/tier/tier_test.go
@@ -18,20 +18,20 @@
 	"dunetide/internal/lab/tier/tiertest"
 )
 
-// TestMain plays a process of a trivial tier when it is started as one. Its processes share what they
-// know in files beside their own, so no fault is outlived.
+// TestMain runs a process of a trivial tier if the test binary is started as one. The processes share their state in common
+// files, so the trivial tier survives no fault.
 func TestMain(m *testing.M) {
 	file := os.Getenv("DUNETIDE_CONFIG")
 	if file == "" {
 		os.Exit(m.Run())
 	}
-	if err := trivial(file); err != nil {
+	if err := runTrivial(file); err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
 }
 
-func trivial(file string) error {
+func runTrivial(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	select {}
 }
 
-// proxy serves clients; jobs are kept by the first machine.
+// proxy returns the handler for clients; the first machine keeps all jobs.
 func proxy(shared, ip, port string) http.Handler {
 	p := &tiertest.Proxy{Endpoint: func(path string) string {
 		service := gen
@@ -88,7 +88,7 @@
 	})
 }
 
-// firstEdge is the first edge machine of the cluster that an address is of.
+// firstEdge returns the address of the first edge machine in the cluster of the given address.
 func firstEdge(ip string) string {
 	parts := strings.Split(ip, ".")
 	return strings.Join(append(parts[:2], "20", "10"), ".")
@@ -99,21 +99,21 @@
 	return err == nil && find(shared, gen) != "" && find(shared, web) != ""
 }
 
-// find gives the address of an endpoint of a service.
+// find returns the address of a random endpoint of a service, or "" if none is registered.
 func find(shared, service string) string {
 	files, _ := filepath.Glob(filepath.Join(shared, "instance.*"))
 	rand.Shuffle(len(files), func(i, j int) { files[i], files[j] = files[j], files[i] })
 	for _, f := range files {
-		var said struct{ Service, Address string }
+		var registered struct{ Service, Address string }
 		text, err := os.ReadFile(f)
-		if err == nil && json.Unmarshal(text, &said) == nil && said.Service == service {
-			return said.Address
+		if err == nil && json.Unmarshal(text, &registered) == nil && registered.Service == service {
+			return registered.Address
 		}
 	}
 	return ""
 }
 
-// keeper takes heartbeats and configurations.
+// keeper returns the handler that accepts heartbeats and configurations.
 func keeper(shared string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := filepath.Join(shared, "config")
@@ -132,13 +132,13 @@
 	})
 }
 
-func TestTrivialTierIsPlayedToItsEnd(t *testing.T) {
+func TestTrivialTierRunsWithoutViolations(t *testing.T) {
 	a, err := Play(t.Context(), Options{Program: os.Args[0], Dir: t.TempDir(), Seed: 1, Length: 1500 * time.Millisecond, Logf: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if a.Failed() {
-		t.Errorf("broken %v, ended %v, read back %q", a.Violations, a.Ends, a.ReadBack)
+		t.Errorf("violations %v, unexpected exits %v, configuration read back %q", a.Violations, a.Ends, a.ReadBack)
 	}
 	if len(a.Kinds) != 5 {
 		t.Fatalf("kinds %+v", a.Kinds)
@@ -148,7 +148,7 @@
 			t.Errorf("%+v does not add up", k)
 		}
 		if k.WithinTarget == 0 {
-			t.Errorf("%+v: none in aim", k)
+			t.Errorf("%+v: none within target", k)
 		}
 	}
 }
