--- a/internal/lab/tier/load/client.go
+++ b/internal/lab/tier/load/client.go
@@ -22,18 +22,19 @@
 )
 
 const (
-	dialWait = time.Second
-	maxTry   = 4
-	// peekFor is how long an idle connection is looked at for bytes that nobody asked for.
-	peekFor = 200 * time.Microsecond
-	// idleSlack is how long before the announced end a client stops using an idle connection.
+	dialTimeout = time.Second
+	maxAttempts = 4
+	// peekTimeout is how long an idle connection is checked for unsolicited bytes before it is reused.
+	peekTimeout = 200 * time.Microsecond
+	// idleSlack is how long before the announced idle timeout a client stops reusing a connection.
 	idleSlack = 500 * time.Millisecond
 )
 
-// Front names the address that the platform hands a client's new connection to; a retry meets another.
+// Front returns the address that the platform routes a client's new connection to. A retry uses another hash and may get
+// another address.
 type Front func(zone string, hash uint64) (addr string, ok bool)
 
-// client keeps connections, as clients do.
+// client is a client with a pool of idle connections.
 type client struct {
 	ledger *ledger
 	zone   string
@@ -47,16 +48,16 @@
 type conn struct {
 	net.Conn
 	br    *bufio.Reader
-	until time.Time // the node may close it then; zero: it has not said
+	until time.Time // the node may close the connection from then on; zero if it has not announced that
 }
 
-// dial opens a connection to the front that this number chooses.
+// dial opens a connection to the front that the hash selects.
 func dial(ctx context.Context, front Front, zone string, hash uint64) (*conn, error) {
 	addr, ok := front(zone, hash)
 	if !ok {
-		return nil, errors.New("no front")
+		return nil, errors.New("no front is ready")
 	}
-	d := net.Dialer{Timeout: dialWait}
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	return &conn{Conn: c, br: bufio.NewReader(c)}, nil
 }
 
-// popIdle returns an idle connection that is still good.
+// popIdle removes an idle connection that is still usable from the pool and returns it, or nil if there is none.
 func (c *client) popIdle() *conn {
 	for {
 		c.mu.Lock()
@@ -79,20 +80,20 @@
 			_ = last.Close()
 			continue
 		}
-		_ = last.SetReadDeadline(time.Now().Add(peekFor))
+		_ = last.SetReadDeadline(time.Now().Add(peekTimeout))
 		stray, err := last.br.Peek(1)
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			return last
 		}
 		if len(stray) > 0 {
-			c.ledger.violated(Mixed, last.RemoteAddr().String(), "bytes on a connection where no request waits")
+			c.ledger.violated(Mixed, last.RemoteAddr().String(), "received bytes on a connection without a pending request")
 		}
 		_ = last.Close()
 	}
 }
 
-// putIdle keeps a connection for later requests.
+// putIdle adds a connection to the pool for later requests.
 func (c *client) putIdle(k *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +110,7 @@
 	c.idle = nil
 }
 
-// request is what a client wants, over all its tries.
+// request is a request of a client, with its state over all attempts.
 type request struct {
 	route  *operatorconfig.Route
 	kind   string
@@ -117,33 +118,35 @@
 	uri    string
 	body   []byte
 	header http.Header
-	events int // of the whole stream; 0: a plain request
+	events int // of the complete stream; 0 for a plain request
 	ids    *rand.Rand
-	born   time.Time
-	leaves time.Duration // after which the client closes the connection of its try; 0: it does not
+	// created is when the request was due to be sent first.
+	created time.Time
+	// leaveAfter is how long after the start of an attempt the client disconnects; 0 means never.
+	leaveAfter time.Duration
 
-	last     int // the newest event that came
+	last     int // the newest event received
 	first    time.Time
 	newest   time.Time
 	worstGap time.Duration
 }
 
-// outcome is how one try ended.
+// outcome is the result of one attempt.
 type outcome struct {
-	status int
-	whole  bool
-	unsent bool // no node can have read it
-	wait   time.Duration
-	left   bool // the client has closed its connection
-	err    error
+	status   int
+	complete bool          // a complete answer with a 2xx status was received
+	unsent   bool          // no node can have read the request
+	wait     time.Duration // of the Retry-After header
+	left     bool          // the client closed the connection
+	err      error
 }
 
-// String returns the outcome in words.
+// String returns the outcome as a key of Figures.Ends: the status or the kind of failure.
 func (o outcome) String() string {
 	switch {
 	case o.left:
 		return leftEnd
-	case o.whole:
+	case o.complete:
 		return strconv.Itoa(o.status)
 	case o.err == nil:
 		return strconv.Itoa(o.status)
@@ -160,14 +163,14 @@
 	return closedEnd
 }
 
-// do plays a request with its retries, counts how it ended, and returns the end of the last try.
+// do sends a request with its retries, counts the result, and returns the outcome of the last attempt.
 func (c *client) do(ctx context.Context, r *request) (o outcome) {
-	deadline := r.born.Add(time.Duration(r.route.TimeoutMs) * time.Millisecond)
+	deadline := r.created.Add(time.Duration(r.route.TimeoutMs) * time.Millisecond)
 	c.ledger.count(r.kind, func(f *Figures) { f.Requested++ })
-	for try := range maxTry {
+	for try := range maxAttempts {
 		o = c.attempt(r, uint64(try), deadline)
 		c.ledger.count(r.kind, func(f *Figures) { f.Tries++; f.Ends[o.String()]++ })
-		if o.whole || o.left || !c.again(r, o) {
+		if o.complete || o.left || !c.mayRetry(r, o) {
 			break
 		}
 		left := time.Until(deadline)
@@ -180,11 +183,11 @@
 	}
 	c.ledger.count(r.kind, func(f *Figures) {
 		switch {
-		case o.whole && r.withinTarget(time.Now()):
+		case o.complete && r.withinTarget(time.Now()):
 			f.WithinTarget++
-		case o.whole:
+		case o.complete:
 			f.Late++
-		case promises(o.status):
+		case provesNotRun(o.status):
 			f.Refused++
 		default:
 			f.Failed++
@@ -193,23 +196,23 @@
 	return o
 }
 
-// withinTarget reports whether a whole answer that ended now met the latency targets of its route.
+// withinTarget reports whether a complete answer that ended now met the latency targets of its route.
 func (r *request) withinTarget(now time.Time) bool {
-	aim := time.Duration(r.route.LatencyTargetMs) * time.Millisecond
+	target := time.Duration(r.route.LatencyTargetMs) * time.Millisecond
 	if r.events == 0 {
-		return now.Sub(r.born) <= aim
+		return now.Sub(r.created) <= target
 	}
 	gap := time.Duration(r.route.EventGapTargetMs) * time.Millisecond
-	return r.first.Sub(r.born) <= aim && (gap == 0 || r.worstGap <= gap)
+	return r.first.Sub(r.created) <= target && (gap == 0 || r.worstGap <= gap)
 }
 
-// again reports whether a client tries once more.
-func (c *client) again(r *request, o outcome) bool {
+// mayRetry reports whether a client may send the request again after this outcome.
+func (c *client) mayRetry(r *request, o outcome) bool {
 	switch o.status {
 	case 400, 401, 404, 413, 431:
 		return false
 	}
-	return o.unsent || promises(o.status) || r.route.Idempotent()
+	return o.unsent || provesNotRun(o.status) || r.route.Idempotent()
 }
 
 // readTimeout is how long a client waits for the next byte.
@@ -219,7 +222,7 @@
 	return max(2*time.Second, 4*target, 8*gap)
 }
 
-// attempt sends a request once, at first on an idle connection if there is one, and reads its answer.
+// attempt sends a request once and reads its answer. The first attempt reuses an idle connection if there is one.
 func (c *client) attempt(r *request, try uint64, deadline time.Time) (o outcome) {
 	k, persistent, err := c.connect(try, deadline)
 	if err != nil {
@@ -233,7 +236,7 @@
 	defer func() {
 		stopLeaving()
 		c.ledger.mu.Lock()
-		o.left = !s.left.IsZero() && !o.whole
+		o.left = !s.left.IsZero() && !o.complete
 		s.status, s.end, s.endedAt = o.status, o.String(), time.Now()
 		c.ledger.mu.Unlock()
 		if reusable {
@@ -244,7 +247,7 @@
 	}()
 	_ = k.SetDeadline(deadline)
 	if _, err := k.Write(r.bytes(s.id, deadline)); err != nil {
-		return outcome{err: err} // it may have been read
+		return outcome{err: err} // the node may have read the request
 	}
 	c.ledger.written(s)
 	extend := func() {
@@ -253,7 +256,7 @@
 		}
 	}
 	extend()
-	resp, err := c.readHead(s, k) //nolint:bodyclose // the connection is read on, or closed
+	resp, err := c.readHead(s, k) //nolint:bodyclose // the body is read to its end, or the connection is closed
 	if err != nil {
 		return outcome{err: err}
 	}
@@ -262,7 +265,7 @@
 		return o
 	}
 	if k.br.Buffered() > 0 {
-		c.ledger.violated(Mixed, s.id, "bytes behind the answer")
+		c.ledger.violated(Mixed, s.id, "received bytes after the end of the answer")
 		return o
 	}
 	reusable = !resp.Close
@@ -270,7 +273,7 @@
 	return o
 }
 
-// newAttempt returns the record of one attempt, under a new id.
+// newAttempt returns the record of one attempt with a new request ID.
 func (r *request) newAttempt(k *conn, persistent bool) *sent {
 	s := &sent{
 		id:         fmt.Sprintf("%016x", r.ids.Uint64()),
@@ -286,7 +289,8 @@
 	return s
 }
 
-// connect returns an idle connection for a first try, else a new one to the front that the number of the try chooses.
+// connect returns an idle connection for the first attempt if there is one, and else a new connection to the front that the
+// client's hash and the number of the attempt select.
 func (c *client) connect(try uint64, deadline time.Time) (k *conn, persistent bool, err error) {
 	if try == 0 {
 		if k = c.popIdle(); k != nil {
@@ -301,46 +305,46 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// readHead reads the head of an answer. Bytes that are no answer of HTTP are a violation.
+// readHead reads the head of an answer. Bytes that are not an HTTP response are a violation.
 func (c *client) readHead(s *sent, k *conn) (*http.Response, error) {
 	if head, err := k.br.Peek(5); err != nil && len(head) == 0 {
 		return nil, err
 	} else if !strings.HasPrefix("HTTP/", string(head)) {
-		c.ledger.violated(Mixed, s.id, "bytes that are no answer: %q", head)
+		c.ledger.violated(Mixed, s.id, "not an HTTP response: %q", head)
 		return nil, errNoAnswer
 	}
-	resp, err := http.ReadResponse(k.br, nil) //nolint:bodyclose // the connection is read on, or closed
+	resp, err := http.ReadResponse(k.br, nil) //nolint:bodyclose // the body is read to its end, or the connection is closed
 	if err != nil {
-		if !errors.Is(err, io.ErrUnexpectedEOF) && !isNet(err) {
-			c.ledger.violated(Mixed, s.id, "no answer of HTTP: %v", err)
+		if !errors.Is(err, io.ErrUnexpectedEOF) && !isConnectionError(err) {
+			c.ledger.violated(Mixed, s.id, "invalid HTTP response: %v", err)
 		}
 		return nil, err
 	}
 	return resp, nil
 }
 
-// readBody reads the rest of an answer and checks it. Before each read of a stream it calls extend.
+// readBody reads the body of an answer and checks it. It calls extend before each read of a stream.
 func (c *client) readBody(s *sent, r *request, resp *http.Response, extend func()) (o outcome) {
 	o.status = resp.StatusCode
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 		o.wait = time.Duration(seconds * float64(time.Second))
 	}
 	if id := resp.Header.Get(engine.HeaderRequest); id != "" && id != s.id {
-		c.ledger.violated(Mixed, s.id, "the answer is that of %s", id)
+		c.ledger.violated(Mixed, s.id, "received the answer to request %s", id)
 	}
 	switch {
 	case o.status/100 != 2:
 		_, o.err = io.Copy(io.Discard, resp.Body)
 	case r.events == 0:
-		o.err = c.plain(s, resp)
+		o.err = c.checkPlain(s, resp)
 	default:
 		o.err = c.events(s, r, resp, extend)
 	}
-	o.whole = o.err == nil && o.status/100 == 2
+	o.complete = o.err == nil && o.status/100 == 2
 	return o
 }
 
-// noteIdleTimeout notes until when the node keeps the connection open, if an answer says so.
+// noteIdleTimeout records until when the node keeps the connection open if an answer announces it.
 func (k *conn) noteIdleTimeout(resp *http.Response) {
 	_, value, ok := strings.Cut(resp.Header.Get("Keep-Alive"), "timeout=")
 	if !ok {
@@ -352,12 +356,13 @@
 	}
 }
 
-// leaveLater closes the connection of a try when its client has had enough. What it returns ends that.
+// leaveLater closes the connection of an attempt after the request's leaveAfter, if that is set. The returned function cancels
+// it.
 func (c *client) leaveLater(r *request, s *sent, k *conn) (stop func()) {
-	if r.leaves == 0 {
+	if r.leaveAfter == 0 {
 		return func() {}
 	}
-	timer := time.AfterFunc(r.leaves, func() {
+	timer := time.AfterFunc(r.leaveAfter, func() {
 		c.ledger.mu.Lock()
 		s.left = time.Now()
 		c.ledger.mu.Unlock()
@@ -366,13 +371,13 @@
 	return func() { timer.Stop() }
 }
 
-// isNet reports whether a read failed for the connection, not for what was read.
-func isNet(err error) bool {
+// isConnectionError reports whether a read failed because of the connection, not because of the content.
+func isConnectionError(err error) bool {
 	var n net.Error
 	return errors.As(err, &n) || errors.Is(err, io.EOF)
 }
 
-// bytes returns one attempt at the request as it goes over the connection.
+// bytes returns the request of one attempt in wire format.
 func (r *request) bytes(id string, deadline time.Time) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n%s: %s\r\n%s: %d\r\n",
@@ -381,54 +386,54 @@
 	if r.last > 0 {
 		fmt.Fprintf(&out, "%s: %d\r\n", engine.HeaderLast, r.last)
 	}
-	_ = r.header.Write(&out) // into memory
+	_ = r.header.Write(&out) // writing to memory cannot fail
 	out.WriteString("\r\n")
 	out.Write(r.body)
 	return out.Bytes()
 }
 
-// success keeps the stamp of an answer, to be checked against the runs.
-func (c *client) success(s *sent, resp *http.Response) {
+// checkSuccess checks the headers of a successful answer and stores its seal, to be checked against the runs later.
+func (c *client) checkSuccess(s *sent, resp *http.Response) {
 	c.ledger.mu.Lock()
 	s.seal = resp.Header.Get(engine.HeaderSeal)
 	c.ledger.mu.Unlock()
 	if s.seal == "" {
-		c.ledger.violated(Mixed, s.id, "a success without a stamp")
+		c.ledger.violated(Mixed, s.id, "successful answer without a seal")
 	}
 	if e := resp.Header.Get("Content-Encoding"); e != "" {
-		c.ledger.violated(Mixed, s.id, "a body that is encoded: %s", e)
+		c.ledger.violated(Mixed, s.id, "unexpected Content-Encoding %s", e)
 	}
 }
 
-// plain checks the answer of a plain endpoint.
-func (c *client) plain(s *sent, resp *http.Response) error {
+// checkPlain reads and checks the answer of a plain endpoint.
+func (c *client) checkPlain(s *sent, resp *http.Response) error {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err
 	}
-	c.success(s, resp)
+	c.checkSuccess(s, resp)
 	if !bytes.Equal(body, engine.PlainBody(s.id)) {
-		c.ledger.violated(Mixed, s.id, "the body of %d bytes is not the endpoint's", len(body))
+		c.ledger.violated(Mixed, s.id, "the body of %d bytes differs from the endpoint's", len(body))
 	}
 	return nil
 }
 
 var errOrder = errors.New("the stream is out of order")
 
-// events reads a stream as it comes.
-func (c *client) events(s *sent, r *request, resp *http.Response, wait func()) error {
-	c.success(s, resp)
+// events reads a stream and checks its events.
+func (c *client) events(s *sent, r *request, resp *http.Response, extend func()) error {
+	c.checkSuccess(s, resp)
 	lines := bufio.NewReader(resp.Body)
 	id := 0
 	for {
-		wait()
+		extend()
 		line, err := lines.ReadString('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		if err != nil {
 			if r.last < r.events || line != "" {
-				c.ledger.violated(Order, s.id, "the stream ends as complete after event %d of %d", r.last, r.events)
+				c.ledger.violated(Order, s.id, "the stream ends without an error after event %d of %d", r.last, r.events)
 				return errOrder
 			}
 			return nil
@@ -442,7 +447,7 @@
 			}
 		case "data":
 			if id != r.last+1 || value != engine.Event(s.id, id) {
-				c.ledger.violated(Order, s.id, "event %d has other data", id)
+				c.ledger.violated(Order, s.id, "event %d has wrong data", id)
 				return errOrder
 			}
 			now := time.Now()
@@ -457,7 +462,7 @@
 	}
 }
 
-// sorted returns the figures by their kinds.
+// sorted returns the figures sorted by kind.
 func sorted(m map[string]*Figures) (out []Figures) {
 	for _, f := range m {
 		out = append(out, *f)
--- a/internal/lab/tier/load/jobs.go
+++ b/internal/lab/tier/load/jobs.go
@@ -18,13 +18,13 @@
 
 const (
 	readEvery     = 500 * time.Millisecond
-	longPoll      = time.Second // what a read may be held for
+	longPoll      = time.Second // how long the server may delay the answer to a read
 	longPollSlack = 1500 * time.Millisecond
 	dueSlack      = 700 * time.Millisecond
-	largestGot    = 4 << 20
+	maxAnswerSize = 4 << 20
 )
 
-// item of a batch job, as it is submitted.
+// item is an item of a batch job as submitted.
 type item struct {
 	ID      string            `json:"id"`
 	Path    string            `json:"path"`
@@ -41,8 +41,7 @@
 	Message string `json:"message"`
 }
 
-// job is a batch job of a client. Its fields belong to the goroutine that plays it; the checker
-// reads them after that.
+// job is a batch job of a client. Only the goroutine that executes drive accesses its fields; the checker reads them afterwards.
 type job struct {
 	options Options
 	ledger  *ledger
@@ -51,18 +50,18 @@
 	id      string
 	items   map[string]*item
 	order   []*item
-	early   bool // its client ends it midway
+	early   bool // the client ends the job midway
 
-	born     time.Time
+	created  time.Time
 	accepted time.Time
 	ended    time.Time
-	never    bool // every try at it was refused
+	refused  bool // every attempt to submit it was refused
 	results  []result
-	seen     []time.Time // when each position was first read
-	at       map[string]int
+	seen     []time.Time    // when each position was first read
+	at       map[string]int // positions by item ID
 }
 
-// newJob makes a job with random items, and notes them in the ledger.
+// newJob creates a job with random items and records them in the ledger.
 func newJob(o Options, b *ledger, js Jobs, rng *rand.Rand, n int) *job {
 	j := &job{
 		options: o,
@@ -83,10 +82,10 @@
 			ID:      fmt.Sprintf("%016x", rng.Uint64()),
 			Path:    fmt.Sprintf("%s%x", js.Route.PathPrefix, rng.Uint32()),
 			Headers: map[string]string{},
-			Body:    bytesOf(rng, 100+rng.IntN(400)),
+			Body:    randomBytes(rng, 100+rng.IntN(400)),
 		}
-		out := prompt(func(k, v string) { it.Headers[k] = v }, rng, js.In, js.Out, 4)
-		in, _, _ := cutTokens(it.Headers[engine.HeaderTokens])
+		out := setPrompt(func(k, v string) { it.Headers[k] = v }, rng, js.In, js.Out, 4)
+		in, _, _ := parseTokens(it.Headers[engine.HeaderTokens])
 		it.Tokens, it.events = in+out, engine.Events(out, o.Stride)
 		j.items[it.ID] = it
 		j.order = append(j.order, it)
@@ -102,13 +101,13 @@
 	return j
 }
 
-// cutTokens reads a header of tokens, IN,OUT.
-func cutTokens(s string) (in, out int, err error) {
+// parseTokens parses a token count header of the form IN,OUT.
+func parseTokens(s string) (in, out int, err error) {
 	_, err = fmt.Sscanf(s, "%d,%d", &in, &out)
 	return in, out, err
 }
 
-// call makes one call on a new connection, at whichever node the platform sends it to.
+// call makes one call on a new connection to the front that the platform selects.
 func (j *job) call(
 	ctx context.Context, wait time.Duration, method, uri string, body []byte, header ...string,
 ) (status int, answer http.Header, text []byte, err error) {
@@ -131,17 +130,17 @@
 	if err := req.Write(c); err != nil {
 		return 0, nil, nil, err
 	}
-	resp, err := http.ReadResponse(c.br, req) //nolint:bodyclose // the connection is read on, or closed
+	resp, err := http.ReadResponse(c.br, req) //nolint:bodyclose // the body is read to its end, or the connection is closed
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	got, err := io.ReadAll(io.LimitReader(resp.Body, largestGot))
+	got, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerSize))
 	return resp.StatusCode, resp.Header, got, err
 }
 
-// play hands the job in, reads it to its end or until it is to be over, and checks the answers.
-func (j *job) play(ctx context.Context, until time.Time) {
-	j.born = time.Now()
+// drive submits the job, reads its results until all are listed or the time is up, and checks the answers.
+func (j *job) drive(ctx context.Context, until time.Time) {
+	j.created = time.Now()
 	j.ledger.count(j.route.Name, func(f *Figures) { f.Requested += len(j.order) })
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -159,34 +158,34 @@
 		}
 		j.read(ctx, from)
 		if n%3 == 0 && len(j.results) < len(j.order) {
-			j.body(ctx)
+			j.readItem(ctx)
 		}
 		if j.early && n >= 1 {
 			j.end(ctx)
 			return
 		}
 	}
-	if ctx.Err() != nil { // its time is up: it still has to be readable
+	if ctx.Err() != nil { // the time is up, but the job must still be readable
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(context.WithoutCancel(ctx), 2*longPollSlack)
 		defer stop()
 	}
-	for range 10 { // all of it, from the start
+	for range 10 { // read all results from the start
 		if j.read(ctx, 0) || !wait.For(ctx, readEvery) {
 			return
 		}
 	}
-	j.ledger.violated(Lost, j.id, "can't be read at the end")
+	j.ledger.violated(Lost, j.id, "cannot be read at the end")
 }
 
-// submit sends the job until it is accepted or refused for good.
+// submit sends the job until it is accepted or permanently refused, and reports whether it was accepted.
 func (j *job) submit(ctx context.Context) bool {
 	text, err := json.Marshal(map[string]any{"requests": j.order})
 	if err != nil {
-		panic(fmt.Errorf("a job can be written as JSON: %w", err))
+		panic(fmt.Errorf("encoding a job as JSON: %w", err))
 	}
 	uri := j.route.PathPrefix + j.id[:6]
-	promised := true
+	onlyRefused := true
 	for {
 		status, header, _, err := j.call(ctx, 2*time.Second, http.MethodPost, uri, text, engine.HeaderRequest, j.id)
 		end := strconv.Itoa(status)
@@ -198,24 +197,24 @@
 			j.accepted = time.Now()
 			return true
 		}
-		promised = promised && err == nil && promises(status)
-		if err == nil && status/100 == 4 && !promises(status) {
+		onlyRefused = onlyRefused && err == nil && provesNotRun(status)
+		if err == nil && status/100 == 4 && !provesNotRun(status) {
 			return false
 		}
-		again := 100 * time.Millisecond
+		retryAfter := 100 * time.Millisecond
 		if v, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err == nil {
-			again = max(again, time.Duration(v*float64(time.Second)))
+			retryAfter = max(retryAfter, time.Duration(v*float64(time.Second)))
 		}
-		if !wait.For(ctx, again) {
-			j.never = promised
+		if !wait.For(ctx, retryAfter) {
+			j.refused = onlyRefused
 			return false
 		}
 	}
 }
 
-// read asks for the results from a position on, and reports whether it was answered.
+// read reads the results from a position on, and reports whether the read was answered.
 func (j *job) read(ctx context.Context, from int) bool {
-	asked := time.Now()
+	sentAt := time.Now()
 	uri := fmt.Sprintf("/lots/%s?start_after=%d", j.id, from)
 	status, _, body, err := j.call(ctx, longPoll+longPollSlack, http.MethodGet, uri, nil,
 		"X-Dunetide-Wait-Ms", strconv.Itoa(int(longPoll/time.Millisecond)))
@@ -227,8 +226,8 @@
 		}
 	})
 	unknown := err == nil && (status == http.StatusNotFound || status == http.StatusGone)
-	if unknown && asked.Sub(j.accepted) > j.options.VisibleWithin {
-		j.ledger.violated(Lost, j.id, "is answered %d %v after it was accepted", status, asked.Sub(j.accepted))
+	if unknown && sentAt.Sub(j.accepted) > j.options.VisibleWithin {
+		j.ledger.violated(Lost, j.id, "is answered with status %d %v after it was accepted", status, sentAt.Sub(j.accepted))
 		return true
 	}
 	if err != nil || status != http.StatusOK {
@@ -240,17 +239,17 @@
 		Next    int      `json:"next_token"`
 	}
 	if err := json.Unmarshal(body, &got); err != nil {
-		j.ledger.violated(Mixed, j.id, "a read can't be understood: %v", err)
+		j.ledger.violated(Mixed, j.id, "cannot decode the answer to a read: %v", err)
 		return false
 	}
 	if got.Total != len(j.order) {
-		j.ledger.violated(Mixed, j.id, "total is %d of %d items", got.Total, len(j.order))
+		j.ledger.violated(Mixed, j.id, "total is %d, but the job has %d items", got.Total, len(j.order))
 	}
 	if got.Next != from+len(got.Results) {
 		j.ledger.violated(Mixed, j.id, "next_token is %d after %d results from %d", got.Next, len(got.Results), from)
 	}
-	if len(got.Results) == 0 && from < len(j.results) && asked.Sub(j.seen[from]) > j.options.VisibleWithin {
-		j.ledger.violated(Lost, j.id, "position %d was read and is no longer there", from)
+	if len(got.Results) == 0 && from < len(j.results) && sentAt.Sub(j.seen[from]) > j.options.VisibleWithin {
+		j.ledger.violated(Lost, j.id, "position %d was read before, but is now missing", from)
 	}
 	for i, r := range got.Results {
 		j.checkResult(from+i, r)
@@ -262,41 +261,41 @@
 func (j *job) checkResult(position int, r result) {
 	if position < len(j.results) {
 		if j.results[position] != r {
-			j.ledger.violated(Twice, j.id, "position %d held %s (%s) and holds %s (%s)",
+			j.ledger.violated(Twice, j.id, "position %d had %s (%s), but now has %s (%s)",
 				position, j.results[position].ID, j.results[position].State, r.ID, r.State)
 		}
 		return
 	}
 	it := j.items[r.ID]
 	if it == nil {
-		j.ledger.violated(Mixed, j.id, "position %d names %q, which is not an item of it", position, r.ID)
+		j.ledger.violated(Mixed, j.id, "position %d names %q, which is not an item of the job", position, r.ID)
 	} else if was, ok := j.at[r.ID]; ok {
-		j.ledger.violated(Twice, j.id, "item %s stands at %d and at %d", r.ID, was, position)
+		j.ledger.violated(Twice, j.id, "item %s is at positions %d and %d", r.ID, was, position)
 	}
 	j.at[r.ID] = position
 	j.results, j.seen = append(j.results, r), append(j.seen, time.Now())
 	switch {
 	case it == nil:
 	case r.State == "given_up":
-		if wait := time.Duration(j.route.MaxWaitMs) * time.Millisecond; time.Since(j.born) < wait {
-			j.ledger.violated(Mixed, r.ID, "was given up %v after its job's first send, before %v", time.Since(j.born), wait)
+		if wait := time.Duration(j.route.MaxWaitMs) * time.Millisecond; time.Since(j.created) < wait {
+			j.ledger.violated(Mixed, r.ID, "was given up %v after its job was first sent, earlier than %v", time.Since(j.created), wait)
 		}
 	case r.State != "finished":
-		j.ledger.violated(Mixed, r.ID, "its state is %q", r.State)
+		j.ledger.violated(Mixed, r.ID, "unexpected state %q", r.State)
 	case r.Message != engine.Text(r.ID, 0, it.events):
-		j.ledger.violated(Mixed, r.ID, "its text of %d bytes is not its whole output of %d events", len(r.Message), it.events)
+		j.ledger.violated(Mixed, r.ID, "its text of %d bytes differs from the output of its %d events", len(r.Message), it.events)
 	}
 }
 
-// body asks for the body of an item that isn't listed.
-func (j *job) body(ctx context.Context) {
+// readItem reads the body of a random item and checks it, unless the item is listed.
+func (j *job) readItem(ctx context.Context) {
 	it := j.order[j.rng.IntN(len(j.order))]
 	if _, listed := j.at[it.ID]; listed {
 		return
 	}
 	status, _, got, err := j.call(ctx, 2*time.Second, http.MethodGet, fmt.Sprintf("/items/%s?id=%s", j.id, it.ID), nil)
 	if err == nil && status == http.StatusOK && !bytes.Equal(got, it.Body) {
-		j.ledger.violated(Mixed, it.ID, "its body came back as other %d bytes of %d", len(got), len(it.Body))
+		j.ledger.violated(Mixed, it.ID, "its body was read as %d bytes that differ from the %d bytes submitted", len(got), len(it.Body))
 	}
 	end := strconv.Itoa(status)
 	if err != nil {
@@ -305,7 +304,7 @@
 	j.ledger.count(j.route.Name, func(f *Figures) { f.Ends["body "+end]++ })
 }
 
-// end ends the job, and tries until that is acknowledged.
+// end ends the job and retries until that is acknowledged.
 func (j *job) end(ctx context.Context) {
 	for {
 		status, _, _, err := j.call(ctx, 2*time.Second, http.MethodDelete, "/lots/"+j.id, nil)
@@ -314,7 +313,7 @@
 			return
 		}
 		if err == nil && status == http.StatusNotFound && time.Since(j.accepted) > j.options.VisibleWithin {
-			j.ledger.violated(Lost, j.id, "its end is answered 404")
+			j.ledger.violated(Lost, j.id, "ending it is answered with status 404")
 			return
 		}
 		if !wait.For(ctx, 200*time.Millisecond) {
@@ -323,15 +322,15 @@
 	}
 }
 
-// account counts the job's items.
+// account counts the job's items in the figures.
 func (j *job) account() {
-	due := j.born.Add(time.Duration(j.route.DueMs)*time.Millisecond + dueSlack)
+	due := j.created.Add(time.Duration(j.route.DueMs)*time.Millisecond + dueSlack)
 	j.ledger.count(j.route.Name, func(f *Figures) {
 		for i, r := range j.results {
 			switch {
 			case r.State != "finished":
 				f.Failed++
-			case j.seen[i].After(due) || j.accepted.Sub(j.born) > time.Duration(j.route.LatencyTargetMs)*time.Millisecond:
+			case j.seen[i].After(due) || j.accepted.Sub(j.created) > time.Duration(j.route.LatencyTargetMs)*time.Millisecond:
 				f.Late++
 			default:
 				f.WithinTarget++
@@ -339,9 +338,9 @@
 		}
 		rest := len(j.order) - len(j.results)
 		switch {
-		case !j.ended.IsZero(): // nothing is owed for what its client ended
+		case !j.ended.IsZero(): // items that the client ended need no result
 			f.Requested -= rest
-		case j.never:
+		case j.refused:
 			f.Refused += rest
 		default:
 			f.Failed += rest
@@ -349,35 +348,35 @@
 	})
 }
 
-// Job is what became of a batch job.
+// Job is the result of a batch job.
 type Job struct {
 	ID        string  `json:"id"`
 	Items     int     `json:"items"`
-	AcceptedS float64 `json:"taken_s"` // from its first send to its 202; negative: never
+	AcceptedS float64 `json:"taken_s"` // seconds from its first send to its 202; negative if it was never accepted
 	Listed    int     `json:"listed"`  // items that were read as listed
-	Last      float64 `json:"last_s"`  // from its first send to the newest of these
-	Missed    int     `json:"missed"`  // items that ran whole and were not read as listed
+	Last      float64 `json:"last_s"`  // seconds from its first send until the newest listed item was read
+	Missed    int     `json:"missed"`  // items that ran completely, but were not read as listed
 	Ended     bool    `json:"ended"`   // by its client
 }
 
-// sum returns what became of the job; whole are the items that ran whole.
-func (j *job) sum(whole map[string]bool) Job {
+// summary returns the result of the job; complete has the requests that ran completely.
+func (j *job) summary(complete map[string]bool) Job {
 	out := Job{ID: j.id, Items: len(j.order), AcceptedS: -1, Listed: len(j.results), Ended: !j.ended.IsZero()}
 	if !j.accepted.IsZero() {
-		out.AcceptedS = j.accepted.Sub(j.born).Seconds()
+		out.AcceptedS = j.accepted.Sub(j.created).Seconds()
 	}
 	for id := range j.items {
-		if _, listed := j.at[id]; !listed && whole[id] {
+		if _, listed := j.at[id]; !listed && complete[id] {
 			out.Missed++
 		}
 	}
 	if n := len(j.seen); n > 0 {
-		out.Last = j.seen[n-1].Sub(j.born).Seconds()
+		out.Last = j.seen[n-1].Sub(j.created).Seconds()
 	}
 	return out
 }
 
-// String returns the job in one line.
+// String describes the job in one line.
 func (j Job) String() string {
 	out := fmt.Sprintf("%s of %d items", j.ID, j.Items)
 	if j.AcceptedS < 0 {
@@ -385,10 +384,10 @@
 	}
 	out += fmt.Sprintf(": accepted after %.2f s", j.AcceptedS)
 	if j.Listed > 0 {
-		out += fmt.Sprintf(", the newest of %d read after %.2f s", j.Listed, j.Last)
+		out += fmt.Sprintf(", the last of %d results read after %.2f s", j.Listed, j.Last)
 	}
 	if j.Missed > 0 {
-		out += fmt.Sprintf(", %d more ran whole", j.Missed)
+		out += fmt.Sprintf(", %d more ran completely", j.Missed)
 	}
 	if j.Ended {
 		out += ", then ended by its client"
--- a/internal/lab/tier/load/ledger.go
+++ b/internal/lab/tier/load/ledger.go
@@ -1,5 +1,5 @@
-// Package load is the lab's clients of a serving tier: streams, plain requests and batch jobs, with
-// an account of each and a checker of the rules. Packages tier and soak play it; docs/tier-lab.md lists the rules.
+// Package load has the lab's simulated clients of a serving tier. They send streams, plain requests and batch jobs, and check
+// the answers and the runs at the endpoints against rules. Packages tier and soak use it; docs/tier-lab.md lists the rules.
 package load
 
 import (
@@ -15,26 +15,26 @@
 
 // The rules that are checked.
 const (
-	Twice   = "TWICE"
-	Mixed   = "MIXED"
-	Order   = "ORDER"
-	Refused = "REFUSED"
-	Unasked = "UNASKED"
-	Route   = "ROUTE"
-	Lost    = "LOST"
+	Twice   = "TWICE"   // a request that may run once ran again, or a job's result changed or appeared twice
+	Mixed   = "MIXED"   // an answer is malformed or belongs to something else
+	Order   = "ORDER"   // the events of a stream are incomplete, out of order or wrong
+	Refused = "REFUSED" // a request ran although it was refused
+	Unasked = "UNASKED" // an endpoint ran something that no client sent, or an item long after its job ended
+	Route   = "ROUTE"   // a request ran at a service that its route does not name
+	Lost    = "LOST"    // an accepted job or a listed result cannot be read
 )
 
-// Violation is a rule that was broken.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule   string `json:"rule"`
 	ID     string `json:"id"` // of the request, the item or the job
 	Detail string `json:"detail"`
 }
 
-// String returns the broken rule in one line.
+// String describes the violation in one line.
 func (b Violation) String() string { return fmt.Sprintf("%-8s %s: %s", b.Rule, b.ID, b.Detail) }
 
-// Figures are the account of one kind of request.
+// Figures count the results of one kind of request.
 type Figures struct {
 	Kind         string         `json:"kind"`
 	Requested    int            `json:"asked"`
@@ -43,55 +43,55 @@
 	Refused      int            `json:"refused"`
 	Failed       int            `json:"failed"`
 	Tries        int            `json:"tries"`
-	Ends         map[string]int `json:"ends"` // of the tries: a status, or what went wrong
+	Ends         map[string]int `json:"ends"` // attempts by outcome: a status or a kind of failure
 }
 
-// sent is one try of a client, or an item of a batch job.
+// sent is one attempt of a client, or an item of a batch job.
 type sent struct {
 	id         string
 	sum        string
 	idempotent bool
 	services   []string
-	status     int    // of its answer; 0: none came
-	seal       string // of a success
-	job        *job   // of an item
-	front      string // the address that the try went to
-	persistent bool   // on a connection that was reused
-	left       time.Time
-	deadline   time.Time // of its client
-	writtenAt  time.Time // when its last byte was written; zero: it was not written whole
+	status     int       // of the answer; 0 without an answer
+	seal       string    // of a successful answer
+	job        *job      // for an item
+	front      string    // the address that the attempt went to
+	persistent bool      // the connection was reused
+	left       time.Time // when the client disconnected early; zero if it did not
+	deadline   time.Time // of the client
+	writtenAt  time.Time // when the last byte was written; zero if it was not written completely
 	endedAt    time.Time
-	events     int    // of the whole stream
-	end        string // how the try ended
+	events     int    // of the complete stream
+	end        string // the outcome
 }
 
-// Try is one request of a client as the client observed it.
+// Try is one attempt of a client as the client observed it.
 type Try struct {
 	ID         string    `json:"id"`
-	Front      string    `json:"front"`   // the address that it went to
-	Persistent bool      `json:"kept"`    // on a connection that was kept
-	End        string    `json:"end"`     // a status, or what went wrong
-	Left       time.Time `json:"left"`    // when its client closed the connection, having had enough; zero: it did not
-	Written    time.Time `json:"written"` // when its last byte was written; zero: it was not written whole
+	Front      string    `json:"front"`   // the address that the attempt went to
+	Persistent bool      `json:"kept"`    // the connection was reused
+	End        string    `json:"end"`     // a status or a kind of failure
+	Left       time.Time `json:"left"`    // when the client disconnected early; zero if it did not
+	Written    time.Time `json:"written"` // when the last byte was written; zero if it was not written completely
 	Ended      time.Time `json:"ended"`
-	Deadline   time.Time `json:"deadline"` // of its client
-	// Events are those of the whole stream; 0: it is none.
+	Deadline   time.Time `json:"deadline"` // of the client
+	// Events is the number of events of the complete stream, 0 if the answer is not a stream.
 	Events int `json:"events"`
-	// Idempotent reports whether it may run more than once.
+	// Idempotent reports whether the request may run more than once.
 	Idempotent bool `json:"idempotent"`
 }
 
-// Ends of tries that are no status.
+// Outcomes of attempts that did not get a complete answer.
 const (
-	leftEnd   = "left"       // the client has closed the connection
+	leftEnd   = "left"       // the client closed the connection
 	closedEnd = "closed"     // the connection ended before the head of an answer
 	brokenEnd = "broken off" // the connection ended within an answer
 )
 
-// EndedUnanswered reports whether the front ended the connection without a complete answer.
+// EndedUnanswered reports whether the front closed the connection without a complete answer.
 func (t Try) EndedUnanswered() bool { return t.End == closedEnd || t.End == brokenEnd }
 
-// tries are all requests but those of batch jobs, by their ids.
+// tries returns all attempts except those for batch jobs, by request ID.
 func (b *ledger) tries() map[string]Try {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -115,7 +115,7 @@
 	return all
 }
 
-// ledger keeps what the clients sent and observed.
+// ledger records what the clients sent and observed.
 type ledger struct {
 	mu         sync.Mutex
 	sent       map[string]*sent
@@ -127,28 +127,28 @@
 
 func newLedger() *ledger { return &ledger{sent: map[string]*sent{}, figures: map[string]*Figures{}} }
 
-// violated notes a violation.
+// violated records a violation.
 func (b *ledger) violated(rule, id, form string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.violations = append(b.violations, Violation{rule, id, fmt.Sprintf(form, args...)})
 }
 
-// send notes a request before it is sent.
+// send records a request before it is sent.
 func (b *ledger) send(s *sent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent[s.id] = s
 }
 
-// written notes that the last byte of a request was written.
+// written records that the last byte of a request was written.
 func (b *ledger) written(s *sent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.writtenAt = time.Now()
 }
 
-// count changes the figures of a kind of request.
+// count applies a change to the figures of a kind of request.
 func (b *ledger) count(kind string, change func(*Figures)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -160,8 +160,8 @@
 	change(f)
 }
 
-// promises reports whether a status says that the request has not run and never will.
-func promises(status int) bool {
+// provesNotRun reports whether a status guarantees that the request has not run and never will.
+func provesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -170,7 +170,7 @@
 	return false
 }
 
-// check checks what was sent and answered against what ran, and returns all violations in the order of rules and ids.
+// check checks the sent requests and their answers against the runs, and returns all violations sorted by rule and ID.
 func (b *ledger) check(runs []engine.Run, cancel time.Duration) []Violation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,26 +179,26 @@
 		out = append(out, Violation{rule, id, fmt.Sprintf(format, args...)})
 	}
 	count := map[string]int{}        // runs of a request
-	seals := map[string]engine.Run{} // runs by their seals
+	seals := map[string]engine.Run{} // runs by seal
 	for _, run := range runs {
 		seals[run.Seal] = run
 		request := b.sent[run.Request]
 		if request == nil {
-			violated(Unasked, run.Request, "ran at %s and no client sent it", run.Instance)
+			violated(Unasked, run.Request, "ran at %s, but no client sent it", run.Instance)
 			continue
 		}
 		count[request.id]++
 		checkRun(run, request, violated)
 		if count[request.id] == 2 && !request.idempotent {
-			violated(Twice, request.id, "runs again at %s", run.Instance)
+			violated(Twice, request.id, "ran again at %s", run.Instance)
 		}
 		if request.job != nil {
 			checkJobRun(run, request, cancel, violated)
 		}
 	}
 	for _, request := range b.sent {
-		if request.job == nil && !request.idempotent && promises(request.status) && count[request.id] > 0 {
-			violated(Refused, request.id, "was answered %d and ran", request.status)
+		if request.job == nil && !request.idempotent && provesNotRun(request.status) && count[request.id] > 0 {
+			violated(Refused, request.id, "was answered with status %d, but ran", request.status)
 		}
 		checkSeal(request, seals, violated)
 	}
@@ -208,44 +208,44 @@
 	return out
 }
 
-// violate notes a violation of a rule by a request, an item or a job.
+// violate records a violation of a rule by a request, an item or a job.
 type violate func(rule, id, format string, args ...any)
 
-// checkRun checks one run against the request that it claims to be for.
+// checkRun checks one run against the request with its ID.
 func checkRun(run engine.Run, request *sent, violated violate) {
 	if run.Sum != request.sum {
 		violated(Unasked, request.id, "ran at %s with another method, path or body", run.Instance)
 	}
 	if !slices.Contains(request.services, run.Service) {
-		violated(Route, request.id, "ran at service %s, its route names %v", run.Service, request.services)
+		violated(Route, request.id, "ran at service %s, but its route names %v", run.Service, request.services)
 	}
 	if run.From > 0 && !request.idempotent {
-		violated(Order, request.id, "may not be resumed and was asked for after event %d", run.From)
+		violated(Order, request.id, "may not be resumed, but was requested after event %d", run.From)
 	}
 }
 
-// checkJobRun checks the run of an item: its job was accepted, and had not ended for longer than cancel.
+// checkJobRun checks that an item ran only if its job may have been accepted and had ended at most cancel before.
 func checkJobRun(run engine.Run, request *sent, cancel time.Duration, violated violate) {
 	j := request.job
 	if !j.ended.IsZero() && run.Arrived.Sub(j.ended) > cancel {
 		violated(Unasked, request.id, "reached %s %v after the end of its job %s",
 			run.Instance, run.Arrived.Sub(j.ended), j.id)
 	}
-	if j.never {
-		violated(Refused, request.id, "ran although every try at its job %s was refused", j.id)
+	if j.refused {
+		violated(Refused, request.id, "ran, but every attempt to submit its job %s was refused", j.id)
 	}
 }
 
-// checkSeal checks that an answer with success bears the seal of a run of this request that ended with success.
+// checkSeal checks that a successful answer has the seal of a successful run of this request.
 func checkSeal(request *sent, seals map[string]engine.Run, violated violate) {
 	if request.seal == "" {
 		return
 	}
 	run, known := seals[request.seal]
 	if !request.left.IsZero() && run.Request == request.id && run.Ended.IsZero() {
-		return // its client has left, and it has no status yet
+		return // the client has disconnected, and the run has no status yet
 	}
 	if !known || run.Request != request.id || run.Status/100 != 2 {
-		violated(Mixed, request.id, "a success bears the stamp %q of %q, status %d", request.seal, run.Request, run.Status)
+		violated(Mixed, request.id, "successful answer with the seal %q of request %q, status %d", request.seal, run.Request, run.Status)
 	}
 }
--- a/internal/lab/tier/load/load.go
+++ b/internal/lab/tier/load/load.go
@@ -17,9 +17,9 @@
 // Traffic is a stream of requests on one route.
 type Traffic struct {
 	Route *operatorconfig.Route
-	Rate  float64 // a second
-	// Of streams.
-	In, Out  int // tokens, at most; at least a third of it
+	Rate  float64 // requests per second
+	// In, Out and Sessions apply to streams.
+	In, Out  int // maximum numbers of prompt and output tokens; each request has at least a third of them
 	Sessions int
 }
 
@@ -27,12 +27,12 @@
 type Jobs struct {
 	Route    *operatorconfig.Route
 	Count    int
-	Items    int // a job
+	Items    int // per job
 	In, Out  int
-	EndEvery int // each so many-th job is ended by its client midway; 0: none
+	EndEvery int // the client ends every EndEvery-th job midway; 0 means none
 }
 
-// Options of a run.
+// Options configure a load run.
 type Options struct {
 	Seed          uint64
 	Length        time.Duration
@@ -41,34 +41,35 @@
 	Front         Front
 	Traffic       []Traffic
 	Jobs          []Jobs
-	Stride        int // tokens an event of the engines
+	Stride        int // tokens per event of the engines
 	FinishBy      time.Duration
 	VisibleWithin time.Duration
 	Cancel        time.Duration
 	Runs          *engine.Runs
-	// Steady is the number of clients that keep a connection to one of Fronts in use until that front closes it.
+	// Steady is the number of clients that each use a connection to one of Fronts until that front closes it.
 	Steady int
 	Fronts []string
-	// LeaveShare is the share of requests whose client closes its connection within half of the aim.
+	// LeaveShare is the share of requests whose client disconnects within half of the latency target.
 	LeaveShare float64
 }
 
-// Account is what became of all.
+// Account is the result of a load run.
 type Account struct {
 	Kinds      []Figures   `json:"kinds"`
 	Violations []Violation `json:"broken"`
 	Runs       int         `json:"runs"`
-	Cut        int         `json:"cut"` // runs that were not answered whole
+	Cut        int         `json:"cut"` // runs that were not answered completely
 	Late       int         `json:"sent_late"`
 	Jobs       []Job       `json:"jobs"`
-	// Tries are all requests of clients, by their ids.
+	// Tries are all attempts of clients, by request ID.
 	Tries map[string]Try `json:"-"`
 }
 
-const sentLate = 50 * time.Millisecond
+// maxSendDelay is how late the lab may send a request before it counts as sent late.
+const maxSendDelay = 50 * time.Millisecond
 
-// Run plays it and checks the rules. It ends by itself: each request has its deadline, and jobs
-// have what FinishBy says after the last request.
+// Run sends the load and checks the rules. Its duration is bounded: each request has a deadline, and jobs end at the latest
+// FinishBy after the last request.
 func Run(ctx context.Context, o Options) Account {
 	b := newLedger()
 	began := time.Now()
@@ -84,16 +85,16 @@
 	}
 	var wg sync.WaitGroup
 	for i, t := range o.Traffic {
-		wg.Go(func() { play(ctx, o, b, clients, uint64(i), t, began) })
+		wg.Go(func() { drive(ctx, o, b, clients, uint64(i), t, began) })
 	}
-	wg.Go(func() { playSteady(ctx, o, b, began) })
+	wg.Go(func() { sendSteady(ctx, o, b, began) })
 	for i, js := range o.Jobs {
 		for n := range js.Count {
 			j := newJob(o, b, js, world.Random(o.Seed, "job", uint64(i), uint64(n)), n)
 			at := began.Add(o.Length * time.Duration(n) / time.Duration(2*js.Count)) // in the first half
 			wg.Go(func() {
 				if wait.For(ctx, time.Until(at)) {
-					j.play(ctx, began.Add(o.Length+o.FinishBy))
+					j.drive(ctx, began.Add(o.Length+o.FinishBy))
 				}
 			})
 		}
@@ -102,22 +103,22 @@
 	out := Account{Kinds: sorted(b.figures), Late: b.late, Tries: b.tries()}
 	runs := o.Runs.All()
 	out.Violations, out.Runs = b.check(runs, o.Cancel), len(runs)
-	whole := map[string]bool{}
+	complete := map[string]bool{}
 	for _, r := range runs {
 		if r.Whole {
-			whole[r.Request] = true
+			complete[r.Request] = true
 		} else {
 			out.Cut++
 		}
 	}
 	for _, j := range b.jobs {
-		out.Jobs = append(out.Jobs, j.sum(whole))
+		out.Jobs = append(out.Jobs, j.summary(complete))
 	}
 	return out
 }
 
-// play sends the requests of one route at their times.
-func play(ctx context.Context, o Options, b *ledger, clients []*client, number uint64, t Traffic, began time.Time) {
+// drive sends the requests of one route, with exponentially distributed times between arrivals.
+func drive(ctx context.Context, o Options, b *ledger, clients []*client, number uint64, t Traffic, began time.Time) {
 	arrivals := world.Random(o.Seed, "arrivals", number)
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -127,24 +128,24 @@
 		if at > o.Length || !wait.For(ctx, time.Until(began.Add(at))) {
 			return
 		}
-		if time.Since(began.Add(at)) > sentLate {
+		if time.Since(began.Add(at)) > maxSendDelay {
 			b.mu.Lock()
 			b.late++
 			b.mu.Unlock()
 		}
 		rng := world.Random(o.Seed, "request", number, n)
-		r := draw(t, rng, o.Stride)
-		r.born = began.Add(at)
+		r := newRequest(t, rng, o.Stride)
+		r.created = began.Add(at)
 		if o.LeaveShare > 0 && rng.Float64() < o.LeaveShare {
-			r.leaves = time.Duration(rng.Float64() * float64(t.Route.LatencyTargetMs) / 2 * float64(time.Millisecond))
+			r.leaveAfter = time.Duration(rng.Float64() * float64(t.Route.LatencyTargetMs) / 2 * float64(time.Millisecond))
 		}
 		c := clients[rng.IntN(len(clients))]
 		wg.Go(func() { c.do(ctx, r) })
 	}
 }
 
-// draw makes a request.
-func draw(t Traffic, rng *rand.Rand, stride int) *request {
+// newRequest returns a random request.
+func newRequest(t Traffic, rng *rand.Rand, stride int) *request {
 	r := &request{
 		route:  t.Route,
 		kind:   t.Route.Name,
@@ -152,17 +153,18 @@
 		ids:    rng,
 		header: http.Header{},
 		uri:    fmt.Sprintf("%s%x?q=%x", t.Route.PathPrefix, rng.Uint32(), rng.Uint32N(100)),
-		body:   bytesOf(rng, 40+rng.IntN(200)),
+		body:   randomBytes(rng, 40+rng.IntN(200)),
 	}
 	if t.Route.Kind == operatorconfig.Streaming {
-		out := prompt(r.header.Set, rng, t.In, t.Out, t.Sessions)
+		out := setPrompt(r.header.Set, rng, t.In, t.Out, t.Sessions)
 		r.events = engine.Events(out, stride)
 	}
 	return r
 }
 
-// prompt names a prompt in three parts: one of a few that all share, one of its session, its own.
-func prompt(set func(name, value string), rng *rand.Rand, in, out, sessions int) (tokensOut int) {
+// setPrompt sets the headers that describe a random prompt. The prompt has three parts: one of four that all sessions share, one
+// that its session shares, and one of its own.
+func setPrompt(set func(name, value string), rng *rand.Rand, in, out, sessions int) (tokensOut int) {
 	in, out = in/3+rng.IntN(1+in*2/3), max(1, out/3+rng.IntN(1+out*2/3))
 	session := rng.IntN(max(1, sessions))
 	set(engine.HeaderModel, "m")
@@ -172,8 +174,8 @@
 	return out
 }
 
-// bytesOf returns n random bytes.
-func bytesOf(rng *rand.Rand, n int) []byte {
+// randomBytes returns n random bytes.
+func randomBytes(rng *rand.Rand, n int) []byte {
 	out := make([]byte, n)
 	for i := range out {
 		out[i] = byte(rng.Uint32())
--- a/internal/lab/tier/load/load_test.go
+++ b/internal/lab/tier/load/load_test.go
@@ -75,8 +75,8 @@
 		FinishBy: 5 * time.Second, VisibleWithin: time.Second, Cancel: time.Second, Runs: runs}
 }
 
-func names(broken []Violation) (out []string) {
-	for _, b := range broken {
+func names(violations []Violation) (out []string) {
+	for _, b := range violations {
 		if !slices.Contains(out, b.Rule) {
 			out = append(out, b.Rule)
 		}
@@ -92,7 +92,7 @@
 	o.Jobs = []Jobs{{Route: route("bulk", "gen", operatorconfig.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
 	a := Run(t.Context(), o)
 	if len(a.Violations) > 0 || len(a.Jobs) != 1 || a.Jobs[0].Listed != 3 {
-		t.Errorf("broken %v, jobs %v", a.Violations, a.Jobs)
+		t.Errorf("violations %v, jobs %v", a.Violations, a.Jobs)
 	}
 	if len(a.Kinds) != 3 {
 		t.Fatalf("kinds %+v", a.Kinds)
@@ -118,11 +118,11 @@
 		slices.Sort(sums[i])
 	}
 	if len(sums[0]) == 0 || !slices.Equal(sums[0], sums[1]) {
-		t.Errorf("%d and %d requests, which differ", len(sums[0]), len(sums[1]))
+		t.Errorf("the two sets of %d and %d requests differ", len(sums[0]), len(sums[1]))
 	}
 }
 
-func TestEachViolationIsFound(t *testing.T) {
+func TestEachViolationIsDetected(t *testing.T) {
 	stream, web := route("gen", "gen", operatorconfig.Streaming, false), route("web", "web", operatorconfig.Writes, false)
 	for _, c := range []struct {
 		name  string
@@ -158,13 +158,13 @@
 			o := options(p, runs)
 			o.Length, o.Traffic = 60*time.Millisecond, traffic(c.route)
 			if got := names(Run(t.Context(), o).Violations); !slices.Equal(got, []string{c.rule}) {
-				t.Errorf("broken %v, want %s", got, c.rule)
+				t.Errorf("violated rules %v, want %s", got, c.rule)
 			}
 		})
 	}
 }
 
-func TestEachViolationOfAJobIsFound(t *testing.T) {
+func TestEachViolationOfAJobIsDetected(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		wrong func([]tiertest.Result) []tiertest.Result
@@ -182,7 +182,7 @@
 			}
 			return l
 		}, []string{Mixed}},
-		{"strange item", func(l []tiertest.Result) []tiertest.Result {
+		{"unknown item", func(l []tiertest.Result) []tiertest.Result {
 			for i := range l {
 				l[i].ID += "x"
 			}
@@ -202,13 +202,13 @@
 			o := options(p, runs)
 			o.Jobs = []Jobs{{Route: route("bulk", "gen", operatorconfig.Bulk, false), Count: 1, Items: 3, In: 60, Out: 60}}
 			if got := names(Run(t.Context(), o).Violations); !slices.Equal(got, c.rules) {
-				t.Errorf("broken %v, want %v", got, c.rules)
+				t.Errorf("violated rules %v, want %v", got, c.rules)
 			}
 		})
 	}
 }
 
-func TestChangedOrLostJobIsFound(t *testing.T) {
+func TestChangedOrEndedJobIsDetected(t *testing.T) {
 	o := Options{VisibleWithin: 0, Stride: stride}
 	b := newLedger()
 	j := newJob(o, b, Jobs{Route: route("bulk", "gen", operatorconfig.Bulk, false), Items: 2, In: 60, Out: 60}, world.Random(1, "test"), 0)
@@ -216,29 +216,29 @@
 	j.checkResult(0, first)
 	j.checkResult(0, first)
 	if len(b.violations) > 0 {
-		t.Fatalf("broken %v", b.violations)
+		t.Fatalf("violations %v", b.violations)
 	}
 	changed := first
 	changed.State = "given_up"
 	j.checkResult(0, changed)
 	if got := names(b.violations); !slices.Equal(got, []string{Twice}) {
-		t.Errorf("a position that changes broke %v", got)
+		t.Errorf("a changed position violates %v", got)
 	}
 	b.violations = nil
 	j.ended = time.Now()
 	run := engine.Run{Request: j.order[1].ID, Service: "gen", Sum: b.sent[j.order[1].ID].sum}
 	run.Arrived = j.ended.Add(2 * time.Second)
 	if got := names(b.check([]engine.Run{run}, time.Second)); !slices.Equal(got, []string{Unasked}) {
-		t.Errorf("an item that runs long after the end broke %v", got)
+		t.Errorf("an item that runs long after the end of its job violates %v", got)
 	}
 	run.Arrived = j.ended
-	j.never = true
+	j.refused = true
 	if got := names(b.check([]engine.Run{run}, time.Second)); !slices.Equal(got, []string{Refused}) {
-		t.Errorf("an item of a refused job that runs broke %v", got)
+		t.Errorf("an item of a refused job that runs violates %v", got)
 	}
 }
 
-func TestReadsOfALostJob(t *testing.T) {
+func TestLostJobIsDetected(t *testing.T) {
 	runs := &engine.Runs{}
 	p := newProxy(t, runs)
 	o := options(p, runs)
@@ -248,14 +248,14 @@
 	j.accepted = time.Now()
 	j.read(t.Context(), 0)
 	if got := names(b.violations); !slices.Equal(got, []string{Lost}) {
-		t.Errorf("broken %v", got)
+		t.Errorf("violated rules %v", got)
 	}
 }
 
-func TestRetryAfterIsHonouredUpToAThirdOfWhatIsLeft(t *testing.T) {
+func TestRetryAfterIsHonouredUpToAThirdOfTheTimeLeft(t *testing.T) {
 	for _, c := range []struct {
-		wait         string
-		tries, inAim int
+		wait            string
+		tries, onTarget int
 	}{{"0.05", 2, 1}, {"1.5", 1, 0}} {
 		runs := &engine.Runs{}
 		p := newProxy(t, runs)
@@ -272,26 +272,26 @@
 		}
 		b := newLedger()
 		cl := &client{ledger: b, zone: "a", front: p.front}
-		r := draw(traffic(route("web", "web", operatorconfig.Writes, false))[0], world.Random(1, "test"), stride)
-		r.born = time.Now()
+		r := newRequest(traffic(route("web", "web", operatorconfig.Writes, false))[0], world.Random(1, "test"), stride)
+		r.created = time.Now()
 		cl.do(t.Context(), r)
 		cl.close()
 		f := b.figures["web"]
-		if f.Tries != c.tries || f.WithinTarget != c.inAim || f.Refused != 1-c.inAim {
+		if f.Tries != c.tries || f.WithinTarget != c.onTarget || f.Refused != 1-c.onTarget {
 			t.Errorf("Retry-After %s: %+v", c.wait, f)
 		}
 		if c.tries == 2 && times[1].Sub(times[0]) < 50*time.Millisecond {
-			t.Errorf("the second try came after %v", times[1].Sub(times[0]))
+			t.Errorf("the second attempt came after %v", times[1].Sub(times[0]))
 		}
 	}
 }
 
-func TestOnlyIdempotentRequestsAreRetriedAfterABreak(t *testing.T) {
+func TestOnlyIdempotentRequestsAreRetriedAfterAConnectionFailure(t *testing.T) {
 	for _, c := range []struct {
 		route *operatorconfig.Route
 		tries int
 	}{
-		{route("web", "web", operatorconfig.ReadOnly, false), maxTry},
+		{route("web", "web", operatorconfig.ReadOnly, false), maxAttempts},
 		{route("web", "web", operatorconfig.Writes, false), 1},
 	} {
 		runs := &engine.Runs{}
@@ -299,16 +299,16 @@
 		p.Refuse = func(*http.Request) (int, string) { panic(http.ErrAbortHandler) }
 		b := newLedger()
 		cl := &client{ledger: b, zone: "a", front: p.front}
-		r := draw(traffic(c.route)[0], world.Random(1, "test"), stride)
-		r.born = time.Now()
+		r := newRequest(traffic(c.route)[0], world.Random(1, "test"), stride)
+		r.created = time.Now()
 		cl.do(t.Context(), r)
 		if f := b.figures["web"]; f.Tries != c.tries || f.Failed != 1 || f.Ends["closed"] != c.tries {
-			t.Errorf("%+v, want %d tries", f, c.tries)
+			t.Errorf("%+v, want %d attempts", f, c.tries)
 		}
 	}
 }
 
-func TestAResumedStreamGoesOnAfterItsNewestEvent(t *testing.T) {
+func TestAResumedStreamContinuesAfterItsNewestEvent(t *testing.T) {
 	b := newLedger()
 	cut := true
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -327,15 +327,15 @@
 	defer s.Close()
 	cl := &client{ledger: b, front: func(string, uint64) (string, bool) { return s.Listener.Addr().String(), true }}
 	defer cl.close()
-	r := draw(traffic(route("gen", "gen", operatorconfig.Streaming, true))[0], world.Random(1, "test"), stride)
-	r.events, r.born = 4, time.Now()
+	r := newRequest(traffic(route("gen", "gen", operatorconfig.Streaming, true))[0], world.Random(1, "test"), stride)
+	r.events, r.created = 4, time.Now()
 	cl.do(t.Context(), r)
 	if f := b.figures["gen"]; f.WithinTarget != 1 || f.Tries != 2 || f.Ends["broken off"] != 1 || len(b.violations) > 0 {
-		t.Errorf("%+v, broken %v", f, b.violations)
+		t.Errorf("%+v, violations %v", f, b.violations)
 	}
 }
 
-func TestBytesBehindAnAnswerAreFound(t *testing.T) {
+func TestBytesAfterAnAnswerAreDetected(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		c, _, _ := http.NewResponseController(w).Hijack()
@@ -347,11 +347,11 @@
 	defer s.Close()
 	b := newLedger()
 	cl := &client{ledger: b, front: func(string, uint64) (string, bool) { return s.Listener.Addr().String(), true }}
-	r := draw(traffic(route("web", "web", operatorconfig.Writes, false))[0], world.Random(1, "test"), stride)
-	r.born = time.Now()
+	r := newRequest(traffic(route("web", "web", operatorconfig.Writes, false))[0], world.Random(1, "test"), stride)
+	r.created = time.Now()
 	cl.do(t.Context(), r)
 	if got := names(b.violations); !slices.Equal(got, []string{Mixed}) {
-		t.Errorf("broken %v", b.violations)
+		t.Errorf("violations %v", b.violations)
 	}
 }
 
--- a/internal/lab/tier/load/steady.go
+++ b/internal/lab/tier/load/steady.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// maxSteadyPause is the longest pause of a steady client between an answer and its next request.
+	// maxSteadyPause is the longest pause between an answer to a steady client and its next request.
 	maxSteadyPause = 60 * time.Millisecond
-	// steadyRetry is the pause after a request that found no connection.
+	// steadyRetry is the pause after a request that could not be sent because no connection was available.
 	steadyRetry = 50 * time.Millisecond
 )
 
-// steadyRequests is the key of the random numbers that a steady client's requests are drawn from.
+// steadyRequests is the key of the random stream that the requests of steady clients are drawn from.
 const steadyRequests = "steady"
 
-// playSteady has each steady client send requests of all routes in turn over a connection of its own to one front. It keeps
-// the connection in use until the front closes it or announces that, and then opens another one at once, whether or not the
-// platform still names the front.
-func playSteady(ctx context.Context, o Options, b *ledger, began time.Time) {
+// sendSteady runs the steady clients. Each sends requests of all routes in turn over a connection of its own to one front. It
+// reuses the connection until the front closes it or announces that, and then opens a new one to the same front at once,
+// whether or not the platform still routes clients there.
+func sendSteady(ctx context.Context, o Options, b *ledger, began time.Time) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for n := range o.Steady {
@@ -39,13 +39,13 @@
 	}
 }
 
-// sendUntil sends requests one after another until the run has had its length.
+// sendUntil sends requests one after another until the load run reaches its length.
 func (c *client) sendUntil(ctx context.Context, o Options, number uint64, began time.Time) {
 	rng := world.Random(o.Seed, steadyRequests, number)
 	for n := int(number); time.Since(began) < o.Length && ctx.Err() == nil; n++ {
 		traffic := o.Traffic[n%len(o.Traffic)]
-		r := draw(traffic, world.Random(o.Seed, steadyRequests, number, uint64(n)), o.Stride)
-		r.born = time.Now()
+		r := newRequest(traffic, world.Random(o.Seed, steadyRequests, number, uint64(n)), o.Stride)
+		r.created = time.Now()
 		pause := time.Duration(rng.Int64N(int64(maxSteadyPause)))
 		if end := c.do(ctx, r); end.unsent {
 			pause = steadyRetry
