--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -255,7 +255,7 @@
 	}
 	end := e.Leave
 	if strings.Contains(fault.How, "silent") {
-		end = e.Depart
+		end = e.LeaveSilently
 	}
 	p.drains.record(e.ID(), end(ctx))
 	return p.startEndpoint(at)
@@ -279,9 +279,9 @@
 		return nil
 	}
 	e := all[fault.Targets[0]%len(all)]
-	e.Dark(true)
+	e.SetStalled(true)
 	wait.For(ctx, fault.For)
-	e.Dark(false)
+	e.SetStalled(false)
 	return nil
 }
 
@@ -290,7 +290,7 @@
 	kinds := []engine.Fault{engine.Garble, engine.Surplus, engine.Lost, engine.Broken}
 	for n, until := 0, time.Now().Add(fault.For); time.Now().Before(until) && wait.For(ctx, corruptEvery); n++ {
 		if all := p.running(); len(all) > 0 {
-			all[n%len(all)].Break(kinds[n/len(all)%len(kinds)])
+			all[n%len(all)].InjectFault(kinds[n/len(all)%len(kinds)])
 		}
 	}
 	return nil
--- a/internal/lab/tier/certification.go
+++ b/internal/lab/tier/certification.go
@@ -198,9 +198,9 @@
 // freezeEndpoint stalls all reads and writes on an endpoint's connections for frozenFor.
 func freezeEndpoint(r *rig, e *engine.Endpoint) error {
 	r.options.Logf("freezing %s for %v", e.ID(), frozenFor)
-	e.Dark(true)
+	e.SetStalled(true)
 	time.Sleep(frozenFor)
-	e.Dark(false)
+	e.SetStalled(false)
 	return nil
 }
 
--- a/internal/lab/tier/engine/batch.go
+++ b/internal/lab/tier/engine/batch.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// part is a piece of a prompt; its key names the model and all parts before it, too.
+// part is a part of a prompt. Its key identifies the model, all preceding parts and the part itself.
 type part struct {
 	key    string
 	tokens int
 }
 
-// parts reads a prompt's parts, ID:TOKENS by commas.
+// parts parses the parts of a prompt, which have the form ID:TOKENS and are separated by commas.
 func parts(model, header string) []part {
 	var out []part
 	key := model
@@ -30,16 +30,16 @@
 	return out
 }
 
-// cache keeps prompt parts; the least recently used are evicted.
+// cache is an LRU cache of prompt parts.
 type cache struct {
 	tokens  int
 	entries map[string]*list.Element
-	order   *list.List // of part, the newest first
+	order   *list.List // of part, the most recently used first
 }
 
 func newCache() *cache { return &cache{entries: map[string]*list.Element{}, order: list.New()} }
 
-// hit returns how many tokens of a prompt need no prefill, and marks their parts as used.
+// hit returns how many tokens of a prompt are cached and need no prefill, and marks their parts as used.
 func (c *cache) hit(prompt []part) (tokens int) {
 	for _, p := range prompt {
 		e := c.entries[p.key]
@@ -52,18 +52,18 @@
 	return tokens
 }
 
-// shrink drops parts until no more than this many tokens are cached.
-func (c *cache) shrink(most int) {
-	for c.tokens > most && c.order.Len() > 0 {
+// shrink evicts parts until at most limit tokens are cached.
+func (c *cache) shrink(limit int) {
+	for c.tokens > limit && c.order.Len() > 0 {
 		p := c.order.Remove(c.order.Back()).(part)
 		delete(c.entries, p.key)
 		c.tokens -= p.tokens
 	}
 }
 
-// add caches the parts of a prompt, and evicts others down to so many tokens.
-func (c *cache) add(prompt []part, most int) {
-	for _, p := range slices.Backward(prompt) { // the first part is the newest: the others need it
+// add caches the parts of a prompt and evicts parts until at most limit tokens are cached.
+func (c *cache) add(prompt []part, limit int) {
+	for _, p := range slices.Backward(prompt) { // the first part is most recently used, because the others depend on it
 		if e := c.entries[p.key]; e != nil {
 			c.order.MoveToFront(e)
 			continue
@@ -71,20 +71,20 @@
 		c.entries[p.key] = c.order.PushFront(p)
 		c.tokens += p.tokens
 	}
-	c.shrink(most)
+	c.shrink(limit)
 }
 
 // job is one request at a model endpoint.
 type job struct {
 	prompt   []part
 	out      int    // tokens
-	next     int    // the event that comes next
-	count    int    // events of the whole stream
-	prefill  int    // tokens still to be read
-	reserved int    // tokens of memory that it takes while it runs
+	next     int    // the next event
+	count    int    // events of the complete stream
+	prefill  int    // tokens still to be prefilled
+	reserved int    // tokens of memory reserved while it runs
 	begin    func() // called at its first token
 	begun    bool
-	events   chan int // as many fit as there are; closed at the end
+	events   chan int // its capacity is the number of events; closed after the last one
 	running  bool
 }
 
@@ -97,16 +97,16 @@
 	return sum
 }
 
-// batch decides what runs at a model endpoint. It has no clock and no sockets.
+// batch schedules the jobs of a model endpoint. It has no clock and no sockets.
 type batch struct {
 	options Options
 	cache   *cache
 	waiting []*job
 	running []*job
-	used    int // tokens that can't be evicted
+	used    int // tokens reserved by running jobs, which cannot be evicted
 }
 
-// offer accepts a job, or reports that the endpoint is full.
+// offer accepts a job. It returns false if the endpoint is full.
 func (b *batch) offer(j *job) bool {
 	if len(b.waiting) >= b.options.Queue+max(0, b.options.Capacity-len(b.running)) || j.size() > b.options.CacheTokens {
 		return false
@@ -115,7 +115,7 @@
 	return true
 }
 
-// admit lets waiting jobs in, in their order, as slots and memory allow.
+// admit starts waiting jobs in order, as far as slots and memory allow.
 func (b *batch) admit() {
 	for len(b.waiting) > 0 && len(b.running) < b.options.Capacity {
 		j := b.waiting[0]
@@ -133,17 +133,17 @@
 	}
 }
 
-// step plans one step: how long it takes, and what is to be done after that time.
+// step plans one step. It returns how long the step takes and a function to call after that time.
 func (b *batch) step() (time.Duration, func()) {
 	b.admit()
-	piece := b.options.Piece
+	budget := b.options.Piece
 	took := b.options.Step + time.Duration(len(b.running))*b.options.StepGrowth
 	var emit []*job
 	for _, j := range b.running {
-		read := min(piece, j.prefill)
-		piece -= read
-		j.prefill -= read
-		took += time.Duration(read) * b.options.PrefillToken
+		prefilled := min(budget, j.prefill)
+		budget -= prefilled
+		j.prefill -= prefilled
+		took += time.Duration(prefilled) * b.options.PrefillToken
 		if j.prefill == 0 {
 			emit = append(emit, j)
 		}
@@ -157,7 +157,7 @@
 	}
 }
 
-// emit makes the next event of a job; with the last one the job leaves the batch.
+// emit emits the next event of a job, and removes the job from the batch after the last one.
 func (b *batch) emit(j *job) {
 	if !j.begun {
 		j.begun = true
@@ -174,7 +174,7 @@
 	}
 }
 
-// drop takes a job out wherever it is.
+// drop removes a job from the waiting or the running jobs.
 func (b *batch) drop(j *job) {
 	is := func(o *job) bool { return o == j }
 	b.waiting = slices.DeleteFunc(b.waiting, is)
--- a/internal/lab/tier/engine/batch_test.go
+++ b/internal/lab/tier/engine/batch_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-func TestBatchPrefillsInPiecesBetweenTheTokensOfOthers(t *testing.T) {
+func TestBatchPrefillsInChunksBetweenTheTokensOfOthers(t *testing.T) {
 	b := batch{options: options(), cache: newCache()}
 	short, long := newJob([]part{{"a", 50}}, 8), newJob([]part{{"b", 250}}, 2)
 	b.offer(short)
@@ -38,24 +38,24 @@
 		b.once()
 	}
 	if got := drain(long); len(got) != 0 {
-		t.Errorf("events %v before the prompt was read", got)
+		t.Errorf("events %v before the prompt was prefilled", got)
 	}
 	b.once()
 	if got, want := drain(long), []int{1}; !slices.Equal(got, want) {
-		t.Errorf("events of the long one are %v, want %v", got, want)
+		t.Errorf("events of the long job are %v, want %v", got, want)
 	}
 	if got, want := drain(short), []int{1, 2, 3, 4}; !slices.Equal(got, want) {
-		t.Errorf("events of the short one are %v, want %v", got, want)
+		t.Errorf("events of the short job are %v, want %v", got, want)
 	}
 }
 
-func TestBatchTakesLongerTheMoreRuns(t *testing.T) {
+func TestStepTakesLongerWithMoreRunningJobs(t *testing.T) {
 	b := batch{options: options(), cache: newCache()}
 	b.offer(newJob([]part{{"a", 0}}, 5))
 	one := b.once()
 	b.offer(newJob([]part{{"b", 0}}, 5))
 	if two := b.once(); one != 2*time.Millisecond || two != 3*time.Millisecond {
-		t.Errorf("steps of one and of two take %v and %v, want 2ms and 3ms", one, two)
+		t.Errorf("steps with one and two jobs take %v and %v, want 2ms and 3ms", one, two)
 	}
 }
 
@@ -66,7 +66,7 @@
 	b.once()
 	b.offer(newJob([]part{shared, {"m/s/2", 10}}, 1))
 	if took, want := b.once(), 2*time.Millisecond+100*time.Microsecond; took != want {
-		t.Errorf("the second prompt takes %v, want %v: only its own 10 tokens are read", took, want)
+		t.Errorf("the second prompt takes %v, want %v: only its own 10 tokens need a prefill", took, want)
 	}
 	b.offer(newJob([]part{{"x/s", 90}}, 1))
 	if took, want := b.once(), 2*time.Millisecond+900*time.Microsecond; took != want {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestCacheDropsTheLeastRecentlyUsed(t *testing.T) {
+func TestCacheEvictsTheLeastRecentlyUsed(t *testing.T) {
 	c := newCache()
 	a, b, d := part{"a", 40}, part{"b", 40}, part{"d", 40}
 	c.add([]part{a}, 100)
@@ -94,7 +94,7 @@
 		}
 	}
 	if b.offer(newJob([]part{{"p", 10}}, 4)) {
-		t.Error("a fourth job was taken")
+		t.Error("a fourth job was accepted")
 	}
 	b.once()
 	if len(b.running) != 2 || len(b.waiting) != 1 {
@@ -102,13 +102,13 @@
 	}
 	b = batch{options: options(), cache: newCache()}
 	if b.offer(newJob([]part{{"p", 1000}}, 1)) {
-		t.Error("a job that is larger than the memory was taken")
+		t.Error("a job larger than the memory was accepted")
 	}
 	b.offer(newJob([]part{{"p", 600}}, 1))
 	b.offer(newJob([]part{{"q", 600}}, 1))
 	b.once()
 	if len(b.running) != 1 {
-		t.Errorf("%d jobs run in memory for one", len(b.running))
+		t.Errorf("%d jobs run in memory that suffices for one", len(b.running))
 	}
 	b.drop(b.running[0])
 	b.once()
--- a/internal/lab/tier/engine/engine.go
+++ b/internal/lab/tier/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the lab's stand-in for the endpoints of a serving tier: model endpoints, which
-// work in batches, and plain ones. It is written from the platform's pages. Each answer is computed
-// from the id of its request, so that clients can check it; Runs records every run. docs/tier-lab.md describes it.
+// Package engine simulates the endpoints of a serving tier: model endpoints, which process requests in batches, and plain
+// ones. It follows the platform's documentation. Each answer is computed from the ID of its request, so that clients can check
+// it; Runs records every run. docs/tier-lab.md describes it.
 package engine
 
 import (
@@ -17,52 +17,53 @@
 	"time"
 )
 
-// Options of an endpoint.
+// Options configure an endpoint.
 type Options struct {
 	ID       string
 	Service  string
-	Address  string // where it listens; port 0 draws one
+	Address  string // to listen on; port 0 selects a free port
 	Zone     string
 	Capacity int
-	Queue    int // requests that wait beyond the capacity
+	Queue    int // requests that may wait beyond the capacity
 	MaxConns int // from all callers; 0: no limit
 	Runs     *Runs
 
-	// Of a plain endpoint.
-	Work time.Duration // a request; 0: this is a model endpoint
+	// Work is how long a plain endpoint works on a request; 0 makes this a model endpoint.
+	Work time.Duration
 
-	// Of a model endpoint.
+	// The following apply to model endpoints.
 	CacheTokens  int
-	Stride       int           // tokens an event
-	Piece        int           // tokens that one step prefills at most
-	Step         time.Duration // a step, each of which makes one event of all that run
-	StepGrowth   time.Duration // more for each request that runs
-	PrefillToken time.Duration
+	Stride       int           // tokens per event
+	Piece        int           // maximum number of tokens prefilled in one step
+	Step         time.Duration // base duration of a step, which emits one event for each running request
+	StepGrowth   time.Duration // additional duration of a step per running request
+	PrefillToken time.Duration // additional duration of a step per prefilled token
 
 	Heartbeats Heartbeats
 }
 
-// Fault is what the next run that is answered does instead.
+// Fault is a way in which the next answer is corrupted.
 type Fault int
 
 // The faults.
 const (
 	None    Fault = iota
-	Garble        // bytes that are no answer
-	Surplus       // a second answer behind the first
-	Lost          // it runs, and the connection closes without an answer
-	Broken        // half of the answer, then the end of the connection
+	Garble        // bytes that are not an HTTP response
+	Surplus       // a second answer after the first
+	Lost          // the request runs, and the connection closes without an answer
+	Broken        // half of the answer, then the connection closes
 )
 
-// Endpoint is one incarnation, listening.
+// Endpoint is one incarnation of a simulated endpoint.
 type Endpoint struct {
 	options  Options
 	server   *http.Server
 	listener *listener
 	ctx      context.Context
 	end      context.CancelFunc
-	mute     context.CancelFunc // ends the heartbeats
-	wg       sync.WaitGroup
+	// stopHeartbeats stops the heartbeats.
+	stopHeartbeats context.CancelFunc
+	wg             sync.WaitGroup
 
 	mu         sync.Mutex
 	batch      batch
@@ -74,7 +75,7 @@
 	heartbeats uint64
 }
 
-// Start begins an incarnation: it listens, works, and sends heartbeats.
+// Start starts an incarnation that listens, serves requests and sends heartbeats.
 func Start(o Options) (*Endpoint, error) {
 	l, err := net.Listen("tcp", o.Address)
 	if err != nil {
@@ -92,46 +93,47 @@
 		work:     make(chan struct{}, 1),
 	}
 	e.server = &http.Server{Handler: e, IdleTimeout: 10 * time.Second, ReadHeaderTimeout: 5 * time.Second}
-	e.wg.Go(func() { _ = e.server.Serve(e.listener) }) // it ends with Crash
+	e.wg.Go(func() { _ = e.server.Serve(e.listener) }) // until Crash
 	if o.Work == 0 {
 		e.wg.Go(e.loop)
 	}
 	if o.Heartbeats.Controls != nil {
 		var beats context.Context
-		beats, e.mute = context.WithCancel(ctx)
+		beats, e.stopHeartbeats = context.WithCancel(ctx)
 		e.wg.Go(func() { e.sendHeartbeats(beats) })
 	}
 	return e, nil
 }
 
-// ID is the incarnation's.
+// ID returns the ID of the incarnation.
 func (e *Endpoint) ID() string { return e.options.ID }
 
-// Service is what it serves.
+// Service returns the name of the service.
 func (e *Endpoint) Service() string { return e.options.Service }
 
-// Address is where it listens.
+// Address returns the address that the endpoint listens on.
 func (e *Endpoint) Address() string { return e.options.Address }
 
-// Crash ends it at once, with all its connections.
+// Crash stops the endpoint abruptly, with all its connections.
 func (e *Endpoint) Crash() {
 	e.end()
-	e.listener.dark(false)
+	e.listener.setStalled(false)
 	_ = e.server.Close()
 	e.wg.Wait()
 }
 
-// Dark has nothing move on its connections, or move again; new ones are still accepted.
-func (e *Endpoint) Dark(on bool) { e.listener.dark(on) }
+// SetStalled stalls all reads and writes on the endpoint's connections, or lets them continue. New connections are accepted
+// meanwhile.
+func (e *Endpoint) SetStalled(on bool) { e.listener.setStalled(on) }
 
-// Break has the next run that would be answered with success do something else.
-func (e *Endpoint) Break(f Fault) {
+// InjectFault corrupts the next answer that would be successful. Several faults apply to successive answers.
+func (e *Endpoint) InjectFault(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = append(e.faults, f)
 }
 
-// fault returns the fault of the next run, and forgets it.
+// fault removes the next fault from the queue and returns it.
 func (e *Endpoint) fault() Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -143,7 +145,7 @@
 	return f
 }
 
-// loop makes the batch's steps.
+// loop executes the steps of the batch.
 func (e *Endpoint) loop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -176,7 +178,7 @@
 	}
 }
 
-// ServeHTTP answers requests, health checks and reports.
+// ServeHTTP answers requests, health checks and load reports.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h := w.Header()
 	if id := r.Header.Get(HeaderRequest); id != "" {
@@ -199,7 +201,8 @@
 	}
 }
 
-// serveControl answers health checks and reports, and refuses what is no request; false: it is a request.
+// serveControl answers health checks and load reports, and refuses requests without an ID. It returns false for the requests
+// of clients.
 func (e *Endpoint) serveControl(w http.ResponseWriter, r *http.Request, draining bool) bool {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/health":
@@ -217,7 +220,7 @@
 	return true
 }
 
-// serveRequest runs a request of a client, within the time that its header leaves.
+// serveRequest runs a request of a client within the time left according to its header.
 func (e *Endpoint) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -244,7 +247,7 @@
 	e.generate(ctx, w, r, run)
 }
 
-// refuse answers that a request has not run and will not.
+// refuse answers that a request has not run and never will.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(HeaderNotRun, "1")
 	w.WriteHeader(status)
@@ -255,7 +258,7 @@
 	return len(e.batch.running) + e.active, len(e.batch.waiting) + len(e.slots)
 }
 
-// report answers what the platform asks a model endpoint for.
+// report sends the load report of a model endpoint.
 func (e *Endpoint) report(w http.ResponseWriter) {
 	e.mu.Lock()
 	running, waiting := e.counts()
@@ -266,7 +269,7 @@
 	_ = json.NewEncoder(w).Encode(out) // the caller may have closed the connection
 }
 
-// plain works on a request for a while and answers with its body.
+// plain runs a request of a plain endpoint.
 func (e *Endpoint) plain(ctx context.Context, w http.ResponseWriter, run Run) {
 	if !e.acquire(ctx) {
 		e.options.Runs.reject(e.options.Service)
@@ -288,7 +291,7 @@
 	}
 }
 
-// expire ends a run whose caller closed the connection or whose time is up.
+// expire ends a run whose caller closed the connection or whose deadline passed.
 func (e *Endpoint) expire(ctx context.Context, w http.ResponseWriter, run *Run) {
 	e.options.Runs.expire(ctx, run)
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -300,7 +303,7 @@
 	e.options.Runs.end(run, http.StatusGatewayTimeout, false)
 }
 
-// acquire waits for a slot of a plain endpoint.
+// acquire waits for a slot of a plain endpoint. It returns false if the queue is full or a context ends.
 func (e *Endpoint) acquire(ctx context.Context) bool {
 	e.mu.Lock()
 	if e.active < e.options.Capacity {
@@ -329,18 +332,18 @@
 			return false
 		}
 	}
-	e.next() // the slot came meanwhile
+	e.next() // the slot was assigned meanwhile
 	return false
 }
 
-// release gives a slot of a plain endpoint back.
+// release releases a slot of a plain endpoint.
 func (e *Endpoint) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.next()
 }
 
-// next passes a slot to the request that waits longest, or frees it. The caller holds mu.
+// next assigns a released slot to the request that has waited longest, or frees it. The caller holds mu.
 func (e *Endpoint) next() {
 	if len(e.slots) == 0 {
 		e.active--
@@ -350,7 +353,7 @@
 	e.slots = e.slots[1:]
 }
 
-// answer writes a whole answer, or what a fault makes of it.
+// answer writes a complete answer, or a corrupt one if a fault is injected.
 func (e *Endpoint) answer(w http.ResponseWriter, run *Run, kind string, body []byte) {
 	h := w.Header()
 	h.Set(HeaderSeal, run.Seal)
@@ -365,39 +368,41 @@
 	e.corrupt(w, run, f, body)
 }
 
-// corrupt plays a fault on the bare connection.
+// corrupt writes an answer corrupted by a fault directly to the connection.
 func (e *Endpoint) corrupt(w http.ResponseWriter, run *Run, f Fault, body []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		panic(fmt.Errorf("a handler of HTTP/1.1 can take its connection over: %w", err))
+		panic(fmt.Errorf("hijacking an HTTP/1.1 connection: %w", err))
 	}
 	defer conn.Close()
 	var head strings.Builder
 	head.WriteString("HTTP/1.1 200 OK\r\n")
-	_ = w.Header().Write(&head) // into memory
+	_ = w.Header().Write(&head) // writing to memory cannot fail
 	fmt.Fprintf(&head, "Content-Length: %d\r\n\r\n", len(body))
-	whole := head.String() + string(body)
+	complete := head.String() + string(body)
 	var out string
 	switch f {
 	case Garble:
-		out = "\x16\x03\x01 no answer\r\n\r\n" + whole[:len(whole)/2]
+		out = "\x16\x03\x01 no answer\r\n\r\n" + complete[:len(complete)/2]
 	case Surplus:
-		out = whole + whole
+		out = complete + complete
 	case Broken:
-		out = whole[:len(whole)-len(body)/2]
+		out = complete[:len(complete)-len(body)/2]
 	}
 	_, err = io.WriteString(conn, out)
 	e.options.Runs.end(run, http.StatusOK, err == nil && f == Surplus)
 }
 
-// stream is one request at a model endpoint, from its place in the batch to its end.
+// stream is one request at a model endpoint.
 type stream struct {
-	run   Run
-	job   *job
-	begun *Run // nil until the first token; guarded by Endpoint.mu, read freely once an event came or the job was dropped
+	run Run
+	job *job
+	// begun is nil until the first token. Endpoint.mu guards it until an event was received or the job was dropped; from then
+	// on it does not change.
+	begun *Run
 }
 
-// generate has the batch make a stream of events and sends them to the caller.
+// generate adds a request to the batch and sends its events to the caller.
 func (e *Endpoint) generate(ctx context.Context, w http.ResponseWriter, r *http.Request, run Run) {
 	s, ok := e.newStream(r, run)
 	if !ok {
@@ -417,7 +422,7 @@
 	e.sendEvents(ctx, w, s)
 }
 
-// newStream reads what a request asks for; false: its headers can't be understood.
+// newStream parses the headers of a request. It returns false if they are invalid.
 func (e *Endpoint) newStream(r *http.Request, run Run) (*stream, bool) {
 	in, out, ok := tokens(r.Header.Get(HeaderTokens))
 	if !ok {
@@ -437,11 +442,11 @@
 	}
 	j.events = make(chan int, max(1, j.count-run.From))
 	s := &stream{run: run, job: j}
-	j.begin = func() { s.begun = e.options.Runs.begin(s.run) } // under the lock, before the first event
+	j.begin = func() { s.begun = e.options.Runs.begin(s.run) } // called with mu held, before the first event
 	return s, true
 }
 
-// offer gives a job to the batch and wakes the loop; false: the endpoint is full.
+// offer adds a job to the batch and wakes the loop. It returns false if the endpoint is full.
 func (e *Endpoint) offer(j *job) bool {
 	e.mu.Lock()
 	accepted := e.batch.offer(j)
@@ -451,19 +456,19 @@
 	}
 	select {
 	case e.work <- struct{}{}:
-	default: // the loop is to wake anyway
+	default: // a wake-up is already pending
 	}
 	return true
 }
 
-// drop takes a job out of the batch. From then on it can't begin.
+// drop removes a job from the batch. A job that has not begun never does afterwards.
 func (e *Endpoint) drop(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.drop(j)
 }
 
-// sendEvents sends the events as the batch makes them.
+// sendEvents sends the events as the batch emits them.
 func (e *Endpoint) sendEvents(ctx context.Context, w http.ResponseWriter, s *stream) {
 	flush := http.NewResponseController(w)
 	sent := false
@@ -496,7 +501,7 @@
 	}
 }
 
-// sendCorrupt waits until the stream was made, and then plays a fault instead of sending it.
+// sendCorrupt waits until all events were emitted, then sends an answer corrupted by the fault.
 func (e *Endpoint) sendCorrupt(ctx context.Context, w http.ResponseWriter, s *stream, fault Fault) {
 	for {
 		select {
@@ -514,7 +519,7 @@
 		break
 	}
 	if s.begun == nil || ctx.Err() != nil || e.ctx.Err() != nil {
-		return // nobody is there any more
+		return // the caller closed the connection or the endpoint stops
 	}
 	w.Header().Set(HeaderSeal, s.begun.Seal)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -525,7 +530,7 @@
 	e.corrupt(w, s.begun, fault, []byte(body.String()))
 }
 
-// abandon ends a stream whose caller closed the connection, whose time is up, or whose endpoint crashes.
+// abandon ends a stream whose caller closed the connection, whose deadline passed, or whose endpoint crashes.
 func (e *Endpoint) abandon(ctx context.Context, w http.ResponseWriter, s *stream, sent bool) {
 	e.drop(s.job)
 	switch {
@@ -542,15 +547,15 @@
 	}
 }
 
-// frame returns event n as it stands in the stream.
+// frame returns event n in the format of the stream.
 func frame(request string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", n, Event(request, n))
 }
 
-// Events is how many events a stream of so many tokens has.
+// Events returns the number of events of a stream with the given number of tokens.
 func Events(tokens, stride int) int { return (tokens + stride - 1) / max(1, stride) }
 
-// tokens reads a header of tokens, IN,OUT.
+// tokens parses a token count header of the form IN,OUT.
 func tokens(header string) (in, out int, ok bool) {
 	a, b, ok := strings.Cut(header, ",")
 	in, err1 := strconv.Atoi(strings.TrimSpace(a))
--- a/internal/lab/tier/engine/engine_test.go
+++ b/internal/lab/tier/engine/engine_test.go
@@ -46,7 +46,7 @@
 	return resp, string(body), err
 }
 
-func TestStreamIsWholeAndContinues(t *testing.T) {
+func TestStreamIsCompleteAndResumable(t *testing.T) {
 	o := options()
 	e := start(t, o)
 	resp, body, err := ask(t, e, "/a/1", HeaderRequest, "r1", HeaderTokens, "20,45", HeaderModel, "m", HeaderPrefix, "aa:15,bb:5")
@@ -68,7 +68,7 @@
 	other := start(t, o)
 	_, rest, err := ask(t, other, "/a/1", HeaderRequest, "r1", HeaderTokens, "20,45", HeaderLast, "3")
 	if err != nil || !strings.HasSuffix(want, rest) || !strings.HasPrefix(rest, "id: 4\n") {
-		t.Errorf("after event 3 another endpoint goes on with %q, %v", rest, err)
+		t.Errorf("after event 3 another endpoint continues with %q, %v", rest, err)
 	}
 }
 
@@ -103,17 +103,17 @@
 	}
 }
 
-func TestPlainEndpointIsFullBeyondItsQueue(t *testing.T) {
+func TestPlainEndpointRejectsRequestsBeyondItsQueue(t *testing.T) {
 	o := options()
 	o.Work, o.Capacity, o.Queue = time.Millisecond, 1, 1
 	e := start(t, o)
 	if !e.acquire(t.Context()) { // the test holds the only slot
 		t.Fatal("no slot is free")
 	}
-	waits := make(chan string, 1)
+	queued := make(chan string, 1)
 	go func() {
 		_, body, err := ask(t, e, "/a/1", HeaderRequest, "r1")
-		waits <- fmt.Sprint(body, err)
+		queued <- fmt.Sprint(body, err)
 	}()
 	for waiting := 0; waiting == 0; runtime.Gosched() {
 		e.mu.Lock()
@@ -121,14 +121,14 @@
 		e.mu.Unlock()
 	}
 	if resp, _, err := ask(t, e, "/a/1", HeaderRequest, "r2"); err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get(HeaderNotRun) == "" {
-		t.Errorf("beyond the queue: %v, %v", resp, err)
+		t.Errorf("request beyond the queue: %v, %v", resp, err)
 	}
 	e.release()
-	if got, want := <-waits, fmt.Sprint(string(PlainBody("r1")), nil); got != want || len(PlainBody("r1")) != 800 {
-		t.Errorf("what waited got %q", got)
+	if got, want := <-queued, fmt.Sprint(string(PlainBody("r1")), nil); got != want || len(PlainBody("r1")) != 800 {
+		t.Errorf("the queued request got %q", got)
 	}
 	if runs := o.Runs.All(); len(runs) != 1 || o.Runs.Rejected()["s"] != 1 {
-		t.Errorf("%d runs, turned away %v", len(runs), o.Runs.Rejected())
+		t.Errorf("%d runs, rejected %v", len(runs), o.Runs.Rejected())
 	}
 }
 
@@ -151,7 +151,7 @@
 		o.Work = work
 		e := start(t, o)
 		for i, f := range []Fault{Garble, Lost, Broken} {
-			e.Break(f)
+			e.InjectFault(f)
 			if _, body, err := ask(t, e, "/a/1", HeaderRequest, "r", HeaderTokens, "5,20"); err == nil {
 				t.Errorf("fault %v gave %q", f, body)
 			}
@@ -159,7 +159,7 @@
 				t.Errorf("after fault %v: %+v", f, runs)
 			}
 		}
-		e.Break(Surplus)
+		e.InjectFault(Surplus)
 		c, err := net.Dial("tcp", e.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -173,19 +173,19 @@
 	}
 }
 
-func TestDarkEndpointSendsNothingMeanwhile(t *testing.T) {
+func TestStalledEndpointSendsNothing(t *testing.T) {
 	o := options()
 	o.Work = time.Millisecond
 	e := start(t, o)
-	e.Dark(true)
+	e.SetStalled(true)
 	got := make(chan error, 1)
 	go func() { _, _, err := ask(t, e, "/a/1", HeaderRequest, "r"); got <- err }()
 	select {
 	case err := <-got:
-		t.Fatalf("answered in the dark: %v", err)
+		t.Fatalf("answered while stalled: %v", err)
 	case <-time.After(30 * time.Millisecond):
 	}
-	e.Dark(false)
+	e.SetStalled(false)
 	if err := <-got; err != nil {
 		t.Error(err)
 	}
@@ -209,23 +209,23 @@
 	}
 }
 
-// control is a node that takes heartbeats.
+// control is a node that accepts heartbeats.
 type control struct {
 	*httptest.Server
-	heard chan string
-	to    string
+	received chan string
+	to       string // the address for the next heartbeat
 }
 
 func newControl(t *testing.T, to string) *control {
 	t.Helper()
-	c := &control{heard: make(chan string, 1000), to: to}
+	c := &control{received: make(chan string, 1000), to: to}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var said struct {
+		var report struct {
 			State string
 			Count int `json:"call_count"`
 		}
-		_ = json.NewDecoder(r.Body).Decode(&said)
-		c.heard <- fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, said.State)
+		_ = json.NewDecoder(r.Body).Decode(&report)
+		c.received <- fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, report.State)
 		fmt.Fprintf(w, `{"beat_to":%q}`, c.to)
 	}))
 	t.Cleanup(c.Close)
@@ -234,31 +234,31 @@
 
 func (c *control) addr() string { return c.Listener.Addr().String() }
 
-func TestHeartbeatsFollowRedirectionAndReportDraining(t *testing.T) {
+func TestHeartbeatsFollowTheGivenAddressAndReportDraining(t *testing.T) {
 	second := newControl(t, "")
 	first := newControl(t, second.addr())
 	o := options()
 	o.Heartbeats = Heartbeats{Every: 5 * time.Millisecond, Controls: func() []string { return []string{"127.0.0.1:1", first.addr()} }}
 	e := start(t, o)
-	if got := <-first.heard; got != "PUT /instances/i-1 ready" {
+	if got := <-first.received; got != "PUT /instances/i-1 ready" {
 		t.Errorf("the first heartbeat is %q", got)
 	}
 	for range 3 {
-		if got := <-second.heard; got != "PUT /instances/i-1 ready" {
-			t.Errorf("a heartbeat that follows is %q", got)
+		if got := <-second.received; got != "PUT /instances/i-1 ready" {
+			t.Errorf("a heartbeat to the given address is %q", got)
 		}
 	}
 	if acked := e.Leave(t.Context()); acked.IsZero() {
-		t.Error("nobody acknowledged that it leaves")
+		t.Error("no node acknowledged the drain")
 	}
 	var last string
-	for len(first.heard) > 0 {
-		last = <-first.heard
+	for len(first.received) > 0 {
+		last = <-first.received
 	}
 	if last != "DELETE /instances/i-1 " {
-		t.Errorf("the last word is %q", last)
+		t.Errorf("the last call is %q", last)
 	}
 	if _, _, err := ask(t, e, "/health"); err == nil {
-		t.Error("it serves after its end")
+		t.Error("the endpoint serves after it has stopped")
 	}
 }
--- a/internal/lab/tier/engine/heartbeats.go
+++ b/internal/lab/tier/engine/heartbeats.go
@@ -13,31 +13,31 @@
 	"dunetide/internal/lab/wait"
 )
 
-// Heartbeats configures how an endpoint registers.
+// Heartbeats configures how an endpoint registers itself.
 type Heartbeats struct {
-	Controls func() []string // the addresses that accept heartbeats; nil: it does not register
+	Controls func() []string // returns the addresses that accept heartbeats; if nil, the endpoint does not register
 	Every    time.Duration
-	DrainFor time.Duration // it serves on for so long after draining was acknowledged
+	DrainFor time.Duration // how long the endpoint continues to serve after its drain was acknowledged
 }
 
 var models = []map[string]any{{"name": "m", "version": 1, "adapters": []string{}}}
 
 const (
-	heartbeatWait    = time.Second
-	maxHeartbeatSize = 4 << 10 // of an answer to a heartbeat
-	drainTries       = 5
+	heartbeatTimeout = time.Second
+	maxHeartbeatSize = 4 << 10 // maximum size of the answer to a heartbeat
+	drainAttempts    = 5
 	afterDrain       = 300 * time.Millisecond
 )
 
 // sendHeartbeats sends heartbeats until the context ends.
 func (e *Endpoint) sendHeartbeats(ctx context.Context) {
-	client := &http.Client{Timeout: heartbeatWait, Transport: &http.Transport{}}
+	client := &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	tick := time.NewTicker(e.options.Heartbeats.Every)
 	defer tick.Stop()
 	follow := ""
 	for {
-		follow, _ = e.register(ctx, client, follow) // a heartbeat that no node accepted: the next one may be
+		follow, _ = e.register(ctx, client, follow) // if no node accepted this heartbeat, one may accept the next one
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -46,14 +46,15 @@
 	}
 }
 
-// register sends one heartbeat to the first node that accepts it, and returns where the next one goes.
+// register sends one heartbeat to the first node that accepts it, and returns the address for the next one.
 func (e *Endpoint) register(ctx context.Context, client *http.Client, follow string) (string, error) {
 	put := func(addr string) (string, error) { return e.put(ctx, client, addr) }
 	return FirstToAccept(e.options.Heartbeats.Controls(), follow, put)
 }
 
-// FirstToAccept puts a heartbeat to the address that is followed, if any, and then to the others in turn, until one
-// takes it; it returns where the next one goes.
+// FirstToAccept tries the address follow, if any, and then the others in turn, until one accepts a heartbeat. It returns the
+// address for the next heartbeat: the one that the answer gives, or follow if that accepted the heartbeat without giving one,
+// or "".
 func FirstToAccept(addrs []string, follow string, put func(addr string) (follow string, err error)) (string, error) {
 	if follow != "" {
 		addrs = append([]string{follow}, addrs...)
@@ -72,7 +73,7 @@
 	return "", failed
 }
 
-// put sends one heartbeat to an address, and returns where the next one goes; empty: nothing was said about that.
+// put sends one heartbeat to an address, and returns the address that the answer gives for the next one, or "".
 func (e *Endpoint) put(ctx context.Context, client *http.Client, addr string) (follow string, err error) {
 	e.mu.Lock()
 	e.heartbeats++
@@ -103,11 +104,11 @@
 	var ack struct {
 		NextAddr string `json:"beat_to"`
 	}
-	_ = json.Unmarshal(answer, &ack) // a 2xx acknowledges it, whatever its body is
+	_ = json.Unmarshal(answer, &ack) // a 2xx status acknowledges the heartbeat, whatever the body
 	return ack.NextAddr, nil
 }
 
-// call makes one call about an endpoint, and returns the body of its answer. Only a 2xx is no error.
+// call makes one call about an endpoint and returns the body of the answer. Any status except 2xx is an error.
 func call(ctx context.Context, client *http.Client, method, addr, id string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/instances/"+id, bytes.NewReader(body))
 	if err != nil {
@@ -126,20 +127,20 @@
 	case resp.StatusCode/100 != 2:
 		return nil, fmt.Errorf("%s of %s at %s: %s", method, id, addr, resp.Status)
 	case len(answer) > maxHeartbeatSize:
-		return nil, fmt.Errorf("the answer of %s is over %d bytes", addr, maxHeartbeatSize)
+		return nil, fmt.Errorf("answer of %s exceeds %d bytes", addr, maxHeartbeatSize)
 	}
 	return answer, nil
 }
 
-// Leave ends it as planned: it reports that it drains, serves on for a while, deregisters, and
-// ends. It returns when draining was acknowledged; zero: never.
+// Leave shuts the endpoint down as planned: it reports that it drains, continues to serve for a while, deregisters and stops.
+// It returns when the drain was acknowledged, or the zero time if it was not.
 func (e *Endpoint) Leave(ctx context.Context) (acked time.Time) {
 	e.mu.Lock()
 	e.draining = true
 	e.mu.Unlock()
-	client := &http.Client{Timeout: heartbeatWait, Transport: &http.Transport{}}
+	client := &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	for range drainTries {
+	for range drainAttempts {
 		if _, err := e.register(ctx, client, ""); err == nil {
 			acked = time.Now()
 			break
@@ -147,7 +148,7 @@
 		wait.For(ctx, e.options.Heartbeats.Every/2)
 	}
 	wait.For(ctx, e.options.Heartbeats.DrainFor+afterDrain)
-	e.mute()
+	e.stopHeartbeats()
 	for _, a := range e.options.Heartbeats.Controls() {
 		if _, err := call(ctx, client, http.MethodDelete, a, e.options.ID, nil); err == nil {
 			break
@@ -157,13 +158,14 @@
 	return acked
 }
 
-// Depart ends it without reporting that it drains: it deregisters at the first node that accepts that, serves on
-// for a while, and ends. It returns when that was acknowledged; zero: never.
-func (e *Endpoint) Depart(ctx context.Context) (acked time.Time) {
-	e.mute()
-	client := &http.Client{Timeout: heartbeatWait, Transport: &http.Transport{}}
+// LeaveSilently shuts the endpoint down without reporting that it drains: it deregisters at the first node that accepts that,
+// continues to serve for a while and stops. It returns when the deregistration was acknowledged, or the zero time if it was
+// not.
+func (e *Endpoint) LeaveSilently(ctx context.Context) (acked time.Time) {
+	e.stopHeartbeats()
+	client := &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	for range drainTries {
+	for range drainAttempts {
 		for _, a := range e.options.Heartbeats.Controls() {
 			if _, err := call(ctx, client, http.MethodDelete, a, e.options.ID, nil); err == nil && acked.IsZero() {
 				acked = time.Now()
--- a/internal/lab/tier/engine/listener.go
+++ b/internal/lab/tier/engine/listener.go
@@ -5,40 +5,40 @@
 	"sync"
 )
 
-// listener takes a bounded number of connections and may stop moving bytes on all of them.
+// listener accepts a bounded number of connections and can stall reads and writes on all of them.
 type listener struct {
 	net.Listener
-	limit int
-	mu    sync.Mutex
-	cond  *sync.Cond
-	mute  bool
-	open  int
+	limit   int
+	mu      sync.Mutex
+	cond    *sync.Cond
+	stalled bool
+	open    int
 }
 
-func newListener(l net.Listener, most int) *listener {
-	out := &listener{Listener: l, limit: most}
+func newListener(l net.Listener, maxConns int) *listener {
+	out := &listener{Listener: l, limit: maxConns}
 	out.cond = sync.NewCond(&out.mu)
 	return out
 }
 
-// dark stops all reads and writes on the connections, or has them go on.
-func (l *listener) dark(on bool) {
+// setStalled stalls all reads and writes on the connections, or lets them continue.
+func (l *listener) setStalled(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mute = on
+	l.stalled = on
 	l.cond.Broadcast()
 }
 
-// wait waits until the listener is not dark.
+// wait waits until the listener is not stalled.
 func (l *listener) wait() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.mute {
+	for l.stalled {
 		l.cond.Wait()
 	}
 }
 
-// Accept resets connections beyond the most.
+// Accept accepts a connection. It resets connections beyond the limit.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -52,7 +52,7 @@
 			return &conn{Conn: c, listener: l}, nil
 		}
 		l.mu.Unlock()
-		_ = c.(*net.TCPConn).SetLinger(0) // the close resets
+		_ = c.(*net.TCPConn).SetLinger(0) // makes Close reset the connection
 		_ = c.Close()
 	}
 }
@@ -63,20 +63,20 @@
 	once     sync.Once
 }
 
-// Read reads; what came during an outage of the network is returned after it.
+// Read reads from the connection. Data received while the listener is stalled is returned afterwards.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.listener.wait() // what came in the dark is read after it
+	c.listener.wait()
 	return n, err
 }
 
-// Write writes, after an outage of the network.
+// Write writes to the connection once the listener is not stalled.
 func (c *conn) Write(p []byte) (int, error) {
 	c.listener.wait()
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and counts it as closed, once.
+// Close closes the connection and no longer counts it as open.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		c.listener.mu.Lock()
--- a/internal/lab/tier/engine/runs.go
+++ b/internal/lab/tier/engine/runs.go
@@ -34,18 +34,18 @@
 	Service  string
 	Instance string
 	Seal     string
-	Sum      string // of the request, by Sum
+	Sum      string // digest of the request, from Sum
 	URI      string // path with query
 	From     int    // the Last-Event-Id of the request
 	Arrived  time.Time
 	Began    time.Time
 	Ended    time.Time // zero while it runs
 	Status   int
-	Whole    bool // the whole answer was written
-	Expired  bool // the endpoint broke it off, as the time that it was given was up
+	Whole    bool // the complete answer was written
+	Expired  bool // the endpoint aborted it at its deadline
 }
 
-// Sum is a digest of a request: method, path with query, and body.
+// Sum returns a digest of a request: method, path with query, and body.
 func Sum(method, uri string, body []byte) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s %s\n", method, uri)
@@ -53,12 +53,12 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:12])
 }
 
-// Event is the data of event n, from 1, of the stream that answers a request. It is the same at all endpoints.
+// Event returns the data of event n, counted from 1, of the stream that answers a request. It is the same at all endpoints.
 func Event(request string, n int) string {
 	return fmt.Sprintf("%x", sha256.Sum256(fmt.Appendf(nil, "%s/%d", request, n)))[:24]
 }
 
-// Text is the data of the events from after up to count, parted by line feeds.
+// Text returns the data of the events after+1 to count, separated by line feeds.
 func Text(request string, after, count int) string {
 	var out []string
 	for n := after + 1; n <= count; n++ {
@@ -70,14 +70,14 @@
 // plainSize is the length of a plain endpoint's body.
 const plainSize = 800
 
-// PlainBody answers a request to a plain endpoint.
+// PlainBody returns the body of a plain endpoint's answer to a request.
 func PlainBody(request string) []byte {
 	sum := sha256.Sum256([]byte(request))
 	text := base64.StdEncoding.EncodeToString(sum[:])
 	return []byte(strings.Repeat(text, plainSize/len(text)+1)[:plainSize])
 }
 
-// Runs is the account of all endpoints of a tier: every run there was.
+// Runs records every run at the endpoints of a tier.
 type Runs struct {
 	mu       sync.Mutex
 	all      []*Run
@@ -101,7 +101,7 @@
 	return maps.Clone(r.rejected)
 }
 
-// begin notes that a run begins, and gives it its seal.
+// begin records the start of a run and assigns its seal.
 func (r *Runs) begin(run Run) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,21 +111,21 @@
 	return &run
 }
 
-// end notes that a run has ended.
-func (r *Runs) end(run *Run, status int, whole bool) {
+// end records the end of a run.
+func (r *Runs) end(run *Run, status int, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run.Ended, run.Status, run.Whole = time.Now(), status, whole
+	run.Ended, run.Status, run.Whole = time.Now(), status, complete
 }
 
-// expire notes that the time of a run is up if its context says so.
+// expire records whether the context of a run has exceeded its deadline.
 func (r *Runs) expire(ctx context.Context, run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Expired = errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
-// All returns the runs there were, in the order in which they began.
+// All returns all runs in the order in which they began.
 func (r *Runs) All() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/tier/faults.go
+++ b/internal/lab/tier/faults.go
@@ -139,9 +139,9 @@
 // stall stalls all reads and writes on an engine's connections for frozenFor.
 func (r *rig) stall() error {
 	e := r.victim()
-	e.Dark(true)
+	e.SetStalled(true)
 	time.Sleep(frozenFor)
-	e.Dark(false)
+	e.SetStalled(false)
 	return nil
 }
 
@@ -159,6 +159,6 @@
 		r.mu.Lock()
 		all := r.ordered()
 		r.mu.Unlock()
-		all[n%len(all)].Break(kinds[n/len(all)%len(kinds)])
+		all[n%len(all)].InjectFault(kinds[n/len(all)%len(kinds)])
 	}
 }
--- a/internal/lab/tier/operator/operator.go
+++ b/internal/lab/tier/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the lab's operator of a serving tier: it sends configurations and reads them back,
-// as docs/control.md says. Packages tier, soak and hollow use it. An Operator is for one goroutine at a time.
+// Package operator is the lab's operator of a serving tier. It sends configurations and reads them back as docs/control.md
+// describes. Packages tier, soak and hollow use it. An Operator is not safe for concurrent use.
 package operator
 
 import (
@@ -16,44 +16,44 @@
 )
 
 const (
-	callWait   = time.Second
-	firstPause = 50 * time.Millisecond
-	maxPause   = time.Second
-	maxOther   = 3 // answers of another 4xx after which a call ends
-	largest    = 16 << 20
+	callTimeout   = time.Second
+	firstPause    = 50 * time.Millisecond
+	maxPause      = time.Second
+	maxOther      = 3 // answers with an unexpected 4xx status after which a call fails
+	maxAnswerSize = 16 << 20
 )
 
-// Operator calls the nodes that serve control.
+// Operator calls the nodes that serve the control API.
 type Operator struct {
-	Controls func() []string // their addresses
+	Controls func() []string // returns their addresses
 	client   http.Client
-	next     int // the node that is called next
+	next     int // index of the node to call next
 }
 
-// Refusal is an answer that ends a call.
+// Refusal is the error of a call that was answered with a status other than 200.
 type Refusal struct{ Status int }
 
-// Error returns the status and the text of the refusal.
+// Error returns the status and its text.
 func (r Refusal) Error() string {
-	return fmt.Sprintf("the answer is %d %s", r.Status, http.StatusText(r.Status))
+	return fmt.Sprintf("status %d %s", r.Status, http.StatusText(r.Status))
 }
 
-// New makes an operator.
+// New returns an operator that calls the addresses that controls returns.
 func New(controls func() []string) *Operator {
 	o := &Operator{Controls: controls}
-	o.client.Timeout = callWait
+	o.client.Timeout = callTimeout
 	o.client.Transport = &http.Transport{DisableKeepAlives: true}
 	o.client.CheckRedirect = func(_ *http.Request, via []*http.Request) error {
 		if len(via) > 2 {
-			return errors.New("more than two redirections")
+			return errors.New("more than two redirects")
 		}
 		return nil
 	}
 	return o
 }
 
-// Put sends a configuration that builds on a version, unchanged again and again, until a node gives a
-// clear answer or the context ends.
+// Put sends a configuration that is based on a version. It retries with the same text until a node gives a conclusive answer
+// or the context ends.
 func (o *Operator) Put(ctx context.Context, base uint64, config []byte) error {
 	_, err := o.call(ctx, http.MethodPut, "/config", config, "If-Match", strconv.FormatUint(base, 10))
 	return err
@@ -64,54 +64,54 @@
 	return o.call(ctx, http.MethodGet, "/config", nil)
 }
 
-// PutCertificates sends a document of certificates that builds on a version. It reports whether the node says that all
-// processes have it in force.
+// PutCertificates sends a certificate document that is based on a version. It reports whether, according to the node, the
+// document is in force at all processes.
 func (o *Operator) PutCertificates(ctx context.Context, base uint64, document []byte) (inForce bool, err error) {
 	text, err := o.call(ctx, http.MethodPut, "/certificates", document, "If-Match", strconv.FormatUint(base, 10))
 	if err != nil {
 		return false, err
 	}
-	var said struct {
+	var answer struct {
 		InForce bool `json:"in_force"`
 	}
-	if err := json.Unmarshal(text, &said); err != nil {
-		return false, fmt.Errorf("the answer to certificates: %w", err)
+	if err := json.Unmarshal(text, &answer); err != nil {
+		return false, fmt.Errorf("decoding the answer to certificates: %w", err)
 	}
-	return said.InForce, nil
+	return answer.InForce, nil
 }
 
-// Certificates reads the newest document of certificates back.
+// Certificates reads the newest certificate document back.
 func (o *Operator) Certificates(ctx context.Context) ([]byte, error) {
 	return o.call(ctx, http.MethodGet, "/certificates", nil)
 }
 
-// Retire asks for a storage machine to be emptied.
+// Retire requests that a storage machine is emptied over the given time.
 func (o *Operator) Retire(ctx context.Context, node string, over time.Duration) error {
 	_, err := o.call(ctx, http.MethodPost, "/retire/"+node, fmt.Appendf(nil, `{"over_s":%g}`, over.Seconds()))
 	return err
 }
 
-// Retired tells how far that is: in_progress or finished.
+// Retired returns the state of emptying a storage machine: in_progress or finished.
 func (o *Operator) Retired(ctx context.Context, node string) (state string, err error) {
 	text, err := o.call(ctx, http.MethodGet, "/retire/"+node, nil)
 	if err != nil {
 		return "", err
 	}
-	var said struct{ State string }
-	if err := json.Unmarshal(text, &said); err != nil {
-		return "", fmt.Errorf("the state of %s: %w", node, err)
+	var answer struct{ State string }
+	if err := json.Unmarshal(text, &answer); err != nil {
+		return "", fmt.Errorf("decoding the state of %s: %w", node, err)
 	}
-	return said.State, nil
+	return answer.State, nil
 }
 
-// Same reports whether two configurations say the same.
+// Same reports whether two configurations are equal as JSON values.
 func Same(a, b []byte) bool {
 	var x, y any
 	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && reflect.DeepEqual(x, y)
 }
 
-// call repeats a call at the nodes in turn, with growing pauses, until one gives a clear answer or the context ends.
-// An answer that ends it otherwise is a Refusal.
+// call tries the nodes in turn, with exponential backoff between rounds, until one gives a conclusive answer or the context
+// ends. If that answer is not 200, the error is a Refusal.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, header ...string) ([]byte, error) {
 	last := errors.New("no control address")
 	others := 0
@@ -139,12 +139,12 @@
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
-			return nil, fmt.Errorf("%s %s got no clear answer, the newest: %w", method, path, last)
+			return nil, fmt.Errorf("%s %s got no conclusive answer, last error: %w", method, path, last)
 		}
 	}
 }
 
-// once makes one call at the next node.
+// once makes one call to the next node.
 func (o *Operator) once(ctx context.Context, method, path string, body []byte, header []string) (int, []byte, error) {
 	addrs := o.Controls()
 	o.next++
@@ -161,6 +161,6 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, largest))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerSize))
 	return resp.StatusCode, text, err
 }
--- a/internal/lab/tier/operator/operator_test.go
+++ b/internal/lab/tier/operator/operator_test.go
@@ -19,7 +19,7 @@
 
 func of(addrs ...string) func() []string { return func() []string { return addrs } }
 
-func TestCallRetriesAfterFailuresAndFollowsRedirections(t *testing.T) {
+func TestCallRetriesAfterFailuresAndFollowsRedirects(t *testing.T) {
 	const config = `{"version":7}`
 	owner := node(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestClearAnswersEndACall(t *testing.T) {
+func TestConclusiveAnswersEndACall(t *testing.T) {
 	for _, c := range []struct{ status, calls int }{{400, 1}, {412, 1}, {404, 3}} {
 		calls := 0
 		addr := node(t, func(w http.ResponseWriter, _ *http.Request) { calls++; w.WriteHeader(c.status) })
@@ -57,6 +57,6 @@
 
 func TestSame(t *testing.T) {
 	if !Same([]byte(`{"a":1,"b":[2]}`), []byte(`{ "b":[2], "a":1 }`)) || Same([]byte(`{"a":1}`), []byte(`{"a":2}`)) || Same(nil, nil) {
-		t.Error("configurations are compared wrongly")
+		t.Error("wrong result of comparing configurations")
 	}
 }
--- a/internal/lab/tier/tiertest/proxy.go
+++ b/internal/lab/tier/tiertest/proxy.go
@@ -1,5 +1,5 @@
-// Package tiertest has a trivial tier for the lab's own tests: one handler that forwards requests and
-// runs batch jobs in memory, right or wrong as a test needs it.
+// Package tiertest has a trivial tier for the lab's own tests: one handler that forwards requests and runs batch jobs in
+// memory, correctly or with faults that a test selects.
 package tiertest
 
 import (
@@ -16,7 +16,7 @@
 	"dunetide/internal/lab/tier/engine"
 )
 
-// Result of an item.
+// Result is the result of an item.
 type Result struct {
 	ID      string `json:"id"`
 	State   string `json:"state"`
@@ -25,15 +25,15 @@
 
 // Proxy forwards each request to one endpoint. Paths under /bulk/ submit jobs.
 type Proxy struct {
-	Endpoint func(path string) (addr string) // for a path; empty: none is known
+	Endpoint func(path string) (addr string) // returns the endpoint for a path, or "" if none is known
 
-	// What a test has it do wrong.
-	Repeat  bool                                            // each request is sent twice
-	Invent  bool                                            // each request is followed by one that nobody sent
-	Change  func(body []byte) []byte                        // of a request
-	Rewrite func(status int, body []byte) (int, []byte)     // an answer
-	Results func(listed []Result) []Result                  // of a read
-	Refuse  func(r *http.Request) (status int, wait string) // before anything is sent
+	// The following fields inject faults.
+	Repeat  bool                                            // sends each request twice
+	Invent  bool                                            // sends an additional request that no client sent after each one
+	Change  func(body []byte) []byte                        // changes the body of a request
+	Rewrite func(status int, body []byte) (int, []byte)     // changes an answer
+	Results func(listed []Result) []Result                  // changes the results of a read
+	Refuse  func(r *http.Request) (status int, wait string) // refuses a request before it is forwarded; status 0 means no
 
 	once   sync.Once
 	client http.Client
@@ -61,12 +61,12 @@
 	if err != nil {
 		return nil, err
 	}
-	out.GetBody = nil // nothing is sent again
+	out.GetBody = nil // prevents the transport from sending the request again
 	out.Header = r.Header.Clone()
 	return p.client.Do(out)
 }
 
-// drain forwards a request and drops its answer.
+// drain forwards a request and discards its answer.
 func (p *Proxy) drain(r *http.Request, body []byte) {
 	if resp, err := p.send(r, body); err == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
@@ -121,7 +121,7 @@
 	p.answer(w, resp)
 }
 
-// answer sends an answer on as it comes, or as Rewrite makes it.
+// answer forwards an answer as it arrives, or as changed by Rewrite.
 func (p *Proxy) answer(w http.ResponseWriter, resp *http.Response) {
 	for k, v := range resp.Header {
 		w.Header()[k] = v
@@ -150,10 +150,10 @@
 	}
 }
 
-// submit accepts a job and runs it; a job that is known already is acknowledged again.
+// submit accepts a job and runs it. A job that was submitted before is only acknowledged again.
 func (p *Proxy) submit(w http.ResponseWriter, r *http.Request, body []byte) {
-	var asked struct{ Requests []item }
-	if err := json.Unmarshal(body, &asked); err != nil {
+	var submitted struct{ Requests []item }
+	if err := json.Unmarshal(body, &submitted); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -162,11 +162,11 @@
 	defer p.mu.Unlock()
 	if p.jobs[id] == nil {
 		l := &job{items: map[string][]byte{}}
-		for _, it := range asked.Requests {
+		for _, it := range submitted.Requests {
 			l.items[it.ID] = it.Body
 		}
 		p.jobs[id] = l
-		go p.run(l, asked.Requests)
+		go p.run(l, submitted.Requests)
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
@@ -188,7 +188,7 @@
 			req.Header.Set(k, v)
 		}
 		req.Header.Set(engine.HeaderRequest, it.ID)
-		all := p.whole(req, it.Body)
+		all := p.sendUntilComplete(req, it.Body)
 		var text []string
 		for line := range strings.Lines(string(all)) {
 			if data, ok := strings.CutPrefix(line, "data: "); ok {
@@ -201,8 +201,8 @@
 	}
 }
 
-// whole sends an item until an endpoint answers it whole.
-func (p *Proxy) whole(req *http.Request, body []byte) []byte {
+// sendUntilComplete sends an item until an endpoint answers it completely.
+func (p *Proxy) sendUntilComplete(req *http.Request, body []byte) []byte {
 	for {
 		if resp, err := p.send(req, body); err == nil {
 			all, err := io.ReadAll(resp.Body)
@@ -211,13 +211,13 @@
 				return all
 			}
 		}
-		time.Sleep(sendAgain)
+		time.Sleep(retryPause)
 	}
 }
 
-const sendAgain = 10 * time.Millisecond
+const retryPause = 10 * time.Millisecond
 
-// read answers reads and the end of a job, and asks for bodies.
+// read answers reads of results and of item bodies, and requests to end a job.
 func (p *Proxy) read(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
