--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -221,7 +221,7 @@
 	return p.separate(ctx, fault, machines[:len(machines)/2], machines[len(machines)/2:], false, machines)
 }
 
-// separate drops all traffic from some machines to others, and the reverse unless oneWay, for the length of the fault. The
+// separate blocks all traffic from some machines to others, and the reverse unless oneWay, for the length of the fault. The
 // machines in affected count as faulty meanwhile.
 func (p *soakRun) separate(
 	ctx context.Context, fault Fault, from, to []string, oneWay bool, affected []string,
--- a/internal/lab/tier/cluster/cluster.go
+++ b/internal/lab/tier/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs a small serving tier of real processes on loopback addresses, one address a
-// machine, with settings as the platform writes them. Packages tier, soak and hollow and tests of cmd/dunetide start
-// clusters; Close ends all processes that one has started. docs/tier-lab.md describes it.
+// Package cluster runs a small serving tier of real processes on loopback addresses, one address per simulated machine, with
+// settings as the platform writes them. Packages tier, soak and hollow and tests of other packages start clusters;
+// Cluster.Close ends all their processes. docs/tier-lab.md describes it.
 package cluster
 
 import (
@@ -21,23 +21,23 @@
 	"dunetide/internal/lab/faults"
 )
 
-// Options of a cluster.
+// Options configure a cluster.
 type Options struct {
-	Program string // dunetide
+	Program string // the dunetide executable
 	Dir     string // for settings, disks and logs
 	Zones   int
-	Edges   int // a zone
-	Keepers int // a zone, on the first edges
-	Stores  int // over all zones in turn
-	Spares  int // more edges with keepers, over all zones in turn, that do not run before they are started one by one
-	// Relayed has all that the lab and the processes dial led through relays, so that a machine can be cut off. It
-	// takes a program that BuildRelayed has made.
+	Edges   int // per zone
+	Keepers int // per zone, on the first edges
+	Stores  int // distributed over all zones in turn
+	Spares  int // additional edges with keepers, distributed over all zones in turn; Cluster.Start does not start them
+	// Relayed routes all connections that the lab and the processes dial through relays, so that a machine can be cut off. It
+	// requires a program built by BuildRelayed.
 	Relayed bool
 	// HeartbeatInterval and Grace go into the settings.
 	HeartbeatInterval time.Duration
 	Grace             time.Duration
-	Rules             string // the parts in force, joined by commas
-	Survive           int    // machines whose loss is to be borne at once; 0: 1
+	Rules             string // the rules in force, separated by commas
+	Survive           int    // machines whose simultaneous loss the tier must survive; 0 means 1
 }
 
 // Role of a process.
@@ -51,50 +51,50 @@
 )
 
 const (
-	firstNet    = 20 // machines of zone z are 127.net.(firstNet+z).n
-	portTries   = 50
-	readyEvery  = time.Second
-	missesOut   = 2
-	machinePort = 40 // ports that a machine uses, from the first
-	maxNets     = 250
+	firstNet     = 20 // machines of zone z have the addresses 127.net.(firstNet+z).n
+	portAttempts = 50
+	readyEvery   = time.Second
+	maxMisses    = 2  // failed readiness checks after which an edge machine gets no new connections
+	machinePorts = 40 // ports reserved for a machine, from the first
+	maxNets      = 250
 )
 
-// Cluster is what runs.
+// Cluster is a tier of processes on simulated machines.
 type Cluster struct {
 	options Options
-	net     int // the second part of all addresses
-	port    int // the first of all machines' ports
+	net     int // the second byte of all addresses
+	port    int // the first port of each machine
 	zones   []string
 	procs   []*Process
-	first   atomic.Bool // it is the first start of all
+	first   atomic.Bool // whether processes start for the first time
 	wg      sync.WaitGroup
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	hub *faults.Hub // nil: nothing is relayed
+	hub *faults.Hub // nil if the cluster is not relayed
 
 	mu     sync.Mutex
 	fronts []*front
 }
 
-// front is an edge machine as the platform sees it.
+// front is an edge machine as the platform's load balancer sees it.
 type front struct {
 	proxy             *Process
 	zone, addr, ready string
-	in                bool
-	misses            int
+	in                bool // whether it gets new connections
+	misses            int  // consecutive failed readiness checks
 }
 
-// expected reports whether the machine is one of the tier at present.
+// expected reports whether the machine is currently part of the tier.
 func (f *front) expected() bool { return f.proxy == nil || !f.proxy.absent() }
 
-// address is that of a machine of a zone: edges from 10 on, stores from 50 on, endpoints from 100 on. Each cluster
-// has a net of its own among the loopback addresses, so that several may run side by side.
+// address returns the address of machine n of a zone: edges from 10, stores from 50, endpoints from 100. Each cluster uses
+// another net of loopback addresses, so that several can run concurrently.
 func (c *Cluster) address(zone, n int) string {
 	return fmt.Sprintf("127.%d.%d.%d", c.net, firstNet+zone, n)
 }
 
-// New lays a cluster out and draws ports that are free; nothing runs yet.
+// New creates a cluster and selects free ports. It starts no process.
 func New(o Options) (*Cluster, error) {
 	c := &Cluster{options: o, net: 1 + rand.IntN(maxNets)}
 	c.first.Store(true)
@@ -125,7 +125,7 @@
 			disk:    true,
 		})
 	}
-	if err := c.drawPorts(); err != nil {
+	if err := c.selectPorts(); err != nil {
 		return nil, err
 	}
 	if err := c.relay(); err != nil {
@@ -145,8 +145,8 @@
 	return c, nil
 }
 
-// addEdge lays out the processes of an edge machine: a proxy, and with keeps a keeper beside it.
-func (c *Cluster) addEdge(zone, n int, keeps bool) (added []*Process) {
+// addEdge adds the processes of an edge machine: a proxy and, if hasKeeper is set, a keeper.
+func (c *Cluster) addEdge(zone, n int, hasKeeper bool) (added []*Process) {
 	machine, ip := fmt.Sprintf("edge-%s-%d", c.zones[zone], n+1), c.address(zone, 10+n)
 	added = append(added, &Process{
 		cluster: c,
@@ -156,9 +156,9 @@
 		serves:  "edge",
 		zone:    zone,
 		ip:      ip,
-		disk:    keeps,
+		disk:    hasKeeper,
 	})
-	if keeps {
+	if hasKeeper {
 		added = append(added, &Process{
 			cluster: c,
 			Role:    Keeper,
@@ -174,7 +174,7 @@
 	return added
 }
 
-// The ports of a machine, from the cluster's first.
+// The ports of a machine, as offsets from its first port.
 const (
 	portFront = iota
 	portReady
@@ -184,10 +184,10 @@
 	portEndpoint     = 30
 )
 
-// drawPorts chooses a first port at random until all ports of the machines are free.
-func (c *Cluster) drawPorts() error {
-	for range portTries {
-		c.port = 12000 + rand.IntN(400)*machinePort // below what the kernel draws
+// selectPorts draws random first ports until all ports of the machines are free.
+func (c *Cluster) selectPorts() error {
+	for range portAttempts {
+		c.port = 12000 + rand.IntN(400)*machinePorts // below the kernel's ephemeral ports
 		if c.portsFree() {
 			return nil
 		}
@@ -197,7 +197,7 @@
 
 func (c *Cluster) portsFree() bool {
 	for _, p := range c.procs {
-		for n := range machinePort {
+		for n := range machinePorts {
 			l, err := net.Listen("tcp", p.at(n))
 			if err != nil {
 				return false
@@ -208,18 +208,18 @@
 	return true
 }
 
-// Zones names them.
+// Zones returns the names of the zones.
 func (c *Cluster) Zones() []string { return slices.Clone(c.zones) }
 
-// InternalFirst is the first of all machines' internal ports.
+// InternalFirst returns the first internal port, which is the same on all machines.
 func (c *Cluster) InternalFirst() int { return c.port + portInternal }
 
-// EndpointAddress is where endpoint n of a zone may listen.
+// EndpointAddress returns the address for endpoint n of a zone to listen on.
 func (c *Cluster) EndpointAddress(zone, n int) string {
 	return fmt.Sprintf("%s:%d", c.address(zone, 100+n), c.port+portEndpoint)
 }
 
-// Controls are the addresses that accept heartbeats and the operator's calls.
+// Controls returns the addresses that accept heartbeats and the operator's calls.
 func (c *Cluster) Controls() (out []string) {
 	for _, p := range c.procs {
 		if p.Role == Keeper {
@@ -229,7 +229,7 @@
 	return out
 }
 
-// Seeds are the control addresses of three machines, of as many zones as there are.
+// Seeds returns the control addresses of up to three machines in different zones as far as possible.
 func (c *Cluster) Seeds() (out []string) {
 	var all []string
 	for _, p := range c.procs {
@@ -247,10 +247,10 @@
 	return out
 }
 
-// Start empties all disks, starts all processes but spares, and the platform's look at who is ready.
+// Start empties all disks, starts all processes except spares, and begins the platform's readiness checks.
 func (c *Cluster) Start() error {
 	for _, p := range c.procs {
-		if err := os.RemoveAll(p.dir); err != nil { // of an earlier run
+		if err := os.RemoveAll(p.dir); err != nil { // left by an earlier run
 			return err
 		}
 	}
@@ -269,7 +269,7 @@
 	return nil
 }
 
-// watch polls once a second whether an edge machine is ready.
+// watch polls whether an edge machine is ready, every readyEvery or more often while it gets no connections.
 func (c *Cluster) watch(f *front) {
 	client := &http.Client{Timeout: readyEvery, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -285,10 +285,10 @@
 		if f.misses++; ok {
 			f.misses = 0
 		}
-		f.in = ok || f.in && f.misses < missesOut
+		f.in = ok || f.in && f.misses < maxMisses
 		wait := readyEvery - time.Since(began)
 		if !f.in {
-			wait /= 10 // a start is seen sooner than by the platform
+			wait /= 10 // detects a start sooner than the platform would
 		}
 		c.mu.Unlock()
 		select {
@@ -299,7 +299,9 @@
 	}
 }
 
-// Front is the front address that the platform gives a new connection of a client in a zone to.
+// Front returns the front address that the platform routes a new connection of a client in a zone to. It returns false if no
+// machine is available. If fewer than half of the zone's machines, but at least one, are ready, it selects among all machines
+// of the zone; if none is, it selects among the ready ones of other zones.
 func (c *Cluster) Front(zone string, hash uint64) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -334,26 +336,26 @@
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		var out []string
+		var missing []string
 		c.mu.Lock()
 		for _, f := range c.fronts {
 			if !f.in && f.expected() {
-				out = append(out, f.ready)
+				missing = append(missing, f.ready)
 			}
 		}
 		c.mu.Unlock()
-		if len(out) == 0 {
+		if len(missing) == 0 {
 			return nil
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return fmt.Errorf("not ready: %s", strings.Join(out, ", "))
+			return fmt.Errorf("not ready: %s", strings.Join(missing, ", "))
 		}
 	}
 }
 
-// Find gives process n, from 0, of a role.
+// Find returns process n of a role, counted from 0, or nil if there are fewer.
 func (c *Cluster) Find(role Role, n int) *Process {
 	for _, p := range c.procs {
 		if p.Role == role {
@@ -366,10 +368,10 @@
 	return nil
 }
 
-// Processes are all of them.
+// Processes returns all processes.
 func (c *Cluster) Processes() []*Process { return slices.Clone(c.procs) }
 
-// Ends names the processes that ended by themselves, or otherwise than they were asked to, with the end of what they logged.
+// Ends describes all exits of processes that were unexpected or failed, with the last lines of their logs.
 func (c *Cluster) Ends() (out []string) {
 	for _, p := range c.procs {
 		out = append(out, p.ends()...)
@@ -377,7 +379,7 @@
 	return out
 }
 
-// Close ends all processes, at last by force, and waits for them.
+// Close ends all processes, with SIGKILL after the grace period, and waits for them.
 func (c *Cluster) Close() {
 	c.cancel()
 	var wg sync.WaitGroup
--- a/internal/lab/tier/cluster/cluster_test.go
+++ b/internal/lab/tier/cluster/cluster_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestMain plays a node when it is started as one.
+// TestMain runs a minimal node if the test binary is started as one.
 func TestMain(m *testing.M) {
 	file := os.Getenv("DUNETIDE_CONFIG")
 	if file == "" {
@@ -60,7 +60,7 @@
 	return c
 }
 
-func TestProcessesStartAndEndByTheirIds(t *testing.T) {
+func TestProcessesAreKilledAndRestarted(t *testing.T) {
 	c := started(t)
 	p := c.Find(Proxy, 1)
 	if p.Machine != "edge-z0-2" || c.Find(Store, 2).Machine != "storage-z0-2" || c.Find(Keeper, 2) != nil || len(c.procs) != 9 {
@@ -74,11 +74,11 @@
 		t.Fatal(err)
 	}
 	if p.cmd.Process.Pid == pid {
-		t.Error("it was not killed")
+		t.Error("the process was not killed")
 	}
 	s := c.Find(Store, 0)
 	if err := s.Wipe(); err == nil {
-		t.Error("the disk of a process that runs was lost")
+		t.Error("the disk of a running process was wiped")
 	}
 	if err := s.Kill(); err != nil {
 		t.Fatal(err)
@@ -87,38 +87,38 @@
 		t.Fatal(err)
 	}
 	if err := s.Freeze(); err != nil {
-		t.Errorf("freezing what is down: %v", err)
+		t.Errorf("freezing a process that is down: %v", err)
 	}
 	if got := s.settings(); !strings.Contains(got, "first_start=false\n") || !strings.Contains(got, "data_dir="+s.data()) {
 		t.Errorf("settings after the first start:\n%s", got)
 	}
 	if len(c.Ends()) != 0 {
-		t.Errorf("ended by itself: %v", c.Ends())
+		t.Errorf("unexpected exits: %v", c.Ends())
 	}
 }
 
-func TestClientsReachReadyMachinesOfTheirZone(t *testing.T) {
+func TestClientsAreRoutedToReadyMachinesOfTheirZone(t *testing.T) {
 	c := &Cluster{fronts: []*front{{zone: "a", addr: "a1", in: true}, {zone: "a", addr: "a2"}, {zone: "a", addr: "a3"}, {zone: "b", addr: "b1", in: true}}}
-	met := func() (out string) {
+	selected := func() (out string) {
 		for h := range uint64(3) {
 			addr, _ := c.Front("a", h)
 			out += addr + " "
 		}
 		return out
 	}
-	if got := met(); got != "a1 a2 a3 " {
-		t.Errorf("fewer than half are in, and clients meet %s", got)
+	if got := selected(); got != "a1 a2 a3 " {
+		t.Errorf("fewer than half are ready, and clients reach %s", got)
 	}
 	c.fronts[1].in = true
-	if got := met(); got != "a1 a2 a1 " {
-		t.Errorf("two are in, and clients meet %s", got)
+	if got := selected(); got != "a1 a2 a1 " {
+		t.Errorf("two are ready, and clients reach %s", got)
 	}
 	c.fronts[0].in, c.fronts[1].in = false, false
-	if got := met(); got != "b1 b1 b1 " {
-		t.Errorf("none is in, and clients meet %s", got)
+	if got := selected(); got != "b1 b1 b1 " {
+		t.Errorf("none of the zone is ready, and clients reach %s", got)
 	}
 	c.fronts[3].in = false
 	if _, ok := c.Front("a", 0); ok {
-		t.Error("nobody is in, and a client was handed over")
+		t.Error("no machine is ready, and a client was routed to one")
 	}
 }
--- a/internal/lab/tier/cluster/process.go
+++ b/internal/lab/tier/cluster/process.go
@@ -18,14 +18,14 @@
 
 const (
 	restartAfter = 500 * time.Millisecond
-	maxEnds      = 3 // by itself, after which a process is not started again
+	maxEnds      = 3 // unexpected exits after which a process is not started again
 	tailBytes    = 2000
 	settingsName = "boot.conf"
-	// endsMessage is in the last line that a process logs at its planned end.
-	endsMessage = "process ends"
+	// exitMessage is in the last line that a process logs when it shuts down as planned.
+	exitMessage = "process ends"
 )
 
-// Process is one role on one machine.
+// Process is a process of one role on one machine.
 type Process struct {
 	Role    Role
 	Machine string
@@ -36,34 +36,35 @@
 	zone    int
 	ip      string
 	disk    bool
-	spare   bool // the first start of all is not for it
+	spare   bool // Cluster.Start does not start it
 	dir     string
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	exited  chan struct{} // of cmd
-	planned bool          // its end is the lab's doing
+	planned bool          // the lab has requested its end
 	closed  bool
 	started bool
-	removed bool // for good
-	// seedRotation is by how much the order of the seeds in its settings is turned.
+	removed bool // permanently
+	// seedRotation is the number of positions by which the order of the seeds in its settings is rotated.
 	seedRotation int
-	ended        []string // by itself, or otherwise than by what the lab asked for
-	overdue      []string // ends by force, as SIGTERM had not ended the process within the grace
+	ended        []string // exits that were unexpected or failed
+	overdue      []string // times that SIGTERM did not end the process within the grace period
 }
 
 // String returns the role and the machine of the process.
 func (p *Process) String() string { return fmt.Sprintf("%s on %s", p.Role, p.Machine) }
 
-// at returns an address of the process by its port's offset.
+// at returns the address of the process with the given port offset.
 func (p *Process) at(port int) string { return fmt.Sprintf("%s:%d", p.ip, p.cluster.port+port) }
 
 func (p *Process) data() string { return filepath.Join(p.dir, "data") }
 
-// Data is its disk.
+// Data returns the directory that is the disk of the process.
 func (p *Process) Data() string { return p.data() }
 
-// Start starts it with the settings of this moment.
+// Start starts the process with its current settings. It does nothing if the process runs, was removed, or the cluster is
+// closed.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,11 +82,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	cmd := exec.Command(p.cluster.options.Program, string(p.Role))
 	cmd.Env = p.environment()
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with the lab, however that ends
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the lab, even if the lab crashes
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("starting %v: %w", p, err)
 	}
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// environment is that of the process.
+// environment returns the environment variables of the process.
 func (p *Process) environment() []string {
 	own := []string{
 		"DUNETIDE_CONFIG=" + p.SettingsFile(),
@@ -107,22 +108,22 @@
 
 func (p *Process) log() string { return filepath.Join(p.dir, "log") }
 
-// wait waits for the end of a process; one that did so by itself is started again.
+// wait waits until a process exits, records an unexpected or failed exit, and restarts the process after an unexpected one.
 func (p *Process) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	p.exited = nil
 	close(exited)
-	again := !p.planned
-	if p.planned && !endedAsAsked(cmd.ProcessState) {
-		p.ended = append(p.ended, fmt.Sprintf("%v was asked to end and ended with %v; the end of %s:\n%s", p, err, p.log(), p.tail()))
+	restart := !p.planned
+	if p.planned && !endedAsRequested(cmd.ProcessState) {
+		p.ended = append(p.ended, fmt.Sprintf("%v failed while shutting down: %v; end of %s:\n%s", p, err, p.log(), p.tail()))
 	}
-	if again {
-		p.ended = append(p.ended, fmt.Sprintf("%v ended by itself (%v); the end of %s:\n%s", p, err, p.log(), p.tail()))
-		again = len(p.ended) < maxEnds
+	if restart {
+		p.ended = append(p.ended, fmt.Sprintf("%v exited unexpectedly (%v); end of %s:\n%s", p, err, p.log(), p.tail()))
+		restart = len(p.ended) < maxEnds
 	}
 	p.mu.Unlock()
-	if !again {
+	if !restart {
 		return
 	}
 	select {
@@ -137,8 +138,8 @@
 	}
 }
 
-// endedAsAsked reports whether a process that was killed or got SIGTERM ended by these alone, or with exit status 0.
-func endedAsAsked(state *os.ProcessState) bool {
+// endedAsRequested reports whether a process exited with status 0, SIGKILL or SIGTERM.
+func endedAsRequested(state *os.ProcessState) bool {
 	if state.Success() {
 		return true
 	}
@@ -155,14 +156,14 @@
 	return bytes.TrimSpace(text[max(0, len(text)-tailBytes):])
 }
 
-// ends returns a text for each time that the process ended by itself.
+// ends describes the exits of the process that were unexpected or failed.
 func (p *Process) ends() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.ended...)
 }
 
-// signal sends a signal to the process itself, by its id.
+// signal sends a signal to the process if it runs.
 func (p *Process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// PID is that of the process that runs, 0 when it is down.
+// PID returns the process ID, or 0 if the process does not run.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,7 +186,7 @@
 	return p.cmd.Process.Pid
 }
 
-// Disk is the number of bytes in its files: its disk and its log.
+// Disk returns the number of bytes in the files of the process, including its log.
 func (p *Process) Disk() (size int64, err error) {
 	return size, filepath.WalkDir(p.dir, func(_ string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -199,13 +200,13 @@
 	})
 }
 
-// Kill ends it at once and waits for that; it stays down until Start.
+// Kill sends SIGKILL and waits until the process has exited. It stays down until Start.
 func (p *Process) Kill() error { return p.end(syscall.SIGKILL, 0) }
 
-// Term sends SIGTERM, and ends it by force after the grace.
+// Term sends SIGTERM, and SIGKILL after the grace period, and waits until the process has exited.
 func (p *Process) Term() error { return p.end(syscall.SIGTERM, p.cluster.options.Grace) }
 
-// Remove is Term for the last time: its machine is taken out of the tier.
+// Remove ends the process as Term does and removes its machine from the tier permanently.
 func (p *Process) Remove() error {
 	p.mu.Lock()
 	p.removed = true
@@ -213,14 +214,14 @@
 	return p.Term()
 }
 
-// absent reports whether it is a spare that was not started yet, or was removed.
+// absent reports whether the process is a spare that has not been started, or was removed.
 func (p *Process) absent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.spare && !p.started || p.removed
 }
 
-// end sends a signal and waits for the end; after the grace, if there is one, it kills the process.
+// end sends a signal and waits until the process has exited. If grace is not 0, it sends SIGKILL after that time.
 func (p *Process) end(s syscall.Signal, grace time.Duration) error {
 	p.mu.Lock()
 	p.planned = true
@@ -236,7 +237,7 @@
 		select {
 		case <-exited:
 		case <-time.After(grace):
-			p.noteOverdue(grace)
+			p.recordOverdue(grace)
 			if err := p.signal(syscall.SIGKILL); err != nil {
 				return err
 			}
@@ -246,26 +247,26 @@
 	return nil
 }
 
-// noteOverdue notes that the process has not ended within the grace. One that has logged its end is not overdue: the lab has
-// only not been told of it yet, as the machine is busy.
-func (p *Process) noteOverdue(grace time.Duration) {
+// recordOverdue records that the process did not exit within the grace period. A process that has logged its exit is not
+// overdue: on a busy machine, the lab may learn of the exit later.
+func (p *Process) recordOverdue(grace time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	log := p.tail()
-	if last := log[bytes.LastIndexByte(log, '\n')+1:]; !bytes.Contains(last, []byte(endsMessage)) {
-		p.overdue = append(p.overdue, fmt.Sprintf("%v had not ended %v after SIGTERM; the end of %s:\n%s", p, grace, p.log(), log))
+	if last := log[bytes.LastIndexByte(log, '\n')+1:]; !bytes.Contains(last, []byte(exitMessage)) {
+		p.overdue = append(p.overdue, fmt.Sprintf("%v had not exited %v after SIGTERM; end of %s:\n%s", p, grace, p.log(), log))
 	}
 }
 
-// Overdue returns a text for each time that SIGTERM did not end the process within the grace.
+// Overdue describes each time that SIGTERM did not end the process within the grace period.
 func (p *Process) Overdue() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.overdue...)
 }
 
-// HandlesHangup reports whether the process runs and has taken the default action of SIGHUP away, which a program can't do
-// before its own code begins to run.
+// HandlesHangup reports whether the process runs and catches or ignores SIGHUP, which would terminate it by default. A program
+// cannot do so before its own code runs.
 func (p *Process) HandlesHangup() bool {
 	pid := p.PID()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -285,23 +286,23 @@
 	return false
 }
 
-// Freeze stops its threads; Thaw lets them go on.
+// Freeze stops the process with SIGSTOP until Thaw.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw continues a frozen process.
 func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
 
-// Wipe empties its disk. The process has to be down.
+// Wipe empties the disk of the process, which must not be running.
 func (p *Process) Wipe() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.exited != nil {
-		return fmt.Errorf("%v runs, so its disk can't be lost", p)
+		return fmt.Errorf("cannot wipe the disk of %v while it runs", p)
 	}
 	return os.RemoveAll(p.data())
 }
 
-// stop ends it for good.
+// stop ends the process permanently.
 func (p *Process) stop() {
 	p.mu.Lock()
 	p.closed = true
@@ -310,37 +311,37 @@
 	_ = p.Term()                  // it may have ended
 }
 
-// Hangup sends SIGHUP: the settings are read anew.
+// Hangup sends SIGHUP, which makes the process reload its settings.
 func (p *Process) Hangup() error { return p.signal(syscall.SIGHUP) }
 
-// SettingsFile is where its settings stand.
+// SettingsFile returns the path of the settings file.
 func (p *Process) SettingsFile() string { return filepath.Join(p.dir, settingsName) }
 
-// Log returns what it has logged so far.
+// Log returns the log of the process so far.
 func (p *Process) Log() (string, error) {
 	text, err := os.ReadFile(p.log())
 	return string(text), err
 }
 
-// Address is that of its machine.
+// Address returns the IP address of the process's machine.
 func (p *Process) Address() string { return p.ip }
 
-// HasDisk reports whether its machine has a disk.
+// HasDisk reports whether the process's machine has a disk.
 func (p *Process) HasDisk() bool { return p.disk }
 
-// Zone is that of its machine.
+// Zone returns the zone of the process's machine.
 func (p *Process) Zone() string { return p.cluster.zones[p.zone] }
 
-// ReachedFront is where clients reach a proxy.
+// ReachedFront returns the address at which clients reach a proxy.
 func (p *Process) ReachedFront() string { return p.reached(portFront) }
 
-// ReachedControl is where operators and endpoints reach a keeper.
+// ReachedControl returns the address at which operators and endpoints reach a keeper.
 func (p *Process) ReachedControl() string { return p.reached(portControl) }
 
-// SecondTerm sends one more SIGTERM to a process that is ending.
+// SecondTerm sends another SIGTERM to a process that is shutting down.
 func (p *Process) SecondTerm() error { return p.signal(syscall.SIGTERM) }
 
-// Rewrite writes its settings file anew, with the seeds in another order.
+// Rewrite rewrites the settings file with the seeds rotated by the given number of positions.
 func (p *Process) Rewrite(rotation int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -348,8 +349,8 @@
 	return os.WriteFile(p.SettingsFile(), []byte(p.settings()), 0o644)
 }
 
-// StartTwin starts a second process of the same machine and role beside the one that runs. It can't take the ports
-// that are taken, so it ends by itself; it is waited for, and ended by force after a while.
+// StartTwin starts a second process of the same machine and role in addition to the running one and waits until it exits. The
+// ports are in use, so it should exit; it is killed after limit.
 func (p *Process) StartTwin(limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -357,11 +358,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	cmd := exec.CommandContext(ctx, p.cluster.options.Program, string(p.Role))
 	cmd.Env = p.environment()
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	_ = cmd.Run() // that it fails is what is expected
+	_ = cmd.Run() // it is expected to fail
 	return nil
 }
--- a/internal/lab/tier/cluster/relayed.go
+++ b/internal/lab/tier/cluster/relayed.go
@@ -18,28 +18,28 @@
 const (
 	programPackage = "dunetide/cmd/dunetide"
 	linkFile       = "internal/platform/link/link.go"
-	relaySeed      = 1 // nothing is drawn where the only fault is a cut
+	relaySeed      = 1 // has no effect, because cuts, the only faults used, draw no random numbers
 )
 
-// relayedLines are the lines of linkFile that are others in a program that dials through a hub.
+// relayedLines are the lines of linkFile that are replaced in a program that dials through a hub.
 var relayedLines = []overlay.Replacement{
 	{
-		Name: "dialled through a hub",
+		Name: "dials through a hub",
 		File: linkFile,
 		Old:  `nc, err := d.DialContext(ctx, "tcp4", addr)`,
 		New:  `nc, err := hubdial.Dial(ctx, d, addr)`,
 	},
 	{
-		Name: "the package that does so",
+		Name: "imports hubdial",
 		File: linkFile,
 		Old:  "\nimport (\n",
 		New:  "\nimport (\n\t\"dunetide/internal/lab/faults/hubdial\"\n",
 	},
 }
 
-// BuildRelayed builds the command as it is, but for the one line that dials links: it dials through the hub of a
-// cluster that is relayed. Further lines may be replaced, to build a mutant; their files
-// count from the module's root. Nothing in the source folder is changed.
+// BuildRelayed builds the dunetide command with the line that dials links replaced, so that it dials through the hub of a
+// relayed cluster. Further lines can be replaced to build a mutant; their file names are relative to the module's root. The
+// source files are not changed.
 func BuildRelayed(ctx context.Context, program string, further ...overlay.Replacement) error {
 	root, err := moduleRoot(ctx)
 	if err != nil {
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // the temporary files of a build that has ended
+	defer func() { _ = os.RemoveAll(dir) }() // temporary files of the finished build
 	list, err := texts.Write(dir)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// moduleRoot returns the folder of the module that the go command finds here.
+// moduleRoot returns the root directory of the module that contains programPackage.
 func moduleRoot(ctx context.Context) (string, error) {
 	found, err := exec.CommandContext(ctx, "go", "list", "-f", "{{.Module.Dir}}", programPackage).Output()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return strings.TrimSpace(string(found)), nil
 }
 
-// relay opens the hub, if there is to be one.
+// relay opens the hub if the cluster is relayed.
 func (c *Cluster) relay() error {
 	if !c.options.Relayed {
 		return nil
@@ -109,19 +109,19 @@
 	return nil
 }
 
-// reached is where the lab reaches a port of a process.
+// reached returns the address at which the lab reaches a port of the process.
 func (p *Process) reached(port int) string {
 	if p.cluster.hub == nil {
 		return p.at(port)
 	}
 	entry, err := p.cluster.hub.Entry(p.at(port))
 	if err != nil {
-		return p.at(port) // the hub is closed, and the cluster with it
+		return p.at(port) // the hub and the cluster are closed
 	}
 	return entry
 }
 
-// relayedEnvironment gives a process the address that it dials through.
+// relayedEnvironment returns the environment variables that make a process dial through the hub.
 func (p *Process) relayedEnvironment() []string {
 	if p.cluster.hub == nil {
 		return nil
@@ -131,8 +131,8 @@
 
 var errNotRelayed = errors.New("the cluster is not relayed")
 
-// CutOff has nothing pass between the machine of a process and all others, and the lab, until Heal. No connection
-// ends by it. Datagrams of membership and calls of endpoints are not held up: they carry nothing that is agreed.
+// CutOff blocks all traffic between the machine of a process and all other machines and the lab until Heal. Connections stay
+// open. Membership datagrams and calls of endpoints still pass; they carry nothing that the control plane agrees on.
 func (c *Cluster) CutOff(p *Process) error {
 	if c.hub == nil {
 		return errNotRelayed
@@ -144,8 +144,8 @@
 	return c.hub.CutOff(node)
 }
 
-// Separate has nothing pass from the machines of some addresses to those of others, and back too unless it is one
-// way, until what it returns is called. Datagrams of membership are not held up.
+// Separate blocks all traffic from some machines to others, and the reverse unless oneWay, until the returned function is
+// called. Membership datagrams still pass.
 func (c *Cluster) Separate(from, to []string, oneWay bool) (heal func(), err error) {
 	if c.hub == nil {
 		return nil, errNotRelayed
@@ -153,7 +153,7 @@
 	return c.hub.Separate(from, to, oneWay)
 }
 
-// Heal ends all cuts. What was held up comes late.
+// Heal ends all cuts. Traffic that was blocked is delivered late.
 func (c *Cluster) Heal() error {
 	if c.hub == nil {
 		return errNotRelayed
--- a/internal/lab/tier/cluster/relayed_test.go
+++ b/internal/lab/tier/cluster/relayed_test.go
@@ -10,8 +10,8 @@
 	"dunetide/internal/lab/overlay"
 )
 
-// TestRelayedLinesStand has the lines that are replaced follow the code.
-func TestRelayedLinesStand(t *testing.T) {
+// TestRelayedLinesApply fails if a replaced line does not occur exactly once in its file.
+func TestRelayedLinesApply(t *testing.T) {
 	root, err := moduleRoot(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -22,12 +22,13 @@
 			t.Error(err)
 		}
 		if _, err := line.Apply("package link\n"); err == nil {
-			t.Errorf("%s: a line that is missing was replaced", line.Name)
+			t.Errorf("%s: a missing line was replaced", line.Name)
 		}
 	}
 }
 
-// A machine that is cut off is taken for one that is not ready, and is ready again after the cut; a spare counts from its start to its removal.
+// TestCutOffAndSpares checks that a machine that is cut off counts as not ready until the cut ends, and that a spare is part of
+// the tier from its start until its removal.
 func TestCutOffAndSpares(t *testing.T) {
 	c, err := New(Options{Program: os.Args[0], Dir: t.TempDir(), Zones: 1, Edges: 2, Keepers: 2, Spares: 1, Relayed: true, HeartbeatInterval: time.Second,
 		Grace: 2 * time.Second, Rules: "base"})
@@ -38,11 +39,11 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	await := func(what string, holds func() bool) {
+	await := func(condition string, holds func() bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("in vain: ", what, c.Ends())
+				t.Fatal("timed out waiting until ", condition, c.Ends())
 			}
 		}
 	}
@@ -54,7 +55,7 @@
 	}
 	spare := c.Find(Proxy, 2)
 	if spare.PID() != 0 || !spare.absent() {
-		t.Error("a spare runs from the first start on")
+		t.Error("a spare was started with the cluster")
 	}
 	in := func(n int) bool {
 		c.mu.Lock()
@@ -70,41 +71,41 @@
 	if err := c.CutOff(cut); err != nil {
 		t.Fatal(err)
 	}
-	await("the one that is cut off is out", func() bool { return !in(1) })
-	await("the others are in", func() bool { return in(0) && in(2) && !in(1) })
+	await("the machine that is cut off is not ready", func() bool { return !in(1) })
+	await("the others are ready", func() bool { return in(0) && in(2) && !in(1) })
 	client := http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	if _, err := client.Get("http://" + cut.reached(portReady)); err == nil {
 		t.Error("a call came through the cut")
 	}
 	if conn, err := net.Dial("tcp4", cut.at(portReady)); err != nil {
-		t.Errorf("the process itself is harmed: %v", err)
+		t.Errorf("the process does not accept direct connections: %v", err)
 	} else {
 		_ = conn.Close()
 	}
 	if err := c.Heal(); err != nil {
 		t.Fatal(err)
 	}
-	await("the one that was cut off is ready", func() bool { return in(1) })
+	await("the machine that was cut off is ready", func() bool { return in(1) })
 
 	if err := spare.Remove(); err != nil {
 		t.Fatal(err)
 	}
 	if err := spare.Start(); err != nil || spare.PID() != 0 || !spare.absent() {
-		t.Errorf("what was removed starts again: %v", err)
+		t.Errorf("a removed process starts again: %v", err)
 	}
 	if ends := c.Ends(); len(ends) > 0 {
 		t.Error(ends)
 	}
 }
 
-// A cluster without relays says that nothing can be cut.
-func TestNothingIsCutWithoutRelays(t *testing.T) {
+// TestCutsFailWithoutRelays checks that a cluster without relays reports an error instead of cutting a machine off.
+func TestCutsFailWithoutRelays(t *testing.T) {
 	c := &Cluster{}
 	p := &Process{cluster: c, ip: c.address(0, 10)}
 	if c.CutOff(p) == nil || c.Heal() == nil {
-		t.Error("cut, without relays")
+		t.Error("no error from a cut without relays")
 	}
 	if p.reached(portFront) != p.at(portFront) || p.relayedEnvironment() != nil {
-		t.Error("relayed, without relays")
+		t.Error("relayed address or environment without relays")
 	}
 }
--- a/internal/lab/tier/cluster/settings.go
+++ b/internal/lab/tier/cluster/settings.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// settingLines are a process's settings, as lines of NAME=VALUE.
+// settingLines builds the settings of a process as lines of the form NAME=VALUE.
 type settingLines struct{ strings.Builder }
 
 func (l *settingLines) set(name string, value any) { fmt.Fprintf(l, "%s=%v\n", name, value) }
 
-// settings returns the settings of the process at this moment, as the platform writes them (docs/system.md).
+// settings returns the current settings of the process as the platform writes them (docs/system.md).
 func (p *Process) settings() string {
 	var lines settingLines
 	p.setIdentity(&lines)
@@ -46,8 +46,8 @@
 	}
 	lines.set("internal_ports", fmt.Sprintf("%d,%d", c.port+portInternal, c.port+portInternalLast))
 	seeds := c.Seeds()
-	turn := p.seedRotation % max(1, len(seeds))
-	lines.set("seeds", strings.Join(slices.Concat(seeds[turn:], seeds[:turn]), ","))
+	shift := p.seedRotation % max(1, len(seeds))
+	lines.set("seeds", strings.Join(slices.Concat(seeds[shift:], seeds[:shift]), ","))
 	lines.set("first_start", c.first.Load())
 }
 
