--- a/internal/lab/tier/hollow/config.go
+++ b/internal/lab/tier/hollow/config.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// configuration is what an operator of so many tenants and models sends: a route a tenant, a service a
-// model, and shares of each route over all services.
+// configuration returns a configuration with one route per tenant and one service per model, where each route has shares of all
+// services.
 func configuration(version uint64, tenants, models int) []byte {
 	services := make([]map[string]any, models)
 	for m := range services {
@@ -38,7 +38,7 @@
 		},
 	})
 	if err != nil {
-		panic(fmt.Errorf("a configuration can be written as JSON: %w", err))
+		panic(fmt.Errorf("encoding a configuration as JSON: %w", err))
 	}
 	return text
 }
--- a/internal/lab/tier/hollow/endpoint.go
+++ b/internal/lab/tier/hollow/endpoint.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	heartbeatWait    = time.Second
-	maxHeartbeatSize = 4 << 10 // of an answer
+	heartbeatTimeout = time.Second
+	maxHeartbeatSize = 4 << 10 // bytes read of the answer to a heartbeat
 )
 
-// endpoint only sends heartbeats.
+// endpoint is a hollow endpoint, which only sends heartbeats.
 type endpoint struct {
 	id, service, address, zone string
 
@@ -30,7 +30,7 @@
 	count    uint64
 }
 
-// endpoints are all of them.
+// endpoints has all hollow endpoints and their counters.
 type endpoints struct {
 	controls   func() []string
 	every      time.Duration
@@ -39,14 +39,14 @@
 	written    atomic.Int64
 	writes     atomic.Int64
 	heartbeats atomic.Int64
-	known      atomic.Int64 // of which a keeper has accepted a heartbeat
-	missed     atomic.Int64 // heartbeats that no keeper accepted
+	known      atomic.Int64 // endpoints of which a keeper has accepted a heartbeat
+	rejected   atomic.Int64 // heartbeats that no keeper accepted
 	wg         sync.WaitGroup
 	cancel     context.CancelFunc
 	all        []*endpoint
 }
 
-// startEndpoints starts so many, spread over models and zones.
+// startEndpoints starts n endpoints, distributed over models and zones.
 func startEndpoints(n, models int, every time.Duration, zones []string, controls func() []string) *endpoints {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &endpoints{controls: controls, every: every, cancel: cancel}
@@ -59,7 +59,7 @@
 		return &counted{c, f}, nil
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: n + 1, DialContext: dial}
-	f.client = &http.Client{Timeout: heartbeatWait, Transport: transport}
+	f.client = &http.Client{Timeout: heartbeatTimeout, Transport: transport}
 	incarnation := rand.Uint32()
 	for i := range n {
 		e := &endpoint{
@@ -74,14 +74,14 @@
 	return f
 }
 
-// close ends all heartbeats and waits for their goroutines.
+// close stops all heartbeats and waits for their goroutines.
 func (f *endpoints) close() {
 	f.cancel()
 	f.wg.Wait()
 	f.client.CloseIdleConnections()
 }
 
-// sendHeartbeats sends heartbeats until the context ends; the first comes at a moment of chance.
+// sendHeartbeats sends heartbeats until the context ends, the first one after a random delay of up to one interval.
 func (f *endpoints) sendHeartbeats(ctx context.Context, e *endpoint) {
 	select {
 	case <-time.After(rand.N(f.every)):
@@ -98,7 +98,7 @@
 			known = true
 			f.known.Add(1)
 		case err != nil && ctx.Err() == nil:
-			f.missed.Add(1)
+			f.rejected.Add(1)
 		}
 		select {
 		case <-tick.C:
@@ -108,14 +108,14 @@
 	}
 }
 
-// register sends one heartbeat to the first keeper that accepts it, and returns where the next one goes.
+// register sends one heartbeat to the first keeper that accepts it, and returns the address for the next one.
 func (f *endpoints) register(ctx context.Context, e *endpoint, follow string) (string, error) {
 	addrs := f.controls()
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 	return engine.FirstToAccept(addrs, follow, func(addr string) (string, error) { return f.put(ctx, e, addr) })
 }
 
-// put sends one heartbeat to an address, and returns where the next one goes; empty: nothing was said about that.
+// put sends one heartbeat to an address, and returns the address that the answer gives for the next one, or "".
 func (f *endpoints) put(ctx context.Context, e *endpoint, addr string) (follow string, err error) {
 	e.mu.Lock()
 	e.count++
@@ -154,17 +154,17 @@
 	case err != nil:
 		return "", err
 	case resp.StatusCode/100 != 2:
-		return "", fmt.Errorf("a heartbeat of %s at %s: %s", e.id, addr, resp.Status)
+		return "", fmt.Errorf("heartbeat of %s to %s: %s", e.id, addr, resp.Status)
 	}
 	f.heartbeats.Add(1)
 	var ack struct {
 		NextAddr string `json:"beat_to"`
 	}
-	_ = json.Unmarshal(answer, &ack) // a 2xx acknowledges it, whatever its body is
+	_ = json.Unmarshal(answer, &ack) // a 2xx status acknowledges the heartbeat, whatever the body
 	return ack.NextAddr, nil
 }
 
-// drain has one report that it drains, and returns when that was acknowledged.
+// drain makes an endpoint report that it drains, and returns when that was acknowledged.
 func (f *endpoints) drain(ctx context.Context, e *endpoint) (time.Time, error) {
 	e.mu.Lock()
 	e.draining = true
@@ -173,20 +173,20 @@
 	return time.Now(), err
 }
 
-// counted counts a connection's bytes.
+// counted is a connection that counts its bytes and writes.
 type counted struct {
 	net.Conn
 	endpoints *endpoints
 }
 
-// Read reads and counts the bytes.
+// Read reads from the connection and counts the bytes.
 func (c *counted) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.endpoints.read.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts the bytes.
+// Write writes to the connection and counts the bytes and the call.
 func (c *counted) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.endpoints.written.Add(int64(n))
--- a/internal/lab/tier/hollow/hollow.go
+++ b/internal/lab/tier/hollow/hollow.go
@@ -1,7 +1,7 @@
-// Package hollow measures what control costs by size: real keepers and stores, with many hollow proxies
-// and endpoints that share the lab's process. The term is that of Kubernetes' kubemark, whose hollow nodes
-// run the control side of a node without its work. A hollow proxy has a proxy's attachment to keepers, its
-// snapshot and its place in membership, and no clients; a hollow endpoint only sends heartbeats.
+// Package hollow measures how the cost of the control plane grows with the size of the tier. It runs real keepers and stores,
+// and many hollow proxies and endpoints within the lab's process. The term comes from Kubernetes' kubemark, whose hollow nodes
+// run the control side of a node without its workload. A hollow proxy is attached to keepers, holds a snapshot and is a member
+// of the cluster, but has no clients; a hollow endpoint only sends heartbeats.
 package hollow
 
 import (
@@ -27,52 +27,52 @@
 
 const (
 	maxConverge = 60 * time.Second // until all endpoints and proxies are known
-	maxInForce  = 12 * time.Second // of a configuration, at all proxies
-	maxDrain    = 5 * time.Second  // until all proxies know that an endpoint leaves
-	maxAttach   = 30 * time.Second // after a keeper's loss
-	maxPut      = 10 * time.Second // for the acknowledgement of a configuration
-	drains      = 4                // endpoints that leave
-	lookEvery   = 10 * time.Millisecond
-	calm        = 2 * time.Second // between phases
+	maxInForce  = 12 * time.Second // until a configuration is in force at all proxies
+	maxDrain    = 5 * time.Second  // until all proxies know that an endpoint drains
+	maxAttach   = 30 * time.Second // until all proxies are attached twice again after the loss of a keeper
+	maxPut      = 10 * time.Second // until a configuration is acknowledged
+	drains      = 4                // endpoints that drain
+	pollEvery   = 10 * time.Millisecond
+	settle      = 2 * time.Second // pause between phases
 	grace       = 3 * time.Second
 )
 
-// Size is how many hollow ones there are.
+// Size is the number of hollow proxies and endpoints.
 type Size struct{ Proxies, Endpoints int }
 
-// Options of a measurement.
+// Options configure a measurement.
 type Options struct {
 	Program           string
 	Dir               string
 	Sizes             []Size
 	Zones             int
-	Keepers           int // a zone; as many real proxies stand beside them
+	Keepers           int // per zone; each shares its machine with a real proxy
 	Stores            int
 	HeartbeatInterval time.Duration
-	Quiet             time.Duration // measured without changes
-	Changes           int           // of the configuration
+	Quiet             time.Duration // length of the measurement without changes
+	Changes           int           // number of configuration changes
 	ChangeEvery       time.Duration
 	Tenants           int
 	Models            int
 	Logf              func(format string, args ...any)
 }
 
-// Figure is one thing measured at one size.
+// Figure is one measured value at one size.
 type Figure struct {
 	Name  string
 	Unit  string
 	Value float64
 }
 
-// Report is all that was measured. The figures of all sizes have the same names in the same order.
+// Report is the result of a measurement. The figures of all sizes have the same names in the same order.
 type Report struct {
 	Sizes   []Size
 	Figures [][]Figure // by size
-	Config  int        // bytes of a configuration
-	Load    string     // of the machine, before the first size
+	Config  int        // size of a configuration in bytes
+	Load    string     // load average of the machine before the first size
 }
 
-// Run measures each size with processes of its own. A size that failed is left out, and named in the error.
+// Run measures each size with its own processes. Sizes that fail are omitted from the report and named in the error.
 func Run(ctx context.Context, o Options) (Report, error) {
 	var out Report
 	out.Config = len(configuration(1, o.Tenants, o.Models))
@@ -84,7 +84,7 @@
 	var failed error
 	for _, size := range o.Sizes {
 		o.Logf("%d proxies, %d endpoints", size.Proxies, size.Endpoints)
-		figures, err := one(ctx, o, size)
+		figures, err := measure(ctx, o, size)
 		if err != nil {
 			failed = errors.Join(failed, fmt.Errorf("%d proxies and %d endpoints: %w", size.Proxies, size.Endpoints, err))
 			continue
@@ -94,7 +94,7 @@
 	return out, failed
 }
 
-// rig is what runs at one size.
+// rig is the state of the measurement of one size.
 type rig struct {
 	options   Options
 	cluster   *cluster.Cluster
@@ -105,13 +105,13 @@
 	figures   []Figure
 }
 
-// note adds a figure. All sizes have to note the same names in the same order.
-func (r *rig) note(name, unit string, value float64) {
+// add adds a figure. All sizes must add the same names in the same order.
+func (r *rig) add(name, unit string, value float64) {
 	r.figures = append(r.figures, Figure{name, unit, value})
 }
 
-// one measures one size, with processes of its own.
-func one(ctx context.Context, o Options, size Size) ([]Figure, error) {
+// measure measures one size with its own processes.
+func measure(ctx context.Context, o Options, size Size) ([]Figure, error) {
 	c, err := cluster.New(cluster.Options{
 		Program:           o.Program,
 		Dir:               filepath.Join(o.Dir, fmt.Sprintf("%dx%d", size.Proxies, size.Endpoints)),
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	defer r.close()
-	for _, phase := range []func(context.Context) error{r.quiet, r.changes, r.drains, r.loss} {
+	for _, phase := range []func(context.Context) error{r.quiet, r.changes, r.drains, r.loseKeeper} {
 		if err := phase(ctx); err != nil {
 			return nil, err
 		}
@@ -149,8 +149,8 @@
 	return r.figures, ended(c)
 }
 
-// startParticipants starts the endpoints and then the proxies, and waits until all know all. On an error it ends what
-// it started.
+// startParticipants starts the endpoints, then the proxies, and waits until all proxies know all endpoints. On an error it
+// stops those that it started.
 func (r *rig) startParticipants(ctx context.Context, size Size) (err error) {
 	defer func() {
 		if err != nil {
@@ -160,9 +160,9 @@
 	c, o := r.cluster, r.options
 	r.endpoints = startEndpoints(size.Endpoints, o.Models, o.HeartbeatInterval, c.Zones(), c.Controls)
 	if !await(ctx, maxConverge, func() bool { return r.endpoints.known.Load() == int64(size.Endpoints) }) {
-		return errors.Join(ctx.Err(), errors.New("not all endpoints were taken by a keeper"), ended(c))
+		return errors.Join(ctx.Err(), errors.New("keepers have not accepted all endpoints"), ended(c))
 	}
-	wait.For(ctx, calm)
+	wait.For(ctx, settle)
 	before := heap()
 	began := time.Now()
 	r.proxies, err = startProxies(size.Proxies, c.Zones(), controlclient.SeedLinkAddrs(c.Seeds(), c.InternalFirst()))
@@ -170,15 +170,15 @@
 		return err
 	}
 	if !await(ctx, maxConverge, func() bool { return r.proxies.converged(size.Endpoints) }) {
-		return errors.Join(ctx.Err(), errors.New("not all are attached twice with the whole list"), ended(c))
+		return errors.Join(ctx.Err(), errors.New("not all proxies are attached twice and have the complete endpoint list"), ended(c))
 	}
-	r.note("attached and listed after", "s", time.Since(began).Seconds())
-	wait.For(ctx, calm)
-	r.note("hollow proxy: heap", "KB", max(0, heap()-before)/1e3/float64(size.Proxies))
+	r.add("attached and listed after", "s", time.Since(began).Seconds())
+	wait.For(ctx, settle)
+	r.add("hollow proxy: heap", "KB", max(0, heap()-before)/1e3/float64(size.Proxies))
 	return nil
 }
 
-// close ends the hollow proxies, and then the endpoints.
+// close stops the hollow proxies, then the endpoints.
 func (r *rig) close() {
 	if r.proxies != nil {
 		r.proxies.close()
@@ -188,7 +188,7 @@
 	}
 }
 
-// ended returns an error if processes ended by themselves.
+// ended returns an error if processes exited unexpectedly.
 func ended(c *cluster.Cluster) error {
 	if ends := c.Ends(); len(ends) > 0 {
 		return errors.New(strings.Join(ends, "\n"))
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// heap is the memory in use after a collection.
+// heap returns the bytes of heap and stack memory in use after a garbage collection.
 func heap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -204,32 +204,32 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// await waits until something is done, at most so long, and reports whether it was.
-func await(ctx context.Context, most time.Duration, done func() bool) bool {
-	end := time.Now().Add(most)
+// await polls done until it returns true, at most for limit, and reports whether it did.
+func await(ctx context.Context, limit time.Duration, done func() bool) bool {
+	end := time.Now().Add(limit)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		if done() {
 			return true
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollEvery)
 	}
 	return false
 }
 
-// reading is what all have used at a moment.
+// reading is the cumulative resource usage of all processes at one time.
 type reading struct {
 	at             time.Time
 	roles          map[cluster.Role][]usage
 	disks          map[cluster.Role][]int64
-	self           usage // of hollow proxies and endpoints together
-	heartbeats     usage // the part of heartbeats in its bytes and calls
+	self           usage // of the lab's process, which contains the hollow proxies and endpoints
+	heartbeats     usage // the part of self that is due to heartbeats; bytes and calls only
 	heartbeatCount int64
 	views          int64
 	datagrams      uint64
 	dataBytes      uint64
 }
 
-// read returns what all processes have used so far. Over half of the machine's memory in use is an error.
+// read returns the resource usage of all processes so far. It fails if they use over half of the machine's memory.
 func (r *rig) read() (reading, error) {
 	out := reading{at: time.Now(), roles: map[cluster.Role][]usage{}, disks: map[cluster.Role][]int64{}}
 	var total int64
@@ -249,8 +249,8 @@
 	if out.self, err = usageOf(os.Getpid()); err != nil {
 		return out, err
 	}
-	if most := memory() / 2; most > 0 && total+out.self.rss > most {
-		return out, fmt.Errorf("%d MB are in use, over half of the machine's", (total+out.self.rss)>>20)
+	if limit := memory() / 2; limit > 0 && total+out.self.rss > limit {
+		return out, fmt.Errorf("%d MB of memory are in use, over half of the machine's", (total+out.self.rss)>>20)
 	}
 	e := r.endpoints
 	out.heartbeats = usage{read: e.read.Load(), written: e.written.Load(), writes: e.writes.Load()}
@@ -259,7 +259,7 @@
 	return out, nil
 }
 
-// memory is the machine's, 0 where it is unknown.
+// memory returns the machine's memory in bytes, or 0 if it is unknown.
 func memory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -272,15 +272,16 @@
 	return kb << 10
 }
 
-// spent is what the processes of a role used between two readings: the mean, and the busiest's processor time.
-func spent(a, b reading, role cluster.Role) (mean usage, busiest time.Duration) {
+// usageBetween returns the mean resource usage of the processes of a role between two readings, and the maximum CPU time. The memory is
+// the maximum instead of the mean.
+func usageBetween(a, b reading, role cluster.Role) (mean usage, busiest time.Duration) {
 	n := int64(len(a.roles[role]))
 	if n == 0 {
 		return mean, 0
 	}
 	for i, before := range a.roles[role] {
 		u := b.roles[role][i].sub(before)
-		u.written -= b.disks[role][i] - a.disks[role][i] // write(2) to files is no traffic
+		u.written -= b.disks[role][i] - a.disks[role][i] // written includes write(2) to files, which is not traffic
 		mean.cpu += u.cpu
 		mean.read += u.read
 		mean.written += u.written
@@ -292,7 +293,7 @@
 	return mean, busiest
 }
 
-// quiet measures while nothing changes.
+// quiet measures the costs while nothing changes.
 func (r *rig) quiet(ctx context.Context) error {
 	a, err := r.read()
 	if err != nil {
@@ -306,32 +307,32 @@
 	s := b.at.Sub(a.at).Seconds()
 	n := float64(len(r.proxies.all))
 	for _, role := range []cluster.Role{cluster.Keeper, cluster.Proxy, cluster.Store} {
-		u, busiest := spent(a, b, role)
+		u, busiest := usageBetween(a, b, role)
 		name := string(role) + ": "
-		r.note(name+"processor, mean", "ms/s", u.cpu.Seconds()*1e3/s)
-		r.note(name+"processor, the busiest", "ms/s", busiest.Seconds()*1e3/s)
-		r.note(name+"resident, the largest", "MB", float64(u.rss)/1e6)
-		r.note(name+"received", "KB/s", float64(u.read)/1e3/s)
-		r.note(name+"sent", "KB/s", float64(u.written)/1e3/s)
-		r.note(name+"writes", "1/s", float64(u.writes)/s)
+		r.add(name+"processor, mean", "ms/s", u.cpu.Seconds()*1e3/s)
+		r.add(name+"processor, the busiest", "ms/s", busiest.Seconds()*1e3/s)
+		r.add(name+"resident, the largest", "MB", float64(u.rss)/1e6)
+		r.add(name+"received", "KB/s", float64(u.read)/1e3/s)
+		r.add(name+"sent", "KB/s", float64(u.written)/1e3/s)
+		r.add(name+"writes", "1/s", float64(u.writes)/s)
 	}
 	self, beats := b.self.sub(a.self), b.heartbeats.sub(a.heartbeats)
-	r.note("lab: processor, proxies and endpoints", "ms/s", self.cpu.Seconds()*1e3/s)
-	r.note("lab: resident", "MB", float64(self.rss)/1e6)
-	r.note("hollow proxy: processor, heartbeats counted in", "ms/s", self.cpu.Seconds()*1e3/s/n)
-	r.note("hollow proxy: received on links", "KB/s", float64(self.read-beats.read)/1e3/s/n)
-	r.note("hollow proxy: sent on links", "KB/s", float64(self.written-beats.written)/1e3/s/n)
-	r.note("hollow proxy: writes", "1/s", float64(self.writes-beats.writes)/s/n)
-	r.note("hollow proxy: new views", "1/s", float64(b.views-a.views)/s/n)
-	r.note("hollow proxy: datagrams sent", "1/s", float64(b.datagrams-a.datagrams)/s/n)
-	r.note("hollow proxy: datagrams sent", "KB/s", float64(b.dataBytes-a.dataBytes)/1e3/s/n)
-	r.note("heartbeats taken", "1/s", float64(b.heartbeatCount-a.heartbeatCount)/s)
+	r.add("lab: processor, proxies and endpoints", "ms/s", self.cpu.Seconds()*1e3/s)
+	r.add("lab: resident", "MB", float64(self.rss)/1e6)
+	r.add("hollow proxy: processor, heartbeats counted in", "ms/s", self.cpu.Seconds()*1e3/s/n)
+	r.add("hollow proxy: received on links", "KB/s", float64(self.read-beats.read)/1e3/s/n)
+	r.add("hollow proxy: sent on links", "KB/s", float64(self.written-beats.written)/1e3/s/n)
+	r.add("hollow proxy: writes", "1/s", float64(self.writes-beats.writes)/s/n)
+	r.add("hollow proxy: new views", "1/s", float64(b.views-a.views)/s/n)
+	r.add("hollow proxy: datagrams sent", "1/s", float64(b.datagrams-a.datagrams)/s/n)
+	r.add("hollow proxy: datagrams sent", "KB/s", float64(b.dataBytes-a.dataBytes)/1e3/s/n)
+	r.add("heartbeats taken", "1/s", float64(b.heartbeatCount-a.heartbeatCount)/s)
 	count := max(1, float64(b.heartbeatCount-a.heartbeatCount))
-	r.note("a heartbeat on the wire, both ways", "B", float64(beats.read+beats.written)/count)
+	r.add("a heartbeat on the wire, both ways", "B", float64(beats.read+beats.written)/count)
 	return nil
 }
 
-// put sends the next configuration, and returns how long its acknowledgement took.
+// put sends the next configuration and returns how long its acknowledgement took and when it came.
 func (r *rig) put(ctx context.Context) (took time.Duration, acked time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxPut)
 	defer cancel()
@@ -345,21 +346,22 @@
 	return acked.Sub(began), acked, nil
 }
 
-// forget drops sightings of before.
-func (f *proxies) forget() {
-	for len(f.sightings) > 0 {
-		<-f.sightings
+// discard discards pending observations.
+func (f *proxies) discard() {
+	for len(f.observations) > 0 {
+		<-f.observations
 	}
 }
 
-// seen waits until all have seen something, and returns when each did; the last ones may be missing.
-func (f *proxies) seen(ctx context.Context, most time.Duration, is func(sighting) bool) (at []time.Time) {
-	t := time.NewTimer(most)
+// await waits until all proxies have made a matching observation, at most for limit, and returns when each one did. Proxies
+// that did not are missing.
+func (f *proxies) await(ctx context.Context, limit time.Duration, matches func(observation) bool) (at []time.Time) {
+	t := time.NewTimer(limit)
 	defer t.Stop()
 	for len(at) < len(f.all) {
 		select {
-		case s := <-f.sightings:
-			if is(s) {
+		case s := <-f.observations:
+			if matches(s) {
 				at = append(at, s.at)
 			}
 		case <-t.C:
@@ -371,7 +373,7 @@
 	return at
 }
 
-// delays are those after a moment, 0 for what came before.
+// delays returns the times after from in milliseconds, 0 for earlier ones.
 func delays(from time.Time, at []time.Time) (out []float64) {
 	for _, t := range at {
 		out = append(out, max(0, t.Sub(from).Seconds()*1e3))
@@ -394,13 +396,13 @@
 	return slices.Max(v)
 }
 
-// changes changes the configuration at a pace, and notes when each change is in force and what all changes cost.
+// changes changes the configuration repeatedly, and adds figures for when each change is in force and what a change costs.
 func (r *rig) changes(ctx context.Context) error {
 	quiet, err := r.read()
 	if err != nil {
 		return err
 	}
-	wait.For(ctx, calm)
+	wait.For(ctx, settle)
 	before, err := r.read()
 	if err != nil {
 		return err
@@ -408,19 +410,19 @@
 	if err := r.change(ctx); err != nil {
 		return err
 	}
-	wait.For(ctx, calm/2) // what follows on a change
+	wait.For(ctx, settle/2) // includes the work that follows the last change
 	after, err := r.read()
 	if err != nil {
 		return err
 	}
-	r.noteCosts(quiet, before, after)
+	r.addCosts(quiet, before, after)
 	return nil
 }
 
-// change changes the configuration at a pace, and notes when each change was acknowledged and in force.
+// change changes the configuration every ChangeEvery, and adds figures for when each change was acknowledged and in force.
 func (r *rig) change(ctx context.Context) error {
-	r.proxies.forget()
-	var acks, after, whole []float64
+	r.proxies.discard()
+	var acks, after, total []float64
 	missing := 0
 	for range r.options.Changes {
 		began := time.Now()
@@ -429,95 +431,95 @@
 			return err
 		}
 		version := r.version
-		at := r.proxies.seen(ctx, maxInForce, func(s sighting) bool { return s.version == version })
+		at := r.proxies.await(ctx, maxInForce, func(s observation) bool { return s.version == version })
 		missing += len(r.proxies.all) - len(at)
 		acks = append(acks, took.Seconds()*1e3)
 		after = append(after, delays(acked, at)...)
-		whole = append(whole, worst(delays(began, at)))
+		total = append(total, worst(delays(began, at)))
 		wait.For(ctx, time.Until(began.Add(r.options.ChangeEvery)))
 	}
-	r.note("change: acknowledged after, median", "ms", median(acks))
-	r.note("change: acknowledged after, worst", "ms", worst(acks))
-	r.note("change: in force after the 200, median", "ms", median(after))
-	r.note("change: in force after the 200, worst", "ms", worst(after))
-	r.note("change: in force at all after it was sent, worst", "ms", worst(whole))
-	r.note("change: not seen in force", "", float64(missing))
+	r.add("change: acknowledged after, median", "ms", median(acks))
+	r.add("change: acknowledged after, worst", "ms", worst(acks))
+	r.add("change: in force after the 200, median", "ms", median(after))
+	r.add("change: in force after the 200, worst", "ms", worst(after))
+	r.add("change: in force at all after it was sent, worst", "ms", worst(total))
+	r.add("change: not seen in force", "", float64(missing))
 	return nil
 }
 
-// noteCosts notes what one change costs between the readings before and after: beyond what the same time costs
-// without any, which is taken from the readings quiet and before.
-func (r *rig) noteCosts(quiet, before, after reading) {
+// addCosts adds figures for the cost of one change. It takes the usage between the readings before and after and subtracts the
+// usage of the same time without changes, which it extrapolates from the readings quiet and before.
+func (r *rig) addCosts(quiet, before, after reading) {
 	cost := func(used func(from, to reading) float64) float64 {
-		rest := used(quiet, before) * after.at.Sub(before.at).Seconds() / before.at.Sub(quiet.at).Seconds()
-		return max(0, used(before, after)-rest) / float64(r.options.Changes)
+		baseline := used(quiet, before) * after.at.Sub(before.at).Seconds() / before.at.Sub(quiet.at).Seconds()
+		return max(0, used(before, after)-baseline) / float64(r.options.Changes)
 	}
 	for _, role := range []cluster.Role{cluster.Keeper, cluster.Proxy, cluster.Store} {
 		mean := func(value func(usage) float64) float64 {
 			return cost(func(from, to reading) float64 {
-				used, _ := spent(from, to, role)
+				used, _ := usageBetween(from, to, role)
 				return value(used)
 			})
 		}
 		name := "change: a " + string(role) + "'s "
-		r.note(name+"processor", "ms", mean(func(u usage) float64 { return u.cpu.Seconds() * 1e3 }))
-		r.note(name+"received", "KB", mean(func(u usage) float64 { return float64(u.read) / 1e3 }))
-		r.note(name+"sent", "KB", mean(func(u usage) float64 { return float64(u.written) / 1e3 }))
+		r.add(name+"processor", "ms", mean(func(u usage) float64 { return u.cpu.Seconds() * 1e3 }))
+		r.add(name+"received", "KB", mean(func(u usage) float64 { return float64(u.read) / 1e3 }))
+		r.add(name+"sent", "KB", mean(func(u usage) float64 { return float64(u.written) / 1e3 }))
 	}
-	keeper, _ := spent(before, after, cluster.Keeper)
-	r.note("change: a keeper's resident, the largest", "MB", float64(keeper.rss)/1e6)
+	keeper, _ := usageBetween(before, after, cluster.Keeper)
+	r.add("change: a keeper's resident, the largest", "MB", float64(keeper.rss)/1e6)
 	n := float64(len(r.proxies.all))
-	r.note("change: a hollow proxy's processor", "ms", cost(func(from, to reading) float64 {
+	r.add("change: a hollow proxy's processor", "ms", cost(func(from, to reading) float64 {
 		return to.self.sub(from.self).cpu.Seconds() * 1e3
 	})/n)
-	r.note("change: a hollow proxy's received", "KB", cost(func(from, to reading) float64 {
+	r.add("change: a hollow proxy's received", "KB", cost(func(from, to reading) float64 {
 		return float64(to.self.sub(from.self).read-to.heartbeats.sub(from.heartbeats).read) / 1e3
 	})/n)
 }
 
-// drains has endpoints report that they drain.
+// drains measures how long after its acknowledgement all proxies know that an endpoint drains.
 func (r *rig) drains(ctx context.Context) error {
 	var after []float64
 	missing := 0
 	for i := range min(drains, len(r.endpoints.all)) {
 		e := r.endpoints.all[i*len(r.endpoints.all)/drains]
 		r.proxies.watch.Store(&leaving{e.service, e.id})
-		r.proxies.forget()
+		r.proxies.discard()
 		acked, err := r.endpoints.drain(ctx, e)
 		if err != nil {
 			return err
 		}
-		at := r.proxies.seen(ctx, maxDrain, func(s sighting) bool { return s.left == e.id })
+		at := r.proxies.await(ctx, maxDrain, func(s observation) bool { return s.left == e.id })
 		missing += len(r.proxies.all) - len(at)
 		after = append(after, delays(acked, at)...)
-		wait.For(ctx, calm/4)
+		wait.For(ctx, settle/4)
 	}
 	r.proxies.watch.Store(nil)
-	r.note("drain: known after its acknowledgement, median", "ms", median(after))
-	r.note("drain: known after its acknowledgement, worst", "ms", worst(after))
-	r.note("drain: not known", "", float64(missing))
+	r.add("drain: known after its acknowledgement, median", "ms", median(after))
+	r.add("drain: known after its acknowledgement, worst", "ms", worst(after))
+	r.add("drain: not known", "", float64(missing))
 	return nil
 }
 
-// loss kills a keeper.
-func (r *rig) loss(ctx context.Context) error {
+// loseKeeper kills a keeper and measures how long it takes until all proxies are attached twice again.
+func (r *rig) loseKeeper(ctx context.Context) error {
 	if err := r.cluster.Find(cluster.Keeper, 0).Kill(); err != nil {
 		return err
 	}
 	began := time.Now()
 	all := len(r.proxies.all)
-	await(ctx, calm, func() bool { return r.proxies.attachedTwice() < all })
+	await(ctx, settle, func() bool { return r.proxies.attachedTwice() < all })
 	if !await(ctx, maxAttach, func() bool { return r.proxies.attachedTwice() == all }) {
-		r.options.Logf("%d of %d are attached twice %v after a keeper's loss", r.proxies.attachedTwice(), all, maxAttach)
+		r.options.Logf("%d of %d proxies are attached twice %v after the loss of a keeper", r.proxies.attachedTwice(), all, maxAttach)
 	}
-	r.note("keeper lost: all attached twice after", "s", time.Since(began).Seconds())
-	r.note("heartbeats that nobody took", "", float64(r.endpoints.missed.Load()))
+	r.add("keeper lost: all attached twice after", "s", time.Since(began).Seconds())
+	r.add("heartbeats that nobody took", "", float64(r.endpoints.rejected.Load()))
 	return nil
 }
 
-// Print writes the figures and their slopes for people.
+// Print writes a human-readable table of the figures and their slopes.
 func (r Report) Print(w io.Writer) error {
-	fmt.Fprintf(w, "configurations of %d bytes; load of the machine before: %s\n\n", r.Config, r.Load)
+	fmt.Fprintf(w, "configuration size %d bytes; load average before the measurement: %s\n\n", r.Config, r.Load)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, row := range r.rows() {
 		fmt.Fprintln(t, strings.Join(row, "\t")+"\t")
@@ -525,7 +527,7 @@
 	return t.Flush()
 }
 
-// CSV writes the same as values separated by commas.
+// CSV writes the same table as comma-separated values.
 func (r Report) CSV(w io.Writer) error {
 	out := csv.NewWriter(w)
 	if err := out.WriteAll(r.rows()); err != nil {
@@ -534,7 +536,7 @@
 	return out.Error()
 }
 
-// rows returns the table of the figures: a head, then one row a figure.
+// rows returns the table of the figures: a header, then one row per figure.
 func (r Report) rows() (rows [][]string) {
 	head := []string{"figure", "unit"}
 	for _, s := range r.Sizes {
--- a/internal/lab/tier/hollow/hollow_test.go
+++ b/internal/lab/tier/hollow/hollow_test.go
@@ -14,7 +14,7 @@
 	"dunetide/internal/control/operatorconfig"
 )
 
-func TestFitFindsAPlane(t *testing.T) {
+func TestFitFindsALinearModel(t *testing.T) {
 	plane := func(s Size) float64 { return 7 + 2*float64(s.Proxies) + 0.5*float64(s.Endpoints) }
 	for _, c := range []struct {
 		name  string
@@ -27,7 +27,7 @@
 		{"endpoints vary", []Size{{50, 100}, {50, 600}}, fit{107, 0, 0.5}, true},
 		{"too few sizes", []Size{{50, 100}, {100, 600}}, fit{}, false},
 		{"one size", []Size{{50, 100}}, fit{}, false},
-		{"they grow alike", []Size{{50, 100}, {100, 200}, {200, 400}, {400, 800}}, fit{}, false},
+		{"both vary in proportion", []Size{{50, 100}, {100, 200}, {200, 400}, {400, 800}}, fit{}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var values []float64
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestUsageIsRead(t *testing.T) {
+func TestUsageIsParsed(t *testing.T) {
 	stat := "12 (a ) b) S 1 1 1 0 -1 4194560 500 0 0 0 150 50 0 0 20 0 8 0 100 1000000 256 18446744073709551615 1"
 	io := "rchar: 1000\nwchar: 2000\nsyscr: 3\nsyscw: 4\nread_bytes: 0\nwrite_bytes: 0\ncancelled_write_bytes: 0\n"
 	u, err := parseUsage([]byte(stat), []byte(io))
@@ -58,7 +58,7 @@
 		t.Errorf("%+v", u)
 	}
 	if _, err := parseUsage([]byte("12 (a) S 1"), nil); err == nil {
-		t.Error("a line that was cut is taken")
+		t.Error("a truncated line is accepted")
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestASmallSizeIsMeasured runs real keepers and stores; it asks only for what holds at any load.
+// TestASmallSizeIsMeasured runs real keepers and stores. It checks only what holds at any load of the machine.
 func TestASmallSizeIsMeasured(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "dunetide")
 	if out, err := exec.Command("go", "build", "-o", program, "dunetide/cmd/dunetide").CombinedOutput(); err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// BenchmarkParse is what a process spends on reading a configuration of 230 tenants and 22 models.
+// BenchmarkParse measures parsing a configuration of 230 tenants and 22 models.
 func BenchmarkParse(b *testing.B) {
 	text := configuration(1, 230, 22)
 	b.ReportAllocs()
--- a/internal/lab/tier/hollow/proc.go
+++ b/internal/lab/tier/hollow/proc.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// ticks is the kernel's USER_HZ, which is 100 wherever Go runs on Linux.
+// ticks is the kernel's USER_HZ, which is 100 on all Linux platforms that Go supports.
 const ticks = 100
 
-// usage is what a process has used so far.
+// usage is the resource usage of a process so far.
 type usage struct {
 	cpu     time.Duration
 	rss     int64
-	read    int64 // bytes of read(2): streams and files; datagrams are not among them
-	written int64 // bytes of write(2)
+	read    int64 // bytes read by read(2) from streams and files, without datagrams
+	written int64 // bytes written by write(2)
 	writes  int64 // calls of write(2)
 }
 
-// sub returns what was used since an earlier reading. The memory is that of now.
+// sub returns the usage since an earlier reading. The memory is the current one.
 func (u usage) sub(v usage) usage {
 	return usage{u.cpu - v.cpu, u.rss, u.read - v.read, u.written - v.written, u.writes - v.writes}
 }
 
-// usageOf reads what a process has used.
+// usageOf returns the resource usage of a process.
 func usageOf(pid int) (usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(dir + "stat")
@@ -42,11 +42,11 @@
 
 // parseUsage reads the files stat and io of a process in /proc.
 func parseUsage(stat, io []byte) (u usage, err error) {
-	// The name of the program is in parentheses and may hold anything; the numbers begin behind it.
+	// The program name is in parentheses and may contain any character, so the numbers begin after the last parenthesis.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	const utime, stime, rss = 11, 12, 21
 	if len(fields) <= rss {
-		return u, fmt.Errorf("a line of %d fields instead of a process's state", len(fields))
+		return u, fmt.Errorf("invalid /proc/PID/stat: only %d fields after the program name", len(fields))
 	}
 	number := func(s string) int64 {
 		n, failed := strconv.ParseInt(s, 10, 64)
--- a/internal/lab/tier/hollow/proxy.go
+++ b/internal/lab/tier/hollow/proxy.go
@@ -17,44 +17,44 @@
 	"dunetide/internal/control/snapshot"
 )
 
-// startEvery is between the starts of proxies.
+// startEvery is the interval between the starts of proxies.
 const startEvery = 50 * time.Millisecond
 
-// proxy is attached to keepers and has its place in membership as a proxy has; it serves nobody.
+// proxy is a hollow proxy: it is attached to keepers and is a member of the cluster, but serves no clients.
 type proxy struct {
 	client  *controlclient.Client
 	members *membership.Service
 	latest  snapshot.Latest
 	fleet   *proxies
-	// version and left are what was observed last, so that each is reported once.
+	// version and left are the newest observations, so that each is reported once.
 	version uint64
 	left    string
 }
 
-// proxies are all of them, and what they see.
+// proxies has all hollow proxies and their observations.
 type proxies struct {
-	wg        sync.WaitGroup
-	cancel    context.CancelFunc
-	all       []*proxy
-	views     atomic.Int64 // snapshots that were made
-	watch     atomic.Pointer[leaving]
-	sightings chan sighting
+	wg           sync.WaitGroup
+	cancel       context.CancelFunc
+	all          []*proxy
+	views        atomic.Int64 // number of snapshots received
+	watch        atomic.Pointer[leaving]
+	observations chan observation
 }
 
-// leaving is the endpoint whose end is looked for.
+// leaving identifies the draining endpoint that the proxies watch for.
 type leaving struct{ service, id string }
 
-// sighting says that one proxy has a configuration in force, or knows that an endpoint leaves.
-type sighting struct {
+// observation reports that a proxy has a new configuration in force, or knows that the watched endpoint drains.
+type observation struct {
 	at      time.Time
-	version uint64
-	left    string
+	version uint64 // 0 if no new configuration
+	left    string // ID of the endpoint, if any
 }
 
-// startProxies starts so many, spread over the zones, each with an address of its own.
+// startProxies starts n proxies, distributed over the zones, each with its own address.
 func startProxies(n int, zones, seeds []string) (*proxies, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &proxies{cancel: cancel, sightings: make(chan sighting, 16*(n+1))}
+	f := &proxies{cancel: cancel, observations: make(chan observation, 16*(n+1))}
 	for i := range n {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 100+byte(i/200), 1+byte(i%200))})
 		if err != nil {
@@ -89,17 +89,17 @@
 			KnownKeepers:  p.keepers,
 			WantEndpoints: true,
 			Snapshots:     &p.latest,
-			OnSnapshot:    p.changed,
+			OnSnapshot:    p.onSnapshot,
 			Log:           hclog.NewNullLogger(),
 		})
 		f.all = append(f.all, p)
 		f.wg.Go(func() { p.client.Run(ctx) })
-		time.Sleep(startEvery) // they share processors that real ones would not
+		time.Sleep(startEvery) // hollow proxies share processors, which real ones would not
 	}
 	return f, nil
 }
 
-// close ends all proxies and waits for their goroutines.
+// close stops all proxies and waits for their goroutines.
 func (f *proxies) close() {
 	f.cancel()
 	f.wg.Wait()
@@ -122,10 +122,10 @@
 	return nodes
 }
 
-// changed is called one snapshot at a time.
-func (p *proxy) changed(s *snapshot.Snapshot) {
+// onSnapshot reports observations from a new snapshot. Calls do not overlap.
+func (p *proxy) onSnapshot(s *snapshot.Snapshot) {
 	p.fleet.views.Add(1)
-	found := sighting{at: time.Now()}
+	found := observation{at: time.Now()}
 	if s.Config != nil && s.Config.Version > p.version {
 		p.version, found.version = s.Config.Version, s.Config.Version
 	}
@@ -141,12 +141,12 @@
 		return
 	}
 	select {
-	case p.fleet.sightings <- found:
-	default: // nobody looks: it is counted as not seen
+	case p.fleet.observations <- found:
+	default: // the buffer is full, so the observation counts as missing
 	}
 }
 
-// converged reports whether all are attached twice and know as many endpoints as there are.
+// converged reports whether all proxies are attached twice, have a configuration and know the given number of endpoints.
 func (f *proxies) converged(endpoints int) bool {
 	for _, p := range f.all {
 		s := p.latest.Get()
@@ -164,7 +164,7 @@
 	return true
 }
 
-// attachedTwice counts those that hold two links.
+// attachedTwice returns the number of proxies with connections to at least two keepers.
 func (f *proxies) attachedTwice() (n int) {
 	for _, p := range f.all {
 		if len(p.client.KeeperConns()) >= 2 {
@@ -174,7 +174,7 @@
 	return n
 }
 
-// datagrams are the membership messages sent so far.
+// datagrams returns the number and the total size of the membership messages sent so far.
 func (f *proxies) datagrams() (n, size uint64) {
 	for _, p := range f.all {
 		s := p.members.Stats()
--- a/internal/lab/tier/hollow/slopes.go
+++ b/internal/lab/tier/hollow/slopes.go
@@ -2,11 +2,12 @@
 
 import "gonum.org/v1/gonum/mat"
 
-// fit is a figure as a plane over sizes: at nothing, and for each proxy and endpoint more.
+// fit is a linear model of a figure over sizes: its value without any proxies and endpoints, and its increase per proxy and per
+// endpoint.
 type fit struct{ Base, Proxy, Endpoint float64 }
 
-// fitOf is the least squares fit; what does not vary over the sizes has no slope. ok is false where
-// there are fewer sizes than unknowns.
+// fitOf returns the least-squares fit. A number that does not vary over the sizes gets the slope 0. ok is false if nothing
+// varies, if there are fewer sizes than unknowns, or if proxies and endpoints vary in proportion.
 func fitOf(sizes []Size, values []float64) (f fit, ok bool) {
 	var proxies, endpoints bool
 	for _, s := range sizes {
@@ -31,7 +32,7 @@
 			a.Set(i, j, column(s))
 		}
 	}
-	if err := x.SolveVec(a, b); err != nil { // proxies and endpoints grew alike
+	if err := x.SolveVec(a, b); err != nil { // proxies and endpoints vary in proportion
 		return fit{}, false
 	}
 	for j, to := range into {
