--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -24,7 +24,7 @@
 	rollSteps    = 6
 	twinWait     = 3 * time.Second
 	secondTerm   = 150 * time.Millisecond
-	cutFirst     = 200 * time.Millisecond // lets the machine be cut off before an endpoint reports to it
+	cutFirst     = 200 * time.Millisecond // delay of an endpoint that reports to a machine, so that the machine is cut off before
 	stallEvery   = 40 * time.Millisecond
 	maxStalled   = 60
 )
--- a/internal/lab/tier/cluster/cluster.go
+++ b/internal/lab/tier/cluster/cluster.go
@@ -40,7 +40,7 @@
 	Survive           int    // machines whose simultaneous loss the tier must survive; 0 means 1
 }
 
-// Role of a process.
+// Role is the role of a process.
 type Role string
 
 // The roles.
--- a/internal/lab/tier/engine/engine.go
+++ b/internal/lab/tier/engine/engine.go
@@ -25,7 +25,7 @@
 	Zone     string
 	Capacity int
 	Queue    int // requests that may wait beyond the capacity
-	MaxConns int // from all callers; 0: no limit
+	MaxConns int // from all callers; 0 means no limit
 	Runs     *Runs
 
 	// Work is how long a plain endpoint works on a request; 0 makes this a model endpoint.
