--- a/cmd/deliverynode/build_test.go
+++ b/cmd/deliverynode/build_test.go
@@ -27,8 +27,8 @@
 	out := t.TempDir() + "/"
 	build := exec.Command("sh", "-c", strings.ReplaceAll(keys["build"], "-o bin/", "-o "+out))
 	build.Dir = root
-	if said, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%s: %v\n%s", keys["build"], err, said)
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%s: %v\n%s", keys["build"], err, output)
 	}
 	f, err := elf.Open(out + "deliverynode")
 	must(t, err)
--- a/cmd/deliverynode/console_test.go
+++ b/cmd/deliverynode/console_test.go
@@ -48,7 +48,7 @@
 		"pools, path":    {"GET", "/ops/pools/s1", "", 404},
 		"nothing":        {"PUT", "/ops/endpoints/down", "", 400},
 		"no JSON":        {"PUT", "/ops/endpoints/down", "host=s1", 400},
-		"half of it":     {"PUT", "/ops/endpoints/down", `{"host":"s1"`, 400},
+		"cut short":      {"PUT", "/ops/endpoints/down", `{"host":"s1"`, 400},
 		"more than one":  {"PUT", "/ops/endpoints/down", `{"host":"s1"}{"host":"s1"}`, 400},
 		"no object":      {"PUT", "/ops/endpoints/down", `["s1"]`, 400},
 		"no id":          {"PUT", "/ops/endpoints/down", `{"hosts":"s1"}`, 400},
@@ -105,7 +105,7 @@
 	must(t, err)
 	defer resp.Body.Close()
 	if allow := resp.Header.Get("Allow"); allow != http.MethodGet {
-		t.Errorf("Allow says %q", allow)
+		t.Errorf("Allow is %q", allow)
 	}
 }
 
--- a/cmd/deliverynode/copies_test.go
+++ b/cmd/deliverynode/copies_test.go
@@ -222,7 +222,7 @@
 		{name: "too many", flags: append(slices.Clone(fleetOnly), "-copies", "4"), wants: "between 1 and 3"},
 		{name: "no part in the file", text: strings.Replace(string(good), `,"copies":{}`, "", 1), wants: `a part "copies"`},
 		{name: "no leases", text: string(regexp.MustCompile(`"leases":\{[^}]*\},`).ReplaceAll(good, nil)), wants: "copies need leases"},
-		{name: "a word that is none", text: strings.Replace(string(good), `"copies":{}`, `"copies":{"mode":"during"}`, 1), wants: `mode "during"`},
+		{name: "an invalid mode", text: strings.Replace(string(good), `"copies":{}`, `"copies":{"mode":"during"}`, 1), wants: `mode "during"`},
 		{name: "a group", flags: append(slices.Clone(n.flags), "-group", "2"), wants: "neither -group"},
 		{name: "too small a disk", disk: 3, wants: "limits.disk_mb leaves"},
 	} {
--- a/cmd/deliverynode/fleet_test.go
+++ b/cmd/deliverynode/fleet_test.go
@@ -265,7 +265,7 @@
 		{"own name missing", strings.Replace(string(good), `"n0"`, `"x"`, 1), `"n0", is not in it`},
 		{"no seed", strings.Replace(string(good), `"seed":true`, `"seed":false`, 1), "no node is a seed"},
 		{"two at one address", strings.Replace(string(good), r.net.Address(1).String(), r.net.Address(0).String(), 1), "are both at"},
-		{"its address is taken", strings.Replace(string(good), r.net.Listen(0).String(), r.net.Address(0).String(), 1), "address already in use"},
+		{"its address is in use", strings.Replace(string(good), r.net.Listen(0).String(), r.net.Address(0).String(), 1), "address already in use"},
 	} {
 		if c.text == "" {
 			must(t, os.Remove(r.file))
@@ -407,10 +407,10 @@
 		{"garbage", []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), "", func(t fleet.Traffic) int64 { return t.Strangers }},
 		{"nothing", nil, "", func(t fleet.Traffic) int64 { return t.Strangers }},
 		{"a frame of 2^31 bytes", huge, "", func(t fleet.Traffic) int64 { return t.Spoilt }},
-		{"a frame that does not check", append(other(1, 1, 2, "test"), 0, 0, 0, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9), "", func(t fleet.Traffic) int64 { return t.Spoilt }},
+		{"a frame with a wrong checksum", append(other(1, 1, 2, "test"), 0, 0, 0, 1, 1, 2, 3, 4, 5, 6, 7, 8, 9), "", func(t fleet.Traffic) int64 { return t.Spoilt }},
 		{"another fleet", other(1, 1, 2, "another"), "another fleet", func(t fleet.Traffic) int64 { return t.Strangers }},
 		{"a later version", other(2, 7, 2, "test"), "it speaks versions 2 to 7, this node 1 to 1", func(t fleet.Traffic) int64 { return t.Versions }},
-		{"a purpose of later", other(1, 9, 7, "test"), "purpose 7", func(t fleet.Traffic) int64 { return t.Strangers }},
+		{"an unknown purpose", other(1, 9, 7, "test"), "purpose 7", func(t fleet.Traffic) int64 { return t.Strangers }},
 	} {
 		before := c.counts(r.view(0).Traffic)
 		conn, err := net.Dial("tcp", to)
--- a/cmd/deliverynode/group_test.go
+++ b/cmd/deliverynode/group_test.go
@@ -381,19 +381,19 @@
 		return p.start()
 	}
 	n := alone()
-	refused("a member beside a process alone", "in use by a process that is in no group", "-group", "2")
+	refused("a member beside a single process", "in use by a process that is in no group", "-group", "2")
 	n.killed(t)
 	refused("too many", "it has to be between 1 and 8", "-group", "9")
-	refused("less than none", "it has to be between", "-group", "-1")
+	refused("a negative number", "it has to be between", "-group", "-1")
 	refused("more journals than the disk holds", "8 members need 9 journals", "-group", "8")
 	p.flags = []string{"-group", "2"}
 	p.answer = func(string) int { return 0 }
 	n = p.start()
 	p.submitUntilAccepted("s1", 25*time.Second)
 	p.eventually("the call", func() bool { return p.calls["s1"] == 1 })
-	refused("a process alone beside a member", "in use")
+	refused("a single process beside a member", "in use")
 	n.killed(t)
-	refused("a process alone where a group owes", "holds 1 messages of a group")
+	refused("a single process on a folder with messages of a group", "holds 1 messages of a group")
 	p.set(func() { p.answer = func(string) int { return http.StatusOK } })
 	p.flags = []string{"-group", "2"}
 	http.DefaultClient.CloseIdleConnections()
--- a/cmd/deliverynode/upgrade_test.go
+++ b/cmd/deliverynode/upgrade_test.go
@@ -315,8 +315,8 @@
 			if err := n.wait(t); err == nil {
 				t.Fatal("the node started")
 			}
-			if said := n.log.String(); strings.Count(said, "\n") != 1 || !strings.Contains(said, "PROXY_ACCEPT_FD") {
-				t.Errorf("log %q", said)
+			if output := n.log.String(); strings.Count(output, "\n") != 1 || !strings.Contains(output, "PROXY_ACCEPT_FD") {
+				t.Errorf("log %q", output)
 			}
 		})
 	}
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -106,7 +106,7 @@
 				got[m.ID] = m
 			}
 			if len(got) != 7+start || got["id5"] != nil || got["id7"] != nil || len(got["id3"].Body) != 5000 || got["id3"].Dest != 3 {
-				t.Fatalf("sync %v, start %d: owed %d", sync, start, len(got))
+				t.Fatalf("sync %v, start %d: %d live messages", sync, start, len(got))
 			}
 			for id, run := range map[string]bool{"id0": false, "id1": true, "id2": false, "id3": true, "id4": true, "id8": false} {
 				if got[id].Past.MayRun != run {
@@ -212,7 +212,7 @@
 	}{
 		"sound":            {func(*testing.T, string) {}, false, 12, 0},
 		"zeros at the end": {func(t *testing.T, dir string) { t.Helper(); appendToSegment(t, dir, 4, make([]byte, 5000)) }, false, 12, 0},
-		"absurd length": {func(t *testing.T, dir string) {
+		"invalid length": {func(t *testing.T, dir string) {
 			t.Helper()
 			appendToSegment(t, dir, 4, append(binary.LittleEndian.AppendUint32(nil, 1<<31), make([]byte, 8)...))
 		}, true, 12, 1},
@@ -220,8 +220,8 @@
 			t.Helper()
 			appendToSegment(t, dir, 4, bytes.Repeat([]byte("garbage"), 99))
 		}, true, 12, 1},
-		"half a record":        {func(t *testing.T, dir string) { t.Helper(); shortenSegment(t, dir, 4, 7) }, false, 11, 0},
-		"half a middle record": {func(t *testing.T, dir string) { t.Helper(); shortenSegment(t, dir, 2, 7) }, true, 11, 1},
+		"a partial record":               {func(t *testing.T, dir string) { t.Helper(); shortenSegment(t, dir, 4, 7) }, false, 11, 0},
+		"a partial record in the middle": {func(t *testing.T, dir string) { t.Helper(); shortenSegment(t, dir, 2, 7) }, true, 11, 1},
 		"missing in the middle": {func(t *testing.T, dir string) { t.Helper(); must(t, os.Remove(filepath.Join(dir, segmentPath(2)))) },
 			true, 9, 0},
 		"two missing": {func(t *testing.T, dir string) {
@@ -246,7 +246,7 @@
 			t.Helper()
 			must(t, os.Truncate(filepath.Join(dir, segmentPath(3)), 1<<40))
 		}, true, 9, 0},
-		"a checkpoint begun": {func(t *testing.T, dir string) {
+		"unfinished checkpoint": {func(t *testing.T, dir string) {
 			t.Helper()
 			must(t, os.WriteFile(filepath.Join(dir, checkpointName), []byte("wingj"), 0o600))
 		}, false, 12, 0},
@@ -269,7 +269,7 @@
 	report, err := Check(vfs.Dir(dir), MinDisk)
 	must(t, err)
 	if report.Damaged() != damaged || report.Owed != owedThen {
-		t.Errorf("damaged %v and %d owed, want %v and %d: %+v", report.Damaged(), report.Owed, damaged, owedThen, report.Problems)
+		t.Errorf("damaged %v and %d live messages, want %v and %d: %+v", report.Damaged(), report.Owed, damaged, owedThen, report.Problems)
 	}
 	first := ""
 	for start := range 2 {
@@ -281,7 +281,7 @@
 			t.Errorf("the second start found %s and %+v, the first %s", second, j.recovery.report.Problems, first)
 		}
 		if len(owed) != owedThen || len(j.damagedCopies) != damagedCopies {
-			t.Errorf("%d owed and %d copies of damaged segments, want %d and %d", len(owed), len(j.damagedCopies), owedThen, damagedCopies)
+			t.Errorf("%d live messages and %d copies of damaged segments, want %d and %d", len(owed), len(j.damagedCopies), owedThen, damagedCopies)
 		}
 		must(t, j.Close())
 	}
@@ -464,7 +464,7 @@
 		j, owed, err := Open(Options{Folder: vfs.Dir(dir), Limit: MinDisk, Sync: true, Now: clock})
 		must(t, err)
 		if len(owed) != 1 || !owed[0].Past.MayRun || !owed[0].Deadline.Equal(m.Deadline.Truncate(time.Microsecond)) {
-			t.Errorf("jump %v: owed %+v", jump, owed)
+			t.Errorf("jump %v: live messages %+v", jump, owed)
 		}
 		must(t, j.Close())
 	}
@@ -536,7 +536,7 @@
 		t.Errorf("%v, want ErrNotDurable", err)
 	}
 	if s := j.Status(); s.Live != 0 {
-		t.Errorf("%d messages are owed", s.Live)
+		t.Errorf("%d live messages, want none", s.Live)
 	}
 	close(d.release)
 	must(t, j.Sync())
--- a/internal/deliverynode/journal/journal_test.go
+++ b/internal/deliverynode/journal/journal_test.go
@@ -80,7 +80,7 @@
 		got[m.ID] = m
 	}
 	if len(got) != 5 || got["done"] != nil {
-		t.Fatalf("owed %v, want all but done", got)
+		t.Fatalf("live messages %v, want all but done", got)
 	}
 	m := got["fresh"]
 	if string(m.Body) != string(fresh.Body) || m.Key != "k-fresh" || m.Dest != 7 || m.Past != (Past{}) ||
@@ -129,7 +129,7 @@
 			must(t, os.WriteFile(path, corrupt(data), 0o600))
 			j, owed := mustOpen(t, dir, MinDisk)
 			if len(owed) == 0 || owed[0].ID != "a" {
-				t.Fatalf("owed %v, want at least a", owed)
+				t.Fatalf("live messages %v, want at least a", owed)
 			}
 			must(t, j.Accept(newMessage("c", 100)))
 			must(t, j.Close())
@@ -214,7 +214,7 @@
 	must(t, os.WriteFile(filepath.Join(dir, "stranger"), []byte("x"), 0o600))
 	_, owed := mustOpen(t, dir, MinDisk)
 	if len(owed) != 1 || owed[0].ID != "b" {
-		t.Errorf("owed %v, want b", owed)
+		t.Errorf("live messages %v, want b", owed)
 	}
 }
 
@@ -295,7 +295,7 @@
 	must(t, j.Attempt(out, "e1", 1, at))
 	size := dirSize(t, dir)
 	if given := j.Release(); len(given) != 1 || given[0] != (AttemptOut{Message: out.Seq, Endpoint: "e1", At: at}) {
-		t.Errorf("released with the attempts %+v, want the one that is out", given)
+		t.Errorf("released with the attempts %+v, want the one in flight", given)
 	}
 	for name, err := range map[string]error{
 		"accept": j.Accept(newMessage("new", 1)), "attempt": j.Attempt(held, "e1", 1, at), "closed": j.Closed(held, "", at),
--- a/internal/deliverynode/journal/power_test.go
+++ b/internal/deliverynode/journal/power_test.go
@@ -392,7 +392,7 @@
 	found := map[string]*Message{}
 	for _, m := range owed {
 		if found[m.ID] != nil {
-			w.t.Errorf("%s: %s is owed twice", what, m.ID)
+			w.t.Errorf("%s: %s was restored twice", what, m.ID)
 		}
 		found[m.ID] = m
 		if isCharge(m.ID) && !m.Past.MayRun && m.Notice == nil && w.sent[m.ID] > 0 {
@@ -409,7 +409,7 @@
 	}
 	for name, out := range w.out {
 		if j.TakenOut(name) != out {
-			w.t.Errorf("%s: %s is out: %v, want %v", what, name, !out, out)
+			w.t.Errorf("%s: %s out of service: %v, want %v", what, name, !out, out)
 		}
 	}
 }
@@ -527,12 +527,12 @@
 // Each operation fails once, with the error of a full or a broken disk: the journal refuses messages, reports the failure, or
 // continues, and the next start restores the right messages.
 func TestFailureOfEachOperation(t *testing.T) {
-	whole := newDisk()
-	j, _, err := openSmall(whole, true)
+	reference := newDisk()
+	j, _, err := openSmall(reference, true)
 	must(t, err)
 	must(t, newObserved(t).script(j, workloads["checkpoints"]))
 	for _, fail := range []error{errors.New("no space left on device"), errors.New("input/output error")} {
-		for at := 1; at <= whole.ops; at++ {
+		for at := 1; at <= reference.ops; at++ {
 			d, w := newDisk(), newObserved(t)
 			d.failAt, d.fail, d.once = at, fail, true
 			j, _, err := openSmall(d, true)
