--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -1,5 +1,5 @@
-// Package agenda is the queue of events of a simulation, ordered by time. Events that are due at the same time
-// run in the order in which they were planned, so each run of a seed is the same.
+// Package agenda is the event queue of a simulation, ordered by time. Events due at the same time run in the order in which they
+// were scheduled, so every run of a seed is identical.
 package agenda
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Agenda is empty as it is.
+// Agenda is an event queue. The zero Agenda is empty and ready to use.
 type Agenda struct {
 	items items
 	seq   uint64
@@ -21,10 +21,10 @@
 
 type items []item
 
-// Len implements heap.Interface, as the methods that follow do.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (a items) Len() int { return len(a) }
 
-// Less orders by time, and by the order of addition at the same time.
+// Less orders by time, then by order of insertion.
 func (a items) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
@@ -44,13 +44,13 @@
 	return x
 }
 
-// At plans something.
+// At schedules do to run at time t.
 func (a *Agenda) At(t time.Duration, do func()) {
 	a.seq++
 	heap.Push(&a.items, item{t, a.seq, do})
 }
 
-// Next is when the next thing is due, if there is any.
+// Next returns the time of the next event, if there is one.
 func (a *Agenda) Next() (time.Duration, bool) {
 	if len(a.items) == 0 {
 		return 0, false
@@ -58,7 +58,7 @@
 	return a.items[0].at, true
 }
 
-// Pop takes out the next thing. There has to be one.
+// Pop removes and returns the next event. The queue must not be empty.
 func (a *Agenda) Pop() (at time.Duration, do func()) {
 	it := heap.Pop(&a.items).(item)
 	return it.at, it.do
--- a/internal/lab/faults/carrier.go
+++ b/internal/lab/faults/carrier.go
@@ -10,15 +10,15 @@
 
 const (
 	pieceSize = 16 << 10
-	// pieces bounds what waits on a connection, flying what is delayed of datagrams.
+	// pieces bounds the chunks that wait on a connection, flying the datagrams that are delayed.
 	pieces = 64
 	flying = 4096
 )
 
-// carrier carries out what a matrix says, whatever the bytes go over.
+// carrier applies the faults of a matrix to traffic, independent of the underlying transport.
 type carrier struct {
 	*Matrix
-	// passed counts, for each pair, bytes that were handed on.
+	// passed counts the bytes delivered for each pair.
 	passed []atomic.Int64
 
 	ctx context.Context
@@ -33,11 +33,11 @@
 	return c
 }
 
-// Passed is how many bytes were handed on from one node to another.
+// Passed returns the number of bytes delivered from one node to another.
 func (r *carrier) Passed(from, to int) int64 { return r.passed[from*r.size+to].Load() }
 
-// fly carries a datagram; deliver may be called later, more than once, or never.
-func (r *carrier) fly(from, to int, packet []byte, deliver func([]byte) error) {
+// sendDatagram delivers a datagram subject to the current fault. deliver may be called later, more than once, or never.
+func (r *carrier) sendDatagram(from, to int, packet []byte, deliver func([]byte) error) {
 	after, spoilt := r.Packet(from, to, len(packet))
 	for _, d := range after {
 		b := append([]byte(nil), packet...)
@@ -56,7 +56,7 @@
 		select {
 		case r.air <- struct{}{}:
 		default:
-			continue // more is on its way than a network holds
+			continue // drop: more datagrams are in flight than the network buffers
 		}
 		r.wg.Go(func() {
 			defer func() { <-r.air }()
@@ -71,7 +71,7 @@
 	}
 }
 
-// abort closes a connection without a word, as a reset.
+// abort closes a connection with a reset.
 func abort(conn net.Conn) {
 	if c, ok := conn.(interface{ SetLinger(int) error }); ok {
 		_ = c.SetLinger(0)
@@ -79,8 +79,8 @@
 	_ = conn.Close()
 }
 
-// carry hands on what a connection brings. One through a cut comes up, as the kernel accepts it,
-// and stands still before its first byte.
+// carry relays a connection. While the pair is cut, the connection is established, as the kernel accepts it, but stalls before its
+// first byte.
 func (r *carrier) carry(conn net.Conn, from, to int, dial func(context.Context) (net.Conn, error)) {
 	life, end := context.WithCancel(r.ctx)
 	defer end()
@@ -104,7 +104,7 @@
 	}
 	other, err := dial(life)
 	if err != nil {
-		abort(conn) // nobody is there
+		abort(conn) // connection refused
 		end()
 		return
 	}
@@ -123,7 +123,7 @@
 	return there.Cut || back.Cut
 }
 
-// piece is a part of a connection's bytes; none at its end.
+// piece is a chunk of a connection's bytes; empty data marks the end of the stream.
 type piece struct {
 	data []byte
 	at   time.Time
@@ -156,7 +156,7 @@
 	}
 }
 
-// write hands pieces on as the fault of the moment has it.
+// write writes chunks to the connection, subject to the current fault.
 func (r *carrier) write(life context.Context, end func(), conn, source net.Conn, in <-chan piece, from, to int) {
 	defer end()
 	sent := 0
@@ -190,7 +190,7 @@
 		}
 		f, _ := r.At(from, to)
 		if f.Swallow {
-			if len(p.data) == 0 { // nor is its end heard
+			if len(p.data) == 0 { // the end of the stream is swallowed too
 				<-life.Done()
 				return
 			}
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -1,6 +1,6 @@
-// Package faults injects faults into the network between the nodes of a fleet: a Fault for each directed
-// pair says what becomes of a datagram and of a connection's bytes, a Pattern sets many at once. Relays and
-// Hub inject them between real processes, Memory in a network within one process.
+// Package faults injects faults into the network between the nodes of a fleet. A Fault for each directed pair of nodes defines what
+// happens to datagrams and to the bytes of connections; a Pattern sets many pairs at once. Relays and Hub inject faults between real
+// processes, Memory in a network within one process.
 package faults
 
 import (
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// Fault is what happens on the way from one node to another. The zero one lets all pass.
+// Fault is the fault on the path from one node to another. The zero Fault lets all traffic pass.
 type Fault struct {
-	// Lose, Double, Reorder and Spoil are shares of the datagrams. Of a connection's pieces,
-	// those that would be lost come late by resendAfter, as by a retransmission, and Spoil
-	// holds for them too.
+	// Lose, Double, Reorder and Corrupt are the shares of datagrams that are lost, duplicated, reordered or corrupted. On
+	// connections, a chunk that Lose selects is delayed by resendAfter, as by a retransmission; Corrupt applies to chunks too,
+	// Double and Reorder do not.
 	Lose    float64 `toml:"lose" json:"lose,omitempty"`
 	Double  float64 `toml:"double" json:"double,omitempty"`
 	Reorder float64 `toml:"reorder" json:"reorder,omitempty"`
 	Corrupt float64 `toml:"spoil" json:"spoil,omitempty"`
-	// Delay and up to Jitter more, evenly drawn; a connection's bytes stay in order.
+	// Delay is the fixed delay; Jitter adds up to as much again, uniformly distributed. The bytes of a connection stay in order.
 	Delay  time.Duration `toml:"delay" json:"delay,omitempty"`
 	Jitter time.Duration `toml:"jitter" json:"jitter,omitempty"`
-	// Cut lets nothing pass. Connections stand still, and go on when it ends.
+	// Cut blocks all traffic. Connections stall, and resume when the cut ends.
 	Cut bool `toml:"cut" json:"cut,omitempty"`
-	// Swallow takes the bytes of connections and of datagrams for good, without a word.
+	// Swallow silently discards datagrams and the bytes of connections.
 	Swallow bool `toml:"swallow" json:"swallow,omitempty"`
-	// Reset breaks connections, each after so many further bytes; 0: it doesn't.
+	// Reset resets each connection after this many further bytes; 0 disables it.
 	Reset int `toml:"reset" json:"reset,omitempty"`
-	// Trickle lets so many bytes of a connection pass in a second; 0: any number.
+	// Trickle limits a connection to this many bytes per second; 0 means no limit.
 	Trickle int `toml:"trickle" json:"trickle,omitempty"`
 }
 
@@ -38,7 +38,7 @@
 	reorderBy   = 30 * time.Millisecond
 )
 
-// Matrix has a fault for each directed pair of nodes. It is safe for concurrent use.
+// Matrix holds a fault for each directed pair of nodes. It is safe for concurrent use.
 type Matrix struct {
 	mu      sync.Mutex
 	size    int
@@ -47,12 +47,12 @@
 	rand    *rand.Rand
 }
 
-// NewMatrix lets all pass between n nodes. Draws are by seed.
+// NewMatrix returns a matrix for n nodes without faults. The seed determines all random draws.
 func NewMatrix(n int, seed uint64) *Matrix {
 	return &Matrix{size: n, pairs: make([]Fault, n*n), changed: make(chan struct{}), rand: rand.New(rand.NewPCG(seed, 0xfa))}
 }
 
-// Set puts a fault on the way from one to another.
+// Set sets the fault on the path from one node to another.
 func (m *Matrix) Set(from, to int, f Fault) {
 	m.Change(func(a, b int, old Fault) Fault {
 		if a == from && b == to {
@@ -62,7 +62,7 @@
 	})
 }
 
-// Change goes through all pairs in one step.
+// Change applies f to all pairs atomically.
 func (m *Matrix) Change(f func(from, to int, old Fault) Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,18 +77,17 @@
 	m.changed = make(chan struct{})
 }
 
-// Heal lets all pass again.
+// Heal removes all faults.
 func (m *Matrix) Heal() { m.Change(func(int, int, Fault) Fault { return Fault{} }) }
 
-// At is what holds now, and a channel that closes when anything changes.
+// At returns the current fault of a pair, and a channel that is closed at the next change of the matrix.
 func (m *Matrix) At(from, to int) (Fault, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.pairs[from*m.size+to], m.changed
 }
 
-// Packet draws what becomes of a datagram: when each of its copies comes, and the bit of it that
-// is spoilt, -1 for none.
+// Packet draws the fate of a datagram: the delay of each of its copies, and the index of the bit that is flipped, or -1 for none.
 func (m *Matrix) Packet(from, to, size int) (after []time.Duration, spoilt int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,7 +109,7 @@
 	return after, m.corrupt(f, size)
 }
 
-// Piece draws what becomes of a piece of a connection.
+// Piece draws the fate of a chunk of a connection: its delay, and the index of the bit that is flipped, or -1 for none.
 func (m *Matrix) Piece(from, to, size int) (after time.Duration, spoilt int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,49 +128,49 @@
 	return m.rand.IntN(size * 8)
 }
 
-// Patterns are what a schedule can ask for by name.
+// The names of the patterns.
 const (
 	All    = "all"    // the fault on every pair
 	Split  = "split"  // nothing passes between parts of the fleet
-	Bridge = "bridge" // as split in two, but the last node hears and is heard by both
-	Deaf   = "deaf"   // the nodes named hear nobody
-	Dumb   = "dumb"   // nobody hears the nodes named
-	Cut    = "cut"    // both
-	OneWay = "oneway" // the first of the nodes named is not heard by the second
-	Ring   = "ring"   // each is heard by its two neighbours alone
+	Bridge = "bridge" // as split in two, but the last node still reaches both halves
+	Deaf   = "deaf"   // the named nodes receive nothing
+	Dumb   = "dumb"   // nothing that the named nodes send arrives
+	Cut    = "cut"    // the named nodes neither send nor receive
+	OneWay = "oneway" // nothing passes from the first named node to the second
+	Ring   = "ring"   // each node reaches only its two neighbours
 )
 
-// Pattern sets the faults of many pairs.
+// Pattern sets the faults of many pairs at once.
 type Pattern struct {
 	What  string `toml:"what"`
-	Parts int    `toml:"parts"` // of a split; 2 where nothing is said
+	Parts int    `toml:"parts"` // number of parts of a split; 2 if not set
 	Nodes []int  `toml:"nodes"` // of deaf, dumb, cut, oneway
 	Fault Fault  `toml:"fault"` // of all
 }
 
-// Check tells what is wrong with a pattern for n nodes.
+// Check returns an error if the pattern is not valid for n nodes.
 func (p Pattern) Check(n int) error {
 	if !slices.Contains([]string{All, Split, Bridge, Deaf, Dumb, Cut, OneWay, Ring}, p.What) {
-		return fmt.Errorf("%q is no pattern", p.What)
+		return fmt.Errorf("%q is not a known pattern", p.What)
 	}
 	for _, i := range p.Nodes {
 		if i < 0 || i >= n {
-			return fmt.Errorf("there is no node %d of %d", i, n)
+			return fmt.Errorf("node %d does not exist: there are %d nodes", i, n)
 		}
 	}
 	named := p.What == Deaf || p.What == Dumb || p.What == Cut
 	switch {
 	case named && len(p.Nodes) == 0:
-		return fmt.Errorf("%s names no nodes", p.What)
+		return fmt.Errorf("pattern %s names no nodes", p.What)
 	case p.What == OneWay && len(p.Nodes) != 2:
-		return fmt.Errorf("oneway names %d nodes and needs two", len(p.Nodes))
+		return fmt.Errorf("pattern oneway names %d nodes, needs exactly two", len(p.Nodes))
 	case p.Parts < 0 || p.Parts > n:
-		return fmt.Errorf("%d parts of %d nodes", p.Parts, n)
+		return fmt.Errorf("cannot split into %d parts: there are %d nodes", p.Parts, n)
 	}
 	return nil
 }
 
-// Holds tells whether anything of the pattern is on the way from one node to another.
+// holds reports whether the pattern affects the path from one node to another.
 func (p Pattern) holds(n, from, to int) bool {
 	part := func(i int) int { return i * max(2, p.Parts) / n }
 	in := func(i int) bool { return slices.Contains(p.Nodes, i) }
@@ -197,7 +196,7 @@
 	return false
 }
 
-// Apply puts a pattern over whatever is there.
+// Apply sets the fault of a pattern on the pairs that it affects, replacing their current faults.
 func (m *Matrix) Apply(p Pattern) {
 	f := p.Fault
 	if p.What != All {
@@ -211,7 +210,7 @@
 	})
 }
 
-// Reached tells whether a node can hear another now, both ways, at all.
+// Reached reports whether two nodes can currently reach each other in both directions.
 func (m *Matrix) Reached(a, b int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -14,7 +14,7 @@
 	for _, c := range []struct {
 		p    Pattern
 		n    int
-		want string // a row for each node: whom it reaches, its own place a dot
+		want string // a row for each node: x for the nodes that it reaches, a dot for itself
 	}{
 		{Pattern{What: Split}, 4, ".x-- x.-- --.x --x."},
 		{Pattern{What: Split, Parts: 3}, 6, ".x---- x.---- --.x-- --x.-- ----.x ----x."},
@@ -56,12 +56,12 @@
 	}
 	for _, p := range []Pattern{{What: "half"}, {What: Deaf}, {What: Deaf, Nodes: []int{3}}, {What: OneWay, Nodes: []int{1}}, {What: Split, Parts: 4}} {
 		if p.Check(3) == nil {
-			t.Errorf("%+v passes", p)
+			t.Errorf("%+v is accepted", p)
 		}
 	}
 }
 
-// pair is two real peers with relays between them.
+// pair connects two real peers through relays.
 func pair(t *testing.T) (r *Relays, dial func() (near, far net.Conn), send func() net.PacketConn) {
 	t.Helper()
 	r, err := NewRelays(2, 1)
@@ -111,13 +111,13 @@
 	return r, dial, send
 }
 
-// What each fault does to a connection, as its two ends see it.
+// Checks the effect of each fault on a connection, as seen by its two ends.
 func TestConnectionsThroughRelays(t *testing.T) {
 	r, dial, _ := pair(t)
 	text := strings.Repeat("0123456789", 100)
 	near, far := dial()
 	if got := far.RemoteAddr().(*net.TCPAddr).AddrPort().Addr(); got != r.Address(0).Addr() {
-		t.Errorf("it comes from %v, which is not the caller's address", got)
+		t.Errorf("connection from %v, which is not the caller's address", got)
 	}
 	read := make([]byte, len(text))
 	pass := func(what string) {
@@ -141,11 +141,11 @@
 		t.Fatal(err)
 	}
 	quiet("cut", far)
-	if _, err := far.Write([]byte("x")); err != nil { // the other way is open
+	if _, err := far.Write([]byte("x")); err != nil { // the other direction is open
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(near, read[:1]); err != nil {
-		t.Error("the other way:", err)
+		t.Error("the other direction:", err)
 	}
 	r.Heal()
 	if _, err := io.ReadFull(far, read); err != nil || string(read) != text {
@@ -154,7 +154,7 @@
 	r.Set(0, 1, Fault{Corrupt: 1})
 	_, _ = near.Write([]byte(text))
 	if _, err := io.ReadFull(far, read); err != nil || string(read) == text {
-		t.Errorf("spoilt: %q, %v", read, err)
+		t.Errorf("corrupted: %q, %v", read, err)
 	}
 	r.Set(0, 1, Fault{Trickle: 100})
 	_, _ = near.Write([]byte("ab"))
@@ -166,7 +166,7 @@
 	_, _ = near.Write([]byte(text))
 	quiet("swallowed", far)
 	r.Heal()
-	pass("after what was swallowed")
+	pass("after the swallowed bytes")
 	r.Set(0, 1, Fault{Swallow: true})
 	_ = near.Close()
 	quiet("its end is swallowed too", far)
@@ -179,17 +179,17 @@
 		t.Errorf("reset: %d bytes, %v", n, err)
 	}
 	if _, err := near.Read(read); err == nil {
-		t.Error("the caller sees no reset")
+		t.Error("the caller did not see a reset")
 	}
 }
 
-// errTimeout gives an error back if it is a time-out.
+// errTimeout returns err if it is a timeout, and another error if not.
 func errTimeout(err error) error {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return err
 	}
-	return errors.New("no time-out")
+	return errors.New("not a timeout")
 }
 
 func TestDatagramsThroughRelays(t *testing.T) {
@@ -201,7 +201,7 @@
 	}
 	defer to.Close()
 	buf := make([]byte, 100)
-	// After each, a datagram that passes for sure shows that nothing more is to come.
+	// Sends n datagrams and reads until none arrives for 100 ms.
 	got := func(f Fault, n int) (all []string) {
 		r.Set(0, 1, f)
 		for range n {
@@ -214,34 +214,34 @@
 				return all
 			}
 			if addr.(*net.UDPAddr).AddrPort() != r.Address(0) {
-				t.Errorf("it comes from %v", addr)
+				t.Errorf("datagram from %v", addr)
 			}
 			all = append(all, string(buf[:k]))
 			if time.Now().After(deadline) {
-				t.Fatal("no end")
+				t.Fatal("datagrams keep arriving")
 			}
 		}
 	}
 	if n := len(got(Fault{}, 10)); n != 10 {
-		t.Errorf("%d of 10", n)
+		t.Errorf("%d of 10 datagrams arrived", n)
 	}
 	if n := len(got(Fault{Cut: true}, 10)) + len(got(Fault{Swallow: true}, 10)) + len(got(Fault{Lose: 1}, 10)); n != 0 {
-		t.Errorf("%d came", n)
+		t.Errorf("%d datagrams arrived, want none", n)
 	}
 	if n := len(got(Fault{Double: 1}, 10)); n != 20 {
-		t.Errorf("%d of 10, doubled", n)
+		t.Errorf("%d datagrams, want 10 duplicated", n)
 	}
 	for _, s := range got(Fault{Corrupt: 1}, 10) {
 		if s == "a" {
-			t.Error("not spoilt")
+			t.Error("datagram was not corrupted")
 		}
 	}
 	if n := len(got(Fault{Lose: 0.5}, 200)); n < 60 || n > 140 {
-		t.Errorf("%d of 200 with half lost", n)
+		t.Errorf("%d of 200 datagrams arrived with half lost", n)
 	}
 	began := time.Now()
 	if n := len(got(Fault{Delay: 60 * time.Millisecond}, 1)); n != 1 || time.Since(began) < 60*time.Millisecond {
-		t.Errorf("%d after %v", n, time.Since(began))
+		t.Errorf("%d datagrams after %v", n, time.Since(began))
 	}
 	stranger, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -251,9 +251,9 @@
 	r.Heal()
 	_, _ = stranger.WriteTo([]byte("s"), net.UDPAddrFromAddrPort(r.Address(1)))
 	if all := got(Fault{}, 1); len(all) != 1 || all[0] != "a" {
-		t.Errorf("from a stranger: %q", all)
+		t.Errorf("after a datagram from an unknown address: %q", all)
 	}
 	if r.Stray.Load() != 1 {
-		t.Errorf("%d strays", r.Stray.Load())
+		t.Errorf("%d stray datagrams, want 1", r.Stray.Load())
 	}
 }
--- a/internal/lab/faults/hub.go
+++ b/internal/lab/faults/hub.go
@@ -17,27 +17,27 @@
 // longestRequest bounds the line with which a connection to a hub begins.
 const longestRequest = 128
 
-// Hub relays the connections of a fleet whose processes dial through it instead of dialling each other. A connection
-// to it begins with the line that hubdial.Request makes; the hub dials the target, answers with one byte, and relays.
-// Where the pair is cut, neither the answer nor anything else comes, and no connection ends.
+// Hub relays the connections of a fleet whose processes dial through it instead of dialling each other. A connection to the hub
+// begins with the line that hubdial.Request returns; the hub dials the target, answers with one byte, and relays the bytes in both
+// directions. While the pair is cut, the hub sends neither the answer nor any other bytes, and closes no connection.
 type Hub struct {
 	*carrier
 	nodes    map[netip.Addr]int
-	outside  int // the index of whoever is no node
+	outside  int // index of callers that are not nodes
 	listener net.Listener
 
 	mu      sync.Mutex
-	entries map[string]net.Listener // of callers from outside, by target
-	// separations are in force.
+	entries map[string]net.Listener // listeners for callers from outside, by target
+	// separations holds the separations in force.
 	separations []*separation
 	closed      bool
 }
 
-// NewHub opens a hub for the nodes with these addresses.
+// NewHub opens a hub for the nodes with the given addresses.
 func NewHub(nodes []netip.Addr, seed uint64) (*Hub, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("a hub: %w", err)
+		return nil, fmt.Errorf("opening a hub: %w", err)
 	}
 	h := &Hub{carrier: newCarrier(len(nodes)+1, seed), nodes: map[netip.Addr]int{}, outside: len(nodes), listener: listener,
 		entries: map[string]net.Listener{}}
@@ -48,10 +48,10 @@
 	return h, nil
 }
 
-// Address is where the processes of the fleet dial.
+// Address returns the address that the processes of the fleet dial.
 func (h *Hub) Address() string { return h.listener.Addr().String() }
 
-// Entry is the address at which whoever is no node of the fleet reaches a target.
+// Entry returns the address at which callers that are not nodes of the fleet reach a target.
 func (h *Hub) Entry(target string) (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("an entry of a hub: %w", err)
+		return "", fmt.Errorf("opening a hub entry: %w", err)
 	}
 	h.entries[target] = listener
 	h.wg.Go(func() {
@@ -78,7 +78,7 @@
 	return listener.Addr().String(), nil
 }
 
-// CutOff has nothing pass between one node and all others, and between it and those outside, until Heal.
+// CutOff blocks all traffic between one node and all others, and between it and outside callers, until Heal is called.
 func (h *Hub) CutOff(node netip.Addr) error {
 	all := []string{Outside}
 	for other := range h.nodes {
@@ -88,7 +88,7 @@
 	return err
 }
 
-// Heal ends all separations.
+// Heal removes all separations.
 func (h *Hub) Heal() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,22 +96,22 @@
 	h.applySeparations()
 }
 
-// Outside names whoever is no node, among the nodes of a separation.
+// Outside stands for all callers that are not nodes, in the node lists of Separate.
 const Outside = "outside"
 
-// separation keeps some nodes from others.
+// separation blocks traffic between two sets of nodes.
 type separation struct {
 	from, to map[int]bool
 	oneWay   bool
 }
 
-// cuts reports whether nothing passes from one node to another.
+// cuts reports whether the separation blocks traffic from one node to another.
 func (s *separation) cuts(source, target int) bool {
 	return s.from[source] && s.to[target] || !s.oneWay && s.from[target] && s.to[source]
 }
 
-// Separate has nothing pass from some nodes to others, and back too unless it is one way, until what it returns is called.
-// Separations may overlap; those outside reach all, unless Outside is named.
+// Separate blocks traffic from some nodes to others, and in the opposite direction too unless oneWay is set, until heal is called.
+// Separations may overlap. Outside callers still reach all nodes unless Outside is listed.
 func (h *Hub) Separate(from, to []string, oneWay bool) (heal func(), err error) {
 	s := &separation{oneWay: oneWay}
 	if s.from, err = h.indices(from); err != nil {
@@ -132,7 +132,7 @@
 	}, nil
 }
 
-// applySeparations cuts the pairs that any separation cuts, and no others.
+// applySeparations cuts exactly the pairs that at least one separation blocks.
 func (h *Hub) applySeparations() {
 	h.Change(func(source, target int, old Fault) Fault {
 		old.Cut = slices.ContainsFunc(h.separations, func(s *separation) bool { return s.cuts(source, target) })
@@ -140,7 +140,7 @@
 	})
 }
 
-// indices are those of nodes, by their addresses.
+// indices returns the indices of the nodes with the given addresses.
 func (h *Hub) indices(addresses []string) (map[int]bool, error) {
 	found := map[int]bool{}
 	for _, address := range addresses {
@@ -161,7 +161,7 @@
 	return found, nil
 }
 
-// Close ends all connections and listeners.
+// Close closes all connections and listeners.
 func (h *Hub) Close() error {
 	h.end()
 	h.mu.Lock()
@@ -175,7 +175,7 @@
 	return errors.Join(all...)
 }
 
-// accept serves each connection of a listener until it is closed.
+// accept serves each connection of a listener until the listener is closed.
 func (h *Hub) accept(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -183,7 +183,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors
+			time.Sleep(10 * time.Millisecond) // e.g. out of file descriptors
 			continue
 		}
 		h.wg.Go(func() { serve(conn) })
@@ -217,7 +217,7 @@
 	})
 }
 
-// node is the index of the node that a target belongs to.
+// node returns the index of the node that a target belongs to.
 func (h *Hub) node(target string) (int, error) {
 	at, err := netip.ParseAddrPort(target)
 	if err != nil {
@@ -230,7 +230,7 @@
 	return i, nil
 }
 
-// readHubRequest reads the line and nothing behind it.
+// readHubRequest reads the request line byte by byte, so that it consumes nothing after it.
 func readHubRequest(conn net.Conn) (from netip.Addr, target string, err error) {
 	var line []byte
 	for one := make([]byte, 1); len(line) < longestRequest; line = append(line, one[0]) {
--- a/internal/lab/faults/hub_test.go
+++ b/internal/lab/faults/hub_test.go
@@ -19,7 +19,7 @@
 	hubSilence  = 300 * time.Millisecond
 )
 
-// echo serves a node that says each line again, and returns where.
+// echo serves a node that echoes all bytes, and returns its address.
 func echo(t *testing.T, ip string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", ip+":0")
@@ -53,7 +53,7 @@
 	return hub
 }
 
-// ask opens a connection through the hub, without waiting for its answer.
+// ask opens a connection through the hub, without waiting for the hub's answer.
 func ask(t *testing.T, hub *Hub, from, target string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", hub.Address())
@@ -79,7 +79,7 @@
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(hubPatience))
 	if got, err := bufio.NewReader(conn).ReadString('\n'); err != nil || got != line {
-		t.Fatalf("%q, %v came, not %q", got, err, line)
+		t.Fatalf("received %q, %v, want %q", got, err, line)
 	}
 }
 
@@ -87,12 +87,12 @@
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(hubSilence))
 	if n, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("%d bytes, %v through a cut", n, err)
+		t.Fatalf("%d bytes, %v arrived through a cut", n, err)
 	}
 }
 
-// A cut holds up what is under way and who dials, ends nothing, and leaves the other pairs alone.
-func TestHubHoldsUpACutNode(t *testing.T) {
+// A cut stalls open connections and new dials of the node, closes no connection, and does not affect the other pairs.
+func TestHubStallsACutNode(t *testing.T) {
 	const a, b, c = "127.0.77.1", "127.0.77.2", "127.0.77.3"
 	hub := openHub(t, a, b, c)
 	atB, atC := echo(t, b), echo(t, c)
@@ -133,7 +133,7 @@
 	says(t, connected(late), "three\n")
 }
 
-// A target that nobody serves, one that is no node and a caller that is none are refused.
+// The hub refuses a target that nobody serves, a target that is not a node, and a caller that is not a node.
 func TestHubRefuses(t *testing.T) {
 	const a, b, stranger = "127.0.78.1", "127.0.78.2", "127.0.78.3"
 	hub := openHub(t, a, b)
@@ -148,14 +148,14 @@
 		}
 	}
 	if _, err := hub.Entry(atStranger); err == nil {
-		t.Error("an entry to no node")
+		t.Error("an entry for an address that is not a node")
 	}
 	if err := hub.CutOff(netip.MustParseAddr(stranger)); err == nil {
-		t.Error("a cut of no node")
+		t.Error("cut off an address that is not a node")
 	}
 }
 
-// A process of a node dials through the hub that its environment names, and directly where it names none.
+// A process of a node dials through the hub that its environment names, and directly if it names none.
 func TestHubIsDialled(t *testing.T) {
 	const a, b = "127.0.79.1", "127.0.79.2"
 	hub := openHub(t, a, b)
--- a/internal/lab/faults/hubdial/hubdial.go
+++ b/internal/lab/faults/hubdial/hubdial.go
@@ -1,5 +1,5 @@
-// Package hubdial dials through a hub of relays (faults.Hub) instead of dialling directly. It is linked into programs
-// under test alone, so it depends on nothing else of the lab.
+// Package hubdial dials through a hub of relays (faults.Hub) instead of dialling directly. It is linked only into programs under
+// test, so it depends on no other package of the lab.
 package hubdial
 
 import (
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// The environment of a process that dials through a hub.
+// Environment variables of a process that dials through a hub.
 const (
-	// HubVariable holds the hub's address; where it is empty, connections are direct.
+	// HubVariable holds the hub's address; if it is empty, connections are direct.
 	HubVariable = "DUNETIDE_LAB_HUB"
 	// NodeVariable holds the IP address of the process's own machine.
 	NodeVariable = "DUNETIDE_LAB_NODE"
 )
 
-// Connected is the byte that a hub answers with once the target has taken the connection.
+// Connected is the byte that a hub answers with once it has connected to the target.
 const Connected = 1
 
-// Request is the line with which a process at an address asks a hub for a connection to a target.
+// Request returns the line with which the process at address from asks a hub for a connection to a target.
 func Request(from, target string) string { return from + " " + target + "\n" }
 
 // Dial connects to a target through the hub that the environment names.
@@ -42,7 +42,7 @@
 	return conn, nil
 }
 
-// ask sends a request and waits for its answer, or until the context ends.
+// ask sends a request and waits for its answer or for the end of the context.
 func ask(ctx context.Context, conn net.Conn, request string) error {
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if _, err := io.WriteString(conn, request); err != nil {
@@ -64,7 +64,7 @@
 		return err
 	}
 	if answer[0] != Connected {
-		return fmt.Errorf("the hub answers %d", answer[0])
+		return fmt.Errorf("hub answered %d instead of connecting", answer[0])
 	}
 	return nil
 }
--- a/internal/lab/faults/memory.go
+++ b/internal/lab/faults/memory.go
@@ -12,34 +12,33 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// inbox bounds the datagrams that wait at a node, as a socket's buffer does.
+// inbox bounds the datagrams that wait at a node, like a socket's receive buffer.
 const inbox = 512
 
-// Memory is a network without sockets, with the same faults: in a bubble of testing/synctest
-// its time is simulated.
+// Memory is a network without sockets that injects the same faults. In a testing/synctest bubble it runs in simulated time.
 type Memory struct {
 	*carrier
 	mu    sync.Mutex
 	nodes map[int]*memoryNode
 }
 
-// NewMemory makes a network of n places.
+// NewMemory returns a network of n nodes.
 func NewMemory(n int, seed uint64) *Memory {
 	return &Memory{carrier: newCarrier(n, seed), nodes: map[int]*memoryNode{}}
 }
 
-// Close ends all that is on its way.
+// Close stops all deliveries and connections in flight.
 func (m *Memory) Close() {
 	m.end()
 	m.wg.Wait()
 }
 
-// Address is that of a place.
+// Address returns the address of node i.
 func (m *Memory) Address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 200), byte(1 + i%200)}), 7000)
 }
 
-// Listen opens a place's transport; only one may be open there.
+// Listen opens the transport at a node's address; only one may be open at a time.
 func (m *Memory) Listen(at netip.AddrPort) (fleet.Transport, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +56,7 @@
 	return nil, fmt.Errorf("listening at %v: %w", at, syscall.EADDRNOTAVAIL)
 }
 
-// at is who listens at an address, and which place that is.
+// at returns the transport that listens at an address, and the index of its node.
 func (m *Memory) at(to netip.AddrPort) (*memoryNode, int) {
 	a := to.Addr().As4()
 	i := int(a[2])*200 + int(a[3]) - 1
@@ -80,13 +79,13 @@
 	closed  chan struct{}
 }
 
-// SendTo sends a datagram, which the network may lose, delay or repeat.
+// SendTo sends a datagram, which the network may lose, delay or duplicate.
 func (n *memoryNode) SendTo(b []byte, to netip.AddrPort) error {
 	_, i := n.net.at(to)
 	if i < 0 || i >= n.net.size {
-		return errors.New("no such place")
+		return errors.New("no node has this address")
 	}
-	n.net.fly(n.me, i, b, func(b []byte) error {
+	n.net.sendDatagram(n.me, i, b, func(b []byte) error {
 		there, _ := n.net.at(to)
 		if there == nil {
 			return net.ErrClosed
@@ -95,7 +94,7 @@
 		case there.packets <- packet{b, n.net.Address(n.me)}:
 			return nil
 		default:
-			return errors.New("its buffer is full")
+			return errors.New("receive buffer is full")
 		}
 	})
 	return nil
@@ -111,7 +110,7 @@
 	}
 }
 
-// Dial is like the kernel's at a relay: it comes up at once, and what becomes of it shows then.
+// Dial succeeds at once, as the kernel does when a relay listens; a failure shows on the connection afterwards.
 func (n *memoryNode) Dial(_ context.Context, to netip.AddrPort) (net.Conn, error) {
 	there, i := n.net.at(to)
 	if there == nil || i < 0 || i >= n.net.size {
@@ -133,7 +132,7 @@
 	return mine, nil
 }
 
-// Accept returns the next connection that came.
+// Accept returns the next incoming connection.
 func (n *memoryNode) Accept() (net.Conn, error) {
 	select {
 	case c := <-n.conns:
@@ -143,7 +142,7 @@
 	}
 }
 
-// Close ends the node: what waits in Receive and Accept returns net.ErrClosed.
+// Close closes the transport: pending calls of Receive and Accept return net.ErrClosed.
 func (n *memoryNode) Close() error {
 	n.once.Do(func() {
 		close(n.closed)
--- a/internal/lab/faults/relays.go
+++ b/internal/lab/faults/relays.go
@@ -13,18 +13,18 @@
 
 const (
 	connectTime = 5 * time.Second
-	// MaxRelays is how many nodes may be between relays.
+	// MaxRelays is the maximum number of nodes that Relays support.
 	MaxRelays = 120
 )
 
-// Relays stand between the processes of a fleet. Each node has an address at which the
-// others reach it, which is a relay's, and one where it listens and from which it sends: by
-// that, a relay knows who calls, and so the pair. Nobody but the relays is told the latter.
+// Relays relay the traffic between the processes of a fleet. Each node has two addresses: a public one, at which its relay listens
+// and the other nodes reach it, and a private one, at which it listens and from which it sends. A relay recognizes the sender, and
+// so the pair, by its private address; only the relays know the private addresses.
 type Relays struct {
 	*carrier
 	nodes []relayed
 
-	// Stray counts what came from an address of no node.
+	// Stray counts datagrams and connections from addresses that belong to no node.
 	Stray atomic.Int64
 }
 
@@ -34,18 +34,18 @@
 	udp             *net.UDPConn
 }
 
-// networks keeps apart the relays that one process holds.
+// networks numbers the instances of Relays in this process, so that their addresses differ.
 var networks atomic.Uint32
 
-// NewRelays opens the relays of n nodes, on loopback addresses of this process alone.
+// NewRelays opens the relays of n nodes, on loopback addresses that only this process uses.
 func NewRelays(n int, seed uint64) (*Relays, error) {
 	if n < 1 || n > MaxRelays {
-		return nil, fmt.Errorf("%d nodes: it has to be between 1 and %d", n, MaxRelays)
+		return nil, fmt.Errorf("%d nodes: must be between 1 and %d", n, MaxRelays)
 	}
 	r := &Relays{carrier: newCarrier(n, seed)}
 	pid, own := os.Getpid(), int(networks.Add(1))
 	for i := range n {
-		// The second part of an address is this rig's, the third the process's, the last the node's.
+		// The second byte of an address identifies the instance of Relays, the third the process, the last the node.
 		host := func(half int) netip.Addr {
 			return netip.AddrFrom4([4]byte{127, byte(128 + own&127), byte(pid), byte(1 + MaxRelays*half + i)})
 		}
@@ -56,7 +56,7 @@
 		}
 		node.address = node.tcp.Addr().(*net.TCPAddr).AddrPort()
 		r.nodes = append(r.nodes, node)
-		tcp, udp, err := listenBoth(host(1)) // nobody else binds there until the node does
+		tcp, udp, err := listenBoth(host(1)) // the address stays unused until the node binds it
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
@@ -72,13 +72,13 @@
 	return r, nil
 }
 
-// listenBoth finds a port that is free for both.
+// listenBoth finds a port that is free for both TCP and UDP.
 func listenBoth(host netip.Addr) (*net.TCPListener, *net.UDPConn, error) {
 	var last error
 	for range 20 {
 		tcp, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(host, 0)))
 		if err != nil {
-			return nil, nil, fmt.Errorf("a relay: %w", err)
+			return nil, nil, fmt.Errorf("opening a relay: %w", err)
 		}
 		udp, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(tcp.Addr().(*net.TCPAddr).AddrPort()))
 		if err == nil {
@@ -86,16 +86,16 @@
 		}
 		last = errors.Join(err, tcp.Close())
 	}
-	return nil, nil, fmt.Errorf("a relay: %w", last)
+	return nil, nil, fmt.Errorf("opening a relay: %w", last)
 }
 
-// Address is where others reach a node, Listen where it listens.
+// Address returns the public address of a node, at which the others reach it.
 func (r *Relays) Address(i int) netip.AddrPort { return r.nodes[i].address }
 
-// Listen is where a node has to listen, and to send from.
+// Listen returns the private address of a node, at which it must listen and from which it must send.
 func (r *Relays) Listen(i int) netip.AddrPort { return r.nodes[i].listen }
 
-// Close ends all connections and listeners.
+// Close closes all connections and listeners.
 func (r *Relays) Close() error {
 	r.end()
 	var all []error
@@ -106,7 +106,7 @@
 	return errors.Join(all...)
 }
 
-// who is the node that sends from an address.
+// who returns the node that sends from an address.
 func (r *Relays) who(from netip.AddrPort) (int, bool) {
 	for i, n := range r.nodes {
 		if n.listen.Addr() == from.Addr().Unmap() {
@@ -125,14 +125,14 @@
 			return
 		}
 		if err != nil {
-			continue // a node that is gone was sent to
+			continue // a datagram was sent to a node that no longer listens
 		}
 		from, ok := r.who(addr)
 		if !ok {
 			continue
 		}
-		r.fly(from, to, buf[:n], func(b []byte) error {
-			// It is sent as the one whom it comes from, so that an answer goes through a relay too.
+		r.sendDatagram(from, to, buf[:n], func(b []byte) error {
+			// It is sent from the relay of the sending node, so that the answer passes through a relay too.
 			_, err := r.nodes[from].udp.WriteToUDPAddrPort(b, r.nodes[to].listen)
 			return err
 		})
--- a/internal/lab/faults/separate_test.go
+++ b/internal/lab/faults/separate_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Separations may overlap: a pair is cut while any of them cuts it, and one that is healed leaves what the others cut.
+// Separations may overlap: a pair is cut while at least one separation cuts it, and healing one does not affect the pairs that the
+// others cut.
 func TestSeparationsOverlap(t *testing.T) {
 	nodes := []string{"127.0.78.1", "127.0.78.2", "127.0.78.3"}
 	hub := openHub(t, nodes...)
@@ -19,7 +20,7 @@
 				}
 			}
 			if fault, _ := hub.At(hub.outside, from); fault.Cut {
-				t.Errorf("who is outside does not reach %d", from)
+				t.Errorf("outside callers do not reach node %d", from)
 			}
 		}
 	}
@@ -45,14 +46,14 @@
 	cut()
 	healAnswers := separate(nodes[:1], []string{Outside}, true)
 	if fault, _ := hub.At(0, hub.outside); !fault.Cut {
-		t.Error("answers to those outside are not lost")
+		t.Error("answers to outside callers are not lost")
 	}
 	cut()
 	healAnswers()
 	if fault, _ := hub.At(0, hub.outside); fault.Cut {
-		t.Error("answers to those outside are lost after the end")
+		t.Error("answers to outside callers are lost after healing")
 	}
 	if _, err := hub.Separate([]string{"127.0.79.1"}, nodes, false); err == nil {
-		t.Error("a machine that is no node is separated")
+		t.Error("separated an address that is not a node")
 	}
 }
--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -1,8 +1,8 @@
-// Package mutation shows that tests find the faults that they are there for: it puts mutants, that is, lines that are wrong, into a
-// package, one at a time, and runs the package's tests over each (mutation testing). Nothing on disk is changed.
+// Package mutation implements mutation testing: it applies mutants, that is, faulty lines, to a package, one at a time, and runs the
+// package's tests on each. Nothing on disk is changed.
 //
-// Packages keep their mutants as a list in a test file. One test checks at each run that all of them can still be made
-// (CheckPresent); another one, which takes minutes and runs only if it is asked for, checks that each is found (Find).
+// A package keeps its mutants as a list in a test file. One test checks on each run that all of them still apply (CheckPresent);
+// another one, which takes minutes and runs only on request, checks that each is detected (Find).
 package mutation
 
 import (
@@ -16,23 +16,23 @@
 	"dunetide/internal/lab/overlay"
 )
 
-// Mutant is a change of one line, or of some that follow each other, that tests should find. Its file counts from the folder of
-// the test's package.
+// Mutant is a change of one line, or of several consecutive lines, that tests should detect. Its file is relative to the directory
+// of the test's package.
 type Mutant = overlay.Replacement
 
-// Options say which tests have to find each mutant, and how they run.
+// Options select the mutants and the tests that have to detect them.
 type Options struct {
-	// Only is a part of a mutant's name, for the mutants that are tried; "1" is all.
+	// Only selects the mutants whose names contain it; "1" selects all.
 	Only string
-	// Args go to go test, before the package; Env is added to the environment.
+	// Args are passed to go test before the package; Env is added to the environment.
 	Args, Env []string
-	// Within bounds one run of the tests.
+	// Within limits the duration of one test run.
 	Within time.Duration
-	// Parallel runs the tests of several mutants side by side, where one run does not take all cores.
+	// Parallel runs the tests of several mutants concurrently; use it if one run does not keep all cores busy.
 	Parallel bool
 }
 
-// Requested returns the value of an environment variable that asks for mutants, for Options.Only. It skips the test if the variable
+// Requested returns the value of an environment variable that selects mutants, for Options.Only. It skips the test if the variable
 // is not set.
 func Requested(t *testing.T, variable string) string {
 	t.Helper()
@@ -43,7 +43,7 @@
 	return only
 }
 
-// CheckPresent fails for each mutant whose old text does not stand exactly once in its file, so that Find could not make it.
+// CheckPresent fails for each mutant whose old text does not occur exactly once in its file, so that Find could not apply it.
 func CheckPresent(t *testing.T, mutants []Mutant) {
 	t.Helper()
 	for _, m := range mutants {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Find fails for each mutant that no test finds. The tests run in the folder of the calling test's package.
+// Find fails for each mutant that no test detects. The tests run in the directory of the calling test's package.
 func Find(t *testing.T, mutants []Mutant, o Options) {
 	t.Helper()
 	for _, m := range mutants {
@@ -69,7 +69,7 @@
 	}
 }
 
-// testFind runs the tests over one mutant, and fails if they pass, if the mutant does not build, or if they take too long.
+// testFind runs the tests on one mutant, and fails if they pass, if the mutant does not build, or if they time out.
 func testFind(t *testing.T, m Mutant, o Options) {
 	t.Helper()
 	texts := overlay.Texts{}
@@ -88,11 +88,11 @@
 	out, err := cmd.CombinedOutput()
 	switch {
 	case ctx.Err() != nil:
-		t.Fatal("it takes too long")
+		t.Fatal("tests did not finish in time")
 	case err == nil:
-		t.Fatalf("not found:\n%s", out)
+		t.Fatalf("mutant not detected:\n%s", out)
 	case strings.Contains(string(out), "[build failed]"):
-		t.Fatalf("it does not build:\n%s", out)
+		t.Fatalf("mutant does not build:\n%s", out)
 	}
 	for line := range strings.Lines(string(out)) {
 		if strings.Contains(line, "--- FAIL") || strings.Contains(line, "panic:") || strings.Contains(line, "BROKEN") {
--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -12,7 +12,7 @@
 	"dunetide/internal/lab/overlay"
 )
 
-// mutatedModule is a module whose test finds a wrong sum, and no other fault.
+// mutatedModule is a module whose test detects a wrong sum and no other fault.
 var mutatedModule = map[string]string{
 	"go.mod":  "module mutated\n\ngo 1.26.0\n",
 	"main.go": "package mutated\n\n// Sum adds.\nfunc Sum(a, b int) int { return a + b }\n\n// Unused is not tested.\nfunc Unused() int { return 1 }\n",
@@ -20,7 +20,7 @@
 		"\t\tt.Error(\"wrong\")\n\t}\n}\n",
 }
 
-// variable asks for a play of Find in the module that is the current folder; its value is the index of a mutant.
+// variable requests a run of Find on mutatedModule; its value is the name of a mutant.
 const variable = "MUTATION_TEST_MUTANT"
 
 var mutants = []Mutant{
@@ -30,7 +30,7 @@
 	{Name: "absent", File: "main.go", Old: "a * b", New: "a"},
 }
 
-// TestOneMutant is run by TestFind in a process of its own, because it is to fail.
+// TestOneMutant is run by TestFind in a separate process, because it is expected to fail.
 func TestOneMutant(t *testing.T) {
 	only := Requested(t, variable)
 	dir := t.TempDir()
@@ -53,9 +53,9 @@
 		passes       bool
 	}{
 		{"found", "--- FAIL: TestSum", true},
-		{"unnoticed", "not found:", false},
-		{"does not build", "it does not build:", false},
-		{"absent", "does not stand there exactly once", false},
+		{"unnoticed", "mutant not detected:", false},
+		{"does not build", "mutant does not build:", false},
+		{"absent", "does not occur exactly once", false},
 	} {
 		t.Run(c.mutant, func(t *testing.T) {
 			t.Parallel()
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestCheckPresentPassesWhatIsThere(t *testing.T) {
+func TestCheckPresentAcceptsApplicableMutants(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "main.go"), []byte(mutatedModule["main.go"]), 0o600); err != nil {
 		t.Fatal(err)
@@ -81,6 +81,6 @@
 	t.Chdir(dir)
 	CheckPresent(t, mutants[:3])
 	if err := (overlay.Texts{}).Replace(".", mutants[3]); !errors.Is(err, overlay.ErrNotOnce) {
-		t.Errorf("a line that is absent: %v", err)
+		t.Errorf("replacing an absent line: %v", err)
 	}
 }
--- a/internal/lab/overlay/overlay.go
+++ b/internal/lab/overlay/overlay.go
@@ -1,6 +1,6 @@
-// Package overlay puts other lines in the place of some in the module's sources, for a build of the go command with -overlay:
-// nothing in the source folder is changed. internal/lab/mutation builds mutants by it, internal/lab/tier/cluster programs that
-// dial through a hub, and internal/lab/ablation switches mechanisms off.
+// Package overlay replaces lines of the module's sources for a build with the go command's -overlay flag; the source directory is
+// not changed. internal/lab/mutation uses it to build mutants, internal/lab/tier/cluster to build programs that dial through a hub,
+// and internal/lab/ablation to disable mechanisms.
 package overlay
 
 import (
@@ -12,18 +12,18 @@
 	"strings"
 )
 
-// Replacement is one line of a source file, or several that follow each other, and what stands there instead.
+// Replacement replaces one line, or several consecutive lines, of a source file.
 type Replacement struct {
-	Name string // what the change does, in a few words; where one is named by its list, it may be empty
-	File string // path from the folder that the user of the list names: that of the test's package, or the module's root
-	Old  string // text that stands exactly once in the file
+	Name string // short description of the change; may be empty if its list describes it
+	File string // path relative to the directory that the user of the list passes: that of the test's package, or the module's root
+	Old  string // must occur exactly once in the file
 	New  string
 }
 
-// ErrNotOnce is returned for a replacement whose old text does not stand exactly once in its file.
-var ErrNotOnce = errors.New("the text to replace does not stand there exactly once")
+// ErrNotOnce is returned for a replacement whose old text does not occur exactly once in its file.
+var ErrNotOnce = errors.New("the text to replace does not occur exactly once in the file")
 
-// Apply returns the text of the file with the replacement made, or ErrNotOnce.
+// Apply returns the text with the replacement made, or ErrNotOnce.
 func (r Replacement) Apply(text string) (string, error) {
 	if n := strings.Count(text, r.Old); n != 1 {
 		return "", fmt.Errorf("%w: %q: %d times in %s:\n%s", ErrNotOnce, r.Name, n, r.File, r.Old)
@@ -31,10 +31,10 @@
 	return strings.Replace(text, r.Old, r.New, 1), nil
 }
 
-// Texts are changed sources by the absolute paths of the files that they stand for.
+// Texts maps the absolute paths of source files to their replaced contents.
 type Texts map[string]string
 
-// Replace makes a replacement, in the text that stands for the file already if there is one. The file's path counts from root.
+// Replace applies a replacement to a file, on top of earlier replacements of the same file. The file's path is relative to root.
 func (t Texts) Replace(root string, r Replacement) error {
 	path, err := filepath.Abs(filepath.Join(root, r.File))
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Write writes the texts into a folder, with the list that the go command takes after -overlay, and returns the list's path.
+// Write writes the texts and the list for the -overlay flag into a directory, and returns the path of the list.
 func (t Texts) Write(dir string) (list string, err error) {
 	files := make(map[string]string, len(t))
 	for path, text := range t {
--- a/internal/lab/overlay/overlay_test.go
+++ b/internal/lab/overlay/overlay_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func TestApplyWantsTheTextOnce(t *testing.T) {
+func TestApplyRequiresTheTextExactlyOnce(t *testing.T) {
 	for _, c := range []struct {
 		name, text, want string
 		err              error
@@ -28,8 +28,8 @@
 	}
 }
 
-// Two replacements in one file are both made, and the program that is built with them has both; its source stays.
-func TestReplacementsOfOneFileAddUp(t *testing.T) {
+// Two replacements in one file are both applied in the built program, and the source file stays unchanged.
+func TestReplacementsInOneFileAreCumulative(t *testing.T) {
 	root := t.TempDir()
 	const source = "package main\n\nfunc main() { println(\"one\", \"two\") }\n"
 	for name, text := range map[string]string{"go.mod": "module overlaid\n\ngo 1.26.0\n", "main.go": source} {
@@ -62,11 +62,11 @@
 		t.Errorf("%q, %v", out, err)
 	}
 	if text, err := os.ReadFile(filepath.Join(root, "main.go")); err != nil || string(text) != source {
-		t.Errorf("the source became %q, %v", text, err)
+		t.Errorf("the source file was changed to %q, %v", text, err)
 	}
 }
 
-func TestReplaceTellsWhatIsMissing(t *testing.T) {
+func TestReplaceReportsAMissingFile(t *testing.T) {
 	texts := Texts{}
 	if err := texts.Replace(t.TempDir(), Replacement{File: "none.go", Old: "a", New: "b"}); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a missing file: %v", err)
--- a/internal/lab/rules/fleet.go
+++ b/internal/lab/rules/fleet.go
@@ -16,11 +16,11 @@
 	Through = "no byte between nodes but through the relays"
 )
 
-// HealTime is how long after the last fault all that run see all that run: a few of the fleet's
-// own periods (a try to meet again each 5 s at most, word of it by gossip), on a busy machine.
+// HealTime is the time after the last fault within which all running nodes must see each other as alive: several periods of the
+// fleet protocol (a reconnection attempt at least every 5 s, then gossip), with a margin for a busy machine.
 const HealTime = 30 * time.Second
 
-// Known says how long it took until a node knew of a thing.
+// Known summarizes how long nodes took to learn of an event.
 type Known struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median_s"`
@@ -28,12 +28,12 @@
 	Most   float64 `json:"most_s"`
 }
 
-// FleetAccount is what a run showed of a fleet.
+// FleetAccount summarizes what a run showed of a fleet.
 type FleetAccount struct {
 	Nodes           int              `json:"nodes"`
-	Known           map[string]Known `json:"known"`            // by what: death, leaving, start
-	FalseSuspicions int              `json:"false_suspicions"` // of a node that ran, with no fault between nodes
-	Calm            float64          `json:"calm_s"`           // for so long there was none
+	Known           map[string]Known `json:"known"`            // by event: death, leaving, start
+	FalseSuspicions int              `json:"false_suspicions"` // of a running node, without a fault between nodes
+	Calm            float64          `json:"calm_s"`           // seconds observed without any fault
 }
 
 type view struct {
@@ -42,22 +42,22 @@
 	line        int
 }
 
-// event is what others are to learn of a node.
+// event is a change of one node that the others have to detect.
 type event struct {
 	what string
 	at   time.Duration
 	told map[int]bool
 }
 
-// fleet follows who sees whom. Nodes are numbers, as everywhere in a trace.
+// fleet tracks each node's view of the others. Nodes are identified by index, as in the whole trace.
 type fleet struct {
 	checker  *Checker
-	views    map[[2]int]view // by who looks, and at whom
+	views    map[[2]int]view // by observer and observed node
 	up       map[int]bool
-	left     map[int]int // ended in good order, at this line
-	removed  map[int]int // by the staff's word
+	left     map[int]int // trace line of its graceful shutdown
+	removed  map[int]int // trace line of its removal by an operator
 	stopped  map[int]time.Duration
-	nets     int // faults between nodes that hold
+	nets     int // number of active faults between nodes
 	last     time.Duration
 	calm     time.Duration
 	events   map[int]*event
@@ -81,7 +81,7 @@
 		f.up[r.Node] = true
 	case trace.Start:
 		f.disturbed(r.At)
-		for pair := range f.views { // a new life knows nothing
+		for pair := range f.views { // a restarted node has no views
 			if pair[0] == r.Node {
 				delete(f.views, pair)
 			}
@@ -114,7 +114,7 @@
 	}
 }
 
-// quiet is since when there has been no fault, as far as it is known now.
+// quiet returns the time since when there has been no fault, as far as is known at now.
 func (f *fleet) quiet(now time.Duration) time.Duration {
 	since := f.last
 	for _, until := range f.stopped {
@@ -123,7 +123,8 @@
 	return since
 }
 
-// disturbed looks, before something changes, whether all was well by now.
+// disturbed is called before a change of state. If there was no fault for HealTime, it checks that all nodes see each other as
+// alive.
 func (f *fleet) disturbed(now time.Duration) {
 	since := f.quiet(now)
 	if f.nets == 0 && now-since >= HealTime && f.any {
--- a/internal/lab/rules/fleet_test.go
+++ b/internal/lab/rules/fleet_test.go
@@ -14,7 +14,7 @@
 	return Record{At: at(s), What: Net, Result: what, Lines: lines}
 }
 
-// TestEachRuleOfAFleet breaks each once, and comes as close to that as is allowed.
+// TestEachRuleOfAFleet tests each rule with a trace that violates it and with traces that just comply.
 func TestEachRuleOfAFleet(t *testing.T) {
 	two := []Record{ready(0, 0), ready(0, 1), sees(0.5, 0, 1, "alive", 1), sees(0.5, 1, 0, "alive", 1)}
 	over := Record{At: at(100), What: Over}
@@ -24,22 +24,22 @@
 		trace []Record
 	}{
 		{"calm", "", append(two, over)},
-		{"left without a word", Gone, append(two, sees(5, 0, 1, "left", 1), sees(6, 0, 1, "alive", 2), over)},
+		{"left without a shutdown", Gone, append(two, sees(5, 0, 1, "left", 1), sees(6, 0, 1, "alive", 2), over)},
 		{"left after SIGKILL", Gone, append(two, Record{At: at(4), What: Stop, Node: 1, Result: "SIGKILL"}, sees(5, 0, 1, "left", 1), over)},
 		{"left after SIGTERM", "", append(two, Record{At: at(4), What: Stop, Node: 1, Result: "SIGTERM"}, sees(5, 0, 1, "left", 1), over)},
-		{"removed, and nobody said so", Gone, append(two, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
-		{"removed by the staff", "", append(two, Record{At: at(4), What: Word, Node: 0, EP: 1}, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
-		{"an incarnation falls", Later, append(two, sees(5, 0, 1, "alive", 3), sees(6, 0, 1, "alive", 2), over)},
-		{"a new life knows none", "", append(two, sees(5, 0, 1, "alive", 3), Record{At: at(5.5), What: Stop, Node: 0, Result: "lost"},
+		{"removed without an operator's request", Gone, append(two, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
+		{"removed by an operator", "", append(two, Record{At: at(4), What: Word, Node: 0, EP: 1}, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
+		{"incarnation decreases", Later, append(two, sees(5, 0, 1, "alive", 3), sees(6, 0, 1, "alive", 2), over)},
+		{"restarted node has no views", "", append(two, sees(5, 0, 1, "alive", 3), Record{At: at(5.5), What: Stop, Node: 0, Result: "lost"},
 			Record{At: at(6), What: Start, Node: 0}, ready(6.1, 0), sees(6.5, 0, 1, "alive", 2), over)},
-		{"suspected for ever", Healed, append(two, sees(5, 0, 1, "suspect", 1), over)},
+		{"suspected without end", Healed, append(two, sees(5, 0, 1, "suspect", 1), over)},
 		{"never seen", Healed, append([]Record{ready(0, 0), ready(0, 1), sees(0.5, 0, 1, "alive", 1)}, over)},
-		{"suspected while they are cut", "", append(two, between(5, "split", 1), sees(15, 0, 1, "suspect", 1), between(80, "end of split", -1), over)},
+		{"suspected while cut", "", append(two, between(5, "split", 1), sees(15, 0, 1, "suspect", 1), between(80, "end of split", -1), over)},
 		{"not healed", Healed, append(two, between(5, "split", 1), sees(15, 0, 1, "suspect", 1), between(60, "end of split", -1), over)},
 		{"healed", "", append(two, between(5, "split", 1), sees(15, 0, 1, "suspect", 1), between(60, "end of split", -1), sees(80, 0, 1, "alive", 1), over)},
 		{"not healed by the next fault", Healed, append(two, sees(5, 0, 1, "suspect", 1), between(60, "split", 1), over)},
-		{"one is stopped", "", append(two, Record{At: at(5), What: Fault, Result: "stop", Node: 1, Until: at(75)}, sees(15, 0, 1, "suspect", 1), over)},
-		{"one was stopped", Healed, append(two, Record{At: at(5), What: Fault, Result: "stop", Node: 1, Until: at(60)}, sees(15, 0, 1, "suspect", 1), over)},
+		{"one node is stopped", "", append(two, Record{At: at(5), What: Fault, Result: "stop", Node: 1, Until: at(75)}, sees(15, 0, 1, "suspect", 1), over)},
+		{"one node was stopped", Healed, append(two, Record{At: at(5), What: Fault, Result: "stop", Node: 1, Until: at(60)}, sees(15, 0, 1, "suspect", 1), over)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := New(limits)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestWhatAFleetShows(t *testing.T) {
+func TestFleetAccount(t *testing.T) {
 	k := New(limits)
 	for _, r := range []Record{ready(0, 0), ready(0, 1), ready(0, 2), sees(0.25, 0, 1, "alive", 1), sees(0.5, 1, 0, "alive", 1), sees(0.5, 0, 2, "alive", 1),
 		sees(50, 0, 1, "suspect", 1), sees(52, 0, 1, "alive", 1), {At: at(60), What: Stop, Node: 2, Result: "SIGKILL"}, sees(64, 0, 2, "suspect", 1),
@@ -66,6 +66,6 @@
 		t.Errorf("%+v", a)
 	}
 	if New(limits).Fleet() != nil {
-		t.Error("a fleet where there is none")
+		t.Error("got a fleet account without a fleet")
 	}
 }
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,5 +1,4 @@
-// Package rules checks the trace of a run against the rules of the protocol. It depends on nothing of the program
-// that made the run.
+// Package rules checks the trace of a run against the rules of the protocol. It shares no code with the program under test.
 package rules
 
 import (
@@ -13,22 +12,22 @@
 	"dunetide/internal/lab/trace"
 )
 
-// Limits are the figures of the rules.
+// Limits are the parameters of the rules.
 type Limits struct {
-	Slack       time.Duration // every limit in time is longer by this
-	Notice      time.Duration // how late a notice may come
-	WaitPasses  time.Duration // calls that come so soon after a told wait are let through
-	Restart     time.Duration // from readiness until then no notice is overdue
+	Slack       time.Duration // added to every time limit
+	Notice      time.Duration // how late a notice may arrive
+	WaitPasses  time.Duration // calls within this time after a refusal that names a wait are allowed
+	Restart     time.Duration // for this long after a node is ready, no notice counts as overdue
 	DrainGrace  time.Duration
 	Slots       int
 	MaxOpen     int
 	MaxAttempts int
-	Blur        time.Duration // a count that is over its limit for less than this was only seen late
-	Never       []bool        // by class: it must not run twice
-	Dest        []int         // by endpoint
+	Blur        time.Duration // a count may exceed its limit for this long, as ends are observed late
+	Never       []bool        // by class: must not run twice
+	Dest        []int         // destination of each endpoint
 }
 
-// Protocol fills in what the pages fix.
+// Protocol sets the limits that the protocol fixes.
 func Protocol(l Limits) Limits {
 	l.Slack, l.Notice, l.WaitPasses, l.Restart = 50*time.Millisecond, 300*time.Millisecond, 100*time.Millisecond, 1500*time.Millisecond
 	return l
@@ -52,15 +51,15 @@
 	Form     = "the protocol"
 )
 
-// Broken is a rule that was broken.
+// Broken is a violation of a rule.
 type Broken struct {
 	Rule   string        `json:"rule"`
 	At     time.Duration `json:"at"`
 	Detail string        `json:"detail"`
-	Lines  []int         `json:"lines"` // of the trace, from 1
+	Lines  []int         `json:"lines"` // line numbers in the trace, from 1
 }
 
-// String returns the broken rule in one line.
+// String formats the violation as one line.
 func (b Broken) String() string {
 	var lines []string
 	for _, n := range b.Lines {
@@ -69,10 +68,10 @@
 	return fmt.Sprintf("%.3f s  %s: %s (trace lines %s)", b.At.Seconds(), b.Rule, b.Detail, strings.Join(lines, ", "))
 }
 
-// most breaks of one rule are told in full; the rest is counted.
+// maxReported is the number of violations of one rule that are reported in detail; further ones are only counted.
 const maxReported = 20
 
-// forgotten is how long after its time a message is remembered.
+// forgotten is how long after its deadline a message is kept in memory.
 const forgotten = 30 * time.Second
 
 type message struct {
@@ -90,7 +89,7 @@
 	ranLine   int
 	lines     []int
 	ended     bool
-	broken    bool // it was told to be lost
+	broken    bool // it was reported as lost
 }
 
 func (m *message) line(n int) {
@@ -101,15 +100,15 @@
 
 type node struct {
 	down    bool
-	since   time.Duration // it has been down, or up, since then
+	since   time.Duration // start of the current up or down period
 	exempt  time.Duration
 	out     int
 	held    int
-	outOver time.Duration // over its slots since then; 0: it is not
+	outOver time.Duration // since when it exceeds its slots; 0: it does not
 	hldOver time.Duration
 	waits   map[int]wait
 	leaves  map[int]time.Duration
-	lines   map[int]int // of the trace: where it was told that an endpoint leaves
+	lines   map[int]int // trace line that reported the endpoint as leaving
 }
 
 type wait struct {
@@ -124,7 +123,7 @@
 
 type dues []due
 
-// Len implements heap.Interface, as the methods that follow do.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (d dues) Len() int { return len(d) }
 
 // Less orders by time.
@@ -145,36 +144,36 @@
 	return x
 }
 
-// Checker reads records one by one. Its memory is bounded by the messages of a minute or so.
+// Checker checks records one by one. Its memory is bounded by the messages of about one minute.
 type Checker struct {
 	lim      Limits
 	line     int
 	messages map[string]*message
 	nodes    []*node
-	counting time.Duration // when all counts were looked at last
+	counting time.Duration // when the counts were last checked
 	calls    map[uint64]*message
 	dues     dues
-	old      dues // when to forget
+	old      dues // when to drop messages from memory
 	told     []Broken
 	counts   map[string]int
 	accounts Account
 	fleet    *fleet
 }
 
-// Account says what became of the tries that were handed in.
+// Account counts the outcomes of the submitted tries.
 type Account struct {
 	Tries     int `json:"tries"`
 	Taken     int `json:"taken"`
-	Turned    int `json:"turned"`    // its client heard no, or nothing
+	Turned    int `json:"turned"`    // the client was refused or got no answer
 	Delivered int `json:"delivered"` // of those taken
 	Refused   int `json:"refused"`
 	GivenUp   int `json:"given_up"`
 	Lost      int `json:"lost"`
-	Open      int `json:"open"`    // their time is not up
-	Orphans   int `json:"orphans"` // their node's folder was lost
+	Open      int `json:"open"`    // the deadline has not passed
+	Orphans   int `json:"orphans"` // the data directory of the node was lost
 }
 
-// New begins to check.
+// New returns a Checker.
 func New(l Limits) *Checker {
 	c := &Checker{lim: l, messages: map[string]*message{}, calls: map[uint64]*message{}, counts: map[string]int{}}
 	c.fleet = newFleet(c)
@@ -194,7 +193,7 @@
 	}
 }
 
-// Observe reads one record. They come in the order of time.
+// Observe checks one record. Records must be in chronological order.
 func (c *Checker) Observe(r trace.Record) {
 	c.line++
 	c.overdue(r.At)
@@ -230,12 +229,12 @@
 	case trace.Stop:
 		c.stop(r)
 	case trace.Start:
-		clear(c.node(r.Node).waits) // a restart ends them
+		clear(c.node(r.Node).waits) // a restart clears the waits
 	case trace.Ready:
 		n := c.node(r.Node)
 		n.down, n.exempt = false, r.At+c.lim.Restart
 	case trace.Fault:
-		if r.Result == "stop" && r.Until > r.At { // a node that is stopped can't tell of any end
+		if r.Result == "stop" && r.Until > r.At { // a stopped process (SIGSTOP) cannot send notices
 			n := c.node(r.Node)
 			n.exempt = max(n.exempt, r.Until+c.lim.Restart)
 		}
@@ -258,7 +257,7 @@
 	c.accounts.Taken++
 	m.taken, m.node = true, r.Node
 	c.node(r.Node).held++
-	if m.delivered || m.noticed != "" { // its client heard later than the platform
+	if m.delivered || m.noticed != "" { // the platform saw the end before the client saw the acceptance
 		c.resolve(m)
 	}
 }
@@ -332,7 +331,7 @@
 	}
 }
 
-// over ends a message once.
+// over records the end of a message, once.
 func (c *Checker) over(m *message, how string) {
 	switch how {
 	case "delivered":
@@ -345,7 +344,7 @@
 	}
 }
 
-// resolve counts a message that was taken on and has its end.
+// resolve counts an accepted message that has ended.
 func (c *Checker) resolve(m *message) {
 	m.ended = true
 	c.node(m.node).held--
@@ -378,7 +377,7 @@
 
 func (c *Checker) stop(r trace.Record) {
 	n := c.node(r.Node)
-	if r.Result == "member" { // the others serve on, and adopt what it had
+	if r.Result == "member" { // the other members continue and take over its messages
 		n.exempt = r.At + c.lim.Restart
 		return
 	}
@@ -395,7 +394,7 @@
 	}
 }
 
-// overdue finds messages whose time was up with no end.
+// overdue reports accepted messages whose deadline passed without an end.
 func (c *Checker) overdue(now time.Duration) {
 	for len(c.dues) > 0 && c.dues[0].at < now {
 		d := heap.Pop(&c.dues).(due)
@@ -418,7 +417,7 @@
 	}
 	for len(c.old) > 0 && c.old[0].at < now {
 		m := heap.Pop(&c.old).(due).message
-		if m.taken && !m.ended && !m.broken { // its node is down still
+		if m.taken && !m.ended && !m.broken { // its node is still down
 			heap.Push(&c.old, due{now + forgotten, m})
 			continue
 		}
@@ -426,7 +425,7 @@
 	}
 }
 
-// counted finds nodes that have been over a count for longer than it may have been seen late.
+// counted reports nodes that have exceeded a limit for longer than Limits.Blur.
 func (c *Checker) counted(now time.Duration) {
 	if now-c.counting < 5*time.Millisecond {
 		return
@@ -446,14 +445,15 @@
 		*since = max(now, 1)
 	case *since > 0 && now-*since > c.lim.Blur:
 		c.broke(now, rule, []int{c.line}, "node %d has had over %d %s for %.0f ms", i, most, what, ms(now-*since))
-		*since = -1 // told once, until it is within again
+		*since = -1 // reported once, until the count is within the limit again
 	}
 }
 
-// Fleet is what was seen of a fleet; nil where there was none.
+// Fleet returns what was observed of a fleet, or nil if there was none.
 func (c *Checker) Fleet() *FleetAccount { return c.fleet.finish() }
 
-// Finish ends the check. What is still owed then and in time is told as open.
+// Finish ends the check and returns the violations and the account. Messages that have not ended and whose deadline has not passed
+// are counted as open.
 func (c *Checker) Finish(now time.Duration) ([]Broken, Account) {
 	c.overdue(now)
 	for _, m := range c.messages {
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -33,7 +33,7 @@
 }
 func on(r Record, ep int) Record { r.EP = ep; return r }
 
-// TestEachRule breaks each rule once, and comes as close to that as is allowed.
+// TestEachRule tests each rule with traces that violate it and with traces that just comply.
 func TestEachRule(t *testing.T) {
 	start := []Record{born(1, "a", charge), taken(1.01, "a")}
 	told := end(2, "a", 1, 429, "")
@@ -41,37 +41,37 @@
 	leaving := Record{At: at(1), What: Told, EP: 1, Result: "leaving"}
 	drained := on(call(3.2, "a", 1), 1)
 	justDrained := on(call(3.04, "a", 1), 1)
-	slow := on(call(3.5, "a", 1), 1) // its first byte came in time
+	slow := on(call(3.5, "a", 1), 1) // its first byte was in time
 	slow.Since = at(3)
 	restart := []Record{{At: at(10), What: Stop, Result: "SIGKILL"}, {At: at(14), What: Start}, {At: at(14.1), What: Ready}}
 	for _, c := range []struct {
 		name   string
-		rule   string // empty: none is broken
+		rule   string // empty: no rule is violated
 		trace  []Record
 		detail string
 	}{
 		{"unknown", Unknown, []Record{call(1, "x", 1)}, "x came to endpoint 0"},
 		{"unknown notice", Unknown, []Record{notice(1, "x", "given_up")}, "notice for x"},
-		{"astray", Astray, append(start, on(call(2, "a", 1), 2)), "for destination 0 and came to endpoint 2 of 1"},
+		{"wrong destination", Astray, append(start, on(call(2, "a", 1), 2)), "for destination 0 and came to endpoint 2 of 1"},
 		{"two at once", Twice, append(start, call(2, "a", 1), on(call(2.1, "a", 2), 1)), "while an earlier call was out"},
 		{"one after another", "", append(start, call(2, "a", 1), end(2.1, "a", 1, 503, ""), call(2.2, "a", 2), end(2.3, "a", 2, 200, "")), ""},
 		{"charge again after an error", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), call(2.2, "a", 2)), "may have run (line 4)"},
-		{"charge again after it was given up", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 0, Closed), call(2.2, "a", 2)), ""},
+		{"charge again after the call was abandoned", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 0, Closed), call(2.2, "a", 2)), ""},
 		{"charge again after a reset", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 0, Reset), call(2.2, "a", 2)), ""},
 		{"charge again over a restart", Repeat, append(append(start, call(2, "a", 1), end(10, "a", 1, 0, Closed)), append(restart, call(14.2, "a", 2))...), ""},
 		{"status again after an error", "", []Record{born(1, "b", status), taken(1, "b"), call(2, "b", 1), end(2.1, "b", 1, 500, ""),
 			call(2.2, "b", 2), end(2.3, "b", 2, 200, "")}, ""},
-		{"sent after its end", Ended, append(start, notice(2, "a", "handed_back"), call(2.2, "a", 1)), "after its notice (handed_back)"},
-		{"refused though it may have run", Refusal, append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), notice(3, "a", "handed_back")), "may have run"},
-		{"refused while it is out", Refusal, append(start, call(2, "a", 1), notice(3, "a", "handed_back")), ""},
-		{"given up though it may have run", "", append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), notice(3, "a", "given_up")), ""},
-		{"lost", Lost, append(start, born(12, "b", status)), "no end"},
+		{"sent after the end", Ended, append(start, notice(2, "a", "handed_back"), call(2.2, "a", 1)), "after its notice (handed_back)"},
+		{"refused although it may have run", Refusal, append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), notice(3, "a", "handed_back")), "may have run"},
+		{"refused while a call is open", Refusal, append(start, call(2, "a", 1), notice(3, "a", "handed_back")), ""},
+		{"given up although it may have run", "", append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), notice(3, "a", "given_up")), ""},
+		{"no end", Lost, append(start, born(12, "b", status)), "no end"},
 		{"just in time", "", append(start, notice(11.34, "a", "given_up")), ""},
 		{"two ends", Lost, append(start, notice(2, "a", "given_up"), notice(3, "a", "handed_back")), "ended as given_up and then as handed_back"},
-		{"owed while its node is down", "", append(append(start, restart...), notice(15.5, "a", "given_up")), ""},
-		{"owed while its node is stopped", "", append(start, Record{At: at(9), What: Fault, Result: "stop", Until: at(20)}, notice(21, "a", "given_up")), ""},
-		{"owed for too long after a stop", Lost, append(start, Record{At: at(9), What: Fault, Result: "stop", Until: at(20)}, born(23, "b", status)), ""},
-		{"owed for too long after a restart", Lost, append(append(start, restart...), born(17, "b", status)), ""},
+		{"no end while its node is down", "", append(append(start, restart...), notice(15.5, "a", "given_up")), ""},
+		{"no end while its node is stopped", "", append(start, Record{At: at(9), What: Fault, Result: "stop", Until: at(20)}, notice(21, "a", "given_up")), ""},
+		{"no end for too long after a stop", Lost, append(start, Record{At: at(9), What: Fault, Result: "stop", Until: at(20)}, born(23, "b", status)), ""},
+		{"no end for too long after a restart", Lost, append(append(start, restart...), born(17, "b", status)), ""},
 		{"drain", Drain, append([]Record{leaving}, append(start, drained)...), "2200 ms after it was told"},
 		{"drain within the grace", "", append([]Record{leaving}, append(start, justDrained, end(3.1, "a", 1, 200, ""))...), ""},
 		{"drain counts from the first byte", "", append([]Record{leaving}, append(start, slow, end(3.6, "a", 1, 200, ""))...), ""},
@@ -81,17 +81,17 @@
 		{"wait and a restart", "", append(start, call(1.9, "a", 1), told, Record{At: at(2.1), What: Stop, Result: "SIGKILL"}, Record{At: at(2.5), What: Start},
 			call(2.6, "a", 2), end(2.7, "a", 2, 200, "")), ""},
 		{"cold", Cold, []Record{{At: at(3), What: Fell, Dest: 1, Share: 0.7}}, "70% of its calls"},
-		{"fell by others", "", []Record{{At: at(3), What: Fell, Dest: 1, Share: 0.5}}, ""},
+		{"fell because of uninformed nodes", "", []Record{{At: at(3), What: Fell, Dest: 1, Share: 0.5}}, ""},
 		{"attempts", Attempts, append(start, call(2, "a", 1), end(2.1, "a", 1, 503, ""), call(2.2, "a", 2), end(2.3, "a", 2, 503, ""),
 			call(2.4, "a", 3), end(2.5, "a", 3, 503, ""), call(2.6, "a", 4), end(2.7, "a", 4, 200, "")), "4th time"},
 		{"slots", Slots, []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), call(1.1, "a", 1), call(1.1, "b", 2),
 			call(1.1, "c", 3), born(1.15, "d", status), born(1.3, "e", status)}, "over 2 calls out"},
-		{"slots, seen late", "", []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), call(1.1, "a", 1), call(1.1, "b", 2),
+		{"slots, end observed late", "", []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), call(1.1, "a", 1), call(1.1, "b", 2),
 			call(1.1, "c", 3), end(1.15, "a", 1, 200, ""), born(1.3, "e", status)}, ""},
 		{"hold", Hold, []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), taken(1.1, "a"), taken(1.1, "b"),
 			taken(1.1, "c"), born(1.15, "d", status), born(1.3, "e", status)}, "over 2 messages"},
-		{"form", Form, []Record{{At: at(1), What: Odd, Result: "the body is not the client's"}}, "the body"},
-		{"taken from nobody", Form, []Record{taken(1, "x")}, "nobody sent"},
+		{"protocol violation", Form, []Record{{At: at(1), What: Odd, Result: "the body is not the client's"}}, "the body"},
+		{"acceptance of an unknown message", Form, []Record{taken(1, "x")}, "nobody sent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := New(limits)
@@ -107,7 +107,7 @@
 			case c.rule != "" && (len(broken) == 0 || broken[0].Rule != c.rule || !strings.Contains(broken[0].Detail, c.detail)):
 				t.Errorf("found %v, want %s: %s", broken, c.rule, c.detail)
 			case c.rule != "" && len(broken[0].Lines) == 0:
-				t.Error("no lines of the trace")
+				t.Error("the violation names no lines of the trace")
 			}
 		})
 	}
@@ -119,7 +119,7 @@
 		born(1, "b", status), {At: at(1.1), What: Turned, ID: "b", Status: 503},
 		born(1.2, "c", status), taken(1.2, "c"), notice(2, "c", "handed_back"),
 		born(2, "d", status), taken(2, "d"), notice(3, "d", "given_up"),
-		born(3, "e", status), call(3.01, "e", 2), end(3.05, "e", 2, 200, ""), taken(3.1, "e"), // delivered before its client heard
+		born(3, "e", status), call(3.01, "e", 2), end(3.05, "e", 2, 200, ""), taken(3.1, "e"), // delivered before its client knew that it was accepted
 		born(4, "f", charge), taken(4, "f"), {At: at(5), What: Stop, Result: "lost"},
 		born(6, "g", status), taken(6, "g")} {
 		k.Observe(r)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestMessagesAreForgotten(t *testing.T) {
+func TestOldMessagesAreDropped(t *testing.T) {
 	k := New(limits)
 	for i := range 200000 {
 		s := float64(i) / 100
@@ -144,9 +144,9 @@
 		}
 	}
 	if n := len(k.messages); n > 5000 {
-		t.Errorf("%d messages are remembered", n)
+		t.Errorf("%d messages are kept", n)
 	}
 	if n := len(k.dues) + len(k.old) + len(k.calls); n > 10000 {
-		t.Errorf("%d entries wait", n)
+		t.Errorf("%d entries are queued", n)
 	}
 }
--- a/internal/lab/scenario/lines.go
+++ b/internal/lab/scenario/lines.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// lines tells on which line of a file a key stands. It knows headers and keys at the
-// start of a line, which is all that a scenario has.
+// lines maps keys to line numbers of a file. It recognizes table headers and keys at the start of a line, which is all that
+// scenarios use.
 type lines map[string]int
 
 func newLines(text []byte) lines {
@@ -31,7 +31,7 @@
 	return at
 }
 
-// of gives the start of a message: the line of the key, or of its table, if it has one.
+// of returns a prefix for an error message: the line of the key, or else of its table, or "" if neither is known.
 func (l lines) of(key string) string {
 	for key != "" {
 		if n := l[key]; n > 0 {
--- a/internal/lab/scenario/override.go
+++ b/internal/lab/scenario/override.go
@@ -10,13 +10,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Override reads the text of a scenario with some settings in place of its own. A key is that of
-// the file, with dots (load.level); a plain number for a range is both its ends.
+// Override parses the text of a scenario with some settings replaced. Keys are those of the file, with dots (load.level); a single
+// number sets both ends of a range.
 func Override(text []byte, settings map[string]string) (Scenario, error) {
 	if len(settings) == 0 {
 		return Parse(text)
 	}
-	if _, err := Parse(text); err != nil { // with the lines of the file
+	if _, err := Parse(text); err != nil { // for errors with the line numbers of the file
 		return Scenario{}, err
 	}
 	var tree map[string]any
@@ -39,7 +39,7 @@
 			next, ok := at[p].(map[string]any)
 			if !ok {
 				if at[p] != nil {
-					return Scenario{}, fmt.Errorf("%s: %s is no table", key, p)
+					return Scenario{}, fmt.Errorf("%s: %s is not a table", key, p)
 				}
 				next = map[string]any{}
 				at[p] = next
@@ -65,7 +65,7 @@
 	return s, nil
 }
 
-// isRange tells whether a key takes a range, by what Default has there.
+// isRange reports whether the value of a key is a range, judging by the value in Default.
 func isRange(key string) bool {
 	text, err := toml.Marshal(Default())
 	if err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads the scenarios of the lab (scenarios/*.toml): ranges from which each seed draws the load and
-// the faults of a run.
+// Package scenario reads the scenarios of the lab (scenarios/*.toml): ranges from which each seed draws the load and the faults of a
+// run.
 package scenario
 
 import (
@@ -15,13 +15,13 @@
 	network "dunetide/internal/lab/faults"
 )
 
-// Range is a lowest and a highest value; a day draws evenly between them.
+// Range is a minimum and a maximum; a day draws uniformly between them.
 type Range [2]float64
 
-// Scenario is a file in full. Times are in seconds or, where the key says so, milliseconds.
+// Scenario is the content of a scenario file. Times are in seconds or, where the key says so, milliseconds.
 type Scenario struct {
 	Name    string `toml:"name"`
-	Page    string `toml:"page"` // where it comes from
+	Page    string `toml:"page"` // document that the scenario follows
 	About   string `toml:"about"`
 	LengthS Range  `toml:"length_s"`
 
@@ -40,20 +40,19 @@
 	Fleet     Fleet     `toml:"fleet"`
 }
 
-// Fleet makes the nodes one fleet, with a relay on each way from one to another. It needs real
-// processes.
+// Fleet joins the nodes into one fleet, with a relay for each direction between two nodes. It needs real processes.
 type Fleet struct {
-	Seeds  int          `toml:"seeds"` // so many of the nodes; 0: they know nothing of each other
+	Seeds  int          `toml:"seeds"` // number of seed nodes; 0: the nodes are independent
 	Faults []FleetFault `toml:"fault"`
 }
 
-// FleetFault is one trouble between nodes: a pattern of internal/lab/faults, or "remove", by
-// which the first of the nodes named is told that the second is gone.
+// FleetFault is a fault between nodes: a pattern of internal/lab/faults, or "remove", which tells the first of the named nodes that
+// the second is gone.
 type FleetFault struct {
 	What     string  `toml:"what"`
 	AtS      Range   `toml:"at_s"`
 	ForS     Range   `toml:"for_s"`
-	EachS    Range   `toml:"each_s"` // over 0: it holds and heals by turns, each for so long
+	EachS    Range   `toml:"each_s"` // if positive, the fault is switched on and off, each for this long
 	Parts    int     `toml:"parts"`
 	Nodes    []int   `toml:"nodes"`
 	Lose     float64 `toml:"lose"`
@@ -67,10 +66,10 @@
 	Trickle  int     `toml:"trickle"`
 }
 
-// RemoveMember is the staff's word among the troubles of a fleet.
+// RemoveMember is the fault in which an operator removes a node from the fleet.
 const RemoveMember = "remove"
 
-// Pattern is what a trouble sets between n nodes.
+// Pattern returns the pattern that the fault applies between nodes.
 func (f FleetFault) Pattern() network.Pattern {
 	ms := func(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 	return network.Pattern{What: f.What, Parts: f.Parts, Nodes: f.Nodes, Fault: network.Fault{Lose: f.Lose, Double: f.Double,
@@ -80,26 +79,26 @@
 // Nodes are the delivery nodes and their limits.
 type Nodes struct {
 	Count     int     `toml:"count"`
-	Uneven    float64 `toml:"uneven"`     // the k-th node gets traffic by 1/k to this power; 0 is even
-	SlotsRoom Range   `toml:"slots_room"` // slots over what load 1 keeps busy
+	Uneven    float64 `toml:"uneven"`     // the k-th node's share of the traffic is proportional to 1/k to this power; 0 is uniform
+	SlotsRoom Range   `toml:"slots_room"` // factor on the slots that load 1 keeps busy
 	Least     int     `toml:"least_slots"`
-	HoldS     Range   `toml:"hold_s"` // messages held: so many seconds of load 1
+	HoldS     Range   `toml:"hold_s"` // capacity for held messages, in seconds of load 1
 	LeastOpen int     `toml:"least_open"`
 	MemoryMB  int     `toml:"memory_mb"`
 	Sockets   int     `toml:"sockets"`
 	DiskMB    float64 `toml:"disk_mb"`
-	// Members is how many processes are one node together. Kill, term and stop then strike one
-	// of them, each time the next. It needs real processes.
+	// Members is the number of processes that form one node. kill, term and stop each affect one of them, in turn. It needs real
+	// processes.
 	Members int `toml:"members"`
 }
 
-// Load is what clients ask for, as a part of what load 1 is.
+// Load is the clients' traffic; levels are relative to load 1.
 type Load struct {
 	Level      Range `toml:"level"`
-	Clumps     Range `toml:"clumps"`  // the share of messages that come in clumps
-	ClumpS     Range `toml:"clump_s"` // a clump is so many seconds of its destination's limit
+	Clumps     Range `toml:"clumps"`  // share of messages that arrive in bursts
+	ClumpS     Range `toml:"clump_s"` // size of a burst, in seconds of its destination's limit
 	BodyBytes  Range `toml:"body_bytes"`
-	AllowanceX Range `toml:"allowance"` // tenants' allowances together, over load 1
+	AllowanceX Range `toml:"allowance"` // sum of the tenants' allowances, relative to load 1
 }
 
 // Net is the network between nodes and endpoints.
@@ -108,20 +107,20 @@
 	HandshakeRTTs Range `toml:"handshake_rtts"`
 }
 
-// Clients says what they do after a refusal and how long they wait to be heard.
+// Clients describes how clients retry after a refusal or a failed node.
 type Clients struct {
 	Retries   Range   `toml:"retries"`
 	BackoffMs Range   `toml:"backoff_ms"`
-	Honour    float64 `toml:"honour"` // the share that heeds Retry-After
+	Honour    float64 `toml:"honour"` // share of clients that honor Retry-After
 	AgainMs   Range   `toml:"again_ms"`
 }
 
-// Discovery says how late nodes hear of a change.
+// Discovery describes how late nodes are notified of a change.
 type Discovery struct {
 	NoticeS Range `toml:"notice_s"`
 }
 
-// Rules are the figures of the rules, as in the settings.
+// Rules are parameters of the protocol, as in the nodes' settings.
 type Rules struct {
 	DrainGraceMs   float64 `toml:"drain_grace_ms"`
 	FallMultiple   float64 `toml:"fall_multiple"`
@@ -135,15 +134,15 @@
 	TickMs         float64 `toml:"tick_ms"`
 }
 
-// Dest is how many destinations there are and how traffic is spread over them.
+// Dest describes how many destinations there are and how traffic is distributed over them.
 type Dest struct {
 	Count     Range `toml:"count"`
-	Endpoints Range `toml:"endpoints"` // of each; rounded, and 1 at least
-	Rate      Range `toml:"rate"`      // messages a second of each, in the mean, at load 1
+	Endpoints Range `toml:"endpoints"` // per destination; rounded, at least 1
+	Rate      Range `toml:"rate"`      // mean messages per second per destination at load 1
 	Zipf      Range `toml:"zipf"`
 }
 
-// Reports is what answers tell of a limit.
+// Reports describes the limit reports in answers.
 type Reports struct {
 	PeriodMs Range `toml:"period_ms"`
 	DelayMs  Range `toml:"delay_ms"`
@@ -153,12 +152,12 @@
 // Kind is one kind of destination.
 type Kind struct {
 	Name         string `toml:"name"`
-	Share        int    `toml:"share"` // so many of the sum of shares are of this kind
+	Share        int    `toml:"share"` // weight of this kind, relative to the sum of all shares
 	Limit        string `toml:"limit"` // "window", "rate" or "none"
 	WindowMs     int    `toml:"window_ms"`
-	Headroom     Range  `toml:"headroom"` // the limit over its calls at load 1
+	Headroom     Range  `toml:"headroom"` // limit relative to the calls at load 1
 	LeastRate    Range  `toml:"least_rate"`
-	Spare        Range  `toml:"spare"` // capacity over the limit
+	Spare        Range  `toml:"spare"` // capacity relative to the limit
 	DepthS       Range  `toml:"depth_s"`
 	TellsWait    Range  `toml:"tells_wait"`
 	WaitMs       Range  `toml:"wait_ms"`
@@ -166,8 +165,8 @@
 	Speed        Range  `toml:"speed"`
 	SlowCV       Range  `toml:"slow_cv"`
 	ErrorRate    Range  `toml:"error_rate"`
-	Refuses      Range  `toml:"refuses"` // the share of calls that are refused below the limit, with no wait
-	Conns        int    `toml:"conns"`   // an endpoint takes so many connections; 0: any number
+	Refuses      Range  `toml:"refuses"` // share of calls refused below the limit, without a wait
+	Conns        int    `toml:"conns"`   // maximum number of connections of an endpoint; 0: no limit
 }
 
 // Class is one class of message.
@@ -183,24 +182,24 @@
 	Repeat    string  `toml:"repeat"` // "safe" or "never"
 }
 
-// Tenant has a share of the destinations.
+// Tenant owns a share of the destinations.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
 }
 
-// Fault is one trouble.
+// Fault is one fault.
 //
-// On endpoints: down, silent, hang, shut, errors, slow, pauses, drain, gone, lower (a limit), hot.
-// On nodes: kill, term, stop, hangup.
+// On endpoints: down, silent, hang, shut, errors, slow, pauses, drain, gone, lower (a limit), hot. On nodes: kill, term, stop,
+// hangup.
 type Fault struct {
 	What  string `toml:"what"`
 	AtS   Range  `toml:"at_s"`
 	ForS  Range  `toml:"for_s"`
-	Part  Range  `toml:"part"`   // of the traffic, or of the nodes
-	Size  Range  `toml:"size"`   // share that fails, times slower, the limit's new part, ms of a pause
-	EachS Range  `toml:"each_s"` // pauses: seconds between two; kill and term: between two nodes
-	Lost  bool   `toml:"lost"`   // kill: the folder goes with the process
+	Part  Range  `toml:"part"`   // share of the traffic, or of the nodes
+	Size  Range  `toml:"size"`   // depends on the fault: error share, slowdown factor, new share of the limit, or length of a pause in ms
+	EachS Range  `toml:"each_s"` // pauses: seconds between two pauses; kill and term: between two nodes
+	Lost  bool   `toml:"lost"`   // kill: the node's data directory is lost too
 }
 
 // Read reads a scenario file and checks it.
@@ -216,7 +215,7 @@
 	return s, nil
 }
 
-// Parse reads the text of a file and checks it. What the file leaves out is as in Default.
+// Parse parses and checks the text of a scenario file. Missing settings are taken from Default.
 func Parse(text []byte) (Scenario, error) {
 	s := Default()
 	kinds, classes, tenants := s.Kinds, s.Classes, s.Tenants
@@ -254,7 +253,7 @@
 	return s, nil
 }
 
-// Default is a quiet day of the deployment that BRIEF describes, small enough for a try.
+// Default returns a quiet day of the deployment that BRIEF describes, small enough for a quick try.
 func Default() Scenario {
 	return Scenario{
 		Name: "default", LengthS: Range{20, 20},
@@ -286,7 +285,7 @@
 	}
 }
 
-// faults are the troubles with what each needs: a length, a size.
+// faults lists the known faults: whether each needs a length or a size, and whether it affects nodes.
 var faults = map[string]struct{ length, size, node bool }{
 	"down": {length: true}, "silent": {length: true}, "hang": {length: true}, "shut": {length: true},
 	"errors": {length: true, size: true}, "slow": {length: true, size: true}, "pauses": {length: true, size: true},
@@ -294,7 +293,7 @@
 	"kill": {node: true}, "term": {node: true}, "stop": {length: true, node: true}, "hangup": {node: true},
 }
 
-// check finds every mistake in one go.
+// check validates the scenario and reports all errors at once.
 func (s *Scenario) check(at lines) error {
 	var all []error
 	bad := func(key, form string, args ...any) {
@@ -303,17 +302,17 @@
 	within := func(key string, r Range, least, most float64) {
 		switch {
 		case math.IsNaN(r[0]) || math.IsNaN(r[1]) || r[0] > r[1]:
-			bad(key, "the range %v goes backwards", r)
+			bad(key, "range %v: the minimum exceeds the maximum", r)
 		case r[0] < least || r[1] > most:
-			bad(key, "the range %v has to lie within %v and %v", r, least, most)
+			bad(key, "range %v must lie between %v and %v", r, least, most)
 		}
 	}
 	within("length_s", s.LengthS, 1, 7200)
 	if s.Nodes.Count < 1 || s.Nodes.Count > 1000 {
-		bad("nodes.count", "%d has to lie within 1 and 1000", s.Nodes.Count)
+		bad("nodes.count", "%d must lie between 1 and 1000", s.Nodes.Count)
 	}
 	if s.Nodes.Members < 0 || s.Nodes.Members > 8 {
-		bad("nodes.members", "%d has to lie within 0 and 8", s.Nodes.Members)
+		bad("nodes.members", "%d must lie between 0 and 8", s.Nodes.Members)
 	}
 	within("nodes.slots_room", s.Nodes.SlotsRoom, 0.1, 100)
 	within("nodes.hold_s", s.Nodes.HoldS, 0.1, 1000)
@@ -330,13 +329,13 @@
 	for i, k := range s.Kinds {
 		key := fmt.Sprintf("kind[%d]", i)
 		if k.Share < 1 {
-			bad(key+".share", "%d has to be 1 or more", k.Share)
+			bad(key+".share", "%d must be at least 1", k.Share)
 		}
 		if k.Limit != "window" && k.Limit != "rate" && k.Limit != "none" {
-			bad(key+".limit", `%q has to be "window", "rate" or "none"`, k.Limit)
+			bad(key+".limit", `%q must be "window", "rate" or "none"`, k.Limit)
 		}
 		if k.Limit == "window" && k.WindowMs < 10 {
-			bad(key+".window_ms", "%d has to be 10 or more", k.WindowMs)
+			bad(key+".window_ms", "%d must be at least 10", k.WindowMs)
 		}
 		within(key+".refuses", k.Refuses, 0, 1)
 		within(key+".speed", k.Speed, 0.001, 1000)
@@ -346,18 +345,18 @@
 	for i, c := range s.Classes {
 		key := fmt.Sprintf("class[%d]", i)
 		if c.Repeat != "safe" && c.Repeat != "never" {
-			bad(key+".repeat", `%q has to be "safe" or "never"`, c.Repeat)
+			bad(key+".repeat", `%q must be "safe" or "never"`, c.Repeat)
 		}
 		if c.DeadlineS*1000 < c.AimMs {
-			bad(key+".deadline_s", "the deadline comes before the aim")
+			bad(key+".deadline_s", "the deadline is shorter than the aim")
 		}
 		within(key+".work_ms", c.WorkMs, 0.01, 600000)
 	}
 	if s.Fleet.Seeds < 0 || s.Fleet.Seeds > s.Nodes.Count {
-		bad("fleet.seeds", "%d of %d nodes", s.Fleet.Seeds, s.Nodes.Count)
+		bad("fleet.seeds", "%d seeds, but only %d nodes", s.Fleet.Seeds, s.Nodes.Count)
 	}
 	if s.Fleet.Seeds > 0 && s.Nodes.Count > network.MaxRelays {
-		bad("nodes.count", "%d: a fleet on sockets has %d at most", s.Nodes.Count, network.MaxRelays)
+		bad("nodes.count", "%d nodes: a fleet supports at most %d", s.Nodes.Count, network.MaxRelays)
 	}
 	for i, f := range s.Fleet.Faults {
 		key := fmt.Sprintf("fleet.fault[%d]", i)
@@ -366,7 +365,7 @@
 		within(key+".each_s", f.EachS, 0, 7200)
 		if f.What == RemoveMember {
 			if len(f.Nodes) != 2 || f.Nodes[0] == f.Nodes[1] || min(f.Nodes[0], f.Nodes[1]) < 0 || max(f.Nodes[0], f.Nodes[1]) >= s.Nodes.Count {
-				bad(key+".nodes", "%v: one that is told and one that is gone", f.Nodes)
+				bad(key+".nodes", "%v: needs two different nodes, the one that is notified and the one that is removed", f.Nodes)
 			}
 		} else if err := f.Pattern().Check(s.Nodes.Count); err != nil {
 			bad(key+".what", "%v", err)
@@ -376,7 +375,7 @@
 		key := fmt.Sprintf("fault[%d]", i)
 		need, known := faults[f.What]
 		if !known {
-			bad(key+".what", "%q is no fault", f.What)
+			bad(key+".what", "%q is not a known fault", f.What)
 			continue
 		}
 		within(key+".at_s", f.AtS, 0, s.LengthS[1])
@@ -391,5 +390,5 @@
 	return errors.Join(all...)
 }
 
-// OnNodes tells whether a fault strikes nodes, not endpoints.
+// OnNodes reports whether the fault affects nodes rather than endpoints.
 func (f Fault) OnNodes() bool { return faults[f.What].node }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-func TestMistakesAreToldWithTheirLine(t *testing.T) {
+func TestErrorsNameTheLine(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name = \"x\"\nlenght_s = [1, 2]\n", `line 2: unknown key "lenght_s"`}, //nolint:misspell // an unknown key
-		{"[load]\nlevel = [2, 1]\n", "line 2: load.level: the range [2 1] goes backwards"},
-		{"length_s = [9, 9]\n\n[[fault]]\nwhat = \"flood\"\n", `line 4: fault[0].what: "flood" is no fault`},
-		{"length_s = [9, 9]\n[[fault]]\nwhat = \"down\"\nat_s = [3, 20]\nfor_s = [1, 1]\n", "line 4: fault[0].at_s: the range [3 20] has to lie within 0 and 9"},
-		{"length_s = [9, 9]\n[[fault]]\nwhat = \"hang\"\nat_s = [3, 3]\n", "line 2: fault[0].for_s: the range [0 0] has to lie within"},
-		{"[[class]]\nname = \"a\"\nrepeat = \"maybe\"\nwork_ms = [1, 1]\ndeadline_s = 1\n", `line 3: class[0].repeat: "maybe" has to be`},
+		{"[load]\nlevel = [2, 1]\n", "line 2: load.level: range [2 1]: the minimum exceeds the maximum"},
+		{"length_s = [9, 9]\n\n[[fault]]\nwhat = \"flood\"\n", `line 4: fault[0].what: "flood" is not a known fault`},
+		{"length_s = [9, 9]\n[[fault]]\nwhat = \"down\"\nat_s = [3, 20]\nfor_s = [1, 1]\n", "line 4: fault[0].at_s: range [3 20] must lie between 0 and 9"},
+		{"length_s = [9, 9]\n[[fault]]\nwhat = \"hang\"\nat_s = [3, 3]\n", "line 2: fault[0].for_s: range [0 0] must lie between"},
+		{"[[class]]\nname = \"a\"\nrepeat = \"maybe\"\nwork_ms = [1, 1]\ndeadline_s = 1\n", `line 3: class[0].repeat: "maybe" must be`},
 		{"length_s = \"long\"\n", "line 1: "},
 	} {
 		_, err := Parse([]byte(c.text))
@@ -24,7 +24,7 @@
 	}
 	_, err := Parse([]byte("[nodes]\ncount = 0\n[load]\nlevel = [2, 1]\n"))
 	if err == nil || !strings.Contains(err.Error(), "nodes.count") || !strings.Contains(err.Error(), "load.level") {
-		t.Errorf("not all mistakes in one go: %v", err)
+		t.Errorf("not all errors are reported at once: %v", err)
 	}
 }
 
@@ -41,7 +41,7 @@
 			continue
 		}
 		if s.Page == "" || s.About == "" || s.Name+".toml" != filepath.Base(f) && s.Name+".toml" != "fleet-"+filepath.Base(f) {
-			t.Errorf("%s: no page, no word about it, or another name: %q", f, s.Name)
+			t.Errorf("%s: page or about is missing, or the name differs from the file's: %q", f, s.Name)
 		}
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); !os.IsNotExist(unwrapAll(err)) {
@@ -59,13 +59,13 @@
 	}
 }
 
-func TestMistakesOfAFleet(t *testing.T) {
+func TestFleetErrors(t *testing.T) {
 	for text, wants := range map[string]string{
-		"[nodes]\ncount = 3\n[fleet]\nseeds = 4":                                                         "4 of 3 nodes",
-		"[nodes]\ncount = 200\n[fleet]\nseeds = 1":                                                       "120 at most",
-		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"half\"":                       "no pattern",
-		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"deaf\"\nnodes = [3]":          "no node 3 of 3",
-		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"remove\"\nnodes = [1, 1]":     "one that is told",
+		"[nodes]\ncount = 3\n[fleet]\nseeds = 4":                                                         "4 seeds, but only 3 nodes",
+		"[nodes]\ncount = 200\n[fleet]\nseeds = 1":                                                       "at most 120",
+		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"half\"":                       "is not a known pattern",
+		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"deaf\"\nnodes = [3]":          "node 3 does not exist: there are 3 nodes",
+		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"remove\"\nnodes = [1, 1]":     "the one that is notified",
 		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"split\"\nat_s = [900, 901]":   "at_s",
 		"[nodes]\ncount = 3\n[fleet]\nseeds = 1\n[[fleet.fault]]\nwhat = \"split\"\nparts = 2\nsize = 1": "unknown key",
 	} {
--- a/internal/lab/simulation/check.go
+++ b/internal/lab/simulation/check.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// Violation is what a check of a simulation found.
+// Violation describes a failed check of a simulation.
 type Violation string
 
-// Failf ends the simulation with a Violation. It panics with it, as checks are made deep inside of callbacks; Play
-// recovers it.
+// Failf ends the simulation with a Violation. It panics, as checks run deep inside callbacks; Play recovers the panic.
 func Failf(format string, args ...any) { panic(Violation(fmt.Sprintf(format, args...))) }
 
-// Play runs a simulation, and returns the Violation that ended it; "": none did.
+// Play runs a simulation and returns the Violation that ended it, or "" if there was none.
 func Play(simulate func()) (found Violation) {
 	defer func() {
 		switch x := recover().(type) {
@@ -28,18 +27,18 @@
 	return ""
 }
 
-// Trace has what happened in a simulation, if it is enabled.
+// Trace records the events of a simulation if it is enabled.
 type Trace struct {
 	Enabled bool
 	lines   []string
 }
 
-// Addf adds a line, with the simulated time.
+// Addf appends a line, prefixed with the simulated time.
 func (t *Trace) Addf(now time.Duration, format string, args ...any) {
 	if t.Enabled {
 		t.lines = append(t.lines, fmt.Sprintf("%8.3f ", now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-// String has all lines.
+// String returns all lines.
 func (t *Trace) String() string { return strings.Join(t.lines, "\n") }
--- a/internal/lab/simulation/check_test.go
+++ b/internal/lab/simulation/check_test.go
@@ -14,14 +14,14 @@
 		after = true
 	})
 	if found != "slot 7 has two values" || after {
-		t.Errorf("found %q, went on after it: %v", found, after)
+		t.Errorf("found %q, continued after it: %v", found, after)
 	}
 	if found := Play(func() { after = true }); found != "" || !after {
-		t.Errorf("found %q in what violates nothing", found)
+		t.Errorf("found %q in a simulation without a violation", found)
 	}
 }
 
-func TestPlayPassesOtherPanicsOn(t *testing.T) {
+func TestPlayPropagatesOtherPanics(t *testing.T) {
 	fault := errors.New("a fault of the simulation itself")
 	defer func() {
 		if got, isError := recover().(error); !isError || !errors.Is(got, fault) {
@@ -34,7 +34,7 @@
 
 func TestTraceIsEmptyUnlessEnabled(t *testing.T) {
 	var trace Trace
-	trace.Addf(time.Second, "nobody looks")
+	trace.Addf(time.Second, "not recorded")
 	trace.Enabled = true
 	trace.Addf(1500*time.Millisecond, "node %d starts", 3)
 	trace.Addf(2*time.Second, "node %d ends", 3)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestEachSeedIsPlayedOnce(t *testing.T) {
+func TestEachSeedRunsOnce(t *testing.T) {
 	var mu sync.Mutex
 	played := map[uint64]int{}
 	EachSeed(50, func() bool { return true }, func(seed uint64) {
@@ -53,11 +53,11 @@
 	})
 	for seed := uint64(1); seed <= 50; seed++ {
 		if played[seed] != 1 {
-			t.Errorf("seed %d was played %d times", seed, played[seed])
+			t.Errorf("seed %d ran %d times", seed, played[seed])
 		}
 	}
 	if len(played) != 50 {
-		t.Errorf("%d seeds were played, want 50", len(played))
+		t.Errorf("%d seeds ran, want 50", len(played))
 	}
-	EachSeed(50, func() bool { return false }, func(seed uint64) { t.Errorf("seed %d was played", seed) })
+	EachSeed(50, func() bool { return false }, func(seed uint64) { t.Errorf("seed %d ran", seed) })
 }
--- a/internal/lab/simulation/scheduler_test.go
+++ b/internal/lab/simulation/scheduler_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// recorder schedules events that record their name and when they ran.
+// recorder schedules events that record their name and the time at which they ran.
 type recorder struct {
 	Scheduler
 	ran []string
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestEventsRunInTheOrderOfTheirTimes(t *testing.T) {
+func TestEventsRunInChronologicalOrder(t *testing.T) {
 	var r recorder
 	r.After(3, r.record("third"))
 	r.At(1, r.record("first"))
@@ -36,7 +36,7 @@
 	r.expect(t, 9, "first@1", "second@2", "third@3", "late@9")
 }
 
-func TestEventsOfOneTimeRunInTheOrderOfTheirScheduling(t *testing.T) {
+func TestSimultaneousEventsRunInSchedulingOrder(t *testing.T) {
 	var r recorder
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		r.After(7, r.record(name))
--- a/internal/lab/simulation/seeds.go
+++ b/internal/lab/simulation/seeds.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// EachSeed calls play for the seeds from 1 to n, on all cores, and returns when all calls have. While more is false it
-// starts no further one.
+// EachSeed calls play for the seeds from 1 to n, on all cores, and returns when all calls have returned. It starts no further call
+// once more returns false.
 func EachSeed(n uint64, more func() bool, play func(seed uint64)) {
 	var latest atomic.Uint64
 	var players sync.WaitGroup
--- a/internal/lab/tempdir/tempdir.go
+++ b/internal/lab/tempdir/tempdir.go
@@ -1,5 +1,5 @@
-// Package tempdir makes folders for tests below a folder of the test's choice, where testing.TB's own TempDir offers only
-// the system's one.
+// Package tempdir creates directories for tests below a directory that the test chooses, whereas testing.TB.TempDir only uses the
+// system's directory for temporary files.
 package tempdir
 
 import (
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Below returns an empty folder that is removed at the end of the test: below root, or, where the machine has no root or it
-// can't be written, below the system's folder for temporary files.
+// Below returns an empty directory that is removed at the end of the test: below root or, if root does not exist or is not writable,
+// below the system's directory for temporary files.
 func Below(t testing.TB, root string) string {
 	t.Helper()
 	dir, err := os.MkdirTemp(root, "dunetide-test-")
@@ -17,7 +17,7 @@
 	}
 	t.Cleanup(func() {
 		if err := os.RemoveAll(dir); err != nil {
-			t.Errorf("removing a folder of a test: %v", err)
+			t.Errorf("removing a test's directory: %v", err)
 		}
 	})
 	return dir
--- a/internal/lab/tempdir/tempdir_test.go
+++ b/internal/lab/tempdir/tempdir_test.go
@@ -9,7 +9,7 @@
 func TestBelow(t *testing.T) {
 	root := t.TempDir()
 	var dir string
-	t.Run("makes one and removes it", func(t *testing.T) {
+	t.Run("creates and removes", func(t *testing.T) {
 		dir = Below(t, root)
 		if filepath.Dir(dir) != root {
 			t.Errorf("%s is not below %s", dir, root)
@@ -19,7 +19,7 @@
 		}
 	})
 	if _, err := os.Stat(dir); !os.IsNotExist(err) {
-		t.Errorf("%s is left: %v", dir, err)
+		t.Errorf("%s was not removed: %v", dir, err)
 	}
 	other := Below(t, filepath.Join(root, "missing"))
 	if info, err := os.Stat(other); err != nil || !info.IsDir() {
--- a/internal/lab/trace/trace.go
+++ b/internal/lab/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace defines the trace of a run of the lab: one record for each event, in the order of time, as lines
-// of JSON. internal/lab/rules checks it, internal/lab/figures counts it.
+// Package trace defines the trace of a lab run: one JSON record per line for each event, in chronological order. internal/lab/rules
+// checks it, internal/lab/figures computes statistics.
 package trace
 
 import (
@@ -11,41 +11,41 @@
 	"time"
 )
 
-// What names what a record tells.
+// What is the type of a record.
 type What string
 
-// What is recorded. The word in brackets says which fields are set beside the time.
+// The types of records. The names in parentheses are the fields that are set besides the time.
 const (
-	Born   What = "born"   // a client has a message (id, origin, dest, class, tenant, until, share: of its worth)
-	Taken  What = "taken"  // its client heard that it is taken on (id, node)
-	Turned What = "turned" // its client heard a no, or nothing (id, node, status, wait)
-	Call   What = "call"   // the last byte of a call came (id, node, ep, call, since: first byte)
+	Born   What = "born"   // a client has a new message (id, origin, dest, class, tenant, until, share: factor on its worth)
+	Taken  What = "taken"  // the client got confirmation that its message is accepted (id, node)
+	Turned What = "turned" // the client was refused or got no answer (id, node, status, wait)
+	Call   What = "call"   // the last byte of a call arrived (id, node, ep, call, since: first byte)
 	End    What = "end"    // a call ended (id, node, ep, call, status or "closed", wait)
-	NoConn What = "noconn" // a connection was refused or never came up (node, ep)
-	Conn   What = "conn"   // a connection came up (node, ep)
-	Notice What = "notice" // a node told the platform of an end (id, node, result)
-	Told   What = "told"   // a node was told of an endpoint (node, ep, result: the phase)
-	Ask    What = "ask"    // a node asked for the list (node, lines)
-	Fault  What = "fault"  // a trouble begins or ends (result, ep or node, until)
-	Fell   What = "fell"   // a cold destination fell over (dest, share: of those who knew)
-	Stop   What = "stop"   // a node's process is ended (node, result: the signal, or lost)
+	NoConn What = "noconn" // a connection was refused or never established (node, ep)
+	Conn   What = "conn"   // a connection was established (node, ep)
+	Notice What = "notice" // a node notified the platform of an end (id, node, result)
+	Told   What = "told"   // discovery notified a node of an endpoint (node, ep, result: the phase)
+	Ask    What = "ask"    // a node requested the endpoint list (node, lines)
+	Fault  What = "fault"  // a fault begins or ends (result, ep or node, until)
+	Fell   What = "fell"   // a cold destination collapsed under load (dest, share: of the calls from nodes that had seen it fail)
+	Stop   What = "stop"   // a node's process is stopped (node, result: the signal, or lost)
 	Start  What = "start"  // a node's process is started (node)
-	Ready  What = "ready"  // a node takes clients (node)
-	Odd    What = "odd"    // something that no protocol allows (id, node, ep, result)
+	Ready  What = "ready"  // a node accepts clients (node)
+	Odd    What = "odd"    // a protocol violation (id, node, ep, result)
 	Over   What = "over"   // the run ends
 	Member What = "member" // a node sees another in a new state (node, ep: the other, result, call: its incarnation)
 	Net    What = "net"    // a fault between nodes begins or ends (result, lines: 1 or -1)
-	Word   What = "word"   // the staff told a node that another is gone (node, ep: the other)
-	Late   What = "late"   // the lab itself fell behind (wait: by so much)
+	Word   What = "word"   // an operator removed a node at another one (node, ep: the removed node)
+	Late   What = "late"   // the lab itself was late (wait: by how much)
 )
 
-// Ends of calls that have no status.
+// Ends of calls that have no HTTP status.
 const (
-	Reset  = "reset"  // the connection broke after the last byte
-	Closed = "closed" // the node gave up
+	Reset  = "reset"  // the connection broke after the last byte of the call
+	Closed = "closed" // the node abandoned the call
 )
 
-// Record is one thing that was seen.
+// Record is one event of a trace.
 type Record struct {
 	At     time.Duration `json:"t"`
 	What   What          `json:"what"`
@@ -66,7 +66,8 @@
 	Lines  int           `json:"lines,omitempty"`
 }
 
-// Writer writes records to a file. A file that is full ends the writing, not the run.
+// Writer writes records to a file. If a write fails, for instance because the disk is full, the rest of the trace is dropped, but
+// the run continues.
 type Writer struct {
 	out    *bufio.Writer
 	enc    *json.Encoder
@@ -74,13 +75,13 @@
 	count  int
 }
 
-// NewWriter begins a trace.
+// NewWriter returns a Writer on w.
 func NewWriter(w io.Writer) *Writer {
 	out := bufio.NewWriterSize(w, 1<<16)
 	return &Writer{out: out, enc: json.NewEncoder(out)}
 }
 
-// Add writes one record; what can't be written is lost, and Close says so.
+// Add writes one record. Errors are reported by Close.
 func (w *Writer) Add(r Record) {
 	if w.failed != nil {
 		return
@@ -89,7 +90,7 @@
 	w.failed = w.enc.Encode(r)
 }
 
-// Close writes what is left and tells of the first failure.
+// Close flushes the trace and returns the first error of the Writer.
 func (w *Writer) Close() error {
 	if err := w.out.Flush(); w.failed == nil {
 		w.failed = err
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// Read hands each record of a trace to a function, with bounded memory.
+// Read calls take for each record of a trace, with bounded memory.
 func Read(r io.Reader, take func(Record)) error {
 	dec := json.NewDecoder(bufio.NewReaderSize(r, 1<<16))
 	for n := 1; ; n++ {
--- a/internal/lab/wait/wait.go
+++ b/internal/lab/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has the waits of the lab, which end with a context.
+// Package wait provides waits for the lab that end with a context.
 package wait
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits so long. It tells whether the time went by before the context ended; where there is nothing to wait for, whether it goes on.
+// For waits for d and reports whether it elapsed before the context ended. If d is not positive, it reports whether the context is
+// still active.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,7 +22,7 @@
 	}
 }
 
-// Within does something that ends with its context, for so long at most.
+// Within calls do with a context that ends after at most the given time.
 func Within(ctx context.Context, most time.Duration, do func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -1,6 +1,6 @@
-// Package world is the lab's model of the environment of delivery nodes: destinations with their endpoints and limits,
-// discovery, clients, and faults. It has no clock, socket or goroutine: internal/lab/insim steps it in simulated
-// time, internal/lab/live in real time.
+// Package world models the environment of delivery nodes in the lab: destinations with their endpoints and limits, discovery,
+// clients, and faults. It uses no clock, sockets or goroutines: internal/lab/insim steps it in simulated time, internal/lab/live in
+// real time.
 package world
 
 import (
@@ -13,7 +13,7 @@
 	"dunetide/internal/lab/scenario"
 )
 
-// Day is one draw from a scenario: all that is fixed before anything happens.
+// Day is one random draw from a scenario: everything that is fixed before the run starts.
 type Day struct {
 	Seed      uint64
 	Length    time.Duration
@@ -43,9 +43,9 @@
 	Kind         int
 	Tenant       int
 	Share        float64 // of all messages
-	Limit        float64 // calls a second; 0 for none
+	Limit        float64 // calls per second; 0 for none
 	Window       time.Duration
-	Phase        time.Duration // when its first span begins
+	Phase        time.Duration // when its first limit window begins
 	Capacity     float64
 	TellsWait    float64
 	RefusedCount bool
@@ -55,15 +55,15 @@
 // Endpoint is one machine of a destination.
 type Endpoint struct {
 	Dest      int
-	Cores     int // calls served at once
-	Depth     int // calls that wait
-	Conns     int // connections taken; 0 for any number
+	Cores     int // number of calls served concurrently
+	Depth     int // length of the queue
+	Conns     int // maximum number of connections; 0 for no limit
 	Pace      float64
 	ErrorRate float64
 	Refuses   float64
 }
 
-// Message is what a client hands in first.
+// Message is a message of a client, with its first try.
 type Message struct {
 	At     time.Duration
 	Dest   int
@@ -75,7 +75,7 @@
 	Inside bool // within its tenant's share
 }
 
-// Fault is a fault with its time, its end and its targets drawn.
+// Fault is a fault whose start, end and targets have been drawn.
 type Fault struct {
 	What        string
 	From, Until time.Duration
@@ -86,11 +86,10 @@
 	OnNodes     bool
 }
 
-// ID names one try of a message.
+// ID returns the id of one try of a message.
 func ID(message, try int) string { return fmt.Sprintf("%012x%04x", message+1, try) }
 
-// Random is a source for one purpose alone, so that what happens elsewhere changes nothing
-// in what it draws.
+// Random returns a random source for one purpose only, so that its draws do not depend on other purposes.
 func Random(seed uint64, purpose string, n ...uint64) *rand.Rand {
 	h := uint64(14695981039346656037)
 	mix := func(v uint64) {
@@ -112,13 +111,13 @@
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 func millis(v float64) time.Duration  { return time.Duration(v * float64(time.Millisecond)) }
 
-// spread draws around 1 with a coefficient of variation.
+// spread draws from a log-normal distribution with mean 1 and the given coefficient of variation.
 func spread(r *rand.Rand, cv float64) float64 {
 	sigma2 := math.Log(1 + cv*cv)
 	return math.Exp(math.Sqrt(sigma2)*r.NormFloat64() - sigma2/2)
 }
 
-// Draw makes a day of a scenario. The same seed gives the same day on any machine.
+// Draw draws a day from a scenario. The same seed yields the same day on any machine.
 func Draw(s scenario.Scenario, seed uint64) Day {
 	r := Random(seed, "day")
 	d := Day{Seed: seed, Scenario: s, Length: seconds(draw(r, s.LengthS)), OneWay: millis(draw(r, s.Net.OneWayMs)),
@@ -134,7 +133,7 @@
 	return d
 }
 
-// drawDests draws the destinations and their endpoints; it gives the rate of all messages at load 1.
+// drawDests draws the destinations and their endpoints, and returns the rate of all messages at load 1.
 func (d *Day) drawDests(r *rand.Rand) float64 {
 	s := &d.Scenario
 	n := max(1, int(math.Round(draw(r, s.Dest.Count))))
@@ -186,7 +185,7 @@
 			cores := max(1, int(math.Round(capacity*work/pace/float64(count))))
 			ep := Endpoint{Dest: i, Cores: cores, Pace: pace, ErrorRate: draw(r, k.ErrorRate), Conns: k.Conns,
 				Depth: max(1, int(draw(r, k.DepthS)*capacity/float64(count)))}
-			if k.Refuses[1] > 0 { // a draw of its own, so that days without it stay as they are
+			if k.Refuses[1] > 0 { // a separate random source, so that days without refusals do not change
 				ep.Refuses = draw(Random(d.Seed, "refuses", uint64(len(d.Endpoints))), k.Refuses)
 			}
 			dest.Capacity += float64(cores) * pace / work
@@ -200,7 +199,7 @@
 
 func (d *Day) drawNodes(r *rand.Rand, total float64) {
 	s := &d.Scenario
-	busy := 0.0 // calls out at load 1
+	busy := 0.0 // calls in flight at load 1
 	for i, dest := range d.Dests {
 		work := 0.0
 		for _, c := range s.Classes {
@@ -221,7 +220,7 @@
 	}
 }
 
-// pick gives the place of a share at u, from 0 to 1.
+// pick returns the index of the share that contains u, which is between 0 and 1.
 func pick(n int, share func(int) float64, u float64) int {
 	for i := range n - 1 {
 		if u -= share(i); u < 0 {
@@ -269,7 +268,8 @@
 	d.shares(total * draw(r, s.Load.AllowanceX))
 }
 
-// shares marks what lies within a tenant's share of so many messages a second, two seconds' worth saved up.
+// shares marks the messages that lie within their tenant's share of the allowance, given in messages per second: a token bucket that
+// holds two seconds' worth.
 func (d *Day) shares(all float64) {
 	s := &d.Scenario
 	if len(s.Tenants) == 0 {
@@ -296,7 +296,7 @@
 }
 
 func (d *Day) drawTroubles() {
-	struck := map[int]bool{} // destinations with an outage: one each
+	struck := map[int]bool{} // destinations that already have an outage; each gets at most one
 	for i, f := range d.Scenario.Faults {
 		r := Random(d.Seed, "fault", uint64(i))
 		t := Fault{What: f.What, From: seconds(draw(r, f.AtS)), Size: draw(r, f.Size), Each: seconds(draw(r, f.EachS)),
@@ -311,7 +311,7 @@
 		}
 		order := r.Perm(len(d.Dests))
 		if f.What == "hot" {
-			slices.Sort(order) // the largest draw it
+			slices.Sort(order) // the largest destinations become hot
 		}
 		reached := 0.0
 		for _, dest := range order {
@@ -326,7 +326,7 @@
 			switch f.What {
 			case "lower", "hot":
 				t.Targets = append(t.Targets, dest)
-			case "drain", "gone": // one endpoint of each, so that others are left where there are any
+			case "drain", "gone": // one endpoint of each destination, so that the others remain
 				t.Targets = append(t.Targets, d.Dests[dest].Endpoints[0])
 			default:
 				t.Targets = append(t.Targets, d.Dests[dest].Endpoints...)
@@ -337,7 +337,7 @@
 	slices.SortStableFunc(d.Troubles, func(a, b Fault) int { return int(a.From - b.From) })
 }
 
-// heat leads messages to hot destinations.
+// heat redirects messages to hot destinations.
 func (d *Day) heat() {
 	for n, t := range d.Troubles {
 		if t.What != "hot" {
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -7,7 +7,7 @@
 	"dunetide/internal/lab/trace"
 )
 
-// applyFault begins a fault.
+// applyFault starts a fault.
 func (w *World) applyFault(t Fault) {
 	if t.OnNodes {
 		for i, n := range t.Targets {
@@ -35,7 +35,7 @@
 		w.at(t.Until, func() { w.dests[n].factor = 1 })
 		return
 	case "hot":
-		return // the messages were led there
+		return // drawn into the messages by Day.heat
 	case "drain", "gone":
 		w.leave(t, n)
 		return
@@ -69,7 +69,7 @@
 	w.at(t.Until, func() { w.returns(t, n) })
 }
 
-// lose breaks off all that an endpoint has.
+// lose breaks off all calls of an endpoint.
 func (w *World) lose(n int) {
 	e := &w.eps[n]
 	served, waiting := e.served, e.waiting
@@ -83,7 +83,7 @@
 	}
 }
 
-// returns ends an outage: the destination is cold from then on.
+// returns ends an outage; from then on the destination is cold.
 func (w *World) returns(t Fault, n int) {
 	e := &w.eps[n]
 	d := &w.dests[w.Day.Endpoints[n].Dest]
@@ -101,7 +101,7 @@
 		e.errs = w.Day.Endpoints[n].ErrorRate
 	}
 	if t.What == "silent" || t.What == "hang" {
-		// What it took meanwhile, it never answers; its connections break.
+		// Calls accepted meanwhile are never answered; their connections break.
 		for _, c := range e.held {
 			w.breakOff(c)
 		}
@@ -114,7 +114,7 @@
 	w.note(trace.Record{At: w.now, What: trace.Fault, Result: "end of " + t.What, EP: n})
 }
 
-// warmth is the share of its capacity that a destination has.
+// warmth returns the share of its capacity that a destination currently has.
 func (w *World) warmth(n int) float64 {
 	d := &w.dests[n]
 	if !d.cold {
@@ -128,8 +128,8 @@
 	return w.Day.ColdFrom + (1-w.Day.ColdFrom)*float64(since)/float64(w.Day.WarmUp)
 }
 
-// weigh counts what reaches a cold destination. It falls over above the budget of a
-// window, with two deviations of chance to spare.
+// weigh counts calls that reach a cold destination. The destination collapses if a window exceeds the budget by more than two
+// standard deviations of random arrivals.
 func (w *World) weigh(n, node int) {
 	d := &w.dests[n]
 	if d.outage || d.fallen || w.warmth(n) >= 1 {
@@ -170,8 +170,8 @@
 	w.at(e.paused+each, func() { w.pause(t, n) })
 }
 
-// leave takes an endpoint out of the list: nodes hear of it late, each at its own time,
-// and it goes once the last has heard.
+// leave removes an endpoint from discovery: each node is notified after its own delay, and the endpoint shuts down a grace period
+// after the last notification.
 func (w *World) leave(t Fault, n int) {
 	e := &w.eps[n]
 	tell := func(phase Phase) time.Duration {
--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/lab/trace"
 )
 
-// Settings is what a node is told of the day, in the form of the platform.
+// Settings returns the settings of a node, in the platform's JSON format.
 func (d *Day) Settings(me int) json.RawMessage {
 	s := &d.Scenario
 	us := func(ms float64) int64 { return int64(ms * 1000) }
@@ -44,12 +44,12 @@
 			"ColdFrom": d.ColdFrom, "FallMultiple": s.Rules.FallMultiple, "AnswerSlackUs": 20000},
 	})
 	if err != nil {
-		panic(err) // numbers that no scenario can hold
+		panic(err) // numbers that no valid scenario contains
 	}
 	return text
 }
 
-// Member is an endpoint in discovery's form.
+// Member is an endpoint in the JSON format of discovery.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -61,7 +61,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Member is an endpoint as a node's agent tells of it.
+// Member returns an endpoint as a node's agent reports it.
 func (w *World) Member(node, ep int, hostPort string) Member {
 	d := w.Day.Endpoints[ep].Dest
 	rate := w.Day.Dests[d].Limit
@@ -72,25 +72,25 @@
 		Flavor: w.Day.Scenario.Kinds[w.Day.Dests[d].Kind].Name, Cell: d, Phase: w.told[node][ep], Size: rate}
 }
 
-// Try is a client's attempt to hand a message in.
+// Try is a client's attempt to submit a message.
 type Try struct {
 	Message int
 	Number  int // 0 for the first
 	At      time.Duration
 	Node    int
-	Again   bool // a node had it and died
+	Again   bool // an earlier node accepted it and failed
 }
 
-// ID is the id of the try.
+// ID returns the id of the try.
 func (t Try) ID() string { return ID(t.Message, t.Number) }
 
-// Until is when the message is given up, which counts from its first try.
+// Until returns the deadline of the message, which counts from its first try.
 func (d *Day) Until(t Try) time.Duration {
 	m := d.Messages[t.Message]
 	return m.At + seconds(d.Scenario.Classes[m.Class].DeadlineS)
 }
 
-// Born notes that a client has a message.
+// Born returns the record of a client's new try.
 func (d *Day) Born(t Try) trace.Record {
 	m := d.Messages[t.Message]
 	r := trace.Record{At: t.At, What: trace.Born, ID: t.ID(), Origin: ID(t.Message, 0), Node: t.Node, Dest: m.Dest, Class: m.Class,
@@ -101,8 +101,8 @@
 	return r
 }
 
-// Refused tells whether and when a client comes again after a refusal that told it to wait,
-// or 0. It comes to any node.
+// Refused returns the client's next try after a refusal, and whether there is one. wait is the wait named by the refusal, or 0. The
+// next try goes to a random node.
 func (d *Day) Refused(t Try, now, wait time.Duration) (Try, bool) {
 	if t.Number >= d.Retries {
 		return Try{}, false
@@ -116,7 +116,7 @@
 	return next, next.At < d.Until(t)
 }
 
-// Died tells when a client hands in again what a node had that died, or did not answer.
+// Died returns the client's next try after its node failed or did not answer, and whether there is one.
 func (d *Day) Died(t Try, now time.Duration) (Try, bool) {
 	r := Random(d.Seed, "died", uint64(t.Message), uint64(t.Number))
 	next := Try{Message: t.Message, Number: t.Number + 1, At: now + millis(draw(r, d.Scenario.Clients.AgainMs)),
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -10,19 +10,19 @@
 	"dunetide/policy"
 )
 
-// Host plays a world: it carries the world's word to the delivery nodes.
+// Host runs a world and connects it to the delivery nodes.
 type Host interface {
-	// Answer brings what an endpoint says to a call, or that its connection breaks.
+	// Answer delivers an endpoint's answer to a call, or the loss of its connection.
 	Answer(now time.Duration, a Answer)
-	// Listed tells a node's agent of endpoints whose phase has changed.
+	// Listed notifies a node's agent that the phases of some endpoints have changed.
 	Listed(now time.Duration, node int, eps []int)
-	// Door tells that an endpoint takes new connections otherwise from now on.
+	// Door reports a change in how an endpoint treats new connections.
 	Door(now time.Duration, ep int, as Dialled)
-	// Strike carries out a trouble of a node.
+	// Strike applies a fault to a node.
 	Strike(now time.Duration, t Fault, node int)
 }
 
-// Answer ends a call.
+// Answer is the end of a call.
 type Answer struct {
 	Call   uint64
 	Node   int
@@ -36,15 +36,15 @@
 // Attempt is one call as it reaches an endpoint.
 type Attempt struct {
 	ID      string
-	Message int // of the day's; negative where no client sent it
-	Try     int // so manieth call with this message, for what is drawn
+	Message int // index in Day.Messages; negative if no client sent it
+	Try     int // number of this call among the message's calls, as input of random draws
 	Node    int
 	EP      int
 	Fresh   bool // on a new connection
 	Began   time.Duration
 }
 
-// Phase is what discovery says of an endpoint.
+// Phase is the state of an endpoint in discovery.
 type Phase string
 
 // The phases.
@@ -54,7 +54,7 @@
 	Left    Phase = "left"
 )
 
-// World is a day as it goes on.
+// World is the state of a day while it is simulated.
 type World struct {
 	Day   Day
 	now   time.Duration
@@ -65,16 +65,16 @@
 	last  uint64
 	eps   []endpoint
 	dests []dest
-	// what each node's agent has been told, by endpoint
+	// told holds, for each node, the phases that its agent reports, by endpoint
 	told [][]Phase
 }
 
 type call struct {
 	Attempt
 	id      uint64
-	work    time.Duration // that is left
+	work    time.Duration // remaining work
 	serving bool
-	gone    bool // its node has given it up; the work runs on
+	gone    bool // its node has abandoned it; the work continues
 	ended   bool
 }
 
@@ -83,30 +83,30 @@
 	busy    int
 	waiting []*call
 	conns   int
-	door    Dialled // as the host knows it
+	door    Dialled // last value reported to the host
 	down    bool    // refuses connections
-	silent  bool    // says nothing to anybody
+	silent  bool    // neither accepts connections nor sends answers
 	hang    bool
-	shut    time.Duration // until then
+	shut    time.Duration // refuses all calls until then
 	errs    float64
 	slow    float64
 	paused  time.Duration // until then
 	served  []*call       // calls that are being served
-	held    []*call       // taken and never answered
+	held    []*call       // accepted and never answered
 	rng     *rand.Rand
 }
 
 type dest struct {
-	factor  float64 // of the limit, where it was lowered
+	factor  float64 // of the limit, while it is lowered
 	from    time.Duration
 	used    float64
-	shown   policy.Allowance // what answers tell now
+	shown   policy.Allowance // value that answers report now
 	rng     *rand.Rand
 	outage  bool
 	knows   map[int]bool // nodes that saw it fail during the last outage
 	cold    bool
-	back    time.Duration // since when
-	reached []arrival     // calls while it is cold, within one window
+	back    time.Duration // since when it is cold
+	reached []arrival     // calls within one window while it is cold
 	fallen  bool
 }
 
@@ -115,7 +115,7 @@
 	node int
 }
 
-// New begins a day. Everything that is seen goes to note.
+// New starts a day. Every event is passed to note.
 func New(d Day, host Host, note func(trace.Record)) *World {
 	w := &World{Day: d, host: host, note: note, calls: map[uint64]*call{}}
 	w.eps = make([]endpoint, len(d.Endpoints))
@@ -143,10 +143,10 @@
 	return w
 }
 
-// Next is when the world has something to do.
+// Next returns the time of the world's next event, if there is one.
 func (w *World) Next() (time.Duration, bool) { return w.queue.Next() }
 
-// Advance does all that is due until now.
+// Advance runs all events due until now.
 func (w *World) Advance(now time.Duration) {
 	for at, some := w.queue.Next(); some && at <= now; at, some = w.queue.Next() {
 		at, do := w.queue.Pop()
@@ -158,20 +158,20 @@
 
 func (w *World) at(t time.Duration, do func()) { w.queue.At(max(t, w.now), do) }
 
-// Phases is what a node's agent has been told.
+// Phases returns the phases that a node's agent reports, by endpoint.
 func (w *World) Phases(node int) []Phase { return w.told[node] }
 
-// Dialled is how an endpoint takes a new connection.
+// Dialled is the result of a connection attempt to an endpoint.
 type Dialled int
 
-// The ways.
+// The results.
 const (
 	Accepted Dialled = iota
 	Refused
-	Unheard // it never comes up
+	Unheard // no answer: the connection attempt times out
 )
 
-// door is how an endpoint takes new connections now.
+// door returns the current result of a connection attempt to an endpoint.
 func (w *World) door(ep int) Dialled {
 	e := &w.eps[ep]
 	full := w.Day.Endpoints[ep].Conns > 0 && e.conns >= w.Day.Endpoints[ep].Conns
@@ -184,7 +184,7 @@
 	return Accepted
 }
 
-// knock tells the host where an endpoint's door has changed.
+// knock notifies the host if an endpoint now treats new connections differently.
 func (w *World) knock(ep int) {
 	if as := w.door(ep); as != w.eps[ep].door {
 		w.eps[ep].door = as
@@ -192,7 +192,7 @@
 	}
 }
 
-// Dial is a node's new connection. One that is accepted has to be given back by Hangup.
+// Dial opens a connection from a node to an endpoint. Each accepted connection must be released by Hangup.
 func (w *World) Dial(now time.Duration, node, ep int) Dialled {
 	w.Advance(now)
 	e := &w.eps[ep]
@@ -214,14 +214,14 @@
 	return Accepted
 }
 
-// Hangup ends a connection on which no call is out.
+// Hangup closes a connection on which no call is in flight.
 func (w *World) Hangup(ep int) {
 	w.eps[ep].conns--
 	w.knock(ep)
 }
 
-// Call is a call whose last byte the node has just written. It gives the call's number;
-// its answer comes through the host, if there is one.
+// Call starts a call whose last byte the node has just written, and returns the call's number. The answer, if there is one, is
+// delivered through the host.
 func (w *World) Call(now time.Duration, a Attempt) uint64 {
 	w.Advance(now)
 	w.last++
@@ -237,7 +237,7 @@
 	return c.id
 }
 
-// Abandon is a node that gives a call up. The work runs on.
+// Abandon ends a call that its node gives up. The endpoint's work continues.
 func (w *World) Abandon(now time.Duration, id uint64) {
 	w.Advance(now)
 	c := w.calls[id]
@@ -251,7 +251,7 @@
 	}
 }
 
-// end takes a call off the table and notes how it ended.
+// end removes a call from the table and records how it ended.
 func (w *World) end(c *call, r trace.Record) {
 	c.ended = true
 	delete(w.calls, c.id)
@@ -260,7 +260,7 @@
 	w.note(r)
 }
 
-// answer lets an answer set out.
+// answer sends an answer, which arrives after the one-way delay.
 func (w *World) answer(c *call, status int, wait time.Duration) {
 	w.at(w.now+w.Day.OneWay, func() {
 		if c.ended || w.eps[c.EP].silent {
@@ -275,7 +275,7 @@
 	})
 }
 
-// breakOff ends a call with its connection.
+// breakOff ends a call by closing its connection.
 func (w *World) breakOff(c *call) {
 	if c.ended {
 		return
@@ -285,14 +285,14 @@
 	w.host.Answer(w.now, Answer{Call: c.id, Node: c.Node, EP: c.EP, ID: c.ID})
 }
 
-// observe remembers which nodes know of an outage.
+// observe records that a node knows of an outage.
 func (w *World) observe(ep, node int) {
 	if d := &w.dests[w.Day.Endpoints[ep].Dest]; d.outage {
 		d.knows[node] = true
 	}
 }
 
-// arrive is a call that has come to its endpoint.
+// arrive handles a call that has reached its endpoint.
 func (w *World) arrive(c *call) {
 	e, spec := &w.eps[c.EP], w.Day.Endpoints[c.EP]
 	d := &w.dests[spec.Dest]
@@ -357,7 +357,7 @@
 
 func (w *World) finish(c *call) {
 	e := &w.eps[c.EP]
-	if !c.serving { // it was lost meanwhile
+	if !c.serving { // the call was broken off meanwhile
 		return
 	}
 	if e.paused > w.now {
@@ -380,11 +380,11 @@
 	}
 }
 
-// limit is how many calls a second a destination takes now, and how long its spans are.
+// limit returns the current limit of a destination in calls per second; 0 for none.
 func (w *World) limit(dest int) float64 { return w.Day.Dests[dest].Limit * w.dests[dest].factor }
 
-// hasCapacity asks the limit of a destination. A call that finds the queue full uses the limit
-// up where refused calls do.
+// hasCapacity checks a call against the destination's limit. full says that the endpoint's queue is full; the refused call still
+// uses up the limit if refused calls count.
 func (w *World) hasCapacity(n int, full bool) (bool, time.Duration) {
 	spec, d := &w.Day.Dests[n], &w.dests[n]
 	limit := w.limit(n)
@@ -399,7 +399,7 @@
 		return 0
 	}
 	if k.Limit == "rate" {
-		// A bucket of a fifth of a second, one call at least.
+		// A token bucket of a fifth of a second, at least one call.
 		size := max(1, limit/5)
 		d.used = max(0, d.used-(w.now-d.from).Seconds()*limit)
 		d.from = w.now
@@ -427,7 +427,7 @@
 	return true, 0
 }
 
-// roll begins a new span where the last one is over.
+// roll starts a new limit window if the last one has ended.
 func (w *World) roll(n int) {
 	spec, d := &w.Day.Dests[n], &w.dests[n]
 	from := (w.now-spec.Phase+spec.Window)/spec.Window*spec.Window + spec.Phase - spec.Window
@@ -436,7 +436,7 @@
 	}
 }
 
-// refresh renews what answers tell of a limit, a while later.
+// refresh updates the limit that answers report, after the report delay, and schedules the next update.
 func (w *World) refresh(n int) {
 	spec, d := &w.Day.Dests[n], &w.dests[n]
 	limit := w.limit(n)
@@ -455,5 +455,5 @@
 	}
 }
 
-// Open is how many calls are out.
+// Open returns the number of calls in flight.
 func (w *World) Open() int { return len(w.calls) }
