--- a/internal/lab/figures/compare.go
+++ b/internal/lab/figures/compare.go
@@ -7,14 +7,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Named is one of the figures that runs are compared by.
+// Named is a statistic by which runs are compared.
 type Named struct {
 	Name string
 	More bool // more is better
 	Of   func(Figures) float64
 }
 
-// Compared are these figures.
+// Compared lists these statistics.
 var Compared = []Named{
 	{"served", true, func(f Figures) float64 { return f.Served }},
 	{"whole day", true, func(f Figures) float64 { return f.Whole }},
@@ -30,26 +30,26 @@
 	{"most in a window", false, func(f Figures) float64 { return f.InWindow }},
 }
 
-// Effect is what B changes of a figure, pair by pair.
+// Effect is the difference of B from A in one statistic, over pairs of runs.
 type Effect struct {
 	Name  string  `json:"name"`
-	MeanA float64 `json:"a"` // means
+	MeanA float64 `json:"a"` // means of A and B
 	MeanB float64 `json:"b"`
 	Diff  float64 `json:"diff"`
-	Low   float64 `json:"Low"` // the interval that holds the mean difference with 95%
+	Low   float64 `json:"Low"` // 95% confidence interval of the mean difference
 	High  float64 `json:"High"`
 	Pairs int     `json:"pairs"`
 	Seen  string  `json:"seen"`
 }
 
-// None says that an interval holds zero.
+// None means that the confidence interval contains zero.
 const None = "no difference seen"
 
-// confidence is that of the intervals.
+// confidence is the level of the intervals.
 const confidence = 0.95
 
-// Paired compares figures of pairs, by Student's t on their differences. With one pair there
-// is no interval, and nothing is seen.
+// Paired compares a statistic over pairs of runs, by a paired Student's t-test. With a single pair there is no interval, and no
+// difference is reported.
 func Paired(name string, more bool, a, b []float64) Effect {
 	e := Effect{Name: name, MeanA: stat.Mean(a, nil), MeanB: stat.Mean(b, nil), Pairs: len(a), Seen: None, Low: math.Inf(-1), High: math.Inf(1)}
 	diffs := make([]float64, len(a))
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -1,5 +1,4 @@
-// Package figures turns the trace of a run into figures: what was served, how late, and
-// what it cost.
+// Package figures computes the statistics of a run from its trace: what was served, how late, and at what cost.
 package figures
 
 import (
@@ -11,19 +10,19 @@
 	"dunetide/internal/lab/trace"
 )
 
-// Class is what a class of message is worth.
+// Class defines what messages of a class are worth.
 type Class struct {
 	Name          string
 	Aim, Deadline time.Duration
 	Worth, Late   float64
 }
 
-// Goal is how much each part of the service weighs.
+// Goal holds the weights of the parts of the service.
 type Goal struct{ Whole, Window, Class, Tenant float64 }
 
-// Figures of a run. Shares are of the worth asked for.
+// Figures are the statistics of a run. Shares are relative to the requested worth.
 type Figures struct {
-	Served    float64   `json:"served"` // by the goal: all of the following together
+	Served    float64   `json:"served"` // sum of whole, worst_10s, worst_class and worst_tenant, weighted by the goal
 	Whole     float64   `json:"whole"`
 	Worst10s  float64   `json:"worst_10s"`
 	WorstFrom float64   `json:"worst_10s_from"`
@@ -35,7 +34,7 @@
 	Messages  int     `json:"messages"`
 	Tries     int     `json:"tries"`
 	Delivered int     `json:"delivered"`
-	P50       float64 `json:"p50_ms"` // from when its client had it to its delivery
+	P50       float64 `json:"p50_ms"` // from submission by the client to delivery
 	P99       float64 `json:"p99_ms"`
 	Max       float64 `json:"max_ms"`
 
@@ -47,19 +46,19 @@
 	NoConns  int            `json:"failed_connections"`
 	Asked    int            `json:"list_lines"`
 	Restarts int            `json:"restarts"`
-	// InWindow is the most calls that came from one node to one destination within two seconds,
-	// over its even part of the limit: 1 is that part.
+	// InWindow is the maximum number of calls from one node to one destination within two seconds, relative to the node's even share
+	// of the limit.
 	InWindow  float64    `json:"most_in_window"`
-	LateSends int        `json:"late_sends"` // the lab itself fell behind
+	LateSends int        `json:"late_sends"` // messages that the lab itself submitted late
 	Windows   []Window   `json:"windows"`
 	Recovery  []Recovery `json:"recovery,omitempty"`
 }
 
-// Window is a second of the run.
+// Window is one second of the run.
 type Window struct {
 	From    float64 `json:"from"`
 	Asked   float64 `json:"asked"`
-	Worth   float64 `json:"worth"` // served, of what was asked for then
+	Worth   float64 `json:"worth"` // served worth, of what was requested in this second
 	Calls   int     `json:"calls"`
 	Refused int     `json:"refused"`
 	P50     float64 `json:"p50_ms"`
@@ -67,11 +66,11 @@
 	times   *hdrhistogram.Histogram
 }
 
-// Recovery is how long after the end of a fault service was back.
+// Recovery is the time from the end of a fault until the service has recovered.
 type Recovery struct {
 	Fault string  `json:"fault"`
 	At    float64 `json:"at"`
-	Took  float64 `json:"took"` // seconds; negative: not before the end
+	Took  float64 `json:"took"` // seconds; negative: it did not recover
 }
 
 type origin struct {
@@ -82,7 +81,7 @@
 	ten   int
 }
 
-// Counter reads a trace.
+// Counter computes statistics from a trace.
 type Counter struct {
 	classes []Class
 	tenants int
@@ -92,11 +91,11 @@
 	order   []*origin
 	tries   map[string]*origin
 	taken   map[string]bool
-	early   map[string]time.Duration // delivered before its client heard that it is taken on
+	early   map[string]time.Duration // delivered before the client received the acceptance
 	windows []Window
 	all     *hdrhistogram.Histogram
 	faults  []Recovery
-	parts   []float64                  // by destination: calls a second that are one node's even part
+	parts   []float64                  // by destination: one node's even share of the limit, in calls per second
 	late    map[[2]int][]time.Duration // calls of the last window, by node and destination
 	figures Figures
 }
@@ -105,7 +104,7 @@
 	return hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3)
 }
 
-// New begins to count a run of so long.
+// New returns a Counter for a run of the given length.
 func New(classes []Class, tenants int, goal Goal, length time.Duration, parts []float64) *Counter {
 	c := &Counter{parts: parts, late: map[[2]int][]time.Duration{}, classes: classes, tenants: tenants, goal: goal, length: length, msgs: map[string]*origin{},
 		tries: map[string]*origin{}, taken: map[string]bool{}, early: map[string]time.Duration{}, all: histogram()}
@@ -124,7 +123,7 @@
 	return &c.windows[i]
 }
 
-// Observe reads one record.
+// Observe processes one record.
 func (c *Counter) Observe(r trace.Record) {
 	switch r.What {
 	case trace.Born:
@@ -175,8 +174,8 @@
 	}
 }
 
-// partWindow is the window in which calls are held against a part of the limit, and leastPart
-// the calls that it has to hold for that to say anything.
+// partWindow is the window in which calls are compared with a node's share of the limit; leastPart is the minimum number of calls
+// that this share must allow for the comparison to be meaningful.
 const (
 	partWindow = 2 * time.Second
 	leastPart  = 4
@@ -233,14 +232,14 @@
 		share = 1 - (1-k.Late)*float64(age-k.Aim)/float64(max(1, k.Deadline-k.Aim))
 	}
 	o.got = o.worth * share
-	_ = c.all.RecordValue(max(1, age.Microseconds())) // within the deadline, so within its range
+	_ = c.all.RecordValue(max(1, age.Microseconds())) // within the deadline, so within the histogram's range
 	if w := c.window(o.at); w != nil {
 		w.Worth += o.got
 		_ = w.times.RecordValue(max(1, age.Microseconds()))
 	}
 }
 
-// Finish gives the figures.
+// Finish returns the statistics.
 func (c *Counter) Finish() Figures {
 	f := &c.figures
 	classes, tenants := make([][2]float64, len(c.classes)), make([][2]float64, max(1, c.tenants))
@@ -251,11 +250,11 @@
 	}
 	for _, o := range c.order {
 		if o.at < time.Second {
-			continue // from the first second on
+			continue // messages count from second 1 on
 		}
 		add(&whole, o)
 		add(&classes[o.class], o)
-		if o.worth >= c.classes[o.class].Worth { // within its share
+		if o.worth >= c.classes[o.class].Worth { // within its tenant's share
 			add(&tenants[o.ten], o)
 		}
 	}
@@ -291,8 +290,7 @@
 	return *f
 }
 
-// recovered finds, for each end of a fault, the first second from which on three in a row
-// are served to nine tenths.
+// recovered finds, for each end of a fault, the first of three consecutive seconds that were each served to at least 90%.
 func (c *Counter) recovered() []Recovery {
 	good := func(i int) bool {
 		w := c.windows[i]
--- a/internal/lab/insim/insim.go
+++ b/internal/lab/insim/insim.go
@@ -1,5 +1,5 @@
-// Package insim runs a simulation in one goroutine and in simulated time: a policy.Sender for each node over the lab's
-// world. A seed gives the same trace on any machine.
+// Package insim runs a simulation in one goroutine and in simulated time: a policy.Sender for each node against the lab's world. A
+// seed yields the same trace on any machine.
 package insim
 
 import (
@@ -14,19 +14,19 @@
 	"dunetide/policy"
 )
 
-// clockStart keeps the module's clock away from zero, which means 'never' to it.
+// clockStart keeps the policy's clock away from zero, which the policy takes for "never".
 const clockStart = time.Hour
 
-// restartTime is how long a node is away: 0.6 s until it is started, and its start.
+// restartTime is the downtime of a restarted node: 0.6 s until the process is started, plus its start-up.
 const restartTime = 800 * time.Millisecond
 
-// connectFails is how long a refused connection takes to be known, on top of the way there and back.
+// connectFails is the time until a refused connection is detected, in addition to the round trip.
 const connectFails = time.Millisecond
 
-// maxSteps bounds the steps that a run may take without its clock getting on.
+// maxSteps limits the steps that a run may take without its clock advancing.
 const maxSteps = 1 << 20
 
-// Run plays a day. Stop ends it early, between two instants; it may be nil.
+// Run simulates a day. stop, which may be nil, ends the run early, between two points in time.
 func Run(d world.Day, note func(trace.Record), stop func(now time.Duration) bool) error {
 	s, err := newSim(d, note)
 	if err != nil {
@@ -43,9 +43,9 @@
 	nodes    []*node
 	queue    agenda.Agenda
 	now      time.Duration
-	calls    map[uint64]*attempt // that are out, by the world's number
+	calls    map[uint64]*attempt // calls in flight, by the world's call number
 	last     uint64
-	tries    map[policy.MessageID]world.Try // that have not ended at any node
+	tries    map[policy.MessageID]world.Try // without an end at any node
 	end      time.Duration
 }
 
@@ -54,14 +54,14 @@
 	sender   *policy.Sender
 	batch    []policy.Event
 	actions  []policy.Action
-	due      time.Duration // of the step that is planned; 0: none
+	due      time.Duration // of the scheduled step; 0: none
 	wake     time.Duration
-	phase    time.Duration // of its ticks
+	phase    time.Duration // offset of its ticks
 	up       bool
-	stopped  bool // SIGSTOP: it does nothing until it goes on
+	stopped  bool // by SIGSTOP: it does nothing until it is resumed
 	held     map[policy.MessageID]*message
-	order    []policy.MessageID // those held, oldest first
-	pools    [][]*conn          // idle ones, by endpoint
+	order    []policy.MessageID // held messages, oldest first
+	pools    [][]*conn          // idle connections, by endpoint
 	memories map[int]*memory
 	out      map[*attempt]bool
 	life     int
@@ -77,15 +77,15 @@
 	out      *attempt
 }
 
-// memory is what the journal keeps of an endpoint for the next life of a node.
+// memory is what the journal keeps of an endpoint across restarts of a node.
 type memory struct {
 	sent []time.Duration
-	runs []policy.Run // its times are the module's
+	runs []policy.Run // its times are in policy time
 }
 
 type conn struct {
 	ep   int
-	idle time.Duration // since then; moves on with each use
+	idle time.Duration // last used; each use updates it
 	uses int
 }
 
@@ -97,7 +97,7 @@
 	ep     int
 	sent   time.Duration
 	conn   *conn
-	call   uint64 // of the world; 0 while it connects
+	call   uint64 // call number in the world; 0 while it connects
 	done   bool
 }
 
@@ -155,14 +155,14 @@
 	}
 }
 
-// clock is the module's time.
+// clock returns the time in the policy's clock.
 func (s *sim) clock() policy.Time { return clockStart + s.now }
 
-// handIn is a client at a node.
+// handIn submits a client's try to a node.
 func (s *sim) handIn(t world.Try) {
 	s.note(s.day.Born(t))
 	n := s.nodes[t.Node]
-	if !n.up || n.stopped { // refused, or not heard: the client goes elsewhere
+	if !n.up || n.stopped { // refused or no answer: the client tries another node
 		s.note(trace.Record{At: s.now, What: trace.Turned, ID: t.ID(), Node: t.Node})
 		if next, ok := s.day.Died(t, s.now); ok {
 			s.at(next.At, func() { s.handIn(next) })
@@ -197,13 +197,13 @@
 	return a
 }
 
-// tell hands an event to a node, which acts at its next tick.
+// tell queues an event for a node, which handles it at its next tick.
 func (s *sim) tell(n *node, e policy.Event) {
 	n.batch = append(n.batch, e)
 	s.plan(n, s.now)
 }
 
-// plan makes sure that a node steps at its first tick from then on.
+// plan schedules a step of a node at its first tick from the given time on.
 func (s *sim) plan(n *node, at time.Duration) {
 	tick := s.settings.Tick
 	at = (max(at, s.now)-n.phase+tick-1)/tick*tick + n.phase
@@ -247,7 +247,7 @@
 			n.wake = a.At - clockStart
 		}
 	}
-	if n.wake > 0 { // also where this step came before it, for another reason
+	if n.wake > 0 { // also if this step ran before the wake-up time, for another reason
 		s.plan(n, n.wake)
 	}
 }
@@ -274,7 +274,7 @@
 	}
 }
 
-// memory of an endpoint, as the journal has it.
+// memory returns the node's memory of an endpoint, as the journal keeps it.
 func (n *node) memory(ep int) *memory {
 	if n.memories[ep] == nil {
 		n.memories[ep] = &memory{}
@@ -287,7 +287,7 @@
 	ep := int(a.Endpoint) - 1
 	t := &attempt{node: n, life: n.life, ep: ep, sent: s.now, msg: m}
 	if m == nil {
-		s.note(trace.Record{At: s.now, What: trace.Odd, Node: n.me, EP: ep, Result: "the module sent what it does not hold"})
+		s.note(trace.Record{At: s.now, What: trace.Odd, Node: n.me, EP: ep, Result: "the policy sent a message that it does not hold"})
 		return
 	}
 	t.number = m.attempts
@@ -325,7 +325,7 @@
 func (s *sim) dispatch(t *attempt, fresh bool) {
 	m := t.msg
 	if !m.ran {
-		m.ran, m.ranAt = true, s.now // until it is known not to have run
+		m.ran, m.ranAt = true, s.now // until it is known that it did not run
 	}
 	t.conn.uses++
 	t.call = s.world.Call(s.now, world.Attempt{ID: m.try.ID(), Message: m.try.Message, Try: m.try.Number<<8 | t.number, Node: t.node.me,
@@ -345,7 +345,7 @@
 	s.ended(t, policy.TimedOut, 0, policy.Allowance{})
 }
 
-// hangUp gives a call and its connection up.
+// hangUp abandons a call and closes its connection.
 func (s *sim) hangUp(t *attempt) {
 	if t.call != 0 {
 		delete(s.calls, t.call)
@@ -357,7 +357,7 @@
 	}
 }
 
-// Answer is the world's: an answer that has come, or a connection that broke.
+// Answer implements world.Host.
 func (s *sim) Answer(now time.Duration, a world.Answer) {
 	s.now = now
 	t := s.calls[a.Call]
@@ -409,7 +409,7 @@
 	n.pools[ep] = nil
 }
 
-// ended tells the module how an attempt ended.
+// ended reports the end of an attempt to the policy.
 func (s *sim) ended(t *attempt, o policy.Outcome, wait time.Duration, told policy.Allowance) {
 	n, m := t.node, t.msg
 	if t.done || t.life != n.life {
@@ -446,10 +446,10 @@
 		Final: o == policy.Delivered, Took: s.now - t.sent, Told: told})
 }
 
-// Door is the world's; here, each connection asks the world itself.
+// Door implements world.Host. It does nothing, as each connection attempt asks the world itself.
 func (s *sim) Door(time.Duration, int, world.Dialled) {}
 
-// Listed is the world's: a node's agent hears of endpoints.
+// Listed implements world.Host.
 func (s *sim) Listed(now time.Duration, me int, eps []int) {
 	s.now = now
 	if n := s.nodes[me]; n.up {
@@ -477,7 +477,7 @@
 	return l
 }
 
-// start begins a life of a node, with what its journal has.
+// start starts a node with the state and the messages that its journal holds.
 func (s *sim) start(n *node, owed []*message) {
 	n.life++
 	n.up, n.due, n.wake, n.batch = true, 0, 0, nil
@@ -515,7 +515,7 @@
 	s.plan(n, s.now)
 }
 
-// Strike is the world's: a trouble of a node.
+// Strike implements world.Host.
 func (s *sim) Strike(now time.Duration, t world.Fault, me int) {
 	s.now = now
 	n := s.nodes[me]
@@ -523,7 +523,7 @@
 	case "kill":
 		s.kill(n, "SIGKILL", t.Lost)
 	case "term":
-		// What is out has until the process is killed; the journal has the rest.
+		// Calls in flight may finish until the process is killed; the journal keeps the rest.
 		if n.up {
 			s.at(now+2200*time.Millisecond, func() { s.kill(n, "SIGTERM", t.Lost) })
 		}
@@ -538,7 +538,7 @@
 				return
 			}
 			n.stopped = false
-			for _, a := range sorted(n.out) { // their times ran out meanwhile
+			for _, a := range sorted(n.out) { // their timeouts may have passed meanwhile
 				s.at(s.now, func() { s.late(a) })
 			}
 			s.plan(n, s.now)
@@ -546,7 +546,7 @@
 	}
 }
 
-// late ends a call whose time-out passed while its node was stopped.
+// late ends a call whose timeout passed while its node was stopped.
 func (s *sim) late(a *attempt) {
 	if !a.done && s.now-a.sent > 2*time.Second {
 		s.timeout(a)
@@ -558,7 +558,7 @@
 	for a := range out {
 		all = append(all, a)
 	}
-	// By when they were sent and to whom: a map has no order of its own.
+	// Ordered by the time of sending and by message, as the iteration order of a map is random.
 	for i := 1; i < len(all); i++ {
 		for j := i; j > 0 && (all[j].sent < all[j-1].sent || all[j].sent == all[j-1].sent && all[j].msg.id < all[j-1].msg.id); j-- {
 			all[j], all[j-1] = all[j-1], all[j]
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger accounts for what a day of the bench lost: it reads the report that the bench writes of a day, the deployment's site
-// file and the processes' logs, and changes none of them. Every unit of the score's parts that is missing stands in one row, by kind of
-// request and by reason, so the rows add up to what the bench took off.
+// Package ledger accounts for what a day of the bench lost. It reads the bench's report of a day, the deployment's site file and the
+// processes' logs, and changes none of them. Each loss in a part of the score is a row, by kind of request and by reason, so that
+// the rows add up to what the bench deducted.
 package ledger
 
 import (
@@ -13,9 +13,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Counts are the requests of a kind, or of a span of the day, by how they ended.
+// Counts are the requests of a kind, or of a span of the day, by outcome.
 type Counts struct {
-	Name     string  `json:"name"` // of the kind; of a span its first second
+	Name     string  `json:"name"` // of the kind; for a span, its first second
 	Requests int     `json:"n"`
 	InTime   int     `json:"in_aim"`
 	Late     int     `json:"late"`
@@ -25,7 +25,7 @@
 	Worth    float64 `json:"worth"` // earned of what was owed, 0 to 1
 }
 
-// Event is a trouble or planned work.
+// Event is a fault or planned work.
 type Event struct {
 	At    float64 `json:"at_s"`
 	Until float64 `json:"to_s"`
@@ -33,44 +33,44 @@
 	What  string  `json:"what"`
 }
 
-// Report is what the bench writes of a day, as far as the account needs it.
+// Report is the bench's report of a day, as far as the ledger needs it.
 type Report struct {
-	Worth    float64       `json:"G"`      // after prices
-	Parts    []Part        `json:"parts"`  // of the worth
-	Prices   []Price       `json:"prices"` // taken off it
+	Worth    float64       `json:"G"`      // after deductions
+	Parts    []Part        `json:"parts"`  // parts of the worth
+	Prices   []Price       `json:"prices"` // deducted from it
 	Kinds    []Counts      `json:"classes"`
 	Spans    []Counts      `json:"windows"`
 	Events   []Event       `json:"events"`
 	Unserved []UnservedEnd `json:"unserved_by"`
 }
 
-// Part is one of the measures of which the worth is made.
+// Part is one of the measures that make up the worth.
 type Part struct {
 	Name          string
 	Weight, Value float64
 }
 
-// Price is what a resource or a fault of service took off the worth.
+// Price is a deduction from the worth for a resource or a service fault.
 type Price struct {
 	Name   string
 	Amount float64 // in the resource's own unit
 	Worth  float64
 }
 
-// UnservedEnd counts the requests that were never served by how their last try ended.
+// UnservedEnd counts the requests that were never served, by the outcome of their last try.
 type UnservedEnd struct {
 	End   string
 	Count int
 }
 
-// unmarshalRow reads a JSON list into fields, and ignores what stands behind them.
+// unmarshalRow decodes a JSON list into fields, and ignores further elements.
 func unmarshalRow(text []byte, fields ...any) error {
 	var row []json.RawMessage
 	if err := json.Unmarshal(text, &row); err != nil {
 		return err
 	}
 	if len(row) < len(fields) {
-		return fmt.Errorf("a row of %d fields where %d are expected", len(row), len(fields))
+		return fmt.Errorf("row has %d fields, want at least %d", len(row), len(fields))
 	}
 	for i, field := range fields {
 		if err := json.Unmarshal(row[i], field); err != nil {
@@ -95,14 +95,14 @@
 	return unmarshalRow(text, &u.End, &u.Count)
 }
 
-// ReadReport reads the report of a day.
+// ReadReport reads the bench's report of a day.
 func ReadReport(r io.Reader) (*Report, error) {
 	var report Report
 	if err := json.NewDecoder(r).Decode(&report); err != nil {
-		return nil, fmt.Errorf("the report of a day: %w", err)
+		return nil, fmt.Errorf("decoding the report of a day: %w", err)
 	}
 	if len(report.Parts) == 0 {
-		return nil, fmt.Errorf("the report of a day has no parts: is it the file of `run --report`?")
+		return nil, fmt.Errorf("the report of a day has no parts; expected the file written by `run --report`")
 	}
 	return &report, nil
 }
@@ -120,15 +120,15 @@
 		Kinds []RevenueWeight `toml:"classes"`
 	}
 	if err := toml.NewDecoder(r).Decode(&site); err != nil {
-		return nil, fmt.Errorf("the site file: %w", err)
+		return nil, fmt.Errorf("decoding the site file: %w", err)
 	}
 	return site.Kinds, nil
 }
 
-// Row is a share of the worth that was lost.
+// Row is a share of the lost worth.
 type Row struct {
 	Part   string // of the worth, or "price"
-	Kind   string // of requests; empty: not told apart
+	Kind   string // kind of requests; empty: not broken down
 	Reason string
 	Lost   float64
 }
@@ -146,13 +146,13 @@
 	partNines = "nines"
 )
 
-// partPrice is the part of rows that are prices.
+// partPrice is the part of rows that are deductions.
 const partPrice = "price"
 
-// leastRow is the smallest loss that is a row of its own.
+// leastRow is the smallest loss that is listed as a row.
 const leastRow = 5e-5
 
-// Rows accounts for all that a day lost, the largest loss first.
+// Rows accounts for all losses of a day, the largest first.
 func Rows(report *Report, worths []RevenueWeight) []Row {
 	var rows []Row
 	for _, part := range report.Parts {
@@ -180,7 +180,7 @@
 	weight       float64
 }
 
-// split divides a loss by weights. Without any weight it stays whole.
+// split divides a loss in proportion to weights. If all weights are zero, the loss stays one row.
 func split(part string, lost float64, shares []share) []Row {
 	sum := 0.0
 	for _, s := range shares {
@@ -196,8 +196,8 @@
 	return rows
 }
 
-// dayShares weighs what each kind lost over the day: its share of what was owed times what it did not earn, told apart by how its
-// requests ended.
+// dayShares weights what each kind lost over the day: its share of the owed worth times the fraction that it did not earn, broken
+// down by the outcomes of its requests.
 func dayShares(kinds []Counts, worths []RevenueWeight) []share {
 	var shares []share
 	for _, k := range kinds {
@@ -218,7 +218,7 @@
 	return shares
 }
 
-// endShares weighs the ends of requests that were never served.
+// endShares weights the last outcomes of requests that were never served.
 func endShares(ends []UnservedEnd) []share {
 	var shares []share
 	for _, u := range ends {
@@ -227,7 +227,7 @@
 	return shares
 }
 
-// Lost is what the bench took off the whole worth of a day.
+// Lost returns what the bench deducted from the full worth of a day.
 func (r *Report) Lost() float64 {
 	whole := 0.0
 	for _, part := range r.Parts {
@@ -236,7 +236,7 @@
 	return whole - r.Worth
 }
 
-// Sum adds the losses of rows up.
+// Sum returns the sum of the losses of rows.
 func Sum(rows []Row) float64 {
 	sum := 0.0
 	for _, r := range rows {
--- a/internal/lab/ledger/logs.go
+++ b/internal/lab/ledger/logs.go
@@ -10,23 +10,23 @@
 	"strings"
 )
 
-// Ended counts the requests that processes of the system ended themselves for a reason, by their logs.
+// Ended counts the requests that processes of the system ended by themselves for one reason, as logged.
 type Ended struct {
 	Reason      string
 	Count       int
 	First, Last float64 // s from the start of traffic
 }
 
-// logLine is a line of a process as the bench prints it: the second, the machine, and the process's own words.
+// logLine matches a log line as the bench prints it: the second, the machine, and the process's own message.
 var logLine = regexp.MustCompile(`^\s*(-?[0-9]+\.[0-9]+) \S+ .*: (request failed|request not taken|batch call failed): (.*)$`)
 
-// varying is what differs between log lines of the same reason: numbers, addresses, durations.
+// varying matches what differs between log lines of the same reason: numbers, addresses, durations.
 var varying = regexp.MustCompile(`[0-9][0-9a-z.:µ>-]*`)
 
-// maxLogLine bounds a line of a log; what is longer ends the reading with an error.
+// maxLogLine limits the length of a log line; a longer one ends the reading with an error.
 const maxLogLine = 1 << 20
 
-// ReadLogs counts the requests that processes ended themselves, the most frequent reason first.
+// ReadLogs counts the requests that processes ended by themselves, the most frequent reason first.
 func ReadLogs(r io.Reader) ([]Ended, error) {
 	byReason := map[string]*Ended{}
 	lines := bufio.NewScanner(r)
@@ -59,7 +59,7 @@
 	return all, lines.Err()
 }
 
-// reasonOf names the reason of a log line by its fields.
+// reasonOf returns the reason of a log line, built from its fields.
 func reasonOf(event, fields string) string {
 	var words []string
 	for _, name := range []string{"method", "status", "verdict", "event", "reached_primary"} {
--- a/internal/lab/ledger/plot.go
+++ b/internal/lab/ledger/plot.go
@@ -21,7 +21,7 @@
 	eventColour = color.RGBA{R: 0xc8, G: 0x50, B: 0x1e, A: 0x60}
 )
 
-// Plot draws the worth of each span of the day as SVG, with a line where each event began.
+// Plot draws the worth of each span of the day as SVG, with a vertical line at the start of each event.
 func (d *Day) Plot(w io.Writer) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = d.Name, "s", "worth earned of what was owed"
@@ -33,21 +33,21 @@
 	}
 	line, err := plotter.NewLine(points)
 	if err != nil {
-		return fmt.Errorf("the plot of %s: %w", d.Name, err)
+		return fmt.Errorf("plotting %s: %w", d.Name, err)
 	}
 	line.Color, line.StepStyle = worthColour, plotter.PostStep
 	p.Add(line)
 	for _, e := range d.Report.Events {
 		mark, err := plotter.NewLine(plotter.XYs{{X: e.At, Y: 0}, {X: e.At, Y: 1}})
 		if err != nil {
-			return fmt.Errorf("the plot of %s: %w", d.Name, err)
+			return fmt.Errorf("plotting %s: %w", d.Name, err)
 		}
 		mark.Color = eventColour
 		p.Add(mark)
 	}
 	to, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
-		return fmt.Errorf("the plot of %s: %w", d.Name, err)
+		return fmt.Errorf("plotting %s: %w", d.Name, err)
 	}
 	_, err = to.WriteTo(w)
 	return err
--- a/internal/lab/ledger/table.go
+++ b/internal/lab/ledger/table.go
@@ -12,13 +12,14 @@
 	Name   string
 	Report *Report
 	Rows   []Row
-	Ended  []Ended // by the logs; empty where none were given
+	Ended  []Ended // from the logs; empty if none were given
 }
 
-// maxReasons bounds the reasons of logs that are printed.
+// maxReasons limits how many reasons from the logs are printed.
 const maxReasons = 20
 
-// Print writes the account as tables: the rows, the spans that lost most with what happened in them, and the reasons from the logs.
+// Print writes the account as tables: the rows, the spans of the day with the events that began in them, and the reasons from the
+// logs.
 func (d *Day) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s: worth %.4f, lost %.4f, rows add up to %.4f\n", d.Name, d.Report.Worth, d.Report.Lost(), Sum(d.Rows))
--- a/internal/lab/live/agent.go
+++ b/internal/lab/live/agent.go
@@ -14,7 +14,7 @@
 	"dunetide/internal/lab/world"
 )
 
-// agent is discovery on a node's own machine, and the place for notices.
+// agent serves discovery for one node, and receives its notices.
 type agent struct {
 	run    *run
 	me     int
@@ -23,7 +23,7 @@
 	mu       sync.Mutex
 	listener net.Listener
 
-	// What follows belongs to the loop.
+	// The following fields belong to the event loop.
 	revision int
 	changes  []change
 	news     chan struct{} // closed at the next change
@@ -31,14 +31,14 @@
 
 type change struct{ revision, ep int }
 
-// list is discovery's form.
+// list is a response of discovery.
 type list struct {
 	Revision int            `json:"revision"`
 	Complete bool           `json:"complete"`
 	Members  []world.Member `json:"members"`
 }
 
-// oldStays is how long a place that discovery has left keeps its open connections.
+// oldStays is how long a previous discovery address keeps its open connections.
 const oldStays = 1500 * time.Millisecond
 
 func newAgent(r *run, me int, host string) (*agent, error) {
@@ -68,7 +68,7 @@
 	return a.listener.Addr().String()
 }
 
-// move lets discovery be reached elsewhere from now on.
+// move moves discovery to a new address.
 func (a *agent) move() error {
 	a.mu.Lock()
 	old, l := a.server, a.listener
@@ -97,7 +97,7 @@
 	_ = a.server.Close()
 }
 
-// known is the whole list, as the agent has it.
+// known returns the complete list of the agent.
 func (a *agent) known() list {
 	l := list{Revision: a.revision, Complete: true, Members: []world.Member{}}
 	for ep := range a.run.options.Day.Endpoints {
@@ -112,7 +112,7 @@
 	return a.run.world.Member(a.me, ep, a.run.nodes[a.me].doors[ep].addr)
 }
 
-// changed is told by the loop which endpoints the agent has news of.
+// changed is called by the event loop with the endpoints that have changed.
 func (a *agent) changed(eps []int) {
 	a.revision++
 	for _, ep := range eps {
@@ -122,7 +122,7 @@
 	a.news = make(chan struct{})
 }
 
-// since is what has changed after a version.
+// since returns the changes after a revision.
 func (a *agent) since(index int) list {
 	l := list{Revision: a.revision, Members: []world.Member{}}
 	seen := map[int]bool{}
@@ -165,7 +165,7 @@
 		}
 		if late {
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(l) // a node that has gone hears nothing
+			_ = json.NewEncoder(w).Encode(l) // the node may be gone
 			return
 		}
 		select {
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// patience is how long a client waits to hear that its message is taken on.
+	// patience is the timeout of a client's request.
 	patience = 400 * time.Millisecond
-	// maxOutstanding bounds how many clients wait at once.
+	// maxOutstanding limits the number of concurrent requests.
 	maxOutstanding = 2000
-	// frontPause is how long it takes until a client is led elsewhere.
+	// frontPause is the time until a client is directed to another node.
 	frontPause = 200 * time.Millisecond
 )
 
-// clients hand in the day's messages. Their times are drawn ahead and do not wait for
-// answers, so what a slow node delays is counted from when its client had it.
+// clients submit the day's messages. Submission times are drawn ahead and do not depend on answers, so the latency that a slow node
+// causes counts from the time of submission.
 type clients struct {
 	run    *run
 	places chan struct{}
@@ -39,7 +39,7 @@
 
 func (c *clients) close() { c.http.CloseIdleConnections() }
 
-// first hands in all first tries at their times.
+// first submits all first tries at their times.
 func (c *clients) first() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -54,7 +54,7 @@
 	}
 }
 
-// start lets one client hand in its try, at a time that has just come.
+// start submits a try whose time has come.
 func (c *clients) start(t world.Try) {
 	select {
 	case c.places <- struct{}{}:
@@ -68,7 +68,7 @@
 	})
 }
 
-// plan lets a client come again. It runs in the loop.
+// plan schedules a further try. It runs in the event loop.
 func (c *clients) plan(t world.Try) {
 	c.run.pending++
 	c.run.wg.Go(func() {
@@ -80,7 +80,7 @@
 	})
 }
 
-// heard is what a client made of its try.
+// heard is the result of a client's request.
 type heard struct {
 	status int // 0 for nothing
 	wait   time.Duration
@@ -100,7 +100,7 @@
 		return
 	}
 	h, err := c.send(t, id, false)
-	if err != nil && h.status == -1 { // an idle connection was closed meanwhile
+	if err != nil && h.status == -1 { // the idle connection was closed meanwhile
 		h, err = c.send(t, id, true)
 	}
 	if err != nil {
@@ -109,20 +109,20 @@
 	r.post(func() { c.heard(t, id, h) })
 }
 
-// send sends one request. Status -1 says that it met a connection that was closed.
+// send sends one request. Status -1 means that a reused connection had been closed.
 func (c *clients) send(t world.Try, id string, fresh bool) (heard, error) {
 	day := &c.run.options.Day
 	m := day.Messages[t.Message]
 	class := day.Scenario.Classes[m.Class].Name
 	left := day.Until(t) - c.run.now()
 	if left < time.Millisecond {
-		return heard{}, errors.New("its time is up")
+		return heard{}, errors.New("the deadline has passed")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	reused := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused = i.Reused }})
-	// The body has no GetBody, so that the library sends nothing again by itself.
+	// The body has no GetBody, so that net/http does not retry the request by itself.
 	body := io.NopCloser(bytes.NewReader(bodyOf(id, m.Body)))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.run.nodes[t.Node].listen+"/"+class, body)
 	if err != nil {
@@ -155,7 +155,7 @@
 		return heard{}, err
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 64<<10)) // so that the connection can be used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 64<<10)) // so that the connection is reused
 	h := heard{status: resp.StatusCode}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
 		h.wait = time.Duration(s * float64(time.Second))
@@ -163,7 +163,7 @@
 	return h, nil
 }
 
-// heard goes on from what a client heard. Like all below, it runs in the loop.
+// heard handles the result of a request. Like the methods below, it runs in the event loop.
 func (c *clients) heard(t world.Try, id string, h heard) {
 	r := c.run
 	now := r.now()
@@ -193,7 +193,7 @@
 	}
 }
 
-// noticed goes on from a notice.
+// noticed handles a notice of the node.
 func (c *clients) noticed(id, outcome string, wait time.Duration) {
 	r := c.run
 	t, known := r.tries[id]
@@ -206,8 +206,7 @@
 	}
 }
 
-// orphan hands in again what a node held that is lost with its folder, unless it may have
-// taken effect and may not be repeated.
+// orphan resubmits the messages of a node whose data directory was lost, except those that must not be repeated and may have run.
 func (c *clients) orphan(node int) {
 	r := c.run
 	for id := range r.owed {
--- a/internal/lab/live/endpoint.go
+++ b/internal/lab/live/endpoint.go
@@ -19,10 +19,10 @@
 	"dunetide/internal/lab/world"
 )
 
-// maxCallBody is the longest body that is read of a call, somewhat over what is allowed.
+// maxCallBody limits the body that is read of a call, somewhat above the allowed size.
 const maxCallBody = 128 << 10
 
-// door is where one node reaches one endpoint.
+// door is the listener at which one node reaches one endpoint.
 type door struct {
 	run  *run
 	node int
@@ -32,11 +32,11 @@
 
 	mu       sync.Mutex
 	listener *net.TCPListener // nil where connections are refused
-	fillers  []net.Conn       // that keep the queue of a silent door full
+	fillers  []net.Conn       // connections that fill the accept queue while the endpoint is silent
 	as       world.Dialled
 }
 
-// open opens the door for the first time.
+// open opens the listener for the first time.
 func (d *door) open(life context.Context, host string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// receive takes what comes at a listener.
+// receive serves the connections of a listener.
 func (d *door) receive(l net.Listener) {
 	d.listener = l.(*net.TCPListener)
 	d.run.wg.Go(func() { d.accept(l) })
@@ -65,7 +65,7 @@
 		d.mu.Lock()
 		silent := d.as == world.Unheard
 		d.mu.Unlock()
-		if silent { // it was in the queue when the silence began
+		if silent { // it was in the accept queue when the endpoint became silent
 			d.run.wg.Go(func() {
 				<-d.life.Done()
 				_ = c.Close()
@@ -76,8 +76,8 @@
 	}
 }
 
-// set opens, closes or silences the door. In a silent one the queue of connections that
-// nobody has accepted is full, so the kernel drops what comes.
+// set opens, closes or silences the listener. While it is silent, its accept queue is kept full, so the kernel drops connection
+// attempts.
 func (d *door) set(as world.Dialled) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), 0) }); err != nil {
 		return err
 	}
-	for range 4 { // one too many is not answered, so none waits for long
+	for range 4 { // the first dial beyond the queue's capacity times out, so the loop ends soon
 		c, err := net.DialTimeout("tcp", d.addr, 20*time.Millisecond)
 		if err != nil {
 			break
@@ -146,8 +146,8 @@
 type conn struct {
 	door  *door
 	net   *net.TCPConn
-	call  uint64 // that is out; it belongs to the loop
-	up    bool   // the world counts it
+	call  uint64 // call in flight; belongs to the event loop
+	up    bool   // counted by the world
 	ended bool
 }
 
@@ -178,7 +178,7 @@
 			return
 		}
 		if busy {
-			d.odd("", "bytes on a connection whose call is out")
+			d.odd("", "bytes on a connection whose call is in flight")
 			return
 		}
 		a, err := d.read(in)
@@ -196,14 +196,14 @@
 	}
 }
 
-// odd notes what no protocol allows.
+// odd records a protocol violation.
 func (d *door) odd(id, what string) {
 	d.run.post(func() {
 		d.run.note(trace.Record{At: d.run.now(), What: trace.Odd, ID: id, Node: d.node, EP: d.ep, Result: what})
 	})
 }
 
-// read reads one call and checks that it is what a client sent.
+// read reads one call and checks that it is what the client sent.
 func (d *door) read(in *bufio.Reader) (world.Attempt, error) {
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -222,7 +222,7 @@
 	}
 	message, try, ok := parseID(a.ID)
 	if !ok || message >= len(d.run.options.Day.Messages) {
-		return a, nil // the rules say what that is
+		return a, nil // the rules report unknown messages
 	}
 	if !bytes.Equal(body, bodyOf(a.ID, d.run.options.Day.Messages[message].Body)) {
 		return a, errors.New("the body is not the client's")
@@ -240,12 +240,12 @@
 	return int(m) - 1, int(n), err == nil && err2 == nil && m > 0
 }
 
-// bodyOf is what a client sends, so that each side can tell whether it arrived whole.
+// bodyOf returns the body that a client sends, so that each side can check whether it arrived complete.
 func bodyOf(id string, length int) []byte {
 	return []byte(strings.Repeat(id+"\r\n", length/(len(id)+2)+1)[:length])
 }
 
-// begin hands a call to the world. Like all below, it runs in the loop.
+// begin passes a call to the world. Like the methods below, it runs in the event loop.
 func (k *conn) begin(a world.Attempt) {
 	r := k.door.run
 	if k.ended {
@@ -275,7 +275,7 @@
 
 var reasons = map[int]string{200: "OK", 429: "Too Many Requests", 500: "Internal Server Error", 503: "Service Unavailable"}
 
-// answer writes what the world says. It fits a socket's buffer, so it does not wait.
+// answer writes the answer of the world. It fits into a socket buffer, so it does not block.
 func (k *conn) answer(a world.Answer) {
 	if a.Status == 0 {
 		_ = k.net.SetLinger(0)
@@ -290,5 +290,5 @@
 		out = fmt.Appendf(out, "X-Server-Load: x0=%.4f,x1=%.4f\r\n", a.Report.Left, a.Report.Limit)
 	}
 	_ = k.net.SetWriteDeadline(time.Now().Add(time.Second))
-	_, _ = k.net.Write(append(out, "\r\n"...)) // a node that has gone hears nothing
+	_, _ = k.net.Write(append(out, "\r\n"...)) // the node may be gone
 }
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -20,17 +20,16 @@
 	"dunetide/internal/lab/world"
 )
 
-// fleet is what stands between the nodes of a run, where they are one. All of it belongs to
-// the loop, but for the relays.
+// fleet connects the nodes of a run that form a fleet. Everything but the relays belongs to the event loop.
 type fleet struct {
 	run    *run
 	relays *faults.Relays
 	file   string
-	seen   map[[2]int]trace.Record // the last of each pair
-	active map[int]faults.Pattern  // by the trouble's number, those that hold
+	seen   map[[2]int]trace.Record // the last record of each pair
+	active map[int]faults.Pattern  // the active faults, by index
 }
 
-// openFleet opens the relays and writes the file for all nodes.
+// openFleet opens the relays and writes the fleet file of the nodes.
 func (r *run) openFleet() error {
 	s := r.options.Day.Scenario.Fleet
 	if s.Seeds == 0 {
@@ -61,7 +60,7 @@
 	return f.relays.Close()
 }
 
-// begin tells what was seen before the day began, and lets the troubles come.
+// begin records the views from before the start of the day, and schedules the faults.
 func (f *fleet) begin() {
 	if f == nil {
 		return
@@ -89,7 +88,7 @@
 	}
 }
 
-// flap ends a trouble, and lets it come again until then.
+// flap ends a fault; if each is set, it switches the fault on and off until the given time.
 func (f *fleet) flap(i int, p faults.Pattern, until, each time.Duration) {
 	if each <= 0 {
 		f.run.after(until-f.run.now(), func() { f.set(i, p, false) })
@@ -107,7 +106,7 @@
 	})
 }
 
-// set begins or ends a trouble. Those that still hold stay, the later over the earlier.
+// set starts or ends a fault. Other active faults remain; later ones take precedence over earlier ones.
 func (f *fleet) set(i int, p faults.Pattern, on bool) {
 	rec := trace.Record{At: f.run.now(), What: trace.Net, Result: p.What, Lines: 1}
 	if on {
@@ -125,7 +124,7 @@
 	f.run.note(rec)
 }
 
-// remove is the staff's word, said at one node.
+// remove performs an operator's removal of a member at one node.
 func (f *fleet) remove(at, whom int) {
 	n := f.run.nodes[at]
 	if !n.up() {
@@ -146,9 +145,9 @@
 				err = errors.New(resp.Status)
 			}
 		}
-		if err != nil { // it may have been killed just then
+		if err != nil { // the node may just have been killed
 			f.run.post(func() {
-				f.run.note(trace.Record{At: f.run.now(), What: trace.Net, Result: "remove was not heard: " + err.Error()})
+				f.run.note(trace.Record{At: f.run.now(), What: trace.Net, Result: "remove request failed: " + err.Error()})
 			})
 		}
 	})
@@ -156,7 +155,7 @@
 
 var memberLine = []byte(`msg="fleet: member" `)
 
-// heard reads what a node's log says of another. It is called by whoever writes that log.
+// heard parses a log line of a node that reports the state of another. It is called by the goroutine that writes the log.
 func (f *fleet) heard(me int, line []byte) {
 	_, rest, found := bytes.Cut(line, memberLine)
 	if !found {
@@ -186,24 +185,24 @@
 	})
 }
 
-// over tells, at the end, what passed the relays by.
+// over records, at the end, traffic that bypassed the relays.
 func (f *fleet) over() {
 	if f == nil {
 		return
 	}
 	if n := f.relays.Stray.Load(); n > 0 {
-		f.run.note(trace.Record{At: f.run.now(), What: trace.Odd, Result: fmt.Sprintf("%s: %d came from addresses of no node", rules.Through, n)})
+		f.run.note(trace.Record{At: f.run.now(), What: trace.Odd, Result: fmt.Sprintf("%s: %d from unknown addresses", rules.Through, n)})
 	}
 }
 
-// fleetLog reads a log line by line and passes it on.
+// fleetLog passes a log on and parses its lines.
 type fleetLog struct {
 	to   interface{ Write([]byte) (int, error) }
 	line []byte
 	read func(line []byte)
 }
 
-// Write writes the node's log, and reads what its lines say of the fleet.
+// Write writes to the node's log, and parses its lines.
 func (l *fleetLog) Write(p []byte) (int, error) {
 	l.line = append(l.line, p...)
 	for {
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -1,5 +1,5 @@
-// Package live runs a scenario against real delivery nodes: processes of the built program, with the lab's world behind
-// sockets on the loopback.
+// Package live runs a scenario against real delivery nodes: processes of the built program, with the lab's world behind sockets on
+// the loopback interface.
 package live
 
 import (
@@ -17,32 +17,32 @@
 )
 
 const (
-	// lateSend is how late the lab may hand a message in before it counts as its own fault.
+	// lateSend is how late the lab may submit a message before it counts as a fault of the lab.
 	lateSend = 50 * time.Millisecond
-	// startPatience is how long a node may take until it is ready.
+	// startPatience is the time limit for all nodes to become ready.
 	startPatience = 30 * time.Second
-	// killAfter and startAfter are the platform's times of a planned restart.
+	// killAfter and startAfter are the delays of a planned restart on the platform.
 	killAfter  = 3700 * time.Millisecond
 	startAfter = 600 * time.Millisecond
-	// events bounds what waits for the run's one loop.
+	// events is the capacity of the queue of the event loop.
 	events = 1 << 14
 )
 
-// Options say what is run.
+// Options configure a run.
 type Options struct {
-	Node  string   // the program
+	Node  string   // path of the node's program
 	Flags []string // its flags
-	Dir   string   // for the nodes' folders and logs
+	Dir   string   // for the nodes' directories and logs
 	Day   world.Day
 	Note  func(trace.Record)
-	// Progress is told, about once a second, how far the day is.
+	// Progress is called about once a second with the current time and the end of the run.
 	Progress func(now, end time.Duration)
 }
 
-// Use is what one node's processes used.
+// Use is the resource usage of one node's processes.
 type Use struct {
 	CPU            time.Duration
-	RSS            int64 // bytes, at most
+	RSS            int64 // bytes, peak
 	Files          int
 	Disk           int64
 	Starts         int
@@ -51,7 +51,7 @@
 	UnplannedExits int
 }
 
-// run is one play. All of its state belongs to the loop; others hand it functions.
+// run is one run. All of its state belongs to the event loop; other goroutines post functions to it.
 type run struct {
 	options Options
 	world   *world.World
@@ -60,18 +60,18 @@
 	ended   chan struct{}
 	nodes   []*node
 	clients *clients
-	calls   map[uint64]*conn // that wait for their answer
-	owed    map[string]bool  // ids that were taken on and have no end
-	over    map[string]bool  // ids with an end whose client has not heard that it was taken on
-	pending int              // tries that are to come, or out
+	calls   map[uint64]*conn // calls that wait for their answer
+	owed    map[string]bool  // ids of accepted messages without an end
+	over    map[string]bool  // ids of messages with an end whose client has not received the acceptance yet
+	pending int              // tries that are scheduled or in flight
 	tries   map[string]world.Try
 	wg      sync.WaitGroup
 	playing bool
 	fatal   error
-	fleet   *fleet // nil where nodes know nothing of each other
+	fleet   *fleet // nil if the nodes are independent
 }
 
-// Run plays the day until all that was taken on has its end, or its time is up.
+// Run runs the day until all accepted messages have ended, or until the deadline of the last message.
 func Run(ctx context.Context, o Options) ([]Use, error) {
 	r := &run{options: o, do: make(chan func(), events), ended: make(chan struct{}), calls: map[uint64]*conn{},
 		owed: map[string]bool{}, over: map[string]bool{}, tries: map[string]world.Try{}}
@@ -108,7 +108,7 @@
 	return uses, err
 }
 
-// note keeps a record; what is seen before the day begins is no part of it.
+// note passes a record on; events before the start of the day are not recorded.
 func (r *run) note(rec trace.Record) {
 	if r.playing {
 		r.options.Note(rec)
@@ -117,7 +117,7 @@
 
 func (r *run) now() time.Duration { return time.Since(r.origin) }
 
-// post hands a function to the loop; false tells that the run is over.
+// post queues a function for the event loop; it returns false if the run is over.
 func (r *run) post(f func()) bool {
 	select {
 	case r.do <- f:
@@ -127,7 +127,7 @@
 	}
 }
 
-// after hands a function to the loop when some time has passed, unless the run is over by then.
+// after posts a function to the event loop after a delay, unless the run is over by then.
 func (r *run) after(d time.Duration, f func()) {
 	r.wg.Go(func() {
 		t := time.NewTimer(d)
@@ -140,7 +140,7 @@
 	})
 }
 
-// ask hands a function to the loop and waits until it has run.
+// ask posts a function to the event loop and waits until it has run.
 func (r *run) ask(f func()) bool {
 	done := make(chan struct{})
 	if !r.post(func() { f(); close(done) }) {
@@ -154,13 +154,13 @@
 	}
 }
 
-// open listens for all nodes and starts them.
+// open opens the listeners of all nodes and starts the nodes.
 func (r *run) open(life context.Context) error {
 	if err := os.MkdirAll(r.options.Dir, 0o755); err != nil {
-		return fmt.Errorf("the nodes' folder: %w", err)
+		return fmt.Errorf("creating the nodes' directory: %w", err)
 	}
 	if err := r.openFleet(); err != nil {
-		return fmt.Errorf("the fleet: %w", err)
+		return fmt.Errorf("opening the fleet: %w", err)
 	}
 	for i := range r.options.Day.Nodes {
 		n := &node{run: r, me: i, dir: filepath.Join(r.options.Dir, fmt.Sprintf("n%d", i))}
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// ready waits until all nodes take clients; only then the day begins.
+// ready waits until all nodes accept clients; the day starts only then.
 func (r *run) ready(ctx context.Context) error {
 	timer := time.NewTimer(startPatience)
 	defer timer.Stop()
@@ -207,7 +207,7 @@
 	}
 }
 
-// play is the loop.
+// play runs the event loop.
 func (r *run) play(ctx context.Context) error {
 	r.origin, r.playing = time.Now(), true
 	for _, n := range r.nodes {
@@ -264,7 +264,7 @@
 	}
 }
 
-// Answer is the world's.
+// Answer implements world.Host.
 func (r *run) Answer(now time.Duration, a world.Answer) {
 	c := r.calls[a.Call]
 	delete(r.calls, a.Call)
@@ -278,7 +278,7 @@
 	}
 }
 
-// end frees what a message was owed.
+// end marks a message as ended.
 func (r *run) end(id string) {
 	if !r.owed[id] {
 		if _, waits := r.tries[id]; waits {
@@ -288,10 +288,10 @@
 	delete(r.owed, id)
 }
 
-// Listed is the world's.
+// Listed implements world.Host.
 func (r *run) Listed(_ time.Duration, me int, eps []int) { r.nodes[me].agent.changed(eps) }
 
-// Door is the world's.
+// Door implements world.Host.
 func (r *run) Door(_ time.Duration, ep int, as world.Dialled) {
 	for _, n := range r.nodes {
 		if err := n.doors[ep].set(as); err != nil && r.fatal == nil {
@@ -300,10 +300,10 @@
 	}
 }
 
-// Strike is the world's.
+// Strike implements world.Host.
 func (r *run) Strike(now time.Duration, t world.Fault, me int) { r.nodes[me].strike(now, t) }
 
-// freePort finds an address that nobody has just now.
+// freePort returns a currently unused address.
 func freePort(host string) (string, error) {
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	// largestLog is how much of a node's log is kept; the rest is counted.
+	// largestLog is how much of a node's log is kept; the rest is only counted.
 	largestLog = 16 << 20
 	readyPause = 20 * time.Millisecond
-	// sampleEvery is how often a process's memory, descriptors and disk are looked at.
+	// sampleEvery is the interval at which a process's memory, descriptors and disk usage are sampled.
 	sampleEvery = 250 * time.Millisecond
 	quitTime    = 4500 * time.Millisecond
 )
 
-// node is one delivery node with all that is set aside for it.
+// node is one delivery node with its resources.
 type node struct {
 	run      *run
 	me       int
@@ -41,33 +41,33 @@
 	console  string
 	doors    []*door
 	agent    *agent
-	attempts map[string]int // calls with a message so far
+	attempts map[string]int // number of calls per message so far
 	log      *cappedLog
 	procs    []*process // one, or the members of a group
-	struck   int        // members so far
-	mu       sync.Mutex // over use, which the samplers write
+	struck   int        // number of faults applied to members so far
+	mu       sync.Mutex // guards use, which the samplers write
 	use      Use
 }
 
-// process is one of a node's. What follows belongs to the loop, but for what quit reads
-// after that has ended.
+// process is one process of a node. The following fields belong to the event loop; quit reads cmd and exited after the loop has
+// ended.
 type process struct {
 	node    *node
 	me      int
 	cmd     *exec.Cmd
 	exited  chan struct{} // of cmd
 	up      bool
-	planned bool // it was told to end, or killed
-	lost    bool // the folder goes with it
+	planned bool // it was told to stop, or killed
+	lost    bool // the data directory is lost with it
 	life    int
 }
 
-// up tells whether any process takes clients.
+// up reports whether any process accepts clients.
 func (n *node) up() bool {
 	return slices.ContainsFunc(n.procs, func(p *process) bool { return p.up })
 }
 
-// ready tells whether all do.
+// ready reports whether all processes accept clients.
 func (n *node) ready() bool {
 	return !slices.ContainsFunc(n.procs, func(p *process) bool { return !p.up })
 }
@@ -119,7 +119,7 @@
 	return os.MkdirAll(n.state(), 0o755)
 }
 
-// configure writes the node's configuration, whole or not at all.
+// configure writes the node's configuration file atomically.
 func (n *node) configure() error {
 	s := n.run.options.Day.Scenario.Nodes
 	text, err := json.MarshalIndent(map[string]any{
@@ -145,7 +145,7 @@
 	return n.use.Starts
 }
 
-// start starts a process. It runs in the loop, or before it.
+// start starts a process. It runs in the event loop, or before it.
 func (p *process) start() error {
 	n := p.node
 	p.life++
@@ -178,7 +178,7 @@
 		all := &fleetLog{to: out, read: func(line []byte) { f.heard(n.me, line) }}
 		cmd.Stdout, cmd.Stderr = all, all
 	}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with the lab, however that ends
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process is killed when the lab ends, however that happens
 	p.planned = false
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", n.run.options.Node, err)
@@ -202,13 +202,13 @@
 		n.run.post(func() { p.hasEnded(life, err) })
 	})
 	n.run.wg.Go(func() { n.sample(cmd.Process.Pid, exited) })
-	if !n.grouped() { // of a group, any member answers
+	if !n.grouped() { // in a group, any member may answer
 		n.run.wg.Go(func() { p.await(began, exited, life) })
 	}
 	return nil
 }
 
-// await asks until the node takes clients.
+// await polls until the node accepts clients.
 func (p *process) await(began time.Time, exited <-chan struct{}, life int) {
 	n := p.node
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -246,7 +246,7 @@
 	}
 }
 
-// hasEnded is told when a process has ended.
+// hasEnded is called when a process has exited.
 func (p *process) hasEnded(life int, err error) {
 	n := p.node
 	if p.life != life {
@@ -260,20 +260,20 @@
 	n.use.UnplannedExits++
 	starts, exits := n.use.Starts, n.use.UnplannedExits
 	n.mu.Unlock()
-	why := "it ended by itself"
+	why := "it exited"
 	if err != nil {
 		why = err.Error()
 	}
 	n.run.note(trace.Record{At: n.run.now(), What: trace.Stop, Node: n.me, Result: "crash"})
 	n.run.note(trace.Record{At: n.run.now(), What: trace.Odd, Node: n.me, Result: "the node's process ended: " + why})
 	if exits > 3 || starts <= len(n.procs) && !n.run.playing {
-		n.run.fatal = fmt.Errorf("node %d ended by itself (%s); its log is %s", n.me, why, filepath.Join(n.dir, "log"))
+		n.run.fatal = fmt.Errorf("node %d ended by itself: %s; see its log %s", n.me, why, filepath.Join(n.dir, "log"))
 		return
 	}
 	p.again(startAfter)
 }
 
-// strike carries out a trouble, on the next of the processes where there are several.
+// strike applies a fault, to the next process in turn if there are several.
 func (n *node) strike(now time.Duration, t world.Fault) {
 	p := n.procs[n.struck%len(n.procs)]
 	n.struck++
@@ -327,7 +327,7 @@
 	n := p.node
 	p.planned, p.up, p.lost = true, false, lost && !n.grouped()
 	switch {
-	case n.up(): // another member serves on
+	case n.up(): // another member continues
 		signal = "member"
 	case p.lost:
 		signal = "lost"
@@ -336,14 +336,14 @@
 	n.run.note(trace.Record{At: n.run.now(), What: trace.Stop, Node: n.me, Result: signal})
 }
 
-// again starts the next process when this one has ended.
+// again starts the next process once this one has exited.
 func (p *process) again(after time.Duration) {
 	n := p.node
 	p.planned = true
 	n.run.after(after, func() {
 		select {
 		case <-p.exited:
-		default: // it takes long to die
+		default: // it has not exited yet
 			p.again(readyPause)
 			return
 		}
@@ -366,17 +366,17 @@
 	}
 }
 
-// saveView keeps what the members of a group say of it when the day is over, in the node's
-// folder: a few answers, as whichever member accepts gives its own.
+// saveView stores what the members of a group report at the end of the day, in the node's directory: several answers, as each
+// request reaches an arbitrary member.
 func (n *node) saveView() {
 	if !n.grouped() || !n.up() {
 		return
 	}
 	f, err := os.Create(filepath.Join(n.dir, "group.json"))
 	if err != nil {
-		return // the run's figures stand without it
+		return // only diagnostics: the run is valid without it
 	}
-	defer func() { _ = f.Close() }() // the run's figures stand without it
+	defer func() { _ = f.Close() }() // only diagnostics: the run is valid without it
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 4 * len(n.procs) {
 		if resp, err := client.Get("http://" + n.console + "/ops/group"); err == nil {
@@ -386,14 +386,14 @@
 	}
 }
 
-// quit ends the processes, at last by force.
+// quit stops the processes, and kills them after quitTime.
 func (n *node) quit() {
 	for _, p := range n.procs {
 		if p.cmd == nil {
 			continue
 		}
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
-		_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have exited
 		exited, process := p.exited, p.cmd.Process
 		n.run.wg.Go(func() {
 			select {
@@ -405,7 +405,7 @@
 	}
 }
 
-// close waits for the processes and lets go of the rest.
+// close waits for the processes and releases all other resources.
 func (n *node) close() {
 	for _, p := range n.procs {
 		if p.exited != nil {
@@ -423,14 +423,14 @@
 	}
 }
 
-// sample looks at a process until it has ended.
+// sample samples the resource usage of a process until it exits.
 func (n *node) sample(pid int, exited <-chan struct{}) {
 	tick := time.NewTicker(sampleEvery)
 	defer tick.Stop()
 	proc := filepath.Join("/proc", strconv.Itoa(pid))
 	for {
 		rss := peakMemory(proc)
-		files, _ := os.ReadDir(filepath.Join(proc, "fd")) // it may have ended
+		files, _ := os.ReadDir(filepath.Join(proc, "fd")) // the process may have exited
 		disk := size(n.state())
 		n.mu.Lock()
 		n.use.RSS, n.use.Files, n.use.Disk = max(n.use.RSS, rss), max(n.use.Files, len(files)), max(n.use.Disk, disk)
@@ -443,7 +443,7 @@
 	}
 }
 
-// peakMemory is the most that a process has had, or 0.
+// peakMemory returns the peak resident memory of a process in bytes, or 0 if it is unknown.
 func peakMemory(proc string) int64 {
 	text, err := os.ReadFile(filepath.Join(proc, "status"))
 	if err != nil {
@@ -458,11 +458,11 @@
 	return 0
 }
 
-// size is what a folder counts for, each file in whole 512 bytes.
+// size returns the size of a directory, with each file rounded up to 512 bytes.
 func size(dir string) (sum int64) {
 	_ = filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
 		if err != nil {
-			return nil // it went meanwhile
+			return nil // removed meanwhile
 		}
 		if info, err := e.Info(); err == nil && info.Mode().IsRegular() {
 			sum += (info.Size() + 511) / 512 * 512
@@ -472,7 +472,7 @@
 	return sum
 }
 
-// readyLog passes a process's log on and finds the line that says that it is ready.
+// readyLog passes a process's log on and watches for the line that reports readiness.
 type readyLog struct {
 	to    *cappedLog
 	ready func()
@@ -480,7 +480,7 @@
 	line  []byte
 }
 
-// Write writes the node's log, and calls ready when the log says that the node is ready.
+// Write writes to the node's log, and calls ready once the log reports that the node is ready.
 func (l *readyLog) Write(p []byte) (int, error) {
 	if !l.said {
 		l.line = append(l.line, p...)
@@ -505,7 +505,7 @@
 	lost int64
 }
 
-// Write writes as long as the file is smaller than its limit, and drops the rest.
+// Write writes until the file reaches its size limit, and discards the rest.
 func (l *cappedLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -514,7 +514,7 @@
 	l.lost += int64(len(p) - len(keep))
 	if len(keep) > 0 {
 		if _, err := l.file.Write(keep); err != nil {
-			l.left = 0 // the disk is full: the node must not stop for that
+			l.left = 0 // the disk is full: the node must keep running
 		}
 	}
 	return len(p), nil
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,5 +1,4 @@
-// Package record stores a run: its trace, its figures and the rules that it broke, in a folder of its own if one
-// is asked for.
+// Package record stores a run: its trace, its statistics and the rule violations, optionally in a directory.
 package record
 
 import (
@@ -19,7 +18,7 @@
 	"dunetide/internal/lab/world"
 )
 
-// Summary is a run in short.
+// Summary summarizes a run.
 type Summary struct {
 	Scenario string              `json:"scenario"`
 	Seed     uint64              `json:"seed"`
@@ -28,16 +27,16 @@
 	Variant  string              `json:"variant,omitempty"`
 	Length   float64             `json:"length_s"`
 	Nodes    int                 `json:"nodes"`
-	Took     float64             `json:"took_s"` // of real time
+	Took     float64             `json:"took_s"` // seconds of real time
 	Invalid  string              `json:"invalid,omitempty"`
 	Figures  figures.Figures     `json:"figures"`
 	Broken   []rules.Broken      `json:"broken"`
 	Account  rules.Account       `json:"account"`
 	Fleet    *rules.FleetAccount `json:"fleet,omitempty"`
-	Usage    []Usage             `json:"usage,omitempty"` // of real processes
+	Usage    []Usage             `json:"usage,omitempty"` // of real processes only
 }
 
-// Usage is what a node's processes used.
+// Usage is the resource usage of a node's processes.
 type Usage struct {
 	Node     int     `json:"node"`
 	CPU      float64 `json:"cpu_s"`
@@ -48,10 +47,10 @@
 	ReadyMax float64 `json:"slowest_start_s"`
 }
 
-// Goal is how the deployment weighs the parts of its service.
+// Goal holds the weights of the parts of the service in this deployment.
 var Goal = figures.Goal{Whole: 0.45, Window: 0.25, Class: 0.2, Tenant: 0.1}
 
-// Recorder takes the records of a run. It is safe for concurrent use.
+// Recorder processes the records of a run. It is safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	check   *rules.Checker
@@ -64,7 +63,7 @@
 	began   time.Time
 }
 
-// Limits are the rules' figures of a day.
+// Limits returns the limits of the rules for a day.
 func Limits(d world.Day, blur time.Duration) rules.Limits {
 	l := rules.Limits{DrainGrace: time.Duration(d.Scenario.Rules.DrainGraceMs * float64(time.Millisecond)), Slots: d.Slots, MaxOpen: d.MaxOpen,
 		MaxAttempts: d.Scenario.Rules.MaxAttempts, Blur: blur}
@@ -77,7 +76,7 @@
 	return rules.Protocol(l)
 }
 
-// parts are one node's even parts of the limits.
+// parts returns one node's even share of the limit of each destination.
 func parts(d world.Day) (all []float64) {
 	for _, dest := range d.Dests {
 		all = append(all, dest.Limit/float64(len(d.Nodes)))
@@ -85,7 +84,7 @@
 	return all
 }
 
-// Classes are what the classes of a day are worth.
+// Classes returns the worths of the classes of a day.
 func Classes(d world.Day) (all []figures.Class) {
 	for _, c := range d.Scenario.Classes {
 		all = append(all, figures.Class{Name: c.Name, Aim: time.Duration(c.AimMs * float64(time.Millisecond)),
@@ -94,7 +93,7 @@
 	return all
 }
 
-// Revision is that of this program's sources.
+// Revision returns the VCS revision of this program.
 func Revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -112,7 +111,7 @@
 	return rev + dirty
 }
 
-// New begins to keep a run. An empty dir keeps no files.
+// New returns a Recorder. With an empty dir it writes no files.
 func New(d world.Day, way, dir string, blur time.Duration) (*Recorder, error) {
 	r := &Recorder{check: rules.New(Limits(d, blur)), dir: dir, began: time.Now(),
 		count: figures.New(Classes(d), len(d.Scenario.Tenants), Goal, d.Length, parts(d)),
@@ -122,28 +121,28 @@
 		return r, nil
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("the run's folder: %w", err)
+		return nil, fmt.Errorf("creating the run directory: %w", err)
 	}
 	text, err := json.MarshalIndent(d.Scenario, "", " ")
 	if err != nil {
-		return nil, fmt.Errorf("the scenario: %w", err)
+		return nil, fmt.Errorf("encoding the scenario: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "scenario.json"), text, 0o644); err != nil {
-		return nil, fmt.Errorf("the run's folder: %w", err)
+		return nil, fmt.Errorf("writing the scenario to the run directory: %w", err)
 	}
 	f, err := os.Create(filepath.Join(dir, "trace.jsonl"))
 	if err != nil {
-		return nil, fmt.Errorf("the run's folder: %w", err)
+		return nil, fmt.Errorf("creating the trace in the run directory: %w", err)
 	}
 	r.out, r.file = trace.NewWriter(f), f
 	return r, nil
 }
 
-// Note takes a record.
+// Note processes a record.
 func (r *Recorder) Note(rec trace.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec.At = max(rec.At, r.last) // of records that are seen at once, the order is the trace's
+	rec.At = max(rec.At, r.last) // records made concurrently get times in the order of the trace
 	r.last = rec.At
 	r.check.Observe(rec)
 	r.count.Observe(rec)
@@ -152,8 +151,7 @@
 	}
 }
 
-// Finish ends the run and gives it in short. A folder that can't be written is an error,
-// and the summary stands all the same.
+// Finish ends the run and returns its summary. If the directory cannot be written, it returns the summary and an error.
 func (r *Recorder) Finish(fill func(*Summary)) (Summary, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,7 +174,7 @@
 	return *s, errors.Join(err, failed)
 }
 
-// Print tells a person.
+// Print writes the summary as text.
 func (s Summary) Print(w io.Writer) error {
 	f := s.Figures
 	p := printer{out: w}
@@ -199,9 +197,9 @@
 	}
 	for _, c := range f.Recovery {
 		if c.Took < 0 {
-			p.line("after the end of %s at %.1f s: not well again", c.Fault, c.At)
+			p.line("after the end of %s at %.1f s: service did not recover", c.Fault, c.At)
 		} else {
-			p.line("after the end of %s at %.1f s: well again within %.0f s", c.Fault, c.At, c.Took+1)
+			p.line("after the end of %s at %.1f s: service recovered within %.0f s", c.Fault, c.At, c.Took+1)
 		}
 	}
 	if s.Fleet != nil {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report makes one page with plots of a run, or of two side by side.
+// Package report writes an HTML page with plots of one run, or of two for comparison.
 package report
 
 import (
@@ -25,13 +25,13 @@
 	height = 7 * vg.Centimeter
 )
 
-// Band is a fault, from when until when.
+// Band is the duration of a fault in a plot.
 type Band struct {
 	What        string
 	From, Until float64
 }
 
-// Run is what is shown of one.
+// Run is the data of one run that a report shows.
 type Run struct {
 	Name    string
 	Summary record.Summary
@@ -47,7 +47,7 @@
 	of   func(figures.Window) float64
 }
 
-// PNG draws some series of some runs over time, with the first run's faults as bands.
+// PNG plots series of one or more runs over time, with the faults of the first run as bands.
 func PNG(w io.Writer, title, unit string, runs []Run, all ...series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
@@ -100,7 +100,7 @@
 	return err
 }
 
-// Plots are those of a page, by their names.
+// Plots lists the plots of a page.
 var Plots = []struct {
 	Name, Title, Unit string
 	series            []series
@@ -113,14 +113,14 @@
 		{"calls", func(w figures.Window) float64 { return float64(w.Calls) }}, {"refused", func(w figures.Window) float64 { return float64(w.Refused) }}}},
 }
 
-// Plot draws one of the Plots.
+// Plot draws one of the Plots, by name.
 func Plot(w io.Writer, name string, runs []Run) error {
 	for _, p := range Plots {
 		if p.Name == name {
 			return PNG(w, p.Title, p.Unit, runs, p.series...)
 		}
 	}
-	return fmt.Errorf("there is no plot %q", name)
+	return fmt.Errorf("unknown plot %q", name)
 }
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{"interval": interval}).Parse(`<!doctype html>
@@ -146,7 +146,7 @@
 	return fmt.Sprintf("%+.4g to %+.4g", e.Low, e.High)
 }
 
-// Page writes one self-contained page of one or two runs.
+// Page writes one self-contained page about one or two runs.
 func Page(w io.Writer, title string, runs []Run, effects []figures.Effect) error {
 	type shown struct {
 		Name, Text string
