--- a/cmd/dunetide-lab/ablate.go
+++ b/cmd/dunetide-lab/ablate.go
@@ -19,8 +19,8 @@
 	Seeds int    `default:"1" help:"How often all is played."`
 }
 
-// Run plays the committed state of this checkout with one mechanism of placement switched off at a time, and prints a line for each. The
-// bench's journal entries are brought into the checkout's journal.
+// Run runs days on the committed state of this checkout with one placement mechanism disabled at a time, and prints a table row for
+// each. The bench's journal entries are copied to the checkout's journal.
 func (c *ablateCommand) Run(ctx context.Context) error {
 	bench, err := filepath.Abs(c.Bench)
 	if err != nil {
--- a/cmd/dunetide-lab/compare.go
+++ b/cmd/dunetide-lab/compare.go
@@ -38,7 +38,7 @@
 	scenario scenario.Scenario
 }
 
-// variantOf reads one side.
+// variantOf parses one side of the comparison.
 func variantOf(ctx context.Context, path, way string, words []string, dir string) (variant, error) {
 	v := variant{name: strings.Join(words, " ")}
 	if v.name == "" {
@@ -62,7 +62,7 @@
 		case set:
 			settings[key] = value
 		default:
-			return v, fmt.Errorf("%q is no flag, no revision, no program and no setting", w)
+			return v, fmt.Errorf("%q is not a flag, revision, program or setting", w)
 		}
 	}
 	if way == "sim" && (rev != "" || v.program != "" || len(v.flags) > 0) {
@@ -77,11 +77,11 @@
 	return v, err
 }
 
-// buildRevision builds the node of a revision of this repository, in a work tree of its own.
+// buildRevision builds the node at a revision of this repository, in a temporary work tree.
 func buildRevision(ctx context.Context, rev, dir string) (program string, err error) {
 	hash, err := exec.CommandContext(ctx, "git", "rev-parse", "--verify", rev+"^{commit}").Output()
 	if err != nil {
-		return "", fmt.Errorf("%q is no revision of this repository", rev)
+		return "", fmt.Errorf("%q is not a revision of this repository", rev)
 	}
 	tree := filepath.Join(dir, "tree-"+strings.TrimSpace(string(hash))[:12])
 	program = tree + "-deliverynode"
@@ -104,7 +104,8 @@
 	return program, nil
 }
 
-// nodePackage is the delivery node's main package in a work tree. Revisions before the program was renamed have it as cmd/wingmount.
+// nodePackage returns the delivery node's main package in a work tree. Revisions before the program was renamed have it as
+// cmd/wingmount.
 func nodePackage(tree string) string {
 	if _, err := os.Stat(filepath.Join(tree, "cmd", "deliverynode")); err != nil {
 		return "./cmd/wingmount"
@@ -112,10 +113,10 @@
 	return "./cmd/deliverynode"
 }
 
-// sideNames are the names of the two sides in what is printed; in folders they are in lower case.
+// sideNames are the names of the two sides in output; in directory names they are in lower case.
 var sideNames = [2]string{"A", "B"}
 
-// Run plays the pairs and compares them.
+// Run runs the pairs and compares them.
 func (c *compareCommand) Run(ctx context.Context) error {
 	dir, clean, err := c.folder()
 	if err != nil {
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// folder returns the folder of all runs, which exists, and what removes a temporary one.
+// folder returns the directory of all runs, which it creates, and a function that removes it if it is temporary.
 func (c *compareCommand) folder() (dir string, clean func(), err error) {
 	clean = func() {}
 	if dir = c.Out; dir == "" {
@@ -161,8 +162,8 @@
 	return dir, clean, os.MkdirAll(dir, 0o755)
 }
 
-// variants returns the two sides. Real nodes whose program is not named are built from the working tree, which clean
-// removes.
+// variants returns the two sides. If a side runs real nodes without a named program, the program is built from the working tree;
+// clean removes it.
 func (c *compareCommand) variants(ctx context.Context, dir string) (sides [2]variant, clean func(), err error) {
 	clean = func() {}
 	for i, words := range [][]string{c.WithA, c.WithB} {
@@ -185,8 +186,8 @@
 	return sides, clean, nil
 }
 
-// playPairs plays each seed on both sides, A first in every second pair, so that what drifts strikes both. It returns the
-// pairs that are valid, and how many rules were broken in all.
+// playPairs runs each seed on both sides, alternating which side runs first, so that drift affects both. It returns the valid pairs,
+// and the total number of rule violations.
 func (c *compareCommand) playPairs(
 	ctx context.Context, dir string, sides [2]variant,
 ) (runs [2][]record.Summary, broken int, err error) {
@@ -205,14 +206,14 @@
 			broken += len(pair[side].Broken)
 			printSide(seed, side, pair[side])
 		}
-		if pair[0].Invalid == "" && pair[1].Invalid == "" { // else the pair tells nothing
+		if pair[0].Invalid == "" && pair[1].Invalid == "" { // an invalid run makes the pair meaningless
 			runs[0], runs[1] = append(runs[0], pair[0]), append(runs[1], pair[1])
 		}
 	}
 	return runs, broken, nil
 }
 
-// playSide plays a seed on one side.
+// playSide runs a seed on one side.
 func (c *compareCommand) playSide(ctx context.Context, v variant, seed uint64, out string) (record.Summary, error) {
 	drawn := world.Draw(v.scenario, seed)
 	if c.Way == "sim" {
@@ -233,7 +234,7 @@
 	return ", INVALID: " + s.Invalid
 }
 
-// effectsOf compares all figures, and what real processes used.
+// effectsOf compares all statistics, and the resource usage of real processes.
 func effectsOf(runs [2][]record.Summary) (all []figures.Effect) {
 	if len(runs[0]) == 0 {
 		return nil
@@ -279,7 +280,7 @@
 	}
 }
 
-// page shows the first pair over time, and the table of all.
+// page writes the page with the plots of the first pair and the table of all pairs.
 func (c *compareCommand) page(dir string, sides [2]variant, runs [2][]record.Summary, effects []figures.Effect) error {
 	var both []report.Run
 	for side, s := range []string{"A", "B"} {
@@ -303,13 +304,13 @@
 	return errors.Join(err, f.Close())
 }
 
-// bandsOf reads the faults of a run.
+// bandsOf reads the faults of a run from its trace.
 func bandsOf(path string) (all []report.Band, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened read-only
 	seen := map[string]bool{}
 	err = trace.Read(f, func(r trace.Record) {
 		key := fmt.Sprint(r.Result, r.Until)
@@ -328,10 +329,10 @@
 	Out  string   `help:"Where to; report.html in the first folder if not given."`
 }
 
-// Run makes a page, or one picture.
+// Run writes a page, or one plot as PNG.
 func (c *reportCommand) Run() error {
 	if len(c.Dirs) > 2 {
-		return errors.New("one run, or two")
+		return errors.New("expected one or two run directories")
 	}
 	var runs []report.Run
 	for _, dir := range c.Dirs {
@@ -373,10 +374,10 @@
 	Nodes    int      `help:"So many nodes, whatever the scenario says."`
 }
 
-// Run plays each value in step, over some seeds.
+// Run simulates each value over several seeds.
 func (c *sweepCommand) Run(ctx context.Context) error {
 	if len(c.Set) > 2 {
-		return errors.New("one setting, or two")
+		return errors.New("expected one or two settings")
 	}
 	text, err := os.ReadFile(c.Scenario)
 	if err != nil {
@@ -409,13 +410,13 @@
 	return nil
 }
 
-// sweepPoints returns all combinations of the values of settings, each as settings by their names.
+// sweepPoints returns all combinations of the settings' values, each as a map from setting to value.
 func sweepPoints(settings []string) ([]map[string]string, error) {
 	points := []map[string]string{{}}
 	for _, setting := range settings {
 		key, values, ok := strings.Cut(setting, "=")
 		if !ok {
-			return nil, fmt.Errorf("%q is no setting with values", setting)
+			return nil, fmt.Errorf("%q is not a setting with values", setting)
 		}
 		var next []map[string]string
 		for _, point := range points {
@@ -430,7 +431,7 @@
 	return points, nil
 }
 
-// pointName is a point in the order of the command line.
+// pointName returns the name of a point, with the settings in the order of the command line.
 func (c *sweepCommand) pointName(point map[string]string) string {
 	var names []string
 	for _, setting := range c.Set {
@@ -440,7 +441,7 @@
 	return strings.Join(names, " ")
 }
 
-// sweepRow sums up the seeds of a point.
+// sweepRow accumulates the results of all seeds of a point.
 type sweepRow struct {
 	served, p99, refused float64 // sums over the seeds
 	least, most          float64 // served
--- a/cmd/dunetide-lab/fleet.go
+++ b/cmd/dunetide-lab/fleet.go
@@ -21,7 +21,7 @@
 	For      time.Duration `help:"Play one seed after another for so long, until a rule is broken."`
 }
 
-// Run plays a fleet of real processes with faults between them.
+// Run runs a fleet of real processes with faults between them.
 func (c *fleetCommand) Run(ctx context.Context) error {
 	s, err := scenario.Read(c.Scenario)
 	if err != nil {
@@ -31,7 +31,7 @@
 		s.Nodes.Count = c.Nodes
 	}
 	if s.Fleet.Seeds == 0 {
-		return fmt.Errorf("%s: fleet.seeds is 0, so its nodes are no fleet", c.Scenario)
+		return fmt.Errorf("%s: fleet.seeds is 0, so the nodes do not form a fleet", c.Scenario)
 	}
 	program, clean, err := nodeProgram(ctx, c.Node)
 	if err != nil {
--- a/cmd/dunetide-lab/hollow.go
+++ b/cmd/dunetide-lab/hollow.go
@@ -27,7 +27,7 @@
 	Program   string        `help:"The tier's program; without it, dunetide of this checkout is built." type:"existingfile"`
 }
 
-// maxHollow bounds a size beyond the time in which it is measured.
+// maxHollow limits the duration of a size beyond the time in which it is measured.
 const maxHollow = 3 * time.Minute
 
 func (c *hollowCommand) sizes() (sizes []hollow.Size, err error) {
@@ -35,25 +35,25 @@
 		s := hollow.Size{Proxies: n, Endpoints: c.Endpoints[0]}
 		if len(c.Endpoints) > 1 {
 			if len(c.Endpoints) != len(c.Proxies) {
-				return nil, errors.New("--endpoints: one for all sizes, or as many as --proxies has")
+				return nil, errors.New("--endpoints: give one for all sizes, or as many as --proxies has")
 			}
 			s.Endpoints = c.Endpoints[i]
 		}
 		if s.Proxies < 1 || s.Proxies > 1000 || s.Endpoints < 1 || s.Endpoints > 2000 {
-			return nil, errors.New("--proxies and --endpoints: 1 to 1000, and 1 to 2000")
+			return nil, errors.New("--proxies must be between 1 and 1000, --endpoints between 1 and 2000")
 		}
 		sizes = append(sizes, s)
 	}
 	if c.Zones < 1 || c.Keepers < 1 || c.Zones*c.Keepers+c.Stores > 60 {
-		return nil, errors.New("--zones, --keepers, --stores: one keeper at least, and 60 processes of keepers and stores at most")
+		return nil, errors.New("--zones, --keepers, --stores: at least one keeper, and at most 60 keeper and store processes")
 	}
 	if c.Changes < 1 || c.Tenants < 1 || c.Models < 1 {
-		return nil, errors.New("--changes, --tenants, --models: at least 1")
+		return nil, errors.New("--changes, --tenants, --models: must be at least 1")
 	}
 	return sizes, nil
 }
 
-// Run measures what control costs by size.
+// Run measures the cost of the control plane by size.
 func (c *hollowCommand) Run(ctx context.Context) error {
 	sizes, err := c.sizes()
 	if err != nil {
--- a/cmd/dunetide-lab/hollow_test.go
+++ b/cmd/dunetide-lab/hollow_test.go
@@ -20,7 +20,7 @@
 		bad.Proxies, bad.Endpoints = []int{50, 100}, []int{600}
 		spoil(&bad)
 		if _, err := bad.sizes(); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/cmd/dunetide-lab/ledger.go
+++ b/cmd/dunetide-lab/ledger.go
@@ -17,7 +17,7 @@
 	Plot    string   `help:"A folder for a plot of each day's worth over time."`
 }
 
-// Run accounts for what the days lost. It reads files and, but for the plots, writes none.
+// Run accounts for the losses of the days. It only reads files, except that it writes the plots.
 func (c *ledgerCommand) Run() error {
 	if c.Log != "" && len(c.Reports) > 1 {
 		return errors.New("a log belongs to one day: give one report with it")
@@ -28,7 +28,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }() // it was only read
+		defer func() { _ = f.Close() }() // opened read-only
 		if worths, err = ledger.ReadSite(f); err != nil {
 			return err
 		}
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// account prints, and plots, the account of one day.
+// account prints, and plots if requested, the account of one day.
 func (c *ledgerCommand) account(path string, worths []ledger.RevenueWeight) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened read-only
 	report, err := ledger.ReadReport(f)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = logs.Close() }() // it was only read
+		defer func() { _ = logs.Close() }() // opened read-only
 		if day.Ended, err = ledger.ReadLogs(logs); err != nil {
 			return err
 		}
--- a/cmd/dunetide-lab/main.go
+++ b/cmd/dunetide-lab/main.go
@@ -1,5 +1,5 @@
-// Command dunetide-lab is the project's lab: it plays days of an emulated deployment, in simulated
-// time or against real delivery nodes, and tells what was served and which rules were broken.
+// Command dunetide-lab is the project's lab: it runs days of an emulated deployment, in simulated time or against real delivery
+// nodes, and reports what was served and which rules were violated.
 package main
 
 import (
@@ -63,7 +63,7 @@
 	Dir string `arg:"" help:"The folder of a run." type:"existingdir"`
 }
 
-// Run checks a trace with the scenario that lies beside it.
+// Run checks a stored trace against the scenario stored with it.
 func (c *checkCommand) Run() error {
 	text, err := os.ReadFile(filepath.Join(c.Dir, "scenario.json"))
 	if err != nil {
@@ -71,14 +71,14 @@
 	}
 	var s scenario.Scenario
 	if err := json.Unmarshal(text, &s); err != nil {
-		return fmt.Errorf("the run's scenario: %w", err)
+		return fmt.Errorf("decoding the run's scenario: %w", err)
 	}
 	var was record.Summary
 	if text, err = os.ReadFile(filepath.Join(c.Dir, "summary.json")); err != nil {
 		return err
 	}
 	if err := json.Unmarshal(text, &was); err != nil {
-		return fmt.Errorf("the run's summary: %w", err)
+		return fmt.Errorf("decoding the run's summary: %w", err)
 	}
 	sum, err := reread(filepath.Join(c.Dir, "trace.jsonl"), world.Draw(s, was.Seed))
 	if err != nil {
@@ -88,7 +88,7 @@
 	return printSummary(sum)
 }
 
-// reread counts and checks a trace, however long, record by record.
+// reread checks a trace and computes its statistics record by record, so that memory stays bounded.
 func reread(path string, d world.Day) (record.Summary, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -107,13 +107,13 @@
 
 type demoCommand struct{}
 
-// blur is how late a run on sockets may see that a call or a message has ended.
+// blur is how late a run on sockets may observe that a call or a message has ended.
 const blur = 100 * time.Millisecond
 
-// errBroken ends the program with status 2: the run went well and found broken rules.
+// errBroken makes the program exit with status 2: the run itself succeeded, but rules were violated.
 var errBroken = errors.New("rules were broken")
 
-// Run plays the simulation; kong calls it.
+// Run runs the simulation; kong calls it.
 func (c *simCommand) Run(ctx context.Context) error {
 	s, err := scenario.Read(c.Scenario)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return sum, errors.Join(err, wrote)
 }
 
-// Run plays real nodes; kong calls it.
+// Run runs real nodes; kong calls it.
 func (c *runCommand) Run(ctx context.Context) error {
 	s, err := scenario.Read(c.Scenario)
 	if err != nil {
@@ -175,15 +175,15 @@
 	return err
 }
 
-// Run plays the demonstration; kong calls it.
+// Run runs the demo; kong calls it.
 func (demoCommand) Run(ctx context.Context) error {
 	s := scenario.Default()
 	s.Name, s.LengthS = "demo", scenario.Range{8, 8}
-	fmt.Println("two delivery nodes, 8 s of clients, ten destinations and more; then what is owed is waited for")
+	fmt.Println("two delivery nodes, 8 s of client traffic, ten or more destinations; then the run waits for the remaining messages to end")
 	return (&runCommand{Seed: 1}).play(ctx, s)
 }
 
-// nodeProgram gives the node's program: the one that is named, or that of this checkout.
+// nodeProgram returns the path of the node's program: the named one, or the one of this checkout, which it builds.
 func nodeProgram(ctx context.Context, named string) (program string, clean func(), err error) {
 	if named != "" {
 		program, err = filepath.Abs(named)
@@ -202,7 +202,7 @@
 	return program, clean, nil
 }
 
-// lateShare is how many of the messages the lab may hand in late before a run tells nothing.
+// lateShare is the share of tries that the lab may submit late before a run is invalid.
 const lateShare = 0.01
 
 func playLive(ctx context.Context, d world.Day, dir, program string, flags []string) (record.Summary, error) {
@@ -230,7 +230,7 @@
 	sum, wrote := r.Finish(func(s *record.Summary) {
 		s.Variant = strings.Join(flags, " ")
 		if late := s.Figures.LateSends; float64(late) > lateShare*float64(s.Figures.Tries) {
-			s.Invalid = fmt.Sprintf("the lab handed %d of %d tries in late: it was the load that fell behind", late, s.Figures.Tries)
+			s.Invalid = fmt.Sprintf("the lab submitted %d of %d tries late: the load generator fell behind", late, s.Figures.Tries)
 		}
 		if err != nil {
 			s.Invalid = err.Error()
--- a/cmd/dunetide-lab/main_test.go
+++ b/cmd/dunetide-lab/main_test.go
@@ -16,7 +16,7 @@
 	"dunetide/internal/lab/world"
 )
 
-// builtNode is the node's program, built once.
+// builtNode builds the node's program and returns its path.
 func builtNode(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "deliverynode")
@@ -33,8 +33,8 @@
 	return s
 }
 
-// TestBothWaysAgree plays a day with a kill, a silence and a drain in step and on sockets.
-// Bounds are those of docs/lab.md, wide enough for a busy machine.
+// TestBothWaysAgree runs a day with a kill, a silent endpoint and a drain in the simulation and on sockets, and compares the
+// results. The bounds are those of docs/lab.md, wide enough for a busy machine.
 func TestBothWaysAgree(t *testing.T) {
 	s := short(9,
 		scenario.Fault{What: "kill", AtS: scenario.Range{2, 2}, Part: scenario.Range{0.5, 0.5}},
@@ -59,15 +59,15 @@
 			t.Errorf("%s: %v", sum.Way, sum.Broken)
 		}
 		a := sum.Account
-		if a.Taken == 0 || a.Taken != a.Delivered+a.Refused+a.GivenUp {
-			t.Errorf("%s: not all has its end: %+v", sum.Way, a)
+		if a.Accepted == 0 || a.Accepted != a.Delivered+a.Refused+a.GivenUp {
+			t.Errorf("%s: not every accepted message has ended: %+v", sum.Way, a)
 		}
 		if sum.Figures.Messages != len(d.Messages) {
 			t.Errorf("%s: %d of %d messages", sum.Way, sum.Figures.Messages, len(d.Messages))
 		}
 	}
 	if diff := math.Abs(one.Figures.Whole - two.Figures.Whole); diff > 0.08 {
-		t.Errorf("served %.3f in step and %.3f on sockets", one.Figures.Whole, two.Figures.Whole)
+		t.Errorf("served %.3f in the simulation and %.3f on sockets", one.Figures.Whole, two.Figures.Whole)
 	}
 	if diff := math.Abs(one.Figures.PerMsg - two.Figures.PerMsg); diff > 0.15 {
 		t.Errorf("%.3f and %.3f calls a message", one.Figures.PerMsg, two.Figures.PerMsg)
@@ -76,21 +76,21 @@
 		t.Errorf("%.3f and %.3f of the calls were refused", one.Figures.Refused, two.Figures.Refused)
 	}
 	if starts := two.Usage[0].Starts + two.Usage[1].Starts; starts != 3 {
-		t.Errorf("%d starts", starts)
+		t.Errorf("%d process starts, want 3", starts)
 	}
-	// What is kept gives the same verdict again.
+	// Checking the stored trace again gives the same result.
 	again, err := reread(filepath.Join(dir, "trace.jsonl"), d)
 	if err != nil || again.Account != two.Account || again.Figures.Served != two.Figures.Served {
 		t.Errorf("read again: %+v, %v", again.Account, err)
 	}
 }
 
-// TestStoppedByHand ends every node with the run and keeps what there is.
+// TestStoppedByHand cancels a run: all nodes must end, and the results so far must be stored.
 func TestStoppedByHand(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	dir := t.TempDir()
 	program := builtNode(t)
-	go func() { // when the run is well on its way
+	go func() { // once the run has started
 		for ctx.Err() == nil {
 			if info, err := os.Stat(filepath.Join(dir, "trace.jsonl")); err == nil && info.Size() > 0 {
 				cancel()
@@ -105,14 +105,14 @@
 		t.Errorf("%v %q", err, sum.Invalid)
 	}
 	if out, err := exec.Command("pgrep", "-f", program).CombinedOutput(); err == nil {
-		t.Errorf("nodes are left: %s", out)
+		t.Errorf("node processes are left: %s", out)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "summary.json")); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestAFullDisk ends the trace, not the run.
+// TestAFullDisk checks that a full disk truncates the trace but does not end the run.
 func TestAFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Symlink("/dev/full", filepath.Join(dir, "trace.jsonl")); err != nil {
@@ -122,12 +122,12 @@
 	if err == nil || !strings.Contains(err.Error(), "the trace ends after") || !errors.Is(err, os.ErrInvalid) && !strings.Contains(err.Error(), "no space left") {
 		t.Error(err)
 	}
-	if sum.Account.Taken == 0 || sum.Account.Delivered+sum.Account.Refused+sum.Account.GivenUp != sum.Account.Taken {
+	if sum.Account.Accepted == 0 || sum.Account.Delivered+sum.Account.Refused+sum.Account.GivenUp != sum.Account.Accepted {
 		t.Errorf("%+v", sum.Account)
 	}
 }
 
-// TestNothingOfTheLabIsInTheNode keeps its libraries out of the program in service.
+// TestNothingOfTheLabIsInTheNode checks that production programs do not depend on the lab or its libraries.
 func TestNothingOfTheLabIsInTheNode(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "dunetide/cmd/deliverynode", "dunetide/cmd/simhost").CombinedOutput()
 	if err != nil {
@@ -136,7 +136,7 @@
 	for _, dep := range strings.Fields(string(out)) {
 		for _, not := range []string{"dunetide/internal/lab", "alecthomas", "pelletier", "HdrHistogram", "gonum"} {
 			if strings.Contains(dep, not) {
-				t.Errorf("the node or simhost needs %s", dep)
+				t.Errorf("the node or simhost depends on %s", dep)
 			}
 		}
 	}
--- a/cmd/dunetide-lab/night_test.go
+++ b/cmd/dunetide-lab/night_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/lab/tier"
 )
 
-// TestABusyNightKeepsToCertifiedNodes plays a short night on real processes.
+// TestABusyNightKeepsToCertifiedNodes runs a short night on real processes.
 func TestABusyNightKeepsToCertifiedNodes(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "dunetide")
 	if out, err := exec.Command("go", "build", "-o", program, "dunetide/cmd/dunetide").CombinedOutput(); err != nil {
--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -28,7 +28,7 @@
 	Program string        `help:"A program that dials through the lab's hub; without it, dunetide of this checkout is built so." type:"existingfile"`
 }
 
-// Run plays plans of troubles that overlap.
+// Run runs plans of overlapping faults.
 func (c *soakCommand) Run(ctx context.Context) error {
 	work, err := os.MkdirTemp("", "dunetide-lab-soak-")
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// play plays one plan and tells whether a promise was broken.
+// play runs one plan and reports whether a rule was violated.
 func (c *soakCommand) play(ctx context.Context, program, work string, plan soak.Plan, tell bool) (bad bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.LongestPlay())
 	defer cancel()
@@ -111,7 +111,7 @@
 	return account.Failed(), err
 }
 
-// keep moves the folder of a play to where it is looked at later.
+// keep copies the directory of a run to the output directory.
 func (c *soakCommand) keep(dir string, seed uint64) error {
 	if c.Out == "" {
 		return nil
@@ -126,7 +126,7 @@
 	return os.CopyFS(kept, os.DirFS(dir))
 }
 
-// shrink takes troubles away for as long as a promise is still broken without them.
+// shrink removes faults from a plan as long as a rule is still violated without them.
 func (c *soakCommand) shrink(ctx context.Context, program, work string, plan soak.Plan) error {
 	for i := 0; i < len(plan.Faults); {
 		less := plan
--- a/cmd/dunetide-lab/tier.go
+++ b/cmd/dunetide-lab/tier.go
@@ -23,16 +23,17 @@
 	Program string        `help:"The tier's program; without it, dunetide of this checkout is built." type:"existingfile"`
 }
 
-// maxTier bounds a play beyond the time in which clients ask: starting, finishing jobs, reading back.
+// maxTier limits the duration of a run beyond the time in which clients send requests: start-up, finishing jobs, reading results
+// back.
 const maxTier = 60 * time.Second
 
-// prepare builds the program, if none is given, and makes the folder of a play. What stop removes is not to be kept.
+// prepare builds the program, if none is given, and creates the directory of a run. stop removes the temporary files.
 func prepare(ctx context.Context, program, out string) (built, dir string, stop func(), err error) {
 	work, err := os.MkdirTemp("", "dunetide-lab-tier-")
 	if err != nil {
 		return "", "", nil, err
 	}
-	stop = func() { _ = os.RemoveAll(work) } // in the system's folder for what may go
+	stop = func() { _ = os.RemoveAll(work) } // a temporary directory
 	program, err = tierProgram(ctx, program, work)
 	dir = filepath.Join(work, "run")
 	if err == nil && out != "" {
@@ -50,18 +51,18 @@
 
 func say(form string, args ...any) { fmt.Fprintf(os.Stderr, form+"\n", args...) }
 
-// ended tells what an account means for the program's exit.
+// ended returns the error with which the program exits for an account.
 func ended(a tier.Account) error {
 	switch {
 	case len(a.Violations) > 0:
 		return errBroken
 	case a.Failed():
-		return fmt.Errorf("%w: processes ended by themselves, or the configuration did not come back", errBroken)
+		return fmt.Errorf("%w: processes exited unexpectedly, or the configuration was not restored", errBroken)
 	}
 	return nil
 }
 
-// Run plays a small tier of real processes.
+// Run runs a small tier of real processes.
 func (c *tierCommand) Run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Length+maxTier)
 	defer cancel()
@@ -93,7 +94,7 @@
 	Program string        `help:"The tier's program; without it, dunetide of this checkout is built." type:"existingfile"`
 }
 
-// Run plays a busy night.
+// Run runs a busy night.
 func (c *certificationCommand) Run(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Length+maxTier)
 	defer cancel()
@@ -112,7 +113,7 @@
 	return ended(a.Account)
 }
 
-// tierProgram gives the tier's program: the one that is named, or that of this checkout, built into a folder.
+// tierProgram returns the path of the tier's program: the named one, or the one of this checkout, which it builds into a directory.
 func tierProgram(ctx context.Context, named, dir string) (string, error) {
 	if named != "" {
 		return filepath.Abs(named)
--- a/cmd/dunetide-lab/tier_test.go
+++ b/cmd/dunetide-lab/tier_test.go
@@ -9,7 +9,7 @@
 	"dunetide/internal/lab/tier"
 )
 
-// TestTierKeepsTheRules plays a short day of the built tier, with losses and spoilt answers.
+// TestTierKeepsTheRules runs a short day of the built tier, with process crashes and corrupted answers.
 func TestTierKeepsTheRules(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "dunetide")
 	if out, err := exec.Command("go", "build", "-o", program, "dunetide/cmd/dunetide").CombinedOutput(); err != nil {
--- a/deploy/build_test.go
+++ b/deploy/build_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// builds are the deploy files with the programs that their builds leave behind, and the folder in which they do.
+// builds lists the deploy files with the programs that their builds produce and the directory of these programs.
 var builds = []struct {
 	file, folder string
 	programs     []string
@@ -18,8 +18,8 @@
 	{"balancer.toml", "bin/", []string{"deliverynode", "simhost"}},
 }
 
-// Guards against a build that succeeds only with the Go settings, or only in a checkout, of a developer's machine: no settings
-// file of Go, a checkout that git takes for another user's, and cgo switched off in the environment.
+// Guards against a build that succeeds only with a developer's Go settings or checkout: it builds without Go's settings file, in a
+// checkout that git takes for another user's, and with cgo disabled in the environment.
 func TestBuildsWithoutSettingsOfThisMachine(t *testing.T) {
 	environments := []struct {
 		name      string
@@ -38,7 +38,7 @@
 				for _, program := range build.programs {
 					info, err := os.Stat(filepath.Join(root, build.folder, program))
 					if err != nil || info.Mode()&0o111 == 0 {
-						t.Errorf("the build left no program %s%s: %v", build.folder, program, err)
+						t.Errorf("the build produced no program %s%s: %v", build.folder, program, err)
 					}
 				}
 			})
@@ -46,7 +46,7 @@
 	}
 }
 
-// checkout copies the files of the working tree that git knows into a repository of their own, with one commit.
+// checkout copies the files of the working tree that git tracks, or would track, into a new repository with one commit.
 func checkout(t *testing.T) (root string) {
 	t.Helper()
 	root = t.TempDir()
@@ -54,7 +54,7 @@
 	for _, name := range strings.Split(strings.TrimRight(tracked, "\x00"), "\x00") {
 		content, err := os.ReadFile(filepath.Join("..", name))
 		if os.IsNotExist(err) {
-			continue // deleted, and not committed yet
+			continue // deleted but not committed yet
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -72,8 +72,8 @@
 	return root
 }
 
-// foreignEnvironment returns variables that have no Go setting of this machine but where modules come from. The caches of
-// modules and packages are kept, so that a test downloads nothing and compiles little.
+// foreignEnvironment returns environment variables without any Go settings of this machine, except where modules come from. It keeps
+// the module and build caches, so that a test downloads nothing and compiles little.
 func foreignEnvironment(t *testing.T) []string {
 	t.Helper()
 	variables := []string{"GOENV=off", "HOME=" + t.TempDir(), "PATH=" + os.Getenv("PATH")}
@@ -83,7 +83,7 @@
 	return variables
 }
 
-// run runs a program in a folder and returns what it printed; a failure ends the test.
+// run runs a program in a directory and returns its output; a failure ends the test.
 func run(t *testing.T, folder string, environment []string, name string, arguments ...string) string {
 	t.Helper()
 	command := exec.Command(name, arguments...)
--- a/deploy/files_test.go
+++ b/deploy/files_test.go
@@ -1,5 +1,5 @@
-// Package deploy holds the files by which the platform builds and starts the programs. Its tests pin what the platform reads
-// and build as a machine does that is not the developers'.
+// Package deploy holds the files with which the platform builds and starts the programs. Its tests pin what the platform reads, and
+// build as a machine does that has no developer settings.
 package deploy
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// deployFile reads a file of this folder.
+// deployFile reads a file of this directory.
 func deployFile(t *testing.T, name string) map[string]any {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestBalancerDeployFile pins the keys of deploy/balancer.toml and their types. The paths in it may move.
+// TestBalancerDeployFile pins the keys of deploy/balancer.toml and their types. The paths in it may change.
 func TestBalancerDeployFile(t *testing.T) {
 	content := deployFile(t, "balancer.toml")
 	got := map[string]string{}
@@ -83,7 +83,7 @@
 		if list, ok := content[key].([]any); ok {
 			for _, item := range list {
 				if _, ok := item.(string); !ok {
-					t.Errorf("%s: %v is no string", key, item)
+					t.Errorf("%s: %v is not a string", key, item)
 				}
 			}
 		}
--- a/internal/lab/faults/carrier.go
+++ b/internal/lab/faults/carrier.go
@@ -10,31 +10,31 @@
 
 const (
 	pieceSize = 16 << 10
-	// pieces bounds the chunks that wait on a connection, flying the datagrams that are delayed.
-	pieces = 64
-	flying = 4096
+	// maxQueuedPieces bounds the chunks that wait on a connection, maxDelayedPackets the datagrams that are delayed.
+	maxQueuedPieces   = 64
+	maxDelayedPackets = 4096
 )
 
 // carrier applies the faults of a matrix to traffic, independent of the underlying transport.
 type carrier struct {
 	*Matrix
-	// passed counts the bytes delivered for each pair.
-	passed []atomic.Int64
+	// delivered counts the bytes delivered for each pair.
+	delivered []atomic.Int64
 
-	ctx context.Context
-	end context.CancelFunc
-	wg  sync.WaitGroup
-	air chan struct{}
+	ctx      context.Context
+	end      context.CancelFunc
+	wg       sync.WaitGroup
+	inFlight chan struct{}
 }
 
 func newCarrier(n int, seed uint64) *carrier {
-	c := &carrier{Matrix: NewMatrix(n, seed), passed: make([]atomic.Int64, n*n), air: make(chan struct{}, flying)}
+	c := &carrier{Matrix: NewMatrix(n, seed), delivered: make([]atomic.Int64, n*n), inFlight: make(chan struct{}, maxDelayedPackets)}
 	c.ctx, c.end = context.WithCancel(context.Background())
 	return c
 }
 
 // Passed returns the number of bytes delivered from one node to another.
-func (r *carrier) Passed(from, to int) int64 { return r.passed[from*r.size+to].Load() }
+func (r *carrier) Passed(from, to int) int64 { return r.delivered[from*r.size+to].Load() }
 
 // sendDatagram delivers a datagram subject to the current fault. deliver may be called later, more than once, or never.
 func (r *carrier) sendDatagram(from, to int, packet []byte, deliver func([]byte) error) {
@@ -46,7 +46,7 @@
 		}
 		arrive := func() {
 			if deliver(b) == nil {
-				r.passed[from*r.size+to].Add(int64(len(b)))
+				r.delivered[from*r.size+to].Add(int64(len(b)))
 			}
 		}
 		if d <= 0 {
@@ -54,12 +54,12 @@
 			continue
 		}
 		select {
-		case r.air <- struct{}{}:
+		case r.inFlight <- struct{}{}:
 		default:
 			continue // drop: more datagrams are in flight than the network buffers
 		}
 		r.wg.Go(func() {
-			defer func() { <-r.air }()
+			defer func() { <-r.inFlight }()
 			t := time.NewTimer(d)
 			defer t.Stop()
 			select {
@@ -87,13 +87,13 @@
 	defer conn.Close()
 	stop := context.AfterFunc(life, func() { _ = conn.Close() })
 	defer stop()
-	out := make(chan piece, pieces)
+	out := make(chan piece, maxQueuedPieces)
 	var running sync.WaitGroup
 	defer running.Wait()
 	running.Go(func() { r.read(life, conn, out, from, to) })
-	for r.cutAtAll(from, to) {
+	for r.cutEitherWay(from, to) {
 		_, change := r.At(from, to)
-		if !r.cutAtAll(from, to) {
+		if !r.cutEitherWay(from, to) {
 			break
 		}
 		select {
@@ -110,14 +110,14 @@
 	}
 	defer other.Close()
 	defer context.AfterFunc(life, func() { _ = other.Close() })()
-	back := make(chan piece, pieces)
+	back := make(chan piece, maxQueuedPieces)
 	running.Go(func() { r.read(life, other, back, to, from) })
 	running.Go(func() { r.write(life, end, conn, other, back, to, from) })
 	r.write(life, end, other, conn, out, from, to)
 	<-life.Done()
 }
 
-func (r *carrier) cutAtAll(from, to int) bool {
+func (r *carrier) cutEitherWay(from, to int) bool {
 	there, _ := r.At(from, to)
 	back, _ := r.At(to, from)
 	return there.Cut || back.Cut
@@ -216,7 +216,7 @@
 				f, _ = r.At(from, to)
 			}
 			w, err := conn.Write(b[:n])
-			r.passed[from*r.size+to].Add(int64(w))
+			r.delivered[from*r.size+to].Add(int64(w))
 			sent += w
 			if err != nil {
 				return
--- a/internal/lab/faults/hub.go
+++ b/internal/lab/faults/hub.go
@@ -14,8 +14,8 @@
 	"dunetide/internal/lab/faults/hubdial"
 )
 
-// longestRequest bounds the line with which a connection to a hub begins.
-const longestRequest = 128
+// maxRequestLength bounds the line with which a connection to a hub begins.
+const maxRequestLength = 128
 
 // Hub relays the connections of a fleet whose processes dial through it instead of dialling each other. A connection to the hub
 // begins with the line that hubdial.Request returns; the hub dials the target, answers with one byte, and relays the bytes in both
@@ -192,7 +192,7 @@
 
 // serve relays a connection of a process of the fleet.
 func (h *Hub) serve(conn net.Conn) {
-	_ = conn.SetReadDeadline(time.Now().Add(connectTime))
+	_ = conn.SetReadDeadline(time.Now().Add(connectTimeout))
 	from, target, err := readHubRequest(conn)
 	if err != nil {
 		abort(conn)
@@ -233,7 +233,7 @@
 // readHubRequest reads the request line byte by byte, so that it consumes nothing after it.
 func readHubRequest(conn net.Conn) (from netip.Addr, target string, err error) {
 	var line []byte
-	for one := make([]byte, 1); len(line) < longestRequest; line = append(line, one[0]) {
+	for one := make([]byte, 1); len(line) < maxRequestLength; line = append(line, one[0]) {
 		if _, err := conn.Read(one); err != nil {
 			return netip.Addr{}, "", err
 		}
@@ -247,6 +247,6 @@
 }
 
 func dialTarget(ctx context.Context, target string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: connectTime, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp4", target)
 }
--- a/internal/lab/faults/memory.go
+++ b/internal/lab/faults/memory.go
@@ -12,8 +12,8 @@
 	"dunetide/internal/deliverynode/fleet"
 )
 
-// inbox bounds the datagrams that wait at a node, like a socket's receive buffer.
-const inbox = 512
+// maxQueuedPackets bounds the datagrams that wait at a node, like a socket's receive buffer.
+const maxQueuedPackets = 512
 
 // Memory is a network without sockets that injects the same faults. In a testing/synctest bubble it runs in simulated time.
 type Memory struct {
@@ -49,7 +49,7 @@
 		if m.nodes[i] != nil {
 			return nil, fmt.Errorf("listening at %v: %w", at, syscall.EADDRINUSE)
 		}
-		n := &memoryNode{net: m, me: i, packets: make(chan packet, inbox), conns: make(chan net.Conn), closed: make(chan struct{})}
+		n := &memoryNode{net: m, me: i, packets: make(chan packet, maxQueuedPackets), conns: make(chan net.Conn), closed: make(chan struct{})}
 		m.nodes[i] = n
 		return n, nil
 	}
--- a/internal/lab/faults/relays.go
+++ b/internal/lab/faults/relays.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	connectTime = 5 * time.Second
+	connectTimeout = 5 * time.Second
 	// MaxRelays is the maximum number of nodes that Relays support.
 	MaxRelays = 120
 )
@@ -34,8 +34,8 @@
 	udp             *net.UDPConn
 }
 
-// networks numbers the instances of Relays in this process, so that their addresses differ.
-var networks atomic.Uint32
+// instances numbers the instances of Relays in this process, so that their addresses differ.
+var instances atomic.Uint32
 
 // NewRelays opens the relays of n nodes, on loopback addresses that only this process uses.
 func NewRelays(n int, seed uint64) (*Relays, error) {
@@ -43,7 +43,7 @@
 		return nil, fmt.Errorf("%d nodes: must be between 1 and %d", n, MaxRelays)
 	}
 	r := &Relays{carrier: newCarrier(n, seed)}
-	pid, own := os.Getpid(), int(networks.Add(1))
+	pid, own := os.Getpid(), int(instances.Add(1))
 	for i := range n {
 		// The second byte of an address identifies the instance of Relays, the third the process, the last the node.
 		host := func(half int) netip.Addr {
@@ -106,8 +106,8 @@
 	return errors.Join(all...)
 }
 
-// who returns the node that sends from an address.
-func (r *Relays) who(from netip.AddrPort) (int, bool) {
+// sender returns the node that sends from an address.
+func (r *Relays) sender(from netip.AddrPort) (int, bool) {
 	for i, n := range r.nodes {
 		if n.listen.Addr() == from.Addr().Unmap() {
 			return i, true
@@ -127,7 +127,7 @@
 		if err != nil {
 			continue // a datagram was sent to a node that no longer listens
 		}
-		from, ok := r.who(addr)
+		from, ok := r.sender(addr)
 		if !ok {
 			continue
 		}
@@ -149,14 +149,14 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		from, ok := r.who(conn.RemoteAddr().(*net.TCPAddr).AddrPort())
+		from, ok := r.sender(conn.RemoteAddr().(*net.TCPAddr).AddrPort())
 		if !ok {
 			_ = conn.Close()
 			continue
 		}
 		r.wg.Go(func() {
 			r.carry(conn, from, to, func(ctx context.Context) (net.Conn, error) {
-				d := net.Dialer{Timeout: connectTime, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(r.nodes[from].address.Addr(), 0))}
+				d := net.Dialer{Timeout: connectTimeout, LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(r.nodes[from].address.Addr(), 0))}
 				return d.DialContext(ctx, "tcp4", r.nodes[to].listen.String())
 			})
 		})
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -83,21 +83,21 @@
 
 // Counter computes statistics from a trace.
 type Counter struct {
-	classes []Class
-	tenants int
-	goal    Goal
-	length  time.Duration
-	msgs    map[string]*origin
-	order   []*origin
-	tries   map[string]*origin
-	taken   map[string]bool
-	early   map[string]time.Duration // delivered before the client received the acceptance
-	windows []Window
-	all     *hdrhistogram.Histogram
-	faults  []Recovery
-	parts   []float64                  // by destination: one node's even share of the limit, in calls per second
-	late    map[[2]int][]time.Duration // calls of the last window, by node and destination
-	figures Figures
+	classes    []Class
+	tenants    int
+	goal       Goal
+	length     time.Duration
+	msgs       map[string]*origin
+	order      []*origin
+	tries      map[string]*origin
+	taken      map[string]bool
+	early      map[string]time.Duration // delivered before the client received the acceptance
+	windows    []Window
+	all        *hdrhistogram.Histogram
+	faults     []Recovery
+	evenShares []float64                  // by destination: one node's even share of the limit, in calls per second
+	late       map[[2]int][]time.Duration // calls of the last window, by node and destination
+	figures    Figures
 }
 
 func histogram() *hdrhistogram.Histogram {
@@ -105,8 +105,8 @@
 }
 
 // New returns a Counter for a run of the given length.
-func New(classes []Class, tenants int, goal Goal, length time.Duration, parts []float64) *Counter {
-	c := &Counter{parts: parts, late: map[[2]int][]time.Duration{}, classes: classes, tenants: tenants, goal: goal, length: length, msgs: map[string]*origin{},
+func New(classes []Class, tenants int, goal Goal, length time.Duration, evenShares []float64) *Counter {
+	c := &Counter{evenShares: evenShares, late: map[[2]int][]time.Duration{}, classes: classes, tenants: tenants, goal: goal, length: length, msgs: map[string]*origin{},
 		tries: map[string]*origin{}, taken: map[string]bool{}, early: map[string]time.Duration{}, all: histogram()}
 	c.figures.Ends = map[string]int{}
 	for i := range int(math.Ceil(length.Seconds())) {
@@ -126,7 +126,7 @@
 // Observe processes one record.
 func (c *Counter) Observe(r trace.Record) {
 	switch r.What {
-	case trace.Born:
+	case trace.Submitted:
 		c.figures.Tries++
 		o := c.msgs[r.Origin]
 		if o == nil {
@@ -138,7 +138,7 @@
 			}
 		}
 		c.tries[r.ID] = o
-	case trace.Taken:
+	case trace.Accepted:
 		c.taken[r.ID] = true
 		if at, ok := c.early[r.ID]; ok {
 			delete(c.early, r.ID)
@@ -156,11 +156,11 @@
 		c.figures.Conns++
 	case trace.NoConn:
 		c.figures.NoConns++
-	case trace.Ask:
+	case trace.ListRequested:
 		c.figures.Asked += r.Lines
 	case trace.Start:
 		c.figures.Restarts++
-	case trace.Late:
+	case trace.LateSubmission:
 		c.figures.LateSends++
 	case trace.Fault:
 		if r.Until > 0 && r.Until < c.length {
@@ -174,24 +174,24 @@
 	}
 }
 
-// partWindow is the window in which calls are compared with a node's share of the limit; leastPart is the minimum number of calls
+// shareWindow is the window in which calls are compared with a node's share of the limit; minShareCalls is the minimum number of calls
 // that this share must allow for the comparison to be meaningful.
 const (
-	partWindow = 2 * time.Second
-	leastPart  = 4
+	shareWindow   = 2 * time.Second
+	minShareCalls = 4
 )
 
 func (c *Counter) inWindow(r trace.Record) {
-	if r.Dest >= len(c.parts) || c.parts[r.Dest]*partWindow.Seconds() < leastPart {
+	if r.Dest >= len(c.evenShares) || c.evenShares[r.Dest]*shareWindow.Seconds() < minShareCalls {
 		return
 	}
 	key := [2]int{r.Node, r.Dest}
 	times := append(c.late[key], r.At)
-	for times[0] <= r.At-partWindow {
+	for times[0] <= r.At-shareWindow {
 		times = times[1:]
 	}
 	c.late[key] = times
-	c.figures.InWindow = max(c.figures.InWindow, float64(len(times))/(c.parts[r.Dest]*partWindow.Seconds()))
+	c.figures.InWindow = max(c.figures.InWindow, float64(len(times))/(c.evenShares[r.Dest]*shareWindow.Seconds()))
 }
 
 func (c *Counter) ended(r trace.Record) {
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -19,22 +19,22 @@
 	}
 }
 
-// TestValueFallsFromTheTargetToTheDeadline: full inside the aim, evenly less to the deadline, once for all tries, and only
-// where its client heard that it was taken on.
+// TestValueFallsFromTheTargetToTheDeadline: the full worth up to the target, then decreasing linearly to the deadline; counted once
+// for all tries, and only if the client learned that the message was accepted.
 func TestValueFallsFromTheTargetToTheDeadline(t *testing.T) {
 	c := New(classes, 2, Goal{Whole: 1}, sec(20), []float64{4})
 	born := func(at float64, id, origin string, tenant int, worth float64) Record {
-		return Record{At: sec(at), What: Born, ID: id, Origin: origin, Tenant: tenant, Share: worth}
+		return Record{At: sec(at), What: Submitted, ID: id, Origin: origin, Tenant: tenant, Share: worth}
 	}
 	for _, r := range []Record{
 		born(0.5, "early", "early", 0, 1), // before the first second: not counted
-		born(2, "a", "a", 0, 1), {What: Taken, ID: "a"}, {At: sec(5), What: End, ID: "a", Status: 200},
-		born(2, "b", "b", 0, 1), {What: Taken, ID: "b"}, {At: sec(16), What: End, ID: "b", Status: 200}, // half way: 0.65
-		born(3, "c", "c", 1, 1), {What: Turned, ID: "c", Status: 503},
-		born(4, "c2", "c", 1, 1), {At: sec(4.2), What: End, ID: "c2", Status: 200}, {At: sec(4.3), What: Taken, ID: "c2"},
+		born(2, "a", "a", 0, 1), {What: Accepted, ID: "a"}, {At: sec(5), What: End, ID: "a", Status: 200},
+		born(2, "b", "b", 0, 1), {What: Accepted, ID: "b"}, {At: sec(16), What: End, ID: "b", Status: 200}, // half way: 0.65
+		born(3, "c", "c", 1, 1), {What: TurnedAway, ID: "c", Status: 503},
+		born(4, "c2", "c", 1, 1), {At: sec(4.2), What: End, ID: "c2", Status: 200}, {At: sec(4.3), What: Accepted, ID: "c2"},
 		{At: sec(4.4), What: End, ID: "c2", Status: 200},
-		born(5, "d", "d", 1, 1), {At: sec(5.2), What: End, ID: "d", Status: 200}, // nobody heard that it is taken on
-		born(6, "e", "e", 1, 0.1), {What: Taken, ID: "e"}, {At: sec(6.1), What: End, ID: "e", Status: 429},
+		born(5, "d", "d", 1, 1), {At: sec(5.2), What: End, ID: "d", Status: 200}, // the client never learned that it was accepted
+		born(6, "e", "e", 1, 0.1), {What: Accepted, ID: "e"}, {At: sec(6.1), What: End, ID: "e", Status: 429},
 	} {
 		c.Observe(r)
 	}
@@ -47,11 +47,11 @@
 	}
 }
 
-func TestTheMostInAWindow(t *testing.T) {
+func TestMostCallsInAWindow(t *testing.T) {
 	c := New(classes, 0, Goal{}, sec(20), []float64{4, 1})
 	for _, at := range []float64{1, 1.5, 2, 2.9, 3.2, 3.3, 3.4, 9} { // within 2 s: 1.5 to 3.4, six of eight
 		c.Observe(Record{At: sec(at), What: Call, ID: "x"})
-		c.Observe(Record{At: sec(at), What: Call, ID: "x", Dest: 1}) // too few to say anything
+		c.Observe(Record{At: sec(at), What: Call, ID: "x", Dest: 1}) // share too small to be counted
 	}
 	near(t, "most", c.Finish().InWindow, 6.0/8)
 }
@@ -73,9 +73,9 @@
 		}
 	}
 	if e := Paired("x", true, a[:1], []float64{2}); e.Seen != None || !math.IsInf(e.High, 1) {
-		t.Errorf("of one pair: %+v", e)
+		t.Errorf("for one pair: %+v", e)
 	}
-	// By hand: differences 1, 2, 3: mean 2, deviation 1, t(2) 4.303: half 2.484.
+	// Calculated by hand: differences 1, 2, 3: mean 2, deviation 1, t(2) 4.303, half the interval 2.484.
 	e := Paired("x", true, []float64{0, 0, 0}, []float64{1, 2, 3})
 	near(t, "low", e.Low, 2-2.484)
 	near(t, "high", e.High, 2+2.484)
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares what a program puts on the wire or on disk with bytes that an earlier version wrote.
+// Package golden compares the bytes that a program writes to the network or to disk with those that an earlier version wrote.
 //
-// It is for tests only. A golden file lies in testdata/golden of the package under test and is never rewritten: it shows
-// that a later version still reads what the earlier one wrote, and writes the same bytes. Tests of the packages that own
-// the formats call it; docs/lab.md names it.
+// It is for tests only. A golden file is in testdata/golden of the package under test and is never rewritten: it shows that a later
+// version still reads what the earlier one wrote, and writes the same bytes. Tests of the packages that own the formats use it;
+// docs/lab.md describes it.
 package golden
 
 import (
@@ -21,10 +21,10 @@
 	"time"
 )
 
-// write makes golden files that are missing. Files that exist are never written, so a format cannot be changed by mistake.
+// write creates missing golden files. Existing files are never written, so a format cannot be changed by mistake.
 var write = flag.Bool("write-missing-golden", false, "write golden files that are missing; not for CI")
 
-// Dir is where the golden files of a package lie.
+// Dir is the directory of a package's golden files.
 const Dir = "testdata/golden"
 
 // Read returns the content of a golden file.
@@ -37,13 +37,13 @@
 	return text
 }
 
-// Missing reports whether a golden file or folder is to be made now: it is missing, and the flag asks for it.
+// Missing reports whether a golden file or directory must be created now: it is missing, and the flag requests it.
 func Missing(name string) bool {
 	_, err := os.Stat(filepath.Join(Dir, name))
 	return os.IsNotExist(err) && *write
 }
 
-// Compare fails the test if bytes differ from those of a golden file.
+// Compare fails the test if the bytes differ from those of a golden file.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if path := filepath.Join(Dir, name); Missing(name) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// CompareLines fails the test if lines, sorted and each once, differ from those of the golden files NAME.txt and
-// NAME-*.txt in a folder together. Files that exist don't change: lines that are added later get a file of their own.
+// CompareLines fails the test if lines, sorted and deduplicated, differ from those of the golden files NAME.txt and NAME-*.txt in a
+// directory together. Existing files do not change: lines that are added later get a new file.
 func CompareLines(t testing.TB, folder, name string, lines []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, name+"-*.txt"))
@@ -81,9 +81,9 @@
 	}
 }
 
-// Codec tests the encoding of one type by two golden files: one of a value in which each field differs from zero and from
-// the other fields (Filled), and one of the zero value, which shows what is left out. The first must decode to that value,
-// and both must be encoded to the same bytes again after they have been decoded.
+// Codec tests the encoding of one type against two golden files: one of a value in which each field differs from zero and from the
+// other fields (Filled), and one of the zero value, which shows what is omitted. The first must decode to that value, and both must
+// encode to the same bytes again after decoding.
 func Codec[T any](t *testing.T, name string, encode func(T) ([]byte, error), decode func([]byte, *T) error) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 	Marshal(v any) ([]byte, error)
 }
 
-// Decoder decodes what an Encoder has encoded; cbor.DecMode is one.
+// Decoder decodes values that an Encoder encoded; cbor.DecMode is one.
 type Decoder interface {
 	Unmarshal(text []byte, v any) error
 }
@@ -128,16 +128,16 @@
 		func(text []byte, v *T) error { return decoder.Unmarshal(text, v) })
 }
 
-// JSON tests the JSON encoding of a type by Codec, indented as the consoles show it.
+// JSON tests the JSON encoding of a type with Codec, indented as the consoles show it.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	Codec(t, name, func(v T) ([]byte, error) { return json.MarshalIndent(v, "", "  ") },
 		func(text []byte, v *T) error { return json.Unmarshal(text, v) })
 }
 
-// Filled returns a value in which each exported field has a value that differs from zero and, as a rule, from all others.
-// The values follow from the names on the wire and not from those of the fields or their order, so a field may be renamed
-// or moved while its tag stays.
+// Filled returns a value in which each exported field is not zero and, as a rule, differs from all others. The values are derived
+// from the names on the wire and not from the names or the order of the fields, so a field may be renamed or moved as long as its
+// tag stays.
 func Filled[T any]() T {
 	var v T
 	fill(reflect.ValueOf(&v).Elem(), "")
@@ -150,14 +150,14 @@
 	addrType = reflect.TypeFor[netip.AddrPort]()
 )
 
-// sum returns a number that follows from a path of names.
+// sum returns a hash of a path of names.
 func sum(path string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(path)) // a hash never fails
 	return h.Sum64()
 }
 
-// fill sets a value. Its path is that of the names on the wire from the outermost value on.
+// fill sets a value. path is the path of wire names from the outermost value.
 func fill(v reflect.Value, path string) {
 	n := sum(path)
 	switch v.Type() {
@@ -213,7 +213,7 @@
 			}
 		}
 	default:
-		panic(fmt.Sprintf("golden: no value for a %s at %s", v.Type(), path)) // a test's type that needs a case here
+		panic(fmt.Sprintf("golden: no value for a %s at %s", v.Type(), path)) // a type in a test that needs a case here
 	}
 }
 
@@ -226,7 +226,7 @@
 	}
 }
 
-// wireName returns the name of a field on the wire: that of its tag, or its own where it has none.
+// wireName returns the name of a field on the wire: that of its tag, or its own name if it has none.
 func wireName(field reflect.StructField) string {
 	for _, key := range []string{"cbor", "json"} {
 		if name, _, _ := strings.Cut(field.Tag.Get(key), ","); name != "" {
--- a/internal/lab/golden/golden_test.go
+++ b/internal/lab/golden/golden_test.go
@@ -24,7 +24,7 @@
 	On    bool
 }
 
-// renamed has the names on the wire of sample in another order and under other names of its fields.
+// renamed has some wire names of sample, in another order and under other field names.
 type renamed struct {
 	Second string `json:"other"`
 	First  string `json:"name"`
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestCodecTakesAnEncodingThatIsReadBack(t *testing.T) {
+func TestCodecAcceptsAnEncodingThatRoundTrips(t *testing.T) {
 	t.Chdir(t.TempDir())
 	*write = true
 	defer func() { *write = false }()
--- a/internal/lab/insim/insim.go
+++ b/internal/lab/insim/insim.go
@@ -20,8 +20,8 @@
 // restartTime is the downtime of a restarted node: 0.6 s until the process is started, plus its start-up.
 const restartTime = 800 * time.Millisecond
 
-// connectFails is the time until a refused connection is detected, in addition to the round trip.
-const connectFails = time.Millisecond
+// refusalDelay is the time until a refused connection is detected, in addition to the round trip.
+const refusalDelay = time.Millisecond
 
 // maxSteps limits the steps that a run may take without its clock advancing.
 const maxSteps = 1 << 20
@@ -117,7 +117,7 @@
 	for i := range d.Messages {
 		t := world.Try{Message: i, At: d.Messages[i].At, Node: d.Messages[i].Node}
 		s.end = max(s.end, d.Until(t))
-		s.at(t.At, func() { s.handIn(t) })
+		s.at(t.At, func() { s.submit(t) })
 	}
 	s.end += time.Second
 	return s, nil
@@ -133,7 +133,7 @@
 			at, some = theirs, true
 		}
 		if !some || at > s.end {
-			s.note(trace.Record{At: s.end, What: trace.Over})
+			s.note(trace.Record{At: s.end, What: trace.RunEnded})
 			return nil
 		}
 		if at > s.now {
@@ -158,33 +158,33 @@
 // clock returns the time in the policy's clock.
 func (s *sim) clock() policy.Time { return clockStart + s.now }
 
-// handIn submits a client's try to a node.
-func (s *sim) handIn(t world.Try) {
-	s.note(s.day.Born(t))
+// submit submits a client's try to a node.
+func (s *sim) submit(t world.Try) {
+	s.note(s.day.Submitted(t))
 	n := s.nodes[t.Node]
 	if !n.up || n.stopped { // refused or no answer: the client tries another node
-		s.note(trace.Record{At: s.now, What: trace.Turned, ID: t.ID(), Node: t.Node})
-		if next, ok := s.day.Died(t, s.now); ok {
-			s.at(next.At, func() { s.handIn(next) })
+		s.note(trace.Record{At: s.now, What: trace.TurnedAway, ID: t.ID(), Node: t.Node})
+		if next, ok := s.day.RetryAfterFailure(t, s.now); ok {
+			s.at(next.At, func() { s.submit(next) })
 		}
 		return
 	}
 	if len(n.held) >= s.settings.MaxHeld {
-		s.note(trace.Record{At: s.now, What: trace.Turned, ID: t.ID(), Node: t.Node, Status: 503, Wait: time.Second})
-		s.again(t, time.Second)
+		s.note(trace.Record{At: s.now, What: trace.TurnedAway, ID: t.ID(), Node: t.Node, Status: 503, Wait: time.Second})
+		s.retryAfterRefusal(t, time.Second)
 		return
 	}
-	s.note(trace.Record{At: s.now, What: trace.Taken, ID: t.ID(), Node: t.Node})
+	s.note(trace.Record{At: s.now, What: trace.Accepted, ID: t.ID(), Node: t.Node})
 	s.last++
 	m := &message{try: t, id: policy.MessageID(s.last)}
 	n.held[m.id] = m
 	n.order = append(n.order, m.id)
-	s.tell(n, s.arrived(m))
+	s.enqueue(n, s.arrived(m))
 }
 
-func (s *sim) again(t world.Try, wait time.Duration) {
-	if next, ok := s.day.Refused(t, s.now, wait); ok {
-		s.at(next.At, func() { s.handIn(next) })
+func (s *sim) retryAfterRefusal(t world.Try, wait time.Duration) {
+	if next, ok := s.day.RetryAfterRefusal(t, s.now, wait); ok {
+		s.at(next.At, func() { s.submit(next) })
 	}
 }
 
@@ -197,14 +197,14 @@
 	return a
 }
 
-// tell queues an event for a node, which handles it at its next tick.
-func (s *sim) tell(n *node, e policy.Event) {
+// enqueue queues an event for a node, which handles it at its next tick.
+func (s *sim) enqueue(n *node, e policy.Event) {
 	n.batch = append(n.batch, e)
-	s.plan(n, s.now)
+	s.scheduleStep(n, s.now)
 }
 
-// plan schedules a step of a node at its first tick from the given time on.
-func (s *sim) plan(n *node, at time.Duration) {
+// scheduleStep schedules a step of a node at its first tick from the given time on.
+func (s *sim) scheduleStep(n *node, at time.Duration) {
 	tick := s.settings.Tick
 	at = (max(at, s.now)-n.phase+tick-1)/tick*tick + n.phase
 	if at <= s.now {
@@ -248,7 +248,7 @@
 		}
 	}
 	if n.wake > 0 { // also if this step ran before the wake-up time, for another reason
-		s.plan(n, n.wake)
+		s.scheduleStep(n, n.wake)
 	}
 }
 
@@ -260,7 +260,7 @@
 	s.drop(n, m)
 	s.note(trace.Record{At: s.now, What: trace.Notice, ID: m.try.ID(), Node: n.me, Result: how, Wait: wait})
 	if how == "handed_back" {
-		s.again(m.try, wait)
+		s.retryAfterRefusal(m.try, wait)
 	}
 }
 
@@ -287,14 +287,14 @@
 	ep := int(a.Endpoint) - 1
 	t := &attempt{node: n, life: n.life, ep: ep, sent: s.now, msg: m}
 	if m == nil {
-		s.note(trace.Record{At: s.now, What: trace.Odd, Node: n.me, EP: ep, Result: "the policy sent a message that it does not hold"})
+		s.note(trace.Record{At: s.now, What: trace.ProtocolError, Node: n.me, EP: ep, Result: "the policy sent a message that it does not hold"})
 		return
 	}
 	t.number = m.attempts
 	m.attempts++
 	m.out = t
 	if len(n.out) >= s.settings.Slots {
-		s.at(s.now, func() { s.ended(t, policy.Moot, 0, policy.Allowance{}) })
+		s.at(s.now, func() { s.endAttempt(t, policy.Moot, 0, policy.Allowance{}) })
 		return
 	}
 	n.out[t] = true
@@ -316,9 +316,9 @@
 		t.conn = &conn{ep: ep}
 		s.dispatch(t, true)
 	case world.Refused:
-		s.at(s.now+2*s.day.OneWay+connectFails, func() { s.ended(t, policy.Unreachable, 0, policy.Allowance{}) })
-	case world.Unheard:
-		s.at(s.now+s.settings.ConnectTimeout, func() { s.ended(t, policy.Unreachable, 0, policy.Allowance{}) })
+		s.at(s.now+2*s.day.OneWay+refusalDelay, func() { s.endAttempt(t, policy.Unreachable, 0, policy.Allowance{}) })
+	case world.NoAnswer:
+		s.at(s.now+s.settings.ConnectTimeout, func() { s.endAttempt(t, policy.Unreachable, 0, policy.Allowance{}) })
 	}
 }
 
@@ -339,10 +339,10 @@
 	}
 	s.hangUp(t)
 	if t.call == 0 {
-		s.ended(t, policy.Unreachable, 0, policy.Allowance{})
+		s.endAttempt(t, policy.Unreachable, 0, policy.Allowance{})
 		return
 	}
-	s.ended(t, policy.TimedOut, 0, policy.Allowance{})
+	s.endAttempt(t, policy.TimedOut, 0, policy.Allowance{})
 }
 
 // hangUp abandons a call and closes its connection.
@@ -368,7 +368,7 @@
 	n := t.node
 	if a.Status == 0 {
 		s.world.Hangup(t.ep)
-		s.ended(t, policy.Reset, 0, policy.Allowance{})
+		s.endAttempt(t, policy.Reset, 0, policy.Allowance{})
 		return
 	}
 	c := t.conn
@@ -382,11 +382,11 @@
 	})
 	switch a.Status {
 	case 200:
-		s.ended(t, policy.Delivered, 0, a.Report)
+		s.endAttempt(t, policy.Delivered, 0, a.Report)
 	case 500:
-		s.ended(t, policy.Failed, 0, a.Report)
+		s.endAttempt(t, policy.Failed, 0, a.Report)
 	default:
-		s.ended(t, policy.Full, a.Wait, a.Report)
+		s.endAttempt(t, policy.Full, a.Wait, a.Report)
 	}
 }
 
@@ -409,8 +409,8 @@
 	n.pools[ep] = nil
 }
 
-// ended reports the end of an attempt to the policy.
-func (s *sim) ended(t *attempt, o policy.Outcome, wait time.Duration, told policy.Allowance) {
+// endAttempt reports the end of an attempt to the policy.
+func (s *sim) endAttempt(t *attempt, o policy.Outcome, wait time.Duration, told policy.Allowance) {
 	n, m := t.node, t.msg
 	if t.done || t.life != n.life {
 		return
@@ -442,18 +442,18 @@
 		run := &mem.runs[len(mem.runs)-1]
 		run.Outcomes, run.FailedAt = append(run.Outcomes, o), clockStart+s.now
 	}
-	s.tell(n, policy.Ended{Message: m.id, Attempt: t.number, Endpoint: policy.EndpointID(t.ep + 1), Outcome: o, Wait: wait,
+	s.enqueue(n, policy.Ended{Message: m.id, Attempt: t.number, Endpoint: policy.EndpointID(t.ep + 1), Outcome: o, Wait: wait,
 		Final: o == policy.Delivered, Took: s.now - t.sent, Told: told})
 }
 
-// Door implements world.Host. It does nothing, as each connection attempt asks the world itself.
-func (s *sim) Door(time.Duration, int, world.Dialled) {}
+// DialResultChanged implements world.Host. It does nothing, as each connection attempt asks the world itself.
+func (s *sim) DialResultChanged(time.Duration, int, world.DialResult) {}
 
 // Listed implements world.Host.
 func (s *sim) Listed(now time.Duration, me int, eps []int) {
 	s.now = now
 	if n := s.nodes[me]; n.up {
-		s.tell(n, s.list(me, eps, false))
+		s.enqueue(n, s.list(me, eps, false))
 	}
 }
 
@@ -512,11 +512,11 @@
 		n.order = append(n.order, m.id)
 		n.batch = append(n.batch, s.arrived(m))
 	}
-	s.plan(n, s.now)
+	s.scheduleStep(n, s.now)
 }
 
-// Strike implements world.Host.
-func (s *sim) Strike(now time.Duration, t world.Fault, me int) {
+// ApplyNodeFault implements world.Host.
+func (s *sim) ApplyNodeFault(now time.Duration, t world.Fault, me int) {
 	s.now = now
 	n := s.nodes[me]
 	switch t.What {
@@ -539,15 +539,15 @@
 			}
 			n.stopped = false
 			for _, a := range sorted(n.out) { // their timeouts may have passed meanwhile
-				s.at(s.now, func() { s.late(a) })
+				s.at(s.now, func() { s.endOverdue(a) })
 			}
-			s.plan(n, s.now)
+			s.scheduleStep(n, s.now)
 		})
 	}
 }
 
-// late ends a call whose timeout passed while its node was stopped.
-func (s *sim) late(a *attempt) {
+// endOverdue ends a call whose timeout passed while its node was stopped.
+func (s *sim) endOverdue(a *attempt) {
 	if !a.done && s.now-a.sent > 2*time.Second {
 		s.timeout(a)
 	}
@@ -594,8 +594,8 @@
 			if m.ran && s.settings.Classes[s.day.Messages[m.try.Message].Class].Repeat == policy.AtMostOnce {
 				continue
 			}
-			if next, ok := s.day.Died(m.try, s.now); ok {
-				s.at(next.At, func() { s.handIn(next) })
+			if next, ok := s.day.RetryAfterFailure(m.try, s.now); ok {
+				s.at(next.At, func() { s.submit(next) })
 			}
 		}
 		owed, n.memories = nil, nil
--- a/internal/lab/insim/insim_test.go
+++ b/internal/lab/insim/insim_test.go
@@ -34,7 +34,7 @@
 	return rules.Protocol(l)
 }
 
-// play gives the account of a day, the rules that it broke and a hash of its trace.
+// play runs a day and returns its account, the rule violations and a hash of its trace.
 func play(t testing.TB, d world.Day) (rules.Account, []rules.Broken, uint64) {
 	t.Helper()
 	k := rules.New(limits(d))
@@ -57,7 +57,7 @@
 	return a, broken, h.Sum64()
 }
 
-// TestScenariosKeepTheRules plays each kind of day with restarts, outages and drains.
+// TestScenariosKeepTheRules runs each kind of day with restarts, outages and drains.
 func TestScenariosKeepTheRules(t *testing.T) {
 	for _, name := range []string{"quiet", "roll", "herd", "lowered", "cold", "split", "troubles"} {
 		t.Run(name, func(t *testing.T) {
@@ -67,21 +67,21 @@
 				if len(broken) > 0 {
 					t.Errorf("seed %d: %v", seed, broken)
 				}
-				if a.Taken == 0 || a.Delivered+a.Refused+a.GivenUp != a.Taken {
-					t.Errorf("seed %d: not all that was taken on has its end: %+v", seed, a)
+				if a.Accepted == 0 || a.Delivered+a.Refused+a.GivenUp != a.Accepted {
+					t.Errorf("seed %d: not every accepted message has ended: %+v", seed, a)
 				}
 			}
 		})
 	}
 }
 
-// TestTheSameSeedIsTheSameRun also has events at one instant: ties go by their order.
+// TestTheSameSeedIsTheSameRun includes events at the same time, which run in scheduling order.
 func TestTheSameSeedIsTheSameRun(t *testing.T) {
 	for _, name := range []string{"roll", "herd", "split"} {
 		_, _, one := play(t, day(t, name, 7, nil))
 		for range 3 {
 			if _, _, again := play(t, day(t, name, 7, nil)); again != one {
-				t.Errorf("%s: another trace", name)
+				t.Errorf("%s: the same seed gives another trace", name)
 			}
 		}
 		if _, _, other := play(t, day(t, name, 8, nil)); other == one {
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestALostFolder hands what a node held to others, but for what may have run.
+// TestALostFolder checks that messages of a lost data directory are resubmitted to other nodes, except those that may have run.
 func TestALostFolder(t *testing.T) {
 	a, broken, _ := play(t, day(t, "herd", 3, func(s *scenario.Scenario) {
 		for i := range s.Faults {
@@ -105,19 +105,19 @@
 	}
 }
 
-// TestAllMessagesSubmittedAtOnce hands all messages of a day in at one instant.
+// TestAllMessagesSubmittedAtOnce submits all messages of a day at the same time.
 func TestAllMessagesSubmittedAtOnce(t *testing.T) {
 	d := day(t, "quiet", 1, nil)
 	for i := range d.Messages {
 		d.Messages[i].At = 5 * time.Second
 	}
 	a, broken, _ := play(t, d)
-	if len(broken) > 0 || a.Tries < len(d.Messages) || a.Turned == 0 {
+	if len(broken) > 0 || a.Tries < len(d.Messages) || a.TurnedAway == 0 {
 		t.Errorf("%+v %v", a, broken)
 	}
 }
 
-// TestStalledClockIsReported is told, not hung on.
+// TestStalledClockIsReported checks that a stalled clock is reported as an error instead of hanging the run.
 func TestStalledClockIsReported(t *testing.T) {
 	s, err := newSim(day(t, "quiet", 1, nil), func(trace.Record) {})
 	if err != nil {
@@ -139,8 +139,7 @@
 	}
 }
 
-// BenchmarkFleet plays 60 s of 300 senders and 30 endpoints. The time of one play has to stay
-// under 10 s on one core (docs/lab.md).
+// BenchmarkFleet simulates 60 s of 300 senders and 30 endpoints. One run must take less than 10 s on one core (docs/lab.md).
 func BenchmarkFleet(b *testing.B) {
 	d := day(b, "mass", 1, nil)
 	calls := 0
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -36,13 +36,13 @@
 	return &Day{Name: "power-off", Report: report, Rows: Rows(report, worths), Ended: ended}
 }
 
-// mostUnexplained is how far the rows may be from what the bench took off.
+// mostUnexplained is how far the sum of the rows may be from what the bench deducted.
 const mostUnexplained = 0.01
 
-func TestRowsAddUpToWhatTheBenchTookOff(t *testing.T) {
+func TestRowsAddUpToTheDeductions(t *testing.T) {
 	day := recorded(t)
 	if lost := day.Report.Lost(); math.Abs(Sum(day.Rows)-lost) > mostUnexplained || lost < 0.2 {
-		t.Errorf("rows add up to %.4f, the bench took %.4f off", Sum(day.Rows), lost)
+		t.Errorf("rows add up to %.4f, the bench deducted %.4f", Sum(day.Rows), lost)
 	}
 	for i, row := range day.Rows {
 		if i > 0 && row.Lost > day.Rows[i-1].Lost {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestRowsTellKindsAndReasonsApart(t *testing.T) {
+func TestRowsAreSplitByKindAndReason(t *testing.T) {
 	report := &Report{Worth: 0.4, Parts: []Part{{partDay, 0.5, 0.8}, {partNines, 0.5, 0.6}},
 		Prices:   []Price{{"processor", 7, 0.3}, {"memory", 1, 0}},
 		Kinds:    []Counts{{Name: "a", Requests: 100, InTime: 80, Late: 20, Worth: 0.9}, {Name: "b", Requests: 100, NotOwed: 50, InTime: 40, Failed: 10, Worth: 0.8}, {Name: "c", Requests: 10, InTime: 10, Worth: 1}},
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestALossThatNothingTellsOfIsARowToo(t *testing.T) {
+func TestAnUnexplainedLossIsARow(t *testing.T) {
 	rows := Rows(&Report{Worth: 0.5, Parts: []Part{{partDay, 1, 0.5}}}, nil)
 	if len(rows) != 1 || rows[0].Lost != 0.5 {
 		t.Errorf("%+v", rows)
@@ -131,10 +131,10 @@
 func TestFilesThatAreNoReports(t *testing.T) {
 	for _, text := range []string{"", "[]", "{}", `{"parts":[["whole day"]]}`, `{"parts":[["whole day","x",1]]}`} {
 		if _, err := ReadReport(strings.NewReader(text)); err == nil {
-			t.Errorf("%q was taken for a report", text)
+			t.Errorf("%q was accepted as a report", text)
 		}
 	}
 	if _, err := ReadSite(strings.NewReader("classes = 3")); err == nil {
-		t.Error("taken for a site file")
+		t.Error("accepted as a site file")
 	}
 }
--- a/internal/lab/live/agent.go
+++ b/internal/lab/live/agent.go
@@ -26,7 +26,7 @@
 	// The following fields belong to the event loop.
 	revision int
 	changes  []change
-	news     chan struct{} // closed at the next change
+	changed  chan struct{} // closed at the next change
 }
 
 type change struct{ revision, ep int }
@@ -38,11 +38,11 @@
 	Members  []world.Member `json:"members"`
 }
 
-// oldStays is how long a previous discovery address keeps its open connections.
-const oldStays = 1500 * time.Millisecond
+// oldAddressGrace is how long a previous discovery address keeps its open connections.
+const oldAddressGrace = 1500 * time.Millisecond
 
 func newAgent(r *run, me int, host string) (*agent, error) {
-	a := &agent{run: r, me: me, revision: 1, news: make(chan struct{})}
+	a := &agent{run: r, me: me, revision: 1, changed: make(chan struct{})}
 	return a, a.open(host)
 }
 
@@ -83,7 +83,7 @@
 	_ = l.Close()
 	a.run.wg.Go(func() {
 		select {
-		case <-time.After(oldStays):
+		case <-time.After(oldAddressGrace):
 		case <-a.run.ended:
 		}
 		_ = old.Close()
@@ -109,17 +109,17 @@
 }
 
 func (a *agent) member(ep int) world.Member {
-	return a.run.world.Member(a.me, ep, a.run.nodes[a.me].doors[ep].addr)
+	return a.run.world.Member(a.me, ep, a.run.nodes[a.me].endpoints[ep].addr)
 }
 
-// changed is called by the event loop with the endpoints that have changed.
-func (a *agent) changed(eps []int) {
+// addChanges is called by the event loop with the endpoints that have addChanges.
+func (a *agent) addChanges(eps []int) {
 	a.revision++
 	for _, ep := range eps {
 		a.changes = append(a.changes, change{a.revision, ep})
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
 // since returns the changes after a revision.
@@ -147,9 +147,9 @@
 	defer timer.Stop()
 	for late := whole; ; {
 		var l list
-		var news chan struct{}
+		var changed chan struct{}
 		if !a.run.ask(func() {
-			news = a.news
+			changed = a.changed
 			switch {
 			case whole:
 				l = a.known()
@@ -159,7 +159,7 @@
 				return
 			}
 			late = true
-			a.run.note(trace.Record{At: a.run.now(), What: trace.Ask, Node: a.me, Lines: len(l.Members)})
+			a.run.note(trace.Record{At: a.run.now(), What: trace.ListRequested, Node: a.me, Lines: len(l.Members)})
 		}) {
 			return
 		}
@@ -169,7 +169,7 @@
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			late = true
 		case <-r.Context().Done():
@@ -196,7 +196,7 @@
 		}
 		if err != nil || n.Outcome != "given_up" && n.Outcome != "handed_back" {
 			a.run.post(func() {
-				a.run.note(trace.Record{At: a.run.now(), What: trace.Odd, Node: a.me, Result: "notices that can't be read"})
+				a.run.note(trace.Record{At: a.run.now(), What: trace.ProtocolError, Node: a.me, Result: "notices that can't be read"})
 			})
 			http.Error(w, "unreadable", http.StatusBadRequest)
 			return
@@ -207,7 +207,7 @@
 		for _, n := range all {
 			wait := time.Duration(n.RetryMs) * time.Millisecond
 			a.run.note(trace.Record{At: a.run.now(), What: trace.Notice, ID: n.Message, Node: a.me, Result: n.Outcome, Wait: wait})
-			a.run.clients.noticed(n.Message, n.Outcome, wait)
+			a.run.clients.handleNotice(n.Message, n.Outcome, wait)
 		}
 	})
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// patience is the timeout of a client's request.
-	patience = 400 * time.Millisecond
+	// requestTimeout is the timeout of a client's request.
+	requestTimeout = 400 * time.Millisecond
 	// maxOutstanding limits the number of concurrent requests.
 	maxOutstanding = 2000
-	// frontPause is the time until a client is directed to another node.
-	frontPause = 200 * time.Millisecond
+	// redirectDelay is the time until a client is directed to another node.
+	redirectDelay = 200 * time.Millisecond
 )
 
 // clients submit the day's messages. Submission times are drawn ahead and do not depend on answers, so the latency that a slow node
 // causes counts from the time of submission.
 type clients struct {
-	run    *run
-	places chan struct{}
-	http   *http.Client
+	run   *run
+	slots chan struct{}
+	http  *http.Client
 }
 
 func newClients(r *run) *clients {
-	return &clients{run: r, places: make(chan struct{}, maxOutstanding),
+	return &clients{run: r, slots: make(chan struct{}, maxOutstanding),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: 4096, IdleConnTimeout: 1500 * time.Millisecond}}}
 }
 
 func (c *clients) close() { c.http.CloseIdleConnections() }
 
-// first submits all first tries at their times.
-func (c *clients) first() {
+// submitFirstTries submits all submitFirstTries tries at their times.
+func (c *clients) submitFirstTries() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for i, m := range c.run.options.Day.Messages {
@@ -57,14 +57,14 @@
 // start submits a try whose time has come.
 func (c *clients) start(t world.Try) {
 	select {
-	case c.places <- struct{}{}:
+	case c.slots <- struct{}{}:
 	case <-c.run.ended:
 		return
 	}
 	late := c.run.now() - t.At
 	c.run.wg.Go(func() {
-		defer func() { <-c.places }()
-		c.handIn(t, late)
+		defer func() { <-c.slots }()
+		c.submit(t, late)
 	})
 }
 
@@ -80,21 +80,21 @@
 	})
 }
 
-// heard is the result of a client's request.
-type heard struct {
+// tryResult is the result of a client's request.
+type tryResult struct {
 	status int // 0 for nothing
 	wait   time.Duration
 }
 
-func (c *clients) handIn(t world.Try, late time.Duration) {
+func (c *clients) submit(t world.Try, late time.Duration) {
 	r := c.run
 	id := t.ID()
 	if !r.ask(func() {
-		b := r.options.Day.Born(t)
+		b := r.options.Day.Submitted(t)
 		r.note(b)
 		r.tries[id] = t
 		if late > lateSend {
-			r.note(trace.Record{At: r.now(), What: trace.Late, Node: t.Node, Wait: late})
+			r.note(trace.Record{At: r.now(), What: trace.LateSubmission, Node: t.Node, Wait: late})
 		}
 	}) {
 		return
@@ -106,19 +106,19 @@
 	if err != nil {
 		h.status = 0
 	}
-	r.post(func() { c.heard(t, id, h) })
+	r.post(func() { c.tryResult(t, id, h) })
 }
 
 // send sends one request. Status -1 means that a reused connection had been closed.
-func (c *clients) send(t world.Try, id string, fresh bool) (heard, error) {
+func (c *clients) send(t world.Try, id string, fresh bool) (tryResult, error) {
 	day := &c.run.options.Day
 	m := day.Messages[t.Message]
 	class := day.Scenario.Classes[m.Class].Name
 	left := day.Until(t) - c.run.now()
 	if left < time.Millisecond {
-		return heard{}, errors.New("the deadline has passed")
+		return tryResult{}, errors.New("the deadline has passed")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	reused := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused = i.Reused }})
@@ -126,7 +126,7 @@
 	body := io.NopCloser(bytes.NewReader(bodyOf(id, m.Body)))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.run.nodes[t.Node].listen+"/"+class, body)
 	if err != nil {
-		return heard{}, err
+		return tryResult{}, err
 	}
 	req.ContentLength = int64(m.Body)
 	if m.Body == 0 {
@@ -150,27 +150,27 @@
 	resp, err := c.http.Do(req)
 	if err != nil {
 		if reused && ctx.Err() == nil {
-			return heard{status: -1}, err
+			return tryResult{status: -1}, err
 		}
-		return heard{}, err
+		return tryResult{}, err
 	}
 	defer resp.Body.Close()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 64<<10)) // so that the connection is reused
-	h := heard{status: resp.StatusCode}
+	h := tryResult{status: resp.StatusCode}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
 		h.wait = time.Duration(s * float64(time.Second))
 	}
 	return h, nil
 }
 
-// heard handles the result of a request. Like the methods below, it runs in the event loop.
-func (c *clients) heard(t world.Try, id string, h heard) {
+// tryResult handles the result of a request. Like the methods below, it runs in the event loop.
+func (c *clients) tryResult(t world.Try, id string, h tryResult) {
 	r := c.run
 	now := r.now()
 	r.pending--
 	switch h.status {
 	case http.StatusOK, http.StatusAccepted:
-		r.note(trace.Record{At: now, What: trace.Taken, ID: id, Node: t.Node})
+		r.note(trace.Record{At: now, What: trace.Accepted, ID: id, Node: t.Node})
 		if r.over[id] {
 			delete(r.over, id)
 		} else {
@@ -180,34 +180,34 @@
 	}
 	delete(r.tries, id)
 	delete(r.over, id)
-	r.note(trace.Record{At: now, What: trace.Turned, ID: id, Node: t.Node, Status: h.status, Wait: h.wait})
+	r.note(trace.Record{At: now, What: trace.TurnedAway, ID: id, Node: t.Node, Status: h.status, Wait: h.wait})
 	switch h.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		if next, ok := r.options.Day.Refused(t, now, h.wait); ok {
+		if next, ok := r.options.Day.RetryAfterRefusal(t, now, h.wait); ok {
 			c.plan(next)
 		}
 	case 0:
-		if next, ok := r.options.Day.Died(t, now+frontPause); ok {
+		if next, ok := r.options.Day.RetryAfterFailure(t, now+redirectDelay); ok {
 			c.plan(next)
 		}
 	}
 }
 
-// noticed handles a notice of the node.
-func (c *clients) noticed(id, outcome string, wait time.Duration) {
+// handleNotice handles a notice of the node.
+func (c *clients) handleNotice(id, outcome string, wait time.Duration) {
 	r := c.run
 	t, known := r.tries[id]
 	r.end(id)
 	if !known || outcome != "handed_back" {
 		return
 	}
-	if next, ok := r.options.Day.Refused(t, r.now(), wait); ok {
+	if next, ok := r.options.Day.RetryAfterRefusal(t, r.now(), wait); ok {
 		c.plan(next)
 	}
 }
 
-// orphan resubmits the messages of a node whose data directory was lost, except those that must not be repeated and may have run.
-func (c *clients) orphan(node int) {
+// resubmitOrphans resubmits the messages of a node whose data directory was lost, except those that must not be repeated and may have run.
+func (c *clients) resubmitOrphans(node int) {
 	r := c.run
 	for id := range r.owed {
 		t := r.tries[id]
@@ -219,7 +219,7 @@
 		if class.Repeat == "never" && r.nodes[node].attempts[id] > 0 {
 			continue
 		}
-		if next, ok := r.options.Day.Died(t, r.now()); ok {
+		if next, ok := r.options.Day.RetryAfterFailure(t, r.now()); ok {
 			c.plan(next)
 		}
 	}
--- a/internal/lab/live/endpoint.go
+++ b/internal/lab/live/endpoint.go
@@ -22,8 +22,8 @@
 // maxCallBody limits the body that is read of a call, somewhat above the allowed size.
 const maxCallBody = 128 << 10
 
-// door is the listener at which one node reaches one endpoint.
-type door struct {
+// endpoint is the listener at which one node reaches one endpoint.
+type endpoint struct {
 	run  *run
 	node int
 	ep   int
@@ -33,87 +33,87 @@
 	mu       sync.Mutex
 	listener *net.TCPListener // nil where connections are refused
 	fillers  []net.Conn       // connections that fill the accept queue while the endpoint is silent
-	as       world.Dialled
+	as       world.DialResult
 }
 
 // open opens the listener for the first time.
-func (d *door) open(life context.Context, host string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.life = life
+func (e *endpoint) open(life context.Context, host string) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.life = life
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
-		return fmt.Errorf("listening for endpoint %d: %w", d.ep, err)
+		return fmt.Errorf("listening for endpoint %d: %w", e.ep, err)
 	}
-	d.addr = l.Addr().String()
-	d.receive(l)
+	e.addr = l.Addr().String()
+	e.receive(l)
 	return nil
 }
 
 // receive serves the connections of a listener.
-func (d *door) receive(l net.Listener) {
-	d.listener = l.(*net.TCPListener)
-	d.run.wg.Go(func() { d.accept(l) })
+func (e *endpoint) receive(l net.Listener) {
+	e.listener = l.(*net.TCPListener)
+	e.run.wg.Go(func() { e.accept(l) })
 }
 
-func (d *door) accept(l net.Listener) {
+func (e *endpoint) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		d.mu.Lock()
-		silent := d.as == world.Unheard
-		d.mu.Unlock()
+		e.mu.Lock()
+		silent := e.as == world.NoAnswer
+		e.mu.Unlock()
 		if silent { // it was in the accept queue when the endpoint became silent
-			d.run.wg.Go(func() {
-				<-d.life.Done()
+			e.run.wg.Go(func() {
+				<-e.life.Done()
 				_ = c.Close()
 			})
 			continue
 		}
-		d.run.wg.Go(func() { d.serve(c.(*net.TCPConn)) })
+		e.run.wg.Go(func() { e.serve(c.(*net.TCPConn)) })
 	}
 }
 
 // set opens, closes or silences the listener. While it is silent, its accept queue is kept full, so the kernel drops connection
 // attempts.
-func (d *door) set(as world.Dialled) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.as == as {
+func (e *endpoint) set(as world.DialResult) error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.as == as {
 		return nil
 	}
-	before := d.as
-	d.as = as
-	if before == world.Unheard {
-		for _, c := range d.fillers {
+	before := e.as
+	e.as = as
+	if before == world.NoAnswer {
+		for _, c := range e.fillers {
 			_ = c.Close()
 		}
-		d.fillers = nil
+		e.fillers = nil
 	}
-	if d.listener != nil && (as != world.Accepted || before == world.Unheard) {
-		if err := d.listener.Close(); err != nil {
+	if e.listener != nil && (as != world.Accepted || before == world.NoAnswer) {
+		if err := e.listener.Close(); err != nil {
 			return err
 		}
-		d.listener = nil
+		e.listener = nil
 	}
-	if d.listener == nil && as == world.Accepted {
-		l, err := net.Listen("tcp", d.addr)
+	if e.listener == nil && as == world.Accepted {
+		l, err := net.Listen("tcp", e.addr)
 		if err != nil {
 			return err
 		}
-		d.receive(l)
+		e.receive(l)
 	}
-	if as != world.Unheard {
+	if as != world.NoAnswer {
 		return nil
 	}
-	l, err := net.Listen("tcp", d.addr)
+	l, err := net.Listen("tcp", e.addr)
 	if err != nil {
 		return err
 	}
-	d.listener = l.(*net.TCPListener)
-	raw, err := d.listener.SyscallConn()
+	e.listener = l.(*net.TCPListener)
+	raw, err := e.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -122,46 +122,46 @@
 		return err
 	}
 	for range 4 { // the first dial beyond the queue's capacity times out, so the loop ends soon
-		c, err := net.DialTimeout("tcp", d.addr, 20*time.Millisecond)
+		c, err := net.DialTimeout("tcp", e.addr, 20*time.Millisecond)
 		if err != nil {
 			break
 		}
-		d.fillers = append(d.fillers, c)
+		e.fillers = append(e.fillers, c)
 	}
 	return failed
 }
 
-func (d *door) close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.listener != nil {
-		_ = d.listener.Close()
+func (e *endpoint) close() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.listener != nil {
+		_ = e.listener.Close()
 	}
-	for _, c := range d.fillers {
+	for _, c := range e.fillers {
 		_ = c.Close()
 	}
 }
 
 // conn is a node's connection to an endpoint.
 type conn struct {
-	door  *door
-	net   *net.TCPConn
-	call  uint64 // call in flight; belongs to the event loop
-	up    bool   // counted by the world
-	ended bool
+	endpoint *endpoint
+	net      *net.TCPConn
+	call     uint64 // call in flight; belongs to the event loop
+	up       bool   // counted by the world
+	ended    bool
 }
 
-func (d *door) serve(c *net.TCPConn) {
-	k := &conn{door: d, net: c}
-	stop := context.AfterFunc(d.life, func() { _ = c.Close() })
+func (e *endpoint) serve(c *net.TCPConn) {
+	k := &conn{endpoint: e, net: c}
+	stop := context.AfterFunc(e.life, func() { _ = c.Close() })
 	defer stop()
 	defer func() {
 		_ = c.Close()
-		d.run.post(k.close)
+		e.run.post(k.close)
 	}()
 	ok := false
-	if !d.run.ask(func() {
-		k.up = d.run.world.Dial(d.run.now(), d.node, d.ep) == world.Accepted
+	if !e.run.ask(func() {
+		k.up = e.run.world.Dial(e.run.now(), e.node, e.ep) == world.Accepted
 		ok = k.up
 	}) || !ok {
 		_ = c.SetLinger(0)
@@ -173,38 +173,38 @@
 			return
 		}
 		busy := false
-		began := d.run.now()
-		if !d.run.ask(func() { busy = k.call != 0 }) {
+		began := e.run.now()
+		if !e.run.ask(func() { busy = k.call != 0 }) {
 			return
 		}
 		if busy {
-			d.odd("", "bytes on a connection whose call is in flight")
+			e.protocolError("", "bytes on a connection whose call is in flight")
 			return
 		}
-		a, err := d.read(in)
+		a, err := e.read(in)
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, net.ErrClosed) && !errors.Is(err, syscall.ECONNRESET) {
-				d.odd(a.ID, err.Error())
+				e.protocolError(a.ID, err.Error())
 				_, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			}
 			return
 		}
-		a.Node, a.EP, a.Fresh, a.Began = d.node, d.ep, fresh, began
-		if !d.run.ask(func() { k.begin(a) }) {
+		a.Node, a.EP, a.Fresh, a.Began = e.node, e.ep, fresh, began
+		if !e.run.ask(func() { k.begin(a) }) {
 			return
 		}
 	}
 }
 
-// odd records a protocol violation.
-func (d *door) odd(id, what string) {
-	d.run.post(func() {
-		d.run.note(trace.Record{At: d.run.now(), What: trace.Odd, ID: id, Node: d.node, EP: d.ep, Result: what})
+// protocolError records a protocol violation.
+func (e *endpoint) protocolError(id, what string) {
+	e.run.post(func() {
+		e.run.note(trace.Record{At: e.run.now(), What: trace.ProtocolError, ID: id, Node: e.node, EP: e.ep, Result: what})
 	})
 }
 
 // read reads one call and checks that it is what the client sent.
-func (d *door) read(in *bufio.Reader) (world.Attempt, error) {
+func (e *endpoint) read(in *bufio.Reader) (world.Attempt, error) {
 	req, err := http.ReadRequest(in)
 	if err != nil {
 		return world.Attempt{}, err
@@ -221,10 +221,10 @@
 		return a, fmt.Errorf("X-Timeout-Ms is %q", req.Header.Get("X-Timeout-Ms"))
 	}
 	message, try, ok := parseID(a.ID)
-	if !ok || message >= len(d.run.options.Day.Messages) {
+	if !ok || message >= len(e.run.options.Day.Messages) {
 		return a, nil // the rules report unknown messages
 	}
-	if !bytes.Equal(body, bodyOf(a.ID, d.run.options.Day.Messages[message].Body)) {
+	if !bytes.Equal(body, bodyOf(a.ID, e.run.options.Day.Messages[message].Body)) {
 		return a, errors.New("the body is not the client's")
 	}
 	a.Message, a.Try = message, try<<8
@@ -247,18 +247,18 @@
 
 // begin passes a call to the world. Like the methods below, it runs in the event loop.
 func (k *conn) begin(a world.Attempt) {
-	r := k.door.run
+	r := k.endpoint.run
 	if k.ended {
 		return
 	}
-	r.nodes[k.door.node].attempts[a.ID]++
-	a.Try |= r.nodes[k.door.node].attempts[a.ID] - 1
+	r.nodes[k.endpoint.node].attempts[a.ID]++
+	a.Try |= r.nodes[k.endpoint.node].attempts[a.ID] - 1
 	k.call = r.world.Call(r.now(), a)
 	r.calls[k.call] = k
 }
 
 func (k *conn) close() {
-	r := k.door.run
+	r := k.endpoint.run
 	if k.ended {
 		return
 	}
@@ -269,7 +269,7 @@
 		k.call = 0
 	}
 	if k.up {
-		r.world.Hangup(k.door.ep)
+		r.world.Hangup(k.endpoint.ep)
 	}
 }
 
--- a/internal/lab/live/fleet.go
+++ b/internal/lab/live/fleet.go
@@ -130,7 +130,7 @@
 	if !n.up() {
 		return
 	}
-	f.run.note(trace.Record{At: f.run.now(), What: trace.Word, Node: at, EP: whom})
+	f.run.note(trace.Record{At: f.run.now(), What: trace.Removal, Node: at, EP: whom})
 	f.run.wg.Go(func() {
 		body := strings.NewReader(fmt.Sprintf(`{"name":"n%d"}`, whom))
 		req, err := http.NewRequest(http.MethodPut, "http://"+n.console+"/ops/fleet/remove", body)
@@ -155,8 +155,8 @@
 
 var memberLine = []byte(`msg="fleet: member" `)
 
-// heard parses a log line of a node that reports the state of another. It is called by the goroutine that writes the log.
-func (f *fleet) heard(me int, line []byte) {
+// parseMemberLine parses a log line of a node that reports the state of another. It is called by the goroutine that writes the log.
+func (f *fleet) parseMemberLine(me int, line []byte) {
 	_, rest, found := bytes.Cut(line, memberLine)
 	if !found {
 		return
@@ -185,13 +185,13 @@
 	})
 }
 
-// over records, at the end, traffic that bypassed the relays.
-func (f *fleet) over() {
+// reportStray records, at the end, traffic that bypassed the relays.
+func (f *fleet) reportStray() {
 	if f == nil {
 		return
 	}
 	if n := f.relays.Stray.Load(); n > 0 {
-		f.run.note(trace.Record{At: f.run.now(), What: trace.Odd, Result: fmt.Sprintf("%s: %d from unknown addresses", rules.Through, n)})
+		f.run.note(trace.Record{At: f.run.now(), What: trace.ProtocolError, Result: fmt.Sprintf("%s: %d from unknown addresses", rules.RelayBypass, n)})
 	}
 }
 
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -19,8 +19,8 @@
 const (
 	// lateSend is how late the lab may submit a message before it counts as a fault of the lab.
 	lateSend = 50 * time.Millisecond
-	// startPatience is the time limit for all nodes to become ready.
-	startPatience = 30 * time.Second
+	// startTimeout is the time limit for all nodes to become ready.
+	startTimeout = 30 * time.Second
 	// killAfter and startAfter are the delays of a planned restart on the platform.
 	killAfter  = 3700 * time.Millisecond
 	startAfter = 600 * time.Millisecond
@@ -181,7 +181,7 @@
 
 // ready waits until all nodes accept clients; the day starts only then.
 func (r *run) ready(ctx context.Context) error {
-	timer := time.NewTimer(startPatience)
+	timer := time.NewTimer(startTimeout)
 	defer timer.Stop()
 	for {
 		up := 0
@@ -199,7 +199,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
-			return fmt.Errorf("%d of %d nodes were ready after %v; their logs are in %s", up, len(r.nodes), startPatience, r.options.Dir)
+			return fmt.Errorf("%d of %d nodes were ready after %v; their logs are in %s", up, len(r.nodes), startTimeout, r.options.Dir)
 		}
 		if r.fatal != nil {
 			return r.fatal
@@ -222,7 +222,7 @@
 		end = max(end, day.Until(t))
 	}
 	end += time.Second
-	r.wg.Go(r.clients.first)
+	r.wg.Go(r.clients.submitFirstTries)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	told := time.Duration(0)
@@ -248,8 +248,8 @@
 			return r.fatal
 		}
 		if now > end || now > day.Length && r.pending == 0 && len(r.owed) == 0 {
-			r.fleet.over()
-			r.note(trace.Record{At: now, What: trace.Over})
+			r.fleet.reportStray()
+			r.note(trace.Record{At: now, What: trace.RunEnded})
 			return nil
 		}
 		if r.options.Progress != nil && now-told >= time.Second {
@@ -289,19 +289,21 @@
 }
 
 // Listed implements world.Host.
-func (r *run) Listed(_ time.Duration, me int, eps []int) { r.nodes[me].agent.changed(eps) }
+func (r *run) Listed(_ time.Duration, me int, eps []int) { r.nodes[me].agent.addChanges(eps) }
 
-// Door implements world.Host.
-func (r *run) Door(_ time.Duration, ep int, as world.Dialled) {
+// DialResultChanged implements world.Host.
+func (r *run) DialResultChanged(_ time.Duration, ep int, as world.DialResult) {
 	for _, n := range r.nodes {
-		if err := n.doors[ep].set(as); err != nil && r.fatal == nil {
+		if err := n.endpoints[ep].set(as); err != nil && r.fatal == nil {
 			r.fatal = fmt.Errorf("endpoint %d: %w", ep, err)
 		}
 	}
 }
 
-// Strike implements world.Host.
-func (r *run) Strike(now time.Duration, t world.Fault, me int) { r.nodes[me].strike(now, t) }
+// ApplyNodeFault implements world.Host.
+func (r *run) ApplyNodeFault(now time.Duration, t world.Fault, me int) {
+	r.nodes[me].applyFault(now, t)
+}
 
 // freePort returns a currently unused address.
 func freePort(host string) (string, error) {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -17,11 +17,11 @@
 	"dunetide/internal/lab/world"
 )
 
-// TestListenerRefusesOrTimesOutOrAccepts is refused, silent and open in turn, as the kernel shows it to a node.
+// TestListenerRefusesOrTimesOutOrAccepts checks that dials are refused, time out or succeed as set, in turn.
 func TestListenerRefusesOrTimesOutOrAccepts(t *testing.T) {
 	life, stop := context.WithCancel(context.Background())
 	r := &run{options: Options{Day: world.Draw(scenario.Default(), 1), Note: func(trace.Record) {}}, do: make(chan func(), 10), ended: make(chan struct{})}
-	d := &door{run: r}
+	d := &endpoint{run: r}
 	if err := d.open(life, "127.0.0.1"); err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		}
 		return err
 	}
-	for i, as := range []world.Dialled{world.Accepted, world.Refused, world.Accepted, world.Unheard, world.Accepted, world.Unheard, world.Refused, world.Accepted} {
+	for i, as := range []world.DialResult{world.Accepted, world.Refused, world.Accepted, world.NoAnswer, world.Accepted, world.NoAnswer, world.Refused, world.Accepted} {
 		if err := d.set(as); err != nil {
 			t.Fatal(i, err)
 		}
@@ -51,7 +51,7 @@
 			if !errors.Is(err, syscall.ECONNREFUSED) {
 				t.Error(i, err)
 			}
-		case world.Unheard:
+		case world.NoAnswer:
 			if !errors.As(err, &timeout) || !timeout.Timeout() {
 				t.Error(i, err)
 			}
@@ -94,7 +94,7 @@
 	}
 }
 
-// failing is a node that does not start, or ends at once.
+// TestANodeThatDoesNotStart covers a program that exits at once and one that does not exist.
 func TestANodeThatDoesNotStart(t *testing.T) {
 	s := scenario.Default()
 	s.LengthS = scenario.Range{2, 2}
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -24,29 +24,29 @@
 )
 
 const (
-	// largestLog is how much of a node's log is kept; the rest is only counted.
-	largestLog = 16 << 20
-	readyPause = 20 * time.Millisecond
-	// sampleEvery is the interval at which a process's memory, descriptors and disk usage are sampled.
-	sampleEvery = 250 * time.Millisecond
-	quitTime    = 4500 * time.Millisecond
+	// maxLogBytes is how much of a node's log is kept; the rest is only counted.
+	maxLogBytes  = 16 << 20
+	pollInterval = 20 * time.Millisecond
+	// sampleInterval is the interval at which a process's memory, descriptors and disk usage are sampled.
+	sampleInterval = 250 * time.Millisecond
+	quitTimeout    = 4500 * time.Millisecond
 )
 
 // node is one delivery node with its resources.
 type node struct {
-	run      *run
-	me       int
-	dir      string
-	listen   string
-	console  string
-	doors    []*door
-	agent    *agent
-	attempts map[string]int // number of calls per message so far
-	log      *cappedLog
-	procs    []*process // one, or the members of a group
-	struck   int        // number of faults applied to members so far
-	mu       sync.Mutex // guards use, which the samplers write
-	use      Use
+	run           *run
+	me            int
+	dir           string
+	listen        string
+	console       string
+	endpoints     []*endpoint
+	agent         *agent
+	attempts      map[string]int // number of calls per message so far
+	log           *cappedLog
+	procs         []*process // one, or the members of a group
+	faultsApplied int        // number of faults applied to members so far
+	mu            sync.Mutex // guards use, which the samplers write
+	use           Use
 }
 
 // process is one process of a node. The following fields belong to the event loop; quit reads cmd and exited after the loop has
@@ -89,11 +89,11 @@
 	if err != nil {
 		return err
 	}
-	n.log = &cappedLog{file: f, left: largestLog}
+	n.log = &cappedLog{file: f, left: maxLogBytes}
 	host := fmt.Sprintf("127.0.%d.%d", 64+n.me/250, 1+n.me%250)
 	for ep := range n.run.options.Day.Endpoints {
-		d := &door{run: n.run, node: n.me, ep: ep}
-		n.doors = append(n.doors, d)
+		d := &endpoint{run: n.run, node: n.me, ep: ep}
+		n.endpoints = append(n.endpoints, d)
 		if err := d.open(life, host); err != nil {
 			return err
 		}
@@ -172,10 +172,10 @@
 		}
 	}
 	began, life := time.Now(), p.life
-	out := &readyLog{to: n.log, ready: func() { n.run.post(func() { p.isReady(life, time.Since(began)) }) }}
+	out := &readyLog{to: n.log, ready: func() { n.run.post(func() { p.handleReady(life, time.Since(began)) }) }}
 	cmd.Stdout, cmd.Stderr = out, out
 	if f := n.run.fleet; f != nil {
-		all := &fleetLog{to: out, read: func(line []byte) { f.heard(n.me, line) }}
+		all := &fleetLog{to: out, read: func(line []byte) { f.parseMemberLine(n.me, line) }}
 		cmd.Stdout, cmd.Stderr = all, all
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process is killed when the lab ends, however that happens
@@ -199,17 +199,17 @@
 		}
 		n.mu.Unlock()
 		close(exited)
-		n.run.post(func() { p.hasEnded(life, err) })
+		n.run.post(func() { p.handleExit(life, err) })
 	})
 	n.run.wg.Go(func() { n.sample(cmd.Process.Pid, exited) })
 	if !n.grouped() { // in a group, any member may answer
-		n.run.wg.Go(func() { p.await(began, exited, life) })
+		n.run.wg.Go(func() { p.awaitReady(began, exited, life) })
 	}
 	return nil
 }
 
-// await polls until the node accepts clients.
-func (p *process) await(began time.Time, exited <-chan struct{}, life int) {
+// awaitReady polls until the node accepts clients.
+func (p *process) awaitReady(began time.Time, exited <-chan struct{}, life int) {
 	n := p.node
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -224,14 +224,14 @@
 			return
 		case <-n.run.ended:
 			return
-		case <-time.After(readyPause):
+		case <-time.After(pollInterval):
 		}
 	}
 	took := time.Since(began)
-	n.run.post(func() { p.isReady(life, took) })
+	n.run.post(func() { p.handleReady(life, took) })
 }
 
-func (p *process) isReady(life int, took time.Duration) {
+func (p *process) handleReady(life int, took time.Duration) {
 	n := p.node
 	if p.life != life || p.planned || p.up {
 		return
@@ -246,8 +246,8 @@
 	}
 }
 
-// hasEnded is called when a process has exited.
-func (p *process) hasEnded(life int, err error) {
+// handleExit is called when a process has exited.
+func (p *process) handleExit(life int, err error) {
 	n := p.node
 	if p.life != life {
 		return
@@ -265,18 +265,18 @@
 		why = err.Error()
 	}
 	n.run.note(trace.Record{At: n.run.now(), What: trace.Stop, Node: n.me, Result: "crash"})
-	n.run.note(trace.Record{At: n.run.now(), What: trace.Odd, Node: n.me, Result: "the node's process ended: " + why})
+	n.run.note(trace.Record{At: n.run.now(), What: trace.ProtocolError, Node: n.me, Result: "the node's process ended: " + why})
 	if exits > 3 || starts <= len(n.procs) && !n.run.playing {
 		n.run.fatal = fmt.Errorf("node %d ended by itself: %s; see its log %s", n.me, why, filepath.Join(n.dir, "log"))
 		return
 	}
-	p.again(startAfter)
+	p.restartAfter(startAfter)
 }
 
-// strike applies a fault, to the next process in turn if there are several.
-func (n *node) strike(now time.Duration, t world.Fault) {
-	p := n.procs[n.struck%len(n.procs)]
-	n.struck++
+// applyFault applies a fault, to the next process in turn if there are several.
+func (n *node) applyFault(now time.Duration, t world.Fault) {
+	p := n.procs[n.faultsApplied%len(n.procs)]
+	n.faultsApplied++
 	if !p.up && t.What != "hangup" {
 		return
 	}
@@ -284,7 +284,7 @@
 	case "kill":
 		p.down("SIGKILL", t.Lost)
 		p.signal(syscall.SIGKILL)
-		p.again(startAfter)
+		p.restartAfter(startAfter)
 	case "term":
 		p.down("SIGTERM", t.Lost)
 		p.signal(syscall.SIGTERM)
@@ -292,7 +292,7 @@
 		n.run.after(killAfter, func() {
 			if p.life == life {
 				p.signal(syscall.SIGKILL)
-				p.again(startAfter)
+				p.restartAfter(startAfter)
 			}
 		})
 	case "stop":
@@ -331,20 +331,20 @@
 		signal = "member"
 	case p.lost:
 		signal = "lost"
-		n.run.clients.orphan(n.me)
+		n.run.clients.resubmitOrphans(n.me)
 	}
 	n.run.note(trace.Record{At: n.run.now(), What: trace.Stop, Node: n.me, Result: signal})
 }
 
-// again starts the next process once this one has exited.
-func (p *process) again(after time.Duration) {
+// restartAfter starts the next process once this one has exited.
+func (p *process) restartAfter(after time.Duration) {
 	n := p.node
 	p.planned = true
 	n.run.after(after, func() {
 		select {
 		case <-p.exited:
 		default: // it has not exited yet
-			p.again(readyPause)
+			p.restartAfter(pollInterval)
 			return
 		}
 		if p.lost {
@@ -386,7 +386,7 @@
 	}
 }
 
-// quit stops the processes, and kills them after quitTime.
+// quit stops the processes, and kills them after quitTimeout.
 func (n *node) quit() {
 	for _, p := range n.procs {
 		if p.cmd == nil {
@@ -398,7 +398,7 @@
 		n.run.wg.Go(func() {
 			select {
 			case <-exited:
-			case <-time.After(quitTime):
+			case <-time.After(quitTimeout):
 				_ = process.Kill()
 			}
 		})
@@ -412,7 +412,7 @@
 			<-p.exited
 		}
 	}
-	for _, d := range n.doors {
+	for _, d := range n.endpoints {
 		d.close()
 	}
 	if n.agent != nil {
@@ -425,7 +425,7 @@
 
 // sample samples the resource usage of a process until it exits.
 func (n *node) sample(pid int, exited <-chan struct{}) {
-	tick := time.NewTicker(sampleEvery)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	proc := filepath.Join("/proc", strconv.Itoa(pid))
 	for {
@@ -476,16 +476,16 @@
 type readyLog struct {
 	to    *cappedLog
 	ready func()
-	said  bool
+	found bool
 	line  []byte
 }
 
 // Write writes to the node's log, and calls ready once the log reports that the node is ready.
 func (l *readyLog) Write(p []byte) (int, error) {
-	if !l.said {
+	if !l.found {
 		l.line = append(l.line, p...)
 		if bytes.Contains(l.line, []byte("msg=ready ")) {
-			l.said, l.line = true, nil
+			l.found, l.line = true, nil
 			l.ready()
 		} else if cut := bytes.LastIndexByte(l.line, '\n'); cut >= 0 {
 			l.line = append(l.line[:0], l.line[cut+1:]...)
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -76,8 +76,8 @@
 	return rules.Protocol(l)
 }
 
-// parts returns one node's even share of the limit of each destination.
-func parts(d world.Day) (all []float64) {
+// evenShares returns one node's even share of the limit of each destination.
+func evenShares(d world.Day) (all []float64) {
 	for _, dest := range d.Dests {
 		all = append(all, dest.Limit/float64(len(d.Nodes)))
 	}
@@ -114,7 +114,7 @@
 // New returns a Recorder. With an empty dir it writes no files.
 func New(d world.Day, way, dir string, blur time.Duration) (*Recorder, error) {
 	r := &Recorder{check: rules.New(Limits(d, blur)), dir: dir, began: time.Now(),
-		count: figures.New(Classes(d), len(d.Scenario.Tenants), Goal, d.Length, parts(d)),
+		count: figures.New(Classes(d), len(d.Scenario.Tenants), Goal, d.Length, evenShares(d)),
 		summary: Summary{Scenario: d.Scenario.Name, Seed: d.Seed, Way: way, Revision: Revision(), Length: d.Length.Seconds(),
 			Nodes: len(d.Nodes)}}
 	if dir == "" {
@@ -190,7 +190,7 @@
 	a := s.Account
 	p.line("most calls in 2 s from a node to a destination: %.2f of its even part of the limit", f.InWindow)
 	p.line("taken on %d: delivered %d, handed back %d, given up %d, lost %d, with a lost folder %d, open %d; turned away %d",
-		a.Taken, a.Delivered, a.Refused, a.GivenUp, a.Lost, a.Orphans, a.Open, a.Turned)
+		a.Accepted, a.Delivered, a.Refused, a.GivenUp, a.Lost, a.Orphans, a.Open, a.TurnedAway)
 	for _, u := range s.Usage {
 		p.line("node %d: CPU %.2f s, memory %.1f MB, descriptors %d, disk %.2f MB, %d starts, the slowest %.2f s", u.Node, u.CPU, u.RSS, u.Files,
 			u.Disk, u.Starts, u.ReadyMax)
--- a/internal/lab/rules/fleet.go
+++ b/internal/lab/rules/fleet.go
@@ -10,10 +10,10 @@
 
 // The rules of a fleet.
 const (
-	Gone    = "silent is never gone"
-	Later   = "an incarnation never falls"
-	Healed  = "all see all when faults have ended"
-	Through = "no byte between nodes but through the relays"
+	FalseRemoval     = "silent is never gone"
+	IncarnationOrder = "an incarnation never falls"
+	Healed           = "all see all when faults have ended"
+	RelayBypass      = "no byte between nodes but through the relays"
 )
 
 // HealTime is the time after the last fault within which all running nodes must see each other as alive: several periods of the
@@ -44,9 +44,9 @@
 
 // event is a change of one node that the others have to detect.
 type event struct {
-	what string
-	at   time.Duration
-	told map[int]bool
+	what    string
+	at      time.Duration
+	learned map[int]bool
 }
 
 // fleet tracks each node's view of the others. Nodes are identified by index, as in the whole trace.
@@ -74,20 +74,20 @@
 func (f *fleet) record(r trace.Record) {
 	switch r.What {
 	case trace.Ready:
-		f.disturbed(r.At)
+		f.checkCalm(r.At)
 		if !f.up[r.Node] {
 			f.events[r.Node] = &event{"start", r.At, map[int]bool{}}
 		}
 		f.up[r.Node] = true
 	case trace.Start:
-		f.disturbed(r.At)
+		f.checkCalm(r.At)
 		for pair := range f.views { // a restarted node has no views
 			if pair[0] == r.Node {
 				delete(f.views, pair)
 			}
 		}
 	case trace.Stop:
-		f.disturbed(r.At)
+		f.checkCalm(r.At)
 		f.up[r.Node] = false
 		what := "death"
 		if r.Result == "SIGTERM" {
@@ -96,26 +96,26 @@
 		f.events[r.Node] = &event{what, r.At, map[int]bool{}}
 	case trace.Fault:
 		if r.Result == "stop" {
-			f.disturbed(r.At)
+			f.checkCalm(r.At)
 			f.stopped[r.Node] = r.Until
 		}
 	case trace.Net:
-		f.disturbed(r.At)
+		f.checkCalm(r.At)
 		f.any = true
 		f.nets += r.Lines
-	case trace.Word:
-		f.disturbed(r.At)
+	case trace.Removal:
+		f.checkCalm(r.At)
 		f.removed[r.EP] = f.checker.line
 	case trace.Member:
 		f.any = true
 		f.member(r)
-	case trace.Over:
-		f.disturbed(r.At)
+	case trace.RunEnded:
+		f.checkCalm(r.At)
 	}
 }
 
-// quiet returns the time since when there has been no fault, as far as is known at now.
-func (f *fleet) quiet(now time.Duration) time.Duration {
+// calmSince returns the time since when there has been no fault, as far as is known at now.
+func (f *fleet) calmSince(now time.Duration) time.Duration {
 	since := f.last
 	for _, until := range f.stopped {
 		since = max(since, min(until, now))
@@ -123,23 +123,23 @@
 	return since
 }
 
-// disturbed is called before a change of state. If there was no fault for HealTime, it checks that all nodes see each other as
+// checkCalm is called before a change of state. If there was no fault for HealTime, it checks that all nodes see each other as
 // alive.
-func (f *fleet) disturbed(now time.Duration) {
-	since := f.quiet(now)
+func (f *fleet) checkCalm(now time.Duration) {
+	since := f.calmSince(now)
 	if f.nets == 0 && now-since >= HealTime && f.any {
 		f.calm += now - since - HealTime
-		f.whole(now, since)
+		f.checkViews(now, since)
 	}
 	f.last = now
 	maps.DeleteFunc(f.stopped, func(_ int, until time.Duration) bool { return until <= now })
 }
 
-func (f *fleet) whole(now, since time.Duration) {
+func (f *fleet) checkViews(now, since time.Duration) {
 	for _, from := range slices.Sorted(maps.Keys(f.up)) {
 		for _, to := range slices.Sorted(maps.Keys(f.up)) {
 			if v := f.views[[2]int{from, to}]; from != to && f.up[from] && f.up[to] && v.state != "alive" {
-				f.checker.broke(now, Healed, []int{v.line, f.checker.line}, "node %d sees node %d as %q, %.0f s after the last fault", from, to, v.state, (now - since).Seconds())
+				f.checker.report(now, Healed, []int{v.line, f.checker.line}, "node %d sees node %d as %q, %.0f s after the last fault", from, to, v.state, (now - since).Seconds())
 			}
 		}
 	}
@@ -151,19 +151,19 @@
 	v := view{r.Result, r.Call, f.checker.line}
 	f.views[pair] = v
 	if v.incarnation < was.incarnation {
-		f.checker.broke(r.At, Later, []int{was.line, v.line}, "node %d sees node %d under incarnation %d after %d", r.Node, r.EP, v.incarnation, was.incarnation)
+		f.checker.report(r.At, IncarnationOrder, []int{was.line, v.line}, "node %d sees node %d under incarnation %d after %d", r.Node, r.EP, v.incarnation, was.incarnation)
 	}
 	switch {
 	case v.state == "left" && f.left[r.EP] == 0:
-		f.checker.broke(r.At, Gone, []int{v.line}, "node %d sees node %d as left, which was never told to end", r.Node, r.EP)
+		f.checker.report(r.At, FalseRemoval, []int{v.line}, "node %d sees node %d as left, which was never told to end", r.Node, r.EP)
 	case v.state == "removed" && f.removed[r.EP] == 0:
-		f.checker.broke(r.At, Gone, []int{v.line}, "node %d sees node %d as removed, which nobody said", r.Node, r.EP)
-	case v.state == "suspect" && was.state == "alive" && f.up[r.EP] && f.up[r.Node] && f.nets == 0 && r.At-f.quiet(r.At) >= HealTime:
+		f.checker.report(r.At, FalseRemoval, []int{v.line}, "node %d sees node %d as removed, which nobody said", r.Node, r.EP)
+	case v.state == "suspect" && was.state == "alive" && f.up[r.EP] && f.up[r.Node] && f.nets == 0 && r.At-f.calmSince(r.At) >= HealTime:
 		f.suspects++
 	}
-	if e := f.events[r.EP]; e != nil && !e.told[r.Node] {
+	if e := f.events[r.EP]; e != nil && !e.learned[r.Node] {
 		if want := map[string]string{"death": "suspect", "leaving": "left", "start": "alive"}[e.what]; v.state == want {
-			e.told[r.Node] = true
+			e.learned[r.Node] = true
 			f.took[e.what] = append(f.took[e.what], (r.At - e.at).Seconds())
 		}
 	}
--- a/internal/lab/rules/fleet_test.go
+++ b/internal/lab/rules/fleet_test.go
@@ -17,19 +17,19 @@
 // TestEachRuleOfAFleet tests each rule with a trace that violates it and with traces that just comply.
 func TestEachRuleOfAFleet(t *testing.T) {
 	two := []Record{ready(0, 0), ready(0, 1), sees(0.5, 0, 1, "alive", 1), sees(0.5, 1, 0, "alive", 1)}
-	over := Record{At: at(100), What: Over}
+	over := Record{At: at(100), What: RunEnded}
 	for _, c := range []struct {
 		name  string
 		rule  string
 		trace []Record
 	}{
 		{"calm", "", append(two, over)},
-		{"left without a shutdown", Gone, append(two, sees(5, 0, 1, "left", 1), sees(6, 0, 1, "alive", 2), over)},
-		{"left after SIGKILL", Gone, append(two, Record{At: at(4), What: Stop, Node: 1, Result: "SIGKILL"}, sees(5, 0, 1, "left", 1), over)},
+		{"left without a shutdown", FalseRemoval, append(two, sees(5, 0, 1, "left", 1), sees(6, 0, 1, "alive", 2), over)},
+		{"left after SIGKILL", FalseRemoval, append(two, Record{At: at(4), What: Stop, Node: 1, Result: "SIGKILL"}, sees(5, 0, 1, "left", 1), over)},
 		{"left after SIGTERM", "", append(two, Record{At: at(4), What: Stop, Node: 1, Result: "SIGTERM"}, sees(5, 0, 1, "left", 1), over)},
-		{"removed without an operator's request", Gone, append(two, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
-		{"removed by an operator", "", append(two, Record{At: at(4), What: Word, Node: 0, EP: 1}, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
-		{"incarnation decreases", Later, append(two, sees(5, 0, 1, "alive", 3), sees(6, 0, 1, "alive", 2), over)},
+		{"removed without an operator's request", FalseRemoval, append(two, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
+		{"removed by an operator", "", append(two, Record{At: at(4), What: Removal, Node: 0, EP: 1}, sees(5, 0, 1, "removed", 1), sees(6, 0, 1, "alive", 2), over)},
+		{"incarnation decreases", IncarnationOrder, append(two, sees(5, 0, 1, "alive", 3), sees(6, 0, 1, "alive", 2), over)},
 		{"restarted node has no views", "", append(two, sees(5, 0, 1, "alive", 3), Record{At: at(5.5), What: Stop, Node: 0, Result: "lost"},
 			Record{At: at(6), What: Start, Node: 0}, ready(6.1, 0), sees(6.5, 0, 1, "alive", 2), over)},
 		{"suspected without end", Healed, append(two, sees(5, 0, 1, "suspect", 1), over)},
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -35,20 +35,20 @@
 
 // The rules.
 const (
-	Unknown  = "no request that no client sent"
-	Astray   = "only to endpoints of its destination"
-	Twice    = "one attempt at a time"
-	Repeat   = "nothing is repeated outside its class"
-	Ended    = "nothing is sent after its end"
-	Refusal  = "only what never ran is refused"
-	Lost     = "exactly one final answer in time"
-	Drain    = "nothing new to an endpoint that leaves"
-	Wait     = "a told wait is kept"
-	Cold     = "no cold destination is pushed over"
-	Slots    = "no more calls out than slots"
-	Hold     = "no more messages than the hold takes"
-	Attempts = "no more attempts than are allowed"
-	Form     = "the protocol"
+	Unknown             = "no request that no client sent"
+	WrongDestination    = "only to endpoints of its destination"
+	ConcurrentAttempts  = "one attempt at a time"
+	Repeat              = "nothing is repeated outside its class"
+	Ended               = "nothing is sent after its end"
+	Refusal             = "only what never ran is refused"
+	Lost                = "exactly one final answer in time"
+	Drain               = "nothing new to an endpoint that leaves"
+	Wait                = "a told wait is kept"
+	Cold                = "no cold destination is pushed over"
+	Slots               = "no more calls out than slots"
+	Hold                = "no more messages than the hold takes"
+	Attempts            = "no more attempts than are allowed"
+	ProtocolConformance = "the protocol"
 )
 
 // Broken is a violation of a rule.
@@ -71,25 +71,25 @@
 // maxReported is the number of violations of one rule that are reported in detail; further ones are only counted.
 const maxReported = 20
 
-// forgotten is how long after its deadline a message is kept in memory.
-const forgotten = 30 * time.Second
+// retention is how long after its deadline a message is kept in memory.
+const retention = 30 * time.Second
 
 type message struct {
-	id        string
-	node      int
-	class     int
-	dest      int
-	until     time.Duration
-	taken     bool
-	delivered bool
-	noticed   string
-	open      map[uint64]bool
-	attempts  int
-	ran       bool // an attempt may have run
-	ranLine   int
-	lines     []int
-	ended     bool
-	broken    bool // it was reported as lost
+	id           string
+	node         int
+	class        int
+	dest         int
+	until        time.Duration
+	taken        bool
+	delivered    bool
+	noticed      string
+	open         map[uint64]bool
+	attempts     int
+	ran          bool // an attempt may have run
+	ranLine      int
+	lines        []int
+	ended        bool
+	reportedLost bool // it was reported as lost
 }
 
 func (m *message) line(n int) {
@@ -99,16 +99,16 @@
 }
 
 type node struct {
-	down    bool
-	since   time.Duration // start of the current up or down period
-	exempt  time.Duration
-	out     int
-	held    int
-	outOver time.Duration // since when it exceeds its slots; 0: it does not
-	hldOver time.Duration
-	waits   map[int]wait
-	leaves  map[int]time.Duration
-	lines   map[int]int // trace line that reported the endpoint as leaving
+	down     bool
+	since    time.Duration // start of the current up or down period
+	exempt   time.Duration
+	out      int
+	held     int
+	outOver  time.Duration // since when it exceeds its slots; 0: it does not
+	heldOver time.Duration
+	waits    map[int]wait
+	leaves   map[int]time.Duration
+	lines    map[int]int // trace line that reported the endpoint as leaving
 }
 
 type wait struct {
@@ -146,36 +146,36 @@
 
 // Checker checks records one by one. Its memory is bounded by the messages of about one minute.
 type Checker struct {
-	lim      Limits
-	line     int
-	messages map[string]*message
-	nodes    []*node
-	counting time.Duration // when the counts were last checked
-	calls    map[uint64]*message
-	dues     dues
-	old      dues // when to drop messages from memory
-	told     []Broken
-	counts   map[string]int
-	accounts Account
-	fleet    *fleet
+	limits        Limits
+	line          int
+	messages      map[string]*message
+	nodes         []*node
+	countsChecked time.Duration // when the counts were last checked
+	calls         map[uint64]*message
+	dues          dues
+	expiries      dues // when to drop messages from memory
+	violations    []Broken
+	counts        map[string]int
+	accounts      Account
+	fleet         *fleet
 }
 
 // Account counts the outcomes of the submitted tries.
 type Account struct {
-	Tries     int `json:"tries"`
-	Taken     int `json:"taken"`
-	Turned    int `json:"turned"`    // the client was refused or got no answer
-	Delivered int `json:"delivered"` // of those taken
-	Refused   int `json:"refused"`
-	GivenUp   int `json:"given_up"`
-	Lost      int `json:"lost"`
-	Open      int `json:"open"`    // the deadline has not passed
-	Orphans   int `json:"orphans"` // the data directory of the node was lost
+	Tries      int `json:"tries"`
+	Accepted   int `json:"taken"`
+	TurnedAway int `json:"turned"`    // the client was refused or got no answer
+	Delivered  int `json:"delivered"` // of those taken
+	Refused    int `json:"refused"`
+	GivenUp    int `json:"given_up"`
+	Lost       int `json:"lost"`
+	Open       int `json:"open"`    // the deadline has not passed
+	Orphans    int `json:"orphans"` // the data directory of the node was lost
 }
 
 // New returns a Checker.
 func New(l Limits) *Checker {
-	c := &Checker{lim: l, messages: map[string]*message{}, calls: map[uint64]*message{}, counts: map[string]int{}}
+	c := &Checker{limits: l, messages: map[string]*message{}, calls: map[uint64]*message{}, counts: map[string]int{}}
 	c.fleet = newFleet(c)
 	return c
 }
@@ -187,44 +187,44 @@
 	return c.nodes[n]
 }
 
-func (c *Checker) broke(at time.Duration, rule string, lines []int, form string, args ...any) {
+func (c *Checker) report(at time.Duration, rule string, lines []int, form string, args ...any) {
 	if c.counts[rule]++; c.counts[rule] <= maxReported {
-		c.told = append(c.told, Broken{rule, at, fmt.Sprintf(form, args...), slices.Compact(slices.Sorted(slices.Values(lines)))})
+		c.violations = append(c.violations, Broken{rule, at, fmt.Sprintf(form, args...), slices.Compact(slices.Sorted(slices.Values(lines)))})
 	}
 }
 
 // Observe checks one record. Records must be in chronological order.
 func (c *Checker) Observe(r trace.Record) {
 	c.line++
-	c.overdue(r.At)
+	c.checkDeadlines(r.At)
 	c.fleet.record(r)
 	switch r.What {
-	case trace.Born:
+	case trace.Submitted:
 		m := &message{id: r.ID, node: r.Node, class: r.Class, dest: r.Dest, until: r.Until, open: map[uint64]bool{}, lines: []int{c.line}}
 		c.messages[r.ID] = m
 		c.accounts.Tries++
-		heap.Push(&c.dues, due{r.Until + c.lim.Notice + c.lim.Slack, m})
-		heap.Push(&c.old, due{r.Until + forgotten, m})
-	case trace.Taken:
+		heap.Push(&c.dues, due{r.Until + c.limits.Notice + c.limits.Slack, m})
+		heap.Push(&c.expiries, due{r.Until + retention, m})
+	case trace.Accepted:
 		c.taken(r)
-	case trace.Turned:
-		c.accounts.Turned++
+	case trace.TurnedAway:
+		c.accounts.TurnedAway++
 	case trace.Call:
 		c.call(r)
 	case trace.End:
 		c.end(r)
 	case trace.Notice:
 		c.notice(r)
-	case trace.Told:
+	case trace.PhaseReported:
 		n := c.node(r.Node)
 		if r.Result == "active" {
 			delete(n.leaves, r.EP)
 		} else if _, known := n.leaves[r.EP]; !known {
 			n.leaves[r.EP], n.lines[r.EP] = r.At, c.line
 		}
-	case trace.Fell:
+	case trace.Collapsed:
 		if r.Share >= 2.0/3 {
-			c.broke(r.At, Cold, []int{c.line}, "destination %d fell over; %.0f%% of its calls came from nodes that had seen it fail", r.Dest, r.Share*100)
+			c.report(r.At, Cold, []int{c.line}, "destination %d fell over; %.0f%% of its calls came from nodes that had seen it fail", r.Dest, r.Share*100)
 		}
 	case trace.Stop:
 		c.stop(r)
@@ -232,29 +232,29 @@
 		clear(c.node(r.Node).waits) // a restart clears the waits
 	case trace.Ready:
 		n := c.node(r.Node)
-		n.down, n.exempt = false, r.At+c.lim.Restart
+		n.down, n.exempt = false, r.At+c.limits.Restart
 	case trace.Fault:
 		if r.Result == "stop" && r.Until > r.At { // a stopped process (SIGSTOP) cannot send notices
 			n := c.node(r.Node)
-			n.exempt = max(n.exempt, r.Until+c.lim.Restart)
+			n.exempt = max(n.exempt, r.Until+c.limits.Restart)
 		}
-	case trace.Odd:
-		c.broke(r.At, Form, []int{c.line}, "node %d, endpoint %d, message %s: %s", r.Node, r.EP, r.ID, r.Result)
+	case trace.ProtocolError:
+		c.report(r.At, ProtocolConformance, []int{c.line}, "node %d, endpoint %d, message %s: %s", r.Node, r.EP, r.ID, r.Result)
 	}
-	c.counted(r.At)
+	c.checkLimits(r.At)
 }
 
 func (c *Checker) taken(r trace.Record) {
 	m := c.messages[r.ID]
 	if m == nil {
-		c.broke(r.At, Form, []int{c.line}, "node %d took on %s, which nobody sent", r.Node, r.ID)
+		c.report(r.At, ProtocolConformance, []int{c.line}, "node %d took on %s, which nobody sent", r.Node, r.ID)
 		return
 	}
 	m.line(c.line)
 	if m.taken {
 		return
 	}
-	c.accounts.Taken++
+	c.accounts.Accepted++
 	m.taken, m.node = true, r.Node
 	c.node(r.Node).held++
 	if m.delivered || m.noticed != "" { // the platform saw the end before the client saw the acceptance
@@ -267,35 +267,35 @@
 	n := c.node(r.Node)
 	n.out++
 	if m == nil {
-		c.broke(r.At, Unknown, []int{c.line}, "%s came to endpoint %d from node %d", r.ID, r.EP, r.Node)
+		c.report(r.At, Unknown, []int{c.line}, "%s came to endpoint %d from node %d", r.ID, r.EP, r.Node)
 		return
 	}
 	lines := append(slices.Clone(m.lines), c.line)
 	m.line(c.line)
 	c.calls[r.Call] = m
-	if r.EP < len(c.lim.Dest) && c.lim.Dest[r.EP] != m.dest {
-		c.broke(r.At, Astray, lines, "%s is for destination %d and came to endpoint %d of %d", r.ID, m.dest, r.EP, c.lim.Dest[r.EP])
+	if r.EP < len(c.limits.Dest) && c.limits.Dest[r.EP] != m.dest {
+		c.report(r.At, WrongDestination, lines, "%s is for destination %d and came to endpoint %d of %d", r.ID, m.dest, r.EP, c.limits.Dest[r.EP])
 	}
 	if len(m.open) > 0 {
-		c.broke(r.At, Twice, lines, "%s came to endpoint %d while an earlier call was out", r.ID, r.EP)
+		c.report(r.At, ConcurrentAttempts, lines, "%s came to endpoint %d while an earlier call was out", r.ID, r.EP)
 	}
-	if c.never(m) && m.ran {
-		c.broke(r.At, Repeat, lines, "%s may have run (line %d) and came to endpoint %d again", r.ID, m.ranLine, r.EP)
+	if c.neverRepeat(m) && m.ran {
+		c.report(r.At, Repeat, lines, "%s may have run (line %d) and came to endpoint %d again", r.ID, m.ranLine, r.EP)
 	}
 	if m.noticed != "" {
-		c.broke(r.At, Ended, lines, "%s came to endpoint %d after its notice (%s)", r.ID, r.EP, m.noticed)
+		c.report(r.At, Ended, lines, "%s came to endpoint %d after its notice (%s)", r.ID, r.EP, m.noticed)
 	}
-	if m.attempts++; c.lim.MaxAttempts > 0 && m.attempts > c.lim.MaxAttempts {
-		c.broke(r.At, Attempts, lines, "%s came for the %dth time", r.ID, m.attempts)
+	if m.attempts++; c.limits.MaxAttempts > 0 && m.attempts > c.limits.MaxAttempts {
+		c.report(r.At, Attempts, lines, "%s came for the %dth time", r.ID, m.attempts)
 	}
 	m.open[r.Call] = true
-	if at, leaves := n.leaves[r.EP]; leaves && r.Since > at+c.lim.DrainGrace+c.lim.Slack {
-		c.broke(r.At, Drain, []int{n.lines[r.EP], c.line}, "node %d sent %s to endpoint %d, %.0f ms after it was told that it leaves",
+	if at, leaves := n.leaves[r.EP]; leaves && r.Since > at+c.limits.DrainGrace+c.limits.Slack {
+		c.report(r.At, Drain, []int{n.lines[r.EP], c.line}, "node %d sent %s to endpoint %d, %.0f ms after it was told that it leaves",
 			r.Node, r.ID, r.EP, ms(r.Since-at))
 	}
 	if w, told := n.waits[m.dest]; told {
-		if r.At > w.told+c.lim.WaitPasses && r.At < w.until {
-			c.broke(r.At, Wait, []int{w.line, c.line}, "node %d sent %s to destination %d, %.0f ms before the end of a wait",
+		if r.At > w.told+c.limits.WaitPasses && r.At < w.until {
+			c.report(r.At, Wait, []int{w.line, c.line}, "node %d sent %s to destination %d, %.0f ms before the end of a wait",
 				r.Node, r.ID, m.dest, ms(w.until-r.At))
 		}
 		if r.At >= w.until {
@@ -306,7 +306,9 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (c *Checker) never(m *message) bool { return m.class < len(c.lim.Never) && c.lim.Never[m.class] }
+func (c *Checker) neverRepeat(m *message) bool {
+	return m.class < len(c.limits.Never) && c.limits.Never[m.class]
+}
 
 func (c *Checker) end(r trace.Record) {
 	n := c.node(r.Node)
@@ -326,13 +328,13 @@
 	default:
 		m.ran, m.ranLine = true, c.line
 		if r.Status == 200 {
-			c.over(m, "delivered")
+			c.recordEnd(m, "delivered")
 		}
 	}
 }
 
-// over records the end of a message, once.
-func (c *Checker) over(m *message, how string) {
+// recordEnd records the end of a message, once.
+func (c *Checker) recordEnd(m *message, how string) {
 	switch how {
 	case "delivered":
 		m.delivered = true
@@ -361,24 +363,24 @@
 func (c *Checker) notice(r trace.Record) {
 	m := c.messages[r.ID]
 	if m == nil {
-		c.broke(r.At, Unknown, []int{c.line}, "a notice for %s from node %d", r.ID, r.Node)
+		c.report(r.At, Unknown, []int{c.line}, "a notice for %s from node %d", r.ID, r.Node)
 		return
 	}
 	lines := append(slices.Clone(m.lines), c.line)
 	m.line(c.line)
-	if r.Result == "handed_back" && !m.delivered && c.never(m) && (m.ran || len(m.open) > 0) {
-		c.broke(r.At, Refusal, lines, "%s may have run (line %d) and was handed back", r.ID, m.ranLine)
+	if r.Result == "handed_back" && !m.delivered && c.neverRepeat(m) && (m.ran || len(m.open) > 0) {
+		c.report(r.At, Refusal, lines, "%s may have run (line %d) and was handed back", r.ID, m.ranLine)
 	}
 	if m.noticed != "" && m.noticed != r.Result {
-		c.broke(r.At, Lost, lines, "%s ended as %s and then as %s", r.ID, m.noticed, r.Result)
+		c.report(r.At, Lost, lines, "%s ended as %s and then as %s", r.ID, m.noticed, r.Result)
 	}
-	c.over(m, r.Result)
+	c.recordEnd(m, r.Result)
 }
 
 func (c *Checker) stop(r trace.Record) {
 	n := c.node(r.Node)
 	if r.Result == "member" { // the other members continue and take over its messages
-		n.exempt = r.At + c.lim.Restart
+		n.exempt = r.At + c.limits.Restart
 		return
 	}
 	n.down, n.since, n.exempt = true, r.At, 0
@@ -394,12 +396,12 @@
 	}
 }
 
-// overdue reports accepted messages whose deadline passed without an end.
-func (c *Checker) overdue(now time.Duration) {
+// checkDeadlines reports accepted messages whose deadline passed without an end.
+func (c *Checker) checkDeadlines(now time.Duration) {
 	for len(c.dues) > 0 && c.dues[0].at < now {
 		d := heap.Pop(&c.dues).(due)
 		m := d.message
-		if !m.taken || m.ended || m.broken {
+		if !m.taken || m.ended || m.reportedLost {
 			continue
 		}
 		n := c.node(m.node)
@@ -411,40 +413,40 @@
 			heap.Push(&c.dues, due{again, m})
 			continue
 		}
-		m.broken = true
+		m.reportedLost = true
 		c.accounts.Lost++
-		c.broke(d.at, Lost, m.lines, "%s was taken on by node %d and had no end %.0f ms after its time", m.id, m.node, ms(d.at-m.until))
+		c.report(d.at, Lost, m.lines, "%s was taken on by node %d and had no end %.0f ms after its time", m.id, m.node, ms(d.at-m.until))
 	}
-	for len(c.old) > 0 && c.old[0].at < now {
-		m := heap.Pop(&c.old).(due).message
-		if m.taken && !m.ended && !m.broken { // its node is still down
-			heap.Push(&c.old, due{now + forgotten, m})
+	for len(c.expiries) > 0 && c.expiries[0].at < now {
+		m := heap.Pop(&c.expiries).(due).message
+		if m.taken && !m.ended && !m.reportedLost { // its node is still down
+			heap.Push(&c.expiries, due{now + retention, m})
 			continue
 		}
 		delete(c.messages, m.id)
 	}
 }
 
-// counted reports nodes that have exceeded a limit for longer than Limits.Blur.
-func (c *Checker) counted(now time.Duration) {
-	if now-c.counting < 5*time.Millisecond {
+// checkLimits reports nodes that have exceeded a limit for longer than Limits.Blur.
+func (c *Checker) checkLimits(now time.Duration) {
+	if now-c.countsChecked < 5*time.Millisecond {
 		return
 	}
-	c.counting = now
+	c.countsChecked = now
 	for i, n := range c.nodes {
-		c.overFor(now, i, n.out, c.lim.Slots, &n.outOver, Slots, "calls out")
-		c.overFor(now, i, n.held, c.lim.MaxOpen, &n.hldOver, Hold, "messages")
+		c.checkLimit(now, i, n.out, c.limits.Slots, &n.outOver, Slots, "calls out")
+		c.checkLimit(now, i, n.held, c.limits.MaxOpen, &n.heldOver, Hold, "messages")
 	}
 }
 
-func (c *Checker) overFor(now time.Duration, i, count, most int, since *time.Duration, rule, what string) {
+func (c *Checker) checkLimit(now time.Duration, i, count, most int, since *time.Duration, rule, what string) {
 	switch {
 	case most <= 0 || count <= most:
 		*since = 0
 	case *since == 0:
 		*since = max(now, 1)
-	case *since > 0 && now-*since > c.lim.Blur:
-		c.broke(now, rule, []int{c.line}, "node %d has had over %d %s for %.0f ms", i, most, what, ms(now-*since))
+	case *since > 0 && now-*since > c.limits.Blur:
+		c.report(now, rule, []int{c.line}, "node %d has had over %d %s for %.0f ms", i, most, what, ms(now-*since))
 		*since = -1 // reported once, until the count is within the limit again
 	}
 }
@@ -455,16 +457,16 @@
 // Finish ends the check and returns the violations and the account. Messages that have not ended and whose deadline has not passed
 // are counted as open.
 func (c *Checker) Finish(now time.Duration) ([]Broken, Account) {
-	c.overdue(now)
+	c.checkDeadlines(now)
 	for _, m := range c.messages {
-		if m.taken && !m.ended && !m.broken {
+		if m.taken && !m.ended && !m.reportedLost {
 			c.accounts.Open++
 		}
 	}
 	for _, rule := range slices.Sorted(maps.Keys(c.counts)) {
 		if more := c.counts[rule] - maxReported; more > 0 {
-			c.told = append(c.told, Broken{rule, now, fmt.Sprintf("and %d times more", more), nil})
+			c.violations = append(c.violations, Broken{rule, now, fmt.Sprintf("and %d times more", more), nil})
 		}
 	}
-	return c.told, c.accounts
+	return c.violations, c.accounts
 }
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -19,9 +19,9 @@
 )
 
 func born(s float64, id string, class int) Record {
-	return Record{At: at(s), What: Born, ID: id, Origin: id, Class: class, Until: at(s + 10)}
+	return Record{At: at(s), What: Submitted, ID: id, Origin: id, Class: class, Until: at(s + 10)}
 }
-func taken(s float64, id string) Record { return Record{At: at(s), What: Taken, ID: id} }
+func taken(s float64, id string) Record { return Record{At: at(s), What: Accepted, ID: id} }
 func call(s float64, id string, n uint64) Record {
 	return Record{At: at(s), What: Call, ID: id, Call: n, Since: at(s)}
 }
@@ -38,7 +38,7 @@
 	start := []Record{born(1, "a", charge), taken(1.01, "a")}
 	told := end(2, "a", 1, 429, "")
 	told.Wait = time.Second
-	leaving := Record{At: at(1), What: Told, EP: 1, Result: "leaving"}
+	leaving := Record{At: at(1), What: PhaseReported, EP: 1, Result: "leaving"}
 	drained := on(call(3.2, "a", 1), 1)
 	justDrained := on(call(3.04, "a", 1), 1)
 	slow := on(call(3.5, "a", 1), 1) // its first byte was in time
@@ -52,8 +52,8 @@
 	}{
 		{"unknown", Unknown, []Record{call(1, "x", 1)}, "x came to endpoint 0"},
 		{"unknown notice", Unknown, []Record{notice(1, "x", "given_up")}, "notice for x"},
-		{"wrong destination", Astray, append(start, on(call(2, "a", 1), 2)), "for destination 0 and came to endpoint 2 of 1"},
-		{"two at once", Twice, append(start, call(2, "a", 1), on(call(2.1, "a", 2), 1)), "while an earlier call was out"},
+		{"wrong destination", WrongDestination, append(start, on(call(2, "a", 1), 2)), "for destination 0 and came to endpoint 2 of 1"},
+		{"two at once", ConcurrentAttempts, append(start, call(2, "a", 1), on(call(2.1, "a", 2), 1)), "while an earlier call was out"},
 		{"one after another", "", append(start, call(2, "a", 1), end(2.1, "a", 1, 503, ""), call(2.2, "a", 2), end(2.3, "a", 2, 200, "")), ""},
 		{"charge again after an error", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), call(2.2, "a", 2)), "may have run (line 4)"},
 		{"charge again after the call was abandoned", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 0, Closed), call(2.2, "a", 2)), ""},
@@ -80,8 +80,8 @@
 		{"wait is over", "", append(start, call(1.9, "a", 1), told, call(3, "a", 2), end(3.2, "a", 2, 200, "")), ""},
 		{"wait and a restart", "", append(start, call(1.9, "a", 1), told, Record{At: at(2.1), What: Stop, Result: "SIGKILL"}, Record{At: at(2.5), What: Start},
 			call(2.6, "a", 2), end(2.7, "a", 2, 200, "")), ""},
-		{"cold", Cold, []Record{{At: at(3), What: Fell, Dest: 1, Share: 0.7}}, "70% of its calls"},
-		{"fell because of uninformed nodes", "", []Record{{At: at(3), What: Fell, Dest: 1, Share: 0.5}}, ""},
+		{"cold", Cold, []Record{{At: at(3), What: Collapsed, Dest: 1, Share: 0.7}}, "70% of its calls"},
+		{"fell because of uninformed nodes", "", []Record{{At: at(3), What: Collapsed, Dest: 1, Share: 0.5}}, ""},
 		{"attempts", Attempts, append(start, call(2, "a", 1), end(2.1, "a", 1, 503, ""), call(2.2, "a", 2), end(2.3, "a", 2, 503, ""),
 			call(2.4, "a", 3), end(2.5, "a", 3, 503, ""), call(2.6, "a", 4), end(2.7, "a", 4, 200, "")), "4th time"},
 		{"slots", Slots, []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), call(1.1, "a", 1), call(1.1, "b", 2),
@@ -90,8 +90,8 @@
 			call(1.1, "c", 3), end(1.15, "a", 1, 200, ""), born(1.3, "e", status)}, ""},
 		{"hold", Hold, []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), taken(1.1, "a"), taken(1.1, "b"),
 			taken(1.1, "c"), born(1.15, "d", status), born(1.3, "e", status)}, "over 2 messages"},
-		{"protocol violation", Form, []Record{{At: at(1), What: Odd, Result: "the body is not the client's"}}, "the body"},
-		{"acceptance of an unknown message", Form, []Record{taken(1, "x")}, "nobody sent"},
+		{"protocol violation", ProtocolConformance, []Record{{At: at(1), What: ProtocolError, Result: "the body is not the client's"}}, "the body"},
+		{"acceptance of an unknown message", ProtocolConformance, []Record{taken(1, "x")}, "nobody sent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := New(limits)
@@ -116,7 +116,7 @@
 func TestEachAttemptIsAccountedFor(t *testing.T) {
 	k := New(limits)
 	for _, r := range []Record{born(1, "a", status), taken(1, "a"), call(1, "a", 1), end(1.1, "a", 1, 200, ""),
-		born(1, "b", status), {At: at(1.1), What: Turned, ID: "b", Status: 503},
+		born(1, "b", status), {At: at(1.1), What: TurnedAway, ID: "b", Status: 503},
 		born(1.2, "c", status), taken(1.2, "c"), notice(2, "c", "handed_back"),
 		born(2, "d", status), taken(2, "d"), notice(3, "d", "given_up"),
 		born(3, "e", status), call(3.01, "e", 2), end(3.05, "e", 2, 200, ""), taken(3.1, "e"), // delivered before its client knew that it was accepted
@@ -128,7 +128,7 @@
 	if len(broken) > 0 {
 		t.Fatal(broken)
 	}
-	want := Account{Tries: 7, Taken: 6, Turned: 1, Delivered: 2, Refused: 1, GivenUp: 1, Orphans: 1, Open: 1}
+	want := Account{Tries: 7, Accepted: 6, TurnedAway: 1, Delivered: 2, Refused: 1, GivenUp: 1, Orphans: 1, Open: 1}
 	if a != want {
 		t.Errorf("%+v, want %+v", a, want)
 	}
@@ -146,7 +146,7 @@
 	if n := len(k.messages); n > 5000 {
 		t.Errorf("%d messages are kept", n)
 	}
-	if n := len(k.dues) + len(k.old) + len(k.calls); n > 10000 {
+	if n := len(k.dues) + len(k.expiries) + len(k.calls); n > 10000 {
 		t.Errorf("%d entries are queued", n)
 	}
 }
--- a/internal/lab/scenario/override.go
+++ b/internal/lab/scenario/override.go
@@ -29,7 +29,7 @@
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		value, err := valueOf(settings[key])
+		value, err := parseValue(settings[key])
 		if err != nil {
 			return Scenario{}, fmt.Errorf("%s=%s: %w", key, settings[key], err)
 		}
@@ -87,7 +87,7 @@
 	return list
 }
 
-func valueOf(text string) (any, error) {
+func parseValue(text string) (any, error) {
 	if n, err := strconv.ParseFloat(text, 64); err == nil {
 		return n, nil
 	}
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -129,7 +129,7 @@
 	d.drawNodes(r, total)
 	d.drawMessages(total)
 	d.drawTroubles()
-	d.heat()
+	d.redirectToHot()
 	return d
 }
 
@@ -265,12 +265,12 @@
 		}
 	}
 	slices.SortStableFunc(d.Messages, func(a, b Message) int { return int(a.At - b.At) })
-	d.shares(total * draw(r, s.Load.AllowanceX))
+	d.markShares(total * draw(r, s.Load.AllowanceX))
 }
 
-// shares marks the messages that lie within their tenant's share of the allowance, given in messages per second: a token bucket that
+// markShares marks the messages that lie within their tenant's share of the allowance, given in messages per second: a token bucket that
 // holds two seconds' worth.
-func (d *Day) shares(all float64) {
+func (d *Day) markShares(all float64) {
 	s := &d.Scenario
 	if len(s.Tenants) == 0 {
 		for i := range d.Messages {
@@ -337,8 +337,8 @@
 	slices.SortStableFunc(d.Troubles, func(a, b Fault) int { return int(a.From - b.From) })
 }
 
-// heat redirects messages to hot destinations.
-func (d *Day) heat() {
+// redirectToHot redirects messages to hot destinations.
+func (d *Day) redirectToHot() {
 	for n, t := range d.Troubles {
 		if t.What != "hot" {
 			continue
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -13,7 +13,7 @@
 		for i, n := range t.Targets {
 			w.at(t.From+time.Duration(i)*t.Each, func() {
 				w.note(trace.Record{At: w.now, What: trace.Fault, Result: t.What, Node: n, Until: t.Until})
-				w.host.Strike(w.now, t, n)
+				w.host.ApplyNodeFault(w.now, t, n)
 			})
 		}
 		return
@@ -52,7 +52,7 @@
 		return
 	case "down":
 		e.down = true
-		w.lose(n)
+		w.breakCalls(n)
 	case "silent":
 		e.silent = true
 	case "hang":
@@ -62,15 +62,15 @@
 	case "errors":
 		e.errs = t.Size
 	}
-	w.knock(n)
+	w.updateDialResult(n)
 	if o := &w.dests[d]; !o.outage {
-		o.outage, o.cold, o.knows = true, false, map[int]bool{}
+		o.outage, o.cold, o.sawOutage = true, false, map[int]bool{}
 	}
-	w.at(t.Until, func() { w.returns(t, n) })
+	w.at(t.Until, func() { w.endOutage(t, n) })
 }
 
-// lose breaks off all calls of an endpoint.
-func (w *World) lose(n int) {
+// breakCalls breaks off all calls of an endpoint.
+func (w *World) breakCalls(n int) {
 	e := &w.eps[n]
 	served, waiting := e.served, e.waiting
 	e.served, e.waiting, e.busy = nil, nil, 0
@@ -83,11 +83,11 @@
 	}
 }
 
-// returns ends an outage; from then on the destination is cold.
-func (w *World) returns(t Fault, n int) {
+// endOutage ends an outage; from then on the destination is cold.
+func (w *World) endOutage(t Fault, n int) {
 	e := &w.eps[n]
 	d := &w.dests[w.Day.Endpoints[n].Dest]
-	if d.fallen {
+	if d.collapsed {
 		return
 	}
 	switch t.What {
@@ -110,7 +110,7 @@
 	if d.outage {
 		d.outage, d.cold, d.back, d.reached = false, true, w.now, nil
 	}
-	w.knock(n)
+	w.updateDialResult(n)
 	w.note(trace.Record{At: w.now, What: trace.Fault, Result: "end of " + t.What, EP: n})
 }
 
@@ -128,11 +128,11 @@
 	return w.Day.ColdFrom + (1-w.Day.ColdFrom)*float64(since)/float64(w.Day.WarmUp)
 }
 
-// weigh counts calls that reach a cold destination. The destination collapses if a window exceeds the budget by more than two
+// countColdArrival counts calls that reach a cold destination. The destination collapses if a window exceeds the budget by more than two
 // standard deviations of random arrivals.
-func (w *World) weigh(n, node int) {
+func (w *World) countColdArrival(n, node int) {
 	d := &w.dests[n]
-	if d.outage || d.fallen || w.warmth(n) >= 1 {
+	if d.outage || d.collapsed || w.warmth(n) >= 1 {
 		return
 	}
 	rules := w.Day.Scenario.Rules
@@ -147,16 +147,16 @@
 	}
 	knew := 0
 	for _, a := range d.reached {
-		if d.knows[a.node] {
+		if d.sawOutage[a.node] {
 			knew++
 		}
 	}
-	d.fallen = true
-	w.note(trace.Record{At: w.now, What: trace.Fell, Dest: n, Share: float64(knew) / float64(len(d.reached))})
+	d.collapsed = true
+	w.note(trace.Record{At: w.now, What: trace.Collapsed, Dest: n, Share: float64(knew) / float64(len(d.reached))})
 	for _, ep := range w.Day.Dests[n].Endpoints {
 		w.eps[ep].down = true
-		w.knock(ep)
-		w.lose(ep)
+		w.updateDialResult(ep)
+		w.breakCalls(ep)
 	}
 }
 
@@ -181,8 +181,8 @@
 			at := w.now + seconds(draw(r, w.Day.Scenario.Discovery.NoticeS))
 			latest = max(latest, at)
 			w.at(at, func() {
-				w.told[node][n] = phase
-				w.note(trace.Record{At: w.now, What: trace.Told, Node: node, EP: n, Result: string(phase)})
+				w.reported[node][n] = phase
+				w.note(trace.Record{At: w.now, What: trace.PhaseReported, Node: node, EP: n, Result: string(phase)})
 				w.host.Listed(w.now, node, []int{n})
 			})
 		}
@@ -190,8 +190,8 @@
 	}
 	if t.What == "gone" {
 		e.phase, e.down = Left, true
-		w.knock(n)
-		w.lose(n)
+		w.updateDialResult(n)
+		w.breakCalls(n)
 		tell(Left)
 		return
 	}
@@ -199,8 +199,8 @@
 	grace := millis(w.Day.Scenario.Rules.DrainGraceMs)
 	w.at(tell(Leaving)+2*grace, func() {
 		e.phase, e.down = Left, true
-		w.knock(n)
-		w.lose(n)
+		w.updateDialResult(n)
+		w.breakCalls(n)
 		tell(Left)
 	})
 }
--- a/internal/lab/world/settings.go
+++ b/internal/lab/world/settings.go
@@ -69,7 +69,7 @@
 		rate = w.Day.Dests[d].Capacity
 	}
 	return Member{ID: fmt.Sprintf("s-%08x", ep+1), HostPort: hostPort, Locality: "lab",
-		Flavor: w.Day.Scenario.Kinds[w.Day.Dests[d].Kind].Name, Cell: d, Phase: w.told[node][ep], Size: rate}
+		Flavor: w.Day.Scenario.Kinds[w.Day.Dests[d].Kind].Name, Cell: d, Phase: w.reported[node][ep], Size: rate}
 }
 
 // Try is a client's attempt to submit a message.
@@ -90,10 +90,10 @@
 	return m.At + seconds(d.Scenario.Classes[m.Class].DeadlineS)
 }
 
-// Born returns the record of a client's new try.
-func (d *Day) Born(t Try) trace.Record {
+// Submitted returns the record of a client's new try.
+func (d *Day) Submitted(t Try) trace.Record {
 	m := d.Messages[t.Message]
-	r := trace.Record{At: t.At, What: trace.Born, ID: t.ID(), Origin: ID(t.Message, 0), Node: t.Node, Dest: m.Dest, Class: m.Class,
+	r := trace.Record{At: t.At, What: trace.Submitted, ID: t.ID(), Origin: ID(t.Message, 0), Node: t.Node, Dest: m.Dest, Class: m.Class,
 		Tenant: m.Tenant, Until: d.Until(t), Share: 1}
 	if !m.Inside {
 		r.Share = 0.1
@@ -101,9 +101,9 @@
 	return r
 }
 
-// Refused returns the client's next try after a refusal, and whether there is one. wait is the wait named by the refusal, or 0. The
+// RetryAfterRefusal returns the client's next try after a refusal, and whether there is one. wait is the wait named by the refusal, or 0. The
 // next try goes to a random node.
-func (d *Day) Refused(t Try, now, wait time.Duration) (Try, bool) {
+func (d *Day) RetryAfterRefusal(t Try, now, wait time.Duration) (Try, bool) {
 	if t.Number >= d.Retries {
 		return Try{}, false
 	}
@@ -116,8 +116,8 @@
 	return next, next.At < d.Until(t)
 }
 
-// Died returns the client's next try after its node failed or did not answer, and whether there is one.
-func (d *Day) Died(t Try, now time.Duration) (Try, bool) {
+// RetryAfterFailure returns the client's next try after its node failed or did not answer, and whether there is one.
+func (d *Day) RetryAfterFailure(t Try, now time.Duration) (Try, bool) {
 	r := Random(d.Seed, "died", uint64(t.Message), uint64(t.Number))
 	next := Try{Message: t.Message, Number: t.Number + 1, At: now + millis(draw(r, d.Scenario.Clients.AgainMs)),
 		Node: r.IntN(len(d.Nodes)), Again: true}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -16,10 +16,10 @@
 	Answer(now time.Duration, a Answer)
 	// Listed notifies a node's agent that the phases of some endpoints have changed.
 	Listed(now time.Duration, node int, eps []int)
-	// Door reports a change in how an endpoint treats new connections.
-	Door(now time.Duration, ep int, as Dialled)
-	// Strike applies a fault to a node.
-	Strike(now time.Duration, t Fault, node int)
+	// DialResultChanged reports a change in how an endpoint treats new connections.
+	DialResultChanged(now time.Duration, ep int, as DialResult)
+	// ApplyNodeFault applies a fault to a node.
+	ApplyNodeFault(now time.Duration, t Fault, node int)
 }
 
 // Answer is the end of a call.
@@ -65,8 +65,8 @@
 	last  uint64
 	eps   []endpoint
 	dests []dest
-	// told holds, for each node, the phases that its agent reports, by endpoint
-	told [][]Phase
+	// reported holds, for each node, the phases that its agent reports, by endpoint
+	reported [][]Phase
 }
 
 type call struct {
@@ -79,35 +79,35 @@
 }
 
 type endpoint struct {
-	phase   Phase
-	busy    int
-	waiting []*call
-	conns   int
-	door    Dialled // last value reported to the host
-	down    bool    // refuses connections
-	silent  bool    // neither accepts connections nor sends answers
-	hang    bool
-	shut    time.Duration // refuses all calls until then
-	errs    float64
-	slow    float64
-	paused  time.Duration // until then
-	served  []*call       // calls that are being served
-	held    []*call       // accepted and never answered
-	rng     *rand.Rand
+	phase      Phase
+	busy       int
+	waiting    []*call
+	conns      int
+	dialResult DialResult // last value reported to the host
+	down       bool       // refuses connections
+	silent     bool       // neither accepts connections nor sends answers
+	hang       bool
+	shut       time.Duration // refuses all calls until then
+	errs       float64
+	slow       float64
+	paused     time.Duration // until then
+	served     []*call       // calls that are being served
+	held       []*call       // accepted and never answered
+	rng        *rand.Rand
 }
 
 type dest struct {
-	factor  float64 // of the limit, while it is lowered
-	from    time.Duration
-	used    float64
-	shown   policy.Allowance // value that answers report now
-	rng     *rand.Rand
-	outage  bool
-	knows   map[int]bool // nodes that saw it fail during the last outage
-	cold    bool
-	back    time.Duration // since when it is cold
-	reached []arrival     // calls within one window while it is cold
-	fallen  bool
+	factor    float64 // of the limit, while it is lowered
+	from      time.Duration
+	used      float64
+	shown     policy.Allowance // value that answers report now
+	rng       *rand.Rand
+	outage    bool
+	sawOutage map[int]bool // nodes that saw it fail during the last outage
+	cold      bool
+	back      time.Duration // since when it is cold
+	reached   []arrival     // calls within one window while it is cold
+	collapsed bool
 }
 
 type arrival struct {
@@ -124,17 +124,17 @@
 	}
 	w.dests = make([]dest, len(d.Dests))
 	for i := range w.dests {
-		w.dests[i] = dest{factor: 1, rng: Random(d.Seed, "destination", uint64(i)), knows: map[int]bool{}}
+		w.dests[i] = dest{factor: 1, rng: Random(d.Seed, "destination", uint64(i)), sawOutage: map[int]bool{}}
 		if d.Dests[i].Limit > 0 {
 			w.dests[i].shown = policy.Allowance{Limit: d.Dests[i].Limit, Left: 1}
-			w.at(time.Duration(w.dests[i].rng.Int64N(int64(d.ReportEvery))), func() { w.refresh(i) })
+			w.at(time.Duration(w.dests[i].rng.Int64N(int64(d.ReportEvery))), func() { w.refreshReport(i) })
 		}
 	}
-	w.told = make([][]Phase, len(d.Nodes))
-	for i := range w.told {
-		w.told[i] = make([]Phase, len(w.eps))
-		for j := range w.told[i] {
-			w.told[i][j] = Active
+	w.reported = make([][]Phase, len(d.Nodes))
+	for i := range w.reported {
+		w.reported[i] = make([]Phase, len(w.eps))
+		for j := range w.reported[i] {
+			w.reported[i][j] = Active
 		}
 	}
 	for _, t := range d.Troubles {
@@ -159,48 +159,48 @@
 func (w *World) at(t time.Duration, do func()) { w.queue.At(max(t, w.now), do) }
 
 // Phases returns the phases that a node's agent reports, by endpoint.
-func (w *World) Phases(node int) []Phase { return w.told[node] }
+func (w *World) Phases(node int) []Phase { return w.reported[node] }
 
-// Dialled is the result of a connection attempt to an endpoint.
-type Dialled int
+// DialResult is the result of a connection attempt to an endpoint.
+type DialResult int
 
 // The results.
 const (
-	Accepted Dialled = iota
+	Accepted DialResult = iota
 	Refused
-	Unheard // no answer: the connection attempt times out
+	NoAnswer // no answer: the connection attempt times out
 )
 
-// door returns the current result of a connection attempt to an endpoint.
-func (w *World) door(ep int) Dialled {
+// dialResult returns the current result of a connection attempt to an endpoint.
+func (w *World) dialResult(ep int) DialResult {
 	e := &w.eps[ep]
 	full := w.Day.Endpoints[ep].Conns > 0 && e.conns >= w.Day.Endpoints[ep].Conns
 	switch {
 	case e.silent:
-		return Unheard
+		return NoAnswer
 	case e.down || full || e.phase == Left:
 		return Refused
 	}
 	return Accepted
 }
 
-// knock notifies the host if an endpoint now treats new connections differently.
-func (w *World) knock(ep int) {
-	if as := w.door(ep); as != w.eps[ep].door {
-		w.eps[ep].door = as
-		w.host.Door(w.now, ep, as)
+// updateDialResult notifies the host if an endpoint now treats new connections differently.
+func (w *World) updateDialResult(ep int) {
+	if as := w.dialResult(ep); as != w.eps[ep].dialResult {
+		w.eps[ep].dialResult = as
+		w.host.DialResultChanged(w.now, ep, as)
 	}
 }
 
 // Dial opens a connection from a node to an endpoint. Each accepted connection must be released by Hangup.
-func (w *World) Dial(now time.Duration, node, ep int) Dialled {
+func (w *World) Dial(now time.Duration, node, ep int) DialResult {
 	w.Advance(now)
 	e := &w.eps[ep]
-	switch w.door(ep) {
-	case Unheard:
+	switch w.dialResult(ep) {
+	case NoAnswer:
 		w.note(trace.Record{At: now, What: trace.NoConn, Node: node, EP: ep, Result: "silent"})
 		w.observe(ep, node)
-		return Unheard
+		return NoAnswer
 	case Refused:
 		w.note(trace.Record{At: now, What: trace.NoConn, Node: node, EP: ep, Result: "refused"})
 		if e.down {
@@ -209,7 +209,7 @@
 		return Refused
 	}
 	e.conns++
-	w.knock(ep)
+	w.updateDialResult(ep)
 	w.note(trace.Record{At: now, What: trace.Conn, Node: node, EP: ep})
 	return Accepted
 }
@@ -217,7 +217,7 @@
 // Hangup closes a connection on which no call is in flight.
 func (w *World) Hangup(ep int) {
 	w.eps[ep].conns--
-	w.knock(ep)
+	w.updateDialResult(ep)
 }
 
 // Call starts a call whose last byte the node has just written, and returns the call's number. The answer, if there is one, is
@@ -288,7 +288,7 @@
 // observe records that a node knows of an outage.
 func (w *World) observe(ep, node int) {
 	if d := &w.dests[w.Day.Endpoints[ep].Dest]; d.outage {
-		d.knows[node] = true
+		d.sawOutage[node] = true
 	}
 }
 
@@ -296,7 +296,7 @@
 func (w *World) arrive(c *call) {
 	e, spec := &w.eps[c.EP], w.Day.Endpoints[c.EP]
 	d := &w.dests[spec.Dest]
-	w.weigh(spec.Dest, c.Node)
+	w.countColdArrival(spec.Dest, c.Node)
 	switch {
 	case e.down:
 		w.breakOff(c)
@@ -412,7 +412,7 @@
 		}
 		return false, tells(millis(draw(d.rng, k.WaitMs)))
 	}
-	w.roll(n)
+	w.rollWindow(n)
 	most := math.Max(1, math.Round(limit*spec.Window.Seconds()))
 	over := d.used >= most
 	if !over && !full || spec.RefusedCount {
@@ -427,8 +427,8 @@
 	return true, 0
 }
 
-// roll starts a new limit window if the last one has ended.
-func (w *World) roll(n int) {
+// rollWindow starts a new limit window if the last one has ended.
+func (w *World) rollWindow(n int) {
 	spec, d := &w.Day.Dests[n], &w.dests[n]
 	from := (w.now-spec.Phase+spec.Window)/spec.Window*spec.Window + spec.Phase - spec.Window
 	if from != d.from {
@@ -436,13 +436,13 @@
 	}
 }
 
-// refresh updates the limit that answers report, after the report delay, and schedules the next update.
-func (w *World) refresh(n int) {
+// refreshReport updates the limit that answers report, after the report delay, and schedules the next update.
+func (w *World) refreshReport(n int) {
 	spec, d := &w.Day.Dests[n], &w.dests[n]
 	limit := w.limit(n)
 	left := 1.0
 	if w.Day.Scenario.Kinds[spec.Kind].Limit == "window" {
-		w.roll(n)
+		w.rollWindow(n)
 		left = 1 - d.used/math.Max(1, math.Round(limit*spec.Window.Seconds()))
 	} else {
 		left = 1 - max(0, d.used-(w.now-d.from).Seconds()*limit)/max(1, limit/5)
@@ -451,7 +451,7 @@
 	told := policy.Allowance{Limit: max(0, limit*noise()), Left: min(1, max(0, left*noise()))}
 	w.at(w.now+w.Day.ReportDelay, func() { d.shown = told })
 	if w.now < w.Day.Length+time.Minute {
-		w.at(w.now+w.Day.ReportEvery, func() { w.refresh(n) })
+		w.at(w.now+w.Day.ReportEvery, func() { w.refreshReport(n) })
 	}
 }
 
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -11,22 +11,24 @@
 	"dunetide/internal/lab/trace"
 )
 
-// host keeps what the world says.
+// host records the calls that the world makes.
 type host struct {
 	answers []Answer
 	at      []time.Duration
-	doors   []Dialled
+	doors   []DialResult
 	told    int
 }
 
 func (h *host) Answer(now time.Duration, a Answer) {
 	h.answers, h.at = append(h.answers, a), append(h.at, now)
 }
-func (h *host) Listed(time.Duration, int, []int)        { h.told++ }
-func (h *host) Door(_ time.Duration, _ int, as Dialled) { h.doors = append(h.doors, as) }
-func (h *host) Strike(time.Duration, Fault, int)        {}
+func (h *host) Listed(time.Duration, int, []int) { h.told++ }
+func (h *host) DialResultChanged(_ time.Duration, _ int, as DialResult) {
+	h.doors = append(h.doors, as)
+}
+func (h *host) ApplyNodeFault(time.Duration, Fault, int) {}
 
-// one is a world of one destination with one endpoint and no noise.
+// one returns a world with one destination, one endpoint and no report noise.
 func one(change func(*Day)) (*World, *host, *[]trace.Record) {
 	s := scenario.Default()
 	s.Dest.Count, s.Dest.Endpoints = scenario.Range{1, 1}, scenario.Range{1, 1}
@@ -50,7 +52,7 @@
 	return all
 }
 
-func TestASpanTakesItsCountAndTellsItsEnd(t *testing.T) {
+func TestAWindowLimitsCallsAndReportsItsEnd(t *testing.T) {
 	w, h, _ := one(nil)
 	for i := range 6 {
 		w.Call(100*time.Millisecond, Attempt{ID: "a", Message: 0, Try: i})
@@ -65,13 +67,13 @@
 	if !reflect.DeepEqual(count, map[int]int{200: 5, 429: 2}) {
 		t.Errorf("got %v", count)
 	}
-	// It arrived after 10 ms, and the span ends at 1 s.
+	// The call arrived after 10 ms, and the window ends at 1 s.
 	if a := h.answers[0]; a.Status != 429 || a.Wait != 890*time.Millisecond || h.at[0] != 120*time.Millisecond {
 		t.Errorf("got %+v at %v", a, h.at[0])
 	}
 }
 
-func TestRefusedCallsUseALimitUp(t *testing.T) {
+func TestRefusedCallsCountAgainstTheLimit(t *testing.T) {
 	w, _, _ := one(func(d *Day) { d.Dests[0].RefusedCount = true })
 	for i := range 6 {
 		w.Call(100*time.Millisecond, Attempt{Try: i})
@@ -90,7 +92,7 @@
 	}
 }
 
-func TestReportsAreLate(t *testing.T) {
+func TestReportsAreDelayed(t *testing.T) {
 	w, h, _ := one(func(d *Day) {
 		d.ReportEvery, d.ReportDelay = 200*time.Millisecond, 300*time.Millisecond
 		d.Troubles = []Fault{{What: "lower", From: time.Second, Until: time.Minute, Targets: []int{0}, Size: 0.5}}
@@ -99,16 +101,16 @@
 	w.Call(1200*time.Millisecond, Attempt{Try: 1})
 	w.Advance(1300 * time.Millisecond)
 	if w.dests[0].shown.Limit != 4 {
-		t.Errorf("told at once: %v", w.dests[0].shown)
+		t.Errorf("reported at once: %v", w.dests[0].shown)
 	}
 	w.Call(2*time.Second, Attempt{Try: 2})
 	w.Advance(4 * time.Second)
 	if r := h.answers[len(h.answers)-1].Report; r.Limit != 2 {
-		t.Errorf("told %v", r)
+		t.Errorf("reported %v", r)
 	}
 }
 
-func TestAnOutageBreaksOffAndComesBackCold(t *testing.T) {
+func TestAnOutageBreaksCallsAndLeavesTheDestinationCold(t *testing.T) {
 	w, h, notes := one(func(d *Day) {
 		d.Dests[0].Limit, d.Dests[0].Capacity, d.ColdFrom, d.WarmUp = 0, 10, 0.3, 10*time.Second
 		d.Troubles = []Fault{{What: "down", From: time.Second, Until: 3 * time.Second, Targets: []int{0}}}
@@ -118,21 +120,21 @@
 	if s := h.statuses(); len(s) != 1 || s[0] != 0 {
 		t.Fatalf("got %v", s)
 	}
-	if !reflect.DeepEqual(h.doors, []Dialled{Refused}) || w.Dial(2*time.Second, 1, 0) != Refused {
-		t.Errorf("doors %v", h.doors)
+	if !reflect.DeepEqual(h.doors, []DialResult{Refused}) || w.Dial(2*time.Second, 1, 0) != Refused {
+		t.Errorf("dial results %v", h.doors)
 	}
 	w.Advance(3 * time.Second)
 	if got := w.warmth(0); got != 0.3 {
 		t.Errorf("warmth %v", got)
 	}
-	// A window takes 1.5 times 10 a second times 0.3 to 0.5: some 15, and chance beside it.
+	// A window allows 1.5 times 10 calls a second times a warmth of 0.3 to 0.5, so about 15, plus random deviation.
 	for i := range 40 {
 		w.Call(3500*time.Millisecond+time.Duration(i)*time.Millisecond, Attempt{ID: "b", Message: 0, Try: i, Node: 1})
 	}
 	w.Advance(4 * time.Second)
 	var fell []trace.Record
 	for _, r := range *notes {
-		if r.What == trace.Fell {
+		if r.What == trace.Collapsed {
 			fell = append(fell, r)
 		}
 	}
@@ -141,18 +143,18 @@
 	}
 	w.Advance(20 * time.Second)
 	if w.Dial(20*time.Second, 1, 0) != Refused {
-		t.Error("it stands up again")
+		t.Error("the collapsed destination accepts connections again")
 	}
 }
 
-func TestAWarmOneDoesNotFall(t *testing.T) {
+func TestAWarmDestinationDoesNotCollapse(t *testing.T) {
 	w, _, notes := one(func(d *Day) { d.Dests[0].Limit, d.Dests[0].Capacity = 0, 10 })
 	for i := range 500 {
 		w.Call(time.Duration(i)*time.Millisecond, Attempt{ID: "b", Message: 0, Try: i})
 	}
 	w.Advance(20 * time.Second)
 	for _, r := range *notes {
-		if r.What == trace.Fell {
+		if r.What == trace.Collapsed {
 			t.Error(r)
 		}
 	}
@@ -160,16 +162,16 @@
 
 func TestConnectionsAreCapped(t *testing.T) {
 	w, h, _ := one(func(d *Day) { d.Endpoints[0].Conns = 2 })
-	got := []Dialled{w.Dial(0, 0, 0), w.Dial(0, 1, 0), w.Dial(0, 1, 0)}
+	got := []DialResult{w.Dial(0, 0, 0), w.Dial(0, 1, 0), w.Dial(0, 1, 0)}
 	w.Hangup(0)
 	got = append(got, w.Dial(0, 1, 0))
-	if !reflect.DeepEqual(got, []Dialled{Accepted, Accepted, Refused, Accepted}) ||
-		!reflect.DeepEqual(h.doors, []Dialled{Refused, Accepted, Refused}) {
-		t.Errorf("got %v, doors %v", got, h.doors)
+	if !reflect.DeepEqual(got, []DialResult{Accepted, Accepted, Refused, Accepted}) ||
+		!reflect.DeepEqual(h.doors, []DialResult{Refused, Accepted, Refused}) {
+		t.Errorf("got %v, dial results %v", got, h.doors)
 	}
 }
 
-func TestAHandshakeCostsTime(t *testing.T) {
+func TestAHandshakeAddsDelay(t *testing.T) {
 	w, h, _ := one(func(d *Day) { d.Handshake = 40 * time.Millisecond })
 	w.Call(0, Attempt{Message: 0, Try: 1})
 	w.Call(0, Attempt{Message: 0, Try: 1, Fresh: true})
@@ -179,27 +181,27 @@
 	}
 }
 
-func TestADrainIsToldLateAndThenItGoes(t *testing.T) {
+func TestADrainIsNotifiedLateAndThenTheEndpointLeaves(t *testing.T) {
 	w, h, notes := one(func(d *Day) {
 		d.Troubles = []Fault{{What: "drain", From: time.Second, Until: time.Second, Targets: []int{0}}}
 	})
 	w.Advance(time.Second)
 	if w.Phases(0)[0] != Active {
-		t.Error("told at once")
+		t.Error("notified at once")
 	}
 	w.Advance(20 * time.Second)
 	var phases []string
 	for _, r := range *notes {
-		if r.What == trace.Told && r.Node == 0 {
+		if r.What == trace.PhaseReported && r.Node == 0 {
 			phases = append(phases, r.Result)
 		}
 	}
 	if !reflect.DeepEqual(phases, []string{"leaving", "left"}) || h.told != 4 {
-		t.Errorf("phases %v, told %d times", phases, h.told)
+		t.Errorf("phases %v, notified %d times", phases, h.told)
 	}
 }
 
-func TestHangingOnesTakeWorkAndAnswerNothing(t *testing.T) {
+func TestHangingEndpointsAcceptCallsWithoutAnswering(t *testing.T) {
 	w, h, _ := one(func(d *Day) {
 		d.Troubles = []Fault{{What: "hang", From: time.Second, Until: 4 * time.Second, Targets: []int{0}}}
 	})
@@ -216,7 +218,7 @@
 	}
 }
 
-func TestPausesHoldAllThatIsServed(t *testing.T) {
+func TestPausesDelayCallsBeingServed(t *testing.T) {
 	w, h, _ := one(func(d *Day) {
 		d.Troubles = []Fault{{What: "pauses", From: 50 * time.Millisecond, Until: 60 * time.Millisecond, Targets: []int{0}, Size: 500}}
 	})
@@ -230,14 +232,14 @@
 func TestSeedDeterminesTheRun(t *testing.T) {
 	s := scenario.Default()
 	if a, b := Draw(s, 5), Draw(s, 5); !reflect.DeepEqual(a, b) {
-		t.Error("two days of one seed differ")
+		t.Error("two draws of one seed differ")
 	}
 	if a, b := Draw(s, 5), Draw(s, 6); reflect.DeepEqual(a.Messages, b.Messages) {
-		t.Error("two seeds give one day")
+		t.Error("two seeds give the same messages")
 	}
 }
 
-// TestTrafficIsWhatWasAskedFor holds the draw against the scenario's figures.
+// TestTrafficIsWhatWasAskedFor compares drawn traffic with the scenario's parameters.
 func TestTrafficIsWhatWasAskedFor(t *testing.T) {
 	s := scenario.Default()
 	s.LengthS, s.Load.Level, s.Dest.Count, s.Dest.Rate = scenario.Range{100, 100}, scenario.Range{0.5, 0.5}, scenario.Range{20, 20}, scenario.Range{4, 4}
--- a/scenarios/control/days_test.go
+++ b/scenarios/control/days_test.go
@@ -1,4 +1,4 @@
-// Package control holds days with troubles for the control side, which the script play plays on any deployment.
+// Package control holds days with faults for the control plane, which the script play runs on any deployment.
 package control
 
 import (
@@ -13,8 +13,8 @@
 
 const longestDay = 120 // seconds
 
-// trouble is one entry of a day's plan or faults. Fields that would name a zone, service or class of one
-// deployment are left out, so that decoding refuses them.
+// trouble is one entry of a day's plan or faults. It has no fields that name a zone, service or class of a particular deployment, so
+// that decoding rejects them.
 type trouble struct {
 	At    float64 `toml:"at"`
 	Kind  string  `toml:"kind"`
@@ -51,7 +51,7 @@
 	t.Helper()
 	paths, err := filepath.Glob("*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no days are found: %v", err)
+		t.Fatalf("found no days: %v", err)
 	}
 	var days []day
 	for _, path := range paths {
@@ -61,24 +61,24 @@
 		}
 		var file dayFile
 		if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(&file); err != nil {
-			t.Fatalf("%s can't be played on every deployment, or can't be read: %v", path, err)
+			t.Fatalf("%s is not valid, or names parts of one deployment: %v", path, err)
 		}
 		if len(file.Days) != 1 || file.Days[0].Name+".toml" != path {
-			t.Fatalf("%s has to hold one day of the file's name", path)
+			t.Fatalf("%s must hold one day, named like the file", path)
 		}
 		days = append(days, file.Days[0])
 	}
 	return days
 }
 
-func TestDaysAreSound(t *testing.T) {
+func TestDaysAreValid(t *testing.T) {
 	seeds := map[int64]string{}
 	for _, d := range readDays(t) {
 		if d.LengthS <= 0 || d.LengthS > longestDay {
 			t.Errorf("%s: length_s is %v, want up to %d", d.Name, d.LengthS, longestDay)
 		}
 		if other, taken := seeds[d.Seed]; taken || d.Seed == 0 {
-			t.Errorf("%s: seed %d is that of %q too", d.Name, d.Seed, other)
+			t.Errorf("%s: seed %d is zero or also used by %q", d.Name, d.Seed, other)
 		}
 		seeds[d.Seed] = d.Name
 		for _, entry := range slices.Concat(d.Plan, d.Faults) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// Each kind of trouble that may come without being listed for a deployment is in at least one day.
-func TestDaysHoldEveryKindThatMayComeToo(t *testing.T) {
+// Each kind of fault that may occur without being listed for a deployment is in at least one day.
+func TestDaysCoverEveryUnlistedKind(t *testing.T) {
 	kinds := map[string]bool{}
 	for _, d := range readDays(t) {
 		for _, entry := range slices.Concat(d.Plan, d.Faults) {
@@ -105,8 +105,8 @@
 	}
 }
 
-// Some days hold more than a hundred changes of the configuration.
-func TestSomeDaysHoldAHundredChanges(t *testing.T) {
+// At least one day has more than a hundred configuration changes.
+func TestADayHasAHundredChanges(t *testing.T) {
 	most := 0
 	for _, d := range readDays(t) {
 		changes := 0
@@ -121,6 +121,6 @@
 		most = max(most, changes)
 	}
 	if most <= 100 {
-		t.Errorf("the most changes of a day are %d", most)
+		t.Errorf("no day has more than %d changes, want more than 100", most)
 	}
 }
--- a/scenarios/control/play_test.go
+++ b/scenarios/control/play_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// playRoot is a repository that holds the script, one day, a site file and a bench that leaves the given journal entry.
+// playRoot returns a repository that holds the script, one day, a site file and a bench that writes the given journal entry.
 func playRoot(t *testing.T, entry string, benchStatus int) string {
 	t.Helper()
 	root := t.TempDir()
@@ -33,7 +33,7 @@
 	return root
 }
 
-// play runs the script and returns what it printed and its exit status.
+// play runs the script and returns its output and exit status.
 func play(t *testing.T, root string, arguments ...string) (output string, status int) {
 	t.Helper()
 	command := exec.Command(filepath.Join(root, "scenarios/control/play"), arguments...)
