--- a/cmd/dunetide-lab/compare.go
+++ b/cmd/dunetide-lab/compare.go
@@ -154,7 +154,7 @@
 			return "", clean, err
 		}
 		temporary := dir
-		clean = func() { _ = os.RemoveAll(temporary) } // a temporary folder
+		clean = func() { _ = os.RemoveAll(temporary) } // a temporary directory
 	}
 	if dir, err = filepath.Abs(dir); err != nil {
 		return "", clean, err
@@ -217,7 +217,7 @@
 func (c *compareCommand) playSide(ctx context.Context, v variant, seed uint64, out string) (record.Summary, error) {
 	drawn := world.Draw(v.scenario, seed)
 	if c.Way == "sim" {
-		return playInStep(ctx, drawn, out)
+		return playSimulated(ctx, drawn, out)
 	}
 	return playLive(ctx, drawn, out, v.program, v.flags)
 }
@@ -451,7 +451,7 @@
 func (c *sweepCommand) playPoint(ctx context.Context, s scenario.Scenario) (sweepRow, error) {
 	row := sweepRow{least: math.Inf(1), most: math.Inf(-1)}
 	for n := range c.Seeds {
-		sum, err := playInStep(ctx, world.Draw(s, c.First+uint64(n)), "")
+		sum, err := playSimulated(ctx, world.Draw(s, c.First+uint64(n)), "")
 		if err != nil {
 			return row, err
 		}
--- a/cmd/dunetide-lab/hollow.go
+++ b/cmd/dunetide-lab/hollow.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(work) }() // a temporary folder
+	defer func() { _ = os.RemoveAll(work) }() // a temporary directory
 	program, err := tierProgram(ctx, c.Program, work)
 	if err != nil {
 		return err
--- a/cmd/dunetide-lab/main.go
+++ b/cmd/dunetide-lab/main.go
@@ -122,14 +122,14 @@
 	if c.Nodes > 0 {
 		s.Nodes.Count = c.Nodes
 	}
-	sum, err := playInStep(ctx, world.Draw(s, c.Seed), c.Out)
+	sum, err := playSimulated(ctx, world.Draw(s, c.Seed), c.Out)
 	if err != nil {
 		return err
 	}
 	return printSummary(sum)
 }
 
-func playInStep(ctx context.Context, d world.Day, dir string) (record.Summary, error) {
+func playSimulated(ctx context.Context, d world.Day, dir string) (record.Summary, error) {
 	r, err := record.New(d, "sim", dir, time.Millisecond)
 	if err != nil {
 		return record.Summary{}, err
@@ -202,8 +202,8 @@
 	return program, clean, nil
 }
 
-// lateShare is the share of tries that the lab may submit late before a run is invalid.
-const lateShare = 0.01
+// maxLateShare is the share of tries that the lab may submit late before a run is invalid.
+const maxLateShare = 0.01
 
 func playLive(ctx context.Context, d world.Day, dir, program string, flags []string) (record.Summary, error) {
 	work := dir
@@ -212,7 +212,7 @@
 		if err != nil {
 			return record.Summary{}, err
 		}
-		defer func() { _ = os.RemoveAll(tmp) }() // a temporary folder
+		defer func() { _ = os.RemoveAll(tmp) }() // a temporary directory
 		work = tmp
 	}
 	r, err := record.New(d, "run", dir, blur)
@@ -229,7 +229,7 @@
 	uses, err := live.Run(ctx, o)
 	sum, wrote := r.Finish(func(s *record.Summary) {
 		s.Variant = strings.Join(flags, " ")
-		if late := s.Figures.LateSends; float64(late) > lateShare*float64(s.Figures.Tries) {
+		if late := s.Figures.LateSends; float64(late) > maxLateShare*float64(s.Figures.Tries) {
 			s.Invalid = fmt.Sprintf("the lab submitted %d of %d tries late: the load generator fell behind", late, s.Figures.Tries)
 		}
 		if err != nil {
--- a/cmd/dunetide-lab/main_test.go
+++ b/cmd/dunetide-lab/main_test.go
@@ -42,7 +42,7 @@
 		scenario.Fault{What: "drain", AtS: scenario.Range{1, 1}, Part: scenario.Range{0.1, 0.1}})
 	s.Load.Level = scenario.Range{0.9, 0.9}
 	d := world.Draw(s, 3)
-	one, err := playInStep(t.Context(), d, "")
+	one, err := playSimulated(t.Context(), d, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 	if err := os.Symlink("/dev/full", filepath.Join(dir, "trace.jsonl")); err != nil {
 		t.Fatal(err)
 	}
-	sum, err := playInStep(t.Context(), world.Draw(short(20), 1), dir)
+	sum, err := playSimulated(t.Context(), world.Draw(short(20), 1), dir)
 	if err == nil || !strings.Contains(err.Error(), "the trace ends after") || !errors.Is(err, os.ErrInvalid) && !strings.Contains(err.Error(), "no space left") {
 		t.Error(err)
 	}
--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(work) }() // a temporary folder
+	defer func() { _ = os.RemoveAll(work) }() // a temporary directory
 	program := c.Program
 	if program == "" && !c.Show {
 		program = filepath.Join(work, "dunetide")
@@ -98,7 +98,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return false, err
 	}
-	account, err := soak.Play(ctx, soak.Options{Program: program, Dir: dir, Plan: plan, Logf: say})
+	account, err := soak.Play(ctx, soak.Options{Program: program, Dir: dir, Plan: plan, Logf: logf})
 	if err != nil {
 		return true, errors.Join(fmt.Errorf("seed %d: %w", plan.Seed, err), c.keep(dir, plan.Seed))
 	}
@@ -129,14 +129,14 @@
 // shrink removes faults from a plan as long as a rule is still violated without them.
 func (c *soakCommand) shrink(ctx context.Context, program, work string, plan soak.Plan) error {
 	for i := 0; i < len(plan.Faults); {
-		less := plan
-		less.Faults = slices.Delete(slices.Clone(plan.Faults), i, i+1)
-		bad, err := c.play(ctx, program, work, less, false)
+		reduced := plan
+		reduced.Faults = slices.Delete(slices.Clone(plan.Faults), i, i+1)
+		bad, err := c.play(ctx, program, work, reduced, false)
 		if err != nil {
 			return err
 		}
 		if bad {
-			plan = less
+			plan = reduced
 		} else {
 			i++
 		}
--- a/cmd/dunetide-lab/tier.go
+++ b/cmd/dunetide-lab/tier.go
@@ -49,10 +49,10 @@
 	return program, dir, stop, nil
 }
 
-func say(form string, args ...any) { fmt.Fprintf(os.Stderr, form+"\n", args...) }
+func logf(form string, args ...any) { fmt.Fprintf(os.Stderr, form+"\n", args...) }
 
-// ended returns the error with which the program exits for an account.
-func ended(a tier.Account) error {
+// exitError returns the error with which the program exits for an account.
+func exitError(a tier.Account) error {
 	switch {
 	case len(a.Violations) > 0:
 		return errBroken
@@ -75,14 +75,14 @@
 	if c.Faults {
 		faults = append([]string{"store", "keeper", "engine"}, faults...)
 	}
-	a, err := tier.Play(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, Faults: faults, CorruptAnswers: c.Spoil, Load: c.Load, Logf: say})
+	a, err := tier.Play(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, Faults: faults, CorruptAnswers: c.Spoil, Load: c.Load, Logf: logf})
 	if err != nil && a.Kinds == nil {
 		return err
 	}
 	if err := errors.Join(err, a.Print(os.Stdout), a.Save(dir)); err != nil {
 		return err
 	}
-	return ended(a)
+	return exitError(a)
 }
 
 type certificationCommand struct {
@@ -103,14 +103,14 @@
 		return err
 	}
 	defer stop()
-	a, err := tier.PlayCertification(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, CorruptAnswers: c.Spoil, Load: c.Load, Logf: say})
+	a, err := tier.PlayCertification(ctx, tier.Options{Program: program, Dir: dir, Seed: c.Seed, Length: c.Length, CorruptAnswers: c.Spoil, Load: c.Load, Logf: logf})
 	if err != nil && a.Kinds == nil {
 		return err
 	}
 	if err := errors.Join(err, a.Print(os.Stdout), a.Save(dir)); err != nil {
 		return err
 	}
-	return ended(a.Account)
+	return exitError(a.Account)
 }
 
 // tierProgram returns the path of the tier's program: the named one, or the one of this checkout, which it builds into a directory.
--- a/internal/lab/faults/carrier.go
+++ b/internal/lab/faults/carrier.go
@@ -82,15 +82,15 @@
 // carry relays a connection. While the pair is cut, the connection is established, as the kernel accepts it, but stalls before its
 // first byte.
 func (r *carrier) carry(conn net.Conn, from, to int, dial func(context.Context) (net.Conn, error)) {
-	life, end := context.WithCancel(r.ctx)
+	connCtx, end := context.WithCancel(r.ctx)
 	defer end()
 	defer conn.Close()
-	stop := context.AfterFunc(life, func() { _ = conn.Close() })
+	stop := context.AfterFunc(connCtx, func() { _ = conn.Close() })
 	defer stop()
 	out := make(chan piece, maxQueuedPieces)
 	var running sync.WaitGroup
 	defer running.Wait()
-	running.Go(func() { r.read(life, conn, out, from, to) })
+	running.Go(func() { r.read(connCtx, conn, out, from, to) })
 	for r.cutEitherWay(from, to) {
 		_, change := r.At(from, to)
 		if !r.cutEitherWay(from, to) {
@@ -98,23 +98,23 @@
 		}
 		select {
 		case <-change:
-		case <-life.Done():
+		case <-connCtx.Done():
 			return
 		}
 	}
-	other, err := dial(life)
+	other, err := dial(connCtx)
 	if err != nil {
 		abort(conn) // connection refused
 		end()
 		return
 	}
 	defer other.Close()
-	defer context.AfterFunc(life, func() { _ = other.Close() })()
+	defer context.AfterFunc(connCtx, func() { _ = other.Close() })()
 	back := make(chan piece, maxQueuedPieces)
-	running.Go(func() { r.read(life, other, back, to, from) })
-	running.Go(func() { r.write(life, end, conn, other, back, to, from) })
-	r.write(life, end, other, conn, out, from, to)
-	<-life.Done()
+	running.Go(func() { r.read(connCtx, other, back, to, from) })
+	running.Go(func() { r.write(connCtx, end, conn, other, back, to, from) })
+	r.write(connCtx, end, other, conn, out, from, to)
+	<-connCtx.Done()
 }
 
 func (r *carrier) cutEitherWay(from, to int) bool {
@@ -129,7 +129,7 @@
 	at   time.Time
 }
 
-func (r *carrier) read(life context.Context, conn net.Conn, out chan<- piece, from, to int) {
+func (r *carrier) read(connCtx context.Context, conn net.Conn, out chan<- piece, from, to int) {
 	defer close(out)
 	buf := make([]byte, pieceSize)
 	for {
@@ -142,14 +142,14 @@
 			}
 			select {
 			case out <- piece{b, time.Now().Add(d)}:
-			case <-life.Done():
+			case <-connCtx.Done():
 				return
 			}
 		}
 		if err != nil {
 			select {
 			case out <- piece{nil, time.Now()}:
-			case <-life.Done():
+			case <-connCtx.Done():
 			}
 			return
 		}
@@ -157,7 +157,7 @@
 }
 
 // write writes chunks to the connection, subject to the current fault.
-func (r *carrier) write(life context.Context, end func(), conn, source net.Conn, in <-chan piece, from, to int) {
+func (r *carrier) write(connCtx context.Context, end func(), conn, source net.Conn, in <-chan piece, from, to int) {
 	defer end()
 	sent := 0
 	pause := func(d time.Duration) bool {
@@ -169,7 +169,7 @@
 		select {
 		case <-t.C:
 			return true
-		case <-life.Done():
+		case <-connCtx.Done():
 			return false
 		}
 	}
@@ -184,14 +184,14 @@
 			}
 			select {
 			case <-change:
-			case <-life.Done():
+			case <-connCtx.Done():
 				return
 			}
 		}
 		f, _ := r.At(from, to)
 		if f.Swallow {
 			if len(p.data) == 0 { // the end of the stream is swallowed too
-				<-life.Done()
+				<-connCtx.Done()
 				return
 			}
 			continue
--- a/internal/lab/figures/figures.go
+++ b/internal/lab/figures/figures.go
@@ -146,7 +146,7 @@
 		}
 	case trace.Call:
 		c.figures.Calls++
-		c.inWindow(r)
+		c.countInWindow(r)
 		if w := c.window(r.At); w != nil {
 			w.Calls++
 		}
@@ -181,7 +181,7 @@
 	minShareCalls = 4
 )
 
-func (c *Counter) inWindow(r trace.Record) {
+func (c *Counter) countInWindow(r trace.Record) {
 	if r.Dest >= len(c.evenShares) || c.evenShares[r.Dest]*shareWindow.Seconds() < minShareCalls {
 		return
 	}
--- a/internal/lab/insim/insim.go
+++ b/internal/lab/insim/insim.go
@@ -50,21 +50,21 @@
 }
 
 type node struct {
-	me       int
-	sender   *policy.Sender
-	batch    []policy.Event
-	actions  []policy.Action
-	due      time.Duration // of the scheduled step; 0: none
-	wake     time.Duration
-	phase    time.Duration // offset of its ticks
-	up       bool
-	stopped  bool // by SIGSTOP: it does nothing until it is resumed
-	held     map[policy.MessageID]*message
-	order    []policy.MessageID // held messages, oldest first
-	pools    [][]*conn          // idle connections, by endpoint
-	memories map[int]*memory
-	out      map[*attempt]bool
-	life     int
+	me         int
+	sender     *policy.Sender
+	batch      []policy.Event
+	actions    []policy.Action
+	due        time.Duration // of the scheduled step; 0: none
+	wake       time.Duration
+	phase      time.Duration // offset of its ticks
+	up         bool
+	stopped    bool // by SIGSTOP: it does nothing until it is resumed
+	held       map[policy.MessageID]*message
+	order      []policy.MessageID // held messages, oldest first
+	pools      [][]*conn          // idle connections, by endpoint
+	memories   map[int]*memory
+	out        map[*attempt]bool
+	generation int
 }
 
 type message struct {
@@ -90,22 +90,22 @@
 }
 
 type attempt struct {
-	node   *node
-	life   int
-	msg    *message
-	number int
-	ep     int
-	sent   time.Duration
-	conn   *conn
-	call   uint64 // call number in the world; 0 while it connects
-	done   bool
+	node       *node
+	generation int
+	msg        *message
+	number     int
+	ep         int
+	sent       time.Duration
+	conn       *conn
+	call       uint64 // call number in the world; 0 while it connects
+	done       bool
 }
 
 func newSim(d world.Day, note func(trace.Record)) (*sim, error) {
 	s := &sim{day: d, note: note, calls: map[uint64]*attempt{}, tries: map[policy.MessageID]world.Try{}, end: d.Length}
 	settings, err := wire.DecodeSettings(d.Settings(0))
 	if err != nil {
-		return nil, fmt.Errorf("the settings of the day: %w", err)
+		return nil, fmt.Errorf("decoding the settings of the day: %w", err)
 	}
 	s.settings = settings
 	s.world = world.New(d, s, note)
@@ -143,7 +143,7 @@
 			}
 		}
 		if still > maxSteps {
-			return fmt.Errorf("the clock stands still at %v after %d steps", s.now, still)
+			return fmt.Errorf("the clock is stuck at %v after %d steps", s.now, still)
 		}
 		s.now = at
 		if has && theirs <= at {
@@ -214,9 +214,9 @@
 		return
 	}
 	n.due = at
-	life := n.life
+	generation := n.generation
 	s.at(at, func() {
-		if n.life == life && n.due == at {
+		if n.generation == generation && n.due == at {
 			s.step(n)
 		}
 	})
@@ -285,7 +285,7 @@
 func (s *sim) send(n *node, a policy.Send) {
 	m := n.held[a.Message]
 	ep := int(a.Endpoint) - 1
-	t := &attempt{node: n, life: n.life, ep: ep, sent: s.now, msg: m}
+	t := &attempt{node: n, generation: n.generation, ep: ep, sent: s.now, msg: m}
 	if m == nil {
 		s.note(trace.Record{At: s.now, What: trace.ProtocolError, Node: n.me, EP: ep, Result: "the policy sent a message that it does not hold"})
 		return
@@ -334,7 +334,7 @@
 }
 
 func (s *sim) timeout(t *attempt) {
-	if t.done || t.life != t.node.life || t.node.stopped {
+	if t.done || t.generation != t.node.generation || t.node.stopped {
 		return
 	}
 	s.hangUp(t)
@@ -374,9 +374,9 @@
 	c := t.conn
 	c.idle = now
 	n.pools[t.ep] = append(n.pools[t.ep], c)
-	life, uses := n.life, c.uses
+	generation, uses := n.generation, c.uses
 	s.at(now+seconds(s.day.Scenario.Rules.IdleS), func() {
-		if n.life == life && c.uses == uses {
+		if n.generation == generation && c.uses == uses {
 			s.closeConn(n, c)
 		}
 	})
@@ -412,7 +412,7 @@
 // endAttempt reports the end of an attempt to the policy.
 func (s *sim) endAttempt(t *attempt, o policy.Outcome, wait time.Duration, told policy.Allowance) {
 	n, m := t.node, t.msg
-	if t.done || t.life != n.life {
+	if t.done || t.generation != n.generation {
 		return
 	}
 	t.done = true
@@ -478,10 +478,10 @@
 }
 
 // start starts a node with the state and the messages that its journal holds.
-func (s *sim) start(n *node, owed []*message) {
-	n.life++
+func (s *sim) start(n *node, unfinished []*message) {
+	n.generation++
 	n.up, n.due, n.wake, n.batch = true, 0, 0, nil
-	n.sender = policy.New(s.settings, world.Random(s.day.Seed, "sender", uint64(n.me), uint64(n.life)).Uint64())
+	n.sender = policy.New(s.settings, world.Random(s.day.Seed, "sender", uint64(n.me), uint64(n.generation)).Uint64())
 	n.held, n.order, n.out = map[policy.MessageID]*message{}, nil, map[*attempt]bool{}
 	n.pools = make([][]*conn, len(s.day.Endpoints))
 	if n.memories == nil {
@@ -507,7 +507,7 @@
 		r.Runs = m.runs
 		n.batch = append(n.batch, r)
 	}
-	for _, m := range owed {
+	for _, m := range unfinished {
 		n.held[m.id] = m
 		n.order = append(n.order, m.id)
 		n.batch = append(n.batch, s.arrived(m))
@@ -532,9 +532,9 @@
 			return
 		}
 		n.stopped = true
-		life := n.life
+		generation := n.generation
 		s.at(t.Until, func() {
-			if n.life != life {
+			if n.generation != generation {
 				return
 			}
 			n.stopped = false
@@ -585,12 +585,12 @@
 	for ep := range n.pools {
 		s.closeIdle(n, ep)
 	}
-	var owed []*message
+	var unfinished []*message
 	for _, id := range n.order {
-		owed = append(owed, n.held[id])
+		unfinished = append(unfinished, n.held[id])
 	}
 	if lost {
-		for _, m := range owed {
+		for _, m := range unfinished {
 			if m.ran && s.settings.Classes[s.day.Messages[m.try.Message].Class].Repeat == policy.AtMostOnce {
 				continue
 			}
@@ -598,13 +598,13 @@
 				s.at(next.At, func() { s.submit(next) })
 			}
 		}
-		owed, n.memories = nil, nil
+		unfinished, n.memories = nil, nil
 	}
-	life := n.life
+	generation := n.generation
 	s.at(s.now+restartTime, func() {
-		if n.life == life {
+		if n.generation == generation {
 			s.note(trace.Record{At: s.now, What: trace.Start, Node: n.me})
-			s.start(n, owed)
+			s.start(n, unfinished)
 		}
 	})
 }
--- a/internal/lab/insim/insim_test.go
+++ b/internal/lab/insim/insim_test.go
@@ -126,7 +126,7 @@
 	var again func()
 	again = func() { s.at(s.now, again) }
 	s.at(time.Second, again)
-	if err := s.run(nil); err == nil || !strings.Contains(err.Error(), "the clock stands still at 1s") {
+	if err := s.run(nil); err == nil || !strings.Contains(err.Error(), "the clock is stuck at 1s") {
 		t.Error(err)
 	}
 }
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -22,7 +22,7 @@
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`
 	NotOwed  int     `json:"not_owed"`
-	Worth    float64 `json:"worth"` // earned of what was owed, 0 to 1
+	Worth    float64 `json:"worth"` // fraction earned of the owed worth, 0 to 1
 }
 
 // Event is a fault or planned work.
@@ -149,8 +149,8 @@
 // partPrice is the part of rows that are deductions.
 const partPrice = "price"
 
-// leastRow is the smallest loss that is listed as a row.
-const leastRow = 5e-5
+// minRowLoss is the smallest loss that is listed as a row.
+const minRowLoss = 5e-5
 
 // Rows accounts for all losses of a day, the largest first.
 func Rows(report *Report, worths []RevenueWeight) []Row {
@@ -169,7 +169,7 @@
 	for _, price := range report.Prices {
 		rows = append(rows, Row{Part: partPrice, Reason: price.Name, Lost: price.Worth})
 	}
-	rows = slices.DeleteFunc(rows, func(r Row) bool { return r.Lost < leastRow && r.Lost > -leastRow })
+	rows = slices.DeleteFunc(rows, func(r Row) bool { return r.Lost < minRowLoss && r.Lost > -minRowLoss })
 	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(b.Lost, a.Lost) })
 	return rows
 }
--- a/internal/lab/ledger/plot.go
+++ b/internal/lab/ledger/plot.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	worthColour = color.RGBA{R: 0x1f, G: 0x5f, B: 0xa8, A: 0xff}
-	eventColour = color.RGBA{R: 0xc8, G: 0x50, B: 0x1e, A: 0x60}
+	worthColor = color.RGBA{R: 0x1f, G: 0x5f, B: 0xa8, A: 0xff}
+	eventColor = color.RGBA{R: 0xc8, G: 0x50, B: 0x1e, A: 0x60}
 )
 
 // Plot draws the worth of each span of the day as SVG, with a vertical line at the start of each event.
@@ -35,14 +35,14 @@
 	if err != nil {
 		return fmt.Errorf("plotting %s: %w", d.Name, err)
 	}
-	line.Color, line.StepStyle = worthColour, plotter.PostStep
+	line.Color, line.StepStyle = worthColor, plotter.PostStep
 	p.Add(line)
 	for _, e := range d.Report.Events {
 		mark, err := plotter.NewLine(plotter.XYs{{X: e.At, Y: 0}, {X: e.At, Y: 1}})
 		if err != nil {
 			return fmt.Errorf("plotting %s: %w", d.Name, err)
 		}
-		mark.Color = eventColour
+		mark.Color = eventColor
 		p.Add(mark)
 	}
 	to, err := p.WriterTo(plotWidth, plotHeight, "svg")
--- a/internal/lab/live/agent.go
+++ b/internal/lab/live/agent.go
@@ -112,7 +112,7 @@
 	return a.run.world.Member(a.me, ep, a.run.nodes[a.me].endpoints[ep].addr)
 }
 
-// addChanges is called by the event loop with the endpoints that have addChanges.
+// addChanges is called by the event loop with the endpoints that have changed.
 func (a *agent) addChanges(eps []int) {
 	a.revision++
 	for _, ep := range eps {
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -39,7 +39,7 @@
 
 func (c *clients) close() { c.http.CloseIdleConnections() }
 
-// submitFirstTries submits all submitFirstTries tries at their times.
+// submitFirstTries submits the first tries of all messages at their times.
 func (c *clients) submitFirstTries() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -68,8 +68,8 @@
 	})
 }
 
-// plan schedules a further try. It runs in the event loop.
-func (c *clients) plan(t world.Try) {
+// schedule schedules a further try. It runs in the event loop.
+func (c *clients) schedule(t world.Try) {
 	c.run.pending++
 	c.run.wg.Go(func() {
 		select {
@@ -171,24 +171,24 @@
 	switch h.status {
 	case http.StatusOK, http.StatusAccepted:
 		r.note(trace.Record{At: now, What: trace.Accepted, ID: id, Node: t.Node})
-		if r.over[id] {
-			delete(r.over, id)
+		if r.endedEarly[id] {
+			delete(r.endedEarly, id)
 		} else {
-			r.owed[id] = true
+			r.unfinished[id] = true
 		}
 		return
 	}
 	delete(r.tries, id)
-	delete(r.over, id)
+	delete(r.endedEarly, id)
 	r.note(trace.Record{At: now, What: trace.TurnedAway, ID: id, Node: t.Node, Status: h.status, Wait: h.wait})
 	switch h.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if next, ok := r.options.Day.RetryAfterRefusal(t, now, h.wait); ok {
-			c.plan(next)
+			c.schedule(next)
 		}
 	case 0:
 		if next, ok := r.options.Day.RetryAfterFailure(t, now+redirectDelay); ok {
-			c.plan(next)
+			c.schedule(next)
 		}
 	}
 }
@@ -202,25 +202,25 @@
 		return
 	}
 	if next, ok := r.options.Day.RetryAfterRefusal(t, r.now(), wait); ok {
-		c.plan(next)
+		c.schedule(next)
 	}
 }
 
 // resubmitOrphans resubmits the messages of a node whose data directory was lost, except those that must not be repeated and may have run.
 func (c *clients) resubmitOrphans(node int) {
 	r := c.run
-	for id := range r.owed {
+	for id := range r.unfinished {
 		t := r.tries[id]
 		if t.Node != node {
 			continue
 		}
-		delete(r.owed, id)
+		delete(r.unfinished, id)
 		class := r.options.Day.Scenario.Classes[r.options.Day.Messages[t.Message].Class]
 		if class.Repeat == "never" && r.nodes[node].attempts[id] > 0 {
 			continue
 		}
 		if next, ok := r.options.Day.RetryAfterFailure(t, r.now()); ok {
-			c.plan(next)
+			c.schedule(next)
 		}
 	}
 }
--- a/internal/lab/live/endpoint.go
+++ b/internal/lab/live/endpoint.go
@@ -24,11 +24,11 @@
 
 // endpoint is the listener at which one node reaches one endpoint.
 type endpoint struct {
-	run  *run
-	node int
-	ep   int
-	addr string
-	life context.Context
+	run    *run
+	node   int
+	ep     int
+	addr   string
+	runCtx context.Context
 
 	mu       sync.Mutex
 	listener *net.TCPListener // nil where connections are refused
@@ -37,10 +37,10 @@
 }
 
 // open opens the listener for the first time.
-func (e *endpoint) open(life context.Context, host string) error {
+func (e *endpoint) open(runCtx context.Context, host string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life = life
+	e.runCtx = runCtx
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return fmt.Errorf("listening for endpoint %d: %w", e.ep, err)
@@ -67,7 +67,7 @@
 		e.mu.Unlock()
 		if silent { // it was in the accept queue when the endpoint became silent
 			e.run.wg.Go(func() {
-				<-e.life.Done()
+				<-e.runCtx.Done()
 				_ = c.Close()
 			})
 			continue
@@ -153,7 +153,7 @@
 
 func (e *endpoint) serve(c *net.TCPConn) {
 	k := &conn{endpoint: e, net: c}
-	stop := context.AfterFunc(e.life, func() { _ = c.Close() })
+	stop := context.AfterFunc(e.runCtx, func() { _ = c.Close() })
 	defer stop()
 	defer func() {
 		_ = c.Close()
@@ -215,7 +215,7 @@
 		return a, err
 	}
 	if req.Method != http.MethodPost || req.URL.Path != "/events" {
-		return a, fmt.Errorf("%s %s is no call", req.Method, req.URL.Path)
+		return a, fmt.Errorf("%s %s is not a call", req.Method, req.URL.Path)
 	}
 	if ms, err := strconv.ParseInt(req.Header.Get("X-Timeout-Ms"), 10, 64); err != nil || ms < 0 {
 		return a, fmt.Errorf("X-Timeout-Ms is %q", req.Header.Get("X-Timeout-Ms"))
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -53,34 +53,34 @@
 
 // run is one run. All of its state belongs to the event loop; other goroutines post functions to it.
 type run struct {
-	options Options
-	world   *world.World
-	origin  time.Time
-	do      chan func()
-	ended   chan struct{}
-	nodes   []*node
-	clients *clients
-	calls   map[uint64]*conn // calls that wait for their answer
-	owed    map[string]bool  // ids of accepted messages without an end
-	over    map[string]bool  // ids of messages with an end whose client has not received the acceptance yet
-	pending int              // tries that are scheduled or in flight
-	tries   map[string]world.Try
-	wg      sync.WaitGroup
-	playing bool
-	fatal   error
-	fleet   *fleet // nil if the nodes are independent
+	options    Options
+	world      *world.World
+	origin     time.Time
+	do         chan func()
+	ended      chan struct{}
+	nodes      []*node
+	clients    *clients
+	calls      map[uint64]*conn // calls that wait for their answer
+	unfinished map[string]bool  // ids of accepted messages without an end
+	endedEarly map[string]bool  // ids of messages with an end whose client has not received the acceptance yet
+	pending    int              // tries that are scheduled or in flight
+	tries      map[string]world.Try
+	wg         sync.WaitGroup
+	playing    bool
+	fatal      error
+	fleet      *fleet // nil if the nodes are independent
 }
 
 // Run runs the day until all accepted messages have ended, or until the deadline of the last message.
 func Run(ctx context.Context, o Options) ([]Use, error) {
 	r := &run{options: o, do: make(chan func(), events), ended: make(chan struct{}), calls: map[uint64]*conn{},
-		owed: map[string]bool{}, over: map[string]bool{}, tries: map[string]world.Try{}}
-	life, stop := context.WithCancel(context.Background())
+		unfinished: map[string]bool{}, endedEarly: map[string]bool{}, tries: map[string]world.Try{}}
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	r.origin = time.Now() // until the day begins
 	r.world = world.New(o.Day, r, r.note)
 	r.clients = newClients(r)
-	err := r.open(life)
+	err := r.open(runCtx)
 	if err == nil {
 		err = r.ready(ctx)
 	}
@@ -155,7 +155,7 @@
 }
 
 // open opens the listeners of all nodes and starts the nodes.
-func (r *run) open(life context.Context) error {
+func (r *run) open(runCtx context.Context) error {
 	if err := os.MkdirAll(r.options.Dir, 0o755); err != nil {
 		return fmt.Errorf("creating the nodes' directory: %w", err)
 	}
@@ -165,7 +165,7 @@
 	for i := range r.options.Day.Nodes {
 		n := &node{run: r, me: i, dir: filepath.Join(r.options.Dir, fmt.Sprintf("n%d", i))}
 		r.nodes = append(r.nodes, n)
-		if err := n.open(life); err != nil {
+		if err := n.open(runCtx); err != nil {
 			return fmt.Errorf("node %d: %w", i, err)
 		}
 	}
@@ -247,7 +247,7 @@
 		if r.fatal != nil {
 			return r.fatal
 		}
-		if now > end || now > day.Length && r.pending == 0 && len(r.owed) == 0 {
+		if now > end || now > day.Length && r.pending == 0 && len(r.unfinished) == 0 {
 			r.fleet.reportStray()
 			r.note(trace.Record{At: now, What: trace.RunEnded})
 			return nil
@@ -280,12 +280,12 @@
 
 // end marks a message as ended.
 func (r *run) end(id string) {
-	if !r.owed[id] {
+	if !r.unfinished[id] {
 		if _, waits := r.tries[id]; waits {
-			r.over[id] = true
+			r.endedEarly[id] = true
 		}
 	}
-	delete(r.owed, id)
+	delete(r.unfinished, id)
 }
 
 // Listed implements world.Host.
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -19,10 +19,10 @@
 
 // TestListenerRefusesOrTimesOutOrAccepts checks that dials are refused, time out or succeed as set, in turn.
 func TestListenerRefusesOrTimesOutOrAccepts(t *testing.T) {
-	life, stop := context.WithCancel(context.Background())
+	runCtx, stop := context.WithCancel(context.Background())
 	r := &run{options: Options{Day: world.Draw(scenario.Default(), 1), Note: func(trace.Record) {}}, do: make(chan func(), 10), ended: make(chan struct{})}
 	d := &endpoint{run: r}
-	if err := d.open(life, "127.0.0.1"); err != nil {
+	if err := d.open(runCtx, "127.0.0.1"); err != nil {
 		t.Fatal(err)
 	}
 	defer r.wg.Wait()
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -52,14 +52,14 @@
 // process is one process of a node. The following fields belong to the event loop; quit reads cmd and exited after the loop has
 // ended.
 type process struct {
-	node    *node
-	me      int
-	cmd     *exec.Cmd
-	exited  chan struct{} // of cmd
-	up      bool
-	planned bool // it was told to stop, or killed
-	lost    bool // the data directory is lost with it
-	life    int
+	node       *node
+	me         int
+	cmd        *exec.Cmd
+	exited     chan struct{} // of cmd
+	up         bool
+	planned    bool // it was told to stop, or killed
+	lost       bool // the data directory is lost with it
+	generation int
 }
 
 // up reports whether any process accepts clients.
@@ -74,7 +74,7 @@
 
 func (n *node) grouped() bool { return len(n.procs) > 1 }
 
-func (n *node) open(life context.Context) error {
+func (n *node) open(runCtx context.Context) error {
 	n.attempts = map[string]int{}
 	for i := range max(1, n.run.options.Day.Scenario.Nodes.Members) {
 		n.procs = append(n.procs, &process{node: n, me: i})
@@ -94,7 +94,7 @@
 	for ep := range n.run.options.Day.Endpoints {
 		d := &endpoint{run: n.run, node: n.me, ep: ep}
 		n.endpoints = append(n.endpoints, d)
-		if err := d.open(life, host); err != nil {
+		if err := d.open(runCtx, host); err != nil {
 			return err
 		}
 	}
@@ -148,7 +148,7 @@
 // start starts a process. It runs in the event loop, or before it.
 func (p *process) start() error {
 	n := p.node
-	p.life++
+	p.generation++
 	if err := n.configure(); err != nil {
 		return err
 	}
@@ -171,8 +171,8 @@
 			cmd.Env = append(cmd.Env, keep+"="+v)
 		}
 	}
-	began, life := time.Now(), p.life
-	out := &readyLog{to: n.log, ready: func() { n.run.post(func() { p.handleReady(life, time.Since(began)) }) }}
+	began, generation := time.Now(), p.generation
+	out := &readyLog{to: n.log, ready: func() { n.run.post(func() { p.handleReady(generation, time.Since(began)) }) }}
 	cmd.Stdout, cmd.Stderr = out, out
 	if f := n.run.fleet; f != nil {
 		all := &fleetLog{to: out, read: func(line []byte) { f.parseMemberLine(n.me, line) }}
@@ -187,7 +187,7 @@
 	n.mu.Lock()
 	n.use.Starts++
 	n.mu.Unlock()
-	if p.life > 1 && !n.grouped() {
+	if p.generation > 1 && !n.grouped() {
 		n.run.note(trace.Record{At: n.run.now(), What: trace.Start, Node: n.me})
 	}
 	exited := p.exited
@@ -199,17 +199,17 @@
 		}
 		n.mu.Unlock()
 		close(exited)
-		n.run.post(func() { p.handleExit(life, err) })
+		n.run.post(func() { p.handleExit(generation, err) })
 	})
 	n.run.wg.Go(func() { n.sample(cmd.Process.Pid, exited) })
 	if !n.grouped() { // in a group, any member may answer
-		n.run.wg.Go(func() { p.awaitReady(began, exited, life) })
+		n.run.wg.Go(func() { p.awaitReady(began, exited, generation) })
 	}
 	return nil
 }
 
 // awaitReady polls until the node accepts clients.
-func (p *process) awaitReady(began time.Time, exited <-chan struct{}, life int) {
+func (p *process) awaitReady(began time.Time, exited <-chan struct{}, generation int) {
 	n := p.node
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -228,12 +228,12 @@
 		}
 	}
 	took := time.Since(began)
-	n.run.post(func() { p.handleReady(life, took) })
+	n.run.post(func() { p.handleReady(generation, took) })
 }
 
-func (p *process) handleReady(life int, took time.Duration) {
+func (p *process) handleReady(generation int, took time.Duration) {
 	n := p.node
-	if p.life != life || p.planned || p.up {
+	if p.generation != generation || p.planned || p.up {
 		return
 	}
 	n.mu.Lock()
@@ -247,9 +247,9 @@
 }
 
 // handleExit is called when a process has exited.
-func (p *process) handleExit(life int, err error) {
+func (p *process) handleExit(generation int, err error) {
 	n := p.node
-	if p.life != life {
+	if p.generation != generation {
 		return
 	}
 	p.up = false
@@ -288,9 +288,9 @@
 	case "term":
 		p.down("SIGTERM", t.Lost)
 		p.signal(syscall.SIGTERM)
-		life := p.life
+		generation := p.generation
 		n.run.after(killAfter, func() {
-			if p.life == life {
+			if p.generation == generation {
 				p.signal(syscall.SIGKILL)
 				p.restartAfter(startAfter)
 			}
@@ -300,9 +300,9 @@
 		if n.grouped() {
 			n.run.note(trace.Record{At: now, What: trace.Stop, Node: n.me, Result: "member"})
 		}
-		life := p.life
+		generation := p.generation
 		n.run.after(t.Until-now, func() {
-			if p.life == life {
+			if p.generation == generation {
 				p.signal(syscall.SIGCONT)
 			}
 		})
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -189,7 +189,7 @@
 		f.Calls, f.PerMsg, f.Refused, f.Ends, f.Conns, f.NoConns, f.Asked)
 	a := s.Account
 	p.line("most calls in 2 s from a node to a destination: %.2f of its even part of the limit", f.InWindow)
-	p.line("taken on %d: delivered %d, handed back %d, given up %d, lost %d, with a lost folder %d, open %d; turned away %d",
+	p.line("accepted %d: delivered %d, handed back %d, given up %d, lost %d, orphaned with a lost data directory %d, open %d; turned away %d",
 		a.Accepted, a.Delivered, a.Refused, a.GivenUp, a.Lost, a.Orphans, a.Open, a.TurnedAway)
 	for _, u := range s.Usage {
 		p.line("node %d: CPU %.2f s, memory %.1f MB, descriptors %d, disk %.2f MB, %d starts, the slowest %.2f s", u.Node, u.CPU, u.RSS, u.Files,
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -38,7 +38,7 @@
 	Bands   []Band
 }
 
-var lineColours = []color.Color{color.RGBA{R: 0x1f, G: 0x5f, B: 0xa8, A: 0xff}, color.RGBA{R: 0xc8, G: 0x50, B: 0x1e, A: 0xff},
+var lineColors = []color.Color{color.RGBA{R: 0x1f, G: 0x5f, B: 0xa8, A: 0xff}, color.RGBA{R: 0xc8, G: 0x50, B: 0x1e, A: 0xff},
 	color.RGBA{R: 0x3a, G: 0x8f, B: 0x4c, A: 0xff}, color.RGBA{R: 0x80, G: 0x46, B: 0x9b, A: 0xff}}
 
 // series is one line of a plot.
@@ -69,7 +69,7 @@
 			if err != nil {
 				return fmt.Errorf("plotting %s: %w", s.name, err)
 			}
-			line.Color = lineColours[(i*len(all)+j)%len(lineColours)]
+			line.Color = lineColors[(i*len(all)+j)%len(lineColors)]
 			line.Width = vg.Points(1.2)
 			lines = append(lines, line)
 			name := s.name
--- a/internal/lab/rules/fleet.go
+++ b/internal/lab/rules/fleet.go
@@ -28,7 +28,7 @@
 	Most   float64 `json:"most_s"`
 }
 
-// FleetAccount summarizes what a run showed of a fleet.
+// FleetAccount summarizes a run of a fleet.
 type FleetAccount struct {
 	Nodes           int              `json:"nodes"`
 	Known           map[string]Known `json:"known"`            // by event: death, leaving, start
@@ -155,9 +155,9 @@
 	}
 	switch {
 	case v.state == "left" && f.left[r.EP] == 0:
-		f.checker.report(r.At, FalseRemoval, []int{v.line}, "node %d sees node %d as left, which was never told to end", r.Node, r.EP)
+		f.checker.report(r.At, FalseRemoval, []int{v.line}, "node %d sees node %d as left, which was not shut down", r.Node, r.EP)
 	case v.state == "removed" && f.removed[r.EP] == 0:
-		f.checker.report(r.At, FalseRemoval, []int{v.line}, "node %d sees node %d as removed, which nobody said", r.Node, r.EP)
+		f.checker.report(r.At, FalseRemoval, []int{v.line}, "node %d sees node %d as removed, which no operator requested", r.Node, r.EP)
 	case v.state == "suspect" && was.state == "alive" && f.up[r.EP] && f.up[r.Node] && f.nets == 0 && r.At-f.calmSince(r.At) >= HealTime:
 		f.suspects++
 	}
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -116,30 +116,30 @@
 	line        int
 }
 
-type due struct {
+type deadline struct {
 	at      time.Duration
 	message *message
 }
 
-type dues []due
+type deadlines []deadline
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
-func (d dues) Len() int { return len(d) }
+func (d deadlines) Len() int { return len(d) }
 
 // Less orders by time.
-func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d deadlines) Less(i, j int) bool { return d[i].at < d[j].at }
 
 // Swap exchanges two items.
-func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d deadlines) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 
 // Push appends an item.
-func (d *dues) Push(x any) { *d = append(*d, x.(due)) }
+func (d *deadlines) Push(x any) { *d = append(*d, x.(deadline)) }
 
 // Pop removes the last item and returns it.
-func (d *dues) Pop() any {
+func (d *deadlines) Pop() any {
 	old := *d
 	x := old[len(old)-1]
-	old[len(old)-1] = due{}
+	old[len(old)-1] = deadline{}
 	*d = old[:len(old)-1]
 	return x
 }
@@ -152,8 +152,8 @@
 	nodes         []*node
 	countsChecked time.Duration // when the counts were last checked
 	calls         map[uint64]*message
-	dues          dues
-	expiries      dues // when to drop messages from memory
+	deadlines     deadlines
+	expiries      deadlines // when to drop messages from memory
 	violations    []Broken
 	counts        map[string]int
 	accounts      Account
@@ -165,7 +165,7 @@
 	Tries      int `json:"tries"`
 	Accepted   int `json:"taken"`
 	TurnedAway int `json:"turned"`    // the client was refused or got no answer
-	Delivered  int `json:"delivered"` // of those taken
+	Delivered  int `json:"delivered"` // of those accepted
 	Refused    int `json:"refused"`
 	GivenUp    int `json:"given_up"`
 	Lost       int `json:"lost"`
@@ -203,8 +203,8 @@
 		m := &message{id: r.ID, node: r.Node, class: r.Class, dest: r.Dest, until: r.Until, open: map[uint64]bool{}, lines: []int{c.line}}
 		c.messages[r.ID] = m
 		c.accounts.Tries++
-		heap.Push(&c.dues, due{r.Until + c.limits.Notice + c.limits.Slack, m})
-		heap.Push(&c.expiries, due{r.Until + retention, m})
+		heap.Push(&c.deadlines, deadline{r.Until + c.limits.Notice + c.limits.Slack, m})
+		heap.Push(&c.expiries, deadline{r.Until + retention, m})
 	case trace.Accepted:
 		c.taken(r)
 	case trace.TurnedAway:
@@ -224,7 +224,7 @@
 		}
 	case trace.Collapsed:
 		if r.Share >= 2.0/3 {
-			c.report(r.At, Cold, []int{c.line}, "destination %d fell over; %.0f%% of its calls came from nodes that had seen it fail", r.Dest, r.Share*100)
+			c.report(r.At, Cold, []int{c.line}, "destination %d collapsed; %.0f%% of its calls came from nodes that had seen it fail", r.Dest, r.Share*100)
 		}
 	case trace.Stop:
 		c.stop(r)
@@ -247,7 +247,7 @@
 func (c *Checker) taken(r trace.Record) {
 	m := c.messages[r.ID]
 	if m == nil {
-		c.report(r.At, ProtocolConformance, []int{c.line}, "node %d took on %s, which nobody sent", r.Node, r.ID)
+		c.report(r.At, ProtocolConformance, []int{c.line}, "node %d accepted %s, which no client submitted", r.Node, r.ID)
 		return
 	}
 	m.line(c.line)
@@ -267,30 +267,30 @@
 	n := c.node(r.Node)
 	n.out++
 	if m == nil {
-		c.report(r.At, Unknown, []int{c.line}, "%s came to endpoint %d from node %d", r.ID, r.EP, r.Node)
+		c.report(r.At, Unknown, []int{c.line}, "%s arrived at endpoint %d from node %d, but no client submitted it", r.ID, r.EP, r.Node)
 		return
 	}
 	lines := append(slices.Clone(m.lines), c.line)
 	m.line(c.line)
 	c.calls[r.Call] = m
 	if r.EP < len(c.limits.Dest) && c.limits.Dest[r.EP] != m.dest {
-		c.report(r.At, WrongDestination, lines, "%s is for destination %d and came to endpoint %d of %d", r.ID, m.dest, r.EP, c.limits.Dest[r.EP])
+		c.report(r.At, WrongDestination, lines, "%s is for destination %d but arrived at endpoint %d of destination %d", r.ID, m.dest, r.EP, c.limits.Dest[r.EP])
 	}
 	if len(m.open) > 0 {
-		c.report(r.At, ConcurrentAttempts, lines, "%s came to endpoint %d while an earlier call was out", r.ID, r.EP)
+		c.report(r.At, ConcurrentAttempts, lines, "%s arrived at endpoint %d while an earlier call was in flight", r.ID, r.EP)
 	}
 	if c.neverRepeat(m) && m.ran {
-		c.report(r.At, Repeat, lines, "%s may have run (line %d) and came to endpoint %d again", r.ID, m.ranLine, r.EP)
+		c.report(r.At, Repeat, lines, "%s may have run (line %d) but arrived again, at endpoint %d", r.ID, m.ranLine, r.EP)
 	}
 	if m.noticed != "" {
-		c.report(r.At, Ended, lines, "%s came to endpoint %d after its notice (%s)", r.ID, r.EP, m.noticed)
+		c.report(r.At, Ended, lines, "%s arrived at endpoint %d after its notice (%s)", r.ID, r.EP, m.noticed)
 	}
 	if m.attempts++; c.limits.MaxAttempts > 0 && m.attempts > c.limits.MaxAttempts {
-		c.report(r.At, Attempts, lines, "%s came for the %dth time", r.ID, m.attempts)
+		c.report(r.At, Attempts, lines, "%s arrived for the %dth time", r.ID, m.attempts)
 	}
 	m.open[r.Call] = true
 	if at, leaves := n.leaves[r.EP]; leaves && r.Since > at+c.limits.DrainGrace+c.limits.Slack {
-		c.report(r.At, Drain, []int{n.lines[r.EP], c.line}, "node %d sent %s to endpoint %d, %.0f ms after it was told that it leaves",
+		c.report(r.At, Drain, []int{n.lines[r.EP], c.line}, "node %d sent %s to endpoint %d, %.0f ms after it was notified that the endpoint leaves",
 			r.Node, r.ID, r.EP, ms(r.Since-at))
 	}
 	if w, told := n.waits[m.dest]; told {
@@ -363,13 +363,13 @@
 func (c *Checker) notice(r trace.Record) {
 	m := c.messages[r.ID]
 	if m == nil {
-		c.report(r.At, Unknown, []int{c.line}, "a notice for %s from node %d", r.ID, r.Node)
+		c.report(r.At, Unknown, []int{c.line}, "notice for %s from node %d, but no client submitted it", r.ID, r.Node)
 		return
 	}
 	lines := append(slices.Clone(m.lines), c.line)
 	m.line(c.line)
 	if r.Result == "handed_back" && !m.delivered && c.neverRepeat(m) && (m.ran || len(m.open) > 0) {
-		c.report(r.At, Refusal, lines, "%s may have run (line %d) and was handed back", r.ID, m.ranLine)
+		c.report(r.At, Refusal, lines, "%s may have run (line %d) but was handed back", r.ID, m.ranLine)
 	}
 	if m.noticed != "" && m.noticed != r.Result {
 		c.report(r.At, Lost, lines, "%s ended as %s and then as %s", r.ID, m.noticed, r.Result)
@@ -398,8 +398,8 @@
 
 // checkDeadlines reports accepted messages whose deadline passed without an end.
 func (c *Checker) checkDeadlines(now time.Duration) {
-	for len(c.dues) > 0 && c.dues[0].at < now {
-		d := heap.Pop(&c.dues).(due)
+	for len(c.deadlines) > 0 && c.deadlines[0].at < now {
+		d := heap.Pop(&c.deadlines).(deadline)
 		m := d.message
 		if !m.taken || m.ended || m.reportedLost {
 			continue
@@ -410,17 +410,17 @@
 			if n.down {
 				again = now + 100*time.Millisecond
 			}
-			heap.Push(&c.dues, due{again, m})
+			heap.Push(&c.deadlines, deadline{again, m})
 			continue
 		}
 		m.reportedLost = true
 		c.accounts.Lost++
-		c.report(d.at, Lost, m.lines, "%s was taken on by node %d and had no end %.0f ms after its time", m.id, m.node, ms(d.at-m.until))
+		c.report(d.at, Lost, m.lines, "%s was accepted by node %d and had not ended %.0f ms after its deadline", m.id, m.node, ms(d.at-m.until))
 	}
 	for len(c.expiries) > 0 && c.expiries[0].at < now {
-		m := heap.Pop(&c.expiries).(due).message
+		m := heap.Pop(&c.expiries).(deadline).message
 		if m.taken && !m.ended && !m.reportedLost { // its node is still down
-			heap.Push(&c.expiries, due{now + retention, m})
+			heap.Push(&c.expiries, deadline{now + retention, m})
 			continue
 		}
 		delete(c.messages, m.id)
@@ -434,7 +434,7 @@
 	}
 	c.countsChecked = now
 	for i, n := range c.nodes {
-		c.checkLimit(now, i, n.out, c.limits.Slots, &n.outOver, Slots, "calls out")
+		c.checkLimit(now, i, n.out, c.limits.Slots, &n.outOver, Slots, "calls in flight")
 		c.checkLimit(now, i, n.held, c.limits.MaxOpen, &n.heldOver, Hold, "messages")
 	}
 }
@@ -465,7 +465,7 @@
 	}
 	for _, rule := range slices.Sorted(maps.Keys(c.counts)) {
 		if more := c.counts[rule] - maxReported; more > 0 {
-			c.violations = append(c.violations, Broken{rule, now, fmt.Sprintf("and %d times more", more), nil})
+			c.violations = append(c.violations, Broken{rule, now, fmt.Sprintf("and %d further violations", more), nil})
 		}
 	}
 	return c.violations, c.accounts
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -50,10 +50,10 @@
 		trace  []Record
 		detail string
 	}{
-		{"unknown", Unknown, []Record{call(1, "x", 1)}, "x came to endpoint 0"},
+		{"unknown", Unknown, []Record{call(1, "x", 1)}, "x arrived at endpoint 0"},
 		{"unknown notice", Unknown, []Record{notice(1, "x", "given_up")}, "notice for x"},
-		{"wrong destination", WrongDestination, append(start, on(call(2, "a", 1), 2)), "for destination 0 and came to endpoint 2 of 1"},
-		{"two at once", ConcurrentAttempts, append(start, call(2, "a", 1), on(call(2.1, "a", 2), 1)), "while an earlier call was out"},
+		{"wrong destination", WrongDestination, append(start, on(call(2, "a", 1), 2)), "for destination 0 but arrived at endpoint 2 of destination 1"},
+		{"two at once", ConcurrentAttempts, append(start, call(2, "a", 1), on(call(2.1, "a", 2), 1)), "while an earlier call was in flight"},
 		{"one after another", "", append(start, call(2, "a", 1), end(2.1, "a", 1, 503, ""), call(2.2, "a", 2), end(2.3, "a", 2, 200, "")), ""},
 		{"charge again after an error", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), call(2.2, "a", 2)), "may have run (line 4)"},
 		{"charge again after the call was abandoned", Repeat, append(start, call(2, "a", 1), end(2.1, "a", 1, 0, Closed), call(2.2, "a", 2)), ""},
@@ -65,14 +65,14 @@
 		{"refused although it may have run", Refusal, append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), notice(3, "a", "handed_back")), "may have run"},
 		{"refused while a call is open", Refusal, append(start, call(2, "a", 1), notice(3, "a", "handed_back")), ""},
 		{"given up although it may have run", "", append(start, call(2, "a", 1), end(2.1, "a", 1, 500, ""), notice(3, "a", "given_up")), ""},
-		{"no end", Lost, append(start, born(12, "b", status)), "no end"},
+		{"no end", Lost, append(start, born(12, "b", status)), "had not ended"},
 		{"just in time", "", append(start, notice(11.34, "a", "given_up")), ""},
 		{"two ends", Lost, append(start, notice(2, "a", "given_up"), notice(3, "a", "handed_back")), "ended as given_up and then as handed_back"},
 		{"no end while its node is down", "", append(append(start, restart...), notice(15.5, "a", "given_up")), ""},
 		{"no end while its node is stopped", "", append(start, Record{At: at(9), What: Fault, Result: "stop", Until: at(20)}, notice(21, "a", "given_up")), ""},
 		{"no end for too long after a stop", Lost, append(start, Record{At: at(9), What: Fault, Result: "stop", Until: at(20)}, born(23, "b", status)), ""},
 		{"no end for too long after a restart", Lost, append(append(start, restart...), born(17, "b", status)), ""},
-		{"drain", Drain, append([]Record{leaving}, append(start, drained)...), "2200 ms after it was told"},
+		{"drain", Drain, append([]Record{leaving}, append(start, drained)...), "2200 ms after it was notified"},
 		{"drain within the grace", "", append([]Record{leaving}, append(start, justDrained, end(3.1, "a", 1, 200, ""))...), ""},
 		{"drain counts from the first byte", "", append([]Record{leaving}, append(start, slow, end(3.6, "a", 1, 200, ""))...), ""},
 		{"wait", Wait, append(start, call(1.9, "a", 1), told, call(2.9, "a", 2)), "100 ms before the end of a wait"},
@@ -85,13 +85,13 @@
 		{"attempts", Attempts, append(start, call(2, "a", 1), end(2.1, "a", 1, 503, ""), call(2.2, "a", 2), end(2.3, "a", 2, 503, ""),
 			call(2.4, "a", 3), end(2.5, "a", 3, 503, ""), call(2.6, "a", 4), end(2.7, "a", 4, 200, "")), "4th time"},
 		{"slots", Slots, []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), call(1.1, "a", 1), call(1.1, "b", 2),
-			call(1.1, "c", 3), born(1.15, "d", status), born(1.3, "e", status)}, "over 2 calls out"},
+			call(1.1, "c", 3), born(1.15, "d", status), born(1.3, "e", status)}, "over 2 calls in flight"},
 		{"slots, end observed late", "", []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), call(1.1, "a", 1), call(1.1, "b", 2),
 			call(1.1, "c", 3), end(1.15, "a", 1, 200, ""), born(1.3, "e", status)}, ""},
 		{"hold", Hold, []Record{born(1, "a", status), born(1, "b", status), born(1, "c", status), taken(1.1, "a"), taken(1.1, "b"),
 			taken(1.1, "c"), born(1.15, "d", status), born(1.3, "e", status)}, "over 2 messages"},
 		{"protocol violation", ProtocolConformance, []Record{{At: at(1), What: ProtocolError, Result: "the body is not the client's"}}, "the body"},
-		{"acceptance of an unknown message", ProtocolConformance, []Record{taken(1, "x")}, "nobody sent"},
+		{"acceptance of an unknown message", ProtocolConformance, []Record{taken(1, "x")}, "no client submitted"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := New(limits)
@@ -146,7 +146,7 @@
 	if n := len(k.messages); n > 5000 {
 		t.Errorf("%d messages are kept", n)
 	}
-	if n := len(k.dues) + len(k.expiries) + len(k.calls); n > 10000 {
+	if n := len(k.deadlines) + len(k.expiries) + len(k.calls); n > 10000 {
 		t.Errorf("%d entries are queued", n)
 	}
 }
--- a/internal/lab/world/fault.go
+++ b/internal/lab/world/fault.go
@@ -108,7 +108,7 @@
 		e.held = nil
 	}
 	if d.outage {
-		d.outage, d.cold, d.back, d.reached = false, true, w.now, nil
+		d.outage, d.cold, d.coldSince, d.reached = false, true, w.now, nil
 	}
 	w.updateDialResult(n)
 	w.note(trace.Record{At: w.now, What: trace.Fault, Result: "end of " + t.What, EP: n})
@@ -120,7 +120,7 @@
 	if !d.cold {
 		return 1
 	}
-	since := w.now - d.back
+	since := w.now - d.coldSince
 	if since >= w.Day.WarmUp {
 		d.cold, d.reached = false, nil
 		return 1
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -10,7 +10,7 @@
 	"dunetide/policy"
 )
 
-// Host runs a world and connects it to the delivery nodes.
+// Host connects a world to the delivery nodes.
 type Host interface {
 	// Answer delivers an endpoint's answer to a call, or the loss of its connection.
 	Answer(now time.Duration, a Answer)
@@ -28,7 +28,7 @@
 	Node   int
 	EP     int
 	ID     string
-	Status int // 200, 500, 429 or 503; 0 where the connection breaks
+	Status int // 200, 500, 429 or 503; 0 if the connection broke
 	Wait   time.Duration
 	Report policy.Allowance
 }
@@ -105,7 +105,7 @@
 	outage    bool
 	sawOutage map[int]bool // nodes that saw it fail during the last outage
 	cold      bool
-	back      time.Duration // since when it is cold
+	coldSince time.Duration // since when it is cold
 	reached   []arrival     // calls within one window while it is cold
 	collapsed bool
 }
@@ -285,7 +285,7 @@
 	w.host.Answer(w.now, Answer{Call: c.id, Node: c.Node, EP: c.EP, ID: c.ID})
 }
 
-// observe records that a node knows of an outage.
+// observe records that a node has observed an outage.
 func (w *World) observe(ep, node int) {
 	if d := &w.dests[w.Day.Endpoints[ep].Dest]; d.outage {
 		d.sawOutage[node] = true
--- a/internal/lab/world/world_test.go
+++ b/internal/lab/world/world_test.go
@@ -13,23 +13,23 @@
 
 // host records the calls that the world makes.
 type host struct {
-	answers []Answer
-	at      []time.Duration
-	doors   []DialResult
-	told    int
+	answers     []Answer
+	at          []time.Duration
+	dialResults []DialResult
+	notified    int
 }
 
 func (h *host) Answer(now time.Duration, a Answer) {
 	h.answers, h.at = append(h.answers, a), append(h.at, now)
 }
-func (h *host) Listed(time.Duration, int, []int) { h.told++ }
+func (h *host) Listed(time.Duration, int, []int) { h.notified++ }
 func (h *host) DialResultChanged(_ time.Duration, _ int, as DialResult) {
-	h.doors = append(h.doors, as)
+	h.dialResults = append(h.dialResults, as)
 }
 func (h *host) ApplyNodeFault(time.Duration, Fault, int) {}
 
-// one returns a world with one destination, one endpoint and no report noise.
-func one(change func(*Day)) (*World, *host, *[]trace.Record) {
+// newTestWorld returns a world with newTestWorld destination, newTestWorld endpoint and no report noise.
+func newTestWorld(change func(*Day)) (*World, *host, *[]trace.Record) {
 	s := scenario.Default()
 	s.Dest.Count, s.Dest.Endpoints = scenario.Range{1, 1}, scenario.Range{1, 1}
 	d := Draw(s, 1)
@@ -53,7 +53,7 @@
 }
 
 func TestAWindowLimitsCallsAndReportsItsEnd(t *testing.T) {
-	w, h, _ := one(nil)
+	w, h, _ := newTestWorld(nil)
 	for i := range 6 {
 		w.Call(100*time.Millisecond, Attempt{ID: "a", Message: 0, Try: i})
 	}
@@ -74,7 +74,7 @@
 }
 
 func TestRefusedCallsCountAgainstTheLimit(t *testing.T) {
-	w, _, _ := one(func(d *Day) { d.Dests[0].RefusedCount = true })
+	w, _, _ := newTestWorld(func(d *Day) { d.Dests[0].RefusedCount = true })
 	for i := range 6 {
 		w.Call(100*time.Millisecond, Attempt{Try: i})
 	}
@@ -82,7 +82,7 @@
 	if w.dests[0].used != 6 {
 		t.Errorf("used %v", w.dests[0].used)
 	}
-	w, _, _ = one(nil)
+	w, _, _ = newTestWorld(nil)
 	for i := range 6 {
 		w.Call(100*time.Millisecond, Attempt{Try: i})
 	}
@@ -93,7 +93,7 @@
 }
 
 func TestReportsAreDelayed(t *testing.T) {
-	w, h, _ := one(func(d *Day) {
+	w, h, _ := newTestWorld(func(d *Day) {
 		d.ReportEvery, d.ReportDelay = 200*time.Millisecond, 300*time.Millisecond
 		d.Troubles = []Fault{{What: "lower", From: time.Second, Until: time.Minute, Targets: []int{0}, Size: 0.5}}
 	})
@@ -111,7 +111,7 @@
 }
 
 func TestAnOutageBreaksCallsAndLeavesTheDestinationCold(t *testing.T) {
-	w, h, notes := one(func(d *Day) {
+	w, h, notes := newTestWorld(func(d *Day) {
 		d.Dests[0].Limit, d.Dests[0].Capacity, d.ColdFrom, d.WarmUp = 0, 10, 0.3, 10*time.Second
 		d.Troubles = []Fault{{What: "down", From: time.Second, Until: 3 * time.Second, Targets: []int{0}}}
 	})
@@ -120,8 +120,8 @@
 	if s := h.statuses(); len(s) != 1 || s[0] != 0 {
 		t.Fatalf("got %v", s)
 	}
-	if !reflect.DeepEqual(h.doors, []DialResult{Refused}) || w.Dial(2*time.Second, 1, 0) != Refused {
-		t.Errorf("dial results %v", h.doors)
+	if !reflect.DeepEqual(h.dialResults, []DialResult{Refused}) || w.Dial(2*time.Second, 1, 0) != Refused {
+		t.Errorf("dial results %v", h.dialResults)
 	}
 	w.Advance(3 * time.Second)
 	if got := w.warmth(0); got != 0.3 {
@@ -148,7 +148,7 @@
 }
 
 func TestAWarmDestinationDoesNotCollapse(t *testing.T) {
-	w, _, notes := one(func(d *Day) { d.Dests[0].Limit, d.Dests[0].Capacity = 0, 10 })
+	w, _, notes := newTestWorld(func(d *Day) { d.Dests[0].Limit, d.Dests[0].Capacity = 0, 10 })
 	for i := range 500 {
 		w.Call(time.Duration(i)*time.Millisecond, Attempt{ID: "b", Message: 0, Try: i})
 	}
@@ -161,18 +161,18 @@
 }
 
 func TestConnectionsAreCapped(t *testing.T) {
-	w, h, _ := one(func(d *Day) { d.Endpoints[0].Conns = 2 })
+	w, h, _ := newTestWorld(func(d *Day) { d.Endpoints[0].Conns = 2 })
 	got := []DialResult{w.Dial(0, 0, 0), w.Dial(0, 1, 0), w.Dial(0, 1, 0)}
 	w.Hangup(0)
 	got = append(got, w.Dial(0, 1, 0))
 	if !reflect.DeepEqual(got, []DialResult{Accepted, Accepted, Refused, Accepted}) ||
-		!reflect.DeepEqual(h.doors, []DialResult{Refused, Accepted, Refused}) {
-		t.Errorf("got %v, dial results %v", got, h.doors)
+		!reflect.DeepEqual(h.dialResults, []DialResult{Refused, Accepted, Refused}) {
+		t.Errorf("got %v, dial results %v", got, h.dialResults)
 	}
 }
 
 func TestAHandshakeAddsDelay(t *testing.T) {
-	w, h, _ := one(func(d *Day) { d.Handshake = 40 * time.Millisecond })
+	w, h, _ := newTestWorld(func(d *Day) { d.Handshake = 40 * time.Millisecond })
 	w.Call(0, Attempt{Message: 0, Try: 1})
 	w.Call(0, Attempt{Message: 0, Try: 1, Fresh: true})
 	w.Advance(time.Second)
@@ -182,7 +182,7 @@
 }
 
 func TestADrainIsNotifiedLateAndThenTheEndpointLeaves(t *testing.T) {
-	w, h, notes := one(func(d *Day) {
+	w, h, notes := newTestWorld(func(d *Day) {
 		d.Troubles = []Fault{{What: "drain", From: time.Second, Until: time.Second, Targets: []int{0}}}
 	})
 	w.Advance(time.Second)
@@ -196,13 +196,13 @@
 			phases = append(phases, r.Result)
 		}
 	}
-	if !reflect.DeepEqual(phases, []string{"leaving", "left"}) || h.told != 4 {
-		t.Errorf("phases %v, notified %d times", phases, h.told)
+	if !reflect.DeepEqual(phases, []string{"leaving", "left"}) || h.notified != 4 {
+		t.Errorf("phases %v, notified %d times", phases, h.notified)
 	}
 }
 
 func TestHangingEndpointsAcceptCallsWithoutAnswering(t *testing.T) {
-	w, h, _ := one(func(d *Day) {
+	w, h, _ := newTestWorld(func(d *Day) {
 		d.Troubles = []Fault{{What: "hang", From: time.Second, Until: 4 * time.Second, Targets: []int{0}}}
 	})
 	id := w.Call(1500*time.Millisecond, Attempt{Message: 0})
@@ -219,7 +219,7 @@
 }
 
 func TestPausesDelayCallsBeingServed(t *testing.T) {
-	w, h, _ := one(func(d *Day) {
+	w, h, _ := newTestWorld(func(d *Day) {
 		d.Troubles = []Fault{{What: "pauses", From: 50 * time.Millisecond, Until: 60 * time.Millisecond, Targets: []int{0}, Size: 500}}
 	})
 	w.Call(0, Attempt{Message: 0})
