--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -88,7 +88,7 @@
 }
 
 // play runs one plan and reports whether a rule was violated.
-func (c *soakCommand) play(ctx context.Context, program, work string, plan soak.Plan, tell bool) (bad bool, err error) {
+func (c *soakCommand) play(ctx context.Context, program, work string, plan soak.Plan, verbose bool) (bad bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.LongestPlay())
 	defer cancel()
 	dir := filepath.Join(work, "run")
@@ -102,7 +102,7 @@
 	if err != nil {
 		return true, errors.Join(fmt.Errorf("seed %d: %w", plan.Seed, err), c.keep(dir, plan.Seed))
 	}
-	if tell {
+	if verbose {
 		err = account.Print(os.Stdout)
 	}
 	if account.Failed() {
--- a/internal/lab/faults/hub_test.go
+++ b/internal/lab/faults/hub_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	hubPatience = 20 * time.Second
-	hubSilence  = 300 * time.Millisecond
+	hubTimeout  = 20 * time.Second
+	silenceTime = 300 * time.Millisecond
 )
 
 // echo serves a node that echoes all bytes, and returns its address.
@@ -67,25 +67,25 @@
 	return conn
 }
 
-func says(t *testing.T, conn net.Conn, line string) {
+func exchange(t *testing.T, conn net.Conn, line string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, line); err != nil {
 		t.Fatal(err)
 	}
-	hears(t, conn, line)
+	expectLine(t, conn, line)
 }
 
-func hears(t *testing.T, conn net.Conn, line string) {
+func expectLine(t *testing.T, conn net.Conn, line string) {
 	t.Helper()
-	_ = conn.SetReadDeadline(time.Now().Add(hubPatience))
+	_ = conn.SetReadDeadline(time.Now().Add(hubTimeout))
 	if got, err := bufio.NewReader(conn).ReadString('\n'); err != nil || got != line {
 		t.Fatalf("received %q, %v, want %q", got, err, line)
 	}
 }
 
-func hearsNothing(t *testing.T, conn net.Conn) {
+func expectSilence(t *testing.T, conn net.Conn) {
 	t.Helper()
-	_ = conn.SetReadDeadline(time.Now().Add(hubSilence))
+	_ = conn.SetReadDeadline(time.Now().Add(silenceTime))
 	if n, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("%d bytes, %v arrived through a cut", n, err)
 	}
@@ -97,7 +97,7 @@
 	hub := openHub(t, a, b, c)
 	atB, atC := echo(t, b), echo(t, c)
 	connected := func(conn net.Conn) net.Conn {
-		_ = conn.SetReadDeadline(time.Now().Add(hubPatience))
+		_ = conn.SetReadDeadline(time.Now().Add(hubTimeout))
 		if err := hubdial.ReadAnswer(conn); err != nil {
 			t.Fatal(err)
 		}
@@ -113,8 +113,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = fromOutside.Close() })
-	says(t, toB, "one\n")
-	says(t, fromOutside, "one\n")
+	exchange(t, toB, "one\n")
+	exchange(t, fromOutside, "one\n")
 	if err := hub.CutOff(netip.MustParseAddr(b)); err != nil {
 		t.Fatal(err)
 	}
@@ -122,15 +122,15 @@
 		if _, err := io.WriteString(conn, "two\n"); err != nil {
 			t.Fatal(err)
 		}
-		hearsNothing(t, conn)
+		expectSilence(t, conn)
 	}
 	late := ask(t, hub, c, atB)
-	hearsNothing(t, late)
-	says(t, toC, "two\n")
+	expectSilence(t, late)
+	exchange(t, toC, "two\n")
 	hub.Heal()
-	hears(t, toB, "two\n")
-	hears(t, fromOutside, "two\n")
-	says(t, connected(late), "three\n")
+	expectLine(t, toB, "two\n")
+	expectLine(t, fromOutside, "two\n")
+	exchange(t, connected(late), "three\n")
 }
 
 // The hub refuses a target that nobody serves, a target that is not a node, and a caller that is not a node.
@@ -142,7 +142,7 @@
 		"nobody serves": {a, net.JoinHostPort(b, "1")}, "no node": {a, atStranger}, "a strange caller": {stranger, atA}, "no address": {"x", atA},
 	} {
 		conn := ask(t, hub, request[0], request[1])
-		_ = conn.SetReadDeadline(time.Now().Add(hubPatience))
+		_ = conn.SetReadDeadline(time.Now().Add(hubTimeout))
 		if err := hubdial.ReadAnswer(conn); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -169,25 +169,25 @@
 		}
 		return conn, err
 	}
-	direct, err := dial(hubPatience)
+	direct, err := dial(hubTimeout)
 	if err != nil || direct.RemoteAddr().String() != target {
 		t.Fatalf("%v, %v", direct, err)
 	}
 	t.Setenv(hubdial.HubVariable, hub.Address())
 	t.Setenv(hubdial.NodeVariable, a)
-	relayed, err := dial(hubPatience)
+	relayed, err := dial(hubTimeout)
 	if err != nil || relayed.RemoteAddr().String() != hub.Address() {
 		t.Fatalf("%v, %v", relayed, err)
 	}
-	says(t, relayed, "one\n")
+	exchange(t, relayed, "one\n")
 	if err := hub.CutOff(netip.MustParseAddr(a)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := dial(hubSilence); err == nil {
+	if _, err := dial(silenceTime); err == nil {
 		t.Error("connected through a cut")
 	}
 	hub.Heal()
-	if _, err := dial(hubPatience); err != nil {
+	if _, err := dial(hubTimeout); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/lab/figures/figures_test.go
+++ b/internal/lab/figures/figures_test.go
@@ -23,18 +23,18 @@
 // for all tries, and only if the client learned that the message was accepted.
 func TestValueFallsFromTheTargetToTheDeadline(t *testing.T) {
 	c := New(classes, 2, Goal{Whole: 1}, sec(20), []float64{4})
-	born := func(at float64, id, origin string, tenant int, worth float64) Record {
+	submitted := func(at float64, id, origin string, tenant int, worth float64) Record {
 		return Record{At: sec(at), What: Submitted, ID: id, Origin: origin, Tenant: tenant, Share: worth}
 	}
 	for _, r := range []Record{
-		born(0.5, "early", "early", 0, 1), // before the first second: not counted
-		born(2, "a", "a", 0, 1), {What: Accepted, ID: "a"}, {At: sec(5), What: End, ID: "a", Status: 200},
-		born(2, "b", "b", 0, 1), {What: Accepted, ID: "b"}, {At: sec(16), What: End, ID: "b", Status: 200}, // half way: 0.65
-		born(3, "c", "c", 1, 1), {What: TurnedAway, ID: "c", Status: 503},
-		born(4, "c2", "c", 1, 1), {At: sec(4.2), What: End, ID: "c2", Status: 200}, {At: sec(4.3), What: Accepted, ID: "c2"},
+		submitted(0.5, "early", "early", 0, 1), // before the first second: not counted
+		submitted(2, "a", "a", 0, 1), {What: Accepted, ID: "a"}, {At: sec(5), What: End, ID: "a", Status: 200},
+		submitted(2, "b", "b", 0, 1), {What: Accepted, ID: "b"}, {At: sec(16), What: End, ID: "b", Status: 200}, // half way: 0.65
+		submitted(3, "c", "c", 1, 1), {What: TurnedAway, ID: "c", Status: 503},
+		submitted(4, "c2", "c", 1, 1), {At: sec(4.2), What: End, ID: "c2", Status: 200}, {At: sec(4.3), What: Accepted, ID: "c2"},
 		{At: sec(4.4), What: End, ID: "c2", Status: 200},
-		born(5, "d", "d", 1, 1), {At: sec(5.2), What: End, ID: "d", Status: 200}, // the client never learned that it was accepted
-		born(6, "e", "e", 1, 0.1), {What: Accepted, ID: "e"}, {At: sec(6.1), What: End, ID: "e", Status: 429},
+		submitted(5, "d", "d", 1, 1), {At: sec(5.2), What: End, ID: "d", Status: 200}, // the client never learned that it was accepted
+		submitted(6, "e", "e", 1, 0.1), {What: Accepted, ID: "e"}, {At: sec(6.1), What: End, ID: "e", Status: 429},
 	} {
 		c.Observe(r)
 	}
--- a/internal/lab/world/day.go
+++ b/internal/lab/world/day.go
@@ -128,7 +128,7 @@
 	total := d.drawDests(r)
 	d.drawNodes(r, total)
 	d.drawMessages(total)
-	d.drawTroubles()
+	d.drawFaults()
 	d.redirectToHot()
 	return d
 }
@@ -295,7 +295,7 @@
 	}
 }
 
-func (d *Day) drawTroubles() {
+func (d *Day) drawFaults() {
 	struck := map[int]bool{} // destinations that already have an outage; each gets at most one
 	for i, f := range d.Scenario.Faults {
 		r := Random(d.Seed, "fault", uint64(i))
--- a/scenarios/control/days_test.go
+++ b/scenarios/control/days_test.go
@@ -13,9 +13,9 @@
 
 const longestDay = 120 // seconds
 
-// trouble is one entry of a day's plan or faults. It has no fields that name a zone, service or class of a particular deployment, so
+// dayEntry is one entry of a day's plan or faults. It has no fields that name a zone, service or class of a particular deployment, so
 // that decoding rejects them.
-type trouble struct {
+type dayEntry struct {
 	At    float64 `toml:"at"`
 	Kind  string  `toml:"kind"`
 	How   string  `toml:"how"`
@@ -34,13 +34,13 @@
 }
 
 type day struct {
-	Name    string    `toml:"name"`
-	Slot    string    `toml:"slot"`
-	Seed    int64     `toml:"seed"`
-	LengthS float64   `toml:"length_s"`
-	Plan    []trouble `toml:"plan"`
-	Faults  []trouble `toml:"faults"`
-	Closing *closing  `toml:"closing"`
+	Name    string     `toml:"name"`
+	Slot    string     `toml:"slot"`
+	Seed    int64      `toml:"seed"`
+	LengthS float64    `toml:"length_s"`
+	Plan    []dayEntry `toml:"plan"`
+	Faults  []dayEntry `toml:"faults"`
+	Closing *closing   `toml:"closing"`
 }
 
 type dayFile struct {
