--- a/cmd/deliverynode/main.go
+++ b/cmd/deliverynode/main.go
@@ -116,7 +116,7 @@
 		return 2
 	}
 	if lock == nil {
-		fmt.Fprintln(out, "in use by a running node: records being written now may look torn")
+		fmt.Fprintln(out, "in use by a running node: what is being written meanwhile may look torn")
 	} else {
 		_ = lock.Close() // a node may start meanwhile
 	}
--- a/cmd/dunetide/certify.go
+++ b/cmd/dunetide/certify.go
@@ -196,7 +196,7 @@
 			if attempt == 0 {
 				return fmt.Errorf("version %d has no such certificate of %s: see dunetide certify get", s.Version, c.Endpoint)
 			}
-			fmt.Printf("version %d, put meanwhile, has no such certificate of %s\n", s.Version, c.Endpoint)
+			fmt.Printf("version %d, which came meanwhile, has none of %s\n", s.Version, c.Endpoint)
 			return nil
 		}
 		body, err := json.MarshalIndent(next, "", "  ")
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -206,7 +206,7 @@
 	}
 	answer := n.world.nodes[to].requestHandlers[kind]
 	if answer == nil {
-		return nil, fleet.AnswerError(fmt.Sprintf("unknown kind of request %q", kind))
+		return nil, fleet.AnswerError(fmt.Sprintf("nothing is known of %q", kind))
 	}
 	b, err := answer(ctx, n.world.peer(n.name), body)
 	switch {
--- a/internal/deliverynode/fleet/greeting.go
+++ b/internal/deliverynode/fleet/greeting.go
@@ -170,14 +170,14 @@
 	case h.Self.Name == own.Name && h.Self.Start == own.Start:
 		w.Refused = "this is the same process"
 	case h.Self.Name == own.Name:
-		w.Refused = "the name is in use by this process"
+		w.Refused = "the name is in use here"
 		if !h.Candidate && f.gossip != nil {
 			f.claim.Rival = h.Self.Address
 			f.wakeSession()
 		}
 	case h.Candidate:
 	case w.Known.Name != "" && h.Self.Incarnation <= max(w.Known.Removed, w.Known.Left):
-		w.Refused = "this incarnation has left or was removed"
+		w.Refused = "it was said to be gone"
 	case w.Known.Name != "" && h.Self.Incarnation < w.Known.Incarnation:
 		w.Refused = "a later incarnation is known"
 	case f.gossip == nil:
@@ -185,7 +185,7 @@
 	default:
 		l := f.link(h.Self.Name)
 		if l.keepsOwn(h.Self) {
-			w.Refused = "this node has opened or is opening a link"
+			w.Refused = "a link from here stands or is on its way"
 			return w, nil
 		}
 		return w, l
--- a/internal/deliverynode/journal/journal.go
+++ b/internal/deliverynode/journal/journal.go
@@ -38,7 +38,7 @@
 	// idempotency key.
 	ErrLate = errors.New("the idempotency key has expired at the destination")
 	// ErrReleased is returned when another process writes the journal or is about to (Release).
-	ErrReleased = errors.New("the journal has been released to another process")
+	ErrReleased = errors.New("the journal has been given away")
 )
 
 // Options configures a journal.
--- a/internal/deliverynode/lease/members.go
+++ b/internal/deliverynode/lease/members.go
@@ -223,7 +223,7 @@
 // of a majority. Entries that only the lost voters had are void.
 func (v *Voter) Recover(now time.Duration) error {
 	if v.node == nil {
-		return errors.New("this node has no log")
+		return errors.New("this node has nothing of the log")
 	}
 	data, err := v.machine.snapshot()
 	if err != nil {
--- a/internal/deliverynode/lease/voter.go
+++ b/internal/deliverynode/lease/voter.go
@@ -129,7 +129,7 @@
 		v.ticked = now
 	}
 	v.reportSnapshots()
-	late := answer{Log: v.self.Log, No: "the request was not committed in time", Maybe: true}
+	late := answer{Log: v.self.Log, No: "no majority has agreed in time", Maybe: true}
 	expireWaiting(v.pending, now, late)
 	expireWaiting(v.wanted, now, late)
 	if v.leads() {
@@ -202,7 +202,7 @@
 		reply(v.refusal(errNotLeader))
 		return
 	case len(v.pending) >= maxPending:
-		reply(v.refusal(errors.New("too many requests wait to be committed")))
+		reply(v.refusal(errors.New("too many asks at once")))
 		return
 	}
 	key := requestKey{a.Node, a.Incarnation, a.Number}
@@ -230,6 +230,6 @@
 
 // Close answers all waiting requests and closes the file.
 func (v *Voter) Close() {
-	v.dropPending("this voter has stopped")
+	v.dropPending("this voter has ended")
 	v.disk.close()
 }
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -181,13 +181,13 @@
 	select {
 	case <-c.loopReady:
 	case <-time.After(consoleAnswer):
-		http.Error(w, "no status available yet", http.StatusServiceUnavailable)
+		http.Error(w, "nothing to show yet", http.StatusServiceUnavailable)
 		return
 	}
 	text, err := json.MarshalIndent(figures(c.loop), "", "  ")
 	if err != nil {
 		c.log.Error("console: encoding a status page failed", "err", err)
-		http.Error(w, "the status can't be encoded", http.StatusInternalServerError)
+		http.Error(w, "the figures can't be written", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -197,14 +197,14 @@
 func (c *console) readiness() (status int, text string) {
 	if !c.ready.Load() {
 		if c.processes != nil && c.processes.anyMember(requestReady, nil) {
-			return http.StatusOK, "clients are served by another process of this node"
+			return http.StatusOK, "clients are taken, by another process of this node"
 		}
-		return http.StatusServiceUnavailable, "no clients are served"
+		return http.StatusServiceUnavailable, "no clients are taken"
 	}
 	if err := c.loop.journal.Failed(); err != nil {
-		return http.StatusServiceUnavailable, "no clients are served: " + err.Error()
+		return http.StatusServiceUnavailable, "no clients are taken: " + err.Error()
 	}
-	return http.StatusOK, "clients are served"
+	return http.StatusOK, "clients are taken"
 }
 
 // removeMember marks a member of the fleet as removed. Success means that this node has recorded it; the other nodes learn
@@ -218,7 +218,7 @@
 	}
 	err := readOrder(body, &o)
 	if err == nil && o.Name == "" {
-		err = errors.New(`the order has no "name"`)
+		err = errors.New(`the order names no "name"`)
 	}
 	if err != nil {
 		return http.StatusBadRequest, err.Error()
@@ -297,7 +297,7 @@
 		return "", err
 	}
 	if o.Host == "" {
-		return "", errors.New(`the order has no "host"`)
+		return "", errors.New(`the order names no "host"`)
 	}
 	return o.Host, nil
 }
@@ -309,7 +309,7 @@
 	case <-c.loopReady:
 		return c.loop.executeOrder(ctx, id, out)
 	case <-ctx.Done():
-		return http.StatusServiceUnavailable, "the previous process still owns the orders"
+		return http.StatusServiceUnavailable, "the process before still has the orders"
 	}
 }
 
@@ -336,7 +336,7 @@
 	for {
 		to, err := l.owner.owner(ctx)
 		if err != nil {
-			return http.StatusServiceUnavailable, "no process owns the orders at the moment"
+			return http.StatusServiceUnavailable, "no process has the orders just now"
 		}
 		if to != nil {
 			a, _, err := to.send(passedOn{Order: &staffOrder{Endpoint: host, Out: out}})
--- a/internal/deliverynode/node/intake.go
+++ b/internal/deliverynode/node/intake.go
@@ -118,7 +118,7 @@
 		to, err := in.owner.owner(ctx)
 		cancel()
 		if err != nil {
-			return http.StatusServiceUnavailable, "no process accepts messages"
+			return http.StatusServiceUnavailable, "no process takes messages"
 		}
 		if to != nil {
 			return in.forward(to, m)
@@ -134,7 +134,7 @@
 			return http.StatusAccepted, ""
 		}
 		if !ok {
-			return http.StatusServiceUnavailable, "too many messages are held"
+			return http.StatusServiceUnavailable, "the hold is full"
 		}
 		switch err := in.record(m); {
 		case errors.Is(err, errNotReady): // nothing was written
@@ -149,13 +149,13 @@
 		case errors.Is(err, journal.ErrNotDurable): // it may be sent, so a retry may not be safe
 			in.ended(m.ID)
 			in.log.Error("intake: message not durable", "id", m.ID, "err", err)
-			return http.StatusInternalServerError, "unknown whether the message was accepted"
+			return http.StatusInternalServerError, "not known to be taken on"
 		default:
 			in.ended(m.ID)
 			if !errors.Is(err, journal.ErrFull) && !errors.Is(err, journal.ErrFailed) {
 				in.log.Error("intake: message not journaled", "id", m.ID, "err", err)
 			}
-			return http.StatusServiceUnavailable, "the journal accepts no more messages"
+			return http.StatusServiceUnavailable, "the journal takes no more"
 		}
 	}
 }
@@ -173,7 +173,7 @@
 }
 
 // errNotReady is returned if a message was refused before anything of it was written.
-var errNotReady = errors.New("this node does not accept messages now")
+var errNotReady = errors.New("this node takes no messages now")
 
 // record writes a message to the journal, and with -copies waits until other nodes have copies of it. It waits first
 // until this node has the lease on its log and enough copies. A message that is written but not copied in time is ended,
@@ -205,9 +205,9 @@
 	}
 	in.log.Error("handover: forwarding a message failed", "id", m.ID, "err", err)
 	if sent { // it may have been accepted, so a retry may not be safe
-		return http.StatusInternalServerError, "unknown whether the message was accepted"
+		return http.StatusInternalServerError, "not known to be taken on"
 	}
-	return http.StatusServiceUnavailable, "no process accepts messages"
+	return http.StatusServiceUnavailable, "no process takes messages"
 }
 
 // read checks a request and reads its message.
@@ -245,7 +245,7 @@
 		return nil, bad("Content-Length is missing")
 	}
 	if r.ContentLength > journal.MaxBody {
-		return nil, badRequest{http.StatusRequestEntityTooLarge, "the body is larger than 64 KiB"}
+		return nil, badRequest{http.StatusRequestEntityTooLarge, "over 64 KiB"}
 	}
 	m.Body = make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, m.Body); err != nil {
@@ -265,7 +265,7 @@
 		if v, ok := strings.CutPrefix(field, "dest="); ok {
 			n, err := strconv.ParseUint(v, 10, 16)
 			if err != nil {
-				return 0, errors.New("dest is not the number of a destination")
+				return 0, errors.New("dest is no number of a destination")
 			}
 			return int(n), nil
 		}
--- a/internal/deliverynode/replica/keeper.go
+++ b/internal/deliverynode/replica/keeper.go
@@ -64,9 +64,9 @@
 
 var (
 	// ErrTooFewCopies is returned when there are fewer copies than configured.
-	ErrTooFewCopies = errors.New("too few copies are reachable")
+	ErrTooFewCopies = errors.New("too few copies are in reach")
 	// ErrNotOurs is returned when this node does not hold the lease of the log.
-	ErrNotOurs = errors.New("this node does not hold the lease of the log")
+	ErrNotOurs = errors.New("the log is not this node's to work on just now")
 )
 
 // Folders are the folders within the state folder.
