--- a/cmd/dunetide-lab/soak.go
+++ b/cmd/dunetide-lab/soak.go
@@ -89,7 +89,7 @@
 
 // play runs one plan and reports whether a rule was violated.
 func (c *soakCommand) play(ctx context.Context, program, work string, plan soak.Plan, verbose bool) (bad bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, plan.LongestPlay())
+	ctx, cancel := context.WithTimeout(ctx, plan.MaxDuration())
 	defer cancel()
 	dir := filepath.Join(work, "run")
 	if err := os.RemoveAll(dir); err != nil {
--- a/cmd/dunetide/condition_test.go
+++ b/cmd/dunetide/condition_test.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	p := &process{log: hclog.NewNullLogger(), ctx: ctx}
 	disk := vfstest.New()
-	disk.Room = diskProbeBytes / 2
+	disk.Capacity = diskProbeBytes / 2
 	ended, reported := make(chan error, 1), make(chan struct{})
 	go func() {
 		p.reportConditions(controlclient.Node{Name: "s1", Role: controlclient.RoleStore}, func() []string {
@@ -75,7 +75,7 @@
 	var makeRoom atomic.Bool
 	folder := countedFolder{disk, func() { // on the goroutine that writes to the disk
 		if makeRoom.Load() {
-			disk.Room = 0
+			disk.Capacity = 0
 		}
 	}}
 	calls, other := 0, errors.New("other")
--- a/cmd/dunetide/cut_test.go
+++ b/cmd/dunetide/cut_test.go
@@ -214,10 +214,10 @@
 	if b, err := c.requestLeaseAs(c.nodes[(i+1)%len(c.nodes)], i); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, lease request: %v, %v", i+1, b, err)
 	}
-	if b, err := o.call(controlclient.KindInForce, inForceRequest(firstRefusedVersion)); err != nil || !bytes.Equal(b, []byte{0}) {
+	if b, err := o.call(controlclient.KindCertificatesInForce, inForceRequest(firstRefusedVersion)); err != nil || !bytes.Equal(b, []byte{0}) {
 		c.t.Errorf("keeper %d, call InForce for a version that no process has: %v, %v", i+1, b, err)
 	}
-	if b, err := o.call(controlclient.KindInForce, inForceRequest(0)); err != nil || !bytes.Equal(b, []byte{1}) {
+	if b, err := o.call(controlclient.KindCertificatesInForce, inForceRequest(0)); err != nil || !bytes.Equal(b, []byte{1}) {
 		c.t.Errorf("keeper %d, call InForce for version 0: %v, %v", i+1, b, err)
 	}
 	id := fmt.Sprint("told", c.beats.Add(1))
@@ -271,7 +271,7 @@
 	c.until("a process of the majority is pushed the newest versions", func() bool { seen, _, _ := o.received(); return seen == floor })
 	c.until("the keeper confirms its certificates", func() bool { _, err := o.call(controlclient.KindConfirm, nil); return err == nil })
 	c.until("the certificates are in force", func() bool {
-		b, err := o.call(controlclient.KindInForce, inForceRequest(floor.certificates))
+		b, err := o.call(controlclient.KindCertificatesInForce, inForceRequest(floor.certificates))
 		return err == nil && bytes.Equal(b, []byte{1})
 	})
 	c.until("the keeper reports contact", func() bool {
--- a/cmd/dunetide/diskspace_test.go
+++ b/cmd/dunetide/diskspace_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("%v after %d calls", err, calls)
 	}
 	// While the disk stays full, it returns when shutdown is requested.
-	disk.Room = diskProbeBytes / 2
+	disk.Capacity = diskProbeBytes / 2
 	probed := &atomic.Int32{}
 	err = p.runWithDiskSpace(countedFolder{disk, func() {
 		if probed.Add(1) == 2 {
--- a/cmd/dunetide/proxy.go
+++ b/cmd/dunetide/proxy.go
@@ -82,7 +82,7 @@
 		MaxOpen:      r.files.Endpoints(forward.DefaultMaxOpen),
 		BodyBudget:   bodies,
 	})
-	r.proxy.Observe()
+	r.proxy.RegisterMetrics()
 	r.calls.setProxy(r.proxy)
 	r.client = controlclient.New(controlclient.Options{
 		Self: controlclient.Node{
@@ -161,7 +161,7 @@
 	r.process.log.Info("stopping")
 	r.calls.stop()
 	err := r.proxy.Shutdown(r.process.settings.Bounds.Grace - shutdownMargin)
-	if errors.Is(err, forward.ErrGraceOver) { // still a planned shutdown
+	if errors.Is(err, forward.ErrGraceExpired) { // still a planned shutdown
 		r.process.log.Warn("grace period over: connections closed", "err", err)
 		err = nil
 	}
--- a/cmd/dunetide/regulatedwork.go
+++ b/cmd/dunetide/regulatedwork.go
@@ -96,7 +96,7 @@
 			"refused", c.Refused,
 			"waited", c.Waited,
 			"given_up", c.Abandoned,
-			"stopped", c.Stopped,
+			"stopped", c.Invalidated,
 			"not_recorded_yet", r.recorder.Pending())
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -239,7 +239,7 @@
 		return wire.Action{Code: wire.CodeSubscribe, On: true}
 	case policy.CloseIdle:
 		return wire.Action{Code: wire.CodeShutIdle, Endpoint: wire.Endpoint(a.Endpoint)}
-	case policy.Tell:
+	case policy.SendNote:
 		return wire.Action{Code: wire.CodeTell, Whom: wire.AllPeers, Data: wire.EncodeNote(a)}
 	case policy.Wake:
 		return wire.Action{Code: wire.CodeTimer, TimeUs: uint64(a.At.Microseconds())}
--- a/internal/batch/audit/diskfull_test.go
+++ b/internal/batch/audit/diskfull_test.go
@@ -51,7 +51,7 @@
 	for room := 1; room < reference.Used(); room += 23 {
 		var log bytes.Buffer
 		disk := vfstest.New()
-		disk.Room = room
+		disk.Capacity = room
 		s, err := OpenStore(StoreOptions{Folder: disk, FileBytes: fileBytes, Log: hclog.New(&hclog.LoggerOptions{Output: &log})})
 		must(t, err)
 		refused := 0
@@ -64,7 +64,7 @@
 			if s.appendNow(body) == nil {
 				t.Fatalf("room %d: accepted although the disk is still full", room)
 			}
-			disk.Room = 0
+			disk.Capacity = 0
 			if err := s.appendNow(body); err != nil {
 				t.Fatalf("room %d: rejected although there is space: %v", room, err)
 			}
--- a/internal/control/certification/counts.go
+++ b/internal/control/certification/counts.go
@@ -7,11 +7,11 @@
 
 // Counts are counters of the regulated requests of one regime since the process started.
 type Counts struct {
-	Runs      uint64 // requests and batch items sent to an endpoint
-	Refused   uint64 // interactive requests refused because no certified endpoint was free in time
-	Waited    uint64 // dispatch attempts of batch items that waited for a certified endpoint
-	Abandoned uint64 // such attempts that ended without an endpoint: the item was abandoned or withdrawn
-	Stopped   uint64 // grants not used because the certificate was no longer valid when the request was to be sent
+	Runs        uint64 // requests and batch items sent to an endpoint
+	Refused     uint64 // interactive requests refused because no certified endpoint was free in time
+	Waited      uint64 // dispatch attempts of batch items that waited for a certified endpoint
+	Abandoned   uint64 // such attempts that ended without an endpoint: the item was abandoned or withdrawn
+	Invalidated uint64 // grants not used because the certificate was no longer valid when the request was to be sent
 }
 
 // RegimeCounts are the counts of a regime.
--- a/internal/control/controlclient/golden_test.go
+++ b/internal/control/controlclient/golden_test.go
@@ -172,7 +172,7 @@
 	kinds := map[link.Kind]link.Kind{
 		KindHello: 1, KindUpdate: 2, KindAck: 3, KindConsensus: 4, KindEndpoints: 5, KindLiveness: 6, KindAttached: 7,
 		KindDecided: 8, KindPartitionJoined: 9, KindLease: 10, KindStatus: 11, KindEndpointsRequest: 12,
-		KindConfirm: 13, KindInForce: 14, KindKeeperReport: 15, KindStoreStopping: 20, KindInContact: 21, KindCondition: 22,
+		KindConfirm: 13, KindCertificatesInForce: 14, KindKeeperReport: 15, KindStoreStopping: 20, KindInContact: 21, KindCondition: 22,
 	}
 	if len(kinds) != 18 {
 		t.Fatalf("%d kinds", len(kinds))
--- a/internal/control/controlclient/kinds.go
+++ b/internal/control/controlclient/kinds.go
@@ -49,9 +49,9 @@
 	// KindEndpointsRequest is a one-way message that requests all entries of the list of endpoints, because the sender
 	// lacks some.
 	KindEndpointsRequest link.Kind = 12
-	// KindInForce is a call with a version of the certificates. The reply is whether that version is in force at all
+	// KindCertificatesInForce is a call with a version of the certificates. The reply is whether that version is in force at all
 	// processes that are attached to the keeper.
-	KindInForce link.Kind = 14
+	KindCertificatesInForce link.Kind = 14
 	// KindKeeperReport is a one-way message with the state of the sender (KeeperReport).
 	KindKeeperReport link.Kind = 15
 )
--- a/internal/control/keeper/certificates.go
+++ b/internal/control/keeper/certificates.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		expected++
-		reply := p.conn.Go(controlclient.KindInForce, request.Buf)
+		reply := p.conn.Go(controlclient.KindCertificatesInForce, request.Buf)
 		go func() { // it ends with the link at the latest
 			answer := <-reply
 			r := link.Reader{Buf: answer.Body}
--- a/internal/control/keeper/disk_test.go
+++ b/internal/control/keeper/disk_test.go
@@ -24,8 +24,8 @@
 }
 
 // fillDisk leaves no free space on a keeper's disk; freeDisk reverts that.
-func (r *rig) fillDisk(i int) { r.withDisk(i, func() { r.disks[i].Room = r.disks[i].Used() + 1 }) }
-func (r *rig) freeDisk(i int) { r.withDisk(i, func() { r.disks[i].Room = 0 }) }
+func (r *rig) fillDisk(i int) { r.withDisk(i, func() { r.disks[i].Capacity = r.disks[i].Used() + 1 }) }
+func (r *rig) freeDisk(i int) { r.withDisk(i, func() { r.disks[i].Capacity = 0 }) }
 
 // storedSlot returns the newest slot of the configuration register on a keeper's disk.
 func (r *rig) storedSlot(i int) uint64 {
@@ -91,7 +91,7 @@
 	// Confirmed puts survive a loss of power on a full disk.
 	r.kill(2)
 	r.disks[2].PowerLoss(func(int) int { return 0 })
-	r.disks[2].Room = r.disks[2].Used() + 1
+	r.disks[2].Capacity = r.disks[2].Used() + 1
 	r.start(2)
 	r.untilConnected(0, 1, 2)
 	r.freeDisk(1)
@@ -199,13 +199,13 @@
 	started := false
 	for freeBytes := 1; freeBytes < 200; freeBytes++ {
 		disk := vfstest.New()
-		disk.Room = freeBytes
+		disk.Capacity = freeBytes
 		first, err := openSingleVoter(t, disk)
 		if err != nil && (!recordlog.IsDiskFull(err) || started) {
 			t.Fatalf("%d bytes free: %v", freeBytes, err)
 		}
 		started = started || err == nil
-		disk.Room = 0
+		disk.Capacity = 0
 		again := mustOpen(t, disk)
 		if again.registers.id == 0 || first != nil && again.registers.id != first.registers.id {
 			t.Fatalf("%d bytes free: another identity", freeBytes)
--- a/internal/control/keeper/dispatch.go
+++ b/internal/control/keeper/dispatch.go
@@ -52,7 +52,7 @@
 		k.sendEntries(m.Conn, k.endpoints.Entries(k.sinceStart(now), -1), nil)
 	case controlclient.KindAttached:
 		k.handleAttached(m)
-	case controlclient.KindInForce:
+	case controlclient.KindCertificatesInForce:
 		k.handleInForce(m)
 	case controlclient.KindKeeperReport:
 		k.handleReport(m)
--- a/internal/control/keeper/measured_rig_test.go
+++ b/internal/control/keeper/measured_rig_test.go
@@ -87,7 +87,7 @@
 	m.limits = settings.Limits{DiskMB: diskMB}
 	m.folders = make([]*measuredFolder, len(m.running))
 	m.folder = func(i int) vfs.Folder {
-		m.disks[i].Room = diskMB << 20
+		m.disks[i].Capacity = diskMB << 20
 		m.folders[i] = &measuredFolder{Disk: m.disks[i]}
 		return m.folders[i]
 	}
--- a/internal/control/keeper/register_log_test.go
+++ b/internal/control/keeper/register_log_test.go
@@ -110,7 +110,7 @@
 func replayChanges(t testing.TB, count, size int) (u logUsage) {
 	t.Helper()
 	disk := vfstest.New()
-	disk.Room = diskMB << 20
+	disk.Capacity = diskMB << 20
 	disk.Stall = func() { u.peak = max(u.peak, disk.Used()) }
 	l := mustOpen(t, disk)
 	for n := range count {
@@ -260,7 +260,7 @@
 	for freeBytes := 0; freeBytes < 12<<10; freeBytes += 500 {
 		disk := base.Copy()
 		l := mustOpen(t, disk)
-		disk.Room = disk.Used() + 1 + freeBytes
+		disk.Capacity = disk.Used() + 1 + freeBytes
 		acknowledged := last
 		for n := last + 1; n <= last+6; n++ {
 			if l.change(configRegister, numberedValue(n, 4<<10)) {
@@ -273,7 +273,7 @@
 		if again := mustOpen(t, disk.Copy()); bytes.Compare(again.value(configRegister)[:20], numberedValue(acknowledged, 20)) < 0 {
 			t.Fatalf("%d bytes free: change %d was acknowledged, but the value is %.20q", freeBytes, acknowledged, again.value(configRegister))
 		}
-		disk.Room = 0
+		disk.Capacity = 0
 		l.registers.noRewriteBefore = time.Time{}
 		if !l.change(configRegister, numberedValue(last+7, 4<<10)) {
 			t.Fatalf("%d bytes free: change not acknowledged once there is space", freeBytes)
@@ -290,7 +290,7 @@
 	for _, c := range []struct{ count, size int }{{100, 4 << 10}, {400, 4 << 10}, {400, 64 << 10}, {100, 1 << 20}, {24, maxConfigBody}} {
 		b.Run(fmt.Sprintf("%dx%dkB", c.count, c.size>>10), func(b *testing.B) {
 			disk := vfstest.New()
-			disk.Room = diskMB << 20
+			disk.Capacity = diskMB << 20
 			l := mustOpen(b, disk)
 			for n := range c.count {
 				if !l.change(configRegister, numberedValue(n, c.size)) {
--- a/internal/deliverynode/fleet/claim.go
+++ b/internal/deliverynode/fleet/claim.go
@@ -119,7 +119,7 @@
 		f.table.Rejoined()
 	}
 	f.mu.Unlock()
-	f.options.Log.Info("fleet: new incarnation", "incarnation", claim.Raise, "removed", removed, "old folder", claim.Old)
+	f.options.Log.Info("fleet: new incarnation", "incarnation", claim.Raise, "removed", removed, "old folder", claim.StaleFolder)
 	if removed { // handlers of changes get this node's removal like that of any member
 		f.notifyMu.Lock()
 		defer f.notifyMu.Unlock()
@@ -128,10 +128,10 @@
 }
 
 // saveIncarnation writes the incarnation that a claim demands to disk. For a stale state directory the
-// handlers of OnOld run first, because the directory looks up to date afterwards.
+// handlers of OnStaleFolder run first, because the directory looks up to date afterwards.
 func (f *Fleet) saveIncarnation(claim Claim) error {
 	var err error
-	if claim.Old {
+	if claim.StaleFolder {
 		for _, handle := range f.onStaleFolder {
 			err = errors.Join(err, handle())
 		}
--- a/internal/deliverynode/fleet/claim_test.go
+++ b/internal/deliverynode/fleet/claim_test.go
@@ -59,7 +59,7 @@
 		t.Run(c.what, func(t *testing.T) {
 			node, changes := newClaimant(t)
 			var during []Record
-			node.OnOld(func() error {
+			node.OnStaleFolder(func() error {
 				for _, rec := range during {
 					node.handleOwnRecord(rec)
 				}
--- a/internal/deliverynode/fleet/fleet.go
+++ b/internal/deliverynode/fleet/fleet.go
@@ -48,17 +48,17 @@
 	// one of the same kind and key. It never blocks. Errors: ErrUnknown, ErrQueueFull.
 	Tell(to, kind, key string, body []byte) error
 	// Ask sends a request, which is written at most once, and waits for its answer. Errors: ErrNotSent,
-	// ErrMaybe, ErrQueueFull, ErrUnknown, AnswerError. Without a deadline in ctx, defaultRequestTimeout applies.
+	// ErrOutcomeUnknown, ErrQueueFull, ErrUnknown, AnswerError. Without a deadline in ctx, defaultRequestTimeout applies.
 	Ask(ctx context.Context, to, kind string, body []byte) ([]byte, error)
-	// OnNews, OnAsk and OnChange must be called before Run. Their functions must not block, except those
+	// OnUpdate, OnAsk and OnChange must be called before Run. Their functions must not block, except those
 	// of OnAsk, which have a context.
-	OnNews(kind string, f NewsFunc)
+	OnUpdate(kind string, f UpdateFunc)
 	OnAsk(kind string, f AskFunc)
 	OnChange(f func(Change))
 }
 
-// NewsFunc handles an update; age is its age when it was written to the link.
-type NewsFunc func(from Peer, key string, age time.Duration, body []byte)
+// UpdateFunc handles an update; age is its age when it was written to the link.
+type UpdateFunc func(from Peer, key string, age time.Duration, body []byte)
 
 // AskFunc answers a request. The sender gets an error as an AnswerError with its text.
 type AskFunc func(ctx context.Context, from Peer, body []byte) ([]byte, error)
@@ -107,7 +107,7 @@
 	running      *sync.WaitGroup
 	claimPending chan struct{} // signals the session's loop that claim is set
 
-	updateHandlers  map[string]NewsFunc
+	updateHandlers  map[string]UpdateFunc
 	requestHandlers map[string]AskFunc
 	changeHandlers  []func(Change)
 	onStaleFolder   []func() error
@@ -152,7 +152,7 @@
 		o.Conns = DefaultConns
 	}
 	f := &Fleet{options: o, key: fleetKey(o.File.Fleet), address: address, listen: listen, conns: make(chan struct{}, o.Conns),
-		updateHandlers: map[string]NewsFunc{}, requestHandlers: map[string]AskFunc{}, links: map[string]*link{}, state: Starting,
+		updateHandlers: map[string]UpdateFunc{}, requestHandlers: map[string]AskFunc{}, links: map[string]*link{}, state: Starting,
 		refused: map[string]string{}, claimPending: make(chan struct{}, 1), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
 	for _, n := range o.File.Nodes {
 		if n.Seed && n.Name != o.Name {
@@ -164,8 +164,8 @@
 	return f, nil
 }
 
-// OnNews registers the handler for updates of a kind.
-func (f *Fleet) OnNews(kind string, handle NewsFunc) { f.updateHandlers[kind] = handle }
+// OnUpdate registers the handler for updates of a kind.
+func (f *Fleet) OnUpdate(kind string, handle UpdateFunc) { f.updateHandlers[kind] = handle }
 
 // OnAsk registers the handler for requests of a kind.
 func (f *Fleet) OnAsk(kind string, answer AskFunc) { f.requestHandlers[kind] = answer }
@@ -173,13 +173,13 @@
 // OnChange registers a handler for members' changes of state, called in their order.
 func (f *Fleet) OnChange(handle func(Change)) { f.changeHandlers = append(f.changeHandlers, handle) }
 
-// OnOld registers a handler for a stale state directory: other nodes know a later start of this node
+// OnStaleFolder registers a handler for a stale state directory: other nodes know a later start of this node
 // than its directory does. The handler is called again after an error.
-func (f *Fleet) OnOld(handle func() error) { f.onStaleFolder = append(f.onStaleFolder, handle) }
+func (f *Fleet) OnStaleFolder(handle func() error) { f.onStaleFolder = append(f.onStaleFolder, handle) }
 
-// While registers a function that runs whenever this node is joined. It must return when its context ends;
+// RunWhileJoined registers a function that runs whenever this node is joined. It must return when its context ends;
 // the node stays a member until then, so that no other process takes its name before.
-func (f *Fleet) While(run func(context.Context)) { f.joinedTasks = append(f.joinedTasks, run) }
+func (f *Fleet) RunWhileJoined(run func(context.Context)) { f.joinedTasks = append(f.joinedTasks, run) }
 
 func (f *Fleet) random() float64 {
 	f.mu.Lock()
--- a/internal/deliverynode/fleet/fleet_test.go
+++ b/internal/deliverynode/fleet/fleet_test.go
@@ -191,7 +191,7 @@
 	w := newWorld(t, 3, 2)
 	serve := func(f *fleet.Fleet) {
 		f.OnAsk("q", func(_ context.Context, _ fleet.Peer, body []byte) ([]byte, error) { return body, nil })
-		f.OnNews("k", func(fleet.Peer, string, time.Duration, []byte) {})
+		f.OnUpdate("k", func(fleet.Peer, string, time.Duration, []byte) {})
 	}
 	for i := range 3 {
 		w.start(i, serve)
@@ -209,7 +209,7 @@
 						if err := w.nodes[i].Tell(w.nodes[j].name, "k", strconv.Itoa(k), nil); err != nil {
 							t.Error(err)
 						}
-						if _, err := w.nodes[i].Ask(t.Context(), w.nodes[j].name, "q", []byte("x")); err != nil && !errors.Is(err, fleet.ErrMaybe) {
+						if _, err := w.nodes[i].Ask(t.Context(), w.nodes[j].name, "q", []byte("x")); err != nil && !errors.Is(err, fleet.ErrOutcomeUnknown) {
 							t.Error(err) // a link to the previous process may be breaking
 						}
 						_ = w.nodes[i].Status()
--- a/internal/deliverynode/fleet/fleettest/fleettest.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest.go
@@ -38,7 +38,7 @@
 func New(names ...string) *World {
 	w := &World{nodes: map[string]*Node{}}
 	for _, name := range names {
-		w.nodes[name] = &Node{world: w, name: name, updateHandlers: map[string]fleet.NewsFunc{}, requestHandlers: map[string]fleet.AskFunc{},
+		w.nodes[name] = &Node{world: w, name: name, updateHandlers: map[string]fleet.UpdateFunc{}, requestHandlers: map[string]fleet.AskFunc{},
 			table: fleet.NewTable(fleet.Record{Name: name, Incarnation: 1, Start: 1, Address: name}, 0)}
 	}
 	for _, a := range w.nodes {
@@ -133,7 +133,7 @@
 	world           *World
 	name            string
 	table           *fleet.Table
-	updateHandlers  map[string]fleet.NewsFunc
+	updateHandlers  map[string]fleet.UpdateFunc
 	requestHandlers map[string]fleet.AskFunc
 	changeHandlers  []func(fleet.Change)
 }
@@ -202,7 +202,7 @@
 	case NotSent:
 		return nil, fleet.ErrNotSent
 	case Lost:
-		return nil, fleet.ErrMaybe
+		return nil, fleet.ErrOutcomeUnknown
 	}
 	answer := n.world.nodes[to].requestHandlers[kind]
 	if answer == nil {
@@ -211,15 +211,15 @@
 	b, err := answer(ctx, n.world.peer(n.name), body)
 	switch {
 	case fate == AnswerLost:
-		return nil, fleet.ErrMaybe
+		return nil, fleet.ErrOutcomeUnknown
 	case err != nil:
 		return nil, fleet.AnswerError(err.Error())
 	}
 	return b, nil
 }
 
-// OnNews sets the handler for updates of a kind.
-func (n *Node) OnNews(kind string, f fleet.NewsFunc) { n.updateHandlers[kind] = f }
+// OnUpdate sets the handler for updates of a kind.
+func (n *Node) OnUpdate(kind string, f fleet.UpdateFunc) { n.updateHandlers[kind] = f }
 
 // OnAsk sets the handler for requests of a kind.
 func (n *Node) OnAsk(kind string, f fleet.AskFunc) { n.requestHandlers[kind] = f }
--- a/internal/deliverynode/fleet/fleettest/fleettest_test.go
+++ b/internal/deliverynode/fleet/fleettest/fleettest_test.go
@@ -16,7 +16,7 @@
 	w := New("a", "b", "c")
 	a, b := w.Node("a"), w.Node("b")
 	var received []string
-	b.OnNews("k", func(from fleet.Peer, key string, age time.Duration, body []byte) {
+	b.OnUpdate("k", func(from fleet.Peer, key string, age time.Duration, body []byte) {
 		received = append(received, from.Name+key+string(body)+age.String())
 	})
 	handled := 0
@@ -51,7 +51,7 @@
 		err     error
 		handled int
 	}{{Answered, "x", nil, 1}, {Answered, "", fleet.AnswerError("empty"), 2}, {NotSent, "x", fleet.ErrNotSent, 2},
-		{Lost, "x", fleet.ErrMaybe, 2}, {AnswerLost, "x", fleet.ErrMaybe, 3}} {
+		{Lost, "x", fleet.ErrOutcomeUnknown, 2}, {AnswerLost, "x", fleet.ErrOutcomeUnknown, 3}} {
 		w.Fate = func(string, string, string) Fate { return c.fate }
 		got, err := a.Ask(context.Background(), "b", "q", []byte(c.body))
 		if !errors.Is(err, c.err) || err == nil && string(got) != c.body || handled != c.handled {
@@ -72,8 +72,8 @@
 	if !slices.Equal(steps, []fleet.State{fleet.Suspect, fleet.Removed, fleet.Alive, fleet.Left}) {
 		t.Error(steps)
 	}
-	b.OnNews("loop", func(fleet.Peer, string, time.Duration, []byte) { _ = b.Tell("c", "loop", "x", nil) })
-	w.Node("c").OnNews("loop", func(fleet.Peer, string, time.Duration, []byte) { _ = w.Node("c").Tell("b", "loop", "x", nil) })
+	b.OnUpdate("loop", func(fleet.Peer, string, time.Duration, []byte) { _ = b.Tell("c", "loop", "x", nil) })
+	w.Node("c").OnUpdate("loop", func(fleet.Peer, string, time.Duration, []byte) { _ = w.Node("c").Tell("b", "loop", "x", nil) })
 	_ = b.Tell("c", "loop", "x", nil)
 	if err := w.DeliverAll(9); err == nil || !strings.Contains(err.Error(), "still in flight") {
 		t.Error(err)
--- a/internal/deliverynode/fleet/golden_test.go
+++ b/internal/deliverynode/fleet/golden_test.go
@@ -15,11 +15,11 @@
 
 // Every message between nodes that an earlier version has encoded is decoded to the same value and encoded to the same bytes.
 func TestGoldenMessages(t *testing.T) {
-	golden.By[hello](t, "hello.cbor", encoding, decoding)
-	golden.By[welcome](t, "welcome.cbor", encoding, decoding)
-	golden.By[frame](t, "frame.cbor", encoding, decoding)
-	golden.By[meta](t, "gossip-meta.cbor", encoding, decoding)
-	golden.By[gossipRecords](t, "gossip-records.cbor", encoding, decoding)
+	golden.Encoding[hello](t, "hello.cbor", encoding, decoding)
+	golden.Encoding[welcome](t, "welcome.cbor", encoding, decoding)
+	golden.Encoding[frame](t, "frame.cbor", encoding, decoding)
+	golden.Encoding[meta](t, "gossip-meta.cbor", encoding, decoding)
+	golden.Encoding[gossipRecords](t, "gossip-records.cbor", encoding, decoding)
 	golden.JSON[Status](t, "status.json")
 	golden.JSON[File](t, "fleet-file.json")
 }
--- a/internal/deliverynode/fleet/peer.go
+++ b/internal/deliverynode/fleet/peer.go
@@ -9,8 +9,8 @@
 var (
 	// ErrNotSent reports that a request has not left this node, so it has had no effect.
 	ErrNotSent = errors.New("not sent")
-	// ErrMaybe reports that a request may have arrived, but its answer is no longer accepted.
-	ErrMaybe = errors.New("may have arrived")
+	// ErrOutcomeUnknown reports that a request may have arrived, but its answer is no longer accepted.
+	ErrOutcomeUnknown = errors.New("may have arrived")
 	// ErrQueueFull reports that the member's queue is full. The message was not queued.
 	ErrQueueFull = errors.New("too much waits for this member")
 	// ErrUnknown reports that the fleet has no such member now.
@@ -187,7 +187,7 @@
 	}
 	p.removeRequests(func(q *request) bool {
 		if q.sent {
-			ends = append(ends, q.completion(nil, fmt.Errorf("%w: the link broke", ErrMaybe)))
+			ends = append(ends, q.completion(nil, fmt.Errorf("%w: the link broke", ErrOutcomeUnknown)))
 		}
 		return q.sent
 	})
@@ -243,7 +243,7 @@
 			return false
 		}
 		if q.sent {
-			ends = append(ends, q.completion(nil, fmt.Errorf("%w: no answer in time", ErrMaybe)))
+			ends = append(ends, q.completion(nil, fmt.Errorf("%w: no answer in time", ErrOutcomeUnknown)))
 		} else {
 			ends = append(ends, q.completion(nil, fmt.Errorf("%w: no link in time", ErrNotSent)))
 		}
@@ -260,7 +260,7 @@
 		}
 		err := ErrNotSent
 		if q.sent {
-			err = ErrMaybe
+			err = ErrOutcomeUnknown
 		}
 		completion = q.completion(nil, fmt.Errorf("%w: its asker has gone", err))
 		return true
--- a/internal/deliverynode/fleet/peer_test.go
+++ b/internal/deliverynode/fleet/peer_test.go
@@ -117,7 +117,7 @@
 			return fmt.Errorf("%s was answered and handled %d times", name, n)
 		case errors.Is(err, ErrNotSent) && n != 0:
 			return fmt.Errorf("%s was not sent, and handled", name)
-		case errors.Is(err, ErrMaybe) && errors.Is(err, ErrNotSent):
+		case errors.Is(err, ErrOutcomeUnknown) && errors.Is(err, ErrNotSent):
 			return fmt.Errorf("%s ended both ways", name)
 		}
 	}
--- a/internal/deliverynode/fleet/simulated_test.go
+++ b/internal/deliverynode/fleet/simulated_test.go
@@ -159,7 +159,7 @@
 	})
 }
 
-// A node whose name is removed while it is outside notifies its handlers before the functions of While start again.
+// A node whose name is removed while it is outside notifies its handlers before the functions of RunWhileJoined start again.
 func TestRemovedWhileOutside(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated(t, 4, 1)
@@ -170,7 +170,7 @@
 		n := w.nodes[1]
 		w.start(0)
 		w.start(1, func(f *fleet.Fleet) {
-			f.While(func(ctx context.Context) {
+			f.RunWhileJoined(func(ctx context.Context) {
 				n.mu.Lock()
 				toldAtStart.Store(slices.ContainsFunc(n.changes, func(c fleet.Change) bool { return c.Name == n.name && c.To == fleet.Removed }))
 				n.mu.Unlock()
@@ -319,7 +319,7 @@
 							}
 							return append([]byte("re "), body...), nil
 						})
-						f.OnNews("k", func(_ fleet.Peer, _ string, _ time.Duration, body []byte) {
+						f.OnUpdate("k", func(_ fleet.Peer, _ string, _ time.Duration, body []byte) {
 							v, _ := strconv.ParseInt(string(body), 10, 64)
 							received.Store(v)
 						})
@@ -366,7 +366,7 @@
 								if n != 0 {
 									t.Errorf("%s: reported as not sent, but handled %d times", id, n)
 								}
-							case errors.Is(err, fleet.ErrMaybe):
+							case errors.Is(err, fleet.ErrOutcomeUnknown):
 								outcome = "maybe"
 								if n > 1 {
 									t.Errorf("%s: handled %d times", id, n)
--- a/internal/deliverynode/fleet/table.go
+++ b/internal/deliverynode/fleet/table.go
@@ -199,15 +199,15 @@
 
 // Claim is what other nodes' records of this node's name demand of it.
 type Claim struct {
-	Raise   uint64 // take at least this incarnation; 0: no demand
-	Removed uint64 // a removal up to this incarnation that has not been handled; 0: none
-	Old     bool   // other nodes know a later start than this one: the state directory is stale
-	Rival   string // address of another process that uses the name or has used it; empty: none
+	Raise       uint64 // take at least this incarnation; 0: no demand
+	Removed     uint64 // a removal up to this incarnation that has not been handled; 0: none
+	StaleFolder bool   // other nodes know a later start than this one: the state directory is stale
+	Rival       string // address of another process that uses the name or has used it; empty: none
 }
 
 // merge adds the demands of another claim, except for Rival, which is checked separately.
 func (c *Claim) merge(o Claim) {
-	c.Raise, c.Removed, c.Old = max(c.Raise, o.Raise), max(c.Removed, o.Removed), c.Old || o.Old
+	c.Raise, c.Removed, c.StaleFolder = max(c.Raise, o.Raise), max(c.Removed, o.Removed), c.StaleFolder || o.StaleFolder
 }
 
 // ClaimFor returns what another node's record of this node demands.
@@ -215,7 +215,7 @@
 	own := t.Self()
 	if departed := max(rec.Removed, rec.Left); departed >= own.Incarnation {
 		// A process never announces its leaving under an incarnation that it goes on using.
-		c.Raise, c.Old = departed+1, departed > own.Incarnation || rec.Left >= own.Incarnation
+		c.Raise, c.StaleFolder = departed+1, departed > own.Incarnation || rec.Left >= own.Incarnation
 	}
 	// Gossip may announce a later incarnation before the removal, so the node may already be above the
 	// incarnation that was removed. The removal counts nevertheless.
@@ -223,7 +223,7 @@
 		c.Raise, c.Removed = max(c.Raise, own.Incarnation+1), rec.Removed
 	}
 	if rec.Start != own.Start && rec.Incarnation >= own.Incarnation {
-		c.Raise, c.Old = max(c.Raise, rec.Incarnation+1), true
+		c.Raise, c.StaleFolder = max(c.Raise, rec.Incarnation+1), true
 	}
 	// No other process can have this node's own address. The incarnation does not show which process is
 	// newer: a copy of the state directory starts with a higher one than its original.
--- a/internal/deliverynode/group/group.go
+++ b/internal/deliverynode/group/group.go
@@ -46,12 +46,12 @@
 	// Share is called with the share to use, whenever it changes. kept is the portion that this
 	// process had before and no other member has had since. It must not block.
 	Share func(parts, kept int)
-	// Hear is called with the notifications (whose answer is dropped) and requests (asked) of other
+	// OnMessage is called with the notifications (whose answer is dropped) and requests (asked) of other
 	// members. It must not block for long, because the requesting member waits for it.
-	Hear func(m Message, asked bool) (answer any, err error)
-	// Met is called when members have joined: they have not received earlier notifications. It must
+	OnMessage func(m Message, asked bool) (answer any, err error)
+	// OnMembersJoined is called when members have joined: they have not received earlier notifications. It must
 	// not block.
-	Met func()
+	OnMembersJoined func()
 	// File returns the open file of a name, to be passed to another member; nil if there is none.
 	File func(name string) *os.File
 }
@@ -91,7 +91,7 @@
 		return nil, fmt.Errorf("joining the group: locking the member file: %w", errors.Join(err, lockError(hold)))
 	}
 	g.lock = hold
-	err = AtSocket(g.dir.path(socketName+string(g.id)), func(short string) (err error) {
+	err = WithSocketPath(g.dir.path(socketName+string(g.id)), func(short string) (err error) {
 		g.listener, err = net.ListenUnix("unix", &net.UnixAddr{Name: short, Net: "unix"})
 		return err
 	})
@@ -391,16 +391,16 @@
 	}
 }
 
-// handleMessage passes a notification or request of another member to cfg.Hear.
+// handleMessage passes a notification or request of another member to cfg.OnMessage.
 func (g *Group) handleMessage(r request) (json.RawMessage, error) {
 	m, asked := r.Tell, false
 	if m == nil {
 		m, asked = r.Ask, true
 	}
-	if g.cfg.Hear == nil {
+	if g.cfg.OnMessage == nil {
 		return nil, errors.New("nobody hears")
 	}
-	answer, err := g.cfg.Hear(*m, asked)
+	answer, err := g.cfg.OnMessage(*m, asked)
 	if err != nil || !asked || answer == nil {
 		return nil, err
 	}
@@ -443,9 +443,9 @@
 // maxSocketPath is the kernel's limit on the length of a Unix socket path.
 const maxSocketPath = 107
 
-// AtSocket calls use with a path to the socket that is within the kernel's length limit: a longer path
+// WithSocketPath calls use with a path to the socket that is within the kernel's length limit: a longer path
 // is replaced by one through a descriptor of its directory.
-func AtSocket(path string, use func(short string) error) error {
+func WithSocketPath(path string, use func(short string) error) error {
 	if len(path) <= maxSocketPath {
 		return use(path)
 	}
--- a/internal/deliverynode/group/messages.go
+++ b/internal/deliverynode/group/messages.go
@@ -150,8 +150,8 @@
 	}
 	alive, joined := map[ID]bool{}, false
 	defer func() {
-		if joined && g.cfg.Met != nil {
-			g.cfg.Met()
+		if joined && g.cfg.OnMembersJoined != nil {
+			g.cfg.OnMembersJoined()
 		}
 	}()
 	g.peersMu.Lock()
@@ -216,7 +216,7 @@
 
 func (g *Group) dial(ctx context.Context, to ID) (*net.UnixConn, error) {
 	var conn net.Conn
-	err := AtSocket(g.dir.path(socketName+string(to)), func(short string) (err error) {
+	err := WithSocketPath(g.dir.path(socketName+string(to)), func(short string) (err error) {
 		dialer := net.Dialer{Timeout: callTimeout}
 		conn, err = dialer.DialContext(ctx, "unix", short)
 		return err
--- a/internal/deliverynode/group/messages_test.go
+++ b/internal/deliverynode/group/messages_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	k := &testMember{received: make(chan Message, 10000)}
 	c := Config{Dir: dir, Clock: Clock, Log: slog.New(slog.DiscardHandler), Share: func(int, int) {},
-		Hear: func(m Message, asked bool) (any, error) {
+		OnMessage: func(m Message, asked bool) (any, error) {
 			if asked {
 				return map[string]string{"said": string(m.Body)}, nil
 			}
@@ -109,8 +109,8 @@
 	dir := t.TempDir()
 	unblock := make(chan struct{})
 	b := joinInProcess(t, dir, nil)
-	handle := b.cfg.Hear
-	b.cfg.Hear = func(m Message, asked bool) (any, error) {
+	handle := b.cfg.OnMessage
+	b.cfg.OnMessage = func(m Message, asked bool) (any, error) {
 		<-unblock
 		return handle(m, asked)
 	}
@@ -136,7 +136,7 @@
 func TestRequestsBetweenMembersAreAnswered(t *testing.T) {
 	dir := t.TempDir()
 	a, b := joinInProcess(t, dir, nil), joinInProcess(t, dir, func(c *Config) {
-		c.Hear = func(Message, bool) (any, error) { return nil, errors.New("not now") }
+		c.OnMessage = func(Message, bool) (any, error) { return nil, errors.New("not now") }
 	})
 	var got struct{ Said string }
 	must(t, b.Ask(t.Context(), a.ID(), "q", 1, &got))
@@ -221,12 +221,12 @@
 	}
 }
 
-// Met is called for each member that joins, and notifications sent after that reach the new member.
+// OnMembersJoined is called for each member that joins, and notifications sent after that reach the new member.
 func TestNewMembersAreReported(t *testing.T) {
 	dir := t.TempDir()
 	var a *testMember
 	met := make(chan struct{}, 10)
-	a = joinInProcess(t, dir, func(c *Config) { c.Met = func() { met <- struct{}{} } })
+	a = joinInProcess(t, dir, func(c *Config) { c.OnMembersJoined = func() { met <- struct{}{} } })
 	for range 2 {
 		b := joinInProcess(t, dir, nil)
 		select {
--- a/internal/deliverynode/journal/apply.go
+++ b/internal/deliverynode/journal/apply.go
@@ -31,7 +31,7 @@
 		j.applyOrder(&r, segment)
 	case recEndedIDs:
 		for _, id := range r.ids() {
-			j.Over.Add(id)
+			j.EndedSet.Add(id)
 		}
 	case recNextNumber, recCheckpointEnd: // the number of recNextNumber has been applied above
 	default:
@@ -101,7 +101,7 @@
 		memory.addSuccess(at)
 	}
 	if message != nil {
-		j.Over.Add(message.ID)
+		j.EndedSet.Add(message.ID)
 	}
 	delete(j.live, seq)
 	delete(j.holder, seq)
--- a/internal/deliverynode/journal/begin.go
+++ b/internal/deliverynode/journal/begin.go
@@ -38,7 +38,7 @@
 	j := &Journal{fs: o.Folder, limit: o.Limit, base: o.Base, sync: o.Sync, log: o.Log, now: o.Now, next: 1,
 		segSize: max(o.Limit/segmentsOfLimit, MaxBody+4<<10),
 		live:    map[policy.MessageID]*Message{}, holder: map[policy.MessageID]uint64{}, Memories: map[string]*Memory{},
-		Over: NewIDRing(maxEndedIDs), recentEndedIDs: NewIDRing(0), orders: map[string]uint64{}}
+		EndedSet: NewIDRing(maxEndedIDs), recentEndedIDs: NewIDRing(0), orders: map[string]uint64{}}
 	return j, j.replay()
 }
 
@@ -76,7 +76,7 @@
 		j.liveSize += orderReservedSize(name)
 	}
 	if j.sync {
-		j.recentMemories, j.recentEndedIDs = cloneMemories(j.Memories), j.Over.clone()
+		j.recentMemories, j.recentEndedIDs = cloneMemories(j.Memories), j.EndedSet.clone()
 	}
 	if err := errors.Join(j.removeObsolete(), j.recovery.repair()); err != nil {
 		return nil, errors.Join(err, j.file.Close())
--- a/internal/deliverynode/journal/damage_test.go
+++ b/internal/deliverynode/journal/damage_test.go
@@ -51,7 +51,7 @@
 	must(t, j.Order("e3", true, at))
 	must(t, j.Order("e4", true, at))
 	must(t, j.Order("e4", false, at.Add(time.Second)))
-	must(t, j.Leaves("e5", true, at))
+	must(t, j.SetLeaving("e5", true, at))
 	for i := range 20 { // fills two segments
 		must(t, j.Closed(msg(100+i, 5000), "", at))
 	}
@@ -113,7 +113,7 @@
 					t.Errorf("sync %v, start %d: %s was restored with %+v", sync, start, id, got[id].Past)
 				}
 			}
-			if n := got["id6"].Notice; n == nil || !n.HandedBack() || !j.TakenOut("e3") || j.TakenOut("e4") || !j.Left("e5") || !j.Over.Has("id5") {
+			if n := got["id6"].Notice; n == nil || !n.HandedBack() || !j.TakenOut("e3") || j.TakenOut("e4") || !j.IsLeaving("e5") || !j.EndedSet.Has("id5") {
 				t.Errorf("sync %v, start %d: notice %v, orders %v", sync, start, n, j.orders)
 			}
 			if len(j.recovery.report.Problems) > 0 {
--- a/internal/deliverynode/journal/golden_test.go
+++ b/internal/deliverynode/journal/golden_test.go
@@ -78,7 +78,7 @@
 				text = f.AppendRecord(text, record(recCheckpointEnd, 0), int64(len(text)))
 			}
 			golden.Compare(t, filepath.Join(name, segmentPath(1)), text)
-			read, _, err := frame.FormatOf(golden.Read(t, filepath.Join(name, segmentPath(1))), 1)
+			read, _, err := frame.DetectFormat(golden.Read(t, filepath.Join(name, segmentPath(1))), 1)
 			if err != nil || read.Keyed != f.Keyed || read.Checkpoint != f.Checkpoint || read.Salt != f.Salt {
 				t.Errorf("read the format %+v, %v, want %+v", read, err, f)
 			}
@@ -104,7 +104,7 @@
 	if got := j.Owed(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 		t.Errorf("read %d messages, the first %+v, want %+v", len(got), got[0], want)
 	}
-	if got, want := j.OverIDs(), []string{"bare", "over-1", "over-2"}; !reflect.DeepEqual(got, want) {
+	if got, want := j.EndedIDs(), []string{"bare", "over-1", "over-2"}; !reflect.DeepEqual(got, want) {
 		t.Errorf("ended ids %v, want %v", got, want)
 	}
 	if !j.TakenOut("endpoint-3") || j.TakenOut("endpoint-4") || j.next != 901 {
--- a/internal/deliverynode/journal/journal.go
+++ b/internal/deliverynode/journal/journal.go
@@ -84,12 +84,12 @@
 	holder        map[policy.MessageID]uint64 // the segment with the last recAccepted of each message
 	liveSize      int64                       // bytes reserved for the live messages and the orders
 	next          policy.MessageID
-	// Memories has the calls and failures that earlier processes recorded for each endpoint, Over the ids of messages that
+	// Memories has the calls and failures that earlier processes recorded for each endpoint, EndedSet the ids of messages that
 	// they ended.
 	Memories       map[string]*Memory
-	Over           *IDRing
+	EndedSet       *IDRing
 	recentMemories map[string]*Memory // Memories plus the records of this process, for the next checkpoint
-	recentEndedIDs *IDRing            // Over plus the messages that this process ended, for the next checkpoint
+	recentEndedIDs *IDRing            // EndedSet plus the messages that this process ended, for the next checkpoint
 	buf            []byte
 	released       bool              // another process writes the journal or is about to
 	orders         map[string]uint64 // endpoints that operators have taken out of service, and the segment with the order
@@ -110,8 +110,8 @@
 	return all
 }
 
-// NoteOver records the ids of ended messages that were not in this journal.
-func (j *Journal) NoteOver(ids []string) error {
+// AddEndedIDs records the ids of ended messages that were not in this journal.
+func (j *Journal) AddEndedIDs(ids []string) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for some := range slices.Chunk(ids, endedIDsChunk) {
@@ -119,7 +119,7 @@
 			return err
 		}
 		for _, id := range some {
-			j.Over.Add(id)
+			j.EndedSet.Add(id)
 			if j.sync {
 				j.recentEndedIDs.Add(id)
 			}
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Skip raises the number of the next message to at least the given one.
-func (j *Journal) Skip(to policy.MessageID) {
+// AdvanceNumber raises the number of the next message to at least the given one.
+func (j *Journal) AdvanceNumber(to policy.MessageID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.next = max(j.next, to)
@@ -263,8 +263,8 @@
 	})
 }
 
-// OverIDs returns the ids of messages that earlier processes ended, oldest first.
-func (j *Journal) OverIDs() []string { return j.Over.IDs() }
+// EndedIDs returns the ids of messages that earlier processes ended, oldest first.
+func (j *Journal) EndedIDs() []string { return j.EndedSet.IDs() }
 
 // Close closes the journal, after making everything durable if Options.Sync is set.
 func (j *Journal) Close() error {
--- a/internal/deliverynode/journal/order.go
+++ b/internal/deliverynode/journal/order.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// operatorOrders returns the endpoints that operators have taken out of service, sorted, without the records of Leaves.
+// operatorOrders returns the endpoints that operators have taken out of service, sorted, without the records of SetLeaving.
 func (j *Journal) operatorOrders() (out []string) {
 	for _, name := range sorted(j.orders) {
 		if !strings.HasPrefix(name, leavingPrefix) {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Orders returns the names of all orders in force, sorted, including the records of Leaves.
+// Orders returns the names of all orders in force, sorted, including the records of SetLeaving.
 func (j *Journal) Orders() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -67,15 +67,15 @@
 	return out
 }
 
-// leavingPrefix is the prefix of an endpoint's name in a record of Leaves. No endpoint name begins with it.
+// leavingPrefix is the prefix of an endpoint's name in a record of SetLeaving. No endpoint name begins with it.
 const leavingPrefix = "\x00"
 
-// maxOrdersForLeaves is the number of orders at which Leaves stops adding records.
+// maxOrdersForLeaves is the number of orders at which SetLeaving stops adding records.
 const maxOrdersForLeaves = 256
 
-// Leaves records whether the last discovery list had an endpoint as draining or gone, because the list with which the next
+// SetLeaving records whether the last discovery list had an endpoint as draining or gone, because the list with which the next
 // process starts may be older.
-func (j *Journal) Leaves(endpoint string, leaves bool, at time.Time) error {
+func (j *Journal) SetLeaving(endpoint string, leaves bool, at time.Time) error {
 	j.mu.Lock()
 	full := len(j.orders) >= maxOrdersForLeaves
 	j.mu.Unlock()
@@ -85,5 +85,5 @@
 	return j.Order(leavingPrefix+endpoint, leaves, at)
 }
 
-// Left reports whether the last discovery list had an endpoint as draining or gone.
-func (j *Journal) Left(endpoint string) bool { return j.TakenOut(leavingPrefix + endpoint) }
+// IsLeaving reports whether the last discovery list had an endpoint as draining or gone.
+func (j *Journal) IsLeaving(endpoint string) bool { return j.TakenOut(leavingPrefix + endpoint) }
--- a/internal/deliverynode/journal/recover.go
+++ b/internal/deliverynode/journal/recover.go
@@ -153,7 +153,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("replaying the journal: %w", err)
 		}
-		f, at, err := frame.FormatOf(head, s.number)
+		f, at, err := frame.DetectFormat(head, s.number)
 		if errors.Is(err, frame.ErrNewer) {
 			return nil, fmt.Errorf("%s: %w", segmentPath(s.number), err)
 		}
@@ -173,7 +173,7 @@
 		if err != nil {
 			return err
 		}
-		if f, at, _ := frame.FormatOf(data, number); at == 0 || !isComplete(f, data, at) {
+		if f, at, _ := frame.DetectFormat(data, number); at == 0 || !isComplete(f, data, at) {
 			continue
 		}
 		r.report.Checkpoint, j.checkpoint = number, number
@@ -264,7 +264,7 @@
 // segment replays a segment up to its end or its torn tail. After damage it resumes at the next valid record.
 func (r *recovery) segment(n uint64, data []byte, last bool) {
 	r.number, r.afterCut.active = n, false
-	f, at, err := frame.FormatOf(data, n)
+	f, at, err := frame.DetectFormat(data, n)
 	switch {
 	case errors.Is(err, frame.ErrTorn) && last:
 		r.torn(n, 0, len(data))
@@ -304,7 +304,7 @@
 			r.damaged(n, at, err)
 			r.afterCut.active = true
 		}
-		if at = f.Resume(data, at, next); at < 0 {
+		if at = f.FindNext(data, at, next); at < 0 {
 			return
 		}
 	}
--- a/internal/deliverynode/lease/golden_test.go
+++ b/internal/deliverynode/lease/golden_test.go
@@ -12,12 +12,12 @@
 
 // Every message, record and snapshot has the same encoding as in an earlier version.
 func TestGoldenMessagesAndSnapshots(t *testing.T) {
-	golden.By[request](t, "ask.cbor", encoding, decoding)
-	golden.By[answer](t, "answer.cbor", encoding, decoding)
-	golden.By[message](t, "message.cbor", encoding, decoding)
-	golden.By[command](t, "command.cbor", encoding, decoding)
-	golden.By[record](t, "record.cbor", encoding, decoding)
-	golden.By[machineState](t, "snapshot.cbor", encoding, decoding)
+	golden.Encoding[request](t, "ask.cbor", encoding, decoding)
+	golden.Encoding[answer](t, "answer.cbor", encoding, decoding)
+	golden.Encoding[message](t, "message.cbor", encoding, decoding)
+	golden.Encoding[command](t, "command.cbor", encoding, decoding)
+	golden.Encoding[record](t, "record.cbor", encoding, decoding)
+	golden.Encoding[machineState](t, "snapshot.cbor", encoding, decoding)
 	golden.JSON[Status](t, "status.json")
 }
 
--- a/internal/deliverynode/lease/lease.go
+++ b/internal/deliverynode/lease/lease.go
@@ -81,7 +81,7 @@
 		leases: map[string]*Lease{}, changed: make(chan struct{}), rand: rand.New(rand.NewPCG(o.Seed, rand.Uint64()))}
 	l.start = l.rand.Uint64()
 	l.client = NewClient(o.Name, o.Voters, l.rand.Float64)
-	o.Net.OnNews(kind, l.receive)
+	o.Net.OnUpdate(kind, l.receive)
 	o.Net.OnAsk(kind, l.answerRequest)
 	o.Net.OnChange(func(c fleet.Change) {
 		if c.Name == o.Name {
--- a/internal/deliverynode/lease/process_test.go
+++ b/internal/deliverynode/lease/process_test.go
@@ -98,8 +98,8 @@
 	}
 	l := lease.New(lease.Options{Net: f, Folder: vfs.Dir(dir), Name: name, Voters: file.Leases.Voters, Longest: file.Leases.Longest(),
 		Most: 100, Clock: clock, Above: func() uint64 { return uint64(time.Now().Unix()) << 20 }, Seed: uint64(os.Getpid()), Log: log})
-	f.OnOld(l.Overtaken)
-	f.While(l.Run)
+	f.OnStaleFolder(l.Overtaken)
+	f.RunWhileJoined(l.Run)
 	if err := f.Prepare(); err != nil {
 		return nil, err
 	}
--- a/internal/deliverynode/node/calls.go
+++ b/internal/deliverynode/node/calls.go
@@ -464,7 +464,7 @@
 	for field := range strings.SplitSeq(header, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if value, err := strconv.ParseFloat(text, 64); err == nil && slices.Contains(c.loadNames, name) {
-			a.Take(name, value)
+			a.SetReported(name, value)
 		}
 	}
 	return a
--- a/internal/deliverynode/node/console.go
+++ b/internal/deliverynode/node/console.go
@@ -395,7 +395,7 @@
 	if e != nil && e.excluded.Swap(o.out) != o.out {
 		e.pool.CloseIdle() // the endpoint is about to be restarted, or has been
 	}
-	l.batch = append(l.batch, policy.Ordered{Endpoint: id, Out: o.out}) // the module may still have an endpoint that is no longer listed
+	l.batch = append(l.batch, policy.OperatorOrder{Endpoint: id, Out: o.out}) // the module may still have an endpoint that is no longer listed
 	l.recordedOrders = append(l.recordedOrders, o)
 }
 
--- a/internal/deliverynode/node/copies.go
+++ b/internal/deliverynode/node/copies.go
@@ -98,8 +98,8 @@
 		return nil, err
 	}
 	cs.works[l.journal] = cs.keeper.Own()
-	f.OnOld(cs.keeper.Old)
-	f.While(cs.keeper.Run)
+	f.OnStaleFolder(cs.keeper.MarkStale)
+	f.RunWhileJoined(cs.keeper.Run)
 	return cs, nil
 }
 
@@ -162,9 +162,9 @@
 	for _, j := range all {
 		w := cs.work(j)
 		if w == nil {
-			return replica.ErrNotOurs
+			return replica.ErrLeaseNotHeld
 		}
-		if err := w.Copied(ctx, least); err != nil {
+		if err := w.AwaitCopies(ctx, least); err != nil {
 			return err
 		}
 	}
@@ -215,14 +215,14 @@
 	if may {
 		parts = group.Whole
 	}
-	cs.loop.post(policy.Shared{Parts: parts, Whole: group.Whole, Alone: true})
+	cs.loop.post(policy.ShareAssigned{Parts: parts, Whole: group.Whole, Alone: true})
 }
 
 // Orders takes over the operators' orders for endpoints from a log.
 func (cs *copies) Orders(out []string) { cs.loop.post(adoptedOrders(out)) }
 
-// Once reports whether messages of a class may not be repeated.
-func (cs *copies) Once(class int) bool {
+// RunsOnce reports whether messages of a class may not be repeated.
+func (cs *copies) RunsOnce(class int) bool {
 	return class >= len(cs.loop.caller.nonRepeatable) || cs.loop.caller.nonRepeatable[class]
 }
 
@@ -268,7 +268,7 @@
 		}
 		if e := l.endpoints[policy.EndpointID(hash(name))]; e != nil {
 			e.excluded.Store(true)
-			l.batch = append(l.batch, policy.Ordered{Endpoint: e.id, Out: true})
+			l.batch = append(l.batch, policy.OperatorOrder{Endpoint: e.id, Out: true})
 		}
 	}
 }
--- a/internal/deliverynode/node/ended_ids_test.go
+++ b/internal/deliverynode/node/ended_ids_test.go
@@ -13,7 +13,7 @@
 func TestIntakeAndJournalShareEndedIDs(t *testing.T) {
 	const each = 200
 	j, _ := mustOpen(t, t.TempDir(), journal.MinDisk)
-	in := &intake{held: map[string]bool{}, journal: j, endedIDs: j.Over}
+	in := &intake{held: map[string]bool{}, journal: j, endedIDs: j.EndedSet}
 	var both sync.WaitGroup
 	both.Go(func() {
 		for i := range each {
@@ -24,7 +24,7 @@
 	})
 	both.Go(func() {
 		for i := range each {
-			if err := j.NoteOver([]string{fmt.Sprint("inherited", i)}); err != nil {
+			if err := j.AddEndedIDs([]string{fmt.Sprint("inherited", i)}); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/deliverynode/node/fleet.go
+++ b/internal/deliverynode/node/fleet.go
@@ -61,8 +61,8 @@
 		Longest: c.Fleet.Leases.Longest(), Most: c.Fleet.Leases.MaxHeld(), Clock: boottimeClock, Seed: c.Seed, Log: log,
 		// Above all tokens that a log of this fleet may have granted before: fewer than 2^20 are granted per second.
 		Above: func() uint64 { return uint64(time.Now().Unix()) << 20 }})
-	f.OnOld(l.Overtaken)
-	f.While(l.Run)
+	f.OnStaleFolder(l.Overtaken)
+	f.RunWhileJoined(l.Run)
 	return l
 }
 
--- a/internal/deliverynode/node/handover.go
+++ b/internal/deliverynode/node/handover.go
@@ -308,7 +308,7 @@
 
 // dialHandover connects to the process that owns the journal in a state folder.
 func dialHandover(dir string) (conn net.Conn, err error) {
-	err = group.AtSocket(filepath.Join(dir, handoverName), func(short string) error {
+	err = group.WithSocketPath(filepath.Join(dir, handoverName), func(short string) error {
 		conn, err = net.DialTimeout("unix", short, handoverTimeout) //nolint:noctx // a local socket, within handoverTimeout
 		return err
 	})
@@ -322,7 +322,7 @@
 		return nil, fmt.Errorf("listening for a successor process: %w", err)
 	}
 	var l *net.UnixListener
-	err := group.AtSocket(path, func(short string) (err error) {
+	err := group.WithSocketPath(path, func(short string) (err error) {
 		l, err = net.ListenUnix("unix", &net.UnixAddr{Name: short, Net: "unix"})
 		return err
 	})
@@ -457,7 +457,7 @@
 			}
 		}
 	}
-	l.batch = append(l.batch, policy.Inherited{Memory: s.Memory})
+	l.batch = append(l.batch, policy.RestoredMemory{Memory: s.Memory})
 }
 
 // applyKnownList applies a complete list of another process.
--- a/internal/deliverynode/node/intake.go
+++ b/internal/deliverynode/node/intake.go
@@ -126,7 +126,7 @@
 		switch acceptedElsewhere, err := in.acceptedElsewhere(m); {
 		case acceptedElsewhere:
 			return http.StatusAccepted, ""
-		case err != nil && in.copies.Once(m.Class): // another node may have it, and both would send it
+		case err != nil && in.copies.RunsOnce(m.Class): // another node may have it, and both would send it
 			return http.StatusServiceUnavailable, err.Error()
 		}
 		again, ok := in.reserve(m.ID)
--- a/internal/deliverynode/node/intake_test.go
+++ b/internal/deliverynode/node/intake_test.go
@@ -74,8 +74,8 @@
 		in.ended("a")
 	}
 	next, pending := mustOpen(t, dir, journal.MinDisk)
-	if len(pending) != 0 || !next.Over.Has("a") {
-		t.Errorf("after a restart there are %d pending messages and %d ended ids", len(pending), next.Over.Len())
+	if len(pending) != 0 || !next.EndedSet.Has("a") {
+		t.Errorf("after a restart there are %d pending messages and %d ended ids", len(pending), next.EndedSet.Len())
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		send(in, id)
--- a/internal/deliverynode/node/journal_test.go
+++ b/internal/deliverynode/node/journal_test.go
@@ -56,7 +56,7 @@
 	must(t, j.Close())
 	j, _ = mustOpen(t, dir, journal.MinDisk)
 	for name, want := range map[string]bool{"a": true, "b": true, "c": false, "d": true, "e": false} {
-		if j.Left(name) != want {
+		if j.IsLeaving(name) != want {
 			t.Errorf("%s: leaving is %v after a restart, want %v", name, !want, want)
 		}
 	}
--- a/internal/deliverynode/node/loop.go
+++ b/internal/deliverynode/node/loop.go
@@ -111,7 +111,7 @@
 		last = time.Now()
 		if l.processes != nil && l.usedShare > 0 && !l.processes.group.MaySend() {
 			// This process was suspended and its share has expired: sends would end as not sent, and use up attempts.
-			l.batch = append(l.batch, policy.Shared{Whole: group.Whole})
+			l.batch = append(l.batch, policy.ShareAssigned{Whole: group.Whole})
 		}
 		if l.draining {
 			l.batch = l.batch[:0]
@@ -164,7 +164,7 @@
 		l.withdraw(e)
 	case adoptedOrders:
 		l.adoptOrders(e)
-	case policy.Shared:
+	case policy.ShareAssigned:
 		l.shareAssigned = true
 		l.batch = append(l.batch, e)
 	case policy.Event:
@@ -287,7 +287,7 @@
 	l.endpoints[id] = e
 	if l.journal.TakenOut(e.name) {
 		e.excluded.Store(true)
-		l.orders = append(l.orders, policy.Ordered{Endpoint: id, Out: true})
+		l.orders = append(l.orders, policy.OperatorOrder{Endpoint: id, Out: true})
 	}
 	return e
 }
@@ -325,7 +325,7 @@
 
 // recordLeaving records in the journal whether an endpoint leaves, for the next start of the node.
 func (l *loop) recordLeaving(e *endpoint, leaving bool) {
-	if err := l.journal.Leaves(e.name, leaving, time.Now()); err != nil {
+	if err := l.journal.SetLeaving(e.name, leaving, time.Now()); err != nil {
 		l.log.Warn("journal: recording the phase of an endpoint failed", "endpoint", e.name, "err", err)
 	}
 }
@@ -347,7 +347,7 @@
 		if l.endpoints[id] == nil {
 			continue
 		}
-		r := policy.Remembered{Endpoint: id}
+		r := policy.EndpointHistory{Endpoint: id}
 		for _, at := range m.Sent {
 			r.Sent = append(r.Sent, l.moduleTime(at))
 		}
@@ -417,7 +417,7 @@
 			if e := l.endpoints[a.Endpoint]; e != nil {
 				e.pool.CloseIdle()
 			}
-		case policy.Tell:
+		case policy.SendNote:
 			if l.peers != nil {
 				l.peers.send(a)
 			}
--- a/internal/deliverynode/node/peers.go
+++ b/internal/deliverynode/node/peers.go
@@ -70,7 +70,7 @@
 }
 
 // send sends a note to all other nodes; it may be lost.
-func (p *peers) send(t policy.Tell) {
+func (p *peers) send(t policy.SendNote) {
 	if _, err := p.conn.WriteToUDPAddrPort(wire.EncodeNote(t), p.all); err != nil {
 		p.log.Debug("peers: sending failed", "err", err)
 	}
--- a/internal/deliverynode/node/peers_test.go
+++ b/internal/deliverynode/node/peers_test.go
@@ -29,7 +29,7 @@
 	done := make(chan struct{})
 	go func() { p.run(ctx); close(done) }()
 
-	p.send(policy.Tell{Tag: 77, News: policy.BackCold})
+	p.send(policy.SendNote{Tag: 77, News: policy.BackCold})
 	note := make([]byte, 300)
 	must(t, other.SetReadDeadline(time.Now().Add(testTimeout)))
 	n, _, err := other.ReadFromUDPAddrPort(note)
@@ -45,7 +45,7 @@
 	}
 	select {
 	case e := <-received:
-		if e != (policy.Told{Tag: 77, News: policy.BackCold}) {
+		if e != (policy.NoteReceived{Tag: 77, News: policy.BackCold}) {
 			t.Errorf("received %+v", e)
 		}
 	case <-time.After(testTimeout):
--- a/internal/deliverynode/node/process.go
+++ b/internal/deliverynode/node/process.go
@@ -130,7 +130,7 @@
 // newIntake returns the handler of clients' requests.
 func (p *process) newIntake() *intake {
 	c := p.config
-	in := &intake{processes: p.processes, names: c.Names, journal: p.inherited.journal, endedIDs: p.inherited.journal.Over, owner: p.owner, log: p.log, maxHeld: c.Settings.MaxHeld,
+	in := &intake{processes: p.processes, names: c.Names, journal: p.inherited.journal, endedIDs: p.inherited.journal.EndedSet, owner: p.owner, log: p.log, maxHeld: c.Settings.MaxHeld,
 		held: map[string]bool{}}
 	for _, class := range c.Settings.Classes {
 		in.keyRequired = append(in.keyRequired, class.Repeat == policy.Deduplicated)
@@ -168,7 +168,7 @@
 func (p *process) restore() {
 	p.knownRevision = p.restoreEndpoints()
 	if p.processes != nil || p.copies != nil { // nothing is sent before this process has a lease or a share
-		p.loop.handle(policy.Shared{Whole: group.Whole})
+		p.loop.handle(policy.ShareAssigned{Whole: group.Whole})
 	}
 	if p.inherited.predecessor != nil {
 		p.predecessor = &predecessorLink{link: p.inherited.predecessor, intake: p.intake, caller: p.loop.caller, loop: p.loop, log: p.log,
@@ -190,7 +190,7 @@
 		return p.inherited.groupState.Revision
 	case len(list.Members) > 0:
 		for i, m := range list.Members {
-			if p.inherited.journal.Left(m.ID) { // an earlier process learned this; the list may be older
+			if p.inherited.journal.IsLeaving(m.ID) { // an earlier process learned this; the list may be older
 				list.Members[i].Phase = "leaving"
 			}
 		}
--- a/internal/deliverynode/node/process_group.go
+++ b/internal/deliverynode/node/process_group.go
@@ -188,7 +188,7 @@
 			if s[0] > 0 && pg.adoptAbandoned() && pg.alone() {
 				alone = true // no other member uses a share, and the calls of former members are known from their journals
 			}
-			pg.loop.post(policy.Shared{Parts: s[0], Whole: group.Whole, Kept: s[1], Alone: alone})
+			pg.loop.post(policy.ShareAssigned{Parts: s[0], Whole: group.Whole, Kept: s[1], Alone: alone})
 		case <-pg.memberJoined:
 			pg.loop.post(membersJoined{})
 		case <-tick.C:
--- a/internal/deliverynode/node/process_group_adopt.go
+++ b/internal/deliverynode/node/process_group_adopt.go
@@ -120,7 +120,7 @@
 		if err != nil {
 			return false, err
 		}
-		for _, id := range j.OverIDs() {
+		for _, id := range j.EndedIDs() {
 			pg.loop.intake.addEnded(id)
 		}
 		return false, nil
@@ -147,7 +147,7 @@
 
 // postJournal passes a former member's journal to the loop.
 func (pg *processGroup) postJournal(in *adoptedJournal) {
-	for _, id := range in.journal.OverIDs() {
+	for _, id := range in.journal.EndedIDs() {
 		pg.loop.intake.addEnded(id)
 	}
 	for _, m := range in.pending {
--- a/internal/deliverynode/node/process_group_join.go
+++ b/internal/deliverynode/node/process_group_join.go
@@ -84,7 +84,7 @@
 	c.DiskBytes = (c.DiskBytes - groupDisk) / int64(slots)
 	pg.cfg = *c
 	pg.group, err = group.Join(group.Config{Dir: filepath.Join(c.State, groupFolder), Clock: group.Clock, Log: log,
-		Share: pg.receiveShare, Hear: pg.handleMessage, File: pg.listenerFile, Met: func() {
+		Share: pg.receiveShare, OnMessage: pg.handleMessage, File: pg.listenerFile, OnMembersJoined: func() {
 			select {
 			case pg.memberJoined <- struct{}{}:
 			default: // a queued notification covers all new members
--- a/internal/deliverynode/node/process_group_loop.go
+++ b/internal/deliverynode/node/process_group_loop.go
@@ -87,7 +87,7 @@
 			return
 		}
 		if e != nil {
-			l.batch = append(l.batch, policy.Hearsay{Endpoint: e.id, News: v.News, At: l.now() - (group.Clock() - m.At)})
+			l.batch = append(l.batch, policy.PeerObservation{Endpoint: e.id, News: v.News, At: l.now() - (group.Clock() - m.At)})
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		return
 	}
 	e.waits.wait(time.Now().Add(left))
-	l.batch = append(l.batch, policy.HeardWait{Endpoint: e.id, Until: l.now() + left})
+	l.batch = append(l.batch, policy.PeerWait{Endpoint: e.id, Until: l.now() + left})
 }
 
 // memberState returns the state that a joining member needs.
--- a/internal/deliverynode/replica/copy.go
+++ b/internal/deliverynode/replica/copy.go
@@ -133,7 +133,7 @@
 	}
 	c := &Copy{meta: m, place: o.Place, folder: o.Folder, journal: j, log: o.Log, sync: o.Sync, entries: map[uint64]Entry{},
 		held: map[uint64]*journal.Message{}, ids: map[string]uint64{}, over: journal.NewIDRing(maxEnded), heard: now}
-	for _, id := range j.OverIDs() {
+	for _, id := range j.EndedIDs() {
 		c.over.Add(id)
 	}
 	sound := len(j.Status().Recovery.Problems) == 0
@@ -269,7 +269,7 @@
 		}
 		c.over.Add(o.ID)
 	}
-	if err := c.journal.NoteOver(unknown); err != nil {
+	if err := c.journal.AddEndedIDs(unknown); err != nil {
 		return err
 	}
 	sent := map[uint64]bool{}
--- a/internal/deliverynode/replica/golden_test.go
+++ b/internal/deliverynode/replica/golden_test.go
@@ -14,14 +14,14 @@
 
 // Every message between nodes has the same encoding as in an earlier version.
 func TestGoldenMessages(t *testing.T) {
-	golden.By[Entry](t, "entry.cbor", encoding, decoding)
-	golden.By[Batch](t, "batch.cbor", encoding, decoding)
-	golden.By[Ack](t, "ack.cbor", encoding, decoding)
-	golden.By[note](t, "note.cbor", encoding, decoding)
-	golden.By[fetch](t, "fetch.cbor", encoding, decoding)
-	golden.By[fetched](t, "fetched.cbor", encoding, decoding)
-	golden.By[have](t, "have.cbor", encoding, decoding)
-	golden.By[who](t, "who.cbor", encoding, decoding)
+	golden.Encoding[Entry](t, "entry.cbor", encoding, decoding)
+	golden.Encoding[Batch](t, "batch.cbor", encoding, decoding)
+	golden.Encoding[Ack](t, "ack.cbor", encoding, decoding)
+	golden.Encoding[note](t, "note.cbor", encoding, decoding)
+	golden.Encoding[fetch](t, "fetch.cbor", encoding, decoding)
+	golden.Encoding[fetched](t, "fetched.cbor", encoding, decoding)
+	golden.Encoding[have](t, "have.cbor", encoding, decoding)
+	golden.Encoding[who](t, "who.cbor", encoding, decoding)
 	golden.JSON[Status](t, "status.json")
 }
 
--- a/internal/deliverynode/replica/keeper.go
+++ b/internal/deliverynode/replica/keeper.go
@@ -65,8 +65,8 @@
 var (
 	// ErrTooFewCopies is returned when there are fewer copies than configured.
 	ErrTooFewCopies = errors.New("too few copies are in reach")
-	// ErrNotOurs is returned when this node does not hold the lease of the log.
-	ErrNotOurs = errors.New("the log is not this node's to work on just now")
+	// ErrLeaseNotHeld is returned when this node does not hold the lease of the log.
+	ErrLeaseNotHeld = errors.New("the log is not this node's to work on just now")
 )
 
 // Folders are the folders within the state folder.
@@ -97,8 +97,8 @@
 	Acts(w *Work, may bool)
 	// Orders passes on the operators' orders of the node whose log was taken over.
 	Orders(out []string)
-	// Once reports whether messages of a class must not be sent again.
-	Once(class int) bool
+	// RunsOnce reports whether messages of a class must not be sent again.
+	RunsOnce(class int) bool
 	// Knows reports whether this node has a message, or had it and it has ended.
 	Knows(id string) bool
 }
@@ -198,7 +198,7 @@
 			k.reopenWork(name)
 		}
 	}
-	own.Skip(policy.MessageID(max(0, o.Now().Unix()-1700000000)) << 10)
+	own.AdvanceNumber(policy.MessageID(max(0, o.Now().Unix()-1700000000)) << 10)
 	k.own.begin()
 	o.Net.OnAsk(kindBatch, k.answerBatch)
 	o.Net.OnAsk(kindFetch, k.answerFetch)
@@ -208,9 +208,9 @@
 	return k, nil
 }
 
-// Old reports that the state folder is older than the last start of this node: its copies may lack what they have
+// MarkStale reports that the state folder is older than the last start of this node: its copies may lack what they have
 // acknowledged, and its own log may lack attempts.
-func (k *Keeper) Old() error {
+func (k *Keeper) MarkStale() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var errs []error
--- a/internal/deliverynode/replica/lookup_test.go
+++ b/internal/deliverynode/replica/lookup_test.go
@@ -22,7 +22,7 @@
 func (n *stubNet) Ask(_ context.Context, to, kind string, body []byte) ([]byte, error) {
 	ids, answers := n.has[to]
 	if !answers {
-		return nil, fleet.ErrMaybe
+		return nil, fleet.ErrOutcomeUnknown
 	}
 	if kind == kindWho {
 		return encoding.Marshal(who{[]string{"lost"}})
--- a/internal/deliverynode/replica/takeover.go
+++ b/internal/deliverynode/replica/takeover.go
@@ -184,7 +184,7 @@
 	known := func(id string) bool { return found.over[id] || k.options.Host.Knows(id) }
 	for _, e := range Union(known, found.entries...) {
 		msg := e.message()
-		if k.options.Host.Once(msg.Class) && !(found.current && k.before()) && msg.Notice == nil && !msg.Past.MayRun {
+		if k.options.Host.RunsOnce(msg.Class) && !(found.current && k.before()) && msg.Notice == nil && !msg.Past.MayRun {
 			markPossiblyRun(msg)
 			w.doubted++
 		}
@@ -193,7 +193,7 @@
 		}
 		owed = append(owed, msg)
 	}
-	err = w.journal.NoteOver(slices.Sorted(maps.Keys(found.over)))
+	err = w.journal.AddEndedIDs(slices.Sorted(maps.Keys(found.over)))
 	if err == nil {
 		err = w.journal.Sync()
 	}
--- a/internal/deliverynode/replica/work.go
+++ b/internal/deliverynode/replica/work.go
@@ -48,7 +48,7 @@
 
 // begin passes all messages of the journal, and the ids of those that have ended, to the source.
 func (w *Work) begin() {
-	over := w.journal.OverIDs()
+	over := w.journal.EndedIDs()
 	w.mu.Lock()
 	for _, id := range over {
 		w.over.Add(id)
@@ -226,7 +226,7 @@
 	w.mu.Lock()
 	was := w.acting
 	w.acting, w.resolved, w.mine, w.why = false, false, false, why
-	w.answerAll(ErrNotOurs)
+	w.answerAll(ErrLeaseNotHeld)
 	w.mu.Unlock()
 	if was {
 		w.keeper.options.Log.Warn("copies: work on a log stopped", "owner", w.owner, "why", why)
--- a/internal/deliverynode/replica/work_follow.go
+++ b/internal/deliverynode/replica/work_follow.go
@@ -152,7 +152,7 @@
 			continue
 		}
 		m := e.message()
-		if w.keeper.options.Host.Once(m.Class) && m.Notice == nil && !proven {
+		if w.keeper.options.Host.RunsOnce(m.Class) && m.Notice == nil && !proven {
 			markPossiblyRun(m) // the message may have ended here, or was lost together with its attempts
 		}
 		if err := w.journal.Put(m); err != nil {
--- a/internal/deliverynode/replica/work_recover.go
+++ b/internal/deliverynode/replica/work_recover.go
@@ -82,7 +82,7 @@
 // be changing the message itself.
 func (w *Work) runsOnce(m *journal.Message) bool {
 	t, there := w.tenure(m)
-	return there && t.End == Runs && w.keeper.options.Host.Once(m.Class)
+	return there && t.End == Runs && w.keeper.options.Host.RunsOnce(m.Class)
 }
 
 // mayHaveRun reports whether a message may have run, by the source's state.
@@ -208,7 +208,7 @@
 		return nil
 	}
 	own := w.keeper.own
-	if err := own.journal.NoteOver(ids); err != nil {
+	if err := own.journal.AddEndedIDs(ids); err != nil {
 		return fmt.Errorf("noting what is over: %w", err)
 	}
 	own.mu.Lock()
--- a/internal/deliverynode/replica/work_wait.go
+++ b/internal/deliverynode/replica/work_wait.go
@@ -48,13 +48,13 @@
 }()
 
 // Ready returns nil if a message may be accepted. In the mode "before" that needs the configured number of copies, unless the
-// configuration allows fewer; if they are missing it fails with ErrTooFewCopies or ErrNotOurs.
+// configuration allows fewer; if they are missing it fails with ErrTooFewCopies or ErrLeaseNotHeld.
 func (w *Work) Ready() error {
 	if !w.keeper.before() || w.keeper.options.Settings.Short == fleet.GoOn {
 		return nil
 	}
 	if !w.MaySend(0) {
-		return ErrNotOurs
+		return ErrLeaseNotHeld
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,10 +86,10 @@
 	return nil
 }
 
-// Copied waits, in the mode "before", until at least so many copies have all changes that were written so far. If the context
+// AwaitCopies waits, in the mode "before", until at least so many copies have all changes that were written so far. If the context
 // ends first, it fails with ErrTooFewCopies if there are fewer copies and the configuration does not allow that, and otherwise
-// with the context's error. It fails with ErrNotOurs if the lease of the log is lost. In the other mode it does not wait.
-func (w *Work) Copied(ctx context.Context, least int) error {
+// with the context's error. It fails with ErrLeaseNotHeld if the lease of the log is lost. In the other mode it does not wait.
+func (w *Work) AwaitCopies(ctx context.Context, least int) error {
 	if !w.keeper.before() {
 		return nil
 	}
--- a/internal/deliverynode/replica/world_process_test.go
+++ b/internal/deliverynode/replica/world_process_test.go
@@ -21,7 +21,7 @@
 	life        context.Context
 	kill        context.CancelFunc
 	running     sync.WaitGroup
-	news        map[string]fleet.NewsFunc
+	news        map[string]fleet.UpdateFunc
 	asks        map[string]fleet.AskFunc
 	changes     []func(fleet.Change)
 	keeper      *Keeper
@@ -101,7 +101,7 @@
 		case <-ctx.Done():
 		case <-p.life.Done():
 		}
-		return nil, fleet.ErrMaybe
+		return nil, fleet.ErrOutcomeUnknown
 	}
 	if !p.sleep(p.networkDelay()) || !p.n.w.reaches(p.n.i, other.i) {
 		return lost()
@@ -124,9 +124,9 @@
 	return out, nil
 }
 
-func (p *wproc) OnNews(kind string, f fleet.NewsFunc) { p.news[kind] = f }
-func (p *wproc) OnAsk(kind string, f fleet.AskFunc)   { p.asks[kind] = f }
-func (p *wproc) OnChange(f func(fleet.Change))        { p.changes = append(p.changes, f) }
+func (p *wproc) OnUpdate(kind string, f fleet.UpdateFunc) { p.news[kind] = f }
+func (p *wproc) OnAsk(kind string, f fleet.AskFunc)       { p.asks[kind] = f }
+func (p *wproc) OnChange(f func(fleet.Change))            { p.changes = append(p.changes, f) }
 
 // sleep waits, and returns false if the process has ended meanwhile.
 func (p *wproc) sleep(d time.Duration) bool {
@@ -223,7 +223,7 @@
 
 func (p *wproc) Acts(wk *Work, may bool) { p.later(func() { p.acts[wk] = may }) }
 func (p *wproc) Orders([]string)         {}
-func (p *wproc) Once(class int) bool     { return class == 1 }
+func (p *wproc) RunsOnce(class int) bool { return class == 1 }
 func (p *wproc) Knows(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -260,7 +260,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.life, 300*time.Millisecond)
 	defer cancel()
-	if err := p.keeper.Own().Copied(ctx, p.n.w.o.copies); err != nil {
+	if err := p.keeper.Own().AwaitCopies(ctx, p.n.w.o.copies); err != nil {
 		_ = p.journal.Closed(m, "", time.Now())
 		return false
 	}
@@ -316,7 +316,7 @@
 		back := m.Notice.HandedBack() && wk.MaySend(0)
 		ctx, cancel := context.WithTimeout(p.life, 300*time.Millisecond)
 		defer cancel()
-		if wk.Copied(ctx, 1) != nil && m.Class == 1 {
+		if wk.AwaitCopies(ctx, 1) != nil && m.Class == 1 {
 			back = false
 		}
 		if p.life.Err() != nil {
@@ -352,7 +352,7 @@
 	m := h.m
 	if m.Class == 1 {
 		ctx, cancel := context.WithTimeout(p.life, 300*time.Millisecond)
-		err := wk.Copied(ctx, 1)
+		err := wk.AwaitCopies(ctx, 1)
 		cancel()
 		if err != nil {
 			p.settle(h, true)
--- a/internal/deliverynode/replica/world_test.go
+++ b/internal/deliverynode/replica/world_test.go
@@ -137,7 +137,7 @@
 	seed := w.rand.Uint64()
 	w.mu.Unlock()
 	life, kill := context.WithCancel(context.Background())
-	p := &wproc{n: n, incarnation: inc, start: time.Now(), life: life, kill: kill, news: map[string]fleet.NewsFunc{}, asks: map[string]fleet.AskFunc{},
+	p := &wproc{n: n, incarnation: inc, start: time.Now(), life: life, kill: kill, news: map[string]fleet.UpdateFunc{}, asks: map[string]fleet.AskFunc{},
 		seen: map[string]fleet.State{}, held: map[string]*wheld{}, over: map[string]bool{}, works: map[*journal.Journal]*Work{}, acts: map[*Work]bool{}}
 	quiet := slog.New(slog.DiscardHandler)
 	if os.Getenv("COPIES_LOG") != "" {
@@ -155,7 +155,7 @@
 	}
 	p.mu.Lock()
 	p.works[j] = p.keeper.Own()
-	for _, id := range j.OverIDs() {
+	for _, id := range j.EndedIDs() {
 		p.over[id] = true
 	}
 	for _, m := range owed {
@@ -164,7 +164,7 @@
 	p.mu.Unlock()
 	if n.old { // the fleet reports it before the node joins
 		n.old = false
-		if err := errors.Join(p.leases.Overtaken(), p.keeper.Old()); err != nil {
+		if err := errors.Join(p.leases.Overtaken(), p.keeper.MarkStale()); err != nil {
 			w.breaks("%s: its old folder: %v", n.name, err)
 		}
 	}
--- a/internal/deliverynode/wire/golden_test.go
+++ b/internal/deliverynode/wire/golden_test.go
@@ -131,7 +131,7 @@
 
 // A recorded note to the other senders is decoded to the same values and encoded to the same bytes.
 func TestGoldenNote(t *testing.T) {
-	want := policy.Tell{News: 2, Tag: 0x1234}
+	want := policy.SendNote{News: 2, Tag: 0x1234}
 	golden.Compare(t, "note", EncodeNote(want))
 	got, ok := DecodeNote(golden.Read(t, "note"))
 	if !ok || got.News != want.News || got.Tag != want.Tag {
--- a/internal/deliverynode/wire/note_test.go
+++ b/internal/deliverynode/wire/note_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestNotesKeepTheirContent(t *testing.T) {
-	want := policy.Tell{Tag: 1<<policy.TagBits - 3, News: policy.Jam}
+	want := policy.SendNote{Tag: 1<<policy.TagBits - 3, News: policy.Jam}
 	data := EncodeNote(want)
 	if len(data) != noteSize {
 		t.Fatalf("a note of %d bytes, want %d", len(data), noteSize)
 	}
-	if got, ok := DecodeNote(data); !ok || got != policy.Told(want) {
+	if got, ok := DecodeNote(data); !ok || got != policy.NoteReceived(want) {
 		t.Errorf("note %+v came back as %+v, %v", want, got, ok)
 	}
 	if got, ok := DecodeNote([]byte("what?")); ok {
--- a/internal/deliverynode/wire/wire.go
+++ b/internal/deliverynode/wire/wire.go
@@ -95,7 +95,7 @@
 func (r Report) Allowance(names []string) policy.Allowance {
 	var a policy.Allowance
 	for i := range min(int(r.Count), len(names), len(r.Values)) {
-		a.Take(names[i], float64(r.Values[i]))
+		a.SetReported(names[i], float64(r.Values[i]))
 	}
 	return a
 }
--- a/internal/lab/golden/golden.go
+++ b/internal/lab/golden/golden.go
@@ -121,8 +121,8 @@
 	Unmarshal(text []byte, v any) error
 }
 
-// By tests the encoding of a type by an Encoder and a Decoder, as Codec does.
-func By[T any](t *testing.T, name string, encoder Encoder, decoder Decoder) {
+// Encoding tests the encoding of a type by an Encoder and a Decoder, as Codec does.
+func Encoding[T any](t *testing.T, name string, encoder Encoder, decoder Decoder) {
 	t.Helper()
 	Codec(t, name, func(v T) ([]byte, error) { return encoder.Marshal(v) },
 		func(text []byte, v *T) error { return decoder.Unmarshal(text, v) })
--- a/internal/lab/insim/insim.go
+++ b/internal/lab/insim/insim.go
@@ -498,7 +498,7 @@
 		if m == nil {
 			continue
 		}
-		r := policy.Remembered{Endpoint: policy.EndpointID(ep + 1)}
+		r := policy.EndpointHistory{Endpoint: policy.EndpointID(ep + 1)}
 		for _, at := range m.sent {
 			if s.now-at < 15*time.Second {
 				r.Sent = append(r.Sent, clockStart+at)
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -179,7 +179,7 @@
 	}
 	wait.For(ctx, fault.For)
 	for _, process := range processes {
-		failed = errors.Join(failed, process.Thaw())
+		failed = errors.Join(failed, process.Resume())
 	}
 	return failed
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -134,8 +134,8 @@
 // loadLength returns for how long clients send requests.
 func (p Plan) loadLength() time.Duration { return p.latestEnd() + ackedWait + recoverFor }
 
-// LongestPlay returns how long a soak run of the plan may take, from its faults to the last read.
-func (p Plan) LongestPlay() time.Duration { return p.loadLength() + finishBy + maxStartAndFinal }
+// MaxDuration returns how long a soak run of the plan may take, from its faults to the last read.
+func (p Plan) MaxDuration() time.Duration { return p.loadLength() + finishBy + maxStartAndFinal }
 
 // Only returns the plan reduced to the faults with these numbers, or unchanged if no number is given.
 func (p Plan) Only(numbers []int) Plan {
--- a/internal/lab/tier/cluster/process.go
+++ b/internal/lab/tier/cluster/process.go
@@ -286,11 +286,11 @@
 	return false
 }
 
-// Freeze stops the process with SIGSTOP until Thaw.
+// Freeze stops the process with SIGSTOP until Resume.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Thaw continues a frozen process.
-func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
+// Resume continues a frozen process.
+func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
 // Wipe empties the disk of the process, which must not be running.
 func (p *Process) Wipe() error {
--- a/internal/lab/tier/faults.go
+++ b/internal/lab/tier/faults.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	time.Sleep(frozenFor)
-	return p.Thaw()
+	return p.Resume()
 }
 
 // victim returns the running engine that faults are applied to.
--- a/internal/platform/frame/format.go
+++ b/internal/platform/frame/format.go
@@ -108,9 +108,9 @@
 		Salt: binary.LittleEndian.Uint64(b[20:])}, binary.LittleEndian.Uint16(b[8:]), true
 }
 
-// FormatOf returns the Format of a segment and the offset of its first record, which is 0 in the plain form. If one
+// DetectFormat returns the Format of a segment and the offset of its first record, which is 0 in the plain form. If one
 // header is damaged, it also returns an error. If the segment is unusable, the offset is 0 and the error is set.
-func FormatOf(data []byte, number uint64) (f Format, at int, err error) {
+func DetectFormat(data []byte, number uint64) (f Format, at int, err error) {
 	one, version, ok := readHeader(data)
 	two, version2, ok2 := Format{}, uint16(0), false
 	if len(data) > HeaderSize {
@@ -206,7 +206,7 @@
 }
 
 // Record returns the payload of the record at an offset, and the offset of the next one. If the record is damaged,
-// next is where the next record should be, or 0 if that is unknown; Resume finds the offset to continue from.
+// next is where the next record should be, or 0 if that is unknown; FindNext finds the offset to continue from.
 func (f Format) Record(data []byte, at int) (payload []byte, next int, err error) {
 	rest, head := data[at:], f.HeadSize()
 	if len(rest) < head {
@@ -252,9 +252,9 @@
 	return last == at || block < end && block < len(data)
 }
 
-// Resume returns the offset of the next valid record after a damaged one, or -1 if there is none. In the plain form
+// FindNext returns the offset of the next valid record after a damaged one, or -1 if there is none. In the plain form
 // only the offset next is tried, because a client's data might look like a record elsewhere.
-func (f Format) Resume(data []byte, at, next int) int {
+func (f Format) FindNext(data []byte, at, next int) int {
 	if !f.Keyed {
 		if next > 0 && next < len(data) {
 			if _, _, err := f.Record(data, next); err == nil {
--- a/internal/platform/telemetry/golden_test.go
+++ b/internal/platform/telemetry/golden_test.go
@@ -24,7 +24,7 @@
 
 // The series that each role exposes from its start must not change, including their labels and label values.
 func TestGoldenSeries(t *testing.T) {
-	forward.New(forward.Options{Snapshots: &snapshot.Latest{}}).Observe()
+	forward.New(forward.Options{Snapshots: &snapshot.Latest{}}).RegisterMetrics()
 	var text bytes.Buffer
 	metrics.WritePrometheus(&text, false)
 	var series []string
--- a/internal/platform/upstream/call.go
+++ b/internal/platform/upstream/call.go
@@ -55,9 +55,9 @@
 	return resp, err
 }
 
-// NextAnswer reads one more response to an opened call, after the body of the previous one was read to its end. The
+// NextResponse reads one more response to an opened call, after the body of the previous one was read to its end. The
 // connection is not reused afterwards.
-func (c *Conn) NextAnswer() (*http.Response, error) {
+func (c *Conn) NextResponse() (*http.Response, error) {
 	c.readSurplus = true
 	c.response.begin()
 	resp, err := c.readHead(&c.request)
--- a/internal/platform/upstream/conn.go
+++ b/internal/platform/upstream/conn.go
@@ -43,7 +43,7 @@
 	stopCancel  func() bool  // stops watching the call's context
 	written     chan bool    // receives once whether the request was written completely; nil if that is known
 	request     http.Request // of an opened call, for reading its responses
-	readSurplus bool         // NextAnswer has read a second response
+	readSurplus bool         // NextResponse has read a second response
 	hasDeadline bool         // deadlines are set on the connection
 	deadline    time.Time    // of an opened call; zero: none
 	delayEnd    bool         // hold back the end of the request until the connection was probed
--- a/internal/platform/upstream/open_test.go
+++ b/internal/platform/upstream/open_test.go
@@ -96,7 +96,7 @@
 	return c.TCPConn.SetDeadline(t)
 }
 
-// NextAnswer skips a response that belongs to an earlier call, and the connection is then not reused.
+// NextResponse skips a response that belongs to an earlier call, and the connection is then not reused.
 func TestNextAnswerSkipsEarlierResponse(t *testing.T) {
 	s := newTestServer(t, respondWith(ok200+strings.Replace(ok200, "ok", "me", 1)))
 	p := newPools(t, nil).Endpoint(Endpoint{Name: "e", Addr: s.addr})
@@ -105,7 +105,7 @@
 	must(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
 	must(t, err)
-	resp, err = c.NextAnswer()
+	resp, err = c.NextResponse()
 	must(t, err)
 	if b, err := io.ReadAll(resp.Body); err != nil || string(b) != "me" {
 		t.Errorf("%q, %v", b, err)
--- a/internal/platform/vfs/vfstest/vfstest.go
+++ b/internal/platform/vfs/vfstest/vfstest.go
@@ -25,8 +25,8 @@
 	FailAt, Fails int
 	// Ops is the number of operations so far.
 	Ops int
-	// Room is the capacity for all files together, in bytes; a write beyond it writes what fits. 0: unlimited.
-	Room int
+	// Capacity is the capacity for all files together, in bytes; a write beyond it writes what fits. 0: unlimited.
+	Capacity int
 	// Stall, if set, is called before each write and sync, and may block.
 	Stall func()
 
@@ -261,10 +261,10 @@
 
 // fits returns how many of n bytes fit on the disk.
 func (d *Disk) fits(n int) int {
-	if d.Room == 0 {
+	if d.Capacity == 0 {
 		return n
 	}
-	return max(0, min(n, d.Room-d.Used()))
+	return max(0, min(n, d.Capacity-d.Used()))
 }
 
 // Used returns the total size of all files, in bytes.
--- a/internal/proxy/forward/account/scenario_test.go
+++ b/internal/proxy/forward/account/scenario_test.go
@@ -355,7 +355,7 @@
 		p.t.Error(err)
 	}
 	sleepUpTo(random, maxFreeze)
-	if err := process.Thaw(); err != nil {
+	if err := process.Resume(); err != nil {
 		p.t.Error(err)
 	}
 }
--- a/internal/proxy/forward/certified.go
+++ b/internal/proxy/forward/certified.go
@@ -53,7 +53,7 @@
 		x.requireCertificate()
 	}
 	if !ok {
-		gate.Count(regime, func(c *certification.Counts) { c.Stopped++ })
+		gate.Count(regime, func(c *certification.Counts) { c.Invalidated++ })
 		x.err = errNotCertified
 		x.refusalReason = "no certified node for regime " + regime + " is free"
 		x.finish(dispatch.Canceled, upstream.Unused)
--- a/internal/proxy/forward/golden_test.go
+++ b/internal/proxy/forward/golden_test.go
@@ -225,7 +225,7 @@
 
 // TestGoldenMetrics pins the names and labels of a proxy's metrics.
 func TestGoldenMetrics(t *testing.T) {
-	New(Options{Snapshots: &snapshot.Latest{}}).Observe()
+	New(Options{Snapshots: &snapshot.Latest{}}).RegisterMetrics()
 	var names []string
 	for _, name := range metrics.ListMetricNames() {
 		if strings.HasPrefix(name, "dunetide_proxy_") && !strings.HasPrefix(name, "dunetide_proxy_own_answers_total") { // registered by the first answer
--- a/internal/proxy/forward/metrics.go
+++ b/internal/proxy/forward/metrics.go
@@ -126,8 +126,8 @@
 // count returns the number of connections in a state.
 func (c *connectionStates) count(state http.ConnState) int { return int(c.open[state].Load()) }
 
-// Observe registers the gauges of this proxy. At most one proxy of a process may be registered.
-func (p *Proxy) Observe() {
+// RegisterMetrics registers the gauges of this proxy. At most one proxy of a process may be registered.
+func (p *Proxy) RegisterMetrics() {
 	telemetry.GaugeFunc("dunetide_proxy_config_version", func() float64 { return float64(p.configVersion()) })
 	telemetry.GaugeFunc("dunetide_proxy_draining", func() float64 { return telemetry.Bool(p.draining.Load()) })
 	for state, name := range map[http.ConnState]string{http.StateActive: "active", http.StateIdle: "idle"} {
--- a/internal/proxy/forward/proxy.go
+++ b/internal/proxy/forward/proxy.go
@@ -165,13 +165,13 @@
 	w.WriteHeader(status)
 }
 
-// ErrGraceOver is returned by Shutdown if it aborted requests that were in flight at the end of the
+// ErrGraceExpired is returned by Shutdown if it aborted requests that were in flight at the end of the
 // grace period.
-var ErrGraceOver = errors.New("grace period expired with requests in flight")
+var ErrGraceExpired = errors.New("grace period expired with requests in flight")
 
 // Shutdown stops serving clients. It first reports the process as not ready, while new requests are
 // still served; then it accepts no more requests and waits for those in flight until the end of the
-// grace period. It returns ErrGraceOver if it had to abort some of them.
+// grace period. It returns ErrGraceExpired if it had to abort some of them.
 func (p *Proxy) Shutdown(grace time.Duration) error {
 	began := p.options.Now()
 	p.draining.Store(true)
@@ -180,7 +180,7 @@
 	defer cancel()
 	err := p.server.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = ErrGraceOver
+		err = ErrGraceExpired
 	}
 	if err != nil {
 		err = errors.Join(err, p.server.Close())
--- a/internal/proxy/forward/scenario_check_test.go
+++ b/internal/proxy/forward/scenario_check_test.go
@@ -116,8 +116,8 @@
 func (n *scenario) checkStopped() {
 	for _, p := range n.proxies {
 		for _, c := range p.gate.CountsByRegime() {
-			if c.Stopped > 20+c.Runs/10 {
-				n.violation("%d grants were for uncertified engines, with %d runs begun", c.Stopped, c.Runs)
+			if c.Invalidated > 20+c.Runs/10 {
+				n.violation("%d grants were for uncertified engines, with %d runs begun", c.Invalidated, c.Runs)
 			}
 		}
 	}
--- a/internal/proxy/forward/send.go
+++ b/internal/proxy/forward/send.go
@@ -109,7 +109,7 @@
 			return &upstream.CallError{Sent: true, Err: errInvalidAnswer}
 		}
 		//nolint:bodyclose // as above
-		x.response, err = x.connection.NextAnswer()
+		x.response, err = x.connection.NextResponse()
 	}
 	return err
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -173,8 +173,8 @@
 	Left  float64 // fraction of the limit that was unused
 }
 
-// Take stores one named value of a load report, if it concerns the rate limit.
-func (a *Allowance) Take(name string, value float64) {
+// SetReported stores one named value of a load report, if it concerns the rate limit.
+func (a *Allowance) SetReported(name string, value float64) {
 	switch {
 	case math.IsNaN(value) || value < 0:
 	case name == "x0":
@@ -217,15 +217,15 @@
 // two endpoints may, rarely, have the same tag.
 type Tag uint32
 
-// Told is a note received from another sender. Notes may be lost or delayed.
-type Told struct {
+// NoteReceived is a note received from another sender. Notes may be lost or delayed.
+type NoteReceived struct {
 	Tag  Tag
 	News News
 }
 
-// Remembered is the history of an endpoint from a previous run of the node. It comes
+// EndpointHistory is the history of an endpoint from a previous run of the node. It comes
 // before the first call to the endpoint.
-type Remembered struct {
+type EndpointHistory struct {
 	Endpoint EndpointID
 	Sent     []Time // times of calls, oldest first
 	Runs     []Run  // runs of failures, oldest first
@@ -239,16 +239,16 @@
 	BackAt   Time      // time of the first success after it
 }
 
-// Ordered is an operator's order for an endpoint, which overrides the list. With Out, the
+// OperatorOrder is an operator's order for an endpoint, which overrides the list. With Out, the
 // endpoint gets no calls until an order without Out, after which it counts as cold.
-type Ordered struct {
+type OperatorOrder struct {
 	Endpoint EndpointID
 	Out      bool
 }
 
-// Inherited carries the memory of the process that owned the node's messages before, by
+// RestoredMemory carries the memory of the process that owned the node's messages before, by
 // the same clock. It comes after the list and before the first message.
-type Inherited struct{ Memory Memory }
+type RestoredMemory struct{ Memory Memory }
 
 // Memory is the state of a sender apart from its messages, the list and operator orders.
 //
@@ -286,26 +286,26 @@
 	ColdWindow                                       time.Duration
 }
 
-// Shared assigns the sender a share of its node (Parts of Whole) where several processes form
+// ShareAssigned assigns the sender a share of its node (Parts of Whole) where several processes form
 // one node: of its slices, slots and message limit. Without this event a sender uses the whole
 // node. Kept is the portion of its previous share that no other process has held since. Alone is
 // set if there are no other processes and everything that earlier ones sent is known here.
-type Shared struct {
+type ShareAssigned struct {
 	Parts, Whole, Kept int
 	Alone              bool
 }
 
-// Hearsay is an observation of an endpoint by another process of the same node: Down, Back or
-// BackCold. It comes only after [Shared]. Newer observations of this process take precedence.
-type Hearsay struct {
+// PeerObservation is an observation of an endpoint by another process of the same node: Down, Back or
+// BackCold. It comes only after [ShareAssigned]. Newer observations of this process take precedence.
+type PeerObservation struct {
 	Endpoint EndpointID
 	News     News
 	At       Time
 }
 
-// HeardWait is a wait that a destination requested from another process of the same node.
+// PeerWait is a wait that a destination requested from another process of the same node.
 // It applies to all processes of the node.
-type HeardWait struct {
+type PeerWait struct {
 	Endpoint EndpointID
 	Until    Time
 }
@@ -313,19 +313,19 @@
 // Woken reports that the time of a [Wake] has come.
 type Woken struct{}
 
-func (Listed) event()     {}
-func (ListFailed) event() {}
-func (Arrived) event()    {}
-func (Ended) event()      {}
-func (Withdrawn) event()  {}
-func (Told) event()       {}
-func (Remembered) event() {}
-func (Ordered) event()    {}
-func (Inherited) event()  {}
-func (Shared) event()     {}
-func (Hearsay) event()    {}
-func (HeardWait) event()  {}
-func (Woken) event()      {}
+func (Listed) event()          {}
+func (ListFailed) event()      {}
+func (Arrived) event()         {}
+func (Ended) event()           {}
+func (Withdrawn) event()       {}
+func (NoteReceived) event()    {}
+func (EndpointHistory) event() {}
+func (OperatorOrder) event()   {}
+func (RestoredMemory) event()  {}
+func (ShareAssigned) event()   {}
+func (PeerObservation) event() {}
+func (PeerWait) event()        {}
+func (Woken) event()           {}
 
 // Action is an output of [Sender.Step]. The node carries actions out at once, in order.
 type Action interface{ action() }
@@ -353,14 +353,14 @@
 // CloseIdle closes the idle connections to an endpoint.
 type CloseIdle struct{ Endpoint EndpointID }
 
-// Tell sends a note to all other senders. It comes only with Settings.MayTell.
-type Tell struct {
+// SendNote sends a note to all other senders. It comes only with Settings.MayTell.
+type SendNote struct {
 	Tag  Tag
 	News News
 }
 
 // Verdict sends an observation of an endpoint to the other processes of the node. It is
-// used only after [Shared].
+// used only after [ShareAssigned].
 type Verdict struct {
 	Endpoint EndpointID
 	News     News
@@ -374,6 +374,6 @@
 func (Fail) action()      {}
 func (Subscribe) action() {}
 func (CloseIdle) action() {}
-func (Tell) action()      {}
+func (SendNote) action()  {}
 func (Verdict) action()   {}
 func (Wake) action()      {}
--- a/policy/coldreturn_test.go
+++ b/policy/coldreturn_test.go
@@ -55,8 +55,8 @@
 			if f.aware[i] {
 				f.sent = append(f.sent, f.now)
 			}
-		case Tell:
-			f.notes, f.noteSenders = append(f.notes, Told(a)), append(f.noteSenders, i)
+		case SendNote:
+			f.notes, f.noteSenders = append(f.notes, NoteReceived(a)), append(f.noteSenders, i)
 		}
 	}
 }
@@ -191,14 +191,14 @@
 func TestOneErrorWithoutNotesIsAnOutage(t *testing.T) {
 	b := newBench(t, noteSettings(), 0, 1, 0)
 	b.arrive(1)
-	if n := count[Tell](b.finish(Failed, 0)); n != 0 {
+	if n := count[SendNote](b.finish(Failed, 0)); n != 0 {
 		t.Errorf("%d notes about an outage after one error", n)
 	}
 	e := b.path().endpoints[0]
 	if !e.out {
 		t.Fatal("an error without any earlier success or notes is not treated as an outage")
 	}
-	b.step(Told{Tag: 1<<TagBits - 1, News: Down})
+	b.step(NoteReceived{Tag: 1<<TagBits - 1, News: Down})
 	if b.wait(backoffBase); len(b.sent) != 0 {
 		t.Error("a note on another endpoint ended the outage")
 	}
@@ -221,7 +221,7 @@
 	if gap := b.s.trialGap(e); gap < 2*b.s.set.FallWindow {
 		t.Errorf("next trial after %v although no notes are received", gap)
 	}
-	b.step(Told{Tag: 1<<TagBits - 1, News: Jam})
+	b.step(NoteReceived{Tag: 1<<TagBits - 1, News: Jam})
 	if gap := b.s.trialGap(e); gap > 2*b.s.set.FallWindow {
 		t.Errorf("next trial after %v although it leads", gap)
 	}
@@ -233,7 +233,7 @@
 	e := b.path().endpoints[0]
 	start := b.now
 	for _, news := range []News{Down, BackCold, Down, BackCold} {
-		b.step(Told{Tag: e.id.tag(), News: news})
+		b.step(NoteReceived{Tag: e.id.tag(), News: news})
 		b.now += 4 * time.Second
 	}
 	if e.failingSince != start {
@@ -279,7 +279,7 @@
 	if !b.s.sendNote(e, Down) {
 		t.Error("no note after one tick per sender")
 	}
-	b.step(Told{Tag: 1<<TagBits - 1, News: Jam})
+	b.step(NoteReceived{Tag: 1<<TagBits - 1, News: Jam})
 	for note := range 2 {
 		if !b.s.sendNote(e, Down) {
 			t.Errorf("note %d is held back although notes are received", note)
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -12,7 +12,7 @@
 	b := newBench(t, testSettings(), 0, 1, 0)
 	e := b.path().endpoints[0]
 	b.arrive(1)
-	b.step(Ordered{Endpoint: 1, Out: true}, Ordered{Endpoint: 1, Out: true})
+	b.step(OperatorOrder{Endpoint: 1, Out: true}, OperatorOrder{Endpoint: 1, Out: true})
 	b.finish(Failed, 0) // its retry would be due soon
 	b.arrive(1)
 	for range 20 {
@@ -24,13 +24,13 @@
 	if len(b.sent) > 0 {
 		t.Fatalf("%d calls to an endpoint that an operator took out", len(b.sent))
 	}
-	b.step(Ordered{Endpoint: 1})
+	b.step(OperatorOrder{Endpoint: 1})
 	if !e.warming || e.warmUpStart != b.now || e.out || len(b.sent) != 1 {
 		t.Errorf("back in service: warming %v from %v, down %v, %d calls; want it cold, with one call", e.warming, e.warmUpStart, e.out, len(b.sent))
 	}
 	warm := e.warmUpStart
 	b.wait(time.Second)
-	b.step(Ordered{Endpoint: 1})
+	b.step(OperatorOrder{Endpoint: 1})
 	if e.warmUpStart != warm {
 		t.Error("a repeated order made it cold again")
 	}
@@ -52,7 +52,7 @@
 	memory, told := b.s.Memory(), b.path().closedUntil
 
 	next := &bench{t: t, s: New(set, 2), now: b.now}
-	events := []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready}, {Endpoint: 2, Zone: 1, State: Ready}}}, Inherited{memory}}
+	events := []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready}, {Endpoint: 2, Zone: 1, State: Ready}}}, RestoredMemory{memory}}
 	out := Past{Attempts: 1, MayRun: true, RanAt: b.now - time.Second, Out: true, OutTo: 2, OutSince: b.now - time.Second}
 	for id := range MessageID(2) { // a bundle: one call, one slot
 		events = append(events, Arrived{Message: 100 + id, Class: 1, GiveUpAt: b.now + 10*time.Second, Past: out})
--- a/policy/health.go
+++ b/policy/health.go
@@ -213,7 +213,7 @@
 // its last failures were an outage that still lasts, the endpoint is down, so that a restored backlog
 // waits for a trial; if the outage ended less than a warm-up ago, the endpoint is cold. A single
 // failed response is no outage.
-func (s *Sender) restoreHealth(e *endpoint, r Remembered) {
+func (s *Sender) restoreHealth(e *endpoint, r EndpointHistory) {
 	for _, run := range r.Runs {
 		failureScore := 0.0
 		for _, o := range run.Outcomes {
@@ -239,7 +239,7 @@
 // receiveNote applies a note of another sender, unless a recent success of this one contradicts it.
 // Trials of an outage are mostly left to the sender that announced it; this one makes rare
 // trials, since notes get lost.
-func (s *Sender) receiveNote(n Told) {
+func (s *Sender) receiveNote(n NoteReceived) {
 	e := s.tags[n.Tag]
 	s.noteReceivedAt = s.now
 	switch {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -123,20 +123,20 @@
 	}
 	hearsay := len(events) > 0 // notes alone free no capacity: waiting messages have a wake
 	for _, e := range events {
-		_, note := e.(Told)
+		_, note := e.(NoteReceived)
 		hearsay = hearsay && note
 		switch e := e.(type) {
 		case ListFailed:
 			s.subscribed, s.subscribeAt = false, now+backoffMax/2+s.jitter(backoffMax/2)
 		case Ended:
 			s.attemptEnded(e)
-		case Told:
+		case NoteReceived:
 			s.receiveNote(e)
-		case Shared:
+		case ShareAssigned:
 			s.applyShare(e)
-		case Hearsay:
+		case PeerObservation:
 			s.hearsay(e)
-		case HeardWait:
+		case PeerWait:
 			if o := s.endpoints[e.Endpoint]; o != nil {
 				o.path.closedUntil = max(o.path.closedUntil, e.Until)
 			}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -846,13 +846,13 @@
 	b := newBench(t, noteSettings(), 0, 1, 0)
 	b.arrive(0)
 	told := b.finish(Unreachable, 0)
-	if count[Tell](told) != 1 {
-		t.Fatalf("%d notes for an outage, want 1", count[Tell](told))
+	if count[SendNote](told) != 1 {
+		t.Fatalf("%d notes for an outage, want 1", count[SendNote](told))
 	}
 	c := newBench(t, noteSettings(), 0, 1, 0)
 	for _, a := range told {
-		if n, ok := a.(Tell); ok {
-			c.step(Told(n))
+		if n, ok := a.(SendNote); ok {
+			c.step(NoteReceived(n))
 		}
 	}
 	e := c.path().endpoints[0]
@@ -862,18 +862,18 @@
 	if c.arrive(0); len(c.sent) != 0 {
 		t.Error("sent at once to an endpoint that a note reported down")
 	}
-	c.step(Told{Tag: e.id.tag(), News: BackCold})
+	c.step(NoteReceived{Tag: e.id.tag(), News: BackCold})
 	if e.out || !e.warming {
 		t.Error("a note about a cold return is ignored")
 	}
-	c.step(Told{Tag: 1<<TagBits - 1, News: Down}) // an endpoint that is not listed
+	c.step(NoteReceived{Tag: 1<<TagBits - 1, News: Down}) // an endpoint that is not listed
 }
 
 // If rejected calls count against the limit, the first calls of many senders alone keep it exhausted.
 func TestJamIsSentOnceAndClosesThePath(t *testing.T) {
 	b := newBench(t, noteSettings(), 0, 1, 0)
 	b.arrive(1)
-	if n := count[Tell](b.finish(Full, 0)); n != 1 {
+	if n := count[SendNote](b.finish(Full, 0)); n != 1 {
 		t.Errorf("%d notes for a Full under one call per window, want 1", n)
 	}
 	p := b.path()
@@ -906,7 +906,7 @@
 // A note reaches hundreds of nodes, so a full step for each note would cost hundreds of times as much.
 func TestNotesAloneCauseNoActions(t *testing.T) {
 	b := newBench(t, noteSettings(), 0, 1, 0)
-	if actions := b.step(Told{Tag: 1, News: Jam}); len(actions) != 0 {
+	if actions := b.step(NoteReceived{Tag: 1, News: Jam}); len(actions) != 0 {
 		t.Errorf("%d actions on a note about an unknown endpoint", len(actions))
 	}
 }
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -59,7 +59,7 @@
 func TestRestoredBacklogWaitsForATrial(t *testing.T) {
 	start := time.Hour
 	events := []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 100}}},
-		Remembered{Endpoint: 1, Sent: []Time{start - time.Second}, Runs: []Run{{Outcomes: []Outcome{Failed, Failed}, FailedAt: start - time.Second}}}}
+		EndpointHistory{Endpoint: 1, Sent: []Time{start - time.Second}, Runs: []Run{{Outcomes: []Outcome{Failed, Failed}, FailedAt: start - time.Second}}}}
 	for i := range 50 {
 		events = append(events, Arrived{Message: MessageID(i + 1), GiveUpAt: start + 20*time.Second})
 	}
@@ -90,7 +90,7 @@
 	}
 	actions := s.Step(start, []Event{
 		Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 10}}},
-		Remembered{Endpoint: 1, Sent: sent},
+		EndpointHistory{Endpoint: 1, Sent: sent},
 		Arrived{Message: 1, GiveUpAt: start + 20*time.Second}}, nil)
 	if sends := sendsOf(actions); len(sends) > 0 {
 		t.Errorf("sent %v over a full narrow window", sends)
@@ -122,7 +122,7 @@
 		{"down", []Run{{Outcomes: []Outcome{Failed, Failed}, FailedAt: ago(1)}}, true, false, true},
 	} {
 		s := New(restartSettings(), 1)
-		s.Step(start, []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 100}}}, Remembered{Endpoint: 1, Runs: c.runs}}, nil)
+		s.Step(start, []Event{Listed{Whole: true, Entries: []Entry{{Endpoint: 1, State: Ready, Rate: 100}}}, EndpointHistory{Endpoint: 1, Runs: c.runs}}, nil)
 		if e := s.endpoints[1]; e.out != c.out || e.warming != c.cold || e.suspect != c.suspect {
 			t.Errorf("%s: down %v, cold %v, suspect %v", c.name, e.out, e.warming, e.suspect)
 		}
--- a/policy/share.go
+++ b/policy/share.go
@@ -7,7 +7,7 @@
 // applyShare applies a new share of the node. A decrease takes effect at once. An increase waits for
 // a wide window, since another process may just have used up that capacity; except for the part
 // that this process used before and no other has held since.
-func (s *Sender) applyShare(e Shared) {
+func (s *Sender) applyShare(e ShareAssigned) {
 	whole := float64(max(1, e.Whole))
 	fraction := max(0, float64(e.Parts)/whole)
 	now := min(fraction, max(s.share.fraction, min(s.share.previous, float64(e.Kept)/whole)))
@@ -36,7 +36,7 @@
 // hearsay applies an observation of another process of the node. The calls of all processes are
 // those of one node, so an outage seen by one is an outage for all, and each makes its part of
 // the node's trials. A newer success or failure seen by this process takes precedence.
-func (s *Sender) hearsay(h Hearsay) {
+func (s *Sender) hearsay(h PeerObservation) {
 	e := s.endpoints[h.Endpoint]
 	switch {
 	case e == nil:
--- a/policy/share_test.go
+++ b/policy/share_test.go
@@ -36,22 +36,22 @@
 	b := shareBench(t)
 	b.sentWithin(wideWindow)
 	slice, listedRate := b.path().slice, b.path().listedRate
-	b.step(Shared{Parts: 420, Whole: 840})
+	b.step(ShareAssigned{Parts: 420, Whole: 840})
 	if b.s.set.Slots != 20 || b.s.set.MaxHeld != 100 || b.s.set.Senders != 2 {
 		t.Errorf("%d slots, %d held, %d senders at half of the node", b.s.set.Slots, b.s.set.MaxHeld, b.s.set.Senders)
 	}
 	if p := b.path(); p.slice != slice/2 || p.listedRate != listedRate/2 || p.minRate != listedRate/2 {
 		t.Errorf("slice %v of %v, listed %v of %v at half of the node", p.slice, slice, p.listedRate, listedRate)
 	}
-	b.step(Shared{Parts: 840, Whole: 840})
+	b.step(ShareAssigned{Parts: 840, Whole: 840})
 	for range 10 { // repeated assignments must not delay the increase
 		b.sentWithin(wideWindow / 10)
-		b.step(Shared{Parts: 840, Whole: 840})
+		b.step(ShareAssigned{Parts: 840, Whole: 840})
 	}
 	if b.s.set.Slots != 40 {
 		t.Errorf("%d slots a wide window after the share grew, want 40", b.s.set.Slots)
 	}
-	b.step(Shared{Parts: 0, Whole: 840})
+	b.step(ShareAssigned{Parts: 0, Whole: 840})
 	for len(b.sent) > 0 { // calls in flight from before
 		b.finish(Delivered, 0)
 	}
@@ -61,7 +61,7 @@
 	if n := b.s.set.MaxHeld; n != 200 {
 		t.Errorf("%d messages may be held without a share, want 200: messages that wait for a lease would be given up", n)
 	}
-	b.step(Shared{Parts: 840, Whole: 840, Kept: 840})
+	b.step(ShareAssigned{Parts: 840, Whole: 840, Kept: 840})
 	if b.s.set.Slots != 40 || b.s.set.Senders != 1 {
 		t.Errorf("%d slots and %d senders, want the kept share in use at once", b.s.set.Slots, b.s.set.Senders)
 	}
@@ -77,15 +77,15 @@
 			t.Errorf("%d slots %s, want %d", b.s.set.Slots, when, want)
 		}
 	}
-	b.step(Shared{Parts: 210, Whole: 840})
-	b.step(Shared{Parts: 840, Whole: 840})
+	b.step(ShareAssigned{Parts: 210, Whole: 840})
+	b.step(ShareAssigned{Parts: 840, Whole: 840})
 	b.wait(wideWindow / 2)
-	b.step(Shared{Parts: 420, Whole: 840})
+	b.step(ShareAssigned{Parts: 420, Whole: 840})
 	b.wait(wideWindow / 2)
 	slots(20, "when the smaller one is due")
-	b.step(Shared{Parts: 630, Whole: 840})
+	b.step(ShareAssigned{Parts: 630, Whole: 840})
 	b.wait(wideWindow / 2)
-	b.step(Shared{Parts: 840, Whole: 840})
+	b.step(ShareAssigned{Parts: 840, Whole: 840})
 	b.wait(wideWindow / 2)
 	slots(30, "when the first increase is due")
 	b.wait(wideWindow/2 - time.Millisecond)
@@ -101,12 +101,12 @@
 // in use before: a pending increase waits again.
 func TestRetainedShareIsUsedAtOnce(t *testing.T) {
 	b := shareBench(t)
-	b.step(Shared{Parts: 210, Whole: 840})
-	b.step(Shared{Parts: 840, Whole: 840})
+	b.step(ShareAssigned{Parts: 210, Whole: 840})
+	b.step(ShareAssigned{Parts: 840, Whole: 840})
 	b.wait(wideWindow / 2)
-	b.step(Shared{Whole: 840})
-	b.step(Shared{Whole: 840})
-	b.step(Shared{Parts: 840, Whole: 840, Kept: 840})
+	b.step(ShareAssigned{Whole: 840})
+	b.step(ShareAssigned{Whole: 840})
+	b.step(ShareAssigned{Parts: 840, Whole: 840, Kept: 840})
 	if got := b.s.Share(); got != 0.25 {
 		t.Errorf("%v of the node in use, want the quarter used before", got)
 	}
@@ -114,12 +114,12 @@
 	if got := b.s.Share(); got != 0.25 {
 		t.Errorf("%v of the node in use before a wide window has passed", got)
 	}
-	b.step(Shared{Whole: 840})
-	b.step(Shared{Parts: 210, Whole: 840, Kept: 100})
+	b.step(ShareAssigned{Whole: 840})
+	b.step(ShareAssigned{Parts: 210, Whole: 840, Kept: 100})
 	if got := b.s.Share(); got != 100.0/840 {
 		t.Errorf("%v of the node in use, want the kept share only", got)
 	}
-	b.step(Shared{Parts: 840, Whole: 840, Alone: true})
+	b.step(ShareAssigned{Parts: 840, Whole: 840, Alone: true})
 	if got := b.s.Share(); got != 1 {
 		t.Errorf("%v of the node in use without other processes, want 1", got)
 	}
@@ -129,18 +129,18 @@
 func TestObservationsOfAnotherProcessCount(t *testing.T) {
 	b := shareBench(t)
 	e := b.s.endpoints[1]
-	if b.step(Hearsay{Endpoint: 9, News: Down, At: b.now}); e.out {
+	if b.step(PeerObservation{Endpoint: 9, News: Down, At: b.now}); e.out {
 		t.Error("an observation of another endpoint was applied")
 	}
 	b.sentWithin(time.Second) // it answers
 	seen := b.now
 	b.sentWithin(time.Second)
-	if b.step(Hearsay{Endpoint: 1, News: Down, At: seen}); e.out {
+	if b.step(PeerObservation{Endpoint: 1, News: Down, At: seen}); e.out {
 		t.Error("an older failure overrides a success of this process")
 	}
-	b.step(Shared{Parts: 420, Whole: 840})
+	b.step(ShareAssigned{Parts: 420, Whole: 840})
 	b.wait(time.Second)
-	b.step(Hearsay{Endpoint: 1, News: Down, At: b.now})
+	b.step(PeerObservation{Endpoint: 1, News: Down, At: b.now})
 	if !e.out {
 		t.Fatal("an outage seen by another process is ignored")
 	}
@@ -149,20 +149,20 @@
 	if b.step(Woken{}); len(b.sent) > 0 {
 		t.Error("sent at once into an outage seen by another process")
 	}
-	if b.step(Hearsay{Endpoint: 1, News: BackCold, At: e.downSince - 1}); !e.out {
+	if b.step(PeerObservation{Endpoint: 1, News: BackCold, At: e.downSince - 1}); !e.out {
 		t.Error("an older success ends the outage")
 	}
 	b.wait(time.Second)
-	if b.step(Hearsay{Endpoint: 1, News: BackCold, At: b.now}); e.out || !e.warming {
+	if b.step(PeerObservation{Endpoint: 1, News: BackCold, At: b.now}); e.out || !e.warming {
 		t.Errorf("down %v, warming %v after another process saw it return cold", e.out, e.warming)
 	}
 }
 
 func TestWaitOfAnotherProcessApplies(t *testing.T) {
 	b := shareBench(t)
-	b.step(HeardWait{Endpoint: 1, Until: b.now + 3*time.Second})
-	b.step(HeardWait{Endpoint: 1, Until: b.now + time.Second}) // the longer one applies
-	b.step(HeardWait{Endpoint: 9, Until: b.now + time.Second})
+	b.step(PeerWait{Endpoint: 1, Until: b.now + 3*time.Second})
+	b.step(PeerWait{Endpoint: 1, Until: b.now + time.Second}) // the longer one applies
+	b.step(PeerWait{Endpoint: 9, Until: b.now + time.Second})
 	if n := b.sentWithin(2900 * time.Millisecond); n > 0 {
 		t.Errorf("%d calls during the wait", n)
 	}
@@ -174,9 +174,9 @@
 // A process that joins has used nothing yet, whatever its Kept says.
 func TestNewProcessHasNoKeptShare(t *testing.T) {
 	b := shareBench(t)
-	b.step(Shared{Whole: 840})
-	b.step(Shared{Parts: 280, Whole: 840})
-	b.step(Shared{Parts: 210, Whole: 840, Kept: 210})
+	b.step(ShareAssigned{Whole: 840})
+	b.step(ShareAssigned{Parts: 280, Whole: 840})
+	b.step(ShareAssigned{Parts: 210, Whole: 840, Kept: 210})
 	if got := b.s.Share(); got != 0 {
 		t.Errorf("%v of the node in use at once", got)
 	}
@@ -191,7 +191,7 @@
 	for _, group := range []bool{false, true} {
 		b := shareBench(t)
 		if group {
-			b.step(Shared{Parts: 840, Whole: 840, Kept: 840})
+			b.step(ShareAssigned{Parts: 840, Whole: 840, Kept: 840})
 		}
 		var told []News
 		for i := range 400 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -326,11 +326,11 @@
 		if m := s.messages[e.Message]; m != nil && !m.ended {
 			s.end(m)
 		}
-	case Remembered:
+	case EndpointHistory:
 		s.applyHistory(e)
-	case Ordered:
+	case OperatorOrder:
 		s.applyOrder(e)
-	case Inherited:
+	case RestoredMemory:
 		s.restoreMemory(e.Memory)
 	case Woken:
 		if s.wakeAt <= s.now {
@@ -479,7 +479,7 @@
 	may := s.maySendNote()
 	if may {
 		s.noteSentAt = s.now
-		s.out = append(s.out, Tell{Tag: e.id.tag(), News: news})
+		s.out = append(s.out, SendNote{Tag: e.id.tag(), News: news})
 	}
 	return may
 }
@@ -506,7 +506,7 @@
 
 // applyHistory restores the history of an endpoint from a previous run of the node: its
 // calls count in the windows, and its failures in its health.
-func (s *Sender) applyHistory(r Remembered) {
+func (s *Sender) applyHistory(r EndpointHistory) {
 	e := s.endpoints[r.Endpoint]
 	if e == nil {
 		return
@@ -522,7 +522,7 @@
 
 // applyOrder disables or enables an endpoint. An enabled endpoint was restarted, so it counts
 // as just back from an outage, and earlier observations of its health are discarded.
-func (s *Sender) applyOrder(o Ordered) {
+func (s *Sender) applyOrder(o OperatorOrder) {
 	e := s.endpoints[o.Endpoint]
 	if e == nil || e.disabled == o.Out {
 		return
