--- a/internal/deliverynode/replica/mutants_test.go
+++ b/internal/deliverynode/replica/mutants_test.go
@@ -126,7 +126,7 @@
 	{
 		Name: "a takeover does not record ended ids",
 		File: "takeover.go",
-		Old:  "\terr = w.journal.NoteOver(slices.Sorted(maps.Keys(found.over)))\n",
+		Old:  "\terr = w.journal.AddEndedIDs(slices.Sorted(maps.Keys(found.over)))\n",
 		New:  "\t_ = slices.Sorted(maps.Keys(found.over))\n",
 	},
 	{
