--- a/cmd/deliverynode/copies_test.go
+++ b/cmd/deliverynode/copies_test.go
@@ -23,7 +23,7 @@
 const (
 	// copiesTimeout is the timeout of messages in these tests: long enough that none expires, even on a busy machine.
 	copiesTimeout = 150 * time.Second
-	// copiesWait is the -copy-wait of the nodes in these tests, whose clients wait for copiesPatience.
+	// copiesWait is the -copy-wait of the nodes in these tests, whose clients wait for copiesTimeout.
 	copiesWait = 60 * time.Second
 	// copiesLeaseS and copiesSilenceS are the seconds after which a log may be taken over. On a machine that does not schedule
 	// processes for seconds, shorter times make a node lose its log although it has not failed.
--- a/internal/deliverynode/journal/golden_test.go
+++ b/internal/deliverynode/journal/golden_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// goldenSegment returns a segment with one record of each kind but recEnd, which only a checkpoint has.
+// goldenSegment returns a segment with one record of each kind but recCheckpointEnd, which only a checkpoint has.
 func goldenSegment(f frame.Format) []byte {
 	var b []byte
 	if f.Keyed {
