--- a/internal/platform/clientbody/clientbody.go
+++ b/internal/platform/clientbody/clientbody.go
@@ -1,9 +1,8 @@
 // Package clientbody reads the bodies of clients' requests. It bounds each body in bytes and in time, and all bodies
-// together in bytes, so that clients that send slowly, much or many at once cost a process a bounded amount of
-// memory.
+// together in bytes, so that slow, large or many concurrent bodies cost a process a bounded amount of memory.
 //
-// Proxies read requests and batch jobs through it, keepers the requests of operators and endpoints. Every byte that was read is reserved in a Budget until the caller
-// releases it; Read releases what it reserved itself when it fails.
+// Proxies use it for requests and batch jobs, keepers for the requests of operators and endpoints. Every byte that is
+// read is reserved in a Budget until the caller releases it; if Read fails, it releases its own reservation.
 package clientbody
 
 import (
@@ -16,28 +15,28 @@
 )
 
 const (
-	// DefaultMaxBytes bounds a body where the configuration does not.
+	// DefaultMaxBytes bounds a body if the configuration does not.
 	DefaultMaxBytes = 16 << 20
-	// MaxDuration is how long a client may take to send a body where the deadline is not earlier.
+	// MaxDuration is how long a client may take to send a body, unless the deadline is earlier.
 	MaxDuration = 30 * time.Second
 
-	// rateWindow is over how long a body has to come at Limits.MinRate. A sender that stalls is given up after it.
+	// rateWindow is the period over which Limits.MinRate is enforced. A stalled sender is timed out after it.
 	rateWindow = 2 * time.Second
 
-	// maxPreallocated is how many bytes are allocated for a length that is only announced.
+	// maxPreallocated bounds the bytes that are allocated on the strength of the Content-Length header alone.
 	maxPreallocated = 256 << 10
-	// minGrowth is by how many bytes a buffer that is full grows at least.
+	// minGrowth is the least number of bytes by which a full buffer grows.
 	minGrowth = 512
 )
 
-// Budget bounds the bytes of all bodies that are in memory. The zero value and nil bound nothing. It is safe for
-// concurrent use.
+// Budget bounds the bytes of all bodies in memory. The zero value and nil impose no bound. It is safe for concurrent
+// use.
 type Budget struct {
 	maxBytes int64
 	reserved atomic.Int64
 }
 
-// NewBudget returns a budget of so many bytes; 0 bounds nothing.
+// NewBudget returns a budget of maxBytes bytes; 0 imposes no bound.
 func NewBudget(maxBytes int64) *Budget { return &Budget{maxBytes: maxBytes} }
 
 // reserve reserves bytes, unless they would exceed the budget.
@@ -52,7 +51,7 @@
 	return false
 }
 
-// Release returns the bytes of a body that is no longer needed.
+// Release gives the bytes of a body that is no longer needed back to the budget.
 func (b *Budget) Release(n int) {
 	if b != nil && b.maxBytes > 0 {
 		b.reserved.Add(-int64(n))
@@ -67,21 +66,21 @@
 	return b.reserved.Load()
 }
 
-// Limits are those of one body.
+// Limits are the limits of one body.
 type Limits struct {
 	MaxBytes int64     // 0: DefaultMaxBytes
 	Deadline time.Time // when the body has to be complete; at most MaxDuration from now
-	Budget   *Budget   // in which its bytes are reserved until they are released; nil: none
-	// MinRate is how many bytes a second have to come, over rateWindow; 0: any number may.
+	Budget   *Budget   // reserves the bytes of the body until they are released; nil: unbounded
+	// MinRate is how many bytes per second must arrive, averaged over rateWindow; 0: no minimum.
 	MinRate int
 }
 
-// readDeadline keeps the read deadline of a request while its body is read.
+// readDeadline maintains the read deadline of a request while its body is read.
 type readDeadline struct {
 	control    *http.ResponseController
 	last       time.Time // when the body has to be complete
-	windowSize int       // bytes that have to come in a rateWindow; 0: any number may
-	received   int       // in the present window
+	windowSize int       // bytes that must arrive in each rateWindow; 0: no minimum
+	received   int       // bytes in the current window
 }
 
 func newReadDeadline(control *http.ResponseController, limits *Limits) *readDeadline {
@@ -97,17 +96,17 @@
 	return d
 }
 
-// begin begins a window.
+// begin starts a window.
 func (d *readDeadline) begin() {
 	d.received = 0
 	until := d.last
 	if end := time.Now().Add(rateWindow); d.windowSize > 0 && end.Before(until) {
 		until = end
 	}
-	_ = d.control.SetReadDeadline(until) // fails only on connections of tests, which have no deadlines
+	_ = d.control.SetReadDeadline(until) // fails only on connections in tests, which don't support deadlines
 }
 
-// read notes bytes that have come.
+// read counts received bytes.
 func (d *readDeadline) read(n int) {
 	if d.received += n; d.windowSize > 0 && d.received >= d.windowSize {
 		d.begin()
@@ -117,10 +116,9 @@
 // end removes the deadline.
 func (d *readDeadline) end() { _ = d.control.SetReadDeadline(time.Time{}) } // as in begin
 
-// Read reads the whole body of a request into the buffer that into points at, and grows that as needed. It returns 0
-// or, if the body can't be had, the status to answer: 413 if it is too long, 408 if it comes too slowly, 503 if the
-// budget is used up by others, 400 if it breaks off. After 0 the caller has to release len(*into) bytes of the
-// budget.
+// Read reads the complete body of a request into the buffer that into points at, and grows it as needed. It returns 0
+// or, on failure, the status of the response: 413 if the body is too long, 408 if it arrives too slowly, 503 if the
+// budget is exhausted, 400 if the body is incomplete. After 0 the caller must release len(*into) bytes of the budget.
 func Read(rc *http.ResponseController, r *http.Request, limits Limits, into *[]byte) (status int) {
 	maxBytes := limits.MaxBytes
 	if maxBytes <= 0 {
--- a/internal/platform/descriptors/descriptors.go
+++ b/internal/platform/descriptors/descriptors.go
@@ -1,8 +1,8 @@
-// Package descriptors divides the file descriptors of a process among its users, so that clients that open connections
-// without end leave enough for the process's own work: links to other processes, connections to endpoints, and files.
+// Package descriptors divides the file descriptors of a process among its uses, so that clients that open any number of
+// connections leave enough for the process itself: links to other processes, connections to endpoints, and files.
 //
-// Each role makes one Budget from limits.open_files of the settings, and takes the bounds of its listeners and of its
-// connections to endpoints from it.
+// Each role creates one Budget from limits.open_files of the settings, which gives the limits of its listeners and of its
+// connections to endpoints.
 package descriptors
 
 import (
@@ -13,19 +13,19 @@
 )
 
 const (
-	// clientsDivisor and endpointsDivisor say what part of all descriptors connections from outside and connections to
-	// endpoints may use: one half and one quarter. The rest is for links, readiness, metrics and files.
+	// clientsDivisor and endpointsDivisor are the shares of all descriptors for connections from outside and for
+	// connections to endpoints: one half and one quarter. The rest is for links, readiness, metrics and files.
 	clientsDivisor   = 2
 	endpointsDivisor = 4
 )
 
 // Budget divides the descriptors of a process.
 type Budget struct {
-	// maxOpen is the number of all descriptors; 0: it is not known, and nothing is limited.
+	// maxOpen is the number of all descriptors; 0: unknown, nothing is limited.
 	maxOpen int
 }
 
-// NewBudget divides so many descriptors; 0: their number is not known, and nothing is limited.
+// NewBudget returns a budget of maxOpen descriptors; 0: their number is unknown, and nothing is limited.
 func NewBudget(maxOpen int) Budget { return Budget{maxOpen} }
 
 // Clients returns how many connections from outside may be open at once; 0: any number.
@@ -39,8 +39,8 @@
 	return max(1, min(wanted, b.maxOpen/endpointsDivisor))
 }
 
-// Listen listens for connections from outside at an IPv4 address; the context limits the lookup of its name.
-// Connections beyond the budget wait in the kernel's queue until others end.
+// Listen listens for connections from outside on an IPv4 address; the context limits the name lookup. Connections
+// beyond the budget wait in the kernel's accept queue until others end.
 func (b Budget) Listen(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", address)
 	if err != nil || b.maxOpen == 0 {
--- a/internal/platform/invariant/invariant.go
+++ b/internal/platform/invariant/invariant.go
@@ -1,9 +1,8 @@
-// Package invariant checks promises of the tier while it runs. A violation is counted, logged with what was found, and
-// ends the test in which it happens; a process in service goes on, as ending it would break more promises than it
-// keeps.
+// Package invariant checks invariants of the tier at run time. A violation is counted, logged with details, and panics in
+// tests; a process in production continues, as terminating it would violate more guarantees than it preserves.
 //
-// Each package declares the invariants of its own state as package variables. docs/promises.md says which promise each
-// of them stands for.
+// Each package declares the invariants of its own state as package variables. docs/promises.md maps each of them to a
+// guarantee of the tier.
 package invariant
 
 import (
@@ -15,10 +14,10 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// LogMessage is the message of the log line of each violation. Programs that read logs for violations look for it.
+// LogMessage is the message of the log line of each violation. Programs that search logs for violations match it.
 const LogMessage = "invariant violated"
 
-// maxLogged limits the log lines of one invariant in the life of a process. Its counter goes on.
+// maxLogged limits the log lines per invariant in the lifetime of a process. Its counter is not limited.
 const maxLogged = 20
 
 // Names of the metrics, each with the label invariant.
@@ -27,7 +26,7 @@
 	violationsMetric = "dunetide_invariant_violations_total"
 )
 
-// Invariant is one promise that is checked.
+// Invariant is a condition that is checked at run time.
 type Invariant struct {
 	name       string
 	checks     *metrics.Counter
@@ -36,11 +35,11 @@
 
 var logger atomic.Pointer[hclog.Logger]
 
-// SetLogger has violations logged; before, they are only counted.
+// SetLogger sets the logger for violations; until then, they are only counted.
 func SetLogger(log hclog.Logger) { logger.Store(&log) }
 
-// New declares an invariant. The name is the value of its metrics' label, in lower case with underscores. It panics if
-// the process has declared the name before.
+// New declares an invariant. The name is the value of the metrics' label, in lower case with underscores. It panics
+// if the name is already declared in the process.
 func New(name string) *Invariant {
 	return &Invariant{
 		name:       name,
@@ -49,8 +48,9 @@
 	}
 }
 
-// Check counts a check, and a violation if the invariant doesn't hold. describe is called only then; it returns what
-// was found, with the IDs by which the logs of other processes can be searched. In a test, a violation panics.
+// Check counts a check, and a violation if the invariant doesn't hold. describe is called only in that case; it
+// returns details, including the IDs by which the logs of other processes can be searched. In a test, a violation
+// panics.
 func (i *Invariant) Check(holds bool, describe func() string) {
 	i.checks.Inc()
 	if !holds {
@@ -70,7 +70,7 @@
 	(*log).Error(LogMessage, "invariant", i.name, "found", found)
 }
 
-// Violations returns how often the invariant has been violated in the life of this process.
+// Violations returns how often the invariant has been violated in the lifetime of this process.
 func (i *Invariant) Violations() uint64 { return i.violations.Get() }
 
 // inTest reports whether this is a test binary, without linking package testing into the program.
--- a/internal/platform/invariant/invarianttest/invarianttest.go
+++ b/internal/platform/invariant/invarianttest/invarianttest.go
@@ -1,4 +1,4 @@
-// Package invarianttest is for tests of checks: each has to fail where its promise is broken.
+// Package invarianttest helps to test that an invariant check detects a violation.
 package invarianttest
 
 import (
--- a/internal/platform/reload/early.go
+++ b/internal/platform/reload/early.go
@@ -5,7 +5,7 @@
 /*
 #include <signal.h>
 
-// Runs before the Go runtime starts, which leaves an ignored SIGHUP ignored until signal.Notify asks for it.
+// Runs before the Go runtime starts, which keeps SIGHUP ignored until signal.Notify enables it.
 __attribute__((constructor)) static void ignore_sighup(void) { signal(SIGHUP, SIG_IGN); }
 */
 import "C"
--- a/internal/platform/telemetry/golden_test.go
+++ b/internal/platform/telemetry/golden_test.go
@@ -22,7 +22,7 @@
 	"dunetide/internal/proxy/forward"
 )
 
-// The series that each role exposes from its start on stay, with their labels and the values of these.
+// The series that each role exposes from its start must not change, including their labels and label values.
 func TestGoldenSeries(t *testing.T) {
 	forward.New(forward.Options{Snapshots: &snapshot.Latest{}}).Observe()
 	var text bytes.Buffer
@@ -36,7 +36,7 @@
 	golden.CompareLines(t, golden.Dir, "series", series)
 }
 
-// The names of all metrics stay, also of those that appear with the first call that they count.
+// The names of all metrics must not change, including those that appear only with the first event that they count.
 func TestGoldenNamesInTheSources(t *testing.T) {
 	root := moduleRoot(t)
 	metricName := regexp.MustCompile(`^dunetide_(proxy|keeper|store|invariant)_[a-z_]+$`)
@@ -67,7 +67,7 @@
 	golden.CompareLines(t, golden.Dir, "names", names)
 }
 
-// moduleRoot is the folder of go.mod.
+// moduleRoot returns the folder of go.mod.
 func moduleRoot(t *testing.T) string {
 	t.Helper()
 	folder, err := os.Getwd()
--- a/internal/platform/telemetry/log.go
+++ b/internal/platform/telemetry/log.go
@@ -15,8 +15,8 @@
 	maxPerSecond = 20
 )
 
-// EventLog writes log lines for events of one kind, of which there may be thousands under overload: it limits the lines
-// per second. A line says how many were left out before it; counters count all events.
+// EventLog writes log lines for events of one kind, of which there may be thousands under overload: it limits the
+// lines per second. Each line reports how many were omitted before it; counters count all events.
 type EventLog struct {
 	log     hclog.Logger
 	limiter *rate.Limiter
@@ -28,8 +28,8 @@
 	return &EventLog{log: log, limiter: rate.NewLimiter(maxPerSecond, maxBurst)}
 }
 
-// Event writes a line of level info, or leaves it out. fields is called only if the line is written; it returns pairs
-// of key and value.
+// Event logs a line at level info, or omits it. fields is called only if the line is written; it returns pairs of key
+// and value.
 func (l *EventLog) Event(message string, fields func() []any) {
 	if !l.log.IsInfo() {
 		return
--- a/internal/platform/telemetry/metrics.go
+++ b/internal/platform/telemetry/metrics.go
@@ -7,24 +7,24 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counter returns the counter with a name and labels, which it declares if it isn't there. Labels are pairs of name and
-// value. The values must come from a fixed set, as each combination stays in memory.
+// Counter returns the counter with a name and labels, creating it if needed. Labels are pairs of name and value. The
+// values must come from a fixed set, as each combination stays in memory.
 func Counter(name string, labels ...string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(withLabels(name, labels))
 }
 
-// GaugeFunc declares a gauge whose value is read at each scrape. It replaces one with the same name and labels, which a
-// role declares again if it restarts its service in the same process.
+// GaugeFunc registers a gauge whose value is read at each scrape. It replaces a gauge with the same name and labels:
+// a role registers its gauges again if it restarts its service in the same process.
 func GaugeFunc(name string, value func() float64, labels ...string) {
 	full := withLabels(name, labels)
 	metrics.UnregisterMetric(full)
 	metrics.NewGauge(full, value)
 }
 
-// Gauge is a gauge that its owner sets.
+// Gauge is a gauge whose value is set explicitly.
 type Gauge struct{ gauge *metrics.Gauge }
 
-// NewGauge declares a gauge that is 0 until it is set. A name and labels are declared once in a process.
+// NewGauge registers a gauge that is 0 until it is set. A name with labels may be registered only once in a process.
 func NewGauge(name string, labels ...string) *Gauge {
 	return &Gauge{metrics.NewGauge(withLabels(name, labels), nil)}
 }
@@ -32,7 +32,7 @@
 // Set sets the value of a gauge.
 func (g *Gauge) Set(value float64) { g.gauge.Set(value) }
 
-// Bool returns the value of a gauge that says whether something holds: 1 for true, 0 for false.
+// Bool returns the value of a boolean gauge: 1 for true, 0 for false.
 func Bool(b bool) float64 {
 	if b {
 		return 1
--- a/internal/platform/telemetry/server.go
+++ b/internal/platform/telemetry/server.go
@@ -1,8 +1,8 @@
-// Package telemetry exposes what happens in a process: metrics in the text format of Prometheus, served over HTTP, and
-// log lines for events that may be many, limited per second.
+// Package telemetry exposes the metrics of a process over HTTP in the Prometheus text format, and rate-limits log lines
+// for frequent events.
 //
-// All roles use it. Names of metrics begin with dunetide_ and the role; they are part of the interface to operators
-// (docs/on-call.md) and don't change, as testdata/golden has them. Those of invariants come from package invariant.
+// All roles use it. Metric names begin with dunetide_ and the role; they are part of the interface to operators
+// (docs/on-call.md) and don't change: testdata/golden pins them. Package invariant defines those of invariants.
 package telemetry
 
 import (
@@ -16,7 +16,7 @@
 // Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// Limits of the HTTP server, so that a scraper that hangs doesn't keep its connection for ever.
+// Limits of the HTTP server, so that a hanging scraper doesn't keep its connection forever.
 const (
 	readTimeout    = 3 * time.Second
 	writeTimeout   = 5 * time.Second
@@ -24,7 +24,7 @@
 	maxHeaderBytes = 8 << 10
 )
 
-// NewServer returns a server of the metrics of the process, its own and those of the Go runtime.
+// NewServer returns an HTTP server for the metrics of the process and of the Go runtime.
 func NewServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
@@ -40,5 +40,5 @@
 	}
 }
 
-// Serve serves the metrics of the process until the listener is closed, and returns the listener's error then.
+// Serve serves the metrics of the process until the listener is closed, and then returns the listener's error.
 func Serve(l net.Listener) error { return NewServer().Serve(l) }
